--- a/crates/woadreach-admission/src/admission.rs
+++ b/crates/woadreach-admission/src/admission.rs
@@ -62,7 +62,8 @@
             match self.services.get_mut(&spec.name) {
                 Some(service) => service.configure(spec, edges),
                 None => {
-                    self.services.insert(spec.name.clone(), Service::new(spec, edges));
+                    self.services
+                        .insert(spec.name.clone(), Service::new(spec, edges));
                 }
             }
         }
@@ -77,7 +78,9 @@
         }
         self.displaced.extend(self.waiting.iter());
         for (id, call) in &self.calls {
-            if call.waits_at().is_some_and(|replica| !self.fleet.get(replica).is_some_and(|r| r.is_usable()))
+            if call
+                .waits_at()
+                .is_some_and(|replica| !self.fleet.get(replica).is_some_and(|r| r.is_usable()))
             {
                 self.displaced.insert(*id);
             }
@@ -113,8 +116,12 @@
         load: Option<ServerLoad>,
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let Some(call) = self.calls.get_mut(&id) else { return actions };
-        let Some(sent) = call.attempts.get_mut(attempt as usize) else { return actions };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return actions;
+        };
+        let Some(sent) = call.attempts.get_mut(attempt as usize) else {
+            return actions;
+        };
         if sent.state != AttemptState::Out {
             return actions;
         }
@@ -124,7 +131,9 @@
         if outcome == Outcome::Answered {
             let freed = self.abort_all(id, &mut actions);
             self.end(now, id, true);
-            freed.into_iter().for_each(|replica| self.release_held(now, replica, &mut actions));
+            freed
+                .into_iter()
+                .for_each(|replica| self.release_held(now, replica, &mut actions));
         } else {
             self.decide_after_failure(now, id, outcome, &mut actions);
         }
@@ -134,8 +143,12 @@
 
     /// The first event of a stream, or the head of any other answer, came.
     pub fn first_event(&mut self, now: f64, id: CallId, attempt: u32, load: Option<ServerLoad>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(sent) = call.attempts.get_mut(attempt as usize) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
+        let Some(sent) = call.attempts.get_mut(attempt as usize) else {
+            return;
+        };
         if sent.state == AttemptState::Out && !sent.begun {
             sent.begun = true;
             self.timers.set(&mut call.timer, id, None);
@@ -170,19 +183,34 @@
 
     /// When something is to be decided without further input.
     pub fn next_wake(&self, now: f64) -> Option<f64> {
-        if self.displaced.is_empty() { self.timers.next() } else { Some(now) }
+        if self.displaced.is_empty() {
+            self.timers.next()
+        } else {
+            Some(now)
+        }
     }
 
     /// Draws one of the call's services by weight.
     fn choose_service(&mut self, call: &Call) -> Arc<str> {
-        let total: u64 = call.clusters.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut drawn = if total > 0 { self.random.rand_range(0..total) } else { 0 };
+        let total: u64 = call
+            .clusters
+            .iter()
+            .map(|(_, weight)| u64::from(*weight))
+            .sum();
+        let mut drawn = if total > 0 {
+            self.random.rand_range(0..total)
+        } else {
+            0
+        };
         for (service, weight) in &call.clusters {
             if drawn < u64::from(*weight) {
                 return service.clone();
             }
             drawn -= u64::from(*weight);
         }
-        call.clusters.first().map(|(service, _)| service.clone()).unwrap_or_else(|| Arc::from(""))
+        call.clusters
+            .first()
+            .map(|(service, _)| service.clone())
+            .unwrap_or_else(|| Arc::from(""))
     }
 }
--- a/crates/woadreach-admission/src/call.rs
+++ b/crates/woadreach-admission/src/call.rs
@@ -20,7 +20,10 @@
 impl CallKind {
     /// Whether the call may be sent again after it may have run.
     pub fn may_run_again(self) -> bool {
-        matches!(self, CallKind::Safe | CallKind::Streaming { resumable: true })
+        matches!(
+            self,
+            CallKind::Safe | CallKind::Streaming { resumable: true }
+        )
     }
 
     /// Whether the answer is a stream of events of a model.
@@ -72,7 +75,10 @@
     /// The parts of the prompt; where none are told, a session's prompt counts as one part that grows.
     pub(crate) fn known_prefix(&self) -> Vec<PrefixPart> {
         match self.session {
-            Some(id) if self.prefix.is_empty() => vec![PrefixPart { id, tokens: self.tokens_in }],
+            Some(id) if self.prefix.is_empty() => vec![PrefixPart {
+                id,
+                tokens: self.tokens_in,
+            }],
             _ => self.prefix.clone(),
         }
     }
--- a/crates/woadreach-admission/src/call_state.rs
+++ b/crates/woadreach-admission/src/call_state.rs
@@ -56,7 +56,9 @@
                 Ok(CallState::Held { replica, deadline })
             }
             (CallState::Deciding, CallEvent::PutOff) => Ok(CallState::Waiting),
-            (CallState::Held { .. } | CallState::Waiting, CallEvent::Released) => Ok(CallState::Deciding),
+            (CallState::Held { .. } | CallState::Waiting, CallEvent::Released) => {
+                Ok(CallState::Deciding)
+            }
             (CallState::Running, CallEvent::NothingOut) => Ok(CallState::Deciding),
             (state, event) => Err(UnexpectedEvent { state, event }),
         }
--- a/crates/woadreach-admission/src/decisions.rs
+++ b/crates/woadreach-admission/src/decisions.rs
@@ -23,7 +23,9 @@
 impl Admission {
     /// Decides anew about a call, whatever its state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         match call.state() {
             CallState::Running => self.consider_late(now, id, actions),
             CallState::Held { .. } | CallState::Waiting => {
@@ -42,11 +44,15 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_out()) else { return };
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_out()) else {
+            return;
+        };
         call.apply(CallEvent::NothingOut);
         let doubled = FIRST_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
         call.not_before = match outcome {
-            Outcome::NotExecuted { retry_after: Some(asked) } => now + asked.max(doubled),
+            Outcome::NotExecuted {
+                retry_after: Some(asked),
+            } => now + asked.max(doubled),
             _ => now + doubled,
         };
         self.place(now, id, actions);
@@ -54,29 +60,53 @@
 
     /// Held calls leave earliest queuing deadline first, and those put off in order of arrival, as far as a
     /// replica that has just become freer allows.
-    pub(crate) fn release_held(&mut self, now: f64, replica: ReplicaKey, actions: &mut Vec<Action>) {
+    pub(crate) fn release_held(
+        &mut self,
+        now: f64,
+        replica: ReplicaKey,
+        actions: &mut Vec<Action>,
+    ) {
         let mut asked = BTreeSet::new();
-        while let Some(first) = self.held.first(&replica).filter(|first| asked.insert(*first)) {
-            let Some(at) = self.fleet.get(replica) else { break };
+        while let Some(first) = self
+            .held
+            .first(&replica)
+            .filter(|first| asked.insert(*first))
+        {
+            let Some(at) = self.fleet.get(replica) else {
+                break;
+            };
             if at.hold.holds(at.in_flight.len()) {
                 break;
             }
             self.decide(now, first, actions);
         }
-        let Some(service) = self.fleet.get(replica).map(|at| at.spec.service.clone()) else { return };
-        let of_service = |id: &&CallId| self.calls.get(id).is_some_and(|call| call.service == service);
+        let Some(service) = self.fleet.get(replica).map(|at| at.spec.service.clone()) else {
+            return;
+        };
+        let of_service = |id: &&CallId| {
+            self.calls
+                .get(id)
+                .is_some_and(|call| call.service == service)
+        };
         let waiting: Vec<CallId> = self.waiting.iter().filter(of_service).copied().collect();
-        waiting.into_iter().for_each(|id| self.decide(now, id, actions));
+        waiting
+            .into_iter()
+            .for_each(|id| self.decide(now, id, actions));
     }
 
     /// Drops what is out; gives back the replicas where it was.
     pub(crate) fn abort_all(&mut self, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
-        let Some(call) = self.calls.get_mut(&id) else { return Vec::new() };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return Vec::new();
+        };
         let mut freed = Vec::new();
         for (number, attempt) in (0..).zip(&mut call.attempts) {
             if attempt.state == AttemptState::Out {
                 attempt.state = AttemptState::Aborted;
-                actions.push(Action::Abort { call: id, attempt: number });
+                actions.push(Action::Abort {
+                    call: id,
+                    attempt: number,
+                });
                 freed.push(attempt.replica);
                 if let Some(replica) = self.fleet.get_mut(attempt.replica) {
                     replica.in_flight.remove(&(id, number));
@@ -89,7 +119,9 @@
     /// Forgets a call that has ended.
     pub(crate) fn end(&mut self, now: f64, id: CallId, answered: bool) {
         self.release(id);
-        let Some(mut call) = self.calls.remove(&id) else { return };
+        let Some(mut call) = self.calls.remove(&id) else {
+            return;
+        };
         self.timers.set(&mut call.timer, id, None);
         self.displaced.remove(&id);
         let unloaded = self.routes.unloaded_median(now, call.route);
@@ -97,14 +129,25 @@
     }
 
     /// Ends a call that has not run and never will.
-    pub(crate) fn refuse(&mut self, now: f64, id: CallId, retry_after: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::Refuse { call: id, retry_after });
+    pub(crate) fn refuse(
+        &mut self,
+        now: f64,
+        id: CallId,
+        retry_after: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        actions.push(Action::Refuse {
+            call: id,
+            retry_after,
+        });
         self.end(now, id, false);
     }
 
     /// Ends a call for which nothing more can be done, with the most that honesty allows.
     fn give_up(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         if call.has_not_run() {
             let retry_after = self.retry_advice(now, id);
             return self.refuse(now, id, retry_after, actions);
@@ -121,7 +164,9 @@
 
     /// Takes a call out of the queue where it waits.
     fn release(&mut self, id: CallId) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         match call.state() {
             CallState::Held { replica, deadline } => self.held.remove(&replica, deadline, id),
             CallState::Waiting => {
@@ -134,7 +179,9 @@
     }
 
     fn place(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         if !call.may_send() || has_come(now, call.call.give_up_at) {
             return self.give_up(now, id, actions);
         }
@@ -153,15 +200,26 @@
     }
 
     fn choose(&mut self, now: f64, id: CallId) -> Choice {
-        let Some(call) = self.calls.get_mut(&id) else { return Choice::Never };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return Choice::Never;
+        };
         let service = self.services.get(&call.service);
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, service);
         call.home = placement.home(call);
-        let step = Step { now, calls: &self.calls, programs: &self.programs, routes: &self.routes };
-        let Some(call) = self.calls.get(&id) else { return Choice::Never };
+        let step = Step {
+            now,
+            calls: &self.calls,
+            programs: &self.programs,
+            routes: &self.routes,
+        };
+        let Some(call) = self.calls.get(&id) else {
+            return Choice::Never;
+        };
         let is_behind = |replica: ReplicaKey| {
             self.held.first(&replica).is_some()
-                && self.held.is_behind(&replica, step.queuing_deadline(call, replica), id)
+                && self
+                    .held
+                    .is_behind(&replica, step.queuing_deadline(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
     }
@@ -176,11 +234,22 @@
         })
     }
 
-    fn send_if_worthwhile(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id) else { return };
+    fn send_if_worthwhile(
+        &mut self,
+        now: f64,
+        id: CallId,
+        replica: ReplicaKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let (returns, not_before) = (call.was_tried_at(replica), call.not_before);
         let repeats = call.was_offered();
-        let affordable = self.services.get(&call.service).is_none_or(|service| service.budget.allows());
+        let affordable = self
+            .services
+            .get(&call.service)
+            .is_none_or(|service| service.budget.allows());
         if self.is_hopeless(now, id, replica) || (repeats && !affordable) {
             return self.give_up(now, id, actions);
         }
@@ -190,23 +259,49 @@
         self.send(now, id, replica, actions);
     }
 
-    pub(crate) fn send(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(at) = self.fleet.get_mut(replica) else { return };
+    pub(crate) fn send(
+        &mut self,
+        now: f64,
+        id: CallId,
+        replica: ReplicaKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
+        let Some(at) = self.fleet.get_mut(replica) else {
+            return;
+        };
         let repeats = call.was_offered();
         let attempt = call.attempts.len() as u32;
         let replica_id = at.spec.id.clone();
-        call.attempts.push(Attempt { replica, replica_id, state: AttemptState::Out, begun: false });
+        call.attempts.push(Attempt {
+            replica,
+            replica_id,
+            state: AttemptState::Out,
+            begun: false,
+        });
         call.apply(CallEvent::Sent);
         let alone = at.in_flight.is_empty();
-        let sent =
-            InFlight { sent_at: now, route: call.route, alone, begun_late: None, overtaken: 0, lost: false };
+        let sent = InFlight {
+            sent_at: now,
+            route: call.route,
+            alone,
+            begun_late: None,
+            overtaken: 0,
+            lost: false,
+        };
         at.in_flight.insert((id, attempt), sent);
         if let Some(service) = self.services.get_mut(&call.service) {
             let to_read = tokens_to_read(call, replica, at);
-            at.cache.record(&call.call.prefix, service.cache_share(self.edges));
+            at.cache
+                .record(&call.call.prefix, service.cache_share(self.edges));
             service.sent(to_read);
-            if repeats { service.budget.spend() } else { service.budget.earn() }
+            if repeats {
+                service.budget.spend()
+            } else {
+                service.budget.earn()
+            }
         }
         let late_after = if call.may_be_copied() {
             self.routes.late_after(call.route)
@@ -227,7 +322,9 @@
     /// Every replica that it might go to is gone or has had it. Only where the service has none at all, a
     /// call that has not run waits for one, for as long as it may be held.
     fn without_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         if call.attempts.is_empty() && self.fleet.usable(&call.service).next().is_none() {
             self.put_off(now, id, None, actions);
         } else {
@@ -238,7 +335,9 @@
     /// Until when a call may be held: a share of its target if no replica was offered it, else as long as a
     /// replica can still make it.
     fn held_until(&self, now: f64, id: CallId) -> f64 {
-        let Some(call) = self.calls.get(&id) else { return now };
+        let Some(call) = self.calls.get(&id) else {
+            return now;
+        };
         if call.was_offered() {
             let k = self.programs.step_size(&call.call);
             call.call.give_up_at - self.routes.tail(now, call.route, None, k)
@@ -253,7 +352,9 @@
         if has_come(now, most) {
             return self.give_up(now, id, actions);
         }
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         call.apply(CallEvent::PutOff);
         self.waiting.insert(id);
         let until = until.map_or(most, |until| until.min(most));
@@ -270,11 +371,20 @@
         if has_come(now, most) {
             return self.send_if_worthwhile(now, id, replica, actions);
         }
-        let step = Step { now, calls: &self.calls, programs: &self.programs, routes: &self.routes };
-        let Some(call) = self.calls.get(&id) else { return };
+        let step = Step {
+            now,
+            calls: &self.calls,
+            programs: &self.programs,
+            routes: &self.routes,
+        };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let deadline = step.queuing_deadline(call, replica);
         self.held.insert(&replica, deadline, id);
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         call.apply(CallEvent::HeldBack { replica, deadline });
         self.timers.set(&mut call.timer, id, Some(most));
     }
--- a/crates/woadreach-admission/src/fleet.rs
+++ b/crates/woadreach-admission/src/fleet.rs
@@ -23,7 +23,11 @@
     /// Takes in the whole list; gives back the replicas that have left.
     pub fn update(&mut self, now: f64, listed: &[ReplicaSpec]) -> Vec<ReplicaKey> {
         for spec in listed {
-            match self.by_id.get(&spec.id).and_then(|key| self.replicas.get_mut(key)) {
+            match self
+                .by_id
+                .get(&spec.id)
+                .and_then(|key| self.replicas.get_mut(key))
+            {
                 Some(replica) if replica.spec.service == spec.service => replica.update(now, spec),
                 Some(_) => {
                     self.remove(&spec.id);
@@ -33,7 +37,12 @@
             }
         }
         let named: BTreeSet<&str> = listed.iter().map(|spec| &*spec.id).collect();
-        let left: Vec<Arc<str>> = self.by_id.keys().filter(|id| !named.contains(&***id)).cloned().collect();
+        let left: Vec<Arc<str>> = self
+            .by_id
+            .keys()
+            .filter(|id| !named.contains(&***id))
+            .cloned()
+            .collect();
         left.iter().filter_map(|id| self.remove(id)).collect()
     }
 
@@ -47,7 +56,11 @@
 
     /// Another replica answered at the address of this one: it is not used until its record changes.
     pub fn misdirected(&mut self, id: &str) {
-        if let Some(replica) = self.by_id.get(id).and_then(|key| self.replicas.get_mut(key)) {
+        if let Some(replica) = self
+            .by_id
+            .get(id)
+            .and_then(|key| self.replicas.get_mut(key))
+        {
             replica.misdirected = true;
         }
     }
@@ -55,14 +68,18 @@
     /// The replicas of a service that may be given new calls.
     pub fn usable(&self, service: &str) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         let keys = self.by_service.get(service).into_iter().flatten();
-        keys.filter_map(|key| Some((*key, self.replicas.get(key)?))).filter(|(_, r)| r.is_usable())
+        keys.filter_map(|key| Some((*key, self.replicas.get(key)?)))
+            .filter(|(_, r)| r.is_usable())
     }
 
     fn insert(&mut self, now: f64, spec: &ReplicaSpec) {
         self.named += 1;
         let key = ReplicaKey(self.named);
         self.by_id.insert(spec.id.clone(), key);
-        self.by_service.entry(spec.service.clone()).or_default().insert(key);
+        self.by_service
+            .entry(spec.service.clone())
+            .or_default()
+            .insert(key);
         self.replicas.insert(key, Replica::new(now, spec.clone()));
     }
 
--- a/crates/woadreach-admission/src/in_hand.rs
+++ b/crates/woadreach-admission/src/in_hand.rs
@@ -104,7 +104,9 @@
 
     /// Whether a try at a replica is still out.
     pub fn is_out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.state == AttemptState::Out)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::Out)
     }
 
     /// Whether it is proven that no attempt ran or will run.
@@ -119,11 +121,17 @@
 
     /// The replicas that count against the most that one try may be sent to.
     pub fn replicas_reached(&self) -> BTreeSet<ReplicaKey> {
-        self.attempts.iter().filter(|a| a.reached_replica()).map(|a| a.replica).collect()
+        self.attempts
+            .iter()
+            .filter(|a| a.reached_replica())
+            .map(|a| a.replica)
+            .collect()
     }
 
     pub fn was_tried_at(&self, replica: ReplicaKey) -> bool {
-        self.attempts.iter().any(|attempt| attempt.replica == replica)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.replica == replica)
     }
 
     /// Whether the call may be sent to this replica (again): not where it may have run, nor where another
@@ -135,14 +143,20 @@
             return false;
         }
         let misdirected = AttemptState::Ended(Outcome::Misdirected);
-        let mut there = self.attempts.iter().filter(|attempt| attempt.replica == replica);
+        let mut there = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.replica == replica);
         there.all(|attempt| attempt.has_not_run() && attempt.state != misdirected)
     }
 
     /// Whether a second copy may be sent beside the attempt that is out: one at a time, before an answer has
     /// begun, within the most replicas.
     pub fn may_be_copied(&self) -> bool {
-        let mut out = self.attempts.iter().filter(|attempt| attempt.state == AttemptState::Out);
+        let mut out = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.state == AttemptState::Out);
         let single = out.next().is_some_and(|attempt| !attempt.begun) && out.next().is_none();
         let within_bounds = self.replicas_reached().len() < self.call.max_replicas as usize;
         single && within_bounds && self.call.kind.may_run_again()
@@ -150,7 +164,10 @@
 
     /// How often the call was sent to a replica.
     pub fn sends_to(&self, replica: ReplicaKey) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.replica == replica).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.replica == replica)
+            .count()
     }
 
     /// Whether the call has been offered to a replica.
@@ -160,9 +177,12 @@
 
     /// The outcome of the last attempt that may have run.
     pub fn last_run(&self) -> Option<Outcome> {
-        self.attempts.iter().rev().find_map(|attempt| match attempt.state {
-            AttemptState::Ended(outcome) if !outcome.has_not_run() => Some(outcome),
-            _ => None,
-        })
+        self.attempts
+            .iter()
+            .rev()
+            .find_map(|attempt| match attempt.state {
+                AttemptState::Ended(outcome) if !outcome.has_not_run() => Some(outcome),
+                _ => None,
+            })
     }
 }
--- a/crates/woadreach-admission/src/observations.rs
+++ b/crates/woadreach-admission/src/observations.rs
@@ -10,20 +10,35 @@
 use crate::replica::{Failure, FailureKind, InFlight};
 
 /// Half of the last eight outcomes at a replica, two at least, eject it (docs/design.md, exception 3).
-const EJECTION: EjectionRule = EjectionRule { window: 8, least: 2 };
+const EJECTION: EjectionRule = EjectionRule {
+    window: 8,
+    least: 2,
+};
 
 impl Admission {
     /// An attempt's first event or head came: its latency counts, and the replica is at work. For a stream it
     /// speaks for the replica's health; other answers do so by their status, at their end.
-    pub(crate) fn observe_begin(&mut self, now: f64, id: CallId, attempt: u32, load: Option<ServerLoad>) {
-        let Some((key, sent)) = self.in_flight(id, attempt).filter(|(_, sent)| sent.begun_late.is_none())
+    pub(crate) fn observe_begin(
+        &mut self,
+        now: f64,
+        id: CallId,
+        attempt: u32,
+        load: Option<ServerLoad>,
+    ) {
+        let Some((key, sent)) = self
+            .in_flight(id, attempt)
+            .filter(|(_, sent)| sent.begun_late.is_none())
         else {
             return;
         };
-        let Some(replica) = self.fleet.get_mut(key) else { return };
+        let Some(replica) = self.fleet.get_mut(key) else {
+            return;
+        };
         let ejected = replica.health.is_ejected_for(sent.route);
         let latency = now - sent.sent_at;
-        let Some(route) = self.routes.get_mut(sent.route) else { return };
+        let Some(route) = self.routes.get_mut(sent.route) else {
+            return;
+        };
         let late = latency > route.late_after();
         route.record(latency);
         if sent.alone {
@@ -31,7 +46,11 @@
         }
         replica.heard(now, load);
         replica.begun(id, attempt, late);
-        if self.calls.get(&id).is_some_and(|call| call.call.kind.is_streaming()) {
+        if self
+            .calls
+            .get(&id)
+            .is_some_and(|call| call.call.kind.is_streaming())
+        {
             self.observe_health(now, key, sent, late.then_some(FailureKind::Late));
         }
     }
@@ -46,7 +65,10 @@
         load: Option<ServerLoad>,
     ) {
         if outcome == Outcome::Misdirected
-            && let Some(sent) = self.calls.get(&id).and_then(|call| call.attempts.get(attempt as usize))
+            && let Some(sent) = self
+                .calls
+                .get(&id)
+                .and_then(|call| call.attempts.get(attempt as usize))
         {
             self.fleet.misdirected(&sent.replica_id);
         }
@@ -54,20 +76,33 @@
             self.observe_begin(now, id, attempt, load);
         }
         let too_large = self.is_too_large(id);
-        let streaming = self.calls.get(&id).is_some_and(|call| call.call.kind.is_streaming());
-        let Some((key, sent)) = self.in_flight(id, attempt) else { return };
-        let Some(replica) = self.fleet.get_mut(key) else { return };
+        let streaming = self
+            .calls
+            .get(&id)
+            .is_some_and(|call| call.call.kind.is_streaming());
+        let Some((key, sent)) = self.in_flight(id, attempt) else {
+            return;
+        };
+        let Some(replica) = self.fleet.get_mut(key) else {
+            return;
+        };
         replica.in_flight.remove(&(id, attempt));
         replica.told_load(now, load);
         match outcome {
             Outcome::Answered | Outcome::ReplicaError => replica.answered(),
             Outcome::NotExecuted { .. } if too_large => return,
-            Outcome::NotExecuted { .. } | Outcome::TimedOut => replica.hold.begin(replica.in_flight.len()),
+            Outcome::NotExecuted { .. } | Outcome::TimedOut => {
+                replica.hold.begin(replica.in_flight.len())
+            }
             Outcome::Unreachable | Outcome::Broken { .. } => replica.health.eject(now, None),
             Outcome::Misdirected | Outcome::NeverSent => return,
         }
         if outcome != Outcome::Answered {
-            let kind = if outcome.has_not_run() { FailureKind::NotRun } else { FailureKind::MayHaveRun };
+            let kind = if outcome.has_not_run() {
+                FailureKind::NotRun
+            } else {
+                FailureKind::MayHaveRun
+            };
             self.observe_health(now, key, sent, Some(kind));
         } else if !streaming {
             let late = sent.begun_late == Some(true);
@@ -76,9 +111,23 @@
     }
 
     /// A replica has lost an attempt: it is ejected, once for each attempt.
-    pub(crate) fn observe_lost_attempt(&mut self, now: f64, id: CallId, attempt: u32, key: ReplicaKey) {
-        let Some(replica) = self.fleet.get_mut(key) else { return };
-        let Some(sent) = replica.in_flight.get_mut(&(id, attempt)).filter(|sent| !sent.lost) else { return };
+    pub(crate) fn observe_lost_attempt(
+        &mut self,
+        now: f64,
+        id: CallId,
+        attempt: u32,
+        key: ReplicaKey,
+    ) {
+        let Some(replica) = self.fleet.get_mut(key) else {
+            return;
+        };
+        let Some(sent) = replica
+            .in_flight
+            .get_mut(&(id, attempt))
+            .filter(|sent| !sent.lost)
+        else {
+            return;
+        };
         sent.lost = true;
         let sent = *sent;
         replica.health.eject(now, None);
@@ -87,25 +136,44 @@
 
     /// A call is given up: attempts that are late without a sign of life speak against their replicas.
     pub(crate) fn observe_given_up(&mut self, now: f64, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let out: Vec<u32> = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::Out && !attempt.begun)
             .map(|(number, _)| number)
             .collect();
         for number in out {
-            let Some((key, sent)) = self.in_flight(id, number) else { continue };
+            let Some((key, sent)) = self.in_flight(id, number) else {
+                continue;
+            };
             if now > sent.sent_at + self.routes.late_after(sent.route) {
                 self.observe_health(now, key, sent, Some(FailureKind::MayHaveRun));
             }
         }
     }
 
-    fn observe_health(&mut self, now: f64, key: ReplicaKey, sent: InFlight, failure: Option<FailureKind>) {
-        let Some(replica) = self.fleet.get_mut(key) else { return };
-        replica.last_failure = failure.map(|kind| Failure { at: now, kind }).or(replica.last_failure);
+    fn observe_health(
+        &mut self,
+        now: f64,
+        key: ReplicaKey,
+        sent: InFlight,
+        failure: Option<FailureKind>,
+    ) {
+        let Some(replica) = self.fleet.get_mut(key) else {
+            return;
+        };
+        replica.last_failure = failure
+            .map(|kind| Failure { at: now, kind })
+            .or(replica.last_failure);
         let failed = failure.is_some();
-        let observation = Observation { at: now, sent_at: sent.sent_at, class: sent.route, failed };
+        let observation = Observation {
+            at: now,
+            sent_at: sent.sent_at,
+            class: sent.route,
+            failed,
+        };
         replica.health.observe(EJECTION, observation);
     }
 
@@ -118,8 +186,12 @@
     /// Whether all replicas refuse this prompt as though they were full, because it is larger than their
     /// memory.
     fn is_too_large(&self, id: CallId) -> bool {
-        let Some(call) = self.calls.get(&id) else { return false };
+        let Some(call) = self.calls.get(&id) else {
+            return false;
+        };
         let tokens = u64::from(call.call.tokens_in) + u64::from(call.call.tokens_out);
-        self.services.get(&call.service).is_some_and(|service| service.is_too_large(tokens))
+        self.services
+            .get(&call.service)
+            .is_some_and(|service| service.is_too_large(tokens))
     }
 }
--- a/crates/woadreach-admission/src/pace.rs
+++ b/crates/woadreach-admission/src/pace.rs
@@ -66,7 +66,9 @@
             step_unloaded: 0.0,
             lost: 0.0,
         });
-        program.time = program.time.or(call.finish_at.map(|at| at - program.started));
+        program.time = program
+            .time
+            .or(call.finish_at.map(|at| at - program.started));
         if program.in_hand.is_empty() {
             program.step_started = call.arrived;
             program.step_unloaded = 0.0;
@@ -76,7 +78,9 @@
 
     /// A call of a program has ended, which takes `unloaded` seconds on an idle replica.
     pub fn ended(&mut self, now: f64, call: &Call, answered: bool, unloaded: f64) {
-        let Some(program) = call.program.and_then(|id| self.programs.get_mut(&id)) else { return };
+        let Some(program) = call.program.and_then(|id| self.programs.get_mut(&id)) else {
+            return;
+        };
         program.in_hand.remove(&call.id);
         program.last_end = now;
         program.answers += u32::from(answered);
@@ -89,32 +93,42 @@
     /// The calls of the same program in hand, this one among them.
     pub fn step_calls(&self, call: &Call) -> Vec<CallId> {
         match call.program.and_then(|id| self.programs.get(&id)) {
-            Some(program) if !program.in_hand.is_empty() => program.in_hand.iter().copied().collect(),
+            Some(program) if !program.in_hand.is_empty() => {
+                program.in_hand.iter().copied().collect()
+            }
             _ => vec![call.id],
         }
     }
 
     /// How many calls of the program run side by side, this one among them.
     pub fn step_size(&self, call: &Call) -> usize {
-        call.program.and_then(|id| self.programs.get(&id)).map_or(1, |program| program.in_hand.len().max(1))
+        call.program
+            .and_then(|id| self.programs.get(&id))
+            .map_or(1, |program| program.in_hand.len().max(1))
     }
 
     /// When the present step of the call's program began.
     pub fn step_started(&self, call: &Call) -> f64 {
         let program = call.program.and_then(|id| self.programs.get(&id));
-        program.filter(|program| !program.in_hand.is_empty()).map_or(call.arrived, |p| p.step_started)
+        program
+            .filter(|program| !program.in_hand.is_empty())
+            .map_or(call.arrived, |p| p.step_started)
     }
 
     /// Whether a call of the program has been answered here.
     pub fn is_under_way(&self, call: &Call) -> bool {
-        call.program.and_then(|id| self.programs.get(&id)).is_some_and(|program| program.answers > 0)
+        call.program
+            .and_then(|id| self.programs.get(&id))
+            .is_some_and(|program| program.answers > 0)
     }
 
     /// The time (seconds) within which the present step should be answered, if it takes `unloaded` on an idle
     /// replica. Without a program's end in time it is the route's latency target.
     pub fn aim(&self, call: &Call, unloaded: f64) -> f64 {
         let known = call.program.and_then(|id| self.programs.get(&id));
-        let Some((program, finish_at)) = known.zip(call.finish_at) else { return call.target_latency };
+        let Some((program, finish_at)) = known.zip(call.finish_at) else {
+            return call.target_latency;
+        };
         let started = self.step_started(call);
         let left = finish_at - started;
         let expected = self.expected_work(program, started).max(unloaded);
@@ -128,17 +142,25 @@
     }
 
     fn expected_work(&self, program: &Program, now: f64) -> f64 {
-        let share = self.work_share.get(&program.kind).copied().unwrap_or(FIRST_SHARE);
+        let share = self
+            .work_share
+            .get(&program.kind)
+            .copied()
+            .unwrap_or(FIRST_SHARE);
         let Some(time) = program.time else { return 0.0 };
         let elapsed = now - program.started;
         let done = (elapsed - program.lost).max(0.0);
-        (time * share - done).max((time - elapsed) * LEAST_WORK_LEFT).max(0.0)
+        (time * share - done)
+            .max((time - elapsed) * LEAST_WORK_LEFT)
+            .max(0.0)
     }
 
     fn forget_ended(&mut self, now: f64) {
         for _ in 0..LOOKED_AT {
             let next = self.programs.range(self.cursor.wrapping_add(1)..).next();
-            let Some((id, program)) = next.or(self.programs.iter().next()) else { return };
+            let Some((id, program)) = next.or(self.programs.iter().next()) else {
+                return;
+            };
             self.cursor = *id;
             if program.in_hand.is_empty() && now > program.last_end + OVER_AFTER {
                 let over = self.programs.remove(&self.cursor);
@@ -149,9 +171,17 @@
 
     /// Only programs that got beyond their first call tell how long their kind takes.
     fn learn(&mut self, program: &Program) {
-        let Some(time) = program.time.filter(|time| *time > 0.0 && program.answers > 1) else { return };
+        let Some(time) = program
+            .time
+            .filter(|time| *time > 0.0 && program.answers > 1)
+        else {
+            return;
+        };
         let worked = (program.last_end - program.started - program.lost) / time;
-        let share = self.work_share.entry(program.kind.clone()).or_insert(FIRST_SHARE);
+        let share = self
+            .work_share
+            .entry(program.kind.clone())
+            .or_insert(FIRST_SHARE);
         *share += LEARNING_RATE * (worked.clamp(0.0, 1.0) - *share);
     }
 }
--- a/crates/woadreach-admission/src/placement.rs
+++ b/crates/woadreach-admission/src/placement.rs
@@ -90,7 +90,8 @@
         if candidates.is_empty() {
             return Choice::Never;
         }
-        candidates.require(|key| self.with(*key, |replica| replica.in_flight.len() < self.connections));
+        candidates
+            .require(|key| self.with(*key, |replica| replica.in_flight.len() < self.connections));
         if candidates.is_empty() {
             return Choice::Later;
         }
@@ -99,7 +100,8 @@
         }
         self.prefer_sound(call, &mut candidates);
         let is_held = |key: &ReplicaKey| {
-            is_behind(*key) || self.with(*key, |replica| replica.hold.holds(replica.in_flight.len()))
+            is_behind(*key)
+                || self.with(*key, |replica| replica.hold.holds(replica.in_flight.len()))
         };
         candidates.prefer(|key| !is_held(key));
         match self.cheapest(call, &mut candidates, random) {
@@ -113,25 +115,39 @@
     /// mostly come in, unless too few replicas are there.
     pub fn home(&self, call: &CallInHand) -> Option<ReplicaKey> {
         let is_engine = self.mean_read > 0;
-        let key = if is_engine { call.call.program.or(call.call.session) } else { call.call.affinity };
+        let key = if is_engine {
+            call.call.program.or(call.call.session)
+        } else {
+            call.call.affinity
+        };
         let key = key?.to_le_bytes();
         let is_sound = |(_, replica): &(ReplicaKey, &Replica)| {
             !replica.health.is_ejected_for(call.route) && !self.is_silent(replica)
         };
-        let sound: Vec<(ReplicaKey, &Replica)> = self.fleet.usable(&call.service).filter(is_sound).collect();
+        let sound: Vec<(ReplicaKey, &Replica)> =
+            self.fleet.usable(&call.service).filter(is_sound).collect();
         let stays_near = is_engine && self.own_zone_can_serve(&sound);
         let preference = |replica: &Replica| {
             let is_near = stays_near && self.is_near(replica);
             (is_near, rank(&key, &replica.spec.id))
         };
-        sound.into_iter().max_by_key(|(_, replica)| preference(replica)).map(|(key, _)| key)
+        sound
+            .into_iter()
+            .max_by_key(|(_, replica)| preference(replica))
+            .map(|(key, _)| key)
     }
 
     /// Whether the own zone has at least half as many of these replicas as zones have on average: with
     /// fewer, the programs that come in here would crowd them.
     fn own_zone_can_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
-        let zones: BTreeSet<&str> = replicas.iter().map(|(_, replica)| &*replica.spec.zone).collect();
-        let near = replicas.iter().filter(|(_, replica)| self.is_near(replica)).count();
+        let zones: BTreeSet<&str> = replicas
+            .iter()
+            .map(|(_, replica)| &*replica.spec.zone)
+            .collect();
+        let near = replicas
+            .iter()
+            .filter(|(_, replica)| self.is_near(replica))
+            .count();
         2 * near * zones.len() >= replicas.len()
     }
 
@@ -141,7 +157,11 @@
 
     /// Chooses for a second copy beside an attempt that is out: only an untried, sound replica that is no
     /// busier than any other.
-    pub fn choose_copy(&self, call: &CallInHand, random: &mut oorandom::Rand64) -> Option<ReplicaKey> {
+    pub fn choose_copy(
+        &self,
+        call: &CallInHand,
+        random: &mut oorandom::Rand64,
+    ) -> Option<ReplicaKey> {
         let mut candidates = self.allowed(call);
         candidates.require(|key| !call.was_tried_at(*key));
         candidates.require(|key| {
@@ -161,7 +181,9 @@
         let reached = call.replicas_reached();
         let spent = reached.len() >= call.call.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
-        candidates.require(|key| call.attempts.len() < MOST_ATTEMPTS && (!spent || reached.contains(key)));
+        candidates.require(|key| {
+            call.attempts.len() < MOST_ATTEMPTS && (!spent || reached.contains(key))
+        });
         candidates.require(|key| call.may_return_to(*key));
         candidates.prefer(|key| !call.was_tried_at(*key));
         candidates
@@ -170,7 +192,8 @@
     /// An ejected replica that is due a trial, if this call can be risked: it may run again elsewhere, or a
     /// failure as the last one there costs a call nothing, or the last one was long ago.
     fn trial(&self, call: &CallInHand, candidates: &Candidates<ReplicaKey>) -> Option<ReplicaKey> {
-        let others_exist = candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
+        let others_exist =
+            candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
         if !call.attempts.is_empty() || !others_exist {
             return None;
         }
@@ -179,7 +202,10 @@
             let may_risk = may_move || replica.trial_is_harmless(self.now);
             may_risk && replica.health.trial_due(self.now, call.route)
         };
-        self.fleet.usable(&call.service).find(|(_, replica)| due(replica)).map(|(key, _)| key)
+        self.fleet
+            .usable(&call.service)
+            .find(|(_, replica)| due(replica))
+            .map(|(key, _)| key)
     }
 
     /// Drops what failed of late, is silent, full or cold, as long as others remain.
@@ -214,7 +240,9 @@
     /// Own calls in flight; for engines in units of the prompt tokens that they and this call need read
     /// there.
     fn cost(&self, key: ReplicaKey, call: &CallInHand) -> usize {
-        let Some(replica) = self.fleet.get(key) else { return usize::MAX };
+        let Some(replica) = self.fleet.get(key) else {
+            return usize::MAX;
+        };
         let in_flight = replica.in_flight.len();
         if self.mean_read == 0 {
             return in_flight;
@@ -228,7 +256,9 @@
 
     fn most_are_ejected(&self, call: &CallInHand) -> bool {
         let usable = || self.fleet.usable(&call.service);
-        let ejected = usable().filter(|(_, replica)| replica.health.is_ejected_for(call.route)).count();
+        let ejected = usable()
+            .filter(|(_, replica)| replica.health.is_ejected_for(call.route))
+            .count();
         ejected * 2 > usable().count()
     }
 
@@ -245,13 +275,24 @@
 /// at the call's home, others have sent.
 pub(crate) fn tokens_to_read(call: &CallInHand, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.call.tokens_in;
-    let sent_by_others = if call.home == Some(key) { f64::from(tokens) * KEPT_AT_HOME } else { 0.0 };
-    tokens.saturating_sub(replica.cache.cached_tokens(&call.call.prefix).max(sent_by_others as u32))
+    let sent_by_others = if call.home == Some(key) {
+        f64::from(tokens) * KEPT_AT_HOME
+    } else {
+        0.0
+    };
+    tokens.saturating_sub(
+        replica
+            .cache
+            .cached_tokens(&call.call.prefix)
+            .max(sent_by_others as u32),
+    )
 }
 
 /// Whether all replicas of a service that may be used are full, by their own word or by a hold.
 pub(crate) fn is_overloaded(now: f64, fleet: &Fleet, service: &Arc<str>) -> bool {
     let mut usable = fleet.usable(service).peekable();
-    let full = |replica: &Replica| replica.is_saturated(now) || replica.hold.holds(replica.in_flight.len());
+    let full = |replica: &Replica| {
+        replica.is_saturated(now) || replica.hold.holds(replica.in_flight.len())
+    };
     usable.peek().is_some() && usable.all(|(_, replica)| full(replica))
 }
--- a/crates/woadreach-admission/src/prefix_cache.rs
+++ b/crates/woadreach-admission/src/prefix_cache.rs
@@ -26,7 +26,10 @@
     pub fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let mut cached: u32 = 0;
         for part in prefix {
-            let known = self.parts.get(&part.id).map_or(0, |known| known.tokens.min(part.tokens));
+            let known = self
+                .parts
+                .get(&part.id)
+                .map_or(0, |known| known.tokens.min(part.tokens));
             cached = cached.saturating_add(known);
             if known < part.tokens {
                 break;
@@ -41,7 +44,9 @@
             self.touch(*part);
         }
         while self.tokens > most {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
+            let Some((_, oldest)) = self.by_use.pop_first() else {
+                break;
+            };
             if let Some(gone) = self.parts.remove(&oldest) {
                 self.tokens -= u64::from(gone.tokens);
             }
@@ -55,7 +60,10 @@
 
     fn touch(&mut self, part: PrefixPart) {
         self.uses += 1;
-        let newest = CachedPart { tokens: part.tokens, last_use: self.uses };
+        let newest = CachedPart {
+            tokens: part.tokens,
+            last_use: self.uses,
+        };
         if let Some(known) = self.parts.insert(part.id, newest) {
             self.by_use.remove(&known.last_use);
             self.tokens -= u64::from(known.tokens);
--- a/crates/woadreach-admission/src/replica.rs
+++ b/crates/woadreach-admission/src/replica.rs
@@ -130,18 +130,23 @@
 
     /// Ejected for being slow alone.
     pub fn is_merely_slow(&self) -> bool {
-        self.last_failure.is_some_and(|last| last.kind == FailureKind::Late)
+        self.last_failure
+            .is_some_and(|last| last.kind == FailureKind::Late)
     }
 
     /// Where traffic is sparse the last outcome decides, for a while: two failures take long to see there.
     pub fn failed_just_now(&self, now: f64) -> bool {
-        self.health.failed_last(now) && self.last_failure.is_some_and(|last| now < last.at + AVOIDED_FOR)
+        self.health.failed_last(now)
+            && self
+                .last_failure
+                .is_some_and(|last| now < last.at + AVOIDED_FOR)
     }
 
     /// Whether a trial may be made with a call that can't run again: the last failure had not run, or was
     /// long ago.
     pub fn trial_is_harmless(&self, now: f64) -> bool {
-        let risky = |last: &Failure| last.kind != FailureKind::NotRun && now <= last.at + RISKED_AFTER;
+        let risky =
+            |last: &Failure| last.kind != FailureKind::NotRun && now <= last.at + RISKED_AFTER;
         !self.last_failure.as_ref().is_some_and(risky)
     }
 
@@ -152,13 +157,19 @@
 
     /// Has shown no sign of work since it took a call that is late by now; `late_after` by route.
     pub fn is_silent(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
-        let late = |sent: &InFlight| sent.begun_late.is_none() && now > sent.sent_at + late_after(sent.route);
-        self.in_flight.values().any(|sent| late(sent) && self.last_sign < sent.sent_at)
+        let late = |sent: &InFlight| {
+            sent.begun_late.is_none() && now > sent.sent_at + late_after(sent.route)
+        };
+        self.in_flight
+            .values()
+            .any(|sent| late(sent) && self.last_sign < sent.sent_at)
     }
 
     /// An attempt began: those sent before it that have not begun were overtaken.
     pub fn begun(&mut self, call: CallId, attempt: u32, late: bool) {
-        let Some(sent) = self.in_flight.get_mut(&(call, attempt)) else { return };
+        let Some(sent) = self.in_flight.get_mut(&(call, attempt)) else {
+            return;
+        };
         sent.begun_late = Some(late);
         let (sent_at, route) = (sent.sent_at, sent.route);
         for other in self.in_flight.values_mut() {
--- a/crates/woadreach-admission/src/routes.rs
+++ b/crates/woadreach-admission/src/routes.rs
@@ -115,28 +115,38 @@
 
     /// Seconds from which an attempt of this route counts as late.
     pub fn late_after(&self, key: RouteKey) -> f64 {
-        self.routes.get(&key).map_or(f64::INFINITY, Route::late_after)
+        self.routes
+            .get(&key)
+            .map_or(f64::INFINITY, Route::late_after)
     }
 
     /// Seconds from which an attempt counts as lost, if its replica shows no sign of work or has begun later
     /// ones.
     pub fn lost_after(&self, key: RouteKey) -> f64 {
-        self.routes.get(&key).map_or(f64::INFINITY, |route| route.lost_after)
+        self.routes
+            .get(&key)
+            .map_or(f64::INFINITY, |route| route.lost_after)
     }
 
     /// The unloaded tail of a replica for one of `k` calls side by side.
     pub fn tail(&self, now: f64, key: RouteKey, replica: Option<ReplicaKey>, k: usize) -> f64 {
-        let Some(route) = self.routes.get(&key) else { return 0.0 };
+        let Some(route) = self.routes.get(&key) else {
+            return 0.0;
+        };
         self.budget.tail(now, &route.unloaded, replica.as_ref(), k)
     }
 
     /// What a call of this route takes on an idle replica, on average over the fleet.
     pub fn unloaded_median(&self, now: f64, key: RouteKey) -> f64 {
-        self.routes.get(&key).map_or(0.0, |route| route.unloaded.quantile(now, None, 0.5))
+        self.routes
+            .get(&key)
+            .map_or(0.0, |route| route.unloaded.quantile(now, None, 0.5))
     }
 
     /// Forgets what a replica that has left was like.
     pub fn forget(&mut self, replica: ReplicaKey) {
-        self.routes.values_mut().for_each(|route| route.unloaded.forget(&replica));
+        self.routes
+            .values_mut()
+            .for_each(|route| route.unloaded.forget(&replica));
     }
 }
--- a/crates/woadreach-admission/src/second_copies.rs
+++ b/crates/woadreach-admission/src/second_copies.rs
@@ -19,16 +19,26 @@
     /// a safe one gets a second copy, and a resumable stream is taken from a replica that has lost it.
     pub(crate) fn consider_late(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         self.observe_lost(now, id);
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let streaming = call.call.kind.is_streaming();
         let wanted = call.may_be_copied() && (!streaming || self.has_lost_it(now, id));
         if let Some(replica) = self.copy_target(now, id).filter(|_| wanted) {
-            let freed = if streaming { self.abort_lost(now, id, actions) } else { Vec::new() };
+            let freed = if streaming {
+                self.abort_lost(now, id, actions)
+            } else {
+                Vec::new()
+            };
             self.send(now, id, replica, actions);
-            freed.into_iter().for_each(|freed| self.release_held(now, freed, actions));
+            freed
+                .into_iter()
+                .for_each(|freed| self.release_held(now, freed, actions));
             return;
         }
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         let begun = call.attempts.iter().any(|attempt| attempt.begun);
         let again = now + (self.routes.late_after(call.route) / 2.0).max(LOOK_AGAIN);
         let again = Some(again).filter(|at| !begun && *at < call.call.give_up_at);
@@ -37,7 +47,9 @@
 
     /// Replicas that have lost an attempt of the call are ejected, as it won't be told otherwise for long.
     fn observe_lost(&mut self, now: f64, id: CallId) {
-        let Some(call) = self.calls.get(&id) else { return };
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
         let late = |sent: &InFlight| now > sent.sent_at + self.routes.lost_after(sent.route);
         let lost: Vec<(u32, ReplicaKey)> = (0..)
             .zip(&call.attempts)
@@ -76,15 +88,24 @@
 
     /// Whether every replica where the call is out has lost it.
     fn has_lost_it(&self, now: f64, id: CallId) -> bool {
-        let Some(call) = self.calls.get(&id) else { return false };
-        let mut out = (0..).zip(&call.attempts).filter(|(_, attempt)| attempt.state == AttemptState::Out);
+        let Some(call) = self.calls.get(&id) else {
+            return false;
+        };
+        let mut out = (0..)
+            .zip(&call.attempts)
+            .filter(|(_, attempt)| attempt.state == AttemptState::Out);
         out.all(|(number, attempt)| self.is_lost(now, id, number, attempt))
     }
 
     /// Whether the replica of a late attempt has left, shows no sign of work, or began others sent later.
     fn is_lost(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
-        let Some(replica) = self.fleet.get(attempt.replica) else { return true };
-        let overtaken = replica.in_flight.get(&(id, number)).is_none_or(|s| s.overtaken >= OVERTAKEN);
+        let Some(replica) = self.fleet.get(attempt.replica) else {
+            return true;
+        };
+        let overtaken = replica
+            .in_flight
+            .get(&(id, number))
+            .is_none_or(|s| s.overtaken >= OVERTAKEN);
         overtaken || replica.is_silent(now, |route| self.routes.late_after(route))
     }
 }
--- a/crates/woadreach-admission/src/service.rs
+++ b/crates/woadreach-admission/src/service.rs
@@ -41,7 +41,11 @@
 
     /// Takes in its configuration; `edges` processes share the connections.
     pub fn configure(&mut self, spec: &ServiceSpec, edges: usize) {
-        let most = if spec.max_conns == 0 { MOST_CONNECTIONS } else { spec.max_conns as usize };
+        let most = if spec.max_conns == 0 {
+            MOST_CONNECTIONS
+        } else {
+            spec.max_conns as usize
+        };
         self.connections = (most / edges.max(1)).max(1);
         self.spec = spec.clone();
     }
@@ -67,17 +71,25 @@
 
     /// Prompt tokens that a call has to have read, on average; 0 if the service is no engine.
     pub fn mean_read(&self) -> usize {
-        if self.spec.engine.is_some() { self.mean_read.max(LEAST_READ) as usize } else { 0 }
+        if self.spec.engine.is_some() {
+            self.mean_read.max(LEAST_READ) as usize
+        } else {
+            0
+        }
     }
 
     /// Tokens of a replica's memory that this process counts on, as the others fill theirs.
     pub fn cache_share(&self, edges: usize) -> u64 {
-        self.spec.engine.map_or(0, |engine| engine.kv_tokens / edges.max(1) as u64)
+        self.spec
+            .engine
+            .map_or(0, |engine| engine.kv_tokens / edges.max(1) as u64)
     }
 
     /// Whether a prompt and its answer are larger than a replica's memory, so that all will refuse it as
     /// full.
     pub fn is_too_large(&self, tokens: u64) -> bool {
-        self.spec.engine.is_some_and(|engine| engine.kv_tokens > 0 && tokens > engine.kv_tokens)
+        self.spec
+            .engine
+            .is_some_and(|engine| engine.kv_tokens > 0 && tokens > engine.kv_tokens)
     }
 }
--- a/crates/woadreach-admission/src/shedding.rs
+++ b/crates/woadreach-admission/src/shedding.rs
@@ -31,23 +31,41 @@
         let bearable = if self.programs.is_under_way(&call.call) {
             before_the_end
         } else {
-            let spare = self.programs.spare(now, &call.call).unwrap_or(call.call.target_latency);
+            let spare = self
+                .programs
+                .spare(now, &call.call)
+                .unwrap_or(call.call.target_latency);
             before_the_end.min(spare.max(0.0))
         };
-        let urgent =
-            self.services.get(&call.service).is_none_or(|s| s.is_most_urgent(now, call.call.priority));
-        let bearable = if urgent { bearable } else { bearable * LESS_URGENT_SHARE };
+        let urgent = self
+            .services
+            .get(&call.service)
+            .is_none_or(|s| s.is_most_urgent(now, call.call.priority));
+        let bearable = if urgent {
+            bearable
+        } else {
+            bearable * LESS_URGENT_SHARE
+        };
         (delay > bearable).then(|| self.retry_advice(now, id))
     }
 
     /// When a refused client should come back: when a place is likely to be free, within what it heeds.
     pub(crate) fn retry_advice(&self, now: f64, id: CallId) -> f64 {
-        let Some(call) = self.calls.get(&id) else { return ADVICE_WITHOUT_REPLICA };
+        let Some(call) = self.calls.get(&id) else {
+            return ADVICE_WITHOUT_REPLICA;
+        };
         let heeded = (call.call.give_up_at - now).max(0.0) * HEEDED_SHARE;
-        let typical = self.routes.get(call.route).map_or(0.0, |route| route.typical());
+        let typical = self
+            .routes
+            .get(call.route)
+            .map_or(0.0, |route| route.typical());
         let asked = (call.not_before - now).max(0.0);
         let reachable = self.fleet.usable(&call.service).next().is_some();
-        let free = if reachable { typical.max(asked) } else { ADVICE_WITHOUT_REPLICA };
+        let free = if reachable {
+            typical.max(asked)
+        } else {
+            ADVICE_WITHOUT_REPLICA
+        };
         free.min(heeded).max(LEAST_ADVICE)
     }
 }
--- a/crates/woadreach-admission/src/step.rs
+++ b/crates/woadreach-admission/src/step.rs
@@ -27,18 +27,28 @@
         let ids = self.programs.step_calls(&call.call);
         let size = ids.len();
         for id in ids {
-            let Some(other) = self.calls.get(&id) else { continue };
-            let at = if id == call.call.id { Some(replica) } else { replica_of(other) };
+            let Some(other) = self.calls.get(&id) else {
+                continue;
+            };
+            let at = if id == call.call.id {
+                Some(replica)
+            } else {
+                replica_of(other)
+            };
             replicas.entry(other.route).or_default().push(at);
         }
         let each = self.routes.budget.part_quantile(size);
-        let quantiles = replicas.iter().map(|(route, at)| self.quantile(*route, at, each));
+        let quantiles = replicas
+            .iter()
+            .map(|(route, at)| self.quantile(*route, at, each));
         let unloaded = quantiles.fold(0.0, f64::max);
         self.programs.step_started(&call.call) + self.programs.aim(&call.call, unloaded) - unloaded
     }
 
     fn quantile(&self, route: RouteKey, replicas: &[Option<ReplicaKey>], each: f64) -> f64 {
-        let Some(latencies) = self.routes.get(route).map(|route| &route.unloaded) else { return 0.0 };
+        let Some(latencies) = self.routes.get(route).map(|route| &route.unloaded) else {
+            return 0.0;
+        };
         let replicas: Vec<Option<&ReplicaKey>> = replicas.iter().map(Option::as_ref).collect();
         latencies.product_quantile(self.now, &replicas, each.powi(replicas.len() as i32))
     }
@@ -46,6 +56,10 @@
 
 /// Where a call is out or held.
 fn replica_of(call: &CallInHand) -> Option<ReplicaKey> {
-    let out = call.attempts.iter().rev().find(|attempt| attempt.state == AttemptState::Out);
+    let out = call
+        .attempts
+        .iter()
+        .rev()
+        .find(|attempt| attempt.state == AttemptState::Out);
     out.map(|attempt| attempt.replica).or(call.waits_at())
 }
--- a/crates/woadreach-admission/src/timers.rs
+++ b/crates/woadreach-admission/src/timers.rs
@@ -33,6 +33,10 @@
     /// The calls whose time has come, earliest first.
     pub fn due(&self, now: f64) -> Vec<CallId> {
         let now = (now * MICROSECONDS).round() as i64;
-        self.0.iter().take_while(|(at, _)| *at <= now).map(|(_, id)| *id).collect()
+        self.0
+            .iter()
+            .take_while(|(at, _)| *at <= now)
+            .map(|(_, id)| *id)
+            .collect()
     }
 }
--- a/crates/woadreach-admission/tests/common/mod.rs
+++ b/crates/woadreach-admission/tests/common/mod.rs
@@ -6,20 +6,32 @@
 use std::sync::Arc;
 
 use woadreach_admission::{
-    Action, Admission, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec, ServerLoad,
-    ServiceSpec,
+    Action, Admission, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec,
+    ServerLoad, ServiceSpec,
 };
 
 pub const SERVICE: &str = "service";
 pub const ZONE: &str = "zone-a";
 
 pub fn service() -> ServiceSpec {
-    ServiceSpec { name: Arc::from(SERVICE), capacity_hint: None, max_conns: 0, engine: None }
+    ServiceSpec {
+        name: Arc::from(SERVICE),
+        capacity_hint: None,
+        max_conns: 0,
+        engine: None,
+    }
 }
 
 pub fn engine_service() -> ServiceSpec {
-    let engine = EngineSpec { capacity: 32, kv_tokens: 200_000, stride: 3 };
-    ServiceSpec { engine: Some(engine), ..service() }
+    let engine = EngineSpec {
+        capacity: 32,
+        kv_tokens: 200_000,
+        stride: 3,
+    };
+    ServiceSpec {
+        engine: Some(engine),
+        ..service()
+    }
 }
 
 pub fn replica(id: &str) -> ReplicaSpec {
@@ -61,7 +73,10 @@
 }
 
 pub fn unsafe_call(now: f64, id: u64) -> Call {
-    Call { kind: CallKind::Unsafe, ..call(now, id) }
+    Call {
+        kind: CallKind::Unsafe,
+        ..call(now, id)
+    }
 }
 
 /// How a call ended.
@@ -84,7 +99,9 @@
 
 impl Seen {
     fn is_out(&self, attempt: usize) -> bool {
-        self.end.is_none() && self.attempts[attempt].1.is_none() && !self.aborted.contains(&(attempt as u32))
+        self.end.is_none()
+            && self.attempts[attempt].1.is_none()
+            && !self.aborted.contains(&(attempt as u32))
     }
 
     /// Proven by what the replicas said, independently of the module's own account.
@@ -98,7 +115,10 @@
     }
 
     fn may_run_again(&self) -> bool {
-        matches!(self.call.kind, CallKind::Safe | CallKind::Streaming { resumable: true })
+        matches!(
+            self.call.kind,
+            CallKind::Safe | CallKind::Streaming { resumable: true }
+        )
     }
 
     /// Replicas that bytes of the call reached.
@@ -114,7 +134,11 @@
                 )
             )
         };
-        self.attempts.iter().filter(|(_, outcome)| reached(outcome)).map(|(id, _)| id.clone()).collect()
+        self.attempts
+            .iter()
+            .filter(|(_, outcome)| reached(outcome))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 }
 
@@ -150,7 +174,10 @@
                 self.misdirected.remove(&spec.id);
             }
         }
-        self.listed = replicas.iter().map(|spec| (spec.id.clone(), spec.clone())).collect();
+        self.listed = replicas
+            .iter()
+            .map(|spec| (spec.id.clone(), spec.clone()))
+            .collect();
         let listed = &self.listed;
         self.misdirected.retain(|id| listed.contains_key(id));
         self.admission.replicas(self.now, replicas);
@@ -159,7 +186,12 @@
 
     pub fn arrive(&mut self, call: Call) -> Vec<Action> {
         let id = call.id;
-        let seen = Seen { call: call.clone(), attempts: Vec::new(), aborted: BTreeSet::new(), end: None };
+        let seen = Seen {
+            call: call.clone(),
+            attempts: Vec::new(),
+            aborted: BTreeSet::new(),
+            end: None,
+        };
         assert!(self.seen.insert(id, seen).is_none(), "{id:?} is used twice");
         let actions = self.admission.arrive(self.now, call);
         self.check_all(&actions);
@@ -179,7 +211,8 @@
     }
 
     pub fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
-        self.admission.first_event(self.now, CallId(id), attempt, load);
+        self.admission
+            .first_event(self.now, CallId(id), attempt, load);
         self.check_progress();
     }
 
@@ -198,13 +231,16 @@
         if seen.is_out(attempt as usize) {
             seen.attempts[attempt as usize].1 = Some(outcome);
             if outcome == Outcome::Misdirected {
-                self.misdirected.insert(seen.attempts[attempt as usize].0.clone());
+                self.misdirected
+                    .insert(seen.attempts[attempt as usize].0.clone());
             }
             if outcome == Outcome::Answered {
                 seen.end = Some(End::Answered);
             }
         }
-        let actions = self.admission.outcome(self.now, CallId(id), attempt, outcome, load);
+        let actions = self
+            .admission
+            .outcome(self.now, CallId(id), attempt, outcome, load);
         self.check_all(&actions);
         actions
     }
@@ -221,8 +257,12 @@
     /// Attempts that are out, as (call, attempt).
     pub fn out(&self) -> Vec<(u64, u32)> {
         let each = |(id, seen): (&CallId, &Seen)| {
-            let out: Vec<_> = (0..seen.attempts.len()).filter(|n| seen.is_out(*n)).collect();
-            out.into_iter().map(move |n| (id.0, n as u32)).collect::<Vec<_>>()
+            let out: Vec<_> = (0..seen.attempts.len())
+                .filter(|n| seen.is_out(*n))
+                .collect();
+            out.into_iter()
+                .map(move |n| (id.0, n as u32))
+                .collect::<Vec<_>>()
         };
         self.seen.iter().flat_map(each).collect()
     }
@@ -233,14 +273,22 @@
 
     /// The replicas that a call was sent to, in order.
     pub fn sent_to(&self, id: u64) -> Vec<String> {
-        self.seen[&CallId(id)].attempts.iter().map(|(replica, _)| replica.to_string()).collect()
+        self.seen[&CallId(id)]
+            .attempts
+            .iter()
+            .map(|(replica, _)| replica.to_string())
+            .collect()
     }
 
     /// Runs every wake that is due now.
     pub fn run_due(&mut self) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..1_000 {
-            if self.admission.next_wake(self.now).is_none_or(|at| at > self.now) {
+            if self
+                .admission
+                .next_wake(self.now)
+                .is_none_or(|at| at > self.now)
+            {
                 self.check_progress();
                 return all;
             }
@@ -268,24 +316,39 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { call, attempt, replica, timeout, .. } => {
+            Action::Send {
+                call,
+                attempt,
+                replica,
+                timeout,
+                ..
+            } => {
                 self.check_send(*call, *attempt, replica, *timeout);
             }
             Action::Refuse { call, retry_after } => {
                 let seen = self.in_hand(*call);
-                assert!(seen.has_not_run(), "{call:?} is refused though it may have run");
+                assert!(
+                    seen.has_not_run(),
+                    "{call:?} is refused though it may have run"
+                );
                 assert!(*retry_after > 0.0 && retry_after.is_finite());
                 seen.end = Some(End::Refused);
             }
             Action::Fail { call, reason } => {
                 let seen = self.in_hand(*call);
-                assert!(!seen.has_not_run(), "{call:?} fails though it is proven not to have run");
+                assert!(
+                    !seen.has_not_run(),
+                    "{call:?} fails though it is proven not to have run"
+                );
                 seen.end = Some(End::Failed(*reason));
             }
             Action::Abort { call, attempt } => {
                 let seen = self.seen.get_mut(call).expect("a call that arrived");
                 let is_new = seen.aborted.insert(*attempt);
-                assert!(is_new && seen.attempts[*attempt as usize].1.is_none(), "{call:?} is aborted twice");
+                assert!(
+                    is_new && seen.attempts[*attempt as usize].1.is_none(),
+                    "{call:?} is aborted twice"
+                );
             }
         }
     }
@@ -300,14 +363,26 @@
         let now = self.now;
         let spec = self.listed.get(replica).expect("a replica that is listed");
         assert!(spec.ready, "{id:?} is sent to {replica}, which drains");
-        assert!(!self.misdirected.contains(replica), "{replica} is not at its address");
+        assert!(
+            !self.misdirected.contains(replica),
+            "{replica} is not at its address"
+        );
         let seen = self.in_hand(id);
         assert_eq!(attempt as usize, seen.attempts.len());
-        assert!(seen.may_run_again() || seen.has_not_run(), "{id:?} may run twice");
+        assert!(
+            seen.may_run_again() || seen.has_not_run(),
+            "{id:?} may run twice"
+        );
         assert!(timeout > 0.0 && now + timeout <= seen.call.give_up_at + 1e-9);
         let out = (0..seen.attempts.len()).filter(|n| seen.is_out(*n)).count();
-        assert!(out == 0 || (seen.call.kind == CallKind::Safe && out == 1), "{id:?} has {out} out");
+        assert!(
+            out == 0 || (seen.call.kind == CallKind::Safe && out == 1),
+            "{id:?} has {out} out"
+        );
         seen.attempts.push((replica.clone(), None));
-        assert!(seen.reached().len() <= seen.call.max_replicas.max(1) as usize, "{id:?} goes too far");
+        assert!(
+            seen.reached().len() <= seen.call.max_replicas.max(1) as usize,
+            "{id:?} goes too far"
+        );
     }
 }
--- a/crates/woadreach-admission/tests/failures.rs
+++ b/crates/woadreach-admission/tests/failures.rs
@@ -13,7 +13,11 @@
         driver.arrive(call(driver.now, id));
         let at_bad = driver.sent_to(id) == ["bad"];
         first_at_bad += usize::from(at_bad);
-        let outcome = if at_bad && fails { Outcome::ReplicaError } else { Outcome::Answered };
+        let outcome = if at_bad && fails {
+            Outcome::ReplicaError
+        } else {
+            Outcome::Answered
+        };
         driver.outcome(id, 0, outcome);
         if driver.end(id).is_none() {
             driver.outcome(id, 1, Outcome::Answered);
@@ -27,9 +31,15 @@
 fn a_failing_replica_is_left_out_and_comes_back_by_trials() {
     let mut driver = Driver::new(1, service(), &replicas(&["good", "bad"]));
     let while_bad = ask_with_bad(&mut driver, 1..401, true);
-    assert!((4..=16).contains(&while_bad), "trials every few seconds in 20 s: {while_bad}");
+    assert!(
+        (4..=16).contains(&while_bad),
+        "trials every few seconds in 20 s: {while_bad}"
+    );
     let while_good = ask_with_bad(&mut driver, 401..801, false);
-    assert!(while_good > 100, "back after the first good trials: {while_good}");
+    assert!(
+        while_good > 100,
+        "back after the first good trials: {while_good}"
+    );
 }
 
 #[test]
@@ -74,7 +84,11 @@
         }
         driver.advance(1.1);
         driver.arrive(unsafe_call(driver.now, 21));
-        assert_eq!(driver.sent_to(21)[0], down, "a trial, which costs a call nothing if it fails again");
+        assert_eq!(
+            driver.sent_to(21)[0],
+            down,
+            "a trial, which costs a call nothing if it fails again"
+        );
     }
 }
 
@@ -88,7 +102,14 @@
         }
         driver.arrive(unsafe_call(driver.now, 21));
         let broken = driver.sent_to(21)[0].clone();
-        driver.outcome(21, 0, Outcome::Broken { sent: true, events: 0 });
+        driver.outcome(
+            21,
+            0,
+            Outcome::Broken {
+                sent: true,
+                events: 0,
+            },
+        );
         for id in 22..=60 {
             driver.advance(0.1);
             driver.arrive(unsafe_call(driver.now, id));
@@ -121,7 +142,10 @@
             driver.outcome(id, 0, Outcome::Answered);
         }
     }
-    assert!((2..=14).contains(&later_there), "none after some 0.5 s: {later_there} of 60");
+    assert!(
+        (2..=14).contains(&later_there),
+        "none after some 0.5 s: {later_there} of 60"
+    );
     assert_eq!(driver.end(100), None, "the call itself waits");
 }
 
@@ -149,7 +173,8 @@
         for id in &ids {
             driver.arrive(unsafe_call(driver.now, *id));
         }
-        let (of_c, others): (Vec<u64>, Vec<u64>) = ids.iter().partition(|id| driver.sent_to(**id) == ["c"]);
+        let (of_c, others): (Vec<u64>, Vec<u64>) =
+            ids.iter().partition(|id| driver.sent_to(**id) == ["c"]);
         for (ids, latency) in [(&of_c, 0.1), (&others, slow)] {
             driver.advance(latency);
             for id in ids {
@@ -161,13 +186,18 @@
     for n in 0..20 {
         round(&mut driver, 1 + 6 * n, 0.0);
     }
-    let at_c: Vec<usize> = (20..40).map(|n| round(&mut driver, 1 + 6 * n, 1.0)).collect();
+    let at_c: Vec<usize> = (20..40)
+        .map(|n| round(&mut driver, 1 + 6 * n, 1.0))
+        .collect();
     assert_eq!(at_c, [2; 20]);
 }
 
 #[test]
 fn a_resumable_stream_that_later_ones_overtook_is_sent_elsewhere() {
-    let stream = |now, id| Call { kind: CallKind::Streaming { resumable: true }, ..call(now, id) };
+    let stream = |now, id| Call {
+        kind: CallKind::Streaming { resumable: true },
+        ..call(now, id)
+    };
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     driver.arrive(stream(driver.now, 1));
     driver.list(&replicas(&["a", "b"]));
@@ -191,7 +221,10 @@
 
 #[test]
 fn a_stream_that_its_replica_may_still_begin_stays() {
-    let stream = |now, id| Call { kind: CallKind::Streaming { resumable: true }, ..call(now, id) };
+    let stream = |now, id| Call {
+        kind: CallKind::Streaming { resumable: true },
+        ..call(now, id)
+    };
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     driver.arrive(stream(driver.now, 1));
     driver.advance(0.01);
@@ -213,7 +246,8 @@
         for id in &ids {
             driver.arrive(unsafe_call(driver.now, *id));
         }
-        let (slow, sound): (Vec<u64>, Vec<u64>) = ids.iter().partition(|id| driver.sent_to(**id) == ["slow"]);
+        let (slow, sound): (Vec<u64>, Vec<u64>) =
+            ids.iter().partition(|id| driver.sent_to(**id) == ["slow"]);
         at_slow.push(slow.len());
         for (ids, latency) in [(sound, 0.1), (slow, if round < 20 { 0.0 } else { 0.7 })] {
             driver.advance(latency);
--- a/crates/woadreach-admission/tests/holding.rs
+++ b/crates/woadreach-admission/tests/holding.rs
@@ -19,12 +19,19 @@
 fn held_replica() -> Driver {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=5 {
-        driver.arrive(Call { max_replicas: 1, ..unsafe_call(driver.now, id) });
+        driver.arrive(Call {
+            max_replicas: 1,
+            ..unsafe_call(driver.now, id)
+        });
     }
     driver.outcome(5, 0, FULL);
     driver.cancel(5);
     driver.arrive(unsafe_call(driver.now, 6));
-    assert_eq!(driver.sent_to(6), ["a"], "four are out, as many as at the full answer");
+    assert_eq!(
+        driver.sent_to(6),
+        ["a"],
+        "four are out, as many as at the full answer"
+    );
     driver
 }
 
@@ -60,7 +67,10 @@
     let mut driver = held_replica();
     let targets = [(7, 0.9), (8, 0.3), (9, 0.6)];
     for (id, target_latency) in targets {
-        driver.arrive(Call { target_latency, ..unsafe_call(driver.now, id) });
+        driver.arrive(Call {
+            target_latency,
+            ..unsafe_call(driver.now, id)
+        });
     }
     let mut order = Vec::new();
     for id in [1, 2, 3] {
@@ -90,7 +100,10 @@
     driver.outcome(2, 0, Outcome::Answered);
     driver.outcome(3, 0, Outcome::Answered);
     for id in 10..=14 {
-        driver.arrive(Call { max_replicas: 1, ..unsafe_call(driver.now, id) });
+        driver.arrive(Call {
+            max_replicas: 1,
+            ..unsafe_call(driver.now, id)
+        });
     }
     driver.outcome(14, 0, FULL);
     driver.cancel(14);
@@ -102,7 +115,11 @@
     for id in [10, 11, 12] {
         order.extend(sent(&driver.outcome(id, 0, Outcome::Answered)));
     }
-    assert_eq!(order, [23, 22, 21], "the late one, the one that lost time, the one that didn't");
+    assert_eq!(
+        order,
+        [23, 22, 21],
+        "the late one, the one that lost time, the one that didn't"
+    );
 }
 
 #[test]
@@ -110,14 +127,21 @@
     let mut driver = held_replica();
     driver.arrive(unsafe_call(driver.now, 7));
     assert!(driver.advance(0.0624).is_empty());
-    assert_eq!(sent(&driver.advance(0.0002)), [7], "then it is offered all the same");
+    assert_eq!(
+        sent(&driver.advance(0.0002)),
+        [7],
+        "then it is offered all the same"
+    );
 }
 
 #[test]
 fn held_calls_of_a_replica_that_drains_go_elsewhere() {
     let mut driver = held_replica();
     driver.arrive(unsafe_call(driver.now, 7));
-    let drains = woadreach_admission::ReplicaSpec { ready: false, ..common::replica("a") };
+    let drains = woadreach_admission::ReplicaSpec {
+        ready: false,
+        ..common::replica("a")
+    };
     driver.list(&[drains, common::replica("b")]);
     assert_eq!(driver.sent_to(7), ["b"]);
 }
@@ -153,16 +177,31 @@
         driver.outcome(id, 0, Outcome::Answered);
     }
     let give_up_at = driver.now + 0.15;
-    let refused = driver.arrive(Call { give_up_at, ..unsafe_call(driver.now, 21) });
-    assert!(matches!(refused[..], [Action::Refuse { .. }]), "{refused:?}");
+    let refused = driver.arrive(Call {
+        give_up_at,
+        ..unsafe_call(driver.now, 21)
+    });
+    assert!(
+        matches!(refused[..], [Action::Refuse { .. }]),
+        "{refused:?}"
+    );
     let give_up_at = driver.now + 0.25;
-    assert_eq!(sent(&driver.arrive(Call { give_up_at, ..unsafe_call(driver.now, 22) })), [22]);
+    assert_eq!(
+        sent(&driver.arrive(Call {
+            give_up_at,
+            ..unsafe_call(driver.now, 22)
+        })),
+        [22]
+    );
 }
 
 /// A stream holds its place from its first event to its last: only its end frees one.
 #[test]
 fn for_streams_the_end_and_not_the_first_event_ends_a_hold() {
-    let stream = |now, id| Call { kind: CallKind::Streaming { resumable: false }, ..call(now, id) };
+    let stream = |now, id| Call {
+        kind: CallKind::Streaming { resumable: false },
+        ..call(now, id)
+    };
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=3 {
         driver.arrive(stream(driver.now, id));
@@ -173,7 +212,10 @@
     for id in [1, 2, 4] {
         driver.first_event(id, 0, None);
     }
-    assert!(driver.arrive(stream(driver.now, 5)).is_empty(), "all places are still taken");
+    assert!(
+        driver.arrive(stream(driver.now, 5)).is_empty(),
+        "all places are still taken"
+    );
     assert_eq!(sent(&driver.outcome(1, 0, Outcome::Answered)), [5]);
 }
 
@@ -184,8 +226,15 @@
     for id in 1..=2 {
         driver.arrive(unsafe_call(driver.now, id));
     }
-    let prefix = vec![PrefixPart { id: 1, tokens: 300_000 }];
-    driver.arrive(Call { tokens_in: 300_000, prefix, ..unsafe_call(driver.now, 3) });
+    let prefix = vec![PrefixPart {
+        id: 1,
+        tokens: 300_000,
+    }];
+    driver.arrive(Call {
+        tokens_in: 300_000,
+        prefix,
+        ..unsafe_call(driver.now, 3)
+    });
     driver.outcome(3, 0, FULL);
     driver.cancel(3);
     for id in 4..=8 {
--- a/crates/woadreach-admission/tests/home.rs
+++ b/crates/woadreach-admission/tests/home.rs
@@ -10,16 +10,35 @@
 
 /// A turn of a program whose prompt is known to no process yet.
 fn turn(now: f64, id: u64, program: u64) -> Call {
-    let prefix = vec![PrefixPart { id: 1, tokens: 2_560 }, PrefixPart { id: 1_000 + program, tokens: 1_440 }];
-    Call { program: Some(program), prefix, tokens_in: 4_000, ..unsafe_call(now, id) }
+    let prefix = vec![
+        PrefixPart {
+            id: 1,
+            tokens: 2_560,
+        },
+        PrefixPart {
+            id: 1_000 + program,
+            tokens: 1_440,
+        },
+    ];
+    Call {
+        program: Some(program),
+        prefix,
+        tokens_in: 4_000,
+        ..unsafe_call(now, id)
+    }
 }
 
 fn about(now: f64, id: u64, object: u64) -> Call {
-    Call { affinity: Some(object), ..unsafe_call(now, id) }
+    Call {
+        affinity: Some(object),
+        ..unsafe_call(now, id)
+    }
 }
 
 fn fleet(size: usize) -> Vec<ReplicaSpec> {
-    (0..size).map(|number| replica(&format!("replica-{number}"))).collect()
+    (0..size)
+        .map(|number| replica(&format!("replica-{number}")))
+        .collect()
 }
 
 /// Where a process that has seen nothing before sends a program's turn.
@@ -34,7 +53,8 @@
     for size in [2, 7, 56, 300] {
         let list = fleet(size);
         for program in 0..20 {
-            let homes: BTreeSet<String> = (0..4).map(|seed| home_of(seed, &list, program)).collect();
+            let homes: BTreeSet<String> =
+                (0..4).map(|seed| home_of(seed, &list, program)).collect();
             assert_eq!(homes.len(), 1, "{size} replicas, program {program}");
         }
     }
@@ -48,7 +68,10 @@
         *programs.entry(home_of(1, &list, program)).or_default() += 1;
     }
     assert_eq!(programs.len(), 10);
-    assert!(programs.values().all(|count| (25..=80).contains(count)), "{programs:?}");
+    assert!(
+        programs.values().all(|count| (25..=80).contains(count)),
+        "{programs:?}"
+    );
 }
 
 #[test]
@@ -67,9 +90,16 @@
 fn a_draining_or_unreachable_home_is_replaced_by_the_next_in_rank() {
     let list = fleet(8);
     let first = home_of(1, &list, 5);
-    let others: Vec<ReplicaSpec> = list.iter().filter(|spec| *spec.id != *first).cloned().collect();
+    let others: Vec<ReplicaSpec> = list
+        .iter()
+        .filter(|spec| *spec.id != *first)
+        .cloned()
+        .collect();
     let second = home_of(1, &others, 5);
-    let drain = |spec: &ReplicaSpec| ReplicaSpec { ready: *spec.id != *first, ..spec.clone() };
+    let drain = |spec: &ReplicaSpec| ReplicaSpec {
+        ready: *spec.id != *first,
+        ..spec.clone()
+    };
     let draining: Vec<ReplicaSpec> = list.iter().map(drain).collect();
     assert_eq!(home_of(2, &draining, 5), second);
 
@@ -91,9 +121,15 @@
         driver.arrive(call);
     }
     let home = driver.sent_to(1)[0].clone();
-    assert!((1..=3).all(|id| driver.sent_to(id)[0] == home), "a few more calls are cheaper than reading");
+    assert!(
+        (1..=3).all(|id| driver.sent_to(id)[0] == home),
+        "a few more calls are cheaper than reading"
+    );
     let at_home = (1..=30).filter(|id| driver.sent_to(*id)[0] == home).count();
-    assert!(at_home <= 10, "{at_home} of 30 calls at the home of six replicas");
+    assert!(
+        at_home <= 10,
+        "{at_home} of 30 calls at the home of six replicas"
+    );
 }
 
 #[test]
@@ -103,7 +139,11 @@
     driver.arrive(about(driver.now, 1, 77));
     let home = driver.sent_to(1)[0].clone();
     driver.arrive(about(driver.now, 2, 77));
-    assert_ne!(driver.sent_to(2)[0], home, "it has one call more than the others");
+    assert_ne!(
+        driver.sent_to(2)[0],
+        home,
+        "it has one call more than the others"
+    );
     driver.outcome(1, 0, Outcome::Answered);
     driver.outcome(2, 0, Outcome::Answered);
     for seed in 2..10 {
@@ -115,7 +155,10 @@
 
 #[test]
 fn an_object_has_a_home_in_another_zone_too() {
-    let far = |id: &str| ReplicaSpec { zone: Arc::from("zone-b"), ..replica(id) };
+    let far = |id: &str| ReplicaSpec {
+        zone: Arc::from("zone-b"),
+        ..replica(id)
+    };
     let list = [replica("near"), far("far-1"), far("far-2"), far("far-3")];
     let homes: BTreeSet<String> = (0..40)
         .map(|object| {
@@ -131,7 +174,10 @@
 fn zones(counts: &[(&str, usize)]) -> Vec<ReplicaSpec> {
     let of_zone = |(zone, count): &(&str, usize)| {
         let zone: Arc<str> = Arc::from(*zone);
-        let named = move |number| ReplicaSpec { zone: zone.clone(), ..replica(&format!("{zone}-{number}")) };
+        let named = move |number| ReplicaSpec {
+            zone: zone.clone(),
+            ..replica(&format!("{zone}-{number}"))
+        };
         (0..*count).map(named).collect::<Vec<_>>()
     };
     counts.iter().flat_map(of_zone).collect()
@@ -141,7 +187,10 @@
 fn programs_have_their_home_in_the_own_zone() {
     let list = zones(&[(common::ZONE, 3), ("zone-b", 4), ("zone-c", 3)]);
     for program in 0..50 {
-        assert!(home_of(1, &list, program).starts_with(common::ZONE), "program {program}");
+        assert!(
+            home_of(1, &list, program).starts_with(common::ZONE),
+            "program {program}"
+        );
     }
 }
 
@@ -155,7 +204,9 @@
     ];
     for (counts, all_stay) in cases {
         let list = zones(counts);
-        let near = (0..60).filter(|program| home_of(1, &list, *program).starts_with(common::ZONE)).count();
+        let near = (0..60)
+            .filter(|program| home_of(1, &list, *program).starts_with(common::ZONE))
+            .count();
         assert_eq!(near == 60, all_stay, "{counts:?}: {near} of 60 stay");
         assert!(all_stay || near < 30, "{counts:?}: {near} of 60 stay");
     }
--- a/crates/woadreach-admission/tests/overload.rs
+++ b/crates/woadreach-admission/tests/overload.rs
@@ -5,12 +5,24 @@
 use common::{Driver, End, call, replicas, service, unsafe_call};
 use woadreach_admission::{Action, Call, Outcome, ServerLoad};
 
-const FULL: ServerLoad = ServerLoad { running: 6, waiting: 20, slots: 6 };
-const HALF: ServerLoad = ServerLoad { running: 3, waiting: 0, slots: 6 };
+const FULL: ServerLoad = ServerLoad {
+    running: 6,
+    waiting: 20,
+    slots: 6,
+};
+const HALF: ServerLoad = ServerLoad {
+    running: 3,
+    waiting: 0,
+    slots: 6,
+};
 
 /// A program's call, with `time` seconds until the program should be over.
 fn program_call(now: f64, id: u64, program: u64, time: f64) -> Call {
-    Call { program: Some(program), finish_at: Some(now + time), ..unsafe_call(now, id) }
+    Call {
+        program: Some(program),
+        finish_at: Some(now + time),
+        ..unsafe_call(now, id)
+    }
 }
 
 /// Two replicas whose unloaded answers take 0.1 s, and whose answers of late took 1 s; they say `load`.
@@ -19,7 +31,10 @@
     let answer = |driver: &mut Driver, ids: std::ops::Range<u64>, latency: f64| {
         for id in ids {
             for id in [2 * id, 2 * id + 1] {
-                driver.arrive(Call { target_latency: 10.0, ..unsafe_call(driver.now, id) });
+                driver.arrive(Call {
+                    target_latency: 10.0,
+                    ..unsafe_call(driver.now, id)
+                });
             }
             driver.advance(latency);
             driver.outcome_with_load(2 * id, 0, Outcome::Answered, Some(load));
@@ -29,7 +44,10 @@
     answer(&mut driver, 1..40, 0.1);
     // One call stays out at each replica, so that no slow answer is an unloaded sample.
     for id in [1_000, 1_001] {
-        driver.arrive(Call { give_up_at: driver.now + 1e3, ..unsafe_call(driver.now, id) });
+        driver.arrive(Call {
+            give_up_at: driver.now + 1e3,
+            ..unsafe_call(driver.now, id)
+        });
     }
     answer(&mut driver, 100..140, 1.0);
     driver
@@ -44,9 +62,17 @@
     let mut driver = loaded(FULL);
     let refused = driver.arrive(program_call(driver.now, 5_000, 1, 0.5));
     assert!(is_refused(&refused), "{refused:?}");
-    let Action::Refuse { retry_after, .. } = refused[0] else { unreachable!() };
-    assert!((0.5..=5.0 / 3.0).contains(&retry_after), "when a place may be free: {retry_after}");
-    assert!(!is_refused(&driver.arrive(program_call(driver.now, 5_001, 2, 20.0))), "this one can wait");
+    let Action::Refuse { retry_after, .. } = refused[0] else {
+        unreachable!()
+    };
+    assert!(
+        (0.5..=5.0 / 3.0).contains(&retry_after),
+        "when a place may be free: {retry_after}"
+    );
+    assert!(
+        !is_refused(&driver.arrive(program_call(driver.now, 5_001, 2, 20.0))),
+        "this one can wait"
+    );
 }
 
 #[test]
@@ -56,16 +82,24 @@
     before.finish_at = Some(driver.now + 50.0);
     driver.arrive(before);
     driver.outcome_with_load(5_000, 0, Outcome::Answered, Some(FULL));
-    assert!(!is_refused(&driver.arrive(program_call(driver.now, 5_001, 1, 0.5))));
+    assert!(!is_refused(
+        &driver.arrive(program_call(driver.now, 5_001, 1, 0.5))
+    ));
 }
 
 #[test]
 fn less_urgent_calls_are_refused_before_urgent_ones() {
     let mut driver = loaded(FULL);
     let spare = 2.6; // half of the time is work: 1.3 s is spare, half of it under the delay
-    driver.arrive(Call { priority: 0, ..program_call(driver.now, 5_000, 1, spare) });
+    driver.arrive(Call {
+        priority: 0,
+        ..program_call(driver.now, 5_000, 1, spare)
+    });
     assert_eq!(driver.end(5_000), None);
-    let refused = driver.arrive(Call { priority: 1, ..program_call(driver.now, 5_001, 2, spare) });
+    let refused = driver.arrive(Call {
+        priority: 1,
+        ..program_call(driver.now, 5_001, 2, spare)
+    });
     assert!(is_refused(&refused), "{refused:?}");
 }
 
@@ -82,13 +116,18 @@
 fn a_word_of_long_ago_refuses_nothing() {
     let mut driver = loaded(FULL);
     driver.advance(1.5);
-    assert!(!is_refused(&driver.arrive(program_call(driver.now, 5_000, 1, 0.5))));
+    assert!(!is_refused(
+        &driver.arrive(program_call(driver.now, 5_000, 1, 0.5))
+    ));
 }
 
 #[test]
 fn safe_calls_get_no_copies_while_all_replicas_are_full() {
     let mut driver = loaded(FULL);
-    let patient = |call: Call| Call { target_latency: 10.0, ..call };
+    let patient = |call: Call| Call {
+        target_latency: 10.0,
+        ..call
+    };
     driver.arrive(patient(call(driver.now, 5_000)));
     for id in (6_000..6_200).step_by(2) {
         for id in [id, id + 1] {
--- a/crates/woadreach-admission/tests/placement.rs
+++ b/crates/woadreach-admission/tests/placement.rs
@@ -5,16 +5,34 @@
 use std::sync::Arc;
 
 use common::{Driver, call, engine_service, replica, replicas, service, unsafe_call};
-use woadreach_admission::{Action, Call, Outcome, PrefixPart, ReplicaSpec, ServerLoad, ServiceSpec};
+use woadreach_admission::{
+    Action, Call, Outcome, PrefixPart, ReplicaSpec, ServerLoad, ServiceSpec,
+};
 
 fn in_zone(id: &str, zone: &str) -> ReplicaSpec {
-    ReplicaSpec { zone: Arc::from(zone), ..replica(id) }
+    ReplicaSpec {
+        zone: Arc::from(zone),
+        ..replica(id)
+    }
 }
 
 /// A turn whose prompt begins with a shared part and goes on with one of its session.
 fn turn(now: f64, id: u64, session: u64, tokens: u32) -> Call {
-    let prefix = vec![PrefixPart { id: 1, tokens: 2_560 }, PrefixPart { id: 100 + session, tokens }];
-    Call { prefix, tokens_in: 2_560 + tokens, ..unsafe_call(now, id) }
+    let prefix = vec![
+        PrefixPart {
+            id: 1,
+            tokens: 2_560,
+        },
+        PrefixPart {
+            id: 100 + session,
+            tokens,
+        },
+    ];
+    Call {
+        prefix,
+        tokens_in: 2_560 + tokens,
+        ..unsafe_call(now, id)
+    }
 }
 
 fn sent_to(actions: &[Action]) -> Vec<String> {
@@ -39,7 +57,8 @@
 
 #[test]
 fn ties_are_broken_at_random() {
-    let first = |seed| Driver::new(seed, service(), &replicas(&["a", "b", "c"])).arrive(call(100.0, 1));
+    let first =
+        |seed| Driver::new(seed, service(), &replicas(&["a", "b", "c"])).arrive(call(100.0, 1));
     let mut seen: Vec<_> = (0..50).flat_map(|seed| sent_to(&first(seed))).collect();
     seen.sort();
     seen.dedup();
@@ -48,18 +67,35 @@
 
 #[test]
 fn among_equals_the_own_zone_wins() {
-    let list = [in_zone("far", "zone-b"), in_zone("near", common::ZONE), in_zone("farther", "zone-c")];
+    let list = [
+        in_zone("far", "zone-b"),
+        in_zone("near", common::ZONE),
+        in_zone("farther", "zone-c"),
+    ];
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &list);
-        assert_eq!(sent_to(&driver.arrive(unsafe_call(driver.now, 1))), ["near"]);
-        assert_ne!(sent_to(&driver.arrive(unsafe_call(driver.now, 2))), ["near"], "it has one call more");
+        assert_eq!(
+            sent_to(&driver.arrive(unsafe_call(driver.now, 1))),
+            ["near"]
+        );
+        assert_ne!(
+            sent_to(&driver.arrive(unsafe_call(driver.now, 2))),
+            ["near"],
+            "it has one call more"
+        );
     }
 }
 
 #[test]
 fn draining_replicas_get_nothing() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.list(&[ReplicaSpec { ready: false, ..replica("a") }, replica("b")]);
+    driver.list(&[
+        ReplicaSpec {
+            ready: false,
+            ..replica("a")
+        },
+        replica("b"),
+    ]);
     for id in 1..=5 {
         assert_eq!(sent_to(&driver.arrive(unsafe_call(driver.now, id))), ["b"]);
     }
@@ -73,7 +109,10 @@
     assert!(matches!(refused[..], [Action::Refuse { .. }]));
     driver.arrive(unsafe_call(driver.now, 2));
     assert!(driver.sent_to(2).is_empty());
-    driver.list(&[ReplicaSpec { generation: Arc::from("v2"), ..replica("a") }]);
+    driver.list(&[ReplicaSpec {
+        generation: Arc::from("v2"),
+        ..replica("a")
+    }]);
     driver.run_due();
     assert_eq!(driver.sent_to(2), ["a"]);
 }
@@ -94,7 +133,11 @@
 #[test]
 fn a_session_stays_without_parts_of_its_prompt_being_told() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
-    let turn = |now, id, tokens_in| Call { session: Some(9), tokens_in, ..unsafe_call(now, id) };
+    let turn = |now, id, tokens_in| Call {
+        session: Some(9),
+        tokens_in,
+        ..unsafe_call(now, id)
+    };
     for id in 1..=8 {
         driver.arrive(turn(driver.now, id, 2_000 + 500 * id as u32));
         driver.outcome(id, 0, Outcome::Answered);
@@ -121,11 +164,18 @@
     let kept = driver.sent_to(1)[0].clone();
     driver.outcome(1, 0, Outcome::Answered);
     driver.arrive(turn(driver.now, 2, 6, 1_000));
-    let changed = ReplicaSpec { generation: Arc::from("v2"), ..replica(&kept) };
+    let changed = ReplicaSpec {
+        generation: Arc::from("v2"),
+        ..replica(&kept)
+    };
     let other = if kept == "a" { "b" } else { "a" };
     driver.list(&[changed, replica(other)]);
     driver.arrive(turn(driver.now, 3, 5, 4_000));
-    assert_eq!(driver.sent_to(3), [other], "where the other call is not in flight");
+    assert_eq!(
+        driver.sent_to(3),
+        [other],
+        "where the other call is not in flight"
+    );
 }
 
 #[test]
@@ -133,7 +183,11 @@
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.arrive(unsafe_call(driver.now, 1));
     let full = driver.sent_to(1)[0].clone();
-    let load = ServerLoad { running: 6, waiting: 4, slots: 6 };
+    let load = ServerLoad {
+        running: 6,
+        waiting: 4,
+        slots: 6,
+    };
     driver.outcome_with_load(1, 0, Outcome::Answered, Some(load));
     for id in 2..=4 {
         driver.arrive(unsafe_call(driver.now, id));
@@ -141,25 +195,38 @@
     }
     driver.advance(1.5);
     driver.arrive(unsafe_call(driver.now, 5));
-    assert_eq!(driver.sent_to(5)[0], full, "it has the fewest own calls again");
+    assert_eq!(
+        driver.sent_to(5)[0],
+        full,
+        "it has the fewest own calls again"
+    );
 }
 
 #[test]
 fn own_calls_at_a_replica_stay_within_the_share_of_its_connections() {
-    let limited = ServiceSpec { max_conns: 6, ..service() };
+    let limited = ServiceSpec {
+        max_conns: 6,
+        ..service()
+    };
     let mut driver = Driver::new(1, limited.clone(), &replicas(&["a", "b"]));
     driver.admission.configure(driver.now, &[limited], 3);
     for id in 1..=4 {
         assert_eq!(driver.arrive(unsafe_call(driver.now, id)).len(), 1);
     }
-    assert!(driver.arrive(unsafe_call(driver.now, 5)).is_empty(), "2 calls at each of 2 replicas");
+    assert!(
+        driver.arrive(unsafe_call(driver.now, 5)).is_empty(),
+        "2 calls at each of 2 replicas"
+    );
     let freed = driver.sent_to(1)[0].clone();
     assert_eq!(sent_to(&driver.outcome(1, 0, Outcome::Answered)), [freed]);
 }
 
 #[test]
 fn a_cold_replica_gets_calls_as_it_answers() {
-    let cold = ReplicaSpec { cold_remaining: 10.0, ..replica("cold") };
+    let cold = ReplicaSpec {
+        cold_remaining: 10.0,
+        ..replica("cold")
+    };
     let mut driver = Driver::new(1, service(), &[replica("warm"), cold]);
     for id in 1..=8 {
         driver.arrive(unsafe_call(driver.now, id));
--- a/crates/woadreach-admission/tests/repeats.rs
+++ b/crates/woadreach-admission/tests/repeats.rs
@@ -11,9 +11,18 @@
 const RESUMABLE: CallKind = CallKind::Streaming { resumable: true };
 
 const FULL: Outcome = Outcome::NotExecuted { retry_after: None };
-const LOST: Outcome = Outcome::Broken { sent: true, events: 0 };
-const CUT_MIDWAY: Outcome = Outcome::Broken { sent: true, events: 3 };
-const CUT_UNSENT: Outcome = Outcome::Broken { sent: false, events: 0 };
+const LOST: Outcome = Outcome::Broken {
+    sent: true,
+    events: 0,
+};
+const CUT_MIDWAY: Outcome = Outcome::Broken {
+    sent: true,
+    events: 3,
+};
+const CUT_UNSENT: Outcome = Outcome::Broken {
+    sent: false,
+    events: 0,
+};
 
 #[derive(Debug, PartialEq)]
 enum Next {
@@ -24,7 +33,11 @@
 
 fn next(kind: CallKind, max_replicas: u32, first: Outcome) -> Next {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call { kind, max_replicas, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        kind,
+        max_replicas,
+        ..call(driver.now, 1)
+    });
     match driver.outcome(1, 0, first)[..] {
         [Action::Send { .. }] => Next::Again,
         [Action::Refuse { .. }] => Next::Refused,
@@ -61,17 +74,28 @@
         (STREAM, 2, CUT_UNSENT, Next::Again),
     ];
     for (kind, max_replicas, first, expected) in cases {
-        assert_eq!(next(kind, max_replicas, first), expected, "{kind:?}, {max_replicas}, {first:?}");
+        assert_eq!(
+            next(kind, max_replicas, first),
+            expected,
+            "{kind:?}, {max_replicas}, {first:?}"
+        );
     }
 }
 
 #[test]
 fn a_call_for_one_replica_goes_back_to_it_after_a_pause() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call { kind: UNSAFE, max_replicas: 1, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        kind: UNSAFE,
+        max_replicas: 1,
+        ..call(driver.now, 1)
+    });
     assert!(driver.outcome(1, 0, FULL).is_empty());
     assert!(driver.advance(0.02).is_empty());
-    assert!(matches!(driver.advance(0.02)[..], [Action::Send { attempt: 1, .. }]));
+    assert!(matches!(
+        driver.advance(0.02)[..],
+        [Action::Send { attempt: 1, .. }]
+    ));
     let there = driver.sent_to(1);
     assert_eq!(there[0], there[1]);
 }
@@ -79,8 +103,17 @@
 #[test]
 fn what_a_replica_asks_is_heeded() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(Call { kind: UNSAFE, ..call(driver.now, 1) });
-    driver.outcome(1, 0, Outcome::NotExecuted { retry_after: Some(0.5) });
+    driver.arrive(Call {
+        kind: UNSAFE,
+        ..call(driver.now, 1)
+    });
+    driver.outcome(
+        1,
+        0,
+        Outcome::NotExecuted {
+            retry_after: Some(0.5),
+        },
+    );
     assert!(driver.advance(0.49).is_empty());
     assert_eq!(driver.advance(0.02).len(), 1);
 }
@@ -89,7 +122,11 @@
 fn a_call_returns_three_times_and_is_refused_early_enough_for_another_try() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     let start = driver.now;
-    driver.arrive(Call { kind: UNSAFE, max_replicas: 1, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        kind: UNSAFE,
+        max_replicas: 1,
+        ..call(driver.now, 1)
+    });
     for attempt in 0..4 {
         driver.outcome(1, attempt, FULL);
         driver.advance(0.15);
@@ -102,7 +139,10 @@
 #[test]
 fn a_call_that_no_replica_takes_is_refused_at_last_with_an_advice() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(Call { kind: UNSAFE, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        kind: UNSAFE,
+        ..call(driver.now, 1)
+    });
     for attempt in 0..20 {
         if driver.end(1).is_some() {
             break;
@@ -111,18 +151,29 @@
         driver.advance(1.0);
     }
     assert_eq!(driver.end(1), Some(End::Refused));
-    let Some(Action::Refuse { retry_after, .. }) = driver.trace.last() else { panic!("not refused") };
+    let Some(Action::Refuse { retry_after, .. }) = driver.trace.last() else {
+        panic!("not refused")
+    };
     assert!((0.05..=5.0 / 3.0).contains(retry_after), "{retry_after}");
 }
 
 #[test]
 fn a_late_safe_call_gets_one_second_copy_and_its_answer_drops_the_first() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
-    driver.arrive(Call { max_replicas: 3, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        max_replicas: 3,
+        ..call(driver.now, 1)
+    });
     let copies = driver.advance(2.0);
-    assert!(matches!(copies[..], [Action::Send { attempt: 1, .. }]), "{copies:?}");
+    assert!(
+        matches!(copies[..], [Action::Send { attempt: 1, .. }]),
+        "{copies:?}"
+    );
     let dropped = driver.outcome(1, 1, Outcome::Answered);
-    assert!(matches!(dropped[..], [Action::Abort { attempt: 0, .. }]), "{dropped:?}");
+    assert!(
+        matches!(dropped[..], [Action::Abort { attempt: 0, .. }]),
+        "{dropped:?}"
+    );
     assert_eq!(driver.end(1), Some(End::Answered));
 }
 
@@ -135,7 +186,10 @@
     }
     // A copy would be due after an eighth of the target, 0.03125 s: at the very end.
     let give_up_at = driver.now + 0.03125;
-    driver.arrive(Call { give_up_at, ..call(driver.now, 41) });
+    driver.arrive(Call {
+        give_up_at,
+        ..call(driver.now, 41)
+    });
     assert!(driver.advance(1.0).is_empty());
 }
 
@@ -143,7 +197,10 @@
 fn late_calls_that_may_not_run_again_are_left_alone() {
     for kind in [UNSAFE, STREAM] {
         let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-        driver.arrive(Call { kind, ..call(driver.now, 1) });
+        driver.arrive(Call {
+            kind,
+            ..call(driver.now, 1)
+        });
         assert!(driver.advance(4.9).is_empty(), "{kind:?}");
     }
 }
@@ -151,12 +208,24 @@
 #[test]
 fn a_resumable_stream_leaves_a_silent_replica_but_not_one_that_works() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call { kind: RESUMABLE, ..call(driver.now, 1) });
+    driver.arrive(Call {
+        kind: RESUMABLE,
+        ..call(driver.now, 1)
+    });
     let moved = driver.advance(1.0);
-    assert!(matches!(moved[..], [Action::Abort { attempt: 0, .. }, Action::Send { attempt: 1, .. }]));
+    assert!(matches!(
+        moved[..],
+        [
+            Action::Abort { attempt: 0, .. },
+            Action::Send { attempt: 1, .. }
+        ]
+    ));
 
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call { kind: RESUMABLE, ..call(driver.now, 2) });
+    driver.arrive(Call {
+        kind: RESUMABLE,
+        ..call(driver.now, 2)
+    });
     driver.first_event(2, 0, None);
     assert!(driver.advance(4.0).is_empty(), "its first event has come");
 }
@@ -174,14 +243,20 @@
         driver.advance(0.01);
     }
     let attempts: usize = (1..=400).map(|id| driver.sent_to(id).len()).sum();
-    assert!((400 + 80..=400 + 101).contains(&attempts), "a fifth and 20 more: {attempts}");
+    assert!(
+        (400 + 80..=400 + 101).contains(&attempts),
+        "a fifth and 20 more: {attempts}"
+    );
 }
 
 #[test]
 fn a_client_that_has_gone_is_owed_nothing() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.arrive(call(driver.now, 1));
-    assert!(matches!(driver.cancel(1)[..], [Action::Abort { attempt: 0, .. }]));
+    assert!(matches!(
+        driver.cancel(1)[..],
+        [Action::Abort { attempt: 0, .. }]
+    ));
     assert!(driver.outcome(1, 0, Outcome::Answered).is_empty());
     assert!(driver.advance(10.0).is_empty());
 }
--- a/crates/woadreach-admission/tests/unit/call_state.rs
+++ b/crates/woadreach-admission/tests/unit/call_state.rs
@@ -25,8 +25,19 @@
     let (replica, deadline) = (some_replica(), 1.0);
     let held = CallState::Held { replica, deadline };
     let held_back = CallEvent::HeldBack { replica, deadline };
-    let states = [CallState::Deciding, held, CallState::Waiting, CallState::Running];
-    let events = [CallEvent::Sent, held_back, CallEvent::PutOff, CallEvent::Released, CallEvent::NothingOut];
+    let states = [
+        CallState::Deciding,
+        held,
+        CallState::Waiting,
+        CallState::Running,
+    ];
+    let events = [
+        CallEvent::Sent,
+        held_back,
+        CallEvent::PutOff,
+        CallEvent::Released,
+        CallEvent::NothingOut,
+    ];
     let table = [
         (CallState::Deciding, CallEvent::Sent, CallState::Running),
         (CallState::Deciding, held_back, held),
@@ -34,12 +45,22 @@
         (held, CallEvent::Released, CallState::Deciding),
         (CallState::Waiting, CallEvent::Released, CallState::Deciding),
         (CallState::Running, CallEvent::Sent, CallState::Running),
-        (CallState::Running, CallEvent::NothingOut, CallState::Deciding),
+        (
+            CallState::Running,
+            CallEvent::NothingOut,
+            CallState::Deciding,
+        ),
     ];
     for state in states {
         for event in events {
-            let named = table.iter().find(|(from, on, _)| *from == state && *on == event);
-            assert_eq!(state.after(event).ok(), named.map(|(_, _, to)| *to), "{state:?} {event:?}");
+            let named = table
+                .iter()
+                .find(|(from, on, _)| *from == state && *on == event);
+            assert_eq!(
+                state.after(event).ok(),
+                named.map(|(_, _, to)| *to),
+                "{state:?} {event:?}"
+            );
         }
     }
 }
--- a/crates/woadreach-admission/tests/unit/pace.rs
+++ b/crates/woadreach-admission/tests/unit/pace.rs
@@ -33,7 +33,11 @@
 #[test]
 fn without_a_program_or_an_end_the_target_is_the_aim() {
     let programs = Programs::default();
-    let alone = Call { program: None, finish_at: None, ..call(0.0, 1, 1, 0.0) };
+    let alone = Call {
+        program: None,
+        finish_at: None,
+        ..call(0.0, 1, 1, 0.0)
+    };
     assert!(is_near(programs.aim(&alone, UNLOADED), 0.25));
 }
 
@@ -42,7 +46,10 @@
     let mut programs = Programs::default();
     let first = call(0.0, 1, 1, 4.0);
     programs.arrived(0.0, &first);
-    assert!(is_near(programs.aim(&first, UNLOADED), 0.2), "half of the time is work: twice its own");
+    assert!(
+        is_near(programs.aim(&first, UNLOADED), 0.2),
+        "half of the time is work: twice its own"
+    );
     assert!(is_near(programs.spare(0.0, &first).unwrap(), 2.0));
 }
 
@@ -86,17 +93,26 @@
     let first = call(5_000.0, 10_000, 10_000, 5_004.0);
     programs.arrived(5_000.0, &first);
     let aim = programs.aim(&first, UNLOADED);
-    assert!((0.38..0.42).contains(&aim), "a quarter of the time is work: {aim}");
+    assert!(
+        (0.38..0.42).contains(&aim),
+        "a quarter of the time is work: {aim}"
+    );
 }
 
 #[test]
 fn calls_in_hand_are_one_step() {
     let mut programs = Programs::default();
-    let calls: Vec<Call> = (1..=3).map(|id| call(0.1 * id as f64, id, 1, 4.0)).collect();
-    calls.iter().for_each(|call| programs.arrived(call.arrived, call));
+    let calls: Vec<Call> = (1..=3)
+        .map(|id| call(0.1 * id as f64, id, 1, 4.0))
+        .collect();
+    calls
+        .iter()
+        .for_each(|call| programs.arrived(call.arrived, call));
     assert_eq!(programs.step_size(&calls[2]), 3);
     assert!(is_near(programs.step_started(&calls[2]), 0.1));
-    calls.iter().for_each(|call| programs.ended(1.0, call, true, UNLOADED));
+    calls
+        .iter()
+        .for_each(|call| programs.ended(1.0, call, true, UNLOADED));
     let next = call(2.0, 4, 1, 4.0);
     programs.arrived(2.0, &next);
     assert_eq!(programs.step_size(&next), 1);
--- a/crates/woadreach-admission/tests/unit/prefix_cache.rs
+++ b/crates/woadreach-admission/tests/unit/prefix_cache.rs
@@ -29,7 +29,9 @@
     cache.record(&[part(2, 100)], 250);
     cache.record(&[part(1, 100)], 250);
     cache.record(&[part(3, 100)], 250);
-    let kept: Vec<u32> = (1..=3).map(|id| cache.cached_tokens(&[part(id, 100)])).collect();
+    let kept: Vec<u32> = (1..=3)
+        .map(|id| cache.cached_tokens(&[part(id, 100)]))
+        .collect();
     assert_eq!(kept, [100, 0, 100]);
 }
 
--- a/crates/woadreach-chain/src/agreement.rs
+++ b/crates/woadreach-chain/src/agreement.rs
@@ -87,10 +87,15 @@
     pub fn canonical(&self) -> impl std::fmt::Debug + '_ {
         let phase = match &self.phase {
             Phase::Idle => None,
-            Phase::Preparing { ballot, reports, .. } => Some((ballot, Some(reports), None)),
-            Phase::Accepting { ballot, view, accepted_by, .. } => {
-                Some((ballot, None, Some((view, accepted_by))))
-            }
+            Phase::Preparing {
+                ballot, reports, ..
+            } => Some((ballot, Some(reports), None)),
+            Phase::Accepting {
+                ballot,
+                view,
+                accepted_by,
+                ..
+            } => Some((ballot, None, Some((view, accepted_by)))),
         };
         (phase, self.highest_round)
     }
@@ -106,8 +111,15 @@
     /// Begins a proposal above every ballot seen so far.
     pub fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
         self.highest_round += 1;
-        let ballot = Ballot { round: self.highest_round, proposer: own };
-        self.phase = Phase::Preparing { ballot, since: now, reports: BTreeMap::new() };
+        let ballot = Ballot {
+            round: self.highest_round,
+            proposer: own,
+        };
+        self.phase = Phase::Preparing {
+            ballot,
+            since: now,
+            reports: BTreeMap::new(),
+        };
         ballot
     }
 
@@ -118,7 +130,11 @@
 
     /// Takes a promise. Reports of members that don't vote must not be passed in.
     pub fn promised(&mut self, from: MemberId, ballot: Ballot, report: Report) {
-        if let Phase::Preparing { ballot: own, reports, .. } = &mut self.phase
+        if let Phase::Preparing {
+            ballot: own,
+            reports,
+            ..
+        } = &mut self.phase
             && *own == ballot
         {
             reports.insert(from, report);
@@ -127,20 +143,39 @@
 
     /// The view that must be proposed because it may have been decided: that of the highest vote reported.
     pub fn bound_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
-        let votes = reports.values().filter_map(|report| report.accepted.as_ref());
-        votes.max_by_key(|vote| vote.ballot).map(|vote| vote.view.clone())
+        let votes = reports
+            .values()
+            .filter_map(|report| report.accepted.as_ref());
+        votes
+            .max_by_key(|vote| vote.ballot)
+            .map(|vote| vote.view.clone())
     }
 
     /// Goes on to the second phase with `view`.
     pub fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
-        let Phase::Preparing { ballot, .. } = self.phase else { return None };
-        self.phase = Phase::Accepting { ballot, since: now, view, accepted_by: Vec::new() };
+        let Phase::Preparing { ballot, .. } = self.phase else {
+            return None;
+        };
+        self.phase = Phase::Accepting {
+            ballot,
+            since: now,
+            view,
+            accepted_by: Vec::new(),
+        };
         Some(ballot)
     }
 
     /// Takes a vote; gives the view back once a majority of `current`'s voters has voted for it.
     pub fn accepted(&mut self, from: MemberId, voted: Ballot, current: &View) -> Option<View> {
-        let Phase::Accepting { ballot, view, accepted_by, .. } = &mut self.phase else { return None };
+        let Phase::Accepting {
+            ballot,
+            view,
+            accepted_by,
+            ..
+        } = &mut self.phase
+        else {
+            return None;
+        };
         if *ballot != voted || !current.is_voter(from) || accepted_by.contains(&from) {
             return None;
         }
--- a/crates/woadreach-chain/src/durable.rs
+++ b/crates/woadreach-chain/src/durable.rs
@@ -114,7 +114,11 @@
     /// The current epoch ends here. If this member was in the chain and never active, that is for good.
     fn note_idle_epoch(&mut self) {
         let View { epoch, floor, .. } = self.view;
-        let is_in_chain = self.view.chain.iter().any(|member| member.identity == self.identity);
+        let is_in_chain = self
+            .view
+            .chain
+            .iter()
+            .any(|member| member.identity == self.identity);
         if is_in_chain && self.active_epoch < epoch {
             if self.idle_epochs.len() == IDLE_EPOCHS {
                 self.idle_epochs.remove(0);
@@ -125,7 +129,8 @@
 
     /// The promise that binds in the current view.
     pub fn current_promise(&self) -> Option<Promise> {
-        self.promise.filter(|promise| promise.epoch == self.view.epoch)
+        self.promise
+            .filter(|promise| promise.epoch == self.view.epoch)
     }
 
     /// Whether the current epoch is sealed: nothing more of it is taken.
@@ -160,7 +165,9 @@
 fn encode_versioned<T: Writable<Endianness>>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT_VERSION];
     // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
-    value.write_to_stream_with_ctx(Endianness::LittleEndian, &mut bytes).expect("lengths within 32 bits");
+    value
+        .write_to_stream_with_ctx(Endianness::LittleEndian, &mut bytes)
+        .expect("lengths within 32 bits");
     bytes
 }
 
--- a/crates/woadreach-chain/src/election.rs
+++ b/crates/woadreach-chain/src/election.rs
@@ -52,7 +52,10 @@
 
 impl Election {
     pub fn new(now: Duration) -> Election {
-        Election { started: now, at: None }
+        Election {
+            started: now,
+            at: None,
+        }
     }
 
     /// Another view is in force.
@@ -82,7 +85,9 @@
             Phase::Preparing { since, reports, .. } if reports.len() >= majority => {
                 Some(*since + REPORT_WAIT)
             }
-            Phase::Preparing { since, .. } | Phase::Accepting { since, .. } => Some(*since + PHASE_TIMEOUT),
+            Phase::Preparing { since, .. } | Phase::Accepting { since, .. } => {
+                Some(*since + PHASE_TIMEOUT)
+            }
         }
     }
 }
@@ -130,9 +135,19 @@
             Reason::Broken => self.random_wait(RANDOM_WAIT),
             Reason::Sealed => SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT),
             Reason::Bootstrap => {
-                let first = self.durable.view.voters.iter().map(|voter| voter.address).min();
+                let first = self
+                    .durable
+                    .view
+                    .voters
+                    .iter()
+                    .map(|voter| voter.address)
+                    .min();
                 let is_first = first == Some(self.id.address);
-                if is_first { Duration::ZERO } else { SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT) }
+                if is_first {
+                    Duration::ZERO
+                } else {
+                    SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT)
+                }
             }
         }
     }
@@ -153,7 +168,10 @@
             return Some(Reason::Sealed);
         }
         let wanted = self.wanted_view(now)?;
-        let is_broken = view.chain.iter().any(|member| !wanted.chain.contains(member));
+        let is_broken = view
+            .chain
+            .iter()
+            .any(|member| !wanted.chain.contains(member));
         if is_broken {
             return Some(Reason::Broken);
         }
@@ -166,8 +184,13 @@
         if !self.durable.bootstrap || !view.is_voter(self.id) {
             return None;
         }
-        let others = view.voters.iter().filter(|voter| voter.address != self.id.address);
-        let present = 1 + others.filter(|voter| self.peers.is_bootstrapping(now, voter.address)).count();
+        let others = view
+            .voters
+            .iter()
+            .filter(|voter| voter.address != self.id.address);
+        let present = 1 + others
+            .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
+            .count();
         let has_waited = now.saturating_sub(self.election.started) >= BOOTSTRAP_WAIT;
         let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
         is_ready.then_some(Reason::Bootstrap)
@@ -175,7 +198,9 @@
 
     fn reachable_voters(&self, now: Duration) -> usize {
         let voters = self.durable.view.voters.iter();
-        voters.filter(|&&voter| self.peers.is_reachable(now, voter)).count()
+        voters
+            .filter(|&&voter| self.peers.is_reachable(now, voter))
+            .count()
     }
 
     /// The view that the present signs of life ask for.
@@ -184,13 +209,26 @@
         let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
         let candidate = |member: MemberId| Candidate {
             member,
-            active_epoch: if view.chain.contains(&member) { view.epoch } else { 0 },
+            active_epoch: if view.chain.contains(&member) {
+                view.epoch
+            } else {
+                0
+            },
             stamp: Stamp::default(),
-            fit: if member == self.id { self.is_fit() } else { self.peers.is_fit(member) },
+            fit: if member == self.id {
+                self.is_fit()
+            } else {
+                self.peers.is_fit(member)
+            },
             place: self.place_of(member),
         };
-        let voters: Vec<Candidate> =
-            view.voters.iter().copied().filter(|&voter| is_present(voter)).map(candidate).collect();
+        let voters: Vec<Candidate> = view
+            .voters
+            .iter()
+            .copied()
+            .filter(|&voter| is_present(voter))
+            .map(candidate)
+            .collect();
         let learners = self.learners(now);
         let linked = |first, second| self.peers.linked(now, first, second);
         next_view(view, &voters, &learners, self.policy, &linked).ok()
@@ -199,7 +237,8 @@
     /// Members outside the voters that may be taken in.
     fn learners(&self, now: Duration) -> Vec<Candidate> {
         let heard = self.peers.heard_lately(now).into_iter();
-        let outside = heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
+        let outside =
+            heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
         let ready = outside.filter(|&member| {
             self.peers.is_steady(now, member)
                 && self.peers.is_reachable(now, member)
@@ -219,12 +258,20 @@
     /// Whether `wanted` has more members in the chain, or voters in the place of silent ones.
     fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
         let view = &self.durable.view;
-        let added: BTreeSet<MemberId> =
-            wanted.chain.iter().chain(&wanted.voters).copied().collect::<BTreeSet<_>>();
+        let added: BTreeSet<MemberId> = wanted
+            .chain
+            .iter()
+            .chain(&wanted.voters)
+            .copied()
+            .collect::<BTreeSet<_>>();
         let current: BTreeSet<MemberId> = view.chain.iter().copied().collect();
-        let new_in_chain = wanted.chain.iter().filter(|member| !current.contains(member));
-        let are_steady =
-            new_in_chain.clone().all(|&member| member == self.id || self.peers.is_steady(now, member));
+        let new_in_chain = wanted
+            .chain
+            .iter()
+            .filter(|member| !current.contains(member));
+        let are_steady = new_in_chain
+            .clone()
+            .all(|&member| member == self.id || self.peers.is_steady(now, member));
         let has_more = new_in_chain.count() > 0;
         let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
         are_steady && (has_more || has_other_voters)
@@ -232,13 +279,20 @@
 
     /// Goes on to the second phase once enough voters have reported.
     pub(crate) fn propose_if_ready(&mut self, now: Duration) {
-        let Phase::Preparing { since, reports, .. } = self.proposal_phase() else { return };
+        let Phase::Preparing { since, reports, .. } = self.proposal_phase() else {
+            return;
+        };
         let view = &self.durable.view;
         if reports.len() < view.majority() {
             return;
         }
-        let missing = view.voters.iter().filter(|&&voter| !self.has_reported(reports, voter));
-        let are_expected = missing.filter(|&&voter| self.is_expected(now, voter)).count();
+        let missing = view
+            .voters
+            .iter()
+            .filter(|&&voter| !self.has_reported(reports, voter));
+        let are_expected = missing
+            .filter(|&&voter| self.is_expected(now, voter))
+            .count();
         if are_expected > 0 && now.saturating_sub(*since) < REPORT_WAIT {
             return;
         }
@@ -247,7 +301,9 @@
 
     /// Chooses the view from the reports of at least a majority.
     pub(crate) fn propose_from_reports(&mut self, now: Duration) {
-        let Phase::Preparing { reports, .. } = self.proposal_phase() else { return };
+        let Phase::Preparing { reports, .. } = self.proposal_phase() else {
+            return;
+        };
         if reports.len() < self.durable.view.majority() {
             return;
         }
@@ -283,8 +339,11 @@
                 place: self.place_of(member),
             })
             .collect();
-        let learners: Vec<Candidate> =
-            self.learners(now).into_iter().filter(|learner| !reports.contains_key(&learner.member)).collect();
+        let learners: Vec<Candidate> = self
+            .learners(now)
+            .into_iter()
+            .filter(|learner| !reports.contains_key(&learner.member))
+            .collect();
         let hears = |first: MemberId, second: MemberId| match reports.get(&first) {
             Some(report) => report.hears.contains(&second),
             None => self.peers.hears(now, first, second),
@@ -293,14 +352,26 @@
             let is_first_known = self.durable.view.epoch == 0;
             is_first_known || (hears(first, second) && hears(second, first))
         };
-        next_view(&self.view_with_known_floor(reports), &voters, &learners, self.policy, &linked).ok()
+        next_view(
+            &self.view_with_known_floor(reports),
+            &voters,
+            &learners,
+            self.policy,
+            &linked,
+        )
+        .ok()
     }
 
     /// The current view, its floor lowered below the epochs that committed nothing as reported.
     fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
-        let idle_epochs: Vec<IdleEpoch> =
-            reports.values().flat_map(|report| report.idle_epochs.iter().copied()).collect();
+        let idle_epochs: Vec<IdleEpoch> = reports
+            .values()
+            .flat_map(|report| report.idle_epochs.iter().copied())
+            .collect();
         let view = &self.durable.view;
-        View { floor: lowered_floor(view.floor, &idle_epochs), ..view.clone() }
+        View {
+            floor: lowered_floor(view.floor, &idle_epochs),
+            ..view.clone()
+        }
     }
 }
--- a/crates/woadreach-chain/src/lib.rs
+++ b/crates/woadreach-chain/src/lib.rs
@@ -43,7 +43,7 @@
 pub use plants::Plant;
 pub use requests::{Reply, Request, RequestId};
 pub use state::{
-    Command, ControlState, Digest, PutConfiguration, PutStorageView, Rejection, Stamp, StoredConfiguration,
-    StoredStorageView, TAKEN_LIMIT, TakenConfiguration, Undecided, Verdict,
+    Command, ControlState, Digest, PutConfiguration, PutStorageView, Rejection, Stamp,
+    StoredConfiguration, StoredStorageView, TAKEN_LIMIT, TakenConfiguration, Undecided, Verdict,
 };
 pub use view::{MemberId, View, ViewError};
--- a/crates/woadreach-chain/src/member/chain.rs
+++ b/crates/woadreach-chain/src/member/chain.rs
@@ -67,8 +67,12 @@
             return;
         }
         let Write { stamp, command } = write;
-        let record = self.persist(Record::Write { stamp, command: command.clone() });
-        self.replication.push(record, self.durable.view.epoch, stamp, command);
+        let record = self.persist(Record::Write {
+            stamp,
+            command: command.clone(),
+        });
+        self.replication
+            .push(record, self.durable.view.epoch, stamp, command);
     }
 
     pub(super) fn take_transfer(
@@ -102,7 +106,9 @@
     /// Tells the predecessor how far this member and those after it are.
     pub(super) fn report_to_predecessor(&mut self) {
         let view = &self.durable.view;
-        let Some(predecessor) = view.predecessor(self.id) else { return };
+        let Some(predecessor) = view.predecessor(self.id) else {
+            return;
+        };
         let persisted = self.replication.persisted_in(view.epoch);
         let report = Body::Replicated {
             active: persisted.is_some(),
@@ -119,7 +125,9 @@
             return;
         }
         let epoch = self.durable.view.epoch;
-        let Some(persisted) = self.replication.persisted_in(epoch) else { return };
+        let Some(persisted) = self.replication.persisted_in(epoch) else {
+            return;
+        };
         let Some(successor) = self.successor() else {
             let barrier = self.replication.barrier();
             let view = &self.durable.view;
@@ -134,7 +142,12 @@
     }
 
     /// The rest of the chain has persisted everything up to `committed` and passed `barrier` on.
-    pub(super) fn chain_confirmed(&mut self, now: Duration, committed: Option<Stamp>, barrier: Barrier) {
+    pub(super) fn chain_confirmed(
+        &mut self,
+        now: Duration,
+        committed: Option<Stamp>,
+        barrier: Barrier,
+    ) {
         let is_more = committed.is_some_and(|stamp| self.replication.commit(stamp));
         let is_barrier = self.replication.confirm(barrier);
         if is_more && let Some(state) = self.replication.committed() {
--- a/crates/woadreach-chain/src/member/contact.rs
+++ b/crates/woadreach-chain/src/member/contact.rs
@@ -27,7 +27,11 @@
     /// Whether a majority of the voters has told lately that it hears this member.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
         let view = &self.durable.view;
-        let reached = view.voters.iter().filter(|&&voter| self.reaches_voter(now, voter)).count();
+        let reached = view
+            .voters
+            .iter()
+            .filter(|&&voter| self.reaches_voter(now, voter))
+            .count();
         !view.voters.is_empty() && reached >= view.majority()
     }
 
@@ -42,7 +46,11 @@
     #[cfg(feature = "plants")]
     fn hears_majority(&self, now: Duration) -> bool {
         let view = &self.durable.view;
-        let heard = view.voters.iter().filter(|&&voter| self.hears_voter(now, voter)).count();
+        let heard = view
+            .voters
+            .iter()
+            .filter(|&&voter| self.hears_voter(now, voter))
+            .count();
         !view.voters.is_empty() && heard >= view.majority()
     }
 
@@ -52,8 +60,14 @@
             self.is_caught_up = false;
         } else if !self.is_caught_up {
             let view = &self.durable.view;
-            let reached = view.voters.iter().filter(|&&voter| self.reaches_voter(now, voter));
-            let newest = reached.map(|&voter| self.peers.committed(voter)).max().unwrap_or_default();
+            let reached = view
+                .voters
+                .iter()
+                .filter(|&&voter| self.reaches_voter(now, voter));
+            let newest = reached
+                .map(|&voter| self.peers.committed(voter))
+                .max()
+                .unwrap_or_default();
             self.is_caught_up = self.published.stamp >= newest;
         }
     }
--- a/crates/woadreach-chain/src/member/departure.rs
+++ b/crates/woadreach-chain/src/member/departure.rs
@@ -89,22 +89,38 @@
 
     /// Whether a view may be on its way whose proposer did not know that this member is being stopped.
     fn is_view_pending(&self, now: Duration) -> bool {
-        self.leaving.since.is_none_or(|since| now.saturating_sub(since) < DECISION_TIME)
+        self.leaving
+            .since
+            .is_none_or(|since| now.saturating_sub(since) < DECISION_TIME)
     }
 
     fn does_nobody_stay(&self, now: Duration) -> bool {
-        let mut others = self.durable.view.voters.iter().filter(|&&voter| voter != self.id);
+        let mut others = self
+            .durable
+            .view
+            .voters
+            .iter()
+            .filter(|&&voter| voter != self.id);
         others.all(|&voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
     }
 
     fn other_voters_in_reach(&self, now: Duration) -> usize {
-        let others = self.durable.view.voters.iter().filter(|&&voter| voter != self.id);
-        others.filter(|&&voter| self.peers.is_reachable(now, voter)).count()
+        let others = self
+            .durable
+            .view
+            .voters
+            .iter()
+            .filter(|&&voter| voter != self.id);
+        others
+            .filter(|&&voter| self.peers.is_reachable(now, voter))
+            .count()
     }
 
     fn active_in_reach(&self, now: Duration) -> usize {
         let active = self.leaving.active.iter();
-        active.filter(|&&member| self.peers.is_reachable(now, member)).count()
+        active
+            .filter(|&&member| self.peers.is_reachable(now, member))
+            .count()
     }
 
     fn is_replacement_in_reach(&self, now: Duration) -> bool {
--- a/crates/woadreach-chain/src/member/head.rs
+++ b/crates/woadreach-chain/src/member/head.rs
@@ -11,7 +11,10 @@
 impl Member {
     pub(super) fn take_request(&mut self, now: Duration, id: RequestId, request: Request) {
         if !self.is_serving_head() {
-            self.outputs.push(Output::Reply { id, reply: Reply::Unavailable });
+            self.outputs.push(Output::Reply {
+                id,
+                reply: Reply::Unavailable,
+            });
             return;
         }
         match request {
@@ -21,7 +24,8 @@
                 let is_configuration = request == Request::ReadConfiguration;
                 let stamp = self.durable.state.stamp;
                 let number = self.barrier_to_wait_for(barrier.number);
-                self.waiting.wait_for_read(id, is_configuration, stamp, number);
+                self.waiting
+                    .wait_for_read(id, is_configuration, stamp, number);
             }
         }
         self.drive(now);
@@ -30,7 +34,11 @@
 
     #[cfg(feature = "plants")]
     fn barrier_to_wait_for(&self, number: u64) -> u64 {
-        if self.has_plant(crate::plants::Plant::ReadWithoutBarrier) { 0 } else { number }
+        if self.has_plant(crate::plants::Plant::ReadWithoutBarrier) {
+            0
+        } else {
+            number
+        }
     }
 
     #[cfg(not(feature = "plants"))]
@@ -42,21 +50,30 @@
         let stamp = self.durable.state.stamp;
         let verdict = self.durable.state.judge(&command);
         #[cfg(feature = "plants")]
-        let Some(verdict) = self.planted_verdict(id, verdict) else { return };
+        let Some(verdict) = self.planted_verdict(id, verdict) else {
+            return;
+        };
         match verdict {
             Verdict::Take => {
-                let stamp = Stamp { epoch: self.durable.view.epoch, number: stamp.number + 1 };
+                let stamp = Stamp {
+                    epoch: self.durable.view.epoch,
+                    number: stamp.number + 1,
+                };
                 self.append(Write { stamp, command });
                 self.waiting.wait_for_commit(id, stamp, true);
             }
             Verdict::AlreadyTaken => self.waiting.wait_for_commit(id, stamp, false),
             Verdict::Rejected(rejection) => {
                 let barrier = self.replication.next_barrier(self.barrier_session);
-                self.waiting.wait_for_rejection(id, rejection, stamp, barrier.number);
+                self.waiting
+                    .wait_for_rejection(id, rejection, stamp, barrier.number);
             }
             // Nothing is promised, so nothing needs to be committed first.
             Verdict::Undecided(undecided) => {
-                self.outputs.push(Output::Reply { id, reply: Reply::Undecided(undecided) });
+                self.outputs.push(Output::Reply {
+                    id,
+                    reply: Reply::Undecided(undecided),
+                });
             }
         }
     }
@@ -64,7 +81,9 @@
     /// The verdict as the planted fault has it; nothing if the fault answers at once.
     #[cfg(feature = "plants")]
     fn planted_verdict(&mut self, id: RequestId, verdict: Verdict) -> Option<Verdict> {
-        let Some(plant) = self.plant else { return Some(verdict) };
+        let Some(plant) = self.plant else {
+            return Some(verdict);
+        };
         if let Some(reply) = plant.hasty_reply(verdict) {
             self.outputs.push(Output::Reply { id, reply });
             return None;
@@ -76,9 +95,15 @@
         if !self.is_serving_head() || self.waiting.is_empty() {
             return;
         }
-        let Some(committed) = self.replication.committed() else { return };
+        let Some(committed) = self.replication.committed() else {
+            return;
+        };
         let confirmed = self.replication.confirmed();
-        let number = if confirmed.session == self.barrier_session { confirmed.number } else { 0 };
+        let number = if confirmed.session == self.barrier_session {
+            confirmed.number
+        } else {
+            0
+        };
         for (id, reply) in self.waiting.resolve(committed, number) {
             self.outputs.push(Output::Reply { id, reply });
         }
--- a/crates/woadreach-chain/src/member/messages.rs
+++ b/crates/woadreach-chain/src/member/messages.rs
@@ -49,11 +49,25 @@
             Body::Accept(accepted) => self.accept(from, accepted),
             Body::Accepted { ballot } => self.take_vote(now, from, ballot),
             Body::Superseded { promised } => self.superseded(now, promised),
-            Body::Replicate { after, writes, barrier } => self.replicate(now, from, after, writes, barrier),
+            Body::Replicate {
+                after,
+                writes,
+                barrier,
+            } => self.replicate(now, from, after, writes, barrier),
             Body::Transfer { state, barrier } => self.take_transfer(now, from, state, barrier),
-            Body::Replicated { active, persisted, committed, barrier } => {
+            Body::Replicated {
+                active,
+                persisted,
+                committed,
+                barrier,
+            } => {
                 if self.successor() == Some(from) && self.is_active() {
-                    let progress = Progress { is_active: active, persisted, committed, barrier };
+                    let progress = Progress {
+                        is_active: active,
+                        persisted,
+                        committed,
+                        barrier,
+                    };
                     self.replication.successor_reported(now, progress);
                     self.chain_confirmed(now, committed, barrier);
                 }
@@ -81,7 +95,11 @@
     }
 
     pub(super) fn envelope(&self, body: Body) -> Envelope {
-        Envelope { from: self.id, epoch: self.durable.view.epoch, body }
+        Envelope {
+            from: self.id,
+            epoch: self.durable.view.epoch,
+            body,
+        }
     }
 
     pub(crate) fn send_now(&mut self, to: SocketAddrV4, body: Body) {
@@ -105,13 +123,20 @@
     pub(super) fn persist(&mut self, record: Record) -> u64 {
         self.record_number += 1;
         self.durable.apply(&record);
-        self.outputs.push(Output::Persist { number: self.record_number, record });
+        self.outputs.push(Output::Persist {
+            number: self.record_number,
+            record,
+        });
         self.record_number
     }
 
     pub(super) fn synced(&mut self, now: Duration, through: u64) {
         self.synced_number = self.synced_number.max(through);
-        while self.deferred.front().is_some_and(|(number, _, _)| *number <= through) {
+        while self
+            .deferred
+            .front()
+            .is_some_and(|(number, _, _)| *number <= through)
+        {
             if let Some((_, to, body)) = self.deferred.pop_front() {
                 self.send_now(to.address, body);
             }
--- a/crates/woadreach-chain/src/member/mod.rs
+++ b/crates/woadreach-chain/src/member/mod.rs
@@ -91,7 +91,10 @@
     /// Append the record and sync; then say [`Input::Persisted`] with its number.
     Persist { number: u64, record: Record },
     /// Send a message, best effort.
-    Send { to: SocketAddrV4, envelope: Envelope },
+    Send {
+        to: SocketAddrV4,
+        envelope: Envelope,
+    },
     /// Answer a request.
     Reply { id: RequestId, reply: Reply },
     /// A newer state is committed.
@@ -156,7 +159,10 @@
 impl Member {
     /// A member whose disk holds `durable`, all of it synced.
     pub fn new(now: Duration, options: MemberOptions, durable: Durable) -> Member {
-        let id = MemberId { address: options.address, identity: durable.identity };
+        let id = MemberId {
+            address: options.address,
+            identity: durable.identity,
+        };
         let mut random = oorandom::Rand64::new(u128::from(options.random_seed));
         // Names this life of the process in its signs of life, and its first term as head in its barriers.
         let session = random.rand_u64() | 1;
@@ -234,8 +240,12 @@
 
     pub fn status(&self, now: Duration) -> Status {
         let view = &self.durable.view;
-        let mut members: Vec<SocketAddrV4> =
-            self.peers.heard_lately(now).iter().map(|peer| peer.address).collect();
+        let mut members: Vec<SocketAddrV4> = self
+            .peers
+            .heard_lately(now)
+            .iter()
+            .map(|peer| peer.address)
+            .collect();
         members.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
         members.extend(view.voters.iter().map(|voter| voter.address));
         members.sort();
@@ -258,7 +268,10 @@
         if let Some(election) = self.election.next_wake(&self.proposer, majority) {
             wake = wake.min(election);
         }
-        if let Some(suspicion) = self.peers.next_suspicion(self.last_tick, &self.durable.view.chain) {
+        if let Some(suspicion) = self
+            .peers
+            .next_suspicion(self.last_tick, &self.durable.view.chain)
+        {
             wake = wake.min(suspicion);
         }
         if self.is_active()
--- a/crates/woadreach-chain/src/member/signs_of_life.rs
+++ b/crates/woadreach-chain/src/member/signs_of_life.rs
@@ -14,12 +14,17 @@
     }
 
     pub(crate) fn place_of(&self, member: MemberId) -> Place {
-        if member == self.id { self.place } else { self.peers.place(member) }
+        if member == self.id {
+            self.place
+        } else {
+            self.peers.place(member)
+        }
     }
 
     pub(super) fn hears_voter(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
-            return voter.address == self.id.address || self.peers.is_bootstrapping(now, voter.address);
+            return voter.address == self.id.address
+                || self.peers.is_bootstrapping(now, voter.address);
         }
         self.peers.is_heard(now, voter)
     }
@@ -46,7 +51,8 @@
 
     pub(super) fn ping_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
         let view = &self.durable.view;
-        let mut addresses: Vec<SocketAddrV4> = view.voters.iter().map(|voter| voter.address).collect();
+        let mut addresses: Vec<SocketAddrV4> =
+            view.voters.iter().map(|voter| voter.address).collect();
         let is_in_view = view.voters.contains(&self.id);
         if is_in_view || view.epoch == 0 {
             addresses.extend(self.peers.heard_lately(now).iter().map(|peer| peer.address));
@@ -69,7 +75,8 @@
         let wants_state = can_answer && ping.committed > self.published.stamp && !self.is_active();
         if wants_state && now >= self.next_state_request {
             self.next_state_request = now + self.state_request_pause;
-            self.state_request_pause = (2 * self.state_request_pause).min(LONGEST_STATE_REQUEST_PAUSE);
+            self.state_request_pause =
+                (2 * self.state_request_pause).min(LONGEST_STATE_REQUEST_PAUSE);
             self.send_now(from.address, Body::RequestState);
         }
     }
--- a/crates/woadreach-chain/src/member/steps.rs
+++ b/crates/woadreach-chain/src/member/steps.rs
@@ -42,7 +42,9 @@
     /// Whether this member may go on with a proposal once it waits for no more reports.
     #[doc(hidden)]
     pub fn has_majority_of_reports(&self) -> bool {
-        let Phase::Preparing { reports, .. } = self.proposer.phase() else { return false };
+        let Phase::Preparing { reports, .. } = self.proposer.phase() else {
+            return false;
+        };
         reports.len() >= self.durable.view.majority()
     }
 
@@ -62,7 +64,8 @@
         );
         written.expect("a string takes any text");
         for (number, to, body) in &self.deferred {
-            write!(text, "{} {to:?} {body:?}", self.record_number - number).expect("a string takes any text");
+            write!(text, "{} {to:?} {body:?}", self.record_number - number)
+                .expect("a string takes any text");
         }
     }
 }
--- a/crates/woadreach-chain/src/member/views.rs
+++ b/crates/woadreach-chain/src/member/views.rs
@@ -25,7 +25,12 @@
         self.proposer.saw(ballot);
         let current = self.durable.current_promise();
         if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
-            return self.send_now(from.address, Body::Superseded { promised: promise.ballot });
+            return self.send_now(
+                from.address,
+                Body::Superseded {
+                    promised: promise.ballot,
+                },
+            );
         }
         if current.is_none_or(|promise| promise.ballot < ballot) {
             let epoch = self.durable.view.epoch;
@@ -56,7 +61,12 @@
         }
         let current = self.durable.current_promise();
         if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
-            return self.send_now(from.address, Body::Superseded { promised: promise.ballot });
+            return self.send_now(
+                from.address,
+                Body::Superseded {
+                    promised: promise.ballot,
+                },
+            );
         }
         if current.is_none_or(|promise| promise.ballot < ballot) {
             self.persist(Record::Promise(Promise { epoch, ballot }));
@@ -67,7 +77,13 @@
         self.send_after_sync(from, Body::Accepted { ballot });
     }
 
-    pub(super) fn take_promise(&mut self, now: Duration, from: MemberId, ballot: Ballot, report: Report) {
+    pub(super) fn take_promise(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        ballot: Ballot,
+        report: Report,
+    ) {
         if self.durable.view.is_voter(from) {
             self.proposer.promised(from, ballot, report);
             self.propose_if_ready(now);
@@ -76,10 +92,21 @@
 
     pub(super) fn take_vote(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
         let current = self.durable.view.clone();
-        let Some(view) = self.proposer.accepted(from, ballot, &current) else { return };
-        let mut addresses: Vec<SocketAddrV4> =
-            self.peers.heard_lately(now).iter().map(|peer| peer.address).collect();
-        addresses.extend(view.voters.iter().chain(&current.voters).map(|voter| voter.address));
+        let Some(view) = self.proposer.accepted(from, ballot, &current) else {
+            return;
+        };
+        let mut addresses: Vec<SocketAddrV4> = self
+            .peers
+            .heard_lately(now)
+            .iter()
+            .map(|peer| peer.address)
+            .collect();
+        addresses.extend(
+            view.voters
+                .iter()
+                .chain(&current.voters)
+                .map(|voter| voter.address),
+        );
         addresses.sort();
         addresses.dedup();
         for address in addresses {
@@ -89,7 +116,11 @@
 
     pub(super) fn superseded(&mut self, now: Duration, promised: Ballot) {
         self.proposer.saw(promised);
-        if self.proposer.ballot().is_some_and(|ballot| ballot < promised) {
+        if self
+            .proposer
+            .ballot()
+            .is_some_and(|ballot| ballot < promised)
+        {
             self.proposer.abandon();
             let wait = self.wait_after_failure();
             self.election.retry(now + SEALED_WAIT + wait);
@@ -111,9 +142,17 @@
     }
 
     pub(crate) fn propose(&mut self, now: Duration, view: View) {
-        let Some(ballot) = self.proposer.propose(now, view.clone()) else { return };
+        let Some(ballot) = self.proposer.propose(now, view.clone()) else {
+            return;
+        };
         for voter in self.durable.view.voters.clone() {
-            self.send_now(voter.address, Body::Accept(Accepted { ballot, view: view.clone() }));
+            self.send_now(
+                voter.address,
+                Body::Accept(Accepted {
+                    ballot,
+                    view: view.clone(),
+                }),
+            );
         }
     }
 
@@ -157,7 +196,10 @@
 
     pub(super) fn give_requests_up(&mut self) {
         for id in self.waiting.drain() {
-            self.outputs.push(Output::Reply { id, reply: Reply::Unavailable });
+            self.outputs.push(Output::Reply {
+                id,
+                reply: Reply::Unavailable,
+            });
         }
     }
 }
--- a/crates/woadreach-chain/src/message.rs
+++ b/crates/woadreach-chain/src/message.rs
@@ -138,7 +138,10 @@
     /// Whether it may hold a configuration, and so may take long on its way. Such messages go over a
     /// connection of their own, in order, so that signs of life and votes don't wait behind them.
     pub fn is_bulk(&self) -> bool {
-        matches!(self, Body::Replicate { .. } | Body::Transfer { .. } | Body::Committed(_))
+        matches!(
+            self,
+            Body::Replicate { .. } | Body::Transfer { .. } | Body::Committed(_)
+        )
     }
 }
 
@@ -147,7 +150,8 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![MESSAGE_VERSION];
         // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
-        self.write_to_stream(&mut bytes).expect("lengths within 32 bits");
+        self.write_to_stream(&mut bytes)
+            .expect("lengths within 32 bits");
         bytes
     }
 
@@ -161,10 +165,19 @@
         };
         if let Some(view) = voted {
             let (epoch, found) = (self.epoch, view.epoch);
-            ensure!(epoch.checked_add(1) == Some(found), ViewDoesNotFollowSnafu { epoch, found });
+            ensure!(
+                epoch.checked_add(1) == Some(found),
+                ViewDoesNotFollowSnafu { epoch, found }
+            );
         }
-        let decided = if let Body::Decided(view) = &self.body { Some(view) } else { None };
-        decided.or(voted).map_or(Ok(()), |view| view.check().context(UnsoundViewSnafu))
+        let decided = if let Body::Decided(view) = &self.body {
+            Some(view)
+        } else {
+            None
+        };
+        decided
+            .or(voted)
+            .map_or(Ok(()), |view| view.check().context(UnsoundViewSnafu))
     }
 
     /// Reads a message.
--- a/crates/woadreach-chain/src/peers.rs
+++ b/crates/woadreach-chain/src/peers.rs
@@ -51,7 +51,12 @@
 
 impl Peers {
     pub fn new(own: MemberId, life: u64, now: Duration) -> Peers {
-        Peers { own, life, started: now, table: BTreeMap::new() }
+        Peers {
+            own,
+            life,
+            started: now,
+            table: BTreeMap::new(),
+        }
     }
 
     /// Notes a message of `from`.
@@ -94,7 +99,8 @@
         for &member in ping.hears.iter().take(PEER_LIMIT) {
             peer.hears.insert(member, now);
         }
-        peer.hears.retain(|_, heard| now.saturating_sub(*heard) <= SILENCE);
+        peer.hears
+            .retain(|_, heard| now.saturating_sub(*heard) <= SILENCE);
         self.heard(now, from);
     }
 
@@ -107,7 +113,8 @@
 
     /// Forgets members that have been silent for long, and earlier identities of addresses in use.
     pub fn expire(&mut self, now: Duration) {
-        self.table.retain(|_, peer| now.saturating_sub(peer.last_heard) <= FORGET);
+        self.table
+            .retain(|_, peer| now.saturating_sub(peer.last_heard) <= FORGET);
         let table = &self.table;
         let replaced: Vec<MemberId> = table
             .iter()
@@ -136,7 +143,11 @@
 
     /// Whether a sign of life of `member` came lately.
     pub fn is_heard(&self, now: Duration, member: MemberId) -> bool {
-        member == self.own || self.table.get(&member).is_some_and(|peer| is_recent(now, peer.last_heard))
+        member == self.own
+            || self
+                .table
+                .get(&member)
+                .is_some_and(|peer| is_recent(now, peer.last_heard))
     }
 
     /// Whether `member` isn't suspected: heard lately, or this process has not listened for long enough.
@@ -146,7 +157,9 @@
 
     /// Whether `member` has given signs of life, without a silence, for long enough to be taken into a view.
     pub fn is_steady(&self, now: Duration, member: MemberId) -> bool {
-        self.table.get(&member).is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STEADY)
+        self.table
+            .get(&member)
+            .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STEADY)
     }
 
     /// Whether `first` hears `second`, as far as is known.
@@ -154,8 +167,13 @@
         if first == self.own {
             return self.is_alive(now, second);
         }
-        let Some(peer) = self.table.get(&first) else { return is_recent(now, self.started) };
-        let listed = peer.hears.get(&second).is_some_and(|&heard| is_recent(now, heard));
+        let Some(peer) = self.table.get(&first) else {
+            return is_recent(now, self.started);
+        };
+        let listed = peer
+            .hears
+            .get(&second)
+            .is_some_and(|&heard| is_recent(now, heard));
         listed || is_recent(now, peer.alive_since)
     }
 
@@ -170,20 +188,32 @@
             return true;
         }
         self.table.get(&member).is_some_and(|peer| {
-            let heard_by = peer.hears.get(&self.own).is_some_and(|&heard| is_recent(now, heard));
+            let heard_by = peer
+                .hears
+                .get(&self.own)
+                .is_some_and(|&heard| is_recent(now, heard));
             is_recent(now, peer.last_heard) && heard_by
         })
     }
 
     /// The time to put on a sign of life that is sent now.
     pub fn ping_time(&self, now: Duration) -> PingTime {
-        PingTime { life: self.life, micros: u64::try_from(now.as_micros()).unwrap_or(u64::MAX) }
+        PingTime {
+            life: self.life,
+            micros: u64::try_from(now.as_micros()).unwrap_or(u64::MAX),
+        }
     }
 
     /// What a sign of life to `address` echoes.
     pub fn echo_for(&self, address: std::net::SocketAddrV4) -> PingTime {
-        let at_address = self.table.iter().filter(|(member, _)| member.address == address);
-        at_address.max_by_key(|(_, peer)| peer.last_heard).map(|(_, peer)| peer.sent).unwrap_or_default()
+        let at_address = self
+            .table
+            .iter()
+            .filter(|(member, _)| member.address == address);
+        at_address
+            .max_by_key(|(_, peer)| peer.last_heard)
+            .map(|(_, peer)| peer.sent)
+            .unwrap_or_default()
     }
 
     /// Whether `member` has heard this one within [`CONTACT`], as it has told. Unlike
@@ -196,12 +226,17 @@
 
     /// Stamp of the newest committed state that `member` has told of.
     pub fn committed(&self, member: MemberId) -> Stamp {
-        self.table.get(&member).map(|peer| peer.committed).unwrap_or_default()
+        self.table
+            .get(&member)
+            .map(|peer| peer.committed)
+            .unwrap_or_default()
     }
 
     /// Whether `member` may be in a chain; assumed of those that have said nothing yet.
     pub fn is_fit(&self, member: MemberId) -> bool {
-        self.table.get(&member).is_none_or(|peer| peer.fit && !peer.leaving)
+        self.table
+            .get(&member)
+            .is_none_or(|peer| peer.fit && !peer.leaving)
     }
 
     /// Whether `member` has said that it is being stopped.
@@ -211,13 +246,21 @@
 
     /// Where `member` stands, if it has said so.
     pub fn place(&self, member: MemberId) -> Place {
-        self.table.get(&member).map(|peer| peer.place).unwrap_or_default()
+        self.table
+            .get(&member)
+            .map(|peer| peer.place)
+            .unwrap_or_default()
     }
 
     /// Members heard lately, this one among them.
     pub fn heard_lately(&self, now: Duration) -> Vec<MemberId> {
-        let others = self.table.iter().filter(|(_, peer)| is_recent(now, peer.last_heard));
-        std::iter::once(self.own).chain(others.map(|(&member, _)| member)).collect()
+        let others = self
+            .table
+            .iter()
+            .filter(|(_, peer)| is_recent(now, peer.last_heard));
+        std::iter::once(self.own)
+            .chain(others.map(|(&member, _)| member))
+            .collect()
     }
 
     /// The member at `address` that was heard lately and may vote in epoch 0.
@@ -229,7 +272,10 @@
 
     /// Members that are known from others only: heard by those that are heard.
     pub fn heard_of(&self, now: Duration) -> Vec<MemberId> {
-        let recent = self.table.values().filter(|peer| is_recent(now, peer.last_heard));
+        let recent = self
+            .table
+            .values()
+            .filter(|peer| is_recent(now, peer.last_heard));
         recent.flat_map(|peer| peer.hears.keys().copied()).collect()
     }
 }
--- a/crates/woadreach-chain/src/plan.rs
+++ b/crates/woadreach-chain/src/plan.rs
@@ -39,13 +39,18 @@
 impl Place {
     /// The place of these names.
     pub fn named(zone: &str, region: &str) -> Place {
-        Place { zone: digest(zone), region: digest(region) }
+        Place {
+            zone: digest(zone),
+            region: digest(region),
+        }
     }
 }
 
 /// Digest of a name (FNV-1a, 32 bits).
 fn digest(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 /// What may be lost at once.
@@ -73,7 +78,10 @@
     /// The policy that bears these losses. Members spread over zones or regions, so that the loss of one of
     /// those is the loss of no more members than the policy bears.
     pub fn tolerating(tolerance: Tolerance) -> Policy {
-        let faults = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
+        let faults = tolerance
+            .machines
+            .max(tolerance.zones)
+            .max(tolerance.regions);
         Policy {
             replicas: 2 * faults + 1,
             minimum: faults + 1,
@@ -84,9 +92,15 @@
 
     /// How many of `chosen` a machine at `place` would be lost together with; fewer is better.
     fn crowding(&self, place: Place, chosen: &[Candidate]) -> (usize, usize) {
-        let in_region = chosen.iter().filter(|other| other.place.region == place.region).count();
+        let in_region = chosen
+            .iter()
+            .filter(|other| other.place.region == place.region)
+            .count();
         let in_zone = chosen.iter().filter(|other| other.place == place).count();
-        (if self.spread_regions { in_region } else { 0 }, if self.spread_zones { in_zone } else { 0 })
+        (
+            if self.spread_regions { in_region } else { 0 },
+            if self.spread_zones { in_zone } else { 0 },
+        )
     }
 }
 
@@ -106,14 +120,22 @@
     let floor = next_floor(current, voters);
     let chain = next_chain(current, floor, voters, learners, policy, linked)?;
     let voters = next_voters(current, &chain, voters, learners, policy);
-    Ok(View { epoch: current.epoch + 1, voters, chain, floor })
+    Ok(View {
+        epoch: current.epoch + 1,
+        voters,
+        chain,
+        floor,
+    })
 }
 
 /// The floor without epochs in which nothing was committed: whoever was active in the floor of such an epoch
 /// holds what was committed before it, and so all that was.
 pub fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
-    while let Some(idle) = idle_epochs.iter().find(|idle| idle.epoch == floor && idle.floor < floor) {
+    while let Some(idle) = idle_epochs
+        .iter()
+        .find(|idle| idle.epoch == floor && idle.floor < floor)
+    {
         floor = idle.floor;
     }
     floor
@@ -126,8 +148,14 @@
     if !current.meets_every_majority() {
         return current.floor;
     }
-    let mut chain = voters.iter().filter(|voter| current.chain.contains(&voter.member));
-    if chain.any(|voter| voter.active_epoch < current.epoch) { current.floor } else { current.epoch }
+    let mut chain = voters
+        .iter()
+        .filter(|voter| current.chain.contains(&voter.member));
+    if chain.any(|voter| voter.active_epoch < current.epoch) {
+        current.floor
+    } else {
+        current.epoch
+    }
 }
 
 fn next_chain(
@@ -143,7 +171,8 @@
         found.unwrap_or(current.chain.len())
     };
     let complete = voters.iter().filter(|voter| voter.active_epoch >= floor);
-    let base = complete.max_by_key(|voter| (voter.fit, voter.stamp, Reverse(position(voter.member))));
+    let base =
+        complete.max_by_key(|voter| (voter.fit, voter.stamp, Reverse(position(voter.member))));
     let base = base.ok_or(PlanError::NoCompleteMember)?;
 
     let mut ordered: Vec<Candidate> = voters.to_vec();
@@ -153,14 +182,19 @@
     let mut chain = vec![*base];
     let mut extend = |fit: bool, length: usize| {
         while chain.len() < length {
-            let Some(next) = next_member(&ordered, fit, &chain, policy, linked) else { return };
+            let Some(next) = next_member(&ordered, fit, &chain, policy, linked) else {
+                return;
+            };
             chain.push(next);
         }
     };
     extend(true, policy.replicas);
     // Members that leave or sync slowly are better than a chain that commits nothing.
     extend(false, policy.minimum);
-    Ok(chain.into_iter().map(|candidate| candidate.member).collect())
+    Ok(chain
+        .into_iter()
+        .map(|candidate| candidate.member)
+        .collect())
 }
 
 /// The first of `ordered` that reaches everyone in `chain`, those at less crowded places before others.
@@ -174,9 +208,14 @@
     let outside = ordered.iter().filter(|candidate| {
         candidate.fit == fit && chain.iter().all(|other| other.member != candidate.member)
     });
-    let reaching =
-        outside.filter(|candidate| chain.iter().all(|other| linked(candidate.member, other.member)));
-    reaching.min_by_key(|candidate| policy.crowding(candidate.place, chain)).copied()
+    let reaching = outside.filter(|candidate| {
+        chain
+            .iter()
+            .all(|other| linked(candidate.member, other.member))
+    });
+    reaching
+        .min_by_key(|candidate| policy.crowding(candidate.place, chain))
+        .copied()
 }
 
 fn next_voters(
@@ -197,7 +236,10 @@
     let fresh = learners.iter().filter(|learner| learner.fit);
     fresh.for_each(|learner| add(learner.member));
     if current.epoch > 0 {
-        let silent = current.voters.iter().filter(|voter| !has_lost_its_disk(**voter, learners));
+        let silent = current
+            .voters
+            .iter()
+            .filter(|voter| !has_lost_its_disk(**voter, learners));
         silent.for_each(|&voter| add(voter));
     }
     next.sort();
@@ -206,7 +248,7 @@
 
 /// Whether another member lives at the address of `voter`.
 fn has_lost_its_disk(voter: MemberId, learners: &[Candidate]) -> bool {
-    learners
-        .iter()
-        .any(|learner| learner.member.address == voter.address && learner.member.identity != voter.identity)
+    learners.iter().any(|learner| {
+        learner.member.address == voter.address && learner.member.identity != voter.identity
+    })
 }
--- a/crates/woadreach-chain/src/plants.rs
+++ b/crates/woadreach-chain/src/plants.rs
@@ -47,7 +47,9 @@
     /// The reply that leaves at once, although something has yet to be committed for it.
     pub(crate) fn hasty_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
-            (Plant::RefusedBeforeCommit, Verdict::Rejected(rejection)) => Some(Reply::Rejected(rejection)),
+            (Plant::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
+                Some(Reply::Rejected(rejection))
+            }
             (Plant::RepeatBeforeCommit, Verdict::AlreadyTaken) => Some(Reply::AlreadyTaken),
             _ => None,
         }
--- a/crates/woadreach-chain/src/replication.rs
+++ b/crates/woadreach-chain/src/replication.rs
@@ -158,7 +158,11 @@
     /// The tail has persisted everything up to `stamp`. Tells whether more is committed than before.
     pub fn commit(&mut self, stamp: Stamp) -> bool {
         let before = self.committed_stamp();
-        while self.pending.front().is_some_and(|write| write.stamp <= stamp) {
+        while self
+            .pending
+            .front()
+            .is_some_and(|write| write.stamp <= stamp)
+        {
             if let Some(write) = self.pending.pop_front() {
                 self.base.apply(write.stamp, &write.command);
             }
@@ -169,7 +173,8 @@
 
     /// Takes the barrier that the predecessor passed on, or that the head itself begins.
     pub fn take_barrier(&mut self, barrier: Barrier) {
-        let is_newer = barrier.session != self.barrier.session || barrier.number > self.barrier.number;
+        let is_newer =
+            barrier.session != self.barrier.session || barrier.number > self.barrier.number;
         if is_newer {
             self.barrier = barrier;
         }
@@ -177,7 +182,11 @@
 
     /// Begins a barrier at the head.
     pub fn next_barrier(&mut self, session: u64) -> Barrier {
-        let number = if self.barrier.session == session { self.barrier.number + 1 } else { 1 };
+        let number = if self.barrier.session == session {
+            self.barrier.number + 1
+        } else {
+            1
+        };
         self.barrier = Barrier { session, number };
         self.barrier
     }
@@ -187,7 +196,8 @@
         let is_news = barrier.session == self.barrier.session
             && barrier.number <= self.barrier.number
             && barrier != self.confirmed
-            && (self.confirmed.session != barrier.session || barrier.number > self.confirmed.number);
+            && (self.confirmed.session != barrier.session
+                || barrier.number > self.confirmed.number);
         if is_news {
             self.confirmed = barrier;
         }
@@ -203,14 +213,26 @@
                 self.must_resend = true;
                 Link::Transferring
             }
-            (Link::Streaming { persisted: earlier, sent }, true) => {
+            (
+                Link::Streaming {
+                    persisted: earlier,
+                    sent,
+                },
+                true,
+            ) => {
                 let persisted = report.persisted.max(earlier);
                 if persisted > earlier {
                     self.under_way_since = now;
                 }
-                Link::Streaming { persisted, sent: sent.max(persisted) }
+                Link::Streaming {
+                    persisted,
+                    sent: sent.max(persisted),
+                }
             }
-            (_, true) => Link::Streaming { persisted: report.persisted, sent: report.persisted },
+            (_, true) => Link::Streaming {
+                persisted: report.persisted,
+                sent: report.persisted,
+            },
         };
         let is_overdue = now.saturating_sub(self.under_way_since) >= RESEND;
         self.must_resend |= !has_news && is_overdue && self.has_content_under_way();
@@ -218,9 +240,18 @@
 
     /// The place without its times, with numbers of records counted back from `newest`.
     pub fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
-        let unsynced: Vec<_> =
-            self.unsynced.iter().map(|(record, epoch, stamp)| (newest - record, epoch, stamp)).collect();
-        let state = (&self.base, self.is_base_committed, &self.pending, self.persisted, unsynced);
+        let unsynced: Vec<_> = self
+            .unsynced
+            .iter()
+            .map(|(record, epoch, stamp)| (newest - record, epoch, stamp))
+            .collect();
+        let state = (
+            &self.base,
+            self.is_base_committed,
+            &self.pending,
+            self.persisted,
+            unsynced,
+        );
         let link = (self.link, self.last_sent.is_zero(), self.must_resend);
         (state, link, self.sent_barrier, self.barrier, self.confirmed)
     }
@@ -270,8 +301,9 @@
     }
 
     fn stream(&mut self, own: Stamp, persisted: Stamp, sent: Stamp, is_due: bool) -> Option<Body> {
-        let is_settled =
-            persisted == own && self.committed_stamp() == Some(own) && self.confirmed == self.barrier;
+        let is_settled = persisted == own
+            && self.committed_stamp() == Some(own)
+            && self.confirmed == self.barrier;
         let from = if self.must_resend { persisted } else { sent };
         let has_new_barrier = self.sent_barrier != self.barrier;
         let is_probe = is_due && !is_settled;
@@ -289,13 +321,18 @@
 
     /// The writes after `from`, up to `own`; none if they are not kept any more.
     fn writes_after(&self, from: Stamp, own: Stamp) -> Option<Vec<Write>> {
-        let is_kept = from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
+        let is_kept =
+            from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
         if !is_kept {
             return None;
         }
         let mut bytes = 0;
         let mut writes = Vec::new();
-        for write in self.pending.iter().filter(|write| write.stamp > from && write.stamp <= own) {
+        for write in self
+            .pending
+            .iter()
+            .filter(|write| write.stamp > from && write.stamp <= own)
+        {
             bytes += command_bytes(&write.command);
             if bytes > MESSAGE_BYTES && !writes.is_empty() {
                 break;
@@ -311,7 +348,11 @@
     }
 
     fn replicate(&self, after: Stamp, writes: Vec<Write>) -> Body {
-        Body::Replicate { after, writes, barrier: self.barrier }
+        Body::Replicate {
+            after,
+            writes,
+            barrier: self.barrier,
+        }
     }
 
     fn transfer(&self, own: Stamp) -> Body {
@@ -319,7 +360,10 @@
         for write in self.pending.iter().filter(|write| write.stamp <= own) {
             state.apply(write.stamp, &write.command);
         }
-        Body::Transfer { state, barrier: self.barrier }
+        Body::Transfer {
+            state,
+            barrier: self.barrier,
+        }
     }
 }
 
--- a/crates/woadreach-chain/src/requests.rs
+++ b/crates/woadreach-chain/src/requests.rs
@@ -72,19 +72,60 @@
 impl WaitingRequests {
     /// Waits for the commit of a write that was just taken, or of one that was taken earlier.
     pub fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
-        let outcome = if is_new { Outcome::Taken } else { Outcome::AlreadyTaken };
-        self.waiting.insert(id, Waiting { outcome, stamp, barrier: 0 });
+        let outcome = if is_new {
+            Outcome::Taken
+        } else {
+            Outcome::AlreadyTaken
+        };
+        self.waiting.insert(
+            id,
+            Waiting {
+                outcome,
+                stamp,
+                barrier: 0,
+            },
+        );
     }
 
     /// Waits until the state on which `rejection` is based is committed and was the newest.
-    pub fn wait_for_rejection(&mut self, id: RequestId, rejection: Rejection, stamp: Stamp, barrier: u64) {
-        self.waiting.insert(id, Waiting { outcome: Outcome::Rejected(rejection), stamp, barrier });
+    pub fn wait_for_rejection(
+        &mut self,
+        id: RequestId,
+        rejection: Rejection,
+        stamp: Stamp,
+        barrier: u64,
+    ) {
+        self.waiting.insert(
+            id,
+            Waiting {
+                outcome: Outcome::Rejected(rejection),
+                stamp,
+                barrier,
+            },
+        );
     }
 
     /// Waits until the committed state was the newest.
-    pub fn wait_for_read(&mut self, id: RequestId, is_configuration: bool, stamp: Stamp, barrier: u64) {
-        let outcome = if is_configuration { Outcome::Configuration } else { Outcome::Confirmed };
-        self.waiting.insert(id, Waiting { outcome, stamp, barrier });
+    pub fn wait_for_read(
+        &mut self,
+        id: RequestId,
+        is_configuration: bool,
+        stamp: Stamp,
+        barrier: u64,
+    ) {
+        let outcome = if is_configuration {
+            Outcome::Configuration
+        } else {
+            Outcome::Confirmed
+        };
+        self.waiting.insert(
+            id,
+            Waiting {
+                outcome,
+                stamp,
+                barrier,
+            },
+        );
     }
 
     pub fn is_empty(&self) -> bool {
@@ -92,19 +133,36 @@
     }
 
     /// Takes out the requests that need wait no longer, with their replies.
-    pub fn resolve(&mut self, committed: &ControlState, confirmed_barrier: u64) -> Vec<(RequestId, Reply)> {
-        let is_done =
-            |waiting: &Waiting| waiting.stamp <= committed.stamp && waiting.barrier <= confirmed_barrier;
-        let done: Vec<RequestId> =
-            self.waiting.iter().filter(|(_, waiting)| is_done(waiting)).map(|(&id, _)| id).collect();
+    pub fn resolve(
+        &mut self,
+        committed: &ControlState,
+        confirmed_barrier: u64,
+    ) -> Vec<(RequestId, Reply)> {
+        let is_done = |waiting: &Waiting| {
+            waiting.stamp <= committed.stamp && waiting.barrier <= confirmed_barrier
+        };
+        let done: Vec<RequestId> = self
+            .waiting
+            .iter()
+            .filter(|(_, waiting)| is_done(waiting))
+            .map(|(&id, _)| id)
+            .collect();
         done.into_iter()
-            .filter_map(|id| self.waiting.remove(&id).map(|waiting| (id, waiting.reply(committed))))
+            .filter_map(|id| {
+                self.waiting
+                    .remove(&id)
+                    .map(|waiting| (id, waiting.reply(committed)))
+            })
             .collect()
     }
 
     /// In a new epoch of the same head: barriers of the earlier epoch prove nothing any more.
     pub fn renew_barriers(&mut self, barrier: u64) {
-        for waiting in self.waiting.values_mut().filter(|waiting| waiting.barrier > 0) {
+        for waiting in self
+            .waiting
+            .values_mut()
+            .filter(|waiting| waiting.barrier > 0)
+        {
             waiting.barrier = barrier;
         }
     }
@@ -128,7 +186,10 @@
             Outcome::Rejected(rejection) => Reply::Rejected(rejection),
             Outcome::Confirmed => Reply::Confirmed,
             Outcome::Configuration => Reply::Configuration(
-                committed.configuration.as_ref().map(|stored| (stored.generation, stored.body.clone())),
+                committed
+                    .configuration
+                    .as_ref()
+                    .map(|stored| (stored.generation, stored.body.clone())),
             ),
         }
     }
--- a/crates/woadreach-chain/src/state.rs
+++ b/crates/woadreach-chain/src/state.rs
@@ -134,7 +134,9 @@
 impl ControlState {
     /// Generation of the current configuration, 0 before the first.
     pub fn generation(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |configuration| configuration.generation)
+        self.configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.generation)
     }
 
     /// Epoch of the current storage view, 0 before the first.
@@ -156,7 +158,10 @@
         match command {
             Command::PutConfiguration(put) => self.apply_configuration(put),
             Command::PutStorageView(put) => {
-                self.storage_view = Some(StoredStorageView { epoch: put.epoch, bytes: put.bytes.clone() });
+                self.storage_view = Some(StoredStorageView {
+                    epoch: put.epoch,
+                    bytes: put.bytes.clone(),
+                });
             }
         }
     }
@@ -184,19 +189,27 @@
 
     /// Whether this very change was taken. Generations rise from one taken change to the next.
     fn is_remembered(&self, put: &PutConfiguration) -> bool {
-        let found = self.taken.binary_search_by_key(&put.generation, |taken| taken.generation);
+        let found = self
+            .taken
+            .binary_search_by_key(&put.generation, |taken| taken.generation);
         found.is_ok_and(|place| self.taken[place].digest == put.digest)
     }
 
     /// Every taken change of this generation or a later one is remembered.
     fn oldest_remembered(&self) -> u64 {
         let is_full = self.taken.len() >= TAKEN_LIMIT;
-        self.taken.first().filter(|_| is_full).map_or(0, |oldest| oldest.generation)
+        self.taken
+            .first()
+            .filter(|_| is_full)
+            .map_or(0, |oldest| oldest.generation)
     }
 
     fn judge_storage_view(&self, put: &PutStorageView) -> Verdict {
         let current = self.storage_epoch();
-        let same = StoredStorageView { epoch: put.epoch, bytes: put.bytes.clone() };
+        let same = StoredStorageView {
+            epoch: put.epoch,
+            bytes: put.bytes.clone(),
+        };
         if self.storage_view.as_ref() == Some(&same) {
             return Verdict::AlreadyTaken;
         }
@@ -210,7 +223,10 @@
         if self.taken.len() == TAKEN_LIMIT {
             self.taken.remove(0);
         }
-        self.taken.push(TakenConfiguration { generation: put.generation, digest: put.digest });
+        self.taken.push(TakenConfiguration {
+            generation: put.generation,
+            digest: put.digest,
+        });
         self.configuration = Some(StoredConfiguration {
             generation: put.generation,
             digest: put.digest,
--- a/crates/woadreach-chain/src/view.rs
+++ b/crates/woadreach-chain/src/view.rs
@@ -37,7 +37,10 @@
         let ip = Ipv4Addr::from(reader.read_u32()?);
         let port = reader.read_u16()?;
         let identity = reader.read_u64()?;
-        Ok(MemberId { address: SocketAddrV4::new(ip, port), identity })
+        Ok(MemberId {
+            address: SocketAddrV4::new(ip, port),
+            identity,
+        })
     }
 
     fn minimum_bytes_needed() -> usize {
@@ -74,8 +77,19 @@
 impl View {
     /// The view that a system starts from: the seeds vote, known by address only.
     pub fn bootstrap(seeds: &[SocketAddrV4]) -> View {
-        let voters = seeds.iter().map(|&address| MemberId { address, identity: 0 }).collect();
-        View { epoch: 0, voters, chain: Vec::new(), floor: 0 }
+        let voters = seeds
+            .iter()
+            .map(|&address| MemberId {
+                address,
+                identity: 0,
+            })
+            .collect();
+        View {
+            epoch: 0,
+            voters,
+            chain: Vec::new(),
+            floor: 0,
+        }
     }
 
     /// How many voters decide.
@@ -86,7 +100,10 @@
     /// Whether `member` votes on the view after this one.
     pub fn is_voter(&self, member: MemberId) -> bool {
         if self.epoch == 0 {
-            return self.voters.iter().any(|voter| voter.address == member.address);
+            return self
+                .voters
+                .iter()
+                .any(|voter| voter.address == member.address);
         }
         self.voters.contains(&member)
     }
@@ -94,15 +111,29 @@
     /// Checks what holds of every view that a proposer makes.
     pub fn check(&self) -> Result<(), ViewError> {
         ensure!(!self.voters.is_empty(), NoVotersSnafu { epoch: self.epoch });
-        let is_named_twice =
-            |members: &[MemberId]| (1..members.len()).any(|place| members[..place].contains(&members[place]));
+        let is_named_twice = |members: &[MemberId]| {
+            (1..members.len()).any(|place| members[..place].contains(&members[place]))
+        };
         let is_twice = is_named_twice(&self.voters) || is_named_twice(&self.chain);
         ensure!(!is_twice, NamedTwiceSnafu { epoch: self.epoch });
-        let stranger = self.chain.iter().find(|member| !self.voters.contains(member));
+        let stranger = self
+            .chain
+            .iter()
+            .find(|member| !self.voters.contains(member));
         if let Some(&member) = stranger {
-            return StrangerSnafu { epoch: self.epoch, member }.fail();
+            return StrangerSnafu {
+                epoch: self.epoch,
+                member,
+            }
+            .fail();
         }
-        ensure!(self.floor <= self.epoch, FloorSnafu { epoch: self.epoch, floor: self.floor });
+        ensure!(
+            self.floor <= self.epoch,
+            FloorSnafu {
+                epoch: self.epoch,
+                floor: self.floor
+            }
+        );
         Ok(())
     }
 
@@ -113,7 +144,11 @@
     /// Whether every majority of the voters has a member of the chain among it. A chain that doesn't meet
     /// them all commits nothing: its epoch could end without it.
     pub fn meets_every_majority(&self) -> bool {
-        let in_chain = self.voters.iter().filter(|voter| self.chain.contains(voter)).count();
+        let in_chain = self
+            .voters
+            .iter()
+            .filter(|voter| self.chain.contains(voter))
+            .count();
         in_chain + self.majority() > self.voters.len()
     }
 
--- a/crates/woadreach-chain/tests/ballots.rs
+++ b/crates/woadreach-chain/tests/ballots.rs
@@ -4,21 +4,29 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Ballot, Body, Durable, Input, Member, MemberId, MemberOptions, Output, Place, Record, TimedStep,
-    Tolerance, View,
+    Ballot, Body, Durable, Input, Member, MemberId, MemberOptions, Output, Place, Record,
+    TimedStep, Tolerance, View,
 };
 
 const NOW: Duration = Duration::from_secs(10);
 
 fn id(number: u8) -> MemberId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId { address, identity: u64::from(number) }
+    MemberId {
+        address,
+        identity: u64::from(number),
+    }
 }
 
 /// The disk of the head of a view of three.
 fn disk() -> Durable {
     let members = vec![id(1), id(2), id(3)];
-    let view = View { epoch: 1, voters: members.clone(), chain: members, floor: 0 };
+    let view = View {
+        epoch: 1,
+        voters: members.clone(),
+        chain: members,
+        floor: 0,
+    };
     let mut durable = Durable::new(1, true, View::default());
     durable.apply(&Record::View(view));
     durable.apply(&Record::Activate(1));
@@ -29,7 +37,10 @@
     let options = MemberOptions {
         address: id(1).address,
         seeds: Vec::new(),
-        tolerance: Tolerance { machines: 1, ..Tolerance::default() },
+        tolerance: Tolerance {
+            machines: 1,
+            ..Tolerance::default()
+        },
         place: Place::default(),
         random_seed: 1,
     };
--- a/crates/woadreach-chain/tests/catch_up.rs
+++ b/crates/woadreach-chain/tests/catch_up.rs
@@ -43,7 +43,13 @@
 impl Writer {
     fn new(bytes: usize, pause: Duration) -> Writer {
         let body = Blob::from(vec![7; bytes]);
-        Writer { body, pause, next_at: Duration::ZERO, acknowledged: Vec::new(), sent: None }
+        Writer {
+            body,
+            pause,
+            next_at: Duration::ZERO,
+            acknowledged: Vec::new(),
+            sent: None,
+        }
     }
 
     fn generation(&self) -> u64 {
@@ -52,7 +58,10 @@
 
     fn step(&mut self, world: &mut World) {
         if let Some((put, _)) = &self.sent {
-            let taken = TakenConfiguration { generation: put.generation, digest: put.digest };
+            let taken = TakenConfiguration {
+                generation: put.generation,
+                digest: put.digest,
+            };
             if head_has_committed(world, put.generation) {
                 self.acknowledged.push(taken);
                 self.sent = None;
@@ -62,7 +71,12 @@
             let generation = self.generation() + 1;
             let mut digest = [0; 16];
             digest[..8].copy_from_slice(&generation.to_le_bytes());
-            let put = PutConfiguration { base: generation - 1, generation, digest, body: self.body.clone() };
+            let put = PutConfiguration {
+                base: generation - 1,
+                generation,
+                digest,
+                body: self.body.clone(),
+            };
             self.sent = Some((put, Duration::ZERO));
             self.next_at = world.now + self.pause;
         }
@@ -71,7 +85,9 @@
 
     /// Sends what is under way to the head, and again after a second.
     fn send(&mut self, world: &mut World) {
-        let Some((put, sent_at)) = &mut self.sent else { return };
+        let Some((put, sent_at)) = &mut self.sent else {
+            return;
+        };
         if !sent_at.is_zero() && world.now - *sent_at < Duration::from_secs(1) {
             return;
         }
@@ -105,7 +121,11 @@
 }
 
 fn published(world: &World, node: usize) -> Stamp {
-    world.nodes[node].member.as_ref().map(|member| member.published().stamp).unwrap_or_default()
+    world.nodes[node]
+        .member
+        .as_ref()
+        .map(|member| member.published().stamp)
+        .unwrap_or_default()
 }
 
 /// Writes until `is_done`; the time that it took, or none if it took too long.
@@ -156,7 +176,16 @@
 impl Case {
     fn new(link_rate: u64, bytes: usize, missed: u64, position: usize) -> Case {
         let seed = 1 + position as u64;
-        Case { seed, link_rate, bytes, missed, position, trouble: None, bug: None, has_one_queue: false }
+        Case {
+            seed,
+            link_rate,
+            bytes,
+            missed,
+            position,
+            trouble: None,
+            bug: None,
+            has_one_queue: false,
+        }
     }
 }
 
@@ -184,15 +213,23 @@
     let mut capacity = Capacity::new(case.link_rate, DISK_RATE);
     capacity.has_one_queue = case.has_one_queue;
     world.capacity = Some(capacity);
-    let pause = if case.bytes == SMALL { SMALL_PAUSE } else { Duration::ZERO };
+    let pause = if case.bytes == SMALL {
+        SMALL_PAUSE
+    } else {
+        Duration::ZERO
+    };
     let mut writer = Writer::new(case.bytes, pause);
-    write_until(&mut world, &mut writer, |world, writer| all_active(world) && writer.generation() >= 3)
-        .ok_or("the core doesn't start")?;
+    write_until(&mut world, &mut writer, |world, writer| {
+        all_active(world) && writer.generation() >= 3
+    })
+    .ok_or("the core doesn't start")?;
     let away = node_at(&world, case.position);
     world.kill(away);
     let target = writer.generation() + case.missed;
-    write_until(&mut world, &mut writer, |_, writer| writer.generation() >= target)
-        .ok_or("no writes without the member")?;
+    write_until(&mut world, &mut writer, |_, writer| {
+        writer.generation() >= target
+    })
+    .ok_or("no writes without the member")?;
 
     let capacity = world.capacity.as_mut().expect("set above");
     (capacity.most_waiting, capacity.sent_bytes) = (0, 0);
@@ -201,11 +238,18 @@
         write_for(&mut world, &mut writer, after);
         befall(&mut world, &mut writer, away, trouble);
     }
-    let newest = (0..3).map(|node| published(&world, node)).max().expect("members");
-    let to_state = write_until(&mut world, &mut writer, |world, _| published(world, away) >= newest);
+    let newest = (0..3)
+        .map(|node| published(&world, node))
+        .max()
+        .expect("members");
+    let to_state = write_until(&mut world, &mut writer, |world, _| {
+        published(world, away) >= newest
+    });
     let to_active = write_until(&mut world, &mut writer, |world, _| is_active(world, away));
     let (Some(to_state), Some(rest)) = (to_state, to_active) else {
-        return Err(format!("not active after {LONGEST:?}, state after {to_state:?}"));
+        return Err(format!(
+            "not active after {LONGEST:?}, state after {to_state:?}"
+        ));
     };
     let capacity = world.capacity.as_ref().expect("set above");
     let (most_waiting, sent_bytes) = (capacity.most_waiting, capacity.sent_bytes);
@@ -237,7 +281,9 @@
             world.nodes[away].is_disk_stalled = false;
         }
         Trouble::SourceKilled => {
-            let Some(source) = head(world).filter(|&head| head != away) else { return };
+            let Some(source) = head(world).filter(|&head| head != away) else {
+                return;
+            };
             world.kill(source);
             write_for(world, writer, Duration::from_secs(2));
             world.start(source);
@@ -248,15 +294,21 @@
 fn node_at(world: &World, position: usize) -> usize {
     let member = world.nodes[0].member.as_ref().expect("it runs");
     let address = member.durable().view.chain[position].address;
-    world.nodes.iter().position(|node| node.address == address).expect("a machine")
+    world
+        .nodes
+        .iter()
+        .position(|node| node.address == address)
+        .expect("a machine")
 }
 
 /// Kills one head after the other, so that each member leads; at the end everyone holds what was
 /// acknowledged.
 fn check_leadership(world: &mut World, writer: &mut Writer) -> Result<(), String> {
     for _ in 0..3 {
-        write_until(world, writer, |world, _| all_active(world) && head(world).is_some())
-            .ok_or("not whole again")?;
+        write_until(world, writer, |world, _| {
+            all_active(world) && head(world).is_some()
+        })
+        .ok_or("not whole again")?;
         let struck = head(world).expect("waited for");
         world.kill(struck);
         let target = writer.generation() + 2;
@@ -269,7 +321,12 @@
     };
     write_until(world, writer, is_settled).ok_or("old state at the end")?;
     for node in 0..3 {
-        let taken = &world.nodes[node].member.as_ref().expect("it runs").published().taken;
+        let taken = &world.nodes[node]
+            .member
+            .as_ref()
+            .expect("it runs")
+            .published()
+            .taken;
         if !taken.starts_with(&writer.acknowledged[..acknowledged as usize]) {
             return Err(format!("machine {node} lacks acknowledged changes"));
         }
@@ -278,7 +335,10 @@
 }
 
 fn generation(world: &World, node: usize) -> u64 {
-    world.nodes[node].member.as_ref().map_or(0, |member| member.published().generation())
+    world.nodes[node]
+        .member
+        .as_ref()
+        .map_or(0, |member| member.published().generation())
 }
 
 /// The worst of the three positions in the chain.
@@ -300,7 +360,11 @@
 /// Numbers of changes missed; 1,000 large ones only where `WOADREACH_LONG` is set.
 fn large_counts() -> &'static [u64] {
     let is_long = std::env::var_os("WOADREACH_LONG").is_some();
-    if is_long { &[1, 10, 100, 1000] } else { &[1, 10, 100] }
+    if is_long {
+        &[1, 10, 100, 1000]
+    } else {
+        &[1, 10, 100]
+    }
 }
 
 #[test]
@@ -308,7 +372,10 @@
     for missed in [0, 1, 10, 100, 1000] {
         let caught = measure(FAST_LINK, SMALL, missed);
         assert!(caught.to_state <= Duration::from_millis(300), "{caught:?}");
-        assert!(caught.to_active <= Duration::from_millis(1500), "{caught:?}");
+        assert!(
+            caught.to_active <= Duration::from_millis(1500),
+            "{caught:?}"
+        );
     }
 }
 
@@ -317,7 +384,10 @@
     for &missed in large_counts() {
         let caught = measure(FAST_LINK, LARGE, missed);
         assert!(caught.to_state <= Duration::from_millis(500), "{caught:?}");
-        assert!(caught.to_active <= Duration::from_millis(2000), "{caught:?}");
+        assert!(
+            caught.to_active <= Duration::from_millis(2000),
+            "{caught:?}"
+        );
         assert!(caught.most_waiting <= 4 * caught.state_bytes, "{caught:?}");
     }
 }
@@ -326,7 +396,10 @@
 fn small_changes_missed_on_a_slow_link() {
     for missed in [1, 10, 100, 1000] {
         let caught = measure(SLOW_LINK, SMALL, missed);
-        assert!(caught.to_active <= Duration::from_millis(1500), "{caught:?}");
+        assert!(
+            caught.to_active <= Duration::from_millis(1500),
+            "{caught:?}"
+        );
     }
 }
 
@@ -348,7 +421,10 @@
         for (number, bytes) in (0..15).flat_map(|number| [(number, SMALL), (number, LARGE)]) {
             let after = Duration::from_millis(90 * number);
             let position = number as usize % 3;
-            let case = Case { trouble: Some((trouble, after)), ..Case::new(FAST_LINK, bytes, 10, position) };
+            let case = Case {
+                trouble: Some((trouble, after)),
+                ..Case::new(FAST_LINK, bytes, 10, position)
+            };
             let caught = play(case).unwrap_or_else(|fault| panic!("{case:?}: {fault}"));
             longest = longest.max(caught.to_active);
         }
@@ -359,7 +435,10 @@
 
 #[test]
 fn signs_of_life_behind_long_messages_are_found() {
-    let case = Case { has_one_queue: true, ..Case::new(SLOW_LINK, LARGE, 1, 0) };
+    let case = Case {
+        has_one_queue: true,
+        ..Case::new(SLOW_LINK, LARGE, 1, 0)
+    };
     assert!(play(case).is_err());
 }
 
@@ -368,7 +447,12 @@
 fn digests_lost_by_a_restart_are_found() {
     let bug = Some(PlantedBug::Member(woadreach_chain::Plant::DigestsForgotten));
     // One that has missed something is sent the whole state.
-    let is_found =
-        (0..3).any(|position| play(Case { bug, ..Case::new(FAST_LINK, SMALL, 0, position) }).is_err());
+    let is_found = (0..3).any(|position| {
+        play(Case {
+            bug,
+            ..Case::new(FAST_LINK, SMALL, 0, position)
+        })
+        .is_err()
+    });
     assert!(is_found);
 }
