--- a/crates/woadreach-chain/tests/codec.rs
+++ b/crates/woadreach-chain/tests/codec.rs
@@ -3,16 +3,23 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use woadreach_chain::{
-    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope, MemberId, Ping,
-    PingTime, Place, Promise, PutConfiguration, PutStorageView, Record, Stamp, TakenConfiguration, View,
+    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope, MemberId,
+    Ping, PingTime, Place, Promise, PutConfiguration, PutStorageView, Record, Stamp,
+    TakenConfiguration, View,
 };
 
 #[derive(Clone, Debug)]
 struct Generated<T>(T);
 
 fn member(generator: &mut Gen) -> MemberId {
-    let address = SocketAddrV4::new(Ipv4Addr::from(u32::arbitrary(generator)), u16::arbitrary(generator));
-    MemberId { address, identity: u64::arbitrary(generator) }
+    let address = SocketAddrV4::new(
+        Ipv4Addr::from(u32::arbitrary(generator)),
+        u16::arbitrary(generator),
+    );
+    MemberId {
+        address,
+        identity: u64::arbitrary(generator),
+    }
 }
 
 fn members(generator: &mut Gen) -> Vec<MemberId> {
@@ -21,11 +28,17 @@
 }
 
 fn stamp(generator: &mut Gen) -> Stamp {
-    Stamp { epoch: u64::arbitrary(generator), number: u64::arbitrary(generator) }
+    Stamp {
+        epoch: u64::arbitrary(generator),
+        number: u64::arbitrary(generator),
+    }
 }
 
 fn ping_time(generator: &mut Gen) -> PingTime {
-    PingTime { life: u64::arbitrary(generator), micros: u64::arbitrary(generator) }
+    PingTime {
+        life: u64::arbitrary(generator),
+        micros: u64::arbitrary(generator),
+    }
 }
 
 fn view(generator: &mut Gen) -> View {
@@ -38,7 +51,10 @@
 }
 
 fn ballot(generator: &mut Gen) -> Ballot {
-    Ballot { round: u64::arbitrary(generator), proposer: member(generator) }
+    Ballot {
+        round: u64::arbitrary(generator),
+        proposer: member(generator),
+    }
 }
 
 fn digest(generator: &mut Gen) -> [u8; 16] {
@@ -65,19 +81,34 @@
 fn state(generator: &mut Gen) -> ControlState {
     let mut state = ControlState::default();
     state.apply(stamp(generator), &command(generator));
-    state.taken.push(TakenConfiguration { generation: u64::arbitrary(generator), digest: digest(generator) });
+    state.taken.push(TakenConfiguration {
+        generation: u64::arbitrary(generator),
+        digest: digest(generator),
+    });
     state
 }
 
 impl Arbitrary for Generated<Record> {
     fn arbitrary(generator: &mut Gen) -> Self {
         Generated(match u8::arbitrary(generator) % 6 {
-            0 => Record::Promise(Promise { epoch: u64::arbitrary(generator), ballot: ballot(generator) }),
-            1 => Record::Accept(Accepted { ballot: ballot(generator), view: view(generator) }),
+            0 => Record::Promise(Promise {
+                epoch: u64::arbitrary(generator),
+                ballot: ballot(generator),
+            }),
+            1 => Record::Accept(Accepted {
+                ballot: ballot(generator),
+                view: view(generator),
+            }),
             2 => Record::View(view(generator)),
             3 => Record::Activate(u64::arbitrary(generator)),
-            4 => Record::State { epoch: u64::arbitrary(generator), state: state(generator) },
-            _ => Record::Write { stamp: stamp(generator), command: command(generator) },
+            4 => Record::State {
+                epoch: u64::arbitrary(generator),
+                state: state(generator),
+            },
+            _ => Record::Write {
+                stamp: stamp(generator),
+                command: command(generator),
+            },
         })
     }
 }
@@ -91,21 +122,37 @@
                 fit: bool::arbitrary(generator),
                 leaving: bool::arbitrary(generator),
                 bootstrap: bool::arbitrary(generator),
-                place: Place { zone: u32::arbitrary(generator), region: u32::arbitrary(generator) },
+                place: Place {
+                    zone: u32::arbitrary(generator),
+                    region: u32::arbitrary(generator),
+                },
                 committed: stamp(generator),
                 hears: members(generator),
             }),
-            1 => Body::Prepare { ballot: ballot(generator) },
-            2 => Body::Accept(Accepted { ballot: ballot(generator), view: view(generator) }),
-            3 => Body::Accepted { ballot: ballot(generator) },
+            1 => Body::Prepare {
+                ballot: ballot(generator),
+            },
+            2 => Body::Accept(Accepted {
+                ballot: ballot(generator),
+                view: view(generator),
+            }),
+            3 => Body::Accepted {
+                ballot: ballot(generator),
+            },
             4 => Body::Decided(view(generator)),
             5 => Body::RequestView,
             6 => Body::Committed(state(generator)),
             7 => Body::RequestActive,
             8 => Body::Active,
-            _ => Body::Superseded { promised: ballot(generator) },
+            _ => Body::Superseded {
+                promised: ballot(generator),
+            },
         };
-        Generated(Envelope { from: member(generator), epoch: u64::arbitrary(generator), body })
+        Generated(Envelope {
+            from: member(generator),
+            epoch: u64::arbitrary(generator),
+            body,
+        })
     }
 }
 
--- a/crates/woadreach-chain/tests/cut_off.rs
+++ b/crates/woadreach-chain/tests/cut_off.rs
@@ -11,16 +11,32 @@
 use simulation::world::PlantedBug;
 
 fn number(variable: &str, default: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
+    std::env::var(variable)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(default)
 }
 
 fn play_runs(nodes: usize, fault_tolerance: usize) {
     let first = number("WOADREACH_SEED", 1);
     let bug: Option<PlantedBug> = None;
     for seed in first..first + number("WOADREACH_RUNS", 50) {
-        let finding = play(CutRun { seed, nodes, fault_tolerance, bug });
-        assert!(finding.violations.is_empty(), "seed {seed}: {:?}\n{}", finding.violations, finding.history);
-        assert!(finding.acknowledged > 0, "seed {seed}: nothing was acknowledged");
+        let finding = play(CutRun {
+            seed,
+            nodes,
+            fault_tolerance,
+            bug,
+        });
+        assert!(
+            finding.violations.is_empty(),
+            "seed {seed}: {:?}\n{}",
+            finding.violations,
+            finding.history
+        );
+        assert!(
+            finding.acknowledged > 0,
+            "seed {seed}: nothing was acknowledged"
+        );
     }
 }
 
@@ -43,8 +59,16 @@
 fn is_found(plant: woadreach_chain::Plant) -> bool {
     (1..=100).any(|seed| {
         let bug = Some(PlantedBug::Member(plant));
-        let finding = play(CutRun { seed, nodes: 3, fault_tolerance: 1, bug });
-        finding.violations.iter().any(|violation| matches!(violation, Violation::StaleInQuorum { .. }))
+        let finding = play(CutRun {
+            seed,
+            nodes: 3,
+            fault_tolerance: 1,
+            bug,
+        });
+        finding
+            .violations
+            .iter()
+            .any(|violation| matches!(violation, Violation::StaleInQuorum { .. }))
     })
 }
 
--- a/crates/woadreach-chain/tests/departure.rs
+++ b/crates/woadreach-chain/tests/departure.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Departure, Durable, Envelope, Input, Member, MemberId, MemberOptions, Ping, PingTime, Place,
-    Record, Stamp, Tolerance, View,
+    Body, Departure, Durable, Envelope, Input, Member, MemberId, MemberOptions, Ping, PingTime,
+    Place, Record, Stamp, Tolerance, View,
 };
 
 const EPOCH: u64 = 5;
@@ -14,12 +14,20 @@
 
 fn id(number: u8) -> MemberId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId { address, identity: u64::from(number) }
+    MemberId {
+        address,
+        identity: u64::from(number),
+    }
 }
 
 fn view(epoch: u64, chain: &[u8]) -> View {
     let chain: Vec<MemberId> = chain.iter().copied().map(id).collect();
-    View { epoch, voters: chain.clone(), chain, floor: epoch - 1 }
+    View {
+        epoch,
+        voters: chain.clone(),
+        chain,
+        floor: epoch - 1,
+    }
 }
 
 /// A machine outside the chain of machines 1 to 3.
@@ -29,7 +37,10 @@
     let options = MemberOptions {
         address: id(LEARNER).address,
         seeds: vec![id(1).address],
-        tolerance: Tolerance { machines: 1, ..Tolerance::default() },
+        tolerance: Tolerance {
+            machines: 1,
+            ..Tolerance::default()
+        },
         place: Place::default(),
         random_seed: 1,
     };
@@ -37,14 +48,24 @@
 }
 
 fn tell(member: &mut Member, now: Duration, from: u8, epoch: u64, body: Body) {
-    member.handle(now, Input::Message(Envelope { from: id(from), epoch, body }));
+    member.handle(
+        now,
+        Input::Message(Envelope {
+            from: id(from),
+            epoch,
+            body,
+        }),
+    );
 }
 
 /// The machines of the chain hear everyone, and say that they have the state.
 fn hear_the_chain(member: &mut Member, now: Duration) {
     for number in 1..=3 {
         let ping = Ping {
-            sent: PingTime { life: u64::from(number), micros: now.as_micros() as u64 },
+            sent: PingTime {
+                life: u64::from(number),
+                micros: now.as_micros() as u64,
+            },
             echo: PingTime::default(),
             fit: true,
             leaving: false,
@@ -67,7 +88,11 @@
     for passed in [0, 100, 500, 900] {
         let now = told + Duration::from_millis(passed);
         hear_the_chain(&mut member, now);
-        assert_eq!(member.departure(now), Departure::ViewPending, "{passed} ms after it was told to stop");
+        assert_eq!(
+            member.departure(now),
+            Departure::ViewPending,
+            "{passed} ms after it was told to stop"
+        );
     }
     let now = told + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
@@ -81,7 +106,13 @@
     hear_the_chain(&mut member, told);
     member.handle(told, Input::Leave);
     let decided = told + Duration::from_millis(600);
-    tell(&mut member, decided, 1, EPOCH, Body::Decided(view(EPOCH + 1, &[1, 2, LEARNER])));
+    tell(
+        &mut member,
+        decided,
+        1,
+        EPOCH,
+        Body::Decided(view(EPOCH + 1, &[1, 2, LEARNER])),
+    );
     let now = told + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
     assert_eq!(member.departure(now), Departure::InChain);
--- a/crates/woadreach-chain/tests/failover.rs
+++ b/crates/woadreach-chain/tests/failover.rs
@@ -22,7 +22,10 @@
     let member = world.nodes[0].member.as_ref().expect("it runs");
     let chain = member.durable().view.chain.clone();
     let index = |address| world.nodes.iter().position(|node| node.address == address);
-    let positions = chain.iter().filter_map(|member| index(member.address)).collect();
+    let positions = chain
+        .iter()
+        .filter_map(|member| index(member.address))
+        .collect();
     (world, positions)
 }
 
@@ -40,7 +43,10 @@
 }
 
 fn longest_gap(position: usize, strike: fn(&mut World, usize)) -> Duration {
-    let gap = (1..=RUNS).map(|seed| gap_after(seed, position, strike)).max().expect("runs");
+    let gap = (1..=RUNS)
+        .map(|seed| gap_after(seed, position, strike))
+        .max()
+        .expect("runs");
     println!("longest of {RUNS} runs at position {position}: {gap:?}");
     gap
 }
--- a/crates/woadreach-chain/tests/idle_epochs.rs
+++ b/crates/woadreach-chain/tests/idle_epochs.rs
@@ -6,12 +6,20 @@
 
 fn id(number: u8) -> MemberId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId { address, identity: u64::from(number) }
+    MemberId {
+        address,
+        identity: u64::from(number),
+    }
 }
 
 fn view(epoch: u64, chain: &[u8]) -> View {
     let voters = vec![id(1), id(2), id(3)];
-    View { epoch, voters, chain: chain.iter().copied().map(id).collect(), floor: epoch - 1 }
+    View {
+        epoch,
+        voters,
+        chain: chain.iter().copied().map(id).collect(),
+        floor: epoch - 1,
+    }
 }
 
 /// The disk of member 1, in the chain of epoch 5.
@@ -44,7 +52,13 @@
     let mut durable = disk();
     (6..30).for_each(|epoch| durable.apply(&Record::View(view(epoch, &[2, 1]))));
     assert_eq!(durable.idle_epochs.len(), 8);
-    assert_eq!(durable.idle_epochs.last(), Some(&IdleEpoch { epoch: 28, floor: 27 }));
+    assert_eq!(
+        durable.idle_epochs.last(),
+        Some(&IdleEpoch {
+            epoch: 28,
+            floor: 27
+        })
+    );
 }
 
 #[test]
--- a/crates/woadreach-chain/tests/member_model/core.rs
+++ b/crates/woadreach-chain/tests/member_model/core.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Durable, Envelope, Input, MemberId, Output, Ping, PingTime, Place, RequestId, Stamp, TimedStep,
-    View,
+    Body, Durable, Envelope, Input, MemberId, Output, Ping, PingTime, Place, RequestId, Stamp,
+    TimedStep, View,
 };
 
 use super::machine::{Machine, address, first_identity, index_of};
@@ -49,7 +49,9 @@
 
 impl Hash for Core {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.machines.iter().for_each(|machine| machine.digest().hash(state));
+        self.machines
+            .iter()
+            .for_each(|machine| machine.digest().hash(state));
         self.letters.hash(state);
         self.counts.hash(state);
         format!("{:?}", self.oracle.canonical()).hash(state);
@@ -58,8 +60,15 @@
 
 impl PartialEq for Core {
     fn eq(&self, other: &Core) -> bool {
-        let digests = |core: &Core| core.machines.iter().map(|machine| machine.digest()).collect::<Vec<_>>();
-        digests(self) == digests(other) && self.letters == other.letters && self.counts == other.counts
+        let digests = |core: &Core| {
+            core.machines
+                .iter()
+                .map(|machine| machine.digest())
+                .collect::<Vec<_>>()
+        };
+        digests(self) == digests(other)
+            && self.letters == other.letters
+            && self.counts == other.counts
     }
 }
 
@@ -89,9 +98,15 @@
     pub fn first(world: &World) -> Core {
         let voters: Vec<MemberId> = (0..world.voters).map(first_identity).collect();
         let chain: Vec<MemberId> = voters.iter().copied().take(world.chain).collect();
-        let view = View { epoch: FIRST_EPOCH, voters, chain, floor: FIRST_EPOCH - 1 };
+        let view = View {
+            epoch: FIRST_EPOCH,
+            voters,
+            chain,
+            floor: FIRST_EPOCH - 1,
+        };
         let machine = |index: usize| {
-            let is_active = view.chain.contains(&first_identity(index)) && !world.inactive.contains(&index);
+            let is_active =
+                view.chain.contains(&first_identity(index)) && !world.inactive.contains(&index);
             let disk = Machine::first_disk(index, &view, is_active);
             Arc::new(Machine::start(START, index, world.faults, disk))
         };
@@ -114,7 +129,11 @@
 
     /// Makes the state ready to be told from others.
     pub fn compute_digests(&mut self) {
-        for machine in self.machines.iter_mut().filter(|machine| !machine.has_digest()) {
+        for machine in self
+            .machines
+            .iter_mut()
+            .filter(|machine| !machine.has_digest())
+        {
             Arc::make_mut(machine).compute_digest();
         }
     }
@@ -143,12 +162,18 @@
             echo: PingTime::default(),
             hears: self.machines.iter().map(|machine| machine.id()).collect(),
         };
-        Envelope { from: machine.id(), epoch: machine.epoch(), body: Body::Ping(ping) }
+        Envelope {
+            from: machine.id(),
+            epoch: machine.epoch(),
+            body: Body::Ping(ping),
+        }
     }
 
     /// Everyone hears a sign of life of everyone.
     pub fn greet(&mut self, world: &World) {
-        let pings: Vec<Envelope> = (0..self.machines.len()).map(|from| self.sign_of_life(from)).collect();
+        let pings: Vec<Envelope> = (0..self.machines.len())
+            .map(|from| self.sign_of_life(from))
+            .collect();
         for to in 0..self.machines.len() {
             Arc::make_mut(&mut self.machines[to]).has_greeted = true;
             for ping in pings.iter().filter(|ping| ping.from.address != address(to)) {
@@ -170,13 +195,17 @@
 
     pub fn input(&mut self, world: &World, index: usize, input: Input) {
         let now = self.now;
-        let outputs = Arc::make_mut(&mut self.machines[index]).member.handle(now, input);
+        let outputs = Arc::make_mut(&mut self.machines[index])
+            .member
+            .handle(now, input);
         self.carry_out(world, index, outputs);
     }
 
     pub fn step(&mut self, world: &World, index: usize, step: TimedStep) {
         let now = self.now;
-        let outputs = Arc::make_mut(&mut self.machines[index]).member.take_step(now, step);
+        let outputs = Arc::make_mut(&mut self.machines[index])
+            .member
+            .take_step(now, step);
         self.carry_out(world, index, outputs);
     }
 
@@ -198,7 +227,9 @@
     fn carry_out_one(&mut self, index: usize, output: Output) {
         match output {
             Output::Persist { number, record } => {
-                Arc::make_mut(&mut self.machines[index]).unsynced.push((number, record));
+                Arc::make_mut(&mut self.machines[index])
+                    .unsynced
+                    .push((number, record));
             }
             Output::Send { to, envelope } => self.send(index_of(to), &envelope),
             Output::Reply { id, reply } => {
@@ -225,7 +256,8 @@
         match &envelope.body {
             Body::Ping(_) | Body::RequestState | Body::Committed(_) => return,
             Body::Accept(accepted) if accepted.ballot.proposer == envelope.from => {
-                self.oracle.proposes(envelope.epoch, accepted.ballot, &accepted.view);
+                self.oracle
+                    .proposes(envelope.epoch, accepted.ballot, &accepted.view);
             }
             _ => {}
         }
@@ -251,7 +283,11 @@
 
     /// The disk is lost; the process starts with an empty one.
     pub fn wipe(&mut self, world: &World, index: usize) {
-        let identity = if world.identity_survives { index as u64 + 1 } else { 100 + index as u64 };
+        let identity = if world.identity_survives {
+            index as u64 + 1
+        } else {
+            100 + index as u64
+        };
         self.start(world, index, Durable::new(identity, false, View::default()));
         self.greet_for_long(world);
     }
@@ -267,7 +303,12 @@
         self.greet(world);
     }
 
-    pub fn ask(&mut self, world: &World, index: usize, (number, request): (u64, woadreach_chain::Request)) {
+    pub fn ask(
+        &mut self,
+        world: &World,
+        index: usize,
+        (number, request): (u64, woadreach_chain::Request),
+    ) {
         self.input(world, index, Input::Request(RequestId(number), request));
     }
 
--- a/crates/woadreach-chain/tests/member_model/machine.rs
+++ b/crates/woadreach-chain/tests/member_model/machine.rs
@@ -31,7 +31,10 @@
 }
 
 pub fn first_identity(index: usize) -> MemberId {
-    MemberId { address: address(index), identity: index as u64 + 1 }
+    MemberId {
+        address: address(index),
+        identity: index as u64 + 1,
+    }
 }
 
 impl Machine {
@@ -40,7 +43,10 @@
         let options = MemberOptions {
             address: address(index),
             seeds: Vec::new(),
-            tolerance: Tolerance { machines: faults, ..Tolerance::default() },
+            tolerance: Tolerance {
+                machines: faults,
+                ..Tolerance::default()
+            },
             place: Place::default(),
             random_seed: index as u64,
         };
@@ -72,7 +78,10 @@
     /// What is left when the process ends and `kept` of the records on their way have reached the disk.
     pub fn disk_after_crash(&self, kept: usize) -> Durable {
         let mut durable = self.synced.clone();
-        self.unsynced.iter().take(kept).for_each(|(_, record)| durable.apply(record));
+        self.unsynced
+            .iter()
+            .take(kept)
+            .for_each(|(_, record)| durable.apply(record));
         durable
     }
 
--- a/crates/woadreach-chain/tests/member_model/main.rs
+++ b/crates/woadreach-chain/tests/member_model/main.rs
@@ -15,8 +15,15 @@
 use self::core::Counts;
 use self::world::World;
 
-const NOTHING: Counts =
-    Counts { proposals: 0, crashes: 0, wipes: 0, leaves: 0, repeats: 0, orders: 0, reads: 0 };
+const NOTHING: Counts = Counts {
+    proposals: 0,
+    crashes: 0,
+    wipes: 0,
+    leaves: 0,
+    repeats: 0,
+    orders: 0,
+    reads: 0,
+};
 
 /// Three machines with quick disks, all in the first view.
 fn three() -> World {
@@ -38,7 +45,10 @@
 }
 
 fn further() -> usize {
-    std::env::var("WOADREACH_MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(0)
+    std::env::var("WOADREACH_MODEL_DEPTH")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Searches every run of at most `actions` actions; gives the violation that was found.
@@ -69,72 +79,175 @@
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn an_election_and_an_order() {
-    let most = Counts { proposals: 1, orders: 1, ..NOTHING };
-    assert_eq!(search("an election and an order", World { most, ..three() }, 40), None);
+    let most = Counts {
+        proposals: 1,
+        orders: 1,
+        ..NOTHING
+    };
+    assert_eq!(
+        search("an election and an order", World { most, ..three() }, 40),
+        None
+    );
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn two_elections_at_once() {
-    let most = Counts { proposals: 2, ..NOTHING };
-    let world = World { most, proposers: vec![0, 1], ..three() };
+    let most = Counts {
+        proposals: 2,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![0, 1],
+        ..three()
+    };
     assert_eq!(search("two elections", world, 13), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_ballot_stands_for_one_view() {
-    let most = Counts { proposals: 2, crashes: 1, ..NOTHING };
-    let world = World { most, slow_disks: vec![0], victims: vec![0], proposers: vec![0], ..three() };
+    let most = Counts {
+        proposals: 2,
+        crashes: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        slow_disks: vec![0],
+        victims: vec![0],
+        proposers: vec![0],
+        ..three()
+    };
     assert_eq!(search("a slow disk and a crash", world, 15), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_slow_tail_dies() {
-    let most = Counts { proposals: 1, crashes: 1, orders: 1, ..NOTHING };
-    let world = World { most, slow_disks: vec![2], victims: vec![2], proposers: vec![1], ..three() };
+    let most = Counts {
+        proposals: 1,
+        crashes: 1,
+        orders: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        slow_disks: vec![2],
+        victims: vec![2],
+        proposers: vec![1],
+        ..three()
+    };
     assert_eq!(search("a slow tail", world, 13), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_read_is_not_behind_an_acknowledged_order() {
-    let most = Counts { proposals: 1, orders: 1, reads: 1, ..NOTHING };
-    let world = World { most, proposers: vec![1], ..three() };
+    let most = Counts {
+        proposals: 1,
+        orders: 1,
+        reads: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![1],
+        ..three()
+    };
     assert_eq!(search("a read", world, 16), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn two_orders_on_one_generation() {
-    let most = Counts { proposals: 1, orders: 3, ..NOTHING };
-    let world = World { most, proposers: vec![1], ..three() };
+    let most = Counts {
+        proposals: 1,
+        orders: 3,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![1],
+        ..three()
+    };
     assert_eq!(search("three orders", world, 13), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn messages_come_twice() {
-    let most = Counts { proposals: 1, orders: 1, repeats: 2, ..NOTHING };
-    let world = World { most, proposers: vec![1], ..three() };
+    let most = Counts {
+        proposals: 1,
+        orders: 1,
+        repeats: 2,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![1],
+        ..three()
+    };
     assert_eq!(search("repeated messages", world, 10), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_disk_is_lost() {
-    let most = Counts { proposals: 1, wipes: 1, orders: 1, ..NOTHING };
-    let world = World { most, proposers: vec![0, 1], victims: vec![0], is_recovery_checked: true, ..three() };
+    let most = Counts {
+        proposals: 1,
+        wipes: 1,
+        orders: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![0, 1],
+        victims: vec![0],
+        is_recovery_checked: true,
+        ..three()
+    };
     assert_eq!(search("a lost disk", world, 8), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn the_only_active_member_loses_its_disk() {
-    let most = Counts { proposals: 1, wipes: 1, ..NOTHING };
+    let most = Counts {
+        proposals: 1,
+        wipes: 1,
+        ..NOTHING
+    };
     let world = World {
         most,
         chain: 2,
@@ -148,17 +261,40 @@
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_machine_restarts_and_loses_its_disk() {
-    let most = Counts { proposals: 1, wipes: 1, crashes: 1, ..NOTHING };
-    let world = World { most, proposers: vec![0], victims: vec![0], is_recovery_checked: true, ..three() };
+    let most = Counts {
+        proposals: 1,
+        wipes: 1,
+        crashes: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        proposers: vec![0],
+        victims: vec![0],
+        is_recovery_checked: true,
+        ..three()
+    };
     assert_eq!(search("a restart and a lost disk", world, 8), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_member_leaves_for_a_learner() {
-    let most = Counts { proposals: 1, leaves: 1, orders: 1, wipes: 1, ..NOTHING };
+    let most = Counts {
+        proposals: 1,
+        leaves: 1,
+        orders: 1,
+        wipes: 1,
+        ..NOTHING
+    };
     let world = World {
         most,
         machines: 4,
@@ -171,9 +307,17 @@
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn five_machines_lose_two_disks() {
-    let most = Counts { proposals: 1, wipes: 2, orders: 1, ..NOTHING };
+    let most = Counts {
+        proposals: 1,
+        wipes: 2,
+        orders: 1,
+        ..NOTHING
+    };
     let world = World {
         most,
         machines: 5,
@@ -189,10 +333,24 @@
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    let most = Counts { proposals: 1, wipes: 1, orders: 1, ..NOTHING };
-    let world = World { most, identity_survives: true, proposers: vec![1], victims: vec![0], ..three() };
+    let most = Counts {
+        proposals: 1,
+        wipes: 1,
+        orders: 1,
+        ..NOTHING
+    };
+    let world = World {
+        most,
+        identity_survives: true,
+        proposers: vec![1],
+        victims: vec![0],
+        ..three()
+    };
     assert!(search("planted: old identity", world, 20).is_some());
 }
 
@@ -204,25 +362,54 @@
 
     #[test]
     fn saying_what_is_not_synced_is_found() {
-        let most = Counts { proposals: 2, crashes: 1, ..NOTHING };
+        let most = Counts {
+            proposals: 2,
+            crashes: 1,
+            ..NOTHING
+        };
         let plant = Some(Plant::AcknowledgeBeforeSync);
-        let world =
-            World { most, plant, slow_disks: vec![0], victims: vec![0], proposers: vec![0], ..three() };
+        let world = World {
+            most,
+            plant,
+            slow_disks: vec![0],
+            victims: vec![0],
+            proposers: vec![0],
+            ..three()
+        };
         assert!(search("planted: said before the sync", world, 15).is_some());
     }
 
     #[test]
     fn reading_without_a_barrier_is_found() {
-        let most = Counts { proposals: 1, orders: 1, reads: 1, ..NOTHING };
+        let most = Counts {
+            proposals: 1,
+            orders: 1,
+            reads: 1,
+            ..NOTHING
+        };
         let plant = Some(Plant::ReadWithoutBarrier);
-        let world = World { most, plant, proposers: vec![1], ..three() };
+        let world = World {
+            most,
+            plant,
+            proposers: vec![1],
+            ..three()
+        };
         assert!(search("planted: no barrier", world, 18).is_some());
     }
 
     #[test]
     fn taking_messages_of_any_epoch_is_found() {
-        let most = Counts { proposals: 2, orders: 1, ..NOTHING };
-        let world = World { most, plant: Some(Plant::NoEpochCheck), proposers: vec![1, 2], ..three() };
+        let most = Counts {
+            proposals: 2,
+            orders: 1,
+            ..NOTHING
+        };
+        let world = World {
+            most,
+            plant: Some(Plant::NoEpochCheck),
+            proposers: vec![1, 2],
+            ..three()
+        };
         assert!(search("planted: any epoch", world, 17).is_some());
     }
 }
--- a/crates/woadreach-chain/tests/member_model/oracle.rs
+++ b/crates/woadreach-chain/tests/member_model/oracle.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use woadreach_chain::{
-    Ballot, Command, ControlState, Digest, PutConfiguration, Rejection, Reply, Request, TakenConfiguration,
-    View,
+    Ballot, Command, ControlState, Digest, PutConfiguration, Rejection, Reply, Request,
+    TakenConfiguration, View,
 };
 
 /// A request that was handed to a head.
@@ -37,8 +37,14 @@
 /// The operators' orders, in the order in which they are sent: two on one generation, one sent again, and one
 /// that goes on.
 pub fn order(position: usize) -> PutConfiguration {
-    let (base, generation, name) = [(0, 1, b'a'), (0, 1, b'b'), (0, 1, b'a'), (1, 2, b'c')][position];
-    PutConfiguration { base, generation, digest: [name; 16], body: vec![name].into() }
+    let (base, generation, name) =
+        [(0, 1, b'a'), (0, 1, b'b'), (0, 1, b'a'), (1, 2, b'c')][position];
+    PutConfiguration {
+        base,
+        generation,
+        digest: [name; 16],
+        body: vec![name].into(),
+    }
 }
 
 fn history(state: &ControlState) -> Vec<(u64, Digest)> {
@@ -52,7 +58,14 @@
     }
 
     pub fn canonical(&self) -> impl std::fmt::Debug + '_ {
-        (&self.committed, &self.commits, self.acknowledged, &self.refused, &self.asked, &self.proposed)
+        (
+            &self.committed,
+            &self.commits,
+            self.acknowledged,
+            &self.refused,
+            &self.asked,
+            &self.proposed,
+        )
     }
 
     pub fn newest_epoch(&self) -> u64 {
@@ -65,22 +78,35 @@
 
     /// A ballot proposes a view.
     pub fn proposes(&mut self, epoch: u64, ballot: Ballot, view: &View) {
-        let first = self.proposed.entry((epoch, ballot)).or_insert_with(|| view.clone());
+        let first = self
+            .proposed
+            .entry((epoch, ballot))
+            .or_insert_with(|| view.clone());
         if first != view {
             let first = first.clone();
-            self.fail(format!("{ballot:?} of epoch {epoch} proposes {first:?} and {view:?}"));
+            self.fail(format!(
+                "{ballot:?} of epoch {epoch} proposes {first:?} and {view:?}"
+            ));
         }
     }
 
     /// A view comes into force at a member, whose state is `state` after that if it is the head.
     pub fn installed(&mut self, view: &View, head: Option<&ControlState>) {
-        let first = self.decided.entry(view.epoch).or_insert_with(|| view.clone());
+        let first = self
+            .decided
+            .entry(view.epoch)
+            .or_insert_with(|| view.clone());
         if first != view {
             let first = first.clone();
             self.fail(format!("two views for one epoch: {first:?} and {view:?}"));
         }
         let Some(state) = head else { return };
-        let before = self.commits.range(..view.epoch).map(|(_, length)| *length).max().unwrap_or(0);
+        let before = self
+            .commits
+            .range(..view.epoch)
+            .map(|(_, length)| *length)
+            .max()
+            .unwrap_or(0);
         if !history(state).starts_with(&self.committed[..before]) {
             self.fail(format!("the head of {view:?} lacks what was committed"));
         }
@@ -96,11 +122,11 @@
         if found.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
             self.fail(format!("generations do not rise: {found:?}"));
         }
-        if self
-            .refused
-            .iter()
-            .any(|&refused| found.iter().any(|(_, digest)| *digest == order(refused).digest))
-        {
+        if self.refused.iter().any(|&refused| {
+            found
+                .iter()
+                .any(|(_, digest)| *digest == order(refused).digest)
+        }) {
             self.fail("a refused order is in force");
         }
         if self.commits.range(epoch + 1..).next().is_some() && found.len() > self.committed.len() {
@@ -116,7 +142,10 @@
     /// The request that is handed over next, with its number.
     pub fn asks_order(&mut self, position: usize) -> (u64, Request) {
         let number = self.note(Some(position));
-        (number, Request::Submit(Command::PutConfiguration(order(position))))
+        (
+            number,
+            Request::Submit(Command::PutConfiguration(order(position))),
+        )
     }
 
     pub fn asks_read(&mut self) -> (u64, Request) {
@@ -128,7 +157,11 @@
     }
 
     fn note(&mut self, order: Option<usize>) -> u64 {
-        self.asked.push(Asked { order, acknowledged: self.acknowledged, is_answered: false });
+        self.asked.push(Asked {
+            order,
+            acknowledged: self.acknowledged,
+            is_answered: false,
+        });
         self.asked.len() as u64 - 1
     }
 
@@ -146,7 +179,9 @@
         self.asked[number as usize].is_answered = true;
         match (reply, asked.order) {
             (Reply::Taken | Reply::AlreadyTaken, Some(position)) => self.acknowledges(position),
-            (Reply::Rejected(rejection), Some(position)) => self.refuses(position, &asked, *rejection),
+            (Reply::Rejected(rejection), Some(position)) => {
+                self.refuses(position, &asked, *rejection)
+            }
             (Reply::Configuration(found), None) => {
                 let generation = found.as_ref().map_or(0, |(generation, _)| *generation);
                 self.reads(&asked, generation);
@@ -158,7 +193,11 @@
 
     fn acknowledges(&mut self, position: usize) {
         let order = order(position);
-        match self.committed.iter().position(|(_, digest)| *digest == order.digest) {
+        match self
+            .committed
+            .iter()
+            .position(|(_, digest)| *digest == order.digest)
+        {
             Some(place) => self.acknowledged = self.acknowledged.max(place + 1),
             None => self.fail("acknowledged and not committed"),
         }
@@ -172,17 +211,20 @@
         }
         let current = match rejection {
             Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } => current,
-            Rejection::StorageEpochMismatch { .. } => return self.fail("a refusal of another kind"),
+            Rejection::StorageEpochMismatch { .. } => {
+                return self.fail("a refusal of another kind");
+            }
         };
         self.reads(asked, current);
         if self.committed.iter().any(is_known) {
             // The first copy of it may have been taken since; the same order is then taken, not refused.
             self.fail("a committed order is refused");
         }
-        let is_sent_twice = self
-            .asked
-            .iter()
-            .filter(|other| other.order.is_some_and(|other| self::order(other).digest == order.digest));
+        let is_sent_twice = self.asked.iter().filter(|other| {
+            other
+                .order
+                .is_some_and(|other| self::order(other).digest == order.digest)
+        });
         if is_sent_twice.count() == 1 {
             self.refused.push(position);
         }
@@ -190,13 +232,22 @@
 
     /// An answer was based on `generation` as the newest.
     fn reads(&mut self, asked: &Asked, generation: u64) {
-        let newest = self.committed[..asked.acknowledged].last().map_or(0, |(generation, _)| *generation);
+        let newest = self.committed[..asked.acknowledged]
+            .last()
+            .map_or(0, |(generation, _)| *generation);
         if generation < newest {
-            self.fail(format!("generation {generation} is told when {newest} was acknowledged"));
+            self.fail(format!(
+                "generation {generation} is told when {newest} was acknowledged"
+            ));
         }
-        let is_committed = self.committed.iter().any(|(committed, _)| *committed == generation);
+        let is_committed = self
+            .committed
+            .iter()
+            .any(|(committed, _)| *committed == generation);
         if generation > 0 && !is_committed {
-            self.fail(format!("generation {generation} is told and is not committed"));
+            self.fail(format!(
+                "generation {generation} is told and is not committed"
+            ));
         }
     }
 }
--- a/crates/woadreach-chain/tests/member_model/recovery.rs
+++ b/crates/woadreach-chain/tests/member_model/recovery.rs
@@ -13,7 +13,10 @@
 impl Core {
     /// Every process is up, every disk syncs and every message comes: whether a head confirms a request.
     pub fn recovers(&self, world: &World) -> bool {
-        let world = World { slow_disks: Vec::new(), ..world.clone() };
+        let world = World {
+            slow_disks: Vec::new(),
+            ..world.clone()
+        };
         let mut core = self.clone();
         for index in 0..core.machines.len() {
             core.sync(&world, index);
@@ -46,7 +49,9 @@
             view.epoch == newest && view.is_voter(machine.id())
         };
         let voters: Vec<usize> = (0..self.machines.len()).filter(is_voter).collect();
-        let Some(&proposer) = voters.get(round % voters.len().max(1)) else { return };
+        let Some(&proposer) = voters.get(round % voters.len().max(1)) else {
+            return;
+        };
         self.step(world, proposer, TimedStep::Propose);
         self.deliver_all(world);
         self.step(world, proposer, TimedStep::EndReportWait);
@@ -59,7 +64,9 @@
         let is_head = |machine: &Arc<super::machine::Machine>| {
             machine.epoch() == newest && machine.is_serving_head(now)
         };
-        let Some(head) = self.machines.iter().position(is_head) else { return false };
+        let Some(head) = self.machines.iter().position(is_head) else {
+            return false;
+        };
         let request = self.oracle.asks_confirmation();
         let number = request.0;
         self.ask(world, head, request);
--- a/crates/woadreach-chain/tests/member_model/world.rs
+++ b/crates/woadreach-chain/tests/member_model/world.rs
@@ -59,7 +59,8 @@
 impl World {
     fn timed(&self, core: &Core, actions: &mut Vec<Action>) {
         for (index, machine) in core.machines.iter().enumerate() {
-            let can_propose = self.proposers.contains(&index) && core.counts.proposals < self.most.proposals;
+            let can_propose =
+                self.proposers.contains(&index) && core.counts.proposals < self.most.proposals;
             if can_propose && machine.member.durable().view.is_voter(machine.id()) {
                 actions.push(Action::Propose(index));
             }
@@ -173,9 +174,13 @@
         }
         next.compute_digests();
         let has_lost_all = next.counts.wipes == self.most.wipes;
-        if self.is_recovery_checked && has_lost_all && next.oracle.violation.is_none() && !next.recovers(self)
+        if self.is_recovery_checked
+            && has_lost_all
+            && next.oracle.violation.is_none()
+            && !next.recovers(self)
         {
-            next.oracle.violation = Some("the core cannot go on though everyone is back".to_owned());
+            next.oracle.violation =
+                Some("the core cannot go on though everyone is back".to_owned());
         }
         Some(next)
     }
@@ -184,18 +189,27 @@
         match action {
             Action::Deliver((to, bytes)) | Action::Repeat((to, bytes)) => {
                 let envelope = Envelope::decode(bytes).expect("a message that a member has sent");
-                let kind = if matches!(action, Action::Repeat(_)) { "again" } else { "deliver" };
+                let kind = if matches!(action, Action::Repeat(_)) {
+                    "again"
+                } else {
+                    "deliver"
+                };
                 let body = match &envelope.body {
                     Body::Transfer { state, .. } => format!("Transfer {:?}", state.stamp),
                     body => format!("{body:?}"),
                 };
-                format!("{kind} {:?} -> {to} in {}: {body}", envelope.from, envelope.epoch)
+                format!(
+                    "{kind} {:?} -> {to} in {}: {body}",
+                    envelope.from, envelope.epoch
+                )
             }
             action => format!("{action:?}"),
         }
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::<Self>::always("holds", |_, core| core.oracle.violation.is_none())]
+        vec![Property::<Self>::always("holds", |_, core| {
+            core.oracle.violation.is_none()
+        })]
     }
 }
--- a/crates/woadreach-chain/tests/model.rs
+++ b/crates/woadreach-chain/tests/model.rs
@@ -70,7 +70,10 @@
 }
 
 fn member(index: usize, identity: u64) -> MemberId {
-    MemberId { address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000), identity }
+    MemberId {
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000),
+        identity,
+    }
 }
 
 fn index_of(identity: u64) -> usize {
@@ -117,11 +120,19 @@
             chain: decided.chain.iter().copied().map(id).collect(),
             floor: decided.floor,
         };
-        let voters: Vec<Candidate> =
-            promised.iter().map(|&index| self.candidate(&self.nodes[index])).collect();
-        let others = self.nodes.iter().filter(|node| !decided.voters.contains(&node.identity));
+        let voters: Vec<Candidate> = promised
+            .iter()
+            .map(|&index| self.candidate(&self.nodes[index]))
+            .collect();
+        let others = self
+            .nodes
+            .iter()
+            .filter(|node| !decided.voters.contains(&node.identity));
         let learners: Vec<Candidate> = others.map(|node| self.candidate(node)).collect();
-        let policy = Policy::tolerating(Tolerance { machines: 1, ..Tolerance::default() });
+        let policy = Policy::tolerating(Tolerance {
+            machines: 1,
+            ..Tolerance::default()
+        });
         let next = next_view(&current, &voters, &learners, policy, &|_, _| true).ok()?;
         Some(Decided {
             voters: next.voters.iter().map(|voter| voter.identity).collect(),
@@ -133,9 +144,15 @@
     /// Whether no other member than `lost` counts as lost: all others are active in the newest view.
     fn have_others_caught_up(&self, lost: usize) -> bool {
         let newest = self.newest();
-        let others = self.nodes.iter().enumerate().filter(|(index, _)| *index != lost);
+        let others = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != lost);
         others.into_iter().all(|(_, node)| {
-            node.active == newest && node.sealed < newest && self.view(newest).chain.contains(&node.identity)
+            node.active == newest
+                && node.sealed < newest
+                && self.view(newest).chain.contains(&node.identity)
         })
     }
 }
@@ -156,7 +173,11 @@
         let all: Vec<u64> = nodes.iter().map(|node| node.identity).collect();
         let mut state = State {
             nodes,
-            views: vec![Decided { voters: all.clone(), chain: all, floor: 0 }],
+            views: vec![Decided {
+                voters: all.clone(),
+                chain: all,
+                floor: 0,
+            }],
             committed: Vec::new(),
             is_lost: false,
             writes: 0,
@@ -218,7 +239,8 @@
             }
             Action::Install(index) => {
                 let newest = state.newest();
-                let is_head = state.view(newest).chain.first() == Some(&state.nodes[index].identity);
+                let is_head =
+                    state.view(newest).chain.first() == Some(&state.nodes[index].identity);
                 next.nodes[index].epoch = newest;
                 if is_head {
                     next.nodes[index].active = newest;
@@ -232,7 +254,9 @@
             Action::Replicate(index) => {
                 let node = &state.nodes[index];
                 let chain = &state.view(node.epoch).chain;
-                let position = chain.iter().position(|&identity| identity == node.identity)?;
+                let position = chain
+                    .iter()
+                    .position(|&identity| identity == node.identity)?;
                 let predecessor = &state.nodes[index_of(chain[position - 1])];
                 let is_sending = predecessor.identity == chain[position - 1]
                     && predecessor.epoch == node.epoch
@@ -272,7 +296,12 @@
             Property::<Self>::always("some majority can go on", |_, state| {
                 let newest = state.newest();
                 let all: Vec<usize> = (0..MEMBERS)
-                    .filter(|&index| state.view(newest).voters.contains(&state.nodes[index].identity))
+                    .filter(|&index| {
+                        state
+                            .view(newest)
+                            .voters
+                            .contains(&state.nodes[index].identity)
+                    })
                     .collect();
                 all.len() >= 2 && state.next(&all).is_some()
             }),
@@ -285,13 +314,31 @@
 
 #[test]
 fn the_small_world_keeps_what_it_committed() {
-    let world = SmallWorld { planted: Planted::Nothing, views: 2, writes: 2 };
-    world.checker().threads(2).spawn_bfs().join().assert_properties();
+    let world = SmallWorld {
+        planted: Planted::Nothing,
+        views: 2,
+        writes: 2,
+    };
+    world
+        .checker()
+        .threads(2)
+        .spawn_bfs()
+        .join()
+        .assert_properties();
 }
 
 fn is_found(planted: Planted) -> bool {
-    let world = SmallWorld { planted, views: 3, writes: 1 };
-    let checker = world.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let world = SmallWorld {
+        planted,
+        views: 3,
+        writes: 1,
+    };
+    let checker = world
+        .checker()
+        .threads(2)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     checker.discovery("nothing committed is lost").is_some()
 }
 
--- a/crates/woadreach-chain/tests/old_views.rs
+++ b/crates/woadreach-chain/tests/old_views.rs
@@ -24,7 +24,10 @@
 
 fn newest_view(world: &World) -> View {
     let members = world.nodes.iter().filter_map(|node| node.member.as_ref());
-    members.map(|member| member.durable().view.clone()).max_by_key(|view| view.epoch).expect("a member")
+    members
+        .map(|member| member.durable().view.clone())
+        .max_by_key(|view| view.epoch)
+        .expect("a member")
 }
 
 fn voters(world: &World) -> BTreeSet<usize> {
@@ -41,9 +44,13 @@
     let before = voters(world);
     let gone = *before.first().expect("voters");
     world.kill(gone);
-    run_until(world, "the voter is not replaced", |world| !voters(world).contains(&gone));
+    run_until(world, "the voter is not replaced", |world| {
+        !voters(world).contains(&gone)
+    });
     let acknowledged = world.history.acknowledged;
-    run_until(world, "no writes", |world| world.history.acknowledged > acknowledged + 3);
+    run_until(world, "no writes", |world| {
+        world.history.acknowledged > acknowledged + 3
+    });
     gone
 }
 
@@ -52,7 +59,9 @@
     let mut world = World::new(seed, 5, 0, 1, None);
     world.are_faults_over = true;
     world.operators.patience = Duration::from_millis(30);
-    run_until(&mut world, "no start", |world| world.history.acknowledged > 3);
+    run_until(&mut world, "no start", |world| {
+        world.history.acknowledged > 3
+    });
     let gone = [replace_voter(&mut world), replace_voter(&mut world)];
     for node in 0..world.nodes.len() {
         world.kill(node);
@@ -63,10 +72,16 @@
 fn check(world: &mut World, seed: u64) {
     world.heal();
     let acknowledged = world.history.acknowledged;
-    run_until(world, "no progress", |world| world.history.acknowledged > acknowledged + 3);
+    run_until(world, "no progress", |world| {
+        world.history.acknowledged > acknowledged + 3
+    });
     let states = world.nodes.iter().filter_map(|node| node.member.as_ref());
-    let last = states.map(|member| member.published().clone()).max_by_key(|state| state.stamp);
-    let last = last.map(|state| ControlState::clone(&state)).expect("a state");
+    let last = states
+        .map(|member| member.published().clone())
+        .max_by_key(|state| state.stamp);
+    let last = last
+        .map(|state| ControlState::clone(&state))
+        .expect("a state");
     let violations = world.history.check(&last);
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
 }
@@ -83,8 +98,15 @@
         }
         let end = world.now + Duration::from_secs(10);
         world.run_until(end);
-        assert_eq!(newest_view(&world).epoch, newest, "seed {seed}: a view was decided");
-        assert_eq!(world.history.acknowledged, acknowledged, "seed {seed}: a change was acknowledged");
+        assert_eq!(
+            newest_view(&world).epoch,
+            newest,
+            "seed {seed}: a view was decided"
+        );
+        assert_eq!(
+            world.history.acknowledged, acknowledged,
+            "seed {seed}: a change was acknowledged"
+        );
         check(&mut world, seed);
     }
 }
@@ -100,7 +122,9 @@
                 world.start(node);
             }
         }
-        run_until(&mut world, "no writes", |world| world.history.acknowledged > acknowledged + 3);
+        run_until(&mut world, "no writes", |world| {
+            world.history.acknowledged > acknowledged + 3
+        });
         check(&mut world, seed);
     }
 }
--- a/crates/woadreach-chain/tests/orders.rs
+++ b/crates/woadreach-chain/tests/orders.rs
@@ -21,7 +21,10 @@
 const LONGEST_ORDER: Duration = Duration::from_millis(40);
 
 fn number(variable: &str, default: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
+    std::env::var(variable)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(default)
 }
 
 /// A calm world of three machines, without orders of its own.
@@ -36,9 +39,18 @@
 /// Sends `put` to the machines `nodes` at once and expects the history to get the answers.
 fn send(world: &mut World, order: u64, put: &PutConfiguration, nodes: &[usize]) {
     let request = Request::Submit(Command::PutConfiguration(put.clone()));
-    let call = CallId { operator: OWN_OPERATOR, order, attempt: 0 };
+    let call = CallId {
+        operator: OWN_OPERATOR,
+        order,
+        attempt: 0,
+    };
     for &node in nodes {
-        let event = Event::Call { node, call, request: request.clone(), hops: 0 };
+        let event = Event::Call {
+            node,
+            call,
+            request: request.clone(),
+            hops: 0,
+        };
         world.schedule(Duration::ZERO, event);
     }
 }
@@ -54,7 +66,9 @@
 const STRIKES: [(&str, Strike); 4] = [
     ("killed", World::kill),
     ("wiped", World::wipe),
-    ("frozen", |world, node| world.freeze(node, Duration::from_secs(3))),
+    ("frozen", |world, node| {
+        world.freeze(node, Duration::from_secs(3))
+    }),
     ("cut off", |world, node| {
         for other in (0..world.nodes.len()).filter(|&other| other != node) {
             world.cuts.insert((node, other));
@@ -65,10 +79,25 @@
 
 /// Two orders on one version, each at two machines, and then again at all of them; the member at `position`
 /// of the chain is struck `moment` after they were sent.
-fn race_through(moment: Duration, position: usize, strike: Strike, bug: Option<PlantedBug>) -> World {
+fn race_through(
+    moment: Duration,
+    position: usize,
+    strike: Strike,
+    bug: Option<PlantedBug>,
+) -> World {
     let mut world = quiet_world(7, bug);
-    let chain = world.nodes[0].member.as_ref().expect("it runs").durable().view.chain.clone();
-    let struck = world.nodes.iter().position(|node| node.address == chain[position].address);
+    let chain = world.nodes[0]
+        .member
+        .as_ref()
+        .expect("it runs")
+        .durable()
+        .view
+        .chain
+        .clone();
+    let struck = world
+        .nodes
+        .iter()
+        .position(|node| node.address == chain[position].address);
     let struck = struck.expect("a machine of the world");
     let [one, other] = racing_orders();
     send(&mut world, 1, &one, &[0, 1]);
@@ -98,7 +127,9 @@
 /// ways.
 fn winner(world: &World) -> Result<bool, String> {
     let members = world.nodes.iter().filter_map(|node| node.member.as_ref());
-    let newest = members.map(|member| member.published().clone()).max_by_key(|state| state.stamp);
+    let newest = members
+        .map(|member| member.published().clone())
+        .max_by_key(|state| state.stamp);
     let newest = newest.expect("machines run");
     let violations = world.history.check(&newest);
     if !violations.is_empty() || newest.taken.len() != 1 {
@@ -108,8 +139,16 @@
     let is_first = newest.taken[0].digest == one.digest;
     let answers = world.history.told([one.digest, other.digest]);
     let (acknowledged, refused) = ((true, false), (false, true));
-    let expected = if is_first { [acknowledged, refused] } else { [refused, acknowledged] };
-    if answers == expected { Ok(is_first) } else { Err(format!("acknowledged, refused: {answers:?}")) }
+    let expected = if is_first {
+        [acknowledged, refused]
+    } else {
+        [refused, acknowledged]
+    };
+    if answers == expected {
+        Ok(is_first)
+    } else {
+        Err(format!("acknowledged, refused: {answers:?}"))
+    }
 }
 
 /// Every moment, member and way of losing it; which orders won, or the first thing that is wrong.
@@ -122,7 +161,9 @@
                 let moment = GRID * u32::try_from(step).expect("small");
                 let world = race_through(moment, position, strike, bug);
                 let winner = winner(&world);
-                winners.insert(winner.map_err(|why| format!("{position} {name} after {moment:?}: {why}"))?);
+                winners.insert(
+                    winner.map_err(|why| format!("{position} {name} after {moment:?}: {why}"))?,
+                );
             }
         }
     }
@@ -137,7 +178,10 @@
 #[cfg(feature = "plants")]
 #[test]
 fn hasty_answers_are_found_at_some_moment() {
-    for plant in [woadreach_chain::Plant::RefusedBeforeCommit, woadreach_chain::Plant::RepeatBeforeCommit] {
+    for plant in [
+        woadreach_chain::Plant::RefusedBeforeCommit,
+        woadreach_chain::Plant::RepeatBeforeCommit,
+    ] {
         let found = race_at_each_moment(Some(PlantedBug::Member(plant)));
         println!("{plant:?}: {found:?}");
         assert!(found.is_err(), "{plant:?}");
@@ -151,7 +195,12 @@
         let mut world = World::new(seed, 3, 0, 1, None);
         world.begin_after(TAKEN_LIMIT as u64 + 100);
         let finding = play_in(world, Duration::from_secs(8));
-        assert!(finding.violations.is_empty(), "seed {seed}: {:?}\n{}", finding.violations, finding.history);
+        assert!(
+            finding.violations.is_empty(),
+            "seed {seed}: {:?}\n{}",
+            finding.violations,
+            finding.history
+        );
         assert!(finding.acknowledged > 0, "seed {seed}");
     }
 }
--- a/crates/woadreach-chain/tests/plan.rs
+++ b/crates/woadreach-chain/tests/plan.rs
@@ -2,28 +2,47 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use woadreach_chain::{Candidate, MemberId, Place, PlanError, Policy, Stamp, Tolerance, View, next_view};
+use woadreach_chain::{
+    Candidate, MemberId, Place, PlanError, Policy, Stamp, Tolerance, View, next_view,
+};
 
 fn id(number: u8) -> MemberId {
     identity(number, u64::from(number))
 }
 
 fn identity(number: u8, identity: u64) -> MemberId {
-    MemberId { address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000), identity }
+    MemberId {
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000),
+        identity,
+    }
 }
 
 fn candidate(member: MemberId, active_epoch: u64) -> Candidate {
-    Candidate { member, active_epoch, stamp: Stamp::default(), fit: true, place: Place::default() }
+    Candidate {
+        member,
+        active_epoch,
+        stamp: Stamp::default(),
+        fit: true,
+        place: Place::default(),
+    }
 }
 
 /// View of epoch 5 in which 1, 2 and 3 vote and replicate.
 fn current() -> View {
     let members = vec![id(1), id(2), id(3)];
-    View { epoch: 5, voters: members.clone(), chain: members, floor: 4 }
+    View {
+        epoch: 5,
+        voters: members.clone(),
+        chain: members,
+        floor: 4,
+    }
 }
 
 fn one_machine() -> Policy {
-    Policy::tolerating(Tolerance { machines: 1, ..Tolerance::default() })
+    Policy::tolerating(Tolerance {
+        machines: 1,
+        ..Tolerance::default()
+    })
 }
 
 fn everyone(_: MemberId, _: MemberId) -> bool {
@@ -43,8 +62,14 @@
 #[test]
 fn a_silent_voter_is_replaced_by_a_learner() {
     let voters = [candidate(id(2), 5), candidate(id(3), 5)];
-    let view =
-        next_view(&current(), &voters, &[candidate(id(4), 0)], one_machine(), &everyone).expect("a view");
+    let view = next_view(
+        &current(),
+        &voters,
+        &[candidate(id(4), 0)],
+        one_machine(),
+        &everyone,
+    )
+    .expect("a view");
     assert_eq!(view.chain, [id(2), id(3), id(4)]);
     assert_eq!(view.voters, [id(2), id(3), id(4)]);
 }
@@ -53,8 +78,14 @@
 fn a_member_that_lost_its_disk_is_dropped_for_its_new_identity() {
     let voters = [candidate(id(1), 5), candidate(id(3), 5)];
     let returned = identity(2, 99);
-    let view =
-        next_view(&current(), &voters, &[candidate(returned, 0)], one_machine(), &everyone).expect("a view");
+    let view = next_view(
+        &current(),
+        &voters,
+        &[candidate(returned, 0)],
+        one_machine(),
+        &everyone,
+    )
+    .expect("a view");
     assert_eq!(view.voters, [id(1), returned, id(3)]);
     assert!(!view.chain.contains(&id(2)));
 }
@@ -90,7 +121,13 @@
 
 #[test]
 fn the_chain_begins_with_the_longest_state() {
-    let longer = Candidate { stamp: Stamp { epoch: 5, number: 9 }, ..candidate(id(3), 5) };
+    let longer = Candidate {
+        stamp: Stamp {
+            epoch: 5,
+            number: 9,
+        },
+        ..candidate(id(3), 5)
+    };
     let voters = [candidate(id(1), 5), candidate(id(2), 5), longer];
     let view = next_view(&current(), &voters, &[], one_machine(), &everyone).expect("a view");
     assert_eq!(view.chain, [id(3), id(1), id(2)]);
@@ -98,9 +135,16 @@
 
 #[test]
 fn members_that_do_not_reach_each_other_are_not_in_one_chain() {
-    let voters = [candidate(id(1), 5), candidate(id(2), 5), candidate(id(3), 5)];
+    let voters = [
+        candidate(id(1), 5),
+        candidate(id(2), 5),
+        candidate(id(3), 5),
+    ];
     let linked = |first: MemberId, second: MemberId| {
-        let pair = [first.identity.min(second.identity), first.identity.max(second.identity)];
+        let pair = [
+            first.identity.min(second.identity),
+            first.identity.max(second.identity),
+        ];
         pair != [1, 2]
     };
     let view = next_view(&current(), &voters, &[], one_machine(), &linked).expect("a view");
@@ -110,7 +154,10 @@
 
 #[test]
 fn a_leaving_member_stays_while_the_chain_would_be_too_short_to_commit() {
-    let leaving = Candidate { fit: false, ..candidate(id(1), 5) };
+    let leaving = Candidate {
+        fit: false,
+        ..candidate(id(1), 5)
+    };
     let three = [leaving, candidate(id(2), 5), candidate(id(3), 5)];
     let view = next_view(&current(), &three, &[], one_machine(), &everyone).expect("a view");
     assert_eq!(view.chain, [id(2), id(3)]);
@@ -121,12 +168,17 @@
 
 #[test]
 fn members_spread_over_zones_where_a_zone_may_be_lost() {
-    let policy = Policy::tolerating(Tolerance { machines: 1, zones: 1, regions: 0 });
+    let policy = Policy::tolerating(Tolerance {
+        machines: 1,
+        zones: 1,
+        regions: 0,
+    });
     let at = |member: MemberId, zone: u32, active_epoch: u64| Candidate {
         place: Place { zone, region: 0 },
         ..candidate(member, active_epoch)
     };
     let voters = [at(id(1), 1, 5), at(id(2), 1, 5), at(id(3), 2, 5)];
-    let view = next_view(&current(), &voters, &[at(id(4), 3, 0)], policy, &everyone).expect("a view");
+    let view =
+        next_view(&current(), &voters, &[at(id(4), 3, 0)], policy, &everyone).expect("a view");
     assert_eq!(view.chain, [id(1), id(3), id(4)]);
 }
--- a/crates/woadreach-chain/tests/plants.rs
+++ b/crates/woadreach-chain/tests/plants.rs
@@ -11,7 +11,14 @@
 fn is_found_by_planned_work(plant: Plant, runs: u64) -> bool {
     (1..=runs).any(|seed| {
         let (length, bug) = (Duration::from_secs(30), Some(PlantedBug::Member(plant)));
-        let run = Run { seed, nodes: 3, zones: 0, fault_tolerance: 1, length, bug };
+        let run = Run {
+            seed,
+            nodes: 3,
+            zones: 0,
+            fault_tolerance: 1,
+            length,
+            bug,
+        };
         !play_planned_work(run).violations.is_empty()
     })
 }
@@ -19,7 +26,14 @@
 fn is_found(bug: PlantedBug, runs: u64) -> bool {
     (1..=runs).any(|seed| {
         let length = Duration::from_secs(12);
-        let run = Run { seed, nodes: 3, zones: 0, fault_tolerance: 1, length, bug: Some(bug) };
+        let run = Run {
+            seed,
+            nodes: 3,
+            zones: 0,
+            fault_tolerance: 1,
+            length,
+            bug: Some(bug),
+        };
         let violations = play(run).violations;
         if !violations.is_empty() {
             println!("seed {seed}: {violations:?}");
@@ -30,7 +44,10 @@
 
 #[test]
 fn acknowledging_before_the_sync_is_found() {
-    assert!(is_found(PlantedBug::Member(Plant::AcknowledgeBeforeSync), 2000));
+    assert!(is_found(
+        PlantedBug::Member(Plant::AcknowledgeBeforeSync),
+        2000
+    ));
 }
 
 #[test]
@@ -50,12 +67,18 @@
 
 #[test]
 fn refusing_before_the_commit_is_found() {
-    assert!(is_found(PlantedBug::Member(Plant::RefusedBeforeCommit), 2000));
+    assert!(is_found(
+        PlantedBug::Member(Plant::RefusedBeforeCommit),
+        2000
+    ));
 }
 
 #[test]
 fn acknowledging_a_repeat_before_the_commit_is_found() {
-    assert!(is_found(PlantedBug::Member(Plant::RepeatBeforeCommit), 2000));
+    assert!(is_found(
+        PlantedBug::Member(Plant::RepeatBeforeCommit),
+        2000
+    ));
 }
 
 #[test]
--- a/crates/woadreach-chain/tests/simulation/capacity.rs
+++ b/crates/woadreach-chain/tests/simulation/capacity.rs
@@ -49,7 +49,12 @@
         if !envelope.body.is_bulk() && !self.has_one_queue {
             return LATENCY + duration(bytes, self.link_rate);
         }
-        let free = self.sent_at.get(&from).copied().unwrap_or_default().max(now);
+        let free = self
+            .sent_at
+            .get(&from)
+            .copied()
+            .unwrap_or_default()
+            .max(now);
         let sent = free + duration(bytes, self.link_rate);
         self.sent_at.insert(from, sent);
         let waiting = (sent - now).as_nanos() as u64 / 1000 * self.link_rate / 1_000_000;
@@ -79,14 +84,21 @@
     match body {
         Body::Transfer { state, .. } | Body::Committed(state) => state_bytes(state),
         Body::Replicate { writes, .. } => {
-            SMALL_BYTES + writes.iter().map(|write| SMALL_BYTES + command_bytes(&write.command)).sum::<u64>()
+            SMALL_BYTES
+                + writes
+                    .iter()
+                    .map(|write| SMALL_BYTES + command_bytes(&write.command))
+                    .sum::<u64>()
         }
         _ => SMALL_BYTES,
     }
 }
 
 pub fn state_bytes(state: &ControlState) -> u64 {
-    let configuration = state.configuration.as_ref().map_or(0, |configuration| configuration.body.0.len());
+    let configuration = state
+        .configuration
+        .as_ref()
+        .map_or(0, |configuration| configuration.body.0.len());
     SMALL_BYTES + configuration as u64 + TAKEN_BYTES * state.taken.len() as u64
 }
 
--- a/crates/woadreach-chain/tests/simulation/cuts.rs
+++ b/crates/woadreach-chain/tests/simulation/cuts.rs
@@ -36,10 +36,14 @@
     run_watched(&mut world, calm);
     let first = world.pick(run.nodes);
     let count = 1 + world.pick(run.fault_tolerance);
-    let struck: Vec<usize> = (0..count).map(|offset| (first + offset) % run.nodes).collect();
+    let struck: Vec<usize> = (0..count)
+        .map(|offset| (first + offset) % run.nodes)
+        .collect();
     let (is_one_way, is_outward) = (world.chance(0.6), world.chance(0.5));
     let is_link = world.chance(0.3);
-    world.trace(|| format!("{struck:?} cut off, link {is_link}, one way {is_one_way}, outward {is_outward}"));
+    world.trace(|| {
+        format!("{struck:?} cut off, link {is_link}, one way {is_one_way}, outward {is_outward}")
+    });
     if is_link {
         let other = (first + count) % run.nodes;
         cut_link(&mut world, first, other, is_one_way);
@@ -112,12 +116,16 @@
 
 fn look(world: &mut World) {
     let now = world.now;
-    let Some(moment) = now.checked_sub(LONGEST_LAG) else { return };
+    let Some(moment) = now.checked_sub(LONGEST_LAG) else {
+        return;
+    };
     for index in 0..world.nodes.len() {
         if !world.is_running(index) {
             continue;
         }
-        let Some(member) = &world.nodes[index].member else { continue };
+        let Some(member) = &world.nodes[index].member else {
+            continue;
+        };
         if member.status(now).in_quorum {
             let published = member.published().generation();
             world.history.claimed_current(index, published, moment);
--- a/crates/woadreach-chain/tests/simulation/disk.rs
+++ b/crates/woadreach-chain/tests/simulation/disk.rs
@@ -17,7 +17,10 @@
 
 impl SimulatedDisk {
     pub fn new(durable: Durable) -> SimulatedDisk {
-        SimulatedDisk { synced: durable, unsynced: VecDeque::new() }
+        SimulatedDisk {
+            synced: durable,
+            unsynced: VecDeque::new(),
+        }
     }
 
     pub fn append(&mut self, number: u64, record: Record) {
@@ -33,7 +36,11 @@
 
     /// A sync that began when record `through` was the last one has ended.
     pub fn sync(&mut self, through: u64) {
-        while self.unsynced.front().is_some_and(|(number, _)| *number <= through) {
+        while self
+            .unsynced
+            .front()
+            .is_some_and(|(number, _)| *number <= through)
+        {
             let (_, record) = self.unsynced.pop_front().expect("front");
             self.synced.apply(&record);
         }
@@ -48,7 +55,10 @@
 
     /// Bytes of the records that wait.
     pub fn waiting_bytes(&self) -> u64 {
-        self.unsynced.iter().map(|(_, record)| record_bytes(record)).sum()
+        self.unsynced
+            .iter()
+            .map(|(_, record)| record_bytes(record))
+            .sum()
     }
 
     pub fn waiting(&self) -> usize {
--- a/crates/woadreach-chain/tests/simulation/faults.rs
+++ b/crates/woadreach-chain/tests/simulation/faults.rs
@@ -46,7 +46,13 @@
 ];
 
 /// Planned work, and what may come on top of it.
-const PLANNED: [Fault; 5] = [Fault::Roll, Fault::Replace, Fault::Replace, Fault::Wipe, Fault::Kill];
+const PLANNED: [Fault; 5] = [
+    Fault::Roll,
+    Fault::Replace,
+    Fault::Replace,
+    Fault::Wipe,
+    Fault::Kill,
+];
 
 /// A run: how many machines, what they bear, how long faults go on.
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +124,9 @@
     let end = world.now + Duration::from_secs(5);
     world.run_until(end);
     let members = world.nodes.iter().filter_map(|node| node.member.as_ref());
-    let last = members.map(|member| member.published().clone()).max_by_key(|state| state.stamp);
+    let last = members
+        .map(|member| member.published().clone())
+        .max_by_key(|state| state.stamp);
     let last = last.expect("machines run");
     Finding {
         violations: world.history.check(&last),
@@ -215,9 +223,13 @@
         }
         Fault::Freeze => struck.iter().for_each(|&node| world.freeze(node, length)),
         Fault::Cut | Fault::OneWayCut => cut(world, &struck, kind == Fault::OneWayCut),
-        Fault::SlowDisk => struck.iter().for_each(|&node| world.nodes[node].disk_factor = 30),
+        Fault::SlowDisk => struck
+            .iter()
+            .for_each(|&node| world.nodes[node].disk_factor = 30),
         Fault::Roll | Fault::Replace => {}
-        Fault::StalledDisk => struck.iter().for_each(|&node| world.nodes[node].is_disk_stalled = true),
+        Fault::StalledDisk => struck
+            .iter()
+            .for_each(|&node| world.nodes[node].is_disk_stalled = true),
     }
 }
 
@@ -227,10 +239,15 @@
     let first = world.pick(present.len());
     if world.zones > 0 && kind != Fault::Wipe && world.chance(0.6) {
         let zone = present[first] % world.zones;
-        return present.into_iter().filter(|node| node % world.zones == zone).collect();
+        return present
+            .into_iter()
+            .filter(|node| node % world.zones == zone)
+            .collect();
     }
     let count = 1 + world.pick(world.fault_tolerance);
-    (0..count).map(|offset| present[(first + offset) % present.len()]).collect()
+    (0..count)
+        .map(|offset| present[(first + offset) % present.len()])
+        .collect()
 }
 
 /// Cuts, slow disks and losses of messages end.
--- a/crates/woadreach-chain/tests/simulation/history.rs
+++ b/crates/woadreach-chain/tests/simulation/history.rs
@@ -60,7 +60,11 @@
     UnsoundView { node: usize },
     /// A machine that said that it was in quorum had an older configuration than one acknowledged long
     /// before.
-    StaleInQuorum { node: usize, published: u64, acknowledged: u64 },
+    StaleInQuorum {
+        node: usize,
+        published: u64,
+        acknowledged: u64,
+    },
     /// While a majority was connected, no order was answered for long.
     NoAnswers,
     /// After everything was well again, nothing could be written.
@@ -93,7 +97,12 @@
 
 impl History {
     pub fn invoked(&mut self, now: Duration, id: CallId, request: &Request) -> Attempt {
-        self.orders.push(Order { id, request: request.clone(), invoked: now, answered: None });
+        self.orders.push(Order {
+            id,
+            request: request.clone(),
+            invoked: now,
+            answered: None,
+        });
         Attempt(self.orders.len() - 1)
     }
 
@@ -108,13 +117,17 @@
 
     /// Notes every reply that an operator got, also one to an order that had its answer before.
     pub fn replied(&mut self, request: &Request, reply: &Reply) {
-        let Request::Submit(Command::PutConfiguration(put)) = request else { return };
+        let Request::Submit(Command::PutConfiguration(put)) = request else {
+            return;
+        };
         let (is_acknowledged, is_refused) = self.answers.entry(put.digest).or_default();
         *is_acknowledged |= matches!(reply, Reply::Taken | Reply::AlreadyTaken);
         self.newly_taken += u64::from(*reply == Reply::Taken);
         *is_refused |= matches!(reply, Reply::Rejected(_));
         if *is_acknowledged && *is_refused {
-            self.violations.push(Violation::TwoAnswers { generation: put.generation });
+            self.violations.push(Violation::TwoAnswers {
+                generation: put.generation,
+            });
         }
     }
 
@@ -137,10 +150,13 @@
 
     pub fn published(&mut self, now: Duration, node: usize, state: &ControlState) {
         self.published_count += 1;
-        let Some(configuration) = &state.configuration else { return };
+        let Some(configuration) = &state.configuration else {
+            return;
+        };
         let version = (configuration.generation, configuration.digest);
         if *self.versions.entry(state.stamp).or_insert(version) != version {
-            self.violations.push(Violation::Diverged { stamp: state.stamp });
+            self.violations
+                .push(Violation::Diverged { stamp: state.stamp });
         }
         self.first_published.entry(state.stamp).or_insert(now);
         let newest = self.newest.entry(node).or_default();
@@ -153,7 +169,8 @@
     pub fn view_installed(&mut self, view: &View) {
         let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
         if known != view {
-            self.violations.push(Violation::TwoViews { epoch: view.epoch });
+            self.violations
+                .push(Violation::TwoViews { epoch: view.epoch });
         }
     }
 
@@ -189,25 +206,37 @@
         let mut violations = Vec::new();
         let mut bases: BTreeMap<u64, Digest> = BTreeMap::new();
         for order in &self.orders {
-            let Request::Submit(Command::PutConfiguration(put)) = &order.request else { continue };
+            let Request::Submit(Command::PutConfiguration(put)) = &order.request else {
+                continue;
+            };
             let is_taken = self.was_taken(put, last);
             if is_taken && *bases.entry(put.base).or_insert(put.digest) != put.digest {
                 violations.push(Violation::TwoOnOneBase { base: put.base });
             }
             match &order.answered {
                 Some((_, Outcome::Acknowledged)) if !is_taken => {
-                    violations.push(Violation::Lost { generation: put.generation });
+                    violations.push(Violation::Lost {
+                        generation: put.generation,
+                    });
                 }
                 Some((at, Outcome::Refused(_))) => {
                     if self.was_acknowledged_before(put.digest, order.invoked) {
-                        violations.push(Violation::RepeatRefused { generation: put.generation });
+                        violations.push(Violation::RepeatRefused {
+                            generation: put.generation,
+                        });
                     } else if is_taken {
-                        violations.push(Violation::RefusedInForce { generation: put.generation });
+                        violations.push(Violation::RefusedInForce {
+                            generation: put.generation,
+                        });
                     }
-                    let is_mismatch =
-                        matches!(order.answered, Some((_, Outcome::Refused(Rejection::BaseMismatch { .. }))));
+                    let is_mismatch = matches!(
+                        order.answered,
+                        Some((_, Outcome::Refused(Rejection::BaseMismatch { .. })))
+                    );
                     if is_mismatch && self.was_current_throughout(put, order.invoked, *at) {
-                        violations.push(Violation::RefusedThoughCurrent { generation: put.generation });
+                        violations.push(Violation::RefusedThoughCurrent {
+                            generation: put.generation,
+                        });
                     }
                 }
                 _ => {}
@@ -219,32 +248,55 @@
     /// Whether a change was taken, in the run or before it; the state may have forgotten the latter.
     fn was_taken(&self, put: &PutConfiguration, last: &ControlState) -> bool {
         let is_same = |generation, digest| generation == put.generation && digest == put.digest;
-        last.taken.iter().any(|taken| is_same(taken.generation, taken.digest))
-            || self.earlier.iter().any(|earlier| is_same(earlier.generation, earlier.digest))
+        last.taken
+            .iter()
+            .any(|taken| is_same(taken.generation, taken.digest))
+            || self
+                .earlier
+                .iter()
+                .any(|earlier| is_same(earlier.generation, earlier.digest))
     }
 
     fn was_acknowledged_before(&self, digest: Digest, moment: Duration) -> bool {
         self.orders.iter().any(|order| {
-            let Request::Submit(Command::PutConfiguration(put)) = &order.request else { return false };
-            let is_acknowledged = matches!(order.answered, Some((at, Outcome::Acknowledged)) if at < moment);
+            let Request::Submit(Command::PutConfiguration(put)) = &order.request else {
+                return false;
+            };
+            let is_acknowledged =
+                matches!(order.answered, Some((at, Outcome::Acknowledged)) if at < moment);
             put.digest == digest && is_acknowledged
         })
     }
 
     /// Whether the base of `refused` was surely the current one from `start` to `end`: acknowledged before
     /// `start`, and nothing that was published before `end` is newer, nor was any other change under way.
-    fn was_current_throughout(&self, refused: &PutConfiguration, start: Duration, end: Duration) -> bool {
+    fn was_current_throughout(
+        &self,
+        refused: &PutConfiguration,
+        start: Duration,
+        end: Duration,
+    ) -> bool {
         let base = refused.base;
         let is_acknowledged = base == 0
             || self.orders.iter().any(|order| {
-                let Request::Submit(Command::PutConfiguration(put)) = &order.request else { return false };
+                let Request::Submit(Command::PutConfiguration(put)) = &order.request else {
+                    return false;
+                };
                 put.generation == base
                     && matches!(order.answered, Some((at, Outcome::Acknowledged)) if at < start)
-                    && self.versions.values().any(|version| *version == (put.generation, put.digest))
+                    && self
+                        .versions
+                        .values()
+                        .any(|version| *version == (put.generation, put.digest))
             });
         let has_other = self.orders.iter().any(|order| {
-            let Request::Submit(Command::PutConfiguration(put)) = &order.request else { return false };
-            put.base >= base && order.invoked < end && put.digest != refused.digest && put.generation > base
+            let Request::Submit(Command::PutConfiguration(put)) = &order.request else {
+                return false;
+            };
+            put.base >= base
+                && order.invoked < end
+                && put.digest != refused.digest
+                && put.generation > base
         });
         is_acknowledged && !has_other
     }
@@ -252,7 +304,9 @@
     fn check_reads(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for order in &self.orders {
-            let Some((_, Outcome::Read(found))) = &order.answered else { continue };
+            let Some((_, Outcome::Read(found))) = &order.answered else {
+                continue;
+            };
             let read = found.as_ref().map_or(0, |(generation, _)| *generation);
             let acknowledged = self.newest_known_before(order.invoked);
             if read < acknowledged {
@@ -261,7 +315,9 @@
             if let Some((generation, body)) = found
                 && !self.was_sent(*generation, body)
             {
-                violations.push(Violation::ForeignRead { generation: *generation });
+                violations.push(Violation::ForeignRead {
+                    generation: *generation,
+                });
             }
         }
         violations
@@ -282,27 +338,42 @@
                 _ => None,
             }
         });
-        known.chain(self.earlier.last().map(|put| put.generation)).max().unwrap_or(0)
+        known
+            .chain(self.earlier.last().map(|put| put.generation))
+            .max()
+            .unwrap_or(0)
     }
 
     /// A machine says that it is in quorum and that `published` is the newest generation.
     pub fn claimed_current(&mut self, node: usize, published: u64, moment: Duration) {
         let acknowledged = self.newest_known_before(moment);
         if published < acknowledged {
-            self.report(Violation::StaleInQuorum { node, published, acknowledged });
+            self.report(Violation::StaleInQuorum {
+                node,
+                published,
+                acknowledged,
+            });
         }
     }
 
     fn was_sent(&self, generation: u64, body: &[u8]) -> bool {
         self.orders.iter().any(|order| {
-            let Request::Submit(Command::PutConfiguration(put)) = &order.request else { return false };
+            let Request::Submit(Command::PutConfiguration(put)) = &order.request else {
+                return false;
+            };
             put.generation == generation && put.body.0 == body
-        }) || self.earlier.iter().any(|put| put.generation == generation && put.body.0 == body)
+        }) || self
+            .earlier
+            .iter()
+            .any(|put| put.generation == generation && put.body.0 == body)
     }
 
     pub fn describe(&self) -> String {
         let lines = self.orders.iter().map(|order| {
-            format!("{:?} {:?} {:?} -> {:?}\n", order.invoked, order.id, order.request, order.answered)
+            format!(
+                "{:?} {:?} {:?} -> {:?}\n",
+                order.invoked, order.id, order.request, order.answered
+            )
         });
         lines.collect()
     }
--- a/crates/woadreach-chain/tests/simulation/operator.rs
+++ b/crates/woadreach-chain/tests/simulation/operator.rs
@@ -6,7 +6,9 @@
 
 use std::time::Duration;
 
-use woadreach_chain::{Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, Stamp};
+use woadreach_chain::{
+    Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, Stamp,
+};
 
 use super::history::{Attempt, Outcome};
 use super::world::{Event, World};
@@ -55,10 +57,13 @@
 impl Operator {
     /// Generation of its last change that has no answer yet.
     fn unanswered_generation(&self) -> Option<u64> {
-        self.pending.iter().rev().find_map(|pending| match &pending.request {
-            Request::Submit(Command::PutConfiguration(put)) => Some(put.generation),
-            _ => None,
-        })
+        self.pending
+            .iter()
+            .rev()
+            .find_map(|pending| match &pending.request {
+                Request::Submit(Command::PutConfiguration(put)) => Some(put.generation),
+                _ => None,
+            })
     }
 }
 
@@ -103,10 +108,14 @@
 /// The changes 1 to `count`, each on the one before it, and the state after them.
 pub fn earlier_changes(count: u64) -> (Vec<PutConfiguration>, ControlState) {
     let mut state = ControlState::default();
-    let changes: Vec<PutConfiguration> =
-        (1..=count).map(|generation| new_put(generation - 1, generation, generation)).collect();
+    let changes: Vec<PutConfiguration> = (1..=count)
+        .map(|generation| new_put(generation - 1, generation, generation))
+        .collect();
     for put in &changes {
-        let stamp = Stamp { epoch: 0, number: put.generation };
+        let stamp = Stamp {
+            epoch: 0,
+            number: put.generation,
+        };
         state.apply(stamp, &Command::PutConfiguration(put.clone()));
     }
     (changes, state)
@@ -118,7 +127,11 @@
         give_up_old(world, index);
         ask_again(world, index);
         let under_way = world.operators.operators[index].pending.len();
-        let most = if world.operators.are_orderly { 1 } else { MOST_UNDER_WAY };
+        let most = if world.operators.are_orderly {
+            1
+        } else {
+            MOST_UNDER_WAY
+        };
         let share = if under_way == 0 { 0.3 } else { 0.04 };
         if !world.operators.is_stopped && under_way < most && world.chance(share) {
             begin(world, index);
@@ -131,7 +144,9 @@
     let now = world.now;
     let operator = &mut world.operators.operators[index];
     let before = operator.pending.len();
-    operator.pending.retain(|pending| now - pending.started <= GIVE_UP);
+    operator
+        .pending
+        .retain(|pending| now - pending.started <= GIVE_UP);
     operator.wants_read |= operator.pending.len() < before;
 }
 
@@ -139,7 +154,11 @@
     let (now, patience) = (world.now, world.operators.patience);
     let is_late = |pending: &&Pending| now - pending.asked > patience;
     let pending = &world.operators.operators[index].pending;
-    let late: Vec<u64> = pending.iter().filter(is_late).map(|pending| pending.id.order).collect();
+    let late: Vec<u64> = pending
+        .iter()
+        .filter(is_late)
+        .map(|pending| pending.id.order)
+        .collect();
     for order in late {
         ask(world, index, order);
     }
@@ -160,20 +179,37 @@
         operator.wants_read = false;
         Request::ReadConfiguration
     } else {
-        let generation =
-            if same_number { operators.next_generation.max(1) } else { operators.next_generation + step };
+        let generation = if same_number {
+            operators.next_generation.max(1)
+        } else {
+            operators.next_generation + step
+        };
         operators.next_generation = operators.next_generation.max(generation);
         operators.next_digest += 1;
         let unanswered = operator.unanswered_generation().filter(|_| on_unanswered);
         let base = unanswered.unwrap_or(operator.known);
-        Request::Submit(Command::PutConfiguration(new_put(base, generation, operators.next_digest)))
+        Request::Submit(Command::PutConfiguration(new_put(
+            base,
+            generation,
+            operators.next_digest,
+        )))
     };
     let order = operator.next_order;
     operator.next_order += 1;
-    let id = CallId { operator: index, order, attempt: 0 };
+    let id = CallId {
+        operator: index,
+        order,
+        attempt: 0,
+    };
     let attempt = world.history.invoked(world.now, id, &request);
     let now = world.now;
-    let pending = Pending { id, request, attempt, started: now, asked: now };
+    let pending = Pending {
+        id,
+        request,
+        attempt,
+        started: now,
+        asked: now,
+    };
     world.operators.operators[index].pending.push(pending);
     ask(world, index, order);
 }
@@ -181,31 +217,55 @@
 /// Position of a change that was taken: any of them, or the last one if the operators are orderly.
 fn draw_taken(world: &mut World, index: usize) -> usize {
     let count = world.operators.operators[index].taken.len();
-    if world.operators.are_orderly { count.saturating_sub(1) } else { world.pick(count.max(1)) }
+    if world.operators.are_orderly {
+        count.saturating_sub(1)
+    } else {
+        world.pick(count.max(1))
+    }
 }
 
 pub fn new_put(base: u64, generation: u64, number: u64) -> PutConfiguration {
     let mut digest = [0; 16];
     digest[..8].copy_from_slice(&number.to_le_bytes());
     let body = Blob::from(number.to_le_bytes().to_vec());
-    PutConfiguration { base, generation, digest, body }
+    PutConfiguration {
+        base,
+        generation,
+        digest,
+        body,
+    }
 }
 
 /// Sends a pending order to a machine drawn at random, at times to a second one too.
 fn ask(world: &mut World, index: usize, order: u64) {
     let now = world.now;
     let pending = &mut world.operators.operators[index].pending;
-    let Some(pending) = pending.iter_mut().find(|pending| pending.id.order == order) else { return };
+    let Some(pending) = pending.iter_mut().find(|pending| pending.id.order == order) else {
+        return;
+    };
     pending.asked = now;
     pending.id.attempt += 1;
     let (call, request) = (pending.id, pending.request.clone());
     let is_orderly = world.operators.are_orderly;
-    let copies = if !is_orderly && world.chance(0.1) { 2 } else { 1 };
+    let copies = if !is_orderly && world.chance(0.1) {
+        2
+    } else {
+        1
+    };
     for _ in 0..copies {
         let node = world.pick(world.nodes.len());
         let is_late = !is_orderly && world.chance(0.05);
-        let delay = if is_late { world.random_duration(LATE) } else { Duration::ZERO };
-        let event = Event::Call { node, call, request: request.clone(), hops: 0 };
+        let delay = if is_late {
+            world.random_duration(LATE)
+        } else {
+            Duration::ZERO
+        };
+        let event = Event::Call {
+            node,
+            call,
+            request: request.clone(),
+            hops: 0,
+        };
         world.schedule(Duration::from_millis(1) + delay, event);
     }
 }
@@ -215,7 +275,11 @@
     let now = world.now;
     world.history.replied(request, reply);
     let operator = &mut world.operators.operators[call.operator];
-    let Some(place) = operator.pending.iter().position(|pending| pending.id.order == call.order) else {
+    let Some(place) = operator
+        .pending
+        .iter()
+        .position(|pending| pending.id.order == call.order)
+    else {
         return;
     };
     let outcome = match (request, reply) {
@@ -226,7 +290,9 @@
         }
         (Request::Submit(_), Reply::Rejected(rejection)) => {
             operator.wants_read = true;
-            if let Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } = rejection {
+            if let Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } =
+                rejection
+            {
                 operator.known = operator.known.max(*current);
             }
             Outcome::Refused(*rejection)
@@ -234,7 +300,11 @@
         (Request::ReadConfiguration, Reply::Configuration(found)) => {
             let read = found.as_ref().map_or(0, |(generation, _)| *generation);
             operator.known = operator.known.max(read);
-            Outcome::Read(found.as_ref().map(|(generation, body)| (*generation, body.0.to_vec())))
+            Outcome::Read(
+                found
+                    .as_ref()
+                    .map(|(generation, body)| (*generation, body.0.to_vec())),
+            )
         }
         _ => return,
     };
--- a/crates/woadreach-chain/tests/simulation/stops.rs
+++ b/crates/woadreach-chain/tests/simulation/stops.rs
@@ -48,10 +48,15 @@
     if world.nodes[node].life != life {
         return;
     }
-    let Some((stop, since)) = world.nodes[node].stop else { return };
+    let Some((stop, since)) = world.nodes[node].stop else {
+        return;
+    };
     let waited = world.now - since;
     let now = world.now;
-    let member = world.nodes[node].member.as_ref().filter(|_| world.is_running(node));
+    let member = world.nodes[node]
+        .member
+        .as_ref()
+        .filter(|_| world.is_running(node));
     let may_end = match member.map(|member| member.departure(now)) {
         Some(Departure::Free) => true,
         Some(Departure::NobodyStays) => waited >= ALONE_TIMEOUT,
@@ -99,7 +104,13 @@
         world.add();
     }
     for &node in &old {
-        world.schedule(CATCH_UP, Event::Stop { node, stop: Stop::RemoveThenLoss });
+        world.schedule(
+            CATCH_UP,
+            Event::Stop {
+                node,
+                stop: Stop::RemoveThenLoss,
+            },
+        );
     }
     CATCH_UP + GRACE_PERIOD + CATCH_UP
 }
@@ -107,11 +118,21 @@
 /// Stops machines one after the other, each once the last one is back; or all of them at once.
 pub fn roll(world: &mut World) -> Duration {
     let is_at_once = world.chance(0.2);
-    let gap = if is_at_once { Duration::ZERO } else { Duration::from_millis(1300) };
+    let gap = if is_at_once {
+        Duration::ZERO
+    } else {
+        Duration::from_millis(1300)
+    };
     let nodes = world.present();
     let mut delay = Duration::ZERO;
     for node in nodes {
-        world.schedule(delay, Event::Stop { node, stop: Stop::Roll });
+        world.schedule(
+            delay,
+            Event::Stop {
+                node,
+                stop: Stop::Roll,
+            },
+        );
         delay += gap;
     }
     delay + GRACE_PERIOD + RESTART
--- a/crates/woadreach-chain/tests/simulation/world.rs
+++ b/crates/woadreach-chain/tests/simulation/world.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, ControlState, Durable, Envelope, Input, Member, MemberOptions, Output, Place, Reply, Request,
-    RequestId, Tolerance, View,
+    Body, ControlState, Durable, Envelope, Input, Member, MemberOptions, Output, Place, Reply,
+    Request, RequestId, Tolerance, View,
 };
 
 use super::capacity::Capacity;
@@ -213,7 +213,11 @@
 
     pub fn schedule(&mut self, delay: Duration, event: Event) {
         self.order += 1;
-        self.queue.push(Reverse(Scheduled { at: self.now + delay, order: self.order, event }));
+        self.queue.push(Reverse(Scheduled {
+            at: self.now + delay,
+            order: self.order,
+            event,
+        }));
     }
 
     pub fn random_duration(&mut self, longest: Duration) -> Duration {
@@ -255,13 +259,22 @@
                 }
             }
             Event::Deliver { to, from, envelope } => self.deliver(to, from, envelope),
-            Event::Synced { node, life, through } => self.synced(node, life, through),
+            Event::Synced {
+                node,
+                life,
+                through,
+            } => self.synced(node, life, through),
             Event::Start { node } => self.start(node),
             Event::Thaw { node } => self.thaw(node),
             Event::Stop { node, stop } => super::stops::stop(self, node, stop),
             Event::Lose { node } => self.wipe(node),
             Event::CheckStop { node, life } => super::stops::check(self, node, life),
-            Event::Call { node, call, request, hops } => self.call(node, call, request, hops),
+            Event::Call {
+                node,
+                call,
+                request,
+                hops,
+            } => self.call(node, call, request, hops),
             Event::Operate => super::operator::operate(self),
             Event::Fault => super::faults::strike(self),
             Event::EndFault => super::faults::end_lasting_faults(self),
@@ -288,7 +301,8 @@
     fn check_disk(&mut self, node: usize) {
         let state = &self.nodes[node];
         let waits = state.disk.as_ref().is_some_and(|disk| disk.waiting() > 0);
-        let is_healthy = !(waits && self.now.saturating_sub(state.sync_started) > Duration::from_secs(1));
+        let is_healthy =
+            !(waits && self.now.saturating_sub(state.sync_started) > Duration::from_secs(1));
         self.input(node, Input::DiskHealth { is_healthy });
     }
 
@@ -297,7 +311,14 @@
             return;
         }
         if self.nodes[node].is_disk_stalled {
-            return self.schedule(Duration::from_millis(50), Event::Synced { node, life, through });
+            return self.schedule(
+                Duration::from_millis(50),
+                Event::Synced {
+                    node,
+                    life,
+                    through,
+                },
+            );
         }
         let state = &mut self.nodes[node];
         state.is_syncing = false;
@@ -312,7 +333,11 @@
     }
 
     fn begin_sync(&mut self, node: usize) {
-        let Some(through) = self.nodes[node].disk.as_ref().and_then(SimulatedDisk::last_waiting) else {
+        let Some(through) = self.nodes[node]
+            .disk
+            .as_ref()
+            .and_then(SimulatedDisk::last_waiting)
+        else {
             return;
         };
         if self.nodes[node].is_syncing {
@@ -322,16 +347,31 @@
         self.nodes[node].sync_started = self.now;
         let base = Duration::from_millis(1) + self.random_duration(Duration::from_millis(5));
         let life = self.nodes[node].life;
-        let written = self.nodes[node].disk.as_ref().map_or(0, SimulatedDisk::waiting_bytes);
-        let writing = self.capacity.as_ref().map_or(Duration::ZERO, |capacity| capacity.write(written));
+        let written = self.nodes[node]
+            .disk
+            .as_ref()
+            .map_or(0, SimulatedDisk::waiting_bytes);
+        let writing = self
+            .capacity
+            .as_ref()
+            .map_or(Duration::ZERO, |capacity| capacity.write(written));
         let delay = (base + writing) * self.nodes[node].disk_factor;
-        self.schedule(delay, Event::Synced { node, life, through });
+        self.schedule(
+            delay,
+            Event::Synced {
+                node,
+                life,
+                through,
+            },
+        );
     }
 
     /// Gives a member an input and carries its outputs out.
     pub fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
-        let Some(member) = self.nodes[node].member.as_mut() else { return };
+        let Some(member) = self.nodes[node].member.as_mut() else {
+            return;
+        };
         let outputs = member.handle(now, input);
         let wake = member.next_wake();
         for output in outputs {
@@ -349,13 +389,21 @@
     fn carry_out(&mut self, node: usize, output: Output) {
         match output {
             Output::Persist { number, record } => {
-                self.nodes[node].disk.as_mut().expect("running").append(number, record);
+                self.nodes[node]
+                    .disk
+                    .as_mut()
+                    .expect("running")
+                    .append(number, record);
             }
             Output::Send { to, envelope } => self.send(node, to, envelope),
             Output::Reply { id, reply } => self.reply(node, id, reply),
             Output::Committed(state) => {
                 self.trace(|| {
-                    format!("node {node} committed {:?} generation {}", state.stamp, state.generation())
+                    format!(
+                        "node {node} committed {:?} generation {}",
+                        state.stamp,
+                        state.generation()
+                    )
                 });
                 self.history.published(self.now, node, &state);
             }
@@ -370,7 +418,9 @@
         if envelope.check().is_err() {
             self.history.report(Violation::UnsoundView { node: from });
         }
-        let Some(to) = self.nodes.iter().position(|node| node.address == to) else { return };
+        let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
+            return;
+        };
         if self.cuts.contains(&(from, to)) || self.chance(self.loss) {
             return;
         }
@@ -378,7 +428,14 @@
             && let Some(capacity) = &mut self.capacity
         {
             let delay = capacity.send(self.now, from, &envelope);
-            return self.schedule(delay, Event::Deliver { to, from, envelope: Box::new(envelope) });
+            return self.schedule(
+                delay,
+                Event::Deliver {
+                    to,
+                    from,
+                    envelope: Box::new(envelope),
+                },
+            );
         }
         let mut delay = Duration::from_micros(300) + self.random_duration(Duration::from_millis(2));
         if matches!(envelope.body, Body::Transfer { .. }) {
@@ -387,7 +444,14 @@
         let envelope = Box::new(envelope);
         if self.loss > 0.0 && self.chance(0.02) {
             let later = delay + self.random_duration(Duration::from_millis(400));
-            self.schedule(later, Event::Deliver { to, from, envelope: envelope.clone() });
+            self.schedule(
+                later,
+                Event::Deliver {
+                    to,
+                    from,
+                    envelope: envelope.clone(),
+                },
+            );
         }
         self.schedule(delay, Event::Deliver { to, from, envelope });
     }
@@ -399,16 +463,29 @@
             return;
         }
         let now = self.now;
-        let status = self.nodes[node].member.as_ref().expect("running").status(now);
+        let status = self.nodes[node]
+            .member
+            .as_ref()
+            .expect("running")
+            .status(now);
         if !status.is_head {
-            let head = status
-                .head
-                .and_then(|head| self.nodes.iter().position(|other| other.address == head.address));
-            let Some(head) = head.filter(|&head| head != node && hops < 2) else { return };
+            let head = status.head.and_then(|head| {
+                self.nodes
+                    .iter()
+                    .position(|other| other.address == head.address)
+            });
+            let Some(head) = head.filter(|&head| head != node && hops < 2) else {
+                return;
+            };
             if !self.cuts.contains(&(node, head)) {
                 self.schedule(
                     Duration::from_millis(1),
-                    Event::Call { node: head, call, request, hops: hops + 1 },
+                    Event::Call {
+                        node: head,
+                        call,
+                        request,
+                        hops: hops + 1,
+                    },
                 );
             }
             return;
@@ -420,7 +497,9 @@
     }
 
     fn reply(&mut self, node: usize, id: RequestId, reply: Reply) {
-        let Some((call, request)) = self.nodes[node].calls.remove(&id) else { return };
+        let Some((call, request)) = self.nodes[node].calls.remove(&id) else {
+            return;
+        };
         if reply == Reply::Unavailable || self.chance(0.1) {
             return;
         }
@@ -432,7 +511,10 @@
     /// The process ends; a random prefix of what was not synced is on the disk.
     pub fn kill(&mut self, node: usize) {
         self.trace(|| format!("node {node} killed"));
-        let waiting = self.nodes[node].disk.as_ref().map_or(0, SimulatedDisk::waiting);
+        let waiting = self.nodes[node]
+            .disk
+            .as_ref()
+            .map_or(0, SimulatedDisk::waiting);
         let kept = self.pick(waiting + 1);
         let state = &mut self.nodes[node];
         if state.member.take().is_none() {
@@ -465,8 +547,13 @@
         let seeds: Vec<SocketAddrV4> = present.take(3).map(|node| node.address).collect();
         let is_first_life = self.nodes[node].life == 0 && self.nodes[node].is_founding;
         if self.nodes[node].disk.is_none() {
-            let view = if is_first_life { View::bootstrap(&seeds) } else { View::default() };
-            let keeps_identity = self.bug == Some(PlantedBug::IdentitySurvivesWipe) && !is_first_life;
+            let view = if is_first_life {
+                View::bootstrap(&seeds)
+            } else {
+                View::default()
+            };
+            let keeps_identity =
+                self.bug == Some(PlantedBug::IdentitySurvivesWipe) && !is_first_life;
             if !keeps_identity {
                 self.nodes[node].identity = self.random.rand_u64() | 1;
             }
@@ -505,18 +592,30 @@
     /// A machine is added, with an empty disk; gives back its number.
     pub fn add(&mut self) -> usize {
         let node = self.nodes.len();
-        self.nodes.push(Node { is_founding: false, ..new_node(node) });
+        self.nodes.push(Node {
+            is_founding: false,
+            ..new_node(node)
+        });
         self.start(node);
         node
     }
 
     /// Machines that are not gone for good.
     pub fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|&node| !self.nodes[node].is_removed).collect()
+        (0..self.nodes.len())
+            .filter(|&node| !self.nodes[node].is_removed)
+            .collect()
     }
 
     fn place(&self, node: usize) -> Place {
-        if self.zones == 0 { Place::default() } else { Place { zone: (node % self.zones) as u32, region: 0 } }
+        if self.zones == 0 {
+            Place::default()
+        } else {
+            Place {
+                zone: (node % self.zones) as u32,
+                region: 0,
+            }
+        }
     }
 
     pub fn freeze(&mut self, node: usize, length: Duration) {
@@ -527,7 +626,9 @@
     }
 
     fn thaw(&mut self, node: usize) {
-        let is_due = self.nodes[node].frozen_until.is_some_and(|until| until <= self.now);
+        let is_due = self.nodes[node]
+            .frozen_until
+            .is_some_and(|until| until <= self.now);
         if !is_due {
             return;
         }
--- a/crates/woadreach-chain/tests/state.rs
+++ b/crates/woadreach-chain/tests/state.rs
@@ -2,8 +2,8 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_chain::{
-    Blob, Command, ControlState, PutConfiguration, PutStorageView, Rejection, Stamp, TAKEN_LIMIT, Undecided,
-    Verdict,
+    Blob, Command, ControlState, PutConfiguration, PutStorageView, Rejection, Stamp, TAKEN_LIMIT,
+    Undecided, Verdict,
 };
 
 /// A command with small numbers, so that repeats and mismatches are common.
@@ -18,10 +18,19 @@
         SmallCommand(if bool::arbitrary(generator) {
             let digest = [content; 16];
             let body = Blob::from(vec![content]);
-            Command::PutConfiguration(PutConfiguration { base, generation: next, digest, body })
+            Command::PutConfiguration(PutConfiguration {
+                base,
+                generation: next,
+                digest,
+                body,
+            })
         } else {
             let bytes = Blob::from(vec![content]);
-            Command::PutStorageView(PutStorageView { expected_epoch: base, epoch: next, bytes })
+            Command::PutStorageView(PutStorageView {
+                expected_epoch: base,
+                epoch: next,
+                bytes,
+            })
         })
     }
 }
@@ -37,7 +46,10 @@
     fn verdict(&self, command: &Command) -> Verdict {
         match command {
             Command::PutConfiguration(put) => {
-                let current = self.configurations.last().map_or(0, |(generation, _)| *generation);
+                let current = self
+                    .configurations
+                    .last()
+                    .map_or(0, |(generation, _)| *generation);
                 if self.configurations.contains(&(put.generation, put.digest)) {
                     Verdict::AlreadyTaken
                 } else if put.base < current {
@@ -65,7 +77,9 @@
 
     fn take(&mut self, command: &Command) {
         match command {
-            Command::PutConfiguration(put) => self.configurations.push((put.generation, put.digest)),
+            Command::PutConfiguration(put) => {
+                self.configurations.push((put.generation, put.digest))
+            }
             Command::PutStorageView(put) => self.storage = Some((put.epoch, put.bytes.clone())),
         }
     }
@@ -132,7 +146,13 @@
     let mut state = ControlState::default();
     for (index, change) in changes.iter().enumerate() {
         assert_eq!(state.judge(change), Verdict::Take);
-        state.apply(Stamp { epoch: 1, number: index as u64 + 1 }, change);
+        state.apply(
+            Stamp {
+                epoch: 1,
+                number: index as u64 + 1,
+            },
+            change,
+        );
     }
     state
 }
@@ -146,7 +166,10 @@
         assert_eq!(state.judge(change), Verdict::AlreadyTaken);
     }
     for change in forgotten {
-        assert_eq!(state.judge(change), Verdict::Undecided(Undecided::Forgotten { oldest: 601 }));
+        assert_eq!(
+            state.judge(change),
+            Verdict::Undecided(Undecided::Forgotten { oldest: 601 })
+        );
     }
 }
 
@@ -155,9 +178,23 @@
     let mut state = ControlState::default();
     for generation in 1..=10_000 {
         let digest = [0; 16];
-        let put = PutConfiguration { base: generation - 1, generation, digest, body: Blob::default() };
-        state.apply(Stamp { epoch: 1, number: generation }, &Command::PutConfiguration(put));
+        let put = PutConfiguration {
+            base: generation - 1,
+            generation,
+            digest,
+            body: Blob::default(),
+        };
+        state.apply(
+            Stamp {
+                epoch: 1,
+                number: generation,
+            },
+            &Command::PutConfiguration(put),
+        );
     }
     assert_eq!(state.taken.len(), 8192);
-    assert_eq!(state.taken.last().map(|taken| taken.generation), Some(10_000));
+    assert_eq!(
+        state.taken.last().map(|taken| taken.generation),
+        Some(10_000)
+    );
 }
--- a/crates/woadreach-chain/tests/world.rs
+++ b/crates/woadreach-chain/tests/world.rs
@@ -11,20 +11,41 @@
 use simulation::faults::{Finding, Run, play, play_planned_work};
 
 fn number(variable: &str, default: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
+    std::env::var(variable)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(default)
 }
 
 fn play_runs(nodes: usize, zones: usize, fault_tolerance: usize, seconds: u64) {
     play_runs_of(play, nodes, zones, fault_tolerance, seconds);
 }
 
-fn play_runs_of(play: fn(Run) -> Finding, nodes: usize, zones: usize, fault_tolerance: usize, seconds: u64) {
+fn play_runs_of(
+    play: fn(Run) -> Finding,
+    nodes: usize,
+    zones: usize,
+    fault_tolerance: usize,
+    seconds: u64,
+) {
     let first = number("WOADREACH_SEED", 1);
     let mut acknowledged = 0;
     for seed in first..first + number("WOADREACH_RUNS", 50) {
         let length = Duration::from_secs(seconds);
-        let finding = play(Run { seed, nodes, zones, fault_tolerance, length, bug: None });
-        assert!(finding.violations.is_empty(), "seed {seed}: {:?}\n{}", finding.violations, finding.history);
+        let finding = play(Run {
+            seed,
+            nodes,
+            zones,
+            fault_tolerance,
+            length,
+            bug: None,
+        });
+        assert!(
+            finding.violations.is_empty(),
+            "seed {seed}: {:?}\n{}",
+            finding.violations,
+            finding.history
+        );
         acknowledged += finding.acknowledged;
     }
     assert!(acknowledged > 0, "the runs acknowledged nothing");
--- a/crates/woadreach-cli/src/cluster.rs
+++ b/crates/woadreach-cli/src/cluster.rs
@@ -9,8 +9,10 @@
 #[derive(Subcommand)]
 pub enum What {
     /// Starts co-ordinators in their zones, puts a scenario's faults between them, and says how they fared
-    #[command(after_help = "Example: woadreach cluster play zone-loss --coordinators 6 --zones 3 --seed 1\n\
-                            Exit code 1 if a rule broke, a process crashed or a duty was held twice.")]
+    #[command(
+        after_help = "Example: woadreach cluster play zone-loss --coordinators 6 --zones 3 --seed 1\n\
+                            Exit code 1 if a rule broke, a process crashed or a duty was held twice."
+    )]
     Play(Play),
     /// Names the scenarios
     Scenarios,
@@ -66,7 +68,9 @@
         return Ok(binary);
     }
     let looked = binary.display();
-    Err(format!("no program at {looked}; build it (cargo build --release) or name it with --binary"))
+    Err(format!(
+        "no program at {looked}; build it (cargo build --release) or name it with --binary"
+    ))
 }
 
 fn one(args: &Play) -> Result<Ended, String> {
@@ -85,7 +89,10 @@
     };
     let outcome = play(&plan)?;
     match args.format {
-        Format::Json => println!("{}", serde_json::to_string(&outcome).map_err(|e| e.to_string())?),
+        Format::Json => println!(
+            "{}",
+            serde_json::to_string(&outcome).map_err(|e| e.to_string())?
+        ),
         Format::Text => print(&outcome),
     }
     let bad = outcome.rules_broken > 0 || outcome.crashes > 0 || outcome.duties.two_holders > 0;
@@ -112,7 +119,10 @@
     }
     println!("false shifts {}, flaps {}", o.false_shifts, o.flaps);
     if let Some(near) = o.near_share_safe {
-        println!("near while safe {near:.3}, by an even spread {:.3}", o.near_share_even);
+        println!(
+            "near while safe {near:.3}, by an even spread {:.3}",
+            o.near_share_even
+        );
     }
     let d = &o.duties;
     println!(
--- a/crates/woadreach-cli/src/faults.rs
+++ b/crates/woadreach-cli/src/faults.rs
@@ -146,7 +146,10 @@
     if Kind::NAMES.contains(&text) {
         Ok(text.to_string())
     } else {
-        Err(format!("no such kind; there are {}", Kind::NAMES.join(", ")))
+        Err(format!(
+            "no such kind; there are {}",
+            Kind::NAMES.join(", ")
+        ))
     }
 }
 
@@ -164,7 +167,11 @@
 
 /// A seed's script: of its ordinary day, or of its day of a whole tier.
 fn drawn(seed: u64, tier: bool, only: &[String], seconds: Option<f64>) -> Script {
-    if tier { Script::draw_tier(seed) } else { Script::draw(seed, only, seconds) }
+    if tier {
+        Script::draw_tier(seed)
+    } else {
+        Script::draw(seed, only, seconds)
+    }
 }
 
 /// A seed's script, or the one in a file.
@@ -172,7 +179,8 @@
     if let Ok(seed) = of.parse() {
         return Ok(drawn(seed, tier, &[], None));
     }
-    let text = std::fs::read_to_string(of).map_err(|e| format!("{of}: {e}; expected a seed or a script"))?;
+    let text = std::fs::read_to_string(of)
+        .map_err(|e| format!("{of}: {e}; expected a seed or a script"))?;
     Script::read(of, &text).map_err(|bad| bad.to_string())
 }
 
@@ -222,13 +230,21 @@
     }
     if args.tier && (args.until.is_some() || !args.only.is_empty()) {
         return Err(
-            "--tier: its days have lengths and faults of their own, without --until and --only".into()
+            "--tier: its days have lengths and faults of their own, without --until and --only"
+                .into(),
         );
     }
-    let (next, outcomes) = (AtomicU64::new(args.seeds.start), Mutex::new(BTreeMap::new()));
+    let (next, outcomes) = (
+        AtomicU64::new(args.seeds.start),
+        Mutex::new(BTreeMap::new()),
+    );
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let all = args.seeds.end - args.seeds.start;
-    let bar = if std::io::stderr().is_terminal() { ProgressBar::new(all) } else { ProgressBar::hidden() };
+    let bar = if std::io::stderr().is_terminal() {
+        ProgressBar::new(all)
+    } else {
+        ProgressBar::hidden()
+    };
     let style = ProgressStyle::with_template("{pos}/{len} seeds, {per_sec}, {msg} {eta}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let began = Instant::now();
@@ -240,7 +256,10 @@
                     if seed >= args.seeds.end {
                         return;
                     }
-                    let outcome = play(&drawn(seed, args.tier, &args.only, args.until), Options::default());
+                    let outcome = play(
+                        &drawn(seed, args.tier, &args.only, args.until),
+                        Options::default(),
+                    );
                     if !outcome.breaches.is_empty() {
                         bar.println(format!("seed {seed}: {}", told(&outcome.breaches[0])));
                     }
@@ -254,13 +273,19 @@
     });
     bar.finish_and_clear();
     let wall = began.elapsed().as_secs_f64();
-    let outcomes = outcomes.into_inner().map_err(|_| "a thread has died".to_string())?;
+    let outcomes = outcomes
+        .into_inner()
+        .map_err(|_| "a thread has died".to_string())?;
     let summary = summary(&outcomes, wall);
     match args.format {
         Format::Json => println!("{}", json(&summary)),
         Format::Text => print(&summary),
     }
-    Ok(if summary.broken.is_empty() { Ended::Good } else { Ended::Found })
+    Ok(if summary.broken.is_empty() {
+        Ended::Good
+    } else {
+        Ended::Found
+    })
 }
 
 fn json(of: &impl Serialize) -> String {
@@ -268,8 +293,16 @@
 }
 
 fn told(b: &Breach) -> String {
-    let search = b.search.as_ref().map_or(String::new(), |s| format!("search {s}: "));
-    format!("{}, at {:.3} s: {search}{}", b.rule, b.at - woadreach_faults::BEGIN, b.why)
+    let search = b
+        .search
+        .as_ref()
+        .map_or(String::new(), |s| format!("search {s}: "));
+    format!(
+        "{}, at {:.3} s: {search}{}",
+        b.rule,
+        b.at - woadreach_faults::BEGIN,
+        b.why
+    )
 }
 
 fn summary(outcomes: &BTreeMap<u64, Outcome>, wall: f64) -> Summary {
@@ -286,7 +319,10 @@
                 back.saturating_record((after * 1000.0).max(1.0) as u64);
             }
         }
-        let at = |q| back.as_ref().map_or(0.0, |b| b.value_at_quantile(q) as f64 / 1000.0);
+        let at = |q| {
+            back.as_ref()
+                .map_or(0.0, |b| b.value_at_quantile(q) as f64 / 1000.0)
+        };
         let n = of.len() as f64;
         let recovered = Recovered {
             faults: of.len() as u64,
@@ -300,7 +336,13 @@
     let broken = outcomes.iter().filter_map(|(seed, o)| {
         let first = o.breaches.first()?;
         let (rule, at) = (first.rule.to_string(), first.at - woadreach_faults::BEGIN);
-        Some(Found { seed: *seed, rule, at, why: first.why.clone(), breaches: o.breaches.len() })
+        Some(Found {
+            seed: *seed,
+            rule,
+            at,
+            why: first.why.clone(),
+            breaches: o.breaches.len(),
+        })
     });
     let digests: String = outcomes.values().map(|o| o.digest.as_str()).collect();
     Summary {
@@ -319,7 +361,10 @@
 }
 
 fn print(s: &Summary) {
-    println!("{} seeds, {:.0} simulated s, {:.1} s of wall time", s.seeds, s.seconds, s.wall);
+    println!(
+        "{} seeds, {:.0} simulated s, {:.1} s of wall time",
+        s.seeds, s.seconds, s.wall
+    );
     let rate = |n: u64| n as f64 / s.wall.max(1e-9);
     println!(
         "{:.0} seeds a second, {:.0} searches a second, {:.0} steps a second",
@@ -344,7 +389,10 @@
         );
     }
     for found in s.broken.iter().take(TOLD) {
-        println!("seed {}: {}, at {:.3} s: {}", found.seed, found.rule, found.at, found.why);
+        println!(
+            "seed {}: {}, at {:.3} s: {}",
+            found.seed, found.rule, found.at, found.why
+        );
     }
     match s.broken.len() {
         0 => println!("no rule is broken"),
@@ -356,9 +404,19 @@
     let script = script(&args.script, args.tier)?;
     if args.log {
         let lines = tracing_subscriber::fmt().with_max_level(tracing::Level::DEBUG);
-        lines.with_writer(std::io::stderr).with_ansi(false).without_time().init();
+        lines
+            .with_writer(std::io::stderr)
+            .with_ansi(false)
+            .without_time()
+            .init();
     }
-    let outcome = play(&script, Options { trace: args.trace.is_some(), stop_at_breach: false });
+    let outcome = play(
+        &script,
+        Options {
+            trace: args.trace.is_some(),
+            stop_at_breach: false,
+        },
+    );
     if let Some(path) = &args.trace {
         let lines: Vec<String> = outcome.trace.iter().map(json).collect();
         write(path, &(lines.join("\n") + "\n"))?;
@@ -369,10 +427,16 @@
             println!("digest {}", outcome.digest);
             println!(
                 "{:.1} simulated s, {} searches, {} in time, {} sub-requests, {} steps",
-                outcome.seconds, outcome.searches, outcome.good, outcome.sub_requests, outcome.steps
+                outcome.seconds,
+                outcome.searches,
+                outcome.good,
+                outcome.sub_requests,
+                outcome.steps
             );
             for r in &outcome.recoveries {
-                let back = r.back_after.map_or("not back".into(), |b| format!("back after {b:.2} s"));
+                let back = r
+                    .back_after
+                    .map_or("not back".into(), |b| format!("back after {b:.2} s"));
                 println!(
                     "{:>7.2} s {} for {} s: {:.3} before, {:.3} meanwhile, {back}, {:.1} lost",
                     r.at, r.kind, r.lasts, r.before, r.during, r.lost
@@ -381,13 +445,23 @@
             outcome.breaches.iter().for_each(account);
         }
     }
-    Ok(if outcome.breaches.is_empty() { Ended::Good } else { Ended::Found })
+    Ok(if outcome.breaches.is_empty() {
+        Ended::Good
+    } else {
+        Ended::Found
+    })
 }
 
 /// A breach with what each party saw of its search.
 fn account(b: &Breach) {
     println!("\nbroken: {}", told(b));
-    let line = |e: &Event| println!("  {:>11.6} {}", e.at - woadreach_faults::BEGIN, json(&e.what));
+    let line = |e: &Event| {
+        println!(
+            "  {:>11.6} {}",
+            e.at - woadreach_faults::BEGIN,
+            json(&e.what)
+        )
+    };
     b.proof.iter().for_each(line);
 }
 
@@ -443,7 +517,10 @@
 }
 
 fn compare(args: &Compare) -> Result<Ended, String> {
-    let script = Script { faults: Vec::new(), ..script(&args.script, false)? };
+    let script = Script {
+        faults: Vec::new(),
+        ..script(&args.script, false)?
+    };
     let real = woadreach_faults::on_sockets(&script)?;
     let played = play(&script, Options::default());
     let share = |o: &Outcome| o.good as f64 / o.searches.max(1) as f64;
@@ -469,20 +546,32 @@
         }
     }
     let apart = (compared.sockets - compared.virtual_clock).abs();
-    Ok(if apart <= APART && compared.breaches == [0, 0] { Ended::Good } else { Ended::Found })
+    Ok(if apart <= APART && compared.breaches == [0, 0] {
+        Ended::Good
+    } else {
+        Ended::Found
+    })
 }
 
 #[cfg(not(feature = "plants"))]
 fn plants(args: &Plants) -> Result<Ended, String> {
-    let _ = (&args.seeds, &args.only, &args.jobs, &args.scripts, args.format);
+    let _ = (
+        &args.seeds,
+        &args.only,
+        &args.jobs,
+        &args.scripts,
+        args.format,
+    );
     Err("this build has no plants: build it with --features plants".into())
 }
 
 #[cfg(feature = "plants")]
 fn plants(args: &Plants) -> Result<Ended, String> {
     use woadreach_faults::plants::{hunt, names};
-    let names: Vec<&str> =
-        names().into_iter().filter(|n| args.only.is_empty() || args.only.iter().any(|o| o == n)).collect();
+    let names: Vec<&str> = names()
+        .into_iter()
+        .filter(|n| args.only.is_empty() || args.only.iter().any(|o| o == n))
+        .collect();
     if let Some(unknown) = args.only.iter().find(|o| !names.contains(&o.as_str())) {
         return Err(format!("no such plant: {unknown}"));
     }
@@ -501,7 +590,9 @@
             });
         }
     });
-    let found = found.into_inner().map_err(|_| "a thread has died".to_string())?;
+    let found = found
+        .into_inner()
+        .map_err(|_| "a thread has died".to_string())?;
     if let Some(folder) = &args.scripts {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         for (name, hunted) in &found {
@@ -514,7 +605,10 @@
         Format::Json => println!("{}", json(&found.values().collect::<Vec<_>>())),
         Format::Text => {
             for h in found.values() {
-                let (seed, rule) = (h.seed.map_or("-".into(), |s| s.to_string()), h.rule.as_deref());
+                let (seed, rule) = (
+                    h.seed.map_or("-".into(), |s| s.to_string()),
+                    h.rule.as_deref(),
+                );
                 let rule = rule.unwrap_or("not found");
                 println!(
                     "{:<26}after {:>5} seeds, seed {seed:>5}: {rule:<42} {}",
@@ -523,5 +617,9 @@
             }
         }
     }
-    Ok(if found.values().all(|h| h.seed.is_some()) { Ended::Good } else { Ended::Found })
+    Ok(if found.values().all(|h| h.seed.is_some()) {
+        Ended::Good
+    } else {
+        Ended::Found
+    })
 }
--- a/crates/woadreach-cli/src/main.rs
+++ b/crates/woadreach-cli/src/main.rs
@@ -9,7 +9,12 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "woadreach", version, about, after_help = "Example: woadreach faults run --seeds 0..1000")]
+#[command(
+    name = "woadreach",
+    version,
+    about,
+    after_help = "Example: woadreach faults run --seeds 0..1000"
+)]
 struct Command {
     #[command(subcommand)]
     what: What,
--- a/crates/woadreach-cli/tests/faults.rs
+++ b/crates/woadreach-cli/tests/faults.rs
@@ -4,7 +4,10 @@
 use std::process::{Command, Output};
 
 fn woadreach(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_woadreach")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_woadreach"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn out(of: &Output) -> String {
@@ -50,24 +53,49 @@
 fn a_run_is_the_same_again() {
     let digest = |ended: &Output| {
         assert_eq!(ended.status.code(), Some(0), "{}", out(ended));
-        out(ended).lines().find_map(|l| l.strip_prefix("digest ").map(String::from)).unwrap()
+        out(ended)
+            .lines()
+            .find_map(|l| l.strip_prefix("digest ").map(String::from))
+            .unwrap()
     };
     let path = file("same", &out(&woadreach(&["faults", "draw", "2"])));
     let trace = file("trace", "");
-    let (seed, script) =
-        (woadreach(&["faults", "replay", "2", "--trace", &trace]), woadreach(&["faults", "replay", &path]));
+    let (seed, script) = (
+        woadreach(&["faults", "replay", "2", "--trace", &trace]),
+        woadreach(&["faults", "replay", &path]),
+    );
     assert_eq!(digest(&seed), digest(&script));
-    let first = std::fs::read_to_string(&trace).unwrap().lines().next().map(String::from).unwrap();
-    assert!(first.starts_with(r#"{"at":1700000000.0,"what":"#), "{first}");
-    let run = |jobs| woadreach(&["faults", "run", "--seeds", "2..5", "--until", "6", "--jobs", jobs]);
+    let first = std::fs::read_to_string(&trace)
+        .unwrap()
+        .lines()
+        .next()
+        .map(String::from)
+        .unwrap();
+    assert!(
+        first.starts_with(r#"{"at":1700000000.0,"what":"#),
+        "{first}"
+    );
+    let run = |jobs| {
+        woadreach(&[
+            "faults", "run", "--seeds", "2..5", "--until", "6", "--jobs", jobs,
+        ])
+    };
     assert_eq!(digest(&run("1")), digest(&run("3")));
 }
 
 #[test]
 fn results_as_json() {
-    let ended = woadreach(&["faults", "run", "--seeds", "0..2", "--until", "6", "--format", "json"]);
+    let ended = woadreach(&[
+        "faults", "run", "--seeds", "0..2", "--until", "6", "--format", "json",
+    ]);
     let summary: serde_json::Value = serde_json::from_slice(&ended.stdout).unwrap();
-    assert_eq!((summary["seeds"].as_u64(), summary["broken"].as_array().map(Vec::len)), (Some(2), Some(0)));
+    assert_eq!(
+        (
+            summary["seeds"].as_u64(),
+            summary["broken"].as_array().map(Vec::len)
+        ),
+        (Some(2), Some(0))
+    );
     assert!(summary["searches"].as_u64() > Some(0) && summary["kinds"].is_object());
 }
 
@@ -79,5 +107,8 @@
     let path = file("sound", &drawn.replacen(seconds, "seconds = 40.0", 1));
     let to = std::env::temp_dir().join("woadreach-cli-not-written.toml");
     let ended = woadreach(&["faults", "shrink", &path, "--out", &to.to_string_lossy()]);
-    assert_eq!((ended.status.code(), out(&ended).trim(), to.exists()), (Some(0), "it breaks no rule", false));
+    assert_eq!(
+        (ended.status.code(), out(&ended).trim(), to.exists()),
+        (Some(0), "it breaks no rule", false)
+    );
 }
--- a/crates/woadreach-cluster/src/process.rs
+++ b/crates/woadreach-cluster/src/process.rs
@@ -65,7 +65,11 @@
 
     /// Whether it has ended, and well.
     pub fn ended(&mut self) -> Option<bool> {
-        self.child.try_wait().ok().flatten().map(|status| status.success())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.success())
     }
 }
 
--- a/crates/woadreach-cluster/src/relay.rs
+++ b/crates/woadreach-cluster/src/relay.rs
@@ -46,9 +46,17 @@
 
 impl Relay {
     pub fn new(zones: usize, seed: u64) -> Relay {
-        let way = |_| Way { fares: Cell::default(), changed: Notify::new(), reset: Notify::new() };
+        let way = |_| Way {
+            fares: Cell::default(),
+            changed: Notify::new(),
+            reset: Notify::new(),
+        };
         let ways = (0..zones * zones).map(way).collect();
-        Relay(Rc::new(Inner { zones, ways, chance: RefCell::new(Pcg64Mcg::seed_from_u64(seed)) }))
+        Relay(Rc::new(Inner {
+            zones,
+            ways,
+            chance: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+        }))
     }
 
     fn way(&self, from: usize, to: usize) -> &Way {
@@ -94,7 +102,9 @@
     async fn connection(self, mut near: TcpStream, to: SocketAddr, (from, into): (usize, usize)) {
         self.open(from, into).await;
         // Refused there: the drop of this one tells it.
-        let Ok(mut far) = TcpStream::connect(to).await else { return };
+        let Ok(mut far) = TcpStream::connect(to).await else {
+            return;
+        };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let reset = self.way(from, into).reset.notified();
         let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
@@ -162,14 +172,17 @@
             let mut bytes = vec![0; 2048];
             loop {
                 // An unreachable receiver is told as an error of the next call.
-                let Ok((n, _)) = from.recv_from(&mut bytes).await else { continue };
+                let Ok((n, _)) = from.recv_from(&mut bytes).await else {
+                    continue;
+                };
                 let fares = relay.way(zones.0, zones.1).fares.get();
                 if fares.cut || relay.happens(fares.lost) {
                     continue;
                 }
                 for _ in 0..if relay.happens(fares.doubled) { 2 } else { 1 } {
                     let (out, bytes) = (as_of.clone(), bytes[..n].to_vec());
-                    let delay = fares.delay + fares.jitter * relay.0.chance.borrow_mut().random::<f64>();
+                    let delay =
+                        fares.delay + fares.jitter * relay.0.chance.borrow_mut().random::<f64>();
                     if delay <= 0.0 {
                         let _ = out.try_send_to(&bytes, to);
                         continue;
--- a/crates/woadreach-cluster/src/rig.rs
+++ b/crates/woadreach-cluster/src/rig.rs
@@ -53,8 +53,18 @@
 const ENDS: f64 = 8.0;
 
 fn script(plan: &Plan) -> Result<Script, String> {
-    let Plan { co_ordinators, zones, seed, rate, .. } = plan;
-    let peers = if plan.peers { "[peers]\nlost = 0.0\ndoubled = 0.0\nlate = 0.0\n" } else { "" };
+    let Plan {
+        co_ordinators,
+        zones,
+        seed,
+        rate,
+        ..
+    } = plan;
+    let peers = if plan.peers {
+        "[peers]\nlost = 0.0\ndoubled = 0.0\nlate = 0.0\n"
+    } else {
+        ""
+    };
     let query_type = |name: &str, share: f64, repeats: &str, floor: f64| {
         format!(
             "[[query_type]]\nname = \"{name}\"\nshare = {share}\nlatency_target = 0.6\nclient_timeout = 1.5\n\
@@ -89,7 +99,10 @@
 
 impl Hosted {
     fn new(net: Tokio) -> Hosted {
-        Hosted { net, killed: watch::channel(false).0 }
+        Hosted {
+            net,
+            killed: watch::channel(false).0,
+        }
     }
 
     fn kill(&self) {
@@ -207,7 +220,9 @@
     if plan.regions == 0 || plan.regions > plan.zones {
         return Err("expected 1 region at least, and no more than zones".into());
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     let day = async {
         let (lines, queue) = mpsc::unbounded_channel();
@@ -243,9 +258,15 @@
     async fn new(plan: &Plan, lines: mpsc::UnboundedSender<Line>) -> io::Result<Rig> {
         let script = script(plan).map_err(io::Error::other)?;
         let (net, relay) = (Tokio::new(), Relay::new(plan.zones, plan.seed));
-        let targets = script.query_types.iter().map(|t| t.latency_target).collect();
+        let targets = script
+            .query_types
+            .iter()
+            .map(|t| t.latency_target)
+            .collect();
         let record = Rc::new(RefCell::new(Record::new(terms(&script), targets, false)));
-        let (_, faults) = plan.scenario.steps(plan.co_ordinators, &regions(plan), plan.seed);
+        let (_, faults) = plan
+            .scenario
+            .steps(plan.co_ordinators, &regions(plan), plan.seed);
         let tally = Rc::new(RefCell::new(Tally::new(plan.zones, faults)));
         let recorder = Record::recorder(&record, move || net.now());
         let mut rig = Rig {
@@ -285,12 +306,23 @@
                 told.push(if near == zone {
                     address
                 } else {
-                    self.relay.connections(self.loopback.at(near, 250, 0), address, (near, zone)).await?
+                    self.relay
+                        .connections(self.loopback.at(near, 250, 0), address, (near, zone))
+                        .await?
                 });
             }
             let cell = (r / self.script.fleet.replicas) as u64;
             let (name, host) = (format!("r{r}"), Hosted::new(self.net));
-            self.slots.push(Slot { name, zone, cell, own, told, host, handle: None, started_at: 0.0 });
+            self.slots.push(Slot {
+                name,
+                zone,
+                cell,
+                own,
+                told,
+                host,
+                handle: None,
+                started_at: 0.0,
+            });
             self.start_replica(r, false)?;
         }
         Ok(())
@@ -298,8 +330,19 @@
 
     fn start_replica(&mut self, r: usize, cold: bool) -> io::Result<()> {
         let f = &self.script.fleet;
-        let cold = self.script.settings.cold.as_ref().filter(|_| cold).map(|c| (c.from, c.time));
-        let behaviour = Behaviour { cores: f.cores, room: f.room, cold, ..Behaviour::default() };
+        let cold = self
+            .script
+            .settings
+            .cold
+            .as_ref()
+            .filter(|_| cold)
+            .map(|c| (c.from, c.time));
+        let behaviour = Behaviour {
+            cores: f.cores,
+            room: f.room,
+            cold,
+            ..Behaviour::default()
+        };
         let seed = seed_of(self.plan.seed, &format!("r{r}"));
         let slot = &mut self.slots[r];
         slot.host = Hosted::new(self.net);
@@ -318,7 +361,9 @@
             }
         });
         let (host, own) = (slot.host.clone(), slot.own.clone());
-        slot.handle = Some(woadreach_standin::replica(&host, &slot.name, behaviour, &own, seed, &quiet)?);
+        slot.handle = Some(woadreach_standin::replica(
+            &host, &slot.name, behaviour, &own, seed, &quiet,
+        )?);
         slot.started_at = if cold.is_some() { self.net.now() } else { 0.0 };
         Ok(())
     }
@@ -337,7 +382,12 @@
 
     fn list(&self, replicas: &[usize], lifecycle: &'static str) {
         for (n, node) in self.nodes.iter().enumerate() {
-            node.agent.change(&replicas.iter().map(|r| self.line(*r, n, lifecycle)).collect::<Vec<_>>());
+            node.agent.change(
+                &replicas
+                    .iter()
+                    .map(|r| self.line(*r, n, lifecycle))
+                    .collect::<Vec<_>>(),
+            );
         }
     }
 
@@ -351,11 +401,19 @@
         // By the pair of who sends and whom it means: the relay's place for it, near the sender.
         let mut places: BTreeMap<(usize, usize), Rc<UdpSocket>> = BTreeMap::new();
         for (a, b) in pairs(all, zones) {
-            places.insert((a, b), Rc::new(UdpSocket::bind(self.loopback.at(a % zones, 250, 0)).await?));
+            places.insert(
+                (a, b),
+                Rc::new(UdpSocket::bind(self.loopback.at(a % zones, 250, 0)).await?),
+            );
         }
         for ((a, b), place) in &places {
             if let Some(back) = places.get(&(*b, *a)) {
-                self.relay.datagrams(place.clone(), back.clone(), listens[*b], (a % zones, b % zones));
+                self.relay.datagrams(
+                    place.clone(),
+                    back.clone(),
+                    listens[*b],
+                    (a % zones, b % zones),
+                );
             }
         }
         for n in 0..all {
@@ -395,18 +453,27 @@
         node.starts += 1;
         let peer_listen = self.plan.peers.then_some(node.peer_listen);
         let peers = node.peers.clone();
-        let places = Places { listen: node.listen, discovery: node.discovery, peer_listen, peers };
+        let places = Places {
+            listen: node.listen,
+            discovery: node.discovery,
+            peer_listen,
+            peers,
+        };
         let text = configuration(&self.script, n, &places, seed, &node.agent.known());
-        let mut config: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
+        let mut config: serde_json::Value =
+            serde_json::from_str(&text).map_err(|e| e.to_string())?;
         config["failover"] = serde_json::json!({ "near": self.plan.near });
-        config["duties"] = serde_json::json!({ "on": self.plan.duties, "warden": true, "records": true });
+        config["duties"] =
+            serde_json::json!({ "on": self.plan.duties, "warden": true, "records": true });
         if self.plan.regions > 1 {
             let region = |(z, r): (usize, &usize)| (format!("z{z}"), format!("r{r}").into());
-            let regions: serde_json::Map<_, _> = regions(&self.plan).iter().enumerate().map(region).collect();
+            let regions: serde_json::Map<_, _> =
+                regions(&self.plan).iter().enumerate().map(region).collect();
             config["failover"]["regions"] = regions.into();
         }
         let path = self.folder.path().join(format!("n{n}.json"));
-        std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, config.to_string())
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         self.recorder.tell(What::NodeStarted { node: NodeId(n) });
         self.nodes[n].agent.process_started();
         self.tally.borrow_mut().started(n);
@@ -442,8 +509,10 @@
             }
             Act::StartReplicas(zone) => {
                 for r in self.of_zone(*zone) {
-                    self.start_replica(r, true).map_err(|e| format!("r{r}: {e}"))?;
-                    self.pending.push((self.net.now() + LISTED_AFTER, r, "ready"));
+                    self.start_replica(r, true)
+                        .map_err(|e| format!("r{r}: {e}"))?;
+                    self.pending
+                        .push((self.net.now() + LISTED_AFTER, r, "ready"));
                 }
             }
             Act::SlowReplicas { zone, factor } => {
@@ -454,16 +523,27 @@
                 }
             }
             Act::HangReplicas { zone, hang } => {
-                for handle in self.of_zone(*zone).iter().filter_map(|r| self.slots[*r].handle.as_ref()) {
+                for handle in self
+                    .of_zone(*zone)
+                    .iter()
+                    .filter_map(|r| self.slots[*r].handle.as_ref())
+                {
                     handle.change(|b| b.hangs = *hang);
                 }
             }
             Act::DrainReplicas { zone, drain } => {
-                self.list(&self.of_zone(*zone), if *drain { "draining" } else { "ready" });
+                self.list(
+                    &self.of_zone(*zone),
+                    if *drain { "draining" } else { "ready" },
+                );
                 let due = self.net.now() + TOLD_WITHIN;
-                self.owed.extend((0..self.nodes.len()).map(|n| (due, n, self.nodes[n].agent.generation())));
+                self.owed.extend(
+                    (0..self.nodes.len()).map(|n| (due, n, self.nodes[n].agent.generation())),
+                );
+            }
+            Act::SilenceDiscovery(silent) => {
+                self.nodes.iter().for_each(|n| n.agent.silence(*silent))
             }
-            Act::SilenceDiscovery(silent) => self.nodes.iter().for_each(|n| n.agent.silence(*silent)),
             Act::LeaveAtOnce(leave) => self.leaving.set(*leave),
             Act::Term(nodes) => {
                 for n in nodes {
@@ -480,7 +560,10 @@
                 // What the way holds back is read late, and excused.
                 for r in [self.of_zone(*from), self.of_zone(*to)].concat() {
                     let replica = self.slots[r].name.as_str().into();
-                    self.recorder.tell(What::Way { replica, held: *cut });
+                    self.recorder.tell(What::Way {
+                        replica,
+                        held: *cut,
+                    });
                 }
                 self.relay.change(*from, *to, |f| f.cut = *cut);
             }
@@ -517,10 +600,17 @@
     fn stand_still(&mut self, nodes: &[usize], still: Option<f64>) {
         for n in nodes {
             if let Some(seconds) = still {
-                self.recorder.tell(What::Stalled { node: NodeId(*n), seconds });
+                self.recorder.tell(What::Stalled {
+                    node: NodeId(*n),
+                    seconds,
+                });
             }
             if let Some(process) = &self.nodes[*n].process {
-                process.signal(if still.is_some() { libc::SIGSTOP } else { libc::SIGCONT });
+                process.signal(if still.is_some() {
+                    libc::SIGSTOP
+                } else {
+                    libc::SIGCONT
+                });
             }
             self.up[*n].set(still.is_none());
         }
@@ -553,14 +643,31 @@
         match grip {
             Grip::Stop => self.stand_still(&[n], Some(GRIPPED)),
             Grip::Go => self.stand_still(&[n], None),
-            Grip::Kill => return self.act(&Step { at: 0.0, act: Act::Kill(vec![n]) }),
-            Grip::Start => return self.act(&Step { at: 0.0, act: Act::Start(vec![n]) }),
+            Grip::Kill => {
+                return self.act(&Step {
+                    at: 0.0,
+                    act: Act::Kill(vec![n]),
+                });
+            }
+            Grip::Start => {
+                return self.act(&Step {
+                    at: 0.0,
+                    act: Act::Start(vec![n]),
+                });
+            }
             Grip::Cut | Grip::Split | Grip::Mend => {
                 let alone = self.alone(grip, zone);
                 for a in 0..self.plan.zones {
                     for b in (0..self.plan.zones).filter(|b| *b != a) {
                         let cut = alone.contains(&a) != alone.contains(&b);
-                        self.act(&Step { at: 0.0, act: Act::Cut { from: a, to: b, cut } })?;
+                        self.act(&Step {
+                            at: 0.0,
+                            act: Act::Cut {
+                                from: a,
+                                to: b,
+                                cut,
+                            },
+                        })?;
                     }
                 }
             }
@@ -569,7 +676,9 @@
     }
 
     fn of_zone(&self, zone: usize) -> Vec<usize> {
-        (0..self.slots.len()).filter(|r| self.slots[*r].zone == zone).collect()
+        (0..self.slots.len())
+            .filter(|r| self.slots[*r].zone == zone)
+            .collect()
     }
 
     async fn day(&mut self, mut queue: mpsc::UnboundedReceiver<Line>) -> Result<Outcome, String> {
@@ -588,15 +697,25 @@
         self.tally.borrow_mut().begins(begun);
         let seconds = self.plan.scenario.seconds();
         self.load(begun + seconds);
-        let (mut steps, _) = self.plan.scenario.steps(self.nodes.len(), &regions(&self.plan), self.plan.seed);
-        let longest = self.script.query_types.iter().map(|t| t.client_timeout).fold(0.0, f64::max);
+        let (mut steps, _) =
+            self.plan
+                .scenario
+                .steps(self.nodes.len(), &regions(&self.plan), self.plan.seed);
+        let longest = self
+            .script
+            .query_types
+            .iter()
+            .map(|t| t.client_timeout)
+            .fold(0.0, f64::max);
         while self.net.now() < begun + seconds + longest + 0.5 {
             let now = self.net.now();
             while steps.first().is_some_and(|s| begun + s.at <= now) {
                 let step = steps.remove(0);
                 self.act(&step)?;
             }
-            let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(|p| p.0 <= now);
+            let (due, later) = std::mem::take(&mut self.pending)
+                .into_iter()
+                .partition(|p| p.0 <= now);
             self.pending = later;
             for (_, r, lifecycle) in due {
                 self.list(&[r], lifecycle);
@@ -626,17 +745,26 @@
                 self.nodes[n].caller.close_idle();
             } else if termed.is_some_and(|due| now > due) {
                 let why = "it has not ended by the time that SIGKILL comes".to_string();
-                self.recorder.tell(What::Kept { node: NodeId(n), why });
+                self.recorder.tell(What::Kept {
+                    node: NodeId(n),
+                    why,
+                });
                 self.termed.remove(&n);
             }
         }
-        let (due, later) = std::mem::take(&mut self.owed).into_iter().partition(|o| o.0 <= now);
+        let (due, later) = std::mem::take(&mut self.owed)
+            .into_iter()
+            .partition(|o| o.0 <= now);
         self.owed = later;
         for (_, n, generation) in due {
             if self.nodes[n].agent.told() < generation && self.nodes[n].process.is_some() {
-                let why =
-                    format!("version {generation} of the list has not been asked for in {TOLD_WITHIN} s");
-                self.recorder.tell(What::Kept { node: NodeId(n), why });
+                let why = format!(
+                    "version {generation} of the list has not been asked for in {TOLD_WITHIN} s"
+                );
+                self.recorder.tell(What::Kept {
+                    node: NodeId(n),
+                    why,
+                });
             }
         }
     }
@@ -644,7 +772,10 @@
     /// SIGTERM for all: each has to end well.
     async fn end(&mut self, queue: &mut mpsc::UnboundedReceiver<Line>) {
         self.nodes.iter().for_each(|n| n.caller.close_idle());
-        self.nodes.iter().filter_map(|n| n.process.as_ref()).for_each(|p| p.signal(libc::SIGTERM));
+        self.nodes
+            .iter()
+            .filter_map(|n| n.process.as_ref())
+            .for_each(|p| p.signal(libc::SIGTERM));
         let until = self.net.now() + ENDS;
         while self.net.now() < until && self.nodes.iter().any(|n| n.process.is_some()) {
             for n in 0..self.nodes.len() {
@@ -671,11 +802,17 @@
         let names = Rc::new(Cell::new(0u64));
         for n in 0..self.nodes.len() {
             let (net, script, up) = (self.net, self.script.clone(), self.up.clone());
-            let (caller, names, leaving) =
-                (self.nodes[n].caller.clone(), names.clone(), self.leaving.clone());
+            let (caller, names, leaving) = (
+                self.nodes[n].caller.clone(),
+                names.clone(),
+                self.leaving.clone(),
+            );
             let mut chance = Pcg64Mcg::seed_from_u64(seed_of(self.plan.seed, &format!("load {n}")));
-            let retry =
-                Retry { times: script.load.retries, pause: script.load.pause, heeds: script.load.heeds };
+            let retry = Retry {
+                times: script.load.retries,
+                pause: script.load.pause,
+                heeds: script.load.heeds,
+            };
             drop(net.spawn(async move {
                 let name = move || format!("q{}", names.replace(names.get() + 1)).into();
                 while net.now() < until {
@@ -688,8 +825,8 @@
                     if !up[n].get() {
                         continue;
                     }
-                    let idempotent =
-                        script.query_types[ask.query_type].repeats == woadreach_faults::Repeats::Idempotent;
+                    let idempotent = script.query_types[ask.query_type].repeats
+                        == woadreach_faults::Repeats::Idempotent;
                     let (caller, name) = (caller.clone(), name.clone());
                     drop(net.spawn(async move {
                         drop(caller.ask_and_again(ask, retry, idempotent, name).await);
@@ -711,7 +848,12 @@
             regions: self.plan.regions,
             seconds,
             rules_broken: record.breaches.len(),
-            breaches: record.breaches.iter().take(5).map(|b| format!("{}: {}", b.rule, b.why)).collect(),
+            breaches: record
+                .breaches
+                .iter()
+                .take(5)
+                .map(|b| format!("{}: {}", b.rule, b.why))
+                .collect(),
             crashes: self.crashes,
             agree_s_p50: None,
             agree_s_p99: None,
@@ -734,7 +876,9 @@
 
 /// Each zone's region, in even runs.
 fn regions(plan: &Plan) -> Vec<usize> {
-    (0..plan.zones).map(|z| z * plan.regions / plan.zones).collect()
+    (0..plan.zones)
+        .map(|z| z * plan.regions / plan.zones)
+        .collect()
 }
 
 /// Who sends and whom it means, where they are in different zones.
--- a/crates/woadreach-cluster/src/scenario.rs
+++ b/crates/woadreach-cluster/src/scenario.rs
@@ -192,7 +192,10 @@
     /// It is about a duty's holder; its figures are those of leases.
     pub fn of_duty(self) -> bool {
         use Scenario::*;
-        matches!(self, HolderStall | HolderCut | HolderKill | SplitBrain | Skew | LeaseLossy)
+        matches!(
+            self,
+            HolderStall | HolderCut | HolderKill | SplitBrain | Skew | LeaseLossy
+        )
     }
 
     /// Clocks of the processes differ.
@@ -211,7 +214,12 @@
     }
 
     /// What is done, and which zones are at fault when. `regions`: of each zone.
-    pub fn steps(self, co_ordinators: usize, regions: &[usize], seed: u64) -> (Vec<Step>, Vec<Fault>) {
+    pub fn steps(
+        self,
+        co_ordinators: usize,
+        regions: &[usize],
+        seed: u64,
+    ) -> (Vec<Step>, Vec<Fault>) {
         let zones = regions.len();
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let zone = chance.random_range(0..zones);
@@ -219,7 +227,11 @@
         let mut steps = Vec::new();
         let mut faults = vec![Fault { zone, from, until }];
         let mut add = |at: f64, act: Act| steps.push(Step { at, act });
-        let of_zone = |z: usize| (0..co_ordinators).filter(|n| n % zones == z).collect::<Vec<_>>();
+        let of_zone = |z: usize| {
+            (0..co_ordinators)
+                .filter(|n| n % zones == z)
+                .collect::<Vec<_>>()
+        };
         let others = |z: usize| (0..zones).filter(move |o| *o != z);
         match self {
             Scenario::Calm => faults.clear(),
@@ -233,7 +245,14 @@
                     _ => regions[*z] == regions[zone],
                 };
                 let lost: Vec<usize> = (0..zones).filter(lost).collect();
-                faults = lost.iter().map(|z| Fault { zone: *z, from, until }).collect();
+                faults = lost
+                    .iter()
+                    .map(|z| Fault {
+                        zone: *z,
+                        from,
+                        until,
+                    })
+                    .collect();
                 for z in lost {
                     add(from, Act::KillReplicas(z));
                     add(from, Act::Kill(of_zone(z)));
@@ -242,15 +261,35 @@
                 }
             }
             Scenario::ZoneSlow => {
-                add(from, Act::SlowReplicas { zone, factor: 300.0 });
+                add(
+                    from,
+                    Act::SlowReplicas {
+                        zone,
+                        factor: 300.0,
+                    },
+                );
                 add(until, Act::SlowReplicas { zone, factor: 1.0 });
             }
             Scenario::ZoneCut | Scenario::OneWay => {
                 for (at, cut) in [(from, true), (until, false)] {
                     for other in others(zone) {
-                        add(at, Act::Cut { from: zone, to: other, cut });
+                        add(
+                            at,
+                            Act::Cut {
+                                from: zone,
+                                to: other,
+                                cut,
+                            },
+                        );
                         if self == Scenario::ZoneCut {
-                            add(at, Act::Cut { from: other, to: zone, cut });
+                            add(
+                                at,
+                                Act::Cut {
+                                    from: other,
+                                    to: zone,
+                                    cut,
+                                },
+                            );
                         }
                     }
                 }
@@ -258,12 +297,29 @@
             Scenario::Flap => {
                 faults.clear();
                 for n in 0..6 {
-                    let (from, until) = (BEGINS + 4.0 * f64::from(n), BEGINS + 4.0 * f64::from(n) + 2.0);
+                    let (from, until) = (
+                        BEGINS + 4.0 * f64::from(n),
+                        BEGINS + 4.0 * f64::from(n) + 2.0,
+                    );
                     faults.push(Fault { zone, from, until });
                     for (at, cut) in [(from, true), (until, false)] {
                         for other in others(zone) {
-                            add(at, Act::Cut { from: zone, to: other, cut });
-                            add(at, Act::Cut { from: other, to: zone, cut });
+                            add(
+                                at,
+                                Act::Cut {
+                                    from: zone,
+                                    to: other,
+                                    cut,
+                                },
+                            );
+                            add(
+                                at,
+                                Act::Cut {
+                                    from: other,
+                                    to: zone,
+                                    cut,
+                                },
+                            );
                         }
                     }
                 }
@@ -303,7 +359,10 @@
                     add(at, Act::Term(vec![n]));
                     add(at + TERM_LASTS, Act::Start(vec![n]));
                 }
-                add(from + 2.0 * co_ordinators as f64, Act::HangReplicas { zone, hang: false });
+                add(
+                    from + 2.0 * co_ordinators as f64,
+                    Act::HangReplicas { zone, hang: false },
+                );
             }
             Scenario::DiscoveryDown => {
                 faults.clear();
--- a/crates/woadreach-cluster/src/tally.rs
+++ b/crates/woadreach-cluster/src/tally.rs
@@ -105,13 +105,19 @@
     let seconds = time.next()?? * 3600.0 + time.next()?? * 60.0 + time.next()??;
     // Days from civil, after Howard Hinnant.
     let (y, m) = if m > 2 { (y, m - 3) } else { (y - 1, m + 9) };
-    let days = 365 * y + y.div_euclid(4) - y.div_euclid(100) + y.div_euclid(400) + (153 * m + 2) / 5 + d - 1;
+    let days =
+        365 * y + y.div_euclid(4) - y.div_euclid(100) + y.div_euclid(400) + (153 * m + 2) / 5 + d
+            - 1;
     Some((days - 719_468) as f64 * 86_400.0 + seconds)
 }
 
 impl Tally {
     pub fn new(zones: usize, faults: Vec<Fault>) -> Tally {
-        Tally { faults, zones, ..Tally::default() }
+        Tally {
+            faults,
+            zones,
+            ..Tally::default()
+        }
     }
 
     pub fn begins(&mut self, at: f64) {
@@ -128,17 +134,28 @@
             Some("verdict") => {
                 let zone = fields.get("zone").and_then(Value::as_str);
                 let zone = zone.and_then(|z| z.trim_start_matches('z').parse().ok());
-                self.verdicts.push((at, record.node, zone.unwrap_or(usize::MAX), number(fields, "epoch")));
+                self.verdicts.push((
+                    at,
+                    record.node,
+                    zone.unwrap_or(usize::MAX),
+                    number(fields, "epoch"),
+                ));
             }
             Some("act") => {
-                let duty = fields.get("duty").and_then(Value::as_str).unwrap_or("").to_string();
+                let duty = fields
+                    .get("duty")
+                    .and_then(Value::as_str)
+                    .unwrap_or("")
+                    .to_string();
                 // By the record's own time where it says one: records are read some moments later.
                 let at = stamp(fields).map_or(at, |t| t - self.begun);
-                self.acts.push((at, record.node, duty, number(fields, "epoch")));
+                self.acts
+                    .push((at, record.node, duty, number(fields, "epoch")));
             }
             Some("duties") => {
                 let start = self.starts.get(&record.node).copied().unwrap_or(0);
-                self.stale.insert((record.node, start), number(fields, "stale"));
+                self.stale
+                    .insert((record.node, start), number(fields, "stale"));
             }
             Some("peers") => {
                 let start = self.starts.get(&record.node).copied().unwrap_or(0);
@@ -158,7 +175,11 @@
     pub fn gripped(&mut self, at: f64, node: usize, cut: &[usize]) {
         let at = at - self.begun;
         self.grips.push((at, node));
-        self.faults.extend(cut.iter().map(|zone| Fault { zone: *zone, from: at, until: at + GRIPPED }));
+        self.faults.extend(cut.iter().map(|zone| Fault {
+            zone: *zone,
+            from: at,
+            until: at + GRIPPED,
+        }));
     }
 
     fn leases(&self) -> Leases {
@@ -175,11 +196,17 @@
             }
         }
         let after = |(at, node): &(f64, usize)| {
-            acts.iter().find(|a| a.2 == DUTY && a.0 > *at && a.1 != *node).map(|a| a.0 - at)
+            acts.iter()
+                .find(|a| a.2 == DUTY && a.0 > *at && a.1 != *node)
+                .map(|a| a.0 - at)
         };
         let mut handed: Vec<f64> = self.grips.iter().filter_map(after).collect();
         handed.sort_by(f64::total_cmp);
-        let quantile = |p: f64| handed.get(((p * handed.len() as f64).ceil() as usize).max(1) - 1).copied();
+        let quantile = |p: f64| {
+            handed
+                .get(((p * handed.len() as f64).ceil() as usize).max(1) - 1)
+                .copied()
+        };
         Leases {
             two_holders: two,
             acts: acts.len(),
@@ -203,7 +230,9 @@
     }
 
     fn right(&self, at: f64, zone: usize) -> bool {
-        self.faults.iter().any(|f| f.zone == zone && at >= f.from && at < f.until + AFTER)
+        self.faults
+            .iter()
+            .any(|f| f.zone == zone && at >= f.from && at < f.until + AFTER)
     }
 
     /// Fills in what is known from records; the rest is the rig's.
@@ -211,32 +240,48 @@
         let out: Vec<_> = self.verdicts.iter().filter(|v| v.3 % 2 == 1).collect();
         let mut turns: BTreeMap<(usize, u64), f64> = BTreeMap::new();
         for (at, _, zone, epoch) in out.iter().map(|v| **v) {
-            turns.entry((zone, epoch)).and_modify(|first| *first = first.min(at)).or_insert(at);
+            turns
+                .entry((zone, epoch))
+                .and_modify(|first| *first = first.min(at))
+                .or_insert(at);
         }
-        outcome.false_shifts = turns.iter().filter(|((zone, _), at)| !self.right(**at, *zone)).count();
+        outcome.false_shifts = turns
+            .iter()
+            .filter(|((zone, _), at)| !self.right(**at, *zone))
+            .count();
         for zone in 0..self.zones {
             let of = turns.keys().filter(|k| k.0 == zone).count();
             let faults = self.faults.iter().filter(|f| f.zone == zone).count();
             outcome.flaps += of.saturating_sub(faults);
         }
-        let first: BTreeMap<usize, f64> = self.faults.iter().rev().map(|f| (f.zone, f.from)).collect();
+        let first: BTreeMap<usize, f64> =
+            self.faults.iter().rev().map(|f| (f.zone, f.from)).collect();
         let bad: BTreeSet<usize> = first.keys().copied().collect();
         let mut agree = Vec::new();
         for (zone, from) in &first {
             for node in (0..nodes).filter(|n| !bad.contains(&(n % self.zones))) {
                 outcome.expected += 1;
-                let held = out.iter().find(|v| v.1 == node && v.2 == *zone && v.0 >= *from);
+                let held = out
+                    .iter()
+                    .find(|v| v.1 == node && v.2 == *zone && v.0 >= *from);
                 agree.extend(held.map(|v| v.0 - from));
             }
         }
         agree.sort_by(f64::total_cmp);
         outcome.agreed = agree.len();
         // Of a handful the 0.99 quantile is the last.
-        let quantile = |p: f64| agree.get(((p * agree.len() as f64).ceil() as usize).max(1) - 1).copied();
+        let quantile = |p: f64| {
+            agree
+                .get(((p * agree.len() as f64).ceil() as usize).max(1) - 1)
+                .copied()
+        };
         (outcome.agree_s_p50, outcome.agree_s_p99) = (quantile(0.5), quantile(0.99));
         outcome.duties = self.leases();
         outcome.near_share_safe = (self.parts > 0).then(|| self.near as f64 / self.parts as f64);
-        let sum = self.traffic.values().fold((0, 0), |a, t| (a.0 + t.0, a.1 + t.1));
+        let sum = self
+            .traffic
+            .values()
+            .fold((0, 0), |a, t| (a.0 + t.0, a.1 + t.1));
         let each = nodes as f64 * outcome.seconds;
         outcome.datagrams_per_s_per_member = sum.0 as f64 / each;
         outcome.bytes_per_s_per_member = sum.1 as f64 / each;
--- a/crates/woadreach-config/src/model.rs
+++ b/crates/woadreach-config/src/model.rs
@@ -20,7 +20,13 @@
 impl Configuration {
     /// Whether this configuration may follow `current`.
     pub fn check_follows(&self, current: u64) -> Result<(), ConfigurationError> {
-        ensure!(self.generation > current, OldGenerationSnafu { generation: self.generation, current });
+        ensure!(
+            self.generation > current,
+            OldGenerationSnafu {
+                generation: self.generation,
+                current
+            }
+        );
         Ok(())
     }
 
--- a/crates/woadreach-config/src/parse.rs
+++ b/crates/woadreach-config/src/parse.rs
@@ -1,10 +1,12 @@
 //! From the bytes of a request's body to a checked configuration.
 
 use crate::error::{
-    BadFieldSnafu, ConfigurationError, NoTimeoutSnafu, NoWeightSnafu, SamePlaceSnafu, SameServiceSnafu,
-    UnknownServiceSnafu,
+    BadFieldSnafu, ConfigurationError, NoTimeoutSnafu, NoWeightSnafu, SamePlaceSnafu,
+    SameServiceSnafu, UnknownServiceSnafu,
+};
+use crate::model::{
+    ClientLimits, Configuration, Engine, Route, RouteType, Service, WeightedCluster,
 };
-use crate::model::{ClientLimits, Configuration, Engine, Route, RouteType, Service, WeightedCluster};
 use crate::value::{Object, ROOT};
 use snafu::{OptionExt, ensure};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,16 +19,29 @@
     /// Reads and checks a whole configuration.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut bytes = body.to_vec();
-        let document = simd_json::to_owned_value(&mut bytes)
-            .map_err(|error| ConfigurationError::Unreadable { reason: error.to_string() })?;
+        let document = simd_json::to_owned_value(&mut bytes).map_err(|error| {
+            ConfigurationError::Unreadable {
+                reason: error.to_string(),
+            }
+        })?;
         let root = Object::new(ROOT.to_owned(), &document);
         let configuration = Configuration {
             generation: root.number("generation")?,
-            services: root.objects("services")?.iter().map(service).collect::<Result<_, _>>()?,
-            routes: root.objects("routes")?.iter().map(route).collect::<Result<_, _>>()?,
-            limits: root.get("limits").map_or(Ok(ClientLimits::default()), |value| {
-                limits(&Object::new("limits".to_owned(), value))
-            })?,
+            services: root
+                .objects("services")?
+                .iter()
+                .map(service)
+                .collect::<Result<_, _>>()?,
+            routes: root
+                .objects("routes")?
+                .iter()
+                .map(route)
+                .collect::<Result<_, _>>()?,
+            limits: root
+                .get("limits")
+                .map_or(Ok(ClientLimits::default()), |value| {
+                    limits(&Object::new("limits".to_owned(), value))
+                })?,
         };
         check(&configuration)?;
         Ok(configuration)
@@ -36,7 +51,9 @@
 fn service(object: &Object) -> Result<Service, ConfigurationError> {
     Ok(Service {
         name: object.text("name")?,
-        health_check: object.optional_text("health_check")?.unwrap_or_else(|| "/healthz".to_owned()),
+        health_check: object
+            .optional_text("health_check")?
+            .unwrap_or_else(|| "/healthz".to_owned()),
         max_conns: object
             .optional_number("max_conns")?
             .map_or(u32::MAX, |n| n.try_into().unwrap_or(u32::MAX)),
@@ -55,8 +72,13 @@
     Ok(Engine {
         capacity: object.small_number("capacity")?,
         kv_tokens: object.optional_number("kv_tokens")?.unwrap_or(0),
-        stride: object.optional_number("stride")?.map_or(1, |n| n.clamp(1, u64::from(u32::MAX)) as u32),
-        models: models.iter().map(|model| model.text("name")).collect::<Result<_, _>>()?,
+        stride: object
+            .optional_number("stride")?
+            .map_or(1, |n| n.clamp(1, u64::from(u32::MAX)) as u32),
+        models: models
+            .iter()
+            .map(|model| model.text("name"))
+            .collect::<Result<_, _>>()?,
     })
 }
 
@@ -68,12 +90,20 @@
         path_prefix: object.text("path_prefix")?,
         route_type: route_type(object)?,
         timeout,
-        target_latency: object.optional_milliseconds("target_latency_ms")?.unwrap_or(timeout),
-        priority: object.optional_number("priority")?.map_or(0, |n| n.min(u64::from(u8::MAX)) as u8),
+        target_latency: object
+            .optional_milliseconds("target_latency_ms")?
+            .unwrap_or(timeout),
+        priority: object
+            .optional_number("priority")?
+            .map_or(0, |n| n.min(u64::from(u8::MAX)) as u8),
         clusters: clusters(object)?,
-        max_retries: object.optional_number("max_retries")?.map_or(1, |n| n.min(u64::from(u32::MAX)) as u32),
+        max_retries: object
+            .optional_number("max_retries")?
+            .map_or(1, |n| n.min(u64::from(u32::MAX)) as u32),
         kept: object.flag("kept")?,
-        retention: object.optional_seconds("retention_s")?.unwrap_or(DEFAULT_RETENTION),
+        retention: object
+            .optional_seconds("retention_s")?
+            .unwrap_or(DEFAULT_RETENTION),
         session_affinity: object.flag("session_affinity")?,
         resumable: object.flag("resumable")?,
         gap_target: object.optional_milliseconds("gap_aim_ms")?,
@@ -88,56 +118,106 @@
         _ => None,
     };
     let expected = "one of `safe`, `unsafe`, `streaming`";
-    found.context(BadFieldSnafu { place: "a route", field: "route_type", expected })
+    found.context(BadFieldSnafu {
+        place: "a route",
+        field: "route_type",
+        expected,
+    })
 }
 
 /// A route names one service, or several with weights.
 fn clusters(object: &Object) -> Result<Vec<WeightedCluster>, ConfigurationError> {
     if object.get("weighted_clusters").is_none() {
-        return Ok(vec![WeightedCluster { service: object.text("service")?, weight: 1 }]);
+        return Ok(vec![WeightedCluster {
+            service: object.text("service")?,
+            weight: 1,
+        }]);
     }
     let cluster = |item: &Object| {
-        Ok(WeightedCluster { service: item.text("service")?, weight: item.small_number("weight")? })
+        Ok(WeightedCluster {
+            service: item.text("service")?,
+            weight: item.small_number("weight")?,
+        })
     };
-    object.objects("weighted_clusters")?.iter().map(cluster).collect()
+    object
+        .objects("weighted_clusters")?
+        .iter()
+        .map(cluster)
+        .collect()
 }
 
 fn limits(object: &Object) -> Result<ClientLimits, ConfigurationError> {
     let defaults = ClientLimits::default();
-    let size = |found: Option<u64>, default: usize| found.map_or(default, |n| n.min(1 << 40) as usize);
+    let size =
+        |found: Option<u64>, default: usize| found.map_or(default, |n| n.min(1 << 40) as usize);
     Ok(ClientLimits {
-        max_header_bytes: size(object.optional_number("max_header_bytes")?, defaults.max_header_bytes),
-        max_body_bytes: size(object.optional_number("max_body_bytes")?, defaults.max_body_bytes),
-        header_timeout: object.optional_milliseconds("header_timeout_ms")?.unwrap_or(defaults.header_timeout),
-        idle_timeout: object.optional_milliseconds("idle_timeout_ms")?.unwrap_or(defaults.idle_timeout),
+        max_header_bytes: size(
+            object.optional_number("max_header_bytes")?,
+            defaults.max_header_bytes,
+        ),
+        max_body_bytes: size(
+            object.optional_number("max_body_bytes")?,
+            defaults.max_body_bytes,
+        ),
+        header_timeout: object
+            .optional_milliseconds("header_timeout_ms")?
+            .unwrap_or(defaults.header_timeout),
+        idle_timeout: object
+            .optional_milliseconds("idle_timeout_ms")?
+            .unwrap_or(defaults.idle_timeout),
     })
 }
 
 fn check(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let mut services = BTreeSet::new();
     for service in &configuration.services {
-        ensure!(services.insert(service.name.as_str()), SameServiceSnafu { service: &service.name });
+        ensure!(
+            services.insert(service.name.as_str()),
+            SameServiceSnafu {
+                service: &service.name
+            }
+        );
     }
     let mut places = BTreeMap::new();
     for route in &configuration.routes {
         check_route(route, &services)?;
         // Hosts are compared without regard to case, as requests are.
-        let place = (route.domain.to_ascii_lowercase(), route.path_prefix.as_str());
+        let place = (
+            route.domain.to_ascii_lowercase(),
+            route.path_prefix.as_str(),
+        );
         let earlier = places.insert(place, &route.name);
         if let Some(first) = earlier {
-            return SamePlaceSnafu { first, second: &route.name }.fail();
+            return SamePlaceSnafu {
+                first,
+                second: &route.name,
+            }
+            .fail();
         }
     }
     Ok(())
 }
 
 fn check_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
-    ensure!(!route.timeout.is_zero(), NoTimeoutSnafu { route: &route.name });
+    ensure!(
+        !route.timeout.is_zero(),
+        NoTimeoutSnafu { route: &route.name }
+    );
     for cluster in &route.clusters {
         let known = services.contains(cluster.service.as_str());
-        ensure!(known, UnknownServiceSnafu { route: &route.name, service: &cluster.service });
+        ensure!(
+            known,
+            UnknownServiceSnafu {
+                route: &route.name,
+                service: &cluster.service
+            }
+        );
     }
-    let total: u64 = route.clusters.iter().map(|cluster| u64::from(cluster.weight)).sum();
+    let total: u64 = route
+        .clusters
+        .iter()
+        .map(|cluster| u64::from(cluster.weight))
+        .sum();
     ensure!(total > 0, NoWeightSnafu { route: &route.name });
     Ok(())
 }
--- a/crates/woadreach-config/src/table.rs
+++ b/crates/woadreach-config/src/table.rs
@@ -30,7 +30,11 @@
             None => self.hosts.get(&name.to_ascii_lowercase())?,
         };
         let path = path.split(['?', '#']).next().unwrap_or_default();
-        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
+        let slashes = path
+            .bytes()
+            .enumerate()
+            .rev()
+            .filter(|(_, byte)| *byte == b'/');
         let mut candidates = slashes.map(|(index, _)| &path[..=index]);
         candidates.find_map(|prefix| prefixes.get(prefix))
     }
--- a/crates/woadreach-config/src/value.rs
+++ b/crates/woadreach-config/src/value.rs
@@ -33,7 +33,11 @@
         read: impl Fn(&'a OwnedValue) -> Option<T>,
     ) -> Result<T, ConfigurationError> {
         let value = self.get(field).and_then(read);
-        value.with_context(|| BadFieldSnafu { place: self.place.clone(), field, expected })
+        value.with_context(|| BadFieldSnafu {
+            place: self.place.clone(),
+            field,
+            expected,
+        })
     }
 
     fn optional<T>(
@@ -65,34 +69,55 @@
     }
 
     pub fn small_number(&self, field: &'static str) -> Result<u32, ConfigurationError> {
-        self.required(field, "a whole number below 2^32", |value| whole_number(value)?.try_into().ok())
+        self.required(field, "a whole number below 2^32", |value| {
+            whole_number(value)?.try_into().ok()
+        })
     }
 
     pub fn flag(&self, field: &'static str) -> Result<bool, ConfigurationError> {
-        Ok(self.optional(field, "true or false", |value| value.as_bool())?.unwrap_or(false))
+        Ok(self
+            .optional(field, "true or false", |value| value.as_bool())?
+            .unwrap_or(false))
     }
 
     pub fn milliseconds(&self, field: &'static str) -> Result<Duration, ConfigurationError> {
-        self.required(field, "a time in ms", |value| milliseconds(value.cast_f64()?))
+        self.required(field, "a time in ms", |value| {
+            milliseconds(value.cast_f64()?)
+        })
     }
 
-    pub fn optional_milliseconds(&self, field: &'static str) -> Result<Option<Duration>, ConfigurationError> {
-        self.optional(field, "a time in ms", |value| milliseconds(value.cast_f64()?))
+    pub fn optional_milliseconds(
+        &self,
+        field: &'static str,
+    ) -> Result<Option<Duration>, ConfigurationError> {
+        self.optional(field, "a time in ms", |value| {
+            milliseconds(value.cast_f64()?)
+        })
     }
 
-    pub fn optional_seconds(&self, field: &'static str) -> Result<Option<Duration>, ConfigurationError> {
-        self.optional(field, "a time in seconds", |value| milliseconds(value.cast_f64()? * 1000.0))
+    pub fn optional_seconds(
+        &self,
+        field: &'static str,
+    ) -> Result<Option<Duration>, ConfigurationError> {
+        self.optional(field, "a time in seconds", |value| {
+            milliseconds(value.cast_f64()? * 1000.0)
+        })
     }
 
     /// The objects of an array, each with its place.
     pub fn objects(&self, field: &'static str) -> Result<Vec<Object<'a>>, ConfigurationError> {
         let items = self.required(field, "an array", |value| value.as_array())?;
-        let object = |(index, value)| Object::new(format!("{}[{index}]", self.path_of(field)), value);
+        let object =
+            |(index, value)| Object::new(format!("{}[{index}]", self.path_of(field)), value);
         Ok(items.iter().enumerate().map(object).collect())
     }
 
     fn path_of(&self, field: &str) -> String {
-        if self.place == ROOT { field.to_owned() } else { format!("{}.{field}", self.place) }
+        if self.place == ROOT {
+            field.to_owned()
+        } else {
+            format!("{}.{field}", self.place)
+        }
     }
 }
 
@@ -102,10 +127,13 @@
 fn whole_number(value: &OwnedValue) -> Option<u64> {
     value.as_u64().or_else(|| {
         let number = value.as_f64()?;
-        (number >= 0.0 && number.fract() == 0.0 && number < u64::MAX as f64).then_some(number as u64)
+        (number >= 0.0 && number.fract() == 0.0 && number < u64::MAX as f64)
+            .then_some(number as u64)
     })
 }
 
 fn milliseconds(number: f64) -> Option<Duration> {
-    (0.0..=LONGEST_MS).contains(&number).then(|| Duration::from_secs_f64(number / 1000.0))
+    (0.0..=LONGEST_MS)
+        .contains(&number)
+        .then(|| Duration::from_secs_f64(number / 1000.0))
 }
--- a/crates/woadreach-config/tests/configuration.rs
+++ b/crates/woadreach-config/tests/configuration.rs
@@ -32,24 +32,44 @@
     assert_eq!(chat.gap_target, Some(Duration::from_millis(400)));
     assert!(chat.kept && chat.session_affinity && !chat.resumable);
     assert_eq!(configuration.routes[1].clusters.len(), 2);
-    assert_eq!(configuration.service("model").unwrap().engine.as_ref().unwrap().stride, 3);
+    assert_eq!(
+        configuration
+            .service("model")
+            .unwrap()
+            .engine
+            .as_ref()
+            .unwrap()
+            .stride,
+        3
+    );
     assert_eq!(configuration.service("plain").unwrap().max_conns, 96);
 }
 
 #[test]
 fn each_way_of_being_invalid_has_its_error() {
     let cases: Vec<(String, Expected)> = vec![
-        (WHOLE[..WHOLE.len() - 40].to_owned(), |e| matches!(e, ConfigurationError::Unreadable { .. })),
+        (WHOLE[..WHOLE.len() - 40].to_owned(), |e| {
+            matches!(e, ConfigurationError::Unreadable { .. })
+        }),
         (
             WHOLE.replace("\"service\":\"model\",\"max", "\"service\":\"gone\",\"max"),
             |e| matches!(e, ConfigurationError::UnknownService { service, .. } if service == "gone"),
         ),
-        (WHOLE.replace("/chat/new/", "/chat/"), |e| matches!(e, ConfigurationError::SamePlace { .. })),
-        (WHOLE.replace("/chat/new/", "/chat/").replacen("shop.example", "Shop.EXAMPLE", 1), |e| {
+        (WHOLE.replace("/chat/new/", "/chat/"), |e| {
             matches!(e, ConfigurationError::SamePlace { .. })
         }),
-        (format!("{WHOLE} {WHOLE}"), |e| matches!(e, ConfigurationError::Unreadable { .. })),
-        (format!("{WHOLE}}}"), |e| matches!(e, ConfigurationError::Unreadable { .. })),
+        (
+            WHOLE
+                .replace("/chat/new/", "/chat/")
+                .replacen("shop.example", "Shop.EXAMPLE", 1),
+            |e| matches!(e, ConfigurationError::SamePlace { .. }),
+        ),
+        (format!("{WHOLE} {WHOLE}"), |e| {
+            matches!(e, ConfigurationError::Unreadable { .. })
+        }),
+        (format!("{WHOLE}}}"), |e| {
+            matches!(e, ConfigurationError::Unreadable { .. })
+        }),
         (
             WHOLE.replace(
                 "[{\"service\":\"model\",\"weight\":90},{\"service\":\"plain\",\"weight\":10}]",
@@ -58,36 +78,74 @@
             |e| matches!(e, ConfigurationError::NoWeight { route } if route == "split"),
         ),
         (
-            WHOLE
-                .replace("\"weight\":90", "\"weight\":0")
-                .replace("{\"service\":\"model\",\"weight\":0}", "{\"service\":\"gone\",\"weight\":0}"),
+            WHOLE.replace("\"weight\":90", "\"weight\":0").replace(
+                "{\"service\":\"model\",\"weight\":0}",
+                "{\"service\":\"gone\",\"weight\":0}",
+            ),
             |e| matches!(e, ConfigurationError::UnknownService { service, .. } if service == "gone"),
         ),
         (WHOLE.replace("\"generation\":7,", ""), |e| {
-            matches!(e, ConfigurationError::BadField { field: "generation", .. })
+            matches!(
+                e,
+                ConfigurationError::BadField {
+                    field: "generation",
+                    ..
+                }
+            )
         }),
         (
-            WHOLE.replace("\"weight\":90", "\"weight\":0").replace("\"weight\":10", "\"weight\":0"),
+            WHOLE
+                .replace("\"weight\":90", "\"weight\":0")
+                .replace("\"weight\":10", "\"weight\":0"),
             |e| matches!(e, ConfigurationError::NoWeight { route } if route == "split"),
         ),
         (
             WHOLE.replace("\"timeout_ms\":300", "\"timeout_ms\":0"),
             |e| matches!(e, ConfigurationError::NoTimeout { route } if route == "split"),
         ),
-        (WHOLE.replace("\"name\":\"plain\"", "\"name\":\"model\""), |e| {
-            matches!(e, ConfigurationError::SameService { .. })
-        }),
-        (WHOLE.replace("\"generation\":7", "\"generation\":\"7\""), |e| {
-            matches!(e, ConfigurationError::BadField { field: "generation", .. })
-        }),
+        (
+            WHOLE.replace("\"name\":\"plain\"", "\"name\":\"model\""),
+            |e| matches!(e, ConfigurationError::SameService { .. }),
+        ),
+        (
+            WHOLE.replace("\"generation\":7", "\"generation\":\"7\""),
+            |e| {
+                matches!(
+                    e,
+                    ConfigurationError::BadField {
+                        field: "generation",
+                        ..
+                    }
+                )
+            },
+        ),
         (WHOLE.replace("\"unsafe\"", "\"sometimes\""), |e| {
-            matches!(e, ConfigurationError::BadField { field: "route_type", .. })
+            matches!(
+                e,
+                ConfigurationError::BadField {
+                    field: "route_type",
+                    ..
+                }
+            )
+        }),
+        (
+            WHOLE.replace("\"timeout_ms\":300", "\"timeout_ms\":-1"),
+            |e| {
+                matches!(
+                    e,
+                    ConfigurationError::BadField {
+                        field: "timeout_ms",
+                        ..
+                    }
+                )
+            },
+        ),
+        ("[]".to_owned(), |e| {
+            matches!(e, ConfigurationError::BadField { .. })
         }),
-        (WHOLE.replace("\"timeout_ms\":300", "\"timeout_ms\":-1"), |e| {
-            matches!(e, ConfigurationError::BadField { field: "timeout_ms", .. })
+        (String::new(), |e| {
+            matches!(e, ConfigurationError::Unreadable { .. })
         }),
-        ("[]".to_owned(), |e| matches!(e, ConfigurationError::BadField { .. })),
-        (String::new(), |e| matches!(e, ConfigurationError::Unreadable { .. })),
     ];
     for (text, expected) in cases {
         let error = parse(&text).unwrap_err();
@@ -100,7 +158,13 @@
     let configuration = parse(WHOLE).unwrap();
     assert!(configuration.check_follows(6).is_ok());
     let error = configuration.check_follows(7).unwrap_err();
-    assert_eq!(error, ConfigurationError::OldGeneration { generation: 7, current: 7 });
+    assert_eq!(
+        error,
+        ConfigurationError::OldGeneration {
+            generation: 7,
+            current: 7
+        }
+    );
 }
 
 #[test]
@@ -108,7 +172,10 @@
     let table = RouteTable::new(&parse(WHOLE).unwrap());
     let name = |host, path| table.find(host, path).map(|route| route.name.clone());
     assert_eq!(name("shop.example", "/chat/2f").as_deref(), Some("chat"));
-    assert_eq!(name("shop.example:8080", "/chat/new/2f?a=/x/").as_deref(), Some("split"));
+    assert_eq!(
+        name("shop.example:8080", "/chat/new/2f?a=/x/").as_deref(),
+        Some("split")
+    );
     assert_eq!(name("SHOP.example", "/chat/").as_deref(), Some("chat"));
     assert_eq!(name("shop.example", "/chat"), None);
     assert_eq!(name("shop.example", "/other/chat/"), None);
--- a/crates/woadreach-control/src/command_line.rs
+++ b/crates/woadreach-control/src/command_line.rs
@@ -49,7 +49,8 @@
                 .help("What is logged, as in `info,woadreach_control=debug`"),
         )
         .subcommand(
-            Command::new("core").about("Keep the configuration and the lists of replicas and machines"),
+            Command::new("core")
+                .about("Keep the configuration and the lists of replicas and machines"),
         )
         .subcommand(Command::new("storage").about("Keep conversations and programs' budgets"))
 }
@@ -66,7 +67,11 @@
         Some((_, options)) => (Role::Core, options),
         None => (Role::Core, &matches),
     };
-    Ok(Arguments { role, log_format: log_format(options), log_filter: log_filter(options) })
+    Ok(Arguments {
+        role,
+        log_format: log_format(options),
+        log_filter: log_filter(options),
+    })
 }
 
 fn log_format(options: &ArgMatches) -> LogFormat {
@@ -77,5 +82,8 @@
 }
 
 fn log_filter(options: &ArgMatches) -> String {
-    options.get_one::<String>("log-filter").cloned().unwrap_or_else(|| "info".to_owned())
+    options
+        .get_one::<String>("log-filter")
+        .cloned()
+        .unwrap_or_else(|| "info".to_owned())
 }
--- a/crates/woadreach-control/src/committed.rs
+++ b/crates/woadreach-control/src/committed.rs
@@ -25,7 +25,12 @@
         let status = self.driver.status();
         let members = status.members.into_iter().map(SocketAddr::V4).collect();
         let voters = status.voters.into_iter().map(SocketAddr::V4).collect();
-        ViewSummary { epoch: status.epoch, in_quorum: status.in_quorum, voters, members }
+        ViewSummary {
+            epoch: status.epoch,
+            in_quorum: status.in_quorum,
+            voters,
+            members,
+        }
     }
 
     fn configuration(&self) -> Option<(u64, Bytes)> {
--- a/crates/woadreach-control/src/compaction.rs
+++ b/crates/woadreach-control/src/compaction.rs
@@ -36,7 +36,11 @@
 impl Compaction {
     /// Of a journal that has just been opened.
     pub fn new() -> Compaction {
-        Compaction { phase: Phase::Whole, snapshot_bytes: 0, not_before: Duration::ZERO }
+        Compaction {
+            phase: Phase::Whole,
+            snapshot_bytes: 0,
+            not_before: Duration::ZERO,
+        }
     }
 
     /// Whether records may be appended.
--- a/crates/woadreach-control/src/core_role.rs
+++ b/crates/woadreach-control/src/core_role.rs
@@ -20,7 +20,8 @@
 use crate::committed::PublishedState;
 use crate::durable_log::{RecoveredMember, encode_snapshot, recover};
 use crate::error::{
-    JournalSnafu, ListenSnafu, MissingFieldSnafu, RoleError, SignalSnafu, UnreadableSnafu, UnusableFieldSnafu,
+    JournalSnafu, ListenSnafu, MissingFieldSnafu, RoleError, SignalSnafu, UnreadableSnafu,
+    UnusableFieldSnafu,
 };
 use crate::member_driver::{MemberDriver, new_durable};
 use crate::order::OrderService;
@@ -68,7 +69,12 @@
     let own_address = settings.internal_address();
     // An order may hold a configuration; signs of life and heartbeats don't wait behind it.
     let orders_rpc = Client::new(ClientOptions::default());
-    let orders = Arc::new(OrderService::new(Arc::clone(&driver), orders_rpc, own_address, tolerated));
+    let orders = Arc::new(OrderService::new(
+        Arc::clone(&driver),
+        orders_rpc,
+        own_address,
+        tolerated,
+    ));
     let committed = Arc::new(PublishedState::new(Arc::clone(&driver)));
     let discovery = CoreDiscovery::new(&settings, random_number() | 1, rpc.clone(), committed);
     let seeds = settings.seed_internal_addresses();
@@ -101,7 +107,9 @@
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, RoleError> {
-    TcpListener::bind(address).await.context(ListenSnafu { address })
+    TcpListener::bind(address)
+        .await
+        .context(ListenSnafu { address })
 }
 
 fn most_connections(settings: &NodeSettings) -> usize {
@@ -125,8 +133,10 @@
 
 fn member_options(settings: &NodeSettings) -> Result<MemberOptions, RoleError> {
     let seeds = settings.seed_internal_addresses();
-    let seeds: Result<Vec<SocketAddrV4>, RoleError> =
-        seeds.into_iter().map(|seed| version_four("seeds", seed)).collect();
+    let seeds: Result<Vec<SocketAddrV4>, RoleError> = seeds
+        .into_iter()
+        .map(|seed| version_four("seeds", seed))
+        .collect();
     Ok(MemberOptions {
         address: version_four("ip", settings.internal_address())?,
         seeds: seeds?,
@@ -143,9 +153,12 @@
 fn version_four(field: &'static str, address: SocketAddr) -> Result<SocketAddrV4, RoleError> {
     match address {
         SocketAddr::V4(address) => Ok(address),
-        SocketAddr::V6(_) => {
-            UnusableFieldSnafu { field, found: address.to_string(), expected: "an IPv4 address" }.fail()
+        SocketAddr::V6(_) => UnusableFieldSnafu {
+            field,
+            found: address.to_string(),
+            expected: "an IPv4 address",
         }
+        .fail(),
     }
 }
 
@@ -166,31 +179,47 @@
     })?;
     let (journal, found, is_intact) = open_journal(&path, settings.limits.disk_mb)?;
     if let Some(snapshot) = &found.snapshot {
-        let recovered = recover(snapshot, &found.records).context(UnreadableSnafu { path: &path })?;
-        tracing::info!(epoch = recovered.durable.view.epoch, number = recovered.number, "state recovered");
+        let recovered =
+            recover(snapshot, &found.records).context(UnreadableSnafu { path: &path })?;
+        tracing::info!(
+            epoch = recovered.durable.view.epoch,
+            number = recovered.number,
+            "state recovered"
+        );
         return Ok((journal, recovered));
     }
     let bootstrap = settings.bootstrap && is_intact;
     let durable = new_durable(bootstrap, options, random_number() | 1);
     let synced = journal.replace(encode_snapshot(0, &durable)).await;
     let _receipt = synced.context(JournalSnafu { path: &path })?;
-    tracing::info!(identity = durable.identity, bootstrap, "empty disk taken into use");
+    tracing::info!(
+        identity = durable.identity,
+        bootstrap,
+        "empty disk taken into use"
+    );
     Ok((journal, RecoveredMember { durable, number: 0 }))
 }
 
 /// Opens the journal; one whose content is damaged is emptied, and the machine is a new member.
 fn open_journal(path: &Path, disk_mb: u64) -> Result<(Journal, Recovered, bool), RoleError> {
     let max_bytes = (disk_mb << 20) / 100 * DISK_SHARE;
-    let options = JournalOptions { max_bytes, max_queued_bytes: QUEUED_BYTES };
+    let options = JournalOptions {
+        max_bytes,
+        max_queued_bytes: QUEUED_BYTES,
+    };
     match Journal::open(path, options) {
         Ok((journal, recovered)) => Ok((journal, recovered, true)),
         Err(error @ JournalError::Corrupt { .. }) => {
             tracing::error!(%error, "the journal is damaged; this machine starts as a new member");
             Journal::discard(path).context(JournalSnafu { path })?;
-            let (journal, recovered) = Journal::open(path, options).context(JournalSnafu { path })?;
+            let (journal, recovered) =
+                Journal::open(path, options).context(JournalSnafu { path })?;
             Ok((journal, recovered, false))
         }
-        Err(source) => Err(RoleError::Journal { path: path.to_owned(), source }),
+        Err(source) => Err(RoleError::Journal {
+            path: path.to_owned(),
+            source,
+        }),
     }
 }
 
--- a/crates/woadreach-control/src/durable_log.rs
+++ b/crates/woadreach-control/src/durable_log.rs
@@ -50,6 +50,8 @@
 }
 
 fn split_number(bytes: &[u8]) -> Result<(u64, &[u8]), RecordError> {
-    let (number, body) = bytes.split_first_chunk::<NUMBER_BYTES>().ok_or(RecordError::Empty)?;
+    let (number, body) = bytes
+        .split_first_chunk::<NUMBER_BYTES>()
+        .ok_or(RecordError::Empty)?;
     Ok((u64::from_le_bytes(*number), body))
 }
--- a/crates/woadreach-control/src/error.rs
+++ b/crates/woadreach-control/src/error.rs
@@ -19,19 +19,36 @@
     Settings { source: SettingsError },
     /// A field that the role needs is not set.
     #[snafu(display("settings: `{field}` is missing; the role `{role}` needs {expected}"))]
-    MissingField { field: &'static str, role: &'static str, expected: &'static str },
+    MissingField {
+        field: &'static str,
+        role: &'static str,
+        expected: &'static str,
+    },
     /// A field has a value that the role can't use.
     #[snafu(display("settings: `{field}` is {found}; expected {expected}"))]
-    UnusableField { field: &'static str, found: String, expected: &'static str },
+    UnusableField {
+        field: &'static str,
+        found: String,
+        expected: &'static str,
+    },
     /// An address can't be listened on.
     #[snafu(display("cannot listen on {address}: {source}"))]
-    Listen { address: SocketAddr, source: io::Error },
+    Listen {
+        address: SocketAddr,
+        source: io::Error,
+    },
     /// The journal can't be opened.
     #[snafu(display("journal in {}: {source}", path.display()))]
-    Journal { path: std::path::PathBuf, source: JournalError },
+    Journal {
+        path: std::path::PathBuf,
+        source: JournalError,
+    },
     /// The journal holds something that this program can't read.
     #[snafu(display("journal in {}: {source}", path.display()))]
-    Unreadable { path: std::path::PathBuf, source: RecordError },
+    Unreadable {
+        path: std::path::PathBuf,
+        source: RecordError,
+    },
     /// Signals can't be received.
     #[snafu(display("signals: {source}"))]
     Signal { source: io::Error },
@@ -44,10 +61,12 @@
     /// Exit code of the process: 2 for settings, 1 for everything else.
     pub fn exit_code(&self) -> u8 {
         match self {
-            RoleError::Settings { .. } | RoleError::MissingField { .. } | RoleError::UnusableField { .. } => {
-                2
-            }
-            RoleError::Storage { source: StorageRoleError::NoDataDir { .. } } => 2,
+            RoleError::Settings { .. }
+            | RoleError::MissingField { .. }
+            | RoleError::UnusableField { .. } => 2,
+            RoleError::Storage {
+                source: StorageRoleError::NoDataDir { .. },
+            } => 2,
             _ => 1,
         }
     }
