--- a/crates/woadreach-discovery/tests/loopback.rs
+++ b/crates/woadreach-discovery/tests/loopback.rs
@@ -20,16 +20,27 @@
 
 impl Core {
     async fn start(host: u8, port: u16, members: &[u8]) -> Self {
-        let listener = TcpListener::bind((Ipv4Addr::new(127, 0, 0, host), port)).await.unwrap();
-        let addresses: Vec<SocketAddr> =
-            members.iter().map(|member| SocketAddr::from(([127, 0, 0, *member], port))).collect();
+        let listener = TcpListener::bind((Ipv4Addr::new(127, 0, 0, host), port))
+            .await
+            .unwrap();
+        let addresses: Vec<SocketAddr> = members
+            .iter()
+            .map(|member| SocketAddr::from(([127, 0, 0, *member], port)))
+            .collect();
         let committed = Arc::new(FixedState::new(addresses));
         let settings = settings(&format!("core-{host}"), host, port, members);
         let rpc = Client::new(ClientOptions::default());
         let discovery = CoreDiscovery::new(&settings, u64::from(host), rpc, committed.clone());
         let router = discovery.handlers(Router::new());
-        let tasks = vec![tokio::spawn(discovery.clone().run()), tokio::spawn(serve(listener, router))];
-        Self { discovery, committed, tasks }
+        let tasks = vec![
+            tokio::spawn(discovery.clone().run()),
+            tokio::spawn(serve(listener, router)),
+        ];
+        Self {
+            discovery,
+            committed,
+            tasks,
+        }
     }
 
     fn stop(&self) {
@@ -38,7 +49,9 @@
 }
 
 async fn free_port(hosts: &[u8]) -> u16 {
-    let probe = TcpListener::bind((Ipv4Addr::new(127, 0, 0, hosts[0]), 0)).await.unwrap();
+    let probe = TcpListener::bind((Ipv4Addr::new(127, 0, 0, hosts[0]), 0))
+        .await
+        .unwrap();
     probe.local_addr().unwrap().port()
 }
 
@@ -46,7 +59,10 @@
     snapshots: &mut watch::Receiver<Arc<ControlSnapshot>>,
     condition: impl Fn(&ControlSnapshot) -> bool,
 ) {
-    snapshots.wait_for(|snapshot| condition(snapshot)).await.unwrap();
+    snapshots
+        .wait_for(|snapshot| condition(snapshot))
+        .await
+        .unwrap();
 }
 
 #[tokio::test]
@@ -59,20 +75,41 @@
     }
     let rpc = Client::new(ClientOptions::default());
     let mut snapshots = ControlWatch::spawn(&settings("edge", 24, port, &hosts), rpc);
-    cores[0].discovery.heartbeat("r1", heartbeat(1, 1)).await.unwrap();
-    cores[1].discovery.heartbeat("r2", heartbeat(2, 1)).await.unwrap();
+    cores[0]
+        .discovery
+        .heartbeat("r1", heartbeat(1, 1))
+        .await
+        .unwrap();
+    cores[1]
+        .discovery
+        .heartbeat("r2", heartbeat(2, 1))
+        .await
+        .unwrap();
     wait_for(&mut snapshots, |snapshot| snapshot.replicas.len() == 2).await;
     cores[2].committed.commit_configuration(7);
     let has_seven = |snapshot: &ControlSnapshot| {
-        snapshot.configuration.as_ref().is_some_and(|configuration| configuration.generation == 7)
+        snapshot
+            .configuration
+            .as_ref()
+            .is_some_and(|configuration| configuration.generation == 7)
     };
     wait_for(&mut snapshots, has_seven).await;
     wait_for(&mut snapshots, |snapshot| snapshot.warmed).await;
 
     // The machine that acknowledges dies at once: the others have been told before.
-    cores[0].discovery.heartbeat("r1", draining(1, 2)).await.unwrap();
+    cores[0]
+        .discovery
+        .heartbeat("r1", draining(1, 2))
+        .await
+        .unwrap();
     cores[0].stop();
-    wait_for(&mut snapshots, |snapshot| snapshot.replicas["r1"].state == ReplicaState::Draining).await;
+    wait_for(&mut snapshots, |snapshot| {
+        snapshot.replicas["r1"].state == ReplicaState::Draining
+    })
+    .await;
     cores[1].discovery.leave("r1").await.unwrap();
-    wait_for(&mut snapshots, |snapshot| !snapshot.replicas.contains_key("r1")).await;
+    wait_for(&mut snapshots, |snapshot| {
+        !snapshot.replicas.contains_key("r1")
+    })
+    .await;
 }
--- a/crates/woadreach-discovery/tests/messages.rs
+++ b/crates/woadreach-discovery/tests/messages.rs
@@ -5,25 +5,41 @@
 use common::{draining, heartbeat};
 use quickcheck::quickcheck;
 use woadreach_discovery::messages::{
-    Batch, MESSAGE_VERSION, MessageError, PollResponse, RegistryResponse, Request, Standing, StatusEntry,
-    VersionedBytes, decode, encode,
+    Batch, MESSAGE_VERSION, MessageError, PollResponse, RegistryResponse, Request, Standing,
+    StatusEntry, VersionedBytes, decode, encode,
 };
 use woadreach_discovery::registry::{Refresh, RegistryVersion};
 use woadreach_discovery::{ModelRecord, ReplicaRecord, ReplicaStatus};
 
 fn batch(ids: &[String], sequence: u64) -> Request {
     let statuses = ids.iter().enumerate().map(|(place, id)| {
-        let mut record =
-            ReplicaRecord::new(id, if place % 2 == 0 { heartbeat } else { draining }(1, sequence));
-        record.models =
-            vec![ModelRecord { name: id.clone(), generation: sequence, adapters: vec![id.clone()] }];
-        let status = if place % 3 == 2 { ReplicaStatus::left() } else { ReplicaStatus::Present(record) };
+        let mut record = ReplicaRecord::new(
+            id,
+            if place % 2 == 0 { heartbeat } else { draining }(1, sequence),
+        );
+        record.models = vec![ModelRecord {
+            name: id.clone(),
+            generation: sequence,
+            adapters: vec![id.clone()],
+        }];
+        let status = if place % 3 == 2 {
+            ReplicaStatus::left()
+        } else {
+            ReplicaStatus::Present(record)
+        };
         StatusEntry::new(id.clone(), &status)
     });
-    let refreshes = ids.iter().map(|id| Refresh { id: id.clone(), sequence, digest: 7 });
+    let refreshes = ids.iter().map(|id| Refresh {
+        id: id.clone(),
+        sequence,
+        digest: 7,
+    });
     Request::Batch(Batch {
         incarnation: sequence,
-        sender: "10.1.0.41:7380".parse::<std::net::SocketAddr>().unwrap().into(),
+        sender: "10.1.0.41:7380"
+            .parse::<std::net::SocketAddr>()
+            .unwrap()
+            .into(),
         serial: sequence,
         warming: false,
         refreshes: refreshes.collect(),
@@ -34,8 +50,14 @@
 #[test]
 fn other_versions_and_empty_messages_are_errors_of_their_own() {
     assert_eq!(decode::<Request>(&[]), Err(MessageError::Empty));
-    assert_eq!(decode::<Request>(&[9, 0, 0]), Err(MessageError::Version { version: 9 }));
-    assert_eq!(decode::<Request>(&[MESSAGE_VERSION, 0xff]), Err(MessageError::Malformed));
+    assert_eq!(
+        decode::<Request>(&[9, 0, 0]),
+        Err(MessageError::Version { version: 9 })
+    );
+    assert_eq!(
+        decode::<Request>(&[MESSAGE_VERSION, 0xff]),
+        Err(MessageError::Malformed)
+    );
 }
 
 #[test]
@@ -50,7 +72,10 @@
     let mut bytes = encode(&response);
     let length_at = bytes.len() - 4;
     bytes[length_at..].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(decode::<RegistryResponse>(&bytes), Err(MessageError::Malformed));
+    assert_eq!(
+        decode::<RegistryResponse>(&bytes),
+        Err(MessageError::Malformed)
+    );
 }
 
 quickcheck! {
--- a/crates/woadreach-discovery/tests/registry.rs
+++ b/crates/woadreach-discovery/tests/registry.rs
@@ -8,7 +8,8 @@
 use common::{draining, heartbeat};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_discovery::registry::{
-    Ack, HeartbeatError, Refresh, RefreshResult, Registry, RegistryVersion, TOMBSTONE_LIFE, TOMBSTONES_BASE,
+    Ack, HeartbeatError, Refresh, RefreshResult, Registry, RegistryVersion, TOMBSTONE_LIFE,
+    TOMBSTONES_BASE,
 };
 use woadreach_discovery::{Departure, Heartbeat, ReplicaStatus};
 
@@ -23,18 +24,39 @@
 }
 
 fn present(registry: &Registry) -> Vec<String> {
-    registry.replicas(Duration::ZERO).map(|(record, _)| record.id.clone()).collect()
+    registry
+        .replicas(Duration::ZERO)
+        .map(|(record, _)| record.id.clone())
+        .collect()
 }
 
 #[test]
 fn an_older_sequence_is_refused_by_name_and_changes_nothing() {
     let mut registry = registry();
-    assert_eq!(registry.heartbeat(seconds(0.0), "r", heartbeat(1, 5)), Ok(Ack::Changed));
-    assert_eq!(registry.heartbeat(seconds(0.1), "r", draining(1, 6)), Ok(Ack::Leaving));
+    assert_eq!(
+        registry.heartbeat(seconds(0.0), "r", heartbeat(1, 5)),
+        Ok(Ack::Changed)
+    );
+    assert_eq!(
+        registry.heartbeat(seconds(0.1), "r", draining(1, 6)),
+        Ok(Ack::Leaving)
+    );
     let before = (registry.status("r").cloned(), registry.version());
-    let stale = HeartbeatError::Stale { id: "r".into(), sequence: 4, newest: 6 };
-    assert_eq!(registry.heartbeat(seconds(0.2), "r", heartbeat(1, 4)), Err(stale));
-    assert!(registry.heartbeat(seconds(0.2), "r", heartbeat(1, 6)).is_err(), "other content, same sequence");
+    let stale = HeartbeatError::Stale {
+        id: "r".into(),
+        sequence: 4,
+        newest: 6,
+    };
+    assert_eq!(
+        registry.heartbeat(seconds(0.2), "r", heartbeat(1, 4)),
+        Err(stale)
+    );
+    assert!(
+        registry
+            .heartbeat(seconds(0.2), "r", heartbeat(1, 6))
+            .is_err(),
+        "other content, same sequence"
+    );
     assert_eq!((registry.status("r").cloned(), registry.version()), before);
     assert_eq!(registry.counters().stale, 2);
 }
@@ -42,19 +64,29 @@
 #[test]
 fn the_same_heartbeat_again_is_taken_again() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", draining(1, 5)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "r", draining(1, 5))
+        .unwrap();
     let version = registry.version();
-    assert_eq!(registry.heartbeat(seconds(0.4), "r", draining(1, 5)), Ok(Ack::Leaving));
+    assert_eq!(
+        registry.heartbeat(seconds(0.4), "r", draining(1, 5)),
+        Ok(Ack::Leaving)
+    );
     assert_eq!(registry.version(), version);
 }
 
 #[test]
 fn heartbeats_without_news_are_no_news_for_watchers() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
+        .unwrap();
     let version = registry.version();
     for sequence in 2..50 {
-        assert_eq!(registry.heartbeat(seconds(1.0), "r", heartbeat(1, sequence)), Ok(Ack::Unchanged));
+        assert_eq!(
+            registry.heartbeat(seconds(1.0), "r", heartbeat(1, sequence)),
+            Ok(Ack::Unchanged)
+        );
     }
     assert_eq!(registry.version(), version);
 }
@@ -62,15 +94,24 @@
 #[test]
 fn invalid_fields_are_refused_by_name() {
     let mut registry = registry();
-    let nameless = Heartbeat { service: String::new(), ..heartbeat(1, 1) };
-    let error = HeartbeatError::InvalidField { id: "r".into(), field: "service" };
+    let nameless = Heartbeat {
+        service: String::new(),
+        ..heartbeat(1, 1)
+    };
+    let error = HeartbeatError::InvalidField {
+        id: "r".into(),
+        field: "service",
+    };
     assert_eq!(registry.heartbeat(seconds(0.0), "r", nameless), Err(error));
     assert_eq!(
         registry.heartbeat(seconds(0.0), "", heartbeat(1, 1)),
         Err(HeartbeatError::InvalidId { length: 0 })
     );
     let last = heartbeat(1, u64::MAX);
-    assert!(registry.heartbeat(seconds(0.0), "r", last).is_err(), "that number stands for final departures");
+    assert!(
+        registry.heartbeat(seconds(0.0), "r", last).is_err(),
+        "that number stands for final departures"
+    );
     assert_eq!(registry.counters().invalid, 3);
     assert_eq!(registry.present(), 0);
 }
@@ -78,16 +119,35 @@
 #[test]
 fn a_replica_that_has_left_stays_gone() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
+        .unwrap();
     let record = registry.status("r").cloned().unwrap();
     registry.leave(seconds(1.0), "r").unwrap();
     let departed = HeartbeatError::Departed { id: "r".into() };
-    assert_eq!(registry.heartbeat(seconds(1.1), "r", heartbeat(1, 9)), Err(departed));
-    assert!(!registry.merge(seconds(1.2), "r", record), "a delayed message of a core machine");
-    let refresh = Refresh { id: "r".into(), sequence: 9, digest: 0 };
-    assert_eq!(registry.refresh(seconds(1.3), &refresh), RefreshResult::Known);
+    assert_eq!(
+        registry.heartbeat(seconds(1.1), "r", heartbeat(1, 9)),
+        Err(departed)
+    );
+    assert!(
+        !registry.merge(seconds(1.2), "r", record),
+        "a delayed message of a core machine"
+    );
+    let refresh = Refresh {
+        id: "r".into(),
+        sequence: 9,
+        digest: 0,
+    };
+    assert_eq!(
+        registry.refresh(seconds(1.3), &refresh),
+        RefreshResult::Known
+    );
     assert_eq!(registry.present(), 0);
-    assert_eq!(registry.leave(seconds(1.4), "r"), Ok(Ack::Leaving), "said again, acknowledged again");
+    assert_eq!(
+        registry.leave(seconds(1.4), "r"),
+        Ok(Ack::Leaving),
+        "said again, acknowledged again"
+    );
 }
 
 #[test]
@@ -103,39 +163,78 @@
 #[test]
 fn a_silent_replica_expires_and_a_later_heartbeat_brings_it_back() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", heartbeat(1, 3)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 3))
+        .unwrap();
     assert!(registry.expire(seconds(4.0), seconds(4.2)).is_empty());
     assert_eq!(registry.expire(seconds(4.3), seconds(4.2)), ["r"]);
-    let gone = ReplicaStatus::Gone { sequence: 3, departure: Departure::Silent };
+    let gone = ReplicaStatus::Gone {
+        sequence: 3,
+        departure: Departure::Silent,
+    };
     assert_eq!(registry.status("r"), Some(&gone));
-    assert!(registry.heartbeat(seconds(4.4), "r", heartbeat(1, 3)).is_err(), "a delayed one");
-    assert_eq!(registry.heartbeat(seconds(5.0), "r", heartbeat(1, 4)), Ok(Ack::Changed));
+    assert!(
+        registry
+            .heartbeat(seconds(4.4), "r", heartbeat(1, 3))
+            .is_err(),
+        "a delayed one"
+    );
+    assert_eq!(
+        registry.heartbeat(seconds(5.0), "r", heartbeat(1, 4)),
+        Ok(Ack::Changed)
+    );
     assert_eq!(registry.present(), 1);
 }
 
 #[test]
 fn an_expiry_of_a_replica_heard_since_is_contradicted() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", heartbeat(1, 8)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 8))
+        .unwrap();
     let version = registry.version();
-    let expiry = ReplicaStatus::Gone { sequence: 5, departure: Departure::Silent };
+    let expiry = ReplicaStatus::Gone {
+        sequence: 5,
+        departure: Departure::Silent,
+    };
     assert!(registry.merge(seconds(0.1), "r", expiry));
     let changes = registry.changes_since(version, 10);
-    assert_eq!(changes.statuses, [("r".to_owned(), registry.status("r").cloned().unwrap())]);
+    assert_eq!(
+        changes.statuses,
+        [("r".to_owned(), registry.status("r").cloned().unwrap())]
+    );
     assert_eq!(registry.present(), 1);
 }
 
 #[test]
 fn a_new_incarnation_at_the_same_address_supersedes_a_silent_one_only() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "old", heartbeat(1, 7)).unwrap();
-    let other_service = Heartbeat { service: "other".into(), ..heartbeat(1, 1) };
-    registry.heartbeat(seconds(0.5), "early", other_service.clone()).unwrap();
-    assert_eq!(present(&registry), ["early", "old"], "both say that they are there");
-    registry.heartbeat(seconds(2.2), "new", other_service).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "old", heartbeat(1, 7))
+        .unwrap();
+    let other_service = Heartbeat {
+        service: "other".into(),
+        ..heartbeat(1, 1)
+    };
+    registry
+        .heartbeat(seconds(0.5), "early", other_service.clone())
+        .unwrap();
+    assert_eq!(
+        present(&registry),
+        ["early", "old"],
+        "both say that they are there"
+    );
+    registry
+        .heartbeat(seconds(2.2), "new", other_service)
+        .unwrap();
     assert_eq!(present(&registry), ["new"]);
     assert_eq!(registry.counters().superseded, 2);
-    assert!(registry.heartbeat(seconds(2.3), "old", heartbeat(1, 7)).is_err(), "a delayed heartbeat");
+    assert!(
+        registry
+            .heartbeat(seconds(2.3), "old", heartbeat(1, 7))
+            .is_err(),
+        "a delayed heartbeat"
+    );
     assert_eq!(present(&registry), ["new"]);
 }
 
@@ -143,16 +242,29 @@
 fn a_refresh_of_other_content_asks_for_the_content() {
     let mut sender = registry();
     let mut receiver = registry();
-    sender.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
+    sender
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
+        .unwrap();
     let refresh = |sender: &Registry| sender.refresh_of("r").unwrap();
-    assert_eq!(receiver.refresh(seconds(0.1), &refresh(&sender)), RefreshResult::Unknown);
+    assert_eq!(
+        receiver.refresh(seconds(0.1), &refresh(&sender)),
+        RefreshResult::Unknown
+    );
     receiver.merge(seconds(0.2), "r", sender.status("r").cloned().unwrap());
-    sender.heartbeat(seconds(1.0), "r", heartbeat(1, 2)).unwrap();
-    assert_eq!(receiver.refresh(seconds(1.1), &refresh(&sender)), RefreshResult::Known);
+    sender
+        .heartbeat(seconds(1.0), "r", heartbeat(1, 2))
+        .unwrap();
+    assert_eq!(
+        receiver.refresh(seconds(1.1), &refresh(&sender)),
+        RefreshResult::Known
+    );
     assert_eq!(receiver.status("r"), sender.status("r"));
     sender.heartbeat(seconds(2.0), "r", draining(1, 3)).unwrap();
     sender.heartbeat(seconds(2.1), "r", draining(1, 4)).unwrap();
-    assert_eq!(receiver.refresh(seconds(2.2), &refresh(&sender)), RefreshResult::Unknown);
+    assert_eq!(
+        receiver.refresh(seconds(2.2), &refresh(&sender)),
+        RefreshResult::Unknown
+    );
     assert_eq!(receiver.status("r").map(ReplicaStatus::sequence), Some(2));
 }
 
@@ -165,10 +277,15 @@
     let before = registry.version();
     registry.forget_tombstones(TOMBSTONE_LIFE + seconds(1.0));
     assert!(registry.status("r").is_none());
-    assert!(!registry.changes_since(before, 10).restart, "that receiver has had the tombstone");
+    assert!(
+        !registry.changes_since(before, 10).restart,
+        "that receiver has had the tombstone"
+    );
 
     for number in 0..TOMBSTONES_BASE + 10 {
-        registry.leave(TOMBSTONE_LIFE, &format!("t{number}")).unwrap();
+        registry
+            .leave(TOMBSTONE_LIFE, &format!("t{number}"))
+            .unwrap();
     }
     registry.forget_tombstones(TOMBSTONE_LIFE);
     assert!(registry.status("t9").is_none(), "the oldest go first");
@@ -178,11 +295,15 @@
 #[test]
 fn a_receiver_from_before_a_dropped_tombstone_gets_the_whole_list_also_in_parts() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "gone", heartbeat(9, 1)).unwrap();
+    registry
+        .heartbeat(seconds(0.0), "gone", heartbeat(9, 1))
+        .unwrap();
     let early = registry.version();
     registry.leave(seconds(1.0), "gone").unwrap();
     for port in 1..=7 {
-        registry.heartbeat(seconds(2.0), &format!("r{port}"), heartbeat(port, 1)).unwrap();
+        registry
+            .heartbeat(seconds(2.0), &format!("r{port}"), heartbeat(port, 1))
+            .unwrap();
     }
     registry.forget_tombstones(seconds(2.0) + TOMBSTONE_LIFE);
     let mut version = early;
@@ -201,8 +322,14 @@
 #[test]
 fn another_incarnation_gets_the_whole_list() {
     let mut registry = registry();
-    registry.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
-    let foreign = RegistryVersion { incarnation: 9, revision: 900, floor: 0 };
+    registry
+        .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
+        .unwrap();
+    let foreign = RegistryVersion {
+        incarnation: 9,
+        revision: 900,
+        floor: 0,
+    };
     let changes = registry.changes_since(foreign, 10);
     assert!(changes.restart && changes.statuses.len() == 1);
 }
@@ -210,8 +337,14 @@
 /// One step of a replica's life, told to a registry.
 #[derive(Clone, Debug)]
 enum Step {
-    Heartbeat { replica: u8, sequence: u8, is_draining: bool },
-    Leave { replica: u8 },
+    Heartbeat {
+        replica: u8,
+        sequence: u8,
+        is_draining: bool,
+    },
+    Leave {
+        replica: u8,
+    },
 }
 
 impl Arbitrary for Step {
@@ -221,7 +354,11 @@
             return Self::Leave { replica };
         }
         let sequence = u8::arbitrary(generator) % 16;
-        Self::Heartbeat { replica, sequence, is_draining: bool::arbitrary(generator) }
+        Self::Heartbeat {
+            replica,
+            sequence,
+            is_draining: bool::arbitrary(generator),
+        }
     }
 }
 
@@ -234,7 +371,11 @@
             oracle.insert(replica, None);
             true
         }
-        Step::Heartbeat { replica, sequence, is_draining } => {
+        Step::Heartbeat {
+            replica,
+            sequence,
+            is_draining,
+        } => {
             let word = (sequence, is_draining);
             match oracle.get(&replica) {
                 Some(None) => false,
--- a/crates/woadreach-discovery/tests/replica_table.rs
+++ b/crates/woadreach-discovery/tests/replica_table.rs
@@ -21,13 +21,24 @@
     Duration::from_secs(seconds)
 }
 
-fn response(incarnation: u64, restart: bool, statuses: &[(&str, ReplicaStatus)]) -> RegistryResponse {
+fn response(
+    incarnation: u64,
+    restart: bool,
+    statuses: &[(&str, ReplicaStatus)],
+) -> RegistryResponse {
     RegistryResponse {
-        version: RegistryVersion { incarnation, revision: 1, floor: 0 },
+        version: RegistryVersion {
+            incarnation,
+            revision: 1,
+            floor: 0,
+        },
         warming: false,
         restart,
         more: false,
-        statuses: statuses.iter().map(|(id, status)| StatusEntry::new((*id).to_owned(), status)).collect(),
+        statuses: statuses
+            .iter()
+            .map(|(id, status)| StatusEntry::new((*id).to_owned(), status))
+            .collect(),
     }
 }
 
@@ -36,13 +47,21 @@
 }
 
 fn silent(sequence: u64) -> ReplicaStatus {
-    ReplicaStatus::Gone { sequence, departure: Departure::Silent }
+    ReplicaStatus::Gone {
+        sequence,
+        departure: Departure::Silent,
+    }
 }
 
 #[test]
 fn a_list_that_lacks_a_replica_removes_it_only_after_long() {
     let mut table = ReplicaTable::default();
-    table.apply(seconds(0), machine(1), true, response(1, true, &[("r", ready("r", 1))]));
+    table.apply(
+        seconds(0),
+        machine(1),
+        true,
+        response(1, true, &[("r", ready("r", 1))]),
+    );
     // The machine starts anew and has not heard of the replica.
     let empty = |incarnation| response(incarnation, true, &[]);
     table.apply(seconds(1), machine(1), true, empty(2));
@@ -57,7 +76,12 @@
 #[test]
 fn lists_of_machines_that_are_warming_or_out_of_quorum_remove_nothing() {
     let mut table = ReplicaTable::default();
-    table.apply(seconds(0), machine(1), true, response(1, true, &[("r", ready("r", 1))]));
+    table.apply(
+        seconds(0),
+        machine(1),
+        true,
+        response(1, true, &[("r", ready("r", 1))]),
+    );
     for second in 1..60 {
         table.apply(seconds(second), machine(1), false, response(2, true, &[]));
         assert!(!table.sweep(seconds(second)));
@@ -68,19 +92,49 @@
 #[test]
 fn an_expiry_removes_and_a_later_word_brings_back() {
     let mut table = ReplicaTable::default();
-    table.apply(seconds(0), machine(1), true, response(1, true, &[("r", ready("r", 5))]));
-    assert!(table.apply(seconds(1), machine(2), true, response(1, true, &[("r", silent(6))])));
+    table.apply(
+        seconds(0),
+        machine(1),
+        true,
+        response(1, true, &[("r", ready("r", 5))]),
+    );
+    assert!(table.apply(
+        seconds(1),
+        machine(2),
+        true,
+        response(1, true, &[("r", silent(6))])
+    ));
     assert!(table.present().is_empty());
-    assert!(!table.apply(seconds(2), machine(3), true, response(1, true, &[("r", ready("r", 6))])));
-    assert!(table.apply(seconds(3), machine(3), true, response(1, false, &[("r", ready("r", 7))])));
+    assert!(!table.apply(
+        seconds(2),
+        machine(3),
+        true,
+        response(1, true, &[("r", ready("r", 6))])
+    ));
+    assert!(table.apply(
+        seconds(3),
+        machine(3),
+        true,
+        response(1, false, &[("r", ready("r", 7))])
+    ));
     assert_eq!(table.present()["r"].sequence, 7);
 }
 
 #[test]
 fn a_sign_of_life_without_news_is_no_change() {
     let mut table = ReplicaTable::default();
-    assert!(table.apply(seconds(0), machine(1), true, response(1, true, &[("r", ready("r", 5))])));
-    assert!(!table.apply(seconds(1), machine(2), true, response(1, true, &[("r", ready("r", 6))])));
+    assert!(table.apply(
+        seconds(0),
+        machine(1),
+        true,
+        response(1, true, &[("r", ready("r", 5))])
+    ));
+    assert!(!table.apply(
+        seconds(1),
+        machine(2),
+        true,
+        response(1, true, &[("r", ready("r", 6))])
+    ));
 }
 
 /// An account of a replica as some core machine sends it.
@@ -100,11 +154,20 @@
         let status = match u8::arbitrary(generator) % 6 {
             0 => ReplicaStatus::left(),
             1 => silent(sequence),
-            2 => ReplicaStatus::Gone { sequence, departure: Departure::Superseded },
-            _ if sequence % 3 == 2 => ReplicaStatus::Present(ReplicaRecord::new(&id, draining(1, sequence))),
+            2 => ReplicaStatus::Gone {
+                sequence,
+                departure: Departure::Superseded,
+            },
+            _ if sequence % 3 == 2 => {
+                ReplicaStatus::Present(ReplicaRecord::new(&id, draining(1, sequence)))
+            }
             _ => ready(&id, sequence),
         };
-        Self { machine: u8::arbitrary(generator) % 3, replica, status }
+        Self {
+            machine: u8::arbitrary(generator) % 3,
+            replica,
+            status,
+        }
     }
 }
 
@@ -113,7 +176,12 @@
     for account in accounts {
         let id = account.replica.to_string();
         let statuses = [(id.as_str(), account.status.clone())];
-        table.apply(seconds(0), machine(account.machine), true, response(1, false, &statuses));
+        table.apply(
+            seconds(0),
+            machine(account.machine),
+            true,
+            response(1, false, &statuses),
+        );
     }
     table
 }
--- a/crates/woadreach-discovery/tests/sampling.rs
+++ b/crates/woadreach-discovery/tests/sampling.rs
@@ -8,7 +8,8 @@
 use quickcheck::quickcheck;
 use woadreach_discovery::messages::{decode, encode};
 use woadreach_discovery::sampling::{
-    AgedEntry, CORE_ENTRIES, NodeEntry, NodeRole, PartialView, SHUFFLE_ENTRIES, Shuffle, VIEW_ENTRIES,
+    AgedEntry, CORE_ENTRIES, NodeEntry, NodeRole, PartialView, SHUFFLE_ENTRIES, Shuffle,
+    VIEW_ENTRIES,
 };
 
 const STEP: Duration = Duration::from_millis(100);
@@ -18,14 +19,25 @@
 }
 
 fn process_at(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { panic!("the test speaks IPv4") };
+    let SocketAddr::V4(address) = address else {
+        panic!("the test speaks IPv4")
+    };
     let octets = address.ip().octets();
     usize::from(octets[2]) << 8 | usize::from(octets[3])
 }
 
 fn entry(process: usize, cores: usize) -> NodeEntry {
-    let role = if process < cores { NodeRole::Core } else { NodeRole::Proxy };
-    NodeEntry { node: format!("node-{process}"), role, address: address(process).into(), control: None }
+    let role = if process < cores {
+        NodeRole::Core
+    } else {
+        NodeRole::Proxy
+    };
+    NodeEntry {
+        node: format!("node-{process}"),
+        role,
+        address: address(process).into(),
+        control: None,
+    }
 }
 
 struct Tier {
@@ -73,11 +85,15 @@
         if !self.running[process] {
             return;
         }
-        let Some((partner, shuffle)) = self.views[process].start_shuffle(self.now) else { return };
+        let Some((partner, shuffle)) = self.views[process].start_shuffle(self.now) else {
+            return;
+        };
         let partner = process_at(partner);
         assert_ne!(partner, process, "a process does not ask itself");
-        let answer = self.running[partner].then(|| self.views[partner].answer(self.now, shuffle.clone()));
-        let sent = encode(&shuffle).len() + answer.as_ref().map_or(0, |answer| encode(answer).len());
+        let answer =
+            self.running[partner].then(|| self.views[partner].answer(self.now, shuffle.clone()));
+        let sent =
+            encode(&shuffle).len() + answer.as_ref().map_or(0, |answer| encode(answer).len());
         self.bytes[process] += sent as u64;
         self.bytes[partner] += sent as u64;
         self.views[process].complete_shuffle(self.now, answer);
@@ -85,7 +101,10 @@
 
     fn known(&self, process: usize) -> Vec<usize> {
         let entries = self.views[process].entries(self.now);
-        entries.into_iter().map(|entry| process_at(entry.address.into())).collect()
+        entries
+            .into_iter()
+            .map(|entry| process_at(entry.address.into()))
+            .collect()
     }
 
     fn reached_from(&self, process: usize) -> usize {
@@ -103,7 +122,8 @@
 
     fn restart(&mut self, process: usize, seeds: Vec<SocketAddr>) {
         let random_seed = u64::from(self.random.rand_u32());
-        self.views[process] = PartialView::new(self.now, entry(process, self.cores), seeds, random_seed);
+        self.views[process] =
+            PartialView::new(self.now, entry(process, self.cores), seeds, random_seed);
         self.running[process] = true;
     }
 }
@@ -116,7 +136,10 @@
         for process in 0..size {
             let known = tier.known(process);
             assert!(known.len() <= VIEW_ENTRIES);
-            assert!(known.iter().any(|known| *known < cores), "{process} of {size} knows no core machine");
+            assert!(
+                known.iter().any(|known| *known < cores),
+                "{process} of {size} knows no core machine"
+            );
         }
         assert_eq!(tier.reached_from(size - 1), size, "{size} processes");
     }
@@ -134,7 +157,10 @@
         // Seeds and other core machines are asked more often than others.
         worst.insert(size, tier.bytes[cores..].iter().max().unwrap() / seconds);
     }
-    assert!(worst.values().all(|bytes| *bytes < 600), "{worst:?} bytes a second");
+    assert!(
+        worst.values().all(|bytes| *bytes < 600),
+        "{worst:?} bytes a second"
+    );
 }
 
 #[test]
@@ -146,7 +172,10 @@
     }
     tier.run_for(Duration::from_secs(150));
     for process in (0..40).filter(|process| tier.running[*process]) {
-        assert!(tier.known(process).iter().all(|known| tier.running[*known]), "{process}");
+        assert!(
+            tier.known(process).iter().all(|known| tier.running[*known]),
+            "{process}"
+        );
     }
 }
 
@@ -163,7 +192,10 @@
         tier.restart(30, (0..3).map(address).collect());
         tier.run_for(Duration::from_secs(30));
         let cores = tier.views[30].core_machines(tier.now);
-        assert!(cores.iter().any(|core| tier.running[process_at(*core)]), "seed {seed}: {cores:?}");
+        assert!(
+            cores.iter().any(|core| tier.running[process_at(*core)]),
+            "seed {seed}: {cores:?}"
+        );
     }
 }
 
--- a/crates/woadreach-faults/src/clock.rs
+++ b/crates/woadreach-faults/src/clock.rs
@@ -136,7 +136,10 @@
 
     pub fn add_process(&self) -> ProcessId {
         let mut all = self.0.processes.borrow_mut();
-        all.push(Process { alive: true, ..Process::default() });
+        all.push(Process {
+            alive: true,
+            ..Process::default()
+        });
         ProcessId(all.len() - 1)
     }
 
@@ -155,12 +158,20 @@
     }
 
     pub fn alive(&self, process: ProcessId) -> bool {
-        self.0.processes.borrow().get(process.0).is_some_and(|p| p.alive)
+        self.0
+            .processes
+            .borrow()
+            .get(process.0)
+            .is_some_and(|p| p.alive)
     }
 
     /// Tasks that a process has.
     pub fn tasks(&self, process: ProcessId) -> usize {
-        self.0.processes.borrow().get(process.0).map_or(0, |p| p.tasks.len())
+        self.0
+            .processes
+            .borrow()
+            .get(process.0)
+            .map_or(0, |p| p.tasks.len())
     }
 
     pub fn spawn(&self, process: ProcessId, task: impl Future<Output = ()> + 'static) {
@@ -173,7 +184,12 @@
             queued: AtomicBool::new(true),
             ready: inner.ready.clone(),
         });
-        let slot = Slot { task: Some(Box::pin(task)), process, turn, waker };
+        let slot = Slot {
+            task: Some(Box::pin(task)),
+            process,
+            turn,
+            waker,
+        };
         if at == slots.len() {
             slots.push(slot);
         } else {
@@ -210,7 +226,11 @@
     /// At `at`, after all that was asked for at that time before.
     pub fn at(&self, at: Nanos, what: Happening) {
         let order = self.0.order.replace(self.0.order.get() + 1);
-        self.0.events.borrow_mut().push(Reverse(Entry { at: at.max(self.now()), order, what }));
+        self.0.events.borrow_mut().push(Reverse(Entry {
+            at: at.max(self.now()),
+            order,
+            what,
+        }));
     }
 
     pub fn call_at(&self, at: Nanos, what: impl FnOnce() + 'static) {
@@ -283,11 +303,18 @@
 
     fn run_ready(&self) {
         loop {
-            let next = self.0.ready.lock().ok().and_then(|mut ready| ready.pop_front());
+            let next = self
+                .0
+                .ready
+                .lock()
+                .ok()
+                .and_then(|mut ready| ready.pop_front());
             let Some((at, turn)) = next else { return };
             let (mut task, waker, process) = {
                 let mut slots = self.0.slots.borrow_mut();
-                let Some(slot) = slots.get_mut(at).filter(|s| s.turn == turn) else { continue };
+                let Some(slot) = slots.get_mut(at).filter(|s| s.turn == turn) else {
+                    continue;
+                };
                 let mut processes = self.0.processes.borrow_mut();
                 let process = &mut processes[slot.process.0];
                 if process.stalled {
@@ -295,14 +322,17 @@
                     continue;
                 }
                 slot.waker.queued.store(false, Ordering::Relaxed);
-                let Some(task) = slot.task.take() else { continue };
+                let Some(task) = slot.task.take() else {
+                    continue;
+                };
                 (task, slot.waker.clone(), slot.process)
             };
             self.0.steps.set(self.0.steps.get() + 1);
             let waker = Waker::from(waker);
             let mut cx = Context::from_waker(&waker);
-            let done = match catch_unwind(AssertUnwindSafe(|| self.in_order(|| task.as_mut().poll(&mut cx))))
-            {
+            let done = match catch_unwind(AssertUnwindSafe(|| {
+                self.in_order(|| task.as_mut().poll(&mut cx))
+            })) {
                 Ok(poll) => poll.is_ready(),
                 Err(why) => {
                     let why = why.downcast_ref::<String>().cloned();
@@ -334,7 +364,11 @@
 
 impl Sleep {
     pub fn new(clock: &Clock, due: Nanos) -> Self {
-        Sleep { clock: clock.clone(), due, waker: None }
+        Sleep {
+            clock: clock.clone(),
+            due,
+            waker: None,
+        }
     }
 }
 
--- a/crates/woadreach-faults/src/load.rs
+++ b/crates/woadreach-faults/src/load.rs
@@ -19,8 +19,9 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "uneven"));
     // Twelve draws add up to what is normal enough here.
     let mut normal = || (0..12).map(|_| chance.random::<f64>()).sum::<f64>() - 6.0;
-    let all: Vec<f64> =
-        (0..script.fleet.co_ordinators).map(|_| (script.load.uneven * normal()).exp()).collect();
+    let all: Vec<f64> = (0..script.fleet.co_ordinators)
+        .map(|_| (script.load.uneven * normal()).exp())
+        .collect();
     let mean = all.iter().sum::<f64>() / all.len() as f64;
     all.into_iter().map(|part| part / mean).collect()
 }
@@ -45,7 +46,11 @@
     while shards.len() < n {
         shards.insert(chance.random_range(0..script.fleet.shards));
     }
-    let heavy = if chance.random_bool(HEAVY.0) { HEAVY.1 } else { 1.0 };
+    let heavy = if chance.random_bool(HEAVY.0) {
+        HEAVY.1
+    } else {
+        1.0
+    };
     let work = t.work * heavy * costly * (0.5 + chance.random::<f64>());
     let leaves = chance.random_bool(script.load.leaves);
     let leaves_after = leaves.then(|| chance.random::<f64>() * t.client_timeout);
--- a/crates/woadreach-faults/src/network.rs
+++ b/crates/woadreach-faults/src/network.rs
@@ -129,21 +129,39 @@
     /// A process on a machine of its own.
     pub fn machine(&self, zone: Zone, ahead: f64) -> SimNet {
         let process = self.0.clock.add_process();
-        let machine = Machine { zone, ahead, silent: false, open: 0, most_open: 0 };
+        let machine = Machine {
+            zone,
+            ahead,
+            silent: false,
+            open: 0,
+            most_open: 0,
+        };
         self.0.machines.borrow_mut().insert(process, machine);
-        SimNet { network: self.clone(), process }
+        SimNet {
+            network: self.clone(),
+            process,
+        }
     }
 
     /// One that is there already.
     pub fn process(&self, process: ProcessId) -> SimNet {
-        SimNet { network: self.clone(), process }
+        SimNet {
+            network: self.clone(),
+            process,
+        }
     }
 
     /// Ends a process outright: its listeners are gone and its connections reset, which a silent machine
     /// tells nobody.
     pub fn kill(&self, process: ProcessId) {
-        self.0.listeners.borrow_mut().retain(|_, l| l.process != process);
-        self.0.inboxes.borrow_mut().retain(|_, i| i.process != process);
+        self.0
+            .listeners
+            .borrow_mut()
+            .retain(|_, l| l.process != process);
+        self.0
+            .inboxes
+            .borrow_mut()
+            .retain(|_, i| i.process != process);
         self.0.clock.kill(process);
     }
 
@@ -172,13 +190,21 @@
         let pipes = std::mem::take(&mut *self.0.held_back.borrow_mut());
         for pipe in pipes {
             let network = self.clone();
-            self.0.clock.call_at(self.0.clock.now() + RETRANSMIT, move || network.deliver(&pipe));
+            self.0
+                .clock
+                .call_at(self.0.clock.now() + RETRANSMIT, move || {
+                    network.deliver(&pipe)
+                });
         }
     }
 
     /// Connections a process has open now, and the most that it had.
     pub fn open(&self, process: ProcessId) -> (usize, usize) {
-        self.0.machines.borrow().get(&process).map_or((0, 0), |m| (m.open, m.most_open))
+        self.0
+            .machines
+            .borrow()
+            .get(&process)
+            .map_or((0, 0), |m| (m.open, m.most_open))
     }
 
     /// Bytes and connections so far.
@@ -196,11 +222,17 @@
     fn post(&self, process: ProcessId, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
         let (n, size) = self.0.datagrams.get();
         self.0.datagrams.set((n + 1, size + bytes.len() as u64));
-        let Some(inbox) = self.0.inboxes.borrow().get(&to).cloned() else { return };
+        let Some(inbox) = self.0.inboxes.borrow().get(&to).cloned() else {
+            return;
+        };
         if !self.passes(process, inbox.process) || self.happens(self.0.figures.lost) {
             return;
         }
-        for _ in 0..if self.happens(self.0.figures.doubled) { 2 } else { 1 } {
+        for _ in 0..if self.happens(self.0.figures.doubled) {
+            2
+        } else {
+            1
+        } {
             let way = self.latency(process, inbox.process) + self.draw(self.0.figures.late);
             let (inbox, bytes) = (inbox.clone(), bytes.to_vec());
             self.0.clock.call_at(self.0.clock.now() + way, move || {
@@ -218,13 +250,21 @@
 
     fn count(&self, process: ProcessId, open: bool) {
         if let Some(m) = self.0.machines.borrow_mut().get_mut(&process) {
-            m.open = if open { m.open + 1 } else { m.open.saturating_sub(1) };
+            m.open = if open {
+                m.open + 1
+            } else {
+                m.open.saturating_sub(1)
+            };
             m.most_open = m.most_open.max(m.open);
         }
     }
 
     fn draw(&self, below: u64) -> u64 {
-        if below == 0 { 0 } else { self.0.chance.borrow_mut().random_range(0..below) }
+        if below == 0 {
+            0
+        } else {
+            self.0.chance.borrow_mut().random_range(0..below)
+        }
     }
 
     fn happens(&self, share: f64) -> bool {
@@ -236,20 +276,30 @@
             let machines = self.0.machines.borrow();
             machines.get(&from).map(|m| m.zone) == machines.get(&to).map(|m| m.zone)
         };
-        let (least, more) = if same { self.0.figures.near } else { self.0.figures.far };
+        let (least, more) = if same {
+            self.0.figures.near
+        } else {
+            self.0.figures.far
+        };
         least + self.draw(more)
     }
 
     fn passes(&self, from: ProcessId, to: ProcessId) -> bool {
         let machines = self.0.machines.borrow();
-        let (Some(a), Some(b)) = (machines.get(&from), machines.get(&to)) else { return false };
+        let (Some(a), Some(b)) = (machines.get(&from), machines.get(&to)) else {
+            return false;
+        };
         !a.silent && !b.silent && !self.0.cuts.borrow().contains(&(a.zone, b.zone))
     }
 
     /// Sends what the window lets through.
     fn pump(&self, pipe: &Rc<Pipe>) {
         let mut p = pipe.state.borrow_mut();
-        let window = self.0.figures.receive_buffer.saturating_sub(p.flying + p.unread());
+        let window = self
+            .0
+            .figures
+            .receive_buffer
+            .saturating_sub(p.flying + p.unread());
         let n = window.min(p.outgoing.len());
         if n > 0 {
             let bytes: Vec<u8> = p.outgoing.drain(..n).collect();
@@ -274,9 +324,14 @@
     }
 
     fn fly(&self, pipe: &Rc<Pipe>, p: &mut PipeState, chunk: Chunk) {
-        let size = if let Chunk::Bytes(bytes) = &chunk { bytes.len() } else { 0 };
+        let size = if let Chunk::Bytes(bytes) = &chunk {
+            bytes.len()
+        } else {
+            0
+        };
         let takes = (size as f64 / self.0.figures.bandwidth * 1e9) as Nanos;
-        let at = (self.0.clock.now() + self.latency(pipe.from, pipe.to) + takes).max(p.last_arrival);
+        let at =
+            (self.0.clock.now() + self.latency(pipe.from, pipe.to) + takes).max(p.last_arrival);
         p.last_arrival = at;
         p.flight.push_back((at, chunk));
         let (network, pipe) = (self.clone(), pipe.clone());
@@ -381,7 +436,8 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        self.network.post(self.inbox.process, self.address, to, bytes);
+        self.network
+            .post(self.inbox.process, self.address, to, bytes);
         Ok(())
     }
 }
@@ -389,7 +445,10 @@
 impl Drop for SimDatagrams {
     fn drop(&mut self) {
         let mut all = self.network.0.inboxes.borrow_mut();
-        if all.get(&self.address).is_some_and(|i| Rc::ptr_eq(i, &self.inbox)) {
+        if all
+            .get(&self.address)
+            .is_some_and(|i| Rc::ptr_eq(i, &self.inbox))
+        {
             all.remove(&self.address);
         }
     }
@@ -475,7 +534,11 @@
         if p.reset {
             return Err(gone());
         }
-        if p.ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) }
+        if p.ended {
+            Ok(0)
+        } else {
+            Err(ErrorKind::WouldBlock.into())
+        }
     }
 
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()> {
@@ -513,7 +576,9 @@
             if p.broken || p.end_wanted {
                 return Err(ErrorKind::BrokenPipe.into());
             }
-            let n = bytes.len().min(self.network.0.figures.send_buffer - p.outgoing.len());
+            let n = bytes
+                .len()
+                .min(self.network.0.figures.send_buffer - p.outgoing.len());
             p.outgoing.extend(&bytes[..n]);
             drop(p);
             bytes = &bytes[n..];
@@ -555,8 +620,16 @@
     /// Both ends of a connection between two processes.
     fn pair(network: &Network, client: ProcessId, server: ProcessId) -> (SimStream, SimStream) {
         let pipe = |from, to| {
-            let state = RefCell::new(PipeState { last_data: network.0.clock.now(), ..PipeState::default() });
-            Rc::new(Pipe { from, to, state, back: RefCell::default() })
+            let state = RefCell::new(PipeState {
+                last_data: network.0.clock.now(),
+                ..PipeState::default()
+            });
+            Rc::new(Pipe {
+                from,
+                to,
+                state,
+                back: RefCell::default(),
+            })
         };
         let (there, back) = (pipe(client, server), pipe(server, client));
         *there.back.borrow_mut() = Rc::downgrade(&back);
@@ -629,7 +702,11 @@
     fn waited_for(&self, behind: usize) -> f64 {
         let p = self.0.input.state.borrow();
         let read = p.came.back().map_or(0, |c| c.0) - p.unread() as u64;
-        let since = p.came.iter().find(|c| c.0 + behind as u64 >= read).map_or(p.last_data, |c| c.1);
+        let since = p
+            .came
+            .iter()
+            .find(|c| c.0 + behind as u64 >= read)
+            .map_or(p.last_data, |c| c.1);
         (self.0.network.0.clock.now() - since) as f64 / 1e9
     }
 }
@@ -683,7 +760,10 @@
 impl Drop for SimListener {
     fn drop(&mut self) {
         let mut all = self.network.0.listeners.borrow_mut();
-        if all.get(&self.listening.address).is_some_and(|l| Rc::ptr_eq(l, &self.listening)) {
+        if all
+            .get(&self.listening.address)
+            .is_some_and(|l| Rc::ptr_eq(l, &self.listening))
+        {
             all.remove(&self.listening.address);
         }
         drop(all);
@@ -710,7 +790,12 @@
     }
 
     fn ahead(&self) -> f64 {
-        self.network.0.machines.borrow().get(&self.process).map_or(0.0, |m| m.ahead)
+        self.network
+            .0
+            .machines
+            .borrow()
+            .get(&self.process)
+            .map_or(0.0, |m| m.ahead)
     }
 }
 
@@ -723,7 +808,9 @@
     type Output = Result<(), String>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
-        Pin::new(&mut self.outcome).poll(cx).map_err(|_| "the task has panicked".to_string())
+        Pin::new(&mut self.outcome)
+            .poll(cx)
+            .map_err(|_| "the task has panicked".to_string())
     }
 }
 
@@ -746,9 +833,15 @@
             return;
         }
         let (clock, network) = (&self.0.clock, self.clone());
-        let (listening, at) = (self.0.listeners.borrow().get(&to).cloned(), connecting.clone());
+        let (listening, at) = (
+            self.0.listeners.borrow().get(&to).cloned(),
+            connecting.clone(),
+        );
         // The machine of an address is known by whoever listens there, or did last.
-        let machine = listening.as_ref().map(|l| l.process).or_else(|| self.machine_of(to));
+        let machine = listening
+            .as_ref()
+            .map(|l| l.process)
+            .or_else(|| self.machine_of(to));
         let heard = machine.is_some_and(|m| self.passes(from, m) && self.passes(m, from));
         let Some(machine) = machine.filter(|_| heard) else {
             if nth < SYN_TRIES {
@@ -778,17 +871,23 @@
                     network.0.clock.call_at(when, move || settle(&at, Ok(ours)));
                 });
             }
-            Some(_) => {
-                clock.call_at(clock.now() + FIRST_SYN_AGAIN, move || network.ask(from, to, &at, nth + 1))
-            }
-            None => clock.call_at(when, move || settle(&at, Err(ErrorKind::ConnectionRefused.into()))),
+            Some(_) => clock.call_at(clock.now() + FIRST_SYN_AGAIN, move || {
+                network.ask(from, to, &at, nth + 1)
+            }),
+            None => clock.call_at(when, move || {
+                settle(&at, Err(ErrorKind::ConnectionRefused.into()))
+            }),
         }
     }
 
     fn machine_of(&self, address: SocketAddr) -> Option<ProcessId> {
         // Addresses are given out by process number: see `address`.
         let IpParts { process } = ip_parts(address)?;
-        self.0.machines.borrow().contains_key(&process).then_some(process)
+        self.0
+            .machines
+            .borrow()
+            .contains_key(&process)
+            .then_some(process)
     }
 }
 
@@ -797,9 +896,13 @@
 }
 
 fn ip_parts(address: SocketAddr) -> Option<IpParts> {
-    let std::net::IpAddr::V4(ip) = address.ip() else { return None };
+    let std::net::IpAddr::V4(ip) = address.ip() else {
+        return None;
+    };
     let [_, a, b, c] = ip.octets();
-    Some(IpParts { process: ProcessId(usize::from(a) << 16 | usize::from(b) << 8 | usize::from(c)) })
+    Some(IpParts {
+        process: ProcessId(usize::from(a) << 16 | usize::from(b) << 8 | usize::from(c)),
+    })
 }
 
 /// The address of a process, by its number.
@@ -849,7 +952,8 @@
     }
 
     async fn lookup(&self, name: &str) -> io::Result<SocketAddr> {
-        name.parse().map_err(|_| io::Error::new(ErrorKind::NotFound, format!("no address for {name}")))
+        name.parse()
+            .map_err(|_| io::Error::new(ErrorKind::NotFound, format!("no address for {name}")))
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<SimStream> {
@@ -874,9 +978,17 @@
             return Err(ErrorKind::AddrInUse.into());
         }
         let (waiting, waker) = (RefCell::default(), RefCell::default());
-        let inbox = Rc::new(Inbox { process: self.process, waiting, waker });
+        let inbox = Rc::new(Inbox {
+            process: self.process,
+            waiting,
+            waker,
+        });
         all.insert(at, inbox.clone());
-        Ok(SimDatagrams { network: self.network.clone(), address: at, inbox })
+        Ok(SimDatagrams {
+            network: self.network.clone(),
+            address: at,
+            inbox,
+        })
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<SimListener> {
@@ -892,7 +1004,10 @@
         });
         all.insert(at, listening.clone());
         drop(all);
-        Ok(SimListener { network: self.network.clone(), listening })
+        Ok(SimListener {
+            network: self.network.clone(),
+            listening,
+        })
     }
 }
 
@@ -901,7 +1016,9 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut mixed = chance.next_u64();
     for byte in name.bytes() {
-        mixed = (mixed ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(23);
+        mixed = (mixed ^ u64::from(byte))
+            .wrapping_mul(0x0000_0100_0000_01b3)
+            .rotate_left(23);
     }
     Pcg64Mcg::seed_from_u64(mixed).next_u64()
 }
--- a/crates/woadreach-faults/src/plants.rs
+++ b/crates/woadreach-faults/src/plants.rs
@@ -32,18 +32,38 @@
 /// Plays seeds with one defence off until a rule breaks; cuts the script down if `smaller`.
 pub fn hunt(name: &str, seeds: Range<u64>, smaller: bool) -> Option<Hunted> {
     let (name, defence) = *PLANTS.iter().find(|p| p.0 == name)?;
-    let mut hunted =
-        Hunted { plant: name, defence, seed: None, after: seeds.end - seeds.start, rule: None, small: None };
+    let mut hunted = Hunted {
+        plant: name,
+        defence,
+        seed: None,
+        after: seeds.end - seeds.start,
+        rule: None,
+        small: None,
+    };
     plant(Some(name));
     for seed in seeds.clone() {
         // What only many together bring about does not show where there are few.
         let tier = OF_A_TIER.contains(&name);
-        let script = if tier { Script::draw_tier(seed) } else { Script::draw(seed, &[], None) };
-        let outcome = play(&script, Options { stop_at_breach: true, ..Options::default() });
+        let script = if tier {
+            Script::draw_tier(seed)
+        } else {
+            Script::draw(seed, &[], None)
+        };
+        let outcome = play(
+            &script,
+            Options {
+                stop_at_breach: true,
+                ..Options::default()
+            },
+        );
         if let Some(breach) = outcome.breaches.first() {
             (hunted.seed, hunted.after) = (Some(seed), seed - seeds.start + 1);
             hunted.rule = Some(breach.rule.to_string());
-            hunted.small = if smaller { shrink(&script, |_, _| {}) } else { None };
+            hunted.small = if smaller {
+                shrink(&script, |_, _| {})
+            } else {
+                None
+            };
             break;
         }
     }
--- a/crates/woadreach-faults/src/record.rs
+++ b/crates/woadreach-faults/src/record.rs
@@ -100,7 +100,9 @@
     fn count(&mut self, event: &Event) {
         let at = event.at;
         let (search, good, left) = match &event.what {
-            What::Asked { search, query_type, .. } => {
+            What::Asked {
+                search, query_type, ..
+            } => {
                 let target = self.targets.get(*query_type).copied().unwrap_or(0.0);
                 self.open.insert(search.clone(), Open { asked: at, target });
                 return;
@@ -115,7 +117,11 @@
         };
         if let Some(open) = self.open.remove(search) {
             let good = good && at - open.asked <= open.target;
-            self.fared.push(Fared { asked: open.asked, good, left });
+            self.fared.push(Fared {
+                asked: open.asked,
+                good,
+                left,
+            });
         }
     }
 }
--- a/crates/woadreach-faults/src/recovery.rs
+++ b/crates/woadreach-faults/src/recovery.rs
@@ -32,7 +32,11 @@
 }
 
 fn level(fared: &[Fared], from: f64, to: f64) -> Option<f64> {
-    let of: Vec<bool> = fared.iter().filter(|f| f.asked >= from && f.asked < to).map(|f| f.good).collect();
+    let of: Vec<bool> = fared
+        .iter()
+        .filter(|f| f.asked >= from && f.asked < to)
+        .map(|f| f.good)
+        .collect();
     let good = of.iter().filter(|g| **g).count();
     (!of.is_empty()).then(|| good as f64 / of.len() as f64)
 }
@@ -56,7 +60,10 @@
             at += STEP;
         };
         let until = back.unwrap_or(over).max(begin);
-        let of: Vec<&Fared> = fared.iter().filter(|f| f.asked >= begin && f.asked < until).collect();
+        let of: Vec<&Fared> = fared
+            .iter()
+            .filter(|f| f.asked >= begin && f.asked < until)
+            .collect();
         let bad = of.iter().filter(|f| !f.good).count() as f64;
         let sent = sent.iter().filter(|t| **t >= begin && **t < until).count() as f64;
         Recovery {
--- a/crates/woadreach-faults/src/script.rs
+++ b/crates/woadreach-faults/src/script.rs
@@ -387,12 +387,19 @@
 impl Script {
     /// Reads one from a file's text; `file` is named in errors.
     pub fn read(file: &str, text: &str) -> Result<Script, Bad> {
-        let bad = |at, why: String| Bad { file: file.to_string(), at, why };
+        let bad = |at, why: String| Bad {
+            file: file.to_string(),
+            at,
+            why,
+        };
         let script: Script = toml::from_str(text).map_err(|e| {
             let at = e.span().map(|span| {
                 let before = &text[..span.start.min(text.len())];
                 let line = before.matches('\n').count() + 1;
-                (line, before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1)
+                (
+                    line,
+                    before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1,
+                )
             });
             bad(at, e.message().to_string())
         })?;
@@ -411,9 +418,16 @@
 
     /// Of a part, on average over all query types, in seconds of one core.
     pub fn mean_work(&self) -> f64 {
-        let parts = |t: &QueryType| t.share * ((t.least_parts + t.most_parts) as f64 / 2.0 + t.fetch as f64);
+        let parts = |t: &QueryType| {
+            t.share * ((t.least_parts + t.most_parts) as f64 / 2.0 + t.fetch as f64)
+        };
         let all: f64 = self.query_types.iter().map(parts).sum();
-        self.query_types.iter().map(|t| parts(t) * t.work).sum::<f64>() / all * MEAN_HEAVY
+        self.query_types
+            .iter()
+            .map(|t| parts(t) * t.work)
+            .sum::<f64>()
+            / all
+            * MEAN_HEAVY
     }
 
     /// Whether it stays within what one process plays.
@@ -427,7 +441,12 @@
         };
         let f = &self.fleet;
         within("seconds", self.seconds, 1.0, MOST_SECONDS)?;
-        within("fleet.co_ordinators", f.co_ordinators as f64, 1.0, MOST_NODES as f64)?;
+        within(
+            "fleet.co_ordinators",
+            f.co_ordinators as f64,
+            1.0,
+            MOST_NODES as f64,
+        )?;
         within(
             "the number of replicas (fleet.cells times fleet.replicas)",
             self.replicas() as f64,
@@ -451,17 +470,57 @@
         }
         within("load.leaves", self.load.leaves, 0.0, 1.0)?;
         within("settings.streams", self.settings.streams as f64, 1.0, 1e6)?;
-        within("settings.connect_timeout", self.settings.connect_timeout, 0.001, 30.0)?;
-        within("settings.idle_close", self.settings.idle_close, self.settings.connect_timeout, 3600.0)?;
-        within("settings.descriptors", self.settings.descriptors as f64, 64.0, 1e6)?;
-        within("the number of query types", self.query_types.len() as f64, 1.0, 16.0)?;
-        within("the number of faults", self.faults.len() as f64, 0.0, MOST_FAULTS as f64)?;
+        within(
+            "settings.connect_timeout",
+            self.settings.connect_timeout,
+            0.001,
+            30.0,
+        )?;
+        within(
+            "settings.idle_close",
+            self.settings.idle_close,
+            self.settings.connect_timeout,
+            3600.0,
+        )?;
+        within(
+            "settings.descriptors",
+            self.settings.descriptors as f64,
+            64.0,
+            1e6,
+        )?;
+        within(
+            "the number of query types",
+            self.query_types.len() as f64,
+            1.0,
+            16.0,
+        )?;
+        within(
+            "the number of faults",
+            self.faults.len() as f64,
+            0.0,
+            MOST_FAULTS as f64,
+        )?;
         for (i, t) in self.query_types.iter().enumerate() {
             let named = |what: &str| format!("query_type {} ({}): {what}", i + 1, t.name);
             within(&named("client_timeout"), t.client_timeout, 0.05, 60.0)?;
-            within(&named("latency_target"), t.latency_target, 0.01, t.client_timeout)?;
-            within(&named("least_parts"), t.least_parts as f64, 1.0, f.shards as f64)?;
-            within(&named("most_parts"), t.most_parts as f64, t.least_parts as f64, f.shards as f64)?;
+            within(
+                &named("latency_target"),
+                t.latency_target,
+                0.01,
+                t.client_timeout,
+            )?;
+            within(
+                &named("least_parts"),
+                t.least_parts as f64,
+                1.0,
+                f.shards as f64,
+            )?;
+            within(
+                &named("most_parts"),
+                t.most_parts as f64,
+                t.least_parts as f64,
+                f.shards as f64,
+            )?;
             within(&named("floor"), t.floor, 0.0, t.need.min(1.0))?;
             within(&named("work"), t.work, 1e-6, 10.0)?;
             if t.name.is_empty() || !t.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-') {
@@ -473,16 +532,33 @@
             within(&named("at"), fault.at, 0.0, self.seconds)?;
             within(&named("for"), fault.lasts, 0.0, MOST_SECONDS)?;
             for r in fault.kind.replicas() {
-                within(&named("a replica's number"), *r as f64, 0.0, self.replicas() as f64 - 1.0)?;
+                within(
+                    &named("a replica's number"),
+                    *r as f64,
+                    0.0,
+                    self.replicas() as f64 - 1.0,
+                )?;
             }
             for n in fault.kind.co_ordinators() {
-                within(&named("a co-ordinator's number"), *n as f64, 0.0, f.co_ordinators as f64 - 1.0)?;
+                within(
+                    &named("a co-ordinator's number"),
+                    *n as f64,
+                    0.0,
+                    f.co_ordinators as f64 - 1.0,
+                )?;
             }
             if let Kind::Cut { from, to, .. } = fault.kind {
                 if from == to {
-                    return Err(named("a zone is not cut off from itself: clients are in it too"));
+                    return Err(named(
+                        "a zone is not cut off from itself: clients are in it too",
+                    ));
                 }
-                within(&named("a zone's number"), from.max(to) as f64, 0.0, f.zones as f64 - 1.0)?;
+                within(
+                    &named("a zone's number"),
+                    from.max(to) as f64,
+                    0.0,
+                    f.zones as f64 - 1.0,
+                )?;
             }
         }
         Ok(())
@@ -506,11 +582,8 @@
             way: d.of(&[0.001, 0.001, 0.001, 0.02]),
             buffers: d.of(&[131_072, 131_072, 131_072, 512]),
             // Drawn apart, so that all else of a seed stays as it was.
-            calls_while_silent: Draw(Pcg64Mcg::seed_from_u64(seed_of(seed, "calls while silent"))).of(&[
-                SilentCalls::Kept,
-                SilentCalls::ListsLost,
-                SilentCalls::Lost,
-            ]),
+            calls_while_silent: Draw(Pcg64Mcg::seed_from_u64(seed_of(seed, "calls while silent")))
+                .of(&[SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost]),
         };
         let settings = Settings {
             per_call: d.of(&[1, 1, 2, 4]),
@@ -524,17 +597,29 @@
             drain_grace: d.of(&[0.1, 0.5]),
             connect_timeout: d.of(&[0.25, 0.25, 2.0]),
             idle_close: d.of(&[30.0, 30.0, 2.5]),
-            budget: d.one_in(3).then_some(Budget { free: 3.0, share: 0.1, window: 10.0 }),
+            budget: d.one_in(3).then_some(Budget {
+                free: 3.0,
+                share: 0.1,
+                window: 10.0,
+            }),
             cold: d.one_in(2).then(|| {
                 let (from, multiple) = d.of(&[(0.25, 2.0), (0.15, 2.0)]);
-                Cold { from, time: 8.0, multiple, window: 2.0 }
+                Cold {
+                    from,
+                    time: 8.0,
+                    multiple,
+                    window: 2.0,
+                }
             }),
         };
         let types = d.of(&[1, 2, 2, 3]);
         let query_types: Vec<QueryType> = (0..types).map(|i| d.query_type(i, &fleet)).collect();
         let share: f64 = query_types.iter().map(|t| t.share).sum();
         let part = |t: &QueryType| (t.least_parts + t.most_parts + 2 * t.fetch) as f64 / 2.0;
-        let each: f64 = query_types.iter().map(|t| t.share / share * t.work * part(t)).sum();
+        let each: f64 = query_types
+            .iter()
+            .map(|t| t.share / share * t.work * part(t))
+            .sum();
         // Cores for all of the load, at a third to nearly all of it.
         let cores = (fleet.cells as usize * fleet.replicas * fleet.cores) as f64;
         let used = d.of(&[0.3, 0.45, 0.6, 0.75, 0.9]);
@@ -555,8 +640,16 @@
             late: p.of(&[0.0, 0.01, 1.0]),
         });
         let seconds = seconds.unwrap_or_else(|| d.of(&[24.0, 30.0, 36.0, 40.0]));
-        let mut script =
-            Script { seed, seconds, fleet, settings, load, peers, query_types, faults: Vec::new() };
+        let mut script = Script {
+            seed,
+            seconds,
+            fleet,
+            settings,
+            load,
+            peers,
+            query_types,
+            faults: Vec::new(),
+        };
         let groups = d.of(&[1, 1, 2, 2, 3]);
         for _ in 0..groups {
             let at = 5.0 + d.0.random_range(0.0..(seconds - 10.0).max(0.1));
@@ -564,8 +657,14 @@
             faults.retain(|f| only.is_empty() || only.iter().any(|o| o == f.kind.name()));
             if faults.is_empty() {
                 // None of the kinds that are wanted came with the group: one of them by itself.
-                let tries = (0..64).map(|_| d.kind(&script)).find(|k| only.iter().any(|o| o == k.name()));
-                faults.extend(tries.map(|kind| Fault { at, lasts: d.of(&[1.0, 3.0, 6.0]), kind }));
+                let tries = (0..64)
+                    .map(|_| d.kind(&script))
+                    .find(|k| only.iter().any(|o| o == k.name()));
+                faults.extend(tries.map(|kind| Fault {
+                    at,
+                    lasts: d.of(&[1.0, 3.0, 6.0]),
+                    kind,
+                }));
             }
             script.faults.extend(faults);
         }
@@ -589,7 +688,12 @@
         f.cores = d.of(&[1, 2, 4]);
         let s = &mut script.settings;
         let (from, multiple) = d.of(&[(0.15, 2.0), (0.25, 2.0), (0.25, 2.5), (0.4, 3.0)]);
-        s.cold = Some(Cold { from, time: d.of(&[6.0, 12.0]), multiple, window: d.of(&[1.0, 2.0]) });
+        s.cold = Some(Cold {
+            from,
+            time: d.of(&[6.0, 12.0]),
+            multiple,
+            window: d.of(&[1.0, 2.0]),
+        });
         (s.copies, s.attempts) = (!d.one_in(3), 3);
         let fleet = script.fleet.clone();
         let types = d.of(&[1, 2]);
@@ -598,7 +702,11 @@
         let cores = (fleet.cells as usize * fleet.replicas * fleet.cores) as f64;
         let part = |t: &QueryType| (t.least_parts + t.most_parts + 2 * t.fetch) as f64 / 2.0;
         let share: f64 = script.query_types.iter().map(|t| t.share).sum();
-        let each: f64 = script.query_types.iter().map(|t| t.share / share * t.work * part(t)).sum();
+        let each: f64 = script
+            .query_types
+            .iter()
+            .map(|t| t.share / share * t.work * part(t))
+            .sum();
         script.load.rate = (cores * used / each / fleet.co_ordinators as f64).clamp(0.1, 5.0);
         script.load.uneven = d.of(&[0.0, 1.0, 3.0]);
         // Cold all at once, or so many that the rest is short.
@@ -608,30 +716,46 @@
         let death = if d.one_in(3) {
             Kind::Drain { replicas }
         } else {
-            Kind::Die { replicas, listed_after: d.of(&[0.1, 1.0, 4.0]) }
+            Kind::Die {
+                replicas,
+                listed_after: d.of(&[0.1, 1.0, 4.0]),
+            }
         };
         script.faults = vec![fault(at, lasts, death)];
         let back = at + lasts;
-        let third =
-            |d: &mut Draw| -> Vec<usize> { (0..fleet.co_ordinators).filter(|_| d.one_in(3)).collect() };
+        let third = |d: &mut Draw| -> Vec<usize> {
+            (0..fleet.co_ordinators).filter(|_| d.one_in(3)).collect()
+        };
         if d.one_in(2) {
             let most: Vec<usize> = (0..fleet.co_ordinators).filter(|n| n % 10 < 7).collect();
             let co_ordinators = if d.one_in(2) { most } else { third(&mut d) };
             let kind = Kind::Kill { co_ordinators };
-            script.faults.push(fault(back + d.of(&[0.3, 1.0, 2.0]), 0.3, kind));
+            script
+                .faults
+                .push(fault(back + d.of(&[0.3, 1.0, 2.0]), 0.3, kind));
         }
         if d.one_in(3) {
             let co_ordinators = third(&mut d);
-            script.faults.push(fault(back - 0.4, d.of(&[1.0, 3.0]), Kind::DiscoverySilent { co_ordinators }));
+            script.faults.push(fault(
+                back - 0.4,
+                d.of(&[1.0, 3.0]),
+                Kind::DiscoverySilent { co_ordinators },
+            ));
         }
         if d.one_in(2) {
             let share = d.of(&[0.1, 0.5]);
             let replicas = d.some(&script, 0.5);
-            let kind = if d.one_in(2) { Kind::Errors { replicas, share } } else { Kind::Full { replicas } };
+            let kind = if d.one_in(2) {
+                Kind::Errors { replicas, share }
+            } else {
+                Kind::Full { replicas }
+            };
             script.faults.push(fault(back, 4.0, kind));
         }
         if d.one_in(3) {
-            script.faults.push(fault(back + 0.5, 3.0, Kind::Burst { factor: 3.0 }));
+            script
+                .faults
+                .push(fault(back + 0.5, 3.0, Kind::Burst { factor: 3.0 }));
         }
         script.faults.sort_by(|a, b| a.at.total_cmp(&b.at));
         script
@@ -679,7 +803,9 @@
     /// Some replicas: at least one, by chance up to this share of them.
     fn some(&mut self, script: &Script, share: f64) -> Vec<usize> {
         let all = script.replicas();
-        let n = 1 + self.0.random_range(0..=((all as f64 * share) as usize).min(all - 1));
+        let n = 1 + self
+            .0
+            .random_range(0..=((all as f64 * share) as usize).min(all - 1));
         let mut of: Vec<usize> = (0..all).collect();
         for i in 0..n {
             let j = self.0.random_range(i..all);
@@ -692,24 +818,59 @@
 
     fn nodes(&mut self, script: &Script) -> Vec<usize> {
         let n = script.fleet.co_ordinators;
-        if self.one_in(3) { (0..n).collect() } else { vec![self.0.random_range(0..n)] }
+        if self.one_in(3) {
+            (0..n).collect()
+        } else {
+            vec![self.0.random_range(0..n)]
+        }
     }
 
     fn kind(&mut self, script: &Script) -> Kind {
         let zones = script.fleet.zones;
         match self.0.random_range(0..23u32) {
-            0 => Kind::Die { replicas: self.some(script, 0.3), listed_after: self.of(&[0.1, 1.0, 4.0]) },
-            1 => Kind::Vanish { replicas: self.some(script, 0.3) },
-            2 => Kind::Drain { replicas: self.some(script, 0.3) },
-            3 => Kind::Hang { replicas: self.some(script, 0.3) },
-            4 => Kind::Slow { replicas: self.some(script, 0.4), factor: self.of(&[2.0, 5.0, 20.0]) },
-            5 => Kind::Full { replicas: self.some(script, 0.4) },
-            6 => Kind::Swallow { replicas: self.some(script, 0.4), share: self.of(&[0.1, 0.5, 1.0]) },
-            7 => Kind::Errors { replicas: self.some(script, 0.5), share: self.of(&[0.1, 0.5, 1.0]) },
-            8 => Kind::Spoil { replicas: self.some(script, 0.4), share: self.of(&[0.05, 0.3]) },
-            9 => Kind::Double { replicas: self.some(script, 0.5), share: self.of(&[0.2, 1.0]) },
-            10 => Kind::Break { replicas: self.some(script, 0.4), share: self.of(&[0.05, 0.3]) },
-            11 => Kind::Heedless { replicas: self.some(script, 1.0) },
+            0 => Kind::Die {
+                replicas: self.some(script, 0.3),
+                listed_after: self.of(&[0.1, 1.0, 4.0]),
+            },
+            1 => Kind::Vanish {
+                replicas: self.some(script, 0.3),
+            },
+            2 => Kind::Drain {
+                replicas: self.some(script, 0.3),
+            },
+            3 => Kind::Hang {
+                replicas: self.some(script, 0.3),
+            },
+            4 => Kind::Slow {
+                replicas: self.some(script, 0.4),
+                factor: self.of(&[2.0, 5.0, 20.0]),
+            },
+            5 => Kind::Full {
+                replicas: self.some(script, 0.4),
+            },
+            6 => Kind::Swallow {
+                replicas: self.some(script, 0.4),
+                share: self.of(&[0.1, 0.5, 1.0]),
+            },
+            7 => Kind::Errors {
+                replicas: self.some(script, 0.5),
+                share: self.of(&[0.1, 0.5, 1.0]),
+            },
+            8 => Kind::Spoil {
+                replicas: self.some(script, 0.4),
+                share: self.of(&[0.05, 0.3]),
+            },
+            9 => Kind::Double {
+                replicas: self.some(script, 0.5),
+                share: self.of(&[0.2, 1.0]),
+            },
+            10 => Kind::Break {
+                replicas: self.some(script, 0.4),
+                share: self.of(&[0.05, 0.3]),
+            },
+            11 => Kind::Heedless {
+                replicas: self.some(script, 1.0),
+            },
             12 => Kind::Late {
                 replicas: self.some(script, 0.5),
                 accepts: self.of(&[0.0, 0.01, 0.1]),
@@ -717,17 +878,39 @@
             },
             13 if zones > 1 => {
                 let from = self.0.random_range(0..zones);
-                Kind::Cut { from, to: (from + 1) % zones, both: self.one_in(2) }
+                Kind::Cut {
+                    from,
+                    to: (from + 1) % zones,
+                    both: self.one_in(2),
+                }
             }
-            14 => Kind::DiscoverySilent { co_ordinators: self.nodes(script) },
-            15 => Kind::Stall { co_ordinators: self.nodes(script) },
-            16 => Kind::StallReplicas { replicas: self.some(script, 0.4) },
-            17 => Kind::Kill { co_ordinators: self.nodes(script) },
-            18 => Kind::Restart { co_ordinators: self.nodes(script) },
-            19 => Kind::Reload { co_ordinators: self.nodes(script) },
-            21 if script.settings.cold.is_none() => Kind::Costly { factor: self.of(&[2.0, 5.0]) },
-            13 | 20 | 21 => Kind::Burst { factor: self.of(&[2.0, 4.0]) },
-            _ => Kind::Rude { rate: self.of(&[2.0, 10.0]) },
+            14 => Kind::DiscoverySilent {
+                co_ordinators: self.nodes(script),
+            },
+            15 => Kind::Stall {
+                co_ordinators: self.nodes(script),
+            },
+            16 => Kind::StallReplicas {
+                replicas: self.some(script, 0.4),
+            },
+            17 => Kind::Kill {
+                co_ordinators: self.nodes(script),
+            },
+            18 => Kind::Restart {
+                co_ordinators: self.nodes(script),
+            },
+            19 => Kind::Reload {
+                co_ordinators: self.nodes(script),
+            },
+            21 if script.settings.cold.is_none() => Kind::Costly {
+                factor: self.of(&[2.0, 5.0]),
+            },
+            13 | 20 | 21 => Kind::Burst {
+                factor: self.of(&[2.0, 4.0]),
+            },
+            _ => Kind::Rude {
+                rate: self.of(&[2.0, 10.0]),
+            },
         }
     }
 
@@ -743,27 +926,66 @@
                 replicas.extend(more);
                 replicas.sort_unstable();
                 replicas.dedup();
-                vec![fault(at, lasts, Kind::Die { replicas, listed_after: self.of(&[0.1, 1.0, 4.0]) })]
+                vec![fault(
+                    at,
+                    lasts,
+                    Kind::Die {
+                        replicas,
+                        listed_after: self.of(&[0.1, 1.0, 4.0]),
+                    },
+                )]
             }
             // A hall is cut while discovery is stale.
             2 if script.fleet.zones > 1 => {
                 let from = self.0.random_range(0..script.fleet.zones);
                 let to = (from + 1) % script.fleet.zones;
                 vec![
-                    fault(at, lasts, Kind::DiscoverySilent { co_ordinators: self.nodes(script) }),
-                    fault(at + 0.2, lasts, Kind::Cut { from, to, both: true }),
+                    fault(
+                        at,
+                        lasts,
+                        Kind::DiscoverySilent {
+                            co_ordinators: self.nodes(script),
+                        },
+                    ),
+                    fault(
+                        at + 0.2,
+                        lasts,
+                        Kind::Cut {
+                            from,
+                            to,
+                            both: true,
+                        },
+                    ),
                 ]
             }
             // A drain beside a discovery that is silent for some: they see different lists.
             3 => vec![
-                fault(at, lasts, Kind::DiscoverySilent { co_ordinators: self.nodes(script) }),
-                fault(at + 0.1, lasts + 2.0, Kind::Drain { replicas: self.some(script, 0.3) }),
+                fault(
+                    at,
+                    lasts,
+                    Kind::DiscoverySilent {
+                        co_ordinators: self.nodes(script),
+                    },
+                ),
+                fault(
+                    at + 0.1,
+                    lasts + 2.0,
+                    Kind::Drain {
+                        replicas: self.some(script, 0.3),
+                    },
+                ),
             ],
             // Drained while they stand still, and what was written before waits.
             10 => {
                 let replicas = self.some(script, 0.3);
                 vec![
-                    fault(at, lasts, Kind::StallReplicas { replicas: replicas.clone() }),
+                    fault(
+                        at,
+                        lasts,
+                        Kind::StallReplicas {
+                            replicas: replicas.clone(),
+                        },
+                    ),
                     fault(at + 0.3, lasts + 1.0, Kind::Drain { replicas }),
                 ]
             }
@@ -771,37 +993,95 @@
             4 => {
                 let nodes = self.nodes(script);
                 vec![
-                    fault(at, 2.0, Kind::Reload { co_ordinators: nodes.clone() }),
-                    fault(at + self.of(&[0.0, 0.05, 0.5]), 1.0, Kind::Restart { co_ordinators: nodes }),
+                    fault(
+                        at,
+                        2.0,
+                        Kind::Reload {
+                            co_ordinators: nodes.clone(),
+                        },
+                    ),
+                    fault(
+                        at + self.of(&[0.0, 0.05, 0.5]),
+                        1.0,
+                        Kind::Restart {
+                            co_ordinators: nodes,
+                        },
+                    ),
                 ]
             }
             // A spoilt answer next to a good one, while connections break.
             5 => vec![
-                fault(at, lasts, Kind::Spoil { replicas: self.some(script, 0.5), share: 0.1 }),
-                fault(at, lasts, Kind::Break { replicas: self.some(script, 0.5), share: 0.1 }),
+                fault(
+                    at,
+                    lasts,
+                    Kind::Spoil {
+                        replicas: self.some(script, 0.5),
+                        share: 0.1,
+                    },
+                ),
+                fault(
+                    at,
+                    lasts,
+                    Kind::Break {
+                        replicas: self.some(script, 0.5),
+                        share: 0.1,
+                    },
+                ),
             ],
             // Answers that cross their cancels.
             6 => vec![
-                fault(at, lasts + 4.0, Kind::Heedless { replicas: self.some(script, 1.0) }),
-                fault(at, lasts, Kind::Slow { replicas: self.some(script, 0.5), factor: 8.0 }),
+                fault(
+                    at,
+                    lasts + 4.0,
+                    Kind::Heedless {
+                        replicas: self.some(script, 1.0),
+                    },
+                ),
+                fault(
+                    at,
+                    lasts,
+                    Kind::Slow {
+                        replicas: self.some(script, 0.5),
+                        factor: 8.0,
+                    },
+                ),
             ],
             // A stall, and then all that waited.
             7 => vec![
-                fault(at, self.of(&[0.2, 1.0, 3.0]), Kind::Stall { co_ordinators: self.nodes(script) }),
+                fault(
+                    at,
+                    self.of(&[0.2, 1.0, 3.0]),
+                    Kind::Stall {
+                        co_ordinators: self.nodes(script),
+                    },
+                ),
                 fault(at, lasts, Kind::Burst { factor: 3.0 }),
             ],
             // Machines that vanish and are replaced meanwhile.
             8 => {
                 let replicas = self.some(script, 0.5);
                 vec![
-                    fault(at, self.of(&[0.5, 2.0]), Kind::Vanish { replicas: replicas.clone() }),
+                    fault(
+                        at,
+                        self.of(&[0.5, 2.0]),
+                        Kind::Vanish {
+                            replicas: replicas.clone(),
+                        },
+                    ),
                     fault(at + 0.3, lasts, Kind::Drain { replicas }),
                 ]
             }
             // Not while replicas may be cold: see `docs/faults.md`, open points.
             9 if script.settings.cold.is_none() => vec![
                 fault(at, lasts, Kind::Costly { factor: 4.0 }),
-                fault(at, lasts, Kind::Errors { replicas: self.some(script, 0.4), share: 0.3 }),
+                fault(
+                    at,
+                    lasts,
+                    Kind::Errors {
+                        replicas: self.some(script, 0.4),
+                        share: 0.3,
+                    },
+                ),
             ],
             _ => {
                 let mut faults = vec![fault(at, lasts, self.kind(script))];
--- a/crates/woadreach-faults/src/shrink.rs
+++ b/crates/woadreach-faults/src/shrink.rs
@@ -18,8 +18,17 @@
 
 fn breaks(script: &Script, rule: Option<Rule>) -> Option<Breach> {
     script.check().ok()?;
-    let outcome = play(script, Options { stop_at_breach: true, ..Options::default() });
-    outcome.breaches.into_iter().find(|b| rule.is_none_or(|r| r == b.rule))
+    let outcome = play(
+        script,
+        Options {
+            stop_at_breach: true,
+            ..Options::default()
+        },
+    );
+    outcome
+        .breaches
+        .into_iter()
+        .find(|b| rule.is_none_or(|r| r == b.rule))
 }
 
 /// Each step of cutting that is worth a try, boldest first.
@@ -38,7 +47,11 @@
     for i in (0..script.query_types.len()).filter(|_| script.query_types.len() > 1) {
         with(&|s| drop(s.query_types.remove(i)));
     }
-    let last = script.faults.iter().map(|f| f.at + f.lasts).fold(2.0, f64::max);
+    let last = script
+        .faults
+        .iter()
+        .map(|f| f.at + f.lasts)
+        .fold(2.0, f64::max);
     with(&|s| s.seconds = (s.seconds / 2.0).max(2.0));
     with(&|s| s.seconds = last.min(s.seconds));
     with(&|s| s.seconds = (s.seconds - 1.0).max(2.0));
@@ -86,5 +99,9 @@
         }
         break;
     }
-    Some(Small { script: small, breach, tried })
+    Some(Small {
+        script: small,
+        breach,
+        tried,
+    })
 }
--- a/crates/woadreach-faults/src/sockets.rs
+++ b/crates/woadreach-faults/src/sockets.rs
@@ -35,14 +35,22 @@
 
 /// Plays a script's fleet and load on sockets; its faults are left out. Takes as long as the script says.
 pub fn on_sockets(script: &Script) -> Result<Outcome, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    tokio::task::LocalSet::new().block_on(&runtime, day(script)).map_err(|e| e.to_string())
+    tokio::task::LocalSet::new()
+        .block_on(&runtime, day(script))
+        .map_err(|e| e.to_string())
 }
 
 async fn day(script: &Script) -> std::io::Result<Outcome> {
     let net = Tokio::new();
-    let targets = script.query_types.iter().map(|t| t.latency_target).collect();
+    let targets = script
+        .query_types
+        .iter()
+        .map(|t| t.latency_target)
+        .collect();
     let record = Rc::new(RefCell::new(Record::new(terms(script), targets, false)));
     let recorder = Record::recorder(&record, move || net.now());
     let f = &script.fleet;
@@ -54,9 +62,14 @@
             addresses.push((NodeId(n), free()?));
         }
         let name = format!("r{r}");
-        let behaviour = Behaviour { cores: f.cores, room: f.room, ..Behaviour::default() };
+        let behaviour = Behaviour {
+            cores: f.cores,
+            room: f.room,
+            ..Behaviour::default()
+        };
         let seed = seed_of(script.seed, &name);
-        let handle = woadreach_standin::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
+        let handle =
+            woadreach_standin::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
         replicas.push((addresses, handle));
     }
     let mut clients = Vec::new();
@@ -74,15 +87,32 @@
         agent.change(&replicas.iter().enumerate().map(line).collect::<Vec<_>>());
         let seed = seed_of(script.seed, &format!("node {n} 0"));
         // Its peers are not played here: the network between zones is what `woadreach cluster` is for.
-        let places = Places { listen, discovery: place, peer_listen: None, peers: Vec::new() };
+        let places = Places {
+            listen,
+            discovery: place,
+            peer_listen: None,
+            peers: Vec::new(),
+        };
         let text = configuration(script, n, &places, seed, &agent.known());
-        let given = Given { path: format!("n{n}"), text, listen: None, discovery: None };
+        let given = Given {
+            path: format!("n{n}"),
+            text,
+            listen: None,
+            discovery: None,
+        };
         let config = config::read(First::Environment, &given).map_err(std::io::Error::other)?;
         // Kept by the task, so that neither signal ever comes.
-        let ((hold, hangup), (hold_too, term)) = (mpsc::unbounded_channel(), mpsc::unbounded_channel());
+        let ((hold, hangup), (hold_too, term)) =
+            (mpsc::unbounded_channel(), mpsc::unbounded_channel());
         let given = Box::new(|| Err("nothing is given anew".to_string()));
         let (report, verdict) = (Box::new(|_: &_| {}), Box::new(|_: &_| {}));
-        let outside = Outside { hangup, term, given, report, verdict };
+        let outside = Outside {
+            hangup,
+            term,
+            given,
+            report,
+            verdict,
+        };
         let node = NodeId(n);
         recorder.tell(What::NodeStarted { node });
         let tell = recorder.clone();
@@ -97,9 +127,20 @@
     net.sleep(BEFORE).await;
     let (names, end) = (Rc::new(Cell::new(0u64)), net.now() + script.seconds);
     for (n, caller) in clients.iter().enumerate() {
-        drop(net.spawn(load(net, script.clone(), caller.clone(), n, end, names.clone())));
+        drop(net.spawn(load(
+            net,
+            script.clone(),
+            caller.clone(),
+            n,
+            end,
+            names.clone(),
+        )));
     }
-    let longest = script.query_types.iter().map(|t| t.client_timeout).fold(0.0, f64::max);
+    let longest = script
+        .query_types
+        .iter()
+        .map(|t| t.client_timeout)
+        .fold(0.0, f64::max);
     while net.now() < end + longest + 1.0 {
         net.sleep(LOOK).await;
         record.borrow_mut().tick(net.now());
@@ -124,14 +165,26 @@
     })
 }
 
-async fn load(net: Tokio, script: Script, caller: Caller<Tokio>, n: usize, end: f64, names: Rc<Cell<u64>>) {
+async fn load(
+    net: Tokio,
+    script: Script,
+    caller: Caller<Tokio>,
+    n: usize,
+    end: f64,
+    names: Rc<Cell<u64>>,
+) {
     let name = move || -> Arc<str> { format!("q{}", names.replace(names.get() + 1)).into() };
     let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
-    let retry = Retry { times: script.load.retries, pause: script.load.pause, heeds: script.load.heeds };
+    let retry = Retry {
+        times: script.load.retries,
+        pause: script.load.pause,
+        heeds: script.load.heeds,
+    };
     while net.now() < end {
         net.sleep(draw_gap(script.load.rate, &mut chance)).await;
         let ask: Ask = draw_ask(&script, 1.0, name(), &mut chance);
-        let idempotent = script.query_types[ask.query_type].repeats == crate::script::Repeats::Idempotent;
+        let idempotent =
+            script.query_types[ask.query_type].repeats == crate::script::Repeats::Idempotent;
         let (caller, name) = (caller.clone(), name.clone());
         drop(net.spawn(async move {
             drop(caller.ask_and_again(ask, retry, idempotent, name).await);
--- a/crates/woadreach-faults/src/world.rs
+++ b/crates/woadreach-faults/src/world.rs
@@ -127,12 +127,28 @@
 
 /// Plays a script from its beginning until all is quiet.
 pub fn play(script: &Script, options: Options) -> Outcome {
-    let targets = script.query_types.iter().map(|t| t.latency_target).collect();
-    let record = Rc::new(RefCell::new(Record::new(terms(script), targets, options.trace)));
+    let targets = script
+        .query_types
+        .iter()
+        .map(|t| t.latency_target)
+        .collect();
+    let record = Rc::new(RefCell::new(Record::new(
+        terms(script),
+        targets,
+        options.trace,
+    )));
     let world = World::new(script.clone(), record.clone());
     world.begin();
-    let longest = script.query_types.iter().map(|t| t.client_timeout).fold(0.0, f64::max);
-    let last = script.faults.iter().map(|f| f.at + f.lasts).fold(script.seconds, f64::max);
+    let longest = script
+        .query_types
+        .iter()
+        .map(|t| t.client_timeout)
+        .fold(0.0, f64::max);
+    let last = script
+        .faults
+        .iter()
+        .map(|f| f.at + f.lasts)
+        .fold(script.seconds, f64::max);
     let end = nanos(last + longest + QUIET);
     let mut at = 0;
     let found = || options.stop_at_breach && !record.borrow().breaches.is_empty();
@@ -229,7 +245,11 @@
                     .map(|n| (NodeId(n), address(net.process(), REPLICAS_PORT + n as u16)));
                 let addresses: Vec<_> = ports.collect();
                 let name = format!("r{r}");
-                let behaviour = Behaviour { cores: f.cores, room: f.room, ..Behaviour::default() };
+                let behaviour = Behaviour {
+                    cores: f.cores,
+                    room: f.room,
+                    ..Behaviour::default()
+                };
                 let seed = seed_of(script.seed, &name);
                 let handle = woadreach_standin::replica(
                     &net,
@@ -245,7 +265,9 @@
                     cell: (r / f.replicas) as u64,
                     process: Cell::new(net.process()),
                     addresses: RefCell::new(addresses),
-                    handle: RefCell::new(handle.unwrap_or_else(|e| panic!("an address is taken: {e}"))),
+                    handle: RefCell::new(
+                        handle.unwrap_or_else(|e| panic!("an address is taken: {e}")),
+                    ),
                     alive: Cell::new(true),
                     started_at: Cell::new(0.0),
                     turns: Cell::new(0),
@@ -284,9 +306,11 @@
         }
         for fault in self.script.faults.clone() {
             let (world, kind) = (self.clone(), fault.kind.clone());
-            self.clock.call_at(nanos(fault.at), move || world.strike(&kind, fault.lasts));
+            self.clock
+                .call_at(nanos(fault.at), move || world.strike(&kind, fault.lasts));
             let (world, kind) = (self.clone(), fault.kind);
-            self.clock.call_at(nanos(fault.at + fault.lasts), move || world.lift(&kind));
+            self.clock
+                .call_at(nanos(fault.at + fault.lasts), move || world.lift(&kind));
         }
         let world = self.clone();
         self.clock.call_at(nanos(self.script.seconds), move || {
@@ -295,39 +319,69 @@
         });
         // What was still asked by then keeps no connection either.
         let world = self.clone();
-        let longest = self.script.query_types.iter().map(|t| t.client_timeout).fold(0.0, f64::max);
+        let longest = self
+            .script
+            .query_types
+            .iter()
+            .map(|t| t.client_timeout)
+            .fold(0.0, f64::max);
         let late = self.script.seconds + 2.0 * longest;
-        self.clock.call_at(nanos(late), move || world.nodes.iter().for_each(|n| n.clients.close_idle()));
+        self.clock.call_at(nanos(late), move || {
+            world.nodes.iter().for_each(|n| n.clients.close_idle())
+        });
     }
 
     /// Ends every process, so that nothing of the world outlives it.
     fn end(&self) {
-        (0..self.clock.processes()).map(ProcessId).for_each(|p| self.network.kill(p));
+        (0..self.clock.processes())
+            .map(ProcessId)
+            .for_each(|p| self.network.kill(p));
         self.clock.forget();
     }
 
     fn look_for_panics(&self) {
         for (process, why) in self.clock.panics() {
-            let node = self.nodes.iter().position(|n| n.process.get() == Some(process));
-            let why = if node.is_none() { format!("process {}: {why}", process.0) } else { why };
-            self.recorder.tell(What::Panicked { node: NodeId(node.unwrap_or(0)), why });
+            let node = self
+                .nodes
+                .iter()
+                .position(|n| n.process.get() == Some(process));
+            let why = if node.is_none() {
+                format!("process {}: {why}", process.0)
+            } else {
+                why
+            };
+            self.recorder.tell(What::Panicked {
+                node: NodeId(node.unwrap_or(0)),
+                why,
+            });
         }
     }
 
     /// All is quiet: nothing is in hand, and clients hold nothing.
     fn look_for_what_is_kept(&self) {
-        for (n, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.process.get().is_some()) {
+        for (n, node) in self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(_, n)| n.process.get().is_some())
+        {
             let h = node.held.get();
             let quiet = (h.searches, h.parts, h.out, h.clients, h.bytes) == (0, 0, 0, 0, 0);
             if !quiet {
                 let why = format!("all is quiet, and it holds {h:?}");
-                self.recorder.tell(What::Kept { node: NodeId(n), why });
+                self.recorder.tell(What::Kept {
+                    node: NodeId(n),
+                    why,
+                });
             }
         }
         let owed = self.record.borrow().owed();
         if owed > 0 {
             let why = format!("{owed} searches have neither an answer nor an end");
-            self.recorder.tell(What::Kept { node: NodeId(0), why });
+            self.recorder.tell(What::Kept {
+                node: NodeId(0),
+                why,
+            });
         }
     }
 }
--- a/crates/woadreach-faults/src/world/clients.rs
+++ b/crates/woadreach-faults/src/world/clients.rs
@@ -35,9 +35,13 @@
             async move {
                 net.sleep(0.5).await;
                 while world.loading.get() {
-                    let gap = draw_gap(world.script.load.rate * part * world.burst.get(), &mut chance);
+                    let gap = draw_gap(
+                        world.script.load.rate * part * world.burst.get(),
+                        &mut chance,
+                    );
                     net.sleep(gap.min(5.0)).await;
-                    let ask = draw_ask(&world.script, world.costly.get(), world.name(), &mut chance);
+                    let ask =
+                        draw_ask(&world.script, world.costly.get(), world.name(), &mut chance);
                     drop(net.spawn(world.clone().one(n, ask)));
                 }
             }
@@ -47,13 +51,21 @@
 
     pub(super) async fn one(self: Rc<Self>, n: usize, ask: Ask) {
         let all = self.nodes.len();
-        let up = (0..all).map(|i| (n + i) % all).find(|i| self.nodes[*i].up.get());
+        let up = (0..all)
+            .map(|i| (n + i) % all)
+            .find(|i| self.nodes[*i].up.get());
         let Some(at) = up else { return };
         let load = &self.script.load;
-        let retry = Retry { times: load.retries, pause: load.pause, heeds: load.heeds };
+        let retry = Retry {
+            times: load.retries,
+            pause: load.pause,
+            heeds: load.heeds,
+        };
         let may_repeat = self.script.query_types[ask.query_type].repeats == Repeats::Idempotent;
         let caller = self.nodes[at].clients.clone();
-        let tries: Vec<Calls> = caller.ask_and_again(ask, retry, may_repeat, || self.name()).await;
+        let tries: Vec<Calls> = caller
+            .ask_and_again(ask, retry, may_repeat, || self.name())
+            .await;
         drop(tries);
     }
 
@@ -79,7 +91,9 @@
     }
 
     pub(super) async fn rude_client(self: Rc<Self>, net: SimNet, n: usize, junk: &'static [u8]) {
-        let Ok(Ok(mut stream)) = net.timeout(1.0, net.connect(self.nodes[n].address)).await else { return };
+        let Ok(Ok(mut stream)) = net.timeout(1.0, net.connect(self.nodes[n].address)).await else {
+            return;
+        };
         let process = self.nodes[n].process.get();
         if stream.write_all(junk).await.is_err() {
             return;
@@ -95,12 +109,22 @@
         };
         let ended = net.timeout(3.1, end).await;
         let served = heard.starts_with(b"HTTP/1.1 200");
-        let stood = self.script.faults.iter().any(|f| matches!(f.kind, Kind::Stall { .. }));
+        let stood = self
+            .script
+            .faults
+            .iter()
+            .any(|f| matches!(f.kind, Kind::Stall { .. }));
         if (ended.is_err() && !stood && self.nodes[n].process.get() == process) || served {
             let what = String::from_utf8_lossy(&junk[..junk.len().min(40)]).to_string();
-            let why = if served { "was served" } else { "got neither an error nor a close" };
-            self.recorder
-                .tell(What::Kept { node: NodeId(n), why: format!("a client that sent {what:?} {why}") });
+            let why = if served {
+                "was served"
+            } else {
+                "got neither an error nor a close"
+            };
+            self.recorder.tell(What::Kept {
+                node: NodeId(n),
+                why: format!("a client that sent {what:?} {why}"),
+            });
         }
     }
 
--- a/crates/woadreach-faults/src/world/configuration.rs
+++ b/crates/woadreach-faults/src/world/configuration.rs
@@ -11,9 +11,10 @@
         name: t.name.clone(),
         repeats: match t.repeats {
             Repeats::Idempotent => woadreach_rules::Repeats::Idempotent,
-            Repeats::Tokened => {
-                woadreach_rules::Repeats::Tokened { window: t.window, any_holder: t.any_holder }
-            }
+            Repeats::Tokened => woadreach_rules::Repeats::Tokened {
+                window: t.window,
+                any_holder: t.any_holder,
+            },
             Repeats::NonIdempotent => woadreach_rules::Repeats::NonIdempotent,
         },
         need: t.need,
@@ -33,7 +34,11 @@
             // In a tier of many each sends one part before it can know; the page does not count that.
             untold_too: script.fleet.co_ordinators < 10,
         }),
-        budget: s.budget.as_ref().map(|b| Budget { free: b.free, share: b.share, window: b.window }),
+        budget: s.budget.as_ref().map(|b| Budget {
+            free: b.free,
+            share: b.share,
+            window: b.window,
+        }),
         slack: 0.05,
         way: script.fleet.way,
     }
@@ -42,8 +47,14 @@
 /// The settings of a script as a co-ordinator's configuration holds them.
 fn settings(script: &Script, n: usize) -> String {
     let (s, f) = (&script.settings, &script.fleet);
-    let row =
-        |of: &dyn Fn(&QueryType) -> String| script.query_types.iter().map(of).collect::<Vec<_>>().join(",");
+    let row = |of: &dyn Fn(&QueryType) -> String| {
+        script
+            .query_types
+            .iter()
+            .map(of)
+            .collect::<Vec<_>>()
+            .join(",")
+    };
     let types = row(&|t| {
         let repeat = match t.repeats {
             Repeats::Idempotent => "repeatable",
@@ -74,7 +85,12 @@
         )
     });
     let budget = s.budget.as_ref().map_or(String::new(), |b| {
-        format!(r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#, b.share, b.window * 1000.0, b.free)
+        format!(
+            r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#,
+            b.share,
+            b.window * 1000.0,
+            b.free
+        )
     });
     let zones: Vec<String> = (0..f.zones).map(|z| format!(r#""z{z}""#)).collect();
     format!(
@@ -121,7 +137,9 @@
 /// The configuration of one co-ordinator, as its file would hold it.
 pub fn configuration(script: &Script, n: usize, at: &Places, seed: u64, known: &str) -> String {
     let peers: Vec<String> = at.peers.iter().map(|p| format!(r#""{p}""#)).collect();
-    let listen = at.peer_listen.map_or(String::new(), |l| format!(r#""peer_listen":"{l}","#));
+    let listen = at
+        .peer_listen
+        .map_or(String::new(), |l| format!(r#""peer_listen":"{l}","#));
     format!(
         r#"{{"name":"n{n}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"known":{known},"settings":{}}}"#,
--- a/crates/woadreach-faults/src/world/faults.rs
+++ b/crates/woadreach-faults/src/world/faults.rs
@@ -12,18 +12,26 @@
 impl World {
     pub(super) fn strike(self: &Rc<Self>, kind: &Kind, lasts: f64) {
         match kind {
-            Kind::Die { replicas, listed_after } => {
-                for r in replicas.iter().copied().filter(|r| self.replicas[*r].alive.get()) {
+            Kind::Die {
+                replicas,
+                listed_after,
+            } => {
+                for r in replicas
+                    .iter()
+                    .copied()
+                    .filter(|r| self.replicas[*r].alive.get())
+                {
                     let slot = &self.replicas[r];
                     slot.alive.set(false);
                     self.network.kill(slot.process.get());
                     let (world, turn) = (self.clone(), slot.turns.get());
-                    self.clock.call_at(self.clock.now() + nanos(*listed_after), move || {
-                        let slot = &world.replicas[r];
-                        if !slot.alive.get() && slot.turns.get() == turn {
-                            world.list(&[r], "gone");
-                        }
-                    });
+                    self.clock
+                        .call_at(self.clock.now() + nanos(*listed_after), move || {
+                            let slot = &world.replicas[r];
+                            if !slot.alive.get() && slot.turns.get() == turn {
+                                world.list(&[r], "gone");
+                            }
+                        });
                 }
             }
             Kind::Vanish { replicas } => {
@@ -33,8 +41,11 @@
                 }
             }
             Kind::Drain { replicas } => {
-                let alive: Vec<usize> =
-                    replicas.iter().copied().filter(|r| self.replicas[*r].alive.get()).collect();
+                let alive: Vec<usize> = replicas
+                    .iter()
+                    .copied()
+                    .filter(|r| self.replicas[*r].alive.get())
+                    .collect();
                 self.list(&alive, "draining");
             }
             Kind::Hang { replicas } => self.behave(replicas, |b| b.hangs = true),
@@ -46,7 +57,11 @@
             Kind::Double { replicas, share } => self.behave(replicas, |b| b.doubles = *share),
             Kind::Break { replicas, share } => self.behave(replicas, |b| b.breaks = *share),
             Kind::Heedless { replicas } => self.behave(replicas, |b| b.heedless = true),
-            Kind::Late { replicas, accepts, reads } => self.behave(replicas, |b| {
+            Kind::Late {
+                replicas,
+                accepts,
+                reads,
+            } => self.behave(replicas, |b| {
                 (b.accepts_late, b.reads_late) = (*accepts, *reads);
             }),
             Kind::Cut { from, to, both } => {
@@ -57,12 +72,17 @@
                 }
             }
             Kind::DiscoverySilent { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.nodes[*n].agent.silence(true));
+                co_ordinators
+                    .iter()
+                    .for_each(|n| self.nodes[*n].agent.silence(true));
             }
             Kind::Stall { co_ordinators } => {
                 for n in co_ordinators {
                     if let Some(process) = self.nodes[*n].process.get() {
-                        self.recorder.tell(What::Stalled { node: NodeId(*n), seconds: lasts });
+                        self.recorder.tell(What::Stalled {
+                            node: NodeId(*n),
+                            seconds: lasts,
+                        });
                         self.clock.stall(process);
                     }
                 }
@@ -73,7 +93,9 @@
                 }
             }
             Kind::Kill { co_ordinators } => co_ordinators.iter().for_each(|n| self.kill_node(*n)),
-            Kind::Restart { co_ordinators } => co_ordinators.iter().for_each(|n| self.restart_node(*n)),
+            Kind::Restart { co_ordinators } => {
+                co_ordinators.iter().for_each(|n| self.restart_node(*n))
+            }
             Kind::Reload { co_ordinators } => co_ordinators.iter().for_each(|n| self.reload(*n)),
             Kind::Burst { factor } => self.burst.set(*factor),
             Kind::Costly { factor } => self.costly.set(*factor),
@@ -84,11 +106,16 @@
     pub(super) fn lift(self: &Rc<Self>, kind: &Kind) {
         match kind {
             Kind::Die { replicas, .. } => {
-                for r in replicas.iter().copied().filter(|r| !self.replicas[*r].alive.get()) {
+                for r in replicas
+                    .iter()
+                    .copied()
+                    .filter(|r| !self.replicas[*r].alive.get())
+                {
                     self.start_replica(r, true);
                     let world = self.clone();
                     let listed = self.clock.now() + nanos(LISTED_AFTER);
-                    self.clock.call_at(listed, move || world.list(&[r], "ready"));
+                    self.clock
+                        .call_at(listed, move || world.list(&[r], "ready"));
                 }
             }
             Kind::Vanish { replicas } => {
@@ -98,7 +125,11 @@
                 }
             }
             Kind::Drain { replicas } => {
-                for r in replicas.iter().copied().filter(|r| self.replicas[*r].alive.get()) {
+                for r in replicas
+                    .iter()
+                    .copied()
+                    .filter(|r| self.replicas[*r].alive.get())
+                {
                     let slot = &self.replicas[r];
                     let old = slot.process.get();
                     self.list(&[r], "gone");
@@ -117,7 +148,10 @@
                     self.start_replica(r, true);
                     self.list(&[r], "ready");
                     let network = self.network.clone();
-                    self.clock.call_at(self.clock.now() + 1000 * MILLISECOND, move || network.kill(old));
+                    self.clock
+                        .call_at(self.clock.now() + 1000 * MILLISECOND, move || {
+                            network.kill(old)
+                        });
                 }
             }
             Kind::Hang { replicas } => self.behave(replicas, |b| b.hangs = false),
@@ -138,7 +172,9 @@
                 self.ways_of(&[*from, *to], false);
             }
             Kind::DiscoverySilent { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.nodes[*n].agent.silence(false));
+                co_ordinators
+                    .iter()
+                    .for_each(|n| self.nodes[*n].agent.silence(false));
             }
             Kind::Stall { co_ordinators } => {
                 co_ordinators
@@ -191,7 +227,8 @@
         });
         let addresses = slot.addresses.borrow();
         let handle = woadreach_standin::replica(&net, &name, behaviour, &addresses, seed, &silent);
-        *slot.handle.borrow_mut() = handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
+        *slot.handle.borrow_mut() =
+            handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
     }
 
     pub(super) fn line(&self, r: usize, n: usize, lifecycle: &'static str) -> Line {
@@ -208,7 +245,10 @@
 
     pub(super) fn list(&self, replicas: &[usize], lifecycle: &'static str) {
         for (n, node) in self.nodes.iter().enumerate() {
-            let lines: Vec<Line> = replicas.iter().map(|r| self.line(*r, n, lifecycle)).collect();
+            let lines: Vec<Line> = replicas
+                .iter()
+                .map(|r| self.line(*r, n, lifecycle))
+                .collect();
             node.agent.change(&lines);
         }
     }
@@ -219,12 +259,15 @@
     }
 
     pub(super) fn behave(&self, replicas: &[usize], change: impl Fn(&mut Behaviour)) {
-        replicas.iter().for_each(|r| self.replicas[*r].handle.borrow().change(&change));
+        replicas
+            .iter()
+            .for_each(|r| self.replicas[*r].handle.borrow().change(&change));
     }
 
     pub(super) fn ways_of(&self, zones: &[usize], held: bool) {
-        let of: Vec<usize> =
-            (0..self.replicas.len()).filter(|r| zones.contains(&self.replicas[*r].zone)).collect();
+        let of: Vec<usize> = (0..self.replicas.len())
+            .filter(|r| zones.contains(&self.replicas[*r].zone))
+            .collect();
         of.iter().for_each(|r| self.way(*r, held));
     }
 }
--- a/crates/woadreach-faults/src/world/nodes.rs
+++ b/crates/woadreach-faults/src/world/nodes.rs
@@ -34,14 +34,23 @@
         *node.term.borrow_mut() = Some(term);
         let given = {
             let world = Rc::downgrade(self);
-            move || world.upgrade().ok_or("the world is over".to_string()).map(|w| w.given(n, seed))
+            move || {
+                world
+                    .upgrade()
+                    .ok_or("the world is over".to_string())
+                    .map(|w| w.given(n, seed))
+            }
         };
         for replica in &self.replicas {
             // What `known` says is told with the start.
             let (node, ready) = (NodeId(n), replica.alive.get());
             let replica = replica.name.borrow().as_str().into();
             if ready {
-                self.recorder.tell(What::Told { node, replica, ready });
+                self.recorder.tell(What::Told {
+                    node,
+                    replica,
+                    ready,
+                });
             }
         }
         let held = node.held.clone();
@@ -51,7 +60,12 @@
             if let Some(w) = judges.upgrade() {
                 let at = w.clock.now() as f64 / 1e9;
                 let (node, zone) = (NodeId(n), usize::from(turn.zone));
-                w.judged.borrow_mut().push(Judged { at, node, zone, epoch: turn.verdict.epoch });
+                w.judged.borrow_mut().push(Judged {
+                    at,
+                    node,
+                    zone,
+                    epoch: turn.verdict.epoch,
+                });
             }
         });
         let world = self.clone();
@@ -60,7 +74,13 @@
             let ended = match given().and_then(|g| config::read(First::Environment, &g)) {
                 Ok(config) => {
                     let given = Box::new(given);
-                    let outside = Outside { hangup: hangups, term: terms, given, report, verdict };
+                    let outside = Outside {
+                        hangup: hangups,
+                        term: terms,
+                        given,
+                        report,
+                        verdict,
+                    };
                     woadreachd::serve(run.clone(), config, outside).await
                 }
                 Err(why) => Err(why),
@@ -81,10 +101,11 @@
         }));
         // A front lets it in once it has answered that it is ready.
         let world = self.clone();
-        self.clock.call_at(self.clock.now() + 200 * MILLISECOND, move || {
-            let node = &world.nodes[n];
-            node.up.set(node.process.get() == Some(net.process()));
-        });
+        self.clock
+            .call_at(self.clock.now() + 200 * MILLISECOND, move || {
+                let node = &world.nodes[n];
+                node.up.set(node.process.get() == Some(net.process()));
+            });
     }
 
     pub(super) fn given(&self, n: usize, seed: u64) -> Given {
@@ -98,22 +119,30 @@
             peers: self.nodes.iter().map(at).collect(),
         };
         let text = configuration(&self.script, n, &places, seed, &node.agent.known());
-        Given { path: format!("n{n}"), text, listen: None, discovery: None }
+        Given {
+            path: format!("n{n}"),
+            text,
+            listen: None,
+            discovery: None,
+        }
     }
 
     pub(super) fn kill_node(self: &Rc<Self>, n: usize) {
         let node = &self.nodes[n];
-        let Some(process) = node.process.take() else { return };
+        let Some(process) = node.process.take() else {
+            return;
+        };
         self.recorder.tell(What::NodeKilled { node: NodeId(n) });
         self.network.kill(process);
         let world = self.clone();
         // A front notices after a while.
-        self.clock.call_at(self.clock.now() + 1000 * MILLISECOND, move || {
-            let node = &world.nodes[n];
-            if node.process.get().is_none() {
-                node.up.set(false);
-            }
-        });
+        self.clock
+            .call_at(self.clock.now() + 1000 * MILLISECOND, move || {
+                let node = &world.nodes[n];
+                if node.process.get().is_none() {
+                    node.up.set(false);
+                }
+            });
     }
 
     pub(super) fn restart_node(self: &Rc<Self>, n: usize) {
@@ -125,8 +154,16 @@
             let _ = term.send(());
         }
         let world = self.clone();
-        self.clock.call_at(self.clock.now() + 300 * MILLISECOND, move || world.nodes[n].up.set(false));
-        let longest = self.script.query_types.iter().map(|t| t.client_timeout).fold(0.0, f64::max);
+        self.clock
+            .call_at(self.clock.now() + 300 * MILLISECOND, move || {
+                world.nodes[n].up.set(false)
+            });
+        let longest = self
+            .script
+            .query_types
+            .iter()
+            .map(|t| t.client_timeout)
+            .fold(0.0, f64::max);
         let (world, process) = (self.clone(), node.process.get());
         let killed = nanos(longest.min(3.0) + KILL_AFTER) + 50 * MILLISECOND;
         self.clock.call_at(self.clock.now() + killed, move || {
@@ -139,7 +176,10 @@
                 world.kill_node(n);
             } else if world.nodes[n].process.get() == process {
                 let why = "it has not ended by the time that SIGKILL comes".to_string();
-                world.recorder.tell(What::Kept { node: NodeId(n), why });
+                world.recorder.tell(What::Kept {
+                    node: NodeId(n),
+                    why,
+                });
                 world.kill_node(n);
             }
         });
@@ -154,7 +194,8 @@
             return;
         }
         let world = self.clone();
-        self.clock.call_at(self.clock.now() + LOOK, move || world.start_again(n));
+        self.clock
+            .call_at(self.clock.now() + LOOK, move || world.start_again(n));
     }
 
     pub(super) fn reload(self: &Rc<Self>, n: usize) {
@@ -162,11 +203,15 @@
         let net = self.network.machine(Zone(n % self.script.fleet.zones), 0.0);
         node.moves.set(node.moves.get() + 1);
         let place = address(net.process(), DISCOVERY_PORT);
-        let moved = woadreach_standin::discovery(&net, NodeId(n), place, Some(&node.agent), &self.recorder);
+        let moved =
+            woadreach_standin::discovery(&net, NodeId(n), place, Some(&node.agent), &self.recorder);
         moved.unwrap_or_else(|e| panic!("a new machine's address is taken: {e}"));
         let old = node.agent_process.replace(net.process());
         let network = self.network.clone();
-        self.clock.call_at(self.clock.now() + 1500 * MILLISECOND, move || network.kill(old));
+        self.clock
+            .call_at(self.clock.now() + 1500 * MILLISECOND, move || {
+                network.kill(old)
+            });
         if let Some(hangup) = &*node.hangup.borrow() {
             let _ = hangup.send(());
         }
--- a/crates/woadreach-faults/tests/days.rs
+++ b/crates/woadreach-faults/tests/days.rs
@@ -73,14 +73,25 @@
 }
 
 fn with(faults: &[(f64, f64, Kind)]) -> Script {
-    let faults = faults.iter().map(|(at, lasts, kind)| Fault { at: *at, lasts: *lasts, kind: kind.clone() });
-    Script { faults: faults.collect(), ..calm() }
+    let faults = faults.iter().map(|(at, lasts, kind)| Fault {
+        at: *at,
+        lasts: *lasts,
+        kind: kind.clone(),
+    });
+    Script {
+        faults: faults.collect(),
+        ..calm()
+    }
 }
 
 /// Plays it; no rule may break.
 fn kept(script: &Script) -> Outcome {
     let outcome = play(script, Options::default());
-    let told: Vec<String> = outcome.breaches.iter().map(|b| format!("{}: {}", b.rule, b.why)).collect();
+    let told: Vec<String> = outcome
+        .breaches
+        .iter()
+        .map(|b| format!("{}: {}", b.rule, b.why))
+        .collect();
     assert!(told.is_empty(), "{told:#?}");
     outcome
 }
@@ -92,7 +103,12 @@
 #[test]
 fn a_calm_day_is_served() {
     let outcome = kept(&calm());
-    assert!(outcome.searches > 300 && share(&outcome) > 0.97, "{} of {}", outcome.good, outcome.searches);
+    assert!(
+        outcome.searches > 300 && share(&outcome) > 0.97,
+        "{} of {}",
+        outcome.good,
+        outcome.searches
+    );
 }
 
 /// The cases in which much goes wrong at once: every rule is kept, and service comes back.
@@ -142,7 +158,12 @@
     let mut script = with(faults);
     script.fleet.clocks_apart = clocks_apart;
     let outcome = kept(&script);
-    assert!(outcome.searches > 200 && share(&outcome) > 0.5, "{} of {}", outcome.good, outcome.searches);
+    assert!(
+        outcome.searches > 200 && share(&outcome) > 0.5,
+        "{} of {}",
+        outcome.good,
+        outcome.searches
+    );
     assert_eq!(outcome.recoveries.len(), faults.len());
 }
 
@@ -155,9 +176,16 @@
     #[values(9.7, 9.9, 10.1, 10.3, 10.5, 10.7, 10.9)] returns: f64,
     #[values(-0.5, 0.0, 0.05)] drains_after: f64,
 ) {
-    let silence = Kind::DiscoverySilent { co_ordinators: vec![0, 1, 2] };
-    let drain = Kind::Drain { replicas: vec![0, 4] };
-    let mut script = with(&[(4.0, returns - 4.0, silence), (returns + drains_after, 4.0, drain)]);
+    let silence = Kind::DiscoverySilent {
+        co_ordinators: vec![0, 1, 2],
+    };
+    let drain = Kind::Drain {
+        replicas: vec![0, 4],
+    };
+    let mut script = with(&[
+        (4.0, returns - 4.0, silence),
+        (returns + drains_after, 4.0, drain),
+    ]);
     script.fleet.calls_while_silent = calls;
     kept(&script);
 }
@@ -168,10 +196,20 @@
     #[values(SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost)] calls: SilentCalls,
     #[values(9.7, 10.0, 10.3, 10.6, 10.9)] returns: f64,
 ) {
-    let silence = Kind::DiscoverySilent { co_ordinators: vec![0, 1, 2] };
-    let kill = Kind::Kill { co_ordinators: vec![0, 1] };
-    let drain = Kind::Drain { replicas: vec![0, 4] };
-    let faults = [(4.0, returns - 4.0, silence), (5.0, 1.0, kill), (returns, 4.0, drain)];
+    let silence = Kind::DiscoverySilent {
+        co_ordinators: vec![0, 1, 2],
+    };
+    let kill = Kind::Kill {
+        co_ordinators: vec![0, 1],
+    };
+    let drain = Kind::Drain {
+        replicas: vec![0, 4],
+    };
+    let faults = [
+        (4.0, returns - 4.0, silence),
+        (5.0, 1.0, kill),
+        (returns, 4.0, drain),
+    ];
     let mut script = with(&faults);
     script.fleet.calls_while_silent = calls;
     kept(&script);
@@ -203,9 +241,17 @@
 #[test]
 fn a_run_is_the_same_again() {
     let script = Script::draw(5, &[], Some(8.0));
-    let alone = play(&script, Options { trace: true, ..Options::default() });
+    let alone = play(
+        &script,
+        Options {
+            trace: true,
+            ..Options::default()
+        },
+    );
     let beside: Vec<_> = (0..3)
-        .map(|_| std::thread::spawn(|| play(&Script::draw(5, &[], Some(8.0)), Options::default()).digest))
+        .map(|_| {
+            std::thread::spawn(|| play(&Script::draw(5, &[], Some(8.0)), Options::default()).digest)
+        })
         .collect();
     for other in beside {
         assert_eq!(other.join().ok().as_ref(), Some(&alone.digest));
--- a/crates/woadreach-faults/tests/peers.rs
+++ b/crates/woadreach-faults/tests/peers.rs
@@ -65,7 +65,11 @@
 
 fn tier(faults: &[(f64, f64, Kind)], change: impl FnOnce(&mut Script)) -> Script {
     let mut script = Script::read("tier", TIER).unwrap_or_else(|bad| panic!("{bad}"));
-    let faults = faults.iter().map(|(at, lasts, kind)| Fault { at: *at, lasts: *lasts, kind: kind.clone() });
+    let faults = faults.iter().map(|(at, lasts, kind)| Fault {
+        at: *at,
+        lasts: *lasts,
+        kind: kind.clone(),
+    });
     script.faults = faults.collect();
     change(&mut script);
     script
@@ -80,7 +84,11 @@
 /// Who came to hold that this zone is out, each with the seconds since the fault.
 fn out(outcome: &Outcome, zone: usize, since: f64) -> Vec<(usize, f64)> {
     let mut first: Vec<(usize, f64)> = Vec::new();
-    for v in outcome.verdicts.iter().filter(|v| v.zone == zone && v.epoch % 2 == 1 && v.at > since) {
+    for v in outcome
+        .verdicts
+        .iter()
+        .filter(|v| v.zone == zone && v.epoch % 2 == 1 && v.at > since)
+    {
         if !first.iter().any(|f| f.0 == v.node.0) {
             first.push((v.node.0, v.at - since));
         }
@@ -101,29 +109,78 @@
     let held = out(&outcome, 1, 8.0);
     assert_eq!(held.len(), 6, "{:?}", outcome.verdicts);
     assert!(held.iter().all(|h| h.1 < 3.0), "{held:?}");
-    assert!(outcome.verdicts.iter().all(|v| v.zone == 1), "{:?}", outcome.verdicts);
+    assert!(
+        outcome.verdicts.iter().all(|v| v.zone == 1),
+        "{:?}",
+        outcome.verdicts
+    );
     let last = outcome.verdicts.iter().map(|v| v.epoch).max();
-    assert_eq!(last.map(|e| e % 2), Some(0), "it is back: {:?}", outcome.verdicts);
+    assert_eq!(
+        last.map(|e| e % 2),
+        Some(0),
+        "it is back: {:?}",
+        outcome.verdicts
+    );
     assert!(last < Some(7), "no flapping: {:?}", outcome.verdicts);
 }
 
 /// Its own co-ordinators see all else fail, and shift nobody.
 #[test]
 fn a_zone_cut_off_shifts_nobody_else() {
-    let cut = |to| (8.0, 8.0, Kind::Cut { from: 2, to, both: true });
+    let cut = |to| {
+        (
+            8.0,
+            8.0,
+            Kind::Cut {
+                from: 2,
+                to,
+                both: true,
+            },
+        )
+    };
     let outcome = kept(&tier(&[cut(0), cut(1)], |_| {}));
     let held = out(&outcome, 2, 8.0);
-    assert!(held.iter().filter(|h| h.0 % 3 != 2).count() == 4, "{:?}", outcome.verdicts);
-    assert!(outcome.verdicts.iter().all(|v| v.zone == 2), "{:?}", outcome.verdicts);
+    assert!(
+        held.iter().filter(|h| h.0 % 3 != 2).count() == 4,
+        "{:?}",
+        outcome.verdicts
+    );
+    assert!(
+        outcome.verdicts.iter().all(|v| v.zone == 2),
+        "{:?}",
+        outcome.verdicts
+    );
 }
 
 /// Loss in one direction only: what leaves the zone is lost.
 #[test]
 fn a_zone_heard_by_nobody_is_out() {
-    let cut = |to| (8.0, 6.0, Kind::Cut { from: 2, to, both: false });
+    let cut = |to| {
+        (
+            8.0,
+            6.0,
+            Kind::Cut {
+                from: 2,
+                to,
+                both: false,
+            },
+        )
+    };
     let outcome = kept(&tier(&[cut(0), cut(1)], |_| {}));
-    assert!(out(&outcome, 2, 8.0).iter().filter(|h| h.0 % 3 != 2).count() == 4, "{:?}", outcome.verdicts);
-    assert!(outcome.verdicts.iter().all(|v| v.zone == 2), "{:?}", outcome.verdicts);
+    assert!(
+        out(&outcome, 2, 8.0)
+            .iter()
+            .filter(|h| h.0 % 3 != 2)
+            .count()
+            == 4,
+        "{:?}",
+        outcome.verdicts
+    );
+    assert!(
+        outcome.verdicts.iter().all(|v| v.zone == 2),
+        "{:?}",
+        outcome.verdicts
+    );
 }
 
 #[rstest]
@@ -134,9 +191,17 @@
     for seed in 0..4 {
         let outcome = kept(&tier(faults, |s| {
             s.seed = seed;
-            s.peers = Some(Peers { lost, doubled: 0.02, late: 0.05 });
+            s.peers = Some(Peers {
+                lost,
+                doubled: 0.02,
+                late: 0.05,
+            });
         }));
-        assert!(outcome.verdicts.is_empty(), "seed {seed}: {:?}", outcome.verdicts);
+        assert!(
+            outcome.verdicts.is_empty(),
+            "seed {seed}: {:?}",
+            outcome.verdicts
+        );
         assert!(outcome.datagrams > 0);
     }
 }
@@ -144,7 +209,9 @@
 /// Two of three zones are lost, and all co-ordinators live: at most one is out at a time, and a lost one.
 #[test]
 fn of_two_lost_zones_at_most_one_is_out() {
-    let both = Kind::Vanish { replicas: [of_zone(0), of_zone(1)].concat() };
+    let both = Kind::Vanish {
+        replicas: [of_zone(0), of_zone(1)].concat(),
+    };
     let outcome = kept(&tier(&[(8.0, 5.0, both)], |_| {}));
     let mut epochs = [[0; 3]; 6];
     for v in &outcome.verdicts {
@@ -157,6 +224,15 @@
 /// Where they may not speak nothing is sent, and a lost zone is each one's own affair.
 #[test]
 fn without_peers_nothing_is_sent() {
-    let outcome = kept(&tier(&[(8.0, 5.0, Kind::Vanish { replicas: of_zone(1) })], |s| s.peers = None));
+    let outcome = kept(&tier(
+        &[(
+            8.0,
+            5.0,
+            Kind::Vanish {
+                replicas: of_zone(1),
+            },
+        )],
+        |s| s.peers = None,
+    ));
     assert_eq!((outcome.datagrams, outcome.verdicts.len()), (0, 0));
 }
--- a/crates/woadreach-faults/tests/unit/clock.rs
+++ b/crates/woadreach-faults/tests/unit/clock.rs
@@ -8,7 +8,8 @@
     let lines: Lines = Rc::default();
     let to = lines.clone();
     (lines, move |clock: &Clock, what: &str| {
-        to.borrow_mut().push(format!("{} {what}", clock.now() / MILLISECOND));
+        to.borrow_mut()
+            .push(format!("{} {what}", clock.now() / MILLISECOND));
     })
 }
 
@@ -25,7 +26,10 @@
         });
     }
     clock.run_until(15 * MILLISECOND);
-    assert_eq!((lines.borrow().clone(), clock.now()), (vec!["10 b".to_string()], 15 * MILLISECOND));
+    assert_eq!(
+        (lines.borrow().clone(), clock.now()),
+        (vec!["10 b".to_string()], 15 * MILLISECOND)
+    );
     clock.run_until(100 * MILLISECOND);
     assert_eq!(*lines.borrow(), ["10 b", "20 a", "20 c"]);
     assert_eq!(clock.tasks(process), 0);
--- a/crates/woadreach-faults/tests/unit/script.rs
+++ b/crates/woadreach-faults/tests/unit/script.rs
@@ -7,8 +7,14 @@
 fn drawn_scripts_are_sound_and_read_as_they_were_written() {
     for seed in 0..500 {
         let script = Script::draw(seed, &[], None);
-        script.check().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-        assert_eq!(Script::read("x", &script.text()), Ok(script.clone()), "seed {seed}");
+        script
+            .check()
+            .unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        assert_eq!(
+            Script::read("x", &script.text()),
+            Ok(script.clone()),
+            "seed {seed}"
+        );
         assert_eq!(script, Script::draw(seed, &[], None));
     }
 }
@@ -16,8 +22,15 @@
 #[test]
 fn only_the_kinds_that_are_asked_for() {
     let only = ["drain".to_string(), "kill".to_string()];
-    let drawn: Vec<Fault> = (0..50).flat_map(|seed| Script::draw(seed, &only, None).faults).collect();
-    assert!(!drawn.is_empty() && drawn.iter().all(|f| only.iter().any(|o| o == f.kind.name())));
+    let drawn: Vec<Fault> = (0..50)
+        .flat_map(|seed| Script::draw(seed, &only, None).faults)
+        .collect();
+    assert!(
+        !drawn.is_empty()
+            && drawn
+                .iter()
+                .all(|f| only.iter().any(|o| o == f.kind.name()))
+    );
 }
 
 #[rstest]
@@ -39,6 +52,9 @@
 ) {
     let text = Script::draw(3, &[], None).text().replacen(from, to, 1);
     let bad = Script::read("day.toml", &text).unwrap_err();
-    assert!(bad.to_string().starts_with("day.toml:") && bad.why.contains(why), "{bad}");
+    assert!(
+        bad.to_string().starts_with("day.toml:") && bad.why.contains(why),
+        "{bad}"
+    );
     assert!(line.is_none() || bad.at.map(|at| at.0) == line, "{bad}");
 }
--- a/crates/woadreach-host/src/hand.rs
+++ b/crates/woadreach-host/src/hand.rs
@@ -88,15 +88,32 @@
 
     /// Takes a search in hand; `ask` comes once its parts are in.
     pub fn take(&mut self, search: Search) {
-        self.by_part.extend(search.parts.iter().map(|p| (p.id, search.id)));
-        self.searches.insert(search.id, InHand { search, due: f64::INFINITY });
+        self.by_part
+            .extend(search.parts.iter().map(|p| (p.id, search.id)));
+        self.searches.insert(
+            search.id,
+            InHand {
+                search,
+                due: f64::INFINITY,
+            },
+        );
     }
 
     /// A part of the step in hand; false if the search is no longer held.
     pub fn add_part(&mut self, search: SearchId, id: PartId, shard: ShardId, weight: f64) -> bool {
-        let Some(held) = self.searches.get_mut(&search) else { return false };
+        let Some(held) = self.searches.get_mut(&search) else {
+            return false;
+        };
         let step = held.search.step;
-        let part = Part { id, shard, weight, step, answered: false, held: None, subs: Vec::new() };
+        let part = Part {
+            id,
+            shard,
+            weight,
+            step,
+            answered: false,
+            held: None,
+            subs: Vec::new(),
+        };
         held.search.parts.push(part);
         self.by_part.insert(id, search);
         true
@@ -111,7 +128,9 @@
 
     pub fn outcome(&mut self, now: f64, outcome: &Outcome, sink: &mut impl Sink) {
         let search = self.by_part.get(&outcome.part).copied();
-        let held = search.and_then(|s| self.searches.get_mut(&s)).map(|h| &mut h.search);
+        let held = search
+            .and_then(|s| self.searches.get_mut(&s))
+            .map(|h| &mut h.search);
         let plan = self.balancer.after(now, held, outcome);
         self.carry_out(now, search, plan, sink);
     }
@@ -119,7 +138,13 @@
     /// A timer of this search has come. One that an earlier one replaced is ignored; clocks that count in
     /// microseconds may bring one a moment early.
     pub fn due(&mut self, now: f64, search: SearchId, sink: &mut impl Sink) {
-        let Some(held) = self.searches.get_mut(&search).filter(|h| h.due <= now + 1e-5) else { return };
+        let Some(held) = self
+            .searches
+            .get_mut(&search)
+            .filter(|h| h.due <= now + 1e-5)
+        else {
+            return;
+        };
         held.due = f64::INFINITY;
         self.ask(now, search, sink);
     }
@@ -152,16 +177,28 @@
 
     fn steps(&mut self, search: Option<SearchId>, plan: &Plan, sink: &mut impl Sink) {
         plan.notes.iter().for_each(|n| sink.note(n));
-        plan.cancel.iter().for_each(|(part, nth)| sink.cancel(*part, *nth));
-        let Some(search) = search.and_then(|id| self.searches.get(&id)).map(|h| &h.search) else { return };
+        plan.cancel
+            .iter()
+            .for_each(|(part, nth)| sink.cancel(*part, *nth));
+        let Some(search) = search
+            .and_then(|id| self.searches.get(&id))
+            .map(|h| &h.search)
+        else {
+            return;
+        };
         for (i, s) in plan.send.iter().enumerate() {
             // The module has noted them all by now: this one stands before those that follow it.
-            let subs = search.parts.iter().find(|p| p.id == s.part).map_or(0, |p| p.subs.len());
+            let subs = search
+                .parts
+                .iter()
+                .find(|p| p.id == s.part)
+                .map_or(0, |p| p.subs.len());
             let later = plan.send[i..].iter().filter(|x| x.part == s.part).count();
             sink.send(search, s, subs.saturating_sub(later));
-            if let (Some((shape, once, counts)), Some(part)) =
-                (&mut self.watch, search.parts.iter().find(|p| p.id == s.part))
-            {
+            if let (Some((shape, once, counts)), Some(part)) = (
+                &mut self.watch,
+                search.parts.iter().find(|p| p.id == s.part),
+            ) {
                 let once = once.get(search.query_type.0).copied().unwrap_or(false);
                 shape.sent(part, subs.saturating_sub(later), once, counts);
             }
@@ -176,11 +213,17 @@
 
     /// Lets go of a search that is over, or sees to it that its next timer comes in time.
     fn settle(&mut self, now: f64, id: SearchId, sink: &mut impl Sink) {
-        let Some(held) = self.searches.get_mut(&id) else { return };
+        let Some(held) = self.searches.get_mut(&id) else {
+            return;
+        };
         if held.search.over {
-            held.search.parts.iter().filter(|_| !planted("hand-keeps-parts")).for_each(|p| {
-                self.by_part.remove(&p.id);
-            });
+            held.search
+                .parts
+                .iter()
+                .filter(|_| !planted("hand-keeps-parts"))
+                .for_each(|p| {
+                    self.by_part.remove(&p.id);
+                });
             sink.over(&held.search);
             self.searches.remove(&id);
             return;
--- a/crates/woadreach-host/src/settings.rs
+++ b/crates/woadreach-host/src/settings.rs
@@ -6,13 +6,27 @@
 use woadreach::plants::planted;
 
 pub fn settings(seed: u64, facts: &Value) -> Result<Settings, String> {
-    let need = |path: &str| facts.pointer(path).ok_or_else(|| format!("settings lack {path}"));
+    let need = |path: &str| {
+        facts
+            .pointer(path)
+            .ok_or_else(|| format!("settings lack {path}"))
+    };
     let number = |path: &str| facts.pointer(path).and_then(Value::as_f64);
-    let need_number =
-        |path: &str| need(path)?.as_f64().ok_or_else(|| format!("setting {path} is not a number"));
-    let flag = |path: &str| facts.pointer(path).and_then(Value::as_bool).unwrap_or(false);
+    let need_number = |path: &str| {
+        need(path)?
+            .as_f64()
+            .ok_or_else(|| format!("setting {path} is not a number"))
+    };
+    let flag = |path: &str| {
+        facts
+            .pointer(path)
+            .and_then(Value::as_bool)
+            .unwrap_or(false)
+    };
     let row = |path: &str, i: usize| number(&format!("{path}/{i}"));
-    let classes = need("/requestClasses")?.as_array().ok_or("setting /requestClasses is not a list")?;
+    let classes = need("/requestClasses")?
+        .as_array()
+        .ok_or("setting /requestClasses is not a list")?;
     let mut query_types = Vec::new();
     for i in 0..classes.len() {
         let at = |key: &str| format!("/requestClasses/{i}/{key}");
@@ -33,10 +47,18 @@
             second_step: row("/domain/classFetch", i).unwrap_or(0.0) as usize,
         });
     }
-    let tenants = facts.pointer("/tenants").and_then(Value::as_array).map_or(Vec::new(), |ts| {
-        ts.iter().map(|t| t.get("share").and_then(Value::as_f64).unwrap_or(1.0)).collect()
-    });
-    let cold = match (number("/guarantees/tipMultiple"), number("/guarantees/tipAfterMs")) {
+    let tenants = facts
+        .pointer("/tenants")
+        .and_then(Value::as_array)
+        .map_or(Vec::new(), |ts| {
+            ts.iter()
+                .map(|t| t.get("share").and_then(Value::as_f64).unwrap_or(1.0))
+                .collect()
+        });
+    let cold = match (
+        number("/guarantees/tipMultiple"),
+        number("/guarantees/tipAfterMs"),
+    ) {
         (Some(tip_multiple), Some(after)) => Some(ColdRule {
             from: need_number("/guarantees/coldFrom")?,
             time: need_number("/guarantees/coldMs")? / 1000.0,
@@ -45,7 +67,10 @@
         }),
         _ => None,
     };
-    let budget = match (number("/guarantees/repeatRatio"), number("/guarantees/countedOverMs")) {
+    let budget = match (
+        number("/guarantees/repeatRatio"),
+        number("/guarantees/countedOverMs"),
+    ) {
         (None, None) => None,
         (share, _) => Some(BudgetRule {
             free: number("/guarantees/budgetFree").unwrap_or(0.0),
--- a/crates/woadreach-host/src/watch.rs
+++ b/crates/woadreach-host/src/watch.rs
@@ -30,23 +30,45 @@
 
 /// The `watch` object of the settings, checked; None where there is none. A wrong type names the key.
 pub fn shape(facts: &Value) -> Result<Option<Shape>, String> {
-    let Some(watch) = facts.get("watch") else { return Ok(None) };
+    let Some(watch) = facts.get("watch") else {
+        return Ok(None);
+    };
     let watch = watch.as_object().ok_or("setting /watch is not an object")?;
     let flag = |key: &str| match watch.get(key) {
         None => Ok(None),
-        Some(v) => v.as_bool().map(Some).ok_or(format!("setting /watch/{key} is not true or false")),
+        Some(v) => v
+            .as_bool()
+            .map(Some)
+            .ok_or(format!("setting /watch/{key} is not true or false")),
     };
     let mut once = Vec::new();
-    for (i, name) in watch.get("once").and_then(Value::as_array).into_iter().flatten().enumerate() {
-        once.push(name.as_str().ok_or(format!("setting /watch/once/{i} is not a name"))?.to_string());
+    for (i, name) in watch
+        .get("once")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
+        .enumerate()
+    {
+        once.push(
+            name.as_str()
+                .ok_or(format!("setting /watch/once/{i} is not a name"))?
+                .to_string(),
+        );
     }
     if watch.get("once").is_some_and(|v| !v.is_array()) {
         return Err("setting /watch/once is not a list".into());
     }
-    if let Some(key) = watch.keys().find(|k| !["retryAfter", "mayDuplicate", "once"].contains(&k.as_str())) {
+    if let Some(key) = watch
+        .keys()
+        .find(|k| !["retryAfter", "mayDuplicate", "once"].contains(&k.as_str()))
+    {
         return Err(format!("setting /watch/{key} is unknown"));
     }
-    Ok(Some(Shape { retry_after: flag("retryAfter")?, second_copies: flag("mayDuplicate")?, once }))
+    Ok(Some(Shape {
+        retry_after: flag("retryAfter")?,
+        second_copies: flag("mayDuplicate")?,
+        once,
+    }))
 }
 
 impl Shape {
--- a/crates/woadreach-journal/src/disk.rs
+++ b/crates/woadreach-journal/src/disk.rs
@@ -112,7 +112,9 @@
                 .open(&path)
                 .map_err(|error| failed(&path, &error))
         };
-        Ok(FileDisk { files: [open(Slot::A)?, open(Slot::B)?] })
+        Ok(FileDisk {
+            files: [open(Slot::A)?, open(Slot::B)?],
+        })
     }
 
     fn file(&self, slot: Slot) -> &File {
--- a/crates/woadreach-journal/src/engine.rs
+++ b/crates/woadreach-journal/src/engine.rs
@@ -48,12 +48,24 @@
     /// # Errors
     /// [`JournalError::Corrupt`] if acknowledged data is damaged, [`JournalError::Io`] or
     /// [`JournalError::Full`] if the disk does not work.
-    pub fn open(mut disk: Box<dyn Disk>, max_bytes: u64) -> Result<(Engine, Recovered), JournalError> {
-        let contents = [read_slot(disk.as_mut(), Slot::A)?, read_slot(disk.as_mut(), Slot::B)?];
+    pub fn open(
+        mut disk: Box<dyn Disk>,
+        max_bytes: u64,
+    ) -> Result<(Engine, Recovered), JournalError> {
+        let contents = [
+            read_slot(disk.as_mut(), Slot::A)?,
+            read_slot(disk.as_mut(), Slot::B)?,
+        ];
         let Some(found) = newest_slot(&contents)? else {
             let position = blank_position();
             let engine = Engine::at(disk, position, max_bytes);
-            return Ok((engine, Recovered { was_empty: true, ..Recovered::default() }));
+            return Ok((
+                engine,
+                Recovered {
+                    was_empty: true,
+                    ..Recovered::default()
+                },
+            ));
         };
         let position = found.position;
         let mut engine = Engine::at(disk, position, max_bytes);
@@ -97,8 +109,12 @@
         self.start_log()?;
         self.withdraw_replacement()?;
         let position = &self.position;
-        let (frame, checksum) =
-            format::encode_frame(position.generation, position.sequence, position.checksum, records);
+        let (frame, checksum) = format::encode_frame(
+            position.generation,
+            position.sequence,
+            position.checksum,
+            records,
+        );
         let (slot, offset) = (position.slot, position.end);
         self.write(slot, offset, &frame)?;
         self.sync(slot)?;
@@ -133,7 +149,11 @@
     pub fn begin_replacement(&mut self, snapshot: Vec<u8>) -> Result<(), JournalError> {
         self.start_log()?;
         self.withdraw_replacement()?;
-        self.replacement = Some(Replacement { snapshot, written: 0, tail: Vec::new() });
+        self.replacement = Some(Replacement {
+            snapshot,
+            written: 0,
+            tail: Vec::new(),
+        });
         Ok(())
     }
 
@@ -150,7 +170,11 @@
         let start = replacement.written;
         let end = replacement.snapshot.len().min(start + self.piece_bytes);
         if end < replacement.snapshot.len() {
-            let written = self.write(slot, (HEADER_BYTES + start) as u64, &replacement.snapshot[start..end]);
+            let written = self.write(
+                slot,
+                (HEADER_BYTES + start) as u64,
+                &replacement.snapshot[start..end],
+            );
             if let Err(error) = written.and_then(|()| self.sync(slot)) {
                 self.give_up(slot);
                 return Some(Err(error));
@@ -175,7 +199,11 @@
         let previous = self.position.slot;
         let start = replacement.written;
         let (position, tail) = self.tail_frames(replacement);
-        self.write(position.slot, (HEADER_BYTES + start) as u64, &replacement.snapshot[start..])?;
+        self.write(
+            position.slot,
+            (HEADER_BYTES + start) as u64,
+            &replacement.snapshot[start..],
+        )?;
         self.write(position.slot, position.log_start, &tail)?;
         self.truncate(position.slot, position.end)?;
         self.sync(position.slot)?;
@@ -195,8 +223,12 @@
         let mut position = start_of_log(self.position.slot.other(), &header);
         let mut bytes = Vec::new();
         for records in &replacement.tail {
-            let (frame, checksum) =
-                format::encode_frame(position.generation, position.sequence, position.checksum, records);
+            let (frame, checksum) = format::encode_frame(
+                position.generation,
+                position.sequence,
+                position.checksum,
+                records,
+            );
             bytes.extend_from_slice(&frame);
             position.sequence += 1;
             position.checksum = checksum;
@@ -248,7 +280,10 @@
     /// which a replacement has failed, so that it takes no room. Failures are left: the slot in use is
     /// durable, and is preferred by its generation.
     fn give_up(&mut self, slot: Slot) {
-        let emptied = self.disk.truncate(slot, 0).and_then(|()| self.disk.sync(slot));
+        let emptied = self
+            .disk
+            .truncate(slot, 0)
+            .and_then(|()| self.disk.sync(slot));
         if let Err(error) = emptied {
             tracing::warn!(%slot, %error, "the slot that is not in use could not be emptied");
         }
@@ -274,21 +309,35 @@
         if offset + wanted + other_end > self.max_bytes {
             return Err(JournalError::Full { slot, wanted });
         }
-        self.disk.write(slot, offset, bytes).map_err(|error| match error.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
-                JournalError::Full { slot, wanted }
-            }
-            kind => JournalError::Io { slot, operation: "write", kind },
-        })
+        self.disk
+            .write(slot, offset, bytes)
+            .map_err(|error| match error.kind() {
+                io::ErrorKind::StorageFull
+                | io::ErrorKind::QuotaExceeded
+                | io::ErrorKind::FileTooLarge => JournalError::Full { slot, wanted },
+                kind => JournalError::Io {
+                    slot,
+                    operation: "write",
+                    kind,
+                },
+            })
     }
 
     fn truncate(&mut self, slot: Slot, length: u64) -> Result<(), JournalError> {
-        let failed = |error: io::Error| JournalError::Io { slot, operation: "truncate", kind: error.kind() };
+        let failed = |error: io::Error| JournalError::Io {
+            slot,
+            operation: "truncate",
+            kind: error.kind(),
+        };
         self.disk.truncate(slot, length).map_err(failed)
     }
 
     fn sync(&mut self, slot: Slot) -> Result<(), JournalError> {
-        let failed = |error: io::Error| JournalError::Io { slot, operation: "sync", kind: error.kind() };
+        let failed = |error: io::Error| JournalError::Io {
+            slot,
+            operation: "sync",
+            kind: error.kind(),
+        };
         self.disk.sync(slot).map_err(failed)
     }
 }
--- a/crates/woadreach-journal/src/error.rs
+++ b/crates/woadreach-journal/src/error.rs
@@ -12,7 +12,9 @@
 #[snafu(visibility(pub(crate)))]
 pub enum JournalError {
     /// The disk, or the journal's share of it, has no room left. Nothing of the record counts as written.
-    #[snafu(display("no room on disk for {wanted} more bytes in {slot}: compact, or raise disk_mb"))]
+    #[snafu(display(
+        "no room on disk for {wanted} more bytes in {slot}: compact, or raise disk_mb"
+    ))]
     Full {
         /// Slot that was to grow.
         slot: Slot,
--- a/crates/woadreach-journal/src/format.rs
+++ b/crates/woadreach-journal/src/format.rs
@@ -104,7 +104,12 @@
 
 /// Encodes `records` as one frame.
 #[must_use]
-pub fn encode_frame(generation: u64, sequence: u64, previous: u32, records: &[Vec<u8>]) -> (Vec<u8>, u32) {
+pub fn encode_frame(
+    generation: u64,
+    sequence: u64,
+    previous: u32,
+    records: &[Vec<u8>],
+) -> (Vec<u8>, u32) {
     let payload_length: usize = records.iter().map(|record| 4 + record.len()).sum();
     let mut bytes = Vec::with_capacity(FRAME_HEAD_BYTES + payload_length);
     bytes.extend_from_slice(&FRAME_MAGIC);
@@ -132,7 +137,11 @@
     let payload = content.get(FRAME_HEAD_BYTES..FRAME_HEAD_BYTES.checked_add(length)?)?;
     let checksum = read_u32(head, 24);
     let fits = checksum == frame_checksum(previous, &head[..24], payload);
-    fits.then(|| Frame { sequence: read_u64(head, 12), checksum, payload })
+    fits.then(|| Frame {
+        sequence: read_u64(head, 12),
+        checksum,
+        payload,
+    })
 }
 
 /// Whether a frame of `generation` later than `sequence` begins anywhere in `content`.
@@ -167,7 +176,9 @@
 }
 
 fn length_field(length: usize) -> [u8; 4] {
-    u32::try_from(length).expect("a record is shorter than 4 GiB").to_le_bytes()
+    u32::try_from(length)
+        .expect("a record is shorter than 4 GiB")
+        .to_le_bytes()
 }
 
 fn read_u32(bytes: &[u8], at: usize) -> u32 {
--- a/crates/woadreach-journal/src/journal.rs
+++ b/crates/woadreach-journal/src/journal.rs
@@ -28,7 +28,10 @@
 
 impl Default for JournalOptions {
     fn default() -> JournalOptions {
-        JournalOptions { max_bytes: 100 << 20, max_queued_bytes: 16 << 20 }
+        JournalOptions {
+            max_bytes: 100 << 20,
+            max_queued_bytes: 16 << 20,
+        }
     }
 }
 
@@ -63,7 +66,10 @@
     ///
     /// # Errors
     /// See [`JournalError`]; after [`JournalError::Corrupt`], [`Journal::discard`] makes an empty one.
-    pub fn open(folder: &Path, options: JournalOptions) -> Result<(Journal, Recovered), JournalError> {
+    pub fn open(
+        folder: &Path,
+        options: JournalOptions,
+    ) -> Result<(Journal, Recovered), JournalError> {
         Journal::with_disk(Box::new(FileDisk::open(folder)?), options)
     }
 
@@ -84,9 +90,19 @@
             .name("journal".to_owned())
             .stack_size(256 << 10)
             .spawn(move || run(engine, &queue, &shared))
-            .map_err(|error| JournalError::Open { path: "journal thread".into(), kind: error.kind() })?;
+            .map_err(|error| JournalError::Open {
+                path: "journal thread".into(),
+                kind: error.kind(),
+            })?;
         let max_queued_bytes = options.max_queued_bytes;
-        Ok((Journal { requests, progress, max_queued_bytes }, recovered))
+        Ok((
+            Journal {
+                requests,
+                progress,
+                max_queued_bytes,
+            },
+            recovered,
+        ))
     }
 
     /// Empties the journal in `folder`, for a disk whose content cannot be trusted any more.
@@ -97,7 +113,11 @@
         let mut disk = FileDisk::open(folder)?;
         for slot in Slot::ALL {
             let emptied = disk.truncate(slot, 0).and_then(|()| disk.sync(slot));
-            emptied.map_err(|error| JournalError::Io { slot, operation: "discard", kind: error.kind() })?;
+            emptied.map_err(|error| JournalError::Io {
+                slot,
+                operation: "discard",
+                kind: error.kind(),
+            })?;
         }
         Ok(())
     }
@@ -142,7 +162,11 @@
     #[must_use]
     pub fn stalled_for(&self) -> Duration {
         let progress = self.progress.lock();
-        let since = progress.oldest.into_iter().chain(progress.piece_begun).min();
+        let since = progress
+            .oldest
+            .into_iter()
+            .chain(progress.piece_begun)
+            .min();
         since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
@@ -150,13 +174,17 @@
         let bytes = record.len();
         let mut progress = self.progress.lock();
         if progress.waiting_bytes > 0 && progress.waiting_bytes + bytes > self.max_queued_bytes {
-            return Err(JournalError::Overloaded { queued: progress.waiting_bytes });
+            return Err(JournalError::Overloaded {
+                queued: progress.waiting_bytes,
+            });
         }
         progress.waiting_appends += 1;
         progress.waiting_bytes += bytes;
         progress.oldest.get_or_insert_with(Instant::now);
         // Under the lock, so that the queue has the order in which callers were counted.
-        self.requests.send(Request::Append { record, reply }).map_err(|_| JournalError::Closed)
+        self.requests
+            .send(Request::Append { record, reply })
+            .map_err(|_| JournalError::Closed)
     }
 }
 
@@ -187,7 +215,11 @@
 fn run(mut engine: Engine, queue: &Receiver<Request>, progress: &Mutex<Progress>) {
     let mut replacing: Option<Reply> = None;
     loop {
-        let first = if replacing.is_some() { queue.try_recv().ok() } else { queue.recv().ok() };
+        let first = if replacing.is_some() {
+            queue.try_recv().ok()
+        } else {
+            queue.recv().ok()
+        };
         if first.is_none() && replacing.is_none() {
             return;
         }
@@ -202,7 +234,8 @@
             }
             replacing = begin_replacement(&mut engine, snapshot, reply);
         }
-        replacing = replacing.and_then(|reply| continue_replacement(&mut engine, reply, appended, progress));
+        replacing = replacing
+            .and_then(|reply| continue_replacement(&mut engine, reply, appended, progress));
     }
 }
 
@@ -242,7 +275,10 @@
 }
 
 /// Collects what waits, up to a frame's size or a snapshot.
-fn next_batch(first: Option<Request>, queue: &Receiver<Request>) -> (Batch, Option<(Vec<u8>, Reply)>) {
+fn next_batch(
+    first: Option<Request>,
+    queue: &Receiver<Request>,
+) -> (Batch, Option<(Vec<u8>, Reply)>) {
     let mut batch = Batch::default();
     let mut next = first;
     while let Some(request) = next {
@@ -250,7 +286,11 @@
             Request::Append { record, reply } => batch.push(record, reply),
             Request::Replace { snapshot, reply } => return (batch, Some((snapshot, reply))),
         }
-        next = if batch.bytes < MAX_FRAME_BYTES { queue.try_recv().ok() } else { None };
+        next = if batch.bytes < MAX_FRAME_BYTES {
+            queue.try_recv().ok()
+        } else {
+            None
+        };
     }
     (batch, None)
 }
@@ -271,7 +311,13 @@
 }
 
 /// Everything that still waits was queued after `started`.
-fn finish(engine: &Engine, requests: usize, bytes: usize, started: Instant, progress: &Mutex<Progress>) {
+fn finish(
+    engine: &Engine,
+    requests: usize,
+    bytes: usize,
+    started: Instant,
+    progress: &Mutex<Progress>,
+) {
     let mut progress = progress.lock();
     progress.waiting_appends -= requests;
     progress.waiting_bytes -= bytes;
--- a/crates/woadreach-journal/src/recovery.rs
+++ b/crates/woadreach-journal/src/recovery.rs
@@ -36,7 +36,14 @@
 }
 
 pub(crate) fn blank_position() -> Position {
-    Position { slot: Slot::B, generation: 0, log_start: 0, end: 0, sequence: 0, checksum: 0 }
+    Position {
+        slot: Slot::B,
+        generation: 0,
+        log_start: 0,
+        end: 0,
+        sequence: 0,
+        checksum: 0,
+    }
 }
 
 pub(crate) fn start_of_log(slot: Slot, header: &Header) -> Position {
@@ -52,7 +59,11 @@
 }
 
 pub(crate) fn read_slot(disk: &mut dyn Disk, slot: Slot) -> Result<Vec<u8>, JournalError> {
-    let failed = |error: io::Error| JournalError::Io { slot, operation: "read", kind: error.kind() };
+    let failed = |error: io::Error| JournalError::Io {
+        slot,
+        operation: "read",
+        kind: error.kind(),
+    };
     disk.read(slot).map_err(failed)
 }
 
@@ -63,13 +74,17 @@
     for slot in Slot::ALL {
         match read_log(slot, &contents[slot.index()])? {
             SlotState::Blank => {}
-            SlotState::Damaged { offset, acknowledged_generation } => {
+            SlotState::Damaged {
+                offset,
+                acknowledged_generation,
+            } => {
                 let error = JournalError::Corrupt { slot, offset };
                 damaged = Some((acknowledged_generation.unwrap_or(0), error));
             }
             SlotState::Readable(found) => {
-                let newer =
-                    newest.as_ref().is_none_or(|best| found.position.generation > best.position.generation);
+                let newer = newest
+                    .as_ref()
+                    .is_none_or(|best| found.position.generation > best.position.generation);
                 if newer {
                     newest = Some(*found);
                 }
@@ -78,7 +93,9 @@
     }
     let generation = newest.as_ref().map(|found| found.position.generation);
     match damaged {
-        Some((acknowledged, error)) if generation.is_none_or(|newest| newest < acknowledged) => Err(error),
+        Some((acknowledged, error)) if generation.is_none_or(|newest| newest < acknowledged) => {
+            Err(error)
+        }
         _ => Ok(newest),
     }
 }
@@ -101,7 +118,11 @@
         HeaderState::Blank => return Ok(SlotState::Blank),
         HeaderState::Damaged => return Ok(damaged(0)),
         HeaderState::Other(version) => {
-            return Err(JournalError::Version { slot, version, supported: format::FORMAT_VERSION });
+            return Err(JournalError::Version {
+                slot,
+                version,
+                supported: format::FORMAT_VERSION,
+            });
         }
         HeaderState::Valid(header) => header,
     };
@@ -114,17 +135,31 @@
     }
     let Some(records) = read_frames(content, &mut position) else {
         let acknowledged_generation = Some(header.generation);
-        return Ok(SlotState::Damaged { offset: position.end, acknowledged_generation });
+        return Ok(SlotState::Damaged {
+            offset: position.end,
+            acknowledged_generation,
+        });
     };
     let snapshot = (header.generation > 1 || !snapshot.is_empty()).then(|| snapshot.to_vec());
-    let recovered = Recovered { snapshot, records, was_empty: false };
+    let recovered = Recovered {
+        snapshot,
+        records,
+        was_empty: false,
+    };
     let content_length = content.len() as u64;
-    Ok(SlotState::Readable(Box::new(ReadableSlot { position, recovered, content_length })))
+    Ok(SlotState::Readable(Box::new(ReadableSlot {
+        position,
+        recovered,
+        content_length,
+    })))
 }
 
 /// Damage of which nothing proves that it was acknowledged.
 fn damaged(offset: u64) -> SlotState {
-    SlotState::Damaged { offset, acknowledged_generation: None }
+    SlotState::Damaged {
+        offset,
+        acknowledged_generation: None,
+    }
 }
 
 /// Records of the frames up to the torn tail; `None` if acknowledged frames follow the first that is not
--- a/crates/woadreach-journal/src/simulated.rs
+++ b/crates/woadreach-journal/src/simulated.rs
@@ -39,8 +39,12 @@
 
 impl Survival {
     /// Every outcome.
-    pub const ALL: [Survival; 4] =
-        [Survival::Present, Survival::Missing, Survival::FirstHalf, Survival::LastHalf];
+    pub const ALL: [Survival; 4] = [
+        Survival::Present,
+        Survival::Missing,
+        Survival::FirstHalf,
+        Survival::LastHalf,
+    ];
 }
 
 #[derive(Debug, Clone)]
@@ -87,7 +91,11 @@
             return ChangeOutcome::Fails;
         }
         let is_failing = self.last_change == Some(number) || self.failing_change == Some(number);
-        if is_failing { ChangeOutcome::DoneAndFails } else { ChangeOutcome::Succeeds }
+        if is_failing {
+            ChangeOutcome::DoneAndFails
+        } else {
+            ChangeOutcome::Succeeds
+        }
     }
 }
 
@@ -131,7 +139,12 @@
     /// Number of changes of both files that no sync covers.
     #[must_use]
     pub fn unsynced_changes(&self) -> usize {
-        self.state.lock().files.iter().map(|file| file.unsynced.len()).sum()
+        self.state
+            .lock()
+            .files
+            .iter()
+            .map(|file| file.unsynced.len())
+            .sum()
     }
 
     /// Power is back; of the unsynced changes, in the order of the files, these parts are found.
@@ -152,8 +165,13 @@
     #[must_use]
     pub fn copy(&self) -> SimulatedDisk {
         let state = self.state.lock();
-        let copied = State { files: state.files.clone(), ..State::default() };
-        SimulatedDisk { state: Arc::new(Mutex::new(copied)) }
+        let copied = State {
+            files: state.files.clone(),
+            ..State::default()
+        };
+        SimulatedDisk {
+            state: Arc::new(Mutex::new(copied)),
+        }
     }
 
     /// Loses power: each unsynced change is present, missing or torn; one time in four all are missing.
@@ -221,8 +239,15 @@
             DiskFault::Failing => Some(io::ErrorKind::Other),
             DiskFault::Healthy | DiskFault::FailingSync | DiskFault::IgnoresSync => None,
         };
-        let done = if refused.is_some() { bytes.len() / 2 } else { bytes.len() };
-        let change = Change::Write { offset, bytes: bytes[..done].to_vec() };
+        let done = if refused.is_some() {
+            bytes.len() / 2
+        } else {
+            bytes.len()
+        };
+        let change = Change::Write {
+            offset,
+            bytes: bytes[..done].to_vec(),
+        };
         state.files[slot.index()].unsynced.push(change);
         if outcome == ChangeOutcome::DoneAndFails {
             return Err(io::ErrorKind::Other.into());
@@ -234,9 +259,15 @@
         let mut state = self.state.lock();
         let outcome = state.next_outcome();
         if outcome != ChangeOutcome::Fails {
-            state.files[slot.index()].unsynced.push(Change::Truncate { length });
+            state.files[slot.index()]
+                .unsynced
+                .push(Change::Truncate { length });
+        }
+        if outcome == ChangeOutcome::Succeeds {
+            Ok(())
+        } else {
+            Err(io::ErrorKind::Other.into())
         }
-        if outcome == ChangeOutcome::Succeeds { Ok(()) } else { Err(io::ErrorKind::Other.into()) }
     }
 
     fn sync(&mut self, slot: Slot) -> io::Result<()> {
@@ -281,12 +312,24 @@
         (Survival::Missing, _) | (_, Change::Truncate { .. }) => {}
         (Survival::FirstHalf, Change::Write { offset, bytes }) => {
             let kept = bytes[..bytes.len() / 2].to_vec();
-            apply(content, &Change::Write { offset: *offset, bytes: kept });
+            apply(
+                content,
+                &Change::Write {
+                    offset: *offset,
+                    bytes: kept,
+                },
+            );
         }
         (Survival::LastHalf, Change::Write { offset, bytes }) => {
             let cut = bytes.len() / 2;
             let kept = bytes[cut..].to_vec();
-            apply(content, &Change::Write { offset: offset + cut as u64, bytes: kept });
+            apply(
+                content,
+                &Change::Write {
+                    offset: offset + cut as u64,
+                    bytes: kept,
+                },
+            );
         }
     }
 }
@@ -301,9 +344,15 @@
                 let cut = random.rand_range(0..bytes.len() as u64 + 1);
                 let at = usize::try_from(cut).expect("an index");
                 let kept = if random.rand_range(0..2) == 0 {
-                    Change::Write { offset: *offset, bytes: bytes[..at].to_vec() }
+                    Change::Write {
+                        offset: *offset,
+                        bytes: bytes[..at].to_vec(),
+                    }
                 } else {
-                    Change::Write { offset: offset + cut, bytes: bytes[at..].to_vec() }
+                    Change::Write {
+                        offset: offset + cut,
+                        bytes: bytes[at..].to_vec(),
+                    }
                 };
                 apply(content, &kept);
             }
--- a/crates/woadreach-journal/tests/engine.rs
+++ b/crates/woadreach-journal/tests/engine.rs
@@ -25,7 +25,11 @@
         match outcome {
             None => {}
             Some(Ok(_)) => {
-                *self = Oracle { snapshot: Some(snapshot), records: tail, ..Oracle::default() };
+                *self = Oracle {
+                    snapshot: Some(snapshot),
+                    records: tail,
+                    ..Oracle::default()
+                };
             }
             Some(Err(_)) => self.doubtful_replacement = Some((snapshot, tail)),
         }
@@ -34,22 +38,32 @@
     fn check(&self, found: &woadreach_journal::Recovered) {
         let found_snapshot = found.snapshot.clone().unwrap_or_default();
         let acknowledged = self.snapshot.clone().unwrap_or_default();
-        let accepts =
-            |snapshot: &Vec<u8>, records: &[Vec<u8>]| found_snapshot == *snapshot && found.records == records;
+        let accepts = |snapshot: &Vec<u8>, records: &[Vec<u8>]| {
+            found_snapshot == *snapshot && found.records == records
+        };
         let mut allowed = accepts(&acknowledged, &self.records);
         for batch in &self.doubtful {
-            allowed |= accepts(&acknowledged, &[self.records.clone(), batch.clone()].concat());
+            allowed |= accepts(
+                &acknowledged,
+                &[self.records.clone(), batch.clone()].concat(),
+            );
         }
         if let Some((snapshot, tail)) = &self.doubtful_replacement {
             allowed |= accepts(snapshot, tail);
         }
-        assert!(allowed, "found {found:?}, acknowledged {acknowledged:?} and {:?}", self.records);
+        assert!(
+            allowed,
+            "found {found:?}, acknowledged {acknowledged:?} and {:?}",
+            self.records
+        );
     }
 }
 
 fn record(random: &mut Rand64) -> Vec<u8> {
     let length = random.rand_range(0..40);
-    (0..length).map(|_| u8::try_from(random.rand_range(0..256)).unwrap()).collect()
+    (0..length)
+        .map(|_| u8::try_from(random.rand_range(0..256)).unwrap())
+        .collect()
 }
 
 /// One run: appends, replacements, failing disk and losses of power, all from `seed`.
@@ -63,7 +77,9 @@
         let (engine, found) = match opened {
             Ok(opened) => opened,
             // The very first slot was torn before anything was acknowledged.
-            Err(JournalError::Corrupt { .. }) if oracle.snapshot.is_none() && oracle.records.is_empty() => {
+            Err(JournalError::Corrupt { .. })
+                if oracle.snapshot.is_none() && oracle.records.is_empty() =>
+            {
                 disk.wipe();
                 continue;
             }
@@ -71,7 +87,11 @@
         };
         let mut engine = engine.with_piece_bytes(7);
         oracle.check(&found);
-        oracle = Oracle { snapshot: found.snapshot, records: found.records, ..Oracle::default() };
+        oracle = Oracle {
+            snapshot: found.snapshot,
+            records: found.records,
+            ..Oracle::default()
+        };
         let mut snapshot = None;
         for _ in 0..random.rand_range(0..16) {
             if random.rand_range(0..10) == 0 {
@@ -90,7 +110,9 @@
                     snapshot = Some(next);
                 }
             } else {
-                let batch: Vec<_> = (0..random.rand_range(1..4)).map(|_| record(&mut random)).collect();
+                let batch: Vec<_> = (0..random.rand_range(1..4))
+                    .map(|_| record(&mut random))
+                    .collect();
                 match engine.commit(&batch) {
                     Ok(_) => {
                         oracle.records.extend(batch.clone());
@@ -164,8 +186,14 @@
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), 1_000).unwrap();
     let _ = engine.replace(&[1; 400]).unwrap();
     let _ = engine.commit(&[vec![2; 300]]).unwrap();
-    assert!(matches!(engine.commit(&[vec![3; 400]]), Err(JournalError::Full { .. })));
-    assert!(matches!(engine.replace(&[4; 400]), Err(JournalError::Full { .. })));
+    assert!(matches!(
+        engine.commit(&[vec![3; 400]]),
+        Err(JournalError::Full { .. })
+    ));
+    assert!(matches!(
+        engine.replace(&[4; 400]),
+        Err(JournalError::Full { .. })
+    ));
     let _ = engine.replace(&[5; 100]).unwrap();
     let (_, found) = Engine::open(Box::new(disk), 1_000).unwrap();
     assert_eq!(found.snapshot, Some(vec![5; 100]));
@@ -186,7 +214,10 @@
             assert!(engine.continue_replacement().is_none());
         }
         disk.set_fault(DiskFault::Full);
-        assert!(matches!(engine.continue_replacement(), Some(Err(JournalError::Full { .. }))));
+        assert!(matches!(
+            engine.continue_replacement(),
+            Some(Err(JournalError::Full { .. }))
+        ));
         disk.set_fault(DiskFault::Healthy);
         assert_eq!(disk.used_bytes(), before, "after {pieces} pieces");
         let _ = engine.commit(&[vec![3; 10]]).unwrap();
@@ -216,8 +247,12 @@
     let _receipt = engine.replace(snapshot).unwrap();
     drop(engine);
     let mut reader = disk;
-    let mut contents =
-        [Slot::A, Slot::B].map(|slot| (slot, woadreach_journal::Disk::read(&mut reader, slot).unwrap()));
+    let mut contents = [Slot::A, Slot::B].map(|slot| {
+        (
+            slot,
+            woadreach_journal::Disk::read(&mut reader, slot).unwrap(),
+        )
+    });
     contents.sort_by_key(|(_, content)| content.len());
     let [_, (slot, content)] = contents;
     (slot, content)
@@ -233,7 +268,10 @@
 #[test]
 fn a_snapshot_cut_or_changed_at_any_byte_is_an_error_that_names_the_slot() {
     let (slot, content) = slot_with_snapshot(b"the state of everything");
-    assert_eq!(open_with(slot, &content).unwrap().snapshot.unwrap(), b"the state of everything");
+    assert_eq!(
+        open_with(slot, &content).unwrap().snapshot.unwrap(),
+        b"the state of everything"
+    );
     for length in 1..content.len() {
         let error = open_with(slot, &content[..length]).unwrap_err();
         assert!(
--- a/crates/woadreach-journal/tests/journal.rs
+++ b/crates/woadreach-journal/tests/journal.rs
@@ -7,7 +7,10 @@
     let folder = tempfile::tempdir().unwrap();
     let (journal, found) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
     assert!(found.was_empty);
-    let _ = journal.append(b"lost in the snapshot".to_vec()).await.unwrap();
+    let _ = journal
+        .append(b"lost in the snapshot".to_vec())
+        .await
+        .unwrap();
     let _ = journal.replace(b"snapshot".to_vec()).await.unwrap();
     assert_eq!(journal.log_bytes(), 0);
     let first = journal.append(b"one".to_vec());
@@ -36,10 +39,14 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_full_disk_refuses_and_recovers() {
     let disk = SimulatedDisk::default();
-    let (journal, _) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default()).unwrap();
+    let (journal, _) =
+        Journal::with_disk(Box::new(disk.clone()), JournalOptions::default()).unwrap();
     let _ = journal.append(vec![1]).await.unwrap();
     disk.set_fault(DiskFault::Full);
-    assert!(matches!(journal.append(vec![2]).await, Err(JournalError::Full { .. })));
+    assert!(matches!(
+        journal.append(vec![2]).await,
+        Err(JournalError::Full { .. })
+    ));
     disk.set_fault(DiskFault::Healthy);
     let _ = journal.append(vec![3]).await.unwrap();
     drop(journal);
--- a/crates/woadreach-journal/tests/power_cuts.rs
+++ b/crates/woadreach-journal/tests/power_cuts.rs
@@ -32,8 +32,17 @@
         let (engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES)?;
         let mut numbers = found.snapshot.unwrap_or_default();
         numbers.extend(found.records.into_iter().flatten());
-        let told = Told { acknowledged: numbers.len() as u8, in_hand: 0 };
-        Ok((Process { engine: engine.with_piece_bytes(PIECE_BYTES), told }, numbers))
+        let told = Told {
+            acknowledged: numbers.len() as u8,
+            in_hand: 0,
+        };
+        Ok((
+            Process {
+                engine: engine.with_piece_bytes(PIECE_BYTES),
+                told,
+            },
+            numbers,
+        ))
     }
 
     fn append(&mut self, count: u8) -> Result<(), JournalError> {
@@ -41,16 +50,22 @@
         let batch: Vec<Vec<u8>> = (first..first + count).map(|number| vec![number]).collect();
         self.told.in_hand = self.told.in_hand.max(count);
         let _receipt = self.engine.commit(&batch)?;
-        self.told = Told { acknowledged: first + count, in_hand: 0 };
+        self.told = Told {
+            acknowledged: first + count,
+            in_hand: 0,
+        };
         Ok(())
     }
 
     fn begin_snapshot(&mut self) -> Result<(), JournalError> {
-        self.engine.begin_replacement((0..self.told.acknowledged).collect())
+        self.engine
+            .begin_replacement((0..self.told.acknowledged).collect())
     }
 
     fn write_piece(&mut self) -> Result<(), JournalError> {
-        self.engine.continue_replacement().map_or(Ok(()), |outcome| outcome.map(|_receipt| ()))
+        self.engine
+            .continue_replacement()
+            .map_or(Ok(()), |outcome| outcome.map(|_receipt| ()))
     }
 
     /// Two snapshots, with appends before, between the pieces and after them.
@@ -96,7 +111,9 @@
 fn outcomes(count: usize) -> impl Iterator<Item = Vec<Survival>> {
     let choices = Survival::ALL.len();
     (0..choices.pow(count as u32)).map(move |number| {
-        (0..count).map(|change| Survival::ALL[number / choices.pow(change as u32) % choices]).collect()
+        (0..count)
+            .map(|change| Survival::ALL[number / choices.pow(change as u32) % choices])
+            .collect()
     })
 }
 
@@ -128,7 +145,9 @@
         let disk = SimulatedDisk::default();
         prepare(&disk);
         disk.cut_power(cut);
-        let mut process = Process::open(&disk).expect("an empty disk is not written to").0;
+        let mut process = Process::open(&disk)
+            .expect("an empty disk is not written to")
+            .0;
         process.live();
         let changes = disk.unsynced_changes().min(6);
         for outcome in outcomes(changes) {
@@ -147,7 +166,12 @@
 fn nothing_acknowledged_is_lost_by_a_cut_at_any_operation() {
     let (cases, faults) = faults_of_cuts(|_| {});
     println!("{cases} cases");
-    assert!(faults.is_empty(), "{} of {cases} cases, first: {}", faults.len(), faults[0]);
+    assert!(
+        faults.is_empty(),
+        "{} of {cases} cases, first: {}",
+        faults.len(),
+        faults[0]
+    );
 }
 
 #[test]
@@ -158,7 +182,11 @@
     for failing in 0..whole.changes() {
         let (more, faults) = faults_of_cuts(|disk| disk.fail_change(failing));
         cases += more;
-        assert!(faults.is_empty(), "operation {failing} failed, then {}", faults[0]);
+        assert!(
+            faults.is_empty(),
+            "operation {failing} failed, then {}",
+            faults[0]
+        );
     }
     println!("{cases} cases");
 }
--- a/crates/woadreach-lease/src/decide.rs
+++ b/crates/woadreach-lease/src/decide.rs
@@ -207,7 +207,12 @@
     /// back.
     pub fn want(&mut self, now: f64, duties: &BTreeMap<Duty, Vec<MemberId>>) -> Acts {
         let mut acts = self.tick(now);
-        let gone: Vec<Duty> = self.bids.keys().filter(|d| !duties.contains_key(d)).copied().collect();
+        let gone: Vec<Duty> = self
+            .bids
+            .keys()
+            .filter(|d| !duties.contains_key(d))
+            .copied()
+            .collect();
         for duty in gone {
             self.give_back(now, duty, &mut acts);
             self.bids.remove(&duty);
@@ -224,8 +229,15 @@
                 Some(bid) => bid.rank = rank,
                 None => {
                     let next = self.after(now, *duty, rank);
-                    let none =
-                        Candidate { rank, epoch: 0, told: 0, tries: 0, bid: None, held_until: None, next };
+                    let none = Candidate {
+                        rank,
+                        epoch: 0,
+                        told: 0,
+                        tries: 0,
+                        bid: None,
+                        held_until: None,
+                        next,
+                    };
                     self.bids.insert(*duty, none);
                 }
             }
@@ -235,7 +247,11 @@
 
     /// When it makes sense to bid: not while another is heard to hold it, and later the lower the rank.
     fn after(&mut self, now: f64, duty: Duty, rank: usize) -> f64 {
-        let heard = self.seen.get(&duty).filter(|s| s.0.holder != self.me).map(|s| s.1 + self.figures.lease);
+        let heard = self
+            .seen
+            .get(&duty)
+            .filter(|s| s.0.holder != self.me)
+            .map(|s| s.1 + self.figures.lease);
         let apart = (rank as f64 + self.chance.random::<f64>()) * self.figures.backoff;
         heard.map_or(now, |h| h.max(now)) + apart.min(self.figures.lease)
     }
@@ -245,11 +261,18 @@
         let bid = self.bids.get(&duty)?;
         // A clock that has gone back proves nothing.
         let held = now >= self.last && bid.held_until.is_some_and(|until| now < until);
-        held.then_some(Fence { epoch: bid.epoch, holder: self.me, life: self.life })
+        held.then_some(Fence {
+            epoch: bid.epoch,
+            holder: self.me,
+            life: self.life,
+        })
     }
 
     pub fn held(&self, now: f64) -> Vec<(Duty, Fence)> {
-        self.bids.keys().filter_map(|d| Some((*d, self.holds(now, *d)?))).collect()
+        self.bids
+            .keys()
+            .filter_map(|d| Some((*d, self.holds(now, *d)?)))
+            .collect()
     }
 
     /// The holder that was heard last, and how long ago.
@@ -271,7 +294,11 @@
         }
         self.seen.insert(duty, (fence, now));
         // Another has it: what this one was about to ask for would only be refused.
-        if let Some(c) = self.bids.get(&duty).filter(|c| c.held_until.is_none() && c.bid.is_none()) {
+        if let Some(c) = self
+            .bids
+            .get(&duty)
+            .filter(|c| c.held_until.is_none() && c.bid.is_none())
+        {
             let rank = c.rank;
             let next = self.after(now, duty, rank);
             if let Some(c) = self.bids.get_mut(&duty) {
@@ -288,7 +315,11 @@
         };
         let first = self.bids.values().map(due).fold(f64::INFINITY, f64::min);
         // While a promise is out it looks at its clock often enough to see it leap.
-        if self.promises.is_empty() { first } else { first.min(self.last + self.figures.lease / 4.0) }
+        if self.promises.is_empty() {
+            first
+        } else {
+            first.min(self.last + self.figures.lease / 4.0)
+        }
     }
 
     /// Danger: a clock that leaps ends promises that still run, one that goes back lengthens leases. Neither
@@ -317,21 +348,54 @@
         let mut acts = Acts::default();
         self.look_at_clock(now, &mut acts);
         match message {
-            Message::Ask { duty, epoch, life, ask, holds } => {
+            Message::Ask {
+                duty,
+                epoch,
+                life,
+                ask,
+                holds,
+            } => {
                 self.make_way(now, *duty, from, &mut acts);
-                let fence = Fence { epoch: *epoch, holder: from, life: *life };
+                let fence = Fence {
+                    epoch: *epoch,
+                    holder: from,
+                    life: *life,
+                };
                 if let Some(answer) = self.answer(now, *duty, fence, *ask, *holds) {
                     acts.send.push((from, answer));
                 }
             }
-            Message::Grant { duty, epoch, life, ask } if *life == self.life => {
+            Message::Grant {
+                duty,
+                epoch,
+                life,
+                ask,
+            } if *life == self.life => {
                 self.granted(now, *duty, *epoch, *ask, from, &mut acts);
             }
-            Message::Deny { duty, epoch, life, ask, wait } if *life == self.life => {
-                self.denied(now, *duty, *epoch, *ask, from, f64::from(*wait) / 100.0, &mut acts);
+            Message::Deny {
+                duty,
+                epoch,
+                life,
+                ask,
+                wait,
+            } if *life == self.life => {
+                self.denied(
+                    now,
+                    *duty,
+                    *epoch,
+                    *ask,
+                    from,
+                    f64::from(*wait) / 100.0,
+                    &mut acts,
+                );
             }
             Message::Release { duty, epoch, life } => {
-                let fence = Fence { epoch: *epoch, holder: from, life: *life };
+                let fence = Fence {
+                    epoch: *epoch,
+                    holder: from,
+                    life: *life,
+                };
                 if self.promises.get(duty).is_some_and(|p| p.fence == fence) {
                     self.promises.remove(duty);
                 }
@@ -346,7 +410,9 @@
     /// cannot win either, a moment is lost.
     fn make_way(&mut self, now: f64, duty: Duty, to: MemberId, acts: &mut Acts) {
         let first = weight(duty, to) < weight(duty, self.me);
-        let Some(c) = self.bids.get_mut(&duty) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
         if first && c.held_until.is_none() && c.bid.is_some() {
             c.next = now + self.figures.patience;
             self.yield_bid(duty, acts);
@@ -360,11 +426,22 @@
     }
 
     fn term(&self, holds: bool) -> f64 {
-        if holds { self.figures.lease } else { self.figures.first }
+        if holds {
+            self.figures.lease
+        } else {
+            self.figures.first
+        }
     }
 
     /// As an acceptor. None: it says nothing.
-    fn answer(&mut self, now: f64, duty: Duty, fence: Fence, ask: u16, holds: bool) -> Option<Message> {
+    fn answer(
+        &mut self,
+        now: f64,
+        duty: Duty,
+        fence: Fence,
+        ask: u16,
+        holds: bool,
+    ) -> Option<Message> {
         let Fence { epoch, life, .. } = fence;
         if now < self.silent_until || !self.acceptors(duty).contains(&self.me) {
             return None;
@@ -372,25 +449,60 @@
         let promised = self.promises.get(&duty).filter(|p| p.until > now);
         let highest = self.highest(duty);
         // Who only bids may give up any moment.
-        let wait = promised.filter(|p| p.fence != fence).map(|p| if p.whole { p.until - now } else { 0.0 });
+        let wait = promised
+            .filter(|p| p.fence != fence)
+            .map(|p| if p.whole { p.until - now } else { 0.0 });
         let mine = promised.is_some_and(|p| p.fence == fence);
-        let fresh = epoch > highest || (epoch == highest && self.promised.get(&duty) == Some(&fence));
+        let fresh =
+            epoch > highest || (epoch == highest && self.promised.get(&duty) == Some(&fence));
         if wait.is_some() || !(mine || fresh) {
             let wait = (wait.unwrap_or(0.0) * 100.0).ceil() as u16;
-            return Some(Message::Deny { duty, epoch: highest, life, ask, wait });
+            return Some(Message::Deny {
+                duty,
+                epoch: highest,
+                life,
+                ask,
+                wait,
+            });
         }
         // Never a shorter one than it has given.
-        let until = promised.map_or(now, |p| p.until).max(now + self.term(holds));
+        let until = promised
+            .map_or(now, |p| p.until)
+            .max(now + self.term(holds));
         let whole = holds || promised.is_some_and(|p| p.whole);
-        self.promises.insert(duty, Promise { fence, until, whole });
+        self.promises.insert(
+            duty,
+            Promise {
+                fence,
+                until,
+                whole,
+            },
+        );
         self.promised.insert(duty, fence);
-        Some(Message::Grant { duty, epoch, life, ask })
+        Some(Message::Grant {
+            duty,
+            epoch,
+            life,
+            ask,
+        })
     }
 
-    fn granted(&mut self, now: f64, duty: Duty, epoch: u32, ask: u16, by: MemberId, acts: &mut Acts) {
+    fn granted(
+        &mut self,
+        now: f64,
+        duty: Duty,
+        epoch: u32,
+        ask: u16,
+        by: MemberId,
+        acts: &mut Acts,
+    ) {
         let need = self.acceptors(duty).len() / 2 + 1;
-        let Some(c) = self.bids.get_mut(&duty).filter(|c| c.epoch == epoch) else { return };
-        let Some(bid) = c.bid.as_mut().filter(|b| b.ask == ask) else { return };
+        let Some(c) = self.bids.get_mut(&duty).filter(|c| c.epoch == epoch) else {
+            return;
+        };
+        let Some(bid) = c.bid.as_mut().filter(|b| b.ask == ask) else {
+            return;
+        };
         bid.answered.insert(by);
         bid.granted.insert(by);
         if bid.granted.len() < need {
@@ -399,19 +511,29 @@
         // Counted from before it asked, and a margin short.
         let until = bid.asked + bid.term - self.figures.margin;
         // A first one is made a whole one at once.
-        c.next = if bid.term < self.figures.lease { now } else { bid.asked + self.figures.renew };
+        c.next = if bid.term < self.figures.lease {
+            now
+        } else {
+            bid.asked + self.figures.renew
+        };
         c.bid = None;
         if now >= until {
             // Too late to be worth anything; it asks anew.
             c.next = now;
             return;
         }
-        let before = c.held_until.replace(c.held_until.map_or(until, |b| b.max(until)));
+        let before = c
+            .held_until
+            .replace(c.held_until.map_or(until, |b| b.max(until)));
         c.tries = 0;
         if before.is_none() {
             self.counts.held += 1;
             acts.changes.push(Change::Held(duty, epoch));
-            let fence = Fence { epoch, holder: self.me, life: self.life };
+            let fence = Fence {
+                epoch,
+                holder: self.me,
+                life: self.life,
+            };
             self.seen.insert(duty, (fence, now));
         }
     }
@@ -428,8 +550,12 @@
         acts: &mut Acts,
     ) {
         let (most, patience) = (self.acceptors(duty).len(), self.figures.patience);
-        let Some(c) = self.bids.get_mut(&duty) else { return };
-        let Some(bid) = c.bid.as_mut().filter(|b| b.ask == ask) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
+        let Some(bid) = c.bid.as_mut().filter(|b| b.ask == ask) else {
+            return;
+        };
         c.told = c.told.max(epoch);
         // One that is promised to another for a moment only is asked again.
         if epoch < c.epoch && wait < patience {
@@ -452,16 +578,23 @@
     /// Gives back what a bid in vain, or a lease, has got.
     fn release(&mut self, duty: Duty, acts: &mut Acts) {
         let (others, life) = (self.acceptors(duty), self.life);
-        let Some(c) = self.bids.get_mut(&duty) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
         c.bid = None;
         let epoch = c.epoch;
-        let own = Fence { epoch, holder: self.me, life };
+        let own = Fence {
+            epoch,
+            holder: self.me,
+            life,
+        };
         if self.promises.get(&duty).is_some_and(|p| p.fence == own) {
             self.promises.remove(&duty);
         }
         // Twice: where it is lost the acceptor is blocked until its promise runs out.
         for to in others.iter().chain(&others).filter(|to| **to != self.me) {
-            acts.send.push((*to, Message::Release { duty, epoch, life }));
+            acts.send
+                .push((*to, Message::Release { duty, epoch, life }));
         }
     }
 
@@ -477,7 +610,9 @@
     }
 
     fn give_back(&mut self, now: f64, duty: Duty, acts: &mut Acts) {
-        let Some(c) = self.bids.get_mut(&duty) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
         let held = c.held_until.take().is_some_and(|until| now < until);
         if held {
             // It ends here, before anybody is told.
@@ -502,7 +637,9 @@
 
     fn step(&mut self, now: f64, duty: Duty, acts: &mut Acts) {
         let f = self.figures.clone();
-        let Some(c) = self.bids.get_mut(&duty) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
         if c.held_until.is_some_and(|until| now >= until) {
             c.held_until = None;
             self.counts.lost += 1;
@@ -535,7 +672,9 @@
             return;
         }
         let highest = self.highest(duty);
-        let Some(c) = self.bids.get_mut(&duty) else { return };
+        let Some(c) = self.bids.get_mut(&duty) else {
+            return;
+        };
         if !held {
             c.epoch = c.epoch.max(c.told).max(highest) + 1;
         }
@@ -563,17 +702,32 @@
         answered: &BTreeSet<MemberId>,
         acts: &mut Acts,
     ) {
-        let Some(epoch) = self.bids.get(&duty).map(|c| c.epoch) else { return };
+        let Some(epoch) = self.bids.get(&duty).map(|c| c.epoch) else {
+            return;
+        };
         let life = self.life;
         for to in self.acceptors(duty) {
             if answered.contains(&to) {
                 continue;
             }
             if to != self.me {
-                acts.send.push((to, Message::Ask { duty, epoch, life, ask, holds }));
+                acts.send.push((
+                    to,
+                    Message::Ask {
+                        duty,
+                        epoch,
+                        life,
+                        ask,
+                        holds,
+                    },
+                ));
                 continue;
             }
-            let fence = Fence { epoch, holder: self.me, life };
+            let fence = Fence {
+                epoch,
+                holder: self.me,
+                life,
+            };
             match self.answer(now, duty, fence, ask, holds) {
                 Some(Message::Grant { .. }) => self.granted(now, duty, epoch, ask, to, acts),
                 Some(Message::Deny { epoch, wait, .. }) => {
@@ -591,8 +745,18 @@
             Duty::List(z) => i64::from(*z),
             Duty::Warden(b) => 256 + i64::from(*b),
         };
-        let fence = |f: &Fence| [i64::from(f.epoch), i64::from(f.holder.0), i64::from(f.life.0)];
-        let mut all = vec![at(self.silent_until).max(0), at(self.last), i64::from(self.asks)];
+        let fence = |f: &Fence| {
+            [
+                i64::from(f.epoch),
+                i64::from(f.holder.0),
+                i64::from(f.life.0),
+            ]
+        };
+        let mut all = vec![
+            at(self.silent_until).max(0),
+            at(self.last),
+            i64::from(self.asks),
+        ];
         for (d, p) in &self.promises {
             all.extend([-1, duty(d), at(p.until)]);
             all.extend(fence(&p.fence));
