--- a/crates/woadreach-proxy/tests/requests.rs
+++ b/crates/woadreach-proxy/tests/requests.rs
@@ -38,17 +38,33 @@
                        Timeout-Ms: 1000\r\nX-Own: kept\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: trailers\r\n\
                        Content-Length: 5\r\n\r\nhello";
         let (seen, replica) = through(request, |request| vec![success(request, "world")]).await;
-        assert_eq!((seen.status(), seen.text().as_str(), seen.whole), (200, "world", true));
+        assert_eq!(
+            (seen.status(), seen.text().as_str(), seen.whole),
+            (200, "world", true)
+        );
         assert_eq!(seen.header("response-signature"), Some("stamp"));
         assert_eq!(seen.header("request-id"), Some("r1"));
         let received = &replica.received()[0];
-        assert!(received.head.starts_with("POST /unsafe/a%20b/c?x=1&y=%2F HTTP/1.1"), "{}", received.head);
+        assert!(
+            received
+                .head
+                .starts_with("POST /unsafe/a%20b/c?x=1&y=%2F HTTP/1.1"),
+            "{}",
+            received.head
+        );
         assert_eq!(received.body, b"hello");
         assert_eq!(received.header("host"), Some("tier.example"));
         assert_eq!(received.header("expect-instance"), Some("i-1"));
         assert_eq!(received.header("x-own"), Some("kept"));
-        assert_eq!((received.header("x-hop"), received.header("te")), (None, None));
-        let left: u64 = received.header("timeout-ms").expect("time left").parse().expect("a number");
+        assert_eq!(
+            (received.header("x-hop"), received.header("te")),
+            (None, None)
+        );
+        let left: u64 = received
+            .header("timeout-ms")
+            .expect("time left")
+            .parse()
+            .expect("a number");
         assert!((1..=1000).contains(&left), "{left}");
     });
 }
@@ -99,7 +115,8 @@
 #[test]
 fn an_unsafe_request_goes_elsewhere_after_a_promise() {
     on_one_thread(async {
-        let script = |_: usize, request: &support::replica::Received| match request.header("expect-instance")
+        let script = |_: usize, request: &support::replica::Received| match request
+            .header("expect-instance")
         {
             Some("i-1") => vec![not_executed(request)],
             _ => vec![success(request, "ran")],
@@ -118,9 +135,13 @@
 #[test]
 fn a_safe_request_is_repeated_after_any_failure() {
     on_one_thread(async {
-        let script = |_: usize, request: &support::replica::Received| match request.header("expect-instance")
+        let script = |_: usize, request: &support::replica::Received| match request
+            .header("expect-instance")
         {
-            Some("i-1") => vec![Step::Write(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()), Step::Close],
+            Some("i-1") => vec![
+                Step::Write(b"HTTP/1.1 200 OK\r\nContent-Le".to_vec()),
+                Step::Close,
+            ],
             _ => vec![success(request, "ran")],
         };
         let first = Replica::start(script).await;
@@ -137,18 +158,26 @@
     on_one_thread(async {
         let answers: [(&str, &str); 5] = [
             ("Request-Id: r1\r\nContent-Length: 2\r\n", "ok"),
-            ("Request-Id: r2\r\nResponse-Signature: s\r\nContent-Length: 2\r\n", "ok"),
+            (
+                "Request-Id: r2\r\nResponse-Signature: s\r\nContent-Length: 2\r\n",
+                "ok",
+            ),
             ("Response-Signature: s\r\nContent-Length: 2\r\n", "ok"),
             (
                 "Request-Id: r1\r\nResponse-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n",
                 "ok",
             ),
-            ("Request-Id: r1\r\nResponse-Signature: s\r\nContent-Length: 9\r\n", "ok"),
+            (
+                "Request-Id: r1\r\nResponse-Signature: s\r\nContent-Length: 9\r\n",
+                "ok",
+            ),
         ];
         for (lines, body) in answers {
             let bytes = format!("HTTP/1.1 200 OK\r\n{lines}\r\n{body}").into_bytes();
-            let (seen, replica) =
-                through(&post("/unsafe/", "x"), move |_| vec![Step::Write(bytes.clone()), Step::Close]).await;
+            let (seen, replica) = through(&post("/unsafe/", "x"), move |_| {
+                vec![Step::Write(bytes.clone()), Step::Close]
+            })
+            .await;
             assert_eq!(seen.status(), 502, "{lines}");
             assert_eq!(seen.header("response-signature"), None);
             assert_eq!(replica.received().len(), 1);
@@ -159,7 +188,11 @@
 #[test]
 fn a_replicas_own_failure_is_passed_on_with_its_stamp() {
     on_one_thread(async {
-        for status in ["500 Internal Server Error", "404 Not Found", "504 Gateway Timeout"] {
+        for status in [
+            "500 Internal Server Error",
+            "404 Not Found",
+            "504 Gateway Timeout",
+        ] {
             let lines = ["Response-Signature: s", "Content-Length: 3"];
             let (seen, _) = through(&post("/unsafe/", "x"), move |request| {
                 let mut bytes = head(request, status, &lines);
@@ -168,7 +201,10 @@
             })
             .await;
             assert!(status.starts_with(&seen.status().to_string()), "{status}");
-            assert_eq!((seen.header("response-signature"), seen.text().as_str()), (Some("s"), "bad"));
+            assert_eq!(
+                (seen.header("response-signature"), seen.text().as_str()),
+                (Some("s"), "bad")
+            );
         }
     });
 }
@@ -178,10 +214,15 @@
     on_one_thread(async {
         for status in ["503 Busy", "429 Too Many Requests", "408 Request Timeout"] {
             let lines = ["Response-Signature: s", "Content-Length: 0"];
-            let answer =
-                move |request: &support::replica::Received| vec![Step::Write(head(request, status, &lines))];
+            let answer = move |request: &support::replica::Received| {
+                vec![Step::Write(head(request, status, &lines))]
+            };
             let (seen, _) = through(&post("/unsafe/", "x"), answer).await;
-            assert_eq!((seen.status(), seen.header("response-signature")), (502, None), "{status}");
+            assert_eq!(
+                (seen.status(), seen.header("response-signature")),
+                (502, None),
+                "{status}"
+            );
         }
     });
 }
@@ -197,7 +238,10 @@
         let tier = Tier::start(&[("i-1", &replica)]).await;
         for number in 0..4 {
             let seen = ask(tier.front, &get("/safe/")).await;
-            assert!(seen.status() == 502 || seen.text() == format!("answer {number}"), "{seen:?}");
+            assert!(
+                seen.status() == 502 || seen.text() == format!("answer {number}"),
+                "{seen:?}"
+            );
         }
     });
 }
@@ -220,7 +264,11 @@
 fn a_connection_that_the_replica_closes_is_not_used_again() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
-            let lines = ["Response-Signature: s", "Content-Length: 0", "Connection: close"];
+            let lines = [
+                "Response-Signature: s",
+                "Content-Length: 0",
+                "Connection: close",
+            ];
             vec![Step::Write(head(request, "200 OK", &lines))]
         })
         .await;
@@ -286,7 +334,11 @@
         let tier = Tier::start(&[]).await;
         let seen = ask(tier.front, &post("/unsafe/", "x")).await;
         assert_eq!(seen.status(), 503);
-        let advice: f64 = seen.header("retry-after").expect("advice").parse().expect("seconds");
+        let advice: f64 = seen
+            .header("retry-after")
+            .expect("advice")
+            .parse()
+            .expect("seconds");
         assert!(advice > 0.0);
     });
 }
@@ -297,21 +349,43 @@
         let (big_body, big_header) = ("x".repeat(65537), "x".repeat(9000));
         let cases = [
             (get("/elsewhere/"), 404, ""),
-            ("GET /safe/ HTTP/1.1\r\nRequest-Id: r1\r\n\r\n".to_owned(), 400, "Host"),
-            ("GET /safe/ HTTP/1.1\r\nHost: tier.example\r\n\r\n".to_owned(), 400, "Request-Id"),
-            (get("/safe/").replace("r1", "r1\r\nTimeout-Ms: soon"), 400, "Timeout-Ms"),
+            (
+                "GET /safe/ HTTP/1.1\r\nRequest-Id: r1\r\n\r\n".to_owned(),
+                400,
+                "Host",
+            ),
+            (
+                "GET /safe/ HTTP/1.1\r\nHost: tier.example\r\n\r\n".to_owned(),
+                400,
+                "Request-Id",
+            ),
+            (
+                get("/safe/").replace("r1", "r1\r\nTimeout-Ms: soon"),
+                400,
+                "Timeout-Ms",
+            ),
             (post("/unsafe/", &big_body), 413, ""),
-            (get("/safe/").replace("r1", &format!("r1\r\nX-Big: {big_header}")), 431, ""),
+            (
+                get("/safe/").replace("r1", &format!("r1\r\nX-Big: {big_header}")),
+                431,
+                "",
+            ),
             ("GET /safe/\r\n\r\n".to_owned(), 400, ""),
             (
-                post("/unsafe/", "").replace("Content-Length: 0", "Transfer-Encoding: chunked") + "zz\r\n",
+                post("/unsafe/", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                    + "zz\r\n",
                 400,
                 "",
             ),
         ];
         for (request, status, named) in cases {
             let (seen, replica) = through(&request, |request| vec![success(request, "ok")]).await;
-            assert_eq!(seen.status(), status, "{}", &request[..request.len().min(120)]);
+            assert_eq!(
+                seen.status(),
+                status,
+                "{}",
+                &request[..request.len().min(120)]
+            );
             assert!(seen.text().contains(named), "{}", seen.text());
             assert!(replica.received().is_empty());
         }
@@ -330,7 +404,10 @@
         let mut client = Client::connect(tier.front).await;
         client.send(get("/safe/").as_bytes()).await;
         let seen = client.answer().await;
-        assert_eq!((seen.status(), seen.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (seen.status(), seen.header("connection")),
+            (200, Some("close"))
+        );
         assert!(client.is_closed().await);
         support::wait_for("the end", close_connections(&tier.proxy, &tier.connections)).await;
         assert!(idle.is_closed().await);
@@ -354,12 +431,17 @@
         let (proxy, connections) = (tier.proxy.clone(), tier.connections.clone());
         let closing = tokio::spawn(async move { close_connections(&proxy, &connections).await });
         for _ in 0..3 {
-            assert_eq!(ask(tier.front, &post("/unsafe/", "x")).await.text(), "later");
+            assert_eq!(
+                ask(tier.front, &post("/unsafe/", "x")).await.text(),
+                "later"
+            );
             assert!(!closing.is_finished(), "a request is in hand");
         }
         go_on.notify_one();
         assert_eq!(first.answer().await.text(), "first");
-        support::wait_for("the end", closing).await.expect("no panic");
+        support::wait_for("the end", closing)
+            .await
+            .expect("no panic");
     });
 }
 
@@ -370,7 +452,9 @@
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let mut client = Client::connect(tier.front).await;
         // The head has begun to arrive: the connection is not idle any more.
-        client.send(b"GET /safe/ HTTP/1.1\r\nHost: tier.example\r\n").await;
+        client
+            .send(b"GET /safe/ HTTP/1.1\r\nHost: tier.example\r\n")
+            .await;
         while tier.connections.open_connections() == 0 || !tier.connections.is_reading() {
             tokio::task::yield_now().await;
         }
@@ -379,6 +463,8 @@
         tokio::task::yield_now().await;
         client.send(b"Request-Id: r1\r\n\r\n").await;
         assert_eq!(client.answer().await.status(), 200);
-        support::wait_for("the end", closing).await.expect("no panic");
+        support::wait_for("the end", closing)
+            .await
+            .expect("no panic");
     });
 }
--- a/crates/woadreach-proxy/tests/resumption.rs
+++ b/crates/woadreach-proxy/tests/resumption.rs
@@ -8,7 +8,11 @@
 use support::tier::Tier;
 use support::{Client, Seen, ask, on_one_thread};
 
-const EVENTS: [&str; 3] = ["id: 1\ndata: one\n\n", "id: 2\ndata: two\n\n", "id: 3\ndata: three\n\n"];
+const EVENTS: [&str; 3] = [
+    "id: 1\ndata: one\n\n",
+    "id: 2\ndata: two\n\n",
+    "id: 3\ndata: three\n\n",
+];
 
 fn post(path: &str, headers: &str) -> String {
     format!(
@@ -35,7 +39,10 @@
         0 => first(request),
         _ => second(request),
     };
-    let (one, two) = (Replica::start(script.clone()).await, Replica::start(script).await);
+    let (one, two) = (
+        Replica::start(script.clone()).await,
+        Replica::start(script).await,
+    );
     let tier = Tier::start(&[("i-1", &one), ("i-2", &two)]).await;
     let seen = ask(tier.front, request).await;
     let mut received = one.received();
@@ -45,9 +52,15 @@
 }
 
 fn whole_as_second(request: &Received) -> Vec<Step> {
-    let last: usize = request.header("last-event-id").map_or(0, |text| text.parse().expect("a number"));
+    let last: usize = request
+        .header("last-event-id")
+        .map_or(0, |text| text.parse().expect("a number"));
     let lines = ["Versions: 4", "Transfer-Encoding: chunked"];
-    vec![stream_head(request, "second", &lines), chunk(EVENTS[last..].concat().as_bytes()), stream_end()]
+    vec![
+        stream_head(request, "second", &lines),
+        chunk(EVENTS[last..].concat().as_bytes()),
+        stream_end(),
+    ]
 }
 
 #[test]
@@ -56,10 +69,18 @@
         let first = |request: &Received| {
             let lines = ["Versions: 3", "Transfer-Encoding: chunked"];
             let body = EVENTS[0].to_owned() + "id: 2\nda";
-            vec![stream_head(request, "first", &lines), chunk(body.as_bytes()), Step::Reset]
+            vec![
+                stream_head(request, "first", &lines),
+                chunk(body.as_bytes()),
+                Step::Reset,
+            ]
         };
-        let (seen, received) = one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
-        assert_eq!((seen.status(), seen.text(), seen.whole), (200, EVENTS.concat(), true));
+        let (seen, received) =
+            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
+        assert_eq!(
+            (seen.status(), seen.text(), seen.whole),
+            (200, EVENTS.concat(), true)
+        );
         assert_eq!(seen.header("response-signature"), Some("first"));
         assert_eq!(seen.header("versions"), Some("3"));
         assert_eq!(received[1].header("last-event-id"), Some("1"));
@@ -72,9 +93,14 @@
     on_one_thread(async {
         let first = |request: &Received| {
             let lines = ["Versions: 3", "Transfer-Encoding: chunked"];
-            vec![stream_head(request, "first", &lines), chunk(b"id: 1\nda"), Step::Close]
+            vec![
+                stream_head(request, "first", &lines),
+                chunk(b"id: 1\nda"),
+                Step::Close,
+            ]
         };
-        let (seen, received) = one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
+        let (seen, received) =
+            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
         assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
         assert_eq!(seen.header("response-signature"), Some("second"));
         assert_eq!(seen.header("versions"), Some("4"));
@@ -86,12 +112,20 @@
 fn the_clients_own_place_holds_where_nothing_was_passed_on() {
     on_one_thread(async {
         let first = |request: &Received| {
-            vec![stream_head(request, "first", &["Transfer-Encoding: chunked"]), chunk(b": x\n"), Step::Reset]
+            vec![
+                stream_head(request, "first", &["Transfer-Encoding: chunked"]),
+                chunk(b": x\n"),
+                Step::Reset,
+            ]
         };
         let request = post("/resumable/", "Last-Event-Id: 1\r\n");
         let (seen, received) = one_after_the_other(&request, first, whole_as_second).await;
         assert_eq!((seen.text(), seen.whole), (EVENTS[1..].concat(), true));
-        assert!(received.iter().all(|request| request.header("last-event-id") == Some("1")));
+        assert!(
+            received
+                .iter()
+                .all(|request| request.header("last-event-id") == Some("1"))
+        );
     });
 }
 
@@ -113,7 +147,11 @@
     on_one_thread(async {
         for path in ["/unsafe/", "/once/", "/kept/"] {
             let seen = without_length(path, EVENTS[0], Step::Close).await;
-            assert_eq!((seen.status(), seen.text().as_str()), (200, EVENTS[0]), "{path}");
+            assert_eq!(
+                (seen.status(), seen.text().as_str()),
+                (200, EVENTS[0]),
+                "{path}"
+            );
             // A kept turn is never whole here, as there is no storage machine.
             assert_eq!(seen.whole, path != "/kept/", "{path}");
         }
@@ -124,7 +162,10 @@
 fn an_answer_without_length_that_is_reset_never_looks_whole() {
     on_one_thread(async {
         let seen = without_length("/unsafe/", "a part", Step::Reset).await;
-        assert_eq!((seen.status(), seen.header("response-signature")), (502, None));
+        assert_eq!(
+            (seen.status(), seen.header("response-signature")),
+            (502, None)
+        );
         let seen = without_length("/once/", EVENTS[0], Step::Reset).await;
         assert!(!seen.whole || seen.status() == 502, "{seen:?}");
     });
@@ -134,7 +175,10 @@
 fn a_stream_without_length_that_ends_in_the_middle_of_an_event_is_not_whole() {
     on_one_thread(async {
         let seen = without_length("/once/", "id: 1\ndata: one\n\nid: 2\nda", Step::Close).await;
-        assert_eq!((seen.status(), seen.text().as_str(), seen.whole), (200, EVENTS[0], false));
+        assert_eq!(
+            (seen.status(), seen.text().as_str(), seen.whole),
+            (200, EVENTS[0], false)
+        );
     });
 }
 
@@ -143,9 +187,14 @@
     on_one_thread(async {
         let first = |request: &Received| {
             let body = EVENTS[0].to_owned() + "id: 2\ndata: tw";
-            vec![stream_head(request, "first", &[]), Step::Write(body.into_bytes()), Step::Close]
+            vec![
+                stream_head(request, "first", &[]),
+                Step::Write(body.into_bytes()),
+                Step::Close,
+            ]
         };
-        let (seen, received) = one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
+        let (seen, received) =
+            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
         assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
         assert_eq!(received[1].header("last-event-id"), Some("1"));
     });
@@ -155,7 +204,11 @@
 fn a_connection_that_ended_with_its_answer_is_not_used_again() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
-            vec![stream_head(request, "stamp", &[]), Step::Write(b"all".to_vec()), Step::Close]
+            vec![
+                stream_head(request, "stamp", &[]),
+                Step::Write(b"all".to_vec()),
+                Step::Close,
+            ]
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -163,7 +216,10 @@
         for number in 1..=4 {
             client.send(post("/unsafe/", "").as_bytes()).await;
             assert_eq!(client.answer().await.text(), "all");
-            assert_eq!((replica.received().len(), replica.connections()), (number, number));
+            assert_eq!(
+                (replica.received().len(), replica.connections()),
+                (number, number)
+            );
         }
     });
 }
--- a/crates/woadreach-proxy/tests/signals.rs
+++ b/crates/woadreach-proxy/tests/signals.rs
@@ -21,7 +21,10 @@
 }
 
 fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 fn settings(front: SocketAddr, ready: SocketAddr) -> String {
@@ -61,24 +64,43 @@
             .spawn()
             .unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
-        Process { child, log, folder, front, ready }
+        Process {
+            child,
+            log,
+            folder,
+            front,
+            ready,
+        }
     }
 
     fn wait_for_log(&mut self, text: &str) {
-        assert!(self.log.any(|line| line.unwrap().contains(text)), "the log ended without {text:?}");
+        assert!(
+            self.log.any(|line| line.unwrap().contains(text)),
+            "the log ended without {text:?}"
+        );
     }
 
     fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Statuses of a request at the front and of `/readyz`.
     fn statuses(&self) -> (u16, u16) {
-        let request = "GET /any/ HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nConnection: close\r\n\r\n";
+        let request =
+            "GET /any/ HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nConnection: close\r\n\r\n";
         let readyz = "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         on_one_thread(async {
-            (ask(self.front, request).await.status(), ask(self.ready, readyz).await.status())
+            (
+                ask(self.front, request).await.status(),
+                ask(self.ready, readyz).await.status(),
+            )
         })
     }
 }
@@ -111,7 +133,11 @@
     let signalled = Instant::now();
     process.signal("-TERM");
     process.wait_for_log("leaving");
-    assert_eq!(process.statuses(), (503, 503), "what comes late is still answered");
+    assert_eq!(
+        process.statuses(),
+        (503, 503),
+        "what comes late is still answered"
+    );
     process.wait_for_log("stopped");
     let status = process.child.wait().unwrap();
     assert!(status.success(), "{status}");
--- a/crates/woadreach-proxy/tests/streams.rs
+++ b/crates/woadreach-proxy/tests/streams.rs
@@ -24,7 +24,9 @@
 
 /// The events behind the one that the request has.
 fn events_after(request: &Received) -> Vec<u8> {
-    let last: usize = request.header("last-event-id").map_or(0, |text| text.parse().expect("a number"));
+    let last: usize = request
+        .header("last-event-id")
+        .map_or(0, |text| text.parse().expect("a number"));
     EVENTS[last..].concat().into_bytes()
 }
 
@@ -36,7 +38,11 @@
     let script = move |_: usize, request: &Received| {
         let body = events_after(request);
         if asked.fetch_add(1, Ordering::Relaxed) == 0 {
-            vec![stream_head(request), chunk(&body[..length.min(body.len())]), Step::Close]
+            vec![
+                stream_head(request),
+                chunk(&body[..length.min(body.len())]),
+                Step::Close,
+            ]
         } else {
             vec![stream_head(request), chunk(&body), stream_end()]
         }
@@ -64,9 +70,15 @@
             );
             assert_eq!(seen.header("response-signature"), Some("stamp"));
             assert_eq!(received.len(), 2, "cut at {length}");
-            let passed = (1..=EVENTS.len()).filter(|count| EVENTS[..*count].concat().len() <= length).count();
+            let passed = (1..=EVENTS.len())
+                .filter(|count| EVENTS[..*count].concat().len() <= length)
+                .count();
             let expected = (passed > 0).then(|| passed.to_string());
-            assert_eq!(received[1].header("last-event-id"), expected.as_deref(), "cut at {length}");
+            assert_eq!(
+                received[1].header("last-event-id"),
+                expected.as_deref(),
+                "cut at {length}"
+            );
             assert_eq!(received[1].body, b"hi");
         });
     }
@@ -80,9 +92,18 @@
             let (seen, received) = cut_after("/once/", length).await;
             assert_eq!(received.len(), 1);
             assert!(!seen.whole || seen.status() == 502, "cut at {length}");
-            let text = if seen.status() == 200 { seen.text() } else { String::new() };
-            let ends: Vec<usize> = (0..=EVENTS.len()).map(|count| EVENTS[..count].concat().len()).collect();
-            assert!(whole.starts_with(&text) && ends.contains(&text.len()), "cut at {length}: {text:?}");
+            let text = if seen.status() == 200 {
+                seen.text()
+            } else {
+                String::new()
+            };
+            let ends: Vec<usize> = (0..=EVENTS.len())
+                .map(|count| EVENTS[..count].concat().len())
+                .collect();
+            assert!(
+                whole.starts_with(&text) && ends.contains(&text.len()),
+                "cut at {length}: {text:?}"
+            );
         });
     }
 }
@@ -90,9 +111,14 @@
 #[test]
 fn events_are_passed_on_before_the_stream_ends() {
     on_one_thread(async {
-        let replica =
-            Replica::start(|_, request| vec![stream_head(request), chunk(EVENTS[0].as_bytes()), Step::Hang])
-                .await;
+        let replica = Replica::start(|_, request| {
+            vec![
+                stream_head(request),
+                chunk(EVENTS[0].as_bytes()),
+                Step::Hang,
+            ]
+        })
+        .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let mut client = Client::connect(tier.front).await;
         client.send(post("/once/").as_bytes()).await;
@@ -107,17 +133,25 @@
     on_one_thread(async {
         // This replica begins at the start whatever it is asked: that is its whole answer.
         let replica = Replica::start(|_, request| {
-            vec![stream_head(request), chunk(EVENTS.concat().as_bytes()), stream_end()]
+            vec![
+                stream_head(request),
+                chunk(EVENTS.concat().as_bytes()),
+                stream_end(),
+            ]
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         for place in ["2", "999999"] {
-            let request = post("/resumable/").replace("r1", &format!("r1\r\nLast-Event-Id: {place}"));
+            let request =
+                post("/resumable/").replace("r1", &format!("r1\r\nLast-Event-Id: {place}"));
             let seen = ask(tier.front, &request).await;
             assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
         }
         assert_eq!(replica.received()[0].header("last-event-id"), Some("2"));
-        assert_eq!(replica.received()[1].header("last-event-id"), Some("999999"));
+        assert_eq!(
+            replica.received()[1].header("last-event-id"),
+            Some("999999")
+        );
     });
 }
 
@@ -127,7 +161,11 @@
         let asked = Arc::new(AtomicUsize::new(0));
         let script = move |_: usize, request: &Received| {
             let first = asked.fetch_add(1, Ordering::Relaxed) == 0;
-            let body = if first { EVENTS[..2].concat() } else { EVENTS.concat() };
+            let body = if first {
+                EVENTS[..2].concat()
+            } else {
+                EVENTS.concat()
+            };
             let last = if first { Step::Close } else { stream_end() };
             vec![stream_head(request), chunk(body.as_bytes()), last]
         };
@@ -143,7 +181,11 @@
 fn a_stream_without_ids_is_cut_rather_than_joined() {
     on_one_thread(async {
         let script = |_: usize, request: &Received| {
-            vec![stream_head(request), chunk(b"data: one\n\ndata: tw"), Step::Close]
+            vec![
+                stream_head(request),
+                chunk(b"data: one\n\ndata: tw"),
+                Step::Close,
+            ]
         };
         let first = Replica::start(script).await;
         let second = Replica::start(script).await;
@@ -157,11 +199,20 @@
 #[test]
 fn a_streams_deadline_cuts_it() {
     on_one_thread(async {
-        let replica =
-            Replica::start(|_, request| vec![stream_head(request), chunk(EVENTS[0].as_bytes()), Step::Hang])
-                .await;
+        let replica = Replica::start(|_, request| {
+            vec![
+                stream_head(request),
+                chunk(EVENTS[0].as_bytes()),
+                Step::Hang,
+            ]
+        })
+        .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let seen = ask(tier.front, &post("/once/").replace("r1", "r1\r\nTimeout-Ms: 100")).await;
+        let seen = ask(
+            tier.front,
+            &post("/once/").replace("r1", "r1\r\nTimeout-Ms: 100"),
+        )
+        .await;
         assert_eq!((seen.text().as_str(), seen.whole), (EVENTS[0], false));
     });
 }
@@ -172,7 +223,10 @@
         let replica = Replica::start(|_, request| vec![success(request, EVENTS[0])]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let seen = ask(tier.front, &post("/once/")).await;
-        assert_eq!((seen.status(), seen.text().as_str(), seen.whole), (200, EVENTS[0], true));
+        assert_eq!(
+            (seen.status(), seen.text().as_str(), seen.whole),
+            (200, EVENTS[0], true)
+        );
     });
 }
 
@@ -180,7 +234,11 @@
 fn a_kept_turn_without_storage_never_looks_whole() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
-            vec![stream_head(request), chunk(EVENTS.concat().as_bytes()), stream_end()]
+            vec![
+                stream_head(request),
+                chunk(EVENTS.concat().as_bytes()),
+                stream_end(),
+            ]
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -196,13 +254,20 @@
         Step::Write(head(
             request,
             "200 OK",
-            &["Response-Signature: stamp", "Content-Type: text/event-stream"],
+            &[
+                "Response-Signature: stamp",
+                "Content-Type: text/event-stream",
+            ],
         ))
     };
     let script = move |number: usize, request: &Received| {
         let whole = EVENTS.concat();
         let end = if number == 0 { length } else { whole.len() };
-        vec![begin(request), Step::Write(whole.as_bytes()[..end].to_vec()), Step::Close]
+        vec![
+            begin(request),
+            Step::Write(whole.as_bytes()[..end].to_vec()),
+            Step::Close,
+        ]
     };
     let replica = Replica::start(script).await;
     let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -212,14 +277,23 @@
 #[test]
 fn a_stream_without_length_is_not_whole_when_it_ends_inside_an_event() {
     let whole = EVENTS.concat();
-    let ends: Vec<usize> = (0..=EVENTS.len()).map(|count| EVENTS[..count].concat().len()).collect();
+    let ends: Vec<usize> = (0..=EVENTS.len())
+        .map(|count| EVENTS[..count].concat().len())
+        .collect();
     for length in 0..=whole.len() {
         on_one_thread(async {
             let (seen, requests) = ended_in_order_after("/once/", length).await;
             assert_eq!(requests, 1);
             let looks_whole = seen.whole && seen.status() == 200;
-            assert_eq!(looks_whole, ends.contains(&length), "ended at {length}: {seen:?}");
-            assert!(seen.status() != 200 || whole.starts_with(&seen.text()), "ended at {length}");
+            assert_eq!(
+                looks_whole,
+                ends.contains(&length),
+                "ended at {length}: {seen:?}"
+            );
+            assert!(
+                seen.status() != 200 || whole.starts_with(&seen.text()),
+                "ended at {length}"
+            );
         });
     }
 }
@@ -229,14 +303,24 @@
     on_one_thread(async {
         let replica = Replica::start(|_, request| match request.head.contains("/safe/") {
             true => vec![success(request, "ok")],
-            false => vec![stream_head(request), chunk(EVENTS[0].as_bytes()), Step::Close],
+            false => vec![
+                stream_head(request),
+                chunk(EVENTS[0].as_bytes()),
+                Step::Close,
+            ],
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let seen = ask(tier.front, &post("/once/").replace("HTTP/1.1", "HTTP/1.0")).await;
-        assert_eq!((seen.status(), seen.header("response-signature")), (505, None));
+        assert_eq!(
+            (seen.status(), seen.header("response-signature")),
+            (505, None)
+        );
         assert!(replica.received().is_empty());
         let seen = ask(tier.front, &post("/safe/").replace("HTTP/1.1", "HTTP/1.0")).await;
-        assert_eq!((seen.status(), seen.text().as_str(), seen.whole), (200, "ok", true));
+        assert_eq!(
+            (seen.status(), seen.text().as_str(), seen.whole),
+            (200, "ok", true)
+        );
     });
 }
--- a/crates/woadreach-proxy/tests/support/mod.rs
+++ b/crates/woadreach-proxy/tests/support/mod.rs
@@ -24,7 +24,11 @@
 
 /// Runs a test on one thread, as the program runs.
 pub fn on_one_thread<F: Future>(test: F) -> F::Output {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test)
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime")
+        .block_on(test)
 }
 
 /// What a client saw.
@@ -41,7 +45,11 @@
 impl Seen {
     /// The status.
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0)
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0)
     }
 
     /// The body as text.
@@ -65,8 +73,13 @@
 impl Client {
     /// Connects.
     pub async fn connect(address: std::net::SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).await.expect("the front accepts");
-        Client { stream, unread: Vec::new() }
+        let stream = TcpStream::connect(address)
+            .await
+            .expect("the front accepts");
+        Client {
+            stream,
+            unread: Vec::new(),
+        }
     }
 
     /// Sends bytes as they are.
@@ -81,7 +94,10 @@
 
     /// Whether the connection ends without another byte.
     pub async fn is_closed(&mut self) -> bool {
-        wait_for("the end of the connection", async { self.unread.is_empty() && !self.more().await }).await
+        wait_for("the end of the connection", async {
+            self.unread.is_empty() && !self.more().await
+        })
+        .await
     }
 
     /// Waits until the bytes read so far hold `text`.
@@ -112,17 +128,30 @@
                 None if self.more().await => {}
                 None => {
                     let head = String::from_utf8_lossy(&self.unread).into_owned();
-                    return Seen { head, body: Vec::new(), whole: false };
+                    return Seen {
+                        head,
+                        body: Vec::new(),
+                        whole: false,
+                    };
                 }
             }
         };
         let head: Vec<u8> = self.unread.drain(..head_end).collect();
-        let head = String::from_utf8_lossy(&head).to_ascii_lowercase().replace("\r\n", "\n");
-        let mut seen = Seen { head, body: Vec::new(), whole: false };
+        let head = String::from_utf8_lossy(&head)
+            .to_ascii_lowercase()
+            .replace("\r\n", "\n");
+        let mut seen = Seen {
+            head,
+            body: Vec::new(),
+            whole: false,
+        };
         if seen.header("transfer-encoding").is_some() {
             self.read_chunks(&mut seen).await;
         } else {
-            let length = seen.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+            let length = seen
+                .header("content-length")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0);
             while self.unread.len() < length && self.more().await {}
             let here = length.min(self.unread.len());
             seen.body = self.unread.drain(..here).collect();
@@ -133,8 +162,12 @@
 
     async fn read_chunks(&mut self, seen: &mut Seen) {
         loop {
-            let Some(line) = self.line().await else { return };
-            let Ok(size) = usize::from_str_radix(line.trim(), 16) else { return };
+            let Some(line) = self.line().await else {
+                return;
+            };
+            let Ok(size) = usize::from_str_radix(line.trim(), 16) else {
+                return;
+            };
             while self.unread.len() < size + 2 {
                 if !self.more().await {
                     let here = size.min(self.unread.len());
--- a/crates/woadreach-proxy/tests/support/replica.rs
+++ b/crates/woadreach-proxy/tests/support/replica.rs
@@ -22,7 +22,9 @@
 impl Received {
     /// Value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
+        self.head
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
@@ -57,7 +59,9 @@
 
 impl Replica {
     /// Starts a replica; `script` gets the number of the request (from 0) and the request.
-    pub async fn start(script: impl Fn(usize, &Received) -> Vec<Step> + Send + Sync + 'static) -> Self {
+    pub async fn start(
+        script: impl Fn(usize, &Received) -> Vec<Step> + Send + Sync + 'static,
+    ) -> Self {
         Self::start_by_connection(move |_, number, request| script(number, request)).await
     }
 
@@ -114,15 +118,23 @@
     /// Waits until so many requests have come.
     pub async fn wait_for_requests(&self, wanted: usize) {
         let mut count = self.count.subscribe();
-        super::wait_for("requests at a replica", count.wait_for(|count| *count >= wanted))
-            .await
-            .expect("open");
+        super::wait_for(
+            "requests at a replica",
+            count.wait_for(|count| *count >= wanted),
+        )
+        .await
+        .expect("open");
     }
 
     /// Waits until so many connections have ended.
     pub async fn wait_for_closed(&self, wanted: usize) {
         let mut closed = self.closed.subscribe();
-        super::wait_for("closed connections", closed.wait_for(|count| *count >= wanted)).await.expect("open");
+        super::wait_for(
+            "closed connections",
+            closed.wait_for(|count| *count >= wanted),
+        )
+        .await
+        .expect("open");
     }
 
     async fn serve(&self, connection: usize, mut stream: TcpStream, script: &Script) {
@@ -163,12 +175,20 @@
     loop {
         if let Some(end) = find(unread, b"\r\n\r\n") {
             let head = lower_names(&String::from_utf8_lossy(&unread[..end + 4]));
-            let request = Received { head, body: Vec::new() };
-            let length: usize =
-                request.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+            let request = Received {
+                head,
+                body: Vec::new(),
+            };
+            let length: usize = request
+                .header("content-length")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0);
             if unread.len() >= end + 4 + length {
                 let bytes: Vec<u8> = unread.drain(..end + 4 + length).collect();
-                return Some(Received { body: bytes[end + 4..].to_vec(), ..request });
+                return Some(Received {
+                    body: bytes[end + 4..].to_vec(),
+                    ..request
+                });
             }
         }
         match stream.read(&mut buffer).await {
@@ -208,13 +228,20 @@
 
 /// A promise that the request has not run.
 pub fn not_executed(request: &Received) -> Step {
-    Step::Write(head(request, "503 Service Unavailable", &["Not-Executed: 1", "Content-Length: 0"]))
+    Step::Write(head(
+        request,
+        "503 Service Unavailable",
+        &["Not-Executed: 1", "Content-Length: 0"],
+    ))
 }
 
 /// The head of a stream.
 pub fn stream_head(request: &Received) -> Step {
-    let lines =
-        ["Response-Signature: stamp", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"];
+    let lines = [
+        "Response-Signature: stamp",
+        "Content-Type: text/event-stream",
+        "Transfer-Encoding: chunked",
+    ];
     Step::Write(head(request, "200 OK", &lines))
 }
 
--- a/crates/woadreach-proxy/tests/support/storage.rs
+++ b/crates/woadreach-proxy/tests/support/storage.rs
@@ -46,30 +46,49 @@
             disk_bytes: 50 << 20,
         };
         let rpc = Client::new(ClientOptions::default());
-        let server = Server::open(folder.path(), rpc, options).await.expect("a disk");
+        let server = Server::open(folder.path(), rpc, options)
+            .await
+            .expect("a disk");
         let mut member = server.announcement().member;
         let router = server.routes(Router::new());
         tokio::spawn(async move { tokio::join!(serve(listener, router), server.run()) });
         let (address, swallowed, answered) = relay(member.address, Arc::new(swallows)).await;
         member.address = address;
-        let view = StorageView { epoch: 1, current: vec![member], ..StorageView::default() };
-        let known = ControlSnapshot { storage_view: Some(Arc::new(view)), ..snapshot(replicas) };
+        let view = StorageView {
+            epoch: 1,
+            current: vec![member],
+            ..StorageView::default()
+        };
+        let known = ControlSnapshot {
+            storage_view: Some(Arc::new(view)),
+            ..snapshot(replicas)
+        };
         tier.proxy.learn(&known);
-        Storage { _folder: folder, swallowed, answered }
+        Storage {
+            _folder: folder,
+            swallowed,
+            answered,
+        }
     }
 
     /// Waits until so many requests have been swallowed.
     pub async fn wait_for_swallowed(&mut self, wanted: usize) {
-        super::wait_for("swallowed requests", self.swallowed.wait_for(|count| *count >= wanted))
-            .await
-            .expect("the relay runs");
+        super::wait_for(
+            "swallowed requests",
+            self.swallowed.wait_for(|count| *count >= wanted),
+        )
+        .await
+        .expect("the relay runs");
     }
 
     /// Waits until the machine has answered so many requests.
     pub async fn wait_for_answered(&mut self, wanted: usize) {
-        super::wait_for("answered requests", self.answered.wait_for(|count| *count >= wanted))
-            .await
-            .expect("the relay runs");
+        super::wait_for(
+            "answered requests",
+            self.answered.wait_for(|count| *count >= wanted),
+        )
+        .await
+        .expect("the relay runs");
     }
 }
 
@@ -94,7 +113,9 @@
                 count.send_modify(|count| *count += 1);
                 std::future::pending::<()>().await;
             }
-            let answer = client.call(machine, ServiceId::STORAGE, body.to_vec(), RELAY_TIMEOUT).await;
+            let answer = client
+                .call(machine, ServiceId::STORAGE, body.to_vec(), RELAY_TIMEOUT)
+                .await;
             answers.send_modify(|answers| *answers += 1);
             answer.map(|answer| answer.to_vec()).unwrap_or_default()
         }
--- a/crates/woadreach-proxy/tests/support/tier.rs
+++ b/crates/woadreach-proxy/tests/support/tier.rs
@@ -65,13 +65,24 @@
         tokio::spawn(connections.clone().accept(listener));
         let timer = proxy.clone();
         tokio::spawn(async move { timer.dispatcher.run_timer().await });
-        Tier { front, proxy, connections }
+        Tier {
+            front,
+            proxy,
+            connections,
+        }
     }
 }
 
 /// What a process may use, unless a test says otherwise.
 pub fn limits() -> ProcessLimits {
-    ProcessLimits { cpu_share: 1.0, cores: 1.0, memory_mb: 256, max_fds: 4096, link_mbps: 1000.0, disk_mb: 0 }
+    ProcessLimits {
+        cpu_share: 1.0,
+        cores: 1.0,
+        memory_mb: 256,
+        max_fds: 4096,
+        link_mbps: 1000.0,
+        disk_mb: 0,
+    }
 }
 
 /// What the control plane would tell.
@@ -90,10 +101,13 @@
     replicas: impl Iterator<Item = (&'a str, SocketAddr)>,
     configuration: &str,
 ) -> ControlSnapshot {
-    let records: BTreeMap<String, ReplicaRecord> =
-        replicas.map(|(id, address)| (id.to_owned(), record(id, address))).collect();
+    let records: BTreeMap<String, ReplicaRecord> = replicas
+        .map(|(id, address)| (id.to_owned(), record(id, address)))
+        .collect();
     ControlSnapshot {
-        configuration: Some(Arc::new(Configuration::parse(configuration.as_bytes()).expect("valid"))),
+        configuration: Some(Arc::new(
+            Configuration::parse(configuration.as_bytes()).expect("valid"),
+        )),
         replicas: Arc::new(records),
         warmed: true,
         ..ControlSnapshot::default()
--- a/crates/woadreach-proxy/tests/surplus_answers.rs
+++ b/crates/woadreach-proxy/tests/surplus_answers.rs
@@ -44,6 +44,10 @@
     on_one_thread(async {
         let (seen, runs, replica) = ask_with_surplus(REQUEST).await;
         assert_eq!((seen.status(), seen.text().as_str(), runs), (200, "ran", 1));
-        assert_eq!(replica.connections(), 2, "a connection carries a request once");
+        assert_eq!(
+            replica.connections(),
+            2,
+            "a connection carries a request once"
+        );
     });
 }
--- a/crates/woadreach-proxy/tests/weight_versions.rs
+++ b/crates/woadreach-proxy/tests/weight_versions.rs
@@ -16,14 +16,25 @@
 fn another_version_of_the_weights_is_no_sign_of_another_replica() {
     on_one_thread(async {
         let script = |_: usize, request: &Received| match request.header("expect-version") {
-            Some("7") => vec![Step::Write(head(request, "421 Misdirected Request", &["Content-Length: 0"]))],
+            Some("7") => vec![Step::Write(head(
+                request,
+                "421 Misdirected Request",
+                &["Content-Length: 0"],
+            ))],
             _ => vec![success(request, "ran")],
         };
         let replica = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let refused = ask(tier.front, &post("/unsafe/", "Expect-Version: 7\r\n")).await;
-        assert_eq!((refused.status(), refused.header("response-signature")), (503, None));
+        assert_eq!(
+            (refused.status(), refused.header("response-signature")),
+            (503, None)
+        );
         let served = ask(tier.front, &post("/unsafe/", "")).await;
-        assert_eq!((served.status(), served.text().as_str()), (200, "ran"), "the replica is still used");
+        assert_eq!(
+            (served.status(), served.text().as_str()),
+            (200, "ran"),
+            "the replica is still used"
+        );
     });
 }
--- a/crates/woadreach-rpc/src/client.rs
+++ b/crates/woadreach-rpc/src/client.rs
@@ -25,7 +25,9 @@
 
 impl Default for ClientOptions {
     fn default() -> Self {
-        ClientOptions { connect_timeout: Duration::from_millis(500) }
+        ClientOptions {
+            connect_timeout: Duration::from_millis(500),
+        }
     }
 }
 
@@ -85,7 +87,9 @@
             #[cfg(feature = "plants")]
             plant: Mutex::default(),
         };
-        Client { shared: Arc::new(shared) }
+        Client {
+            shared: Arc::new(shared),
+        }
     }
 
     /// Switches a defence off.
@@ -132,8 +136,16 @@
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let received_before = connection.received.load(Ordering::Relaxed);
         let mut call = connection.expect(number)?;
-        let frame = Frame { kind: FrameKind::Request, service, number, body: body.into() };
-        connection.queue.try_send(frame).map_err(|_| CallError::Refused)?;
+        let frame = Frame {
+            kind: FrameKind::Request,
+            service,
+            number,
+            body: body.into(),
+        };
+        connection
+            .queue
+            .try_send(frame)
+            .map_err(|_| CallError::Refused)?;
         match timeout_at(deadline, &mut call.response).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(CallError::Broken),
@@ -149,7 +161,12 @@
     /// Sends a message that has no response, if there is room for it; nothing tells whether it came.
     pub fn send(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
         if body.len() <= LONGEST_BODY {
-            let frame = Frame { kind: FrameKind::OneWay, service, number: 0, body: body.into() };
+            let frame = Frame {
+                kind: FrameKind::OneWay,
+                service,
+                number: 0,
+                body: body.into(),
+            };
             let _ = self.connection(address).queue.try_send(frame);
         }
     }
@@ -161,7 +178,10 @@
 
     fn connection(&self, address: SocketAddr) -> Arc<Connection> {
         let mut connections = self.shared.connections.lock();
-        if let Some(found) = connections.get(&address).filter(|connection| connection.usable()) {
+        if let Some(found) = connections
+            .get(&address)
+            .filter(|connection| connection.usable())
+        {
             return found.clone();
         }
         let (queue, frames) = mpsc::channel(QUEUE);
@@ -174,14 +194,21 @@
             takes_any_number: self.has_plant(Plant::AnyNumber),
         });
         connections.insert(address, connection.clone());
-        tokio::spawn(run(address, self.shared.options.clone(), Arc::downgrade(&connection), frames));
+        tokio::spawn(run(
+            address,
+            self.shared.options.clone(),
+            Arc::downgrade(&connection),
+            frames,
+        ));
         connection
     }
 }
 
 impl Connection {
     fn usable(&self) -> bool {
-        !self.abandoned.load(Ordering::Relaxed) && !self.awaited.lock().ended && !self.queue.is_closed()
+        !self.abandoned.load(Ordering::Relaxed)
+            && !self.awaited.lock().ended
+            && !self.queue.is_closed()
     }
 
     fn expect(&self, number: u64) -> Result<AwaitedCall<'_>, CallError> {
@@ -191,7 +218,11 @@
             return Err(CallError::Unreachable);
         }
         awaited.calls.insert(number, sender);
-        Ok(AwaitedCall { connection: self, number, response })
+        Ok(AwaitedCall {
+            connection: self,
+            number,
+            response,
+        })
     }
 
     fn deliver(&self, frame: Frame) {
@@ -232,7 +263,8 @@
     connection: std::sync::Weak<Connection>,
     frames: mpsc::Receiver<Frame>,
 ) {
-    let connected = tokio::time::timeout(options.connect_timeout, TcpStream::connect(address)).await;
+    let connected =
+        tokio::time::timeout(options.connect_timeout, TcpStream::connect(address)).await;
     let stream = match connected {
         Ok(Ok(stream)) if tune(&stream).is_ok() => stream,
         _ => {
@@ -246,7 +278,9 @@
     let mut reader = FrameReader::new(read);
     let receive = async {
         while let Some(frame) = reader.next().await {
-            let Some(connection) = connection.upgrade() else { return };
+            let Some(connection) = connection.upgrade() else {
+                return;
+            };
             connection.deliver(frame);
         }
     };
--- a/crates/woadreach-rpc/src/connection.rs
+++ b/crates/woadreach-rpc/src/connection.rs
@@ -26,7 +26,9 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(Duration::from_secs(1));
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_AFTER)
+        .with_interval(Duration::from_secs(1));
     socket.set_tcp_keepalive(&probes)
 }
 
@@ -57,7 +59,10 @@
 
 impl FrameReader {
     pub fn new(stream: OwnedReadHalf) -> Self {
-        FrameReader { stream, buffer: BytesMut::new() }
+        FrameReader {
+            stream,
+            buffer: BytesMut::new(),
+        }
     }
 
     /// The next frame, or nothing when the connection has ended or carries something else.
--- a/crates/woadreach-rpc/src/frame.rs
+++ b/crates/woadreach-rpc/src/frame.rs
@@ -53,7 +53,12 @@
     }
 
     fn from_code(code: u8) -> Option<Self> {
-        let all = [FrameKind::Request, FrameKind::Response, FrameKind::OneWay, FrameKind::Refusal];
+        let all = [
+            FrameKind::Request,
+            FrameKind::Response,
+            FrameKind::OneWay,
+            FrameKind::Refusal,
+        ];
         all.into_iter().find(|kind| kind.code() == code)
     }
 }
@@ -76,7 +81,9 @@
 #[snafu(visibility(pub(crate)))]
 pub enum FrameError {
     /// The length is out of bounds.
-    #[snafu(display("a frame of {length} bytes; at most {longest} and at least {HEAD} are allowed"))]
+    #[snafu(display(
+        "a frame of {length} bytes; at most {longest} and at least {HEAD} are allowed"
+    ))]
     BadLength {
         /// The length that was announced.
         length: usize,
@@ -111,10 +118,15 @@
 
     /// Takes the next whole frame off the front of `bytes`, or nothing while it is not whole.
     pub fn decode(bytes: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some(prefix) = bytes.first_chunk::<4>() else { return Ok(None) };
+        let Some(prefix) = bytes.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*prefix) as usize;
         let longest = HEAD + LONGEST_BODY;
-        ensure!((HEAD..=longest).contains(&length), BadLengthSnafu { length, longest });
+        ensure!(
+            (HEAD..=longest).contains(&length),
+            BadLengthSnafu { length, longest }
+        );
         if bytes.len() < 4 + length {
             return Ok(None);
         }
@@ -123,9 +135,16 @@
         let version = frame.get_u8();
         ensure!(version == VERSION, OtherVersionSnafu { version });
         let code = frame.get_u8();
-        let Some(kind) = FrameKind::from_code(code) else { return UnknownKindSnafu { code }.fail() };
+        let Some(kind) = FrameKind::from_code(code) else {
+            return UnknownKindSnafu { code }.fail();
+        };
         let service = ServiceId(frame.get_u8());
         let number = frame.get_u64_le();
-        Ok(Some(Frame { kind, service, number, body: frame }))
+        Ok(Some(Frame {
+            kind,
+            service,
+            number,
+            body: frame,
+        }))
     }
 }
--- a/crates/woadreach-rpc/src/rejected.rs
+++ b/crates/woadreach-rpc/src/rejected.rs
@@ -25,7 +25,12 @@
 impl RejectedRequests {
     /// How many requests to a service were rejected since the start.
     pub fn count(&self, service: ServiceId) -> u64 {
-        self.counts.lock().by_service.get(&service).copied().unwrap_or(0)
+        self.counts
+            .lock()
+            .by_service
+            .get(&service)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Counts a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so
--- a/crates/woadreach-rpc/src/server.rs
+++ b/crates/woadreach-rpc/src/server.rs
@@ -65,9 +65,12 @@
         let rejected = self.rejected.clone();
         let handle = move |peer, body| -> Handling {
             let (handling, rejected) = (handler(peer, body), rejected.clone());
-            Box::pin(
-                async move { handling.await.inspect_err(|reason| rejected.note(service, peer, reason)).ok() },
-            )
+            Box::pin(async move {
+                handling
+                    .await
+                    .inspect_err(|reason| rejected.note(service, peer, reason))
+                    .ok()
+            })
         };
         self.handlers.insert(service, Arc::new(handle));
         self
@@ -85,7 +88,9 @@
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let Ok(place) = places.clone().try_acquire_owned() else { continue };
+                let Ok(place) = places.clone().try_acquire_owned() else {
+                    continue;
+                };
                 let router = router.clone();
                 tokio::spawn(async move {
                     handle_connection(stream, peer, router).await;
@@ -110,7 +115,9 @@
     let mut reader = FrameReader::new(read);
     let at_once = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(frame) = reader.next().await {
-        let Ok(place) = at_once.clone().acquire_owned().await else { break };
+        let Ok(place) = at_once.clone().acquire_owned().await else {
+            break;
+        };
         let responses = responses.clone();
         let handler = router.handlers.get(&frame.service).cloned();
         tokio::spawn(async move {
@@ -125,14 +132,26 @@
 
 async fn handle(frame: Frame, peer: SocketAddr, handler: Option<Handler>) -> Option<Frame> {
     let (service, number) = (frame.service, frame.number);
-    let refusal = Frame { kind: FrameKind::Refusal, service, number, body: Bytes::new() };
+    let refusal = Frame {
+        kind: FrameKind::Refusal,
+        service,
+        number,
+        body: Bytes::new(),
+    };
     let Some(handler) = handler else {
         return (frame.kind == FrameKind::Request).then_some(refusal);
     };
     match frame.kind {
         FrameKind::Request => {
-            let Some(body) = handler(peer, frame.body).await else { return Some(refusal) };
-            Some(Frame { kind: FrameKind::Response, service, number, body: body.into() })
+            let Some(body) = handler(peer, frame.body).await else {
+                return Some(refusal);
+            };
+            Some(Frame {
+                kind: FrameKind::Response,
+                service,
+                number,
+                body: body.into(),
+            })
         }
         FrameKind::OneWay => {
             handler(peer, frame.body).await;
--- a/crates/woadreach-rpc/tests/call_plants.rs
+++ b/crates/woadreach-rpc/tests/call_plants.rs
@@ -10,7 +10,10 @@
     let found = (0..SEEDS).find(|seed| {
         let outcome = faulty_server::play(*seed, |client| client.plant(plant));
         assert!(!outcome.counts.is_empty(), "nothing was called");
-        outcome.violations.iter().any(|violation| violation.starts_with(rule))
+        outcome
+            .violations
+            .iter()
+            .any(|violation| violation.starts_with(rule))
     });
     println!("{plant:?}: {rule} at seed {found:?}");
     assert!(found.is_some(), "{plant:?} was not found");
--- a/crates/woadreach-rpc/tests/calls.rs
+++ b/crates/woadreach-rpc/tests/calls.rs
@@ -32,7 +32,10 @@
     let calls = (0..200u32).map(|n| {
         let client = client.clone();
         tokio::spawn(async move {
-            let response = client.call(address, ECHO, n.to_le_bytes().to_vec(), LONG).await.unwrap();
+            let response = client
+                .call(address, ECHO, n.to_le_bytes().to_vec(), LONG)
+                .await
+                .unwrap();
             assert_eq!(response[..], n.to_le_bytes());
         })
     });
@@ -52,14 +55,19 @@
     });
     tokio::spawn(serve(listener, router));
     client().send(address, ECHO, vec![1]);
-    tokio::time::timeout(LONG, arrived.notified()).await.unwrap();
+    tokio::time::timeout(LONG, arrived.notified())
+        .await
+        .unwrap();
 }
 
 #[tokio::test]
 async fn a_service_without_handler_is_refused() {
     let (listener, address) = listener().await;
     tokio::spawn(serve(listener, Router::new()));
-    assert_eq!(client().call(address, ECHO, vec![], LONG).await, Err(CallError::Refused));
+    assert_eq!(
+        client().call(address, ECHO, vec![], LONG).await,
+        Err(CallError::Refused)
+    );
 }
 
 #[tokio::test]
@@ -67,10 +75,19 @@
     let (listener, address) = listener().await;
     drop(listener);
     let client = client();
-    assert_eq!(client.call(address, ECHO, vec![], LONG).await, Err(CallError::Unreachable));
+    assert_eq!(
+        client.call(address, ECHO, vec![], LONG).await,
+        Err(CallError::Unreachable)
+    );
     let listener = TcpListener::bind(address).await.unwrap();
-    tokio::spawn(serve(listener, Router::new().route(ECHO, |_, body: Bytes| async move { body.to_vec() })));
-    assert_eq!(client.call(address, ECHO, vec![7], LONG).await, Ok(Bytes::from_static(&[7])));
+    tokio::spawn(serve(
+        listener,
+        Router::new().route(ECHO, |_, body: Bytes| async move { body.to_vec() }),
+    ));
+    assert_eq!(
+        client.call(address, ECHO, vec![7], LONG).await,
+        Ok(Bytes::from_static(&[7]))
+    );
 }
 
 #[tokio::test]
@@ -101,12 +118,19 @@
     });
     let client = client();
     for _ in 0..2 {
-        let result = client.call(address, ECHO, vec![], Duration::from_millis(20)).await;
+        let result = client
+            .call(address, ECHO, vec![], Duration::from_millis(20))
+            .await;
         assert_eq!(result, Err(CallError::TimedOut));
     }
-    let third = client.call(address, ECHO, vec![], Duration::from_millis(20)).await;
+    let third = client
+        .call(address, ECHO, vec![], Duration::from_millis(20))
+        .await;
     assert_eq!(third, Err(CallError::TimedOut));
-    assert!(accepted.load(Ordering::SeqCst) >= 2, "each call after a silent one goes over a new connection");
+    assert!(
+        accepted.load(Ordering::SeqCst) >= 2,
+        "each call after a silent one goes over a new connection"
+    );
 }
 
 #[tokio::test]
--- a/crates/woadreach-rpc/tests/faulty_server/mod.rs
+++ b/crates/woadreach-rpc/tests/faulty_server/mod.rs
@@ -49,14 +49,24 @@
 pub fn play(seed: u64, prepare: impl FnOnce(&Client)) -> Outcome {
     let client = Client::new(ClientOptions::default());
     prepare(&client);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let run = async { tokio::time::timeout(WAIT, run(seed, client)).await.expect("the end of a run") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    let run = async {
+        tokio::time::timeout(WAIT, run(seed, client))
+            .await
+            .expect("the end of a run")
+    };
     runtime.block_on(run)
 }
 
 async fn run(seed: u64, client: Client) -> Outcome {
     let random = Mutex::new(Rand64::new(u128::from(seed)));
-    let shared = Arc::new(Shared { random, oracle: Mutex::default() });
+    let shared = Arc::new(Shared {
+        random,
+        oracle: Mutex::default(),
+    });
     let server = Arc::new(FaultyServer::start(shared.clone()));
     let callers = (0..CALLERS).map(|caller| {
         let (client, server, shared) = (client.clone(), server.clone(), shared.clone());
--- a/crates/woadreach-rpc/tests/faulty_server/oracle.rs
+++ b/crates/woadreach-rpc/tests/faulty_server/oracle.rs
@@ -36,8 +36,12 @@
     /// A call has ended.
     pub fn ended(&mut self, request: &str, result: Result<Bytes, CallError>) {
         match result {
-            Ok(response) if response[..] == *response_to(request).as_bytes() => self.count("call: answered"),
-            Ok(response) => self.violations.push(format!("MIXED: {request} got {response:?}")),
+            Ok(response) if response[..] == *response_to(request).as_bytes() => {
+                self.count("call: answered")
+            }
+            Ok(response) => self
+                .violations
+                .push(format!("MIXED: {request} got {response:?}")),
             Err(error) => {
                 self.count(format!("call: {error:?}"));
                 self.ended.insert(request.to_owned(), error);
@@ -49,7 +53,8 @@
     pub fn finish(mut self) -> Outcome {
         for (request, times) in &self.arrived {
             if *times > 1 {
-                self.violations.push(format!("TWICE: {request} came {times} times"));
+                self.violations
+                    .push(format!("TWICE: {request} came {times} times"));
             }
         }
         for (request, error) in &self.ended {
@@ -60,9 +65,13 @@
                 CallError::Broken | CallError::TimedOut => false,
             };
             if false_promise {
-                self.violations.push(format!("REFUSED: {request} ended {error:?} and was taken"));
+                self.violations
+                    .push(format!("REFUSED: {request} ended {error:?} and was taken"));
             }
         }
-        Outcome { violations: self.violations, counts: self.counts }
+        Outcome {
+            violations: self.violations,
+            counts: self.counts,
+        }
     }
 }
--- a/crates/woadreach-rpc/tests/faulty_server/server.rs
+++ b/crates/woadreach-rpc/tests/faulty_server/server.rs
@@ -86,7 +86,12 @@
         let address = listener.local_addr().expect("an address");
         let incarnation = watch::Sender::new(0);
         let listening = watch::Sender::new(true);
-        let state = Arc::new(State { shared, incarnation, listening, of_others: Mutex::default() });
+        let state = Arc::new(State {
+            shared,
+            incarnation,
+            listening,
+            of_others: Mutex::default(),
+        });
         tokio::spawn(state.clone().run(listener, address));
         FaultyServer { address, state }
     }
@@ -94,7 +99,10 @@
     /// Waits until somebody listens at its address.
     pub async fn wait_until_listening(&self) {
         let mut listening = self.state.listening.subscribe();
-        listening.wait_for(|listening| *listening).await.expect("open");
+        listening
+            .wait_for(|listening| *listening)
+            .await
+            .expect("open");
     }
 
     /// Waits until what has been sent has been read.
@@ -139,8 +147,13 @@
         let mut incarnation = self.incarnation.subscribe();
         incarnation.mark_unchanged();
         let state = self.clone();
-        let mut connection =
-            Connection { state, stream, unread: BytesMut::new(), told: Vec::new(), held: None };
+        let mut connection = Connection {
+            state,
+            stream,
+            unread: BytesMut::new(),
+            told: Vec::new(),
+            held: None,
+        };
         tokio::select! {
             _ = connection.run() => {}
             _ = incarnation.changed() => {}
@@ -197,21 +210,37 @@
                 }
             }
             Deed::UnknownNumber => {
-                self.write(&frame(FrameKind::Response, number + 1_000_000, "of nobody".to_owned())).await?;
+                self.write(&frame(
+                    FrameKind::Response,
+                    number + 1_000_000,
+                    "of nobody".to_owned(),
+                ))
+                .await?;
             }
             Deed::OtherKind => {
-                self.write(&frame(FrameKind::OneWay, number, "one way".to_owned())).await?;
-                self.write(&frame(FrameKind::Request, number, "a request".to_owned())).await?;
+                self.write(&frame(FrameKind::OneWay, number, "one way".to_owned()))
+                    .await?;
+                self.write(&frame(FrameKind::Request, number, "a request".to_owned()))
+                    .await?;
+            }
+            Deed::Refuse => {
+                return self
+                    .write(&frame(FrameKind::Refusal, number, String::new()))
+                    .await;
             }
-            Deed::Refuse => return self.write(&frame(FrameKind::Refusal, number, String::new())).await,
             Deed::CutInOrder | Deed::CutByReset => return self.cut(&answer, deed).await,
             Deed::Garbage => {
-                self.stream.write_all(&[12, 0, 0, 0, 99, 2, 40, 1, 0, 0, 0, 0, 0, 0, 0, 7]).await.ok()?;
+                self.stream
+                    .write_all(&[12, 0, 0, 0, 99, 2, 40, 1, 0, 0, 0, 0, 0, 0, 0, 7])
+                    .await
+                    .ok()?;
             }
             Deed::Reset => return None,
             Deed::Silence => return Some(()),
             Deed::Restart => {
-                self.state.incarnation.send_modify(|incarnation| *incarnation += 1);
+                self.state
+                    .incarnation
+                    .send_modify(|incarnation| *incarnation += 1);
                 return None;
             }
         }
@@ -266,5 +295,10 @@
 }
 
 fn frame(kind: FrameKind, number: u64, body: String) -> Frame {
-    Frame { kind, service: SERVICE, number, body: Bytes::from(body) }
+    Frame {
+        kind,
+        service: SERVICE,
+        number,
+        body: Bytes::from(body),
+    }
 }
--- a/crates/woadreach-rpc/tests/frames.rs
+++ b/crates/woadreach-rpc/tests/frames.rs
@@ -5,8 +5,18 @@
 use woadreach_rpc::{Frame, FrameError, FrameKind, ServiceId};
 
 fn frame(kind: u8, service: u8, number: u64, body: Vec<u8>) -> Frame {
-    let kinds = [FrameKind::Request, FrameKind::Response, FrameKind::OneWay, FrameKind::Refusal];
-    Frame { kind: kinds[kind as usize % 4], service: ServiceId(service), number, body: Bytes::from(body) }
+    let kinds = [
+        FrameKind::Request,
+        FrameKind::Response,
+        FrameKind::OneWay,
+        FrameKind::Refusal,
+    ];
+    Frame {
+        kind: kinds[kind as usize % 4],
+        service: ServiceId(service),
+        number,
+        body: Bytes::from(body),
+    }
 }
 
 quickcheck! {
@@ -40,7 +50,10 @@
         spoilt[at] = byte;
         Frame::decode(&mut spoilt).unwrap_err()
     };
-    assert!(matches!(spoil(0, 3), FrameError::BadLength { length: 3, .. }));
+    assert!(matches!(
+        spoil(0, 3),
+        FrameError::BadLength { length: 3, .. }
+    ));
     assert!(matches!(spoil(3, 255), FrameError::BadLength { .. }));
     assert_eq!(spoil(4, 9), FrameError::OtherVersion { version: 9 });
     assert_eq!(spoil(5, 77), FrameError::UnknownKind { code: 77 });
--- a/crates/woadreach-rpc/tests/rejected.rs
+++ b/crates/woadreach-rpc/tests/rejected.rs
@@ -61,7 +61,11 @@
     let address = listener.local_addr().unwrap();
     let router = Router::new().route_checked(PICKY, |_, body: Bytes| async move {
         let length = body.len();
-        if length.is_multiple_of(2) { Ok(body.to_vec()) } else { Err(Odd { length }) }
+        if length.is_multiple_of(2) {
+            Ok(body.to_vec())
+        } else {
+            Err(Odd { length })
+        }
     });
     let rejected = router.rejected();
     tokio::spawn(serve(listener, router));
@@ -72,11 +76,23 @@
 async fn a_rejected_request_is_refused_and_counted_and_the_connection_goes_on() {
     let (address, rejected) = start().await;
     let client = Client::new(ClientOptions::default());
-    assert_eq!(client.call(address, PICKY, vec![1], LONG).await, Err(CallError::Refused));
-    assert_eq!(client.call(address, PICKY, vec![1, 2], LONG).await, Ok(Bytes::from_static(&[1, 2])));
+    assert_eq!(
+        client.call(address, PICKY, vec![1], LONG).await,
+        Err(CallError::Refused)
+    );
+    assert_eq!(
+        client.call(address, PICKY, vec![1, 2], LONG).await,
+        Ok(Bytes::from_static(&[1, 2]))
+    );
     client.send(address, PICKY, vec![1, 2, 3]);
-    assert_eq!(client.call(address, PICKY, vec![1], LONG).await, Err(CallError::Refused));
-    assert_eq!((rejected.count(PICKY), rejected.count(ServiceId::CHAIN)), (3, 0));
+    assert_eq!(
+        client.call(address, PICKY, vec![1], LONG).await,
+        Err(CallError::Refused)
+    );
+    assert_eq!(
+        (rejected.count(PICKY), rejected.count(ServiceId::CHAIN)),
+        (3, 0)
+    );
 }
 
 #[tokio::test]
@@ -87,12 +103,30 @@
     let (address, rejected) = start().await;
     let client = Client::new(ClientOptions::default());
     for _ in 0..100 {
-        assert_eq!(client.call(address, PICKY, vec![0; 5], LONG).await, Err(CallError::Refused));
+        assert_eq!(
+            client.call(address, PICKY, vec![0; 5], LONG).await,
+            Err(CallError::Refused)
+        );
     }
     assert_eq!(rejected.count(PICKY), 100);
-    let lines: Vec<String> = log.0.lock().iter().filter(|line| line.contains("5 bytes")).cloned().collect();
-    assert_eq!(lines.len(), 7, "the first, second, fourth to sixty-fourth: {lines:?}");
-    for expected in ["service=42", "peer=127.0.0.1:", "reason=5 bytes are odd", "count=64"] {
+    let lines: Vec<String> = log
+        .0
+        .lock()
+        .iter()
+        .filter(|line| line.contains("5 bytes"))
+        .cloned()
+        .collect();
+    assert_eq!(
+        lines.len(),
+        7,
+        "the first, second, fourth to sixty-fourth: {lines:?}"
+    );
+    for expected in [
+        "service=42",
+        "peer=127.0.0.1:",
+        "reason=5 bytes are odd",
+        "count=64",
+    ] {
         assert!(lines[6].contains(expected), "{expected}: {}", lines[6]);
     }
 }
--- a/crates/woadreach-rules/src/checker.rs
+++ b/crates/woadreach-rules/src/checker.rs
@@ -117,7 +117,8 @@
 impl Node {
     /// For how long a process that did not run at some time between these is excused after it.
     fn excused(&self, from: f64, to: f64) -> bool {
-        self.stalled.is_some_and(|(since, until)| since <= to && until + AFTER_STALL >= from)
+        self.stalled
+            .is_some_and(|(since, until)| since <= to && until + AFTER_STALL >= from)
     }
 }
 
@@ -161,7 +162,10 @@
 
     /// Searches whose final answer is owed.
     pub fn owed(&self) -> usize {
-        self.searches.values().filter(|s| s.answered.is_none() && !s.left).count()
+        self.searches
+            .values()
+            .filter(|s| s.answered.is_none() && !s.left)
+            .count()
     }
 
     /// Takes the next event, none earlier than the one before; gives what it breaks, and what its time shows
@@ -190,14 +194,25 @@
             && *due < micros(now)
             && let Some(((due, search), ())) = self.due.pop_first()
         {
-            let Some(s) = self.searches.get(&search).filter(|s| s.answered.is_none() && !s.left) else {
+            let Some(s) = self
+                .searches
+                .get(&search)
+                .filter(|s| s.answered.is_none() && !s.left)
+            else {
                 continue;
             };
-            let excused = self.nodes.get(&s.node).is_some_and(|n| n.excused(s.ends - 1.0, micros_back(due)));
+            let excused = self
+                .nodes
+                .get(&s.node)
+                .is_some_and(|n| n.excused(s.ends - 1.0, micros_back(due)));
             if excused {
                 self.end(&search);
             } else {
-                self.broken(Rule::NoSearchLost, &search, "no final answer by the end of its time".into());
+                self.broken(
+                    Rule::NoSearchLost,
+                    &search,
+                    "no final answer by the end of its time".into(),
+                );
                 self.end(&search);
             }
         }
@@ -225,20 +240,38 @@
     }
 
     fn broken(&mut self, rule: Rule, search: &Arc<str>, why: String) {
-        let proof = self.searches.get(search).map_or(Vec::new(), |s| s.events.clone());
-        self.breaches.push(Breach { rule, at: self.now, search: Some(search.clone()), why, proof });
+        let proof = self
+            .searches
+            .get(search)
+            .map_or(Vec::new(), |s| s.events.clone());
+        self.breaches.push(Breach {
+            rule,
+            at: self.now,
+            search: Some(search.clone()),
+            why,
+            proof,
+        });
     }
 
     fn broken_by(&mut self, rule: Rule, node: NodeId, why: String) {
         let why = format!("co-ordinator {}: {why}", node.0);
-        self.breaches.push(Breach { rule, at: self.now, search: None, why, proof: Vec::new() });
+        self.breaches.push(Breach {
+            rule,
+            at: self.now,
+            search: None,
+            why,
+            proof: Vec::new(),
+        });
     }
 
     /// Nothing is owed any more; what still comes of it is judged for a while.
     fn end(&mut self, search: &Arc<str>) {
         if let Some(s) = self.searches.get_mut(search) {
             s.left = true;
-            self.due.remove(&(micros(s.ends + self.terms.answer_grace + self.terms.slack), search.clone()));
+            self.due.remove(&(
+                micros(s.ends + self.terms.answer_grace + self.terms.slack),
+                search.clone(),
+            ));
             self.old.push_back((self.now, search.clone()));
         }
     }
@@ -247,7 +280,13 @@
         let at = event.at;
         match &event.what {
             What::NodeStarted { node } => {
-                self.nodes.insert(*node, Node { started: at, ..Node::default() });
+                self.nodes.insert(
+                    *node,
+                    Node {
+                        started: at,
+                        ..Node::default()
+                    },
+                );
                 self.replicas.values_mut().for_each(|r| {
                     r.leaving.remove(node);
                     r.told.remove(node);
@@ -272,11 +311,21 @@
                 }
                 held.iter().for_each(|search| self.end(search));
             }
-            What::Asked { node, search, query_type, parts, ends } => {
+            What::Asked {
+                node,
+                search,
+                query_type,
+                parts,
+                ends,
+            } => {
                 if let Some(window) = self.terms.budget.as_ref().map(|b| b.window) {
                     let n = self.nodes.entry(*node).or_default();
                     n.taken.push_back((at, 1 + parts.len()));
-                    while n.taken.front().is_some_and(|t| t.0 + window + self.terms.way < at) {
+                    while n
+                        .taken
+                        .front()
+                        .is_some_and(|t| t.0 + window + self.terms.way < at)
+                    {
                         n.taken.pop_front();
                     }
                 }
@@ -298,7 +347,11 @@
                 };
                 self.searches.insert(search.clone(), s);
             }
-            What::Answered { search, whole, rows } => {
+            What::Answered {
+                search,
+                whole,
+                rows,
+            } => {
                 if self.final_answer(at, search) {
                     self.honest(search, *whole, rows);
                 }
@@ -312,21 +365,41 @@
                 self.final_answer(at, search);
             }
             What::Left { search } => {
-                if let Some(s) = self.searches.get_mut(search).filter(|s| s.answered.is_none() && !s.left) {
+                if let Some(s) = self
+                    .searches
+                    .get_mut(search)
+                    .filter(|s| s.answered.is_none() && !s.left)
+                {
                     s.gone = Some(at);
                 }
                 self.end(search);
             }
             What::Dropped { search } => {
-                let open = self.searches.get(search).filter(|s| s.answered.is_none() && !s.left);
+                let open = self
+                    .searches
+                    .get(search)
+                    .filter(|s| s.answered.is_none() && !s.left);
                 if open.is_some_and(|s| s.attempts.is_empty()) {
                     self.end(search);
                 } else if open.is_some() {
-                    self.broken(Rule::NoSearchLost, search, "its connection ended without an answer".into());
+                    self.broken(
+                        Rule::NoSearchLost,
+                        search,
+                        "its connection ended without an answer".into(),
+                    );
                     self.end(search);
                 }
             }
-            What::Sent { node, replica, part, begun, came, work, from, first_whole } => {
+            What::Sent {
+                node,
+                replica,
+                part,
+                begun,
+                came,
+                work,
+                from,
+                first_whole,
+            } => {
                 self.sent(*came, *node, replica, part, *begun);
                 self.second_step(part, from, *first_whole);
                 self.cold(*came, *node, replica, *work);
@@ -343,12 +416,19 @@
             }
             What::Made { part, value, .. } => {
                 if let Some(s) = self.searches.get_mut(&part.search) {
-                    s.made.entry((part.shard, part.fetch)).or_default().push(value.clone());
+                    s.made
+                        .entry((part.shard, part.fetch))
+                        .or_default()
+                        .push(value.clone());
                 }
                 self.second_step_begins(at, part);
             }
             What::GivenUp { .. } => {}
-            What::Told { node, replica, ready } => {
+            What::Told {
+                node,
+                replica,
+                ready,
+            } => {
                 let r = self.replicas.entry(replica.clone()).or_default();
                 if *ready {
                     r.leaving.remove(node);
@@ -367,22 +447,39 @@
             }
             What::Way { replica, held } => {
                 let r = self.replicas.entry(replica.clone()).or_default();
-                let since =
-                    r.held.filter(|h| h.1.is_infinite() || h.1 + self.terms.slack > at).map_or(at, |h| h.0);
-                r.holds = if *held { r.holds + 1 } else { r.holds.saturating_sub(1) };
-                r.held = Some((since, if r.holds > 0 { f64::INFINITY } else { at + self.terms.slack }));
+                let since = r
+                    .held
+                    .filter(|h| h.1.is_infinite() || h.1 + self.terms.slack > at)
+                    .map_or(at, |h| h.0);
+                r.holds = if *held {
+                    r.holds + 1
+                } else {
+                    r.holds.saturating_sub(1)
+                };
+                r.held = Some((
+                    since,
+                    if r.holds > 0 {
+                        f64::INFINITY
+                    } else {
+                        at + self.terms.slack
+                    },
+                ));
             }
             What::Stalled { node, seconds } => {
                 self.nodes.entry(*node).or_default().stalled = Some((at, at + seconds));
             }
-            What::Panicked { node, why } => self.broken_by(Rule::Sound, *node, format!("a panic: {why}")),
+            What::Panicked { node, why } => {
+                self.broken_by(Rule::Sound, *node, format!("a panic: {why}"))
+            }
             What::Kept { node, why } => self.broken_by(Rule::Sound, *node, why.clone()),
         }
     }
 
     /// Whether this is its one answer, in time.
     fn final_answer(&mut self, at: f64, search: &Arc<str>) -> bool {
-        let Some(s) = self.searches.get_mut(search) else { return false };
+        let Some(s) = self.searches.get_mut(search) else {
+            return false;
+        };
         if s.answered.is_some() {
             self.broken(Rule::NoSearchLost, search, "a second final answer".into());
             return false;
@@ -393,25 +490,44 @@
         s.answered = Some(at);
         let late = at > s.ends + self.terms.answer_grace + self.terms.slack;
         let (ends, node) = (s.ends, s.node);
-        if late && !self.nodes.get(&node).is_some_and(|n| n.excused(ends - 1.0, at)) {
-            self.broken(Rule::NoSearchLost, search, "its final answer came after its time".into());
+        if late
+            && !self
+                .nodes
+                .get(&node)
+                .is_some_and(|n| n.excused(ends - 1.0, at))
+        {
+            self.broken(
+                Rule::NoSearchLost,
+                search,
+                "its final answer came after its time".into(),
+            );
         }
         self.end(search);
         true
     }
 
     fn harmless(&mut self, search: &Arc<str>) {
-        let Some(s) = self.searches.get(search) else { return };
-        let once =
-            self.terms.query_types.get(s.query_type).map(|t| t.repeats) == Some(Repeats::NonIdempotent);
+        let Some(s) = self.searches.get(search) else {
+            return;
+        };
+        let once = self.terms.query_types.get(s.query_type).map(|t| t.repeats)
+            == Some(Repeats::NonIdempotent);
         if once && s.attempts.values().flatten().any(|a| !a.turned_away) {
-            self.broken(Rule::NoEffectTwice, search, "shed, though a part of it may have run".into());
+            self.broken(
+                Rule::NoEffectTwice,
+                search,
+                "shed, though a part of it may have run".into(),
+            );
         }
     }
 
     fn honest(&mut self, search: &Arc<str>, whole: bool, rows: &[(u64, String)]) {
-        let Some(s) = self.searches.get(search) else { return };
-        let Some(terms) = self.terms.query_types.get(s.query_type) else { return };
+        let Some(s) = self.searches.get(search) else {
+            return;
+        };
+        let Some(terms) = self.terms.query_types.get(s.query_type) else {
+            return;
+        };
         let fetched = terms.fetch > 0;
         let mut why = Vec::new();
         let mut seen = Vec::new();
@@ -425,7 +541,12 @@
                 why.push(format!("no replica made the value of shard {shard} for it"));
             }
         }
-        let weight: f64 = s.parts.iter().filter(|p| seen.contains(&p.0)).map(|p| p.1).sum();
+        let weight: f64 = s
+            .parts
+            .iter()
+            .filter(|p| seen.contains(&p.0))
+            .map(|p| p.1)
+            .sum();
         if fetched {
             match &s.from {
                 None => why.push("answered before its second step".into()),
@@ -436,13 +557,19 @@
                         why.push("marked whole, though its first or second step is not".into());
                     }
                     if share < terms.floor - ROUNDING {
-                        why.push(format!("{} of {wanted} parts of the second step are in", rows.len()));
+                        why.push(format!(
+                            "{} of {wanted} parts of the second step are in",
+                            rows.len()
+                        ));
                     }
                 }
             }
         } else {
             if weight < terms.floor - ROUNDING {
-                why.push(format!("{weight:.3} of the weight is in, {} is the least", terms.floor));
+                why.push(format!(
+                    "{weight:.3} of the weight is in, {} is the least",
+                    terms.floor
+                ));
             }
             if whole && weight < terms.need - ROUNDING {
                 why.push(format!("marked whole with {weight:.3} of the weight"));
@@ -455,21 +582,35 @@
 
     fn sent(&mut self, at: f64, node: NodeId, replica: &ReplicaName, part: &PartName, begun: f64) {
         let held = self.replicas.get(replica).and_then(|r| r.held);
-        let leaving = self.replicas.get(replica).and_then(|r| r.leaving.get(&node)).copied();
+        let leaving = self
+            .replicas
+            .get(replica)
+            .and_then(|r| r.leaving.get(&node))
+            .copied();
         // What was written before the way was cut, or before the machine stood still, comes when it can.
-        let was_held = |since: f64| held.is_some_and(|h| h.1 >= since && h.0 <= at && at <= h.1 + SENT_AGAIN);
+        let was_held =
+            |since: f64| held.is_some_and(|h| h.1 >= since && h.0 <= at && at <= h.1 + SENT_AGAIN);
         if let Some(told) = leaving
             && begun > told + self.terms.drain_grace + self.terms.slack
             && !was_held(told)
-            && !self.nodes.get(&node).is_some_and(|n| n.excused(told, begun))
+            && !self
+                .nodes
+                .get(&node)
+                .is_some_and(|n| n.excused(told, begun))
         {
-            let why = format!("sent to {replica} {:.3} s after it was told to leave", begun - told);
+            let why = format!(
+                "sent to {replica} {:.3} s after it was told to leave",
+                begun - told
+            );
             self.broken(Rule::DrainsKept, &part.search, why);
         }
         if let Some(gone) = self.searches.get(&part.search).and_then(|s| s.gone)
             && begun > gone + GONE + self.terms.slack
             && !was_held(gone)
-            && !self.nodes.get(&node).is_some_and(|n| n.excused(gone, begun))
+            && !self
+                .nodes
+                .get(&node)
+                .is_some_and(|n| n.excused(gone, begun))
         {
             self.for_nobody += 1;
             if self.for_nobody >= GONE_CASES {
@@ -490,22 +631,35 @@
         if let Some(answered) = s.answered.filter(|answered| at > *answered + on_its_way)
             && !was_held(answered)
         {
-            let why =
-                format!("shard {} was sent on {:.6} s after its final answer", part.shard, at - answered);
+            let why = format!(
+                "shard {} was sent on {:.6} s after its final answer",
+                part.shard,
+                at - answered
+            );
             return self.broken(Rule::NoSearchLost, &part.search, why);
         }
         let asked = s.parts.iter().any(|p| p.0 == part.shard);
-        let repeats = self.terms.query_types.get(s.query_type).map_or(Repeats::Idempotent, |t| t.repeats);
+        let repeats = self
+            .terms
+            .query_types
+            .get(s.query_type)
+            .map_or(Repeats::Idempotent, |t| t.repeats);
         let attempts = s.attempts.entry((part.shard, part.fetch)).or_default();
         let further = !attempts.is_empty();
         // What its way held back was written before, nobody here can tell when.
         let held_back = attempts.first().is_some_and(|a| was_held(a.at));
         let mut may_have_run = attempts.iter().filter(|a| !a.turned_away);
         let why = match repeats {
-            Repeats::NonIdempotent => may_have_run.next().map(|a| format!("{} may have run it", a.replica)),
+            Repeats::NonIdempotent => may_have_run
+                .next()
+                .map(|a| format!("{} may have run it", a.replica)),
             Repeats::Tokened { window, any_holder } => may_have_run.next().and_then(|first| {
                 if at > first.at + window + self.terms.slack && !held_back {
-                    Some(format!("{:.3} s after {} may have run it", at - first.at, first.replica))
+                    Some(format!(
+                        "{:.3} s after {} may have run it",
+                        at - first.at,
+                        first.replica
+                    ))
                 } else if !any_holder && first.replica != *replica {
                     Some(format!("only {} knows its token", first.replica))
                 } else {
@@ -514,7 +668,11 @@
             }),
             Repeats::Idempotent => None,
         };
-        attempts.push(Attempt { replica: replica.clone(), at, turned_away: false });
+        attempts.push(Attempt {
+            replica: replica.clone(),
+            at,
+            turned_away: false,
+        });
         if let Some(why) = why {
             let why = format!("shard {} was sent again, to {replica}: {why}", part.shard);
             self.broken(Rule::NoEffectTwice, &part.search, why);
@@ -531,18 +689,25 @@
     /// What was sent earlier may come later than it was counted, by as much as a part is on its way: the
     /// window is that much shorter, and what was taken counts that much longer.
     fn budget(&mut self, at: f64, node: NodeId) {
-        let Some(b) = self.terms.budget.clone() else { return };
+        let Some(b) = self.terms.budget.clone() else {
+            return;
+        };
         let n = self.nodes.entry(node).or_default();
         // Read late, by a replica that stood still while the co-ordinator was started anew.
         if at < n.started {
             return;
         }
         n.further.push_back(at);
-        while n.taken.front().is_some_and(|t| t.0 + b.window + self.terms.way < at) {
+        while n
+            .taken
+            .front()
+            .is_some_and(|t| t.0 + b.window + self.terms.way < at)
+        {
             n.taken.pop_front();
         }
         // Not in the order of their coming: a replica that stood still has read some late.
-        n.further.retain(|t| t + b.window - self.terms.way > self.now);
+        n.further
+            .retain(|t| t + b.window - self.terms.way > self.now);
         // What was read so late is judged with what comes next: of its own window too little is known by now.
         if self.now > at + self.terms.slack {
             return;
@@ -553,7 +718,10 @@
         let first = over && !n.over;
         n.over = over;
         if first {
-            let why = format!("{sent} further sub-requests in {} s, {allowed:.1} are allowed", b.window);
+            let why = format!(
+                "{sent} further sub-requests in {} s, {allowed:.1} are allowed",
+                b.window
+            );
             self.broken_by(Rule::Budget, node, why);
         }
     }
@@ -561,9 +729,21 @@
     /// The parts of a second step are taken as those of the first were, from when it can begin at the
     /// earliest.
     fn second_step_begins(&mut self, at: f64, part: &PartName) {
-        let Some(s) = self.searches.get_mut(&part.search).filter(|s| !s.second) else { return };
-        let Some(terms) = self.terms.query_types.get(s.query_type).filter(|t| t.fetch > 0) else { return };
-        let come = s.parts.iter().filter(|p| s.made.contains_key(&(p.0, false)));
+        let Some(s) = self.searches.get_mut(&part.search).filter(|s| !s.second) else {
+            return;
+        };
+        let Some(terms) = self
+            .terms
+            .query_types
+            .get(s.query_type)
+            .filter(|t| t.fetch > 0)
+        else {
+            return;
+        };
+        let come = s
+            .parts
+            .iter()
+            .filter(|p| s.made.contains_key(&(p.0, false)));
         if come.map(|p| p.1).sum::<f64>() >= terms.floor - ROUNDING {
             s.second = true;
             if let Some(n) = self.nodes.get_mut(&s.node) {
@@ -576,20 +756,39 @@
         if !part.fetch {
             return;
         }
-        let Some(s) = self.searches.get_mut(&part.search) else { return };
-        let Some(terms) = self.terms.query_types.get(s.query_type) else { return };
-        let weight: f64 = s.parts.iter().filter(|p| from.contains(&p.0)).map(|p| p.1).sum();
+        let Some(s) = self.searches.get_mut(&part.search) else {
+            return;
+        };
+        let Some(terms) = self.terms.query_types.get(s.query_type) else {
+            return;
+        };
+        let weight: f64 = s
+            .parts
+            .iter()
+            .filter(|p| from.contains(&p.0))
+            .map(|p| p.1)
+            .sum();
         let whole = first_whole == Some(true);
         let mut why = Vec::new();
-        let missing: Vec<_> = from.iter().filter(|shard| !s.made.contains_key(&(**shard, false))).collect();
+        let missing: Vec<_> = from
+            .iter()
+            .filter(|shard| !s.made.contains_key(&(**shard, false)))
+            .collect();
         if !missing.is_empty() {
-            why.push(format!("its first step names shards {missing:?}, which have not answered"));
+            why.push(format!(
+                "its first step names shards {missing:?}, which have not answered"
+            ));
         }
         if !from.contains(&part.shard) {
-            why.push(format!("fetches from shard {}, which is not in", part.shard));
+            why.push(format!(
+                "fetches from shard {}, which is not in",
+                part.shard
+            ));
         }
         if weight < terms.floor - ROUNDING || (whole && weight < terms.need - ROUNDING) {
-            why.push(format!("its first step ended with {weight:.3} of the weight, whole: {whole}"));
+            why.push(format!(
+                "its first step ended with {weight:.3} of the weight, whole: {whole}"
+            ));
         }
         s.from = Some((from.to_vec(), whole));
         if !why.is_empty() {
@@ -598,9 +797,15 @@
     }
 
     fn cold(&mut self, at: f64, node: NodeId, replica: &ReplicaName, work: f64) {
-        let Some(cold) = self.terms.cold.clone() else { return };
-        let Some(r) = self.replicas.get_mut(replica) else { return };
-        let Some((born, cores)) = r.born.filter(|b| at < b.0 + cold.time && !r.fallen) else { return };
+        let Some(cold) = self.terms.cold.clone() else {
+            return;
+        };
+        let Some(r) = self.replicas.get_mut(replica) else {
+            return;
+        };
+        let Some((born, cores)) = r.born.filter(|b| at < b.0 + cold.time && !r.fallen) else {
+            return;
+        };
         r.work.push_back((at, work, r.told.contains(&node)));
         while r.work.front().is_some_and(|w| w.0 + cold.window <= at) {
             r.work.pop_front();
--- a/crates/woadreach-rules/tests/rules.rs
+++ b/crates/woadreach-rules/tests/rules.rs
@@ -5,18 +5,42 @@
 use woadreach_rules::*;
 
 fn terms() -> Terms {
-    let row = |repeats, floor, fetch| QueryTerms { name: "x".into(), repeats, need: 1.0, floor, fetch };
+    let row = |repeats, floor, fetch| QueryTerms {
+        name: "x".into(),
+        repeats,
+        need: 1.0,
+        floor,
+        fetch,
+    };
     Terms {
         query_types: vec![
             row(Repeats::Idempotent, 0.5, 0),
             row(Repeats::NonIdempotent, 1.0, 0),
-            row(Repeats::Tokened { window: 1.0, any_holder: false }, 1.0, 0),
+            row(
+                Repeats::Tokened {
+                    window: 1.0,
+                    any_holder: false,
+                },
+                1.0,
+                0,
+            ),
             row(Repeats::Idempotent, 0.5, 1),
         ],
         answer_grace: 0.05,
         drain_grace: 0.5,
-        cold: Some(Cold { from: 0.5, time: 10.0, multiple: 2.0, window: 1.0, work: 0.1, untold_too: true }),
-        budget: Some(Budget { free: 1.0, share: 0.0, window: 10.0 }),
+        cold: Some(Cold {
+            from: 0.5,
+            time: 10.0,
+            multiple: 2.0,
+            window: 1.0,
+            work: 0.1,
+            untold_too: true,
+        }),
+        budget: Some(Budget {
+            free: 1.0,
+            share: 0.0,
+            window: 10.0,
+        }),
         slack: 0.05,
         way: 0.001,
     }
@@ -25,33 +49,73 @@
 const NODE: NodeId = NodeId(0);
 
 fn part(shard: u64, fetch: bool) -> PartName {
-    PartName { search: "s".into(), shard, fetch }
+    PartName {
+        search: "s".into(),
+        shard,
+        fetch,
+    }
 }
 
 /// A search of two halves, at shards 0 and 1, asked at 0 s for 1 s.
 fn asked(query_type: usize) -> What {
     let parts = Arc::from([(0, 0.5), (1, 0.5)]);
-    What::Asked { node: NODE, search: "s".into(), query_type, parts, ends: 1.0 }
+    What::Asked {
+        node: NODE,
+        search: "s".into(),
+        query_type,
+        parts,
+        ends: 1.0,
+    }
 }
 
 fn sent_at(shard: u64, replica: &str, at: f64) -> What {
     let (replica, part, work) = (replica.into(), part(shard, false), 0.1);
-    What::Sent { node: NODE, replica, part, begun: at, came: at, work, from: vec![], first_whole: None }
+    What::Sent {
+        node: NODE,
+        replica,
+        part,
+        begun: at,
+        came: at,
+        work,
+        from: vec![],
+        first_whole: None,
+    }
 }
 
 fn fetch(shard: u64, from: &[u64], whole: bool) -> What {
     let (replica, part, from) = ("a".into(), part(shard, true), from.to_vec());
-    What::Sent { node: NODE, replica, part, begun: 0.3, came: 0.3, work: 0.1, from, first_whole: Some(whole) }
+    What::Sent {
+        node: NODE,
+        replica,
+        part,
+        begun: 0.3,
+        came: 0.3,
+        work: 0.1,
+        from,
+        first_whole: Some(whole),
+    }
 }
 
 fn made(shard: u64, fetch: bool) -> What {
     let value = format!("v{shard}{fetch}").into();
-    What::Made { node: NODE, replica: "a".into(), part: part(shard, fetch), value }
+    What::Made {
+        node: NODE,
+        replica: "a".into(),
+        part: part(shard, fetch),
+        value,
+    }
 }
 
 fn answered(whole: bool, rows: &[(u64, &str)]) -> What {
-    let rows = rows.iter().map(|(shard, value)| (*shard, value.to_string())).collect();
-    What::Answered { search: "s".into(), whole, rows }
+    let rows = rows
+        .iter()
+        .map(|(shard, value)| (*shard, value.to_string()))
+        .collect();
+    What::Answered {
+        search: "s".into(),
+        whole,
+        rows,
+    }
 }
 
 fn shed() -> What {
@@ -59,18 +123,28 @@
 }
 
 fn turned_away(shard: u64) -> What {
-    What::TurnedAway { node: NODE, replica: "a".into(), part: part(shard, false) }
+    What::TurnedAway {
+        node: NODE,
+        replica: "a".into(),
+        part: part(shard, false),
+    }
 }
 
 fn told(ready: bool) -> What {
-    What::Told { node: NODE, replica: "a".into(), ready }
+    What::Told {
+        node: NODE,
+        replica: "a".into(),
+        ready,
+    }
 }
 
 /// The rules that a record breaks, each once.
 fn broken(events: Vec<(f64, What)>, until: f64) -> Vec<Rule> {
     let mut checker = Checker::new(terms());
-    let mut all: Vec<Breach> =
-        events.into_iter().flat_map(|(at, what)| checker.take(&Event { at, what })).collect();
+    let mut all: Vec<Breach> = events
+        .into_iter()
+        .flat_map(|(at, what)| checker.take(&Event { at, what }))
+        .collect();
     all.extend(checker.tick(until));
     let mut rules: Vec<Rule> = all.iter().map(|b| b.rule).collect();
     rules.dedup();
@@ -120,7 +194,10 @@
 )]
 #[case::no_such_shard(vec![(0.1, sent_at(7, "a", 0.1)), (0.5, shed())], 9.0, &[Rule::NoSearchLost])]
 fn no_search_lost(#[case] events: Vec<(f64, What)>, #[case] until: f64, #[case] expected: &[Rule]) {
-    assert_eq!(broken([vec![(0.0, asked(0))], events].concat(), until), expected);
+    assert_eq!(
+        broken([vec![(0.0, asked(0))], events].concat(), until),
+        expected
+    );
 }
 
 #[rstest]
@@ -148,8 +225,15 @@
     vec![(-0.5, sent_at(0, "a", -0.5)), (0.9, sent_at(0, "a", 0.9))],
     &[Rule::NoEffectTwice]
 )]
-fn no_effect_twice(#[case] query_type: usize, #[case] events: Vec<(f64, What)>, #[case] expected: &[Rule]) {
-    assert_eq!(broken([vec![(-1.0, asked(query_type))], events].concat(), 0.0), expected);
+fn no_effect_twice(
+    #[case] query_type: usize,
+    #[case] events: Vec<(f64, What)>,
+    #[case] expected: &[Rule],
+) {
+    assert_eq!(
+        broken([vec![(-1.0, asked(query_type))], events].concat(), 0.0),
+        expected
+    );
 }
 
 #[rstest]
@@ -166,7 +250,10 @@
     &[]
 )]
 fn drains(#[case] events: Vec<(f64, What)>, #[case] expected: &[Rule]) {
-    assert_eq!(broken([vec![(0.0, asked(0))], events].concat(), 0.7), expected);
+    assert_eq!(
+        broken([vec![(0.0, asked(0))], events].concat(), 0.7),
+        expected
+    );
 }
 
 /// One core, half of it at the start: twice that in any second are ten parts, and 2 x root of 10 + 2 more are
@@ -176,20 +263,57 @@
 #[case::over(19, 0.001, &[Rule::ColdNotPushedOver])]
 #[case::spread(19, 0.2, &[])]
 fn cold(#[case] parts: u64, #[case] apart: f64, #[case] expected: &[Rule]) {
-    let mut checker = Checker::new(Terms { budget: None, ..terms() });
-    let mut all = checker.take(&Event { at: 0.0, what: What::Born { replica: "a".into(), cores: 1.0 } });
+    let mut checker = Checker::new(Terms {
+        budget: None,
+        ..terms()
+    });
+    let mut all = checker.take(&Event {
+        at: 0.0,
+        what: What::Born {
+            replica: "a".into(),
+            cores: 1.0,
+        },
+    });
     for n in 0..parts {
         let at = 0.1 + n as f64 * apart;
         let parts = Arc::from([(0, 1.0)]);
         let search: Arc<str> = format!("s{n}").into();
-        let what = What::Asked { node: NODE, search: search.clone(), query_type: 0, parts, ends: at + 9.0 };
+        let what = What::Asked {
+            node: NODE,
+            search: search.clone(),
+            query_type: 0,
+            parts,
+            ends: at + 9.0,
+        };
         all.extend(checker.take(&Event { at, what }));
-        let What::Sent { node, replica, begun, came, work, from, first_whole, .. } = sent_at(0, "a", at)
+        let What::Sent {
+            node,
+            replica,
+            begun,
+            came,
+            work,
+            from,
+            first_whole,
+            ..
+        } = sent_at(0, "a", at)
         else {
             return;
         };
-        let part = PartName { search, shard: 0, fetch: false };
-        let what = What::Sent { node, replica, part, begun, came, work, from, first_whole };
+        let part = PartName {
+            search,
+            shard: 0,
+            fetch: false,
+        };
+        let what = What::Sent {
+            node,
+            replica,
+            part,
+            begun,
+            came,
+            work,
+            from,
+            first_whole,
+        };
         all.extend(checker.take(&Event { at, what }));
     }
     assert_eq!(all.iter().map(|b| b.rule).collect::<Vec<_>>(), expected);
@@ -224,7 +348,16 @@
 #[case::fetches_what_is_not_in(3, vec![made(0, false), fetch(1, &[0], false)], &[Rule::HonestAnswers])]
 fn honest(#[case] query_type: usize, #[case] events: Vec<What>, #[case] expected: &[Rule]) {
     let events = events.into_iter().map(|what| (0.5, what));
-    assert_eq!(broken([(0.0, asked(query_type))].into_iter().chain(events).collect(), 0.9), expected);
+    assert_eq!(
+        broken(
+            [(0.0, asked(query_type))]
+                .into_iter()
+                .chain(events)
+                .collect(),
+            0.9
+        ),
+        expected
+    );
 }
 
 #[rstest]
@@ -232,7 +365,10 @@
 #[case::two_are_not(&[0.1, 0.2, 0.3], &[Rule::Budget])]
 fn budget(#[case] at: &[f64], #[case] expected: &[Rule]) {
     let sent = at.iter().map(|at| (*at, sent_at(0, "a", *at)));
-    assert_eq!(broken([(0.0, asked(0))].into_iter().chain(sent).collect(), 0.9), expected);
+    assert_eq!(
+        broken([(0.0, asked(0))].into_iter().chain(sent).collect(), 0.9),
+        expected
+    );
 }
 
 /// What an ended process had sent, and a replica that stood still reads only now, is not of the new one's
@@ -242,7 +378,11 @@
     let late = [(0, 0.1), (0, 0.2), (0, 0.3)].map(|(shard, came)| (0.6, sent_at(shard, "a", came)));
     let started = (0.5, What::NodeStarted { node: NODE });
     let now = (0.7, sent_at(0, "a", 0.7));
-    let events = [(0.0, asked(0)), started].into_iter().chain(late).chain([now]).collect();
+    let events = [(0.0, asked(0)), started]
+        .into_iter()
+        .chain(late)
+        .chain([now])
+        .collect();
     assert_eq!(broken(events, 0.9), []);
 }
 
@@ -254,9 +394,21 @@
         assert!(checker.take(&Event { at, what }).is_empty());
     }
     assert_eq!(checker.owed(), 1);
-    let found = checker.take(&Event { at: 0.2, what: answered(true, &WHOLE) });
-    assert_eq!((found.len(), found[0].proof.len(), checker.owed()), (1, 3, 0));
-    assert!(found[0].why.contains("no replica made the value of shard 0"), "{}", found[0].why);
+    let found = checker.take(&Event {
+        at: 0.2,
+        what: answered(true, &WHOLE),
+    });
+    assert_eq!(
+        (found.len(), found[0].proof.len(), checker.owed()),
+        (1, 3, 0)
+    );
+    assert!(
+        found[0]
+            .why
+            .contains("no replica made the value of shard 0"),
+        "{}",
+        found[0].why
+    );
 }
 
 /// A client has gone at 0.2 s: attempts that begin up to 0.1 s later, and the slack of the record, are on
@@ -267,13 +419,29 @@
 #[case::three(&[0.36, 0.5, 0.6], 1)]
 #[case::four(&[0.36, 0.5, 0.6, 0.7], 2)]
 fn attempts_for_a_client_that_has_gone(#[case] at: &[f64], #[case] breaks: usize) {
-    let mut checker = Checker::new(Terms { budget: None, cold: None, ..terms() });
-    let mut all = checker.take(&Event { at: 0.0, what: asked(0) });
-    all.extend(checker.take(&Event { at: 0.2, what: What::Left { search: "s".into() } }));
+    let mut checker = Checker::new(Terms {
+        budget: None,
+        cold: None,
+        ..terms()
+    });
+    let mut all = checker.take(&Event {
+        at: 0.0,
+        what: asked(0),
+    });
+    all.extend(checker.take(&Event {
+        at: 0.2,
+        what: What::Left { search: "s".into() },
+    }));
     for at in at {
-        all.extend(checker.take(&Event { at: *at, what: sent_at(0, "a", *at) }));
+        all.extend(checker.take(&Event {
+            at: *at,
+            what: sent_at(0, "a", *at),
+        }));
     }
-    assert_eq!(all.iter().map(|b| b.rule).collect::<Vec<_>>(), vec![Rule::Sound; breaks]);
+    assert_eq!(
+        all.iter().map(|b| b.rule).collect::<Vec<_>>(),
+        vec![Rule::Sound; breaks]
+    );
 }
 
 /// Where only what was sent by those told of a start counts: a fall breaks the rule if over two thirds of
@@ -283,21 +451,57 @@
 #[case::half_told(1, &[])]
 #[case::none_told(0, &[])]
 fn a_fall_by_those_who_were_told(#[case] told: usize, #[case] expected: &[Rule]) {
-    let cold = terms().cold.map(|c| Cold { untold_too: false, ..c });
-    let mut checker = Checker::new(Terms { budget: None, cold, ..terms() });
-    let mut all = checker.take(&Event { at: 0.0, what: What::Born { replica: "a".into(), cores: 1.0 } });
+    let cold = terms().cold.map(|c| Cold {
+        untold_too: false,
+        ..c
+    });
+    let mut checker = Checker::new(Terms {
+        budget: None,
+        cold,
+        ..terms()
+    });
+    let mut all = checker.take(&Event {
+        at: 0.0,
+        what: What::Born {
+            replica: "a".into(),
+            cores: 1.0,
+        },
+    });
     for node in (0..told).map(NodeId) {
-        let what = What::Told { node, replica: "a".into(), ready: true };
+        let what = What::Told {
+            node,
+            replica: "a".into(),
+            ready: true,
+        };
         all.extend(checker.take(&Event { at: 0.05, what }));
     }
     for n in 0..20 {
         let (at, node) = (0.1 + n as f64 * 0.001, NodeId(n % 2));
         let (search, parts): (Arc<str>, _) = (format!("s{n}").into(), Arc::from([(0, 1.0)]));
-        let what = What::Asked { node, search: search.clone(), query_type: 0, parts, ends: at + 9.0 };
+        let what = What::Asked {
+            node,
+            search: search.clone(),
+            query_type: 0,
+            parts,
+            ends: at + 9.0,
+        };
         all.extend(checker.take(&Event { at, what }));
-        let part = PartName { search, shard: 0, fetch: false };
+        let part = PartName {
+            search,
+            shard: 0,
+            fetch: false,
+        };
         let (replica, work, from) = ("a".into(), 0.1, vec![]);
-        let what = What::Sent { node, replica, part, begun: at, came: at, work, from, first_whole: None };
+        let what = What::Sent {
+            node,
+            replica,
+            part,
+            begun: at,
+            came: at,
+            work,
+            from,
+            first_whole: None,
+        };
         all.extend(checker.take(&Event { at, what }));
     }
     assert_eq!(all.iter().map(|b| b.rule).collect::<Vec<_>>(), expected);
--- a/crates/woadreach-settings/src/settings.rs
+++ b/crates/woadreach-settings/src/settings.rs
@@ -135,7 +135,9 @@
     /// Reads the file that the environment names.
     pub fn load_from_environment() -> Result<Self, SettingsError> {
         let path = std::env::var_os(SETTINGS_VARIABLE);
-        let path = path.context(NoPathSnafu { variable: SETTINGS_VARIABLE })?;
+        let path = path.context(NoPathSnafu {
+            variable: SETTINGS_VARIABLE,
+        })?;
         Self::load(Path::new(&path))
     }
 
@@ -192,14 +194,21 @@
 
     /// Where the seeds' processes are reached by others of the tier: ports are the same on all machines.
     pub fn seed_internal_addresses(&self) -> Vec<SocketAddr> {
-        self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.port_range.0)).collect()
+        self.seeds
+            .iter()
+            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.0))
+            .collect()
     }
 }
 
 fn check(file: &SettingsFile) -> Result<(), SettingsError> {
     ensure!(
         !file.node.is_empty(),
-        BadValueSnafu { field: "node", found: "empty", expected: "the machine's name" }
+        BadValueSnafu {
+            field: "node",
+            found: "empty",
+            expected: "the machine's name"
+        }
     );
     let ports = &file.port_range;
     ensure!(
@@ -220,22 +229,32 @@
     );
     ensure!(
         file.limits.memory_mb > 0,
-        BadValueSnafu { field: "limits.memory_mb", found: "0", expected: "a size above 0" }
+        BadValueSnafu {
+            field: "limits.memory_mb",
+            found: "0",
+            expected: "a size above 0"
+        }
     );
     ensure!(
         file.heartbeat_ms > 0,
-        BadValueSnafu { field: "heartbeat_ms", found: "0", expected: "an interval above 0" }
+        BadValueSnafu {
+            field: "heartbeat_ms",
+            found: "0",
+            expected: "an interval above 0"
+        }
     );
     Ok(())
 }
 
 fn bounds(file: &BoundsFile) -> Result<Bounds, SettingsError> {
     let seconds = |field: &'static str, value: f64| {
-        Duration::try_from_secs_f64(value).ok().context(BadValueSnafu {
-            field,
-            found: value.to_string(),
-            expected: "a length of time",
-        })
+        Duration::try_from_secs_f64(value)
+            .ok()
+            .context(BadValueSnafu {
+                field,
+                found: value.to_string(),
+                expected: "a length of time",
+            })
     };
     let milliseconds = |field, value: f64| seconds(field, value / 1000.0);
     Ok(Bounds {
--- a/crates/woadreach-settings/tests/settings.rs
+++ b/crates/woadreach-settings/tests/settings.rs
@@ -49,19 +49,31 @@
 fn a_whole_file_is_read_and_unknown_fields_are_ignored() {
     let settings = NodeSettings::parse(EDGE).unwrap();
     assert_eq!(settings.node, "edge-1");
-    assert_eq!(settings.internal_address(), "127.0.0.9:7380".parse().unwrap());
-    assert_eq!(settings.seed_internal_addresses()[1], "127.0.0.2:7380".parse().unwrap());
+    assert_eq!(
+        settings.internal_address(),
+        "127.0.0.9:7380".parse().unwrap()
+    );
+    assert_eq!(
+        settings.seed_internal_addresses()[1],
+        "127.0.0.2:7380".parse().unwrap()
+    );
     assert_eq!(settings.bounds.touch, Duration::from_millis(3500));
     assert_eq!(settings.bounds.catch_up, Duration::from_millis(4100));
-    assert_eq!(settings.bounds.config, Duration::from_secs(2), "absent bounds have their default");
+    assert_eq!(
+        settings.bounds.config,
+        Duration::from_secs(2),
+        "absent bounds have their default"
+    );
     assert!(settings.listen.control.is_none());
     assert!(settings.data_dir.is_none());
 }
 
 #[test]
 fn an_empty_listen_block_is_allowed() {
-    let text =
-        EDGE.replace("listen:\n  front: \"127.0.0.9:8149\"\n  ready: \"127.0.0.9:8141\"", "listen: {}");
+    let text = EDGE.replace(
+        "listen:\n  front: \"127.0.0.9:8149\"\n  ready: \"127.0.0.9:8141\"",
+        "listen: {}",
+    );
     assert!(NodeSettings::parse(&text).unwrap().listen.front.is_none());
 }
 
@@ -112,7 +124,11 @@
 
 #[test]
 fn a_group_bears_the_greatest_of_the_tolerated_losses() {
-    let tolerance = |machines, zones, regions| FaultTolerance { machines, zones, regions };
+    let tolerance = |machines, zones, regions| FaultTolerance {
+        machines,
+        zones,
+        regions,
+    };
     assert_eq!(tolerance(1, 0, 0).members_of_a_group(), 1);
     assert_eq!(tolerance(0, 1, 0).members_of_a_group(), 1);
     assert_eq!(tolerance(1, 2, 1).members_of_a_group(), 2);
--- a/crates/woadreach-simhost/src/host.rs
+++ b/crates/woadreach-simhost/src/host.rs
@@ -44,14 +44,25 @@
 impl Host {
     pub fn batch(&mut self, line: &str) -> Result<Value, String> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-        let now = batch.get("simTimeMs").and_then(decode::seconds).ok_or("no simTimeMs")?;
-        let groups = batch.get("groups").and_then(Value::as_array).ok_or("no groups")?;
+        let now = batch
+            .get("simTimeMs")
+            .and_then(decode::seconds)
+            .ok_or("no simTimeMs")?;
+        let groups = batch
+            .get("groups")
+            .and_then(Value::as_array)
+            .ok_or("no groups")?;
         // An instance may come in several groups; a restart in a later one voids what an earlier one asked.
         let mut outs: BTreeMap<i64, Vec<Value>> = BTreeMap::new();
         for group in groups {
-            let id =
-                group.get("co-ordinatorId").and_then(Value::as_i64).ok_or("a group has no co-ordinatorId")?;
-            let events = group.get("in").and_then(Value::as_array).ok_or("a group has no in")?;
+            let id = group
+                .get("co-ordinatorId")
+                .and_then(Value::as_i64)
+                .ok_or("a group has no co-ordinatorId")?;
+            let events = group
+                .get("in")
+                .and_then(Value::as_array)
+                .ok_or("a group has no in")?;
             let out = outs.entry(id).or_default();
             for event in events {
                 self.event(now, id, event, out);
@@ -60,7 +71,10 @@
         let mut replies = Vec::new();
         for (id, mut out) in outs {
             if let Some(instance) = self.instances.get_mut(&id) {
-                let mut actions = Actions { out: &mut out, by_number: &mut instance.by_number };
+                let mut actions = Actions {
+                    out: &mut out,
+                    by_number: &mut instance.by_number,
+                };
                 for search in std::mem::take(&mut instance.fresh) {
                     instance.hand.ask(now, search, &mut actions);
                 }
@@ -82,8 +96,11 @@
                 self.instances.remove(&id);
                 match woadreach_host::settings(event.get(1)?.as_u64()?, event.get(2)?) {
                     Ok(set) => {
-                        let marks = event.pointer("/2/clients/marksRetry").and_then(Value::as_bool);
-                        let asks = event.pointer("/2/discovery").and_then(Value::as_str) == Some("subscribe");
+                        let marks = event
+                            .pointer("/2/clients/marksRetry")
+                            .and_then(Value::as_bool);
+                        let asks = event.pointer("/2/discovery").and_then(Value::as_str)
+                            == Some("subscribe");
                         let mut instance = Instance::new(set, marks == Some(true));
                         instance.asks = asks;
                         self.instances.insert(id, instance);
@@ -104,14 +121,22 @@
                 return Some(());
             }
             "sheet" => {
-                let lines = event.get(2)?.as_array()?.iter().filter_map(decode::listed).collect();
+                let lines = event
+                    .get(2)?
+                    .as_array()?
+                    .iter()
+                    .filter_map(decode::listed)
+                    .collect();
                 self.sheets.insert(event.get(1)?.as_u64()?, lines);
                 return Some(());
             }
             _ => {}
         }
         let instance = self.instances.get_mut(&id)?;
-        let actions = &mut Actions { out, by_number: &mut instance.by_number };
+        let actions = &mut Actions {
+            out,
+            by_number: &mut instance.by_number,
+        };
         match name {
             "sync" => {
                 let form = event.get(2)?.as_str()?;
@@ -129,12 +154,22 @@
                 }
             }
             "newRequest" => instance.arrival(now, event)?,
-            "closedAttempt" => instance.hand.outcome(now, &decode::outcome(event)?, actions),
-            "timer" if event.get(1)?.as_str()? == WATCH => actions.out.push(json!(["observe", true])),
+            "closedAttempt" => instance
+                .hand
+                .outcome(now, &decode::outcome(event)?, actions),
+            "timer" if event.get(1)?.as_str()? == WATCH => {
+                actions.out.push(json!(["observe", true]))
+            }
             "timer" => {
-                instance.hand.due(now, SearchId(event.get(1)?.as_str()?.parse().ok()?), actions);
+                instance.hand.due(
+                    now,
+                    SearchId(event.get(1)?.as_str()?.parse().ok()?),
+                    actions,
+                );
             }
-            "withdrawn" => instance.hand.left(now, SearchId(event.get(1)?.as_u64()?), actions),
+            "withdrawn" => instance
+                .hand
+                .left(now, SearchId(event.get(1)?.as_u64()?), actions),
             _ => {}
         }
         Some(())
@@ -177,7 +212,10 @@
         }
         let search = *self.by_number.get(&number)?;
         let weight = event.get(9).and_then(Value::as_f64).unwrap_or(0.0);
-        if !self.hand.add_part(search, PartId(id), ShardId(segment as u64), weight) {
+        if !self
+            .hand
+            .add_part(search, PartId(id), ShardId(segment as u64), weight)
+        {
             return None;
         }
         if !self.fresh.contains(&search) {
@@ -203,7 +241,12 @@
     }
 
     fn send(&mut self, _: &Search, s: &Placement, _: usize) {
-        self.out.push(json!(["place", s.part.0, &*s.replica.0, s.timeout * 1000.0]));
+        self.out.push(json!([
+            "place",
+            s.part.0,
+            &*s.replica.0,
+            s.timeout * 1000.0
+        ]));
     }
 
     fn reply(&mut self, search: &Search, reply: Reply) {
@@ -216,7 +259,8 @@
     }
 
     fn timer(&mut self, search: SearchId, wait: f64) {
-        self.out.push(json!(["setTimer", wait * 1000.0, search.0.to_string()]));
+        self.out
+            .push(json!(["setTimer", wait * 1000.0, search.0.to_string()]));
     }
 
     fn over(&mut self, search: &Search) {
--- a/crates/woadreach-simhost/src/main.rs
+++ b/crates/woadreach-simhost/src/main.rs
@@ -19,7 +19,10 @@
                 return ExitCode::FAILURE;
             }
         };
-        if writeln!(stdout, "{reply}").and_then(|()| stdout.flush()).is_err() {
+        if writeln!(stdout, "{reply}")
+            .and_then(|()| stdout.flush())
+            .is_err()
+        {
             return ExitCode::FAILURE;
         }
     }
--- a/crates/woadreach-simhost/tests/unit/host.rs
+++ b/crates/woadreach-simhost/tests/unit/host.rs
@@ -10,7 +10,11 @@
 fn out(host: &mut Host, now: f64, events: Value) -> Vec<Value> {
     let line = json!({"simTimeMs": now, "groups": [{"co-ordinatorId": 3, "in": events}]});
     let reply = host.batch(&line.to_string()).unwrap();
-    reply.pointer("/groups/0/out").and_then(Value::as_array).cloned().unwrap_or_default()
+    reply
+        .pointer("/groups/0/out")
+        .and_then(Value::as_array)
+        .cloned()
+        .unwrap_or_default()
 }
 
 fn named<'a>(actions: &'a [Value], name: &str) -> Vec<&'a Value> {
@@ -22,11 +26,19 @@
 #[test]
 fn an_asked_for_list_is_watched_and_asked_again_after_a_wait() {
     let mut host = Host::default();
-    let start = out(&mut host, 0.0, json!([["newInstance", 1, facts("subscribe")]]));
+    let start = out(
+        &mut host,
+        0.0,
+        json!([["newInstance", 1, facts("subscribe")]]),
+    );
     assert_eq!(named(&start, "observe").len(), 1);
     let mut waits = Vec::new();
     for n in 0..6 {
-        let refused = out(&mut host, 10.0 + n as f64, json!([["sync", 0, "refused", 0]]));
+        let refused = out(
+            &mut host,
+            10.0 + n as f64,
+            json!([["sync", 0, "refused", 0]]),
+        );
         assert!(named(&refused, "observe").is_empty(), "asked again at once");
         let timer = named(&refused, "setTimer");
         assert_eq!(timer.len(), 1);
@@ -42,7 +54,11 @@
 #[test]
 fn a_list_that_comes_by_itself_is_not_asked_for() {
     let mut host = Host::default();
-    let start = out(&mut host, 0.0, json!([["newInstance", 1, facts("automatic")]]));
+    let start = out(
+        &mut host,
+        0.0,
+        json!([["newInstance", 1, facts("automatic")]]),
+    );
     assert!(named(&start, "observe").is_empty());
     let refused = out(&mut host, 1.0, json!([["sync", 0, "refused", 0]]));
     assert!(named(&refused, "setTimer").is_empty() && named(&refused, "observe").is_empty());
--- a/crates/woadreach-simhost/tests/wire.rs
+++ b/crates/woadreach-simhost/tests/wire.rs
@@ -19,7 +19,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    child.stdin.take().unwrap().write_all(input.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(input.as_bytes())
+        .unwrap();
     child.wait_with_output().unwrap()
 }
 
@@ -39,7 +44,10 @@
     r#"["place",2,"a:1""#
 )]
 #[case::unknown_class_is_skipped(r#"["newRequest",1,9,0,"k",900.0,null,1,-1,1.0,0]"#, "")]
-#[case::no_parts(r#"["newRequest",1,0,0,"k",900.0,null,1,-1,0,0]"#, r#"["turnAway",1,0.0]"#)]
+#[case::no_parts(
+    r#"["newRequest",1,0,0,"k",900.0,null,1,-1,0,0]"#,
+    r#"["turnAway",1,0.0]"#
+)]
 #[case::restart_voids(
     r#"["newRequest",1,0,0,"k",900.0,null,1,-1,0,0],["destroy"],["newInstance",7,FACTS]"#,
     ""
@@ -71,7 +79,9 @@
 #[case::classes("requestClasses")]
 #[case::target("aimMs")]
 fn a_required_setting_is_named(#[case] key: &str) {
-    let out = run(&batch(&START.replace("FACTS", &FACTS.replace(key, "absent"))));
+    let out = run(&batch(
+        &START.replace("FACTS", &FACTS.replace(key, "absent")),
+    ));
     assert!(String::from_utf8(out.stderr).unwrap().contains(key));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(text.contains("\"die\"") && text.contains(key), "{text}");
--- a/crates/woadreach-standin/src/client.rs
+++ b/crates/woadreach-standin/src/client.rs
@@ -143,14 +143,28 @@
         let reused = kept.is_some();
         let mut kept = match kept {
             Some(kept) => kept,
-            None => match inner.net.timeout(ask.expires, inner.net.connect(inner.address)).await {
-                Ok(Ok(stream)) => Kept { stream, bytes: Vec::new() },
+            None => match inner
+                .net
+                .timeout(ask.expires, inner.net.connect(inner.address))
+                .await
+            {
+                Ok(Ok(stream)) => Kept {
+                    stream,
+                    bytes: Vec::new(),
+                },
                 _ => return Calls::Unreached,
             },
         };
         let (asked, search) = (inner.net.now(), ask.search.clone());
-        let bytes =
-            wire::request(&ask.path, &ask.search, &ask.tenant, ask.expires, ask.again, &ask.parts, &ask.text);
+        let bytes = wire::request(
+            &ask.path,
+            &ask.search,
+            &ask.tenant,
+            ask.expires,
+            ask.again,
+            &ask.parts,
+            &ask.text,
+        );
         // What a stand-in writes is small: it is taken at once, so that the record can say so before the
         // co-ordinator can act on it.
         recorder.tell(What::Asked {
@@ -179,19 +193,29 @@
                 let calls = match message.status {
                     200 => match message.rows() {
                         Ok((whole, rows)) => {
-                            recorder.tell(What::Answered { search, whole, rows });
+                            recorder.tell(What::Answered {
+                                search,
+                                whole,
+                                rows,
+                            });
                             Calls::Answered { whole, after }
                         }
                         Err(why) => {
                             let why = format!("an answer that cannot be read: {why}");
-                            recorder.tell(What::Kept { node: inner.node, why });
+                            recorder.tell(What::Kept {
+                                node: inner.node,
+                                why,
+                            });
                             recorder.tell(What::Errored { search });
                             Calls::Errored { after }
                         }
                     },
                     429 | 503 => {
                         recorder.tell(What::Shed { search });
-                        Calls::Shed { retry_after: message.retry_after, after }
+                        Calls::Shed {
+                            retry_after: message.retry_after,
+                            after,
+                        }
                     }
                     _ => {
                         recorder.tell(What::Errored { search });
@@ -213,13 +237,20 @@
                 Calls::Unanswered
             }
             Heard::Bad(why) => {
-                recorder.tell(What::Kept { node: inner.node, why });
+                recorder.tell(What::Kept {
+                    node: inner.node,
+                    why,
+                });
                 recorder.tell(What::Left { search });
                 Calls::Unanswered
             }
             Heard::TimeOver => {
                 recorder.tell(What::Left { search });
-                if ask.leaves_after.is_some() { Calls::Left } else { Calls::Unanswered }
+                if ask.leaves_after.is_some() {
+                    Calls::Left
+                } else {
+                    Calls::Unanswered
+                }
             }
         }
     }
@@ -245,7 +276,12 @@
                 Ok(None) => {}
                 Err(why) => return Heard::Bad(why),
             }
-            match self.0.net.timeout_at(until, kept.stream.read(&mut kept.bytes)).await {
+            match self
+                .0
+                .net
+                .timeout_at(until, kept.stream.read(&mut kept.bytes))
+                .await
+            {
                 Ok(Ok(1..)) => {}
                 Ok(_) => return Heard::Ended,
                 Err(_) => return Heard::TimeOver,
@@ -271,7 +307,10 @@
                 Calls::Answered { .. } | Calls::Left => return all,
                 // Not proven harmless.
                 Calls::Errored { .. } | Calls::Unanswered if !may_repeat => return all,
-                Calls::Shed { retry_after: Some(advice), .. } if retry.heeds => retry.pause.max(advice),
+                Calls::Shed {
+                    retry_after: Some(advice),
+                    ..
+                } if retry.heeds => retry.pause.max(advice),
                 _ => retry.pause,
             };
             let left = ends - self.0.net.now() - pause;
--- a/crates/woadreach-standin/src/discovery.rs
+++ b/crates/woadreach-standin/src/discovery.rs
@@ -111,7 +111,10 @@
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         for line in lines {
-            self.0.lines.borrow_mut().insert(line.id.clone(), (generation, line.clone()));
+            self.0
+                .lines
+                .borrow_mut()
+                .insert(line.id.clone(), (generation, line.clone()));
         }
         self.count();
         self.0.changed.notify_waiters();
@@ -167,12 +170,16 @@
     /// What has changed after a version, and which replicas it names; what is gone stands among changes only.
     fn list(&self, after: u64, full: bool) -> (String, Vec<Line>) {
         let lines = self.0.lines.borrow();
-        let wanted = lines.values().filter(|(at, line)| *at > after && !(full && line.lifecycle == "gone"));
+        let wanted = lines
+            .values()
+            .filter(|(at, line)| *at > after && !(full && line.lifecycle == "gone"));
         let lines: Vec<Line> = wanted.map(|(_, line)| line.clone()).collect();
         let entries: Vec<String> = lines.iter().map(Line::json).collect();
         let generation = self.0.generation.get();
-        let text =
-            format!(r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#, entries.join(","));
+        let text = format!(
+            r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
+            entries.join(",")
+        );
         (text, lines)
     }
 
@@ -184,7 +191,11 @@
     fn tell(&self, lines: &[Line]) {
         for line in lines {
             let (node, replica) = (self.0.node, line.id.as_str().into());
-            self.0.recorder.tell(What::Told { node, replica, ready: line.lifecycle == "ready" });
+            self.0.recorder.tell(What::Told {
+                node,
+                replica,
+                ready: line.lifecycle == "ready",
+            });
         }
     }
 }
@@ -206,7 +217,10 @@
             Ok(_) => {}
         }
     };
-    let index = head.split("index=").nth(1).and_then(|r| r.split([' ', '&']).next());
+    let index = head
+        .split("index=")
+        .nth(1)
+        .and_then(|r| r.split([' ', '&']).next());
     let index = index.and_then(|i| i.parse::<u64>().ok());
     let era = agent.0.era.get();
     let lost = match agent.0.calls_while_silent.get() {
@@ -230,7 +244,10 @@
     }
     let Some(mut index) = index else {
         let (generation, (list, _)) = (agent.generation(), agent.list(0, true));
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+            list.len()
+        );
         if stream.write_all(answer.as_bytes()).await.is_ok() {
             agent.written(generation);
         }
@@ -239,7 +256,11 @@
         while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
         return;
     };
-    if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
+    if stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await
+        .is_err()
+    {
         return;
     }
     let chunk = |text: &str| format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
--- a/crates/woadreach-standin/src/replica.rs
+++ b/crates/woadreach-standin/src/replica.rs
@@ -120,7 +120,10 @@
     seed: u64,
     recorder: &Recorder,
 ) -> std::io::Result<Replica<N>> {
-    recorder.tell(What::Born { replica: name.into(), cores: behaviour.cores as f64 });
+    recorder.tell(What::Born {
+        replica: name.into(),
+        cores: behaviour.cores as f64,
+    });
     let inner = Rc::new(Inner {
         net: net.clone(),
         name: name.into(),
@@ -146,7 +149,11 @@
 
     /// Parts at work, waiting, and done so far.
     pub fn load(&self) -> (usize, usize, u64) {
-        (self.0.at_work.get(), self.0.queue.borrow().len(), self.0.done.get())
+        (
+            self.0.at_work.get(),
+            self.0.queue.borrow().len(),
+            self.0.done.get(),
+        )
     }
 }
 
@@ -188,22 +195,39 @@
 }
 
 fn name_of(part: &Part) -> PartName {
-    PartName { search: part.search.as_str().into(), shard: part.shard, fetch: part.fetch }
+    PartName {
+        search: part.search.as_str().into(),
+        shard: part.shard,
+        fetch: part.fetch,
+    }
 }
 
 fn id_of(part: &Part) -> String {
-    format!("{}.{}{}", part.search, part.shard, if part.fetch { ".fetch" } else { "" })
+    format!(
+        "{}.{}{}",
+        part.search,
+        part.shard,
+        if part.fetch { ".fetch" } else { "" }
+    )
 }
 
 /// What a part costs, in seconds of one core: the first word of its text.
 fn work_of(part: &Part) -> f64 {
-    part.text.split(' ').next().and_then(|w| w.parse().ok()).unwrap_or(0.0)
+    part.text
+        .split(' ')
+        .next()
+        .and_then(|w| w.parse().ok())
+        .unwrap_or(0.0)
 }
 
 /// Score and value are a mark of the part: the same wherever it runs, but for the replica's name.
 fn score_of(part: &Part) -> u64 {
     let mix = |mixed: u64, byte: u8| (mixed ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    part.search.bytes().chain(part.shard.to_le_bytes()).fold(0xcbf2_9ce4_8422_2325, mix) >> 8
+    part.search
+        .bytes()
+        .chain(part.shard.to_le_bytes())
+        .fold(0xcbf2_9ce4_8422_2325, mix)
+        >> 8
 }
 
 impl<N: Net> Inner<N> {
@@ -243,8 +267,10 @@
     }
 
     fn refuse(&self, node: NodeId, why: &str, outlet: &Outlet) {
-        self.recorder
-            .tell(What::Kept { node, why: format!("a frame that {} cannot read: {why}", self.name) });
+        self.recorder.tell(What::Kept {
+            node,
+            why: format!("a frame that {} cannot read: {why}", self.name),
+        });
         outlet.end();
     }
 
@@ -264,28 +290,54 @@
             return;
         }
         if b.full || self.queue.borrow().len() >= b.room {
-            self.recorder.tell(What::TurnedAway { node, replica: self.name.clone(), part: name_of(&part) });
+            self.recorder.tell(What::TurnedAway {
+                node,
+                replica: self.name.clone(),
+                part: name_of(&part),
+            });
             return to.say(answer_frame(&id_of(&part), "503", None, ""));
         }
-        self.queue.borrow_mut().push_back(Job { node, part, to: to.clone() });
+        self.queue.borrow_mut().push_back(Job {
+            node,
+            part,
+            to: to.clone(),
+        });
         self.work();
     }
 
     fn given_up(&self, node: NodeId, id: &[u8], to: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
-        let (rest, fetch) = id.strip_suffix(".fetch").map_or((id.as_str(), false), |r| (r, true));
-        let Some((search, shard)) = rest.rsplit_once('.') else { return };
-        let Ok(shard) = shard.parse::<u64>() else { return };
-        let part = PartName { search: search.into(), shard, fetch };
-        self.recorder.tell(What::GivenUp { node, replica: self.name.clone(), part });
+        let (rest, fetch) = id
+            .strip_suffix(".fetch")
+            .map_or((id.as_str(), false), |r| (r, true));
+        let Some((search, shard)) = rest.rsplit_once('.') else {
+            return;
+        };
+        let Ok(shard) = shard.parse::<u64>() else {
+            return;
+        };
+        let part = PartName {
+            search: search.into(),
+            shard,
+            fetch,
+        };
+        self.recorder.tell(What::GivenUp {
+            node,
+            replica: self.name.clone(),
+            part,
+        });
         if self.behaviour.borrow().heedless {
             return;
         }
         let same = |p: &Part| p.search == search && p.shard == shard && p.fetch == fetch;
         let before = self.queue.borrow().len();
-        self.queue.borrow_mut().retain(|job| !(Rc::ptr_eq(&job.to, to) && same(&job.part)));
+        self.queue
+            .borrow_mut()
+            .retain(|job| !(Rc::ptr_eq(&job.to, to) && same(&job.part)));
         if self.queue.borrow().len() == before {
-            to.given_up.borrow_mut().insert((search.to_string(), shard, fetch));
+            to.given_up
+                .borrow_mut()
+                .insert((search.to_string(), shard, fetch));
         }
     }
 
@@ -296,14 +348,20 @@
             if self.at_work.get() >= b.cores {
                 return;
             }
-            let Some(job) = self.queue.borrow_mut().pop_front() else { return };
+            let Some(job) = self.queue.borrow_mut().pop_front() else {
+                return;
+            };
             self.at_work.set(self.at_work.get() + 1);
             let inner = self.clone();
             drop(self.net.spawn(async move {
                 let age = inner.net.now() - inner.started;
-                let warm =
-                    b.cold.map_or(1.0, |(from, time)| from + (1.0 - from) * (age / time).clamp(0.0, 1.0));
-                inner.net.sleep(work_of(&job.part) / (b.speed * warm).max(1e-6)).await;
+                let warm = b.cold.map_or(1.0, |(from, time)| {
+                    from + (1.0 - from) * (age / time).clamp(0.0, 1.0)
+                });
+                inner
+                    .net
+                    .sleep(work_of(&job.part) / (b.speed * warm).max(1e-6))
+                    .await;
                 inner.finish(&job);
                 inner.at_work.set(inner.at_work.get() - 1);
                 inner.work();
@@ -314,8 +372,12 @@
     fn finish(&self, job: &Job) {
         let (part, to) = (&job.part, &job.to);
         let b = self.behaviour.borrow().clone();
-        let happens = |share: f64| share > 0.0 && self.chance.borrow_mut().random_bool(share.min(1.0));
-        let marked = to.given_up.borrow_mut().remove(&(part.search.clone(), part.shard, part.fetch));
+        let happens =
+            |share: f64| share > 0.0 && self.chance.borrow_mut().random_bool(share.min(1.0));
+        let marked =
+            to.given_up
+                .borrow_mut()
+                .remove(&(part.search.clone(), part.shard, part.fetch));
         self.done.set(self.done.get() + 1);
         if b.hangs || happens(b.swallows) || (marked && !b.heedless) {
             return;
--- a/crates/woadreach-standin/src/wire.rs
+++ b/crates/woadreach-standin/src/wire.rs
@@ -36,22 +36,42 @@
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let body = bytes.get(4..4 + length)?;
     let (letter, rest) = body.split_first()?;
-    Some((Frame { letter: *letter, rest: rest.to_vec() }, 4 + length))
+    Some((
+        Frame {
+            letter: *letter,
+            rest: rest.to_vec(),
+        },
+        4 + length,
+    ))
 }
 
 /// The parts of a call, or what is wrong with it.
 pub fn parts_of(mut rest: &[u8]) -> Result<Vec<Part>, String> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let end = rest.iter().position(|b| *b == b'\n').ok_or("a part without a line")?;
+        let end = rest
+            .iter()
+            .position(|b| *b == b'\n')
+            .ok_or("a part without a line")?;
         let line = std::str::from_utf8(&rest[..end]).map_err(|e| e.to_string())?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else { return Err(format!("not four words: {line}")) };
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("not a number: {text} in {line}"));
+        let [id, shard, list, length] = words[..] else {
+            return Err(format!("not four words: {line}"));
+        };
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|_| format!("not a number: {text} in {line}"))
+        };
         let (shard, length) = (number(shard)?, number(length)? as usize);
-        let text = rest.get(end + 1..end + 1 + length).ok_or("a text that is cut short")?;
-        let (id, fetch) = id.strip_suffix(".fetch").map_or((id, false), |id| (id, true));
-        let (search, named) = id.rsplit_once('.').ok_or(format!("an id without a shard: {id}"))?;
+        let text = rest
+            .get(end + 1..end + 1 + length)
+            .ok_or("a text that is cut short")?;
+        let (id, fetch) = id
+            .strip_suffix(".fetch")
+            .map_or((id, false), |id| (id, true));
+        let (search, named) = id
+            .rsplit_once('.')
+            .ok_or(format!("an id without a shard: {id}"))?;
         if number(named)? != shard {
             return Err(format!("an id of another shard: {line}"));
         }
@@ -105,7 +125,10 @@
     parts: &[(u64, f64)],
     text: &str,
 ) -> Vec<u8> {
-    let parts: Vec<String> = parts.iter().map(|(id, w)| format!(r#"{{"id":{id},"w":{w}}}"#)).collect();
+    let parts: Vec<String> = parts
+        .iter()
+        .map(|(id, w)| format!(r#"{{"id":{id},"w":{w}}}"#))
+        .collect();
     let body = format!(r#"{{"parts":[{}],"expr":"{text}"}}"#, parts.join(","));
     let again = if again { "X-Second-Try: 1\r\n" } else { "" };
     format!(
@@ -119,15 +142,22 @@
 
 /// The first answer in `bytes`, and how many of them it takes; an error for what no client could read.
 pub fn response(bytes: &[u8]) -> Result<Option<(Message, usize)>, String> {
-    let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { return Ok(None) };
+    let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
+        return Ok(None);
+    };
     let head = std::str::from_utf8(&bytes[..end]).map_err(|e| e.to_string())?;
     let mut lines = head.split("\r\n");
     let first = lines.next().unwrap_or("");
-    let status = first.strip_prefix("HTTP/1.1 ").and_then(|r| r.get(..3)).and_then(|s| s.parse().ok());
+    let status = first
+        .strip_prefix("HTTP/1.1 ")
+        .and_then(|r| r.get(..3))
+        .and_then(|s| s.parse().ok());
     let status = status.ok_or(format!("not an answer: {first}"))?;
     let (mut length, mut retry_after, mut closes) = (None, None, false);
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(format!("not a header: {line}"))?;
+        let (name, value) = line
+            .split_once(':')
+            .ok_or(format!("not a header: {line}"))?;
         let value = value.trim();
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.parse::<usize>().ok(),
@@ -137,8 +167,18 @@
         }
     }
     let length = length.ok_or("an answer without its length")?;
-    let Some(body) = bytes.get(end + 4..end + 4 + length) else { return Ok(None) };
-    Ok(Some((Message { status, retry_after, closes, body: body.to_vec() }, end + 4 + length)))
+    let Some(body) = bytes.get(end + 4..end + 4 + length) else {
+        return Ok(None);
+    };
+    Ok(Some((
+        Message {
+            status,
+            retry_after,
+            closes,
+            body: body.to_vec(),
+        },
+        end + 4 + length,
+    )))
 }
 
 impl Message {
@@ -148,13 +188,21 @@
         let rest = text.strip_prefix(r#"{"exact":"#).ok_or("no exact")?;
         let (whole, rest) = match rest.strip_prefix("true") {
             Some(rest) => (true, rest),
-            None => (false, rest.strip_prefix("false").ok_or("neither true nor false")?),
+            None => (
+                false,
+                rest.strip_prefix("false").ok_or("neither true nor false")?,
+            ),
         };
-        let rest = rest.strip_prefix(r#","rows":["#).and_then(|r| r.strip_suffix("]}")).ok_or("no rows")?;
+        let rest = rest
+            .strip_prefix(r#","rows":["#)
+            .and_then(|r| r.strip_suffix("]}"))
+            .ok_or("no rows")?;
         let mut rows = Vec::new();
         for row in rest.split("},").filter(|r| !r.is_empty()) {
             let row = row.trim_start_matches('{').trim_end_matches('}');
-            let (id, data) = row.split_once(r#","data":""#).ok_or(format!("not a row: {row}"))?;
+            let (id, data) = row
+                .split_once(r#","data":""#)
+                .ok_or(format!("not a row: {row}"))?;
             let id = id.strip_prefix(r#""id":"#).and_then(|id| id.parse().ok());
             let data = data.strip_suffix('"').ok_or(format!("not a row: {row}"))?;
             rows.push((id.ok_or(format!("not a row: {row}"))?, data.to_string()));
--- a/crates/woadreach-storage/src/announce.rs
+++ b/crates/woadreach-storage/src/announce.rs
@@ -59,7 +59,11 @@
     /// An observer that starts to listen now.
     #[must_use]
     pub fn new(now: Instant) -> Announcements {
-        Announcements { sightings: BTreeMap::new(), listening_since: now, last_any: now }
+        Announcements {
+            sightings: BTreeMap::new(),
+            listening_since: now,
+            last_any: now,
+        }
     }
 
     /// Notes an announcement.
@@ -101,7 +105,10 @@
         if now.saturating_duration_since(self.last_any) > OBSERVER_GAP {
             return Duration::ZERO;
         }
-        let last = self.sightings.get(node).map_or(self.listening_since, |seen| seen.last);
+        let last = self
+            .sightings
+            .get(node)
+            .map_or(self.listening_since, |seen| seen.last);
         now.saturating_duration_since(last.max(self.listening_since))
     }
 }
--- a/crates/woadreach-storage/src/cache.rs
+++ b/crates/woadreach-storage/src/cache.rs
@@ -19,7 +19,12 @@
     /// An empty cache.
     #[must_use]
     pub fn new(most_bytes: usize) -> TurnCache {
-        TurnCache { turns: HashMap::new(), order: VecDeque::new(), bytes: 0, most_bytes }
+        TurnCache {
+            turns: HashMap::new(),
+            order: VecDeque::new(),
+            bytes: 0,
+            most_bytes,
+        }
     }
 
     /// Adds a durable turn.
@@ -47,7 +52,10 @@
                 break;
             }
             chain.push(Arc::clone(turn));
-            next = turn.previous.as_ref().and_then(|previous| self.turns.get(previous));
+            next = turn
+                .previous
+                .as_ref()
+                .and_then(|previous| self.turns.get(previous));
         }
         chain
     }
@@ -59,7 +67,11 @@
     }
 
     fn expire(&mut self, now: Duration) {
-        while self.order.front().is_some_and(|(expires, _)| *expires <= now) {
+        while self
+            .order
+            .front()
+            .is_some_and(|(expires, _)| *expires <= now)
+        {
             self.remove_oldest();
         }
     }
--- a/crates/woadreach-storage/src/client/chain.rs
+++ b/crates/woadreach-storage/src/client/chain.rs
@@ -62,11 +62,15 @@
             match self.search_group(&view, key, deadline).await {
                 Search::Found(records) => return Ok(self.remember(records)),
                 Search::Nowhere { .. } if !is_newest => {}
-                Search::Nowhere { .. } => match self.search_everywhere(&view, key, deadline).await {
-                    Search::Found(records) => return Ok(self.remember(records)),
-                    Search::Nowhere { all_answered: true } => return Err(ChainError::NotFound),
-                    Search::Nowhere { all_answered: false } => {}
-                },
+                Search::Nowhere { .. } => {
+                    match self.search_everywhere(&view, key, deadline).await {
+                        Search::Found(records) => return Ok(self.remember(records)),
+                        Search::Nowhere { all_answered: true } => return Err(ChainError::NotFound),
+                        Search::Nowhere {
+                            all_answered: false,
+                        } => {}
+                    }
+                }
             }
             sleep(RETRY_AFTER).await;
         }
@@ -76,8 +80,11 @@
     fn remember(&self, records: Vec<TurnRecord>) -> Vec<Arc<Turn>> {
         let now = self.now();
         let mut cache = self.shared.cache.lock();
-        let turns: Vec<Arc<Turn>> =
-            records.into_iter().filter_map(TurnRecord::into_turn).map(Arc::new).collect();
+        let turns: Vec<Arc<Turn>> = records
+            .into_iter()
+            .filter_map(TurnRecord::into_turn)
+            .map(Arc::new)
+            .collect();
         for turn in turns.iter().rev() {
             cache.insert(now, Arc::clone(turn));
         }
@@ -88,8 +95,10 @@
     async fn search_group(&self, view: &StorageView, key: &TurnKey, deadline: Instant) -> Search {
         let mut members = self.group_members(view, &key.program);
         members.sort_by_key(|member| member.zone != self.shared.zone);
-        let operation =
-            Operation::ReadChain { program: key.program.clone(), request_id: key.request_id.clone() };
+        let operation = Operation::ReadChain {
+            program: key.program.clone(),
+            request_id: key.request_id.clone(),
+        };
         let request = EncodedRequest::new(view.epoch, &operation);
         let mut waiting = members.into_iter();
         let mut asked = JoinSet::new();
@@ -101,22 +110,37 @@
             } else if asked.is_empty() {
                 return Search::Nowhere { all_answered };
             }
-            let hedge_at = if waiting.len() > 0 { Instant::now() + HEDGE_AFTER } else { deadline };
+            let hedge_at = if waiting.len() > 0 {
+                Instant::now() + HEDGE_AFTER
+            } else {
+                deadline
+            };
             match timeout_at(hedge_at.min(deadline), asked.join_next()).await {
                 Ok(Some(Ok(Ok(Answer::Chain { turns })))) if !turns.is_empty() => {
                     return Search::Found(turns);
                 }
                 Ok(Some(Ok(Ok(Answer::Chain { .. })))) | Ok(None) => {}
                 Ok(Some(_)) => all_answered = false,
-                Err(_) if Instant::now() >= deadline => return Search::Nowhere { all_answered: false },
+                Err(_) if Instant::now() >= deadline => {
+                    return Search::Nowhere {
+                        all_answered: false,
+                    };
+                }
                 Err(_) => {}
             }
         }
     }
 
     /// Asks every machine whether any program has the turn.
-    async fn search_everywhere(&self, view: &StorageView, key: &TurnKey, deadline: Instant) -> Search {
-        let operation = Operation::Find { request_id: key.request_id.clone() };
+    async fn search_everywhere(
+        &self,
+        view: &StorageView,
+        key: &TurnKey,
+        deadline: Instant,
+    ) -> Search {
+        let operation = Operation::Find {
+            request_id: key.request_id.clone(),
+        };
         let request = EncodedRequest::new(view.epoch, &operation);
         let mut asked = JoinSet::new();
         for member in view.members() {
@@ -128,14 +152,19 @@
             match answer {
                 Ok(Ok(Answer::Found { programs })) => {
                     if let Some(program) = programs.into_iter().next() {
-                        let found = TurnKey { program, request_id: key.request_id.clone() };
+                        let found = TurnKey {
+                            program,
+                            request_id: key.request_id.clone(),
+                        };
                         return self.search_group(view, &found, deadline).await;
                     }
                 }
                 _ => all_answered = false,
             }
         }
-        Search::Nowhere { all_answered: all_answered && asked.is_empty() }
+        Search::Nowhere {
+            all_answered: all_answered && asked.is_empty(),
+        }
     }
 
     fn group_members(&self, view: &StorageView, program: &str) -> Vec<StorageMember> {
--- a/crates/woadreach-storage/src/client/exchange.rs
+++ b/crates/woadreach-storage/src/client/exchange.rs
@@ -20,8 +20,13 @@
 
 impl EncodedRequest {
     pub(super) fn new(epoch: u64, operation: &Operation) -> EncodedRequest {
-        let request = Request { fence: Fence { epoch, disk: 0 }, operation: operation.clone() };
-        EncodedRequest { bytes: Arc::new(encode(&request)) }
+        let request = Request {
+            fence: Fence { epoch, disk: 0 },
+            operation: operation.clone(),
+        };
+        EncodedRequest {
+            bytes: Arc::new(encode(&request)),
+        }
     }
 
     /// Bytes of the request.
@@ -45,7 +50,11 @@
         timeout: Duration,
     ) -> Result<Answer, CallError> {
         let body = request.addressed_to(member.disk);
-        let reply = self.shared.rpc.call(member.address, ServiceId::STORAGE, body, timeout).await?;
+        let reply = self
+            .shared
+            .rpc
+            .call(member.address, ServiceId::STORAGE, body, timeout)
+            .await?;
         let response: Response = decode(&reply).ok_or(CallError::Broken)?;
         if let Answer::Stale { view } = &response.answer {
             self.set_view(Arc::new(view.clone()));
@@ -58,10 +67,17 @@
     fn bring_view(&self, member: &StorageMember, known_epoch: u64) {
         let view = self.view();
         if known_epoch < view.epoch {
-            let fence = Fence { epoch: view.epoch, disk: member.disk };
-            let operation = Operation::NewView { view: (*view).clone() };
+            let fence = Fence {
+                epoch: view.epoch,
+                disk: member.disk,
+            };
+            let operation = Operation::NewView {
+                view: (*view).clone(),
+            };
             let body = encode(&Request { fence, operation });
-            self.shared.rpc.send(member.address, ServiceId::STORAGE, body);
+            self.shared
+                .rpc
+                .send(member.address, ServiceId::STORAGE, body);
         }
     }
 }
--- a/crates/woadreach-storage/src/client/mod.rs
+++ b/crates/woadreach-storage/src/client/mod.rs
@@ -110,7 +110,9 @@
             random: Mutex::new(Rand64::new(seed)),
             silent: Mutex::default(),
         };
-        StorageClient { shared: Arc::new(shared) }
+        StorageClient {
+            shared: Arc::new(shared),
+        }
     }
 
     /// Takes a view unless a newer one is known.
@@ -138,14 +140,22 @@
         let program = &request.program;
         let id = self.shared.random.lock().rand_u64();
         let mut reservation = HeldReservation::new(self.clone(), program.clone(), id);
-        let operation = Operation::Reserve { program: program.clone(), reservation: id, most: request.most };
+        let operation = Operation::Reserve {
+            program: program.clone(),
+            reservation: id,
+            most: request.most,
+        };
         let written = self.write(program, operation, RESERVE_WITHIN).await;
         let write = written.map_err(|_| ReserveError::Unavailable)?;
         if write.reservation_fits(id, request.most, request.budget) {
             return Ok(reservation);
         }
         let withdrawal = settle_operation(program.clone(), reservation.settlement());
-        if self.write(program, withdrawal, WITHDRAW_WITHIN).await.is_ok() {
+        if self
+            .write(program, withdrawal, WITHDRAW_WITHIN)
+            .await
+            .is_ok()
+        {
             reservation.set_settled();
         }
         Err(ReserveError::Spent)
@@ -165,7 +175,11 @@
         let mut records = self.adopted_ancestors(&turn).await?;
         records.push(turn.to_record(&program));
         let settlement = reservation.as_ref().map(|held| held.settlement());
-        let operation = Operation::PutTurns { program: program.clone(), turns: records.clone(), settlement };
+        let operation = Operation::PutTurns {
+            program: program.clone(),
+            turns: records.clone(),
+            settlement,
+        };
         self.write(&program, operation, PUT_WITHIN).await?;
         if let Some(held) = reservation {
             held.set_settled();
@@ -182,21 +196,40 @@
     ///
     /// # Errors
     /// See [`ChainError`].
-    pub async fn chain(&self, program: &str, request_id: &str) -> Result<Vec<Arc<Turn>>, ChainError> {
-        let key = TurnKey { program: program.to_owned(), request_id: request_id.to_owned() };
+    pub async fn chain(
+        &self,
+        program: &str,
+        request_id: &str,
+    ) -> Result<Vec<Arc<Turn>>, ChainError> {
+        let key = TurnKey {
+            program: program.to_owned(),
+            request_id: request_id.to_owned(),
+        };
         self.read_chain(key).await
     }
 
     /// Turns of another program that `turn` goes on from, to be stored in its own program's group.
     async fn adopted_ancestors(&self, turn: &Turn) -> Result<Vec<TurnRecord>, Unavailable> {
-        let Some(previous) = &turn.previous else { return Ok(Vec::new()) };
-        let own = TurnKey { program: turn.program.clone(), request_id: previous.request_id.clone() };
+        let Some(previous) = &turn.previous else {
+            return Ok(Vec::new());
+        };
+        let own = TurnKey {
+            program: turn.program.clone(),
+            request_id: previous.request_id.clone(),
+        };
         if !self.shared.cache.lock().chain(&own).is_empty() {
             return Ok(Vec::new());
         }
-        let chain = self.read_chain(previous.clone()).await.map_err(|_| Unavailable)?;
-        let others = chain.iter().filter(|ancestor| ancestor.program != turn.program);
-        Ok(others.map(|ancestor| ancestor.to_record(&turn.program)).collect())
+        let chain = self
+            .read_chain(previous.clone())
+            .await
+            .map_err(|_| Unavailable)?;
+        let others = chain
+            .iter()
+            .filter(|ancestor| ancestor.program != turn.program);
+        Ok(others
+            .map(|ancestor| ancestor.to_record(&turn.program))
+            .collect())
     }
 
     fn now(&self) -> Duration {
@@ -205,7 +238,10 @@
 }
 
 fn settle_operation(program: String, settlement: Settlement) -> Operation {
-    Operation::Settle { program, settlement }
+    Operation::Settle {
+        program,
+        settlement,
+    }
 }
 
 /// A number that no other process draws, from the standard library's source of randomness and `salt`.
--- a/crates/woadreach-storage/src/client/peers.rs
+++ b/crates/woadreach-storage/src/client/peers.rs
@@ -48,7 +48,12 @@
 
 impl Delivery {
     pub(super) fn new(epoch: u64, request: EncodedRequest, answers: Sender) -> Delivery {
-        Delivery { epoch, request, answers, since: Instant::now() }
+        Delivery {
+            epoch,
+            request,
+            answers,
+            since: Instant::now(),
+        }
     }
 }
 
@@ -75,7 +80,11 @@
     }
 
     fn drop_old(&mut self) {
-        while self.queue.front().is_some_and(|delivery| delivery.since.elapsed() > KEPT_FOR) {
+        while self
+            .queue
+            .front()
+            .is_some_and(|delivery| delivery.since.elapsed() > KEPT_FOR)
+        {
             self.pop();
         }
     }
@@ -171,7 +180,9 @@
     /// The oldest missed writes; without any the machine counts as answering again.
     fn oldest_missed(&self, disk: u64, most: usize) -> Vec<Delivery> {
         let mut silent = self.shared.silent.lock();
-        let Some(missed) = silent.missed.get_mut(&disk) else { return Vec::new() };
+        let Some(missed) = silent.missed.get_mut(&disk) else {
+            return Vec::new();
+        };
         missed.drop_old();
         let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(most).collect();
         if deliveries.is_empty() {
--- a/crates/woadreach-storage/src/client/reservation.rs
+++ b/crates/woadreach-storage/src/client/reservation.rs
@@ -29,7 +29,13 @@
 
 impl HeldReservation {
     pub(super) fn new(client: StorageClient, program: String, id: u64) -> HeldReservation {
-        HeldReservation { client, program, id, given: 0, settled: false }
+        HeldReservation {
+            client,
+            program,
+            id,
+            given: 0,
+            settled: false,
+        }
     }
 
     /// Notes the tokens that the turn has given so far.
@@ -39,7 +45,10 @@
 
     /// The end of the turn, if it ended now.
     pub(super) fn settlement(&self) -> Settlement {
-        Settlement { reservation: self.id, given: self.given }
+        Settlement {
+            reservation: self.id,
+            given: self.given,
+        }
     }
 
     /// A quorum knows the settlement.
@@ -50,8 +59,17 @@
 
 impl Debug for HeldReservation {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let HeldReservation { program, id, given, settled, .. } = self;
-        write!(formatter, "reservation {id} of {program}: given {given}, settled {settled}")
+        let HeldReservation {
+            program,
+            id,
+            given,
+            settled,
+            ..
+        } = self;
+        write!(
+            formatter,
+            "reservation {id} of {program}: given {given}, settled {settled}"
+        )
     }
 }
 
@@ -77,6 +95,10 @@
                 return;
             }
         }
-        tracing::warn!(program, given = settlement.given, "the end of a turn could not be told");
+        tracing::warn!(
+            program,
+            given = settlement.given,
+            "the end of a turn could not be told"
+        );
     }
 }
--- a/crates/woadreach-storage/src/lib.rs
+++ b/crates/woadreach-storage/src/lib.rs
@@ -27,6 +27,8 @@
 pub mod turn;
 pub mod view;
 
-pub use client::{ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Unavailable};
+pub use client::{
+    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Unavailable,
+};
 pub use turn::{Turn, TurnKey};
 pub use view::{StorageMember, StorageView};
--- a/crates/woadreach-storage/src/member.rs
+++ b/crates/woadreach-storage/src/member.rs
@@ -100,8 +100,12 @@
         records: &[Vec<u8>],
     ) -> Option<Member> {
         let snapshot = snapshot.map_or(Some(Vec::new()), snapshot_records)?;
-        let mut all = snapshot.into_iter().chain(records.iter().map(Vec::as_slice));
-        let Record::Identity { disk } = decode(all.next()?)? else { return None };
+        let mut all = snapshot
+            .into_iter()
+            .chain(records.iter().map(Vec::as_slice));
+        let Record::Identity { disk } = decode(all.next()?)? else {
+            return None;
+        };
         let (mut member, _) = Member::create(node, disk, tolerated);
         for bytes in all {
             match decode::<Record>(bytes)? {
@@ -126,7 +130,11 @@
         if self.view.epoch > 0 {
             snapshot.push(&Record::View(self.view.clone()));
         }
-        for program in self.store.names().filter_map(|name| self.store.program(now, name)) {
+        for program in self
+            .store
+            .names()
+            .filter_map(|name| self.store.program(now, name))
+        {
             snapshot.push(&Record::Program(program));
         }
         snapshot.finish()
@@ -171,7 +179,12 @@
             return true;
         }
         let is_on_its_way_out = !self.view.latest().iter().any(is_here);
-        let others = self.view.latest().iter().filter(|member| member.node != self.node).count();
+        let others = self
+            .view
+            .latest()
+            .iter()
+            .filter(|member| member.node != self.node)
+            .count();
         !is_on_its_way_out && others <= 2 * self.tolerated
     }
 
@@ -181,9 +194,15 @@
         let pending = Pending::Pulled(epoch);
         if self.has_unsynced {
             self.has_unsynced = false;
-            return Step::Compact { snapshot: self.snapshot(now), pending };
+            return Step::Compact {
+                snapshot: self.snapshot(now),
+                pending,
+            };
+        }
+        Step::Persist {
+            record: encode(&Record::View(self.view.clone())),
+            pending,
         }
-        Step::Persist { record: encode(&Record::View(self.view.clone())), pending }
     }
 
     /// Turns and budgets.
@@ -200,26 +219,42 @@
     /// Takes a request.
     pub fn handle(&mut self, now: Duration, request: Request) -> Step {
         if let Operation::NewView { view } = request.operation {
-            return self.learn_view(view).unwrap_or_else(|| self.reply(Answer::Stored));
+            return self
+                .learn_view(view)
+                .unwrap_or_else(|| self.reply(Answer::Stored));
         }
         if let Err(answer) = self.admit(request.fence) {
             return self.reply(answer);
         }
         match request.operation {
-            Operation::Reserve { program, reservation, most } => {
-                self.reserve(now, program, reservation, most)
-            }
-            Operation::Settle { program, settlement } => self.put(now, program, Vec::new(), Some(settlement)),
-            Operation::PutTurns { program, turns, settlement } => self.put(now, program, turns, settlement),
-            Operation::ReadChain { program, request_id } => {
+            Operation::Reserve {
+                program,
+                reservation,
+                most,
+            } => self.reserve(now, program, reservation, most),
+            Operation::Settle {
+                program,
+                settlement,
+            } => self.put(now, program, Vec::new(), Some(settlement)),
+            Operation::PutTurns {
+                program,
+                turns,
+                settlement,
+            } => self.put(now, program, turns, settlement),
+            Operation::ReadChain {
+                program,
+                request_id,
+            } => {
                 let chain = self.store.chain(&program, &request_id, MOST_ANSWER_BYTES);
                 let turns = chain.iter().map(|turn| TurnRecord::clone(turn)).collect();
                 self.reply(Answer::Chain { turns })
             }
-            Operation::Find { request_id } => {
-                self.reply(Answer::Found { programs: self.store.programs_of(&request_id) })
+            Operation::Find { request_id } => self.reply(Answer::Found {
+                programs: self.store.programs_of(&request_id),
+            }),
+            Operation::Digests { node, after } => {
+                self.digests(request.fence, &node, after.as_deref())
             }
-            Operation::Digests { node, after } => self.digests(request.fence, &node, after.as_deref()),
             Operation::Fetch { programs } => self.fetch(now, &programs),
             Operation::NewView { .. } => unreachable!("taken above"),
         }
@@ -261,14 +296,20 @@
         let epoch = view.epoch;
         let record = encode(&Record::View(view.clone()));
         self.view = view;
-        Some(Step::Persist { record, pending: Pending::Sealed(epoch) })
+        Some(Step::Persist {
+            record,
+            pending: Pending::Sealed(epoch),
+        })
     }
 
     /// Merges records from another machine; `None` if nothing of them is new here.
     pub fn merge(&mut self, now: Duration, records: ProgramRecords) -> Option<Step> {
         let record = encode(&Record::Program(records.clone()));
         let changed = self.store.merge(now, records);
-        changed.then_some(Step::Persist { record, pending: Pending::Stored })
+        changed.then_some(Step::Persist {
+            record,
+            pending: Pending::Stored,
+        })
     }
 
     fn admit(&self, fence: Fence) -> Result<(), Answer> {
@@ -276,13 +317,19 @@
             return Err(Answer::WrongDisk);
         }
         if fence.epoch < self.view.epoch {
-            return Err(Answer::Stale { view: self.view.clone() });
+            return Err(Answer::Stale {
+                view: self.view.clone(),
+            });
         }
         Ok(())
     }
 
     fn reserve(&mut self, now: Duration, program: String, id: u64, most: u64) -> Step {
-        let reservation = Reservation { id, tokens: most, settled: false };
+        let reservation = Reservation {
+            id,
+            tokens: most,
+            settled: false,
+        };
         let records = Store::records(program.clone(), vec![reservation], Vec::new());
         self.persist(now, records, Pending::Reservations(program))
     }
@@ -297,8 +344,11 @@
         if turns.iter().any(|turn| turn.program != program) {
             return self.reply(Answer::Malformed);
         }
-        let settled =
-            settlement.map(|end| Reservation { id: end.reservation, tokens: end.given, settled: true });
+        let settled = settlement.map(|end| Reservation {
+            id: end.reservation,
+            tokens: end.given,
+            settled: true,
+        });
         let records = Store::records(program, settled.into_iter().collect(), turns);
         self.persist(now, records, Pending::Stored)
     }
@@ -327,8 +377,8 @@
             }
             let expired = || Store::records(name.clone(), Vec::new(), Vec::new());
             let records = self.store.program(now, name).unwrap_or_else(expired);
-            bytes +=
-                records.turns.iter().map(TurnRecord::size).sum::<usize>() + records.reservations.len() * 17;
+            bytes += records.turns.iter().map(TurnRecord::size).sum::<usize>()
+                + records.reservations.len() * 17;
             programs.push(records);
         }
         self.reply(Answer::Records { programs })
@@ -339,6 +389,9 @@
     }
 
     fn response(&self, answer: Answer) -> Response {
-        Response { epoch: self.view.epoch, answer }
+        Response {
+            epoch: self.view.epoch,
+            answer,
+        }
     }
 }
--- a/crates/woadreach-storage/src/message.rs
+++ b/crates/woadreach-storage/src/message.rs
@@ -182,10 +182,14 @@
 /// Never: writing to memory cannot fail.
 #[must_use]
 pub fn encode<T: Writable<LittleEndian>>(message: &T) -> Vec<u8> {
-    let length = message.bytes_needed().expect("a message in memory has a length");
+    let length = message
+        .bytes_needed()
+        .expect("a message in memory has a length");
     let mut bytes = Vec::with_capacity(1 + length);
     bytes.push(MESSAGE_VERSION);
-    message.write_to_stream(&mut bytes).expect("memory takes any message");
+    message
+        .write_to_stream(&mut bytes)
+        .expect("memory takes any message");
     bytes
 }
 
@@ -214,7 +218,10 @@
     let (&version, body) = bytes.split_first().context(EmptySnafu)?;
     ensure!(version == MESSAGE_VERSION, VersionSnafu { found: version });
     let (message, used) = T::read_with_length_from_buffer(body);
-    message.ok().filter(|_| used == body.len()).context(MalformedSnafu)
+    message
+        .ok()
+        .filter(|_| used == body.len())
+        .context(MalformedSnafu)
 }
 
 /// Decodes a message; `None` where [`read`] fails.
--- a/crates/woadreach-storage/src/operation.rs
+++ b/crates/woadreach-storage/src/operation.rs
@@ -26,9 +26,21 @@
 impl Write {
     /// A write under `view` that nobody has answered.
     #[must_use]
-    pub fn new(view: &StorageView, program: String, operation: Operation, tolerated: usize) -> Write {
+    pub fn new(
+        view: &StorageView,
+        program: String,
+        operation: Operation,
+        tolerated: usize,
+    ) -> Write {
         let quorum = Quorum::new(view, &program, tolerated, Need::Write);
-        Write { program, operation, tolerated, epoch: view.epoch, quorum, answers: Vec::new() }
+        Write {
+            program,
+            operation,
+            tolerated,
+            epoch: view.epoch,
+            quorum,
+            answers: Vec::new(),
+        }
     }
 
     /// Starts again under a newer view: answers under an older one do not count.
--- a/crates/woadreach-storage/src/placement.rs
+++ b/crates/woadreach-storage/src/placement.rs
@@ -10,11 +10,22 @@
 /// The machines that hold `program`: the first `2f + 1` of `members` by rank, of different zones where there
 /// are. Ranked by name, not by disk, so that a machine with a new disk keeps its place.
 #[must_use]
-pub fn group<'a>(members: &'a [StorageMember], program: &str, tolerated: usize) -> Vec<&'a StorageMember> {
+pub fn group<'a>(
+    members: &'a [StorageMember],
+    program: &str,
+    tolerated: usize,
+) -> Vec<&'a StorageMember> {
     let size = group_size(members.len(), tolerated);
-    let mut ranked: Vec<_> =
-        members.iter().map(|member| (rank(program.as_bytes(), &member.node), member)).collect();
-    ranked.sort_by(|left, right| right.0.cmp(&left.0).then_with(|| left.1.node.cmp(&right.1.node)));
+    let mut ranked: Vec<_> = members
+        .iter()
+        .map(|member| (rank(program.as_bytes(), &member.node), member))
+        .collect();
+    ranked.sort_by(|left, right| {
+        right
+            .0
+            .cmp(&left.0)
+            .then_with(|| left.1.node.cmp(&right.1.node))
+    });
     let mut chosen: Vec<&StorageMember> = Vec::with_capacity(size);
     while chosen.len() < size {
         let mut zones: Vec<&str> = Vec::new();
@@ -33,7 +44,9 @@
 /// Whether `node` belongs to the group of `program`.
 #[must_use]
 pub fn holds(members: &[StorageMember], program: &str, tolerated: usize, node: &str) -> bool {
-    group(members, program, tolerated).iter().any(|member| member.node == node)
+    group(members, program, tolerated)
+        .iter()
+        .any(|member| member.node == node)
 }
 
 /// Size of a group out of `members` machines.
@@ -51,5 +64,7 @@
 /// Machines of a group that must answer a read, so that it meets every write.
 #[must_use]
 pub fn read_quorum(group: usize, tolerated: usize) -> usize {
-    (group + 1).saturating_sub(write_quorum(group, tolerated)).max(1)
+    (group + 1)
+        .saturating_sub(write_quorum(group, tolerated))
+        .max(1)
 }
--- a/crates/woadreach-storage/src/pull.rs
+++ b/crates/woadreach-storage/src/pull.rs
@@ -31,10 +31,24 @@
     pub fn new(view: &StorageView, own: u64, tolerated: usize) -> Pull {
         let size = group_size(view.current.len(), tolerated);
         let may_miss = write_quorum(size, tolerated).min(size).saturating_sub(1);
-        let finished = if view.is_current(own) { vec![own] } else { Vec::new() };
-        let zones: BTreeSet<&str> = view.current.iter().map(|member| member.zone.as_str()).collect();
+        let finished = if view.is_current(own) {
+            vec![own]
+        } else {
+            Vec::new()
+        };
+        let zones: BTreeSet<&str> = view
+            .current
+            .iter()
+            .map(|member| member.zone.as_str())
+            .collect();
         let zones_differ = zones.len() >= size;
-        Pull { epoch: view.epoch, sources: view.current.clone(), finished, may_miss, zones_differ }
+        Pull {
+            epoch: view.epoch,
+            sources: view.current.clone(),
+            finished,
+            may_miss,
+            zones_differ,
+        }
     }
 
     /// Epoch that is pulled for.
@@ -61,7 +75,10 @@
     /// than a read may miss.
     #[must_use]
     pub fn complete(&self) -> bool {
-        let missing = self.sources.iter().filter(|source| !self.finished.contains(&source.disk));
+        let missing = self
+            .sources
+            .iter()
+            .filter(|source| !self.finished.contains(&source.disk));
         if self.zones_differ {
             let zones: BTreeSet<&str> = missing.map(|source| source.zone.as_str()).collect();
             return zones.len() <= self.may_miss;
@@ -86,7 +103,10 @@
             let programs = self.to_fetch.iter().take(FETCH_AT_ONCE).cloned().collect();
             return Some(Operation::Fetch { programs });
         }
-        (!self.last_page).then(|| Operation::Digests { node: node.to_owned(), after: self.after.clone() })
+        (!self.last_page).then(|| Operation::Digests {
+            node: node.to_owned(),
+            after: self.after.clone(),
+        })
     }
 
     /// Takes the answer to [`Pages::next`]; gives the records to be merged. `None` if it is another answer.
@@ -96,12 +116,15 @@
                 self.last_page = !more;
                 self.after = digests.last().map(|last| last.program.clone());
                 let differs = |digest: &u64, name: &str| store.digest(name) != Some(*digest);
-                let wanted = digests.into_iter().filter(|entry| differs(&entry.digest, &entry.program));
+                let wanted = digests
+                    .into_iter()
+                    .filter(|entry| differs(&entry.digest, &entry.program));
                 self.to_fetch.extend(wanted.map(|entry| entry.program));
                 Some(Vec::new())
             }
             Answer::Records { programs } if !programs.is_empty() => {
-                self.to_fetch.drain(..programs.len().min(self.to_fetch.len()));
+                self.to_fetch
+                    .drain(..programs.len().min(self.to_fetch.len()));
                 Some(programs)
             }
             _ => None,
--- a/crates/woadreach-storage/src/quorum.rs
+++ b/crates/woadreach-storage/src/quorum.rs
@@ -22,12 +22,19 @@
 
 impl Side {
     fn new(members: &[StorageMember], program: &str, tolerated: usize, need: Need) -> Side {
-        let disks: Vec<u64> = group(members, program, tolerated).iter().map(|member| member.disk).collect();
+        let disks: Vec<u64> = group(members, program, tolerated)
+            .iter()
+            .map(|member| member.disk)
+            .collect();
         let needed = match need {
             Need::Write => write_quorum(disks.len(), tolerated),
             Need::Read => read_quorum(disks.len(), tolerated),
         };
-        Side { disks, answered: Vec::new(), needed }
+        Side {
+            disks,
+            answered: Vec::new(),
+            needed,
+        }
     }
 
     fn answered(&mut self, disk: u64) {
--- a/crates/woadreach-storage/src/record.rs
+++ b/crates/woadreach-storage/src/record.rs
@@ -30,7 +30,9 @@
     /// An empty snapshot of about `expected` bytes.
     #[must_use]
     pub fn new(expected: usize) -> SnapshotWriter {
-        SnapshotWriter { bytes: Vec::with_capacity(expected) }
+        SnapshotWriter {
+            bytes: Vec::with_capacity(expected),
+        }
     }
 
     /// Adds a record.
--- a/crates/woadreach-storage/src/server/mod.rs
+++ b/crates/woadreach-storage/src/server/mod.rs
@@ -92,7 +92,11 @@
     ///
     /// # Errors
     /// [`ServerError::Disk`].
-    pub async fn open(folder: &Path, rpc: Client, options: ServerOptions) -> Result<Server, ServerError> {
+    pub async fn open(
+        folder: &Path,
+        rpc: Client,
+        options: ServerOptions,
+    ) -> Result<Server, ServerError> {
         let started = Instant::now();
         let (journal, member) = start::start(folder, &options).await?;
         let epoch = member.view().epoch;
@@ -109,7 +113,9 @@
             leaving: AtomicBool::new(false),
             disk_refuses: AtomicBool::new(false),
         };
-        Ok(Server { shared: Arc::new(shared) })
+        Ok(Server {
+            shared: Arc::new(shared),
+        })
     }
 
     /// Adds the handler of storage requests.
@@ -218,7 +224,9 @@
         };
         let epoch = member.view().epoch;
         drop(member);
-        self.shared.pull_due.send_if_modified(|due| std::mem::replace(&mut due.epoch, epoch) != epoch);
+        self.shared
+            .pull_due
+            .send_if_modified(|due| std::mem::replace(&mut due.epoch, epoch) != epoch);
         response
     }
 
--- a/crates/woadreach-storage/src/server/pulling.rs
+++ b/crates/woadreach-storage/src/server/pulling.rs
@@ -50,7 +50,9 @@
             sources.spawn(pull_from(self.clone(), view.clone(), source.clone()));
         }
         while !progress.complete() {
-            let Some(Ok(source)) = sources.join_next().await else { return };
+            let Some(Ok(source)) = sources.join_next().await else {
+                return;
+            };
             progress.finished(source);
         }
         if joins {
@@ -72,10 +74,22 @@
         self.shared.pulled.send_replace(epoch);
     }
 
-    async fn call_source(&self, source: &StorageMember, epoch: u64, operation: Operation) -> Option<Answer> {
-        let fence = Fence { epoch, disk: source.disk };
+    async fn call_source(
+        &self,
+        source: &StorageMember,
+        epoch: u64,
+        operation: Operation,
+    ) -> Option<Answer> {
+        let fence = Fence {
+            epoch,
+            disk: source.disk,
+        };
         let body = encode(&Request { fence, operation });
-        let reply = self.shared.rpc.call(source.address, ServiceId::STORAGE, body, PULL_TIMEOUT).await;
+        let reply = self
+            .shared
+            .rpc
+            .call(source.address, ServiceId::STORAGE, body, PULL_TIMEOUT)
+            .await;
         let response: Response = decode(&reply.ok()?)?;
         Some(response.answer)
     }
--- a/crates/woadreach-storage/src/server/start.rs
+++ b/crates/woadreach-storage/src/server/start.rs
@@ -17,14 +17,25 @@
 ///
 /// What another version of the program has written is no damage: emptying that disk would destroy what was
 /// acknowledged, on every machine in turn where a version is rolled back.
-pub(super) async fn start(folder: &Path, options: &ServerOptions) -> Result<(Journal, Member), ServerError> {
-    let bounds = JournalOptions { max_bytes: options.disk_bytes, max_queued_bytes: MOST_QUEUED_BYTES };
+pub(super) async fn start(
+    folder: &Path,
+    options: &ServerOptions,
+) -> Result<(Journal, Member), ServerError> {
+    let bounds = JournalOptions {
+        max_bytes: options.disk_bytes,
+        max_queued_bytes: MOST_QUEUED_BYTES,
+    };
     match Journal::open(folder, bounds) {
         Ok((journal, found)) => {
             let node = options.node.clone();
             let snapshot = found.snapshot.as_deref();
-            let recovered =
-                Member::recover(Duration::ZERO, node, options.tolerated, snapshot, &found.records);
+            let recovered = Member::recover(
+                Duration::ZERO,
+                node,
+                options.tolerated,
+                snapshot,
+                &found.records,
+            );
             if let Some(member) = recovered {
                 return Ok((journal, member));
             }
--- a/crates/woadreach-storage/src/server/upkeep.rs
+++ b/crates/woadreach-storage/src/server/upkeep.rs
@@ -24,7 +24,11 @@
 impl Upkeep {
     pub(super) fn new(now: Instant, node: &str) -> Upkeep {
         let log_percent = 100 + mix(hash64(node.as_bytes(), 3)) % 100;
-        Upkeep { last_tick: now, compacting: false, log_percent }
+        Upkeep {
+            last_tick: now,
+            compacting: false,
+            log_percent,
+        }
     }
 }
 
--- a/crates/woadreach-storage/src/store.rs
+++ b/crates/woadreach-storage/src/store.rs
@@ -30,11 +30,18 @@
 impl Program {
     /// When something of it expires next.
     fn next_expiry(&self) -> Duration {
-        if self.turns.is_empty() { self.budget_until } else { self.turns_until }
+        if self.turns.is_empty() {
+            self.budget_until
+        } else {
+            self.turns_until
+        }
     }
 
     fn digest(&self) -> u64 {
-        let turns = self.turns.keys().map(|name| mix(hash64(name.as_bytes(), 1)));
+        let turns = self
+            .turns
+            .keys()
+            .map(|name| mix(hash64(name.as_bytes(), 1)));
         let reservations = self.budget.iter().map(|entry| {
             let state = hash64(&entry.id.to_le_bytes(), 2 + u64::from(entry.settled));
             mix(hash64(&entry.tokens.to_le_bytes(), state))
@@ -68,8 +75,13 @@
                 continue;
             }
             self.bytes += turn.size();
-            self.programs_of.entry(turn.request_id.clone()).or_default().insert(name.clone());
-            program.turns.insert(turn.request_id.clone(), Arc::new(turn));
+            self.programs_of
+                .entry(turn.request_id.clone())
+                .or_default()
+                .insert(name.clone());
+            program
+                .turns
+                .insert(turn.request_id.clone(), Arc::new(turn));
             changed = true;
         }
         let kept_for = Duration::from_millis(records.remaining_ms);
@@ -94,21 +106,35 @@
         let longest = turns.iter().map(|turn| turn.retention_ms).max();
         let margin = u64::try_from(RETENTION_MARGIN.as_millis()).unwrap_or(u64::MAX);
         let remaining_ms = longest.map_or(0, |retention| retention.saturating_add(margin));
-        ProgramRecords { program, reservations, turns, remaining_ms }
+        ProgramRecords {
+            program,
+            reservations,
+            turns,
+            remaining_ms,
+        }
     }
 
     /// All reservations of a program.
     #[must_use]
     pub fn reservations(&self, program: &str) -> Vec<Reservation> {
         let budget = self.programs.get(program).map(|found| &found.budget);
-        budget.map(|found| found.iter().copied().collect()).unwrap_or_default()
+        budget
+            .map(|found| found.iter().copied().collect())
+            .unwrap_or_default()
     }
 
     /// A turn and its ancestors, newest first, up to one that is not here or `most_bytes`.
     #[must_use]
-    pub fn chain(&self, program: &str, request_id: &str, most_bytes: usize) -> Vec<Arc<TurnRecord>> {
+    pub fn chain(
+        &self,
+        program: &str,
+        request_id: &str,
+        most_bytes: usize,
+    ) -> Vec<Arc<TurnRecord>> {
         let mut chain: Vec<Arc<TurnRecord>> = Vec::new();
-        let Some(found) = self.programs.get(program) else { return chain };
+        let Some(found) = self.programs.get(program) else {
+            return chain;
+        };
         let mut next = found.turns.get(request_id);
         let mut bytes = 0;
         while let Some(turn) = next {
@@ -118,7 +144,10 @@
                 break;
             }
             chain.push(Arc::clone(turn));
-            next = turn.previous.as_ref().and_then(|previous| found.turns.get(previous));
+            next = turn
+                .previous
+                .as_ref()
+                .and_then(|previous| found.turns.get(previous));
         }
         chain
     }
@@ -126,7 +155,10 @@
     /// Programs that have a turn of this name.
     #[must_use]
     pub fn programs_of(&self, request_id: &str) -> Vec<String> {
-        self.programs_of.get(request_id).map(|names| names.iter().cloned().collect()).unwrap_or_default()
+        self.programs_of
+            .get(request_id)
+            .map(|names| names.iter().cloned().collect())
+            .unwrap_or_default()
     }
 
     /// Digests of up to `most` programs after `after` that `filter` accepts, and whether more follow.
@@ -138,13 +170,18 @@
         filter: impl Fn(&str) -> bool,
     ) -> (Vec<ProgramDigest>, bool) {
         let start = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let range = self.programs.range::<str, _>((start, std::ops::Bound::Unbounded));
+        let range = self
+            .programs
+            .range::<str, _>((start, std::ops::Bound::Unbounded));
         let mut digests = Vec::new();
         for (name, program) in range.filter(|(name, _)| filter(name)) {
             if digests.len() == most {
                 return (digests, true);
             }
-            digests.push(ProgramDigest { program: name.clone(), digest: program.digest() });
+            digests.push(ProgramDigest {
+                program: name.clone(),
+                digest: program.digest(),
+            });
         }
         (digests, false)
     }
@@ -163,7 +200,11 @@
         Some(ProgramRecords {
             program: name.to_owned(),
             reservations: program.budget.iter().copied().collect(),
-            turns: program.turns.values().map(|turn| TurnRecord::clone(turn)).collect(),
+            turns: program
+                .turns
+                .values()
+                .map(|turn| TurnRecord::clone(turn))
+                .collect(),
             remaining_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
         })
     }
@@ -185,7 +226,9 @@
     }
 
     fn expire_program(&mut self, now: Duration, name: String) {
-        let Some(program) = self.programs.get_mut(&name) else { return };
+        let Some(program) = self.programs.get_mut(&name) else {
+            return;
+        };
         if program.turns_until <= now {
             for (request_id, turn) in std::mem::take(&mut program.turns) {
                 self.bytes -= turn.size();
--- a/crates/woadreach-storage/src/turn.rs
+++ b/crates/woadreach-storage/src/turn.rs
@@ -37,13 +37,20 @@
     /// Name of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
-        TurnKey { program: self.program.clone(), request_id: self.request_id.clone() }
+        TurnKey {
+            program: self.program.clone(),
+            request_id: self.request_id.clone(),
+        }
     }
 
     /// Bytes that the turn takes in memory, roughly.
     #[must_use]
     pub fn size(&self) -> usize {
-        let events: usize = self.events.iter().map(|event| event.len() + size_of::<Bytes>()).sum();
+        let events: usize = self
+            .events
+            .iter()
+            .map(|event| event.len() + size_of::<Bytes>())
+            .sum();
         size_of::<Turn>() + self.input.len() + events
     }
 
@@ -83,7 +90,10 @@
     /// Name of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
-        TurnKey { program: self.program.clone(), request_id: self.request_id.clone() }
+        TurnKey {
+            program: self.program.clone(),
+            request_id: self.request_id.clone(),
+        }
     }
 
     /// Bytes that the record takes in memory, roughly.
@@ -97,7 +107,10 @@
     pub fn into_turn(self) -> Option<Turn> {
         let (input, events) = decode_content(self.content.into())?;
         let program = self.program;
-        let previous = self.previous.map(|request_id| TurnKey { program: program.clone(), request_id });
+        let previous = self.previous.map(|request_id| TurnKey {
+            program: program.clone(),
+            request_id,
+        });
         Some(Turn {
             program,
             session: self.session,
--- a/crates/woadreach-storage/src/view/member.rs
+++ b/crates/woadreach-storage/src/view/member.rs
@@ -31,7 +31,12 @@
     fn read_from<R: Reader<'a, C>>(reader: &mut R) -> Result<Self, C::Error> {
         let message = MemberMessage::read_from(reader)?;
         let address = SocketAddr::from((Ipv4Addr::from(message.ip), message.port));
-        Ok(StorageMember { node: message.node, disk: message.disk, address, zone: message.zone })
+        Ok(StorageMember {
+            node: message.node,
+            disk: message.disk,
+            address,
+            zone: message.zone,
+        })
     }
 
     fn minimum_bytes_needed() -> usize {
--- a/crates/woadreach-storage/src/view/mod.rs
+++ b/crates/woadreach-storage/src/view/mod.rs
@@ -90,14 +90,19 @@
 /// # Errors
 /// [`RetireError::Unknown`] if no view names the machine, [`RetireError::TooFew`] if fewer than
 /// `tolerated + 1` machines would remain.
-pub fn retire(view: &StorageView, node: &str, tolerated: usize) -> Result<StorageView, RetireError> {
+pub fn retire(
+    view: &StorageView,
+    node: &str,
+    tolerated: usize,
+) -> Result<StorageView, RetireError> {
     if view.retiring.contains(node) || view.retired.contains(node) {
         return Ok(view.clone());
     }
     if !view.members().iter().any(|member| member.node == node) {
         return Err(RetireError::Unknown);
     }
-    let stays = |member: &&StorageMember| member.node != node && !view.retiring.contains(&member.node);
+    let stays =
+        |member: &&StorageMember| member.node != node && !view.retiring.contains(&member.node);
     if view.latest().iter().filter(stays).count() < tolerated + 1 {
         return Err(RetireError::TooFew);
     }
