--- a/crates/woadreach-storage/src/view/plan.rs
+++ b/crates/woadreach-storage/src/view/plan.rs
@@ -49,9 +49,12 @@
     }
     let pulled = |member: &StorageMember| {
         let sighting = announcements.sighting(&member.node);
-        sighting.is_some_and(|seen| seen.member.disk == member.disk && seen.pulled_epoch == view.epoch)
+        sighting
+            .is_some_and(|seen| seen.member.disk == member.disk && seen.pulled_epoch == view.epoch)
     };
-    next.iter().all(pulled).then(|| end_of_joint_epoch(view, next))
+    next.iter()
+        .all(pulled)
+        .then(|| end_of_joint_epoch(view, next))
 }
 
 fn first_view(
@@ -68,9 +71,13 @@
     let first = announcements.sightings().map(|seen| seen.first).min()?;
     let waited = now.saturating_duration_since(first);
     let full = members.len() > 2 * tolerated;
-    let ready =
-        (full && waited >= FIRST_VIEW_WAIT) || (members.len() > tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
-    ready.then(|| StorageView { epoch: view.epoch + 1, current: members, ..StorageView::default() })
+    let ready = (full && waited >= FIRST_VIEW_WAIT)
+        || (members.len() > tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
+    ready.then(|| StorageView {
+        epoch: view.epoch + 1,
+        current: members,
+        ..StorageView::default()
+    })
 }
 
 /// The membership as it should be: the latest one, with machines replaced, added, dropped and emptied.
@@ -92,14 +99,23 @@
         .sightings()
         .filter(|seen| !leaves(&seen.member.node) && !seen.leaving)
         .filter(|seen| now.saturating_duration_since(seen.last) < FRESH)
-        .filter(|seen| !view.latest().iter().any(|member| member.node == seen.member.node))
+        .filter(|seen| {
+            !view
+                .latest()
+                .iter()
+                .any(|member| member.node == seen.member.node)
+        })
         .map(member_of)
         .collect();
     let mut wanted: Vec<StorageMember> = view
         .latest()
         .iter()
         .filter(|member| !leaves(&member.node))
-        .map(|member| announcements.sighting(&member.node).map_or_else(|| member.clone(), member_of))
+        .map(|member| {
+            announcements
+                .sighting(&member.node)
+                .map_or_else(|| member.clone(), member_of)
+        })
         .collect();
     wanted.extend(joining);
     let silence = |member: &StorageMember| announcements.silent_for(now, &member.node);
@@ -110,8 +126,13 @@
 /// Machines that are heard and are not to be emptied.
 fn alive_without_emptied(now: Instant, view: &StorageView, announcements: &Announcements) -> usize {
     let stays = |node: &str| !view.retiring.contains(node) && !view.retired.contains(node);
-    let heard = |member: &&StorageMember| announcements.silent_for(now, &member.node) < REPLACEABLE_AFTER;
-    view.latest().iter().filter(|member| stays(&member.node)).filter(heard).count()
+    let heard =
+        |member: &&StorageMember| announcements.silent_for(now, &member.node) < REPLACEABLE_AFTER;
+    view.latest()
+        .iter()
+        .filter(|member| stays(&member.node))
+        .filter(heard)
+        .count()
 }
 
 /// Machines whose processes are being stopped and that are not needed: a full group of others is there.
@@ -123,16 +144,24 @@
     tolerated: usize,
 ) -> BTreeSet<String> {
     let fresh = |seen: &&Sighting| now.saturating_duration_since(seen.last) < FRESH;
-    let (stopping, others): (Vec<&Sighting>, Vec<&Sighting>) =
-        announcements.sightings().filter(fresh).partition(|seen| seen.leaving);
+    let (stopping, others): (Vec<&Sighting>, Vec<&Sighting>) = announcements
+        .sightings()
+        .filter(fresh)
+        .partition(|seen| seen.leaving);
     // A machine that is being emptied is still one of the group.
     let nodes = others.iter().map(|seen| &seen.member.node);
     let present: Vec<&String> = nodes.filter(|node| !view.retired.contains(*node)).collect();
-    let left = present.iter().filter(|node| !view.retiring.contains(**node)).count();
+    let left = present
+        .iter()
+        .filter(|node| !view.retiring.contains(**node))
+        .count();
     if present.len() <= 2 * tolerated || left <= tolerated {
         return BTreeSet::new();
     }
-    stopping.iter().map(|seen| seen.member.node.clone()).collect()
+    stopping
+        .iter()
+        .map(|seen| seen.member.node.clone())
+        .collect()
 }
 
 /// Drops silent machines, the longest silent first, where others have taken their place or enough stay. A
@@ -146,9 +175,15 @@
     let stays = |member: &&StorageMember| wanted.iter().any(|other| other.node == member.node);
     let places = view.current.iter().filter(stays).count();
     let changing = view.next.is_some() || !same_members(wanted, &view.current);
-    let patience = if changing { REPLACEABLE_AFTER } else { DROPPED_AFTER };
-    let mut silent: Vec<(Duration, String)> =
-        wanted.iter().map(|member| (silence(member), member.node.clone())).collect();
+    let patience = if changing {
+        REPLACEABLE_AFTER
+    } else {
+        DROPPED_AFTER
+    };
+    let mut silent: Vec<(Duration, String)> = wanted
+        .iter()
+        .map(|member| (silence(member), member.node.clone()))
+        .collect();
     silent.retain(|(silence, _)| *silence >= REPLACEABLE_AFTER);
     silent.sort();
     let alive = wanted.len() - silent.len();
@@ -175,7 +210,12 @@
     changed.next = None;
     changed.current = next.to_vec();
     let gone = |node: &String| !next.iter().any(|member| &member.node == node);
-    let emptied: Vec<String> = view.retiring.iter().filter(|node| gone(node)).cloned().collect();
+    let emptied: Vec<String> = view
+        .retiring
+        .iter()
+        .filter(|node| gone(node))
+        .cloned()
+        .collect();
     for node in emptied {
         changed.retiring.remove(&node);
         changed.retired.insert(node);
--- a/crates/woadreach-storage/tests/announce.rs
+++ b/crates/woadreach-storage/tests/announce.rs
@@ -18,12 +18,26 @@
     let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
     let handle = handler(announcements, move || known.load(Ordering::Relaxed));
     let peer = SocketAddr::from(([10, 0, 0, 1], 7000));
-    let member =
-        StorageMember { node: "store-1".to_owned(), disk: 1, address: peer, zone: "zone".to_owned() };
-    let announcement = Bytes::from(encode(&Announcement { member, pulled_epoch: 0, leaving: false }));
+    let member = StorageMember {
+        node: "store-1".to_owned(),
+        disk: 1,
+        address: peer,
+        zone: "zone".to_owned(),
+    };
+    let announcement = Bytes::from(encode(&Announcement {
+        member,
+        pulled_epoch: 0,
+        leaving: false,
+    }));
     for expected in [true, false, true] {
         is_in_quorum.store(expected, Ordering::Relaxed);
-        assert_eq!(is_from_quorum(&handle(peer, announcement.clone()).await.unwrap()), expected);
+        assert_eq!(
+            is_from_quorum(&handle(peer, announcement.clone()).await.unwrap()),
+            expected
+        );
     }
-    assert!(!is_from_quorum(&[]), "an answer that says nothing proves nothing");
+    assert!(
+        !is_from_quorum(&[]),
+        "an answer that says nothing proves nothing"
+    );
 }
--- a/crates/woadreach-storage/tests/bad_input.rs
+++ b/crates/woadreach-storage/tests/bad_input.rs
@@ -22,7 +22,13 @@
 fn options() -> ServerOptions {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let (node, zone) = ("storage-1".to_owned(), "z1".to_owned());
-    ServerOptions { node, address, zone, tolerated: 1, disk_bytes: 50 << 20 }
+    ServerOptions {
+        node,
+        address,
+        zone,
+        tolerated: 1,
+        disk_bytes: 50 << 20,
+    }
 }
 
 fn rpc() -> Client {
@@ -45,7 +51,10 @@
 
 /// The file that holds the journal's slot in use.
 fn used_slot(folder: &Path) -> std::path::PathBuf {
-    let used = files(folder).into_iter().find(|(_, content)| !content.is_empty()).unwrap();
+    let used = files(folder)
+        .into_iter()
+        .find(|(_, content)| !content.is_empty())
+        .unwrap();
     folder.join(used.0)
 }
 
@@ -61,7 +70,12 @@
     std::fs::write(&slot, &content).unwrap();
     let before = files(folder.path());
     let error = open(folder.path()).await.err().expect("another format");
-    let is_version = matches!(&error, ServerError::Disk { source: JournalError::Version { version: 2, .. } });
+    let is_version = matches!(
+        &error,
+        ServerError::Disk {
+            source: JournalError::Version { version: 2, .. }
+        }
+    );
     assert!(is_version, "{error}");
     assert_eq!(files(folder.path()), before);
 }
@@ -76,7 +90,10 @@
     drop(journal);
     let before = files(folder.path());
     let error = open(folder.path()).await.err().expect("another version");
-    assert!(matches!(&error, ServerError::Unreadable { path } if path == folder.path()), "{error}");
+    assert!(
+        matches!(&error, ServerError::Unreadable { path } if path == folder.path()),
+        "{error}"
+    );
     assert_eq!(files(folder.path()), before);
 }
 
@@ -106,7 +123,9 @@
     tokio::spawn(serve(listener, router));
     let bad: [&[u8]; 5] = [&[], &[0, 1, 2], &[2, 1, 2], &[1], &[1, 0, 0, 0]];
     for body in bad {
-        let answer = rpc().call(address, ServiceId::STORAGE, body.to_vec(), LONG).await;
+        let answer = rpc()
+            .call(address, ServiceId::STORAGE, body.to_vec(), LONG)
+            .await;
         assert_eq!(answer, Err(CallError::Refused), "{body:?}");
     }
     assert_eq!(rejected.count(ServiceId::STORAGE), 5);
@@ -117,24 +136,50 @@
     let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
     let hear = handler(announcements.clone(), || true);
     let peer: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let error = hear(peer, Bytes::from_static(&[9, 1])).into_inner().unwrap_err();
+    let error = hear(peer, Bytes::from_static(&[9, 1]))
+        .into_inner()
+        .unwrap_err();
     assert_eq!(error, MessageError::Version { found: 9 });
-    assert_eq!(hear(peer, Bytes::new()).into_inner().unwrap_err(), MessageError::Empty);
+    assert_eq!(
+        hear(peer, Bytes::new()).into_inner().unwrap_err(),
+        MessageError::Empty
+    );
     assert_eq!(announcements.lock().sightings().count(), 0);
 }
 
 #[test]
 fn a_view_cut_at_any_byte_or_of_another_version_is_an_error() {
     let address = "127.0.0.1:1".parse().unwrap();
-    let member = StorageMember { node: "storage-1".to_owned(), disk: 1, address, zone: "z1".to_owned() };
-    let view = StorageView { epoch: 3, current: vec![member], ..StorageView::default() };
+    let member = StorageMember {
+        node: "storage-1".to_owned(),
+        disk: 1,
+        address,
+        zone: "z1".to_owned(),
+    };
+    let view = StorageView {
+        epoch: 3,
+        current: vec![member],
+        ..StorageView::default()
+    };
     let bytes = view.encode();
     assert_eq!(StorageView::read(&bytes), Ok(view));
     assert_eq!(StorageView::read(&[]), Err(MessageError::Empty));
     for length in 1..bytes.len() {
-        assert_eq!(StorageView::read(&bytes[..length]), Err(MessageError::Malformed), "{length}");
+        assert_eq!(
+            StorageView::read(&bytes[..length]),
+            Err(MessageError::Malformed),
+            "{length}"
+        );
     }
-    assert_eq!(read::<StorageView>(&[&bytes[..], &[0]].concat()), Err(MessageError::Malformed));
+    assert_eq!(
+        read::<StorageView>(&[&bytes[..], &[0]].concat()),
+        Err(MessageError::Malformed)
+    );
     let other = [&[bytes[0] + 1], &bytes[1..]].concat();
-    assert_eq!(StorageView::read(&other), Err(MessageError::Version { found: bytes[0] + 1 }));
+    assert_eq!(
+        StorageView::read(&other),
+        Err(MessageError::Version {
+            found: bytes[0] + 1
+        })
+    );
 }
--- a/crates/woadreach-storage/tests/codecs.rs
+++ b/crates/woadreach-storage/tests/codecs.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 use woadreach_storage::budget::Reservation;
 use woadreach_storage::message::{
-    Answer, Fence, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement, decode, encode,
+    Answer, Fence, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement, decode,
+    encode,
 };
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
 use woadreach_storage::turn::TurnRecord;
@@ -20,7 +21,9 @@
 }
 
 fn list<T>(random: &mut Gen, make: impl Fn(&mut Gen) -> T) -> Vec<T> {
-    (0..usize::arbitrary(random) % 4).map(|_| make(random)).collect()
+    (0..usize::arbitrary(random) % 4)
+        .map(|_| make(random))
+        .collect()
 }
 
 fn turn(random: &mut Gen) -> TurnRecord {
@@ -43,13 +46,21 @@
 }
 
 fn settlement(random: &mut Gen) -> Settlement {
-    Settlement { reservation: u64::arbitrary(random), given: u64::arbitrary(random) }
+    Settlement {
+        reservation: u64::arbitrary(random),
+        given: u64::arbitrary(random),
+    }
 }
 
 fn member(random: &mut Gen) -> StorageMember {
     let (ip, port) = (u32::arbitrary(random), u16::arbitrary(random));
     let address = (std::net::Ipv4Addr::from(ip), port).into();
-    StorageMember { node: text(random), disk: u64::arbitrary(random), address, zone: text(random) }
+    StorageMember {
+        node: text(random),
+        disk: u64::arbitrary(random),
+        address,
+        zone: text(random),
+    }
 }
 
 fn view(random: &mut Gen) -> StorageView {
@@ -79,47 +90,81 @@
                 reservation: u64::arbitrary(random),
                 most: u64::arbitrary(random),
             },
-            1 => Operation::Settle { program: text(random), settlement: settlement(random) },
+            1 => Operation::Settle {
+                program: text(random),
+                settlement: settlement(random),
+            },
             2 => Operation::PutTurns {
                 program: text(random),
                 turns: list(random, turn),
                 settlement: bool::arbitrary(random).then(|| settlement(random)),
             },
-            3 => Operation::ReadChain { program: text(random), request_id: text(random) },
-            4 => Operation::Find { request_id: text(random) },
-            5 => Operation::Digests { node: text(random), after: Option::arbitrary(random) },
-            6 => Operation::Fetch { programs: list(random, text) },
+            3 => Operation::ReadChain {
+                program: text(random),
+                request_id: text(random),
+            },
+            4 => Operation::Find {
+                request_id: text(random),
+            },
+            5 => Operation::Digests {
+                node: text(random),
+                after: Option::arbitrary(random),
+            },
+            6 => Operation::Fetch {
+                programs: list(random, text),
+            },
             _ => Operation::NewView { view: view(random) },
         };
-        let fence = Fence { epoch: u64::arbitrary(random), disk: u64::arbitrary(random) };
+        let fence = Fence {
+            epoch: u64::arbitrary(random),
+            disk: u64::arbitrary(random),
+        };
         Any(Request { fence, operation })
     }
 }
 
 impl Arbitrary for Any<Response> {
     fn arbitrary(random: &mut Gen) -> Self {
-        let digest =
-            |random: &mut Gen| ProgramDigest { program: text(random), digest: u64::arbitrary(random) };
+        let digest = |random: &mut Gen| ProgramDigest {
+            program: text(random),
+            digest: u64::arbitrary(random),
+        };
         let answer = match u8::arbitrary(random) % 10 {
-            0 => Answer::Reserved { reservations: list(random, reservation) },
+            0 => Answer::Reserved {
+                reservations: list(random, reservation),
+            },
             1 => Answer::Stored,
-            2 => Answer::Chain { turns: list(random, turn) },
-            3 => Answer::Found { programs: list(random, text) },
-            4 => Answer::DigestPage { digests: list(random, digest), more: bool::arbitrary(random) },
-            5 => Answer::Records { programs: list(random, program) },
+            2 => Answer::Chain {
+                turns: list(random, turn),
+            },
+            3 => Answer::Found {
+                programs: list(random, text),
+            },
+            4 => Answer::DigestPage {
+                digests: list(random, digest),
+                more: bool::arbitrary(random),
+            },
+            5 => Answer::Records {
+                programs: list(random, program),
+            },
             6 => Answer::Stale { view: view(random) },
             7 => Answer::Behind,
             8 => Answer::WrongDisk,
             _ => Answer::Failed,
         };
-        Any(Response { epoch: u64::arbitrary(random), answer })
+        Any(Response {
+            epoch: u64::arbitrary(random),
+            answer,
+        })
     }
 }
 
 impl Arbitrary for Any<Record> {
     fn arbitrary(random: &mut Gen) -> Self {
         Any(match u8::arbitrary(random) % 3 {
-            0 => Record::Identity { disk: u64::arbitrary(random) },
+            0 => Record::Identity {
+                disk: u64::arbitrary(random),
+            },
             1 => Record::View(view(random)),
             _ => Record::Program(program(random)),
         })
@@ -207,7 +252,12 @@
 /// A length that promises more than there is must not be allocated for.
 #[test]
 fn a_promised_length_is_not_allocated() {
-    let mut bytes = encode(&Response { epoch: 0, answer: Answer::Found { programs: Vec::new() } });
+    let mut bytes = encode(&Response {
+        epoch: 0,
+        answer: Answer::Found {
+            programs: Vec::new(),
+        },
+    });
     let length = bytes.len();
     bytes[length - 4..].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(decode::<Response>(&bytes), None);
--- a/crates/woadreach-storage/tests/loopback.rs
+++ b/crates/woadreach-storage/tests/loopback.rs
@@ -15,8 +15,8 @@
 use woadreach_rpc::{Client, ClientOptions, Router, serve};
 use woadreach_storage::server::{Server, ServerOptions};
 use woadreach_storage::{
-    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, StorageMember, StorageView,
-    Turn, TurnKey, Unavailable,
+    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, StorageMember,
+    StorageView, Turn, TurnKey, Unavailable,
 };
 
 const TOLERATED: usize = 1;
@@ -60,7 +60,14 @@
         });
     });
     let (address, server) = start.recv().unwrap();
-    Machine { node: node.to_owned(), address, folder, server, stop, thread }
+    Machine {
+        node: node.to_owned(),
+        address,
+        folder,
+        server,
+        stop,
+        thread,
+    }
 }
 
 impl Machine {
@@ -78,15 +85,29 @@
 fn machines(count: usize) -> (Vec<Machine>, StorageView) {
     let mut machines = Vec::new();
     for number in 0..count {
-        machines.push(start(&format!("store-{number}"), tempfile::tempdir().unwrap(), None));
+        machines.push(start(
+            &format!("store-{number}"),
+            tempfile::tempdir().unwrap(),
+            None,
+        ));
     }
     let current = machines.iter().map(Machine::member).collect();
-    (machines, StorageView { epoch: 1, current, ..StorageView::default() })
+    (
+        machines,
+        StorageView {
+            epoch: 1,
+            current,
+            ..StorageView::default()
+        },
+    )
 }
 
 fn client(view: &StorageView) -> StorageClient {
-    let client =
-        StorageClient::new(Client::new(ClientOptions::default()), "zone-of-store-0".into(), TOLERATED);
+    let client = StorageClient::new(
+        Client::new(ClientOptions::default()),
+        "zone-of-store-0".into(),
+        TOLERATED,
+    );
     client.set_view(Arc::new(view.clone()));
     client
 }
@@ -96,8 +117,10 @@
         program: program.into(),
         session: "session".into(),
         request_id: request_id.into(),
-        previous: previous
-            .map(|(program, request_id)| TurnKey { program: program.into(), request_id: request_id.into() }),
+        previous: previous.map(|(program, request_id)| TurnKey {
+            program: program.into(),
+            request_id: request_id.into(),
+        }),
         input: Bytes::from(format!("input of {request_id}")),
         events: vec![Bytes::from_static(b"one"), Bytes::from_static(b"two")],
         retention: Duration::from_secs(60),
@@ -105,7 +128,12 @@
 }
 
 fn request(program: &str, request_id: &str, budget: u64, most: u64) -> ReserveRequest {
-    ReserveRequest { program: program.into(), request_id: request_id.into(), budget, most }
+    ReserveRequest {
+        program: program.into(),
+        request_id: request_id.into(),
+        budget,
+        most,
+    }
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -113,11 +141,17 @@
     let (_machines, view) = machines(4);
     let writer = client(&view);
     writer.put_turn(turn("p", "a", None), None).await.unwrap();
-    writer.put_turn(turn("p", "b", Some(("p", "a"))), None).await.unwrap();
+    writer
+        .put_turn(turn("p", "b", Some(("p", "a"))), None)
+        .await
+        .unwrap();
     let reader = client(&view);
     let chain = reader.chain("p", "b").await.unwrap();
     let inputs: Vec<_> = chain.iter().map(|turn| turn.input.clone()).collect();
-    assert_eq!(inputs, [Bytes::from("input of a"), Bytes::from("input of b")]);
+    assert_eq!(
+        inputs,
+        [Bytes::from("input of a"), Bytes::from("input of b")]
+    );
     assert_eq!(chain[0].events.len(), 2);
     assert_eq!(reader.chain("p", "c").await, Err(ChainError::NotFound));
 }
@@ -130,7 +164,10 @@
     let other = client(&view);
     let chain = other.chain("q", "a").await.unwrap();
     assert_eq!(chain[0].program, "p");
-    other.put_turn(turn("q", "b", Some(("p", "a"))), None).await.unwrap();
+    other
+        .put_turn(turn("q", "b", Some(("p", "a"))), None)
+        .await
+        .unwrap();
     let reader = client(&view);
     let chain = reader.chain("q", "b").await.unwrap();
     assert_eq!(chain.len(), 2);
@@ -142,11 +179,19 @@
     let (_machines, view) = machines(4);
     let (one, two) = (client(&view), client(&view));
     let mut first = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    assert_eq!(two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(), ReserveError::Spent);
+    assert_eq!(
+        two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(),
+        ReserveError::Spent
+    );
     first.set_given(30);
-    one.put_turn(turn("p", "a", None), Some(&mut first)).await.unwrap();
+    one.put_turn(turn("p", "a", None), Some(&mut first))
+        .await
+        .unwrap();
     let _second = two.reserve(&request("p", "c", 100, 60)).await.unwrap();
-    assert_eq!(one.reserve(&request("p", "d", 100, 60)).await.unwrap_err(), ReserveError::Spent);
+    assert_eq!(
+        one.reserve(&request("p", "d", 100, 60)).await.unwrap_err(),
+        ReserveError::Spent
+    );
     let _third = one.reserve(&request("p", "e", 100, 10)).await.unwrap();
 }
 
@@ -160,7 +205,9 @@
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), granted).await.expect("it fits once the others are settled")
+    tokio::time::timeout(Duration::from_secs(20), granted)
+        .await
+        .expect("it fits once the others are settled")
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -169,10 +216,16 @@
     let (one, two) = (client(&view), client(&view));
     let mut held = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
     held.set_given(30);
-    assert_eq!(two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(), ReserveError::Spent);
+    assert_eq!(
+        two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(),
+        ReserveError::Spent
+    );
     drop(held);
     let _next = wait_until_granted(&two, &request("p", "c", 100, 70)).await;
-    assert_eq!(two.reserve(&request("p", "d", 100, 1)).await.unwrap_err(), ReserveError::Spent);
+    assert_eq!(
+        two.reserve(&request("p", "d", 100, 1)).await.unwrap_err(),
+        ReserveError::Spent
+    );
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -182,7 +235,8 @@
     let never_polled_again = async {
         let asked = request("p", "a", 100, 60);
         let mut reserve = std::pin::pin!(one.reserve(&asked));
-        let polled = std::future::poll_fn(|context| Poll::Ready(reserve.as_mut().poll(context))).await;
+        let polled =
+            std::future::poll_fn(|context| Poll::Ready(reserve.as_mut().poll(context))).await;
         assert!(polled.is_pending(), "no machine has answered");
     };
     never_polled_again.await;
@@ -198,14 +252,18 @@
     held.set_given(30);
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
     tokio::time::pause();
-    assert_eq!(one.put_turn(turn("p", "a", None), Some(&mut held)).await, Err(Unavailable));
+    assert_eq!(
+        one.put_turn(turn("p", "a", None), Some(&mut held)).await,
+        Err(Unavailable)
+    );
     drop(held);
     // The first round of telling them begins, and is over long before they are back.
     tokio::time::advance(Duration::from_millis(1)).await;
     tokio::time::advance(Duration::from_secs(20)).await;
     tokio::time::resume();
-    let start_again =
-        |(node, address, folder): (String, SocketAddr, TempDir)| start(&node, folder, Some(address));
+    let start_again = |(node, address, folder): (String, SocketAddr, TempDir)| {
+        start(&node, folder, Some(address))
+    };
     let _machines: Vec<Machine> = stopped.into_iter().map(start_again).collect();
     let _next = wait_until_granted(&two, &request("p", "b", 100, 70)).await;
 }
@@ -216,7 +274,10 @@
     let writer = client(&view);
     writer.put_turn(turn("p", "a", None), None).await.unwrap();
     let (node, address, folder) = machines.remove(0).stop();
-    writer.put_turn(turn("p", "b", Some(("p", "a"))), None).await.unwrap();
+    writer
+        .put_turn(turn("p", "b", Some(("p", "a"))), None)
+        .await
+        .unwrap();
     let back = start(&node, folder, Some(address));
     assert_eq!(back.member(), view.current[0]);
     machines.remove(0).stop();
@@ -230,14 +291,20 @@
     let one = client(&view);
     let mut ended = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
     ended.set_given(30);
-    one.put_turn(turn("p", "a", None), Some(&mut ended)).await.unwrap();
+    one.put_turn(turn("p", "a", None), Some(&mut ended))
+        .await
+        .unwrap();
     let _open = one.reserve(&request("p", "b", 100, 60)).await.unwrap();
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
-    let start_again =
-        |(node, address, folder): (String, SocketAddr, TempDir)| start(&node, folder, Some(address));
+    let start_again = |(node, address, folder): (String, SocketAddr, TempDir)| {
+        start(&node, folder, Some(address))
+    };
     let _machines: Vec<Machine> = stopped.into_iter().map(start_again).collect();
     let two = client(&view);
-    assert_eq!(two.reserve(&request("p", "c", 100, 11)).await.unwrap_err(), ReserveError::Spent);
+    assert_eq!(
+        two.reserve(&request("p", "c", 100, 11)).await.unwrap_err(),
+        ReserveError::Spent
+    );
     let _fits = two.reserve(&request("p", "d", 100, 10)).await.unwrap();
     assert_eq!(two.chain("p", "a").await.unwrap().len(), 1);
 }
@@ -248,9 +315,15 @@
     let reader = client(&view);
     assert_eq!(reader.chain("p", "never").await, Err(ChainError::NotFound));
     let (node, address, _) = machines.remove(0).stop();
-    assert_eq!(reader.chain("p", "never").await, Err(ChainError::Unavailable));
+    assert_eq!(
+        reader.chain("p", "never").await,
+        Err(ChainError::Unavailable)
+    );
     let _wiped = start(&node, tempfile::tempdir().unwrap(), Some(address));
-    assert_eq!(reader.chain("p", "never").await, Err(ChainError::Unavailable));
+    assert_eq!(
+        reader.chain("p", "never").await,
+        Err(ChainError::Unavailable)
+    );
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -258,25 +331,50 @@
     let (mut machines, view) = machines(3);
     let writer = client(&view);
     for number in 0..50 {
-        writer.put_turn(turn(&format!("p{number}"), "a", None), None).await.unwrap();
+        writer
+            .put_turn(turn(&format!("p{number}"), "a", None), None)
+            .await
+            .unwrap();
     }
     let (node, address, _) = machines.remove(0).stop();
     let wiped = start(&node, tempfile::tempdir().unwrap(), Some(address));
     assert_ne!(wiped.member().disk, view.current[0].disk);
     let mut joint = view.clone();
     joint.epoch = 2;
-    joint.next = Some(vec![wiped.member(), view.current[1].clone(), view.current[2].clone()]);
+    joint.next = Some(vec![
+        wiped.member(),
+        view.current[1].clone(),
+        view.current[2].clone(),
+    ]);
     let mut pulled = wiped.server.pulled();
     wiped.server.learn_view(joint.clone()).await;
     writer.set_view(Arc::new(joint.clone()));
-    writer.put_turn(turn("p0", "b", Some(("p0", "a"))), None).await.unwrap();
+    writer
+        .put_turn(turn("p0", "b", Some(("p0", "a"))), None)
+        .await
+        .unwrap();
     pulled.wait_for(|epoch| *epoch == 2).await.unwrap();
-    let after = StorageView { epoch: 3, current: joint.next.unwrap(), ..StorageView::default() };
-    let only_wiped = StorageView { epoch: 3, current: vec![wiped.member()], ..StorageView::default() };
+    let after = StorageView {
+        epoch: 3,
+        current: joint.next.unwrap(),
+        ..StorageView::default()
+    };
+    let only_wiped = StorageView {
+        epoch: 3,
+        current: vec![wiped.member()],
+        ..StorageView::default()
+    };
     wiped.server.learn_view(after).await;
     let reader = client(&only_wiped);
     for number in 1..50 {
-        assert_eq!(reader.chain(&format!("p{number}"), "a").await.unwrap().len(), 1);
+        assert_eq!(
+            reader
+                .chain(&format!("p{number}"), "a")
+                .await
+                .unwrap()
+                .len(),
+            1
+        );
     }
     assert_eq!(reader.chain("p0", "b").await.unwrap().len(), 2);
 }
--- a/crates/woadreach-storage/tests/placement.rs
+++ b/crates/woadreach-storage/tests/placement.rs
@@ -15,7 +15,10 @@
 }
 
 fn names(members: &[StorageMember], program: &str, tolerated: usize) -> Vec<String> {
-    group(members, program, tolerated).iter().map(|member| member.node.clone()).collect()
+    group(members, program, tolerated)
+        .iter()
+        .map(|member| member.node.clone())
+        .collect()
 }
 
 quickcheck! {
@@ -60,11 +63,17 @@
     for tolerated in 0..4 {
         for members in tolerated + 1..12 {
             let group = group_size(members, tolerated);
-            let (write, read) = (write_quorum(group, tolerated), read_quorum(group, tolerated));
+            let (write, read) = (
+                write_quorum(group, tolerated),
+                read_quorum(group, tolerated),
+            );
             assert!(write > tolerated && write <= group);
             assert!(write + read > group);
             assert!(write * 2 > group, "two writes meet");
-            assert!(members <= 2 * tolerated || group - tolerated >= write, "losses leave a write quorum");
+            assert!(
+                members <= 2 * tolerated || group - tolerated >= write,
+                "losses leave a write quorum"
+            );
         }
     }
 }
@@ -78,5 +87,8 @@
             held[member.disk as usize - 1] += 1;
         }
     }
-    assert!(held.iter().all(|count| (2_700..3_300).contains(count)), "{held:?}");
+    assert!(
+        held.iter().all(|count| (2_700..3_300).contains(count)),
+        "{held:?}"
+    );
 }
--- a/crates/woadreach-storage/tests/plan.rs
+++ b/crates/woadreach-storage/tests/plan.rs
@@ -33,9 +33,18 @@
 impl Tier {
     fn new(count: u8, tolerated: usize) -> Tier {
         let now = Instant::now();
-        let machines = (0..count).map(|number| (member(number, u64::from(number) + 1), true)).collect();
+        let machines = (0..count)
+            .map(|number| (member(number, u64::from(number) + 1), true))
+            .collect();
         let (view, heard) = (StorageView::default(), Announcements::new(now));
-        let mut tier = Tier { now, view, heard, machines, leaving: BTreeSet::new(), tolerated };
+        let mut tier = Tier {
+            now,
+            view,
+            heard,
+            machines,
+            leaving: BTreeSet::new(),
+            tolerated,
+        };
         tier.pass(Duration::from_millis(1_500));
         tier
     }
@@ -61,7 +70,8 @@
     }
 
     fn stop(&mut self, number: u8) {
-        self.machines.retain(|(member, _)| member.node != format!("store-{number}"));
+        self.machines
+            .retain(|(member, _)| member.node != format!("store-{number}"));
     }
 
     fn start(&mut self, number: u8, disk: u64) {
@@ -175,7 +185,15 @@
     tier.pass(Duration::from_millis(1_400));
     assert_eq!(tier.view.epoch, 1);
     // Nor does one that hears nobody at all.
-    assert_eq!(plan(tier.now + Duration::from_secs(30), &tier.view, &tier.heard, 1), None);
+    assert_eq!(
+        plan(
+            tier.now + Duration::from_secs(30),
+            &tier.view,
+            &tier.heard,
+            1
+        ),
+        None
+    );
 }
 
 #[test]
@@ -184,14 +202,25 @@
     tier.view = retire(&tier.view, "store-2", 1).unwrap();
     tier.machines[0].1 = false;
     tier.pass(Duration::from_secs(1));
-    assert!(tier.view.retiring.contains("store-2"), "not before everyone has pulled");
-    assert_eq!(retire(&tier.view, "store-2", 1), Ok(tier.view.clone()), "a repeated order changes nothing");
+    assert!(
+        tier.view.retiring.contains("store-2"),
+        "not before everyone has pulled"
+    );
+    assert_eq!(
+        retire(&tier.view, "store-2", 1),
+        Ok(tier.view.clone()),
+        "a repeated order changes nothing"
+    );
     tier.machines[0].1 = true;
     tier.pass(Duration::from_secs(1));
     assert!(tier.view.retired.contains("store-2") && tier.view.retiring.is_empty());
     assert_eq!(tier.current(), [1, 2, 4]);
     tier.pass(Duration::from_secs(3));
-    assert_eq!(tier.current(), [1, 2, 4], "an emptied machine that still announces itself stays out");
+    assert_eq!(
+        tier.current(),
+        [1, 2, 4],
+        "an emptied machine that still announces itself stays out"
+    );
 }
 
 #[test]
@@ -276,7 +305,12 @@
     tier.pass(Duration::from_secs(1));
     tier.view = retire(&tier.view, "store-1", 1).unwrap();
     tier.pass(Duration::from_secs(1));
-    assert!(tier.view.latest().iter().all(|member| member.node != "store-2"));
+    assert!(
+        tier.view
+            .latest()
+            .iter()
+            .all(|member| member.node != "store-2")
+    );
     tier.machines[0].1 = true;
     tier.pass(Duration::from_secs(1));
     assert!(tier.settled());
--- a/crates/woadreach-storage/tests/retention.rs
+++ b/crates/woadreach-storage/tests/retention.rs
@@ -24,7 +24,13 @@
 
 /// Takes a request; the record that its answer waits for.
 fn record(member: &mut Member, now: Duration, operation: Operation) -> Vec<u8> {
-    let request = Request { fence: Fence { epoch: 0, disk: DISK }, operation };
+    let request = Request {
+        fence: Fence {
+            epoch: 0,
+            disk: DISK,
+        },
+        operation,
+    };
     match member.handle(now, request) {
         Step::Persist { record, .. } => record,
         other => panic!("nothing to sync: {other:?}"),
@@ -32,18 +38,29 @@
 }
 
 fn reserve(reservation: u64) -> Operation {
-    Operation::Reserve { program: "program".to_owned(), reservation, most: MOST }
+    Operation::Reserve {
+        program: "program".to_owned(),
+        reservation,
+        most: MOST,
+    }
 }
 
 fn put(request_id: &str, retention: Duration, settlement: Settlement) -> Operation {
     let turns = vec![turn(request_id, retention)];
-    Operation::PutTurns { program: "program".to_owned(), turns, settlement: Some(settlement) }
+    Operation::PutTurns {
+        program: "program".to_owned(),
+        turns,
+        settlement: Some(settlement),
+    }
 }
 
 /// A machine with one turn that gave three tokens and one that never ended, and its journal.
 fn stopped_program(retention: Duration) -> (Member, Vec<Vec<u8>>) {
     let (mut member, identity) = Member::create("store".to_owned(), DISK, 1);
-    let settlement = Settlement { reservation: 1, given: 3 };
+    let settlement = Settlement {
+        reservation: 1,
+        given: 3,
+    };
     let journal = vec![
         identity,
         record(&mut member, Duration::ZERO, reserve(1)),
@@ -58,7 +75,18 @@
 }
 
 fn expected() -> [Reservation; 2] {
-    [Reservation { id: 1, tokens: 3, settled: true }, Reservation { id: 2, tokens: MOST, settled: false }]
+    [
+        Reservation {
+            id: 1,
+            tokens: 3,
+            settled: true,
+        },
+        Reservation {
+            id: 2,
+            tokens: MOST,
+            settled: false,
+        },
+    ]
 }
 
 fn has_turn(member: &Member) -> bool {
--- a/crates/woadreach-storage/tests/simulation/core.rs
+++ b/crates/woadreach-storage/tests/simulation/core.rs
@@ -18,7 +18,12 @@
 impl Core {
     pub fn new(base: Instant) -> Core {
         let announcements = Announcements::new(base);
-        Core { base, committed: StorageView::default(), announcements, frozen: false }
+        Core {
+            base,
+            committed: StorageView::default(),
+            announcements,
+            frozen: false,
+        }
     }
 
     pub fn heard(&mut self, now: Duration, announcement: Announcement) {
@@ -37,11 +42,18 @@
             view.retired.append(&mut view.retiring);
             return Some(view);
         }
-        plan(self.base + now, &self.committed, &self.announcements, tolerated)
+        plan(
+            self.base + now,
+            &self.committed,
+            &self.announcements,
+            tolerated,
+        )
     }
 
     /// Takes an order to empty a machine; whether it was taken.
     pub fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
-        retire(&self.committed, node, tolerated).ok().filter(|view| *view != self.committed)
+        retire(&self.committed, node, tolerated)
+            .ok()
+            .filter(|view| *view != self.committed)
     }
 }
--- a/crates/woadreach-storage/tests/simulation/faults.rs
+++ b/crates/woadreach-storage/tests/simulation/faults.rs
@@ -75,7 +75,11 @@
         }
         let next = self.millis(200, 3_000);
         self.after(next, Event::Fault(Fault::Draw));
-        let kind = if self.churn { self.random.rand_range(10..13) } else { self.random.rand_range(0..14) };
+        let kind = if self.churn {
+            self.random.rand_range(10..13)
+        } else {
+            self.random.rand_range(0..14)
+        };
         match kind {
             0 | 1 => self.lose_one(Fault::Kill),
             2 | 3 => self.lose_one(Fault::PowerLoss),
@@ -99,9 +103,13 @@
 
     fn draw_loss(&mut self) -> Option<(usize, usize)> {
         let slot = self.losses.iter().position(|until| *until <= self.now)?;
-        let up: Vec<usize> = (0..self.machines.len()).filter(|index| self.machines[*index].is_up()).collect();
+        let up: Vec<usize> = (0..self.machines.len())
+            .filter(|index| self.machines[*index].is_up())
+            .collect();
         // Machines that are not there any more do not count; all others must be up but for the losses.
-        let index = up.get(self.random.rand_range(0..up.len().max(1) as u64) as usize).copied()?;
+        let index = up
+            .get(self.random.rand_range(0..up.len().max(1) as u64) as usize)
+            .copied()?;
         Some((slot, index))
     }
 
@@ -133,7 +141,11 @@
             return;
         }
         if let Some((slot, index)) = self.choose_loss() {
-            let fault = if self.chance(2) { Fault::Wipe(index) } else { Fault::PowerLoss(index) };
+            let fault = if self.chance(2) {
+                Fault::Wipe(index)
+            } else {
+                Fault::PowerLoss(index)
+            };
             let delay = self.millis(0, 4);
             self.lose(slot, index, fault, delay);
         }
@@ -210,7 +222,11 @@
     /// Machines whose order has succeeded are taken away at once; others may lose their disks right after.
     pub fn emptied_machines_go(&mut self) {
         for index in 0..self.machines.len() {
-            let retired = self.core.committed.retired.contains(&self.machines[index].node);
+            let retired = self
+                .core
+                .committed
+                .retired
+                .contains(&self.machines[index].node);
             if retired && !self.machines[index].removed {
                 self.remove(index);
                 self.lose_one(Fault::Wipe);
--- a/crates/woadreach-storage/tests/simulation/final_fault.rs
+++ b/crates/woadreach-storage/tests/simulation/final_fault.rs
@@ -35,9 +35,14 @@
 
     /// Machines that are lost already take up a part of the tolerated number.
     pub fn strike_finally(&mut self) {
-        let lost = self.losses.iter().filter(|until| **until > self.now).count();
-        let mut up: Vec<usize> =
-            (0..self.machines.len()).filter(|index| self.machines[*index].is_up()).collect();
+        let lost = self
+            .losses
+            .iter()
+            .filter(|until| **until > self.now)
+            .count();
+        let mut up: Vec<usize> = (0..self.machines.len())
+            .filter(|index| self.machines[*index].is_up())
+            .collect();
         for index in 0..self.machines.len() {
             self.kill_machine(index, true);
         }
--- a/crates/woadreach-storage/tests/simulation/machine.rs
+++ b/crates/woadreach-storage/tests/simulation/machine.rs
@@ -95,7 +95,12 @@
     }
 
     pub fn member(&self, disk: u64) -> StorageMember {
-        StorageMember { node: self.node.clone(), disk, address: self.address, zone: self.zone.clone() }
+        StorageMember {
+            node: self.node.clone(),
+            disk,
+            address: self.address,
+            zone: self.zone.clone(),
+        }
     }
 
     pub fn is_up(&self) -> bool {
@@ -119,7 +124,8 @@
             Err(error) => panic!("{error}"),
         };
         let snapshot = found.snapshot.as_deref();
-        let recovered = Member::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
+        let recovered =
+            Member::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
         let member = recovered.unwrap_or_else(|| {
             if plant != Plant::WipedMachineCounts || self.identity == 0 {
                 self.identity = random.rand_u64();
@@ -130,17 +136,26 @@
         });
         self.identity = member.disk();
         let (queue, batch) = (VecDeque::new(), Vec::new());
-        self.process = Some(Process { member, engine, queue, batch, pulling: None });
+        self.process = Some(Process {
+            member,
+            engine,
+            queue,
+            batch,
+            pulling: None,
+        });
     }
 
     /// Ends the process; with `power`, what is not synced may be lost.
     pub fn kill(&mut self, random: &mut Rand64, power: bool) {
         if let Some(mut process) = self.process.take() {
             self.disk.set_fault(DiskFault::FailingSync);
-            let records = process.batch.iter().filter_map(|waiting| match &waiting.record {
-                Record::Append(record) => Some(record.clone()),
-                Record::Replace(_) => None,
-            });
+            let records = process
+                .batch
+                .iter()
+                .filter_map(|waiting| match &waiting.record {
+                    Record::Append(record) => Some(record.clone()),
+                    Record::Replace(_) => None,
+                });
             let _ = process.engine.commit(&records.collect::<Vec<_>>());
         }
         if power {
@@ -182,12 +197,18 @@
             Step::Persist { record, pending } => (Record::Append(record), pending),
             Step::Compact { snapshot, pending } => (Record::Replace(snapshot), pending),
         };
-        process.queue.push_back(Waiting { record, pending, caller });
+        process.queue.push_back(Waiting {
+            record,
+            pending,
+            caller,
+        });
         None
     }
 
     pub fn learn_view(&mut self, view: StorageView) {
-        let Some(process) = self.process.as_mut() else { return };
+        let Some(process) = self.process.as_mut() else {
+            return;
+        };
         if let Some(step) = process.member.learn_view(view) {
             let answer = self.take(step, Caller::Nobody);
             assert!(answer.is_none());
@@ -197,20 +218,31 @@
     /// Whether a sync should begin now.
     pub fn begin_sync(&mut self) -> bool {
         let stalled = self.stalled;
-        let Some(process) = self.process.as_mut() else { return false };
+        let Some(process) = self.process.as_mut() else {
+            return false;
+        };
         if stalled || !process.batch.is_empty() || process.queue.is_empty() {
             return false;
         }
         let first_is_replacement = matches!(process.queue[0].record, Record::Replace(_));
-        let appends = process.queue.iter().take_while(|waiting| matches!(waiting.record, Record::Append(_)));
-        let count = if first_is_replacement { 1 } else { appends.count() };
+        let appends = process
+            .queue
+            .iter()
+            .take_while(|waiting| matches!(waiting.record, Record::Append(_)));
+        let count = if first_is_replacement {
+            1
+        } else {
+            appends.count()
+        };
         process.batch = process.queue.drain(..count).collect();
         true
     }
 
     /// Ends the sync: answers for all callers.
     pub fn end_sync(&mut self) -> Vec<(Caller, Response)> {
-        let Some(process) = self.process.as_mut() else { return Vec::new() };
+        let Some(process) = self.process.as_mut() else {
+            return Vec::new();
+        };
         let batch = std::mem::take(&mut process.batch);
         let outcome = match &batch[0].record {
             Record::Replace(snapshot) => process.engine.replace(snapshot),
--- a/crates/woadreach-storage/tests/simulation/main.rs
+++ b/crates/woadreach-storage/tests/simulation/main.rs
@@ -63,8 +63,14 @@
 
 #[test]
 fn nothing_acknowledged_is_lost_and_no_budget_overspent() {
-    let count = std::env::var("STORAGE_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
-    let first = std::env::var("STORAGE_FIRST_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let count = std::env::var("STORAGE_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(SEEDS);
+    let first = std::env::var("STORAGE_FIRST_SEED")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     if let Some((seed, violation)) = first_violation(first, count, Plant::None) {
         panic!("seed {seed}: {violation}");
     }
@@ -73,8 +79,14 @@
 /// All machines lose power right after an acknowledgement, and as many as may be lost lose their disks.
 #[test]
 fn a_final_fault_loses_no_turn_and_no_reservation() {
-    let count = std::env::var("STORAGE_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
-    let first = std::env::var("STORAGE_FIRST_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let count = std::env::var("STORAGE_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(SEEDS);
+    let first = std::env::var("STORAGE_FIRST_SEED")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     let violation = |seed| violation_with_final_fault(seed, Plant::None);
     if let Some((seed, violation)) = first_violation_of(first, count, violation) {
         panic!("seed {seed}: {violation}");
@@ -83,16 +95,26 @@
 
 #[test]
 fn bugs_that_a_final_fault_brings_out_are_found() {
-    for plant in [Plant::EndBeforeSync, Plant::OneCopyTooFew, Plant::ReservationInMemory] {
+    for plant in [
+        Plant::EndBeforeSync,
+        Plant::OneCopyTooFew,
+        Plant::ReservationInMemory,
+    ] {
         let violation = |seed| violation_with_final_fault(seed, plant);
         let found = first_violation_of(0, PLANT_SEEDS, violation);
-        assert!(found.is_some(), "{plant:?} was not found in {PLANT_SEEDS} runs");
+        assert!(
+            found.is_some(),
+            "{plant:?} was not found in {PLANT_SEEDS} runs"
+        );
     }
 }
 
 fn assert_found(plant: Plant, first: u64) {
     let found = first_violation(first, PLANT_SEEDS, plant);
-    assert!(found.is_some(), "{plant:?} was not found in {PLANT_SEEDS} runs from {first}");
+    assert!(
+        found.is_some(),
+        "{plant:?} was not found in {PLANT_SEEDS} runs from {first}"
+    );
 }
 
 #[test]
--- a/crates/woadreach-storage/tests/simulation/oracle.rs
+++ b/crates/woadreach-storage/tests/simulation/oracle.rs
@@ -49,15 +49,29 @@
 
 impl Oracle {
     pub fn attempt(&mut self, program: &str, id: u64, state: Attempt) {
-        self.attempts.entry(program.to_owned()).or_default().insert(id, state);
+        self.attempts
+            .entry(program.to_owned())
+            .or_default()
+            .insert(id, state);
     }
 
     /// A reservation was granted: what was given and may still be given must fit.
-    pub fn granted(&mut self, program: &str, id: u64, most: u64, budget: u64) -> Result<(), String> {
+    pub fn granted(
+        &mut self,
+        program: &str,
+        id: u64,
+        most: u64,
+        budget: u64,
+    ) -> Result<(), String> {
         self.attempt(program, id, Attempt::Granted { most });
-        let total: u64 = self.attempts[program].values().map(|attempt| attempt.given()).sum();
+        let total: u64 = self.attempts[program]
+            .values()
+            .map(|attempt| attempt.given())
+            .sum();
         if total > budget {
-            return Err(format!("budget of {program} overspent: {total} of {budget}"));
+            return Err(format!(
+                "budget of {program} overspent: {total} of {budget}"
+            ));
         }
         Ok(())
     }
@@ -70,10 +84,14 @@
         (most, budget): (u64, u64),
         sent: Duration,
     ) -> Result<(), String> {
-        let others = self.attempts[program].iter().filter(|(other, _)| **other != id);
+        let others = self.attempts[program]
+            .iter()
+            .filter(|(other, _)| **other != id);
         let total: u64 = others.map(|(_, attempt)| attempt.at_most(sent)).sum();
         if total + most <= budget {
-            return Err(format!("turn of {program} refused though {total} + {most} fit {budget}"));
+            return Err(format!(
+                "turn of {program} refused though {total} + {most} fit {budget}"
+            ));
         }
         Ok(())
     }
@@ -82,14 +100,23 @@
     pub fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
         let mut next = Some(newest.clone());
         for turn in chain {
-            let Some(key) = next else { return Err(format!("chain of {newest:?} is too long")) };
+            let Some(key) = next else {
+                return Err(format!("chain of {newest:?} is too long"));
+            };
             if self.acknowledged.get(&key) != Some(turn) {
                 let known = self.acknowledged.get(&key);
-                return Err(format!("turn {key:?} is {turn:?}, not {known:?} as acknowledged"));
+                return Err(format!(
+                    "turn {key:?} is {turn:?}, not {known:?} as acknowledged"
+                ));
             }
             let program = key.program;
-            next = turn.previous.clone().map(|request_id| TurnKey { program, request_id });
+            next = turn.previous.clone().map(|request_id| TurnKey {
+                program,
+                request_id,
+            });
         }
-        next.map_or(Ok(()), |key| Err(format!("chain of {newest:?} ends before {key:?}")))
+        next.map_or(Ok(()), |key| {
+            Err(format!("chain of {newest:?} ends before {key:?}"))
+        })
     }
 }
--- a/crates/woadreach-storage/tests/simulation/proxy.rs
+++ b/crates/woadreach-storage/tests/simulation/proxy.rs
@@ -16,10 +16,25 @@
 /// What a job is for.
 #[derive(Debug, Clone)]
 pub enum Purpose {
-    Reserve { program: usize, id: u64 },
-    Put { program: usize, id: u64, turn: TurnRecord, given: u64 },
-    Settle { program: usize, id: u64, given: u64 },
-    Read { key: TurnKey, last: bool },
+    Reserve {
+        program: usize,
+        id: u64,
+    },
+    Put {
+        program: usize,
+        id: u64,
+        turn: TurnRecord,
+        given: u64,
+    },
+    Settle {
+        program: usize,
+        id: u64,
+        given: u64,
+    },
+    Read {
+        key: TurnKey,
+        last: bool,
+    },
 }
 
 /// Progress of a job.
@@ -70,20 +85,39 @@
         let (members, operation) = match self.phase {
             ReadPhase::Group => {
                 let quorum = Quorum::new(view, &self.next.program, tolerated, Need::Read);
-                let (program, request_id) = (self.next.program.clone(), self.next.request_id.clone());
-                (quorum.members().to_vec(), Operation::ReadChain { program, request_id })
+                let (program, request_id) =
+                    (self.next.program.clone(), self.next.request_id.clone());
+                (
+                    quorum.members().to_vec(),
+                    Operation::ReadChain {
+                        program,
+                        request_id,
+                    },
+                )
             }
             ReadPhase::Everywhere => {
                 let request_id = self.next.request_id.clone();
-                (view.members().into_iter().cloned().collect(), Operation::Find { request_id })
+                (
+                    view.members().into_iter().cloned().collect(),
+                    Operation::Find { request_id },
+                )
             }
         };
         self.round += 1;
         self.all_answered = !members.is_empty();
         self.waiting = members.iter().map(|member| member.disk).collect();
         let request = |member: StorageMember| {
-            let fence = Fence { epoch: view.epoch, disk: member.disk };
-            (member, Request { fence, operation: operation.clone() })
+            let fence = Fence {
+                epoch: view.epoch,
+                disk: member.disk,
+            };
+            (
+                member,
+                Request {
+                    fence,
+                    operation: operation.clone(),
+                },
+            )
         };
         members.into_iter().map(request).collect()
     }
@@ -94,7 +128,9 @@
             return false;
         }
         match answer {
-            Some(Answer::Chain { turns }) if self.phase == ReadPhase::Group && !turns.is_empty() => {
+            Some(Answer::Chain { turns })
+                if self.phase == ReadPhase::Group && !turns.is_empty() =>
+            {
                 let previous = turns.last().and_then(|turn| turn.previous.clone());
                 self.chain.extend(turns);
                 match previous {
@@ -140,17 +176,31 @@
     /// Requests to be sent now for a job: to all that have not answered.
     pub fn requests(&mut self, job: JobId, tolerated: usize) -> Vec<(StorageMember, Request)> {
         let view = Arc::clone(&self.view);
-        let Some(job) = self.jobs.get_mut(&job) else { return Vec::new() };
+        let Some(job) = self.jobs.get_mut(&job) else {
+            return Vec::new();
+        };
         match &mut job.work {
             Work::Write(write) => {
                 if view.epoch > write.epoch() {
                     write.restart(&view);
                     job.answered.clear();
                 }
-                let waiting = write.members().iter().filter(|member| !job.answered.contains(&member.disk));
+                let waiting = write
+                    .members()
+                    .iter()
+                    .filter(|member| !job.answered.contains(&member.disk));
                 let request = |member: &StorageMember| {
-                    let fence = Fence { epoch: write.epoch(), disk: member.disk };
-                    (member.clone(), Request { fence, operation: write.operation().clone() })
+                    let fence = Fence {
+                        epoch: write.epoch(),
+                        disk: member.disk,
+                    };
+                    (
+                        member.clone(),
+                        Request {
+                            fence,
+                            operation: write.operation().clone(),
+                        },
+                    )
                 };
                 waiting.map(request).collect()
             }
@@ -179,7 +229,9 @@
         {
             self.view = Arc::new(view.clone());
         }
-        let Some(job) = self.jobs.get_mut(&id) else { return false };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return false;
+        };
         match &mut job.work {
             Work::Write(write) => match answer {
                 Some(Answer::Stale { .. }) => write.epoch() < self.view.epoch,
--- a/crates/woadreach-storage/tests/simulation/stops.rs
+++ b/crates/woadreach-storage/tests/simulation/stops.rs
@@ -30,7 +30,11 @@
             return;
         }
         let is_calm = self.losses.iter().all(|until| *until <= self.now);
-        let pause = if is_calm { self.millis(4_500, 6_500) } else { self.millis(20, 200) };
+        let pause = if is_calm {
+            self.millis(4_500, 6_500)
+        } else {
+            self.millis(20, 200)
+        };
         self.after(pause, Event::Fault(Fault::DrawPlanned));
         if is_calm && self.chance(3) {
             self.roll_one();
@@ -45,7 +49,9 @@
         if self.machines.len() >= 9 {
             return;
         }
-        let Some((_, index)) = self.choose_loss() else { return };
+        let Some((_, index)) = self.choose_loss() else {
+            return;
+        };
         let slots = self.losses.len();
         self.losses = vec![self.now + CATCH_UP; slots];
         self.add_machine();
@@ -73,14 +79,22 @@
         machine.stop = Some((stop, self.now));
         let incarnation = machine.incarnation;
         self.announce(index);
-        self.after(Duration::ZERO, Event::Fault(Fault::CheckStop(index, incarnation)));
+        self.after(
+            Duration::ZERO,
+            Event::Fault(Fault::CheckStop(index, incarnation)),
+        );
     }
 
     /// Whether a full group of others is there: an order to empty a machine may have used the successor up.
     fn has_successor(&self, index: usize) -> bool {
         let view = &self.core.committed;
-        let stays = |node: &String| *node != self.machines[index].node && !view.retiring.contains(node);
-        let others = view.latest().iter().filter(|member| stays(&member.node)).count();
+        let stays =
+            |node: &String| *node != self.machines[index].node && !view.retiring.contains(node);
+        let others = view
+            .latest()
+            .iter()
+            .filter(|member| stays(&member.node))
+            .count();
         others > 2 * self.tolerated
     }
 
@@ -90,9 +104,15 @@
         if machine.incarnation != incarnation || machine.process.is_none() {
             return;
         }
-        let Some((stop, since)) = machine.stop else { return };
+        let Some((stop, since)) = machine.stop else {
+            return;
+        };
         let waited = self.now - since;
-        let limit = if machine.frozen { GRACE_PERIOD } else { LEAVE_TIMEOUT };
+        let limit = if machine.frozen {
+            GRACE_PERIOD
+        } else {
+            LEAVE_TIMEOUT
+        };
         if waited >= limit || (!machine.frozen && self.may_end(index)) {
             return self.end(index, stop);
         }
--- a/crates/woadreach-storage/tests/simulation/world.rs
+++ b/crates/woadreach-storage/tests/simulation/world.rs
@@ -53,27 +53,62 @@
 }
 
 pub enum Event {
-    Request { to: usize, call: u64, request: Request },
-    Response { call: u64, response: Response },
-    Silence { call: u64 },
-    SyncDone { machine: usize, incarnation: u64 },
-    Announce { machine: usize, incarnation: u64 },
+    Request {
+        to: usize,
+        call: u64,
+        request: Request,
+    },
+    Response {
+        call: u64,
+        response: Response,
+    },
+    Silence {
+        call: u64,
+    },
+    SyncDone {
+        machine: usize,
+        incarnation: u64,
+    },
+    Announce {
+        machine: usize,
+        incarnation: u64,
+    },
     Announced(Announcement),
     Plan,
     Commit(StorageView),
-    View { to: Endpoint, view: StorageView },
+    View {
+        to: Endpoint,
+        view: StorageView,
+    },
     Turn,
-    EndOfTurn { proxy: usize, program: usize, id: u64 },
-    Resend { proxy: usize, job: JobId },
-    Deadline { proxy: usize, job: JobId },
+    EndOfTurn {
+        proxy: usize,
+        program: usize,
+        id: u64,
+    },
+    Resend {
+        proxy: usize,
+        job: JobId,
+    },
+    Deadline {
+        proxy: usize,
+        job: JobId,
+    },
     Fault(Fault),
     LastReads,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum CallFor {
-    Job { proxy: usize, job: JobId, round: u64 },
-    Pull { machine: usize, incarnation: u64 },
+    Job {
+        proxy: usize,
+        job: JobId,
+        round: u64,
+    },
+    Pull {
+        machine: usize,
+        incarnation: u64,
+    },
 }
 
 struct Call {
@@ -132,11 +167,20 @@
             tolerated,
             machines: Vec::new(),
             core: Core::new(Instant::now()),
-            proxies: (0..proxies).map(|_| Proxy { view: Arc::default(), jobs: BTreeMap::new() }).collect(),
+            proxies: (0..proxies)
+                .map(|_| Proxy {
+                    view: Arc::default(),
+                    jobs: BTreeMap::new(),
+                })
+                .collect(),
             oracle: Oracle::default(),
             losses: vec![Duration::ZERO; tolerated],
             end_of_faults: START_OF_TRAFFIC + traffic,
-            after_ack_share: if random.rand_range(0..2) == 0 { 0 } else { random.rand_range(5..40) },
+            after_ack_share: if random.rand_range(0..2) == 0 {
+                0
+            } else {
+                random.rand_range(5..40)
+            },
             final_fault: FinalFault::Never,
             churn: random.rand_range(0..4) == 0,
             late_views: random.rand_range(0..3) == 0,
@@ -145,7 +189,9 @@
             held: BTreeMap::new(),
             next_number: 1,
             calls: BTreeMap::new(),
-            programs: (0..programs).map(|number| program(number, &mut random)).collect(),
+            programs: (0..programs)
+                .map(|number| program(number, &mut random))
+                .collect(),
             committing: false,
             traced: std::env::var_os("STORAGE_TRACE").is_some(),
             violation: None,
@@ -175,7 +221,10 @@
                 break;
             }
             self.now = time;
-            let event = self.scheduled.remove(&number).expect("every number has an event");
+            let event = self
+                .scheduled
+                .remove(&number)
+                .expect("every number has an event");
             self.play(event);
         }
         match self.violation {
@@ -243,7 +292,13 @@
         }
         self.machines[index].start(self.now, self.tolerated, &mut self.random, self.plant);
         let incarnation = self.machines[index].incarnation;
-        self.after(MS, Event::Announce { machine: index, incarnation });
+        self.after(
+            MS,
+            Event::Announce {
+                machine: index,
+                incarnation,
+            },
+        );
         self.start_pull(index);
         self.disk_work(index);
     }
@@ -265,7 +320,13 @@
         if self.machines[index].begin_sync() {
             let incarnation = self.machines[index].incarnation;
             let delay = self.millis(1, 9);
-            self.after(delay, Event::SyncDone { machine: index, incarnation });
+            self.after(
+                delay,
+                Event::SyncDone {
+                    machine: index,
+                    incarnation,
+                },
+            );
         }
     }
 
@@ -275,7 +336,9 @@
     }
 
     fn start_pull(&mut self, index: usize) {
-        let Some(process) = self.machines[index].process.as_mut() else { return };
+        let Some(process) = self.machines[index].process.as_mut() else {
+            return;
+        };
         let view = process.member.view().clone();
         let own = process.member.disk();
         process.pulling = None;
@@ -292,7 +355,11 @@
         let progress = Pull::new(&view, own, self.tolerated);
         let sources: Vec<Source> = sources.map(source).collect();
         let disks: Vec<u64> = sources.iter().map(|source| source.member.disk).collect();
-        process.pulling = Some(Pulling { progress, sources, finishing: false });
+        process.pulling = Some(Pulling {
+            progress,
+            sources,
+            finishing: false,
+        });
         for disk in disks {
             self.pull_next(index, disk);
         }
@@ -303,11 +370,19 @@
     fn pull_next(&mut self, index: usize, disk: u64) {
         let machine = &mut self.machines[index];
         let (node, incarnation) = (machine.node.clone(), machine.incarnation);
-        let Some(pulling) = machine.process.as_mut().and_then(|process| process.pulling.as_mut()) else {
+        let Some(pulling) = machine
+            .process
+            .as_mut()
+            .and_then(|process| process.pulling.as_mut())
+        else {
             return;
         };
         let epoch = pulling.progress.epoch();
-        let Some(source) = pulling.sources.iter_mut().find(|source| source.member.disk == disk) else {
+        let Some(source) = pulling
+            .sources
+            .iter_mut()
+            .find(|source| source.member.disk == disk)
+        else {
             return;
         };
         if source.unsynced > 0 || source.done {
@@ -319,20 +394,30 @@
             return self.check_pull(index);
         };
         let member = source.member.clone();
-        let request = Request { fence: Fence { epoch, disk }, operation };
+        let request = Request {
+            fence: Fence { epoch, disk },
+            operation,
+        };
         self.send(
             Endpoint::Machine(index),
             &member.address,
             request,
-            CallFor::Pull { machine: index, incarnation },
+            CallFor::Pull {
+                machine: index,
+                incarnation,
+            },
         );
     }
 
     fn check_pull(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
-        let Some(process) = machine.process.as_mut() else { return };
-        let Some(pulling) = process.pulling.as_mut() else { return };
+        let Some(process) = machine.process.as_mut() else {
+            return;
+        };
+        let Some(pulling) = process.pulling.as_mut() else {
+            return;
+        };
         if pulling.finishing || !pulling.progress.complete() {
             return;
         }
@@ -353,11 +438,27 @@
         }
     }
 
-    fn send(&mut self, from: Endpoint, address: &std::net::SocketAddr, request: Request, purpose: CallFor) {
+    fn send(
+        &mut self,
+        from: Endpoint,
+        address: &std::net::SocketAddr,
+        request: Request,
+        purpose: CallFor,
+    ) {
         let call = self.number();
         let (epoch, disk) = (request.fence.epoch, request.fence.disk);
-        self.calls.insert(call, Call { purpose, epoch, disk });
-        let to = self.machines.iter().position(|machine| machine.address == *address);
+        self.calls.insert(
+            call,
+            Call {
+                purpose,
+                epoch,
+                disk,
+            },
+        );
+        let to = self
+            .machines
+            .iter()
+            .position(|machine| machine.address == *address);
         let to = to.expect("every address is a machine's");
         self.after(CALL_TIMEOUT, Event::Silence { call });
         if self.reaches(from, to) {
@@ -367,15 +468,23 @@
     }
 
     fn latency(&mut self) -> Duration {
-        if self.chance(50) { self.millis(1, 120) } else { self.millis(0, 3) + Duration::from_micros(100) }
+        if self.chance(50) {
+            self.millis(1, 120)
+        } else {
+            self.millis(0, 3) + Duration::from_micros(100)
+        }
     }
 
     fn respond(&mut self, from: usize, call: u64, response: Response) {
         let to_machine = match self.calls.get(&call) {
-            Some(Call { purpose: CallFor::Pull { machine, .. }, .. }) => Some(*machine),
+            Some(Call {
+                purpose: CallFor::Pull { machine, .. },
+                ..
+            }) => Some(*machine),
             _ => None,
         };
-        let cut = to_machine.is_some_and(|to| self.machines[from].cut_out || self.machines[to].cut_in);
+        let cut =
+            to_machine.is_some_and(|to| self.machines[from].cut_out || self.machines[to].cut_in);
         if !cut {
             let delay = self.latency();
             self.after(delay, Event::Response { call, response });
@@ -395,7 +504,10 @@
         let machine = match &event {
             Event::Request { to, .. } => Some(*to),
             Event::SyncDone { machine, .. } | Event::Announce { machine, .. } => Some(*machine),
-            Event::View { to: Endpoint::Machine(machine), .. } => Some(*machine),
+            Event::View {
+                to: Endpoint::Machine(machine),
+                ..
+            } => Some(*machine),
             _ => None,
         };
         if let Some(index) = machine.filter(|index| self.machines[*index].frozen) {
@@ -406,9 +518,17 @@
             Event::Request { to, call, request } => self.on_request(to, call, request),
             Event::Response { call, response } => self.on_response(call, response),
             Event::Silence { call } => self.on_silence(call),
-            Event::SyncDone { machine, incarnation } => self.on_sync_done(machine, incarnation),
-            Event::Announce { machine, incarnation } => self.on_announce(machine, incarnation),
-            Event::Announced(announcement) if !self.core.frozen => self.core.heard(self.now, announcement),
+            Event::SyncDone {
+                machine,
+                incarnation,
+            } => self.on_sync_done(machine, incarnation),
+            Event::Announce {
+                machine,
+                incarnation,
+            } => self.on_announce(machine, incarnation),
+            Event::Announced(announcement) if !self.core.frozen => {
+                self.core.heard(self.now, announcement)
+            }
             Event::Announced(_) => {}
             Event::Plan => self.on_plan(),
             Event::Commit(view) => self.on_commit(view),
@@ -438,13 +558,16 @@
     }
 
     fn on_sync_done(&mut self, index: usize, incarnation: u64) {
-        if self.machines[index].incarnation != incarnation || self.machines[index].process.is_none() {
+        if self.machines[index].incarnation != incarnation || self.machines[index].process.is_none()
+        {
             return;
         }
-        let epoch_before = self.machines[index]
-            .process
-            .as_ref()
-            .and_then(|process| process.pulling.as_ref().map(|pulling| pulling.progress.epoch()));
+        let epoch_before = self.machines[index].process.as_ref().and_then(|process| {
+            process
+                .pulling
+                .as_ref()
+                .map(|pulling| pulling.progress.epoch())
+        });
         let process = self.machines[index].process.as_ref();
         let pulled_before = process.map_or(0, |process| process.member.pulled_epoch());
         for (caller, response) in self.machines[index].end_sync() {
@@ -454,7 +577,10 @@
                 Caller::Nobody => self.on_own_record(index, &response),
             }
         }
-        let process = self.machines[index].process.as_ref().expect("it was there above");
+        let process = self.machines[index]
+            .process
+            .as_ref()
+            .expect("it was there above");
         let epoch = process.member.view().epoch;
         let pulled_now = process.member.pulled_epoch() > pulled_before;
         if epoch_before != Some(epoch) {
@@ -467,13 +593,21 @@
     }
 
     fn on_pulled_record(&mut self, index: usize, disk: u64, response: &Response) {
-        let Some(process) = self.machines[index].process.as_mut() else { return };
-        let Some(pulling) = process.pulling.as_mut() else { return };
+        let Some(process) = self.machines[index].process.as_mut() else {
+            return;
+        };
+        let Some(pulling) = process.pulling.as_mut() else {
+            return;
+        };
         if response.answer != Answer::Stored {
             // The driver tries again; here the pull begins anew.
             return self.start_pull(index);
         }
-        let Some(source) = pulling.sources.iter_mut().find(|source| source.member.disk == disk) else {
+        let Some(source) = pulling
+            .sources
+            .iter_mut()
+            .find(|source| source.member.disk == disk)
+        else {
             return;
         };
         source.unsynced = source.unsynced.saturating_sub(1);
@@ -482,8 +616,14 @@
 
     /// The machine's own record was synced or not; the end of a pull is tried again.
     fn on_own_record(&mut self, index: usize, response: &Response) {
-        let Some(process) = self.machines[index].process.as_mut() else { return };
-        if let Some(pulling) = process.pulling.as_mut().filter(|_| response.answer == Answer::Failed) {
+        let Some(process) = self.machines[index].process.as_mut() else {
+            return;
+        };
+        if let Some(pulling) = process
+            .pulling
+            .as_mut()
+            .filter(|_| response.answer == Answer::Failed)
+        {
             pulling.finishing = false;
             self.check_pull(index);
         }
@@ -499,15 +639,31 @@
     }
 
     fn on_announce(&mut self, index: usize, incarnation: u64) {
-        if self.machines[index].incarnation != incarnation || self.machines[index].process.is_none() {
+        if self.machines[index].incarnation != incarnation || self.machines[index].process.is_none()
+        {
             return;
         }
         self.announce(index);
-        self.after(Duration::from_millis(500), Event::Announce { machine: index, incarnation });
-        let known = self.machines[index].process.as_ref().map(|process| process.member.view().epoch);
+        self.after(
+            Duration::from_millis(500),
+            Event::Announce {
+                machine: index,
+                incarnation,
+            },
+        );
+        let known = self.machines[index]
+            .process
+            .as_ref()
+            .map(|process| process.member.view().epoch);
         if known < Some(self.core.committed.epoch) && !self.machines[index].cut_in {
             let view = self.core.committed.clone();
-            self.after(MS, Event::View { to: Endpoint::Machine(index), view });
+            self.after(
+                MS,
+                Event::View {
+                    to: Endpoint::Machine(index),
+                    view,
+                },
+            );
         }
     }
 
@@ -538,14 +694,34 @@
         self.trace(|| format!("committed {view:?}"));
         for index in 0..self.machines.len() {
             if self.machines[index].process.is_some() && !self.machines[index].cut_in {
-                let delay = if self.chance(8) { self.millis(100, 900) } else { self.millis(1, 40) };
-                self.after(delay, Event::View { to: Endpoint::Machine(index), view: view.clone() });
+                let delay = if self.chance(8) {
+                    self.millis(100, 900)
+                } else {
+                    self.millis(1, 40)
+                };
+                self.after(
+                    delay,
+                    Event::View {
+                        to: Endpoint::Machine(index),
+                        view: view.clone(),
+                    },
+                );
             }
         }
         for index in 0..self.proxies.len() {
             let late = self.late_views || self.chance(8);
-            let delay = if late { self.millis(100, 9_000) } else { self.millis(1, 40) };
-            self.after(delay, Event::View { to: Endpoint::Proxy(index), view: view.clone() });
+            let delay = if late {
+                self.millis(100, 9_000)
+            } else {
+                self.millis(1, 40)
+            };
+            self.after(
+                delay,
+                Event::View {
+                    to: Endpoint::Proxy(index),
+                    view: view.clone(),
+                },
+            );
         }
         self.emptied_machines_go();
     }
@@ -571,12 +747,22 @@
     // Calls
 
     fn on_response(&mut self, call: u64, response: Response) {
-        let Some(Call { purpose, epoch, disk }) = self.calls.remove(&call) else { return };
+        let Some(Call {
+            purpose,
+            epoch,
+            disk,
+        }) = self.calls.remove(&call)
+        else {
+            return;
+        };
         match purpose {
             CallFor::Job { proxy, job, round } => {
                 self.on_job_answer(proxy, job, (epoch, round), disk, Some(response));
             }
-            CallFor::Pull { machine, incarnation } => {
+            CallFor::Pull {
+                machine,
+                incarnation,
+            } => {
                 if self.machines[machine].incarnation == incarnation {
                     self.on_pull_answer(machine, epoch, disk, response.answer);
                 }
@@ -585,13 +771,25 @@
     }
 
     fn on_silence(&mut self, call: u64) {
-        let Some(Call { purpose, epoch, disk }) = self.calls.remove(&call) else { return };
+        let Some(Call {
+            purpose,
+            epoch,
+            disk,
+        }) = self.calls.remove(&call)
+        else {
+            return;
+        };
         match purpose {
             CallFor::Job { proxy, job, round } => {
                 self.on_job_answer(proxy, job, (epoch, round), disk, None);
             }
-            CallFor::Pull { machine, incarnation } => {
-                if self.machines[machine].incarnation == incarnation && !self.machines[machine].frozen {
+            CallFor::Pull {
+                machine,
+                incarnation,
+            } => {
+                if self.machines[machine].incarnation == incarnation
+                    && !self.machines[machine].frozen
+                {
                     self.pull_next(machine, disk);
                 }
             }
@@ -601,12 +799,21 @@
     fn on_pull_answer(&mut self, index: usize, epoch: u64, disk: u64, answer: Answer) {
         let now = self.now;
         let machine = &mut self.machines[index];
-        let Some(process) = machine.process.as_mut() else { return };
-        let Some(pulling) = process.pulling.as_mut().filter(|pulling| pulling.progress.epoch() == epoch)
+        let Some(process) = machine.process.as_mut() else {
+            return;
+        };
+        let Some(pulling) = process
+            .pulling
+            .as_mut()
+            .filter(|pulling| pulling.progress.epoch() == epoch)
         else {
             return;
         };
-        let Some(source) = pulling.sources.iter_mut().find(|source| source.member.disk == disk) else {
+        let Some(source) = pulling
+            .sources
+            .iter_mut()
+            .find(|source| source.member.disk == disk)
+        else {
             return;
         };
         match answer {
@@ -617,14 +824,22 @@
             Answer::Behind => {
                 let view = process.member.view().clone();
                 let (address, incarnation) = (source.member.address, machine.incarnation);
-                let request =
-                    Request { fence: Fence { epoch, disk }, operation: Operation::NewView { view } };
-                let purpose = CallFor::Pull { machine: index, incarnation };
+                let request = Request {
+                    fence: Fence { epoch, disk },
+                    operation: Operation::NewView { view },
+                };
+                let purpose = CallFor::Pull {
+                    machine: index,
+                    incarnation,
+                };
                 return self.send(Endpoint::Machine(index), &address, request, purpose);
             }
             Answer::WrongDisk | Answer::Failed => return,
             answer => {
-                let records = source.pages.answered(process.member.store(), answer).unwrap_or_default();
+                let records = source
+                    .pages
+                    .answered(process.member.store(), answer)
+                    .unwrap_or_default();
                 let mut steps = Vec::new();
                 for program in records {
                     steps.extend(process.member.merge(now, program));
@@ -644,7 +859,13 @@
     fn start_job(&mut self, proxy: usize, purpose: Purpose, work: Work, within: Duration) -> JobId {
         let id = self.number();
         let deadline = self.now + within;
-        let job = Job { purpose, work, deadline, answered: Default::default(), reported: false };
+        let job = Job {
+            purpose,
+            work,
+            deadline,
+            answered: Default::default(),
+            reported: false,
+        };
         self.proxies[proxy].jobs.insert(id, job);
         self.at(deadline, Event::Deadline { proxy, job: id });
         self.send_job(proxy, id);
@@ -653,7 +874,11 @@
 
     fn start_write(&mut self, proxy: usize, purpose: Purpose, program: &str, operation: Operation) {
         let view = Arc::clone(&self.proxies[proxy].view);
-        let tolerated = if self.plant == Plant::OneCopyTooFew { self.tolerated - 1 } else { self.tolerated };
+        let tolerated = if self.plant == Plant::OneCopyTooFew {
+            self.tolerated - 1
+        } else {
+            self.tolerated
+        };
         let within = match purpose {
             Purpose::Reserve { .. } => RESERVE_WITHIN,
             Purpose::Put { .. } => PUT_WITHIN,
@@ -670,11 +895,18 @@
 
     fn send_job(&mut self, proxy: usize, job: JobId) {
         let requests = self.proxies[proxy].requests(job, self.tolerated);
-        let is_write =
-            self.proxies[proxy].jobs.get(&job).is_some_and(|job| matches!(job.work, Work::Write(_)));
+        let is_write = self.proxies[proxy]
+            .jobs
+            .get(&job)
+            .is_some_and(|job| matches!(job.work, Work::Write(_)));
         let round = self.proxies[proxy].round(job);
         for (member, request) in requests {
-            self.send(Endpoint::Proxy(proxy), &member.address, request, CallFor::Job { proxy, job, round });
+            self.send(
+                Endpoint::Proxy(proxy),
+                &member.address,
+                request,
+                CallFor::Job { proxy, job, round },
+            );
         }
         if is_write {
             self.after(RESEND, Event::Resend { proxy, job });
@@ -704,16 +936,27 @@
     fn bring_view(&mut self, proxy: usize, disk: u64, known_epoch: u64) {
         let view = Arc::clone(&self.proxies[proxy].view);
         if known_epoch < view.epoch
-            && let Some(index) = self.machines.iter().position(|machine| machine.identity == disk)
+            && let Some(index) = self
+                .machines
+                .iter()
+                .position(|machine| machine.identity == disk)
         {
             let delay = self.latency();
-            self.after(delay, Event::View { to: Endpoint::Machine(index), view: (*view).clone() });
+            self.after(
+                delay,
+                Event::View {
+                    to: Endpoint::Machine(index),
+                    view: (*view).clone(),
+                },
+            );
         }
     }
 
     /// Reports the outcome of a job once there is one.
     fn check_job(&mut self, proxy: usize, id: JobId) {
-        let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else { return };
+        let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else {
+            return;
+        };
         if job.reported {
             return;
         }
@@ -736,7 +979,9 @@
     }
 
     fn on_deadline(&mut self, proxy: usize, id: JobId) {
-        let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else { return };
+        let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else {
+            return;
+        };
         if job.reported || job.deadline + TRIED_FOR <= self.now {
             self.proxies[proxy].jobs.remove(&id);
             return;
@@ -770,7 +1015,11 @@
         let id = self.random.rand_u64();
         let (name, most) = (self.programs[program].name.clone(), MOST);
         self.oracle.attempt(&name, id, Attempt::Open { most });
-        let operation = Operation::Reserve { program: name.clone(), reservation: id, most };
+        let operation = Operation::Reserve {
+            program: name.clone(),
+            reservation: id,
+            most,
+        };
         self.start_write(proxy, Purpose::Reserve { program, id }, &name, operation);
     }
 
@@ -779,11 +1028,32 @@
             Purpose::Reserve { program, id } => self.on_reserved(proxy, job, program, id),
             Purpose::Settle { program, id, given } => {
                 let name = self.programs[program].name.clone();
-                self.oracle.attempt(&name, id, Attempt::Settled { most: MOST, given, at: self.now });
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Settled {
+                        most: MOST,
+                        given,
+                        at: self.now,
+                    },
+                );
             }
-            Purpose::Put { program, id, turn, given } => {
+            Purpose::Put {
+                program,
+                id,
+                turn,
+                given,
+            } => {
                 let name = self.programs[program].name.clone();
-                self.oracle.attempt(&name, id, Attempt::Settled { most: MOST, given, at: self.now });
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Settled {
+                        most: MOST,
+                        given,
+                        at: self.now,
+                    },
+                );
                 self.programs[program].last = Some(turn.key());
                 self.oracle.acknowledged.insert(turn.key(), turn);
                 self.after_acknowledgement();
@@ -794,8 +1064,16 @@
     }
 
     fn on_reserved(&mut self, proxy: usize, job: JobId, program: usize, id: u64) {
-        let (name, budget) = (self.programs[program].name.clone(), self.programs[program].budget);
-        let Some(Job { work: Work::Write(write), deadline, .. }) = self.proxies[proxy].jobs.get(&job) else {
+        let (name, budget) = (
+            self.programs[program].name.clone(),
+            self.programs[program].budget,
+        );
+        let Some(Job {
+            work: Work::Write(write),
+            deadline,
+            ..
+        }) = self.proxies[proxy].jobs.get(&job)
+        else {
             return;
         };
         let sent = *deadline - RESERVE_WITHIN;
@@ -819,7 +1097,8 @@
         match self.random.rand_range(0..20) {
             // The proxy is gone: the reservation stays at its most, and whatever it had under way ends.
             0 => {
-                self.oracle.attempt(&name, id, Attempt::Granted { most: MOST });
+                self.oracle
+                    .attempt(&name, id, Attempt::Granted { most: MOST });
                 self.crash_proxy(proxy);
             }
             1 | 2 => self.settle(proxy, program, id, given),
@@ -829,15 +1108,35 @@
                     program: name.clone(),
                     session: "session".to_owned(),
                     request_id: format!("{name}-{}", self.programs[program].turns),
-                    previous: self.programs[program].last.as_ref().map(|key| key.request_id.clone()),
+                    previous: self.programs[program]
+                        .last
+                        .as_ref()
+                        .map(|key| key.request_id.clone()),
                     retention_ms: 60_000,
                     content: id.to_le_bytes().to_vec(),
                 };
-                self.oracle.attempt(&name, id, Attempt::Ended { most: MOST, given });
-                let settlement = Some(Settlement { reservation: id, given });
-                let operation =
-                    Operation::PutTurns { program: name.clone(), turns: vec![turn.clone()], settlement };
-                self.start_write(proxy, Purpose::Put { program, id, turn, given }, &name, operation);
+                self.oracle
+                    .attempt(&name, id, Attempt::Ended { most: MOST, given });
+                let settlement = Some(Settlement {
+                    reservation: id,
+                    given,
+                });
+                let operation = Operation::PutTurns {
+                    program: name.clone(),
+                    turns: vec![turn.clone()],
+                    settlement,
+                };
+                self.start_write(
+                    proxy,
+                    Purpose::Put {
+                        program,
+                        id,
+                        turn,
+                        given,
+                    },
+                    &name,
+                    operation,
+                );
             }
         }
     }
@@ -846,29 +1145,57 @@
         self.proxies[proxy].jobs.clear();
         self.proxies[proxy].view = Arc::default();
         let view = self.core.committed.clone();
-        self.after(MS * 200, Event::View { to: Endpoint::Proxy(proxy), view });
+        self.after(
+            MS * 200,
+            Event::View {
+                to: Endpoint::Proxy(proxy),
+                view,
+            },
+        );
     }
 
     fn settle(&mut self, proxy: usize, program: usize, id: u64, given: u64) {
         let name = self.programs[program].name.clone();
-        self.oracle.attempt(&name, id, Attempt::Ended { most: MOST, given });
-        let operation =
-            Operation::Settle { program: name.clone(), settlement: Settlement { reservation: id, given } };
-        self.start_write(proxy, Purpose::Settle { program, id, given }, &name, operation);
+        self.oracle
+            .attempt(&name, id, Attempt::Ended { most: MOST, given });
+        let operation = Operation::Settle {
+            program: name.clone(),
+            settlement: Settlement {
+                reservation: id,
+                given,
+            },
+        };
+        self.start_write(
+            proxy,
+            Purpose::Settle { program, id, given },
+            &name,
+            operation,
+        );
     }
 
-    fn on_read(&mut self, purpose: Purpose, outcome: Result<(), ReadFailure>, chain: &[TurnRecord]) {
-        let Purpose::Read { key, last } = purpose else { return };
+    fn on_read(
+        &mut self,
+        purpose: Purpose,
+        outcome: Result<(), ReadFailure>,
+        chain: &[TurnRecord],
+    ) {
+        let Purpose::Read { key, last } = purpose else {
+            return;
+        };
         match outcome {
             Ok(()) => {
                 let checked = self.oracle.read(&key, chain);
                 self.violated(checked);
             }
             Err(ReadFailure::NotFound) => {
-                self.violated(Err(format!("acknowledged turn {key:?} is said not to exist")));
+                self.violated(Err(format!(
+                    "acknowledged turn {key:?} is said not to exist"
+                )));
             }
             Err(ReadFailure::Unavailable) if last => {
-                self.violated(Err(format!("acknowledged turn {key:?} is out of reach though all is well")));
+                self.violated(Err(format!(
+                    "acknowledged turn {key:?} is out of reach though all is well"
+                )));
             }
             Err(ReadFailure::Unavailable) => {}
         }
@@ -880,7 +1207,11 @@
             proxy.view = Arc::new(self.core.committed.clone());
         }
         if self.core.committed.next.is_some() {
-            let waits = format!("joint epoch does not end: {:?}; {}", self.core.committed, self.describe());
+            let waits = format!(
+                "joint epoch does not end: {:?}; {}",
+                self.core.committed,
+                self.describe()
+            );
             return self.violated(Err(waits));
         }
         let keys: Vec<TurnKey> = self.oracle.acknowledged.keys().cloned().collect();
@@ -897,24 +1228,54 @@
     fn describe(&self) -> String {
         let line = |machine: &Machine| {
             let process = machine.process.as_ref();
-            let view = process.map(|process| (process.member.view().epoch, process.member.pulled_epoch()));
-            let sources = process.and_then(|process| process.pulling.as_ref()).map(|pulling| {
-                let source = |source: &Source| (source.member.disk, source.unsynced, source.done);
-                (pulling.progress.epoch(), pulling.sources.iter().map(source).collect::<Vec<_>>())
-            });
-            let cut = (machine.cut_in, machine.cut_out, machine.frozen, machine.stalled, machine.removed);
-            format!("{} {:x} {view:?} {sources:?} {cut:?}", machine.node, machine.identity)
+            let view =
+                process.map(|process| (process.member.view().epoch, process.member.pulled_epoch()));
+            let sources = process
+                .and_then(|process| process.pulling.as_ref())
+                .map(|pulling| {
+                    let source =
+                        |source: &Source| (source.member.disk, source.unsynced, source.done);
+                    (
+                        pulling.progress.epoch(),
+                        pulling.sources.iter().map(source).collect::<Vec<_>>(),
+                    )
+                });
+            let cut = (
+                machine.cut_in,
+                machine.cut_out,
+                machine.frozen,
+                machine.stalled,
+                machine.removed,
+            );
+            format!(
+                "{} {:x} {view:?} {sources:?} {cut:?}",
+                machine.node, machine.identity
+            )
         };
-        self.machines.iter().map(line).collect::<Vec<_>>().join("; ")
+        self.machines
+            .iter()
+            .map(line)
+            .collect::<Vec<_>>()
+            .join("; ")
     }
 
     fn copies(&self, key: &TurnKey) -> usize {
         let members = &self.core.committed.current;
-        let processes = self.machines.iter().filter_map(|machine| machine.process.as_ref());
-        let counted =
-            processes.filter(|process| members.iter().any(|member| member.disk == process.member.disk()));
+        let processes = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.process.as_ref());
+        let counted = processes.filter(|process| {
+            members
+                .iter()
+                .any(|member| member.disk == process.member.disk())
+        });
         let has = |process: &&super::machine::Process| {
-            !process.member.store().chain(&key.program, &key.request_id, usize::MAX).is_empty()
+            !process
+                .member
+                .store()
+                .chain(&key.program, &key.request_id, usize::MAX)
+                .is_empty()
         };
         counted.filter(has).count()
     }
@@ -934,5 +1295,10 @@
 
 fn program(number: u64, random: &mut Rand64) -> Program {
     let budget = random.rand_range(60..1_500);
-    Program { name: format!("program-{number}"), budget, turns: 0, last: None }
+    Program {
+        name: format!("program-{number}"),
+        budget,
+        turns: 0,
+        last: None,
+    }
 }
--- a/crates/woadreach-storage/tests/state.rs
+++ b/crates/woadreach-storage/tests/state.rs
@@ -94,17 +94,37 @@
 }
 
 fn fenced(epoch: u64, operation: Operation) -> Request {
-    Request { fence: Fence { epoch, disk: 7 }, operation }
+    Request {
+        fence: Fence { epoch, disk: 7 },
+        operation,
+    }
 }
 
 fn put(request_id: &str, reservation: u64) -> Request {
-    let settlement = Some(Settlement { reservation, given: 3 });
+    let settlement = Some(Settlement {
+        reservation,
+        given: 3,
+    });
     let turns = vec![turn(request_id, None)];
-    fenced(9, Operation::PutTurns { program: "program".to_owned(), turns, settlement })
+    fenced(
+        9,
+        Operation::PutTurns {
+            program: "program".to_owned(),
+            turns,
+            settlement,
+        },
+    )
 }
 
 fn reserve(reservation: u64) -> Request {
-    fenced(9, Operation::Reserve { program: "program".to_owned(), reservation, most: 30 })
+    fenced(
+        9,
+        Operation::Reserve {
+            program: "program".to_owned(),
+            reservation,
+            most: 30,
+        },
+    )
 }
 
 fn answer(step: Step) -> Answer {
@@ -116,22 +136,52 @@
 
 fn view(epoch: u64, disk: u64) -> StorageView {
     let address = ([10, 0, 0, 1], 7_000).into();
-    let member = StorageMember { node: "store".to_owned(), disk, address, zone: "zone".to_owned() };
-    StorageView { epoch, current: vec![member], ..StorageView::default() }
+    let member = StorageMember {
+        node: "store".to_owned(),
+        disk,
+        address,
+        zone: "zone".to_owned(),
+    };
+    StorageView {
+        epoch,
+        current: vec![member],
+        ..StorageView::default()
+    }
 }
 
 #[test]
 fn requests_under_an_older_view_or_for_another_disk_are_refused() {
     let (mut member, _) = Member::create("store".to_owned(), 7, 1);
-    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else { panic!("no record") };
-    assert_eq!(answer(member.handle(Duration::ZERO, reserve(1))), Answer::Stale { view: view(10, 7) });
-    let pull = fenced(10, Operation::Digests { node: "store".to_owned(), after: None });
-    assert_eq!(answer(member.handle(Duration::ZERO, pull.clone())), Answer::Behind, "not sealed on disk yet");
+    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else {
+        panic!("no record")
+    };
+    assert_eq!(
+        answer(member.handle(Duration::ZERO, reserve(1))),
+        Answer::Stale { view: view(10, 7) }
+    );
+    let pull = fenced(
+        10,
+        Operation::Digests {
+            node: "store".to_owned(),
+            after: None,
+        },
+    );
+    assert_eq!(
+        answer(member.handle(Duration::ZERO, pull.clone())),
+        Answer::Behind,
+        "not sealed on disk yet"
+    );
     assert_eq!(member.complete(pending, &synced()).answer, Answer::Stored);
-    assert!(matches!(answer(member.handle(Duration::ZERO, pull)), Answer::DigestPage { .. }));
+    assert!(matches!(
+        answer(member.handle(Duration::ZERO, pull)),
+        Answer::DigestPage { .. }
+    ));
     let mut other = reserve(1);
     other.fence = Fence { epoch: 10, disk: 8 };
-    assert_eq!(answer(member.handle(Duration::ZERO, other)), Answer::WrongDisk);
+    assert_eq!(
+        answer(member.handle(Duration::ZERO, other)),
+        Answer::WrongDisk
+    );
 }
 
 #[test]
@@ -139,7 +189,9 @@
     let (mut member, _) = Member::create("store".to_owned(), 7, 1);
     assert!(member.learn_view(view(10, 7)).is_some());
     let _ = member.failed();
-    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else { panic!("no record") };
+    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else {
+        panic!("no record")
+    };
     let _ = member.complete(pending, &synced());
     assert!(member.learn_view(view(10, 7)).is_none());
 }
@@ -147,9 +199,14 @@
 #[test]
 fn a_pull_after_a_refused_record_ends_with_a_snapshot() {
     let (mut member, _) = Member::create("store".to_owned(), 7, 1);
-    assert!(matches!(member.handle(Duration::ZERO, reserve(1)), Step::Persist { .. }));
+    assert!(matches!(
+        member.handle(Duration::ZERO, reserve(1)),
+        Step::Persist { .. }
+    ));
     let _ = member.failed();
-    let Step::Compact { pending, .. } = member.finish_pull(Duration::ZERO, 10) else { panic!("no snapshot") };
+    let Step::Compact { pending, .. } = member.finish_pull(Duration::ZERO, 10) else {
+        panic!("no snapshot")
+    };
     assert_eq!(member.pulled_epoch(), 0);
     let _ = member.complete(pending, &synced());
     assert_eq!(member.pulled_epoch(), 10);
@@ -178,7 +235,10 @@
 fn a_chain_that_leads_back_to_itself_ends() {
     let mut store = Store::default();
     let turns = vec![turn("a", Some("b")), turn("b", Some("a"))];
-    store.merge(Duration::ZERO, Store::records("program".to_owned(), Vec::new(), turns));
+    store.merge(
+        Duration::ZERO,
+        Store::records("program".to_owned(), Vec::new(), turns),
+    );
     assert!(store.chain("program", "a", usize::MAX).len() <= 3);
 }
 
@@ -189,9 +249,10 @@
         program: "program".to_owned(),
         session: String::new(),
         request_id: number.to_string(),
-        previous: number
-            .checked_sub(1)
-            .map(|before| TurnKey { program: "program".to_owned(), request_id: before.to_string() }),
+        previous: number.checked_sub(1).map(|before| TurnKey {
+            program: "program".to_owned(),
+            request_id: before.to_string(),
+        }),
         input: vec![0; 500].into(),
         events: Vec::new(),
         retention: Duration::from_secs(60),
--- a/crates/woadreach-storage/tests/view_model/machine.rs
+++ b/crates/woadreach-storage/tests/view_model/machine.rs
@@ -34,7 +34,9 @@
 }
 
 fn empty_journal() -> Engine {
-    Engine::open(Box::new(SimulatedDisk::default()), MOST_BYTES).expect("an empty disk").0
+    Engine::open(Box::new(SimulatedDisk::default()), MOST_BYTES)
+        .expect("an empty disk")
+        .0
 }
 
 /// The receipt of a sync, which only a journal gives.
@@ -59,13 +61,20 @@
 impl Machine {
     pub fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
         let (member, record) = Member::create(format!("store-{index}"), disk, tolerated);
-        Machine { index, member, records: vec![record], pull: None, digest: None }
+        Machine {
+            index,
+            member,
+            records: vec![record],
+            pull: None,
+            digest: None,
+        }
     }
 
     /// The process starts again with what its disk has.
     pub fn restart(&mut self, tolerated: usize) {
         let node = self.member.node().to_owned();
-        self.member = Member::recover(NOW, node, tolerated, None, &self.records).expect("its own records");
+        self.member =
+            Member::recover(NOW, node, tolerated, None, &self.records).expect("its own records");
         self.pull = None;
         self.digest = None;
     }
@@ -75,7 +84,11 @@
     }
 
     pub fn announcement(&self) -> Announcement {
-        Announcement { member: self.identity(), pulled_epoch: self.member.pulled_epoch(), leaving: false }
+        Announcement {
+            member: self.identity(),
+            pulled_epoch: self.member.pulled_epoch(),
+            leaving: false,
+        }
     }
 
     fn finish(&mut self, step: Step) -> Response {
@@ -91,7 +104,10 @@
 
     /// The answer to a request that was sent under `epoch` to `disk`.
     pub fn ask(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
-        let request = Request { fence: Fence { epoch, disk }, operation };
+        let request = Request {
+            fence: Fence { epoch, disk },
+            operation,
+        };
         let step = self.member.handle(NOW, request);
         let answer = self.finish(step).answer;
         self.digest = None;
@@ -100,7 +116,10 @@
 
     /// The answer to a request that changes nothing.
     pub fn look(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
-        let request = Request { fence: Fence { epoch, disk }, operation };
+        let request = Request {
+            fence: Fence { epoch, disk },
+            operation,
+        };
         match self.member.clone().handle(NOW, request) {
             Step::Reply(response) => response.answer,
             step => unreachable!("{step:?}"),
@@ -133,10 +152,18 @@
     }
 
     pub fn finish_pull_if_complete(&mut self) {
-        let Some(pull) = self.pull.as_ref().filter(|pull| pull.complete()) else { return };
+        let Some(pull) = self.pull.as_ref().filter(|pull| pull.complete()) else {
+            return;
+        };
         let epoch = pull.epoch();
         let disk = self.member.disk();
-        let joins = self.member.view().next.iter().flatten().any(|member| member.disk == disk);
+        let joins = self
+            .member
+            .view()
+            .next
+            .iter()
+            .flatten()
+            .any(|member| member.disk == disk);
         if joins && self.member.pulled_epoch() < epoch {
             let step = self.member.finish_pull(NOW, epoch);
             let _ = self.finish(step);
--- a/crates/woadreach-storage/tests/view_model/main.rs
+++ b/crates/woadreach-storage/tests/view_model/main.rs
@@ -12,7 +12,14 @@
 
 use self::tier::{Counts, Planted, World};
 
-const NOTHING: Counts = Counts { views: 0, wipes: 0, restarts: 0, retirements: 0, silences: 0, writes: 0 };
+const NOTHING: Counts = Counts {
+    views: 0,
+    wipes: 0,
+    restarts: 0,
+    retirements: 0,
+    silences: 0,
+    writes: 0,
+};
 
 fn world(most: Counts) -> World {
     World {
@@ -27,7 +34,10 @@
 }
 
 fn further() -> usize {
-    std::env::var("STORAGE_MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(0)
+    std::env::var("STORAGE_MODEL_DEPTH")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Searches every run of at most `actions` actions; gives the violation that was found.
@@ -56,71 +66,144 @@
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_lost_disk_and_a_write() {
-    let most = Counts { views: 2, wipes: 1, writes: 1, ..NOTHING };
-    let world = World { is_coarse: false, ..world(most) };
+    let most = Counts {
+        views: 2,
+        wipes: 1,
+        writes: 1,
+        ..NOTHING
+    };
+    let world = World {
+        is_coarse: false,
+        ..world(most)
+    };
     assert_eq!(search("a lost disk", world, 40), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_second_disk_is_lost_after_the_repair() {
-    let most = Counts { views: 4, wipes: 2, writes: 1, ..NOTHING };
+    let most = Counts {
+        views: 4,
+        wipes: 2,
+        writes: 1,
+        ..NOTHING
+    };
     assert_eq!(search("two lost disks", world(most), 40), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_machine_is_emptied_and_another_loses_its_disk() {
-    let most = Counts { views: 2, wipes: 1, retirements: 1, writes: 1, ..NOTHING };
-    let world = World { current: 4, machines: 4, ..world(most) };
+    let most = Counts {
+        views: 2,
+        wipes: 1,
+        retirements: 1,
+        writes: 1,
+        ..NOTHING
+    };
+    let world = World {
+        current: 4,
+        machines: 4,
+        ..world(most)
+    };
     assert_eq!(search("a retirement and a lost disk", world, 6), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_machine_takes_the_place_of_a_silent_one() {
-    let most = Counts { views: 2, silences: 1, writes: 1, wipes: 1, ..NOTHING };
-    let world = World { machines: 4, ..world(most) };
+    let most = Counts {
+        views: 2,
+        silences: 1,
+        writes: 1,
+        wipes: 1,
+        ..NOTHING
+    };
+    let world = World {
+        machines: 4,
+        ..world(most)
+    };
     assert_eq!(search("a replacement", world, 7), None);
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn machines_restart_in_a_joint_epoch() {
-    let most = Counts { views: 2, restarts: 2, wipes: 1, writes: 1, ..NOTHING };
+    let most = Counts {
+        views: 2,
+        restarts: 2,
+        wipes: 1,
+        writes: 1,
+        ..NOTHING
+    };
     assert_eq!(search("restarts", world(most), 12), None);
 }
 
 /// A machine joins while a turn is written.
 fn is_found(planted: Planted, most: Counts, actions: usize) -> bool {
-    let world = World { planted, machines: 4, ..world(most) };
+    let world = World {
+        planted,
+        machines: 4,
+        ..world(most)
+    };
     search(&format!("planted: {planted:?}"), world, actions).is_some()
 }
 
-const JOIN: Counts = Counts { views: 2, writes: 1, ..NOTHING };
+const JOIN: Counts = Counts {
+    views: 2,
+    writes: 1,
+    ..NOTHING
+};
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn pages_before_the_seal_are_found() {
     assert!(is_found(Planted::Seal, JOIN, 17));
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_lost_disk_under_the_old_identity_is_found() {
     assert!(is_found(Planted::Identity, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_pull_that_is_not_whole_is_found() {
     assert!(is_found(Planted::Pull, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
-#[cfg_attr(debug_assertions, ignore = "minutes where it is not optimised; .ci/run plays it in release")]
+#[cfg_attr(
+    debug_assertions,
+    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+)]
 fn a_write_without_the_next_quorum_is_found() {
     assert!(is_found(Planted::NextQuorum, JOIN, 20));
 }
--- a/crates/woadreach-storage/tests/view_model/tier.rs
+++ b/crates/woadreach-storage/tests/view_model/tier.rs
@@ -101,15 +101,29 @@
 
 impl Hash for Tier {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.machines.iter().for_each(|machine| machine.digest().hash(state));
+        self.machines
+            .iter()
+            .for_each(|machine| machine.digest().hash(state));
         format!("{:?} {:?}", self.heard, self.views.last()).hash(state);
-        (self.views.len(), self.proxy, &self.write, &self.acknowledged, self.counts).hash(state);
+        (
+            self.views.len(),
+            self.proxy,
+            &self.write,
+            &self.acknowledged,
+            self.counts,
+        )
+            .hash(state);
     }
 }
 
 impl PartialEq for Tier {
     fn eq(&self, other: &Tier) -> bool {
-        let digests = |tier: &Tier| tier.machines.iter().map(|one| one.digest()).collect::<Vec<_>>();
+        let digests = |tier: &Tier| {
+            tier.machines
+                .iter()
+                .map(|one| one.digest())
+                .collect::<Vec<_>>()
+        };
         digests(self) == digests(other)
             && self.heard == other.heard
             && self.views == other.views
@@ -123,7 +137,11 @@
         for machine in &self.machines {
             let names: Vec<&str> = machine.member.store().names().collect();
             let epoch = machine.member.view().epoch;
-            writeln!(formatter, "disk {} epoch {epoch} has {names:?}", machine.member.disk())?;
+            writeln!(
+                formatter,
+                "disk {} epoch {epoch} has {names:?}",
+                machine.member.disk()
+            )?;
         }
         write!(formatter, "{:?} {:?}", self.views.last(), self.acknowledged)
     }
@@ -150,17 +168,29 @@
     }
 
     fn holder(&self, member: &StorageMember) -> Option<&Machine> {
-        let machine = self.machines.iter().find(|machine| machine.identity().node == member.node)?;
+        let machine = self
+            .machines
+            .iter()
+            .find(|machine| machine.identity().node == member.node)?;
         (machine.member.disk() == member.disk).then_some(machine)
     }
 
     fn has_turn(&self, member: &StorageMember, request_id: &str) -> bool {
         let holder = self.holder(member);
-        holder.is_some_and(|machine| !machine.member.store().chain(PROGRAM, request_id, 1).is_empty())
+        holder.is_some_and(|machine| {
+            !machine
+                .member
+                .store()
+                .chain(PROGRAM, request_id, 1)
+                .is_empty()
+        })
     }
 
     fn lost(&self, members: &[&StorageMember]) -> usize {
-        members.iter().filter(|member| self.holder(member).is_none()).count()
+        members
+            .iter()
+            .filter(|member| self.holder(member).is_none())
+            .count()
     }
 
     /// What the core knows of the machines: those that it hears announce themselves all the time.
@@ -208,28 +238,41 @@
 
     /// Makes the state ready to be told from others.
     fn compute_digests(&mut self) {
-        for machine in self.machines.iter_mut().filter(|machine| !machine.has_digest()) {
+        for machine in self
+            .machines
+            .iter_mut()
+            .filter(|machine| !machine.has_digest())
+        {
             Arc::make_mut(machine).compute_digest();
         }
     }
 
     fn put(&mut self, world: &World, index: u8) {
-        let Some(write) = self.write_in_hand(world) else { return };
+        let Some(write) = self.write_in_hand(world) else {
+            return;
+        };
         let (epoch, operation) = (write.epoch(), write.operation().clone());
         let node = self.machines[usize::from(index)].identity().node;
-        let Some(member) = write.members().iter().find(|member| member.node == node) else { return };
+        let Some(member) = write.members().iter().find(|member| member.node == node) else {
+            return;
+        };
         let disk = member.disk;
         let answer = self.machine(index).ask(epoch, disk, operation);
         if answer != Answer::Stored {
             return;
         }
-        let Some((request_id, answered)) = &mut self.write else { return };
+        let Some((request_id, answered)) = &mut self.write else {
+            return;
+        };
         if !answered.contains(&disk) {
             answered.push(disk);
             answered.sort_unstable();
         }
         let request_id = request_id.clone();
-        if self.write_in_hand(world).is_some_and(|write| write.is_durable()) {
+        if self
+            .write_in_hand(world)
+            .is_some_and(|write| write.is_durable())
+        {
             self.acknowledged.push(request_id);
             self.write = None;
         }
@@ -241,10 +284,16 @@
         let source = Arc::clone(&self.machines[usize::from(from)]);
         let mut pages = Pages::default();
         while let Some(operation) = pages.next(&node) {
-            let epoch = if world.planted == Planted::Seal { source.member.view().epoch } else { epoch };
+            let epoch = if world.planted == Planted::Seal {
+                source.member.view().epoch
+            } else {
+                epoch
+            };
             let answer = source.look(epoch, source.member.disk(), operation);
             let store = self.machines[usize::from(to)].member.store();
-            let Some(records) = pages.answered(store, answer) else { return };
+            let Some(records) = pages.answered(store, answer) else {
+                return;
+            };
             self.machine(to).store_pulled(records);
         }
         let disk = source.member.disk();
@@ -257,14 +306,21 @@
         let view = machine.member.view();
         to != from
             && view.is_current(disk)
-            && machine.pull.as_ref().is_some_and(|pull| !pull.has_finished(disk))
+            && machine
+                .pull
+                .as_ref()
+                .is_some_and(|pull| !pull.has_finished(disk))
     }
 
     /// Disks may be lost while all that are in the view's present members are there.
     fn may_lose(&self, world: &World, index: u8) -> bool {
         let current: Vec<&StorageMember> = self.view().current.iter().collect();
         let identity = self.machines[usize::from(index)].identity();
-        let is_there = self.view().members().iter().any(|member| **member == identity);
+        let is_there = self
+            .view()
+            .members()
+            .iter()
+            .any(|member| **member == identity);
         is_there
             && self.lost(&current) < world.tolerated
             && self.lost(&self.view().members()) < world.tolerated
@@ -275,7 +331,10 @@
         let current = group(&view.current, PROGRAM, world.tolerated);
         let lost = self.lost(&current);
         for request_id in &self.acknowledged {
-            let holders = current.iter().filter(|member| self.has_turn(member, request_id)).count();
+            let holders = current
+                .iter()
+                .filter(|member| self.has_turn(member, request_id))
+                .count();
             if holders + lost <= world.tolerated {
                 self.violation = Some("an acknowledged turn is on too few disks");
                 return;
@@ -290,15 +349,23 @@
     /// Whether a reader that knows `view` gets the answer of every machine that there is no such turn.
     fn denies(&self, view: &StorageView, request_id: &str) -> bool {
         view.members().iter().all(|member| {
-            let operation = Operation::Find { request_id: request_id.to_owned() };
-            let answer = self.holder(member).map(|machine| machine.look(view.epoch, member.disk, operation));
+            let operation = Operation::Find {
+                request_id: request_id.to_owned(),
+            };
+            let answer = self
+                .holder(member)
+                .map(|machine| machine.look(view.epoch, member.disk, operation));
             matches!(answer, Some(Answer::Found { programs }) if programs.is_empty())
         })
     }
 }
 
 fn put_operation(request_id: &str) -> Operation {
-    Operation::PutTurns { program: PROGRAM.to_owned(), turns: vec![turn(request_id)], settlement: None }
+    Operation::PutTurns {
+        program: PROGRAM.to_owned(),
+        turns: vec![turn(request_id)],
+        settlement: None,
+    }
 }
 
 impl Model for World {
@@ -306,8 +373,14 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<Tier> {
-        let members = (0..self.current).map(|index| storage_member(index, u64::from(index) + 1)).collect();
-        let view = StorageView { epoch: 1, current: members, ..StorageView::default() };
+        let members = (0..self.current)
+            .map(|index| storage_member(index, u64::from(index) + 1))
+            .collect();
+        let view = StorageView {
+            epoch: 1,
+            current: members,
+            ..StorageView::default()
+        };
         let machine = |index: u8| {
             let mut machine = Machine::create(index, u64::from(index) + 1, self.tolerated);
             if index < self.current {
@@ -317,10 +390,9 @@
         };
         let machines: Vec<Arc<Machine>> = (0..self.machines).map(machine).collect();
         // Those that wait have not announced themselves yet.
-        let heard = machines
-            .iter()
-            .enumerate()
-            .map(|(index, machine)| (index < usize::from(self.current)).then(|| machine.announcement()));
+        let heard = machines.iter().enumerate().map(|(index, machine)| {
+            (index < usize::from(self.current)).then(|| machine.announcement())
+        });
         let mut tier = Tier {
             heard: heard.collect(),
             machines,
@@ -416,7 +488,9 @@
             }
             Action::ProxyLearns => {
                 next.proxy = next.views.len() - 1;
-                next.write.iter_mut().for_each(|(_, answered)| answered.clear());
+                next.write
+                    .iter_mut()
+                    .for_each(|(_, answered)| answered.clear());
             }
             Action::Write => {
                 next.write = Some((format!("turn-{}", next.counts.writes), Vec::new()));
@@ -440,8 +514,13 @@
                 next.counts.wipes += 1;
                 let fresh = 10 * u64::from(next.counts.wipes) + u64::from(index);
                 let kept = next.machines[usize::from(index)].member.disk();
-                let disk = if self.planted == Planted::Identity { kept } else { fresh };
-                next.machines[usize::from(index)] = Arc::new(Machine::create(index, disk, self.tolerated));
+                let disk = if self.planted == Planted::Identity {
+                    kept
+                } else {
+                    fresh
+                };
+                next.machines[usize::from(index)] =
+                    Arc::new(Machine::create(index, disk, self.tolerated));
             }
         }
         if self.is_coarse {
--- a/crates/woadreach-tier/src/capacity/fit.rs
+++ b/crates/woadreach-tier/src/capacity/fit.rs
@@ -23,12 +23,20 @@
 impl Fit {
     /// The model's value for these regressors, with its standard error.
     pub fn at(&self, regressors: &[f64]) -> Term {
-        let value = self.terms.iter().zip(regressors).map(|(term, x)| term.value * x).sum();
+        let value = self
+            .terms
+            .iter()
+            .zip(regressors)
+            .map(|(term, x)| term.value * x)
+            .sum();
         let mut variance = 0.0;
         for (row, x) in self.covariance.iter().zip(regressors) {
             variance += x * row.iter().zip(regressors).map(|(c, y)| c * y).sum::<f64>();
         }
-        Term { value, error: variance.max(0.0).sqrt() }
+        Term {
+            value,
+            error: variance.max(0.0).sqrt(),
+        }
     }
 }
 
@@ -36,7 +44,10 @@
 /// coefficients.
 pub fn fit(observations: &[(Vec<f64>, f64)]) -> Option<Fit> {
     let count = observations.first()?.0.len();
-    let freedom = observations.len().checked_sub(count).filter(|freedom| *freedom > 0)?;
+    let freedom = observations
+        .len()
+        .checked_sub(count)
+        .filter(|freedom| *freedom > 0)?;
     let mut normal = vec![vec![0.0; count]; count];
     let mut right = vec![0.0; count];
     for (regressors, value) in observations {
@@ -48,45 +59,73 @@
         }
     }
     let inverse = inverted(normal)?;
-    let values: Vec<f64> =
-        inverse.iter().map(|row| row.iter().zip(&right).map(|(a, b)| a * b).sum()).collect();
+    let values: Vec<f64> = inverse
+        .iter()
+        .map(|row| row.iter().zip(&right).map(|(a, b)| a * b).sum())
+        .collect();
     let squares: f64 = observations
         .iter()
-        .map(|(regressors, value)| value - regressors.iter().zip(&values).map(|(x, b)| x * b).sum::<f64>())
+        .map(|(regressors, value)| {
+            value
+                - regressors
+                    .iter()
+                    .zip(&values)
+                    .map(|(x, b)| x * b)
+                    .sum::<f64>()
+        })
         .map(|residual| residual * residual)
         .sum();
     let variance = squares / freedom as f64;
-    let covariance: Vec<Vec<f64>> =
-        inverse.iter().map(|row| row.iter().map(|entry| entry * variance).collect()).collect();
+    let covariance: Vec<Vec<f64>> = inverse
+        .iter()
+        .map(|row| row.iter().map(|entry| entry * variance).collect())
+        .collect();
     let terms = values
         .iter()
         .enumerate()
-        .map(|(index, value)| Term { value: *value, error: covariance[index][index].max(0.0).sqrt() })
+        .map(|(index, value)| Term {
+            value: *value,
+            error: covariance[index][index].max(0.0).sqrt(),
+        })
         .collect();
-    Some(Fit { terms, covariance, residual: variance.sqrt() })
+    Some(Fit {
+        terms,
+        covariance,
+        residual: variance.sqrt(),
+    })
 }
 
 /// Gauss-Jordan elimination with the largest pivot of the remaining rows.
 fn inverted(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
     let size = matrix.len();
-    let scale = matrix.iter().flatten().fold(0.0_f64, |most, entry| most.max(entry.abs()));
+    let scale = matrix
+        .iter()
+        .flatten()
+        .fold(0.0_f64, |most, entry| most.max(entry.abs()));
     for (index, row) in matrix.iter_mut().enumerate() {
         row.extend((0..size).map(|column| f64::from(u8::from(column == index))));
     }
     for column in 0..size {
-        let pivot = (column..size)
-            .max_by(|one, two| matrix[*one][column].abs().total_cmp(&matrix[*two][column].abs()))?;
+        let pivot = (column..size).max_by(|one, two| {
+            matrix[*one][column]
+                .abs()
+                .total_cmp(&matrix[*two][column].abs())
+        })?;
         matrix.swap(column, pivot);
         let divisor = matrix[column][column];
         if divisor.abs() <= scale * 1e-15 {
             return None;
         }
-        matrix[column].iter_mut().for_each(|entry| *entry /= divisor);
+        matrix[column]
+            .iter_mut()
+            .for_each(|entry| *entry /= divisor);
         let pivot_row = matrix[column].clone();
         for (index, row) in matrix.iter_mut().enumerate() {
             let factor = row[column];
             if index != column {
-                row.iter_mut().zip(&pivot_row).for_each(|(entry, pivot)| *entry -= factor * pivot);
+                row.iter_mut()
+                    .zip(&pivot_row)
+                    .for_each(|(entry, pivot)| *entry -= factor * pivot);
             }
         }
     }
--- a/crates/woadreach-tier/src/capacity/plot.rs
+++ b/crates/woadreach-tier/src/capacity/plot.rs
@@ -36,7 +36,11 @@
         },
         Plot {
             file: "core-memory.svg",
-            svg: svg("replicas", "core, MB each", &points(replicas, Run::core_memory)),
+            svg: svg(
+                "replicas",
+                "core, MB each",
+                &points(replicas, Run::core_memory),
+            ),
         },
         Plot {
             file: "edge-cpu.svg",
@@ -48,19 +52,29 @@
         },
         Plot {
             file: "edge-memory.svg",
-            svg: svg("replicas", "edge, MB", &points(replicas, |run| run.report.edge.memory_mb)),
+            svg: svg(
+                "replicas",
+                "edge, MB",
+                &points(replicas, |run| run.report.edge.memory_mb),
+            ),
         },
         Plot {
             file: "in-force.svg",
-            svg: svg("edges", "in force, p99 ms", &points(edges, |run| run.report.in_force_ms.p99)),
+            svg: svg(
+                "edges",
+                "in force, p99 ms",
+                &points(edges, |run| run.report.in_force_ms.p99),
+            ),
         },
     ]
 }
 
 fn svg(x_label: &str, y_label: &str, points: &[(f64, f64)]) -> String {
     let most = |values: &mut dyn Iterator<Item = f64>| values.fold(1e-9_f64, f64::max);
-    let (most_x, most_y) =
-        (most(&mut points.iter().map(|point| point.0)), most(&mut points.iter().map(|point| point.1)));
+    let (most_x, most_y) = (
+        most(&mut points.iter().map(|point| point.0)),
+        most(&mut points.iter().map(|point| point.1)),
+    );
     let (right, bottom) = (WIDTH - MARGIN, HEIGHT - MARGIN);
     let mut text = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH}\" height=\"{HEIGHT}\" font-family=\"sans-serif\" \
@@ -70,7 +84,10 @@
         let at_x = MARGIN + x / most_x * (right - MARGIN);
         let at_y = bottom - y / most_y * (bottom - MARGIN);
         // Writing to a string does not fail.
-        let _ = writeln!(text, "<circle cx=\"{at_x:.1}\" cy=\"{at_y:.1}\" r=\"3\" fill=\"steelblue\"/>");
+        let _ = writeln!(
+            text,
+            "<circle cx=\"{at_x:.1}\" cy=\"{at_y:.1}\" r=\"3\" fill=\"steelblue\"/>"
+        );
     }
     let _ = write!(
         text,
--- a/crates/woadreach-tier/src/capacity/runs.rs
+++ b/crates/woadreach-tier/src/capacity/runs.rs
@@ -50,7 +50,9 @@
 
     /// Changes of the configuration a minute.
     pub fn changes(&self) -> f64 {
-        self.report.in_force_ms.count as f64 * 60.0 / self.report.seconds / self.report.size.edges as f64
+        self.report.in_force_ms.count as f64 * 60.0
+            / self.report.seconds
+            / self.report.size.edges as f64
     }
 }
 
@@ -64,7 +66,10 @@
     let entries = std::fs::read_dir(folder).context(FileSnafu { path: folder })?;
     let mut paths: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
     paths.retain(|path| {
-        let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
+        let name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .unwrap_or_default();
         name.starts_with("hollow-") && name.ends_with(".json")
     });
     paths.sort();
@@ -74,6 +79,10 @@
 fn read(path: &Path) -> Result<Run, CapacityError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     let report = serde_json::from_str(&text).context(ReportSnafu { path })?;
-    let file = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+    let file = path
+        .file_name()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned();
     Ok(Run { file, report })
 }
--- a/crates/woadreach-tier/src/capacity/slopes.rs
+++ b/crates/woadreach-tier/src/capacity/slopes.rs
@@ -24,16 +24,27 @@
     /// Of these runs. Runs with changes of replicas are left out of the edge's processor time, which they
     /// show apart.
     pub fn of(runs: &[Run]) -> Result<Self, CapacityError> {
-        let calm: Vec<&Run> = runs.iter().filter(|run| run.report.replica_changes == 0).collect();
+        let calm: Vec<&Run> = runs
+            .iter()
+            .filter(|run| run.report.replica_changes == 0)
+            .collect();
         let all: Vec<&Run> = runs.iter().collect();
         let thousands = |run: &Run| run.report.size.replicas as f64 / 1000.0;
         Ok(Slopes {
             core_cpu: fit_over("core, processor time", &calm, |run| {
-                let regressors = [1.0, run.heartbeats_of_core(), run.told_heartbeats(), run.polls_of_core()];
+                let regressors = [
+                    1.0,
+                    run.heartbeats_of_core(),
+                    run.told_heartbeats(),
+                    run.polls_of_core(),
+                ];
                 (regressors.to_vec(), run.core_cpu())
             })?,
             core_memory: fit_over("core, memory", &all, |run| {
-                (vec![1.0, thousands(run), run.edges_of_core()], run.core_memory())
+                (
+                    vec![1.0, thousands(run), run.edges_of_core()],
+                    run.core_memory(),
+                )
             })?,
             edge_cpu: fit_over("edge, processor time", &calm, |run| {
                 (vec![1.0, run.changes()], run.report.edge.cpu_percent)
@@ -51,6 +62,12 @@
     observation: impl Fn(&Run) -> (Vec<f64>, f64),
 ) -> Result<Fit, CapacityError> {
     let observations: Vec<(Vec<f64>, f64)> = runs.iter().map(|run| observation(run)).collect();
-    let terms = observations.first().map_or(0, |(regressors, _)| regressors.len());
-    fit(&observations).context(UndeterminedSnafu { cost, runs: runs.len(), terms })
+    let terms = observations
+        .first()
+        .map_or(0, |(regressors, _)| regressors.len());
+    fit(&observations).context(UndeterminedSnafu {
+        cost,
+        runs: runs.len(),
+        terms,
+    })
 }
--- a/crates/woadreach-tier/src/capacity/tables.rs
+++ b/crates/woadreach-tier/src/capacity/tables.rs
@@ -19,11 +19,26 @@
 pub fn tables(runs: &[Run]) -> Result<Vec<Table>, CapacityError> {
     let slopes = Slopes::of(runs)?;
     Ok(vec![
-        Table { name: "runs", text: runs_table(runs) },
-        Table { name: "times", text: times_table(runs) },
-        Table { name: "slopes", text: slopes_table(&slopes) },
-        Table { name: "target-core", text: core_table(&slopes) },
-        Table { name: "budget", text: budget_table(runs, &slopes) },
+        Table {
+            name: "runs",
+            text: runs_table(runs),
+        },
+        Table {
+            name: "times",
+            text: times_table(runs),
+        },
+        Table {
+            name: "slopes",
+            text: slopes_table(&slopes),
+        },
+        Table {
+            name: "target-core",
+            text: core_table(&slopes),
+        },
+        Table {
+            name: "budget",
+            text: budget_table(runs, &slopes),
+        },
     ])
 }
 
@@ -50,7 +65,8 @@
             report.edge.cpu_percent,
             report.edge.memory_mb,
             report.edge_traffic.polls_per_second,
-            report.edge_traffic.poll_bytes_out_per_second + report.edge_traffic.poll_bytes_in_per_second,
+            report.edge_traffic.poll_bytes_out_per_second
+                + report.edge_traffic.poll_bytes_in_per_second,
             report.edge_traffic.fetch_bytes_in_per_second,
         )
     };
@@ -93,19 +109,43 @@
         (
             "core, % of a core",
             &slopes.core_cpu,
-            ["base", "a heartbeat/s taken", "a heartbeat/s told", "a poll/s"].as_slice(),
+            [
+                "base",
+                "a heartbeat/s taken",
+                "a heartbeat/s told",
+                "a poll/s",
+            ]
+            .as_slice(),
+        ),
+        (
+            "core, MB",
+            &slopes.core_memory,
+            &["base", "1,000 replicas", "a connected edge"],
+        ),
+        (
+            "edge, % of a core",
+            &slopes.edge_cpu,
+            &["base", "a change/min"],
         ),
-        ("core, MB", &slopes.core_memory, &["base", "1,000 replicas", "a connected edge"]),
-        ("edge, % of a core", &slopes.edge_cpu, &["base", "a change/min"]),
         ("edge, MB", &slopes.edge_memory, &["base", "1,000 replicas"]),
     ];
     let row = |(cost, fit, names): &(&str, &Fit, &[&str])| {
         let term = |(name, term): (&&str, &Term)| {
-            format!("| {cost} | {name} | {:.5} | {:.5} | {:.3} |", term.value, term.error, fit.residual)
+            format!(
+                "| {cost} | {name} | {:.5} | {:.5} | {:.3} |",
+                term.value, term.error, fit.residual
+            )
         };
-        names.iter().zip(&fit.terms).map(term).collect::<Vec<String>>()
+        names
+            .iter()
+            .zip(&fit.terms)
+            .map(term)
+            .collect::<Vec<String>>()
     };
-    lines("| cost | for | slope | standard error | residual of the fit |", rows.iter().flat_map(row))
+    lines(
+        "| cost | for | slope | standard error | residual of the fit |",
+        rows.iter().flat_map(row),
+    )
 }
 
 /// A core process's processor time at the target for an interval between heartbeats.
@@ -129,7 +169,9 @@
 
 fn core_table(slopes: &Slopes) -> String {
     let edges = target::EDGES * target::POLLED / target::CORE;
-    let memory = slopes.core_memory.at(&[1.0, target::REPLICAS / 1000.0, edges]);
+    let memory = slopes
+        .core_memory
+        .at(&[1.0, target::REPLICAS / 1000.0, edges]);
     let row = |heartbeat: &f64| {
         let cpu = core_at(slopes, *heartbeat);
         format!(
@@ -152,7 +194,10 @@
     let cpu = slopes.edge_cpu.at(&[1.0, target::CHANGES_PER_MINUTE]);
     let memory = slopes.edge_memory.at(&[1.0, target::REPLICAS / 1000.0]);
     let polls = polls_bytes(runs);
-    let configuration = runs.iter().map(|run| run.report.size.configuration_bytes as f64).fold(0.0, f64::max);
+    let configuration = runs
+        .iter()
+        .map(|run| run.report.size.configuration_bytes as f64)
+        .fold(0.0, f64::max);
     let fetches = configuration * target::CHANGES_PER_MINUTE / 60.0;
     let verdict = |used: f64, allowed: f64| if used <= allowed { "kept" } else { "missed" };
     let rows = [
@@ -183,7 +228,10 @@
             verdict(polls + fetches, target::EDGE_BYTES_PER_SECOND)
         ),
     ];
-    lines("| what | used at the target | allowed | verdict |", rows.into_iter())
+    lines(
+        "| what | used at the target | allowed | verdict |",
+        rows.into_iter(),
+    )
 }
 
 /// The most bytes of polls a second that an edge had in a run without changes of replicas.
--- a/crates/woadreach-tier/src/client.rs
+++ b/crates/woadreach-tier/src/client.rs
@@ -46,15 +46,27 @@
 impl Client {
     /// A client that connects to `front`.
     pub fn new(front: SocketAddr) -> Self {
-        Client { front, client: reqwest::Client::new() }
+        Client {
+            front,
+            client: reqwest::Client::new(),
+        }
     }
 
     /// Sends a turn and reads the whole answer.
     pub async fn turn(&self, turn: &TurnRequest) -> Result<TurnAnswer, TierError> {
-        let mut call = self.client.post(format!("http://{}{}", self.front, turn.path));
-        call = call.header("host", &turn.host).header("request-id", &turn.request_id);
-        call = call.header("program", &turn.program).header("session", &turn.program);
-        call = call.header("model", "m").header("timeout-ms", "5000").header("finish-ms", "20000");
+        let mut call = self
+            .client
+            .post(format!("http://{}{}", self.front, turn.path));
+        call = call
+            .header("host", &turn.host)
+            .header("request-id", &turn.request_id);
+        call = call
+            .header("program", &turn.program)
+            .header("session", &turn.program);
+        call = call
+            .header("model", "m")
+            .header("timeout-ms", "5000")
+            .header("finish-ms", "20000");
         call = call.header("token-usage", format!("{},{}", turn.input.len(), turn.most));
         if let Some(previous) = &turn.previous {
             call = call.header("previous", previous);
@@ -66,24 +78,52 @@
     }
 
     /// Sends a plain request and reads the whole answer.
-    pub async fn get(&self, host: &str, path: &str, request_id: &str) -> Result<TurnAnswer, TierError> {
+    pub async fn get(
+        &self,
+        host: &str,
+        path: &str,
+        request_id: &str,
+    ) -> Result<TurnAnswer, TierError> {
         let call = self.client.get(format!("http://{}{path}", self.front));
-        answer(call.header("host", host).header("request-id", request_id).header("timeout-ms", "2000")).await
+        answer(
+            call.header("host", host)
+                .header("request-id", request_id)
+                .header("timeout-ms", "2000"),
+        )
+        .await
     }
 
     /// Sends a request that may not be repeated and reads the whole answer.
-    pub async fn post(&self, host: &str, path: &str, request_id: &str) -> Result<TurnAnswer, TierError> {
-        let call = self.client.post(format!("http://{}{path}", self.front)).header("host", host);
-        let call = call.header("request-id", request_id).header("timeout-ms", "3000");
+    pub async fn post(
+        &self,
+        host: &str,
+        path: &str,
+        request_id: &str,
+    ) -> Result<TurnAnswer, TierError> {
+        let call = self
+            .client
+            .post(format!("http://{}{path}", self.front))
+            .header("host", host);
+        let call = call
+            .header("request-id", request_id)
+            .header("timeout-ms", "3000");
         answer(call.body(request_id.to_owned())).await
     }
 }
 
 async fn answer(call: reqwest::RequestBuilder) -> Result<TurnAnswer, TierError> {
     let response = call.timeout(Duration::from_secs(10)).send().await;
-    let response = response.context(RequestSnafu { what: "a request to the tier" })?;
+    let response = response.context(RequestSnafu {
+        what: "a request to the tier",
+    })?;
     let status = response.status().as_u16();
     let signature = response.headers().get("response-signature");
-    let signature = signature.and_then(|value| value.to_str().ok()).map(str::to_owned);
-    Ok(TurnAnswer { status, signature, body: response.text().await.ok() })
+    let signature = signature
+        .and_then(|value| value.to_str().ok())
+        .map(str::to_owned);
+    Ok(TurnAnswer {
+        status,
+        signature,
+        body: response.text().await.ok(),
+    })
 }
--- a/crates/woadreach-tier/src/example.rs
+++ b/crates/woadreach-tier/src/example.rs
@@ -39,13 +39,17 @@
 
 /// The replicas of both services.
 pub async fn replicas(control: &[SocketAddr]) -> Result<Vec<StandInReplica>, TierError> {
-    let model = ReplicaKind::Model { events: EVENTS, pause_ms: 5 };
+    let model = ReplicaKind::Model {
+        events: EVENTS,
+        pause_ms: 5,
+    };
     let mut replicas = Vec::new();
     for index in 0..2 {
         let id = format!("i-model-{index}");
         replicas.push(StandInReplica::start(&id, "model", model, control.to_vec()).await?);
     }
-    let plain = StandInReplica::start("i-plain-0", "plain", ReplicaKind::Plain, control.to_vec()).await?;
+    let plain =
+        StandInReplica::start("i-plain-0", "plain", ReplicaKind::Plain, control.to_vec()).await?;
     replicas.push(plain);
     Ok(replicas)
 }
@@ -53,7 +57,9 @@
 /// Sends the first configuration and waits until the edges are ready.
 pub async fn bring_up(tier: &Tier) -> Result<Vec<StandInReplica>, TierError> {
     let replicas = replicas(&tier.control()).await?;
-    Operator::new(tier.control()).put(0, &configuration(1), PATIENCE).await?;
+    Operator::new(tier.control())
+        .put(0, &configuration(1), PATIENCE)
+        .await?;
     tier.wait_until_ready(PATIENCE).await?;
     Ok(replicas)
 }
@@ -78,8 +84,13 @@
 
 /// What a replica has to get for a turn that goes on from `earlier` turns, oldest first.
 pub fn expected_body(earlier: &[usize], number: usize) -> String {
-    let answered: String = (1..=EVENTS).map(|event| format!("word-{event}\n")).collect();
-    let chain: String = earlier.iter().map(|turn| format!("input {turn}\n{answered}")).collect();
+    let answered: String = (1..=EVENTS)
+        .map(|event| format!("word-{event}\n"))
+        .collect();
+    let chain: String = earlier
+        .iter()
+        .map(|turn| format!("input {turn}\n{answered}"))
+        .collect();
     format!("{chain}input {number}\n")
 }
 
--- a/crates/woadreach-tier/src/hollow/edge.rs
+++ b/crates/woadreach-tier/src/hollow/edge.rs
@@ -38,15 +38,24 @@
         taken: mpsc::UnboundedSender<InForce>,
     ) -> Result<Self, TierError> {
         let address = settings.internal_address();
-        let listener = listen(address).context(SystemSnafu { what: format!("address {address}") })?;
-        let sampler = Sampler::new(&settings, NodeRole::Proxy, u64::from(u32::from(settings.ip)));
+        let listener = listen(address).context(SystemSnafu {
+            what: format!("address {address}"),
+        })?;
+        let sampler = Sampler::new(
+            &settings,
+            NodeRole::Proxy,
+            u64::from(u32::from(settings.ip)),
+        );
         let rpc = Client::new(ClientOptions::default());
         let mut tasks = JoinSet::new();
         tasks.spawn(serve(listener, sampler.handlers(Router::new())));
         tasks.spawn(sampler.clone().run());
         let snapshots = ControlWatch::spawn_with_sampler(&settings, rpc, sampler);
         tasks.spawn(report_generations(number, snapshots.clone(), taken));
-        Ok(HollowEdge { snapshots, _tasks: tasks })
+        Ok(HollowEdge {
+            snapshots,
+            _tasks: tasks,
+        })
     }
 }
 
@@ -68,7 +77,14 @@
         let generation = configuration.map_or(0, |configuration| configuration.generation);
         if generation > newest {
             newest = generation;
-            if taken.send(InForce { edge, generation, at: Instant::now() }).is_err() {
+            if taken
+                .send(InForce {
+                    edge,
+                    generation,
+                    at: Instant::now(),
+                })
+                .is_err()
+            {
                 return;
             }
         }
--- a/crates/woadreach-tier/src/hollow/heartbeats.rs
+++ b/crates/woadreach-tier/src/hollow/heartbeats.rs
@@ -38,17 +38,27 @@
         let counters = Arc::<HeartbeatCounters>::default();
         let mut tasks = JoinSet::new();
         let start = Instant::now();
-        let generations: Vec<Arc<AtomicU64>> = (0..count).map(|_| Arc::new(AtomicU64::new(1))).collect();
+        let generations: Vec<Arc<AtomicU64>> =
+            (0..count).map(|_| Arc::new(AtomicU64::new(1))).collect();
         for (number, generation) in generations.iter().enumerate() {
             let mut control = control.to_vec();
             let machines = control.len();
             control.rotate_left(number % machines);
-            let replica =
-                Replica { number, control, generation: generation.clone(), counters: counters.clone() };
+            let replica = Replica {
+                number,
+                control,
+                generation: generation.clone(),
+                counters: counters.clone(),
+            };
             let offset = heartbeat.mul_f64(number as f64 / count as f64);
             tasks.spawn(replica.run(start + offset, heartbeat));
         }
-        HollowReplicas { counters, generations, next_change: 0, _tasks: tasks }
+        HollowReplicas {
+            counters,
+            generations,
+            next_change: 0,
+            _tasks: tasks,
+        }
     }
 
     /// The next replica serves a new generation from its next heartbeat on.
@@ -82,14 +92,24 @@
         let body = self.body(sequence);
         let length = body.len() as u64;
         let url = format!("http://{}/instances/{}", self.control[0], self.id());
-        let call = client.put(url).header("content-type", "application/json").body(body).timeout(CALL);
+        let call = client
+            .put(url)
+            .header("content-type", "application/json")
+            .body(body)
+            .timeout(CALL);
         let acknowledged = match call.send().await {
             Ok(response) => response.status().is_success() && response.bytes().await.is_ok(),
             Err(_) => false,
         };
-        let counter = if acknowledged { &self.counters.acknowledged } else { &self.counters.failed };
+        let counter = if acknowledged {
+            &self.counters.acknowledged
+        } else {
+            &self.counters.failed
+        };
         counter.fetch_add(1, Ordering::Relaxed);
-        self.counters.body_bytes.fetch_add(length, Ordering::Relaxed);
+        self.counters
+            .body_bytes
+            .fetch_add(length, Ordering::Relaxed);
     }
 
     fn id(&self) -> String {
--- a/crates/woadreach-tier/src/hollow/in_force.rs
+++ b/crates/woadreach-tier/src/hollow/in_force.rs
@@ -34,15 +34,26 @@
         times.sort_unstable();
         let quantile = |share: f64| {
             let rank = (share * times.len() as f64).ceil() as usize;
-            times.get(rank.saturating_sub(1)).map_or(0.0, |time| time.as_secs_f64() * 1000.0)
+            times
+                .get(rank.saturating_sub(1))
+                .map_or(0.0, |time| time.as_secs_f64() * 1000.0)
         };
-        Times { count: times.len(), p50: quantile(0.5), p99: quantile(0.99), worst: quantile(1.0) }
+        Times {
+            count: times.len(),
+            p50: quantile(0.5),
+            p99: quantile(0.99),
+            worst: quantile(1.0),
+        }
     }
 }
 
 /// For each change and edge: how long after its acknowledgement the edge had it, or a newer one, in force.
 /// The second value counts those that did not come.
-pub fn delays(acknowledged: &[Acknowledged], taken: &[InForce], edges: usize) -> (Vec<Duration>, usize) {
+pub fn delays(
+    acknowledged: &[Acknowledged],
+    taken: &[InForce],
+    edges: usize,
+) -> (Vec<Duration>, usize) {
     let mut by_edge: BTreeMap<usize, Vec<&InForce>> = BTreeMap::new();
     for event in taken {
         by_edge.entry(event.edge).or_default().push(event);
@@ -50,8 +61,14 @@
     let mut delays = Vec::new();
     for events in by_edge.values() {
         for change in acknowledged {
-            let reached = events.iter().filter(|event| event.generation >= change.generation);
-            delays.extend(reached.map(|event| event.at.saturating_duration_since(change.at)).min());
+            let reached = events
+                .iter()
+                .filter(|event| event.generation >= change.generation);
+            delays.extend(
+                reached
+                    .map(|event| event.at.saturating_duration_since(change.at))
+                    .min(),
+            );
         }
     }
     let missing = acknowledged.len() * edges - delays.len();
--- a/crates/woadreach-tier/src/hollow/probe.rs
+++ b/crates/woadreach-tier/src/hollow/probe.rs
@@ -82,8 +82,15 @@
         let seeds = settings.seed_internal_addresses();
         let watcher = Watcher::new(Duration::ZERO, settings.node.clone(), seeds);
         let mut task = JoinSet::new();
-        task.spawn(run(watcher, Client::new(ClientOptions::default()), counts.clone()));
-        Probe { counts, _task: task }
+        task.spawn(run(
+            watcher,
+            Client::new(ClientOptions::default()),
+            counts.clone(),
+        ));
+        Probe {
+            counts,
+            _task: task,
+        }
     }
 
     /// What has been counted so far.
@@ -99,7 +106,9 @@
         for action in watcher.act(started.elapsed()) {
             calls.spawn(call(action, rpc.clone(), counts.clone()));
         }
-        let wake = watcher.next_wake().map_or(Instant::now() + IDLE_WAKE, |at| started + at);
+        let wake = watcher
+            .next_wake()
+            .map_or(Instant::now() + IDLE_WAKE, |at| started + at);
         tokio::select! {
             Some(Ok(completed)) = calls.join_next(), if !calls.is_empty() => {
                 complete(&mut watcher, started.elapsed(), completed);
@@ -111,18 +120,30 @@
 
 async fn call(action: WatchAction, rpc: Client, counts: Arc<Mutex<Counts>>) -> Completed {
     match action {
-        WatchAction::Poll { machine, request, timeout } => {
+        WatchAction::Poll {
+            machine,
+            request,
+            timeout,
+        } => {
             let answer = exchange(&rpc, machine, &Request::Poll(request), timeout).await;
-            let Some((sent, answer)) = answer else { return Completed::Poll(machine, None) };
+            let Some((sent, answer)) = answer else {
+                return Completed::Poll(machine, None);
+            };
             counts.lock().polls.count(sent, answer.len());
             Completed::Poll(machine, decode(&answer).ok())
         }
         WatchAction::FetchConfiguration { machine, timeout } => {
             let answer = exchange(&rpc, machine, &Request::Configuration, timeout).await;
-            let Some((sent, answer)) = answer else { return Completed::Configuration(None) };
+            let Some((sent, answer)) = answer else {
+                return Completed::Configuration(None);
+            };
             counts.lock().configurations.count(sent, answer.len());
             let response: Option<ConfigurationResponse> = decode(&answer).ok();
-            Completed::Configuration(response.and_then(|response| response.configuration).map(|c| c.version))
+            Completed::Configuration(
+                response
+                    .and_then(|response| response.configuration)
+                    .map(|c| c.version),
+            )
         }
     }
 }
@@ -135,7 +156,10 @@
 ) -> Option<(usize, Bytes)> {
     let body = encode(request);
     let sent = body.len();
-    rpc.call(machine, ServiceId::DISCOVERY, body, timeout).await.ok().map(|answer| (sent, answer))
+    rpc.call(machine, ServiceId::DISCOVERY, body, timeout)
+        .await
+        .ok()
+        .map(|answer| (sent, answer))
 }
 
 fn complete(watcher: &mut Watcher, now: Duration, completed: Completed) {
--- a/crates/woadreach-tier/src/hollow/report.rs
+++ b/crates/woadreach-tier/src/hollow/report.rs
@@ -164,7 +164,8 @@
             self.edge.cpu_percent,
             self.edge.memory_mb,
             self.edge_traffic.polls_per_second,
-            self.edge_traffic.poll_bytes_in_per_second + self.edge_traffic.fetch_bytes_in_per_second,
+            self.edge_traffic.poll_bytes_in_per_second
+                + self.edge_traffic.fetch_bytes_in_per_second,
             self.heartbeats.per_second,
             self.heartbeats.failed,
             in_force.p50,
--- a/crates/woadreach-tier/src/hollow/run.rs
+++ b/crates/woadreach-tier/src/hollow/run.rs
@@ -100,14 +100,19 @@
     async fn start(size: &'a HollowSize, programs: &Path) -> Result<Self, TierError> {
         let mut core = HollowCore::start(programs, size)?;
         let operator = Operator::new(core.control());
-        operator.put(0, &configuration(1, size.routes), ACKNOWLEDGE).await?;
+        operator
+            .put(0, &configuration(1, size.routes), ACKNOWLEDGE)
+            .await?;
         let replica_workers = Workers::start("hollow-replica", REPLICA_THREADS)?;
         let replicas = {
             let _entered = replica_workers.enter();
             HollowReplicas::start(size.replicas, size.heartbeat, &core.control())
         };
         let acknowledged = || replicas.counters.acknowledged.load(Ordering::Relaxed);
-        wait_for("the replicas' heartbeats", || acknowledged() >= size.replicas + size.replicas / 2).await?;
+        wait_for("the replicas' heartbeats", || {
+            acknowledged() >= size.replicas + size.replicas / 2
+        })
+        .await?;
         let edge_workers = Workers::start("hollow-edge", EDGE_THREADS)?;
         let (taken_sender, taken) = mpsc::unbounded_channel();
         let resident = own_resident();
@@ -116,13 +121,20 @@
         for number in 0..size.edges as u32 {
             let settings = core.edge_settings(number)?;
             let _entered = edge_workers.enter();
-            edges.push(HollowEdge::start(number as usize, settings, taken_sender.clone())?);
+            edges.push(HollowEdge::start(
+                number as usize,
+                settings,
+                taken_sender.clone(),
+            )?);
         }
         let knows_all = |edge: &HollowEdge| {
             let snapshot = edge.snapshots.borrow();
             snapshot.warmed && snapshot.replicas.len() as u64 == size.replicas
         };
-        wait_for("the edges' knowledge of all replicas", || edges.iter().all(knows_all)).await?;
+        wait_for("the edges' knowledge of all replicas", || {
+            edges.iter().all(knows_all)
+        })
+        .await?;
         let start_cost = EdgeLoad {
             cpu_percent: 0.0,
             memory_mb: own_resident().saturating_sub(resident) as f64 / 1e6 / size.edges as f64,
@@ -173,7 +185,10 @@
             machine_load: [before.load, after.load],
             core: ProcessLoad::between(&before.core, &after.core, seconds),
             whole_edges: ProcessLoad::between(&before.whole_edges, &after.whole_edges, seconds),
-            edge: EdgeLoad { cpu_percent: edges_cpu / self.edges.len() as f64, ..self.start_cost },
+            edge: EdgeLoad {
+                cpu_percent: edges_cpu / self.edges.len() as f64,
+                ..self.start_cost
+            },
             edge_traffic: traffic(&before, &after, seconds),
             heartbeats: heartbeats(&before, &after, seconds),
             replica_changes: changes.replicas,
@@ -206,10 +221,16 @@
         }
     }
 
-    async fn change_configuration(&self, generation: u64, changes: &mut Changes) -> Result<(), TierError> {
+    async fn change_configuration(
+        &self,
+        generation: u64,
+        changes: &mut Changes,
+    ) -> Result<(), TierError> {
         let body = configuration(generation, self.size.routes);
         let sent = Instant::now();
-        self.operator.put(generation - 1, &body, ACKNOWLEDGE).await?;
+        self.operator
+            .put(generation - 1, &body, ACKNOWLEDGE)
+            .await?;
         let at = Instant::now();
         changes.took.push(at - sent);
         changes.acknowledged.push(Acknowledged { generation, at });
@@ -259,14 +280,20 @@
 }
 
 fn own_resident() -> u64 {
-    usage::of_process(std::process::id()).unwrap_or_default().resident
+    usage::of_process(std::process::id())
+        .unwrap_or_default()
+        .resident
 }
 
 async fn wait_for(what: &str, condition: impl Fn() -> bool) -> Result<(), TierError> {
     let end = Instant::now() + START;
     while !condition() {
         if Instant::now() > end {
-            return TooLateSnafu { what, seconds: START.as_secs() }.fail();
+            return TooLateSnafu {
+                what,
+                seconds: START.as_secs(),
+            }
+            .fail();
         }
         sleep(LOOK_AGAIN).await;
     }
--- a/crates/woadreach-tier/src/hollow/size.rs
+++ b/crates/woadreach-tier/src/hollow/size.rs
@@ -141,7 +141,10 @@
         let limits = std::fs::read_to_string("/proc/self/limits").context(UnreadableSnafu)?;
         let kilobytes = number_after(&memory, "MemTotal:").unwrap_or(0);
         let descriptors = number_after(&limits, "Max open files").unwrap_or(0);
-        Ok(MachineBounds { memory: kilobytes * 1024 / 2, descriptors })
+        Ok(MachineBounds {
+            memory: kilobytes * 1024 / 2,
+            descriptors,
+        })
     }
 }
 
@@ -179,7 +182,8 @@
                 needed,
                 allowed: bounds.descriptors,
                 fitting_edges: self.fitting_edges(|size| size.descriptors() <= bounds.descriptors),
-                fitting_replicas: self.fitting_replicas(|size| size.descriptors() <= bounds.descriptors),
+                fitting_replicas: self
+                    .fitting_replicas(|size| size.descriptors() <= bounds.descriptors),
             }
         );
         Ok(())
@@ -195,12 +199,24 @@
             ("routes", self.routes, 1, 2_000),
             ("heartbeat-ms", heartbeat_ms, 100, 10_000),
             ("changes-per-minute", self.changes_per_minute, 1, 600),
-            ("replica-changes-per-minute", self.replica_changes_per_minute, 0, 6_000),
+            (
+                "replica-changes-per-minute",
+                self.replica_changes_per_minute,
+                0,
+                6_000,
+            ),
             ("seconds", self.seconds, 1, LONGEST_SECONDS),
         ];
         for (name, found, least, most) in ranges {
             let expected = format!("{least} to {most}");
-            ensure!((least..=most).contains(&found), OutOfRangeSnafu { name, found, expected });
+            ensure!(
+                (least..=most).contains(&found),
+                OutOfRangeSnafu {
+                    name,
+                    found,
+                    expected
+                }
+            );
         }
         Ok(())
     }
@@ -208,7 +224,16 @@
     fn check_connections(&self, of: &'static str, found: u64, each: u64) -> Result<(), SizeError> {
         let allowed = each * u64::from(self.core);
         let fitting_core = found.div_ceil(each);
-        ensure!(found <= allowed, ConnectionsSnafu { core: self.core, of, allowed, found, fitting_core });
+        ensure!(
+            found <= allowed,
+            ConnectionsSnafu {
+                core: self.core,
+                of,
+                allowed,
+                found,
+                fitting_core
+            }
+        );
         Ok(())
     }
 
@@ -225,11 +250,21 @@
     }
 
     fn fitting_edges(&self, fits: impl Fn(&HollowSize) -> bool) -> u64 {
-        most_that_fits(self.edges, |edges| fits(&HollowSize { edges, ..self.clone() }))
+        most_that_fits(self.edges, |edges| {
+            fits(&HollowSize {
+                edges,
+                ..self.clone()
+            })
+        })
     }
 
     fn fitting_replicas(&self, fits: impl Fn(&HollowSize) -> bool) -> u64 {
-        most_that_fits(self.replicas, |replicas| fits(&HollowSize { replicas, ..self.clone() }))
+        most_that_fits(self.replicas, |replicas| {
+            fits(&HollowSize {
+                replicas,
+                ..self.clone()
+            })
+        })
     }
 }
 
--- a/crates/woadreach-tier/src/hollow/usage.rs
+++ b/crates/woadreach-tier/src/hollow/usage.rs
@@ -22,18 +22,28 @@
     let folder = Path::new("/proc").join(id.to_string());
     let cpu_seconds = cpu_seconds(&std::fs::read_to_string(folder.join("stat")).ok()?)?;
     let resident = resident_bytes(&std::fs::read_to_string(folder.join("status")).ok()?)?;
-    Some(Usage { cpu_seconds, resident })
+    Some(Usage {
+        cpu_seconds,
+        resident,
+    })
 }
 
 /// Processor time of this process's threads whose names begin with `prefix`, in seconds.
 pub fn of_threads(prefix: &str) -> f64 {
-    let Ok(threads) = std::fs::read_dir("/proc/self/task") else { return 0.0 };
+    let Ok(threads) = std::fs::read_dir("/proc/self/task") else {
+        return 0.0;
+    };
     let of_thread = |folder: &Path| {
         let name = std::fs::read_to_string(folder.join("comm")).ok()?;
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
-        name.starts_with(prefix).then(|| cpu_seconds(&stat)).flatten()
+        name.starts_with(prefix)
+            .then(|| cpu_seconds(&stat))
+            .flatten()
     };
-    threads.flatten().filter_map(|thread| of_thread(&thread.path())).sum()
+    threads
+        .flatten()
+        .filter_map(|thread| of_thread(&thread.path()))
+        .sum()
 }
 
 /// Processor time of a `stat` file: user and system mode. The name in parentheses may hold anything.
@@ -47,7 +57,9 @@
 
 /// Resident memory of a `status` file, in bytes.
 pub fn resident_bytes(status: &str) -> Option<u64> {
-    let rest = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let rest = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kilobytes: u64 = rest.split_whitespace().next()?.parse().ok()?;
     Some(kilobytes * 1024)
 }
@@ -55,5 +67,8 @@
 /// Mean number of runnable processes over the last minute.
 pub fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or(f64::NAN)
+    text.split_whitespace()
+        .next()
+        .and_then(|load| load.parse().ok())
+        .unwrap_or(f64::NAN)
 }
--- a/crates/woadreach-tier/src/hollow/workers.rs
+++ b/crates/woadreach-tier/src/hollow/workers.rs
@@ -13,10 +13,18 @@
 impl Workers {
     /// Starts threads under a name of 15 bytes at most, the most that the system keeps.
     pub fn start(name: &'static str, threads: usize) -> Result<Self, TierError> {
-        let runtime =
-            Builder::new_multi_thread().worker_threads(threads).thread_name(name).enable_all().build();
-        let runtime = runtime.context(SystemSnafu { what: format!("threads {name}") })?;
-        Ok(Workers { name, runtime: Some(runtime) })
+        let runtime = Builder::new_multi_thread()
+            .worker_threads(threads)
+            .thread_name(name)
+            .enable_all()
+            .build();
+        let runtime = runtime.context(SystemSnafu {
+            what: format!("threads {name}"),
+        })?;
+        Ok(Workers {
+            name,
+            runtime: Some(runtime),
+        })
     }
 
     /// Tasks spawned while the guard lives run here.
--- a/crates/woadreach-tier/src/hollow_command.rs
+++ b/crates/woadreach-tier/src/hollow_command.rs
@@ -16,7 +16,11 @@
 /// The subcommand's arguments.
 pub fn command() -> Command {
     let count = |name: &'static str, default: &'static str, help: &'static str| {
-        Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
+        Arg::new(name)
+            .long(name)
+            .default_value(default)
+            .value_parser(value_parser!(u64))
+            .help(help)
     };
     Command::new(NAME)
         .about("Runs many control-side edges and replicas' heartbeats against core processes on loopback")
@@ -41,7 +45,10 @@
 
 /// Runs the subcommand.
 pub async fn run(arguments: &ArgMatches) -> ExitCode {
-    let programs = arguments.get_one::<PathBuf>("programs").cloned().unwrap_or_else(built_programs);
+    let programs = arguments
+        .get_one::<PathBuf>("programs")
+        .cloned()
+        .unwrap_or_else(built_programs);
     let size = size(arguments);
     let result = tokio::select! {
         result = hollow::run(&size, &programs) => result,
@@ -50,7 +57,9 @@
     };
     match result {
         Ok(report) => {
-            let is_json = arguments.get_one::<String>("format").is_some_and(|format| format == "json");
+            let is_json = arguments
+                .get_one::<String>("format")
+                .is_some_and(|format| format == "json");
             let json = || serde_json::to_string_pretty(&report).unwrap_or_default();
             println!("{}", if is_json { json() } else { report.text() });
             ExitCode::SUCCESS
@@ -67,7 +76,9 @@
 
 /// Returns on SIGINT or SIGTERM.
 async fn stopped() {
-    let Ok(mut terminate) = signal(SignalKind::terminate()) else { return std::future::pending().await };
+    let Ok(mut terminate) = signal(SignalKind::terminate()) else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
--- a/crates/woadreach-tier/src/main.rs
+++ b/crates/woadreach-tier/src/main.rs
@@ -58,20 +58,39 @@
 
 async fn run(arguments: &ArgMatches) -> Result<(), TierError> {
     let count = |name: &str| arguments.get_one::<u8>(name).copied().unwrap_or(1);
-    let programs = arguments.get_one::<PathBuf>("programs").cloned().unwrap_or_else(built_programs);
-    let size = TierSize { edges: count("edges"), core: count("core"), storage: count("storage") };
+    let programs = arguments
+        .get_one::<PathBuf>("programs")
+        .cloned()
+        .unwrap_or_else(built_programs);
+    let size = TierSize {
+        edges: count("edges"),
+        core: count("core"),
+        storage: count("storage"),
+    };
     let tier = Tier::start(&programs, NETWORK, size)?;
     let _replicas = example::bring_up(&tier).await?;
-    println!("ready: edges at {:?}, control at {:?}", tier.fronts(), tier.control());
+    println!(
+        "ready: edges at {:?}, control at {:?}",
+        tier.fronts(),
+        tier.control()
+    );
     let answers = example::converse(&tier.fronts(), "example", usize::from(count("turns"))).await?;
     for (number, answer) in answers.iter().enumerate() {
         let bytes = answer.body.as_ref().map_or(0, String::len);
-        println!("turn {number}: status {}, {bytes} bytes, signed {:?}", answer.status, answer.signature);
+        println!(
+            "turn {number}: status {}, {bytes} bytes, signed {:?}",
+            answer.status, answer.signature
+        );
     }
-    let stock = Client::new(tier.fronts()[0]).get(example::HOST, "/stock/2f", "example-stock").await?;
+    let stock = Client::new(tier.fronts()[0])
+        .get(example::HOST, "/stock/2f", "example-stock")
+        .await?;
     println!("stock: status {}, body {:?}", stock.status, stock.body);
     if arguments.get_flag("hold") {
-        println!("logs and settings in {}; end with ctrl-c", tier.folder().display());
+        println!(
+            "logs and settings in {}; end with ctrl-c",
+            tier.folder().display()
+        );
         let _ = tokio::signal::ctrl_c().await;
     }
     Ok(())
--- a/crates/woadreach-tier/src/operator.rs
+++ b/crates/woadreach-tier/src/operator.rs
@@ -21,16 +21,28 @@
 impl Operator {
     /// An operator of these core machines.
     pub fn new(control: Vec<SocketAddr>) -> Self {
-        Operator { control, client: reqwest::Client::new() }
+        Operator {
+            control,
+            client: reqwest::Client::new(),
+        }
     }
 
     /// Sends a configuration built on version `base` until it has a clear answer, for so long at most.
-    pub async fn put(&self, base: u64, body: &str, patience: Duration) -> Result<StatusCode, TierError> {
+    pub async fn put(
+        &self,
+        base: u64,
+        body: &str,
+        patience: Duration,
+    ) -> Result<StatusCode, TierError> {
         let end = Instant::now() + patience;
         for control in self.control.iter().cycle() {
-            let call =
-                self.client.put(format!("http://{control}/config")).header("if-match", base.to_string());
-            let call = call.header("content-type", "application/json").body(body.to_owned());
+            let call = self
+                .client
+                .put(format!("http://{control}/config"))
+                .header("if-match", base.to_string());
+            let call = call
+                .header("content-type", "application/json")
+                .body(body.to_owned());
             if let Ok(response) = call.timeout(CALL).send().await
                 && (response.status().is_success() || is_final(response.status()))
             {
@@ -41,19 +53,36 @@
             }
             sleep(PAUSE).await;
         }
-        TooLateSnafu { what: "an answer to a configuration", seconds: patience.as_secs() }.fail()
+        TooLateSnafu {
+            what: "an answer to a configuration",
+            seconds: patience.as_secs(),
+        }
+        .fail()
     }
 
     /// The configuration in force, as one of the machines tells it.
     pub async fn get(&self, control: SocketAddr) -> Result<String, TierError> {
         let what = || format!("GET /config of {control}");
-        let call = self.client.get(format!("http://{control}/config")).timeout(CALL);
-        let response = call.send().await.with_context(|_| RequestSnafu { what: what() })?;
+        let call = self
+            .client
+            .get(format!("http://{control}/config"))
+            .timeout(CALL);
+        let response = call
+            .send()
+            .await
+            .with_context(|_| RequestSnafu { what: what() })?;
         let status = response.status();
         if !status.is_success() {
-            return AnsweredSnafu { what: what(), status: status.as_u16() }.fail();
+            return AnsweredSnafu {
+                what: what(),
+                status: status.as_u16(),
+            }
+            .fail();
         }
-        response.text().await.with_context(|_| RequestSnafu { what: what() })
+        response
+            .text()
+            .await
+            .with_context(|_| RequestSnafu { what: what() })
     }
 }
 
--- a/crates/woadreach-tier/src/process.rs
+++ b/crates/woadreach-tier/src/process.rs
@@ -35,17 +35,29 @@
         ensure!(program.exists(), NotBuiltSnafu { path: &program });
         let settings_file = folder.join(format!("{}.yaml", spec.name()));
         let log_file = folder.join(format!("{}.log", spec.name()));
-        std::fs::write(&settings_file, spec.settings(network, seeds))
-            .context(SystemSnafu { what: format!("settings of {}", spec.name()) })?;
-        let mut process = NodeProcess { spec, program, settings_file, log_file, child: None };
+        std::fs::write(&settings_file, spec.settings(network, seeds)).context(SystemSnafu {
+            what: format!("settings of {}", spec.name()),
+        })?;
+        let mut process = NodeProcess {
+            spec,
+            program,
+            settings_file,
+            log_file,
+            child: None,
+        };
         process.spawn()?;
         Ok(process)
     }
 
     fn spawn(&mut self) -> Result<(), TierError> {
         let name = self.spec.name();
-        let log = File::options().create(true).append(true).open(&self.log_file);
-        let log = log.context(SystemSnafu { what: format!("log of {name}") })?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log_file);
+        let log = log.context(SystemSnafu {
+            what: format!("log of {name}"),
+        })?;
         let mut command = Command::new(&self.program);
         match self.spec.class {
             MachineClass::Edge => {}
@@ -57,15 +69,23 @@
             }
         }
         command.env("WOADREACH_NODE_FILE", &self.settings_file);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
-        self.child = Some(command.spawn().context(SystemSnafu { what: format!("start of {name}") })?);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .kill_on_drop(true);
+        self.child = Some(command.spawn().context(SystemSnafu {
+            what: format!("start of {name}"),
+        })?);
         Ok(())
     }
 
     /// Ends the process as a crash does, and waits until it has gone.
     pub async fn kill(&mut self) -> Result<(), TierError> {
         if let Some(mut child) = self.child.take() {
-            child.kill().await.context(SystemSnafu { what: format!("kill of {}", self.spec.name()) })?;
+            child.kill().await.context(SystemSnafu {
+                what: format!("kill of {}", self.spec.name()),
+            })?;
         }
         Ok(())
     }
@@ -81,24 +101,38 @@
     }
 
     fn signal(&self, signal: &str) -> Result<(), TierError> {
-        let Some(id) = self.process_id() else { return Ok(()) };
-        let sent = std::process::Command::new("kill").args([signal, &id.to_string()]).status();
-        sent.context(SystemSnafu { what: format!("kill {signal} of {}", self.spec.name()) }).map(drop)
+        let Some(id) = self.process_id() else {
+            return Ok(());
+        };
+        let sent = std::process::Command::new("kill")
+            .args([signal, &id.to_string()])
+            .status();
+        sent.context(SystemSnafu {
+            what: format!("kill {signal} of {}", self.spec.name()),
+        })
+        .map(drop)
     }
 
     /// Starts the process again after [`Self::kill`], with the disk as it is.
     pub fn restart(&mut self, network: u8, seeds: &[SocketAddr]) -> Result<(), TierError> {
         self.spec.bootstrap = false;
-        std::fs::write(&self.settings_file, self.spec.settings(network, seeds))
-            .context(SystemSnafu { what: format!("settings of {}", self.spec.name()) })?;
+        std::fs::write(&self.settings_file, self.spec.settings(network, seeds)).context(
+            SystemSnafu {
+                what: format!("settings of {}", self.spec.name()),
+            },
+        )?;
         self.spawn()
     }
 
     /// Removes everything from the disk of a process that does not run.
     pub fn wipe_disk(&self) -> Result<(), TierError> {
-        let Some(folder) = &self.spec.data_dir else { return Ok(()) };
+        let Some(folder) = &self.spec.data_dir else {
+            return Ok(());
+        };
         let wiped = std::fs::remove_dir_all(folder).and_then(|()| std::fs::create_dir_all(folder));
-        wiped.context(SystemSnafu { what: format!("disk of {}", self.spec.name()) })
+        wiped.context(SystemSnafu {
+            what: format!("disk of {}", self.spec.name()),
+        })
     }
 
     /// Id of the running process.
--- a/crates/woadreach-tier/src/programs.rs
+++ b/crates/woadreach-tier/src/programs.rs
@@ -9,7 +9,14 @@
     let release = own.ancestors().nth(3).map(|target| target.join("release"));
     let candidates: Vec<PathBuf> = folders.chain(release).collect();
     let complete = |folder: &&PathBuf| {
-        ["woadreach-proxy", "woadreach-control"].iter().all(|program| folder.join(program).exists())
+        ["woadreach-proxy", "woadreach-control"]
+            .iter()
+            .all(|program| folder.join(program).exists())
     };
-    candidates.iter().find(complete).or(candidates.first()).cloned().unwrap_or_default()
+    candidates
+        .iter()
+        .find(complete)
+        .or(candidates.first())
+        .cloned()
+        .unwrap_or_default()
 }
--- a/crates/woadreach-tier/src/replica.rs
+++ b/crates/woadreach-tier/src/replica.rs
@@ -48,7 +48,9 @@
 
 /// The body of [`ReplicaKind::Pieces`] for a request.
 pub fn pieces_of(request_id: &str, pieces: usize) -> String {
-    (1..=pieces).map(|number| piece(request_id, number)).collect()
+    (1..=pieces)
+        .map(|number| piece(request_id, number))
+        .collect()
 }
 
 fn piece(request_id: &str, number: usize) -> String {
@@ -95,10 +97,19 @@
         control: Vec<SocketAddr>,
     ) -> Result<Self, TierError> {
         let what = || format!("replica {id}");
-        let listener =
-            TcpListener::bind("127.0.0.1:0").await.with_context(|_| SystemSnafu { what: what() })?;
-        let address = listener.local_addr().with_context(|_| SystemSnafu { what: what() })?;
-        Ok(Self::start_at(id, service, kind, control, (listener, address)))
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .with_context(|_| SystemSnafu { what: what() })?;
+        let address = listener
+            .local_addr()
+            .with_context(|_| SystemSnafu { what: what() })?;
+        Ok(Self::start_at(
+            id,
+            service,
+            kind,
+            control,
+            (listener, address),
+        ))
     }
 
     /// Like [`Self::start`], on this listener, under the address at which others are to call it.
@@ -123,7 +134,12 @@
             let _ = axum::serve(listener, app).await;
         });
         let beating = tokio::spawn(send_heartbeats(shared.clone()));
-        StandInReplica { id: id.to_owned(), address, shared, tasks: vec![serving, beating] }
+        StandInReplica {
+            id: id.to_owned(),
+            address,
+            shared,
+            tasks: vec![serving, beating],
+        }
     }
 
     /// The requests that have run here, in the order in which they came.
@@ -151,7 +167,12 @@
         });
         for control in &shared.control {
             let url = format!("http://{control}/instances/{}", shared.id);
-            let call = client.put(url).json(&beat).timeout(Duration::from_secs(1)).send().await;
+            let call = client
+                .put(url)
+                .json(&beat)
+                .timeout(Duration::from_secs(1))
+                .send()
+                .await;
             if call.is_ok_and(|response| response.status().is_success()) {
                 break;
             }
@@ -160,7 +181,10 @@
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
-    headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
+    headers
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default()
 }
 
 fn not_executed(status: StatusCode) -> Response {
@@ -188,26 +212,41 @@
     let signature = format!("{}.{request_id}", shared.id);
     let first_event = text(&head.headers, "last-event-id").parse().unwrap_or(0);
     let line = format!("{} {}", head.method, head.uri);
-    shared.received.lock().push(ReceivedRequest { line, request_id: request_id.clone(), body });
-    let response =
-        Response::builder().header("request-id", &request_id).header("response-signature", signature);
+    shared.received.lock().push(ReceivedRequest {
+        line,
+        request_id: request_id.clone(),
+        body,
+    });
+    let response = Response::builder()
+        .header("request-id", &request_id)
+        .header("response-signature", signature);
     let response = match shared.kind {
         ReplicaKind::Plain => response.body(Body::from("done")),
         ReplicaKind::Pieces { pieces, pause_ms } => {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let piece = move |number| piece(&request_id, number);
-            response.body(paused_body(1..=pieces, Duration::from_millis(pause_ms), piece))
+            response.body(paused_body(
+                1..=pieces,
+                Duration::from_millis(pause_ms),
+                piece,
+            ))
         }
         ReplicaKind::Model { events, pause_ms } => {
             let response = response.header("content-type", "text/event-stream");
-            response.body(events_body(first_event, events, Duration::from_millis(pause_ms)))
+            response.body(events_body(
+                first_event,
+                events,
+                Duration::from_millis(pause_ms),
+            ))
         }
     };
     response.unwrap_or_default()
 }
 
 fn events_body(first: usize, events: usize, pause: Duration) -> Body {
-    paused_body(first + 1..=events, pause, |number| format!("id: {number}\ndata: word-{number}\n\n"))
+    paused_body(first + 1..=events, pause, |number| {
+        format!("id: {number}\ndata: word-{number}\n\n")
+    })
 }
 
 /// A body of the texts of these numbers, with a pause before each.
--- a/crates/woadreach-tier/src/settings.rs
+++ b/crates/woadreach-tier/src/settings.rs
@@ -77,7 +77,10 @@
 
     /// The text of its settings file.
     pub fn settings(&self, network: u8, seeds: &[SocketAddr]) -> String {
-        let seeds: String = seeds.iter().map(|seed| format!("  - \"{seed}\"\n")).collect();
+        let seeds: String = seeds
+            .iter()
+            .map(|seed| format!("  - \"{seed}\"\n"))
+            .collect();
         let data_dir = match &self.data_dir {
             Some(path) => format!("\"{}\"", path.display()),
             None => "null".to_owned(),
@@ -88,7 +91,9 @@
                 self.at(network, FRONT_PORT),
                 self.at(network, READY_PORT)
             ),
-            MachineClass::Core => format!("listen:\n  control: \"{}\"", self.at(network, CONTROL_PORT)),
+            MachineClass::Core => {
+                format!("listen:\n  control: \"{}\"", self.at(network, CONTROL_PORT))
+            }
             MachineClass::Storage => "listen: {}".to_owned(),
         };
         format!(
--- a/crates/woadreach-tier/src/tier.rs
+++ b/crates/woadreach-tier/src/tier.rs
@@ -36,7 +36,9 @@
 impl Tier {
     /// Starts all processes, in an order that suits none of them: edges before what they need.
     pub fn start(programs: &Path, network: u8, size: TierSize) -> Result<Self, TierError> {
-        let folder = tempfile::tempdir().context(SystemSnafu { what: "a folder for the tier" })?;
+        let folder = tempfile::tempdir().context(SystemSnafu {
+            what: "a folder for the tier",
+        })?;
         let classes = [
             (MachineClass::Edge, size.edges),
             (MachineClass::Storage, size.storage),
@@ -47,15 +49,31 @@
             .flat_map(|(class, count)| (1..=*count).map(|index| spec(*class, index, folder.path())))
             .collect();
         let core = specs.iter().filter(|spec| spec.class == MachineClass::Core);
-        let seeds: Vec<SocketAddr> = core.map(|spec| spec.at(network, CONTROL_PORT)).take(3).collect();
+        let seeds: Vec<SocketAddr> = core
+            .map(|spec| spec.at(network, CONTROL_PORT))
+            .take(3)
+            .collect();
         let mut nodes = Vec::new();
         for spec in specs {
             if let Some(data_dir) = &spec.data_dir {
-                std::fs::create_dir_all(data_dir).context(SystemSnafu { what: "a data folder" })?;
+                std::fs::create_dir_all(data_dir).context(SystemSnafu {
+                    what: "a data folder",
+                })?;
             }
-            nodes.push(NodeProcess::start(spec, programs, folder.path(), network, &seeds)?);
+            nodes.push(NodeProcess::start(
+                spec,
+                programs,
+                folder.path(),
+                network,
+                &seeds,
+            )?);
         }
-        Ok(Tier { nodes, network, seeds, folder })
+        Ok(Tier {
+            nodes,
+            network,
+            seeds,
+            folder,
+        })
     }
 
     /// Control addresses of the core machines.
@@ -70,7 +88,9 @@
 
     fn addresses(&self, class: MachineClass, port: u16) -> Vec<SocketAddr> {
         let of_class = self.nodes.iter().filter(|node| node.spec.class == class);
-        of_class.map(|node| node.spec.at(self.network, port)).collect()
+        of_class
+            .map(|node| node.spec.at(self.network, port))
+            .collect()
     }
 
     /// Waits until every edge says that it is ready.
@@ -79,13 +99,23 @@
         let end = Instant::now() + patience;
         for ready in self.addresses(MachineClass::Edge, READY_PORT) {
             loop {
-                let call = client.get(format!("http://{ready}/readyz")).timeout(Duration::from_secs(1));
-                if call.send().await.is_ok_and(|response| response.status().is_success()) {
+                let call = client
+                    .get(format!("http://{ready}/readyz"))
+                    .timeout(Duration::from_secs(1));
+                if call
+                    .send()
+                    .await
+                    .is_ok_and(|response| response.status().is_success())
+                {
                     break;
                 }
                 if Instant::now() > end {
                     let what = format!("readiness of {ready}");
-                    return TooLateSnafu { what, seconds: patience.as_secs() }.fail();
+                    return TooLateSnafu {
+                        what,
+                        seconds: patience.as_secs(),
+                    }
+                    .fail();
                 }
                 sleep(LOOK_AGAIN).await;
             }
@@ -95,13 +125,22 @@
 
     /// The process of a class and number.
     pub fn node(&mut self, class: MachineClass, index: u8) -> Option<&mut NodeProcess> {
-        self.nodes.iter_mut().find(|node| node.spec.class == class && node.spec.index == index)
+        self.nodes
+            .iter_mut()
+            .find(|node| node.spec.class == class && node.spec.index == index)
     }
 
     /// Kills a process and starts it again; with `wipe` its disk comes back empty.
-    pub async fn restart(&mut self, class: MachineClass, index: u8, wipe: bool) -> Result<(), TierError> {
+    pub async fn restart(
+        &mut self,
+        class: MachineClass,
+        index: u8,
+        wipe: bool,
+    ) -> Result<(), TierError> {
         let (network, seeds) = (self.network, self.seeds.clone());
-        let Some(node) = self.node(class, index) else { return Ok(()) };
+        let Some(node) = self.node(class, index) else {
+            return Ok(());
+        };
         node.kill().await?;
         if wipe {
             node.wipe_disk()?;
@@ -119,5 +158,11 @@
     let name = format!("{}-{index}", class.name());
     let data_dir: Option<PathBuf> =
         (class != MachineClass::Edge).then(|| folder.join(format!("{name}.disk")));
-    NodeSpec { class, index, data_dir, bootstrap: true, heartbeat_ms: HEARTBEAT_MS }
+    NodeSpec {
+        class,
+        index,
+        data_dir,
+        bootstrap: true,
+        heartbeat_ms: HEARTBEAT_MS,
+    }
 }
--- a/crates/woadreach-tier/tests/replica_path.rs
+++ b/crates/woadreach-tier/tests/replica_path.rs
@@ -18,7 +18,10 @@
 const EDGES: usize = 0;
 const REPLICAS: usize = 1;
 const PIECES: usize = 6;
-const KIND: ReplicaKind = ReplicaKind::Pieces { pieces: PIECES, pause_ms: 60 };
+const KIND: ReplicaKind = ReplicaKind::Pieces {
+    pieces: PIECES,
+    pause_ms: 60,
+};
 /// Requests sent before the way fails, and as many after.
 const AT_ONCE: usize = 20;
 /// Of the first so many have begun to run when the way fails.
@@ -64,10 +67,16 @@
 /// Sends requests that may not be repeated, each under an id of its own, by turns to all edges.
 fn send(fronts: &[SocketAddr], round: usize, part: &str) -> Vec<Call> {
     let one = |number: usize| {
-        let (id, front) = (format!("order-{round}-{part}-{number}"), fronts[number % fronts.len()]);
+        let (id, front) = (
+            format!("order-{round}-{part}-{number}"),
+            fronts[number % fronts.len()],
+        );
         let sent = id.clone();
-        let call =
-            tokio::spawn(async move { Client::new(front).post(example::HOST, "/order/x", &sent).await });
+        let call = tokio::spawn(async move {
+            Client::new(front)
+                .post(example::HOST, "/order/x", &sent)
+                .await
+        });
         (id, call)
     };
     (0..AT_ONCE).map(one).collect()
@@ -87,11 +96,19 @@
     let whole = pieces_of(id, PIECES);
     let body = answer.body.as_deref();
     if answer.status == 200 {
-        assert!(answer.signature.as_deref().is_some_and(|signature| signature.ends_with(&format!(".{id}"))));
+        assert!(
+            answer
+                .signature
+                .as_deref()
+                .is_some_and(|signature| signature.ends_with(&format!(".{id}")))
+        );
         assert!(body.is_none_or(|body| body == whole), "{id}: {body:?}");
     } else {
         assert_eq!(answer.signature, None, "{id}: a status of the edge's own");
-        assert!(!body.unwrap_or_default().contains("order-"), "{id}: {body:?}");
+        assert!(
+            !body.unwrap_or_default().contains("order-"),
+            "{id}: {body:?}"
+        );
     }
     if [408, 421, 429, 503].contains(&answer.status) {
         assert_eq!(runs, 0, "{id} was refused and has run");
@@ -117,9 +134,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let own = listener.local_addr().unwrap();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let announced = relay.connections(any, own, (EDGES, REPLICAS)).await.unwrap();
+        let announced = relay
+            .connections(any, own, (EDGES, REPLICAS))
+            .await
+            .unwrap();
         let id = format!("i-orders-{index}");
-        replicas.push(StandInReplica::start_at(&id, "orders", KIND, tier.control(), (listener, announced)));
+        replicas.push(StandInReplica::start_at(
+            &id,
+            "orders",
+            KIND,
+            tier.control(),
+            (listener, announced),
+        ));
     }
     replicas
 }
@@ -130,12 +156,19 @@
     for (number, front) in tier.fronts().into_iter().enumerate() {
         for attempt in 0.. {
             let id = format!("order-ready-{round}-{number}-{attempt}");
-            let answer = Client::new(front).post(example::HOST, "/order/x", &id).await;
-            if answer.is_ok_and(|answer| answer.status == 200 && answer.body == Some(pieces_of(&id, PIECES)))
-            {
+            let answer = Client::new(front)
+                .post(example::HOST, "/order/x", &id)
+                .await;
+            if answer.is_ok_and(|answer| {
+                answer.status == 200 && answer.body == Some(pieces_of(&id, PIECES))
+            }) {
                 break;
             }
-            assert!(tokio::time::Instant::now() < end, "{front} does not serve orders\n{}", logs(tier));
+            assert!(
+                tokio::time::Instant::now() < end,
+                "{front} does not serve orders\n{}",
+                logs(tier)
+            );
         }
     }
 }
@@ -147,11 +180,20 @@
 
 async fn play() {
     let tier = start(24);
-    let _replicas = example::bring_up(&tier).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = example::bring_up(&tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let relay = Relay::new(2, 1);
     let replicas = replicas_behind(&relay, &tier).await;
-    let status = Operator::new(tier.control()).put(1, &configuration(), PATIENCE).await;
-    assert_eq!(status.map(|status| status.as_u16()).ok(), Some(200), "{}", logs(&tier));
+    let status = Operator::new(tier.control())
+        .put(1, &configuration(), PATIENCE)
+        .await;
+    assert_eq!(
+        status.map(|status| status.as_u16()).ok(),
+        Some(200),
+        "{}",
+        logs(&tier)
+    );
 
     let failures = [
         Failure::AnswersStall,
@@ -165,8 +207,10 @@
         wait_until_served(&tier, round).await;
         let before = runs(&replicas).len();
         let mut calls = send(&tier.fronts(), round, "before");
-        wait_for(&tier, "requests that run", || (runs(&replicas).len() >= before + BEGUN).then_some(()))
-            .await;
+        wait_for(&tier, "requests that run", || {
+            (runs(&replicas).len() >= before + BEGUN).then_some(())
+        })
+        .await;
         failure.begin(&relay);
         calls.extend(send(&tier.fronts(), round, "after"));
         let mut ended = Vec::new();
@@ -177,7 +221,10 @@
         // What was held back comes now, on connections that later requests may use.
         wait_until_served(&tier, round + failures.len()).await;
         let broken = check_all(&ended, &runs(&replicas));
-        println!("{failure:?}: {broken} of {} had run and got no whole answer", 2 * AT_ONCE);
+        println!(
+            "{failure:?}: {broken} of {} had run and got no whole answer",
+            2 * AT_ONCE
+        );
         assert!(broken > 0, "{failure:?} broke no answer off");
         answers.extend(ended);
     }
@@ -185,7 +232,10 @@
 }
 
 /// Checks all answers; gives how many requests have run without a whole answer to their caller.
-fn check_all(answers: &[(String, Result<TurnAnswer, TierError>)], runs: &BTreeMap<String, usize>) -> usize {
+fn check_all(
+    answers: &[(String, Result<TurnAnswer, TierError>)],
+    runs: &BTreeMap<String, usize>,
+) -> usize {
     let twice: Vec<_> = runs.iter().filter(|(_, runs)| **runs > 1).collect();
     assert!(twice.is_empty(), "ran more than once: {twice:?}");
     let is_broken = |(id, answer): &&(String, Result<TurnAnswer, TierError>)| {
