--- a/crates/woadreach-tier/tests/support/mod.rs
+++ b/crates/woadreach-tier/tests/support/mod.rs
@@ -12,7 +12,11 @@
 pub const PATIENCE: Duration = Duration::from_secs(40);
 /// Pause between two looks at a condition.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
-pub const SMALL: TierSize = TierSize { edges: 2, core: 3, storage: 3 };
+pub const SMALL: TierSize = TierSize {
+    edges: 2,
+    core: 3,
+    storage: 3,
+};
 
 pub fn start(network: u8) -> Tier {
     Tier::start(&built_programs(), network, SMALL).unwrap()
@@ -20,11 +24,17 @@
 
 /// The logs of all processes, shown where a test fails.
 pub fn logs(tier: &Tier) -> String {
-    tier.nodes.iter().map(|node| format!("== {}\n{}", node.spec.name(), node.log())).collect()
+    tier.nodes
+        .iter()
+        .map(|node| format!("== {}\n{}", node.spec.name(), node.log()))
+        .collect()
 }
 
 pub fn log_of(tier: &Tier, class: MachineClass, index: u8) -> String {
-    let node = tier.nodes.iter().find(|node| node.spec.class == class && node.spec.index == index);
+    let node = tier
+        .nodes
+        .iter()
+        .find(|node| node.spec.class == class && node.spec.index == index);
     node.map(|node| node.log()).unwrap_or_default()
 }
 
@@ -35,14 +45,19 @@
         if let Some(found) = condition() {
             return found;
         }
-        assert!(Instant::now() < end, "{what} did not come about\n{}", logs(tier));
+        assert!(
+            Instant::now() < end,
+            "{what} did not come about\n{}",
+            logs(tier)
+        );
         sleep(LOOK_AGAIN).await;
     }
 }
 
 /// The example's configuration with one more route, whose path holds the generation.
 pub fn configuration(generation: u64) -> String {
-    let mut configuration: Value = serde_json::from_str(&example::configuration(generation)).unwrap();
+    let mut configuration: Value =
+        serde_json::from_str(&example::configuration(generation)).unwrap();
     let route = json!({
         "name": "newest", "domain": example::HOST, "path_prefix": newest_path(generation),
         "route_type": "safe", "timeout_ms": 1200, "target_latency_ms": 150, "priority": 2, "service": "plain",
@@ -62,10 +77,18 @@
     let end = Instant::now() + PATIENCE;
     for front in tier.fronts() {
         let client = Client::new(front);
-        while client.get(example::HOST, &newest_path(generation), "g").await.map(|a| a.status).ok()
+        while client
+            .get(example::HOST, &newest_path(generation), "g")
+            .await
+            .map(|a| a.status)
+            .ok()
             != Some(200)
         {
-            assert!(Instant::now() < end, "{front} does not serve generation {generation}\n{}", logs(tier));
+            assert!(
+                Instant::now() < end,
+                "{front} does not serve generation {generation}\n{}",
+                logs(tier)
+            );
             sleep(LOOK_AGAIN).await;
         }
     }
@@ -73,12 +96,27 @@
 
 /// The epoch and chain of the last view in a log: the last bytes of the members' addresses, head first.
 pub fn last_view(log: &str) -> Option<(u64, Vec<u8>)> {
-    let line = log.lines().rev().find(|line| line.contains("view installed"))?;
+    let line = log
+        .lines()
+        .rev()
+        .find(|line| line.contains("view installed"))?;
     let epoch = number_after(line, "epoch=")?;
     let (_, chain) = line.split_once("chain=[")?;
     let (chain, _) = chain.split_once(']')?;
-    let member = |text: &str| text.trim().split(':').next()?.rsplit('.').next()?.parse().ok();
-    chain.split(',').map(member).collect::<Option<Vec<u8>>>().map(|chain| (epoch, chain))
+    let member = |text: &str| {
+        text.trim()
+            .split(':')
+            .next()?
+            .rsplit('.')
+            .next()?
+            .parse()
+            .ok()
+    };
+    chain
+        .split(',')
+        .map(member)
+        .collect::<Option<Vec<u8>>>()
+        .map(|chain| (epoch, chain))
 }
 
 /// The number behind the last `key` in a text.
--- a/crates/woadreach-tier/tests/tier.rs
+++ b/crates/woadreach-tier/tests/tier.rs
@@ -4,7 +4,11 @@
 use woadreach_tier::{Client, MachineClass, Operator, Tier, TierSize, built_programs, example};
 
 const PATIENCE: Duration = Duration::from_secs(20);
-const SMALL: TierSize = TierSize { edges: 2, core: 3, storage: 3 };
+const SMALL: TierSize = TierSize {
+    edges: 2,
+    core: 3,
+    storage: 3,
+};
 
 fn start(network: u8) -> Tier {
     Tier::start(&built_programs(), network, SMALL).unwrap()
@@ -12,13 +16,18 @@
 
 /// The logs of all processes, shown where a test fails.
 fn logs(tier: &Tier) -> String {
-    tier.nodes.iter().map(|node| format!("== {}\n{}", node.spec.name(), node.log())).collect()
+    tier.nodes
+        .iter()
+        .map(|node| format!("== {}\n{}", node.spec.name(), node.log()))
+        .collect()
 }
 
 #[tokio::test]
 async fn a_conversation_is_served_through_changing_edges() {
     let tier = start(1);
-    let replicas = example::bring_up(&tier).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let replicas = example::bring_up(&tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let answers = example::converse(&tier.fronts(), "p1", 4).await.unwrap();
     for answer in &answers {
         assert_eq!(answer.status, 200, "{}", logs(&tier));
@@ -26,51 +35,102 @@
         let body = answer.body.as_ref().expect("a whole body");
         assert_eq!(body.matches("data: word-").count(), example::EVENTS);
     }
-    let received: Vec<_> = replicas.iter().flat_map(|replica| replica.received()).collect();
+    let received: Vec<_> = replicas
+        .iter()
+        .flat_map(|replica| replica.received())
+        .collect();
     for (number, id) in (0..4).map(|number| (number, format!("p1-turn-{number}"))) {
-        let turn = received.iter().find(|request| request.request_id == id).expect("each turn has run");
+        let turn = received
+            .iter()
+            .find(|request| request.request_id == id)
+            .expect("each turn has run");
         let earlier: Vec<usize> = (0..number).collect();
-        assert_eq!(turn.body, example::expected_body(&earlier, number).as_bytes());
+        assert_eq!(
+            turn.body,
+            example::expected_body(&earlier, number).as_bytes()
+        );
         assert_eq!(turn.line, "POST /chat/2f");
     }
-    let stock = Client::new(tier.fronts()[0]).get(example::HOST, "/stock/2f?a=1", "s1").await.unwrap();
+    let stock = Client::new(tier.fronts()[0])
+        .get(example::HOST, "/stock/2f?a=1", "s1")
+        .await
+        .unwrap();
     assert_eq!((stock.status, stock.body.as_deref()), (200, Some("done")));
-    let unknown = Client::new(tier.fronts()[0]).get(example::HOST, "/none/2f", "s2").await.unwrap();
+    let unknown = Client::new(tier.fronts()[0])
+        .get(example::HOST, "/none/2f", "s2")
+        .await
+        .unwrap();
     assert_eq!(unknown.status, 404);
 }
 
 #[tokio::test]
 async fn a_spent_budget_and_an_unknown_turn_are_refused_without_a_run() {
     let tier = start(2);
-    let replicas = example::bring_up(&tier).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let replicas = example::bring_up(&tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let client = Client::new(tier.fronts()[0]);
     let mut first = example::turn("p2", 0, None);
     first.budget = Some(first.most + 1);
     assert_eq!(client.turn(&first).await.unwrap().status, 200);
     let mut second = example::turn("p2", 1, Some(0));
     second.budget = first.budget;
-    assert_eq!(client.turn(&second).await.unwrap().status, 402, "{}", logs(&tier));
+    assert_eq!(
+        client.turn(&second).await.unwrap().status,
+        402,
+        "{}",
+        logs(&tier)
+    );
     let unknown = example::turn("p2", 3, Some(2));
-    assert_eq!(client.turn(&unknown).await.unwrap().status, 404, "{}", logs(&tier));
-    let received: usize = replicas.iter().map(|replica| replica.received().len()).sum();
+    assert_eq!(
+        client.turn(&unknown).await.unwrap().status,
+        404,
+        "{}",
+        logs(&tier)
+    );
+    let received: usize = replicas
+        .iter()
+        .map(|replica| replica.received().len())
+        .sum();
     assert_eq!(received, 1, "only the first turn has run");
 }
 
 #[tokio::test]
 async fn what_was_acknowledged_survives_a_lost_disk_of_each_class() {
     let mut tier = start(3);
-    let _replicas = example::bring_up(&tier).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = example::bring_up(&tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let fronts = tier.fronts();
     example::converse(&fronts, "p3", 2).await.unwrap();
     tier.restart(MachineClass::Core, 1, true).await.unwrap();
     tier.restart(MachineClass::Storage, 1, true).await.unwrap();
     let operator = Operator::new(tier.control());
     let status = operator.put(1, &example::configuration(5), PATIENCE).await;
-    assert_eq!(status.map(|s| s.as_u16()).ok(), Some(200), "{}", logs(&tier));
-    let again = operator.put(1, &example::configuration(5), PATIENCE).await.unwrap();
-    assert_eq!(again.as_u16(), 200, "the same order again is acknowledged again");
-    let other = operator.put(1, &example::configuration(6), PATIENCE).await.unwrap();
-    assert_eq!(other.as_u16(), 412, "another change on an old version is refused");
+    assert_eq!(
+        status.map(|s| s.as_u16()).ok(),
+        Some(200),
+        "{}",
+        logs(&tier)
+    );
+    let again = operator
+        .put(1, &example::configuration(5), PATIENCE)
+        .await
+        .unwrap();
+    assert_eq!(
+        again.as_u16(),
+        200,
+        "the same order again is acknowledged again"
+    );
+    let other = operator
+        .put(1, &example::configuration(6), PATIENCE)
+        .await
+        .unwrap();
+    assert_eq!(
+        other.as_u16(),
+        412,
+        "another change on an old version is refused"
+    );
     let read = operator.get(tier.control()[1]).await.unwrap();
     assert_eq!(read, example::configuration(5));
     let client = Client::new(fronts[1]);
@@ -82,20 +142,34 @@
 #[tokio::test]
 async fn every_machine_killed_at_once_comes_back_with_what_was_acknowledged() {
     let mut tier = start(4);
-    let _replicas = example::bring_up(&tier).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = example::bring_up(&tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let fronts = tier.fronts();
     example::converse(&fronts, "p4", 2).await.unwrap();
     for node in &mut tier.nodes {
         node.kill().await.unwrap();
     }
-    for (class, count) in [(MachineClass::Edge, 2), (MachineClass::Core, 3), (MachineClass::Storage, 3)] {
+    for (class, count) in [
+        (MachineClass::Edge, 2),
+        (MachineClass::Core, 3),
+        (MachineClass::Storage, 3),
+    ] {
         for index in 1..=count {
             tier.restart(class, index, false).await.unwrap();
         }
     }
-    tier.wait_until_ready(PATIENCE).await.unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
-    let read = Operator::new(tier.control()).get(tier.control()[0]).await.unwrap();
+    tier.wait_until_ready(PATIENCE)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let read = Operator::new(tier.control())
+        .get(tier.control()[0])
+        .await
+        .unwrap();
     assert_eq!(read, example::configuration(1));
-    let answer = Client::new(fronts[0]).turn(&example::turn("p4", 2, Some(1))).await.unwrap();
+    let answer = Client::new(fronts[0])
+        .turn(&example::turn("p4", 2, Some(1)))
+        .await
+        .unwrap();
     assert_eq!(answer.status, 200, "{}", logs(&tier));
 }
--- a/crates/woadreach-zones/src/decide.rs
+++ b/crates/woadreach-zones/src/decide.rs
@@ -155,14 +155,28 @@
 
 impl Zones {
     /// `regions`: each zone's region, by number.
-    pub fn new(me: MemberId, zone: u8, regions: Vec<u8>, roster: usize, figures: Figures, now: f64) -> Self {
+    pub fn new(
+        me: MemberId,
+        zone: u8,
+        regions: Vec<u8>,
+        roster: usize,
+        figures: Figures,
+        now: f64,
+    ) -> Self {
         let zones = regions.len();
         Zones {
             me,
             zone,
             figures,
             roster,
-            verdicts: vec![Verdict { epoch: 0, since: now, strikes: 0 }; zones],
+            verdicts: vec![
+                Verdict {
+                    epoch: 0,
+                    since: now,
+                    strikes: 0
+                };
+                zones
+            ],
             given: vec![0; zones],
             reports: BTreeMap::new(),
             voices: (0, BTreeMap::new()),
@@ -183,7 +197,11 @@
 
     /// When a verdict last changed.
     pub fn turned(&self) -> f64 {
-        self.verdicts.iter().filter(|v| v.epoch > 0).map(|v| v.since).fold(f64::NEG_INFINITY, f64::max)
+        self.verdicts
+            .iter()
+            .filter(|v| v.epoch > 0)
+            .map(|v| v.since)
+            .fold(f64::NEG_INFINITY, f64::max)
     }
 
     /// What this one sees now; taken into its report when that is due.
@@ -192,7 +210,11 @@
             *own = *sight;
         }
         self.demand = demand;
-        let every = if self.pressing(now) { self.figures.urgent } else { self.figures.every };
+        let every = if self.pressing(now) {
+            self.figures.urgent
+        } else {
+            self.figures.every
+        };
         if now < self.reported + every - 1e-9 {
             return;
         }
@@ -200,23 +222,40 @@
         self.nth = self.nth.wrapping_add(1);
         let rows: Vec<_> = self.own.iter().map(|s| (s.seen, s.bad)).collect();
         let report = Report::new(self.me, self.zone, self.nth, demand, &rows);
-        self.reports.insert(self.me, Kept { report, at: now, told: 0 });
+        self.reports.insert(
+            self.me,
+            Kept {
+                report,
+                at: now,
+                told: 0,
+            },
+        );
     }
 
     /// Riders have come with a datagram.
     pub fn heard(&mut self, now: f64, bytes: &[u8]) -> Result<(), Bad> {
-        let riders =
-            Riders::open(bytes, self.verdicts.len(), self.roster).inspect_err(|_| self.refused += 1)?;
+        let riders = Riders::open(bytes, self.verdicts.len(), self.roster)
+            .inspect_err(|_| self.refused += 1)?;
         for told in &riders.verdicts {
             self.adopt(now, told);
         }
         for report in riders.reports {
             let at = now - report.age();
             let stale = |k: &Kept| report.nth.wrapping_sub(k.report.nth).wrapping_sub(1) >= 127;
-            let known = self.reports.get(&report.member).filter(|k| k.at > now - self.figures.life);
+            let known = self
+                .reports
+                .get(&report.member)
+                .filter(|k| k.at > now - self.figures.life);
             let dead = at <= now - self.figures.life;
             if report.member != self.me && !dead && !known.is_some_and(stale) {
-                self.reports.insert(report.member, Kept { report, at, told: 0 });
+                self.reports.insert(
+                    report.member,
+                    Kept {
+                        report,
+                        at,
+                        told: 0,
+                    },
+                );
             }
         }
         Ok(())
@@ -233,7 +272,11 @@
                 self.refused += 1;
                 return;
             }
-            *v = Verdict { epoch: told.epoch, since, strikes: told.strikes.min(self.figures.most_strikes) };
+            *v = Verdict {
+                epoch: told.epoch,
+                since,
+                strikes: told.strikes.min(self.figures.most_strikes),
+            };
         } else if told.epoch == v.epoch && told.epoch > 0 {
             // Two may have found it at once: the one who did so first counts, so that ramps are in step.
             v.since = v.since.min(since);
@@ -244,15 +287,25 @@
     /// each datagram.
     fn hear(&mut self, view: &View) {
         if self.voices.0 != view.version {
-            let mut all: Vec<_> = view.live.iter().map(|(id, zone)| (rank(*id), *id, *zone)).collect();
+            let mut all: Vec<_> = view
+                .live
+                .iter()
+                .map(|(id, zone)| (rank(*id), *id, *zone))
+                .collect();
             all.sort_unstable();
             let first = all.into_iter().take(self.figures.voices);
-            self.voices = (view.version, first.map(|(_, id, zone)| (id, zone)).collect());
+            self.voices = (
+                view.version,
+                first.map(|(_, id, zone)| (id, zone)).collect(),
+            );
         }
     }
 
     fn fresh(&self, now: f64) -> impl Iterator<Item = &Report> {
-        self.reports.values().filter(move |k| k.at > now - self.figures.life).map(|k| &k.report)
+        self.reports
+            .values()
+            .filter(move |k| k.at > now - self.figures.life)
+            .map(|k| &k.report)
     }
 
     /// Works out the verdicts; gives back those that have changed since the last time.
@@ -273,7 +326,12 @@
             let verdict = self.verdicts[zone];
             if verdict.epoch != self.given[zone] {
                 self.given[zone] = verdict.epoch;
-                turns.push(Turn { zone: zone as u8, verdict, seen: pooled.seen, bad: pooled.bad });
+                turns.push(Turn {
+                    zone: zone as u8,
+                    verdict,
+                    seen: pooled.seen,
+                    bad: pooled.bad,
+                });
             }
         }
         turns
@@ -284,10 +342,15 @@
         let age = now - v.since;
         let dwell = f.dwell * f64::from(1u32 << v.strikes.min(f.most_strikes));
         if v.out() {
-            let good = p.seen >= f.back_seen && f64::from(p.bad) <= f.back_share * f64::from(p.seen);
+            let good =
+                p.seen >= f.back_seen && f64::from(p.bad) <= f.back_share * f64::from(p.seen);
             let blind = now - v.since.max(self.spoken[zone]) >= f.blind * dwell;
             if (good && age >= dwell) || blind {
-                self.verdicts[zone] = Verdict { epoch: v.epoch + 1, since: now, strikes: v.strikes };
+                self.verdicts[zone] = Verdict {
+                    epoch: v.epoch + 1,
+                    since: now,
+                    strikes: v.strikes,
+                };
             }
             return;
         }
@@ -299,8 +362,16 @@
         let room = (out + 1) * 2 <= self.verdicts.len();
         if bad && by_most && p.others_sound && room && (v.epoch == 0 || age >= f.dwell) {
             let again = v.epoch > 0 && age < f.calm;
-            let strikes = if again { (v.strikes + 1).min(f.most_strikes) } else { 0 };
-            self.verdicts[zone] = Verdict { epoch: v.epoch + 1, since: now, strikes };
+            let strikes = if again {
+                (v.strikes + 1).min(f.most_strikes)
+            } else {
+                0
+            };
+            self.verdicts[zone] = Verdict {
+                epoch: v.epoch + 1,
+                since: now,
+                strikes,
+            };
         }
     }
 
@@ -311,11 +382,16 @@
     fn pool(&self, now: f64, zone: usize) -> Pooled {
         let voices = &self.voices.1;
         let outside = voices.values().filter(|z| usize::from(**z) != zone).count();
-        let mut p = Pooled { outside, ..Pooled::default() };
+        let mut p = Pooled {
+            outside,
+            ..Pooled::default()
+        };
         let mut others = vec![(0, 0); self.verdicts.len()];
-        let sound = |(seen, bad): (u32, u32)| f64::from(bad) <= self.figures.sound_share * f64::from(seen);
-        let serving: Vec<usize> =
-            (0..others.len()).filter(|z| *z != zone && !self.verdicts[*z].out()).collect();
+        let sound =
+            |(seen, bad): (u32, u32)| f64::from(bad) <= self.figures.sound_share * f64::from(seen);
+        let serving: Vec<usize> = (0..others.len())
+            .filter(|z| *z != zone && !self.verdicts[*z].out())
+            .collect();
         for r in self.fresh(now).filter(|r| voices.contains_key(&r.member)) {
             let outside = usize::from(r.zone) != zone;
             p.heard += usize::from(outside);
@@ -353,7 +429,8 @@
         }
         let mut by_zone = vec![0; own.len()];
         for r in self.fresh(now).filter(|r| r.member != self.me) {
-            self.at_odds(now, &|z| r.row(z)).for_each(|z| by_zone[z] += 1);
+            self.at_odds(now, &|z| r.row(z))
+                .for_each(|z| by_zone[z] += 1);
         }
         by_zone.iter().any(|n| *n >= 2)
     }
@@ -377,14 +454,27 @@
 
     /// What to tell in a datagram with so much room: verdicts first, then the reports told least often.
     pub fn riders(&mut self, now: f64, room: usize, view: &View) -> Vec<u8> {
-        let told = |(zone, v): (usize, &Verdict)| Told::new(zone as u8, v.epoch, now - v.since, v.strikes);
-        let verdicts = self.verdicts.iter().enumerate().filter(|(_, v)| v.epoch > 0).map(told);
-        let mut riders = Riders { verdicts: verdicts.collect(), reports: Vec::new() };
+        let told =
+            |(zone, v): (usize, &Verdict)| Told::new(zone as u8, v.epoch, now - v.since, v.strikes);
+        let verdicts = self
+            .verdicts
+            .iter()
+            .enumerate()
+            .filter(|(_, v)| v.epoch > 0)
+            .map(told);
+        let mut riders = Riders {
+            verdicts: verdicts.collect(),
+            reports: Vec::new(),
+        };
         // The lengths of both lists, and five bytes of epoch and age at the most.
         let mut size = 4 + riders.verdicts.len() * 12;
         self.hear(view);
         let fresh = now - self.figures.life;
-        let room = if self.pressing(now) { room } else { room.min(size + CALM_ROOM) };
+        let room = if self.pressing(now) {
+            room
+        } else {
+            room.min(size + CALM_ROOM)
+        };
         // SWIM's limit on how often news is told, by the size of the tier.
         let most = (4.0 * (self.roster as f64 + 1.0).ln()).ceil() as u32;
         let voices = &self.voices.1;
@@ -403,7 +493,11 @@
             riders.reports.push(kept.report.aged(now - kept.at));
         }
         let bytes = riders.seal();
-        if riders == Riders::default() || bytes.len() > room { Vec::new() } else { bytes }
+        if riders == Riders::default() || bytes.len() > room {
+            Vec::new()
+        } else {
+            bytes
+        }
     }
 
     /// The share of its traffic that each zone may have: 0 out, 1 serving, between on its way back. The same
@@ -429,8 +523,9 @@
     pub fn ladder(&self, now: f64, view: &View) -> Vec<(BTreeSet<u8>, f64)> {
         let own = BTreeSet::from([self.zone]);
         let home = self.regions.get(usize::from(self.zone));
-        let region: BTreeSet<u8> =
-            (0..self.regions.len() as u8).filter(|z| self.regions.get(usize::from(*z)) == home).collect();
+        let region: BTreeSet<u8> = (0..self.regions.len() as u8)
+            .filter(|z| self.regions.get(usize::from(*z)) == home)
+            .collect();
         let mut tiers = vec![own];
         if region.len() > 1 && region.len() < self.regions.len() {
             tiers.push(region);
@@ -458,10 +553,17 @@
             *d = (d.0 + r.demand(), d.1 + 1);
         }
         let healthy = 1.0 - f64::from(bad) / f64::from(seen.max(1));
-        let members = |z: usize| view.live.values().filter(|x| usize::from(**x) == z).count() as f64;
+        let members =
+            |z: usize| view.live.values().filter(|x| usize::from(**x) == z).count() as f64;
         let (all, by) = demand.iter().fold((0.0, 0), |(d, n), x| (d + x.0, n + x.1));
         // A zone of which no report is in is taken to ask as much as the others.
-        let mean = |(d, n): (f64, usize)| if n > 0 { d / n as f64 } else { all / by.max(1) as f64 };
+        let mean = |(d, n): (f64, usize)| {
+            if n > 0 {
+                d / n as f64
+            } else {
+                all / by.max(1) as f64
+            }
+        };
         let demand = |z: usize| mean(demand[z]) * members(z);
         let of = |f: &dyn Fn(usize) -> f64| {
             let inside: f64 = tier.iter().map(|z| f(usize::from(*z))).sum();
@@ -469,9 +571,16 @@
             if all > 0.0 { inside / all } else { 0.0 }
         };
         let (asked, able) = (of(&demand), of(&|z| self.own[z].capacity));
-        let crowd = if asked > 0.0 { self.figures.crowd * able / asked } else { 1.0 };
+        let crowd = if asked > 0.0 {
+            self.figures.crowd * able / asked
+        } else {
+            1.0
+        };
         let shares = self.shares(now);
-        let open = tier.iter().map(|z| shares[usize::from(*z)]).fold(0.0, f64::max);
+        let open = tier
+            .iter()
+            .map(|z| shares[usize::from(*z)])
+            .fold(0.0, f64::max);
         (self.figures.headroom * healthy).min(crowd).min(1.0) * open
     }
 }
--- a/crates/woadreach-zones/src/peer.rs
+++ b/crates/woadreach-zones/src/peer.rs
@@ -70,7 +70,10 @@
     }
 
     pub fn counts(&self) -> Counts {
-        Counts { unusable: self.members.unusable + self.zones.refused, ..self.counts.clone() }
+        Counts {
+            unusable: self.members.unusable + self.zones.refused,
+            ..self.counts.clone()
+        }
     }
 
     pub fn next_due(&self) -> f64 {
@@ -99,10 +102,16 @@
         let _ = self.zones.heard(now, body.riders);
         let duties = (!body.duties.is_empty()).then(|| (body.from, body.duties.to_vec()));
         if body.swim.is_empty() {
-            return Out { duties, ..Out::default() };
+            return Out {
+                duties,
+                ..Out::default()
+            };
         }
         let acts = self.members.heard(now, body.swim);
-        Out { duties, ..self.out(now, acts) }
+        Out {
+            duties,
+            ..self.out(now, acts)
+        }
     }
 
     /// A datagram on duties alone, which are sealed by whoever keeps them.
@@ -124,7 +133,10 @@
     pub fn see(&mut self, now: f64, sights: &[Sight], demand: f64) -> Out {
         self.zones.see(now, sights, demand);
         let turns = self.zones.decide(now, self.members.view());
-        let mut out = Out { turns, ..Out::default() };
+        let mut out = Out {
+            turns,
+            ..Out::default()
+        };
         if now >= self.next_push {
             self.push(now, &mut out);
         }
@@ -159,7 +171,10 @@
     }
 
     fn out(&mut self, now: f64, acts: Acts) -> Out {
-        let mut out = Out { changes: acts.changes, ..Out::default() };
+        let mut out = Out {
+            changes: acts.changes,
+            ..Out::default()
+        };
         for (to, message) in acts.send {
             let room = datagram::room(message.len() + self.carried.len());
             let riders = self.zones.riders(now, room, self.members.view());
@@ -175,7 +190,12 @@
     }
 
     fn seal(&mut self, to: MemberId, swim: &[u8], riders: &[u8], duties: &[u8], out: &mut Out) {
-        if let Some(bytes) = datagram::seal(&Body { from: self.me, swim, riders, duties }) {
+        if let Some(bytes) = datagram::seal(&Body {
+            from: self.me,
+            swim,
+            riders,
+            duties,
+        }) {
             self.counts.sent += 1;
             self.counts.bytes += bytes.len() as u64;
             out.datagrams.push((to, bytes));
--- a/crates/woadreach-zones/src/riders.rs
+++ b/crates/woadreach-zones/src/riders.rs
@@ -46,7 +46,12 @@
 
 impl Told {
     pub fn new(zone: u8, epoch: u32, age: f64, strikes: u8) -> Told {
-        Told { zone, epoch, age: (age.max(0.0) / VERDICT_TICK) as u32, strikes }
+        Told {
+            zone,
+            epoch,
+            age: (age.max(0.0) / VERDICT_TICK) as u32,
+            strikes,
+        }
     }
 
     pub fn age(&self) -> f64 {
@@ -60,11 +65,22 @@
         let row = |&(seen, bad): &(u32, u32)| {
             let shown = seen.min(FULL);
             // Rounded to the nearest, so that neither side gains by many parts.
-            let bad = if seen > FULL { (bad.min(seen) * FULL + seen / 2) / seen } else { bad.min(seen) };
+            let bad = if seen > FULL {
+                (bad.min(seen) * FULL + seen / 2) / seen
+            } else {
+                bad.min(seen)
+            };
             (shown << 4 | bad) as u8
         };
         let demand = ((1.0 + demand.max(0.0)).log2() * 8.0).min(255.0) as u8;
-        Report { member, zone, nth, age: 0, demand, rows: rows.iter().map(row).collect() }
+        Report {
+            member,
+            zone,
+            nth,
+            age: 0,
+            demand,
+            rows: rows.iter().map(row).collect(),
+        }
     }
 
     pub fn age(&self) -> f64 {
@@ -73,7 +89,10 @@
 
     #[must_use]
     pub fn aged(&self, age: f64) -> Report {
-        Report { age: (age / REPORT_TICK).clamp(0.0, 255.0) as u8, ..self.clone() }
+        Report {
+            age: (age / REPORT_TICK).clamp(0.0, 255.0) as u8,
+            ..self.clone()
+        }
     }
 
     pub fn demand(&self) -> f64 {
@@ -105,10 +124,14 @@
         if bytes.is_empty() {
             return Ok(Riders::default());
         }
-        let Ok((riders, [])) = postcard::take_from_bytes::<Riders>(bytes) else { return Err(Bad) };
+        let Ok((riders, [])) = postcard::take_from_bytes::<Riders>(bytes) else {
+            return Err(Bad);
+        };
         let zone = |z: u8| usize::from(z) < zones;
-        let known = |r: &Report| zone(r.zone) && usize::from(r.member.0) < roster && r.rows.len() == zones;
-        let sound = riders.verdicts.iter().all(|v| zone(v.zone)) && riders.reports.iter().all(known);
+        let known =
+            |r: &Report| zone(r.zone) && usize::from(r.member.0) < roster && r.rows.len() == zones;
+        let sound =
+            riders.verdicts.iter().all(|v| zone(v.zone)) && riders.reports.iter().all(known);
         if sound { Ok(riders) } else { Err(Bad) }
     }
 }
--- a/crates/woadreach-zones/tests/zones.rs
+++ b/crates/woadreach-zones/tests/zones.rs
@@ -39,8 +39,21 @@
             let id = MemberId(n as u16);
             let zone = zone_of(id, zones) as u8;
             let me = Member { id, zone, turn: 0 };
-            let m = Members::new(me, members, MemberFigures::default(), seed * 1000 + n as u64, 0.0);
-            (id, Peer::new(id, m, Zones::new(id, zone, vec![0; zones], members, Figures::default(), 0.0)))
+            let m = Members::new(
+                me,
+                members,
+                MemberFigures::default(),
+                seed * 1000 + n as u64,
+                0.0,
+            );
+            (
+                id,
+                Peer::new(
+                    id,
+                    m,
+                    Zones::new(id, zone, vec![0; zones], members, Figures::default(), 0.0),
+                ),
+            )
         });
         World {
             now: 0.0,
@@ -51,7 +64,9 @@
             trouble: Box::new(|_, _, _| 0.0),
             cut: Box::new(|_, _, _| false),
             peers: peers.collect(),
-            seen: (0..members).map(|n| (MemberId(n as u16), vec![VecDeque::new(); zones])).collect(),
+            seen: (0..members)
+                .map(|n| (MemberId(n as u16), vec![VecDeque::new(); zones]))
+                .collect(),
             flight: BTreeMap::new(),
             n: 0,
             turns: Vec::new(),
@@ -59,13 +74,18 @@
     }
 
     fn take(&mut self, from: MemberId, out: woadreach_zones::Out) {
-        self.turns.extend(out.turns.iter().map(|t| (self.now, from, t.zone, t.verdict.epoch)));
+        self.turns.extend(
+            out.turns
+                .iter()
+                .map(|t| (self.now, from, t.zone, t.verdict.epoch)),
+        );
         for (to, bytes) in out.datagrams {
             let (a, b) = (zone_of(from, self.zones), zone_of(to, self.zones));
             if !self.chance.random_bool(self.loss) && !(self.cut)(self.now, a, b) {
                 let at = self.now + 0.001 + 0.01 * self.chance.random::<f64>();
                 self.n += 1;
-                self.flight.insert(((at * 1e6) as u64, self.n), (from, to, bytes));
+                self.flight
+                    .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
             }
         }
     }
@@ -74,7 +94,11 @@
         let mut next_sight = self.now;
         while self.now < until {
             self.now += 0.01;
-            while let Some(entry) = self.flight.first_entry().filter(|e| e.key().0 as f64 / 1e6 <= self.now) {
+            while let Some(entry) = self
+                .flight
+                .first_entry()
+                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
+            {
                 let (from, to, bytes) = entry.remove();
                 if let Some(peer) = self.peers.get_mut(&to) {
                     let out = peer.heard(self.now, Some(from), &bytes);
@@ -85,7 +109,11 @@
                 next_sight += 0.1;
                 self.look();
             }
-            let due = self.peers.iter().filter(|(_, p)| p.next_due() <= self.now).map(|(id, _)| *id);
+            let due = self
+                .peers
+                .iter()
+                .filter(|(_, p)| p.next_due() <= self.now)
+                .map(|(id, _)| *id);
             for id in due.collect::<Vec<_>>() {
                 if let Some(out) = self.peers.get_mut(&id).map(|p| p.tick(self.now)) {
                     self.take(id, out);
@@ -98,11 +126,16 @@
     fn look(&mut self) {
         let mut outs = Vec::new();
         for (id, peer) in &mut self.peers {
-            let Some(seen) = self.seen.get_mut(id) else { continue };
+            let Some(seen) = self.seen.get_mut(id) else {
+                continue;
+            };
             let shares = peer.zones.shares(self.now);
             let mut sights = Vec::new();
             for (z, window) in seen.iter_mut().enumerate() {
-                if self.chance.random_bool((self.rate * 0.1 * shares[z].max(0.1)).min(1.0)) {
+                if self
+                    .chance
+                    .random_bool((self.rate * 0.1 * shares[z].max(0.1)).min(1.0))
+                {
                     let share = (self.trouble)(self.now, zone_of(*id, self.zones), z);
                     window.push_back((self.now, self.chance.random_bool(share.max(0.03))));
                 }
@@ -113,11 +146,26 @@
                 // As the module does: the run of bad ones up to now, where there is one.
                 let run = window.iter().rev().take_while(|x| x.1).count() as u32;
                 let fresh = window.iter().filter(|x| x.0 > self.now - 2.0);
-                let seen = if run > 1 { run } else { fresh.clone().count() as u32 };
-                let bad = if run > 1 { run } else { fresh.filter(|x| x.1).count() as u32 };
-                sights.push(Sight { seen, bad, capacity: 1.0 });
+                let seen = if run > 1 {
+                    run
+                } else {
+                    fresh.clone().count() as u32
+                };
+                let bad = if run > 1 {
+                    run
+                } else {
+                    fresh.filter(|x| x.1).count() as u32
+                };
+                sights.push(Sight {
+                    seen,
+                    bad,
+                    capacity: 1.0,
+                });
             }
-            outs.push((*id, peer.see(self.now, &sights, self.rate * self.zones as f64)));
+            outs.push((
+                *id,
+                peer.see(self.now, &sights, self.rate * self.zones as f64),
+            ));
         }
         for (id, out) in outs {
             self.take(id, out);
@@ -128,8 +176,10 @@
     fn agreed(&self, since: f64, zone: u8, who: impl Fn(MemberId) -> bool) -> Option<f64> {
         let mut worst = 0.0f64;
         for id in self.peers.keys().filter(|id| who(**id)) {
-            let first =
-                self.turns.iter().find(|t| t.1 == *id && t.2 == zone && t.3 % 2 == 1 && t.0 > since)?;
+            let first = self
+                .turns
+                .iter()
+                .find(|t| t.1 == *id && t.2 == zone && t.3 % 2 == 1 && t.0 > since)?;
             worst = worst.max(first.0 - since);
         }
         Some(worst)
@@ -148,7 +198,13 @@
 ) {
     let mut w = World::new(n, 3, loss, 1);
     w.rate = 4.0 * rate;
-    w.trouble = Box::new(|at, _, to| if to == 1 && (10.0..15.0).contains(&at) { 1.0 } else { 0.0 });
+    w.trouble = Box::new(|at, _, to| {
+        if to == 1 && (10.0..15.0).contains(&at) {
+            1.0
+        } else {
+            0.0
+        }
+    });
     w.run(10.0);
     assert!(w.turns.is_empty(), "{:?}", w.turns);
     w.run(14.9);
@@ -161,10 +217,17 @@
         lowest = lowest.min(peer.zones.verdicts()[1].since);
     }
     // One ramp: all count it from the same moment, but for the way that the word of it takes.
-    let last = w.peers.values().map(|p| p.zones.verdicts()[1].since).fold(0.0, f64::max);
+    let last = w
+        .peers
+        .values()
+        .map(|p| p.zones.verdicts()[1].since)
+        .fold(0.0, f64::max);
     assert!(last - lowest < 0.25, "{lowest} to {last}");
     assert!(w.peers.values().all(|p| p.zones.shares(w.now)[1] == 1.0));
-    assert!(w.turns.iter().all(|t| t.2 == 1 && t.3 <= 2), "no other zone, no flap");
+    assert!(
+        w.turns.iter().all(|t| t.2 == 1 && t.3 <= 2),
+        "no other zone, no flap"
+    );
 }
 
 /// The zone that is cut off sees all others fail. Its own shift nobody; the others shift it.
@@ -176,8 +239,17 @@
     w.trouble = Box::new(move |at, from, to| f64::from(u8::from(cut(at, from, to))));
     w.cut = Box::new(cut);
     w.run(22.0);
-    assert!(w.agreed(10.0, 2, |id| zone_of(id, 3) != 2).is_some_and(|s| s < 1.5), "{:?}", w.turns);
-    assert!(w.turns.iter().all(|t| t.2 == 2 && zone_of(t.1, 3) != 2), "{:?}", w.turns);
+    assert!(
+        w.agreed(10.0, 2, |id| zone_of(id, 3) != 2)
+            .is_some_and(|s| s < 1.5),
+        "{:?}",
+        w.turns
+    );
+    assert!(
+        w.turns.iter().all(|t| t.2 == 2 && zone_of(t.1, 3) != 2),
+        "{:?}",
+        w.turns
+    );
     let view = w.peers[&MemberId(2)].view();
     assert!(view.cut_off);
 }
@@ -187,7 +259,8 @@
 fn a_way_cut_between_two_zones_shifts_neither() {
     let mut w = World::new(9, 3, 0.0, 3);
     w.rate = 8.0;
-    w.trouble = Box::new(|at, from, to| f64::from(u8::from(at > 10.0 && from + to == 1 && from != to)));
+    w.trouble =
+        Box::new(|at, from, to| f64::from(u8::from(at > 10.0 && from + to == 1 && from != to)));
     w.run(25.0);
     assert!(w.turns.is_empty(), "{:?}", w.turns);
 }
@@ -200,7 +273,12 @@
     w.rate = 8.0;
     w.trouble = Box::new(move |at, _, to| if at > 10.0 { share(to) } else { 0.0 });
     w.run(25.0);
-    let out: BTreeSet<u8> = w.turns.iter().filter(|t| t.3 % 2 == 1).map(|t| t.2).collect();
+    let out: BTreeSet<u8> = w
+        .turns
+        .iter()
+        .filter(|t| t.3 % 2 == 1)
+        .map(|t| t.2)
+        .collect();
     assert!(out.is_empty(), "{:?}", w.turns);
 }
 
@@ -224,10 +302,14 @@
 fn a_zone_that_flaps_stays_out_for_longer_each_time() {
     let mut w = World::new(6, 3, 0.0, 6);
     w.rate = 8.0;
-    w.trouble = Box::new(|at, _, to| f64::from(u8::from(to == 1 && at > 10.0 && (at as u64 / 2) % 2 == 1)));
+    w.trouble =
+        Box::new(|at, _, to| f64::from(u8::from(to == 1 && at > 10.0 && (at as u64 / 2) % 2 == 1)));
     w.run(70.0);
     let of_one = w.turns.iter().filter(|t| t.1 == MemberId(0)).count();
-    assert!((2..=12).contains(&of_one), "{of_one} turns in 60 s, 30 of the zone's own");
+    assert!(
+        (2..=12).contains(&of_one),
+        "{of_one} turns in 60 s, 30 of the zone's own"
+    );
 }
 
 #[test]
@@ -242,7 +324,10 @@
 
 fn report(member: u16, zones: usize) -> Riders {
     let rows = vec![(1, 1); zones];
-    Riders { verdicts: vec![], reports: vec![Report::new(MemberId(member), 0, 1, 1.0, &rows)] }
+    Riders {
+        verdicts: vec![],
+        reports: vec![Report::new(MemberId(member), 0, 1, 1.0, &rows)],
+    }
 }
 
 #[rstest]
@@ -259,9 +344,18 @@
 #[test]
 fn an_epoch_far_ahead_is_refused_and_an_old_one_changes_nothing() {
     let mut zones = Zones::new(MemberId(0), 0, vec![0; 3], 6, Figures::default(), 0.0);
-    let tell = |epoch, age| Riders { verdicts: vec![Told::new(1, epoch, age, 0)], reports: vec![] }.seal();
+    let tell = |epoch, age| {
+        Riders {
+            verdicts: vec![Told::new(1, epoch, age, 0)],
+            reports: vec![],
+        }
+        .seal()
+    };
     zones.heard(10.0, &tell(3, 1.0)).expect("sound");
-    assert_eq!((zones.verdicts()[1].epoch, zones.verdicts()[1].since), (3, 9.0));
+    assert_eq!(
+        (zones.verdicts()[1].epoch, zones.verdicts()[1].since),
+        (3, 9.0)
+    );
     zones.heard(11.0, &tell(2, 0.0)).expect("sound");
     zones.heard(11.0, &tell(3_000_000, 0.0)).expect("sound");
     assert_eq!((zones.verdicts()[1].epoch, zones.refused), (3, 1));
@@ -273,7 +367,11 @@
 #[case::spills_in_proportion((10, 5), 0.7)]
 fn traffic_stays_near_while_its_zone_is_sound(#[case] near: (u32, u32), #[case] stays: f64) {
     let mut zones = Zones::new(MemberId(0), 0, vec![0, 0, 1], 3, Figures::default(), 0.0);
-    let sight = |(seen, bad)| Sight { seen, bad, capacity: 1.0 };
+    let sight = |(seen, bad)| Sight {
+        seen,
+        bad,
+        capacity: 1.0,
+    };
     zones.see(1.0, &[sight(near), sight((8, 0)), sight((8, 0))], 10.0);
     let view = woadreach_members::View {
         live: (0..3).map(|i| (MemberId(i), i as u8)).collect(),
@@ -287,7 +385,10 @@
     assert_eq!(ladder[1].0, BTreeSet::from([0, 1]));
     assert!(ladder[1].1 >= ladder[0].1);
     zones.forced.insert(0);
-    assert_eq!((zones.ladder(1.0, &view)[0].1, zones.shares(1.0)[0]), (0.0, 0.0));
+    assert_eq!(
+        (zones.ladder(1.0, &view)[0].1, zones.shares(1.0)[0]),
+        (0.0, 0.0)
+    );
 }
 
 /// Not a verdict of CI, but a measurement: `cargo test --release -p woadreach-zones -- --ignored
@@ -300,11 +401,20 @@
         for seed in 0..4 {
             let mut w = World::new(300, 3, 0.1, seed);
             w.rate = rate;
-            w.trouble = Box::new(|at, _, to| if to == 1 && (20.0..25.0).contains(&at) { 1.0 } else { 0.0 });
+            w.trouble = Box::new(|at, _, to| {
+                if to == 1 && (20.0..25.0).contains(&at) {
+                    1.0
+                } else {
+                    0.0
+                }
+            });
             w.run(20.0);
             assert!(w.turns.is_empty());
             let counts = |w: &World| {
-                w.peers.values().map(|p| p.counts()).fold((0, 0), |a, c| (a.0 + c.sent, a.1 + c.bytes))
+                w.peers
+                    .values()
+                    .map(|p| p.counts())
+                    .fold((0, 0), |a, c| (a.0 + c.sent, a.1 + c.bytes))
             };
             let calm = counts(&w);
             w.run(25.0);
@@ -322,7 +432,11 @@
             worst.extend(w.agreed(20.0, 1, |_| true));
         }
         worst.sort_by(f64::total_cmp);
-        println!("{rate}: {} of 4 agreed, worst {:?}", worst.len(), worst.last());
+        println!(
+            "{rate}: {} of 4 agreed, worst {:?}",
+            worst.len(),
+            worst.last()
+        );
     }
 }
 
@@ -336,7 +450,12 @@
             std::thread::spawn(move || {
                 let mut shifts = 0;
                 for seed in (0..10_000u64).filter(|s| s % threads == t) {
-                    let mut w = World::new(3 + (seed % 7) as usize, 3, 0.1 + 0.2 * (seed % 2) as f64, seed);
+                    let mut w = World::new(
+                        3 + (seed % 7) as usize,
+                        3,
+                        0.1 + 0.2 * (seed % 2) as f64,
+                        seed,
+                    );
                     w.rate = [0.5, 2.0, 8.0][(seed % 3) as usize];
                     w.run(20.0);
                     shifts += usize::from(!w.turns.is_empty());
--- a/crates/woadreachd/src/config.rs
+++ b/crates/woadreachd/src/config.rs
@@ -34,9 +34,19 @@
 
 /// All of the settings' text that a list of names holds.
 fn names(settings: &Value, path: &str, key: &str) -> Vec<String> {
-    let rows = settings.pointer(path).and_then(Value::as_array).into_iter().flatten();
-    let name =
-        |row: &Value| if key.is_empty() { row.as_str() } else { row.get(key)?.as_str() }.map(String::from);
+    let rows = settings
+        .pointer(path)
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten();
+    let name = |row: &Value| {
+        if key.is_empty() {
+            row.as_str()
+        } else {
+            row.get(key)?.as_str()
+        }
+        .map(String::from)
+    };
     rows.map(|r| name(r).unwrap_or_default()).collect()
 }
 
@@ -60,11 +70,18 @@
 pub fn read(first: First, given: &Given) -> Result<Config, String> {
     let path = &given.path;
     let mut all: Value = serde_json::from_str(&given.text).map_err(|e| format!("{path}: {e}"))?;
-    let need = |p: &str| all.pointer(p).ok_or_else(|| format!("configuration lacks {p}"));
+    let need = |p: &str| {
+        all.pointer(p)
+            .ok_or_else(|| format!("configuration lacks {p}"))
+    };
     let text_of = |key: &str, var: &str, told: &Option<String>| {
         let told = told.clone();
         let own = all.get(key).and_then(Value::as_str).map(String::from);
-        let named = if first == First::File { own.or(told) } else { told.or(own) };
+        let named = if first == First::File {
+            own.or(told)
+        } else {
+            told.or(own)
+        };
         named.ok_or_else(|| format!("configuration lacks {key}, and {var} is not set"))
     };
     let set = need("/settings")?;
@@ -72,7 +89,9 @@
     let need_number = |p: &str| number(p).ok_or_else(|| format!("settings lack {p}"));
     let flag = |p: &str| set.pointer(p).and_then(Value::as_bool).unwrap_or(false);
     let seed = need("/seed")?;
-    let seed = seed.as_u64().or_else(|| u64::from_str_radix(seed.as_str()?, 16).ok());
+    let seed = seed
+        .as_u64()
+        .or_else(|| u64::from_str_radix(seed.as_str()?, 16).ok());
     let seed = seed.ok_or("configuration: seed is neither a number nor hex digits")?;
     let listen = text_of("listen", "PROXY_LISTEN", &given.listen)?;
     let known = match all.get("known") {
@@ -82,15 +101,24 @@
             Some(list.map_err(|e| format!("configuration: known: {}", e.0))?)
         }
     };
-    let limit =
-        |key: &str| need(&format!("/limits/{key}"))?.as_f64().ok_or(format!("limit {key} is no number"));
+    let limit = |key: &str| {
+        need(&format!("/limits/{key}"))?
+            .as_f64()
+            .ok_or(format!("limit {key} is no number"))
+    };
     let rows = |path: &str, key: &'static str| {
-        let rows = set.pointer(path).and_then(Value::as_array).into_iter().flatten();
+        let rows = set
+            .pointer(path)
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten();
         rows.filter_map(move |r| r.get(key)?.as_f64())
     };
     let fetch = set.pointer("/domain/classFetch").and_then(Value::as_array);
     let config = Config {
-        listen: listen.parse().map_err(|_| format!("listen is not an address: {listen}"))?,
+        listen: listen
+            .parse()
+            .map_err(|_| format!("listen is not an address: {listen}"))?,
         discovery: text_of("discovery", "PROXY_DISCOVERY", &given.discovery)?,
         discovery_interval: discovery::schedule::interval(
             number("/guarantees/drainGraceMs").map_or(DRAIN_GRACE, |grace| grace / 1000.0),
@@ -111,7 +139,11 @@
             longest: rows("/requestClasses", "giveUpMs").fold(0.0, f64::max) / 1000.0,
             longest_target: rows("/requestClasses", "aimMs").fold(0.0, f64::max) / 1000.0,
             zones: names(set, "/localities", ""),
-            fetch: fetch.into_iter().flatten().map(|n| n.as_u64().unwrap_or(0) as usize).collect(),
+            fetch: fetch
+                .into_iter()
+                .flatten()
+                .map(|n| n.as_u64().unwrap_or(0) as usize)
+                .collect(),
         },
         replicas: replicas::Figures {
             streams_per_conn: need_number("/limits/streamsPerConn")? as usize,
@@ -127,7 +159,10 @@
     for once in ["known", "seed", "discovery"] {
         all.as_object_mut().map(|all| all.remove(once));
     }
-    Ok(Config { file: all, ..config })
+    Ok(Config {
+        file: all,
+        ..config
+    })
 }
 
 /// What the file says of other co-ordinators, and the operators of failover between zones:
@@ -137,13 +172,25 @@
 fn with_peers(all: &Value, set: &Value, seed: u64) -> Result<Option<peers::Figures>, String> {
     let zones = names(set, "/localities", "");
     let known = |key: &str, zone: &str| {
-        let of = || format!("configuration: {key}: no such zone: {zone}; there are {}", zones.join(", "));
+        let of = || {
+            format!(
+                "configuration: {key}: no such zone: {zone}; there are {}",
+                zones.join(", ")
+            )
+        };
         zones.iter().position(|z| z == zone).ok_or_else(of)
     };
     let mut regions = vec![0; zones.len()];
     let mut called: Vec<&str> = Vec::new();
-    for (zone, region) in all.pointer("/failover/regions").and_then(Value::as_object).into_iter().flatten() {
-        let region = region.as_str().ok_or("configuration: failover.regions: a region is no text")?;
+    for (zone, region) in all
+        .pointer("/failover/regions")
+        .and_then(Value::as_object)
+        .into_iter()
+        .flatten()
+    {
+        let region = region
+            .as_str()
+            .ok_or("configuration: failover.regions: a region is no text")?;
         let n = called.iter().position(|c| *c == region).unwrap_or_else(|| {
             called.push(region);
             called.len() - 1
@@ -156,25 +203,44 @@
         out.push(known("failover.out", &zone)?);
     }
     let near = all.pointer("/failover/near") == Some(&Value::Bool(true));
-    let on = all.pointer("/failover/on").is_none_or(|on| on != &Value::Bool(false));
+    let on = all
+        .pointer("/failover/on")
+        .is_none_or(|on| on != &Value::Bool(false));
     let allowed = set.pointer("/limits/peers") == Some(&Value::Bool(true));
-    let Some(listen) = all.get("peer_listen").and_then(Value::as_str).filter(|_| on && allowed) else {
+    let Some(listen) = all
+        .get("peer_listen")
+        .and_then(Value::as_str)
+        .filter(|_| on && allowed)
+    else {
         return Ok(None);
     };
     let address = |key: &str, text: &str| -> Result<SocketAddr, String> {
-        text.parse().map_err(|_| format!("configuration: {key}: not an address: {text}"))
+        text.parse()
+            .map_err(|_| format!("configuration: {key}: not an address: {text}"))
     };
     let roster: Vec<String> = names(all, "/peers", "");
-    let roster = roster.iter().map(|p| address("peers", p)).collect::<Result<Vec<_>, _>>()?;
+    let roster = roster
+        .iter()
+        .map(|p| address("peers", p))
+        .collect::<Result<Vec<_>, _>>()?;
     let place = |key: &str| set.get(key).and_then(Value::as_u64).map(|n| n as usize);
     // One that does not know its own place, or speaks of a zone that is not named, keeps to itself.
-    let (Some(me), Some(zone)) = (place("me"), place("zone")) else { return Ok(None) };
-    if me >= roster.len() || zone >= zones.len() || zones.len() > u8::MAX.into() || roster.len() < 2 {
+    let (Some(me), Some(zone)) = (place("me"), place("zone")) else {
+        return Ok(None);
+    };
+    if me >= roster.len() || zone >= zones.len() || zones.len() > u8::MAX.into() || roster.len() < 2
+    {
         return Ok(None);
     }
-    let warm = set.pointer("/guarantees/coldMs").and_then(Value::as_f64).unwrap_or(0.0) / 1000.0;
+    let warm = set
+        .pointer("/guarantees/coldMs")
+        .and_then(Value::as_f64)
+        .unwrap_or(0.0)
+        / 1000.0;
     let listen = address("peer_listen", listen)?;
-    let duties = all.pointer("/duties/on").is_none_or(|on| on != &Value::Bool(false));
+    let duties = all
+        .pointer("/duties/on")
+        .is_none_or(|on| on != &Value::Bool(false));
     let warden = all.pointer("/duties/warden") == Some(&Value::Bool(true));
     let records = all.pointer("/duties/records") == Some(&Value::Bool(true));
     let number = |key: &str| set.pointer(key).and_then(Value::as_f64);
@@ -217,16 +283,25 @@
                 continue;
             }
         };
-        let keys = |v: &Value| v.as_object().into_iter().flat_map(|o| o.keys().cloned()).collect::<Vec<_>>();
+        let keys = |v: &Value| {
+            v.as_object()
+                .into_iter()
+                .flat_map(|o| o.keys().cloned())
+                .collect::<Vec<_>>()
+        };
         let mut differs: Vec<_> = keys(&now).into_iter().chain(keys(&next.file)).collect();
         differs.retain(|k| now.get(k) != next.file.get(k));
         differs.sort();
         differs.dedup();
         if !differs.is_empty() {
-            warn!("SIGHUP: takes effect at the next start only: {}", differs.join(", "));
+            warn!(
+                "SIGHUP: takes effect at the next start only: {}",
+                differs.join(", ")
+            );
         }
         info!("SIGHUP: read again, discovery at {}", next.discovery);
         now = next.file;
-        discovery.send_if_modified(|at| std::mem::replace(at, next.discovery.clone()) != next.discovery);
+        discovery
+            .send_if_modified(|at| std::mem::replace(at, next.discovery.clone()) != next.discovery);
     }
 }
--- a/crates/woadreachd/src/core.rs
+++ b/crates/woadreachd/src/core.rs
@@ -137,8 +137,12 @@
     }
 
     fn send(&mut self, search: &Search, placement: &Placement, nth: usize) {
-        let Some(request) = self.requests.get(&search.id) else { return };
-        let Some(part) = search.parts.iter().find(|p| p.id == placement.part) else { return };
+        let Some(request) = self.requests.get(&search.id) else {
+            return;
+        };
+        let Some(part) = search.parts.iter().find(|p| p.id == placement.part) else {
+            return;
+        };
         let second = if part.step == 2 { ".fetch" } else { "" };
         let sub = (part.id, nth);
         let until = self.now + placement.timeout;
@@ -146,14 +150,21 @@
             sub,
             id: format!("{}.{}{second}", request.trace, part.shard.0),
             shard: part.shard.0,
-            extras: if part.step == 2 { request.extras.clone() } else { String::new() },
+            extras: if part.step == 2 {
+                request.extras.clone()
+            } else {
+                String::new()
+            },
             text: request.text.clone(),
             until,
             begin_by: placement.begin_by,
             written: request.written.clone(),
         };
         self.sent += 1;
-        debug!("send {} part {} {nth} to {}", letter.id, part.id.0, placement.replica.0);
+        debug!(
+            "send {} part {} {nth} to {}",
+            letter.id, part.id.0, placement.replica.0
+        );
         self.replicas.send(self.now, &placement.replica, letter);
         self.timer_at(until, Timer::Sub(sub));
         if placement.begin_by < until {
@@ -165,18 +176,30 @@
         if !search.over {
             return self.second_step(search);
         }
-        let Some(request) = self.let_go(search.id) else { return };
+        let Some(request) = self.let_go(search.id) else {
+            return;
+        };
         // Danger: a request that comes under the name of one just answered has parts sent on for that one.
         // The name is kept as long as a client may wait, for a new one comes with every request. Covers a
         // client that takes another's name. Harm: none to clients that keep to the page.
         self.traces.insert(request.trace.clone());
-        self.answered.push_back((self.now + self.figures.longest, request.trace.clone()));
-        debug!("search {} {reply:?} after {:.4}", request.trace, self.now - search.arrived);
+        self.answered
+            .push_back((self.now + self.figures.longest, request.trace.clone()));
+        debug!(
+            "search {} {reply:?} after {:.4}",
+            request.trace,
+            self.now - search.arrived
+        );
         let mut came = request.came;
         let answer = match reply {
             Reply::Answered { whole } => {
-                let last = search.parts.iter().filter(|p| p.step == search.step && p.answered);
-                let rows = last.filter_map(|p| came.remove(&p.id).map(|(_, v)| (p.shard, v))).collect();
+                let last = search
+                    .parts
+                    .iter()
+                    .filter(|p| p.step == search.step && p.answered);
+                let rows = last
+                    .filter_map(|p| came.remove(&p.id).map(|(_, v)| (p.shard, v)))
+                    .collect();
                 Answer::Answered { whole, rows }
             }
             Reply::Shed { retry_after } => Answer::Shed { retry_after },
@@ -201,7 +224,11 @@
     fn over(&mut self, search: &Search) {
         // Danger: where nothing can be cancelled, a part that waits for a connection leaves after the answer.
         // Covers any part that is out of its search's hands. Harm: none, no byte of it has left.
-        for part in search.parts.iter().filter(|p| p.subs.iter().any(|s| s.ending.is_none())) {
+        for part in search
+            .parts
+            .iter()
+            .filter(|p| p.subs.iter().any(|s| s.ending.is_none()))
+        {
             (0..part.subs.len()).for_each(|nth| self.replicas.withdraw(self.now, (part.id, nth)));
         }
         // Still here if the client has left.
@@ -238,18 +265,36 @@
 
     /// PROTOCOL: the parts of a second step go to the shards with the highest scores among those that are in.
     fn second_step(&mut self, search: &Search) {
-        let Some(request) = self.requests.get_mut(&search.id) else { return };
+        let Some(request) = self.requests.get_mut(&search.id) else {
+            return;
+        };
         let first = search.parts.iter().filter(|p| p.step == 1 && p.answered);
-        let mut came: Vec<(Reverse<u64>, ShardId)> =
-            first.map(|p| (Reverse(request.came.get(&p.id).map_or(0, |c| c.0)), p.shard)).collect();
+        let mut came: Vec<(Reverse<u64>, ShardId)> = first
+            .map(|p| (Reverse(request.came.get(&p.id).map_or(0, |c| c.0)), p.shard))
+            .collect();
         came.sort();
         let named = |p: &&Part| p.step == 1 && (p.answered || planted("core-names-all"));
-        let from: BTreeSet<u64> = search.parts.iter().filter(named).map(|p| p.shard.0).collect();
+        let from: BTreeSet<u64> = search
+            .parts
+            .iter()
+            .filter(named)
+            .map(|p| p.shard.0)
+            .collect();
         let from: Vec<String> = from.iter().map(u64::to_string).collect();
-        request.extras = format!(",from={},whole={}", from.join("+"), u8::from(search.first_whole));
+        request.extras = format!(
+            ",from={},whole={}",
+            from.join("+"),
+            u8::from(search.first_whole)
+        );
         request.came.clear();
-        let fetch = self.figures.fetch.get(search.query_type.0).copied().unwrap_or(0);
-        self.second.push((search.id, came.iter().take(fetch).map(|c| c.1).collect()));
+        let fetch = self
+            .figures
+            .fetch
+            .get(search.query_type.0)
+            .copied()
+            .unwrap_or(0);
+        self.second
+            .push((search.id, came.iter().take(fetch).map(|c| c.1).collect()));
     }
 
     fn new_part(&mut self) -> PartId {
@@ -341,7 +386,10 @@
             };
             // The task ends with the process. A whole list is no news.
             if !list.full || what.is_none() {
-                let _ = words.send(Word { replica: replica(e), what });
+                let _ = words.send(Word {
+                    replica: replica(e),
+                    what,
+                });
             }
             // Of a replica that has started anew the former life would be kept for ever.
             if !list.full {
@@ -360,7 +408,10 @@
     /// Harm: a false one costs a sound replica some seconds.
     fn duty(&mut self, now: f64, told: DutyTold) {
         let ready = |listed: &BTreeMap<Replica, Entry>, r: &Replica| {
-            listed.get(r).filter(|e| e.lifecycle == Lifecycle::Ready).cloned()
+            listed
+                .get(r)
+                .filter(|e| e.lifecycle == Lifecycle::Ready)
+                .cloned()
         };
         let mut entries = Vec::new();
         match told {
@@ -374,7 +425,10 @@
             DutyTold::Closed(facts) => {
                 // Gone or draining, it takes nothing new; what is out there may still be answered.
                 let closed = facts.iter().filter_map(|(r, _)| ready(&self.listed, r));
-                entries.extend(closed.map(|e| Entry { lifecycle: Lifecycle::Draining, ..e }));
+                entries.extend(closed.map(|e| Entry {
+                    lifecycle: Lifecycle::Draining,
+                    ..e
+                }));
             }
             DutyTold::Lapsed(replicas) => {
                 entries.extend(replicas.iter().filter_map(|r| ready(&self.listed, r)));
@@ -383,7 +437,11 @@
         if !entries.is_empty() {
             debug!("duty: {} replicas by another's word", entries.len());
             self.hands.now = now;
-            self.apply(List { generation: 0, full: false, entries });
+            self.apply(List {
+                generation: 0,
+                full: false,
+                entries,
+            });
         }
     }
 
@@ -417,7 +475,9 @@
         loop {
             let late = self.hands.now > self.hands.start + LISTLESS;
             if late && !self.knows && !std::mem::replace(&mut alone, true) {
-                warn!("no list after {LISTLESS} s: ready without one, and all is shed until it comes");
+                warn!(
+                    "no list after {LISTLESS} s: ready without one, and all is shed until it comes"
+                );
             }
             if self.knows || late {
                 ready();
@@ -462,7 +522,9 @@
         self.outcomes(now);
         // Only what is queued by now, so that a round ends.
         for _ in 0..=events.len() {
-            let Some(event) = first.take().or_else(|| events.try_recv().ok()) else { break };
+            let Some(event) = first.take().or_else(|| events.try_recv().ok()) else {
+                break;
+            };
             self.event(now, event);
         }
         while let Some(due) = self.hands.next_due().filter(|due| *due <= now)
@@ -477,7 +539,9 @@
 
     fn outcomes(&mut self, now: f64) {
         for _ in 0..self.hands.replicas.ended.len() {
-            let Some(outcome) = self.hands.replicas.ended.pop_front() else { return };
+            let Some(outcome) = self.hands.replicas.ended.pop_front() else {
+                return;
+            };
             self.hand.outcome(now, &outcome, &mut self.hands);
             if outcome.ending != Ending::Answered {
                 self.look_at(now + LOOK);
@@ -523,13 +587,23 @@
         // PROTOCOL's settings bound what is in hand; memory bounds the bytes of it.
         let (searches, parts) = self.hand.held();
         let open = searches + parts + 1 + a.parts.len();
-        if open > self.hands.figures.max_open || self.hands.bytes + a.bytes > self.hands.figures.max_bytes {
-            debug!("search {} shed: {searches} searches and {parts} parts in hand", a.trace);
+        if open > self.hands.figures.max_open
+            || self.hands.bytes + a.bytes > self.hands.figures.max_bytes
+        {
+            debug!(
+                "search {} shed: {searches} searches and {parts} parts in hand",
+                a.trace
+            );
             let _ = a.reply.send(Answer::Shed { retry_after: 0.0 });
             return;
         }
         let left = a.ends - a.at;
-        debug!("search {} type {} parts {} left {left:.3}", a.trace, a.query_type.0, a.parts.len());
+        debug!(
+            "search {} type {} parts {} left {left:.3}",
+            a.trace,
+            a.query_type.0,
+            a.parts.len()
+        );
         let mut search = Search::new(a.search, a.query_type, a.tenant, a.at, a.ends);
         search.repeated = a.repeated;
         self.hands.traces.insert(a.trace.clone());
@@ -554,25 +628,49 @@
 
     fn cold_by_hash(&self, asked: &BTreeMap<ReplicaId, ColdSight>) -> Vec<(Replica, u64, bool)> {
         let of = |(r, e): (&Replica, &Entry)| {
-            asked.get(&ReplicaId(e.id.as_str().into())).map(|c| (*r, c.wants, c.sent))
+            asked
+                .get(&ReplicaId(e.id.as_str().into()))
+                .map(|c| (*r, c.wants, c.sent))
         };
         self.listed.iter().filter_map(of).collect()
     }
 
     fn tell_sights(&mut self, now: f64) {
         self.look = f64::INFINITY;
-        let Some((zones, to)) = &self.sights else { return };
+        let Some((zones, to)) = &self.sights else {
+            return;
+        };
         let mut asked: BTreeMap<ReplicaId, ColdSight> = BTreeMap::new();
-        asked.extend(self.hand.colds(now).into_iter().map(|c| (c.replica.clone(), c)));
-        let colds = if asked.is_empty() { Vec::new() } else { self.cold_by_hash(&asked) };
+        asked.extend(
+            self.hand
+                .colds(now)
+                .into_iter()
+                .map(|c| (c.replica.clone(), c)),
+        );
+        let colds = if asked.is_empty() {
+            Vec::new()
+        } else {
+            self.cold_by_hash(&asked)
+        };
         let sent = self.hands.sent;
-        let mut sights = Sights { zones: vec![Sight::default(); *zones], sent, colds };
+        let mut sights = Sights {
+            zones: vec![Sight::default(); *zones],
+            sent,
+            colds,
+        };
         for s in self.hand.sights(now) {
             if let Some(of) = sights.zones.get_mut(s.zone.0 as usize) {
-                *of = Sight { seen: s.seen as u32, bad: s.bad as u32, capacity: s.capacity };
+                *of = Sight {
+                    seen: s.seen as u32,
+                    bad: s.bad as u32,
+                    capacity: s.capacity,
+                };
             }
         }
-        let wrong = sights.zones.iter().any(|s| s.bad > 0 && s.bad * 2 >= s.seen);
+        let wrong = sights
+            .zones
+            .iter()
+            .any(|s| s.bad > 0 && s.bad * 2 >= s.seen);
         // None listens after the end.
         let _ = to.send(sights);
         self.look_at(now + if wrong { LOOK } else { CALM_LOOK });
@@ -597,7 +695,8 @@
             Timer::Sight if now + 1e-5 >= self.look => self.tell_sights(now),
             Timer::Sight => {}
             Timer::Report => {
-                let ((searches, parts), (out, connections)) = (self.hand.held(), self.hands.replicas.held());
+                let ((searches, parts), (out, connections)) =
+                    (self.hand.held(), self.hands.replicas.held());
                 let (clients, ours) = self.sockets.held();
                 let held = Held {
                     searches,
--- a/crates/woadreachd/src/discovery.rs
+++ b/crates/woadreachd/src/discovery.rs
@@ -61,9 +61,17 @@
     /// Reads on; true once the answer has ended. A reset, or an end before the length that was stated, is an
     /// error: no end.
     async fn more(&mut self) -> Result<bool, String> {
-        let read = self.stream.read(&mut self.bytes).await.map_err(|e| e.to_string())?;
+        let read = self
+            .stream
+            .read(&mut self.bytes)
+            .await
+            .map_err(|e| e.to_string())?;
         if read == 0 {
-            return if self.body.ends_with_connection() { Ok(true) } else { Err("connection ended".into()) };
+            return if self.body.ends_with_connection() {
+                Ok(true)
+            } else {
+                Err("connection ended".into())
+            };
         }
         self.take()
     }
@@ -99,11 +107,19 @@
     sockets: Sockets,
     lists: Lists,
 ) {
-    let mut state = State { version: Version::new(known), need: Need::Resume, lists };
+    let mut state = State {
+        version: Version::new(known),
+        need: Need::Resume,
+        lists,
+    };
     let mut last = String::new();
     loop {
         let address = place.borrow_and_update().clone();
-        let agent = Agent { net: &net, address: &address, sockets: &sockets };
+        let agent = Agent {
+            net: &net,
+            address: &address,
+            sockets: &sockets,
+        };
         let ended = tokio::select! {
             biased;
             Ok(()) = place.changed() => {
@@ -145,8 +161,15 @@
 impl<N: Net> Agent<'_, N> {
     /// The whole list, or a watch for as long as it lives.
     async fn turn(&self, state: &mut State, interval: f64) -> Result<(), String> {
-        let need = if state.version.generation().is_none() { Need::WholeList } else { state.need };
-        let (mut call, first) = match self.answer(need, state.version.generation(), interval).await? {
+        let need = if state.version.generation().is_none() {
+            Need::WholeList
+        } else {
+            state.need
+        };
+        let (mut call, first) = match self
+            .answer(need, state.version.generation(), interval)
+            .await?
+        {
             Answer::List(text) => return state.tell(&text, true),
             Answer::Watch(call, first) => (call, first),
         };
@@ -159,7 +182,12 @@
     }
 
     /// Carries out the schedule of calls up to the first whole answer; its end closes all others.
-    async fn answer(&self, need: Need, held: Option<u64>, interval: f64) -> Result<Answer<N>, String> {
+    async fn answer(
+        &self,
+        need: Need,
+        held: Option<u64>,
+        interval: f64,
+    ) -> Result<Answer<N>, String> {
         let mut schedule = Schedule::new(self.net.now(), need, interval);
         let mut open: [Option<Open<'_, N>>; Slot::ALL.len()] = Default::default();
         loop {
@@ -169,15 +197,24 @@
                     debug!("discovery: call {slot:?} for {request:?}");
                     // The one before it goes first, and its descriptor with it.
                     open[slot as usize] = None;
-                    let side = if slot.is_spare() { Side::DiscoverySpare } else { Side::Discovery };
+                    let side = if slot.is_spare() {
+                        Side::DiscoverySpare
+                    } else {
+                        Side::Discovery
+                    };
                     let index = held.filter(|_| request == Request::Watch);
-                    let proof = if slot == Slot::Resume { Proof::FirstObject } else { Proof::Head };
+                    let proof = if slot == Slot::Resume {
+                        Proof::FirstObject
+                    } else {
+                        Proof::Head
+                    };
                     open[slot as usize] = Some(Box::pin(self.ask(side, index, proof)));
                     continue;
                 }
                 Action::WaitUntil(time) => time,
             };
-            let Ok((slot, ended)) = self.net.timeout_at(until, first_to_end(&mut open)).await else {
+            let Ok((slot, ended)) = self.net.timeout_at(until, first_to_end(&mut open)).await
+            else {
                 continue;
             };
             let why = match ended {
@@ -200,10 +237,18 @@
         let permit = self.sockets.permit(side).ok_or("no descriptor")?;
         let failed = |e: std::io::Error| e.to_string();
         let (net, address) = (self.net, self.address);
-        let mut stream = net.connect(net.lookup(address).await.map_err(failed)?).await.map_err(failed)?;
+        let mut stream = net
+            .connect(net.lookup(address).await.map_err(failed)?)
+            .await
+            .map_err(failed)?;
         let query = index.map_or(String::new(), |g| format!("?stream=1&index={g}"));
-        let close = if index.is_some() { "" } else { "Connection: close\r\n" };
-        let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n{close}\r\n");
+        let close = if index.is_some() {
+            ""
+        } else {
+            "Connection: close\r\n"
+        };
+        let request =
+            format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {address}\r\n{close}\r\n");
         stream.write_all(request.as_bytes()).await.map_err(failed)?;
         let mut bytes = Vec::new();
         let head = loop {
@@ -220,7 +265,14 @@
         bytes.drain(..head.length);
         let body = http::Body::of_answer(head.stream_framing().map_err(|e| format!("{e:?}"))?);
         let (text, lines) = Default::default();
-        let mut call = Call { stream, bytes, body, text, lines, _permit: permit };
+        let mut call = Call {
+            stream,
+            bytes,
+            body,
+            text,
+            lines,
+            _permit: permit,
+        };
         if index.is_some() && proof == Proof::Head {
             return Ok(Answer::Watch(call, None));
         }
@@ -236,7 +288,11 @@
             }
             ended = call.more().await?;
         }
-        if index.is_some() { Err("watch ended".into()) } else { Ok(Answer::List(call.text)) }
+        if index.is_some() {
+            Err("watch ended".into())
+        } else {
+            Ok(Answer::List(call.text))
+        }
     }
 
     /// Tells of each object of a watch until it ends, or says nothing whole for too long.
@@ -264,7 +320,11 @@
             if ended {
                 return Err("watch ended".into());
             }
-            ended = self.net.timeout_at(until, call.more()).await.map_err(|_| SILENCE.to_string())??;
+            ended = self
+                .net
+                .timeout_at(until, call.more())
+                .await
+                .map_err(|_| SILENCE.to_string())??;
         }
     }
 }
@@ -307,19 +367,35 @@
             e.0
         })?;
         list.full |= full;
-        let (held, generation) = (self.version.generation().unwrap_or_default(), list.generation);
+        let (held, generation) = (
+            self.version.generation().unwrap_or_default(),
+            list.generation,
+        );
         match self.version.judge(&list) {
             Judgement::Take => {}
-            Judgement::TakeOtherEntries => info!("discovery: version {generation} again, with other entries"),
-            Judgement::TakeOlder => info!("discovery: version {generation} taken in place of {held}"),
-            Judgement::IgnoreOlder => return Err(format!("list {generation} ignored, {held} is held")),
+            Judgement::TakeOtherEntries => {
+                info!("discovery: version {generation} again, with other entries")
+            }
+            Judgement::TakeOlder => {
+                info!("discovery: version {generation} taken in place of {held}")
+            }
+            Judgement::IgnoreOlder => {
+                return Err(format!("list {generation} ignored, {held} is held"));
+            }
             Judgement::Lost => return Err(format!("version {generation} after a later one")),
         }
         if planted("discovery-no-drains") && !list.full {
             list.entries.retain(|e| e.lifecycle != Lifecycle::Draining);
         }
         self.need = Need::Changes;
-        debug!("list {} full={} entries={}", list.generation, list.full, list.entries.len());
-        self.lists.send(list).map_err(|_| "the core has ended".to_string())
+        debug!(
+            "list {} full={} entries={}",
+            list.generation,
+            list.full,
+            list.entries.len()
+        );
+        self.lists
+            .send(list)
+            .map_err(|_| "the core has ended".to_string())
     }
 }
--- a/crates/woadreachd/src/discovery/parse.rs
+++ b/crates/woadreachd/src/discovery/parse.rs
@@ -7,7 +7,11 @@
 
 /// A list or a line of a watch; an entry that cannot be used is left out, with a log line.
 pub fn list(text: &[u8]) -> Result<List, Bad> {
-    let mut list = List { generation: 0, full: false, entries: Vec::new() };
+    let mut list = List {
+        generation: 0,
+        full: false,
+        entries: Vec::new(),
+    };
     let mut seen = (false, false);
     Reader::whole(text, |r| {
         r.object(|key, r| {
@@ -32,7 +36,11 @@
             Ok(())
         })
     })?;
-    if seen == (true, true) { Ok(list) } else { Err(Bad("no generation or no instances")) }
+    if seen == (true, true) {
+        Ok(list)
+    } else {
+        Err(Bad("no generation or no instances"))
+    }
 }
 
 fn entry(text: &[u8]) -> Result<Entry, Bad> {
@@ -59,7 +67,9 @@
             Ok(())
         })
     })?;
-    let id = id.filter(|i: &String| !i.is_empty()).ok_or(Bad("no instanceId"))?;
+    let id = id
+        .filter(|i: &String| !i.is_empty())
+        .ok_or(Bad("no instanceId"))?;
     Ok(Entry {
         id,
         address: address.ok_or(Bad("no hostPort"))?,
--- a/crates/woadreachd/src/discovery/schedule.rs
+++ b/crates/woadreachd/src/discovery/schedule.rs
@@ -102,10 +102,21 @@
     /// `interval` in seconds, as the function of that name gives it.
     pub fn new(now: f64, need: Need, interval: f64) -> Self {
         let call = |request, lifetime, after: f64| {
-            Some(Call { request, lifetime, open: false, due: now + after * interval })
+            Some(Call {
+                request,
+                lifetime,
+                open: false,
+                due: now + after * interval,
+            })
         };
-        let first = if need == Need::Changes { Request::Watch } else { Request::WholeList };
-        let resume = (need == Need::Resume).then(|| call(Request::Watch, None, 2.0)).flatten();
+        let first = if need == Need::Changes {
+            Request::Watch
+        } else {
+            Request::WholeList
+        };
+        let resume = (need == Need::Resume)
+            .then(|| call(Request::Watch, None, 2.0))
+            .flatten();
         Schedule {
             calls: [
                 call(first, None, 0.0),
@@ -126,7 +137,9 @@
         for (slot, call) in Slot::ALL.into_iter().zip(&mut self.calls) {
             if let Some(call) = call.as_mut().filter(|call| call.due <= now) {
                 call.open = true;
-                call.due = call.lifetime.map_or(f64::INFINITY, |lifetime| now + lifetime);
+                call.due = call
+                    .lifetime
+                    .map_or(f64::INFINITY, |lifetime| now + lifetime);
                 return Action::Open(slot, call.request);
             }
         }
--- a/crates/woadreachd/src/discovery/version.rs
+++ b/crates/woadreachd/src/discovery/version.rs
@@ -31,7 +31,10 @@
 
 impl Version {
     pub fn new(generation: Option<u64>) -> Self {
-        Version { generation, ..Version::default() }
+        Version {
+            generation,
+            ..Version::default()
+        }
     }
 
     pub fn generation(&self) -> Option<u64> {
@@ -54,19 +57,30 @@
     }
 
     fn compare(&self, list: &List) -> Judgement {
-        let Some(held) = self.generation else { return Judgement::Take };
+        let Some(held) = self.generation else {
+            return Judgement::Take;
+        };
         if list.generation < held {
             if !list.full {
                 return Judgement::Lost;
             }
-            return if self.doubted { Judgement::TakeOlder } else { Judgement::IgnoreOlder };
+            return if self.doubted {
+                Judgement::TakeOlder
+            } else {
+                Judgement::IgnoreOlder
+            };
         }
         let differs = if list.full {
-            self.digest.is_some_and(|digest| digest != digest_of(&list.entries))
+            self.digest
+                .is_some_and(|digest| digest != digest_of(&list.entries))
         } else {
             !list.entries.is_empty()
         };
-        if list.generation == held && differs { Judgement::TakeOtherEntries } else { Judgement::Take }
+        if list.generation == held && differs {
+            Judgement::TakeOtherEntries
+        } else {
+            Judgement::Take
+        }
     }
 
     fn hold(&mut self, list: &List) {
--- a/crates/woadreachd/src/events.rs
+++ b/crates/woadreachd/src/events.rs
@@ -99,7 +99,13 @@
 /// What a connection's task tells the core.
 pub enum Told {
     Up,
-    Answer { id: String, end: End, score: u64, value: Vec<u8>, at: f64 },
+    Answer {
+        id: String,
+        end: End,
+        score: u64,
+        value: Vec<u8>,
+        at: f64,
+    },
     Ended,
 }
 
--- a/crates/woadreachd/src/frame.rs
+++ b/crates/woadreachd/src/frame.rs
@@ -21,7 +21,12 @@
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
     /// `O`: the value is the bytes that came.
-    Answer { id: &'a str, end: End, score: u64, value: &'a [u8] },
+    Answer {
+        id: &'a str,
+        end: End,
+        score: u64,
+        value: &'a [u8],
+    },
     /// `I` or `U`: nothing here asks for probes.
     Probe,
     /// `Z`: the words say why the connection is closed.
@@ -30,7 +35,9 @@
 
 /// The first frame of `bytes` and how many of them it takes; None while it has not all come.
 pub fn read(bytes: &[u8]) -> Result<Option<(Frame<'_>, usize)>, Bad> {
-    let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes(*length) as usize;
     if length == 0 || length > LONGEST {
         return Err(Bad("length out of bounds"));
@@ -40,7 +47,9 @@
     if letter.is_some_and(|l| !b"OIUZ".contains(&l)) {
         return Err(Bad("unknown letter"));
     }
-    let Some(body) = rest.get(1..length) else { return Ok(None) };
+    let Some(body) = rest.get(1..length) else {
+        return Ok(None);
+    };
     let frame = match letter {
         Some(b'O') => answer(body)?,
         Some(b'Z') => Frame::Refused(body),
@@ -50,10 +59,14 @@
 }
 
 fn answer(body: &[u8]) -> Result<Frame<'_>, Bad> {
-    let end_of_line = body.iter().position(|b| *b == b'\n').ok_or(Bad("an answer without a line"))?;
+    let end_of_line = body
+        .iter()
+        .position(|b| *b == b'\n')
+        .ok_or(Bad("an answer without a line"))?;
     // The fourth word is the report, which nothing here reads: whatever it is, the answer is good.
     let mut words = body[..end_of_line].splitn(4, |b| *b == b' ').map(from_utf8);
-    let (Some(Ok(id)), Some(Ok(end)), Some(Ok(score))) = (words.next(), words.next(), words.next()) else {
+    let (Some(Ok(id)), Some(Ok(end)), Some(Ok(score))) = (words.next(), words.next(), words.next())
+    else {
         return Err(Bad("a line with too few words"));
     };
     let end = match end {
@@ -62,9 +75,18 @@
         "503" => End::Full,
         _ => return Err(Bad("unknown end")),
     };
-    let score = if score == "-" { Some(0) } else { score.parse().ok() };
+    let score = if score == "-" {
+        Some(0)
+    } else {
+        score.parse().ok()
+    };
     let score = score.ok_or(Bad("a score that is not a whole number"))?;
-    Ok(Frame::Answer { id, end, score, value: &body[end_of_line + 1..] })
+    Ok(Frame::Answer {
+        id,
+        end,
+        score,
+        value: &body[end_of_line + 1..],
+    })
 }
 
 /// One part of a call: its line, and the bytes that follow.
--- a/crates/woadreachd/src/front.rs
+++ b/crates/woadreachd/src/front.rs
@@ -104,7 +104,11 @@
     /// How many of so many bytes that a client has sent ahead may be kept.
     fn room(&mut self, bytes: usize) -> usize {
         let others = self.all.get() - self.own;
-        let most = if others < ALL_AHEAD { AHEAD } else { http::LONGEST_HEAD };
+        let most = if others < ALL_AHEAD {
+            AHEAD
+        } else {
+            http::LONGEST_HEAD
+        };
         self.own = bytes.min(most).saturating_sub(http::LONGEST_HEAD);
         self.all.set(others + self.own);
         most
@@ -154,7 +158,11 @@
 }
 
 fn refuse(status: u16, why: impl Into<String>) -> Refusal {
-    Refusal { status, why: why.into(), close: false }
+    Refusal {
+        status,
+        why: why.into(),
+        close: false,
+    }
 }
 
 impl From<Bad> for Refusal {
@@ -166,7 +174,11 @@
             Bad::NoLength => (411, "neither length nor chunks"),
             Bad::Version => (505, "not HTTP/1.1"),
         };
-        Refusal { status, why: why.into(), close: true }
+        Refusal {
+            status,
+            why: why.into(),
+            close: true,
+        }
     }
 }
 
@@ -257,15 +269,25 @@
 
     fn make_room(&self) {
         let (mut silent, mut served) = (self.silent.borrow_mut(), self.served.borrow_mut());
-        let old = silent.first_key_value().is_some_and(|(_, idle)| self.net.now() - idle.since > SILENT);
-        let from = if old || served.is_empty() { &mut *silent } else { &mut *served };
+        let old = silent
+            .first_key_value()
+            .is_some_and(|(_, idle)| self.net.now() - idle.since > SILENT);
+        let from = if old || served.is_empty() {
+            &mut *silent
+        } else {
+            &mut *served
+        };
         if let Some((_, idle)) = from.pop_first() {
             idle.wake.notify_one();
         }
     }
 
     async fn connection(self: Rc<Self>, stream: N::Stream, permit: Permit) {
-        let mut client = Client::<N> { stream, bytes: Vec::new(), came: self.net.now() };
+        let mut client = Client::<N> {
+            stream,
+            bytes: Vec::new(),
+            came: self.net.now(),
+        };
         if self.requests(&mut client).await {
             // Read to the client's end, or the kernel answers what is unread with a reset that overtakes
             // the answer.
@@ -282,7 +304,10 @@
                 }
             };
             let ending = *self.phase.borrow() == Phase::Ending;
-            let _ = self.net.timeout(if ending { LINGER_AT_END } else { LINGER }, drain).await;
+            let _ = self
+                .net
+                .timeout(if ending { LINGER_AT_END } else { LINGER }, drain)
+                .await;
         }
         drop(client);
         drop(permit);
@@ -310,7 +335,11 @@
                     answer
                 }
             };
-            match self.net.timeout(SLOW_READER, client.stream.write_all(&answer)).await {
+            match self
+                .net
+                .timeout(SLOW_READER, client.stream.write_all(&answer))
+                .await
+            {
                 Ok(Ok(())) if !close => {}
                 Ok(Ok(())) => return true,
                 _ => return false,
@@ -327,7 +356,12 @@
     /// The next request, whole; between requests the connection may be closed. For the first the time counts
     /// from its acceptance.
     async fn next_request(&self, client: &mut Client<N>, first: Option<f64>) -> Next {
-        let late = || Next::Refused(Refusal { close: true, ..refuse(408, "half sent") });
+        let late = || {
+            Next::Refused(Refusal {
+                close: true,
+                ..refuse(408, "half sent")
+            })
+        };
         let mut until = self.net.now() + HALF_SENT;
         let head = loop {
             match http::request(&client.bytes) {
@@ -350,7 +384,9 @@
             }
         };
         let framing = match head.framing() {
-            Ok(Framing::None) if head.method() == "POST" => return Next::Refused(Bad::NoLength.into()),
+            Ok(Framing::None) if head.method() == "POST" => {
+                return Next::Refused(Bad::NoLength.into());
+            }
             Ok(framing) => framing,
             Err(bad) => return Next::Refused(bad.into()),
         };
@@ -369,7 +405,11 @@
             }
             if std::mem::take(&mut owes_continue)
                 && client.bytes.is_empty()
-                && client.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err()
+                && client
+                    .stream
+                    .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
+                    .await
+                    .is_err()
             {
                 return Next::End;
             }
@@ -399,7 +439,13 @@
     async fn read_idle(&self, client: &mut Client<N>, first: bool) -> usize {
         let (number, wake) = (self.number(), Rc::new(Notify::new()));
         let idle = if first { &self.silent } else { &self.served };
-        idle.borrow_mut().insert(number, Idle { since: self.net.now(), wake: wake.clone() });
+        idle.borrow_mut().insert(
+            number,
+            Idle {
+                since: self.net.now(),
+                wake: wake.clone(),
+            },
+        );
         // Danger: clients that ask once and keep their connections hold memory and descriptors for good.
         client.bytes = Vec::new();
         let (mut phase, until, mut ending) = (self.phase.clone(), self.net.now() + IDLE, false);
@@ -502,9 +548,12 @@
                 let json = ("Content-Type", "application/json".to_string());
                 http::answer(200, &[json], &body(whole, &rows), close)
             }
-            Ok(Answer::Shed { retry_after }) if retry_after > 0.0 => {
-                http::answer(503, &[("Retry-After", format!("{retry_after:.3}"))], b"", close)
-            }
+            Ok(Answer::Shed { retry_after }) if retry_after > 0.0 => http::answer(
+                503,
+                &[("Retry-After", format!("{retry_after:.3}"))],
+                b"",
+                close,
+            ),
             Ok(Answer::Shed { .. }) => http::answer(503, &[], b"", close),
             Ok(Answer::Twice) => refusal(&refuse(409, "trace id in hand"), close),
             Ok(Answer::Errored) | Err(_) => http::answer(500, &[], b"", close),
@@ -525,7 +574,11 @@
                 return Err(refuse(405, "GET"));
             }
             let ready = self.ready.get() && *self.phase.borrow() == Phase::Serving;
-            return if path == "/health/live" || ready { Ok(None) } else { Err(refuse(503, "not ready")) };
+            return if path == "/health/live" || ready {
+                Ok(None)
+            } else {
+                Err(refuse(503, "not ready"))
+            };
         }
         let class = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let query_type = self.names.query_types.iter().position(|n| n == class);
@@ -541,7 +594,9 @@
         if trace.is_empty() || trace.len() > 128 || !trace.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(refuse(400, "missing or odd X-Trace-Id"));
         }
-        let left = head.header("x-expires-in").and_then(|v| v.parse::<f64>().ok());
+        let left = head
+            .header("x-expires-in")
+            .and_then(|v| v.parse::<f64>().ok());
         let left = left.filter(|l| *l > 0.0 && *l <= LONGEST_WAIT);
         let left = left.ok_or_else(|| refuse(400, "missing or odd X-Expires-In"))?;
         let customer = head.header("x-customer").unwrap_or("");
@@ -556,7 +611,10 @@
             tenant: TenantId(tenant.unwrap_or(self.names.tenants.len())),
             at,
             ends: at + left,
-            repeated: self.names.marks_repeats.then(|| head.header("x-second-try") == Some("1")),
+            repeated: self
+                .names
+                .marks_repeats
+                .then(|| head.header("x-second-try") == Some("1")),
             parts,
             text: text.into(),
             bytes: content.len(),
@@ -581,11 +639,21 @@
                         }
                         Ok(())
                     })?;
-                    let shard = shard.filter(|s| *s < self.names.shards).ok_or(BadJson("unknown shard"))?;
-                    let (weight, half) = weight.and_then(share).ok_or(BadJson("a share out of range"))?;
+                    let shard = shard
+                        .filter(|s| *s < self.names.shards)
+                        .ok_or(BadJson("unknown shard"))?;
+                    let (weight, half) = weight
+                        .and_then(share)
+                        .ok_or(BadJson("a share out of range"))?;
                     rounding += half;
-                    let twice = parts.insert(ShardId(shard), (parts.len(), weight)).is_some();
-                    if twice { Err(BadJson("a shard twice")) } else { Ok(()) }
+                    let twice = parts
+                        .insert(ShardId(shard), (parts.len(), weight))
+                        .is_some();
+                    if twice {
+                        Err(BadJson("a shard twice"))
+                    } else {
+                        Ok(())
+                    }
                 }),
                 "expr" if text.is_some() => Err(BadJson("expr twice")),
                 "expr" => {
@@ -605,7 +673,10 @@
         }
         let mut parts: Vec<_> = parts.into_iter().collect();
         parts.sort_by_key(|(_, (place, _))| *place);
-        let parts = parts.into_iter().map(|(shard, (_, weight))| (shard, weight)).collect();
+        let parts = parts
+            .into_iter()
+            .map(|(shard, (_, weight))| (shard, weight))
+            .collect();
         Ok((parts, text.ok_or("no expr")?))
     }
 }
@@ -614,7 +685,10 @@
 /// last one, at most that of the third, for a share that is written short may be exact.
 fn share(text: &str) -> Option<(f64, f64)> {
     let weight: f64 = text.parse().ok().filter(|w| (0.0..=1.0).contains(w))?;
-    let digits = text.split_once('.').map_or(0, |(_, rest)| rest.len()).clamp(3, 15);
+    let digits = text
+        .split_once('.')
+        .map_or(0, |(_, rest)| rest.len())
+        .clamp(3, 15);
     Some((weight, 0.5 * 0.1_f64.powi(digits as i32)))
 }
 
--- a/crates/woadreachd/src/http.rs
+++ b/crates/woadreachd/src/http.rs
@@ -50,17 +50,23 @@
 
     /// The value of a header, its name in lower case; the first if there are several.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
     fn says(&self, name: &str, word: &str) -> bool {
         let values = self.headers.iter().filter(|(n, _)| n == name);
-        values.flat_map(|(_, v)| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        values
+            .flat_map(|(_, v)| v.split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
     pub fn closes(&self) -> bool {
         self.says("connection", "close")
-            || (self.start.contains(&"HTTP/1.0".to_string()) && !self.says("connection", "keep-alive"))
+            || (self.start.contains(&"HTTP/1.0".to_string())
+                && !self.says("connection", "keep-alive"))
     }
 
     pub fn expects_continue(&self) -> bool {
@@ -71,7 +77,9 @@
     pub fn stream_framing(&self) -> Parsed<Framing> {
         match self.framing() {
             Err(Bad::BodyTooLong) => Ok(Framing::Length(
-                self.header("content-length").and_then(|v| v.parse().ok()).ok_or(Bad::BodyTooLong)?,
+                self.header("content-length")
+                    .and_then(|v| v.parse().ok())
+                    .ok_or(Bad::BodyTooLong)?,
             )),
             other => other,
         }
@@ -79,7 +87,11 @@
 
     /// How its body is delimited.
     pub fn framing(&self) -> Parsed<Framing> {
-        let mut lengths = self.headers.iter().filter(|(n, _)| n == "content-length").map(|(_, v)| v);
+        let mut lengths = self
+            .headers
+            .iter()
+            .filter(|(n, _)| n == "content-length")
+            .map(|(_, v)| v);
         let coding = self.headers.iter().any(|(n, _)| n == "transfer-encoding");
         let length = lengths.next();
         // Two readings of one message are how requests are smuggled.
@@ -87,12 +99,24 @@
             return Err(Bad::Malformed("more than one length"));
         }
         if coding {
-            let codings = self.headers.iter().filter(|(n, _)| n == "transfer-encoding").count();
-            let chunked = self.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
+            let codings = self
+                .headers
+                .iter()
+                .filter(|(n, _)| n == "transfer-encoding")
+                .count();
+            let chunked = self
+                .header("transfer-encoding")
+                .is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
             let only = codings == 1 && chunked;
-            return if only { Ok(Framing::Chunked) } else { Err(Bad::Malformed("unknown coding")) };
+            return if only {
+                Ok(Framing::Chunked)
+            } else {
+                Err(Bad::Malformed("unknown coding"))
+            };
         }
-        let Some(text) = length else { return Ok(Framing::None) };
+        let Some(text) = length else {
+            return Ok(Framing::None);
+        };
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
             return Err(Bad::Malformed("bad length"));
         }
@@ -104,39 +128,65 @@
 }
 
 fn token(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
 
 /// The head at the start of `bytes`; None while it has not all come.
 pub fn head(bytes: &[u8]) -> Parsed<Option<Head>> {
     let seen = &bytes[..bytes.len().min(LONGEST_HEAD)];
     let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if bytes.len() >= LONGEST_HEAD { Err(Bad::HeadTooLong) } else { Ok(None) };
+        return if bytes.len() >= LONGEST_HEAD {
+            Err(Bad::HeadTooLong)
+        } else {
+            Ok(None)
+        };
     };
-    let text = std::str::from_utf8(&seen[..end]).map_err(|_| Bad::Malformed("head is not UTF-8"))?;
-    if text.bytes().any(|b| (b < 0x20 && !matches!(b, b'\r' | b'\n' | b'\t')) || b == 0x7f) {
+    let text =
+        std::str::from_utf8(&seen[..end]).map_err(|_| Bad::Malformed("head is not UTF-8"))?;
+    if text
+        .bytes()
+        .any(|b| (b < 0x20 && !matches!(b, b'\r' | b'\n' | b'\t')) || b == 0x7f)
+    {
         return Err(Bad::Malformed("control character in the head"));
     }
     let mut lines = text.split("\r\n");
-    let mut words = lines.next().unwrap_or("").splitn(3, ' ').map(str::to_string);
+    let mut words = lines
+        .next()
+        .unwrap_or("")
+        .splitn(3, ' ')
+        .map(str::to_string);
     let (Some(a), Some(b)) = (words.next(), words.next()) else {
         return Err(Bad::Malformed("bad first line"));
     };
     let start = [a, b, words.next().unwrap_or_default()];
     let mut headers = Vec::new();
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(Bad::Malformed("a header without a colon"))?;
+        let (name, value) = line
+            .split_once(':')
+            .ok_or(Bad::Malformed("a header without a colon"))?;
         if !token(name) || value.contains(['\r', '\n']) {
             return Err(Bad::Malformed("bad header"));
         }
-        headers.push((name.to_ascii_lowercase(), value.trim_matches([' ', '\t']).to_string()));
+        headers.push((
+            name.to_ascii_lowercase(),
+            value.trim_matches([' ', '\t']).to_string(),
+        ));
     }
-    Ok(Some(Head { start, headers, length: end + 4 }))
+    Ok(Some(Head {
+        start,
+        headers,
+        length: end + 4,
+    }))
 }
 
 /// `head`, as that of a request.
 pub fn request(bytes: &[u8]) -> Parsed<Option<Head>> {
-    let Some(head) = head(bytes)? else { return Ok(None) };
+    let Some(head) = head(bytes)? else {
+        return Ok(None);
+    };
     let [method, target, version] = &head.start;
     if !token(method) || !target.starts_with('/') || target.contains(['\r', '\n']) {
         return Err(Bad::Malformed("bad first line"));
@@ -176,13 +226,20 @@
         match framing {
             Framing::None | Framing::Length(0) => Body::Done,
             Framing::Length(left) => Body::Length { left },
-            Framing::Chunked => Body::Chunks { left: 0, state: Chunk::Line },
+            Framing::Chunked => Body::Chunks {
+                left: 0,
+                state: Chunk::Line,
+            },
         }
     }
 
     /// The same of an answer.
     pub fn of_answer(framing: Framing) -> Self {
-        if framing == Framing::None { Body::ToEnd } else { Body::new(framing) }
+        if framing == Framing::None {
+            Body::ToEnd
+        } else {
+            Body::new(framing)
+        }
     }
 
     /// Whether the connection's sound end is the body's.
@@ -192,7 +249,12 @@
 
     /// Takes from `bytes` what is there of the body, adds its content to `out`, and gives how many bytes it
     /// took and whether the body has ended. `longest` bounds `out`.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>, longest: usize) -> Parsed<(usize, bool)> {
+    pub fn take(
+        &mut self,
+        bytes: &[u8],
+        out: &mut Vec<u8>,
+        longest: usize,
+    ) -> Parsed<(usize, bool)> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
@@ -205,7 +267,11 @@
                     out.extend(rest);
                     return Ok((bytes.len(), false));
                 }
-                Body::Length { left } | Body::Chunks { left, state: Chunk::Data } => {
+                Body::Length { left }
+                | Body::Chunks {
+                    left,
+                    state: Chunk::Data,
+                } => {
                     let n = rest.len().min(*left);
                     if out.len() + n > longest {
                         return Err(Bad::BodyTooLong);
@@ -216,19 +282,32 @@
                         return Ok((at, false));
                     }
                     *self = match self {
-                        Body::Chunks { .. } => Body::Chunks { left: 0, state: Chunk::DataEnd },
+                        Body::Chunks { .. } => Body::Chunks {
+                            left: 0,
+                            state: Chunk::DataEnd,
+                        },
                         _ => Body::Done,
                     };
                 }
                 Body::Chunks { left, state } => {
                     let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-                        let bound = if *state == Chunk::DataEnd { 1 } else { LONGEST_CHUNK_LINE };
+                        let bound = if *state == Chunk::DataEnd {
+                            1
+                        } else {
+                            LONGEST_CHUNK_LINE
+                        };
                         let long = rest.len() > bound;
-                        return if long { Err(Bad::Malformed("bad chunk")) } else { Ok((at, false)) };
+                        return if long {
+                            Err(Bad::Malformed("bad chunk"))
+                        } else {
+                            Ok((at, false))
+                        };
                     };
                     let line = &rest[..end];
                     match state {
-                        Chunk::DataEnd if !line.is_empty() => return Err(Bad::Malformed("bad chunk")),
+                        Chunk::DataEnd if !line.is_empty() => {
+                            return Err(Bad::Malformed("bad chunk"));
+                        }
                         Chunk::DataEnd => *state = Chunk::Line,
                         Chunk::Trailer if line.is_empty() => *self = Body::Done,
                         Chunk::Trailer if end > LONGEST_CHUNK_LINE => {
@@ -237,7 +316,11 @@
                         Chunk::Trailer => {}
                         _ => {
                             *left = chunk_length(line)?;
-                            *state = if *left == 0 { Chunk::Trailer } else { Chunk::Data };
+                            *state = if *left == 0 {
+                                Chunk::Trailer
+                            } else {
+                                Chunk::Data
+                            };
                             // No space for it is kept: this only spares reading what will be refused.
                             if out.len().saturating_add(*left) > longest {
                                 return Err(Bad::BodyTooLong);
@@ -254,15 +337,24 @@
 fn chunk_length(line: &[u8]) -> Parsed<usize> {
     let bad = Bad::Malformed("bad chunk");
     let digits = line.split(|b| *b == b';').next().unwrap_or(line);
-    let text = std::str::from_utf8(digits).map_err(|_| bad)?.trim_end_matches([' ', '\t']);
-    if text.is_empty() || line.len() > LONGEST_CHUNK_LINE || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
+    let text = std::str::from_utf8(digits)
+        .map_err(|_| bad)?
+        .trim_end_matches([' ', '\t']);
+    if text.is_empty()
+        || line.len() > LONGEST_CHUNK_LINE
+        || !text.bytes().all(|b| b.is_ascii_hexdigit())
+    {
         return Err(bad);
     }
     let text = text.trim_start_matches('0');
     if text.len() > 8 {
         return Err(Bad::BodyTooLong);
     }
-    if text.is_empty() { Ok(0) } else { usize::from_str_radix(text, 16).map_err(|_| bad) }
+    if text.is_empty() {
+        Ok(0)
+    } else {
+        usize::from_str_radix(text, 16).map_err(|_| bad)
+    }
 }
 
 /// The bytes of an answer.
--- a/crates/woadreachd/src/json.rs
+++ b/crates/woadreachd/src/json.rs
@@ -19,7 +19,11 @@
 
 impl<'a> Reader<'a> {
     pub fn new(text: &'a [u8]) -> Self {
-        Reader { text, at: 0, depth: 0 }
+        Reader {
+            text,
+            at: 0,
+            depth: 0,
+        }
     }
 
     /// Reads one value by `read`, after which nothing may follow.
@@ -27,11 +31,19 @@
         let mut reader = Reader::new(text);
         let value = read(&mut reader)?;
         reader.space();
-        if reader.at == text.len() { Ok(value) } else { Err(Bad("text after the value")) }
+        if reader.at == text.len() {
+            Ok(value)
+        } else {
+            Err(Bad("text after the value"))
+        }
     }
 
     fn space(&mut self) {
-        while self.text.get(self.at).is_some_and(|b| matches!(b, b' ' | b'\t' | b'\n' | b'\r')) {
+        while self
+            .text
+            .get(self.at)
+            .is_some_and(|b| matches!(b, b' ' | b'\t' | b'\n' | b'\r'))
+        {
             self.at += 1;
         }
     }
@@ -48,12 +60,20 @@
     }
 
     fn expect(&mut self, byte: u8, why: &'static str) -> Read<()> {
-        if self.eat(byte) { Ok(()) } else { Err(Bad(why)) }
+        if self.eat(byte) {
+            Ok(())
+        } else {
+            Err(Bad(why))
+        }
     }
 
     fn enter(&mut self) -> Read<()> {
         self.depth += 1;
-        if self.depth > DEPTH { Err(Bad("nested too deep")) } else { Ok(()) }
+        if self.depth > DEPTH {
+            Err(Bad("nested too deep"))
+        } else {
+            Ok(())
+        }
     }
 
     /// Calls `each` for every key; it must read the value.
@@ -110,10 +130,17 @@
                 Some(_) => self.at += 1,
             }
         }
-        let raw = self.text.get(from..self.at).ok_or(Bad("a string without an end"))?;
+        let raw = self
+            .text
+            .get(from..self.at)
+            .ok_or(Bad("a string without an end"))?;
         let raw = std::str::from_utf8(raw).map_err(|_| Bad("a string that is not UTF-8"))?;
         self.at += 1;
-        if escaped { unescape(raw).map(Cow::Owned) } else { Ok(Cow::Borrowed(raw)) }
+        if escaped {
+            unescape(raw).map(Cow::Owned)
+        } else {
+            Ok(Cow::Borrowed(raw))
+        }
     }
 
     /// The text of a number.
@@ -125,7 +152,11 @@
             while r.text.get(r.at).is_some_and(u8::is_ascii_digit) {
                 r.at += 1;
             }
-            if r.at > from { Ok(r.at - from) } else { Err(Bad("not a number")) }
+            if r.at > from {
+                Ok(r.at - from)
+            } else {
+                Err(Bad("not a number"))
+            }
         };
         if self.text.get(self.at) == Some(&b'-') {
             self.at += 1;
@@ -151,7 +182,9 @@
     }
 
     pub fn whole_number(&mut self) -> Read<u64> {
-        self.number_text()?.parse().map_err(|_| Bad("not a whole number of 0 or more"))
+        self.number_text()?
+            .parse()
+            .map_err(|_| Bad("not a whole number of 0 or more"))
     }
 
     pub fn boolean(&mut self) -> Read<bool> {
@@ -193,7 +226,11 @@
     let unit = |rest: &mut std::str::Chars| {
         let hex: String = rest.by_ref().take(4).collect();
         let digits = hex.len() == 4 && hex.bytes().all(|b| b.is_ascii_hexdigit());
-        if digits { u32::from_str_radix(&hex, 16).map_err(|_| bad) } else { Err(bad) }
+        if digits {
+            u32::from_str_radix(&hex, 16).map_err(|_| bad)
+        } else {
+            Err(bad)
+        }
     };
     while let Some(c) = rest.next() {
         if c != '\\' {
--- a/crates/woadreachd/src/lib.rs
+++ b/crates/woadreachd/src/lib.rs
@@ -46,8 +46,16 @@
 
 /// Serves until all is answered after `term`, or says why it cannot go on.
 pub async fn serve<N: Net>(net: N, config: Config, outside: Outside) -> Result<(), String> {
-    let Outside { hangup, mut term, given, report, verdict } = outside;
-    let listener = net.listen(config.listen).map_err(|e| format!("{}: {e}", config.listen))?;
+    let Outside {
+        hangup,
+        mut term,
+        given,
+        report,
+        verdict,
+    } = outside;
+    let listener = net
+        .listen(config.listen)
+        .map_err(|e| format!("{}: {e}", config.listen))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let sockets = Sockets::new(config.sockets);
     let (events, queue) = mpsc::unbounded_channel();
@@ -56,31 +64,67 @@
     let killed = AFTER_TERM + config.core.longest.min(COUNTED);
     // What comes until then is answered in time, or not at all.
     let closing = (killed - config.core.longest_target - SPARE).max(AFTER_TERM);
-    let replicas = replicas::Replicas::new(config.replicas, net.clone(), sockets.clone(), events.clone());
-    let mut core = Core::new(net.clone(), config.settings, config.core, replicas, sockets.clone(), report);
+    let replicas = replicas::Replicas::new(
+        config.replicas,
+        net.clone(),
+        sockets.clone(),
+        events.clone(),
+    );
+    let mut core = Core::new(
+        net.clone(),
+        config.settings,
+        config.core,
+        replicas,
+        sockets.clone(),
+        report,
+    );
     if let Some(shape) = config.watch {
         core.watch(shape, &config.names.query_types);
     }
     let mut peers = None;
     if let Some(figures) = config.peers {
-        let socket = net.datagrams(figures.listen).map_err(|e| format!("{}: {e}", figures.listen))?;
+        let socket = net
+            .datagrams(figures.listen)
+            .map_err(|e| format!("{}: {e}", figures.listen))?;
         let (sights, looks) = watch::channel(peers::Sights::default());
         let (words, heard) = mpsc::unbounded_channel();
         core.sights(figures.zones.len(), sights, words);
         let (phase, events) = (phases.clone(), events.clone());
-        let ends = peers::Ends { sights: looks, words: heard, phase, events, verdict };
+        let ends = peers::Ends {
+            sights: looks,
+            words: heard,
+            phase,
+            events,
+            verdict,
+        };
         peers = Some(net.spawn(peers::run(net.clone(), figures, socket, ends)));
     }
-    let front = Rc::new(Front::new(config.names, net.clone(), sockets.clone(), events, phases));
+    let front = Rc::new(Front::new(
+        config.names,
+        net.clone(),
+        sockets.clone(),
+        events,
+        phases,
+    ));
     let generation = config.known.as_ref().map(|k| k.generation);
     if let Some(known) = config.known {
-        core.list(events::List { full: true, ..known });
+        core.list(events::List {
+            full: true,
+            ..known
+        });
     }
     let ready = front.clone();
     let mut core = net.spawn(core.run(queue, list_queue, move || ready.ready.set(true)));
     let (place, places) = watch::channel(config.discovery);
     let interval = config.discovery_interval;
-    drop(net.spawn(discovery::follow(net.clone(), places, generation, interval, sockets, lists)));
+    drop(net.spawn(discovery::follow(
+        net.clone(),
+        places,
+        generation,
+        interval,
+        sockets,
+        lists,
+    )));
     drop(net.spawn(config::reload(hangup, given, config.file, place)));
     let serving = net.spawn(front.serve(listener));
     info!("listening on {address}");
--- a/crates/woadreachd/src/peers.rs
+++ b/crates/woadreachd/src/peers.rs
@@ -104,21 +104,62 @@
 
 /// Runs until the co-ordinator ends.
 pub async fn run<N: Net>(net: N, figures: Figures, socket: N::Datagrams, ends: Ends) {
-    let Ends { mut sights, mut words, mut phase, events, verdict } = ends;
+    let Ends {
+        mut sights,
+        mut words,
+        mut phase,
+        events,
+        verdict,
+    } = ends;
     let now = net.now();
     let id = MemberId(figures.me as u16);
-    let me = Member { id, zone: figures.zone as u8, turn: 0 };
+    let me = Member {
+        id,
+        zone: figures.zone as u8,
+        turn: 0,
+    };
     let roster = figures.roster.len();
-    let members = Members::new(me, roster, woadreach_members::Figures::default(), figures.seed, now);
-    let ramp = if figures.warm > 0.0 { (figures.warm / 3.0).clamp(RAMP.0, RAMP.1) } else { RAMP.0 };
-    let of_zones = woadreach_zones::Figures { ramp, ..woadreach_zones::Figures::default() };
-    let mut zones = Zones::new(id, figures.zone as u8, figures.regions.clone(), roster, of_zones, now);
+    let members = Members::new(
+        me,
+        roster,
+        woadreach_members::Figures::default(),
+        figures.seed,
+        now,
+    );
+    let ramp = if figures.warm > 0.0 {
+        (figures.warm / 3.0).clamp(RAMP.0, RAMP.1)
+    } else {
+        RAMP.0
+    };
+    let of_zones = woadreach_zones::Figures {
+        ramp,
+        ..woadreach_zones::Figures::default()
+    };
+    let mut zones = Zones::new(
+        id,
+        figures.zone as u8,
+        figures.regions.clone(),
+        roster,
+        of_zones,
+        now,
+    );
     zones.forced = figures.out.iter().map(|z| *z as u8).collect();
     let cold = figures.cold.filter(|_| figures.warden);
-    let place = Place { me: id, zone: figures.zone as u8, roster, cold };
+    let place = Place {
+        me: id,
+        zone: figures.zone as u8,
+        roster,
+        cold,
+    };
     let leases = woadreach_lease::Figures::default();
-    let duties = figures.duties.then(|| Duties::new(place, leases, figures.seed.rotate_left(17), now));
-    let names = figures.roster.iter().enumerate().map(|(n, at)| (*at, MemberId(n as u16)));
+    let duties = figures
+        .duties
+        .then(|| Duties::new(place, leases, figures.seed.rotate_left(17), now));
+    let names = figures
+        .roster
+        .iter()
+        .enumerate()
+        .map(|(n, at)| (*at, MemberId(n as u16)));
     let mut task = Task {
         net: net.clone(),
         by_address: names.collect(),
@@ -235,11 +276,19 @@
     }
 
     fn look_at_duties(&mut self, now: f64, told: &Sights) {
-        let Some(duties) = &mut self.duties else { return };
+        let Some(duties) = &mut self.duties else {
+            return;
+        };
         let before = |r: &Replica| self.wants.get(r).copied().unwrap_or((0, 1.0));
         let want = |(replica, wants, sent): &(Replica, u64, bool)| {
-            let wants = wants.saturating_sub(before(replica).0).min(u64::from(u32::MAX)) as u32;
-            Want { replica: *replica, wants, sent: *sent }
+            let wants = wants
+                .saturating_sub(before(replica).0)
+                .min(u64::from(u32::MAX)) as u32;
+            Want {
+                replica: *replica,
+                wants,
+                sent: *sent,
+            }
         };
         let wants: Vec<Want> = told.colds.iter().map(want).collect();
         let done = duties.look(now, self.peer.view(), &wants);
@@ -296,9 +345,17 @@
         let ids = |zones: &BTreeSet<u8>| zones.iter().map(|z| ZoneId(u64::from(*z))).collect();
         let step = |share: f64| (share / STEP).round() * STEP;
         let shares = self.peer.zones.shares(now);
-        let ladder = if self.figures.near { self.peer.zones.ladder(now, view) } else { Vec::new() };
+        let ladder = if self.figures.near {
+            self.peer.zones.ladder(now, view)
+        } else {
+            Vec::new()
+        };
         let zoning = Zoning {
-            shares: shares.iter().enumerate().map(|(z, s)| (ZoneId(z as u64), *s)).collect(),
+            shares: shares
+                .iter()
+                .enumerate()
+                .map(|(z, s)| (ZoneId(z as u64), *s))
+                .collect(),
             near: ladder.iter().map(|(z, s)| (ids(z), step(*s))).collect(),
         };
         // One that is out is told again, so that trials of its own do not end that.
@@ -326,7 +383,9 @@
             match change {
                 Change::Up(m) => debug!(member = m.0, "member up"),
                 // Unheard, while this side may be the one that is cut off.
-                Change::Down(m) if self.peer.view().cut_off => debug!(member = m.0, "member unheard"),
+                Change::Down(m) if self.peer.view().cut_off => {
+                    debug!(member = m.0, "member unheard")
+                }
                 Change::Down(m) => debug!(member = m.0, "member down"),
                 Change::Rejoined => warn!("taken for down by others, and back"),
                 Change::CutOff(cut) => warn!(cut_off = cut, "cut off"),
@@ -335,7 +394,11 @@
         for turn in &out.turns {
             (self.verdict)(turn);
             let v = turn.verdict;
-            let zone = self.figures.zones.get(usize::from(turn.zone)).map_or("", String::as_str);
+            let zone = self
+                .figures
+                .zones
+                .get(usize::from(turn.zone))
+                .map_or("", String::as_str);
             warn!(
                 zone,
                 epoch = v.epoch,
--- a/crates/woadreachd/src/replicas.rs
+++ b/crates/woadreachd/src/replicas.rs
@@ -117,7 +117,11 @@
     /// How one that is half sent ends: without its last byte it cannot have run.
     fn ending(&self, sub: SubId) -> Ending {
         let writing = self.writing.borrow().iter().any(|w| w.0 == sub);
-        if writing { Ending::NeverSent } else { Ending::TimedOut }
+        if writing {
+            Ending::NeverSent
+        } else {
+            Ending::TimedOut
+        }
     }
 
     fn unwritten(&self) -> BTreeSet<SubId> {
@@ -204,7 +208,12 @@
     pub fn list(&mut self, now: f64, list: &List) {
         if list.full {
             let named: BTreeSet<&str> = list.entries.iter().map(|e| e.id.as_str()).collect();
-            let gone: Vec<_> = self.peers.keys().filter(|r| !named.contains(&*r.0)).cloned().collect();
+            let gone: Vec<_> = self
+                .peers
+                .keys()
+                .filter(|r| !named.contains(&*r.0))
+                .cloned()
+                .collect();
             for r in gone {
                 self.leave(now, &r);
                 // Its connections end with the last part on them, and know nothing of it any more.
@@ -226,7 +235,11 @@
             return;
         }
         let (address, started_at) = (entry.address, entry.started_at);
-        let peer = self.peers.entry(id).or_insert(Peer { address, started_at, conns: BTreeSet::new() });
+        let peer = self.peers.entry(id).or_insert(Peer {
+            address,
+            started_at,
+            conns: BTreeSet::new(),
+        });
         // Danger: connections to a machine that has been silent stay open after it has come back as a new
         // process, and what is written to them is lost. Covers also a replica that moves. Harm: none but a
         // handshake, as a restarted process holds no old connection.
@@ -241,13 +254,23 @@
     /// Danger: a part that waits for a connection leaves after the grace of a drain. All that have not begun
     /// to leave are taken back at once. Covers also a replica that is gone. Harm: none, they are placed anew.
     fn leave(&mut self, now: f64, replica: &ReplicaId) {
-        let conns = self.peers.get(replica).map_or(BTreeSet::new(), |p| p.conns.clone());
+        let conns = self
+            .peers
+            .get(replica)
+            .map_or(BTreeSet::new(), |p| p.conns.clone());
         for id in conns {
-            let Some(conn) = self.conns.get(&id) else { continue };
+            let Some(conn) = self.conns.get(&id) else {
+                continue;
+            };
             let outbox = conn.outbox.clone();
-            let back = conn.out.values().copied().filter(|_| !planted("replicas-no-take-back"));
+            let back = conn
+                .out
+                .values()
+                .copied()
+                .filter(|_| !planted("replicas-no-take-back"));
             let back: Vec<SubId> = back.filter(|s| outbox.take_back(*s)).collect();
-            back.iter().for_each(|s| self.end(*s, Ending::NeverSent, now));
+            back.iter()
+                .for_each(|s| self.end(*s, Ending::NeverSent, now));
             self.retire(id);
         }
         for letter in self.batch.remove(replica).unwrap_or_default() {
@@ -267,7 +290,12 @@
     /// A part to be sent with the others of this round.
     pub fn send(&mut self, now: f64, replica: &ReplicaId, letter: Letter) {
         let (replica, id) = (replica.clone(), letter.id.clone());
-        let sub = Sub { replica: replica.clone(), conn: ConnId(u64::MAX), id, sent_at: now };
+        let sub = Sub {
+            replica: replica.clone(),
+            conn: ConnId(u64::MAX),
+            id,
+            sent_at: now,
+        };
         self.subs.insert(letter.sub, sub);
         self.batch.entry(replica).or_default().push(letter);
     }
@@ -298,12 +326,21 @@
         {
             self.open(now, replica);
         }
-        let Some(conn) = room.map(|(conn, _)| conn).or_else(|| self.open(now, replica)) else {
-            let why = if self.peers.contains_key(replica) { Ending::Unreachable } else { Ending::NeverSent };
+        let Some(conn) = room
+            .map(|(conn, _)| conn)
+            .or_else(|| self.open(now, replica))
+        else {
+            let why = if self.peers.contains_key(replica) {
+                Ending::Unreachable
+            } else {
+                Ending::NeverSent
+            };
             letters.iter().for_each(|l| self.end(l.sub, why, now));
             return;
         };
-        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
         c.last_used = now;
         for l in &letters {
             c.out.insert(l.id.clone(), l.sub);
@@ -324,13 +361,20 @@
             self.conns.get(id).is_some_and(|c| {
                 !c.retired
                     && (!c.out.is_empty() || now - c.last_used < idle)
-                    && c.out.len() + letters.len() <= self.figures.streams_per_conn.max(letters.len())
-                    && !letters
-                        .iter()
-                        .any(|l| c.out.contains_key(&l.id) || c.past.contains(&(l.id.clone(), true)))
+                    && c.out.len() + letters.len()
+                        <= self.figures.streams_per_conn.max(letters.len())
+                    && !letters.iter().any(|l| {
+                        c.out.contains_key(&l.id) || c.past.contains(&(l.id.clone(), true))
+                    })
             })
         };
-        let fitting = || self.peers.get(replica).into_iter().flat_map(|p| &p.conns).filter(fits);
+        let fitting = || {
+            self.peers
+                .get(replica)
+                .into_iter()
+                .flat_map(|p| &p.conns)
+                .filter(fits)
+        };
         // Danger: a further sub-request may be overtaken by the answer to an earlier one, and must not lie
         // unread by then: it goes where the replica has been heard, if it can. Covers a machine that accepts
         // late. Harm: none, the other connections are for first ones.
@@ -353,7 +397,15 @@
         debug!("connection {} to {} ({})", id.0, replica.0, peer.address);
         let (net, events) = (self.net.clone(), self.events.clone());
         let patience = self.figures.connect_timeout;
-        drop(self.net.spawn(connection(net, id, peer.address, patience, outbox.clone(), events, permit)));
+        drop(self.net.spawn(connection(
+            net,
+            id,
+            peer.address,
+            patience,
+            outbox.clone(),
+            events,
+            permit,
+        )));
         peer.conns.insert(id);
         let conn = Conn {
             replica: replica.clone(),
@@ -371,7 +423,9 @@
 
     /// Its outcome is ready to be told.
     fn end(&mut self, id: SubId, ending: Ending, at: f64) {
-        let Some(sub) = self.subs.remove(&id) else { return };
+        let Some(sub) = self.subs.remove(&id) else {
+            return;
+        };
         if let Some(c) = self.conns.get_mut(&sub.conn) {
             if c.out.remove(&sub.id).is_some() && ending != Ending::NeverSent {
                 // As many as may be out at once are enough to look back at.
@@ -387,20 +441,35 @@
             }
         }
         let latency = (at - sub.sent_at).max(0.0);
-        debug!("part {} {} at {}: {ending:?} after {latency:.4}", id.0.0, id.1, sub.replica.0);
-        self.ended.push_back(Outcome { part: id.0, nth: id.1, replica: sub.replica, ending, latency });
+        debug!(
+            "part {} {} at {}: {ending:?} after {latency:.4}",
+            id.0.0, id.1, sub.replica.0
+        );
+        self.ended.push_back(Outcome {
+            part: id.0,
+            nth: id.1,
+            replica: sub.replica,
+            ending,
+            latency,
+        });
     }
 
     /// The wait for it ends: given up by the module, or its time is over.
     pub fn give_up(&mut self, now: f64, id: SubId, timed_out: bool) {
-        let Some(sub) = self.subs.get(&id) else { return };
+        let Some(sub) = self.subs.get(&id) else {
+            return;
+        };
         // What has not left says nothing of the replica's work.
         let (mut late, mut deaf, mut cut) = (Ending::NeverSent, false, false);
         if let Some(conn) = self.conns.get_mut(&sub.conn) {
             if planted("replicas-cancelled-stays") {
                 late = Ending::TimedOut;
             } else if conn.outbox.take_back(id) {
-                late = if conn.up { Ending::NeverSent } else { Ending::Unreachable };
+                late = if conn.up {
+                    Ending::NeverSent
+                } else {
+                    Ending::Unreachable
+                };
             } else if conn.outbox.half_sent(id) {
                 (late, cut) = (conn.outbox.ending(id), true);
             } else {
@@ -411,7 +480,8 @@
                 // Danger: a machine that has gone silent, or an answer that was spoilt, leaves a connection
                 // open on which nothing comes any more, and each new part waits its whole time there. Covers
                 // any cause. Harm: a replica that is only slow is owed a new handshake.
-                deaf = conn.heard <= sub.sent_at && now > sub.sent_at + self.figures.connect_timeout;
+                deaf =
+                    conn.heard <= sub.sent_at && now > sub.sent_at + self.figures.connect_timeout;
             }
         }
         let conn = sub.conn;
@@ -436,7 +506,9 @@
 
     /// Its search is over: it does not leave any more, if it has not begun to.
     pub fn withdraw(&mut self, now: f64, id: SubId) {
-        let Some(sub) = self.subs.get(&id) else { return };
+        let Some(sub) = self.subs.get(&id) else {
+            return;
+        };
         let conn = sub.conn;
         let Some(outbox) = self.conns.get(&conn).map(|c| &c.outbox) else {
             return self.end(id, Ending::NeverSent, now);
@@ -454,7 +526,13 @@
     pub fn told(&mut self, now: f64, id: ConnId, told: Told) -> Option<(SubId, u64, String)> {
         match told {
             Told::Up => self.conns.get_mut(&id)?.up = true,
-            Told::Answer { id: part, end, score, value, at } => {
+            Told::Answer {
+                id: part,
+                end,
+                score,
+                value,
+                at,
+            } => {
                 let conn = self.conns.get_mut(&id)?;
                 conn.heard = now;
                 let Some(sub) = conn.out.get(&part).copied() else {
@@ -503,13 +581,23 @@
 
     /// All that is out on a connection which is of no further use ends by its true outcome.
     fn lose(&mut self, now: f64, id: ConnId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         let unwritten = conn.outbox.unwritten();
         conn.outbox.items.borrow_mut().clear();
         let out: Vec<SubId> = conn.out.values().copied().collect();
         for sub in out {
             let never = unwritten.contains(&sub) || planted("replicas-never-ran");
-            self.end(sub, if never { Ending::Unreachable } else { Ending::Broken }, now);
+            self.end(
+                sub,
+                if never {
+                    Ending::Unreachable
+                } else {
+                    Ending::Broken
+                },
+                now,
+            );
         }
     }
 
@@ -575,7 +663,9 @@
         let read = if begins {
             from.read(&mut bytes).await
         } else {
-            net.timeout_at(until, from.read(&mut bytes)).await.map_err(|_| "a frame without its end")?
+            net.timeout_at(until, from.read(&mut bytes))
+                .await
+                .map_err(|_| "a frame without its end")?
         };
         match read {
             Ok(0) => return Err("closed by the replica".into()),
@@ -588,8 +678,19 @@
         while let Some((frame, taken)) = frame::read(&bytes[at..]).map_err(|e| e.0)? {
             at += taken;
             match frame {
-                Frame::Answer { id: part, end, score, value } => {
-                    let told = Told::Answer { id: part.into(), end, score, value: value.into(), at: now };
+                Frame::Answer {
+                    id: part,
+                    end,
+                    score,
+                    value,
+                } => {
+                    let told = Told::Answer {
+                        id: part.into(),
+                        end,
+                        score,
+                        value: value.into(),
+                        at: now,
+                    };
                     let _ = events.send(Event::Told(id, told));
                 }
                 Frame::Probe => {}
@@ -626,7 +727,9 @@
             net.turn().await;
             net.turn().await;
         }
-        let Some(item) = outbox.items.borrow_mut().pop_front() else { continue };
+        let Some(item) = outbox.items.borrow_mut().pop_front() else {
+            continue;
+        };
         bytes.clear();
         match item {
             Item::GiveUp(id) => frame::give_up(&mut bytes, &id),
@@ -643,7 +746,8 @@
                     continue;
                 }
                 frame::call(&mut bytes, &parts);
-                *outbox.writing.borrow_mut() = letters.iter().map(|l| (l.sub, l.written.clone())).collect();
+                *outbox.writing.borrow_mut() =
+                    letters.iter().map(|l| (l.sub, l.written.clone())).collect();
             }
         }
         to.write_all(&bytes).await.map_err(|e| e.to_string())?;
@@ -656,7 +760,12 @@
 impl Letter {
     fn bytes(&self, now: f64) -> Vec<u8> {
         let wait = ((self.until - now) * 1000.0).floor().max(1.0);
-        frame::part(&self.id, self.shard, &format!("d={wait}{}", self.extras), &self.text)
+        frame::part(
+            &self.id,
+            self.shard,
+            &format!("d={wait}{}", self.extras),
+            &self.text,
+        )
     }
 }
 
--- a/crates/woadreachd/src/sockets.rs
+++ b/crates/woadreachd/src/sockets.rs
@@ -43,7 +43,13 @@
     pub fn new(limit: usize) -> Self {
         let limit = limit.saturating_sub(OTHERS + DISCOVERY).max(4);
         let (clients, replicas, discovery) = Default::default();
-        Sockets(Rc::new(Budget { limit, clients, replicas, discovery, freed: Notify::new() }))
+        Sockets(Rc::new(Budget {
+            limit,
+            clients,
+            replicas,
+            discovery,
+            freed: Notify::new(),
+        }))
     }
 
     /// Danger: a flood of clients leaves no descriptor to ask a replica with, and every search fails. Clients
@@ -61,7 +67,10 @@
             return None;
         }
         b.count(side).set(b.count(side).get() + 1);
-        Some(Permit { budget: b.clone(), side })
+        Some(Permit {
+            budget: b.clone(),
+            side,
+        })
     }
 
     /// Descriptors that clients never get.
@@ -82,7 +91,10 @@
 
     /// Held by clients, and by us.
     pub fn held(&self) -> (usize, usize) {
-        (self.0.clients.get(), self.0.replicas.get() + self.0.discovery.get())
+        (
+            self.0.clients.get(),
+            self.0.replicas.get() + self.0.discovery.get(),
+        )
     }
 }
 
--- a/crates/woadreachd/tests/daemon.rs
+++ b/crates/woadreachd/tests/daemon.rs
@@ -17,13 +17,17 @@
 fn answered_with_the_values_unchanged(#[case] split: usize) {
     let s = scene();
     let mut client = Wire::to(s.address);
-    let text = request("browse/x", "t-1", &[0, 1, 2], "q7\\u0041") + &request("browse", "t-2", &[0], "r");
+    let text =
+        request("browse/x", "t-1", &[0, 1, 2], "q7\\u0041") + &request("browse", "t-2", &[0], "r");
     client.write(&text[..split]);
     client.write(&text[split..]);
     let (mut a, mut b) = (s.a.accept(), s.b.accept());
     let sent = a.call();
     let ids: Vec<&str> = sent.iter().map(|p| p.id.as_str()).collect();
-    assert_eq!((ids, sent[1].shard, sent[1].text.as_str()), (vec!["t-1.0", "t-1.2"], 2, "q7A"));
+    assert_eq!(
+        (ids, sent[1].shard, sent[1].text.as_str()),
+        (vec!["t-1.0", "t-1.2"], 2, "q7A")
+    );
     let wait: u64 = sent[0].list.strip_prefix("d=").unwrap().parse().unwrap();
     assert!((1..=5000).contains(&wait), "{wait}");
     assert_eq!(b.call()[0].id, "t-1.1");
@@ -32,8 +36,15 @@
     a.answer("t-1.0", "200", 7, "");
     let (status, _, body) = client.reply();
     assert_eq!(status, 200);
-    assert_eq!(body, whole(true, &[row(0, ""), row(1, "v1"), row(2, "v\\\"2\\u000a")]));
-    assert_eq!(a.call()[0].id, "t-2.0", "the next request was read with the first");
+    assert_eq!(
+        body,
+        whole(true, &[row(0, ""), row(1, "v1"), row(2, "v\\\"2\\u000a")])
+    );
+    assert_eq!(
+        a.call()[0].id,
+        "t-2.0",
+        "the next request was read with the first"
+    );
     a.answer("t-2.0", "200", 0, "z");
     assert_eq!(client.reply().2, whole(true, &[row(0, "z")]));
 }
@@ -76,7 +87,10 @@
         );
         wire.answer(id, "200", 0, "second");
     }
-    assert_eq!(client.reply().2, whole(true, &[row(2, "second"), row(1, "second")]));
+    assert_eq!(
+        client.reply().2,
+        whole(true, &[row(2, "second"), row(1, "second")])
+    );
 }
 
 /// The time of a request that waits behind another counts from when it came: one whose time is over by its
@@ -85,7 +99,8 @@
 fn a_request_behind_another_keeps_its_time() {
     let s = scene();
     let mut client = Wire::to(s.address);
-    let second = request("browse", "t-2", &[0], "q").replace("X-Expires-In: 5.0", "X-Expires-In: 0.5");
+    let second =
+        request("browse", "t-2", &[0], "q").replace("X-Expires-In: 5.0", "X-Expires-In: 0.5");
     client.write(request("browse", "t-1", &[0], "q") + &second);
     let mut a = s.a.accept();
     a.call();
@@ -103,7 +118,8 @@
     let s = scene();
     let mut client = Wire::to(s.address);
     s.program.signal("-STOP");
-    client.write(request("browse", "t", &[0], "q").replace("X-Expires-In: 5.0", "X-Expires-In: 0.5"));
+    client
+        .write(request("browse", "t", &[0], "q").replace("X-Expires-In: 5.0", "X-Expires-In: 0.5"));
     std::thread::sleep(Duration::from_secs(1));
     s.program.signal("-CONT");
     assert_eq!(client.reply().0, 503);
@@ -151,7 +167,12 @@
 
 #[test]
 fn shed_when_the_replica_refuses() {
-    let Scene { a, address, program: _program, .. } = scene();
+    let Scene {
+        a,
+        address,
+        program: _program,
+        ..
+    } = scene();
     drop(a);
     let mut client = Wire::to(address);
     client.write(request("pay", "t", &[0], "q"));
@@ -265,7 +286,11 @@
     let mut first = s.a.accept();
     first.call();
     ask(1);
-    assert_eq!(first.call()[0].id, "t1.0", "it does not wait for the next connection");
+    assert_eq!(
+        first.call()[0].id,
+        "t1.0",
+        "it does not wait for the next connection"
+    );
     let mut second = s.a.accept();
     ask(2);
     assert_eq!(second.call()[0].id, "t2.0");
@@ -279,10 +304,15 @@
 #[test]
 fn replicas_come_and_go() {
     let mut s = scene();
-    let mut watch = watch(&s.discovery, &[s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")]);
+    let mut watch = watch(
+        &s.discovery,
+        &[s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")],
+    );
     for n in 0..200 {
-        let (old, new) =
-            (s.a.line(&format!("n{n}"), 0, "gone"), s.a.line(&format!("n{}", n + 1), 0, "ready"));
+        let (old, new) = (
+            s.a.line(&format!("n{n}"), 0, "gone"),
+            s.a.line(&format!("n{}", n + 1), 0, "ready"),
+        );
         tell(&mut watch, &list(43 + n, false, &[old, new]));
     }
     s.program.says("list 242 ");
@@ -326,16 +356,25 @@
 #[test]
 fn a_drain_takes_back_what_waits() {
     let mut s = scene_with(with_others);
-    let mut watch = watch(&s.discovery, &[others(), vec![s.a.line("a", 0, "ready")]].concat());
+    let mut watch = watch(
+        &s.discovery,
+        &[others(), vec![s.a.line("a", 0, "ready")]].concat(),
+    );
     let mut clients = crowd(&mut s);
-    tell(&mut watch, &list(43, false, &[s.a.line("a", 0, "draining")]));
+    tell(
+        &mut watch,
+        &list(43, false, &[s.a.line("a", 0, "draining")]),
+    );
     let mut a = s.a.accept();
     let mut sent = 0;
     while let Some((letter, body)) = a.frame() {
         sent += if letter == 'D' { parts(&body).len() } else { 0 };
     }
     let (errored, shed) = statuses(&mut clients);
-    assert!(errored == sent && sent > 0 && shed > 0, "{sent} sent, {errored} errored, {shed} shed");
+    assert!(
+        errored == sent && sent > 0 && shed > 0,
+        "{sent} sent, {errored} errored, {shed} shed"
+    );
 }
 
 /// Parts whose frame had not been written have not run; the others may have.
@@ -376,8 +415,16 @@
     let c = StandIn::new();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let mut first = watch(&s.discovery, &lines);
-    let odd = r#"{"instanceId":"x","hostPort":"nowhere","cell":0,"lifecycle":"ready"},7"#.to_string();
-    tell(&mut first, &list(43, false, &[s.a.line("a", 0, "gone"), odd, c.line("c", 0, "ready")]));
+    let odd =
+        r#"{"instanceId":"x","hostPort":"nowhere","cell":0,"lifecycle":"ready"},7"#.to_string();
+    tell(
+        &mut first,
+        &list(
+            43,
+            false,
+            &[s.a.line("a", 0, "gone"), odd, c.line("c", 0, "ready")],
+        ),
+    );
     drop(first);
     let mut second = watch_from(&s.discovery, 43);
     let mut client = Wire::to(s.address);
@@ -419,7 +466,10 @@
     s.program.signal("-HUP");
     assert_eq!(s.program.says("at the next start only: "), "limits");
     // The whole list of the new place, and what is told there from then on, is in force.
-    let mut new = watch(&next, &[s.a.line("a", 0, "draining"), s.b.line("b", 1, "ready")]);
+    let mut new = watch(
+        &next,
+        &[s.a.line("a", 0, "draining"), s.b.line("b", 1, "ready")],
+    );
     assert!(old.ended());
     tell(&mut new, &list(43, false, &[c.line("c", 0, "ready")]));
     s.program.says("list 43 ");
@@ -464,7 +514,10 @@
     for (client, id) in [(&mut first, "t.0"), (&mut next, "u.0")] {
         a.answer(id, "200", 0, "v");
         let (status, head, _) = client.reply();
-        assert!(status == 200 && !head.contains("Connection: close"), "{head}");
+        assert!(
+            status == 200 && !head.contains("Connection: close"),
+            "{head}"
+        );
     }
     first.write(request("browse", "w", &[0], "q"));
     a.call();
@@ -511,7 +564,9 @@
 fn clients_wait_while_all_are_busy() {
     let s = scene_with(|c| with_others(c).replace("\"sockets\":1024", "\"sockets\":40"));
     let mut busy: Vec<Wire> = (0..18).map(|_| Wire::to(s.address)).collect();
-    busy.iter_mut().enumerate().for_each(|(i, c)| c.write(request("browse", &format!("t{i}"), &[0], "q")));
+    busy.iter_mut()
+        .enumerate()
+        .for_each(|(i, c)| c.write(request("browse", &format!("t{i}"), &[0], "q")));
     let mut a = s.a.accept();
     let mut ids = Vec::new();
     while ids.len() < busy.len() {
@@ -561,7 +616,11 @@
 #[case::over_one(request("browse", "t", &[0, 1], "q").replace("\"w\":0.5", "\"w\":1.5"), 400, false)]
 #[case::shares_over(request("browse", "t", &[0, 1], "q").replace("\"w\":0.5", "\"w\":0.6"), 400, false)]
 #[case::shares_under(edited("\"w\":1", "\"w\":0.99"), 400, false)]
-#[case::parts_twice(edited("{\"parts\"", "{\"parts\":[{\"id\":1,\"w\":0}],\"parts\""), 400, false)]
+#[case::parts_twice(
+    edited("{\"parts\"", "{\"parts\":[{\"id\":1,\"w\":0}],\"parts\""),
+    400,
+    false
+)]
 #[case::text_twice(edited("\"expr\"", "\"expr\":\"x\",\"expr\""), 400, false)]
 #[case::beyond_sense(edited("5.0", "1e300"), 400, false)]
 #[case::endless_share(edited("\"w\":1", "\"w\":1e999"), 400, false)]
@@ -700,7 +759,13 @@
 /// after an error, as before, and that is counted.
 #[test]
 fn the_watch_counts_what_a_new_shape_would_not_allow() {
-    let s = scene_with(|c| c.replacen(r#""settings":{"#, r#""settings":{"watch":{"once":["browse"]},"#, 1));
+    let s = scene_with(|c| {
+        c.replacen(
+            r#""settings":{"#,
+            r#""settings":{"watch":{"once":["browse"]},"#,
+            1,
+        )
+    });
     let mut program = s.program;
     let mut client = Wire::to(s.address);
     client.write(request("browse", "t", &[0], "q"));
@@ -712,7 +777,11 @@
     assert_eq!(client.reply().0, 200);
     // The counts are told with each report, the first of them perhaps before the search came.
     let told: Vec<String> = (0..2).map(|_| program.says("watch ")).collect();
-    assert!(told.iter().any(|t| t == "retry_after=0 second_copy=0 repeat_once=1"), "{told:?}");
+    assert!(
+        told.iter()
+            .any(|t| t == "retry_after=0 second_copy=0 repeat_once=1"),
+        "{told:?}"
+    );
 }
 
 /// A watch that is not sound refuses the start, naming the key.
@@ -722,7 +791,11 @@
 #[case::unknown(r#"{"probes":false}"#, "/watch/probes")]
 fn an_unsound_watch_refuses_the_start(#[case] watch: &str, #[case] key: &str) {
     let config = config(&[], SocketAddr::from(([127, 0, 0, 1], 1)));
-    let config = config.replacen(r#""settings":{"#, &format!(r#""settings":{{"watch":{watch},"#), 1);
+    let config = config.replacen(
+        r#""settings":{"#,
+        &format!(r#""settings":{{"watch":{watch},"#),
+        1,
+    );
     let mut program = Program::start(env!("CARGO_BIN_EXE_woadreachd"), Some(&config));
     program.says(key);
     assert_ne!(program.exit(), Some(0));
--- a/crates/woadreachd/tests/endings.rs
+++ b/crates/woadreachd/tests/endings.rs
@@ -26,7 +26,10 @@
 }
 
 fn head_and(list: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nX-Padding: {}\r\n\r\n{list}", "x".repeat(100))
+    format!(
+        "HTTP/1.1 200 OK\r\nX-Padding: {}\r\n\r\n{list}",
+        "x".repeat(100)
+    )
 }
 
 // ---- discovery: a call or a watch that ends, or never does ----
@@ -59,7 +62,11 @@
     second.head();
     let mut third = s.discovery.accept();
     third.head();
-    let answers = if first_answers { &mut first } else { &mut third };
+    let answers = if first_answers {
+        &mut first
+    } else {
+        &mut third
+    };
     give(answers, &list(42, true, &[s.a.line("a", 0, "ready")]));
     watch_from(&s.discovery, 42);
     assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
@@ -77,7 +84,10 @@
     trickle(open, half);
     let mut call = s.discovery.accept();
     assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"));
-    give(&mut call, &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]));
+    give(
+        &mut call,
+        &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
+    );
     s.program.says("list 44 ");
     assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
 }
@@ -90,8 +100,14 @@
     let _silent = watch(&s.discovery, &lines);
     let start = Instant::now();
     let mut call = s.discovery.accept();
-    assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"), "not another watch");
-    give(&mut call, &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]));
+    assert!(
+        call.head().starts_with("GET /registry/instances HTTP/1.1"),
+        "not another watch"
+    );
+    give(
+        &mut call,
+        &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
+    );
     s.program.says("list 44 ");
     assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
 }
@@ -107,7 +123,10 @@
         call.write(head_and(&list(generation, true, &lines)));
         if sound { drop(call) } else { reset(call) }
     }
-    assert!(s.program.says("discovery: list ").starts_with("43 "), "a reset is no end");
+    assert!(
+        s.program.says("discovery: list ").starts_with("43 "),
+        "a reset is no end"
+    );
 }
 
 /// An object of a watch may be written over several lines.
@@ -117,8 +136,10 @@
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let mut open = watch(&s.discovery, &lines);
     let text = list(43, false, &[s.a.line("a", 0, "draining")]);
-    let indented =
-        text.replacen('{', "{\n  ", 1).replace(":[{", ":[\n    {\n      ").replace("}]}", "}\n  ]\n}");
+    let indented = text
+        .replacen('{', "{\n  ", 1)
+        .replace(":[{", ":[\n    {\n      ")
+        .replace("}]}", "}\n  ]\n}");
     assert_ne!(text, indented);
     tell(&mut open, &indented);
     s.program.says("list 43 ");
@@ -151,13 +172,21 @@
     let next = StandIn::new();
     let text = std::fs::read_to_string(&s.program.path).unwrap();
     let here = s.discovery.address().to_string();
-    std::fs::write(&s.program.path, text.replace(&here, &next.address().to_string())).unwrap();
+    std::fs::write(
+        &s.program.path,
+        text.replace(&here, &next.address().to_string()),
+    )
+    .unwrap();
     let start = Instant::now();
     s.program.signal("-HUP");
     watch(&next, &[s.a.line("a", 0, "ready")]);
     // What comes from the old place now is nobody's.
     assert!(hung.ended());
-    assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 /// While discovery is down clients and replicas take every descriptor that they may: the call at its return
@@ -169,8 +198,10 @@
     let lines: Vec<String> = (0..replicas.len()).map(|i| line(i, "ready")).collect();
     let discovery = StandIn::new();
     let here = discovery.address();
-    let long = config(&lines, here)
-        .replace("\"aimMs\":3000,\"giveUpMs\":5000", "\"aimMs\":15000,\"giveUpMs\":20000");
+    let long = config(&lines, here).replace(
+        "\"aimMs\":3000,\"giveUpMs\":5000",
+        "\"aimMs\":15000,\"giveUpMs\":20000",
+    );
     let (mut program, address) = start(&long.replace("\"sockets\":1024", "\"sockets\":40"));
     drop((watch(&discovery, &lines), discovery));
     program.says("Connection refused");
@@ -224,10 +255,16 @@
         if status == 200 {
             break;
         }
-        assert!(status == 503 && start.elapsed() < Duration::from_secs(10), "{status}");
+        assert!(
+            status == 503 && start.elapsed() < Duration::from_secs(10),
+            "{status}"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert!(start.elapsed() > Duration::from_secs(1), "it waits for a list first");
+    assert!(
+        start.elapsed() > Duration::from_secs(1),
+        "it waits for a list first"
+    );
     let mut client = Wire::to(address);
     client.write(request("pay", "t", &[0], "q"));
     assert_eq!(client.reply().0, 503);
@@ -250,7 +287,11 @@
     let gone = Instant::now();
     drop(client);
     assert_eq!(a.frame(), Some(('K', b"t.0".to_vec())));
-    assert!(gone.elapsed() < Duration::from_secs(1), "{:?}", gone.elapsed());
+    assert!(
+        gone.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        gone.elapsed()
+    );
 }
 
 /// One that stays after it has sent much gets its answer, and an end.
@@ -288,7 +329,11 @@
     // Of the next search, which waits for nothing.
     let mut next = Wire::to(s.address);
     next.write(request("browse", "u", &[0], "q"));
-    assert_eq!(late.call()[0].id, "u.0", "sent on for a client that has gone");
+    assert_eq!(
+        late.call()[0].id,
+        "u.0",
+        "sent on for a client that has gone"
+    );
 }
 
 // ---- attempts that may not begin any more ----
@@ -299,7 +344,10 @@
 fn a_repeat_that_waits_past_its_window_does_not_leave() {
     let s = scene_with(|c| {
         c.replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":4000")
-            .replace("\"once\"", "\"by_key\",\"memorySpanMs\":500,\"group\":\"all\"")
+            .replace(
+                "\"once\"",
+                "\"by_key\",\"memorySpanMs\":500,\"group\":\"all\"",
+            )
     });
     let mut client = Wire::to(s.address);
     client.write(request("pay", "t", &[0], "q"));
@@ -365,7 +413,13 @@
 fn a_client_that_never_reads() {
     const ASKED: usize = 200;
     const VALUE: usize = 60_000;
-    let Scene { a, discovery: _discovery, program: _program, address, .. } = scene();
+    let Scene {
+        a,
+        discovery: _discovery,
+        program: _program,
+        address,
+        ..
+    } = scene();
     let mut slow = Wire::to(address);
     let ask = |i| request("browse", &format!("t{i}"), &[0], "q");
     slow.write((0..ASKED).map(ask).collect::<String>());
@@ -373,7 +427,9 @@
         let mut a = a.accept();
         let value = "v".repeat(VALUE);
         while let Some(('D', body)) = a.frame() {
-            parts(&body).iter().for_each(|p| a.answer(&p.id, "200", 0, &value));
+            parts(&body)
+                .iter()
+                .for_each(|p| a.answer(&p.id, "200", 0, &value));
         }
     });
     std::thread::sleep(Duration::from_secs(1));
@@ -385,5 +441,8 @@
     let mut read = Vec::new();
     let _ = slow.0.read_to_end(&mut read);
     let answers = read.windows(9).filter(|w| w == b"HTTP/1.1 ").count();
-    assert!((1..ASKED).contains(&answers), "{answers} answers: it was waited for");
+    assert!(
+        (1..ASKED).contains(&answers),
+        "{answers} answers: it was waited for"
+    );
 }
--- a/crates/woadreachd/tests/parsers.rs
+++ b/crates/woadreachd/tests/parsers.rs
@@ -6,8 +6,7 @@
 use woadreachd::{frame, http, json};
 
 const LENGTH: &str = "POST /a/b?c HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\n\r\nhello";
-const CHUNKS: &str =
-    "POST /a/b?c HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nT: u\r\n\r\n";
+const CHUNKS: &str = "POST /a/b?c HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nT: u\r\n\r\n";
 
 /// Reads a request that comes in two pieces: its first words, its content, and the bytes that it takes.
 fn in_two(text: &[u8], split: usize) -> Result<(String, Vec<u8>, usize), Bad> {
@@ -36,7 +35,11 @@
     let two = format!("{text}GET /next");
     for split in 0..=two.len() {
         let read = in_two(two.as_bytes(), split).unwrap();
-        assert_eq!(read, ("POST /a/b".into(), b"hello".to_vec(), text.len()), "split at {split}");
+        assert_eq!(
+            read,
+            ("POST /a/b".into(), b"hello".to_vec(), text.len()),
+            "split at {split}"
+        );
     }
 }
 
@@ -46,9 +49,13 @@
 fn a_truncated_request_is_never_whole(#[case] text: &str) {
     for end in 0..text.len() {
         let bytes = &text.as_bytes()[..end];
-        let Some(head) = http::request(bytes).unwrap() else { continue };
+        let Some(head) = http::request(bytes).unwrap() else {
+            continue;
+        };
         let mut body = Body::new(head.framing().unwrap());
-        let (_, ended) = body.take(&bytes[head.length..], &mut Vec::new(), 64).unwrap();
+        let (_, ended) = body
+            .take(&bytes[head.length..], &mut Vec::new(), 64)
+            .unwrap();
         assert!(!ended, "ended at {end}");
     }
 }
@@ -57,15 +64,33 @@
 #[case::no_version("GET /\r\n\r\n", Bad::Malformed("bad first line"))]
 #[case::no_path("GET x HTTP/1.1\r\n\r\n", Bad::Malformed("bad first line"))]
 #[case::other_version("GET / HTTP/2.0\r\n\r\n", Bad::Version)]
-#[case::no_colon("GET / HTTP/1.1\r\nHost\r\n\r\n", Bad::Malformed("a header without a colon"))]
+#[case::no_colon(
+    "GET / HTTP/1.1\r\nHost\r\n\r\n",
+    Bad::Malformed("a header without a colon")
+)]
 #[case::space_in_name("GET / HTTP/1.1\r\nA b: c\r\n\r\n", Bad::Malformed("bad header"))]
-#[case::folded("GET / HTTP/1.1\r\nA: b\r\n c: d\r\n\r\n", Bad::Malformed("bad header"))]
+#[case::folded(
+    "GET / HTTP/1.1\r\nA: b\r\n c: d\r\n\r\n",
+    Bad::Malformed("bad header")
+)]
 #[case::bare_line_feed("GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", Bad::Malformed("bad header"))]
-#[case::control("GET / HTTP/1.1\r\nA: \0\r\n\r\n", Bad::Malformed("control character in the head"))]
-#[case::signed("P / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Bad::Malformed("bad length"))]
-#[case::huge("P / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", Bad::BodyTooLong)]
+#[case::control(
+    "GET / HTTP/1.1\r\nA: \0\r\n\r\n",
+    Bad::Malformed("control character in the head")
+)]
+#[case::signed(
+    "P / HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
+    Bad::Malformed("bad length")
+)]
+#[case::huge(
+    "P / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
+    Bad::BodyTooLong
+)]
 #[case::over("P / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", Bad::BodyTooLong)]
-#[case::coding("P / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Bad::Malformed("unknown coding"))]
+#[case::coding(
+    "P / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
+    Bad::Malformed("unknown coding")
+)]
 fn odd_heads(#[case] text: &str, #[case] bad: Bad) {
     assert_eq!(in_two(text.as_bytes(), text.len()), Err(bad));
 }
@@ -76,7 +101,10 @@
 #[case::the_same_again("Content-Length: 1")]
 fn two_lengths_are_refused(#[case] second: &str) {
     let text = format!("P / HTTP/1.1\r\nContent-Length: 1\r\n{second}\r\n\r\n");
-    assert_eq!(in_two(text.as_bytes(), text.len()), Err(Bad::Malformed("more than one length")));
+    assert_eq!(
+        in_two(text.as_bytes(), text.len()),
+        Err(Bad::Malformed("more than one length"))
+    );
 }
 
 #[rstest]
@@ -86,7 +114,8 @@
 #[case::claims_much("ffffffff\r\n", Bad::BodyTooLong)]
 #[case::overflows("fffffffffffffffff\r\n", Bad::BodyTooLong)]
 fn odd_chunks(#[case] text: &str, #[case] bad: Bad) {
-    let taken = Body::new(Framing::Chunked).take(text.as_bytes(), &mut Vec::new(), http::LONGEST_BODY);
+    let taken =
+        Body::new(Framing::Chunked).take(text.as_bytes(), &mut Vec::new(), http::LONGEST_BODY);
     assert_eq!(taken, Err(bad));
 }
 
@@ -95,7 +124,11 @@
     let long = "GET / HTTP/1.1\r\nA: ".to_string() + &"a".repeat(http::LONGEST_HEAD);
     assert_eq!(http::request(long.as_bytes()).err(), Some(Bad::HeadTooLong));
     let line = "1;".to_string() + &"x".repeat(1000);
-    assert!(Body::new(Framing::Chunked).take(line.as_bytes(), &mut Vec::new(), 64).is_err());
+    assert!(
+        Body::new(Framing::Chunked)
+            .take(line.as_bytes(), &mut Vec::new(), 64)
+            .is_err()
+    );
 }
 
 fn framed(body: &[u8]) -> Vec<u8> {
@@ -110,9 +143,17 @@
     }
     let two = [answer.clone(), framed(b"Zno")].concat();
     let (first, taken) = frame::read(&two).unwrap().unwrap();
-    let expect = frame::Frame::Answer { id: "ab.3", end: frame::End::Ok, score: 1840277719, value: b"x\ny" };
+    let expect = frame::Frame::Answer {
+        id: "ab.3",
+        end: frame::End::Ok,
+        score: 1840277719,
+        value: b"x\ny",
+    };
     assert_eq!((first, taken), (expect, answer.len()));
-    assert_eq!(frame::read(&two[taken..]), Ok(Some((frame::Frame::Refused(b"no"), 7))));
+    assert_eq!(
+        frame::read(&two[taken..]),
+        Ok(Some((frame::Frame::Refused(b"no"), 7)))
+    );
 }
 
 #[rstest]
@@ -133,13 +174,24 @@
 #[case::more_words(b"Oab.3 200 7 a b c\nvalue")]
 #[case::none(b"Oab.3 200 7 \nvalue")]
 fn an_answer_is_good_whatever_its_report(#[case] body: &[u8]) {
-    let expect = frame::Frame::Answer { id: "ab.3", end: frame::End::Ok, score: 7, value: b"value" };
-    assert_eq!(frame::read(&framed(body)), Ok(Some((expect, body.len() + 4))));
+    let expect = frame::Frame::Answer {
+        id: "ab.3",
+        end: frame::End::Ok,
+        score: 7,
+        value: b"value",
+    };
+    assert_eq!(
+        frame::read(&framed(body)),
+        Ok(Some((expect, body.len() + 4)))
+    );
 }
 
 #[test]
 fn a_call_states_its_length_and_keeps_the_text() {
-    let parts = [frame::part("ab.3", 3, "d=240", "q\"\\u00e9"), frame::part("ab.9", 9, "d=240", "")];
+    let parts = [
+        frame::part("ab.3", 3, "d=240", "q\"\\u00e9"),
+        frame::part("ab.9", 9, "d=240", ""),
+    ];
     let mut out = Vec::new();
     frame::call(&mut out, &parts.each_ref().map(|p| p.as_slice()));
     frame::give_up(&mut out, "ab.3");
--- a/crates/woadreachd/tests/scene/mod.rs
+++ b/crates/woadreachd/tests/scene/mod.rs
@@ -46,24 +46,39 @@
     let (a, b, discovery) = (StandIn::new(), StandIn::new(), StandIn::new());
     let known = [a.line("a", 0, "ready"), b.line("b", 1, "ready")];
     let (program, address) = start(&change(config(&known, discovery.address())));
-    Scene { a, b, discovery, program, address }
+    Scene {
+        a,
+        b,
+        discovery,
+        program,
+        address,
+    }
 }
 
 /// So many replicas beside that each has a single connection.
 pub fn others() -> Vec<String> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    (0..300).map(|n| entry(&format!("x{n}"), nowhere, 1, "ready")).collect()
+    (0..300)
+        .map(|n| entry(&format!("x{n}"), nowhere, 1, "ready"))
+        .collect()
 }
 
 pub fn with_others(config: String) -> String {
-    config.replacen("\"instances\":[", &format!("\"instances\":[{},", others().join(",")), 1)
+    config.replacen(
+        "\"instances\":[",
+        &format!("\"instances\":[{},", others().join(",")),
+        1,
+    )
 }
 
 /// With this aim for each query type and this connect time-out, in ms. By their keys: the same digits may
 /// stand in a port.
 pub fn with_times(config: &str, aim: u32, connect: u32) -> String {
     let aims = config.replace("\"aimMs\":3000", &format!("\"aimMs\":{aim}"));
-    let times = aims.replace("\"connectTimeoutMs\":250", &format!("\"connectTimeoutMs\":{connect}"));
+    let times = aims.replace(
+        "\"connectTimeoutMs\":250",
+        &format!("\"connectTimeoutMs\":{connect}"),
+    );
     assert!(!times.contains("\"aimMs\":3000") && !times.contains("\"connectTimeoutMs\":250"));
     times
 }
@@ -77,7 +92,10 @@
     let mut call = discovery.accept();
     assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"));
     let body = list(42, true, lines);
-    call.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    call.write(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ));
     watch_from(discovery, 42)
 }
 
@@ -112,12 +130,22 @@
 /// Ends a connection by a reset, as a process that dies over unread bytes does.
 pub fn reset(wire: Wire) {
     use std::os::fd::AsRawFd;
-    let now = libc::linger { l_onoff: 1, l_linger: 0 };
+    let now = libc::linger {
+        l_onoff: 1,
+        l_linger: 0,
+    };
     let length = size_of::<libc::linger>() as libc::socklen_t;
     let fd = wire.0.as_raw_fd();
     // SAFETY: the call reads `length` bytes of a plain struct of numbers that lives until it returns.
-    let told =
-        unsafe { libc::setsockopt(fd, libc::SOL_SOCKET, libc::SO_LINGER, (&raw const now).cast(), length) };
+    let told = unsafe {
+        libc::setsockopt(
+            fd,
+            libc::SOL_SOCKET,
+            libc::SO_LINGER,
+            (&raw const now).cast(),
+            length,
+        )
+    };
     assert_eq!(told, 0);
 }
 
@@ -131,7 +159,9 @@
     use std::os::fd::AsRawFd;
     // SAFETY: the call only changes how many connections wait to be accepted.
     assert_eq!(unsafe { libc::listen(replica.0.as_raw_fd(), 0) }, 0);
-    Full { waiting: vec![Wire::to(replica.address())] }
+    Full {
+        waiting: vec![Wire::to(replica.address())],
+    }
 }
 
 impl Full {
@@ -143,5 +173,8 @@
 
 /// The answer of a list's source, with its length.
 pub fn give(call: &mut Wire, body: &str) {
-    call.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    call.write(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ));
 }
--- a/crates/woadreachd/tests/unit/replicas.rs
+++ b/crates/woadreachd/tests/unit/replicas.rs
@@ -28,11 +28,26 @@
         lifecycle: Lifecycle::Ready,
         started_at: 0.0,
     };
-    replicas.list(0.0, &List { generation: 1, full: true, entries: vec![entry] });
+    replicas.list(
+        0.0,
+        &List {
+            generation: 1,
+            full: true,
+            entries: vec![entry],
+        },
+    );
     let sub = (PartId(1), 0);
     let (id, extras, text) = ("t.0".to_string(), String::new(), "q".into());
-    let letter =
-        Letter { sub, id, shard: 0, extras, text, until: 1.0, begin_by: 1.0, written: Written::default() };
+    let letter = Letter {
+        sub,
+        id,
+        shard: 0,
+        extras,
+        text,
+        until: 1.0,
+        begin_by: 1.0,
+        written: Written::default(),
+    };
     replicas.send(0.0, &ReplicaId("a".into()), letter);
     replicas.give_up(0.0, sub, timed_out);
     replicas.flush(0.0);
@@ -54,6 +69,8 @@
     let (events, mut queue) = tokio::sync::mpsc::unbounded_channel();
     let reading = read(&net, ConnId(0), stream.split().0, 1.0, &events);
     let event = tokio::select! { event = queue.recv() => event, _ = reading => None };
-    let Some(Event::Told(_, Told::Answer { at, .. })) = event else { panic!("no answer") };
+    let Some(Event::Told(_, Told::Answer { at, .. })) = event else {
+        panic!("no answer")
+    };
     assert!(at < net.now() - 0.1);
 }
--- a/crates/woadreachd/tests/unit/schedule.rs
+++ b/crates/woadreachd/tests/unit/schedule.rs
@@ -32,8 +32,11 @@
     #[values(Need::Changes, Need::Resume, Need::WholeList)] need: Need,
 ) {
     let calls = played(need, drain_grace, 9.9);
-    let mut lists: Vec<f64> =
-        calls.iter().filter(|c| c.2 == Request::WholeList).map(|(at, ..)| *at).collect();
+    let mut lists: Vec<f64> = calls
+        .iter()
+        .filter(|c| c.2 == Request::WholeList)
+        .map(|(at, ..)| *at)
+        .collect();
     lists.insert(0, 0.0);
     for pair in lists.windows(2) {
         let apart = pair[1] - pair[0];
@@ -54,31 +57,50 @@
         .filter(|c| c.2 == Request::Watch)
         .map(|(at, slot, _)| (at, slot))
         .collect();
-    assert_eq!(watches, Vec::from_iter(expected), "opened once and never replaced");
+    assert_eq!(
+        watches,
+        Vec::from_iter(expected),
+        "opened once and never replaced"
+    );
 }
 
 /// A whole list goes first after silence: a new watch may be as dead as the one before.
 #[test]
 fn the_first_call_after_silence_is_for_a_list() {
-    assert_eq!(played(Need::Resume, GRACE, 0.0), [(0.0, Slot::First, Request::WholeList)]);
+    assert_eq!(
+        played(Need::Resume, GRACE, 0.0),
+        [(0.0, Slot::First, Request::WholeList)]
+    );
 }
 
 /// Slow answers are waited for: one call for a second and more, one through the whole turn.
 #[test]
 fn some_calls_are_left_their_time() {
     let opened = |wanted| -> Vec<f64> {
-        played(Need::Resume, GRACE, 9.9).into_iter().filter(|c| c.1 == wanted).map(|c| c.0).collect()
+        played(Need::Resume, GRACE, 9.9)
+            .into_iter()
+            .filter(|c| c.1 == wanted)
+            .map(|c| c.0)
+            .collect()
     };
     assert_eq!(opened(Slot::First), [0.0]);
     let second = opened(Slot::Second);
-    assert!(second.windows(2).all(|pair| pair[1] - pair[0] >= HUNG - 1e-9), "{second:?}");
+    assert!(
+        second
+            .windows(2)
+            .all(|pair| pair[1] - pair[0] >= HUNG - 1e-9),
+        "{second:?}"
+    );
     assert!(second.len() > 5);
 }
 
 #[test]
 fn silence_is_told_after_a_while() {
     let mut schedule = Schedule::new(100.0, Need::Resume, interval(GRACE));
-    assert_eq!(schedule.next(100.0), Action::Open(Slot::First, Request::WholeList));
+    assert_eq!(
+        schedule.next(100.0),
+        Action::Open(Slot::First, Request::WholeList)
+    );
     assert_eq!(schedule.next(100.0), Action::WaitUntil(100.0 + GRACE / 2.0));
     assert_eq!(schedule.next(110.0), Action::GiveUp);
 }
@@ -87,15 +109,27 @@
 #[test]
 fn a_call_that_fails() {
     let mut schedule = Schedule::new(0.0, Need::Resume, interval(GRACE));
-    assert_eq!(schedule.next(0.0), Action::Open(Slot::First, Request::WholeList));
+    assert_eq!(
+        schedule.next(0.0),
+        Action::Open(Slot::First, Request::WholeList)
+    );
     assert!(!schedule.failed(0.1, Slot::First), "nothing else is open");
 
     let mut schedule = Schedule::new(0.0, Need::Resume, interval(GRACE));
-    assert_eq!(schedule.next(0.0), Action::Open(Slot::First, Request::WholeList));
-    assert_eq!(schedule.next(0.25), Action::Open(Slot::Second, Request::WholeList));
+    assert_eq!(
+        schedule.next(0.0),
+        Action::Open(Slot::First, Request::WholeList)
+    );
+    assert_eq!(
+        schedule.next(0.25),
+        Action::Open(Slot::Second, Request::WholeList)
+    );
     assert!(schedule.failed(0.25, Slot::First));
     assert_eq!(schedule.next(0.25), Action::WaitUntil(0.25 + RETRY));
-    assert_eq!(schedule.next(0.25 + RETRY), Action::Open(Slot::First, Request::WholeList));
+    assert_eq!(
+        schedule.next(0.25 + RETRY),
+        Action::Open(Slot::First, Request::WholeList)
+    );
 }
 
 #[rstest]
--- a/crates/woadreachd/tests/unit/version.rs
+++ b/crates/woadreachd/tests/unit/version.rs
@@ -9,11 +9,22 @@
 
 fn entry(id: &str, lifecycle: Lifecycle) -> Entry {
     let address = SocketAddr::from(([127, 0, 0, 1], 8443));
-    Entry { id: id.into(), address, zone: "z".into(), cell: 0, lifecycle, started_at: 0.0 }
+    Entry {
+        id: id.into(),
+        address,
+        zone: "z".into(),
+        cell: 0,
+        lifecycle,
+        started_at: 0.0,
+    }
 }
 
 fn list(generation: u64, full: bool, entries: &[Entry]) -> List {
-    List { generation, full, entries: entries.to_vec() }
+    List {
+        generation,
+        full,
+        entries: entries.to_vec(),
+    }
 }
 
 /// Holds a whole list of two replicas that are ready.
@@ -92,8 +103,14 @@
 fn an_older_list_where_what_is_held_is_in_doubt(#[case] change: Option<u64>) {
     let mut version = holding();
     match change {
-        Some(generation) => assert_eq!(version.judge(&list(generation, false, &[])), Judgement::Lost),
+        Some(generation) => assert_eq!(
+            version.judge(&list(generation, false, &[])),
+            Judgement::Lost
+        ),
         None => version.doubt(),
     }
-    assert_eq!(version.judge(&list(HELD - 1, true, &[])), Judgement::TakeOlder);
+    assert_eq!(
+        version.judge(&list(HELD - 1, true, &[])),
+        Judgement::TakeOlder
+    );
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -131,7 +131,10 @@
 impl Settings {
     /// The shortest latency target of all query types (seconds).
     pub fn shortest_target(&self) -> f64 {
-        self.query_types.iter().map(|t| t.latency_target).fold(f64::INFINITY, f64::min)
+        self.query_types
+            .iter()
+            .map(|t| t.latency_target)
+            .fold(f64::INFINITY, f64::min)
     }
 }
 
@@ -266,7 +269,10 @@
 impl SubRequest {
     /// Proven never to have run: refused unseen, no connection, or never sent.
     pub fn proven_unrun(&self) -> bool {
-        matches!(self.ending, Some(Ending::Full | Ending::Unreachable | Ending::NeverSent))
+        matches!(
+            self.ending,
+            Some(Ending::Full | Ending::Unreachable | Ending::NeverSent)
+        )
     }
 }
 
@@ -297,7 +303,10 @@
 
     /// Its sub-requests in flight, with their numbers.
     pub fn waiting(&self) -> impl Iterator<Item = (usize, &SubRequest)> {
-        self.subs.iter().enumerate().filter(|(_, s)| s.ending.is_none())
+        self.subs
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| s.ending.is_none())
     }
 
     /// Whether it was ever sent to this replica.
@@ -337,7 +346,13 @@
 
 impl Search {
     /// A search that has just come, without parts yet.
-    pub fn new(id: SearchId, query_type: QueryTypeId, tenant: TenantId, arrived: f64, ends: f64) -> Self {
+    pub fn new(
+        id: SearchId,
+        query_type: QueryTypeId,
+        tenant: TenantId,
+        arrived: f64,
+        ends: f64,
+    ) -> Self {
         Search {
             id,
             query_type,
@@ -358,18 +373,27 @@
 impl Search {
     /// The parts of the step in hand, with their places in `parts`.
     pub fn step_parts(&self) -> impl Iterator<Item = (usize, &Part)> {
-        self.parts.iter().enumerate().filter(|(_, p)| p.step == self.step)
+        self.parts
+            .iter()
+            .enumerate()
+            .filter(|(_, p)| p.step == self.step)
     }
 
     /// The weight of those that are answered.
     pub fn answered_weight(&self) -> f64 {
-        self.step_parts().filter(|(_, p)| p.answered).map(|(_, p)| p.weight).sum()
+        self.step_parts()
+            .filter(|(_, p)| p.answered)
+            .map(|(_, p)| p.weight)
+            .sum()
     }
 
     /// Notes how a sub-request of one of its parts ended.
     pub fn ended(&mut self, outcome: &Outcome) {
         let part = self.parts.iter_mut().find(|p| p.id == outcome.part);
-        if let Some((part, i)) = part.map(|p| (p, outcome.nth)).filter(|(p, i)| *i < p.subs.len()) {
+        if let Some((part, i)) = part
+            .map(|p| (p, outcome.nth))
+            .filter(|(p, i)| *i < p.subs.len())
+        {
             part.subs[i].ending = Some(outcome.ending);
             part.answered |= outcome.ending == Ending::Answered;
         }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -74,7 +74,10 @@
         let gone = self.fleet.list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
             let warming = Warming::new(&line.replica, self.set.me, self.rng.rand_float());
-            Known { warming, ..Known::default() }
+            Known {
+                warming,
+                ..Known::default()
+            }
         });
         gone.iter().for_each(|id| self.forget(id));
     }
@@ -106,17 +109,31 @@
 
     /// What was asked of each cold replica so far, and whether it was sent any within the rule's window.
     pub fn colds(&self, now: f64) -> Vec<ColdSight> {
-        let Some(rule) = &self.set.cold else { return Vec::new() };
+        let Some(rule) = &self.set.cold else {
+            return Vec::new();
+        };
         let sight = |(id, r): (&ReplicaId, &Replica<Known>)| {
-            let sent = r.state.warming.sends.back().is_some_and(|t| *t > now - rule.tip_time);
+            let sent = r
+                .state
+                .warming
+                .sends
+                .back()
+                .is_some_and(|t| *t > now - rule.tip_time);
             let cold = r.open && r.ready_at.is_some_and(|at| now < at + rule.time);
-            cold.then(|| ColdSight { replica: id.clone(), wants: r.state.warming.wants.get(), sent })
+            cold.then(|| ColdSight {
+                replica: id.clone(),
+                wants: r.state.warming.wants.get(),
+                sent,
+            })
         };
         self.fleet.iter().filter_map(sight).collect()
     }
 
     /// The tier has shared out what a cold replica bears: so many times its even share is this one's.
     pub fn ration(&mut self, replica: &ReplicaId, times: f64) {
-        self.fleet.get_mut(replica).into_iter().for_each(|r| r.state.warming.ration = Some(times));
+        self.fleet
+            .get_mut(replica)
+            .into_iter()
+            .for_each(|r| r.state.warming.ration = Some(times));
     }
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -5,32 +5,67 @@
 use crate::{api::*, samples::push};
 use std::collections::BTreeMap;
 
-const REPLICA_RULE: EjectionRule = EjectionRule { window: 8, least: 2 };
-const ZONE_RULE: EjectionRule = EjectionRule { window: 32, least: 8 };
+const REPLICA_RULE: EjectionRule = EjectionRule {
+    window: 8,
+    least: 2,
+};
+const ZONE_RULE: EjectionRule = EjectionRule {
+    window: 32,
+    least: 8,
+};
 
 impl Balancer {
     /// Takes in the end of a call. A way that is cut or lossy makes all of a zone bad, each replica known by
     /// too few outcomes: those of replicas that are not ejected themselves count for it.
     pub(super) fn observe(&mut self, now: f64, o: &Outcome, call: &InFlight, failed: bool) {
-        let word = |change| if change == Change::Ejected { "distrusted" } else { "trusted again" };
-        let Some(r) = self.fleet.get_mut(&o.replica) else { return };
+        let word = |change| {
+            if change == Change::Ejected {
+                "distrusted"
+            } else {
+                "trusted again"
+            }
+        };
+        let Some(r) = self.fleet.get_mut(&o.replica) else {
+            return;
+        };
         let (sent_at, class) = (call.sent_at, call.query_type);
-        let (silent, ejected) = (r.answered_at < sent_at, r.state.health.is_ejected_for(class));
-        let call = Observation { at: now, sent_at, class, failed };
+        let (silent, ejected) = (
+            r.answered_at < sent_at,
+            r.state.health.is_ejected_for(class),
+        );
+        let call = Observation {
+            at: now,
+            sent_at,
+            class,
+            failed,
+        };
         if let Some(change) = r.state.health.observe(REPLICA_RULE, call) {
-            self.plan.notes.push(format!("replica {} {}", o.replica.0, word(change)));
+            self.plan
+                .notes
+                .push(format!("replica {} {}", o.replica.0, word(change)));
         }
         let Some(zone) = r.zone else { return };
         // A busy zone must not seem lost: half the target, or a quarter where nothing has come since.
         let slow = o.latency > self.shortest / if silent { 4.0 } else { 2.0 };
-        let lost = slow || !matches!(o.ending, Ending::Answered | Ending::Cancelled | Ending::Full);
+        let lost = slow
+            || !matches!(
+                o.ending,
+                Ending::Answered | Ending::Cancelled | Ending::Full
+            );
         if lost || o.ending == Ending::Answered {
             push(self.zone_ends.entry(zone).or_default(), (now, lost), 6);
         }
-        let call = Observation { at: now, sent_at, class: (), failed };
+        let call = Observation {
+            at: now,
+            sent_at,
+            class: (),
+            failed,
+        };
         let way = self.zones.entry(zone).or_default();
         if !ejected && let Some(change) = way.observe(ZONE_RULE, call) {
-            self.plan.notes.push(format!("way to zone {} {}", zone.0, word(change)));
+            self.plan
+                .notes
+                .push(format!("way to zone {} {}", zone.0, word(change)));
         }
     }
 
@@ -50,7 +85,12 @@
 
     /// The share of its traffic that a zone may have.
     pub(super) fn share(&self, zone: Option<ZoneId>) -> f64 {
-        self.zoning.as_ref().zip(zone).and_then(|(z, id)| z.shares.get(&id)).copied().unwrap_or(1.0)
+        self.zoning
+            .as_ref()
+            .zip(zone)
+            .and_then(|(z, id)| z.shares.get(&id))
+            .copied()
+            .unwrap_or(1.0)
     }
 
     pub(super) fn way(&self, r: &Replica<Known>) -> Option<&OutlierDetector<()>> {
@@ -83,7 +123,10 @@
         let mut all: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
         for (r, zone) in self.fleet.iter().filter_map(|(_, r)| Some((r, r.zone?))) {
             let of = all.entry(zone).or_default();
-            *of = (of.0 + r.unanswered(now, self.shortest / 4.0), of.1 + self.capacity_of(now, r));
+            *of = (
+                of.0 + r.unanswered(now, self.shortest / 4.0),
+                of.1 + self.capacity_of(now, r),
+            );
         }
         let sight = |(zone, (overdue, capacity)): (ZoneId, (usize, f64))| {
             let ends = self.zone_ends.get(&zone).into_iter().flatten().rev();
@@ -91,8 +134,17 @@
             let run = (overdue + ended().take_while(|x| x.1).count()).min(6);
             let fresh = || ended().take_while(|x| x.0 > now - 2.0);
             let bads = overdue + fresh().filter(|x| x.1).count();
-            let (seen, bad) = if run > 1 { (run, run) } else { (overdue + fresh().count(), bads) };
-            ZoneSight { zone, seen, bad, capacity }
+            let (seen, bad) = if run > 1 {
+                (run, run)
+            } else {
+                (overdue + fresh().count(), bads)
+            };
+            ZoneSight {
+                zone,
+                seen,
+                bad,
+                capacity,
+            }
         };
         all.into_iter().map(sight).collect()
     }
--- a/src/decide/hedging.rs
+++ b/src/decide/hedging.rs
@@ -16,14 +16,24 @@
             return;
         }
         let late = |s: &SubRequest| now - s.sent_at > CALL_OFF * self.limits.late_after;
-        let silent = |s: &SubRequest| self.fleet.get(&s.replica).is_some_and(|r| r.answered_at < s.sent_at);
-        let other = self.fleet.holders(part.shard).find(|(id, _)| !part.tried(id));
+        let silent = |s: &SubRequest| {
+            self.fleet
+                .get(&s.replica)
+                .is_some_and(|r| r.answered_at < s.sent_at)
+        };
+        let other = self
+            .fleet
+            .holders(part.shard)
+            .find(|(id, _)| !part.tried(id));
         let fits = other.is_some_and(|(id, _)| target - now > self.tail(now, q, id));
         if !fits || !part.waiting().all(|(_, s)| late(s) && silent(s)) {
             return;
         }
         for (n, sub) in part.waiting() {
-            let call = self.fleet.get_mut(&sub.replica).and_then(|r| r.in_flight.get_mut(&(part.id, n)));
+            let call = self
+                .fleet
+                .get_mut(&sub.replica)
+                .and_then(|r| r.in_flight.get_mut(&(part.id, n)));
             if call.is_some_and(|call| !std::mem::replace(&mut call.called_off, true)) {
                 self.plan.cancel.push((part.id, n));
             }
@@ -41,11 +51,24 @@
         let ready = |(id, r): &(&ReplicaId, &Replica<Known>)| {
             let (own, way) = (&r.state.health, self.way(r));
             let way_due = || way.is_some_and(|way| way.trial_due(now, ()));
-            let due = if own.is_ejected_for(class) { own.trial_due(now, class) } else { way_due() };
+            let due = if own.is_ejected_for(class) {
+                own.trial_due(now, class)
+            } else {
+                way_due()
+            };
             due && r.in_flight.is_empty() && !part.tried(id) && !self.too_cold(now, r, 0)
         };
-        let Some(id) = self.fleet.holders(part.shard).find(ready).map(|(id, _)| id.clone()) else { return };
-        let Some(r) = self.fleet.get_mut(&id) else { return };
+        let Some(id) = self
+            .fleet
+            .holders(part.shard)
+            .find(ready)
+            .map(|(id, _)| id.clone())
+        else {
+            return;
+        };
+        let Some(r) = self.fleet.get_mut(&id) else {
+            return;
+        };
         if r.state.health.is_ejected_for(class) {
             r.state.health.trial_sent(now);
         } else if let Some(way) = r.zone.and_then(|zone| self.zones.get_mut(&zone)) {
--- a/src/decide/hold.rs
+++ b/src/decide/hold.rs
@@ -14,13 +14,19 @@
 impl Hold {
     /// A call ended full or timed out, with `in_flight` others still out.
     pub fn begin(&mut self, in_flight: usize) {
-        *self = Hold::Held { above: in_flight, answers: in_flight.max(1) };
+        *self = Hold::Held {
+            above: in_flight,
+            answers: in_flight.max(1),
+        };
     }
 
     /// A call was answered.
     pub fn answered(&mut self) {
         *self = match *self {
-            Hold::Held { above, answers } if answers > 1 => Hold::Held { above, answers: answers - 1 },
+            Hold::Held { above, answers } if answers > 1 => Hold::Held {
+                above,
+                answers: answers - 1,
+            },
             _ => Hold::Open,
         }
     }
--- a/src/decide/latency_limits.rs
+++ b/src/decide/latency_limits.rs
@@ -20,7 +20,13 @@
     /// Limits before the first answers; `shortest` is the shortest latency target.
     pub fn new(shortest: f64) -> Self {
         let (late_after, recent) = (shortest / 3.0, VecDeque::new());
-        LatencyLimits { late_after, hedge_after: late_after, overloaded: false, shortest, recent }
+        LatencyLimits {
+            late_after,
+            hedge_after: late_after,
+            overloaded: false,
+            shortest,
+            recent,
+        }
     }
 
     /// The time in which a queue turns over.
@@ -35,7 +41,14 @@
 
     /// Takes in an answer.
     pub fn answered(&mut self, now: f64, latency: f64) {
-        push(&mut self.recent, Sample { at: now, value: latency }, 128);
+        push(
+            &mut self.recent,
+            Sample {
+                at: now,
+                value: latency,
+            },
+            128,
+        );
     }
 
     /// Late: beyond the 0.95 quantile, 2.5 medians and an eighth of the target, so that neither a slow fleet
@@ -44,10 +57,16 @@
         let of = |samples: Vec<f64>, p| quantile(samples, p).unwrap_or(0.0);
         let all = since(&self.recent, f64::NEG_INFINITY);
         if all.len() >= 20 {
-            self.late_after = of(all.clone(), 0.95).max(2.5 * of(all, 0.5)).max(self.shortest / 8.0);
+            self.late_after = of(all.clone(), 0.95)
+                .max(2.5 * of(all, 0.5))
+                .max(self.shortest / 8.0);
         }
-        let last_call = 0.9 * self.shortest - of(unloaded.fleet(), budget.part_quantile(usize::MAX));
-        self.hedge_after = self.late_after.min(last_call).max(2.5 * of(unloaded.fleet(), 0.5));
+        let last_call =
+            0.9 * self.shortest - of(unloaded.fleet(), budget.part_quantile(usize::MAX));
+        self.hedge_after = self
+            .late_after
+            .min(last_call)
+            .max(2.5 * of(unloaded.fleet(), 0.5));
     }
 
     /// Overloaded: answers take, at the lower quartile, over 1.5 times the unloaded one and a thirtieth of
--- a/src/decide/outlier_detector.rs
+++ b/src/decide/outlier_detector.rs
@@ -25,7 +25,10 @@
 
 impl<C> Default for OutlierDetector<C> {
     fn default() -> Self {
-        OutlierDetector { seen: VecDeque::new(), ejection: None }
+        OutlierDetector {
+            seen: VecDeque::new(),
+            ejection: None,
+        }
     }
 }
 
@@ -37,19 +40,30 @@
         let fresh = self.seen.iter().filter(|c| c.at > call.at - AGE);
         let (own, others): (Vec<_>, Vec<_>) = fresh.partition(|c| c.class == call.class);
         let failures = |of: &[&Observation<C>]| of.iter().filter(|c| c.failed).count();
-        let bad = |of: &[&Observation<C>], least| failures(of) >= least && failures(of) * 2 >= of.len();
+        let bad =
+            |of: &[&Observation<C>], least| failures(of) >= least && failures(of) * 2 >= of.len();
         let Some(ejection) = &mut self.ejection else {
-            let only = Some(call.class).filter(|_| others.len() >= CLASS_LEAST && failures(&others) == 0);
+            let only =
+                Some(call.class).filter(|_| others.len() >= CLASS_LEAST && failures(&others) == 0);
             let all = || bad(&[own.clone(), others].concat(), rule.least);
-            if !(if only.is_some() { bad(&own, CLASS_LEAST) } else { all() }) {
+            if !(if only.is_some() {
+                bad(&own, CLASS_LEAST)
+            } else {
+                all()
+            }) {
                 return None;
             }
             self.eject(call.at, only);
             return Some(Change::Ejected);
         };
         // What it was sent before it may answer. Where another class fares as badly all are out.
-        if let Some(only) = ejection.only.filter(|o| *o != call.class || call.sent_at < ejection.since) {
-            ejection.only = ejection.only.filter(|_| only == call.class || !bad(&own, rule.least));
+        if let Some(only) = ejection
+            .only
+            .filter(|o| *o != call.class || call.sent_at < ejection.since)
+        {
+            ejection.only = ejection
+                .only
+                .filter(|_| only == call.class || !bad(&own, rule.least));
             return None;
         }
         if call.failed {
@@ -67,7 +81,13 @@
 
     /// Ejects it for one class, or for all; nothing if it is ejected already.
     pub fn eject(&mut self, now: f64, only: Option<C>) {
-        let ejection = Ejection { only, since: now, next_trial: now + 1.0, gap: 1.0, successes: 0 };
+        let ejection = Ejection {
+            only,
+            since: now,
+            next_trial: now + 1.0,
+            gap: 1.0,
+            successes: 0,
+        };
         self.ejection.get_or_insert(ejection);
     }
 
@@ -78,7 +98,9 @@
 
     /// Whether it is ejected for calls of this class.
     pub fn is_ejected_for(&self, class: C) -> bool {
-        self.ejection.as_ref().is_some_and(|e| e.only.is_none_or(|only| only == class))
+        self.ejection
+            .as_ref()
+            .is_some_and(|e| e.only.is_none_or(|only| only == class))
     }
 
     /// Whether a trial call of this class may be sent to the ejected one.
@@ -88,7 +110,9 @@
 
     /// A trial has been sent: the next one comes a gap later, or at once if this one succeeds.
     pub fn trial_sent(&mut self, now: f64) {
-        self.ejection.iter_mut().for_each(|e| e.next_trial = now + e.gap);
+        self.ejection
+            .iter_mut()
+            .for_each(|e| e.next_trial = now + e.gap);
     }
 
     /// Whether all calls since then failed, three at least.
--- a/src/decide/part_budget.rs
+++ b/src/decide/part_budget.rs
@@ -21,7 +21,10 @@
     /// tail is the worst of them and sound replicas are skipped; at 0.5 hopeless parts still leave. No finer
     /// than 32 samples can tell: beyond 1 - 1/16 one stray answer has parts of wide requests skipped.
     fn default() -> Self {
-        PartBudget { p: 0.7, finest: 1.0 - 1.0 / 16.0 }
+        PartBudget {
+            p: 0.7,
+            finest: 1.0 - 1.0 / 16.0,
+        }
     }
 }
 
@@ -32,7 +35,13 @@
     }
 
     /// When parts at these replicas must begin for the whole to end by `end`; `None` counts as average.
-    pub fn queuing_deadline<R: Ord>(&self, now: f64, end: f64, of: &Latencies<R>, at: &[Option<&R>]) -> f64 {
+    pub fn queuing_deadline<R: Ord>(
+        &self,
+        now: f64,
+        end: f64,
+        of: &Latencies<R>,
+        at: &[Option<&R>],
+    ) -> f64 {
         end - of.product_quantile(now, at, self.p)
     }
 
--- a/src/decide/repeats.rs
+++ b/src/decide/repeats.rs
@@ -6,9 +6,16 @@
 impl Balancer {
     /// No effect twice: whether the part may be sent once more, to which replica alone if not any, and before
     /// which time it has to begin to leave, however long it waits for a connection.
-    pub(super) fn may_repeat(&self, now: f64, q: &Search, part: &Part) -> Option<(Option<ReplicaId>, f64)> {
+    pub(super) fn may_repeat(
+        &self,
+        now: f64,
+        q: &Search,
+        part: &Part,
+    ) -> Option<(Option<ReplicaId>, f64)> {
         const FREE: Option<(Option<ReplicaId>, f64)> = Some((None, f64::INFINITY));
-        let Some(first) = part.subs.iter().find(|s| !s.proven_unrun()) else { return FREE };
+        let Some(first) = part.subs.iter().find(|s| !s.proven_unrun()) else {
+            return FREE;
+        };
         match self.set.query_types[q.query_type.0].repeat {
             Repeat::NonIdempotent if planted("module-once") => FREE,
             Repeat::Tokened { .. } if planted("module-token-window") => FREE,
@@ -32,10 +39,14 @@
     /// as a replica of few cores has at work. Where queues are the cause, hedges lengthen them.
     fn is_lost(&self, now: f64, part: &Part) -> bool {
         let lost = |n: usize, r: &Replica<Known>| {
-            let passed = r.in_flight.get(&(part.id, n)).is_some_and(|x| x.passed >= 4);
+            let passed = r
+                .in_flight
+                .get(&(part.id, n))
+                .is_some_and(|x| x.passed >= 4);
             passed || self.is_ejected(r) || self.is_silent(now, r)
         };
-        part.waiting().all(|(n, s)| self.fleet.get(&s.replica).is_none_or(|r| lost(n, r)))
+        part.waiting()
+            .all(|(n, s)| self.fleet.get(&s.replica).is_none_or(|r| lost(n, r)))
     }
 
     /// Whether a second sub-request is harmless beside one in flight.
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -17,12 +17,24 @@
     /// Nothing taken, nothing sent.
     pub fn new(set: &Settings) -> Self {
         let (rule, late) = (set.budget.clone(), set.late_send + set.tick);
-        RetryBudget { rule, late, taken: VecDeque::new(), further: VecDeque::new() }
+        RetryBudget {
+            rule,
+            late,
+            taken: VecDeque::new(),
+            further: VecDeque::new(),
+        }
     }
 
     /// Counts work taken.
     pub fn taken(&mut self, at: f64, count: usize) {
-        push(&mut self.taken, Sample { at, value: count as f64 }, 4096); // more than a window; fewer is safe
+        push(
+            &mut self.taken,
+            Sample {
+                at,
+                value: count as f64,
+            },
+            4096,
+        ); // more than a window; fewer is safe
     }
 
     /// Counts a further call.
@@ -32,8 +44,14 @@
 
     /// Whether there is room for one more.
     pub fn has_room(&mut self, now: f64) -> bool {
-        let Some(rule) = self.rule.as_ref().filter(|_| !planted("module-budget")) else { return true };
-        let forgotten = if planted("module-budget-window") { 0.1 * rule.window } else { 0.0 };
+        let Some(rule) = self.rule.as_ref().filter(|_| !planted("module-budget")) else {
+            return true;
+        };
+        let forgotten = if planted("module-budget-window") {
+            0.1 * rule.window
+        } else {
+            0.0
+        };
         let (from, late) = (now - rule.window + forgotten, self.late);
         self.further.retain(|t| *t >= from - late);
         self.taken.retain(|t| t.at > from - forgotten + late);
