--- a/src/decide/search_steps.rs
+++ b/src/decide/search_steps.rs
@@ -27,9 +27,16 @@
     /// How long until the search should be asked about again, if no outcome comes before.
     pub fn wait(&self, now: f64, search: &Search) -> f64 {
         let (target, until) = self.ends(search);
-        let mut due = if target > now { until.min(target) } else { until };
+        let mut due = if target > now {
+            until.min(target)
+        } else {
+            until
+        };
         for (_, part) in search.step_parts().filter(|(_, p)| !p.answered) {
-            let hedge_due = part.waiting().last().map(|(_, s)| s.sent_at + self.limits.hedge_after);
+            let hedge_due = part
+                .waiting()
+                .last()
+                .map(|(_, s)| s.sent_at + self.limits.hedge_after);
             // Guards open with time alone, and a hedge may become affordable: look again soon.
             due = due.min(hedge_due.filter(|at| *at > now).unwrap_or(now + 0.1));
         }
@@ -39,7 +46,10 @@
     /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
     fn record(&mut self, now: f64, o: &Outcome) -> Option<InFlight> {
         self.watch_capacity(now);
-        let (late, ejected) = (o.latency > self.limits.late_after, self.judged(&o.replica).is_none());
+        let (late, ejected) = (
+            o.latency > self.limits.late_after,
+            self.judged(&o.replica).is_none(),
+        );
         let replica = self.fleet.get_mut(&o.replica)?;
         let answered = o.ending == Ending::Answered;
         let call = replica.ended(now, o.part, o.nth, answered)?;
@@ -51,8 +61,16 @@
                 self.unloaded.record(now, &o.replica, o.latency, ejected);
             }
         }
-        if answered || (matches!(o.ending, Ending::TimedOut | Ending::Cancelled) && o.latency > 0.0) {
-            push(&mut known.loaded, Sample { at: now, value: o.latency }, 8);
+        if answered || (matches!(o.ending, Ending::TimedOut | Ending::Cancelled) && o.latency > 0.0)
+        {
+            push(
+                &mut known.loaded,
+                Sample {
+                    at: now,
+                    value: o.latency,
+                },
+                8,
+            );
         }
         if matches!(o.ending, Ending::Full | Ending::TimedOut) {
             known.hold.begin(replica.in_flight.len());
@@ -73,10 +91,18 @@
         let end = q.ends - margin;
         let target = (q.asked.unwrap_or(q.arrived) + t.latency_target - margin).min(end);
         // A late answer costs as much as one in time: waited for only if it keeps over half its value.
-        let until = if t.late_value > 0.5 && !self.limits.overloaded { end } else { target };
+        let until = if t.late_value > 0.5 && !self.limits.overloaded {
+            end
+        } else {
+            target
+        };
         // Twice the unloaded tail of the second step: once alone its parts would be skipped on arrival.
         let tail = self.budget.tail(0.0, &self.unloaded, None, t.second_step);
-        let reserve = if q.step == 1 && t.second_step > 0 { 2.0 * tail } else { 0.0 };
+        let reserve = if q.step == 1 && t.second_step > 0 {
+            2.0 * tail
+        } else {
+            0.0
+        };
         (target - reserve, until)
     }
 
@@ -87,7 +113,11 @@
         }
         let t = self.set.query_types[q.query_type.0].clone();
         if self.limits.see_overload(now, &self.unloaded) {
-            let change = if self.limits.overloaded { "begun" } else { "ended" };
+            let change = if self.limits.overloaded {
+                "begun"
+            } else {
+                "ended"
+            };
             self.plan.notes.push(format!("overload {change}"));
         }
         if q.asked.is_none() {
@@ -103,7 +133,12 @@
         let need = if q.step == 1 { t.need } else { 1.0 };
         let come = q.answered_weight();
         if come >= need - ROUNDING && (q.step == 1 || q.step_parts().all(|(_, p)| p.answered)) {
-            return self.close(q, Some(Reply::Answered { whole: q.step == 1 || q.first_whole }));
+            return self.close(
+                q,
+                Some(Reply::Answered {
+                    whole: q.step == 1 || q.first_whole,
+                }),
+            );
         }
         let floor_met = come >= t.floor - ROUNDING && come > 0.0 && t.floor < t.need;
         if now >= until || (now >= target && floor_met) {
@@ -112,15 +147,28 @@
         let first_look = q.queue_by.is_none();
         let picks = self.pick_all(now, until, q);
         if first_look {
-            self.retries.taken(if q.step == 1 { q.arrived } else { now }, q.step_parts().count());
-            let chosen: Vec<ReplicaId> = picks.iter().filter_map(|(_, p)| p.replica().cloned()).collect();
+            self.retries.taken(
+                if q.step == 1 { q.arrived } else { now },
+                q.step_parts().count(),
+            );
+            let chosen: Vec<ReplicaId> = picks
+                .iter()
+                .filter_map(|(_, p)| p.replica().cloned())
+                .collect();
             let judged: Vec<_> = chosen.iter().map(|id| self.judged(id)).collect();
-            q.queue_by = Some(self.budget.queuing_deadline(now, target, &self.unloaded, &judged));
+            q.queue_by = Some(
+                self.budget
+                    .queuing_deadline(now, target, &self.unloaded, &judged),
+            );
             if q.step == 1 && self.sheds(now, target, q, &chosen) {
                 return self.give_up(now, q);
             }
         }
-        let never = |i: usize| picks.iter().any(|(j, p)| i == *j && matches!(p, Pick::Never));
+        let never = |i: usize| {
+            picks
+                .iter()
+                .any(|(j, p)| i == *j && matches!(p, Pick::Never))
+        };
         let open = |(i, p): &(usize, &Part)| !p.answered && (!never(*i) || p.in_flight());
         let weights: Vec<f64> = q.step_parts().filter(open).map(|(_, p)| p.weight).collect();
         if weights.is_empty() || come + weights.iter().sum::<f64>() < t.floor - ROUNDING {
@@ -140,16 +188,30 @@
         let t = &self.set.query_types[q.query_type.0];
         let come = q.answered_weight();
         let harmless = t.repeat == Repeat::Idempotent
-            || q.parts.iter().all(|p| p.subs.iter().all(SubRequest::proven_unrun))
+            || q.parts
+                .iter()
+                .all(|p| p.subs.iter().all(SubRequest::proven_unrun))
             || planted("module-harmless");
-        let floor = if planted("module-floor") { 0.0 } else { t.floor };
+        let floor = if planted("module-floor") {
+            0.0
+        } else {
+            t.floor
+        };
         let reply = if come > 0.0 && come >= floor - ROUNDING {
-            Reply::Answered { whole: planted("module-whole") }
+            Reply::Answered {
+                whole: planted("module-whole"),
+            }
         } else if harmless {
             // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
             let longest = self.set.longest_retry_advice.unwrap_or(0.0);
             let spare = q.queue_by.unwrap_or(now) - now;
-            Reply::Shed { retry_after: if spare > 0.0 { longest.min(spare / 2.0) } else { longest } }
+            Reply::Shed {
+                retry_after: if spare > 0.0 {
+                    longest.min(spare / 2.0)
+                } else {
+                    longest
+                },
+            }
         } else {
             Reply::Errored
         };
@@ -161,7 +223,10 @@
         for i in 0..q.parts.len() {
             self.unhold(q, i);
             let part = &q.parts[i];
-            let live = part.waiting().filter(|_| self.set.may_cancel).map(|(n, _)| (part.id, n));
+            let live = part
+                .waiting()
+                .filter(|_| self.set.may_cancel)
+                .map(|(n, _)| (part.id, n));
             self.plan.cancel.extend(live);
         }
         let t = &self.set.query_types[q.query_type.0];
--- a/src/decide/slow_start.rs
+++ b/src/decide/slow_start.rs
@@ -24,8 +24,14 @@
 impl Warming {
     /// A process that has just been listed. Turns begin elsewhere for each replica and co-ordinator.
     pub fn new(replica: &ReplicaId, me: Option<u64>, random: f64) -> Self {
-        let offset = replica.0.bytes().fold(0, |hash, b| (hash * 31 + u64::from(b)) % 997);
-        Warming { phase: me.map_or(random, |me| (me + offset) as f64 * GOLDEN), ..Warming::default() }
+        let offset = replica
+            .0
+            .bytes()
+            .fold(0, |hash, b| (hash * 31 + u64::from(b)) % 997);
+        Warming {
+            phase: me.map_or(random, |me| (me + offset) as f64 * GOLDEN),
+            ..Warming::default()
+        }
     }
 
     /// One that resets connections and then refuses a new one has died: what answers next is a cold process,
@@ -50,14 +56,23 @@
 impl Balancer {
     /// What an open replica can do by now, in warm ones.
     pub(super) fn capacity_of(&self, now: f64, r: &Replica<Known>) -> f64 {
-        let warmed = |(at, c): (f64, &ColdRule)| (c.from + (1.0 - c.from) * (now - at) / c.time).min(1.0);
-        if r.open { r.ready_at.zip(self.set.cold.as_ref()).map_or(1.0, warmed) } else { 0.0 }
+        let warmed =
+            |(at, c): (f64, &ColdRule)| (c.from + (1.0 - c.from) * (now - at) / c.time).min(1.0);
+        if r.open {
+            r.ready_at.zip(self.set.cold.as_ref()).map_or(1.0, warmed)
+        } else {
+            0.0
+        }
     }
 
     /// Looks at the fleet's capacity, for as long as answers count for a replica's share.
     pub(super) fn watch_capacity(&mut self, now: f64) {
         if self.capacity.back().is_none_or(|last| now > last.at + 0.25) {
-            let value = self.fleet.iter().map(|(_, r)| self.capacity_of(now, r)).sum();
+            let value = self
+                .fleet
+                .iter()
+                .map(|(_, r)| self.capacity_of(now, r))
+                .sum();
             push(&mut self.capacity, Sample { at: now, value }, 9);
         }
     }
@@ -67,10 +82,24 @@
     /// even share at the mean unloaded latency on one core. Shares under one part go by turns, a window each.
     pub(super) fn too_cold(&self, now: f64, r: &Replica<Known>, planned: usize) -> bool {
         let warming = &r.state.warming;
-        let restarted = if warming.restarted { Some(now) } else { warming.restarted_at };
-        let ready = r.ready_at.into_iter().chain(restarted).max_by(f64::total_cmp);
-        let rule = self.set.cold.as_ref().filter(|_| !planted("module-cold-cap"));
-        let (Some(rule), Some(ready)) = (rule, ready) else { return false };
+        let restarted = if warming.restarted {
+            Some(now)
+        } else {
+            warming.restarted_at
+        };
+        let ready = r
+            .ready_at
+            .into_iter()
+            .chain(restarted)
+            .max_by(f64::total_cmp);
+        let rule = self
+            .set
+            .cold
+            .as_ref()
+            .filter(|_| !planted("module-cold-cap"));
+        let (Some(rule), Some(ready)) = (rule, ready) else {
+            return false;
+        };
         let warmth = (now - ready) / rule.time;
         if warmth >= 1.0 || r.in_flight.len() > r.answers / 4 {
             return warmth < 1.0;
@@ -80,11 +109,19 @@
         let even = 1.0 / work / self.set.siblings.max(1) as f64;
         let warm_replicas = self.capacity.iter().map(|c| c.value).fold(1.0, f64::max);
         let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
-        let given = warming.ration.map_or(own, |n| own * n.min(1.0) + even * (n - 1.0).max(0.0));
+        let given = warming
+            .ration
+            .map_or(own, |n| own * n.min(1.0) + even * (n - 1.0).max(0.0));
         let capacity = rule.from + (1.0 - rule.from) * warmth.max(0.0);
         let share = rule.tip_multiple * capacity * rule.tip_time * given;
-        let sent = warming.sends.iter().filter(|t| **t > now - rule.tip_time).count() + planned;
-        let turn = (warming.phase + ((now - ready) / rule.tip_time).floor() * GOLDEN).rem_euclid(1.0);
+        let sent = warming
+            .sends
+            .iter()
+            .filter(|t| **t > now - rule.tip_time)
+            .count()
+            + planned;
+        let turn =
+            (warming.phase + ((now - ready) / rule.tip_time).floor() * GOLDEN).rem_euclid(1.0);
         let closed = given <= 0.0 || sent as f64 + 1.0 > share + turn;
         warming.wants.set(warming.wants.get() + u64::from(closed));
         closed
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -43,15 +43,30 @@
     /// A sub-request leaves for it.
     pub fn sent(&mut self, now: f64, part: PartId, nth: usize, query_type: QueryTypeId) {
         let alone = self.in_flight.is_empty();
-        let call = InFlight { sent_at: now, alone, query_type, passed: 0, called_off: false };
+        let call = InFlight {
+            sent_at: now,
+            alone,
+            query_type,
+            passed: 0,
+            called_off: false,
+        };
         self.in_flight.insert((part, nth), call);
     }
 
     /// A sub-request has ended; `None` if it was not in flight.
-    pub fn ended(&mut self, now: f64, part: PartId, nth: usize, answered: bool) -> Option<InFlight> {
+    pub fn ended(
+        &mut self,
+        now: f64,
+        part: PartId,
+        nth: usize,
+        answered: bool,
+    ) -> Option<InFlight> {
         let call = self.in_flight.remove(&(part, nth))?;
         if answered {
-            self.in_flight.values_mut().filter(|c| c.sent_at < call.sent_at).for_each(|c| c.passed += 1);
+            self.in_flight
+                .values_mut()
+                .filter(|c| c.sent_at < call.sent_at)
+                .for_each(|c| c.passed += 1);
             self.answers += 1;
             self.answered_at = now;
         }
@@ -60,7 +75,10 @@
 
     /// The age of the oldest sub-request in flight (seconds), or 0.
     pub fn oldest(&self, now: f64) -> f64 {
-        self.in_flight.values().map(|c| now - c.sent_at).fold(0.0, f64::max)
+        self.in_flight
+            .values()
+            .map(|c| now - c.sent_at)
+            .fold(0.0, f64::max)
     }
 
     /// How many sub-requests are in flight for over `age` seconds with nothing answered since they were sent.
@@ -83,7 +101,12 @@
 impl<S: Default> Fleet<S> {
     /// A fleet of which nothing is known; a shard is held by `span` cells of `cells` from its own on.
     pub fn new(cells: u64, span: u64) -> Self {
-        Fleet { replicas: BTreeMap::new(), cells: BTreeMap::new(), cell_count: cells.max(1), span }
+        Fleet {
+            replicas: BTreeMap::new(),
+            cells: BTreeMap::new(),
+            cell_count: cells.max(1),
+            span,
+        }
     }
 
     /// Takes in lines of the list; a `full` one names all replicas. `started` gives a new process its state.
@@ -106,19 +129,33 @@
             }
             (replica.open, replica.zone) = (line.open || planted("module-drain"), Some(line.zone));
             let cell = line.cell.0 % self.cell_count;
-            self.cells.entry(replica.cell).or_default().remove(&line.replica);
-            self.cells.entry(cell).or_default().insert(line.replica.clone());
+            self.cells
+                .entry(replica.cell)
+                .or_default()
+                .remove(&line.replica);
+            self.cells
+                .entry(cell)
+                .or_default()
+                .insert(line.replica.clone());
             replica.cell = cell;
         }
         let named = lines.iter().map(|l| l.replica.clone());
-        let ids: Vec<_> = if full { self.replicas.keys().cloned().collect() } else { named.collect() };
+        let ids: Vec<_> = if full {
+            self.replicas.keys().cloned().collect()
+        } else {
+            named.collect()
+        };
         ids.into_iter().filter(|id| self.forget(id)).collect()
     }
 
     /// Forgets a replica that is not open and has nothing in flight; true if it did. Where replicas are
     /// replaced all day, all there ever were would be kept otherwise.
     pub fn forget(&mut self, id: &ReplicaId) -> bool {
-        let Some(gone) = self.replicas.get(id).filter(|r| !r.open && r.in_flight.is_empty()) else {
+        let Some(gone) = self
+            .replicas
+            .get(id)
+            .filter(|r| !r.open && r.in_flight.is_empty())
+        else {
             return false;
         };
         self.cells.entry(gone.cell).or_default().remove(id);
@@ -146,6 +183,7 @@
         let cells = (0..self.span.min(self.cell_count))
             .map(move |j| (shard.0 % self.cell_count + j) % self.cell_count);
         let ids = cells.filter_map(|cell| self.cells.get(&cell)).flatten();
-        ids.filter_map(|id| self.replicas.get(id).map(|r| (id, r))).filter(|(_, r)| r.open)
+        ids.filter_map(|id| self.replicas.get(id).map(|r| (id, r)))
+            .filter(|(_, r)| r.open)
     }
 }
--- a/src/held_queue.rs
+++ b/src/held_queue.rs
@@ -10,7 +10,9 @@
 
 impl<R: Ord + Clone, C: Ord + Copy> Default for HeldQueue<R, C> {
     fn default() -> Self {
-        HeldQueue { calls: BTreeMap::new() }
+        HeldQueue {
+            calls: BTreeMap::new(),
+        }
     }
 }
 
@@ -21,17 +23,25 @@
 
     /// Holds a call back until `first` names it.
     pub fn insert(&mut self, replica: &R, deadline: f64, call: C) {
-        self.calls.entry(replica.clone()).or_default().insert(Self::key(deadline, call));
+        self.calls
+            .entry(replica.clone())
+            .or_default()
+            .insert(Self::key(deadline, call));
     }
 
     /// Takes a call out: it leaves, goes elsewhere or is given up.
     pub fn remove(&mut self, replica: &R, deadline: f64, call: C) {
-        self.calls.get_mut(replica).map(|held| held.remove(&Self::key(deadline, call)));
+        self.calls
+            .get_mut(replica)
+            .map(|held| held.remove(&Self::key(deadline, call)));
     }
 
     /// The call to be asked about next, once the replica's hold allows one.
     pub fn first(&self, replica: &R) -> Option<C> {
-        self.calls.get(replica).and_then(|held| held.first()).map(|first| first.1)
+        self.calls
+            .get(replica)
+            .and_then(|held| held.first())
+            .map(|first| first.1)
     }
 
     /// Whether another call goes before this one.
--- a/src/plants.rs
+++ b/src/plants.rs
@@ -6,24 +6,54 @@
 pub const PLANTS: [(&str, &str); 20] = [
     ("module-cold-cap", "the cap on what a cold replica is sent"),
     ("module-budget", "the budget of further sub-requests"),
-    ("module-budget-window", "a tenth of the budget's window: further ones are forgotten early"),
+    (
+        "module-budget-window",
+        "a tenth of the budget's window: further ones are forgotten early",
+    ),
     ("module-once", "the bar on repeats of non-idempotent parts"),
-    ("module-token-window", "the time in which repeats of tokened parts are told apart"),
-    ("module-harmless", "the proof that a shed search has not run"),
+    (
+        "module-token-window",
+        "the time in which repeats of tokened parts are told apart",
+    ),
+    (
+        "module-harmless",
+        "the proof that a shed search has not run",
+    ),
     ("module-floor", "the least share of parts"),
     ("module-whole", "the mark of an answer that is not whole"),
     ("module-drain", "the heed of a list that says draining"),
-    ("host-siblings", "one co-ordinator of the tier, in what each counts as its share of a cold replica"),
+    (
+        "host-siblings",
+        "one co-ordinator of the tier, in what each counts as its share of a cold replica",
+    ),
     ("hand-keeps-parts", "the return of a search's parts"),
     ("hand-no-timer", "the timers of searches"),
-    ("core-no-wait", "the moment between a part's leaving and its search's answer"),
-    ("core-names-all", "the list of shards that a second step's parts name"),
+    (
+        "core-no-wait",
+        "the moment between a part's leaving and its search's answer",
+    ),
+    (
+        "core-names-all",
+        "the list of shards that a second step's parts name",
+    ),
     ("core-keeps-bytes", "the return of a request's bytes"),
-    ("replicas-no-take-back", "the take-back of what waits on a drain"),
-    ("replicas-cancelled-stays", "the take-back of a part that is cancelled"),
-    ("replicas-never-ran", "the memory that a broken connection's parts may have run"),
+    (
+        "replicas-no-take-back",
+        "the take-back of what waits on a drain",
+    ),
+    (
+        "replicas-cancelled-stays",
+        "the take-back of a part that is cancelled",
+    ),
+    (
+        "replicas-never-ran",
+        "the memory that a broken connection's parts may have run",
+    ),
     ("discovery-no-drains", "the reading of draining in a watch"),
-    ("front-no-answer-at-end", "the answers owed when the process is told to end"),
+    (
+        "front-no-answer-at-end",
+        "the answers owed when the process is told to end",
+    ),
 ];
 
 #[cfg(feature = "plants")]
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -16,7 +16,9 @@
 /// FNV-1a, continued from `state`.
 #[must_use]
 pub fn hash64(bytes: &[u8], state: u64) -> u64 {
-    bytes.iter().fold(state, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
+    bytes.iter().fold(state, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
+    })
 }
 
 /// The final mix of SplitMix64, which spreads the low entropy of FNV over all bits.
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -21,7 +21,11 @@
 
 /// The values seen after this time, oldest first.
 pub fn since(window: &VecDeque<Sample>, after: f64) -> Vec<f64> {
-    window.iter().filter(|s| s.at > after).map(|s| s.value).collect()
+    window
+        .iter()
+        .filter(|s| s.at > after)
+        .map(|s| s.value)
+        .collect()
 }
 
 /// Smallest sample with at least `p` of them at or under it.
@@ -39,20 +43,34 @@
     count: usize,
     p: f64,
 ) -> Option<f64> {
-    distributions.iter_mut().chain([&mut rest]).for_each(|s| s.sort_by(f64::total_cmp));
-    let mut times: Vec<f64> = distributions.iter().chain([&rest]).flatten().copied().collect();
+    distributions
+        .iter_mut()
+        .chain([&mut rest])
+        .for_each(|s| s.sort_by(f64::total_cmp));
+    let mut times: Vec<f64> = distributions
+        .iter()
+        .chain([&rest])
+        .flatten()
+        .copied()
+        .collect();
     times.sort_by(f64::total_cmp);
-    let share = |s: &Vec<f64>, t: f64| s.partition_point(|x| *x <= t) as f64 / s.len().max(1) as f64;
+    let share =
+        |s: &Vec<f64>, t: f64| s.partition_point(|x| *x <= t) as f64 / s.len().max(1) as f64;
     let of_rest = |t: f64| share(&rest, t).powi(count as i32);
     let product = |t: f64| distributions.iter().map(|s| share(s, t)).product::<f64>() * of_rest(t);
-    times.get(times.partition_point(|t| product(*t) < p)).copied()
+    times
+        .get(times.partition_point(|t| product(*t) < p))
+        .copied()
 }
 
 /// How many groups of at most `of` these times make, where only equal ones go together.
 pub fn groups(times: impl Iterator<Item = f64>, of: usize) -> usize {
     let mut times: Vec<f64> = times.collect();
     times.sort_by(f64::total_cmp);
-    times.chunk_by(|a, b| a == b).map(|c| c.len().div_ceil(of.max(1))).sum()
+    times
+        .chunk_by(|a, b| a == b)
+        .map(|c| c.len().div_ceil(of.max(1)))
+        .sum()
 }
 
 /// The mean of the samples, if there are any.
--- a/src/unloaded_latency.rs
+++ b/src/unloaded_latency.rs
@@ -15,7 +15,11 @@
 impl<R: Ord> UnloadedLatency<R> {
     /// `start`: the quantile (seconds) that stands in before the first sample.
     pub fn new(start: f64) -> Self {
-        UnloadedLatency { replicas: BTreeMap::new(), fleet: VecDeque::new(), start }
+        UnloadedLatency {
+            replicas: BTreeMap::new(),
+            fleet: VecDeque::new(),
+            start,
+        }
     }
 
     /// Records the latency of an answered call; that of an ejected replica is kept out of the fleet's.
@@ -24,7 +28,14 @@
         R: Clone,
     {
         let own = self.replicas.entry(replica.clone()).or_default();
-        push(own, Sample { at: now, value: latency }, OWN_SAMPLES);
+        push(
+            own,
+            Sample {
+                at: now,
+                value: latency,
+            },
+            OWN_SAMPLES,
+        );
         if !ejected {
             push(&mut self.fleet, latency, FLEET_SAMPLES);
         }
@@ -48,7 +59,9 @@
 
     /// Samples to judge a replica by; `None` for one that counts as average, such as an ejected one.
     pub fn samples(&self, now: f64, replica: Option<&R>) -> Vec<f64> {
-        replica.and_then(|r| self.own(now, r)).unwrap_or_else(|| self.fleet())
+        replica
+            .and_then(|r| self.own(now, r))
+            .unwrap_or_else(|| self.fleet())
     }
 
     /// The `p` quantile of `samples`, or the start value.
@@ -58,7 +71,10 @@
 
     /// The smallest time by which all these replicas have answered with probability `p` or more.
     pub fn product_quantile(&self, now: f64, replicas: &[Option<&R>], p: f64) -> f64 {
-        let own: Vec<_> = replicas.iter().filter_map(|r| r.and_then(|r| self.own(now, r))).collect();
+        let own: Vec<_> = replicas
+            .iter()
+            .filter_map(|r| r.and_then(|r| self.own(now, r)))
+            .collect();
         let average = replicas.len() - own.len();
         product_quantile(own, self.fleet(), average, p).unwrap_or(self.start)
     }
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -7,7 +7,12 @@
 use woadreach::api::*;
 use woadreach::decide::balancer::Balancer;
 
-const MAYBE_RUN: [Ending; 4] = [Ending::Errored, Ending::TimedOut, Ending::Broken, Ending::Cancelled];
+const MAYBE_RUN: [Ending; 4] = [
+    Ending::Errored,
+    Ending::TimedOut,
+    Ending::Broken,
+    Ending::Cancelled,
+];
 
 #[rstest]
 #[case::spread_over_two(&["a", "b"], 4, &[2, 2])]
@@ -15,8 +20,10 @@
 fn fewest_own_parts_out(#[case] names: &[&str], #[case] parts: usize, #[case] each: &[usize]) {
     let mut b = balancer(settings(), names);
     let plan = b.place(0.0, &mut search(1, parts, 0.0, 3.0));
-    let counts: Vec<usize> =
-        names.iter().map(|n| plan.send.iter().filter(|p| p.replica == id(n)).count()).collect();
+    let counts: Vec<usize> = names
+        .iter()
+        .map(|n| plan.send.iter().filter(|p| p.replica == id(n)).count())
+        .collect();
     assert_eq!(counts, each);
 }
 
@@ -26,11 +33,20 @@
 #[case::four_parts_a_call(4, true)]
 fn load_counts_calls(#[case] per_call: usize, #[case] ties: bool) {
     let chosen = |seed: u64| {
-        let mut b = balancer(Settings { per_call, seed, ..settings() }, &["a"]);
+        let mut b = balancer(
+            Settings {
+                per_call,
+                seed,
+                ..settings()
+            },
+            &["a"],
+        );
         b.place(0.0, &mut search(1, 3, 0.0, 3.0));
         b.list(false, &[line("b", true, None)]);
         b.place(0.1, &mut search(2, 1, 0.1, 3.0));
-        b.place(0.2, &mut search(3, 1, 0.2, 3.0)).send[0].replica.clone()
+        b.place(0.2, &mut search(3, 1, 0.2, 3.0)).send[0]
+            .replica
+            .clone()
     };
     assert_eq!((0..20).any(|seed| chosen(seed) == id("a")), ties);
 }
@@ -38,8 +54,20 @@
 /// A replica that restarts and takes another cell's shards leaves its old cell.
 #[test]
 fn a_restart_in_another_cell_leaves_the_old_one() {
-    let mut b = balancer(Settings { cells: 2, ..settings() }, &[]);
-    b.list(false, &[Listed { cell: CellId(1), ..line("a", true, Some(1.0)) }]);
+    let mut b = balancer(
+        Settings {
+            cells: 2,
+            ..settings()
+        },
+        &[],
+    );
+    b.list(
+        false,
+        &[Listed {
+            cell: CellId(1),
+            ..line("a", true, Some(1.0))
+        }],
+    );
     b.list(false, &[line("a", true, Some(2.0))]);
     let of_the_old_cell = |b: &mut Balancer, n| {
         let mut search = search(n, 1, 9.0, 3.0);
@@ -48,8 +76,20 @@
     };
     assert_eq!(of_the_old_cell(&mut b, 1), []);
     assert_eq!(b.place(9.0, &mut search(2, 1, 9.0, 3.0)).send.len(), 1);
-    let mut gone = balancer(Settings { cells: 2, ..settings() }, &[]);
-    gone.list(false, &[Listed { cell: CellId(1), ..line("a", true, Some(1.0)) }]);
+    let mut gone = balancer(
+        Settings {
+            cells: 2,
+            ..settings()
+        },
+        &[],
+    );
+    gone.list(
+        false,
+        &[Listed {
+            cell: CellId(1),
+            ..line("a", true, Some(1.0))
+        }],
+    );
     gone.list(false, &[line("a", true, Some(2.0))]);
     gone.list(true, &[]);
     assert_eq!(of_the_old_cell(&mut gone, 3), []);
@@ -61,7 +101,10 @@
 #[case::after_time_out(Ending::TimedOut)]
 fn held_parts_leave_by_deadline(#[case] trigger: Ending) {
     let mut set = settings();
-    set.query_types.push(QueryType { latency_target: 0.5, ..query_type() });
+    set.query_types.push(QueryType {
+        latency_target: 0.5,
+        ..query_type()
+    });
     // Chance must not shed the held ones: no replica has answered late.
     let mut b = balancer(set, &["a"]);
     let mut first = search(1, 3, 0.0, 3.0);
@@ -70,7 +113,11 @@
     let (mut slow, mut fast) = (search(2, 1, 0.1, 3.0), search(3, 1, 0.12, 3.0));
     fast.query_type = QueryTypeId(1);
     let let_in = b.place(0.1, &mut slow);
-    assert_eq!(let_in.send.len(), 1, "two are out, as at the answer: one more may go");
+    assert_eq!(
+        let_in.send.len(),
+        1,
+        "two are out, as at the answer: one more may go"
+    );
     let mut later = search(4, 1, 0.1, 3.0);
     assert!(b.place(0.1, &mut later).send.is_empty() && b.place(0.12, &mut fast).send.is_empty());
     assert!(!later.over && !fast.over);
@@ -98,8 +145,14 @@
         }
         now += b.wait(now, &q);
     }
-    assert!(q.over && replies == 1 && now <= 5.0 + left, "ended at {now}");
-    assert!(b.place(now, &mut q).reply.is_none(), "one final answer only");
+    assert!(
+        q.over && replies == 1 && now <= 5.0 + left,
+        "ended at {now}"
+    );
+    assert!(
+        b.place(now, &mut q).reply.is_none(),
+        "one final answer only"
+    );
 }
 
 /// Which types may be sent again after an outcome, and whether their search may be shed.
@@ -118,11 +171,21 @@
         let sent = b.place(0.0, &mut q).send[0].clone();
         let plan = b.after(0.1, Some(&mut q), &ended(&sent, 0, ending, 0.1));
         assert_eq!(!plan.send.is_empty(), again, "{ending:?}");
-        if matches!(repeat, Repeat::Tokened { any_holder: false, .. }) {
+        if matches!(
+            repeat,
+            Repeat::Tokened {
+                any_holder: false,
+                ..
+            }
+        ) {
             assert_eq!(plan.send[0].replica, sent.replica);
         }
         let end = if again { b.place(2.999, &mut q) } else { plan };
-        assert_eq!(matches!(end.reply, Some(Reply::Shed { .. })), shed, "{ending:?}");
+        assert_eq!(
+            matches!(end.reply, Some(Reply::Shed { .. })),
+            shed,
+            "{ending:?}"
+        );
         assert!(end.reply.is_some());
     }
 }
@@ -137,7 +200,12 @@
     let mut b = balancer(set, &["a", "b"]);
     let mut q = search(1, 1, 0.0, 3.0);
     let sent = b.place(0.0, &mut q).send[0].clone();
-    assert_eq!(b.after(0.1, Some(&mut q), &ended(&sent, 0, ending, 0.1)).send.len(), 1);
+    assert_eq!(
+        b.after(0.1, Some(&mut q), &ended(&sent, 0, ending, 0.1))
+            .send
+            .len(),
+        1
+    );
 }
 
 /// Nothing new to a replica that drains or is gone, from the moment the list says so.
@@ -160,7 +228,12 @@
 #[case::refusing(0.0, Ending::Full)]
 fn cold_replica_is_not_pushed_over(#[case] age: f64, #[case] ending: Ending) {
     let mut set = settings();
-    set.cold = Some(ColdRule { from: 0.2, time: 10.0, tip_multiple: 2.5, tip_time: 1.0 });
+    set.cold = Some(ColdRule {
+        from: 0.2,
+        time: 10.0,
+        tip_multiple: 2.5,
+        tip_time: 1.0,
+    });
     let mut b = balancer(set, &[]);
     b.list(true, &[line("a", true, Some(10.0 - age))]);
     let mut sent = 0;
@@ -174,8 +247,15 @@
     }
     // Unloaded answers of 5 ms or, without any, a fifth of the target: 200 parts or 5 a second, by half.
     let warmth = 0.2 + 0.8 * (age + 1.0) / 10.0;
-    let work = if ending == Ending::Answered { 0.005 } else { 0.2 };
-    assert!(sent >= 1 && f64::from(sent) <= (2.5 * warmth / work / 2.0_f64).max(1.0), "{sent} sent");
+    let work = if ending == Ending::Answered {
+        0.005
+    } else {
+        0.2
+    };
+    assert!(
+        sent >= 1 && f64::from(sent) <= (2.5 * warmth / work / 2.0_f64).max(1.0),
+        "{sent} sent"
+    );
 }
 
 /// Many co-ordinators, each of them alone, one part each in every window: together under the limit from the
@@ -184,10 +264,23 @@
 #[case::three(3)]
 #[case::many(150)]
 fn cold_shares_hold_in_sum(#[case] siblings: usize) {
-    let cold = Some(ColdRule { from: 0.2, time: 20.0, tip_multiple: 2.5, tip_time: 1.0 });
+    let cold = Some(ColdRule {
+        from: 0.2,
+        time: 20.0,
+        tip_multiple: 2.5,
+        tip_time: 1.0,
+    });
     let mut sent = [0_usize; 8];
     for n in 0..siblings as u64 {
-        let mut b = balancer(Settings { siblings, seed: n, cold: cold.clone(), ..settings() }, &[]);
+        let mut b = balancer(
+            Settings {
+                siblings,
+                seed: n,
+                cold: cold.clone(),
+                ..settings()
+            },
+            &[],
+        );
         b.list(true, &[line("a", true, Some(10.0))]);
         for (window, sent) in sent.iter_mut().enumerate() {
             let now = 10.01 + window as f64;
@@ -199,7 +292,10 @@
         }
     }
     // Without samples a part counts as a fifth of the target, later as its 0.05 s: 2.5 and 10 parts at first.
-    assert!(sent[0] <= 2 && sent[1..].iter().all(|n| *n <= 17), "{sent:?}");
+    assert!(
+        sent[0] <= 2 && sent[1..].iter().all(|n| *n <= 17),
+        "{sent:?}"
+    );
     assert!(sent.iter().sum::<usize>() >= 8, "{sent:?}");
 }
 
@@ -208,19 +304,37 @@
 /// in parts of a fifth of a second.
 #[test]
 fn turns_of_a_tier_add_up() {
-    let cold = Some(ColdRule { from: 0.2, time: 1e6, tip_multiple: 2.5, tip_time: 1.0 });
+    let cold = Some(ColdRule {
+        from: 0.2,
+        time: 1e6,
+        tip_multiple: 2.5,
+        tip_time: 1.0,
+    });
     let sent = |window: u64| -> usize {
         let one = |me: u64| {
-            let set = Settings { siblings: 30, me: Some(me), cold: cold.clone(), ..settings() };
+            let set = Settings {
+                siblings: 30,
+                me: Some(me),
+                cold: cold.clone(),
+                ..settings()
+            };
             let mut b = balancer(set, &[]);
             b.list(true, &[line("a", true, Some(10.0))]);
-            b.place(10.01 + window as f64, &mut search(1, 1, 10.01 + window as f64, 3.0)).send.len()
+            b.place(
+                10.01 + window as f64,
+                &mut search(1, 1, 10.01 + window as f64, 3.0),
+            )
+            .send
+            .len()
         };
         (0..30).map(one).sum()
     };
     let sent: Vec<usize> = (0..400).map(sent).collect();
     assert!(sent.iter().all(|n| *n <= 2), "{sent:?}");
-    assert!((480..=520).contains(&sent.iter().sum::<usize>()), "{sent:?}");
+    assert!(
+        (480..=520).contains(&sent.iter().sum::<usize>()),
+        "{sent:?}"
+    );
 }
 
 /// Fresh replicas start with one in flight, more as they answer.
@@ -229,7 +343,12 @@
 #[case::four_answers(4, 2)]
 fn in_flight_cap_grows(#[case] answers: u64, #[case] cap: usize) {
     let mut set = settings();
-    set.cold = Some(ColdRule { from: 1.0, time: 100.0, tip_multiple: 1e6, tip_time: 1.0 });
+    set.cold = Some(ColdRule {
+        from: 1.0,
+        time: 100.0,
+        tip_multiple: 1e6,
+        tip_time: 1.0,
+    });
     let mut b = balancer(set, &[]);
     b.list(true, &[line("a", true, Some(1.0))]);
     for n in 0..answers {
@@ -237,7 +356,9 @@
         let p = b.place(2.0, &mut q).send[0].clone();
         b.after(2.0, Some(&mut q), &ended(&p, 0, Ending::Answered, 0.01));
     }
-    let sent: usize = (50..60).map(|n| b.place(2.1, &mut search(n, 1, 2.1, 3.0)).send.len()).sum();
+    let sent: usize = (50..60)
+        .map(|n| b.place(2.1, &mut search(n, 1, 2.1, 3.0)).send.len())
+        .sum();
     assert_eq!(sent, cap);
 }
 
@@ -247,13 +368,20 @@
 #[case::share_only(0.0, 0.25, 5)]
 fn budget_is_kept(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
     let mut set = settings();
-    set.budget = Some(BudgetRule { free, share, window: 10.0 });
+    set.budget = Some(BudgetRule {
+        free,
+        share,
+        window: 10.0,
+    });
     let mut b = balancer(set, &["a", "b", "c"]);
     let mut further = 0;
     for n in 0..5 {
         let mut q = search(n + 1, 3, 0.0, 3.0);
         for p in b.place(0.0, &mut q).send {
-            further += b.after(0.1, Some(&mut q), &ended(&p, 0, Ending::Errored, 0.1)).send.len();
+            further += b
+                .after(0.1, Some(&mut q), &ended(&p, 0, Ending::Errored, 0.1))
+                .send
+                .len();
         }
     }
     assert!(further <= most, "{further}");
@@ -280,7 +408,9 @@
     let sent = b.place(0.0, &mut q).send;
     let mut last = None;
     for p in &sent[..answered] {
-        last = b.after(0.1, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1)).reply;
+        last = b
+            .after(0.1, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1))
+            .reply;
         // A part counts once.
         b.after(0.1, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1));
     }
@@ -305,9 +435,14 @@
     add_parts(&mut q, 900, 2);
     let mut reply = None;
     for p in &b.place(0.795, &mut q).send[..second] {
-        reply = b.after(0.9, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1)).reply;
+        reply = b
+            .after(0.9, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1))
+            .reply;
     }
-    assert_eq!(reply.or_else(|| b.place(0.99, &mut q).reply), Some(Reply::Answered { whole }));
+    assert_eq!(
+        reply.or_else(|| b.place(0.99, &mut q).reply),
+        Some(Reply::Answered { whole })
+    );
     assert!(q.over);
 }
 
@@ -330,7 +465,11 @@
         b.after(
             now,
             None,
-            &(if n < 3 { ended(&p, 0, Ending::Answered, 0.1) } else { ended(&p, 0, ending, latency) }),
+            &(if n < 3 {
+                ended(&p, 0, Ending::Answered, 0.1)
+            } else {
+                ended(&p, 0, ending, latency)
+            }),
         );
     }
     let sends = |b: &mut woadreach::decide::balancer::Balancer, now: f64| -> usize {
@@ -359,7 +498,11 @@
     for n in 0..130 {
         let p = b.place(0.0, &mut search(n + 1, 1, 0.0, 3.0)).send[0].clone();
         let slow = n > 120 && p.replica == id("a");
-        b.after(0.0, None, &ended(&p, 0, Ending::Answered, if slow { latency } else { 0.005 }));
+        b.after(
+            0.0,
+            None,
+            &ended(&p, 0, Ending::Answered, if slow { latency } else { 0.005 }),
+        );
     }
     let sent = (2000..2020).flat_map(|n| b.place(0.1, &mut search(n, 1, 0.1, 3.0)).send);
     assert_eq!(sent.filter(|p| p.replica == id("a")).count() > 1, sound);
@@ -376,12 +519,26 @@
         let p = b.place(0.0, &mut search(n + 1, 1, 0.0, 3.0)).send[0].clone();
         // The twentieth stays out, so that those after it are not alone.
         if n != 20 {
-            b.after(0.0, None, &ended(&p, 0, Ending::Answered, if n < 20 { 0.005 } else { latency }));
+            b.after(
+                0.0,
+                None,
+                &ended(
+                    &p,
+                    0,
+                    Ending::Answered,
+                    if n < 20 { 0.005 } else { latency },
+                ),
+            );
         }
     }
     let mut q = search(500, 1, 0.1, 3.0);
     let lost = b.place(0.1, &mut q).send[0].clone();
-    assert_eq!(b.after(0.1, Some(&mut q), &ended(&lost, 0, Ending::Errored, 0.1)).send.len(), again);
+    assert_eq!(
+        b.after(0.1, Some(&mut q), &ended(&lost, 0, Ending::Errored, 0.1))
+            .send
+            .len(),
+        again
+    );
 }
 
 /// A replica that fails one query type, and only part of it, is left out for that one alone. What was sent
@@ -395,14 +552,39 @@
     set.query_types.push(query_type());
     set.may_copy = false;
     let mut b = balancer(set, &["a", "b"]);
-    let typed = |n: u64, t: usize| Search { query_type: QueryTypeId(t), ..search(n, 1, 0.0, 3.0) };
+    let typed = |n: u64, t: usize| Search {
+        query_type: QueryTypeId(t),
+        ..search(n, 1, 0.0, 3.0)
+    };
     // All are out, by turns at either, before the first ends; those that come last are answered.
-    let types = [1; 8].into_iter().chain((0..16).map(|n| n / 2 % 2)).chain([0; 10]);
-    let sent: Vec<_> =
-        types.zip(1..).map(|(t, n)| (t, b.place(0.0, &mut typed(n, t)).send.remove(0))).collect();
-    for (n, (t, p)) in sent.iter().filter(|(_, p)| p.replica == id("a")).enumerate() {
+    let types = [1; 8]
+        .into_iter()
+        .chain((0..16).map(|n| n / 2 % 2))
+        .chain([0; 10]);
+    let sent: Vec<_> = types
+        .zip(1..)
+        .map(|(t, n)| (t, b.place(0.0, &mut typed(n, t)).send.remove(0)))
+        .collect();
+    for (n, (t, p)) in sent
+        .iter()
+        .filter(|(_, p)| p.replica == id("a"))
+        .enumerate()
+    {
         let bad = both || (*t == 0 && n < 12);
-        b.after(0.1, None, &ended(p, 0, if bad { Ending::Errored } else { Ending::Answered }, 0.1));
+        b.after(
+            0.1,
+            None,
+            &ended(
+                p,
+                0,
+                if bad {
+                    Ending::Errored
+                } else {
+                    Ending::Answered
+                },
+                0.1,
+            ),
+        );
     }
     for n in 0..later {
         let p = b.place(0.1, &mut typed(1000 + n, 1)).send.remove(0);
@@ -411,7 +593,11 @@
     }
     for (t, used) in used.into_iter().enumerate() {
         let sent = (5000..5010).flat_map(|n| b.place(0.2, &mut typed(n, t)).send);
-        assert_eq!(sent.filter(|p| p.replica == id("a")).count() > 0, used, "query type {t}");
+        assert_eq!(
+            sent.filter(|p| p.replica == id("a")).count() > 0,
+            used,
+            "query type {t}"
+        );
     }
 }
 
@@ -423,11 +609,17 @@
     let mut b = balancer(settings(), &["a", "b"]);
     let (mut q, _) = stuck_at(&mut b, "a", 0.0);
     let others = 2000..2002 + 2 * later;
-    let sent: Vec<_> = others.map(|n| b.place(0.1, &mut search(n, 1, 0.1, 3.0)).send.remove(0)).collect();
+    let sent: Vec<_> = others
+        .map(|n| b.place(0.1, &mut search(n, 1, 0.1, 3.0)).send.remove(0))
+        .collect();
     let mut at_a = 0;
     for p in sent {
         at_a += u64::from(p.replica == id("a"));
-        let ending = if p.replica == id("b") || at_a <= later { Ending::Answered } else { Ending::NeverSent };
+        let ending = if p.replica == id("b") || at_a <= later {
+            Ending::Answered
+        } else {
+            Ending::NeverSent
+        };
         b.after(0.2, None, &ended(&p, 0, ending, 0.1));
     }
     assert_eq!(b.place(0.6, &mut q).send.len(), copies);
@@ -441,7 +633,20 @@
     let mut b = balancer(settings(), &["a", "b"]);
     for n in 0..5 {
         let (_, p) = stuck_at(&mut b, "a", 0.0);
-        b.after(0.0, None, &ended(&p, 0, if n < 3 { Ending::Answered } else { Ending::Errored }, 0.1));
+        b.after(
+            0.0,
+            None,
+            &ended(
+                &p,
+                0,
+                if n < 3 {
+                    Ending::Answered
+                } else {
+                    Ending::Errored
+                },
+                0.1,
+            ),
+        );
     }
     let (_, last) = stuck_at(&mut b, "a", 0.0);
     let finish = |b: &mut woadreach::decide::balancer::Balancer| {
@@ -455,7 +660,8 @@
         finish(&mut b);
     }
     b.list(false, &[line("a", true, None)]);
-    let to_a = (1..=20).filter(|n| b.place(0.2, &mut search(*n, 1, 0.2, 3.0)).send[0].replica == id("a"));
+    let to_a =
+        (1..=20).filter(|n| b.place(0.2, &mut search(*n, 1, 0.2, 3.0)).send[0].replica == id("a"));
     assert!(to_a.count() > 0);
 }
 
@@ -468,10 +674,17 @@
     let mut set = settings();
     (set.cells, set.sub_requests_cap) = (9, 1);
     let mut b = balancer(set, &[]);
-    let at =
-        |name: &str, cell, zone| Listed { zone: ZoneId(zone), cell: CellId(cell), ..line(name, true, None) };
+    let at = |name: &str, cell, zone| Listed {
+        zone: ZoneId(zone),
+        cell: CellId(cell),
+        ..line(name, true, None)
+    };
     let names: Vec<String> = (0..8).map(|n| format!("x{n}")).collect();
-    let mut lines: Vec<Listed> = names.iter().zip(0..).map(|(n, cell)| at(n, cell, 1)).collect();
+    let mut lines: Vec<Listed> = names
+        .iter()
+        .zip(0..)
+        .map(|(n, cell)| at(n, cell, 1))
+        .collect();
     lines.push(at("y", 8, 1));
     lines.extend(other.then(|| at("z", 8, 2)));
     b.list(true, &lines);
@@ -499,7 +712,12 @@
         b.after(
             1.0,
             Some(&mut q),
-            &ended(&p, 0, Ending::Answered, if n % 20 == 0 || n == 50 { 0.9 } else { 0.1 }),
+            &ended(
+                &p,
+                0,
+                Ending::Answered,
+                if n % 20 == 0 || n == 50 { 0.9 } else { 0.1 },
+            ),
         );
     }
     let mut q = search(99, 1, 2.0, 3.0);
@@ -512,15 +730,24 @@
 #[case::sparse(0, 1.0, false)]
 #[case::sparse_but_old(0, 11.0, true)]
 #[case::dense(4, 1.0, true)]
-fn the_last_outcome_decides_in_sparse_sight(#[case] good: u64, #[case] later: f64, #[case] used: bool) {
+fn the_last_outcome_decides_in_sparse_sight(
+    #[case] good: u64,
+    #[case] later: f64,
+    #[case] used: bool,
+) {
     let mut b = balancer(settings(), &["a", "b"]);
     for n in 0..=good {
         let (_, p) = stuck_at(&mut b, "a", 0.1);
-        let ending = if n == good { Ending::Errored } else { Ending::Answered };
+        let ending = if n == good {
+            Ending::Errored
+        } else {
+            Ending::Answered
+        };
         b.after(0.2, None, &ended(&p, 0, ending, 0.1));
     }
     let now = 0.2 + later;
-    let at_a = (1..=20).any(|n| b.place(now, &mut search(n, 1, now, 3.0)).send[0].replica == id("a"));
+    let at_a =
+        (1..=20).any(|n| b.place(now, &mut search(n, 1, now, 3.0)).send[0].replica == id("a"));
     assert_eq!(at_a, used);
 }
 
@@ -530,7 +757,12 @@
 #[case::cold_closed(1, "a")]
 fn distrusted_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
     let mut set = settings();
-    set.cold = Some(ColdRule { from: 0.2, time: 100.0, tip_multiple: 2.5, tip_time: 1.0 });
+    set.cold = Some(ColdRule {
+        from: 0.2,
+        time: 100.0,
+        tip_multiple: 2.5,
+        tip_time: 1.0,
+    });
     (set.sub_requests_cap, set.siblings) = (1, 1);
     let mut b = balancer(set, &["a"]);
     for n in 0..2 {
@@ -542,7 +774,10 @@
     for n in 0..out_at_cold {
         b.place(10.0, &mut search(n + 10, 1, 10.0, 3.0));
     }
-    assert_eq!(b.place(10.01, &mut search(50, 1, 10.01, 3.0)).send[0].replica, id(chosen));
+    assert_eq!(
+        b.place(10.01, &mut search(50, 1, 10.01, 3.0)).send[0].replica,
+        id(chosen)
+    );
 }
 
 /// A replica that is bad still serves where it is the only holder.
@@ -552,7 +787,11 @@
     for n in 0..12 {
         let mut q = search(n + 1, 1, n as f64, 3.0);
         let p = b.place(n as f64, &mut q).send[0].clone();
-        b.after(n as f64 + 0.1, Some(&mut q), &ended(&p, 0, Ending::Errored, 0.1));
+        b.after(
+            n as f64 + 0.1,
+            Some(&mut q),
+            &ended(&p, 0, Ending::Errored, 0.1),
+        );
     }
     assert_eq!(b.place(20.0, &mut search(99, 1, 20.0, 3.0)).send.len(), 1);
 }
@@ -594,7 +833,10 @@
     }
     let mut q = search(50, 1, 0.5, left);
     q.repeated = repeated;
-    assert_eq!(matches!(b.place(0.5, &mut q).reply, Some(Reply::Shed { .. })), shed);
+    assert_eq!(
+        matches!(b.place(0.5, &mut q).reply, Some(Reply::Shed { .. })),
+        shed
+    );
 }
 
 /// Clients that ask again early show one time left again and again, under the latency target.
@@ -609,8 +851,15 @@
         b.place(0.0, &mut search(n, 1, 0.0, 1.8));
     }
     (0..before).for_each(|n| drop(b.place(0.0, &mut search(100 + n, 1, 0.0, left))));
-    assert_eq!(b.place(0.5, &mut search(50, 1, 0.5, left)).reply.is_some(), shed);
-    assert_eq!(b.place(0.5, &mut search(51, 1, 0.5, 1.8)).reply, None, "a first try");
+    assert_eq!(
+        b.place(0.5, &mut search(50, 1, 0.5, left)).reply.is_some(),
+        shed
+    );
+    assert_eq!(
+        b.place(0.5, &mut search(51, 1, 0.5, 1.8)).reply,
+        None,
+        "a first try"
+    );
 }
 
 /// Admission sees a queue by what is out for long, also when no answer comes any more.
@@ -636,10 +885,18 @@
     let mut b = balancer(settings(), &["a"]);
     let mut first = search(1, 1, 0.0, 3.0);
     let p = b.place(0.0, &mut first).send[0].clone();
-    b.after(0.98, Some(&mut first), &ended(&p, 0, Ending::Cancelled, 0.98));
+    b.after(
+        0.98,
+        Some(&mut first),
+        &ended(&p, 0, Ending::Cancelled, 0.98),
+    );
     let mut second = search(2, 1, 0.98, 3.0);
     let p = b.place(0.98, &mut second).send[0].clone();
-    b.after(0.98 + latency, Some(&mut second), &ended(&p, 0, Ending::Answered, latency));
+    b.after(
+        0.98 + latency,
+        Some(&mut second),
+        &ended(&p, 0, Ending::Answered, latency),
+    );
     let now = 1.0 + latency;
     assert_eq!(b.place(now, &mut search(3, 1, now, 3.0)).reply, None);
 }
@@ -647,16 +904,34 @@
 /// Odd facts do no harm: outcomes of unknown replicas and parts, zero weights, unknown cells.
 #[rstest]
 fn odd_input_is_harmless() {
-    let mut b = balancer(Settings { cells: 0, ..settings() }, &["a"]);
-    let stray =
-        Outcome { part: PartId(1), nth: 3, replica: id("z"), ending: Ending::Answered, latency: f64::NAN };
+    let mut b = balancer(
+        Settings {
+            cells: 0,
+            ..settings()
+        },
+        &["a"],
+    );
+    let stray = Outcome {
+        part: PartId(1),
+        nth: 3,
+        replica: id("z"),
+        ending: Ending::Answered,
+        latency: f64::NAN,
+    };
     assert!(b.after(0.0, None, &stray).send.is_empty());
     let mut q = search(1, 2, 0.0, 3.0);
     q.parts.iter_mut().for_each(|p| p.weight = 0.0);
-    assert!(b.place(0.0, &mut q).reply.is_some(), "no weight can meet a floor");
+    assert!(
+        b.place(0.0, &mut q).reply.is_some(),
+        "no weight can meet a floor"
+    );
     let mut q = search(2, 1, 0.0, 3.0);
     let sent = b.place(0.0, &mut q).send;
-    b.after(0.1, Some(&mut q), &ended(&sent[0], 9, Ending::Answered, 0.1));
+    b.after(
+        0.1,
+        Some(&mut q),
+        &ended(&sent[0], 9, Ending::Answered, 0.1),
+    );
     assert!(b.wait(0.1, &q).is_finite());
     assert!(b.place(2.999, &mut q).reply.is_some());
 }
@@ -666,14 +941,32 @@
 #[case::came_in_the_window(6.0, 0.0, true)]
 #[case::came_before_it(10.5, 0.0, false)]
 #[case::out_of_it_when_it_may_leave(9.0, 2.0, false)]
-fn the_budget_counts_from_the_arrival(#[case] failed: f64, #[case] late_send: f64, #[case] again: bool) {
-    let mut set = Settings { late_send, ..settings() };
-    set.budget = Some(BudgetRule { free: 0.0, share: 1.0, window: 10.0 });
-    (set.query_types[0].latency_target, set.query_types[0].client_timeout) = (30.0, 60.0);
+fn the_budget_counts_from_the_arrival(
+    #[case] failed: f64,
+    #[case] late_send: f64,
+    #[case] again: bool,
+) {
+    let mut set = Settings {
+        late_send,
+        ..settings()
+    };
+    set.budget = Some(BudgetRule {
+        free: 0.0,
+        share: 1.0,
+        window: 10.0,
+    });
+    (
+        set.query_types[0].latency_target,
+        set.query_types[0].client_timeout,
+    ) = (30.0, 60.0);
     let mut b = balancer(set, &["a", "b"]);
     let mut q = search(1, 1, 0.0, 60.0);
     let p = b.place(5.0, &mut q).send[0].clone();
-    let plan = b.after(failed, Some(&mut q), &ended(&p, 0, Ending::Errored, failed - 5.0));
+    let plan = b.after(
+        failed,
+        Some(&mut q),
+        &ended(&p, 0, Ending::Errored, failed - 5.0),
+    );
     assert_eq!(plan.send.len(), usize::from(again));
 }
 
@@ -686,8 +979,9 @@
     set.may_copy = may_copy;
     let mut b = balancer(set, &["a", "b"]);
     let (mut q, _) = stuck_at(&mut b, "a", 0.0);
-    let sent: Vec<_> =
-        (2000..2010).map(|n| b.place(0.1, &mut search(n, 1, 0.1, 3.0)).send.remove(0)).collect();
+    let sent: Vec<_> = (2000..2010)
+        .map(|n| b.place(0.1, &mut search(n, 1, 0.1, 3.0)).send.remove(0))
+        .collect();
     for p in sent {
         b.after(0.2, None, &ended(&p, 0, Ending::Answered, 0.1));
     }
@@ -710,7 +1004,9 @@
     }
     let mut q = search(50, 1, 0.5, 1.5);
     let plan = b.place(0.5, &mut q);
-    let Some(Reply::Shed { retry_after }) = plan.reply else { panic!("not shed at once: {:?}", plan.reply) };
+    let Some(Reply::Shed { retry_after }) = plan.reply else {
+        panic!("not shed at once: {:?}", plan.reply)
+    };
     assert!(plan.send.is_empty());
     match advice {
         Some(most) => assert!(retry_after > 0.0 && retry_after <= most, "{retry_after}"),
@@ -739,12 +1035,31 @@
     let (mut q, p) = stuck_at(&mut b, "a", 0.01);
     let plan = b.place(later, &mut q);
     assert!(plan.reply.is_none());
-    assert_eq!(plan.cancel.contains(&(p.part, 0)), called_off, "{:?}", plan.cancel);
+    assert_eq!(
+        plan.cancel.contains(&(p.part, 0)),
+        called_off,
+        "{:?}",
+        plan.cancel
+    );
     if called_off {
         assert!(plan.send.is_empty(), "never two out at once");
-        assert!(b.place(later + 0.01, &mut q).cancel.is_empty(), "called off once");
-        let resent = b.after(later + 0.02, Some(&mut q), &ended(&p, 0, Ending::Cancelled, later));
-        assert_eq!(resent.send.iter().map(|s| s.replica.clone()).collect::<Vec<_>>(), vec![id("b")]);
+        assert!(
+            b.place(later + 0.01, &mut q).cancel.is_empty(),
+            "called off once"
+        );
+        let resent = b.after(
+            later + 0.02,
+            Some(&mut q),
+            &ended(&p, 0, Ending::Cancelled, later),
+        );
+        assert_eq!(
+            resent
+                .send
+                .iter()
+                .map(|s| s.replica.clone())
+                .collect::<Vec<_>>(),
+            vec![id("b")]
+        );
     }
 }
 
@@ -755,16 +1070,26 @@
     let mut b = Balancer::new(settings());
     let lines = ["a0", "b0", "a1", "b1"].map(|n| {
         let zone = ZoneId(u64::from(n.ends_with('1')));
-        Listed { zone, ..line(n, true, None) }
+        Listed {
+            zone,
+            ..line(n, true, None)
+        }
     });
     b.list(true, &lines);
     b
 }
 
 fn zoning(shares: [f64; 2], near: Option<f64>) -> Option<Zoning> {
-    let shares = shares.into_iter().enumerate().map(|(z, s)| (ZoneId(z as u64), s)).collect();
+    let shares = shares
+        .into_iter()
+        .enumerate()
+        .map(|(z, s)| (ZoneId(z as u64), s))
+        .collect();
     let near = near.map(|share| (BTreeSet::from([ZoneId(0)]), share));
-    Some(Zoning { shares, near: near.into_iter().collect() })
+    Some(Zoning {
+        shares,
+        near: near.into_iter().collect(),
+    })
 }
 
 /// How many of 200 one-part searches go to zone 0, each answered at once, a millisecond apart.
@@ -791,7 +1116,10 @@
 #[case::near_for_a_part_of_it(zoning([1.0, 1.0], Some(0.6)), 140..185)]
 #[case::near_is_out(zoning([0.0, 1.0], Some(0.0)), 0..1)]
 #[case::both_are_out_and_there_is_no_other(zoning([0.0, 0.0], None), 70..130)]
-fn parts_go_where_the_tier_says(#[case] told: Option<Zoning>, #[case] expected: std::ops::Range<usize>) {
+fn parts_go_where_the_tier_says(
+    #[case] told: Option<Zoning>,
+    #[case] expected: std::ops::Range<usize>,
+) {
     let mut b = two_zones();
     b.zoning(0.0, told);
     let n = to_zone_0(&mut b, 1.0);
@@ -807,7 +1135,10 @@
     b.after(1.0, Some(&mut q), &ended(&p, 0, Ending::Errored, 0.01));
     b.zoning(1.1, zoning([0.0, 1.0], Some(1.0)));
     b.zoning(1.2, zoning([1.0, 1.0], Some(1.0)));
-    let shut = Listed { zone: ZoneId(0), ..line("b0", false, None) };
+    let shut = Listed {
+        zone: ZoneId(0),
+        ..line("b0", false, None)
+    };
     b.list(false, &[shut]);
     for i in 0..50 {
         let now = 1.2 + 0.001 * f64::from(i);
@@ -836,7 +1167,10 @@
     to_zone_0(&mut b, 1.0);
     let of = |b: &Balancer, now: f64| {
         let sights = b.sights(now);
-        sights.iter().map(|s| (s.zone.0, s.seen, s.bad, s.capacity)).collect::<Vec<_>>()
+        sights
+            .iter()
+            .map(|s| (s.zone.0, s.seen, s.bad, s.capacity))
+            .collect::<Vec<_>>()
     };
     assert_eq!(of(&b, 1.2), [(0, 6, 0, 2.0), (1, 6, 0, 2.0)]);
     let (_q, _p) = stuck_at(&mut b, "a0", 1.3);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -53,13 +53,25 @@
 }
 
 pub fn line(name: &str, open: bool, ready_at: Option<f64>) -> Listed {
-    Listed { replica: id(name), open, zone: ZoneId(0), cell: CellId(0), ready_at }
+    Listed {
+        replica: id(name),
+        open,
+        zone: ZoneId(0),
+        cell: CellId(0),
+        ready_at,
+    }
 }
 
 /// A co-ordinator that has been told of these replicas, all warm.
 pub fn balancer(set: Settings, names: &[&str]) -> Balancer {
     let mut b = Balancer::new(set);
-    b.list(true, &names.iter().map(|n| line(n, true, None)).collect::<Vec<_>>());
+    b.list(
+        true,
+        &names
+            .iter()
+            .map(|n| line(n, true, None))
+            .collect::<Vec<_>>(),
+    );
     b
 }
 
@@ -85,7 +97,13 @@
 }
 
 pub fn ended(p: &Placement, nth: usize, ending: Ending, latency: f64) -> Outcome {
-    Outcome { part: p.part, nth, replica: p.replica.clone(), ending, latency }
+    Outcome {
+        part: p.part,
+        nth,
+        replica: p.replica.clone(),
+        ending,
+        latency,
+    }
 }
 
 /// Plays one-part searches until the replica chosen is `name`, answering the others at once; returns the
@@ -159,7 +177,10 @@
 }
 
 pub fn list(generation: u64, full: bool, lines: &[String]) -> String {
-    format!(r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#, lines.join(","))
+    format!(
+        r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
+        lines.join(",")
+    )
 }
 
 /// A part as a replica gets it.
@@ -231,10 +252,17 @@
     /// Status, head and body of an answer.
     pub fn reply(&mut self) -> (u16, String, String) {
         let head = self.head();
-        let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).unwrap();
+        let length = head
+            .lines()
+            .find_map(|l| l.strip_prefix("Content-Length: "))
+            .unwrap();
         let mut body = vec![0; length.parse().unwrap()];
         self.0.read_exact(&mut body).unwrap();
-        (head[9..12].parse().unwrap(), head, String::from_utf8(body).unwrap())
+        (
+            head[9..12].parse().unwrap(),
+            head,
+            String::from_utf8(body).unwrap(),
+        )
     }
 
     pub fn ended(&mut self) -> bool {
@@ -251,7 +279,12 @@
         let (text, rest) = body[end + 1..].split_at(words[3].parse().unwrap());
         let text = String::from_utf8(text.to_vec()).unwrap();
         let shard = words[1].parse().unwrap();
-        parts.push(Sent { id: words[0].into(), shard, list: words[2].into(), text });
+        parts.push(Sent {
+            id: words[0].into(),
+            shard,
+            list: words[2].into(),
+            text,
+        });
         body = rest;
     }
     parts
@@ -260,9 +293,13 @@
 /// A search of equal parts at these shards, for five seconds.
 pub fn request(path: &str, trace: &str, shards: &[u64], text: &str) -> String {
     let w = 1.0 / shards.len().max(1) as f64;
-    let parts: Vec<String> = shards.iter().map(|s| format!(r#"{{"id":{s},"w":{w}}}"#)).collect();
+    let parts: Vec<String> = shards
+        .iter()
+        .map(|s| format!(r#"{{"id":{s},"w":{w}}}"#))
+        .collect();
     let body = format!(r#"{{"parts":[{}],"expr":"{text}"}}"#, parts.join(","));
-    let head = format!("POST /{path} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace}\r\nX-Expires-In: 5.0\r\n");
+    let head =
+        format!("POST /{path} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {trace}\r\nX-Expires-In: 5.0\r\n");
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -280,11 +317,14 @@
 impl Program {
     pub fn start(binary: &str, config: Option<&str>) -> Self {
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("woadreach-{}-{number}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("woadreach-{}-{number}.json", std::process::id()));
         let mut command = Command::new(binary);
-        ["PROXY_CONFIG", "PROXY_LISTEN", "PROXY_DISCOVERY"].iter().for_each(|v| {
-            command.env_remove(v);
-        });
+        ["PROXY_CONFIG", "PROXY_LISTEN", "PROXY_DISCOVERY"]
+            .iter()
+            .for_each(|v| {
+                command.env_remove(v);
+            });
         if let Some(config) = config {
             std::fs::write(&path, config).unwrap();
             command.env("PROXY_CONFIG", &path);
@@ -293,14 +333,27 @@
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (lines, log) = channel();
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| lines.send(l)));
-        Program { child, path, log, seen: String::new() }
+        std::thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| lines.send(l))
+        });
+        Program {
+            child,
+            path,
+            log,
+            seen: String::new(),
+        }
     }
 
     /// Waits for a line that holds this, and gives what follows it.
     pub fn says(&mut self, what: &str) -> String {
         let start = Instant::now();
-        while let Ok(line) = self.log.recv_timeout(PATIENCE.saturating_sub(start.elapsed())) {
+        while let Ok(line) = self
+            .log
+            .recv_timeout(PATIENCE.saturating_sub(start.elapsed()))
+        {
             self.seen += &format!("{line}\n");
             if let Some((_, rest)) = line.split_once(what) {
                 return rest.to_string();
@@ -312,7 +365,13 @@
     /// Sends it `-TERM` or `-HUP`.
     pub fn signal(&self, which: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([which, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([which, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     pub fn exit(&mut self) -> Option<i32> {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -8,7 +8,10 @@
     PartBudget, RetryBudget, UnloadedLatency,
 };
 
-const RULE: EjectionRule = EjectionRule { window: 8, least: 2 };
+const RULE: EjectionRule = EjectionRule {
+    window: 8,
+    least: 2,
+};
 
 /// Samples of 0.1, 0.2, ... seconds of each replica named, taken at one time.
 fn latencies(replicas: &[(&'static str, usize)]) -> UnloadedLatency<&'static str> {
@@ -33,7 +36,10 @@
     #[case] replica: Option<&'static str>,
     #[case] median: f64,
 ) {
-    assert_eq!(latencies(heard).quantile(now, replica.as_ref(), 0.5), median);
+    assert_eq!(
+        latencies(heard).quantile(now, replica.as_ref(), 0.5),
+        median
+    );
 }
 
 #[test]
@@ -61,9 +67,21 @@
         let samples = all.samples(0.0, Some(replica));
         samples.iter().filter(|s| **s <= t).count() as f64 / samples.len() as f64
     };
-    let product = |t: f64| replicas.iter().map(|r| share(r.unwrap(), t)).product::<f64>();
-    assert!(product(found) >= p && product(found - 0.05) < p, "{found}: {}", product(found));
-    assert!((found - time).abs() < 1e-9 || replicas[0] == Some(&"x"), "{found}");
+    let product = |t: f64| {
+        replicas
+            .iter()
+            .map(|r| share(r.unwrap(), t))
+            .product::<f64>()
+    };
+    assert!(
+        product(found) >= p && product(found - 0.05) < p,
+        "{found}: {}",
+        product(found)
+    );
+    assert!(
+        (found - time).abs() < 1e-9 || replicas[0] == Some(&"x"),
+        "{found}"
+    );
 }
 
 #[rstest]
@@ -79,7 +97,10 @@
 fn queuing_deadline_leaves_the_unloaded_time_before_the_target() {
     let (budget, all) = (PartBudget::default(), latencies(&[("a", 10)]));
     assert!((budget.queuing_deadline(0.0, 5.0, &all, &[Some(&"a")]) - 4.3).abs() < 1e-9);
-    assert_eq!(budget.queuing_deadline(0.0, 5.0, &latencies(&[]), &[Some(&"a")]), 4.95);
+    assert_eq!(
+        budget.queuing_deadline(0.0, 5.0, &latencies(&[]), &[Some(&"a")]),
+        4.95
+    );
     let tail = budget.tail(0.0, &all, Some(&"a"), 1);
     assert!(PartBudget::hopeless(tail - 0.01, tail) && !PartBudget::hopeless(tail, tail));
 }
@@ -105,7 +126,11 @@
     for (deadline, call) in [(3.0, 1), (-1.0, 2), (2.0, 3)] {
         held.insert(&"a", deadline, call);
     }
-    assert!(held.is_behind(&"a", 0.0, 4) && !held.is_behind(&"a", -2.0, 4) && !held.is_behind(&"b", 9.0, 4));
+    assert!(
+        held.is_behind(&"a", 0.0, 4)
+            && !held.is_behind(&"a", -2.0, 4)
+            && !held.is_behind(&"b", 9.0, 4)
+    );
     let mut order = Vec::new();
     for (call, deadline) in [(2, -1.0), (3, 2.0), (1, 3.0)] {
         order.extend(held.first(&"a"));
@@ -134,7 +159,12 @@
 }
 
 fn call(at: f64, class: u8, failed: bool) -> Observation<u8> {
-    Observation { at, sent_at: at, class, failed }
+    Observation {
+        at,
+        sent_at: at,
+        class,
+        failed,
+    }
 }
 
 #[rstest]
@@ -144,8 +174,13 @@
 #[case::under_half(&[false, false, false, true, true], false)]
 fn ejected_by_half_of_the_calls(#[case] calls: &[bool], #[case] ejected: bool) {
     let mut detector = OutlierDetector::default();
-    let change = calls.iter().fold(None, |_, failed| detector.observe(RULE, call(0.0, 0, *failed)));
-    assert_eq!((detector.is_ejected(), change), (ejected, ejected.then_some(Change::Ejected)));
+    let change = calls.iter().fold(None, |_, failed| {
+        detector.observe(RULE, call(0.0, 0, *failed))
+    });
+    assert_eq!(
+        (detector.is_ejected(), change),
+        (ejected, ejected.then_some(Change::Ejected))
+    );
 }
 
 #[test]
@@ -171,7 +206,10 @@
         assert_eq!(detector.observe(RULE, call(at, 0, false)), None);
         assert!(detector.trial_due(at, 0));
     }
-    assert_eq!(detector.observe(RULE, call(19.0, 0, false)), Some(Change::Restored));
+    assert_eq!(
+        detector.observe(RULE, call(19.0, 0, false)),
+        Some(Change::Restored)
+    );
     assert!(!detector.is_ejected());
 }
 
@@ -181,7 +219,10 @@
     let mut detector = OutlierDetector::default();
     (0..3).for_each(|_| assert_eq!(detector.observe(RULE, call(0.0, 0, false)), None));
     (0..2).for_each(|_| assert_eq!(detector.observe(RULE, call(0.0, 1, true)), None));
-    assert_eq!(detector.observe(RULE, call(0.0, 1, true)), Some(Change::Ejected));
+    assert_eq!(
+        detector.observe(RULE, call(0.0, 1, true)),
+        Some(Change::Ejected)
+    );
     assert!(detector.is_ejected_for(1) && !detector.is_ejected_for(0));
     (0..3).for_each(|_| assert_eq!(detector.observe(RULE, call(0.5, 0, true)), None));
     assert!(detector.is_ejected_for(0));
@@ -204,7 +245,10 @@
 fn limits_follow_the_answers() {
     let (unloaded, budget) = (latencies(&[("a", 10)]), PartBudget::default());
     let mut limits = LatencyLimits::new(3.0);
-    assert_eq!((limits.late_after, limits.hedge_after, limits.overloaded), (1.0, 1.0, false));
+    assert_eq!(
+        (limits.late_after, limits.hedge_after, limits.overloaded),
+        (1.0, 1.0, false)
+    );
     (0..19).for_each(|_| limits.answered(1.0, 0.4));
     limits.update(&unloaded, &budget);
     assert_eq!(limits.late_after, 1.0, "too few answers to tell");
@@ -225,8 +269,15 @@
     let mut limits = LatencyLimits::new(3.0);
     (0..4).for_each(|_| limits.answered(1.0, latency));
     assert_eq!(limits.see_overload(1.0, &unloaded), overloaded);
-    assert_eq!((limits.overloaded, limits.see_overload(1.0, &unloaded)), (overloaded, false));
-    assert_eq!(limits.see_overload(5.1, &unloaded), overloaded, "ended: its answers are too old");
+    assert_eq!(
+        (limits.overloaded, limits.see_overload(1.0, &unloaded)),
+        (overloaded, false)
+    );
+    assert_eq!(
+        limits.see_overload(5.1, &unloaded),
+        overloaded,
+        "ended: its answers are too old"
+    );
 }
 
 #[rstest]
@@ -234,12 +285,25 @@
 #[case::free_ones_only(Some((2.0, 0.0)), 2)]
 #[case::free_ones_and_a_share(Some((1.0, 0.25)), 3)]
 fn retry_budget(#[case] rule: Option<(f64, f64)>, #[case] sent: usize) {
-    let budget = rule.map(|(free, share)| BudgetRule { free, share, window: 10.0 });
-    let mut retries = RetryBudget::new(&Settings { budget, ..common::settings() });
+    let budget = rule.map(|(free, share)| BudgetRule {
+        free,
+        share,
+        window: 10.0,
+    });
+    let mut retries = RetryBudget::new(&Settings {
+        budget,
+        ..common::settings()
+    });
     retries.taken(0.0, 8);
-    let may = (0..100).take_while(|_| retries.has_room(1.0).then(|| retries.sent(1.0)).is_some()).count();
+    let may = (0..100)
+        .take_while(|_| retries.has_room(1.0).then(|| retries.sent(1.0)).is_some())
+        .count();
     assert_eq!(may, sent);
     let again = retries.has_room(10.9);
-    assert_eq!(again, rule.is_none(), "still in the window, and what was taken is not");
+    assert_eq!(
+        again,
+        rule.is_none(),
+        "still in the window, and what was taken is not"
+    );
     assert!(retries.has_room(11.1));
 }
--- a/tests/rendezvous.rs
+++ b/tests/rendezvous.rs
@@ -3,7 +3,10 @@
 use woadreach::rendezvous::rank;
 
 fn winner(key: u64, candidates: &[String]) -> &String {
-    candidates.iter().max_by_key(|candidate| rank(&key.to_le_bytes(), candidate)).expect("a candidate")
+    candidates
+        .iter()
+        .max_by_key(|candidate| rank(&key.to_le_bytes(), candidate))
+        .expect("a candidate")
 }
 
 fn candidates(count: usize) -> Vec<String> {
@@ -22,10 +25,17 @@
 #[test]
 fn keys_spread_evenly() {
     let list = candidates(50);
-    let wins = |candidate: &String| (0..2_000).filter(|key| winner(*key, &list) == candidate).count();
+    let wins = |candidate: &String| {
+        (0..2_000)
+            .filter(|key| winner(*key, &list) == candidate)
+            .count()
+    };
     for candidate in &list {
         let won = wins(candidate);
-        assert!((20..=65).contains(&won), "{candidate} won {won} of 2,000, 40 expected");
+        assert!(
+            (20..=65).contains(&won),
+            "{candidate} won {won} of 2,000, 40 expected"
+        );
     }
 }
 
@@ -35,7 +45,11 @@
     for key in 0..500 {
         let before = winner(key, &list);
         if *before != list[7] {
-            let without: Vec<String> = list.iter().filter(|one| **one != list[7]).cloned().collect();
+            let without: Vec<String> = list
+                .iter()
+                .filter(|one| **one != list[7])
+                .cloned()
+                .collect();
             assert_eq!(winner(key, &without), before);
         }
     }
