--- a/crates/woadreach-cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -4,7 +4,7 @@
 use crate::{Ended, Format};
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
-use woadreach_cluster::{Outcome, Plan, Scenario, play};
+use woadreach_process_tests::{Outcome, Plan, Scenario, play};
 
 #[derive(Subcommand)]
 pub enum What {
--- a/crates/woadreach-cli/src/faults.rs
+++ b/crates/cli/src/faults.rs
@@ -13,8 +13,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
-use woadreach_faults::{Kind, Options, Outcome, Script, play, shrink};
-use woadreach_rules::{Breach, Event};
+use woadreach_simulation::{Kind, Options, Outcome, Script, play, shrink};
+use woadreach_invariants::{Breach, Event};
 
 /// Seeds that break a rule and are told one by one.
 const TOLD: usize = 20;
@@ -300,7 +300,7 @@
     format!(
         "{}, at {:.3} s: {search}{}",
         b.rule,
-        b.at - woadreach_faults::BEGIN,
+        b.at - woadreach_simulation::BEGIN,
         b.why
     )
 }
@@ -335,7 +335,7 @@
     });
     let broken = outcomes.iter().filter_map(|(seed, o)| {
         let first = o.breaches.first()?;
-        let (rule, at) = (first.rule.to_string(), first.at - woadreach_faults::BEGIN);
+        let (rule, at) = (first.rule.to_string(), first.at - woadreach_simulation::BEGIN);
         Some(Found {
             seed: *seed,
             rule,
@@ -354,7 +354,7 @@
         searches: sum(&|o| o.searches),
         good: sum(&|o| o.good),
         sub_requests: sum(&|o| o.sub_requests),
-        digest: woadreach_faults::digest(&digests),
+        digest: woadreach_simulation::digest(&digests),
         kinds: kinds.collect(),
         broken: broken.collect(),
     }
@@ -458,7 +458,7 @@
     let line = |e: &Event| {
         println!(
             "  {:>11.6} {}",
-            e.at - woadreach_faults::BEGIN,
+            e.at - woadreach_simulation::BEGIN,
             json(&e.what)
         )
     };
@@ -521,7 +521,7 @@
         faults: Vec::new(),
         ..script(&args.script, false)?
     };
-    let real = woadreach_faults::on_sockets(&script)?;
+    let real = woadreach_simulation::on_sockets(&script)?;
     let played = play(&script, Options::default());
     let share = |o: &Outcome| o.good as f64 / o.searches.max(1) as f64;
     let compared = Compared {
@@ -567,7 +567,7 @@
 
 #[cfg(feature = "plants")]
 fn plants(args: &Plants) -> Result<Ended, String> {
-    use woadreach_faults::plants::{hunt, names};
+    use woadreach_simulation::plants::{hunt, names};
     let names: Vec<&str> = names()
         .into_iter()
         .filter(|n| args.only.is_empty() || args.only.iter().any(|o| o == n))
--- a/crates/woadreach-lease/src/decide.rs
+++ b/crates/router/lease/src/decide.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figures {
--- a/crates/woadreach-lease/src/duties.rs
+++ b/crates/router/lease/src/duties.rs
@@ -6,7 +6,7 @@
 use crate::message::{Duty, MOST, Message, open, seal};
 use crate::warden::{Figures as RationFigures, Offer, Ration, Replica, Share, Want, Warden};
 use std::collections::BTreeMap;
-use woadreach_members::{MemberId, View};
+use woadreach_membership::{MemberId, View};
 
 /// Wardens, each of a bucket of replicas: one for so many members, so that none hears from more of them, and
 /// no more than so many, as each costs some 8 datagrams a second of the tier.
--- a/crates/woadreach-lease/src/message.rs
+++ b/crates/router/lease/src/message.rs
@@ -3,7 +3,7 @@
 use crate::facts::Fact;
 use crate::warden::{Offer, Share};
 use serde::{Deserialize, Serialize};
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 /// What one member does for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/woadreach-lease/src/warden.rs
+++ b/crates/router/lease/src/warden.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 /// A replica in one life of its: a hash of its name and start. Two that share one also share what they bear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/woadreach-lease/tests/duties.rs
+++ b/crates/router/lease/tests/duties.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use woadreach_lease::{Done, Duties, Figures, Gone, Place, Replica, Want};
-use woadreach_members::{MemberId, View};
+use woadreach_membership::{MemberId, View};
 
 const WINDOW: f64 = 1.0;
 
--- a/crates/woadreach-lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use woadreach_lease::{Duty, Figures, Leases, Message, seal};
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 const DUTY: Duty = Duty::Warden(0);
 const MEMBERS: usize = 3;
--- a/crates/woadreach-lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use woadreach_lease::{Change, Duty, Fence, Figures, Leases, Message, open, seal};
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 const DUTY: Duty = Duty::Warden(0);
 
--- a/crates/woadreach-members/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -4,8 +4,8 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use woadreach_members::datagram::{Body, MOST_BYTES, Refused, VERSION, open, room, seal};
-use woadreach_members::{Acts, Change, Figures, Member, MemberId, Members};
+use woadreach_membership::datagram::{Body, MOST_BYTES, Refused, VERSION, open, room, seal};
+use woadreach_membership::{Acts, Change, Figures, Member, MemberId, Members};
 
 struct Net {
     now: f64,
--- a/crates/woadreach-host/src/hand.rs
+++ b/crates/router/search-driver/src/hand.rs
@@ -4,9 +4,9 @@
 
 use crate::watch::{Counts, Shape};
 use std::collections::{BTreeMap, VecDeque};
-use woadreach::api::*;
-use woadreach::decide::balancer::Balancer;
-use woadreach::plants::planted;
+use woadreach_routing::api::*;
+use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::plants::planted;
 
 /// Where the steps of a plan go. `nth` numbers the sub-requests of a part.
 pub trait Sink {
--- a/crates/woadreach-host/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -2,8 +2,8 @@
 //! setting means.
 
 use serde_json::Value;
-use woadreach::api::*;
-use woadreach::plants::planted;
+use woadreach_routing::api::*;
+use woadreach_routing::plants::planted;
 
 pub fn settings(seed: u64, facts: &Value) -> Result<Settings, String> {
     let need = |path: &str| {
--- a/crates/woadreach-host/src/watch.rs
+++ b/crates/router/search-driver/src/watch.rs
@@ -3,7 +3,7 @@
 //! no I/O, no clock; the host shows the counts.
 
 use serde_json::Value;
-use woadreach::api::*;
+use woadreach_routing::api::*;
 
 /// What the new shape would allow. Read from the settings' `watch` object, each key optional: an absent one
 /// allows what the settings in force allow, so nothing is counted for it.
--- a/crates/woadreach-simhost/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -1,7 +1,7 @@
 //! From the wire's values to the module's plain types.
 
 use serde_json::Value;
-use woadreach::api::*;
+use woadreach_routing::api::*;
 
 pub fn seconds(v: &Value) -> Option<f64> {
     v.as_f64().map(|ms| ms / 1000.0)
--- a/crates/woadreach-simhost/src/host.rs
+++ b/crates/router/sim-adapter/src/host.rs
@@ -3,8 +3,8 @@
 use crate::decode;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use woadreach::api::*;
-use woadreach_host::{Hand, Sink};
+use woadreach_routing::api::*;
+use woadreach_search_driver::{Hand, Sink};
 
 /// The name of the timer after which a refused watch is asked for again; search timers carry numbers.
 const WATCH: &str = "watch";
@@ -94,7 +94,7 @@
                 // What the instance before it wanted is void: actions run after the whole batch.
                 out.clear();
                 self.instances.remove(&id);
-                match woadreach_host::settings(event.get(1)?.as_u64()?, event.get(2)?) {
+                match woadreach_search_driver::settings(event.get(1)?.as_u64()?, event.get(2)?) {
                     Ok(set) => {
                         let marks = event
                             .pointer("/2/clients/marksRetry")
--- a/crates/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -20,12 +20,12 @@
     pub discovery_interval: f64,
     pub sockets: usize,
     pub known: Option<events::List>,
-    pub settings: woadreach::api::Settings,
+    pub settings: woadreach_routing::api::Settings,
     pub names: Names,
     pub core: core::Figures,
     pub replicas: replicas::Figures,
     /// Before a move: the new shape to count against (`settings.watch`); decisions stay as before.
-    pub watch: Option<woadreach_host::watch::Shape>,
+    pub watch: Option<woadreach_search_driver::watch::Shape>,
     /// Other co-ordinators to speak with; none where that is not allowed or not configured.
     pub peers: Option<peers::Figures>,
     /// The file as it was read, but for what is of use once only.
@@ -125,7 +125,7 @@
         ),
         sockets: limit("sockets")? as usize,
         known,
-        settings: woadreach_host::settings(seed, set)?,
+        settings: woadreach_search_driver::settings(seed, set)?,
         names: Names {
             query_types: names(set, "/requestClasses", "name"),
             tenants: names(set, "/tenants", "name"),
@@ -152,7 +152,7 @@
             connect_timeout: need_number("/limits/connectTimeoutMs")? / 1000.0,
             cancelling: flag("/limits/cancelling"),
         },
-        watch: woadreach_host::watch::shape(set)?,
+        watch: woadreach_search_driver::watch::shape(set)?,
         peers: with_peers(&all, set, seed)?,
         file: Value::Null,
     };
--- a/crates/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, info, warn};
-use woadreach::api::*;
-use woadreach::plants::planted;
-use woadreach_host::{Hand, Sink};
+use woadreach_routing::api::*;
+use woadreach_routing::plants::planted;
+use woadreach_search_driver::{Hand, Sink};
 use woadreach_lease::{Gone, Replica};
-use woadreach_net::Net;
-use woadreach_zones::Sight;
+use woadreach_runtime::Net;
+use woadreach_zone_failover::Sight;
 
 /// What the settings say about hosting.
 pub struct Figures {
@@ -347,7 +347,7 @@
     }
 
     /// Operators watch before a move: counts of where the new shape would have decided otherwise.
-    pub fn watch(&mut self, shape: woadreach_host::watch::Shape, query_types: &[String]) {
+    pub fn watch(&mut self, shape: woadreach_search_driver::watch::Shape, query_types: &[String]) {
         self.hand.watching(shape, query_types);
     }
 
--- a/crates/woadreachd/src/discovery.rs
+++ b/crates/router/woadreachd/src/discovery.rs
@@ -20,8 +20,8 @@
 use tokio::sync::watch;
 use tracing::{debug, info};
 use version::{Judgement, Version};
-use woadreach::plants::planted;
-use woadreach_net::{Net, Stream};
+use woadreach_routing::plants::planted;
+use woadreach_runtime::{Net, Stream};
 
 /// PROTOCOL: as long as nothing changes, an empty line arrives every 2 s, and what there is to tell counts as
 /// told 6 s after a watch fell silent, or after discovery had it and could be reached. Without a whole line
--- a/crates/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
-use woadreach::api::*;
+use woadreach_routing::api::*;
 use woadreach_lease::{Gone, Replica};
 
 pub type Events = mpsc::UnboundedSender<Event>;
--- a/crates/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot, watch};
 use tracing::{debug, warn};
-use woadreach::api::*;
-use woadreach::plants::planted;
-use woadreach_net::{Elapsed, Listener, Net, Stream};
+use woadreach_routing::api::*;
+use woadreach_routing::plants::planted;
+use woadreach_runtime::{Elapsed, Listener, Net, Stream};
 
 /// LATER: a client that sends nothing sound is owed an error or a close 3 s after it connected; half a second
 /// is left for the way. A request that has not all come by then was never taken.
--- a/crates/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 use tracing::info;
-use woadreach_net::{Listener, Net};
+use woadreach_runtime::{Listener, Net};
 
 /// PROTOCOL: SIGKILL comes no sooner after SIGTERM than the longest client timeout, counted as 3 s where it
 /// is longer, and 0.7 s more. Until then clients use the connections that they have.
@@ -41,7 +41,7 @@
     /// Told every few seconds what is held.
     pub report: Box<dyn Fn(&events::Held)>,
     /// Told each new verdict on a zone.
-    pub verdict: Box<dyn Fn(&woadreach_zones::Turn)>,
+    pub verdict: Box<dyn Fn(&woadreach_zone_failover::Turn)>,
 }
 
 /// Serves until all is answered after `term`, or says why it cannot go on.
--- a/crates/woadreachd/src/main.rs
+++ b/crates/router/woadreachd/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
-use woadreach_net::Tokio;
+use woadreach_runtime::Tokio;
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
 
--- a/crates/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
 use tracing::{debug, info, warn};
-use woadreach::api::{ZoneId, Zoning};
+use woadreach_routing::api::{ZoneId, Zoning};
 use woadreach_lease::{Change as Lease, Done, Duties, Place, Replica, Want};
-use woadreach_members::{Change, Member, MemberId, Members, datagram};
-use woadreach_net::{Datagrams, Net};
-use woadreach_zones::{Out, Peer, Sight, Turn, Zones};
+use woadreach_membership::{Change, Member, MemberId, Members, datagram};
+use woadreach_runtime::{Datagrams, Net};
+use woadreach_zone_failover::{Out, Peer, Sight, Turn, Zones};
 
 /// What the configuration says of peers.
 #[derive(Clone, Debug, PartialEq)]
@@ -122,7 +122,7 @@
     let members = Members::new(
         me,
         roster,
-        woadreach_members::Figures::default(),
+        woadreach_membership::Figures::default(),
         figures.seed,
         now,
     );
@@ -131,9 +131,9 @@
     } else {
         RAMP.0
     };
-    let of_zones = woadreach_zones::Figures {
+    let of_zones = woadreach_zone_failover::Figures {
         ramp,
-        ..woadreach_zones::Figures::default()
+        ..woadreach_zone_failover::Figures::default()
     };
     let mut zones = Zones::new(
         id,
--- a/crates/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tracing::{debug, warn};
-use woadreach::api::{Ending, Outcome, ReplicaId};
-use woadreach::plants::planted;
-use woadreach_net::{Net, Read, Stream, Write};
+use woadreach_routing::api::{Ending, Outcome, ReplicaId};
+use woadreach_routing::plants::planted;
+use woadreach_runtime::{Net, Read, Stream, Write};
 
 /// Room for the bytes of an ordinary answer; what a longer one took is given back.
 const READ: usize = 2048;
--- a/crates/woadreachd/tests/cluster.rs
+++ b/crates/router/woadreachd/tests/cluster.rs
@@ -2,7 +2,7 @@
 //! One after the other, so that they do not take the machine from each other.
 
 use std::path::PathBuf;
-use woadreach_cluster::{Outcome, Plan, Scenario, play};
+use woadreach_process_tests::{Outcome, Plan, Scenario, play};
 
 fn played(scenario: Scenario, seed: u64, peers: bool) -> Outcome {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_woadreachd"));
--- a/crates/woadreachd/tests/daemon.rs
+++ b/crates/router/woadreachd/tests/daemon.rs
@@ -1,6 +1,6 @@
 //! The built program, spoken to over sockets: clients, replicas and discovery are stand-ins on loopback.
 
-#[path = "../../../tests/common/mod.rs"]
+#[path = "../../../routing/tests/common/mod.rs"]
 mod common;
 mod scene;
 use common::*;
--- a/crates/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -1,7 +1,7 @@
 //! Endings, and what may still be owed or arrive in that instant (docs/endings.md): each test forces one such
 //! crossing over loopback sockets, with peers that hold bytes back and then send them.
 
-#[path = "../../../tests/common/mod.rs"]
+#[path = "../../../routing/tests/common/mod.rs"]
 mod common;
 mod scene;
 use common::*;
--- a/crates/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -3,8 +3,8 @@
 use super::*;
 use rstest::rstest;
 use std::time::Duration;
-use woadreach::api::PartId;
-use woadreach_net::Tokio;
+use woadreach_routing::api::PartId;
+use woadreach_runtime::Tokio;
 
 /// A part given up in the round that sent it never leaves, and its outcome is told once.
 #[rstest]
--- a/crates/woadreach-zones/src/decide.rs
+++ b/crates/router/zone-failover/src/decide.rs
@@ -4,7 +4,7 @@
 
 use crate::riders::{Bad, Report, Riders, Told};
 use std::collections::{BTreeMap, BTreeSet};
-use woadreach_members::{MemberId, View};
+use woadreach_membership::{MemberId, View};
 
 #[derive(Clone, Debug)]
 pub struct Figures {
--- a/crates/woadreach-zones/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -3,8 +3,8 @@
 
 use crate::decide::{Sight, Turn, Zones};
 use std::collections::BTreeMap;
-use woadreach_members::datagram::{self, Body, Refused};
-use woadreach_members::{Acts, Change, MemberId, Members, View};
+use woadreach_membership::datagram::{self, Body, Refused};
+use woadreach_membership::{Acts, Change, MemberId, Members, View};
 
 /// While something is about to change, reports go to so many others at each look beside the members' own
 /// datagrams. At 300 members each round reaches four times as many; with two of them eight plays at 10 %
--- a/crates/woadreach-zones/src/riders.rs
+++ b/crates/router/zone-failover/src/riders.rs
@@ -2,7 +2,7 @@
 //! never judge what a report says.
 
 use serde::{Deserialize, Serialize};
-use woadreach_members::MemberId;
+use woadreach_membership::MemberId;
 
 /// Most of a row's parts; larger counts are told in proportion.
 const FULL: u32 = 15;
--- a/crates/woadreach-zones/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -4,8 +4,8 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use woadreach_members::{Figures as MemberFigures, Member, MemberId, Members};
-use woadreach_zones::{Figures, Peer, Report, Riders, Sight, Told, Zones};
+use woadreach_membership::{Figures as MemberFigures, Member, MemberId, Members};
+use woadreach_zone_failover::{Figures, Peer, Report, Riders, Sight, Told, Zones};
 
 /// How it is for a co-ordinator of one zone to send parts to another: the share that fails.
 type Trouble = Box<dyn Fn(f64, usize, usize) -> f64>;
@@ -73,7 +73,7 @@
         }
     }
 
-    fn take(&mut self, from: MemberId, out: woadreach_zones::Out) {
+    fn take(&mut self, from: MemberId, out: woadreach_zone_failover::Out) {
         self.turns.extend(
             out.turns
                 .iter()
@@ -373,7 +373,7 @@
         capacity: 1.0,
     };
     zones.see(1.0, &[sight(near), sight((8, 0)), sight((8, 0))], 10.0);
-    let view = woadreach_members::View {
+    let view = woadreach_membership::View {
         live: (0..3).map(|i| (MemberId(i), i as u8)).collect(),
         roster: 3,
         cut_off: false,
@@ -391,7 +391,7 @@
     );
 }
 
-/// Not a verdict of CI, but a measurement: `cargo test --release -p woadreach-zones -- --ignored
+/// Not a verdict of CI, but a measurement: `cargo test --release -p woadreach-zone-failover -- --ignored
 /// --nocapture`.
 #[test]
 #[ignore = "a measurement of a minute"]
--- a/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -4,8 +4,8 @@
 use common::*;
 use rstest::rstest;
 use std::collections::BTreeSet;
-use woadreach::api::*;
-use woadreach::decide::balancer::Balancer;
+use woadreach_routing::api::*;
+use woadreach_routing::decide::balancer::Balancer;
 
 const MAYBE_RUN: [Ending; 4] = [
     Ending::Errored,
@@ -472,7 +472,7 @@
             }),
         );
     }
-    let sends = |b: &mut woadreach::decide::balancer::Balancer, now: f64| -> usize {
+    let sends = |b: &mut woadreach_routing::decide::balancer::Balancer, now: f64| -> usize {
         let mut at_a = 0;
         for n in 1..=10 {
             let mut q = search(n, 1, now, 3.0);
@@ -649,7 +649,7 @@
         );
     }
     let (_, last) = stuck_at(&mut b, "a", 0.0);
-    let finish = |b: &mut woadreach::decide::balancer::Balancer| {
+    let finish = |b: &mut woadreach_routing::decide::balancer::Balancer| {
         b.after(0.1, None, &ended(&last, 0, Ending::Errored, 0.1));
     };
     if !out {
--- a/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
-use woadreach::api::*;
-use woadreach::decide::balancer::Balancer;
+use woadreach_routing::api::*;
+use woadreach_routing::decide::balancer::Balancer;
 
 pub fn query_type() -> QueryType {
     QueryType {
--- a/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use rstest::rstest;
-use woadreach::api::{BudgetRule, Settings};
-use woadreach::decide::{
+use woadreach_routing::api::{BudgetRule, Settings};
+use woadreach_routing::decide::{
     Candidates, Change, EjectionRule, HeldQueue, Hold, LatencyLimits, Observation, OutlierDetector,
     PartBudget, RetryBudget, UnloadedLatency,
 };
--- a/tests/rendezvous.rs
+++ b/crates/routing/tests/rendezvous.rs
@@ -1,6 +1,6 @@
 //! Rendezvous hashing: agreement, spread, and how little a change of the candidates moves.
 
-use woadreach::rendezvous::rank;
+use woadreach_routing::rendezvous::rank;
 
 fn winner(key: u64, candidates: &[String]) -> &String {
     candidates
--- a/crates/woadreach-standin/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -3,7 +3,7 @@
 //! they play. They read and write the protocol by themselves, so that a co-ordinator's own mistakes are not
 //! theirs.
 //!
-//! Owns the stand-ins' state and connections; must never judge what it sees: that is `woadreach-rules`.
+//! Owns the stand-ins' state and connections; must never judge what it sees: that is `woadreach-invariants`.
 
 mod client;
 mod discovery;
--- a/crates/woadreach-standin/src/recorder.rs
+++ b/crates/testing/fakes/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Where stand-ins tell what they saw. Owns nothing but a way to the record; must never drop an event.
 
 use std::rc::Rc;
-use woadreach_rules::What;
+use woadreach_invariants::What;
 
 /// All clones tell one record, which knows the time.
 #[derive(Clone)]
--- a/crates/woadreach-rules/tests/rules.rs
+++ b/crates/testing/invariants/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use std::sync::Arc;
-use woadreach_rules::*;
+use woadreach_invariants::*;
 
 fn terms() -> Terms {
     let row = |repeats, floor, fetch| QueryTerms {
--- a/crates/woadreach-tier/src/capacity_command.rs
+++ b/crates/testing/local-tier/src/capacity_command.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use woadreach_tier::capacity::{CapacityError, fill, load, plots, tables};
+use woadreach_local_tier::capacity::{CapacityError, fill, load, plots, tables};
 
 /// The subcommand's name.
 pub const NAME: &str = "capacity";
@@ -39,7 +39,7 @@
     match make(&path("runs"), &path("page")) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("woadreach-tier capacity: {error}");
+            eprintln!("woadreach-local-tier capacity: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/woadreach-tier/src/hollow_command.rs
+++ b/crates/testing/local-tier/src/hollow_command.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
-use woadreach_tier::built_programs;
-use woadreach_tier::hollow::{self, HollowError, HollowSize};
+use woadreach_local_tier::built_programs;
+use woadreach_local_tier::hollow::{self, HollowError, HollowSize};
 
 /// The subcommand's name.
 pub const NAME: &str = "hollow";
@@ -65,7 +65,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("woadreach-tier hollow: {error}");
+            eprintln!("woadreach-local-tier hollow: {error}");
             match error {
                 HollowError::Size { .. } => ExitCode::from(DOES_NOT_FIT),
                 HollowError::Run { .. } => ExitCode::FAILURE,
--- a/crates/woadreach-tier/src/lib.rs
+++ b/crates/testing/local-tier/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Every process of the tier is the built program with a settings file of its own and a loopback address of
 //! its own (127.77.x.y), so that ports are the same on all machines, as in production. Used by tests and by
-//! the command `woadreach-tier`, which shows a tier serving.
+//! the command `woadreach-local-tier`, which shows a tier serving.
 
 #![warn(missing_docs)]
 
--- a/crates/woadreach-tier/src/main.rs
+++ b/crates/testing/local-tier/src/main.rs
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use woadreach_tier::{Client, Tier, TierError, TierSize, built_programs, example};
+use woadreach_local_tier::{Client, Tier, TierError, TierSize, built_programs, example};
 
 /// Network number of the command's tier, apart from those of the tests.
 const NETWORK: u8 = 200;
@@ -19,7 +19,7 @@
             .value_parser(value_parser!(u8).range(1..30))
             .help(help)
     };
-    Command::new("woadreach-tier")
+    Command::new("woadreach-local-tier")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Starts a serving tier on loopback, plays a conversation through it and says what came back")
         .after_help("Example: woadreach-tier --edges 3 --turns 5")
@@ -50,7 +50,7 @@
     match run(&arguments).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("woadreach-tier: {error}");
+            eprintln!("woadreach-local-tier: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/woadreach-tier/tests/hollow.rs
+++ b/crates/testing/local-tier/tests/hollow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use woadreach_config::Configuration;
-use woadreach_tier::hollow::{
+use woadreach_local_tier::hollow::{
     Acknowledged, HollowSize, InForce, MachineBounds, SizeError, Times, configuration, cpu_seconds,
     delays, resident_bytes,
 };
--- a/crates/woadreach-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -9,7 +9,7 @@
 use support::*;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
-use woadreach_tier::{Client, MachineClass, Operator, Tier, example};
+use woadreach_local_tier::{Client, MachineClass, Operator, Tier, example};
 
 /// How long the head stands still, at least: longer than any lease or failure detection of the core.
 const STOPPED: Duration = Duration::from_secs(4);
--- a/crates/woadreach-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -9,8 +9,8 @@
 use support::*;
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
-use woadreach_cluster::Relay;
-use woadreach_tier::{
+use woadreach_process_tests::Relay;
+use woadreach_local_tier::{
     Client, Operator, ReplicaKind, StandInReplica, Tier, TierError, TurnAnswer, example, pieces_of,
 };
 
--- a/crates/woadreach-tier/tests/support/mod.rs
+++ b/crates/testing/local-tier/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use woadreach_tier::{Client, MachineClass, Tier, TierSize, built_programs, example};
+use woadreach_local_tier::{Client, MachineClass, Tier, TierSize, built_programs, example};
 
 /// A generous bound on anything that is waited for; no verdict depends on speed.
 pub const PATIENCE: Duration = Duration::from_secs(40);
--- a/crates/woadreach-cluster/src/rig.rs
+++ b/crates/testing/process-tests/src/rig.rs
@@ -16,10 +16,10 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
-use woadreach_faults::{Places, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms};
-use woadreach_net::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
-use woadreach_rules::{NodeId, What};
-use woadreach_standin::{Agent, Behaviour, Caller, Line as Listed, Recorder, Replica, Retry};
+use woadreach_simulation::{Places, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms};
+use woadreach_runtime::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
+use woadreach_invariants::{NodeId, What};
+use woadreach_fakes::{Agent, Behaviour, Caller, Line as Listed, Recorder, Replica, Retry};
 
 /// What is to be played.
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
     type Stream = TokioStream;
     type Listener = TokioListener;
     type Datagrams = TokioDatagrams;
-    type Joined = woadreach_net::Joined;
+    type Joined = woadreach_runtime::Joined;
 
     fn now(&self) -> f64 {
         self.net.now()
@@ -361,7 +361,7 @@
             }
         });
         let (host, own) = (slot.host.clone(), slot.own.clone());
-        slot.handle = Some(woadreach_standin::replica(
+        slot.handle = Some(woadreach_fakes::replica(
             &host, &slot.name, behaviour, &own, seed, &quiet,
         )?);
         slot.started_at = if cold.is_some() { self.net.now() } else { 0.0 };
@@ -421,7 +421,7 @@
             let of = |port: usize| self.loopback.at(zone, host(n), port + n);
             let (listen, discovery) = (of(CLIENTS_PORT), of(DISCOVERY_PORT));
             let node = NodeId(n);
-            let agent = woadreach_standin::discovery(&net, node, discovery, None, &self.recorder)?;
+            let agent = woadreach_fakes::discovery(&net, node, discovery, None, &self.recorder)?;
             let mut peers = Vec::new();
             for (b, own) in listens.iter().enumerate() {
                 peers.push(match places.get(&(n, b)) {
@@ -826,7 +826,7 @@
                         continue;
                     }
                     let idempotent = script.query_types[ask.query_type].repeats
-                        == woadreach_faults::Repeats::Idempotent;
+                        == woadreach_simulation::Repeats::Idempotent;
                     let (caller, name) = (caller.clone(), name.clone());
                     drop(net.spawn(async move {
                         drop(caller.ask_and_again(ask, retry, idempotent, name).await);
--- a/crates/woadreach-faults/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use woadreach_standin::Ask;
+use woadreach_fakes::Ask;
 
 /// The share of searches whose parts cost so many times as much.
 const HEAVY: (f64, f64) = (0.03, 4.0);
--- a/crates/woadreach-faults/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -16,7 +16,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
-use woadreach_net::{Datagrams, Listener, Net, Read, Stream, Write};
+use woadreach_runtime::{Datagrams, Listener, Net, Read, Stream, Write};
 
 /// Unix seconds at which every world begins.
 pub const BEGIN: f64 = 1_700_000_000.0;
--- a/crates/woadreach-faults/src/plants.rs
+++ b/crates/testing/simulation/src/plants.rs
@@ -6,7 +6,7 @@
 use crate::world::{Options, play};
 use serde::Serialize;
 use std::ops::Range;
-use woadreach::plants::{PLANTS, plant};
+use woadreach_routing::plants::{PLANTS, plant};
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Hunted {
--- a/crates/woadreach-faults/src/script.rs
+++ b/crates/testing/simulation/src/script.rs
@@ -60,7 +60,7 @@
     pub calls_while_silent: SilentCalls,
 }
 
-/// As [`woadreach_standin::CallsWhileSilent`].
+/// As [`woadreach_fakes::CallsWhileSilent`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SilentCalls {
--- a/crates/woadreach-faults/src/shrink.rs
+++ b/crates/testing/simulation/src/shrink.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use crate::world::{Options, play};
 use serde::Serialize;
-use woadreach_rules::{Breach, Rule};
+use woadreach_invariants::{Breach, Rule};
 
 /// Plays at most so many scripts: some minutes.
 const MOST_TRIES: usize = 400;
--- a/crates/woadreach-faults/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -14,9 +14,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use woadreach_net::{Net, Tokio};
-use woadreach_rules::{NodeId, What};
-use woadreach_standin::{Agent, Ask, Behaviour, Caller, Line, Replica, Retry};
+use woadreach_runtime::{Net, Tokio};
+use woadreach_invariants::{NodeId, What};
+use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Replica, Retry};
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
 
@@ -69,13 +69,13 @@
         };
         let seed = seed_of(script.seed, &name);
         let handle =
-            woadreach_standin::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
+            woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
         replicas.push((addresses, handle));
     }
     let mut clients = Vec::new();
     for n in 0..f.co_ordinators {
         let (place, listen) = (free()?, free()?);
-        let agent: Agent = woadreach_standin::discovery(&net, NodeId(n), place, None, &recorder)?;
+        let agent: Agent = woadreach_fakes::discovery(&net, NodeId(n), place, None, &recorder)?;
         let line = |(r, (addresses, _)): (usize, &Running)| Line {
             id: format!("r{r}"),
             address: addresses[n].1,
--- a/crates/woadreach-faults/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_rules::{Breach, Event, NodeId, What};
-use woadreach_standin::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder, Replica};
+use woadreach_invariants::{Breach, Event, NodeId, What};
+use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder, Replica};
 use woadreachd::events::Held;
 
 mod clients;
@@ -215,7 +215,7 @@
                 let agent_process = agent.process();
                 let place = address(agent_process, DISCOVERY_PORT);
                 // Nobody listens there yet.
-                let agent = woadreach_standin::discovery(&agent, NodeId(n), place, None, &recorder);
+                let agent = woadreach_fakes::discovery(&agent, NodeId(n), place, None, &recorder);
                 let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
                 agent.calls_while_silent(match f.calls_while_silent {
                     SilentCalls::Kept => CallsWhileSilent::Kept,
@@ -251,7 +251,7 @@
                     ..Behaviour::default()
                 };
                 let seed = seed_of(script.seed, &name);
-                let handle = woadreach_standin::replica(
+                let handle = woadreach_fakes::replica(
                     &net,
                     &name,
                     behaviour,
--- a/crates/woadreach-faults/src/world/configuration.rs
+++ b/crates/testing/simulation/src/world/configuration.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{QueryType, Repeats, Script};
 use std::net::SocketAddr;
-use woadreach_rules::{Budget, Cold, QueryTerms, Terms};
+use woadreach_invariants::{Budget, Cold, QueryTerms, Terms};
 
 /// The terms of a script for the checker of the rules.
 pub fn terms(script: &Script) -> Terms {
@@ -10,12 +10,12 @@
     let query_types = script.query_types.iter().map(|t| QueryTerms {
         name: t.name.clone(),
         repeats: match t.repeats {
-            Repeats::Idempotent => woadreach_rules::Repeats::Idempotent,
-            Repeats::Tokened => woadreach_rules::Repeats::Tokened {
+            Repeats::Idempotent => woadreach_invariants::Repeats::Idempotent,
+            Repeats::Tokened => woadreach_invariants::Repeats::Tokened {
                 window: t.window,
                 any_holder: t.any_holder,
             },
-            Repeats::NonIdempotent => woadreach_rules::Repeats::NonIdempotent,
+            Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
         },
         need: t.need,
         floor: t.floor,
--- a/crates/woadreach-faults/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -5,9 +5,9 @@
 use crate::network::{Zone, address, seed_of};
 use crate::script::Kind;
 use std::rc::Rc;
-use woadreach_net::Net;
-use woadreach_rules::{NodeId, What};
-use woadreach_standin::{Behaviour, Line, Recorder};
+use woadreach_runtime::Net;
+use woadreach_invariants::{NodeId, What};
+use woadreach_fakes::{Behaviour, Line, Recorder};
 
 impl World {
     pub(super) fn strike(self: &Rc<Self>, kind: &Kind, lasts: f64) {
@@ -226,7 +226,7 @@
             }
         });
         let addresses = slot.addresses.borrow();
-        let handle = woadreach_standin::replica(&net, &name, behaviour, &addresses, seed, &silent);
+        let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &silent);
         *slot.handle.borrow_mut() =
             handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
     }
--- a/crates/woadreach-faults/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_net::Net;
-use woadreach_rules::{NodeId, What};
+use woadreach_runtime::Net;
+use woadreach_invariants::{NodeId, What};
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
 use woadreachd::events::Held;
@@ -56,7 +56,7 @@
         let held = node.held.clone();
         let report = Box::new(move |now: &Held| held.set(*now));
         let judges = Rc::downgrade(self);
-        let verdict = Box::new(move |turn: &woadreach_zones::Turn| {
+        let verdict = Box::new(move |turn: &woadreach_zone_failover::Turn| {
             if let Some(w) = judges.upgrade() {
                 let at = w.clock.now() as f64 / 1e9;
                 let (node, zone) = (NodeId(n), usize::from(turn.zone));
@@ -204,7 +204,7 @@
         node.moves.set(node.moves.get() + 1);
         let place = address(net.process(), DISCOVERY_PORT);
         let moved =
-            woadreach_standin::discovery(&net, NodeId(n), place, Some(&node.agent), &self.recorder);
+            woadreach_fakes::discovery(&net, NodeId(n), place, Some(&node.agent), &self.recorder);
         moved.unwrap_or_else(|e| panic!("a new machine's address is taken: {e}"));
         let old = node.agent_process.replace(net.process());
         let network = self.network.clone();
--- a/crates/woadreach-faults/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days on the virtual clock: seeds, the hard cases, and scripts that once broke a rule, each pinned.
 
 use rstest::rstest;
-use woadreach_faults::{Fault, Kind, Options, Outcome, Script, SilentCalls, play};
+use woadreach_simulation::{Fault, Kind, Options, Outcome, Script, SilentCalls, play};
 
 /// A fleet of two cells in two zones under three co-ordinators, all sound; one query type of each kind.
 const CALM: &str = r#"
@@ -264,11 +264,11 @@
 /// Without the defence the rule breaks, with the very script that keeps it with the defence.
 #[cfg(feature = "plants")]
 #[rstest]
-#[case::no_wait("core-no-wait", woadreach_rules::Rule::NoSearchLost)]
-#[case::drains_unread("discovery-no-drains", woadreach_rules::Rule::DrainsKept)]
-#[case::floor("module-floor", woadreach_rules::Rule::HonestAnswers)]
-fn a_planted_bug_is_found(#[case] plant: &str, #[case] rule: woadreach_rules::Rule) {
-    let hunted = woadreach_faults::plants::hunt(plant, 0..200, false).unwrap();
+#[case::no_wait("core-no-wait", woadreach_invariants::Rule::NoSearchLost)]
+#[case::drains_unread("discovery-no-drains", woadreach_invariants::Rule::DrainsKept)]
+#[case::floor("module-floor", woadreach_invariants::Rule::HonestAnswers)]
+fn a_planted_bug_is_found(#[case] plant: &str, #[case] rule: woadreach_invariants::Rule) {
+    let hunted = woadreach_simulation::plants::hunt(plant, 0..200, false).unwrap();
     assert_eq!(hunted.rule, Some(rule.to_string()));
     kept(&Script::draw(hunted.seed.unwrap(), &[], None));
 }
--- a/crates/woadreach-faults/tests/peers.rs
+++ b/crates/testing/simulation/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Co-ordinators that speak with each other, on the virtual clock: zones lost, cut off and sound.
 
 use rstest::rstest;
-use woadreach_faults::{Fault, Kind, Options, Outcome, Peers, Script, play};
+use woadreach_simulation::{Fault, Kind, Options, Outcome, Peers, Script, play};
 
 /// Six co-ordinators in three zones, a replica of each of two cells in every zone.
 const TIER: &str = r#"
--- a/crates/woadreach-proxy/src/attempt.rs
+++ b/crates/tier/proxy/src/attempt.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
-use woadreach_admission::{Outcome, ServerLoad};
+use woadreach_scheduler::{Outcome, ServerLoad};
 
 /// Bytes of an answer that is read whole before it is passed on.
 const LONGEST_WHOLE_ANSWER: usize = 8 * 1024 * 1024;
--- a/crates/woadreach-proxy/src/client_request.rs
+++ b/crates/tier/proxy/src/client_request.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use woadreach_admission::{Call, CallId, CallKind};
+use woadreach_scheduler::{Call, CallId, CallKind};
 use woadreach_config::{Route, RouteType};
 
 /// The request with its route.
--- a/crates/woadreach-proxy/src/dispatcher.rs
+++ b/crates/tier/proxy/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use woadreach_admission::{
+use woadreach_scheduler::{
     Action, Admission, Call, CallId, FailReason, Outcome, ReplicaSpec, ServerLoad, ServiceSpec,
 };
 
--- a/crates/woadreach-proxy/src/knowledge.rs
+++ b/crates/tier/proxy/src/knowledge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use woadreach_admission::{EngineSpec, ReplicaSpec, ServiceSpec};
+use woadreach_scheduler::{EngineSpec, ReplicaSpec, ServiceSpec};
 use woadreach_config::{ClientLimits, Configuration, Route, RouteTable};
 use woadreach_discovery::{ControlSnapshot, ReplicaRecord, ReplicaState};
 
--- a/crates/woadreach-proxy/src/lib.rs
+++ b/crates/tier/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Data plane of the serving tier.
 //!
 //! A client's request is read whole ([`request_service`]), gets a task of its own ([`request_task`]) and is
-//! sent to replicas as the decisions of `woadreach-admission` say ([`dispatcher`]). An attempt ([`attempt`])
+//! sent to replicas as the decisions of `woadreach-scheduler` say ([`dispatcher`]). An attempt ([`attempt`])
 //! uses a pooled connection ([`replica_pool`]); its answer is judged ([`replica_answer`]) and passed on,
 //! streams event by event ([`event_stream`]). Kept turns and budgets go through the storage machines
 //! ([`turn_store`]). What may be said to a client when is guarded by [`request_state`].
--- a/crates/woadreach-proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::watch;
-use woadreach_admission::Admission;
+use woadreach_scheduler::Admission;
 use woadreach_discovery::ControlSnapshot;
 use woadreach_storage::StorageClient;
 
--- a/crates/woadreach-proxy/src/replica_answer.rs
+++ b/crates/tier/proxy/src/replica_answer.rs
@@ -9,7 +9,7 @@
 use http::response::Parts;
 use http::{StatusCode, Version};
 use std::time::Duration;
-use woadreach_admission::{Outcome, ServerLoad};
+use woadreach_scheduler::{Outcome, ServerLoad};
 
 /// Stamp of the replica that made an answer.
 pub const RESPONSE_SIGNATURE: HeaderName = HeaderName::from_static("response-signature");
--- a/crates/woadreach-proxy/src/request_headers.rs
+++ b/crates/tier/proxy/src/request_headers.rs
@@ -6,8 +6,8 @@
 };
 use snafu::Snafu;
 use std::time::Duration;
-use woadreach::rendezvous::{FNV_OFFSET, hash64, mix};
-use woadreach_admission::PrefixPart;
+use woadreach_routing::rendezvous::{FNV_OFFSET, hash64, mix};
+use woadreach_scheduler::PrefixPart;
 
 /// Identity of one try of a client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
--- a/crates/woadreach-proxy/src/request_task.rs
+++ b/crates/tier/proxy/src/request_task.rs
@@ -29,7 +29,7 @@
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, Sleep, sleep_until};
-use woadreach_admission::{CallId, FailReason, Outcome};
+use woadreach_scheduler::{CallId, FailReason, Outcome};
 
 /// A stream that is being passed on.
 struct ActiveStream {
--- a/crates/woadreach-proxy/src/request_task/ending.rs
+++ b/crates/tier/proxy/src/request_task/ending.rs
@@ -8,7 +8,7 @@
 use crate::replica_answer::is_promise;
 use crate::request_state::RequestEnd;
 use http::{Response, StatusCode};
-use woadreach_admission::FailReason;
+use woadreach_scheduler::FailReason;
 
 /// Advice to a client whose request could not be tried, in seconds.
 pub(super) const RETRY_SOON: f64 = 0.2;
--- a/crates/woadreach-proxy/src/request_task/streaming.rs
+++ b/crates/tier/proxy/src/request_task/streaming.rs
@@ -5,7 +5,7 @@
 use crate::request_state::{RequestEnd, RequestProgress};
 use crate::turn_store::TurnError;
 use bytes::Bytes;
-use woadreach_admission::{FailReason, Outcome};
+use woadreach_scheduler::{FailReason, Outcome};
 
 impl RequestTask {
     /// Passes on the events that these bytes complete.
--- a/crates/woadreach-proxy/tests/early_answers.rs
+++ b/crates/tier/proxy/tests/early_answers.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
-use woadreach_admission::Outcome;
+use woadreach_scheduler::Outcome;
 use woadreach_proxy::attempt::{AttemptReport, AttemptResult, OutgoingRequest, SendOrder, attempt};
 use woadreach_proxy::replica_pool::ReplicaPool;
 
--- a/crates/woadreach-proxy/tests/replica_answer.rs
+++ b/crates/tier/proxy/tests/replica_answer.rs
@@ -3,7 +3,7 @@
 use http::response::Parts;
 use http::{Response, Version};
 use std::time::Duration;
-use woadreach_admission::{Outcome, ServerLoad};
+use woadreach_scheduler::{Outcome, ServerLoad};
 use woadreach_proxy::replica_answer::{
     ConnectionReuse, HeadVerdict, connection_reuse, is_promise, judge, server_load,
 };
--- a/crates/woadreach-proxy/tests/request_headers.rs
+++ b/crates/tier/proxy/tests/request_headers.rs
@@ -3,7 +3,7 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use quickcheck::QuickCheck;
 use std::time::Duration;
-use woadreach_admission::PrefixPart;
+use woadreach_scheduler::PrefixPart;
 use woadreach_proxy::request_headers::{HeaderError, RequestFacts, TokenUsage, end_to_end_headers};
 
 fn headers(lines: &[(&'static str, &str)]) -> HeaderMap {
--- a/crates/woadreach-admission/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use woadreach::decide::held_queue::HeldQueue;
+use woadreach_routing::decide::held_queue::HeldQueue;
 
 use crate::action::Action;
 use crate::call::{Call, CallId};
--- a/crates/woadreach-admission/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use woadreach::decide::part_budget::PartBudget;
+use woadreach_routing::decide::part_budget::PartBudget;
 
 use crate::action::{Action, FailReason};
 use crate::admission::Admission;
--- a/crates/woadreach-admission/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 //! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is told as
 //! [`Action::Refuse`] or [`Action::Fail`], or its client has gone ([`Admission::cancelled`]).
 //!
-//! The mechanism is that of `woadreach::decide`, with a call in the place of a part and the calls that one
+//! The mechanism is that of `woadreach_routing::decide`, with a call in the place of a part and the calls that one
 //! program has in hand in the place of a search (docs/design.md, "Agent programs").
 
 mod action;
--- a/crates/woadreach-admission/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -1,6 +1,6 @@
 //! What the module learns from what happens to attempts.
 
-use woadreach::decide::outlier_detector::{EjectionRule, Observation};
+use woadreach_routing::decide::outlier_detector::{EjectionRule, Observation};
 
 use crate::admission::Admission;
 use crate::call::CallId;
--- a/crates/woadreach-admission/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -14,8 +14,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use woadreach::decide::candidates::Candidates;
-use woadreach::rendezvous::rank;
+use woadreach_routing::decide::candidates::Candidates;
+use woadreach_routing::rendezvous::rank;
 
 use crate::fleet::{Fleet, ReplicaKey};
 use crate::in_hand::CallInHand;
--- a/crates/woadreach-admission/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use woadreach::decide::hold::Hold;
-use woadreach::decide::outlier_detector::OutlierDetector;
+use woadreach_routing::decide::hold::Hold;
+use woadreach_routing::decide::outlier_detector::OutlierDetector;
 
 use crate::call::CallId;
 use crate::outcome::ServerLoad;
--- a/crates/woadreach-admission/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use woadreach::decide::part_budget::PartBudget;
-use woadreach::decide::unloaded_latency::UnloadedLatency;
-use woadreach::samples::{push, quantile};
+use woadreach_routing::decide::part_budget::PartBudget;
+use woadreach_routing::decide::unloaded_latency::UnloadedLatency;
+use woadreach_routing::samples::{push, quantile};
 
 use crate::fleet::ReplicaKey;
 
--- a/crates/woadreach-admission/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use woadreach_admission::{
+use woadreach_scheduler::{
     Action, Admission, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec,
     ServerLoad, ServiceSpec,
 };
--- a/crates/woadreach-admission/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Driver, call, replicas, service, unsafe_call};
-use woadreach_admission::{Action, Call, CallKind, Outcome};
+use woadreach_scheduler::{Action, Call, CallKind, Outcome};
 
 /// Asks with safe calls, 20 a second, of which `bad` fails those that it gets; gives back how often it was
 /// first.
--- a/crates/woadreach-admission/tests/holding.rs
+++ b/crates/tier/scheduler/tests/holding.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Driver, End, call, replicas, service, unsafe_call};
-use woadreach_admission::{Action, Call, CallKind, Outcome, PrefixPart};
+use woadreach_scheduler::{Action, Call, CallKind, Outcome, PrefixPart};
 
 const FULL: Outcome = Outcome::NotExecuted { retry_after: None };
 
@@ -138,7 +138,7 @@
 fn held_calls_of_a_replica_that_drains_go_elsewhere() {
     let mut driver = held_replica();
     driver.arrive(unsafe_call(driver.now, 7));
-    let drains = woadreach_admission::ReplicaSpec {
+    let drains = woadreach_scheduler::ReplicaSpec {
         ready: false,
         ..common::replica("a")
     };
--- a/crates/woadreach-admission/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use common::{Driver, engine_service, replica, replicas, service, unsafe_call};
-use woadreach_admission::{Call, Outcome, PrefixPart, ReplicaSpec};
+use woadreach_scheduler::{Call, Outcome, PrefixPart, ReplicaSpec};
 
 /// A turn of a program whose prompt is known to no process yet.
 fn turn(now: f64, id: u64, program: u64) -> Call {
--- a/crates/woadreach-admission/tests/overload.rs
+++ b/crates/tier/scheduler/tests/overload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Driver, End, call, replicas, service, unsafe_call};
-use woadreach_admission::{Action, Call, Outcome, ServerLoad};
+use woadreach_scheduler::{Action, Call, Outcome, ServerLoad};
 
 const FULL: ServerLoad = ServerLoad {
     running: 6,
--- a/crates/woadreach-admission/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::{Driver, call, engine_service, replica, replicas, service, unsafe_call};
-use woadreach_admission::{
+use woadreach_scheduler::{
     Action, Call, Outcome, PrefixPart, ReplicaSpec, ServerLoad, ServiceSpec,
 };
 
--- a/crates/woadreach-admission/tests/repeats.rs
+++ b/crates/tier/scheduler/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Driver, End, call, replicas, service};
-use woadreach_admission::{Action, Call, CallKind, FailReason, Outcome};
+use woadreach_scheduler::{Action, Call, CallKind, FailReason, Outcome};
 
 const SAFE: CallKind = CallKind::Safe;
 const UNSAFE: CallKind = CallKind::Unsafe;
--- a/crates/woadreach-admission/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -8,7 +8,7 @@
 
 use common::{Driver, SERVICE, call, engine_service, replica, service};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use woadreach_admission::{Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad};
+use woadreach_scheduler::{Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad};
 
 /// One input of a history; indices pick among what there is at that moment.
 #[derive(Clone, Debug)]
@@ -224,7 +224,7 @@
         driver.advance(0.1);
         for (id, attempt) in driver.out() {
             if driver.now
-                >= driver.seen[&woadreach_admission::CallId(id)]
+                >= driver.seen[&woadreach_scheduler::CallId(id)]
                     .call
                     .give_up_at
             {
--- a/crates/woadreach-storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -3,7 +3,7 @@
 //! Every machine is ranked by rendezvous hashing of its name and the program's. Machines of zones that are
 //! not represented yet go first.
 
-use woadreach::rendezvous::rank;
+use woadreach_routing::rendezvous::rank;
 
 use crate::view::StorageMember;
 
--- a/crates/woadreach-storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use woadreach::rendezvous::{hash64, mix};
+use woadreach_routing::rendezvous::{hash64, mix};
 
 use super::Server;
 
--- a/crates/woadreach-storage/src/store.rs
+++ b/crates/tier/storage/src/store.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use woadreach::rendezvous::{hash64, mix};
+use woadreach_routing::rendezvous::{hash64, mix};
 
 use crate::budget::{Budget, Reservation};
 use crate::message::{ProgramDigest, ProgramRecords};
--- a/scripts/capacity-runs.sh
+++ b/scripts/capacity-runs.sh
@@ -24,7 +24,7 @@
     sleep 3
     file="docs/capacity/hollow-e$edges-r$replicas-c$core-h$heartbeat-m$changes-k$replica_changes.json"
     echo "$file" >&2
-    timeout 120 "$programs/woadreach-tier" hollow --programs "$programs" --edges "$edges" --replicas "$replicas" \
+    timeout 120 "$programs/woadreach-local-tier" hollow --programs "$programs" --edges "$edges" --replicas "$replicas" \
         --core "$core" --heartbeat-ms "$heartbeat" --changes-per-minute "$changes" \
         --replica-changes-per-minute "$replica_changes" --seconds "$seconds" --format json > "$file.new" \
         && ! grep -q '"memory_mb": 0.0,*$' "$file.new" && mv "$file.new" "$file" || { echo "failed: $file" >&2; rm -f "$file.new"; }
