--- a/crates/cli/src/faults.rs
+++ b/crates/cli/src/faults.rs
@@ -13,8 +13,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
-use woadreach_simulation::{Kind, Options, Outcome, Script, play, shrink};
 use woadreach_invariants::{Breach, Event};
+use woadreach_simulation::{Kind, Options, Outcome, Script, play, shrink};
 
 /// Seeds that break a rule and are told one by one.
 const TOLD: usize = 20;
@@ -38,8 +38,8 @@
     )]
     Compare(Compare),
     /// Switches known defences off, one at a time, and says after how many seeds each is missed
-    #[command(after_help = "Needs a build with --features plants")]
-    Plants(Plants),
+    #[command(after_help = "Needs a build with --features mutations")]
+    Mutations(Mutations),
 }
 
 #[derive(Args)]
@@ -116,7 +116,7 @@
 }
 
 #[derive(Args)]
-pub struct Plants {
+pub struct Mutations {
     /// From the first to before the last
     #[arg(long, value_parser = seeds, value_name = "A..B", default_value = "0..10000")]
     seeds: Range<u64>,
@@ -160,7 +160,7 @@
         What::Shrink(args) => smaller(&args),
         What::Draw(args) => draw(&args),
         What::Compare(args) => compare(&args),
-        What::Plants(args) => plants(&args),
+        What::Mutations(args) => mutations(&args),
     };
     done.unwrap_or_else(Ended::Bad)
 }
@@ -335,7 +335,10 @@
     });
     let broken = outcomes.iter().filter_map(|(seed, o)| {
         let first = o.breaches.first()?;
-        let (rule, at) = (first.rule.to_string(), first.at - woadreach_simulation::BEGIN);
+        let (rule, at) = (
+            first.rule.to_string(),
+            first.at - woadreach_simulation::BEGIN,
+        );
         Some(Found {
             seed: *seed,
             rule,
@@ -553,8 +556,8 @@
     })
 }
 
-#[cfg(not(feature = "plants"))]
-fn plants(args: &Plants) -> Result<Ended, String> {
+#[cfg(not(feature = "mutations"))]
+fn mutations(args: &Mutations) -> Result<Ended, String> {
     let _ = (
         &args.seeds,
         &args.only,
@@ -562,18 +565,18 @@
         &args.scripts,
         args.format,
     );
-    Err("this build has no plants: build it with --features plants".into())
+    Err("this build has no mutations: build it with --features mutations".into())
 }
 
-#[cfg(feature = "plants")]
-fn plants(args: &Plants) -> Result<Ended, String> {
-    use woadreach_simulation::plants::{hunt, names};
+#[cfg(feature = "mutations")]
+fn mutations(args: &Mutations) -> Result<Ended, String> {
+    use woadreach_simulation::mutations::{hunt, names};
     let names: Vec<&str> = names()
         .into_iter()
         .filter(|n| args.only.is_empty() || args.only.iter().any(|o| o == n))
         .collect();
     if let Some(unknown) = args.only.iter().find(|o| !names.contains(&o.as_str())) {
-        return Err(format!("no such plant: {unknown}"));
+        return Err(format!("no such mutation: {unknown}"));
     }
     let (next, found) = (AtomicU64::new(0), Mutex::new(BTreeMap::new()));
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
@@ -584,7 +587,7 @@
                     if let Some(hunted) = hunt(name, args.seeds.clone(), args.scripts.is_some())
                         && let Ok(mut found) = found.lock()
                     {
-                        found.insert(hunted.plant, hunted);
+                        found.insert(hunted.mutation, hunted);
                     }
                 }
             });
@@ -612,7 +615,7 @@
                 let rule = rule.unwrap_or("not found");
                 println!(
                     "{:<26}after {:>5} seeds, seed {seed:>5}: {rule:<42} {}",
-                    h.plant, h.after, h.defence
+                    h.mutation, h.after, h.defence
                 );
             }
         }
--- a/crates/router/lease/src/facts.rs
+++ b/crates/router/lease/src/endpoint_update.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-use crate::warden::Replica;
+use crate::quota_allocator::ReplicaKey;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Gone {
+pub enum Departure {
     Draining,
-    Gone,
+    Departed,
 }
 
 /// A replica, in this life of its, takes no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
-    pub replica: Replica,
-    pub what: Gone,
+pub struct EndpointUpdate {
+    pub replica: ReplicaKey,
+    pub what: Departure,
 }
 
 /// Each fact goes out so often, so far apart: at 30 % loss one in 37 hears none of three.
@@ -30,16 +30,16 @@
 const MOST: usize = 1024;
 
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
-    telling: BTreeMap<Replica, (Gone, u8, f64)>,
-    heard: BTreeMap<Replica, (Gone, f64)>,
-    /// Facts heard that this one's own list had not told.
+pub struct EndpointUpdates {
+    telling: BTreeMap<ReplicaKey, (Departure, u8, f64)>,
+    heard: BTreeMap<ReplicaKey, (Departure, f64)>,
+    /// EndpointUpdates heard that this one's own list had not told.
     pub ahead: u64,
 }
 
-impl Facts {
+impl EndpointUpdates {
     /// This one's own list has spoken of a replica: none, it serves. What was heard of it counts no more.
-    pub fn listed(&mut self, now: f64, replica: Replica, what: Option<Gone>) {
+    pub fn listed(&mut self, now: f64, replica: ReplicaKey, what: Option<Departure>) {
         self.heard.remove(&replica);
         match what {
             Some(what) if self.telling.len() < MOST => {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Facts that a holder has to tell now.
-    pub fn due(&mut self, now: f64) -> Vec<Fact> {
+    /// EndpointUpdates that a holder has to tell now.
+    pub fn due(&mut self, now: f64) -> Vec<EndpointUpdate> {
         let mut due = Vec::new();
         for (replica, (what, left, next)) in &mut self.telling {
             if *next <= now && due.len() < IN_ONE {
                 (*left, *next) = (*left - 1, now + APART);
-                due.push(Fact {
+                due.push(EndpointUpdate {
                     replica: *replica,
                     what: *what,
                 });
@@ -75,12 +75,12 @@
     }
 
     /// A holder has told this. True if it is new: the replica is to be used no more.
-    pub fn heard(&mut self, now: f64, fact: Fact) -> bool {
+    pub fn heard(&mut self, now: f64, fact: EndpointUpdate) -> bool {
         let old = self.heard.get(&fact.replica).map(|h| h.0);
         if self.heard.len() >= MOST && old.is_none() {
             return false;
         }
-        // Gone is the later word.
+        // Departure is the later word.
         let what = old.map_or(fact.what, |o| o.max(fact.what));
         self.heard.insert(fact.replica, (what, now + COUNTS));
         self.ahead += u64::from(old.is_none());
@@ -88,7 +88,7 @@
     }
 
     /// Those that were heard and that the own list has not borne out in time: its word stands again.
-    pub fn lapsed(&mut self, now: f64) -> Vec<Replica> {
+    pub fn lapsed(&mut self, now: f64) -> Vec<ReplicaKey> {
         let gone: Vec<_> = self
             .heard
             .iter()
--- a/crates/router/lease/src/decide.rs
+++ b/crates/router/lease/src/leases.rs
@@ -7,14 +7,14 @@
 //! further apart than the margin. PaxosLease (Trencseni and others, 2012) is the model; one round does here,
 //! since what is agreed on is only who asked first, and who asks in vain gives back what it got.
 
-use crate::message::{Duty, Fence, Life, Message};
+use crate::message::{FencingToken, Incarnation, Message, Role};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use woadreach_membership::MemberId;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct LeaseConfig {
     /// Seconds of a promise. A holder that dies is missed for so long at most. Six members, 200 deaths each:
     /// with 2 s it was handed on after 1.6 s (0.99: 2.1), with 3 s after 2.4 (3.1), with 5 s after 4.0
     /// (4.4); at 30 % loss none, two and none were lost without cause in 4,000 s. Three, as a holder may
@@ -41,9 +41,9 @@
     pub acceptors: usize,
 }
 
-impl Default for Figures {
+impl Default for LeaseConfig {
     fn default() -> Self {
-        Figures {
+        LeaseConfig {
             lease: 3.0,
             first: 1.0,
             margin: 0.15,
@@ -57,23 +57,23 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum LeaseEvent {
     /// This member holds the duty from now on.
-    Held(Duty, u32),
+    Acquired(Role, u32),
     /// It no longer does: its lease has run out, or it has been given back.
-    Lost(Duty, u32),
+    Lost(Role, u32),
 }
 
 /// What to send and what has changed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Acts {
+pub struct Actions {
     pub send: Vec<(MemberId, Message)>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<LeaseEvent>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
-    /// Acts under an epoch older than one that was seen.
+pub struct LeaseCounters {
+    /// Actions under an epoch older than one that was seen.
     pub stale: u64,
     /// Times at which this clock went back, or leapt while a promise was out.
     pub jumped: u64,
@@ -84,14 +84,14 @@
 /// A promise of this acceptor.
 #[derive(Clone, Debug, PartialEq)]
 struct Promise {
-    fence: Fence,
+    fence: FencingToken,
     until: f64,
     /// To a holder, not to one who bids.
     whole: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Bid {
+struct Proposal {
     ask: u16,
     /// Seconds of the promises that it asks for.
     term: f64,
@@ -112,7 +112,7 @@
     told: u32,
     /// Bids in vain since it last held or heard a holder: each doubles the wait, up to four times.
     tries: u32,
-    bid: Option<Bid>,
+    bid: Option<Proposal>,
     held_until: Option<f64>,
     /// When it next bids.
     next: f64,
@@ -121,29 +121,29 @@
 #[derive(Clone, Debug)]
 pub struct Leases {
     me: MemberId,
-    life: Life,
+    life: Incarnation,
     roster: usize,
-    figures: Figures,
+    figures: LeaseConfig,
     chance: Pcg64Mcg,
     last: f64,
     /// Until then this acceptor has no memory to speak from.
     silent_until: f64,
-    promises: BTreeMap<Duty, Promise>,
+    promises: BTreeMap<Role, Promise>,
     /// The latest fence under which an act was taken, and when the last one was.
-    seen: BTreeMap<Duty, (Fence, f64)>,
+    seen: BTreeMap<Role, (FencingToken, f64)>,
     /// The latest that this acceptor has promised. Apart from `seen`: a bid in vain that some acceptors had
     /// granted made these refuse the acts of the true holder, whose epoch was lower.
-    promised: BTreeMap<Duty, Fence>,
-    bids: BTreeMap<Duty, Candidate>,
+    promised: BTreeMap<Role, FencingToken>,
+    bids: BTreeMap<Role, Candidate>,
     asks: u16,
-    counts: Counts,
+    counts: LeaseCounters,
 }
 
 /// The weight of a member for a duty: rendezvous hashing, the same at every member.
-fn weight(duty: Duty, id: MemberId) -> u64 {
+fn weight(duty: Role, id: MemberId) -> u64 {
     let duty = match duty {
-        Duty::List(zone) => u64::from(zone),
-        Duty::Warden(bucket) => 256 + u64::from(bucket),
+        Role::EndpointWatch(zone) => u64::from(zone),
+        Role::QuotaAllocator(bucket) => 256 + u64::from(bucket),
     };
     let mut x = (duty << 16 | u64::from(id.0)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -153,9 +153,9 @@
 
 impl Leases {
     /// `roster`: the members that there are to be, the same at all of them, `me` among them.
-    pub fn new(me: MemberId, roster: usize, figures: Figures, seed: u64, now: f64) -> Self {
+    pub fn new(me: MemberId, roster: usize, figures: LeaseConfig, seed: u64, now: f64) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let life = Life(chance.random());
+        let life = Incarnation(chance.random());
         // Danger: an acceptor that starts again has forgotten its promises and gives one twice. It is silent
         // for as long as any of them may run. Covers a clock of its own that was slow. Harm: after all have
         // started at once nobody holds anything for a lease's time.
@@ -173,21 +173,21 @@
             promised: BTreeMap::new(),
             bids: BTreeMap::new(),
             asks: 0,
-            counts: Counts::default(),
+            counts: LeaseCounters::default(),
         }
     }
 
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &LeaseCounters {
         &self.counts
     }
 
-    pub fn figures(&self) -> &Figures {
+    pub fn figures(&self) -> &LeaseConfig {
         &self.figures
     }
 
     /// Those whose promises make a lease on this duty. From the roster, never from who lives: a majority of
     /// those who hear each other may be one of two.
-    pub fn acceptors(&self, duty: Duty) -> Vec<MemberId> {
+    pub fn acceptors(&self, duty: Role) -> Vec<MemberId> {
         let mut all: Vec<_> = (0..self.roster as u16).map(MemberId).collect();
         if all.len() > self.figures.acceptors {
             all.sort_unstable_by_key(|id| weight(duty, *id));
@@ -197,17 +197,17 @@
     }
 
     /// The first few of these by their weight for a duty: the same at all who see the same members.
-    pub fn first(&self, duty: Duty, mut members: Vec<MemberId>, most: usize) -> Vec<MemberId> {
+    pub fn first(&self, duty: Role, mut members: Vec<MemberId>, most: usize) -> Vec<MemberId> {
         members.sort_unstable_by_key(|id| weight(duty, *id));
         members.truncate(most);
         members
     }
 
-    /// Duties that are to be done, each with the live members that may do it. What is not named is given
+    /// SingletonRoles that are to be done, each with the live members that may do it. What is not named is given
     /// back.
-    pub fn want(&mut self, now: f64, duties: &BTreeMap<Duty, Vec<MemberId>>) -> Acts {
+    pub fn want(&mut self, now: f64, duties: &BTreeMap<Role, Vec<MemberId>>) -> Actions {
         let mut acts = self.tick(now);
-        let gone: Vec<Duty> = self
+        let gone: Vec<Role> = self
             .bids
             .keys()
             .filter(|d| !duties.contains_key(d))
@@ -246,7 +246,7 @@
     }
 
     /// When it makes sense to bid: not while another is heard to hold it, and later the lower the rank.
-    fn after(&mut self, now: f64, duty: Duty, rank: usize) -> f64 {
+    fn after(&mut self, now: f64, duty: Role, rank: usize) -> f64 {
         let heard = self
             .seen
             .get(&duty)
@@ -257,18 +257,18 @@
     }
 
     /// The fence to act under, if this member holds the duty at this moment.
-    pub fn holds(&self, now: f64, duty: Duty) -> Option<Fence> {
+    pub fn holds(&self, now: f64, duty: Role) -> Option<FencingToken> {
         let bid = self.bids.get(&duty)?;
         // A clock that has gone back proves nothing.
         let held = now >= self.last && bid.held_until.is_some_and(|until| now < until);
-        held.then_some(Fence {
+        held.then_some(FencingToken {
             epoch: bid.epoch,
             holder: self.me,
             life: self.life,
         })
     }
 
-    pub fn held(&self, now: f64) -> Vec<(Duty, Fence)> {
+    pub fn held(&self, now: f64) -> Vec<(Role, FencingToken)> {
         self.bids
             .keys()
             .filter_map(|d| Some((*d, self.holds(now, *d)?)))
@@ -276,7 +276,7 @@
     }
 
     /// The holder that was heard last, and how long ago.
-    pub fn holder(&self, now: f64, duty: Duty) -> Option<(Fence, f64)> {
+    pub fn holder(&self, now: f64, duty: Role) -> Option<(FencingToken, f64)> {
         self.seen.get(&duty).map(|(fence, at)| (*fence, now - at))
     }
 
@@ -285,7 +285,7 @@
     /// Danger: a holder that wakes from a stall acts under a lease that has passed to another. Whoever has
     /// seen a later epoch refuses it. Covers datagrams that come late. Harm: after most acceptors have
     /// forgotten at once an epoch may begin anew, and is refused until its holder has learnt of the old one.
-    pub fn accept(&mut self, now: f64, duty: Duty, fence: Fence) -> bool {
+    pub fn accept(&mut self, now: f64, duty: Role, fence: FencingToken) -> bool {
         if let Some((seen, _)) = self.seen.get(&duty)
             && (fence.epoch < seen.epoch || fence.epoch == seen.epoch && fence != *seen)
         {
@@ -325,7 +325,7 @@
     /// Danger: a clock that leaps ends promises that still run, one that goes back lengthens leases. Neither
     /// can be told from a stall: all of it is treated as a start. Harm: a process that stood still answers
     /// no bid for a lease's time.
-    fn look_at_clock(&mut self, now: f64, acts: &mut Acts) {
+    fn look_at_clock(&mut self, now: f64, acts: &mut Actions) {
         let back = now < self.last;
         let leapt = !self.promises.is_empty() && now > self.last + self.figures.lease * 0.75;
         if back || leapt {
@@ -335,7 +335,7 @@
             for (duty, c) in &mut self.bids {
                 if c.held_until.take().is_some() {
                     self.counts.lost += 1;
-                    acts.changes.push(Change::Lost(*duty, c.epoch));
+                    acts.changes.push(LeaseEvent::Lost(*duty, c.epoch));
                 }
                 c.bid = None;
                 c.next = now + self.figures.backoff;
@@ -344,11 +344,11 @@
         self.last = now;
     }
 
-    pub fn heard(&mut self, now: f64, from: MemberId, message: &Message) -> Acts {
-        let mut acts = Acts::default();
+    pub fn heard(&mut self, now: f64, from: MemberId, message: &Message) -> Actions {
+        let mut acts = Actions::default();
         self.look_at_clock(now, &mut acts);
         match message {
-            Message::Ask {
+            Message::Request {
                 duty,
                 epoch,
                 life,
@@ -356,7 +356,7 @@
                 holds,
             } => {
                 self.make_way(now, *duty, from, &mut acts);
-                let fence = Fence {
+                let fence = FencingToken {
                     epoch: *epoch,
                     holder: from,
                     life: *life,
@@ -365,7 +365,7 @@
                     acts.send.push((from, answer));
                 }
             }
-            Message::Grant {
+            Message::Granted {
                 duty,
                 epoch,
                 life,
@@ -373,7 +373,7 @@
             } if *life == self.life => {
                 self.granted(now, *duty, *epoch, *ask, from, &mut acts);
             }
-            Message::Deny {
+            Message::Denied {
                 duty,
                 epoch,
                 life,
@@ -391,7 +391,7 @@
                 );
             }
             Message::Release { duty, epoch, life } => {
-                let fence = Fence {
+                let fence = FencingToken {
                     epoch: *epoch,
                     holder: from,
                     life: *life,
@@ -408,7 +408,7 @@
     /// Danger: two that bid at once each have some of the acceptors, and neither a majority. The one that
     /// comes after the other by its weight gives way. Covers any number of bidders. Harm: where the other
     /// cannot win either, a moment is lost.
-    fn make_way(&mut self, now: f64, duty: Duty, to: MemberId, acts: &mut Acts) {
+    fn make_way(&mut self, now: f64, duty: Role, to: MemberId, acts: &mut Actions) {
         let first = weight(duty, to) < weight(duty, self.me);
         let Some(c) = self.bids.get_mut(&duty) else {
             return;
@@ -420,7 +420,7 @@
     }
 
     /// The highest epoch that this member knows of.
-    fn highest(&self, duty: Duty) -> u32 {
+    fn highest(&self, duty: Role) -> u32 {
         let seen = self.seen.get(&duty).map_or(0, |s| s.0.epoch);
         self.promised.get(&duty).map_or(seen, |f| f.epoch.max(seen))
     }
@@ -437,12 +437,12 @@
     fn answer(
         &mut self,
         now: f64,
-        duty: Duty,
-        fence: Fence,
+        duty: Role,
+        fence: FencingToken,
         ask: u16,
         holds: bool,
     ) -> Option<Message> {
-        let Fence { epoch, life, .. } = fence;
+        let FencingToken { epoch, life, .. } = fence;
         if now < self.silent_until || !self.acceptors(duty).contains(&self.me) {
             return None;
         }
@@ -457,7 +457,7 @@
             epoch > highest || (epoch == highest && self.promised.get(&duty) == Some(&fence));
         if wait.is_some() || !(mine || fresh) {
             let wait = (wait.unwrap_or(0.0) * 100.0).ceil() as u16;
-            return Some(Message::Deny {
+            return Some(Message::Denied {
                 duty,
                 epoch: highest,
                 life,
@@ -479,7 +479,7 @@
             },
         );
         self.promised.insert(duty, fence);
-        Some(Message::Grant {
+        Some(Message::Granted {
             duty,
             epoch,
             life,
@@ -490,11 +490,11 @@
     fn granted(
         &mut self,
         now: f64,
-        duty: Duty,
+        duty: Role,
         epoch: u32,
         ask: u16,
         by: MemberId,
-        acts: &mut Acts,
+        acts: &mut Actions,
     ) {
         let need = self.acceptors(duty).len() / 2 + 1;
         let Some(c) = self.bids.get_mut(&duty).filter(|c| c.epoch == epoch) else {
@@ -528,8 +528,8 @@
         c.tries = 0;
         if before.is_none() {
             self.counts.held += 1;
-            acts.changes.push(Change::Held(duty, epoch));
-            let fence = Fence {
+            acts.changes.push(LeaseEvent::Acquired(duty, epoch));
+            let fence = FencingToken {
                 epoch,
                 holder: self.me,
                 life: self.life,
@@ -542,12 +542,12 @@
     fn denied(
         &mut self,
         now: f64,
-        duty: Duty,
+        duty: Role,
         epoch: u32,
         ask: u16,
         by: MemberId,
         wait: f64,
-        acts: &mut Acts,
+        acts: &mut Actions,
     ) {
         let (most, patience) = (self.acceptors(duty).len(), self.figures.patience);
         let Some(c) = self.bids.get_mut(&duty) else {
@@ -576,14 +576,14 @@
     }
 
     /// Gives back what a bid in vain, or a lease, has got.
-    fn release(&mut self, duty: Duty, acts: &mut Acts) {
+    fn release(&mut self, duty: Role, acts: &mut Actions) {
         let (others, life) = (self.acceptors(duty), self.life);
         let Some(c) = self.bids.get_mut(&duty) else {
             return;
         };
         c.bid = None;
         let epoch = c.epoch;
-        let own = Fence {
+        let own = FencingToken {
             epoch,
             holder: self.me,
             life,
@@ -600,7 +600,7 @@
 
     /// A bid in vain: the next is later by chance, the more so the more there were and the lower its rank, so
     /// that two that stand in each other's way do not do so again.
-    fn yield_bid(&mut self, duty: Duty, acts: &mut Acts) {
+    fn yield_bid(&mut self, duty: Role, acts: &mut Actions) {
         if let Some(c) = self.bids.get_mut(&duty) {
             let apart = (c.rank as f64 + self.chance.random::<f64>()) * self.figures.backoff;
             c.next += (apart * f64::from(1u32 << c.tries.min(2))).min(self.figures.lease / 4.0);
@@ -609,7 +609,7 @@
         self.release(duty, acts);
     }
 
-    fn give_back(&mut self, now: f64, duty: Duty, acts: &mut Acts) {
+    fn give_back(&mut self, now: f64, duty: Role, acts: &mut Actions) {
         let Some(c) = self.bids.get_mut(&duty) else {
             return;
         };
@@ -617,25 +617,25 @@
         if held {
             // It ends here, before anybody is told.
             self.counts.lost += 1;
-            acts.changes.push(Change::Lost(duty, c.epoch));
+            acts.changes.push(LeaseEvent::Lost(duty, c.epoch));
         }
         if held || c.bid.is_some() {
             self.release(duty, acts);
         }
     }
 
-    pub fn tick(&mut self, now: f64) -> Acts {
-        let mut acts = Acts::default();
+    pub fn tick(&mut self, now: f64) -> Actions {
+        let mut acts = Actions::default();
         self.look_at_clock(now, &mut acts);
         self.promises.retain(|_, p| p.until > now);
-        let duties: Vec<Duty> = self.bids.keys().copied().collect();
+        let duties: Vec<Role> = self.bids.keys().copied().collect();
         for duty in duties {
             self.step(now, duty, &mut acts);
         }
         acts
     }
 
-    fn step(&mut self, now: f64, duty: Duty, acts: &mut Acts) {
+    fn step(&mut self, now: f64, duty: Role, acts: &mut Actions) {
         let f = self.figures.clone();
         let Some(c) = self.bids.get_mut(&duty) else {
             return;
@@ -643,7 +643,7 @@
         if c.held_until.is_some_and(|until| now >= until) {
             c.held_until = None;
             self.counts.lost += 1;
-            acts.changes.push(Change::Lost(duty, c.epoch));
+            acts.changes.push(LeaseEvent::Lost(duty, c.epoch));
             c.next = now + (c.rank as f64 + self.chance.random::<f64>()) * f.backoff;
             self.release(duty, acts);
             return;
@@ -681,7 +681,7 @@
         self.asks = self.asks.wrapping_add(1);
         let ask = self.asks;
         let term = if held { f.lease } else { f.first };
-        c.bid = Some(Bid {
+        c.bid = Some(Proposal {
             ask,
             term,
             asked: now,
@@ -696,11 +696,11 @@
     fn ask(
         &mut self,
         now: f64,
-        duty: Duty,
+        duty: Role,
         ask: u16,
         holds: bool,
         answered: &BTreeSet<MemberId>,
-        acts: &mut Acts,
+        acts: &mut Actions,
     ) {
         let Some(epoch) = self.bids.get(&duty).map(|c| c.epoch) else {
             return;
@@ -713,7 +713,7 @@
             if to != self.me {
                 acts.send.push((
                     to,
-                    Message::Ask {
+                    Message::Request {
                         duty,
                         epoch,
                         life,
@@ -723,14 +723,14 @@
                 ));
                 continue;
             }
-            let fence = Fence {
+            let fence = FencingToken {
                 epoch,
                 holder: self.me,
                 life,
             };
             match self.answer(now, duty, fence, ask, holds) {
-                Some(Message::Grant { .. }) => self.granted(now, duty, epoch, ask, to, acts),
-                Some(Message::Deny { epoch, wait, .. }) => {
+                Some(Message::Granted { .. }) => self.granted(now, duty, epoch, ask, to, acts),
+                Some(Message::Denied { epoch, wait, .. }) => {
                     self.denied(now, duty, epoch, ask, to, f64::from(wait) / 100.0, acts);
                 }
                 _ => {}
@@ -741,11 +741,11 @@
     /// What decides how this member goes on, with times as seen from now: for model checkers.
     pub fn essence(&self, now: f64) -> Vec<i64> {
         let at = |t: f64| ((t - now).clamp(-100.0, 100.0) * 1000.0).round() as i64;
-        let duty = |d: &Duty| match d {
-            Duty::List(z) => i64::from(*z),
-            Duty::Warden(b) => 256 + i64::from(*b),
+        let duty = |d: &Role| match d {
+            Role::EndpointWatch(z) => i64::from(*z),
+            Role::QuotaAllocator(b) => 256 + i64::from(*b),
         };
-        let fence = |f: &Fence| {
+        let fence = |f: &FencingToken| {
             [
                 i64::from(f.epoch),
                 i64::from(f.holder.0),
--- a/crates/router/lease/src/warden.rs
+++ b/crates/router/lease/src/quota_allocator.rs
@@ -15,14 +15,14 @@
 
 /// A replica in one life of its: a hash of its name and start. Two that share one also share what they bear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Replica(pub u32);
+pub struct ReplicaKey(pub u32);
 
-impl Replica {
+impl ReplicaKey {
     /// FNV-1a, the same at every member.
-    pub fn named(name: &str, started_at: f64) -> Replica {
+    pub fn named(name: &str, started_at: f64) -> ReplicaKey {
         let start = (started_at * 1000.0).round() as i64;
         let bytes = name.bytes().chain(start.to_le_bytes());
-        Replica(bytes.fold(0x811c_9dc5, |h: u32, b| {
+        ReplicaKey(bytes.fold(0x811c_9dc5, |h: u32, b| {
             (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
         }))
     }
@@ -35,23 +35,23 @@
 
 /// What one member says of one cold replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Offer {
-    pub replica: Replica,
+pub struct ReplicaDemand {
+    pub replica: ReplicaKey,
     /// Parts that it would have sent there since its last word; 0: it cedes its share.
     pub wants: u8,
 }
 
 /// Of a whole replica, beyond the even share, in 65,535ths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
-    pub replica: Replica,
+pub struct QuotaGrant {
+    pub replica: ReplicaKey,
     pub of: u16,
 }
 
 /// What a member would send to a cold replica, as its host counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
-    pub replica: Replica,
+pub struct LocalDemand {
+    pub replica: ReplicaKey,
     /// Parts that it would have sent there since the last look.
     pub wants: u32,
     /// It has sent some within the rule's window.
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct QuotaConfig {
     /// Seconds for which a share is ceded, beyond the rule's window.
     pub cede: f64,
     /// Nothing wanted or sent for so long: it has no use for its share. With the rule's window alone (1 s)
@@ -80,9 +80,9 @@
     pub most: usize,
 }
 
-impl Default for Figures {
+impl Default for QuotaConfig {
     fn default() -> Self {
-        Figures {
+        QuotaConfig {
             cede: 4.0,
             idle: 4.0,
             lasts: 1.5,
@@ -110,17 +110,17 @@
 
 /// A member's own account.
 #[derive(Clone, Debug)]
-pub struct Ration {
-    figures: Figures,
+pub struct QuotaShare {
+    figures: QuotaConfig,
     members: usize,
-    own: BTreeMap<Replica, Own>,
+    own: BTreeMap<ReplicaKey, Own>,
     spoke: f64,
 }
 
-impl Ration {
+impl QuotaShare {
     /// `members`: over how many the rule is split, by the settings.
-    pub fn new(members: usize, figures: Figures) -> Ration {
-        Ration {
+    pub fn new(members: usize, figures: QuotaConfig) -> QuotaShare {
+        QuotaShare {
             figures,
             members: members.max(1),
             own: BTreeMap::new(),
@@ -130,7 +130,7 @@
 
     /// What the host has counted of the cold replicas that its list names; others are forgotten, but not what
     /// was ceded of them.
-    pub fn see(&mut self, now: f64, wants: &[Want]) {
+    pub fn see(&mut self, now: f64, wants: &[LocalDemand]) {
         for want in wants {
             if self.own.len() >= self.figures.most && !self.own.contains_key(&want.replica) {
                 continue;
@@ -144,13 +144,13 @@
                 own.busy = now;
             }
         }
-        let named = |r: &Replica| wants.iter().any(|w| w.replica == *r);
+        let named = |r: &ReplicaKey| wants.iter().any(|w| w.replica == *r);
         self.own.retain(|r, own| named(r) || own.ceded_until > now);
     }
 
     /// What to tell the warden of a bucket, if it is time to: `stamp` is that of its latest beacon, heard
     /// `ago`.
-    pub fn offers(&mut self, now: f64, bucket: u8, buckets: u8, ago: f64) -> Vec<Offer> {
+    pub fn offers(&mut self, now: f64, bucket: u8, buckets: u8, ago: f64) -> Vec<ReplicaDemand> {
         if ago > self.figures.beacon {
             return Vec::new();
         }
@@ -169,13 +169,13 @@
                 own.ceded_until = now + cede;
             }
             if idle || own.wants > 0 {
-                offers.push(Offer {
+                offers.push(ReplicaDemand {
                     replica: *replica,
                     wants: own.wants.min(255) as u8,
                 });
                 own.wants = 0;
             }
-            if offers.len() == crate::message::MOST {
+            if offers.len() == crate::message::MAX_MESSAGES {
                 break;
             }
         }
@@ -197,7 +197,7 @@
     }
 
     /// A warden has given; until `until` by this member's clock, counted from when it asked.
-    pub fn given(&mut self, now: f64, share: Share, until: f64) {
+    pub fn given(&mut self, now: f64, share: QuotaGrant, until: f64) {
         let longest = now + self.figures.cede;
         if let Some(own) = self.own.get_mut(&share.replica).filter(|_| until > now) {
             own.given = (share.of, until.min(longest));
@@ -205,7 +205,7 @@
     }
 
     /// How many times the even share this member may send to the replica; 1 where nothing was said.
-    pub fn times(&self, now: f64, replica: Replica) -> f64 {
+    pub fn times(&self, now: f64, replica: ReplicaKey) -> f64 {
         let Some(own) = self.own.get(&replica) else {
             return 1.0;
         };
@@ -230,16 +230,16 @@
 /// The holder's account. Void with its lease: a new warden begins with none, and gives nothing that may
 /// still be in use, since it gives nothing for a cession's time after it began.
 #[derive(Clone, Debug)]
-pub struct Warden {
-    figures: Figures,
+pub struct QuotaAllocator {
+    figures: QuotaConfig,
     members: usize,
     began: f64,
-    accounts: BTreeMap<Replica, Account>,
+    accounts: BTreeMap<ReplicaKey, Account>,
 }
 
-impl Warden {
-    pub fn new(members: usize, figures: Figures, now: f64) -> Warden {
-        Warden {
+impl QuotaAllocator {
+    pub fn new(members: usize, figures: QuotaConfig, now: f64) -> QuotaAllocator {
+        QuotaAllocator {
             figures,
             members: members.max(1),
             began: now,
@@ -260,8 +260,8 @@
         now: f64,
         from: MemberId,
         beacon: f64,
-        offers: &[Offer],
-    ) -> (Vec<Share>, f64) {
+        offers: &[ReplicaDemand],
+    ) -> (Vec<QuotaGrant>, f64) {
         let f = &self.figures;
         let even = (WHOLE / self.members as f64) as u16;
         let ceded = beacon + (f.cede + f.window) * 0.98 - f.margin;
@@ -307,7 +307,7 @@
             };
             if of > 0 && most >= had && ends > now {
                 account.given.insert(from, (of, ends + f.window));
-                shares.push(Share {
+                shares.push(QuotaGrant {
                     replica: offer.replica,
                     of,
                 });
--- a/crates/router/lease/src/duties.rs
+++ b/crates/router/lease/src/singleton_roles.rs
@@ -1,17 +1,19 @@
 //! All duties of one co-ordinator behind one door, for a host that has a socket and a clock: leases, what
 //! their holder does, and what the others make of it. Owns them; must never name a replica but by its hash.
 
-use crate::decide::{Acts, Change, Counts, Figures, Leases};
-use crate::facts::{Facts, Gone};
-use crate::message::{Duty, MOST, Message, open, seal};
-use crate::warden::{Figures as RationFigures, Offer, Ration, Replica, Share, Want, Warden};
+use crate::endpoint_update::{Departure, EndpointUpdates};
+use crate::leases::{Actions, LeaseConfig, LeaseCounters, LeaseEvent, Leases};
+use crate::message::{MAX_MESSAGES, Message, Role, open, seal};
+use crate::quota_allocator::{
+    LocalDemand, QuotaAllocator, QuotaConfig, QuotaGrant, QuotaShare, ReplicaDemand, ReplicaKey,
+};
 use std::collections::BTreeMap;
 use woadreach_membership::{MemberId, View};
 
 /// Wardens, each of a bucket of replicas: one for so many members, so that none hears from more of them, and
 /// no more than so many, as each costs some 8 datagrams a second of the tier.
-const MEMBERS_A_WARDEN: usize = 64;
-const MOST_WARDENS: usize = 4;
+const MEMBERS_PER_ALLOCATOR: usize = 64;
+const MAX_ALLOCATORS: usize = 4;
 /// Of the live members that may hold a duty these many bid for it, the first by a hash of names: more would
 /// only stand in each other's way, and with all of them dead the members' view drops them within seconds.
 const BIDDERS: usize = 3;
@@ -23,7 +25,7 @@
 
 /// What this co-ordinator is, by its settings.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct LocalMember {
     pub me: MemberId,
     pub zone: u8,
     pub roster: usize,
@@ -34,23 +36,23 @@
 
 /// What the host has to do.
 #[derive(Clone, Debug, Default)]
-pub struct Done {
+pub struct RoleActions {
     pub send: Vec<(MemberId, Vec<u8>)>,
-    pub changes: Vec<Change>,
-    /// Acts done under a lease, for the records.
-    pub acts: Vec<(Duty, u32)>,
+    pub changes: Vec<LeaseEvent>,
+    /// Actions done under a lease, for the records.
+    pub acts: Vec<(Role, u32)>,
     /// Replicas that take no more by a holder's word, and those of which that has lapsed.
-    pub closed: Vec<(Replica, Gone)>,
-    pub lapsed: Vec<Replica>,
+    pub closed: Vec<(ReplicaKey, Departure)>,
+    pub lapsed: Vec<ReplicaKey>,
 }
 
-pub struct Duties {
-    place: Place,
+pub struct SingletonRoles {
+    place: LocalMember,
     buckets: u8,
     pub leases: Leases,
-    facts: Facts,
-    ration: Option<Ration>,
-    wardens: BTreeMap<u8, Warden>,
+    facts: EndpointUpdates,
+    ration: Option<QuotaShare>,
+    wardens: BTreeMap<u8, QuotaAllocator>,
     /// The latest beacon of each warden, and when it was first heard.
     beacons: BTreeMap<u8, (Message, f64)>,
     told: f64,
@@ -68,20 +70,20 @@
     now - f64::from(stamp(now).wrapping_sub(stamp_then)) / 100.0 - 0.01
 }
 
-impl Duties {
-    pub fn new(place: Place, figures: Figures, seed: u64, now: f64) -> Duties {
+impl SingletonRoles {
+    pub fn new(place: LocalMember, figures: LeaseConfig, seed: u64, now: f64) -> SingletonRoles {
         let ration = place.cold.map(|(members, window)| {
-            Ration::new(
+            QuotaShare::new(
                 members,
-                RationFigures {
+                QuotaConfig {
                     window,
-                    ..RationFigures::default()
+                    ..QuotaConfig::default()
                 },
             )
         });
-        Duties {
+        SingletonRoles {
             leases: Leases::new(place.me, place.roster, figures, seed, now),
-            facts: Facts::default(),
+            facts: EndpointUpdates::default(),
             ration,
             wardens: BTreeMap::new(),
             beacons: BTreeMap::new(),
@@ -89,32 +91,32 @@
             refused: 0,
             buckets: place
                 .roster
-                .div_ceil(MEMBERS_A_WARDEN)
-                .clamp(1, MOST_WARDENS) as u8,
+                .div_ceil(MEMBERS_PER_ALLOCATOR)
+                .clamp(1, MAX_ALLOCATORS) as u8,
             place,
         }
     }
 
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &LeaseCounters {
         self.leases.counts()
     }
 
-    /// Facts by which replicas were closed before the own list told it.
+    /// EndpointUpdates by which replicas were closed before the own list told it.
     pub fn ahead(&self) -> u64 {
         self.facts.ahead
     }
 
     /// This one's own list has spoken of a replica; none: it serves.
-    pub fn listed(&mut self, now: f64, replica: Replica, what: Option<Gone>) {
+    pub fn listed(&mut self, now: f64, replica: ReplicaKey, what: Option<Departure>) {
         self.facts.listed(now, replica, what);
     }
 
-    pub fn times(&self, now: f64, replica: Replica) -> f64 {
+    pub fn times(&self, now: f64, replica: ReplicaKey) -> f64 {
         self.ration.as_ref().map_or(1.0, |r| r.times(now, replica))
     }
 
     /// Those who may do each duty.
-    fn wanted(&self, view: &View) -> BTreeMap<Duty, Vec<MemberId>> {
+    fn wanted(&self, view: &View) -> BTreeMap<Role, Vec<MemberId>> {
         let mut wanted = BTreeMap::new();
         // Cut off it can hold nothing for long, and bids of its would only disturb.
         if view.cut_off {
@@ -128,12 +130,12 @@
             .map(|m| *m.0)
             .collect();
         wanted.insert(
-            Duty::List(zone),
-            self.leases.first(Duty::List(zone), near, BIDDERS),
+            Role::EndpointWatch(zone),
+            self.leases.first(Role::EndpointWatch(zone), near, BIDDERS),
         );
         if self.ration.is_some() {
             for bucket in 0..self.buckets {
-                let duty = Duty::Warden(bucket);
+                let duty = Role::QuotaAllocator(bucket);
                 wanted.insert(
                     duty,
                     self.leases
@@ -145,8 +147,8 @@
     }
 
     /// Some ten times a second: who is there, and what is asked of cold replicas.
-    pub fn look(&mut self, now: f64, view: &View, wants: &[Want]) -> Done {
-        let mut done = Done::default();
+    pub fn look(&mut self, now: f64, view: &View, wants: &[LocalDemand]) -> RoleActions {
+        let mut done = RoleActions::default();
         let acts = self.leases.want(now, &self.wanted(view));
         self.take(now, acts, &mut done);
         if let Some(ration) = &mut self.ration {
@@ -162,20 +164,20 @@
         self.leases.next_due()
     }
 
-    pub fn tick(&mut self, now: f64) -> Done {
-        let mut done = Done::default();
+    pub fn tick(&mut self, now: f64) -> RoleActions {
+        let mut done = RoleActions::default();
         let acts = self.leases.tick(now);
         self.take(now, acts, &mut done);
         done
     }
 
     /// What a holder does, each time with its fence, and only while it holds.
-    fn act(&mut self, now: f64, view: &View, done: &mut Done) {
+    fn act(&mut self, now: f64, view: &View, done: &mut RoleActions) {
         let tells = now >= self.told + TELLS;
         if tells {
             self.told = now;
         }
-        let list = Duty::List(self.place.zone);
+        let list = Role::EndpointWatch(self.place.zone);
         if let Some(fence) = self.leases.holds(now, list) {
             let facts = self.facts.due(now);
             if tells || !facts.is_empty() {
@@ -187,7 +189,7 @@
                 // That it lives concerns those who might bid.
                 let bidders = self.leases.first(list, all.clone(), BIDDERS);
                 let to = if facts.is_empty() { bidders } else { all };
-                let bytes = seal(&[Message::Facts {
+                let bytes = seal(&[Message::EndpointUpdates {
                     duty: list,
                     fence,
                     facts,
@@ -200,7 +202,7 @@
             self.facts.drop_untold();
         }
         for bucket in 0..self.buckets {
-            let duty = Duty::Warden(bucket);
+            let duty = Role::QuotaAllocator(bucket);
             let Some(fence) = self.leases.holds(now, duty) else {
                 continue;
             };
@@ -226,7 +228,7 @@
     }
 
     /// As one who sends to cold replicas.
-    fn speak(&mut self, now: f64, done: &mut Done) {
+    fn speak(&mut self, now: f64, done: &mut RoleActions) {
         let Some(ration) = &mut self.ration else {
             return;
         };
@@ -247,7 +249,7 @@
             for some in offers.chunks(24) {
                 let own = stamp(now);
                 let offers = some.to_vec();
-                let message = Message::Offers {
+                let message = Message::Demands {
                     duty: *duty,
                     fence: *fence,
                     stamp: *its,
@@ -268,13 +270,13 @@
 
     /// What rides on each datagram: the latest beacons, so that they reach everybody within a few rounds.
     pub fn riders(&self, now: f64) -> Vec<u8> {
-        if self.ration.as_ref().is_none_or(Ration::is_idle) && self.wardens.is_empty() {
+        if self.ration.as_ref().is_none_or(QuotaShare::is_idle) && self.wardens.is_empty() {
             return Vec::new();
         }
         let fresh = self
             .beacons
             .values()
-            .filter(|b| now - b.1 < RationFigures::default().beacon);
+            .filter(|b| now - b.1 < QuotaConfig::default().beacon);
         let bytes = seal(&fresh.map(|b| b.0.clone()).collect::<Vec<_>>());
         if bytes.len() > RIDES {
             Vec::new()
@@ -287,24 +289,24 @@
     ///
     /// Danger: garbled, forged or replayed words. What cannot be read is counted and dropped whole; what
     /// stands under an older epoch than one that was seen is refused by `accept`.
-    pub fn heard(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Done {
-        let mut done = Done::default();
+    pub fn heard(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
+        let mut done = RoleActions::default();
         let Some(messages) = open(bytes, self.place.roster) else {
             self.refused += 1;
             return done;
         };
-        debug_assert!(messages.len() <= MOST);
+        debug_assert!(messages.len() <= MAX_MESSAGES);
         for message in messages {
             self.one(now, from, message, &mut done);
         }
         done
     }
 
-    fn one(&mut self, now: f64, from: MemberId, message: Message, done: &mut Done) {
+    fn one(&mut self, now: f64, from: MemberId, message: Message, done: &mut RoleActions) {
         match message {
-            Message::Facts { duty, fence, facts } => {
+            Message::EndpointUpdates { duty, fence, facts } => {
                 // Only from the holder itself, and only for this zone.
-                if fence.holder != from || duty != Duty::List(self.place.zone) {
+                if fence.holder != from || duty != Role::EndpointWatch(self.place.zone) {
                     self.refused += 1;
                 } else if self.leases.accept(now, duty, fence) {
                     let new = facts.into_iter().filter(|f| self.facts.heard(now, *f));
@@ -312,7 +314,7 @@
                 }
             }
             Message::Beacon {
-                duty: Duty::Warden(bucket),
+                duty: Role::QuotaAllocator(bucket),
                 fence,
                 stamp,
             } if bucket < self.buckets => {
@@ -324,14 +326,14 @@
                 if fence.holder == self.place.me || known {
                     return;
                 }
-                let duty = Duty::Warden(bucket);
+                let duty = Role::QuotaAllocator(bucket);
                 if self.leases.accept(now, duty, fence) {
                     self.beacons
                         .insert(bucket, (Message::Beacon { duty, fence, stamp }, now));
                 }
             }
-            Message::Offers {
-                duty: Duty::Warden(bucket),
+            Message::Demands {
+                duty: Role::QuotaAllocator(bucket),
                 fence,
                 stamp: its,
                 own,
@@ -339,8 +341,8 @@
             } => {
                 self.offered(now, from, bucket, fence, (its, own), &offers, done);
             }
-            Message::Shares {
-                duty: duty @ Duty::Warden(_),
+            Message::QuotaGrants {
+                duty: duty @ Role::QuotaAllocator(_),
                 fence,
                 own,
                 lasts,
@@ -356,9 +358,9 @@
                     }
                 }
             }
-            Message::Ask { .. }
-            | Message::Grant { .. }
-            | Message::Deny { .. }
+            Message::Request { .. }
+            | Message::Granted { .. }
+            | Message::Denied { .. }
             | Message::Release { .. } => {
                 let acts = self.leases.heard(now, from, &message);
                 self.take(now, acts, done);
@@ -373,13 +375,13 @@
         now: f64,
         from: MemberId,
         bucket: u8,
-        fence: crate::message::Fence,
+        fence: crate::message::FencingToken,
         (its, own): (u16, u16),
-        offers: &[Offer],
-        done: &mut Done,
+        offers: &[ReplicaDemand],
+        done: &mut RoleActions,
     ) {
-        let duty = Duty::Warden(bucket);
-        // Offers made to another epoch of this one are not to it.
+        let duty = Role::QuotaAllocator(bucket);
+        // Demands made to another epoch of this one are not to it.
         let Some(mine) = self.leases.holds(now, duty).filter(|f| *f == fence) else {
             return;
         };
@@ -401,9 +403,9 @@
             }
             return;
         }
-        let answer: &[Share] = &shares;
+        let answer: &[QuotaGrant] = &shares;
         for some in answer.chunks(ROOM / 8) {
-            let message = Message::Shares {
+            let message = Message::QuotaGrants {
                 duty,
                 fence: mine,
                 own,
@@ -414,25 +416,28 @@
         }
     }
 
-    pub fn leave(&mut self, now: f64) -> Done {
-        let mut done = Done::default();
+    pub fn leave(&mut self, now: f64) -> RoleActions {
+        let mut done = RoleActions::default();
         let acts = self.leases.want(now, &BTreeMap::new());
         self.take(now, acts, &mut done);
         done
     }
 
-    fn take(&mut self, now: f64, acts: Acts, done: &mut Done) {
+    fn take(&mut self, now: f64, acts: Actions, done: &mut RoleActions) {
         for change in &acts.changes {
             match (*change, self.place.cold) {
-                (Change::Held(Duty::Warden(bucket), _), Some((members, window))) => {
-                    let figures = RationFigures {
+                (
+                    LeaseEvent::Acquired(Role::QuotaAllocator(bucket), _),
+                    Some((members, window)),
+                ) => {
+                    let figures = QuotaConfig {
                         window,
-                        ..RationFigures::default()
+                        ..QuotaConfig::default()
                     };
                     self.wardens
-                        .insert(bucket, Warden::new(members, figures, now));
+                        .insert(bucket, QuotaAllocator::new(members, figures, now));
                 }
-                (Change::Lost(Duty::Warden(bucket), _), _) => {
+                (LeaseEvent::Lost(Role::QuotaAllocator(bucket), _), _) => {
                     self.wardens.remove(&bucket);
                     self.beacons.remove(&bucket);
                 }
--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -6,10 +6,10 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
-use woadreach_lease::{Duty, Figures, Leases, Message, seal};
+use woadreach_lease::{LeaseConfig, Leases, Message, Role, seal};
 use woadreach_membership::MemberId;
 
-const DUTY: Duty = Duty::Warden(0);
+const DUTY: Role = Role::QuotaAllocator(0);
 const MEMBERS: usize = 3;
 /// True seconds are whole; the fast clock is an acceptor's.
 const RATES: [f64; MEMBERS] = [0.99, 1.0, 1.01];
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    figures: Figures,
+    figures: LeaseConfig,
     /// The true seconds up to which it is looked at, and most messages that are under way.
     until: u8,
     most: usize,
@@ -89,7 +89,7 @@
         (0..MEMBERS).filter(holds).count()
     }
 
-    fn send(&mut self, from: usize, acts: woadreach_lease::Acts) {
+    fn send(&mut self, from: usize, acts: woadreach_lease::Actions) {
         for (to, message) in acts.send {
             let sent = (from, usize::from(to.0), message);
             // One of a kind under way is as good as two: doubling is an action of its own.
@@ -113,7 +113,7 @@
 }
 
 impl World {
-    fn new(figures: Figures) -> World {
+    fn new(figures: LeaseConfig) -> World {
         World {
             figures,
             until: 4,
@@ -159,7 +159,7 @@
         }
     }
 
-    fn wanted(&self) -> BTreeMap<Duty, Vec<MemberId>> {
+    fn wanted(&self) -> BTreeMap<Role, Vec<MemberId>> {
         BTreeMap::from([(DUTY, vec![MemberId(0), MemberId(1)])])
     }
 }
@@ -275,9 +275,9 @@
 }
 
 /// One second is a round here: what is a tenth of one in service is whole. No chance: each order is tried.
-fn figures() -> Figures {
-    let real = Figures::default();
-    let rounds = Figures {
+fn figures() -> LeaseConfig {
+    let real = LeaseConfig::default();
+    let rounds = LeaseConfig {
         renew: 1.0,
         again: 1.0,
         patience: 1.0,
@@ -285,7 +285,7 @@
         first: 2.0,
         ..real
     };
-    Figures {
+    LeaseConfig {
         acceptors: MEMBERS,
         ..rounds
     }
@@ -337,7 +337,7 @@
 }
 
 #[rstest]
-#[case::a_holder_without_its_margin("one holder at most", World::new(Figures { margin: 0.0, ..figures() }))]
+#[case::a_holder_without_its_margin("one holder at most", World::new(LeaseConfig { margin: 0.0, ..figures() }))]
 #[case::a_receiver_that_takes_a_stale_epoch(
     "no older epoch after a later one",
     World { until: 6, takes_stale: true, ..World::new(figures()) }
@@ -346,7 +346,7 @@
     debug_assertions,
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
-fn a_planted_bug_is_found(#[case] property: &'static str, #[case] world: World) {
+fn a_injected_bug_is_found(#[case] property: &'static str, #[case] world: World) {
     // Depth first: what is planted shows at the end of long runs.
     let failures = HasDiscoveries::AnyFailures;
     let checked = world
--- a/crates/router/lease/tests/duties.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -5,7 +5,9 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use woadreach_lease::{Done, Duties, Figures, Gone, Place, Replica, Want};
+use woadreach_lease::{
+    Departure, LeaseConfig, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles,
+};
 use woadreach_membership::{MemberId, View};
 
 const WINDOW: f64 = 1.0;
@@ -16,19 +18,19 @@
     chance: Pcg64Mcg,
     loss: f64,
     late: f64,
-    members: Vec<Option<Duties>>,
+    members: Vec<Option<SingletonRoles>>,
     rates: Vec<f64>,
     flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     n: u64,
-    closed: Vec<(usize, Replica, Gone)>,
+    closed: Vec<(usize, ReplicaKey, Departure)>,
     wants: Vec<u32>,
 }
 
-const COLD: Replica = Replica(7);
+const COLD: ReplicaKey = ReplicaKey(7);
 
-fn place(n: usize, members: usize) -> Place {
+fn place(n: usize, members: usize) -> LocalMember {
     let cold = Some((members, WINDOW));
-    Place {
+    LocalMember {
         me: MemberId(n as u16),
         zone: 0,
         roster: members,
@@ -43,9 +45,9 @@
             .map(|_| 1.0 + 0.01 * (2.0 * chance.random::<f64>() - 1.0))
             .collect();
         let duties = |n| {
-            Duties::new(
+            SingletonRoles::new(
                 place(n, members),
-                Figures::default(),
+                LeaseConfig::default(),
                 seed * 100 + n as u64,
                 500.0,
             )
@@ -68,7 +70,7 @@
         500.0 + self.now * self.rates[n]
     }
 
-    fn take(&mut self, from: usize, done: Done) {
+    fn take(&mut self, from: usize, done: RoleActions) {
         self.closed
             .extend(done.closed.iter().map(|(r, what)| (from, *r, *what)));
         for (to, bytes) in done.send {
@@ -126,7 +128,7 @@
                 let done = m.look(
                     clock,
                     &view,
-                    &[Want {
+                    &[LocalDemand {
                         replica: COLD,
                         wants,
                         sent: wants > 0,
@@ -198,16 +200,16 @@
 fn a_holder_tells_what_drains_and_goes_and_nobody_else_does() {
     let mut t = Tier::new(5, 1, 0.1, 0.02);
     t.run(8.0);
-    let (gone, draining) = (Replica(21), Replica(22));
+    let (gone, draining) = (ReplicaKey(21), ReplicaKey(22));
     for n in 0..5 {
         // Its own list tells each of them that this one drains; only one has been told of the other.
         let clock = t.clock(n);
         if let Some(m) = &mut t.members[n] {
-            m.listed(clock, draining, Some(Gone::Draining));
+            m.listed(clock, draining, Some(Departure::Draining));
         }
     }
     let clocks: Vec<f64> = (0..5).map(|n| t.clock(n)).collect();
-    let list = woadreach_lease::Duty::List(0);
+    let list = woadreach_lease::Role::EndpointWatch(0);
     let holds = |n: &usize| {
         t.members[*n]
             .as_ref()
@@ -218,7 +220,7 @@
     t.members[holder]
         .as_mut()
         .expect("it lives")
-        .listed(clock, gone, Some(Gone::Gone));
+        .listed(clock, gone, Some(Departure::Departed));
     t.run(t.now + 2.0);
     let told: Vec<usize> = t
         .closed
@@ -230,7 +232,7 @@
     assert!(
         t.closed
             .iter()
-            .all(|c| c.0 != holder && (c.1 != gone || c.2 == Gone::Gone)),
+            .all(|c| c.0 != holder && (c.1 != gone || c.2 == Departure::Departed)),
         "{:?}",
         t.closed
     );
@@ -241,7 +243,7 @@
 #[case::garbled(&[0x07, 0xff, 0xff, 0xff, 0xff])]
 #[case::too_long(&[0x00; 300])]
 fn what_cannot_be_read_is_counted(#[case] bytes: &[u8]) {
-    let mut duties = Duties::new(place(0, 3), Figures::default(), 1, 0.0);
+    let mut duties = SingletonRoles::new(place(0, 3), LeaseConfig::default(), 1, 0.0);
     let done = duties.heard(1.0, MemberId(1), bytes);
     assert!(done.send.is_empty() && done.closed.is_empty(), "{done:?}");
     assert_eq!(duties.refused, 1);
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -5,10 +5,10 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use woadreach_lease::{Change, Duty, Fence, Figures, Leases, Message, open, seal};
+use woadreach_lease::{FencingToken, LeaseConfig, LeaseEvent, Leases, Message, Role, open, seal};
 use woadreach_membership::MemberId;
 
-const DUTY: Duty = Duty::Warden(0);
+const DUTY: Role = Role::QuotaAllocator(0);
 
 struct Node {
     leases: Leases,
@@ -22,7 +22,7 @@
 struct World {
     now: f64,
     chance: Pcg64Mcg,
-    figures: Figures,
+    figures: LeaseConfig,
     loss: f64,
     cut: Vec<bool>,
     nodes: Vec<Node>,
@@ -30,13 +30,13 @@
     n: u64,
     /// True time, member and epoch of each act, and of each loss or gain of the lease.
     acts: Vec<(f64, usize, u32)>,
-    held: Vec<(f64, usize, Change)>,
+    held: Vec<(f64, usize, LeaseEvent)>,
     two_holders: usize,
     late: f64,
 }
 
 impl World {
-    fn new(members: usize, seed: u64, figures: Figures) -> World {
+    fn new(members: usize, seed: u64, figures: LeaseConfig) -> World {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..members).map(|n| {
             let rate = 1.0 + 0.01 * (2.0 * chance.random::<f64>() - 1.0);
@@ -74,7 +74,7 @@
         self.nodes[n].offset + self.now * self.nodes[n].rate
     }
 
-    fn take(&mut self, from: usize, acts: woadreach_lease::Acts) {
+    fn take(&mut self, from: usize, acts: woadreach_lease::Actions) {
         self.held
             .extend(acts.changes.iter().map(|c| (self.now, from, *c)));
         for (to, message) in acts.send {
@@ -165,12 +165,12 @@
 #[test]
 fn one_holds_and_keeps_it() {
     for seed in 0..20 {
-        let mut w = World::new(6, seed, Figures::default());
+        let mut w = World::new(6, seed, LeaseConfig::default());
         w.run(30.0);
         let held: Vec<_> = w
             .held
             .iter()
-            .filter(|h| matches!(h.2, Change::Held(..)))
+            .filter(|h| matches!(h.2, LeaseEvent::Acquired(..)))
             .collect();
         assert_eq!(
             (held.len(), w.two_holders),
@@ -190,7 +190,7 @@
 #[case::killed_under_loss(3)]
 fn it_is_handed_on(#[case] how: u8) {
     for seed in 0..40 {
-        let mut w = World::new(6, seed, Figures::default());
+        let mut w = World::new(6, seed, LeaseConfig::default());
         w.loss = if how == 3 { 0.3 } else { 0.02 };
         w.run(12.0);
         let Some(old) = w.holder() else {
@@ -228,7 +228,7 @@
 }
 
 /// Drawn: loss, delay, stalls, cuts, deaths and restarts. `seeds`: how many.
-fn drawn(seeds: std::ops::Range<u64>, figures: &Figures) -> (usize, usize) {
+fn drawn(seeds: std::ops::Range<u64>, figures: &LeaseConfig) -> (usize, usize) {
     let (mut two, mut held) = (0, 0);
     for seed in seeds {
         let mut w = World::new(3 + (seed % 5) as usize, seed, figures.clone());
@@ -255,7 +255,7 @@
 
 #[test]
 fn never_two_holders() {
-    let (two, held) = drawn(0..150, &Figures::default());
+    let (two, held) = drawn(0..150, &LeaseConfig::default());
     assert_eq!(two, 0);
     assert!(held > 60, "only {held} of 150 seeds had a holder at all");
 }
@@ -263,9 +263,9 @@
 /// The same rig finds a holder that ignores its margin.
 #[test]
 fn a_holder_without_its_margin_is_found() {
-    let figures = Figures {
+    let figures = LeaseConfig {
         margin: -0.3,
-        ..Figures::default()
+        ..LeaseConfig::default()
     };
     assert!(drawn(0..150, &figures).0 > 0);
 }
@@ -279,7 +279,7 @@
     let all: Vec<_> = (0..threads)
         .map(|t| {
             let (from, to) = (10_000 * t / threads, 10_000 * (t + 1) / threads);
-            std::thread::spawn(move || drawn(from..to, &Figures::default()))
+            std::thread::spawn(move || drawn(from..to, &LeaseConfig::default()))
         })
         .collect();
     let sum = all
@@ -300,11 +300,11 @@
     for lease in [2.0, 3.0, 5.0] {
         for loss in [0.0, 0.1, 0.3] {
             let margin = lease * 0.05;
-            let figures = Figures {
+            let figures = LeaseConfig {
                 lease,
                 margin,
                 renew: lease / 3.0,
-                ..Figures::default()
+                ..LeaseConfig::default()
             };
             let (mut after, mut lost, mut sent) = (Vec::new(), 0, 0);
             for seed in 0..200 {
@@ -314,7 +314,7 @@
                 lost += w
                     .held
                     .iter()
-                    .filter(|h| matches!(h.2, Change::Lost(..)))
+                    .filter(|h| matches!(h.2, LeaseEvent::Lost(..)))
                     .count();
                 sent += w.n;
                 let Some(old) = w.holder() else { continue };
@@ -340,11 +340,11 @@
 
 #[test]
 fn an_act_under_an_old_epoch_is_refused_and_counted() {
-    let mut leases = Leases::new(MemberId(0), 3, Figures::default(), 1, 0.0);
-    let fence = |epoch, holder, life| Fence {
+    let mut leases = Leases::new(MemberId(0), 3, LeaseConfig::default(), 1, 0.0);
+    let fence = |epoch, holder, life| FencingToken {
         epoch,
         holder: MemberId(holder),
-        life: woadreach_lease::Life(life),
+        life: woadreach_lease::Incarnation(life),
     };
     assert!(leases.accept(1.0, DUTY, fence(4, 1, 9)));
     assert!(
@@ -374,12 +374,12 @@
     #[case] now: f64,
     #[case] answers: bool,
 ) {
-    let mut leases = Leases::new(MemberId(0), 3, Figures::default(), 1, 0.0);
+    let mut leases = Leases::new(MemberId(0), 3, LeaseConfig::default(), 1, 0.0);
     leases.tick(before);
-    let ask = Message::Ask {
+    let ask = Message::Request {
         duty: DUTY,
         epoch: 1,
-        life: woadreach_lease::Life(7),
+        life: woadreach_lease::Incarnation(7),
         ask: 1,
         holds: false,
     };
@@ -391,8 +391,8 @@
 #[rstest]
 #[case::nothing(&[], true)]
 #[case::garbled(&[0xff, 0x03, 0x17], false)]
-#[case::another_s_holder(&seal(&[Message::Beacon { duty: DUTY, stamp: 1, fence: Fence { epoch: 1,
-    holder: MemberId(9), life: woadreach_lease::Life(1) } }]), false)]
+#[case::another_s_holder(&seal(&[Message::Beacon { duty: DUTY, stamp: 1, fence: FencingToken { epoch: 1,
+    holder: MemberId(9), life: woadreach_lease::Incarnation(1) } }]), false)]
 fn what_cannot_be_read_is_refused(#[case] bytes: &[u8], #[case] sound: bool) {
     assert_eq!(open(bytes, 3).is_some(), sound);
 }
--- a/crates/router/membership/src/decide.rs
+++ b/crates/router/membership/src/decide.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct MembershipConfig {
     /// Seconds between two probes of a member's own, until it asks others to probe, and from a suspicion
     /// until the suspect counts as down. SWIM's paper has one period for all sizes; one second, as in
     /// `foca`'s own figures for a LAN. A third of it is more than twice the longest way (11 ms there and
@@ -33,13 +33,13 @@
     pub rejoin_every: f64,
     /// One that is down is remembered as such for so long, so that old news of it cannot raise it.
     pub forget_after: f64,
-    /// Bytes of a membership message; the rest of a datagram is for riders.
+    /// Bytes of a membership message; the rest of a datagram is for zone_gossip.
     pub message: usize,
 }
 
-impl Default for Figures {
+impl Default for MembershipConfig {
     fn default() -> Self {
-        Figures {
+        MembershipConfig {
             probe_every: 1.0,
             probe_within: 0.33,
             suspect_for: 4.0,
@@ -63,7 +63,7 @@
 const STALLED: f64 = 0.5;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipEvent {
     Up(MemberId),
     /// Not heard of any more, by others neither.
     Down(MemberId),
@@ -75,9 +75,9 @@
 
 /// What to send and what has changed.
 #[derive(Debug, Default)]
-pub struct Acts {
+pub struct Actions {
     pub send: Vec<(MemberId, Vec<u8>)>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<MembershipEvent>,
 }
 
 /// Who is there, by one member's word. It counts itself.
@@ -96,14 +96,14 @@
 }
 
 /// What the protocol asks for; lives beside it, since it is called by it.
-struct Desk {
+struct ProtocolState {
     now: f64,
     timers: BTreeMap<(u64, u64), Timer<Member>>,
     timers_set: u64,
     /// Lifeguard: how slow this member itself seems, from failed probes and late timers.
     health: u8,
     failed: bool,
-    acts: Acts,
+    acts: Actions,
     view: View,
 }
 
@@ -111,17 +111,17 @@
     (time.max(0.0) * 1e6).ceil() as u64
 }
 
-impl Runtime<Member> for &mut Desk {
+impl Runtime<Member> for &mut ProtocolState {
     fn notify(&mut self, told: Notification<'_, Member>) {
         match told {
             Notification::MemberUp(m) if usize::from(m.id.0) < self.view.roster => {
                 self.view.live.insert(m.id, m.zone);
                 self.view.version += 1;
-                self.acts.changes.push(Change::Up(m.id));
+                self.acts.changes.push(MembershipEvent::Up(m.id));
             }
             Notification::MemberDown(m) if self.view.live.remove(&m.id).is_some() => {
                 self.view.version += 1;
-                self.acts.changes.push(Change::Down(m.id));
+                self.acts.changes.push(MembershipEvent::Down(m.id));
             }
             Notification::Rename(_, m) => {
                 if let Some(zone) = self.view.live.get_mut(&m.id) {
@@ -129,7 +129,7 @@
                     self.view.version += 1;
                 }
             }
-            Notification::Rejoin(_) => self.acts.changes.push(Change::Rejoined),
+            Notification::Rejoin(_) => self.acts.changes.push(MembershipEvent::Rejoined),
             _ => {}
         }
     }
@@ -157,9 +157,9 @@
 
 pub struct Members {
     me: Member,
-    figures: Figures,
+    figures: MembershipConfig,
     foca: Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
-    desk: Desk,
+    desk: ProtocolState,
     chance: Pcg64Mcg,
     next_join: f64,
     /// Messages that the protocol could not use.
@@ -172,7 +172,7 @@
 
 impl Members {
     /// `roster`: how many members there are to be, `me` among them.
-    pub fn new(me: Member, roster: usize, figures: Figures, seed: u64, now: f64) -> Self {
+    pub fn new(me: Member, roster: usize, figures: MembershipConfig, seed: u64, now: f64) -> Self {
         let wait = Duration::from_secs_f64;
         // SWIM: each piece of news is told some multiple of log n times; three by the natural one.
         let times = (3.0 * (roster as f64 + 1.0).ln()).ceil().clamp(1.0, 255.0) as u8;
@@ -202,13 +202,13 @@
         );
         // Apart, so that members that start together do not ask in step.
         let next_join = now + chance.random::<f64>() * figures.join_every;
-        let desk = Desk {
+        let desk = ProtocolState {
             now,
             timers: BTreeMap::new(),
             timers_set: 0,
             health: 0,
             failed: false,
-            acts: Acts::default(),
+            acts: Actions::default(),
             view: View {
                 live: BTreeMap::from([(me.id, me.zone)]),
                 roster,
@@ -265,7 +265,7 @@
     }
 
     /// A message of the membership protocol has come.
-    pub fn heard(&mut self, now: f64, message: &[u8]) -> Acts {
+    pub fn heard(&mut self, now: f64, message: &[u8]) -> Actions {
         self.desk.now = now;
         // Nothing in it is worth more than a count: news of strangers is kept out by the roster.
         if self.foca.handle_data(message, &mut self.desk).is_err() {
@@ -275,7 +275,7 @@
     }
 
     /// Whatever is due by now.
-    pub fn tick(&mut self, now: f64) -> Acts {
+    pub fn tick(&mut self, now: f64) -> Actions {
         self.desk.now = now;
         self.unstall(now);
         while let Some(entry) = self
@@ -365,7 +365,7 @@
     }
 
     /// Goes with a word, so that nobody has to find out.
-    pub fn leave(&mut self, now: f64) -> Acts {
+    pub fn leave(&mut self, now: f64) -> Actions {
         self.desk.now = now;
         if self.foca.leave_cluster(&mut self.desk).is_err() {
             self.unusable += 1;
@@ -373,12 +373,15 @@
         self.acts()
     }
 
-    fn acts(&mut self) -> Acts {
+    fn acts(&mut self) -> Actions {
         let cut_off =
             self.desk.view.live.len() * 2 <= self.desk.view.roster || self.desk.health >= ALONE;
         if cut_off != self.desk.view.cut_off {
             self.desk.view.cut_off = cut_off;
-            self.desk.acts.changes.push(Change::CutOff(cut_off));
+            self.desk
+                .acts
+                .changes
+                .push(MembershipEvent::CutOff(cut_off));
         }
         std::mem::take(&mut self.desk.acts)
     }
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -4,8 +4,10 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use woadreach_membership::datagram::{Body, MOST_BYTES, Refused, VERSION, open, room, seal};
-use woadreach_membership::{Acts, Change, Figures, Member, MemberId, Members};
+use woadreach_membership::datagram::{
+    Body, MAX_BYTES, Rejection, VERSION, capacity_beside, decode, encode,
+};
+use woadreach_membership::{Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent};
 
 struct Net {
     now: f64,
@@ -19,7 +21,7 @@
     flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
     sent: u64,
     bytes: u64,
-    changes: Vec<(f64, MemberId, Change)>,
+    changes: Vec<(f64, MemberId, MembershipEvent)>,
 }
 
 fn id(n: usize) -> MemberId {
@@ -32,7 +34,7 @@
         zone: (n % 3) as u8,
         turn: 0,
     };
-    Members::new(me, roster, Figures::default(), 7 + n as u64, now)
+    Members::new(me, roster, MembershipConfig::default(), 7 + n as u64, now)
 }
 
 impl Net {
@@ -51,15 +53,15 @@
         }
     }
 
-    fn take(&mut self, from: MemberId, acts: Acts) {
+    fn take(&mut self, from: MemberId, acts: Actions) {
         self.changes
             .extend(acts.changes.into_iter().map(|c| (self.now, from, c)));
         for (to, message) in acts.send {
-            let body = seal(&Body {
+            let body = encode(&Body {
                 from,
                 swim: &message,
-                riders: &[],
-                duties: &[],
+                zone_gossip: &[],
+                roles: &[],
             })
             .expect("it fits");
             self.sent += 1;
@@ -90,7 +92,7 @@
                 if self.stalled.contains(&to) {
                     continue;
                 }
-                let body = open(&bytes).expect("sound");
+                let body = decode(&bytes).expect("sound");
                 if let Some(m) = self.members.get_mut(&to) {
                     let acts = m.heard(self.now, body.swim);
                     self.take(to, acts);
@@ -121,7 +123,7 @@
     fn downs(&self) -> usize {
         self.changes
             .iter()
-            .filter(|c| matches!(c.2, Change::Down(_)))
+            .filter(|c| matches!(c.2, MembershipEvent::Down(_)))
             .count()
     }
 }
@@ -211,7 +213,7 @@
     let wrong = net
         .changes
         .iter()
-        .filter(|c| c.0 > woken && matches!(c.2, Change::Down(d) if d != id(2)));
+        .filter(|c| c.0 > woken && matches!(c.2, MembershipEvent::Down(d) if d != id(2)));
     assert_eq!(wrong.count(), 0);
     assert!(net.agree(6));
 }
@@ -228,28 +230,28 @@
 #[test]
 fn the_envelope_is_read_as_it_was_sealed() {
     let swim = vec![7; 120];
-    let duties = vec![3; 40];
-    let riders = vec![9; room(swim.len() + duties.len())];
+    let roles = vec![3; 40];
+    let zone_gossip = vec![9; capacity_beside(swim.len() + roles.len())];
     let body = Body {
         from: id(299),
         swim: &swim,
-        riders: &riders,
-        duties: &duties,
+        zone_gossip: &zone_gossip,
+        roles: &roles,
     };
-    let bytes = seal(&body).expect("the room is what fits");
-    assert!(bytes.len() <= MOST_BYTES && bytes.len() + 5 > MOST_BYTES);
-    assert_eq!(open(&bytes), Ok(body));
+    let bytes = encode(&body).expect("the room is what fits");
+    assert!(bytes.len() <= MAX_BYTES && bytes.len() + 5 > MAX_BYTES);
+    assert_eq!(decode(&bytes), Ok(body));
 }
 
 #[rstest]
-#[case::nothing(vec![], Refused::Garbled)]
-#[case::version(vec![VERSION + 1, 0, 0, 0], Refused::Version)]
-#[case::cut(vec![VERSION, 1, 5, 1, 2], Refused::Garbled)]
-#[case::longer_than_it_says(vec![VERSION, 1, 0, 0, 0, 0], Refused::Garbled)]
-#[case::a_length_beyond_reason(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Refused::Garbled)]
-#[case::oversize(vec![VERSION; MOST_BYTES + 1], Refused::Oversize)]
-fn what_is_not_sound_is_refused(#[case] bytes: Vec<u8>, #[case] why: Refused) {
-    assert_eq!(open(&bytes), Err(why));
+#[case::nothing(vec![], Rejection::Garbled)]
+#[case::version(vec![VERSION + 1, 0, 0, 0], Rejection::Version)]
+#[case::cut(vec![VERSION, 1, 5, 1, 2], Rejection::Garbled)]
+#[case::longer_than_it_says(vec![VERSION, 1, 0, 0, 0, 0], Rejection::Garbled)]
+#[case::a_length_beyond_reason(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Rejection::Garbled)]
+#[case::oversize(vec![VERSION; MAX_BYTES + 1], Rejection::Oversize)]
+fn what_is_not_sound_is_refused(#[case] bytes: Vec<u8>, #[case] why: Rejection) {
+    assert_eq!(decode(&bytes), Err(why));
 }
 
 #[test]
--- a/crates/router/search-driver/src/hand.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -2,41 +2,41 @@
 //! `take` until it is over and knows when each wants to be asked about next; what a plan asks for goes, in
 //! its order, into a sink. Must never decide, nor keep a clock: the caller tells the time.
 
-use crate::watch::{Counts, Shape};
+use crate::watch::{Shape, WatchCounters};
 use std::collections::{BTreeMap, VecDeque};
 use woadreach_routing::api::*;
 use woadreach_routing::decide::balancer::Balancer;
-use woadreach_routing::plants::planted;
+use woadreach_routing::mutations::is_mutated;
 
 /// Where the steps of a plan go. `nth` numbers the sub-requests of a part.
-pub trait Sink {
+pub trait PlanExecutor {
     fn note(&mut self, line: &str);
     fn cancel(&mut self, part: PartId, nth: usize);
     fn send(&mut self, search: &Search, placement: &Placement, nth: usize);
     fn reply(&mut self, search: &Search, reply: Reply);
-    /// Call `Hand::due` for this search after `wait` seconds; earlier timers of it may still come.
+    /// Call `SearchTable::due` for this search after `wait` seconds; earlier timers of it may still come.
     fn timer(&mut self, search: SearchId, wait: f64);
     /// The search is over and let go, answered or not.
     fn over(&mut self, search: &Search);
 }
 
-struct InHand {
+struct SearchInFlight {
     search: Search,
     /// When its next timer comes; infinite = none set.
     due: f64,
 }
 
-pub struct Hand {
+pub struct SearchTable {
     balancer: Balancer,
-    searches: BTreeMap<SearchId, InHand>,
+    searches: BTreeMap<SearchId, SearchInFlight>,
     by_part: BTreeMap<PartId, SearchId>,
     /// While operators watch before a move: the new shape, which query types it makes `once`, the counts.
-    watch: Option<(Shape, Vec<bool>, Counts)>,
+    watch: Option<(Shape, Vec<bool>, WatchCounters)>,
 }
 
-impl Hand {
+impl SearchTable {
     pub fn new(set: Settings) -> Self {
-        Hand {
+        SearchTable {
             balancer: Balancer::new(set),
             searches: BTreeMap::new(),
             by_part: BTreeMap::new(),
@@ -47,10 +47,10 @@
     /// Decides as before, and counts where `shape` would have decided otherwise; names: of the query types.
     pub fn watching(&mut self, shape: Shape, query_types: &[String]) {
         let once = query_types.iter().map(|n| shape.once.contains(n)).collect();
-        self.watch = Some((shape, once, Counts::default()));
+        self.watch = Some((shape, once, WatchCounters::default()));
     }
 
-    pub fn watched(&self) -> Option<Counts> {
+    pub fn watched(&self) -> Option<WatchCounters> {
         self.watch.as_ref().map(|w| w.2)
     }
 
@@ -59,16 +59,16 @@
     }
 
     /// What the tier has decided in common, or that this co-ordinator is alone.
-    pub fn zoning(&mut self, now: f64, told: Option<Zoning>) {
+    pub fn zoning(&mut self, now: f64, told: Option<ZoneFailoverState>) {
         self.balancer.zoning(now, told);
     }
 
-    pub fn sights(&self, now: f64) -> Vec<ZoneSight> {
+    pub fn sights(&self, now: f64) -> Vec<ZoneHealth> {
         self.balancer.sights(now)
     }
 
     /// What was asked of each cold replica so far.
-    pub fn colds(&self, now: f64) -> Vec<ColdSight> {
+    pub fn colds(&self, now: f64) -> Vec<SlowStartDemand> {
         self.balancer.colds(now)
     }
 
@@ -92,7 +92,7 @@
             .extend(search.parts.iter().map(|p| (p.id, search.id)));
         self.searches.insert(
             search.id,
-            InHand {
+            SearchInFlight {
                 search,
                 due: f64::INFINITY,
             },
@@ -119,14 +119,14 @@
         true
     }
 
-    pub fn ask(&mut self, now: f64, search: SearchId, sink: &mut impl Sink) {
+    pub fn ask(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
         if let Some(held) = self.searches.get_mut(&search) {
             let plan = self.balancer.place(now, &mut held.search);
             self.carry_out(now, Some(search), plan, sink);
         }
     }
 
-    pub fn outcome(&mut self, now: f64, outcome: &Outcome, sink: &mut impl Sink) {
+    pub fn outcome(&mut self, now: f64, outcome: &Outcome, sink: &mut impl PlanExecutor) {
         let search = self.by_part.get(&outcome.part).copied();
         let held = search
             .and_then(|s| self.searches.get_mut(&s))
@@ -137,7 +137,7 @@
 
     /// A timer of this search has come. One that an earlier one replaced is ignored; clocks that count in
     /// microseconds may bring one a moment early.
-    pub fn due(&mut self, now: f64, search: SearchId, sink: &mut impl Sink) {
+    pub fn due(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
         let Some(held) = self
             .searches
             .get_mut(&search)
@@ -150,14 +150,20 @@
     }
 
     /// The client has left.
-    pub fn left(&mut self, now: f64, search: SearchId, sink: &mut impl Sink) {
+    pub fn left(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
         if let Some(held) = self.searches.get_mut(&search) {
             let plan = self.balancer.client_left(&mut held.search);
             self.carry_out(now, Some(search), plan, sink);
         }
     }
 
-    fn carry_out(&mut self, now: f64, search: Option<SearchId>, plan: Plan, sink: &mut impl Sink) {
+    fn carry_out(
+        &mut self,
+        now: f64,
+        search: Option<SearchId>,
+        plan: Plan,
+        sink: &mut impl PlanExecutor,
+    ) {
         // A search to be asked about again is asked when its turn comes, not when it is queued: a plan made
         // earlier could be carried out after its search was over, and its sends would be lost unsent.
         let mut plans = VecDeque::from([(search, Some(plan))]);
@@ -175,7 +181,7 @@
         }
     }
 
-    fn steps(&mut self, search: Option<SearchId>, plan: &Plan, sink: &mut impl Sink) {
+    fn steps(&mut self, search: Option<SearchId>, plan: &Plan, sink: &mut impl PlanExecutor) {
         plan.notes.iter().for_each(|n| sink.note(n));
         plan.cancel
             .iter()
@@ -212,7 +218,7 @@
     }
 
     /// Lets go of a search that is over, or sees to it that its next timer comes in time.
-    fn settle(&mut self, now: f64, id: SearchId, sink: &mut impl Sink) {
+    fn settle(&mut self, now: f64, id: SearchId, sink: &mut impl PlanExecutor) {
         let Some(held) = self.searches.get_mut(&id) else {
             return;
         };
@@ -220,7 +226,7 @@
             held.search
                 .parts
                 .iter()
-                .filter(|_| !planted("hand-keeps-parts"))
+                .filter(|_| !is_mutated("hand-keeps-parts"))
                 .for_each(|p| {
                     self.by_part.remove(&p.id);
                 });
@@ -231,7 +237,7 @@
         let wait = self.balancer.wait(now, &held.search);
         if now + wait < held.due {
             held.due = now + wait;
-            if !planted("hand-no-timer") {
+            if !is_mutated("hand-no-timer") {
                 sink.timer(id, wait);
             }
         }
--- a/crates/router/search-driver/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value;
 use woadreach_routing::api::*;
-use woadreach_routing::plants::planted;
+use woadreach_routing::mutations::is_mutated;
 
 pub fn settings(seed: u64, facts: &Value) -> Result<Settings, String> {
     let need = |path: &str| {
@@ -59,7 +59,7 @@
         number("/guarantees/tipMultiple"),
         number("/guarantees/tipAfterMs"),
     ) {
-        (Some(tip_multiple), Some(after)) => Some(ColdRule {
+        (Some(tip_multiple), Some(after)) => Some(SlowStartConfig {
             from: need_number("/guarantees/coldFrom")?,
             time: need_number("/guarantees/coldMs")? / 1000.0,
             tip_multiple,
@@ -72,7 +72,7 @@
         number("/guarantees/countedOverMs"),
     ) {
         (None, None) => None,
-        (share, _) => Some(BudgetRule {
+        (share, _) => Some(RetryBudgetConfig {
             free: number("/guarantees/budgetFree").unwrap_or(0.0),
             share: share.unwrap_or(0.0),
             window: need_number("/guarantees/countedOverMs")? / 1000.0,
@@ -83,7 +83,7 @@
         seed,
         me: facts.pointer("/me").and_then(Value::as_u64),
         siblings: (number("/siblings").unwrap_or(1.0) as usize)
-            .saturating_sub(usize::from(planted("host-siblings")))
+            .saturating_sub(usize::from(is_mutated("host-siblings")))
             .max(1),
         tick: need_number("/tickMs")? / 1000.0,
         query_types,
--- a/crates/router/search-driver/src/watch.rs
+++ b/crates/router/search-driver/src/watch.rs
@@ -19,7 +19,7 @@
 
 /// Where the new shape would have decided otherwise, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct WatchCounters {
     /// Shed with a time to come back.
     pub retry_after: u64,
     /// A sub-request sent while another of its part was out.
@@ -72,8 +72,8 @@
 }
 
 impl Shape {
-    /// Counts a send, `nth` the sub-request's number in its part; `once` whether its query type is named.
-    pub fn sent(&self, part: &Part, nth: usize, once: bool, counts: &mut Counts) {
+    /// WatchCounters a send, `nth` the sub-request's number in its part; `once` whether its query type is named.
+    pub fn sent(&self, part: &Part, nth: usize, once: bool, counts: &mut WatchCounters) {
         let before = &part.subs[..nth.min(part.subs.len())];
         if self.second_copies == Some(false) && before.iter().any(|s| s.ending.is_none()) {
             counts.second_copy += 1;
@@ -83,7 +83,7 @@
         }
     }
 
-    pub fn replied(&self, reply: Reply, counts: &mut Counts) {
+    pub fn replied(&self, reply: Reply, counts: &mut WatchCounters) {
         if matches!(reply, Reply::Shed { retry_after } if retry_after > 0.0)
             && self.retry_after == Some(false)
         {
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 fn part(endings: &[Option<Ending>]) -> Part {
-    let sub = |e: &Option<Ending>| SubRequest {
+    let sub = |e: &Option<Ending>| Attempt {
         replica: ReplicaId("r".into()),
         sent_at: 0.0,
         ending: *e,
@@ -58,7 +58,7 @@
         second_copies: Some(false),
         once: vec![],
     };
-    let mut c = Counts::default();
+    let mut c = WatchCounters::default();
     // A copy while the first is out; a repeat after a lost answer; a repeat after no connection.
     strict.sent(&part(&[None, None]), 1, true, &mut c);
     strict.sent(&part(&[Some(Ending::TimedOut), None]), 1, true, &mut c);
@@ -68,14 +68,14 @@
     strict.replied(Reply::Shed { retry_after: 0.0 }, &mut c);
     assert_eq!(
         c,
-        Counts {
+        WatchCounters {
             retry_after: 1,
             second_copy: 1,
             repeat_once: 2
         }
     );
-    let mut none = Counts::default();
+    let mut none = WatchCounters::default();
     Shape::default().sent(&part(&[None, None]), 1, false, &mut none);
     Shape::default().replied(Reply::Shed { retry_after: 0.5 }, &mut none);
-    assert_eq!(none, Counts::default());
+    assert_eq!(none, WatchCounters::default());
 }
--- a/crates/router/sim-adapter/src/host.rs
+++ b/crates/router/sim-adapter/src/host.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use woadreach_routing::api::*;
-use woadreach_search_driver::{Hand, Sink};
+use woadreach_search_driver::{PlanExecutor, SearchTable};
 
 /// The name of the timer after which a refused watch is asked for again; search timers carry numbers.
 const WATCH: &str = "watch";
@@ -21,7 +21,7 @@
 }
 
 struct Instance {
-    hand: Hand,
+    hand: SearchTable,
     by_number: BTreeMap<u64, SearchId>,
     query_types: usize,
     marks_repeats: bool,
@@ -183,7 +183,7 @@
             asks: false,
             refused: 0,
             query_types: set.query_types.len(),
-            hand: Hand::new(set),
+            hand: SearchTable::new(set),
             by_number: BTreeMap::new(),
             fresh: Vec::new(),
         }
@@ -231,7 +231,7 @@
     by_number: &'a mut BTreeMap<u64, SearchId>,
 }
 
-impl Sink for Actions<'_> {
+impl PlanExecutor for Actions<'_> {
     fn note(&mut self, line: &str) {
         self.out.push(json!(["remark", line]));
     }
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -3,25 +3,26 @@
 //! after two of them the parts leave. Must never block, decide, or touch a socket.
 
 use crate::events::{
-    Answer, Arrival, DutyTold, Entry, Event, Held, Lifecycle, List, SubId, Told, Word, Words,
+    Answer, Arrival, AttemptId, ConnectionEvent, EndpointReport, EndpointReports, Entry, Event,
+    Lifecycle, List, RoleUpdate, Usage,
 };
-use crate::peers::Sights;
-use crate::replicas::{Letter, Replicas, Written};
+use crate::peers::ZoneObservations;
+use crate::replicas::{QueuedAttempt, Replicas, Written};
 use crate::sockets::Sockets;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, info, warn};
+use woadreach_lease::{Departure, ReplicaKey};
 use woadreach_routing::api::*;
-use woadreach_routing::plants::planted;
-use woadreach_search_driver::{Hand, Sink};
-use woadreach_lease::{Gone, Replica};
+use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
+use woadreach_search_driver::{PlanExecutor, SearchTable};
 use woadreach_zone_failover::Sight;
 
 /// What the settings say about hosting.
-pub struct Figures {
+pub struct CoreConfig {
     pub max_open: usize,
     /// Bytes of requests held at once.
     pub max_bytes: usize,
@@ -38,9 +39,9 @@
     Search(SearchId),
     /// A final answer that waits to be read after its last part.
     Answer(SearchId),
-    Sub(SubId),
+    Sub(AttemptId),
     /// What has not begun to leave by now may not leave any more.
-    Begin(SubId),
+    Begin(AttemptId),
     Sweep,
     /// What the tier is told of zones.
     Sight,
@@ -82,12 +83,12 @@
 }
 
 /// All but the module: what its plans are carried out on.
-struct Hands<N: Net> {
+struct Executor<N: Net> {
     net: N,
     /// When it started: timers count from here.
     start: f64,
     now: f64,
-    figures: Figures,
+    figures: CoreConfig,
     replicas: Replicas<N>,
     requests: BTreeMap<SearchId, Request>,
     /// Names in hand, and those whose answer has been given, in that order, with when each may be let go.
@@ -106,28 +107,28 @@
 }
 
 pub struct Core<N: Net> {
-    hand: Hand,
-    hands: Hands<N>,
+    hand: SearchTable,
+    hands: Executor<N>,
     zones: BTreeMap<String, u64>,
     sockets: Sockets,
     knows: bool,
     late: f64,
-    report: Box<dyn Fn(&Held)>,
+    report: Box<dyn Fn(&Usage)>,
     /// Of how many zones the tier is told, and where.
-    sights: Option<(usize, watch::Sender<Sights>)>,
+    sights: Option<(usize, watch::Sender<ZoneObservations>)>,
     /// What its own list says of each replica by now, and who is told of each word of it.
-    words: Option<Words>,
-    listed: BTreeMap<Replica, Entry>,
+    words: Option<EndpointReports>,
+    listed: BTreeMap<ReplicaKey, Entry>,
     /// When the next look is due; its timers of before are void.
     look: f64,
 }
 
 /// The hash by which the tier speaks of a replica in this life of its.
-fn replica(e: &Entry) -> Replica {
-    Replica::named(&e.id, e.started_at)
+fn replica(e: &Entry) -> ReplicaKey {
+    ReplicaKey::named(&e.id, e.started_at)
 }
 
-impl<N: Net> Sink for Hands<N> {
+impl<N: Net> PlanExecutor for Executor<N> {
     fn note(&mut self, line: &str) {
         info!("{line}");
     }
@@ -146,7 +147,7 @@
         let second = if part.step == 2 { ".fetch" } else { "" };
         let sub = (part.id, nth);
         let until = self.now + placement.timeout;
-        let letter = Letter {
+        let letter = QueuedAttempt {
             sub,
             id: format!("{}.{}{second}", request.trace, part.shard.0),
             shard: part.shard.0,
@@ -209,7 +210,7 @@
         // another connection, before the copy: a part was sent for a search that is over. Covers any
         // sub-request of the last moment. Harm: that moment, for the few searches that it hits.
         let due = request.written.get() + READ_WITHIN;
-        if due > self.now && !planted("core-no-wait") {
+        if due > self.now && !is_mutated("core-no-wait") {
             self.leaving.insert(search.id, (request.reply, answer));
             return self.timer_at(due, Timer::Answer(search.id));
         }
@@ -236,12 +237,12 @@
     }
 }
 
-impl<N: Net> Hands<N> {
+impl<N: Net> Executor<N> {
     /// The one place where what is held for a request is given back.
     fn let_go(&mut self, search: SearchId) -> Option<Request> {
         let request = self.requests.remove(&search)?;
         self.traces.remove(&request.trace);
-        if !planted("core-keeps-bytes") {
+        if !is_mutated("core-keeps-bytes") {
             self.bytes -= request.bytes;
         }
         Some(request)
@@ -273,7 +274,7 @@
             .map(|p| (Reverse(request.came.get(&p.id).map_or(0, |c| c.0)), p.shard))
             .collect();
         came.sort();
-        let named = |p: &&Part| p.step == 1 && (p.answered || planted("core-names-all"));
+        let named = |p: &&Part| p.step == 1 && (p.answered || is_mutated("core-names-all"));
         let from: BTreeSet<u64> = search
             .parts
             .iter()
@@ -308,13 +309,13 @@
     pub fn new(
         net: N,
         set: Settings,
-        figures: Figures,
+        figures: CoreConfig,
         replicas: Replicas<N>,
         sockets: Sockets,
-        report: Box<dyn Fn(&Held)>,
+        report: Box<dyn Fn(&Usage)>,
     ) -> Self {
         let zones = figures.zones.iter().cloned().zip(0..).collect();
-        let hands = Hands {
+        let hands = Executor {
             start: net.now(),
             now: net.now(),
             net,
@@ -332,7 +333,7 @@
             leaving: BTreeMap::new(),
         };
         Core {
-            hand: Hand::new(set),
+            hand: SearchTable::new(set),
             hands,
             zones,
             sockets,
@@ -352,7 +353,12 @@
     }
 
     /// From now on tells what it sees of the zones that the settings name.
-    pub fn sights(&mut self, zones: usize, to: watch::Sender<Sights>, words: Words) {
+    pub fn sights(
+        &mut self,
+        zones: usize,
+        to: watch::Sender<ZoneObservations>,
+        words: EndpointReports,
+    ) {
         self.sights = Some((zones, to));
         self.words = Some(words);
         self.look_at(self.hands.now);
@@ -375,18 +381,18 @@
     fn keep_words(&mut self, list: &List) {
         let Some(words) = &self.words else { return };
         if list.full {
-            let named: BTreeSet<Replica> = list.entries.iter().map(replica).collect();
+            let named: BTreeSet<ReplicaKey> = list.entries.iter().map(replica).collect();
             self.listed.retain(|r, _| named.contains(r));
         }
         for e in &list.entries {
             let what = match e.lifecycle {
                 Lifecycle::Ready => None,
-                Lifecycle::Draining => Some(Gone::Draining),
-                Lifecycle::Gone => Some(Gone::Gone),
+                Lifecycle::Draining => Some(Departure::Draining),
+                Lifecycle::Gone => Some(Departure::Departed),
             };
             // The task ends with the process. A whole list is no news.
             if !list.full || what.is_none() {
-                let _ = words.send(Word {
+                let _ = words.send(EndpointReport {
                     replica: replica(e),
                     what,
                 });
@@ -406,8 +412,8 @@
     /// Danger: a word of another's opens what the own list has closed, or names what it does not. Only what
     /// it names as ready is closed, and only its own word opens that again. Covers stale and forged facts.
     /// Harm: a false one costs a sound replica some seconds.
-    fn duty(&mut self, now: f64, told: DutyTold) {
-        let ready = |listed: &BTreeMap<Replica, Entry>, r: &Replica| {
+    fn duty(&mut self, now: f64, told: RoleUpdate) {
+        let ready = |listed: &BTreeMap<ReplicaKey, Entry>, r: &ReplicaKey| {
             listed
                 .get(r)
                 .filter(|e| e.lifecycle == Lifecycle::Ready)
@@ -415,22 +421,22 @@
         };
         let mut entries = Vec::new();
         match told {
-            DutyTold::Ration(shares) => {
+            RoleUpdate::QuotaShare(shares) => {
                 for (r, times) in shares {
                     if let Some(e) = self.listed.get(&r) {
                         self.hand.ration(&ReplicaId(e.id.as_str().into()), times);
                     }
                 }
             }
-            DutyTold::Closed(facts) => {
-                // Gone or draining, it takes nothing new; what is out there may still be answered.
+            RoleUpdate::Closed(facts) => {
+                // Departure or draining, it takes nothing new; what is out there may still be answered.
                 let closed = facts.iter().filter_map(|(r, _)| ready(&self.listed, r));
                 entries.extend(closed.map(|e| Entry {
                     lifecycle: Lifecycle::Draining,
                     ..e
                 }));
             }
-            DutyTold::Lapsed(replicas) => {
+            RoleUpdate::Expired(replicas) => {
                 entries.extend(replicas.iter().filter_map(|r| ready(&self.listed, r)));
             }
         }
@@ -552,14 +558,14 @@
     fn event(&mut self, now: f64, event: Event) {
         match event {
             Event::Arrived(arrival) => self.arrived(now, *arrival),
-            Event::Gone(search) => {
+            Event::ClientLeft(search) => {
                 self.hand.left(now, search, &mut self.hands);
                 self.hands.answer(search);
             }
-            Event::Zoning(zoning) => self.hand.zoning(now, Some(zoning)),
-            Event::Duty(told) => self.duty(now, told),
-            Event::Told(conn, told) => {
-                if let Told::Answer { at, .. } = told {
+            Event::ZoneFailover(zoning) => self.hand.zoning(now, Some(zoning)),
+            Event::Role(told) => self.duty(now, told),
+            Event::Connection(conn, told) => {
+                if let ConnectionEvent::Answer { at, .. } = told {
                     self.late = self.late.max(now - at);
                 }
                 if let Some(((part, _), score, value)) = self.hands.replicas.told(now, conn, told)
@@ -626,8 +632,11 @@
         self.hands.fresh.push(a.search);
     }
 
-    fn cold_by_hash(&self, asked: &BTreeMap<ReplicaId, ColdSight>) -> Vec<(Replica, u64, bool)> {
-        let of = |(r, e): (&Replica, &Entry)| {
+    fn cold_by_hash(
+        &self,
+        asked: &BTreeMap<ReplicaId, SlowStartDemand>,
+    ) -> Vec<(ReplicaKey, u64, bool)> {
+        let of = |(r, e): (&ReplicaKey, &Entry)| {
             asked
                 .get(&ReplicaId(e.id.as_str().into()))
                 .map(|c| (*r, c.wants, c.sent))
@@ -640,7 +649,7 @@
         let Some((zones, to)) = &self.sights else {
             return;
         };
-        let mut asked: BTreeMap<ReplicaId, ColdSight> = BTreeMap::new();
+        let mut asked: BTreeMap<ReplicaId, SlowStartDemand> = BTreeMap::new();
         asked.extend(
             self.hand
                 .colds(now)
@@ -653,14 +662,14 @@
             self.cold_by_hash(&asked)
         };
         let sent = self.hands.sent;
-        let mut sights = Sights {
+        let mut sights = ZoneObservations {
             zones: vec![Sight::default(); *zones],
             sent,
             colds,
         };
         for s in self.hand.sights(now) {
             if let Some(of) = sights.zones.get_mut(s.zone.0 as usize) {
-                *of = Sight {
+                *of = ZoneObservation {
                     seen: s.seen as u32,
                     bad: s.bad as u32,
                     capacity: s.capacity,
@@ -698,7 +707,7 @@
                 let ((searches, parts), (out, connections)) =
                     (self.hand.held(), self.hands.replicas.held());
                 let (clients, ours) = self.sockets.held();
-                let held = Held {
+                let held = Usage {
                     searches,
                     parts,
                     out,
--- a/crates/router/woadreachd/src/discovery.rs
+++ b/crates/router/woadreachd/src/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 use tracing::{debug, info};
 use version::{Judgement, Version};
-use woadreach_routing::plants::planted;
+use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::{Net, Stream};
 
 /// PROTOCOL: as long as nothing changes, an empty line arrives every 2 s, and what there is to tell counts as
@@ -135,7 +135,7 @@
                 last.clear();
                 continue;
             }
-            // Told once for as long as it lasts.
+            // ConnectionEvent once for as long as it lasts.
             Err(why) if why == last => debug!("discovery: {why}"),
             Err(why) => {
                 info!("discovery: {why}");
@@ -384,7 +384,7 @@
             }
             Judgement::Lost => return Err(format!("version {generation} after a later one")),
         }
-        if planted("discovery-no-drains") && !list.full {
+        if is_mutated("discovery-no-drains") && !list.full {
             list.entries.retain(|e| e.lifecycle != Lifecycle::Draining);
         }
         self.need = Need::Changes;
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
+use woadreach_lease::{Departure, ReplicaKey};
 use woadreach_routing::api::*;
-use woadreach_lease::{Gone, Replica};
 
 pub type Events = mpsc::UnboundedSender<Event>;
 pub type Lists = mpsc::UnboundedSender<List>;
@@ -14,36 +14,36 @@
 pub struct ConnId(pub u64);
 
 /// A part, and which of its sub-requests.
-pub type SubId = (PartId, usize);
+pub type AttemptId = (PartId, usize);
 
 pub enum Event {
     Arrived(Box<Arrival>),
     /// The client has closed its connection.
-    Gone(SearchId),
-    Told(ConnId, Told),
+    ClientLeft(SearchId),
+    Connection(ConnId, ConnectionEvent),
     /// What the co-ordinators of the tier have decided in common.
-    Zoning(Zoning),
+    ZoneFailover(ZoneFailoverState),
     /// What a holder of a duty has told.
-    Duty(DutyTold),
+    Role(RoleUpdate),
 }
 
 /// What comes of duties that others hold.
-pub enum DutyTold {
+pub enum RoleUpdate {
     /// So many times its even share of a cold replica is this one's.
-    Ration(Vec<(Replica, f64)>),
+    QuotaShare(Vec<(ReplicaKey, f64)>),
     /// Replicas that take no more, by the word of who keeps the watch for the zone.
-    Closed(Vec<(Replica, Gone)>),
+    Closed(Vec<(ReplicaKey, Departure)>),
     /// Such words that the own list has not borne out: what it says stands again.
-    Lapsed(Vec<Replica>),
+    Expired(Vec<ReplicaKey>),
 }
 
 /// What the own list has said of a replica; none: it serves.
-pub struct Word {
-    pub replica: Replica,
-    pub what: Option<Gone>,
+pub struct EndpointReport {
+    pub replica: ReplicaKey,
+    pub what: Option<Departure>,
 }
 
-pub type Words = mpsc::UnboundedSender<Word>;
+pub type EndpointReports = mpsc::UnboundedSender<EndpointReport>;
 
 /// A search as a front has read it.
 pub struct Arrival {
@@ -78,7 +78,7 @@
 
 /// What a co-ordinator holds at one moment. All but the counts of the list level off at even traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct Usage {
     pub searches: usize,
     pub parts: usize,
     /// Sub-requests, and connections to replicas.
@@ -97,7 +97,7 @@
 }
 
 /// What a connection's task tells the core.
-pub enum Told {
+pub enum ConnectionEvent {
     Up,
     Answer {
         id: String,
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tracing::{debug, warn};
 use woadreach_routing::api::*;
-use woadreach_routing::plants::planted;
+use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::{Elapsed, Listener, Net, Stream};
 
 /// LATER: a client that sends nothing sound is owed an error or a close 3 s after it connected; half a second
@@ -518,11 +518,11 @@
                 // The core lets go of it, and so of the channel, before anything is answered.
                 _ = phase.wait_for(|p| *p == Phase::Ending), if !ending => {
                     ending = true;
-                    let _ = self.events.send(Event::Gone(search));
+                    let _ = self.events.send(Event::ClientLeft(search));
                 }
                 n = client.read(&self.net), if !spilt => {
                     if matches!(n, Ok(0) | Err(_)) {
-                        let _ = self.events.send(Event::Gone(search));
+                        let _ = self.events.send(Event::ClientLeft(search));
                         return None;
                     }
                     // Danger: a client that has sent much and then gone leaves its end behind what is not
@@ -539,7 +539,7 @@
                 () = self.net.sleep(SPILT), if spilt => spilt = false,
             }
         };
-        if planted("front-no-answer-at-end") && *self.phase.borrow() > Phase::Serving {
+        if is_mutated("front-no-answer-at-end") && *self.phase.borrow() > Phase::Serving {
             return None;
         }
         let (close, twice) = (ends(self) || lossy, matches!(answer, Ok(Answer::Twice)));
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -38,9 +38,9 @@
     pub term: mpsc::UnboundedReceiver<()>,
     /// Asked at each hangup.
     pub given: Box<dyn Fn() -> Result<Given, String>>,
-    /// Told every few seconds what is held.
-    pub report: Box<dyn Fn(&events::Held)>,
-    /// Told each new verdict on a zone.
+    /// ConnectionEvent every few seconds what is held.
+    pub report: Box<dyn Fn(&events::Usage)>,
+    /// ConnectionEvent each new verdict on a zone.
     pub verdict: Box<dyn Fn(&woadreach_zone_failover::Turn)>,
 }
 
@@ -86,7 +86,7 @@
         let socket = net
             .datagrams(figures.listen)
             .map_err(|e| format!("{}: {e}", figures.listen))?;
-        let (sights, looks) = watch::channel(peers::Sights::default());
+        let (sights, looks) = watch::channel(peers::ZoneObservations::default());
         let (words, heard) = mpsc::unbounded_channel();
         core.sights(figures.zones.len(), sights, words);
         let (phase, events) = (phases.clone(), events.clone());
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -2,21 +2,23 @@
 //! what is known by them; must never decide: membership and verdicts do so behind [`Peer`], and the module
 //! what a verdict does to a search. Nothing is sent but where the settings allow it.
 
-use crate::events::{DutyTold, Event, Events, Word};
+use crate::events::{EndpointReport, Event, Events, RoleUpdate};
 use crate::front::Phase;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
 use tracing::{debug, info, warn};
-use woadreach_routing::api::{ZoneId, Zoning};
-use woadreach_lease::{Change as Lease, Done, Duties, Place, Replica, Want};
-use woadreach_membership::{Change, Member, MemberId, Members, datagram};
+use woadreach_lease::{
+    LeaseEvent, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles,
+};
+use woadreach_membership::{Member, MemberId, Members, MembershipEvent, datagram};
+use woadreach_routing::api::{ZoneFailoverState, ZoneId};
 use woadreach_runtime::{Datagrams, Net};
-use woadreach_zone_failover::{Out, Peer, Sight, Turn, Zones};
+use woadreach_zone_failover::{Out, Peer, Turn, ZoneObservation, Zones};
 
 /// What the configuration says of peers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct PeerConfig {
     pub listen: SocketAddr,
     /// One for each co-ordinator of the tier, its own included.
     pub roster: Vec<SocketAddr>,
@@ -33,7 +35,7 @@
     pub near: bool,
     /// Seconds in which a replica that has started warms up; 0 if it is warm at once.
     pub warm: f64,
-    /// Duties that one co-ordinator holds for others; off, each does them for itself.
+    /// SingletonRoles that one co-ordinator holds for others; off, each does them for itself.
     pub duties: bool,
     /// A warden shares out what cold replicas bear. Off unless an operator asks for it: on the fleet bench's
     /// day of restarts, where all want every cold replica, shares ceded lay idle and G fell from 0.83 to
@@ -49,21 +51,21 @@
 
 /// What the core tells of each zone, and how many parts it has sent so far.
 #[derive(Clone, Debug, Default)]
-pub struct Sights {
-    pub zones: Vec<Sight>,
+pub struct ZoneObservations {
+    pub zones: Vec<ZoneObservation>,
     pub sent: u64,
     /// Of each cold replica: what was asked of it so far, and whether it was sent any lately.
-    pub colds: Vec<(Replica, u64, bool)>,
+    pub colds: Vec<(ReplicaKey, u64, bool)>,
 }
 
 /// What the task hears of, and whom it tells.
 pub struct Ends {
-    pub(crate) sights: watch::Receiver<Sights>,
+    pub(crate) sights: watch::Receiver<ZoneObservations>,
     /// What its own list says.
-    pub(crate) words: mpsc::UnboundedReceiver<Word>,
+    pub(crate) words: mpsc::UnboundedReceiver<EndpointReport>,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) events: Events,
-    /// Told each new verdict.
+    /// ConnectionEvent each new verdict.
     pub(crate) verdict: Box<dyn Fn(&Turn)>,
 }
 
@@ -82,16 +84,16 @@
 
 struct Task<N: Net> {
     net: N,
-    figures: Figures,
+    figures: PeerConfig,
     socket: N::Datagrams,
     by_address: BTreeMap<SocketAddr, MemberId>,
     peer: Peer,
-    duties: Option<Duties>,
+    duties: Option<SingletonRoles>,
     /// Of each cold replica: what was asked of it by the last look, and what share the module was told of.
-    wants: BTreeMap<Replica, (u64, f64)>,
+    wants: BTreeMap<ReplicaKey, (u64, f64)>,
     events: Events,
     verdict: Box<dyn Fn(&Turn)>,
-    told: Option<Zoning>,
+    told: Option<ZoneFailoverState>,
     /// It has met another: before that it is alone, and decides as one that has no peers.
     met: bool,
     /// The parts sent by the last look, when that was, and how many a second.
@@ -103,7 +105,7 @@
 }
 
 /// Runs until the co-ordinator ends.
-pub async fn run<N: Net>(net: N, figures: Figures, socket: N::Datagrams, ends: Ends) {
+pub async fn run<N: Net>(net: N, figures: PeerConfig, socket: N::Datagrams, ends: Ends) {
     let Ends {
         mut sights,
         mut words,
@@ -122,7 +124,7 @@
     let members = Members::new(
         me,
         roster,
-        woadreach_membership::Figures::default(),
+        woadreach_membership::MembershipConfig::default(),
         figures.seed,
         now,
     );
@@ -131,9 +133,9 @@
     } else {
         RAMP.0
     };
-    let of_zones = woadreach_zone_failover::Figures {
+    let of_zones = woadreach_zone_failover::ZoneFailoverConfig {
         ramp,
-        ..woadreach_zone_failover::Figures::default()
+        ..woadreach_zone_failover::ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(
         id,
@@ -145,16 +147,16 @@
     );
     zones.forced = figures.out.iter().map(|z| *z as u8).collect();
     let cold = figures.cold.filter(|_| figures.warden);
-    let place = Place {
+    let place = LocalMember {
         me: id,
         zone: figures.zone as u8,
         roster,
         cold,
     };
-    let leases = woadreach_lease::Figures::default();
+    let leases = woadreach_lease::LeaseConfig::default();
     let duties = figures
         .duties
-        .then(|| Duties::new(place, leases, figures.seed.rotate_left(17), now));
+        .then(|| SingletonRoles::new(place, leases, figures.seed.rotate_left(17), now));
     let names = figures
         .roster
         .iter()
@@ -179,7 +181,10 @@
     };
     let mut bytes = [0; datagram::MOST_BYTES + 1];
     loop {
-        let leases = task.duties.as_ref().map_or(f64::INFINITY, Duties::next_due);
+        let leases = task
+            .duties
+            .as_ref()
+            .map_or(f64::INFINITY, SingletonRoles::next_due);
         let due = task.peer.next_due().min(task.next_report).min(leases);
         tokio::select! {
             biased;
@@ -259,7 +264,7 @@
         }
     }
 
-    fn see(&mut self, told: &Sights) {
+    fn see(&mut self, told: &ZoneObservations) {
         let now = self.net.now();
         // Over half a second at least, so that one search's parts are no rate.
         if now - self.sent.1 >= 0.5 {
@@ -275,22 +280,22 @@
         self.tell(now);
     }
 
-    fn look_at_duties(&mut self, now: f64, told: &Sights) {
+    fn look_at_duties(&mut self, now: f64, told: &ZoneObservations) {
         let Some(duties) = &mut self.duties else {
             return;
         };
-        let before = |r: &Replica| self.wants.get(r).copied().unwrap_or((0, 1.0));
-        let want = |(replica, wants, sent): &(Replica, u64, bool)| {
+        let before = |r: &ReplicaKey| self.wants.get(r).copied().unwrap_or((0, 1.0));
+        let want = |(replica, wants, sent): &(ReplicaKey, u64, bool)| {
             let wants = wants
                 .saturating_sub(before(replica).0)
                 .min(u64::from(u32::MAX)) as u32;
-            Want {
+            LocalDemand {
                 replica: *replica,
                 wants,
                 sent: *sent,
             }
         };
-        let wants: Vec<Want> = told.colds.iter().map(want).collect();
+        let wants: Vec<LocalDemand> = told.colds.iter().map(want).collect();
         let done = duties.look(now, self.peer.view(), &wants);
         let mut rations = Vec::new();
         let mut kept = BTreeMap::new();
@@ -305,20 +310,24 @@
         self.peer.carried = duties.riders(now);
         if !rations.is_empty() {
             // The core ends with the process.
-            let _ = self.events.send(Event::Duty(DutyTold::Ration(rations)));
+            let _ = self
+                .events
+                .send(Event::Role(RoleUpdate::QuotaShare(rations)));
         }
         self.carry_duties(done);
     }
 
-    fn carry_duties(&mut self, done: Done) {
+    fn carry_duties(&mut self, done: RoleActions) {
         for (to, bytes) in &done.send {
             let out = self.peer.tell(*to, bytes);
             self.carry_out(out);
         }
         for change in &done.changes {
             match change {
-                Lease::Held(duty, epoch) => info!(duty = ?duty, epoch, held = true, "lease"),
-                Lease::Lost(duty, epoch) => info!(duty = ?duty, epoch, held = false, "lease"),
+                LeaseEvent::Acquired(duty, epoch) => {
+                    info!(duty = ?duty, epoch, held = true, "lease")
+                }
+                LeaseEvent::Lost(duty, epoch) => info!(duty = ?duty, epoch, held = false, "lease"),
             }
         }
         for (duty, epoch) in &done.acts {
@@ -327,11 +336,11 @@
             }
         }
         let told = [
-            (!done.closed.is_empty()).then_some(DutyTold::Closed(done.closed)),
-            (!done.lapsed.is_empty()).then_some(DutyTold::Lapsed(done.lapsed)),
+            (!done.closed.is_empty()).then_some(RoleUpdate::Closed(done.closed)),
+            (!done.lapsed.is_empty()).then_some(RoleUpdate::Expired(done.lapsed)),
         ];
         for told in told.into_iter().flatten() {
-            let _ = self.events.send(Event::Duty(told));
+            let _ = self.events.send(Event::Role(told));
         }
     }
 
@@ -350,7 +359,7 @@
         } else {
             Vec::new()
         };
-        let zoning = Zoning {
+        let zoning = ZoneFailoverState {
             shares: shares
                 .iter()
                 .enumerate()
@@ -360,14 +369,14 @@
         };
         // One that is out is told again, so that trials of its own do not end that.
         if self.told.as_ref() != Some(&zoning) || shares.iter().any(|s| *s <= 0.0) {
-            let near = |z: &Zoning| z.near.first().map_or(0.0, |n| n.1);
-            let moved = |told: &Zoning| (near(told) - near(&zoning)).abs() > 1e-9;
+            let near = |z: &ZoneFailoverState| z.near.first().map_or(0.0, |n| n.1);
+            let moved = |told: &ZoneFailoverState| (near(told) - near(&zoning)).abs() > 1e-9;
             if self.figures.near && self.told.as_ref().is_none_or(moved) {
                 info!(share = near(&zoning), "near");
             }
             self.told = Some(zoning.clone());
             // The core ends with the process.
-            let _ = self.events.send(Event::Zoning(zoning));
+            let _ = self.events.send(Event::ZoneFailover(zoning));
         }
     }
 
@@ -381,14 +390,14 @@
         }
         for change in &out.changes {
             match change {
-                Change::Up(m) => debug!(member = m.0, "member up"),
+                MembershipEvent::Up(m) => debug!(member = m.0, "member up"),
                 // Unheard, while this side may be the one that is cut off.
-                Change::Down(m) if self.peer.view().cut_off => {
+                MembershipEvent::Down(m) if self.peer.view().cut_off => {
                     debug!(member = m.0, "member unheard")
                 }
-                Change::Down(m) => debug!(member = m.0, "member down"),
-                Change::Rejoined => warn!("taken for down by others, and back"),
-                Change::CutOff(cut) => warn!(cut_off = cut, "cut off"),
+                MembershipEvent::Down(m) => debug!(member = m.0, "member down"),
+                MembershipEvent::Rejoined => warn!("taken for down by others, and back"),
+                MembershipEvent::CutOff(cut) => warn!(cut_off = cut, "cut off"),
             }
         }
         for turn in &out.turns {
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -2,7 +2,7 @@
 //! decided until its outcome is in `ended`, whence the core tells it to the module, exactly once. Must never
 //! choose a replica, nor send a part again.
 
-use crate::events::{ConnId, Entry, Event, Events, Lifecycle, List, SubId, Told};
+use crate::events::{AttemptId, ConnId, ConnectionEvent, Entry, Event, Events, Lifecycle, List};
 use crate::frame::{self, End, Frame};
 use crate::sockets::{Permit, Side, Sockets};
 use std::cell::{Cell, RefCell};
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tracing::{debug, warn};
 use woadreach_routing::api::{Ending, Outcome, ReplicaId};
-use woadreach_routing::plants::planted;
+use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::{Net, Read, Stream, Write};
 
 /// Room for the bytes of an ordinary answer; what a longer one took is given back.
@@ -21,7 +21,7 @@
 const WAITED: f64 = 0.001;
 
 /// PROTOCOL's figures from the settings.
-pub struct Figures {
+pub struct ConnectionConfig {
     pub streams_per_conn: usize,
     pub per_call: usize,
     pub idle_close: f64,
@@ -30,8 +30,8 @@
 }
 
 /// A part as it goes out.
-pub struct Letter {
-    pub sub: SubId,
+pub struct QueuedAttempt {
+    pub sub: AttemptId,
     /// The wire's id of the part, the same for each of its sub-requests.
     pub id: String,
     pub shard: u64,
@@ -49,7 +49,7 @@
 pub type Written = Rc<Cell<f64>>;
 
 enum Item {
-    Call(Vec<Letter>),
+    Call(Vec<QueuedAttempt>),
     GiveUp(String),
 }
 
@@ -58,11 +58,11 @@
 struct Outbox {
     items: RefCell<VecDeque<Item>>,
     /// Of the call that is being written.
-    writing: RefCell<Vec<(SubId, Written)>>,
+    writing: RefCell<Vec<(AttemptId, Written)>>,
     /// The other machine has not taken all of what was written last.
     unsent: Cell<bool>,
     /// Taken to be written when their time was over, and left out.
-    late: RefCell<BTreeSet<SubId>>,
+    late: RefCell<BTreeSet<AttemptId>>,
     wake: Notify,
     close: Cell<bool>,
     /// Nothing that waits here is of use any more.
@@ -97,7 +97,7 @@
     }
 
     /// Takes a part back if it has not begun to leave.
-    fn take_back(&self, sub: SubId) -> bool {
+    fn take_back(&self, sub: AttemptId) -> bool {
         let waits = self.items.borrow_mut().iter_mut().any(|item| match item {
             Item::Call(letters) => {
                 let before = letters.len();
@@ -110,12 +110,12 @@
     }
 
     /// Whether it has begun to leave and has not all left this machine, as far as the last look tells.
-    fn half_sent(&self, sub: SubId) -> bool {
+    fn half_sent(&self, sub: AttemptId) -> bool {
         self.unsent.get() || self.writing.borrow().iter().any(|w| w.0 == sub)
     }
 
     /// How one that is half sent ends: without its last byte it cannot have run.
-    fn ending(&self, sub: SubId) -> Ending {
+    fn ending(&self, sub: AttemptId) -> Ending {
         let writing = self.writing.borrow().iter().any(|w| w.0 == sub);
         if writing {
             Ending::NeverSent
@@ -124,7 +124,7 @@
         }
     }
 
-    fn unwritten(&self) -> BTreeSet<SubId> {
+    fn unwritten(&self) -> BTreeSet<AttemptId> {
         let mut subs = self.late.borrow().clone();
         subs.extend(self.writing.borrow().iter().map(|w| w.0));
         for item in self.items.borrow().iter() {
@@ -142,7 +142,7 @@
     up: bool,
     /// Takes nothing new, and is closed once nothing is out on it.
     retired: bool,
-    out: BTreeMap<String, SubId>,
+    out: BTreeMap<String, AttemptId>,
     /// The last parts that are no longer out, and whether each was given up: an answer to one, or a second
     /// one, may still come.
     past: VecDeque<(String, bool)>,
@@ -165,21 +165,21 @@
 }
 
 pub struct Replicas<N: Net> {
-    figures: Figures,
+    figures: ConnectionConfig,
     net: N,
     sockets: Sockets,
     events: Events,
     peers: BTreeMap<ReplicaId, Peer>,
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
-    subs: BTreeMap<SubId, Sub>,
+    subs: BTreeMap<AttemptId, Sub>,
     /// Decided in this round, not yet on a connection.
-    batch: BTreeMap<ReplicaId, Vec<Letter>>,
+    batch: BTreeMap<ReplicaId, Vec<QueuedAttempt>>,
     pub ended: VecDeque<Outcome>,
 }
 
 impl<N: Net> Replicas<N> {
-    pub fn new(figures: Figures, net: N, sockets: Sockets, events: Events) -> Self {
+    pub fn new(figures: ConnectionConfig, net: N, sockets: Sockets, events: Events) -> Self {
         Replicas {
             figures,
             net,
@@ -267,8 +267,8 @@
                 .out
                 .values()
                 .copied()
-                .filter(|_| !planted("replicas-no-take-back"));
-            let back: Vec<SubId> = back.filter(|s| outbox.take_back(*s)).collect();
+                .filter(|_| !is_mutated("replicas-no-take-back"));
+            let back: Vec<AttemptId> = back.filter(|s| outbox.take_back(*s)).collect();
             back.iter()
                 .for_each(|s| self.end(*s, Ending::NeverSent, now));
             self.retire(id);
@@ -288,7 +288,7 @@
     }
 
     /// A part to be sent with the others of this round.
-    pub fn send(&mut self, now: f64, replica: &ReplicaId, letter: Letter) {
+    pub fn send(&mut self, now: f64, replica: &ReplicaId, letter: QueuedAttempt) {
         let (replica, id) = (replica.clone(), letter.id.clone());
         let sub = Sub {
             replica: replica.clone(),
@@ -315,7 +315,7 @@
         }
     }
 
-    fn call(&mut self, now: f64, replica: &ReplicaId, letters: Vec<Letter>) {
+    fn call(&mut self, now: f64, replica: &ReplicaId, letters: Vec<QueuedAttempt>) {
         let room = self.room(now, replica, &letters);
         // Danger: a connection that breaks takes with it all that is out on it. What is out on one replica is
         // spread over as many as its share of the descriptors kept for us allows; a further one is opened
@@ -353,7 +353,12 @@
 
     /// The connection with the fewest parts out, and how many, among those with room for these, on which none
     /// of their ids could be taken for another's: one that is up, else one that is coming up.
-    fn room(&self, now: f64, replica: &ReplicaId, letters: &[Letter]) -> Option<(ConnId, usize)> {
+    fn room(
+        &self,
+        now: f64,
+        replica: &ReplicaId,
+        letters: &[QueuedAttempt],
+    ) -> Option<(ConnId, usize)> {
         // PROTOCOL: what is written after the idle time is lost. One connect time-out, the longest that the
         // settings hold a message to be on its way, keeps clear of it.
         let idle = self.figures.idle_close - self.figures.connect_timeout;
@@ -422,7 +427,7 @@
     }
 
     /// Its outcome is ready to be told.
-    fn end(&mut self, id: SubId, ending: Ending, at: f64) {
+    fn end(&mut self, id: AttemptId, ending: Ending, at: f64) {
         let Some(sub) = self.subs.remove(&id) else {
             return;
         };
@@ -455,14 +460,14 @@
     }
 
     /// The wait for it ends: given up by the module, or its time is over.
-    pub fn give_up(&mut self, now: f64, id: SubId, timed_out: bool) {
+    pub fn give_up(&mut self, now: f64, id: AttemptId, timed_out: bool) {
         let Some(sub) = self.subs.get(&id) else {
             return;
         };
         // What has not left says nothing of the replica's work.
         let (mut late, mut deaf, mut cut) = (Ending::NeverSent, false, false);
         if let Some(conn) = self.conns.get_mut(&sub.conn) {
-            if planted("replicas-cancelled-stays") {
+            if is_mutated("replicas-cancelled-stays") {
                 late = Ending::TimedOut;
             } else if conn.outbox.take_back(id) {
                 late = if conn.up {
@@ -505,7 +510,7 @@
     }
 
     /// Its search is over: it does not leave any more, if it has not begun to.
-    pub fn withdraw(&mut self, now: f64, id: SubId) {
+    pub fn withdraw(&mut self, now: f64, id: AttemptId) {
         let Some(sub) = self.subs.get(&id) else {
             return;
         };
@@ -523,10 +528,15 @@
     }
 
     /// A connection's word; gives the part that was answered, with its score and value.
-    pub fn told(&mut self, now: f64, id: ConnId, told: Told) -> Option<(SubId, u64, String)> {
+    pub fn told(
+        &mut self,
+        now: f64,
+        id: ConnId,
+        told: ConnectionEvent,
+    ) -> Option<(AttemptId, u64, String)> {
         match told {
-            Told::Up => self.conns.get_mut(&id)?.up = true,
-            Told::Answer {
+            ConnectionEvent::Up => self.conns.get_mut(&id)?.up = true,
+            ConnectionEvent::Answer {
                 id: part,
                 end,
                 score,
@@ -556,7 +566,7 @@
                 }
                 return value.map(|v| (sub, score, v));
             }
-            Told::Ended => {
+            ConnectionEvent::Ended => {
                 self.lose(now, id);
                 let conn = self.conns.remove(&id)?;
                 if let Some(peer) = self.peers.get_mut(&conn.replica) {
@@ -586,9 +596,9 @@
         };
         let unwritten = conn.outbox.unwritten();
         conn.outbox.items.borrow_mut().clear();
-        let out: Vec<SubId> = conn.out.values().copied().collect();
+        let out: Vec<AttemptId> = conn.out.values().copied().collect();
         for sub in out {
-            let never = unwritten.contains(&sub) || planted("replicas-never-ran");
+            let never = unwritten.contains(&sub) || is_mutated("replicas-never-ran");
             self.end(
                 sub,
                 if never {
@@ -622,7 +632,7 @@
 ) {
     match net.timeout(patience, net.connect(address)).await {
         Ok(Ok(mut stream)) => {
-            let _ = events.send(Event::Told(id, Told::Up));
+            let _ = events.send(Event::Connection(id, ConnectionEvent::Up));
             let (from, to) = stream.split();
             let ended = tokio::select! {
                 biased;
@@ -643,7 +653,7 @@
     }
     drop(permit);
     // The core outlives its queue only at the end of the process.
-    let _ = events.send(Event::Told(id, Told::Ended));
+    let _ = events.send(Event::Connection(id, ConnectionEvent::Ended));
 }
 
 /// Danger: a frame that was begun and is never finished leaves the connection open, and every later part on
@@ -684,14 +694,14 @@
                     score,
                     value,
                 } => {
-                    let told = Told::Answer {
+                    let told = ConnectionEvent::Answer {
                         id: part.into(),
                         end,
                         score,
                         value: value.into(),
                         at: now,
                     };
-                    let _ = events.send(Event::Told(id, told));
+                    let _ = events.send(Event::Connection(id, told));
                 }
                 Frame::Probe => {}
                 Frame::Refused(words) => {
@@ -737,7 +747,7 @@
                 // Danger: a process that was held up writes a part after its search's time. Covers a machine
                 // that was slow to read. Harm: none, nobody waits for it.
                 let now = net.now();
-                let in_time = |l: &Letter| l.until.min(l.begin_by) > now;
+                let in_time = |l: &QueuedAttempt| l.until.min(l.begin_by) > now;
                 let (letters, late): (Vec<_>, Vec<_>) = letters.into_iter().partition(in_time);
                 outbox.late.borrow_mut().extend(late.iter().map(|l| l.sub));
                 let parts: Vec<Vec<u8>> = letters.iter().map(|l| l.bytes(now)).collect();
@@ -757,7 +767,7 @@
     }
 }
 
-impl Letter {
+impl QueuedAttempt {
     fn bytes(&self, now: f64) -> Vec<u8> {
         let wait = ((self.until - now) * 1000.0).floor().max(1.0);
         frame::part(
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -89,7 +89,7 @@
         self.0.freed.notified().await;
     }
 
-    /// Held by clients, and by us.
+    /// Usage by clients, and by us.
     pub fn held(&self) -> (usize, usize) {
         (
             self.0.clients.get(),
--- a/crates/router/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -11,7 +11,7 @@
 #[case::called_off(false, Ending::Cancelled)]
 #[case::out_of_time(true, Ending::NeverSent)]
 fn given_up_before_it_leaves(#[case] timed_out: bool, #[case] ending: Ending) {
-    let figures = Figures {
+    let figures = ConnectionConfig {
         streams_per_conn: 1,
         per_call: 1,
         idle_close: 30.0,
@@ -38,7 +38,7 @@
     );
     let sub = (PartId(1), 0);
     let (id, extras, text) = ("t.0".to_string(), String::new(), "q".into());
-    let letter = Letter {
+    let letter = QueuedAttempt {
         sub,
         id,
         shard: 0,
@@ -69,7 +69,7 @@
     let (events, mut queue) = tokio::sync::mpsc::unbounded_channel();
     let reading = read(&net, ConnId(0), stream.split().0, 1.0, &events);
     let event = tokio::select! { event = queue.recv() => event, _ = reading => None };
-    let Some(Event::Told(_, Told::Answer { at, .. })) = event else {
+    let Some(Event::Connection(_, ConnectionEvent::Answer { at, .. })) = event else {
         panic!("no answer")
     };
     assert!(at < net.now() - 0.1);
--- a/crates/router/zone-failover/src/decide.rs
+++ b/crates/router/zone-failover/src/decide.rs
@@ -2,12 +2,12 @@
 //! and the verdicts before: all who hear the same decide the same. Owns reports and verdicts; must never read
 //! a clock, and no wall clock stands in a verdict: epochs and ages only.
 
-use crate::riders::{Bad, Report, Riders, Told};
+use crate::gossip::{GossipPayload, InvalidPayload, Report, ZoneVerdict};
 use std::collections::{BTreeMap, BTreeSet};
 use woadreach_membership::{MemberId, View};
 
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct ZoneFailoverConfig {
     /// Seconds for which a report counts: longer than two of the slow ones are apart.
     pub life: f64,
     /// A member's report is renewed so often while nothing is wrong, and while something is.
@@ -28,10 +28,10 @@
     /// Back: at least so many parts seen, at most this share bad. Trials are few.
     pub back_seen: u32,
     pub back_share: f64,
-    /// Least time in a verdict, doubled by each strike up to `most_strikes`: a zone that is out again within
+    /// Least time in a verdict, doubled by each strike up to `max_consecutive_failovers`: a zone that is out again within
     /// `calm` of its return has one more. Stops flapping.
     pub dwell: f64,
-    pub most_strikes: u8,
+    pub max_consecutive_failovers: u8,
     pub calm: f64,
     /// With nothing seen of it for so many dwells a zone that is out gets a trial return: where copies are
     /// barred there is no trial traffic, and nothing would ever speak for it. Longer than trials are apart (4
@@ -46,9 +46,9 @@
     pub crowd: f64,
 }
 
-impl Default for Figures {
+impl Default for ZoneFailoverConfig {
     fn default() -> Self {
-        Figures {
+        ZoneFailoverConfig {
             life: 3.0,
             every: 1.0,
             urgent: 0.1,
@@ -59,7 +59,7 @@
             back_seen: 4,
             back_share: 0.2,
             dwell: 1.0,
-            most_strikes: 5,
+            max_consecutive_failovers: 5,
             calm: 20.0,
             blind: 6.0,
             ramp: 3.0,
@@ -72,7 +72,7 @@
 
 /// What this co-ordinator itself sees of one zone, lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sight {
+pub struct ZoneObservation {
     /// Parts that have ended or are overdue, and those of them that were late, failed or unanswered.
     pub seen: u32,
     pub bad: u32,
@@ -85,7 +85,7 @@
 pub struct Verdict {
     pub epoch: u32,
     pub since: f64,
-    pub strikes: u8,
+    pub consecutive_failovers: u8,
 }
 
 impl Verdict {
@@ -104,7 +104,7 @@
     pub bad: u32,
 }
 
-struct Kept {
+struct StoredReport {
     report: Report,
     at: f64,
     told: u32,
@@ -113,17 +113,17 @@
 pub struct Zones {
     me: MemberId,
     zone: u8,
-    figures: Figures,
+    figures: ZoneFailoverConfig,
     roster: usize,
     verdicts: Vec<Verdict>,
     /// Epochs by the last `decide`, whose changes have been given back.
     given: Vec<u32>,
-    reports: BTreeMap<MemberId, Kept>,
+    reports: BTreeMap<MemberId, StoredReport>,
     /// Those whose reports decide, by a version of the view.
     voices: (u64, BTreeMap<MemberId, u8>),
     /// When anything was last seen of each zone from outside it.
     spoken: Vec<f64>,
-    own: Vec<Sight>,
+    own: Vec<ZoneObservation>,
     /// This one's parts a second.
     demand: f64,
     nth: u8,
@@ -131,7 +131,7 @@
     /// Taken out by an operator, at this co-ordinator alone.
     pub forced: BTreeSet<u8>,
     regions: Vec<u8>,
-    /// Riders that were not taken.
+    /// GossipPayload that were not taken.
     pub refused: u64,
 }
 
@@ -160,7 +160,7 @@
         zone: u8,
         regions: Vec<u8>,
         roster: usize,
-        figures: Figures,
+        figures: ZoneFailoverConfig,
         now: f64,
     ) -> Self {
         let zones = regions.len();
@@ -173,7 +173,7 @@
                 Verdict {
                     epoch: 0,
                     since: now,
-                    strikes: 0
+                    consecutive_failovers: 0
                 };
                 zones
             ],
@@ -181,7 +181,7 @@
             reports: BTreeMap::new(),
             voices: (0, BTreeMap::new()),
             spoken: vec![now; zones],
-            own: vec![Sight::default(); zones],
+            own: vec![ZoneObservation::default(); zones],
             demand: 0.0,
             nth: (rank(me) >> 16) as u8,
             reported: f64::NEG_INFINITY,
@@ -205,7 +205,7 @@
     }
 
     /// What this one sees now; taken into its report when that is due.
-    pub fn see(&mut self, now: f64, sights: &[Sight], demand: f64) {
+    pub fn see(&mut self, now: f64, sights: &[ZoneObservation], demand: f64) {
         for (own, sight) in self.own.iter_mut().zip(sights) {
             *own = *sight;
         }
@@ -224,7 +224,7 @@
         let report = Report::new(self.me, self.zone, self.nth, demand, &rows);
         self.reports.insert(
             self.me,
-            Kept {
+            StoredReport {
                 report,
                 at: now,
                 told: 0,
@@ -232,16 +232,17 @@
         );
     }
 
-    /// Riders have come with a datagram.
-    pub fn heard(&mut self, now: f64, bytes: &[u8]) -> Result<(), Bad> {
-        let riders = Riders::open(bytes, self.verdicts.len(), self.roster)
+    /// GossipPayload have come with a datagram.
+    pub fn heard(&mut self, now: f64, bytes: &[u8]) -> Result<(), InvalidPayload> {
+        let gossip = GossipPayload::open(bytes, self.verdicts.len(), self.roster)
             .inspect_err(|_| self.refused += 1)?;
-        for told in &riders.verdicts {
+        for told in &gossip.verdicts {
             self.adopt(now, told);
         }
-        for report in riders.reports {
+        for report in gossip.reports {
             let at = now - report.age();
-            let stale = |k: &Kept| report.nth.wrapping_sub(k.report.nth).wrapping_sub(1) >= 127;
+            let stale =
+                |k: &StoredReport| report.nth.wrapping_sub(k.report.nth).wrapping_sub(1) >= 127;
             let known = self
                 .reports
                 .get(&report.member)
@@ -250,7 +251,7 @@
             if report.member != self.me && !dead && !known.is_some_and(stale) {
                 self.reports.insert(
                     report.member,
-                    Kept {
+                    StoredReport {
                         report,
                         at,
                         told: 0,
@@ -264,7 +265,7 @@
     /// The highest epoch stands. Danger: a garbled one far ahead would stand for ever. One that is further
     /// ahead than can have been missed is refused, but by one that knows of none. Harm: one cut off for
     /// longer than so many turns has to be started anew.
-    fn adopt(&mut self, now: f64, told: &Told) {
+    fn adopt(&mut self, now: f64, told: &ZoneVerdict) {
         let v = &mut self.verdicts[usize::from(told.zone)];
         let since = now - told.age();
         if told.epoch > v.epoch {
@@ -275,7 +276,9 @@
             *v = Verdict {
                 epoch: told.epoch,
                 since,
-                strikes: told.strikes.min(self.figures.most_strikes),
+                consecutive_failovers: told
+                    .consecutive_failovers
+                    .min(self.figures.max_consecutive_failovers),
             };
         } else if told.epoch == v.epoch && told.epoch > 0 {
             // Two may have found it at once: the one who did so first counts, so that ramps are in step.
@@ -340,7 +343,8 @@
     fn turn(&mut self, now: f64, zone: usize, p: &Pooled) {
         let (f, v) = (&self.figures, self.verdicts[zone]);
         let age = now - v.since;
-        let dwell = f.dwell * f64::from(1u32 << v.strikes.min(f.most_strikes));
+        let dwell =
+            f.dwell * f64::from(1u32 << v.consecutive_failovers.min(f.max_consecutive_failovers));
         if v.out() {
             let good =
                 p.seen >= f.back_seen && f64::from(p.bad) <= f.back_share * f64::from(p.seen);
@@ -349,7 +353,7 @@
                 self.verdicts[zone] = Verdict {
                     epoch: v.epoch + 1,
                     since: now,
-                    strikes: v.strikes,
+                    consecutive_failovers: v.consecutive_failovers,
                 };
             }
             return;
@@ -362,15 +366,15 @@
         let room = (out + 1) * 2 <= self.verdicts.len();
         if bad && by_most && p.others_sound && room && (v.epoch == 0 || age >= f.dwell) {
             let again = v.epoch > 0 && age < f.calm;
-            let strikes = if again {
-                (v.strikes + 1).min(f.most_strikes)
+            let consecutive_failovers = if again {
+                (v.consecutive_failovers + 1).min(f.max_consecutive_failovers)
             } else {
                 0
             };
             self.verdicts[zone] = Verdict {
                 epoch: v.epoch + 1,
                 since: now,
-                strikes,
+                consecutive_failovers,
             };
         }
     }
@@ -453,21 +457,22 @@
     }
 
     /// What to tell in a datagram with so much room: verdicts first, then the reports told least often.
-    pub fn riders(&mut self, now: f64, room: usize, view: &View) -> Vec<u8> {
-        let told =
-            |(zone, v): (usize, &Verdict)| Told::new(zone as u8, v.epoch, now - v.since, v.strikes);
+    pub fn gossip(&mut self, now: f64, room: usize, view: &View) -> Vec<u8> {
+        let told = |(zone, v): (usize, &Verdict)| {
+            ZoneVerdict::new(zone as u8, v.epoch, now - v.since, v.consecutive_failovers)
+        };
         let verdicts = self
             .verdicts
             .iter()
             .enumerate()
             .filter(|(_, v)| v.epoch > 0)
             .map(told);
-        let mut riders = Riders {
+        let mut gossip = GossipPayload {
             verdicts: verdicts.collect(),
             reports: Vec::new(),
         };
         // The lengths of both lists, and five bytes of epoch and age at the most.
-        let mut size = 4 + riders.verdicts.len() * 12;
+        let mut size = 4 + gossip.verdicts.len() * 12;
         self.hear(view);
         let fresh = now - self.figures.life;
         let room = if self.pressing(now) {
@@ -490,10 +495,10 @@
                 break;
             }
             kept.told += 1;
-            riders.reports.push(kept.report.aged(now - kept.at));
+            gossip.reports.push(kept.report.aged(now - kept.at));
         }
-        let bytes = riders.seal();
-        if riders == Riders::default() || bytes.len() > room {
+        let bytes = gossip.seal();
+        if gossip == GossipPayload::default() || bytes.len() > room {
             Vec::new()
         } else {
             bytes
--- a/crates/router/zone-failover/src/riders.rs
+++ b/crates/router/zone-failover/src/gossip.rs
@@ -12,11 +12,11 @@
 
 /// A zone's verdict as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ZoneVerdict {
     pub zone: u8,
     pub epoch: u32,
     age: u32,
-    pub strikes: u8,
+    pub consecutive_failovers: u8,
 }
 
 /// What one member sees of all zones.
@@ -35,22 +35,22 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Riders {
-    pub verdicts: Vec<Told>,
+pub struct GossipPayload {
+    pub verdicts: Vec<ZoneVerdict>,
     pub reports: Vec<Report>,
 }
 
-/// Riders that cannot be read, or that speak of another deployment's zones or members.
+/// GossipPayload that cannot be read, or that speak of another deployment's zones or members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad;
+pub struct InvalidPayload;
 
-impl Told {
-    pub fn new(zone: u8, epoch: u32, age: f64, strikes: u8) -> Told {
-        Told {
+impl ZoneVerdict {
+    pub fn new(zone: u8, epoch: u32, age: f64, consecutive_failovers: u8) -> ZoneVerdict {
+        ZoneVerdict {
             zone,
             epoch,
             age: (age.max(0.0) / VERDICT_TICK) as u32,
-            strikes,
+            consecutive_failovers,
         }
     }
 
@@ -112,26 +112,34 @@
     }
 }
 
-impl Riders {
+impl GossipPayload {
     pub fn seal(&self) -> Vec<u8> {
         // Writing to memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Danger: another deployment's co-ordinator, an older one or anybody may send here. All of it is refused
-    /// if one zone or member is not ours. Nothing at all is sound: no riders.
-    pub fn open(bytes: &[u8], zones: usize, roster: usize) -> Result<Riders, Bad> {
+    /// if one zone or member is not ours. Nothing at all is sound: no gossip.
+    pub fn open(
+        bytes: &[u8],
+        zones: usize,
+        roster: usize,
+    ) -> Result<GossipPayload, InvalidPayload> {
         if bytes.is_empty() {
-            return Ok(Riders::default());
+            return Ok(GossipPayload::default());
         }
-        let Ok((riders, [])) = postcard::take_from_bytes::<Riders>(bytes) else {
-            return Err(Bad);
+        let Ok((gossip, [])) = postcard::take_from_bytes::<GossipPayload>(bytes) else {
+            return Err(InvalidPayload);
         };
         let zone = |z: u8| usize::from(z) < zones;
         let known =
             |r: &Report| zone(r.zone) && usize::from(r.member.0) < roster && r.rows.len() == zones;
         let sound =
-            riders.verdicts.iter().all(|v| zone(v.zone)) && riders.reports.iter().all(known);
-        if sound { Ok(riders) } else { Err(Bad) }
+            gossip.verdicts.iter().all(|v| zone(v.zone)) && gossip.reports.iter().all(known);
+        if sound {
+            Ok(gossip)
+        } else {
+            Err(InvalidPayload)
+        }
     }
 }
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -1,10 +1,10 @@
 //! One co-ordinator among its peers: membership and verdicts behind one door, for a host that has a socket
 //! and a clock. Owns both and the counts of what was refused; must never decide what either of them decides.
 
-use crate::decide::{Sight, Turn, Zones};
+use crate::decide::{Turn, ZoneObservation, Zones};
 use std::collections::BTreeMap;
-use woadreach_membership::datagram::{self, Body, Refused};
-use woadreach_membership::{Acts, Change, MemberId, Members, View};
+use woadreach_membership::datagram::{self, Body, Rejection};
+use woadreach_membership::{Actions, Change, MemberId, Members, View};
 
 /// While something is about to change, reports go to so many others at each look beside the members' own
 /// datagrams. At 300 members each round reaches four times as many; with two of them eight plays at 10 %
@@ -21,12 +21,12 @@
 
 /// What has been sent, taken and refused so far.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct PeerCounters {
     pub sent: u64,
     pub bytes: u64,
     pub taken: u64,
-    pub refused: BTreeMap<Refused, u64>,
-    /// Riders and membership messages that could not be used.
+    pub refused: BTreeMap<Rejection, u64>,
+    /// GossipPayload and membership messages that could not be used.
     pub unusable: u64,
 }
 
@@ -49,7 +49,7 @@
     next_push: f64,
     /// Since when something has been about to change, and when it last was.
     pressed: Option<(f64, f64)>,
-    counts: Counts,
+    counts: PeerCounters,
 }
 
 impl Peer {
@@ -61,7 +61,7 @@
             carried: Vec::new(),
             next_push: 0.0,
             pressed: None,
-            counts: Counts::default(),
+            counts: PeerCounters::default(),
         }
     }
 
@@ -69,8 +69,8 @@
         self.members.view()
     }
 
-    pub fn counts(&self) -> Counts {
-        Counts {
+    pub fn counts(&self) -> PeerCounters {
+        PeerCounters {
             unusable: self.members.unusable + self.zones.refused,
             ..self.counts.clone()
         }
@@ -86,9 +86,13 @@
     /// is refused. Covers two that are configured alike, not one that forges addresses. Harm: a member that
     /// has moved is not heard until the roster says so.
     pub fn heard(&mut self, now: f64, from: Option<MemberId>, bytes: &[u8]) -> Out {
-        let body = datagram::open(bytes).and_then(|body| {
+        let body = datagram::decode(bytes).and_then(|body| {
             let named = from == Some(body.from) && body.from != self.me;
-            if named { Ok(body) } else { Err(Refused::Name) }
+            if named {
+                Ok(body)
+            } else {
+                Err(Rejection::Name)
+            }
         });
         let body = match body {
             Ok(body) => body,
@@ -99,7 +103,7 @@
         };
         self.counts.taken += 1;
         // Counted where it is refused; the rest of the datagram holds all the same.
-        let _ = self.zones.heard(now, body.riders);
+        let _ = self.zones.heard(now, body.gossip);
         let duties = (!body.duties.is_empty()).then(|| (body.from, body.duties.to_vec()));
         if body.swim.is_empty() {
             return Out {
@@ -130,7 +134,7 @@
     /// What this co-ordinator sees of each zone, and its parts a second, some ten times a second. Verdicts
     /// are worked out here and not for each datagram: at 300 members that took more of a small co-ordinator's
     /// processor than its searches.
-    pub fn see(&mut self, now: f64, sights: &[Sight], demand: f64) -> Out {
+    pub fn see(&mut self, now: f64, sights: &[ZoneObservation], demand: f64) -> Out {
         self.zones.see(now, sights, demand);
         let turns = self.zones.decide(now, self.members.view());
         let mut out = Out {
@@ -157,10 +161,10 @@
             self.next_push = now + PUSH_LATER;
         }
         for to in self.members.some(to) {
-            let room = datagram::room(self.carried.len());
-            let riders = self.zones.riders(now, room, self.members.view());
-            if !riders.is_empty() {
-                self.send(to, &[], &riders, out);
+            let room = datagram::capacity_beside(self.carried.len());
+            let gossip = self.zones.gossip(now, room, self.members.view());
+            if !gossip.is_empty() {
+                self.send(to, &[], &gossip, out);
             }
         }
     }
@@ -170,30 +174,30 @@
         self.out(now, acts)
     }
 
-    fn out(&mut self, now: f64, acts: Acts) -> Out {
+    fn out(&mut self, now: f64, acts: Actions) -> Out {
         let mut out = Out {
             changes: acts.changes,
             ..Out::default()
         };
         for (to, message) in acts.send {
-            let room = datagram::room(message.len() + self.carried.len());
-            let riders = self.zones.riders(now, room, self.members.view());
-            self.send(to, &message, &riders, &mut out);
+            let room = datagram::capacity_beside(message.len() + self.carried.len());
+            let gossip = self.zones.gossip(now, room, self.members.view());
+            self.send(to, &message, &gossip, &mut out);
         }
         out
     }
 
-    fn send(&mut self, to: MemberId, swim: &[u8], riders: &[u8], out: &mut Out) {
+    fn send(&mut self, to: MemberId, swim: &[u8], gossip: &[u8], out: &mut Out) {
         let duties = std::mem::take(&mut self.carried);
-        self.seal(to, swim, riders, &duties, out);
+        self.seal(to, swim, gossip, &duties, out);
         self.carried = duties;
     }
 
-    fn seal(&mut self, to: MemberId, swim: &[u8], riders: &[u8], duties: &[u8], out: &mut Out) {
-        if let Some(bytes) = datagram::seal(&Body {
+    fn seal(&mut self, to: MemberId, swim: &[u8], gossip: &[u8], duties: &[u8], out: &mut Out) {
+        if let Some(bytes) = datagram::encode(&Body {
             from: self.me,
             swim,
-            riders,
+            gossip,
             duties,
         }) {
             self.counts.sent += 1;
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -4,8 +4,10 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use woadreach_membership::{Figures as MemberFigures, Member, MemberId, Members};
-use woadreach_zone_failover::{Figures, Peer, Report, Riders, Sight, Told, Zones};
+use woadreach_membership::{Member, MemberId, Members, MembershipConfig};
+use woadreach_zone_failover::{
+    GossipPayload, Peer, Report, ZoneFailoverConfig, ZoneObservation, ZoneVerdict, Zones,
+};
 
 /// How it is for a co-ordinator of one zone to send parts to another: the share that fails.
 type Trouble = Box<dyn Fn(f64, usize, usize) -> f64>;
@@ -42,7 +44,7 @@
             let m = Members::new(
                 me,
                 members,
-                MemberFigures::default(),
+                MembershipConfig::default(),
                 seed * 1000 + n as u64,
                 0.0,
             );
@@ -51,7 +53,14 @@
                 Peer::new(
                     id,
                     m,
-                    Zones::new(id, zone, vec![0; zones], members, Figures::default(), 0.0),
+                    Zones::new(
+                        id,
+                        zone,
+                        vec![0; zones],
+                        members,
+                        ZoneFailoverConfig::default(),
+                        0.0,
+                    ),
                 ),
             )
         });
@@ -156,7 +165,7 @@
                 } else {
                     fresh.filter(|x| x.1).count() as u32
                 };
-                sights.push(Sight {
+                sights.push(ZoneObservation {
                     seen,
                     bad,
                     capacity: 1.0,
@@ -322,31 +331,45 @@
     }
 }
 
-fn report(member: u16, zones: usize) -> Riders {
+fn report(member: u16, zones: usize) -> GossipPayload {
     let rows = vec![(1, 1); zones];
-    Riders {
+    GossipPayload {
         verdicts: vec![],
         reports: vec![Report::new(MemberId(member), 0, 1, 1.0, &rows)],
     }
 }
 
 #[rstest]
-#[case::unknown_zone(Riders { verdicts: vec![Told::new(7, 1, 0.0, 0)], reports: vec![] })]
+#[case::unknown_zone(GossipPayload { verdicts: vec![ZoneVerdict::new(7, 1, 0.0, 0)], reports: vec![] })]
 #[case::unknown_member(report(60, 3))]
 #[case::other_zones(report(1, 4))]
-fn riders_of_another_deployment_are_refused(#[case] riders: Riders) {
-    let mut zones = Zones::new(MemberId(0), 0, vec![0; 3], 6, Figures::default(), 0.0);
-    assert!(zones.heard(1.0, &riders.seal()).is_err());
+fn riders_of_another_deployment_are_refused(#[case] gossip: GossipPayload) {
+    let mut zones = Zones::new(
+        MemberId(0),
+        0,
+        vec![0; 3],
+        6,
+        ZoneFailoverConfig::default(),
+        0.0,
+    );
+    assert!(zones.heard(1.0, &gossip.seal()).is_err());
     assert_eq!(zones.refused, 1);
     assert!(zones.verdicts().iter().all(|v| v.epoch == 0));
 }
 
 #[test]
 fn an_epoch_far_ahead_is_refused_and_an_old_one_changes_nothing() {
-    let mut zones = Zones::new(MemberId(0), 0, vec![0; 3], 6, Figures::default(), 0.0);
+    let mut zones = Zones::new(
+        MemberId(0),
+        0,
+        vec![0; 3],
+        6,
+        ZoneFailoverConfig::default(),
+        0.0,
+    );
     let tell = |epoch, age| {
-        Riders {
-            verdicts: vec![Told::new(1, epoch, age, 0)],
+        GossipPayload {
+            verdicts: vec![ZoneVerdict::new(1, epoch, age, 0)],
             reports: vec![],
         }
         .seal()
@@ -366,8 +389,15 @@
 #[case::within_headroom((10, 2), 1.0)]
 #[case::spills_in_proportion((10, 5), 0.7)]
 fn traffic_stays_near_while_its_zone_is_sound(#[case] near: (u32, u32), #[case] stays: f64) {
-    let mut zones = Zones::new(MemberId(0), 0, vec![0, 0, 1], 3, Figures::default(), 0.0);
-    let sight = |(seen, bad)| Sight {
+    let mut zones = Zones::new(
+        MemberId(0),
+        0,
+        vec![0, 0, 1],
+        3,
+        ZoneFailoverConfig::default(),
+        0.0,
+    );
+    let sight = |(seen, bad)| ZoneObservation {
         seen,
         bad,
         capacity: 1.0,
--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -67,7 +67,7 @@
 
 /// What a replica can do after its start, and what pushes it over.
 #[derive(Clone, Debug)]
-pub struct ColdRule {
+pub struct SlowStartConfig {
     /// Its capacity at the start, of a warm one.
     pub from: f64,
     /// Seconds until it is warm.
@@ -80,7 +80,7 @@
 
 /// How many sub-requests beyond the first of each part may be sent.
 #[derive(Clone, Debug)]
-pub struct BudgetRule {
+pub struct RetryBudgetConfig {
     /// So many in any case,
     pub free: f64,
     /// and such a share of the searches and parts taken,
@@ -123,9 +123,9 @@
     /// The longest advised wait before a retry (seconds); absent without advice.
     pub longest_retry_advice: Option<f64>,
     /// The rule on cold replicas.
-    pub cold: Option<ColdRule>,
+    pub cold: Option<SlowStartConfig>,
     /// The rule on further sub-requests.
-    pub budget: Option<BudgetRule>,
+    pub budget: Option<RetryBudgetConfig>,
 }
 
 impl Settings {
@@ -155,7 +155,7 @@
 
 /// What the co-ordinators of the tier have decided in common about zones.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Zoning {
+pub struct ZoneFailoverState {
     /// The share of its traffic that each zone may have: 0 out, 1 serving, between on its way back; 1 if not
     /// named.
     pub shares: BTreeMap<ZoneId, f64>,
@@ -166,7 +166,7 @@
 
 /// What this co-ordinator's latest parts say of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneSight {
+pub struct ZoneHealth {
     /// The zone.
     pub zone: ZoneId,
     /// Outcomes and overdue parts, and those of them that were bad.
@@ -179,7 +179,7 @@
 
 /// What this co-ordinator asks of a cold replica.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ColdSight {
+pub struct SlowStartDemand {
     /// The replica.
     pub replica: ReplicaId,
     /// Parts that it would have been sent but for the guard of the cold rule, so far.
@@ -211,7 +211,7 @@
 
 /// How many calls are looked at, and the least failures among them that eject.
 #[derive(Clone, Copy, Debug)]
-pub struct EjectionRule {
+pub struct EjectionConfig {
     /// Latest calls that count.
     pub window: usize,
     /// Least failures; they must also be half of the calls.
@@ -257,7 +257,7 @@
 
 /// One try of a part at a replica.
 #[derive(Clone, Debug)]
-pub struct SubRequest {
+pub struct Attempt {
     /// Where it went.
     pub replica: ReplicaId,
     /// When it was sent (seconds).
@@ -266,7 +266,7 @@
     pub ending: Option<Ending>,
 }
 
-impl SubRequest {
+impl Attempt {
     /// Proven never to have run: refused unseen, no connection, or never sent.
     pub fn proven_unrun(&self) -> bool {
         matches!(
@@ -292,7 +292,7 @@
     /// The replica it waits for, while held.
     pub held: Option<ReplicaId>,
     /// Its tries, in the order of their sends.
-    pub subs: Vec<SubRequest>,
+    pub subs: Vec<Attempt>,
 }
 
 impl Part {
@@ -302,7 +302,7 @@
     }
 
     /// Its sub-requests in flight, with their numbers.
-    pub fn waiting(&self) -> impl Iterator<Item = (usize, &SubRequest)> {
+    pub fn waiting(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.subs
             .iter()
             .enumerate()
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -30,7 +30,7 @@
     pub(crate) fleet: Fleet<Known>,
     pub(crate) capacity: VecDeque<Sample>, // of all open replicas of late, in warm ones
     pub(crate) zones: BTreeMap<ZoneId, OutlierDetector<()>>,
-    pub(crate) zoning: Option<Zoning>,
+    pub(crate) zoning: Option<ZoneFailoverState>,
     pub(crate) zone_ends: BTreeMap<ZoneId, VecDeque<(f64, bool)>>, // of the latest parts, and whether lost
     pub(crate) held: HeldQueue<ReplicaId, (SearchId, PartId)>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
@@ -108,7 +108,7 @@
     }
 
     /// What was asked of each cold replica so far, and whether it was sent any within the rule's window.
-    pub fn colds(&self, now: f64) -> Vec<ColdSight> {
+    pub fn colds(&self, now: f64) -> Vec<SlowStartDemand> {
         let Some(rule) = &self.set.cold else {
             return Vec::new();
         };
@@ -120,7 +120,7 @@
                 .back()
                 .is_some_and(|t| *t > now - rule.tip_time);
             let cold = r.open && r.ready_at.is_some_and(|at| now < at + rule.time);
-            cold.then(|| ColdSight {
+            cold.then(|| SlowStartDemand {
                 replica: id.clone(),
                 wants: r.state.warming.wants.get(),
                 sent,
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -1,15 +1,15 @@
 //! The health of replicas and of the ways to zones, by own calls and by what the tier decides in common.
 
-use super::{Balancer, Change, EjectionRule, Known, Observation, OutlierDetector};
+use super::{Balancer, Change, EjectionConfig, Known, Observation, OutlierDetector};
 use crate::fleet::{InFlight, Replica};
 use crate::{api::*, samples::push};
 use std::collections::BTreeMap;
 
-const REPLICA_RULE: EjectionRule = EjectionRule {
+const REPLICA_RULE: EjectionConfig = EjectionConfig {
     window: 8,
     least: 2,
 };
-const ZONE_RULE: EjectionRule = EjectionRule {
+const ZONE_RULE: EjectionConfig = EjectionConfig {
     window: 32,
     least: 8,
 };
@@ -70,7 +70,7 @@
     }
 
     /// What the tier has decided in common, if it is met: each sees too little of a lost zone.
-    pub fn zoning(&mut self, now: f64, decided: Option<Zoning>) {
+    pub fn zoning(&mut self, now: f64, decided: Option<ZoneFailoverState>) {
         for (zone, share) in decided.iter().flat_map(|z| &z.shares) {
             let was_out = self.share(Some(*zone)) <= 0.0;
             let way = self.zones.entry(*zone).or_default();
@@ -119,7 +119,7 @@
 
     /// What the tier wants to know: the last six parts of each zone within 2 s, or the run of bad ones up to
     /// now, as the good ones before it say nothing of a zone that has just been lost.
-    pub fn sights(&self, now: f64) -> Vec<ZoneSight> {
+    pub fn sights(&self, now: f64) -> Vec<ZoneHealth> {
         let mut all: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
         for (r, zone) in self.fleet.iter().filter_map(|(_, r)| Some((r, r.zone?))) {
             let of = all.entry(zone).or_default();
@@ -139,7 +139,7 @@
             } else {
                 (overdue + fresh().count(), bads)
             };
-            ZoneSight {
+            ZoneHealth {
                 zone,
                 seen,
                 bad,
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -15,8 +15,8 @@
         if self.set.may_copy || !self.set.may_cancel || spent || !self.may_double(now, q, part) {
             return;
         }
-        let late = |s: &SubRequest| now - s.sent_at > CALL_OFF * self.limits.late_after;
-        let silent = |s: &SubRequest| {
+        let late = |s: &Attempt| now - s.sent_at > CALL_OFF * self.limits.late_after;
+        let silent = |s: &Attempt| {
             self.fleet
                 .get(&s.replica)
                 .is_some_and(|r| r.answered_at < s.sent_at)
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: a replica or zone whose latest calls failed is out of use until trials succeed.
 
-pub use crate::api::{Change, EjectionRule, Observation};
+pub use crate::api::{Change, EjectionConfig, Observation};
 use crate::samples::push;
 use std::collections::VecDeque;
 
@@ -35,7 +35,7 @@
 impl<C: Copy + PartialEq> OutlierDetector<C> {
     /// Takes in the end of a call. Where other classes fare well only the failing class is ejected, by three
     /// failures of its own: one that swallows most calls of a class would be out for all, or for none.
-    pub fn observe(&mut self, rule: EjectionRule, call: Observation<C>) -> Option<Change> {
+    pub fn observe(&mut self, rule: EjectionConfig, call: Observation<C>) -> Option<Change> {
         push(&mut self.seen, call, rule.window);
         let fresh = self.seen.iter().filter(|c| c.at > call.at - AGE);
         let (own, others): (Vec<_>, Vec<_>) = fresh.partition(|c| c.class == call.class);
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -150,7 +150,7 @@
         }
         replica.sent(now, part.id, part.subs.len(), q.query_type);
         replica.state.warming.sent(now, self.set.cold.as_ref());
-        part.subs.push(SubRequest {
+        part.subs.push(Attempt {
             replica: id.clone(),
             sent_at: now,
             ending: None,
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -1,7 +1,7 @@
 //! Whether a part may be sent once more.
 
 use super::{Balancer, Known};
-use crate::{api::*, fleet::Replica, plants::planted};
+use crate::{api::*, fleet::Replica, mutations::is_mutated};
 
 impl Balancer {
     /// No effect twice: whether the part may be sent once more, to which replica alone if not any, and before
@@ -17,8 +17,8 @@
             return FREE;
         };
         match self.set.query_types[q.query_type.0].repeat {
-            Repeat::NonIdempotent if planted("module-once") => FREE,
-            Repeat::Tokened { .. } if planted("module-token-window") => FREE,
+            Repeat::NonIdempotent if is_mutated("module-once") => FREE,
+            Repeat::Tokened { .. } if is_mutated("module-token-window") => FREE,
             Repeat::Idempotent => FREE,
             Repeat::Tokened { window, any_holder } => {
                 let by = first.sent_at + window - 2.0 * self.set.tick;
--- a/crates/routing/src/decide/retry_budget.rs
+++ b/crates/routing/src/decide/retry_budget.rs
@@ -1,13 +1,13 @@
 //! The budget of retries and hedges: calls beyond a part's first, in any window.
 
-use crate::api::{BudgetRule, Settings};
-use crate::plants::planted;
+use crate::api::{RetryBudgetConfig, Settings};
+use crate::mutations::is_mutated;
 use crate::samples::{Sample, push};
 use std::collections::VecDeque;
 
 /// Counts work taken and further calls sent against the settings' rule; without one there is always room.
 pub struct RetryBudget {
-    rule: Option<BudgetRule>,
+    rule: Option<RetryBudgetConfig>,
     late: f64, // how late a decided call may leave: the window holds less by then than was counted
     taken: VecDeque<Sample>,
     further: VecDeque<f64>,
@@ -44,10 +44,10 @@
 
     /// Whether there is room for one more.
     pub fn has_room(&mut self, now: f64) -> bool {
-        let Some(rule) = self.rule.as_ref().filter(|_| !planted("module-budget")) else {
+        let Some(rule) = self.rule.as_ref().filter(|_| !is_mutated("module-budget")) else {
             return true;
         };
-        let forgotten = if planted("module-budget-window") {
+        let forgotten = if is_mutated("module-budget-window") {
             0.1 * rule.window
         } else {
             0.0
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::placement::Pick;
 use crate::samples::{Sample, push};
-use crate::{api::*, fleet::InFlight, plants::planted};
+use crate::{api::*, fleet::InFlight, mutations::is_mutated};
 
 const ROUNDING: f64 = 1e-4; // sums of weights may fall this short
 
@@ -190,16 +190,16 @@
         let harmless = t.repeat == Repeat::Idempotent
             || q.parts
                 .iter()
-                .all(|p| p.subs.iter().all(SubRequest::proven_unrun))
-            || planted("module-harmless");
-        let floor = if planted("module-floor") {
+                .all(|p| p.subs.iter().all(Attempt::proven_unrun))
+            || is_mutated("module-harmless");
+        let floor = if is_mutated("module-floor") {
             0.0
         } else {
             t.floor
         };
         let reply = if come > 0.0 && come >= floor - ROUNDING {
             Reply::Answered {
-                whole: planted("module-whole"),
+                whole: is_mutated("module-whole"),
             }
         } else if harmless {
             // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::{Balancer, Known};
 use crate::samples::{Sample, mean, push};
-use crate::{api::*, fleet::Replica, plants::planted};
+use crate::{api::*, fleet::Replica, mutations::is_mutated};
 use std::cell::Cell;
 use std::collections::VecDeque;
 
@@ -42,7 +42,7 @@
     }
 
     /// A part leaves for the replica.
-    pub fn sent(&mut self, now: f64, rule: Option<&ColdRule>) {
+    pub fn sent(&mut self, now: f64, rule: Option<&SlowStartConfig>) {
         if std::mem::take(&mut self.restarted) {
             (self.restarted_at, self.sends) = (Some(now), VecDeque::new());
         }
@@ -56,8 +56,9 @@
 impl Balancer {
     /// What an open replica can do by now, in warm ones.
     pub(super) fn capacity_of(&self, now: f64, r: &Replica<Known>) -> f64 {
-        let warmed =
-            |(at, c): (f64, &ColdRule)| (c.from + (1.0 - c.from) * (now - at) / c.time).min(1.0);
+        let warmed = |(at, c): (f64, &SlowStartConfig)| {
+            (c.from + (1.0 - c.from) * (now - at) / c.time).min(1.0)
+        };
         if r.open {
             r.ready_at.zip(self.set.cold.as_ref()).map_or(1.0, warmed)
         } else {
@@ -96,7 +97,7 @@
             .set
             .cold
             .as_ref()
-            .filter(|_| !planted("module-cold-cap"));
+            .filter(|_| !is_mutated("module-cold-cap"));
         let (Some(rule), Some(ready)) = (rule, ready) else {
             return false;
         };
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The replicas that the list names, by cell, and what of ours is in flight at each: facts, no decisions.
 
 use crate::api::*;
-use crate::plants::planted;
+use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A sub-request in flight.
@@ -127,7 +127,8 @@
                 replica.ready_at = line.ready_at;
                 (replica.answers, replica.answered_at, replica.state) = (0, 0.0, started(line));
             }
-            (replica.open, replica.zone) = (line.open || planted("module-drain"), Some(line.zone));
+            (replica.open, replica.zone) =
+                (line.open || is_mutated("module-drain"), Some(line.zone));
             let cell = line.cell.0 % self.cell_count;
             self.cells
                 .entry(replica.cell)
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`decide`] holds every decision; [`balancer`] the state that it reads and updates for searches; [`api`]
 //! the plain types that callers pass in and get back. [`fleet`], [`samples`], [`unloaded_latency`] and
 //! [`held_queue`] keep facts, figures and order, and decide nothing. [`rendezvous`] is how processes agree
-//! without a message. [`plants`] names the defences that the
+//! without a message. [`mutations`] names the defences that the
 //! rigs can switch off, in builds of their own.
 
 #![warn(missing_docs)]
@@ -12,7 +12,7 @@
 pub mod balancer;
 pub mod fleet;
 pub mod held_queue;
-pub mod plants;
+pub mod mutations;
 pub mod rendezvous;
 pub mod samples;
 pub mod unloaded_latency;
@@ -61,7 +61,7 @@
     pub use held_queue::HeldQueue;
     pub use hold::Hold;
     pub use latency_limits::LatencyLimits;
-    pub use outlier_detector::{Change, EjectionRule, Observation, OutlierDetector};
+    pub use outlier_detector::{Change, EjectionConfig, Observation, OutlierDetector};
     pub use part_budget::PartBudget;
     pub use retry_budget::RetryBudget;
     pub use unloaded_latency::UnloadedLatency;
--- a/crates/routing/src/plants.rs
+++ b/crates/routing/src/mutations.rs
@@ -1,9 +1,9 @@
-//! Planted bugs: one known defence switched off, by name, so that the rigs can show that they would find it.
-//! Without the feature `plants`, which no release build of a host has, nothing can be switched and nothing of
+//! Injected bugs: one known defence switched off, by name, so that the rigs can show that they would find it.
+//! Without the feature `mutations`, which no release build of a host has, nothing can be switched and nothing of
 //! this is left in the program.
 
-/// Every plant: its name, and what it switches off.
-pub const PLANTS: [(&str, &str); 20] = [
+/// Every mutation: its name, and what it switches off.
+pub const MUTATIONS: [(&str, &str); 20] = [
     ("module-cold-cap", "the cap on what a cold replica is sent"),
     ("module-budget", "the budget of further sub-requests"),
     (
@@ -56,31 +56,31 @@
     ),
 ];
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 mod on {
     use std::cell::Cell;
 
     thread_local! {
-        static PLANTED: Cell<Option<&'static str>> = const { Cell::new(None) };
+        static ACTIVE: Cell<Option<&'static str>> = const { Cell::new(None) };
     }
 
-    /// Switches a plant on for this thread, and the one before off.
-    pub fn plant(name: Option<&'static str>) {
-        PLANTED.set(name);
+    /// Switches a mutation on for this thread, and the one before off.
+    pub fn mutate(name: Option<&'static str>) {
+        ACTIVE.set(name);
     }
 
     /// Whether this defence is switched off on this thread.
-    pub fn planted(name: &str) -> bool {
-        PLANTED.get() == Some(name)
+    pub fn is_mutated(name: &str) -> bool {
+        ACTIVE.get() == Some(name)
     }
 }
 
-#[cfg(feature = "plants")]
-pub use on::{plant, planted};
+#[cfg(feature = "mutations")]
+pub use on::{is_mutated, mutate};
 
 /// Whether this defence is switched off: never, in this build.
-#[cfg(not(feature = "plants"))]
+#[cfg(not(feature = "mutations"))]
 #[inline(always)]
-pub const fn planted(_: &str) -> bool {
+pub const fn is_mutated(_: &str) -> bool {
     false
 }
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -228,7 +228,7 @@
 #[case::refusing(0.0, Ending::Full)]
 fn cold_replica_is_not_pushed_over(#[case] age: f64, #[case] ending: Ending) {
     let mut set = settings();
-    set.cold = Some(ColdRule {
+    set.cold = Some(SlowStartConfig {
         from: 0.2,
         time: 10.0,
         tip_multiple: 2.5,
@@ -264,7 +264,7 @@
 #[case::three(3)]
 #[case::many(150)]
 fn cold_shares_hold_in_sum(#[case] siblings: usize) {
-    let cold = Some(ColdRule {
+    let cold = Some(SlowStartConfig {
         from: 0.2,
         time: 20.0,
         tip_multiple: 2.5,
@@ -304,7 +304,7 @@
 /// in parts of a fifth of a second.
 #[test]
 fn turns_of_a_tier_add_up() {
-    let cold = Some(ColdRule {
+    let cold = Some(SlowStartConfig {
         from: 0.2,
         time: 1e6,
         tip_multiple: 2.5,
@@ -343,7 +343,7 @@
 #[case::four_answers(4, 2)]
 fn in_flight_cap_grows(#[case] answers: u64, #[case] cap: usize) {
     let mut set = settings();
-    set.cold = Some(ColdRule {
+    set.cold = Some(SlowStartConfig {
         from: 1.0,
         time: 100.0,
         tip_multiple: 1e6,
@@ -368,7 +368,7 @@
 #[case::share_only(0.0, 0.25, 5)]
 fn budget_is_kept(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
     let mut set = settings();
-    set.budget = Some(BudgetRule {
+    set.budget = Some(RetryBudgetConfig {
         free,
         share,
         window: 10.0,
@@ -757,7 +757,7 @@
 #[case::cold_closed(1, "a")]
 fn distrusted_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
     let mut set = settings();
-    set.cold = Some(ColdRule {
+    set.cold = Some(SlowStartConfig {
         from: 0.2,
         time: 100.0,
         tip_multiple: 2.5,
@@ -950,7 +950,7 @@
         late_send,
         ..settings()
     };
-    set.budget = Some(BudgetRule {
+    set.budget = Some(RetryBudgetConfig {
         free: 0.0,
         share: 1.0,
         window: 10.0,
@@ -1079,14 +1079,14 @@
     b
 }
 
-fn zoning(shares: [f64; 2], near: Option<f64>) -> Option<Zoning> {
+fn zoning(shares: [f64; 2], near: Option<f64>) -> Option<ZoneFailoverState> {
     let shares = shares
         .into_iter()
         .enumerate()
         .map(|(z, s)| (ZoneId(z as u64), s))
         .collect();
     let near = near.map(|share| (BTreeSet::from([ZoneId(0)]), share));
-    Some(Zoning {
+    Some(ZoneFailoverState {
         shares,
         near: near.into_iter().collect(),
     })
@@ -1117,7 +1117,7 @@
 #[case::near_is_out(zoning([0.0, 1.0], Some(0.0)), 0..1)]
 #[case::both_are_out_and_there_is_no_other(zoning([0.0, 0.0], None), 70..130)]
 fn parts_go_where_the_tier_says(
-    #[case] told: Option<Zoning>,
+    #[case] told: Option<ZoneFailoverState>,
     #[case] expected: std::ops::Range<usize>,
 ) {
     let mut b = two_zones();
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use rstest::rstest;
-use woadreach_routing::api::{BudgetRule, Settings};
+use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
-    Candidates, Change, EjectionRule, HeldQueue, Hold, LatencyLimits, Observation, OutlierDetector,
-    PartBudget, RetryBudget, UnloadedLatency,
+    Candidates, Change, EjectionConfig, HeldQueue, Hold, LatencyLimits, Observation,
+    OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
-const RULE: EjectionRule = EjectionRule {
+const RULE: EjectionConfig = EjectionConfig {
     window: 8,
     least: 2,
 };
@@ -285,7 +285,7 @@
 #[case::free_ones_only(Some((2.0, 0.0)), 2)]
 #[case::free_ones_and_a_share(Some((1.0, 0.25)), 3)]
 fn retry_budget(#[case] rule: Option<(f64, f64)>, #[case] sent: usize) {
-    let budget = rule.map(|(free, share)| BudgetRule {
+    let budget = rule.map(|(free, share)| RetryBudgetConfig {
         free,
         share,
         window: 10.0,
--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_runtime::{Net, Stream};
 use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::{Net, Stream};
 
 /// A close by the co-ordinator that comes so soon after a request was written on a used connection has
 /// crossed it: the request is sent once more on a new one.
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
-use woadreach_runtime::{Listener, Net, Stream};
 use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::{Listener, Net, Stream};
 
 /// PROTOCOL: as long as nothing changes, an empty line comes so often.
 const HEARTBEAT: f64 = 2.0;
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::Notify;
-use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 use woadreach_invariants::{NodeId, PartName, ReplicaName, What};
+use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
 /// What a replica does with what it is sent; may change at any time.
 #[derive(Clone, Debug)]
--- a/crates/testing/local-tier/tests/capacity.rs
+++ b/crates/testing/local-tier/tests/capacity.rs
@@ -1,7 +1,9 @@
 //! The tables and plots of `docs/CAPACITY.md` come from the runs' files, and the fit from its formula.
 
 use std::path::{Path, PathBuf};
-use woadreach_local_tier::capacity::{CapacityError, Table, fill, fit, load, plots, tables, tables_of};
+use woadreach_local_tier::capacity::{
+    CapacityError, Table, fill, fit, load, plots, tables, tables_of,
+};
 
 fn docs() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -9,10 +9,10 @@
 use support::*;
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
-use woadreach_process_tests::Relay;
 use woadreach_local_tier::{
     Client, Operator, ReplicaKind, StandInReplica, Tier, TierError, TurnAnswer, example, pieces_of,
 };
+use woadreach_process_tests::Relay;
 
 /// Zone of the edges and zone of the replicas, between which the relay stands.
 const EDGES: usize = 0;
--- a/crates/testing/local-tier/tests/tier.rs
+++ b/crates/testing/local-tier/tests/tier.rs
@@ -1,7 +1,9 @@
 //! The whole path over loopback: real processes, stand-in replicas, one operator, clients.
 
 use std::time::Duration;
-use woadreach_local_tier::{Client, MachineClass, Operator, Tier, TierSize, built_programs, example};
+use woadreach_local_tier::{
+    Client, MachineClass, Operator, Tier, TierSize, built_programs, example,
+};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const SMALL: TierSize = TierSize {
--- a/crates/testing/process-tests/src/rig.rs
+++ b/crates/testing/process-tests/src/rig.rs
@@ -16,10 +16,12 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
-use woadreach_simulation::{Places, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms};
-use woadreach_runtime::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
-use woadreach_invariants::{NodeId, What};
 use woadreach_fakes::{Agent, Behaviour, Caller, Line as Listed, Recorder, Replica, Retry};
+use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
+use woadreach_simulation::{
+    Places, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms,
+};
 
 /// What is to be played.
 #[derive(Clone, Debug)]
--- a/crates/testing/process-tests/src/tally.rs
+++ b/crates/testing/process-tests/src/tally.rs
@@ -69,7 +69,7 @@
 }
 
 /// The duty whose holder scenarios look for.
-const DUTY: &str = "Warden(0)";
+const DUTY: &str = "QuotaAllocator(0)";
 
 #[derive(Default)]
 pub struct Tally {
@@ -215,7 +215,7 @@
             handover_s_p99: quantile(0.99),
             handovers: handed.len(),
             gripped: self.grips.len(),
-            lease_s: woadreach_lease::Figures::default().lease,
+            lease_s: woadreach_lease::LeaseConfig::default().lease,
         }
     }
 
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -7,9 +7,9 @@
 
 mod clock;
 mod load;
+#[cfg(feature = "mutations")]
+pub mod mutations;
 mod network;
-#[cfg(feature = "plants")]
-pub mod plants;
 mod record;
 mod recovery;
 mod script;
@@ -20,7 +20,7 @@
 pub use clock::{Clock, MILLISECOND, Nanos, ProcessId, Sleep};
 pub use load::{draw_ask, draw_gap};
 pub use network::{
-    BEGIN, Figures, Network, SimDatagrams, SimNet, SimStream, Zone, address, seed_of,
+    BEGIN, Network, NetworkConfig, SimDatagrams, SimNet, SimStream, Zone, address, seed_of,
 };
 pub use record::{Fared, Record};
 pub use recovery::Recovery;
--- a/crates/testing/simulation/src/plants.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -1,16 +1,16 @@
-//! The hunt for planted bugs: each known defence is switched off by itself, and seeds are played until a rule
-//! breaks. Owns nothing; only in builds with the feature `plants`.
+//! The hunt for injected bugs: each known defence is switched off by itself, and seeds are played until a rule
+//! breaks. Owns nothing; only in builds with the feature `mutations`.
 
 use crate::script::Script;
 use crate::shrink::{Small, shrink};
 use crate::world::{Options, play};
 use serde::Serialize;
 use std::ops::Range;
-use woadreach_routing::plants::{PLANTS, plant};
+use woadreach_routing::mutations::{MUTATIONS, mutate};
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Hunted {
-    pub plant: &'static str,
+    pub mutation: &'static str,
     /// The defence that is switched off.
     pub defence: &'static str,
     /// The first seed that breaks a rule, and after how many seeds; none if none of them does.
@@ -24,23 +24,23 @@
 /// Hunted on days of a whole tier.
 const OF_A_TIER: [&str; 2] = ["module-cold-cap", "host-siblings"];
 
-/// The names of all plants.
+/// The names of all mutations.
 pub fn names() -> Vec<&'static str> {
-    PLANTS.iter().map(|p| p.0).collect()
+    MUTATIONS.iter().map(|p| p.0).collect()
 }
 
 /// Plays seeds with one defence off until a rule breaks; cuts the script down if `smaller`.
 pub fn hunt(name: &str, seeds: Range<u64>, smaller: bool) -> Option<Hunted> {
-    let (name, defence) = *PLANTS.iter().find(|p| p.0 == name)?;
+    let (name, defence) = *MUTATIONS.iter().find(|p| p.0 == name)?;
     let mut hunted = Hunted {
-        plant: name,
+        mutation: name,
         defence,
         seed: None,
         after: seeds.end - seeds.start,
         rule: None,
         small: None,
     };
-    plant(Some(name));
+    mutation(Some(name));
     for seed in seeds.clone() {
         // What only many together bring about does not show where there are few.
         let tier = OF_A_TIER.contains(&name);
@@ -67,6 +67,6 @@
             break;
         }
     }
-    plant(None);
+    mutation(None);
     Some(hunted)
 }
--- a/crates/testing/simulation/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -38,7 +38,7 @@
 
 /// What holds for every connection of a world.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct NetworkConfig {
     /// One way, in nanoseconds: at least, and how much more at most. Within a zone, and between two.
     pub near: (Nanos, Nanos),
     pub far: (Nanos, Nanos),
@@ -58,9 +58,9 @@
     pub late: Nanos,
 }
 
-impl Default for Figures {
+impl Default for NetworkConfig {
     fn default() -> Self {
-        Figures {
+        NetworkConfig {
             near: (50_000, 100_000),
             far: (400_000, 600_000),
             bandwidth: 125e6,
@@ -87,7 +87,7 @@
 
 struct Inner {
     clock: Clock,
-    figures: Figures,
+    figures: NetworkConfig,
     chance: RefCell<Pcg64Mcg>,
     machines: RefCell<BTreeMap<ProcessId, Machine>>,
     cuts: RefCell<BTreeSet<(Zone, Zone)>>,
@@ -106,7 +106,7 @@
 pub struct Network(Rc<Inner>);
 
 impl Network {
-    pub fn new(clock: &Clock, seed: u64, figures: Figures) -> Self {
+    pub fn new(clock: &Clock, seed: u64, figures: NetworkConfig) -> Self {
         Network(Rc::new(Inner {
             clock: clock.clone(),
             figures,
--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_invariants::{Breach, Checker, Event, Terms, What};
 use woadreach_fakes::Recorder;
+use woadreach_invariants::{Breach, Checker, Event, Terms, What};
 
 /// Breaches kept of one run: the first ones tell what is wrong.
 const MOST_BREACHES: usize = 20;
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -14,9 +14,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use woadreach_runtime::{Net, Tokio};
-use woadreach_invariants::{NodeId, What};
 use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Replica, Retry};
+use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::{Net, Tokio};
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
 
@@ -68,8 +68,7 @@
             ..Behaviour::default()
         };
         let seed = seed_of(script.seed, &name);
-        let handle =
-            woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
+        let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
         replicas.push((addresses, handle));
     }
     let mut clients = Vec::new();
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_invariants::{Breach, Event, NodeId, What};
 use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder, Replica};
-use woadreachd::events::Held;
+use woadreach_invariants::{Breach, Event, NodeId, What};
+use woadreachd::events::Usage;
 
 mod clients;
 mod configuration;
@@ -89,7 +89,7 @@
     moves: Cell<u16>,
     hangup: RefCell<Option<mpsc::UnboundedSender<()>>>,
     term: RefCell<Option<mpsc::UnboundedSender<()>>>,
-    held: Rc<Cell<Held>>,
+    held: Rc<Cell<Usage>>,
     starts: Cell<u64>,
 }
 
@@ -191,14 +191,14 @@
         let clock = Clock::new();
         let way = nanos(script.fleet.way);
         let peers = script.peers.as_ref();
-        let figures = crate::Figures {
+        let figures = crate::NetworkConfig {
             lost: peers.map_or(0.0, |p| p.lost),
             doubled: peers.map_or(0.0, |p| p.doubled),
             late: peers.map_or(0, |p| nanos(p.late)),
             far: (way * 2 / 5, way * 3 / 5),
             receive_buffer: script.fleet.buffers,
             send_buffer: script.fleet.buffers,
-            ..crate::Figures::default()
+            ..crate::NetworkConfig::default()
         };
         let network = Network::new(&clock, seed_of(script.seed, "network"), figures);
         let time = clock.clone();
--- a/crates/testing/simulation/src/world/clients.rs
+++ b/crates/testing/simulation/src/world/clients.rs
@@ -8,9 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_runtime::{Net, Stream};
-use woadreach_invariants::{NodeId, What};
 use woadreach_fakes::{Ask, Calls, Retry};
+use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::{Net, Stream};
 
 const JUNK: [&[u8]; 8] = [
     b"GET / HTTP/1.1\r\nHost: x\r\n",
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -5,9 +5,9 @@
 use crate::network::{Zone, address, seed_of};
 use crate::script::Kind;
 use std::rc::Rc;
-use woadreach_runtime::Net;
-use woadreach_invariants::{NodeId, What};
 use woadreach_fakes::{Behaviour, Line, Recorder};
+use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::Net;
 
 impl World {
     pub(super) fn strike(self: &Rc<Self>, kind: &Kind, lasts: f64) {
--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -9,11 +9,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_runtime::Net;
 use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::Net;
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
-use woadreachd::events::Held;
+use woadreachd::events::Usage;
 
 impl World {
     pub(super) fn start_node(self: &Rc<Self>, n: usize) {
@@ -54,7 +54,7 @@
             }
         }
         let held = node.held.clone();
-        let report = Box::new(move |now: &Held| held.set(*now));
+        let report = Box::new(move |now: &Usage| held.set(*now));
         let judges = Rc::downgrade(self);
         let verdict = Box::new(move |turn: &woadreach_zone_failover::Turn| {
             if let Some(w) = judges.upgrade() {
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -262,13 +262,13 @@
 }
 
 /// Without the defence the rule breaks, with the very script that keeps it with the defence.
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 #[rstest]
 #[case::no_wait("core-no-wait", woadreach_invariants::Rule::NoSearchLost)]
 #[case::drains_unread("discovery-no-drains", woadreach_invariants::Rule::DrainsKept)]
 #[case::floor("module-floor", woadreach_invariants::Rule::HonestAnswers)]
-fn a_planted_bug_is_found(#[case] plant: &str, #[case] rule: woadreach_invariants::Rule) {
-    let hunted = woadreach_simulation::plants::hunt(plant, 0..200, false).unwrap();
+fn a_injected_bug_is_found(#[case] mutation: &str, #[case] rule: woadreach_invariants::Rule) {
+    let hunted = woadreach_simulation::mutations::hunt(mutation, 0..200, false).unwrap();
     assert_eq!(hunted.rule, Some(rule.to_string()));
     kept(&Script::draw(hunted.seed.unwrap(), &[], None));
 }
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -13,8 +13,8 @@
 //! - [`Durable`]: what a member has on its disk, as the result of applying [`Record`]s in order.
 //! - `peers` detects failures and `plan` chooses the next view.
 
-#[cfg(all(feature = "plants", not(debug_assertions)))]
-compile_error!("the feature `plants` switches defences off: tests only");
+#[cfg(all(feature = "mutations", not(debug_assertions)))]
+compile_error!("the feature `mutations` switches defences off: tests only");
 
 mod agreement;
 mod blob;
@@ -22,10 +22,10 @@
 mod election;
 mod member;
 mod message;
+#[cfg(feature = "mutations")]
+mod mutations;
 mod peers;
 mod plan;
-#[cfg(feature = "plants")]
-mod plants;
 mod replication;
 mod requests;
 mod state;
@@ -38,9 +38,9 @@
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
 pub use message::{Body, DecodeError, Envelope, Ping, PingTime};
+#[cfg(feature = "mutations")]
+pub use mutations::Mutation;
 pub use plan::{Candidate, Place, PlanError, Policy, Tolerance, next_view};
-#[cfg(feature = "plants")]
-pub use plants::Plant;
 pub use requests::{Reply, Request, RequestId};
 pub use state::{
     Command, ControlState, Digest, PutConfiguration, PutStorageView, Rejection, Stamp,
--- a/crates/tier/chain/src/member/contact.rs
+++ b/crates/tier/chain/src/member/contact.rs
@@ -17,8 +17,8 @@
 impl Member {
     /// Whether this member is in contact with a majority of the voters and has caught up since.
     pub(super) fn is_in_quorum(&self, now: Duration) -> bool {
-        #[cfg(feature = "plants")]
-        if self.has_plant(crate::plants::Plant::QuorumByHearing) {
+        #[cfg(feature = "mutations")]
+        if self.has_mutation(crate::mutations::Mutation::QuorumByHearing) {
             return self.hears_majority(now);
         }
         self.is_caught_up && self.reaches_majority(now)
@@ -43,7 +43,7 @@
         self.peers.is_in_contact(now, voter)
     }
 
-    #[cfg(feature = "plants")]
+    #[cfg(feature = "mutations")]
     fn hears_majority(&self, now: Duration) -> bool {
         let view = &self.durable.view;
         let heard = view
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -54,8 +54,8 @@
 impl Member {
     /// Whether this member, which is being stopped, may end.
     pub fn departure(&self, now: Duration) -> Departure {
-        #[cfg(feature = "plants")]
-        if self.has_plant(crate::plants::Plant::LeavesAtOnce) {
+        #[cfg(feature = "mutations")]
+        if self.has_mutation(crate::mutations::Mutation::LeavesAtOnce) {
             return Departure::Free;
         }
         let view = &self.durable.view;
@@ -68,8 +68,8 @@
         if view.chain.contains(&self.id) {
             return Departure::InChain;
         }
-        #[cfg(feature = "plants")]
-        if self.has_plant(crate::plants::Plant::LeavesWithTheView) {
+        #[cfg(feature = "mutations")]
+        if self.has_mutation(crate::mutations::Mutation::LeavesWithTheView) {
             return Departure::Free;
         }
         if self.is_view_pending(now) {
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -32,16 +32,16 @@
         self.resolve_requests();
     }
 
-    #[cfg(feature = "plants")]
+    #[cfg(feature = "mutations")]
     fn barrier_to_wait_for(&self, number: u64) -> u64 {
-        if self.has_plant(crate::plants::Plant::ReadWithoutBarrier) {
+        if self.has_mutation(crate::mutations::Mutation::ReadWithoutBarrier) {
             0
         } else {
             number
         }
     }
 
-    #[cfg(not(feature = "plants"))]
+    #[cfg(not(feature = "mutations"))]
     fn barrier_to_wait_for(&self, number: u64) -> u64 {
         number
     }
@@ -49,8 +49,8 @@
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
         let stamp = self.durable.state.stamp;
         let verdict = self.durable.state.judge(&command);
-        #[cfg(feature = "plants")]
-        let Some(verdict) = self.planted_verdict(id, verdict) else {
+        #[cfg(feature = "mutations")]
+        let Some(verdict) = self.mutated_verdict(id, verdict) else {
             return;
         };
         match verdict {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// The verdict as the planted fault has it; nothing if the fault answers at once.
-    #[cfg(feature = "plants")]
-    fn planted_verdict(&mut self, id: RequestId, verdict: Verdict) -> Option<Verdict> {
-        let Some(plant) = self.plant else {
+    /// The verdict as the mutated fault has it; nothing if the fault answers at once.
+    #[cfg(feature = "mutations")]
+    fn mutated_verdict(&mut self, id: RequestId, verdict: Verdict) -> Option<Verdict> {
+        let Some(mutation) = self.mutation else {
             return Some(verdict);
         };
-        if let Some(reply) = plant.hasty_reply(verdict) {
+        if let Some(reply) = mutation.hasty_reply(verdict) {
             self.outputs.push(Output::Reply { id, reply });
             return None;
         }
-        Some(plant.weaken(verdict, self.durable.state.generation()))
+        Some(mutation.weaken(verdict, self.durable.state.generation()))
     }
 
     pub(super) fn resolve_requests(&mut self) {
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/messages.rs
@@ -27,8 +27,10 @@
             Body::Committed(state) => return self.publish(now, Arc::new(state)),
             _ => {}
         }
-        #[cfg(feature = "plants")]
-        if self.has_plant(crate::plants::Plant::NoEpochCheck) && epoch != self.durable.view.epoch {
+        #[cfg(feature = "mutations")]
+        if self.has_mutation(crate::mutations::Mutation::NoEpochCheck)
+            && epoch != self.durable.view.epoch
+        {
             return self.receive_in_epoch(now, from, body);
         }
         let own_epoch = self.durable.view.epoch;
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -152,8 +152,8 @@
     next_state_request: Duration,
     state_request_pause: Duration,
     random: oorandom::Rand64,
-    #[cfg(feature = "plants")]
-    plant: Option<crate::plants::Plant>,
+    #[cfg(feature = "mutations")]
+    mutation: Option<crate::mutations::Mutation>,
 }
 
 impl Member {
@@ -197,25 +197,25 @@
             next_state_request: Duration::ZERO,
             state_request_pause: STATE_REQUEST_PAUSE,
             random,
-            #[cfg(feature = "plants")]
-            plant: None,
+            #[cfg(feature = "mutations")]
+            mutation: None,
             durable,
         }
     }
 
     /// Switches a defence off.
-    #[cfg(feature = "plants")]
-    pub fn plant(&mut self, plant: crate::plants::Plant) {
-        self.plant = Some(plant);
-        if plant == crate::plants::Plant::DigestsForgotten {
+    #[cfg(feature = "mutations")]
+    pub fn mutation(&mut self, mutation: crate::mutations::Mutation) {
+        self.mutation = Some(mutation);
+        if mutation == crate::mutations::Mutation::DigestsForgotten {
             self.durable.state.taken.clear();
             self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         }
     }
 
-    #[cfg(feature = "plants")]
-    fn has_plant(&self, plant: crate::plants::Plant) -> bool {
-        self.plant == Some(plant)
+    #[cfg(feature = "mutations")]
+    fn has_mutation(&self, mutation: crate::mutations::Mutation) -> bool {
+        self.mutation == Some(mutation)
     }
 
     /// This member's identity.
@@ -306,8 +306,8 @@
             self.receive(now, envelope);
         }
         self.update_contact(now);
-        #[cfg(feature = "plants")]
-        if self.has_plant(crate::plants::Plant::AcknowledgeBeforeSync) {
+        #[cfg(feature = "mutations")]
+        if self.has_mutation(crate::mutations::Mutation::AcknowledgeBeforeSync) {
             self.synced(now, self.record_number);
             while let Some(envelope) = self.loopback.pop_front() {
                 self.receive(now, envelope);
