--- a/crates/tier/chain/src/member/signs_of_life.rs
+++ b/crates/tier/chain/src/member/signs_of_life.rs
@@ -70,8 +70,9 @@
         self.peers.pinged(now, from, ping);
         // Somebody who does not hear this member cannot answer, and must not use up the pause.
         let can_answer = self.peers.is_in_contact(now, from);
-        #[cfg(feature = "plants")]
-        let can_answer = can_answer || self.has_plant(crate::plants::Plant::StateFromTheDeaf);
+        #[cfg(feature = "mutations")]
+        let can_answer =
+            can_answer || self.has_mutation(crate::mutations::Mutation::StateFromTheDeaf);
         let wants_state = can_answer && ping.committed > self.published.stamp && !self.is_active();
         if wants_state && now >= self.next_state_request {
             self.next_state_request = now + self.state_request_pause;
--- a/crates/tier/chain/src/plants.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -6,7 +6,7 @@
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// What must be synced first is said at once.
     AcknowledgeBeforeSync,
     /// Messages of the chain are taken whatever their epoch.
@@ -33,13 +33,17 @@
     LeavesWithTheView,
 }
 
-impl Plant {
+impl Mutation {
     /// The verdict that is given in the place of `verdict`.
     pub(crate) fn weaken(self, verdict: Verdict, current: u64) -> Verdict {
         let refused = Verdict::Rejected(Rejection::BaseMismatch { current });
         match (self, verdict) {
-            (Plant::RefusedFutureBase, Verdict::Undecided(Undecided::FutureBase { .. })) => refused,
-            (Plant::RefusedForgotten, Verdict::Undecided(Undecided::Forgotten { .. })) => refused,
+            (Mutation::RefusedFutureBase, Verdict::Undecided(Undecided::FutureBase { .. })) => {
+                refused
+            }
+            (Mutation::RefusedForgotten, Verdict::Undecided(Undecided::Forgotten { .. })) => {
+                refused
+            }
             _ => verdict,
         }
     }
@@ -47,10 +51,10 @@
     /// The reply that leaves at once, although something has yet to be committed for it.
     pub(crate) fn hasty_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
-            (Plant::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
+            (Mutation::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
                 Some(Reply::Rejected(rejection))
             }
-            (Plant::RepeatBeforeCommit, Verdict::AlreadyTaken) => Some(Reply::AlreadyTaken),
+            (Mutation::RepeatBeforeCommit, Verdict::AlreadyTaken) => Some(Reply::AlreadyTaken),
             _ => None,
         }
     }
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use simulation::capacity::{Capacity, state_bytes};
-use simulation::world::{PlantedBug, World};
+use simulation::world::{InjectedBug, World};
 use woadreach_chain::{
     Blob, Command, Input, PutConfiguration, Request, RequestId, Stamp, TakenConfiguration,
 };
@@ -168,7 +168,7 @@
     /// What befalls it, so long after its start.
     trouble: Option<(Trouble, Duration)>,
     /// A defence that is switched off.
-    bug: Option<PlantedBug>,
+    bug: Option<InjectedBug>,
     /// Signs of life wait behind long messages.
     has_one_queue: bool,
 }
@@ -442,10 +442,12 @@
     assert!(play(case).is_err());
 }
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 #[test]
 fn digests_lost_by_a_restart_are_found() {
-    let bug = Some(PlantedBug::Member(woadreach_chain::Plant::DigestsForgotten));
+    let bug = Some(InjectedBug::Member(
+        woadreach_chain::Mutation::DigestsForgotten,
+    ));
     // One that has missed something is sent the whole state.
     let is_found = (0..3).any(|position| {
         play(Case {
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -6,9 +6,9 @@
 mod simulation;
 
 use simulation::cuts::{CutRun, play};
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 use simulation::history::Violation;
-use simulation::world::PlantedBug;
+use simulation::world::InjectedBug;
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
@@ -19,7 +19,7 @@
 
 fn play_runs(nodes: usize, fault_tolerance: usize) {
     let first = number("WOADREACH_SEED", 1);
-    let bug: Option<PlantedBug> = None;
+    let bug: Option<InjectedBug> = None;
     for seed in first..first + number("WOADREACH_RUNS", 50) {
         let finding = play(CutRun {
             seed,
@@ -55,10 +55,10 @@
     play_runs(5, 2);
 }
 
-#[cfg(feature = "plants")]
-fn is_found(plant: woadreach_chain::Plant) -> bool {
+#[cfg(feature = "mutations")]
+fn is_found(mutation: woadreach_chain::Mutation) -> bool {
     (1..=100).any(|seed| {
-        let bug = Some(PlantedBug::Member(plant));
+        let bug = Some(InjectedBug::Member(mutation));
         let finding = play(CutRun {
             seed,
             nodes: 3,
@@ -72,14 +72,14 @@
     })
 }
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 #[test]
 fn a_quorum_by_hearing_alone_is_found() {
-    assert!(is_found(woadreach_chain::Plant::QuorumByHearing));
+    assert!(is_found(woadreach_chain::Mutation::QuorumByHearing));
 }
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 #[test]
 fn a_member_that_asks_for_the_state_where_nobody_hears_it_is_found() {
-    assert!(is_found(woadreach_chain::Plant::StateFromTheDeaf));
+    assert!(is_found(woadreach_chain::Mutation::StateFromTheDeaf));
 }
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -118,7 +118,7 @@
             oracle: Oracle::default(),
         };
         core.oracle.installed(&view, None);
-        core.plant(world, 0..world.machines);
+        core.mutation(world, 0..world.machines);
         core.greet_for_long(world);
         if world.inactive.is_empty() {
             core.settle(world);
@@ -138,17 +138,19 @@
         }
     }
 
-    #[cfg(feature = "plants")]
-    fn plant(&mut self, world: &World, machines: std::ops::Range<usize>) {
+    #[cfg(feature = "mutations")]
+    fn mutation(&mut self, world: &World, machines: std::ops::Range<usize>) {
         for index in machines {
-            if let Some(plant) = world.plant {
-                Arc::make_mut(&mut self.machines[index]).member.plant(plant);
+            if let Some(mutation) = world.mutation {
+                Arc::make_mut(&mut self.machines[index])
+                    .member
+                    .mutation(mutation);
             }
         }
     }
 
-    #[cfg(not(feature = "plants"))]
-    fn plant(&mut self, _: &World, _: std::ops::Range<usize>) {}
+    #[cfg(not(feature = "mutations"))]
+    fn mutation(&mut self, _: &World, _: std::ops::Range<usize>) {}
 
     fn sign_of_life(&self, from: usize) -> Envelope {
         let machine = &self.machines[from];
@@ -294,7 +296,7 @@
 
     fn start(&mut self, world: &World, index: usize, disk: Durable) {
         self.machines[index] = Arc::new(Machine::start(self.now, index, world.faults, disk));
-        self.plant(world, index..index + 1);
+        self.mutation(world, index..index + 1);
     }
 
     pub fn leave(&mut self, world: &World, index: usize) {
--- a/crates/tier/chain/tests/member_model/main.rs
+++ b/crates/tier/chain/tests/member_model/main.rs
@@ -39,8 +39,8 @@
         most: NOTHING,
         identity_survives: false,
         is_recovery_checked: false,
-        #[cfg(feature = "plants")]
-        plant: None,
+        #[cfg(feature = "mutations")]
+        mutation: None,
     }
 }
 
@@ -351,12 +351,12 @@
         victims: vec![0],
         ..three()
     };
-    assert!(search("planted: old identity", world, 20).is_some());
+    assert!(search("mutated: old identity", world, 20).is_some());
 }
 
-#[cfg(feature = "plants")]
-mod plants {
-    use woadreach_chain::Plant;
+#[cfg(feature = "mutations")]
+mod mutations {
+    use woadreach_chain::Mutation;
 
     use super::*;
 
@@ -367,16 +367,16 @@
             crashes: 1,
             ..NOTHING
         };
-        let plant = Some(Plant::AcknowledgeBeforeSync);
+        let mutation = Some(Mutation::AcknowledgeBeforeSync);
         let world = World {
             most,
-            plant,
+            mutation,
             slow_disks: vec![0],
             victims: vec![0],
             proposers: vec![0],
             ..three()
         };
-        assert!(search("planted: said before the sync", world, 15).is_some());
+        assert!(search("mutated: said before the sync", world, 15).is_some());
     }
 
     #[test]
@@ -387,14 +387,14 @@
             reads: 1,
             ..NOTHING
         };
-        let plant = Some(Plant::ReadWithoutBarrier);
+        let mutation = Some(Mutation::ReadWithoutBarrier);
         let world = World {
             most,
-            plant,
+            mutation,
             proposers: vec![1],
             ..three()
         };
-        assert!(search("planted: no barrier", world, 18).is_some());
+        assert!(search("mutated: no barrier", world, 18).is_some());
     }
 
     #[test]
@@ -406,10 +406,10 @@
         };
         let world = World {
             most,
-            plant: Some(Plant::NoEpochCheck),
+            mutation: Some(Mutation::NoEpochCheck),
             proposers: vec![1, 2],
             ..three()
         };
-        assert!(search("planted: any epoch", world, 17).is_some());
+        assert!(search("mutated: any epoch", world, 17).is_some());
     }
 }
--- a/crates/tier/chain/tests/member_model/world.rs
+++ b/crates/tier/chain/tests/member_model/world.rs
@@ -26,12 +26,12 @@
     /// Machines that may be killed or wiped.
     pub victims: Vec<usize>,
     pub most: Counts,
-    /// Planted: a member that lost its disk keeps its identity.
+    /// Mutated: a member that lost its disk keeps its identity.
     pub identity_survives: bool,
     /// Whether each state must lead back to service once everyone is up and every message comes.
     pub is_recovery_checked: bool,
-    #[cfg(feature = "plants")]
-    pub plant: Option<woadreach_chain::Plant>,
+    #[cfg(feature = "mutations")]
+    pub mutation: Option<woadreach_chain::Mutation>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/tier/chain/tests/model.rs
+++ b/crates/tier/chain/tests/model.rs
@@ -11,9 +11,9 @@
 use woadreach_chain::{Candidate, MemberId, Place, Policy, Stamp, Tolerance, View, next_view};
 
 const MEMBERS: usize = 3;
-/// What a planted fault leaves out.
+/// What a mutated fault leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum Mutated {
     Nothing,
     /// A member that lost its disk keeps its identity and its place.
     Identity,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct SmallWorld {
-    planted: Planted,
+    mutated: Mutated,
     /// Views that may be decided after the first.
     views: u64,
     writes: u8,
@@ -280,7 +280,7 @@
                 let node = &mut next.nodes[index];
                 node.log.clear();
                 node.sealed = 0;
-                if self.planted != Planted::Identity {
+                if self.mutated != Mutated::Identity {
                     node.identity = 20 + index as u64;
                     node.active = 0;
                 }
@@ -315,7 +315,7 @@
 #[test]
 fn the_small_world_keeps_what_it_committed() {
     let world = SmallWorld {
-        planted: Planted::Nothing,
+        mutated: Mutated::Nothing,
         views: 2,
         writes: 2,
     };
@@ -327,9 +327,9 @@
         .assert_properties();
 }
 
-fn is_found(planted: Planted) -> bool {
+fn is_found(mutated: Mutated) -> bool {
     let world = SmallWorld {
-        planted,
+        mutated,
         views: 3,
         writes: 1,
     };
@@ -344,5 +344,5 @@
 
 #[test]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    assert!(is_found(Planted::Identity));
+    assert!(is_found(Mutated::Identity));
 }
--- a/crates/tier/chain/tests/plants.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -1,16 +1,16 @@
-//! Each planted bug is found within a bounded number of runs.
+//! Each injected bug is found within a bounded number of runs.
 
 mod simulation;
 
 use std::time::Duration;
 
 use simulation::faults::{Run, play, play_in, play_planned_work};
-use simulation::world::{PlantedBug, World};
-use woadreach_chain::{Plant, TAKEN_LIMIT};
+use simulation::world::{InjectedBug, World};
+use woadreach_chain::{Mutation, TAKEN_LIMIT};
 
-fn is_found_by_planned_work(plant: Plant, runs: u64) -> bool {
+fn is_found_by_planned_work(mutation: Mutation, runs: u64) -> bool {
     (1..=runs).any(|seed| {
-        let (length, bug) = (Duration::from_secs(30), Some(PlantedBug::Member(plant)));
+        let (length, bug) = (Duration::from_secs(30), Some(InjectedBug::Member(mutation)));
         let run = Run {
             seed,
             nodes: 3,
@@ -23,7 +23,7 @@
     })
 }
 
-fn is_found(bug: PlantedBug, runs: u64) -> bool {
+fn is_found(bug: InjectedBug, runs: u64) -> bool {
     (1..=runs).any(|seed| {
         let length = Duration::from_secs(12);
         let run = Run {
@@ -45,30 +45,36 @@
 #[test]
 fn acknowledging_before_the_sync_is_found() {
     assert!(is_found(
-        PlantedBug::Member(Plant::AcknowledgeBeforeSync),
+        InjectedBug::Member(Mutation::AcknowledgeBeforeSync),
         2000
     ));
 }
 
 #[test]
 fn a_view_without_epoch_check_is_found() {
-    assert!(is_found(PlantedBug::Member(Plant::NoEpochCheck), 2000));
+    assert!(is_found(InjectedBug::Member(Mutation::NoEpochCheck), 2000));
 }
 
 #[test]
 fn digests_forgotten_after_a_restart_are_found() {
-    assert!(is_found(PlantedBug::Member(Plant::DigestsForgotten), 2000));
+    assert!(is_found(
+        InjectedBug::Member(Mutation::DigestsForgotten),
+        2000
+    ));
 }
 
 #[test]
 fn refusing_a_change_on_a_future_base_is_found() {
-    assert!(is_found(PlantedBug::Member(Plant::RefusedFutureBase), 2000));
+    assert!(is_found(
+        InjectedBug::Member(Mutation::RefusedFutureBase),
+        2000
+    ));
 }
 
 #[test]
 fn refusing_before_the_commit_is_found() {
     assert!(is_found(
-        PlantedBug::Member(Plant::RefusedBeforeCommit),
+        InjectedBug::Member(Mutation::RefusedBeforeCommit),
         2000
     ));
 }
@@ -76,7 +82,7 @@
 #[test]
 fn acknowledging_a_repeat_before_the_commit_is_found() {
     assert!(is_found(
-        PlantedBug::Member(Plant::RepeatBeforeCommit),
+        InjectedBug::Member(Mutation::RepeatBeforeCommit),
         2000
     ));
 }
@@ -85,7 +91,7 @@
 fn refusing_a_forgotten_change_is_found() {
     let length = Duration::from_secs(6);
     let is_found_by = |seed| {
-        let bug = Some(PlantedBug::Member(Plant::RefusedForgotten));
+        let bug = Some(InjectedBug::Member(Mutation::RefusedForgotten));
         let mut world = World::new(seed, 3, 0, 1, bug);
         world.begin_after(TAKEN_LIMIT as u64 + 100);
         !play_in(world, length).violations.is_empty()
@@ -95,15 +101,15 @@
 
 #[test]
 fn a_member_that_ends_as_soon_as_it_is_told_to_stop_is_found() {
-    assert!(is_found_by_planned_work(Plant::LeavesAtOnce, 200));
+    assert!(is_found_by_planned_work(Mutation::LeavesAtOnce, 200));
 }
 
 #[test]
 fn a_member_that_ends_before_the_new_chain_has_the_state_is_found() {
-    assert!(is_found_by_planned_work(Plant::LeavesWithTheView, 200));
+    assert!(is_found_by_planned_work(Mutation::LeavesWithTheView, 200));
 }
 
 #[test]
 fn a_wiped_member_that_votes_is_found() {
-    assert!(is_found(PlantedBug::IdentitySurvivesWipe, 2000));
+    assert!(is_found(InjectedBug::IdentitySurvivesWipe, 2000));
 }
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -10,7 +10,7 @@
 
 use simulation::faults::play_in;
 use simulation::operator::{CallId, new_put};
-use simulation::world::{Event, PlantedBug, World};
+use simulation::world::{Event, InjectedBug, World};
 use woadreach_chain::{Command, PutConfiguration, Request, TAKEN_LIMIT};
 
 /// Operators whose orders these tests send; the world's own ones are the first two.
@@ -28,7 +28,7 @@
 }
 
 /// A calm world of three machines, without orders of its own.
-fn quiet_world(seed: u64, bug: Option<PlantedBug>) -> World {
+fn quiet_world(seed: u64, bug: Option<InjectedBug>) -> World {
     let mut world = World::new(seed, 3, 0, 1, bug);
     world.are_faults_over = true;
     world.operators.is_stopped = true;
@@ -83,7 +83,7 @@
     moment: Duration,
     position: usize,
     strike: Strike,
-    bug: Option<PlantedBug>,
+    bug: Option<InjectedBug>,
 ) -> World {
     let mut world = quiet_world(7, bug);
     let chain = world.nodes[0]
@@ -152,7 +152,7 @@
 }
 
 /// Every moment, member and way of losing it; which orders won, or the first thing that is wrong.
-fn race_at_each_moment(bug: Option<PlantedBug>) -> Result<BTreeSet<bool>, String> {
+fn race_at_each_moment(bug: Option<InjectedBug>) -> Result<BTreeSet<bool>, String> {
     let mut winners = BTreeSet::new();
     let moments = LONGEST_ORDER.as_micros() / GRID.as_micros();
     for (name, strike) in STRIKES {
@@ -175,16 +175,16 @@
     assert_eq!(race_at_each_moment(None), Ok(BTreeSet::from([false, true])));
 }
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 #[test]
 fn hasty_answers_are_found_at_some_moment() {
-    for plant in [
-        woadreach_chain::Plant::RefusedBeforeCommit,
-        woadreach_chain::Plant::RepeatBeforeCommit,
+    for mutation in [
+        woadreach_chain::Mutation::RefusedBeforeCommit,
+        woadreach_chain::Mutation::RepeatBeforeCommit,
     ] {
-        let found = race_at_each_moment(Some(PlantedBug::Member(plant)));
-        println!("{plant:?}: {found:?}");
-        assert!(found.is_err(), "{plant:?}");
+        let found = race_at_each_moment(Some(InjectedBug::Member(mutation)));
+        println!("{mutation:?}: {found:?}");
+        assert!(found.is_err(), "{mutation:?}");
     }
 }
 
--- a/crates/tier/chain/tests/simulation/cuts.rs
+++ b/crates/tier/chain/tests/simulation/cuts.rs
@@ -6,7 +6,7 @@
 
 use super::faults::{Finding, cut_off, finish};
 use super::history::Violation;
-use super::world::{PlantedBug, World};
+use super::world::{InjectedBug, World};
 
 /// A machine that says that it is in quorum has every configuration acknowledged so long ago.
 const LONGEST_LAG: Duration = Duration::from_millis(1500);
@@ -25,7 +25,7 @@
     pub seed: u64,
     pub nodes: usize,
     pub fault_tolerance: usize,
-    pub bug: Option<PlantedBug>,
+    pub bug: Option<InjectedBug>,
 }
 
 /// Plays a run and checks it.
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -4,7 +4,7 @@
 
 use super::history::Violation;
 use super::stops;
-use super::world::{Event, PlantedBug, World};
+use super::world::{Event, InjectedBug, World};
 
 /// A machine counts as lost for so long after its return.
 pub const CATCH_UP: Duration = Duration::from_millis(4100);
@@ -63,7 +63,7 @@
     pub zones: usize,
     pub fault_tolerance: usize,
     pub length: Duration,
-    pub bug: Option<PlantedBug>,
+    pub bug: Option<InjectedBug>,
 }
 
 /// What a run showed.
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -18,9 +18,9 @@
 
 /// A defence that a test switches off in every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedBug {
-    #[cfg(feature = "plants")]
-    Member(woadreach_chain::Plant),
+pub enum InjectedBug {
+    #[cfg(feature = "mutations")]
+    Member(woadreach_chain::Mutation),
     /// A machine keeps its identity although its disk is lost.
     IdentitySurvivesWipe,
 }
@@ -137,7 +137,7 @@
     pub loss: f64,
     pub history: History,
     pub operators: Operators,
-    pub bug: Option<PlantedBug>,
+    pub bug: Option<InjectedBug>,
     pub fault_tolerance: usize,
     /// Number of zones of which one may be lost; 0 if zones don't matter.
     pub zones: usize,
@@ -165,7 +165,7 @@
         nodes: usize,
         zones: usize,
         fault_tolerance: usize,
-        bug: Option<PlantedBug>,
+        bug: Option<InjectedBug>,
     ) -> World {
         let mut world = World {
             now: Duration::from_secs(1),
@@ -553,7 +553,7 @@
                 View::default()
             };
             let keeps_identity =
-                self.bug == Some(PlantedBug::IdentitySurvivesWipe) && !is_first_life;
+                self.bug == Some(InjectedBug::IdentitySurvivesWipe) && !is_first_life;
             if !keeps_identity {
                 self.nodes[node].identity = self.random.rand_u64() | 1;
             }
@@ -578,9 +578,9 @@
         let durable = Durable::decode(&disk.synced.encode()).expect("own snapshot");
         #[allow(unused_mut)]
         let mut member = Member::new(self.now, options, durable);
-        #[cfg(feature = "plants")]
-        if let Some(PlantedBug::Member(plant)) = self.bug {
-            member.plant(plant);
+        #[cfg(feature = "mutations")]
+        if let Some(InjectedBug::Member(mutation)) = self.bug {
+            member.mutation(mutation);
         }
         self.trace(|| format!("node {node} started as {:?}", member.id()));
         self.nodes[node].member = Some(member);
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -1,5 +1,5 @@
 //! Three core machines with real drivers, journals and connections on loopback: orders that race at several
-//! machines at once, copies of each at two machines, and a head that ends with orders in hand. The planted
+//! machines at once, copies of each at two machines, and a head that ends with orders in hand. The mutated
 //! fault is a core whose machines don't know of each other.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -1,7 +1,7 @@
 //! Orders to empty storage machines in any order with the planner's changes of the view, losses of what is
 //! not committed, and copies of earlier orders; the decisions are the real ones.
 //!
-//! A script of numbers says what happens next. Two faults can be planted: the planner's view is put in place
+//! A script of numbers says what happens next. Two faults can be mutated: the planner's view is put in place
 //! without a look at the epoch that it was planned on, and an answer is given by what was judged before the
 //! barrier alone.
 
@@ -32,7 +32,7 @@
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum Mutated {
     Nothing,
     /// The planner's view replaces whichever view is there.
     Overwriting,
@@ -65,7 +65,7 @@
 
 /// The head of a core, the storage machines that announce themselves, and the operator.
 struct Scene {
-    planted: Planted,
+    mutated: Mutated,
     now: Instant,
     epoch: u64,
     committed: ControlState,
@@ -98,10 +98,10 @@
 }
 
 impl Scene {
-    fn new(planted: Planted) -> Scene {
+    fn new(mutated: Mutated) -> Scene {
         let now = Instant::now();
         let mut scene = Scene {
-            planted,
+            mutated,
             now,
             epoch: 1,
             committed: ControlState::default(),
@@ -177,7 +177,7 @@
                 }
             }
             Planner::Planned(mut put) => {
-                if self.planted == Planted::Overwriting {
+                if self.mutated == Mutated::Overwriting {
                     put.expected_epoch = self.latest.storage_epoch();
                     put.epoch = put.epoch.max(put.expected_epoch + 1);
                 }
@@ -242,7 +242,7 @@
                 // The barrier: what was judged is committed first.
                 self.commit();
                 let confirmed = judge_retire(stored(&self.committed).as_ref(), &node, TOLERATED);
-                let is_confirmed = confirmed == step || self.planted == Planted::NoSecondLook;
+                let is_confirmed = confirmed == step || self.mutated == Mutated::NoSecondLook;
                 if is_confirmed && let RetireStep::Answer(answer) = step {
                     self.told(&node, &answer);
                 }
@@ -320,8 +320,8 @@
     }
 }
 
-fn play(script: &[u16], planted: Planted) -> Scene {
-    let mut scene = Scene::new(planted);
+fn play(script: &[u16], mutated: Mutated) -> Scene {
+    let mut scene = Scene::new(mutated);
     for number in script {
         scene.happen(*number);
     }
@@ -329,11 +329,11 @@
 }
 
 /// Whether every script of `SCRIPTS` seeds is without a violation.
-fn is_sound(planted: Planted) -> bool {
+fn is_sound(mutated: Mutated) -> bool {
     (1..=SCRIPTS).all(|seed| {
-        let violations = play(&script(seed), planted).violations;
+        let violations = play(&script(seed), mutated).violations;
         if !violations.is_empty() {
-            println!("{planted:?}, seed {seed}: {violations:?}");
+            println!("{mutated:?}, seed {seed}: {violations:?}");
         }
         violations.is_empty()
     })
@@ -346,22 +346,22 @@
 
 #[test]
 fn an_order_that_was_taken_is_never_refused_or_forgotten() {
-    assert!(is_sound(Planted::Nothing));
+    assert!(is_sound(Mutated::Nothing));
 }
 
 #[test]
 fn a_planner_that_overwrites_is_found() {
-    assert!(!is_sound(Planted::Overwriting));
+    assert!(!is_sound(Mutated::Overwriting));
 }
 
 #[test]
 fn an_answer_by_what_was_judged_before_the_barrier_is_found() {
-    assert!(!is_sound(Planted::NoSecondLook));
+    assert!(!is_sound(Mutated::NoSecondLook));
 }
 
 #[test]
 fn machines_are_emptied_in_these_runs() {
-    let emptied = |seed| play(&script(seed), Planted::Nothing).succeeded.len();
+    let emptied = |seed| play(&script(seed), Mutated::Nothing).succeeded.len();
     let emptied: usize = (1..=SCRIPTS).map(emptied).sum();
     assert!(emptied > 100, "{emptied}");
 }
--- a/crates/tier/journal/tests/engine.rs
+++ b/crates/tier/journal/tests/engine.rs
@@ -150,7 +150,7 @@
         let kept = Engine::open(Box::new(disk.clone()), MAX_BYTES);
         lost += u32::from(!matches!(kept, Ok((_, found)) if found.records == [vec![1]]));
     }
-    assert!(lost > 10, "only {lost} of 50 runs noticed the plant");
+    assert!(lost > 10, "only {lost} of 50 runs noticed the mutation");
 }
 
 quickcheck! {
--- a/crates/tier/proxy/src/attempt.rs
+++ b/crates/tier/proxy/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt: a request at one replica.
 
-use crate::plants::{Plant, planted};
+use crate::mutations::{Mutation, mutated};
 use crate::replica_answer::{ConnectionReuse, HeadVerdict, connection_reuse, judge, server_load};
 use crate::replica_connection::{ConnectionNumber, SendFailure};
 use crate::replica_pool::{PooledConnection, ReplicaPool};
@@ -150,7 +150,7 @@
     for _ in 0..STALE_CONNECTIONS {
         let taken = {
             let carried = request.carried_by.lock();
-            let carried: &[ConnectionNumber] = if planted(Plant::CarriedTwice) {
+            let carried: &[ConnectionNumber] = if mutated(Mutation::CarriedTwice) {
                 &[]
             } else {
                 &carried
@@ -290,7 +290,7 @@
     let mut first: Option<Bytes> = None;
     let mut joined = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        if planted(Plant::CutIsWhole) && frame.is_err() {
+        if mutated(Mutation::CutIsWhole) && frame.is_err() {
             break;
         }
         let Ok(data) = frame.ok()?.into_data() else {
--- a/crates/tier/proxy/src/client_request.rs
+++ b/crates/tier/proxy/src/client_request.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use woadreach_scheduler::{Call, CallId, CallKind};
 use woadreach_config::{Route, RouteType};
+use woadreach_scheduler::{Call, CallId, CallKind};
 
 /// The request with its route.
 pub struct ClientRequest {
--- a/crates/tier/proxy/src/knowledge.rs
+++ b/crates/tier/proxy/src/knowledge.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use woadreach_scheduler::{EngineSpec, ReplicaSpec, ServiceSpec};
 use woadreach_config::{ClientLimits, Configuration, Route, RouteTable};
 use woadreach_discovery::{ControlSnapshot, ReplicaRecord, ReplicaState};
+use woadreach_scheduler::{EngineSpec, ReplicaSpec, ServiceSpec};
 
 /// Connections to one replica of a service that is not configured.
 const DEFAULT_MAX_CONNS: u32 = 64;
--- a/crates/tier/proxy/src/plants.rs
+++ b/crates/tier/proxy/src/mutations.rs
@@ -1,9 +1,9 @@
 //! Defences that tests switch off, to show that the oracle of the connections finds what they prevent.
-//! Without the feature `plants`, which no release build has, none can be switched.
+//! Without the feature `mutations`, which no release build has, none can be switched.
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// The check of an answer's `Request-Id`.
     AnyId,
     /// The bar on a second send of a request over one connection.
@@ -16,32 +16,32 @@
     AnyFailurePasses,
 }
 
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutations")]
 mod on {
-    use super::Plant;
+    use super::Mutation;
     use std::cell::Cell;
 
     thread_local! {
-        static PLANTED: Cell<Option<Plant>> = const { Cell::new(None) };
+        static ACTIVE: Cell<Option<Mutation>> = const { Cell::new(None) };
     }
 
     /// Switches a defence off for this thread, and the one before on.
-    pub fn plant(plant: Option<Plant>) {
-        PLANTED.set(plant);
+    pub fn mutation(mutation: Option<Mutation>) {
+        ACTIVE.set(mutation);
     }
 
     /// Whether this defence is switched off on this thread.
-    pub fn planted(plant: Plant) -> bool {
-        PLANTED.get() == Some(plant)
+    pub fn mutated(mutation: Mutation) -> bool {
+        ACTIVE.get() == Some(mutation)
     }
 }
 
-#[cfg(feature = "plants")]
-pub use on::{plant, planted};
+#[cfg(feature = "mutations")]
+pub use on::{mutated, mutation};
 
 /// Whether this defence is switched off: never, in this build.
-#[cfg(not(feature = "plants"))]
+#[cfg(not(feature = "mutations"))]
 #[inline(always)]
-pub const fn planted(_: Plant) -> bool {
+pub const fn mutated(_: Mutation) -> bool {
     false
 }
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::watch;
-use woadreach_scheduler::Admission;
 use woadreach_discovery::ControlSnapshot;
+use woadreach_scheduler::Admission;
 use woadreach_storage::StorageClient;
 
 /// Part of the process's memory that the bodies of requests being read may fill.
--- a/crates/tier/proxy/src/replica_answer.rs
+++ b/crates/tier/proxy/src/replica_answer.rs
@@ -1,6 +1,6 @@
 //! What the head of a replica's answer means.
 
-use crate::plants::{Plant, planted};
+use crate::mutations::{Mutation, mutated};
 use crate::request_headers::REQUEST_ID;
 use http::header::{
     CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, RETRY_AFTER,
@@ -38,7 +38,7 @@
         .headers
         .get(&REQUEST_ID)
         .is_some_and(|id| id.as_bytes() == request_id.as_bytes());
-    let answers = answers || planted(Plant::AnyId);
+    let answers = answers || mutated(Mutation::AnyId);
     if !answers || head.status.is_informational() {
         return HeadVerdict::Foreign;
     }
@@ -74,7 +74,7 @@
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::PAYMENT_REQUIRED,
     ];
-    promises.contains(&status) && !planted(Plant::AnyFailurePasses)
+    promises.contains(&status) && !mutated(Mutation::AnyFailurePasses)
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<f64> {
--- a/crates/tier/proxy/src/replica_connection.rs
+++ b/crates/tier/proxy/src/replica_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a replica.
 
 use crate::deadline::within;
-use crate::plants::{Plant, planted};
+use crate::mutations::{Mutation, mutated};
 use bytes::Bytes;
 use http::Request;
 use http_body_util::Full;
@@ -142,7 +142,10 @@
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut error| {
             let nothing_left = self.written.load(Ordering::Relaxed) == written_before;
-            match error.take_message().is_some() || nothing_left || planted(Plant::BrokenIsUnsent) {
+            match error.take_message().is_some()
+                || nothing_left
+                || mutated(Mutation::BrokenIsUnsent)
+            {
                 true => SendFailure::NotSent,
                 false => SendFailure::Broken,
             }
--- a/crates/tier/proxy/tests/connection_plants.rs
+++ b/crates/tier/proxy/tests/connection_mutations.rs
@@ -3,12 +3,12 @@
 mod faulty_tier;
 mod support;
 
-use woadreach_proxy::plants::{Plant, plant};
+use woadreach_proxy::mutations::{Mutation, mutation};
 
 const SEEDS: u64 = 200;
 
-fn first_broken(planted: Plant, rule: &str) {
-    plant(Some(planted));
+fn first_broken(mutated: Mutation, rule: &str) {
+    mutation(Some(mutated));
     let found = (0..SEEDS).find(|seed| {
         let outcome = faulty_tier::play(*seed);
         assert!(!outcome.counts.is_empty(), "nothing was asked");
@@ -17,31 +17,31 @@
             .iter()
             .any(|violation| violation.starts_with(rule))
     });
-    println!("{planted:?}: {rule} at seed {found:?}");
-    assert!(found.is_some(), "{planted:?} was not found");
+    println!("{mutated:?}: {rule} at seed {found:?}");
+    assert!(found.is_some(), "{mutated:?} was not found");
 }
 
 #[test]
 fn an_answer_of_any_id_is_found() {
-    first_broken(Plant::AnyId, "MIXED");
+    first_broken(Mutation::AnyId, "MIXED");
 }
 
 #[test]
 fn a_request_that_a_connection_carries_twice_is_found() {
-    first_broken(Plant::CarriedTwice, "TWICE");
+    first_broken(Mutation::CarriedTwice, "TWICE");
 }
 
 #[test]
 fn a_request_sent_again_after_a_reset_is_found() {
-    first_broken(Plant::BrokenIsUnsent, "TWICE");
+    first_broken(Mutation::BrokenIsUnsent, "TWICE");
 }
 
 #[test]
 fn an_answer_cut_short_that_looks_whole_is_found() {
-    first_broken(Plant::CutIsWhole, "MIXED");
+    first_broken(Mutation::CutIsWhole, "MIXED");
 }
 
 #[test]
 fn a_failure_that_promises_too_much_is_found() {
-    first_broken(Plant::AnyFailurePasses, "REFUSED");
+    first_broken(Mutation::AnyFailurePasses, "REFUSED");
 }
--- a/crates/tier/proxy/tests/early_answers.rs
+++ b/crates/tier/proxy/tests/early_answers.rs
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
-use woadreach_scheduler::Outcome;
 use woadreach_proxy::attempt::{AttemptReport, AttemptResult, OutgoingRequest, SendOrder, attempt};
 use woadreach_proxy::replica_pool::ReplicaPool;
+use woadreach_scheduler::Outcome;
 
 /// More than the system's buffers take, so that most of it waits until the replica reads on.
 const BODY_BYTES: usize = 12 << 20;
--- a/crates/tier/proxy/tests/replica_answer.rs
+++ b/crates/tier/proxy/tests/replica_answer.rs
@@ -3,10 +3,10 @@
 use http::response::Parts;
 use http::{Response, Version};
 use std::time::Duration;
-use woadreach_scheduler::{Outcome, ServerLoad};
 use woadreach_proxy::replica_answer::{
     ConnectionReuse, HeadVerdict, connection_reuse, is_promise, judge, server_load,
 };
+use woadreach_scheduler::{Outcome, ServerLoad};
 
 fn head(status: u16, headers: &[(&str, &str)]) -> Parts {
     let mut builder = Response::builder().status(status);
--- a/crates/tier/proxy/tests/request_headers.rs
+++ b/crates/tier/proxy/tests/request_headers.rs
@@ -3,8 +3,8 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use quickcheck::QuickCheck;
 use std::time::Duration;
-use woadreach_scheduler::PrefixPart;
 use woadreach_proxy::request_headers::{HeaderError, RequestFacts, TokenUsage, end_to_end_headers};
+use woadreach_scheduler::PrefixPart;
 
 fn headers(lines: &[(&'static str, &str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -3,8 +3,8 @@
 use crate::connection::{FrameReader, QUEUE, tune, write_frames};
 use crate::error::CallError;
 use crate::frame::{Frame, FrameKind, LONGEST_BODY, ServiceId};
-#[cfg(feature = "plants")]
-use crate::plants::Plant;
+#[cfg(feature = "mutations")]
+use crate::mutations::Mutation;
 use bytes::Bytes;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
@@ -42,8 +42,8 @@
     connections: Mutex<BTreeMap<SocketAddr, Arc<Connection>>>,
     /// Number of the next call, whatever its connection: no response can fit another call.
     next_number: AtomicU64,
-    #[cfg(feature = "plants")]
-    plant: Mutex<Option<Plant>>,
+    #[cfg(feature = "mutations")]
+    mutation: Mutex<Option<Mutation>>,
 }
 
 /// The responses that are awaited on one connection.
@@ -60,7 +60,7 @@
     received: AtomicU64,
     /// It has fallen silent: later calls go over a new one.
     abandoned: AtomicBool,
-    #[cfg(feature = "plants")]
+    #[cfg(feature = "mutations")]
     takes_any_number: bool,
 }
 
@@ -84,8 +84,8 @@
             options,
             connections: Mutex::default(),
             next_number: AtomicU64::new(1),
-            #[cfg(feature = "plants")]
-            plant: Mutex::default(),
+            #[cfg(feature = "mutations")]
+            mutation: Mutex::default(),
         };
         Client {
             shared: Arc::new(shared),
@@ -93,14 +93,14 @@
     }
 
     /// Switches a defence off.
-    #[cfg(feature = "plants")]
-    pub fn plant(&self, plant: Plant) {
-        *self.shared.plant.lock() = Some(plant);
+    #[cfg(feature = "mutations")]
+    pub fn mutation(&self, mutation: Mutation) {
+        *self.shared.mutation.lock() = Some(mutation);
     }
 
-    #[cfg(feature = "plants")]
-    fn has_plant(&self, plant: Plant) -> bool {
-        *self.shared.plant.lock() == Some(plant)
+    #[cfg(feature = "mutations")]
+    fn has_mutation(&self, mutation: Mutation) -> bool {
+        *self.shared.mutation.lock() == Some(mutation)
     }
 
     /// Sends a request and waits for its response. It is sent once at most.
@@ -114,11 +114,11 @@
         if body.len() > LONGEST_BODY {
             return Err(CallError::TooLong);
         }
-        #[cfg(feature = "plants")]
+        #[cfg(feature = "mutations")]
         let again = body.clone();
         let result = self.call_once(address, service, body, timeout).await;
-        #[cfg(feature = "plants")]
-        if result == Err(CallError::Broken) && self.has_plant(Plant::SentAgain) {
+        #[cfg(feature = "mutations")]
+        if result == Err(CallError::Broken) && self.has_mutation(Mutation::SentAgain) {
             return self.call_once(address, service, again, timeout).await;
         }
         result
@@ -190,8 +190,8 @@
             awaited: Mutex::default(),
             received: AtomicU64::new(0),
             abandoned: AtomicBool::new(false),
-            #[cfg(feature = "plants")]
-            takes_any_number: self.has_plant(Plant::AnyNumber),
+            #[cfg(feature = "mutations")]
+            takes_any_number: self.has_mutation(Mutation::AnyNumber),
         });
         connections.insert(address, connection.clone());
         tokio::spawn(run(
@@ -234,7 +234,7 @@
         };
         let mut awaited = self.awaited.lock();
         let call = awaited.calls.remove(&frame.number);
-        #[cfg(feature = "plants")]
+        #[cfg(feature = "mutations")]
         let call = match call {
             None if self.takes_any_number => awaited.calls.pop_first().map(|(_, call)| call),
             of_its_number => of_its_number,
--- a/crates/tier/rpc/src/lib.rs
+++ b/crates/tier/rpc/src/lib.rs
@@ -12,15 +12,15 @@
 mod connection;
 mod error;
 mod frame;
-#[cfg(feature = "plants")]
-mod plants;
+#[cfg(feature = "mutations")]
+mod mutations;
 mod rejected;
 mod server;
 
 pub use client::{Client, ClientOptions};
 pub use error::CallError;
 pub use frame::{Frame, FrameError, FrameKind, LONGEST_BODY, ServiceId};
-#[cfg(feature = "plants")]
-pub use plants::Plant;
+#[cfg(feature = "mutations")]
+pub use mutations::Mutation;
 pub use rejected::RejectedRequests;
 pub use server::{Router, serve};
--- a/crates/tier/rpc/src/plants.rs
+++ b/crates/tier/rpc/src/mutations.rs
@@ -3,7 +3,7 @@
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// A response without a call of its number is given to another call of its connection.
     AnyNumber,
     /// A call whose connection broke is sent once more.
--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -6,7 +6,7 @@
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::view::{plan, retire};
 
-use super::world::Plant;
+use super::world::Mutation;
 
 pub struct Core {
     base: Instant,
@@ -31,8 +31,13 @@
     }
 
     /// The next view, if there is one.
-    pub fn plan(&mut self, now: Duration, tolerated: usize, plant: Plant) -> Option<StorageView> {
-        if plant == Plant::JointEpochEndsEarly
+    pub fn plan(
+        &mut self,
+        now: Duration,
+        tolerated: usize,
+        mutation: Mutation,
+    ) -> Option<StorageView> {
+        if mutation == Mutation::JointEpochEndsEarly
             && let Some(next) = self.committed.next.clone()
         {
             let mut view = self.committed.clone();
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -12,7 +12,7 @@
 use woadreach_storage::{StorageMember, StorageView};
 
 use super::stops::Stop;
-use super::world::Plant;
+use super::world::Mutation;
 
 const MAX_BYTES: u64 = 64 << 20;
 
@@ -108,10 +108,16 @@
     }
 
     /// Starts the process on what the disk holds.
-    pub fn start(&mut self, now: Duration, tolerated: usize, random: &mut Rand64, plant: Plant) {
+    pub fn start(
+        &mut self,
+        now: Duration,
+        tolerated: usize,
+        random: &mut Rand64,
+        mutation: Mutation,
+    ) {
         self.incarnation += 1;
-        self.disk.set_fault(match plant {
-            Plant::EndBeforeSync => DiskFault::IgnoresSync,
+        self.disk.set_fault(match mutation {
+            Mutation::EndBeforeSync => DiskFault::IgnoresSync,
             _ => DiskFault::Healthy,
         });
         let opened = Engine::open(Box::new(self.disk.clone()), MAX_BYTES);
@@ -127,7 +133,7 @@
         let recovered =
             Member::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
         let member = recovered.unwrap_or_else(|| {
-            if plant != Plant::WipedMachineCounts || self.identity == 0 {
+            if mutation != Mutation::WipedMachineCounts || self.identity == 0 {
                 self.identity = random.rand_u64();
             }
             let (member, record) = Member::create(self.node.clone(), self.identity, tolerated);
@@ -172,15 +178,15 @@
         now: Duration,
         mut request: Request,
         call: u64,
-        plant: Plant,
+        mutation: Mutation,
     ) -> Option<Response> {
         let process = self.process.as_mut()?;
-        if plant == Plant::Unfenced {
+        if mutation == Mutation::Unfenced {
             request.fence.epoch = request.fence.epoch.max(process.member.view().epoch);
         }
         let is_reserve = matches!(request.operation, Operation::Reserve { .. });
         let step = process.member.handle(now, request);
-        if plant == Plant::ReservationInMemory
+        if mutation == Mutation::ReservationInMemory
             && is_reserve
             && let Step::Persist { pending, .. } = step
         {
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -16,24 +16,24 @@
 mod world;
 
 use parking_lot::Mutex;
-use world::{Plant, World};
+use world::{Mutation, World};
 
 /// Seeds of an ordinary test run; `STORAGE_SEEDS` plays more.
 const SEEDS: u64 = 300;
-/// Seeds within which each planted bug must be found.
-const PLANT_SEEDS: u64 = 600;
+/// Seeds within which each injected bug must be found.
+const MUTATION_SEEDS: u64 = 600;
 
-fn violation(seed: u64, plant: Plant) -> Option<String> {
-    World::new(seed, plant).run().err()
+fn violation(seed: u64, mutation: Mutation) -> Option<String> {
+    World::new(seed, mutation).run().err()
 }
 
-fn violation_with_final_fault(seed: u64, plant: Plant) -> Option<String> {
-    World::new(seed, plant).with_final_fault().run().err()
+fn violation_with_final_fault(seed: u64, mutation: Mutation) -> Option<String> {
+    World::new(seed, mutation).with_final_fault().run().err()
 }
 
 /// Plays seeds from `first` on several threads until one finds a violation.
-fn first_violation(first: u64, count: u64, plant: Plant) -> Option<(u64, String)> {
-    first_violation_of(first, count, |seed| violation(seed, plant))
+fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<(u64, String)> {
+    first_violation_of(first, count, |seed| violation(seed, mutation))
 }
 
 fn first_violation_of(
@@ -71,7 +71,7 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    if let Some((seed, violation)) = first_violation(first, count, Plant::None) {
+    if let Some((seed, violation)) = first_violation(first, count, Mutation::None) {
         panic!("seed {seed}: {violation}");
     }
 }
@@ -87,7 +87,7 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let violation = |seed| violation_with_final_fault(seed, Plant::None);
+    let violation = |seed| violation_with_final_fault(seed, Mutation::None);
     if let Some((seed, violation)) = first_violation_of(first, count, violation) {
         panic!("seed {seed}: {violation}");
     }
@@ -95,59 +95,59 @@
 
 #[test]
 fn bugs_that_a_final_fault_brings_out_are_found() {
-    for plant in [
-        Plant::EndBeforeSync,
-        Plant::OneCopyTooFew,
-        Plant::ReservationInMemory,
+    for mutation in [
+        Mutation::EndBeforeSync,
+        Mutation::OneCopyTooFew,
+        Mutation::ReservationInMemory,
     ] {
-        let violation = |seed| violation_with_final_fault(seed, plant);
-        let found = first_violation_of(0, PLANT_SEEDS, violation);
+        let violation = |seed| violation_with_final_fault(seed, mutation);
+        let found = first_violation_of(0, MUTATION_SEEDS, violation);
         assert!(
             found.is_some(),
-            "{plant:?} was not found in {PLANT_SEEDS} runs"
+            "{mutation:?} was not found in {MUTATION_SEEDS} runs"
         );
     }
 }
 
-fn assert_found(plant: Plant, first: u64) {
-    let found = first_violation(first, PLANT_SEEDS, plant);
+fn assert_found(mutation: Mutation, first: u64) {
+    let found = first_violation(first, MUTATION_SEEDS, mutation);
     assert!(
         found.is_some(),
-        "{plant:?} was not found in {PLANT_SEEDS} runs from {first}"
+        "{mutation:?} was not found in {MUTATION_SEEDS} runs from {first}"
     );
 }
 
 #[test]
 fn an_end_before_the_sync_is_found() {
-    assert_found(Plant::EndBeforeSync, 0);
+    assert_found(Mutation::EndBeforeSync, 0);
 }
 
 #[test]
 fn one_copy_too_few_is_found() {
-    assert_found(Plant::OneCopyTooFew, 0);
+    assert_found(Mutation::OneCopyTooFew, 0);
 }
 
 #[test]
 fn reservations_in_memory_only_are_found() {
-    assert_found(Plant::ReservationInMemory, 100);
+    assert_found(Mutation::ReservationInMemory, 100);
 }
 
 #[test]
 fn a_joint_epoch_that_ends_too_early_is_found() {
-    assert_found(Plant::JointEpochEndsEarly, 350);
+    assert_found(Mutation::JointEpochEndsEarly, 350);
 }
 
 #[test]
 fn a_wiped_machine_that_counts_at_once_is_found() {
-    assert_found(Plant::WipedMachineCounts, 0);
+    assert_found(Mutation::WipedMachineCounts, 0);
 }
 
 #[test]
 fn an_unfenced_machine_is_found() {
-    assert_found(Plant::Unfenced, 500);
+    assert_found(Mutation::Unfenced, 500);
 }
 
 #[test]
 fn a_machine_that_ends_as_soon_as_it_is_told_to_stop_is_found() {
-    assert_found(Plant::StopsAtOnce, 0);
+    assert_found(Mutation::StopsAtOnce, 0);
 }
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::faults::{CATCH_UP, Fault};
-use super::world::{Event, Plant, World};
+use super::world::{Event, Mutation, World};
 
 /// From the order to stop to the kill.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
@@ -136,6 +136,7 @@
 
     fn may_end(&self, index: usize) -> bool {
         let process = self.machines[index].process.as_ref();
-        self.plant == Plant::StopsAtOnce || process.is_some_and(|process| process.member.may_end())
+        self.mutation == Mutation::StopsAtOnce
+            || process.is_some_and(|process| process.member.may_end())
     }
 }
--- a/crates/tier/storage/tests/simulation/world.rs
+++ b/crates/tier/storage/tests/simulation/world.rs
@@ -21,9 +21,9 @@
 use super::oracle::{Attempt, Oracle};
 use super::proxy::{Job, JobId, Proxy, Purpose, Read, ReadFailure, Work};
 
-/// Planted bug.
+/// Mutated bug.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     None,
     EndBeforeSync,
     OneCopyTooFew,
@@ -127,7 +127,7 @@
 pub struct World {
     pub now: Duration,
     pub random: Rand64,
-    pub plant: Plant,
+    pub mutation: Mutation,
     pub tolerated: usize,
     pub machines: Vec<Machine>,
     pub core: Core,
@@ -154,7 +154,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, plant: Plant) -> World {
+    pub fn new(seed: u64, mutation: Mutation) -> World {
         let mut random = Rand64::new(u128::from(seed));
         let tolerated = if random.rand_range(0..5) == 0 { 2 } else { 1 };
         let machines = 2 * tolerated + 1 + random.rand_range(0..2) as usize;
@@ -163,7 +163,7 @@
         let traffic = Duration::from_millis(random.rand_range(4_000..14_000));
         let mut world = World {
             now: Duration::ZERO,
-            plant,
+            mutation,
             tolerated,
             machines: Vec::new(),
             core: Core::new(Instant::now()),
@@ -290,7 +290,7 @@
         if self.machines[index].removed || self.machines[index].process.is_some() {
             return;
         }
-        self.machines[index].start(self.now, self.tolerated, &mut self.random, self.plant);
+        self.machines[index].start(self.now, self.tolerated, &mut self.random, self.mutation);
         let incarnation = self.machines[index].incarnation;
         self.after(
             MS,
@@ -550,7 +550,7 @@
         if self.machines[to].process.is_none() {
             return;
         }
-        let answer = self.machines[to].handle(now, request, call, self.plant);
+        let answer = self.machines[to].handle(now, request, call, self.mutation);
         if let Some(response) = answer {
             self.respond(to, call, response);
         }
@@ -672,7 +672,7 @@
         if self.committing || self.core.frozen {
             return;
         }
-        if let Some(view) = self.core.plan(self.now, self.tolerated, self.plant) {
+        if let Some(view) = self.core.plan(self.now, self.tolerated, self.mutation) {
             self.propose(view);
         }
     }
@@ -874,7 +874,7 @@
 
     fn start_write(&mut self, proxy: usize, purpose: Purpose, program: &str, operation: Operation) {
         let view = Arc::clone(&self.proxies[proxy].view);
-        let tolerated = if self.plant == Plant::OneCopyTooFew {
+        let tolerated = if self.mutation == Mutation::OneCopyTooFew {
             self.tolerated - 1
         } else {
             self.tolerated
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -10,7 +10,7 @@
 
 use stateright::{Checker, HasDiscoveries, Model};
 
-use self::tier::{Counts, Planted, World};
+use self::tier::{Counts, Mutated, World};
 
 const NOTHING: Counts = Counts {
     views: 0,
@@ -26,7 +26,7 @@
         current: 3,
         machines: 3,
         tolerated: 1,
-        planted: Planted::Nothing,
+        mutated: Mutated::Nothing,
         is_coarse: true,
         most,
         started: Instant::now(),
@@ -157,13 +157,13 @@
 }
 
 /// A machine joins while a turn is written.
-fn is_found(planted: Planted, most: Counts, actions: usize) -> bool {
+fn is_found(mutated: Mutated, most: Counts, actions: usize) -> bool {
     let world = World {
-        planted,
+        mutated,
         machines: 4,
         ..world(most)
     };
-    search(&format!("planted: {planted:?}"), world, actions).is_some()
+    search(&format!("mutated: {mutated:?}"), world, actions).is_some()
 }
 
 const JOIN: Counts = Counts {
@@ -178,7 +178,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn pages_before_the_seal_are_found() {
-    assert!(is_found(Planted::Seal, JOIN, 17));
+    assert!(is_found(Mutated::Seal, JOIN, 17));
 }
 
 #[test]
@@ -187,7 +187,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    assert!(is_found(Planted::Identity, Counts { wipes: 1, ..JOIN }, 17));
+    assert!(is_found(Mutated::Identity, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
@@ -196,7 +196,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_pull_that_is_not_whole_is_found() {
-    assert!(is_found(Planted::Pull, Counts { wipes: 1, ..JOIN }, 17));
+    assert!(is_found(Mutated::Pull, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
@@ -205,5 +205,5 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_write_without_the_next_quorum_is_found() {
-    assert!(is_found(Planted::NextQuorum, JOIN, 20));
+    assert!(is_found(Mutated::NextQuorum, JOIN, 20));
 }
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -21,9 +21,9 @@
 /// Silence after which the core drops a machine whatever else happens.
 const LONG_SILENCE: Duration = Duration::from_secs(8);
 
-/// What a planted fault leaves out.
+/// What a mutated fault leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum Mutated {
     Nothing,
     /// A source serves pages before it refuses writes under the view before.
     Seal,
@@ -42,7 +42,7 @@
     pub current: u8,
     pub machines: u8,
     pub tolerated: usize,
-    pub planted: Planted,
+    pub mutated: Mutated,
     /// Whether the core hears each announcement at once, and a machine pulls from all sources that answer at
     /// once.
     pub is_coarse: bool,
@@ -225,7 +225,7 @@
     fn write_in_hand(&self, world: &World) -> Option<Write> {
         let (request_id, answered) = self.write.as_ref()?;
         let mut view = self.views[self.proxy].clone();
-        if world.planted == Planted::NextQuorum {
+        if world.mutated == Mutated::NextQuorum {
             view.next = None;
         }
         let operation = put_operation(request_id);
@@ -284,7 +284,7 @@
         let source = Arc::clone(&self.machines[usize::from(from)]);
         let mut pages = Pages::default();
         while let Some(operation) = pages.next(&node) {
-            let epoch = if world.planted == Planted::Seal {
+            let epoch = if world.mutated == Mutated::Seal {
                 source.member.view().epoch
             } else {
                 epoch
@@ -480,7 +480,7 @@
                 let tolerated = self.tolerated;
                 next.machine(index).learn(&view, tolerated);
                 next.machine(index).finish_pull_if_complete();
-                if self.planted == Planted::Pull {
+                if self.mutated == Mutated::Pull {
                     let disk = next.machines[usize::from(index)].member.disk();
                     let sources = view.current.iter().filter(|source| source.disk != disk);
                     sources.for_each(|source| next.machine(index).finished_source(source.disk));
@@ -514,7 +514,7 @@
                 next.counts.wipes += 1;
                 let fresh = 10 * u64::from(next.counts.wipes) + u64::from(index);
                 let kept = next.machines[usize::from(index)].member.disk();
-                let disk = if self.planted == Planted::Identity {
+                let disk = if self.mutated == Mutated::Identity {
                     kept
                 } else {
                     fresh
