--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -22,12 +22,12 @@
     pub known: Option<events::List>,
     pub settings: woadreach_routing::api::Settings,
     pub names: Names,
-    pub core: core::Figures,
-    pub replicas: replicas::Figures,
+    pub core: core::CoreConfig,
+    pub replicas: replicas::ConnectionConfig,
     /// Before a move: the new shape to count against (`settings.watch`); decisions stay as before.
     pub watch: Option<woadreach_search_driver::watch::Shape>,
     /// Other co-ordinators to speak with; none where that is not allowed or not configured.
-    pub peers: Option<peers::Figures>,
+    pub peers: Option<peers::PeerConfig>,
     /// The file as it was read, but for what is of use once only.
     pub file: Value,
 }
@@ -132,7 +132,7 @@
             shards: need_number("/domain/slices")? as u64,
             marks_repeats: flag("/clients/marksRetry"),
         },
-        core: core::Figures {
+        core: core::CoreConfig {
             max_open: number("/limits/maxOpen").map_or(usize::MAX, |n| n as usize),
             // A quarter of the memory: a request is held as it came, and once more as it is worked on.
             max_bytes: (limit("memory_mb")? * 1024.0 * 1024.0 / 4.0) as usize,
@@ -145,7 +145,7 @@
                 .map(|n| n.as_u64().unwrap_or(0) as usize)
                 .collect(),
         },
-        replicas: replicas::Figures {
+        replicas: replicas::ConnectionConfig {
             streams_per_conn: need_number("/limits/streamsPerConn")? as usize,
             per_call: number("/domain/perCall").map_or(1, |n| (n as usize).max(1)),
             idle_close: need_number("/limits/idleCloseMs")? / 1000.0,
@@ -169,7 +169,7 @@
 /// `failover.regions` names the region of each zone, `failover.out` the zones that get nothing from here,
 /// `failover.near` keeps traffic near while that is safe, and `failover.on` switches all of it off;
 /// `duties.on` the duties that one co-ordinator holds for others.
-fn with_peers(all: &Value, set: &Value, seed: u64) -> Result<Option<peers::Figures>, String> {
+fn with_peers(all: &Value, set: &Value, seed: u64) -> Result<Option<peers::PeerConfig>, String> {
     let zones = names(set, "/localities", "");
     let known = |key: &str, zone: &str| {
         let of = || {
@@ -247,7 +247,7 @@
     let cold = number("/guarantees/tipMultiple").and(number("/guarantees/tipAfterMs"));
     let siblings = number("/siblings").unwrap_or(1.0).max(1.0) as usize;
     let cold = cold.map(|window| (siblings, window / 1000.0));
-    Ok(Some(peers::Figures {
+    Ok(Some(peers::PeerConfig {
         listen,
         roster,
         me,
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -19,7 +19,7 @@
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 use woadreach_search_driver::{PlanExecutor, SearchTable};
-use woadreach_zone_failover::Sight;
+use woadreach_zone_failover::ZoneObservation;
 
 /// What the settings say about hosting.
 pub struct CoreConfig {
@@ -663,7 +663,7 @@
         };
         let sent = self.hands.sent;
         let mut sights = ZoneObservations {
-            zones: vec![Sight::default(); *zones],
+            zones: vec![ZoneObservation::default(); *zones],
             sent,
             colds,
         };
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -179,7 +179,7 @@
         counts: 0.0,
         next_report: now + REPORT,
     };
-    let mut bytes = [0; datagram::MOST_BYTES + 1];
+    let mut bytes = [0; datagram::MAX_BYTES + 1];
     loop {
         let leases = task
             .duties
@@ -307,7 +307,7 @@
             kept.insert(*replica, (*so_far, times));
         }
         self.wants = kept;
-        self.peer.carried = duties.riders(now);
+        self.peer.role_messages = duties.riders(now);
         if !rations.is_empty() {
             // The core ends with the process.
             let _ = self
@@ -412,13 +412,13 @@
                 zone,
                 epoch = v.epoch,
                 out = v.out(),
-                strikes = v.strikes,
+                consecutive_failovers = v.consecutive_failovers,
                 seen = turn.seen,
                 bad = turn.bad,
                 "verdict"
             );
         }
-        if let (Some((from, bytes)), Some(duties)) = (&out.duties, &mut self.duties) {
+        if let (Some((from, bytes)), Some(duties)) = (&out.roles, &mut self.duties) {
             let done = duties.heard(self.net.now(), *from, bytes);
             self.carry_duties(done);
         }
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -4,7 +4,7 @@
 use crate::decide::{Turn, ZoneObservation, Zones};
 use std::collections::BTreeMap;
 use woadreach_membership::datagram::{self, Body, Rejection};
-use woadreach_membership::{Actions, Change, MemberId, Members, View};
+use woadreach_membership::{Actions, MemberId, Members, MembershipEvent, View};
 
 /// While something is about to change, reports go to so many others at each look beside the members' own
 /// datagrams. At 300 members each round reaches four times as many; with two of them eight plays at 10 %
@@ -34,18 +34,18 @@
 #[derive(Debug, Default)]
 pub struct Out {
     pub datagrams: Vec<(MemberId, Vec<u8>)>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<MembershipEvent>,
     pub turns: Vec<Turn>,
-    /// What a datagram said of duties, for whoever keeps them.
-    pub duties: Option<(MemberId, Vec<u8>)>,
+    /// What a datagram said of roles, for whoever keeps them.
+    pub roles: Option<(MemberId, Vec<u8>)>,
 }
 
 pub struct Peer {
     me: MemberId,
     pub members: Members,
     pub zones: Zones,
-    /// On duties, to go with every datagram; not for this package to read.
-    pub carried: Vec<u8>,
+    /// On roles, to go with every datagram; not for this package to read.
+    pub role_messages: Vec<u8>,
     next_push: f64,
     /// Since when something has been about to change, and when it last was.
     pressed: Option<(f64, f64)>,
@@ -58,7 +58,7 @@
             me,
             members,
             zones,
-            carried: Vec::new(),
+            role_messages: Vec::new(),
             next_push: 0.0,
             pressed: None,
             counts: PeerCounters::default(),
@@ -103,25 +103,25 @@
         };
         self.counts.taken += 1;
         // Counted where it is refused; the rest of the datagram holds all the same.
-        let _ = self.zones.heard(now, body.gossip);
-        let duties = (!body.duties.is_empty()).then(|| (body.from, body.duties.to_vec()));
+        let _ = self.zones.heard(now, body.zone_gossip);
+        let roles = (!body.roles.is_empty()).then(|| (body.from, body.roles.to_vec()));
         if body.swim.is_empty() {
             return Out {
-                duties,
+                roles,
                 ..Out::default()
             };
         }
         let acts = self.members.heard(now, body.swim);
         Out {
-            duties,
+            roles,
             ..self.out(now, acts)
         }
     }
 
-    /// A datagram on duties alone, which are sealed by whoever keeps them.
-    pub fn tell(&mut self, to: MemberId, duties: &[u8]) -> Out {
+    /// A datagram on roles alone, which are sealed by whoever keeps them.
+    pub fn tell(&mut self, to: MemberId, roles: &[u8]) -> Out {
         let mut out = Out::default();
-        self.seal(to, &[], &[], duties, &mut out);
+        self.seal(to, &[], &[], roles, &mut out);
         out
     }
 
@@ -161,7 +161,7 @@
             self.next_push = now + PUSH_LATER;
         }
         for to in self.members.some(to) {
-            let room = datagram::capacity_beside(self.carried.len());
+            let room = datagram::capacity_beside(self.role_messages.len());
             let gossip = self.zones.gossip(now, room, self.members.view());
             if !gossip.is_empty() {
                 self.send(to, &[], &gossip, out);
@@ -180,7 +180,7 @@
             ..Out::default()
         };
         for (to, message) in acts.send {
-            let room = datagram::capacity_beside(message.len() + self.carried.len());
+            let room = datagram::capacity_beside(message.len() + self.role_messages.len());
             let gossip = self.zones.gossip(now, room, self.members.view());
             self.send(to, &message, &gossip, &mut out);
         }
@@ -188,17 +188,17 @@
     }
 
     fn send(&mut self, to: MemberId, swim: &[u8], gossip: &[u8], out: &mut Out) {
-        let duties = std::mem::take(&mut self.carried);
-        self.seal(to, swim, gossip, &duties, out);
-        self.carried = duties;
+        let roles = std::mem::take(&mut self.role_messages);
+        self.seal(to, swim, gossip, &roles, out);
+        self.role_messages = roles;
     }
 
-    fn seal(&mut self, to: MemberId, swim: &[u8], gossip: &[u8], duties: &[u8], out: &mut Out) {
+    fn seal(&mut self, to: MemberId, swim: &[u8], gossip: &[u8], roles: &[u8], out: &mut Out) {
         if let Some(bytes) = datagram::encode(&Body {
             from: self.me,
             swim,
-            gossip,
-            duties,
+            zone_gossip: gossip,
+            roles,
         }) {
             self.counts.sent += 1;
             self.counts.bytes += bytes.len() as u64;
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -1,6 +1,6 @@
 //! What the module learns from what happens to attempts.
 
-use woadreach_routing::decide::outlier_detector::{EjectionRule, Observation};
+use woadreach_routing::decide::outlier_detector::{EjectionConfig, Observation};
 
 use crate::admission::Admission;
 use crate::call::CallId;
@@ -10,7 +10,7 @@
 use crate::replica::{Failure, FailureKind, InFlight};
 
 /// Half of the last eight outcomes at a replica, two at least, eject it (docs/design.md, exception 3).
-const EJECTION: EjectionRule = EjectionRule {
+const EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     least: 2,
 };
