--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -8,16 +8,16 @@
 use woadreach_routing::decide::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
 
-/// Where the steps of a plan go. `nth` numbers the sub-requests of a part.
+/// Where the steps of a plan go. `attempt_index` numbers the sub-requests of a part.
 pub trait PlanExecutor {
     fn note(&mut self, line: &str);
-    fn cancel(&mut self, part: PartId, nth: usize);
-    fn send(&mut self, search: &Search, placement: &Placement, nth: usize);
+    fn cancel(&mut self, part: PartId, attempt_index: usize);
+    fn send(&mut self, search: &Search, placement: &Placement, attempt_index: usize);
     fn reply(&mut self, search: &Search, reply: Reply);
     /// Call `SearchTable::due` for this search after `wait` seconds; earlier timers of it may still come.
     fn timer(&mut self, search: SearchId, wait: f64);
     /// The search is over and let go, answered or not.
-    fn over(&mut self, search: &Search);
+    fn finished(&mut self, search: &Search);
 }
 
 struct SearchInFlight {
@@ -59,22 +59,22 @@
     }
 
     /// What the tier has decided in common, or that this co-ordinator is alone.
-    pub fn zoning(&mut self, now: f64, told: Option<ZoneFailoverState>) {
-        self.balancer.zoning(now, told);
+    pub fn zone_failover(&mut self, now: f64, told: Option<ZoneFailoverState>) {
+        self.balancer.zone_failover(now, told);
     }
 
-    pub fn sights(&self, now: f64) -> Vec<ZoneHealth> {
-        self.balancer.sights(now)
+    pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
+        self.balancer.zone_health(now)
     }
 
     /// What was asked of each cold replica so far.
-    pub fn colds(&self, now: f64) -> Vec<SlowStartDemand> {
-        self.balancer.colds(now)
+    pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
+        self.balancer.slow_start_demands(now)
     }
 
     /// The tier has shared out what a cold replica bears.
-    pub fn ration(&mut self, replica: &ReplicaId, times: f64) {
-        self.balancer.ration(replica, times);
+    pub fn quota_share(&mut self, replica: &ReplicaId, times: f64) {
+        self.balancer.quota_share(replica, times);
     }
 
     /// Searches in hand, and their parts.
@@ -112,7 +112,7 @@
             step,
             answered: false,
             held: None,
-            subs: Vec::new(),
+            attempts: Vec::new(),
         };
         held.search.parts.push(part);
         self.by_part.insert(id, search);
@@ -177,7 +177,7 @@
             if let Some(id) = search {
                 self.settle(now, id, sink);
             }
-            plans.extend(plan.ask_again.into_iter().map(|next| (Some(next), None)));
+            plans.extend(plan.reconsider.into_iter().map(|next| (Some(next), None)));
         }
     }
 
@@ -185,7 +185,7 @@
         plan.notes.iter().for_each(|n| sink.note(n));
         plan.cancel
             .iter()
-            .for_each(|(part, nth)| sink.cancel(*part, *nth));
+            .for_each(|(part, attempt_index)| sink.cancel(*part, *attempt_index));
         let Some(search) = search
             .and_then(|id| self.searches.get(&id))
             .map(|h| &h.search)
@@ -194,19 +194,19 @@
         };
         for (i, s) in plan.send.iter().enumerate() {
             // The module has noted them all by now: this one stands before those that follow it.
-            let subs = search
+            let attempts = search
                 .parts
                 .iter()
                 .find(|p| p.id == s.part)
-                .map_or(0, |p| p.subs.len());
+                .map_or(0, |p| p.attempts.len());
             let later = plan.send[i..].iter().filter(|x| x.part == s.part).count();
-            sink.send(search, s, subs.saturating_sub(later));
+            sink.send(search, s, attempts.saturating_sub(later));
             if let (Some((shape, once, counts)), Some(part)) = (
                 &mut self.watch,
                 search.parts.iter().find(|p| p.id == s.part),
             ) {
                 let once = once.get(search.query_type.0).copied().unwrap_or(false);
-                shape.sent(part, subs.saturating_sub(later), once, counts);
+                shape.sent(part, attempts.saturating_sub(later), once, counts);
             }
         }
         if let Some(reply) = plan.reply {
@@ -222,7 +222,7 @@
         let Some(held) = self.searches.get_mut(&id) else {
             return;
         };
-        if held.search.over {
+        if held.search.finished {
             held.search
                 .parts
                 .iter()
@@ -230,7 +230,7 @@
                 .for_each(|p| {
                     self.by_part.remove(&p.id);
                 });
-            sink.over(&held.search);
+            sink.finished(&held.search);
             self.searches.remove(&id);
             return;
         }
--- a/crates/router/search-driver/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -42,8 +42,8 @@
                 Some("by_key") => Repeat::Tokened { window, any_holder },
                 _ => Repeat::NonIdempotent,
             },
-            need: row("/domain/classNeed", i).unwrap_or(1.0),
-            floor: row("/domain/classFloor", i).unwrap_or(1.0),
+            complete_weight: row("/domain/classNeed", i).unwrap_or(1.0),
+            minimum_weight: row("/domain/classFloor", i).unwrap_or(1.0),
             second_step: row("/domain/classFetch", i).unwrap_or(0.0) as usize,
         });
     }
@@ -59,11 +59,11 @@
         number("/guarantees/tipMultiple"),
         number("/guarantees/tipAfterMs"),
     ) {
-        (Some(tip_multiple), Some(after)) => Some(SlowStartConfig {
-            from: need_number("/guarantees/coldFrom")?,
-            time: need_number("/guarantees/coldMs")? / 1000.0,
-            tip_multiple,
-            tip_time: after / 1000.0,
+        (Some(overload_multiple), Some(after)) => Some(SlowStartConfig {
+            initial_capacity: need_number("/guarantees/coldFrom")?,
+            duration: need_number("/guarantees/coldMs")? / 1000.0,
+            overload_multiple,
+            overload_window: after / 1000.0,
         }),
         _ => None,
     };
@@ -73,16 +73,16 @@
     ) {
         (None, None) => None,
         (share, _) => Some(RetryBudgetConfig {
-            free: number("/guarantees/budgetFree").unwrap_or(0.0),
-            share: share.unwrap_or(0.0),
+            min_retries: number("/guarantees/budgetFree").unwrap_or(0.0),
+            ratio: share.unwrap_or(0.0),
             window: need_number("/guarantees/countedOverMs")? / 1000.0,
         }),
     };
     let advice = number("/limits/maxRetryAfterMs").map(|ms| ms / 1000.0);
     Ok(Settings {
         seed,
-        me: facts.pointer("/me").and_then(Value::as_u64),
-        siblings: (number("/siblings").unwrap_or(1.0) as usize)
+        coordinator_index: facts.pointer("/me").and_then(Value::as_u64),
+        coordinators: (number("/siblings").unwrap_or(1.0) as usize)
             .saturating_sub(usize::from(is_mutated("host-siblings")))
             .max(1),
         tick: need_number("/tickMs")? / 1000.0,
@@ -91,13 +91,13 @@
         over_share_value: number("/overShareWorth").unwrap_or(1.0),
         cells: need_number("/domain/sets")? as u64,
         span: number("/domain/span").unwrap_or(1.0) as u64,
-        per_call: number("/domain/perCall").unwrap_or(1.0) as usize,
-        sub_requests_cap: number("/limits/attemptsCap").map_or(usize::MAX, |n| n as usize),
-        late_send: number("/limits/connectTimeoutMs").unwrap_or(0.0) / 1000.0,
-        may_cancel: flag("/limits/cancelling"),
-        may_copy: flag("/limits/mayDuplicate"),
-        longest_retry_advice: advice.filter(|_| flag("/limits/retryAfter")),
-        cold,
-        budget,
+        parts_per_call: number("/domain/perCall").unwrap_or(1.0) as usize,
+        max_attempts: number("/limits/attemptsCap").map_or(usize::MAX, |n| n as usize),
+        max_send_delay: number("/limits/connectTimeoutMs").unwrap_or(0.0) / 1000.0,
+        cancellation_allowed: flag("/limits/cancelling"),
+        hedging_allowed: flag("/limits/mayDuplicate"),
+        max_retry_after: advice.filter(|_| flag("/limits/retryAfter")),
+        slow_start: cold,
+        retry_budget: budget,
     })
 }
--- a/crates/router/search-driver/src/watch.rs
+++ b/crates/router/search-driver/src/watch.rs
@@ -72,9 +72,9 @@
 }
 
 impl Shape {
-    /// WatchCounters a send, `nth` the sub-request's number in its part; `once` whether its query type is named.
-    pub fn sent(&self, part: &Part, nth: usize, once: bool, counts: &mut WatchCounters) {
-        let before = &part.subs[..nth.min(part.subs.len())];
+    /// WatchCounters a send, `attempt_index` the sub-request's number in its part; `once` whether its query type is named.
+    pub fn sent(&self, part: &Part, attempt_index: usize, once: bool, counts: &mut WatchCounters) {
+        let before = &part.attempts[..attempt_index.min(part.attempts.len())];
         if self.second_copies == Some(false) && before.iter().any(|s| s.ending.is_none()) {
             counts.second_copy += 1;
         }
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -16,7 +16,7 @@
         step: 1,
         answered: false,
         held: None,
-        subs: endings.iter().map(sub).collect(),
+        attempts: endings.iter().map(sub).collect(),
     }
 }
 
--- a/crates/router/sim-adapter/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -36,11 +36,11 @@
     })
 }
 
-/// `["closedAttempt", part, nth, replica, disposition, rtt, ...]`
+/// `["closedAttempt", part, attempt_index, replica, disposition, rtt, ...]`
 pub fn outcome(v: &Value) -> Option<Outcome> {
     Some(Outcome {
         part: PartId(v.get(1)?.as_u64()?),
-        nth: v.get(2)?.as_u64()? as usize,
+        attempt_index: v.get(2)?.as_u64()? as usize,
         replica: replica(v.get(3)?)?,
         ending: ending(v.get(4)?)?,
         latency: v.get(5).and_then(seconds).unwrap_or(0.0),
--- a/crates/router/sim-adapter/src/host.rs
+++ b/crates/router/sim-adapter/src/host.rs
@@ -201,8 +201,8 @@
                 return None;
             }
             let tenant = TenantId(event.get(3).and_then(Value::as_u64).unwrap_or(0) as usize);
-            let ends = now + event.get(5).and_then(decode::seconds)?;
-            let mut in_hand = Search::new(search, query_type, tenant, now, ends);
+            let client_deadline = now + event.get(5).and_then(decode::seconds)?;
+            let mut in_hand = Search::new(search, query_type, tenant, now, client_deadline);
             let options = event.get(10).and_then(Value::as_u64).unwrap_or(0);
             in_hand.repeated = self.marks_repeats.then_some(options & 2 != 0);
             self.hand.take(in_hand);
@@ -236,8 +236,8 @@
         self.out.push(json!(["remark", line]));
     }
 
-    fn cancel(&mut self, part: PartId, nth: usize) {
-        self.out.push(json!(["undoSend", part.0, nth]));
+    fn cancel(&mut self, part: PartId, attempt_index: usize) {
+        self.out.push(json!(["undoSend", part.0, attempt_index]));
     }
 
     fn send(&mut self, _: &Search, s: &Placement, _: usize) {
@@ -252,7 +252,7 @@
     fn reply(&mut self, search: &Search, reply: Reply) {
         let id = search.id.0;
         self.out.push(match reply {
-            Reply::Answered { whole } => json!(["conclude", id, whole]),
+            Reply::Answered { complete: whole } => json!(["conclude", id, whole]),
             Reply::Shed { retry_after } => json!(["turnAway", id, retry_after * 1000.0]),
             Reply::Errored => json!(["endFailed", id]),
         });
@@ -263,7 +263,7 @@
             .push(json!(["setTimer", wait * 1000.0, search.0.to_string()]));
     }
 
-    fn over(&mut self, search: &Search) {
+    fn finished(&mut self, search: &Search) {
         self.by_number.retain(|_, s| *s != search.id);
     }
 }
--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -147,7 +147,7 @@
         },
         replicas: replicas::ConnectionConfig {
             streams_per_conn: need_number("/limits/streamsPerConn")? as usize,
-            per_call: number("/domain/perCall").map_or(1, |n| (n as usize).max(1)),
+            parts_per_call: number("/domain/perCall").map_or(1, |n| (n as usize).max(1)),
             idle_close: need_number("/limits/idleCloseMs")? / 1000.0,
             connect_timeout: need_number("/limits/connectTimeoutMs")? / 1000.0,
             cancelling: flag("/limits/cancelling"),
@@ -245,8 +245,8 @@
     let records = all.pointer("/duties/records") == Some(&Value::Bool(true));
     let number = |key: &str| set.pointer(key).and_then(Value::as_f64);
     let cold = number("/guarantees/tipMultiple").and(number("/guarantees/tipAfterMs"));
-    let siblings = number("/siblings").unwrap_or(1.0).max(1.0) as usize;
-    let cold = cold.map(|window| (siblings, window / 1000.0));
+    let coordinators = number("/siblings").unwrap_or(1.0).max(1.0) as usize;
+    let cold = cold.map(|window| (coordinators, window / 1000.0));
     Ok(Some(peers::PeerConfig {
         listen,
         roster,
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -133,11 +133,12 @@
         info!("{line}");
     }
 
-    fn cancel(&mut self, part: PartId, nth: usize) {
-        self.replicas.give_up(self.now, (part, nth), false);
+    fn cancel(&mut self, part: PartId, attempt_index: usize) {
+        self.replicas
+            .give_up(self.now, (part, attempt_index), false);
     }
 
-    fn send(&mut self, search: &Search, placement: &Placement, nth: usize) {
+    fn send(&mut self, search: &Search, placement: &Placement, attempt_index: usize) {
         let Some(request) = self.requests.get(&search.id) else {
             return;
         };
@@ -145,7 +146,7 @@
             return;
         };
         let second = if part.step == 2 { ".fetch" } else { "" };
-        let sub = (part.id, nth);
+        let sub = (part.id, attempt_index);
         let until = self.now + placement.timeout;
         let letter = QueuedAttempt {
             sub,
@@ -163,7 +164,7 @@
         };
         self.sent += 1;
         debug!(
-            "send {} part {} {nth} to {}",
+            "send {} part {} {attempt_index} to {}",
             letter.id, part.id.0, placement.replica.0
         );
         self.replicas.send(self.now, &placement.replica, letter);
@@ -174,7 +175,7 @@
     }
 
     fn reply(&mut self, search: &Search, reply: Reply) {
-        if !search.over {
+        if !search.finished {
             return self.second_step(search);
         }
         let Some(request) = self.let_go(search.id) else {
@@ -193,7 +194,7 @@
         );
         let mut came = request.came;
         let answer = match reply {
-            Reply::Answered { whole } => {
+            Reply::Answered { complete: whole } => {
                 let last = search
                     .parts
                     .iter()
@@ -222,15 +223,17 @@
         self.timer_at(self.now + wait, Timer::Search(search));
     }
 
-    fn over(&mut self, search: &Search) {
+    fn finished(&mut self, search: &Search) {
         // Danger: where nothing can be cancelled, a part that waits for a connection leaves after the answer.
         // Covers any part that is out of its search's hands. Harm: none, no byte of it has left.
         for part in search
             .parts
             .iter()
-            .filter(|p| p.subs.iter().any(|s| s.ending.is_none()))
+            .filter(|p| p.attempts.iter().any(|s| s.ending.is_none()))
         {
-            (0..part.subs.len()).for_each(|nth| self.replicas.withdraw(self.now, (part.id, nth)));
+            (0..part.attempts.len()).for_each(|attempt_index| {
+                self.replicas.withdraw(self.now, (part.id, attempt_index))
+            });
         }
         // Still here if the client has left.
         self.let_go(search.id);
@@ -285,7 +288,7 @@
         request.extras = format!(
             ",from={},whole={}",
             from.join("+"),
-            u8::from(search.first_whole)
+            u8::from(search.first_step_complete)
         );
         request.came.clear();
         let fetch = self
@@ -424,7 +427,8 @@
             RoleUpdate::QuotaShare(shares) => {
                 for (r, times) in shares {
                     if let Some(e) = self.listed.get(&r) {
-                        self.hand.ration(&ReplicaId(e.id.as_str().into()), times);
+                        self.hand
+                            .quota_share(&ReplicaId(e.id.as_str().into()), times);
                     }
                 }
             }
@@ -562,7 +566,7 @@
                 self.hand.left(now, search, &mut self.hands);
                 self.hands.answer(search);
             }
-            Event::ZoneFailover(zoning) => self.hand.zoning(now, Some(zoning)),
+            Event::ZoneFailover(zone_failover) => self.hand.zone_failover(now, Some(zone_failover)),
             Event::Role(told) => self.duty(now, told),
             Event::Connection(conn, told) => {
                 if let ConnectionEvent::Answer { at, .. } = told {
@@ -603,14 +607,14 @@
             let _ = a.reply.send(Answer::Shed { retry_after: 0.0 });
             return;
         }
-        let left = a.ends - a.at;
+        let left = a.client_deadline - a.at;
         debug!(
             "search {} type {} parts {} left {left:.3}",
             a.trace,
             a.query_type.0,
             a.parts.len()
         );
-        let mut search = Search::new(a.search, a.query_type, a.tenant, a.at, a.ends);
+        let mut search = Search::new(a.search, a.query_type, a.tenant, a.at, a.client_deadline);
         search.repeated = a.repeated;
         self.hands.traces.insert(a.trace.clone());
         self.hands.bytes += a.bytes;
@@ -639,7 +643,7 @@
         let of = |(r, e): (&ReplicaKey, &Entry)| {
             asked
                 .get(&ReplicaId(e.id.as_str().into()))
-                .map(|c| (*r, c.wants, c.sent))
+                .map(|c| (*r, c.suppressed, c.sent))
         };
         self.listed.iter().filter_map(of).collect()
     }
@@ -652,7 +656,7 @@
         let mut asked: BTreeMap<ReplicaId, SlowStartDemand> = BTreeMap::new();
         asked.extend(
             self.hand
-                .colds(now)
+                .slow_start_demands(now)
                 .into_iter()
                 .map(|c| (c.replica.clone(), c)),
         );
@@ -667,7 +671,7 @@
             sent,
             colds,
         };
-        for s in self.hand.sights(now) {
+        for s in self.hand.zone_health(now) {
             if let Some(of) = sights.zones.get_mut(s.zone.0 as usize) {
                 *of = ZoneObservation {
                     seen: s.seen as u32,
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -53,7 +53,7 @@
     pub query_type: QueryTypeId,
     pub tenant: TenantId,
     pub at: f64,
-    pub ends: f64,
+    pub client_deadline: f64,
     pub repeated: Option<bool>,
     pub parts: Vec<(ShardId, f64)>,
     pub text: Rc<str>,
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -610,7 +610,7 @@
             // One that the settings do not name has no share; where there are none all are the first.
             tenant: TenantId(tenant.unwrap_or(self.names.tenants.len())),
             at,
-            ends: at + left,
+            client_deadline: at + left,
             repeated: self
                 .names
                 .marks_repeats
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -359,7 +359,7 @@
         } else {
             Vec::new()
         };
-        let zoning = ZoneFailoverState {
+        let zone_failover = ZoneFailoverState {
             shares: shares
                 .iter()
                 .enumerate()
@@ -368,15 +368,15 @@
             near: ladder.iter().map(|(z, s)| (ids(z), step(*s))).collect(),
         };
         // One that is out is told again, so that trials of its own do not end that.
-        if self.told.as_ref() != Some(&zoning) || shares.iter().any(|s| *s <= 0.0) {
+        if self.told.as_ref() != Some(&zone_failover) || shares.iter().any(|s| *s <= 0.0) {
             let near = |z: &ZoneFailoverState| z.near.first().map_or(0.0, |n| n.1);
-            let moved = |told: &ZoneFailoverState| (near(told) - near(&zoning)).abs() > 1e-9;
+            let moved = |told: &ZoneFailoverState| (near(told) - near(&zone_failover)).abs() > 1e-9;
             if self.figures.near && self.told.as_ref().is_none_or(moved) {
-                info!(share = near(&zoning), "near");
+                info!(share = near(&zone_failover), "near");
             }
-            self.told = Some(zoning.clone());
+            self.told = Some(zone_failover.clone());
             // The core ends with the process.
-            let _ = self.events.send(Event::ZoneFailover(zoning));
+            let _ = self.events.send(Event::ZoneFailover(zone_failover));
         }
     }
 
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -23,7 +23,7 @@
 /// PROTOCOL's figures from the settings.
 pub struct ConnectionConfig {
     pub streams_per_conn: usize,
-    pub per_call: usize,
+    pub parts_per_call: usize,
     pub idle_close: f64,
     pub connect_timeout: f64,
     pub cancelling: bool,
@@ -125,14 +125,14 @@
     }
 
     fn unwritten(&self) -> BTreeSet<AttemptId> {
-        let mut subs = self.late.borrow().clone();
-        subs.extend(self.writing.borrow().iter().map(|w| w.0));
+        let mut attempts = self.late.borrow().clone();
+        attempts.extend(self.writing.borrow().iter().map(|w| w.0));
         for item in self.items.borrow().iter() {
             if let Item::Call(letters) = item {
-                subs.extend(letters.iter().map(|l| l.sub));
+                attempts.extend(letters.iter().map(|l| l.sub));
             }
         }
-        subs
+        attempts
     }
 }
 
@@ -172,7 +172,7 @@
     peers: BTreeMap<ReplicaId, Peer>,
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
-    subs: BTreeMap<AttemptId, Sub>,
+    attempts: BTreeMap<AttemptId, Sub>,
     /// Decided in this round, not yet on a connection.
     batch: BTreeMap<ReplicaId, Vec<QueuedAttempt>>,
     pub ended: VecDeque<Outcome>,
@@ -188,7 +188,7 @@
             peers: BTreeMap::new(),
             conns: BTreeMap::new(),
             next_conn: 0,
-            subs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             batch: BTreeMap::new(),
             ended: VecDeque::new(),
         }
@@ -196,7 +196,7 @@
 
     /// Sub-requests out, and connections.
     pub fn held(&self) -> (usize, usize) {
-        (self.subs.len(), self.conns.len())
+        (self.attempts.len(), self.conns.len())
     }
 
     /// Replicas that the list still names.
@@ -296,7 +296,7 @@
             id,
             sent_at: now,
         };
-        self.subs.insert(letter.sub, sub);
+        self.attempts.insert(letter.sub, sub);
         self.batch.entry(replica).or_default().push(letter);
     }
 
@@ -307,9 +307,9 @@
     /// left.
     pub fn flush(&mut self, now: f64) {
         for (replica, mut letters) in std::mem::take(&mut self.batch) {
-            letters.retain(|l| self.subs.contains_key(&l.sub));
+            letters.retain(|l| self.attempts.contains_key(&l.sub));
             while !letters.is_empty() {
-                let rest = letters.split_off(letters.len().min(self.figures.per_call));
+                let rest = letters.split_off(letters.len().min(self.figures.parts_per_call));
                 self.call(now, &replica, std::mem::replace(&mut letters, rest));
             }
         }
@@ -344,7 +344,7 @@
         c.last_used = now;
         for l in &letters {
             c.out.insert(l.id.clone(), l.sub);
-            if let Some(sub) = self.subs.get_mut(&l.sub) {
+            if let Some(sub) = self.attempts.get_mut(&l.sub) {
                 sub.conn = conn;
             }
         }
@@ -428,7 +428,7 @@
 
     /// Its outcome is ready to be told.
     fn end(&mut self, id: AttemptId, ending: Ending, at: f64) {
-        let Some(sub) = self.subs.remove(&id) else {
+        let Some(sub) = self.attempts.remove(&id) else {
             return;
         };
         if let Some(c) = self.conns.get_mut(&sub.conn) {
@@ -452,7 +452,7 @@
         );
         self.ended.push_back(Outcome {
             part: id.0,
-            nth: id.1,
+            attempt_index: id.1,
             replica: sub.replica,
             ending,
             latency,
@@ -461,7 +461,7 @@
 
     /// The wait for it ends: given up by the module, or its time is over.
     pub fn give_up(&mut self, now: f64, id: AttemptId, timed_out: bool) {
-        let Some(sub) = self.subs.get(&id) else {
+        let Some(sub) = self.attempts.get(&id) else {
             return;
         };
         // What has not left says nothing of the replica's work.
@@ -511,7 +511,7 @@
 
     /// Its search is over: it does not leave any more, if it has not begun to.
     pub fn withdraw(&mut self, now: f64, id: AttemptId) {
-        let Some(sub) = self.subs.get(&id) else {
+        let Some(sub) = self.attempts.get(&id) else {
             return;
         };
         let conn = sub.conn;
--- a/crates/router/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -13,7 +13,7 @@
 fn given_up_before_it_leaves(#[case] timed_out: bool, #[case] ending: Ending) {
     let figures = ConnectionConfig {
         streams_per_conn: 1,
-        per_call: 1,
+        parts_per_call: 1,
         idle_close: 30.0,
         connect_timeout: 0.25,
         cancelling: true,
--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -58,9 +58,9 @@
     /// Whether its parts may run again.
     pub repeat: Repeat,
     /// The share of the weights that makes an answer whole.
-    pub need: f64,
+    pub complete_weight: f64,
     /// The least share of the weights with which it may be answered.
-    pub floor: f64,
+    pub minimum_weight: f64,
     /// Parts of the second step; 0 = one step only.
     pub second_step: usize,
 }
@@ -69,22 +69,22 @@
 #[derive(Clone, Debug)]
 pub struct SlowStartConfig {
     /// Its capacity at the start, of a warm one.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// Seconds until it is warm.
-    pub time: f64,
+    pub duration: f64,
     /// It falls over beyond so many times its capacity
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// in a window of so many seconds.
-    pub tip_time: f64,
+    pub overload_window: f64,
 }
 
 /// How many sub-requests beyond the first of each part may be sent.
 #[derive(Clone, Debug)]
 pub struct RetryBudgetConfig {
     /// So many in any case,
-    pub free: f64,
+    pub min_retries: f64,
     /// and such a share of the searches and parts taken,
-    pub share: f64,
+    pub ratio: f64,
     /// in any window of so many seconds.
     pub window: f64,
 }
@@ -95,9 +95,9 @@
     /// Of the random choices.
     pub seed: u64,
     /// Its number among the co-ordinators of its tier.
-    pub me: Option<u64>,
+    pub coordinator_index: Option<u64>,
     /// How many co-ordinators the tier has.
-    pub siblings: usize,
+    pub coordinators: usize,
     /// How soon events are handled (seconds).
     pub tick: f64,
     /// What the module reads of each query type.
@@ -111,21 +111,21 @@
     /// How many cells hold a shard.
     pub span: u64,
     /// How many parts share a call.
-    pub per_call: usize,
+    pub parts_per_call: usize,
     /// The most sub-requests of one part.
-    pub sub_requests_cap: usize,
+    pub max_attempts: usize,
     /// The longest from a send that is decided until it leaves or is told as never sent, seconds.
-    pub late_send: f64,
+    pub max_send_delay: f64,
     /// Sub-requests can be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// A part may have two sub-requests in flight.
-    pub may_copy: bool,
+    pub hedging_allowed: bool,
     /// The longest advised wait before a retry (seconds); absent without advice.
-    pub longest_retry_advice: Option<f64>,
+    pub max_retry_after: Option<f64>,
     /// The rule on cold replicas.
-    pub cold: Option<SlowStartConfig>,
+    pub slow_start: Option<SlowStartConfig>,
     /// The rule on further sub-requests.
-    pub budget: Option<RetryBudgetConfig>,
+    pub retry_budget: Option<RetryBudgetConfig>,
 }
 
 impl Settings {
@@ -183,7 +183,7 @@
     /// The replica.
     pub replica: ReplicaId,
     /// Parts that it would have been sent but for the guard of the cold rule, so far.
-    pub wants: u64,
+    pub suppressed: u64,
     /// It has been sent some within the rule's window.
     pub sent: bool,
 }
@@ -246,7 +246,7 @@
     /// Its part.
     pub part: PartId,
     /// Its number within the part.
-    pub nth: usize,
+    pub attempt_index: usize,
     /// Where it went.
     pub replica: ReplicaId,
     /// How it ended.
@@ -292,18 +292,18 @@
     /// The replica it waits for, while held.
     pub held: Option<ReplicaId>,
     /// Its tries, in the order of their sends.
-    pub subs: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
 }
 
 impl Part {
     /// Whether one of its sub-requests is in flight.
     pub fn in_flight(&self) -> bool {
-        self.subs.iter().any(|s| s.ending.is_none())
+        self.attempts.iter().any(|s| s.ending.is_none())
     }
 
     /// Its sub-requests in flight, with their numbers.
     pub fn waiting(&self) -> impl Iterator<Item = (usize, &Attempt)> {
-        self.subs
+        self.attempts
             .iter()
             .enumerate()
             .filter(|(_, s)| s.ending.is_none())
@@ -311,7 +311,7 @@
 
     /// Whether it was ever sent to this replica.
     pub fn tried(&self, replica: &ReplicaId) -> bool {
-        self.subs.iter().any(|s| s.replica == *replica)
+        self.attempts.iter().any(|s| s.replica == *replica)
     }
 }
 
@@ -327,21 +327,21 @@
     /// When it came (seconds).
     pub arrived: f64,
     /// When this try's client stops waiting.
-    pub ends: f64,
+    pub client_deadline: f64,
     /// Its parts, those of a second step last.
     pub parts: Vec<Part>,
     /// The step in hand, 1 or 2.
     pub step: usize,
     /// Whether the first step was whole.
-    pub first_whole: bool,
+    pub first_step_complete: bool,
     /// Whether the client says that it repeats itself; absent where clients do not mark that.
     pub repeated: Option<bool>,
     /// When the client first asked, as far as can be told; set by the module.
-    pub asked: Option<f64>,
+    pub first_asked_at: Option<f64>,
     /// Queuing deadline of the step in hand; set by the module.
-    pub queue_by: Option<f64>,
+    pub queuing_deadline: Option<f64>,
     /// The final answer has been given.
-    pub over: bool,
+    pub finished: bool,
 }
 
 impl Search {
@@ -351,21 +351,21 @@
         query_type: QueryTypeId,
         tenant: TenantId,
         arrived: f64,
-        ends: f64,
+        client_deadline: f64,
     ) -> Self {
         Search {
             id,
             query_type,
             tenant,
             arrived,
-            ends,
+            client_deadline,
             parts: Vec::new(),
             step: 1,
-            first_whole: false,
+            first_step_complete: false,
             repeated: None,
-            asked: None,
-            queue_by: None,
-            over: false,
+            first_asked_at: None,
+            queuing_deadline: None,
+            finished: false,
         }
     }
 }
@@ -391,27 +391,27 @@
     pub fn ended(&mut self, outcome: &Outcome) {
         let part = self.parts.iter_mut().find(|p| p.id == outcome.part);
         if let Some((part, i)) = part
-            .map(|p| (p, outcome.nth))
-            .filter(|(p, i)| *i < p.subs.len())
+            .map(|p| (p, outcome.attempt_index))
+            .filter(|(p, i)| *i < p.attempts.len())
         {
-            part.subs[i].ending = Some(outcome.ending);
+            part.attempts[i].ending = Some(outcome.ending);
             part.answered |= outcome.ending == Ending::Answered;
         }
     }
 
     /// Its queuing deadline; an early one before it is set.
     pub fn queuing_deadline(&self) -> f64 {
-        self.queue_by.unwrap_or(self.arrived)
+        self.queuing_deadline.unwrap_or(self.arrived)
     }
 }
 
 /// The reply to a search, or to its first step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// From the parts that came; `whole` if none that counts is missing.
+    /// From the parts that came; `complete` if none that counts is missing.
     Answered {
         /// Nothing is missing.
-        whole: bool,
+        complete: bool,
     },
     /// Asking again is harmless, best after `retry_after` seconds (0: no advice).
     Shed {
@@ -445,7 +445,7 @@
     /// The reply, if it is due.
     pub reply: Option<Reply>,
     /// Searches that may have become able to send.
-    pub ask_again: Vec<SearchId>,
+    pub reconsider: Vec<SearchId>,
     /// Lines for on-call staff.
     pub notes: Vec<String>,
 }
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -30,8 +30,8 @@
     pub(crate) fleet: Fleet<Known>,
     pub(crate) capacity: VecDeque<Sample>, // of all open replicas of late, in warm ones
     pub(crate) zones: BTreeMap<ZoneId, OutlierDetector<()>>,
-    pub(crate) zoning: Option<ZoneFailoverState>,
-    pub(crate) zone_ends: BTreeMap<ZoneId, VecDeque<(f64, bool)>>, // of the latest parts, and whether lost
+    pub(crate) zone_failover: Option<ZoneFailoverState>,
+    pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<(f64, bool)>>, // of the latest parts, and whether lost
     pub(crate) held: HeldQueue<ReplicaId, (SearchId, PartId)>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
     pub(crate) budget: PartBudget,
@@ -53,8 +53,8 @@
             fleet: Fleet::new(set.cells, set.span),
             capacity: VecDeque::new(),
             zones: BTreeMap::new(),
-            zoning: None,
-            zone_ends: BTreeMap::new(),
+            zone_failover: None,
+            zone_outcomes: BTreeMap::new(),
             held: HeldQueue::default(),
             unloaded: UnloadedLatency::new(shortest / START_DIVISOR),
             budget: PartBudget::default(),
@@ -73,7 +73,11 @@
     pub fn list(&mut self, full: bool, lines: &[Listed]) {
         let gone = self.fleet.list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
-            let warming = Warming::new(&line.replica, self.set.me, self.rng.rand_float());
+            let warming = Warming::new(
+                &line.replica,
+                self.set.coordinator_index,
+                self.rng.rand_float(),
+            );
             Known {
                 warming,
                 ..Known::default()
@@ -108,8 +112,8 @@
     }
 
     /// What was asked of each cold replica so far, and whether it was sent any within the rule's window.
-    pub fn colds(&self, now: f64) -> Vec<SlowStartDemand> {
-        let Some(rule) = &self.set.cold else {
+    pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
+        let Some(rule) = &self.set.slow_start else {
             return Vec::new();
         };
         let sight = |(id, r): (&ReplicaId, &Replica<Known>)| {
@@ -118,11 +122,11 @@
                 .warming
                 .sends
                 .back()
-                .is_some_and(|t| *t > now - rule.tip_time);
-            let cold = r.open && r.ready_at.is_some_and(|at| now < at + rule.time);
+                .is_some_and(|t| *t > now - rule.overload_window);
+            let cold = r.open && r.ready_at.is_some_and(|at| now < at + rule.duration);
             cold.then(|| SlowStartDemand {
                 replica: id.clone(),
-                wants: r.state.warming.wants.get(),
+                suppressed: r.state.warming.suppressed.get(),
                 sent,
             })
         };
@@ -130,10 +134,10 @@
     }
 
     /// The tier has shared out what a cold replica bears: so many times its even share is this one's.
-    pub fn ration(&mut self, replica: &ReplicaId, times: f64) {
+    pub fn quota_share(&mut self, replica: &ReplicaId, times: f64) {
         self.fleet
             .get_mut(replica)
             .into_iter()
-            .for_each(|r| r.state.warming.ration = Some(times));
+            .for_each(|r| r.state.warming.quota_share = Some(times));
     }
 }
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -8,7 +8,7 @@
     /// Notes a new search, and when its client first asked (docs/design.md, exception 2). First tries have
     /// the most common time left, or one a quarter as common, or under the target and seen again of late.
     pub(super) fn arrive(&mut self, search: &mut Search, t: &QueryType) {
-        let left = search.ends - search.arrived;
+        let left = search.client_deadline - search.arrived;
         let seen = &mut self.times_left[search.query_type.0];
         if search.repeated != Some(true) {
             push(seen, left, 64); // some seconds of traffic, in which retries scatter
@@ -26,7 +26,7 @@
         let recurs = (left < t.latency_target && lately > 1) || 4 * alike(&left) >= alike(&first);
         // 50 ms: more than clocks and links differ by, less than any client's pause before a retry.
         let retry = search.repeated != Some(false) && !recurs && (left - first).abs() > 0.05;
-        search.asked = Some(
+        search.first_asked_at = Some(
             search.arrived
                 - if retry {
                     (t.client_timeout - left).max(0.0)
@@ -54,17 +54,22 @@
         let chance = |id| 1.0 - (1.0 - self.chance(now, id, target - now)).powi(tries);
         let mut chances: Vec<f64> = at.iter().map(chance).collect();
         chances.sort_by(|a, b| b.total_cmp(a));
-        let needed = (t.floor * chances.len() as f64).ceil() as usize;
+        let needed = (t.minimum_weight * chances.len() as f64).ceil() as usize;
         let chance: f64 = chances.iter().take(needed).product();
         let n = self.arrivals.len() as f64;
         let mean = self.arrivals.iter().map(|a| a.0).sum::<f64>() / n;
         let own = self.arrivals.iter().filter(|a| a.1 == q.tenant).count() as f64 / n;
-        let over = self
+        let is_over_share = self
             .set
             .tenants
             .get(q.tenant.0)
             .is_some_and(|share| own > 1.5 * share);
-        let value = if over { self.set.over_share_value } else { 1.0 } * t.value / mean.max(1e-9);
+        let value = if is_over_share {
+            self.set.over_share_value
+        } else {
+            1.0
+        } * t.value
+            / mean.max(1e-9);
         // Half: below it a search of average worth costs others more than it is likely to bring.
         chance < 0.5 / (value / q.parts.len().max(1) as f64).clamp(0.6, 2.0)
     }
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -53,7 +53,7 @@
                 Ending::Answered | Ending::Cancelled | Ending::Full
             );
         if lost || o.ending == Ending::Answered {
-            push(self.zone_ends.entry(zone).or_default(), (now, lost), 6);
+            push(self.zone_outcomes.entry(zone).or_default(), (now, lost), 6);
         }
         let call = Observation {
             at: now,
@@ -70,7 +70,7 @@
     }
 
     /// What the tier has decided in common, if it is met: each sees too little of a lost zone.
-    pub fn zoning(&mut self, now: f64, decided: Option<ZoneFailoverState>) {
+    pub fn zone_failover(&mut self, now: f64, decided: Option<ZoneFailoverState>) {
         for (zone, share) in decided.iter().flat_map(|z| &z.shares) {
             let was_out = self.share(Some(*zone)) <= 0.0;
             let way = self.zones.entry(*zone).or_default();
@@ -80,12 +80,12 @@
                 *way = OutlierDetector::default();
             }
         }
-        self.zoning = decided;
+        self.zone_failover = decided;
     }
 
     /// The share of its traffic that a zone may have.
     pub(super) fn share(&self, zone: Option<ZoneId>) -> f64 {
-        self.zoning
+        self.zone_failover
             .as_ref()
             .zip(zone)
             .and_then(|(z, id)| z.shares.get(&id))
@@ -119,7 +119,7 @@
 
     /// What the tier wants to know: the last six parts of each zone within 2 s, or the run of bad ones up to
     /// now, as the good ones before it say nothing of a zone that has just been lost.
-    pub fn sights(&self, now: f64) -> Vec<ZoneHealth> {
+    pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
         let mut all: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
         for (r, zone) in self.fleet.iter().filter_map(|(_, r)| Some((r, r.zone?))) {
             let of = all.entry(zone).or_default();
@@ -129,8 +129,8 @@
             );
         }
         let sight = |(zone, (overdue, capacity)): (ZoneId, (usize, f64))| {
-            let ends = self.zone_ends.get(&zone).into_iter().flatten().rev();
-            let ended = || ends.clone().take_while(|x| x.0 > now - 6.0);
+            let outcomes = self.zone_outcomes.get(&zone).into_iter().flatten().rev();
+            let ended = || outcomes.clone().take_while(|x| x.0 > now - 6.0);
             let run = (overdue + ended().take_while(|x| x.1).count()).min(6);
             let fresh = || ended().take_while(|x| x.0 > now - 2.0);
             let bads = overdue + fresh().filter(|x| x.1).count();
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -11,8 +11,12 @@
     /// still make the target: it goes there once the outcome is in.
     pub(super) fn call_off(&mut self, now: f64, target: f64, q: &Search, i: usize) {
         let part = &q.parts[i];
-        let spent = part.subs.len() >= self.set.sub_requests_cap;
-        if self.set.may_copy || !self.set.may_cancel || spent || !self.may_double(now, q, part) {
+        let spent = part.attempts.len() >= self.set.max_attempts;
+        if self.set.hedging_allowed
+            || !self.set.cancellation_allowed
+            || spent
+            || !self.may_double(now, q, part)
+        {
             return;
         }
         let late = |s: &Attempt| now - s.sent_at > CALL_OFF * self.limits.late_after;
@@ -44,7 +48,10 @@
     /// that no search waits on it. Where hedges are barred, one is used once the others are no better.
     pub(super) fn send_trial(&mut self, now: f64, until: f64, q: &mut Search, i: usize) {
         let (part, class) = (&q.parts[i], q.query_type);
-        if !self.set.may_copy || !self.may_double(now, q, part) || !self.retries.has_room(now) {
+        if !self.set.hedging_allowed
+            || !self.may_double(now, q, part)
+            || !self.retries.has_room(now)
+        {
             return;
         }
         // A replica's own ejection goes first: its zone's trials are for the others.
@@ -56,7 +63,7 @@
             } else {
                 way_due()
             };
-            due && r.in_flight.is_empty() && !part.tried(id) && !self.too_cold(now, r, 0)
+            due && r.in_flight.is_empty() && !part.tried(id) && !self.exceeds_slow_start(now, r, 0)
         };
         let Some(id) = self
             .fleet
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -47,7 +47,7 @@
 
     fn pick(&mut self, now: f64, until: f64, q: &Search, part: &Part, planned: &Counts) -> Pick {
         let mut only = None;
-        if !part.subs.is_empty() {
+        if !part.attempts.is_empty() {
             match self.may_repeat(now, q, part) {
                 Some((r, _)) if self.worth_repeating(now, part) => only = r,
                 _ => return Pick::Never,
@@ -63,13 +63,13 @@
         } else {
             Pick::Later
         };
-        let drawn = if self.zoning.is_some() {
+        let drawn = if self.zone_failover.is_some() {
             self.rng.rand_float()
         } else {
             0.0
         };
         let planned = |id: &ReplicaId| planned.get(id).copied().unwrap_or(0);
-        at.require(|(id, r)| !self.too_cold(now, r, planned(id)));
+        at.require(|(id, r)| !self.exceeds_slow_start(now, r, planned(id)));
         at.prefer(|(id, _)| !part.tried(id));
         at.prefer(|(_, r)| !self.is_cut_off(r));
         at.prefer(|(_, r)| !r.state.health.is_ejected_for(q.query_type) && !self.is_silent(now, r));
@@ -80,7 +80,7 @@
             let sent = r.in_flight.values().map(|x| x.sent_at);
             groups(
                 sent.chain(std::iter::repeat_n(now, planned(id) + more)),
-                self.set.per_call,
+                self.set.parts_per_call,
             )
         };
         let Some(least) = at.least(|r| calls(r, 0)) else {
@@ -88,7 +88,7 @@
         };
         // Ties go to the nearest zones, for as much as these bear; a part that shares a call there adds none.
         let near = self
-            .zoning
+            .zone_failover
             .iter()
             .flat_map(|z| &z.near)
             .find(|n| drawn < n.1);
@@ -126,7 +126,7 @@
         self.unhold(q, i);
         let part = &q.parts[i];
         match pick {
-            Pick::Go(_) if !part.subs.is_empty() && !self.retries.has_room(now) => {}
+            Pick::Go(_) if !part.attempts.is_empty() && !self.retries.has_room(now) => {}
             Pick::Go(id) => self.send(now, until, q, i, id),
             // A held hedge is pointless: its part is in flight already.
             Pick::Hold(id) if !part.in_flight() => {
@@ -145,12 +145,15 @@
         let Some(replica) = self.fleet.get_mut(&id) else {
             return;
         };
-        if !part.subs.is_empty() {
+        if !part.attempts.is_empty() {
             self.retries.sent(now);
         }
-        replica.sent(now, part.id, part.subs.len(), q.query_type);
-        replica.state.warming.sent(now, self.set.cold.as_ref());
-        part.subs.push(Attempt {
+        replica.sent(now, part.id, part.attempts.len(), q.query_type);
+        replica
+            .state
+            .warming
+            .sent(now, self.set.slow_start.as_ref());
+        part.attempts.push(Attempt {
             replica: id.clone(),
             sent_at: now,
             ending: None,
@@ -179,7 +182,7 @@
             .is_some_and(|r| !r.state.hold.holds(r.in_flight.len()))
         {
             self.plan
-                .ask_again
+                .reconsider
                 .extend(self.held.first(id).map(|(search, _)| search));
         }
     }
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -13,7 +13,7 @@
         part: &Part,
     ) -> Option<(Option<ReplicaId>, f64)> {
         const FREE: Option<(Option<ReplicaId>, f64)> = Some((None, f64::INFINITY));
-        let Some(first) = part.subs.iter().find(|s| !s.proven_unrun()) else {
+        let Some(first) = part.attempts.iter().find(|s| !s.proven_unrun()) else {
             return FREE;
         };
         match self.set.query_types[q.query_type.0].repeat {
@@ -30,8 +30,8 @@
 
     /// None under overload, else up to two further; a hedge only of a part that is lost.
     pub(super) fn worth_repeating(&mut self, now: f64, part: &Part) -> bool {
-        let spent = part.subs.len() > 2 || part.subs.len() >= self.set.sub_requests_cap;
-        let barred = part.in_flight() && !(self.set.may_copy && self.is_lost(now, part));
+        let spent = part.attempts.len() > 2 || part.attempts.len() >= self.set.max_attempts;
+        let barred = part.in_flight() && !(self.set.hedging_allowed && self.is_lost(now, part));
         !self.limits.overloaded && !spent && !barred && self.retries.has_room(now)
     }
 
--- a/crates/routing/src/decide/retry_budget.rs
+++ b/crates/routing/src/decide/retry_budget.rs
@@ -5,23 +5,23 @@
 use crate::samples::{Sample, push};
 use std::collections::VecDeque;
 
-/// Counts work taken and further calls sent against the settings' rule; without one there is always room.
+/// Counts work taken and retries calls sent against the settings' rule; without one there is always room.
 pub struct RetryBudget {
     rule: Option<RetryBudgetConfig>,
     late: f64, // how late a decided call may leave: the window holds less by then than was counted
     taken: VecDeque<Sample>,
-    further: VecDeque<f64>,
+    retries: VecDeque<f64>,
 }
 
 impl RetryBudget {
     /// Nothing taken, nothing sent.
     pub fn new(set: &Settings) -> Self {
-        let (rule, late) = (set.budget.clone(), set.late_send + set.tick);
+        let (rule, late) = (set.retry_budget.clone(), set.max_send_delay + set.tick);
         RetryBudget {
             rule,
             late,
             taken: VecDeque::new(),
-            further: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
@@ -37,9 +37,9 @@
         ); // more than a window; fewer is safe
     }
 
-    /// Counts a further call.
+    /// Counts a retries call.
     pub fn sent(&mut self, now: f64) {
-        self.further.extend(self.rule.is_some().then_some(now));
+        self.retries.extend(self.rule.is_some().then_some(now));
     }
 
     /// Whether there is room for one more.
@@ -53,9 +53,9 @@
             0.0
         };
         let (from, late) = (now - rule.window + forgotten, self.late);
-        self.further.retain(|t| *t >= from - late);
+        self.retries.retain(|t| *t >= from - late);
         self.taken.retain(|t| t.at > from - forgotten + late);
         let taken: f64 = self.taken.iter().map(|t| t.value).sum();
-        self.further.len() as f64 + 1.0 <= rule.free + rule.share * taken
+        self.retries.len() as f64 + 1.0 <= rule.min_retries + rule.ratio * taken
     }
 }
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -26,7 +26,7 @@
 
     /// How long until the search should be asked about again, if no outcome comes before.
     pub fn wait(&self, now: f64, search: &Search) -> f64 {
-        let (target, until) = self.ends(search);
+        let (target, until) = self.target_and_deadline(search);
         let mut due = if target > now {
             until.min(target)
         } else {
@@ -52,7 +52,7 @@
         );
         let replica = self.fleet.get_mut(&o.replica)?;
         let answered = o.ending == Ending::Answered;
-        let call = replica.ended(now, o.part, o.nth, answered)?;
+        let call = replica.ended(now, o.part, o.attempt_index, answered)?;
         let known = &mut replica.state;
         if answered {
             known.hold.answered();
@@ -85,11 +85,11 @@
     }
 
     /// The latency target of the step in hand, and the last moment at which an answer still earns value.
-    pub(super) fn ends(&self, q: &Search) -> (f64, f64) {
+    pub(super) fn target_and_deadline(&self, q: &Search) -> (f64, f64) {
         let margin = 4.0 * self.set.tick; // one to be asked, one to reply, and the way to the client
         let t = &self.set.query_types[q.query_type.0];
-        let end = q.ends - margin;
-        let target = (q.asked.unwrap_or(q.arrived) + t.latency_target - margin).min(end);
+        let end = q.client_deadline - margin;
+        let target = (q.first_asked_at.unwrap_or(q.arrived) + t.latency_target - margin).min(end);
         // A late answer costs as much as one in time: waited for only if it keeps over half its value.
         let until = if t.late_value > 0.5 && !self.limits.overloaded {
             end
@@ -108,7 +108,7 @@
 
     /// Sends, holds or ends what is due of a search.
     pub(crate) fn decide(&mut self, now: f64, q: &mut Search) {
-        if q.over {
+        if q.finished {
             return;
         }
         let t = self.set.query_types[q.query_type.0].clone();
@@ -120,31 +120,33 @@
             };
             self.plan.notes.push(format!("overload {change}"));
         }
-        if q.asked.is_none() {
+        if q.first_asked_at.is_none() {
             self.arrive(q, &t);
         }
-        let (target, until) = self.ends(q);
+        let (target, until) = self.target_and_deadline(q);
         if q.step_parts().next().is_none() {
             if q.step == 1 || now >= until {
                 self.give_up(now, q);
             }
             return;
         }
-        let need = if q.step == 1 { t.need } else { 1.0 };
+        let need = if q.step == 1 { t.complete_weight } else { 1.0 };
         let come = q.answered_weight();
         if come >= need - ROUNDING && (q.step == 1 || q.step_parts().all(|(_, p)| p.answered)) {
             return self.close(
                 q,
                 Some(Reply::Answered {
-                    whole: q.step == 1 || q.first_whole,
+                    complete: q.step == 1 || q.first_step_complete,
                 }),
             );
         }
-        let floor_met = come >= t.floor - ROUNDING && come > 0.0 && t.floor < t.need;
+        let floor_met = come >= t.minimum_weight - ROUNDING
+            && come > 0.0
+            && t.minimum_weight < t.complete_weight;
         if now >= until || (now >= target && floor_met) {
             return self.give_up(now, q);
         }
-        let first_look = q.queue_by.is_none();
+        let first_look = q.queuing_deadline.is_none();
         let picks = self.pick_all(now, until, q);
         if first_look {
             self.retries.taken(
@@ -156,10 +158,11 @@
                 .filter_map(|(_, p)| p.replica().cloned())
                 .collect();
             let judged: Vec<_> = chosen.iter().map(|id| self.judged(id)).collect();
-            q.queue_by = Some(
-                self.budget
-                    .queuing_deadline(now, target, &self.unloaded, &judged),
-            );
+            q.queuing_deadline =
+                Some(
+                    self.budget
+                        .queuing_deadline(now, target, &self.unloaded, &judged),
+                );
             if q.step == 1 && self.sheds(now, target, q, &chosen) {
                 return self.give_up(now, q);
             }
@@ -171,7 +174,7 @@
         };
         let open = |(i, p): &(usize, &Part)| !p.answered && (!never(*i) || p.in_flight());
         let weights: Vec<f64> = q.step_parts().filter(open).map(|(_, p)| p.weight).collect();
-        if weights.is_empty() || come + weights.iter().sum::<f64>() < t.floor - ROUNDING {
+        if weights.is_empty() || come + weights.iter().sum::<f64>() < t.minimum_weight - ROUNDING {
             return self.give_up(now, q);
         }
         for (i, pick) in picks {
@@ -190,21 +193,21 @@
         let harmless = t.repeat == Repeat::Idempotent
             || q.parts
                 .iter()
-                .all(|p| p.subs.iter().all(Attempt::proven_unrun))
+                .all(|p| p.attempts.iter().all(Attempt::proven_unrun))
             || is_mutated("module-harmless");
         let floor = if is_mutated("module-floor") {
             0.0
         } else {
-            t.floor
+            t.minimum_weight
         };
         let reply = if come > 0.0 && come >= floor - ROUNDING {
             Reply::Answered {
-                whole: is_mutated("module-whole"),
+                complete: is_mutated("module-whole"),
             }
         } else if harmless {
             // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
-            let longest = self.set.longest_retry_advice.unwrap_or(0.0);
-            let spare = q.queue_by.unwrap_or(now) - now;
+            let longest = self.set.max_retry_after.unwrap_or(0.0);
+            let spare = q.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
                 retry_after: if spare > 0.0 {
                     longest.min(spare / 2.0)
@@ -225,16 +228,16 @@
             let part = &q.parts[i];
             let live = part
                 .waiting()
-                .filter(|_| self.set.may_cancel)
+                .filter(|_| self.set.cancellation_allowed)
                 .map(|(n, _)| (part.id, n));
             self.plan.cancel.extend(live);
         }
         let t = &self.set.query_types[q.query_type.0];
         match reply {
-            Some(Reply::Answered { whole }) if q.step == 1 && t.second_step > 0 => {
-                (q.step, q.first_whole, q.queue_by) = (2, whole, None);
+            Some(Reply::Answered { complete }) if q.step == 1 && t.second_step > 0 => {
+                (q.step, q.first_step_complete, q.queuing_deadline) = (2, complete, None);
             }
-            _ => q.over = true,
+            _ => q.finished = true,
         }
         self.plan.reply = reply;
     }
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -13,11 +13,11 @@
 #[derive(Default)]
 pub(crate) struct Warming {
     phase: f64,
-    pub ration: Option<f64>, // so many times its even share, as the tier shares it out
+    pub quota_share: Option<f64>, // so many times its even share, as the tier shares it out
     pub sends: VecDeque<f64>,
-    pub wants: Cell<u64>, // parts that it would have had but for the guard
-    reset: bool,          // its connections were reset since it last answered
-    restarted: bool,      // judged a new process that is not listed yet
+    pub suppressed: Cell<u64>, // parts that it would have had but for the guard
+    reset: bool,               // its connections were reset since it last answered
+    restarted: bool,           // judged a new process that is not listed yet
     restarted_at: Option<f64>,
 }
 
@@ -47,7 +47,7 @@
             (self.restarted_at, self.sends) = (Some(now), VecDeque::new());
         }
         if let Some(rule) = rule {
-            self.sends.retain(|t| *t > now - rule.tip_time);
+            self.sends.retain(|t| *t > now - rule.overload_window);
             self.sends.push_back(now);
         }
     }
@@ -57,10 +57,12 @@
     /// What an open replica can do by now, in warm ones.
     pub(super) fn capacity_of(&self, now: f64, r: &Replica<Known>) -> f64 {
         let warmed = |(at, c): (f64, &SlowStartConfig)| {
-            (c.from + (1.0 - c.from) * (now - at) / c.time).min(1.0)
+            (c.initial_capacity + (1.0 - c.initial_capacity) * (now - at) / c.duration).min(1.0)
         };
         if r.open {
-            r.ready_at.zip(self.set.cold.as_ref()).map_or(1.0, warmed)
+            r.ready_at
+                .zip(self.set.slow_start.as_ref())
+                .map_or(1.0, warmed)
         } else {
             0.0
         }
@@ -81,7 +83,7 @@
     /// Whether a replica is too cold for one more part: it falls over if all co-ordinators together send it
     /// over a multiple of what it can do. Each keeps under what a warm one answers it on average, or half its
     /// even share at the mean unloaded latency on one core. Shares under one part go by turns, a window each.
-    pub(super) fn too_cold(&self, now: f64, r: &Replica<Known>, planned: usize) -> bool {
+    pub(super) fn exceeds_slow_start(&self, now: f64, r: &Replica<Known>, planned: usize) -> bool {
         let warming = &r.state.warming;
         let restarted = if warming.restarted {
             Some(now)
@@ -95,36 +97,38 @@
             .max_by(f64::total_cmp);
         let rule = self
             .set
-            .cold
+            .slow_start
             .as_ref()
             .filter(|_| !is_mutated("module-cold-cap"));
         let (Some(rule), Some(ready)) = (rule, ready) else {
             return false;
         };
-        let warmth = (now - ready) / rule.time;
+        let warmth = (now - ready) / rule.duration;
         if warmth >= 1.0 || r.in_flight.len() > r.answers / 4 {
             return warmth < 1.0;
         }
         // The mean, not the median: parts' work is skewed, and the rule sums it (the median broke seed 9217).
         let work = mean(&self.unloaded.fleet()).unwrap_or(self.shortest / 5.0);
-        let even = 1.0 / work / self.set.siblings.max(1) as f64;
+        let even = 1.0 / work / self.set.coordinators.max(1) as f64;
         let warm_replicas = self.capacity.iter().map(|c| c.value).fold(1.0, f64::max);
         let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
         let given = warming
-            .ration
+            .quota_share
             .map_or(own, |n| own * n.min(1.0) + even * (n - 1.0).max(0.0));
-        let capacity = rule.from + (1.0 - rule.from) * warmth.max(0.0);
-        let share = rule.tip_multiple * capacity * rule.tip_time * given;
+        let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * warmth.max(0.0);
+        let share = rule.overload_multiple * capacity * rule.overload_window * given;
         let sent = warming
             .sends
             .iter()
-            .filter(|t| **t > now - rule.tip_time)
+            .filter(|t| **t > now - rule.overload_window)
             .count()
             + planned;
-        let turn =
-            (warming.phase + ((now - ready) / rule.tip_time).floor() * GOLDEN).rem_euclid(1.0);
+        let turn = (warming.phase + ((now - ready) / rule.overload_window).floor() * GOLDEN)
+            .rem_euclid(1.0);
         let closed = given <= 0.0 || sent as f64 + 1.0 > share + turn;
-        warming.wants.set(warming.wants.get() + u64::from(closed));
+        warming
+            .suppressed
+            .set(warming.suppressed.get() + u64::from(closed));
         closed
     }
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -41,7 +41,7 @@
 
 impl<S> Replica<S> {
     /// A sub-request leaves for it.
-    pub fn sent(&mut self, now: f64, part: PartId, nth: usize, query_type: QueryTypeId) {
+    pub fn sent(&mut self, now: f64, part: PartId, attempt_index: usize, query_type: QueryTypeId) {
         let alone = self.in_flight.is_empty();
         let call = InFlight {
             sent_at: now,
@@ -50,7 +50,7 @@
             passed: 0,
             called_off: false,
         };
-        self.in_flight.insert((part, nth), call);
+        self.in_flight.insert((part, attempt_index), call);
     }
 
     /// A sub-request has ended; `None` if it was not in flight.
@@ -58,10 +58,10 @@
         &mut self,
         now: f64,
         part: PartId,
-        nth: usize,
+        attempt_index: usize,
         answered: bool,
     ) -> Option<InFlight> {
-        let call = self.in_flight.remove(&(part, nth))?;
+        let call = self.in_flight.remove(&(part, attempt_index))?;
         if answered {
             self.in_flight
                 .values_mut()
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -31,11 +31,11 @@
 #[rstest]
 #[case::one_part_a_call(1, false)]
 #[case::four_parts_a_call(4, true)]
-fn load_counts_calls(#[case] per_call: usize, #[case] ties: bool) {
+fn load_counts_calls(#[case] parts_per_call: usize, #[case] ties: bool) {
     let chosen = |seed: u64| {
         let mut b = balancer(
             Settings {
-                per_call,
+                parts_per_call,
                 seed,
                 ..settings()
             },
@@ -120,9 +120,9 @@
     );
     let mut later = search(4, 1, 0.1, 3.0);
     assert!(b.place(0.1, &mut later).send.is_empty() && b.place(0.12, &mut fast).send.is_empty());
-    assert!(!later.over && !fast.over);
+    assert!(!later.finished && !fast.finished);
     let plan = b.after(0.2, None, &ended(&sent[0], 0, Ending::Answered, 0.2));
-    assert_eq!(plan.ask_again, [SearchId(3)]);
+    assert_eq!(plan.reconsider, [SearchId(3)]);
     assert_eq!(b.place(0.2, &mut fast).send.len(), 1);
 }
 
@@ -140,13 +140,13 @@
         let plan = b.place(now, &mut q);
         replies += usize::from(plan.reply.is_some());
         assert!(plan.reply.is_none() || plan.send.is_empty());
-        if q.over {
+        if q.finished {
             break;
         }
         now += b.wait(now, &q);
     }
     assert!(
-        q.over && replies == 1 && now <= 5.0 + left,
+        q.finished && replies == 1 && now <= 5.0 + left,
         "ended at {now}"
     );
     assert!(
@@ -228,11 +228,11 @@
 #[case::refusing(0.0, Ending::Full)]
 fn cold_replica_is_not_pushed_over(#[case] age: f64, #[case] ending: Ending) {
     let mut set = settings();
-    set.cold = Some(SlowStartConfig {
-        from: 0.2,
-        time: 10.0,
-        tip_multiple: 2.5,
-        tip_time: 1.0,
+    set.slow_start = Some(SlowStartConfig {
+        initial_capacity: 0.2,
+        duration: 10.0,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
     });
     let mut b = balancer(set, &[]);
     b.list(true, &[line("a", true, Some(10.0 - age))]);
@@ -263,20 +263,20 @@
 #[rstest]
 #[case::three(3)]
 #[case::many(150)]
-fn cold_shares_hold_in_sum(#[case] siblings: usize) {
+fn cold_shares_hold_in_sum(#[case] coordinators: usize) {
     let cold = Some(SlowStartConfig {
-        from: 0.2,
-        time: 20.0,
-        tip_multiple: 2.5,
-        tip_time: 1.0,
+        initial_capacity: 0.2,
+        duration: 20.0,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
     });
     let mut sent = [0_usize; 8];
-    for n in 0..siblings as u64 {
+    for n in 0..coordinators as u64 {
         let mut b = balancer(
             Settings {
-                siblings,
+                coordinators,
                 seed: n,
-                cold: cold.clone(),
+                slow_start: cold.clone(),
                 ..settings()
             },
             &[],
@@ -305,17 +305,17 @@
 #[test]
 fn turns_of_a_tier_add_up() {
     let cold = Some(SlowStartConfig {
-        from: 0.2,
-        time: 1e6,
-        tip_multiple: 2.5,
-        tip_time: 1.0,
+        initial_capacity: 0.2,
+        duration: 1e6,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
     });
     let sent = |window: u64| -> usize {
         let one = |me: u64| {
             let set = Settings {
-                siblings: 30,
-                me: Some(me),
-                cold: cold.clone(),
+                coordinators: 30,
+                coordinator_index: Some(me),
+                slow_start: cold.clone(),
                 ..settings()
             };
             let mut b = balancer(set, &[]);
@@ -343,11 +343,11 @@
 #[case::four_answers(4, 2)]
 fn in_flight_cap_grows(#[case] answers: u64, #[case] cap: usize) {
     let mut set = settings();
-    set.cold = Some(SlowStartConfig {
-        from: 1.0,
-        time: 100.0,
-        tip_multiple: 1e6,
-        tip_time: 1.0,
+    set.slow_start = Some(SlowStartConfig {
+        initial_capacity: 1.0,
+        duration: 100.0,
+        overload_multiple: 1e6,
+        overload_window: 1.0,
     });
     let mut b = balancer(set, &[]);
     b.list(true, &[line("a", true, Some(1.0))]);
@@ -368,9 +368,9 @@
 #[case::share_only(0.0, 0.25, 5)]
 fn budget_is_kept(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
     let mut set = settings();
-    set.budget = Some(RetryBudgetConfig {
-        free,
-        share,
+    set.retry_budget = Some(RetryBudgetConfig {
+        min_retries: free,
+        ratio: share,
         window: 10.0,
     });
     let mut b = balancer(set, &["a", "b", "c"]);
@@ -390,19 +390,22 @@
 
 /// What is answered, from how much, and marked how.
 #[rstest]
-#[case::all(1.0, 0.5, 4, Some(Reply::Answered { whole: true }))]
-#[case::need_under_one(0.75, 0.75, 3, Some(Reply::Answered { whole: true }))]
-#[case::over_floor(1.0, 0.5, 2, Some(Reply::Answered { whole: false }))]
+#[case::all(1.0, 0.5, 4, Some(Reply::Answered { complete: true }))]
+#[case::need_under_one(0.75, 0.75, 3, Some(Reply::Answered { complete: true }))]
+#[case::over_floor(1.0, 0.5, 2, Some(Reply::Answered { complete: false }))]
 #[case::under_floor(1.0, 0.5, 1, Some(Reply::Shed { retry_after: 0.5 }))]
 #[case::no_floor(1.0, 1.0, 3, Some(Reply::Shed { retry_after: 0.5 }))]
 fn answers_are_honest(
-    #[case] need: f64,
-    #[case] floor: f64,
+    #[case] complete_weight: f64,
+    #[case] minimum_weight: f64,
     #[case] answered: usize,
     #[case] reply: Option<Reply>,
 ) {
     let mut set = settings();
-    (set.query_types[0].need, set.query_types[0].floor) = (need, floor);
+    (
+        set.query_types[0].complete_weight,
+        set.query_types[0].minimum_weight,
+    ) = (complete_weight, minimum_weight);
     let mut b = balancer(set, &["a", "b", "c", "d"]);
     let mut q = search(1, 4, 0.0, 3.0);
     let sent = b.place(0.0, &mut q).send;
@@ -422,16 +425,19 @@
 #[case::both_whole(4, 2, true)]
 #[case::first_partial(3, 2, false)]
 #[case::second_partial(4, 1, false)]
-fn two_steps(#[case] first: usize, #[case] second: usize, #[case] whole: bool) {
+fn two_steps(#[case] first: usize, #[case] second: usize, #[case] complete: bool) {
     let mut set = settings();
-    (set.query_types[0].floor, set.query_types[0].second_step) = (0.5, 2);
+    (
+        set.query_types[0].minimum_weight,
+        set.query_types[0].second_step,
+    ) = (0.5, 2);
     let mut b = balancer(set, &["a", "b"]);
     let mut q = search(1, 4, 0.0, 3.0);
     for p in &b.place(0.0, &mut q).send[..first] {
         b.after(0.1, Some(&mut q), &ended(p, 0, Ending::Answered, 0.1));
     }
     b.place(0.79, &mut q);
-    assert!(q.step == 2 && !q.over);
+    assert!(q.step == 2 && !q.finished);
     add_parts(&mut q, 900, 2);
     let mut reply = None;
     for p in &b.place(0.795, &mut q).send[..second] {
@@ -441,9 +447,9 @@
     }
     assert_eq!(
         reply.or_else(|| b.place(0.99, &mut q).reply),
-        Some(Reply::Answered { whole })
+        Some(Reply::Answered { complete })
     );
-    assert!(q.over);
+    assert!(q.finished);
 }
 
 /// Whatever makes a replica's outcomes bad takes it out of use, until four good trials in a row.
@@ -456,7 +462,7 @@
 #[case::far_slower(Ending::Answered, 0.9)]
 fn bad_replicas_are_avoided_and_tried(#[case] ending: Ending, #[case] latency: f64) {
     let mut set = settings();
-    set.sub_requests_cap = 1;
+    set.max_attempts = 1;
     let mut b = balancer(set, &["a", "b"]);
     // Three good outcomes first, or the last one alone would decide.
     for n in 0..6 {
@@ -550,7 +556,7 @@
 fn one_query_type_may_fail(#[case] both: bool, #[case] later: u64, #[case] used: [bool; 2]) {
     let mut set = settings();
     set.query_types.push(query_type());
-    set.may_copy = false;
+    set.hedging_allowed = false;
     let mut b = balancer(set, &["a", "b"]);
     let typed = |n: u64, t: usize| Search {
         query_type: QueryTypeId(t),
@@ -672,7 +678,7 @@
 #[case::no_other_holder(false, "y")]
 fn a_bad_way_takes_its_zone_out(#[case] other: bool, #[case] chosen: &str) {
     let mut set = settings();
-    (set.cells, set.sub_requests_cap) = (9, 1);
+    (set.cells, set.max_attempts) = (9, 1);
     let mut b = balancer(set, &[]);
     let at = |name: &str, cell, zone| Listed {
         zone: ZoneId(zone),
@@ -757,13 +763,13 @@
 #[case::cold_closed(1, "a")]
 fn distrusted_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
     let mut set = settings();
-    set.cold = Some(SlowStartConfig {
-        from: 0.2,
-        time: 100.0,
-        tip_multiple: 2.5,
-        tip_time: 1.0,
+    set.slow_start = Some(SlowStartConfig {
+        initial_capacity: 0.2,
+        duration: 100.0,
+        overload_multiple: 2.5,
+        overload_window: 1.0,
     });
-    (set.sub_requests_cap, set.siblings) = (1, 1);
+    (set.max_attempts, set.coordinators) = (1, 1);
     let mut b = balancer(set, &["a"]);
     for n in 0..2 {
         let now = 0.01 * n as f64;
@@ -913,7 +919,7 @@
     );
     let stray = Outcome {
         part: PartId(1),
-        nth: 3,
+        attempt_index: 3,
         replica: id("z"),
         ending: Ending::Answered,
         latency: f64::NAN,
@@ -943,16 +949,16 @@
 #[case::out_of_it_when_it_may_leave(9.0, 2.0, false)]
 fn the_budget_counts_from_the_arrival(
     #[case] failed: f64,
-    #[case] late_send: f64,
+    #[case] max_send_delay: f64,
     #[case] again: bool,
 ) {
     let mut set = Settings {
-        late_send,
+        max_send_delay,
         ..settings()
     };
-    set.budget = Some(RetryBudgetConfig {
-        free: 0.0,
-        share: 1.0,
+    set.retry_budget = Some(RetryBudgetConfig {
+        min_retries: 0.0,
+        ratio: 1.0,
         window: 10.0,
     });
     (
@@ -974,9 +980,9 @@
 #[rstest]
 #[case::copies_allowed(true, 1)]
 #[case::copies_barred(false, 0)]
-fn no_copy_where_copies_are_barred(#[case] may_copy: bool, #[case] copies: usize) {
+fn no_copy_where_copies_are_barred(#[case] hedging_allowed: bool, #[case] copies: usize) {
     let mut set = settings();
-    set.may_copy = may_copy;
+    set.hedging_allowed = hedging_allowed;
     let mut b = balancer(set, &["a", "b"]);
     let (mut q, _) = stuck_at(&mut b, "a", 0.0);
     let sent: Vec<_> = (2000..2010)
@@ -995,7 +1001,7 @@
 #[case::not_allowed(None)]
 fn shed_at_once_with_retry_after_only_where_allowed(#[case] advice: Option<f64>) {
     let mut set = settings();
-    set.longest_retry_advice = advice;
+    set.max_retry_after = advice;
     let mut b = balancer(set, &["a", "b"]);
     for n in 1..=10 {
         b.place(0.0, &mut search(n, 1, 0.0, 1.8));
@@ -1023,13 +1029,13 @@
 #[case::copies_allowed(true, Repeat::Idempotent, 0.6, false)]
 #[case::once(false, Repeat::NonIdempotent, 0.6, false)]
 fn a_part_at_a_silent_replica_is_called_off(
-    #[case] may_copy: bool,
+    #[case] hedging_allowed: bool,
     #[case] repeat: Repeat,
     #[case] later: f64,
     #[case] called_off: bool,
 ) {
     let mut set = settings();
-    set.may_copy = may_copy;
+    set.hedging_allowed = hedging_allowed;
     set.query_types[0].repeat = repeat;
     let mut b = balancer(set, &["a", "b"]);
     let (mut q, p) = stuck_at(&mut b, "a", 0.01);
@@ -1079,7 +1085,7 @@
     b
 }
 
-fn zoning(shares: [f64; 2], near: Option<f64>) -> Option<ZoneFailoverState> {
+fn zone_failover(shares: [f64; 2], near: Option<f64>) -> Option<ZoneFailoverState> {
     let shares = shares
         .into_iter()
         .enumerate()
@@ -1100,8 +1106,12 @@
         let mut q = search(5000 + u64::from(i as u32), 1, now, 3.0);
         let sent = b.place(now, &mut q).send;
         n += usize::from(sent[0].replica.0.ends_with('0'));
-        for (nth, p) in sent.iter().enumerate() {
-            b.after(now, Some(&mut q), &ended(p, nth, Ending::Answered, 0.01));
+        for (attempt_index, p) in sent.iter().enumerate() {
+            b.after(
+                now,
+                Some(&mut q),
+                &ended(p, attempt_index, Ending::Answered, 0.01),
+            );
         }
     }
     n
@@ -1109,19 +1119,19 @@
 
 #[rstest]
 #[case::alone(None, 70..130)]
-#[case::all_serve(zoning([1.0, 1.0], None), 70..130)]
-#[case::one_is_out(zoning([0.0, 1.0], None), 0..1)]
-#[case::one_is_on_its_way_back(zoning([0.2, 1.0], None), 10..40)]
-#[case::near(zoning([1.0, 1.0], Some(1.0)), 200..201)]
-#[case::near_for_a_part_of_it(zoning([1.0, 1.0], Some(0.6)), 140..185)]
-#[case::near_is_out(zoning([0.0, 1.0], Some(0.0)), 0..1)]
-#[case::both_are_out_and_there_is_no_other(zoning([0.0, 0.0], None), 70..130)]
+#[case::all_serve(zone_failover([1.0, 1.0], None), 70..130)]
+#[case::one_is_out(zone_failover([0.0, 1.0], None), 0..1)]
+#[case::one_is_on_its_way_back(zone_failover([0.2, 1.0], None), 10..40)]
+#[case::near(zone_failover([1.0, 1.0], Some(1.0)), 200..201)]
+#[case::near_for_a_part_of_it(zone_failover([1.0, 1.0], Some(0.6)), 140..185)]
+#[case::near_is_out(zone_failover([0.0, 1.0], Some(0.0)), 0..1)]
+#[case::both_are_out_and_there_is_no_other(zone_failover([0.0, 0.0], None), 70..130)]
 fn parts_go_where_the_tier_says(
     #[case] told: Option<ZoneFailoverState>,
     #[case] expected: std::ops::Range<usize>,
 ) {
     let mut b = two_zones();
-    b.zoning(0.0, told);
+    b.zone_failover(0.0, told);
     let n = to_zone_0(&mut b, 1.0);
     assert!(expected.contains(&n), "{n} of 200");
 }
@@ -1133,8 +1143,8 @@
     let mut b = two_zones();
     let (mut q, p) = stuck_at(&mut b, "a0", 1.0);
     b.after(1.0, Some(&mut q), &ended(&p, 0, Ending::Errored, 0.01));
-    b.zoning(1.1, zoning([0.0, 1.0], Some(1.0)));
-    b.zoning(1.2, zoning([1.0, 1.0], Some(1.0)));
+    b.zone_failover(1.1, zone_failover([0.0, 1.0], Some(1.0)));
+    b.zone_failover(1.2, zone_failover([1.0, 1.0], Some(1.0)));
     let shut = Listed {
         zone: ZoneId(0),
         ..line("b0", false, None)
@@ -1153,9 +1163,9 @@
 #[test]
 fn a_zone_that_is_back_in_common_is_back_here() {
     let mut b = two_zones();
-    b.zoning(1.0, zoning([0.0, 1.0], None));
+    b.zone_failover(1.0, zone_failover([0.0, 1.0], None));
     assert_eq!(to_zone_0(&mut b, 1.1), 0);
-    b.zoning(2.0, zoning([1.0, 1.0], None));
+    b.zone_failover(2.0, zone_failover([1.0, 1.0], None));
     assert!(to_zone_0(&mut b, 2.1) > 50);
 }
 
@@ -1166,8 +1176,8 @@
     let mut b = two_zones();
     to_zone_0(&mut b, 1.0);
     let of = |b: &Balancer, now: f64| {
-        let sights = b.sights(now);
-        sights
+        let zone_health = b.zone_health(now);
+        zone_health
             .iter()
             .map(|s| (s.zone.0, s.seen, s.bad, s.capacity))
             .collect::<Vec<_>>()
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -20,8 +20,8 @@
         value: 1.0,
         late_value: 0.0,
         repeat: Repeat::Idempotent,
-        need: 1.0,
-        floor: 1.0,
+        complete_weight: 1.0,
+        minimum_weight: 1.0,
         second_step: 0,
     }
 }
@@ -29,22 +29,22 @@
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
-        me: None,
-        siblings: 2,
+        coordinator_index: None,
+        coordinators: 2,
         tick: 0.005,
         query_types: vec![query_type()],
         tenants: vec![1.0],
         over_share_value: 0.1,
         cells: 1,
         span: 1,
-        per_call: 1,
-        sub_requests_cap: 4,
-        late_send: 0.0,
-        may_cancel: true,
-        may_copy: true,
-        longest_retry_advice: Some(0.5),
-        cold: None,
-        budget: None,
+        parts_per_call: 1,
+        max_attempts: 4,
+        max_send_delay: 0.0,
+        cancellation_allowed: true,
+        hedging_allowed: true,
+        max_retry_after: Some(0.5),
+        slow_start: None,
+        retry_budget: None,
     }
 }
 
@@ -91,15 +91,15 @@
             step: q.step,
             answered: false,
             held: None,
-            subs: Vec::new(),
+            attempts: Vec::new(),
         });
     }
 }
 
-pub fn ended(p: &Placement, nth: usize, ending: Ending, latency: f64) -> Outcome {
+pub fn ended(p: &Placement, attempt_index: usize, ending: Ending, latency: f64) -> Outcome {
     Outcome {
         part: p.part,
-        nth,
+        attempt_index,
         replica: p.replica.clone(),
         ending,
         latency,
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -286,12 +286,12 @@
 #[case::free_ones_and_a_share(Some((1.0, 0.25)), 3)]
 fn retry_budget(#[case] rule: Option<(f64, f64)>, #[case] sent: usize) {
     let budget = rule.map(|(free, share)| RetryBudgetConfig {
-        free,
-        share,
+        min_retries: free,
+        ratio: share,
         window: 10.0,
     });
     let mut retries = RetryBudget::new(&Settings {
-        budget,
+        retry_budget: budget,
         ..common::settings()
     });
     retries.taken(0.0, 8);
