--- a/crates/tier/proxy/src/request_headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a client's request say, and which of them are passed on.
+//! Reads the headers of a client's request, and tells end-to-end headers from hop-by-hop ones.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, TE, TRAILER,
@@ -9,11 +9,11 @@
 use woadreach_routing::rendezvous::{FNV_OFFSET, hash64, mix};
 use woadreach_scheduler::PrefixPart;
 
-/// Identity of one try of a client.
+/// Identity of one attempt of a client; responses carry it back.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// How long the client waits, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("timeout-ms");
-/// Time until the program should be over, in milliseconds.
+/// Time until the program should finish, in milliseconds.
 pub const FINISH_MS: HeaderName = HeaderName::from_static("finish-ms");
 /// Tokens that a program's turns may generate together.
 pub const BUDGET: HeaderName = HeaderName::from_static("budget");
@@ -21,61 +21,61 @@
 pub const TOKEN_USAGE: HeaderName = HeaderName::from_static("token-usage");
 /// The program that a request belongs to.
 pub const PROGRAM: HeaderName = HeaderName::from_static("program");
-/// The line of turns that a request belongs to.
+/// The sequence of turns that a request belongs to.
 pub const SESSION: HeaderName = HeaderName::from_static("session");
-/// The turn that a turn goes on from.
+/// The turn that a turn continues.
 pub const PREVIOUS: HeaderName = HeaderName::from_static("previous");
-/// Parts of the prompt.
+/// Parts of the prompt, for placement by prefix cache.
 pub const PREFIX_HASH: HeaderName = HeaderName::from_static("prefix-hash");
 /// The object that a request is about.
 pub const AFFINITY_KEY: HeaderName = HeaderName::from_static("affinity-key");
-/// The last event of a stream that the reader has.
+/// Id of the last event of a stream that the reader has.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// The replica that a request is meant for.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
 /// The version of the weights that a request is meant for.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Rank of a request at a replica.
+/// Priority of a request in a replica's queue.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_PREFIX: &str = "proxy-";
-/// Parts of a prompt that are looked at.
-const MOST_PREFIX_PARTS: usize = 64;
-/// Bytes of an id that the tier keeps.
-const LONGEST_ID: usize = 128;
+/// Parts of `Prefix-Hash` that are read, at most; the others are ignored.
+const MAX_PREFIX_PARTS: usize = 64;
+/// Longest id or affinity key that is accepted, in bytes.
+const MAX_ID_BYTES: usize = 128;
 
-/// A header that is missing or does not say what it should.
+/// A header that is missing or malformed; the client gets 400.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum HeaderError {
-    /// It is needed and absent.
+    /// A required header is absent.
     #[snafu(display("header {name} is missing"))]
     Missing {
         /// Name of the header.
         name: &'static str,
     },
-    /// It cannot be read.
+    /// A header's value does not parse, or it is given twice.
     #[snafu(display("header {name} is malformed: expected {expected}"))]
     Malformed {
         /// Name of the header.
         name: &'static str,
-        /// What it should hold.
+        /// What its value should be.
         expected: &'static str,
     },
 }
 
-/// `Token-Usage`.
+/// Value of `Token-Usage`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenUsage {
     /// Tokens of the prompt.
     pub input: u32,
-    /// The most that may be generated.
+    /// Tokens that may be generated, at most.
     pub output: u32,
 }
 
-/// What the headers of a request say.
+/// Values of the headers that the data plane reads.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// `Request-Id`.
     pub request_id: String,
     /// `Timeout-Ms`.
@@ -96,20 +96,24 @@
     pub prefix: Vec<PrefixPart>,
     /// `Affinity-Key` as a number; absent when it is malformed.
     pub affinity: Option<u64>,
-    /// Headers that only help to place the request, and could not be read.
+    /// Hints (`Prefix-Hash`, `Affinity-Key`) that were given and could not be read.
     pub unread_hints: u64,
     /// `Last-Event-Id`, if it is a number.
     pub last_event_id: Option<u64>,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Reads the headers of a request.
+    ///
+    /// # Errors
+    ///
+    /// [`HeaderError`] for the first header that is missing or malformed. Malformed hints are counted instead.
     pub fn read(headers: &HeaderMap) -> Result<Self, HeaderError> {
         let request_id = identity(headers, &REQUEST_ID, "Request-Id")?;
         let (prefix, prefix_unread) = hint(headers, &PREFIX_HASH, parse_prefix);
         let (affinity, affinity_unread) = hint(headers, &AFFINITY_KEY, parse_affinity);
         let unread_hints = u64::from(prefix_unread) + u64::from(affinity_unread);
-        let facts = RequestFacts {
+        let metadata = RequestMetadata {
             request_id: request_id.ok_or(HeaderError::Missing { name: "Request-Id" })?,
             timeout: milliseconds(headers, &TIMEOUT_MS, "Timeout-Ms")?,
             finish: milliseconds(headers, &FINISH_MS, "Finish-Ms")?,
@@ -125,16 +129,16 @@
                 .get(&LAST_EVENT_ID)
                 .and_then(|value| text(value)?.parse().ok()),
         };
-        if facts.budget.is_some() {
-            facts
+        if metadata.budget.is_some() {
+            metadata
                 .program
                 .as_ref()
                 .ok_or(HeaderError::Missing { name: "Program" })?;
-            facts.tokens.ok_or(HeaderError::Missing {
+            metadata.tokens.ok_or(HeaderError::Missing {
                 name: "Token-Usage",
             })?;
         }
-        Ok(facts)
+        Ok(metadata)
     }
 }
 
@@ -142,7 +146,7 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// The single value of a header; two are as bad as one that cannot be read.
+/// The only value of a header; a header that is given twice is malformed.
 fn single<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -170,8 +174,9 @@
     let Some(value) = single(headers, name, malformed)? else {
         return Ok(None);
     };
-    let proper = !value.is_empty() && value.len() <= LONGEST_ID && value.bytes().all(is_id_byte);
-    if proper {
+    let is_valid =
+        !value.is_empty() && value.len() <= MAX_ID_BYTES && value.bytes().all(is_id_byte);
+    if is_valid {
         Ok(Some(value.to_owned()))
     } else {
         Err(malformed)
@@ -195,7 +200,7 @@
         return Ok(None);
     };
     let number: f64 = value.parse().map_err(|_| malformed)?;
-    // The time until an aim is under zero once the aim has passed.
+    // The time until the target is negative once the target has passed.
     let number = if *name == FINISH_MS && number < 0.0 {
         0.0
     } else {
@@ -233,8 +238,8 @@
     }))
 }
 
-/// A header without which a request is served as well, if more slowly: what it says, and whether it is there and
-/// cannot be read. Given twice it says nothing.
+/// Reads a header that only helps to place a request: its value, and whether it was given and could not be read.
+/// A header that is given twice cannot be read.
 fn hint<T>(
     headers: &HeaderMap,
     name: &HeaderName,
@@ -244,24 +249,24 @@
     let Some(value) = values.next() else {
         return (None, false);
     };
-    let said = if values.next().is_some() {
+    let parsed = if values.next().is_some() {
         None
     } else {
         parse(value)
     };
-    let unread = said.is_none();
-    (said, unread)
+    let unread = parsed.is_none();
+    (parsed, unread)
 }
 
-/// Reads `Affinity-Key`, which means nothing but itself.
+/// Hashes `Affinity-Key`, an opaque value.
 fn parse_affinity(value: &HeaderValue) -> Option<u64> {
-    let proper = !value.is_empty() && value.len() <= LONGEST_ID;
-    proper.then(|| mix(hash64(value.as_bytes(), 0)))
+    let is_valid = !value.is_empty() && value.len() <= MAX_ID_BYTES;
+    is_valid.then(|| mix(hash64(value.as_bytes(), 0)))
 }
 
-/// Reads `Prefix-Hash`: ID:TOKENS separated by commas, the id in hex. Malformed: nothing.
+/// Parses `Prefix-Hash`: `ID:TOKENS` separated by commas, the id in hexadecimal.
 fn parse_prefix(value: &HeaderValue) -> Option<Vec<PrefixPart>> {
-    let parts = text(value)?.split(',').take(MOST_PREFIX_PARTS);
+    let parts = text(value)?.split(',').take(MAX_PREFIX_PARTS);
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(PrefixPart {
@@ -272,26 +277,25 @@
     parts.map(part).collect()
 }
 
-/// A number for an id, for decisions that compare ids only.
+/// A number for an id, for the scheduler, which compares ids only.
 pub fn identity_number(id: &str) -> u64 {
     u64::from_str_radix(id, 16).unwrap_or_else(|_| hash64(id.as_bytes(), FNV_OFFSET))
 }
 
-/// The headers that are passed along: all but those that concern a single connection or describe a body's
-/// framing.
+/// The headers that are forwarded: all but hop-by-hop headers and those of a body's framing (RFC 9110 §7.6.1).
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut named_by_connection: Vec<HeaderName> = Vec::new();
     for value in headers.get_all(CONNECTION) {
         let tokens = value.to_str().unwrap_or_default().split(',');
         named_by_connection.extend(tokens.filter_map(|token| token.trim().parse().ok()));
     }
-    let mut kept = HeaderMap::with_capacity(headers.len() + 4);
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
         if !is_hop_by_hop(name) && !named_by_connection.contains(name) {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 fn is_hop_by_hop(name: &HeaderName) -> bool {
--- a/crates/tier/proxy/src/client_request.rs
+++ b/crates/tier/proxy/src/client/request.rs
@@ -1,7 +1,7 @@
-//! A client's request that has been read whole.
+//! A client's request that has been read completely and has its route.
 
-use crate::attempt::OutgoingRequest;
-use crate::request_headers::{RequestFacts, end_to_end_headers, identity_number};
+use crate::client::headers::{RequestMetadata, end_to_end_headers, identity_number};
+use crate::replica::attempt::OutgoingRequest;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
 use parking_lot::Mutex;
@@ -11,30 +11,30 @@
 use woadreach_config::{Route, RouteType};
 use woadreach_scheduler::{Call, CallId, CallKind};
 
-/// The request with its route.
+/// A complete request with its route.
 pub struct ClientRequest {
     /// What its headers say.
-    pub facts: RequestFacts,
-    /// The route it came by.
+    pub metadata: RequestMetadata,
+    /// The route that matched it.
     pub route: Arc<Route>,
     /// Tokens in each event of the route's service.
-    pub stride: u32,
+    pub tokens_per_event: u32,
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub target: Uri,
     /// Its headers as they came.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Its complete body.
     pub body: Bytes,
     /// When its head had been read.
-    pub arrived: Instant,
-    /// When it is given up: the client's deadline or the route's timeout, whichever is first.
-    pub give_up: Instant,
+    pub arrived_at: Instant,
+    /// When it is given up; see [`request_deadline`].
+    pub deadline: Instant,
 }
 
 impl ClientRequest {
-    /// What may be repeated.
+    /// How often the request may run, by the type of its route.
     pub fn kind(&self) -> CallKind {
         match self.route.route_type {
             RouteType::Safe => CallKind::Safe,
@@ -46,30 +46,33 @@
     }
 
     /// Whether it may run more than once.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         self.kind().may_run_again()
     }
 
-    /// What the decisions want to know of it.
+    /// The call that is offered to the scheduler. `seconds_at` converts to seconds of the process's clock.
     pub fn call(&self, id: CallId, seconds_at: impl Fn(Instant) -> f64) -> Call {
-        let tokens = self.facts.tokens.unwrap_or_default();
-        let arrived = seconds_at(self.arrived);
+        let tokens = self.metadata.tokens.unwrap_or_default();
+        let arrived = seconds_at(self.arrived_at);
         Call {
             id,
             route: Arc::from(self.route.name.as_str()),
             kind: self.kind(),
             clusters: self.clusters(),
             arrived,
-            give_up_at: seconds_at(self.give_up),
+            give_up_at: seconds_at(self.deadline),
             target_latency: self.route.target_latency.as_secs_f64(),
             finish_at: self
-                .facts
+                .metadata
                 .finish
                 .map(|finish| arrived + finish.as_secs_f64()),
-            program: self.facts.program.as_deref().map(identity_number),
-            session: self.facts.session.as_deref().map(identity_number),
-            affinity: self.facts.affinity.filter(|_| self.route.session_affinity),
-            prefix: self.facts.prefix.clone(),
+            program: self.metadata.program.as_deref().map(identity_number),
+            session: self.metadata.session.as_deref().map(identity_number),
+            affinity: self
+                .metadata
+                .affinity
+                .filter(|_| self.route.session_affinity),
+            prefix: self.metadata.prefix.clone(),
             tokens_in: tokens.input,
             tokens_out: tokens.output,
             priority: self.route.priority,
@@ -91,14 +94,18 @@
             target: self.target.clone(),
             headers: end_to_end_headers(&self.headers),
             body,
-            request_id: self.facts.request_id.clone(),
+            request_id: self.metadata.request_id.clone(),
             is_stream: self.route.route_type == RouteType::Streaming,
-            carried_by: Mutex::default(),
+            sent_over: Mutex::default(),
         }
     }
 }
 
-/// When a request is given up.
-pub fn give_up_at(arrived: Instant, client: Option<Duration>, route: Duration) -> Instant {
-    arrived + client.map_or(route, |client| client.min(route))
+/// When a request is given up: after the client's time-out or the route's, whichever is shorter.
+pub fn request_deadline(
+    arrived_at: Instant,
+    client_timeout: Option<Duration>,
+    route_timeout: Duration,
+) -> Instant {
+    arrived_at + client_timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout))
 }
--- a/crates/tier/proxy/src/command_line.rs
+++ b/crates/tier/proxy/src/command_line.rs
@@ -3,25 +3,25 @@
 use clap::{Arg, Command};
 use woadreach_settings::SETTINGS_VARIABLE;
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Plain text.
     Text,
     /// One JSON object a line.
     Json,
 }
 
-/// What the command line says.
+/// Arguments of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arguments {
-    /// Form of the log.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// What is logged.
+    /// Filter of the log, as `tracing_subscriber::EnvFilter` has it.
     pub log_filter: String,
 }
 
-/// The command, for `--help` and parsing.
+/// The command line's definition.
 pub fn command() -> Command {
     Command::new("woadreach-proxy")
         .version(env!("CARGO_PKG_VERSION"))
@@ -48,7 +48,11 @@
         )
 }
 
-/// Reads the arguments.
+/// Parses the arguments.
+///
+/// # Errors
+///
+/// `clap::Error` for `--help`, `--version` and invalid arguments; it knows its exit code.
 pub fn parse<I, T>(arguments: I) -> Result<Arguments, clap::Error>
 where
     I: IntoIterator<Item = T>,
--- a/crates/tier/proxy/src/counters.rs
+++ b/crates/tier/proxy/src/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of this process, for its state line.
+//! Counters of this process, for the state line of its log.
 
-use crate::request_state::RequestEnd;
+use crate::request::state::RequestEnd;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,23 +8,23 @@
 /// Counters since the process started.
 #[derive(Debug, Default)]
 pub struct Counters {
-    ends: Mutex<BTreeMap<RequestEnd, u64>>,
-    /// Requests that could not be read: malformed, too long, too slow.
+    request_ends: Mutex<BTreeMap<RequestEnd, u64>>,
+    /// Requests rejected as malformed, too long, too slow or too early.
     pub rejected: AtomicU64,
-    /// Headers that only help to place a request, and could not be read.
+    /// Hints (`Prefix-Hash`, `Affinity-Key`) that could not be read.
     pub unread_hints: AtomicU64,
-    /// Requests for no route.
+    /// Requests that no route matched.
     pub unrouted: AtomicU64,
-    /// Client connections taken.
+    /// Client connections accepted.
     pub connections: AtomicU64,
-    /// Client connections closed at once for want of room.
+    /// Client connections closed at once because the maximum was open and none was idle.
     pub shed_connections: AtomicU64,
 }
 
 impl Counters {
     /// Counts the end of a request.
     pub fn count(&self, end: RequestEnd) {
-        *self.ends.lock().entry(end).or_default() += 1;
+        *self.request_ends.lock().entry(end).or_default() += 1;
     }
 
     /// Adds one to a counter.
@@ -32,8 +32,8 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Requests by how they ended.
-    pub fn ends(&self) -> BTreeMap<RequestEnd, u64> {
-        self.ends.lock().clone()
+    /// Number of requests by how they ended.
+    pub fn request_ends(&self) -> BTreeMap<RequestEnd, u64> {
+        self.request_ends.lock().clone()
     }
 }
--- a/crates/tier/proxy/src/dispatcher.rs
+++ b/crates/tier/proxy/src/dispatcher.rs
@@ -1,6 +1,8 @@
-//! Drives the admission decisions and hands each action to the request that it concerns.
+//! Drives the scheduler: passes it events, and sends each of its actions to the request's task.
+//!
+//! It stands between the requests' tasks and the decisions, which have neither I/O nor a clock of their own.
 
-use crate::deadline::Clock;
+use crate::clock::Clock;
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,45 +12,46 @@
     Action, Admission, Call, CallId, FailReason, Outcome, ReplicaSpec, ServerLoad, ServiceSpec,
 };
 
-/// What a request is told to do.
+/// What a request's task is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send to this replica.
+    /// Send an attempt to this replica.
     Send {
-        /// Number of the attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
         /// Id of the replica.
         replica: Arc<str>,
-        /// Seconds until the attempt ends.
+        /// Time-out of the attempt in seconds.
         timeout: f64,
-        /// Rank at the replica.
+        /// Priority in the replica's queue.
         priority: Option<u8>,
     },
-    /// Answer 503 with `Retry-After` in seconds.
+    /// Respond 503 with `Retry-After`.
     Refuse {
-        /// When to come back.
+        /// Value of `Retry-After` in seconds.
         retry_after: f64,
     },
-    /// Answer that it failed.
+    /// Respond that the request has failed.
     Fail {
-        /// Why.
+        /// Why it has failed.
         reason: FailReason,
     },
-    /// Drop this attempt.
+    /// Abort this attempt, which resets its connection.
     Abort {
-        /// Number of the attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
     },
 }
 
 struct Inner {
     admission: Admission,
-    mailboxes: HashMap<CallId, UnboundedSender<Command>>,
+    command_senders: HashMap<CallId, UnboundedSender<Command>>,
     next_id: u64,
-    armed: Option<f64>,
+    /// When the timer wakes next, in seconds of the process's clock.
+    armed_for: Option<f64>,
 }
 
-/// The decisions of this process with the requests that wait for them.
+/// The scheduler, with the requests that wait for its decisions.
 pub struct Dispatcher {
     inner: Mutex<Inner>,
     rearm: Notify,
@@ -56,13 +59,13 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher around fresh decisions.
+    /// A dispatcher without requests.
     pub fn new(admission: Admission, clock: Clock) -> Self {
         let inner = Inner {
             admission,
-            mailboxes: HashMap::new(),
+            command_senders: HashMap::new(),
             next_id: 0,
-            armed: None,
+            armed_for: None,
         };
         Dispatcher {
             inner: Mutex::new(inner),
@@ -71,32 +74,38 @@
         }
     }
 
-    /// A new request's identity and mailbox.
+    /// Registers a new request: its id, and the channel of its commands.
     pub fn register(&self) -> (CallId, UnboundedReceiver<Command>) {
         let (sender, receiver) = unbounded_channel();
         let mut inner = self.inner.lock();
         inner.next_id += 1;
         let id = CallId(inner.next_id);
-        inner.mailboxes.insert(id, sender);
+        inner.command_senders.insert(id, sender);
         (id, receiver)
     }
 
-    /// Forgets a request that has ended.
-    pub fn forget(&self, id: CallId) {
-        self.inner.lock().mailboxes.remove(&id);
+    /// Removes a request that has ended.
+    pub fn unregister(&self, id: CallId) {
+        self.inner.lock().command_senders.remove(&id);
     }
 
-    /// A request has been read whole and may be sent.
-    pub fn arrive(&self, call: Call) {
+    /// Offers a request to the scheduler.
+    pub fn submit(&self, call: Call) {
         self.apply(|admission, now| admission.arrive(now, call));
     }
 
-    /// An attempt has ended.
-    pub fn outcome(&self, id: CallId, attempt: u32, outcome: Outcome, load: Option<ServerLoad>) {
+    /// Reports how an attempt has ended, with the load that the replica sent.
+    pub fn attempt_ended(
+        &self,
+        id: CallId,
+        attempt: u32,
+        outcome: Outcome,
+        load: Option<ServerLoad>,
+    ) {
         self.apply(|admission, now| admission.outcome(now, id, attempt, outcome, load));
     }
 
-    /// The first event of a stream, or the head of another answer, is here.
+    /// Reports the head of a stream or of another response.
     pub fn first_event(&self, id: CallId, attempt: u32, load: Option<ServerLoad>) {
         self.apply(|admission, now| {
             admission.first_event(now, id, attempt, load);
@@ -104,28 +113,28 @@
         });
     }
 
-    /// The request is over on its own account: nothing more is wanted for it.
-    pub fn cancelled(&self, id: CallId) {
+    /// Reports that a request has ended: no attempt is wanted for it any more.
+    pub fn cancel(&self, id: CallId) {
         self.apply(|admission, now| admission.cancelled(now, id));
     }
 
-    /// A new list of services.
-    pub fn configure(&self, services: &[ServiceSpec], edges: usize) {
+    /// Replaces the services. `edges` share each replica's connections.
+    pub fn update_services(&self, services: &[ServiceSpec], edges: usize) {
         self.apply(|admission, now| {
             admission.configure(now, services, edges);
             Vec::new()
         });
     }
 
-    /// A new list of replicas.
-    pub fn replicas(&self, replicas: &[ReplicaSpec]) {
+    /// Replaces the replicas.
+    pub fn update_replicas(&self, replicas: &[ReplicaSpec]) {
         self.apply(|admission, now| {
             admission.replicas(now, replicas);
             Vec::new()
         });
     }
 
-    /// Wakes the decisions when they want it; never returns.
+    /// Wakes the scheduler at the times that it asks for; never returns.
     pub async fn run_timer(&self) {
         loop {
             let armed = self.arm();
@@ -145,8 +154,8 @@
     fn arm(&self) -> Option<f64> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        inner.armed = inner.admission.next_wake(now);
-        inner.armed
+        inner.armed_for = inner.admission.next_wake(now);
+        inner.armed_for
     }
 
     fn apply(&self, decide: impl FnOnce(&mut Admission, f64) -> Vec<Action>) {
@@ -155,18 +164,18 @@
         let actions = decide(&mut inner.admission, now);
         for action in actions {
             let (id, command) = command(action);
-            if let Some(mailbox) = inner.mailboxes.get(&id) {
-                let _ = mailbox.send(command);
+            if let Some(command_sender) = inner.command_senders.get(&id) {
+                let _ = command_sender.send(command);
             }
         }
         let wanted = inner.admission.next_wake(now);
-        let earlier = match (wanted, inner.armed) {
+        let earlier = match (wanted, inner.armed_for) {
             (Some(wanted), Some(armed)) => wanted < armed,
             (Some(_), None) => true,
             (None, _) => false,
         };
         if earlier {
-            inner.armed = wanted;
+            inner.armed_for = wanted;
             self.rearm.notify_one();
         }
     }
--- a/crates/tier/proxy/src/lifecycle.rs
+++ b/crates/tier/proxy/src/lifecycle.rs
@@ -1,89 +1,71 @@
-//! From start to exit: readiness, and the order of a planned stop.
+//! Phases of the process from start to exit, and its requests in flight.
 
+use parking_lot::Mutex;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far a planned stop has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// How far a graceful shutdown has come.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Requests are served.
+    #[default]
     Serving,
-    /// SIGTERM has come: not ready any more, requests are served, answers close their connections.
-    Leaving,
-    /// The platform has noticed: idle connections are closed, and a request is taken only if its answer is
-    /// due before the process ends.
+    /// SIGTERM has arrived: readiness is 503, requests are served, responses close their connections.
+    Draining,
+    /// The platform has noticed: idle connections are closed, and a request is accepted only if its deadline is
+    /// before the process's end.
     Closing,
 }
 
-/// The phase of this process and the requests in its hands.
+/// The phase of this process and the number of its requests in flight.
+#[derive(Default)]
 pub struct Lifecycle {
-    phase: watch::Sender<Phase>,
-    requests: AtomicUsize,
-    end: OnceLock<Instant>,
-}
-
-impl Default for Lifecycle {
-    fn default() -> Self {
-        Lifecycle {
-            phase: watch::Sender::new(Phase::Serving),
-            requests: AtomicUsize::new(0),
-            end: OnceLock::new(),
-        }
-    }
+    phase: Mutex<Phase>,
+    requests_in_flight: AtomicUsize,
+    shutdown_deadline: OnceLock<Instant>,
 }
 
 impl Lifecycle {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
-        *self.phase.borrow()
-    }
-
-    /// Tells of each change of phase.
-    pub fn changes(&self) -> watch::Receiver<Phase> {
-        self.phase.subscribe()
+        *self.phase.lock()
     }
 
-    /// Enters a later phase.
+    /// Enters `phase` if it is a later one.
     pub fn enter(&self, phase: Phase) {
-        self.phase.send_if_modified(|current| {
-            let later = phase > *current;
-            if later {
-                *current = phase;
-            }
-            later
-        });
+        let mut current = self.phase.lock();
+        *current = phase.max(*current);
     }
 
-    /// Notes when the process ends, whatever is left then. Only the first time counts.
-    pub fn plan_end(&self, end: Instant) {
-        let _ = self.end.set(end);
+    /// Sets when the process ends, whatever is in flight then. Only the first call counts.
+    pub fn set_shutdown_deadline(&self, deadline: Instant) {
+        let _ = self.shutdown_deadline.set(deadline);
     }
 
-    /// Whether a request that is given up at `give_up` may be taken.
+    /// Whether a request with this deadline may be accepted.
     ///
-    /// Where less than half of a zone's edges are ready, the platform passes connections to those that are
-    /// leaving as well, until they end: a request whose answer may be due later than that would be cut off.
-    pub fn takes_request(&self, give_up: Instant) -> bool {
-        match (self.phase(), self.end.get()) {
-            (Phase::Closing, Some(&end)) => give_up <= end,
+    /// Where less than half of a zone's edges are ready, the platform opens connections to draining ones as well,
+    /// until they end: a request with a later deadline could be interrupted.
+    pub fn accepts_request(&self, request_deadline: Instant) -> bool {
+        match (self.phase(), self.shutdown_deadline.get()) {
+            (Phase::Closing, Some(&shutdown_deadline)) => request_deadline <= shutdown_deadline,
             _ => true,
         }
     }
 
-    /// Notes a request that is being read or answered.
-    pub fn request_began(&self) {
-        self.requests.fetch_add(1, Ordering::Relaxed);
+    /// Counts a request whose head has been read.
+    pub fn request_started(&self) {
+        self.requests_in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that a request's answer has been handed to its connection, or its connection has ended.
-    pub fn request_ended(&self) {
-        self.requests.fetch_sub(1, Ordering::Relaxed);
+    /// Counts off a request whose response has been handed to its connection, or whose connection has closed.
+    pub fn request_finished(&self) {
+        self.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Requests being read or answered.
-    pub fn requests(&self) -> usize {
-        self.requests.load(Ordering::Relaxed)
+    /// Number of requests being read or answered.
+    pub fn requests_in_flight(&self) -> usize {
+        self.requests_in_flight.load(Ordering::Relaxed)
     }
 }
--- a/crates/tier/proxy/src/main.rs
+++ b/crates/tier/proxy/src/main.rs
@@ -9,8 +9,8 @@
 
 /// Exit code for a failure while running.
 const FAILURE: u8 = 1;
-/// Exit code for settings or arguments that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings or arguments.
+const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = match parse(std::env::args_os()) {
@@ -20,7 +20,7 @@
     start_logs(&arguments);
     let settings = match NodeSettings::load_from_environment() {
         Ok(settings) => settings,
-        Err(error) => return fail(&error, BAD_SETTINGS),
+        Err(error) => return fail(&error, INVALID_SETTINGS),
     };
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -31,7 +31,7 @@
     };
     match runtime.block_on(run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ RunError::NoAddress { .. }) => fail(&error, BAD_SETTINGS),
+        Err(error @ RunError::NoAddress { .. }) => fail(&error, INVALID_SETTINGS),
         Err(error) => fail(&error, FAILURE),
     }
 }
--- a/crates/tier/proxy/src/mutations.rs
+++ b/crates/tier/proxy/src/mutations.rs
@@ -1,23 +1,23 @@
-//! Defences that tests switch off, to show that the oracle of the connections finds what they prevent.
-//! Without the feature `mutations`, which no release build has, none can be switched.
+//! Defences that tests can switch off, one at a time, to show that the tests find what each prevents.
+//! Without the feature `mutations`, which no release build has, none can be switched off.
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// The check of an answer's `Request-Id`.
-    AnyId,
-    /// The bar on a second send of a request over one connection.
-    CarriedTwice,
-    /// The knowledge that a request may have run once its connection has broken.
-    BrokenIsUnsent,
-    /// The check that a body has come whole.
-    CutIsWhole,
-    /// The check that a replica's own failure does not promise what is not so.
-    AnyFailurePasses,
+    /// The check of a response's `Request-Id`.
+    SkipResponseIdCheck,
+    /// The rule that a connection carries a request at most once.
+    ReuseConnectionForResend,
+    /// The rule that a request may have run once its connection has broken.
+    TreatBrokenAsUnsent,
+    /// The check that a body is complete.
+    AcceptTruncatedBody,
+    /// The check that a replica's error response does not falsely state that the request has not run.
+    ForwardAnyFailure,
 }
 
 #[cfg(feature = "mutations")]
-mod on {
+mod active {
     use super::Mutation;
     use std::cell::Cell;
 
@@ -25,23 +25,23 @@
         static ACTIVE: Cell<Option<Mutation>> = const { Cell::new(None) };
     }
 
-    /// Switches a defence off for this thread, and the one before on.
-    pub fn mutation(mutation: Option<Mutation>) {
+    /// Switches a defence off for this thread, and the one switched off before on again.
+    pub fn set_mutation(mutation: Option<Mutation>) {
         ACTIVE.set(mutation);
     }
 
     /// Whether this defence is switched off on this thread.
-    pub fn mutated(mutation: Mutation) -> bool {
+    pub fn is_mutated(mutation: Mutation) -> bool {
         ACTIVE.get() == Some(mutation)
     }
 }
 
 #[cfg(feature = "mutations")]
-pub use on::{mutated, mutation};
+pub use active::{is_mutated, set_mutation};
 
 /// Whether this defence is switched off: never, in this build.
 #[cfg(not(feature = "mutations"))]
 #[inline(always)]
-pub const fn mutated(_: Mutation) -> bool {
+pub const fn is_mutated(_: Mutation) -> bool {
     false
 }
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -1,11 +1,11 @@
-//! The parts of the data plane that all requests share.
+//! State and services that all requests share.
 
+use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::deadline::Clock;
 use crate::dispatcher::Dispatcher;
-use crate::knowledge::Knowledge;
 use crate::lifecycle::Lifecycle;
-use crate::replica_pool::ReplicaPool;
+use crate::replica::pool::ReplicaPool;
+use crate::routing_state::RoutingState;
 use parking_lot::Mutex;
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -14,37 +14,37 @@
 use woadreach_scheduler::Admission;
 use woadreach_storage::StorageClient;
 
-/// Part of the process's memory that the bodies of requests being read may fill.
-const BODIES_SHARE_OF_MEMORY: u64 = 5;
+/// Bodies of requests being read together may fill the process's memory divided by this.
+const BODIES_MEMORY_DIVISOR: u64 = 5;
 
-/// Edges among which the connections of replicas are shared while their number is not known.
-const ASSUMED_EDGES: usize = 6;
+/// Number of edges that share each replica's connections, since the control plane does not send it.
+const ASSUMED_EDGE_COUNT: usize = 6;
 
-/// The parts that all requests share.
+/// State and services that all requests share.
 pub struct Proxy {
-    /// Time since the start.
+    /// Clock of the scheduler and of the connections' time-outs.
     pub clock: Clock,
-    /// Decisions.
+    /// The scheduler, with the requests that wait for its decisions.
     pub dispatcher: Dispatcher,
-    /// Connections to replicas.
+    /// Pooled connections to replicas.
     pub pool: Arc<ReplicaPool>,
-    /// Turns and budgets.
+    /// Client of the storage nodes, for turns and budgets.
     pub turns: StorageClient,
-    /// Counters.
+    /// Counters of the state line.
     pub counters: Counters,
-    /// Start to exit.
+    /// Phase of the process and requests in flight.
     pub lifecycle: Lifecycle,
-    /// Bytes of requests' bodies in hand.
-    pub body_bytes: AtomicUsize,
-    /// Bytes of requests' bodies that may be in hand.
-    pub most_body_bytes: usize,
-    knowledge: Mutex<Arc<Knowledge>>,
+    /// Bytes of the requests' bodies that are being read.
+    pub buffered_body_bytes: AtomicUsize,
+    /// Limit of `buffered_body_bytes`; above it requests get 503.
+    pub max_buffered_body_bytes: usize,
+    routing_state: Mutex<Arc<RoutingState>>,
 }
 
 impl Proxy {
-    /// A data plane that knows nothing yet.
+    /// A data plane without configuration or replicas. `seed` feeds the scheduler's random choices.
     pub fn new(seed: u64, zone: &str, memory_mb: u64, turns: StorageClient) -> Self {
-        let most_body_bytes = memory_mb * 1024 * 1024 / BODIES_SHARE_OF_MEMORY;
+        let max_buffered_body_bytes = memory_mb * 1024 * 1024 / BODIES_MEMORY_DIVISOR;
         let clock = Clock::start();
         Proxy {
             clock,
@@ -53,60 +53,56 @@
             turns,
             counters: Counters::default(),
             lifecycle: Lifecycle::default(),
-            body_bytes: AtomicUsize::new(0),
-            most_body_bytes: most_body_bytes as usize,
-            knowledge: Mutex::default(),
+            buffered_body_bytes: AtomicUsize::new(0),
+            max_buffered_body_bytes: max_buffered_body_bytes as usize,
+            routing_state: Mutex::default(),
         }
     }
 
-    /// What is known now.
-    pub fn knowledge(&self) -> Arc<Knowledge> {
-        self.knowledge.lock().clone()
+    /// The current configuration and replicas.
+    pub fn routing_state(&self) -> Arc<RoutingState> {
+        self.routing_state.lock().clone()
     }
 
-    /// Edges among which the connections of replicas are shared.
+    /// Number of edges that share each replica's connections.
     pub fn edges(&self) -> usize {
-        ASSUMED_EDGES
+        ASSUMED_EDGE_COUNT
     }
 
-    /// Follows the control plane; returns when nothing more can come.
-    pub async fn follow(&self, mut snapshots: watch::Receiver<Arc<ControlSnapshot>>) {
+    /// Applies each snapshot of the control plane; returns when their channel is closed.
+    pub async fn follow_snapshots(&self, mut snapshots: watch::Receiver<Arc<ControlSnapshot>>) {
         loop {
             let snapshot = snapshots.borrow_and_update().clone();
-            self.learn(&snapshot);
+            self.apply_snapshot(&snapshot);
             if snapshots.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Takes over what the control plane tells.
-    pub fn learn(&self, snapshot: &ControlSnapshot) {
-        let before = self.knowledge();
-        let after = Arc::new(before.after(snapshot));
-        *self.knowledge.lock() = after.clone();
+    /// Replaces configuration, replicas and storage view by those of a snapshot.
+    pub fn apply_snapshot(&self, snapshot: &ControlSnapshot) {
+        let before = self.routing_state();
+        let after = Arc::new(before.with_snapshot(snapshot));
+        *self.routing_state.lock() = after.clone();
         if let Some(view) = &snapshot.storage_view {
             self.turns.set_view(view.clone());
         }
-        let generation = |knowledge: &Knowledge| {
-            knowledge
-                .configuration
-                .as_ref()
-                .map(|known| known.generation)
-        };
-        if generation(&before) != generation(&after) {
-            tracing::info!(generation = generation(&after), "configuration in force");
+        if before.generation() != after.generation() {
+            tracing::info!(generation = after.generation(), "configuration applied");
             self.dispatcher
-                .configure(&after.service_specs(), self.edges());
+                .update_services(&after.service_specs(), self.edges());
         }
         if !Arc::ptr_eq(&before.replicas, &after.replicas) {
-            self.dispatcher.replicas(&after.replica_specs());
+            self.dispatcher.update_replicas(&after.replica_specs());
         }
     }
 
-    /// Whether requests can be served.
+    /// Whether configuration, replicas and storage view are complete enough to serve requests.
     pub fn is_ready(&self) -> bool {
-        let knowledge = self.knowledge();
-        knowledge.warmed && knowledge.configuration.is_some() && knowledge.has_storage_view
+        let routing_state = self.routing_state();
+        routing_state.warmed
+            && routing_state.configuration.is_some()
+            && routing_state.has_storage_view
     }
 }
--- a/crates/tier/proxy/src/readiness.rs
+++ b/crates/tier/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! `GET /readyz`, which the platform calls.
+//! `GET /readyz`, the platform's readiness check.
 
 use crate::lifecycle::Phase;
 use crate::proxy::Proxy;
@@ -8,12 +8,12 @@
 use axum::routing::get;
 use std::sync::Arc;
 
-/// The routes of the readiness address.
+/// Routes of the readiness address.
 pub fn router(proxy: Arc<Proxy>) -> Router {
     Router::new().route("/readyz", get(ready)).with_state(proxy)
 }
 
-/// 200 while new connections are wanted, otherwise 503.
+/// 200 while the process is ready and serving, otherwise 503.
 async fn ready(State(proxy): State<Arc<Proxy>>) -> StatusCode {
     if proxy.is_ready() && proxy.lifecycle.phase() == Phase::Serving {
         StatusCode::OK
--- a/crates/tier/proxy/src/event_stream.rs
+++ b/crates/tier/proxy/src/replica/event_stream.rs
@@ -1,18 +1,18 @@
 //! Incremental reader of `text/event-stream` bodies.
 //!
-//! Only complete events leave the reader, so that a stream that is cut in the middle of an event leaves
-//! nothing half sent. The bytes of complete events are handed on unchanged; most chunks hold whole events
-//! and are not copied.
+//! It stands between a replica's body and the client, so that a stream that breaks off in the middle of an event
+//! can resume elsewhere: only complete events are forwarded, their bytes unchanged. Most chunks consist of
+//! complete events and are not copied. Format: HTML standard, server-sent events, §9.2.6.
 
 use bytes::{Bytes, BytesMut};
 use snafu::{Snafu, ensure};
 
-/// Bytes of one event, at most.
-pub const LONGEST_EVENT: usize = 1024 * 1024;
+/// Largest event, in bytes.
+pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why a body is no stream of events.
+/// A body that is no stream of events, or one that exceeds the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("an event is longer than {LONGEST_EVENT} bytes"))]
+#[snafu(display("an event is longer than {MAX_EVENT_BYTES} bytes"))]
 pub struct EventTooLong;
 
 /// One event.
@@ -22,22 +22,21 @@
     pub id: Option<u64>,
     /// Its `data` lines, joined by line feeds.
     pub data: Bytes,
-    /// Where it ends in the bytes of its batch.
-    pub end: usize,
+    /// Offset of its end in the bytes of its batch.
+    pub end_offset: usize,
 }
 
 /// The complete events of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventBatch {
-    /// The events as they came, with all their lines.
+    /// The events as they were received, with all their lines.
     pub bytes: Bytes,
-    /// What they say. Blocks without data (comments) are in `bytes` only.
+    /// The parsed events. Blocks without data (comments) are in `bytes` only.
     pub events: Vec<Event>,
 }
 
 impl EventBatch {
-    /// Drops the events up to and including this id; what comes before the first one that stays is dropped
-    /// too.
+    /// Drops the events up to and including this id, with the bytes before the first event that remains.
     pub fn skip_through(&mut self, last_id: u64) {
         let skipped = self
             .events
@@ -47,29 +46,29 @@
         if skipped == 0 {
             return;
         }
-        let from = self.events[skipped - 1].end;
+        let from = self.events[skipped - 1].end_offset;
         self.bytes = self.bytes.slice(from..);
         self.events.drain(..skipped);
         for event in &mut self.events {
-            event.end -= from;
+            event.end_offset -= from;
         }
     }
 }
 
-/// How far a client is in a stream.
+/// How much of a stream a client has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StreamPosition {
-    /// Nothing has been passed on.
+    /// No event has been forwarded.
     #[default]
     Start,
-    /// The event with this id was passed on last.
+    /// The event with this id was forwarded last.
     After(u64),
-    /// An event without an id was passed on: nobody can go on from there.
+    /// An event without an id was forwarded, so that no replica can resume the stream.
     Unknown,
 }
 
 impl StreamPosition {
-    /// Notes events that are passed on.
+    /// Records events that are forwarded.
     pub fn advance(&mut self, events: &[Event]) {
         if *self == StreamPosition::Unknown || events.is_empty() {
             return;
@@ -81,7 +80,7 @@
         };
     }
 
-    /// The `Last-Event-Id` for another replica.
+    /// The `Last-Event-Id` with which another replica resumes the stream.
     pub fn resume_after(self) -> Option<u64> {
         match self {
             StreamPosition::After(id) => Some(id),
@@ -97,12 +96,16 @@
 }
 
 impl EventReader {
-    /// Takes the next bytes of the body and gives the events that they complete.
+    /// Takes the next bytes of the body and returns the events that they complete.
+    ///
+    /// # Errors
+    ///
+    /// [`EventTooLong`] if an event exceeds [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, chunk: Bytes) -> Result<EventBatch, EventTooLong> {
         let bytes = self.join(chunk);
         let mut events = Vec::new();
         let mut complete = 0;
-        let mut block = Block::default();
+        let mut pending = PendingEvent::default();
         let mut line_start = 0;
         while let Some(length) = bytes[line_start..].iter().position(|byte| *byte == b'\n') {
             let line_end = line_start + length;
@@ -110,13 +113,13 @@
             line_start = line_end + 1;
             if line.is_empty() {
                 complete = line_start;
-                events.extend(std::mem::take(&mut block).finish(complete));
+                events.extend(std::mem::take(&mut pending).finish(complete));
             } else {
-                block.take_line(line);
+                pending.add_line(line);
             }
         }
         let rest = &bytes[complete..];
-        ensure!(rest.len() <= LONGEST_EVENT, EventTooLongSnafu);
+        ensure!(rest.len() <= MAX_EVENT_BYTES, EventTooLongSnafu);
         self.partial.extend_from_slice(rest);
         Ok(EventBatch {
             bytes: bytes.slice(..complete),
@@ -129,8 +132,8 @@
         !self.partial.is_empty()
     }
 
-    /// Bytes of an event that the end of the body left without its blank line.
-    pub fn into_rest(self) -> Bytes {
+    /// Bytes of a last event whose blank line is missing.
+    pub fn into_remainder(self) -> Bytes {
         self.partial.freeze()
     }
 
@@ -144,21 +147,22 @@
 }
 
 fn trim_carriage_return(bytes: &Bytes, start: usize, end: usize) -> Bytes {
-    match end > start && bytes[end - 1] == b'\r' {
-        true => bytes.slice(start..end - 1),
-        false => bytes.slice(start..end),
+    if end > start && bytes[end - 1] == b'\r' {
+        bytes.slice(start..end - 1)
+    } else {
+        bytes.slice(start..end)
     }
 }
 
-/// The lines of an event that has not ended.
+/// The fields of an event whose blank line has not been read.
 #[derive(Default)]
-struct Block {
+struct PendingEvent {
     id: Option<u64>,
     data: Vec<Bytes>,
 }
 
-impl Block {
-    fn take_line(&mut self, line: Bytes) {
+impl PendingEvent {
+    fn add_line(&mut self, line: Bytes) {
         if let Some(value) = field_value(&line, b"data") {
             self.data.push(value);
         } else if let Some(value) = field_value(&line, b"id") {
@@ -168,7 +172,7 @@
         }
     }
 
-    fn finish(mut self, end: usize) -> Option<Event> {
+    fn finish(mut self, end_offset: usize) -> Option<Event> {
         let data = match self.data.len() {
             0 => return None,
             1 => self.data.remove(0),
@@ -177,12 +181,12 @@
         Some(Event {
             id: self.id,
             data,
-            end,
+            end_offset,
         })
     }
 }
 
-/// The value of a line that has this field; a single space behind the colon does not belong to it.
+/// The value of a line that has this field; a single space after the colon is not part of it.
 fn field_value(line: &Bytes, name: &[u8]) -> Option<Bytes> {
     let rest = line.strip_prefix(name)?;
     if rest.is_empty() {
--- a/crates/tier/proxy/src/replica_answer.rs
+++ b/crates/tier/proxy/src/replica/response_head.rs
@@ -1,7 +1,10 @@
-//! What the head of a replica's answer means.
+//! Classifies the head of a replica's response.
+//!
+//! It stands between the connection and everything that trusts a response: only what passes here as the response
+//! to this very request is forwarded or counted as one.
 
-use crate::mutations::{Mutation, mutated};
-use crate::request_headers::REQUEST_ID;
+use crate::client::headers::REQUEST_ID;
+use crate::mutations::{Mutation, is_mutated};
 use http::header::{
     CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, RETRY_AFTER,
     TRANSFER_ENCODING,
@@ -11,70 +14,70 @@
 use std::time::Duration;
 use woadreach_scheduler::{Outcome, ServerLoad};
 
-/// Stamp of the replica that made an answer.
+/// Signature of the replica that made a response.
 pub const RESPONSE_SIGNATURE: HeaderName = HeaderName::from_static("response-signature");
-/// Promise that the replica has not run the request.
+/// The replica's statement that it has not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// Load of the replica: running, waiting, slots.
+/// Load of the replica: running requests, waiting requests, slots.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// What the head of an answer means for its request.
+/// What the head of a response means for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HeadVerdict {
-    /// A success, if its whole body comes.
+pub enum ResponseClass {
+    /// A success, provided that its body arrives completely.
     Success,
-    /// The replica's own failure: it is passed on unchanged if it is the last word.
+    /// The replica's own error response, which is forwarded unchanged if no further attempt is made.
     Failure(Outcome),
     /// The replica has not run the request.
-    NotRun(Outcome),
-    /// It belongs to another request, or is no proper answer: the request may have run.
-    Foreign,
+    NotExecuted(Outcome),
+    /// The response to another request, or an invalid one: this request may have run.
+    Mismatched,
 }
 
-/// Judges the head of an answer to the request `request_id`.
-pub fn judge(head: &Parts, request_id: &str) -> HeadVerdict {
-    let answers = head
+/// Classifies the head of a response to the request `request_id`.
+pub fn classify_response(head: &Parts, request_id: &str) -> ResponseClass {
+    let has_id = head
         .headers
         .get(&REQUEST_ID)
         .is_some_and(|id| id.as_bytes() == request_id.as_bytes());
-    let answers = answers || mutated(Mutation::AnyId);
-    if !answers || head.status.is_informational() {
-        return HeadVerdict::Foreign;
+    let has_id = has_id || is_mutated(Mutation::SkipResponseIdCheck);
+    if !has_id || head.status.is_informational() {
+        return ResponseClass::Mismatched;
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return HeadVerdict::NotRun(Outcome::Misdirected);
+        return ResponseClass::NotExecuted(Outcome::Misdirected);
     }
     if head.headers.contains_key(&NOT_EXECUTED) && !head.status.is_success() {
-        return HeadVerdict::NotRun(Outcome::NotExecuted {
+        return ResponseClass::NotExecuted(Outcome::NotExecuted {
             retry_after: retry_after(&head.headers),
         });
     }
     if head.status.is_success() {
-        let stamped = head.headers.contains_key(&RESPONSE_SIGNATURE);
-        let plain = !head.headers.contains_key(CONTENT_ENCODING);
-        return if stamped && plain {
-            HeadVerdict::Success
+        let is_signed = head.headers.contains_key(&RESPONSE_SIGNATURE);
+        let is_unencoded = !head.headers.contains_key(CONTENT_ENCODING);
+        return if is_signed && is_unencoded {
+            ResponseClass::Success
         } else {
-            HeadVerdict::Foreign
+            ResponseClass::Mismatched
         };
     }
-    if head.status.is_server_error() || is_promise(head.status) {
-        return HeadVerdict::Failure(Outcome::ReplicaError);
+    if head.status.is_server_error() || promises_not_executed(head.status) {
+        return ResponseClass::Failure(Outcome::ReplicaError);
     }
-    HeadVerdict::Failure(Outcome::Answered)
+    ResponseClass::Failure(Outcome::Answered)
 }
 
-/// Whether a status promises a client that its request has not run.
-pub fn is_promise(status: StatusCode) -> bool {
-    let promises = [
+/// Whether a status tells a client that its request has not run.
+pub fn promises_not_executed(status: StatusCode) -> bool {
+    let statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::PAYMENT_REQUIRED,
     ];
-    promises.contains(&status) && !mutated(Mutation::AnyFailurePasses)
+    statuses.contains(&status) && !is_mutated(Mutation::ForwardAnyFailure)
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<f64> {
@@ -88,7 +91,7 @@
     (seconds.is_finite() && seconds >= 0.0).then_some(seconds)
 }
 
-/// Reads `Server-Load`.
+/// Parses `Server-Load`; `None` if it is absent or malformed.
 pub fn server_load(headers: &HeaderMap) -> Option<ServerLoad> {
     let text = headers.get(&SERVER_LOAD)?.to_str().ok()?;
     let mut numbers = text
@@ -102,24 +105,24 @@
     })
 }
 
-/// Whether the end of an answer's body is told by its framing, and not by the end of its connection.
-pub fn tells_its_length(head: &Parts) -> bool {
+/// Whether a body's end is marked by its framing rather than by the end of the connection (RFC 9112 §6.3).
+pub fn has_explicit_length(head: &Parts) -> bool {
     head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// What the replica says of the connection after an answer.
+/// What becomes of the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// It is closed.
+    /// The replica closes it.
     Close,
-    /// It may be used again, for so long if the replica says so.
+    /// It may carry another request.
     Reuse {
-        /// How long the replica keeps it when it is idle.
+        /// The replica's idle time-out, if it sent one.
         keep_alive: Option<Duration>,
     },
 }
 
-/// Reads `Connection` and `Keep-Alive` of an answer.
+/// Reads `Connection` and `Keep-Alive` of a response.
 pub fn connection_reuse(head: &Parts) -> ConnectionReuse {
     let closes = |value: &str| {
         value
--- /dev/null
+++ b/crates/tier/proxy/src/request/state.rs
@@ -0,0 +1,206 @@
+//! State table of one request, from its complete reading to its end.
+//!
+//! | from | change | to |
+//! | --- | --- | --- |
+//! | `Preparing` | [`RequestProgress::admitted`] | `Waiting` |
+//! | `Waiting`, `InFlight`, `Streaming` | [`RequestProgress::sent`] | `InFlight`, or `Streaming` if a stream broke off |
+//! | `InFlight`, `Streaming` | [`RequestProgress::attempt_ended`] | `Waiting` if no attempt is in flight; `Streaming` stays |
+//! | `InFlight`, `Streaming` | [`RequestProgress::stream_started`] | `Streaming` |
+//! | `Streaming` | [`RequestProgress::committing`] | `Committing` |
+//! | any but `Ended` | [`RequestProgress::end`] | `Ended` |
+//!
+//! The table also tracks whether the request may have run. An end that states that it has not run becomes one
+//! that does not state it, when it may have: otherwise a client would repeat what must not run twice.
+
+use snafu::Snafu;
+
+/// State of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestState {
+    /// Its stored turns are loaded and its budget is reserved.
+    Preparing,
+    /// No attempt is in flight.
+    Waiting,
+    /// At least one attempt is in flight.
+    InFlight,
+    /// A replica has started a stream.
+    Streaming,
+    /// All events have been forwarded; the turn is being made durable.
+    Committing,
+    /// It has ended.
+    Ended(RequestEnd),
+}
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum RequestEnd {
+    /// A replica's complete response was forwarded.
+    Answered,
+    /// A replica's own error response was forwarded.
+    ReplicaFailure,
+    /// 503 with `Retry-After`: it has not run and never will.
+    Refused,
+    /// 504: its deadline has passed and it may have run.
+    TimedOut,
+    /// 502: it may have run and may not be repeated.
+    MayHaveRun,
+    /// 402: the program's budget is spent; it has not run.
+    BudgetSpent,
+    /// 404: the turn that it continues does not exist.
+    UnknownTurn,
+    /// The response was truncated after its head had been sent.
+    Aborted,
+    /// The client disconnected before its response was complete.
+    ClientDisconnected,
+}
+
+/// A transition that the table does not name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
+#[snafu(display("a request in state {state:?} cannot take the change `{change}`"))]
+pub struct InvalidTransition {
+    /// The request's state.
+    pub state: RequestState,
+    /// The transition.
+    pub change: &'static str,
+}
+
+/// State of one request, and whether it may have run.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestProgress {
+    state: RequestState,
+    idempotent: bool,
+    /// An attempt that has ended may have run.
+    may_have_run: bool,
+    attempts_in_flight: u32,
+}
+
+impl RequestProgress {
+    /// The state of a request that has just been read; `idempotent` if it may run more than once.
+    pub fn new(idempotent: bool) -> Self {
+        RequestProgress {
+            state: RequestState::Preparing,
+            idempotent,
+            may_have_run: false,
+            attempts_in_flight: 0,
+        }
+    }
+
+    /// The state it is in.
+    pub fn state(&self) -> RequestState {
+        self.state
+    }
+
+    /// Whether a replica may have run it, or may still run it.
+    pub fn may_have_run(&self) -> bool {
+        self.may_have_run || self.attempts_in_flight > 0
+    }
+
+    /// The request is prepared and may be sent.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] unless it was `Preparing`.
+    pub fn admitted(&mut self) -> Result<(), InvalidTransition> {
+        match self.state {
+            RequestState::Preparing => self.enter(RequestState::Waiting),
+            _ => self.invalid("admitted"),
+        }
+    }
+
+    /// An attempt is sent.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] if the table does not name it, or the request may have run and is not idempotent.
+    pub fn sent(&mut self) -> Result<(), InvalidTransition> {
+        let next = match self.state {
+            RequestState::Waiting | RequestState::InFlight => RequestState::InFlight,
+            RequestState::Streaming => RequestState::Streaming,
+            _ => return self.invalid("sent"),
+        };
+        if self.may_have_run() && !self.idempotent {
+            return self.invalid("sent again");
+        }
+        self.attempts_in_flight += 1;
+        self.enter(next)
+    }
+
+    /// An attempt has ended; `has_not_run` if the replica cannot have run it.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] if no attempt is in flight.
+    pub fn attempt_ended(&mut self, has_not_run: bool) -> Result<(), InvalidTransition> {
+        let next = match self.state {
+            _ if self.attempts_in_flight == 0 => return self.invalid("attempt_ended"),
+            RequestState::InFlight if self.attempts_in_flight == 1 => RequestState::Waiting,
+            RequestState::InFlight | RequestState::Streaming => self.state,
+            _ => return self.invalid("attempt_ended"),
+        };
+        self.attempts_in_flight -= 1;
+        self.may_have_run |= !has_not_run;
+        self.enter(next)
+    }
+
+    /// A replica has started a stream.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] if no attempt is in flight.
+    pub fn stream_started(&mut self) -> Result<(), InvalidTransition> {
+        match self.state {
+            RequestState::InFlight | RequestState::Streaming => {
+                self.may_have_run = true;
+                self.enter(RequestState::Streaming)
+            }
+            _ => self.invalid("stream_started"),
+        }
+    }
+
+    /// All events have been forwarded and the turn is to be made durable.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] unless it was `Streaming`.
+    pub fn committing(&mut self) -> Result<(), InvalidTransition> {
+        match self.state {
+            RequestState::Streaming => self.enter(RequestState::Committing),
+            _ => self.invalid("committing"),
+        }
+    }
+
+    /// The request ends. Returns `wanted`, or the end that is true of this request instead.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidTransition`] if it has ended before.
+    pub fn end(&mut self, wanted: RequestEnd) -> Result<RequestEnd, InvalidTransition> {
+        if matches!(self.state, RequestState::Ended(_)) {
+            return Err(InvalidTransition {
+                state: self.state,
+                change: "end",
+            });
+        }
+        let ran = self.may_have_run();
+        let end = match wanted {
+            RequestEnd::Refused if ran && !self.idempotent => RequestEnd::MayHaveRun,
+            RequestEnd::BudgetSpent | RequestEnd::UnknownTurn if ran => RequestEnd::MayHaveRun,
+            RequestEnd::TimedOut | RequestEnd::MayHaveRun if !ran => RequestEnd::Refused,
+            other => other,
+        };
+        self.state = RequestState::Ended(end);
+        Ok(end)
+    }
+
+    fn enter(&mut self, state: RequestState) -> Result<(), InvalidTransition> {
+        self.state = state;
+        Ok(())
+    }
+
+    fn invalid(&self, change: &'static str) -> Result<(), InvalidTransition> {
+        Err(InvalidTransition {
+            state: self.state,
+            change,
+        })
+    }
+}
--- a/crates/tier/proxy/src/request_task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -1,24 +1,27 @@
-//! The life of one request, from the end of its reading to its answer.
+//! The task of one request, from its complete reading to its end.
 //!
-//! The task carries out what the decisions say, reports what came of it, and passes the answer on. Every
-//! change of state goes through [`RequestProgress`]; see there for the table.
+//! The task executes the scheduler's commands, reports the outcome of each attempt, and forwards the response.
+//! Every change of state goes through [`RequestProgress`], whose table is in [`crate::request::state`].
 
 mod ending;
 mod streaming;
 
-use self::ending::RETRY_SOON;
-use crate::answer_body::AnswerBody;
-use crate::attempt::{AttemptReport, AttemptResult, OpenStream, OutgoingRequest, ReplicaAnswer};
-use crate::attempt::{SendOrder, attempt, connection_share, duration};
-use crate::client_request::ClientRequest;
-use crate::client_side::ClientSide;
+use self::ending::RETRY_AFTER_SECONDS;
+use crate::client::local_response::text_response;
+use crate::client::request::ClientRequest;
+use crate::client::response_body::ResponseBody;
+use crate::client::response_sender::ResponseSender;
 use crate::dispatcher::Command;
-use crate::event_stream::{EventReader, StreamPosition};
-use crate::own_answer::plain;
 use crate::proxy::Proxy;
-use crate::replica_answer::tells_its_length;
-use crate::request_state::{RequestEnd, RequestProgress, RequestState};
-use crate::turn_store::{PreparedTurn, TurnError};
+use crate::replica::attempt::{
+    AttemptParams, AttemptReport, AttemptResult, OpenStream, OutgoingRequest, ReplicaResponse,
+    attempt, connections_per_edge, duration_from_seconds,
+};
+use crate::replica::event_stream::{EventReader, StreamPosition};
+use crate::replica::pool::ReplicaEndpoint;
+use crate::replica::response_head::has_explicit_length;
+use crate::request::state::{InvalidTransition, RequestEnd, RequestProgress, RequestState};
+use crate::turns::store::{PreparedTurn, TurnError};
 use bytes::Bytes;
 use http::response::Parts;
 use http::{Response, StatusCode};
@@ -29,9 +32,9 @@
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, Sleep, sleep_until};
-use woadreach_scheduler::{CallId, FailReason, Outcome};
+use woadreach_scheduler::{CallId, FailReason, Outcome, ServerLoad};
 
-/// A stream that is being passed on.
+/// A stream that is being forwarded.
 struct ActiveStream {
     attempt: u32,
     open: Box<OpenStream>,
@@ -39,13 +42,19 @@
 }
 
 impl ActiveStream {
-    /// Whether an orderly end of the body is none: a replica that crashes in the middle of an event may end
-    /// its connection in order, which looks like the end of a body without a length.
-    fn ends_inside_event(&self) -> bool {
-        self.reader.is_inside_event() && !tells_its_length(&self.open.head)
+    /// Whether the body, which has ended in order, is truncated nevertheless: a replica that crashes inside an
+    /// event may close its connection in order, which is also the end of a body without an explicit length.
+    fn ended_inside_event(&self) -> bool {
+        self.reader.is_inside_event() && !has_explicit_length(&self.open.head)
     }
 }
 
+/// An attempt whose response has not started.
+struct RunningAttempt {
+    attempt: u32,
+    handle: AbortHandle,
+}
+
 /// What the task waits for.
 enum TaskEvent {
     Command(Command),
@@ -53,47 +62,47 @@
     StreamData(Bytes),
     StreamEnded,
     StreamBroke,
-    ClientLeft,
+    ClientDisconnected,
     DeadlineReached,
 }
 
-/// The life of one request.
+/// The task of one request.
 pub struct RequestTask {
     proxy: Arc<Proxy>,
     client: ClientRequest,
     id: CallId,
     commands: UnboundedReceiver<Command>,
-    side: ClientSide,
+    response: ResponseSender,
     progress: RequestProgress,
     outgoing: Option<Arc<OutgoingRequest>>,
     attempts: JoinSet<AttemptReport>,
-    running: Vec<(u32, AbortHandle)>,
+    running: Vec<RunningAttempt>,
     stream: Option<ActiveStream>,
-    /// Head that the client's answer has, once a stream has begun.
+    /// Head of the client's response, once a stream has started.
     stream_head: Option<Parts>,
     position: StreamPosition,
     turn: PreparedTurn,
-    last_failure: Option<ReplicaAnswer>,
+    last_failure: Option<ReplicaResponse>,
     deadline: Pin<Box<Sleep>>,
 }
 
 impl RequestTask {
-    /// A task for a request that has been read whole. Its answer's head goes to `head`.
+    /// A task for a complete request. The response goes to `head`.
     pub fn new(
         proxy: Arc<Proxy>,
         client: ClientRequest,
-        head: oneshot::Sender<Response<AnswerBody>>,
+        head: oneshot::Sender<Response<ResponseBody>>,
     ) -> Self {
         let (id, commands) = proxy.dispatcher.register();
-        let progress = RequestProgress::new(client.is_repeatable());
-        let deadline = Box::pin(sleep_until(client.give_up));
+        let progress = RequestProgress::new(client.is_idempotent());
+        let deadline = Box::pin(sleep_until(client.deadline));
         let turn = PreparedTurn::new(&client);
         RequestTask {
             proxy,
             client,
             id,
             commands,
-            side: ClientSide::Unanswered(head),
+            response: ResponseSender::AwaitingHead(head),
             progress,
             outgoing: None,
             attempts: JoinSet::new(),
@@ -110,17 +119,17 @@
     /// Runs the request to its end.
     pub async fn run(mut self) {
         let end = self.drive().await;
-        self.proxy.dispatcher.cancelled(self.id);
-        self.proxy.dispatcher.forget(self.id);
+        self.proxy.dispatcher.cancel(self.id);
+        self.proxy.dispatcher.unregister(self.id);
         self.proxy.counters.count(end);
         tracing::debug!(
-            request = %self.client.facts.request_id,
-            program = self.client.facts.program.as_deref(),
-            session = self.client.facts.session.as_deref(),
+            request = %self.client.metadata.request_id,
+            program = self.client.metadata.program.as_deref(),
+            session = self.client.metadata.session.as_deref(),
             route = %self.client.route.name,
             ?end,
-            events = self.turn.ledger.events(),
-            elapsed_ms = self.client.arrived.elapsed().as_millis() as u64,
+            events = self.turn.token_counter.events(),
+            elapsed_ms = self.client.arrived_at.elapsed().as_millis() as u64,
             "request ended"
         );
     }
@@ -129,9 +138,9 @@
         if let Some(end) = self.prepare().await {
             return end;
         }
-        self.change(RequestProgress::admitted);
+        self.transition(RequestProgress::admitted);
         let clock = self.proxy.clock;
-        self.proxy.dispatcher.arrive(
+        self.proxy.dispatcher.submit(
             self.client
                 .call(self.id, |instant| clock.seconds_at(instant)),
         );
@@ -143,19 +152,19 @@
         }
     }
 
-    /// Looks up the chain and reserves the budget; an end if the request stops here.
+    /// Loads the stored turns and reserves the budget. Returns an end if the request stops here.
     async fn prepare(&mut self) -> Option<RequestEnd> {
         let RequestTask {
             proxy,
             client,
-            side,
+            response,
             turn,
             deadline,
             ..
         } = self;
         let prepared = tokio::select! {
             prepared = turn.prepare(&proxy.turns, client) => prepared,
-            () = side.closed() => return Some(self.end_without_client()),
+            () = response.client_disconnected() => return Some(self.end_disconnected()),
             () = deadline => Err(TurnError::Unavailable),
         };
         match prepared {
@@ -164,17 +173,17 @@
                 None
             }
             Err(TurnError::BudgetSpent) => {
-                let answer = plain(
+                let response = text_response(
                     StatusCode::PAYMENT_REQUIRED,
                     "the program's budget is spent",
                 );
-                Some(self.end_with(RequestEnd::BudgetSpent, answer))
+                Some(self.end_with(RequestEnd::BudgetSpent, response))
             }
             Err(TurnError::UnknownTurn) => {
-                let answer = plain(StatusCode::NOT_FOUND, "Previous names no turn");
-                Some(self.end_with(RequestEnd::UnknownTurn, answer))
+                let response = text_response(StatusCode::NOT_FOUND, "Previous names no turn");
+                Some(self.end_with(RequestEnd::UnknownTurn, response))
             }
-            Err(TurnError::Unavailable) => Some(self.refuse(RETRY_SOON)),
+            Err(TurnError::Unavailable) => Some(self.refuse(RETRY_AFTER_SECONDS)),
         }
     }
 
@@ -183,7 +192,7 @@
             commands,
             attempts,
             stream,
-            side,
+            response,
             deadline,
             ..
         } = self;
@@ -208,7 +217,7 @@
                         Err(_trailers) => continue,
                     },
                 },
-                () = side.closed() => TaskEvent::ClientLeft,
+                () = response.client_disconnected() => TaskEvent::ClientDisconnected,
                 () = deadline.as_mut() => TaskEvent::DeadlineReached,
             };
         }
@@ -216,17 +225,17 @@
 
     async fn handle(&mut self, event: TaskEvent) -> Option<RequestEnd> {
         match event {
-            TaskEvent::Command(command) => self.obey(command),
-            TaskEvent::Attempt(report) => self.take_report(*report),
-            TaskEvent::StreamData(data) => self.take_data(data).await,
+            TaskEvent::Command(command) => self.execute(command),
+            TaskEvent::Attempt(report) => self.handle_report(*report),
+            TaskEvent::StreamData(data) => self.forward_events(data).await,
             TaskEvent::StreamEnded => self.finish_stream().await,
-            TaskEvent::StreamBroke => self.drop_broken_stream(),
-            TaskEvent::ClientLeft => Some(self.end_without_client()),
+            TaskEvent::StreamBroke => self.handle_broken_stream(),
+            TaskEvent::ClientDisconnected => Some(self.end_disconnected()),
             TaskEvent::DeadlineReached => Some(self.fail(FailReason::TimedOut)),
         }
     }
 
-    fn obey(&mut self, command: Command) -> Option<RequestEnd> {
+    fn execute(&mut self, command: Command) -> Option<RequestEnd> {
         match command {
             Command::Send {
                 attempt,
@@ -247,76 +256,71 @@
     }
 
     fn send(&mut self, number: u32, replica: Arc<str>, timeout: f64, priority: Option<u8>) {
-        let knowledge = self.proxy.knowledge();
-        let record = knowledge.replicas.get(&*replica);
+        let routing_state = self.proxy.routing_state();
+        let record = routing_state.replicas.get(&*replica);
         let (Some(record), Some(outgoing)) = (record, self.outgoing.clone()) else {
-            self.proxy
-                .dispatcher
-                .outcome(self.id, number, Outcome::NeverSent, None);
+            self.report_outcome(number, Outcome::NeverSent, None);
             return;
         };
         if let Err(error) = self.progress.sent() {
             tracing::error!(%error, "a request may not be sent again");
-            self.proxy
-                .dispatcher
-                .outcome(self.id, number, Outcome::NeverSent, None);
+            self.report_outcome(number, Outcome::NeverSent, None);
             return;
         }
-        tracing::debug!(request = %self.client.facts.request_id, attempt = number, %replica, "attempt sent");
-        let max_conns = knowledge.max_conns(&record.service);
-        let order = SendOrder {
+        tracing::debug!(request = %self.client.metadata.request_id, attempt = number, %replica, "attempt sent");
+        let max_conns = routing_state.max_conns(&record.service);
+        let params = AttemptParams {
             attempt: number,
-            replica,
-            address: record.address,
-            most_connections: connection_share(max_conns, self.proxy.edges()),
-            deadline: (Instant::now() + duration(timeout)).min(self.client.give_up),
+            endpoint: ReplicaEndpoint {
+                replica,
+                address: record.address,
+            },
+            max_connections: connections_per_edge(max_conns, self.proxy.edges()),
+            deadline: (Instant::now() + duration_from_seconds(timeout)).min(self.client.deadline),
             priority,
             resume_after: self.position.resume_after(),
         };
         let handle = self
             .attempts
-            .spawn(attempt(self.proxy.pool.clone(), outgoing, order));
-        self.running.push((number, handle));
+            .spawn(attempt(self.proxy.pool.clone(), outgoing, params));
+        self.running.push(RunningAttempt {
+            attempt: number,
+            handle,
+        });
     }
 
-    fn abort(&mut self, number: u32) {
-        let Some(index) = self
-            .running
-            .iter()
-            .position(|(running, _)| *running == number)
-        else {
-            return;
-        };
-        let (_, handle) = self.running.swap_remove(index);
-        handle.abort();
-        self.change(|progress| progress.attempt_ended(false));
+    fn abort(&mut self, attempt: u32) {
+        if let Some(running) = self.remove_running(attempt) {
+            running.handle.abort();
+            self.transition(|progress| progress.attempt_ended(false));
+        }
+    }
+
+    fn remove_running(&mut self, attempt: u32) -> Option<RunningAttempt> {
+        let is_wanted = |running: &RunningAttempt| running.attempt == attempt;
+        let index = self.running.iter().position(is_wanted)?;
+        Some(self.running.swap_remove(index))
     }
 
-    fn take_report(&mut self, report: AttemptReport) -> Option<RequestEnd> {
+    fn handle_report(&mut self, report: AttemptReport) -> Option<RequestEnd> {
         let AttemptReport {
             attempt,
             result,
             load,
         } = report;
         if let AttemptResult::Failed { outcome, .. } = &result {
-            tracing::debug!(request = %self.client.facts.request_id, attempt, ?outcome, "attempt failed");
+            tracing::debug!(request = %self.client.metadata.request_id, attempt, ?outcome, "attempt failed");
         }
-        let index = self
-            .running
-            .iter()
-            .position(|(running, _)| *running == attempt)?;
-        self.running.swap_remove(index);
+        self.remove_running(attempt)?;
         match result {
-            AttemptResult::Answered(answer) => {
-                self.change(|progress| progress.attempt_ended(false));
+            AttemptResult::Answered(response) => {
+                self.transition(|progress| progress.attempt_ended(false));
                 self.proxy.dispatcher.first_event(self.id, attempt, load);
-                self.proxy
-                    .dispatcher
-                    .outcome(self.id, attempt, Outcome::Answered, load);
-                Some(self.pass_on(answer, RequestEnd::Answered))
+                self.report_outcome(attempt, Outcome::Answered, load);
+                Some(self.forward(response, RequestEnd::Answered))
             }
             AttemptResult::Streaming(open) => {
-                self.change(RequestProgress::stream_began);
+                self.transition(RequestProgress::stream_started);
                 self.proxy.dispatcher.first_event(self.id, attempt, load);
                 self.stream_head.get_or_insert_with(|| open.head.clone());
                 self.stream = Some(ActiveStream {
@@ -326,27 +330,30 @@
                 });
                 None
             }
-            AttemptResult::Failed { outcome, answer } => {
-                self.change(|progress| progress.attempt_ended(outcome.has_not_run()));
-                self.last_failure = answer.or(self.last_failure.take());
-                self.proxy
-                    .dispatcher
-                    .outcome(self.id, attempt, outcome, load);
+            AttemptResult::Failed { outcome, response } => {
+                self.transition(|progress| progress.attempt_ended(outcome.has_not_run()));
+                self.last_failure = response.or(self.last_failure.take());
+                self.report_outcome(attempt, outcome, load);
                 None
             }
         }
     }
 
-    fn change(
+    fn report_outcome(&self, attempt: u32, outcome: Outcome, load: Option<ServerLoad>) {
+        let dispatcher = &self.proxy.dispatcher;
+        dispatcher.attempt_ended(self.id, attempt, outcome, load);
+    }
+
+    fn transition(
         &mut self,
-        change: impl FnOnce(&mut RequestProgress) -> Result<(), crate::request_state::StateError>,
+        change: impl FnOnce(&mut RequestProgress) -> Result<(), InvalidTransition>,
     ) {
         if let Err(error) = change(&mut self.progress) {
-            tracing::error!(%error, request = %self.client.facts.request_id, "unexpected change of state");
+            tracing::error!(%error, request = %self.client.metadata.request_id, "unexpected change of state");
         }
     }
 
-    /// Where the request is.
+    /// State of the request.
     pub fn state(&self) -> RequestState {
         self.progress.state()
     }
--- /dev/null
+++ b/crates/tier/proxy/src/request/task/streaming.rs
@@ -0,0 +1,78 @@
+//! Forwards a stream of events, and handles its end.
+
+use super::RequestTask;
+use crate::replica::event_stream::StreamPosition;
+use crate::request::state::{RequestEnd, RequestProgress};
+use crate::turns::store::TurnError;
+use bytes::Bytes;
+use woadreach_scheduler::{FailReason, Outcome};
+
+impl RequestTask {
+    /// Forwards the events that these bytes complete.
+    pub(super) async fn forward_events(&mut self, data: Bytes) -> Option<RequestEnd> {
+        let active = self.stream.as_mut()?;
+        let Ok(mut batch) = active.reader.push(data) else {
+            return self.handle_broken_stream();
+        };
+        if let StreamPosition::After(last_id) = self.position {
+            batch.skip_through(last_id);
+        }
+        self.position.advance(&batch.events);
+        if batch.bytes.is_empty() {
+            return None;
+        }
+        let head = self.stream_head.as_ref()?;
+        let forwarded = tokio::select! {
+            forwarded = self.response.send_chunk(head, batch.bytes) => forwarded,
+            () = self.deadline.as_mut() => return Some(self.fail(FailReason::TimedOut)),
+        };
+        if forwarded.is_err() {
+            return Some(self.end_disconnected());
+        }
+        self.turn.add_events(batch.events);
+        None
+    }
+
+    /// Handles a body that ended as its framing says: stores the turn, then completes the response.
+    pub(super) async fn finish_stream(&mut self) -> Option<RequestEnd> {
+        if self.stream.as_ref()?.ended_inside_event() {
+            return self.handle_broken_stream();
+        }
+        let active = self.stream.take()?;
+        let remainder = active.reader.into_remainder();
+        active.open.release();
+        self.transition(|progress| progress.attempt_ended(false));
+        self.report_outcome(active.attempt, Outcome::Answered, None);
+        let head = self.stream_head.clone()?;
+        if self.response.send_chunk(&head, remainder).await.is_err() {
+            return Some(self.end_disconnected());
+        }
+        self.transition(RequestProgress::committing);
+        let committed = tokio::select! {
+            committed = self.turn.commit(&self.proxy.turns, &self.client) => committed,
+            () = self.deadline.as_mut() => Err(TurnError::Unavailable),
+        };
+        if committed.is_err() {
+            return Some(self.abort_response());
+        }
+        self.response.finish().await;
+        Some(self.end(RequestEnd::Answered))
+    }
+
+    /// Handles a stream that broke off: another replica resumes it if the scheduler wants that and the position is
+    /// known.
+    pub(super) fn handle_broken_stream(&mut self) -> Option<RequestEnd> {
+        let active = self.stream.take()?;
+        self.transition(|progress| progress.attempt_ended(false));
+        if self.response.is_awaiting_head() {
+            // No byte of this replica's body was forwarded, so its head does not belong to the response.
+            self.stream_head = None;
+        }
+        let outcome = Outcome::Broken {
+            sent: true,
+            events: self.turn.token_counter.events(),
+        };
+        self.report_outcome(active.attempt, outcome, None);
+        (self.position == StreamPosition::Unknown).then(|| self.fail(FailReason::MayHaveRun))
+    }
+}
--- a/crates/tier/proxy/src/run.rs
+++ b/crates/tier/proxy/src/run.rs
@@ -1,9 +1,9 @@
-//! Starts the parts of the data plane and stops them in order.
+//! Wires the data plane: binds its addresses, spawns its services, and stops them in order.
 
-use crate::front::Front;
+use crate::client::listener::ClientListener;
 use crate::proxy::Proxy;
 use crate::readiness;
-use crate::shutdown::stop;
+use crate::shutdown::shut_down;
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
-use woadreach_discovery::{ControlWatch, NodeRole, Sampler};
+use tokio::sync::watch;
+use woadreach_discovery::{ControlSnapshot, ControlWatch, NodeRole, Sampler};
 use woadreach_rpc::{Client, ClientOptions, Router};
 use woadreach_settings::NodeSettings;
 use woadreach_storage::StorageClient;
@@ -23,7 +24,7 @@
 /// Why the process could not run.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// A needed address is not in the settings.
+    /// A required address is not in the settings.
     #[snafu(display("settings: listen.{field} is missing: an edge needs it"))]
     NoAddress {
         /// Field of `listen`.
@@ -34,20 +35,24 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A signal cannot be waited for.
+    /// A signal handler cannot be installed.
     #[snafu(display("cannot wait for signals"))]
     Signals {
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// Serves until the process is told to end.
+/// Serves until SIGTERM or SIGINT, then shuts down within the grace period.
+///
+/// # Errors
+///
+/// [`RunError`] if the process cannot start; nothing stops it later.
 pub async fn run(settings: NodeSettings) -> Result<(), RunError> {
-    let front_address = settings
+    let client_address = settings
         .listen
         .front
         .context(NoAddressSnafu { field: "front" })?;
@@ -55,7 +60,7 @@
         .listen
         .ready
         .context(NoAddressSnafu { field: "ready" })?;
-    let front_listener = listen(front_address).await?;
+    let client_listener = listen(client_address).await?;
     let ready_listener = listen(ready_address).await?;
     let internal_listener = listen(settings.internal_address()).await?;
     let signals = Signals::new().context(SignalsSnafu)?;
@@ -77,13 +82,13 @@
     ));
     tokio::spawn(sampler.clone().run());
     let snapshots = ControlWatch::spawn_with_sampler(&settings, rpc, sampler);
-    let front = Front::new(proxy.clone(), &settings.limits);
+    let listener = ClientListener::new(proxy.clone(), &settings.limits);
 
-    spawn_service(&proxy, &front, front_listener, snapshots);
+    spawn_services(&proxy, &listener, client_listener, snapshots);
     tokio::spawn(axum::serve(ready_listener, readiness::router(proxy.clone())).into_future());
-    tracing::info!(node = %settings.node, zone = %settings.zone, front = %front_address, "serving");
+    tracing::info!(node = %settings.node, zone = %settings.zone, front = %client_address, "serving");
     signals.wait_for_stop().await;
-    stop(&proxy, &front, settings.bounds.grace_period).await;
+    shut_down(&proxy, &listener, settings.bounds.grace_period).await;
     Ok(())
 }
 
@@ -93,41 +98,42 @@
         .context(ListenSnafu { address })
 }
 
-fn spawn_service(
+fn spawn_services(
     proxy: &Arc<Proxy>,
-    front: &Arc<Front>,
-    listener: TcpListener,
-    snapshots: tokio::sync::watch::Receiver<Arc<woadreach_discovery::ControlSnapshot>>,
+    listener: &Arc<ClientListener>,
+    socket: TcpListener,
+    snapshots: watch::Receiver<Arc<ControlSnapshot>>,
 ) {
     let follower = proxy.clone();
-    tokio::spawn(async move { follower.follow(snapshots).await });
+    tokio::spawn(async move { follower.follow_snapshots(snapshots).await });
     let timer = proxy.clone();
     tokio::spawn(async move { timer.dispatcher.run_timer().await });
-    tokio::spawn(front.clone().accept(listener));
-    tokio::spawn(front.clone().sweep());
-    tokio::spawn(write_state(proxy.clone(), front.clone()));
+    tokio::spawn(listener.clone().accept(socket));
+    tokio::spawn(listener.clone().sweep());
+    tokio::spawn(log_state(proxy.clone(), listener.clone()));
 }
 
-async fn write_state(proxy: Arc<Proxy>, front: Arc<Front>) {
+/// Logs the state line at intervals; never returns.
+async fn log_state(proxy: Arc<Proxy>, listener: Arc<ClientListener>) {
     let mut interval = tokio::time::interval(STATE_LINE_INTERVAL);
     interval.tick().await;
     loop {
         interval.tick().await;
-        let knowledge = proxy.knowledge();
+        let routing_state = proxy.routing_state();
         tracing::info!(
-            clients = front.open_connections(),
-            requests = proxy.lifecycle.requests(),
-            replicas = knowledge.replicas.len(),
+            clients = listener.open_connections(),
+            requests = proxy.lifecycle.requests_in_flight(),
+            replicas = routing_state.replicas.len(),
             replica_connections = proxy.pool.open_connections(),
-            generation = knowledge.configuration.as_ref().map(|known| known.generation),
+            generation = routing_state.generation(),
             unread_hints = proxy.counters.unread_hints.load(Ordering::Relaxed),
-            ends = ?proxy.counters.ends(),
+            ends = ?proxy.counters.request_ends(),
             "state"
         );
     }
 }
 
-/// The signals that the platform sends.
+/// Signals that the process handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -143,7 +149,7 @@
         })
     }
 
-    /// Returns when the process should end. A changed settings file needs no restart.
+    /// Returns when the process should shut down. SIGHUP only checks that the settings can be read.
     async fn wait_for_stop(mut self) {
         loop {
             tokio::select! {
--- a/crates/tier/proxy/src/shutdown.rs
+++ b/crates/tier/proxy/src/shutdown.rs
@@ -1,39 +1,42 @@
-//! A planned stop: not ready at once, served on until the platform has noticed, every request answered.
+//! Graceful shutdown: readiness fails at once, requests are served until the platform has noticed, and every
+//! request in flight is answered.
 
-use crate::front::Front;
+use crate::client::listener::ClientListener;
 use crate::lifecycle::Phase;
 use crate::proxy::Proxy;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the platform takes to notice that the process is not ready any more: two missed calls and some.
-const NOTICE_TIME: Duration = Duration::from_millis(2800);
-/// How long before the end of the grace period the process ends whatever is left.
-const LAST_MARGIN: Duration = Duration::from_millis(400);
-/// How often the connections that are left are looked over.
+/// How long the platform takes to notice that the process is not ready: two failed checks and a margin.
+const READINESS_NOTICE_DELAY: Duration = Duration::from_millis(2800);
+/// How long before the end of the grace period the process exits, whatever is in flight.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// How often the remaining connections are checked.
 const CLOSING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Stops within the grace period.
-pub async fn stop(proxy: &Proxy, front: &Front, grace_period: Duration) {
-    tracing::info!(requests = proxy.lifecycle.requests(), "leaving");
-    let whole = grace_period.saturating_sub(LAST_MARGIN);
-    proxy.lifecycle.plan_end(Instant::now() + whole);
-    proxy.lifecycle.enter(Phase::Leaving);
-    tokio::time::sleep(NOTICE_TIME.min(whole)).await;
-    let rest = whole.saturating_sub(NOTICE_TIME);
-    let closed = tokio::time::timeout(rest, close_connections(proxy, front)).await;
+/// Shuts down within the grace period.
+pub async fn shut_down(proxy: &Proxy, listener: &ClientListener, grace_period: Duration) {
+    let requests = proxy.lifecycle.requests_in_flight();
+    tracing::info!(requests, "shutdown started");
+    let available = grace_period.saturating_sub(EXIT_MARGIN);
+    proxy
+        .lifecycle
+        .set_shutdown_deadline(Instant::now() + available);
+    proxy.lifecycle.enter(Phase::Draining);
+    tokio::time::sleep(READINESS_NOTICE_DELAY.min(available)).await;
+    let remaining = available.saturating_sub(READINESS_NOTICE_DELAY);
+    let closed = tokio::time::timeout(remaining, close_connections(proxy, listener)).await;
     tracing::info!(all_answered = closed.is_ok(), "stopped");
 }
 
-/// Closes idle connections and returns when none is left: until then a request may still come over one of
-/// them.
-pub async fn close_connections(proxy: &Proxy, front: &Front) {
+/// Closes idle connections and returns when none is open: until then a request may arrive over one of them.
+pub async fn close_connections(proxy: &Proxy, listener: &ClientListener) {
     proxy.lifecycle.enter(Phase::Closing);
     loop {
-        front.sweep_once();
-        // The sweep's word reaches the connections' tasks before this one goes on.
+        listener.sweep_once();
+        // Lets the connections' tasks handle the sweep's notification first.
         tokio::task::yield_now().await;
-        if front.open_connections() == 0 && proxy.lifecycle.requests() == 0 {
+        if listener.open_connections() == 0 && proxy.lifecycle.requests_in_flight() == 0 {
             return;
         }
         tokio::time::sleep(CLOSING_INTERVAL).await;
--- a/crates/tier/proxy/src/turn_store.rs
+++ b/crates/tier/proxy/src/turns/store.rs
@@ -1,62 +1,66 @@
-//! What a request does with the storage machines: its budget, the chain it goes on from, and its turn.
+//! The storage nodes' part in a request: its token budget, the turns that it continues, and the turn it adds.
 
-use crate::client_request::ClientRequest;
-use crate::event_stream::Event;
-use crate::kept_turns::replay_body;
-use crate::token_ledger::TokenLedger;
+use crate::client::request::ClientRequest;
+use crate::replica::event_stream::Event;
+use crate::turns::replay::{StoredTurn, replay_body};
+use crate::turns::token_counter::TokenCounter;
 use bytes::Bytes;
 use std::sync::Arc;
 use woadreach_storage::{
     ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Turn, TurnKey,
 };
 
-/// Why a request stops at its storage.
+/// Why a request cannot go on because of its turns or its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnError {
-    /// The program's budget does not hold one more turn like this.
+    /// The rest of the program's budget does not cover this turn's maximum.
     BudgetSpent,
     /// `Previous` names no turn.
     UnknownTurn,
-    /// Too few storage machines answered.
+    /// Too few storage nodes answered.
     Unavailable,
 }
 
-/// A turn's reservation, chain and events.
+/// A request's turn: its budget reservation, the turn before it, and its events so far.
 pub struct PreparedTurn {
-    /// What has been given to the client.
-    pub ledger: TokenLedger,
+    /// Tokens sent to the client.
+    pub token_counter: TokenCounter,
     program: String,
     request_id: String,
-    kept: bool,
+    is_stored: bool,
     previous: Option<TurnKey>,
     events: Vec<Bytes>,
-    /// What it holds of the program's budget.
+    /// Tokens reserved of the program's budget.
     reservation: Option<HeldReservation>,
 }
 
 impl PreparedTurn {
-    /// The turn of this request; most requests have neither a budget nor a chain.
+    /// The turn of this request. Most requests have neither a budget nor stored turns.
     pub fn new(client: &ClientRequest) -> Self {
-        let most = client.facts.tokens.unwrap_or_default().output;
+        let max_tokens = client.metadata.tokens.unwrap_or_default().output;
         PreparedTurn {
-            ledger: TokenLedger::new(client.stride, most),
-            program: client.facts.program.clone().unwrap_or_default(),
-            request_id: client.facts.request_id.clone(),
-            kept: client.route.kept,
+            token_counter: TokenCounter::new(client.tokens_per_event, max_tokens),
+            program: client.metadata.program.clone().unwrap_or_default(),
+            request_id: client.metadata.request_id.clone(),
+            is_stored: client.route.kept,
             previous: None,
             events: Vec::new(),
             reservation: None,
         }
     }
 
-    /// Reserves the budget and gives the body for the replica.
+    /// Reserves the budget, loads the turns before this one, and returns the body for the replica.
+    ///
+    /// # Errors
+    ///
+    /// [`TurnError`]; a reservation that was granted is released when this turn is dropped.
     pub async fn prepare(
         &mut self,
         store: &StorageClient,
         client: &ClientRequest,
     ) -> Result<Bytes, TurnError> {
         let chain = async {
-            match (self.kept, &client.facts.previous) {
+            match (self.is_stored, &client.metadata.previous) {
                 (true, Some(previous)) => store
                     .chain(&self.program, previous)
                     .await
@@ -64,14 +68,14 @@
                 _ => Ok(Vec::new()),
             }
         };
-        let (reserved, chain) = match client.facts.budget {
+        let (reserved, chain) = match client.metadata.budget {
             None => (Ok(None), chain.await),
             Some(budget) => {
                 let request = ReserveRequest {
                     program: self.program.clone(),
                     request_id: self.request_id.clone(),
                     budget,
-                    most: u64::from(client.facts.tokens.unwrap_or_default().output),
+                    most: u64::from(client.metadata.tokens.unwrap_or_default().output),
                 };
                 let reserve = async { store.reserve(&request).await.map(Some) };
                 tokio::join!(reserve, chain)
@@ -83,30 +87,34 @@
         Ok(replay_body(&chain, &client.body))
     }
 
-    /// Notes events that have been passed on to the client.
-    pub fn take_events(&mut self, events: Vec<Event>) {
-        self.ledger.add_events(events.len());
+    /// Records events that have been forwarded to the client.
+    pub fn add_events(&mut self, events: Vec<Event>) {
+        self.token_counter.add_events(events.len());
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_given(self.ledger.given());
+            reservation.set_given(self.token_counter.tokens());
         }
-        if self.kept {
+        if self.is_stored {
             self.events
                 .extend(events.into_iter().map(|event| event.data));
         }
     }
 
-    /// Makes a kept turn durable. Until this returns well, the answer must not look complete.
+    /// Makes the turn durable if its route stores turns. The response must not look complete before.
+    ///
+    /// # Errors
+    ///
+    /// [`TurnError::Unavailable`] if too few storage nodes have acknowledged the turn.
     pub async fn commit(
         &mut self,
         store: &StorageClient,
         client: &ClientRequest,
     ) -> Result<(), TurnError> {
-        if !self.kept {
+        if !self.is_stored {
             return Ok(());
         }
         let turn = Turn {
             program: self.program.clone(),
-            session: client.facts.session.clone().unwrap_or_default(),
+            session: client.metadata.session.clone().unwrap_or_default(),
             request_id: self.request_id.clone(),
             previous: self.previous.take(),
             input: client.body.clone(),
@@ -132,7 +140,7 @@
     }
 }
 
-impl crate::kept_turns::EarlierTurn for Arc<Turn> {
+impl StoredTurn for Arc<Turn> {
     fn input(&self) -> &Bytes {
         &self.input
     }
--- a/crates/tier/proxy/tests/budgets.rs
+++ b/crates/tier/proxy/tests/budgets.rs
@@ -7,7 +7,7 @@
 use support::replica::{Received, Replica, chunk, stream_end, stream_head};
 use support::storage::Storage;
 use support::tier::Tier;
-use support::{Client, ask, on_one_thread, wait_for};
+use support::{Client, on_one_thread, send_request, wait_for};
 use woadreach_storage::message::Operation;
 
 const TWO_EVENTS: &[u8] = b"id: 1\ndata: one\n\nid: 2\ndata: two\n\n";
@@ -31,7 +31,7 @@
     wait_for("a turn that fits", async {
         for number in 0.. {
             let request = turn(&format!("later-{number}"), &format!("Budget: {budget}\r\n"));
-            if ask(tier.front, &request).await.status() == 200 {
+            if send_request(tier.front, &request).await.status() == 200 {
                 return;
             }
         }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_turn_whose_deadline_comes_while_it_is_made_durable_counts_for_what_it_gave() {
+fn a_turn_whose_deadline_passes_while_it_is_stored_counts_for_what_was_forwarded() {
     on_one_thread(async {
         let replica = answering().await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -50,9 +50,9 @@
         };
         let _storage = Storage::swallowing(&tier, &[("i-1", &replica)], swallows).await;
         // Before the machine counts as silent, whose later writes would wait behind the first one.
-        let seen = ask(tier.front, &turn("a1", "Budget: 6\r\nTimeout-Ms: 400\r\n")).await;
+        let seen = send_request(tier.front, &turn("a1", "Budget: 6\r\nTimeout-Ms: 400\r\n")).await;
         assert_eq!(
-            (seen.status(), seen.whole),
+            (seen.status(), seen.complete),
             (200, false),
             "what is not durable does not look whole"
         );
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_chain_is_read_leaves_nothing_reserved() {
+fn a_client_that_disconnects_while_its_turns_are_loaded_has_nothing_reserved() {
     on_one_thread(async {
         let replica = answering().await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -75,7 +75,9 @@
         // The reservation is asked for beside the chain; it is the only request that is answered.
         storage.wait_for_answered(1).await;
         assert_eq!(
-            ask(tier.front, &turn("b1", "Budget: 6\r\n")).await.status(),
+            send_request(tier.front, &turn("b1", "Budget: 6\r\n"))
+                .await
+                .status(),
             402
         );
         drop(client);
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn a_reservation_that_is_granted_after_its_client_has_left_is_withdrawn() {
+fn a_reservation_granted_after_its_client_disconnected_is_released() {
     on_one_thread(async {
         let replica = answering().await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
--- a/crates/tier/proxy/tests/client_connection.rs
+++ b/crates/tier/proxy/tests/client_connection.rs
@@ -8,13 +8,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use woadreach_config::ClientLimits;
-use woadreach_proxy::client_connection::{ConnectionTrack, Overdue, TrackedSocket};
-use woadreach_proxy::deadline::Clock;
+use woadreach_proxy::client::connection::{ConnectionMonitor, ConnectionTimeout, MonitoredSocket};
+use woadreach_proxy::clock::Clock;
 
 struct Scene {
     clock: Clock,
-    track: Arc<ConnectionTrack>,
-    socket: TrackedSocket,
+    monitor: Arc<ConnectionMonitor>,
+    socket: MonitoredSocket,
     client: TcpStream,
 }
 
@@ -25,11 +25,11 @@
         .unwrap();
     let (accepted, _) = listener.accept().await.unwrap();
     let clock = Clock::start();
-    let track = Arc::new(ConnectionTrack::new(clock));
-    let socket = TrackedSocket::new(accepted, track.clone());
+    let monitor = Arc::new(ConnectionMonitor::new(clock));
+    let socket = MonitoredSocket::new(accepted, monitor.clone());
     Scene {
         clock,
-        track,
+        monitor,
         socket,
         client,
     }
@@ -74,31 +74,31 @@
         }
     }
 
-    async fn overdue_later(&self) -> Overdue {
+    async fn overdue_later(&self) -> ConnectionTimeout {
         let limits = ClientLimits::default();
-        self.track.sweep(
+        self.monitor.check_timeouts(
             self.clock.now() + limits.header_timeout.as_secs_f64() + 0.1,
             &limits,
             false,
         );
-        self.track.overdue().await
+        self.monitor.timed_out().await
     }
 }
 
 #[tokio::test]
-async fn a_slow_head_behind_an_answer_that_is_not_written_whole_gets_no_answer_of_its_own() {
+async fn a_slow_head_behind_an_incompletely_written_response_gets_no_response() {
     let mut scene = scene().await;
     scene.write_until_blocked().await;
     scene.read_part_of_a_head().await;
     // An answer now would stand in the middle of the one before.
-    assert_eq!(scene.overdue_later().await, Overdue::Stalled);
+    assert_eq!(scene.overdue_later().await, ConnectionTimeout::Stalled);
 }
 
 #[tokio::test]
-async fn a_slow_head_behind_a_whole_answer_is_answered() {
+async fn a_slow_head_behind_a_complete_response_is_answered() {
     let mut scene = scene().await;
     scene.write_until_blocked().await;
     scene.read_all().await;
     scene.read_part_of_a_head().await;
-    assert_eq!(scene.overdue_later().await, Overdue::SlowHead);
+    assert_eq!(scene.overdue_later().await, ConnectionTimeout::RequestHead);
 }
--- a/crates/tier/proxy/tests/leaving_clients.rs
+++ b/crates/tier/proxy/tests/client_disconnects.rs
@@ -7,7 +7,7 @@
 use support::tier::Tier;
 use support::{Client, on_one_thread, wait_for};
 use woadreach_proxy::lifecycle::Phase;
-use woadreach_proxy::request_state::RequestEnd;
+use woadreach_proxy::request::state::RequestEnd;
 
 /// Far under the routes' timeout, which would end the work too.
 const SOON: Duration = Duration::from_secs(2);
@@ -20,13 +20,13 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Draining {
     Close,
     Reset,
 }
 
-fn leave(client: Client, how: Leaving) {
-    if let Leaving::Reset = how {
+fn leave(client: Client, how: Draining) {
+    if let Draining::Reset = how {
         socket2::SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
             .expect("a socket");
@@ -40,8 +40,8 @@
         while !tier
             .proxy
             .counters
-            .ends()
-            .contains_key(&RequestEnd::ClientGone)
+            .request_ends()
+            .contains_key(&RequestEnd::ClientDisconnected)
         {
             tokio::task::yield_now().await;
         }
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn a_client_that_leaves_before_its_answer_ends_the_work() {
+fn a_client_that_disconnects_before_its_response_stops_the_work() {
     on_one_thread(async {
         for path in ["/safe/", "/unsafe/", "/resumable/", "/once/", "/kept/"] {
-            for how in [Leaving::Close, Leaving::Reset] {
+            for how in [Draining::Close, Draining::Reset] {
                 let replica = Replica::start(|_, _| vec![Step::Hang]).await;
                 let tier = Tier::start(&[("i-1", &replica)]).await;
                 let mut client = Client::connect(tier.front).await;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_its_stream_ends_the_work() {
+fn a_client_that_disconnects_from_its_stream_stops_the_work() {
     on_one_thread(async {
         let script = |_: usize, request: &Received| {
             vec![
@@ -83,7 +83,7 @@
             ]
         };
         for path in ["/resumable/", "/once/", "/kept/"] {
-            for how in [Leaving::Close, Leaving::Reset] {
+            for how in [Draining::Close, Draining::Reset] {
                 let replica = Replica::start(script).await;
                 let tier = Tier::start(&[("i-1", &replica)]).await;
                 let mut client = Client::connect(tier.front).await;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_stream_whose_head_came_and_no_event_ends_with_its_client() {
+fn a_stream_without_events_stops_when_its_client_disconnects() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![stream_head(request), Step::Hang]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn both_copies_of_a_late_request_end_with_its_client() {
+fn both_attempts_of_a_hedged_request_stop_when_its_client_disconnects() {
     on_one_thread(async {
         let (one, two) = (
             Replica::start(|_, _| vec![Step::Hang]).await,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_between_two_attempts() {
+fn nothing_is_sent_for_a_client_that_disconnected_between_attempts() {
     on_one_thread(async {
         let full = ["Not-Executed: 1", "Retry-After: 0.2", "Content-Length: 0"];
         let script =
@@ -167,7 +167,7 @@
 }
 
 /// Sends this to a replica that never answers, or begins a stream and stops; the client leaves.
-async fn ends_with_its_client(request: &str, begins: bool, phase: Phase) {
+async fn stops_when_its_client_disconnects(request: &str, begins: bool, phase: Phase) {
     let script = move |_: usize, request: &Received| match begins {
         true => vec![
             stream_head(request),
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_connection_that_carries_no_further_request_is_watched_too() {
+fn a_connection_that_carries_no_more_requests_is_watched_too() {
     on_one_thread(async {
         let closing = post("/once/").replace("r1", "r1\r\nConnection: close");
         let chunked = "POST /once/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\n\
@@ -204,11 +204,11 @@
         // Streams are not given to clients of HTTP/1.0.
         let old = post("/unsafe/").replace("HTTP/1.1", "HTTP/1.0");
         let without_body = "GET /once/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\n\r\n";
-        for phase in [Phase::Serving, Phase::Leaving] {
-            ends_with_its_client(&old, false, phase).await;
+        for phase in [Phase::Serving, Phase::Draining] {
+            stops_when_its_client_disconnects(&old, false, phase).await;
             for request in [closing.as_str(), chunked, without_body] {
-                ends_with_its_client(request, false, phase).await;
-                ends_with_its_client(request, true, phase).await;
+                stops_when_its_client_disconnects(request, false, phase).await;
+                stops_when_its_client_disconnects(request, true, phase).await;
             }
         }
     });
--- a/crates/tier/proxy/tests/connection_faults.rs
+++ b/crates/tier/proxy/tests/connection_faults.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_answer_goes_astray_and_nothing_runs_twice() {
+fn no_response_is_misdelivered_and_nothing_runs_twice() {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..seeds() {
         let outcome = faulty_tier::play(seed);
--- a/crates/tier/proxy/tests/connection_mutations.rs
+++ b/crates/tier/proxy/tests/connection_mutations.rs
@@ -3,12 +3,12 @@
 mod faulty_tier;
 mod support;
 
-use woadreach_proxy::mutations::{Mutation, mutation};
+use woadreach_proxy::mutations::{Mutation, set_mutation};
 
 const SEEDS: u64 = 200;
 
-fn first_broken(mutated: Mutation, rule: &str) {
-    mutation(Some(mutated));
+fn first_broken(mutation: Mutation, rule: &str) {
+    set_mutation(Some(mutation));
     let found = (0..SEEDS).find(|seed| {
         let outcome = faulty_tier::play(*seed);
         assert!(!outcome.counts.is_empty(), "nothing was asked");
@@ -17,31 +17,31 @@
             .iter()
             .any(|violation| violation.starts_with(rule))
     });
-    println!("{mutated:?}: {rule} at seed {found:?}");
-    assert!(found.is_some(), "{mutated:?} was not found");
+    println!("{mutation:?}: {rule} at seed {found:?}");
+    assert!(found.is_some(), "{mutation:?} was not found");
 }
 
 #[test]
 fn an_answer_of_any_id_is_found() {
-    first_broken(Mutation::AnyId, "MIXED");
+    first_broken(Mutation::SkipResponseIdCheck, "MIXED");
 }
 
 #[test]
 fn a_request_that_a_connection_carries_twice_is_found() {
-    first_broken(Mutation::CarriedTwice, "TWICE");
+    first_broken(Mutation::ReuseConnectionForResend, "TWICE");
 }
 
 #[test]
 fn a_request_sent_again_after_a_reset_is_found() {
-    first_broken(Mutation::BrokenIsUnsent, "TWICE");
+    first_broken(Mutation::TreatBrokenAsUnsent, "TWICE");
 }
 
 #[test]
-fn an_answer_cut_short_that_looks_whole_is_found() {
-    first_broken(Mutation::CutIsWhole, "MIXED");
+fn a_truncated_response_that_looks_complete_is_found() {
+    first_broken(Mutation::AcceptTruncatedBody, "MIXED");
 }
 
 #[test]
 fn a_failure_that_promises_too_much_is_found() {
-    first_broken(Mutation::AnyFailurePasses, "REFUSED");
+    first_broken(Mutation::ForwardAnyFailure, "REFUSED");
 }
--- a/crates/tier/proxy/tests/connections.rs
+++ b/crates/tier/proxy/tests/connections.rs
@@ -5,7 +5,7 @@
 use support::replica::{Replica, success};
 use support::tier::Tier;
 use support::{Client, on_one_thread};
-use woadreach_proxy::front::most_connections;
+use woadreach_proxy::client::listener::max_connections;
 use woadreach_settings::ProcessLimits;
 
 const REQUEST: &[u8] = b"GET /safe/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\n\r\n";
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_connection_that_rested_for_four_fifths_of_its_time_is_served_and_later_closed() {
+fn a_connection_idle_for_four_fifths_of_its_timeout_is_served_and_later_closed() {
     on_one_thread(async {
         let (tier, _replica) = tier().await;
         let mut client = idle(&tier).await;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_request_in_hand_is_not_ended_by_the_sweep() {
+fn a_request_in_flight_is_not_ended_by_the_sweep() {
     on_one_thread(async {
         let replica = Replica::start(|_, _| vec![support::replica::Step::Hang]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn at_the_bound_the_connection_that_is_idle_for_longest_gives_way() {
+fn at_the_limit_the_connection_idle_for_longest_is_evicted() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let small = ProcessLimits {
             memory_mb: 4,
             ..support::tier::limits()
         };
-        let bound = most_connections(&small);
+        let bound = max_connections(&small);
         let tier = Tier::start_within(&[("i-1", &replica)], small).await;
         let mut first = idle(&tier).await;
         let mut others = Vec::new();
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn connections_are_bounded_by_memory_and_descriptors() {
+fn connections_are_limited_by_memory_and_descriptors() {
     let bound = |memory_mb, max_fds| {
-        most_connections(&ProcessLimits {
+        max_connections(&ProcessLimits {
             memory_mb,
             max_fds,
             ..support::tier::limits()
--- a/crates/tier/proxy/tests/deadlines.rs
+++ b/crates/tier/proxy/tests/deadlines.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use support::replica::{Received, Replica, Step, chunk, not_executed, stream_head, success};
 use support::tier::{CONFIGURATION, Tier, configured};
-use support::{Client, Seen, ask, on_one_thread};
+use support::{Client, Seen, on_one_thread, send_request};
 
 /// Timeout of every route here.
 const ROUTE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -29,14 +29,14 @@
 /// Sends a request whose client would wait for much longer; its answer, which comes at the timeout.
 async fn answered_at_the_timeout(tier: &Tier, request: &str) -> Seen {
     let sent = Instant::now();
-    let seen = ask(tier.front, request).await;
+    let seen = send_request(tier.front, request).await;
     let after = sent.elapsed();
     assert!(after < ROUTE_TIMEOUT + SLACK, "{after:?}");
     seen
 }
 
 #[test]
-fn a_silent_replica_is_given_up_at_the_routes_timeout() {
+fn an_unresponsive_replica_times_out_at_the_routes_timeout() {
     on_one_thread(async {
         for path in ["/safe/", "/unsafe/", "/resumable/", "/once/"] {
             let replica = Replica::start(|_, _| vec![Step::Hang]).await;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_stream_under_way_is_cut_at_the_routes_timeout() {
+fn a_stream_in_progress_is_truncated_at_the_routes_timeout() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
             vec![
@@ -62,14 +62,14 @@
         let tier = tier(&[("i-1", &replica)]).await;
         for path in ["/resumable/", "/once/", "/kept/"] {
             let seen = answered_at_the_timeout(&tier, &post(path, "")).await;
-            assert_eq!((seen.status(), seen.whole), (200, false), "{path}");
+            assert_eq!((seen.status(), seen.complete), (200, false), "{path}");
         }
         replica.wait_for_closed(3).await;
     });
 }
 
 #[test]
-fn a_body_that_comes_slowly_is_given_up_at_the_routes_timeout() {
+fn a_slow_body_times_out_at_the_routes_timeout() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = tier(&[("i-1", &replica)]).await;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn every_attempt_is_told_what_is_left_and_no_more() {
+fn every_attempt_gets_the_remaining_time_and_no_more() {
     on_one_thread(async {
         for (path, client, most) in [
             ("/safe/", 3_000, 3_000),
@@ -117,7 +117,7 @@
             .await;
             let tier = Tier::start(&[("i-1", &replica)]).await;
             let sent = Instant::now();
-            let seen = ask(
+            let seen = send_request(
                 tier.front,
                 &post(path, &format!("Timeout-Ms: {client}\r\n")),
             )
@@ -144,11 +144,14 @@
 }
 
 #[test]
-fn without_a_time_of_the_clients_the_routes_is_told() {
+fn without_a_client_timeout_attempts_get_the_routes() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = tier(&[("i-1", &replica)]).await;
-        assert_eq!(ask(tier.front, &post("/safe/", "")).await.status(), 200);
+        assert_eq!(
+            send_request(tier.front, &post("/safe/", "")).await.status(),
+            200
+        );
         let told = handed(&replica.received()[0]);
         assert!((1..=400).contains(&told), "{told}");
     });
--- a/crates/tier/proxy/tests/planned_work.rs
+++ b/crates/tier/proxy/tests/draining.rs
@@ -6,7 +6,7 @@
 use support::replica::{Received, Replica, Step, chunk, stream_end, stream_head, success};
 use support::storage::Storage;
 use support::tier::{CONFIGURATION, Tier, configured};
-use support::{Client, ask, on_one_thread};
+use support::{Client, on_one_thread, send_request};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use woadreach_discovery::ControlSnapshot;
@@ -30,7 +30,7 @@
     on_one_thread(async {
         let tier = Tier::start_knowing(&ControlSnapshot::default()).await;
         for path in ["/safe/", "/never/was/", "/"] {
-            let seen = ask(tier.front, &post(path)).await;
+            let seen = send_request(tier.front, &post(path)).await;
             assert_eq!(seen.status(), 503, "{path}");
             assert!(seen.header("retry-after").is_some());
             assert_eq!(seen.header("request-id"), Some("r1"));
@@ -48,19 +48,29 @@
             ..known.clone()
         })
         .await;
-        assert_eq!(ask(tier.front, &post("/added/later/")).await.status(), 503);
         assert_eq!(
-            ask(tier.front, &post("/unsafe/")).await.status(),
+            send_request(tier.front, &post("/added/later/"))
+                .await
+                .status(),
+            503
+        );
+        assert_eq!(
+            send_request(tier.front, &post("/unsafe/")).await.status(),
             200,
             "a route that is known is served"
         );
-        tier.proxy.learn(&known);
-        assert_eq!(ask(tier.front, &post("/added/later/")).await.status(), 404);
+        tier.proxy.apply_snapshot(&known);
+        assert_eq!(
+            send_request(tier.front, &post("/added/later/"))
+                .await
+                .status(),
+            404
+        );
     });
 }
 
 #[test]
-fn requests_in_hand_outlive_their_route_and_their_replica() {
+fn requests_in_flight_outlive_their_route_and_their_replica() {
     on_one_thread(async {
         for path in ["/safe/", "/unsafe/", "/once/", "/resumable/"] {
             let go_on = Arc::new(Notify::new());
@@ -86,9 +96,9 @@
             let mut client = Client::connect(tier.front).await;
             client.send(post(path).as_bytes()).await;
             replica.wait_for_requests(1).await;
-            tier.proxy.learn(&configured(&[], OTHER));
+            tier.proxy.apply_snapshot(&configured(&[], OTHER));
             assert_eq!(
-                ask(tier.front, &post(path)).await.status(),
+                send_request(tier.front, &post(path)).await.status(),
                 404,
                 "the route is gone"
             );
@@ -99,7 +109,7 @@
                 (200, "id: 1\ndata: x\n\n"),
                 "{path}"
             );
-            assert!(seen.whole, "{path}");
+            assert!(seen.complete, "{path}");
             assert_eq!(replica.received().len(), 1, "{path}");
         }
     });
@@ -111,8 +121,11 @@
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start_knowing(&configured(&[("i-1", &replica)], OTHER)).await;
         tier.proxy
-            .learn(&configured(&[("i-1", &replica)], CONFIGURATION));
-        assert_eq!(ask(tier.front, &post("/safe/")).await.status(), 404);
+            .apply_snapshot(&configured(&[("i-1", &replica)], CONFIGURATION));
+        assert_eq!(
+            send_request(tier.front, &post("/safe/")).await.status(),
+            404
+        );
     });
 }
 
@@ -123,7 +136,7 @@
     let router = readiness::router(tier.proxy.clone());
     tokio::spawn(axum::serve(listener, router).into_future());
     async move || {
-        ask(
+        send_request(
             address,
             "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
         )
@@ -140,16 +153,16 @@
         let ready = readiness_of(&tier).await;
         assert_eq!(ready().await, 503, "nothing is known");
         tier.proxy
-            .learn(&configured(&[("i-1", &replica)], CONFIGURATION));
+            .apply_snapshot(&configured(&[("i-1", &replica)], CONFIGURATION));
         assert_eq!(ready().await, 503, "the storage machines are not known");
         let _storage = Storage::start(&tier, &[("i-1", &replica)]).await;
         assert_eq!(ready().await, 200);
-        for phase in [Phase::Leaving, Phase::Closing, Phase::Serving] {
+        for phase in [Phase::Draining, Phase::Closing, Phase::Serving] {
             tier.proxy.lifecycle.enter(phase);
             assert_eq!(ready().await, 503, "{phase:?}");
         }
         assert_eq!(
-            ask(tier.front, &post("/unsafe/")).await.status(),
+            send_request(tier.front, &post("/unsafe/")).await.status(),
             200,
             "requests are still served"
         );
--- a/crates/tier/proxy/tests/early_answers.rs
+++ b/crates/tier/proxy/tests/early_responses.rs
@@ -13,18 +13,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
-use woadreach_proxy::attempt::{AttemptReport, AttemptResult, OutgoingRequest, SendOrder, attempt};
-use woadreach_proxy::replica_pool::ReplicaPool;
+use woadreach_proxy::replica::attempt::{
+    AttemptParams, AttemptReport, AttemptResult, OutgoingRequest, attempt,
+};
+use woadreach_proxy::replica::pool::{ReplicaEndpoint, ReplicaPool};
 use woadreach_scheduler::Outcome;
 
 /// More than the system's buffers take, so that most of it waits until the replica reads on.
 const BODY_BYTES: usize = 12 << 20;
-const READ_BUFFER: usize = 256 << 10;
+const READ_BUFFER_BYTES: usize = 256 << 10;
 
 fn listen() -> (TcpListener, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket
-        .set_recv_buffer_size(READ_BUFFER)
+        .set_recv_buffer_size(READ_BUFFER_BYTES)
         .expect("a small buffer");
     socket
         .bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())
@@ -46,16 +48,18 @@
         body,
         request_id: id.to_owned(),
         is_stream: false,
-        carried_by: Mutex::default(),
+        sent_over: Mutex::default(),
     })
 }
 
-fn order(address: SocketAddr) -> SendOrder {
-    SendOrder {
+fn params(address: SocketAddr) -> AttemptParams {
+    AttemptParams {
         attempt: 0,
-        replica: Arc::from("i-1"),
-        address,
-        most_connections: 1,
+        endpoint: ReplicaEndpoint {
+            replica: Arc::from("i-1"),
+            address,
+        },
+        max_connections: 1,
         deadline: Instant::now() + Duration::from_secs(8),
         priority: None,
         resume_after: None,
@@ -108,7 +112,7 @@
             let (listener, address) = listen();
             let pool = Arc::<ReplicaPool>::default();
             let body = Bytes::from(vec![b'x'; BODY_BYTES]);
-            let first = tokio::spawn(attempt(pool.clone(), request("r1", body), order(address)));
+            let first = tokio::spawn(attempt(pool.clone(), request("r1", body), params(address)));
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let (head, mut received) = read_head(&mut stream, Vec::new()).await;
             assert!(
@@ -124,16 +128,16 @@
             let second = tokio::spawn(attempt(
                 pool.clone(),
                 request("r2", Bytes::new()),
-                order(address),
+                params(address),
             ));
             let reads_on = async {
                 read_on(&mut stream, &mut received, BODY_BYTES).await;
-                let whole = received.len() >= BODY_BYTES;
+                let complete = received.len() >= BODY_BYTES;
                 assert!(
                     received.iter().take(BODY_BYTES).all(|byte| *byte == b'x'),
                     "{status}: other bytes"
                 );
-                if whole {
+                if complete {
                     let behind = received.split_off(BODY_BYTES);
                     let (head, _) = read_head(&mut stream, behind).await;
                     assert!(head.contains("request-id: r2"), "{head}");
@@ -163,21 +167,21 @@
 }
 
 #[test]
-fn a_request_that_is_given_up_behind_a_long_body_leaves_only_that_body() {
+fn a_request_that_times_out_behind_a_long_body_writes_only_that_body() {
     on_one_thread(async {
         let (listener, address) = listen();
         let pool = Arc::<ReplicaPool>::default();
         let body = Bytes::from(vec![b'x'; BODY_BYTES]);
-        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), order(address)));
+        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), params(address)));
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let (_, mut received) = read_head(&mut stream, Vec::new()).await;
         answer(&mut stream, "r1", "200 OK").await;
         assert!(is_answered(
             &wait_for("the early answer", first).await.expect("no panic")
         ));
-        let soon = SendOrder {
+        let soon = AttemptParams {
             deadline: Instant::now() + Duration::from_millis(200),
-            ..order(address)
+            ..params(address)
         };
         let report = attempt(pool.clone(), request("r2", Bytes::new()), soon).await;
         assert!(matches!(
@@ -207,7 +211,7 @@
         let (listener, address) = listen();
         let pool = Arc::<ReplicaPool>::default();
         let body = Bytes::from(vec![b'x'; BODY_BYTES]);
-        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), order(address)));
+        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), params(address)));
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_head(&mut stream, Vec::new()).await;
         answer(&mut stream, "r1", "200 OK").await;
@@ -215,9 +219,9 @@
             &wait_for("the early answer", first).await.expect("no panic")
         ));
         // Before the system gives a connection up on which nothing is read.
-        let soon = SendOrder {
+        let soon = AttemptParams {
             deadline: Instant::now() + Duration::from_secs(1),
-            ..order(address)
+            ..params(address)
         };
         let second = tokio::spawn(attempt(pool.clone(), request("r2", Bytes::new()), soon));
         let (mut other, _) = wait_for("another connection", listener.accept())
@@ -235,12 +239,12 @@
 }
 
 #[test]
-fn a_connection_whose_request_was_read_whole_is_used_again() {
+fn a_connection_whose_request_was_read_completely_is_reused() {
     on_one_thread(async {
         let (listener, address) = listen();
         let pool = Arc::<ReplicaPool>::default();
         let body = Bytes::from(vec![b'x'; 1 << 20]);
-        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), order(address)));
+        let first = tokio::spawn(attempt(pool.clone(), request("r1", body), params(address)));
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let (_, mut received) = read_head(&mut stream, Vec::new()).await;
         read_on(&mut stream, &mut received, 1 << 20).await;
@@ -251,7 +255,7 @@
         let second = tokio::spawn(attempt(
             pool.clone(),
             request("r2", Bytes::new()),
-            order(address),
+            params(address),
         ));
         let (head, _) = wait_for("the next request", read_head(&mut stream, Vec::new())).await;
         assert!(head.contains("request-id: r2"), "{head}");
--- a/crates/tier/proxy/tests/event_stream.rs
+++ b/crates/tier/proxy/tests/event_stream.rs
@@ -2,11 +2,11 @@
 
 use bytes::Bytes;
 use quickcheck::{QuickCheck, TestResult};
-use woadreach_proxy::event_stream::{Event, EventReader, LONGEST_EVENT};
+use woadreach_proxy::replica::event_stream::{Event, EventReader, MAX_EVENT_BYTES};
 
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\nversions: 7\nid: 2\ndata: two\n\n: comment\n\nid: 3\r\ndata: a\r\ndata: b\r\n\r\n";
-const ENDS: [usize; 4] = [17, 46, 57, 84];
+const REQUEST_ENDS: [usize; 4] = [17, 46, 57, 84];
 
 /// Bytes passed on, ids and data of the events, and whether an event is left unfinished.
 type ReadStream = (Vec<u8>, Vec<(Option<u64>, Bytes)>, bool);
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_stream_cut_at_any_byte_leaves_complete_events_only() {
+fn a_stream_truncated_at_any_byte_yields_complete_events_only() {
     for cut in 0..=STREAM.len() {
         let (bytes, events, inside) = read(&[&STREAM[..cut]]);
-        let complete = ENDS
+        let complete = REQUEST_ENDS
             .iter()
             .copied()
             .filter(|end| *end <= cut)
@@ -55,7 +55,7 @@
             .unwrap_or(0);
         assert_eq!(bytes, &STREAM[..complete], "cut at {cut}");
         assert_eq!(inside, cut != complete, "cut at {cut}");
-        let with_data = [ENDS[0], ENDS[1], ENDS[3]]
+        let with_data = [REQUEST_ENDS[0], REQUEST_ENDS[1], REQUEST_ENDS[3]]
             .iter()
             .filter(|end| **end <= cut)
             .count();
@@ -65,12 +65,12 @@
 
 #[test]
 fn a_split_at_any_two_bytes_changes_nothing() {
-    let whole = read(&[STREAM]);
+    let complete = read(&[STREAM]);
     for first in 0..=STREAM.len() {
         for second in first..=STREAM.len() {
             assert_eq!(
                 read(&[&STREAM[..first], &STREAM[first..second], &STREAM[second..]]),
-                whole
+                complete
             );
         }
     }
@@ -121,7 +121,7 @@
 #[test]
 fn an_endless_event_is_refused() {
     let mut reader = EventReader::default();
-    let half = Bytes::from(vec![b'x'; LONGEST_EVENT / 2 + 1]);
+    let half = Bytes::from(vec![b'x'; MAX_EVENT_BYTES / 2 + 1]);
     assert!(reader.push(half.clone()).is_ok());
     assert!(reader.push(half).is_err());
 }
@@ -133,5 +133,5 @@
         .push(Bytes::from_static(b"data: x\n\ndata: y"))
         .expect("short events");
     assert_eq!(&batch.bytes[..], b"data: x\n\n");
-    assert_eq!(&reader.into_rest()[..], b"data: y");
+    assert_eq!(&reader.into_remainder()[..], b"data: y");
 }
--- a/crates/tier/proxy/tests/faulty_tier/clients.rs
+++ b/crates/tier/proxy/tests/faulty_tier/clients.rs
@@ -15,7 +15,7 @@
 /// One in so many requests is followed by another before its answer is read.
 const PIPELINED_ONE_IN: u64 = 8;
 /// One in so many requests is left by its client without reading the answer.
-const LEFT_ONE_IN: u64 = 16;
+const ABANDONED_ONE_IN: u64 = 16;
 
 pub async fn run(number: usize, front: SocketAddr, shared: &Shared) {
     let mut client = Client::connect(front).await;
@@ -32,7 +32,7 @@
         request += at_once;
         let sent: Vec<u8> = ids.iter().flat_map(|id| draw(id, shared)).collect();
         client.send(&sent).await;
-        let leaves = shared.below(LEFT_ONE_IN) == 0;
+        let leaves = shared.below(ABANDONED_ONE_IN) == 0;
         if leaves || !read_answers(&mut client, &ids, shared).await {
             client = Client::connect(front).await;
         }
@@ -44,15 +44,15 @@
     for id in ids {
         let seen = client.answer().await;
         shared.oracle.lock().answered(id, &seen);
-        if !is_kept(&seen) {
+        if !is_reusable(&seen) {
             return false;
         }
     }
     true
 }
 
-fn is_kept(seen: &Seen) -> bool {
-    seen.whole && seen.header("connection") != Some("close")
+fn is_reusable(seen: &Seen) -> bool {
+    seen.complete && seen.header("connection") != Some("close")
 }
 
 /// The bytes of a request that is drawn.
--- a/crates/tier/proxy/tests/faulty_tier/mod.rs
+++ b/crates/tier/proxy/tests/faulty_tier/mod.rs
@@ -67,7 +67,7 @@
         half.await.expect("a client that does not panic");
         replicas[shared.below(replicas.len() as u64) as usize].replace();
         if shared.below(2) == 0 {
-            tier.proxy.learn(&known(&replicas));
+            tier.proxy.apply_snapshot(&known(&replicas));
         }
     }
     for client in clients {
--- a/crates/tier/proxy/tests/faulty_tier/oracle.rs
+++ b/crates/tier/proxy/tests/faulty_tier/oracle.rs
@@ -32,7 +32,7 @@
     pub signature: String,
     pub body: Vec<u8>,
     /// Whether the whole answer was told, in an order that makes it whole.
-    pub told_whole: bool,
+    pub sent_complete: bool,
 }
 
 #[derive(Default)]
@@ -92,7 +92,7 @@
     fn judge_success(&mut self, id: &str, seen: &Seen) {
         let runs = self.runs.get(id).map_or(&[][..], Vec::as_slice);
         let fits = |run: &RequestRun| {
-            run.told_whole
+            run.sent_complete
                 && run.status == seen.status()
                 && Some(run.signature.as_str()) == seen.header("response-signature")
                 && run.body == seen.body
@@ -101,7 +101,7 @@
             self.breaks(format!(
                 "MIXED: {id} got {:?}, whole {}",
                 seen.text(),
-                seen.whole
+                seen.complete
             ));
         }
     }
@@ -111,15 +111,15 @@
         let signed = runs
             .iter()
             .any(|run| Some(run.signature.as_str()) == seen.header("response-signature"));
-        let whole_body = super::answers::stream_body(id, 0);
-        let cut_at_event = seen.body.is_empty() || seen.body.ends_with(b"\n\n");
-        let in_order = whole_body.starts_with(&seen.body) && cut_at_event;
-        let complete = !seen.whole || seen.body == whole_body;
+        let complete_body = super::answers::stream_body(id, 0);
+        let ends_at_event = seen.body.is_empty() || seen.body.ends_with(b"\n\n");
+        let in_order = complete_body.starts_with(&seen.body) && ends_at_event;
+        let complete = !seen.complete || seen.body == complete_body;
         if !signed || !in_order || !complete {
             self.breaks(format!(
                 "ORDER: {id} got {:?}, whole {}",
                 seen.text(),
-                seen.whole
+                seen.complete
             ));
         }
     }
--- a/crates/tier/proxy/tests/faulty_tier/replica.rs
+++ b/crates/tier/proxy/tests/faulty_tier/replica.rs
@@ -16,7 +16,7 @@
 
 /// What a replica does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Deed {
+enum Behavior {
     Answer(Framing),
     /// Answers before it has read the body, and reads that later.
     AnswerEarly,
@@ -33,43 +33,43 @@
     Fail(u16),
     /// Answers and ends the connection without notice.
     AnswerThenClose,
-    CutInOrder,
-    CutByReset,
+    TruncateInOrder,
+    TruncateByReset,
     Close,
     Reset,
     HalfClose,
     /// Says nothing until the caller gives up.
-    Silence,
+    NeverRespond,
 }
 
-const DEEDS: [Deed; 22] = [
-    Deed::Answer(Framing::Length),
-    Deed::Answer(Framing::Length),
-    Deed::Answer(Framing::Chunks),
-    Deed::Answer(Framing::EndOfConnection),
-    Deed::AnswerEarly,
-    Deed::AnswerTwice,
-    Deed::AnswerThenGarbage,
-    Deed::EarlierAnswerFirst,
-    Deed::EarlierAnswerFirst,
-    Deed::Crossed,
-    Deed::InterimFirst,
-    Deed::Reject,
-    Deed::Reject,
-    Deed::RejectTwice,
-    Deed::Fail(500),
-    Deed::Fail(503),
-    Deed::AnswerThenClose,
-    Deed::CutInOrder,
-    Deed::CutByReset,
-    Deed::Close,
-    Deed::Reset,
-    Deed::HalfClose,
+const BEHAVIORS: [Behavior; 22] = [
+    Behavior::Answer(Framing::Length),
+    Behavior::Answer(Framing::Length),
+    Behavior::Answer(Framing::Chunks),
+    Behavior::Answer(Framing::EndOfConnection),
+    Behavior::AnswerEarly,
+    Behavior::AnswerTwice,
+    Behavior::AnswerThenGarbage,
+    Behavior::EarlierAnswerFirst,
+    Behavior::EarlierAnswerFirst,
+    Behavior::Crossed,
+    Behavior::InterimFirst,
+    Behavior::Reject,
+    Behavior::Reject,
+    Behavior::RejectTwice,
+    Behavior::Fail(500),
+    Behavior::Fail(503),
+    Behavior::AnswerThenClose,
+    Behavior::TruncateInOrder,
+    Behavior::TruncateByReset,
+    Behavior::Close,
+    Behavior::Reset,
+    Behavior::HalfClose,
 ];
 /// Bytes that a connection takes before it is read.
 const RECEIVE_BUFFER: u32 = 4096;
 /// One request in so many is not answered at all.
-const SILENCE_ONE_IN: u64 = 25;
+const UNRESPONSIVE_ONE_IN: u64 = 25;
 
 struct State {
     number: u64,
@@ -166,7 +166,7 @@
     }
 
     /// A run of the request, with the answer that belongs to it.
-    fn run(&self, request: &Request, status: u16, told_whole: bool) -> RequestRun {
+    fn run(&self, request: &Request, status: u16, sent_complete: bool) -> RequestRun {
         let number = self.runs.fetch_add(1, Ordering::Relaxed);
         let signature = format!("s{}.{number}", self.number);
         let body = match (status, request.path.as_str()) {
@@ -177,7 +177,7 @@
             status,
             signature,
             body,
-            told_whole,
+            sent_complete,
         };
         self.shared.oracle.lock().runs(&request.id, run.clone());
         run
@@ -220,9 +220,9 @@
 
     /// Serves one request; nothing if the connection is to end.
     async fn serve(&mut self, request: &Request) -> Option<()> {
-        let deed = self.draw();
-        if deed == Deed::AnswerEarly && request.expected == self.state.id() {
-            self.note(deed);
+        let behavior = self.draw();
+        if behavior == Behavior::AnswerEarly && request.expected == self.state.id() {
+            self.count(behavior);
             let answer = self.answer_of(request, Framing::Length);
             self.write(answer).await?;
             return self.body(request).await;
@@ -243,13 +243,13 @@
             );
             return self.write(misdirected).await;
         }
-        self.note(deed);
-        self.carry_out(deed, request).await
+        self.count(behavior);
+        self.carry_out(behavior, request).await
     }
 
-    async fn carry_out(&mut self, deed: Deed, request: &Request) -> Option<()> {
-        match deed {
-            Deed::Answer(framing) => {
+    async fn carry_out(&mut self, behavior: Behavior, request: &Request) -> Option<()> {
+        match behavior {
+            Behavior::Answer(framing) => {
                 let answer = self.answer_of(request, framing);
                 self.write(answer).await?;
                 match framing {
@@ -257,68 +257,70 @@
                     _ => Some(()),
                 }
             }
-            Deed::AnswerEarly | Deed::AnswerTwice => {
+            Behavior::AnswerEarly | Behavior::AnswerTwice => {
                 let answer = self.answer_of(request, Framing::Length);
                 self.write([answer.clone(), answer].concat()).await
             }
-            Deed::AnswerThenGarbage => {
+            Behavior::AnswerThenGarbage => {
                 let answer = self.answer_of(request, Framing::Length);
                 self.write([answer, b"HTTP/1.1 2".to_vec()].concat()).await
             }
-            Deed::EarlierAnswerFirst => {
+            Behavior::EarlierAnswerFirst => {
                 let earlier = self.earlier_answer(&request.id);
                 let answer = self.answer_of(request, Framing::Length);
                 self.stream.write_all(&earlier).await.ok()?;
                 self.write(answer).await
             }
-            Deed::Crossed => self.cross(request).await,
-            Deed::InterimFirst => {
+            Behavior::Crossed => self.cross(request).await,
+            Behavior::InterimFirst => {
                 let answer = self.answer_of(request, Framing::Length);
                 self.write([b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec(), answer].concat())
                     .await
             }
-            Deed::Reject => self.write(rejection(request)).await,
-            Deed::RejectTwice => {
+            Behavior::Reject => self.write(rejection(request)).await,
+            Behavior::RejectTwice => {
                 let twice = [rejection(request), rejection(request)].concat();
                 self.write(twice).await
             }
-            Deed::Fail(status) => self.fail(request, status).await,
-            Deed::AnswerThenClose => {
+            Behavior::Fail(status) => self.fail(request, status).await,
+            Behavior::AnswerThenClose => {
                 let answer = self.answer_of(request, Framing::Length);
                 self.write(answer).await?;
                 self.end_in_order().await
             }
-            Deed::CutInOrder | Deed::CutByReset => self.cut(request, deed).await,
-            Deed::Close | Deed::Reset | Deed::HalfClose | Deed::Silence => {
+            Behavior::TruncateInOrder | Behavior::TruncateByReset => {
+                self.truncate(request, behavior).await
+            }
+            Behavior::Close | Behavior::Reset | Behavior::HalfClose | Behavior::NeverRespond => {
                 self.state.run(request, 200, false);
-                self.end_without_answer(deed).await
+                self.end_without_answer(behavior).await
             }
         }
     }
 
-    fn draw(&self) -> Deed {
+    fn draw(&self) -> Behavior {
         let shared = &self.state.shared;
-        if shared.below(SILENCE_ONE_IN) == 0 {
-            return Deed::Silence;
+        if shared.below(UNRESPONSIVE_ONE_IN) == 0 {
+            return Behavior::NeverRespond;
         }
         // A full replica rejects, and the request comes back to it.
         if self.state.is_full && shared.below(2) == 0 {
             let rejects = shared.below(2) == 0;
             return if rejects {
-                Deed::Reject
+                Behavior::Reject
             } else {
-                Deed::EarlierAnswerFirst
+                Behavior::EarlierAnswerFirst
             };
         }
-        DEEDS[shared.below(DEEDS.len() as u64) as usize]
+        BEHAVIORS[shared.below(BEHAVIORS.len() as u64) as usize]
     }
 
-    fn note(&self, deed: Deed) {
+    fn count(&self, behavior: Behavior) {
         self.state
             .shared
             .oracle
             .lock()
-            .count(format!("replica: {deed:?}"));
+            .count(format!("replica: {behavior:?}"));
     }
 
     /// The answer to a request that runs now.
@@ -366,7 +368,7 @@
     }
 
     /// Ends an answer early, at any byte.
-    async fn cut(&mut self, request: &Request, deed: Deed) -> Option<()> {
+    async fn truncate(&mut self, request: &Request, behavior: Behavior) -> Option<()> {
         let framing = match self.state.shared.below(2) {
             0 => Framing::Length,
             _ => Framing::Chunks,
@@ -376,20 +378,20 @@
         let mut bytes = answer(&request.id, "200 OK", &lines, framing, &run.body);
         bytes.truncate(self.state.shared.below(bytes.len() as u64) as usize);
         self.write(bytes).await?;
-        if deed == Deed::CutInOrder {
+        if behavior == Behavior::TruncateInOrder {
             self.end_in_order().await
         } else {
             None
         }
     }
 
-    async fn end_without_answer(&mut self, deed: Deed) -> Option<()> {
-        match deed {
-            Deed::Reset => return None,
-            Deed::HalfClose | Deed::Close => self.stream.shutdown().await.ok()?,
+    async fn end_without_answer(&mut self, behavior: Behavior) -> Option<()> {
+        match behavior {
+            Behavior::Reset => return None,
+            Behavior::HalfClose | Behavior::Close => self.stream.shutdown().await.ok()?,
             _ => {}
         }
-        if deed == Deed::Close {
+        if behavior == Behavior::Close {
             return None;
         }
         // Until the caller closes it.
--- a/crates/tier/proxy/tests/planned_stop.rs
+++ b/crates/tier/proxy/tests/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use support::replica::{Replica, success};
 use support::tier::Tier;
-use support::{ask, on_one_thread};
+use support::{on_one_thread, send_request};
 use tokio::time::Instant;
 use woadreach_proxy::lifecycle::{Lifecycle, Phase};
 
@@ -24,9 +24,11 @@
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        tier.proxy.lifecycle.plan_end(Instant::now() + LEFT);
+        tier.proxy
+            .lifecycle
+            .set_shutdown_deadline(Instant::now() + LEFT);
         tier.proxy.lifecycle.enter(Phase::Closing);
-        let refused = ask(tier.front, &stream(4500)).await;
+        let refused = send_request(tier.front, &stream(4500)).await;
         assert_eq!(
             (refused.status(), refused.header("connection")),
             (503, Some("close"))
@@ -36,19 +38,21 @@
             replica.received().is_empty(),
             "a refusal promises that the request has not run"
         );
-        let served = ask(tier.front, &stream(1000)).await;
+        let served = send_request(tier.front, &stream(1000)).await;
         assert_eq!(served.status(), 200);
     });
 }
 
 #[test]
-fn until_the_platform_has_noticed_every_request_is_taken() {
+fn until_the_platform_has_noticed_every_request_is_accepted() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        tier.proxy.lifecycle.plan_end(Instant::now() + LEFT);
-        tier.proxy.lifecycle.enter(Phase::Leaving);
-        assert_eq!(ask(tier.front, &stream(4500)).await.status(), 200);
+        tier.proxy
+            .lifecycle
+            .set_shutdown_deadline(Instant::now() + LEFT);
+        tier.proxy.lifecycle.enter(Phase::Draining);
+        assert_eq!(send_request(tier.front, &stream(4500)).await.status(), 200);
     });
 }
 
@@ -57,10 +61,10 @@
     on_one_thread(async {
         let lifecycle = Lifecycle::default();
         let now = Instant::now();
-        lifecycle.plan_end(now + LEFT);
-        lifecycle.plan_end(now + 10 * LEFT);
+        lifecycle.set_shutdown_deadline(now + LEFT);
+        lifecycle.set_shutdown_deadline(now + 10 * LEFT);
         lifecycle.enter(Phase::Closing);
-        assert!(lifecycle.takes_request(now + LEFT));
-        assert!(!lifecycle.takes_request(now + LEFT + Duration::from_millis(1)));
+        assert!(lifecycle.accepts_request(now + LEFT));
+        assert!(!lifecycle.accepts_request(now + LEFT + Duration::from_millis(1)));
     });
 }
--- a/crates/tier/proxy/tests/program.rs
+++ b/crates/tier/proxy/tests/program.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn help_and_version_are_told() {
+fn help_and_version_are_printed() {
     let help = program()
         .arg("--help")
         .output()
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn bad_settings_are_refused_by_field() {
+fn invalid_settings_are_rejected_by_field() {
     assert_refused(&with_settings("node: [1,"), "woadreach-proxy: ");
     assert_refused(
         &with_settings(&SETTINGS.replace("zone: \"a\"\n", "")),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_edge_without_addresses_is_refused_by_field() {
+fn an_edge_without_addresses_is_rejected_by_field() {
     assert_refused(&with_settings(SETTINGS), "listen.front");
     let front_only = SETTINGS.replace("listen: {}", "listen: {front: \"127.0.0.1:0\"}");
     assert_refused(&with_settings(&front_only), "listen.ready");
--- a/crates/tier/proxy/tests/kept_turns.rs
+++ b/crates/tier/proxy/tests/replay.rs
@@ -2,15 +2,15 @@
 
 use bytes::Bytes;
 use quickcheck::QuickCheck;
-use woadreach_proxy::kept_turns::{EarlierTurn, replay_body};
-use woadreach_proxy::token_ledger::TokenLedger;
+use woadreach_proxy::turns::replay::{StoredTurn, replay_body};
+use woadreach_proxy::turns::token_counter::TokenCounter;
 
 struct Earlier {
     input: Bytes,
     events: Vec<Bytes>,
 }
 
-impl EarlierTurn for Earlier {
+impl StoredTurn for Earlier {
     fn input(&self) -> &Bytes {
         &self.input
     }
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn given_tokens_are_bounded_by_the_most() {
-    let mut ledger = TokenLedger::new(3, 10);
-    assert_eq!(ledger.given(), 0);
-    ledger.add_events(2);
-    assert_eq!(ledger.given(), 6);
-    ledger.add_events(2);
-    assert_eq!((ledger.events(), ledger.given()), (4, 10));
+fn counted_tokens_are_bounded_by_the_maximum() {
+    let mut token_counter = TokenCounter::new(3, 10);
+    assert_eq!(token_counter.tokens(), 0);
+    token_counter.add_events(2);
+    assert_eq!(token_counter.tokens(), 6);
+    token_counter.add_events(2);
+    assert_eq!((token_counter.events(), token_counter.tokens()), (4, 10));
 }
--- a/crates/tier/proxy/tests/replica_connection.rs
+++ b/crates/tier/proxy/tests/replica_connection.rs
@@ -7,10 +7,10 @@
 use std::net::Ipv4Addr;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
-use woadreach_proxy::replica_connection::ReplicaConnection;
+use woadreach_proxy::replica::connection::ReplicaConnection;
 
 #[tokio::test]
-async fn a_connection_that_is_dropped_with_its_request_under_way_is_reset() {
+async fn a_connection_dropped_with_its_request_in_flight_is_reset() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let mut connection = ReplicaConnection::open(listener.local_addr().unwrap())
         .await
--- a/crates/tier/proxy/tests/request_headers.rs
+++ b/crates/tier/proxy/tests/request_headers.rs
@@ -3,7 +3,9 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use quickcheck::QuickCheck;
 use std::time::Duration;
-use woadreach_proxy::request_headers::{HeaderError, RequestFacts, TokenUsage, end_to_end_headers};
+use woadreach_proxy::client::headers::{
+    HeaderError, RequestMetadata, TokenUsage, end_to_end_headers,
+};
 use woadreach_scheduler::PrefixPart;
 
 fn headers(lines: &[(&'static str, &str)]) -> HeaderMap {
@@ -18,8 +20,8 @@
 }
 
 #[test]
-fn a_turn_is_read_whole() {
-    let facts = RequestFacts::read(&headers(&[
+fn a_turns_headers_are_all_read() {
+    let metadata = RequestMetadata::read(&headers(&[
         ("request-id", "e5b2907c14da6f38"),
         ("program", "3fa81c"),
         ("session", "77d20b"),
@@ -31,7 +33,7 @@
         ("last-event-id", "12"),
         ("prefix-hash", "5c1e07a2:800,91bd3f06:410"),
     ]));
-    let expected = RequestFacts {
+    let expected = RequestMetadata {
         request_id: "e5b2907c14da6f38".to_owned(),
         timeout: Some(Duration::from_millis(5000)),
         finish: Some(Duration::from_millis(5200)),
@@ -57,11 +59,11 @@
         unread_hints: 0,
         last_event_id: Some(12),
     };
-    assert_eq!(facts, Ok(expected));
+    assert_eq!(metadata, Ok(expected));
 }
 
 #[test]
-fn bad_headers_are_refused_by_name() {
+fn invalid_headers_are_rejected_by_name() {
     let cases: [(&[(&'static str, &str)], &str); 11] = [
         (
             &[("budget", "many"), ("program", "a"), ("token-usage", "1,2")],
@@ -87,7 +89,7 @@
     for (lines, bad) in cases {
         let mut map = headers(lines);
         map.insert("request-id", HeaderValue::from_static("1"));
-        let error = RequestFacts::read(&map).expect_err(bad);
+        let error = RequestMetadata::read(&map).expect_err(bad);
         assert!(
             matches!(error, HeaderError::Malformed { name, .. } if name == bad),
             "{bad}: {error}"
@@ -96,8 +98,9 @@
 }
 
 #[test]
-fn needed_headers_are_missed_by_name() {
-    let missing = |lines: &[(&'static str, &str)]| RequestFacts::read(&headers(lines)).unwrap_err();
+fn missing_headers_are_rejected_by_name() {
+    let missing =
+        |lines: &[(&'static str, &str)]| RequestMetadata::read(&headers(lines)).unwrap_err();
     assert_eq!(missing(&[]), HeaderError::Missing { name: "Request-Id" });
     let budget = [("request-id", "1"), ("budget", "5")];
     assert_eq!(missing(&budget), HeaderError::Missing { name: "Program" });
@@ -111,11 +114,13 @@
 }
 
 #[test]
-fn a_malformed_prefix_is_ignored_and_passed_on() {
+fn a_malformed_prefix_is_ignored_and_forwarded() {
     for value in ["zz:1", "5c", "5c:", ":", "5c:-1", "5c:1,,", "5c:1,x"] {
         let map = headers(&[("request-id", "1"), ("prefix-hash", value)]);
         assert_eq!(
-            RequestFacts::read(&map).expect("the rest is fine").prefix,
+            RequestMetadata::read(&map)
+                .expect("the rest is fine")
+                .prefix,
             Vec::new(),
             "{value}"
         );
@@ -129,7 +134,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_stay() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let map = headers(&[
         ("connection", "keep-alive, x-secret"),
         ("connection", "X-Other"),
@@ -174,7 +179,8 @@
             };
             map.append(HeaderName::from_static(NAMES[name % NAMES.len()]), value);
         }
-        let named = RequestFacts::read(&map).map_or(true, |facts| !facts.request_id.is_empty());
+        let named =
+            RequestMetadata::read(&map).map_or(true, |metadata| !metadata.request_id.is_empty());
         named && end_to_end_headers(&map) == map
     }
     QuickCheck::new()
@@ -192,16 +198,16 @@
             ("token-usage", &format!("{input}, {output}")),
             ("timeout-ms", &timeout.to_string()),
         ]);
-        let facts = RequestFacts::read(&map).expect("proper headers");
-        facts.tokens == Some(TokenUsage { input, output })
-            && facts.budget == Some(budget)
-            && facts.timeout == Some(Duration::from_millis(u64::from(timeout)))
+        let metadata = RequestMetadata::read(&map).expect("proper headers");
+        metadata.tokens == Some(TokenUsage { input, output })
+            && metadata.budget == Some(budget)
+            && metadata.timeout == Some(Duration::from_millis(u64::from(timeout)))
     }
     QuickCheck::new().quickcheck(property as fn(u32, u32, u64, u32) -> bool);
 }
 
 #[test]
-fn a_hint_that_cannot_be_read_is_counted_and_is_not_there() {
+fn an_unreadable_hint_is_counted_and_ignored() {
     let long = "a".repeat(129);
     let many: Vec<String> = (0..1_000).map(|id| format!("{id:x}:4294967295")).collect();
     let many = many.join(",");
@@ -218,9 +224,9 @@
     for (lines, unread, has_affinity) in cases {
         let mut map = headers(lines);
         map.insert("request-id", HeaderValue::from_static("1"));
-        let facts = RequestFacts::read(&map).expect("a hint is no error");
+        let metadata = RequestMetadata::read(&map).expect("a hint is no error");
         assert_eq!(
-            (facts.unread_hints, facts.affinity.is_some()),
+            (metadata.unread_hints, metadata.affinity.is_some()),
             (unread, has_affinity),
             "{lines:?}"
         );
@@ -236,7 +242,7 @@
                 map.insert(HeaderName::from_static(name), value);
             }
         }
-        RequestFacts::read(&map).is_ok_and(|facts| facts.unread_hints <= 2)
+        RequestMetadata::read(&map).is_ok_and(|metadata| metadata.unread_hints <= 2)
     }
     QuickCheck::new()
         .tests(2_000)
--- a/crates/tier/proxy/tests/request_state.rs
+++ b/crates/tier/proxy/tests/request_state.rs
@@ -1,7 +1,7 @@
 //! Walks the states of a request beside an oracle that remembers what may have run.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use woadreach_proxy::request_state::{RequestEnd, RequestProgress, RequestState};
+use woadreach_proxy::request::state::{RequestEnd, RequestProgress, RequestState};
 
 #[derive(Clone, Copy, Debug)]
 enum Change {
@@ -9,12 +9,12 @@
     Sent,
     EndedNotRun,
     EndedMaybeRun,
-    StreamBegan,
+    StreamStarted,
     Committing,
     End(RequestEnd),
 }
 
-const ENDS: [RequestEnd; 9] = [
+const REQUEST_ENDS: [RequestEnd; 9] = [
     RequestEnd::Answered,
     RequestEnd::ReplicaFailure,
     RequestEnd::Refused,
@@ -23,7 +23,7 @@
     RequestEnd::BudgetSpent,
     RequestEnd::UnknownTurn,
     RequestEnd::Aborted,
-    RequestEnd::ClientGone,
+    RequestEnd::ClientDisconnected,
 ];
 
 impl Arbitrary for Change {
@@ -34,11 +34,11 @@
             Change::Sent,
             Change::EndedNotRun,
             Change::EndedMaybeRun,
-            Change::StreamBegan,
+            Change::StreamStarted,
             Change::Committing,
         ];
         match u8::arbitrary(generator) % 12 {
-            0 => Change::End(*generator.choose(&ENDS).expect("there are ends")),
+            0 => Change::End(*generator.choose(&REQUEST_ENDS).expect("there are ends")),
             _ => *generator.choose(&choices).expect("there are choices"),
         }
     }
@@ -66,8 +66,8 @@
     )
 }
 
-fn keeps_the_rules(repeatable: bool, changes: Vec<Change>) -> bool {
-    let mut progress = RequestProgress::new(repeatable);
+fn keeps_the_rules(idempotent: bool, changes: Vec<Change>) -> bool {
+    let mut progress = RequestProgress::new(idempotent);
     let mut oracle = Oracle::default();
     for change in changes {
         let before = progress.state();
@@ -77,7 +77,7 @@
             Change::Sent => progress.sent(),
             Change::EndedNotRun => progress.attempt_ended(true),
             Change::EndedMaybeRun => progress.attempt_ended(false),
-            Change::StreamBegan => progress.stream_began(),
+            Change::StreamStarted => progress.stream_started(),
             Change::Committing => progress.committing(),
             Change::End(wanted) => progress.end(wanted).map(|end| oracle.ended = Some(end)),
         };
@@ -92,13 +92,13 @@
         match change {
             Change::Sent => {
                 assert!(
-                    repeatable || !ran_before,
+                    idempotent || !ran_before,
                     "what may not be repeated is sent once"
                 );
                 oracle.sends += 1;
             }
             Change::EndedNotRun => oracle.known_not_run += 1,
-            Change::StreamBegan => oracle.streamed = true,
+            Change::StreamStarted => oracle.streamed = true,
             _ => {}
         }
         assert_eq!(progress.may_have_run(), oracle.may_have_run());
@@ -106,7 +106,7 @@
             assert_eq!(progress.state(), RequestState::Ended(end));
             let false_promise = promises_not_run(end) && oracle.may_have_run();
             assert!(
-                !false_promise || (repeatable && end == RequestEnd::Refused),
+                !false_promise || (idempotent && end == RequestEnd::Refused),
                 "{end:?} is a promise"
             );
         }
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_request_that_never_left_is_refused_not_timed_out() {
+fn a_request_that_was_never_sent_is_refused_not_timed_out() {
     let mut progress = RequestProgress::new(false);
     progress.admitted().expect("first change");
     assert_eq!(progress.end(RequestEnd::TimedOut), Ok(RequestEnd::Refused));
--- a/crates/tier/proxy/tests/requests.rs
+++ b/crates/tier/proxy/tests/requests.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use support::replica::{Replica, Step, head, not_executed, success};
 use support::tier::Tier;
-use support::{Client, ask, on_one_thread};
+use support::{Client, on_one_thread, send_request};
 use tokio::sync::Notify;
 use woadreach_proxy::lifecycle::Phase;
 use woadreach_proxy::shutdown::close_connections;
@@ -28,18 +28,18 @@
 ) -> (support::Seen, Replica) {
     let replica = Replica::start(move |_, request| steps(request)).await;
     let tier = Tier::start(&[("i-1", &replica)]).await;
-    (ask(tier.front, request).await, replica)
+    (send_request(tier.front, request).await, replica)
 }
 
 #[test]
-fn a_request_and_its_answer_pass_unchanged() {
+fn a_request_and_its_response_pass_unchanged() {
     on_one_thread(async {
         let request = "POST /unsafe/a%20b/c?x=1&y=%2F HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\n\
                        Timeout-Ms: 1000\r\nX-Own: kept\r\nConnection: x-hop\r\nX-Hop: 1\r\nTE: trailers\r\n\
                        Content-Length: 5\r\n\r\nhello";
         let (seen, replica) = through(request, |request| vec![success(request, "world")]).await;
         assert_eq!(
-            (seen.status(), seen.text().as_str(), seen.whole),
+            (seen.status(), seen.text().as_str(), seen.complete),
             (200, "world", true)
         );
         assert_eq!(seen.header("response-signature"), Some("stamp"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_chunked_body_arrives_whole_and_ends_the_connection() {
+fn a_chunked_body_arrives_completely_and_closes_the_connection() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn two_different_lengths_are_refused() {
+fn two_different_lengths_are_rejected() {
     on_one_thread(async {
         let request = "POST /unsafe/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\
                        Content-Length: 2\r\n\r\nab";
@@ -105,7 +105,7 @@
         let first = Replica::start(|_, _| vec![Step::Close]).await;
         let second = Replica::start(|_, _| vec![Step::Close]).await;
         let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
-        let seen = ask(tier.front, &post("/unsafe/", "x")).await;
+        let seen = send_request(tier.front, &post("/unsafe/", "x")).await;
         assert_eq!(seen.status(), 502);
         assert_eq!(seen.header("response-signature"), None);
         assert_eq!(first.received().len() + second.received().len(), 1);
@@ -125,7 +125,7 @@
         let second = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
         for _ in 0..8 {
-            let seen = ask(tier.front, &post("/unsafe/", "x")).await;
+            let seen = send_request(tier.front, &post("/unsafe/", "x")).await;
             assert_eq!((seen.status(), seen.text().as_str()), (200, "ran"));
         }
         assert_eq!(second.received().len(), 8);
@@ -148,13 +148,13 @@
         let second = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
         for _ in 0..8 {
-            assert_eq!(ask(tier.front, &get("/safe/")).await.text(), "ran");
+            assert_eq!(send_request(tier.front, &get("/safe/")).await.text(), "ran");
         }
     });
 }
 
 #[test]
-fn no_success_without_stamp_id_and_whole_plain_body() {
+fn no_success_without_signature_id_and_complete_unencoded_body() {
     on_one_thread(async {
         let answers: [(&str, &str); 5] = [
             ("Request-Id: r1\r\nContent-Length: 2\r\n", "ok"),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_replicas_own_failure_is_passed_on_with_its_stamp() {
+fn a_replicas_own_failure_is_forwarded_with_its_signature() {
     on_one_thread(async {
         for status in [
             "500 Internal Server Error",
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_status_that_promises_is_not_passed_on_for_what_has_run() {
+fn a_status_that_promises_is_not_forwarded_for_what_has_run() {
     on_one_thread(async {
         for status in ["503 Busy", "429 Too Many Requests", "408 Request Timeout"] {
             let lines = ["Response-Signature: s", "Content-Length: 0"];
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn surplus_answers_belong_to_no_request() {
+fn surplus_responses_belong_to_no_request() {
     on_one_thread(async {
         let replica = Replica::start(|number, request| {
             let answer = success(request, &format!("answer {number}"));
@@ -237,7 +237,7 @@
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         for number in 0..4 {
-            let seen = ask(tier.front, &get("/safe/")).await;
+            let seen = send_request(tier.front, &get("/safe/")).await;
             assert!(
                 seen.status() == 502 || seen.text() == format!("answer {number}"),
                 "{seen:?}"
@@ -274,19 +274,29 @@
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         for _ in 0..3 {
-            assert_eq!(ask(tier.front, &post("/unsafe/", "x")).await.status(), 200);
+            assert_eq!(
+                send_request(tier.front, &post("/unsafe/", "x"))
+                    .await
+                    .status(),
+                200
+            );
         }
         assert_eq!(replica.connections(), 3);
     });
 }
 
 #[test]
-fn a_connection_that_ends_without_notice_fails_no_request() {
+fn a_connection_that_closes_without_notice_fails_no_request() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok"), Step::Close]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         for _ in 0..5 {
-            assert_eq!(ask(tier.front, &post("/unsafe/", "x")).await.status(), 200);
+            assert_eq!(
+                send_request(tier.front, &post("/unsafe/", "x"))
+                    .await
+                    .status(),
+                200
+            );
         }
         assert_eq!((replica.received().len(), replica.connections()), (5, 5));
     });
@@ -299,13 +309,18 @@
         let gone = Replica::nowhere().await;
         let tier = Tier::start(&[("i-1", &gone), ("i-2", &there)]).await;
         for _ in 0..6 {
-            assert_eq!(ask(tier.front, &post("/unsafe/", "x")).await.status(), 200);
+            assert_eq!(
+                send_request(tier.front, &post("/unsafe/", "x"))
+                    .await
+                    .status(),
+                200
+            );
         }
     });
 }
 
 #[test]
-fn a_client_that_leaves_stops_the_replicas_work() {
+fn a_client_that_disconnects_stops_the_replicas_work() {
     on_one_thread(async {
         let replica = Replica::start(|_, _| vec![Step::Hang]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -318,7 +333,7 @@
 }
 
 #[test]
-fn the_clients_deadline_ends_a_request_at_once() {
+fn a_request_stops_at_its_clients_deadline() {
     on_one_thread(async {
         let request = "POST /unsafe/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\nTimeout-Ms: 50\r\n\
                        Content-Length: 0\r\n\r\n";
@@ -332,7 +347,7 @@
 fn a_request_that_no_replica_can_take_is_refused_with_advice() {
     on_one_thread(async {
         let tier = Tier::start(&[]).await;
-        let seen = ask(tier.front, &post("/unsafe/", "x")).await;
+        let seen = send_request(tier.front, &post("/unsafe/", "x")).await;
         assert_eq!(seen.status(), 503);
         let advice: f64 = seen
             .header("retry-after")
@@ -344,7 +359,7 @@
 }
 
 #[test]
-fn requests_that_cannot_be_read_are_refused_by_name() {
+fn unreadable_requests_are_rejected_by_name() {
     on_one_thread(async {
         let (big_body, big_header) = ("x".repeat(65537), "x".repeat(9000));
         let cases = [
@@ -393,14 +408,14 @@
 }
 
 #[test]
-fn a_leaving_process_serves_on_and_closes_connections() {
+fn a_draining_process_serves_on_and_closes_connections() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let mut idle = Client::connect(tier.front).await;
         idle.send(get("/safe/").as_bytes()).await;
         assert_eq!(idle.answer().await.header("connection"), None);
-        tier.proxy.lifecycle.enter(Phase::Leaving);
+        tier.proxy.lifecycle.enter(Phase::Draining);
         let mut client = Client::connect(tier.front).await;
         client.send(get("/safe/").as_bytes()).await;
         let seen = client.answer().await;
@@ -432,7 +447,9 @@
         let closing = tokio::spawn(async move { close_connections(&proxy, &connections).await });
         for _ in 0..3 {
             assert_eq!(
-                ask(tier.front, &post("/unsafe/", "x")).await.text(),
+                send_request(tier.front, &post("/unsafe/", "x"))
+                    .await
+                    .text(),
                 "later"
             );
             assert!(!closing.is_finished(), "a request is in hand");
--- a/crates/tier/proxy/tests/replica_answer.rs
+++ b/crates/tier/proxy/tests/response_head.rs
@@ -3,8 +3,9 @@
 use http::response::Parts;
 use http::{Response, Version};
 use std::time::Duration;
-use woadreach_proxy::replica_answer::{
-    ConnectionReuse, HeadVerdict, connection_reuse, is_promise, judge, server_load,
+use woadreach_proxy::replica::response_head::{
+    ConnectionReuse, ResponseClass, classify_response, connection_reuse, promises_not_executed,
+    server_load,
 };
 use woadreach_scheduler::{Outcome, ServerLoad};
 
@@ -16,35 +17,38 @@
     builder.body(()).expect("a head").into_parts().0
 }
 
-fn judged(status: u16, headers: &[(&str, &str)]) -> HeadVerdict {
+fn judged(status: u16, headers: &[(&str, &str)]) -> ResponseClass {
     let mut all = vec![("request-id", "r1")];
     all.extend_from_slice(headers);
-    judge(&head(status, &all), "r1")
+    classify_response(&head(status, &all), "r1")
 }
 
 #[test]
-fn a_success_needs_its_stamp_and_a_plain_body() {
+fn a_success_needs_its_signature_and_an_unencoded_body() {
     assert_eq!(
         judged(200, &[("response-signature", "s")]),
-        HeadVerdict::Success
+        ResponseClass::Success
     );
-    assert_eq!(judged(200, &[]), HeadVerdict::Foreign);
+    assert_eq!(judged(200, &[]), ResponseClass::Mismatched);
     let encoded = [("response-signature", "s"), ("content-encoding", "gzip")];
-    assert_eq!(judged(200, &encoded), HeadVerdict::Foreign);
+    assert_eq!(judged(200, &encoded), ResponseClass::Mismatched);
 }
 
 #[test]
-fn an_answer_of_another_request_is_foreign() {
+fn a_response_to_another_request_is_mismatched() {
     for status in [200, 404, 421, 500, 503] {
         let headers = [
             ("request-id", "r2"),
             ("response-signature", "s"),
             ("not-executed", "1"),
         ];
-        assert_eq!(judge(&head(status, &headers), "r1"), HeadVerdict::Foreign);
         assert_eq!(
-            judge(&head(status, &headers[1..]), "r1"),
-            HeadVerdict::Foreign
+            classify_response(&head(status, &headers), "r1"),
+            ResponseClass::Mismatched
+        );
+        assert_eq!(
+            classify_response(&head(status, &headers[1..]), "r1"),
+            ResponseClass::Mismatched
         );
     }
 }
@@ -52,7 +56,7 @@
 #[test]
 fn only_promises_mean_that_it_has_not_run() {
     for status in [400, 429, 503] {
-        let promised = HeadVerdict::NotRun(Outcome::NotExecuted {
+        let promised = ResponseClass::NotExecuted(Outcome::NotExecuted {
             retry_after: Some(0.25),
         });
         assert_eq!(
@@ -62,10 +66,10 @@
     }
     assert_eq!(
         judged(421, &[("instance-id", "i-2")]),
-        HeadVerdict::NotRun(Outcome::Misdirected)
+        ResponseClass::NotExecuted(Outcome::Misdirected)
     );
     for status in [408, 429, 500, 502, 503, 504] {
-        let failure = HeadVerdict::Failure(Outcome::ReplicaError);
+        let failure = ResponseClass::Failure(Outcome::ReplicaError);
         assert_eq!(
             judged(status, &[("response-signature", "s")]),
             failure,
@@ -75,7 +79,7 @@
     for status in [301, 400, 404, 409] {
         assert_eq!(
             judged(status, &[]),
-            HeadVerdict::Failure(Outcome::Answered),
+            ResponseClass::Failure(Outcome::Answered),
             "{status}"
         );
     }
@@ -84,13 +88,15 @@
 #[test]
 fn statuses_that_promise_are_known() {
     let promises: Vec<u16> = (100..600)
-        .filter(|status| is_promise(http::StatusCode::from_u16(*status).expect("a status")))
+        .filter(|status| {
+            promises_not_executed(http::StatusCode::from_u16(*status).expect("a status"))
+        })
         .collect();
     assert_eq!(promises, [402, 408, 421, 429, 503]);
 }
 
 #[test]
-fn load_is_read_or_left() {
+fn load_is_read_or_ignored() {
     let load = |text: &str| server_load(&head(200, &[("server-load", text)]).headers);
     assert_eq!(
         load("3,0,8"),
@@ -106,7 +112,7 @@
 }
 
 #[test]
-fn what_a_replica_says_of_its_connection_is_heeded() {
+fn a_replicas_connection_headers_are_obeyed() {
     let reuse = |headers: &[(&str, &str)]| connection_reuse(&head(200, headers));
     assert_eq!(reuse(&[]), ConnectionReuse::Reuse { keep_alive: None });
     assert_eq!(reuse(&[("connection", "Close")]), ConnectionReuse::Close);
--- a/crates/tier/proxy/tests/resumption.rs
+++ b/crates/tier/proxy/tests/resumption.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use support::replica::{Received, Replica, Step, chunk, head, stream_end};
 use support::tier::Tier;
-use support::{Client, Seen, ask, on_one_thread};
+use support::{Client, Seen, on_one_thread, send_request};
 
 const EVENTS: [&str; 3] = [
     "id: 1\ndata: one\n\n",
@@ -44,14 +44,14 @@
         Replica::start(script).await,
     );
     let tier = Tier::start(&[("i-1", &one), ("i-2", &two)]).await;
-    let seen = ask(tier.front, request).await;
+    let seen = send_request(tier.front, request).await;
     let mut received = one.received();
     received.extend(two.received());
     received.sort_by_key(|request| request.header("last-event-id").map(str::to_owned));
     (seen, received)
 }
 
-fn whole_as_second(request: &Received) -> Vec<Step> {
+fn second_complete(request: &Received) -> Vec<Step> {
     let last: usize = request
         .header("last-event-id")
         .map_or(0, |text| text.parse().expect("a number"));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_stream_that_is_taken_up_elsewhere_keeps_its_first_head() {
+fn a_stream_that_resumes_elsewhere_keeps_its_first_head() {
     on_one_thread(async {
         let first = |request: &Received| {
             let lines = ["Versions: 3", "Transfer-Encoding: chunked"];
@@ -76,9 +76,9 @@
             ]
         };
         let (seen, received) =
-            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
+            one_after_the_other(&post("/resumable/", ""), first, second_complete).await;
         assert_eq!(
-            (seen.status(), seen.text(), seen.whole),
+            (seen.status(), seen.text(), seen.complete),
             (200, EVENTS.concat(), true)
         );
         assert_eq!(seen.header("response-signature"), Some("first"));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_stream_of_which_nothing_was_passed_on_has_the_head_of_the_replica_that_ran_it() {
+fn a_stream_of_which_nothing_was_forwarded_has_the_head_of_the_replica_that_ran_it() {
     on_one_thread(async {
         let first = |request: &Received| {
             let lines = ["Versions: 3", "Transfer-Encoding: chunked"];
@@ -100,8 +100,8 @@
             ]
         };
         let (seen, received) =
-            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
-        assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
+            one_after_the_other(&post("/resumable/", ""), first, second_complete).await;
+        assert_eq!((seen.text(), seen.complete), (EVENTS.concat(), true));
         assert_eq!(seen.header("response-signature"), Some("second"));
         assert_eq!(seen.header("versions"), Some("4"));
         assert_eq!(received[1].header("last-event-id"), None);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_clients_own_place_holds_where_nothing_was_passed_on() {
+fn the_clients_own_position_holds_where_nothing_was_forwarded() {
     on_one_thread(async {
         let first = |request: &Received| {
             vec![
@@ -119,8 +119,8 @@
             ]
         };
         let request = post("/resumable/", "Last-Event-Id: 1\r\n");
-        let (seen, received) = one_after_the_other(&request, first, whole_as_second).await;
-        assert_eq!((seen.text(), seen.whole), (EVENTS[1..].concat(), true));
+        let (seen, received) = one_after_the_other(&request, first, second_complete).await;
+        assert_eq!((seen.text(), seen.complete), (EVENTS[1..].concat(), true));
         assert!(
             received
                 .iter()
@@ -137,13 +137,13 @@
     })
     .await;
     let tier = Tier::start(&[("i-1", &replica)]).await;
-    let seen = ask(tier.front, &post(path, "")).await;
+    let seen = send_request(tier.front, &post(path, "")).await;
     assert_eq!(replica.received().len(), 1, "{path}");
     seen
 }
 
 #[test]
-fn an_answer_without_length_is_whole_when_its_connection_ends() {
+fn a_response_without_length_is_complete_when_its_connection_closes() {
     on_one_thread(async {
         for path in ["/unsafe/", "/once/", "/kept/"] {
             let seen = without_length(path, EVENTS[0], Step::Close).await;
@@ -153,13 +153,13 @@
                 "{path}"
             );
             // A kept turn is never whole here, as there is no storage machine.
-            assert_eq!(seen.whole, path != "/kept/", "{path}");
+            assert_eq!(seen.complete, path != "/kept/", "{path}");
         }
     });
 }
 
 #[test]
-fn an_answer_without_length_that_is_reset_never_looks_whole() {
+fn a_response_without_length_that_is_reset_never_looks_complete() {
     on_one_thread(async {
         let seen = without_length("/unsafe/", "a part", Step::Reset).await;
         assert_eq!(
@@ -167,23 +167,23 @@
             (502, None)
         );
         let seen = without_length("/once/", EVENTS[0], Step::Reset).await;
-        assert!(!seen.whole || seen.status() == 502, "{seen:?}");
+        assert!(!seen.complete || seen.status() == 502, "{seen:?}");
     });
 }
 
 #[test]
-fn a_stream_without_length_that_ends_in_the_middle_of_an_event_is_not_whole() {
+fn a_stream_without_length_that_stops_inside_an_event_is_incomplete() {
     on_one_thread(async {
         let seen = without_length("/once/", "id: 1\ndata: one\n\nid: 2\nda", Step::Close).await;
         assert_eq!(
-            (seen.status(), seen.text().as_str(), seen.whole),
+            (seen.status(), seen.text().as_str(), seen.complete),
             (200, EVENTS[0], false)
         );
     });
 }
 
 #[test]
-fn a_stream_without_length_that_ends_in_the_middle_of_an_event_goes_on_elsewhere() {
+fn a_stream_without_length_that_stops_inside_an_event_resumes_elsewhere() {
     on_one_thread(async {
         let first = |request: &Received| {
             let body = EVENTS[0].to_owned() + "id: 2\ndata: tw";
@@ -194,8 +194,8 @@
             ]
         };
         let (seen, received) =
-            one_after_the_other(&post("/resumable/", ""), first, whole_as_second).await;
-        assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
+            one_after_the_other(&post("/resumable/", ""), first, second_complete).await;
+        assert_eq!((seen.text(), seen.complete), (EVENTS.concat(), true));
         assert_eq!(received[1].header("last-event-id"), Some("1"));
     });
 }
--- a/crates/tier/proxy/tests/signals.rs
+++ b/crates/tier/proxy/tests/signals.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
-use support::{ask, on_one_thread};
+use support::{on_one_thread, send_request};
 use tempfile::TempDir;
 
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
@@ -98,8 +98,8 @@
         let readyz = "GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         on_one_thread(async {
             (
-                ask(self.front, request).await.status(),
-                ask(self.ready, readyz).await.status(),
+                send_request(self.front, request).await.status(),
+                send_request(self.ready, readyz).await.status(),
             )
         })
     }
@@ -127,12 +127,12 @@
 }
 
 #[test]
-fn a_sigterm_ends_the_process_well_within_the_grace_period_and_not_at_once() {
+fn a_sigterm_stops_the_process_within_the_grace_period_and_not_at_once() {
     let mut process = Process::start();
     process.wait_for_log("serving");
     let signalled = Instant::now();
     process.signal("-TERM");
-    process.wait_for_log("leaving");
+    process.wait_for_log("shutdown started");
     assert_eq!(
         process.statuses(),
         (503, 503),
--- a/crates/tier/proxy/tests/kept.rs
+++ b/crates/tier/proxy/tests/stored_turns.rs
@@ -5,7 +5,7 @@
 use support::replica::{Received, Replica, Step, chunk, stream_end, stream_head};
 use support::storage::Storage;
 use support::tier::Tier;
-use support::{Client, Seen, ask, on_one_thread};
+use support::{Client, Seen, on_one_thread, send_request};
 
 const TWO_EVENTS: &str = "id: 1\ndata: one\n\nid: 2\ndata: two\n\n";
 
@@ -17,7 +17,7 @@
     )
 }
 
-fn whole(request: &Received) -> Vec<Step> {
+fn complete(request: &Received) -> Vec<Step> {
     vec![
         stream_head(request),
         chunk(TWO_EVENTS.as_bytes()),
@@ -35,7 +35,7 @@
     let _storage = Storage::start(&tier, &[("i-1", &replica)]).await;
     let mut seen = Vec::new();
     for request in requests {
-        seen.push(ask(tier.front, request).await);
+        seen.push(send_request(tier.front, request).await);
     }
     (seen, replica.received())
 }
@@ -49,10 +49,10 @@
             turn("a3", "third?", "Previous: a2\r\n"),
             turn("b2", "other?", "Previous: a1\r\n"),
         ];
-        let (seen, received) = conversation(|_, request| whole(request), &requests).await;
+        let (seen, received) = conversation(|_, request| complete(request), &requests).await;
         assert!(
             seen.iter()
-                .all(|seen| seen.status() == 200 && seen.whole && seen.text() == TWO_EVENTS)
+                .all(|seen| seen.status() == 200 && seen.complete && seen.text() == TWO_EVENTS)
         );
         let bodies: Vec<String> = received
             .iter()
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_turn_that_was_not_answered_whole_is_no_turn() {
+fn a_turn_that_was_not_answered_completely_is_not_stored() {
     on_one_thread(async {
         let script = |number: usize, request: &Received| match number {
             0 => vec![
@@ -77,7 +77,7 @@
                 chunk(b"id: 1\ndata: one\n\n"),
                 Step::Close,
             ],
-            _ => whole(request),
+            _ => complete(request),
         };
         let requests = [
             turn("a1", "first?", ""),
@@ -85,14 +85,14 @@
             turn("a3", "third?", "Previous: ffff\r\n"),
         ];
         let (seen, received) = conversation(script, &requests).await;
-        assert!(!seen[0].whole);
+        assert!(!seen[0].complete);
         assert_eq!((seen[1].status(), seen[2].status()), (404, 404));
         assert_eq!(received.len(), 1, "what goes on from nothing is not run");
     });
 }
 
 #[test]
-fn a_budget_counts_what_was_given_and_refuses_what_does_not_fit() {
+fn a_budget_counts_forwarded_tokens_and_refuses_what_exceeds_it() {
     on_one_thread(async {
         let budget = "Budget: 5\r\n";
         let requests = [
@@ -101,7 +101,7 @@
             turn("a3", "3", budget),
             turn("a4", "4", "Budget: 6\r\n"),
         ];
-        let (seen, received) = conversation(|_, request| whole(request), &requests).await;
+        let (seen, received) = conversation(|_, request| complete(request), &requests).await;
         let statuses: Vec<u16> = seen.iter().map(Seen::status).collect();
         assert_eq!(statuses, [200, 200, 402, 200]);
         assert_eq!(received.len(), 3, "a turn that was answered 402 is not run");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_turn_that_broke_off_counts_for_what_it_gave() {
+fn a_turn_that_broke_off_counts_for_what_was_forwarded() {
     on_one_thread(async {
         let script = |number: usize, request: &Received| match number {
             0 => vec![
@@ -117,7 +117,7 @@
                 chunk(b"id: 1\ndata: one\n\n"),
                 Step::Close,
             ],
-            _ => whole(request),
+            _ => complete(request),
         };
         // The first gives one token of its two; one and two and two fit into five.
         let requests = [1, 2, 3, 4].map(|number| turn(&format!("a{number}"), "x", "Budget: 5\r\n"));
@@ -130,7 +130,7 @@
 #[test]
 fn without_storage_nothing_is_run_and_nothing_is_denied() {
     on_one_thread(async {
-        let replica = Replica::start(|_, request| whole(request)).await;
+        let replica = Replica::start(|_, request| complete(request)).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let mut client = Client::connect(tier.front).await;
         for request in [
--- a/crates/tier/proxy/tests/streams.rs
+++ b/crates/tier/proxy/tests/streams.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use support::replica::{Received, Replica, Step, chunk, head, stream_end, stream_head, success};
 use support::tier::Tier;
-use support::{Client, Seen, ask, on_one_thread};
+use support::{Client, Seen, on_one_thread, send_request};
 
 const EVENTS: [&str; 4] = [
     "id: 1\ndata: one\n\n",
@@ -32,7 +32,7 @@
 
 /// Two replicas; whichever is asked first breaks off after `length` bytes of its body, the other goes on
 /// from there.
-async fn cut_after(path: &str, length: usize) -> (Seen, Vec<Received>) {
+async fn truncated_after(path: &str, length: usize) -> (Seen, Vec<Received>) {
     assert!(length > 0, "a chunk without bytes is the end of a body");
     let asked = Arc::new(AtomicUsize::new(0));
     let script = move |_: usize, request: &Received| {
@@ -50,7 +50,7 @@
     let first = Replica::start(script.clone()).await;
     let second = Replica::start(script).await;
     let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
-    let seen = ask(tier.front, &post(path)).await;
+    let seen = send_request(tier.front, &post(path)).await;
     let mut received = first.received();
     received.extend(second.received());
     received.sort_by_key(|request| request.header("last-event-id").map(str::to_owned));
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn a_resumable_stream_cut_at_any_byte_goes_on_elsewhere() {
-    let whole = EVENTS.concat();
-    for length in 1..whole.len() {
+fn a_resumable_stream_truncated_at_any_byte_resumes_elsewhere() {
+    let complete = EVENTS.concat();
+    for length in 1..complete.len() {
         on_one_thread(async {
-            let (seen, received) = cut_after("/resumable/", length).await;
+            let (seen, received) = truncated_after("/resumable/", length).await;
             assert_eq!(
-                (seen.status(), seen.text(), seen.whole),
-                (200, whole.clone(), true),
+                (seen.status(), seen.text(), seen.complete),
+                (200, complete.clone(), true),
                 "cut at {length}"
             );
             assert_eq!(seen.header("response-signature"), Some("stamp"));
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_repeated_is_cut_and_never_looks_whole() {
-    let whole = EVENTS.concat();
-    for length in 1..=whole.len() {
+fn a_stream_that_may_not_be_repeated_is_truncated_and_never_looks_complete() {
+    let complete = EVENTS.concat();
+    for length in 1..=complete.len() {
         on_one_thread(async {
-            let (seen, received) = cut_after("/once/", length).await;
+            let (seen, received) = truncated_after("/once/", length).await;
             assert_eq!(received.len(), 1);
-            assert!(!seen.whole || seen.status() == 502, "cut at {length}");
+            assert!(!seen.complete || seen.status() == 502, "cut at {length}");
             let text = if seen.status() == 200 {
                 seen.text()
             } else {
@@ -101,7 +101,7 @@
                 .map(|count| EVENTS[..count].concat().len())
                 .collect();
             assert!(
-                whole.starts_with(&text) && ends.contains(&text.len()),
+                complete.starts_with(&text) && ends.contains(&text.len()),
                 "cut at {length}: {text:?}"
             );
         });
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn events_are_passed_on_before_the_stream_ends() {
+fn events_are_forwarded_before_the_stream_is_complete() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
             vec![
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_clients_own_place_in_a_stream_is_passed_on_and_the_answer_is_not_touched() {
+fn the_clients_own_stream_position_is_forwarded_and_the_response_is_unchanged() {
     on_one_thread(async {
         // This replica begins at the start whatever it is asked: that is its whole answer.
         let replica = Replica::start(|_, request| {
@@ -144,8 +144,8 @@
         for place in ["2", "999999"] {
             let request =
                 post("/resumable/").replace("r1", &format!("r1\r\nLast-Event-Id: {place}"));
-            let seen = ask(tier.front, &request).await;
-            assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
+            let seen = send_request(tier.front, &request).await;
+            assert_eq!((seen.text(), seen.complete), (EVENTS.concat(), true));
         }
         assert_eq!(replica.received()[0].header("last-event-id"), Some("2"));
         assert_eq!(
@@ -172,13 +172,13 @@
         let first = Replica::start(script.clone()).await;
         let second = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
-        let seen = ask(tier.front, &post("/resumable/")).await;
-        assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), true));
+        let seen = send_request(tier.front, &post("/resumable/")).await;
+        assert_eq!((seen.text(), seen.complete), (EVENTS.concat(), true));
     });
 }
 
 #[test]
-fn a_stream_without_ids_is_cut_rather_than_joined() {
+fn a_stream_without_ids_is_truncated_rather_than_joined() {
     on_one_thread(async {
         let script = |_: usize, request: &Received| {
             vec![
@@ -190,14 +190,17 @@
         let first = Replica::start(script).await;
         let second = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &first), ("i-2", &second)]).await;
-        let seen = ask(tier.front, &post("/resumable/")).await;
-        assert_eq!((seen.text().as_str(), seen.whole), ("data: one\n\n", false));
+        let seen = send_request(tier.front, &post("/resumable/")).await;
+        assert_eq!(
+            (seen.text().as_str(), seen.complete),
+            ("data: one\n\n", false)
+        );
         assert_eq!(first.received().len() + second.received().len(), 1);
     });
 }
 
 #[test]
-fn a_streams_deadline_cuts_it() {
+fn a_streams_deadline_truncates_it() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
             vec![
@@ -208,30 +211,30 @@
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let seen = ask(
+        let seen = send_request(
             tier.front,
             &post("/once/").replace("r1", "r1\r\nTimeout-Ms: 100"),
         )
         .await;
-        assert_eq!((seen.text().as_str(), seen.whole), (EVENTS[0], false));
+        assert_eq!((seen.text().as_str(), seen.complete), (EVENTS[0], false));
     });
 }
 
 #[test]
-fn a_whole_answer_on_a_streaming_route_is_a_stream_with_its_length_told_by_chunks() {
+fn a_complete_response_on_a_streaming_route_is_forwarded_in_chunks() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, EVENTS[0])]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let seen = ask(tier.front, &post("/once/")).await;
+        let seen = send_request(tier.front, &post("/once/")).await;
         assert_eq!(
-            (seen.status(), seen.text().as_str(), seen.whole),
+            (seen.status(), seen.text().as_str(), seen.complete),
             (200, EVENTS[0], true)
         );
     });
 }
 
 #[test]
-fn a_kept_turn_without_storage_never_looks_whole() {
+fn a_stored_turn_without_storage_never_looks_complete() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| {
             vec![
@@ -243,8 +246,8 @@
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let request = post("/kept/").replace("r1", "r1\r\nProgram: p\r\nSession: s");
-        let seen = ask(tier.front, &request).await;
-        assert_eq!((seen.text(), seen.whole), (EVENTS.concat(), false));
+        let seen = send_request(tier.front, &request).await;
+        assert_eq!((seen.text(), seen.complete), (EVENTS.concat(), false));
     });
 }
 
@@ -261,37 +264,40 @@
         ))
     };
     let script = move |number: usize, request: &Received| {
-        let whole = EVENTS.concat();
-        let end = if number == 0 { length } else { whole.len() };
+        let complete = EVENTS.concat();
+        let end = if number == 0 { length } else { complete.len() };
         vec![
             begin(request),
-            Step::Write(whole.as_bytes()[..end].to_vec()),
+            Step::Write(complete.as_bytes()[..end].to_vec()),
             Step::Close,
         ]
     };
     let replica = Replica::start(script).await;
     let tier = Tier::start(&[("i-1", &replica)]).await;
-    (ask(tier.front, &post(path)).await, replica.received().len())
+    (
+        send_request(tier.front, &post(path)).await,
+        replica.received().len(),
+    )
 }
 
 #[test]
-fn a_stream_without_length_is_not_whole_when_it_ends_inside_an_event() {
-    let whole = EVENTS.concat();
+fn a_stream_without_length_is_incomplete_when_it_ends_inside_an_event() {
+    let complete = EVENTS.concat();
     let ends: Vec<usize> = (0..=EVENTS.len())
         .map(|count| EVENTS[..count].concat().len())
         .collect();
-    for length in 0..=whole.len() {
+    for length in 0..=complete.len() {
         on_one_thread(async {
             let (seen, requests) = ended_in_order_after("/once/", length).await;
             assert_eq!(requests, 1);
-            let looks_whole = seen.whole && seen.status() == 200;
+            let looks_complete = seen.complete && seen.status() == 200;
             assert_eq!(
-                looks_whole,
+                looks_complete,
                 ends.contains(&length),
                 "ended at {length}: {seen:?}"
             );
             assert!(
-                seen.status() != 200 || whole.starts_with(&seen.text()),
+                seen.status() != 200 || complete.starts_with(&seen.text()),
                 "ended at {length}"
             );
         });
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn a_client_that_could_not_tell_a_stream_cut_short_gets_none() {
+fn a_client_that_could_not_detect_a_truncated_stream_gets_none() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| match request.head.contains("/safe/") {
             true => vec![success(request, "ok")],
@@ -311,15 +317,15 @@
         })
         .await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let seen = ask(tier.front, &post("/once/").replace("HTTP/1.1", "HTTP/1.0")).await;
+        let seen = send_request(tier.front, &post("/once/").replace("HTTP/1.1", "HTTP/1.0")).await;
         assert_eq!(
             (seen.status(), seen.header("response-signature")),
             (505, None)
         );
         assert!(replica.received().is_empty());
-        let seen = ask(tier.front, &post("/safe/").replace("HTTP/1.1", "HTTP/1.0")).await;
+        let seen = send_request(tier.front, &post("/safe/").replace("HTTP/1.1", "HTTP/1.0")).await;
         assert_eq!(
-            (seen.status(), seen.text().as_str(), seen.whole),
+            (seen.status(), seen.text().as_str(), seen.complete),
             (200, "ok", true)
         );
     });
