--- a/crates/tier/proxy/tests/support/mod.rs
+++ b/crates/tier/proxy/tests/support/mod.rs
@@ -39,7 +39,7 @@
     /// The body without its framing.
     pub body: Vec<u8>,
     /// Whether the body ended as its framing says.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Seen {
@@ -131,7 +131,7 @@
                     return Seen {
                         head,
                         body: Vec::new(),
-                        whole: false,
+                        complete: false,
                     };
                 }
             }
@@ -143,7 +143,7 @@
         let mut seen = Seen {
             head,
             body: Vec::new(),
-            whole: false,
+            complete: false,
         };
         if seen.header("transfer-encoding").is_some() {
             self.read_chunks(&mut seen).await;
@@ -155,7 +155,7 @@
             while self.unread.len() < length && self.more().await {}
             let here = length.min(self.unread.len());
             seen.body = self.unread.drain(..here).collect();
-            seen.whole = here == length;
+            seen.complete = here == length;
         }
         seen
     }
@@ -178,7 +178,7 @@
             seen.body.extend(self.unread.drain(..size));
             self.unread.drain(..2);
             if size == 0 {
-                seen.whole = true;
+                seen.complete = true;
                 return;
             }
         }
@@ -203,7 +203,7 @@
 }
 
 /// Sends one request on a new connection and reads its answer.
-pub async fn ask(address: std::net::SocketAddr, request: &str) -> Seen {
+pub async fn send_request(address: std::net::SocketAddr, request: &str) -> Seen {
     let mut client = Client::connect(address).await;
     client.send(request.as_bytes()).await;
     client.answer().await
--- a/crates/tier/proxy/tests/support/storage.rs
+++ b/crates/tier/proxy/tests/support/storage.rs
@@ -63,7 +63,7 @@
             storage_view: Some(Arc::new(view)),
             ..snapshot(replicas)
         };
-        tier.proxy.learn(&known);
+        tier.proxy.apply_snapshot(&known);
         Storage {
             _folder: folder,
             swallowed,
--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use woadreach_config::Configuration;
 use woadreach_discovery::{ControlSnapshot, ReplicaRecord, ReplicaState};
-use woadreach_proxy::front::Front;
+use woadreach_proxy::client::listener::ClientListener;
 use woadreach_proxy::proxy::Proxy;
 use woadreach_rpc::{Client, ClientOptions};
 use woadreach_settings::ProcessLimits;
@@ -35,7 +35,7 @@
     /// Its parts.
     pub proxy: Arc<Proxy>,
     /// Its client connections.
-    pub connections: Arc<Front>,
+    pub connections: Arc<ClientListener>,
 }
 
 impl Tier {
@@ -58,8 +58,8 @@
     async fn start_knowing_within(known: &ControlSnapshot, limits: ProcessLimits) -> Self {
         let storage = StorageClient::new(Client::new(ClientOptions::default()), "a".to_owned(), 0);
         let proxy = Arc::new(Proxy::new(1, "a", 256, storage));
-        proxy.learn(known);
-        let connections = Front::new(proxy.clone(), &limits);
+        proxy.apply_snapshot(known);
+        let connections = ClientListener::new(proxy.clone(), &limits);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let front = listener.local_addr().expect("an address");
         tokio::spawn(connections.clone().accept(listener));
--- a/crates/tier/proxy/tests/proper_requests.rs
+++ b/crates/tier/proxy/tests/valid_requests.rs
@@ -4,7 +4,7 @@
 
 use support::replica::{Replica, head, success};
 use support::tier::Tier;
-use support::{Client, ask, on_one_thread};
+use support::{Client, on_one_thread, send_request};
 
 fn request(headers: &str) -> String {
     format!(
@@ -30,7 +30,7 @@
             "Host-Of-Mine: \r\n",
         ];
         for headers in cases {
-            let seen = ask(tier.front, &request(headers)).await;
+            let seen = send_request(tier.front, &request(headers)).await;
             assert_eq!(
                 (seen.status(), seen.text().as_str()),
                 (200, "ok"),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_program_past_its_aim_is_served() {
+fn a_program_past_its_target_is_served() {
     on_one_thread(async {
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn no_402_of_a_replicas_is_passed_on_for_what_may_have_run() {
+fn no_402_of_a_replica_is_forwarded_for_what_may_have_run() {
     on_one_thread(async {
         for status in ["402 Payment Required", "421 Misdirected Request"] {
             let lines = ["Response-Signature: s", "Content-Length: 0"];
@@ -69,7 +69,7 @@
             };
             let replica = Replica::start(script).await;
             let tier = Tier::start(&[("i-1", &replica)]).await;
-            let seen = ask(tier.front, &request("").replace("/safe/", "/unsafe/")).await;
+            let seen = send_request(tier.front, &request("").replace("/safe/", "/unsafe/")).await;
             let promised = status.starts_with("421");
             assert_eq!(seen.status(), if promised { 503 } else { 502 }, "{status}");
             assert_eq!(seen.header("response-signature"), None);
--- a/crates/tier/proxy/tests/weight_versions.rs
+++ b/crates/tier/proxy/tests/weight_versions.rs
@@ -4,7 +4,7 @@
 
 use support::replica::{Received, Replica, Step, head, success};
 use support::tier::Tier;
-use support::{ask, on_one_thread};
+use support::{on_one_thread, send_request};
 
 fn post(path: &str, headers: &str) -> String {
     format!(
@@ -25,12 +25,12 @@
         };
         let replica = Replica::start(script).await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let refused = ask(tier.front, &post("/unsafe/", "Expect-Version: 7\r\n")).await;
+        let refused = send_request(tier.front, &post("/unsafe/", "Expect-Version: 7\r\n")).await;
         assert_eq!(
             (refused.status(), refused.header("response-signature")),
             (503, None)
         );
-        let served = ask(tier.front, &post("/unsafe/", "")).await;
+        let served = send_request(tier.front, &post("/unsafe/", "")).await;
         assert_eq!(
             (served.status(), served.text().as_str()),
             (200, "ran"),
