--- a/crates/tier/proxy/src/client/connection.rs
+++ b/crates/tier/proxy/src/client/connection.rs
@@ -110,10 +110,15 @@
         }
     }
 
-    /// What the connection is doing, and since when in seconds of the process's clock.
-    pub fn activity(&self) -> (Activity, f64) {
+    /// What the connection is doing.
+    pub fn activity(&self) -> Activity {
+        self.state.lock().activity
+    }
+
+    /// Since when the connection is idle, in seconds of the process's clock; `None` if it is not.
+    pub fn idle_since(&self) -> Option<f64> {
         let state = self.state.lock();
-        (state.activity, state.activity_since)
+        (state.activity == Activity::Idle).then_some(state.activity_since)
     }
 
     /// Records that a request's head has been read.
--- a/crates/tier/proxy/src/client/headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -110,9 +110,9 @@
     /// [`HeaderError`] for the first header that is missing or malformed. Malformed hints are counted instead.
     pub fn read(headers: &HeaderMap) -> Result<Self, HeaderError> {
         let request_id = identity(headers, &REQUEST_ID, "Request-Id")?;
-        let (prefix, prefix_unread) = hint(headers, &PREFIX_HASH, parse_prefix);
-        let (affinity, affinity_unread) = hint(headers, &AFFINITY_KEY, parse_affinity);
-        let unread_hints = u64::from(prefix_unread) + u64::from(affinity_unread);
+        let prefix = Hint::read(headers, &PREFIX_HASH, parse_prefix);
+        let affinity = Hint::read(headers, &AFFINITY_KEY, parse_affinity);
+        let unread_hints = u64::from(prefix.is_unreadable()) + u64::from(affinity.is_unreadable());
         let metadata = RequestMetadata {
             request_id: request_id.ok_or(HeaderError::Missing { name: "Request-Id" })?,
             timeout: milliseconds(headers, &TIMEOUT_MS, "Timeout-Ms")?,
@@ -122,8 +122,8 @@
             program: identity(headers, &PROGRAM, "Program")?,
             session: identity(headers, &SESSION, "Session")?,
             previous: identity(headers, &PREVIOUS, "Previous")?,
-            prefix: prefix.unwrap_or_default(),
-            affinity,
+            prefix: prefix.value().unwrap_or_default(),
+            affinity: affinity.value(),
             unread_hints,
             last_event_id: headers
                 .get(&LAST_EVENT_ID)
@@ -238,24 +238,40 @@
     }))
 }
 
-/// Reads a header that only helps to place a request: its value, and whether it was given and could not be read.
-/// A header that is given twice cannot be read.
-fn hint<T>(
-    headers: &HeaderMap,
-    name: &HeaderName,
-    parse: impl Fn(&HeaderValue) -> Option<T>,
-) -> (Option<T>, bool) {
-    let mut values = headers.get_all(name).iter();
-    let Some(value) = values.next() else {
-        return (None, false);
-    };
-    let parsed = if values.next().is_some() {
-        None
-    } else {
-        parse(value)
-    };
-    let unread = parsed.is_none();
-    (parsed, unread)
+/// A header that only helps to place a request: a malformed one is counted and the request is served.
+enum Hint<T> {
+    Absent,
+    Unreadable,
+    Value(T),
+}
+
+impl<T> Hint<T> {
+    /// Reads the header `name`. A header that is given twice cannot be read.
+    fn read(
+        headers: &HeaderMap,
+        name: &HeaderName,
+        parse: impl Fn(&HeaderValue) -> Option<T>,
+    ) -> Self {
+        let mut values = headers.get_all(name).iter();
+        let Some(value) = values.next() else {
+            return Hint::Absent;
+        };
+        if values.next().is_some() {
+            return Hint::Unreadable;
+        }
+        parse(value).map_or(Hint::Unreadable, Hint::Value)
+    }
+
+    fn is_unreadable(&self) -> bool {
+        matches!(self, Hint::Unreadable)
+    }
+
+    fn value(self) -> Option<T> {
+        match self {
+            Hint::Value(value) => Some(value),
+            Hint::Absent | Hint::Unreadable => None,
+        }
+    }
 }
 
 /// Hashes `Affinity-Key`, an opaque value.
--- a/crates/tier/proxy/src/client/listener.rs
+++ b/crates/tier/proxy/src/client/listener.rs
@@ -75,7 +75,7 @@
         let connections = self.connections.lock();
         connections
             .values()
-            .any(|monitor| monitor.activity().0 == Activity::ReadingHead)
+            .any(|monitor| monitor.activity() == Activity::ReadingHead)
     }
 
     /// Accepts connections; never returns.
@@ -88,7 +88,7 @@
                     self.spawn_connection(number, socket);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a connection could not be accepted");
+                    tracing::warn!(%error, "client connection not accepted");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -141,11 +141,8 @@
         let connections = self.connections.lock();
         let idle = connections
             .values()
-            .filter_map(|monitor| match monitor.activity() {
-                (Activity::Idle, since) => Some((since, monitor)),
-                _ => None,
-            });
-        let Some((_, longest_idle)) = idle.min_by(|a, b| a.0.total_cmp(&b.0)) else {
+            .filter_map(|monitor| Some((monitor.idle_since()?, monitor)));
+        let Some((_, longest_idle)) = idle.min_by(|(a, _), (b, _)| a.total_cmp(b)) else {
             return false;
         };
         let at_once = ClientLimits {
--- a/crates/tier/proxy/src/client/rejection.rs
+++ b/crates/tier/proxy/src/client/rejection.rs
@@ -33,7 +33,7 @@
     /// 413: the body exceeds the configured limit.
     #[snafu(display("the request's body is too long"))]
     BodyTooLong,
-    /// 505: a streaming route over HTTP/1.0, where a truncated body cannot be told from a complete one.
+    /// 505: a streaming route over HTTP/1.0, where a client cannot distinguish a truncated body from a complete one.
     #[snafu(display("a stream needs HTTP/1.1: before it, a body that is cut short looks whole"))]
     UnsupportedVersion,
     /// 503: no configuration yet, no memory for the body, or the process shuts down too soon.
--- a/crates/tier/proxy/src/client/request.rs
+++ b/crates/tier/proxy/src/client/request.rs
@@ -23,7 +23,7 @@
     pub method: Method,
     /// Its path and query.
     pub target: Uri,
-    /// Its headers as they came.
+    /// Its headers as received.
     pub headers: HeaderMap,
     /// Its complete body.
     pub body: Bytes,
@@ -96,7 +96,7 @@
             body,
             request_id: self.metadata.request_id.clone(),
             is_stream: self.route.route_type == RouteType::Streaming,
-            sent_over: Mutex::default(),
+            used_connections: Mutex::default(),
         }
     }
 }
--- a/crates/tier/proxy/src/client/response_sender.rs
+++ b/crates/tier/proxy/src/client/response_sender.rs
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClientDisconnected`] if nobody reads the response any more.
+    /// [`ClientDisconnected`] if the client's connection has closed.
     pub async fn send_chunk(
         &mut self,
         head: &Parts,
--- a/crates/tier/proxy/src/lib.rs
+++ b/crates/tier/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Data plane of the serving tier: accepts clients' HTTP requests and forwards each to a replica.
 //!
-//! Start with [`run`], which wires the process, and [`proxy::Proxy`], which all requests share. A request then
+//! Start with [`run()`], which wires the process, and [`proxy::Proxy`], which all requests share. A request then
 //! passes through these layers, outermost first:
 //!
 //! | layer | what it does to a request |
--- a/crates/tier/proxy/src/replica/attempt.rs
+++ b/crates/tier/proxy/src/replica/attempt.rs
@@ -51,7 +51,7 @@
     pub is_stream: bool,
     /// Connections that it was sent over. Each carries it at most once, so that the id in a response names
     /// exactly one send.
-    pub sent_over: Mutex<Vec<ConnectionId>>,
+    pub used_connections: Mutex<Vec<ConnectionId>>,
 }
 
 /// Where and how an attempt is sent.
@@ -97,7 +97,7 @@
     Streaming(Box<OpenStream>),
     /// No response that could be forwarded as the request's answer.
     Failed {
-        /// What the scheduler is told.
+        /// The outcome that is reported to the scheduler.
         outcome: Outcome,
         /// The replica's own error response, if it is complete.
         response: Option<ReplicaResponse>,
@@ -155,12 +155,12 @@
         let connection = match pooled.connection().await {
             Ok(connection) => connection,
             Err(error) => {
-                tracing::debug!(replica = %params.endpoint.replica, %error, "no connection");
+                tracing::debug!(replica = %params.endpoint.replica, %error, "replica connection failed");
                 return (failed(Outcome::Unreachable), None);
             }
         };
         let was_new = connection.is_new();
-        request.sent_over.lock().push(connection.id());
+        request.used_connections.lock().push(connection.id());
         match connection.send(build_request(request, params)).await {
             Ok(response) => return receive(pooled, request, response).await,
             Err(SendError::NotSent) if was_new => return (failed(Outcome::Unreachable), None),
@@ -176,11 +176,11 @@
     request: &OutgoingRequest,
     params: &AttemptParams,
 ) -> Option<PooledConnection> {
-    let sent_over = request.sent_over.lock();
+    let used_connections = request.used_connections.lock();
     let excluded: &[ConnectionId] = if is_mutated(Mutation::ReuseConnectionForResend) {
         &[]
     } else {
-        &sent_over
+        &used_connections
     };
     pool.check_out(&params.endpoint, params.max_connections, excluded)
 }
@@ -225,7 +225,7 @@
     let class = classify(&head, request);
     if class == ResponseClass::Mismatched {
         let (replica, id) = (pooled.replica(), &request.request_id);
-        tracing::debug!(%replica, request = %id, status = %head.status, "an answer that is not this request's");
+        tracing::debug!(%replica, request = %id, status = %head.status, "response mismatched");
         return (failed(BROKEN), None);
     }
     if class == ResponseClass::Success && request.is_stream {
--- a/crates/tier/proxy/src/replica/connection.rs
+++ b/crates/tier/proxy/src/replica/connection.rs
@@ -119,7 +119,7 @@
         let (sender, connection) = handshake.await.context(HandshakeSnafu { address })?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::trace!(%address, %error, "connection to a replica ended");
+                tracing::trace!(%address, %error, "replica connection closed");
             }
         });
         let driver = driver.abort_handle();
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -263,7 +263,7 @@
             return;
         };
         if let Err(error) = self.progress.sent() {
-            tracing::error!(%error, "a request may not be sent again");
+            tracing::error!(%error, request = %self.client.metadata.request_id, "attempt refused");
             self.report_outcome(number, Outcome::NeverSent, None);
             return;
         }
@@ -349,7 +349,7 @@
         change: impl FnOnce(&mut RequestProgress) -> Result<(), InvalidTransition>,
     ) {
         if let Err(error) = change(&mut self.progress) {
-            tracing::error!(%error, request = %self.client.metadata.request_id, "unexpected change of state");
+            tracing::error!(%error, request = %self.client.metadata.request_id, "state transition refused");
         }
     }
 
--- a/crates/tier/proxy/src/request/task/ending.rs
+++ b/crates/tier/proxy/src/request/task/ending.rs
@@ -86,7 +86,7 @@
         match self.progress.end(wanted) {
             Ok(end) => end,
             Err(error) => {
-                tracing::error!(%error, "a request ended twice");
+                tracing::error!(%error, "request ended twice");
                 wanted
             }
         }
--- a/crates/tier/proxy/src/run.rs
+++ b/crates/tier/proxy/src/run.rs
@@ -156,8 +156,8 @@
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
                 _ = self.hangup.recv() => match NodeSettings::load_from_environment() {
-                    Ok(_) => tracing::info!("settings read again"),
-                    Err(error) => tracing::warn!(%error, "settings cannot be read again; the old ones stay"),
+                    Ok(_) => tracing::info!("settings reloaded"),
+                    Err(error) => tracing::warn!(%error, "settings not reloaded"),
                 },
             }
         }
--- a/crates/tier/proxy/tests/budgets.rs
+++ b/crates/tier/proxy/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of turns that end before their answer is whole: nothing but what was given stays counted.
+//! Budgets of turns that end before their response is complete: only the forwarded tokens stay counted.
 
 mod support;
 
@@ -44,11 +44,11 @@
     on_one_thread(async {
         let replica = answering().await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let swallows = |operation: &Operation| match operation {
+        let is_dropped = |operation: &Operation| match operation {
             Operation::PutTurns { turns, .. } => turns.iter().any(|turn| turn.request_id == "a1"),
             _ => false,
         };
-        let _storage = Storage::swallowing(&tier, &[("i-1", &replica)], swallows).await;
+        let _storage = Storage::dropping(&tier, &[("i-1", &replica)], is_dropped).await;
         // Before the machine counts as silent, whose later writes would wait behind the first one.
         let seen = send_request(tier.front, &turn("a1", "Budget: 6\r\nTimeout-Ms: 400\r\n")).await;
         assert_eq!(
@@ -65,13 +65,13 @@
     on_one_thread(async {
         let replica = answering().await;
         let tier = Tier::start(&[("i-1", &replica)]).await;
-        let swallows = |operation: &Operation| matches!(operation, Operation::ReadChain { .. });
-        let mut storage = Storage::swallowing(&tier, &[("i-1", &replica)], swallows).await;
+        let is_dropped = |operation: &Operation| matches!(operation, Operation::ReadChain { .. });
+        let mut storage = Storage::dropping(&tier, &[("i-1", &replica)], is_dropped).await;
         let mut client = Client::connect(tier.front).await;
         client
             .send(turn("a1", "Budget: 6\r\nPrevious: a0\r\n").as_bytes())
             .await;
-        storage.wait_for_swallowed(1).await;
+        storage.wait_for_dropped(1).await;
         // The reservation is asked for beside the chain; it is the only request that is answered.
         storage.wait_for_answered(1).await;
         assert_eq!(
@@ -97,13 +97,13 @@
         let tier = Tier::start(&[("i-1", &replica)]).await;
         let open = Arc::new(AtomicBool::new(false));
         let gate = open.clone();
-        let swallows = move |operation: &Operation| {
+        let is_dropped = move |operation: &Operation| {
             matches!(operation, Operation::Reserve { .. }) && !gate.load(Ordering::Relaxed)
         };
-        let mut storage = Storage::swallowing(&tier, &[("i-1", &replica)], swallows).await;
+        let mut storage = Storage::dropping(&tier, &[("i-1", &replica)], is_dropped).await;
         let mut client = Client::connect(tier.front).await;
         client.send(turn("a1", "Budget: 6\r\n").as_bytes()).await;
-        storage.wait_for_swallowed(1).await;
+        storage.wait_for_dropped(1).await;
         drop(client);
         open.store(true, Ordering::Relaxed);
         wait_until_it_fits(&tier, 4).await;
--- a/crates/tier/proxy/tests/client_connection.rs
+++ b/crates/tier/proxy/tests/client_connection.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is told when its time is over.
+//! Responses to a client's connection that times out.
 
 use hyper::rt::{Read, ReadBuf, Write};
 use std::future::poll_fn;
--- a/crates/tier/proxy/tests/client_disconnects.rs
+++ b/crates/tier/proxy/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Replicas stop working for clients that have left.
+//! Replicas stop working for clients that have disconnected.
 
 mod support;
 
@@ -18,15 +18,15 @@
     )
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Draining {
+enum Disconnect {
     Close,
     Reset,
 }
 
-fn leave(client: Client, how: Draining) {
-    if let Draining::Reset = how {
+fn disconnect(client: Client, how: Disconnect) {
+    if let Disconnect::Reset = how {
         socket2::SockRef::from(&client.stream)
             .set_linger(Some(Duration::ZERO))
             .expect("a socket");
@@ -34,7 +34,7 @@
     drop(client);
 }
 
-/// Waits until the request has ended as one whose client has gone.
+/// Waits until a request has ended because its client disconnected.
 async fn wait_for_the_end(tier: &Tier) {
     wait_for("the end of the request", async {
         while !tier
@@ -53,19 +53,19 @@
 fn a_client_that_disconnects_before_its_response_stops_the_work() {
     on_one_thread(async {
         for path in ["/safe/", "/unsafe/", "/resumable/", "/once/", "/kept/"] {
-            for how in [Draining::Close, Draining::Reset] {
+            for how in [Disconnect::Close, Disconnect::Reset] {
                 let replica = Replica::start(|_, _| vec![Step::Hang]).await;
                 let tier = Tier::start(&[("i-1", &replica)]).await;
                 let mut client = Client::connect(tier.front).await;
                 client.send(post(path).as_bytes()).await;
                 replica.wait_for_requests(1).await;
-                let left = Instant::now();
-                leave(client, how);
+                let disconnected_at = Instant::now();
+                disconnect(client, how);
                 replica.wait_for_closed(1).await;
                 assert!(
-                    left.elapsed() < SOON,
+                    disconnected_at.elapsed() < SOON,
                     "{path}, {how:?}: {:?}",
-                    left.elapsed()
+                    disconnected_at.elapsed()
                 );
             }
         }
@@ -83,19 +83,19 @@
             ]
         };
         for path in ["/resumable/", "/once/", "/kept/"] {
-            for how in [Draining::Close, Draining::Reset] {
+            for how in [Disconnect::Close, Disconnect::Reset] {
                 let replica = Replica::start(script).await;
                 let tier = Tier::start(&[("i-1", &replica)]).await;
                 let mut client = Client::connect(tier.front).await;
                 client.send(post(path).as_bytes()).await;
                 client.until("data: one").await;
-                let left = Instant::now();
-                leave(client, how);
+                let disconnected_at = Instant::now();
+                disconnect(client, how);
                 replica.wait_for_closed(1).await;
                 assert!(
-                    left.elapsed() < SOON,
+                    disconnected_at.elapsed() < SOON,
                     "{path}, {how:?}: {:?}",
-                    left.elapsed()
+                    disconnected_at.elapsed()
                 );
             }
         }
@@ -110,10 +110,10 @@
         let mut client = Client::connect(tier.front).await;
         client.send(post("/once/").as_bytes()).await;
         replica.wait_for_requests(1).await;
-        let left = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         replica.wait_for_closed(1).await;
-        assert!(left.elapsed() < SOON);
+        assert!(disconnected_at.elapsed() < SOON);
     });
 }
 
@@ -129,11 +129,11 @@
         client.send(post("/safe/").as_bytes()).await;
         one.wait_for_requests(1).await;
         two.wait_for_requests(1).await;
-        let left = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         one.wait_for_closed(1).await;
         two.wait_for_closed(1).await;
-        assert!(left.elapsed() < SOON);
+        assert!(disconnected_at.elapsed() < SOON);
     });
 }
 
@@ -166,7 +166,7 @@
     });
 }
 
-/// Sends this to a replica that never answers, or begins a stream and stops; the client leaves.
+/// Sends this to a replica that never responds, or starts a stream and stops; then the client disconnects.
 async fn stops_when_its_client_disconnects(request: &str, begins: bool, phase: Phase) {
     let script = move |_: usize, request: &Received| match begins {
         true => vec![
@@ -185,13 +185,13 @@
     if begins {
         client.until("data: one").await;
     }
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(client);
     replica.wait_for_closed(1).await;
     assert!(
-        left.elapsed() < SOON,
+        disconnected_at.elapsed() < SOON,
         "{phase:?}, begun {begins}: {:?} after {request:?}",
-        left.elapsed()
+        disconnected_at.elapsed()
     );
 }
 
--- a/crates/tier/proxy/tests/deadlines.rs
+++ b/crates/tier/proxy/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Requests are answered at their route's timeout, and replicas are told no more time than is left.
+//! Requests are answered at their route's timeout, and replicas get no more than the remaining time.
 
 mod support;
 
@@ -26,7 +26,7 @@
     head_of(path, headers) + "Content-Length: 2\r\n\r\nhi"
 }
 
-/// Sends a request whose client would wait for much longer; its answer, which comes at the timeout.
+/// Sends a request whose client would wait for much longer, and returns its response, due at the timeout.
 async fn answered_at_the_timeout(tier: &Tier, request: &str) -> Seen {
     let sent = Instant::now();
     let seen = send_request(tier.front, request).await;
@@ -93,7 +93,7 @@
 }
 
 /// The number in a header of milliseconds.
-fn handed(request: &Received) -> u64 {
+fn sent_timeout_ms(request: &Received) -> u64 {
     request
         .header("timeout-ms")
         .expect("a time")
@@ -104,7 +104,7 @@
 #[test]
 fn every_attempt_gets_the_remaining_time_and_no_more() {
     on_one_thread(async {
-        for (path, client, most) in [
+        for (path, client, max_timeout_ms) in [
             ("/safe/", 3_000, 3_000),
             ("/unsafe/", 60_000, 5_000),
             ("/once/", 3_000, 3_000),
@@ -124,9 +124,9 @@
             .await;
             let elapsed = sent.elapsed().as_millis() as u64;
             assert_eq!(seen.status(), 200, "{path}");
-            let times: Vec<u64> = replica.received().iter().map(handed).collect();
+            let times: Vec<u64> = replica.received().iter().map(sent_timeout_ms).collect();
             assert_eq!(times.len(), 3, "{path}");
-            assert!(times[0] <= most, "{path}: {times:?}");
+            assert!(times[0] <= max_timeout_ms, "{path}: {times:?}");
             assert!(
                 times[1] + 30 <= times[0] + 1,
                 "the first pause is not in it, {path}: {times:?}"
@@ -136,7 +136,7 @@
                 "the second pause is not in it, {path}: {times:?}"
             );
             assert!(
-                times[2] + elapsed >= most,
+                times[2] + elapsed >= max_timeout_ms,
                 "less than is left, {path}: {times:?} after {elapsed} ms"
             );
         }
@@ -152,7 +152,7 @@
             send_request(tier.front, &post("/safe/", "")).await.status(),
             200
         );
-        let told = handed(&replica.received()[0]);
-        assert!((1..=400).contains(&told), "{told}");
+        let timeout_ms = sent_timeout_ms(&replica.received()[0]);
+        assert!((1..=400).contains(&timeout_ms), "{timeout_ms}");
     });
 }
--- a/crates/tier/proxy/tests/draining.rs
+++ b/crates/tier/proxy/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Configurations, replicas that leave, and readiness: what is in hand is served to its end.
+//! Changes of configuration and of replicas, and readiness: requests in flight are served to their end.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use woadreach_proxy::lifecycle::Phase;
 use woadreach_proxy::readiness;
 
-/// A later configuration in which nothing of the first one is left.
+/// A later configuration without any route of the first one.
 const OTHER: &str = r#"{"generation":9,"routes":[{"name":"new","domain":"tier.example","path_prefix":"/new/",
  "route_type":"safe","timeout_ms":50,"target_latency_ms":20,"priority":0,"service":"other","max_retries":1}],
  "services":[{"name":"other","health_check":"/healthz","max_conns":1}],
--- a/crates/tier/proxy/tests/early_responses.rs
+++ b/crates/tier/proxy/tests/early_responses.rs
@@ -1,4 +1,4 @@
-//! A replica that answers before it has read a long body and reads on later gets no other bytes in between.
+//! A replica that responds before it has read a long body, and reads on later, gets no other bytes in between.
 
 mod support;
 
@@ -48,7 +48,7 @@
         body,
         request_id: id.to_owned(),
         is_stream: false,
-        sent_over: Mutex::default(),
+        used_connections: Mutex::default(),
     })
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads until a head is whole; gives it and what came behind it.
+/// Reads a complete head; returns it and the bytes read after it.
 async fn read_head(stream: &mut TcpStream, mut bytes: Vec<u8>) -> (String, Vec<u8>) {
     let mut buffer = [0; 1024];
     loop {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Everything up to the end of the connection, or until `enough` bytes have come.
+/// Everything up to the end of the connection, or until `enough` bytes have been read.
 async fn read_on(stream: &mut TcpStream, bytes: &mut Vec<u8>, enough: usize) {
     let mut buffer = vec![0; 1 << 16];
     while bytes.len() < enough {
--- a/crates/tier/proxy/tests/event_stream.rs
+++ b/crates/tier/proxy/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Streams cut and split at every byte.
+//! Streams truncated and split at every byte.
 
 use bytes::Bytes;
 use quickcheck::{QuickCheck, TestResult};
@@ -6,9 +6,9 @@
 
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\nversions: 7\nid: 2\ndata: two\n\n: comment\n\nid: 3\r\ndata: a\r\ndata: b\r\n\r\n";
-const REQUEST_ENDS: [usize; 4] = [17, 46, 57, 84];
+const EVENT_END_OFFSETS: [usize; 4] = [17, 46, 57, 84];
 
-/// Bytes passed on, ids and data of the events, and whether an event is left unfinished.
+/// Bytes returned, ids and data of the events, and whether an event is incomplete at the end.
 type ReadStream = (Vec<u8>, Vec<(Option<u64>, Bytes)>, bool);
 
 fn read(chunks: &[&[u8]]) -> ReadStream {
@@ -47,7 +47,7 @@
 fn a_stream_truncated_at_any_byte_yields_complete_events_only() {
     for cut in 0..=STREAM.len() {
         let (bytes, events, inside) = read(&[&STREAM[..cut]]);
-        let complete = REQUEST_ENDS
+        let complete = EVENT_END_OFFSETS
             .iter()
             .copied()
             .filter(|end| *end <= cut)
@@ -55,10 +55,14 @@
             .unwrap_or(0);
         assert_eq!(bytes, &STREAM[..complete], "cut at {cut}");
         assert_eq!(inside, cut != complete, "cut at {cut}");
-        let with_data = [REQUEST_ENDS[0], REQUEST_ENDS[1], REQUEST_ENDS[3]]
-            .iter()
-            .filter(|end| **end <= cut)
-            .count();
+        let with_data = [
+            EVENT_END_OFFSETS[0],
+            EVENT_END_OFFSETS[1],
+            EVENT_END_OFFSETS[3],
+        ]
+        .iter()
+        .filter(|end| **end <= cut)
+        .count();
         assert_eq!(events.len(), with_data, "cut at {cut}");
     }
 }
--- a/crates/tier/proxy/tests/faulty_tier/answers.rs
+++ b/crates/tier/proxy/tests/faulty_tier/answers.rs
@@ -2,16 +2,22 @@
 
 const EVENTS: usize = 4;
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
+pub(super) enum Framing {
     Length,
     Chunks,
     EndOfConnection,
 }
 
 /// An answer's head and body.
-pub fn answer(id: &str, status: &str, lines: &str, framing: Framing, body: &[u8]) -> Vec<u8> {
+pub(super) fn answer(
+    id: &str,
+    status: &str,
+    lines: &str,
+    framing: Framing,
+    body: &[u8],
+) -> Vec<u8> {
     let framed = match framing {
         Framing::Length => format!("Content-Length: {}\r\n", body.len()),
         Framing::Chunks => "Transfer-Encoding: chunked\r\n".to_owned(),
@@ -29,8 +35,8 @@
     bytes
 }
 
-/// The events of a request's stream behind the one with this id.
-pub fn stream_body(id: &str, after: usize) -> Vec<u8> {
+/// The events of a request's stream after the one with this id.
+pub(super) fn stream_body(id: &str, after: usize) -> Vec<u8> {
     let event = |number: usize| format!("id: {number}\ndata: {id}-{number}\n\n");
     (after + 1..=EVENTS)
         .map(event)
--- a/crates/tier/proxy/tests/faulty_tier/clients.rs
+++ b/crates/tier/proxy/tests/faulty_tier/clients.rs
@@ -12,12 +12,12 @@
 /// Longer than what a connection takes before it is read.
 const LONG_BODY: usize = 60_000;
 
-/// One in so many requests is followed by another before its answer is read.
+/// One request in this many is followed by another before its response is read.
 const PIPELINED_ONE_IN: u64 = 8;
-/// One in so many requests is left by its client without reading the answer.
+/// One request in this many is abandoned by its client, which does not read the response.
 const ABANDONED_ONE_IN: u64 = 16;
 
-pub async fn run(number: usize, front: SocketAddr, shared: &Shared) {
+pub(super) async fn run(number: usize, front: SocketAddr, shared: &Shared) {
     let mut client = Client::connect(front).await;
     let mut request = 0;
     while request < super::REQUESTS_OF_A_CLIENT {
--- a/crates/tier/proxy/tests/faulty_tier/mod.rs
+++ b/crates/tier/proxy/tests/faulty_tier/mod.rs
@@ -1,5 +1,5 @@
-//! A data plane on loopback between clients and replicas that answer late, twice, cut, crossed, early,
-//! without length or not at all, with an oracle of who may see what and what may run how often.
+//! A data plane on loopback between clients and replicas whose responses are late, duplicate, truncated, crossed,
+//! early, without length or missing, with an oracle of who may see what and what may run how often.
 
 mod answers;
 mod clients;
@@ -21,7 +21,7 @@
 const REQUESTS_OF_A_CLIENT: usize = 8;
 
 /// Chance and the oracle, shared by all parts of one run.
-pub struct Shared {
+pub(crate) struct Shared {
     random: Mutex<Rand64>,
     oracle: Mutex<Oracle>,
 }
@@ -32,16 +32,16 @@
     }
 }
 
-/// What a run came to.
-pub struct Outcome {
+/// Result of a run.
+pub(crate) struct Outcome {
     /// Rules that were broken.
     pub violations: Vec<String>,
-    /// How often each kind of answer was given by a replica, and each status seen by a client.
+    /// Number of responses by the replica's behavior, and by the status that a client got.
     pub counts: BTreeMap<String, usize>,
 }
 
 /// Plays one seed.
-pub fn play(seed: u64) -> Outcome {
+pub(crate) fn play(seed: u64) -> Outcome {
     on_one_thread(wait_for("the end of a run", run(seed)))
 }
 
--- a/crates/tier/proxy/tests/faulty_tier/oracle.rs
+++ b/crates/tier/proxy/tests/faulty_tier/oracle.rs
@@ -1,4 +1,4 @@
-//! Remembers what clients sent and what replicas ran, and judges what each sees.
+//! Records what clients sent and what replicas ran, and checks what each receives.
 
 use super::Outcome;
 use crate::support::Seen;
@@ -9,34 +9,34 @@
 
 /// A request as its client sent it.
 #[derive(Clone, Debug)]
-pub struct SentRequest {
+pub(super) struct SentRequest {
     pub path: &'static str,
     pub body: Vec<u8>,
 }
 
 impl SentRequest {
-    fn may_run_again(&self) -> bool {
+    fn is_idempotent(&self) -> bool {
         self.path == "/safe/" || self.path == "/resumable/"
     }
 
     /// Whether its answer is a stream of events.
-    pub fn is_stream(&self) -> bool {
+    pub(super) fn is_stream(&self) -> bool {
         self.path == "/once/" || self.path == "/resumable/"
     }
 }
 
 /// One run of a request at a replica, with the answer that belongs to it.
 #[derive(Clone, Debug)]
-pub struct RequestRun {
+pub(super) struct RequestRun {
     pub status: u16,
     pub signature: String,
     pub body: Vec<u8>,
-    /// Whether the whole answer was told, in an order that makes it whole.
+    /// Whether the complete response was sent, in an order that makes it valid.
     pub sent_complete: bool,
 }
 
 #[derive(Default)]
-pub struct Oracle {
+pub(super) struct Oracle {
     sent: BTreeMap<String, SentRequest>,
     runs: BTreeMap<String, Vec<RequestRun>>,
     promised: BTreeMap<String, u16>,
@@ -45,29 +45,29 @@
 }
 
 impl Oracle {
-    pub fn sends(&mut self, id: &str, request: SentRequest) {
+    pub(super) fn sends(&mut self, id: &str, request: SentRequest) {
         self.sent.insert(id.to_owned(), request);
     }
 
-    pub fn count(&mut self, what: impl Into<String>) {
+    pub(super) fn count(&mut self, what: impl Into<String>) {
         *self.counts.entry(what.into()).or_default() += 1;
     }
 
-    /// A replica has read a request whole.
-    pub fn arrives(&mut self, id: &str, path: &str, body: &[u8]) {
+    /// A replica has read a complete request.
+    pub(super) fn arrives(&mut self, id: &str, path: &str, body: &[u8]) {
         let known = self.sent.get(id);
         if known.is_none_or(|sent| sent.path != path || sent.body != body) {
-            self.breaks(format!("UNASKED: {id} {path} with {} bytes", body.len()));
+            self.record_violation(format!("UNASKED: {id} {path} with {} bytes", body.len()));
         }
     }
 
     /// A replica begins to work on a request; the number of the run.
-    pub fn runs(&mut self, id: &str, run: RequestRun) {
+    pub(super) fn runs(&mut self, id: &str, run: RequestRun) {
         self.runs.entry(id.to_owned()).or_default().push(run);
     }
 
     /// What a client got for its request; a connection that ended first counts as status 0.
-    pub fn answered(&mut self, id: &str, seen: &Seen) {
+    pub(super) fn answered(&mut self, id: &str, seen: &Seen) {
         self.count(format!("client got {}", seen.status()));
         if PROMISES.contains(&seen.status()) {
             self.promised.insert(id.to_owned(), seen.status());
@@ -76,20 +76,20 @@
             return;
         }
         if seen.header("request-id") != Some(id) {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "MIXED: {id} got an answer to {:?}",
                 seen.header("request-id")
             ));
         }
         let is_stream = self.sent.get(id).is_some_and(SentRequest::is_stream);
         match (seen.status() / 100, is_stream) {
-            (2, true) => self.judge_stream(id, seen),
-            (2, false) => self.judge_success(id, seen),
-            _ => self.judge_failure(id, seen),
+            (2, true) => self.check_stream(id, seen),
+            (2, false) => self.check_success(id, seen),
+            _ => self.check_failure(id, seen),
         }
     }
 
-    fn judge_success(&mut self, id: &str, seen: &Seen) {
+    fn check_success(&mut self, id: &str, seen: &Seen) {
         let runs = self.runs.get(id).map_or(&[][..], Vec::as_slice);
         let fits = |run: &RequestRun| {
             run.sent_complete
@@ -98,7 +98,7 @@
                 && run.body == seen.body
         };
         if !runs.iter().any(fits) {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "MIXED: {id} got {:?}, whole {}",
                 seen.text(),
                 seen.complete
@@ -106,7 +106,7 @@
         }
     }
 
-    fn judge_stream(&mut self, id: &str, seen: &Seen) {
+    fn check_stream(&mut self, id: &str, seen: &Seen) {
         let runs = self.runs.get(id).map_or(&[][..], Vec::as_slice);
         let signed = runs
             .iter()
@@ -116,7 +116,7 @@
         let in_order = complete_body.starts_with(&seen.body) && ends_at_event;
         let complete = !seen.complete || seen.body == complete_body;
         if !signed || !in_order || !complete {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "ORDER: {id} got {:?}, whole {}",
                 seen.text(),
                 seen.complete
@@ -124,7 +124,7 @@
         }
     }
 
-    fn judge_failure(&mut self, id: &str, seen: &Seen) {
+    fn check_failure(&mut self, id: &str, seen: &Seen) {
         let Some(signature) = seen.header("response-signature") else {
             return;
         };
@@ -133,29 +133,29 @@
             .iter()
             .any(|run| run.signature == signature && run.status == seen.status())
         {
-            self.breaks(format!(
+            self.record_violation(format!(
                 "MIXED: {id} got status {} under {signature}",
                 seen.status()
             ));
         }
     }
 
-    fn breaks(&mut self, what: String) {
+    fn record_violation(&mut self, what: String) {
         self.violations.push(what);
     }
 
-    /// Judges what can only be known at the end.
-    pub fn finish(mut self) -> Outcome {
+    /// Checks what can only be known at the end.
+    pub(super) fn finish(mut self) -> Outcome {
         for (id, sent) in std::mem::take(&mut self.sent) {
             let runs = self.runs.get(&id).map_or(0, Vec::len);
-            if sent.may_run_again() {
+            if sent.is_idempotent() {
                 continue;
             }
             if runs > 1 {
-                self.breaks(format!("TWICE: {id} ran {runs} times"));
+                self.record_violation(format!("TWICE: {id} ran {runs} times"));
             }
             if let Some(status) = self.promised.get(&id).copied().filter(|_| runs > 0) {
-                self.breaks(format!("REFUSED: {id} got {status} and ran"));
+                self.record_violation(format!("REFUSED: {id} got {status} and ran"));
             }
         }
         Outcome {
--- a/crates/tier/proxy/tests/faulty_tier/replica.rs
+++ b/crates/tier/proxy/tests/faulty_tier/replica.rs
@@ -1,4 +1,4 @@
-//! A replica that draws how it answers each request.
+//! A replica that draws its behavior for each request at random.
 
 use super::Shared;
 use super::answers::{Framing, answer, stream_body};
@@ -29,7 +29,7 @@
     InterimFirst,
     Reject,
     RejectTwice,
-    /// Its own failure, which says that it has run.
+    /// Its own error response, which means that the request has run.
     Fail(u16),
     /// Answers and ends the connection without notice.
     AnswerThenClose,
@@ -38,7 +38,7 @@
     Close,
     Reset,
     HalfClose,
-    /// Says nothing until the caller gives up.
+    /// Sends nothing until the caller closes the connection.
     NeverRespond,
 }
 
@@ -68,7 +68,7 @@
 ];
 /// Bytes that a connection takes before it is read.
 const RECEIVE_BUFFER: u32 = 4096;
-/// One request in so many is not answered at all.
+/// One request in this many gets no response.
 const UNRESPONSIVE_ONE_IN: u64 = 25;
 
 struct State {
@@ -82,7 +82,7 @@
     last_id: Mutex<String>,
 }
 
-pub struct FaultyReplica {
+pub(super) struct FaultyReplica {
     pub address: SocketAddr,
     state: Arc<State>,
 }
@@ -97,7 +97,7 @@
 }
 
 impl FaultyReplica {
-    pub async fn start(number: u64, is_full: bool, shared: Arc<Shared>) -> Self {
+    pub(super) async fn start(number: u64, is_full: bool, shared: Arc<Shared>) -> Self {
         let listener = small_listener().expect("a free port");
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(State {
@@ -119,19 +119,19 @@
     }
 
     /// Its id, a new one for each incarnation.
-    pub fn id(&self) -> String {
+    pub(super) fn id(&self) -> String {
         self.state.id()
     }
 
     /// The process ends and another takes its address.
-    pub fn replace(&self) {
+    pub(super) fn replace(&self) {
         self.state
             .incarnation
             .send_modify(|incarnation| *incarnation += 1);
     }
 
     /// Waits until it works on nothing.
-    pub async fn wait_until_idle(&self) {
+    pub(super) async fn wait_until_idle(&self) {
         let mut busy = self.state.busy.subscribe();
         for _ in 0..100 {
             // What has arrived is read before the replica counts as idle.
@@ -199,7 +199,7 @@
     unread: Vec<u8>,
     /// What was written, with the id of its request.
     answers: Vec<(String, Vec<u8>)>,
-    /// Id of the request in hand.
+    /// Id of the request being served.
     serving: String,
 }
 
@@ -367,7 +367,7 @@
         self.write(failure).await
     }
 
-    /// Ends an answer early, at any byte.
+    /// Truncates a response at any byte.
     async fn truncate(&mut self, request: &Request, behavior: Behavior) -> Option<()> {
         let framing = match self.state.shared.below(2) {
             0 => Framing::Length,
--- a/crates/tier/proxy/tests/graceful_shutdown.rs
+++ b/crates/tier/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! What a process that is about to end still takes.
+//! Which requests a process accepts while it shuts down.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 use woadreach_proxy::lifecycle::{Lifecycle, Phase};
 
-/// Time that is left to the process in these tests; the routes' timeout is 5 s.
-const LEFT: Duration = Duration::from_millis(3000);
+/// Time until the process ends in these tests; the routes' timeout is 5 s.
+const TIME_TO_SHUTDOWN: Duration = Duration::from_millis(3000);
 
 fn stream(timeout_ms: u32) -> String {
     format!(
@@ -26,7 +26,7 @@
         let tier = Tier::start(&[("i-1", &replica)]).await;
         tier.proxy
             .lifecycle
-            .set_shutdown_deadline(Instant::now() + LEFT);
+            .set_shutdown_deadline(Instant::now() + TIME_TO_SHUTDOWN);
         tier.proxy.lifecycle.enter(Phase::Closing);
         let refused = send_request(tier.front, &stream(4500)).await;
         assert_eq!(
@@ -50,7 +50,7 @@
         let tier = Tier::start(&[("i-1", &replica)]).await;
         tier.proxy
             .lifecycle
-            .set_shutdown_deadline(Instant::now() + LEFT);
+            .set_shutdown_deadline(Instant::now() + TIME_TO_SHUTDOWN);
         tier.proxy.lifecycle.enter(Phase::Draining);
         assert_eq!(send_request(tier.front, &stream(4500)).await.status(), 200);
     });
@@ -61,10 +61,10 @@
     on_one_thread(async {
         let lifecycle = Lifecycle::default();
         let now = Instant::now();
-        lifecycle.set_shutdown_deadline(now + LEFT);
-        lifecycle.set_shutdown_deadline(now + 10 * LEFT);
+        lifecycle.set_shutdown_deadline(now + TIME_TO_SHUTDOWN);
+        lifecycle.set_shutdown_deadline(now + 10 * TIME_TO_SHUTDOWN);
         lifecycle.enter(Phase::Closing);
-        assert!(lifecycle.accepts_request(now + LEFT));
-        assert!(!lifecycle.accepts_request(now + LEFT + Duration::from_millis(1)));
+        assert!(lifecycle.accepts_request(now + TIME_TO_SHUTDOWN));
+        assert!(!lifecycle.accepts_request(now + TIME_TO_SHUTDOWN + Duration::from_millis(1)));
     });
 }
--- a/crates/tier/proxy/tests/program.rs
+++ b/crates/tier/proxy/tests/program.rs
@@ -1,4 +1,4 @@
-//! The built program: its command line and what it says of bad settings.
+//! The built program: its command line, and its errors for invalid settings.
 
 use std::io::Write;
 use std::process::{Command, Output};
--- a/crates/tier/proxy/tests/replay.rs
+++ b/crates/tier/proxy/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Bodies of kept turns, and the tokens that a turn has given.
+//! Bodies that replay stored turns, and the count of a turn's tokens.
 
 use bytes::Bytes;
 use quickcheck::QuickCheck;
--- a/crates/tier/proxy/tests/replica_connection.rs
+++ b/crates/tier/proxy/tests/replica_connection.rs
@@ -1,4 +1,4 @@
-//! What a replica sees of a connection that is given up.
+//! What a replica sees of a connection that is dropped.
 
 use bytes::Bytes;
 use http::Request;
--- a/crates/tier/proxy/tests/request_headers.rs
+++ b/crates/tier/proxy/tests/request_headers.rs
@@ -212,7 +212,7 @@
     let many: Vec<String> = (0..1_000).map(|id| format!("{id:x}:4294967295")).collect();
     let many = many.join(",");
     type Case<'a> = (&'a [(&'static str, &'a str)], u64, bool);
-    let cases: [Case; 7] = [
+    let cases: [Case<'_>; 7] = [
         (&[("affinity-key", "berth 7 / north")], 0, true),
         (&[("affinity-key", "")], 1, false),
         (&[("affinity-key", &long)], 1, false),
--- a/crates/tier/proxy/tests/requests.rs
+++ b/crates/tier/proxy/tests/requests.rs
@@ -306,8 +306,8 @@
 fn a_replica_that_is_not_there_has_run_nothing() {
     on_one_thread(async {
         let there = Replica::start(|_, request| vec![success(request, "ok")]).await;
-        let gone = Replica::nowhere().await;
-        let tier = Tier::start(&[("i-1", &gone), ("i-2", &there)]).await;
+        let unreachable = Replica::nowhere().await;
+        let tier = Tier::start(&[("i-1", &unreachable), ("i-2", &there)]).await;
         for _ in 0..6 {
             assert_eq!(
                 send_request(tier.front, &post("/unsafe/", "x"))
--- a/crates/tier/proxy/tests/resumption.rs
+++ b/crates/tier/proxy/tests/resumption.rs
@@ -1,4 +1,4 @@
-//! Answers that end with their connection, and whose head a stream has that is taken up elsewhere.
+//! Responses whose end is that of their connection, and the head of a stream that resumes elsewhere.
 
 mod support;
 
@@ -28,14 +28,16 @@
     Step::Write(head(request, "200 OK", &all))
 }
 
-/// Two replicas; whichever is asked first answers with `first`, the other one with `second`.
+/// Two replicas: whichever gets the first request responds with `first`, the other one with `second`.
 async fn one_after_the_other(
     request: &str,
     first: fn(&Received) -> Vec<Step>,
     second: fn(&Received) -> Vec<Step>,
 ) -> (Seen, Vec<Received>) {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let script = move |_: usize, request: &Received| match asked.fetch_add(1, Ordering::Relaxed) {
+    let requests_received = Arc::new(AtomicUsize::new(0));
+    let script = move |_: usize, request: &Received| match requests_received
+        .fetch_add(1, Ordering::Relaxed)
+    {
         0 => first(request),
         _ => second(request),
     };
--- a/crates/tier/proxy/tests/signals.rs
+++ b/crates/tier/proxy/tests/signals.rs
@@ -118,11 +118,11 @@
     process.wait_for_log("serving");
     assert_eq!(process.statuses(), (503, 503), "no core machine is there");
     process.signal("-HUP");
-    process.wait_for_log("settings read again");
+    process.wait_for_log("settings reloaded");
     assert_eq!(process.statuses(), (503, 503));
     std::fs::write(process.folder.path().join("settings.yaml"), "node: [").unwrap();
     process.signal("-HUP");
-    process.wait_for_log("the old ones stay");
+    process.wait_for_log("settings not reloaded");
     assert_eq!(process.statuses(), (503, 503));
 }
 
--- a/crates/tier/proxy/tests/stored_turns.rs
+++ b/crates/tier/proxy/tests/stored_turns.rs
@@ -25,7 +25,7 @@
     ]
 }
 
-/// A tier of one replica with a storage machine, asked these requests one after the other.
+/// Sends these requests one after the other to a tier of one replica and one storage node.
 async fn conversation(
     script: impl Fn(usize, &Received) -> Vec<Step> + Send + Sync + 'static,
     requests: &[String],
--- a/crates/tier/proxy/tests/streams.rs
+++ b/crates/tier/proxy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams through a data plane on loopback: passed on at once, taken up elsewhere, or cut.
+//! Streams through a data plane on loopback: forwarded at once, resumed elsewhere, or truncated.
 
 mod support;
 
@@ -22,7 +22,7 @@
     )
 }
 
-/// The events behind the one that the request has.
+/// The events after the one that the request names.
 fn events_after(request: &Received) -> Vec<u8> {
     let last: usize = request
         .header("last-event-id")
@@ -30,14 +30,13 @@
     EVENTS[last..].concat().into_bytes()
 }
 
-/// Two replicas; whichever is asked first breaks off after `length` bytes of its body, the other goes on
-/// from there.
+/// Two replicas: whichever gets the first request breaks off after `length` bytes of its body, the other resumes.
 async fn truncated_after(path: &str, length: usize) -> (Seen, Vec<Received>) {
     assert!(length > 0, "a chunk without bytes is the end of a body");
-    let asked = Arc::new(AtomicUsize::new(0));
+    let requests_received = Arc::new(AtomicUsize::new(0));
     let script = move |_: usize, request: &Received| {
         let body = events_after(request);
-        if asked.fetch_add(1, Ordering::Relaxed) == 0 {
+        if requests_received.fetch_add(1, Ordering::Relaxed) == 0 {
             vec![
                 stream_head(request),
                 chunk(&body[..length.min(body.len())]),
@@ -97,11 +96,11 @@
             } else {
                 String::new()
             };
-            let ends: Vec<usize> = (0..=EVENTS.len())
+            let event_ends: Vec<usize> = (0..=EVENTS.len())
                 .map(|count| EVENTS[..count].concat().len())
                 .collect();
             assert!(
-                complete.starts_with(&text) && ends.contains(&text.len()),
+                complete.starts_with(&text) && event_ends.contains(&text.len()),
                 "cut at {length}: {text:?}"
             );
         });
@@ -131,7 +130,7 @@
 #[test]
 fn the_clients_own_stream_position_is_forwarded_and_the_response_is_unchanged() {
     on_one_thread(async {
-        // This replica begins at the start whatever it is asked: that is its whole answer.
+        // This replica begins at the start whatever it is requests_received: that is its whole answer.
         let replica = Replica::start(|_, request| {
             vec![
                 stream_head(request),
@@ -158,9 +157,9 @@
 #[test]
 fn a_replica_that_begins_anew_on_resumption_sends_nothing_twice() {
     on_one_thread(async {
-        let asked = Arc::new(AtomicUsize::new(0));
+        let requests_received = Arc::new(AtomicUsize::new(0));
         let script = move |_: usize, request: &Received| {
-            let first = asked.fetch_add(1, Ordering::Relaxed) == 0;
+            let first = requests_received.fetch_add(1, Ordering::Relaxed) == 0;
             let body = if first {
                 EVENTS[..2].concat()
             } else {
@@ -251,8 +250,8 @@
     });
 }
 
-/// A stream without a length whose connection ends in order after so many bytes; asked again, it is whole.
-async fn ended_in_order_after(path: &str, length: usize) -> (support::Seen, usize) {
+/// A stream without a length whose connection closes in order after `length` bytes; the second one is complete.
+async fn ended_in_order_after(path: &str, length: usize) -> (Seen, usize) {
     let begin = |request: &Received| {
         Step::Write(head(
             request,
@@ -281,9 +280,9 @@
 }
 
 #[test]
-fn a_stream_without_length_is_incomplete_when_it_ends_inside_an_event() {
+fn a_stream_without_length_is_incomplete_when_it_stops_inside_an_event() {
     let complete = EVENTS.concat();
-    let ends: Vec<usize> = (0..=EVENTS.len())
+    let event_ends: Vec<usize> = (0..=EVENTS.len())
         .map(|count| EVENTS[..count].concat().len())
         .collect();
     for length in 0..=complete.len() {
@@ -293,7 +292,7 @@
             let looks_complete = seen.complete && seen.status() == 200;
             assert_eq!(
                 looks_complete,
-                ends.contains(&length),
+                event_ends.contains(&length),
                 "ended at {length}: {seen:?}"
             );
             assert!(
--- a/crates/tier/proxy/tests/support/mod.rs
+++ b/crates/tier/proxy/tests/support/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-pub mod replica;
-pub mod storage;
-pub mod tier;
+pub(crate) mod replica;
+pub(crate) mod storage;
+pub(crate) mod tier;
 
 use std::future::Future;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 /// Waits with a bound.
-pub async fn wait_for<F: Future>(what: &str, future: F) -> F::Output {
+pub(crate) async fn wait_for<F: Future>(what: &str, future: F) -> F::Output {
     match tokio::time::timeout(WAIT, future).await {
         Ok(output) => output,
         Err(_) => panic!("waited for too long: {what}"),
@@ -23,7 +23,7 @@
 }
 
 /// Runs a test on one thread, as the program runs.
-pub fn on_one_thread<F: Future>(test: F) -> F::Output {
+pub(crate) fn on_one_thread<F: Future>(test: F) -> F::Output {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -33,18 +33,18 @@
 
 /// What a client saw.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// Status line and headers, in lower case.
     pub head: String,
     /// The body without its framing.
     pub body: Vec<u8>,
-    /// Whether the body ended as its framing says.
+    /// Whether the body is complete by its framing.
     pub complete: bool,
 }
 
 impl Seen {
     /// The status.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.head
             .split(' ')
             .nth(1)
@@ -53,26 +53,26 @@
     }
 
     /// The body as text.
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
     /// Value of a header.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
 /// A client's connection.
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     unread: Vec<u8>,
 }
 
 impl Client {
     /// Connects.
-    pub async fn connect(address: std::net::SocketAddr) -> Self {
+    pub(crate) async fn connect(address: std::net::SocketAddr) -> Self {
         let stream = TcpStream::connect(address)
             .await
             .expect("the front accepts");
@@ -83,17 +83,17 @@
     }
 
     /// Sends bytes as they are.
-    pub async fn send(&mut self, bytes: &[u8]) {
+    pub(crate) async fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).await.expect("the front reads");
     }
 
     /// Reads the next answer.
-    pub async fn answer(&mut self) -> Seen {
+    pub(crate) async fn answer(&mut self) -> Seen {
         wait_for("an answer", self.read_answer()).await
     }
 
     /// Whether the connection ends without another byte.
-    pub async fn is_closed(&mut self) -> bool {
+    pub(crate) async fn is_closed(&mut self) -> bool {
         wait_for("the end of the connection", async {
             self.unread.is_empty() && !self.more().await
         })
@@ -101,7 +101,7 @@
     }
 
     /// Waits until the bytes read so far hold `text`.
-    pub async fn until(&mut self, text: &str) {
+    pub(crate) async fn until(&mut self, text: &str) {
         wait_for(text, async {
             while !String::from_utf8_lossy(&self.unread).contains(text) {
                 assert!(self.more().await, "the connection ended before {text:?}");
@@ -198,12 +198,12 @@
 }
 
 /// Where `part` begins in `bytes`.
-pub fn find(bytes: &[u8], part: &[u8]) -> Option<usize> {
+pub(crate) fn find(bytes: &[u8], part: &[u8]) -> Option<usize> {
     bytes.windows(part.len()).position(|window| window == part)
 }
 
 /// Sends one request on a new connection and reads its answer.
-pub async fn send_request(address: std::net::SocketAddr, request: &str) -> Seen {
+pub(crate) async fn send_request(address: std::net::SocketAddr, request: &str) -> Seen {
     let mut client = Client::connect(address).await;
     client.send(request.as_bytes()).await;
     client.answer().await
--- a/crates/tier/proxy/tests/support/replica.rs
+++ b/crates/tier/proxy/tests/support/replica.rs
@@ -1,4 +1,4 @@
-//! A replica that answers as its script says and remembers what it was sent.
+//! A replica that responds as scripted and records the requests that it receives.
 
 use super::find;
 use parking_lot::Mutex;
@@ -10,9 +10,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 
-/// A request as it came.
+/// A request as it was received.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub(crate) struct Received {
     /// Request line and headers; header names in lower case.
     pub head: String,
     /// The body.
@@ -21,7 +21,7 @@
 
 impl Received {
     /// Value of a header.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
@@ -30,16 +30,16 @@
 
 /// One step of an answer.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum Step {
     /// Write these bytes.
     Write(Vec<u8>),
     /// End the connection.
     Close,
     /// Reset the connection.
     Reset,
-    /// Wait until told to go on.
+    /// Wait for a notification.
     Await(Arc<Notify>),
-    /// Say nothing until the caller closes the connection.
+    /// Write nothing until the caller closes the connection.
     Hang,
 }
 
@@ -48,7 +48,7 @@
 
 /// A replica on loopback.
 #[derive(Clone)]
-pub struct Replica {
+pub(crate) struct Replica {
     /// Where it listens.
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
@@ -59,14 +59,14 @@
 
 impl Replica {
     /// Starts a replica; `script` gets the number of the request (from 0) and the request.
-    pub async fn start(
+    pub(crate) async fn start(
         script: impl Fn(usize, &Received) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         Self::start_by_connection(move |_, number, request| script(number, request)).await
     }
 
     /// Starts a replica whose script also gets the number of the connection (from 0), before the others.
-    pub async fn start_by_connection(
+    pub(crate) async fn start_by_connection(
         script: impl Fn(usize, usize, &Received) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -93,8 +93,8 @@
         replica
     }
 
-    /// An address where nobody listens.
-    pub async fn nowhere() -> Self {
+    /// An address without a listener.
+    pub(crate) async fn nowhere() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         Replica {
             address: listener.local_addr().expect("an address"),
@@ -105,18 +105,18 @@
         }
     }
 
-    /// The requests that came.
-    pub fn received(&self) -> Vec<Received> {
+    /// The requests received so far.
+    pub(crate) fn received(&self) -> Vec<Received> {
         self.received.lock().clone()
     }
 
     /// Connections that were opened to it.
-    pub fn connections(&self) -> usize {
+    pub(crate) fn connections(&self) -> usize {
         *self.connections.borrow()
     }
 
-    /// Waits until so many requests have come.
-    pub async fn wait_for_requests(&self, wanted: usize) {
+    /// Waits until `wanted` requests have been received.
+    pub(crate) async fn wait_for_requests(&self, wanted: usize) {
         let mut count = self.count.subscribe();
         super::wait_for(
             "requests at a replica",
@@ -126,8 +126,8 @@
         .expect("open");
     }
 
-    /// Waits until so many connections have ended.
-    pub async fn wait_for_closed(&self, wanted: usize) {
+    /// Waits until `wanted` connections have closed.
+    pub(crate) async fn wait_for_closed(&self, wanted: usize) {
         let mut closed = self.closed.subscribe();
         super::wait_for(
             "closed connections",
@@ -208,7 +208,7 @@
 }
 
 /// A head of an answer to `request`, with its id and these lines.
-pub fn head(request: &Received, status: &str, lines: &[&str]) -> Vec<u8> {
+pub(crate) fn head(request: &Received, status: &str, lines: &[&str]) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or("none");
     let mut text = format!("HTTP/1.1 {status}\r\nRequest-Id: {id}\r\n");
     for line in lines {
@@ -218,16 +218,16 @@
     (text + "\r\n").into_bytes()
 }
 
-/// A whole success.
-pub fn success(request: &Received, body: &str) -> Step {
+/// A complete success.
+pub(crate) fn success(request: &Received, body: &str) -> Step {
     let length = format!("Content-Length: {}", body.len());
     let mut bytes = head(request, "200 OK", &["Response-Signature: stamp", &length]);
     bytes.extend_from_slice(body.as_bytes());
     Step::Write(bytes)
 }
 
-/// A promise that the request has not run.
-pub fn not_executed(request: &Received) -> Step {
+/// A response that says that the request has not run.
+pub(crate) fn not_executed(request: &Received) -> Step {
     Step::Write(head(
         request,
         "503 Service Unavailable",
@@ -236,7 +236,7 @@
 }
 
 /// The head of a stream.
-pub fn stream_head(request: &Received) -> Step {
+pub(crate) fn stream_head(request: &Received) -> Step {
     let lines = [
         "Response-Signature: stamp",
         "Content-Type: text/event-stream",
@@ -246,7 +246,7 @@
 }
 
 /// A chunk of a stream.
-pub fn chunk(bytes: &[u8]) -> Step {
+pub(crate) fn chunk(bytes: &[u8]) -> Step {
     let mut framed = format!("{:x}\r\n", bytes.len()).into_bytes();
     framed.extend_from_slice(bytes);
     framed.extend_from_slice(b"\r\n");
@@ -254,6 +254,6 @@
 }
 
 /// The end of a stream.
-pub fn stream_end() -> Step {
+pub(crate) fn stream_end() -> Step {
     Step::Write(b"0\r\n\r\n".to_vec())
 }
--- a/crates/tier/proxy/tests/support/storage.rs
+++ b/crates/tier/proxy/tests/support/storage.rs
@@ -1,4 +1,4 @@
-//! A storage machine on real files, behind a relay that may leave requests unanswered.
+//! A storage node on real files, behind a relay that may drop requests.
 
 use super::replica::Replica;
 use super::tier::{Tier, snapshot};
@@ -14,27 +14,27 @@
 use woadreach_storage::message::{Operation, Request, decode};
 use woadreach_storage::server::{Server, ServerOptions};
 
-/// How long the relay waits for the machine behind it.
+/// How long the relay waits for the storage node.
 const RELAY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A storage machine that a tier knows.
-pub struct Storage {
+/// A storage node in a tier's view.
+pub(crate) struct Storage {
     _folder: TempDir,
-    swallowed: watch::Receiver<usize>,
+    dropped: watch::Receiver<usize>,
     answered: watch::Receiver<usize>,
 }
 
 impl Storage {
-    /// Starts a storage machine and tells the tier of it.
-    pub async fn start(tier: &Tier, replicas: &[(&str, &Replica)]) -> Self {
-        Self::swallowing(tier, replicas, |_| false).await
+    /// Starts a storage node and adds it to the tier's view.
+    pub(crate) async fn start(tier: &Tier, replicas: &[(&str, &Replica)]) -> Self {
+        Self::dropping(tier, replicas, |_| false).await
     }
 
-    /// The same; requests that `swallows` names neither reach it nor are answered.
-    pub async fn swallowing(
+    /// The same with a relay that drops the requests for which `is_dropped` is true.
+    pub(crate) async fn dropping(
         tier: &Tier,
         replicas: &[(&str, &Replica)],
-        swallows: impl Fn(&Operation) -> bool + Send + Sync + 'static,
+        is_dropped: impl Fn(&Operation) -> bool + Send + Sync + 'static,
     ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -52,7 +52,7 @@
         let mut member = server.announcement().member;
         let router = server.routes(Router::new());
         tokio::spawn(async move { tokio::join!(serve(listener, router), server.run()) });
-        let (address, swallowed, answered) = relay(member.address, Arc::new(swallows)).await;
+        let (address, dropped, answered) = relay(member.address, Arc::new(is_dropped)).await;
         member.address = address;
         let view = StorageView {
             epoch: 1,
@@ -66,23 +66,23 @@
         tier.proxy.apply_snapshot(&known);
         Storage {
             _folder: folder,
-            swallowed,
+            dropped,
             answered,
         }
     }
 
-    /// Waits until so many requests have been swallowed.
-    pub async fn wait_for_swallowed(&mut self, wanted: usize) {
+    /// Waits until `wanted` requests have been dropped.
+    pub(crate) async fn wait_for_dropped(&mut self, wanted: usize) {
         super::wait_for(
             "swallowed requests",
-            self.swallowed.wait_for(|count| *count >= wanted),
+            self.dropped.wait_for(|count| *count >= wanted),
         )
         .await
         .expect("the relay runs");
     }
 
-    /// Waits until the machine has answered so many requests.
-    pub async fn wait_for_answered(&mut self, wanted: usize) {
+    /// Waits until the storage node has answered `wanted` requests.
+    pub(crate) async fn wait_for_answered(&mut self, wanted: usize) {
         super::wait_for(
             "answered requests",
             self.answered.wait_for(|count| *count >= wanted),
@@ -92,24 +92,24 @@
     }
 }
 
-/// Passes requests on to `machine` unless `swallows` names them.
+/// Forwards requests to `machine`, except those for which `is_dropped` is true.
 async fn relay(
     machine: SocketAddr,
-    swallows: Arc<dyn Fn(&Operation) -> bool + Send + Sync>,
+    is_dropped: Arc<dyn Fn(&Operation) -> bool + Send + Sync>,
 ) -> (SocketAddr, watch::Receiver<usize>, watch::Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let client = Client::new(ClientOptions::default());
-    let (count, swallowed) = watch::channel(0);
+    let (count, dropped) = watch::channel(0);
     let count = Arc::new(count);
     let (answers, answered) = watch::channel(0);
     let answers = Arc::new(answers);
     let router = Router::new().route(ServiceId::STORAGE, move |_, body: bytes::Bytes| {
-        let (client, count, swallows) = (client.clone(), count.clone(), swallows.clone());
+        let (client, count, is_dropped) = (client.clone(), count.clone(), is_dropped.clone());
         let answers = answers.clone();
         async move {
             let request: Request = decode(&body).expect("a request");
-            if swallows(&request.operation) {
+            if is_dropped(&request.operation) {
                 count.send_modify(|count| *count += 1);
                 std::future::pending::<()>().await;
             }
@@ -121,5 +121,5 @@
         }
     });
     tokio::spawn(serve(listener, router));
-    (address, swallowed, answered)
+    (address, dropped, answered)
 }
--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -1,4 +1,4 @@
-//! A data plane in this process, told what it should know.
+//! A data plane in this process, with a configuration and replicas of the test's choice.
 
 use super::replica::Replica;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use woadreach_storage::StorageClient;
 
 /// Routes: `/safe/`, `/unsafe/`, `/resumable/` and `/once/` (streams), `/kept/` at host `tier.example`.
-pub const CONFIGURATION: &str = r#"{"generation":7,"routes":[
+pub(crate) const CONFIGURATION: &str = r#"{"generation":7,"routes":[
  {"name":"safe","domain":"tier.example","path_prefix":"/safe/","route_type":"safe","timeout_ms":5000,
   "target_latency_ms":250,"priority":0,"service":"s","max_retries":3},
  {"name":"unsafe","domain":"tier.example","path_prefix":"/unsafe/","route_type":"unsafe","timeout_ms":5000,
@@ -29,8 +29,8 @@
  "limits":{"max_header_bytes":8192,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000}}"#;
 
 /// A data plane with its front.
-pub struct Tier {
-    /// Where clients connect.
+pub(crate) struct Tier {
+    /// Address for clients' connections.
     pub front: SocketAddr,
     /// Its parts.
     pub proxy: Arc<Proxy>,
@@ -40,21 +40,21 @@
 
 impl Tier {
     /// A data plane that knows the configuration and these replicas, by id.
-    pub async fn start(replicas: &[(&str, &Replica)]) -> Self {
+    pub(crate) async fn start(replicas: &[(&str, &Replica)]) -> Self {
         Self::start_within(replicas, limits()).await
     }
 
-    /// A data plane that has been told only this.
-    pub async fn start_knowing(known: &ControlSnapshot) -> Self {
+    /// A data plane that has received this snapshot.
+    pub(crate) async fn start_knowing(known: &ControlSnapshot) -> Self {
         Self::start_knowing_within(known, limits()).await
     }
 
     /// The same in a process of these limits.
-    pub async fn start_within(replicas: &[(&str, &Replica)], limits: ProcessLimits) -> Self {
+    pub(crate) async fn start_within(replicas: &[(&str, &Replica)], limits: ProcessLimits) -> Self {
         Self::start_knowing_within(&snapshot(replicas), limits).await
     }
 
-    /// A data plane that has been told only this, in a process of these limits.
+    /// A data plane that has received this snapshot, in a process of these limits.
     async fn start_knowing_within(known: &ControlSnapshot, limits: ProcessLimits) -> Self {
         let storage = StorageClient::new(Client::new(ClientOptions::default()), "a".to_owned(), 0);
         let proxy = Arc::new(Proxy::new(1, "a", 256, storage));
@@ -73,8 +73,8 @@
     }
 }
 
-/// What a process may use, unless a test says otherwise.
-pub fn limits() -> ProcessLimits {
+/// Limits of the process, unless a test sets others.
+pub(crate) fn limits() -> ProcessLimits {
     ProcessLimits {
         cpu_share: 1.0,
         cores: 1.0,
@@ -85,19 +85,19 @@
     }
 }
 
-/// What the control plane would tell.
-pub fn snapshot(replicas: &[(&str, &Replica)]) -> ControlSnapshot {
+/// The control plane's snapshot.
+pub(crate) fn snapshot(replicas: &[(&str, &Replica)]) -> ControlSnapshot {
     configured(replicas, CONFIGURATION)
 }
 
 /// The same with another configuration.
-pub fn configured(replicas: &[(&str, &Replica)], configuration: &str) -> ControlSnapshot {
+pub(crate) fn configured(replicas: &[(&str, &Replica)], configuration: &str) -> ControlSnapshot {
     let replicas = replicas.iter().map(|(id, replica)| (*id, replica.address));
     snapshot_of(replicas, configuration)
 }
 
-/// What the control plane would tell of replicas at these addresses, by id, with this configuration.
-pub fn snapshot_of<'a>(
+/// The control plane's snapshot of replicas at these addresses, by id, with this configuration.
+pub(crate) fn snapshot_of<'a>(
     replicas: impl Iterator<Item = (&'a str, SocketAddr)>,
     configuration: &str,
 ) -> ControlSnapshot {
--- a/crates/tier/proxy/tests/surplus_responses.rs
+++ b/crates/tier/proxy/tests/surplus_responses.rs
@@ -14,7 +14,7 @@
 const REQUEST: &str =
     "POST /unsafe/ HTTP/1.1\r\nHost: tier.example\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\r\nx";
 
-/// Asks a tier of one replica that rejects the first request and runs the later ones. It says its rejection
+/// Sends to a tier of one replica that rejects the first request and runs the later ones. It sends its rejection
 /// once more in the place of the next answer on the same connection.
 async fn request_with_surplus(request: &str) -> (Seen, usize, Replica) {
     let runs = Arc::new(AtomicUsize::new(0));
--- a/crates/tier/proxy/tests/valid_requests.rs
+++ b/crates/tier/proxy/tests/valid_requests.rs
@@ -1,4 +1,4 @@
-//! Proper requests of every form are passed on; none is ended with a 4xx of the edge's own.
+//! Valid requests of every form are forwarded; none gets a 4xx that the edge makes itself.
 
 mod support;
 
--- a/crates/tier/proxy/tests/weight_versions.rs
+++ b/crates/tier/proxy/tests/weight_versions.rs
@@ -1,4 +1,4 @@
-//! `Expect-Version`, and what a 421 to it says.
+//! `Expect-Version`, and what a 421 to it means.
 
 mod support;
 
