--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -17,24 +17,11 @@
 
 use speedy::{Readable, Writable};
 
-use crate::durable::{Accepted, IdleEpoch};
+use crate::ballot::{Accepted, Ballot};
+use crate::durable::IdleEpoch;
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
-/// Number of a proposal; the proposer's identity breaks ties.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
-pub struct Ballot {
-    pub round: u64,
-    pub proposer: MemberId,
-}
-
-/// A promise to take no proposal below `ballot` in the instance of `epoch`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Promise {
-    pub epoch: u64,
-    pub ballot: Ballot,
-}
-
 /// What a voter reports with its promise.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Report {
@@ -55,7 +42,7 @@
 
 /// Phase of a proposer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     #[default]
     Idle,
     Preparing {
@@ -73,18 +60,18 @@
 
 /// The proposing side of one instance.
 #[derive(Clone, Debug, Default)]
-pub struct Proposer {
+pub(crate) struct Proposer {
     phase: Phase,
     highest_round: u64,
 }
 
 impl Proposer {
-    pub fn phase(&self) -> &Phase {
+    pub(crate) fn phase(&self) -> &Phase {
         &self.phase
     }
 
     /// The proposer without its times.
-    pub fn canonical(&self) -> impl std::fmt::Debug + '_ {
+    pub(crate) fn canonical(&self) -> impl std::fmt::Debug + '_ {
         let phase = match &self.phase {
             Phase::Idle => None,
             Phase::Preparing {
@@ -101,7 +88,7 @@
     }
 
     /// Ballot of the present proposal.
-    pub fn ballot(&self) -> Option<Ballot> {
+    pub(crate) fn ballot(&self) -> Option<Ballot> {
         match self.phase {
             Phase::Idle => None,
             Phase::Preparing { ballot, .. } | Phase::Accepting { ballot, .. } => Some(ballot),
@@ -109,7 +96,7 @@
     }
 
     /// Begins a proposal above every ballot seen so far.
-    pub fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
+    pub(crate) fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
         self.highest_round += 1;
         let ballot = Ballot {
             round: self.highest_round,
@@ -124,12 +111,12 @@
     }
 
     /// Notes a ballot of another proposer, so that the next own one is above it.
-    pub fn saw(&mut self, ballot: Ballot) {
+    pub(crate) fn saw(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
     /// Takes a promise. Reports of members that don't vote must not be passed in.
-    pub fn promised(&mut self, from: MemberId, ballot: Ballot, report: Report) {
+    pub(crate) fn promised(&mut self, from: MemberId, ballot: Ballot, report: Report) {
         if let Phase::Preparing {
             ballot: own,
             reports,
@@ -142,7 +129,7 @@
     }
 
     /// The view that must be proposed because it may have been decided: that of the highest vote reported.
-    pub fn bound_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
+    pub(crate) fn bound_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
         let votes = reports
             .values()
             .filter_map(|report| report.accepted.as_ref());
@@ -152,7 +139,7 @@
     }
 
     /// Goes on to the second phase with `view`.
-    pub fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
+    pub(crate) fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
         let Phase::Preparing { ballot, .. } = self.phase else {
             return None;
         };
@@ -166,7 +153,12 @@
     }
 
     /// Takes a vote; gives the view back once a majority of `current`'s voters has voted for it.
-    pub fn accepted(&mut self, from: MemberId, voted: Ballot, current: &View) -> Option<View> {
+    pub(crate) fn accepted(
+        &mut self,
+        from: MemberId,
+        voted: Ballot,
+        current: &View,
+    ) -> Option<View> {
         let Phase::Accepting {
             ballot,
             view,
@@ -189,7 +181,7 @@
     }
 
     /// Gives the proposal up.
-    pub fn abandon(&mut self) {
+    pub(crate) fn abandon(&mut self) {
         self.phase = Phase::Idle;
     }
 }
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -3,7 +3,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use speedy::{Endianness, Readable, Writable};
 
-use crate::agreement::{Ballot, Promise};
+use crate::ballot::{Accepted, Promise};
 use crate::state::{Command, ControlState, Stamp};
 use crate::view::View;
 
@@ -21,13 +21,6 @@
     Malformed { source: speedy::Error },
 }
 
-/// A vote on a view.
-#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Accepted {
-    pub ballot: Ballot,
-    pub view: View,
-}
-
 /// One change of [`Durable`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
--- a/crates/tier/chain/src/election.rs
+++ b/crates/tier/chain/src/election.rs
@@ -8,27 +8,20 @@
 //! | proposing | decided elsewhere or here | quiet |
 //! | proposing | no majority in time | waiting, for a random time |
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::agreement::{Phase, Proposer, Report};
-use crate::durable::IdleEpoch;
-use crate::member::Member;
-
-use crate::plan::{Candidate, lowered_floor, next_view};
-use crate::state::Stamp;
-use crate::view::{MemberId, View};
+use crate::agreement::{Phase, Proposer};
 
 /// A proposer waits so long for reports beyond a majority.
-const REPORT_WAIT: Duration = Duration::from_millis(150);
+pub(crate) const REPORT_WAIT: Duration = Duration::from_millis(150);
 /// A phase without a majority is given up after this time.
-const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
+pub(crate) const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest random wait before a proposal.
-const RANDOM_WAIT: Duration = Duration::from_millis(120);
+pub(crate) const RANDOM_WAIT: Duration = Duration::from_millis(120);
 /// Time in which whoever has sealed an epoch may be expected to finish.
 pub(crate) const SEALED_WAIT: Duration = Duration::from_millis(150);
 /// In the first start, seeds are waited for so long; after that a majority of them suffices.
-const BOOTSTRAP_WAIT: Duration = Duration::from_millis(1000);
+pub(crate) const BOOTSTRAP_WAIT: Duration = Duration::from_millis(1000);
 
 /// Why a view is to be proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,12 +39,12 @@
 /// Timing of this member's proposals.
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
-    started: Duration,
-    at: Option<Duration>,
+    pub(crate) started: Duration,
+    pub(crate) at: Option<Duration>,
 }
 
 impl Election {
-    pub fn new(now: Duration) -> Election {
+    pub(crate) fn new(now: Duration) -> Election {
         Election {
             started: now,
             at: None,
@@ -59,27 +52,27 @@
     }
 
     /// Another view is in force.
-    pub fn installed(&mut self) {
+    pub(crate) fn installed(&mut self) {
         self.at = None;
     }
 
     /// This process stood still: what it wanted to propose is out of date.
-    pub fn postpone(&mut self) {
+    pub(crate) fn postpone(&mut self) {
         self.at = None;
     }
 
     /// Another member proposes: it is given the time to finish.
-    pub fn promised_to_another(&mut self) {
+    pub(crate) fn promised_to_another(&mut self) {
         self.at = None;
     }
 
     /// A proposal failed: the next one begins at `at`, if there is still reason for it.
-    pub fn retry(&mut self, at: Duration) {
+    pub(crate) fn retry(&mut self, at: Duration) {
         self.at = Some(at);
     }
 
     /// When the timing wants a tick.
-    pub fn next_wake(&self, proposer: &Proposer, majority: usize) -> Option<Duration> {
+    pub(crate) fn next_wake(&self, proposer: &Proposer, majority: usize) -> Option<Duration> {
         match proposer.phase() {
             Phase::Idle => self.at,
             Phase::Preparing { since, reports, .. } if reports.len() >= majority => {
@@ -91,287 +84,3 @@
         }
     }
 }
-
-impl Member {
-    /// Advances the proposal, if there is one; else begins one if there is reason to.
-    pub(crate) fn run_election(&mut self, now: Duration) {
-        match self.proposal_phase() {
-            Phase::Preparing { since, .. } | Phase::Accepting { since, .. }
-                if now.saturating_sub(*since) >= PHASE_TIMEOUT =>
-            {
-                self.proposer.abandon();
-                let wait = self.wait_after_failure();
-                self.election.retry(now + wait);
-            }
-            Phase::Preparing { .. } => self.propose_if_ready(now),
-            Phase::Accepting { .. } => {}
-            Phase::Idle => self.consider_proposal(now),
-        }
-    }
-
-    fn consider_proposal(&mut self, now: Duration) {
-        let Some(reason) = self.reason(now) else {
-            self.election.at = None;
-            return;
-        };
-        let at = match self.election.at {
-            Some(at) => at,
-            None => now + self.wait_before(reason),
-        };
-        self.election.at = Some(at);
-        if now >= at {
-            self.election.at = None;
-            self.start_proposal(now);
-        }
-    }
-
-    pub(crate) fn wait_after_failure(&mut self) -> Duration {
-        self.random_wait(2 * RANDOM_WAIT)
-    }
-
-    fn wait_before(&mut self, reason: Reason) -> Duration {
-        match reason {
-            Reason::Improvement => Duration::ZERO,
-            Reason::Broken => self.random_wait(RANDOM_WAIT),
-            Reason::Sealed => SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT),
-            Reason::Bootstrap => {
-                let first = self
-                    .durable
-                    .view
-                    .voters
-                    .iter()
-                    .map(|voter| voter.address)
-                    .min();
-                let is_first = first == Some(self.id.address);
-                if is_first {
-                    Duration::ZERO
-                } else {
-                    SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT)
-                }
-            }
-        }
-    }
-
-    fn reason(&self, now: Duration) -> Option<Reason> {
-        let view = &self.durable.view;
-        if view.epoch == 0 {
-            return self.bootstrap_reason(now);
-        }
-        if !view.is_voter(self.id) || self.reachable_voters(now) < view.majority() {
-            return None;
-        }
-        if !self.is_disk_healthy {
-            // A proposal begins with a promise on the own disk.
-            return None;
-        }
-        if self.durable.is_sealed() {
-            return Some(Reason::Sealed);
-        }
-        let wanted = self.wanted_view(now)?;
-        let is_broken = view
-            .chain
-            .iter()
-            .any(|member| !wanted.chain.contains(member));
-        if is_broken {
-            return Some(Reason::Broken);
-        }
-        let is_head = view.head() == Some(self.id);
-        (is_head && self.is_improvement(now, &wanted)).then_some(Reason::Improvement)
-    }
-
-    fn bootstrap_reason(&self, now: Duration) -> Option<Reason> {
-        let view = &self.durable.view;
-        if !self.durable.bootstrap || !view.is_voter(self.id) {
-            return None;
-        }
-        let others = view
-            .voters
-            .iter()
-            .filter(|voter| voter.address != self.id.address);
-        let present = 1 + others
-            .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
-            .count();
-        let has_waited = now.saturating_sub(self.election.started) >= BOOTSTRAP_WAIT;
-        let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
-        is_ready.then_some(Reason::Bootstrap)
-    }
-
-    fn reachable_voters(&self, now: Duration) -> usize {
-        let voters = self.durable.view.voters.iter();
-        voters
-            .filter(|&&voter| self.peers.is_reachable(now, voter))
-            .count()
-    }
-
-    /// The view that the present signs of life ask for.
-    fn wanted_view(&self, now: Duration) -> Option<View> {
-        let view = &self.durable.view;
-        let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
-        let candidate = |member: MemberId| Candidate {
-            member,
-            active_epoch: if view.chain.contains(&member) {
-                view.epoch
-            } else {
-                0
-            },
-            stamp: Stamp::default(),
-            fit: if member == self.id {
-                self.is_fit()
-            } else {
-                self.peers.is_fit(member)
-            },
-            place: self.place_of(member),
-        };
-        let voters: Vec<Candidate> = view
-            .voters
-            .iter()
-            .copied()
-            .filter(|&voter| is_present(voter))
-            .map(candidate)
-            .collect();
-        let learners = self.learners(now);
-        let linked = |first, second| self.peers.linked(now, first, second);
-        next_view(view, &voters, &learners, self.policy, &linked).ok()
-    }
-
-    /// Members outside the voters that may be taken in.
-    fn learners(&self, now: Duration) -> Vec<Candidate> {
-        let heard = self.peers.heard_lately(now).into_iter();
-        let outside =
-            heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
-        let ready = outside.filter(|&member| {
-            self.peers.is_steady(now, member)
-                && self.peers.is_reachable(now, member)
-                && self.peers.is_fit(member)
-        });
-        ready
-            .map(|member| Candidate {
-                member,
-                active_epoch: 0,
-                stamp: Stamp::default(),
-                fit: true,
-                place: self.place_of(member),
-            })
-            .collect()
-    }
-
-    /// Whether `wanted` has more members in the chain, or voters in the place of silent ones.
-    fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
-        let view = &self.durable.view;
-        let added: BTreeSet<MemberId> = wanted
-            .chain
-            .iter()
-            .chain(&wanted.voters)
-            .copied()
-            .collect::<BTreeSet<_>>();
-        let current: BTreeSet<MemberId> = view.chain.iter().copied().collect();
-        let new_in_chain = wanted
-            .chain
-            .iter()
-            .filter(|member| !current.contains(member));
-        let are_steady = new_in_chain
-            .clone()
-            .all(|&member| member == self.id || self.peers.is_steady(now, member));
-        let has_more = new_in_chain.count() > 0;
-        let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
-        are_steady && (has_more || has_other_voters)
-    }
-
-    /// Goes on to the second phase once enough voters have reported.
-    pub(crate) fn propose_if_ready(&mut self, now: Duration) {
-        let Phase::Preparing { since, reports, .. } = self.proposal_phase() else {
-            return;
-        };
-        let view = &self.durable.view;
-        if reports.len() < view.majority() {
-            return;
-        }
-        let missing = view
-            .voters
-            .iter()
-            .filter(|&&voter| !self.has_reported(reports, voter));
-        let are_expected = missing
-            .filter(|&&voter| self.is_expected(now, voter))
-            .count();
-        if are_expected > 0 && now.saturating_sub(*since) < REPORT_WAIT {
-            return;
-        }
-        self.propose_from_reports(now);
-    }
-
-    /// Chooses the view from the reports of at least a majority.
-    pub(crate) fn propose_from_reports(&mut self, now: Duration) {
-        let Phase::Preparing { reports, .. } = self.proposal_phase() else {
-            return;
-        };
-        if reports.len() < self.durable.view.majority() {
-            return;
-        }
-        let next = Proposer::bound_view(reports).or_else(|| self.planned_view(now, reports));
-        match next {
-            Some(view) => self.propose(now, view),
-            None => self.proposer.abandon(),
-        }
-    }
-
-    fn has_reported(&self, reports: &BTreeMap<MemberId, Report>, voter: MemberId) -> bool {
-        if self.durable.view.epoch == 0 {
-            return reports.keys().any(|member| member.address == voter.address);
-        }
-        reports.contains_key(&voter)
-    }
-
-    fn is_expected(&self, now: Duration, voter: MemberId) -> bool {
-        if self.durable.view.epoch == 0 {
-            return self.peers.is_bootstrapping(now, voter.address);
-        }
-        self.peers.is_heard(now, voter)
-    }
-
-    fn planned_view(&self, now: Duration, reports: &BTreeMap<MemberId, Report>) -> Option<View> {
-        let voters: Vec<Candidate> = reports
-            .iter()
-            .map(|(&member, report)| Candidate {
-                member,
-                active_epoch: report.active_epoch,
-                stamp: report.stamp,
-                fit: report.fit,
-                place: self.place_of(member),
-            })
-            .collect();
-        let learners: Vec<Candidate> = self
-            .learners(now)
-            .into_iter()
-            .filter(|learner| !reports.contains_key(&learner.member))
-            .collect();
-        let hears = |first: MemberId, second: MemberId| match reports.get(&first) {
-            Some(report) => report.hears.contains(&second),
-            None => self.peers.hears(now, first, second),
-        };
-        let linked = |first, second| {
-            let is_first_known = self.durable.view.epoch == 0;
-            is_first_known || (hears(first, second) && hears(second, first))
-        };
-        next_view(
-            &self.view_with_known_floor(reports),
-            &voters,
-            &learners,
-            self.policy,
-            &linked,
-        )
-        .ok()
-    }
-
-    /// The current view, its floor lowered below the epochs that committed nothing as reported.
-    fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
-        let idle_epochs: Vec<IdleEpoch> = reports
-            .values()
-            .flat_map(|report| report.idle_epochs.iter().copied())
-            .collect();
-        let view = &self.durable.view;
-        View {
-            floor: lowered_floor(view.floor, &idle_epochs),
-            ..view.clone()
-        }
-    }
-}
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -17,6 +17,7 @@
 compile_error!("the feature `mutations` switches defences off: tests only");
 
 mod agreement;
+mod ballot;
 mod blob;
 mod durable;
 mod election;
@@ -31,9 +32,9 @@
 mod state;
 mod view;
 
-pub use agreement::{Ballot, Promise};
+pub use ballot::{Accepted, Ballot, Promise};
 pub use blob::Blob;
-pub use durable::{Accepted, Durable, IdleEpoch, Record, RecordError};
+pub use durable::{Durable, IdleEpoch, Record, RecordError};
 #[doc(hidden)]
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -14,6 +14,7 @@
 mod departure;
 mod head;
 mod messages;
+mod proposals;
 mod signs_of_life;
 mod steps;
 mod views;
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -4,8 +4,9 @@
 use std::time::Duration;
 
 use super::{Member, Output};
-use crate::agreement::{Ballot, Phase, Promise, Report};
-use crate::durable::{Accepted, Record};
+use crate::agreement::{Phase, Report};
+use crate::ballot::{Accepted, Ballot, Promise};
+use crate::durable::Record;
 use crate::election::SEALED_WAIT;
 use crate::message::Body;
 use crate::replication::Replication;
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -3,8 +3,8 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use speedy::{Readable, Writable};
 
-use crate::agreement::{Ballot, Report};
-use crate::durable::Accepted;
+use crate::agreement::Report;
+use crate::ballot::{Accepted, Ballot};
 use crate::plan::Place;
 use crate::state::{Command, ControlState, Stamp};
 use crate::view::{MemberId, View, ViewError};
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -9,11 +9,11 @@
 use crate::view::MemberId;
 
 /// A member that has been silent for so long is suspected.
-pub const SILENCE: Duration = Duration::from_millis(600);
+pub(crate) const SILENCE: Duration = Duration::from_millis(600);
 /// A new or returned member is taken into a view after so long a time of signs of life.
-pub const STEADY: Duration = Duration::from_millis(800);
+pub(crate) const STEADY: Duration = Duration::from_millis(800);
 /// A member is in contact if it has heard a sign of life that was sent so lately, and has said so.
-pub const CONTACT: Duration = Duration::from_millis(1000);
+pub(crate) const CONTACT: Duration = Duration::from_millis(1000);
 /// How long a member that has fallen silent is remembered.
 const FORGET: Duration = Duration::from_secs(30);
 /// How many members are remembered.
@@ -41,7 +41,7 @@
 
 /// The other members, as heard.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub(crate) struct Peers {
     own: MemberId,
     /// Number of this life of the process.
     life: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Peers {
-    pub fn new(own: MemberId, life: u64, now: Duration) -> Peers {
+    pub(crate) fn new(own: MemberId, life: u64, now: Duration) -> Peers {
         Peers {
             own,
             life,
@@ -60,7 +60,7 @@
     }
 
     /// Notes a message of `from`.
-    pub fn heard(&mut self, now: Duration, from: MemberId) {
+    pub(crate) fn heard(&mut self, now: Duration, from: MemberId) {
         if let Some(peer) = self.table.get_mut(&from) {
             if now.saturating_sub(peer.last_heard) > SILENCE {
                 peer.alive_since = now;
@@ -70,7 +70,7 @@
     }
 
     /// Notes a sign of life of `from`.
-    pub fn pinged(&mut self, now: Duration, from: MemberId, ping: &Ping) {
+    pub(crate) fn pinged(&mut self, now: Duration, from: MemberId, ping: &Ping) {
         if !self.table.contains_key(&from) && self.table.len() >= PEER_LIMIT {
             return;
         }
@@ -105,14 +105,14 @@
     }
 
     /// When the next of `members` will have been silent for too long, if none is heard after `now`.
-    pub fn next_suspicion(&self, now: Duration, members: &[MemberId]) -> Option<Duration> {
+    pub(crate) fn next_suspicion(&self, now: Duration, members: &[MemberId]) -> Option<Duration> {
         let heard = members.iter().filter_map(|member| self.table.get(member));
         let silent = heard.map(|peer| peer.last_heard + SILENCE + Duration::from_millis(1));
         silent.filter(|&at| at > now).min()
     }
 
     /// Forgets members that have been silent for long, and earlier identities of addresses in use.
-    pub fn expire(&mut self, now: Duration) {
+    pub(crate) fn expire(&mut self, now: Duration) {
         self.table
             .retain(|_, peer| now.saturating_sub(peer.last_heard) <= FORGET);
         let table = &self.table;
@@ -131,7 +131,7 @@
     }
 
     /// After this process itself stood still: nobody is suspected for a silence that it could not have heard.
-    pub fn forgive(&mut self, now: Duration, last_tick: Duration) {
+    pub(crate) fn forgive(&mut self, now: Duration, last_tick: Duration) {
         self.started = now;
         for peer in self.table.values_mut() {
             if last_tick.saturating_sub(peer.last_heard) <= SILENCE {
@@ -142,7 +142,7 @@
     }
 
     /// Whether a sign of life of `member` came lately.
-    pub fn is_heard(&self, now: Duration, member: MemberId) -> bool {
+    pub(crate) fn is_heard(&self, now: Duration, member: MemberId) -> bool {
         member == self.own
             || self
                 .table
@@ -151,19 +151,19 @@
     }
 
     /// Whether `member` isn't suspected: heard lately, or this process has not listened for long enough.
-    pub fn is_alive(&self, now: Duration, member: MemberId) -> bool {
+    pub(crate) fn is_alive(&self, now: Duration, member: MemberId) -> bool {
         is_recent(now, self.started) || self.is_heard(now, member)
     }
 
     /// Whether `member` has given signs of life, without a silence, for long enough to be taken into a view.
-    pub fn is_steady(&self, now: Duration, member: MemberId) -> bool {
+    pub(crate) fn is_steady(&self, now: Duration, member: MemberId) -> bool {
         self.table
             .get(&member)
             .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STEADY)
     }
 
     /// Whether `first` hears `second`, as far as is known.
-    pub fn hears(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
+    pub(crate) fn hears(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
         if first == self.own {
             return self.is_alive(now, second);
         }
@@ -178,12 +178,12 @@
     }
 
     /// Whether the two hear each other.
-    pub fn linked(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
+    pub(crate) fn linked(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
         self.hears(now, first, second) && self.hears(now, second, first)
     }
 
     /// Whether `member` is heard and is known to hear this one.
-    pub fn is_reachable(&self, now: Duration, member: MemberId) -> bool {
+    pub(crate) fn is_reachable(&self, now: Duration, member: MemberId) -> bool {
         if member == self.own {
             return true;
         }
@@ -197,7 +197,7 @@
     }
 
     /// The time to put on a sign of life that is sent now.
-    pub fn ping_time(&self, now: Duration) -> PingTime {
+    pub(crate) fn ping_time(&self, now: Duration) -> PingTime {
         PingTime {
             life: self.life,
             micros: u64::try_from(now.as_micros()).unwrap_or(u64::MAX),
@@ -205,7 +205,7 @@
     }
 
     /// What a sign of life to `address` echoes.
-    pub fn echo_for(&self, address: std::net::SocketAddrV4) -> PingTime {
+    pub(crate) fn echo_for(&self, address: std::net::SocketAddrV4) -> PingTime {
         let at_address = self
             .table
             .iter()
@@ -219,13 +219,13 @@
     /// Whether `member` has heard this one within [`CONTACT`], as it has told. Unlike
     /// [`is_reachable`](Self::is_reachable) this counts from when this process sent: it ends by itself when
     /// either direction is cut, and while this process stands still.
-    pub fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
+    pub(crate) fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
         let echoed = || self.table.get(&member).and_then(|peer| peer.echoed);
         member == self.own || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT)
     }
 
     /// Stamp of the newest committed state that `member` has told of.
-    pub fn committed(&self, member: MemberId) -> Stamp {
+    pub(crate) fn committed(&self, member: MemberId) -> Stamp {
         self.table
             .get(&member)
             .map(|peer| peer.committed)
@@ -233,19 +233,19 @@
     }
 
     /// Whether `member` may be in a chain; assumed of those that have said nothing yet.
-    pub fn is_fit(&self, member: MemberId) -> bool {
+    pub(crate) fn is_fit(&self, member: MemberId) -> bool {
         self.table
             .get(&member)
             .is_none_or(|peer| peer.fit && !peer.leaving)
     }
 
     /// Whether `member` has said that it is being stopped.
-    pub fn is_leaving(&self, member: MemberId) -> bool {
+    pub(crate) fn is_leaving(&self, member: MemberId) -> bool {
         self.table.get(&member).is_some_and(|peer| peer.leaving)
     }
 
     /// Where `member` stands, if it has said so.
-    pub fn place(&self, member: MemberId) -> Place {
+    pub(crate) fn place(&self, member: MemberId) -> Place {
         self.table
             .get(&member)
             .map(|peer| peer.place)
@@ -253,7 +253,7 @@
     }
 
     /// Members heard lately, this one among them.
-    pub fn heard_lately(&self, now: Duration) -> Vec<MemberId> {
+    pub(crate) fn heard_lately(&self, now: Duration) -> Vec<MemberId> {
         let others = self
             .table
             .iter()
@@ -264,14 +264,14 @@
     }
 
     /// The member at `address` that was heard lately and may vote in epoch 0.
-    pub fn is_bootstrapping(&self, now: Duration, address: std::net::SocketAddrV4) -> bool {
+    pub(crate) fn is_bootstrapping(&self, now: Duration, address: std::net::SocketAddrV4) -> bool {
         self.table.iter().any(|(member, peer)| {
             member.address == address && peer.bootstrap && is_recent(now, peer.last_heard)
         })
     }
 
     /// Members that are known from others only: heard by those that are heard.
-    pub fn heard_of(&self, now: Duration) -> Vec<MemberId> {
+    pub(crate) fn heard_of(&self, now: Duration) -> Vec<MemberId> {
         let recent = self
             .table
             .values()
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -130,7 +130,7 @@
 
 /// The floor without epochs in which nothing was committed: whoever was active in the floor of such an epoch
 /// holds what was committed before it, and so all that was.
-pub fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
+pub(crate) fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
     while let Some(idle) = idle_epochs
         .iter()
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -24,13 +24,13 @@
 
 /// After so long without a message to a successor that isn't up to date, it is probed. What it lacks isn't
 /// sent again sooner after the first time.
-pub const RESEND: Duration = Duration::from_millis(300);
+pub(crate) const RESEND: Duration = Duration::from_millis(300);
 /// Bytes of writes that are put into one message, unless a single write is larger.
 const MESSAGE_BYTES: usize = 1 << 20;
 
 /// What is known of the successor in this epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub(crate) enum Link {
     /// It has not said whether it has the state.
     Unknown,
     /// It lacks the state, which is being sent.
@@ -42,7 +42,7 @@
 
 /// What the successor reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub(crate) struct Progress {
     /// Whether it has activated the epoch.
     pub is_active: bool,
     pub persisted: Stamp,
@@ -52,7 +52,7 @@
 
 /// A member's place in the chain of one epoch.
 #[derive(Clone, Debug)]
-pub struct Replication {
+pub(crate) struct Replication {
     /// The state up to the last write that is not in `pending`.
     base: ControlState,
     /// Whether `base` is committed in this epoch.
@@ -80,7 +80,7 @@
 
 impl Replication {
     /// The place of a member whose disk has `state`, with the writes of `active_epoch`.
-    pub fn new(active_epoch: u64, state: &ControlState) -> Replication {
+    pub(crate) fn new(active_epoch: u64, state: &ControlState) -> Replication {
         Replication {
             base: state.clone(),
             is_base_committed: false,
@@ -99,7 +99,7 @@
     }
 
     /// The state was replaced or activated in `epoch`, by record `record`.
-    pub fn restart(&mut self, record: u64, epoch: u64, state: &ControlState) {
+    pub(crate) fn restart(&mut self, record: u64, epoch: u64, state: &ControlState) {
         self.base = state.clone();
         self.is_base_committed = false;
         self.pending.clear();
@@ -110,13 +110,13 @@
     }
 
     /// A write was added to the state, by record `record`.
-    pub fn push(&mut self, record: u64, epoch: u64, stamp: Stamp, command: Command) {
+    pub(crate) fn push(&mut self, record: u64, epoch: u64, stamp: Stamp, command: Command) {
         self.pending.push_back(Write { stamp, command });
         self.unsynced.push_back((record, epoch, stamp));
     }
 
     /// The disk has synced every record up to `through`. Tells whether that moves the place.
-    pub fn synced(&mut self, through: u64) -> bool {
+    pub(crate) fn synced(&mut self, through: u64) -> bool {
         let before = self.persisted;
         while let Some(&(record, epoch, stamp)) = self.unsynced.front() {
             if record > through {
@@ -129,34 +129,34 @@
     }
 
     /// Stamp of the persisted state, if the disk has activated `epoch`.
-    pub fn persisted_in(&self, epoch: u64) -> Option<Stamp> {
+    pub(crate) fn persisted_in(&self, epoch: u64) -> Option<Stamp> {
         (self.persisted.0 == epoch).then_some(self.persisted.1)
     }
 
     /// Whether records of this chain wait for the disk.
-    pub fn is_syncing(&self) -> bool {
+    pub(crate) fn is_syncing(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
     /// The state that is committed in this epoch, as far as known.
-    pub fn committed(&self) -> Option<&ControlState> {
+    pub(crate) fn committed(&self) -> Option<&ControlState> {
         self.is_base_committed.then_some(&self.base)
     }
 
-    pub fn committed_stamp(&self) -> Option<Stamp> {
+    pub(crate) fn committed_stamp(&self) -> Option<Stamp> {
         self.committed().map(|state| state.stamp)
     }
 
-    pub fn confirmed(&self) -> Barrier {
+    pub(crate) fn confirmed(&self) -> Barrier {
         self.confirmed
     }
 
-    pub fn barrier(&self) -> Barrier {
+    pub(crate) fn barrier(&self) -> Barrier {
         self.barrier
     }
 
     /// The tail has persisted everything up to `stamp`. Tells whether more is committed than before.
-    pub fn commit(&mut self, stamp: Stamp) -> bool {
+    pub(crate) fn commit(&mut self, stamp: Stamp) -> bool {
         let before = self.committed_stamp();
         while self
             .pending
@@ -172,7 +172,7 @@
     }
 
     /// Takes the barrier that the predecessor passed on, or that the head itself begins.
-    pub fn take_barrier(&mut self, barrier: Barrier) {
+    pub(crate) fn take_barrier(&mut self, barrier: Barrier) {
         let is_newer =
             barrier.session != self.barrier.session || barrier.number > self.barrier.number;
         if is_newer {
@@ -181,7 +181,7 @@
     }
 
     /// Begins a barrier at the head.
-    pub fn next_barrier(&mut self, session: u64) -> Barrier {
+    pub(crate) fn next_barrier(&mut self, session: u64) -> Barrier {
         let number = if self.barrier.session == session {
             self.barrier.number + 1
         } else {
@@ -192,7 +192,7 @@
     }
 
     /// The rest of the chain has passed `barrier` on. Tells whether that is news.
-    pub fn confirm(&mut self, barrier: Barrier) -> bool {
+    pub(crate) fn confirm(&mut self, barrier: Barrier) -> bool {
         let is_news = barrier.session == self.barrier.session
             && barrier.number <= self.barrier.number
             && barrier != self.confirmed
@@ -205,7 +205,7 @@
     }
 
     /// Takes the successor's report.
-    pub fn successor_reported(&mut self, now: Duration, report: Progress) {
+    pub(crate) fn successor_reported(&mut self, now: Duration, report: Progress) {
         let has_news = self.last_report.replace(report) != Some(report);
         self.link = match (self.link, report.is_active) {
             (Link::Transferring, false) => Link::Transferring,
@@ -239,7 +239,7 @@
     }
 
     /// The place without its times, with numbers of records counted back from `newest`.
-    pub fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
+    pub(crate) fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
         let unsynced: Vec<_> = self
             .unsynced
             .iter()
@@ -257,7 +257,7 @@
     }
 
     /// What the successor lacks is due now.
-    pub fn resend(&mut self) {
+    pub(crate) fn resend(&mut self) {
         self.last_sent = Duration::ZERO;
         self.must_resend |= self.has_content_under_way();
     }
@@ -272,7 +272,7 @@
     }
 
     /// What is to be sent to the successor now.
-    pub fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
+    pub(crate) fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
         let own = self.persisted_in(epoch)?;
         let is_due = self.last_sent.is_zero() || now.saturating_sub(self.last_sent) >= RESEND;
         let is_first = !self.has_content_under_way();
@@ -292,7 +292,7 @@
     }
 
     /// When the successor may have to be reminded.
-    pub fn next_resend(&self, epoch: u64) -> Option<Duration> {
+    pub(crate) fn next_resend(&self, epoch: u64) -> Option<Duration> {
         let own = self.persisted_in(epoch)?;
         let is_settled = matches!(self.link, Link::Streaming { persisted, .. } if persisted == own)
             && self.confirmed == self.barrier
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -65,13 +65,13 @@
 
 /// Requests that wait for the chain.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingRequests {
+pub(crate) struct WaitingRequests {
     waiting: BTreeMap<RequestId, Waiting>,
 }
 
 impl WaitingRequests {
     /// Waits for the commit of a write that was just taken, or of one that was taken earlier.
-    pub fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
+    pub(crate) fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
         let outcome = if is_new {
             Outcome::Taken
         } else {
@@ -88,7 +88,7 @@
     }
 
     /// Waits until the state on which `rejection` is based is committed and was the newest.
-    pub fn wait_for_rejection(
+    pub(crate) fn wait_for_rejection(
         &mut self,
         id: RequestId,
         rejection: Rejection,
@@ -106,7 +106,7 @@
     }
 
     /// Waits until the committed state was the newest.
-    pub fn wait_for_read(
+    pub(crate) fn wait_for_read(
         &mut self,
         id: RequestId,
         is_configuration: bool,
@@ -128,12 +128,12 @@
         );
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
     /// Takes out the requests that need wait no longer, with their replies.
-    pub fn resolve(
+    pub(crate) fn resolve(
         &mut self,
         committed: &ControlState,
         confirmed_barrier: u64,
@@ -157,7 +157,7 @@
     }
 
     /// In a new epoch of the same head: barriers of the earlier epoch prove nothing any more.
-    pub fn renew_barriers(&mut self, barrier: u64) {
+    pub(crate) fn renew_barriers(&mut self, barrier: u64) {
         for waiting in self
             .waiting
             .values_mut()
@@ -168,12 +168,12 @@
     }
 
     /// Takes out every request.
-    pub fn drain(&mut self) -> Vec<RequestId> {
+    pub(crate) fn drain(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting).into_keys().collect()
     }
 
     /// Takes out one request whose caller has gone.
-    pub fn cancel(&mut self, id: RequestId) {
+    pub(crate) fn cancel(&mut self, id: RequestId) {
         self.waiting.remove(&id);
     }
 }
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -23,7 +23,7 @@
 
 /// How often each thing has happened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub proposals: u8,
     pub crashes: u8,
     pub wipes: u8,
@@ -34,11 +34,11 @@
 }
 
 /// A message on its way.
-pub type Letter = (usize, Arc<Vec<u8>>);
+pub(crate) type Letter = (usize, Arc<Vec<u8>>);
 
 /// A state of the searched core.
 #[derive(Clone)]
-pub struct Core {
+pub(crate) struct Core {
     pub now: Duration,
     pub machines: Vec<Arc<Machine>>,
     /// Messages on their way; the same message twice counts once.
@@ -95,7 +95,7 @@
 
 impl Core {
     /// All members of the first chain are active in it, but for those that the world names.
-    pub fn first(world: &World) -> Core {
+    pub(crate) fn first(world: &World) -> Core {
         let voters: Vec<MemberId> = (0..world.voters).map(first_identity).collect();
         let chain: Vec<MemberId> = voters.iter().copied().take(world.chain).collect();
         let view = View {
@@ -128,7 +128,7 @@
     }
 
     /// Makes the state ready to be told from others.
-    pub fn compute_digests(&mut self) {
+    pub(crate) fn compute_digests(&mut self) {
         for machine in self
             .machines
             .iter_mut()
@@ -172,7 +172,7 @@
     }
 
     /// Everyone hears a sign of life of everyone.
-    pub fn greet(&mut self, world: &World) {
+    pub(crate) fn greet(&mut self, world: &World) {
         let pings: Vec<Envelope> = (0..self.machines.len())
             .map(|from| self.sign_of_life(from))
             .collect();
@@ -195,7 +195,7 @@
         }
     }
 
-    pub fn input(&mut self, world: &World, index: usize, input: Input) {
+    pub(crate) fn input(&mut self, world: &World, index: usize, input: Input) {
         let now = self.now;
         let outputs = Arc::make_mut(&mut self.machines[index])
             .member
@@ -203,7 +203,7 @@
         self.carry_out(world, index, outputs);
     }
 
-    pub fn step(&mut self, world: &World, index: usize, step: TimedStep) {
+    pub(crate) fn step(&mut self, world: &World, index: usize, step: TimedStep) {
         let now = self.now;
         let outputs = Arc::make_mut(&mut self.machines[index])
             .member
@@ -266,25 +266,25 @@
         self.letters.insert((to, Arc::new(envelope.encode())));
     }
 
-    pub fn deliver(&mut self, world: &World, letter: &Letter) {
+    pub(crate) fn deliver(&mut self, world: &World, letter: &Letter) {
         let envelope = Envelope::decode(&letter.1).expect("a message that a member has sent");
         self.input(world, letter.0, Input::Message(envelope));
     }
 
-    pub fn sync(&mut self, world: &World, index: usize) {
+    pub(crate) fn sync(&mut self, world: &World, index: usize) {
         if let Some(through) = Arc::make_mut(&mut self.machines[index]).sync() {
             self.input(world, index, Input::Persisted(through));
         }
     }
 
     /// The process ends and starts again at once, with the first `kept` of the records on their way.
-    pub fn crash(&mut self, world: &World, index: usize, kept: usize) {
+    pub(crate) fn crash(&mut self, world: &World, index: usize, kept: usize) {
         let disk = self.machines[index].disk_after_crash(kept);
         self.start(world, index, disk);
     }
 
     /// The disk is lost; the process starts with an empty one.
-    pub fn wipe(&mut self, world: &World, index: usize) {
+    pub(crate) fn wipe(&mut self, world: &World, index: usize) {
         let identity = if world.identity_survives {
             index as u64 + 1
         } else {
@@ -299,13 +299,13 @@
         self.mutation(world, index..index + 1);
     }
 
-    pub fn leave(&mut self, world: &World, index: usize) {
+    pub(crate) fn leave(&mut self, world: &World, index: usize) {
         Arc::make_mut(&mut self.machines[index]).is_leaving = true;
         self.input(world, index, Input::Leave);
         self.greet(world);
     }
 
-    pub fn ask(
+    pub(crate) fn ask(
         &mut self,
         world: &World,
         index: usize,
@@ -315,7 +315,7 @@
     }
 
     /// Delivers every message, in their order, until none is left.
-    pub fn deliver_all(&mut self, world: &World) {
+    pub(crate) fn deliver_all(&mut self, world: &World) {
         while let Some(letter) = self.letters.pop_first() {
             self.deliver(world, &letter);
         }
--- a/crates/tier/chain/tests/member_model/machine.rs
+++ b/crates/tier/chain/tests/member_model/machine.rs
@@ -9,7 +9,7 @@
 
 /// A machine in one life of its process.
 #[derive(Clone)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub member: Member,
     /// What a loss of power leaves.
     pub synced: Durable,
@@ -22,15 +22,15 @@
     digest: Option<u64>,
 }
 
-pub fn address(index: usize) -> SocketAddrV4 {
+pub(crate) fn address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000)
 }
 
-pub fn index_of(address: SocketAddrV4) -> usize {
+pub(crate) fn index_of(address: SocketAddrV4) -> usize {
     usize::from(address.ip().octets()[3]) - 1
 }
 
-pub fn first_identity(index: usize) -> MemberId {
+pub(crate) fn first_identity(index: usize) -> MemberId {
     MemberId {
         address: address(index),
         identity: index as u64 + 1,
@@ -39,7 +39,7 @@
 
 impl Machine {
     /// The process starts with what is synced.
-    pub fn start(now: Duration, index: usize, faults: usize, durable: Durable) -> Machine {
+    pub(crate) fn start(now: Duration, index: usize, faults: usize, durable: Durable) -> Machine {
         let options = MemberOptions {
             address: address(index),
             seeds: Vec::new(),
@@ -62,7 +62,7 @@
     }
 
     /// The disk of a machine in the first view. Voters were active in the epoch before.
-    pub fn first_disk(index: usize, view: &View, is_active: bool) -> Durable {
+    pub(crate) fn first_disk(index: usize, view: &View, is_active: bool) -> Durable {
         let identity = first_identity(index);
         let mut durable = Durable::new(identity.identity, true, View::default());
         if view.is_voter(identity) {
@@ -76,7 +76,7 @@
     }
 
     /// What is left when the process ends and `kept` of the records on their way have reached the disk.
-    pub fn disk_after_crash(&self, kept: usize) -> Durable {
+    pub(crate) fn disk_after_crash(&self, kept: usize) -> Durable {
         let mut durable = self.synced.clone();
         self.unsynced
             .iter()
@@ -86,7 +86,7 @@
     }
 
     /// Everything on its way has reached the disk; gives the last number.
-    pub fn sync(&mut self) -> Option<u64> {
+    pub(crate) fn sync(&mut self) -> Option<u64> {
         let last = self.unsynced.last().map(|(number, _)| *number);
         for (_, record) in self.unsynced.drain(..) {
             self.synced.apply(&record);
@@ -94,29 +94,29 @@
         last
     }
 
-    pub fn id(&self) -> MemberId {
+    pub(crate) fn id(&self) -> MemberId {
         self.member.id()
     }
 
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.member.durable().view.epoch
     }
 
     /// Whether the member is the head of its view, active and not sealed.
-    pub fn is_serving_head(&self, now: Duration) -> bool {
+    pub(crate) fn is_serving_head(&self, now: Duration) -> bool {
         self.member.status(now).is_head
     }
 
     /// Something has changed.
-    pub fn forget_digest(&mut self) {
+    pub(crate) fn forget_digest(&mut self) {
         self.digest = None;
     }
 
-    pub fn has_digest(&self) -> bool {
+    pub(crate) fn has_digest(&self) -> bool {
         self.digest.is_some()
     }
 
-    pub fn compute_digest(&mut self) {
+    pub(crate) fn compute_digest(&mut self) {
         let mut text = String::with_capacity(4096);
         self.member.write_canonical(&mut text);
         let mut hasher = DefaultHasher::new();
@@ -125,7 +125,7 @@
         self.digest = Some(hasher.finish());
     }
 
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.digest.expect("computed at the end of each action")
     }
 }
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -9,7 +9,7 @@
 
 /// A request that was handed to a head.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub(crate) struct Asked {
     /// Position in the list of orders; none for a read.
     order: Option<usize>,
     /// Acknowledged configurations when it was handed over.
@@ -19,7 +19,7 @@
 
 /// Everything that was said so far.
 #[derive(Clone, Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     pub violation: Option<String>,
     /// The longest history that a tail has committed.
     committed: Vec<(u64, Digest)>,
@@ -36,7 +36,7 @@
 
 /// The operators' orders, in the order in which they are sent: two on one generation, one sent again, and one
 /// that goes on.
-pub fn order(position: usize) -> PutConfiguration {
+pub(crate) fn order(position: usize) -> PutConfiguration {
     let (base, generation, name) =
         [(0, 1, b'a'), (0, 1, b'b'), (0, 1, b'a'), (1, 2, b'c')][position];
     PutConfiguration {
@@ -57,7 +57,7 @@
         self.violation.get_or_insert(what.into());
     }
 
-    pub fn canonical(&self) -> impl std::fmt::Debug + '_ {
+    pub(crate) fn canonical(&self) -> impl std::fmt::Debug + '_ {
         (
             &self.committed,
             &self.commits,
@@ -68,16 +68,16 @@
         )
     }
 
-    pub fn newest_epoch(&self) -> u64 {
+    pub(crate) fn newest_epoch(&self) -> u64 {
         self.decided.keys().next_back().copied().unwrap_or_default()
     }
 
-    pub fn is_anything_acknowledged(&self) -> bool {
+    pub(crate) fn is_anything_acknowledged(&self) -> bool {
         self.acknowledged > 0
     }
 
     /// A ballot proposes a view.
-    pub fn proposes(&mut self, epoch: u64, ballot: Ballot, view: &View) {
+    pub(crate) fn proposes(&mut self, epoch: u64, ballot: Ballot, view: &View) {
         let first = self
             .proposed
             .entry((epoch, ballot))
@@ -91,7 +91,7 @@
     }
 
     /// A view comes into force at a member, whose state is `state` after that if it is the head.
-    pub fn installed(&mut self, view: &View, head: Option<&ControlState>) {
+    pub(crate) fn installed(&mut self, view: &View, head: Option<&ControlState>) {
         let first = self
             .decided
             .entry(view.epoch)
@@ -113,7 +113,7 @@
     }
 
     /// A tail has committed `state` in `epoch`.
-    pub fn commits(&mut self, epoch: u64, state: &ControlState) {
+    pub(crate) fn commits(&mut self, epoch: u64, state: &ControlState) {
         let found = history(state);
         let common = found.len().min(self.committed.len());
         if found[..common] != self.committed[..common] {
@@ -140,7 +140,7 @@
     }
 
     /// The request that is handed over next, with its number.
-    pub fn asks_order(&mut self, position: usize) -> (u64, Request) {
+    pub(crate) fn asks_order(&mut self, position: usize) -> (u64, Request) {
         let number = self.note(Some(position));
         (
             number,
@@ -148,11 +148,11 @@
         )
     }
 
-    pub fn asks_read(&mut self) -> (u64, Request) {
+    pub(crate) fn asks_read(&mut self) -> (u64, Request) {
         (self.note(None), Request::ReadConfiguration)
     }
 
-    pub fn asks_confirmation(&mut self) -> (u64, Request) {
+    pub(crate) fn asks_confirmation(&mut self) -> (u64, Request) {
         (self.note(None), Request::Confirm)
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Whether request `number` has a clear answer.
-    pub fn is_answered(&self, number: u64) -> bool {
+    pub(crate) fn is_answered(&self, number: u64) -> bool {
         self.asked[number as usize].is_answered
     }
 
     /// A head answers; `published` is the state that it has published.
-    pub fn replies(&mut self, number: u64, reply: &Reply, published: &ControlState) {
+    pub(crate) fn replies(&mut self, number: u64, reply: &Reply, published: &ControlState) {
         let asked = self.asked[number as usize].clone();
         if matches!(reply, Reply::Unavailable | Reply::Undecided(_)) {
             return;
--- a/crates/tier/chain/tests/member_model/recovery.rs
+++ b/crates/tier/chain/tests/member_model/recovery.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     /// Every process is up, every disk syncs and every message comes: whether a head confirms a request.
-    pub fn recovers(&self, world: &World) -> bool {
+    pub(crate) fn recovers(&self, world: &World) -> bool {
         let world = World {
             slow_disks: Vec::new(),
             ..world.clone()
@@ -33,7 +33,7 @@
     }
 
     /// Delivers everything, and what is sent again after a pause.
-    pub fn settle(&mut self, world: &World) {
+    pub(crate) fn settle(&mut self, world: &World) {
         self.deliver_all(world);
         for index in 0..self.machines.len() {
             self.step(world, index, TimedStep::Resend);
--- a/crates/tier/chain/tests/member_model/world.rs
+++ b/crates/tier/chain/tests/member_model/world.rs
@@ -10,7 +10,7 @@
 
 /// One world to search.
 #[derive(Clone)]
-pub struct World {
+pub(crate) struct World {
     pub machines: usize,
     /// The first of the machines vote in the first view.
     pub voters: usize,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub(crate) enum Action {
     Deliver(Letter),
     /// A message comes, and will come again.
     Repeat(Letter),
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -15,7 +15,7 @@
 
 /// Rates, and what they are used for at present.
 #[derive(Clone, Debug)]
-pub struct Capacity {
+pub(crate) struct Capacity {
     /// Bytes a second that a machine can send.
     pub link_rate: u64,
     /// Bytes a second that a disk can write.
@@ -31,7 +31,7 @@
 }
 
 impl Capacity {
-    pub fn new(link_rate: u64, disk_rate: u64) -> Capacity {
+    pub(crate) fn new(link_rate: u64, disk_rate: u64) -> Capacity {
         Capacity {
             link_rate,
             disk_rate,
@@ -43,7 +43,7 @@
     }
 
     /// How long a message of `from` takes to its receiver.
-    pub fn send(&mut self, now: Duration, from: usize, envelope: &Envelope) -> Duration {
+    pub(crate) fn send(&mut self, now: Duration, from: usize, envelope: &Envelope) -> Duration {
         let bytes = message_bytes(&envelope.body);
         self.sent_bytes += bytes;
         if !envelope.body.is_bulk() && !self.has_one_queue {
@@ -63,7 +63,7 @@
     }
 
     /// How long a disk takes to write `bytes`, without the sync.
-    pub fn write(&self, bytes: u64) -> Duration {
+    pub(crate) fn write(&self, bytes: u64) -> Duration {
         duration(bytes, self.disk_rate)
     }
 }
@@ -72,7 +72,7 @@
     Duration::from_nanos(bytes * 1_000_000_000 / rate)
 }
 
-pub fn record_bytes(record: &Record) -> u64 {
+pub(crate) fn record_bytes(record: &Record) -> u64 {
     match record {
         Record::State { state, .. } => state_bytes(state),
         Record::Write { command, .. } => SMALL_BYTES + command_bytes(command),
@@ -94,7 +94,7 @@
     }
 }
 
-pub fn state_bytes(state: &ControlState) -> u64 {
+pub(crate) fn state_bytes(state: &ControlState) -> u64 {
     let configuration = state
         .configuration
         .as_ref()
--- a/crates/tier/chain/tests/simulation/cuts.rs
+++ b/crates/tier/chain/tests/simulation/cuts.rs
@@ -21,7 +21,7 @@
 
 /// A run with one long cut.
 #[derive(Clone, Copy, Debug)]
-pub struct CutRun {
+pub(crate) struct CutRun {
     pub seed: u64,
     pub nodes: usize,
     pub fault_tolerance: usize,
@@ -29,7 +29,7 @@
 }
 
 /// Plays a run and checks it.
-pub fn play(run: CutRun) -> Finding {
+pub(crate) fn play(run: CutRun) -> Finding {
     let mut world = World::new(run.seed, run.nodes, 0, run.fault_tolerance, run.bug);
     world.are_faults_over = true;
     let calm = Duration::from_secs(5) + world.random_duration(Duration::from_secs(1));
--- a/crates/tier/chain/tests/simulation/disk.rs
+++ b/crates/tier/chain/tests/simulation/disk.rs
@@ -8,7 +8,7 @@
 
 /// Records with their numbers, on a disk that syncs after a while.
 #[derive(Clone, Debug)]
-pub struct SimulatedDisk {
+pub(crate) struct SimulatedDisk {
     /// State with every record that is synced.
     pub synced: Durable,
     /// Records that a sync has yet to cover.
@@ -16,26 +16,26 @@
 }
 
 impl SimulatedDisk {
-    pub fn new(durable: Durable) -> SimulatedDisk {
+    pub(crate) fn new(durable: Durable) -> SimulatedDisk {
         SimulatedDisk {
             synced: durable,
             unsynced: VecDeque::new(),
         }
     }
 
-    pub fn append(&mut self, number: u64, record: Record) {
+    pub(crate) fn append(&mut self, number: u64, record: Record) {
         // The codec is part of the way to the disk.
         let record = Record::decode(&record.encode()).expect("own record");
         self.unsynced.push_back((number, record));
     }
 
     /// Number of the last record that waits.
-    pub fn last_waiting(&self) -> Option<u64> {
+    pub(crate) fn last_waiting(&self) -> Option<u64> {
         self.unsynced.back().map(|(number, _)| *number)
     }
 
     /// A sync that began when record `through` was the last one has ended.
-    pub fn sync(&mut self, through: u64) {
+    pub(crate) fn sync(&mut self, through: u64) {
         while self
             .unsynced
             .front()
@@ -47,21 +47,21 @@
     }
 
     /// The process or the machine is gone: of the records that wait, the first `kept` are found again.
-    pub fn lose(&mut self, kept: usize) {
+    pub(crate) fn lose(&mut self, kept: usize) {
         for (_, record) in self.unsynced.drain(..).take(kept) {
             self.synced.apply(&record);
         }
     }
 
     /// Bytes of the records that wait.
-    pub fn waiting_bytes(&self) -> u64 {
+    pub(crate) fn waiting_bytes(&self) -> u64 {
         self.unsynced
             .iter()
             .map(|(_, record)| record_bytes(record))
             .sum()
     }
 
-    pub fn waiting(&self) -> usize {
+    pub(crate) fn waiting(&self) -> usize {
         self.unsynced.len()
     }
 }
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -7,7 +7,7 @@
 use super::world::{Event, InjectedBug, World};
 
 /// A machine counts as lost for so long after its return.
-pub const CATCH_UP: Duration = Duration::from_millis(4100);
+pub(crate) const CATCH_UP: Duration = Duration::from_millis(4100);
 /// Longest pause between two faults.
 const PAUSE: Duration = Duration::from_millis(1500);
 
@@ -16,7 +16,7 @@
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     Kill,
     PowerLoss,
     Wipe,
@@ -56,7 +56,7 @@
 
 /// A run: how many machines, what they bear, how long faults go on.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub(crate) struct Run {
     pub seed: u64,
     pub nodes: usize,
     /// Number of zones of which one may be lost; 0 if zones don't matter.
@@ -68,26 +68,26 @@
 
 /// What a run showed.
 #[derive(Debug)]
-pub struct Finding {
+pub(crate) struct Finding {
     pub violations: Vec<Violation>,
     pub acknowledged: u64,
     pub history: String,
 }
 
 /// Plays a run and checks it.
-pub fn play(run: Run) -> Finding {
+pub(crate) fn play(run: Run) -> Finding {
     let world = World::new(run.seed, run.nodes, run.zones, run.fault_tolerance, run.bug);
     play_in(world, run.length)
 }
 
 /// Plays faults for `length` in a world that has just been made, and checks it.
-pub fn play_in(world: World, length: Duration) -> Finding {
+pub(crate) fn play_in(world: World, length: Duration) -> Finding {
     play_kinds(world, length, &FAULTS)
 }
 
 /// Plays a run in which machines are stopped and replaced again and again, with a state that takes a while to
 /// be sent.
-pub fn play_planned_work(run: Run) -> Finding {
+pub(crate) fn play_planned_work(run: Run) -> Finding {
     let mut world = World::new(run.seed, run.nodes, run.zones, run.fault_tolerance, run.bug);
     world.longest_transfer = LONGEST_TRANSFER;
     play_kinds(world, run.length, &PLANNED)
@@ -168,7 +168,7 @@
 }
 
 /// One more fault, if it may come now.
-pub fn strike(world: &mut World) {
+pub(crate) fn strike(world: &mut World) {
     if world.are_faults_over {
         return;
     }
@@ -251,7 +251,7 @@
 }
 
 /// Cuts, slow disks and losses of messages end.
-pub fn end_lasting_faults(world: &mut World) {
+pub(crate) fn end_lasting_faults(world: &mut World) {
     world.cuts.clear();
     world.loss = 0.0;
     for node in &mut world.nodes {
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -11,11 +11,11 @@
 
 /// Number of an order in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempt(usize);
+pub(crate) struct Attempt(usize);
 
 /// A clear answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     Acknowledged,
     Refused(Rejection),
     Read(Option<(u64, Vec<u8>)>),
@@ -31,7 +31,7 @@
 
 /// Something that no single register can have done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Violation {
+pub(crate) enum Violation {
     /// Two machines published different states under one stamp.
     Diverged { stamp: Stamp },
     /// A machine published something older than before.
@@ -73,7 +73,7 @@
 
 /// Everything that was seen.
 #[derive(Default)]
-pub struct History {
+pub(crate) struct History {
     orders: Vec<Order>,
     /// Published states: configuration's generation and digest by stamp.
     versions: BTreeMap<Stamp, (u64, Digest)>,
@@ -96,7 +96,7 @@
 }
 
 impl History {
-    pub fn invoked(&mut self, now: Duration, id: CallId, request: &Request) -> Attempt {
+    pub(crate) fn invoked(&mut self, now: Duration, id: CallId, request: &Request) -> Attempt {
         self.orders.push(Order {
             id,
             request: request.clone(),
@@ -106,7 +106,7 @@
         Attempt(self.orders.len() - 1)
     }
 
-    pub fn answered(&mut self, now: Duration, attempt: Attempt, outcome: Outcome) {
+    pub(crate) fn answered(&mut self, now: Duration, attempt: Attempt, outcome: Outcome) {
         if outcome == Outcome::Acknowledged {
             self.acknowledged += 1;
             self.last_acknowledged_at = Some(now);
@@ -116,7 +116,7 @@
     }
 
     /// Notes every reply that an operator got, also one to an order that had its answer before.
-    pub fn replied(&mut self, request: &Request, reply: &Reply) {
+    pub(crate) fn replied(&mut self, request: &Request, reply: &Reply) {
         let Request::Submit(Command::PutConfiguration(put)) = request else {
             return;
         };
@@ -132,23 +132,23 @@
     }
 
     /// Whether each change was ever acknowledged, and ever refused.
-    pub fn told(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
+    pub(crate) fn told(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
         changes.map(|digest| self.answers.get(&digest).copied().unwrap_or_default())
     }
 
     /// `changes` were taken and acknowledged before the run began.
-    pub fn begin_after(&mut self, changes: Vec<PutConfiguration>) {
+    pub(crate) fn begin_after(&mut self, changes: Vec<PutConfiguration>) {
         for put in &changes {
             self.answers.insert(put.digest, (true, false));
         }
         self.earlier = changes;
     }
 
-    pub fn restarted(&mut self, node: usize) {
+    pub(crate) fn restarted(&mut self, node: usize) {
         self.newest.remove(&node);
     }
 
-    pub fn published(&mut self, now: Duration, node: usize, state: &ControlState) {
+    pub(crate) fn published(&mut self, now: Duration, node: usize, state: &ControlState) {
         self.published_count += 1;
         let Some(configuration) = &state.configuration else {
             return;
@@ -166,7 +166,7 @@
         *newest = state.stamp;
     }
 
-    pub fn view_installed(&mut self, view: &View) {
+    pub(crate) fn view_installed(&mut self, view: &View) {
         let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
         if known != view {
             self.violations
@@ -174,12 +174,12 @@
         }
     }
 
-    pub fn report(&mut self, violation: Violation) {
+    pub(crate) fn report(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
     /// Checks the whole history against the state that is committed at the end.
-    pub fn check(&self, last: &ControlState) -> Vec<Violation> {
+    pub(crate) fn check(&self, last: &ControlState) -> Vec<Violation> {
         let mut violations = self.violations.clone();
         violations.extend(self.check_generations());
         violations.extend(self.check_changes(last));
@@ -345,7 +345,7 @@
     }
 
     /// A machine says that it is in quorum and that `published` is the newest generation.
-    pub fn claimed_current(&mut self, node: usize, published: u64, moment: Duration) {
+    pub(crate) fn claimed_current(&mut self, node: usize, published: u64, moment: Duration) {
         let acknowledged = self.newest_known_before(moment);
         if published < acknowledged {
             self.report(Violation::StaleInQuorum {
@@ -368,7 +368,7 @@
             .any(|put| put.generation == generation && put.body.0 == body)
     }
 
-    pub fn describe(&self) -> String {
+    pub(crate) fn describe(&self) -> String {
         let lines = self.orders.iter().map(|order| {
             format!(
                 "{:?} {:?} {:?} -> {:?}\n",
--- a/crates/tier/chain/tests/simulation/mod.rs
+++ b/crates/tier/chain/tests/simulation/mod.rs
@@ -4,11 +4,11 @@
 // Each test program uses a part of this module.
 #![allow(dead_code)]
 
-pub mod capacity;
-pub mod cuts;
-pub mod disk;
-pub mod faults;
-pub mod history;
-pub mod operator;
-pub mod stops;
-pub mod world;
+pub(crate) mod capacity;
+pub(crate) mod cuts;
+pub(crate) mod disk;
+pub(crate) mod faults;
+pub(crate) mod history;
+pub(crate) mod operator;
+pub(crate) mod stops;
+pub(crate) mod world;
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -26,7 +26,7 @@
 
 /// A call: an operator's order, and which try of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId {
+pub(crate) struct CallId {
     pub operator: usize,
     pub order: u64,
     pub attempt: u64,
@@ -69,7 +69,7 @@
 
 /// All operators.
 #[derive(Clone, Debug)]
-pub struct Operators {
+pub(crate) struct Operators {
     operators: Vec<Operator>,
     pub is_stopped: bool,
     /// An operator asks another machine after so long without an answer.
@@ -81,7 +81,7 @@
 }
 
 impl Operators {
-    pub fn new(count: usize) -> Operators {
+    pub(crate) fn new(count: usize) -> Operators {
         let operators = vec![Operator::default(); count];
         Operators {
             operators,
@@ -94,7 +94,7 @@
     }
 
     /// The operators have made `changes` before, and may send any of them again.
-    pub fn remember(&mut self, changes: &[PutConfiguration]) {
+    pub(crate) fn remember(&mut self, changes: &[PutConfiguration]) {
         let newest = changes.last().map_or(0, |put| put.generation);
         self.next_generation = newest;
         self.next_digest = newest;
@@ -106,7 +106,7 @@
 }
 
 /// The changes 1 to `count`, each on the one before it, and the state after them.
-pub fn earlier_changes(count: u64) -> (Vec<PutConfiguration>, ControlState) {
+pub(crate) fn earlier_changes(count: u64) -> (Vec<PutConfiguration>, ControlState) {
     let mut state = ControlState::default();
     let changes: Vec<PutConfiguration> = (1..=count)
         .map(|generation| new_put(generation - 1, generation, generation))
@@ -122,7 +122,7 @@
 }
 
 /// Lets every operator act.
-pub fn operate(world: &mut World) {
+pub(crate) fn operate(world: &mut World) {
     for index in 0..world.operators.operators.len() {
         give_up_old(world, index);
         ask_again(world, index);
@@ -224,7 +224,7 @@
     }
 }
 
-pub fn new_put(base: u64, generation: u64, number: u64) -> PutConfiguration {
+pub(crate) fn new_put(base: u64, generation: u64, number: u64) -> PutConfiguration {
     let mut digest = [0; 16];
     digest[..8].copy_from_slice(&number.to_le_bytes());
     let body = Blob::from(number.to_le_bytes().to_vec());
@@ -271,7 +271,7 @@
 }
 
 /// Takes the answer of a machine.
-pub fn answered(world: &mut World, call: CallId, request: &Request, reply: &Reply) {
+pub(crate) fn answered(world: &mut World, call: CallId, request: &Request, reply: &Reply) {
     let now = world.now;
     world.history.replied(request, reply);
     let operator = &mut world.operators.operators[call.operator];
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -22,7 +22,7 @@
 
 /// What becomes of a machine whose process is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub(crate) enum Stop {
     /// It comes back with its disk.
     Roll,
     /// It is taken away together with its disk.
@@ -32,7 +32,7 @@
 }
 
 /// Tells a process to stop.
-pub fn stop(world: &mut World, node: usize, stop: Stop) {
+pub(crate) fn stop(world: &mut World, node: usize, stop: Stop) {
     if !world.is_running(node) || world.nodes[node].stop.is_some() {
         return;
     }
@@ -44,7 +44,7 @@
 }
 
 /// Lets a process end that may, or must.
-pub fn check(world: &mut World, node: usize, life: u64) {
+pub(crate) fn check(world: &mut World, node: usize, life: u64) {
     if world.nodes[node].life != life {
         return;
     }
@@ -98,7 +98,7 @@
 
 /// Replaces `count` machines: the new ones come first, and have their time; then the old ones are stopped at
 /// once. Gives back how long it may take until a further fault may strike.
-pub fn replace(world: &mut World, count: usize) -> Duration {
+pub(crate) fn replace(world: &mut World, count: usize) -> Duration {
     let old = draw(world, count);
     for _ in &old {
         world.add();
@@ -116,7 +116,7 @@
 }
 
 /// Stops machines one after the other, each once the last one is back; or all of them at once.
-pub fn roll(world: &mut World) -> Duration {
+pub(crate) fn roll(world: &mut World) -> Duration {
     let is_at_once = world.chance(0.2);
     let gap = if is_at_once {
         Duration::ZERO
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -18,7 +18,7 @@
 
 /// A defence that a test switches off in every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InjectedBug {
+pub(crate) enum InjectedBug {
     #[cfg(feature = "mutations")]
     Member(woadreach_chain::Mutation),
     /// A machine keeps its identity although its disk is lost.
@@ -27,7 +27,7 @@
 
 /// What happens at a moment.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     Wake {
         node: usize,
         life: u64,
@@ -99,7 +99,7 @@
 }
 
 /// One core machine.
-pub struct Node {
+pub(crate) struct Node {
     pub address: SocketAddrV4,
     pub member: Option<Member>,
     pub disk: Option<SimulatedDisk>,
@@ -128,7 +128,7 @@
 }
 
 /// The whole simulated core.
-pub struct World {
+pub(crate) struct World {
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub random: oorandom::Rand64,
@@ -160,7 +160,7 @@
 
 impl World {
     /// `nodes` machines in `zones` zones (0: zones don't matter).
-    pub fn new(
+    pub(crate) fn new(
         seed: u64,
         nodes: usize,
         zones: usize,
@@ -197,7 +197,7 @@
     }
 
     /// Lets `count` changes have been taken before the run begins. To be called before it does.
-    pub fn begin_after(&mut self, count: u64) {
+    pub(crate) fn begin_after(&mut self, count: u64) {
         let (changes, state) = super::operator::earlier_changes(count);
         self.operators.remember(&changes);
         self.history.begin_after(changes);
@@ -205,13 +205,13 @@
     }
 
     /// Prints what happens if `WOADREACH_TRACE` is set.
-    pub fn trace(&self, what: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, what: impl FnOnce() -> String) {
         if self.is_traced {
             eprintln!("{:?} {}", self.now, what());
         }
     }
 
-    pub fn schedule(&mut self, delay: Duration, event: Event) {
+    pub(crate) fn schedule(&mut self, delay: Duration, event: Event) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled {
             at: self.now + delay,
@@ -220,25 +220,25 @@
         }));
     }
 
-    pub fn random_duration(&mut self, longest: Duration) -> Duration {
+    pub(crate) fn random_duration(&mut self, longest: Duration) -> Duration {
         let share = self.random.rand_float();
         longest.mul_f64(share)
     }
 
-    pub fn pick(&mut self, count: usize) -> usize {
+    pub(crate) fn pick(&mut self, count: usize) -> usize {
         self.random.rand_range(0..count as u64) as usize
     }
 
-    pub fn chance(&mut self, probability: f64) -> bool {
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
         self.random.rand_float() < probability
     }
 
-    pub fn is_running(&self, node: usize) -> bool {
+    pub(crate) fn is_running(&self, node: usize) -> bool {
         self.nodes[node].member.is_some() && self.nodes[node].frozen_until.is_none()
     }
 
     /// Runs until `end`.
-    pub fn run_until(&mut self, end: Duration) {
+    pub(crate) fn run_until(&mut self, end: Duration) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > end {
                 break;
@@ -367,7 +367,7 @@
     }
 
     /// Gives a member an input and carries its outputs out.
-    pub fn input(&mut self, node: usize, input: Input) {
+    pub(crate) fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let Some(member) = self.nodes[node].member.as_mut() else {
             return;
@@ -509,7 +509,7 @@
     // ---- faults ----
 
     /// The process ends; a random prefix of what was not synced is on the disk.
-    pub fn kill(&mut self, node: usize) {
+    pub(crate) fn kill(&mut self, node: usize) {
         self.trace(|| format!("node {node} killed"));
         let waiting = self.nodes[node]
             .disk
@@ -533,13 +533,13 @@
     }
 
     /// The process ends and its disk is empty afterwards.
-    pub fn wipe(&mut self, node: usize) {
+    pub(crate) fn wipe(&mut self, node: usize) {
         self.kill(node);
         self.nodes[node].disk = None;
         self.trace(|| format!("node {node} wiped"));
     }
 
-    pub fn start(&mut self, node: usize) {
+    pub(crate) fn start(&mut self, node: usize) {
         if self.nodes[node].member.is_some() || self.nodes[node].is_removed {
             return;
         }
@@ -590,7 +590,7 @@
     }
 
     /// A machine is added, with an empty disk; gives back its number.
-    pub fn add(&mut self) -> usize {
+    pub(crate) fn add(&mut self) -> usize {
         let node = self.nodes.len();
         self.nodes.push(Node {
             is_founding: false,
@@ -601,7 +601,7 @@
     }
 
     /// Machines that are not gone for good.
-    pub fn present(&self) -> Vec<usize> {
+    pub(crate) fn present(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&node| !self.nodes[node].is_removed)
             .collect()
@@ -618,7 +618,7 @@
         }
     }
 
-    pub fn freeze(&mut self, node: usize, length: Duration) {
+    pub(crate) fn freeze(&mut self, node: usize, length: Duration) {
         if self.is_running(node) {
             self.nodes[node].frozen_until = Some(self.now + length);
             self.schedule(length, Event::Thaw { node });
@@ -643,7 +643,7 @@
     }
 
     /// Ends every fault and starts every machine.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.cuts.clear();
         self.loss = 0.0;
         for node in 0..self.nodes.len() {
