--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -7,9 +7,9 @@
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
 //! | `Idle` | [`Proposer::start`] | `Preparing` |
-//! | `Preparing` | [`Proposer::promised`], a majority | stays, until [`Proposer::propose`] |
+//! | `Preparing` | [`Proposer::record_promise`], a majority | stays, until [`Proposer::propose`] |
 //! | `Preparing` | [`Proposer::propose`] | `Accepting` |
-//! | `Accepting` | [`Proposer::accepted`], a majority | `Idle`, the view is decided |
+//! | `Accepting` | [`Proposer::record_accepted`], a majority | `Idle`, the view is decided |
 //! | any | [`Proposer::abandon`] | `Idle` |
 
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     /// Stamp of its state.
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
-    pub fit: bool,
+    pub can_replicate: bool,
     /// Members that it has heard lately.
     pub hears: Vec<MemberId>,
     /// Epochs in which it knows that nothing was committed. At the end, as earlier messages lack it.
@@ -111,12 +111,12 @@
     }
 
     /// Notes a ballot of another proposer, so that the next own one is above it.
-    pub(crate) fn saw(&mut self, ballot: Ballot) {
+    pub(crate) fn observe_ballot(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
     /// Takes a promise. Reports of members that don't vote must not be passed in.
-    pub(crate) fn promised(&mut self, from: MemberId, ballot: Ballot, report: Report) {
+    pub(crate) fn record_promise(&mut self, from: MemberId, ballot: Ballot, report: Report) {
         if let Phase::Preparing {
             ballot: own,
             reports,
@@ -129,7 +129,7 @@
     }
 
     /// The view that must be proposed because it may have been decided: that of the highest vote reported.
-    pub(crate) fn bound_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
+    pub(crate) fn highest_accepted_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
         let votes = reports
             .values()
             .filter_map(|report| report.accepted.as_ref());
@@ -153,7 +153,7 @@
     }
 
     /// Takes a vote; gives the view back once a majority of `current`'s voters has voted for it.
-    pub(crate) fn accepted(
+    pub(crate) fn record_accepted(
         &mut self,
         from: MemberId,
         voted: Ballot,
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -47,7 +47,7 @@
 }
 
 /// How many idle epochs are remembered.
-const IDLE_EPOCHS: usize = 8;
+const MAX_IDLE_EPOCHS: usize = 8;
 
 /// The state of a member's disk: the result of its records, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
@@ -91,7 +91,7 @@
             Record::Promise(promise) => self.promise = Some(*promise),
             Record::Accept(accepted) => self.accepted = Some(accepted.clone()),
             Record::View(view) => {
-                self.note_idle_epoch();
+                self.record_idle_epoch();
                 self.view = view.clone();
                 self.accepted = None;
             }
@@ -105,7 +105,7 @@
     }
 
     /// The current epoch ends here. If this member was in the chain and never active, that is for good.
-    fn note_idle_epoch(&mut self) {
+    fn record_idle_epoch(&mut self) {
         let View { epoch, floor, .. } = self.view;
         let is_in_chain = self
             .view
@@ -113,7 +113,7 @@
             .iter()
             .any(|member| member.identity == self.identity);
         if is_in_chain && self.active_epoch < epoch {
-            if self.idle_epochs.len() == IDLE_EPOCHS {
+            if self.idle_epochs.len() == MAX_IDLE_EPOCHS {
                 self.idle_epochs.remove(0);
             }
             self.idle_epochs.push(IdleEpoch { epoch, floor });
--- a/crates/tier/chain/src/election.rs
+++ b/crates/tier/chain/src/election.rs
@@ -13,15 +13,15 @@
 use crate::agreement::{Phase, Proposer};
 
 /// A proposer waits so long for reports beyond a majority.
-pub(crate) const REPORT_WAIT: Duration = Duration::from_millis(150);
+pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 /// A phase without a majority is given up after this time.
 pub(crate) const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest random wait before a proposal.
-pub(crate) const RANDOM_WAIT: Duration = Duration::from_millis(120);
+pub(crate) const MAX_PROPOSAL_DELAY: Duration = Duration::from_millis(120);
 /// Time in which whoever has sealed an epoch may be expected to finish.
-pub(crate) const SEALED_WAIT: Duration = Duration::from_millis(150);
+pub(crate) const SEALED_EPOCH_DELAY: Duration = Duration::from_millis(150);
 /// In the first start, seeds are waited for so long; after that a majority of them suffices.
-pub(crate) const BOOTSTRAP_WAIT: Duration = Duration::from_millis(1000);
+pub(crate) const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Why a view is to be proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
         match proposer.phase() {
             Phase::Idle => self.at,
             Phase::Preparing { since, reports, .. } if reports.len() >= majority => {
-                Some(*since + REPORT_WAIT)
+                Some(*since + REPORT_TIMEOUT)
             }
             Phase::Preparing { since, .. } | Phase::Accepting { since, .. } => {
                 Some(*since + PHASE_TIMEOUT)
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -38,7 +38,7 @@
 #[doc(hidden)]
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
-pub use message::{Body, DecodeError, Envelope, Ping, PingTime};
+pub use message::{Body, DecodeError, Envelope, Heartbeat, HeartbeatTime};
 #[cfg(feature = "mutations")]
 pub use mutations::Mutation;
 pub use plan::{Candidate, Place, PlanError, Policy, Tolerance, next_view};
--- a/crates/tier/chain/src/member/chain.rs
+++ b/crates/tier/chain/src/member/chain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Member, Output, STATE_REQUEST_PAUSE};
+use super::{MIN_STATE_REQUEST_INTERVAL, Member, Output};
 use crate::durable::Record;
 use crate::message::{Barrier, Body, Write};
 use crate::state::{ControlState, Stamp};
@@ -31,7 +31,7 @@
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
-    pub(super) fn replicate(
+    pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -50,7 +50,7 @@
             let record = self.persist(Record::Activate(epoch));
             self.replication.restart(record, epoch, &self.durable.state);
         }
-        self.replication.take_barrier(barrier);
+        self.replication.record_barrier(barrier);
         if after <= self.durable.state.stamp {
             for write in writes {
                 self.append(write);
@@ -59,7 +59,7 @@
         if !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
-        self.drive(now);
+        self.advance_replication(now);
     }
 
     pub(super) fn append(&mut self, write: Write) {
@@ -75,7 +75,7 @@
             .push(record, self.durable.view.epoch, stamp, command);
     }
 
-    pub(super) fn take_transfer(
+    pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -86,20 +86,20 @@
             return;
         }
         let epoch = self.durable.view.epoch;
-        let is_news = self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
-        if !is_news && !self.replication.is_syncing() {
+        let is_newer = self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
+        if !is_newer && !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
-        if is_news {
+        if is_newer {
             let record = self.persist(Record::State { epoch, state });
             self.replication.restart(record, epoch, &self.durable.state);
         }
-        self.replication.take_barrier(barrier);
-        self.drive(now);
+        self.replication.record_barrier(barrier);
+        self.advance_replication(now);
     }
 
-    pub(super) fn persisted_more(&mut self, now: Duration) {
-        self.drive(now);
+    pub(super) fn report_persisted(&mut self, now: Duration) {
+        self.advance_replication(now);
         self.report_to_predecessor();
     }
 
@@ -109,7 +109,7 @@
         let Some(predecessor) = view.predecessor(self.id) else {
             return;
         };
-        let persisted = self.replication.persisted_in(view.epoch);
+        let persisted = self.replication.persisted_stamp(view.epoch);
         let report = Body::Replicated {
             active: persisted.is_some(),
             persisted: persisted.unwrap_or_default(),
@@ -120,19 +120,19 @@
     }
 
     /// Sends on what the successor lacks; at the tail, commits.
-    pub(crate) fn drive(&mut self, now: Duration) {
+    pub(crate) fn advance_replication(&mut self, now: Duration) {
         if !self.is_active() {
             return;
         }
         let epoch = self.durable.view.epoch;
-        let Some(persisted) = self.replication.persisted_in(epoch) else {
+        let Some(persisted) = self.replication.persisted_stamp(epoch) else {
             return;
         };
         let Some(successor) = self.successor() else {
             let barrier = self.replication.barrier();
             let view = &self.durable.view;
             if view.chain.len() >= self.policy.minimum && view.meets_every_majority() {
-                self.chain_confirmed(now, Some(persisted), barrier);
+                self.record_chain_progress(now, Some(persisted), barrier);
             }
             return;
         };
@@ -142,7 +142,7 @@
     }
 
     /// The rest of the chain has persisted everything up to `committed` and passed `barrier` on.
-    pub(super) fn chain_confirmed(
+    pub(super) fn record_chain_progress(
         &mut self,
         now: Duration,
         committed: Option<Stamp>,
@@ -159,7 +159,7 @@
             self.resolve_requests();
         }
         if self.successor().is_some() {
-            self.drive(now);
+            self.advance_replication(now);
         }
     }
 
@@ -168,21 +168,23 @@
             return;
         }
         self.published = Arc::clone(&state);
-        self.next_state_request = self.next_state_request.min(now + STATE_REQUEST_PAUSE);
-        self.state_request_pause = STATE_REQUEST_PAUSE;
+        self.next_state_request = self
+            .next_state_request
+            .min(now + MIN_STATE_REQUEST_INTERVAL);
+        self.state_request_interval = MIN_STATE_REQUEST_INTERVAL;
         self.outputs.push(Output::Committed(state));
         if self.is_active() && self.successor().is_none() {
-            self.ping_others_than_chain(now);
+            self.send_heartbeats_outside_chain(now);
         }
     }
 
     /// Lets the members outside the chain know at once that there is something newer.
-    pub(super) fn ping_others_than_chain(&mut self, now: Duration) {
+    pub(super) fn send_heartbeats_outside_chain(&mut self, now: Duration) {
         let chain = self.durable.view.chain.clone();
         for peer in self.peers.heard_lately(now) {
             if !chain.contains(&peer) {
-                let ping = self.ping(now, peer.address);
-                self.send_now(peer.address, ping);
+                let heartbeat = self.heartbeat(now, peer.address);
+                self.send_now(peer.address, heartbeat);
             }
         }
     }
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -5,7 +5,7 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | member | [`Input::Leave`](super::Input::Leave) | leaving: says so in each sign of life |
+//! | member | [`Input::Leave`](super::Input::Leave) | leaving: says so in each heartbeat |
 //! | leaving, in the chain | a view without it is decided | outside; asks the chain who is active |
 //! | leaving, outside the chain | a view that was begun before takes it in | leaving, in the chain |
 //! | leaving, outside the chain | no such view can come, and it is not needed | may end |
@@ -21,7 +21,7 @@
 
 /// A view that was begun before others knew that this member is being stopped may still take it in: one that
 /// is decided at all has both phases behind it by then, each of 0.4 s at most.
-const DECISION_TIME: Duration = Duration::from_millis(1000);
+const MAX_DECISION_TIME: Duration = Duration::from_millis(1000);
 
 /// Whether a member that is being stopped may end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,33 +55,33 @@
     /// Whether this member, which is being stopped, may end.
     pub fn departure(&self, now: Duration) -> Departure {
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::LeavesAtOnce) {
+        if self.is_mutated(crate::mutations::Mutation::LeavesAtOnce) {
             return Departure::Free;
         }
         let view = &self.durable.view;
         if view.epoch == 0 {
             return Departure::Free;
         }
-        if self.does_nobody_stay(now) {
+        if self.is_nobody_staying(now) {
             return Departure::NobodyStays;
         }
         if view.chain.contains(&self.id) {
             return Departure::InChain;
         }
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::LeavesWithTheView) {
+        if self.is_mutated(crate::mutations::Mutation::LeavesWithTheView) {
             return Departure::Free;
         }
         if self.is_view_pending(now) {
             return Departure::ViewPending;
         }
-        if self.other_voters_in_reach(now) < view.majority() {
+        if self.reachable_other_voters(now) < view.majority() {
             return Departure::VoteNeeded;
         }
-        if self.active_in_reach(now) < self.policy.minimum {
+        if self.reachable_active_members(now) < self.policy.minimum {
             return Departure::ChainWithoutState;
         }
-        if view.voters.contains(&self.id) && self.is_replacement_in_reach(now) {
+        if view.voters.contains(&self.id) && self.is_replacement_reachable(now) {
             return Departure::ReplacementWithoutVote;
         }
         Departure::Free
@@ -91,10 +91,10 @@
     fn is_view_pending(&self, now: Duration) -> bool {
         self.leaving
             .since
-            .is_none_or(|since| now.saturating_sub(since) < DECISION_TIME)
+            .is_none_or(|since| now.saturating_sub(since) < MAX_DECISION_TIME)
     }
 
-    fn does_nobody_stay(&self, now: Duration) -> bool {
+    fn is_nobody_staying(&self, now: Duration) -> bool {
         let mut others = self
             .durable
             .view
@@ -104,7 +104,7 @@
         others.all(|&voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
     }
 
-    fn other_voters_in_reach(&self, now: Duration) -> usize {
+    fn reachable_other_voters(&self, now: Duration) -> usize {
         let others = self
             .durable
             .view
@@ -116,17 +116,17 @@
             .count()
     }
 
-    fn active_in_reach(&self, now: Duration) -> usize {
+    fn reachable_active_members(&self, now: Duration) -> usize {
         let active = self.leaving.active.iter();
         active
             .filter(|&&member| self.peers.is_reachable(now, member))
             .count()
     }
 
-    fn is_replacement_in_reach(&self, now: Duration) -> bool {
+    fn is_replacement_reachable(&self, now: Duration) -> bool {
         let heard = self.peers.heard_lately(now).into_iter();
         let mut others = heard.filter(|member| !self.durable.view.voters.contains(member));
-        others.any(|member| member != self.id && self.peers.is_fit(member))
+        others.any(|member| member != self.id && self.peers.can_replicate(member))
     }
 
     /// Notes that the others are being told that this member is being stopped.
@@ -135,12 +135,12 @@
     }
 
     /// Another view is in force: nothing is known of its chain.
-    pub(super) fn forget_active_members(&mut self) {
+    pub(super) fn clear_active_members(&mut self) {
         self.leaving.active.clear();
     }
 
     /// Asks the members of the chain whether they have the state.
-    pub(super) fn ask_for_active_members(&mut self) {
+    pub(super) fn request_active(&mut self) {
         for member in self.durable.view.chain.clone() {
             if member != self.id {
                 self.send_now(member.address, Body::RequestActive);
@@ -149,15 +149,15 @@
     }
 
     /// Answers a leaving member, if the state of this epoch is on this disk.
-    pub(super) fn tell_active(&mut self, to: MemberId) {
+    pub(super) fn send_active(&mut self, to: MemberId) {
         let epoch = self.durable.view.epoch;
-        if self.is_active() && self.replication.persisted_in(epoch).is_some() {
+        if self.is_active() && self.replication.persisted_stamp(epoch).is_some() {
             self.send_now(to.address, Body::Active);
         }
     }
 
     /// Notes a member of the present chain that has the state on disk.
-    pub(super) fn note_active(&mut self, from: MemberId) {
+    pub(super) fn record_active(&mut self, from: MemberId) {
         if self.durable.view.chain.contains(&from) {
             self.leaving.active.insert(from);
         }
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -4,12 +4,12 @@
 
 use super::{Member, Output};
 use crate::message::Write;
-use crate::peers::SILENCE;
+use crate::peers::SUSPICION_TIMEOUT;
 use crate::requests::{Reply, Request, RequestId};
 use crate::state::{Command, Stamp, Verdict};
 
 impl Member {
-    pub(super) fn take_request(&mut self, now: Duration, id: RequestId, request: Request) {
+    pub(super) fn handle_request(&mut self, now: Duration, id: RequestId, request: Request) {
         if !self.is_serving_head() {
             self.outputs.push(Output::Reply {
                 id,
@@ -28,13 +28,13 @@
                     .wait_for_read(id, is_configuration, stamp, number);
             }
         }
-        self.drive(now);
+        self.advance_replication(now);
         self.resolve_requests();
     }
 
     #[cfg(feature = "mutations")]
     fn barrier_to_wait_for(&self, number: u64) -> u64 {
-        if self.has_mutation(crate::mutations::Mutation::ReadWithoutBarrier) {
+        if self.is_mutated(crate::mutations::Mutation::ReadWithoutBarrier) {
             0
         } else {
             number
@@ -84,11 +84,11 @@
         let Some(mutation) = self.mutation else {
             return Some(verdict);
         };
-        if let Some(reply) = mutation.hasty_reply(verdict) {
+        if let Some(reply) = mutation.premature_reply(verdict) {
             self.outputs.push(Output::Reply { id, reply });
             return None;
         }
-        Some(mutation.weaken(verdict, self.durable.state.generation()))
+        Some(mutation.mutate_verdict(verdict, self.durable.state.generation()))
     }
 
     pub(super) fn resolve_requests(&mut self) {
@@ -111,6 +111,6 @@
 
     /// How long this member takes silence for granted; the driver's time-outs are above it.
     pub const fn silence() -> Duration {
-        SILENCE
+        SUSPICION_TIMEOUT
     }
 }
--- a/crates/tier/chain/src/member/signs_of_life.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,15 +1,15 @@
-//! Signs of life: what this member tells the others of itself, and what it hears.
+//! Heartbeats: what this member tells the others of itself, and what it hears.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::{LONGEST_STATE_REQUEST_PAUSE, Member};
-use crate::message::{Body, Ping};
+use super::{MAX_STATE_REQUEST_INTERVAL, Member};
+use crate::message::{Body, Heartbeat};
 use crate::plan::Place;
 use crate::view::MemberId;
 
 impl Member {
-    pub(crate) fn is_fit(&self) -> bool {
+    pub(crate) fn can_replicate(&self) -> bool {
         self.is_disk_healthy && !self.is_leaving
     }
 
@@ -29,11 +29,11 @@
         self.peers.is_heard(now, voter)
     }
 
-    pub(super) fn ping(&self, now: Duration, to: SocketAddrV4) -> Body {
-        Body::Ping(Ping {
-            sent: self.peers.ping_time(now),
+    pub(super) fn heartbeat(&self, now: Duration, to: SocketAddrV4) -> Body {
+        Body::Heartbeat(Heartbeat {
+            sent: self.peers.heartbeat_time(now),
             echo: self.peers.echo_for(to),
-            fit: self.is_fit(),
+            can_replicate: self.can_replicate(),
             leaving: self.is_leaving,
             bootstrap: self.durable.bootstrap,
             place: self.place,
@@ -42,14 +42,14 @@
         })
     }
 
-    pub(super) fn ping_all(&mut self, now: Duration) {
-        for address in self.ping_addresses(now) {
-            let ping = self.ping(now, address);
-            self.send_now(address, ping);
+    pub(super) fn broadcast_heartbeat(&mut self, now: Duration) {
+        for address in self.heartbeat_addresses(now) {
+            let heartbeat = self.heartbeat(now, address);
+            self.send_now(address, heartbeat);
         }
     }
 
-    pub(super) fn ping_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
+    pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
         let view = &self.durable.view;
         let mut addresses: Vec<SocketAddrV4> =
             view.voters.iter().map(|voter| voter.address).collect();
@@ -66,18 +66,24 @@
         addresses
     }
 
-    pub(super) fn take_ping(&mut self, now: Duration, from: MemberId, ping: &Ping) {
-        self.peers.pinged(now, from, ping);
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        heartbeat: &Heartbeat,
+    ) {
+        self.peers.record_heartbeat(now, from, heartbeat);
         // Somebody who does not hear this member cannot answer, and must not use up the pause.
         let can_answer = self.peers.is_in_contact(now, from);
         #[cfg(feature = "mutations")]
         let can_answer =
-            can_answer || self.has_mutation(crate::mutations::Mutation::StateFromTheDeaf);
-        let wants_state = can_answer && ping.committed > self.published.stamp && !self.is_active();
-        if wants_state && now >= self.next_state_request {
-            self.next_state_request = now + self.state_request_pause;
-            self.state_request_pause =
-                (2 * self.state_request_pause).min(LONGEST_STATE_REQUEST_PAUSE);
+            can_answer || self.is_mutated(crate::mutations::Mutation::StateFromTheDeaf);
+        let is_behind =
+            can_answer && heartbeat.committed > self.published.stamp && !self.is_active();
+        if is_behind && now >= self.next_state_request {
+            self.next_state_request = now + self.state_request_interval;
+            self.state_request_interval =
+                (2 * self.state_request_interval).min(MAX_STATE_REQUEST_INTERVAL);
             self.send_now(from.address, Body::RequestState);
         }
     }
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/messages.rs
@@ -15,48 +15,48 @@
     pub(super) fn receive(&mut self, now: Duration, envelope: Envelope) {
         let Envelope { from, epoch, body } = envelope;
         if from != self.id {
-            self.peers.heard(now, from);
+            self.peers.record_message(now, from);
         }
-        if let Body::Ping(ping) = &body {
-            self.take_ping(now, from, ping);
+        if let Body::Heartbeat(heartbeat) = &body {
+            self.handle_heartbeat(now, from, heartbeat);
         }
         match body {
-            Body::Decided(view) => return self.install(now, view),
-            Body::RequestView => return self.tell_view(from),
-            Body::RequestState => return self.tell_state(from),
+            Body::Decided(view) => return self.install_view(now, view),
+            Body::RequestView => return self.send_view(from),
+            Body::RequestState => return self.send_state(from),
             Body::Committed(state) => return self.publish(now, Arc::new(state)),
             _ => {}
         }
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::NoEpochCheck)
+        if self.is_mutated(crate::mutations::Mutation::NoEpochCheck)
             && epoch != self.durable.view.epoch
         {
-            return self.receive_in_epoch(now, from, body);
+            return self.handle_in_epoch(now, from, body);
         }
         let own_epoch = self.durable.view.epoch;
         if epoch > own_epoch {
             return self.send_now(from.address, Body::RequestView);
         }
         if epoch < own_epoch {
-            return self.tell_view(from);
+            return self.send_view(from);
         }
-        self.receive_in_epoch(now, from, body);
+        self.handle_in_epoch(now, from, body);
     }
 
     /// Takes a message of the own epoch; nothing of another one comes here.
-    pub(super) fn receive_in_epoch(&mut self, now: Duration, from: MemberId, body: Body) {
+    pub(super) fn handle_in_epoch(&mut self, now: Duration, from: MemberId, body: Body) {
         match body {
-            Body::Prepare { ballot } => self.promise(from, ballot),
-            Body::Promise { ballot, report } => self.take_promise(now, from, ballot, report),
-            Body::Accept(accepted) => self.accept(from, accepted),
-            Body::Accepted { ballot } => self.take_vote(now, from, ballot),
-            Body::Superseded { promised } => self.superseded(now, promised),
+            Body::Prepare { ballot } => self.handle_prepare(from, ballot),
+            Body::Promise { ballot, report } => self.handle_promise(now, from, ballot, report),
+            Body::Accept(accepted) => self.handle_accept(from, accepted),
+            Body::Accepted { ballot } => self.handle_accepted(now, from, ballot),
+            Body::Superseded { promised } => self.handle_superseded(now, promised),
             Body::Replicate {
                 after,
                 writes,
                 barrier,
-            } => self.replicate(now, from, after, writes, barrier),
-            Body::Transfer { state, barrier } => self.take_transfer(now, from, state, barrier),
+            } => self.handle_replicate(now, from, after, writes, barrier),
+            Body::Transfer { state, barrier } => self.handle_transfer(now, from, state, barrier),
             Body::Replicated {
                 active,
                 persisted,
@@ -70,13 +70,13 @@
                         committed,
                         barrier,
                     };
-                    self.replication.successor_reported(now, progress);
-                    self.chain_confirmed(now, committed, barrier);
+                    self.replication.record_progress(now, progress);
+                    self.record_chain_progress(now, committed, barrier);
                 }
             }
-            Body::RequestActive => self.tell_active(from),
-            Body::Active => self.note_active(from),
-            Body::Ping(_)
+            Body::RequestActive => self.send_active(from),
+            Body::Active => self.record_active(from),
+            Body::Heartbeat(_)
             | Body::Decided(_)
             | Body::RequestView
             | Body::RequestState
@@ -84,14 +84,14 @@
         }
     }
 
-    pub(super) fn tell_view(&mut self, to: MemberId) {
+    pub(super) fn send_view(&mut self, to: MemberId) {
         if self.durable.view.epoch > 0 {
             let view = self.durable.view.clone();
             self.send_now(to.address, Body::Decided(view));
         }
     }
 
-    pub(super) fn tell_state(&mut self, to: MemberId) {
+    pub(super) fn send_state(&mut self, to: MemberId) {
         let state = ControlState::clone(&self.published);
         self.send_now(to.address, Body::Committed(state));
     }
@@ -144,7 +144,7 @@
             }
         }
         if self.replication.synced(through) {
-            self.persisted_more(now);
+            self.report_persisted(now);
         }
     }
 }
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -10,12 +10,12 @@
 //! Messages that promise something durable leave only once every record before them is synced.
 
 mod chain;
-mod contact;
 mod departure;
 mod head;
+mod heartbeats;
 mod messages;
 mod proposals;
-mod signs_of_life;
+mod quorum_contact;
 mod steps;
 mod views;
 
@@ -33,22 +33,22 @@
 use crate::peers::Peers;
 use crate::plan::{Place, Policy, Tolerance};
 use crate::replication::Replication;
-use crate::requests::{Reply, Request, RequestId, WaitingRequests};
+use crate::requests::{PendingRequests, Reply, Request, RequestId};
 use crate::state::ControlState;
 use crate::view::{MemberId, View};
 
 pub use departure::Departure;
 use departure::Leaving;
 
-/// Interval between two signs of life.
-pub(crate) const PING_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two heartbeats.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A tick that comes so much after the last one tells that this process stood still.
-const STANDSTILL: Duration = Duration::from_millis(450);
+const STALL_THRESHOLD: Duration = Duration::from_millis(450);
 /// Pause between two requests for the committed state. It doubles while no state comes, up to
-/// [`LONGEST_STATE_REQUEST_PAUSE`]: a state may be long under way.
-const STATE_REQUEST_PAUSE: Duration = Duration::from_millis(150);
+/// [`MAX_STATE_REQUEST_INTERVAL`]: a state may be long under way.
+const MIN_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest pause between two requests for the committed state.
-const LONGEST_STATE_REQUEST_PAUSE: Duration = Duration::from_millis(2400);
+const MAX_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(2400);
 
 /// What a member is told.
 #[derive(Clone, Debug)]
@@ -132,7 +132,7 @@
     pub(crate) proposer: Proposer,
     pub(crate) election: Election,
     pub(crate) replication: Replication,
-    waiting: WaitingRequests,
+    waiting: PendingRequests,
     published: Arc<ControlState>,
     barrier_session: u64,
     /// Since it came into contact with a majority, this member has had what was committed then.
@@ -148,10 +148,10 @@
     loopback: VecDeque<Envelope>,
     outputs: Vec<Output>,
     last_tick: Duration,
-    next_ping: Duration,
+    next_heartbeat: Duration,
     /// When the committed state may be asked for again.
     next_state_request: Duration,
-    state_request_pause: Duration,
+    state_request_interval: Duration,
     random: oorandom::Rand64,
     #[cfg(feature = "mutations")]
     mutation: Option<crate::mutations::Mutation>,
@@ -165,12 +165,12 @@
             identity: durable.identity,
         };
         let mut random = oorandom::Rand64::new(u128::from(options.random_seed));
-        // Names this life of the process in its signs of life, and its first term as head in its barriers.
+        // Names this life of the process in its heartbeats, and its first term as head in its barriers.
         let session = random.rand_u64() | 1;
         let replication = Replication::new(durable.active_epoch, &durable.state);
         let mut proposer = Proposer::default();
         if let Some(promise) = durable.promise {
-            proposer.saw(promise.ballot);
+            proposer.observe_ballot(promise.ballot);
         }
         Member {
             id,
@@ -181,7 +181,7 @@
             proposer,
             election: Election::new(now),
             replication,
-            waiting: WaitingRequests::default(),
+            waiting: PendingRequests::default(),
             published: Arc::new(ControlState::default()),
             barrier_session: session,
             is_caught_up: false,
@@ -194,9 +194,9 @@
             loopback: VecDeque::new(),
             outputs: Vec::new(),
             last_tick: now,
-            next_ping: now,
+            next_heartbeat: now,
             next_state_request: Duration::ZERO,
-            state_request_pause: STATE_REQUEST_PAUSE,
+            state_request_interval: MIN_STATE_REQUEST_INTERVAL,
             random,
             #[cfg(feature = "mutations")]
             mutation: None,
@@ -204,9 +204,9 @@
         }
     }
 
-    /// Switches a defence off.
+    /// Switches a safeguard off.
     #[cfg(feature = "mutations")]
-    pub fn mutation(&mut self, mutation: crate::mutations::Mutation) {
+    pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
         if mutation == crate::mutations::Mutation::DigestsForgotten {
             self.durable.state.taken.clear();
@@ -215,7 +215,7 @@
     }
 
     #[cfg(feature = "mutations")]
-    fn has_mutation(&self, mutation: crate::mutations::Mutation) -> bool {
+    fn is_mutated(&self, mutation: crate::mutations::Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
@@ -264,7 +264,7 @@
 
     /// When [`Input::Tick`] is wanted next.
     pub fn next_wake(&self) -> Duration {
-        let mut wake = self.next_ping;
+        let mut wake = self.next_heartbeat;
         let majority = self.durable.view.majority();
         if let Some(election) = self.election.next_wake(&self.proposer, majority) {
             wake = wake.min(election);
@@ -286,12 +286,12 @@
 
     /// Takes an input; gives back what is to be done, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        self.wake_from_standstill(now);
+        self.recover_from_stall(now);
         self.update_contact(now);
         match input {
             Input::Tick => self.tick(now),
             Input::Message(envelope) => self.receive(now, envelope),
-            Input::Request(id, request) => self.take_request(now, id, request),
+            Input::Request(id, request) => self.handle_request(now, id, request),
             Input::Cancel(id) => self.waiting.cancel(id),
             Input::Persisted(through) => self.synced(now, through),
             Input::DiskHealth { is_healthy } => self.disk_health(now, is_healthy),
@@ -308,7 +308,7 @@
         }
         self.update_contact(now);
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::AcknowledgeBeforeSync) {
+        if self.is_mutated(crate::mutations::Mutation::AcknowledgeBeforeSync) {
             self.synced(now, self.record_number);
             while let Some(envelope) = self.loopback.pop_front() {
                 self.receive(now, envelope);
@@ -317,9 +317,9 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn wake_from_standstill(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_tick) > STANDSTILL {
-            self.peers.forgive(now, self.last_tick);
+    fn recover_from_stall(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_tick) > STALL_THRESHOLD {
+            self.peers.excuse_stall(now, self.last_tick);
             self.election.postpone();
             self.last_tick = now;
         }
@@ -328,15 +328,15 @@
     fn tick(&mut self, now: Duration) {
         self.last_tick = now;
         self.peers.expire(now);
-        if now >= self.next_ping {
-            self.next_ping = now + PING_INTERVAL;
-            self.ping_all(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            self.broadcast_heartbeat(now);
             if self.is_leaving {
-                self.ask_for_active_members();
+                self.request_active();
             }
         }
         self.run_election(now);
-        self.drive(now);
+        self.advance_replication(now);
     }
 
     /// The others hear at once of a disk that stalls: this member can't open an election without it.
@@ -344,14 +344,14 @@
         let has_changed = self.is_disk_healthy != is_healthy;
         self.is_disk_healthy = is_healthy;
         if has_changed {
-            self.ping_all(now);
+            self.broadcast_heartbeat(now);
         }
     }
 
     fn leave(&mut self, now: Duration) {
         self.is_leaving = true;
         self.begin_leaving(now);
-        self.ping_all(now);
-        self.ask_for_active_members();
+        self.broadcast_heartbeat(now);
+        self.request_active();
     }
 }
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -7,7 +7,8 @@
 use crate::agreement::{Phase, Proposer, Report};
 use crate::durable::IdleEpoch;
 use crate::election::{
-    BOOTSTRAP_WAIT, PHASE_TIMEOUT, RANDOM_WAIT, REPORT_WAIT, Reason, SEALED_WAIT,
+    BOOTSTRAP_TIMEOUT, MAX_PROPOSAL_DELAY, PHASE_TIMEOUT, REPORT_TIMEOUT, Reason,
+    SEALED_EPOCH_DELAY,
 };
 use crate::plan::{Candidate, lowered_floor, next_view};
 use crate::state::Stamp;
@@ -21,7 +22,7 @@
                 if now.saturating_sub(*since) >= PHASE_TIMEOUT =>
             {
                 self.proposer.abandon();
-                let wait = self.wait_after_failure();
+                let wait = self.delay_after_failure();
                 self.election.retry(now + wait);
             }
             Phase::Preparing { .. } => self.propose_if_ready(now),
@@ -37,7 +38,7 @@
         };
         let at = match self.election.at {
             Some(at) => at,
-            None => now + self.wait_before(reason),
+            None => now + self.delay_before(reason),
         };
         self.election.at = Some(at);
         if now >= at {
@@ -46,15 +47,15 @@
         }
     }
 
-    pub(crate) fn wait_after_failure(&mut self) -> Duration {
-        self.random_wait(2 * RANDOM_WAIT)
+    pub(crate) fn delay_after_failure(&mut self) -> Duration {
+        self.random_delay(2 * MAX_PROPOSAL_DELAY)
     }
 
-    fn wait_before(&mut self, reason: Reason) -> Duration {
+    fn delay_before(&mut self, reason: Reason) -> Duration {
         match reason {
             Reason::Improvement => Duration::ZERO,
-            Reason::Broken => self.random_wait(RANDOM_WAIT),
-            Reason::Sealed => SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT),
+            Reason::Broken => self.random_delay(MAX_PROPOSAL_DELAY),
+            Reason::Sealed => SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY),
             Reason::Bootstrap => {
                 let first = self
                     .durable
@@ -67,7 +68,7 @@
                 if is_first {
                     Duration::ZERO
                 } else {
-                    SEALED_WAIT + self.random_wait(2 * RANDOM_WAIT)
+                    SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
                 }
             }
         }
@@ -112,7 +113,7 @@
         let present = 1 + others
             .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
             .count();
-        let has_waited = now.saturating_sub(self.election.started) >= BOOTSTRAP_WAIT;
+        let has_waited = now.saturating_sub(self.election.started) >= BOOTSTRAP_TIMEOUT;
         let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
         is_ready.then_some(Reason::Bootstrap)
     }
@@ -124,7 +125,7 @@
             .count()
     }
 
-    /// The view that the present signs of life ask for.
+    /// The view that the present heartbeats ask for.
     fn wanted_view(&self, now: Duration) -> Option<View> {
         let view = &self.durable.view;
         let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
@@ -136,10 +137,10 @@
                 0
             },
             stamp: Stamp::default(),
-            fit: if member == self.id {
-                self.is_fit()
+            can_replicate: if member == self.id {
+                self.can_replicate()
             } else {
-                self.peers.is_fit(member)
+                self.peers.can_replicate(member)
             },
             place: self.place_of(member),
         };
@@ -151,8 +152,8 @@
             .map(candidate)
             .collect();
         let learners = self.learners(now);
-        let linked = |first, second| self.peers.linked(now, first, second);
-        next_view(view, &voters, &learners, self.policy, &linked).ok()
+        let are_connected = |first, second| self.peers.are_connected(now, first, second);
+        next_view(view, &voters, &learners, self.policy, &are_connected).ok()
     }
 
     /// Members outside the voters that may be taken in.
@@ -161,16 +162,16 @@
         let outside =
             heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
         let ready = outside.filter(|&member| {
-            self.peers.is_steady(now, member)
+            self.peers.is_stable(now, member)
                 && self.peers.is_reachable(now, member)
-                && self.peers.is_fit(member)
+                && self.peers.can_replicate(member)
         });
         ready
             .map(|member| Candidate {
                 member,
                 active_epoch: 0,
                 stamp: Stamp::default(),
-                fit: true,
+                can_replicate: true,
                 place: self.place_of(member),
             })
             .collect()
@@ -190,12 +191,12 @@
             .chain
             .iter()
             .filter(|member| !current.contains(member));
-        let are_steady = new_in_chain
+        let are_stable = new_in_chain
             .clone()
-            .all(|&member| member == self.id || self.peers.is_steady(now, member));
+            .all(|&member| member == self.id || self.peers.is_stable(now, member));
         let has_more = new_in_chain.count() > 0;
         let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
-        are_steady && (has_more || has_other_voters)
+        are_stable && (has_more || has_other_voters)
     }
 
     /// Goes on to the second phase once enough voters have reported.
@@ -214,7 +215,7 @@
         let are_expected = missing
             .filter(|&&voter| self.is_expected(now, voter))
             .count();
-        if are_expected > 0 && now.saturating_sub(*since) < REPORT_WAIT {
+        if are_expected > 0 && now.saturating_sub(*since) < REPORT_TIMEOUT {
             return;
         }
         self.propose_from_reports(now);
@@ -228,7 +229,8 @@
         if reports.len() < self.durable.view.majority() {
             return;
         }
-        let next = Proposer::bound_view(reports).or_else(|| self.planned_view(now, reports));
+        let next =
+            Proposer::highest_accepted_view(reports).or_else(|| self.planned_view(now, reports));
         match next {
             Some(view) => self.propose(now, view),
             None => self.proposer.abandon(),
@@ -256,7 +258,7 @@
                 member,
                 active_epoch: report.active_epoch,
                 stamp: report.stamp,
-                fit: report.fit,
+                can_replicate: report.can_replicate,
                 place: self.place_of(member),
             })
             .collect();
@@ -269,7 +271,7 @@
             Some(report) => report.hears.contains(&second),
             None => self.peers.hears(now, first, second),
         };
-        let linked = |first, second| {
+        let are_connected = |first, second| {
             let is_first_known = self.durable.view.epoch == 0;
             is_first_known || (hears(first, second) && hears(second, first))
         };
@@ -278,7 +280,7 @@
             &voters,
             &learners,
             self.policy,
-            &linked,
+            &are_connected,
         )
         .ok()
     }
--- a/crates/tier/chain/src/member/contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -2,11 +2,11 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | out of contact | a majority of the voters has echoed a recent sign of life | catching up |
+//! | out of contact | a majority of the voters has echoed a recent heartbeat | catching up |
 //! | catching up | the committed state is as new as any of those voters had told | in quorum |
-//! | any | the echoes of a majority are older than [`CONTACT`](crate::peers::CONTACT) | out of contact |
+//! | any | the echoes of a majority are older than [`CONTACT_TIMEOUT`](crate::peers::CONTACT_TIMEOUT) | out of contact |
 //!
-//! An echo proves both directions of the way, and its age counts from when this member sent the sign of life.
+//! An echo proves both directions of the way, and its age counts from when this member sent the heartbeat.
 //! A member that only hears, one that is only heard, and one that stood still are all out of contact.
 
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// Whether this member is in contact with a majority of the voters and has caught up since.
     pub(super) fn is_in_quorum(&self, now: Duration) -> bool {
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::QuorumByHearing) {
+        if self.is_mutated(crate::mutations::Mutation::QuorumByHearing) {
             return self.hears_majority(now);
         }
         self.is_caught_up && self.reaches_majority(now)
--- a/crates/tier/chain/src/member/steps.rs
+++ b/crates/tier/chain/src/member/steps.rs
@@ -33,7 +33,7 @@
             TimedStep::EndReportWait => self.propose_from_reports(now),
             TimedStep::Resend => {
                 self.replication.resend();
-                self.drive(now);
+                self.advance_replication(now);
             }
         }
         self.finish(now)
@@ -60,7 +60,7 @@
             self.waiting,
             self.published.stamp,
             self.barrier_session,
-            self.is_fit(),
+            self.can_replicate(),
         );
         written.expect("a string takes any text");
         for (number, to, body) in &self.deferred {
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -7,7 +7,7 @@
 use crate::agreement::{Phase, Report};
 use crate::ballot::{Accepted, Ballot, Promise};
 use crate::durable::Record;
-use crate::election::SEALED_WAIT;
+use crate::election::SEALED_EPOCH_DELAY;
 use crate::message::Body;
 use crate::replication::Replication;
 use crate::requests::Reply;
@@ -19,11 +19,11 @@
         view.is_voter(self.id) && (view.epoch > 0 || self.durable.bootstrap)
     }
 
-    pub(super) fn promise(&mut self, from: MemberId, ballot: Ballot) {
+    pub(super) fn handle_prepare(&mut self, from: MemberId, ballot: Ballot) {
         if !self.is_eligible_voter() || !self.durable.view.is_voter(from) {
             return;
         }
-        self.proposer.saw(ballot);
+        self.proposer.observe_ballot(ballot);
         let current = self.durable.current_promise();
         if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
             return self.send_now(
@@ -47,13 +47,13 @@
             accepted: self.durable.accepted.clone(),
             active_epoch: self.durable.active_epoch,
             stamp: self.durable.state.stamp,
-            fit: self.is_fit(),
+            can_replicate: self.can_replicate(),
             hears: self.peers.heard_lately(self.last_tick),
             idle_epochs: self.durable.idle_epochs.clone(),
         }
     }
 
-    pub(super) fn accept(&mut self, from: MemberId, accepted: Accepted) {
+    pub(super) fn handle_accept(&mut self, from: MemberId, accepted: Accepted) {
         let epoch = self.durable.view.epoch;
         let ballot = accepted.ballot;
         let is_for_next = accepted.view.epoch == epoch + 1;
@@ -78,7 +78,7 @@
         self.send_after_sync(from, Body::Accepted { ballot });
     }
 
-    pub(super) fn take_promise(
+    pub(super) fn handle_promise(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -86,14 +86,14 @@
         report: Report,
     ) {
         if self.durable.view.is_voter(from) {
-            self.proposer.promised(from, ballot, report);
+            self.proposer.record_promise(from, ballot, report);
             self.propose_if_ready(now);
         }
     }
 
-    pub(super) fn take_vote(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
+    pub(super) fn handle_accepted(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
         let current = self.durable.view.clone();
-        let Some(view) = self.proposer.accepted(from, ballot, &current) else {
+        let Some(view) = self.proposer.record_accepted(from, ballot, &current) else {
             return;
         };
         let mut addresses: Vec<SocketAddrV4> = self
@@ -115,16 +115,16 @@
         }
     }
 
-    pub(super) fn superseded(&mut self, now: Duration, promised: Ballot) {
-        self.proposer.saw(promised);
+    pub(super) fn handle_superseded(&mut self, now: Duration, promised: Ballot) {
+        self.proposer.observe_ballot(promised);
         if self
             .proposer
             .ballot()
             .is_some_and(|ballot| ballot < promised)
         {
             self.proposer.abandon();
-            let wait = self.wait_after_failure();
-            self.election.retry(now + SEALED_WAIT + wait);
+            let wait = self.delay_after_failure();
+            self.election.retry(now + SEALED_EPOCH_DELAY + wait);
         }
     }
 
@@ -132,7 +132,7 @@
     /// ballot may stand for a second view.
     pub(crate) fn start_proposal(&mut self, now: Duration) {
         if let Some(promise) = self.durable.current_promise() {
-            self.proposer.saw(promise.ballot);
+            self.proposer.observe_ballot(promise.ballot);
         }
         let ballot = self.proposer.start(now, self.id);
         let epoch = self.durable.view.epoch;
@@ -157,7 +157,7 @@
         }
     }
 
-    pub(crate) fn random_wait(&mut self, longest: Duration) -> Duration {
+    pub(crate) fn random_delay(&mut self, longest: Duration) -> Duration {
         let share = self.random.rand_float();
         longest.mul_f64(share)
     }
@@ -166,7 +166,7 @@
         self.proposer.phase()
     }
 
-    pub(super) fn install(&mut self, now: Duration, view: View) {
+    pub(super) fn install_view(&mut self, now: Duration, view: View) {
         if view.epoch <= self.durable.view.epoch {
             return;
         }
@@ -174,28 +174,28 @@
         self.deferred.clear();
         self.proposer.abandon();
         self.election.installed();
-        self.forget_active_members();
+        self.clear_active_members();
         self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         self.barrier_session = self.random.rand_u64() | 1;
         self.outputs.push(Output::ViewInstalled(view.clone()));
         if view.head() == Some(self.id) {
-            self.take_office(now);
+            self.become_head(now);
         } else {
-            self.give_requests_up();
+            self.abort_requests();
         }
-        self.next_ping = now;
+        self.next_heartbeat = now;
     }
 
-    pub(super) fn take_office(&mut self, now: Duration) {
+    pub(super) fn become_head(&mut self, now: Duration) {
         let epoch = self.durable.view.epoch;
         let record = self.persist(Record::Activate(epoch));
         self.replication.restart(record, epoch, &self.durable.state);
         let barrier = self.replication.next_barrier(self.barrier_session);
         self.waiting.renew_barriers(barrier.number);
-        self.drive(now);
+        self.advance_replication(now);
     }
 
-    pub(super) fn give_requests_up(&mut self) {
+    pub(super) fn abort_requests(&mut self) {
         for id in self.waiting.drain() {
             self.outputs.push(Output::Reply {
                 id,
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -27,23 +27,23 @@
     ViewDoesNotFollow { epoch: u64, found: u64 },
 }
 
-/// When a member sent a sign of life, by its own clock.
+/// When a member sent a heartbeat, by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct PingTime {
-    /// Differs between lives of the process; 0 for no sign of life at all.
-    pub life: u64,
+pub struct HeartbeatTime {
+    /// Differs between lives of the process; 0 for no heartbeat at all.
+    pub incarnation: u64,
     pub micros: u64,
 }
 
-/// A sign of life.
+/// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Ping {
+pub struct Heartbeat {
     /// When it was sent.
-    pub sent: PingTime,
-    /// When the newest sign of life was sent that the sender has heard from the receiver.
-    pub echo: PingTime,
+    pub sent: HeartbeatTime,
+    /// When the newest heartbeat was sent that the sender has heard from the receiver.
+    pub echo: HeartbeatTime,
     /// Whether the sender may be in a chain (neither leaving nor unable to sync).
-    pub fit: bool,
+    pub can_replicate: bool,
     /// Whether the sender is stopping and wants to be replaced.
     pub leaving: bool,
     /// Whether the sender may vote in epoch 0.
@@ -74,7 +74,7 @@
 /// What a message says.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Body {
-    Ping(Ping),
+    Heartbeat(Heartbeat),
     /// First phase of a proposal.
     Prepare {
         ballot: Ballot,
@@ -136,7 +136,7 @@
 
 impl Body {
     /// Whether it may hold a configuration, and so may take long on its way. Such messages go over a
-    /// connection of their own, in order, so that signs of life and votes don't wait behind them.
+    /// connection of their own, in order, so that heartbeats and votes don't wait behind them.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
--- a/crates/tier/chain/src/mutations.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -4,7 +4,7 @@
 use crate::requests::Reply;
 use crate::state::{Rejection, Undecided, Verdict};
 
-/// A defence that is switched off.
+/// A safeguard that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// What must be synced first is said at once.
@@ -35,7 +35,7 @@
 
 impl Mutation {
     /// The verdict that is given in the place of `verdict`.
-    pub(crate) fn weaken(self, verdict: Verdict, current: u64) -> Verdict {
+    pub(crate) fn mutate_verdict(self, verdict: Verdict, current: u64) -> Verdict {
         let refused = Verdict::Rejected(Rejection::BaseMismatch { current });
         match (self, verdict) {
             (Mutation::RefusedFutureBase, Verdict::Undecided(Undecided::FutureBase { .. })) => {
@@ -49,7 +49,7 @@
     }
 
     /// The reply that leaves at once, although something has yet to be committed for it.
-    pub(crate) fn hasty_reply(self, verdict: Verdict) -> Option<Reply> {
+    pub(crate) fn premature_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
             (Mutation::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
                 Some(Reply::Rejected(rejection))
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,23 +1,23 @@
-//! Which members are alive and reach each other, from their signs of life.
+//! Which members are alive and reach each other, from their heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::message::{Ping, PingTime};
+use crate::message::{Heartbeat, HeartbeatTime};
 use crate::plan::Place;
 use crate::state::Stamp;
 use crate::view::MemberId;
 
 /// A member that has been silent for so long is suspected.
-pub(crate) const SILENCE: Duration = Duration::from_millis(600);
-/// A new or returned member is taken into a view after so long a time of signs of life.
-pub(crate) const STEADY: Duration = Duration::from_millis(800);
-/// A member is in contact if it has heard a sign of life that was sent so lately, and has said so.
-pub(crate) const CONTACT: Duration = Duration::from_millis(1000);
+pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_millis(600);
+/// A new or returned member is taken into a view after so long a time of heartbeats.
+pub(crate) const STABLE_TIME: Duration = Duration::from_millis(800);
+/// A member is in contact if it has heard a heartbeat that was sent so lately, and has said so.
+pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// How long a member that has fallen silent is remembered.
-const FORGET: Duration = Duration::from_secs(30);
+const PEER_EXPIRY: Duration = Duration::from_secs(30);
 /// How many members are remembered.
-const PEER_LIMIT: usize = 128;
+const MAX_PEERS: usize = 128;
 
 /// What is known of one other member.
 #[derive(Clone, Debug)]
@@ -25,13 +25,13 @@
     last_heard: Duration,
     /// Start of the present time without a silence.
     alive_since: Duration,
-    fit: bool,
+    can_replicate: bool,
     leaving: bool,
     bootstrap: bool,
     place: Place,
-    /// Its newest sign of life, to be echoed.
-    sent: PingTime,
-    /// When the newest own sign of life was sent that it has echoed.
+    /// Its newest heartbeat, to be echoed.
+    sent: HeartbeatTime,
+    /// When the newest own heartbeat was sent that it has echoed.
     echoed: Option<Duration>,
     /// Stamp of the newest committed state that it knows.
     committed: Stamp,
@@ -44,83 +44,90 @@
 pub(crate) struct Peers {
     own: MemberId,
     /// Number of this life of the process.
-    life: u64,
+    incarnation: u64,
     started: Duration,
     table: BTreeMap<MemberId, PeerState>,
 }
 
 impl Peers {
-    pub(crate) fn new(own: MemberId, life: u64, now: Duration) -> Peers {
+    pub(crate) fn new(own: MemberId, incarnation: u64, now: Duration) -> Peers {
         Peers {
             own,
-            life,
+            incarnation,
             started: now,
             table: BTreeMap::new(),
         }
     }
 
     /// Notes a message of `from`.
-    pub(crate) fn heard(&mut self, now: Duration, from: MemberId) {
+    pub(crate) fn record_message(&mut self, now: Duration, from: MemberId) {
         if let Some(peer) = self.table.get_mut(&from) {
-            if now.saturating_sub(peer.last_heard) > SILENCE {
+            if now.saturating_sub(peer.last_heard) > SUSPICION_TIMEOUT {
                 peer.alive_since = now;
             }
             peer.last_heard = now;
         }
     }
 
-    /// Notes a sign of life of `from`.
-    pub(crate) fn pinged(&mut self, now: Duration, from: MemberId, ping: &Ping) {
-        if !self.table.contains_key(&from) && self.table.len() >= PEER_LIMIT {
+    /// Notes a heartbeat of `from`.
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        heartbeat: &Heartbeat,
+    ) {
+        if !self.table.contains_key(&from) && self.table.len() >= MAX_PEERS {
             return;
         }
         let peer = self.table.entry(from).or_insert_with(|| PeerState {
             last_heard: now,
             alive_since: now,
-            fit: true,
+            can_replicate: true,
             leaving: false,
             bootstrap: false,
-            place: ping.place,
-            sent: ping.sent,
+            place: heartbeat.place,
+            sent: heartbeat.sent,
             echoed: None,
-            committed: ping.committed,
+            committed: heartbeat.committed,
             hears: BTreeMap::new(),
         });
-        peer.fit = ping.fit;
-        peer.leaving = ping.leaving;
-        peer.bootstrap = ping.bootstrap;
-        peer.place = ping.place;
-        peer.sent = ping.sent;
-        peer.committed = peer.committed.max(ping.committed);
-        let echoed = Duration::from_micros(ping.echo.micros);
-        if ping.echo.life == self.life && echoed <= now {
+        peer.can_replicate = heartbeat.can_replicate;
+        peer.leaving = heartbeat.leaving;
+        peer.bootstrap = heartbeat.bootstrap;
+        peer.place = heartbeat.place;
+        peer.sent = heartbeat.sent;
+        peer.committed = peer.committed.max(heartbeat.committed);
+        let echoed = Duration::from_micros(heartbeat.echo.micros);
+        if heartbeat.echo.incarnation == self.incarnation && echoed <= now {
             peer.echoed = peer.echoed.max(Some(echoed));
         }
-        for &member in ping.hears.iter().take(PEER_LIMIT) {
+        for &member in heartbeat.hears.iter().take(MAX_PEERS) {
             peer.hears.insert(member, now);
         }
         peer.hears
-            .retain(|_, heard| now.saturating_sub(*heard) <= SILENCE);
-        self.heard(now, from);
+            .retain(|_, heard| now.saturating_sub(*heard) <= SUSPICION_TIMEOUT);
+        self.record_message(now, from);
     }
 
     /// When the next of `members` will have been silent for too long, if none is heard after `now`.
     pub(crate) fn next_suspicion(&self, now: Duration, members: &[MemberId]) -> Option<Duration> {
         let heard = members.iter().filter_map(|member| self.table.get(member));
-        let silent = heard.map(|peer| peer.last_heard + SILENCE + Duration::from_millis(1));
+        let silent =
+            heard.map(|peer| peer.last_heard + SUSPICION_TIMEOUT + Duration::from_millis(1));
         silent.filter(|&at| at > now).min()
     }
 
     /// Forgets members that have been silent for long, and earlier identities of addresses in use.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.table
-            .retain(|_, peer| now.saturating_sub(peer.last_heard) <= FORGET);
+            .retain(|_, peer| now.saturating_sub(peer.last_heard) <= PEER_EXPIRY);
         let table = &self.table;
         let replaced: Vec<MemberId> = table
             .iter()
             .filter(|(member, peer)| {
                 table.iter().any(|(other, newer)| {
-                    other.address == member.address && newer.last_heard > peer.last_heard + SILENCE
+                    other.address == member.address
+                        && newer.last_heard > peer.last_heard + SUSPICION_TIMEOUT
                 })
             })
             .map(|(&member, _)| member)
@@ -131,17 +138,17 @@
     }
 
     /// After this process itself stood still: nobody is suspected for a silence that it could not have heard.
-    pub(crate) fn forgive(&mut self, now: Duration, last_tick: Duration) {
+    pub(crate) fn excuse_stall(&mut self, now: Duration, last_tick: Duration) {
         self.started = now;
         for peer in self.table.values_mut() {
-            if last_tick.saturating_sub(peer.last_heard) <= SILENCE {
+            if last_tick.saturating_sub(peer.last_heard) <= SUSPICION_TIMEOUT {
                 peer.last_heard = now;
             }
             peer.hears.values_mut().for_each(|heard| *heard = now);
         }
     }
 
-    /// Whether a sign of life of `member` came lately.
+    /// Whether a heartbeat of `member` came lately.
     pub(crate) fn is_heard(&self, now: Duration, member: MemberId) -> bool {
         member == self.own
             || self
@@ -155,11 +162,11 @@
         is_recent(now, self.started) || self.is_heard(now, member)
     }
 
-    /// Whether `member` has given signs of life, without a silence, for long enough to be taken into a view.
-    pub(crate) fn is_steady(&self, now: Duration, member: MemberId) -> bool {
+    /// Whether `member` has given heartbeats, without a silence, for long enough to be taken into a view.
+    pub(crate) fn is_stable(&self, now: Duration, member: MemberId) -> bool {
         self.table
             .get(&member)
-            .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STEADY)
+            .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STABLE_TIME)
     }
 
     /// Whether `first` hears `second`, as far as is known.
@@ -178,7 +185,7 @@
     }
 
     /// Whether the two hear each other.
-    pub(crate) fn linked(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
+    pub(crate) fn are_connected(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
         self.hears(now, first, second) && self.hears(now, second, first)
     }
 
@@ -196,16 +203,16 @@
         })
     }
 
-    /// The time to put on a sign of life that is sent now.
-    pub(crate) fn ping_time(&self, now: Duration) -> PingTime {
-        PingTime {
-            life: self.life,
+    /// The time to put on a heartbeat that is sent now.
+    pub(crate) fn heartbeat_time(&self, now: Duration) -> HeartbeatTime {
+        HeartbeatTime {
+            incarnation: self.incarnation,
             micros: u64::try_from(now.as_micros()).unwrap_or(u64::MAX),
         }
     }
 
-    /// What a sign of life to `address` echoes.
-    pub(crate) fn echo_for(&self, address: std::net::SocketAddrV4) -> PingTime {
+    /// What a heartbeat to `address` echoes.
+    pub(crate) fn echo_for(&self, address: std::net::SocketAddrV4) -> HeartbeatTime {
         let at_address = self
             .table
             .iter()
@@ -216,12 +223,13 @@
             .unwrap_or_default()
     }
 
-    /// Whether `member` has heard this one within [`CONTACT`], as it has told. Unlike
+    /// Whether `member` has heard this one within [`CONTACT_TIMEOUT`], as it has told. Unlike
     /// [`is_reachable`](Self::is_reachable) this counts from when this process sent: it ends by itself when
     /// either direction is cut, and while this process stands still.
     pub(crate) fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
         let echoed = || self.table.get(&member).and_then(|peer| peer.echoed);
-        member == self.own || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT)
+        member == self.own
+            || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT_TIMEOUT)
     }
 
     /// Stamp of the newest committed state that `member` has told of.
@@ -233,10 +241,10 @@
     }
 
     /// Whether `member` may be in a chain; assumed of those that have said nothing yet.
-    pub(crate) fn is_fit(&self, member: MemberId) -> bool {
+    pub(crate) fn can_replicate(&self, member: MemberId) -> bool {
         self.table
             .get(&member)
-            .is_none_or(|peer| peer.fit && !peer.leaving)
+            .is_none_or(|peer| peer.can_replicate && !peer.leaving)
     }
 
     /// Whether `member` has said that it is being stopped.
@@ -281,5 +289,5 @@
 }
 
 fn is_recent(now: Duration, then: Duration) -> bool {
-    now.saturating_sub(then) <= SILENCE
+    now.saturating_sub(then) <= SUSPICION_TIMEOUT
 }
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -25,7 +25,7 @@
     pub active_epoch: u64,
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
-    pub fit: bool,
+    pub can_replicate: bool,
     pub place: Place,
 }
 
@@ -115,10 +115,10 @@
     voters: &[Candidate],
     learners: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<View, PlanError> {
     let floor = next_floor(current, voters);
-    let chain = next_chain(current, floor, voters, learners, policy, linked)?;
+    let chain = next_chain(current, floor, voters, learners, policy, are_connected)?;
     let voters = next_voters(current, &chain, voters, learners, policy);
     Ok(View {
         epoch: current.epoch + 1,
@@ -164,15 +164,20 @@
     voters: &[Candidate],
     learners: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<Vec<MemberId>, PlanError> {
     let position = |member: MemberId| {
         let found = current.chain.iter().position(|&other| other == member);
         found.unwrap_or(current.chain.len())
     };
     let complete = voters.iter().filter(|voter| voter.active_epoch >= floor);
-    let base =
-        complete.max_by_key(|voter| (voter.fit, voter.stamp, Reverse(position(voter.member))));
+    let base = complete.max_by_key(|voter| {
+        (
+            voter.can_replicate,
+            voter.stamp,
+            Reverse(position(voter.member)),
+        )
+    });
     let base = base.ok_or(PlanError::NoCompleteMember)?;
 
     let mut ordered: Vec<Candidate> = voters.to_vec();
@@ -180,9 +185,10 @@
     ordered.extend_from_slice(learners);
 
     let mut chain = vec![*base];
-    let mut extend = |fit: bool, length: usize| {
+    let mut extend = |can_replicate: bool, length: usize| {
         while chain.len() < length {
-            let Some(next) = next_member(&ordered, fit, &chain, policy, linked) else {
+            let Some(next) = next_member(&ordered, can_replicate, &chain, policy, are_connected)
+            else {
                 return;
             };
             chain.push(next);
@@ -200,18 +206,19 @@
 /// The first of `ordered` that reaches everyone in `chain`, those at less crowded places before others.
 fn next_member(
     ordered: &[Candidate],
-    fit: bool,
+    can_replicate: bool,
     chain: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Option<Candidate> {
     let outside = ordered.iter().filter(|candidate| {
-        candidate.fit == fit && chain.iter().all(|other| other.member != candidate.member)
+        candidate.can_replicate == can_replicate
+            && chain.iter().all(|other| other.member != candidate.member)
     });
     let reaching = outside.filter(|candidate| {
         chain
             .iter()
-            .all(|other| linked(candidate.member, other.member))
+            .all(|other| are_connected(candidate.member, other.member))
     });
     reaching
         .min_by_key(|candidate| policy.crowding(candidate.place, chain))
@@ -231,9 +238,9 @@
             next.push(member);
         }
     };
-    let reported = voters.iter().filter(|voter| voter.fit);
+    let reported = voters.iter().filter(|voter| voter.can_replicate);
     reported.for_each(|voter| add(voter.member));
-    let fresh = learners.iter().filter(|learner| learner.fit);
+    let fresh = learners.iter().filter(|learner| learner.can_replicate);
     fresh.for_each(|learner| add(learner.member));
     if current.epoch > 0 {
         let silent = current
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -9,8 +9,8 @@
 //! | `Unknown` | probe sent, answered "inactive" | `Transferring` |
 //! | `Unknown`, `Transferring` | answered "active" | `Streaming` |
 //! | `Streaming` | answered "inactive" (it has lost its place) | `Transferring` |
-//! | any | unsettled, nothing sent for [`RESEND`] | the same, and a probe is sent |
-//! | any | a report without news, [`RESEND`] after sending or progress | the same; sends what it lacks |
+//! | any | unsettled, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
+//! | any | a report without news, [`RESEND_INTERVAL`] after sending or progress | the same; sends what it lacks |
 //!
 //! A state or a write may be long under way, on a slow link or to a slow disk. A probe goes behind it on the
 //! same connection and is answered once everything before it has come and is synced. So an answer without
@@ -24,9 +24,9 @@
 
 /// After so long without a message to a successor that isn't up to date, it is probed. What it lacks isn't
 /// sent again sooner after the first time.
-pub(crate) const RESEND: Duration = Duration::from_millis(300);
+pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Bytes of writes that are put into one message, unless a single write is larger.
-const MESSAGE_BYTES: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// What is known of the successor in this epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     link: Link,
     last_sent: Duration,
     /// Since when a state or writes are under way without progress.
-    under_way_since: Duration,
+    in_flight_since: Duration,
     /// What the successor reported last.
     last_report: Option<Progress>,
     /// The successor lacks what was sent to it.
@@ -89,7 +89,7 @@
             unsynced: VecDeque::new(),
             link: Link::Unknown,
             last_sent: Duration::ZERO,
-            under_way_since: Duration::ZERO,
+            in_flight_since: Duration::ZERO,
             last_report: None,
             must_resend: false,
             sent_barrier: Barrier::default(),
@@ -129,7 +129,7 @@
     }
 
     /// Stamp of the persisted state, if the disk has activated `epoch`.
-    pub(crate) fn persisted_in(&self, epoch: u64) -> Option<Stamp> {
+    pub(crate) fn persisted_stamp(&self, epoch: u64) -> Option<Stamp> {
         (self.persisted.0 == epoch).then_some(self.persisted.1)
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Takes the barrier that the predecessor passed on, or that the head itself begins.
-    pub(crate) fn take_barrier(&mut self, barrier: Barrier) {
+    pub(crate) fn record_barrier(&mut self, barrier: Barrier) {
         let is_newer =
             barrier.session != self.barrier.session || barrier.number > self.barrier.number;
         if is_newer {
@@ -193,20 +193,20 @@
 
     /// The rest of the chain has passed `barrier` on. Tells whether that is news.
     pub(crate) fn confirm(&mut self, barrier: Barrier) -> bool {
-        let is_news = barrier.session == self.barrier.session
+        let is_newer = barrier.session == self.barrier.session
             && barrier.number <= self.barrier.number
             && barrier != self.confirmed
             && (self.confirmed.session != barrier.session
                 || barrier.number > self.confirmed.number);
-        if is_news {
+        if is_newer {
             self.confirmed = barrier;
         }
-        is_news
+        is_newer
     }
 
     /// Takes the successor's report.
-    pub(crate) fn successor_reported(&mut self, now: Duration, report: Progress) {
-        let has_news = self.last_report.replace(report) != Some(report);
+    pub(crate) fn record_progress(&mut self, now: Duration, report: Progress) {
+        let has_changed = self.last_report.replace(report) != Some(report);
         self.link = match (self.link, report.is_active) {
             (Link::Transferring, false) => Link::Transferring,
             (_, false) => {
@@ -222,7 +222,7 @@
             ) => {
                 let persisted = report.persisted.max(earlier);
                 if persisted > earlier {
-                    self.under_way_since = now;
+                    self.in_flight_since = now;
                 }
                 Link::Streaming {
                     persisted,
@@ -234,8 +234,8 @@
                 sent: report.persisted,
             },
         };
-        let is_overdue = now.saturating_sub(self.under_way_since) >= RESEND;
-        self.must_resend |= !has_news && is_overdue && self.has_content_under_way();
+        let is_overdue = now.saturating_sub(self.in_flight_since) >= RESEND_INTERVAL;
+        self.must_resend |= !has_changed && is_overdue && self.has_content_in_flight();
     }
 
     /// The place without its times, with numbers of records counted back from `newest`.
@@ -259,11 +259,11 @@
     /// What the successor lacks is due now.
     pub(crate) fn resend(&mut self) {
         self.last_sent = Duration::ZERO;
-        self.must_resend |= self.has_content_under_way();
+        self.must_resend |= self.has_content_in_flight();
     }
 
     /// Whether the successor has yet to report something that was sent to it.
-    fn has_content_under_way(&self) -> bool {
+    fn has_content_in_flight(&self) -> bool {
         match self.link {
             Link::Unknown => false,
             Link::Transferring => true,
@@ -273,9 +273,10 @@
 
     /// What is to be sent to the successor now.
     pub(crate) fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
-        let own = self.persisted_in(epoch)?;
-        let is_due = self.last_sent.is_zero() || now.saturating_sub(self.last_sent) >= RESEND;
-        let is_first = !self.has_content_under_way();
+        let own = self.persisted_stamp(epoch)?;
+        let is_due =
+            self.last_sent.is_zero() || now.saturating_sub(self.last_sent) >= RESEND_INTERVAL;
+        let is_first = !self.has_content_in_flight();
         let body = match self.link {
             Link::Unknown => is_due.then(|| self.probe(own)),
             Link::Transferring if self.must_resend => Some(self.transfer(own)),
@@ -283,7 +284,7 @@
             Link::Streaming { persisted, sent } => self.stream(own, persisted, sent, is_due),
         }?;
         if has_content(&body) && (is_first || self.must_resend) {
-            self.under_way_since = now;
+            self.in_flight_since = now;
         }
         self.must_resend = false;
         self.last_sent = now.max(Duration::from_nanos(1));
@@ -293,20 +294,20 @@
 
     /// When the successor may have to be reminded.
     pub(crate) fn next_resend(&self, epoch: u64) -> Option<Duration> {
-        let own = self.persisted_in(epoch)?;
-        let is_settled = matches!(self.link, Link::Streaming { persisted, .. } if persisted == own)
+        let own = self.persisted_stamp(epoch)?;
+        let is_up_to_date = matches!(self.link, Link::Streaming { persisted, .. } if persisted == own)
             && self.confirmed == self.barrier
             && self.committed_stamp() == Some(own);
-        (!is_settled).then_some(self.last_sent + RESEND)
+        (!is_up_to_date).then_some(self.last_sent + RESEND_INTERVAL)
     }
 
     fn stream(&mut self, own: Stamp, persisted: Stamp, sent: Stamp, is_due: bool) -> Option<Body> {
-        let is_settled = persisted == own
+        let is_up_to_date = persisted == own
             && self.committed_stamp() == Some(own)
             && self.confirmed == self.barrier;
         let from = if self.must_resend { persisted } else { sent };
         let has_new_barrier = self.sent_barrier != self.barrier;
-        let is_probe = is_due && !is_settled;
+        let is_probe = is_due && !is_up_to_date;
         if from >= own && !has_new_barrier && !is_probe {
             return None;
         }
@@ -321,9 +322,9 @@
 
     /// The writes after `from`, up to `own`; none if they are not kept any more.
     fn writes_after(&self, from: Stamp, own: Stamp) -> Option<Vec<Write>> {
-        let is_kept =
+        let is_retained =
             from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
-        if !is_kept {
+        if !is_retained {
             return None;
         }
         let mut bytes = 0;
@@ -334,7 +335,7 @@
             .filter(|write| write.stamp > from && write.stamp <= own)
         {
             bytes += command_bytes(&write.command);
-            if bytes > MESSAGE_BYTES && !writes.is_empty() {
+            if bytes > MAX_MESSAGE_BYTES && !writes.is_empty() {
                 break;
             }
             writes.push(write.clone());
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -65,11 +65,11 @@
 
 /// Requests that wait for the chain.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WaitingRequests {
+pub(crate) struct PendingRequests {
     waiting: BTreeMap<RequestId, Waiting>,
 }
 
-impl WaitingRequests {
+impl PendingRequests {
     /// Waits for the commit of a write that was just taken, or of one that was taken earlier.
     pub(crate) fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
         let outcome = if is_new {
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -27,7 +27,7 @@
 const SMALL_PAUSE: Duration = Duration::from_millis(50);
 const STEP: Duration = Duration::from_millis(5);
 /// Longest time in which something that is waited for must happen.
-const LONGEST: Duration = Duration::from_secs(300);
+const TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Writes one change after the other.
 struct Writer {
@@ -134,21 +134,21 @@
     writer: &mut Writer,
     is_done: impl Fn(&World, &Writer) -> bool,
 ) -> Option<Duration> {
-    let began = world.now;
+    let started = world.now;
     while !is_done(world, writer) {
-        if world.now - began > LONGEST {
+        if world.now - started > TIMEOUT {
             return None;
         }
         let next = world.now + STEP;
         world.run_until(next);
         writer.step(world);
     }
-    Some(world.now - began)
+    Some(world.now - started)
 }
 
 /// What befalls the member while it catches up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     /// It is killed, what is not synced being lost in part, and starts again.
     Killed,
     /// Its disk does nothing for three seconds.
@@ -166,10 +166,10 @@
     /// Position in the chain of the member that is away.
     position: usize,
     /// What befalls it, so long after its start.
-    trouble: Option<(Trouble, Duration)>,
-    /// A defence that is switched off.
+    fault: Option<(Fault, Duration)>,
+    /// A safeguard that is switched off.
     bug: Option<InjectedBug>,
-    /// Signs of life wait behind long messages.
+    /// Heartbeats wait behind long messages.
     has_one_queue: bool,
 }
 
@@ -182,7 +182,7 @@
             bytes,
             missed,
             position,
-            trouble: None,
+            fault: None,
             bug: None,
             has_one_queue: false,
         }
@@ -191,13 +191,13 @@
 
 /// What was measured.
 #[derive(Debug, Default)]
-struct Caught {
+struct CatchUp {
     /// From the start of the member to the newest state of that moment.
     to_state: Duration,
     /// From the start of the member to its place in the chain.
     to_active: Duration,
     /// Most bytes that waited at one link.
-    most_waiting: u64,
+    max_backlog_bytes: u64,
     sent_bytes: u64,
     state_bytes: u64,
 }
@@ -206,7 +206,7 @@
     (0..world.nodes.len()).all(|node| is_active(world, node))
 }
 
-fn play(case: Case) -> Result<Caught, String> {
+fn play(case: Case) -> Result<CatchUp, String> {
     let mut world = World::new(case.seed, 3, 0, 1, case.bug);
     world.are_faults_over = true;
     world.operators.is_stopped = true;
@@ -232,11 +232,11 @@
     .ok_or("no writes without the member")?;
 
     let capacity = world.capacity.as_mut().expect("set above");
-    (capacity.most_waiting, capacity.sent_bytes) = (0, 0);
+    (capacity.max_backlog_bytes, capacity.sent_bytes) = (0, 0);
     world.start(away);
-    if let Some((trouble, after)) = case.trouble {
+    if let Some((fault, after)) = case.fault {
         write_for(&mut world, &mut writer, after);
-        befall(&mut world, &mut writer, away, trouble);
+        inject_fault(&mut world, &mut writer, away, fault);
     }
     let newest = (0..3)
         .map(|node| published(&world, node))
@@ -248,17 +248,17 @@
     let to_active = write_until(&mut world, &mut writer, |world, _| is_active(world, away));
     let (Some(to_state), Some(rest)) = (to_state, to_active) else {
         return Err(format!(
-            "not active after {LONGEST:?}, state after {to_state:?}"
+            "not active after {TIMEOUT:?}, state after {to_state:?}"
         ));
     };
     let capacity = world.capacity.as_ref().expect("set above");
-    let (most_waiting, sent_bytes) = (capacity.most_waiting, capacity.sent_bytes);
+    let (max_backlog_bytes, sent_bytes) = (capacity.max_backlog_bytes, capacity.sent_bytes);
     check_leadership(&mut world, &mut writer)?;
     let member = world.nodes[away].member.as_ref().expect("it runs");
-    Ok(Caught {
+    Ok(CatchUp {
         to_state,
         to_active: to_state + rest,
-        most_waiting,
+        max_backlog_bytes,
         sent_bytes,
         state_bytes: state_bytes(member.latest()),
     })
@@ -269,18 +269,18 @@
     write_until(world, writer, |world, _| world.now >= end);
 }
 
-fn befall(world: &mut World, writer: &mut Writer, away: usize, trouble: Trouble) {
-    match trouble {
-        Trouble::Killed => {
+fn inject_fault(world: &mut World, writer: &mut Writer, away: usize, fault: Fault) {
+    match fault {
+        Fault::Killed => {
             world.kill(away);
             world.start(away);
         }
-        Trouble::DiskStalls => {
+        Fault::DiskStalls => {
             world.nodes[away].is_disk_stalled = true;
             write_for(world, writer, Duration::from_secs(3));
             world.nodes[away].is_disk_stalled = false;
         }
-        Trouble::SourceKilled => {
+        Fault::SourceKilled => {
             let Some(source) = head(world).filter(|&head| head != away) else {
                 return;
             };
@@ -308,18 +308,18 @@
         write_until(world, writer, |world, _| {
             all_active(world) && head(world).is_some()
         })
-        .ok_or("not whole again")?;
-        let struck = head(world).expect("waited for");
-        world.kill(struck);
+        .ok_or("not all active again")?;
+        let affected = head(world).expect("waited for");
+        world.kill(affected);
         let target = writer.generation() + 2;
         write_until(world, writer, |_, writer| writer.generation() >= target).ok_or("no writes")?;
-        world.start(struck);
+        world.start(affected);
     }
     let acknowledged = writer.generation();
-    let is_settled = |world: &World, _: &Writer| {
+    let is_up_to_date = |world: &World, _: &Writer| {
         all_active(world) && (0..3).all(|node| generation(world, node) >= acknowledged)
     };
-    write_until(world, writer, is_settled).ok_or("old state at the end")?;
+    write_until(world, writer, is_up_to_date).ok_or("old state at the end")?;
     for node in 0..3 {
         let taken = &world.nodes[node]
             .member
@@ -342,14 +342,14 @@
 }
 
 /// The worst of the three positions in the chain.
-fn measure(link_rate: u64, bytes: usize, missed: u64) -> Caught {
-    let mut worst = Caught::default();
+fn measure(link_rate: u64, bytes: usize, missed: u64) -> CatchUp {
+    let mut worst = CatchUp::default();
     for position in 0..3 {
         let case = Case::new(link_rate, bytes, missed, position);
         let caught = play(case).unwrap_or_else(|fault| panic!("{case:?}: {fault}"));
         worst.to_state = worst.to_state.max(caught.to_state);
         worst.to_active = worst.to_active.max(caught.to_active);
-        worst.most_waiting = worst.most_waiting.max(caught.most_waiting);
+        worst.max_backlog_bytes = worst.max_backlog_bytes.max(caught.max_backlog_bytes);
         worst.sent_bytes = worst.sent_bytes.max(caught.sent_bytes);
         worst.state_bytes = worst.state_bytes.max(caught.state_bytes);
     }
@@ -388,7 +388,10 @@
             caught.to_active <= Duration::from_millis(2000),
             "{caught:?}"
         );
-        assert!(caught.most_waiting <= 4 * caught.state_bytes, "{caught:?}");
+        assert!(
+            caught.max_backlog_bytes <= 4 * caught.state_bytes,
+            "{caught:?}"
+        );
     }
 }
 
@@ -410,19 +413,22 @@
     for missed in [1, 10, 100] {
         let caught = measure(SLOW_LINK, LARGE, missed);
         assert!(caught.to_active <= Duration::from_secs(12), "{caught:?}");
-        assert!(caught.most_waiting <= 5 * caught.state_bytes, "{caught:?}");
+        assert!(
+            caught.max_backlog_bytes <= 5 * caught.state_bytes,
+            "{caught:?}"
+        );
     }
 }
 
 #[test]
-fn troubles_at_any_moment_of_catching_up() {
+fn faults_at_any_moment_of_catching_up() {
     let mut longest = Duration::ZERO;
-    for trouble in [Trouble::Killed, Trouble::DiskStalls, Trouble::SourceKilled] {
+    for fault in [Fault::Killed, Fault::DiskStalls, Fault::SourceKilled] {
         for (number, bytes) in (0..15).flat_map(|number| [(number, SMALL), (number, LARGE)]) {
             let after = Duration::from_millis(90 * number);
             let position = number as usize % 3;
             let case = Case {
-                trouble: Some((trouble, after)),
+                fault: Some((fault, after)),
                 ..Case::new(FAST_LINK, bytes, 10, position)
             };
             let caught = play(case).unwrap_or_else(|fault| panic!("{case:?}: {fault}"));
@@ -434,7 +440,7 @@
 }
 
 #[test]
-fn signs_of_life_behind_long_messages_are_found() {
+fn heartbeats_behind_long_messages_are_found() {
     let case = Case {
         has_one_queue: true,
         ..Case::new(SLOW_LINK, LARGE, 1, 0)
--- a/crates/tier/chain/tests/codec.rs
+++ b/crates/tier/chain/tests/codec.rs
@@ -3,8 +3,8 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use woadreach_chain::{
-    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope, MemberId,
-    Ping, PingTime, Place, Promise, PutConfiguration, PutStorageView, Record, Stamp,
+    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope, Heartbeat,
+    HeartbeatTime, MemberId, Place, Promise, PutConfiguration, PutStorageView, Record, Stamp,
     TakenConfiguration, View,
 };
 
@@ -34,9 +34,9 @@
     }
 }
 
-fn ping_time(generator: &mut Gen) -> PingTime {
-    PingTime {
-        life: u64::arbitrary(generator),
+fn heartbeat_time(generator: &mut Gen) -> HeartbeatTime {
+    HeartbeatTime {
+        incarnation: u64::arbitrary(generator),
         micros: u64::arbitrary(generator),
     }
 }
@@ -116,10 +116,10 @@
 impl Arbitrary for Generated<Envelope> {
     fn arbitrary(generator: &mut Gen) -> Self {
         let body = match u8::arbitrary(generator) % 10 {
-            0 => Body::Ping(Ping {
-                sent: ping_time(generator),
-                echo: ping_time(generator),
-                fit: bool::arbitrary(generator),
+            0 => Body::Heartbeat(Heartbeat {
+                sent: heartbeat_time(generator),
+                echo: heartbeat_time(generator),
+                can_replicate: bool::arbitrary(generator),
                 leaving: bool::arbitrary(generator),
                 bootstrap: bool::arbitrary(generator),
                 place: Place {
@@ -173,7 +173,7 @@
         Durable::decode(&durable.encode()).is_ok_and(|decoded| decoded == durable)
     }
 
-    fn cut_messages_are_refused(envelope: Generated<Envelope>, cut: usize) -> bool {
+    fn truncated_messages_are_rejected(envelope: Generated<Envelope>, cut: usize) -> bool {
         let bytes = envelope.0.encode();
         let cut = cut % bytes.len();
         Envelope::decode(&bytes[..cut]).is_err()
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -5,9 +5,9 @@
 
 mod simulation;
 
-use simulation::cuts::{CutRun, play};
 #[cfg(feature = "mutations")]
 use simulation::history::Violation;
+use simulation::partitions::{PartitionRun, play};
 use simulation::world::InjectedBug;
 
 fn number(variable: &str, default: u64) -> u64 {
@@ -21,7 +21,7 @@
     let first = number("WOADREACH_SEED", 1);
     let bug: Option<InjectedBug> = None;
     for seed in first..first + number("WOADREACH_RUNS", 50) {
-        let finding = play(CutRun {
+        let finding = play(PartitionRun {
             seed,
             nodes,
             fault_tolerance,
@@ -41,17 +41,17 @@
 }
 
 #[test]
-fn three_machines_bear_a_long_cut_of_one() {
+fn three_machines_tolerate_a_long_partition_of_one() {
     play_runs(3, 1);
 }
 
 #[test]
-fn four_machines_bear_a_long_cut_of_one() {
+fn four_machines_tolerate_a_long_partition_of_one() {
     play_runs(4, 1);
 }
 
 #[test]
-fn five_machines_bear_a_long_cut_of_two() {
+fn five_machines_tolerate_a_long_partition_of_two() {
     play_runs(5, 2);
 }
 
@@ -59,7 +59,7 @@
 fn is_found(mutation: woadreach_chain::Mutation) -> bool {
     (1..=100).any(|seed| {
         let bug = Some(InjectedBug::Member(mutation));
-        let finding = play(CutRun {
+        let finding = play(PartitionRun {
             seed,
             nodes: 3,
             fault_tolerance: 1,
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Departure, Durable, Envelope, Input, Member, MemberId, MemberOptions, Ping, PingTime,
-    Place, Record, Stamp, Tolerance, View,
+    Body, Departure, Durable, Envelope, Heartbeat, HeartbeatTime, Input, Member, MemberId,
+    MemberOptions, Place, Record, Stamp, Tolerance, View,
 };
 
 const EPOCH: u64 = 5;
@@ -47,7 +47,7 @@
     Member::new(Duration::ZERO, options, durable)
 }
 
-fn tell(member: &mut Member, now: Duration, from: u8, epoch: u64, body: Body) {
+fn deliver(member: &mut Member, now: Duration, from: u8, epoch: u64, body: Body) {
     member.handle(
         now,
         Input::Message(Envelope {
@@ -61,59 +61,59 @@
 /// The machines of the chain hear everyone, and say that they have the state.
 fn hear_the_chain(member: &mut Member, now: Duration) {
     for number in 1..=3 {
-        let ping = Ping {
-            sent: PingTime {
-                life: u64::from(number),
+        let heartbeat = Heartbeat {
+            sent: HeartbeatTime {
+                incarnation: u64::from(number),
                 micros: now.as_micros() as u64,
             },
-            echo: PingTime::default(),
-            fit: true,
+            echo: HeartbeatTime::default(),
+            can_replicate: true,
             leaving: false,
             bootstrap: false,
             place: Place::default(),
             committed: Stamp::default(),
             hears: (1..=LEARNER).map(id).collect(),
         };
-        tell(member, now, number, EPOCH, Body::Ping(ping));
-        tell(member, now, number, EPOCH, Body::Active);
+        deliver(member, now, number, EPOCH, Body::Heartbeat(heartbeat));
+        deliver(member, now, number, EPOCH, Body::Active);
     }
 }
 
 #[test]
-fn a_learner_stays_while_a_view_may_be_on_its_way_that_takes_it_in() {
+fn a_learner_stays_while_a_view_that_adds_it_may_be_pending() {
     let mut member = learner();
-    let told = Duration::from_secs(10);
-    hear_the_chain(&mut member, told);
-    member.handle(told, Input::Leave);
+    let stopped_at = Duration::from_secs(10);
+    hear_the_chain(&mut member, stopped_at);
+    member.handle(stopped_at, Input::Leave);
     for passed in [0, 100, 500, 900] {
-        let now = told + Duration::from_millis(passed);
+        let now = stopped_at + Duration::from_millis(passed);
         hear_the_chain(&mut member, now);
         assert_eq!(
             member.departure(now),
             Departure::ViewPending,
-            "{passed} ms after it was told to stop"
+            "{passed} ms after shutdown began"
         );
     }
-    let now = told + Duration::from_millis(1000);
+    let now = stopped_at + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
     assert_eq!(member.departure(now), Departure::Free);
 }
 
 #[test]
-fn a_learner_that_a_late_view_takes_in_stays() {
+fn a_learner_that_a_late_view_adds_stays() {
     let mut member = learner();
-    let told = Duration::from_secs(10);
-    hear_the_chain(&mut member, told);
-    member.handle(told, Input::Leave);
-    let decided = told + Duration::from_millis(600);
-    tell(
+    let stopped_at = Duration::from_secs(10);
+    hear_the_chain(&mut member, stopped_at);
+    member.handle(stopped_at, Input::Leave);
+    let decided = stopped_at + Duration::from_millis(600);
+    deliver(
         &mut member,
         decided,
         1,
         EPOCH,
         Body::Decided(view(EPOCH + 1, &[1, 2, LEARNER])),
     );
-    let now = told + Duration::from_millis(1000);
+    let now = stopped_at + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
     assert_eq!(member.departure(now), Departure::InChain);
 }
--- a/crates/tier/chain/tests/failover.rs
+++ b/crates/tier/chain/tests/failover.rs
@@ -16,7 +16,7 @@
 fn calm_world(seed: u64) -> (World, Vec<usize>) {
     let mut world = World::new(seed, 3, 0, 1, None);
     world.are_faults_over = true;
-    world.operators.patience = Duration::from_millis(30);
+    world.operators.retry_timeout = Duration::from_millis(30);
     world.operators.are_orderly = true;
     world.run_until(Duration::from_secs(6));
     let member = world.nodes[0].member.as_ref().expect("it runs");
@@ -29,22 +29,22 @@
     (world, positions)
 }
 
-fn gap_after(seed: u64, position: usize, strike: fn(&mut World, usize)) -> Duration {
+fn gap_after(seed: u64, position: usize, inject_next_fault: fn(&mut World, usize)) -> Duration {
     let (mut world, chain) = calm_world(seed);
     assert_eq!(chain.len(), 3);
-    let struck = world.now;
-    strike(&mut world, chain[position]);
+    let affected = world.now;
+    inject_next_fault(&mut world, chain[position]);
     let before = world.history.acknowledged;
-    while world.history.acknowledged == before && world.now < struck + Duration::from_secs(5) {
+    while world.history.acknowledged == before && world.now < affected + Duration::from_secs(5) {
         let next = world.now + Duration::from_millis(10);
         world.run_until(next);
     }
-    world.now - struck
+    world.now - affected
 }
 
-fn longest_gap(position: usize, strike: fn(&mut World, usize)) -> Duration {
+fn longest_gap(position: usize, inject_next_fault: fn(&mut World, usize)) -> Duration {
     let gap = (1..=RUNS)
-        .map(|seed| gap_after(seed, position, strike))
+        .map(|seed| gap_after(seed, position, inject_next_fault))
         .max()
         .expect("runs");
     println!("longest of {RUNS} runs at position {position}: {gap:?}");
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Durable, Envelope, Input, MemberId, Output, Ping, PingTime, Place, RequestId, Stamp,
-    TimedStep, View,
+    Body, Durable, Envelope, Heartbeat, HeartbeatTime, Input, MemberId, Output, Place, RequestId,
+    Stamp, TimedStep, View,
 };
 
 use super::machine::{Machine, address, first_identity, index_of};
@@ -17,9 +17,9 @@
 /// Epoch of the first view.
 const FIRST_EPOCH: u64 = 2;
 const START: Duration = Duration::from_secs(10);
-const GREETING_INTERVAL: Duration = Duration::from_millis(200);
-/// After so many signs of life a machine counts as steady, and one that was silent meanwhile as suspected.
-const GREETINGS: usize = 6;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// After so many heartbeats a machine counts as steady, and one that was silent meanwhile as suspected.
+const HEARTBEATS_UNTIL_STABLE: usize = 6;
 
 /// How often each thing has happened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -34,7 +34,7 @@
 }
 
 /// A message on its way.
-pub(crate) type Letter = (usize, Arc<Vec<u8>>);
+pub(crate) type InFlightMessage = (usize, Arc<Vec<u8>>);
 
 /// A state of the searched core.
 #[derive(Clone)]
@@ -42,7 +42,7 @@
     pub now: Duration,
     pub machines: Vec<Arc<Machine>>,
     /// Messages on their way; the same message twice counts once.
-    pub letters: BTreeSet<Letter>,
+    pub messages: BTreeSet<InFlightMessage>,
     pub counts: Counts,
     pub oracle: Oracle,
 }
@@ -52,7 +52,7 @@
         self.machines
             .iter()
             .for_each(|machine| machine.digest().hash(state));
-        self.letters.hash(state);
+        self.messages.hash(state);
         self.counts.hash(state);
         format!("{:?}", self.oracle.canonical()).hash(state);
     }
@@ -67,7 +67,7 @@
                 .collect::<Vec<_>>()
         };
         digests(self) == digests(other)
-            && self.letters == other.letters
+            && self.messages == other.messages
             && self.counts == other.counts
     }
 }
@@ -86,7 +86,7 @@
                 durable.state.stamp
             )?;
         }
-        for (to, bytes) in &self.letters {
+        for (to, bytes) in &self.messages {
             writeln!(formatter, "  to {to}: {:?}", Envelope::decode(bytes))?;
         }
         write!(formatter, "{:?}", self.oracle.violation)
@@ -113,15 +113,15 @@
         let mut core = Core {
             now: START,
             machines: (0..world.machines).map(machine).collect(),
-            letters: BTreeSet::new(),
+            messages: BTreeSet::new(),
             counts: Counts::default(),
             oracle: Oracle::default(),
         };
-        core.oracle.installed(&view, None);
-        core.mutation(world, 0..world.machines);
-        core.greet_for_long(world);
+        core.oracle.record_view(&view, None);
+        core.apply_mutation(world, 0..world.machines);
+        core.exchange_heartbeats_until_stable(world);
         if world.inactive.is_empty() {
-            core.settle(world);
+            core.deliver_and_resend(world);
         }
         core.compute_digests();
         core
@@ -139,59 +139,62 @@
     }
 
     #[cfg(feature = "mutations")]
-    fn mutation(&mut self, world: &World, machines: std::ops::Range<usize>) {
+    fn apply_mutation(&mut self, world: &World, machines: std::ops::Range<usize>) {
         for index in machines {
             if let Some(mutation) = world.mutation {
                 Arc::make_mut(&mut self.machines[index])
                     .member
-                    .mutation(mutation);
+                    .set_mutation(mutation);
             }
         }
     }
 
     #[cfg(not(feature = "mutations"))]
-    fn mutation(&mut self, _: &World, _: std::ops::Range<usize>) {}
+    fn apply_mutation(&mut self, _: &World, _: std::ops::Range<usize>) {}
 
-    fn sign_of_life(&self, from: usize) -> Envelope {
+    fn heartbeat(&self, from: usize) -> Envelope {
         let machine = &self.machines[from];
-        let ping = Ping {
-            fit: !machine.is_leaving,
+        let heartbeat = Heartbeat {
+            can_replicate: !machine.is_leaving,
             leaving: machine.is_leaving,
             bootstrap: false,
             place: Place::default(),
             committed: Stamp::default(),
-            sent: PingTime::default(),
-            echo: PingTime::default(),
+            sent: HeartbeatTime::default(),
+            echo: HeartbeatTime::default(),
             hears: self.machines.iter().map(|machine| machine.id()).collect(),
         };
         Envelope {
             from: machine.id(),
             epoch: machine.epoch(),
-            body: Body::Ping(ping),
+            body: Body::Heartbeat(heartbeat),
         }
     }
 
-    /// Everyone hears a sign of life of everyone.
-    pub(crate) fn greet(&mut self, world: &World) {
-        let pings: Vec<Envelope> = (0..self.machines.len())
-            .map(|from| self.sign_of_life(from))
+    /// Everyone hears a heartbeat of everyone.
+    pub(crate) fn exchange_heartbeats(&mut self, world: &World) {
+        let heartbeats: Vec<Envelope> = (0..self.machines.len())
+            .map(|from| self.heartbeat(from))
             .collect();
         for to in 0..self.machines.len() {
-            Arc::make_mut(&mut self.machines[to]).has_greeted = true;
-            for ping in pings.iter().filter(|ping| ping.from.address != address(to)) {
-                self.input(world, to, Input::Message(ping.clone()));
+            Arc::make_mut(&mut self.machines[to]).has_exchanged_heartbeats = true;
+            for heartbeat in heartbeats
+                .iter()
+                .filter(|heartbeat| heartbeat.from.address != address(to))
+            {
+                self.input(world, to, Input::Message(heartbeat.clone()));
             }
         }
     }
 
     /// So much time passes that machines count as steady, or as silent.
-    fn greet_for_long(&mut self, world: &World) {
-        for _ in 0..GREETINGS {
-            self.now += GREETING_INTERVAL;
+    fn exchange_heartbeats_until_stable(&mut self, world: &World) {
+        for _ in 0..HEARTBEATS_UNTIL_STABLE {
+            self.now += HEARTBEAT_INTERVAL;
             for index in 0..self.machines.len() {
                 self.step(world, index, TimedStep::Nothing);
             }
-            self.greet(world);
+            self.exchange_heartbeats(world);
         }
     }
 
@@ -200,7 +203,7 @@
         let outputs = Arc::make_mut(&mut self.machines[index])
             .member
             .handle(now, input);
-        self.carry_out(world, index, outputs);
+        self.execute(world, index, outputs);
     }
 
     pub(crate) fn step(&mut self, world: &World, index: usize, step: TimedStep) {
@@ -208,14 +211,14 @@
         let outputs = Arc::make_mut(&mut self.machines[index])
             .member
             .take_step(now, step);
-        self.carry_out(world, index, outputs);
+        self.execute(world, index, outputs);
     }
 
     /// Does what the member asks for; disks that are not slow sync at once.
-    fn carry_out(&mut self, world: &World, index: usize, outputs: Vec<Output>) {
+    fn execute(&mut self, world: &World, index: usize, outputs: Vec<Output>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
-            self.carry_out_one(index, output);
+            self.execute_output(index, output);
             let is_done = outputs.is_empty() && !world.slow_disks.contains(&index);
             if is_done && let Some(through) = Arc::make_mut(&mut self.machines[index]).sync() {
                 let now = self.now;
@@ -226,7 +229,7 @@
         Arc::make_mut(&mut self.machines[index]).forget_digest();
     }
 
-    fn carry_out_one(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Persist { number, record } => {
                 Arc::make_mut(&mut self.machines[index])
@@ -236,39 +239,39 @@
             Output::Send { to, envelope } => self.send(index_of(to), &envelope),
             Output::Reply { id, reply } => {
                 let published = Arc::clone(self.machines[index].member.published());
-                self.oracle.replies(id.0, &reply, &published);
+                self.oracle.record_reply(id.0, &reply, &published);
             }
             Output::Committed(state) => {
                 let view = &self.machines[index].member.durable().view;
                 let epoch = view.epoch;
                 if view.is_tail(self.machines[index].id()) {
-                    self.oracle.commits(epoch, &state);
+                    self.oracle.record_commit(epoch, &state);
                 }
             }
             Output::ViewInstalled(view) => {
                 let machine = &self.machines[index];
                 let is_head = view.head() == Some(machine.id());
                 let head = is_head.then(|| machine.member.durable().state.clone());
-                self.oracle.installed(&view, head.as_ref());
+                self.oracle.record_view(&view, head.as_ref());
             }
         }
     }
 
     fn send(&mut self, to: usize, envelope: &Envelope) {
         match &envelope.body {
-            Body::Ping(_) | Body::RequestState | Body::Committed(_) => return,
+            Body::Heartbeat(_) | Body::RequestState | Body::Committed(_) => return,
             Body::Accept(accepted) if accepted.ballot.proposer == envelope.from => {
                 self.oracle
-                    .proposes(envelope.epoch, accepted.ballot, &accepted.view);
+                    .record_proposal(envelope.epoch, accepted.ballot, &accepted.view);
             }
             _ => {}
         }
-        self.letters.insert((to, Arc::new(envelope.encode())));
+        self.messages.insert((to, Arc::new(envelope.encode())));
     }
 
-    pub(crate) fn deliver(&mut self, world: &World, letter: &Letter) {
-        let envelope = Envelope::decode(&letter.1).expect("a message that a member has sent");
-        self.input(world, letter.0, Input::Message(envelope));
+    pub(crate) fn deliver(&mut self, world: &World, message: &InFlightMessage) {
+        let envelope = Envelope::decode(&message.1).expect("a message that a member has sent");
+        self.input(world, message.0, Input::Message(envelope));
     }
 
     pub(crate) fn sync(&mut self, world: &World, index: usize) {
@@ -291,21 +294,21 @@
             100 + index as u64
         };
         self.start(world, index, Durable::new(identity, false, View::default()));
-        self.greet_for_long(world);
+        self.exchange_heartbeats_until_stable(world);
     }
 
     fn start(&mut self, world: &World, index: usize, disk: Durable) {
         self.machines[index] = Arc::new(Machine::start(self.now, index, world.faults, disk));
-        self.mutation(world, index..index + 1);
+        self.apply_mutation(world, index..index + 1);
     }
 
     pub(crate) fn leave(&mut self, world: &World, index: usize) {
         Arc::make_mut(&mut self.machines[index]).is_leaving = true;
         self.input(world, index, Input::Leave);
-        self.greet(world);
+        self.exchange_heartbeats(world);
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn submit(
         &mut self,
         world: &World,
         index: usize,
@@ -316,8 +319,8 @@
 
     /// Delivers every message, in their order, until none is left.
     pub(crate) fn deliver_all(&mut self, world: &World) {
-        while let Some(letter) = self.letters.pop_first() {
-            self.deliver(world, &letter);
+        while let Some(message) = self.messages.pop_first() {
+            self.deliver(world, &message);
         }
     }
 }
--- a/crates/tier/chain/tests/member_model/machine.rs
+++ b/crates/tier/chain/tests/member_model/machine.rs
@@ -16,8 +16,8 @@
     /// Records on their way to the disk.
     pub unsynced: Vec<(u64, Record)>,
     pub is_leaving: bool,
-    /// Whether it has exchanged signs of life with the others in this life.
-    pub has_greeted: bool,
+    /// Whether it has exchanged heartbeats with the others in this life.
+    pub has_exchanged_heartbeats: bool,
     /// Hash of everything above, once it is needed.
     digest: Option<u64>,
 }
@@ -56,7 +56,7 @@
             synced: durable,
             unsynced: Vec::new(),
             is_leaving: false,
-            has_greeted: false,
+            has_exchanged_heartbeats: false,
             digest: None,
         }
     }
@@ -121,7 +121,12 @@
         self.member.write_canonical(&mut text);
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
-        (self.unsynced.len(), self.is_leaving, self.has_greeted).hash(&mut hasher);
+        (
+            self.unsynced.len(),
+            self.is_leaving,
+            self.has_exchanged_heartbeats,
+        )
+            .hash(&mut hasher);
         self.digest = Some(hasher.finish());
     }
 
--- a/crates/tier/chain/tests/member_model/main.rs
+++ b/crates/tier/chain/tests/member_model/main.rs
@@ -15,7 +15,7 @@
 use self::core::Counts;
 use self::world::World;
 
-const NOTHING: Counts = Counts {
+const NO_EVENTS: Counts = Counts {
     proposals: 0,
     crashes: 0,
     wipes: 0,
@@ -36,7 +36,7 @@
         slow_disks: Vec::new(),
         proposers: vec![0, 1, 2],
         victims: vec![0, 1, 2],
-        most: NOTHING,
+        limits: NO_EVENTS,
         identity_survives: false,
         is_recovery_checked: false,
         #[cfg(feature = "mutations")]
@@ -44,17 +44,17 @@
     }
 }
 
-fn further() -> usize {
+fn additional_depth() -> usize {
     std::env::var("WOADREACH_MODEL_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0)
 }
 
-/// Searches every run of at most `actions` actions; gives the violation that was found.
+/// Searches every run of at limits `actions` actions; gives the violation that was found.
 fn search(name: &str, world: World, actions: usize) -> Option<String> {
     let started = Instant::now();
-    let actions = actions + further();
+    let actions = actions + additional_depth();
     let checker = world
         .checker()
         .threads(2)
@@ -84,13 +84,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn an_election_and_an_order() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         orders: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     assert_eq!(
-        search("an election and an order", World { most, ..three() }, 40),
+        search("an election and an order", World { limits, ..three() }, 40),
         None
     );
 }
@@ -101,12 +101,12 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn two_elections_at_once() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 2,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![0, 1],
         ..three()
     };
@@ -119,13 +119,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_ballot_stands_for_one_view() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 2,
         crashes: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         slow_disks: vec![0],
         victims: vec![0],
         proposers: vec![0],
@@ -140,14 +140,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_slow_tail_dies() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         crashes: 1,
         orders: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         slow_disks: vec![2],
         victims: vec![2],
         proposers: vec![1],
@@ -162,14 +162,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_read_is_not_behind_an_acknowledged_order() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         orders: 1,
         reads: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![1],
         ..three()
     };
@@ -182,13 +182,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn two_orders_on_one_generation() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         orders: 3,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![1],
         ..three()
     };
@@ -201,14 +201,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn messages_come_twice() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         orders: 1,
         repeats: 2,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![1],
         ..three()
     };
@@ -221,14 +221,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_disk_is_lost() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         wipes: 1,
         orders: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![0, 1],
         victims: vec![0],
         is_recovery_checked: true,
@@ -243,13 +243,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn the_only_active_member_loses_its_disk() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         wipes: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         chain: 2,
         inactive: vec![1],
         proposers: vec![0],
@@ -266,14 +266,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_machine_restarts_and_loses_its_disk() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         wipes: 1,
         crashes: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         proposers: vec![0],
         victims: vec![0],
         is_recovery_checked: true,
@@ -288,15 +288,15 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_member_leaves_for_a_learner() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         leaves: 1,
         orders: 1,
         wipes: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         machines: 4,
         proposers: vec![1],
         victims: vec![0],
@@ -312,14 +312,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn five_machines_lose_two_disks() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         wipes: 2,
         orders: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         machines: 5,
         voters: 5,
         chain: 3,
@@ -338,14 +338,14 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    let most = Counts {
+    let limits = Counts {
         proposals: 1,
         wipes: 1,
         orders: 1,
-        ..NOTHING
+        ..NO_EVENTS
     };
     let world = World {
-        most,
+        limits,
         identity_survives: true,
         proposers: vec![1],
         victims: vec![0],
@@ -362,14 +362,14 @@
 
     #[test]
     fn saying_what_is_not_synced_is_found() {
-        let most = Counts {
+        let limits = Counts {
             proposals: 2,
             crashes: 1,
-            ..NOTHING
+            ..NO_EVENTS
         };
         let mutation = Some(Mutation::AcknowledgeBeforeSync);
         let world = World {
-            most,
+            limits,
             mutation,
             slow_disks: vec![0],
             victims: vec![0],
@@ -381,15 +381,15 @@
 
     #[test]
     fn reading_without_a_barrier_is_found() {
-        let most = Counts {
+        let limits = Counts {
             proposals: 1,
             orders: 1,
             reads: 1,
-            ..NOTHING
+            ..NO_EVENTS
         };
         let mutation = Some(Mutation::ReadWithoutBarrier);
         let world = World {
-            most,
+            limits,
             mutation,
             proposers: vec![1],
             ..three()
@@ -399,13 +399,13 @@
 
     #[test]
     fn taking_messages_of_any_epoch_is_found() {
-        let most = Counts {
+        let limits = Counts {
             proposals: 2,
             orders: 1,
-            ..NOTHING
+            ..NO_EVENTS
         };
         let world = World {
-            most,
+            limits,
             mutation: Some(Mutation::NoEpochCheck),
             proposers: vec![1, 2],
             ..three()
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -9,7 +9,7 @@
 
 /// A request that was handed to a head.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Asked {
+pub(crate) struct IssuedRequest {
     /// Position in the list of orders; none for a read.
     order: Option<usize>,
     /// Acknowledged configurations when it was handed over.
@@ -28,7 +28,7 @@
     /// The longest history that was acknowledged.
     acknowledged: usize,
     refused: Vec<usize>,
-    asked: Vec<Asked>,
+    requests: Vec<IssuedRequest>,
     decided: BTreeMap<u64, View>,
     /// Views that a ballot has proposed.
     proposed: BTreeMap<(u64, Ballot), View>,
@@ -63,7 +63,7 @@
             &self.commits,
             self.acknowledged,
             &self.refused,
-            &self.asked,
+            &self.requests,
             &self.proposed,
         )
     }
@@ -72,12 +72,12 @@
         self.decided.keys().next_back().copied().unwrap_or_default()
     }
 
-    pub(crate) fn is_anything_acknowledged(&self) -> bool {
+    pub(crate) fn has_acknowledgements(&self) -> bool {
         self.acknowledged > 0
     }
 
     /// A ballot proposes a view.
-    pub(crate) fn proposes(&mut self, epoch: u64, ballot: Ballot, view: &View) {
+    pub(crate) fn record_proposal(&mut self, epoch: u64, ballot: Ballot, view: &View) {
         let first = self
             .proposed
             .entry((epoch, ballot))
@@ -91,7 +91,7 @@
     }
 
     /// A view comes into force at a member, whose state is `state` after that if it is the head.
-    pub(crate) fn installed(&mut self, view: &View, head: Option<&ControlState>) {
+    pub(crate) fn record_view(&mut self, view: &View, head: Option<&ControlState>) {
         let first = self
             .decided
             .entry(view.epoch)
@@ -113,7 +113,7 @@
     }
 
     /// A tail has committed `state` in `epoch`.
-    pub(crate) fn commits(&mut self, epoch: u64, state: &ControlState) {
+    pub(crate) fn record_commit(&mut self, epoch: u64, state: &ControlState) {
         let found = history(state);
         let common = found.len().min(self.committed.len());
         if found[..common] != self.committed[..common] {
@@ -140,58 +140,60 @@
     }
 
     /// The request that is handed over next, with its number.
-    pub(crate) fn asks_order(&mut self, position: usize) -> (u64, Request) {
-        let number = self.note(Some(position));
+    pub(crate) fn issue_order(&mut self, position: usize) -> (u64, Request) {
+        let number = self.record_request(Some(position));
         (
             number,
             Request::Submit(Command::PutConfiguration(order(position))),
         )
     }
 
-    pub(crate) fn asks_read(&mut self) -> (u64, Request) {
-        (self.note(None), Request::ReadConfiguration)
+    pub(crate) fn issue_read(&mut self) -> (u64, Request) {
+        (self.record_request(None), Request::ReadConfiguration)
     }
 
-    pub(crate) fn asks_confirmation(&mut self) -> (u64, Request) {
-        (self.note(None), Request::Confirm)
+    pub(crate) fn issue_confirmation(&mut self) -> (u64, Request) {
+        (self.record_request(None), Request::Confirm)
     }
 
-    fn note(&mut self, order: Option<usize>) -> u64 {
-        self.asked.push(Asked {
+    fn record_request(&mut self, order: Option<usize>) -> u64 {
+        self.requests.push(IssuedRequest {
             order,
             acknowledged: self.acknowledged,
             is_answered: false,
         });
-        self.asked.len() as u64 - 1
+        self.requests.len() as u64 - 1
     }
 
     /// Whether request `number` has a clear answer.
     pub(crate) fn is_answered(&self, number: u64) -> bool {
-        self.asked[number as usize].is_answered
+        self.requests[number as usize].is_answered
     }
 
     /// A head answers; `published` is the state that it has published.
-    pub(crate) fn replies(&mut self, number: u64, reply: &Reply, published: &ControlState) {
-        let asked = self.asked[number as usize].clone();
+    pub(crate) fn record_reply(&mut self, number: u64, reply: &Reply, published: &ControlState) {
+        let issued = self.requests[number as usize].clone();
         if matches!(reply, Reply::Unavailable | Reply::Undecided(_)) {
             return;
         }
-        self.asked[number as usize].is_answered = true;
-        match (reply, asked.order) {
-            (Reply::Taken | Reply::AlreadyTaken, Some(position)) => self.acknowledges(position),
+        self.requests[number as usize].is_answered = true;
+        match (reply, issued.order) {
+            (Reply::Taken | Reply::AlreadyTaken, Some(position)) => {
+                self.check_acknowledgement(position)
+            }
             (Reply::Rejected(rejection), Some(position)) => {
-                self.refuses(position, &asked, *rejection)
+                self.check_rejection(position, &issued, *rejection)
             }
             (Reply::Configuration(found), None) => {
                 let generation = found.as_ref().map_or(0, |(generation, _)| *generation);
-                self.reads(&asked, generation);
+                self.check_read(&issued, generation);
             }
-            (Reply::Confirmed, None) => self.reads(&asked, published.generation()),
-            _ => self.fail(format!("{reply:?} to {asked:?}")),
+            (Reply::Confirmed, None) => self.check_read(&issued, published.generation()),
+            _ => self.fail(format!("{reply:?} to {issued:?}")),
         }
     }
 
-    fn acknowledges(&mut self, position: usize) {
+    fn check_acknowledgement(&mut self, position: usize) {
         let order = order(position);
         match self
             .committed
@@ -203,10 +205,10 @@
         }
     }
 
-    fn refuses(&mut self, position: usize, asked: &Asked, rejection: Rejection) {
+    fn check_rejection(&mut self, position: usize, issued: &IssuedRequest, rejection: Rejection) {
         let order = order(position);
         let is_known = |(_, digest): &(u64, Digest)| *digest == order.digest;
-        if self.committed[..asked.acknowledged].iter().any(is_known) {
+        if self.committed[..issued.acknowledged].iter().any(is_known) {
             self.fail("an acknowledged order is refused when it is sent again");
         }
         let current = match rejection {
@@ -215,12 +217,12 @@
                 return self.fail("a refusal of another kind");
             }
         };
-        self.reads(asked, current);
+        self.check_read(issued, current);
         if self.committed.iter().any(is_known) {
             // The first copy of it may have been taken since; the same order is then taken, not refused.
             self.fail("a committed order is refused");
         }
-        let is_sent_twice = self.asked.iter().filter(|other| {
+        let is_sent_twice = self.requests.iter().filter(|other| {
             other
                 .order
                 .is_some_and(|other| self::order(other).digest == order.digest)
@@ -231,8 +233,8 @@
     }
 
     /// An answer was based on `generation` as the newest.
-    fn reads(&mut self, asked: &Asked, generation: u64) {
-        let newest = self.committed[..asked.acknowledged]
+    fn check_read(&mut self, issued: &IssuedRequest, generation: u64) {
+        let newest = self.committed[..issued.acknowledged]
             .last()
             .map_or(0, |(generation, _)| *generation);
         if generation < newest {
--- a/crates/tier/chain/tests/member_model/recovery.rs
+++ b/crates/tier/chain/tests/member_model/recovery.rs
@@ -21,8 +21,8 @@
         for index in 0..core.machines.len() {
             core.sync(&world, index);
         }
-        core.greet(&world);
-        core.settle(&world);
+        core.exchange_heartbeats(&world);
+        core.deliver_and_resend(&world);
         for round in 0..ROUNDS {
             if core.serves(&world) {
                 return true;
@@ -33,7 +33,7 @@
     }
 
     /// Delivers everything, and what is sent again after a pause.
-    pub(crate) fn settle(&mut self, world: &World) {
+    pub(crate) fn deliver_and_resend(&mut self, world: &World) {
         self.deliver_all(world);
         for index in 0..self.machines.len() {
             self.step(world, index, TimedStep::Resend);
@@ -55,7 +55,7 @@
         self.step(world, proposer, TimedStep::Propose);
         self.deliver_all(world);
         self.step(world, proposer, TimedStep::EndReportWait);
-        self.settle(world);
+        self.deliver_and_resend(world);
     }
 
     fn serves(&mut self, world: &World) -> bool {
@@ -67,10 +67,10 @@
         let Some(head) = self.machines.iter().position(is_head) else {
             return false;
         };
-        let request = self.oracle.asks_confirmation();
+        let request = self.oracle.issue_confirmation();
         let number = request.0;
-        self.ask(world, head, request);
-        self.settle(world);
+        self.submit(world, head, request);
+        self.deliver_and_resend(world);
         self.oracle.is_answered(number)
     }
 }
--- a/crates/tier/chain/tests/member_model/world.rs
+++ b/crates/tier/chain/tests/member_model/world.rs
@@ -5,7 +5,7 @@
 use stateright::{Model, Property};
 use woadreach_chain::{Body, Envelope, TimedStep};
 
-use super::core::{Core, Counts, Letter};
+use super::core::{Core, Counts, InFlightMessage};
 use super::machine::Machine;
 
 /// One world to search.
@@ -25,7 +25,7 @@
     pub proposers: Vec<usize>,
     /// Machines that may be killed or wiped.
     pub victims: Vec<usize>,
-    pub most: Counts,
+    pub limits: Counts,
     /// Mutated: a member that lost its disk keeps its identity.
     pub identity_survives: bool,
     /// Whether each state must lead back to service once everyone is up and every message comes.
@@ -36,9 +36,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
-    Deliver(Letter),
+    Deliver(InFlightMessage),
     /// A message comes, and will come again.
-    Repeat(Letter),
+    Repeat(InFlightMessage),
     Sync(usize),
     Propose(usize),
     /// The proposer goes on with the reports that it has.
@@ -48,8 +48,8 @@
         index: usize,
         kept: usize,
     },
-    /// A machine that was started anew exchanges signs of life.
-    Greet,
+    /// A machine that was started anew exchanges heartbeats.
+    ExchangeHeartbeats,
     Wipe(usize),
     Leave(usize),
     Order(usize),
@@ -60,7 +60,7 @@
     fn timed(&self, core: &Core, actions: &mut Vec<Action>) {
         for (index, machine) in core.machines.iter().enumerate() {
             let can_propose =
-                self.proposers.contains(&index) && core.counts.proposals < self.most.proposals;
+                self.proposers.contains(&index) && core.counts.proposals < self.limits.proposals;
             if can_propose && machine.member.durable().view.is_voter(machine.id()) {
                 actions.push(Action::Propose(index));
             }
@@ -70,8 +70,8 @@
             if !machine.unsynced.is_empty() {
                 actions.push(Action::Sync(index));
             }
-            if !machine.has_greeted {
-                actions.push(Action::Greet);
+            if !machine.has_exchanged_heartbeats {
+                actions.push(Action::ExchangeHeartbeats);
                 actions.push(Action::Resend(index));
             }
         }
@@ -80,14 +80,14 @@
     fn faults(&self, core: &Core, actions: &mut Vec<Action>) {
         for &index in &self.victims {
             let machine: &Arc<Machine> = &core.machines[index];
-            if core.counts.crashes < self.most.crashes {
+            if core.counts.crashes < self.limits.crashes {
                 let kept = 0..=machine.unsynced.len();
                 actions.extend(kept.map(|kept| Action::Crash { index, kept }));
             }
-            if core.counts.wipes < self.most.wipes {
+            if core.counts.wipes < self.limits.wipes {
                 actions.push(Action::Wipe(index));
             }
-            if core.counts.leaves < self.most.leaves && !machine.is_leaving {
+            if core.counts.leaves < self.limits.leaves && !machine.is_leaving {
                 actions.push(Action::Leave(index));
             }
         }
@@ -98,10 +98,10 @@
             if !machine.is_serving_head(core.now) {
                 continue;
             }
-            if core.counts.orders < self.most.orders {
+            if core.counts.orders < self.limits.orders {
                 actions.push(Action::Order(index));
             }
-            if core.counts.reads < self.most.reads && core.oracle.is_anything_acknowledged() {
+            if core.counts.reads < self.limits.reads && core.oracle.has_acknowledgements() {
                 actions.push(Action::Read(index));
             }
         }
@@ -120,9 +120,9 @@
         if core.oracle.violation.is_some() {
             return;
         }
-        actions.extend(core.letters.iter().cloned().map(Action::Deliver));
-        if core.counts.repeats < self.most.repeats {
-            actions.extend(core.letters.iter().cloned().map(Action::Repeat));
+        actions.extend(core.messages.iter().cloned().map(Action::Deliver));
+        if core.counts.repeats < self.limits.repeats {
+            actions.extend(core.messages.iter().cloned().map(Action::Repeat));
         }
         self.timed(core, actions);
         self.faults(core, actions);
@@ -132,13 +132,13 @@
     fn next_state(&self, core: &Core, action: Action) -> Option<Core> {
         let mut next = core.clone();
         match action {
-            Action::Deliver(letter) => {
-                next.letters.remove(&letter);
-                next.deliver(self, &letter);
+            Action::Deliver(message) => {
+                next.messages.remove(&message);
+                next.deliver(self, &message);
             }
-            Action::Repeat(letter) => {
+            Action::Repeat(message) => {
                 next.counts.repeats += 1;
-                next.deliver(self, &letter);
+                next.deliver(self, &message);
             }
             Action::Sync(index) => next.sync(self, index),
             Action::Propose(index) => {
@@ -151,7 +151,7 @@
                 next.counts.crashes += 1;
                 next.crash(self, index, kept);
             }
-            Action::Greet => next.greet(self),
+            Action::ExchangeHeartbeats => next.exchange_heartbeats(self),
             Action::Wipe(index) => {
                 next.counts.wipes += 1;
                 next.wipe(self, index);
@@ -163,17 +163,17 @@
             Action::Order(index) => {
                 let position = usize::from(next.counts.orders);
                 next.counts.orders += 1;
-                let request = next.oracle.asks_order(position);
-                next.ask(self, index, request);
+                let request = next.oracle.issue_order(position);
+                next.submit(self, index, request);
             }
             Action::Read(index) => {
                 next.counts.reads += 1;
-                let request = next.oracle.asks_read();
-                next.ask(self, index, request);
+                let request = next.oracle.issue_read();
+                next.submit(self, index, request);
             }
         }
         next.compute_digests();
-        let has_lost_all = next.counts.wipes == self.most.wipes;
+        let has_lost_all = next.counts.wipes == self.limits.wipes;
         if self.is_recovery_checked
             && has_lost_all
             && next.oracle.violation.is_none()
--- a/crates/tier/chain/tests/model.rs
+++ b/crates/tier/chain/tests/model.rs
@@ -105,7 +105,7 @@
             member: id(node.identity),
             active_epoch: node.active,
             stamp: Stamp { epoch, number },
-            fit: true,
+            can_replicate: true,
             place: Place::default(),
         }
     }
--- a/crates/tier/chain/tests/mutations.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn a_member_that_ends_as_soon_as_it_is_told_to_stop_is_found() {
+fn a_member_that_exits_as_soon_as_shutdown_begins_is_found() {
     assert!(is_found_by_planned_work(Mutation::LeavesAtOnce, 200));
 }
 
 #[test]
-fn a_member_that_ends_before_the_new_chain_has_the_state_is_found() {
+fn a_member_that_exits_before_the_new_chain_has_the_state_is_found() {
     assert!(is_found_by_planned_work(Mutation::LeavesWithTheView, 200));
 }
 
--- a/crates/tier/chain/tests/old_views.rs
+++ b/crates/tier/chain/tests/old_views.rs
@@ -11,10 +11,10 @@
 
 /// Runs of each case.
 const RUNS: u64 = 20;
-const LONGEST: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn run_until(world: &mut World, what: &str, is_done: impl Fn(&World) -> bool) {
-    let end = world.now + LONGEST;
+    let end = world.now + TIMEOUT;
     while !is_done(world) {
         assert!(world.now < end, "{what}");
         let next = world.now + Duration::from_millis(10);
@@ -42,31 +42,31 @@
 /// Kills a voter, and waits until a machine that was outside has taken its place.
 fn replace_voter(world: &mut World) -> usize {
     let before = voters(world);
-    let gone = *before.first().expect("voters");
-    world.kill(gone);
+    let replaced = *before.first().expect("voters");
+    world.kill(replaced);
     run_until(world, "the voter is not replaced", |world| {
-        !voters(world).contains(&gone)
+        !voters(world).contains(&replaced)
     });
     let acknowledged = world.history.acknowledged;
     run_until(world, "no writes", |world| {
         world.history.acknowledged > acknowledged + 3
     });
-    gone
+    replaced
 }
 
 /// Five machines that bear one loss; two voters were replaced one after the other. Everything stands still.
 fn two_replaced(seed: u64) -> (World, [usize; 2]) {
     let mut world = World::new(seed, 5, 0, 1, None);
     world.are_faults_over = true;
-    world.operators.patience = Duration::from_millis(30);
+    world.operators.retry_timeout = Duration::from_millis(30);
     run_until(&mut world, "no start", |world| {
         world.history.acknowledged > 3
     });
-    let gone = [replace_voter(&mut world), replace_voter(&mut world)];
+    let replaced = [replace_voter(&mut world), replace_voter(&mut world)];
     for node in 0..world.nodes.len() {
         world.kill(node);
     }
-    (world, gone)
+    (world, replaced)
 }
 
 fn check(world: &mut World, seed: u64) {
@@ -89,10 +89,10 @@
 #[test]
 fn members_with_old_views_decide_nothing_alone() {
     for seed in 1..=RUNS {
-        let (mut world, gone) = two_replaced(seed);
+        let (mut world, replaced) = two_replaced(seed);
         let acknowledged = world.history.acknowledged;
         let mut newest = 0;
-        for node in gone {
+        for node in replaced {
             world.start(node);
             newest = newest.max(newest_view(&world).epoch);
         }
@@ -115,10 +115,10 @@
 #[test]
 fn a_majority_of_the_newest_voters_goes_on() {
     for seed in 1..=RUNS {
-        let (mut world, gone) = two_replaced(seed);
+        let (mut world, replaced) = two_replaced(seed);
         let acknowledged = world.history.acknowledged;
         for node in 0..world.nodes.len() {
-            if !gone.contains(&node) {
+            if !replaced.contains(&node) {
                 world.start(node);
             }
         }
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -18,7 +18,7 @@
 /// Distance of the moments at which the members are struck.
 const GRID: Duration = Duration::from_micros(500);
 /// An order in a calm world has its answer within this time.
-const LONGEST_ORDER: Duration = Duration::from_millis(40);
+const MAX_ORDER_TIME: Duration = Duration::from_millis(40);
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
@@ -61,9 +61,9 @@
 }
 
 /// How a member is struck while orders are under way.
-type Strike = fn(&mut World, usize);
+type InjectFault = fn(&mut World, usize);
 
-const STRIKES: [(&str, Strike); 4] = [
+const FAULTS: [(&str, InjectFault); 4] = [
     ("killed", World::kill),
     ("wiped", World::wipe),
     ("frozen", |world, node| {
@@ -71,8 +71,8 @@
     }),
     ("cut off", |world, node| {
         for other in (0..world.nodes.len()).filter(|&other| other != node) {
-            world.cuts.insert((node, other));
-            world.cuts.insert((other, node));
+            world.partitioned_links.insert((node, other));
+            world.partitioned_links.insert((other, node));
         }
     }),
 ];
@@ -82,7 +82,7 @@
 fn race_through(
     moment: Duration,
     position: usize,
-    strike: Strike,
+    inject_fault: InjectFault,
     bug: Option<InjectedBug>,
 ) -> World {
     let mut world = quiet_world(7, bug);
@@ -94,16 +94,16 @@
         .view
         .chain
         .clone();
-    let struck = world
+    let affected = world
         .nodes
         .iter()
         .position(|node| node.address == chain[position].address);
-    let struck = struck.expect("a machine of the world");
+    let affected = affected.expect("a machine of the world");
     let [one, other] = racing_orders();
     send(&mut world, 1, &one, &[0, 1]);
     send(&mut world, 2, &other, &[1, 2]);
     run_for(&mut world, moment);
-    strike(&mut world, struck);
+    inject_fault(&mut world, affected);
     for _ in 0..12 {
         run_for(&mut world, Duration::from_millis(200));
         send(&mut world, 1, &one, &[0, 1, 2]);
@@ -137,7 +137,7 @@
     }
     let [one, other] = racing_orders();
     let is_first = newest.taken[0].digest == one.digest;
-    let answers = world.history.told([one.digest, other.digest]);
+    let answers = world.history.recorded_answers([one.digest, other.digest]);
     let (acknowledged, refused) = ((true, false), (false, true));
     let expected = if is_first {
         [acknowledged, refused]
@@ -154,12 +154,12 @@
 /// Every moment, member and way of losing it; which orders won, or the first thing that is wrong.
 fn race_at_each_moment(bug: Option<InjectedBug>) -> Result<BTreeSet<bool>, String> {
     let mut winners = BTreeSet::new();
-    let moments = LONGEST_ORDER.as_micros() / GRID.as_micros();
-    for (name, strike) in STRIKES {
+    let moments = MAX_ORDER_TIME.as_micros() / GRID.as_micros();
+    for (name, inject_fault) in FAULTS {
         for position in 0..3 {
             for step in 0..moments {
                 let moment = GRID * u32::try_from(step).expect("small");
-                let world = race_through(moment, position, strike, bug);
+                let world = race_through(moment, position, inject_fault, bug);
                 let winner = winner(&world);
                 winners.insert(
                     winner.map_err(|why| format!("{position} {name} after {moment:?}: {why}"))?,
--- a/crates/tier/chain/tests/plan.rs
+++ b/crates/tier/chain/tests/plan.rs
@@ -22,7 +22,7 @@
         member,
         active_epoch,
         stamp: Stamp::default(),
-        fit: true,
+        can_replicate: true,
         place: Place::default(),
     }
 }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_silent_member_leaves_the_chain_and_keeps_its_vote() {
+fn an_unresponsive_member_leaves_the_chain_and_keeps_its_vote() {
     let voters = [candidate(id(2), 5), candidate(id(3), 5)];
     let view = next_view(&current(), &voters, &[], one_machine(), &everyone).expect("a view");
     assert_eq!(view.epoch, 6);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_silent_voter_is_replaced_by_a_learner() {
+fn an_unresponsive_voter_is_replaced_by_a_learner() {
     let voters = [candidate(id(2), 5), candidate(id(3), 5)];
     let view = next_view(
         &current(),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn nobody_with_the_whole_state_means_no_view() {
+fn no_view_without_a_member_that_has_the_complete_state() {
     let voters = [candidate(id(2), 3), candidate(id(3), 3)];
     let mut view = current();
     view.chain = vec![id(1)];
@@ -140,14 +140,14 @@
         candidate(id(2), 5),
         candidate(id(3), 5),
     ];
-    let linked = |first: MemberId, second: MemberId| {
+    let are_connected = |first: MemberId, second: MemberId| {
         let pair = [
             first.identity.min(second.identity),
             first.identity.max(second.identity),
         ];
         pair != [1, 2]
     };
-    let view = next_view(&current(), &voters, &[], one_machine(), &linked).expect("a view");
+    let view = next_view(&current(), &voters, &[], one_machine(), &are_connected).expect("a view");
     assert_eq!(view.chain, [id(1), id(3)]);
     assert_eq!(view.voters, [id(1), id(2), id(3)]);
 }
@@ -155,7 +155,7 @@
 #[test]
 fn a_leaving_member_stays_while_the_chain_would_be_too_short_to_commit() {
     let leaving = Candidate {
-        fit: false,
+        can_replicate: false,
         ..candidate(id(1), 5)
     };
     let three = [leaving, candidate(id(2), 5), candidate(id(3), 5)];
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn members_spread_over_zones_where_a_zone_may_be_lost() {
+fn members_spread_across_zones_where_a_zone_may_be_lost() {
     let policy = Policy::tolerating(Tolerance {
         machines: 1,
         zones: 1,
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -20,12 +20,12 @@
     pub link_rate: u64,
     /// Bytes a second that a disk can write.
     pub disk_rate: u64,
-    /// A defence switched off: signs of life and votes wait behind long messages.
+    /// A safeguard switched off: heartbeats and votes wait behind long messages.
     pub has_one_queue: bool,
     /// When each machine has sent everything.
     sent_at: BTreeMap<usize, Duration>,
     /// Most bytes that waited to be sent at one machine.
-    pub most_waiting: u64,
+    pub max_backlog_bytes: u64,
     /// Bytes that were sent between machines.
     pub sent_bytes: u64,
 }
@@ -37,7 +37,7 @@
             disk_rate,
             has_one_queue: false,
             sent_at: BTreeMap::new(),
-            most_waiting: 0,
+            max_backlog_bytes: 0,
             sent_bytes: 0,
         }
     }
@@ -58,7 +58,7 @@
         let sent = free + duration(bytes, self.link_rate);
         self.sent_at.insert(from, sent);
         let waiting = (sent - now).as_nanos() as u64 / 1000 * self.link_rate / 1_000_000;
-        self.most_waiting = self.most_waiting.max(waiting);
+        self.max_backlog_bytes = self.max_backlog_bytes.max(waiting);
         sent - now + LATENCY
     }
 
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -21,8 +21,8 @@
     PowerLoss,
     Wipe,
     Freeze,
-    Cut,
-    OneWayCut,
+    Partition,
+    OneWayPartition,
     Loss,
     SlowDisk,
     StalledDisk,
@@ -37,8 +37,8 @@
     Fault::PowerLoss,
     Fault::Wipe,
     Fault::Freeze,
-    Fault::Cut,
-    Fault::OneWayCut,
+    Fault::Partition,
+    Fault::OneWayPartition,
     Fault::Loss,
     Fault::SlowDisk,
     Fault::StalledDisk,
@@ -138,7 +138,7 @@
 /// As many disks as may be lost are lost a moment after an acknowledgement; the others lose power.
 fn final_fault(world: &mut World) {
     world.heal();
-    let calm = world.over_at.max(world.now + CATCH_UP) + Duration::from_secs(2);
+    let calm = world.planned_work_ends_at.max(world.now + CATCH_UP) + Duration::from_secs(2);
     let deadline = calm + Duration::from_secs(3);
     world.run_until(calm);
     let before = world.history.newly_taken;
@@ -168,14 +168,14 @@
 }
 
 /// One more fault, if it may come now.
-pub(crate) fn strike(world: &mut World) {
+pub(crate) fn inject_next_fault(world: &mut World) {
     if world.are_faults_over {
         return;
     }
     let kind = world.fault_kinds[world.pick(world.fault_kinds.len())];
     let length = Duration::from_millis(50) + world.random_duration(Duration::from_millis(2500));
     if let Some(over) = planned_work(world, kind) {
-        world.over_at = world.now + over;
+        world.planned_work_ends_at = world.now + over;
         let pause = over + world.random_duration(PAUSE);
         return world.schedule(pause, Event::Fault);
     }
@@ -201,7 +201,7 @@
 
 fn inject(world: &mut World, kind: Fault, length: Duration) {
     world.trace(|| format!("fault {kind:?} for {length:?}"));
-    let struck = draw_machines(world, kind);
+    let affected = draw_machines(world, kind);
     match kind {
         Fault::KillAll => {
             for node in world.present() {
@@ -212,7 +212,7 @@
         }
         Fault::Loss => world.loss = 0.02 + 0.3 * world.random.rand_float(),
         Fault::Kill | Fault::PowerLoss | Fault::Wipe => {
-            for &node in &struck {
+            for &node in &affected {
                 if kind == Fault::Wipe {
                     world.wipe(node);
                 } else {
@@ -221,13 +221,15 @@
                 world.schedule(length, Event::Start { node });
             }
         }
-        Fault::Freeze => struck.iter().for_each(|&node| world.freeze(node, length)),
-        Fault::Cut | Fault::OneWayCut => cut(world, &struck, kind == Fault::OneWayCut),
-        Fault::SlowDisk => struck
+        Fault::Freeze => affected.iter().for_each(|&node| world.freeze(node, length)),
+        Fault::Partition | Fault::OneWayPartition => {
+            inject_partition(world, &affected, kind == Fault::OneWayPartition)
+        }
+        Fault::SlowDisk => affected
             .iter()
             .for_each(|&node| world.nodes[node].disk_factor = 30),
         Fault::Roll | Fault::Replace => {}
-        Fault::StalledDisk => struck
+        Fault::StalledDisk => affected
             .iter()
             .for_each(|&node| world.nodes[node].is_disk_stalled = true),
     }
@@ -252,7 +254,7 @@
 
 /// Cuts, slow disks and losses of messages end.
 pub(crate) fn end_lasting_faults(world: &mut World) {
-    world.cuts.clear();
+    world.partitioned_links.clear();
     world.loss = 0.0;
     for node in &mut world.nodes {
         node.disk_factor = 1;
@@ -260,20 +262,20 @@
     }
 }
 
-fn cut(world: &mut World, struck: &[usize], one_way: bool) {
+fn inject_partition(world: &mut World, affected: &[usize], one_way: bool) {
     let is_outward = world.chance(0.5);
-    cut_off(world, struck, one_way, is_outward);
+    partition(world, affected, one_way, is_outward);
 }
 
 /// Cuts machines off from the others, one way or both. They may be cut off already.
-pub(super) fn cut_off(world: &mut World, struck: &[usize], one_way: bool, is_outward: bool) {
-    for &node in struck {
-        for other in (0..world.nodes.len()).filter(|other| !struck.contains(other)) {
+pub(super) fn partition(world: &mut World, affected: &[usize], one_way: bool, is_outward: bool) {
+    for &node in affected {
+        for other in (0..world.nodes.len()).filter(|other| !affected.contains(other)) {
             if !one_way || is_outward {
-                world.cuts.insert((node, other));
+                world.partitioned_links.insert((node, other));
             }
             if !one_way || !is_outward {
-                world.cuts.insert((other, node));
+                world.partitioned_links.insert((other, node));
             }
         }
     }
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -132,7 +132,7 @@
     }
 
     /// Whether each change was ever acknowledged, and ever refused.
-    pub(crate) fn told(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
+    pub(crate) fn recorded_answers(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
         changes.map(|digest| self.answers.get(&digest).copied().unwrap_or_default())
     }
 
--- a/crates/tier/chain/tests/simulation/mod.rs
+++ b/crates/tier/chain/tests/simulation/mod.rs
@@ -5,10 +5,10 @@
 #![allow(dead_code)]
 
 pub(crate) mod capacity;
-pub(crate) mod cuts;
 pub(crate) mod disk;
 pub(crate) mod faults;
 pub(crate) mod history;
 pub(crate) mod operator;
+pub(crate) mod partitions;
 pub(crate) mod stops;
 pub(crate) mod world;
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -16,13 +16,13 @@
 /// Interval of the operators' clock.
 const STEP: Duration = Duration::from_millis(40);
 /// Patience of the operators unless a test sets another.
-const PATIENCE: Duration = Duration::from_millis(300);
+const RETRY_TIMEOUT: Duration = Duration::from_millis(300);
 /// An operator gives an order up after this time.
-const GIVE_UP: Duration = Duration::from_secs(4);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Most orders of one operator under way at once.
-const MOST_UNDER_WAY: usize = 4;
+const MAX_ORDERS_IN_FLIGHT: usize = 4;
 /// Longest time by which a copy of an order is late.
-const LATE: Duration = Duration::from_secs(5);
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(5);
 
 /// A call: an operator's order, and which try of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
     request: Request,
     attempt: Attempt,
     started: Duration,
-    asked: Duration,
+    sent_at: Duration,
 }
 
 /// One operator.
@@ -49,7 +49,7 @@
     /// Last generation that it was told of.
     known: u64,
     next_order: u64,
-    wants_read: bool,
+    must_read: bool,
     /// Orders that were taken, any of which may be sent once more.
     taken: Vec<PutConfiguration>,
 }
@@ -73,7 +73,7 @@
     operators: Vec<Operator>,
     pub is_stopped: bool,
     /// An operator asks another machine after so long without an answer.
-    pub patience: Duration,
+    pub retry_timeout: Duration,
     /// Each operator has one order under way at a time, and no copy of it is late.
     pub are_orderly: bool,
     next_generation: u64,
@@ -86,7 +86,7 @@
         Operators {
             operators,
             is_stopped: false,
-            patience: PATIENCE,
+            retry_timeout: RETRY_TIMEOUT,
             are_orderly: false,
             next_generation: 0,
             next_digest: 0,
@@ -124,35 +124,35 @@
 /// Lets every operator act.
 pub(crate) fn operate(world: &mut World) {
     for index in 0..world.operators.operators.len() {
-        give_up_old(world, index);
-        ask_again(world, index);
-        let under_way = world.operators.operators[index].pending.len();
-        let most = if world.operators.are_orderly {
+        expire_orders(world, index);
+        resend_overdue(world, index);
+        let in_flight = world.operators.operators[index].pending.len();
+        let limit = if world.operators.are_orderly {
             1
         } else {
-            MOST_UNDER_WAY
+            MAX_ORDERS_IN_FLIGHT
         };
-        let share = if under_way == 0 { 0.3 } else { 0.04 };
-        if !world.operators.is_stopped && under_way < most && world.chance(share) {
+        let share = if in_flight == 0 { 0.3 } else { 0.04 };
+        if !world.operators.is_stopped && in_flight < limit && world.chance(share) {
             begin(world, index);
         }
     }
     world.schedule(STEP, Event::Operate);
 }
 
-fn give_up_old(world: &mut World, index: usize) {
+fn expire_orders(world: &mut World, index: usize) {
     let now = world.now;
     let operator = &mut world.operators.operators[index];
     let before = operator.pending.len();
     operator
         .pending
-        .retain(|pending| now - pending.started <= GIVE_UP);
-    operator.wants_read |= operator.pending.len() < before;
+        .retain(|pending| now - pending.started <= ORDER_TIMEOUT);
+    operator.must_read |= operator.pending.len() < before;
 }
 
-fn ask_again(world: &mut World, index: usize) {
-    let (now, patience) = (world.now, world.operators.patience);
-    let is_late = |pending: &&Pending| now - pending.asked > patience;
+fn resend_overdue(world: &mut World, index: usize) {
+    let (now, retry_timeout) = (world.now, world.operators.retry_timeout);
+    let is_late = |pending: &&Pending| now - pending.sent_at > retry_timeout;
     let pending = &world.operators.operators[index].pending;
     let late: Vec<u64> = pending
         .iter()
@@ -160,7 +160,7 @@
         .map(|pending| pending.id.order)
         .collect();
     for order in late {
-        ask(world, index, order);
+        send_order(world, index, order);
     }
 }
 
@@ -175,8 +175,8 @@
     let operator = &mut operators.operators[index];
     let request = if let Some(put) = operator.taken.get(repeated).filter(|_| repeat) {
         Request::Submit(Command::PutConfiguration(put.clone()))
-    } else if operator.wants_read || read {
-        operator.wants_read = false;
+    } else if operator.must_read || read {
+        operator.must_read = false;
         Request::ReadConfiguration
     } else {
         let generation = if same_number {
@@ -208,10 +208,10 @@
         request,
         attempt,
         started: now,
-        asked: now,
+        sent_at: now,
     };
     world.operators.operators[index].pending.push(pending);
-    ask(world, index, order);
+    send_order(world, index, order);
 }
 
 /// Position of a change that was taken: any of them, or the last one if the operators are orderly.
@@ -237,26 +237,26 @@
 }
 
 /// Sends a pending order to a machine drawn at random, at times to a second one too.
-fn ask(world: &mut World, index: usize, order: u64) {
+fn send_order(world: &mut World, index: usize, order: u64) {
     let now = world.now;
     let pending = &mut world.operators.operators[index].pending;
     let Some(pending) = pending.iter_mut().find(|pending| pending.id.order == order) else {
         return;
     };
-    pending.asked = now;
+    pending.sent_at = now;
     pending.id.attempt += 1;
     let (call, request) = (pending.id, pending.request.clone());
     let is_orderly = world.operators.are_orderly;
-    let copies = if !is_orderly && world.chance(0.1) {
+    let sends = if !is_orderly && world.chance(0.1) {
         2
     } else {
         1
     };
-    for _ in 0..copies {
+    for _ in 0..sends {
         let node = world.pick(world.nodes.len());
         let is_late = !is_orderly && world.chance(0.05);
         let delay = if is_late {
-            world.random_duration(LATE)
+            world.random_duration(MAX_DUPLICATE_DELAY)
         } else {
             Duration::ZERO
         };
@@ -289,7 +289,7 @@
             Outcome::Acknowledged
         }
         (Request::Submit(_), Reply::Rejected(rejection)) => {
-            operator.wants_read = true;
+            operator.must_read = true;
             if let Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } =
                 rejection
             {
--- a/crates/tier/chain/tests/simulation/cuts.rs
+++ b/crates/tier/chain/tests/simulation/partitions.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use super::faults::{Finding, cut_off, finish};
+use super::faults::{Finding, finish, partition};
 use super::history::Violation;
 use super::world::{InjectedBug, World};
 
@@ -21,7 +21,7 @@
 
 /// A run with one long cut.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CutRun {
+pub(crate) struct PartitionRun {
     pub seed: u64,
     pub nodes: usize,
     pub fault_tolerance: usize,
@@ -29,47 +29,47 @@
 }
 
 /// Plays a run and checks it.
-pub(crate) fn play(run: CutRun) -> Finding {
+pub(crate) fn play(run: PartitionRun) -> Finding {
     let mut world = World::new(run.seed, run.nodes, 0, run.fault_tolerance, run.bug);
     world.are_faults_over = true;
     let calm = Duration::from_secs(5) + world.random_duration(Duration::from_secs(1));
     run_watched(&mut world, calm);
     let first = world.pick(run.nodes);
     let count = 1 + world.pick(run.fault_tolerance);
-    let struck: Vec<usize> = (0..count)
+    let affected: Vec<usize> = (0..count)
         .map(|offset| (first + offset) % run.nodes)
         .collect();
     let (is_one_way, is_outward) = (world.chance(0.6), world.chance(0.5));
     let is_link = world.chance(0.3);
     world.trace(|| {
-        format!("{struck:?} cut off, link {is_link}, one way {is_one_way}, outward {is_outward}")
+        format!("{affected:?} cut off, link {is_link}, one way {is_one_way}, outward {is_outward}")
     });
     if is_link {
         let other = (first + count) % run.nodes;
-        cut_link(&mut world, first, other, is_one_way);
+        partition_link(&mut world, first, other, is_one_way);
     } else {
-        cut_off(&mut world, &struck, is_one_way, is_outward);
+        partition(&mut world, &affected, is_one_way, is_outward);
     }
     run_watched(&mut world, FAILOVER);
     let end = world.now + Duration::from_secs(8) + world.random_duration(Duration::from_secs(14));
     while world.now < end {
         // Where one link is cut, all machines take part: none of them may be lost besides.
         if !is_link {
-            strike_one(&mut world, &struck);
+            disturb_one(&mut world, &affected);
         }
         let pause = world.random_duration(PAUSE).min(end - world.now);
         run_answered(&mut world, pause);
     }
     world.trace(|| "the cut ends".to_owned());
-    world.cuts.clear();
+    world.partitioned_links.clear();
     run_watched(&mut world, Duration::from_secs(4));
     finish(world)
 }
 
-fn cut_link(world: &mut World, one: usize, two: usize, is_one_way: bool) {
-    world.cuts.insert((one, two));
+fn partition_link(world: &mut World, one: usize, two: usize, is_one_way: bool) {
+    world.partitioned_links.insert((one, two));
     if !is_one_way {
-        world.cuts.insert((two, one));
+        world.partitioned_links.insert((two, one));
     }
 }
 
@@ -88,8 +88,8 @@
 }
 
 /// One of the machines that are cut off restarts, loses power, freezes for a while, or goes on.
-fn strike_one(world: &mut World, struck: &[usize]) {
-    let node = struck[world.pick(struck.len())];
+fn disturb_one(world: &mut World, affected: &[usize]) {
+    let node = affected[world.pick(affected.len())];
     match world.pick(4) {
         0 => {
             world.kill(node);
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -39,13 +39,13 @@
     world.trace(|| format!("node {node} told to stop: {stop:?}"));
     world.nodes[node].stop = Some((stop, world.now));
     world.input(node, Input::Leave);
-    let life = world.nodes[node].life;
-    world.schedule(Duration::ZERO, Event::CheckStop { node, life });
+    let incarnation = world.nodes[node].incarnation;
+    world.schedule(Duration::ZERO, Event::CheckStop { node, incarnation });
 }
 
 /// Lets a process end that may, or must.
-pub(crate) fn check(world: &mut World, node: usize, life: u64) {
-    if world.nodes[node].life != life {
+pub(crate) fn check(world: &mut World, node: usize, incarnation: u64) {
+    if world.nodes[node].incarnation != incarnation {
         return;
     }
     let Some((stop, since)) = world.nodes[node].stop else {
@@ -66,7 +66,7 @@
     if may_end {
         end(world, node, stop);
     } else {
-        world.schedule(POLL, Event::CheckStop { node, life });
+        world.schedule(POLL, Event::CheckStop { node, incarnation });
     }
 }
 
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -16,7 +16,7 @@
 use super::operator::{CallId, Operators};
 use super::stops::Stop;
 
-/// A defence that a test switches off in every machine.
+/// A safeguard that a test switches off in every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InjectedBug {
     #[cfg(feature = "mutations")]
@@ -30,7 +30,7 @@
 pub(crate) enum Event {
     Wake {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Deliver {
         to: usize,
@@ -39,7 +39,7 @@
     },
     Synced {
         node: usize,
-        life: u64,
+        incarnation: u64,
         through: u64,
     },
     Start {
@@ -60,7 +60,7 @@
     /// A process that is being stopped looks whether it may end.
     CheckStop {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     /// A call of an operator reaches a machine; `hops` machines have passed it on.
     Call {
@@ -104,7 +104,7 @@
     pub member: Option<Member>,
     pub disk: Option<SimulatedDisk>,
     /// Counts starts, so that what belongs to an earlier life is dropped.
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Option<Duration>,
     /// How many times slower the disk is.
     pub disk_factor: u32,
@@ -132,7 +132,7 @@
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub random: oorandom::Rand64,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitioned_links: BTreeSet<(usize, usize)>,
     /// Share of messages that are lost.
     pub loss: f64,
     pub history: History,
@@ -148,7 +148,7 @@
     /// Kinds of faults that strike.
     pub fault_kinds: &'static [super::faults::Fault],
     /// When the planned work counts as over.
-    pub over_at: Duration,
+    pub planned_work_ends_at: Duration,
     /// Longest time that a whole state is on its way.
     pub longest_transfer: Duration,
     /// No further fault strikes.
@@ -171,7 +171,7 @@
             now: Duration::from_secs(1),
             nodes: (0..nodes).map(new_node).collect(),
             random: oorandom::Rand64::new(u128::from(seed)),
-            cuts: BTreeSet::new(),
+            partitioned_links: BTreeSet::new(),
             loss: 0.0,
             history: History::default(),
             operators: Operators::new(2),
@@ -181,7 +181,7 @@
             capacity: None,
             first_state: ControlState::default(),
             fault_kinds: &[],
-            over_at: Duration::ZERO,
+            planned_work_ends_at: Duration::ZERO,
             longest_transfer: Duration::ZERO,
             are_faults_over: false,
             is_traced: std::env::var_os("WOADREACH_TRACE").is_some(),
@@ -252,8 +252,8 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Wake { node, life } => {
-                if self.nodes[node].life == life && self.is_running(node) {
+            Event::Wake { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.is_running(node) {
                     self.check_disk(node);
                     self.input(node, Input::Tick);
                 }
@@ -261,14 +261,14 @@
             Event::Deliver { to, from, envelope } => self.deliver(to, from, envelope),
             Event::Synced {
                 node,
-                life,
+                incarnation,
                 through,
-            } => self.synced(node, life, through),
+            } => self.synced(node, incarnation, through),
             Event::Start { node } => self.start(node),
             Event::Thaw { node } => self.thaw(node),
             Event::Stop { node, stop } => super::stops::stop(self, node, stop),
             Event::Lose { node } => self.wipe(node),
-            Event::CheckStop { node, life } => super::stops::check(self, node, life),
+            Event::CheckStop { node, incarnation } => super::stops::check(self, node, incarnation),
             Event::Call {
                 node,
                 call,
@@ -276,13 +276,13 @@
                 hops,
             } => self.call(node, call, request, hops),
             Event::Operate => super::operator::operate(self),
-            Event::Fault => super::faults::strike(self),
+            Event::Fault => super::faults::inject_next_fault(self),
             Event::EndFault => super::faults::end_lasting_faults(self),
         }
     }
 
     fn deliver(&mut self, to: usize, from: usize, envelope: Box<Envelope>) {
-        if self.nodes[to].member.is_none() || self.cuts.contains(&(from, to)) {
+        if self.nodes[to].member.is_none() || self.partitioned_links.contains(&(from, to)) {
             return;
         }
         // A whole state is long: it ends with the machine that sends it.
@@ -306,8 +306,8 @@
         self.input(node, Input::DiskHealth { is_healthy });
     }
 
-    fn synced(&mut self, node: usize, life: u64, through: u64) {
-        if self.nodes[node].life != life {
+    fn synced(&mut self, node: usize, incarnation: u64, through: u64) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         if self.nodes[node].is_disk_stalled {
@@ -315,7 +315,7 @@
                 Duration::from_millis(50),
                 Event::Synced {
                     node,
-                    life,
+                    incarnation,
                     through,
                 },
             );
@@ -346,7 +346,7 @@
         self.nodes[node].is_syncing = true;
         self.nodes[node].sync_started = self.now;
         let base = Duration::from_millis(1) + self.random_duration(Duration::from_millis(5));
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let written = self.nodes[node]
             .disk
             .as_ref()
@@ -360,7 +360,7 @@
             delay,
             Event::Synced {
                 node,
-                life,
+                incarnation,
                 through,
             },
         );
@@ -375,18 +375,18 @@
         let outputs = member.handle(now, input);
         let wake = member.next_wake();
         for output in outputs {
-            self.carry_out(node, output);
+            self.execute(node, output);
         }
         self.begin_sync(node);
         if self.nodes[node].woken_for <= now || wake < self.nodes[node].woken_for {
             let at = wake.max(now + Duration::from_micros(100));
             self.nodes[node].woken_for = at;
-            let life = self.nodes[node].life;
-            self.schedule(at - now, Event::Wake { node, life });
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule(at - now, Event::Wake { node, incarnation });
         }
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn execute(&mut self, node: usize, output: Output) {
         match output {
             Output::Persist { number, record } => {
                 self.nodes[node]
@@ -421,7 +421,7 @@
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
-        if self.cuts.contains(&(from, to)) || self.chance(self.loss) {
+        if self.partitioned_links.contains(&(from, to)) || self.chance(self.loss) {
             return;
         }
         if self.nodes[to].member.is_some()
@@ -477,7 +477,7 @@
             let Some(head) = head.filter(|&head| head != node && hops < 2) else {
                 return;
             };
-            if !self.cuts.contains(&(node, head)) {
+            if !self.partitioned_links.contains(&(node, head)) {
                 self.schedule(
                     Duration::from_millis(1),
                     Event::Call {
@@ -523,7 +523,7 @@
         if let Some(disk) = &mut state.disk {
             disk.lose(kept);
         }
-        state.life += 1;
+        state.incarnation += 1;
         state.last_synced = 0;
         state.is_syncing = false;
         state.frozen_until = None;
@@ -545,20 +545,21 @@
         }
         let present = self.nodes.iter().filter(|node| !node.is_removed);
         let seeds: Vec<SocketAddrV4> = present.take(3).map(|node| node.address).collect();
-        let is_first_life = self.nodes[node].life == 0 && self.nodes[node].is_founding;
+        let is_first_incarnation =
+            self.nodes[node].incarnation == 0 && self.nodes[node].is_founding;
         if self.nodes[node].disk.is_none() {
-            let view = if is_first_life {
+            let view = if is_first_incarnation {
                 View::bootstrap(&seeds)
             } else {
                 View::default()
             };
             let keeps_identity =
-                self.bug == Some(InjectedBug::IdentitySurvivesWipe) && !is_first_life;
+                self.bug == Some(InjectedBug::IdentitySurvivesWipe) && !is_first_incarnation;
             if !keeps_identity {
                 self.nodes[node].identity = self.random.rand_u64() | 1;
             }
-            let mut durable = Durable::new(self.nodes[node].identity, is_first_life, view);
-            if is_first_life {
+            let mut durable = Durable::new(self.nodes[node].identity, is_first_incarnation, view);
+            if is_first_incarnation {
                 durable.state = self.first_state.clone();
             }
             self.nodes[node].disk = Some(SimulatedDisk::new(durable));
@@ -580,7 +581,7 @@
         let mut member = Member::new(self.now, options, durable);
         #[cfg(feature = "mutations")]
         if let Some(InjectedBug::Member(mutation)) = self.bug {
-            member.mutation(mutation);
+            member.set_mutation(mutation);
         }
         self.trace(|| format!("node {node} started as {:?}", member.id()));
         self.nodes[node].member = Some(member);
@@ -644,7 +645,7 @@
 
     /// Ends every fault and starts every machine.
     pub(crate) fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitioned_links.clear();
         self.loss = 0.0;
         for node in 0..self.nodes.len() {
             self.nodes[node].disk_factor = 1;
@@ -663,7 +664,7 @@
         address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000),
         member: None,
         disk: None,
-        life: 0,
+        incarnation: 0,
         frozen_until: None,
         disk_factor: 1,
         is_disk_stalled: false,
--- a/crates/tier/chain/tests/state.rs
+++ b/crates/tier/chain/tests/state.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn digests_are_bounded_and_the_newest_are_kept() {
+fn digests_are_bounded_and_the_newest_are_retained() {
     let mut state = ControlState::default();
     for generation in 1..=10_000 {
         let digest = [0; 16];
