--- /dev/null
+++ b/crates/tier/chain/src/failure_domain.rs
@@ -0,0 +1,32 @@
+//! Machines that may fail together.
+
+use speedy::{Readable, Writable};
+
+/// Zone and region of a machine, as digests of their names.
+///
+/// Machines of one zone or region may be lost together; a view is spread over as many as the
+/// [`Policy`](crate::Policy) asks for.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
+pub struct FailureDomain {
+    /// Digest of the zone's name.
+    pub zone: u32,
+    /// Digest of the region's name.
+    pub region: u32,
+}
+
+impl FailureDomain {
+    /// The failure domain of a machine in the zone and region of these names.
+    pub fn named(zone: &str, region: &str) -> FailureDomain {
+        FailureDomain {
+            zone: digest(zone),
+            region: digest(region),
+        }
+    }
+}
+
+/// Digest of a name (FNV-1a, 32 bits).
+fn digest(name: &str) -> u32 {
+    name.bytes().fold(0x811c_9dc5, |hash, byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
+}
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -21,12 +21,14 @@
 mod blob;
 mod durable;
 mod election;
+mod failure_domain;
 mod member;
 mod message;
 #[cfg(feature = "mutations")]
 mod mutations;
 mod peers;
 mod plan;
+mod policy;
 mod replication;
 mod requests;
 mod state;
@@ -35,13 +37,15 @@
 pub use ballot::{Accepted, Ballot, Promise};
 pub use blob::Blob;
 pub use durable::{Durable, IdleEpoch, Record, RecordError};
+pub use failure_domain::FailureDomain;
 #[doc(hidden)]
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
 pub use message::{Body, DecodeError, Envelope, Heartbeat, HeartbeatTime};
 #[cfg(feature = "mutations")]
 pub use mutations::Mutation;
-pub use plan::{Candidate, Place, PlanError, Policy, Tolerance, next_view};
+pub use plan::{Candidate, PlanError, next_view};
+pub use policy::{Policy, Tolerance};
 pub use requests::{Reply, Request, RequestId};
 pub use state::{
     Command, ControlState, Digest, PutConfiguration, PutStorageView, Rejection, Stamp,
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{MAX_STATE_REQUEST_INTERVAL, Member};
+use crate::failure_domain::FailureDomain;
 use crate::message::{Body, Heartbeat};
-use crate::plan::Place;
 use crate::view::MemberId;
 
 impl Member {
@@ -13,11 +13,11 @@
         self.is_disk_healthy && !self.is_leaving
     }
 
-    pub(crate) fn place_of(&self, member: MemberId) -> Place {
+    pub(crate) fn failure_domain_of(&self, member: MemberId) -> FailureDomain {
         if member == self.id {
-            self.place
+            self.failure_domain
         } else {
-            self.peers.place(member)
+            self.peers.failure_domain(member)
         }
     }
 
@@ -36,7 +36,7 @@
             can_replicate: self.can_replicate(),
             leaving: self.is_leaving,
             bootstrap: self.durable.bootstrap,
-            place: self.place,
+            failure_domain: self.failure_domain,
             committed: self.published.stamp,
             hears: self.peers.heard_lately(now),
         })
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -13,12 +13,19 @@
 mod departure;
 mod head;
 mod heartbeats;
+mod io;
 mod messages;
+mod options;
 mod proposals;
 mod quorum_contact;
+mod status;
 mod steps;
+mod view_selection;
 mod views;
 
+pub use io::{Input, Output};
+pub use options::MemberOptions;
+pub use status::Status;
 pub use steps::TimedStep;
 
 use std::collections::VecDeque;
@@ -27,15 +34,16 @@
 use std::time::Duration;
 
 use crate::agreement::Proposer;
-use crate::durable::{Durable, Record};
+use crate::durable::Durable;
 use crate::election::Election;
+use crate::failure_domain::FailureDomain;
 use crate::message::{Body, Envelope};
 use crate::peers::Peers;
-use crate::plan::{Place, Policy, Tolerance};
+use crate::policy::Policy;
 use crate::replication::Replication;
-use crate::requests::{PendingRequests, Reply, Request, RequestId};
+use crate::requests::PendingRequests;
 use crate::state::ControlState;
-use crate::view::{MemberId, View};
+use crate::view::MemberId;
 
 pub use departure::Departure;
 use departure::Leaving;
@@ -50,83 +58,13 @@
 /// Longest pause between two requests for the committed state.
 const MAX_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(2400);
 
-/// What a member is told.
-#[derive(Clone, Debug)]
-pub struct MemberOptions {
-    /// Internal address of this machine.
-    pub address: SocketAddrV4,
-    /// Internal addresses of the seeds.
-    pub seeds: Vec<SocketAddrV4>,
-    /// What may be lost at once.
-    pub tolerance: Tolerance,
-    /// Where this machine stands.
-    pub place: Place,
-    /// Seed of the random waits.
-    pub random_seed: u64,
-}
-
-/// What happens to a member.
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// Time has passed; see [`Member::next_wake`].
-    Tick,
-    /// A message came.
-    Message(Envelope),
-    /// A request came.
-    Request(RequestId, Request),
-    /// The caller of a request has gone.
-    Cancel(RequestId),
-    /// Every record up to this number is synced.
-    Persisted(u64),
-    /// Whether the disk syncs in time.
-    DiskHealth { is_healthy: bool },
-    /// The settings name other seeds.
-    Seeds(Vec<SocketAddrV4>),
-    /// This process is stopping.
-    Leave,
-}
-
-/// What the driver does.
-#[derive(Clone, Debug)]
-pub enum Output {
-    /// Append the record and sync; then say [`Input::Persisted`] with its number.
-    Persist { number: u64, record: Record },
-    /// Send a message, best effort.
-    Send {
-        to: SocketAddrV4,
-        envelope: Envelope,
-    },
-    /// Answer a request.
-    Reply { id: RequestId, reply: Reply },
-    /// A newer state is committed.
-    Committed(Arc<ControlState>),
-    /// Another view is in force.
-    ViewInstalled(View),
-}
-
-/// What a member knows of the core.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
-    pub epoch: u64,
-    pub head: Option<MemberId>,
-    pub is_head: bool,
-    pub in_chain: bool,
-    /// Whether this member is in contact with a majority of the voters, and since then has had every state
-    /// that one of them knew to be committed.
-    pub in_quorum: bool,
-    /// Internal addresses of the voters.
-    pub voters: Vec<SocketAddrV4>,
-    /// Internal addresses of the core machines that are known, this one included.
-    pub members: Vec<SocketAddrV4>,
-}
-
 /// One core machine.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(crate) id: MemberId,
     pub(crate) seeds: Vec<SocketAddrV4>,
     pub(crate) policy: Policy,
-    place: Place,
+    failure_domain: FailureDomain,
     pub(crate) durable: Durable,
     pub(crate) peers: Peers,
     pub(crate) proposer: Proposer,
@@ -176,7 +114,7 @@
             id,
             seeds: options.seeds,
             policy: Policy::tolerating(options.tolerance),
-            place: options.place,
+            failure_domain: options.failure_domain,
             peers: Peers::new(id, session, now),
             proposer,
             election: Election::new(now),
@@ -239,29 +177,6 @@
         &self.durable.state
     }
 
-    pub fn status(&self, now: Duration) -> Status {
-        let view = &self.durable.view;
-        let mut members: Vec<SocketAddrV4> = self
-            .peers
-            .heard_lately(now)
-            .iter()
-            .map(|peer| peer.address)
-            .collect();
-        members.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
-        members.extend(view.voters.iter().map(|voter| voter.address));
-        members.sort();
-        members.dedup();
-        Status {
-            epoch: view.epoch,
-            head: view.head(),
-            is_head: self.is_serving_head(),
-            in_chain: view.chain.contains(&self.id),
-            in_quorum: self.is_in_quorum(now),
-            voters: view.voters.iter().map(|voter| voter.address).collect(),
-            members,
-        }
-    }
-
     /// When [`Input::Tick`] is wanted next.
     pub fn next_wake(&self) -> Duration {
         let mut wake = self.next_heartbeat;
@@ -320,7 +235,7 @@
     fn recover_from_stall(&mut self, now: Duration) {
         if now.saturating_sub(self.last_tick) > STALL_THRESHOLD {
             self.peers.excuse_stall(now, self.last_tick);
-            self.election.postpone();
+            self.election.cancel();
             self.last_tick = now;
         }
     }
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -1,18 +1,14 @@
-//! Why this member proposes a view, and which one.
+//! When and why this member proposes a view. The choice of the view is in `view_selection`.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::Member;
 use crate::agreement::{Phase, Proposer, Report};
-use crate::durable::IdleEpoch;
 use crate::election::{
-    BOOTSTRAP_TIMEOUT, MAX_PROPOSAL_DELAY, PHASE_TIMEOUT, REPORT_TIMEOUT, Reason,
-    SEALED_EPOCH_DELAY,
+    MAX_PROPOSAL_DELAY, PHASE_TIMEOUT, ProposalReason, REPORT_TIMEOUT, SEALED_EPOCH_DELAY,
 };
-use crate::plan::{Candidate, lowered_floor, next_view};
-use crate::state::Stamp;
-use crate::view::{MemberId, View};
+use crate::view::MemberId;
 
 impl Member {
     /// Advances the proposal, if there is one; else begins one if there is reason to.
@@ -23,7 +19,7 @@
             {
                 self.proposer.abandon();
                 let wait = self.delay_after_failure();
-                self.election.retry(now + wait);
+                self.election.schedule(now + wait);
             }
             Phase::Preparing { .. } => self.propose_if_ready(now),
             Phase::Accepting { .. } => {}
@@ -32,17 +28,17 @@
     }
 
     fn consider_proposal(&mut self, now: Duration) {
-        let Some(reason) = self.reason(now) else {
-            self.election.at = None;
+        let Some(reason) = self.proposal_reason(now) else {
+            self.election.cancel();
             return;
         };
-        let at = match self.election.at {
+        let at = match self.election.scheduled() {
             Some(at) => at,
             None => now + self.delay_before(reason),
         };
-        self.election.at = Some(at);
+        self.election.schedule(at);
         if now >= at {
-            self.election.at = None;
+            self.election.cancel();
             self.start_proposal(now);
         }
     }
@@ -51,12 +47,14 @@
         self.random_delay(2 * MAX_PROPOSAL_DELAY)
     }
 
-    fn delay_before(&mut self, reason: Reason) -> Duration {
+    fn delay_before(&mut self, reason: ProposalReason) -> Duration {
         match reason {
-            Reason::Improvement => Duration::ZERO,
-            Reason::Broken => self.random_delay(MAX_PROPOSAL_DELAY),
-            Reason::Sealed => SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY),
-            Reason::Bootstrap => {
+            ProposalReason::Improvement => Duration::ZERO,
+            ProposalReason::ChainBroken => self.random_delay(MAX_PROPOSAL_DELAY),
+            ProposalReason::EpochSealed => {
+                SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
+            }
+            ProposalReason::Bootstrap => {
                 let first = self
                     .durable
                     .view
@@ -74,7 +72,7 @@
         }
     }
 
-    fn reason(&self, now: Duration) -> Option<Reason> {
+    fn proposal_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if view.epoch == 0 {
             return self.bootstrap_reason(now);
@@ -87,7 +85,7 @@
             return None;
         }
         if self.durable.is_sealed() {
-            return Some(Reason::Sealed);
+            return Some(ProposalReason::EpochSealed);
         }
         let wanted = self.wanted_view(now)?;
         let is_broken = view
@@ -95,13 +93,13 @@
             .iter()
             .any(|member| !wanted.chain.contains(member));
         if is_broken {
-            return Some(Reason::Broken);
+            return Some(ProposalReason::ChainBroken);
         }
         let is_head = view.head() == Some(self.id);
-        (is_head && self.is_improvement(now, &wanted)).then_some(Reason::Improvement)
+        (is_head && self.is_improvement(now, &wanted)).then_some(ProposalReason::Improvement)
     }
 
-    fn bootstrap_reason(&self, now: Duration) -> Option<Reason> {
+    fn bootstrap_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if !self.durable.bootstrap || !view.is_voter(self.id) {
             return None;
@@ -113,9 +111,9 @@
         let present = 1 + others
             .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
             .count();
-        let has_waited = now.saturating_sub(self.election.started) >= BOOTSTRAP_TIMEOUT;
+        let has_waited = self.election.is_bootstrap_overdue(now);
         let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
-        is_ready.then_some(Reason::Bootstrap)
+        is_ready.then_some(ProposalReason::Bootstrap)
     }
 
     fn reachable_voters(&self, now: Duration) -> usize {
@@ -125,80 +123,6 @@
             .count()
     }
 
-    /// The view that the present heartbeats ask for.
-    fn wanted_view(&self, now: Duration) -> Option<View> {
-        let view = &self.durable.view;
-        let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
-        let candidate = |member: MemberId| Candidate {
-            member,
-            active_epoch: if view.chain.contains(&member) {
-                view.epoch
-            } else {
-                0
-            },
-            stamp: Stamp::default(),
-            can_replicate: if member == self.id {
-                self.can_replicate()
-            } else {
-                self.peers.can_replicate(member)
-            },
-            place: self.place_of(member),
-        };
-        let voters: Vec<Candidate> = view
-            .voters
-            .iter()
-            .copied()
-            .filter(|&voter| is_present(voter))
-            .map(candidate)
-            .collect();
-        let learners = self.learners(now);
-        let are_connected = |first, second| self.peers.are_connected(now, first, second);
-        next_view(view, &voters, &learners, self.policy, &are_connected).ok()
-    }
-
-    /// Members outside the voters that may be taken in.
-    fn learners(&self, now: Duration) -> Vec<Candidate> {
-        let heard = self.peers.heard_lately(now).into_iter();
-        let outside =
-            heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
-        let ready = outside.filter(|&member| {
-            self.peers.is_stable(now, member)
-                && self.peers.is_reachable(now, member)
-                && self.peers.can_replicate(member)
-        });
-        ready
-            .map(|member| Candidate {
-                member,
-                active_epoch: 0,
-                stamp: Stamp::default(),
-                can_replicate: true,
-                place: self.place_of(member),
-            })
-            .collect()
-    }
-
-    /// Whether `wanted` has more members in the chain, or voters in the place of silent ones.
-    fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
-        let view = &self.durable.view;
-        let added: BTreeSet<MemberId> = wanted
-            .chain
-            .iter()
-            .chain(&wanted.voters)
-            .copied()
-            .collect::<BTreeSet<_>>();
-        let current: BTreeSet<MemberId> = view.chain.iter().copied().collect();
-        let new_in_chain = wanted
-            .chain
-            .iter()
-            .filter(|member| !current.contains(member));
-        let are_stable = new_in_chain
-            .clone()
-            .all(|&member| member == self.id || self.peers.is_stable(now, member));
-        let has_more = new_in_chain.count() > 0;
-        let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
-        are_stable && (has_more || has_other_voters)
-    }
-
     /// Goes on to the second phase once enough voters have reported.
     pub(crate) fn propose_if_ready(&mut self, now: Duration) {
         let Phase::Preparing { since, reports, .. } = self.proposal_phase() else {
@@ -250,51 +174,4 @@
         }
         self.peers.is_heard(now, voter)
     }
-
-    fn planned_view(&self, now: Duration, reports: &BTreeMap<MemberId, Report>) -> Option<View> {
-        let voters: Vec<Candidate> = reports
-            .iter()
-            .map(|(&member, report)| Candidate {
-                member,
-                active_epoch: report.active_epoch,
-                stamp: report.stamp,
-                can_replicate: report.can_replicate,
-                place: self.place_of(member),
-            })
-            .collect();
-        let learners: Vec<Candidate> = self
-            .learners(now)
-            .into_iter()
-            .filter(|learner| !reports.contains_key(&learner.member))
-            .collect();
-        let hears = |first: MemberId, second: MemberId| match reports.get(&first) {
-            Some(report) => report.hears.contains(&second),
-            None => self.peers.hears(now, first, second),
-        };
-        let are_connected = |first, second| {
-            let is_first_known = self.durable.view.epoch == 0;
-            is_first_known || (hears(first, second) && hears(second, first))
-        };
-        next_view(
-            &self.view_with_known_floor(reports),
-            &voters,
-            &learners,
-            self.policy,
-            &are_connected,
-        )
-        .ok()
-    }
-
-    /// The current view, its floor lowered below the epochs that committed nothing as reported.
-    fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
-        let idle_epochs: Vec<IdleEpoch> = reports
-            .values()
-            .flat_map(|report| report.idle_epochs.iter().copied())
-            .collect();
-        let view = &self.durable.view;
-        View {
-            floor: lowered_floor(view.floor, &idle_epochs),
-            ..view.clone()
-        }
-    }
 }
--- /dev/null
+++ b/crates/tier/chain/src/member/status.rs
@@ -0,0 +1,49 @@
+//! What a member knows of the core, for operators and for the driver.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use super::Member;
+use crate::view::MemberId;
+
+/// What a member knows of the core.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Status {
+    pub epoch: u64,
+    pub head: Option<MemberId>,
+    pub is_head: bool,
+    pub in_chain: bool,
+    /// Whether this member is in contact with a majority of the voters, and since then has had every state
+    /// that one of them knew to be committed.
+    pub in_quorum: bool,
+    /// Internal addresses of the voters.
+    pub voters: Vec<SocketAddrV4>,
+    /// Internal addresses of the core machines that are known, this one included.
+    pub members: Vec<SocketAddrV4>,
+}
+
+impl Member {
+    /// What this member knows of the core at `now`.
+    pub fn status(&self, now: Duration) -> Status {
+        let view = &self.durable.view;
+        let mut members: Vec<SocketAddrV4> = self
+            .peers
+            .heard_lately(now)
+            .iter()
+            .map(|peer| peer.address)
+            .collect();
+        members.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
+        members.extend(view.voters.iter().map(|voter| voter.address));
+        members.sort();
+        members.dedup();
+        Status {
+            epoch: view.epoch,
+            head: view.head(),
+            is_head: self.is_serving_head(),
+            in_chain: view.chain.contains(&self.id),
+            in_quorum: self.is_in_quorum(now),
+            voters: view.voters.iter().map(|voter| voter.address).collect(),
+            members,
+        }
+    }
+}
--- /dev/null
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -0,0 +1,138 @@
+//! Which view this member proposes: from what it hears now, and from the reports of a ballot.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use super::Member;
+use crate::agreement::Report;
+use crate::durable::IdleEpoch;
+use crate::plan::{Candidate, lowered_floor, next_view};
+use crate::state::Stamp;
+use crate::view::{MemberId, View};
+
+impl Member {
+    /// The view that the present heartbeats ask for.
+    pub(super) fn wanted_view(&self, now: Duration) -> Option<View> {
+        let view = &self.durable.view;
+        let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
+        let candidate = |member: MemberId| Candidate {
+            member,
+            active_epoch: if view.chain.contains(&member) {
+                view.epoch
+            } else {
+                0
+            },
+            stamp: Stamp::default(),
+            can_replicate: if member == self.id {
+                self.can_replicate()
+            } else {
+                self.peers.can_replicate(member)
+            },
+            failure_domain: self.failure_domain_of(member),
+        };
+        let voters: Vec<Candidate> = view
+            .voters
+            .iter()
+            .copied()
+            .filter(|&voter| is_present(voter))
+            .map(candidate)
+            .collect();
+        let learners = self.learners(now);
+        let are_connected = |first, second| self.peers.are_connected(now, first, second);
+        next_view(view, &voters, &learners, self.policy, &are_connected).ok()
+    }
+
+    /// Members outside the voters that may be taken in.
+    fn learners(&self, now: Duration) -> Vec<Candidate> {
+        let heard = self.peers.heard_lately(now).into_iter();
+        let outside =
+            heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
+        let ready = outside.filter(|&member| {
+            self.peers.is_stable(now, member)
+                && self.peers.is_reachable(now, member)
+                && self.peers.can_replicate(member)
+        });
+        ready
+            .map(|member| Candidate {
+                member,
+                active_epoch: 0,
+                stamp: Stamp::default(),
+                can_replicate: true,
+                failure_domain: self.failure_domain_of(member),
+            })
+            .collect()
+    }
+
+    /// Whether `wanted` has more members in the chain, or voters in the place of silent ones.
+    pub(super) fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
+        let view = &self.durable.view;
+        let added: BTreeSet<MemberId> = wanted
+            .chain
+            .iter()
+            .chain(&wanted.voters)
+            .copied()
+            .collect::<BTreeSet<_>>();
+        let current: BTreeSet<MemberId> = view.chain.iter().copied().collect();
+        let new_in_chain = wanted
+            .chain
+            .iter()
+            .filter(|member| !current.contains(member));
+        let are_stable = new_in_chain
+            .clone()
+            .all(|&member| member == self.id || self.peers.is_stable(now, member));
+        let has_more = new_in_chain.count() > 0;
+        let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
+        are_stable && (has_more || has_other_voters)
+    }
+
+    pub(super) fn planned_view(
+        &self,
+        now: Duration,
+        reports: &BTreeMap<MemberId, Report>,
+    ) -> Option<View> {
+        let voters: Vec<Candidate> = reports
+            .iter()
+            .map(|(&member, report)| Candidate {
+                member,
+                active_epoch: report.active_epoch,
+                stamp: report.stamp,
+                can_replicate: report.can_replicate,
+                failure_domain: self.failure_domain_of(member),
+            })
+            .collect();
+        let learners: Vec<Candidate> = self
+            .learners(now)
+            .into_iter()
+            .filter(|learner| !reports.contains_key(&learner.member))
+            .collect();
+        let hears = |first: MemberId, second: MemberId| match reports.get(&first) {
+            Some(report) => report.hears.contains(&second),
+            None => self.peers.hears(now, first, second),
+        };
+        let are_connected = |first, second| {
+            let is_first_known = self.durable.view.epoch == 0;
+            is_first_known || (hears(first, second) && hears(second, first))
+        };
+        next_view(
+            &self.view_with_known_floor(reports),
+            &voters,
+            &learners,
+            self.policy,
+            &are_connected,
+        )
+        .ok()
+    }
+
+    /// The current view, its floor lowered below the epochs that committed nothing as reported.
+    fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
+        let idle_epochs: Vec<IdleEpoch> = reports
+            .values()
+            .flat_map(|report| report.idle_epochs.iter().copied())
+            .collect();
+        let view = &self.durable.view;
+        View {
+            floor: lowered_floor(view.floor, &idle_epochs),
+            ..view.clone()
+        }
+    }
+}
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -36,7 +36,7 @@
         if current.is_none_or(|promise| promise.ballot < ballot) {
             let epoch = self.durable.view.epoch;
             self.persist(Record::Promise(Promise { epoch, ballot }));
-            self.election.promised_to_another();
+            self.election.cancel();
         }
         let report = self.report();
         self.send_after_sync(from, Body::Promise { ballot, report });
@@ -124,7 +124,7 @@
         {
             self.proposer.abandon();
             let wait = self.delay_after_failure();
-            self.election.retry(now + SEALED_EPOCH_DELAY + wait);
+            self.election.schedule(now + SEALED_EPOCH_DELAY + wait);
         }
     }
 
@@ -173,7 +173,7 @@
         self.persist(Record::View(view.clone()));
         self.deferred.clear();
         self.proposer.abandon();
-        self.election.installed();
+        self.election.cancel();
         self.clear_active_members();
         self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         self.barrier_session = self.random.rand_u64() | 1;
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -5,7 +5,7 @@
 
 use crate::agreement::Report;
 use crate::ballot::{Accepted, Ballot};
-use crate::plan::Place;
+use crate::failure_domain::FailureDomain;
 use crate::state::{Command, ControlState, Stamp};
 use crate::view::{MemberId, View, ViewError};
 
@@ -49,7 +49,7 @@
     /// Whether the sender may vote in epoch 0.
     pub bootstrap: bool,
     /// Where the sender stands.
-    pub place: Place,
+    pub failure_domain: FailureDomain,
     /// Stamp of the newest committed state that the sender knows.
     pub committed: Stamp,
     /// Members that the sender has heard lately.
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::failure_domain::FailureDomain;
 use crate::message::{Heartbeat, HeartbeatTime};
-use crate::plan::Place;
 use crate::state::Stamp;
 use crate::view::MemberId;
 
@@ -28,7 +28,7 @@
     can_replicate: bool,
     leaving: bool,
     bootstrap: bool,
-    place: Place,
+    failure_domain: FailureDomain,
     /// Its newest heartbeat, to be echoed.
     sent: HeartbeatTime,
     /// When the newest own heartbeat was sent that it has echoed.
@@ -85,7 +85,7 @@
             can_replicate: true,
             leaving: false,
             bootstrap: false,
-            place: heartbeat.place,
+            failure_domain: heartbeat.failure_domain,
             sent: heartbeat.sent,
             echoed: None,
             committed: heartbeat.committed,
@@ -94,7 +94,7 @@
         peer.can_replicate = heartbeat.can_replicate;
         peer.leaving = heartbeat.leaving;
         peer.bootstrap = heartbeat.bootstrap;
-        peer.place = heartbeat.place;
+        peer.failure_domain = heartbeat.failure_domain;
         peer.sent = heartbeat.sent;
         peer.committed = peer.committed.max(heartbeat.committed);
         let echoed = Duration::from_micros(heartbeat.echo.micros);
@@ -253,10 +253,10 @@
     }
 
     /// Where `member` stands, if it has said so.
-    pub(crate) fn place(&self, member: MemberId) -> Place {
+    pub(crate) fn failure_domain(&self, member: MemberId) -> FailureDomain {
         self.table
             .get(&member)
-            .map(|peer| peer.place)
+            .map(|peer| peer.failure_domain)
             .unwrap_or_default()
     }
 
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -3,9 +3,10 @@
 use std::cmp::Reverse;
 
 use snafu::Snafu;
-use speedy::{Readable, Writable};
 
 use crate::durable::IdleEpoch;
+use crate::failure_domain::FailureDomain;
+use crate::policy::Policy;
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
@@ -26,82 +27,8 @@
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
-    pub place: Place,
-}
-
-/// Where a machine stands, as digests of the names of its zone and region.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Place {
-    pub zone: u32,
-    pub region: u32,
-}
-
-impl Place {
-    /// The place of these names.
-    pub fn named(zone: &str, region: &str) -> Place {
-        Place {
-            zone: digest(zone),
-            region: digest(region),
-        }
-    }
-}
-
-/// Digest of a name (FNV-1a, 32 bits).
-fn digest(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| {
-        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
-    })
-}
-
-/// What may be lost at once.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tolerance {
-    pub machines: usize,
-    pub zones: usize,
-    pub regions: usize,
-}
-
-/// How many members a view wants.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Policy {
-    /// Voters, and members of the chain: `2f + 1`.
-    pub replicas: usize,
-    /// Members without which the chain commits nothing: `f + 1`.
-    pub minimum: usize,
-    /// Whether members should stand in different zones.
-    pub spread_zones: bool,
-    /// Whether members should stand in different regions.
-    pub spread_regions: bool,
-}
-
-impl Policy {
-    /// The policy that bears these losses. Members spread over zones or regions, so that the loss of one of
-    /// those is the loss of no more members than the policy bears.
-    pub fn tolerating(tolerance: Tolerance) -> Policy {
-        let faults = tolerance
-            .machines
-            .max(tolerance.zones)
-            .max(tolerance.regions);
-        Policy {
-            replicas: 2 * faults + 1,
-            minimum: faults + 1,
-            spread_zones: tolerance.zones > 0,
-            spread_regions: tolerance.regions > 0,
-        }
-    }
-
-    /// How many of `chosen` a machine at `place` would be lost together with; fewer is better.
-    fn crowding(&self, place: Place, chosen: &[Candidate]) -> (usize, usize) {
-        let in_region = chosen
-            .iter()
-            .filter(|other| other.place.region == place.region)
-            .count();
-        let in_zone = chosen.iter().filter(|other| other.place == place).count();
-        (
-            if self.spread_regions { in_region } else { 0 },
-            if self.spread_zones { in_zone } else { 0 },
-        )
-    }
+    /// Its zone and region.
+    pub failure_domain: FailureDomain,
 }
 
 /// The view after `current`.
@@ -221,7 +148,10 @@
             .all(|other| are_connected(candidate.member, other.member))
     });
     reaching
-        .min_by_key(|candidate| policy.crowding(candidate.place, chain))
+        .min_by_key(|candidate| {
+            let domains = chain.iter().map(|other| other.failure_domain);
+            policy.crowding(candidate.failure_domain, domains)
+        })
         .copied()
 }
 
--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Ballot, Body, Durable, Input, Member, MemberId, MemberOptions, Output, Place, Record,
+    Ballot, Body, Durable, FailureDomain, Input, Member, MemberId, MemberOptions, Output, Record,
     TimedStep, Tolerance, View,
 };
 
@@ -41,7 +41,7 @@
             machines: 1,
             ..Tolerance::default()
         },
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     };
     Member::new(NOW, options, durable)
--- a/crates/tier/chain/tests/codec.rs
+++ b/crates/tier/chain/tests/codec.rs
@@ -3,9 +3,9 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use woadreach_chain::{
-    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope, Heartbeat,
-    HeartbeatTime, MemberId, Place, Promise, PutConfiguration, PutStorageView, Record, Stamp,
-    TakenConfiguration, View,
+    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope,
+    FailureDomain, Heartbeat, HeartbeatTime, MemberId, Promise, PutConfiguration, PutStorageView,
+    Record, Stamp, TakenConfiguration, View,
 };
 
 #[derive(Clone, Debug)]
@@ -122,7 +122,7 @@
                 can_replicate: bool::arbitrary(generator),
                 leaving: bool::arbitrary(generator),
                 bootstrap: bool::arbitrary(generator),
-                place: Place {
+                failure_domain: FailureDomain {
                     zone: u32::arbitrary(generator),
                     region: u32::arbitrary(generator),
                 },
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Departure, Durable, Envelope, Heartbeat, HeartbeatTime, Input, Member, MemberId,
-    MemberOptions, Place, Record, Stamp, Tolerance, View,
+    Body, Departure, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, Member,
+    MemberId, MemberOptions, Record, Stamp, Tolerance, View,
 };
 
 const EPOCH: u64 = 5;
@@ -41,7 +41,7 @@
             machines: 1,
             ..Tolerance::default()
         },
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     };
     Member::new(Duration::ZERO, options, durable)
@@ -70,7 +70,7 @@
             can_replicate: true,
             leaving: false,
             bootstrap: false,
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
             committed: Stamp::default(),
             hears: (1..=LEARNER).map(id).collect(),
         };
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, Durable, Envelope, Heartbeat, HeartbeatTime, Input, MemberId, Output, Place, RequestId,
-    Stamp, TimedStep, View,
+    Body, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, MemberId, Output,
+    RequestId, Stamp, TimedStep, View,
 };
 
 use super::machine::{Machine, address, first_identity, index_of};
@@ -158,7 +158,7 @@
             can_replicate: !machine.is_leaving,
             leaving: machine.is_leaving,
             bootstrap: false,
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
             committed: Stamp::default(),
             sent: HeartbeatTime::default(),
             echo: HeartbeatTime::default(),
--- a/crates/tier/chain/tests/member_model/machine.rs
+++ b/crates/tier/chain/tests/member_model/machine.rs
@@ -5,7 +5,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use woadreach_chain::{Durable, Member, MemberId, MemberOptions, Place, Record, Tolerance, View};
+use woadreach_chain::{
+    Durable, FailureDomain, Member, MemberId, MemberOptions, Record, Tolerance, View,
+};
 
 /// A machine in one life of its process.
 #[derive(Clone)]
@@ -47,7 +49,7 @@
                 machines: faults,
                 ..Tolerance::default()
             },
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
             random_seed: index as u64,
         };
         let member = Member::new(now, options, durable.clone());
--- a/crates/tier/chain/tests/member_model/main.rs
+++ b/crates/tier/chain/tests/member_model/main.rs
@@ -51,7 +51,7 @@
         .unwrap_or(0)
 }
 
-/// Searches every run of at limits `actions` actions; gives the violation that was found.
+/// Searches every run of at most `actions` actions; gives the violation that was found.
 fn search(name: &str, world: World, actions: usize) -> Option<String> {
     let started = Instant::now();
     let actions = actions + additional_depth();
--- a/crates/tier/chain/tests/model.rs
+++ b/crates/tier/chain/tests/model.rs
@@ -8,7 +8,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use woadreach_chain::{Candidate, MemberId, Place, Policy, Stamp, Tolerance, View, next_view};
+use woadreach_chain::{
+    Candidate, FailureDomain, MemberId, Policy, Stamp, Tolerance, View, next_view,
+};
 
 const MEMBERS: usize = 3;
 /// What a mutated fault leaves out.
@@ -106,7 +108,7 @@
             active_epoch: node.active,
             stamp: Stamp { epoch, number },
             can_replicate: true,
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
         }
     }
 
--- a/crates/tier/chain/tests/plan.rs
+++ b/crates/tier/chain/tests/plan.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use woadreach_chain::{
-    Candidate, MemberId, Place, PlanError, Policy, Stamp, Tolerance, View, next_view,
+    Candidate, FailureDomain, MemberId, PlanError, Policy, Stamp, Tolerance, View, next_view,
 };
 
 fn id(number: u8) -> MemberId {
@@ -23,7 +23,7 @@
         active_epoch,
         stamp: Stamp::default(),
         can_replicate: true,
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
     }
 }
 
@@ -174,7 +174,7 @@
         regions: 0,
     });
     let at = |member: MemberId, zone: u32, active_epoch: u64| Candidate {
-        place: Place { zone, region: 0 },
+        failure_domain: FailureDomain { zone, region: 0 },
         ..candidate(member, active_epoch)
     };
     let voters = [at(id(1), 1, 5), at(id(2), 1, 5), at(id(3), 2, 5)];
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Body, ControlState, Durable, Envelope, Input, Member, MemberOptions, Output, Place, Reply,
-    Request, RequestId, Tolerance, View,
+    Body, ControlState, Durable, Envelope, FailureDomain, Input, Member, MemberOptions, Output,
+    Reply, Request, RequestId, Tolerance, View,
 };
 
 use super::capacity::Capacity;
@@ -572,7 +572,7 @@
                 zones: usize::from(self.zones > 0),
                 regions: 0,
             },
-            place: self.place(node),
+            failure_domain: self.failure_domain(node),
             random_seed: self.random.rand_u64(),
         };
         let disk = self.nodes[node].disk.as_ref().expect("made above");
@@ -608,11 +608,11 @@
             .collect()
     }
 
-    fn place(&self, node: usize) -> Place {
+    fn failure_domain(&self, node: usize) -> FailureDomain {
         if self.zones == 0 {
-            Place::default()
+            FailureDomain::default()
         } else {
-            Place {
+            FailureDomain {
                 zone: (node % self.zones) as u32,
                 region: 0,
             }
--- a/crates/tier/control/src/core_role.rs
+++ b/crates/tier/control/src/core_role.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 use tokio::time::Instant;
-use woadreach_chain::{Departure, Input, MemberOptions, Place, Tolerance};
+use woadreach_chain::{Departure, FailureDomain, Input, MemberOptions, Tolerance};
 use woadreach_discovery::{CoreDiscovery, NodeRole, Sampler};
 use woadreach_journal::{Journal, JournalError, JournalOptions, Recovered};
 use woadreach_rpc::{Client, ClientOptions, Router, ServiceId};
@@ -145,7 +145,7 @@
             zones: settings.fault_tolerance.zones,
             regions: settings.fault_tolerance.regions,
         },
-        place: Place::named(&settings.zone, &settings.region),
+        failure_domain: FailureDomain::named(&settings.zone, &settings.region),
         random_seed: random_number(),
     })
 }
--- a/crates/tier/control/tests/journal_bounds.rs
+++ b/crates/tier/control/tests/journal_bounds.rs
@@ -6,8 +6,8 @@
 
 use oorandom::Rand64;
 use woadreach_chain::{
-    Blob, Command, MemberOptions, Place, PutConfiguration, Reply, Request, TakenConfiguration,
-    Tolerance,
+    Blob, Command, FailureDomain, MemberOptions, PutConfiguration, Reply, Request,
+    TakenConfiguration, Tolerance,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
@@ -25,7 +25,7 @@
         address: ADDRESS,
         seeds: vec![ADDRESS],
         tolerance: Tolerance::default(),
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     }
 }
--- a/crates/tier/control/tests/journal_upkeep.rs
+++ b/crates/tier/control/tests/journal_upkeep.rs
@@ -8,7 +8,7 @@
 use parking_lot::{Condvar, Mutex};
 use tokio::task::JoinHandle;
 use woadreach_chain::{
-    Blob, Command, MemberOptions, Place, PutStorageView, Reply, Request, Tolerance,
+    Blob, Command, FailureDomain, MemberOptions, PutStorageView, Reply, Request, Tolerance,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
@@ -89,7 +89,7 @@
         address: ADDRESS,
         seeds: vec![ADDRESS],
         tolerance: Tolerance::default(),
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     }
 }
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinSet;
 use tower::ServiceExt;
-use woadreach_chain::{MemberOptions, Place, Tolerance};
+use woadreach_chain::{FailureDomain, MemberOptions, Tolerance};
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
 use woadreach_control::operator;
@@ -80,7 +80,7 @@
                 machines: usize::from(!self.is_split),
                 ..Tolerance::default()
             },
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
             random_seed: index as u64,
         };
         let (stop, stopped) = oneshot::channel();
--- a/crates/tier/control/tests/support/mod.rs
+++ b/crates/tier/control/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use woadreach_chain::{MemberOptions, Place, Tolerance};
+use woadreach_chain::{FailureDomain, MemberOptions, Tolerance};
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
 use woadreach_control::order::OrderService;
@@ -41,7 +41,7 @@
         address: ADDRESS,
         seeds,
         tolerance: Tolerance::default(),
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     };
     let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a journal");
