--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -1,8 +1,10 @@
 //! Agreement on the next view: single-decree Paxos, one instance for each epoch.
 //!
-//! The instance of epoch `e` is decided by the voters of view `e` and yields view `e + 1`. A promise seals
-//! epoch `e`: whoever has promised takes no more writes of it, so the state that it reports with the promise
-//! stays.
+//! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance of
+//! epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more writes
+//! of that epoch, so the state that it reports with the promise is final.
+//!
+//! The acceptor's part is in `member/views.rs`; this module is the proposer's.
 //!
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
@@ -22,38 +24,50 @@
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
-/// What a voter reports with its promise.
+/// What an acceptor reports with its promise.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Report {
-    /// Its vote on the next view, if it has given one.
+    /// The proposal with the highest ballot that it has accepted in this instance.
     pub accepted: Option<Accepted>,
-    /// The last epoch in which it was active in the chain: its state holds all that was committed up to it.
+    /// The last epoch in which it was active in the chain. Its state holds every write that was committed
+    /// up to and including that epoch.
     pub active_epoch: u64,
-    /// Stamp of its state.
+    /// Stamp of its state, committed or not. Final, since the epoch is sealed.
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
-    /// Members that it has heard lately.
+    /// Members that it has heard within the suspicion time-out, itself included.
     pub hears: Vec<MemberId>,
-    /// Epochs in which it knows that nothing was committed. At the end, as earlier messages lack it.
+    /// Epochs in which it knows that nothing was committed. Must stay the last field: earlier messages end before
+    /// it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
 
-/// Phase of a proposer.
+/// Phase of a proposer. A proposer has at most one ballot at a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Phase {
+    /// No proposal.
     #[default]
     Idle,
+    /// Phase 1: promises are collected.
     Preparing {
+        /// Ballot of the proposal.
         ballot: Ballot,
+        /// When the phase began.
         since: Duration,
+        /// Reports of the acceptors that have promised.
         reports: BTreeMap<MemberId, Report>,
     },
+    /// Phase 2: acceptances are collected.
     Accepting {
+        /// Ballot of the proposal.
         ballot: Ballot,
+        /// When the phase began.
         since: Duration,
+        /// The proposed view. Must never change under one ballot.
         view: View,
+        /// Acceptors that have accepted it, each at most once.
         accepted_by: Vec<MemberId>,
     },
 }
@@ -62,15 +76,17 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposer {
     phase: Phase,
+    /// The highest round seen in any ballot. Never decreases.
     highest_round: u64,
 }
 
 impl Proposer {
+    /// The phase of the current proposal.
     pub(crate) fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// The proposer without its times.
+    /// Everything here that decisions depend on, without times: for exhaustive searches.
     pub(crate) fn canonical(&self) -> impl std::fmt::Debug + '_ {
         let phase = match &self.phase {
             Phase::Idle => None,
@@ -87,7 +103,7 @@
         (phase, self.highest_round)
     }
 
-    /// Ballot of the present proposal.
+    /// Ballot of the current proposal.
     pub(crate) fn ballot(&self) -> Option<Ballot> {
         match self.phase {
             Phase::Idle => None,
@@ -95,7 +111,8 @@
         }
     }
 
-    /// Begins a proposal above every ballot seen so far.
+    /// Begins phase 1 with a ballot above every one seen so far. The caller must put its own promise of the ballot
+    /// on disk before it sends the ballot to anyone.
     pub(crate) fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
         self.highest_round += 1;
         let ballot = Ballot {
@@ -110,12 +127,12 @@
         ballot
     }
 
-    /// Notes a ballot of another proposer, so that the next own one is above it.
+    /// Records another proposer's ballot, so that the next own one is above it.
     pub(crate) fn observe_ballot(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
-    /// Takes a promise. Reports of members that don't vote must not be passed in.
+    /// Records a promise, unless it belongs to another ballot. `from` must be a voter of the current view.
     pub(crate) fn record_promise(&mut self, from: MemberId, ballot: Ballot, report: Report) {
         if let Phase::Preparing {
             ballot: own,
@@ -128,7 +145,8 @@
         }
     }
 
-    /// The view that must be proposed because it may have been decided: that of the highest vote reported.
+    /// The view that must be proposed because it may already have been decided: that of the accepted proposal with
+    /// the highest ballot (Paxos Made Simple, property P2c).
     pub(crate) fn highest_accepted_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
         let votes = reports
             .values()
@@ -138,7 +156,8 @@
             .map(|vote| vote.view.clone())
     }
 
-    /// Goes on to the second phase with `view`.
+    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. The caller must have the reports of
+    /// a majority, and `view` must be [`highest_accepted_view`](Self::highest_accepted_view) of them if there is one.
     pub(crate) fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
         let Phase::Preparing { ballot, .. } = self.phase else {
             return None;
@@ -152,7 +171,8 @@
         Some(ballot)
     }
 
-    /// Takes a vote; gives the view back once a majority of `current`'s voters has voted for it.
+    /// Records an acceptance. Returns the view, now decided, once a majority of the voters of `current` has accepted
+    /// it.
     pub(crate) fn record_accepted(
         &mut self,
         from: MemberId,
@@ -180,7 +200,7 @@
         Some(decided)
     }
 
-    /// Gives the proposal up.
+    /// Abandons the proposal. Its ballot must not be used again.
     pub(crate) fn abandon(&mut self) {
         self.phase = Phase::Idle;
     }
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -1,4 +1,7 @@
-//! What a member has on its disk.
+//! The durable state of a member, and the records that change it.
+//!
+//! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and applies the
+//! records that follow it in order.
 
 use snafu::{OptionExt, ResultExt, Snafu};
 use speedy::{Endianness, Readable, Writable};
@@ -10,68 +13,91 @@
 /// Version of the format of records and snapshots.
 const FORMAT_VERSION: u8 = 1;
 
-/// A record or snapshot that can't be read.
+/// Why a record or a snapshot can't be read.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
+    /// There is not even a version byte.
     #[snafu(display("the record is empty"))]
     Empty,
+    /// Another version of the format.
     #[snafu(display("format version {found}, expected {FORMAT_VERSION}"))]
-    Version { found: u8 },
+    Version {
+        /// Version that was found.
+        found: u8,
+    },
+    /// The bytes are no record or snapshot of this version.
     #[snafu(display("malformed record"))]
-    Malformed { source: speedy::Error },
+    Malformed {
+        /// Error of the decoder.
+        source: speedy::Error,
+    },
 }
 
-/// One change of [`Durable`].
+/// One change of [`Durable`]. Variants are coded by position: new ones go to the end.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
-    /// A promise on the view after the one of `promise.epoch`; seals that epoch.
+    /// A promise in the instance of `promise.epoch`; seals that epoch.
     Promise(Promise),
-    /// A vote on the view after the current one.
+    /// An accepted proposal for the view after the current one.
     Accept(Accepted),
     /// A decided view.
     View(View),
-    /// From here on the state takes the writes of this epoch.
+    /// The member becomes active in this epoch: its state takes the epoch's writes from here on.
     Activate(u64),
-    /// The predecessor's state; activates the epoch too.
-    State { epoch: u64, state: ControlState },
-    /// A write of the chain.
-    Write { stamp: Stamp, command: Command },
+    /// The predecessor's state replaces the own one, and the epoch is activated.
+    State {
+        /// Epoch that becomes active.
+        epoch: u64,
+        /// The predecessor's state.
+        state: ControlState,
+    },
+    /// A replicated write.
+    Write {
+        /// Position of the write; must be above that of the state.
+        stamp: Stamp,
+        /// The change.
+        command: Command,
+    },
 }
 
-/// An epoch in whose chain a member was without ever having been active: nothing was committed in it.
+/// An epoch in which nothing was committed, since a member of its chain was never active in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct IdleEpoch {
+    /// The epoch.
     pub epoch: u64,
-    /// The floor of its view: whoever was active there holds what was committed up to `epoch` too.
+    /// Floor of its view. A member that was active in this epoch or later holds every write committed up to `epoch`.
     pub floor: u64,
 }
 
-/// How many idle epochs are remembered.
+/// Upper bound of the idle epochs that a member remembers; the oldest is dropped first.
 const MAX_IDLE_EPOCHS: usize = 8;
 
-/// The state of a member's disk: the result of its records, in order.
+/// The durable state of a member: the result of applying its records in order.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Durable {
-    /// Identity of the disk.
+    /// Identity of the disk, drawn when it is first used. Never changes.
     pub identity: u64,
     /// Whether the disk was first used in the very first start of the system.
     pub bootstrap: bool,
+    /// The newest decided view that the member knows. Its epoch never decreases.
     pub view: View,
-    /// The last promise, which concerns the current view if its epoch is the view's.
+    /// The last promise. Binds only if its epoch is that of `view`; see [`current_promise`](Self::current_promise).
     pub promise: Option<Promise>,
-    /// The last vote on the view after the current one.
+    /// The accepted proposal with the highest ballot for the view after `view`. Cleared by every new view.
     pub accepted: Option<Accepted>,
-    /// Epoch whose writes the state takes.
+    /// The last epoch in which the member was active. Must not be above the epoch of `view`.
     pub active_epoch: u64,
     /// The state with every write, committed or not.
     pub state: ControlState,
-    /// Epochs known to have committed nothing, oldest first. At the end, as earlier snapshots lack it.
+    /// Epochs known to have committed nothing, oldest first. Must stay the last field: earlier snapshots end before
+    /// it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
 
 impl Durable {
-    /// A disk that has just been taken into use.
+    /// The durable state of a disk that is used for the first time. `bootstrap` must be set only in the first start of
+    /// the whole system, where `view` is [`View::bootstrap`].
     pub fn new(identity: u64, bootstrap: bool, view: View) -> Durable {
         Durable {
             identity,
@@ -85,7 +111,7 @@
         }
     }
 
-    /// Applies one record.
+    /// Applies one record. Records must come in the order in which the member made them.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Promise(promise) => self.promise = Some(*promise),
@@ -104,7 +130,7 @@
         }
     }
 
-    /// The current epoch ends here. If this member was in the chain and never active, that is for good.
+    /// Records the current epoch, which ends now, as idle if this member was in its chain and never active in it.
     fn record_idle_epoch(&mut self) {
         let View { epoch, floor, .. } = self.view;
         let is_in_chain = self
@@ -120,41 +146,49 @@
         }
     }
 
-    /// The promise that binds in the current view.
+    /// The promise in the instance of the current epoch.
     pub fn current_promise(&self) -> Option<Promise> {
         self.promise
             .filter(|promise| promise.epoch == self.view.epoch)
     }
 
-    /// Whether the current epoch is sealed: nothing more of it is taken.
+    /// Whether the current epoch is sealed: the member takes no more writes of it.
     pub fn is_sealed(&self) -> bool {
         self.current_promise().is_some()
     }
 
-    /// The snapshot from which [`Durable::decode`] starts again.
+    /// The state as a snapshot, with a leading version byte.
     pub fn encode(&self) -> Vec<u8> {
         encode_versioned(self)
     }
 
     /// Reads a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError`] if the bytes are empty, of another version or no snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Durable, RecordError> {
         decode_versioned(bytes)
     }
 }
 
 impl Record {
-    /// The record as it is written to the log.
+    /// The record as it is written to the log, with a leading version byte.
     pub fn encode(&self) -> Vec<u8> {
         encode_versioned(self)
     }
 
     /// Reads a record of the log.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordError`] if the bytes are empty, of another version or no record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         decode_versioned(bytes)
     }
 }
 
-/// A version byte and the value.
+/// A version byte, followed by the value.
 fn encode_versioned<T: Writable<Endianness>>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT_VERSION];
     // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
--- a/crates/tier/chain/src/member/chain.rs
+++ b/crates/tier/chain/src/member/chain.rs
@@ -1,4 +1,6 @@
-//! This member's place in the chain: writes, transfers and commits.
+//! Replication of writes and states down the chain, and commits back up.
+//!
+//! Van Renesse & Schneider, Chain Replication (2004), section 3.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +12,8 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member takes writes of the current epoch.
+    /// Whether this member takes writes of the current epoch: it is in the chain, has activated the epoch and has not
+    /// sealed it.
     pub(crate) fn is_active(&self) -> bool {
         let view = &self.durable.view;
         view.epoch > 0
@@ -19,18 +22,22 @@
             && !self.durable.is_sealed()
     }
 
+    /// Whether this member is the head and takes commands.
     pub(super) fn is_serving_head(&self) -> bool {
         self.durable.view.head() == Some(self.id) && self.is_active()
     }
 
+    /// The next member of the chain; `None` at the tail and outside the chain.
     pub(super) fn successor(&self) -> Option<MemberId> {
         self.durable.view.successor(self.id)
     }
 
+    /// Whether a message of the chain comes from the predecessor and the epoch isn't sealed.
     pub(super) fn is_from_predecessor(&self, from: MemberId) -> bool {
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
+    /// Takes the writes after `after` from the predecessor, or activates the epoch if the states are the same.
     pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
@@ -62,6 +69,7 @@
         self.advance_replication(now);
     }
 
+    /// Appends a write to the state, unless the state contains it. Writes must come without gaps.
     pub(super) fn append(&mut self, write: Write) {
         if write.stamp <= self.durable.state.stamp {
             return;
@@ -75,6 +83,7 @@
             .push(record, self.durable.view.epoch, stamp, command);
     }
 
+    /// Takes the predecessor's complete state, unless the own one is as new, and activates the epoch.
     pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
@@ -98,12 +107,13 @@
         self.advance_replication(now);
     }
 
+    /// More of the chain's records are synced: forwards them and reports that to the predecessor.
     pub(super) fn report_persisted(&mut self, now: Duration) {
         self.advance_replication(now);
         self.report_to_predecessor();
     }
 
-    /// Tells the predecessor how far this member and those after it are.
+    /// Reports the progress of this member and of those behind it to the predecessor.
     pub(super) fn report_to_predecessor(&mut self) {
         let view = &self.durable.view;
         let Some(predecessor) = view.predecessor(self.id) else {
@@ -119,7 +129,7 @@
         self.send_now(predecessor.address, report);
     }
 
-    /// Sends on what the successor lacks; at the tail, commits.
+    /// Forwards what the successor lacks. The tail commits what it has persisted, if the chain is long enough.
     pub(crate) fn advance_replication(&mut self, now: Duration) {
         if !self.is_active() {
             return;
@@ -141,7 +151,7 @@
         }
     }
 
-    /// The rest of the chain has persisted everything up to `committed` and passed `barrier` on.
+    /// Records that the tail has committed everything up to `committed` and that `barrier` has reached it.
     pub(super) fn record_chain_progress(
         &mut self,
         now: Duration,
@@ -163,6 +173,7 @@
         }
     }
 
+    /// Publishes a committed state, unless a newer one is published.
     pub(super) fn publish(&mut self, now: Duration, state: Arc<ControlState>) {
         if state.stamp <= self.published.stamp {
             return;
@@ -178,10 +189,10 @@
         }
     }
 
-    /// Lets the members outside the chain know at once that there is something newer.
+    /// Announces the new state to the members outside the chain at once, by a heartbeat.
     pub(super) fn send_heartbeats_outside_chain(&mut self, now: Duration) {
         let chain = self.durable.view.chain.clone();
-        for peer in self.peers.heard_lately(now) {
+        for peer in self.peers.heard_members(now) {
             if !chain.contains(&peer) {
                 let heartbeat = self.heartbeat(now, peer.address);
                 self.send_now(peer.address, heartbeat);
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -1,16 +1,16 @@
-//! The end of a member that is being stopped: whether anything hangs on it.
+//! Graceful shutdown: when a member may exit.
 //!
-//! A process that is told to stop does not know whether its disk will come back. So it stays until the others
-//! can do without the disk, as long as it is let:
+//! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others no longer
+//! need the disk, or until the driver's time-out:
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | member | [`Input::Leave`](super::Input::Leave) | leaving: says so in each heartbeat |
-//! | leaving, in the chain | a view without it is decided | outside; asks the chain who is active |
-//! | leaving, outside the chain | a view that was begun before takes it in | leaving, in the chain |
-//! | leaving, outside the chain | no such view can come, and it is not needed | may end |
+//! | member | [`Input::Leave`](super::Input::Leave) | leaving: reports it in each heartbeat |
+//! | leaving, in the chain | a view without it is installed | leaving, outside; requests who is active |
+//! | leaving, outside the chain | a view that was proposed earlier adds it | leaving, in the chain |
+//! | leaving, outside the chain | no such view is possible, and it isn't needed | may exit |
 //!
-//! It is not needed once `f + 1` members are active and the votes hold without it.
+//! It isn't needed once `f + 1` members are active and the other voters are a majority.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,40 +19,40 @@
 use crate::message::Body;
 use crate::view::MemberId;
 
-/// A view that was begun before others knew that this member is being stopped may still take it in: one that
-/// is decided at all has both phases behind it by then, each of 0.4 s at most.
+/// Longest time for which a view that was proposed before others knew of the shutdown may still be decided: twice
+/// [`PHASE_TIMEOUT`](crate::election::PHASE_TIMEOUT) and the delay of messages.
 const MAX_DECISION_TIME: Duration = Duration::from_millis(1000);
 
-/// Whether a member that is being stopped may end.
+/// Whether a member that is shutting down may exit, or why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// The others have the state on disk and a majority of the votes.
+    /// It may exit: the others have the state on disk and a majority of the voters.
     Free,
-    /// Every other voter is being stopped as well, or there is none: nobody takes over.
+    /// Every other voter is shutting down as well, or there is none: nobody can take over.
     NobodyStays,
-    /// The other voters in reach are no majority.
+    /// The other reachable voters are no majority.
     VoteNeeded,
     /// The chain contains this member.
     InChain,
-    /// A view that takes this member in may be on its way.
+    /// A view that adds this member may be pending.
     ViewPending,
-    /// Too few members of the chain are known to have the state on disk.
+    /// Fewer than `f + 1` reachable members of the chain have reported that the state is on their disk.
     ChainWithoutState,
-    /// A machine that could take over this member's vote does not have it yet.
+    /// A reachable machine that could replace this member as voter hasn't done so yet.
     ReplacementWithoutVote,
 }
 
-/// What a leaving member has heard from the chain of the present view.
+/// What a member that is shutting down knows of the installed view's chain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    /// Since when this member has told the others that it is being stopped.
+    /// Since when this member has reported to the others that it is shutting down.
     since: Option<Duration>,
-    /// Members that are active, with the state on disk.
+    /// Members of the chain that have reported that the state is on their disk.
     active: BTreeSet<MemberId>,
 }
 
 impl Member {
-    /// Whether this member, which is being stopped, may end.
+    /// Whether this member may exit. Only meaningful after [`Input::Leave`](super::Input::Leave).
     pub fn departure(&self, now: Duration) -> Departure {
         #[cfg(feature = "mutations")]
         if self.is_mutated(crate::mutations::Mutation::LeavesAtOnce) {
@@ -87,7 +87,7 @@
         Departure::Free
     }
 
-    /// Whether a view may be on its way whose proposer did not know that this member is being stopped.
+    /// Whether a view may be pending whose proposer didn't know that this member is shutting down.
     fn is_view_pending(&self, now: Duration) -> bool {
         self.leaving
             .since
@@ -124,22 +124,22 @@
     }
 
     fn is_replacement_reachable(&self, now: Duration) -> bool {
-        let heard = self.peers.heard_lately(now).into_iter();
+        let heard = self.peers.heard_members(now).into_iter();
         let mut others = heard.filter(|member| !self.durable.view.voters.contains(member));
         others.any(|member| member != self.id && self.peers.can_replicate(member))
     }
 
-    /// Notes that the others are being told that this member is being stopped.
+    /// Records when this member began to report that it is shutting down.
     pub(super) fn begin_leaving(&mut self, now: Duration) {
         self.leaving.since.get_or_insert(now);
     }
 
-    /// Another view is in force: nothing is known of its chain.
+    /// Must be called when a view is installed: nothing is known of its chain.
     pub(super) fn clear_active_members(&mut self) {
         self.leaving.active.clear();
     }
 
-    /// Asks the members of the chain whether they have the state.
+    /// Requests from the other members of the chain whether they have the state on disk.
     pub(super) fn request_active(&mut self) {
         for member in self.durable.view.chain.clone() {
             if member != self.id {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Answers a leaving member, if the state of this epoch is on this disk.
+    /// Answers a member that is shutting down, if the state of this epoch is on this disk.
     pub(super) fn send_active(&mut self, to: MemberId) {
         let epoch = self.durable.view.epoch;
         if self.is_active() && self.replication.persisted_stamp(epoch).is_some() {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Notes a member of the present chain that has the state on disk.
+    /// Records that a member of the chain has the state on disk.
     pub(super) fn record_active(&mut self, from: MemberId) {
         if self.durable.view.chain.contains(&from) {
             self.leaving.active.insert(from);
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -1,14 +1,14 @@
-//! Requests to the head.
+//! Requests to the head of the chain.
 
 use std::time::Duration;
 
 use super::{Member, Output};
 use crate::message::Write;
-use crate::peers::SUSPICION_TIMEOUT;
 use crate::requests::{Reply, Request, RequestId};
 use crate::state::{Command, Stamp, Verdict};
 
 impl Member {
+    /// Handles a request: answers it, or adds it to the pending ones.
     pub(super) fn handle_request(&mut self, now: Duration, id: RequestId, request: Request) {
         if !self.is_serving_head() {
             self.outputs.push(Output::Reply {
@@ -24,7 +24,7 @@
                 let is_configuration = request == Request::ReadConfiguration;
                 let stamp = self.durable.state.stamp;
                 let number = self.barrier_to_wait_for(barrier.number);
-                self.waiting
+                self.pending_requests
                     .wait_for_read(id, is_configuration, stamp, number);
             }
         }
@@ -46,6 +46,7 @@
         number
     }
 
+    /// Judges a command on the newest state, and appends it if it is taken.
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
         let stamp = self.durable.state.stamp;
         let verdict = self.durable.state.judge(&command);
@@ -60,15 +61,15 @@
                     number: stamp.number + 1,
                 };
                 self.append(Write { stamp, command });
-                self.waiting.wait_for_commit(id, stamp, true);
+                self.pending_requests.wait_for_commit(id, stamp, true);
             }
-            Verdict::AlreadyTaken => self.waiting.wait_for_commit(id, stamp, false),
+            Verdict::AlreadyTaken => self.pending_requests.wait_for_commit(id, stamp, false),
             Verdict::Rejected(rejection) => {
                 let barrier = self.replication.next_barrier(self.barrier_session);
-                self.waiting
+                self.pending_requests
                     .wait_for_rejection(id, rejection, stamp, barrier.number);
             }
-            // Nothing is promised, so nothing needs to be committed first.
+            // An undecided answer rests on no state, so it waits for no commit.
             Verdict::Undecided(undecided) => {
                 self.outputs.push(Output::Reply {
                     id,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The verdict as the mutated fault has it; nothing if the fault answers at once.
+    /// The verdict under the mutation; `None` if the mutation has answered already.
     #[cfg(feature = "mutations")]
     fn mutated_verdict(&mut self, id: RequestId, verdict: Verdict) -> Option<Verdict> {
         let Some(mutation) = self.mutation else {
@@ -91,8 +92,9 @@
         Some(mutation.mutate_verdict(verdict, self.durable.state.generation()))
     }
 
+    /// Answers the pending requests whose commits and barriers are confirmed.
     pub(super) fn resolve_requests(&mut self) {
-        if !self.is_serving_head() || self.waiting.is_empty() {
+        if !self.is_serving_head() || self.pending_requests.is_empty() {
             return;
         }
         let Some(committed) = self.replication.committed() else {
@@ -104,13 +106,8 @@
         } else {
             0
         };
-        for (id, reply) in self.waiting.resolve(committed, number) {
+        for (id, reply) in self.pending_requests.resolve(committed, number) {
             self.outputs.push(Output::Reply { id, reply });
         }
     }
-
-    /// How long this member takes silence for granted; the driver's time-outs are above it.
-    pub const fn silence() -> Duration {
-        SUSPICION_TIMEOUT
-    }
 }
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what this member tells the others of itself, and what it hears.
+//! Heartbeats: what this member reports of itself, and what it does on those of others.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,10 +9,12 @@
 use crate::view::MemberId;
 
 impl Member {
+    /// Whether this member may be in a chain.
     pub(crate) fn can_replicate(&self) -> bool {
         self.is_disk_healthy && !self.is_leaving
     }
 
+    /// Zone and region of a member, this one included.
     pub(crate) fn failure_domain_of(&self, member: MemberId) -> FailureDomain {
         if member == self.id {
             self.failure_domain
@@ -21,6 +23,7 @@
         }
     }
 
+    /// Whether a voter is heard. The voters of epoch 0 are known by address only.
     pub(super) fn hears_voter(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return voter.address == self.id.address
@@ -29,6 +32,7 @@
         self.peers.is_heard(now, voter)
     }
 
+    /// A heartbeat to the member at `to`.
     pub(super) fn heartbeat(&self, now: Duration, to: SocketAddrV4) -> Body {
         Body::Heartbeat(Heartbeat {
             sent: self.peers.heartbeat_time(now),
@@ -38,10 +42,11 @@
             bootstrap: self.durable.bootstrap,
             failure_domain: self.failure_domain,
             committed: self.published.stamp,
-            hears: self.peers.heard_lately(now),
+            hears: self.peers.heard_members(now),
         })
     }
 
+    /// Sends a heartbeat to every member that should hear from this one.
     pub(super) fn broadcast_heartbeat(&mut self, now: Duration) {
         for address in self.heartbeat_addresses(now) {
             let heartbeat = self.heartbeat(now, address);
@@ -49,13 +54,20 @@
         }
     }
 
+    /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while this member
+    /// is no voter or isn't in contact with a majority.
     pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
         let view = &self.durable.view;
         let mut addresses: Vec<SocketAddrV4> =
             view.voters.iter().map(|voter| voter.address).collect();
         let is_in_view = view.voters.contains(&self.id);
         if is_in_view || view.epoch == 0 {
-            addresses.extend(self.peers.heard_lately(now).iter().map(|peer| peer.address));
+            addresses.extend(
+                self.peers
+                    .heard_members(now)
+                    .iter()
+                    .map(|peer| peer.address),
+            );
         }
         if view.epoch == 0 || !self.reaches_majority(now) || !is_in_view {
             addresses.extend_from_slice(&self.seeds);
@@ -66,6 +78,7 @@
         addresses
     }
 
+    /// Records a heartbeat, and requests the committed state if the sender has a newer one.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Duration,
@@ -73,7 +86,7 @@
         heartbeat: &Heartbeat,
     ) {
         self.peers.record_heartbeat(now, from, heartbeat);
-        // Somebody who does not hear this member cannot answer, and must not use up the pause.
+        // A member that doesn't hear this one can't answer, and a request to it would delay the next one.
         let can_answer = self.peers.is_in_contact(now, from);
         #[cfg(feature = "mutations")]
         let can_answer =
--- a/crates/tier/chain/src/member/io.rs
+++ b/crates/tier/chain/src/member/io.rs
@@ -12,38 +12,53 @@
 /// What happens to a member.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; see [`Member::next_wake`].
+    /// Time has passed; see [`Member::next_wake`](super::Member::next_wake).
     Tick,
-    /// A message came.
+    /// A message arrived that [`Envelope::check`] accepts.
     Message(Envelope),
-    /// A request came.
+    /// A request arrived. The member answers it with [`Output::Reply`] unless it is cancelled.
     Request(RequestId, Request),
-    /// The caller of a request has gone.
+    /// The caller of a request has disconnected.
     Cancel(RequestId),
     /// Every record up to this number is synced.
     Persisted(u64),
-    /// Whether the disk syncs in time.
-    DiskHealth { is_healthy: bool },
+    /// The disk has become healthy or unhealthy.
+    DiskHealth {
+        /// Whether the disk syncs in time.
+        is_healthy: bool,
+    },
     /// The settings name other seeds.
     Seeds(Vec<SocketAddrV4>),
-    /// This process is stopping.
+    /// The process is shutting down; see [`Departure`](super::Departure).
     Leave,
 }
 
-/// What the driver does.
+/// What the driver must do, in the order in which outputs are returned.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Append the record and sync; then say [`Input::Persisted`] with its number.
-    Persist { number: u64, record: Record },
-    /// Send a message, best effort.
+    /// Append the record and sync; then report [`Input::Persisted`] with its number.
+    Persist {
+        /// Number of the record, one above that of the record before.
+        number: u64,
+        /// The record.
+        record: Record,
+    },
+    /// Send a message. It may be lost, delayed or delivered twice.
     Send {
+        /// Internal address of the receiver.
         to: SocketAddrV4,
+        /// The message.
         envelope: Envelope,
     },
     /// Answer a request.
-    Reply { id: RequestId, reply: Reply },
+    Reply {
+        /// The request.
+        id: RequestId,
+        /// Its answer.
+        reply: Reply,
+    },
     /// A newer state is committed.
     Committed(Arc<ControlState>),
-    /// Another view is in force.
+    /// Another view is installed.
     ViewInstalled(View),
 }
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/messages.rs
@@ -1,10 +1,12 @@
-//! Messages by epoch, and the sync that some of them wait for.
+//! Dispatch of messages, and the syncs that outgoing messages wait for.
+//!
+//! A message of another epoch is not handled: the one of the two members that is behind gets the newer view.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Member, Output};
+use super::{DeferredMessage, Member, Output};
 use crate::durable::Record;
 use crate::message::{Body, Envelope};
 use crate::replication::Progress;
@@ -12,6 +14,7 @@
 use crate::view::MemberId;
 
 impl Member {
+    /// Handles a message of any epoch.
     pub(super) fn receive(&mut self, now: Duration, envelope: Envelope) {
         let Envelope { from, epoch, body } = envelope;
         if from != self.id {
@@ -43,7 +46,7 @@
         self.handle_in_epoch(now, from, body);
     }
 
-    /// Takes a message of the own epoch; nothing of another one comes here.
+    /// Handles a message of the current epoch. Must not be called for one of another epoch.
     pub(super) fn handle_in_epoch(&mut self, now: Duration, from: MemberId, body: Body) {
         match body {
             Body::Prepare { ballot } => self.handle_prepare(from, ballot),
@@ -84,6 +87,7 @@
         }
     }
 
+    /// Sends the newest decided view, if there is one.
     pub(super) fn send_view(&mut self, to: MemberId) {
         if self.durable.view.epoch > 0 {
             let view = self.durable.view.clone();
@@ -91,11 +95,13 @@
         }
     }
 
+    /// Sends the newest committed state.
     pub(super) fn send_state(&mut self, to: MemberId) {
         let state = ControlState::clone(&self.published);
         self.send_now(to.address, Body::Committed(state));
     }
 
+    /// `body` with this member as sender and the current epoch.
     pub(super) fn envelope(&self, body: Body) -> Envelope {
         Envelope {
             from: self.id,
@@ -104,6 +110,8 @@
         }
     }
 
+    /// Sends a message that promises nothing durable. One to this member itself is handled before the input's outputs
+    /// are returned.
     pub(crate) fn send_now(&mut self, to: SocketAddrV4, body: Body) {
         let envelope = self.envelope(body);
         if to == self.id.address {
@@ -113,15 +121,20 @@
         }
     }
 
-    /// Sends a message once every record so far is synced, if the epoch is still the same then.
+    /// Sends a message once every record so far is synced, unless a view is installed before that.
     pub(super) fn send_after_sync(&mut self, to: MemberId, body: Body) {
         if self.synced_number == self.record_number {
             self.send_now(to.address, body);
         } else {
-            self.deferred.push_back((self.record_number, to, body));
+            self.deferred.push_back(DeferredMessage {
+                after_record: self.record_number,
+                to,
+                body,
+            });
         }
     }
 
+    /// Applies a record and asks the driver to persist it. Returns its number.
     pub(super) fn persist(&mut self, record: Record) -> u64 {
         self.record_number += 1;
         self.durable.apply(&record);
@@ -132,15 +145,16 @@
         self.record_number
     }
 
+    /// Sends what waited for the records up to `through`, which are synced.
     pub(super) fn synced(&mut self, now: Duration, through: u64) {
         self.synced_number = self.synced_number.max(through);
         while self
             .deferred
             .front()
-            .is_some_and(|(number, _, _)| *number <= through)
+            .is_some_and(|message| message.after_record <= through)
         {
-            if let Some((_, to, body)) = self.deferred.pop_front() {
-                self.send_now(to.address, body);
+            if let Some(message) = self.deferred.pop_front() {
+                self.send_now(message.to.address, message.body);
             }
         }
         if self.replication.synced(through) {
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -1,13 +1,17 @@
-//! One core machine: joins the decisions of the other modules.
+//! One core machine: combines Paxos, chain replication and failure detection.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | in the chain, active | promise on the next view | sealed: takes nothing of the epoch |
+//! | in the chain, active | promises in the instance of its epoch | sealed: takes no writes of the epoch |
 //! | sealed | the next view is decided | head: active; in the chain: waits for predecessor; else outside |
 //! | waits for its predecessor | its state is the predecessor's, or was transferred | active |
-//! | outside the chain | a view takes it in | waits for its predecessor |
+//! | outside the chain | a view adds it | waits for its predecessor |
 //!
-//! Messages that promise something durable leave only once every record before them is synced.
+//! A message that promises something durable leaves only once every record before it is synced.
+//!
+//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `views` is the
+//! acceptor and installs views, `proposals` and `view_selection` are the proposer, `chain` and `head` replicate,
+//! `heartbeats` and `quorum_contact` watch the others, `departure` ends a process.
 
 mod chain;
 mod departure;
@@ -48,46 +52,66 @@
 pub use departure::Departure;
 use departure::Leaving;
 
-/// Interval between two heartbeats.
+/// Interval between heartbeats to the same member.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A tick that comes so much after the last one tells that this process stood still.
+/// A gap between two ticks that is longer than this shows that the process was stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(450);
-/// Pause between two requests for the committed state. It doubles while no state comes, up to
-/// [`MAX_STATE_REQUEST_INTERVAL`]: a state may be long under way.
+/// First interval between requests for the committed state. It doubles while no state arrives, up to
+/// [`MAX_STATE_REQUEST_INTERVAL`], since a state may be in flight for long.
 const MIN_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Longest pause between two requests for the committed state.
+/// Longest interval between requests for the committed state.
 const MAX_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(2400);
 
-/// One core machine.
+/// A message that waits until a record is synced.
+#[derive(Clone, Debug)]
+struct DeferredMessage {
+    /// Number of the record that must be synced first.
+    after_record: u64,
+    to: MemberId,
+    body: Body,
+}
+
+/// One core machine, without I/O and without a clock.
+///
+/// The driver calls [`handle`](Self::handle) for every [`Input`] and at the latest at [`next_wake`](Self::next_wake),
+/// and must carry out every [`Output`] in order. Times are durations since any fixed origin and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(crate) id: MemberId,
     pub(crate) seeds: Vec<SocketAddrV4>,
     pub(crate) policy: Policy,
     failure_domain: FailureDomain,
+    /// The durable state with every record, synced or not.
     pub(crate) durable: Durable,
     pub(crate) peers: Peers,
     pub(crate) proposer: Proposer,
     pub(crate) election: Election,
+    /// Replication in the current epoch; replaced with every view.
     pub(crate) replication: Replication,
-    waiting: PendingRequests,
+    /// Requests to this member as head; empty at every other member.
+    pending_requests: PendingRequests,
+    /// The newest committed state that this member knows. Its stamp never decreases.
     published: Arc<ControlState>,
+    /// Session of this member's barriers, drawn anew with every view. Never 0.
     barrier_session: u64,
-    /// Since it came into contact with a majority, this member has had what was committed then.
+    /// Whether this member has had, since it came into contact with a majority, every state that was committed then.
     is_caught_up: bool,
     pub(crate) is_disk_healthy: bool,
     pub(crate) is_leaving: bool,
     leaving: Leaving,
+    /// Number of the last record; rises by one with each.
     record_number: u64,
+    /// Every record up to this number is synced. Never above `record_number`.
     synced_number: u64,
-    /// Messages that wait for the sync of a record.
-    deferred: VecDeque<(u64, MemberId, Body)>,
-    /// Messages of this member to itself.
+    /// Messages that wait for the sync of a record, in ascending order of record numbers.
+    deferred: VecDeque<DeferredMessage>,
+    /// Messages of this member to itself, handled before [`handle`](Self::handle) returns.
     loopback: VecDeque<Envelope>,
+    /// What [`handle`](Self::handle) is to return.
     outputs: Vec<Output>,
     last_tick: Duration,
     next_heartbeat: Duration,
-    /// When the committed state may be asked for again.
+    /// When the committed state may be requested again.
     next_state_request: Duration,
     state_request_interval: Duration,
     random: oorandom::Rand64,
@@ -96,7 +120,7 @@
 }
 
 impl Member {
-    /// A member whose disk holds `durable`, all of it synced.
+    /// A member whose disk holds `durable`, all of it synced. Its first tick is due at once.
     pub fn new(now: Duration, options: MemberOptions, durable: Durable) -> Member {
         let id = MemberId {
             address: options.address,
@@ -119,7 +143,7 @@
             proposer,
             election: Election::new(now),
             replication,
-            waiting: PendingRequests::default(),
+            pending_requests: PendingRequests::default(),
             published: Arc::new(ControlState::default()),
             barrier_session: session,
             is_caught_up: false,
@@ -142,7 +166,7 @@
         }
     }
 
-    /// Switches a safeguard off.
+    /// Switches a safeguard off. Must be called before the first input.
     #[cfg(feature = "mutations")]
     pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
@@ -162,7 +186,7 @@
         self.id
     }
 
-    /// What the disk holds once every record is synced; the snapshot from which a restart may begin.
+    /// What the disk holds once every record is synced. A snapshot of it may replace the log up to the last record.
     pub fn durable(&self) -> &Durable {
         &self.durable
     }
@@ -172,12 +196,12 @@
         &self.published
     }
 
-    /// The state with every write that this head has taken, committed or not.
+    /// The state with every write that this member has taken, committed or not.
     pub fn latest(&self) -> &ControlState {
         &self.durable.state
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// When [`Input::Tick`] must be handled next. Changes with every input.
     pub fn next_wake(&self) -> Duration {
         let mut wake = self.next_heartbeat;
         let majority = self.durable.view.majority();
@@ -207,7 +231,7 @@
             Input::Tick => self.tick(now),
             Input::Message(envelope) => self.receive(now, envelope),
             Input::Request(id, request) => self.handle_request(now, id, request),
-            Input::Cancel(id) => self.waiting.cancel(id),
+            Input::Cancel(id) => self.pending_requests.cancel(id),
             Input::Persisted(through) => self.synced(now, through),
             Input::DiskHealth { is_healthy } => self.disk_health(now, is_healthy),
             Input::Seeds(seeds) => self.seeds = seeds,
@@ -216,7 +240,7 @@
         self.finish(now)
     }
 
-    /// Takes this member's messages to itself, then gives back what is to be done.
+    /// Handles this member's messages to itself, then returns the outputs.
     fn finish(&mut self, now: Duration) -> Vec<Output> {
         while let Some(envelope) = self.loopback.pop_front() {
             self.receive(now, envelope);
@@ -254,7 +278,7 @@
         self.advance_replication(now);
     }
 
-    /// The others hear at once of a disk that stalls: this member can't open an election without it.
+    /// Reports a stalled disk to the others at once, since this member can't propose without it.
     fn disk_health(&mut self, now: Duration, is_healthy: bool) {
         let has_changed = self.is_disk_healthy != is_healthy;
         self.is_disk_healthy = is_healthy;
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -11,7 +11,7 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Advances the proposal, if there is one; else begins one if there is reason to.
+    /// Advances the current proposal, or begins one if there is a reason and its delay has passed.
     pub(crate) fn run_election(&mut self, now: Duration) {
         match self.proposal_phase() {
             Phase::Preparing { since, .. } | Phase::Accepting { since, .. }
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Random delay before the proposal after a failed one.
     pub(crate) fn delay_after_failure(&mut self) -> Duration {
         self.random_delay(2 * MAX_PROPOSAL_DELAY)
     }
@@ -81,7 +82,7 @@
             return None;
         }
         if !self.is_disk_healthy {
-            // A proposal begins with a promise on the own disk.
+            // A proposal begins with a promise on this member's disk.
             return None;
         }
         if self.durable.is_sealed() {
@@ -123,7 +124,8 @@
             .count()
     }
 
-    /// Goes on to the second phase once enough voters have reported.
+    /// Begins phase 2 once every voter that is expected to report has, or once a majority has and
+    /// [`REPORT_TIMEOUT`] has passed.
     pub(crate) fn propose_if_ready(&mut self, now: Duration) {
         let Phase::Preparing { since, reports, .. } = self.proposal_phase() else {
             return;
@@ -145,7 +147,7 @@
         self.propose_from_reports(now);
     }
 
-    /// Chooses the view from the reports of at least a majority.
+    /// Begins phase 2 with the reports so far, if they are of a majority.
     pub(crate) fn propose_from_reports(&mut self, now: Duration) {
         let Phase::Preparing { reports, .. } = self.proposal_phase() else {
             return;
--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -1,13 +1,13 @@
-//! Contact with a majority of the voters: whether others may take this member's state for current.
+//! Contact with a majority of the voters: whether this member may call its published state current.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
 //! | out of contact | a majority of the voters has echoed a recent heartbeat | catching up |
-//! | catching up | the committed state is as new as any of those voters had told | in quorum |
+//! | catching up | the published state is as new as any that those voters have reported | in quorum |
 //! | any | the echoes of a majority are older than [`CONTACT_TIMEOUT`](crate::peers::CONTACT_TIMEOUT) | out of contact |
 //!
-//! An echo proves both directions of the way, and its age counts from when this member sent the heartbeat.
-//! A member that only hears, one that is only heard, and one that stood still are all out of contact.
+//! An echo proves both directions of the link, and its age counts from when this member sent the heartbeat. So a
+//! member that only hears, one that is only heard, and one that was stalled are all out of contact.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
         self.is_caught_up && self.reaches_majority(now)
     }
 
-    /// Whether a majority of the voters has told lately that it hears this member.
+    /// Whether a majority of the voters has echoed a recent heartbeat of this member.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
         let view = &self.durable.view;
         let reached = view
@@ -35,7 +35,7 @@
         !view.voters.is_empty() && reached >= view.majority()
     }
 
-    /// The voters of epoch 0 are addresses without identities: these are heard, or not.
+    /// Whether a voter has echoed a recent heartbeat. The voters of epoch 0 have no identities; being heard suffices.
     fn reaches_voter(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.hears_voter(now, voter);
@@ -54,7 +54,7 @@
         !view.voters.is_empty() && heard >= view.majority()
     }
 
-    /// Follows what time and messages have changed.
+    /// Updates the state of the table above. Must be called before and after each input.
     pub(super) fn update_contact(&mut self, now: Duration) {
         if !self.reaches_majority(now) {
             self.is_caught_up = false;
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -9,12 +9,16 @@
 /// What a member knows of the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
+    /// Epoch of the installed view.
     pub epoch: u64,
+    /// Head of the installed view's chain.
     pub head: Option<MemberId>,
+    /// Whether this member is that head and takes commands.
     pub is_head: bool,
+    /// Whether the chain contains this member.
     pub in_chain: bool,
-    /// Whether this member is in contact with a majority of the voters, and since then has had every state
-    /// that one of them knew to be committed.
+    /// Whether this member is in contact with a majority of the voters and has caught up with every state that one of
+    /// them had reported as committed by then.
     pub in_quorum: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
@@ -28,7 +32,7 @@
         let view = &self.durable.view;
         let mut members: Vec<SocketAddrV4> = self
             .peers
-            .heard_lately(now)
+            .heard_members(now)
             .iter()
             .map(|peer| peer.address)
             .collect();
--- a/crates/tier/chain/src/member/steps.rs
+++ b/crates/tier/chain/src/member/steps.rs
@@ -1,5 +1,5 @@
-//! Steps that a member takes when their time has come, one by one: for exhaustive searches, which have no
-//! clock.
+//! The steps that [`Input::Tick`](super::Input::Tick) takes when they are due, one at a time: for exhaustive searches,
+//! which have no clock.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 impl Member {
-    /// Takes one timed step, whatever the time.
+    /// Takes one timed step, whether or not it is due.
     #[doc(hidden)]
     pub fn take_step(&mut self, now: Duration, step: TimedStep) -> Vec<Output> {
         self.last_tick = now;
@@ -48,7 +48,8 @@
         reports.len() >= self.durable.view.majority()
     }
 
-    /// Writes everything on which a decision depends, but for the time and what is known of who is alive.
+    /// Appends everything on which decisions depend to `text`, without times and without what the failure detector
+    /// knows.
     #[doc(hidden)]
     pub fn write_canonical(&self, text: &mut String) {
         let written = write!(
@@ -57,14 +58,15 @@
             self.durable,
             self.proposer.canonical(),
             self.replication.canonical(self.record_number),
-            self.waiting,
+            self.pending_requests,
             self.published.stamp,
             self.barrier_session,
             self.can_replicate(),
         );
         written.expect("a string takes any text");
-        for (number, to, body) in &self.deferred {
-            write!(text, "{} {to:?} {body:?}", self.record_number - number)
+        for message in &self.deferred {
+            let age = self.record_number - message.after_record;
+            write!(text, "{age} {:?} {:?}", message.to, message.body)
                 .expect("a string takes any text");
         }
     }
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -11,7 +11,7 @@
 use crate::view::{MemberId, View};
 
 impl Member {
-    /// The view that the present heartbeats ask for.
+    /// The view that the current heartbeats call for. Never proposed itself: a ballot's reports decide.
     pub(super) fn wanted_view(&self, now: Duration) -> Option<View> {
         let view = &self.durable.view;
         let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
@@ -42,12 +42,12 @@
         next_view(view, &voters, &learners, self.policy, &are_connected).ok()
     }
 
-    /// Members outside the voters that may be taken in.
+    /// Members that are no voters and may be added.
     fn learners(&self, now: Duration) -> Vec<Candidate> {
-        let heard = self.peers.heard_lately(now).into_iter();
-        let outside =
+        let heard = self.peers.heard_members(now).into_iter();
+        let others =
             heard.filter(|member| *member != self.id && !self.durable.view.voters.contains(member));
-        let ready = outside.filter(|&member| {
+        let ready = others.filter(|&member| {
             self.peers.is_stable(now, member)
                 && self.peers.is_reachable(now, member)
                 && self.peers.can_replicate(member)
@@ -63,7 +63,7 @@
             .collect()
     }
 
-    /// Whether `wanted` has more members in the chain, or voters in the place of silent ones.
+    /// Whether `wanted` has further members in the chain or other voters, all of them stable.
     pub(super) fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
         let view = &self.durable.view;
         let added: BTreeSet<MemberId> = wanted
@@ -85,6 +85,7 @@
         are_stable && (has_more || has_other_voters)
     }
 
+    /// The next view by the reports of a ballot; `None` if there can be none.
     pub(super) fn planned_view(
         &self,
         now: Duration,
@@ -123,7 +124,7 @@
         .ok()
     }
 
-    /// The current view, its floor lowered below the epochs that committed nothing as reported.
+    /// The current view, with its floor lowered past the epochs that are reported as idle.
     fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
         let idle_epochs: Vec<IdleEpoch> = reports
             .values()
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -1,4 +1,6 @@
-//! This member's part in the agreement on views, and taking a view into force.
+//! The acceptor's part of the agreement on views, the messages of the proposer, and the installation of a view.
+//!
+//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are reported.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,11 +16,13 @@
 use crate::view::{MemberId, View};
 
 impl Member {
+    /// Whether this member may promise and accept in the instance of the current epoch.
     pub(super) fn is_eligible_voter(&self) -> bool {
         let view = &self.durable.view;
         view.is_voter(self.id) && (view.epoch > 0 || self.durable.bootstrap)
     }
 
+    /// Phase 1b: promises `ballot` and seals the epoch, unless a higher ballot was promised.
     pub(super) fn handle_prepare(&mut self, from: MemberId, ballot: Ballot) {
         if !self.is_eligible_voter() || !self.durable.view.is_voter(from) {
             return;
@@ -42,17 +46,19 @@
         self.send_after_sync(from, Body::Promise { ballot, report });
     }
 
+    /// What this member reports with a promise. Must be called after the promise is recorded.
     pub(super) fn report(&self) -> Report {
         Report {
             accepted: self.durable.accepted.clone(),
             active_epoch: self.durable.active_epoch,
             stamp: self.durable.state.stamp,
             can_replicate: self.can_replicate(),
-            hears: self.peers.heard_lately(self.last_tick),
+            hears: self.peers.heard_members(self.last_tick),
             idle_epochs: self.durable.idle_epochs.clone(),
         }
     }
 
+    /// Phase 2b: accepts a proposal, unless a higher ballot was promised.
     pub(super) fn handle_accept(&mut self, from: MemberId, accepted: Accepted) {
         let epoch = self.durable.view.epoch;
         let ballot = accepted.ballot;
@@ -78,6 +84,7 @@
         self.send_after_sync(from, Body::Accepted { ballot });
     }
 
+    /// Records a promise of this member's ballot.
     pub(super) fn handle_promise(
         &mut self,
         now: Duration,
@@ -91,6 +98,7 @@
         }
     }
 
+    /// Records an acceptance of this member's ballot, and announces the view if that decides it.
     pub(super) fn handle_accepted(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
         let current = self.durable.view.clone();
         let Some(view) = self.proposer.record_accepted(from, ballot, &current) else {
@@ -98,7 +106,7 @@
         };
         let mut addresses: Vec<SocketAddrV4> = self
             .peers
-            .heard_lately(now)
+            .heard_members(now)
             .iter()
             .map(|peer| peer.address)
             .collect();
@@ -115,6 +123,7 @@
         }
     }
 
+    /// Abandons this member's ballot if another voter has promised a higher one.
     pub(super) fn handle_superseded(&mut self, now: Duration, promised: Ballot) {
         self.proposer.observe_ballot(promised);
         if self
@@ -128,8 +137,8 @@
         }
     }
 
-    /// Begins a proposal. The own promise is on disk before anyone hears of the ballot: after a restart no
-    /// ballot may stand for a second view.
+    /// Phase 1a: begins a proposal. The own promise is on disk before the ballot is sent, so that a restart can't use
+    /// the same ballot for another view.
     pub(crate) fn start_proposal(&mut self, now: Duration) {
         if let Some(promise) = self.durable.current_promise() {
             self.proposer.observe_ballot(promise.ballot);
@@ -142,6 +151,7 @@
         }
     }
 
+    /// Phase 2a: asks the voters to accept `view`.
     pub(crate) fn propose(&mut self, now: Duration, view: View) {
         let Some(ballot) = self.proposer.propose(now, view.clone()) else {
             return;
@@ -157,15 +167,18 @@
         }
     }
 
-    pub(crate) fn random_delay(&mut self, longest: Duration) -> Duration {
-        let share = self.random.rand_float();
-        longest.mul_f64(share)
+    /// A random duration below `limit`.
+    pub(crate) fn random_delay(&mut self, limit: Duration) -> Duration {
+        let fraction = self.random.rand_float();
+        limit.mul_f64(fraction)
     }
 
+    /// Phase of this member's proposal.
     pub(crate) fn proposal_phase(&self) -> &Phase {
         self.proposer.phase()
     }
 
+    /// Installs a decided view, unless a newer one is installed. Whatever belongs to the earlier epoch is dropped.
     pub(super) fn install_view(&mut self, now: Duration, view: View) {
         if view.epoch <= self.durable.view.epoch {
             return;
@@ -186,17 +199,19 @@
         self.next_heartbeat = now;
     }
 
+    /// Begins to serve as head of the installed view, with this member's own state.
     pub(super) fn become_head(&mut self, now: Duration) {
         let epoch = self.durable.view.epoch;
         let record = self.persist(Record::Activate(epoch));
         self.replication.restart(record, epoch, &self.durable.state);
         let barrier = self.replication.next_barrier(self.barrier_session);
-        self.waiting.renew_barriers(barrier.number);
+        self.pending_requests.renew_barriers(barrier.number);
         self.advance_replication(now);
     }
 
+    /// Answers every pending request with [`Reply::Unavailable`].
     pub(super) fn abort_requests(&mut self) {
-        for id in self.waiting.drain() {
+        for id in self.pending_requests.drain() {
             self.outputs.push(Output::Reply {
                 id,
                 reply: Reply::Unavailable,
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -12,35 +12,55 @@
 /// Version of the messages' format.
 const MESSAGE_VERSION: u8 = 2;
 
-/// A message that can't be read.
+/// Why a message is rejected.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
+    /// There is not even a version byte.
     #[snafu(display("the message is empty"))]
     EmptyMessage,
+    /// The sender uses another version of the format.
     #[snafu(display("message version {found}, expected {MESSAGE_VERSION}"))]
-    MessageVersion { found: u8 },
+    MessageVersion {
+        /// Version of the message.
+        found: u8,
+    },
+    /// The bytes are no message of this version.
     #[snafu(display("malformed message"))]
-    MalformedMessage { source: speedy::Error },
+    MalformedMessage {
+        /// Error of the decoder.
+        source: speedy::Error,
+    },
+    /// The message carries a view that no proposer makes.
     #[snafu(display("unsound view: {source}"))]
-    UnsoundView { source: ViewError },
+    UnsoundView {
+        /// What is wrong with the view.
+        source: ViewError,
+    },
+    /// The proposed view is not the one after the sender's.
     #[snafu(display("a vote in epoch {epoch} on the view of epoch {found}"))]
-    ViewDoesNotFollow { epoch: u64, found: u64 },
+    ViewDoesNotFollow {
+        /// Epoch of the sender.
+        epoch: u64,
+        /// Epoch of the proposed view.
+        found: u64,
+    },
 }
 
 /// When a member sent a heartbeat, by its own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct HeartbeatTime {
-    /// Differs between lives of the process; 0 for no heartbeat at all.
+    /// Incarnation of the process, drawn at its start; 0 means that there was no heartbeat.
     pub incarnation: u64,
+    /// Microseconds since the origin of the sender's clock.
     pub micros: u64,
 }
 
-/// A heartbeat.
+/// A heartbeat: what a member reports of itself at every heartbeat interval.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Heartbeat {
     /// When it was sent.
     pub sent: HeartbeatTime,
-    /// When the newest heartbeat was sent that the sender has heard from the receiver.
+    /// Send time of the newest heartbeat that the sender has received from the receiver.
     pub echo: HeartbeatTime,
     /// Whether the sender may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
@@ -48,95 +68,120 @@
     pub leaving: bool,
     /// Whether the sender may vote in epoch 0.
     pub bootstrap: bool,
-    /// Where the sender stands.
+    /// Zone and region of the sender.
     pub failure_domain: FailureDomain,
     /// Stamp of the newest committed state that the sender knows.
     pub committed: Stamp,
-    /// Members that the sender has heard lately.
+    /// Members that the sender has heard within the suspicion time-out, itself included.
     pub hears: Vec<MemberId>,
 }
 
-/// Number of a barrier of one life of a head.
+/// Number of a barrier.
+///
+/// A barrier is a mark that passes down the chain behind every earlier write. Once the tail has confirmed it, every
+/// member of the chain was still in the epoch when the barrier passed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Barrier {
-    /// Drawn when the head took office.
+    /// Drawn when the head installed its view, so that barriers of different terms differ.
     pub session: u64,
+    /// Counts the barriers of a session from 1; 0 stands for none.
     pub number: u64,
 }
 
-/// A write on its way down the chain.
+/// A write that is replicated down the chain.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Write {
+    /// Position of the write, assigned by the head.
     pub stamp: Stamp,
+    /// The change itself, which the head has judged.
     pub command: Command,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Body {
+    /// Liveness and status of the sender. Valid in every epoch.
     Heartbeat(Heartbeat),
-    /// First phase of a proposal.
+    /// Phase 1a of Paxos: asks for a promise.
     Prepare {
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// Answer to `Prepare`: the sender has sealed the epoch.
+    /// Phase 1b: the sender has promised, which also seals its epoch. Leaves only after the promise is synced.
     Promise {
+        /// Ballot that was promised.
         ballot: Ballot,
+        /// Accepted proposal and state of the sender.
         report: Report,
     },
-    /// Second phase of a proposal.
+    /// Phase 2a: asks to accept a view.
     Accept(Accepted),
-    /// Answer to `Accept`: the sender has voted.
+    /// Phase 2b: the sender has accepted. Leaves only after the acceptance is synced.
     Accepted {
+        /// Ballot of the accepted proposal.
         ballot: Ballot,
     },
-    /// The sender has promised more.
+    /// Rejects `Prepare` or `Accept`: the sender has promised a higher ballot.
     Superseded {
+        /// The ballot that the sender has promised.
         promised: Ballot,
     },
     /// A decided view.
     Decided(View),
-    /// Asks for the newest decided view.
+    /// Requests the newest decided view.
     RequestView,
-    /// From the predecessor: the writes after `after`.
+    /// From the predecessor: consecutive writes. Without writes it is a probe.
     Replicate {
+        /// Stamp of the write before the first of `writes`.
         after: Stamp,
+        /// Writes in ascending order of stamps.
         writes: Vec<Write>,
+        /// The newest barrier that the predecessor has seen.
         barrier: Barrier,
     },
-    /// From the predecessor: its whole state.
+    /// From the predecessor: its complete persisted state.
     Transfer {
+        /// The state, which replaces the receiver's.
         state: ControlState,
+        /// The newest barrier that the predecessor has seen.
         barrier: Barrier,
     },
-    /// From the successor: how far it is, and how far the rest of the chain is.
+    /// From the successor: the progress of the chain behind the receiver.
     Replicated {
+        /// Whether the sender has activated the epoch on disk.
         active: bool,
+        /// Stamp of the sender's persisted state in this epoch; the default if it isn't active.
         persisted: Stamp,
+        /// Stamp of the last write that the sender knows to be committed in this epoch.
         committed: Option<Stamp>,
+        /// The newest barrier that the tail has confirmed to the sender.
         barrier: Barrier,
     },
-    /// Asks for the newest committed state.
+    /// Requests the newest committed state.
     RequestState,
     /// The newest committed state, for members outside the chain.
     Committed(ControlState),
-    /// From a member that is being stopped: asks whether the receiver is active in this epoch.
+    /// From a member that is shutting down: requests whether the receiver is active in this epoch.
     RequestActive,
     /// The sender is active in this epoch, and the state is on its disk.
     Active,
 }
 
-/// A message with its sender and the epoch in which the sender is.
+/// A message with its sender and the sender's epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Envelope {
+    /// The sending member.
     pub from: MemberId,
+    /// Epoch of the view that the sender has installed.
     pub epoch: u64,
+    /// The content.
     pub body: Body,
 }
 
 impl Body {
-    /// Whether it may hold a configuration, and so may take long on its way. Such messages go over a
-    /// connection of their own, in order, so that heartbeats and votes don't wait behind them.
+    /// Whether the message may carry a configuration, which may take long to transmit. The driver must send such
+    /// messages in order over a connection of their own, so that heartbeats and Paxos messages don't queue behind
+    /// them.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
@@ -146,7 +191,7 @@
 }
 
 impl Envelope {
-    /// The message as it is sent.
+    /// The message as bytes, with a leading version byte.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![MESSAGE_VERSION];
         // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
@@ -155,8 +200,12 @@
         bytes
     }
 
-    /// Checks the views that a message carries: a view that is voted on follows the sender's, and no view is
-    /// one that a proposer would not make.
+    /// Checks the views that the message carries.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError::ViewDoesNotFollow`] if a proposed view is not the one after the sender's;
+    /// [`DecodeError::UnsoundView`] if [`View::check`] rejects a view.
     pub fn check(&self) -> Result<(), DecodeError> {
         let voted = match &self.body {
             Body::Accept(accepted) => Some(&accepted.view),
@@ -180,7 +229,11 @@
             .map_or(Ok(()), |view| view.check().context(UnsoundViewSnafu))
     }
 
-    /// Reads a message.
+    /// Reads a message. The caller must [`check`](Self::check) it before handing it to a member.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError`] if the bytes are empty, of another version or no message.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, DecodeError> {
         let (&version, rest) = bytes.split_first().context(EmptyMessageSnafu)?;
         if version != MESSAGE_VERSION {
--- a/crates/tier/chain/src/mutations.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -1,40 +1,40 @@
-//! Defences that tests switch off, to show that the checker finds what they prevent. Never in a release
+//! Safeguards that tests switch off, to show that the checkers find the faults that they prevent. Never in a release
 //! build.
 
 use crate::requests::Reply;
 use crate::state::{Rejection, Undecided, Verdict};
 
-/// A safeguard that is switched off.
+/// A safeguard that is switched off, described by the resulting behaviour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// What must be synced first is said at once.
+    /// Messages that must wait for a sync are sent at once.
     AcknowledgeBeforeSync,
-    /// Messages of the chain are taken whatever their epoch.
+    /// Messages are handled whatever their epoch.
     NoEpochCheck,
-    /// The digests of taken configurations are lost by a restart.
+    /// A restart loses the digests of taken configurations.
     DigestsForgotten,
-    /// A member that hears a majority takes itself for in quorum, whoever hears it.
+    /// A member that hears a majority reports that it is in quorum, even if the majority does not hear it.
     QuorumByHearing,
-    /// The committed state is asked for at members that do not hear this one, too.
+    /// The committed state is requested also from members that do not hear this one.
     StateFromTheDeaf,
     /// A read is answered without a barrier.
     ReadWithoutBarrier,
-    /// A change on a generation that isn't current yet is refused.
+    /// A change on a generation that isn't in force yet is rejected.
     RefusedFutureBase,
-    /// A change that is too old to be remembered is refused.
+    /// A change that is too old to be remembered is rejected.
     RefusedForgotten,
-    /// A refusal leaves before what it is based on is committed and known to be the newest.
+    /// A rejection leaves before the state that it is based on is committed and confirmed by a barrier.
     RefusedBeforeCommit,
-    /// A repeated change is acknowledged before its first copy is committed.
+    /// A duplicate of a change is acknowledged before the change is committed.
     RepeatBeforeCommit,
-    /// A member that is being stopped ends at once.
+    /// A member that is shutting down exits at once.
     LeavesAtOnce,
-    /// A member that is being stopped ends once a view without it is in force.
+    /// A member that is shutting down exits once a view without it is installed.
     LeavesWithTheView,
 }
 
 impl Mutation {
-    /// The verdict that is given in the place of `verdict`.
+    /// The verdict that replaces `verdict`. `current` is the generation in force.
     pub(crate) fn mutate_verdict(self, verdict: Verdict, current: u64) -> Verdict {
         let refused = Verdict::Rejected(Rejection::BaseMismatch { current });
         match (self, verdict) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The reply that leaves at once, although something has yet to be committed for it.
+    /// The reply that leaves at once, although it should wait for a commit.
     pub(crate) fn premature_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
             (Mutation::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,4 +1,8 @@
-//! Which members are alive and reach each other, from their heartbeats.
+//! Failure detector: which members are alive and reach each other, as their heartbeats show.
+//!
+//! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that their sender
+//! hears, so that links between others are known too, and echo the receiver's last heartbeat, which proves both
+//! directions of a link.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,48 +12,56 @@
 use crate::state::Stamp;
 use crate::view::MemberId;
 
-/// A member that has been silent for so long is suspected.
+/// A member from which no message has come for this time is suspected.
 pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_millis(600);
-/// A new or returned member is taken into a view after so long a time of heartbeats.
+/// How long a new or returned member must have been alive before it is added to a view.
 pub(crate) const STABLE_TIME: Duration = Duration::from_millis(800);
-/// A member is in contact if it has heard a heartbeat that was sent so lately, and has said so.
+/// Greatest age of an echoed heartbeat that still counts as contact.
 pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a member that has fallen silent is remembered.
+/// How long a member is remembered after its last message.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
-/// How many members are remembered.
+/// Upper bound of the members that are remembered, and of those that a heartbeat may list.
 const MAX_PEERS: usize = 128;
 
-/// What is known of one other member.
+/// What is known of another member.
 #[derive(Clone, Debug)]
 struct PeerState {
+    /// When its last message arrived.
     last_heard: Duration,
-    /// Start of the present time without a silence.
+    /// Since when it has been alive without being suspected in between.
     alive_since: Duration,
+    /// Whether it may be in a chain, as it last reported.
     can_replicate: bool,
+    /// Whether it is shutting down, as it last reported.
     leaving: bool,
+    /// Whether it may vote in epoch 0.
     bootstrap: bool,
+    /// Its zone and region.
     failure_domain: FailureDomain,
-    /// Its newest heartbeat, to be echoed.
+    /// Send time of its newest heartbeat, by its own clock, to be echoed.
     sent: HeartbeatTime,
-    /// When the newest own heartbeat was sent that it has echoed.
+    /// Send time of the newest heartbeat of this member that it has echoed. Never above the current time.
     echoed: Option<Duration>,
-    /// Stamp of the newest committed state that it knows.
+    /// Stamp of the newest committed state that it has reported. Never decreases.
     committed: Stamp,
-    /// When each other member was last among those that this one hears.
+    /// When it last listed each member as heard.
     hears: BTreeMap<MemberId, Duration>,
 }
 
-/// The other members, as heard.
+/// What is known of the other members.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
+    /// This member.
     own: MemberId,
-    /// Number of this life of the process.
+    /// Incarnation of this process, never 0. Echoes of other incarnations are ignored.
     incarnation: u64,
+    /// Since when this process has listened: its start, or the end of its last stall.
     started: Duration,
     table: BTreeMap<MemberId, PeerState>,
 }
 
 impl Peers {
+    /// The peers of a process that starts at `now`, none of which it has heard.
     pub(crate) fn new(own: MemberId, incarnation: u64, now: Duration) -> Peers {
         Peers {
             own,
@@ -59,7 +71,7 @@
         }
     }
 
-    /// Notes a message of `from`.
+    /// Records that a message of `from` arrived. Members that have sent no heartbeat yet are ignored.
     pub(crate) fn record_message(&mut self, now: Duration, from: MemberId) {
         if let Some(peer) = self.table.get_mut(&from) {
             if now.saturating_sub(peer.last_heard) > SUSPICION_TIMEOUT {
@@ -69,7 +81,7 @@
         }
     }
 
-    /// Notes a heartbeat of `from`.
+    /// Records a heartbeat of `from`, unless [`MAX_PEERS`] others are known.
     pub(crate) fn record_heartbeat(
         &mut self,
         now: Duration,
@@ -109,15 +121,15 @@
         self.record_message(now, from);
     }
 
-    /// When the next of `members` will have been silent for too long, if none is heard after `now`.
+    /// When the next of `members` becomes suspected, if no message arrives after `now`.
     pub(crate) fn next_suspicion(&self, now: Duration, members: &[MemberId]) -> Option<Duration> {
         let heard = members.iter().filter_map(|member| self.table.get(member));
-        let silent =
+        let suspected_at =
             heard.map(|peer| peer.last_heard + SUSPICION_TIMEOUT + Duration::from_millis(1));
-        silent.filter(|&at| at > now).min()
+        suspected_at.filter(|&at| at > now).min()
     }
 
-    /// Forgets members that have been silent for long, and earlier identities of addresses in use.
+    /// Drops members that have sent nothing for [`PEER_EXPIRY`], and earlier identities of addresses in use.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.table
             .retain(|_, peer| now.saturating_sub(peer.last_heard) <= PEER_EXPIRY);
@@ -137,7 +149,8 @@
         }
     }
 
-    /// After this process itself stood still: nobody is suspected for a silence that it could not have heard.
+    /// Restarts the time-outs of members that were alive at `last_tick`: this process was stalled from then to `now`
+    /// and could not receive their messages.
     pub(crate) fn excuse_stall(&mut self, now: Duration, last_tick: Duration) {
         self.started = now;
         for peer in self.table.values_mut() {
@@ -148,7 +161,7 @@
         }
     }
 
-    /// Whether a heartbeat of `member` came lately.
+    /// Whether a message of `member` arrived within [`SUSPICION_TIMEOUT`].
     pub(crate) fn is_heard(&self, now: Duration, member: MemberId) -> bool {
         member == self.own
             || self
@@ -157,19 +170,20 @@
                 .is_some_and(|peer| is_recent(now, peer.last_heard))
     }
 
-    /// Whether `member` isn't suspected: heard lately, or this process has not listened for long enough.
+    /// Whether `member` isn't suspected: it is heard, or this process has listened for less than
+    /// [`SUSPICION_TIMEOUT`].
     pub(crate) fn is_alive(&self, now: Duration, member: MemberId) -> bool {
         is_recent(now, self.started) || self.is_heard(now, member)
     }
 
-    /// Whether `member` has given heartbeats, without a silence, for long enough to be taken into a view.
+    /// Whether `member` has been alive without interruption for [`STABLE_TIME`].
     pub(crate) fn is_stable(&self, now: Duration, member: MemberId) -> bool {
         self.table
             .get(&member)
             .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STABLE_TIME)
     }
 
-    /// Whether `first` hears `second`, as far as is known.
+    /// Whether `first` hears `second`. Assumed where `first` has not been heard for long enough to tell.
     pub(crate) fn hears(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
         if first == self.own {
             return self.is_alive(now, second);
@@ -177,11 +191,11 @@
         let Some(peer) = self.table.get(&first) else {
             return is_recent(now, self.started);
         };
-        let listed = peer
+        let is_listed = peer
             .hears
             .get(&second)
             .is_some_and(|&heard| is_recent(now, heard));
-        listed || is_recent(now, peer.alive_since)
+        is_listed || is_recent(now, peer.alive_since)
     }
 
     /// Whether the two hear each other.
@@ -195,15 +209,15 @@
             return true;
         }
         self.table.get(&member).is_some_and(|peer| {
-            let heard_by = peer
+            let is_heard_by = peer
                 .hears
                 .get(&self.own)
                 .is_some_and(|&heard| is_recent(now, heard));
-            is_recent(now, peer.last_heard) && heard_by
+            is_recent(now, peer.last_heard) && is_heard_by
         })
     }
 
-    /// The time to put on a heartbeat that is sent now.
+    /// The send time of a heartbeat that leaves now.
     pub(crate) fn heartbeat_time(&self, now: Duration) -> HeartbeatTime {
         HeartbeatTime {
             incarnation: self.incarnation,
@@ -211,7 +225,7 @@
         }
     }
 
-    /// What a heartbeat to `address` echoes.
+    /// The echo in a heartbeat to `address`: the send time of the newest heartbeat from there.
     pub(crate) fn echo_for(&self, address: std::net::SocketAddrV4) -> HeartbeatTime {
         let at_address = self
             .table
@@ -223,16 +237,16 @@
             .unwrap_or_default()
     }
 
-    /// Whether `member` has heard this one within [`CONTACT_TIMEOUT`], as it has told. Unlike
-    /// [`is_reachable`](Self::is_reachable) this counts from when this process sent: it ends by itself when
-    /// either direction is cut, and while this process stands still.
+    /// Whether `member` has echoed a heartbeat that this process sent within [`CONTACT_TIMEOUT`]. Unlike
+    /// [`is_reachable`](Self::is_reachable) this counts from the send time, so it ends when either direction of the
+    /// link fails and while this process is stalled.
     pub(crate) fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
         let echoed = || self.table.get(&member).and_then(|peer| peer.echoed);
         member == self.own
             || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT_TIMEOUT)
     }
 
-    /// Stamp of the newest committed state that `member` has told of.
+    /// Stamp of the newest committed state that `member` has reported.
     pub(crate) fn committed(&self, member: MemberId) -> Stamp {
         self.table
             .get(&member)
@@ -240,19 +254,19 @@
             .unwrap_or_default()
     }
 
-    /// Whether `member` may be in a chain; assumed of those that have said nothing yet.
+    /// Whether `member` may be in a chain. Assumed of members that have reported nothing yet.
     pub(crate) fn can_replicate(&self, member: MemberId) -> bool {
         self.table
             .get(&member)
             .is_none_or(|peer| peer.can_replicate && !peer.leaving)
     }
 
-    /// Whether `member` has said that it is being stopped.
+    /// Whether `member` has reported that it is shutting down.
     pub(crate) fn is_leaving(&self, member: MemberId) -> bool {
         self.table.get(&member).is_some_and(|peer| peer.leaving)
     }
 
-    /// Where `member` stands, if it has said so.
+    /// Zone and region of `member`; the default if it has reported nothing yet.
     pub(crate) fn failure_domain(&self, member: MemberId) -> FailureDomain {
         self.table
             .get(&member)
@@ -260,8 +274,8 @@
             .unwrap_or_default()
     }
 
-    /// Members heard lately, this one among them.
-    pub(crate) fn heard_lately(&self, now: Duration) -> Vec<MemberId> {
+    /// The members that are heard, this one first.
+    pub(crate) fn heard_members(&self, now: Duration) -> Vec<MemberId> {
         let others = self
             .table
             .iter()
@@ -271,14 +285,14 @@
             .collect()
     }
 
-    /// The member at `address` that was heard lately and may vote in epoch 0.
+    /// Whether a member at `address` is heard and may vote in epoch 0.
     pub(crate) fn is_bootstrapping(&self, now: Duration, address: std::net::SocketAddrV4) -> bool {
         self.table.iter().any(|(member, peer)| {
             member.address == address && peer.bootstrap && is_recent(now, peer.last_heard)
         })
     }
 
-    /// Members that are known from others only: heard by those that are heard.
+    /// The members that are listed by those that are heard. May contain a member several times.
     pub(crate) fn heard_of(&self, now: Duration) -> Vec<MemberId> {
         let recent = self
             .table
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,4 +1,7 @@
-//! Choice of the next view.
+//! Choice of the next view from what its voters report.
+//!
+//! A pure function of the reports, apart from Paxos: any proposer may propose any view that [`next_view`] returns for
+//! the reports of a majority.
 
 use std::cmp::Reverse;
 
@@ -10,10 +13,10 @@
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
-/// Why no view can be proposed.
+/// Why there is no next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PlanError {
-    /// Nobody in reach holds every write that may have been committed.
+    /// No reporting voter is known to hold every write that may have been committed.
     #[snafu(display("no member in reach holds the complete state"))]
     NoCompleteMember,
 }
@@ -21,9 +24,11 @@
 /// A member that may be in the next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
+    /// The member.
     pub member: MemberId,
     /// The last epoch in which it was active in the chain.
     pub active_epoch: u64,
+    /// Stamp of its state, committed or not.
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
@@ -33,10 +38,15 @@
 
 /// The view after `current`.
 ///
-/// `voters` are the voters of `current` that have reported, `learners` the other members in reach. The chain
-/// begins with a member that holds every write that may have been committed; only members that reach each
-/// other (`linked`) are in it. Voters that have not reported are replaced by learners, and are kept where
-/// there is none; one whose address has come back with another identity has lost its disk and is dropped.
+/// `voters` are the voters of `current` that have reported, and must be a majority of them; `learners` are the other
+/// reachable members. The chain begins with a voter that holds every write that may have been committed, and contains
+/// only members of which each two reach each other (`are_connected`). Voters that have not reported are replaced by
+/// learners as far as there are any. A voter whose address is now used by another identity has lost its disk and is
+/// dropped.
+///
+/// # Errors
+///
+/// [`PlanError::NoCompleteMember`] if no voter has been active in the floor or later.
 pub fn next_view(
     current: &View,
     voters: &[Candidate],
@@ -55,8 +65,8 @@
     })
 }
 
-/// The floor without epochs in which nothing was committed: whoever was active in the floor of such an epoch
-/// holds what was committed before it, and so all that was.
+/// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of such an
+/// epoch holds every write committed before the epoch, and so every write committed up to its end.
 pub(crate) fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
     while let Some(idle) = idle_epochs
@@ -68,9 +78,9 @@
     floor
 }
 
-/// The floor of the next view. A commit needs every member of a chain that meets every majority: if the chain
-/// doesn't, or if one of them has sealed the epoch without ever having been active in it, nothing was
-/// committed in it, and the earlier floor holds.
+/// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every majority.
+/// If the chain doesn't, or if one of its members has sealed the epoch without having been active in it, nothing was
+/// committed in the epoch and the floor stays.
 fn next_floor(current: &View, voters: &[Candidate]) -> u64 {
     if !current.meets_every_majority() {
         return current.floor;
@@ -122,7 +132,7 @@
         }
     };
     extend(true, policy.replicas);
-    // Members that leave or sync slowly are better than a chain that commits nothing.
+    // A chain with a member that is shutting down or syncs slowly is better than one that commits nothing.
     extend(false, policy.minimum);
     Ok(chain
         .into_iter()
@@ -130,7 +140,8 @@
         .collect())
 }
 
-/// The first of `ordered` that reaches everyone in `chain`, those at less crowded places before others.
+/// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of them; the first
+/// in `ordered` where several do.
 fn next_member(
     ordered: &[Candidate],
     can_replicate: bool,
@@ -138,11 +149,11 @@
     policy: Policy,
     are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Option<Candidate> {
-    let outside = ordered.iter().filter(|candidate| {
+    let others = ordered.iter().filter(|candidate| {
         candidate.can_replicate == can_replicate
             && chain.iter().all(|other| other.member != candidate.member)
     });
-    let reaching = outside.filter(|candidate| {
+    let reaching = others.filter(|candidate| {
         chain
             .iter()
             .all(|other| are_connected(candidate.member, other.member))
@@ -170,20 +181,20 @@
     };
     let reported = voters.iter().filter(|voter| voter.can_replicate);
     reported.for_each(|voter| add(voter.member));
-    let fresh = learners.iter().filter(|learner| learner.can_replicate);
-    fresh.for_each(|learner| add(learner.member));
+    let new = learners.iter().filter(|learner| learner.can_replicate);
+    new.for_each(|learner| add(learner.member));
     if current.epoch > 0 {
-        let silent = current
+        let unreported = current
             .voters
             .iter()
             .filter(|voter| !has_lost_its_disk(**voter, learners));
-        silent.for_each(|&voter| add(voter));
+        unreported.for_each(|&voter| add(voter));
     }
     next.sort();
     next
 }
 
-/// Whether another member lives at the address of `voter`.
+/// Whether the address of `voter` is now used by another identity.
 fn has_lost_its_disk(voter: MemberId, learners: &[Candidate]) -> bool {
     learners.iter().any(|learner| {
         learner.member.address == voter.address && learner.member.identity != voter.identity
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -1,20 +1,24 @@
 //! Replication down the chain, in one epoch.
 //!
-//! Volatile part of a member's place in the chain. The durable part (the state with every write) is
-//! [`Durable`](crate::Durable); here is which of its writes are persisted and committed, and how far the
-//! successor is.
+//! Van Renesse & Schneider, Chain Replication for Supporting High Throughput and Availability (2004), section 3:
+//! the head takes updates, every member passes them to its successor in order, and the tail's copy decides what
+//! is committed. Acknowledgements travel back from the tail to the head.
+//!
+//! [`Replication`] is the volatile part of a member's role: which writes are persisted and committed, and how far
+//! the successor has come. The durable part, the state with every write, is [`Durable`](crate::Durable).
 //!
 //! | state of the link to the successor | event | next |
 //! | --- | --- | --- |
 //! | `Unknown` | probe sent, answered "inactive" | `Transferring` |
 //! | `Unknown`, `Transferring` | answered "active" | `Streaming` |
-//! | `Streaming` | answered "inactive" (it has lost its place) | `Transferring` |
-//! | any | unsettled, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
-//! | any | a report without news, [`RESEND_INTERVAL`] after sending or progress | the same; sends what it lacks |
+//! | `Streaming` | answered "inactive" (it has restarted) | `Transferring` |
+//! | any | not up to date, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
+//! | any | a report without progress, [`RESEND_INTERVAL`] after sending or progress | the same; sends what it lacks |
 //!
-//! A state or a write may be long under way, on a slow link or to a slow disk. A probe goes behind it on the
-//! same connection and is answered once everything before it has come and is synced. So an answer without
-//! news says that something was lost; silence says nothing, and nothing long is sent twice for it.
+//! A state or a write may be in flight for long, on a slow link or to a slow disk. A probe follows it on the same
+//! connection and is answered once everything before it has arrived and is synced. So an answer without progress
+//! shows that a message was lost, while a missing answer shows nothing: it never causes a large message to be sent
+//! again.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,70 +26,101 @@
 use crate::message::{Barrier, Body, Write};
 use crate::state::{Command, ControlState, Stamp};
 
-/// After so long without a message to a successor that isn't up to date, it is probed. What it lacks isn't
-/// sent again sooner after the first time.
+/// Interval between probes of a successor that isn't up to date, and the least time before anything is sent to it
+/// a second time.
 pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-/// Bytes of writes that are put into one message, unless a single write is larger.
+/// Upper bound of the bytes of writes in one message. A single write may exceed it.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What is known of the successor in this epoch.
+/// Replication state of the successor in this epoch, as far as this member knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Link {
     /// It has not said whether it has the state.
     Unknown,
     /// It lacks the state, which is being sent.
     Transferring,
-    /// It has activated the epoch and persisted everything up to `persisted`; writes up to `sent` are on the
-    /// way.
-    Streaming { persisted: Stamp, sent: Stamp },
+    /// It has activated the epoch and is sent writes as they come.
+    Streaming {
+        /// The successor has persisted every write up to this one. Must not be above `sent`.
+        persisted: Stamp,
+        /// The last write that was sent.
+        sent: Stamp,
+    },
 }
 
-/// What the successor reports.
+/// Progress that the successor reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Progress {
     /// Whether it has activated the epoch.
     pub is_active: bool,
+    /// Stamp of its persisted state in this epoch.
     pub persisted: Stamp,
+    /// Stamp of the last write that it knows to be committed in this epoch.
     pub committed: Option<Stamp>,
+    /// The newest barrier that the chain behind it has confirmed.
     pub barrier: Barrier,
 }
 
-/// A member's place in the chain of one epoch.
+/// The state that this member's disk holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Persisted {
+    /// Epoch that was active when the state was written.
+    epoch: u64,
+    /// Stamp of the state.
+    stamp: Stamp,
+}
+
+/// A record of the chain that the disk has yet to sync.
+#[derive(Clone, Copy, Debug)]
+struct UnsyncedRecord {
+    /// Number of the record.
+    number: u64,
+    /// What the disk holds once the record is synced.
+    result: Persisted,
+}
+
+/// A member's replication state in the chain of one epoch.
 #[derive(Clone, Debug)]
 pub(crate) struct Replication {
-    /// The state up to the last write that is not in `pending`.
+    /// The state without the writes in `pending`.
     base: ControlState,
     /// Whether `base` is committed in this epoch.
     is_base_committed: bool,
-    /// Writes that are not committed, as far as known.
+    /// Writes above `base`, in ascending order of stamps, that are not known to be committed.
     pending: VecDeque<Write>,
-    /// The epoch and stamp of the state that the own disk has.
-    persisted: (u64, Stamp),
-    /// Stamps of records that the disk has yet to sync.
-    unsynced: VecDeque<(u64, u64, Stamp)>,
+    /// The state on this member's disk. Never ahead of the state in memory.
+    persisted: Persisted,
+    /// Records that the disk has yet to sync, in ascending order of numbers.
+    unsynced: VecDeque<UnsyncedRecord>,
+    /// Replication state of the successor; unused at the tail.
     link: Link,
+    /// When the last message left for the successor; zero if one is due at once.
     last_sent: Duration,
-    /// Since when a state or writes are under way without progress.
+    /// Since when a state or writes have been in flight without progress.
     in_flight_since: Duration,
-    /// What the successor reported last.
+    /// The successor's last report in this epoch.
     last_report: Option<Progress>,
-    /// The successor lacks what was sent to it.
+    /// Whether what is in flight was lost and must be sent again.
     must_resend: bool,
+    /// The newest barrier that was sent to the successor.
     sent_barrier: Barrier,
-    /// The newest barrier that came from the head.
+    /// The newest barrier received from the predecessor, or begun at the head.
     barrier: Barrier,
-    /// The newest barrier that the rest of the chain has passed on.
+    /// The newest barrier that has reached the tail. Never above `barrier` within a session.
     confirmed: Barrier,
 }
 
 impl Replication {
-    /// The place of a member whose disk has `state`, with the writes of `active_epoch`.
+    /// The state of a member whose disk holds `state`, last written in `active_epoch`.
     pub(crate) fn new(active_epoch: u64, state: &ControlState) -> Replication {
         Replication {
             base: state.clone(),
             is_base_committed: false,
             pending: VecDeque::new(),
-            persisted: (active_epoch, state.stamp),
+            persisted: Persisted {
+                epoch: active_epoch,
+                stamp: state.stamp,
+            },
             unsynced: VecDeque::new(),
             link: Link::Unknown,
             last_sent: Duration::ZERO,
@@ -98,64 +133,77 @@
         }
     }
 
-    /// The state was replaced or activated in `epoch`, by record `record`.
+    /// Begins again from `state`, which record number `record` replaced or activated in `epoch`. Nothing of the
+    /// state is known to be committed in this epoch.
     pub(crate) fn restart(&mut self, record: u64, epoch: u64, state: &ControlState) {
         self.base = state.clone();
         self.is_base_committed = false;
         self.pending.clear();
-        self.unsynced.push_back((record, epoch, state.stamp));
+        self.unsynced.push_back(UnsyncedRecord {
+            number: record,
+            result: Persisted {
+                epoch,
+                stamp: state.stamp,
+            },
+        });
         self.link = Link::Unknown;
         self.last_report = None;
         self.must_resend = false;
     }
 
-    /// A write was added to the state, by record `record`.
+    /// Adds a write, which record number `record` holds. Its stamp must be above that of every earlier write.
     pub(crate) fn push(&mut self, record: u64, epoch: u64, stamp: Stamp, command: Command) {
         self.pending.push_back(Write { stamp, command });
-        self.unsynced.push_back((record, epoch, stamp));
+        self.unsynced.push_back(UnsyncedRecord {
+            number: record,
+            result: Persisted { epoch, stamp },
+        });
     }
 
-    /// The disk has synced every record up to `through`. Tells whether that moves the place.
+    /// Records that every record up to number `through` is synced. Returns whether the persisted state changed.
     pub(crate) fn synced(&mut self, through: u64) -> bool {
         let before = self.persisted;
-        while let Some(&(record, epoch, stamp)) = self.unsynced.front() {
-            if record > through {
+        while let Some(record) = self.unsynced.front() {
+            if record.number > through {
                 break;
             }
-            self.persisted = (epoch, stamp);
+            self.persisted = record.result;
             self.unsynced.pop_front();
         }
         self.persisted != before
     }
 
-    /// Stamp of the persisted state, if the disk has activated `epoch`.
+    /// Stamp of the persisted state, if the disk has synced the activation of `epoch`.
     pub(crate) fn persisted_stamp(&self, epoch: u64) -> Option<Stamp> {
-        (self.persisted.0 == epoch).then_some(self.persisted.1)
+        (self.persisted.epoch == epoch).then_some(self.persisted.stamp)
     }
 
-    /// Whether records of this chain wait for the disk.
+    /// Whether the disk has yet to sync a record of this chain.
     pub(crate) fn is_syncing(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
-    /// The state that is committed in this epoch, as far as known.
+    /// The newest state that is known to be committed in this epoch.
     pub(crate) fn committed(&self) -> Option<&ControlState> {
         self.is_base_committed.then_some(&self.base)
     }
 
+    /// Stamp of [`committed`](Self::committed).
     pub(crate) fn committed_stamp(&self) -> Option<Stamp> {
         self.committed().map(|state| state.stamp)
     }
 
+    /// The newest barrier that has reached the tail.
     pub(crate) fn confirmed(&self) -> Barrier {
         self.confirmed
     }
 
+    /// The newest barrier that this member has seen.
     pub(crate) fn barrier(&self) -> Barrier {
         self.barrier
     }
 
-    /// The tail has persisted everything up to `stamp`. Tells whether more is committed than before.
+    /// Records that the tail has persisted every write up to `stamp`. Returns whether more is committed than before.
     pub(crate) fn commit(&mut self, stamp: Stamp) -> bool {
         let before = self.committed_stamp();
         while self
@@ -171,7 +219,7 @@
         self.committed_stamp() != before
     }
 
-    /// Takes the barrier that the predecessor passed on, or that the head itself begins.
+    /// Records a barrier that the predecessor forwarded, if it is newer than the last one.
     pub(crate) fn record_barrier(&mut self, barrier: Barrier) {
         let is_newer =
             barrier.session != self.barrier.session || barrier.number > self.barrier.number;
@@ -180,7 +228,7 @@
         }
     }
 
-    /// Begins a barrier at the head.
+    /// Begins a barrier of the head's `session`. Only the head may call this.
     pub(crate) fn next_barrier(&mut self, session: u64) -> Barrier {
         let number = if self.barrier.session == session {
             self.barrier.number + 1
@@ -191,7 +239,7 @@
         self.barrier
     }
 
-    /// The rest of the chain has passed `barrier` on. Tells whether that is news.
+    /// Records that `barrier` has reached the tail. Returns whether it is newer than the last one that has.
     pub(crate) fn confirm(&mut self, barrier: Barrier) -> bool {
         let is_newer = barrier.session == self.barrier.session
             && barrier.number <= self.barrier.number
@@ -204,7 +252,7 @@
         is_newer
     }
 
-    /// Takes the successor's report.
+    /// Records the successor's report, which must be of the current epoch.
     pub(crate) fn record_progress(&mut self, now: Duration, report: Progress) {
         let has_changed = self.last_report.replace(report) != Some(report);
         self.link = match (self.link, report.is_active) {
@@ -238,12 +286,13 @@
         self.must_resend |= !has_changed && is_overdue && self.has_content_in_flight();
     }
 
-    /// The place without its times, with numbers of records counted back from `newest`.
+    /// Everything here that decisions depend on, without times: for exhaustive searches. Numbers of records are
+    /// counted back from `newest`, so that equal states compare equal.
     pub(crate) fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
         let unsynced: Vec<_> = self
             .unsynced
             .iter()
-            .map(|(record, epoch, stamp)| (newest - record, epoch, stamp))
+            .map(|record| (newest - record.number, record.result))
             .collect();
         let state = (
             &self.base,
@@ -256,13 +305,13 @@
         (state, link, self.sent_barrier, self.barrier, self.confirmed)
     }
 
-    /// What the successor lacks is due now.
+    /// Makes the next message to the successor due now, as if [`RESEND_INTERVAL`] had passed.
     pub(crate) fn resend(&mut self) {
         self.last_sent = Duration::ZERO;
         self.must_resend |= self.has_content_in_flight();
     }
 
-    /// Whether the successor has yet to report something that was sent to it.
+    /// Whether the successor has yet to acknowledge a state or a write.
     fn has_content_in_flight(&self) -> bool {
         match self.link {
             Link::Unknown => false,
@@ -271,7 +320,8 @@
         }
     }
 
-    /// What is to be sent to the successor now.
+    /// The next message to the successor, if one is due. The caller must send it, and call again until there is
+    /// none.
     pub(crate) fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
         let own = self.persisted_stamp(epoch)?;
         let is_due =
@@ -292,7 +342,7 @@
         Some(body)
     }
 
-    /// When the successor may have to be reminded.
+    /// When the successor is to be probed, unless it is up to date by then.
     pub(crate) fn next_resend(&self, epoch: u64) -> Option<Duration> {
         let own = self.persisted_stamp(epoch)?;
         let is_up_to_date = matches!(self.link, Link::Streaming { persisted, .. } if persisted == own)
@@ -320,7 +370,7 @@
         Some(self.replicate(from, writes))
     }
 
-    /// The writes after `from`, up to `own`; none if they are not kept any more.
+    /// The writes after `from`, up to `own` and to [`MAX_MESSAGE_BYTES`]; `None` if they are no longer retained.
     fn writes_after(&self, from: Stamp, own: Stamp) -> Option<Vec<Write>> {
         let is_retained =
             from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
@@ -343,7 +393,8 @@
         Some(writes)
     }
 
-    /// Asks the successor how far it is; one that has the same state activates the epoch.
+    /// A message without writes: the successor reports its progress, and activates the epoch if it has the same
+    /// state.
     fn probe(&self, own: Stamp) -> Body {
         self.replicate(own, Vec::new())
     }
@@ -368,7 +419,7 @@
     }
 }
 
-/// Whether a message has more than a barrier.
+/// Whether a message carries a state or writes.
 fn has_content(body: &Body) -> bool {
     !matches!(body, Body::Replicate { writes, .. } if writes.is_empty())
 }
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -1,16 +1,16 @@
-//! Requests to the head that wait for the chain.
+//! Requests to the head that are pending until the chain has confirmed what the reply is based on.
 //!
-//! A reply leaves only when everything on which it is based is committed. A refusal and a read also wait for
-//! a barrier: a message that every member of the chain has passed on in the current epoch, after the request
-//! came. Before another epoch can commit anything, one member of this chain must have sealed this epoch; so
-//! at the moment at which that member passed the barrier on, this head's state was the newest.
+//! A reply leaves only when everything on which it is based is committed. A rejection and a read also wait for a
+//! barrier that began after the request arrived and has passed every member of the chain in the current epoch. Before
+//! another epoch can commit anything, a member of this chain must seal this epoch. So when that member forwarded the
+//! barrier, this head's state was still the newest.
 
 use std::collections::BTreeMap;
 
 use crate::blob::Blob;
 use crate::state::{Command, ControlState, Rejection, Stamp, Undecided};
 
-/// Number that the driver gives a request.
+/// Number that the driver assigns to a request. Must be unique among the pending requests of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -19,9 +19,9 @@
 pub enum Request {
     /// Apply the command.
     Submit(Command),
-    /// Give back the newest configuration.
+    /// Return the newest committed configuration.
     ReadConfiguration,
-    /// Make sure that the published state is the newest.
+    /// Confirm that the published state is the newest.
     Confirm,
 }
 
@@ -30,21 +30,21 @@
 pub enum Reply {
     /// The command is committed.
     Taken,
-    /// The same change had been taken before; that is committed.
+    /// The same change was taken earlier, and that is committed.
     AlreadyTaken,
     /// The command was not taken and never will be.
     Rejected(Rejection),
-    /// The command was not taken now; nothing is promised.
+    /// The command was not taken now. A duplicate of it may be, or may have been.
     Undecided(Undecided),
     /// The newest configuration and its generation.
     Configuration(Option<(u64, Blob)>),
-    /// The published state was the newest after the request came.
+    /// The published state was the newest at a moment after the request arrived.
     Confirmed,
-    /// This member isn't the head, or lost the role: nothing is promised.
+    /// This member isn't the head, or has lost the role. Whether the command takes effect is unknown.
     Unavailable,
 }
 
-/// What a waiting request becomes.
+/// The reply that a pending request will get.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Outcome {
     Taken,
@@ -54,32 +54,34 @@
     Confirmed,
 }
 
+/// A pending request.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingRequest {
     outcome: Outcome,
-    /// State that must be committed.
+    /// Write that must be committed.
     stamp: Stamp,
-    /// Barrier that must be confirmed, 0 for none.
+    /// Number of the barrier that must be confirmed; 0 for none.
     barrier: u64,
 }
 
-/// Requests that wait for the chain.
+/// The pending requests of a head.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingRequests {
-    waiting: BTreeMap<RequestId, Waiting>,
+    pending: BTreeMap<RequestId, PendingRequest>,
 }
 
 impl PendingRequests {
-    /// Waits for the commit of a write that was just taken, or of one that was taken earlier.
+    /// Adds a request that waits for the commit of `stamp`: of its own write if `is_new`, else of the state that
+    /// contains the earlier one.
     pub(crate) fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
         let outcome = if is_new {
             Outcome::Taken
         } else {
             Outcome::AlreadyTaken
         };
-        self.waiting.insert(
+        self.pending.insert(
             id,
-            Waiting {
+            PendingRequest {
                 outcome,
                 stamp,
                 barrier: 0,
@@ -87,7 +89,8 @@
         );
     }
 
-    /// Waits until the state on which `rejection` is based is committed and was the newest.
+    /// Adds a request that waits until the state on which `rejection` is based is committed and `barrier` is
+    /// confirmed.
     pub(crate) fn wait_for_rejection(
         &mut self,
         id: RequestId,
@@ -95,9 +98,9 @@
         stamp: Stamp,
         barrier: u64,
     ) {
-        self.waiting.insert(
+        self.pending.insert(
             id,
-            Waiting {
+            PendingRequest {
                 outcome: Outcome::Rejected(rejection),
                 stamp,
                 barrier,
@@ -105,7 +108,7 @@
         );
     }
 
-    /// Waits until the committed state was the newest.
+    /// Adds a read, or a confirmation, that waits for the commit of `stamp` and for `barrier`.
     pub(crate) fn wait_for_read(
         &mut self,
         id: RequestId,
@@ -118,9 +121,9 @@
         } else {
             Outcome::Confirmed
         };
-        self.waiting.insert(
+        self.pending.insert(
             id,
-            Waiting {
+            PendingRequest {
                 outcome,
                 stamp,
                 barrier,
@@ -128,57 +131,60 @@
         );
     }
 
+    /// Whether no request is pending.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Takes out the requests that need wait no longer, with their replies.
+    /// Removes and returns the requests that wait for nothing beyond `committed` and `confirmed_barrier`, with their
+    /// replies. `confirmed_barrier` must be of the head's current session, else 0.
     pub(crate) fn resolve(
         &mut self,
         committed: &ControlState,
         confirmed_barrier: u64,
     ) -> Vec<(RequestId, Reply)> {
-        let is_done = |waiting: &Waiting| {
-            waiting.stamp <= committed.stamp && waiting.barrier <= confirmed_barrier
+        let is_done = |request: &PendingRequest| {
+            request.stamp <= committed.stamp && request.barrier <= confirmed_barrier
         };
         let done: Vec<RequestId> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| is_done(waiting))
+            .filter(|(_, request)| is_done(request))
             .map(|(&id, _)| id)
             .collect();
         done.into_iter()
             .filter_map(|id| {
-                self.waiting
+                self.pending
                     .remove(&id)
-                    .map(|waiting| (id, waiting.reply(committed)))
+                    .map(|request| (id, request.reply(committed)))
             })
             .collect()
     }
 
-    /// In a new epoch of the same head: barriers of the earlier epoch prove nothing any more.
+    /// Lets every request that waits for a barrier wait for `barrier`. Must be called when the head stays head in a new
+    /// epoch, since barriers of the earlier epoch prove nothing there.
     pub(crate) fn renew_barriers(&mut self, barrier: u64) {
-        for waiting in self
-            .waiting
+        for request in self
+            .pending
             .values_mut()
-            .filter(|waiting| waiting.barrier > 0)
+            .filter(|request| request.barrier > 0)
         {
-            waiting.barrier = barrier;
+            request.barrier = barrier;
         }
     }
 
-    /// Takes out every request.
+    /// Removes and returns every request.
     pub(crate) fn drain(&mut self) -> Vec<RequestId> {
-        std::mem::take(&mut self.waiting).into_keys().collect()
+        std::mem::take(&mut self.pending).into_keys().collect()
     }
 
-    /// Takes out one request whose caller has gone.
+    /// Removes a request whose caller has disconnected.
     pub(crate) fn cancel(&mut self, id: RequestId) {
-        self.waiting.remove(&id);
+        self.pending.remove(&id);
     }
 }
 
-impl Waiting {
+impl PendingRequest {
     fn reply(self, committed: &ControlState) -> Reply {
         match self.outcome {
             Outcome::Taken => Reply::Taken,
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -12,74 +12,90 @@
 //! | `PutStorageView` | an epoch other than `expected_epoch` | `Rejected(StorageEpochMismatch)` |
 //! | `PutStorageView` | `expected_epoch` | `Take` |
 //!
-//! `Rejected` of a configuration is final: generations only rise, so that no later state takes it either. A
-//! copy of the order that is still on its way can't bring it into force. Where that can't be promised, the
-//! verdict is `Undecided`.
+//! `Rejected` of a configuration is final: generations only rise, so that no later state takes it either, and a
+//! duplicate of the request that arrives later can't bring it into force. Where that can't be guaranteed, the verdict
+//! is `Undecided`.
 
 use snafu::Snafu;
 use speedy::{Readable, Writable};
 
 use crate::blob::Blob;
 
-/// How many digests of taken configurations are kept; older ones are forgotten, and whether a change as old
-/// as those was taken is then undecided.
+/// Upper bound of the digests of taken configurations that the state retains. Whether an older change was taken is
+/// undecided.
 pub const TAKEN_LIMIT: usize = 8192;
 
-/// Digest of a configuration's bytes.
+/// Digest of a configuration's bytes. Computed by the driver; compared here only for equality.
 pub type Digest = [u8; 16];
 
-/// Position of a write: the epoch of the head that took it, and its number.
-///
-/// Two members whose state has the same stamp have the same state.
+/// Position of a write. States with the same stamp are equal, at any two members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Stamp {
+    /// Epoch of the head that took the write.
     pub epoch: u64,
+    /// Number of the write; rises by one from each write to the next, across epochs too.
     pub number: u64,
 }
 
 /// The operator's configuration as it was taken.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoredConfiguration {
+    /// Generation, which the operator chose above that of the one before.
     pub generation: u64,
+    /// Digest of `body`.
     pub digest: Digest,
+    /// The configuration's bytes.
     pub body: Blob,
 }
 
 /// The encoded view of the storage machines.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoredStorageView {
+    /// Epoch of the storage view.
     pub epoch: u64,
+    /// The encoded view.
     pub bytes: Blob,
 }
 
-/// A configuration that was taken at some time.
+/// A configuration that is or was in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct TakenConfiguration {
+    /// Its generation.
     pub generation: u64,
+    /// Digest of its bytes.
     pub digest: Digest,
 }
 
 /// Replaces the configuration of generation `base` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutConfiguration {
+    /// Generation that must be in force for the change to be taken.
     pub base: u64,
+    /// Generation of the new configuration; must be above `base`.
     pub generation: u64,
+    /// Digest of `body`; must match it.
     pub digest: Digest,
+    /// The new configuration.
     pub body: Blob,
 }
 
 /// Replaces the storage view of epoch `expected_epoch` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutStorageView {
+    /// Storage epoch that must be in force for the change to be taken.
     pub expected_epoch: u64,
+    /// Epoch of the new view; must be above `expected_epoch`.
     pub epoch: u64,
+    /// The encoded new view.
     pub bytes: Blob,
 }
 
 /// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Command {
+    /// Replaces the configuration.
     PutConfiguration(PutConfiguration),
+    /// Replaces the storage view.
     PutStorageView(PutStorageView),
 }
 
@@ -88,46 +104,66 @@
 pub enum Rejection {
     /// The change builds on another generation than the current one.
     #[snafu(display("the current generation is {current}"))]
-    BaseMismatch { current: u64 },
+    BaseMismatch {
+        /// Generation in force.
+        current: u64,
+    },
     /// The new generation is not above the current one.
     #[snafu(display("the generation must exceed the current one, {current}"))]
-    StaleGeneration { current: u64 },
+    StaleGeneration {
+        /// Generation in force.
+        current: u64,
+    },
     /// The storage view builds on another epoch than the current one.
     #[snafu(display("the current storage epoch is {current}"))]
-    StorageEpochMismatch { current: u64 },
+    StorageEpochMismatch {
+        /// Storage epoch in force.
+        current: u64,
+    },
 }
 
-/// Why nothing is promised about a command.
+/// Why it is undecided whether a command takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Undecided {
-    /// The change builds on a generation above the current one, which may yet come into force; a copy of the
-    /// change that is still on its way would then be taken.
+    /// The change builds on a generation above the current one, which may yet come into force; a duplicate of the
+    /// request that arrives after that would be taken.
     #[snafu(display("the change builds on a generation above the current one, {current}"))]
-    FutureBase { current: u64 },
-    /// The change is older than every change that is remembered, so that it may have been taken.
+    FutureBase {
+        /// Generation in force.
+        current: u64,
+    },
+    /// The change is older than every change that is remembered, so it may have been taken.
     #[snafu(display("changes below generation {oldest} are no longer remembered"))]
-    Forgotten { oldest: u64 },
+    Forgotten {
+        /// The lowest generation that is remembered.
+        oldest: u64,
+    },
 }
 
-/// What the state says to a command.
+/// What becomes of a command on a given state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The command is taken.
     Take,
+    /// The same change was taken earlier.
     AlreadyTaken,
-    /// Not taken, now or later.
+    /// The command is not taken, now or later.
     Rejected(Rejection),
-    /// Not taken now; nothing is promised.
+    /// The command is not taken now; a duplicate of it may be, or may have been.
     Undecided(Undecided),
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ControlState {
-    /// Stamp of the last write that is applied.
+    /// Stamp of the last applied write.
     pub stamp: Stamp,
+    /// Configuration in force.
     pub configuration: Option<StoredConfiguration>,
+    /// View of the storage machines in force.
     pub storage_view: Option<StoredStorageView>,
-    /// Configurations that were taken, oldest first, the current one included.
+    /// Configurations that were taken, in ascending order of generations, the one in force last. At most
+    /// [`TAKEN_LIMIT`].
     pub taken: Vec<TakenConfiguration>,
 }
 
@@ -152,7 +188,7 @@
         }
     }
 
-    /// Applies a command that the head has taken.
+    /// Applies a command that the head has taken. `stamp` must be above that of the state.
     pub fn apply(&mut self, stamp: Stamp, command: &Command) {
         self.stamp = stamp;
         match command {
@@ -187,15 +223,15 @@
         Verdict::Take
     }
 
-    /// Whether this very change was taken. Generations rise from one taken change to the next.
+    /// Whether this change was taken and is remembered. The search relies on ascending generations.
     fn is_remembered(&self, put: &PutConfiguration) -> bool {
         let found = self
             .taken
             .binary_search_by_key(&put.generation, |taken| taken.generation);
-        found.is_ok_and(|place| self.taken[place].digest == put.digest)
+        found.is_ok_and(|index| self.taken[index].digest == put.digest)
     }
 
-    /// Every taken change of this generation or a later one is remembered.
+    /// The generation from which on every taken change is remembered.
     fn oldest_remembered(&self) -> u64 {
         let is_full = self.taken.len() >= TAKEN_LIMIT;
         self.taken
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed view of the core.
+//! The agreed membership of the core.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -6,15 +6,15 @@
 use snafu::{Snafu, ensure};
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// A core machine with one life of its disk.
+/// A core machine together with its disk.
 ///
-/// The identity is drawn when an empty disk is first used: a machine that lost its disk has forgotten its
-/// promises and is another member.
+/// The identity is drawn when an empty disk is first used. A machine that has lost its disk has lost its promises
+/// with it, and must not vote as the member that it was.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
-    /// Internal address.
+    /// Internal address of the machine.
     pub address: SocketAddrV4,
-    /// Identity of the disk, 0 where it isn't known (the voters of epoch 0).
+    /// Identity of the disk; 0 if unknown, as of the voters of epoch 0.
     pub identity: u64,
 }
 
@@ -48,34 +48,55 @@
     }
 }
 
-/// A view: who votes on the next one, and who replicates the control state.
+/// A view: the members that vote on the next one and those that replicate the control state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct View {
+    /// Number of the view; 0 for the one before the first that is decided.
     pub epoch: u64,
     /// Members whose majority decides the next view.
     pub voters: Vec<MemberId>,
-    /// Members that replicate the state, head first. Part of the voters.
+    /// Members that replicate the state, from head to tail. Each must be a voter.
     pub chain: Vec<MemberId>,
-    /// Whoever has been active in this epoch or a later one holds every write that was committed before the
-    /// view's epoch.
+    /// A member that has been active in this epoch or a later one holds every write that was committed before the
+    /// view's epoch. Must not be above `epoch`.
     pub floor: u64,
 }
 
-/// A view that no proposer makes.
+/// Why a view is not one that a proposer makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ViewError {
+    /// Nobody could decide the view after it.
     #[snafu(display("the view of epoch {epoch} has no voters"))]
-    NoVoters { epoch: u64 },
+    NoVoters {
+        /// Epoch of the view.
+        epoch: u64,
+    },
+    /// The voters or the chain contain a member twice.
     #[snafu(display("the view of epoch {epoch} names a member twice"))]
-    NamedTwice { epoch: u64 },
+    NamedTwice {
+        /// Epoch of the view.
+        epoch: u64,
+    },
+    /// A member of the chain is no voter.
     #[snafu(display("the chain of epoch {epoch} has {member:?}, who does not vote"))]
-    Stranger { epoch: u64, member: MemberId },
+    Stranger {
+        /// Epoch of the view.
+        epoch: u64,
+        /// The member of the chain that is no voter.
+        member: MemberId,
+    },
+    /// The floor is above the epoch.
     #[snafu(display("the view of epoch {epoch} has a floor above it, {floor}"))]
-    Floor { epoch: u64, floor: u64 },
+    Floor {
+        /// Epoch of the view.
+        epoch: u64,
+        /// Its floor.
+        floor: u64,
+    },
 }
 
 impl View {
-    /// The view that a system starts from: the seeds vote, known by address only.
+    /// The view of epoch 0, from which a system starts: the seeds are voters, known by address only.
     pub fn bootstrap(seeds: &[SocketAddrV4]) -> View {
         let voters = seeds
             .iter()
@@ -92,7 +113,7 @@
         }
     }
 
-    /// How many voters decide.
+    /// Number of voters that make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -108,11 +129,15 @@
         self.voters.contains(&member)
     }
 
-    /// Checks what holds of every view that a proposer makes.
+    /// Checks the invariants of every view that a proposer makes.
+    ///
+    /// # Errors
+    ///
+    /// [`ViewError`] names the first invariant that is violated.
     pub fn check(&self) -> Result<(), ViewError> {
         ensure!(!self.voters.is_empty(), NoVotersSnafu { epoch: self.epoch });
         let is_named_twice = |members: &[MemberId]| {
-            (1..members.len()).any(|place| members[..place].contains(&members[place]))
+            (1..members.len()).any(|index| members[..index].contains(&members[index]))
         };
         let is_twice = is_named_twice(&self.voters) || is_named_twice(&self.chain);
         ensure!(!is_twice, NamedTwiceSnafu { epoch: self.epoch });
@@ -137,12 +162,13 @@
         Ok(())
     }
 
+    /// The first member of the chain, which takes commands.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
-    /// Whether every majority of the voters has a member of the chain among it. A chain that doesn't meet
-    /// them all commits nothing: its epoch could end without it.
+    /// Whether every majority of the voters contains a member of the chain. A chain of which that isn't true must
+    /// commit nothing, since its epoch could be sealed without its knowledge.
     pub fn meets_every_majority(&self) -> bool {
         let in_chain = self
             .voters
@@ -152,15 +178,18 @@
         in_chain + self.majority() > self.voters.len()
     }
 
+    /// Whether `member` is the last of the chain, whose persisted state is committed.
     pub fn is_tail(&self, member: MemberId) -> bool {
         self.chain.last() == Some(&member)
     }
 
+    /// The member before `member` in the chain.
     pub fn predecessor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|&other| other == member)?;
         position.checked_sub(1).map(|previous| self.chain[previous])
     }
 
+    /// The member after `member` in the chain.
     pub fn successor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|&other| other == member)?;
         self.chain.get(position + 1).copied()
