--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -80,7 +80,7 @@
     let mut durable = disk();
     let mut member = head(durable.clone());
     let outputs = member.take_step(NOW, TimedStep::Propose);
-    // The disk gets the record, and the process ends right after the ballot is told.
+    // The disk gets the record, and the process exits right after the ballot is sent.
     for (_, record) in records(&outputs) {
         durable.apply(&record);
     }
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -1,5 +1,4 @@
-//! Members that were away while the state changed, back while writes go on, on links and disks that carry a
-//! bounded number of bytes.
+//! Members that return after they have missed changes, while writes continue, on links and disks of bounded rates.
 //!
 //! Simulated time. Every case writes without a pause, kills one member, starts it again after a number of
 //! changes, and waits until it is active in the chain; then the head is killed, so that an old state would
@@ -21,31 +20,33 @@
 const FAST_LINK: u64 = 125_000_000;
 /// 30 Mbit/s.
 const SLOW_LINK: u64 = 3_750_000;
+/// Bytes of a small configuration.
 const SMALL: usize = 1_000;
+/// Bytes of a large configuration.
 const LARGE: usize = 4 << 20;
-/// Small changes come so often; the next large one comes as soon as the one before is committed.
-const SMALL_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between small changes. The next large one begins as soon as the one before is committed.
+const SMALL_CHANGE_INTERVAL: Duration = Duration::from_millis(50);
 const STEP: Duration = Duration::from_millis(5);
-/// Longest time in which something that is waited for must happen.
+/// Time-out of everything that a test waits for.
 const TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Writes one change after the other.
 struct Writer {
     body: Blob,
-    pause: Duration,
+    interval: Duration,
     next_at: Duration,
     /// Changes that are known to be committed, oldest first.
     acknowledged: Vec<TakenConfiguration>,
-    /// The change under way, and when it was last sent.
+    /// The change in flight, and when it was last sent.
     sent: Option<(PutConfiguration, Duration)>,
 }
 
 impl Writer {
-    fn new(bytes: usize, pause: Duration) -> Writer {
+    fn new(bytes: usize, interval: Duration) -> Writer {
         let body = Blob::from(vec![7; bytes]);
         Writer {
             body,
-            pause,
+            interval,
             next_at: Duration::ZERO,
             acknowledged: Vec::new(),
             sent: None,
@@ -78,12 +79,12 @@
                 body: self.body.clone(),
             };
             self.sent = Some((put, Duration::ZERO));
-            self.next_at = world.now + self.pause;
+            self.next_at = world.now + self.interval;
         }
         self.send(world);
     }
 
-    /// Sends what is under way to the head, and again after a second.
+    /// Sends the change in flight to the head, and again after a second.
     fn send(&mut self, world: &mut World) {
         let Some((put, sent_at)) = &mut self.sent else {
             return;
@@ -128,7 +129,7 @@
         .unwrap_or_default()
 }
 
-/// Writes until `is_done`; the time that it took, or none if it took too long.
+/// Writes until `is_done`. Returns the time that it took, or `None` after [`TIMEOUT`].
 fn write_until(
     world: &mut World,
     writer: &mut Writer,
@@ -146,12 +147,12 @@
     Some(world.now - started)
 }
 
-/// What befalls the member while it catches up.
+/// A fault of the member while it catches up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// It is killed, what is not synced being lost in part, and starts again.
+    /// It is killed, loses a part of what is not synced, and starts again.
     Killed,
-    /// Its disk does nothing for three seconds.
+    /// Its disk stalls for three seconds.
     DiskStalls,
     /// The member before it is killed, and starts again two seconds later.
     SourceKilled,
@@ -165,7 +166,7 @@
     missed: u64,
     /// Position in the chain of the member that is away.
     position: usize,
-    /// What befalls it, so long after its start.
+    /// A fault of it, and the time from its start to the fault.
     fault: Option<(Fault, Duration)>,
     /// A safeguard that is switched off.
     bug: Option<InjectedBug>,
@@ -213,12 +214,12 @@
     let mut capacity = Capacity::new(case.link_rate, DISK_RATE);
     capacity.has_one_queue = case.has_one_queue;
     world.capacity = Some(capacity);
-    let pause = if case.bytes == SMALL {
-        SMALL_PAUSE
+    let interval = if case.bytes == SMALL {
+        SMALL_CHANGE_INTERVAL
     } else {
         Duration::ZERO
     };
-    let mut writer = Writer::new(case.bytes, pause);
+    let mut writer = Writer::new(case.bytes, interval);
     write_until(&mut world, &mut writer, |world, writer| {
         all_active(world) && writer.generation() >= 3
     })
@@ -435,7 +436,7 @@
             longest = longest.max(caught.to_active);
         }
     }
-    println!("longest after a trouble: {longest:?}");
+    println!("longest after a fault: {longest:?}");
     assert!(longest <= Duration::from_secs(4), "{longest:?}");
 }
 
--- a/crates/tier/chain/tests/codec.rs
+++ b/crates/tier/chain/tests/codec.rs
@@ -173,10 +173,10 @@
         Durable::decode(&durable.encode()).is_ok_and(|decoded| decoded == durable)
     }
 
-    fn truncated_messages_are_rejected(envelope: Generated<Envelope>, cut: usize) -> bool {
+    fn truncated_messages_are_rejected(envelope: Generated<Envelope>, length: usize) -> bool {
         let bytes = envelope.0.encode();
-        let cut = cut % bytes.len();
-        Envelope::decode(&bytes[..cut]).is_err()
+        let length = length % bytes.len();
+        Envelope::decode(&bytes[..length]).is_err()
     }
 
     fn messages_of_another_version_are_refused(envelope: Generated<Envelope>, version: u8) -> bool {
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! Machines that are cut off for long, one way or both: what holds in every run, and that a machine which
-//! says that it is in quorum is never far behind.
+//! Long partitions, in one direction or both: the invariants of every run, and that a machine which reports to be in
+//! quorum is never far behind.
 //!
 //! `WOADREACH_RUNS` and `WOADREACH_SEED` as in `world.rs`.
 
@@ -80,6 +80,6 @@
 
 #[cfg(feature = "mutations")]
 #[test]
-fn a_member_that_asks_for_the_state_where_nobody_hears_it_is_found() {
+fn a_member_that_requests_the_state_from_members_that_do_not_hear_it_is_found() {
     assert!(is_found(woadreach_chain::Mutation::StateFromTheDeaf));
 }
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -18,7 +18,7 @@
 const FIRST_EPOCH: u64 = 2;
 const START: Duration = Duration::from_secs(10);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// After so many heartbeats a machine counts as steady, and one that was silent meanwhile as suspected.
+/// Rounds of heartbeats after which a machine counts as stable, and one that sent none as suspected.
 const HEARTBEATS_UNTIL_STABLE: usize = 6;
 
 /// How often each thing has happened.
@@ -33,7 +33,7 @@
     pub reads: u8,
 }
 
-/// A message on its way.
+/// A message in flight: the receiver and the encoded envelope.
 pub(crate) type InFlightMessage = (usize, Arc<Vec<u8>>);
 
 /// A state of the searched core.
@@ -41,7 +41,7 @@
 pub(crate) struct Core {
     pub now: Duration,
     pub machines: Vec<Arc<Machine>>,
-    /// Messages on their way; the same message twice counts once.
+    /// Messages in flight; a duplicate counts once.
     pub messages: BTreeSet<InFlightMessage>,
     pub counts: Counts,
     pub oracle: Oracle,
@@ -127,7 +127,7 @@
         core
     }
 
-    /// Makes the state ready to be told from others.
+    /// Prepares the state for comparison with others.
     pub(crate) fn compute_digests(&mut self) {
         for machine in self
             .machines
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Everyone hears a heartbeat of everyone.
+    /// Every machine receives a heartbeat of every other.
     pub(crate) fn exchange_heartbeats(&mut self, world: &World) {
         let heartbeats: Vec<Envelope> = (0..self.machines.len())
             .map(|from| self.heartbeat(from))
@@ -187,7 +187,7 @@
         }
     }
 
-    /// So much time passes that machines count as steady, or as silent.
+    /// Lets so much time pass that machines count as stable, or as suspected.
     fn exchange_heartbeats_until_stable(&mut self, world: &World) {
         for _ in 0..HEARTBEATS_UNTIL_STABLE {
             self.now += HEARTBEAT_INTERVAL;
@@ -214,7 +214,7 @@
         self.execute(world, index, outputs);
     }
 
-    /// Does what the member asks for; disks that are not slow sync at once.
+    /// Carries out a member's outputs. Disks that are not slow sync at once.
     fn execute(&mut self, world: &World, index: usize, outputs: Vec<Output>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
@@ -280,9 +280,9 @@
         }
     }
 
-    /// The process ends and starts again at once, with the first `kept` of the records on their way.
-    pub(crate) fn crash(&mut self, world: &World, index: usize, kept: usize) {
-        let disk = self.machines[index].disk_after_crash(kept);
+    /// The process ends and starts again at once, with the first `retained` of the unsynced records.
+    pub(crate) fn crash(&mut self, world: &World, index: usize, retained: usize) {
+        let disk = self.machines[index].disk_after_crash(retained);
         self.start(world, index, disk);
     }
 
--- a/crates/tier/chain/tests/member_model/machine.rs
+++ b/crates/tier/chain/tests/member_model/machine.rs
@@ -9,16 +9,16 @@
     Durable, FailureDomain, Member, MemberId, MemberOptions, Record, Tolerance, View,
 };
 
-/// A machine in one life of its process.
+/// A machine in one incarnation of its process.
 #[derive(Clone)]
 pub(crate) struct Machine {
     pub member: Member,
     /// What a loss of power leaves.
     pub synced: Durable,
-    /// Records on their way to the disk.
+    /// Records that the disk has yet to sync.
     pub unsynced: Vec<(u64, Record)>,
     pub is_leaving: bool,
-    /// Whether it has exchanged heartbeats with the others in this life.
+    /// Whether it has exchanged heartbeats with the others in this incarnation.
     pub has_exchanged_heartbeats: bool,
     /// Hash of everything above, once it is needed.
     digest: Option<u64>,
@@ -77,17 +77,17 @@
         durable
     }
 
-    /// What is left when the process ends and `kept` of the records on their way have reached the disk.
-    pub(crate) fn disk_after_crash(&self, kept: usize) -> Durable {
+    /// What is left when the process ends and `retained` of the unsynced records have reached the disk.
+    pub(crate) fn disk_after_crash(&self, retained: usize) -> Durable {
         let mut durable = self.synced.clone();
         self.unsynced
             .iter()
-            .take(kept)
+            .take(retained)
             .for_each(|(_, record)| durable.apply(record));
         durable
     }
 
-    /// Everything on its way has reached the disk; gives the last number.
+    /// Syncs every record and returns the last one's number.
     pub(crate) fn sync(&mut self) -> Option<u64> {
         let last = self.unsynced.last().map(|(number, _)| *number);
         for (_, record) in self.unsynced.drain(..) {
@@ -109,7 +109,7 @@
         self.member.status(now).is_head
     }
 
-    /// Something has changed.
+    /// Must be called whenever the machine has changed.
     pub(crate) fn forget_digest(&mut self) {
         self.digest = None;
     }
--- a/crates/tier/chain/tests/member_model/world.rs
+++ b/crates/tier/chain/tests/member_model/world.rs
@@ -37,18 +37,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
     Deliver(InFlightMessage),
-    /// A message comes, and will come again.
+    /// A message is delivered and stays in flight, so that it comes again.
     Repeat(InFlightMessage),
     Sync(usize),
     Propose(usize),
-    /// The proposer goes on with the reports that it has.
+    /// The proposer begins phase 2 with the reports that it has.
     EndReportWait(usize),
     Resend(usize),
     Crash {
         index: usize,
-        kept: usize,
+        retained: usize,
     },
-    /// A machine that was started anew exchanges heartbeats.
+    /// All machines exchange heartbeats, after one has restarted.
     ExchangeHeartbeats,
     Wipe(usize),
     Leave(usize),
@@ -81,8 +81,8 @@
         for &index in &self.victims {
             let machine: &Arc<Machine> = &core.machines[index];
             if core.counts.crashes < self.limits.crashes {
-                let kept = 0..=machine.unsynced.len();
-                actions.extend(kept.map(|kept| Action::Crash { index, kept }));
+                let retained = 0..=machine.unsynced.len();
+                actions.extend(retained.map(|retained| Action::Crash { index, retained }));
             }
             if core.counts.wipes < self.limits.wipes {
                 actions.push(Action::Wipe(index));
@@ -147,9 +147,9 @@
             }
             Action::EndReportWait(index) => next.step(self, index, TimedStep::EndReportWait),
             Action::Resend(index) => next.step(self, index, TimedStep::Resend),
-            Action::Crash { index, kept } => {
+            Action::Crash { index, retained } => {
                 next.counts.crashes += 1;
-                next.crash(self, index, kept);
+                next.crash(self, index, retained);
             }
             Action::ExchangeHeartbeats => next.exchange_heartbeats(self),
             Action::Wipe(index) => {
--- a/crates/tier/chain/tests/old_views.rs
+++ b/crates/tier/chain/tests/old_views.rs
@@ -39,7 +39,7 @@
     (0..world.nodes.len()).filter(is_voter).collect()
 }
 
-/// Kills a voter, and waits until a machine that was outside has taken its place.
+/// Kills a voter, and waits until another machine has replaced it.
 fn replace_voter(world: &mut World) -> usize {
     let before = voters(world);
     let replaced = *before.first().expect("voters");
@@ -54,7 +54,7 @@
     replaced
 }
 
-/// Five machines that bear one loss; two voters were replaced one after the other. Everything stands still.
+/// Five machines that tolerate one loss, after two voters were replaced one after the other. All processes are down.
 fn two_replaced(seed: u64) -> (World, [usize; 2]) {
     let mut world = World::new(seed, 5, 0, 1, None);
     world.are_faults_over = true;
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -8,9 +8,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use simulation::event::Event;
 use simulation::faults::play_in;
 use simulation::operator::{CallId, new_put};
-use simulation::world::{Event, InjectedBug, World};
+use simulation::world::{InjectedBug, World};
 use woadreach_chain::{Command, PutConfiguration, Request, TAKEN_LIMIT};
 
 /// Operators whose orders these tests send; the world's own ones are the first two.
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -1,5 +1,5 @@
-//! What a link and a disk can carry: long messages of one machine leave one after the other at the link's
-//! rate, short ones beside them; a sync takes as long as the bytes that it covers.
+//! Rates of links and disks: long messages of one machine leave one after the other at the link's rate, short ones
+//! beside them; a sync takes as long as its bytes need.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 const SMALL_BYTES: u64 = 200;
 /// Bytes of the digest and the number of one taken configuration.
 const TAKEN_BYTES: u64 = 24;
-/// Way of a message on an empty link.
+/// Latency of a message on an idle link.
 const LATENCY: Duration = Duration::from_millis(1);
 
 /// Rates, and what they are used for at present.
@@ -24,7 +24,7 @@
     pub has_one_queue: bool,
     /// When each machine has sent everything.
     sent_at: BTreeMap<usize, Duration>,
-    /// Most bytes that waited to be sent at one machine.
+    /// Largest number of bytes that were queued at one machine.
     pub max_backlog_bytes: u64,
     /// Bytes that were sent between machines.
     pub sent_bytes: u64,
--- a/crates/tier/chain/tests/simulation/disk.rs
+++ b/crates/tier/chain/tests/simulation/disk.rs
@@ -46,9 +46,9 @@
         }
     }
 
-    /// The process or the machine is gone: of the records that wait, the first `kept` are found again.
-    pub(crate) fn lose(&mut self, kept: usize) {
-        for (_, record) in self.unsynced.drain(..).take(kept) {
+    /// The process or the machine is gone: of the records that wait, the first `retained` are found again.
+    pub(crate) fn lose(&mut self, retained: usize) {
+        for (_, record) in self.unsynced.drain(..).take(retained) {
             self.synced.apply(&record);
         }
     }
--- /dev/null
+++ b/crates/tier/chain/tests/simulation/event.rs
@@ -0,0 +1,83 @@
+//! Events of the simulation, in the order of their times.
+
+use std::cmp::Ordering;
+use std::time::Duration;
+
+use woadreach_chain::{Envelope, Request};
+
+use super::operator::CallId;
+use super::stops::Stop;
+
+/// What happens at a moment.
+#[derive(Debug)]
+pub(crate) enum Event {
+    Wake {
+        node: usize,
+        incarnation: u64,
+    },
+    Deliver {
+        to: usize,
+        from: usize,
+        envelope: Box<Envelope>,
+    },
+    Synced {
+        node: usize,
+        incarnation: u64,
+        through: u64,
+    },
+    Start {
+        node: usize,
+    },
+    Thaw {
+        node: usize,
+    },
+    /// A process is stopped; see [`super::stops`].
+    Stop {
+        node: usize,
+        stop: Stop,
+    },
+    /// A machine loses its disk.
+    Lose {
+        node: usize,
+    },
+    /// A process that is being stopped looks whether it may end.
+    CheckStop {
+        node: usize,
+        incarnation: u64,
+    },
+    /// A call of an operator reaches a machine; `hops` machines have passed it on.
+    Call {
+        node: usize,
+        call: CallId,
+        request: Request,
+        hops: u8,
+    },
+    /// The operators' clock.
+    Operate,
+    Fault,
+    EndFault,
+}
+
+/// An event at its time; `order` keeps events of one time in the order in which they were scheduled.
+pub(super) struct Scheduled {
+    pub at: Duration,
+    pub order: u64,
+    pub event: Event,
+}
+
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Self) -> bool {
+        (self.at, self.order) == (other.at, other.order)
+    }
+}
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Self) -> Ordering {
+        (self.at, self.order).cmp(&(other.at, other.order))
+    }
+}
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -1,18 +1,19 @@
-//! Faults from a seed, within what a core has to bear.
+//! Faults from a seed, within what a core must tolerate.
 
 use std::time::Duration;
 
+use super::event::Event;
 use super::history::Violation;
 use super::stops;
-use super::world::{Event, InjectedBug, World};
+use super::world::{InjectedBug, World};
 
-/// A machine counts as lost for so long after its return.
+/// Time after its return for which a machine still counts as lost.
 pub(crate) const CATCH_UP: Duration = Duration::from_millis(4100);
-/// Longest pause between two faults.
-const PAUSE: Duration = Duration::from_millis(1500);
+/// Longest interval between two faults.
+const MAX_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Longest time that a whole state takes, as one of 4 MB does on a slow link.
-const LONGEST_TRANSFER: Duration = Duration::from_millis(400);
+/// Longest time that a transfer of the state takes, as one of 4 MB does on a slow link.
+const MAX_TRANSFER_TIME: Duration = Duration::from_millis(400);
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +23,7 @@
     Wipe,
     Freeze,
     Partition,
-    OneWayPartition,
+    AsymmetricPartition,
     Loss,
     SlowDisk,
     StalledDisk,
@@ -38,7 +39,7 @@
     Fault::Wipe,
     Fault::Freeze,
     Fault::Partition,
-    Fault::OneWayPartition,
+    Fault::AsymmetricPartition,
     Fault::Loss,
     Fault::SlowDisk,
     Fault::StalledDisk,
@@ -54,7 +55,7 @@
     Fault::Kill,
 ];
 
-/// A run: how many machines, what they bear, how long faults go on.
+/// A run: how many machines, what they tolerate, and for how long faults occur.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
     pub seed: u64,
@@ -89,13 +90,13 @@
 /// be sent.
 pub(crate) fn play_planned_work(run: Run) -> Finding {
     let mut world = World::new(run.seed, run.nodes, run.zones, run.fault_tolerance, run.bug);
-    world.longest_transfer = LONGEST_TRANSFER;
+    world.longest_transfer = MAX_TRANSFER_TIME;
     play_kinds(world, run.length, &PLANNED)
 }
 
 fn play_kinds(mut world: World, length: Duration, kinds: &'static [Fault]) -> Finding {
     world.fault_kinds = kinds;
-    let first = Duration::from_millis(1500) + world.random_duration(PAUSE);
+    let first = Duration::from_millis(1500) + world.random_duration(MAX_INTERVAL);
     world.schedule(first, Event::Fault);
     let end = world.now + length;
     world.run_until(end);
@@ -176,15 +177,15 @@
     let length = Duration::from_millis(50) + world.random_duration(Duration::from_millis(2500));
     if let Some(over) = planned_work(world, kind) {
         world.planned_work_ends_at = world.now + over;
-        let pause = over + world.random_duration(PAUSE);
-        return world.schedule(pause, Event::Fault);
+        let interval = over + world.random_duration(MAX_INTERVAL);
+        return world.schedule(interval, Event::Fault);
     }
     inject(world, kind, length);
     // The next fault comes when this one counts as over: machines whose links lost messages count as lost,
     // too, until they had time to catch up.
     world.schedule(length, Event::EndFault);
-    let pause = length + CATCH_UP + world.random_duration(PAUSE);
-    world.schedule(pause, Event::Fault);
+    let interval = length + CATCH_UP + world.random_duration(MAX_INTERVAL);
+    world.schedule(interval, Event::Fault);
 }
 
 /// Begins planned work, if `kind` is that; gives back when it is over.
@@ -222,8 +223,8 @@
             }
         }
         Fault::Freeze => affected.iter().for_each(|&node| world.freeze(node, length)),
-        Fault::Partition | Fault::OneWayPartition => {
-            inject_partition(world, &affected, kind == Fault::OneWayPartition)
+        Fault::Partition | Fault::AsymmetricPartition => {
+            inject_partition(world, &affected, kind == Fault::AsymmetricPartition)
         }
         Fault::SlowDisk => affected
             .iter()
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -1,4 +1,4 @@
-//! What operators were told and what machines published, and whether one register can have done that.
+//! What machines answered to operators and what they published, and whether a single register explains it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     TwoAnswers { generation: u64 },
     /// A read gave something older than what was acknowledged before it began.
     StaleRead { read: u64, acknowledged: u64 },
-    /// A read gave bytes that nobody sent under that generation.
+    /// A read returned bytes that nobody submitted under that generation.
     ForeignRead { generation: u64 },
     /// A member sent a view that other members reject.
     UnsoundView { node: usize },
@@ -65,9 +65,9 @@
         published: u64,
         acknowledged: u64,
     },
-    /// While a majority was connected, no order was answered for long.
+    /// No order was answered for too long although a majority was connected.
     NoAnswers,
-    /// After everything was well again, nothing could be written.
+    /// Nothing could be written after all faults had ended.
     NoProgress,
 }
 
@@ -115,7 +115,7 @@
         self.orders[attempt.0].answered = Some((now, outcome));
     }
 
-    /// Notes every reply that an operator got, also one to an order that had its answer before.
+    /// Records every reply that an operator got, also one to an order that was answered before.
     pub(crate) fn replied(&mut self, request: &Request, reply: &Reply) {
         let Request::Submit(Command::PutConfiguration(put)) = request else {
             return;
@@ -323,7 +323,7 @@
         violations
     }
 
-    /// The newest generation that an operator was told before `moment`, by an acknowledgement or a read.
+    /// The newest generation that an operator knew before `moment`, from an acknowledgement or a read.
     fn newest_known_before(&self, moment: Duration) -> u64 {
         let known = self.orders.iter().filter_map(|order| {
             let (at, outcome) = order.answered.as_ref()?;
--- /dev/null
+++ b/crates/tier/chain/tests/simulation/node.rs
@@ -0,0 +1,66 @@
+//! One simulated machine.
+
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::time::Duration;
+
+use woadreach_chain::{Envelope, Member, Request, RequestId};
+
+use super::disk::SimulatedDisk;
+use super::operator::CallId;
+use super::stops::Stop;
+
+/// One core machine.
+pub(crate) struct Node {
+    pub address: SocketAddrV4,
+    pub member: Option<Member>,
+    pub disk: Option<SimulatedDisk>,
+    /// Counts starts, so that what belongs to an earlier life is dropped.
+    pub incarnation: u64,
+    pub frozen_until: Option<Duration>,
+    /// How many times slower the disk is.
+    pub disk_factor: u32,
+    pub is_disk_stalled: bool,
+    /// How the process is being stopped, and since when.
+    pub stop: Option<(Stop, Duration)>,
+    /// The machine is gone for good.
+    pub is_removed: bool,
+    /// The machine was there in the very first start.
+    pub is_founding: bool,
+    pub is_syncing: bool,
+    pub sync_started: Duration,
+    /// Last record that this life's disk has synced.
+    pub last_synced: u64,
+    pub woken_for: Duration,
+    pub identity: u64,
+    /// Messages that wait for a frozen process.
+    pub backlog: Vec<(usize, Box<Envelope>)>,
+    pub calls: BTreeMap<RequestId, (CallId, Request)>,
+    pub next_request: u64,
+}
+
+impl Node {
+    /// A machine that has never run.
+    pub(crate) fn new(index: usize) -> Node {
+        Node {
+            address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000),
+            member: None,
+            disk: None,
+            incarnation: 0,
+            frozen_until: None,
+            disk_factor: 1,
+            is_disk_stalled: false,
+            stop: None,
+            is_removed: false,
+            is_founding: true,
+            is_syncing: false,
+            sync_started: Duration::ZERO,
+            last_synced: 0,
+            woken_for: Duration::ZERO,
+            identity: 0,
+            backlog: Vec::new(),
+            calls: BTreeMap::new(),
+            next_request: 0,
+        }
+    }
+}
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -1,8 +1,7 @@
-//! Operators who change and read the configuration, repeat what got no answer, and race.
+//! Operators who change and read the configuration concurrently, and retry what got no answer.
 //!
-//! Each has several orders under way at once. An order may build on one that has no answer yet, is sent to
-//! two machines at once now and then, and a copy of it may reach a machine seconds late, when the order has
-//! long been answered.
+//! Each has several orders in flight. An order may build on one that is unanswered, is at times sent to two machines at
+//! once, and a duplicate of it may arrive seconds late, long after the order was answered.
 
 use std::time::Duration;
 
@@ -10,21 +9,22 @@
     Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, Stamp,
 };
 
+use super::event::Event;
 use super::history::{Attempt, Outcome};
-use super::world::{Event, World};
+use super::world::World;
 
 /// Interval of the operators' clock.
 const STEP: Duration = Duration::from_millis(40);
-/// Patience of the operators unless a test sets another.
+/// Time without an answer after which an operator retries, unless a test sets another.
 const RETRY_TIMEOUT: Duration = Duration::from_millis(300);
-/// An operator gives an order up after this time.
+/// An operator abandons an order after this time.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most orders of one operator under way at once.
+/// Upper bound of the orders of one operator in flight.
 const MAX_ORDERS_IN_FLIGHT: usize = 4;
-/// Longest time by which a copy of an order is late.
+/// Longest delay of a duplicate of an order.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(5);
 
-/// A call: an operator's order, and which try of it.
+/// A call: an operator's order, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallId {
     pub operator: usize,
@@ -32,7 +32,7 @@
     pub attempt: u64,
 }
 
-/// An order under way.
+/// An order in flight.
 #[derive(Clone, Debug)]
 struct Pending {
     id: CallId,
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 struct Operator {
     pending: Vec<Pending>,
-    /// Last generation that it was told of.
+    /// The last generation that it knows.
     known: u64,
     next_order: u64,
     must_read: bool,
@@ -72,9 +72,9 @@
 pub(crate) struct Operators {
     operators: Vec<Operator>,
     pub is_stopped: bool,
-    /// An operator asks another machine after so long without an answer.
+    /// Time without an answer after which an operator sends its order to another machine.
     pub retry_timeout: Duration,
-    /// Each operator has one order under way at a time, and no copy of it is late.
+    /// Each operator has one order in flight at a time, and no duplicate of it is late.
     pub are_orderly: bool,
     next_generation: u64,
     next_digest: u64,
--- a/crates/tier/chain/tests/simulation/partitions.rs
+++ b/crates/tier/chain/tests/simulation/partitions.rs
@@ -1,6 +1,6 @@
-//! Long cuts of one machine, of as many as may be lost, or of the link between two: both ways, or one way
-//! only; with restarts, power loss and freezes of those that are cut off. Operators ask both sides, and are
-//! answered all the time.
+//! Long partitions of one machine, of as many as may be lost, or of the link between two: in both directions or in one;
+//! with restarts, power loss and freezes of the isolated machines. Operators send to both sides, and must be answered
+//! all the time.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 use super::history::Violation;
 use super::world::{InjectedBug, World};
 
-/// A machine that says that it is in quorum has every configuration acknowledged so long ago.
-const LONGEST_LAG: Duration = Duration::from_millis(1500);
-/// How often the machines' claims are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// The others may need so long after the cut until they take changes again.
-const FAILOVER: Duration = Duration::from_secs(3);
-/// An order is answered within this time while a majority is connected.
-const ANSWER: Duration = Duration::from_secs(4);
-/// Longest pause between two events at machines that are cut off.
-const PAUSE: Duration = Duration::from_secs(6);
+/// A machine that reports to be in quorum has every configuration that was acknowledged longer ago than this.
+const MAX_LAG: Duration = Duration::from_millis(1500);
+/// How often the machines' reports are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after the partition within which the others take changes again.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time within which an order is answered while a majority is connected.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest interval between two events at isolated machines.
+const MAX_INTERVAL: Duration = Duration::from_secs(6);
 
-/// A run with one long cut.
+/// A run with one long partition.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PartitionRun {
     pub seed: u64,
@@ -50,17 +50,17 @@
     } else {
         partition(&mut world, &affected, is_one_way, is_outward);
     }
-    run_watched(&mut world, FAILOVER);
+    run_watched(&mut world, FAILOVER_TIMEOUT);
     let end = world.now + Duration::from_secs(8) + world.random_duration(Duration::from_secs(14));
     while world.now < end {
-        // Where one link is cut, all machines take part: none of them may be lost besides.
+        // With a single failed link all machines take part, so none of them may be lost besides.
         if !is_link {
             disturb_one(&mut world, &affected);
         }
-        let pause = world.random_duration(PAUSE).min(end - world.now);
-        run_answered(&mut world, pause);
+        let interval = world.random_duration(MAX_INTERVAL).min(end - world.now);
+        run_answered(&mut world, interval);
     }
-    world.trace(|| "the cut ends".to_owned());
+    world.trace(|| "the partition ends".to_owned());
     world.partitioned_links.clear();
     run_watched(&mut world, Duration::from_secs(4));
     finish(world)
@@ -73,28 +73,28 @@
     }
 }
 
-/// Runs on, and asks that orders are answered meanwhile.
+/// Runs on, and reports a violation if no order is answered meanwhile.
 fn run_answered(world: &mut World, length: Duration) {
     let end = world.now + length;
     let start = world.now;
     while world.now < end {
-        let step = LOOK_INTERVAL.min(end - world.now);
+        let step = CHECK_INTERVAL.min(end - world.now);
         run_watched(world, step);
         let last = world.history.last_answered_at.unwrap_or_default();
-        if world.now.saturating_sub(last.max(start)) > ANSWER {
+        if world.now.saturating_sub(last.max(start)) > ANSWER_TIMEOUT {
             return world.history.report(Violation::NoAnswers);
         }
     }
 }
 
-/// One of the machines that are cut off restarts, loses power, freezes for a while, or goes on.
+/// One of the isolated machines restarts, loses power, freezes for a while, or goes on.
 fn disturb_one(world: &mut World, affected: &[usize]) {
     let node = affected[world.pick(affected.len())];
     match world.pick(4) {
         0 => {
             world.kill(node);
             let delay = world.random_duration(Duration::from_secs(2));
-            world.schedule(delay, super::world::Event::Start { node });
+            world.schedule(delay, super::event::Event::Start { node });
         }
         1 => {
             let length = world.random_duration(Duration::from_secs(4));
@@ -104,19 +104,19 @@
     }
 }
 
-/// Runs on, and looks at what every machine claims of itself.
+/// Runs on, and checks what every machine reports of itself.
 fn run_watched(world: &mut World, length: Duration) {
     let end = world.now + length;
     while world.now < end {
-        let next = (world.now + LOOK_INTERVAL).min(end);
+        let next = (world.now + CHECK_INTERVAL).min(end);
         world.run_until(next);
-        look(world);
+        check_reports(world);
     }
 }
 
-fn look(world: &mut World) {
+fn check_reports(world: &mut World) {
     let now = world.now;
-    let Some(moment) = now.checked_sub(LONGEST_LAG) else {
+    let Some(moment) = now.checked_sub(MAX_LAG) else {
         return;
     };
     for index in 0..world.nodes.len() {
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -1,23 +1,24 @@
-//! Processes that are told to stop, as the driver of the core role does it, and machines that are replaced.
+//! Graceful shutdown of processes, as the driver of the core role does it, and replacement of machines.
 
 use std::time::Duration;
 
 use woadreach_chain::{Departure, Input};
 
+use super::event::Event;
 use super::faults::CATCH_UP;
-use super::world::{Event, World};
+use super::world::World;
 
-/// From the order to stop to the kill.
+/// From the start of the shutdown to the kill.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// Longest wait for leave to end.
+/// Time-out of the shutdown.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(5500);
-/// Longest wait of a process that nobody can take over from.
+/// Time-out of a process from which no other can take over.
 const ALONE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often a process looks whether it may end.
+/// How often a process checks whether it may exit.
 const POLL: Duration = Duration::from_millis(50);
-/// From the end of a process to its next start.
+/// From the exit of a process to its next start.
 const RESTART: Duration = Duration::from_millis(1000);
-/// A machine is lost at most so long after others have ended.
+/// Longest time from the exit of machines to the loss of another one.
 const LOSS_AFTER_END: Duration = Duration::from_millis(60);
 
 /// What becomes of a machine whose process is stopped.
@@ -31,19 +32,19 @@
     RemoveThenLoss,
 }
 
-/// Tells a process to stop.
+/// Begins the shutdown of a process.
 pub(crate) fn stop(world: &mut World, node: usize, stop: Stop) {
     if !world.is_running(node) || world.nodes[node].stop.is_some() {
         return;
     }
-    world.trace(|| format!("node {node} told to stop: {stop:?}"));
+    world.trace(|| format!("node {node} shutting down: {stop:?}"));
     world.nodes[node].stop = Some((stop, world.now));
     world.input(node, Input::Leave);
     let incarnation = world.nodes[node].incarnation;
     world.schedule(Duration::ZERO, Event::CheckStop { node, incarnation });
 }
 
-/// Lets a process end that may, or must.
+/// Ends a process that may or must exit.
 pub(crate) fn check(world: &mut World, node: usize, incarnation: u64) {
     if world.nodes[node].incarnation != incarnation {
         return;
@@ -142,8 +143,8 @@
     let mut present = world.present();
     let mut drawn = Vec::new();
     while drawn.len() < count && !present.is_empty() {
-        let place = world.pick(present.len());
-        drawn.push(present.swap_remove(place));
+        let index = world.pick(present.len());
+        drawn.push(present.swap_remove(index));
     }
     drawn
 }
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -1,20 +1,18 @@
-//! The machines, the network and the clock.
+//! The clock, the network and the disks of the simulated machines.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::collections::{BTreeSet, BinaryHeap};
+use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use woadreach_chain::{
-    Body, ControlState, Durable, Envelope, FailureDomain, Input, Member, MemberOptions, Output,
-    Reply, Request, RequestId, Tolerance, View,
-};
+use woadreach_chain::{Body, ControlState, Envelope, Input, Output};
 
 use super::capacity::Capacity;
 use super::disk::SimulatedDisk;
+use super::event::{Event, Scheduled};
 use super::history::{History, Violation};
-use super::operator::{CallId, Operators};
-use super::stops::Stop;
+use super::node::Node;
+use super::operator::Operators;
 
 /// A safeguard that a test switches off in every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,108 +23,6 @@
     IdentitySurvivesWipe,
 }
 
-/// What happens at a moment.
-#[derive(Debug)]
-pub(crate) enum Event {
-    Wake {
-        node: usize,
-        incarnation: u64,
-    },
-    Deliver {
-        to: usize,
-        from: usize,
-        envelope: Box<Envelope>,
-    },
-    Synced {
-        node: usize,
-        incarnation: u64,
-        through: u64,
-    },
-    Start {
-        node: usize,
-    },
-    Thaw {
-        node: usize,
-    },
-    /// A process is stopped; see [`super::stops`].
-    Stop {
-        node: usize,
-        stop: Stop,
-    },
-    /// A machine loses its disk.
-    Lose {
-        node: usize,
-    },
-    /// A process that is being stopped looks whether it may end.
-    CheckStop {
-        node: usize,
-        incarnation: u64,
-    },
-    /// A call of an operator reaches a machine; `hops` machines have passed it on.
-    Call {
-        node: usize,
-        call: CallId,
-        request: Request,
-        hops: u8,
-    },
-    /// The operators' clock.
-    Operate,
-    Fault,
-    EndFault,
-}
-
-struct Scheduled {
-    at: Duration,
-    order: u64,
-    event: Event,
-}
-
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
-
-/// One core machine.
-pub(crate) struct Node {
-    pub address: SocketAddrV4,
-    pub member: Option<Member>,
-    pub disk: Option<SimulatedDisk>,
-    /// Counts starts, so that what belongs to an earlier life is dropped.
-    pub incarnation: u64,
-    pub frozen_until: Option<Duration>,
-    /// How many times slower the disk is.
-    pub disk_factor: u32,
-    pub is_disk_stalled: bool,
-    /// How the process is being stopped, and since when.
-    pub stop: Option<(Stop, Duration)>,
-    /// The machine is gone for good.
-    pub is_removed: bool,
-    /// The machine was there in the very first start.
-    pub is_founding: bool,
-    is_syncing: bool,
-    sync_started: Duration,
-    /// Last record that this life's disk has synced.
-    last_synced: u64,
-    woken_for: Duration,
-    identity: u64,
-    /// Messages that wait for a frozen process.
-    backlog: Vec<(usize, Box<Envelope>)>,
-    calls: BTreeMap<RequestId, (CallId, Request)>,
-    next_request: u64,
-}
-
 /// The whole simulated core.
 pub(crate) struct World {
     pub now: Duration,
@@ -144,7 +40,7 @@
     /// What links and disks can carry; without it, bytes cost nothing.
     pub capacity: Option<Capacity>,
     /// What every disk holds when it is first used.
-    first_state: ControlState,
+    pub(super) first_state: ControlState,
     /// Kinds of faults that strike.
     pub fault_kinds: &'static [super::faults::Fault],
     /// When the planned work counts as over.
@@ -169,7 +65,7 @@
     ) -> World {
         let mut world = World {
             now: Duration::from_secs(1),
-            nodes: (0..nodes).map(new_node).collect(),
+            nodes: (0..nodes).map(Node::new).collect(),
             random: oorandom::Rand64::new(u128::from(seed)),
             partitioned_links: BTreeSet::new(),
             loss: 0.0,
@@ -281,7 +177,8 @@
         }
     }
 
-    fn deliver(&mut self, to: usize, from: usize, envelope: Box<Envelope>) {
+    /// A message arrives, unless the link or the machine is down.
+    pub(super) fn deliver(&mut self, to: usize, from: usize, envelope: Box<Envelope>) {
         if self.nodes[to].member.is_none() || self.partitioned_links.contains(&(from, to)) {
             return;
         }
@@ -455,229 +352,4 @@
         }
         self.schedule(delay, Event::Deliver { to, from, envelope });
     }
-
-    // ---- calls of operators ----
-
-    fn call(&mut self, node: usize, call: CallId, request: Request, hops: u8) {
-        if !self.is_running(node) {
-            return;
-        }
-        let now = self.now;
-        let status = self.nodes[node]
-            .member
-            .as_ref()
-            .expect("running")
-            .status(now);
-        if !status.is_head {
-            let head = status.head.and_then(|head| {
-                self.nodes
-                    .iter()
-                    .position(|other| other.address == head.address)
-            });
-            let Some(head) = head.filter(|&head| head != node && hops < 2) else {
-                return;
-            };
-            if !self.partitioned_links.contains(&(node, head)) {
-                self.schedule(
-                    Duration::from_millis(1),
-                    Event::Call {
-                        node: head,
-                        call,
-                        request,
-                        hops: hops + 1,
-                    },
-                );
-            }
-            return;
-        }
-        let id = RequestId(self.nodes[node].next_request);
-        self.nodes[node].next_request += 1;
-        self.nodes[node].calls.insert(id, (call, request.clone()));
-        self.input(node, Input::Request(id, request));
-    }
-
-    fn reply(&mut self, node: usize, id: RequestId, reply: Reply) {
-        let Some((call, request)) = self.nodes[node].calls.remove(&id) else {
-            return;
-        };
-        if reply == Reply::Unavailable || self.chance(0.1) {
-            return;
-        }
-        super::operator::answered(self, call, &request, &reply);
-    }
-
-    // ---- faults ----
-
-    /// The process ends; a random prefix of what was not synced is on the disk.
-    pub(crate) fn kill(&mut self, node: usize) {
-        self.trace(|| format!("node {node} killed"));
-        let waiting = self.nodes[node]
-            .disk
-            .as_ref()
-            .map_or(0, SimulatedDisk::waiting);
-        let kept = self.pick(waiting + 1);
-        let state = &mut self.nodes[node];
-        if state.member.take().is_none() {
-            return;
-        }
-        if let Some(disk) = &mut state.disk {
-            disk.lose(kept);
-        }
-        state.incarnation += 1;
-        state.last_synced = 0;
-        state.is_syncing = false;
-        state.frozen_until = None;
-        state.stop = None;
-        state.backlog.clear();
-        state.calls.clear();
-    }
-
-    /// The process ends and its disk is empty afterwards.
-    pub(crate) fn wipe(&mut self, node: usize) {
-        self.kill(node);
-        self.nodes[node].disk = None;
-        self.trace(|| format!("node {node} wiped"));
-    }
-
-    pub(crate) fn start(&mut self, node: usize) {
-        if self.nodes[node].member.is_some() || self.nodes[node].is_removed {
-            return;
-        }
-        let present = self.nodes.iter().filter(|node| !node.is_removed);
-        let seeds: Vec<SocketAddrV4> = present.take(3).map(|node| node.address).collect();
-        let is_first_incarnation =
-            self.nodes[node].incarnation == 0 && self.nodes[node].is_founding;
-        if self.nodes[node].disk.is_none() {
-            let view = if is_first_incarnation {
-                View::bootstrap(&seeds)
-            } else {
-                View::default()
-            };
-            let keeps_identity =
-                self.bug == Some(InjectedBug::IdentitySurvivesWipe) && !is_first_incarnation;
-            if !keeps_identity {
-                self.nodes[node].identity = self.random.rand_u64() | 1;
-            }
-            let mut durable = Durable::new(self.nodes[node].identity, is_first_incarnation, view);
-            if is_first_incarnation {
-                durable.state = self.first_state.clone();
-            }
-            self.nodes[node].disk = Some(SimulatedDisk::new(durable));
-        }
-        let options = MemberOptions {
-            address: self.nodes[node].address,
-            seeds,
-            tolerance: Tolerance {
-                machines: self.fault_tolerance,
-                zones: usize::from(self.zones > 0),
-                regions: 0,
-            },
-            failure_domain: self.failure_domain(node),
-            random_seed: self.random.rand_u64(),
-        };
-        let disk = self.nodes[node].disk.as_ref().expect("made above");
-        let durable = Durable::decode(&disk.synced.encode()).expect("own snapshot");
-        #[allow(unused_mut)]
-        let mut member = Member::new(self.now, options, durable);
-        #[cfg(feature = "mutations")]
-        if let Some(InjectedBug::Member(mutation)) = self.bug {
-            member.set_mutation(mutation);
-        }
-        self.trace(|| format!("node {node} started as {:?}", member.id()));
-        self.nodes[node].member = Some(member);
-        self.nodes[node].woken_for = Duration::ZERO;
-        self.history.restarted(node);
-        self.input(node, Input::Tick);
-    }
-
-    /// A machine is added, with an empty disk; gives back its number.
-    pub(crate) fn add(&mut self) -> usize {
-        let node = self.nodes.len();
-        self.nodes.push(Node {
-            is_founding: false,
-            ..new_node(node)
-        });
-        self.start(node);
-        node
-    }
-
-    /// Machines that are not gone for good.
-    pub(crate) fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len())
-            .filter(|&node| !self.nodes[node].is_removed)
-            .collect()
-    }
-
-    fn failure_domain(&self, node: usize) -> FailureDomain {
-        if self.zones == 0 {
-            FailureDomain::default()
-        } else {
-            FailureDomain {
-                zone: (node % self.zones) as u32,
-                region: 0,
-            }
-        }
-    }
-
-    pub(crate) fn freeze(&mut self, node: usize, length: Duration) {
-        if self.is_running(node) {
-            self.nodes[node].frozen_until = Some(self.now + length);
-            self.schedule(length, Event::Thaw { node });
-        }
-    }
-
-    fn thaw(&mut self, node: usize) {
-        let is_due = self.nodes[node]
-            .frozen_until
-            .is_some_and(|until| until <= self.now);
-        if !is_due {
-            return;
-        }
-        self.nodes[node].frozen_until = None;
-        for (from, envelope) in std::mem::take(&mut self.nodes[node].backlog) {
-            self.deliver(node, from, envelope);
-        }
-        self.nodes[node].woken_for = Duration::ZERO;
-        self.input(node, Input::Tick);
-        let through = self.nodes[node].last_synced;
-        self.input(node, Input::Persisted(through));
-    }
-
-    /// Ends every fault and starts every machine.
-    pub(crate) fn heal(&mut self) {
-        self.partitioned_links.clear();
-        self.loss = 0.0;
-        for node in 0..self.nodes.len() {
-            self.nodes[node].disk_factor = 1;
-            self.nodes[node].is_disk_stalled = false;
-            if self.nodes[node].frozen_until.is_some() {
-                self.nodes[node].frozen_until = Some(self.now);
-                self.thaw(node);
-            }
-            self.start(node);
-        }
-    }
-}
-
-fn new_node(index: usize) -> Node {
-    Node {
-        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000),
-        member: None,
-        disk: None,
-        incarnation: 0,
-        frozen_until: None,
-        disk_factor: 1,
-        is_disk_stalled: false,
-        stop: None,
-        is_removed: false,
-        is_founding: true,
-        is_syncing: false,
-        sync_started: Duration::ZERO,
-        last_synced: 0,
-        woken_for: Duration::ZERO,
-        identity: 0,
-        backlog: Vec::new(),
-        calls: BTreeMap::new(),
-        next_request: 0,
-    }
 }
