--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -7,8 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::blob::Blob;
-use crate::state::{Command, ControlState, Rejection, Stamp, Undecided};
+use crate::state::{Command, ControlState, Rejection, Stamp, StoredConfiguration, Undecided};
 
 /// Number that the driver assigns to a request. Must be unique among the pending requests of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,8 +35,8 @@
     Rejected(Rejection),
     /// The command was not taken now. A duplicate of it may be, or may have been.
     Undecided(Undecided),
-    /// The newest configuration and its generation.
-    Configuration(Option<(u64, Blob)>),
+    /// The newest committed configuration, if there is one.
+    Configuration(Option<StoredConfiguration>),
     /// The published state was the newest at a moment after the request arrived.
     Confirmed,
     /// This member isn't the head, or has lost the role. Whether the command takes effect is unknown.
@@ -191,12 +190,7 @@
             Outcome::AlreadyTaken => Reply::AlreadyTaken,
             Outcome::Rejected(rejection) => Reply::Rejected(rejection),
             Outcome::Confirmed => Reply::Confirmed,
-            Outcome::Configuration => Reply::Configuration(
-                committed
-                    .configuration
-                    .as_ref()
-                    .map(|stored| (stored.generation, stored.body.clone())),
-            ),
+            Outcome::Configuration => Reply::Configuration(committed.configuration.clone()),
         }
     }
 }
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -185,7 +185,7 @@
                 self.check_rejection(position, &issued, *rejection)
             }
             (Reply::Configuration(found), None) => {
-                let generation = found.as_ref().map_or(0, |(generation, _)| *generation);
+                let generation = found.as_ref().map_or(0, |stored| stored.generation);
                 self.check_read(&issued, generation);
             }
             (Reply::Confirmed, None) => self.check_read(&issued, published.generation()),
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -298,12 +298,12 @@
             Outcome::Refused(*rejection)
         }
         (Request::ReadConfiguration, Reply::Configuration(found)) => {
-            let read = found.as_ref().map_or(0, |(generation, _)| *generation);
+            let read = found.as_ref().map_or(0, |stored| stored.generation);
             operator.known = operator.known.max(read);
             Outcome::Read(
                 found
                     .as_ref()
-                    .map(|(generation, body)| (*generation, body.0.to_vec())),
+                    .map(|stored| (stored.generation, stored.body.0.to_vec())),
             )
         }
         _ => return,
--- a/crates/tier/control/src/order.rs
+++ b/crates/tier/control/src/order.rs
@@ -249,9 +249,10 @@
             }
         }
         Order::ReadConfiguration => match driver.request(Request::ReadConfiguration).await {
-            Reply::Configuration(Some((generation, body))) => {
-                Some(Answer::Configuration { generation, body })
-            }
+            Reply::Configuration(Some(stored)) => Some(Answer::Configuration {
+                generation: stored.generation,
+                body: stored.body,
+            }),
             Reply::Configuration(None) => Some(Answer::NoConfiguration),
             _ => None,
         },
