--- a/crates/woadreach-chain/src/lib.rs
+++ b/crates/woadreach-chain/src/lib.rs
@@ -31,13 +31,13 @@
 mod state;
 mod view;
 
-pub use agreement::{Ballot, Promise};
+pub use agreement::{Ballot, Promise, Report};
 pub use blob::Blob;
 pub use durable::{Accepted, Durable, IdleEpoch, Record, RecordError};
 #[doc(hidden)]
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
-pub use message::{Body, DecodeError, Envelope, Ping, PingTime};
+pub use message::{Barrier, Body, DecodeError, Envelope, Ping, PingTime, Write};
 pub use plan::{Candidate, Place, PlanError, Policy, Tolerance, next_view};
 #[cfg(feature = "plants")]
 pub use plants::Plant;
--- /dev/null
+++ b/crates/woadreach-journal/tests/recorded_bytes.rs
@@ -0,0 +1,202 @@
+//! Slots as they were recorded: a snapshot and the frames of its log are read and written alike for ever.
+
+#[path = "../../../tests/recorded/mod.rs"]
+mod recorded;
+
+use recorded::{RecordedBytes, outcome, outcomes_when_cut};
+use woadreach_journal::{Disk, Engine, JournalError, Recovered, SimulatedDisk, Slot};
+
+const MAX_BYTES: u64 = 1 << 20;
+/// Bytes of a slot's head.
+const HEAD: usize = 33;
+/// Bytes of a frame before its records.
+const FRAME_HEAD: usize = 28;
+
+/// What a process did to an empty journal, the slot that it left, and what a later one finds there.
+struct Scenario {
+    name: &'static str,
+    slot: Slot,
+    run: fn(&mut Engine),
+    found: Recovered,
+}
+
+fn commit(engine: &mut Engine, records: &[&[u8]]) {
+    let records: Vec<Vec<u8>> = records.iter().map(|record| record.to_vec()).collect();
+    let _receipt = engine.commit(&records).expect("the disk works");
+}
+
+fn replace(engine: &mut Engine, snapshot: &[u8]) {
+    let _receipt = engine.replace(snapshot).expect("the disk works");
+}
+
+fn found(snapshot: Option<&[u8]>, records: &[&[u8]]) -> Recovered {
+    Recovered {
+        snapshot: snapshot.map(<[u8]>::to_vec),
+        records: records.iter().map(|record| record.to_vec()).collect(),
+        was_empty: false,
+    }
+}
+
+fn scenarios() -> [Scenario; 5] {
+    [
+        Scenario {
+            name: "one record",
+            slot: Slot::A,
+            run: |engine| commit(engine, &[b"one"]),
+            found: found(None, &[b"one"]),
+        },
+        Scenario {
+            name: "several frames of several records",
+            slot: Slot::A,
+            run: |engine| {
+                commit(engine, &[b"one", b"", b"three"]);
+                commit(engine, &[b"four"]);
+                commit(engine, &[&[0xff; 40], b"six"]);
+            },
+            found: found(None, &[b"one", b"", b"three", b"four", &[0xff; 40], b"six"]),
+        },
+        Scenario {
+            name: "snapshot alone",
+            slot: Slot::B,
+            run: |engine| replace(engine, b"all so far"),
+            found: found(Some(b"all so far"), &[]),
+        },
+        Scenario {
+            name: "third generation with a log",
+            slot: Slot::A,
+            run: |engine| {
+                commit(engine, &[b"one"]);
+                replace(engine, b"all up to one");
+                commit(engine, &[b"two"]);
+                replace(engine, b"all up to two");
+                commit(engine, &[b"three"]);
+                commit(engine, &[b"four", b"five"]);
+            },
+            found: found(Some(b"all up to two"), &[b"three", b"four", b"five"]),
+        },
+        Scenario {
+            name: "records of the time of a replacement",
+            slot: Slot::B,
+            run: |engine| {
+                commit(engine, &[b"one"]);
+                engine.begin_replacement(b"all up to one".to_vec()).expect("the disk works");
+                commit(engine, &[b"two"]);
+                commit(engine, &[b"three", b"four"]);
+                let _receipt = engine.continue_replacement().expect("one piece").expect("the disk works");
+                commit(engine, &[b"five"]);
+            },
+            found: found(Some(b"all up to one"), &[b"two", b"three", b"four", b"five"]),
+        },
+    ]
+}
+
+/// Slot of a journal on which `run` was done; the other one is empty.
+fn written(scenario: &Scenario) -> Vec<u8> {
+    let mut disk = SimulatedDisk::default();
+    let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).expect("an empty disk");
+    (scenario.run)(&mut engine);
+    assert_eq!(disk.read(scenario.slot.other()).expect("a slot"), [], "{}", scenario.name);
+    disk.read(scenario.slot).expect("a slot")
+}
+
+/// What is found where one slot holds `content`.
+fn read(slot: Slot, content: &[u8]) -> Result<Recovered, JournalError> {
+    let mut disk = SimulatedDisk::default();
+    disk.write(slot, 0, content).expect("the disk works");
+    disk.sync(slot).expect("the disk works");
+    Engine::open(Box::new(disk), MAX_BYTES).map(|(_, found)| found)
+}
+
+fn recorded_slot(name: &str) -> Vec<u8> {
+    RecordedBytes::open("slots").bytes(name)
+}
+
+#[test]
+fn slots_are_read_and_written_as_recorded() {
+    let recorded = RecordedBytes::open("slots");
+    for scenario in scenarios() {
+        recorded.check_bytes(scenario.name, &written(&scenario));
+        let content = recorded_slot(scenario.name);
+        let found = read(scenario.slot, &content).expect("a recorded slot is whole");
+        assert_eq!(found, scenario.found, "{}", scenario.name);
+    }
+    recorded.finish();
+}
+
+/// A recorded slot is gone on with as one that was written today.
+#[test]
+fn a_recorded_log_is_gone_on_with() {
+    let mut disk = SimulatedDisk::default();
+    disk.write(Slot::A, 0, &recorded_slot("one record")).expect("the disk works");
+    disk.sync(Slot::A).expect("the disk works");
+    let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).expect("a recorded slot");
+    commit(&mut engine, &[b"two"]);
+    let content = disk.read(Slot::A).expect("a slot");
+    assert_eq!(read(Slot::A, &content).expect("a whole slot").records, [b"one".to_vec(), b"two".to_vec()]);
+    replace(&mut engine, b"all so far");
+    let content = disk.read(Slot::B).expect("a slot");
+    assert_eq!(read(Slot::B, &content).expect("a whole slot"), found(Some(b"all so far"), &[]));
+}
+
+#[test]
+fn a_log_cut_at_any_byte_ends_before_the_frame_that_is_not_whole() {
+    let content = recorded_slot("several frames of several records");
+    let ends = [HEAD, HEAD + 48, HEAD + 48 + 36, content.len()];
+    let counts = [0, 3, 4, 6];
+    for length in HEAD..=content.len() {
+        let whole = ends.iter().rposition(|end| *end <= length).expect("the head is whole");
+        let found = read(Slot::A, &content[..length]).expect("a torn tail is no damage");
+        assert_eq!(found.records.len(), counts[whole], "{length}");
+    }
+}
+
+#[test]
+fn a_head_or_a_snapshot_that_is_cut_is_damage() {
+    let content = recorded_slot("snapshot alone");
+    let runs = outcomes_when_cut(&content, |bytes| read(Slot::B, bytes));
+    let expected = [(0, "read"), (1, "slot-b is damaged at byte 0"), (HEAD, "slot-b is damaged at byte 33")];
+    assert_eq!(runs, expected.map(|(length, text)| (length, text.to_owned())));
+}
+
+/// Damage in the last frame can't be told from a tail that was torn by a loss of power, unless its number
+/// says that a frame before it is missing.
+#[test]
+fn a_changed_byte_is_damage_unless_it_is_in_the_last_frame() {
+    let content = recorded_slot("third generation with a log");
+    let log = HEAD + b"all up to two".len();
+    let last = log + FRAME_HEAD + 4 + b"three".len();
+    for place in 0..content.len() {
+        let mut changed = content.clone();
+        changed[place] ^= 0x40;
+        let text = outcome(read(Slot::A, &changed));
+        let expected = match place {
+            _ if place < HEAD => "slot-a is damaged at byte 0".to_owned(),
+            _ if place < log => "slot-a is damaged at byte 33".to_owned(),
+            _ if place < last => format!("slot-a is damaged at byte {log}"),
+            _ if (last + 12..last + 20).contains(&place) => format!("slot-a is damaged at byte {last}"),
+            _ => "read".to_owned(),
+        };
+        assert_eq!(text, expected, "byte {place}");
+    }
+}
+
+#[test]
+fn a_slot_of_another_format_names_both_formats() {
+    let mut content = recorded_slot("one record");
+    for version in [0, 2, 255] {
+        content[8] = version;
+        let checksum = crc32fast::hash(&content[..29]);
+        content[29..HEAD].copy_from_slice(&checksum.to_le_bytes());
+        let text = outcome(read(Slot::A, &content));
+        assert_eq!(text, format!("slot-a has format version {version}, this program reads 1"));
+    }
+}
+
+#[test]
+fn foreign_files_are_damage_and_zeros_are_a_blank_slot() {
+    let foreign: [&[u8]; 3] = [b"generation: 1", &[0xff; 100], b"WOADSLOT"];
+    for content in foreign {
+        assert_eq!(outcome(read(Slot::A, content)), "slot-a is damaged at byte 0", "{content:?}");
+    }
+    assert!(read(Slot::A, &[0; 100]).expect("a blank slot").was_empty);
+}
