--- /dev/null
+++ b/crates/woadreach-storage/tests/upgrade.rs
@@ -0,0 +1,223 @@
+//! The disk of a storage machine as an earlier program left it: turns and budgets are there, and are gone on
+//! from.
+
+#[path = "../../../tests/recorded/mod.rs"]
+mod recorded;
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use recorded::{copy_disk, recorded_disk};
+use tempfile::TempDir;
+use tokio::net::TcpListener;
+use woadreach_journal::{Journal, JournalOptions};
+use woadreach_rpc::{Client, ClientOptions, Router, serve};
+use woadreach_storage::member::{Member, Step};
+use woadreach_storage::message::{Answer, Fence, Operation, Request, encode};
+use woadreach_storage::record::Record;
+use woadreach_storage::server::{Server, ServerOptions};
+use woadreach_storage::{
+    ReserveError, ReserveRequest, StorageClient, StorageMember, StorageView, Turn, TurnKey,
+};
+
+const NODE: &str = "storage-1";
+const DISK: u64 = 0xd15c_0001;
+const RETENTION: Duration = Duration::from_secs(3600);
+const LONG: Duration = Duration::from_secs(20);
+/// Tokens that the turns of the program may generate together.
+const BUDGET: u64 = 100;
+
+/// Runs one life of a process; at its end all its tasks are gone.
+fn in_one_life<F: Future>(life: F) -> F::Output {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(async { tokio::time::timeout(LONG, life).await.expect("in time") })
+}
+
+fn machine(number: u8) -> StorageMember {
+    StorageMember {
+        node: format!("storage-{number}"),
+        disk: 0xd15c_0000 + u64::from(number),
+        address: SocketAddr::from(([10, 1, 0, number], 7380)),
+        zone: "a".into(),
+    }
+}
+
+fn first_view() -> StorageView {
+    StorageView { epoch: 1, current: vec![machine(1)], ..StorageView::default() }
+}
+
+fn joint_view() -> StorageView {
+    let next = Some(vec![machine(1), machine(2)]);
+    StorageView { epoch: 2, next, retiring: ["storage-3".to_owned()].into(), ..first_view() }
+}
+
+fn last_view() -> StorageView {
+    let current = vec![machine(1), machine(2)];
+    StorageView { epoch: 3, current, retired: ["storage-3".to_owned()].into(), ..StorageView::default() }
+}
+
+fn turn(program: &str, request_id: &str, previous: Option<(&str, &str)>) -> Turn {
+    let key = |(program, request_id): (&str, &str)| TurnKey {
+        program: program.into(),
+        request_id: request_id.into(),
+    };
+    Turn {
+        program: program.into(),
+        session: "session".into(),
+        request_id: request_id.into(),
+        previous: previous.map(key),
+        input: Bytes::from(format!("input of {request_id}")),
+        events: vec![Bytes::from_static(b"one"), Bytes::new(), Bytes::from_static(b"three")],
+        retention: RETENTION,
+    }
+}
+
+fn request(program: &str, request_id: &str, most: u64) -> ReserveRequest {
+    ReserveRequest { program: program.into(), request_id: request_id.into(), budget: BUDGET, most }
+}
+
+/// A machine on the disk in `folder`, and a client that knows no other.
+async fn start(folder: &Path, epoch: u64) -> (Server, StorageClient) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let options =
+        ServerOptions { node: NODE.into(), address, zone: "a".into(), tolerated: 0, disk_bytes: 50 << 20 };
+    let rpc = Client::new(ClientOptions::default());
+    let server = Server::open(folder, rpc.clone(), options).await.expect("a whole disk");
+    tokio::spawn(serve(listener, server.routes(Router::new())));
+    let client = StorageClient::new(rpc, "a".into(), 0);
+    let current = vec![server.announcement().member];
+    client.set_view(Arc::new(StorageView { epoch, current, ..StorageView::default() }));
+    (server, client)
+}
+
+/// Takes a turn that gives `given` tokens.
+async fn take_turn(client: &StorageClient, turn: Turn, given: u64) {
+    let most = given + 10;
+    let asked = request(&turn.program, &turn.request_id, most);
+    let mut reservation = client.reserve(&asked).await.expect("it fits");
+    reservation.set_given(given);
+    client.put_turn(turn, Some(&mut reservation)).await.expect("the machine is there");
+}
+
+fn recover(folder: &Path) -> (Journal, Member) {
+    let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a whole journal");
+    let snapshot = found.snapshot.as_deref();
+    let member = Member::recover(Duration::ZERO, NODE.into(), 0, snapshot, &found.records);
+    (journal, member.expect("own records"))
+}
+
+/// A disk with a snapshot of one life, the log of another, and the views of three epochs.
+fn make_disk(folder: &Path) {
+    in_one_life(async {
+        let (journal, _) = Journal::open(folder, JournalOptions::default()).expect("an empty journal");
+        let _receipt = journal.append(encode(&Record::Identity { disk: DISK })).await.expect("a sync");
+    });
+    in_one_life(async {
+        let (server, client) = start(folder, 1).await;
+        server.learn_view(first_view()).await;
+        take_turn(&client, turn("program", "a", None), 30).await;
+        take_turn(&client, turn("program", "b", Some(("program", "a"))), 20).await;
+    });
+    in_one_life(async {
+        let (journal, member) = recover(folder);
+        let _receipt = journal.replace(member.snapshot(Duration::ZERO)).await.expect("a sync");
+    });
+    in_one_life(async {
+        let (server, client) = start(folder, 3).await;
+        server.learn_view(joint_view()).await;
+        server.learn_view(last_view()).await;
+        client.put_turn(turn("program", "c", Some(("program", "b"))), None).await.expect("it is stored");
+        client.chain("other", "a").await.expect("the turn of another program");
+        client.put_turn(turn("other", "d", Some(("program", "a"))), None).await.expect("it is stored");
+        // The process ends before the turn does.
+        std::mem::forget(client.reserve(&request("program", "open", 25)).await.expect("it fits"));
+    });
+}
+
+fn copy() -> TempDir {
+    let folder = tempfile::tempdir().expect("a folder");
+    copy_disk(&recorded_disk("storage-disk", make_disk), folder.path());
+    folder
+}
+
+#[test]
+fn an_earlier_disk_has_a_snapshot_and_a_log() {
+    let folder = copy();
+    let (_, found) = Journal::open(folder.path(), JournalOptions::default()).expect("a whole journal");
+    assert!(found.snapshot.is_some_and(|snapshot| !snapshot.is_empty()));
+    assert!(found.records.len() >= 5, "two views, two turns and a reservation");
+}
+
+#[test]
+fn an_earlier_disk_keeps_its_identity_its_view_and_what_it_refuses() {
+    let folder = copy();
+    let (_journal, mut member) = recover(folder.path());
+    assert_eq!((member.disk(), member.view()), (DISK, &last_view()));
+    let find = Operation::Find { request_id: "a".into() };
+    let mut ask = |epoch, disk| {
+        let request = Request { fence: Fence { epoch, disk }, operation: find.clone() };
+        let Step::Reply(response) = member.handle(Duration::ZERO, request) else { panic!("nothing to sync") };
+        assert_eq!(response.epoch, 3);
+        response.answer
+    };
+    assert_eq!(ask(2, DISK), Answer::Stale { view: last_view() });
+    assert_eq!(ask(3, DISK + 1), Answer::WrongDisk);
+    assert_eq!(ask(3, DISK), Answer::Found { programs: vec!["other".into(), "program".into()] });
+}
+
+#[test]
+fn an_earlier_disk_has_its_budgets() {
+    let folder = copy();
+    let (_journal, member) = recover(folder.path());
+    let mut counted: Vec<(u64, bool)> = member
+        .store()
+        .reservations("program")
+        .into_iter()
+        .map(|reservation| (reservation.tokens, reservation.settled))
+        .collect();
+    counted.sort_unstable();
+    assert_eq!(counted, [(20, true), (25, false), (30, true)]);
+    assert_eq!(member.store().reservations("other"), []);
+}
+
+#[test]
+fn conversations_are_read_whole_from_an_earlier_disk() {
+    let folder = copy();
+    in_one_life(async {
+        let (server, client) = start(folder.path(), 3).await;
+        assert_eq!(server.announcement().member.disk, DISK);
+        let expected = [
+            turn("program", "a", None),
+            turn("program", "b", Some(("program", "a"))),
+            turn("program", "c", Some(("program", "b"))),
+        ];
+        let chain = client.chain("program", "c").await.expect("the conversation");
+        assert_eq!(chain.iter().map(|turn| Turn::clone(turn)).collect::<Vec<_>>(), expected);
+        let chain = client.chain("other", "d").await.expect("the conversation");
+        let expected = [turn("other", "a", None), turn("other", "d", Some(("other", "a")))];
+        assert_eq!(chain.iter().map(|turn| Turn::clone(turn)).collect::<Vec<_>>(), expected);
+    });
+}
+
+#[test]
+fn conversations_and_budgets_go_on_from_an_earlier_disk() {
+    let folder = copy();
+    in_one_life(async {
+        let (_server, client) = start(folder.path(), 3).await;
+        let refused = client.reserve(&request("program", "e", 26)).await.map(|_| ());
+        assert_eq!(refused, Err(ReserveError::Spent), "75 of 100 are counted");
+        take_turn(&client, turn("program", "e", Some(("program", "c"))), 15).await;
+    });
+    in_one_life(async {
+        let (_server, client) = start(folder.path(), 3).await;
+        assert_eq!(client.chain("program", "e").await.expect("the conversation").len(), 4);
+        let refused = client.reserve(&request("program", "f", 11)).await.map(|_| ());
+        assert_eq!(refused, Err(ReserveError::Spent), "90 of 100 are counted");
+        let _fits = client.reserve(&request("program", "g", 10)).await.expect("10 are left");
+    });
+}
