--- a/crates/woadreach-chain/tests/recorded_bytes.rs
+++ b/crates/woadreach-chain/tests/recorded_bytes.rs
@@ -308,3 +308,16 @@
     let message_errors = foreign.map(|bytes| outcome(Envelope::decode(bytes)));
     assert_eq!(message_errors, versions.map(|version| format!("message version {version}, expected 2")));
 }
+
+/// Members compare the places of others with their own, and know them as digests only.
+#[test]
+fn digests_of_places_are_as_recorded() {
+    let recorded = RecordedBytes::open("places");
+    let places = [("a", "north"), ("zone-2", "region-3"), ("", "")];
+    for (zone, region) in places {
+        let place = Place::named(zone, region);
+        let bytes = [place.zone.to_le_bytes(), place.region.to_le_bytes()].concat();
+        recorded.check_bytes(&format!("zone {zone:?} of region {region:?}"), &bytes);
+    }
+    recorded.finish();
+}
--- a/crates/woadreach-control/tests/recorded_bytes.rs
+++ b/crates/woadreach-control/tests/recorded_bytes.rs
@@ -5,14 +5,18 @@
 mod recorded;
 mod support;
 
+use axum::body::Body as HttpBody;
+use axum::http::{Request as HttpRequest, StatusCode};
 use bytes::Bytes;
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
 use speedy::{Endianness, Readable, Writable};
 use support::start_core;
+use tower::ServiceExt;
 use woadreach_chain::{
     Blob, Command, Durable, PutConfiguration, PutStorageView, Record, Rejection, Stamp, Undecided, View,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
+use woadreach_control::operator;
 use woadreach_control::order::{Answer, Order, OrderService, submit_storage_view};
 use woadreach_storage::{StorageMember, StorageView};
 
@@ -231,3 +235,18 @@
     let unknown = [&[1][..], &LEFT_MS.to_le_bytes(), &4_u32.to_le_bytes()].concat();
     assert_eq!(outcome(service.take_forwarded(Bytes::from(unknown)).await), "malformed order");
 }
+
+/// By its digest a configuration that comes again is known, also by a program of another version.
+#[tokio::test]
+async fn the_digest_of_a_configuration_is_as_recorded() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (driver, orders) = start_core(folder.path()).await;
+    let request = HttpRequest::put("/config").header("If-Match", "0").body(HttpBody::from(BODY));
+    let answer = operator::router(orders).oneshot(request.expect("a request")).await.expect("an answer");
+    assert_eq!(answer.status(), StatusCode::OK);
+    let stored = driver.published().configuration.clone().expect("a configuration");
+    assert_eq!((stored.generation, &stored.body.0[..]), (7, BODY));
+    let recorded = RecordedBytes::open("digests");
+    recorded.check_bytes("configuration", &stored.digest);
+    recorded.finish();
+}
--- a/crates/woadreach-journal/tests/recorded_bytes.rs
+++ b/crates/woadreach-journal/tests/recorded_bytes.rs
@@ -4,7 +4,7 @@
 mod recorded;
 
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
-use woadreach_journal::{Disk, Engine, JournalError, Recovered, SimulatedDisk, Slot};
+use woadreach_journal::{Disk, Engine, FileDisk, JournalError, Recovered, SimulatedDisk, Slot};
 
 const MAX_BYTES: u64 = 1 << 20;
 /// Bytes of a slot's head.
@@ -200,3 +200,17 @@
     }
     assert!(read(Slot::A, &[0; 100]).expect("a blank slot").was_empty);
 }
+
+#[test]
+fn a_journal_is_two_files_of_recorded_names() {
+    let folder = tempfile::tempdir().expect("a folder");
+    for (file, name) in [("slot-a", "third generation with a log"), ("slot-b", "snapshot alone")] {
+        let path = folder.path().join(file);
+        std::fs::write(&path, recorded_slot(name)).expect("a file");
+        let disk = FileDisk::open(folder.path()).expect("a journal's folder");
+        let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).expect("a recorded slot");
+        let expected = scenarios().into_iter().find(|scenario| scenario.name == name);
+        assert_eq!(Some(found), expected.map(|scenario| scenario.found), "{file}");
+        std::fs::remove_file(&path).expect("the file is gone");
+    }
+}
--- a/crates/woadreach-storage/tests/recorded_bytes.rs
+++ b/crates/woadreach-storage/tests/recorded_bytes.rs
@@ -19,7 +19,9 @@
     Answer, Fence, MessageError, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement,
     encode, read,
 };
+use woadreach_storage::placement::group;
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
+use woadreach_storage::store::Store;
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
 
@@ -358,3 +360,33 @@
     cut[1].pop();
     assert!(recover(&cut).is_none());
 }
+
+/// Machines and proxies of different versions must agree on where a program's records are.
+#[test]
+fn groups_of_programs_are_as_recorded() {
+    let zones = ["a", "b", "c"];
+    let members: Vec<StorageMember> = (1..=6)
+        .map(|number| StorageMember { zone: zones[usize::from(number % 3)].into(), ..member(number) })
+        .collect();
+    let recorded = RecordedBytes::open("groups");
+    for program in ["program", "other", "p-1", "p-2", ""] {
+        let group = group(&members, program, 1);
+        let names: Vec<&str> = group.iter().map(|member| member.node.as_str()).collect();
+        recorded.check_bytes(&format!("group of {program:?}"), names.join(" ").as_bytes());
+    }
+    recorded.finish();
+}
+
+/// Machines compare these digests to find records that they lack.
+#[test]
+fn digests_of_programs_are_as_recorded() {
+    let recorded = RecordedBytes::open("digests");
+    let mut store = Store::default();
+    assert!(store.merge(Duration::ZERO, program_records()));
+    let digest = store.digest("program").expect("a program");
+    recorded.check_bytes("program", &digest.to_le_bytes());
+    assert!(store.merge(Duration::ZERO, Store::records("other".into(), reservations(), Vec::new())));
+    let digest = store.digest("other").expect("a program");
+    recorded.check_bytes("program without turns", &digest.to_le_bytes());
+    recorded.finish();
+}
