--- /dev/null
+++ b/crates/woadreach-members/tests/recorded.rs
@@ -0,0 +1,247 @@
+//! The envelope of datagrams and the messages of the membership protocol, held still: recorded bytes read as
+//! they did, and are written again the same.
+
+#[path = "../../../tests/recorded/mod.rs"]
+mod recorded;
+
+use foca::{Codec, Header, Message, PostcardCodec, State};
+use recorded::{Records, inverted, unhex};
+use rstest::rstest;
+use std::collections::BTreeSet;
+use woadreach_members::datagram::{Body, MOST_BYTES, Refused, open, room, seal};
+use woadreach_members::{Figures, Member, MemberId, Members};
+
+const ROSTER: usize = 300;
+
+fn records(file: &str) -> Records {
+    Records::at(&format!("{}/tests/recorded/{file}", env!("CARGO_MANIFEST_DIR")))
+}
+
+fn envelopes() -> Records {
+    records("datagrams.hex")
+}
+
+/// Bodies with each of their contents absent and present.
+fn bodies() -> Vec<(&'static str, Body<'static>)> {
+    const LONG: &[u8] = &[7; 130];
+    let body = |from, swim, riders, duties| Body { from: MemberId(from), swim, riders, duties };
+    vec![
+        ("empty", body(0, &[], &[], &[])),
+        ("membership-alone", body(1, b"swim", &[], &[])),
+        ("riders-alone", body(127, &[], b"riders", &[])),
+        ("duties-alone", body(128, &[], &[], b"duties")),
+        ("all-of-them", body(u16::MAX, b"swim", b"riders", b"duties")),
+        ("lengths-of-two-bytes", body(300, LONG, &[0, 0xff], &[1; 100])),
+    ]
+}
+
+#[test]
+fn recorded_datagrams_read_and_are_written_the_same() {
+    for (name, body) in bodies() {
+        let today = seal(&body).expect("it is short enough");
+        let kept = envelopes().bytes(name, &today);
+        assert_eq!(open(&kept), Ok(body), "{name}");
+        assert_eq!(today, kept, "{name}");
+    }
+}
+
+#[test]
+fn datagrams_that_are_cut_or_run_on_are_garbled() {
+    for (name, body) in bodies() {
+        let mut bytes = envelopes().bytes(name, &seal(&body).expect("it is short enough"));
+        for end in 0..bytes.len() {
+            assert_eq!(open(&bytes[..end]), Err(Refused::Garbled), "{name}, cut at {end}");
+        }
+        bytes.push(0);
+        assert_eq!(open(&bytes), Err(Refused::Garbled), "{name}, with a further byte");
+    }
+}
+
+#[test]
+fn datagrams_with_an_inverted_byte_fare_as_they_did() {
+    for (name, body) in bodies() {
+        let bytes = envelopes().bytes(name, &seal(&body).expect("it is short enough"));
+        let today = inverted(&bytes, |bytes| open(bytes).is_ok());
+        assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
+    }
+}
+
+#[rstest]
+#[case::first_version("0100000000", Refused::Version)]
+#[case::next_version("0300000000", Refused::Version)]
+#[case::version_alone("02", Refused::Garbled)]
+#[case::sender_beyond_its_bits("02ffff0f000000", Refused::Garbled)]
+#[case::sender_that_never_ends("02ffffffffffff", Refused::Garbled)]
+#[case::contents_longer_than_all("02000500000000", Refused::Garbled)]
+#[case::text("68656c6c6f", Refused::Version)]
+fn foreign_datagrams(#[case] hex: &str, #[case] why: Refused) {
+    assert_eq!(open(&unhex(hex)), Err(why));
+}
+
+#[test]
+fn datagrams_are_as_long_as_they_might_be() {
+    assert_eq!((MOST_BYTES, room(0), room(120), room(300)), (256, 246, 126, 0));
+    let longest = vec![0; 250];
+    let body = |duties| Body { from: MemberId(0), swim: &[], riders: &[], duties };
+    assert_eq!(seal(&body(&longest)).map(|bytes| bytes.len()), Some(256));
+    assert_eq!(seal(&body(&[0; 251])), None);
+    assert_eq!(open(&[2; 257]), Err(Refused::Oversize));
+}
+
+fn member(id: u16, zone: u8, turn: u16) -> Member {
+    Member { id: MemberId(id), zone, turn }
+}
+
+/// What the protocol says of members, with each of their states.
+fn news() -> Vec<foca::Member<Member>> {
+    vec![
+        foca::Member::new(member(3, 2, 0), 0, State::Alive),
+        foca::Member::new(member(200, 0, 300), 500, State::Suspect),
+        foca::Member::new(member(299, 255, u16::MAX), u16::MAX, State::Down),
+    ]
+}
+
+/// A message of each kind.
+fn kinds() -> Vec<Message<Member>> {
+    let (target, origin, probe_number) = (member(130, 1, 4), member(130, 1, 4), 200);
+    vec![
+        Message::Ping(1),
+        Message::Ack(u8::MAX),
+        Message::PingReq { target: target.clone(), probe_number },
+        Message::IndirectPing { origin: origin.clone(), probe_number },
+        Message::IndirectAck { target, probe_number },
+        Message::ForwardedAck { origin, probe_number },
+        Message::Announce,
+        Message::Feed,
+        Message::Gossip,
+        Message::Broadcast,
+        Message::TurnUndead,
+    ]
+}
+
+/// Of the record; a further kind needs one.
+fn name(message: &Message<Member>) -> &'static str {
+    match message {
+        Message::Ping(_) => "ping",
+        Message::Ack(_) => "ack",
+        Message::PingReq { .. } => "ping-request",
+        Message::IndirectPing { .. } => "indirect-ping",
+        Message::IndirectAck { .. } => "indirect-ack",
+        Message::ForwardedAck { .. } => "forwarded-ack",
+        Message::Announce => "announce",
+        Message::Feed => "feed",
+        Message::Gossip => "gossip",
+        Message::Broadcast => "broadcast",
+        Message::TurnUndead => "turn-undead",
+    }
+}
+
+/// A message's header and the news that follow it: none at all, or their number in two bytes and each.
+type Swim = (Header<Member>, Option<Vec<foca::Member<Member>>>);
+
+fn swims() -> Vec<(String, Swim)> {
+    let header = |message| Header { src: member(1, 1, 2), src_incarnation: 6, dst: member(0, 0, 0), message };
+    let plain = kinds().into_iter().map(|m| (name(&m).to_string(), (header(m), None)));
+    let told = [Message::Ping(30), Message::Feed, Message::Gossip];
+    let told = told.into_iter().map(|m| (format!("{}-with-news", name(&m)), (header(m), Some(news()))));
+    plain.chain(told).collect()
+}
+
+fn write(swim: &Swim) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    PostcardCodec.encode_header(&swim.0, &mut bytes).expect("memory holds it");
+    if let Some(news) = &swim.1 {
+        bytes.extend((news.len() as u16).to_be_bytes());
+        for member in news {
+            PostcardCodec.encode_member(member, &mut bytes).expect("memory holds it");
+        }
+    }
+    bytes
+}
+
+fn read(mut bytes: &[u8]) -> Swim {
+    let header = PostcardCodec.decode_header(&mut bytes).expect("a header");
+    let Some((count, mut rest)) = bytes.split_first_chunk::<2>() else {
+        assert!(bytes.is_empty());
+        return (header, None);
+    };
+    let count = u16::from_be_bytes(*count);
+    let news = (0..count).map(|_| PostcardCodec.decode_member(&mut rest).expect("a member")).collect();
+    assert!(rest.is_empty());
+    (header, Some(news))
+}
+
+fn members(id: u16) -> Members {
+    Members::new(member(id, id as u8, 0), ROSTER, Figures::default(), 7, 0.0)
+}
+
+#[test]
+fn recorded_messages_read_and_are_written_the_same() {
+    for (name, swim) in swims() {
+        let today = write(&swim);
+        let kept = records("membership.hex").bytes(&name, &today);
+        assert_eq!(read(&kept), swim, "{name}");
+        assert_eq!(today, kept, "{name}");
+    }
+}
+
+#[test]
+fn nothing_is_recorded_that_is_not_read() {
+    let sorted = |mut names: Vec<String>| {
+        names.sort();
+        names
+    };
+    let names = bodies().into_iter().map(|body| body.0.to_string()).collect();
+    assert_eq!(envelopes().names(), sorted(names));
+    let names = swims().into_iter().map(|swim| swim.0).collect();
+    assert_eq!(records("membership.hex").names(), sorted(names));
+}
+
+/// Each is of use to a member that hears it first of all, and tells it of its sender.
+#[test]
+fn members_take_recorded_messages() {
+    for (name, swim) in swims() {
+        let mut hearer = members(0);
+        hearer.heard(0.0, &records("membership.hex").bytes(&name, &write(&swim)));
+        let live: Vec<u16> = hearer.view().live.keys().map(|id| id.0).collect();
+        let today = format!("{} unusable, live {live:?}", hearer.unusable);
+        assert_eq!(records("taken.txt").text(&name, &today), today, "{name}");
+    }
+}
+
+/// Cut at each byte: a letter for each length, `u` where it is unusable, `t` where it is taken.
+#[test]
+fn messages_that_are_cut_fare_as_they_did() {
+    for (name, swim) in swims() {
+        let bytes = records("membership.hex").bytes(&name, &write(&swim));
+        let outcome = |end: usize| {
+            let mut hearer = members(0);
+            hearer.heard(0.0, &bytes[..end]);
+            if hearer.unusable > 0 { 'u' } else { 't' }
+        };
+        let today: String = (0..bytes.len()).map(outcome).collect();
+        assert_eq!(records("cut.txt").text(&name, &today), today, "{name}");
+    }
+}
+
+/// What two members say to each other is of these forms, and nothing of it is lost on the way through them.
+#[test]
+fn what_members_say_is_read_and_written_the_same() {
+    let mut both = [members(0), members(1)];
+    let mut kinds = BTreeSet::new();
+    let mut said: Vec<(MemberId, Vec<u8>)> = Vec::new();
+    for step in 0..100 {
+        let now = f64::from(step) * 0.05;
+        for (to, message) in std::mem::take(&mut said) {
+            let swim = read(&message);
+            kinds.insert(name(&swim.0.message));
+            assert_eq!(write(&swim), message);
+            if let Some(hearer) = both.get_mut(usize::from(to.0)) {
+                said.extend(hearer.heard(now, &message).send);
+            }
+        }
+        both.iter_mut().for_each(|member| said.extend(member.tick(now).send));
+    }
+    assert_eq!(both.map(|member| member.unusable), [0, 0]);
+    assert!(["announce", "feed", "ping", "ack", "gossip"].iter().all(|kind| kinds.contains(kind)), "{kinds:?}");
+}
--- /dev/null
+++ b/crates/woadreach-zones/tests/recorded.rs
@@ -0,0 +1,183 @@
+//! What rides on datagrams between co-ordinators, held still: recorded bytes read as they did, and are
+//! written again the same, by themselves and in a whole datagram.
+
+#[path = "../../../tests/recorded/mod.rs"]
+mod recorded;
+
+use recorded::{Records, inverted, unhex};
+use rstest::rstest;
+use std::collections::BTreeMap;
+use woadreach_members::datagram::{Body, Refused, open, seal};
+use woadreach_members::{Member, MemberId, Members};
+use woadreach_zones::{Bad, Figures, Peer, Report, Riders, Told, Zones};
+
+const ZONES: usize = 3;
+const ROSTER: usize = 300;
+
+fn records(file: &str) -> Records {
+    Records::at(&format!("{}/tests/recorded/{file}", env!("CARGO_MANIFEST_DIR")))
+}
+
+fn verdicts() -> Vec<Told> {
+    vec![Told::new(0, 0, 0.0, 0), Told::new(2, 70_000, 600.0, 5), Told::new(1, u32::MAX, 0.015, 255)]
+}
+
+fn reports() -> Vec<Report> {
+    let rows = [(0, 0), (15, 15), (1000, 300)];
+    vec![
+        Report::new(MemberId(0), 0, 0, 0.0, &[(0, 0); ZONES]),
+        Report::new(MemberId(299), 2, 255, 100.0, &rows).aged(1.0),
+        Report::new(MemberId(130), 1, 128, 1e12, &[(7, 9), (1, 1), (u32::from(u16::MAX), 0)]).aged(1e6),
+    ]
+}
+
+fn samples() -> Vec<(&'static str, Riders)> {
+    let riders = |verdicts, reports| Riders { verdicts, reports };
+    vec![
+        ("none", riders(vec![], vec![])),
+        ("verdicts", riders(verdicts(), vec![])),
+        ("reports", riders(vec![], reports())),
+        ("both", riders(verdicts(), reports())),
+    ]
+}
+
+fn kept(name: &str, riders: &Riders) -> Vec<u8> {
+    records("riders.hex").bytes(name, &riders.seal())
+}
+
+#[test]
+fn recorded_riders_read_and_are_written_the_same() {
+    for (name, riders) in samples() {
+        let kept = kept(name, &riders);
+        assert_eq!(Riders::open(&kept, ZONES, ROSTER).as_ref(), Ok(&riders), "{name}");
+        assert_eq!(riders.seal(), kept, "{name}");
+    }
+}
+
+#[test]
+fn nothing_is_recorded_that_is_not_read() {
+    let mut names: Vec<&str> = samples().into_iter().map(|sample| sample.0).collect();
+    names.sort_unstable();
+    assert_eq!(records("riders.hex").names(), names);
+}
+
+/// The scales of ages and demands, and the roundings of rows, as the receiver has them.
+#[test]
+fn recorded_riders_mean_what_they_meant() {
+    let (_, riders) = samples().pop().expect("there are samples");
+    let read = Riders::open(&kept("both", &riders), ZONES, ROSTER).expect("they are sound");
+    let verdicts: Vec<_> = read.verdicts.iter().map(|v| (v.zone, v.epoch, v.age(), v.strikes)).collect();
+    assert_eq!(verdicts, [(0, 0, 0.0, 0), (2, 70_000, 600.0, 5), (1, u32::MAX, 0.01, 255)]);
+    let of = |r: &Report| (r.member.0, r.zone, r.nth, r.age(), [r.row(0), r.row(1), r.row(2)], r.row(3));
+    let reports: Vec<_> = read.reports.iter().map(of).collect();
+    let expected = [
+        (0, 0, 0, 0.0, [(0, 0); ZONES], (0, 0)),
+        (299, 2, 255, 1.0, [(0, 0), (15, 15), (15, 5)], (0, 0)),
+        (130, 1, 128, 12.75, [(7, 7), (1, 1), (15, 0)], (0, 0)),
+    ];
+    assert_eq!(reports, expected);
+    let demands: Vec<f64> = read.reports.iter().map(|r| (r.demand() * 1000.0).round() / 1000.0).collect();
+    assert_eq!(demands, [0.0, 97.701, 3_938_502_374.864]);
+}
+
+#[test]
+fn riders_that_are_cut_or_run_on_are_refused() {
+    for (name, riders) in samples() {
+        let mut bytes = kept(name, &riders);
+        for end in 1..bytes.len() {
+            assert_eq!(Riders::open(&bytes[..end], ZONES, ROSTER), Err(Bad), "{name}, cut at {end}");
+        }
+        bytes.push(0);
+        assert_eq!(Riders::open(&bytes, ZONES, ROSTER), Err(Bad), "{name}, with a further byte");
+    }
+    assert_eq!(Riders::open(&[], ZONES, ROSTER), Ok(Riders::default()));
+}
+
+#[test]
+fn inverted_bytes_fare_as_they_did() {
+    for (name, riders) in samples() {
+        let today = inverted(&kept(name, &riders), |bytes| Riders::open(bytes, ZONES, ROSTER).is_ok());
+        assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
+    }
+}
+
+#[rstest]
+#[case::verdict_of_the_last_zone("01 02000000 00", true)]
+#[case::verdict_beyond_the_zones("01 03000000 00", false)]
+#[case::report_of_the_last_member("00 01 ab02 00 00 00 00 03000000", true)]
+#[case::report_beyond_the_roster("00 01 ac02 00 00 00 00 03000000", false)]
+#[case::report_from_beyond_the_zones("00 01 00 03 00 00 00 03000000", false)]
+#[case::too_few_rows("00 01 00 00 00 00 00 020000", false)]
+#[case::too_many_rows("00 01 00 00 00 00 00 0400000000", false)]
+#[case::more_bad_than_seen("00 01 00 00 00 00 00 030f0000", true)]
+#[case::more_claimed_than_come("02 02000000 00", false)]
+#[case::epoch_beyond_its_bits("01 02 ffffffff1f 00 00 00", false)]
+#[case::number_that_never_ends("ffffffffffffffffffff", false)]
+#[case::text("68656c6c6f", false)]
+fn foreign_bytes(#[case] hex: &str, #[case] sound: bool) {
+    let bytes = unhex(&hex.replace(' ', ""));
+    assert_eq!(Riders::open(&bytes, ZONES, ROSTER).is_ok(), sound);
+}
+
+fn peer() -> Peer {
+    let me = Member { id: MemberId(0), zone: 0, turn: 0 };
+    let members = Members::new(me, ROSTER, woadreach_members::Figures::default(), 7, 0.0);
+    Peer::new(MemberId(0), members, Zones::new(MemberId(0), 0, vec![0; ZONES], ROSTER, Figures::default(), 0.0))
+}
+
+const DUTIES: &[u8] = b"duties";
+
+/// A member asks another to join; both riders are with it.
+fn datagram() -> Vec<u8> {
+    let announce = unhex("0101020600000006");
+    let (_, riders) = samples().swap_remove(1);
+    let riders = riders.seal();
+    let body = Body { from: MemberId(1), swim: &announce, riders: &riders, duties: DUTIES };
+    records("datagrams.hex").bytes("announce-with-riders", &seal(&body).expect("it is short enough"))
+}
+
+#[test]
+fn a_recorded_datagram_is_taken_with_all_that_it_carries() {
+    let bytes = datagram();
+    let mut peer = peer();
+    let out = peer.heard(1.0, Some(MemberId(1)), &bytes);
+    assert_eq!(out.duties, Some((MemberId(1), DUTIES.to_vec())));
+    assert_eq!(peer.view().live, BTreeMap::from([(MemberId(0), 0), (MemberId(1), 1)]));
+    let counts = peer.counts();
+    assert_eq!((counts.taken, counts.unusable, counts.refused.len()), (1, 0, 0));
+}
+
+#[test]
+fn what_a_peer_tells_is_written_as_it_was() {
+    let out = peer().tell(MemberId(1), DUTIES);
+    let [(to, today)] = &out.datagrams[..] else { panic!("one datagram: {out:?}") };
+    assert_eq!(*to, MemberId(1));
+    let kept = records("datagrams.hex").bytes("duties-alone", today);
+    assert_eq!(*today, kept);
+    let body = open(&kept).expect("it is sound");
+    assert_eq!(body, Body { from: MemberId(0), swim: &[], riders: &[], duties: DUTIES });
+}
+
+#[rstest]
+#[case::from_another_address(Some(2), 0, Refused::Name)]
+#[case::from_nowhere(None, 0, Refused::Name)]
+#[case::of_another_version(Some(1), 1, Refused::Version)]
+fn a_datagram_is_refused_and_counted(#[case] from: Option<u16>, #[case] changed: u8, #[case] why: Refused) {
+    let mut bytes = datagram();
+    bytes[0] ^= changed;
+    let mut peer = peer();
+    let out = peer.heard(1.0, from.map(MemberId), &bytes);
+    assert_eq!((out.duties, out.datagrams), (None, Vec::new()));
+    assert_eq!(peer.counts().refused, BTreeMap::from([(why, 1)]));
+    assert_eq!(peer.counts().taken, 0);
+}
+
+#[test]
+fn a_datagram_with_foreign_riders_is_taken_but_for_them() {
+    let body = Body { from: MemberId(1), swim: &[], riders: b"riders", duties: DUTIES };
+    let mut peer = peer();
+    let out = peer.heard(1.0, Some(MemberId(1)), &seal(&body).expect("it is short enough"));
+    assert_eq!(out.duties, Some((MemberId(1), DUTIES.to_vec())));
+    let counts = peer.counts();
+    assert_eq!((counts.taken, counts.unusable, counts.refused.len()), (1, 1, 0));
+}
