--- /dev/null
+++ b/crates/woadreachd/tests/recorded_config.rs
@@ -0,0 +1,330 @@
+//! The configuration held still: a file with every key that is read gives the values that it gave, and each
+//! key that is missing, of another type or unknown does what it did.
+
+#[path = "../../../tests/recorded/mod.rs"]
+mod recorded;
+
+use recorded::Records;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use woadreach::api::{QueryType, Repeat, Settings};
+use woadreachd::config::{Config, First, Given, read};
+use woadreachd::events::{Lifecycle, List};
+use woadreachd::peers;
+
+const WHOLE: &str = include_str!("recorded/config.json");
+
+fn whole() -> Value {
+    serde_json::from_str(WHOLE).expect("the example is JSON")
+}
+
+fn given(text: &str) -> Given {
+    Given { path: "proxy.json".into(), text: text.into(), listen: None, discovery: None }
+}
+
+fn taken(text: &str) -> Config {
+    read(First::Environment, &given(text)).unwrap_or_else(|why| panic!("{why}"))
+}
+
+fn refused(text: &str) -> String {
+    read(First::Environment, &given(text)).err().expect("it is not sound")
+}
+
+/// Values by the names that stand in the records.
+type Values = BTreeMap<String, String>;
+
+fn repeat(repeat: Repeat) -> String {
+    match repeat {
+        Repeat::Idempotent => "idempotent".into(),
+        Repeat::Tokened { window, any_holder } => format!("tokened {window} {any_holder}"),
+        Repeat::NonIdempotent => "non-idempotent".into(),
+    }
+}
+
+fn query_type(t: &QueryType) -> String {
+    format!(
+        "target {} timeout {} value {} late {} repeat {} need {} floor {} second {}",
+        t.latency_target,
+        t.client_timeout,
+        t.value,
+        t.late_value,
+        repeat(t.repeat),
+        t.need,
+        t.floor,
+        t.second_step
+    )
+}
+
+fn list(list: &List) -> String {
+    let lifecycle = |of| match of {
+        Lifecycle::Ready => "ready",
+        Lifecycle::Draining => "draining",
+        Lifecycle::Gone => "gone",
+    };
+    let entries = list.entries.iter().map(|e| {
+        let lifecycle = lifecycle(e.lifecycle);
+        format!("; {} {} {:?} {} {lifecycle} {}", e.id, e.address, e.zone, e.cell, e.started_at)
+    });
+    format!("{} {}{}", list.generation, list.full, entries.collect::<String>())
+}
+
+fn module(s: &Settings) -> Vec<(&'static str, String)> {
+    let cold = s.cold.as_ref().map(|c| [c.from, c.time, c.tip_multiple, c.tip_time]);
+    let budget = s.budget.as_ref().map(|b| [b.free, b.share, b.window]);
+    vec![
+        ("seed", s.seed.to_string()),
+        ("me", format!("{:?}", s.me)),
+        ("siblings", s.siblings.to_string()),
+        ("tick", s.tick.to_string()),
+        ("query types", s.query_types.iter().map(query_type).collect::<Vec<_>>().join("; ")),
+        ("tenants", format!("{:?}", s.tenants)),
+        ("over share value", s.over_share_value.to_string()),
+        ("cells", s.cells.to_string()),
+        ("span", s.span.to_string()),
+        ("per call", s.per_call.to_string()),
+        ("sub-requests cap", s.sub_requests_cap.to_string()),
+        ("late send", s.late_send.to_string()),
+        ("may cancel", s.may_cancel.to_string()),
+        ("may copy", s.may_copy.to_string()),
+        ("longest retry advice", format!("{:?}", s.longest_retry_advice)),
+        ("cold", format!("{cold:?}")),
+        ("budget", format!("{budget:?}")),
+    ]
+}
+
+fn host(c: &Config) -> Vec<(&'static str, String)> {
+    let watch = c.watch.as_ref().map(|w| (w.retry_after, w.second_copies, &w.once));
+    vec![
+        ("listen", c.listen.to_string()),
+        ("discovery", c.discovery.clone()),
+        ("discovery interval", c.discovery_interval.to_string()),
+        ("sockets", c.sockets.to_string()),
+        ("known", format!("{:?}", c.known.as_ref().map(list))),
+        ("names of query types", format!("{:?}", c.names.query_types)),
+        ("names of tenants", format!("{:?}", c.names.tenants)),
+        ("shards", c.names.shards.to_string()),
+        ("marks repeats", c.names.marks_repeats.to_string()),
+        ("core open", c.core.max_open.to_string()),
+        ("core bytes", c.core.max_bytes.to_string()),
+        ("core zones", format!("{:?}", c.core.zones)),
+        ("core fetch", format!("{:?}", c.core.fetch)),
+        ("core longest", c.core.longest.to_string()),
+        ("core longest target", c.core.longest_target.to_string()),
+        ("streams", c.replicas.streams_per_conn.to_string()),
+        ("replicas per call", c.replicas.per_call.to_string()),
+        ("idle close", c.replicas.idle_close.to_string()),
+        ("connect timeout", c.replicas.connect_timeout.to_string()),
+        ("cancelling", c.replicas.cancelling.to_string()),
+        ("watch", format!("{watch:?}")),
+    ]
+}
+
+fn tier(p: &peers::Figures) -> Vec<(&'static str, String)> {
+    vec![
+        ("peers listen", p.listen.to_string()),
+        ("peers roster", format!("{:?}", p.roster)),
+        ("peers me", p.me.to_string()),
+        ("peers zone", p.zone.to_string()),
+        ("peers zones", format!("{:?}", p.zones)),
+        ("peers regions", format!("{:?}", p.regions)),
+        ("peers out", format!("{:?}", p.out)),
+        ("peers near", p.near.to_string()),
+        ("peers warm", p.warm.to_string()),
+        ("peers duties", p.duties.to_string()),
+        ("peers warden", p.warden.to_string()),
+        ("peers records", p.records.to_string()),
+        ("peers cold", format!("{:?}", p.cold)),
+        ("peers seed", p.seed.to_string()),
+    ]
+}
+
+fn values(config: &Config) -> Values {
+    let tier = config.peers.as_ref().map_or(vec![("peers", "none".into())], tier);
+    let all = [host(config), module(&config.settings), tier].concat();
+    all.into_iter().map(|(name, value)| (name.to_string(), value)).collect()
+}
+
+fn records(file: &str) -> Records {
+    Records::at(&format!("{}/tests/recorded/{file}", env!("CARGO_MANIFEST_DIR")))
+}
+
+#[test]
+fn a_file_with_every_key_gives_the_recorded_values() {
+    for (name, value) in values(&taken(WHOLE)) {
+        assert_eq!(records("config-values.txt").text(&name, &value), value, "{name}");
+    }
+}
+
+#[test]
+fn nothing_is_recorded_of_the_values_that_is_not_read() {
+    let names: Vec<String> = values(&taken(WHOLE)).into_keys().collect();
+    assert_eq!(records("config-values.txt").names(), names);
+}
+
+/// Every place in a value, its own left out, by JSON pointers.
+fn places(of: &Value, at: &str, all: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match of {
+        Value::Object(object) => object.iter().map(|(key, value)| (key.clone(), value)).collect(),
+        Value::Array(list) => list.iter().enumerate().map(|(n, value)| (n.to_string(), value)).collect(),
+        _ => Vec::new(),
+    };
+    for (key, value) in children {
+        let at = format!("{at}/{key}");
+        all.push(at.clone());
+        places(value, &at, all);
+    }
+}
+
+fn all_places() -> Vec<String> {
+    let mut all = Vec::new();
+    places(&whole(), "", &mut all);
+    all
+}
+
+/// What comes of a file: why it is refused, or each value that is another than the whole file's.
+fn outcome(file: &Value) -> String {
+    let before = values(&taken(WHOLE));
+    let now = match read(First::Environment, &given(&file.to_string())) {
+        Ok(config) => values(&config),
+        Err(why) => return format!("refused, {why}"),
+    };
+    let gone = before.keys().filter(|name| !now.contains_key(*name)).map(|name| format!("{name} gone"));
+    let differs = now.iter().filter(|(name, value)| before.get(*name) != Some(value));
+    let differs: Vec<String> = differs.map(|(name, value)| format!("{name} = {value}")).chain(gone).collect();
+    if differs.is_empty() { "taken, the same".into() } else { format!("taken, {}", differs.join(" | ")) }
+}
+
+fn without(place: &str) -> Value {
+    let mut file = whole();
+    let (parent, key) = place.rsplit_once('/').expect("a place has a slash");
+    match file.pointer_mut(parent) {
+        Some(Value::Object(object)) => drop(object.remove(key)),
+        Some(Value::Array(list)) => drop(list.remove(key.parse().expect("a number"))),
+        _ => panic!("no such place: {place}"),
+    }
+    file
+}
+
+fn with(place: &str, value: Value) -> Value {
+    let mut file = whole();
+    *file.pointer_mut(place).unwrap_or_else(|| panic!("no such place: {place}")) = value;
+    file
+}
+
+/// A value of another type than this one's.
+fn ill_typed(value: &Value) -> Value {
+    if value.is_string() { json!(7) } else { json!("odd") }
+}
+
+fn with_unknown_key(place: &str) -> Option<Value> {
+    let mut file = whole();
+    file.pointer_mut(place)?.as_object_mut()?.insert("novel".into(), json!(true));
+    Some(file)
+}
+
+#[test]
+fn a_file_without_one_of_its_keys_fares_as_it_did() {
+    for place in all_places() {
+        let today = outcome(&without(&place));
+        assert_eq!(records("config-missing.txt").text(&place, &today), today, "{place}");
+    }
+}
+
+#[test]
+fn a_file_with_a_key_of_another_type_fares_as_it_did() {
+    let whole = whole();
+    for place in all_places() {
+        let today = outcome(&with(&place, ill_typed(whole.pointer(&place).expect("it is there"))));
+        assert_eq!(records("config-ill-typed.txt").text(&place, &today), today, "{place}");
+    }
+}
+
+#[test]
+fn a_file_with_a_null_fares_as_it_did() {
+    for place in all_places() {
+        let today = outcome(&with(&place, Value::Null));
+        assert_eq!(records("config-null.txt").text(&place, &today), today, "{place}");
+    }
+}
+
+#[test]
+fn an_unknown_key_fares_as_it_did() {
+    let objects = std::iter::once(String::new()).chain(all_places());
+    for place in objects {
+        let Some(file) = with_unknown_key(&place) else { continue };
+        let today = outcome(&file);
+        let name = format!("{place}/novel");
+        assert_eq!(records("config-unknown.txt").text(&name, &today), today, "{name}");
+    }
+}
+
+#[test]
+fn every_key_has_its_records() {
+    let mut places = all_places();
+    places.sort();
+    for file in ["config-missing.txt", "config-ill-typed.txt", "config-null.txt"] {
+        assert_eq!(records(file).names(), places, "{file}");
+    }
+}
+
+#[rstest]
+#[case::no_json("{", "proxy.json: EOF while parsing an object at line 1 column 1")]
+#[case::nothing("", "proxy.json: EOF while parsing a value at line 1 column 0")]
+#[case::a_list("[]", "configuration lacks /settings")]
+#[case::twice("{} {}", "proxy.json: trailing characters at line 1 column 4")]
+fn a_text_that_is_no_configuration(#[case] text: &str, #[case] why: &str) {
+    assert_eq!(refused(text), why);
+}
+
+#[rstest]
+#[case::a_number("/seed", json!(32), "seed = 32")]
+#[case::the_same_number("/seed", json!(31), "taken, the same")]
+#[case::no_hex("/seed", json!("xyz"), "configuration: seed is neither a number nor hex digits")]
+#[case::negative("/seed", json!(-1), "configuration: seed is neither a number nor hex digits")]
+#[case::no_address("/listen", json!("here"), "listen is not an address: here")]
+#[case::no_peer_address("/peers/1", json!("here"), "configuration: peers: not an address: here")]
+#[case::no_own_address("/peer_listen", json!("here"), "configuration: peer_listen: not an address: here")]
+#[case::no_such_zone(
+    "/failover/out/0",
+    json!("north"),
+    "configuration: failover.out: no such zone: north; there are west, mid, east"
+)]
+#[case::off("/failover/on", json!(false), "peers = none")]
+#[case::peers_barred("/settings/limits/peers", json!(false), "peers = none")]
+#[case::beyond_the_roster("/settings/me", json!(3), "peers = none")]
+#[case::beyond_the_zones("/settings/zone", json!(3), "peers = none")]
+#[case::no_duties("/duties/on", json!(false), "peers duties = false")]
+#[case::a_number_for_a_name("/settings/watch/once/0", json!(1), "setting /watch/once/0 is not a name")]
+#[case::none_for_many("/settings/domain/perCall", json!(0), "replicas per call = 1")]
+fn a_value_that_is_another(#[case] place: &str, #[case] value: Value, #[case] told: &str) {
+    let outcome = outcome(&with(place, value));
+    assert!(outcome.contains(told), "{outcome}");
+}
+
+#[rstest]
+#[case::environment_first(First::Environment, "127.0.0.1:1", "127.0.0.1:2")]
+#[case::file_first(First::File, "127.0.0.1:8080", "127.0.0.1:8081")]
+fn addresses_beside_the_file(#[case] first: First, #[case] listen: &str, #[case] discovery: &str) {
+    let (beside_listen, beside_discovery) = (Some("127.0.0.1:1".into()), Some("127.0.0.1:2".into()));
+    let given = Given { listen: beside_listen, discovery: beside_discovery, ..given(WHOLE) };
+    let config = read(first, &given).unwrap_or_else(|why| panic!("{why}"));
+    assert_eq!((config.listen.to_string().as_str(), config.discovery.as_str()), (listen, discovery));
+}
+
+#[rstest]
+#[case::listen("/listen", "configuration lacks listen, and PROXY_LISTEN is not set")]
+#[case::discovery("/discovery", "configuration lacks discovery, and PROXY_DISCOVERY is not set")]
+fn an_address_that_stands_nowhere_is_named(#[case] place: &str, #[case] why: &str) {
+    assert_eq!(refused(&without(place).to_string()), why);
+}
+
+/// What a reload compares: the file but for what is of use once only.
+#[test]
+fn the_file_is_kept_but_for_what_is_of_use_once() {
+    let mut expected = whole();
+    for once in ["known", "seed", "discovery"] {
+        expected.as_object_mut().expect("an object").remove(once);
+    }
+    assert_eq!(taken(WHOLE).file, expected);
+}
