--- a/crates/woadreach-cluster/src/tally.rs
+++ b/crates/woadreach-cluster/src/tally.rs
@@ -242,3 +242,7 @@
         outcome.bytes_per_s_per_member = sum.1 as f64 / each;
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/tally.rs"]
+mod tests;
