--- a/tests/recorded/mod.rs
+++ b/tests/recorded/mod.rs
@@ -1,6 +1,7 @@
 //! Records of what crosses a socket or stands in a file, kept beside the tests that read them: a change of
 //! the code that alters one byte of them fails. With `WOADREACH_RECORD=1` a test writes a record that is
-//! missing; one that is there is never written over. Tests that compare the names of all records pass from
+//! missing; one that is there is never written over: one that is meant
+//! to change is taken out by hand first. Tests that compare the names of all records pass from
 //! the next run on.
 
 // Each test takes what it needs.
