--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -111,7 +111,7 @@
             weight,
             step,
             answered: false,
-            held: None,
+            queued_at: None,
             attempts: Vec::new(),
         };
         held.search.parts.push(part);
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -15,7 +15,7 @@
         weight: 1.0,
         step: 1,
         answered: false,
-        held: None,
+        queued_at: None,
         attempts: endings.iter().map(sub).collect(),
     }
 }
--- /dev/null
+++ b/crates/routing/src/api/health.rs
@@ -0,0 +1,42 @@
+//! Inputs and results of outlier ejection.
+
+/// Parameters of outlier ejection.
+#[derive(Clone, Copy, Debug)]
+pub struct EjectionConfig {
+    /// Number of latest calls that count.
+    pub window: usize,
+    /// Least number of failures among them that ejects; they must also be half of the calls.
+    pub least: usize,
+}
+
+/// The end of a call, as far as it says something about health. `C` is a class of calls, such as the query type.
+#[derive(Clone, Copy, Debug)]
+pub struct Observation<C> {
+    /// When it ended (seconds).
+    pub at: f64,
+    /// When it was sent (seconds).
+    pub sent_at: f64,
+    /// Its class.
+    pub class: C,
+    /// Whether it failed, or took far longer than usual.
+    pub failed: bool,
+}
+
+/// A change in the health of a replica or zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Change {
+    /// It gets no more traffic but probes.
+    Ejected,
+    /// It gets traffic again.
+    Restored,
+}
+
+impl Change {
+    /// The change as log lines name it.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Change::Ejected => "ejected",
+            Change::Restored => "restored",
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/api/search.rs
@@ -0,0 +1,189 @@
+//! A search, its parts and their attempts.
+
+use super::{PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId};
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Ending {
+    /// With an answer.
+    Answered,
+    /// With an error of the replica.
+    Errored,
+    /// Rejected by the replica, which did not run it.
+    Full,
+    /// Without an answer before its timeout.
+    TimedOut,
+    /// No connection was established.
+    Unreachable,
+    /// The connection broke after the attempt was sent.
+    Broken,
+    /// Cancelled by this co-ordinator.
+    Cancelled,
+    /// It was never sent.
+    NeverSent,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Debug)]
+pub struct Outcome {
+    /// Its part.
+    pub part: PartId,
+    /// Its index among the attempts of the part.
+    pub attempt_index: usize,
+    /// The replica that it was sent to.
+    pub replica: ReplicaId,
+    /// How it ended.
+    pub ending: Ending,
+    /// Seconds since it was sent.
+    pub latency: f64,
+}
+
+/// One send of a part to a replica.
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    /// The replica that it was sent to.
+    pub replica: ReplicaId,
+    /// When it was sent (seconds).
+    pub sent_at: f64,
+    /// How it ended; absent while it is in flight.
+    pub ending: Option<Ending>,
+}
+
+impl Attempt {
+    /// Whether it provably never ran: it was rejected, had no connection, or was never sent.
+    pub fn proven_unrun(&self) -> bool {
+        matches!(
+            self.ending,
+            Some(Ending::Full | Ending::Unreachable | Ending::NeverSent)
+        )
+    }
+}
+
+/// What a search asks of one shard.
+#[derive(Clone, Debug)]
+pub struct Part {
+    /// Its identifier.
+    pub id: PartId,
+    /// The shard that it queries.
+    pub shard: ShardId,
+    /// Its share of the complete answer, from 0 to 1.
+    pub weight: f64,
+    /// The step of its search, 1 or 2.
+    pub step: usize,
+    /// Whether an answer has come.
+    pub answered: bool,
+    /// The replica in whose queue it waits, if it is queued.
+    pub queued_at: Option<ReplicaId>,
+    /// Its attempts, in the order of their sends.
+    pub attempts: Vec<Attempt>,
+}
+
+impl Part {
+    /// Whether one of its attempts is in flight.
+    pub fn in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.ending.is_none())
+    }
+
+    /// Its attempts in flight, with their indices.
+    pub fn waiting(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        self.attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, attempt)| attempt.ending.is_none())
+    }
+
+    /// Whether it was ever sent to this replica.
+    pub fn tried(&self, replica: &ReplicaId) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.replica == *replica)
+    }
+}
+
+/// A search in flight. The caller keeps it; the decisions read and update it.
+#[derive(Clone, Debug)]
+pub struct Search {
+    /// Its identifier.
+    pub id: SearchId,
+    /// Its query type.
+    pub query_type: QueryTypeId,
+    /// The tenant that asks.
+    pub tenant: TenantId,
+    /// When it arrived (seconds).
+    pub arrived: f64,
+    /// When the client stops waiting (seconds).
+    pub client_deadline: f64,
+    /// Its parts, those of a second step last.
+    pub parts: Vec<Part>,
+    /// The step that is being executed, 1 or 2.
+    pub step: usize,
+    /// Whether the first step was complete.
+    pub first_step_complete: bool,
+    /// Whether the client says that this is a retry of its own; absent where clients don't mark retries.
+    pub repeated: Option<bool>,
+    /// When the client first asked (seconds), as far as can be told; set by the decisions.
+    pub first_asked_at: Option<f64>,
+    /// Queuing deadline of the present step (seconds); set by the decisions.
+    pub queuing_deadline: Option<f64>,
+    /// Whether the final answer has been given.
+    pub finished: bool,
+}
+
+impl Search {
+    /// A search that has just arrived, without parts yet.
+    pub fn new(
+        id: SearchId,
+        query_type: QueryTypeId,
+        tenant: TenantId,
+        arrived: f64,
+        client_deadline: f64,
+    ) -> Self {
+        Search {
+            id,
+            query_type,
+            tenant,
+            arrived,
+            client_deadline,
+            parts: Vec::new(),
+            step: 1,
+            first_step_complete: false,
+            repeated: None,
+            first_asked_at: None,
+            queuing_deadline: None,
+            finished: false,
+        }
+    }
+
+    /// The parts of the present step, with their indices in `parts`.
+    pub fn step_parts(&self) -> impl Iterator<Item = (usize, &Part)> {
+        self.parts
+            .iter()
+            .enumerate()
+            .filter(|(_, part)| part.step == self.step)
+    }
+
+    /// The weight of the parts of the present step that are answered.
+    pub fn answered_weight(&self) -> f64 {
+        self.step_parts()
+            .filter(|(_, part)| part.answered)
+            .map(|(_, part)| part.weight)
+            .sum()
+    }
+
+    /// Records how an attempt of one of its parts ended; one that isn't known is ignored.
+    pub fn record_outcome(&mut self, outcome: &Outcome) {
+        let Some(part) = self.parts.iter_mut().find(|part| part.id == outcome.part) else {
+            return;
+        };
+        let Some(attempt) = part.attempts.get_mut(outcome.attempt_index) else {
+            return;
+        };
+        attempt.ending = Some(outcome.ending);
+        part.answered |= outcome.ending == Ending::Answered;
+    }
+
+    /// The queuing deadline of the present step; before it is set, the arrival, which goes before all others.
+    pub fn queuing_deadline(&self) -> f64 {
+        self.queuing_deadline.unwrap_or(self.arrived)
+    }
+}
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,15 +1,18 @@
 //! The state of all decisions on searches, which the files of `decide` read and update; it decides nothing.
 //!
-//! Callers keep the clock, the timers and the searches in hand and ask `place`, `after` and `wait`
-//! (`decide::search_steps`); the rest hands in facts. A `Plan` says what to cancel, send and reply, and which
-//! held searches to ask about next, in that order.
+//! A caller keeps the clock, the timers and the searches in flight. It reports events, and asks [`Balancer::place`],
+//! [`Balancer::after`] and [`Balancer::wait`] (`decide::search_steps`) what to do. A [`Plan`] says what to
+//! cancel, send and reply, and which queued searches to ask about next, in that order.
 
-use crate::api::*;
+use crate::api::{
+    Listed, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Settings, SlowStartDemand,
+    TenantId, ZoneFailoverState, ZoneId,
+};
+use crate::deadline_queue::DeadlineQueue;
 use crate::decide::part_budget::START_DIVISOR;
 use crate::decide::slow_start::Warming;
 use crate::decide::{Hold, LatencyLimits, OutlierDetector, PartBudget, RetryBudget};
 use crate::fleet::{Fleet, Replica};
-use crate::held_queue::HeldQueue;
 use crate::samples::Sample;
 use crate::unloaded_latency::UnloadedLatency;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,65 +20,96 @@
 /// What is known of one replica.
 #[derive(Default)]
 pub(crate) struct Known {
-    pub hold: Hold,
-    pub loaded: VecDeque<Sample>,
-    pub health: OutlierDetector<QueryTypeId>,
-    pub warming: Warming,
+    /// Backpressure after full or timed-out answers.
+    pub(crate) hold: Hold,
+    /// Latest latencies, with queues.
+    pub(crate) loaded: VecDeque<Sample>,
+    /// Outlier ejection.
+    pub(crate) health: OutlierDetector<QueryTypeId>,
+    /// Slow start.
+    pub(crate) warming: Warming,
+}
+
+/// How a part at a zone ended.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ZoneOutcome {
+    /// When it ended (seconds).
+    pub(crate) at: f64,
+    /// Whether it was lost: without an answer, or far too late.
+    pub(crate) is_lost: bool,
+}
+
+/// What is remembered of a search that has arrived.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ArrivalRecord {
+    /// Its value, divided by the number of its parts.
+    pub(crate) value_per_part: f64,
+    /// Who asked.
+    pub(crate) tenant: TenantId,
 }
 
 /// What one co-ordinator has to decide by.
 pub struct Balancer {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: oorandom::Rand64,
     pub(crate) fleet: Fleet<Known>,
-    pub(crate) capacity: VecDeque<Sample>, // of all open replicas of late, in warm ones
+    /// Recent capacity of all open replicas, in warm replicas.
+    pub(crate) capacity: VecDeque<Sample>,
+    /// Health of each zone.
     pub(crate) zones: BTreeMap<ZoneId, OutlierDetector<()>>,
+    /// What the tier has agreed on about zones, while this co-ordinator is connected to it.
     pub(crate) zone_failover: Option<ZoneFailoverState>,
-    pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<(f64, bool)>>, // of the latest parts, and whether lost
-    pub(crate) held: HeldQueue<ReplicaId, (SearchId, PartId)>,
+    /// The latest outcomes of each zone, oldest first.
+    pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<ZoneOutcome>>,
+    /// Parts that wait for their replica.
+    pub(crate) queue: DeadlineQueue<ReplicaId, (SearchId, PartId)>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
     pub(crate) budget: PartBudget,
-    pub(crate) shortest: f64, // latency target
+    /// The shortest latency target of all query types, in seconds.
+    pub(crate) shortest: f64,
     pub(crate) limits: LatencyLimits,
     pub(crate) retries: RetryBudget,
-    pub(crate) arrivals: VecDeque<(f64, TenantId)>, // value a part of the latest searches, and their tenants
-    /// The plan in hand.
+    /// The latest searches.
+    pub(crate) arrivals: VecDeque<ArrivalRecord>,
+    /// The plan that is being made.
     pub(crate) plan: Plan,
-    pub(crate) times_left: Vec<VecDeque<f64>>, // that the latest searches of each query type came with
+    /// Time left of the latest searches of each query type at their arrival, in seconds.
+    pub(crate) times_left: Vec<VecDeque<f64>>,
 }
 
 impl Balancer {
     /// A co-ordinator that knows no replica yet.
-    pub fn new(set: Settings) -> Self {
-        let shortest = set.shortest_target();
+    pub fn new(settings: Settings) -> Self {
+        let shortest = settings.shortest_target();
         Balancer {
-            rng: oorandom::Rand64::new(u128::from(set.seed)),
-            fleet: Fleet::new(set.cells, set.span),
+            rng: oorandom::Rand64::new(u128::from(settings.seed)),
+            fleet: Fleet::new(settings.cells, settings.span),
             capacity: VecDeque::new(),
             zones: BTreeMap::new(),
             zone_failover: None,
             zone_outcomes: BTreeMap::new(),
-            held: HeldQueue::default(),
+            queue: DeadlineQueue::default(),
             unloaded: UnloadedLatency::new(shortest / START_DIVISOR),
             budget: PartBudget::default(),
             shortest,
             limits: LatencyLimits::new(shortest),
-            retries: RetryBudget::new(&set),
+            retries: RetryBudget::new(&settings),
             arrivals: VecDeque::new(),
-            times_left: vec![VecDeque::new(); set.query_types.len()],
+            times_left: vec![VecDeque::new(); settings.query_types.len()],
             plan: Plan::default(),
-            set,
+            settings,
         }
     }
 
-    /// The list names these; a full one names all there are. A replica that is not open gets nothing new from
-    /// this call on; a new process is cold, and nothing known of the old one holds for it.
+    /// Takes in the endpoint list, or changes of it. A `full` list names all replicas. A replica that isn't
+    /// open gets nothing new from this call on. A new process is warming up, and nothing that was known of the
+    /// old one counts for it.
     pub fn list(&mut self, full: bool, lines: &[Listed]) {
-        let gone = self.fleet.list(full, lines, |line| {
+        let departed = self.fleet.list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
             let warming = Warming::new(
                 &line.replica,
-                self.set.coordinator_index,
+                self.settings.coordinator_index,
                 self.rng.rand_float(),
             );
             Known {
@@ -83,61 +117,61 @@
                 ..Known::default()
             }
         });
-        gone.iter().for_each(|id| self.forget(id));
+        departed.iter().for_each(|id| self.forget(id));
     }
 
     /// Forgets a replica that is not open and has nothing in flight any more.
-    pub(crate) fn forget_if_gone(&mut self, id: &ReplicaId) {
+    pub(crate) fn forget_if_departed(&mut self, id: &ReplicaId) {
         if self.fleet.forget(id) {
             self.forget(id);
         }
     }
 
-    /// One that comes back is met as a stranger.
-    fn forget(&mut self, gone: &ReplicaId) {
-        self.held.forget(gone);
-        self.unloaded.forget(gone);
+    /// Nothing of a departed replica counts if it comes back.
+    fn forget(&mut self, departed: &ReplicaId) {
+        self.queue.forget(departed);
+        self.unloaded.forget(departed);
     }
 
-    /// Where to send this search: called when it or its second step arrives, and whenever `wait` is over.
+    /// Where to send this search. Called when it or its second step arrives, and whenever `wait` is over.
     pub fn place(&mut self, now: f64, search: &mut Search) -> Plan {
         self.decide(now, search);
         std::mem::take(&mut self.plan)
     }
 
-    /// The client has left: nothing is owed any more.
+    /// The client has disconnected: nothing more is owed to it.
     pub fn client_left(&mut self, search: &mut Search) -> Plan {
         self.close(search, None);
         std::mem::take(&mut self.plan)
     }
 
-    /// What was asked of each cold replica so far, and whether it was sent any within the rule's window.
+    /// The demand on each replica that is warming up.
     pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
-        let Some(rule) = &self.set.slow_start else {
+        let Some(config) = &self.settings.slow_start else {
             return Vec::new();
         };
-        let sight = |(id, r): (&ReplicaId, &Replica<Known>)| {
-            let sent = r
-                .state
-                .warming
-                .sends
-                .back()
-                .is_some_and(|t| *t > now - rule.overload_window);
-            let cold = r.open && r.ready_at.is_some_and(|at| now < at + rule.duration);
-            cold.then(|| SlowStartDemand {
+        let demand = |(id, replica): (&ReplicaId, &Replica<Known>)| {
+            let warming = &replica.state.warming;
+            let is_warming = replica.open
+                && replica
+                    .ready_at
+                    .is_some_and(|at| now < at + config.duration);
+            is_warming.then(|| SlowStartDemand {
                 replica: id.clone(),
-                suppressed: r.state.warming.suppressed.get(),
-                sent,
+                suppressed: warming.suppressed.get(),
+                sent: warming
+                    .sends
+                    .back()
+                    .is_some_and(|at| *at > now - config.overload_window),
             })
         };
-        self.fleet.iter().filter_map(sight).collect()
+        self.fleet.iter().filter_map(demand).collect()
     }
 
-    /// The tier has shared out what a cold replica bears: so many times its even share is this one's.
+    /// The tier has allocated the quota of a warming replica: this co-ordinator has `times` its even share.
     pub fn quota_share(&mut self, replica: &ReplicaId, times: f64) {
-        self.fleet
-            .get_mut(replica)
-            .into_iter()
-            .for_each(|r| r.state.warming.quota_share = Some(times));
+        if let Some(replica) = self.fleet.get_mut(replica) {
+            replica.state.warming.quota_share = Some(times);
+        }
     }
 }
--- a/crates/routing/src/held_queue.rs
+++ b/crates/routing/src/deadline_queue.rs
@@ -4,19 +4,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A queue of held calls `C` for each replica `R`. Late ones keep their turn: an early deadline goes first.
-pub struct HeldQueue<R, C> {
+pub struct DeadlineQueue<R, C> {
     calls: BTreeMap<R, BTreeSet<(i64, C)>>,
 }
 
-impl<R: Ord + Clone, C: Ord + Copy> Default for HeldQueue<R, C> {
+impl<R: Ord + Clone, C: Ord + Copy> Default for DeadlineQueue<R, C> {
     fn default() -> Self {
-        HeldQueue {
+        DeadlineQueue {
             calls: BTreeMap::new(),
         }
     }
 }
 
-impl<R: Ord + Clone, C: Ord + Copy> HeldQueue<R, C> {
+impl<R: Ord + Clone, C: Ord + Copy> DeadlineQueue<R, C> {
     fn key(deadline: f64, call: C) -> (i64, C) {
         ((deadline * 1e6) as i64, call) // microseconds have an order
     }
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -1,106 +1,154 @@
-//! What is known of a search on its arrival: whether it is a retry, and whether it is worth taking.
+//! Admission of a search on its arrival: whether it is a client's retry, and whether to shed it.
 
 use super::Balancer;
-use crate::api::*;
+use crate::api::{QueryType, ReplicaId, Search};
+use crate::balancer::ArrivalRecord;
 use crate::samples::{push, quantile};
 
+/// Latest searches of each query type whose time left is remembered: some seconds of traffic, in which retries
+/// scatter.
+const REMEMBERED_TIMES_LEFT: usize = 64;
+/// Latest searches whose value and tenant are remembered.
+const REMEMBERED_ARRIVALS: usize = 64;
+/// Two times left are alike within this many seconds: what jitter on the network does to them.
+const ALIKE_WITHIN: f64 = 0.01;
+/// Latest searches among which a time left has to recur. Two retries of so many that are alike are rare over
+/// client timeouts of seconds.
+const RECURRENCE_WINDOW: usize = 16;
+/// A retry's time left differs from that of first attempts by more than this many seconds: more than clocks and
+/// links differ by, less than any client's pause before a retry.
+const RETRY_DIFFERENCE: f64 = 0.05;
+/// A tenant is over its share beyond this multiple of it.
+const OVER_SHARE: f64 = 1.5;
+/// A search of average value is admitted with this chance: below it, it costs others more than it is likely to
+/// bring.
+const ADMISSION_CHANCE: f64 = 0.5;
+
 impl Balancer {
-    /// Notes a new search, and when its client first asked (docs/design.md, exception 2). First tries have
-    /// the most common time left, or one a quarter as common, or under the target and seen again of late.
-    pub(super) fn arrive(&mut self, search: &mut Search, t: &QueryType) {
-        let left = search.client_deadline - search.arrived;
+    /// Records a new search, and estimates when its client first asked (docs/design.md, exception 2). First
+    /// attempts have the most common time left, or one a quarter as common, or one that is under the latency
+    /// target and has recurred recently.
+    pub(super) fn arrive(&mut self, search: &mut Search, query_type: &QueryType) {
+        let time_left = search.client_deadline - search.arrived;
         let seen = &mut self.times_left[search.query_type.0];
         if search.repeated != Some(true) {
-            push(seen, left, 64); // some seconds of traffic, in which retries scatter
+            push(seen, time_left, REMEMBERED_TIMES_LEFT);
         }
-        // 10 ms: what jitter on the way does to a time left.
-        let alike = |x: &f64| seen.iter().filter(|y| (*y - x).abs() < 0.01).count();
-        let first = seen.iter().copied().max_by_key(alike).unwrap_or(left);
-        // 16: two retries of so many that lie within 10 ms are rare over client timeouts of seconds.
-        let lately = seen
+        let is_alike = |a: &f64, b: &f64| (b - a).abs() < ALIKE_WITHIN;
+        let count_alike = |x: &f64| seen.iter().filter(|y| is_alike(x, y)).count();
+        let most_common = seen
+            .iter()
+            .copied()
+            .max_by_key(count_alike)
+            .unwrap_or(time_left);
+        let recent = seen
             .iter()
             .rev()
-            .take(16)
-            .filter(|y| (*y - left).abs() < 0.01)
+            .take(RECURRENCE_WINDOW)
+            .filter(|y| is_alike(&time_left, y))
             .count();
-        let recurs = (left < t.latency_target && lately > 1) || 4 * alike(&left) >= alike(&first);
-        // 50 ms: more than clocks and links differ by, less than any client's pause before a retry.
-        let retry = search.repeated != Some(false) && !recurs && (left - first).abs() > 0.05;
-        search.first_asked_at = Some(
-            search.arrived
-                - if retry {
-                    (t.client_timeout - left).max(0.0)
-                } else {
-                    0.0
-                },
-        );
-        push(
-            &mut self.arrivals,
-            (t.value / search.parts.len().max(1) as f64, search.tenant),
-            64,
-        );
+        let recurs = (time_left < query_type.latency_target && recent > 1)
+            || 4 * count_alike(&time_left) >= count_alike(&most_common);
+        let is_retry = search.repeated != Some(false)
+            && !recurs
+            && (time_left - most_common).abs() > RETRY_DIFFERENCE;
+        let age = if is_retry {
+            (query_type.client_timeout - time_left).max(0.0)
+        } else {
+            0.0
+        };
+        search.first_asked_at = Some(search.arrived - age);
+        let arrival = ArrivalRecord {
+            value_per_part: query_type.value / search.parts.len().max(1) as f64,
+            tenant: search.tenant,
+        };
+        push(&mut self.arrivals, arrival, REMEMBERED_ARRIVALS);
         self.retries.taken(search.arrived, 1);
     }
 
-    /// Whether its replicas give a search too little chance to make its target (docs/design.md, exception 4):
-    /// less is enough for one worth more than the average a part, more is asked of a tenant over its share.
-    pub(super) fn sheds(&mut self, now: f64, target: f64, q: &Search, at: &[ReplicaId]) -> bool {
-        let t = &self.set.query_types[q.query_type.0];
-        let tries = if self.limits.overloaded || !self.retries.has_room(now) {
+    /// Whether a search has too little chance to meet its target at the replicas chosen for its parts
+    /// (docs/design.md, exception 4). A smaller chance is enough for a search of more than the average value
+    /// per part; a tenant over its share needs a greater one.
+    pub(super) fn sheds(
+        &mut self,
+        now: f64,
+        target: f64,
+        search: &Search,
+        chosen: &[ReplicaId],
+    ) -> bool {
+        let query_type = &self.settings.query_types[search.query_type.0];
+        let attempts = if self.limits.overloaded || !self.retries.has_room(now) {
             1
         } else {
             2
         };
-        let chance = |id| 1.0 - (1.0 - self.chance(now, id, target - now)).powi(tries);
-        let mut chances: Vec<f64> = at.iter().map(chance).collect();
+        let part_chance = |id| 1.0 - (1.0 - self.chance(now, id, target - now)).powi(attempts);
+        let mut chances: Vec<f64> = chosen.iter().map(part_chance).collect();
         chances.sort_by(|a, b| b.total_cmp(a));
-        let needed = (t.minimum_weight * chances.len() as f64).ceil() as usize;
+        let needed = (query_type.minimum_weight * chances.len() as f64).ceil() as usize;
         let chance: f64 = chances.iter().take(needed).product();
-        let n = self.arrivals.len() as f64;
-        let mean = self.arrivals.iter().map(|a| a.0).sum::<f64>() / n;
-        let own = self.arrivals.iter().filter(|a| a.1 == q.tenant).count() as f64 / n;
+        let value = self.relative_value(search, query_type);
+        chance < ADMISSION_CHANCE / (value / search.parts.len().max(1) as f64).clamp(0.6, 2.0)
+    }
+
+    /// The value of a search as a multiple of the average value per part of the latest ones.
+    fn relative_value(&self, search: &Search, query_type: &QueryType) -> f64 {
+        let count = self.arrivals.len() as f64;
+        let total: f64 = self
+            .arrivals
+            .iter()
+            .map(|arrival| arrival.value_per_part)
+            .sum();
+        let mean = total / count;
+        let of_tenant = |arrival: &&ArrivalRecord| arrival.tenant == search.tenant;
+        let own_share = self.arrivals.iter().filter(of_tenant).count() as f64 / count;
         let is_over_share = self
-            .set
+            .settings
             .tenants
-            .get(q.tenant.0)
-            .is_some_and(|share| own > 1.5 * share);
-        let value = if is_over_share {
-            self.set.over_share_value
+            .get(search.tenant.0)
+            .is_some_and(|share| own_share > OVER_SHARE * share);
+        let multiple = if is_over_share {
+            self.settings.over_share_value
         } else {
             1.0
-        } * t.value
-            / mean.max(1e-9);
-        // Half: below it a search of average worth costs others more than it is likely to bring.
-        chance < 0.5 / (value / q.parts.len().max(1) as f64).clamp(0.6, 2.0)
+        };
+        multiple * query_type.value / mean.max(1e-9)
     }
 
-    /// The chance that a part sent now is answered within `left`: unloaded samples put off by the queue.
-    /// Answers tell of a queue only once it has passed, so what is in flight counts by its age.
-    fn chance(&self, now: f64, id: &ReplicaId, left: f64) -> f64 {
+    /// The chance that a part that is sent now is answered within `time_left` seconds: unloaded samples,
+    /// delayed by the replica's queue. Answers show a queue only once it has passed, so that what is in flight
+    /// counts by its age.
+    fn chance(&self, now: f64, id: &ReplicaId, time_left: f64) -> f64 {
         let since = now - self.limits.memory();
-        let Some(r) = self
+        let Some(replica) = self
             .fleet
             .get(id)
-            .filter(|r| !r.state.health.all_failed(since))
+            .filter(|replica| !replica.state.health.all_failed(since))
         else {
             return 0.0;
         };
-        let samples = self.unloaded.samples(now, self.judged(id));
+        let samples = self.unloaded.samples(now, self.with_own_samples(id));
         if samples.is_empty() {
             return 1.0;
         }
-        let fresh = r
+        let recent = replica
             .state
             .loaded
             .iter()
             .rev()
             .take(4)
-            .filter(|s| s.at > since)
-            .map(|s| s.value)
+            .filter(|sample| sample.at > since)
+            .map(|sample| sample.value)
             .collect();
-        let seen = quantile(fresh, 0.5).unwrap_or(0.0).max(r.oldest(now));
-        // Half as much again: the queue grows while the answers that tell of it are on their way.
+        let seen = quantile(recent, 0.5)
+            .unwrap_or(0.0)
+            .max(replica.oldest(now));
+        // Half as much again: the queue grows while the answers that show it are on their way.
         let queue = 1.5 * (seen - quantile(samples.clone(), 0.5).unwrap_or(0.0)).max(0.0);
-        samples.iter().filter(|x| **x + queue <= left).count() as f64 / samples.len() as f64
+        let in_time = samples
+            .iter()
+            .filter(|sample| **sample + queue <= time_left)
+            .count();
+        in_time as f64 / samples.len() as f64
     }
 }
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -1,151 +1,192 @@
-//! The health of replicas and of the ways to zones, by own calls and by what the tier decides in common.
+//! The health of replicas and zones, by this co-ordinator's own calls and by what the tier has agreed on.
 
-use super::{Balancer, Change, EjectionConfig, Known, Observation, OutlierDetector};
+use super::{Balancer, EjectionConfig, Known, Observation, OutlierDetector};
+use crate::api::{Ending, Outcome, ReplicaId, ZoneFailoverState, ZoneHealth, ZoneId};
+use crate::balancer::ZoneOutcome;
 use crate::fleet::{InFlight, Replica};
-use crate::{api::*, samples::push};
+use crate::samples::push;
 use std::collections::BTreeMap;
 
-const REPLICA_RULE: EjectionConfig = EjectionConfig {
+/// Number of latest outcomes that are kept of each zone, and the most that are reported.
+const ZONE_OUTCOMES: usize = 6;
+/// Seconds for which an outcome can be part of a zone's run of losses.
+const RUN_WINDOW: f64 = 6.0;
+/// Seconds for which an outcome counts otherwise.
+const OUTCOME_WINDOW: f64 = 2.0;
+/// Ejection of a replica.
+const REPLICA_EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     least: 2,
 };
-const ZONE_RULE: EjectionConfig = EjectionConfig {
+/// Ejection of a zone.
+const ZONE_EJECTION: EjectionConfig = EjectionConfig {
     window: 32,
     least: 8,
 };
 
 impl Balancer {
-    /// Takes in the end of a call. A way that is cut or lossy makes all of a zone bad, each replica known by
-    /// too few outcomes: those of replicas that are not ejected themselves count for it.
-    pub(super) fn observe(&mut self, now: f64, o: &Outcome, call: &InFlight, failed: bool) {
-        let word = |change| {
-            if change == Change::Ejected {
-                "distrusted"
-            } else {
-                "trusted again"
-            }
-        };
-        let Some(r) = self.fleet.get_mut(&o.replica) else {
+    /// Records the end of a call at its replica and at its zone. A zone that is cut off, or whose links lose
+    /// much, makes all of its replicas fail while each is known by too few outcomes; so the outcomes of
+    /// replicas that are not ejected themselves count for their zone.
+    pub(super) fn observe(&mut self, now: f64, outcome: &Outcome, call: &InFlight, failed: bool) {
+        let Some(replica) = self.fleet.get_mut(&outcome.replica) else {
             return;
         };
         let (sent_at, class) = (call.sent_at, call.query_type);
-        let (silent, ejected) = (
-            r.answered_at < sent_at,
-            r.state.health.is_ejected_for(class),
-        );
-        let call = Observation {
+        let has_answered_since = replica.answered_at >= sent_at;
+        let was_ejected = replica.state.health.is_ejected_for(class);
+        let observation = Observation {
             at: now,
             sent_at,
             class,
             failed,
         };
-        if let Some(change) = r.state.health.observe(REPLICA_RULE, call) {
+        let change = replica.state.health.observe(REPLICA_EJECTION, observation);
+        let zone = replica.zone;
+        if let Some(change) = change {
             self.plan
                 .notes
-                .push(format!("replica {} {}", o.replica.0, word(change)));
+                .push(format!("replica {} {}", outcome.replica.0, change.as_str()));
+        }
+        if let Some(zone) = zone {
+            self.record_zone_outcome(now, zone, outcome, has_answered_since);
+            if !was_ejected {
+                self.observe_zone(zone, now, sent_at, failed);
+            }
         }
-        let Some(zone) = r.zone else { return };
-        // A busy zone must not seem lost: half the target, or a quarter where nothing has come since.
-        let slow = o.latency > self.shortest / if silent { 4.0 } else { 2.0 };
-        let lost = slow
+    }
+
+    /// Records whether a part was lost in a zone. A busy zone must not seem lost, so that a slow answer counts
+    /// only from half of the latency target on, or from a quarter where nothing has come since it was sent.
+    fn record_zone_outcome(
+        &mut self,
+        now: f64,
+        zone: ZoneId,
+        outcome: &Outcome,
+        has_answered_since: bool,
+    ) {
+        let divisor = if has_answered_since { 2.0 } else { 4.0 };
+        let is_slow = outcome.latency > self.shortest / divisor;
+        let is_lost = is_slow
             || !matches!(
-                o.ending,
+                outcome.ending,
                 Ending::Answered | Ending::Cancelled | Ending::Full
             );
-        if lost || o.ending == Ending::Answered {
-            push(self.zone_outcomes.entry(zone).or_default(), (now, lost), 6);
+        if is_lost || outcome.ending == Ending::Answered {
+            let outcomes = self.zone_outcomes.entry(zone).or_default();
+            push(outcomes, ZoneOutcome { at: now, is_lost }, ZONE_OUTCOMES);
         }
-        let call = Observation {
+    }
+
+    /// Records a call's end for the outlier ejection of its zone.
+    fn observe_zone(&mut self, zone: ZoneId, now: f64, sent_at: f64, failed: bool) {
+        let observation = Observation {
             at: now,
             sent_at,
             class: (),
             failed,
         };
-        let way = self.zones.entry(zone).or_default();
-        if !ejected && let Some(change) = way.observe(ZONE_RULE, call) {
+        let health = self.zones.entry(zone).or_default();
+        if let Some(change) = health.observe(ZONE_EJECTION, observation) {
             self.plan
                 .notes
-                .push(format!("way to zone {} {}", zone.0, word(change)));
+                .push(format!("zone {} {}", zone.0, change.as_str()));
         }
     }
 
-    /// What the tier has decided in common, if it is met: each sees too little of a lost zone.
-    pub fn zone_failover(&mut self, now: f64, decided: Option<ZoneFailoverState>) {
-        for (zone, share) in decided.iter().flat_map(|z| &z.shares) {
-            let was_out = self.share(Some(*zone)) <= 0.0;
-            let way = self.zones.entry(*zone).or_default();
+    /// Takes over what the tier has agreed on about zones, if this co-ordinator is connected to it. A single
+    /// co-ordinator observes too little of a zone that is lost.
+    pub fn zone_failover(&mut self, now: f64, agreed: Option<ZoneFailoverState>) {
+        for (zone, share) in agreed.iter().flat_map(|state| &state.shares) {
+            let was_ejected = self.share(Some(*zone)) <= 0.0;
+            let health = self.zones.entry(*zone).or_default();
             if *share <= 0.0 {
-                way.eject(now, None); // with trials, as by its own judgement
-            } else if was_out {
-                *way = OutlierDetector::default();
+                health.eject(now, None); // with probes, as by its own judgement
+            } else if was_ejected {
+                *health = OutlierDetector::default();
             }
         }
-        self.zone_failover = decided;
+        self.zone_failover = agreed;
     }
 
-    /// The share of its traffic that a zone may have.
+    /// The share of its traffic that a zone may have, from 0 to 1.
     pub(super) fn share(&self, zone: Option<ZoneId>) -> f64 {
         self.zone_failover
             .as_ref()
             .zip(zone)
-            .and_then(|(z, id)| z.shares.get(&id))
+            .and_then(|(state, zone)| state.shares.get(&zone))
             .copied()
             .unwrap_or(1.0)
     }
 
-    pub(super) fn way(&self, r: &Replica<Known>) -> Option<&OutlierDetector<()>> {
-        r.zone.and_then(|zone| self.zones.get(&zone))
+    /// The health of the replica's zone, once something is known of it.
+    pub(super) fn zone_of(&self, replica: &Replica<Known>) -> Option<&OutlierDetector<()>> {
+        replica.zone.and_then(|zone| self.zones.get(&zone))
     }
 
-    /// Whether the way to its zone is ejected.
-    pub(super) fn is_cut_off(&self, r: &Replica<Known>) -> bool {
-        self.share(r.zone) <= 0.0 || self.way(r).is_some_and(|way| way.is_ejected())
+    /// Whether the replica's zone is ejected.
+    pub(super) fn is_zone_ejected(&self, replica: &Replica<Known>) -> bool {
+        self.share(replica.zone) <= 0.0
+            || self
+                .zone_of(replica)
+                .is_some_and(OutlierDetector::is_ejected)
     }
 
-    /// Whether the replica or the way to it is ejected, for any query type.
-    pub(super) fn is_ejected(&self, r: &Replica<Known>) -> bool {
-        r.state.health.is_ejected() || self.is_cut_off(r)
+    /// Whether the replica or its zone is ejected, for any query type.
+    pub(super) fn is_ejected(&self, replica: &Replica<Known>) -> bool {
+        replica.state.health.is_ejected() || self.is_zone_ejected(replica)
     }
 
-    /// The replica, if its own samples count: one that is ejected or forgotten counts as average.
-    pub(super) fn judged<'a>(&self, id: &'a ReplicaId) -> Option<&'a ReplicaId> {
-        Some(id).filter(|id| self.fleet.get(id).is_some_and(|r| !self.is_ejected(r)))
+    /// The replica, if its own latency samples count. One that is ejected or forgotten counts as average.
+    pub(super) fn with_own_samples<'a>(&self, id: &'a ReplicaId) -> Option<&'a ReplicaId> {
+        let replica = self.fleet.get(id)?;
+        (!self.is_ejected(replica)).then_some(id)
     }
 
-    /// Has answered nothing since it took a part that is due a hedge by now.
-    pub(super) fn is_silent(&self, now: f64, r: &Replica<Known>) -> bool {
-        r.unanswered(now + 1e-6, self.limits.hedge_after) > 0
+    /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
+    pub(super) fn is_unresponsive(&self, now: f64, replica: &Replica<Known>) -> bool {
+        replica.unanswered(now + 1e-6, self.limits.hedge_after) > 0
     }
 
-    /// What the tier wants to know: the last six parts of each zone within 2 s, or the run of bad ones up to
-    /// now, as the good ones before it say nothing of a zone that has just been lost.
+    /// What the tier is told of each zone: the latest parts, or the run of losses up to now where there is
+    /// one, as the answers before it say nothing of a zone that has just been lost.
     pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
-        let mut all: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
-        for (r, zone) in self.fleet.iter().filter_map(|(_, r)| Some((r, r.zone?))) {
-            let of = all.entry(zone).or_default();
-            *of = (
-                of.0 + r.unanswered(now, self.shortest / 4.0),
-                of.1 + self.capacity_of(now, r),
-            );
+        let mut overdue_and_capacity: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
+        for (_, replica) in self.fleet.iter() {
+            let Some(zone) = replica.zone else { continue };
+            let (overdue, capacity) = overdue_and_capacity.entry(zone).or_default();
+            *overdue += replica.unanswered(now, self.shortest / 4.0);
+            *capacity += self.capacity_of(now, replica);
         }
-        let sight = |(zone, (overdue, capacity)): (ZoneId, (usize, f64))| {
-            let outcomes = self.zone_outcomes.get(&zone).into_iter().flatten().rev();
-            let ended = || outcomes.clone().take_while(|x| x.0 > now - 6.0);
-            let run = (overdue + ended().take_while(|x| x.1).count()).min(6);
-            let fresh = || ended().take_while(|x| x.0 > now - 2.0);
-            let bads = overdue + fresh().filter(|x| x.1).count();
-            let (seen, bad) = if run > 1 {
-                (run, run)
-            } else {
-                (overdue + fresh().count(), bads)
-            };
-            ZoneHealth {
-                zone,
-                seen,
-                bad,
-                capacity,
-            }
+        overdue_and_capacity
+            .into_iter()
+            .map(|(zone, (overdue, capacity))| {
+                let (seen, failed) = self.recent_outcomes(now, zone, overdue);
+                ZoneHealth {
+                    zone,
+                    seen,
+                    failed,
+                    capacity,
+                }
+            })
+            .collect()
+    }
+
+    /// How many parts count of a zone and how many of them were lost, with `overdue` parts in flight.
+    fn recent_outcomes(&self, now: f64, zone: ZoneId, overdue: usize) -> (usize, usize) {
+        let outcomes = self.zone_outcomes.get(&zone).into_iter().flatten().rev();
+        let recent = || {
+            outcomes
+                .clone()
+                .take_while(|outcome| outcome.at > now - RUN_WINDOW)
         };
-        all.into_iter().map(sight).collect()
+        let run = overdue + recent().take_while(|outcome| outcome.is_lost).count();
+        let run = run.min(ZONE_OUTCOMES);
+        if run > 1 {
+            return (run, run);
+        }
+        let fresh = || recent().take_while(|outcome| outcome.at > now - OUTCOME_WINDOW);
+        let lost = fresh().filter(|outcome| outcome.is_lost).count();
+        (overdue + fresh().count(), overdue + lost)
     }
 }
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -1,7 +1,7 @@
 //! Parts in flight: those that are called off, and trials of ejected replicas.
 
 use super::{Balancer, Known};
-use crate::{api::*, fleet::Replica};
+use crate::{api::{Search, Attempt, ReplicaId}, fleet::Replica};
 
 /// In flight so many times `late_after`: called off where hedges are barred. Of 0.7 to 3, on days with hangs.
 const CALL_OFF: f64 = 1.5;
@@ -9,13 +9,13 @@
 impl Balancer {
     /// Where hedges are barred, a part that waits on a hung replica is called off, if another holder can
     /// still make the target: it goes there once the outcome is in.
-    pub(super) fn call_off(&mut self, now: f64, target: f64, q: &Search, i: usize) {
-        let part = &q.parts[i];
-        let spent = part.attempts.len() >= self.set.max_attempts;
-        if self.set.hedging_allowed
-            || !self.set.cancellation_allowed
+    pub(super) fn call_off(&mut self, now: f64, target: f64, search: &Search, i: usize) {
+        let part = &search.parts[i];
+        let spent = part.attempts.len() >= self.settings.max_attempts;
+        if self.settings.hedging_allowed
+            || !self.settings.cancellation_allowed
             || spent
-            || !self.may_double(now, q, part)
+            || !self.may_double(now, search, part)
         {
             return;
         }
@@ -29,7 +29,7 @@
             .fleet
             .holders(part.shard)
             .find(|(id, _)| !part.tried(id));
-        let fits = other.is_some_and(|(id, _)| target - now > self.tail(now, q, id));
+        let fits = other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
         if !fits || !part.waiting().all(|(_, s)| late(s) && silent(s)) {
             return;
         }
@@ -46,20 +46,20 @@
 
     /// A trial: a second sub-request of a part in flight, to an ejected holder with nothing in flight, so
     /// that no search waits on it. Where hedges are barred, one is used once the others are no better.
-    pub(super) fn send_trial(&mut self, now: f64, until: f64, q: &mut Search, i: usize) {
-        let (part, class) = (&q.parts[i], q.query_type);
-        if !self.set.hedging_allowed
-            || !self.may_double(now, q, part)
+    pub(super) fn send_probe(&mut self, now: f64, until: f64, search: &mut Search, i: usize) {
+        let (part, class) = (&search.parts[i], search.query_type);
+        if !self.settings.hedging_allowed
+            || !self.may_double(now, search, part)
             || !self.retries.has_room(now)
         {
             return;
         }
         // A replica's own ejection goes first: its zone's trials are for the others.
         let ready = |(id, r): &(&ReplicaId, &Replica<Known>)| {
-            let (own, way) = (&r.state.health, self.way(r));
-            let way_due = || way.is_some_and(|way| way.trial_due(now, ()));
+            let (own, way) = (&r.state.health, self.zone_of(r));
+            let way_due = || way.is_some_and(|way| way.probe_due(now, ()));
             let due = if own.is_ejected_for(class) {
-                own.trial_due(now, class)
+                own.probe_due(now, class)
             } else {
                 way_due()
             };
@@ -77,10 +77,10 @@
             return;
         };
         if r.state.health.is_ejected_for(class) {
-            r.state.health.trial_sent(now);
+            r.state.health.probe_sent(now);
         } else if let Some(way) = r.zone.and_then(|zone| self.zones.get_mut(&zone)) {
-            way.trial_sent(now);
+            way.probe_sent(now);
         }
-        self.send(now, until, q, i, id);
+        self.send(now, until, search, i, id);
     }
 }
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -71,7 +71,7 @@
 
     /// Overloaded: answers take, at the lower quartile, over 1.5 times the unloaded one and a thirtieth of
     /// the target more. Not the median: a slow way is no overload. Returns whether that has changed.
-    pub fn see_overload<R: Ord>(&mut self, now: f64, unloaded: &UnloadedLatency<R>) -> bool {
+    pub fn update_overload<R: Ord>(&mut self, now: f64, unloaded: &UnloadedLatency<R>) -> bool {
         let lower = |samples| quantile(samples, 0.25).unwrap_or(0.0);
         let plain = lower(unloaded.fleet());
         let limit = (1.5 * plain).max(plain + self.shortest / 30.0);
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -6,13 +6,13 @@
 
 const AGE: f64 = 10.0; // seconds: longer than sparse traffic needs for two, shorter than most troubles
 const CLASS_LEAST: usize = 3; // calls of one class that eject it, and of others that clear them
-const TRIALS: usize = 4; // successes in a row that end an ejection
+const PROBES: usize = 4; // successes in a row that end an ejection
 const LONGEST_GAP: f64 = 4.0; // seconds between trials
 
 struct Ejection<C> {
     only: Option<C>, // all classes if none
     since: f64,
-    next_trial: f64,
+    next_probe: f64,
     gap: f64,
     successes: usize,
 }
@@ -69,9 +69,9 @@
         if call.failed {
             (ejection.successes, ejection.gap) = (0, (ejection.gap * 2.0).min(LONGEST_GAP));
         } else {
-            (ejection.successes, ejection.next_trial) = (ejection.successes + 1, call.at);
+            (ejection.successes, ejection.next_probe) = (ejection.successes + 1, call.at);
         }
-        if ejection.successes < TRIALS {
+        if ejection.successes < PROBES {
             return None;
         }
         self.ejection = None;
@@ -84,7 +84,7 @@
         let ejection = Ejection {
             only,
             since: now,
-            next_trial: now + 1.0,
+            next_probe: now + 1.0,
             gap: 1.0,
             successes: 0,
         };
@@ -104,15 +104,15 @@
     }
 
     /// Whether a trial call of this class may be sent to the ejected one.
-    pub fn trial_due(&self, now: f64, class: C) -> bool {
-        self.is_ejected_for(class) && self.ejection.as_ref().is_some_and(|e| now >= e.next_trial)
+    pub fn probe_due(&self, now: f64, class: C) -> bool {
+        self.is_ejected_for(class) && self.ejection.as_ref().is_some_and(|e| now >= e.next_probe)
     }
 
     /// A trial has been sent: the next one comes a gap later, or at once if this one succeeds.
-    pub fn trial_sent(&mut self, now: f64) {
+    pub fn probe_sent(&mut self, now: f64) {
         self.ejection
             .iter_mut()
-            .for_each(|e| e.next_trial = now + e.gap);
+            .for_each(|e| e.next_probe = now + e.gap);
     }
 
     /// Whether all calls since then failed, three at least.
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,7 +1,7 @@
 //! Where the parts of a search go, and when they leave.
 
 use super::{Balancer, Candidates, Known, PartBudget};
-use crate::{api::*, fleet::Replica, samples::groups};
+use crate::{api::{ReplicaId, Search, Part, Attempt, Placement}, fleet::Replica, samples::groups};
 use std::collections::BTreeMap;
 
 type Counts = BTreeMap<ReplicaId, usize>;
@@ -26,17 +26,17 @@
 
 impl Balancer {
     /// A pick for each part of the step that has no answer, and nothing in flight that is not due a hedge.
-    pub(super) fn pick_all(&mut self, now: f64, until: f64, q: &Search) -> Vec<(usize, Pick)> {
+    pub(super) fn pick_all(&mut self, now: f64, until: f64, search: &Search) -> Vec<(usize, Pick)> {
         let (mut planned, mut picks) = (Counts::new(), Vec::new());
         let hedge_after = self.limits.hedge_after;
-        for (i, part) in q.step_parts().filter(|(_, p)| !p.answered) {
+        for (i, part) in search.step_parts().filter(|(_, p)| !p.answered) {
             if part
                 .waiting()
                 .any(|(_, s)| now < s.sent_at + hedge_after - 1e-9)
             {
                 continue;
             }
-            let pick = self.pick(now, until, q, part, &planned);
+            let pick = self.pick(now, until, search, part, &planned);
             if let Pick::Go(id) = &pick {
                 *planned.entry(id.clone()).or_default() += 1;
             }
@@ -45,10 +45,10 @@
         picks
     }
 
-    fn pick(&mut self, now: f64, until: f64, q: &Search, part: &Part, planned: &Counts) -> Pick {
+    fn pick(&mut self, now: f64, until: f64, search: &Search, part: &Part, planned: &Counts) -> Pick {
         let mut only = None;
         if !part.attempts.is_empty() {
-            match self.may_repeat(now, q, part) {
+            match self.may_repeat(now, search, part) {
                 Some((r, _)) if self.worth_repeating(now, part) => only = r,
                 _ => return Pick::Never,
             }
@@ -71,8 +71,8 @@
         let planned = |id: &ReplicaId| planned.get(id).copied().unwrap_or(0);
         at.require(|(id, r)| !self.exceeds_slow_start(now, r, planned(id)));
         at.prefer(|(id, _)| !part.tried(id));
-        at.prefer(|(_, r)| !self.is_cut_off(r));
-        at.prefer(|(_, r)| !r.state.health.is_ejected_for(q.query_type) && !self.is_silent(now, r));
+        at.prefer(|(_, r)| !self.is_zone_ejected(r));
+        at.prefer(|(_, r)| !r.state.health.is_ejected_for(search.query_type) && !self.is_unresponsive(now, r));
         at.prefer(|(_, r)| self.share(r.zone) > drawn);
         at.prefer(|(_, r)| self.limits.overloaded || !r.state.health.failed_last(now));
         // Own calls in flight, with `more` parts about to leave now: parts sent at one time share calls.
@@ -80,7 +80,7 @@
             let sent = r.in_flight.values().map(|x| x.sent_at);
             groups(
                 sent.chain(std::iter::repeat_n(now, planned(id) + more)),
-                self.set.parts_per_call,
+                self.settings.parts_per_call,
             )
         };
         let Some(least) = at.least(|r| calls(r, 0)) else {
@@ -101,14 +101,14 @@
             return none;
         };
         let (id, load) = (chosen.0.clone(), calls(&chosen, 0));
-        let hopeless = PartBudget::hopeless(until - now, self.tail(now, q, &id));
+        let hopeless = PartBudget::hopeless(until - now, self.tail(now, search, &id));
         // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
         if hopeless || (part.in_flight() && load > 0) {
             return Pick::Never;
         }
         let behind = self
-            .held
-            .is_behind(&id, q.queuing_deadline(), (q.id, part.id));
+            .queue
+            .is_behind(&id, search.queuing_deadline(), (search.id, part.id));
         if behind || chosen.1.state.hold.holds(load) {
             Pick::Hold(id)
         } else {
@@ -117,42 +117,42 @@
     }
 
     /// The replica's unloaded tail for a part of the step in hand.
-    pub(super) fn tail(&self, now: f64, q: &Search, id: &ReplicaId) -> f64 {
+    pub(super) fn tail(&self, now: f64, search: &Search, id: &ReplicaId) -> f64 {
         self.budget
-            .tail(now, &self.unloaded, self.judged(id), q.step_parts().count())
+            .tail(now, &self.unloaded, self.with_own_samples(id), search.step_parts().count())
     }
 
-    pub(super) fn act(&mut self, now: f64, until: f64, q: &mut Search, i: usize, pick: Pick) {
-        self.unhold(q, i);
-        let part = &q.parts[i];
+    pub(super) fn act(&mut self, now: f64, until: f64, search: &mut Search, i: usize, pick: Pick) {
+        self.dequeue(search, i);
+        let part = &search.parts[i];
         match pick {
             Pick::Go(_) if !part.attempts.is_empty() && !self.retries.has_room(now) => {}
-            Pick::Go(id) => self.send(now, until, q, i, id),
+            Pick::Go(id) => self.send(now, until, search, i, id),
             // A held hedge is pointless: its part is in flight already.
             Pick::Hold(id) if !part.in_flight() => {
-                self.held.insert(&id, q.queuing_deadline(), (q.id, part.id));
-                q.parts[i].held = Some(id);
+                self.queue.insert(&id, search.queuing_deadline(), (search.id, part.id));
+                search.parts[i].queued_at = Some(id);
             }
             _ => {}
         }
     }
 
-    pub(super) fn send(&mut self, now: f64, until: f64, q: &mut Search, i: usize, id: ReplicaId) {
+    pub(super) fn send(&mut self, now: f64, until: f64, search: &mut Search, i: usize, id: ReplicaId) {
         let begin_by = self
-            .may_repeat(now, q, &q.parts[i])
+            .may_repeat(now, search, &search.parts[i])
             .map_or(f64::INFINITY, |may| may.1);
-        let part = &mut q.parts[i];
+        let part = &mut search.parts[i];
         let Some(replica) = self.fleet.get_mut(&id) else {
             return;
         };
         if !part.attempts.is_empty() {
             self.retries.sent(now);
         }
-        replica.sent(now, part.id, part.attempts.len(), q.query_type);
+        replica.sent(now, part.id, part.attempts.len(), search.query_type);
         replica
             .state
             .warming
-            .sent(now, self.set.slow_start.as_ref());
+            .sent(now, self.settings.slow_start.as_ref());
         part.attempts.push(Attempt {
             replica: id.clone(),
             sent_at: now,
@@ -166,16 +166,16 @@
         });
     }
 
-    pub(super) fn unhold(&mut self, q: &mut Search, i: usize) {
-        if let Some(id) = q.parts[i].held.take() {
-            self.held
-                .remove(&id, q.queuing_deadline(), (q.id, q.parts[i].id));
-            self.next_held(&id);
+    pub(super) fn dequeue(&mut self, search: &mut Search, i: usize) {
+        if let Some(id) = search.parts[i].queued_at.take() {
+            self.queue
+                .remove(&id, search.queuing_deadline(), (search.id, search.parts[i].id));
+            self.reconsider_next(&id);
         }
     }
 
     /// Asks about the first part held at a replica as soon as it may go.
-    pub(super) fn next_held(&mut self, id: &ReplicaId) {
+    pub(super) fn reconsider_next(&mut self, id: &ReplicaId) {
         if self
             .fleet
             .get(id)
@@ -183,7 +183,7 @@
         {
             self.plan
                 .reconsider
-                .extend(self.held.first(id).map(|(search, _)| search));
+                .extend(self.queue.first(id).map(|(search, _)| search));
         }
     }
 }
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -3,7 +3,10 @@
 use super::Balancer;
 use super::placement::Pick;
 use crate::samples::{Sample, push};
-use crate::{api::*, fleet::InFlight, mutations::is_mutated};
+use crate::api::{
+    Attempt, Ending, Outcome, Plan, QueryType, Repeat, Reply, ReplicaId, Search,
+};
+use crate::{fleet::InFlight, mutations::is_mutated};
 
 const ROUNDING: f64 = 1e-4; // sums of weights may fall this short
 
@@ -13,14 +16,14 @@
         let call = self.record(now, outcome);
         self.limits.update(&self.unloaded, &self.budget);
         if let Some(search) = search {
-            search.ended(outcome);
+            search.record_outcome(outcome);
             self.decide(now, search);
         }
         // One called off frees no room at its replica: that it answers nothing is why.
         if !call.is_some_and(|c| c.called_off) {
-            self.next_held(&outcome.replica);
+            self.reconsider_next(&outcome.replica);
         }
-        self.forget_if_gone(&outcome.replica);
+        self.forget_if_departed(&outcome.replica);
         std::mem::take(&mut self.plan)
     }
 
@@ -40,7 +43,7 @@
             // Guards open with time alone, and a hedge may become affordable: look again soon.
             due = due.min(hedge_due.filter(|at| *at > now).unwrap_or(now + 0.1));
         }
-        (due - now).max(self.set.tick)
+        (due - now).max(self.settings.tick)
     }
 
     /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
@@ -48,7 +51,7 @@
         self.watch_capacity(now);
         let (late, ejected) = (
             o.latency > self.limits.late_after,
-            self.judged(&o.replica).is_none(),
+            self.with_own_samples(&o.replica).is_none(),
         );
         let replica = self.fleet.get_mut(&o.replica)?;
         let answered = o.ending == Ending::Answered;
@@ -85,20 +88,20 @@
     }
 
     /// The latency target of the step in hand, and the last moment at which an answer still earns value.
-    pub(super) fn target_and_deadline(&self, q: &Search) -> (f64, f64) {
-        let margin = 4.0 * self.set.tick; // one to be asked, one to reply, and the way to the client
-        let t = &self.set.query_types[q.query_type.0];
-        let end = q.client_deadline - margin;
-        let target = (q.first_asked_at.unwrap_or(q.arrived) + t.latency_target - margin).min(end);
+    pub(super) fn target_and_deadline(&self, search: &Search) -> (f64, f64) {
+        let margin = 4.0 * self.settings.tick; // one to be asked, one to reply, and the way to the client
+        let query_type = &self.settings.query_types[search.query_type.0];
+        let end = search.client_deadline - margin;
+        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target - margin).min(end);
         // A late answer costs as much as one in time: waited for only if it keeps over half its value.
-        let until = if t.late_value > 0.5 && !self.limits.overloaded {
+        let until = if query_type.late_value > 0.5 && !self.limits.overloaded {
             end
         } else {
             target
         };
         // Twice the unloaded tail of the second step: once alone its parts would be skipped on arrival.
-        let tail = self.budget.tail(0.0, &self.unloaded, None, t.second_step);
-        let reserve = if q.step == 1 && t.second_step > 0 {
+        let tail = self.budget.tail(0.0, &self.unloaded, None, query_type.second_step);
+        let reserve = if search.step == 1 && query_type.second_step > 0 {
             2.0 * tail
         } else {
             0.0
@@ -106,99 +109,95 @@
         (target - reserve, until)
     }
 
-    /// Sends, holds or ends what is due of a search.
-    pub(crate) fn decide(&mut self, now: f64, q: &mut Search) {
-        if q.finished {
+    /// Sends, queues or ends what is due of a search.
+    pub(crate) fn decide(&mut self, now: f64, search: &mut Search) {
+        if search.finished {
             return;
         }
-        let t = self.set.query_types[q.query_type.0].clone();
-        if self.limits.see_overload(now, &self.unloaded) {
-            let change = if self.limits.overloaded {
-                "begun"
-            } else {
-                "ended"
-            };
-            self.plan.notes.push(format!("overload {change}"));
-        }
-        if q.first_asked_at.is_none() {
-            self.arrive(q, &t);
-        }
-        let (target, until) = self.target_and_deadline(q);
-        if q.step_parts().next().is_none() {
-            if q.step == 1 || now >= until {
-                self.give_up(now, q);
+        self.note_overload(now);
+        let query_type = self.settings.query_types[search.query_type.0].clone();
+        if search.first_asked_at.is_none() {
+            self.arrive(search, &query_type);
+        }
+        let (target, until) = self.target_and_deadline(search);
+        if search.step_parts().next().is_none() {
+            if search.step == 1 || now >= until {
+                self.give_up(now, search);
             }
             return;
         }
-        let need = if q.step == 1 { t.complete_weight } else { 1.0 };
-        let come = q.answered_weight();
-        if come >= need - ROUNDING && (q.step == 1 || q.step_parts().all(|(_, p)| p.answered)) {
-            return self.close(
-                q,
-                Some(Reply::Answered {
-                    complete: q.step == 1 || q.first_step_complete,
-                }),
-            );
+        if is_step_complete(&query_type, search) {
+            let complete = search.step == 1 || search.first_step_complete;
+            return self.close(search, Some(Reply::Answered { complete }));
         }
-        let floor_met = come >= t.minimum_weight - ROUNDING
-            && come > 0.0
-            && t.minimum_weight < t.complete_weight;
-        if now >= until || (now >= target && floor_met) {
-            return self.give_up(now, q);
-        }
-        let first_look = q.queuing_deadline.is_none();
-        let picks = self.pick_all(now, until, q);
-        if first_look {
-            self.retries.taken(
-                if q.step == 1 { q.arrived } else { now },
-                q.step_parts().count(),
-            );
-            let chosen: Vec<ReplicaId> = picks
-                .iter()
-                .filter_map(|(_, p)| p.replica().cloned())
-                .collect();
-            let judged: Vec<_> = chosen.iter().map(|id| self.judged(id)).collect();
-            q.queuing_deadline =
-                Some(
-                    self.budget
-                        .queuing_deadline(now, target, &self.unloaded, &judged),
-                );
-            if q.step == 1 && self.sheds(now, target, q, &chosen) {
-                return self.give_up(now, q);
-            }
+        if now >= until || (now >= target && may_answer_partially(&query_type, search)) {
+            return self.give_up(now, search);
         }
-        let never = |i: usize| {
-            picks
-                .iter()
-                .any(|(j, p)| i == *j && matches!(p, Pick::Never))
-        };
-        let open = |(i, p): &(usize, &Part)| !p.answered && (!never(*i) || p.in_flight());
-        let weights: Vec<f64> = q.step_parts().filter(open).map(|(_, p)| p.weight).collect();
-        if weights.is_empty() || come + weights.iter().sum::<f64>() < t.minimum_weight - ROUNDING {
-            return self.give_up(now, q);
-        }
-        for (i, pick) in picks {
-            self.call_off(now, target, q, i);
-            self.act(now, until, q, i, pick);
-            if first_look {
-                self.send_trial(now, until, q, i);
+        let is_first_look = search.queuing_deadline.is_none();
+        let picks = self.pick_all(now, until, search);
+        if is_first_look && !self.admit_step(now, target, search, &picks) {
+            return self.give_up(now, search);
+        }
+        if !can_reach_minimum(&query_type, search, &picks) {
+            return self.give_up(now, search);
+        }
+        for (part_index, pick) in picks {
+            self.call_off(now, target, search, part_index);
+            self.act(now, until, search, part_index, pick);
+            if is_first_look {
+                self.send_probe(now, until, search, part_index);
             }
         }
     }
 
+    /// Updates the overload state, and logs when it changes.
+    fn note_overload(&mut self, now: f64) {
+        if !self.limits.update_overload(now, &self.unloaded) {
+            return;
+        }
+        let change = if self.limits.overloaded {
+            "overload began"
+        } else {
+            "overload ended"
+        };
+        self.plan.notes.push(change.to_string());
+    }
+
+    /// Sets the queuing deadline of a step that has just begun; false if the search is to be shed instead.
+    fn admit_step(
+        &mut self,
+        now: f64,
+        target: f64,
+        search: &mut Search,
+        picks: &[(usize, Pick)],
+    ) -> bool {
+        let began = if search.step == 1 { search.arrived } else { now };
+        self.retries.taken(began, search.step_parts().count());
+        let chosen: Vec<ReplicaId> = picks
+            .iter()
+            .filter_map(|(_, pick)| pick.replica().cloned())
+            .collect();
+        let sampled: Vec<_> = chosen.iter().map(|id| self.with_own_samples(id)).collect();
+        let deadline = self
+            .budget
+            .queuing_deadline(now, target, &self.unloaded, &sampled);
+        search.queuing_deadline = Some(deadline);
+        !(search.step == 1 && self.sheds(now, target, search, &chosen))
+    }
+
     /// The parts that came if they meet the floor; shed where asking again is proven harmless; or an error.
-    fn give_up(&mut self, now: f64, q: &mut Search) {
-        let t = &self.set.query_types[q.query_type.0];
-        let come = q.answered_weight();
-        let harmless = t.repeat == Repeat::Idempotent
-            || q.parts
+    fn give_up(&mut self, now: f64, search: &mut Search) {
+        let query_type = &self.settings.query_types[search.query_type.0];
+        let come = search.answered_weight();
+        let harmless = query_type.repeat == Repeat::Idempotent
+            || search.parts
                 .iter()
                 .all(|p| p.attempts.iter().all(Attempt::proven_unrun))
             || is_mutated("module-harmless");
         let floor = if is_mutated("module-floor") {
             0.0
         } else {
-            t.minimum_weight
+            query_type.minimum_weight
         };
         let reply = if come > 0.0 && come >= floor - ROUNDING {
             Reply::Answered {
@@ -206,8 +205,8 @@
             }
         } else if harmless {
             // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
-            let longest = self.set.max_retry_after.unwrap_or(0.0);
-            let spare = q.queuing_deadline.unwrap_or(now) - now;
+            let longest = self.settings.max_retry_after.unwrap_or(0.0);
+            let spare = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
                 retry_after: if spare > 0.0 {
                     longest.min(spare / 2.0)
@@ -218,27 +217,63 @@
         } else {
             Reply::Errored
         };
-        self.close(q, Some(reply));
+        self.close(search, Some(reply));
     }
 
     /// Ends the step in hand, or the search: what is held or in flight is given up.
-    pub(crate) fn close(&mut self, q: &mut Search, reply: Option<Reply>) {
-        for i in 0..q.parts.len() {
-            self.unhold(q, i);
-            let part = &q.parts[i];
+    pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
+        for i in 0..search.parts.len() {
+            self.dequeue(search, i);
+            let part = &search.parts[i];
             let live = part
                 .waiting()
-                .filter(|_| self.set.cancellation_allowed)
+                .filter(|_| self.settings.cancellation_allowed)
                 .map(|(n, _)| (part.id, n));
             self.plan.cancel.extend(live);
         }
-        let t = &self.set.query_types[q.query_type.0];
+        let query_type = &self.settings.query_types[search.query_type.0];
         match reply {
-            Some(Reply::Answered { complete }) if q.step == 1 && t.second_step > 0 => {
-                (q.step, q.first_step_complete, q.queuing_deadline) = (2, complete, None);
+            Some(Reply::Answered { complete }) if search.step == 1 && query_type.second_step > 0 => {
+                (search.step, search.first_step_complete, search.queuing_deadline) = (2, complete, None);
             }
-            _ => q.finished = true,
+            _ => search.finished = true,
         }
         self.plan.reply = reply;
     }
 }
+
+/// Whether the answers that have come make the present step complete.
+fn is_step_complete(query_type: &QueryType, search: &Search) -> bool {
+    if search.step == 1 {
+        search.answered_weight() >= query_type.complete_weight - ROUNDING
+    } else {
+        search.answered_weight() >= 1.0 - ROUNDING
+            && search.step_parts().all(|(_, part)| part.answered)
+    }
+}
+
+/// Whether the answers that have come may be given as a partial answer.
+fn may_answer_partially(query_type: &QueryType, search: &Search) -> bool {
+    let answered = search.answered_weight();
+    answered >= query_type.minimum_weight - ROUNDING
+        && answered > 0.0
+        && query_type.minimum_weight < query_type.complete_weight
+}
+
+/// Whether the parts that can still be answered suffice for the least answer.
+fn can_reach_minimum(query_type: &QueryType, search: &Search, picks: &[(usize, Pick)]) -> bool {
+    let is_hopeless = |part_index: usize| {
+        picks
+            .iter()
+            .any(|(index, pick)| part_index == *index && matches!(pick, Pick::Never))
+    };
+    let weights: Vec<f64> = search
+        .step_parts()
+        .filter(|(_, part)| !part.answered)
+        .filter(|(index, part)| !is_hopeless(*index) || part.in_flight())
+        .map(|(_, part)| part.weight)
+        .collect();
+    let answered = search.answered_weight();
+    !weights.is_empty()
+        && answered + weights.iter().sum::<f64>() >= query_type.minimum_weight - ROUNDING
+}
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -1,134 +1,173 @@
-//! Slow start: the guard of cold replicas (docs/design.md, exception 7).
+//! Slow start: limits what is sent to a replica that is warming up (docs/design.md, exception 7).
 
 use super::{Balancer, Known};
+use crate::api::{Ending, ReplicaId, SlowStartConfig};
+use crate::fleet::Replica;
+use crate::mutations::is_mutated;
 use crate::samples::{Sample, mean, push};
-use crate::{api::*, fleet::Replica, mutations::is_mutated};
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// Steps of turns over the tier: in any window as many have theirs as their shares add up to.
+/// The golden ratio's fraction. Steps of it spread the co-ordinators' turns evenly: in any window as many have
+/// theirs as their shares add up to.
 const GOLDEN: f64 = 0.618_033_988_75;
+/// Number of samples of the fleet's capacity that are kept.
+const CAPACITY_SAMPLES: usize = 9;
+/// Seconds between two samples of the fleet's capacity.
+const CAPACITY_INTERVAL: f64 = 0.25;
 
-/// What this co-ordinator knows of one replica's start.
+/// What this co-ordinator knows of a replica's start.
 #[derive(Default)]
 pub(crate) struct Warming {
     phase: f64,
-    pub quota_share: Option<f64>, // so many times its even share, as the tier shares it out
-    pub sends: VecDeque<f64>,
-    pub suppressed: Cell<u64>, // parts that it would have had but for the guard
-    reset: bool,               // its connections were reset since it last answered
-    restarted: bool,           // judged a new process that is not listed yet
+    /// What the tier has allocated to this co-ordinator, as a multiple of its even share.
+    pub(crate) quota_share: Option<f64>,
+    /// Times of the attempts sent within the overload window.
+    pub(crate) sends: VecDeque<f64>,
+    /// Number of parts that slow start has kept from the replica.
+    pub(crate) suppressed: Cell<u64>,
+    /// Whether its connections were reset since it last answered.
+    reset: bool,
+    /// Whether it is taken for a new process that isn't listed yet.
+    restarted: bool,
+    /// When such a process was first sent a part.
     restarted_at: Option<f64>,
 }
 
 impl Warming {
-    /// A process that has just been listed. Turns begin elsewhere for each replica and co-ordinator.
-    pub fn new(replica: &ReplicaId, me: Option<u64>, random: f64) -> Self {
+    /// A process that has just been listed. The turns of different replicas and co-ordinators begin apart.
+    pub(crate) fn new(replica: &ReplicaId, coordinator_index: Option<u64>, random: f64) -> Self {
         let offset = replica
             .0
             .bytes()
-            .fold(0, |hash, b| (hash * 31 + u64::from(b)) % 997);
+            .fold(0, |hash, byte| (hash * 31 + u64::from(byte)) % 997);
         Warming {
-            phase: me.map_or(random, |me| (me + offset) as f64 * GOLDEN),
+            phase: coordinator_index.map_or(random, |index| (index + offset) as f64 * GOLDEN),
             ..Warming::default()
         }
     }
 
-    /// One that resets connections and then refuses a new one has died: what answers next is a cold process,
-    /// listed only seconds later. A way that is cut falls silent instead.
-    pub fn ended(&mut self, ending: Ending) {
+    /// Records how an attempt ended. A replica that resets connections and then refuses a new one has died:
+    /// what answers next is a new process, which is listed only seconds later. A replica that can't be reached
+    /// becomes unresponsive instead.
+    pub(crate) fn ended(&mut self, ending: Ending) {
         self.restarted |= self.reset && ending == Ending::Unreachable;
         self.reset = ending == Ending::Broken || (self.reset && ending != Ending::Answered);
     }
 
-    /// A part leaves for the replica.
-    pub fn sent(&mut self, now: f64, rule: Option<&SlowStartConfig>) {
+    /// Records that a part leaves for the replica.
+    pub(crate) fn sent(&mut self, now: f64, config: Option<&SlowStartConfig>) {
         if std::mem::take(&mut self.restarted) {
-            (self.restarted_at, self.sends) = (Some(now), VecDeque::new());
+            self.restarted_at = Some(now);
+            self.sends.clear();
         }
-        if let Some(rule) = rule {
-            self.sends.retain(|t| *t > now - rule.overload_window);
+        if let Some(config) = config {
+            self.sends.retain(|at| *at > now - config.overload_window);
             self.sends.push_back(now);
         }
     }
+
+    /// When its process started, as far as this co-ordinator knows; `ready_at` is what the list says.
+    fn started_at(&self, now: f64, ready_at: Option<f64>) -> Option<f64> {
+        let restarted = if self.restarted {
+            Some(now)
+        } else {
+            self.restarted_at
+        };
+        ready_at.into_iter().chain(restarted).max_by(f64::total_cmp)
+    }
+
+    /// Number of attempts sent within the last `window` seconds.
+    fn sent_within(&self, now: f64, window: f64) -> usize {
+        self.sends.iter().filter(|at| **at > now - window).count()
+    }
 }
 
 impl Balancer {
-    /// What an open replica can do by now, in warm ones.
-    pub(super) fn capacity_of(&self, now: f64, r: &Replica<Known>) -> f64 {
-        let warmed = |(at, c): (f64, &SlowStartConfig)| {
-            (c.initial_capacity + (1.0 - c.initial_capacity) * (now - at) / c.duration).min(1.0)
-        };
-        if r.open {
-            r.ready_at
-                .zip(self.set.slow_start.as_ref())
-                .map_or(1.0, warmed)
-        } else {
-            0.0
+    /// The present capacity of an open replica, in warm replicas; 0 for one that isn't open.
+    pub(super) fn capacity_of(&self, now: f64, replica: &Replica<Known>) -> f64 {
+        if !replica.open {
+            return 0.0;
         }
+        let Some((started_at, config)) = replica.ready_at.zip(self.settings.slow_start.as_ref())
+        else {
+            return 1.0;
+        };
+        let initial = config.initial_capacity;
+        (initial + (1.0 - initial) * (now - started_at) / config.duration).min(1.0)
     }
 
-    /// Looks at the fleet's capacity, for as long as answers count for a replica's share.
+    /// Samples the fleet's capacity, for as long as answers count for a replica's share.
     pub(super) fn watch_capacity(&mut self, now: f64) {
-        if self.capacity.back().is_none_or(|last| now > last.at + 0.25) {
+        if self
+            .capacity
+            .back()
+            .is_none_or(|last| now > last.at + CAPACITY_INTERVAL)
+        {
             let value = self
                 .fleet
                 .iter()
-                .map(|(_, r)| self.capacity_of(now, r))
+                .map(|(_, replica)| self.capacity_of(now, replica))
                 .sum();
-            push(&mut self.capacity, Sample { at: now, value }, 9);
+            push(
+                &mut self.capacity,
+                Sample { at: now, value },
+                CAPACITY_SAMPLES,
+            );
         }
     }
 
-    /// Whether a replica is too cold for one more part: it falls over if all co-ordinators together send it
-    /// over a multiple of what it can do. Each keeps under what a warm one answers it on average, or half its
-    /// even share at the mean unloaded latency on one core. Shares under one part go by turns, a window each.
-    pub(super) fn exceeds_slow_start(&self, now: f64, r: &Replica<Known>, planned: usize) -> bool {
-        let warming = &r.state.warming;
-        let restarted = if warming.restarted {
-            Some(now)
-        } else {
-            warming.restarted_at
-        };
-        let ready = r
-            .ready_at
-            .into_iter()
-            .chain(restarted)
-            .max_by(f64::total_cmp);
-        let rule = self
-            .set
+    /// Whether one more part would exceed this co-ordinator's share of a warming replica. The replica is
+    /// overloaded if all co-ordinators together send it more than a multiple of its capacity. A share of less
+    /// than one part goes by turns, one overload window each.
+    pub(super) fn exceeds_slow_start(
+        &self,
+        now: f64,
+        replica: &Replica<Known>,
+        planned: usize,
+    ) -> bool {
+        let warming = &replica.state.warming;
+        let config = self
+            .settings
             .slow_start
             .as_ref()
             .filter(|_| !is_mutated("module-cold-cap"));
-        let (Some(rule), Some(ready)) = (rule, ready) else {
+        let (Some(config), Some(started_at)) = (config, warming.started_at(now, replica.ready_at))
+        else {
             return false;
         };
-        let warmth = (now - ready) / rule.duration;
-        if warmth >= 1.0 || r.in_flight.len() > r.answers / 4 {
+        let warmth = (now - started_at) / config.duration;
+        if warmth >= 1.0 || replica.in_flight.len() > replica.answers / 4 {
             return warmth < 1.0;
         }
-        // The mean, not the median: parts' work is skewed, and the rule sums it (the median broke seed 9217).
+        let initial = config.initial_capacity;
+        let capacity = initial + (1.0 - initial) * warmth.max(0.0);
+        let rate = self.warming_rate(now, warming);
+        let share = config.overload_multiple * capacity * config.overload_window * rate;
+        let sent = warming.sent_within(now, config.overload_window) + planned;
+        let windows = ((now - started_at) / config.overload_window).floor();
+        let turn = (warming.phase + windows * GOLDEN).rem_euclid(1.0);
+        let is_closed = rate <= 0.0 || sent as f64 + 1.0 > share + turn;
+        let suppressed = warming.suppressed.get() + u64::from(is_closed);
+        warming.suppressed.set(suppressed);
+        is_closed
+    }
+
+    /// Parts a second that this co-ordinator may send to a replica that is warm: what a warm one answers it on
+    /// average, or half of its even share at the mean unloaded latency on one core; adjusted by the share that
+    /// the tier has allocated.
+    fn warming_rate(&self, now: f64, warming: &Warming) -> f64 {
+        // The mean, not the median: the work of parts is skewed, and the overload threshold sums it.
         let work = mean(&self.unloaded.fleet()).unwrap_or(self.shortest / 5.0);
-        let even = 1.0 / work / self.set.coordinators.max(1) as f64;
-        let warm_replicas = self.capacity.iter().map(|c| c.value).fold(1.0, f64::max);
-        let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
-        let given = warming
-            .quota_share
-            .map_or(own, |n| own * n.min(1.0) + even * (n - 1.0).max(0.0));
-        let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * warmth.max(0.0);
-        let share = rule.overload_multiple * capacity * rule.overload_window * given;
-        let sent = warming
-            .sends
+        let even = 1.0 / work / self.settings.coordinators.max(1) as f64;
+        let warm_replicas = self
+            .capacity
             .iter()
-            .filter(|t| **t > now - rule.overload_window)
-            .count()
-            + planned;
-        let turn = (warming.phase + ((now - ready) / rule.overload_window).floor() * GOLDEN)
-            .rem_euclid(1.0);
-        let closed = given <= 0.0 || sent as f64 + 1.0 > share + turn;
-        warming
-            .suppressed
-            .set(warming.suppressed.get() + u64::from(closed));
-        closed
+            .map(|sample| sample.value)
+            .fold(1.0, f64::max);
+        let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
+        warming.quota_share.map_or(own, |times| {
+            own * times.min(1.0) + even * (times - 1.0).max(0.0)
+        })
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`decide`] holds every decision; [`balancer`] the state that it reads and updates for searches; [`api`]
 //! the plain types that callers pass in and get back. [`fleet`], [`samples`], [`unloaded_latency`] and
-//! [`held_queue`] keep facts, figures and order, and decide nothing. [`rendezvous`] is how processes agree
+//! [`deadline_queue`] keep facts, figures and order, and decide nothing. [`rendezvous`] is how processes agree
 //! without a message. [`mutations`] names the defences that the
 //! rigs can switch off, in builds of their own.
 
@@ -11,7 +11,7 @@
 pub mod api;
 pub mod balancer;
 pub mod fleet;
-pub mod held_queue;
+pub mod deadline_queue;
 pub mod mutations;
 pub mod rendezvous;
 pub mod samples;
@@ -29,14 +29,14 @@
     //!   calls side by side; `tail` of one replica, and `hopeless` to leave a call unsent.
     //! - [`Hold`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
     //!   answer, `holds` before a call leaves.
-    //! - [`HeldQueue`]: `insert` a call that is held or behind another (`is_behind`); after each end of a
+    //! - [`DeadlineQueue`]: `insert` a call that is held or behind another (`is_behind`); after each end of a
     //!   call, once the hold is over, `first` names who goes next.
     //! - [`Candidates`]: all replicas that could serve; `require` and `prefer` in order, then `choose` by
     //!   calls in flight.
     //! - [`OutlierDetector`], one for each replica or zone: `observe` each end of a call, `prefer` those
-    //!   not ejected, send a trial when `trial_due`.
+    //!   not ejected, send a trial when `probe_due`.
     //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
-    //!   due a hedge after `hedge_after`; `see_overload` before a request is decided on.
+    //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
     //! - [`RetryBudget`]: count what is `taken` and what is `sent` beyond a first call, while it
     //!   `has_room`.
 
@@ -55,10 +55,10 @@
     pub(crate) mod slow_start;
 
     use crate::balancer::Known;
-    pub use crate::{balancer, held_queue, unloaded_latency};
+    pub use crate::{balancer, deadline_queue, unloaded_latency};
     pub use balancer::Balancer;
     pub use candidates::Candidates;
-    pub use held_queue::HeldQueue;
+    pub use deadline_queue::DeadlineQueue;
     pub use hold::Hold;
     pub use latency_limits::LatencyLimits;
     pub use outlier_detector::{Change, EjectionConfig, Observation, OutlierDetector};
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -478,7 +478,7 @@
             }),
         );
     }
-    let sends = |b: &mut woadreach_routing::decide::balancer::Balancer, now: f64| -> usize {
+    let sends = |b: &mut Balancer, now: f64| -> usize {
         let mut at_a = 0;
         for n in 1..=10 {
             let mut q = search(n, 1, now, 3.0);
@@ -655,7 +655,7 @@
         );
     }
     let (_, last) = stuck_at(&mut b, "a", 0.0);
-    let finish = |b: &mut woadreach_routing::decide::balancer::Balancer| {
+    let finish = |b: &mut Balancer| {
         b.after(0.1, None, &ended(&last, 0, Ending::Errored, 0.1));
     };
     if !out {
@@ -1179,7 +1179,7 @@
         let zone_health = b.zone_health(now);
         zone_health
             .iter()
-            .map(|s| (s.zone.0, s.seen, s.bad, s.capacity))
+            .map(|s| (s.zone.0, s.seen, s.failed, s.capacity))
             .collect::<Vec<_>>()
     };
     assert_eq!(of(&b, 1.2), [(0, 6, 0, 2.0), (1, 6, 0, 2.0)]);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use woadreach_routing::api::*;
 use woadreach_routing::decide::balancer::Balancer;
 
-pub fn query_type() -> QueryType {
+pub(crate) fn query_type() -> QueryType {
     QueryType {
         latency_target: 1.0,
         client_timeout: 3.0,
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         seed: 7,
         coordinator_index: None,
@@ -48,11 +48,11 @@
     }
 }
 
-pub fn id(name: &str) -> ReplicaId {
+pub(crate) fn id(name: &str) -> ReplicaId {
     ReplicaId(name.into())
 }
 
-pub fn line(name: &str, open: bool, ready_at: Option<f64>) -> Listed {
+pub(crate) fn line(name: &str, open: bool, ready_at: Option<f64>) -> Listed {
     Listed {
         replica: id(name),
         open,
@@ -63,7 +63,7 @@
 }
 
 /// A co-ordinator that has been told of these replicas, all warm.
-pub fn balancer(set: Settings, names: &[&str]) -> Balancer {
+pub(crate) fn balancer(set: Settings, names: &[&str]) -> Balancer {
     let mut b = Balancer::new(set);
     b.list(
         true,
@@ -76,13 +76,13 @@
 }
 
 /// A search of `parts` equal parts, numbered from 100 times its own number.
-pub fn search(n: u64, parts: usize, now: f64, left: f64) -> Search {
+pub(crate) fn search(n: u64, parts: usize, now: f64, left: f64) -> Search {
     let mut q = Search::new(SearchId(n), QueryTypeId(0), TenantId(0), now, now + left);
     add_parts(&mut q, n * 100, parts);
     q
 }
 
-pub fn add_parts(q: &mut Search, from: u64, parts: usize) {
+pub(crate) fn add_parts(q: &mut Search, from: u64, parts: usize) {
     for i in 0..parts {
         q.parts.push(Part {
             id: PartId(from + i as u64),
@@ -90,13 +90,13 @@
             weight: 1.0 / parts as f64,
             step: q.step,
             answered: false,
-            held: None,
+            queued_at: None,
             attempts: Vec::new(),
         });
     }
 }
 
-pub fn ended(p: &Placement, attempt_index: usize, ending: Ending, latency: f64) -> Outcome {
+pub(crate) fn ended(p: &Placement, attempt_index: usize, ending: Ending, latency: f64) -> Outcome {
     Outcome {
         part: p.part,
         attempt_index,
@@ -108,7 +108,7 @@
 
 /// Plays one-part searches until the replica chosen is `name`, answering the others at once; returns the
 /// search and its placement, still out.
-pub fn stuck_at(b: &mut Balancer, name: &str, now: f64) -> (Search, Placement) {
+pub(crate) fn stuck_at(b: &mut Balancer, name: &str, now: f64) -> (Search, Placement) {
     for n in 1000..1500 {
         let mut q = search(n, 1, now, 3.0);
         let p = b.place(now, &mut q).send[0].clone();
@@ -123,7 +123,7 @@
 // ---- stand-ins on loopback, for the tests that start a binary ----
 
 /// A generous bound on anything that is waited for; no verdict depends on speed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 fn patient(stream: TcpStream) -> TcpStream {
     stream.set_nonblocking(false).unwrap();
@@ -133,23 +133,23 @@
 }
 
 /// A listener that the test itself plays: a replica, or discovery.
-pub struct StandIn(pub TcpListener);
+pub(crate) struct StandIn(pub TcpListener);
 
 impl StandIn {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         StandIn(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap()
     }
 
     /// Its line in discovery's list.
-    pub fn line(&self, id: &str, cell: u64, lifecycle: &str) -> String {
+    pub(crate) fn line(&self, id: &str, cell: u64, lifecycle: &str) -> String {
         entry(id, self.address(), cell, lifecycle)
     }
 
-    pub fn accept(&self) -> Wire {
+    pub(crate) fn accept(&self) -> Wire {
         self.0.set_nonblocking(true).unwrap();
         let start = Instant::now();
         while start.elapsed() < PATIENCE {
@@ -162,13 +162,13 @@
     }
 
     /// Whether a connection waits to be accepted.
-    pub fn called(&self) -> bool {
+    pub(crate) fn called(&self) -> bool {
         self.0.set_nonblocking(true).unwrap();
         self.0.accept().is_ok()
     }
 }
 
-pub fn entry(id: &str, address: SocketAddr, cell: u64, lifecycle: &str) -> String {
+pub(crate) fn entry(id: &str, address: SocketAddr, cell: u64, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"z","machineType":"m","cell":{cell},
         "lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
@@ -176,7 +176,7 @@
     .replace('\n', "")
 }
 
-pub fn list(generation: u64, full: bool, lines: &[String]) -> String {
+pub(crate) fn list(generation: u64, full: bool, lines: &[String]) -> String {
     format!(
         r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
         lines.join(",")
@@ -185,7 +185,7 @@
 
 /// A part as a replica gets it.
 #[derive(Debug, PartialEq)]
-pub struct Sent {
+pub(crate) struct Sent {
     pub id: String,
     pub shard: u64,
     pub list: String,
@@ -193,19 +193,19 @@
 }
 
 /// One connection, from either end.
-pub struct Wire(pub TcpStream);
+pub(crate) struct Wire(pub TcpStream);
 
 impl Wire {
-    pub fn to(address: SocketAddr) -> Self {
+    pub(crate) fn to(address: SocketAddr) -> Self {
         Wire(patient(TcpStream::connect(address).unwrap()))
     }
 
-    pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
+    pub(crate) fn write(&mut self, bytes: impl AsRef<[u8]>) {
         self.0.write_all(bytes.as_ref()).unwrap();
     }
 
     /// The next frame's letter and rest; None at the end of the connection.
-    pub fn frame(&mut self) -> Option<(char, Vec<u8>)> {
+    pub(crate) fn frame(&mut self) -> Option<(char, Vec<u8>)> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
         let mut body = vec![0; u32::from_le_bytes(length) as usize];
@@ -213,18 +213,18 @@
         Some((body[0] as char, body.split_off(1)))
     }
 
-    pub fn call(&mut self) -> Vec<Sent> {
+    pub(crate) fn call(&mut self) -> Vec<Sent> {
         let (letter, body) = self.frame().unwrap();
         assert_eq!(letter, 'D');
         parts(&body)
     }
 
-    pub fn send_frame(&mut self, body: impl AsRef<[u8]>) {
+    pub(crate) fn send_frame(&mut self, body: impl AsRef<[u8]>) {
         let body = body.as_ref();
         self.write([&(body.len() as u32).to_le_bytes(), body].concat());
     }
 
-    pub fn answer(&mut self, id: &str, end: &str, score: u64, value: &str) {
+    pub(crate) fn answer(&mut self, id: &str, end: &str, score: u64, value: &str) {
         self.send_frame(format!("O{id} {end} {score} -\n{value}"));
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// A head, without its empty line.
-    pub fn head(&mut self) -> String {
+    pub(crate) fn head(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let Some(byte) = self.byte().unwrap() else {
@@ -250,7 +250,7 @@
     }
 
     /// Status, head and body of an answer.
-    pub fn reply(&mut self) -> (u16, String, String) {
+    pub(crate) fn reply(&mut self) -> (u16, String, String) {
         let head = self.head();
         let length = head
             .lines()
@@ -265,12 +265,12 @@
         )
     }
 
-    pub fn ended(&mut self) -> bool {
+    pub(crate) fn ended(&mut self) -> bool {
         !matches!(self.byte(), Ok(Some(_)))
     }
 }
 
-pub fn parts(mut body: &[u8]) -> Vec<Sent> {
+pub(crate) fn parts(mut body: &[u8]) -> Vec<Sent> {
     let mut parts = Vec::new();
     while !body.is_empty() {
         let end = body.iter().position(|b| *b == b'\n').unwrap();
@@ -291,7 +291,7 @@
 }
 
 /// A search of equal parts at these shards, for five seconds.
-pub fn request(path: &str, trace: &str, shards: &[u64], text: &str) -> String {
+pub(crate) fn request(path: &str, trace: &str, shards: &[u64], text: &str) -> String {
     let w = 1.0 / shards.len().max(1) as f64;
     let parts: Vec<String> = shards
         .iter()
@@ -304,7 +304,7 @@
 }
 
 /// The built program, with its log.
-pub struct Program {
+pub(crate) struct Program {
     pub child: Child,
     /// Its configuration, for a new one.
     pub path: PathBuf,
@@ -315,7 +315,7 @@
 static NUMBER: AtomicU32 = AtomicU32::new(0);
 
 impl Program {
-    pub fn start(binary: &str, config: Option<&str>) -> Self {
+    pub(crate) fn start(binary: &str, config: Option<&str>) -> Self {
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("woadreach-{}-{number}.json", std::process::id()));
@@ -348,7 +348,7 @@
     }
 
     /// Waits for a line that holds this, and gives what follows it.
-    pub fn says(&mut self, what: &str) -> String {
+    pub(crate) fn says(&mut self, what: &str) -> String {
         let start = Instant::now();
         while let Ok(line) = self
             .log
@@ -363,7 +363,7 @@
     }
 
     /// Sends it `-TERM` or `-HUP`.
-    pub fn signal(&self, which: &str) {
+    pub(crate) fn signal(&self, which: &str) {
         let id = self.child.id().to_string();
         assert!(
             Command::new("kill")
@@ -374,7 +374,7 @@
         );
     }
 
-    pub fn exit(&mut self) -> Option<i32> {
+    pub(crate) fn exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < PATIENCE {
             if let Some(status) = self.child.try_wait().unwrap() {
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
-    Candidates, Change, EjectionConfig, HeldQueue, Hold, LatencyLimits, Observation,
+    Candidates, Change, EjectionConfig, DeadlineQueue, Hold, LatencyLimits, Observation,
     OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
@@ -122,7 +122,7 @@
 
 #[test]
 fn earliest_deadline_leaves_first_late_ones_too() {
-    let mut held = HeldQueue::default();
+    let mut held = DeadlineQueue::default();
     for (deadline, call) in [(3.0, 1), (-1.0, 2), (2.0, 3)] {
         held.insert(&"a", deadline, call);
     }
@@ -194,17 +194,17 @@
 fn four_successful_trials_restore_and_failed_ones_make_them_rarer() {
     let mut detector = OutlierDetector::default();
     detector.eject(0.0, None);
-    assert!(!detector.trial_due(0.9, 0) && detector.trial_due(1.0, 0));
-    detector.trial_sent(1.0);
-    assert!(!detector.trial_due(1.9, 0) && detector.trial_due(2.0, 0));
+    assert!(!detector.probe_due(0.9, 0) && detector.probe_due(1.0, 0));
+    detector.probe_sent(1.0);
+    assert!(!detector.probe_due(1.9, 0) && detector.probe_due(2.0, 0));
     for at in [2.0, 4.0, 8.0, 12.0] {
         detector.observe(RULE, call(at, 0, true));
-        detector.trial_sent(at);
+        detector.probe_sent(at);
     }
-    assert!(!detector.trial_due(15.9, 0) && detector.trial_due(16.0, 0));
+    assert!(!detector.probe_due(15.9, 0) && detector.probe_due(16.0, 0));
     for at in [16.0, 17.0, 18.0] {
         assert_eq!(detector.observe(RULE, call(at, 0, false)), None);
-        assert!(detector.trial_due(at, 0));
+        assert!(detector.probe_due(at, 0));
     }
     assert_eq!(
         detector.observe(RULE, call(19.0, 0, false)),
@@ -268,13 +268,13 @@
     let unloaded = latencies(&[("a", 10)]);
     let mut limits = LatencyLimits::new(3.0);
     (0..4).for_each(|_| limits.answered(1.0, latency));
-    assert_eq!(limits.see_overload(1.0, &unloaded), overloaded);
+    assert_eq!(limits.update_overload(1.0, &unloaded), overloaded);
     assert_eq!(
-        (limits.overloaded, limits.see_overload(1.0, &unloaded)),
+        (limits.overloaded, limits.update_overload(1.0, &unloaded)),
         (overloaded, false)
     );
     assert_eq!(
-        limits.see_overload(5.1, &unloaded),
+        limits.update_overload(5.1, &unloaded),
         overloaded,
         "ended: its answers are too old"
     );
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use woadreach_routing::decide::held_queue::HeldQueue;
+use woadreach_routing::decide::deadline_queue::DeadlineQueue;
 
 use crate::action::Action;
 use crate::call::{Call, CallId};
@@ -26,7 +26,7 @@
     pub(crate) routes: Routes,
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, CallInHand>,
-    pub(crate) held: HeldQueue<ReplicaKey, CallId>,
+    pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
     /// Calls that no replica may take for now.
     pub(crate) waiting: BTreeSet<CallId>,
     pub(crate) timers: Timers,
@@ -46,7 +46,7 @@
             routes: Routes::default(),
             programs: Programs::default(),
             calls: BTreeMap::new(),
-            held: HeldQueue::default(),
+            queue: DeadlineQueue::default(),
             waiting: BTreeSet::new(),
             timers: Timers::default(),
             displaced: BTreeSet::new(),
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -191,7 +191,7 @@
             Choice::Hold(replica) => self.hold_back(now, id, replica, actions),
             Choice::SendTrial(replica) => {
                 if let Some(replica) = self.fleet.get_mut(replica) {
-                    replica.health.trial_sent(now);
+                    replica.health.probe_sent(now);
                 }
                 self.send(now, id, replica, actions);
             }
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -200,7 +200,7 @@
         let may_move = call.call.kind.may_run_again() && call.call.max_replicas > 1;
         let due = |replica: &Replica| {
             let may_risk = may_move || replica.trial_is_harmless(self.now);
-            may_risk && replica.health.trial_due(self.now, call.route)
+            may_risk && replica.health.probe_due(self.now, call.route)
         };
         self.fleet
             .usable(&call.service)
