--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -15,8 +15,8 @@
         weight: 1.0,
         step: 1,
         answered: false,
-        held: None,
-        subs: endings.iter().map(sub).collect(),
+        queued_at: None,
+        attempts: endings.iter().map(sub).collect(),
     }
 }
 
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -39,6 +39,7 @@
 mod state;
 mod view;
 
+pub use agreement::Report;
 pub use ballot::{Accepted, Ballot, Promise};
 pub use blob::Blob;
 pub use durable::{Durable, IdleEpoch, Record, RecordError};
@@ -46,7 +47,7 @@
 #[doc(hidden)]
 pub use member::TimedStep;
 pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
-pub use message::{Body, DecodeError, Envelope, Heartbeat, HeartbeatTime};
+pub use message::{Barrier, Body, DecodeError, Envelope, Heartbeat, HeartbeatTime, Write};
 #[cfg(feature = "mutations")]
 pub use mutations::Mutation;
 pub use plan::{Candidate, PlanError, next_view};
