--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -54,7 +54,8 @@
 pub use policy::{Policy, Tolerance};
 pub use requests::{Reply, Request, RequestId};
 pub use state::{
-    Command, ControlState, Digest, PutConfiguration, PutStorageView, Rejection, Stamp,
-    StoredConfiguration, StoredStorageView, TAKEN_LIMIT, TakenConfiguration, Undecided, Verdict,
+    Command, ControlState, Digest, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, PutStorageView,
+    Rejection, Stamp, StoredConfiguration, StoredStorageView, TakenConfiguration, Undecided,
+    Verdict,
 };
 pub use view::{MemberId, View, ViewError};
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -223,7 +223,7 @@
         wake
     }
 
-    /// Takes an input; gives back what is to be done, in order.
+    /// Handles an input. Returns what the driver must do, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.recover_from_stall(now);
         self.update_contact(now);
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,7 +1,7 @@
 //! Choice of the next view from what its voters report.
 //!
-//! A pure function of the reports, apart from Paxos: any proposer may propose any view that [`next_view`] returns for
-//! the reports of a majority.
+//! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be proposed, unless
+//! one of them contains an accepted proposal, which must be proposed instead.
 
 use std::cmp::Reverse;
 
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -23,7 +23,7 @@
 
 /// Upper bound of the digests of taken configurations that the state retains. Whether an older change was taken is
 /// undecided.
-pub const TAKEN_LIMIT: usize = 8192;
+pub const MAX_TAKEN_CONFIGURATIONS: usize = 8192;
 
 /// Digest of a configuration's bytes. Computed by the driver; compared here only for equality.
 pub type Digest = [u8; 16];
@@ -163,7 +163,7 @@
     /// View of the storage machines in force.
     pub storage_view: Option<StoredStorageView>,
     /// Configurations that were taken, in ascending order of generations, the one in force last. At most
-    /// [`TAKEN_LIMIT`].
+    /// [`MAX_TAKEN_CONFIGURATIONS`].
     pub taken: Vec<TakenConfiguration>,
 }
 
@@ -233,7 +233,7 @@
 
     /// The generation from which on every taken change is remembered.
     fn oldest_remembered(&self) -> u64 {
-        let is_full = self.taken.len() >= TAKEN_LIMIT;
+        let is_full = self.taken.len() >= MAX_TAKEN_CONFIGURATIONS;
         self.taken
             .first()
             .filter(|_| is_full)
@@ -256,7 +256,7 @@
     }
 
     fn apply_configuration(&mut self, put: &PutConfiguration) {
-        if self.taken.len() == TAKEN_LIMIT {
+        if self.taken.len() == MAX_TAKEN_CONFIGURATIONS {
             self.taken.remove(0);
         }
         self.taken.push(TakenConfiguration {
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -407,8 +407,7 @@
     }
 }
 
-/// A change takes over a second on its way, which is longer than the silence after which a member is
-/// suspected.
+/// A change takes over a second to arrive, which is longer than the suspicion time-out.
 #[test]
 fn large_changes_missed_on_a_slow_link() {
     for missed in [1, 10, 100] {
--- a/crates/tier/chain/tests/failover.rs
+++ b/crates/tier/chain/tests/failover.rs
@@ -12,7 +12,7 @@
 /// Runs of each case.
 const RUNS: u64 = 40;
 
-/// A calm world of three machines whose operators write; gives back the chain's members by position.
+/// A calm world of three machines whose operators write; returns the chain's members by position.
 fn calm_world(seed: u64) -> (World, Vec<usize>) {
     let mut world = World::new(seed, 3, 0, 1, None);
     world.are_faults_over = true;
--- a/crates/tier/chain/tests/mutations.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -6,7 +6,7 @@
 
 use simulation::faults::{Run, play, play_in, play_planned_work};
 use simulation::world::{InjectedBug, World};
-use woadreach_chain::{Mutation, TAKEN_LIMIT};
+use woadreach_chain::{MAX_TAKEN_CONFIGURATIONS, Mutation};
 
 fn is_found_by_planned_work(mutation: Mutation, runs: u64) -> bool {
     (1..=runs).any(|seed| {
@@ -93,7 +93,7 @@
     let is_found_by = |seed| {
         let bug = Some(InjectedBug::Member(Mutation::RefusedForgotten));
         let mut world = World::new(seed, 3, 0, 1, bug);
-        world.begin_after(TAKEN_LIMIT as u64 + 100);
+        world.begin_after(MAX_TAKEN_CONFIGURATIONS as u64 + 100);
         !play_in(world, length).violations.is_empty()
     };
     assert!((1..=20).any(is_found_by));
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -12,7 +12,7 @@
 use simulation::faults::play_in;
 use simulation::operator::{CallId, new_put};
 use simulation::world::{InjectedBug, World};
-use woadreach_chain::{Command, PutConfiguration, Request, TAKEN_LIMIT};
+use woadreach_chain::{Command, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, Request};
 
 /// Operators whose orders these tests send; the world's own ones are the first two.
 const OWN_OPERATOR: usize = 0;
@@ -61,7 +61,7 @@
     world.run_until(end);
 }
 
-/// How a member is struck while orders are under way.
+/// A fault of a member while orders are in flight.
 type InjectFault = fn(&mut World, usize);
 
 const FAULTS: [(&str, InjectFault); 4] = [
@@ -194,7 +194,7 @@
     let first = number("WOADREACH_SEED", 1);
     for seed in first..first + number("WOADREACH_RUNS", 6) {
         let mut world = World::new(seed, 3, 0, 1, None);
-        world.begin_after(TAKEN_LIMIT as u64 + 100);
+        world.begin_after(MAX_TAKEN_CONFIGURATIONS as u64 + 100);
         let finding = play_in(world, Duration::from_secs(8));
         assert!(
             finding.violations.is_empty(),
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -188,7 +188,7 @@
     world.schedule(interval, Event::Fault);
 }
 
-/// Begins planned work, if `kind` is that; gives back when it is over.
+/// Begins planned work, if `kind` is that. Returns how long it takes.
 fn planned_work(world: &mut World, kind: Fault) -> Option<Duration> {
     match kind {
         Fault::Roll => Some(stops::roll(world)),
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -269,7 +269,7 @@
     }
 
     /// Whether the base of `refused` was surely the current one from `start` to `end`: acknowledged before
-    /// `start`, and nothing that was published before `end` is newer, nor was any other change under way.
+    /// `start`, and nothing that was published before `end` is newer, nor was any other change in flight.
     fn was_current_throughout(
         &self,
         refused: &PutConfiguration,
--- a/crates/tier/chain/tests/simulation/processes.rs
+++ b/crates/tier/chain/tests/simulation/processes.rs
@@ -93,7 +93,7 @@
         self.input(node, Input::Tick);
     }
 
-    /// A machine is added, with an empty disk; gives back its number.
+    /// Adds a machine with an empty disk, starts it and returns its number.
     pub(crate) fn add(&mut self) -> usize {
         let node = self.nodes.len();
         self.nodes.push(Node {
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -98,7 +98,7 @@
 }
 
 /// Replaces `count` machines: the new ones come first, and have their time; then the old ones are stopped at
-/// once. Gives back how long it may take until a further fault may strike.
+/// once. Returns the time until a further fault may occur.
 pub(crate) fn replace(world: &mut World, count: usize) -> Duration {
     let old = draw(world, count);
     for _ in &old {
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -45,7 +45,7 @@
     pub fault_kinds: &'static [super::faults::Fault],
     /// When the planned work counts as over.
     pub planned_work_ends_at: Duration,
-    /// Longest time that a whole state is on its way.
+    /// Longest time that a transfer of the state takes.
     pub longest_transfer: Duration,
     /// No further fault strikes.
     pub are_faults_over: bool,
@@ -182,7 +182,7 @@
         if self.nodes[to].member.is_none() || self.partitioned_links.contains(&(from, to)) {
             return;
         }
-        // A whole state is long: it ends with the machine that sends it.
+        // A transfer takes long, so it fails with the machine that sends it.
         let is_state = matches!(envelope.body, Body::Transfer { .. });
         if is_state && !self.longest_transfer.is_zero() && self.nodes[from].member.is_none() {
             return;
--- a/crates/tier/chain/tests/state.rs
+++ b/crates/tier/chain/tests/state.rs
@@ -2,8 +2,8 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_chain::{
-    Blob, Command, ControlState, PutConfiguration, PutStorageView, Rejection, Stamp, TAKEN_LIMIT,
-    Undecided, Verdict,
+    Blob, Command, ControlState, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, PutStorageView,
+    Rejection, Stamp, Undecided, Verdict,
 };
 
 /// A command with small numbers, so that repeats and mismatches are common.
@@ -139,7 +139,9 @@
             body: Blob::default(),
         })
     };
-    (0..TAKEN_LIMIT as u64 + 300).map(change).collect()
+    (0..MAX_TAKEN_CONFIGURATIONS as u64 + 300)
+        .map(change)
+        .collect()
 }
 
 fn state_after(changes: &[Command]) -> ControlState {
@@ -161,7 +163,7 @@
 fn changes_are_acknowledged_again_up_to_the_limit_and_undecided_beyond() {
     let changes = changes_beyond_the_limit();
     let state = state_after(&changes);
-    let (forgotten, remembered) = changes.split_at(changes.len() - TAKEN_LIMIT);
+    let (forgotten, remembered) = changes.split_at(changes.len() - MAX_TAKEN_CONFIGURATIONS);
     for change in remembered {
         assert_eq!(state.judge(change), Verdict::AlreadyTaken);
     }
