--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -1,86 +1,104 @@
-//! Parts in flight: those that are called off, and trials of ejected replicas.
+//! Attempts in flight: cancelling those that hang, and probes of ejected replicas.
 
 use super::{Balancer, Known};
-use crate::{api::{Search, Attempt, ReplicaId}, fleet::Replica};
+use crate::api::{Attempt, ReplicaId, Search};
+use crate::fleet::Replica;
 
-/// In flight so many times `late_after`: called off where hedges are barred. Of 0.7 to 3, on days with hangs.
-const CALL_OFF: f64 = 1.5;
+/// An attempt is taken for hung after this multiple of the time after which it is late.
+const HUNG_AFTER: f64 = 1.5;
 
 impl Balancer {
-    /// Where hedges are barred, a part that waits on a hung replica is called off, if another holder can
-    /// still make the target: it goes there once the outcome is in.
-    pub(super) fn call_off(&mut self, now: f64, target: f64, search: &Search, i: usize) {
-        let part = &search.parts[i];
-        let spent = part.attempts.len() >= self.settings.max_attempts;
+    /// Where hedges are not allowed, cancels the attempts of a part that wait on a hung replica, if another
+    /// replica can still meet the target: the part goes there once the outcome is in.
+    pub(super) fn cancel_hung(
+        &mut self,
+        now: f64,
+        target: f64,
+        search: &Search,
+        part_index: usize,
+    ) {
+        let part = &search.parts[part_index];
+        let is_spent = part.attempts.len() >= self.settings.max_attempts;
         if self.settings.hedging_allowed
             || !self.settings.cancellation_allowed
-            || spent
-            || !self.may_double(now, search, part)
+            || is_spent
+            || !self.may_hedge(now, search, part)
         {
             return;
         }
-        let late = |s: &Attempt| now - s.sent_at > CALL_OFF * self.limits.late_after;
-        let silent = |s: &Attempt| {
-            self.fleet
-                .get(&s.replica)
-                .is_some_and(|r| r.answered_at < s.sent_at)
+        let is_hung = |attempt: &Attempt| {
+            let is_overdue = now - attempt.sent_at > HUNG_AFTER * self.limits.late_after;
+            let answered_nothing = self
+                .fleet
+                .get(&attempt.replica)
+                .is_some_and(|replica| replica.answered_at < attempt.sent_at);
+            is_overdue && answered_nothing
         };
         let other = self
             .fleet
             .holders(part.shard)
             .find(|(id, _)| !part.tried(id));
-        let fits = other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
-        if !fits || !part.waiting().all(|(_, s)| late(s) && silent(s)) {
+        let other_fits = other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
+        if !other_fits || !part.waiting().all(|(_, attempt)| is_hung(attempt)) {
             return;
         }
-        for (n, sub) in part.waiting() {
+        for (attempt_index, attempt) in part.waiting() {
             let call = self
                 .fleet
-                .get_mut(&sub.replica)
-                .and_then(|r| r.in_flight.get_mut(&(part.id, n)));
+                .get_mut(&attempt.replica)
+                .and_then(|replica| replica.in_flight.get_mut(&(part.id, attempt_index)));
             if call.is_some_and(|call| !std::mem::replace(&mut call.called_off, true)) {
-                self.plan.cancel.push((part.id, n));
+                self.plan.cancel.push((part.id, attempt_index));
             }
         }
     }
 
-    /// A trial: a second sub-request of a part in flight, to an ejected holder with nothing in flight, so
-    /// that no search waits on it. Where hedges are barred, one is used once the others are no better.
-    pub(super) fn send_probe(&mut self, now: f64, until: f64, search: &mut Search, i: usize) {
-        let (part, class) = (&search.parts[i], search.query_type);
+    /// Sends a second attempt of a part in flight to an ejected replica with nothing in flight, as a probe on
+    /// which no search waits.
+    pub(super) fn send_probe(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &mut Search,
+        part_index: usize,
+    ) {
+        let (part, class) = (&search.parts[part_index], search.query_type);
         if !self.settings.hedging_allowed
-            || !self.may_double(now, search, part)
+            || !self.may_hedge(now, search, part)
             || !self.retries.has_room(now)
         {
             return;
         }
-        // A replica's own ejection goes first: its zone's trials are for the others.
-        let ready = |(id, r): &(&ReplicaId, &Replica<Known>)| {
-            let (own, way) = (&r.state.health, self.zone_of(r));
-            let way_due = || way.is_some_and(|way| way.probe_due(now, ()));
-            let due = if own.is_ejected_for(class) {
+        // A replica's own ejection goes first: the probes of its zone are for the others.
+        let is_due = |(id, replica): &(&ReplicaId, &Replica<Known>)| {
+            let own = &replica.state.health;
+            let is_probe_due = if own.is_ejected_for(class) {
                 own.probe_due(now, class)
             } else {
-                way_due()
+                self.zone_of(replica)
+                    .is_some_and(|zone| zone.probe_due(now, ()))
             };
-            due && r.in_flight.is_empty() && !part.tried(id) && !self.exceeds_slow_start(now, r, 0)
+            is_probe_due
+                && replica.in_flight.is_empty()
+                && !part.tried(id)
+                && !self.exceeds_slow_start(now, replica, 0)
         };
         let Some(id) = self
             .fleet
             .holders(part.shard)
-            .find(ready)
+            .find(is_due)
             .map(|(id, _)| id.clone())
         else {
             return;
         };
-        let Some(r) = self.fleet.get_mut(&id) else {
+        let Some(replica) = self.fleet.get_mut(&id) else {
             return;
         };
-        if r.state.health.is_ejected_for(class) {
-            r.state.health.probe_sent(now);
-        } else if let Some(way) = r.zone.and_then(|zone| self.zones.get_mut(&zone)) {
-            way.probe_sent(now);
+        if replica.state.health.is_ejected_for(class) {
+            replica.state.health.probe_sent(now);
+        } else if let Some(zone) = replica.zone.and_then(|zone| self.zones.get_mut(&zone)) {
+            zone.probe_sent(now);
         }
-        self.send(now, until, search, i, id);
+        self.send(now, until, search, part_index, id);
     }
 }
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -1,23 +1,56 @@
-//! Outlier ejection: a replica or zone whose latest calls failed is out of use until trials succeed.
+//! Outlier ejection: a replica or zone whose latest calls failed gets no traffic until probes succeed.
 
 pub use crate::api::{Change, EjectionConfig, Observation};
 use crate::samples::push;
 use std::collections::VecDeque;
 
-const AGE: f64 = 10.0; // seconds: longer than sparse traffic needs for two, shorter than most troubles
-const CLASS_LEAST: usize = 3; // calls of one class that eject it, and of others that clear them
-const PROBES: usize = 4; // successes in a row that end an ejection
-const LONGEST_GAP: f64 = 4.0; // seconds between trials
+/// Seconds for which an observation counts: longer than sparse traffic needs for two calls, shorter than most
+/// faults.
+const OBSERVATION_WINDOW: f64 = 10.0;
+/// Failed calls of one class that eject it alone, and calls of other classes that show them to be healthy.
+const MIN_CLASS_CALLS: usize = 3;
+/// Successful probes in a row that end an ejection.
+const SUCCESSES_TO_RESTORE: usize = 4;
+/// First interval between probes, in seconds; it doubles with each failure.
+const PROBE_INTERVAL: f64 = 1.0;
+/// Longest interval between probes, in seconds.
+const MAX_PROBE_INTERVAL: f64 = 4.0;
+/// Traffic with fewer recent calls than this is sparse.
+const SPARSE_CALLS: usize = 4;
 
 struct Ejection<C> {
-    only: Option<C>, // all classes if none
+    /// The only class that is ejected; all if there is none.
+    only: Option<C>,
     since: f64,
     next_probe: f64,
-    gap: f64,
+    probe_interval: f64,
     successes: usize,
 }
 
-/// The latest calls to one replica or zone, and whether they have it ejected.
+impl<C> Ejection<C> {
+    /// Records how a probe ended.
+    fn record_probe(&mut self, probe: &Observation<C>) {
+        if probe.failed {
+            self.successes = 0;
+            self.probe_interval = (self.probe_interval * 2.0).min(MAX_PROBE_INTERVAL);
+        } else {
+            self.successes += 1;
+            self.next_probe = probe.at;
+        }
+    }
+}
+
+/// The number of calls that failed.
+fn failures<C>(calls: &[&Observation<C>]) -> usize {
+    calls.iter().filter(|call| call.failed).count()
+}
+
+/// Whether half of the calls failed, and at least `least` of them.
+fn mostly_fail<C>(calls: &[&Observation<C>], least: usize) -> bool {
+    failures(calls) >= least && failures(calls) * 2 >= calls.len()
+}
+
+/// The latest calls to one replica or zone, and whether it is ejected for their failures.
 pub struct OutlierDetector<C> {
     seen: VecDeque<Observation<C>>,
     ejection: Option<Ejection<C>>,
@@ -33,49 +66,46 @@
 }
 
 impl<C: Copy + PartialEq> OutlierDetector<C> {
-    /// Takes in the end of a call. Where other classes fare well only the failing class is ejected, by three
-    /// failures of its own: one that swallows most calls of a class would be out for all, or for none.
-    pub fn observe(&mut self, rule: EjectionConfig, call: Observation<C>) -> Option<Change> {
-        push(&mut self.seen, call, rule.window);
-        let fresh = self.seen.iter().filter(|c| c.at > call.at - AGE);
-        let (own, others): (Vec<_>, Vec<_>) = fresh.partition(|c| c.class == call.class);
-        let failures = |of: &[&Observation<C>]| of.iter().filter(|c| c.failed).count();
-        let bad =
-            |of: &[&Observation<C>], least| failures(of) >= least && failures(of) * 2 >= of.len();
+    /// Records the end of a call, and returns the change of health that follows from it. Where calls of other
+    /// classes succeed, only the failing class is ejected, by three failures of its own: a replica that fails
+    /// one class would otherwise be ejected for all, or for none.
+    pub fn observe(&mut self, config: EjectionConfig, call: Observation<C>) -> Option<Change> {
+        push(&mut self.seen, call, config.window);
+        let recent = self
+            .seen
+            .iter()
+            .filter(|seen| seen.at > call.at - OBSERVATION_WINDOW);
+        let (own, others): (Vec<_>, Vec<_>) = recent.partition(|seen| seen.class == call.class);
         let Some(ejection) = &mut self.ejection else {
-            let only =
-                Some(call.class).filter(|_| others.len() >= CLASS_LEAST && failures(&others) == 0);
-            let all = || bad(&[own.clone(), others].concat(), rule.least);
-            if !(if only.is_some() {
-                bad(&own, CLASS_LEAST)
+            let only_class = others.len() >= MIN_CLASS_CALLS && failures(&others) == 0;
+            let is_failing = if only_class {
+                mostly_fail(&own, MIN_CLASS_CALLS)
             } else {
-                all()
-            }) {
+                mostly_fail(&[own, others].concat(), config.least)
+            };
+            if !is_failing {
                 return None;
             }
-            self.eject(call.at, only);
+            self.eject(call.at, only_class.then_some(call.class));
             return Some(Change::Ejected);
         };
-        // What it was sent before it may answer. Where another class fares as badly all are out.
+        // What it was sent before the ejection may be answered. Where another class fails as well, the ejection
+        // is for all of them.
         if let Some(only) = ejection
             .only
-            .filter(|o| *o != call.class || call.sent_at < ejection.since)
+            .filter(|only| *only != call.class || call.sent_at < ejection.since)
         {
-            ejection.only = ejection
-                .only
-                .filter(|_| only == call.class || !bad(&own, rule.least));
+            if only != call.class && mostly_fail(&own, config.least) {
+                ejection.only = None;
+            }
             return None;
         }
-        if call.failed {
-            (ejection.successes, ejection.gap) = (0, (ejection.gap * 2.0).min(LONGEST_GAP));
-        } else {
-            (ejection.successes, ejection.next_probe) = (ejection.successes + 1, call.at);
-        }
-        if ejection.successes < PROBES {
+        ejection.record_probe(&call);
+        if ejection.successes < SUCCESSES_TO_RESTORE {
             return None;
         }
         self.ejection = None;
-        self.seen.retain(|c| !c.failed);
+        self.seen.retain(|seen| !seen.failed);
         Some(Change::Restored)
     }
 
@@ -84,8 +114,8 @@
         let ejection = Ejection {
             only,
             since: now,
-            next_probe: now + 1.0,
-            gap: 1.0,
+            next_probe: now + PROBE_INTERVAL,
+            probe_interval: PROBE_INTERVAL,
             successes: 0,
         };
         self.ejection.get_or_insert(ejection);
@@ -103,27 +133,31 @@
             .is_some_and(|e| e.only.is_none_or(|only| only == class))
     }
 
-    /// Whether a trial call of this class may be sent to the ejected one.
+    /// Whether a probe of this class may be sent to the ejected replica or zone.
     pub fn probe_due(&self, now: f64, class: C) -> bool {
         self.is_ejected_for(class) && self.ejection.as_ref().is_some_and(|e| now >= e.next_probe)
     }
 
-    /// A trial has been sent: the next one comes a gap later, or at once if this one succeeds.
+    /// Records that a probe was sent: the next one is due an interval later, or at once if this one succeeds.
     pub fn probe_sent(&mut self, now: f64) {
-        self.ejection
-            .iter_mut()
-            .for_each(|e| e.next_probe = now + e.gap);
+        if let Some(ejection) = &mut self.ejection {
+            ejection.next_probe = now + ejection.probe_interval;
+        }
     }
 
     /// Whether all calls since then failed, three at least.
     pub fn all_failed(&self, since: f64) -> bool {
-        let mut fresh = self.seen.iter().filter(|c| c.at > since);
-        fresh.clone().count() >= CLASS_LEAST && fresh.all(|c| c.failed)
+        let mut recent = self.seen.iter().filter(|call| call.at > since);
+        recent.clone().count() >= MIN_CLASS_CALLS && recent.all(|call| call.failed)
     }
 
     /// Whether the last call failed where traffic is sparse: two failures take long to see there.
     pub fn failed_last(&self, now: f64) -> bool {
-        let mut fresh = self.seen.iter().rev().take_while(|c| c.at > now - AGE);
-        fresh.clone().count() < 4 && fresh.next().is_some_and(|c| c.failed)
+        let mut recent = self
+            .seen
+            .iter()
+            .rev()
+            .take_while(|call| call.at > now - OBSERVATION_WINDOW);
+        recent.clone().count() < SPARSE_CALLS && recent.next().is_some_and(|call| call.failed)
     }
 }
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,22 +1,33 @@
 //! Where the parts of a search go, and when they leave.
 
 use super::{Balancer, Candidates, Known, PartBudget};
-use crate::{api::{ReplicaId, Search, Part, Attempt, Placement}, fleet::Replica, samples::groups};
+use crate::api::{Attempt, Part, Placement, ReplicaId, Search};
+use crate::fleet::Replica;
+use crate::samples::groups;
 use std::collections::BTreeMap;
 
-type Counts = BTreeMap<ReplicaId, usize>;
+/// Number of parts that are about to leave for each replica.
+type PlannedParts = BTreeMap<ReplicaId, usize>;
+
+/// A replica that could be sent a part.
+type Holder<'a> = (&'a ReplicaId, &'a Replica<Known>);
 
 /// What to do with a part.
 pub(super) enum Pick {
+    /// Send it now.
     Go(ReplicaId),
-    Hold(ReplicaId), // its replica is held, or earlier parts wait there
-    Later,           // slow start keeps every holder closed for now
-    Never,           // no holder at all, or the part can no longer make it
+    /// Queue it: its replica is on hold, or earlier parts wait there.
+    Queue(ReplicaId),
+    /// Slow start keeps every replica that holds the shard closed for now.
+    Later,
+    /// There is no replica at all, or the part can no longer be answered in time.
+    Never,
 }
 
 impl Pick {
+    /// The replica that was chosen, if any.
     pub(super) fn replica(&self) -> Option<&ReplicaId> {
-        if let Pick::Go(id) | Pick::Hold(id) = self {
+        if let Pick::Go(id) | Pick::Queue(id) = self {
             Some(id)
         } else {
             None
@@ -27,121 +38,167 @@
 impl Balancer {
     /// A pick for each part of the step that has no answer, and nothing in flight that is not due a hedge.
     pub(super) fn pick_all(&mut self, now: f64, until: f64, search: &Search) -> Vec<(usize, Pick)> {
-        let (mut planned, mut picks) = (Counts::new(), Vec::new());
+        let mut planned = PlannedParts::new();
+        let mut picks = Vec::new();
         let hedge_after = self.limits.hedge_after;
-        for (i, part) in search.step_parts().filter(|(_, p)| !p.answered) {
-            if part
-                .waiting()
-                .any(|(_, s)| now < s.sent_at + hedge_after - 1e-9)
-            {
+        for (part_index, part) in search.step_parts().filter(|(_, part)| !part.answered) {
+            let is_due = |attempt: &Attempt| now >= attempt.sent_at + hedge_after - 1e-9;
+            if part.waiting().any(|(_, attempt)| !is_due(attempt)) {
                 continue;
             }
             let pick = self.pick(now, until, search, part, &planned);
             if let Pick::Go(id) = &pick {
                 *planned.entry(id.clone()).or_default() += 1;
             }
-            picks.push((i, pick));
+            picks.push((part_index, pick));
         }
         picks
     }
 
-    fn pick(&mut self, now: f64, until: f64, search: &Search, part: &Part, planned: &Counts) -> Pick {
+    fn pick(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &Search,
+        part: &Part,
+        planned: &PlannedParts,
+    ) -> Pick {
         let mut only = None;
         if !part.attempts.is_empty() {
             match self.may_repeat(now, search, part) {
-                Some((r, _)) if self.worth_repeating(now, part) => only = r,
+                Some(repeat) if self.worth_repeating(now, part) => only = repeat.only,
                 _ => return Pick::Never,
             }
         }
+        let zone_draw = if self.zone_failover.is_some() {
+            self.rng.rand_float()
+        } else {
+            0.0
+        };
+        let planned = |id: &ReplicaId| planned.get(id).copied().unwrap_or(0);
         let holders = self
             .fleet
             .holders(part.shard)
-            .filter(|(id, _)| only.as_ref().is_none_or(|o| o == *id));
-        let mut at = Candidates::new(holders);
-        let none = if at.is_empty() {
+            .filter(|(id, _)| only.as_ref().is_none_or(|only| only == *id));
+        let mut candidates = Candidates::new(holders);
+        let unless_chosen = if candidates.is_empty() {
             Pick::Never
         } else {
             Pick::Later
         };
-        let drawn = if self.zone_failover.is_some() {
-            self.rng.rand_float()
-        } else {
-            0.0
-        };
-        let planned = |id: &ReplicaId| planned.get(id).copied().unwrap_or(0);
-        at.require(|(id, r)| !self.exceeds_slow_start(now, r, planned(id)));
-        at.prefer(|(id, _)| !part.tried(id));
-        at.prefer(|(_, r)| !self.is_zone_ejected(r));
-        at.prefer(|(_, r)| !r.state.health.is_ejected_for(search.query_type) && !self.is_unresponsive(now, r));
-        at.prefer(|(_, r)| self.share(r.zone) > drawn);
-        at.prefer(|(_, r)| self.limits.overloaded || !r.state.health.failed_last(now));
-        // Own calls in flight, with `more` parts about to leave now: parts sent at one time share calls.
-        let calls = |(id, r): &(&ReplicaId, &Replica<Known>), more| {
-            let sent = r.in_flight.values().map(|x| x.sent_at);
-            groups(
-                sent.chain(std::iter::repeat_n(now, planned(id) + more)),
-                self.settings.parts_per_call,
-            )
-        };
-        let Some(least) = at.least(|r| calls(r, 0)) else {
-            return none;
+        candidates.require(|(id, replica)| !self.exceeds_slow_start(now, replica, planned(id)));
+        self.prefer_healthy(now, search, part, zone_draw, &mut candidates);
+        // Parts that are sent at one time share calls.
+        let parts_per_call = self.settings.parts_per_call;
+        let calls = |(id, replica): &Holder<'_>, more: usize| {
+            let in_flight = replica.in_flight.values().map(|call| call.sent_at);
+            let about_to_leave = std::iter::repeat_n(now, planned(id) + more);
+            groups(in_flight.chain(about_to_leave), parts_per_call)
         };
-        // Ties go to the nearest zones, for as much as these bear; a part that shares a call there adds none.
-        let near = self
-            .zone_failover
-            .iter()
-            .flat_map(|z| &z.near)
-            .find(|n| drawn < n.1);
-        let is_near = |r: &Replica<Known>| {
-            near.zip(r.zone)
-                .is_some_and(|(n, zone)| n.0.contains(&zone))
+        let Some(fewest) = candidates.least(|holder| calls(holder, 0)) else {
+            return unless_chosen;
         };
-        at.prefer(|r| is_near(r.1) && calls(r, 1) <= least + 1);
-        let Some(chosen) = at.choose(|r| calls(r, 0), &mut self.rng) else {
-            return none;
+        // Ties go to the nearest zones, for as much as these can take; a part that shares a call adds none.
+        candidates
+            .prefer(|holder| self.is_near(holder.1, zone_draw) && calls(holder, 1) <= fewest + 1);
+        let Some(chosen) = candidates.choose(|holder| calls(holder, 0), &mut self.rng) else {
+            return unless_chosen;
         };
         let (id, load) = (chosen.0.clone(), calls(&chosen, 0));
-        let hopeless = PartBudget::hopeless(until - now, self.tail(now, search, &id));
+        let is_hopeless = PartBudget::hopeless(until - now, self.tail(now, search, &id));
         // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
-        if hopeless || (part.in_flight() && load > 0) {
+        if is_hopeless || (part.in_flight() && load > 0) {
             return Pick::Never;
         }
-        let behind = self
+        let is_behind = self
             .queue
             .is_behind(&id, search.queuing_deadline(), (search.id, part.id));
-        if behind || chosen.1.state.hold.holds(load) {
-            Pick::Hold(id)
+        if is_behind || chosen.1.state.hold.holds(load) {
+            Pick::Queue(id)
         } else {
             Pick::Go(id)
         }
     }
 
-    /// The replica's unloaded tail for a part of the step in hand.
+    /// Prefers replicas that haven't had the part, and among them those that are expected to answer.
+    fn prefer_healthy(
+        &self,
+        now: f64,
+        search: &Search,
+        part: &Part,
+        zone_draw: f64,
+        candidates: &mut Candidates<Holder<'_>>,
+    ) {
+        candidates.prefer(|(id, _)| !part.tried(id));
+        candidates.prefer(|(_, replica)| !self.is_zone_ejected(replica));
+        candidates.prefer(|(_, replica)| {
+            !replica.state.health.is_ejected_for(search.query_type)
+                && !self.is_unresponsive(now, replica)
+        });
+        candidates.prefer(|(_, replica)| self.share(replica.zone) > zone_draw);
+        candidates.prefer(|(_, replica)| {
+            self.limits.overloaded || !replica.state.health.failed_last(now)
+        });
+    }
+
+    /// Whether the replica is in one of the zones that are preferred for this draw.
+    fn is_near(&self, replica: &Replica<Known>, zone_draw: f64) -> bool {
+        let near = self
+            .zone_failover
+            .iter()
+            .flat_map(|state| &state.near)
+            .find(|(_, share)| zone_draw < *share);
+        near.zip(replica.zone)
+            .is_some_and(|((zones, _), zone)| zones.contains(&zone))
+    }
+
+    /// The replica's unloaded tail for a part of the present step, in seconds.
     pub(super) fn tail(&self, now: f64, search: &Search, id: &ReplicaId) -> f64 {
-        self.budget
-            .tail(now, &self.unloaded, self.with_own_samples(id), search.step_parts().count())
+        self.budget.tail(
+            now,
+            &self.unloaded,
+            self.with_own_samples(id),
+            search.step_parts().count(),
+        )
     }
 
-    pub(super) fn act(&mut self, now: f64, until: f64, search: &mut Search, i: usize, pick: Pick) {
-        self.dequeue(search, i);
-        let part = &search.parts[i];
+    /// Carries out a pick: sends the part, or queues it.
+    pub(super) fn act(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &mut Search,
+        part_index: usize,
+        pick: Pick,
+    ) {
+        self.dequeue(search, part_index);
+        let part = &search.parts[part_index];
         match pick {
             Pick::Go(_) if !part.attempts.is_empty() && !self.retries.has_room(now) => {}
-            Pick::Go(id) => self.send(now, until, search, i, id),
-            // A held hedge is pointless: its part is in flight already.
-            Pick::Hold(id) if !part.in_flight() => {
-                self.queue.insert(&id, search.queuing_deadline(), (search.id, part.id));
-                search.parts[i].queued_at = Some(id);
+            Pick::Go(id) => self.send(now, until, search, part_index, id),
+            // A queued hedge is pointless: its part is in flight already.
+            Pick::Queue(id) if !part.in_flight() => {
+                self.queue
+                    .insert(&id, search.queuing_deadline(), (search.id, part.id));
+                search.parts[part_index].queued_at = Some(id);
             }
             _ => {}
         }
     }
 
-    pub(super) fn send(&mut self, now: f64, until: f64, search: &mut Search, i: usize, id: ReplicaId) {
+    /// Sends an attempt of a part to a replica that is still known.
+    pub(super) fn send(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &mut Search,
+        part_index: usize,
+        id: ReplicaId,
+    ) {
         let begin_by = self
-            .may_repeat(now, search, &search.parts[i])
-            .map_or(f64::INFINITY, |may| may.1);
-        let part = &mut search.parts[i];
+            .may_repeat(now, search, &search.parts[part_index])
+            .map_or(f64::INFINITY, |repeat| repeat.begin_by);
+        let part = &mut search.parts[part_index];
         let Some(replica) = self.fleet.get_mut(&id) else {
             return;
         };
@@ -166,15 +223,19 @@
         });
     }
 
-    pub(super) fn dequeue(&mut self, search: &mut Search, i: usize) {
-        if let Some(id) = search.parts[i].queued_at.take() {
-            self.queue
-                .remove(&id, search.queuing_deadline(), (search.id, search.parts[i].id));
+    /// Takes a part out of the queue of its replica, if it waits in one.
+    pub(super) fn dequeue(&mut self, search: &mut Search, part_index: usize) {
+        if let Some(id) = search.parts[part_index].queued_at.take() {
+            self.queue.remove(
+                &id,
+                search.queuing_deadline(),
+                (search.id, search.parts[part_index].id),
+            );
             self.reconsider_next(&id);
         }
     }
 
-    /// Asks about the first part held at a replica as soon as it may go.
+    /// Has the first queued part of a replica reconsidered as soon as it may leave.
     pub(super) fn reconsider_next(&mut self, id: &ReplicaId) {
         if self
             .fleet
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -1,56 +1,91 @@
 //! Whether a part may be sent once more.
 
 use super::{Balancer, Known};
-use crate::{api::{Search, Part, ReplicaId, Repeat}, fleet::Replica, mutations::is_mutated};
+use crate::api::{Part, Repeat, ReplicaId, Search};
+use crate::fleet::Replica;
+use crate::mutations::is_mutated;
+
+/// Retries and hedges of one part beyond which no more are worth their cost.
+const MAX_WORTHWHILE_ATTEMPTS: usize = 2;
+
+/// How a part may be sent once more without taking effect twice.
+#[derive(Clone, Debug)]
+pub(super) struct AllowedRepeat {
+    /// The only replica that it may go to, if not any.
+    pub(super) only: Option<ReplicaId>,
+    /// Time (seconds) before which it has to begin to leave, however long it waits for a connection.
+    pub(super) begin_by: f64,
+}
+
+impl AllowedRepeat {
+    /// To any replica, at any time.
+    const ANYWHERE: AllowedRepeat = AllowedRepeat {
+        only: None,
+        begin_by: f64::INFINITY,
+    };
+}
 
 impl Balancer {
-    /// No effect twice: whether the part may be sent once more, to which replica alone if not any, and before
-    /// which time it has to begin to leave, however long it waits for a connection.
+    /// How the part may be sent once more; `None` if it might take effect twice.
     pub(super) fn may_repeat(
         &self,
         now: f64,
         search: &Search,
         part: &Part,
-    ) -> Option<(Option<ReplicaId>, f64)> {
-        const FREE: Option<(Option<ReplicaId>, f64)> = Some((None, f64::INFINITY));
-        let Some(first) = part.attempts.iter().find(|s| !s.proven_unrun()) else {
-            return FREE;
+    ) -> Option<AllowedRepeat> {
+        let Some(first) = part.attempts.iter().find(|attempt| !attempt.proven_unrun()) else {
+            return Some(AllowedRepeat::ANYWHERE);
         };
         match self.settings.query_types[search.query_type.0].repeat {
-            Repeat::NonIdempotent if is_mutated("module-once") => FREE,
-            Repeat::Tokened { .. } if is_mutated("module-token-window") => FREE,
-            Repeat::Idempotent => FREE,
+            Repeat::NonIdempotent if is_mutated("module-once") => Some(AllowedRepeat::ANYWHERE),
+            Repeat::Tokened { .. } if is_mutated("module-token-window") => {
+                Some(AllowedRepeat::ANYWHERE)
+            }
+            Repeat::Idempotent => Some(AllowedRepeat::ANYWHERE),
             Repeat::Tokened { window, any_holder } => {
-                let by = first.sent_at + window - 2.0 * self.settings.tick;
-                (now < by).then(|| ((!any_holder).then(|| first.replica.clone()), by))
+                let begin_by = first.sent_at + window - 2.0 * self.settings.tick;
+                (now < begin_by).then(|| AllowedRepeat {
+                    only: (!any_holder).then(|| first.replica.clone()),
+                    begin_by,
+                })
             }
             Repeat::NonIdempotent => None,
         }
     }
 
-    /// None under overload, else up to two further; a hedge only of a part that is lost.
+    /// Whether another attempt is worth its cost: never under overload, at most two beyond the first, and a
+    /// hedge only of a part that is lost.
     pub(super) fn worth_repeating(&mut self, now: f64, part: &Part) -> bool {
-        let spent = part.attempts.len() > 2 || part.attempts.len() >= self.settings.max_attempts;
-        let barred = part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
-        !self.limits.overloaded && !spent && !barred && self.retries.has_room(now)
+        let attempts = part.attempts.len();
+        let is_spent = attempts > MAX_WORTHWHILE_ATTEMPTS || attempts >= self.settings.max_attempts;
+        let is_barred =
+            part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
+        !self.limits.overloaded && !is_spent && !is_barred && self.retries.has_room(now)
     }
 
-    /// Whether all in flight waits on silent or ejected replicas, or was passed by four sent later, as many
-    /// as a replica of few cores has at work. Where queues are the cause, hedges lengthen them.
+    /// Whether every attempt in flight waits on an unresponsive or ejected replica, or was overtaken by four
+    /// that were sent later, as many as a replica of few cores executes at a time. Where queues are the cause,
+    /// hedges lengthen them.
     fn is_lost(&self, now: f64, part: &Part) -> bool {
-        let lost = |n: usize, r: &Replica<Known>| {
-            let passed = r
+        let is_lost_at = |attempt_index: usize, replica: &Replica<Known>| {
+            let was_overtaken = replica
                 .in_flight
-                .get(&(part.id, n))
-                .is_some_and(|x| x.passed >= 4);
-            passed || self.is_ejected(r) || self.is_unresponsive(now, r)
+                .get(&(part.id, attempt_index))
+                .is_some_and(|call| call.passed >= 4);
+            was_overtaken || self.is_ejected(replica) || self.is_unresponsive(now, replica)
         };
-        part.waiting()
-            .all(|(n, s)| self.fleet.get(&s.replica).is_none_or(|r| lost(n, r)))
+        part.waiting().all(|(attempt_index, attempt)| {
+            self.fleet
+                .get(&attempt.replica)
+                .is_none_or(|replica| is_lost_at(attempt_index, replica))
+        })
     }
 
-    /// Whether a second sub-request is harmless beside one in flight.
-    pub(super) fn may_double(&self, now: f64, search: &Search, part: &Part) -> bool {
-        part.in_flight() && matches!(self.may_repeat(now, search, part), Some((None, _)))
+    /// Whether a second attempt is harmless beside one in flight.
+    pub(super) fn may_hedge(&self, now: f64, search: &Search, part: &Part) -> bool {
+        part.in_flight()
+            && self
+                .may_repeat(now, search, part)
+                .is_some_and(|repeat| repeat.only.is_none())
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,17 +1,16 @@
-//! woadreach: decides where the parts of a search go, when they leave and when the search is answered.
+//! Routing decisions shared by the query router and the serving tier: where the parts of a search go, when they
+//! leave, and when the search is answered.
 //!
-//! [`decide`] holds every decision; [`balancer`] the state that it reads and updates for searches; [`api`]
-//! the plain types that callers pass in and get back. [`fleet`], [`samples`], [`unloaded_latency`] and
-//! [`deadline_queue`] keep facts, figures and order, and decide nothing. [`rendezvous`] is how processes agree
-//! without a message. [`mutations`] names the defences that the
-//! rigs can switch off, in builds of their own.
-
-#![warn(missing_docs)]
+//! Start with [`decide`]: every decision is there, one concern a module. [`balancer`] is the state that the
+//! decisions on searches read and update, [`api`] the plain types that callers pass in and get back. [`fleet`],
+//! [`samples`], [`unloaded_latency`] and [`deadline_queue`] are data structures that decide nothing.
+//! [`rendezvous`] is the hashing by which processes agree without a message. [`mutations`] names the defences
+//! that tests can switch off, in builds of their own.
 
 pub mod api;
 pub mod balancer;
-pub mod fleet;
 pub mod deadline_queue;
+pub mod fleet;
 pub mod mutations;
 pub mod rendezvous;
 pub mod samples;
@@ -19,22 +18,22 @@
 
 pub mod decide {
     //! Every decision, by concern. Nothing here does I/O or reads a clock: time (seconds, from any origin)
-    //! and events come in, plain values go out. `search_steps`, `placement`, `repeats`, `hedging`,
+    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`, `hedging`,
     //! `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The others know nothing of
     //! searches and serve any proxy, generic over its replica identifier `R`:
     //!
     //! - [`UnloadedLatency`]: `record` the latency of each answered call that was sent with nothing else of
-    //!   ours in flight at its replica; `forget` one that has gone or restarted.
+    //!   ours in flight at its replica; `forget` one that has departed or restarted.
     //! - [`PartBudget`]: `queuing_deadline` of the replicas chosen for a request, or for a program's `k`
     //!   calls side by side; `tail` of one replica, and `hopeless` to leave a call unsent.
     //! - [`Hold`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
     //!   answer, `holds` before a call leaves.
-    //! - [`DeadlineQueue`]: `insert` a call that is held or behind another (`is_behind`); after each end of a
+    //! - [`DeadlineQueue`]: `insert` a call that is on hold or behind another (`is_behind`); after each end of a
     //!   call, once the hold is over, `first` names who goes next.
     //! - [`Candidates`]: all replicas that could serve; `require` and `prefer` in order, then `choose` by
     //!   calls in flight.
     //! - [`OutlierDetector`], one for each replica or zone: `observe` each end of a call, `prefer` those
-    //!   not ejected, send a trial when `probe_due`.
+    //!   not ejected, send a probe when `probe_due`.
     //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
     //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
     //! - [`RetryBudget`]: count what is `taken` and what is `sent` beyond a first call, while it
