--- a/crates/routing/src/deadline_queue.rs
+++ b/crates/routing/src/deadline_queue.rs
@@ -1,9 +1,9 @@
-//! The calls that are held back from their replicas, each replica's in the order of their deadlines: a data
-//! structure that decides nothing; `decide::hold` says when one may leave.
+//! The calls that are queued for their replicas, earliest deadline first. A data structure that decides nothing:
+//! [`crate::decide::hold`] says when a call may leave.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A queue of held calls `C` for each replica `R`. Late ones keep their turn: an early deadline goes first.
+/// A queue of calls `C` for each replica `R`, earliest deadline first, also if that has passed.
 pub struct DeadlineQueue<R, C> {
     calls: BTreeMap<R, BTreeSet<(i64, C)>>,
 }
@@ -21,7 +21,7 @@
         ((deadline * 1e6) as i64, call) // microseconds have an order
     }
 
-    /// Holds a call back until `first` names it.
+    /// Queues a call until `first` names it.
     pub fn insert(&mut self, replica: &R, deadline: f64, call: C) {
         self.calls
             .entry(replica.clone())
@@ -29,28 +29,28 @@
             .insert(Self::key(deadline, call));
     }
 
-    /// Takes a call out: it leaves, goes elsewhere or is given up.
+    /// Removes a call that leaves, goes elsewhere or is given up.
     pub fn remove(&mut self, replica: &R, deadline: f64, call: C) {
         self.calls
             .get_mut(replica)
-            .map(|held| held.remove(&Self::key(deadline, call)));
+            .map(|queue| queue.remove(&Self::key(deadline, call)));
     }
 
-    /// The call to be asked about next, once the replica's hold allows one.
+    /// The call that leaves next, once the replica's hold allows one.
     pub fn first(&self, replica: &R) -> Option<C> {
         self.calls
             .get(replica)
-            .and_then(|held| held.first())
+            .and_then(|queue| queue.first())
             .map(|first| first.1)
     }
 
     /// Whether another call goes before this one.
     pub fn is_behind(&self, replica: &R, deadline: f64, call: C) -> bool {
-        let first = self.calls.get(replica).and_then(|held| held.first());
+        let first = self.calls.get(replica).and_then(|queue| queue.first());
         first.is_some_and(|first| *first < Self::key(deadline, call))
     }
 
-    /// Forgets a replica that has gone.
+    /// Forgets a replica that has departed.
     pub fn forget(&mut self, replica: &R) {
         self.calls.remove(replica);
     }
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -77,7 +77,7 @@
         chosen: &[ReplicaId],
     ) -> bool {
         let query_type = &self.settings.query_types[search.query_type.0];
-        let attempts = if self.limits.overloaded || !self.retries.has_room(now) {
+        let attempts = if self.limits.overloaded || !self.retries.allows_retry(now) {
             1
         } else {
             2
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -65,7 +65,7 @@
         let (part, class) = (&search.parts[part_index], search.query_type);
         if !self.settings.hedging_allowed
             || !self.may_hedge(now, search, part)
-            || !self.retries.has_room(now)
+            || !self.retries.allows_retry(now)
         {
             return;
         }
--- a/crates/routing/src/decide/hold.rs
+++ b/crates/routing/src/decide/hold.rs
@@ -1,6 +1,6 @@
-//! Holds: a replica that answered full, or not in time, gets no more than it had in flight at that answer.
+//! Backpressure: a replica that answered full, or not in time, gets no more than it had in flight at that answer.
 
-/// Whether new calls to one replica are held back, by what is in flight there of ours.
+/// Whether new calls to one replica wait, by this co-ordinator's calls in flight there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Hold {
     /// Calls may leave.
@@ -8,13 +8,13 @@
     Open,
     /// Calls wait while over `above` are in flight, until `answers` more have come: its queue turned over.
     #[allow(missing_docs)]
-    Held { above: usize, answers: usize },
+    Holding { above: usize, answers: usize },
 }
 
 impl Hold {
     /// A call ended full or timed out, with `in_flight` others still out.
     pub fn begin(&mut self, in_flight: usize) {
-        *self = Hold::Held {
+        *self = Hold::Holding {
             above: in_flight,
             answers: in_flight.max(1),
         };
@@ -23,7 +23,7 @@
     /// A call was answered.
     pub fn answered(&mut self) {
         *self = match *self {
-            Hold::Held { above, answers } if answers > 1 => Hold::Held {
+            Hold::Holding { above, answers } if answers > 1 => Hold::Holding {
                 above,
                 answers: answers - 1,
             },
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether a further call has to wait.
+    /// Whether another call has to wait.
     pub fn holds(&self, in_flight: usize) -> bool {
-        matches!(self, Hold::Held { above, .. } if in_flight > *above)
+        matches!(self, Hold::Holding { above, .. } if in_flight > *above)
     }
 }
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -1,18 +1,19 @@
-//! What recent answers say: when a call in flight is late, when it gets a hedge, whether all is overloaded.
+//! Limits derived from recent answers: when a call is late, when it gets a hedge, whether the fleet is overloaded.
 
 use super::{PartBudget, UnloadedLatency};
 use crate::samples::{Sample, push, quantile, since};
 use std::collections::VecDeque;
 
-/// Limits on latencies (seconds), from those of the recent answers.
+/// Limits on latencies in seconds, derived from recent answers.
 pub struct LatencyLimits {
-    /// A longer one counts against its replica.
+    /// A call of longer latency counts as a failure of its replica.
     pub late_after: f64,
-    /// After so long a call gets a hedge.
+    /// A call that is in flight for longer gets a hedge.
     pub hedge_after: f64,
-    /// Answers take far longer than unloaded ones.
+    /// Whether answers take far longer than unloaded ones.
     pub overloaded: bool,
-    shortest: f64, // latency target
+    /// The shortest latency target.
+    shortest: f64,
     recent: VecDeque<Sample>,
 }
 
@@ -29,17 +30,17 @@
         }
     }
 
-    /// The time in which a queue turns over.
+    /// Seconds in which a queue turns over.
     pub fn memory(&self) -> f64 {
         self.shortest * 4.0 / 3.0
     }
 
-    /// Answers a second, of the last two.
+    /// Answers a second, over the last two seconds.
     pub fn rate(&self, now: f64) -> f64 {
         since(&self.recent, now - 2.0).len() as f64 / 2.0
     }
 
-    /// Takes in an answer.
+    /// Records the latency of an answer.
     pub fn answered(&mut self, now: f64, latency: f64) {
         push(
             &mut self.recent,
@@ -51,8 +52,9 @@
         );
     }
 
-    /// Late: beyond the 0.95 quantile, 2.5 medians and an eighth of the target, so that neither a slow fleet
-    /// nor a moment's standstill here condemns any. Hedges leave while the unloaded tail is left.
+    /// Derives the limits anew. A call is late beyond the 0.95 quantile, 2.5 medians and an eighth of the latency
+    /// target, so that neither a slow fleet nor a short stall of this process ejects a replica. Hedges leave
+    /// while there is time left for an unloaded tail.
     pub fn update<R: Ord>(&mut self, unloaded: &UnloadedLatency<R>, budget: &PartBudget) {
         let of = |samples: Vec<f64>, p| quantile(samples, p).unwrap_or(0.0);
         let all = since(&self.recent, f64::NEG_INFINITY);
@@ -69,8 +71,9 @@
             .max(2.5 * of(unloaded.fleet(), 0.5));
     }
 
-    /// Overloaded: answers take, at the lower quartile, over 1.5 times the unloaded one and a thirtieth of
-    /// the target more. Not the median: a slow way is no overload. Returns whether that has changed.
+    /// Decides whether the fleet is overloaded, and returns whether that has changed. It is when the lower
+    /// quartile of answers is above 1.5 times the unloaded one, and by more than a thirtieth of the latency
+    /// target. The quartile and not the median, since a slow network link is no overload.
     pub fn update_overload<R: Ord>(&mut self, now: f64, unloaded: &UnloadedLatency<R>) -> bool {
         let lower = |samples| quantile(samples, 0.25).unwrap_or(0.0);
         let plain = lower(unloaded.fleet());
--- a/crates/routing/src/decide/part_budget.rs
+++ b/crates/routing/src/decide/part_budget.rs
@@ -2,12 +2,17 @@
 
 use super::UnloadedLatency as Latencies;
 
-pub(crate) const SAMPLE_AGE: f64 = 20.0; // seconds for which an unloaded latency counts
-pub(crate) const OWN_SAMPLES: usize = 32; // of one replica: turn over in seconds, have a 0.97 quantile
+/// Seconds for which an unloaded latency counts.
+pub(crate) const SAMPLE_AGE: f64 = 20.0;
+/// Samples of one replica: they are replaced in seconds, and have a 0.97 quantile.
+pub(crate) const OWN_SAMPLES: usize = 32;
+/// Samples of the fleet.
 pub(crate) const FLEET_SAMPLES: usize = 256;
-pub(crate) const START_DIVISOR: f64 = 10.0; // of the shortest target, before any sample: binds nothing
-/// With fewer of its own a replica counts as average: a quantile says nothing of so few, and swollen samples
-/// push queuing deadlines below zero, so that such calls jump every queue.
+/// Before any sample, the unloaded latency is taken for the shortest latency target divided by this, which
+/// restricts nothing.
+pub(crate) const START_DIVISOR: f64 = 10.0;
+/// A replica with fewer samples of its own counts as average. A quantile of so few says nothing, and inflated
+/// samples push queuing deadlines below zero, so that such calls overtake every queue.
 pub(crate) const LEAST_SAMPLES: usize = 8;
 
 /// Splits a target over `k` parts side by side: in time with probability `p` asks for p^(1/k) of each part.
@@ -17,9 +22,9 @@
 }
 
 impl Default for PartBudget {
-    /// p = 0.7, from 0.5, 0.7 and 0.95: samples hold other co-ordinators' queues, so that at 0.95 a replica's
-    /// tail is the worst of them and sound replicas are skipped; at 0.5 hopeless parts still leave. No finer
-    /// than 32 samples can tell: beyond 1 - 1/16 one stray answer has parts of wide requests skipped.
+    /// `p` is 0.7. Samples contain other co-ordinators' queues, so that with 0.95 a replica's tail is the worst of
+    /// them and healthy replicas are skipped; with 0.5 hopeless parts still leave. The quantile is no finer than
+    /// 32 samples allow: beyond 1 - 1/16 one outlier has parts of wide requests skipped.
     fn default() -> Self {
         PartBudget {
             p: 0.7,
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -104,19 +104,24 @@
         let Some(chosen) = candidates.choose(|holder| calls(holder, 0), &mut self.rng) else {
             return unless_chosen;
         };
-        let (id, load) = (chosen.0.clone(), calls(&chosen, 0));
-        let is_hopeless = PartBudget::hopeless(until - now, self.tail(now, search, &id));
+        let load = calls(&chosen, 0);
+        let is_hopeless = PartBudget::hopeless(until - now, self.tail(now, search, chosen.0));
         // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
         if is_hopeless || (part.in_flight() && load > 0) {
             return Pick::Never;
         }
-        let is_behind = self
-            .queue
-            .is_behind(&id, search.queuing_deadline(), (search.id, part.id));
-        if is_behind || chosen.1.state.hold.holds(load) {
-            Pick::Queue(id)
+        self.go_or_queue(search, part, chosen, load)
+    }
+
+    /// Queues the part if its replica is on hold, or others go before it there.
+    fn go_or_queue(&self, search: &Search, part: &Part, chosen: Holder<'_>, load: usize) -> Pick {
+        let (id, replica) = chosen;
+        let deadline = search.queuing_deadline();
+        let is_behind = self.queue.is_behind(id, deadline, (search.id, part.id));
+        if is_behind || replica.state.hold.holds(load) {
+            Pick::Queue(id.clone())
         } else {
-            Pick::Go(id)
+            Pick::Go(id.clone())
         }
     }
 
@@ -174,7 +179,7 @@
         self.dequeue(search, part_index);
         let part = &search.parts[part_index];
         match pick {
-            Pick::Go(_) if !part.attempts.is_empty() && !self.retries.has_room(now) => {}
+            Pick::Go(_) if !part.attempts.is_empty() && !self.retries.allows_retry(now) => {}
             Pick::Go(id) => self.send(now, until, search, part_index, id),
             // A queued hedge is pointless: its part is in flight already.
             Pick::Queue(id) if !part.in_flight() => {
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -60,7 +60,7 @@
         let is_spent = attempts > MAX_WORTHWHILE_ATTEMPTS || attempts >= self.settings.max_attempts;
         let is_barred =
             part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
-        !self.limits.overloaded && !is_spent && !is_barred && self.retries.has_room(now)
+        !self.limits.overloaded && !is_spent && !is_barred && self.retries.allows_retry(now)
     }
 
     /// Whether every attempt in flight waits on an unresponsive or ejected replica, or was overtaken by four
--- a/crates/routing/src/decide/retry_budget.rs
+++ b/crates/routing/src/decide/retry_budget.rs
@@ -5,21 +5,23 @@
 use crate::samples::{Sample, push};
 use std::collections::VecDeque;
 
-/// Counts work taken and retries calls sent against the settings' rule; without one there is always room.
+/// Counts work taken and retries sent against the configured limit; without a limit every retry is allowed.
 pub struct RetryBudget {
-    rule: Option<RetryBudgetConfig>,
-    late: f64, // how late a decided call may leave: the window holds less by then than was counted
+    config: Option<RetryBudgetConfig>,
+    /// Seconds after the decision at which a call may still leave. By then the window has less work in it than
+    /// was counted.
+    max_delay: f64,
     taken: VecDeque<Sample>,
     retries: VecDeque<f64>,
 }
 
 impl RetryBudget {
-    /// Nothing taken, nothing sent.
+    /// A budget with nothing taken and nothing sent.
     pub fn new(set: &Settings) -> Self {
-        let (rule, late) = (set.retry_budget.clone(), set.max_send_delay + set.tick);
+        let (config, max_delay) = (set.retry_budget.clone(), set.max_send_delay + set.tick);
         RetryBudget {
-            rule,
-            late,
+            config,
+            max_delay,
             taken: VecDeque::new(),
             retries: VecDeque::new(),
         }
@@ -34,28 +36,32 @@
                 value: count as f64,
             },
             4096,
-        ); // more than a window; fewer is safe
+        );
     }
 
-    /// Counts a retries call.
+    /// Counts a retry that is sent.
     pub fn sent(&mut self, now: f64) {
-        self.retries.extend(self.rule.is_some().then_some(now));
+        self.retries.extend(self.config.is_some().then_some(now));
     }
 
-    /// Whether there is room for one more.
-    pub fn has_room(&mut self, now: f64) -> bool {
-        let Some(rule) = self.rule.as_ref().filter(|_| !is_mutated("module-budget")) else {
+    /// Whether one more retry is allowed.
+    pub fn allows_retry(&mut self, now: f64) -> bool {
+        let Some(config) = self
+            .config
+            .as_ref()
+            .filter(|_| !is_mutated("module-budget"))
+        else {
             return true;
         };
         let forgotten = if is_mutated("module-budget-window") {
-            0.1 * rule.window
+            0.1 * config.window
         } else {
             0.0
         };
-        let (from, late) = (now - rule.window + forgotten, self.late);
-        self.retries.retain(|t| *t >= from - late);
-        self.taken.retain(|t| t.at > from - forgotten + late);
+        let (from, max_delay) = (now - config.window + forgotten, self.max_delay);
+        self.retries.retain(|t| *t >= from - max_delay);
+        self.taken.retain(|t| t.at > from - forgotten + max_delay);
         let taken: f64 = self.taken.iter().map(|t| t.value).sum();
-        self.retries.len() as f64 + 1.0 <= rule.min_retries + rule.ratio * taken
+        self.retries.len() as f64 + 1.0 <= config.min_retries + config.ratio * taken
     }
 }
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -85,7 +85,8 @@
         Some(call)
     }
 
-    /// The latency target of the step in hand, and the last moment at which an answer still earns value.
+    /// The time by which the present step has to be answered to meet its latency target, and the last time at
+    /// which an answer still has value.
     pub(super) fn target_and_deadline(&self, search: &Search) -> (f64, f64) {
         let margin = 4.0 * self.settings.tick; // one to be asked, one to reply, and the way to the client
         let query_type = &self.settings.query_types[search.query_type.0];
@@ -116,7 +117,7 @@
         if search.finished {
             return;
         }
-        self.note_overload(now);
+        self.record_overload(now);
         let query_type = self.settings.query_types[search.query_type.0].clone();
         if search.first_asked_at.is_none() {
             self.arrive(search, &query_type);
@@ -153,7 +154,7 @@
     }
 
     /// Updates the overload state, and logs when it changes.
-    fn note_overload(&mut self, now: f64) {
+    fn record_overload(&mut self, now: f64) {
         if !self.limits.update_overload(now, &self.unloaded) {
             return;
         }
@@ -211,12 +212,12 @@
                 complete: is_mutated("module-whole"),
             }
         } else if harmless {
-            // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
+            // Back when half its time_left time is gone, if a later try can still make it; else late, for relief.
             let longest = self.settings.max_retry_after.unwrap_or(0.0);
-            let spare = search.queuing_deadline.unwrap_or(now) - now;
+            let time_left = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
-                retry_after: if spare > 0.0 {
-                    longest.min(spare / 2.0)
+                retry_after: if time_left > 0.0 {
+                    longest.min(time_left / 2.0)
                 } else {
                     longest
                 },
@@ -227,7 +228,7 @@
         self.close(search, Some(reply));
     }
 
-    /// Ends the step in hand, or the search: what is held or in flight is given up.
+    /// Ends the present step, or the search: what is queued or in flight is given up.
     pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
         for i in 0..search.parts.len() {
             self.dequeue(search, i);
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,46 +1,46 @@
-//! The replicas that the list names, by cell, and what of ours is in flight at each: facts, no decisions.
+//! The replicas that the endpoint list names, by cell, with this co-ordinator's attempts in flight at each.
 
 use crate::api::{Listed, PartId, QueryTypeId, ReplicaId, ShardId, ZoneId};
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A sub-request in flight.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
     /// When it was sent (seconds).
     pub sent_at: f64,
-    /// Sent while nothing else of ours was in flight at its replica.
+    /// Whether nothing else of this co-ordinator was in flight at its replica when it was sent.
     pub alone: bool,
     /// The query type of its search.
     pub query_type: QueryTypeId,
-    /// Sub-requests sent there later that were answered before it.
+    /// Number of attempts that were sent there later and answered before it.
     pub passed: usize,
-    /// Cancelled by this co-ordinator, so that its part can go elsewhere.
+    /// Whether this co-ordinator has cancelled it, so that its part can go elsewhere.
     pub called_off: bool,
 }
 
 /// A replica, and the `state` in which the decisions keep what they know of it.
 #[derive(Debug, Default)]
 pub struct Replica<S> {
-    /// May be sent new work.
+    /// Whether it may be sent new work.
     pub open: bool,
     /// Its zone, once listed.
     pub zone: Option<ZoneId>,
     cell: u64,
-    /// The most recent start of its process, if that was not long ago.
+    /// When its process started (seconds), if that was recent.
     pub ready_at: Option<f64>,
-    /// Sub-requests in flight, by part and number.
+    /// Attempts in flight, by part and attempt index.
     pub in_flight: BTreeMap<(PartId, usize), InFlight>,
-    /// Answers since the start of its process.
+    /// Number of answers since the start of its process.
     pub answers: usize,
-    /// When the last of them came.
+    /// When the last of them came (seconds).
     pub answered_at: f64,
-    /// What the decisions keep of it.
+    /// What the decisions know of it.
     pub state: S,
 }
 
 impl<S> Replica<S> {
-    /// A sub-request leaves for it.
+    /// Records that an attempt leaves for it.
     pub fn sent(&mut self, now: f64, part: PartId, attempt_index: usize, query_type: QueryTypeId) {
         let alone = self.in_flight.is_empty();
         let call = InFlight {
@@ -53,7 +53,7 @@
         self.in_flight.insert((part, attempt_index), call);
     }
 
-    /// A sub-request has ended; `None` if it was not in flight.
+    /// Records the end of an attempt; `None` if it was not in flight.
     pub fn ended(
         &mut self,
         now: f64,
@@ -73,7 +73,7 @@
         Some(call)
     }
 
-    /// The age of the oldest sub-request in flight (seconds), or 0.
+    /// The age of the oldest attempt in flight in seconds, or 0.
     pub fn oldest(&self, now: f64) -> f64 {
         self.in_flight
             .values()
@@ -81,15 +81,15 @@
             .fold(0.0, f64::max)
     }
 
-    /// How many sub-requests are in flight for over `age` seconds with nothing answered since they were sent.
+    /// The number of attempts in flight for over `age` seconds with nothing answered since they were sent.
     pub fn unanswered(&self, now: f64, age: f64) -> usize {
         let overdue = |c: &&InFlight| c.sent_at + age < now && self.answered_at < c.sent_at;
         self.in_flight.values().filter(overdue).count()
     }
 }
 
-/// All replicas. Those of each cell are kept apart, so that an event costs by the holders of its shards and
-/// not by the fleet.
+/// All replicas. They are indexed by cell, so that the cost of an event grows with the replicas that hold its
+/// shards and not with the fleet.
 #[derive(Debug)]
 pub struct Fleet<S> {
     replicas: BTreeMap<ReplicaId, Replica<S>>,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Takes in lines of the list; a `full` one names all replicas. `started` gives a new process its state.
-    /// Returns the replicas that are gone.
+    /// Takes in lines of the endpoint list; a `full` list names all replicas. `started` makes the state of a new
+    /// process. Returns the replicas that have departed.
     pub fn list(
         &mut self,
         full: bool,
@@ -123,7 +123,7 @@
         for line in lines {
             let replica = self.replicas.entry(line.replica.clone()).or_default();
             if line.open && replica.ready_at != line.ready_at {
-                // A new process, also that of a machine that comes back under its id.
+                // A new process, perhaps of a machine that comes back under its identifier.
                 replica.ready_at = line.ready_at;
                 (replica.answers, replica.answered_at, replica.state) = (0, 0.0, started(line));
             }
@@ -149,27 +149,27 @@
         ids.into_iter().filter(|id| self.forget(id)).collect()
     }
 
-    /// Forgets a replica that is not open and has nothing in flight; true if it did. Where replicas are
-    /// replaced all day, all there ever were would be kept otherwise.
+    /// Forgets a replica that is not open and has nothing in flight, and returns whether it did. Otherwise every
+    /// replica that there ever was would be remembered.
     pub fn forget(&mut self, id: &ReplicaId) -> bool {
-        let Some(gone) = self
+        let Some(departed) = self
             .replicas
             .get(id)
             .filter(|r| !r.open && r.in_flight.is_empty())
         else {
             return false;
         };
-        self.cells.entry(gone.cell).or_default().remove(id);
+        self.cells.entry(departed.cell).or_default().remove(id);
         self.replicas.remove(id);
         true
     }
 
-    /// A replica that has not been forgotten.
+    /// A replica that is known.
     pub fn get(&self, id: &ReplicaId) -> Option<&Replica<S>> {
         self.replicas.get(id)
     }
 
-    /// The same, to be changed.
+    /// A replica that is known, to be changed.
     pub fn get_mut(&mut self, id: &ReplicaId) -> Option<&mut Replica<S>> {
         self.replicas.get_mut(id)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -37,7 +37,7 @@
     //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
     //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
     //! - [`RetryBudget`]: count what is `taken` and what is `sent` beyond a first call, while it
-    //!   `has_room`.
+    //!   `allows_retry`.
 
     mod admission;
     pub mod candidates;
--- a/crates/routing/src/mutations.rs
+++ b/crates/routing/src/mutations.rs
@@ -1,6 +1,6 @@
-//! Injected bugs: one known defence switched off, by name, so that the rigs can show that they would find it.
-//! Without the feature `mutations`, which no release build of a host has, nothing can be switched and nothing of
-//! this is left in the program.
+//! Mutations: one defence switched off, by name, so that the tests can show that they would find such a bug.
+//! Without the feature `mutations`, which no release build has, nothing can be switched off and nothing of this is
+//! in the program.
 
 /// Every mutation: its name, and what it switches off.
 pub const MUTATIONS: [(&str, &str); 20] = [
--- a/crates/routing/src/unloaded_latency.rs
+++ b/crates/routing/src/unloaded_latency.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Forgets the samples of a replica that has gone or restarted.
+    /// Forgets the samples of a replica that has departed or restarted.
     pub fn forget(&mut self, replica: &R) {
         self.replicas.remove(replica);
     }
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -99,7 +99,7 @@
 #[rstest]
 #[case::after_full(Ending::Full)]
 #[case::after_time_out(Ending::TimedOut)]
-fn held_parts_leave_by_deadline(#[case] trigger: Ending) {
+fn queued_parts_leave_by_deadline(#[case] trigger: Ending) {
     let mut set = settings();
     set.query_types.push(QueryType {
         latency_target: 0.5,
@@ -212,7 +212,7 @@
 #[rstest]
 #[case::draining(false, vec![line("a", false, None)])]
 #[case::absent_from_full(true, vec![line("b", true, None)])]
-fn drains_are_kept(#[case] full: bool, #[case] lines: Vec<Listed>) {
+fn draining_replicas_get_nothing_new(#[case] full: bool, #[case] lines: Vec<Listed>) {
     let mut b = balancer(settings(), &["a", "b"]);
     b.list(full, &lines);
     for n in 0..20 {
@@ -226,7 +226,7 @@
 #[case::just_started(0.0, Ending::Answered)]
 #[case::half_warm(5.0, Ending::Answered)]
 #[case::refusing(0.0, Ending::Full)]
-fn cold_replica_is_not_pushed_over(#[case] age: f64, #[case] ending: Ending) {
+fn a_warming_replica_is_not_overloaded(#[case] age: f64, #[case] ending: Ending) {
     let mut set = settings();
     set.slow_start = Some(SlowStartConfig {
         initial_capacity: 0.2,
@@ -263,7 +263,7 @@
 #[rstest]
 #[case::three(3)]
 #[case::many(150)]
-fn cold_shares_hold_in_sum(#[case] coordinators: usize) {
+fn slow_start_shares_add_up_to_the_limit(#[case] coordinators: usize) {
     let cold = Some(SlowStartConfig {
         initial_capacity: 0.2,
         duration: 20.0,
@@ -366,7 +366,7 @@
 #[rstest]
 #[case::free_only(2.0, 0.0, 2)]
 #[case::share_only(0.0, 0.25, 5)]
-fn budget_is_kept(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
+fn the_retry_budget_is_respected(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
     let mut set = settings();
     set.retry_budget = Some(RetryBudgetConfig {
         min_retries: free,
@@ -460,7 +460,7 @@
 #[case::resets(Ending::Broken, 0.1)]
 #[case::refusing_at_once(Ending::Full, 0.005)]
 #[case::far_slower(Ending::Answered, 0.9)]
-fn bad_replicas_are_avoided_and_tried(#[case] ending: Ending, #[case] latency: f64) {
+fn failing_replicas_are_ejected_and_probed(#[case] ending: Ending, #[case] latency: f64) {
     let mut set = settings();
     set.max_attempts = 1;
     let mut b = balancer(set, &["a", "b"]);
@@ -611,7 +611,7 @@
 #[rstest]
 #[case::by_three(3, 0)]
 #[case::by_four(4, 1)]
-fn passed_parts_get_a_copy(#[case] later: u64, #[case] copies: usize) {
+fn overtaken_parts_get_a_hedge(#[case] later: u64, #[case] copies: usize) {
     let mut b = balancer(settings(), &["a", "b"]);
     let (mut q, _) = stuck_at(&mut b, "a", 0.0);
     let others = 2000..2002 + 2 * later;
@@ -635,7 +635,7 @@
 #[rstest]
 #[case::idle(false)]
 #[case::with_a_part_out(true)]
-fn a_replica_that_left_is_forgotten(#[case] out: bool) {
+fn a_departed_replica_is_forgotten(#[case] out: bool) {
     let mut b = balancer(settings(), &["a", "b"]);
     for n in 0..5 {
         let (_, p) = stuck_at(&mut b, "a", 0.0);
@@ -676,7 +676,7 @@
 #[rstest]
 #[case::other_zone_has_it(true, "z")]
 #[case::no_other_holder(false, "y")]
-fn a_bad_way_takes_its_zone_out(#[case] other: bool, #[case] chosen: &str) {
+fn a_failing_link_ejects_its_zone(#[case] other: bool, #[case] chosen: &str) {
     let mut set = settings();
     (set.cells, set.max_attempts) = (9, 1);
     let mut b = balancer(set, &[]);
@@ -709,7 +709,7 @@
 #[rstest]
 #[case::not_yet(0.7, 0)]
 #[case::last_call(0.85, 1)]
-fn copies_leave_in_time(#[case] age: f64, #[case] copies: usize) {
+fn hedges_leave_in_time(#[case] age: f64, #[case] copies: usize) {
     let mut b = balancer(settings(), &["a", "b"]);
     for n in 1..=50 {
         let mut q = search(n, 1, 0.0, 3.0);
@@ -736,7 +736,7 @@
 #[case::sparse(0, 1.0, false)]
 #[case::sparse_but_old(0, 11.0, true)]
 #[case::dense(4, 1.0, true)]
-fn the_last_outcome_decides_in_sparse_sight(
+fn the_last_outcome_decides_in_sparse_traffic(
     #[case] good: u64,
     #[case] later: f64,
     #[case] used: bool,
@@ -761,7 +761,7 @@
 #[rstest]
 #[case::cold_open(0, "b")]
 #[case::cold_closed(1, "a")]
-fn distrusted_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
+fn an_ejected_replica_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
     let mut set = settings();
     set.slow_start = Some(SlowStartConfig {
         initial_capacity: 0.2,
@@ -980,7 +980,7 @@
 #[rstest]
 #[case::copies_allowed(true, 1)]
 #[case::copies_barred(false, 0)]
-fn no_copy_where_copies_are_barred(#[case] hedging_allowed: bool, #[case] copies: usize) {
+fn no_hedge_where_hedging_is_not_allowed(#[case] hedging_allowed: bool, #[case] copies: usize) {
     let mut set = settings();
     set.hedging_allowed = hedging_allowed;
     let mut b = balancer(set, &["a", "b"]);
@@ -1028,7 +1028,7 @@
 #[case::not_yet_overdue(false, Repeat::Idempotent, 0.12, false)]
 #[case::copies_allowed(true, Repeat::Idempotent, 0.6, false)]
 #[case::once(false, Repeat::NonIdempotent, 0.6, false)]
-fn a_part_at_a_silent_replica_is_called_off(
+fn an_attempt_at_an_unresponsive_replica_is_cancelled(
     #[case] hedging_allowed: bool,
     #[case] repeat: Repeat,
     #[case] later: f64,
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn four_successful_trials_restore_and_failed_ones_make_them_rarer() {
+fn four_successful_probes_restore_and_failed_ones_make_them_rarer() {
     let mut detector = OutlierDetector::default();
     detector.eject(0.0, None);
     assert!(!detector.probe_due(0.9, 0) && detector.probe_due(1.0, 0));
@@ -296,14 +296,19 @@
     });
     retries.taken(0.0, 8);
     let may = (0..100)
-        .take_while(|_| retries.has_room(1.0).then(|| retries.sent(1.0)).is_some())
+        .take_while(|_| {
+            retries
+                .allows_retry(1.0)
+                .then(|| retries.sent(1.0))
+                .is_some()
+        })
         .count();
     assert_eq!(may, sent);
-    let again = retries.has_room(10.9);
+    let again = retries.allows_retry(10.9);
     assert_eq!(
         again,
         rule.is_none(),
         "still in the window, and what was taken is not"
     );
-    assert!(retries.has_room(11.1));
+    assert!(retries.allows_retry(11.1));
 }
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -26,7 +26,7 @@
     pub(crate) routes: Routes,
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, CallInHand>,
-    pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
+    pub(crate) held: DeadlineQueue<ReplicaKey, CallId>,
     /// Calls that no replica may take for now.
     pub(crate) waiting: BTreeSet<CallId>,
     pub(crate) timers: Timers,
@@ -46,7 +46,7 @@
             routes: Routes::default(),
             programs: Programs::default(),
             calls: BTreeMap::new(),
-            queue: DeadlineQueue::default(),
+            held: DeadlineQueue::default(),
             waiting: BTreeSet::new(),
             timers: Timers::default(),
             displaced: BTreeSet::new(),
