--- a/crates/tier/control/src/command_line.rs
+++ b/crates/tier/control/src/command_line.rs
@@ -7,21 +7,24 @@
 /// The role that a process plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Control plane.
+    /// The control plane.
     Core,
-    /// Kept turns and budgets.
+    /// Storage of conversations and of programs' budgets.
     Storage,
 }
 
-/// What the command line says.
+/// Arguments of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arguments {
+    /// The subcommand.
     pub role: Role,
+    /// `--log-format`; text if it is not given.
     pub log_format: LogFormat,
+    /// `--log-filter`, in the syntax of `tracing_subscriber`'s `EnvFilter`; `info` if it is not given.
     pub log_filter: String,
 }
 
-/// The command, for `--help` and parsing.
+/// Definition of the command line, for parsing and `--help`.
 pub fn command() -> Command {
     Command::new("woadreach-control")
         .about("Control plane and storage of the woadreach serving tier")
@@ -55,7 +58,10 @@
         .subcommand(Command::new("storage").about("Keep conversations and programs' budgets"))
 }
 
-/// Reads the arguments.
+/// Parses the arguments, of which the first is the name of the program.
+///
+/// # Errors
+/// [`clap::Error`] for arguments that can't be parsed, and for `--help` and `--version`.
 pub fn parse<I, T>(arguments: I) -> Result<Arguments, clap::Error>
 where
     I: IntoIterator<Item = T>,
--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -1,4 +1,4 @@
-//! Committed state of the core, as discovery tells it to the data plane.
+//! Committed state of the core, as discovery sends it to the data plane.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,12 +9,13 @@
 
 use crate::member_driver::MemberDriver;
 
-/// What this core machine's member has published.
+/// The committed state that this core machine's member knows.
 pub struct PublishedState {
     driver: Arc<MemberDriver>,
 }
 
 impl PublishedState {
+    /// Reads the state of the member that `driver` runs.
     pub fn new(driver: Arc<MemberDriver>) -> PublishedState {
         PublishedState { driver }
     }
--- a/crates/tier/control/src/compaction.rs
+++ b/crates/tier/control/src/compaction.rs
@@ -2,97 +2,98 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | `Whole` | the log is long | `Compacting`: appends go on |
-//! | `Compacting` | the snapshot is written, or gives way to a newer one | `Whole` |
-//! | `Compacting` | the snapshot can't be written | `Whole`, and none is tried for [`RETRY_PAUSE`] |
-//! | `Whole`, `Compacting`, `Repairing` | an append or the repair fails | `Broken`: nothing is appended |
-//! | `Broken` | a snapshot of everything is queued | `Repairing`: appends queue behind it |
-//! | `Repairing` | the snapshot is written | `Whole` |
+//! | `Healthy` | the log is long | `Compacting`: appends go on |
+//! | `Compacting` | the snapshot is written, or superseded by a newer one | `Healthy` |
+//! | `Compacting` | the snapshot can't be written | `Healthy`, and none is begun for [`RETRY_INTERVAL`] |
+//! | `Healthy`, `Compacting`, `Repairing` | an append or the repair fails | `Broken`: nothing is appended |
+//! | `Broken` | a snapshot of all records is queued | `Repairing`: appends queue behind it |
+//! | `Repairing` | the snapshot is written | `Healthy` |
 
 use std::time::Duration;
 
-/// The log is replaced by a snapshot when it is longer than this and twice as long as the last snapshot.
+/// Length in bytes from which the log is replaced by a snapshot, if it is twice as long as the last snapshot too.
 pub const COMPACTION_BYTES: u64 = 8 << 20;
-/// Pause after a snapshot that could not be written.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between a compaction that failed and the next one.
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Whole,
+    Healthy,
     Compacting,
     Broken,
     Repairing,
 }
 
-/// What is being done about the length and the soundness of the journal.
+/// State of the journal's compaction and repair.
 #[derive(Debug)]
 pub struct Compaction {
     phase: Phase,
+    /// Bytes of the last snapshot.
     snapshot_bytes: u64,
-    /// No snapshot is tried before, unless for a repair.
+    /// Earliest time of the next compaction, on the clock of [`Compaction::is_due`]. Repairs don't wait for it.
     not_before: Duration,
 }
 
 impl Compaction {
-    /// Of a journal that has just been opened.
+    /// The state of a journal that has just been opened.
     pub fn new() -> Compaction {
         Compaction {
-            phase: Phase::Whole,
+            phase: Phase::Healthy,
             snapshot_bytes: 0,
             not_before: Duration::ZERO,
         }
     }
 
     /// Whether records may be appended.
-    pub fn takes_records(&self) -> bool {
+    pub fn accepts_records(&self) -> bool {
         self.phase != Phase::Broken
     }
 
-    /// Whether everything that is appended gets synced, as far as known.
-    pub fn is_sound(&self) -> bool {
-        matches!(self.phase, Phase::Whole | Phase::Compacting)
+    /// Whether no append has failed since the last repair.
+    pub fn is_healthy(&self) -> bool {
+        matches!(self.phase, Phase::Healthy | Phase::Compacting)
     }
 
-    /// Whether a log of `log_bytes` is to be replaced now.
+    /// Whether a log of `log_bytes` bytes is to be replaced at `now`, the time since the process started.
     pub fn is_due(&self, now: Duration, log_bytes: u64) -> bool {
         let is_long = log_bytes > COMPACTION_BYTES.max(2 * self.snapshot_bytes);
-        is_long && self.phase == Phase::Whole && now >= self.not_before
+        is_long && self.phase == Phase::Healthy && now >= self.not_before
     }
 
-    /// A snapshot is queued that is to replace the log.
+    /// Records that a snapshot of `snapshot_bytes` bytes is queued, to replace the log.
     pub fn begin(&mut self, snapshot_bytes: u64) {
         self.snapshot_bytes = snapshot_bytes;
         self.phase = Phase::Compacting;
     }
 
-    /// The snapshot that was to replace the log is written, or has given way.
+    /// Records that the snapshot of a compaction is written, or superseded.
     pub fn end(&mut self) {
         if self.phase == Phase::Compacting {
-            self.phase = Phase::Whole;
+            self.phase = Phase::Healthy;
         }
     }
 
-    /// The snapshot that was to replace the log can't be written.
+    /// Records that the snapshot of a compaction can't be written.
     pub fn fail(&mut self, now: Duration) {
-        self.not_before = now + RETRY_PAUSE;
+        self.not_before = now + RETRY_INTERVAL;
         self.end();
     }
 
-    /// An append, or the snapshot of a repair, has failed.
+    /// Records that an append, or the snapshot of a repair, has failed.
     pub fn break_off(&mut self) {
         self.phase = Phase::Broken;
     }
 
-    /// A snapshot of everything so far is queued.
+    /// Records that a snapshot of `snapshot_bytes` bytes, with all records so far, is queued.
     pub fn begin_repair(&mut self, snapshot_bytes: u64) {
         self.snapshot_bytes = snapshot_bytes;
         self.phase = Phase::Repairing;
     }
 
-    /// The snapshot of everything is written.
+    /// Records that the snapshot of a repair is written.
     pub fn end_repair(&mut self) {
         if self.phase == Phase::Repairing {
-            self.phase = Phase::Whole;
+            self.phase = Phase::Healthy;
         }
     }
 }
--- /dev/null
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -0,0 +1,83 @@
+//! The state of a core machine at its start: recovered from the journal, or a new identity on an empty disk.
+
+use std::path::Path;
+
+use snafu::{OptionExt, ResultExt};
+use woadreach_chain::MemberOptions;
+use woadreach_journal::{Journal, JournalError, JournalOptions, Recovered};
+use woadreach_settings::NodeSettings;
+
+use super::random_number;
+use crate::durable_log::{RecoveredMember, encode_snapshot, recover};
+use crate::error::{JournalSnafu, MissingFieldSnafu, RoleError, UnreadableSnafu};
+use crate::member_driver::new_durable;
+
+/// Percentage of the disk that the journal may use.
+const MAX_DISK_PERCENT: u64 = 80;
+/// Limit in bytes on the records that wait for the disk.
+const MAX_QUEUED_BYTES: usize = 64 << 20;
+
+/// Opens the journal. On an empty disk, a new identity is created and synced.
+pub(super) async fn open_member(
+    settings: &NodeSettings,
+    options: &MemberOptions,
+) -> Result<(Journal, RecoveredMember), RoleError> {
+    let path = settings.data_dir.clone().context(MissingFieldSnafu {
+        field: "data_dir",
+        role: "core",
+        expected: "a folder on the machine's disk",
+    })?;
+    let opened = open_journal(&path, settings.limits.disk_mb)?;
+    let journal = opened.journal;
+    if let Some(snapshot) = &opened.found.snapshot {
+        let recovered =
+            recover(snapshot, &opened.found.records).context(UnreadableSnafu { path: &path })?;
+        tracing::info!(
+            epoch = recovered.durable.view.epoch,
+            number = recovered.number,
+            "state recovered"
+        );
+        return Ok((journal, recovered));
+    }
+    let bootstrap = settings.bootstrap && opened.is_intact;
+    let durable = new_durable(bootstrap, options, random_number() | 1);
+    let synced = journal.replace(encode_snapshot(0, &durable)).await;
+    let _receipt = synced.context(JournalSnafu { path: &path })?;
+    tracing::info!(
+        identity = durable.identity,
+        bootstrap,
+        "empty disk initialized"
+    );
+    Ok((journal, RecoveredMember { durable, number: 0 }))
+}
+
+struct OpenedJournal {
+    journal: Journal,
+    found: Recovered,
+    /// Whether the disk's content was undamaged. After damage, a machine must not bootstrap a core: the one
+    /// that it was a member of may still run.
+    is_intact: bool,
+}
+
+/// Opens the journal. A corrupted one is emptied, so that the machine starts as a new member.
+fn open_journal(path: &Path, disk_mb: u64) -> Result<OpenedJournal, RoleError> {
+    let max_bytes = (disk_mb << 20) / 100 * MAX_DISK_PERCENT;
+    let options = JournalOptions {
+        max_bytes,
+        max_queued_bytes: MAX_QUEUED_BYTES,
+    };
+    let (opened, is_intact) = match Journal::open(path, options) {
+        Err(error @ JournalError::Corrupt { .. }) => {
+            tracing::error!(%error, "journal corrupted, starting as a new member");
+            Journal::discard(path).context(JournalSnafu { path })?;
+            (Journal::open(path, options), false)
+        }
+        opened => (opened, true),
+    };
+    let (journal, found) = opened.context(JournalSnafu { path })?;
+    Ok(OpenedJournal {
+        journal,
+        found,
+        is_intact,
+    })
+}
--- a/crates/tier/control/src/durable_log.rs
+++ b/crates/tier/control/src/durable_log.rs
@@ -1,33 +1,37 @@
 //! A member's durable state in the journal: numbered records after a snapshot.
 //!
-//! Records carry consecutive numbers. Where one is missing (an append failed, later ones did not), those
-//! after the gap are left out: the driver reported none of them as synced. The life that starts from there
-//! appends the missing number anew, behind what was left out; recovery goes on with it.
+//! Records carry consecutive numbers. Where one is missing (its append failed, and later ones did not), recovery
+//! skips the records after the gap: the driver has reported none of them as synced. The incarnation that starts
+//! from there appends the missing number anew, behind the skipped records, and a later recovery continues with it.
 
 use woadreach_chain::{Durable, Record, RecordError};
 
 /// Bytes of a record's number.
 const NUMBER_BYTES: usize = 8;
 
-/// What a journal held.
+/// State of a member as its journal has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredMember {
+    /// The state, with every record up to `number` applied.
     pub durable: Durable,
-    /// Number of the last record that is applied.
+    /// Number of the last record that is applied; 0 before the first.
     pub number: u64,
 }
 
-/// A record with its number, as it is appended.
+/// Encodes a record for [`woadreach_journal::Journal::append`]. Its number must be one more than the last.
 pub fn encode_record(number: u64, record: &Record) -> Vec<u8> {
     with_number(number, record.encode())
 }
 
-/// A snapshot with the number of the last record in it.
+/// Encodes a snapshot for [`woadreach_journal::Journal::replace`]. `number` is that of the last record in it.
 pub fn encode_snapshot(number: u64, durable: &Durable) -> Vec<u8> {
     with_number(number, durable.encode())
 }
 
 /// Rebuilds the state from a snapshot and the records after it.
+///
+/// # Errors
+/// [`RecordError`] if the snapshot or a record can't be decoded.
 pub fn recover(snapshot: &[u8], records: &[Vec<u8>]) -> Result<RecoveredMember, RecordError> {
     let (mut number, body) = split_number(snapshot)?;
     let mut durable = Durable::decode(body)?;
--- a/crates/tier/control/src/error.rs
+++ b/crates/tier/control/src/error.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
 use snafu::Snafu;
 use woadreach_chain::RecordError;
@@ -10,51 +11,72 @@
 
 use crate::storage_role::StorageRoleError;
 
-/// Why a role could not start or go on.
+/// Why a role could not start or continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RoleError {
     /// The settings file is missing, malformed, or lacks a field.
     #[snafu(display("settings: {source}"))]
-    Settings { source: SettingsError },
+    Settings {
+        /// What is wrong with the file.
+        source: SettingsError,
+    },
     /// A field that the role needs is not set.
     #[snafu(display("settings: `{field}` is missing; the role `{role}` needs {expected}"))]
     MissingField {
+        /// Name of the field.
         field: &'static str,
+        /// Role that needs it.
         role: &'static str,
+        /// What the field should say.
         expected: &'static str,
     },
     /// A field has a value that the role can't use.
     #[snafu(display("settings: `{field}` is {found}; expected {expected}"))]
     UnusableField {
+        /// Name of the field.
         field: &'static str,
+        /// Value of the field.
         found: String,
+        /// What the field should say.
         expected: &'static str,
     },
     /// An address can't be listened on.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
+        /// Address to listen on.
         address: SocketAddr,
+        /// The operating system's failure.
         source: io::Error,
     },
     /// The journal can't be opened.
     #[snafu(display("journal in {}: {source}", path.display()))]
     Journal {
-        path: std::path::PathBuf,
+        /// Folder of the journal.
+        path: PathBuf,
+        /// The journal's failure.
         source: JournalError,
     },
     /// The journal holds something that this program can't read.
     #[snafu(display("journal in {}: {source}", path.display()))]
     Unreadable {
-        path: std::path::PathBuf,
+        /// Folder of the journal.
+        path: PathBuf,
+        /// What can't be decoded.
         source: RecordError,
     },
     /// Signals can't be received.
     #[snafu(display("signals: {source}"))]
-    Signal { source: io::Error },
+    Signal {
+        /// The operating system's failure.
+        source: io::Error,
+    },
     /// The storage role failed.
     #[snafu(display("storage: {source}"))]
-    Storage { source: StorageRoleError },
+    Storage {
+        /// The storage role's failure.
+        source: StorageRoleError,
+    },
 }
 
 impl RoleError {
--- a/crates/tier/control/src/http_server.rs
+++ b/crates/tier/control/src/http_server.rs
@@ -16,37 +16,38 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tower::ServiceExt;
 
-/// Bytes of a request's head, and of the buffer of a connection.
-const HEAD_BYTES: usize = 32 << 10;
-/// Time for a head to arrive, which bounds idle connections too.
+/// Limit in bytes on a request's head, and on the buffer of a connection.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Limit on the time for a head to arrive, and so on the time that a connection is idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(12);
-/// Longest time for a request in all.
+/// Limit on the time from a request's head to its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be taken, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between a failed `accept`, as when descriptors have run out, and the next attempt.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves `router` until `stop` holds true; then answers what is in hand for `drain` at most.
+/// Serves `router` on at most `max_connections` connections until `stop` holds `true`. Then no connection is
+/// accepted, and requests in flight have `drain_timeout` to be answered.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
-    most_connections: usize,
+    max_connections: usize,
     mut stop: watch::Receiver<bool>,
-    drain: Duration,
+    drain_timeout: Duration,
 ) {
-    let places = Arc::new(Semaphore::new(most_connections));
+    let permits = Arc::new(Semaphore::new(max_connections));
     let graceful = GracefulShutdown::new();
     loop {
-        let place = tokio::select! {
-            place = Arc::clone(&places).acquire_owned() => place,
+        let permit = tokio::select! {
+            permit = Arc::clone(&permits).acquire_owned() => permit,
             () = stopped(&mut stop) => break,
         };
-        let Ok(place) = place else { break };
+        let Ok(permit) = permit else { break };
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => spawn_connection(stream, router.clone(), place, &graceful),
+                Ok((stream, _)) => spawn_connection(stream, router.clone(), permit, &graceful),
                 Err(error) => {
                     tracing::warn!(%error, "accept failed");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             },
             () = stopped(&mut stop) => break,
@@ -54,23 +55,23 @@
     }
     drop(listener);
     // Connections that are still open after this time are closed.
-    let _ = tokio::time::timeout(drain, graceful.shutdown()).await;
+    let _ = tokio::time::timeout(drain_timeout, graceful.shutdown()).await;
 }
 
-/// Returns once `stop` holds true or its sender has gone.
+/// Returns once `stop` holds `true` or its sender is dropped.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // A sender that has gone asks for the same.
+    // A dropped sender means the same.
     let _ = stop.wait_for(|stopped| *stopped).await;
 }
 
 fn spawn_connection(
     stream: TcpStream,
     router: Router,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
     graceful: &GracefulShutdown,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "no delay");
+        tracing::debug!(%error, "TCP_NODELAY not set");
     }
     let service = service_fn(move |request: Request<Incoming>| {
         let router = router.clone();
@@ -79,14 +80,14 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(HEAD_BYTES)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let watched = graceful.watch(connection);
     tokio::spawn(async move {
         if let Err(error) = watched.await {
-            tracing::debug!(%error, "connection ended");
+            tracing::debug!(%error, "connection failed");
         }
-        drop(place);
+        drop(permit);
     });
 }
 
--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -15,16 +15,16 @@
     AcknowledgeError, CoreDiscovery, Heartbeat, HeartbeatError, ModelRecord, ReplicaState,
 };
 
-/// Longest body of a heartbeat in bytes.
+/// Limit in bytes on the body of a heartbeat.
 pub const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// Why a heartbeat's body cannot be read.
+/// Why a heartbeat's body can't be read.
 #[derive(Debug, Snafu)]
 pub enum HeartbeatBodyError {
-    /// A field is missing, of another kind or unknown in its value, or the body is not JSON.
+    /// A field is missing, has another type or an unknown value, or the body is not JSON.
     #[snafu(display("the heartbeat cannot be read: {source}"))]
     Unreadable {
-        /// Which field, and where.
+        /// The field at fault and its position.
         source: serde_json::Error,
     },
 }
@@ -45,7 +45,7 @@
     adapters: Vec<serde_json::Value>,
 }
 
-/// A heartbeat's body as PUT /instances/{id} has it.
+/// Body of `PUT /instances/{id}`.
 #[derive(Deserialize)]
 struct WireHeartbeat {
     service: String,
@@ -62,7 +62,10 @@
     models: Vec<WireModel>,
 }
 
-/// Reads the body of a heartbeat.
+/// Parses the body of a heartbeat.
+///
+/// # Errors
+/// [`HeartbeatBodyError`] if a field is missing or malformed. Unknown fields are ignored.
 pub fn read_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatBodyError> {
     let wire: WireHeartbeat =
         serde_json::from_slice(body).map_err(|source| HeartbeatBodyError::Unreadable { source })?;
@@ -78,12 +81,12 @@
         },
         cold_remaining_ms: wire.cold_remaining_ms.max(0.0) as u64,
         stage: wire.stage,
-        models: wire.models.into_iter().map(read_model).collect(),
+        models: wire.models.into_iter().map(model_record).collect(),
         sequence: wire.sequence,
     })
 }
 
-fn read_model(wire: WireModel) -> ModelRecord {
+fn model_record(wire: WireModel) -> ModelRecord {
     let adapters = wire.adapters.into_iter().map(|adapter| match adapter {
         serde_json::Value::String(name) => name,
         other => other.to_string(),
@@ -109,10 +112,10 @@
     body: Bytes,
 ) -> Response {
     match read_heartbeat(&body) {
-        Ok(heartbeat) => acknowledge(discovery.heartbeat(&id, heartbeat).await),
+        Ok(heartbeat) => respond(discovery.heartbeat(&id, heartbeat).await),
         Err(error) => {
             discovery.count_unreadable();
-            refuse(StatusCode::BAD_REQUEST, "unreadable", &error.to_string())
+            reject(StatusCode::BAD_REQUEST, "unreadable", &error.to_string())
         }
     }
 }
@@ -121,10 +124,10 @@
     State(discovery): State<Arc<CoreDiscovery>>,
     Path(id): Path<String>,
 ) -> Response {
-    acknowledge(discovery.leave(&id).await)
+    respond(discovery.leave(&id).await)
 }
 
-fn acknowledge(result: Result<(), AcknowledgeError>) -> Response {
+fn respond(result: Result<(), AcknowledgeError>) -> Response {
     let Err(error) = result else {
         return (
             StatusCode::OK,
@@ -142,15 +145,15 @@
             HeartbeatError::Departed { .. } => (StatusCode::GONE, "departed"),
         },
     };
-    refuse(status, name, &error.to_string())
+    reject(status, name, &error.to_string())
 }
 
-fn refuse(status: StatusCode, name: &'static str, message: &str) -> Response {
+fn reject(status: StatusCode, name: &'static str, message: &str) -> Response {
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        // Said of this machine, at every call while it lasts; `quorum` tells of it once.
-        tracing::debug!(error = name, "heartbeat taken, not acknowledged");
+        // Every heartbeat gets this while the machine is out of quorum; `quorum contact changed` is logged once.
+        tracing::debug!(error = name, "heartbeat received but not acknowledged");
     } else {
-        tracing::info!(%status, error = name, message, "heartbeat refused");
+        tracing::info!(%status, error = name, message, "heartbeat rejected");
     }
     let body = serde_json::json!({ "error": name, "message": message }).to_string();
     (status, [(header::CONTENT_TYPE, "application/json")], body).into_response()
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -1,9 +1,21 @@
 //! Control plane and storage of the serving tier: the roles of the binary `woadreach-control`.
 //!
-//! The `core` role ([`core_role`]) keeps the operator's configuration and the view of the storage machines in
-//! a chain of core machines ([`member_driver`] around [`woadreach_chain::Member`]), takes the operator's
-//! orders ([`operator`]) at any core machine and passes them to the head of the chain ([`order`]), and takes
-//! the replicas' heartbeats ([`instances`]). The `storage` role is [`storage_role`].
+//! Start reading at [`core_role::run`] or [`storage_role::run`], which wire a process of the role together.
+//!
+//! A machine of the `core` role is a member of a chain that replicates the operator's configuration and the view
+//! of the storage machines:
+//!
+//! - [`member_driver`] runs [`woadreach_chain::Member`], which decides without I/O, on the clock, disk and
+//!   network; [`durable_log`] encodes its records in the journal, and [`compaction`] has the states of that
+//!   journal.
+//! - [`operator`] is the operator's HTTP API. Any core machine accepts an order; [`order`] takes it to the head
+//!   of the chain.
+//! - [`instances`] is the HTTP API of the replicas' heartbeats.
+//! - [`storage_planner`] changes the view of the storage machines while this machine is the head.
+//! - [`committed`] publishes the committed state to the data plane by way of `woadreach-discovery`.
+//!
+//! A machine of the `storage` role ([`storage_role`]) runs [`woadreach_storage::server::Server`] and announces
+//! itself to the core. The protocol is described in `docs/control-plane.md` and `docs/storage.md`.
 
 pub mod command_line;
 pub mod committed;
@@ -17,7 +29,6 @@
 pub mod member_driver;
 pub mod operator;
 pub mod order;
-pub mod order_route;
-pub mod retire_order;
+mod storage_announcer;
 pub mod storage_planner;
 pub mod storage_role;
--- a/crates/tier/control/src/logging.rs
+++ b/crates/tier/control/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs on standard error.
+//! Logging to standard error.
 
 use tracing_subscriber::EnvFilter;
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines for people.
@@ -11,7 +11,10 @@
     Json,
 }
 
-/// Starts logging; a filter that can't be read counts as `info`.
+/// Starts logging. `filter` is in the syntax of [`EnvFilter`]; one that can't be parsed counts as `info`.
+///
+/// # Panics
+/// If logging has been started before.
 pub fn start(format: LogFormat, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
--- a/crates/tier/control/src/main.rs
+++ b/crates/tier/control/src/main.rs
@@ -1,4 +1,4 @@
-//! Control plane and storage of the serving tier.
+//! Entry point of `woadreach-control`: parses the command line, starts logging, and runs the role.
 
 use std::process::ExitCode;
 
--- a/crates/tier/control/src/operator.rs
+++ b/crates/tier/control/src/operator.rs
@@ -18,21 +18,22 @@
 use woadreach_chain::{Blob, Digest, PutConfiguration, Rejection};
 use woadreach_config::{Configuration, ConfigurationError};
 
-use crate::order::{Answer, ORDER_TIMEOUT, Order, OrderService, Unanswered};
+use crate::order::message::{Answer, Order};
+use crate::order::service::{ORDER_TIMEOUT, OrderService, Unanswered};
 
-/// Longest body of a configuration.
-pub const LONGEST_CONFIGURATION: usize = 6 << 20;
-/// Longest time for a body to arrive.
+/// Limit in bytes on the body of a configuration.
+pub const MAX_CONFIGURATION_BYTES: usize = 6 << 20;
+/// Limit on the time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Configurations that are read and checked at once.
-const CONFIGURATIONS_AT_ONCE: usize = 10;
+/// Limit on the configurations that are read and validated at once.
+const MAX_CONCURRENT_CONFIGURATIONS: usize = 10;
 
-/// An order that is refused before it reaches the chain.
+/// Why an order is rejected before it reaches the chain.
 #[derive(Debug, Snafu)]
 enum OrderError {
     #[snafu(display("the header `If-Match` is missing or is no generation"))]
     NoIfMatch,
-    #[snafu(display("the body is longer than {LONGEST_CONFIGURATION} bytes"))]
+    #[snafu(display("the body is longer than {MAX_CONFIGURATION_BYTES} bytes"))]
     TooLong,
     #[snafu(display("the body did not arrive"))]
     Incomplete,
@@ -42,17 +43,17 @@
     Invalid { source: ConfigurationError },
 }
 
-/// What the handlers share.
-pub struct OperatorApi {
+/// State shared by the handlers.
+struct OperatorApi {
     orders: Arc<OrderService>,
-    places: Semaphore,
+    configuration_permits: Semaphore,
 }
 
 /// The operator's routes.
 pub fn router(orders: Arc<OrderService>) -> Router {
     let api = Arc::new(OperatorApi {
         orders,
-        places: Semaphore::new(CONFIGURATIONS_AT_ONCE),
+        configuration_permits: Semaphore::new(MAX_CONCURRENT_CONFIGURATIONS),
     });
     Router::new()
         .route("/config", get(get_configuration).put(put_configuration))
@@ -69,20 +70,23 @@
         Ok(put) => {
             let generation = put.generation;
             let answer = execute(&api, Order::PutConfiguration(put)).await;
-            tracing::info!(generation, ?answer, "PUT /config");
+            tracing::info!(generation, ?answer, "configuration order answered");
             respond(answer)
         }
-        Err(error) => refuse(&error),
+        Err(error) => reject(&error),
     }
 }
 
-/// Reads and checks an order. The chain checks the rest against the current generation.
+/// Reads and validates an order. The chain compares its base with the current generation.
 async fn read_configuration(
     api: &OperatorApi,
     headers: &HeaderMap,
     body: Body,
 ) -> Result<PutConfiguration, OrderError> {
-    let _place = api.places.try_acquire().map_err(|_| OrderError::TooMany)?;
+    let _permit = api
+        .configuration_permits
+        .try_acquire()
+        .map_err(|_| OrderError::TooMany)?;
     let base = base_generation(headers).ok_or(OrderError::NoIfMatch)?;
     let body = read_body(body).await?;
     let configuration =
@@ -101,7 +105,7 @@
 }
 
 async fn read_body(body: Body) -> Result<Bytes, OrderError> {
-    let limited = Limited::new(body, LONGEST_CONFIGURATION).collect();
+    let limited = Limited::new(body, MAX_CONFIGURATION_BYTES).collect();
     let collected = tokio::time::timeout(BODY_TIMEOUT, limited).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -125,7 +129,7 @@
 
 async fn post_retire(State(api): State<Arc<OperatorApi>>, Path(node): Path<String>) -> Response {
     let answer = execute(&api, Order::Retire { node: node.clone() }).await;
-    tracing::info!(node, ?answer, "POST /retire");
+    tracing::info!(node, ?answer, "retire order answered");
     respond(answer)
 }
 
@@ -182,8 +186,8 @@
     error_response(status, &rejection.to_string())
 }
 
-fn refuse(error: &OrderError) -> Response {
-    tracing::info!(%error, "PUT /config refused");
+fn reject(error: &OrderError) -> Response {
+    tracing::info!(%error, "configuration order rejected");
     let status = match error {
         OrderError::NoIfMatch | OrderError::Invalid { .. } => StatusCode::BAD_REQUEST,
         OrderError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -13,14 +13,14 @@
 use woadreach_storage::view::plan;
 
 use crate::member_driver::MemberDriver;
-use crate::order::submit_storage_view;
-use crate::retire_order::read;
+use crate::order::execution::submit_storage_view;
+use crate::order::retire::decode_view;
 
-/// Interval between two looks at the announcements.
+/// Interval between two plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at a machine that isn't the head.
+/// Interval at which a machine that isn't the head checks whether it has become the head.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest time for a change to be committed; the next look sees what became of it.
+/// Limit on the time for a change to be committed; the next plan starts from whatever became of it.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Plans the storage view while this machine is the head.
@@ -29,17 +29,20 @@
     rpc: Client,
     announcements: Arc<Mutex<Announcements>>,
     seeds: Vec<SocketAddr>,
-    tolerated: usize,
+    /// How many storage machines may be lost at once.
+    tolerated_failures: usize,
     /// Epoch of the last storage view that could not be read.
     unreadable_epoch: AtomicU64,
 }
 
 impl StoragePlanner {
+    /// Creates the planner of this core machine. `seeds` are the core machines that storage machines announce
+    /// themselves to; `tolerated_failures` is how many storage machines may be lost at once.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
         seeds: Vec<SocketAddr>,
-        tolerated: usize,
+        tolerated_failures: usize,
     ) -> Arc<StoragePlanner> {
         let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
         let unreadable_epoch = AtomicU64::new(0);
@@ -48,7 +51,7 @@
             rpc,
             announcements,
             seeds,
-            tolerated,
+            tolerated_failures,
             unreadable_epoch,
         })
     }
@@ -57,16 +60,16 @@
     pub fn handlers(self: &Arc<Self>, router: Router) -> Router {
         let planner = Arc::clone(self);
         let driver = Arc::clone(&self.driver);
-        let heard = handler(Arc::clone(&self.announcements), move || {
+        let receive = handler(Arc::clone(&self.announcements), move || {
             driver.status().in_quorum
         });
         router.route_checked(ServiceId::ANNOUNCE, move |peer, body: Bytes| {
             planner.relay(peer, &body);
-            heard(peer, body)
+            receive(peer, body)
         })
     }
 
-    /// Storage machines announce themselves to the seeds: those pass it on to a head that is not among them.
+    /// Forwards an announcement to the head if that isn't a seed. Storage machines may know the seeds only.
     fn relay(&self, peer: SocketAddr, body: &Bytes) {
         let status = self.driver.status();
         let Some(head) = status.head.map(|head| SocketAddr::V4(head.address)) else {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Looks at the announcements until the task is dropped.
+    /// Plans until the future is dropped.
     pub async fn run(self: Arc<Self>) {
         loop {
             let is_head = self.driver.status().is_head;
@@ -97,25 +100,26 @@
         }
     }
 
-    /// Nothing is planned on a view that can't be read; logged once an epoch.
-    fn refuse(&self, epoch: u64, error: MessageError) {
+    /// Logs, once an epoch, that no plan is made on a view that can't be decoded.
+    fn log_unreadable(&self, epoch: u64, error: MessageError) {
         if self.unreadable_epoch.swap(epoch, Ordering::Relaxed) != epoch {
-            tracing::error!(epoch, %error, "nothing is planned: the stored storage view can't be read");
+            tracing::error!(epoch, %error, "storage view planning skipped, stored view not decoded");
         }
     }
 
+    /// Plans the next view from the latest one and the announcements, and submits it.
     async fn advance(&self) {
         let stored = self.driver.latest_storage_view();
-        let expected_epoch = stored.as_ref().map_or(0, |(epoch, _)| *epoch);
-        let view = match read(stored.as_ref()) {
+        let expected_epoch = stored.as_ref().map_or(0, |stored| stored.epoch);
+        let view = match decode_view(stored.as_ref()) {
             Ok(view) => view,
-            Err(error) => return self.refuse(expected_epoch, error),
+            Err(error) => return self.log_unreadable(expected_epoch, error),
         };
         let planned = plan(
             Instant::now(),
             &view,
             &self.announcements.lock(),
-            self.tolerated,
+            self.tolerated_failures,
         );
         let Some(next) = planned else { return };
         tracing::info!(
@@ -129,10 +133,7 @@
             .await
             .is_err()
         {
-            tracing::warn!(
-                storage_epoch = next.epoch,
-                "storage view not committed in time"
-            );
+            tracing::warn!(storage_epoch = next.epoch, "storage view commit timed out");
         }
     }
 }
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -1,4 +1,4 @@
-//! The `storage` role: keeps turns and programs' budgets.
+//! The `storage` role: stores conversations and programs' budgets.
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -11,23 +11,19 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 use woadreach_discovery::{ControlSnapshot, ControlWatch, NodeRole, Sampler};
-use woadreach_rpc::{Client, ClientOptions, Router, ServiceId, serve};
+use woadreach_rpc::{Client, ClientOptions, Router, serve};
 use woadreach_settings::NodeSettings;
 use woadreach_storage::StorageView;
-use woadreach_storage::announce::{ANNOUNCE_INTERVAL, is_from_quorum};
-use woadreach_storage::message::encode;
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 
-/// Bytes in a megabyte of the settings.
+use crate::storage_announcer::StorageAnnouncer;
+
+/// Bytes of a megabyte in the settings.
 const MEGABYTE: u64 = 1_000_000;
-/// Without an answer of a core machine in quorum for this long, this machine was cut off.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_800);
-/// What is left of the grace period for ending.
-const LEAVE_MARGIN: Duration = Duration::from_millis(2_000);
-/// How often it is looked at whether this machine may end.
-const LEAVE_POLL: Duration = Duration::from_millis(50);
-/// How long the answer to an announcement is waited for.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Part of the grace period that is reserved for stopping after the departure.
+const STOP_MARGIN: Duration = Duration::from_millis(2_000);
+/// Interval at which the progress of the departure is checked.
+const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the role cannot run.
 #[derive(Debug, Snafu)]
@@ -35,13 +31,13 @@
     /// The settings name no folder for data.
     #[snafu(display("the settings of {node} have no data_dir: a storage machine needs a disk"))]
     NoDataDir {
-        /// Machine concerned.
+        /// Name of the machine.
         node: String,
     },
-    /// The disk does not work.
+    /// The storage server can't start on the disk.
     #[snafu(display("{source}"))]
     Storage {
-        /// What the storage says.
+        /// The storage server's failure.
         source: ServerError,
     },
     /// The address cannot be listened on.
@@ -93,44 +89,44 @@
     let router = sampler.handlers(server.routes(Router::new()));
     let control = ControlWatch::spawn_with_sampler(&settings, rpc.clone(), Arc::clone(&sampler));
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
-    // Whoever needs the changed settings reads them again; without a handler the signal would end the
-    // process.
+    // The parts that need the changed settings reload them; without a handler the signal would kill the process.
     let _hangup = signal(SignalKind::hangup()).context(SignalSnafu)?;
-    tracing::info!(node = settings.node, %address, "storage is up");
+    tracing::info!(node = settings.node, %address, "storage machine started");
+    let seeds = settings.seed_internal_addresses();
     let service = async {
         tokio::join!(
             serve(listener, router),
             server.run(),
             sampler.run(),
             follow_views(&server, control.clone()),
-            announce(&server, &rpc, settings.seed_internal_addresses(), control),
+            StorageAnnouncer::new(&server, &rpc, seeds, control).run(),
         )
     };
     tokio::select! {
         _ = service => {}
-        () = stopped(&server, &mut terminate, settings.bounds.grace_period) => {}
+        () = leave_on_sigterm(&server, &mut terminate, settings.bounds.grace_period) => {}
     }
-    tracing::info!(node = settings.node, "storage stopped");
+    tracing::info!(node = settings.node, "storage machine stopped");
     Ok(())
 }
 
-/// Waits for SIGTERM, and then until the other machines do without this one's disk, which may be gone for
-/// good.
-async fn stopped(server: &Server, terminate: &mut Signal, grace_period: Duration) {
+/// Waits for SIGTERM, and then until no data depends on this machine's disk, which may never come back, or until
+/// the grace period is over but for [`STOP_MARGIN`].
+async fn leave_on_sigterm(server: &Server, terminate: &mut Signal, grace_period: Duration) {
     terminate.recv().await;
-    tracing::info!("leaving the storage machines");
+    tracing::info!("departure from the storage view requested");
     server.begin_leaving();
-    let deadline = Instant::now() + grace_period.saturating_sub(LEAVE_MARGIN);
+    let deadline = Instant::now() + grace_period.saturating_sub(STOP_MARGIN);
     while !server.may_end() {
         if Instant::now() >= deadline {
-            tracing::warn!("this machine's disk is still needed");
+            tracing::warn!("stopped at the deadline while the disk was still needed");
             return;
         }
-        sleep(LEAVE_POLL).await;
+        sleep(DEPARTURE_POLL_INTERVAL).await;
     }
 }
 
-/// Takes each new view of the storage machines.
+/// Gives the server each new view of the storage machines.
 async fn follow_views(server: &Server, mut control: watch::Receiver<Arc<ControlSnapshot>>) {
     while control.changed().await.is_ok() {
         let snapshot = control.borrow_and_update().clone();
@@ -139,59 +135,3 @@
         }
     }
 }
-
-/// Tells the core machines, at intervals and at once when a pull has ended. One of them that is in quorum is
-/// to answer: after a time without such answers this machine was cut off and may have missed records.
-async fn announce(
-    server: &Server,
-    rpc: &Client,
-    seeds: Vec<SocketAddr>,
-    control: watch::Receiver<Arc<ControlSnapshot>>,
-) {
-    let mut pulled = server.pulled();
-    let mut last_answer = Instant::now();
-    let mut turn: usize = 0;
-    loop {
-        let snapshot = control.borrow().clone();
-        let core = if snapshot.core_members.is_empty() {
-            &seeds
-        } else {
-            &snapshot.core_members
-        };
-        let announcement = encode(&server.announcement());
-        let asked = turn % core.len().max(1);
-        for (_, address) in core.iter().enumerate().filter(|(place, _)| *place != asked) {
-            rpc.send(*address, ServiceId::ANNOUNCE, announcement.clone());
-        }
-        let answered = async {
-            let Some(address) = core.get(asked) else {
-                return false;
-            };
-            let answer = rpc
-                .call(
-                    *address,
-                    ServiceId::ANNOUNCE,
-                    announcement.clone(),
-                    ANSWER_TIMEOUT,
-                )
-                .await;
-            answer.is_ok_and(|answer| is_from_quorum(&answer))
-        };
-        let pause = async {
-            tokio::select! {
-                () = sleep(ANNOUNCE_INTERVAL) => server.tick(),
-                _ = pulled.changed() => {}
-            }
-        };
-        let (answered, ()) = tokio::join!(answered, pause);
-        if answered {
-            let now = Instant::now();
-            if now.saturating_duration_since(last_answer) > CUT_OFF_AFTER {
-                server.missed_records();
-            }
-            last_answer = now;
-        } else {
-            turn = turn.wrapping_add(1);
-        }
-    }
-}
--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Messages, views and orders that cannot be taken: an error of their own kind, and nothing of them in force.
+//! Messages, views and orders that are malformed: each is rejected with its own error and changes nothing.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use tower::ServiceExt;
 use woadreach_chain::{Accepted, Ballot, Body, DecodeError, Envelope, MemberId, View, ViewError};
 use woadreach_control::operator;
-use woadreach_control::order::MessageError;
+use woadreach_control::order::message::MessageError;
 
 fn stranger(number: u8) -> MemberId {
     MemberId {
@@ -38,11 +38,11 @@
 }
 
 #[tokio::test]
-async fn messages_of_other_versions_or_cut_short_change_nothing() {
+async fn messages_of_other_versions_or_truncated_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, _orders) = start_core(folder.path()).await;
     let before = driver.status();
-    let whole = envelope(
+    let complete = envelope(
         before.epoch + 1,
         Body::Decided(view(before.epoch + 1, &[9], &[9])),
     )
@@ -51,8 +51,8 @@
         driver.receive(&[]),
         Err(DecodeError::EmptyMessage)
     ));
-    for version in [0, whole[0] + 1, 255] {
-        let mut other = whole.clone();
+    for version in [0, complete[0] + 1, 255] {
+        let mut other = complete.clone();
         other[0] = version;
         let error = driver.receive(&other).expect_err("another version");
         assert!(
@@ -60,8 +60,8 @@
             "{error}"
         );
     }
-    for length in 1..whole.len() {
-        let error = driver.receive(&whole[..length]).expect_err("cut short");
+    for length in 1..complete.len() {
+        let error = driver.receive(&complete[..length]).expect_err("truncated");
         assert!(
             matches!(error, DecodeError::MalformedMessage { .. }),
             "{length}: {error}"
@@ -147,17 +147,17 @@
 }
 
 #[tokio::test]
-async fn orders_of_other_versions_or_cut_short_are_errors() {
+async fn orders_of_other_versions_or_truncated_are_errors() {
     let folder = tempfile::tempdir().expect("a folder");
     let (_driver, orders) = start_core(folder.path()).await;
     let error = orders
-        .take_forwarded(Bytes::new())
+        .execute_forwarded(Bytes::new())
         .await
         .expect_err("empty");
     assert!(matches!(error, MessageError::Empty), "{error}");
     for version in [0, 2, 255] {
         let error = orders
-            .take_forwarded(Bytes::from(vec![version, 0, 0]))
+            .execute_forwarded(Bytes::from(vec![version, 0, 0]))
             .await
             .expect_err("version");
         assert!(
@@ -166,9 +166,9 @@
         );
     }
     let error = orders
-        .take_forwarded(Bytes::from_static(&[1, 0, 0]))
+        .execute_forwarded(Bytes::from_static(&[1, 0, 0]))
         .await
-        .expect_err("cut short");
+        .expect_err("truncated");
     assert!(matches!(error, MessageError::Malformed { .. }), "{error}");
 }
 
--- a/crates/tier/control/tests/instances.rs
+++ b/crates/tier/control/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Bodies of heartbeats: what is read, and what is refused by the name of the field at fault.
+//! Bodies of heartbeats: which are parsed, and which are rejected with the name of the field at fault.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_whole_body_is_read_and_unknown_fields_are_ignored() {
+fn a_complete_body_is_parsed_and_unknown_fields_are_ignored() {
     let heartbeat = read_heartbeat(body().to_string().as_bytes()).unwrap();
     assert_eq!(heartbeat.address, "10.128.0.9:8080".parse().unwrap());
     assert_eq!(heartbeat.state, ReplicaState::Draining);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_missing_field_is_refused_by_its_name() {
+fn a_missing_field_is_rejected_by_its_name() {
     let required = [
         "service",
         "address",
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unknown_state_and_other_values_of_the_wrong_kind_are_refused() {
+fn an_unknown_state_and_other_values_of_the_wrong_kind_are_rejected() {
     let wrong = [
         ("state", json!("asleep")),
         ("address", json!("nowhere")),
@@ -78,8 +78,8 @@
         read_heartbeat(&bytes).is_err()
     }
 
-    fn a_body_that_is_cut_short_is_an_error(length: usize) -> bool {
-        let whole = body().to_string();
-        read_heartbeat(&whole.as_bytes()[..length % whole.len()]).is_err()
+    fn a_truncated_body_is_an_error(length: usize) -> bool {
+        let complete = body().to_string();
+        read_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
     }
 }
--- a/crates/tier/control/tests/journal_bounds.rs
+++ b/crates/tier/control/tests/journal_bounds.rs
@@ -1,5 +1,5 @@
-//! Thousands of changes on one core machine that is the whole core: its journal stays short, and whatever was
-//! acknowledged is there after a loss of power at any moment, in the middle of a snapshot too.
+//! Thousands of changes on a core of one machine: its journal stays short, and everything acknowledged survives a
+//! loss of power at any moment, also in the middle of a snapshot.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -15,9 +15,11 @@
 use woadreach_rpc::{Client, ClientOptions};
 
 const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
-/// 80 hundredths of a disk of 128 MB.
-const SHARE: u64 = (128 << 20) / 100 * 80;
+/// 80 % of a disk of 128 MB.
+const MAX_JOURNAL_BYTES: u64 = (128 << 20) / 100 * 80;
+/// Bytes of a small configuration.
 const SMALL: usize = 10 << 10;
+/// Bytes of a large configuration.
 const LARGE: usize = 4 << 20;
 
 fn options() -> MemberOptions {
@@ -49,19 +51,24 @@
     }
 }
 
-/// What one life of the machine came to.
-struct Life {
+/// Outcome of one incarnation of the machine.
+struct Incarnation {
     /// Generation of the last change that was acknowledged.
     acknowledged: u64,
-    /// Most bytes of the disk that were in use after a change.
-    most_used: usize,
+    /// Maximum of the disk's used bytes after each change.
+    max_used: usize,
 }
 
-/// Starts a machine on `disk` and changes the configuration `count` times, or until the power is cut at
-/// change `cut` of the disk.
-async fn live(disk: &SimulatedDisk, count: u64, bytes: usize, cut: Option<u64>) -> Life {
+/// Starts a machine on `disk` and changes the configuration `count` times, or until power is lost at change
+/// `power_loss` of the disk.
+async fn run_changes(
+    disk: &SimulatedDisk,
+    count: u64,
+    bytes: usize,
+    power_loss: Option<u64>,
+) -> Incarnation {
     let journal_options = JournalOptions {
-        max_bytes: SHARE,
+        max_bytes: MAX_JOURNAL_BYTES,
         max_queued_bytes: 64 << 20,
     };
     let (journal, found) =
@@ -77,14 +84,14 @@
             RecoveredMember { durable, number: 0 }
         }
     };
-    let mut life = Life {
+    let mut incarnation = Incarnation {
         acknowledged: recovered.durable.state.generation(),
-        most_used: 0,
+        max_used: 0,
     };
-    if let Some(cut) = cut {
-        disk.cut_power(cut);
+    if let Some(change) = power_loss {
+        disk.cut_power(change);
     }
-    let is_dead = || cut.is_some_and(|cut| disk.changes() > cut);
+    let is_dead = || power_loss.is_some_and(|change| disk.changes() > change);
     let driver = MemberDriver::start(
         options(),
         recovered,
@@ -92,19 +99,19 @@
         Client::new(ClientOptions::default()),
     );
     until(|| driver.status().is_head || is_dead()).await;
-    for generation in life.acknowledged + 1..=life.acknowledged + count {
-        let asked = Arc::clone(&driver);
+    for generation in incarnation.acknowledged + 1..=incarnation.acknowledged + count {
+        let head = Arc::clone(&driver);
         let request = Request::Submit(Command::PutConfiguration(change(generation, bytes)));
-        let order = tokio::spawn(async move { asked.request(request).await });
+        let order = tokio::spawn(async move { head.request(request).await });
         until(|| order.is_finished() || is_dead()).await;
         if !order.is_finished() {
             break;
         }
         assert_eq!(order.await.expect("no panic"), Reply::Taken);
-        life.acknowledged = generation;
-        life.most_used = life.most_used.max(disk.used_bytes());
+        incarnation.acknowledged = generation;
+        incarnation.max_used = incarnation.max_used.max(disk.used_bytes());
     }
-    life
+    incarnation
 }
 
 async fn until(condition: impl Fn() -> bool) {
@@ -113,17 +120,17 @@
     }
 }
 
-/// One life on a runtime of its own, with which its tasks end.
-fn run(disk: &SimulatedDisk, count: u64, bytes: usize, cut: Option<u64>) -> Life {
+/// Runs one incarnation on a runtime of its own, with which its tasks end.
+fn run(disk: &SimulatedDisk, count: u64, bytes: usize, power_loss: Option<u64>) -> Incarnation {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    runtime.block_on(live(disk, count, bytes, cut))
+    runtime.block_on(run_changes(disk, count, bytes, power_loss))
 }
 
-/// What a restart finds: the generation of the configuration, and the digests of all that were taken.
-fn found(disk: &SimulatedDisk) -> (u64, Vec<TakenConfiguration>) {
+/// What a restart recovers: the generation of the configuration, and the digests of all that were taken.
+fn recovered_state(disk: &SimulatedDisk) -> (u64, Vec<TakenConfiguration>) {
     let (_, found) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("a readable disk");
     let recovered =
@@ -135,59 +142,64 @@
 }
 
 #[test]
-fn three_thousand_small_changes_take_little_room() {
+fn three_thousand_small_changes_use_little_of_the_disk() {
     let disk = SimulatedDisk::default();
-    let life = run(&disk, 3000, SMALL, None);
-    println!("most bytes in use: {}", life.most_used);
-    assert_eq!(life.acknowledged, 3000);
-    assert!(life.most_used <= 12 << 20, "{}", life.most_used);
-    assert_eq!(found(&disk).0, 3000);
+    let incarnation = run(&disk, 3000, SMALL, None);
+    println!("most bytes in use: {}", incarnation.max_used);
+    assert_eq!(incarnation.acknowledged, 3000);
+    assert!(incarnation.max_used <= 12 << 20, "{}", incarnation.max_used);
+    assert_eq!(recovered_state(&disk).0, 3000);
 }
 
 #[test]
-fn sixty_large_changes_take_less_than_a_third_of_the_share() {
+fn sixty_large_changes_use_less_than_a_third_of_the_limit() {
     let disk = SimulatedDisk::default();
-    let life = run(&disk, 60, LARGE, None);
-    println!("most bytes in use: {}", life.most_used);
-    assert_eq!(life.acknowledged, 60);
-    assert!(life.most_used as u64 <= SHARE / 3, "{}", life.most_used);
-    assert_eq!(found(&disk).0, 60);
+    let incarnation = run(&disk, 60, LARGE, None);
+    println!("most bytes in use: {}", incarnation.max_used);
+    assert_eq!(incarnation.acknowledged, 60);
+    assert!(
+        incarnation.max_used as u64 <= MAX_JOURNAL_BYTES / 3,
+        "{}",
+        incarnation.max_used
+    );
+    assert_eq!(recovered_state(&disk).0, 60);
 }
 
-/// Cuts at random moments of one machine's lives; returns how many of them lost something acknowledged.
-fn lives_with_cuts(lives: u64, ignores_syncs: bool) -> u64 {
+/// Loses power at a random moment of each incarnation; returns after how many of them something acknowledged was
+/// missing.
+fn count_losses(incarnations: u64, ignores_syncs: bool) -> u64 {
     let mut random = Rand64::new(4);
     let mut disk = SimulatedDisk::default();
     run(&disk, 1, SMALL, None);
     let mut lost = 0;
-    for number in 0..lives {
+    for number in 0..incarnations {
         let bytes = if number % 4 == 0 { LARGE } else { SMALL * 20 };
         if ignores_syncs {
             disk.set_fault(woadreach_journal::DiskFault::IgnoresSync);
         }
-        let cut = disk.changes() + random.rand_range(1..200);
-        let acknowledged = run(&disk, 100, bytes, Some(cut)).acknowledged;
-        // The earlier life goes on with its own disk, if with any.
+        let power_loss = disk.changes() + random.rand_range(1..200);
+        let acknowledged = run(&disk, 100, bytes, Some(power_loss)).acknowledged;
+        // Threads of the earlier incarnation may still write to its own disk.
         disk = disk.copy();
         let outcomes: Vec<Survival> = (0..disk.unsynced_changes())
             .map(|_| Survival::ALL[random.rand_range(0..4) as usize])
             .collect();
         disk.return_power(outcomes);
-        let (generation, digests) = found(&disk);
-        let is_whole =
+        let (generation, digests) = recovered_state(&disk);
+        let is_complete =
             generation >= acknowledged && digests.iter().copied().eq((1..=generation).map(taken));
-        lost += u64::from(!is_whole);
+        lost += u64::from(!is_complete);
     }
     lost
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_by_cuts_of_power() {
-    assert_eq!(lives_with_cuts(24, false), 0);
+fn nothing_acknowledged_is_lost_when_power_is() {
+    assert_eq!(count_losses(24, false), 0);
 }
 
 #[test]
 fn a_disk_that_ignores_syncs_is_found() {
-    let found = std::panic::catch_unwind(|| lives_with_cuts(3, true));
+    let found = std::panic::catch_unwind(|| count_losses(3, true));
     assert!(found.is_err() || found.is_ok_and(|lost| lost > 0));
 }
--- a/crates/tier/control/tests/journal_upkeep.rs
+++ b/crates/tier/control/tests/journal_upkeep.rs
@@ -22,12 +22,12 @@
 
 #[derive(Default)]
 struct Gate {
-    holds_snapshots: bool,
-    is_held: bool,
+    blocks_snapshots: bool,
+    is_blocking: bool,
     snapshots: usize,
 }
 
-/// A disk that counts the snapshots that are begun, and can hold them at their first byte.
+/// A disk that counts the snapshots that are begun, and can block them at their first byte.
 #[derive(Clone, Default)]
 struct GateDisk {
     disk: SimulatedDisk,
@@ -35,17 +35,17 @@
 }
 
 impl GateDisk {
-    fn hold_snapshots(&self) {
-        self.gate.0.lock().holds_snapshots = true;
+    fn block_snapshots(&self) {
+        self.gate.0.lock().blocks_snapshots = true;
     }
 
     fn release(&self) {
-        self.gate.0.lock().holds_snapshots = false;
+        self.gate.0.lock().blocks_snapshots = false;
         self.gate.1.notify_all();
     }
 
-    fn is_held(&self) -> bool {
-        self.gate.0.lock().is_held
+    fn is_blocking(&self) -> bool {
+        self.gate.0.lock().is_blocking
     }
 
     fn snapshots(&self) -> usize {
@@ -55,11 +55,11 @@
     fn pass(&self) {
         let mut gate = self.gate.0.lock();
         gate.snapshots += 1;
-        while gate.holds_snapshots {
-            gate.is_held = true;
+        while gate.blocks_snapshots {
+            gate.is_blocking = true;
             self.gate.1.wait(&mut gate);
         }
-        gate.is_held = false;
+        gate.is_blocking = false;
     }
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// A core machine that is the whole core, once it is the head.
+/// A core of one machine, once it is the head.
 async fn start(disk: &GateDisk) -> Arc<MemberDriver> {
     let (journal, _) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("an empty disk");
@@ -126,14 +126,14 @@
     }))
 }
 
-/// Has the head take the storage view of `epoch`; the handle gives the answer.
+/// Submits the storage view of `epoch`; returns when the head has accepted it, with the reply to come.
 async fn submit(driver: &Arc<MemberDriver>, epoch: u64) -> JoinHandle<Reply> {
-    let asked = Arc::clone(driver);
-    let order = tokio::spawn(async move { asked.request(view(epoch)).await });
+    let head = Arc::clone(driver);
+    let order = tokio::spawn(async move { head.request(view(epoch)).await });
     until(|| {
         driver
             .latest_storage_view()
-            .is_some_and(|(latest, _)| latest >= epoch)
+            .is_some_and(|latest| latest.epoch >= epoch)
     })
     .await;
     order
@@ -156,13 +156,13 @@
     let disk = GateDisk::default();
     let driver = start(&disk).await;
     let before = disk.snapshots();
-    disk.hold_snapshots();
+    disk.block_snapshots();
     let mut orders = Vec::new();
     let mut epoch = 0;
-    while !disk.is_held() {
+    while !disk.is_blocking() {
         epoch += 1;
         let order = submit(&driver, epoch).await;
-        until(|| order.is_finished() || disk.is_held()).await;
+        until(|| order.is_finished() || disk.is_blocking()).await;
         orders.push(order);
     }
     for _ in 0..4 {
@@ -181,10 +181,10 @@
     let disk = GateDisk::default();
     let driver = start(&disk).await;
     let before = disk.snapshots();
-    disk.hold_snapshots();
+    disk.block_snapshots();
     disk.disk.fail_change(disk.disk.changes());
     let mut orders = vec![submit(&driver, 1).await];
-    within(until(|| disk.is_held())).await;
+    within(until(|| disk.is_blocking())).await;
     for epoch in 2..=5 {
         orders.push(submit(&driver, epoch).await);
     }
@@ -201,15 +201,15 @@
     assert_eq!(recovered.durable.state.storage_epoch(), 5);
 }
 
-/// Nothing waits to be appended, but the disk does nothing.
+/// The disk stalls although no append is queued.
 #[tokio::test(flavor = "current_thread")]
 async fn a_disk_that_stalls_in_a_snapshot_is_noticed() {
     let disk = GateDisk::default();
     let (journal, _) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("an empty disk");
-    disk.hold_snapshots();
+    disk.block_snapshots();
     let snapshot = journal.replace(vec![1; 9]);
-    within(until(|| disk.is_held())).await;
+    within(until(|| disk.is_blocking())).await;
     assert!(!journal.stalled_for().is_zero());
     disk.release();
     let _receipt = within(snapshot).await.expect("a sync");
--- a/crates/tier/control/tests/operator_api.rs
+++ b/crates/tier/control/tests/operator_api.rs
@@ -15,24 +15,26 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tower::ServiceExt;
-use woadreach_chain::{Blob, Command, PutStorageView, Reply};
+use woadreach_chain::{Blob, Command, PutStorageView, Reply, StoredStorageView};
 use woadreach_control::member_driver::MemberDriver;
 use woadreach_control::operator;
-use woadreach_control::order::{ORDER_TIMEOUT, Order, Unanswered, submit_storage_view};
+use woadreach_control::order::execution::submit_storage_view;
+use woadreach_control::order::message::Order;
+use woadreach_control::order::service::{ORDER_TIMEOUT, Unanswered};
 use woadreach_storage::{StorageMember, StorageView};
 
-/// The API of a core machine that is the whole core, once it is the head.
+/// The API of a core of one machine, once it is the head.
 async fn start(folder: &Path) -> Router {
     start_core(folder).await.0
 }
 
-/// The same, with the machine's member.
+/// The API of a core of one machine, with its member, once it is the head.
 async fn start_core(folder: &Path) -> (Router, Arc<MemberDriver>) {
     let (driver, orders) = support::start_core(folder).await;
     (operator::router(orders), driver)
 }
 
-/// A settled view of the storage machines `store-0` to `store-(count - 1)`.
+/// A view, without a change under way, of the storage machines `store-0` to `store-(count - 1)`.
 fn storage_view(count: u8) -> StorageView {
     let member = |number: u8| StorageMember {
         node: format!("store-{number}"),
@@ -106,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_taken_once_and_read_back_verbatim() {
+async fn a_configuration_is_accepted_once_and_read_back_verbatim() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     assert_eq!(get(&api, "/config").await.0, StatusCode::NOT_FOUND);
@@ -124,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_repeat_is_acknowledged_after_other_changes_and_a_restart() {
+async fn a_retried_change_is_acknowledged_after_other_changes_and_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
     let first = configuration(5, 1000);
     {
@@ -156,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn invalid_orders_are_refused_and_leave_what_is_in_force() {
+async fn invalid_orders_are_rejected_and_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let valid = configuration(5, 1000);
@@ -178,8 +180,8 @@
         .expect("a route")
         .remove("service");
     let no_timeout = configuration(7, 0);
-    let whole = configuration(7, 1000).to_string();
-    let cut_short = &whole[..whole.len() / 2];
+    let complete = configuration(7, 1000).to_string();
+    let truncated = &complete[..complete.len() / 2];
 
     for invalid in [&unknown_service, &same_place, &no_weight, &no_timeout] {
         assert_eq!(
@@ -189,7 +191,7 @@
         );
     }
     assert_eq!(
-        put(&api, 5, cut_short.to_owned()).await,
+        put(&api, 5, truncated.to_owned()).await,
         StatusCode::BAD_REQUEST
     );
     assert_eq!(
@@ -210,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn orders_without_base_or_too_long_are_refused() {
+async fn orders_without_base_or_too_long_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let request = Request::put("/config").body(Body::from(configuration(5, 1).to_string()));
@@ -218,12 +220,12 @@
         call(&api, request.expect("a request")).await.0,
         StatusCode::BAD_REQUEST
     );
-    let long = vec![b' '; operator::LONGEST_CONFIGURATION + 1];
+    let long = vec![b' '; operator::MAX_CONFIGURATION_BYTES + 1];
     assert_eq!(put(&api, 0, long).await, StatusCode::PAYLOAD_TOO_LARGE);
 }
 
 #[tokio::test]
-async fn a_large_configuration_is_taken() {
+async fn a_large_configuration_is_accepted() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let mut large = configuration(5, 1000);
@@ -234,7 +236,7 @@
 }
 
 #[tokio::test]
-async fn unknown_storage_machines_cannot_be_emptied() {
+async fn unknown_storage_machines_cannot_be_retired() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let request = Request::post("/retire/storage-1").body(Body::from(r#"{"deadline_s":10}"#));
@@ -254,7 +256,7 @@
     let api = start(folder.path()).await;
     let first = configuration(5, 1000);
     assert_eq!(put(&api, 0, first.to_string()).await, StatusCode::OK);
-    // White space, or another order of the fields: not sent again unchanged, so judged afresh.
+    // With other white space, or another order of the fields, it isn't a copy and is decided anew.
     let spaced = serde_json::to_string_pretty(&first).expect("JSON");
     assert_eq!(
         put(&api, 0, spaced.clone()).await,
@@ -285,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn a_change_on_a_base_that_is_yet_to_come_gets_no_clear_answer() {
+async fn a_change_on_a_future_base_gets_no_final_answer() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let (first, second) = (configuration(5, 1000), configuration(9, 2000));
@@ -294,7 +296,7 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     assert_eq!(put_value(&api, 0, &first).await, StatusCode::OK);
-    // A late copy of the second is taken; nobody was told that it never would be.
+    // A late copy of the second is accepted: its rejection was never acknowledged.
     assert_eq!(put_value(&api, 5, &second).await, StatusCode::OK);
     assert_eq!(
         put_value(&api, 12, &configuration(11, 1000)).await,
@@ -311,7 +313,7 @@
         .map(|number| configuration(7, 1000 + number))
         .collect();
     let mut calls = JoinSet::new();
-    // Each is sent twice at once, as after a lost answer.
+    // Two copies of each are sent at once, as after a lost answer.
     for change in [changes.clone(), changes].concat() {
         let api = api.clone();
         calls.spawn(async move { (put_value(&api, 0, &change).await, change.to_string()) });
@@ -335,7 +337,7 @@
 }
 
 #[tokio::test]
-async fn orders_to_empty_machines_are_acknowledged_again_by_what_is_stored() {
+async fn retire_orders_are_acknowledged_again_from_the_stored_view() {
     let folder = tempfile::tempdir().expect("a folder");
     {
         let (api, driver) = start_core(folder.path()).await;
@@ -356,11 +358,11 @@
             "no order"
         );
     }
-    // After a restart, and after the machine was emptied and left the view.
+    // After a restart, and after the machine was retired and removed from the view.
     let (api, driver) = start_core(folder.path()).await;
     assert_eq!(post_retire(&api, "store-0").await, StatusCode::OK);
-    let (epoch, bytes) = driver.latest_storage_view().expect("a view");
-    let mut emptied = StorageView::decode(&bytes).expect("a view");
+    let StoredStorageView { epoch, bytes } = driver.latest_storage_view().expect("a view");
+    let mut emptied = StorageView::decode(&bytes.0).expect("a view");
     emptied.epoch += 1;
     emptied.current.remove(0);
     emptied.retiring.clear();
@@ -382,7 +384,7 @@
 }
 
 #[tokio::test]
-async fn eight_orders_at_once_empty_as_many_machines_as_may_go() {
+async fn eight_retire_orders_at_once_retire_as_many_machines_as_allowed() {
     let folder = tempfile::tempdir().expect("a folder");
     let (api, driver) = start_core(folder.path()).await;
     assert!(submit_storage_view(&driver, 0, &storage_view(4)).await);
@@ -422,7 +424,7 @@
 }
 
 #[tokio::test]
-async fn a_storage_view_of_another_format_is_no_reason_to_refuse() {
+async fn a_storage_view_of_another_format_gets_no_final_answer() {
     let folder = tempfile::tempdir().expect("a folder");
     let (api, driver) = start_core(folder.path()).await;
     let bytes = Blob::from(vec![0xff, 1, 2, 3]);
@@ -453,7 +455,7 @@
 }
 
 #[tokio::test]
-async fn a_machine_that_is_cut_off_from_the_others_sends_callers_elsewhere() {
+async fn a_machine_that_is_partitioned_from_the_others_sends_callers_elsewhere() {
     let folder = tempfile::tempdir().expect("a folder");
     let others = [2, 3].map(|port| SocketAddrV4::new(Ipv4Addr::LOCALHOST, port));
     let driver = start_member(folder.path(), vec![ADDRESS, others[0], others[1]]).await;
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -1,6 +1,6 @@
 //! Three core machines with real drivers, journals and connections on loopback: orders that race at several
-//! machines at once, copies of each at two machines, and a head that ends with orders in hand. The mutated
-//! fault is a core whose machines don't know of each other.
+//! machines at once, two copies of each at different machines, and a head that stops with orders in flight. As a
+//! negative control, the same races on three machines that are a core each must be found to be wrong.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -12,6 +12,7 @@
 use axum::body::Body;
 use axum::http::{Request, StatusCode};
 use serde_json::json;
+use snafu::{Snafu, ensure};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::oneshot;
@@ -21,17 +22,17 @@
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
 use woadreach_control::operator;
-use woadreach_control::order::OrderService;
+use woadreach_control::order::service::OrderService;
 use woadreach_journal::{Journal, JournalOptions};
 use woadreach_rpc::{Client, ClientOptions, Router, ServiceId, serve};
 
 const MACHINES: usize = 3;
-/// Rounds in which orders race; the head ends in every third.
+/// Rounds in which orders race; the head is stopped in every third.
 const ROUNDS: u64 = 9;
 /// Changes that race in a round, each at two machines.
 const CHANGES: u64 = 4;
-/// An order, or a start, that takes longer has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit on the time of an order or a start.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process of a core machine: one thread with a runtime, with which everything in it ends.
 struct Machine {
@@ -46,7 +47,7 @@
 struct Core {
     folder: PathBuf,
     addresses: Vec<SocketAddrV4>,
-    /// Each machine is a core of its own.
+    /// Whether each machine is a core of its own.
     is_split: bool,
     machines: Vec<Option<Machine>>,
 }
@@ -91,7 +92,7 @@
                 started
                     .send((Handle::current(), api, driver))
                     .expect("the test waits");
-                // Either the test says stop, or it has ended.
+                // Either the test stops the machine, or it has ended itself.
                 let _ = stopped.await;
             });
         });
@@ -105,8 +106,8 @@
         });
     }
 
-    /// Ends a machine's process with everything that it has in hand.
-    fn end_machine(&mut self, index: usize) {
+    /// Stops a machine's process with everything that it has in flight.
+    fn stop_machine(&mut self, index: usize) {
         if let Some(machine) = self.machines[index].take() {
             drop((machine.stop, machine.api, machine.driver));
             machine.thread.join().expect("no panic");
@@ -125,17 +126,18 @@
     }
 
     /// Waits until every running machine is in the chain and one of them is the head.
-    fn wait_until_whole(&self, operators: &Runtime) {
+    fn wait_until_complete(&self, operators: &Runtime) {
         for (_, machine) in self.running() {
             let driver = Arc::clone(&machine.driver);
-            let whole = async move {
+            let complete = async move {
                 let mut changes = driver.changes();
                 while !driver.status().in_chain || driver.status().head.is_none() {
                     changes.changed().await.expect("the driver runs");
                 }
             };
-            let waited = operators.block_on(async { tokio::time::timeout(PATIENCE, whole).await });
-            waited.expect("a whole chain");
+            let waited =
+                operators.block_on(async { tokio::time::timeout(TIMEOUT, complete).await });
+            waited.expect("a complete chain");
         }
     }
 }
@@ -143,7 +145,7 @@
 impl Drop for Core {
     fn drop(&mut self) {
         for index in 0..MACHINES {
-            self.end_machine(index);
+            self.stop_machine(index);
         }
     }
 }
@@ -195,7 +197,7 @@
         })
         .route_checked(ServiceId::FORWARD, move |_peer, body| {
             let orders = Arc::clone(&forwarded);
-            async move { orders.take_forwarded(body).await }
+            async move { orders.execute_forwarded(body).await }
         });
     tokio::spawn(serve(listener, services));
     (operator::router(orders), driver)
@@ -213,7 +215,7 @@
     .to_string()
 }
 
-/// Sends an order to one machine; nothing if the machine ends before it answers.
+/// Sends an order to one machine; `None` if the machine stops before it answers.
 async fn put(machine: (Handle, Api), base: u64, body: String) -> Option<StatusCode> {
     let request = Request::put("/config")
         .header("If-Match", base.to_string())
@@ -231,9 +233,9 @@
         .map(|machine| (machine.handle.clone(), machine.api.clone()))
 }
 
-/// Sends the order again, to one running machine after the other, until the answer is clear.
-async fn insist(core: &Core, base: u64, body: &str) -> StatusCode {
-    let clear = async {
+/// Sends an order to one running machine after the other, until the answer is final.
+async fn retry_until_final(core: &Core, base: u64, body: &str) -> StatusCode {
+    let answer = async {
         loop {
             for index in 0..MACHINES {
                 let Some(machine) = target(core, index) else {
@@ -246,101 +248,157 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, clear)
+    tokio::time::timeout(TIMEOUT, answer)
         .await
-        .expect("a clear answer")
+        .expect("a final answer")
 }
 
-/// What each copy of a change was answered, by the change's number.
-type Answers = JoinSet<(u64, Option<StatusCode>)>;
+/// The answer to one copy of a change.
+#[derive(Debug)]
+struct ChangeAnswer {
+    /// Number of the change in its round.
+    change: u64,
+    /// `None` if the machine stopped before it answered.
+    status: Option<StatusCode>,
+}
 
-fn race(core: &Core, operators: &Runtime, round: u64, base: u64, generation: u64) -> Answers {
+fn race(
+    core: &Core,
+    operators: &Runtime,
+    round: u64,
+    base: u64,
+    generation: u64,
+) -> JoinSet<ChangeAnswer> {
     let mut answers = JoinSet::new();
-    for number in 0..CHANGES {
+    for change in 0..CHANGES {
         for copy in 0..2 {
-            let index = (round + number + copy) as usize % MACHINES;
+            let index = (round + change + copy) as usize % MACHINES;
             let machine = target(core, index).expect("it runs");
-            let body = configuration(generation, number);
-            let call = async move { (number, put(machine, base, body).await) };
+            let body = configuration(generation, change);
+            let call = async move {
+                let status = put(machine, base, body).await;
+                ChangeAnswer { change, status }
+            };
             answers.spawn_on(call, operators.handle());
         }
     }
     answers
 }
 
-/// Plays all rounds; what was found if more or less than one change won, or one was answered in two ways.
-fn play(is_split: bool) -> Result<(), String> {
+/// Why a round is wrong.
+#[derive(Debug, Snafu)]
+enum RaceError {
+    /// Not exactly one change of the round has won.
+    #[snafu(display("round {round}: {answers:?}"))]
+    WinnerCount {
+        round: u64,
+        answers: Vec<ChangeAnswer>,
+    },
+    /// Copies of one change were answered differently, or with an unexpected status.
+    #[snafu(display("round {round}, change {change}: {statuses:?}"))]
+    Contradiction {
+        round: u64,
+        change: u64,
+        statuses: Vec<StatusCode>,
+    },
+    /// A change that had won was rejected when it was sent again.
+    #[snafu(display("round {round}: {status} for {body}, sent again"))]
+    WinnerRejected {
+        round: u64,
+        status: StatusCode,
+        body: String,
+    },
+}
+
+/// Runs all rounds. Each must have exactly one winner, and all copies of a change the same answer.
+fn run_rounds(is_split: bool) -> Result<(), RaceError> {
     let folder = tempfile::tempdir().expect("a folder");
     let mut core = Core::start(folder.path(), is_split);
     let operators = runtime();
-    core.wait_until_whole(&operators);
-    let mut taken: Vec<(u64, String)> = Vec::new();
+    core.wait_until_complete(&operators);
+    // Base and body of each winner.
+    let mut winners: Vec<(u64, String)> = Vec::new();
     for round in 1..=ROUNDS {
         let (base, generation) = (3 * (round - 1), 3 * round);
-        let mut answers = race(&core, &operators, round, base, generation);
-        let mut told: Vec<(u64, Option<StatusCode>)> = Vec::new();
-        let ended = (round % 3 == 0).then(|| core.head()).flatten();
-        if let Some(head) = ended {
-            // Some orders are answered, others are in hand.
-            told.extend(
+        let mut racing = race(&core, &operators, round, base, generation);
+        let mut answers: Vec<ChangeAnswer> = Vec::new();
+        let stopped = (round % 3 == 0).then(|| core.head()).flatten();
+        if let Some(head) = stopped {
+            // At least one order is answered, and others are in flight.
+            answers.extend(
                 operators
-                    .block_on(answers.join_next())
+                    .block_on(racing.join_next())
                     .map(|answer| answer.expect("no panic")),
             );
-            core.end_machine(head);
+            core.stop_machine(head);
         }
-        told.extend(operators.block_on(answers.join_all()));
-        for number in 0..CHANGES {
-            let body = configuration(generation, number);
-            told.push((number, Some(operators.block_on(insist(&core, base, &body)))));
+        answers.extend(operators.block_on(racing.join_all()));
+        for change in 0..CHANGES {
+            let body = configuration(generation, change);
+            let status = operators.block_on(retry_until_final(&core, base, &body));
+            answers.push(ChangeAnswer {
+                change,
+                status: Some(status),
+            });
         }
-        let winner = find_winner(round, &told)?;
-        taken.push((base, configuration(generation, winner)));
-        for (base, body) in &taken {
-            let status = operators.block_on(insist(&core, *base, body));
-            if status != StatusCode::OK {
-                return Err(format!("round {round}: {status} for {body}, sent again"));
-            }
+        let winner = find_winner(round, answers)?;
+        winners.push((base, configuration(generation, winner)));
+        for (base, body) in &winners {
+            let status = operators.block_on(retry_until_final(&core, *base, body));
+            ensure!(
+                status == StatusCode::OK,
+                WinnerRejectedSnafu {
+                    round,
+                    status,
+                    body
+                }
+            );
         }
-        if let Some(head) = ended {
+        if let Some(head) = stopped {
             core.start_machine(head);
-            core.wait_until_whole(&operators);
+            core.wait_until_complete(&operators);
         }
     }
     Ok(())
 }
 
-/// The one change that is acknowledged whoever asks; each other one is refused whoever asks.
-fn find_winner(round: u64, told: &[(u64, Option<StatusCode>)]) -> Result<u64, String> {
+/// The one change that every machine acknowledges; every machine must reject each other one.
+fn find_winner(round: u64, answers: Vec<ChangeAnswer>) -> Result<u64, RaceError> {
     let mut winners: Vec<u64> = Vec::new();
-    for number in 0..CHANGES {
-        let clear: Vec<StatusCode> = told
+    for change in 0..CHANGES {
+        let statuses: Vec<StatusCode> = answers
             .iter()
-            .filter(|(other, _)| *other == number)
-            .filter_map(|(_, status)| {
-                status.filter(|status| *status != StatusCode::SERVICE_UNAVAILABLE)
-            })
+            .filter(|answer| answer.change == change)
+            .filter_map(|answer| answer.status)
+            .filter(|status| *status != StatusCode::SERVICE_UNAVAILABLE)
             .collect();
-        let is_one = clear.iter().all(|status| *status == clear[0]);
-        match clear[0] {
-            StatusCode::OK if is_one => winners.push(number),
-            StatusCode::PRECONDITION_FAILED if is_one => {}
-            _ => return Err(format!("round {round}, change {number}: {clear:?}")),
+        let is_unanimous = statuses.iter().all(|status| *status == statuses[0]);
+        match statuses[0] {
+            StatusCode::OK if is_unanimous => winners.push(change),
+            StatusCode::PRECONDITION_FAILED if is_unanimous => {}
+            _ => {
+                return ContradictionSnafu {
+                    round,
+                    change,
+                    statuses,
+                }
+                .fail();
+            }
         }
     }
     match winners[..] {
         [winner] => Ok(winner),
-        _ => Err(format!("round {round}: {told:?}")),
+        _ => WinnerCountSnafu { round, answers }.fail(),
     }
 }
 
 #[test]
 fn of_racing_orders_one_wins_at_all_machines_and_through_the_loss_of_a_head() {
-    assert_eq!(play(false), Ok(()));
+    run_rounds(false).expect("one winner a round");
 }
 
 #[test]
 fn machines_that_are_cores_of_their_own_are_found() {
-    let found = play(true).expect_err("several winners");
+    let found = run_rounds(true).expect_err("several winners");
     println!("{found}");
 }
--- a/crates/tier/control/tests/order_route.rs
+++ b/crates/tier/control/tests/order_route.rs
@@ -1,10 +1,10 @@
-//! Where an order goes: to the head as known here, to a new one at once, and nowhere from a cut-off machine.
+//! Where an order goes: to the head as known here, to a new one at once, and nowhere from a partitioned machine.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
 use woadreach_chain::{MemberId, Status};
-use woadreach_control::order_route::{QUORUM_WAIT, Step, is_superseded, next_step};
+use woadreach_control::order::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
 
 fn address(host: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 7000)
@@ -17,7 +17,7 @@
     }
 }
 
-/// What machine 1 knows.
+/// Status of machine 1.
 fn status(head: Option<u8>, is_head: bool, in_quorum: bool) -> Status {
     Status {
         epoch: 3,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn in_quorum_the_head_carries_out_and_the_others_pass_on() {
+fn in_quorum_the_head_executes_and_the_others_forward() {
     assert_eq!(step(Some(1), true, true, Duration::ZERO), Step::Execute);
     assert_eq!(
         step(Some(2), false, true, Duration::ZERO),
@@ -54,26 +54,26 @@
 }
 
 #[test]
-fn out_of_quorum_an_order_waits_a_little_and_is_given_up_also_at_a_former_head() {
-    let short = QUORUM_WAIT - Duration::from_millis(1);
+fn out_of_quorum_an_order_waits_a_little_and_is_abandoned_also_at_a_former_head() {
+    let short = QUORUM_TIMEOUT - Duration::from_millis(1);
     assert_eq!(step(Some(1), true, false, short), Step::Execute);
     assert_eq!(
         step(Some(2), false, false, short),
         Step::Forward(SocketAddr::V4(address(2)))
     );
     for (head, is_head) in [(Some(1), true), (Some(2), false), (None, false)] {
-        assert_eq!(step(head, is_head, false, QUORUM_WAIT), Step::GiveUp);
+        assert_eq!(step(head, is_head, false, QUORUM_TIMEOUT), Step::GiveUp);
     }
 }
 
 #[test]
-fn a_new_head_supersedes_the_one_that_was_asked_and_a_new_epoch_of_the_same_does_not() {
-    let asked = Some(member(2));
+fn a_new_head_supersedes_the_recipient_and_a_new_epoch_of_the_same_head_does_not() {
+    let recipient = Some(member(2));
     let same = Status {
         epoch: 4,
         ..status(Some(2), false, true)
     };
-    assert!(!is_superseded(asked, &same));
-    assert!(is_superseded(asked, &status(Some(3), false, true)));
+    assert!(!is_superseded(recipient, &same));
+    assert!(is_superseded(recipient, &status(Some(3), false, true)));
     assert!(is_superseded(None, &same));
 }
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -1,53 +1,54 @@
-//! Orders to empty storage machines in any order with the planner's changes of the view, losses of what is
-//! not committed, and copies of earlier orders; the decisions are the real ones.
+//! Orders to retire storage machines, interleaved with the planner's changes of the view, losses of uncommitted
+//! changes, and copies of earlier orders. The decisions are those of the program; the chain is a model.
 //!
-//! A script of numbers says what happens next. Two faults can be mutated: the planner's view is put in place
-//! without a look at the epoch that it was planned on, and an answer is given by what was judged before the
-//! barrier alone.
+//! A script of numbers says what happens next. Two defences can be switched off, and the loss must be found: the
+//! planner's view replaces any view, whatever epoch it was planned on, or an answer isn't confirmed after the
+//! barrier.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen};
-use woadreach_chain::{Blob, Command, ControlState, PutStorageView, Stamp, Verdict};
-use woadreach_control::order::Answer;
-use woadreach_control::retire_order::{RetireStep, decode, judge_retire, retire_state};
-use woadreach_storage::StorageMember;
+use woadreach_chain::{
+    Blob, Command, ControlState, PutStorageView, Stamp, StoredStorageView, Verdict,
+};
+use woadreach_control::order::message::Answer;
+use woadreach_control::order::retire::{RetireDecision, decide_retire, decode_view, retire_state};
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::view::plan;
+use woadreach_storage::{StorageMember, StorageView};
 
-/// Machines that there may be; one more name is never heard.
+/// Machines that may exist; one more name never announces itself.
 const MACHINES: u8 = 8;
-/// Machines that are there from the start.
-const FIRST_MACHINES: u8 = 4;
-const TOLERATED: usize = 1;
-/// Orders under way at once.
-const PLACES: usize = 8;
+/// Machines that announce themselves from the start.
+const INITIAL_MACHINES: u8 = 4;
+/// Storage machines that may be lost at once.
+const TOLERATED_FAILURES: usize = 1;
+/// Limit on the orders in flight at once.
+const MAX_ORDERS: usize = 8;
 const TICK: Duration = Duration::from_millis(100);
-/// Length of a script.
-const STEPS: usize = 600;
-/// Scripts that are played.
+/// Numbers of a script.
+const SCRIPT_LENGTH: usize = 600;
+/// Scripts that a test runs.
 const SCRIPTS: u64 = 400;
 
 /// A defence that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mutated {
-    Nothing,
-    /// The planner's view replaces whichever view is there.
-    Overwriting,
-    /// What was judged is not looked at again once the barrier is through.
-    NoSecondLook,
+enum Mutation {
+    /// The planner's view replaces whichever view is stored.
+    PlannerOverwrites,
+    /// An answer isn't decided again on the committed view after the barrier.
+    AnswersUnconfirmed,
 }
 
-/// An order under way.
+/// A slot for an order in flight.
 #[derive(Clone, Debug)]
-enum Place {
+enum OrderSlot {
     Free,
-    /// Judged; its view is to be put, or its answer to be confirmed.
-    Judged {
+    /// Decided; its view is to be submitted, or its answer to be confirmed.
+    Decided {
         node: String,
-        step: RetireStep,
+        decision: RetireDecision,
     },
     /// Waits for the commit of a stamp.
     Submitted {
@@ -56,7 +57,7 @@
     },
 }
 
-/// What the planner is at.
+/// State of the planner.
 #[derive(Clone, Debug)]
 enum Planner {
     Idle,
@@ -64,28 +65,27 @@
 }
 
 /// The head of a core, the storage machines that announce themselves, and the operator.
-struct Scene {
-    mutated: Mutated,
+struct RetireModel {
+    mutation: Option<Mutation>,
     now: Instant,
     epoch: u64,
     committed: ControlState,
     latest: ControlState,
-    heard: Announcements,
+    announcements: Announcements,
     disks: BTreeMap<u8, u64>,
-    silent: BTreeSet<u8>,
-    places: Vec<Place>,
+    /// Machines that don't announce themselves.
+    unresponsive: BTreeSet<u8>,
+    orders: Vec<OrderSlot>,
     planner: Planner,
-    /// Orders that were acknowledged, and those of which `succeeded` was told.
+    /// Machines whose order was acknowledged.
     acknowledged: BTreeSet<String>,
+    /// Machines whose state was reported as `succeeded`.
     succeeded: BTreeSet<String>,
     violations: Vec<String>,
 }
 
-fn stored(state: &ControlState) -> Option<(u64, Bytes)> {
-    state
-        .storage_view
-        .as_ref()
-        .map(|view| (view.epoch, view.bytes.0.clone()))
+fn decode(stored: Option<&StoredStorageView>) -> StorageView {
+    decode_view(stored).expect("a view that this test has encoded")
 }
 
 fn member(number: u8, disk: u64) -> StorageMember {
@@ -97,60 +97,60 @@
     }
 }
 
-impl Scene {
-    fn new(mutated: Mutated) -> Scene {
+impl RetireModel {
+    fn new(mutation: Option<Mutation>) -> RetireModel {
         let now = Instant::now();
-        let mut scene = Scene {
-            mutated,
+        let mut model = RetireModel {
+            mutation,
             now,
             epoch: 1,
             committed: ControlState::default(),
             latest: ControlState::default(),
-            heard: Announcements::new(now),
+            announcements: Announcements::new(now),
             disks: (0..MACHINES)
                 .map(|number| (number, u64::from(number) + 1))
                 .collect(),
-            silent: (FIRST_MACHINES..MACHINES).collect(),
-            places: vec![Place::Free; PLACES],
+            unresponsive: (INITIAL_MACHINES..MACHINES).collect(),
+            orders: vec![OrderSlot::Free; MAX_ORDERS],
             planner: Planner::Idle,
             acknowledged: BTreeSet::new(),
             succeeded: BTreeSet::new(),
             violations: Vec::new(),
         };
         for _ in 0..20 {
-            scene.pass_time();
-            scene.move_planner();
-            scene.move_planner();
-            scene.commit();
+            model.pass_time();
+            model.advance_planner();
+            model.advance_planner();
+            model.commit();
         }
-        scene
+        model
     }
 
-    /// One thing happens; the number says which and to whom.
-    fn happen(&mut self, number: u16) {
+    /// Applies one event; the number says which, and to which machine or order.
+    fn apply_event(&mut self, number: u16) {
         let choice = usize::from(number / 16);
         match number % 16 {
             0..=2 => self.pass_time(),
-            3..=5 => self.move_planner(),
-            6..=8 => self.move_order(choice),
+            3..=5 => self.advance_planner(),
+            6..=8 => self.advance_order(choice),
             9 | 10 => self.begin_order(choice),
             11 | 12 => self.commit(),
-            13 => self.ask_state(choice),
+            13 => self.check_state(choice),
             14 => self.lose_uncommitted(choice),
-            _ => self.strike(choice),
+            _ => self.change_machine(choice),
         }
     }
 
-    /// The machines announce themselves; those that are heard have pulled for the committed view.
+    /// The responsive machines announce that they have pulled the data of the committed view.
     fn pass_time(&mut self) {
         self.now += TICK;
         let pulled_epoch = self.committed.storage_epoch();
         for (&number, &disk) in self
             .disks
             .iter()
-            .filter(|(number, _)| !self.silent.contains(number))
+            .filter(|(number, _)| !self.unresponsive.contains(number))
         {
-            self.heard.heard(
+            self.announcements.heard(
                 self.now,
                 Announcement {
                     member: member(number, disk),
@@ -161,13 +161,13 @@
         }
     }
 
-    fn move_planner(&mut self) {
+    fn advance_planner(&mut self) {
         match std::mem::replace(&mut self.planner, Planner::Idle) {
             Planner::Idle => {
-                let latest = stored(&self.latest);
-                let view = decode(latest.as_ref()).expect("own bytes");
-                if let Some(next) = plan(self.now, &view, &self.heard, TOLERATED) {
-                    let expected_epoch = latest.map_or(0, |(epoch, _)| epoch);
+                let latest = self.latest.storage_view.as_ref();
+                let view = decode(latest);
+                if let Some(next) = plan(self.now, &view, &self.announcements, TOLERATED_FAILURES) {
+                    let expected_epoch = latest.map_or(0, |stored| stored.epoch);
                     let bytes = Blob::from(next.encode());
                     self.planner = Planner::Planned(PutStorageView {
                         expected_epoch,
@@ -177,7 +177,7 @@
                 }
             }
             Planner::Planned(mut put) => {
-                if self.mutated == Mutated::Overwriting {
+                if self.mutation == Some(Mutation::PlannerOverwrites) {
                     put.expected_epoch = self.latest.storage_epoch();
                     put.epoch = put.epoch.max(put.expected_epoch + 1);
                 }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Stamp of the write, if it is taken.
+    /// Submits a view. Returns the stamp of the write if it is accepted.
     fn submit(&mut self, put: PutStorageView) -> Option<Stamp> {
         let command = Command::PutStorageView(put);
         match self.latest.judge(&command) {
@@ -204,27 +204,28 @@
     }
 
     fn begin_order(&mut self, choice: usize) {
-        let Some(place) = self
-            .places
+        let Some(slot) = self
+            .orders
             .iter()
-            .position(|place| matches!(place, Place::Free))
+            .position(|slot| matches!(slot, OrderSlot::Free))
         else {
             return;
         };
         let node = format!("store-{}", choice % usize::from(MACHINES + 1));
-        let step = judge_retire(stored(&self.latest).as_ref(), &node, TOLERATED);
-        self.places[place] = Place::Judged { node, step };
+        let stored = self.latest.storage_view.as_ref();
+        let decision = decide_retire(stored, &node, TOLERATED_FAILURES);
+        self.orders[slot] = OrderSlot::Decided { node, decision };
     }
 
-    /// Takes an order one step on, as `order.rs` does.
-    fn move_order(&mut self, choice: usize) {
-        let place = choice % PLACES;
-        self.places[place] = match self.places[place].clone() {
-            Place::Free => Place::Free,
-            Place::Judged {
+    /// Takes an order one step on, as `order::execution` does.
+    fn advance_order(&mut self, choice: usize) {
+        let slot = choice % MAX_ORDERS;
+        self.orders[slot] = match self.orders[slot].clone() {
+            OrderSlot::Free => OrderSlot::Free,
+            OrderSlot::Decided {
                 node,
-                step:
-                    RetireStep::Put {
+                decision:
+                    RetireDecision::ReplaceView {
                         expected_epoch,
                         view,
                     },
@@ -236,27 +237,31 @@
                     bytes,
                 };
                 self.submit(put)
-                    .map_or(Place::Free, |stamp| Place::Submitted { node, stamp })
+                    .map_or(OrderSlot::Free, |stamp| OrderSlot::Submitted {
+                        node,
+                        stamp,
+                    })
             }
-            Place::Judged { node, step } => {
-                // The barrier: what was judged is committed first.
+            OrderSlot::Decided { node, decision } => {
+                // The barrier: the state that was decided on is committed first.
                 self.commit();
-                let confirmed = judge_retire(stored(&self.committed).as_ref(), &node, TOLERATED);
-                let is_confirmed = confirmed == step || self.mutated == Mutated::NoSecondLook;
-                if is_confirmed && let RetireStep::Answer(answer) = step {
-                    self.told(&node, &answer);
+                let committed = self.committed.storage_view.as_ref();
+                let is_confirmed = decide_retire(committed, &node, TOLERATED_FAILURES) == decision
+                    || self.mutation == Some(Mutation::AnswersUnconfirmed);
+                if is_confirmed && let RetireDecision::Answer(answer) = decision {
+                    self.record_answer(&node, &answer);
                 }
-                Place::Free
+                OrderSlot::Free
             }
-            Place::Submitted { node, stamp } if stamp <= self.committed.stamp => {
-                self.told(&node, &Answer::Done);
-                Place::Free
+            OrderSlot::Submitted { node, stamp } if stamp <= self.committed.stamp => {
+                self.record_answer(&node, &Answer::Done);
+                OrderSlot::Free
             }
-            waiting @ Place::Submitted { .. } => waiting,
+            waiting @ OrderSlot::Submitted { .. } => waiting,
         };
     }
 
-    fn told(&mut self, node: &str, answer: &Answer) {
+    fn record_answer(&mut self, node: &str, answer: &Answer) {
         match answer {
             Answer::Done => {
                 self.acknowledged.insert(node.to_owned());
@@ -269,12 +274,13 @@
         }
     }
 
-    fn ask_state(&mut self, choice: usize) {
+    /// Reads the state of a machine, as the operator does, and checks it against earlier answers.
+    fn check_state(&mut self, choice: usize) {
         let node = format!("store-{}", choice % usize::from(MACHINES + 1));
         let is_acknowledged = self.acknowledged.contains(&node);
-        match retire_state(stored(&self.committed).as_ref(), &node) {
+        match retire_state(self.committed.storage_view.as_ref(), &node) {
             Answer::RetireState { is_finished: true } => {
-                let view = decode(stored(&self.committed).as_ref()).expect("own bytes");
+                let view = decode(self.committed.storage_view.as_ref());
                 if view.members().iter().any(|member| member.node == node) {
                     self.violations
                         .push(format!("{node}: succeeded, yet in the view"));
@@ -296,22 +302,22 @@
         self.committed = self.latest.clone();
     }
 
-    /// Another head takes over, with or without what was not committed; nobody waits for the old one.
+    /// Another head takes over, with or without the uncommitted changes; orders at the old one are abandoned.
     fn lose_uncommitted(&mut self, choice: usize) {
         if choice.is_multiple_of(2) {
             self.latest = self.committed.clone();
         }
         self.epoch += 1;
         self.planner = Planner::Idle;
-        self.places = vec![Place::Free; PLACES];
+        self.orders = vec![OrderSlot::Free; MAX_ORDERS];
     }
 
-    /// A machine joins, falls silent, comes back, or comes back with an empty disk, also one that was taken
-    /// away.
-    fn strike(&mut self, choice: usize) {
+    /// A machine joins, becomes unresponsive, comes back, or comes back with an empty disk, also one that was
+    /// removed.
+    fn change_machine(&mut self, choice: usize) {
         let number = (choice % usize::from(MACHINES)) as u8;
-        if !self.silent.remove(&number) {
-            self.silent.insert(number);
+        if !self.unresponsive.remove(&number) {
+            self.unresponsive.insert(number);
         } else if (choice / usize::from(MACHINES)).is_multiple_of(2)
             && let Some(disk) = self.disks.get_mut(&number)
         {
@@ -320,48 +326,50 @@
     }
 }
 
-fn play(script: &[u16], mutated: Mutated) -> Scene {
-    let mut scene = Scene::new(mutated);
+fn run(script: &[u16], mutation: Option<Mutation>) -> RetireModel {
+    let mut model = RetireModel::new(mutation);
     for number in script {
-        scene.happen(*number);
+        model.apply_event(*number);
     }
-    scene
+    model
 }
 
-/// Whether every script of `SCRIPTS` seeds is without a violation.
-fn is_sound(mutated: Mutated) -> bool {
+/// Whether the scripts of all seeds run without a violation.
+fn is_sound(mutation: Option<Mutation>) -> bool {
     (1..=SCRIPTS).all(|seed| {
-        let violations = play(&script(seed), mutated).violations;
+        let violations = run(&script(seed), mutation).violations;
         if !violations.is_empty() {
-            println!("{mutated:?}, seed {seed}: {violations:?}");
+            println!("{mutation:?}, seed {seed}: {violations:?}");
         }
         violations.is_empty()
     })
 }
 
 fn script(seed: u64) -> Vec<u16> {
-    let mut random = Gen::from_size_and_seed(STEPS, seed);
-    (0..STEPS).map(|_| u16::arbitrary(&mut random)).collect()
+    let mut random = Gen::from_size_and_seed(SCRIPT_LENGTH, seed);
+    (0..SCRIPT_LENGTH)
+        .map(|_| u16::arbitrary(&mut random))
+        .collect()
 }
 
 #[test]
-fn an_order_that_was_taken_is_never_refused_or_forgotten() {
-    assert!(is_sound(Mutated::Nothing));
+fn an_acknowledged_order_is_never_rejected_or_forgotten() {
+    assert!(is_sound(None));
 }
 
 #[test]
 fn a_planner_that_overwrites_is_found() {
-    assert!(!is_sound(Mutated::Overwriting));
+    assert!(!is_sound(Some(Mutation::PlannerOverwrites)));
 }
 
 #[test]
-fn an_answer_by_what_was_judged_before_the_barrier_is_found() {
-    assert!(!is_sound(Mutated::NoSecondLook));
+fn an_answer_that_is_not_confirmed_after_the_barrier_is_found() {
+    assert!(!is_sound(Some(Mutation::AnswersUnconfirmed)));
 }
 
 #[test]
-fn machines_are_emptied_in_these_runs() {
-    let emptied = |seed| play(&script(seed), Mutated::Nothing).succeeded.len();
-    let emptied: usize = (1..=SCRIPTS).map(emptied).sum();
-    assert!(emptied > 100, "{emptied}");
+fn machines_are_retired_in_these_runs() {
+    let retired = |seed| run(&script(seed), None).succeeded.len();
+    let retired: usize = (1..=SCRIPTS).map(retired).sum();
+    assert!(retired > 100, "{retired}");
 }
--- a/crates/tier/control/tests/signals.rs
+++ b/crates/tier/control/tests/signals.rs
@@ -1,4 +1,4 @@
-//! What each role does on SIGHUP and SIGTERM, as a process of its own.
+//! SIGHUP and SIGTERM: each role, as a process, survives the first and stops on the second.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -63,9 +63,9 @@
     );
 }
 
-/// Starts a role, waits for its log's `ready`, and sends both signals; of two that wait, SIGHUP is taken
-/// first.
-fn end_after_both_signals(role: &str, ready: &str) -> ExitStatus {
+/// Starts a role, waits for the log event `ready`, and sends both signals; of two that are pending, SIGHUP is
+/// delivered first.
+fn exit_status_after_both_signals(role: &str, ready: &str) -> ExitStatus {
     let folder = TempDir::new().unwrap();
     let mut process = start(&folder, role);
     let mut log = BufReader::new(process.stderr.take().unwrap()).lines();
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn a_storage_machine_lives_through_sighup_and_ends_on_sigterm() {
+fn a_storage_machine_survives_sighup_and_stops_on_sigterm() {
     assert_eq!(
-        end_after_both_signals("storage", "storage is up").code(),
+        exit_status_after_both_signals("storage", "storage machine started").code(),
         Some(0)
     );
 }
 
 #[test]
-fn a_core_machine_lives_through_sighup_and_ends_on_sigterm() {
+fn a_core_machine_survives_sighup_and_stops_on_sigterm() {
     assert_eq!(
-        end_after_both_signals("core", "core machine started").code(),
+        exit_status_after_both_signals("core", "core machine started").code(),
         Some(0)
     );
 }
--- a/crates/tier/control/tests/support/mod.rs
+++ b/crates/tier/control/tests/support/mod.rs
@@ -9,14 +9,14 @@
 use woadreach_chain::{MemberOptions, Place, Tolerance};
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
-use woadreach_control::order::OrderService;
+use woadreach_control::order::service::OrderService;
 use woadreach_journal::{Journal, JournalOptions};
 use woadreach_rpc::{Client, ClientOptions};
 
-pub const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
+pub(crate) const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 
-/// A core machine that is the whole core, once it is the head.
-pub async fn start_core(folder: &Path) -> (Arc<MemberDriver>, Arc<OrderService>) {
+/// A core of one machine, once it is the head.
+pub(crate) async fn start_core(folder: &Path) -> (Arc<MemberDriver>, Arc<OrderService>) {
     let driver = start_member(folder, vec![ADDRESS]).await;
     let mut changes = driver.changes();
     while !driver.status().is_head {
@@ -26,7 +26,7 @@
     (driver, orders)
 }
 
-pub fn order_service(driver: Arc<MemberDriver>) -> OrderService {
+pub(crate) fn order_service(driver: Arc<MemberDriver>) -> OrderService {
     OrderService::new(
         driver,
         Client::new(ClientOptions::default()),
@@ -35,8 +35,8 @@
     )
 }
 
-/// A core machine whose seeds are these.
-pub async fn start_member(folder: &Path, seeds: Vec<SocketAddrV4>) -> Arc<MemberDriver> {
+/// A core machine with these seeds.
+pub(crate) async fn start_member(folder: &Path, seeds: Vec<SocketAddrV4>) -> Arc<MemberDriver> {
     let options = MemberOptions {
         address: ADDRESS,
         seeds,
