--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -1,25 +1,27 @@
-//! Calls to other processes, over one connection an address.
+//! Calls to other processes, over one connection for each address.
 
-use crate::connection::{FrameReader, QUEUE, tune, write_frames};
-use crate::error::CallError;
-use crate::frame::{Frame, FrameKind, LONGEST_BODY, ServiceId};
-#[cfg(feature = "mutations")]
-use crate::mutations::Mutation;
-use bytes::Bytes;
-use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Weak};
 use std::time::Duration;
+
+use bytes::Bytes;
+use parking_lot::Mutex;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// How a client connects.
+use crate::connection::{FrameReader, QUEUE_CAPACITY, set_socket_options, write_frames};
+use crate::error::CallError;
+use crate::frame::{Frame, FrameKind, MAX_BODY_BYTES, ServiceId};
+#[cfg(feature = "mutations")]
+use crate::mutations::Mutation;
+
+/// Parameters of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// The longest time for a connection to come up.
+    /// Limit on the time for a connection to be established. Default: 500 ms.
     pub connect_timeout: Duration,
 }
 
@@ -40,50 +42,53 @@
 struct Shared {
     options: ClientOptions,
     connections: Mutex<BTreeMap<SocketAddr, Arc<Connection>>>,
-    /// Number of the next call, whatever its connection: no response can fit another call.
-    next_number: AtomicU64,
+    /// Id of the next request. Unique among all connections, so that no response can match another call.
+    next_request_id: AtomicU64,
     #[cfg(feature = "mutations")]
     mutation: Mutex<Option<Mutation>>,
 }
 
-/// The responses that are awaited on one connection.
+/// Calls of one connection that have no response yet.
 #[derive(Default)]
-struct Awaited {
-    calls: BTreeMap<u64, oneshot::Sender<Result<Bytes, CallError>>>,
-    ended: bool,
+struct PendingCalls {
+    by_request_id: BTreeMap<u64, oneshot::Sender<Result<Bytes, CallError>>>,
+    /// Whether the connection has ended. Must stay `true` once set, with no calls pending.
+    has_ended: bool,
 }
 
 struct Connection {
     queue: mpsc::Sender<Frame>,
-    awaited: Mutex<Awaited>,
-    /// Frames received so far: tells a silent connection from a slow handler.
+    pending: Mutex<PendingCalls>,
+    /// Number of frames received, which distinguishes a failed connection from a slow handler.
     received: AtomicU64,
-    /// It has fallen silent: later calls go over a new one.
+    /// Set when a call timed out and nothing was received meanwhile. Later calls use a new connection.
     abandoned: AtomicBool,
     #[cfg(feature = "mutations")]
-    takes_any_number: bool,
+    accepts_any_request_id: bool,
 }
 
-/// A call whose response is awaited until this is dropped, as when the caller has given up.
-struct AwaitedCall<'a> {
+/// A call that is pending until this is dropped, be it that the response has arrived or the caller has stopped
+/// waiting.
+struct PendingCall<'a> {
     connection: &'a Connection,
-    number: u64,
+    request_id: u64,
     response: oneshot::Receiver<Result<Bytes, CallError>>,
 }
 
-impl Drop for AwaitedCall<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.connection.awaited.lock().calls.remove(&self.number);
+        let mut pending = self.connection.pending.lock();
+        pending.by_request_id.remove(&self.request_id);
     }
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(options: ClientOptions) -> Self {
         let shared = Shared {
             options,
             connections: Mutex::default(),
-            next_number: AtomicU64::new(1),
+            next_request_id: AtomicU64::new(1),
             #[cfg(feature = "mutations")]
             mutation: Mutex::default(),
         };
@@ -94,7 +99,7 @@
 
     /// Switches a defence off.
     #[cfg(feature = "mutations")]
-    pub fn mutation(&self, mutation: Mutation) {
+    pub fn set_mutation(&self, mutation: Mutation) {
         *self.shared.mutation.lock() = Some(mutation);
     }
 
@@ -103,7 +108,10 @@
         *self.shared.mutation.lock() == Some(mutation)
     }
 
-    /// Sends a request and waits for its response. It is sent once at most.
+    /// Sends a request and waits for its response, for `timeout` at most. The request is never sent more than once.
+    ///
+    /// # Errors
+    /// See [`CallError`].
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -111,14 +119,14 @@
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<Bytes, CallError> {
-        if body.len() > LONGEST_BODY {
+        if body.len() > MAX_BODY_BYTES {
             return Err(CallError::TooLong);
         }
         #[cfg(feature = "mutations")]
         let again = body.clone();
         let result = self.call_once(address, service, body, timeout).await;
         #[cfg(feature = "mutations")]
-        if result == Err(CallError::Broken) && self.has_mutation(Mutation::SentAgain) {
+        if result == Err(CallError::Broken) && self.has_mutation(Mutation::RetriesBrokenCalls) {
             return self.call_once(address, service, again, timeout).await;
         }
         result
@@ -133,13 +141,13 @@
     ) -> Result<Bytes, CallError> {
         let deadline = Instant::now() + timeout;
         let connection = self.connection(address);
-        let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
+        let request_id = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
         let received_before = connection.received.load(Ordering::Relaxed);
-        let mut call = connection.expect(number)?;
+        let mut call = connection.register_call(request_id)?;
         let frame = Frame {
             kind: FrameKind::Request,
             service,
-            number,
+            request_id,
             body: body.into(),
         };
         connection
@@ -158,20 +166,21 @@
         }
     }
 
-    /// Sends a message that has no response, if there is room for it; nothing tells whether it came.
+    /// Sends a notification, which has no response. It is dropped if the body is longer than [`MAX_BODY_BYTES`] or the
+    /// queue of the connection is full, and may be lost with the connection.
     pub fn send(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
-        if body.len() <= LONGEST_BODY {
+        if body.len() <= MAX_BODY_BYTES {
             let frame = Frame {
-                kind: FrameKind::OneWay,
+                kind: FrameKind::Notification,
                 service,
-                number: 0,
+                request_id: 0,
                 body: body.into(),
             };
             let _ = self.connection(address).queue.try_send(frame);
         }
     }
 
-    /// Closes the connection to an address that is not needed any more.
+    /// Closes the connection to an address, after the calls that are pending on it.
     pub fn close(&self, address: SocketAddr) {
         self.shared.connections.lock().remove(&address);
     }
@@ -180,18 +189,18 @@
         let mut connections = self.shared.connections.lock();
         if let Some(found) = connections
             .get(&address)
-            .filter(|connection| connection.usable())
+            .filter(|connection| connection.is_usable())
         {
             return found.clone();
         }
-        let (queue, frames) = mpsc::channel(QUEUE);
+        let (queue, frames) = mpsc::channel(QUEUE_CAPACITY);
         let connection = Arc::new(Connection {
             queue,
-            awaited: Mutex::default(),
+            pending: Mutex::default(),
             received: AtomicU64::new(0),
             abandoned: AtomicBool::new(false),
             #[cfg(feature = "mutations")]
-            takes_any_number: self.has_mutation(Mutation::AnyNumber),
+            accepts_any_request_id: self.has_mutation(Mutation::AcceptsAnyRequestId),
         });
         connections.insert(address, connection.clone());
         tokio::spawn(run(
@@ -205,50 +214,54 @@
 }
 
 impl Connection {
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         !self.abandoned.load(Ordering::Relaxed)
-            && !self.awaited.lock().ended
+            && !self.pending.lock().has_ended
             && !self.queue.is_closed()
     }
 
-    fn expect(&self, number: u64) -> Result<AwaitedCall<'_>, CallError> {
+    fn register_call(&self, request_id: u64) -> Result<PendingCall<'_>, CallError> {
         let (sender, response) = oneshot::channel();
-        let mut awaited = self.awaited.lock();
-        if awaited.ended {
+        let mut pending = self.pending.lock();
+        if pending.has_ended {
             return Err(CallError::Unreachable);
         }
-        awaited.calls.insert(number, sender);
-        Ok(AwaitedCall {
+        pending.by_request_id.insert(request_id, sender);
+        Ok(PendingCall {
             connection: self,
-            number,
+            request_id,
             response,
         })
     }
 
-    fn deliver(&self, frame: Frame) {
+    /// Gives a response or a refusal to its call; drops it if no call is pending with its request id.
+    fn complete_call(&self, frame: Frame) {
         self.received.fetch_add(1, Ordering::Relaxed);
         let result = match frame.kind {
             FrameKind::Response => Ok(frame.body),
             FrameKind::Refusal => Err(CallError::Refused),
-            FrameKind::Request | FrameKind::OneWay => return,
+            FrameKind::Request | FrameKind::Notification => return,
         };
-        let mut awaited = self.awaited.lock();
-        let call = awaited.calls.remove(&frame.number);
+        let mut pending = self.pending.lock();
+        let call = pending.by_request_id.remove(&frame.request_id);
         #[cfg(feature = "mutations")]
         let call = match call {
-            None if self.takes_any_number => awaited.calls.pop_first().map(|(_, call)| call),
-            of_its_number => of_its_number,
+            None if self.accepts_any_request_id => {
+                pending.by_request_id.pop_first().map(|(_, call)| call)
+            }
+            matching => matching,
         };
         if let Some(call) = call {
             let _ = call.send(result);
         }
     }
 
+    /// Marks the connection as ended and fails the calls that are pending.
     fn end(&self, error: CallError) {
         let calls = {
-            let mut awaited = self.awaited.lock();
-            awaited.ended = true;
-            std::mem::take(&mut awaited.calls)
+            let mut pending = self.pending.lock();
+            pending.has_ended = true;
+            std::mem::take(&mut pending.by_request_id)
         };
         for call in calls.into_values() {
             let _ = call.send(Err(error));
@@ -256,17 +269,17 @@
     }
 }
 
-/// Connects and carries frames until the connection ends or nobody holds it any more.
+/// Connects, and sends and receives frames until the connection ends or is dropped by the client and all calls.
 async fn run(
     address: SocketAddr,
     options: ClientOptions,
-    connection: std::sync::Weak<Connection>,
+    connection: Weak<Connection>,
     frames: mpsc::Receiver<Frame>,
 ) {
     let connected =
         tokio::time::timeout(options.connect_timeout, TcpStream::connect(address)).await;
     let stream = match connected {
-        Ok(Ok(stream)) if tune(&stream).is_ok() => stream,
+        Ok(Ok(stream)) if set_socket_options(&stream).is_ok() => stream,
         _ => {
             if let Some(connection) = connection.upgrade() {
                 connection.end(CallError::Unreachable);
@@ -281,7 +294,7 @@
             let Some(connection) = connection.upgrade() else {
                 return;
             };
-            connection.deliver(frame);
+            connection.complete_call(frame);
         }
     };
     tokio::select! {
--- a/crates/tier/rpc/src/error.rs
+++ b/crates/tier/rpc/src/error.rs
@@ -1,23 +1,24 @@
-//! How a call can fail.
+//! Failures of calls.
 
 use snafu::Snafu;
 
-/// A call without a response.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// No connection came up: the request has not left.
+    /// No connection was established. The request was not sent.
     #[snafu(display("no connection came up"))]
     Unreachable,
-    /// The connection ended before the response came: the request may have been handled.
+    /// The connection ended before the response. The request may have been handled.
     #[snafu(display("the connection ended before the response"))]
     Broken,
-    /// No response in time: the request may have been handled.
+    /// No response arrived in time. The request may have been handled.
     #[snafu(display("no response in time"))]
     TimedOut,
-    /// The other side has no handler for the service, or the queue to it is full: it was not handled.
+    /// The queue of the connection is full, the peer has no handler for the service, or its handler has rejected the
+    /// request. The request was not handled.
     #[snafu(display("the request was refused"))]
     Refused,
-    /// The body is longer than a frame may be: the request has not left.
+    /// The body is longer than [`crate::MAX_BODY_BYTES`]. The request was not sent.
     #[snafu(display("the request is too long"))]
     TooLong,
 }
--- a/crates/tier/rpc/src/frame.rs
+++ b/crates/tier/rpc/src/frame.rs
@@ -1,44 +1,52 @@
-//! The frame around each message: length, version, kind, service, number, body.
+//! Encoding of a frame, which carries one message.
+//!
+//! ```text
+//! length 4 | version 1 | kind 1 | service 1 | request id 8 | body
+//! ```
+//!
+//! Numbers are little-endian. The length counts the bytes behind it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use snafu::{Snafu, ensure};
 
-/// Version of the frame's form.
+/// Version of the format of frames.
 const VERSION: u8 = 1;
+/// Bytes of the length.
+const LENGTH_BYTES: usize = 4;
 /// Bytes between the length and the body.
-const HEAD: usize = 1 + 1 + 1 + 8;
-/// The longest body of a frame, in bytes.
-pub const LONGEST_BODY: usize = 64 * 1024 * 1024;
+const HEADER_BYTES: usize = 1 + 1 + 1 + 8;
+/// Limit on the body of a frame, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Which handler a request is for.
+/// Identifier of a service, by which a router finds the handler of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u8);
 
 impl ServiceId {
     /// Agreement on views and replication among core machines.
     pub const CHAIN: ServiceId = ServiceId(1);
-    /// Replicas' registry and long-polls.
+    /// The registry of replicas, and long polls for its changes.
     pub const DISCOVERY: ServiceId = ServiceId(2);
-    /// Turns and budgets.
+    /// Conversations and programs' budgets.
     pub const STORAGE: ServiceId = ServiceId(3);
     /// Announcements of storage machines.
     pub const ANNOUNCE: ServiceId = ServiceId(4);
-    /// Orders passed on to the head of the chain.
+    /// Orders of the operator that are forwarded to the head of the chain.
     pub const FORWARD: ServiceId = ServiceId(5);
-    /// Shuffles of partial views.
+    /// Peer sampling: exchanges of partial views.
     pub const SAMPLING: ServiceId = ServiceId(6);
 }
 
-/// What a frame is.
+/// Kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Wants a response of the same number.
+    /// Is answered by a response or a refusal with the same request id.
     Request,
-    /// Answers the request of the same number.
+    /// Answers the request with the same request id.
     Response,
-    /// Wants no response.
-    OneWay,
-    /// Says that the request of the same number was not handled.
+    /// Is not answered.
+    Notification,
+    /// Reports that the request with the same request id was not handled.
     Refusal,
 }
 
@@ -47,7 +55,7 @@
         match self {
             FrameKind::Request => 1,
             FrameKind::Response => 2,
-            FrameKind::OneWay => 3,
+            FrameKind::Notification => 3,
             FrameKind::Refusal => 4,
         }
     }
@@ -56,7 +64,7 @@
         let all = [
             FrameKind::Request,
             FrameKind::Response,
-            FrameKind::OneWay,
+            FrameKind::Notification,
             FrameKind::Refusal,
         ];
         all.into_iter().find(|kind| kind.code() == code)
@@ -66,84 +74,88 @@
 /// One message on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What it is.
+    /// Kind of the frame.
     pub kind: FrameKind,
-    /// Which handler it is for.
+    /// Service that the message is for.
     pub service: ServiceId,
-    /// Pairs responses with requests; 0 on one-way frames.
-    pub number: u64,
-    /// The message.
+    /// Pairs a response with its request. 0 in notifications.
+    pub request_id: u64,
+    /// The message, in the encoding of the service.
     pub body: Bytes,
 }
 
-/// Bytes that are no frame; the connection can't be used any more.
+/// Why bytes are not a frame. The connection that they came from can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FrameError {
     /// The length is out of bounds.
     #[snafu(display(
-        "a frame of {length} bytes; at most {longest} and at least {HEAD} are allowed"
+        "a frame of {length} bytes; at most {max_length} and at least {HEADER_BYTES} are allowed"
     ))]
-    BadLength {
-        /// The length that was announced.
+    InvalidLength {
+        /// The length that the frame begins with.
         length: usize,
-        /// The longest allowed.
-        longest: usize,
+        /// The greatest valid length.
+        max_length: usize,
     },
-    /// Another version of the frame's form.
+    /// The frame has another version of the format.
     #[snafu(display("frame version {version}; expected {VERSION}"))]
-    OtherVersion {
-        /// The version found.
+    UnsupportedVersion {
+        /// Version of the frame.
         version: u8,
     },
-    /// An unknown kind of frame.
+    /// The kind of the frame is unknown.
     #[snafu(display("unknown kind of frame {code}"))]
     UnknownKind {
-        /// The code found.
+        /// Code of the kind.
         code: u8,
     },
 }
 
 impl Frame {
-    /// Appends the frame's bytes.
-    pub fn encode(&self, out: &mut BytesMut) {
-        out.reserve(4 + HEAD + self.body.len());
-        out.put_u32_le((HEAD + self.body.len()) as u32);
-        out.put_u8(VERSION);
-        out.put_u8(self.kind.code());
-        out.put_u8(self.service.0);
-        out.put_u64_le(self.number);
-        out.put_slice(&self.body);
+    /// Appends the encoded frame to `buffer`. The body must not be longer than [`MAX_BODY_BYTES`].
+    pub fn encode(&self, buffer: &mut BytesMut) {
+        buffer.reserve(LENGTH_BYTES + HEADER_BYTES + self.body.len());
+        buffer.put_u32_le((HEADER_BYTES + self.body.len()) as u32);
+        buffer.put_u8(VERSION);
+        buffer.put_u8(self.kind.code());
+        buffer.put_u8(self.service.0);
+        buffer.put_u64_le(self.request_id);
+        buffer.put_slice(&self.body);
     }
 
-    /// Takes the next whole frame off the front of `bytes`, or nothing while it is not whole.
-    pub fn decode(bytes: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some(prefix) = bytes.first_chunk::<4>() else {
+    /// Removes the first frame from `buffer` and decodes it. Returns `None`, with `buffer` unchanged, while the frame
+    /// is incomplete.
+    ///
+    /// # Errors
+    /// See [`FrameError`].
+    pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
+        let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*prefix) as usize;
-        let longest = HEAD + LONGEST_BODY;
+        let max_length = HEADER_BYTES + MAX_BODY_BYTES;
         ensure!(
-            (HEAD..=longest).contains(&length),
-            BadLengthSnafu { length, longest }
+            (HEADER_BYTES..=max_length).contains(&length),
+            InvalidLengthSnafu { length, max_length }
         );
-        if bytes.len() < 4 + length {
+        if buffer.len() < LENGTH_BYTES + length {
             return Ok(None);
         }
-        bytes.advance(4);
-        let mut frame = bytes.split_to(length).freeze();
+        buffer.advance(LENGTH_BYTES);
+        let mut frame = buffer.split_to(length).freeze();
         let version = frame.get_u8();
-        ensure!(version == VERSION, OtherVersionSnafu { version });
+        ensure!(version == VERSION, UnsupportedVersionSnafu { version });
         let code = frame.get_u8();
         let Some(kind) = FrameKind::from_code(code) else {
             return UnknownKindSnafu { code }.fail();
         };
         let service = ServiceId(frame.get_u8());
-        let number = frame.get_u64_le();
+        let request_id = frame.get_u64_le();
         Ok(Some(Frame {
             kind,
             service,
-            number,
+            request_id,
             body: frame,
         }))
     }
--- a/crates/tier/rpc/src/rejected.rs
+++ b/crates/tier/rpc/src/rejected.rs
@@ -1,14 +1,17 @@
-//! Requests that cannot be taken: counted, and logged with their sender and the reason.
+//! Requests that handlers rejected: counted, and logged with their sender and the reason.
 
-use crate::frame::ServiceId;
-use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// Most senders that are counted one by one; what others send counts for the service as a whole.
-const MOST_SENDERS: usize = 4096;
+use parking_lot::Mutex;
+
+use crate::frame::ServiceId;
+
+/// Limit on the pairs of service and sender that are counted apart, which bounds the memory. Rejected requests of
+/// further senders are counted by service only.
+const MAX_COUNTED_SENDERS: usize = 4096;
 
 #[derive(Default)]
 struct Counts {
@@ -16,14 +19,14 @@
     by_sender: BTreeMap<(ServiceId, IpAddr), u64>,
 }
 
-/// Counts what was rejected. Clones share the counts.
+/// Counts of rejected requests. Clones share the counts.
 #[derive(Clone, Default)]
 pub struct RejectedRequests {
     counts: Arc<Mutex<Counts>>,
 }
 
 impl RejectedRequests {
-    /// How many requests to a service were rejected since the start.
+    /// Number of requests to a service that were rejected since the router was created.
     pub fn count(&self, service: ServiceId) -> u64 {
         self.counts
             .lock()
@@ -33,26 +36,27 @@
             .unwrap_or(0)
     }
 
-    /// Counts a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so
-    /// that a machine of another version does not fill the disk.
-    pub(crate) fn note(&self, service: ServiceId, peer: SocketAddr, reason: &dyn Error) {
-        let count = self.add(service, peer.ip());
+    /// Records a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so that a peer
+    /// of another version does not fill the log.
+    pub(crate) fn record(&self, service: ServiceId, peer: SocketAddr, reason: &dyn Error) {
+        let count = self.increment(service, peer.ip());
         if count.is_power_of_two() {
             tracing::warn!(service = service.0, %peer, %reason, count, "request rejected");
         }
     }
 
-    fn add(&self, service: ServiceId, sender: IpAddr) -> u64 {
+    /// Counts a request. Returns the sender's count, or the service's where the sender isn't counted apart.
+    fn increment(&self, service: ServiceId, sender: IpAddr) -> u64 {
         let mut counts = self.counts.lock();
-        let all = counts.by_service.entry(service).or_default();
-        *all += 1;
-        let all = *all;
+        let service_count = counts.by_service.entry(service).or_default();
+        *service_count += 1;
+        let service_count = *service_count;
         let key = (service, sender);
-        if counts.by_sender.len() >= MOST_SENDERS && !counts.by_sender.contains_key(&key) {
-            return all;
+        if counts.by_sender.len() >= MAX_COUNTED_SENDERS && !counts.by_sender.contains_key(&key) {
+            return service_count;
         }
-        let own = counts.by_sender.entry(key).or_default();
-        *own += 1;
-        *own
+        let sender_count = counts.by_sender.entry(key).or_default();
+        *sender_count += 1;
+        *sender_count
     }
 }
--- a/crates/tier/rpc/src/server.rs
+++ b/crates/tier/rpc/src/server.rs
@@ -1,9 +1,5 @@
-//! Handlers of requests, and the connections that bring them.
+//! Handlers of requests, and the connections that requests arrive on.
 
-use crate::connection::{FrameReader, QUEUE, tune, write_frames};
-use crate::frame::{Frame, FrameKind, ServiceId};
-use crate::rejected::RejectedRequests;
-use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::error::Error;
 use std::future::Future;
@@ -11,21 +7,27 @@
 use std::pin::Pin;
 use std::sync::Arc;
 use std::time::Duration;
+
+use bytes::Bytes;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 
-/// Connections that one process takes from others of the tier.
-const CONNECTIONS: usize = 2048;
-/// Requests of one connection that are handled at once; more wait in the kernel.
-const AT_ONCE: usize = 1024;
-/// How long to wait after a connection could not be taken, as when descriptors have run out.
-const AFTER_FAILURE: Duration = Duration::from_millis(100);
+use crate::connection::{FrameReader, QUEUE_CAPACITY, set_socket_options, write_frames};
+use crate::frame::{Frame, FrameKind, ServiceId};
+use crate::rejected::RejectedRequests;
+
+/// Limit on the connections that a process accepts from others of the tier; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 2048;
+/// Limit on the requests of one connection that are handled at once; further ones wait in the kernel's buffers.
+const MAX_REQUESTS_IN_FLIGHT: usize = 1024;
+/// Interval between a failed `accept`, as when descriptors have run out, and the next attempt.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A response, or nothing where the request was rejected.
-type Handling = Pin<Box<dyn Future<Output = Option<Vec<u8>>> + Send>>;
-type Handler = Arc<dyn Fn(SocketAddr, Bytes) -> Handling + Send + Sync>;
+/// The response to a request; `None` if the request was rejected.
+type ResponseFuture = Pin<Box<dyn Future<Output = Option<Vec<u8>>> + Send>>;
+type Handler = Arc<dyn Fn(SocketAddr, Bytes) -> ResponseFuture + Send + Sync>;
 
-/// Handlers by service.
+/// Handlers of requests by service.
 #[derive(Clone, Default)]
 pub struct Router {
     handlers: BTreeMap<ServiceId, Handler>,
@@ -38,23 +40,23 @@
         Router::default()
     }
 
-    /// Adds the handler of a service. It gets the caller's address and the request, and returns the
-    /// response, which is dropped if the caller wants none.
+    /// Adds the handler of a service. It gets the sender's address and the body of the request, and returns the body
+    /// of the response, which is dropped if the message was a notification.
     pub fn route<H, F>(mut self, service: ServiceId, handler: H) -> Self
     where
         H: Fn(SocketAddr, Bytes) -> F + Send + Sync + 'static,
         F: Future<Output = Vec<u8>> + Send + 'static,
     {
-        let handle = move |peer, body| -> Handling {
-            let handling = handler(peer, body);
-            Box::pin(async move { Some(handling.await) })
+        let handle = move |peer, body| -> ResponseFuture {
+            let response = handler(peer, body);
+            Box::pin(async move { Some(response.await) })
         };
         self.handlers.insert(service, Arc::new(handle));
         self
     }
 
-    /// Adds the handler of a service that may reject a request. Nothing of such a request has been taken: it
-    /// is counted and logged with its sender and the reason, and the caller gets
+    /// Adds the handler of a service that may reject a request. A handler that returns an error must not have acted on
+    /// the request: the request is counted and logged with its sender and the error, and the caller gets
     /// [`crate::CallError::Refused`].
     pub fn route_checked<H, F, E>(mut self, service: ServiceId, handler: H) -> Self
     where
@@ -63,12 +65,12 @@
         E: Error + Send + 'static,
     {
         let rejected = self.rejected.clone();
-        let handle = move |peer, body| -> Handling {
-            let (handling, rejected) = (handler(peer, body), rejected.clone());
+        let handle = move |peer, body| -> ResponseFuture {
+            let (response, rejected) = (handler(peer, body), rejected.clone());
             Box::pin(async move {
-                handling
+                response
                     .await
-                    .inspect_err(|reason| rejected.note(service, peer, reason))
+                    .inspect_err(|reason| rejected.record(service, peer, reason))
                     .ok()
             })
         };
@@ -76,46 +78,47 @@
         self
     }
 
-    /// Counts of what the handlers rejected.
+    /// Counts of the requests that handlers have rejected.
     pub fn rejected(&self) -> RejectedRequests {
         self.rejected.clone()
     }
 }
 
-/// Takes connections and has their requests handled, for as long as the returned future is polled.
+/// Accepts connections and handles their requests. Never returns; dropping the future stops accepting.
 pub async fn serve(listener: TcpListener, router: Router) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let Ok(place) = places.clone().try_acquire_owned() else {
+                let Ok(permit) = permits.clone().try_acquire_owned() else {
                     continue;
                 };
                 let router = router.clone();
                 tokio::spawn(async move {
                     handle_connection(stream, peer, router).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 tracing::warn!(%error, "accept failed");
-                tokio::time::sleep(AFTER_FAILURE).await;
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
+/// Handles the requests of one connection until it ends.
 async fn handle_connection(stream: TcpStream, peer: SocketAddr, router: Router) {
-    if tune(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let (read, write) = stream.into_split();
-    let (responses, queue) = mpsc::channel(QUEUE);
+    let (responses, queue) = mpsc::channel(QUEUE_CAPACITY);
     let writer = tokio::spawn(write_frames(queue, write));
     let mut reader = FrameReader::new(read);
-    let at_once = Arc::new(Semaphore::new(AT_ONCE));
+    let permits = Arc::new(Semaphore::new(MAX_REQUESTS_IN_FLIGHT));
     while let Some(frame) = reader.next().await {
-        let Ok(place) = at_once.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             break;
         };
         let responses = responses.clone();
@@ -124,18 +127,19 @@
             if let Some(response) = handle(frame, peer, handler).await {
                 let _ = responses.send(response).await;
             }
-            drop(place);
+            drop(permit);
         });
     }
     writer.abort();
 }
 
+/// Handles one frame. Returns the frame to send back, if any.
 async fn handle(frame: Frame, peer: SocketAddr, handler: Option<Handler>) -> Option<Frame> {
-    let (service, number) = (frame.service, frame.number);
+    let (service, request_id) = (frame.service, frame.request_id);
     let refusal = Frame {
         kind: FrameKind::Refusal,
         service,
-        number,
+        request_id,
         body: Bytes::new(),
     };
     let Some(handler) = handler else {
@@ -149,11 +153,11 @@
             Some(Frame {
                 kind: FrameKind::Response,
                 service,
-                number,
+                request_id,
                 body: body.into(),
             })
         }
-        FrameKind::OneWay => {
+        FrameKind::Notification => {
             handler(peer, frame.body).await;
             None
         }
--- a/crates/tier/rpc/tests/call_faults.rs
+++ b/crates/tier/rpc/tests/call_faults.rs
@@ -1,4 +1,5 @@
-//! Calls under faults: who gets which response, and what is sent how often. `CALL_SEEDS` plays more seeds.
+//! Calls under faults: every response goes to its call, and no request is sent twice. `CALL_SEEDS` sets the number
+//! of seeds.
 
 mod faulty_server;
 
@@ -17,7 +18,7 @@
 fn no_response_goes_astray_and_no_call_is_sent_twice() {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..seeds() {
-        let outcome = faulty_server::play(seed, |_| {});
+        let outcome = faulty_server::run_seed(seed, |_| {});
         assert!(
             outcome.violations.is_empty(),
             "seed {seed}: {:#?}",
--- a/crates/tier/rpc/tests/call_mutations.rs
+++ b/crates/tier/rpc/tests/call_mutations.rs
@@ -1,4 +1,4 @@
-//! Each defence of the calls, switched off, is found missing within a bounded number of seeds.
+//! Each defence of the calls is switched off, which the oracle must detect within a bounded number of seeds.
 
 mod faulty_server;
 
@@ -6,9 +6,9 @@
 
 const SEEDS: u64 = 100;
 
-fn first_broken(mutation: Mutation, rule: &str) {
+fn assert_found(mutation: Mutation, rule: &str) {
     let found = (0..SEEDS).find(|seed| {
-        let outcome = faulty_server::play(*seed, |client| client.mutation(mutation));
+        let outcome = faulty_server::run_seed(*seed, |client| client.set_mutation(mutation));
         assert!(!outcome.counts.is_empty(), "nothing was called");
         outcome
             .violations
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_response_under_any_number_is_found() {
-    first_broken(Mutation::AnyNumber, "MIXED");
+fn a_response_with_any_request_id_is_found() {
+    assert_found(Mutation::AcceptsAnyRequestId, "MIXED");
 }
 
 #[test]
 fn a_call_sent_again_after_its_connection_broke_is_found() {
-    first_broken(Mutation::SentAgain, "TWICE");
+    assert_found(Mutation::RetriesBrokenCalls, "TWICE");
 }
--- a/crates/tier/rpc/tests/calls.rs
+++ b/crates/tier/rpc/tests/calls.rs
@@ -1,10 +1,11 @@
-//! Calls over loopback: responses find their requests, failures are told apart, nothing is sent twice.
+//! Calls over loopback: responses find their requests, failures are distinguished, nothing is sent twice.
 
-use bytes::Bytes;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
+
+use bytes::Bytes;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use woadreach_rpc::{CallError, Client, ClientOptions, Router, ServiceId, serve};
@@ -45,12 +46,12 @@
 }
 
 #[tokio::test]
-async fn one_way_messages_are_handled() {
+async fn notifications_are_handled() {
     let (listener, address) = listener().await;
     let arrived = Arc::new(Notify::new());
-    let told = arrived.clone();
+    let notify = arrived.clone();
     let router = Router::new().route(ECHO, move |_, _| {
-        told.notify_one();
+        notify.notify_one();
         async { Vec::new() }
     });
     tokio::spawn(serve(listener, router));
@@ -91,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_ends_breaks_its_calls_and_nothing_is_sent_again() {
+async fn a_connection_that_closes_breaks_its_calls_and_nothing_is_sent_again() {
     let (listener, address) = listener().await;
     let client = client();
     let call = tokio::spawn({
@@ -105,14 +106,14 @@
 }
 
 #[tokio::test]
-async fn a_silent_connection_is_abandoned_after_a_time_out() {
+async fn an_unresponsive_connection_is_abandoned_after_a_time_out() {
     let (listener, address) = listener().await;
     let accepted = Arc::new(AtomicUsize::new(0));
     let count = accepted.clone();
     tokio::spawn(async move {
-        let mut held = Vec::new();
+        let mut connections = Vec::new();
         loop {
-            held.push(listener.accept().await.unwrap());
+            connections.push(listener.accept().await.unwrap());
             count.fetch_add(1, Ordering::SeqCst);
         }
     });
@@ -129,7 +130,7 @@
     assert_eq!(third, Err(CallError::TimedOut));
     assert!(
         accepted.load(Ordering::SeqCst) >= 2,
-        "each call after a silent one goes over a new connection"
+        "each call after a time-out without a response uses a new connection"
     );
 }
 
--- a/crates/tier/rpc/tests/faulty_server/mod.rs
+++ b/crates/tier/rpc/tests/faulty_server/mod.rs
@@ -1,31 +1,33 @@
-//! Calls to a server that answers late, twice, cut, in another order, under numbers that are not awaited or
-//! not at all, ends and comes back at its address, with an oracle of who may get which response and what may
-//! arrive how often.
+//! Calls to a server that answers late, twice, truncated, in another order, with unknown request ids or not at all, and
+//! that restarts at its address. An oracle knows which response belongs to which call and how often a request may
+//! arrive.
 
 mod oracle;
 mod server;
 
-use oorandom::Rand64;
-use oracle::Oracle;
-use parking_lot::Mutex;
-use server::FaultyServer;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+
+use oorandom::Rand64;
+use parking_lot::Mutex;
 use woadreach_rpc::{Client, ClientOptions, ServiceId};
 
+use oracle::Oracle;
+use server::FaultyServer;
+
 const SERVICE: ServiceId = ServiceId(40);
 const CALLERS: usize = 6;
-const CALLS_OF_A_CALLER: usize = 30;
-/// One in so many calls is given up by its caller before its time is over.
-const GIVEN_UP_ONE_IN: u64 = 12;
-/// One in so many calls is made even if nobody listens.
+const CALLS_PER_CALLER: usize = 30;
+/// One in this many calls is cancelled by its caller before its time-out.
+const CANCELLED_ONE_IN: u64 = 12;
+/// One in this many calls is made even while the server doesn't listen.
 const UNCHECKED_ONE_IN: u64 = 8;
 const TIMEOUT: Duration = Duration::from_millis(60);
-/// The longest that a run may take; one that reaches it has failed.
-const WAIT: Duration = Duration::from_secs(30);
+/// Limit on the time of a run.
+const RUN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Chance and the oracle, shared by all parts of one run.
+/// Source of randomness and the oracle, shared by all parts of one run.
 struct Shared {
     random: Mutex<Rand64>,
     oracle: Mutex<Oracle>,
@@ -37,16 +39,16 @@
     }
 }
 
-/// What a run came to.
-pub struct Outcome {
-    /// What was broken.
-    pub violations: Vec<String>,
-    /// How often the server did what, and how calls ended.
-    pub counts: BTreeMap<String, usize>,
+/// Outcome of a run.
+pub(crate) struct Outcome {
+    /// Violations of the guarantees of calls.
+    pub(crate) violations: Vec<String>,
+    /// Counts of the server's behaviours and of the outcomes of calls.
+    pub(crate) counts: BTreeMap<String, usize>,
 }
 
-/// Plays one seed; `prepare` may change the client.
-pub fn play(seed: u64, prepare: impl FnOnce(&Client)) -> Outcome {
+/// Runs one seed; `prepare` may change the client.
+pub(crate) fn run_seed(seed: u64, prepare: impl FnOnce(&Client)) -> Outcome {
     let client = Client::new(ClientOptions::default());
     prepare(&client);
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -54,7 +56,7 @@
         .build()
         .expect("a runtime");
     let run = async {
-        tokio::time::timeout(WAIT, run(seed, client))
+        tokio::time::timeout(RUN_TIMEOUT, run(seed, client))
             .await
             .expect("the end of a run")
     };
@@ -71,7 +73,7 @@
     let callers = (0..CALLERS).map(|caller| {
         let (client, server, shared) = (client.clone(), server.clone(), shared.clone());
         tokio::spawn(async move {
-            for number in 0..CALLS_OF_A_CALLER {
+            for number in 0..CALLS_PER_CALLER {
                 if shared.below(UNCHECKED_ONE_IN) > 0 {
                     server.wait_until_listening().await;
                 }
@@ -88,14 +90,14 @@
 
 async fn call(client: &Client, server: &FaultyServer, shared: &Shared, body: String) {
     let call = client.call(server.address, SERVICE, body.clone().into_bytes(), TIMEOUT);
-    if shared.below(GIVEN_UP_ONE_IN) == 0 {
+    if shared.below(CANCELLED_ONE_IN) == 0 {
         tokio::select! {
             biased;
-            result = call => shared.oracle.lock().ended(&body, result),
-            () = tokio::task::yield_now() => shared.oracle.lock().count("call: given up"),
+            result = call => shared.oracle.lock().record_result(&body, result),
+            () = tokio::task::yield_now() => shared.oracle.lock().count("call: cancelled"),
         }
     } else {
         let result = call.await;
-        shared.oracle.lock().ended(&body, result);
+        shared.oracle.lock().record_result(&body, result);
     }
 }
--- a/crates/tier/rpc/tests/faulty_server/server.rs
+++ b/crates/tier/rpc/tests/faulty_server/server.rs
@@ -1,75 +1,79 @@
-//! A server that draws how it answers each request.
+//! A server that chooses at random how it answers each request.
 
-use super::oracle::response_to;
-use super::{SERVICE, Shared};
-use bytes::{Bytes, BytesMut};
-use parking_lot::Mutex;
-use socket2::SockRef;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use parking_lot::Mutex;
+use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 use woadreach_rpc::{Frame, FrameKind};
 
-/// What the server does with a request.
+use super::oracle::response_to;
+use super::{SERVICE, Shared};
+
+/// Behaviour of the server at a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Deed {
+enum Behaviour {
     Answer,
     AnswerTwice,
-    /// Holds the answer back until another request comes, and answers that first.
+    /// Delays the answer until another request arrives, and answers that first.
     AnswerLater,
-    /// Says an answer of this connection once more, then the answer.
+    /// Repeats an answer of this connection, then answers.
     EarlierAnswerFirst,
-    /// Says an answer of a connection before, then the answer.
+    /// Repeats answers of earlier connections, then answers.
     AnswerOfAnotherConnection,
-    /// Answers under a number that nobody awaits, then the request itself.
-    UnknownNumber,
-    /// Sends a frame of another kind with the number, then the answer.
+    /// Answers with a request id that no call has, then answers.
+    UnknownRequestId,
+    /// Sends frames of other kinds with the request id, then answers.
     OtherKind,
     Refuse,
-    /// Answers a part of the frame and ends the connection.
-    CutInOrder,
-    CutByReset,
-    /// Bytes that are no frame.
+    /// Sends a part of the answer and closes the connection.
+    TruncateAndClose,
+    /// Sends a part of the answer and resets the connection.
+    TruncateAndReset,
+    /// Sends bytes that are not a frame.
     Garbage,
     Reset,
-    Silence,
-    /// Ends with all its connections; another takes its address a little later.
+    /// Doesn't answer.
+    NoAnswer,
+    /// Closes all connections and stops listening for a moment.
     Restart,
 }
 
-const DEEDS: [Deed; 17] = [
-    Deed::Answer,
-    Deed::Answer,
-    Deed::Answer,
-    Deed::AnswerTwice,
-    Deed::AnswerLater,
-    Deed::AnswerLater,
-    Deed::EarlierAnswerFirst,
-    Deed::AnswerOfAnotherConnection,
-    Deed::UnknownNumber,
-    Deed::OtherKind,
-    Deed::Refuse,
-    Deed::CutInOrder,
-    Deed::CutByReset,
-    Deed::Garbage,
-    Deed::Reset,
-    Deed::Silence,
-    Deed::Restart,
+const BEHAVIOURS: [Behaviour; 17] = [
+    Behaviour::Answer,
+    Behaviour::Answer,
+    Behaviour::Answer,
+    Behaviour::AnswerTwice,
+    Behaviour::AnswerLater,
+    Behaviour::AnswerLater,
+    Behaviour::EarlierAnswerFirst,
+    Behaviour::AnswerOfAnotherConnection,
+    Behaviour::UnknownRequestId,
+    Behaviour::OtherKind,
+    Behaviour::Refuse,
+    Behaviour::TruncateAndClose,
+    Behaviour::TruncateAndReset,
+    Behaviour::Garbage,
+    Behaviour::Reset,
+    Behaviour::NoAnswer,
+    Behaviour::Restart,
 ];
 
 struct State {
     shared: Arc<Shared>,
     incarnation: watch::Sender<usize>,
     listening: watch::Sender<bool>,
-    /// Answers of connections that have ended.
-    of_others: Mutex<Vec<Frame>>,
+    /// Answers that were sent on connections that have ended.
+    earlier_answers: Mutex<Vec<Frame>>,
 }
 
-pub struct FaultyServer {
-    pub address: SocketAddr,
+pub(crate) struct FaultyServer {
+    pub(crate) address: SocketAddr,
     state: Arc<State>,
 }
 
@@ -81,7 +85,7 @@
 }
 
 impl FaultyServer {
-    pub fn start(shared: Arc<Shared>) -> Self {
+    pub(crate) fn start(shared: Arc<Shared>) -> Self {
         let listener = listen((Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
         let address = listener.local_addr().expect("an address");
         let incarnation = watch::Sender::new(0);
@@ -90,14 +94,14 @@
             shared,
             incarnation,
             listening,
-            of_others: Mutex::default(),
+            earlier_answers: Mutex::default(),
         });
         tokio::spawn(state.clone().run(listener, address));
         FaultyServer { address, state }
     }
 
-    /// Waits until somebody listens at its address.
-    pub async fn wait_until_listening(&self) {
+    /// Waits until the server listens.
+    pub(crate) async fn wait_until_listening(&self) {
         let mut listening = self.state.listening.subscribe();
         listening
             .wait_for(|listening| *listening)
@@ -105,8 +109,8 @@
             .expect("open");
     }
 
-    /// Waits until what has been sent has been read.
-    pub async fn wait_until_read(&self) {
+    /// Waits until the server has read what was sent.
+    pub(crate) async fn wait_until_read(&self) {
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
@@ -136,7 +140,7 @@
             }
             drop(open);
             self.listening.send_replace(false);
-            // For a moment nobody listens.
+            // The server stays away for a moment.
             for _ in 0..self.shared.below(30) {
                 tokio::task::yield_now().await;
             }
@@ -151,14 +155,14 @@
             state,
             stream,
             unread: BytesMut::new(),
-            told: Vec::new(),
-            held: None,
+            sent: Vec::new(),
+            delayed: None,
         };
         tokio::select! {
             _ = connection.run() => {}
             _ = incarnation.changed() => {}
         }
-        self.of_others.lock().append(&mut connection.told);
+        self.earlier_answers.lock().append(&mut connection.sent);
         let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
     }
 }
@@ -167,108 +171,119 @@
     state: Arc<State>,
     stream: TcpStream,
     unread: BytesMut,
-    /// Answers given on this connection.
-    told: Vec<Frame>,
-    held: Option<Frame>,
+    /// Answers that were sent on this connection.
+    sent: Vec<Frame>,
+    /// Answer that is delayed until the next request.
+    delayed: Option<Frame>,
 }
 
 impl Connection {
-    /// Serves until the connection is to end; then there is nothing.
+    /// Serves requests until the connection ends or is to be closed, which `None` says.
     async fn run(&mut self) -> Option<()> {
         loop {
             let request = self.next().await?;
             let body = String::from_utf8_lossy(&request.body).into_owned();
             let shared = self.state.shared.clone();
-            let deed = DEEDS[shared.below(DEEDS.len() as u64) as usize];
+            let behaviour = BEHAVIOURS[shared.below(BEHAVIOURS.len() as u64) as usize];
             {
                 let mut oracle = shared.oracle.lock();
-                oracle.count(format!("server: {deed:?}"));
-                oracle.arrives(&body, deed != Deed::Refuse);
+                oracle.count(format!("server: {behaviour:?}"));
+                oracle.record_arrival(&body, behaviour != Behaviour::Refuse);
             }
-            let answer = frame(FrameKind::Response, request.number, response_to(&body));
-            self.carry_out(deed, answer).await?;
+            let answer = frame(FrameKind::Response, request.request_id, response_to(&body));
+            self.execute(behaviour, answer).await?;
         }
     }
 
-    async fn carry_out(&mut self, deed: Deed, answer: Frame) -> Option<()> {
-        let number = answer.number;
-        match deed {
-            Deed::Answer => {}
-            Deed::AnswerTwice => self.write(&answer).await?,
-            Deed::AnswerLater => {
-                let before = self.held.replace(answer);
-                return match before {
-                    Some(before) => self.tell(before).await,
+    async fn execute(&mut self, behaviour: Behaviour, answer: Frame) -> Option<()> {
+        let request_id = answer.request_id;
+        match behaviour {
+            Behaviour::Answer => {}
+            Behaviour::AnswerTwice => self.write(&answer).await?,
+            Behaviour::AnswerLater => {
+                let earlier = self.delayed.replace(answer);
+                return match earlier {
+                    Some(earlier) => self.send(earlier).await,
                     None => Some(()),
                 };
             }
-            Deed::EarlierAnswerFirst => self.repeat(self.told.last().cloned()).await?,
-            Deed::AnswerOfAnotherConnection => {
-                let of_others = self.state.of_others.lock().clone();
-                for other in of_others {
+            Behaviour::EarlierAnswerFirst => self.send_if_any(self.sent.last().cloned()).await?,
+            Behaviour::AnswerOfAnotherConnection => {
+                let earlier_answers = self.state.earlier_answers.lock().clone();
+                for other in earlier_answers {
                     self.write(&other).await?;
                 }
             }
-            Deed::UnknownNumber => {
+            Behaviour::UnknownRequestId => {
                 self.write(&frame(
                     FrameKind::Response,
-                    number + 1_000_000,
+                    request_id + 1_000_000,
                     "of nobody".to_owned(),
                 ))
                 .await?;
             }
-            Deed::OtherKind => {
-                self.write(&frame(FrameKind::OneWay, number, "one way".to_owned()))
-                    .await?;
-                self.write(&frame(FrameKind::Request, number, "a request".to_owned()))
-                    .await?;
+            Behaviour::OtherKind => {
+                self.write(&frame(
+                    FrameKind::Notification,
+                    request_id,
+                    "one way".to_owned(),
+                ))
+                .await?;
+                self.write(&frame(
+                    FrameKind::Request,
+                    request_id,
+                    "a request".to_owned(),
+                ))
+                .await?;
             }
-            Deed::Refuse => {
+            Behaviour::Refuse => {
                 return self
-                    .write(&frame(FrameKind::Refusal, number, String::new()))
+                    .write(&frame(FrameKind::Refusal, request_id, String::new()))
                     .await;
             }
-            Deed::CutInOrder | Deed::CutByReset => return self.cut(&answer, deed).await,
-            Deed::Garbage => {
+            Behaviour::TruncateAndClose | Behaviour::TruncateAndReset => {
+                return self.truncate(&answer, behaviour).await;
+            }
+            Behaviour::Garbage => {
                 self.stream
                     .write_all(&[12, 0, 0, 0, 99, 2, 40, 1, 0, 0, 0, 0, 0, 0, 0, 7])
                     .await
                     .ok()?;
             }
-            Deed::Reset => return None,
-            Deed::Silence => return Some(()),
-            Deed::Restart => {
+            Behaviour::Reset => return None,
+            Behaviour::NoAnswer => return Some(()),
+            Behaviour::Restart => {
                 self.state
                     .incarnation
                     .send_modify(|incarnation| *incarnation += 1);
                 return None;
             }
         }
-        self.tell(answer).await?;
-        let held = self.held.take();
-        self.repeat(held).await
+        self.send(answer).await?;
+        let delayed = self.delayed.take();
+        self.send_if_any(delayed).await
     }
 
-    async fn tell(&mut self, answer: Frame) -> Option<()> {
+    async fn send(&mut self, answer: Frame) -> Option<()> {
         self.write(&answer).await?;
-        self.told.push(answer);
+        self.sent.push(answer);
         Some(())
     }
 
-    async fn repeat(&mut self, answer: Option<Frame>) -> Option<()> {
+    async fn send_if_any(&mut self, answer: Option<Frame>) -> Option<()> {
         match answer {
-            Some(answer) => self.tell(answer).await,
+            Some(answer) => self.send(answer).await,
             None => Some(()),
         }
     }
 
-    /// Writes a part of the answer, which may be none of it, and ends.
-    async fn cut(&mut self, answer: &Frame, deed: Deed) -> Option<()> {
+    /// Writes a part of the answer, which may be empty, and ends the connection.
+    async fn truncate(&mut self, answer: &Frame, behaviour: Behaviour) -> Option<()> {
         let mut bytes = BytesMut::new();
         answer.encode(&mut bytes);
         let length = self.state.shared.below(bytes.len() as u64) as usize;
         self.stream.write_all(&bytes[..length]).await.ok()?;
-        if deed == Deed::CutInOrder {
+        if behaviour == Behaviour::TruncateAndClose {
             self.stream.shutdown().await.ok()?;
             let mut rest = BytesMut::new();
             while self.stream.read_buf(&mut rest).await.ok()? > 0 {}
@@ -294,11 +309,11 @@
     }
 }
 
-fn frame(kind: FrameKind, number: u64, body: String) -> Frame {
+fn frame(kind: FrameKind, request_id: u64, body: String) -> Frame {
     Frame {
         kind,
         service: SERVICE,
-        number,
+        request_id,
         body: Bytes::from(body),
     }
 }
--- a/crates/tier/rpc/tests/frames.rs
+++ b/crates/tier/rpc/tests/frames.rs
@@ -1,32 +1,32 @@
-//! Frames survive any cutting of the bytes; what is no frame is refused.
+//! Frames are decoded however their bytes are split; bytes that are not a frame are an error.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::quickcheck;
 use woadreach_rpc::{Frame, FrameError, FrameKind, ServiceId};
 
-fn frame(kind: u8, service: u8, number: u64, body: Vec<u8>) -> Frame {
+fn frame(kind: u8, service: u8, request_id: u64, body: Vec<u8>) -> Frame {
     let kinds = [
         FrameKind::Request,
         FrameKind::Response,
-        FrameKind::OneWay,
+        FrameKind::Notification,
         FrameKind::Refusal,
     ];
     Frame {
         kind: kinds[kind as usize % 4],
         service: ServiceId(service),
-        number,
+        request_id,
         body: Bytes::from(body),
     }
 }
 
 quickcheck! {
-    fn frames_come_back_from_any_cuts(parts: Vec<(u8, u8, u64, Vec<u8>)>, step: usize) -> bool {
+    fn frames_are_decoded_from_any_chunks(parts: Vec<(u8, u8, u64, Vec<u8>)>, step: usize) -> bool {
         let frames: Vec<Frame> = parts.into_iter().map(|(k, s, n, b)| frame(k, s, n, b)).collect();
         let mut wire = BytesMut::new();
         frames.iter().for_each(|frame| frame.encode(&mut wire));
         let (mut buffer, mut found) = (BytesMut::new(), Vec::new());
-        for piece in wire.chunks(step % 7 + 1) {
-            buffer.extend_from_slice(piece);
+        for chunk in wire.chunks(step % 7 + 1) {
+            buffer.extend_from_slice(chunk);
             while let Some(frame) = Frame::decode(&mut buffer).unwrap() {
                 found.push(frame);
             }
@@ -34,7 +34,7 @@
         found == frames && buffer.is_empty()
     }
 
-    fn any_bytes_are_decoded_or_refused_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_decoded_or_an_error_without_a_panic(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = Frame::decode(&mut buffer) {}
         true
@@ -42,19 +42,25 @@
 }
 
 #[test]
-fn what_is_no_frame_is_refused() {
+fn bytes_that_are_not_a_frame_are_an_error() {
     let mut wire = BytesMut::new();
     frame(0, 1, 2, vec![1, 2, 3]).encode(&mut wire);
-    let spoil = |at: usize, byte: u8| {
-        let mut spoilt = wire.clone();
-        spoilt[at] = byte;
-        Frame::decode(&mut spoilt).unwrap_err()
+    let decode_changed = |index: usize, byte: u8| {
+        let mut changed = wire.clone();
+        changed[index] = byte;
+        Frame::decode(&mut changed).unwrap_err()
     };
     assert!(matches!(
-        spoil(0, 3),
-        FrameError::BadLength { length: 3, .. }
+        decode_changed(0, 3),
+        FrameError::InvalidLength { length: 3, .. }
     ));
-    assert!(matches!(spoil(3, 255), FrameError::BadLength { .. }));
-    assert_eq!(spoil(4, 9), FrameError::OtherVersion { version: 9 });
-    assert_eq!(spoil(5, 77), FrameError::UnknownKind { code: 77 });
+    assert!(matches!(
+        decode_changed(3, 255),
+        FrameError::InvalidLength { .. }
+    ));
+    assert_eq!(
+        decode_changed(4, 9),
+        FrameError::UnsupportedVersion { version: 9 }
+    );
+    assert_eq!(decode_changed(5, 77), FrameError::UnknownKind { code: 77 });
 }
--- a/crates/tier/rpc/tests/rejected.rs
+++ b/crates/tier/rpc/tests/rejected.rs
@@ -1,12 +1,14 @@
-//! Requests that a handler rejects: refused to the caller, counted, logged with their sender and the reason.
+//! Requests that a handler rejects: the caller gets an error, and they are counted and logged with their sender and
+//! the reason.
 
-use bytes::Bytes;
-use parking_lot::Mutex;
-use snafu::Snafu;
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+
+use bytes::Bytes;
+use parking_lot::Mutex;
+use snafu::Snafu;
 use tokio::net::TcpListener;
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
@@ -55,7 +57,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// Takes requests of even length.
+/// Starts a server that accepts requests of even length.
 async fn start() -> (SocketAddr, RejectedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
