--- a/crates/tier/control/tests/recorded_bytes.rs
+++ b/crates/tier/control/tests/recorded_bytes.rs
@@ -1,5 +1,4 @@
-//! A member's records in its journal, and orders between core machines, as they were recorded: read and
-//! written alike for ever.
+//! Encoding of a member's records in its journal, and of orders between core machines: decoded and encoded as recorded.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -18,12 +17,14 @@
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
 use woadreach_control::operator;
-use woadreach_control::order::{Answer, Order, OrderService, submit_storage_view};
+use woadreach_control::order::execution::submit_storage_view;
+use woadreach_control::order::message::{Answer, Order};
+use woadreach_control::order::service::OrderService;
 use woadreach_storage::{StorageMember, StorageView};
 
 const BODY: &[u8] = br#"{"generation":7,"routes":[],"services":[]}"#;
-/// Time left for an order that was passed on, in milliseconds.
-const LEFT_MS: u32 = 10_000;
+/// Time-out of a forwarded order in milliseconds.
+const TIMEOUT_MS: u32 = 10_000;
 
 fn put(base: u64, generation: u64) -> PutConfiguration {
     PutConfiguration {
@@ -75,12 +76,12 @@
 }
 
 #[test]
-fn what_is_no_numbered_record_is_an_error_with_its_reason() {
+fn bytes_that_are_not_a_numbered_record_are_an_error_with_the_reason() {
     let (snapshot, record) = (encode_snapshot(0, &empty()), encode_record(1, &write(1)));
-    let cut = outcomes_when_cut(&record, |bytes| recover(&snapshot, &[bytes.to_vec()]));
+    let truncated = outcomes_when_cut(&record, |bytes| recover(&snapshot, &[bytes.to_vec()]));
     let expected = [(0, "the record is empty"), (9, "malformed record")];
     assert_eq!(
-        cut,
+        truncated,
         expected.map(|(length, text)| (length, text.to_owned()))
     );
     for bytes in [&b"WOADSLOT\x57"[..], &[0, 0, 0, 0, 0, 0, 0, 0, 0x57]] {
@@ -95,7 +96,7 @@
         outcome(recover(&snapshot, &[other.clone()])),
         "format version 2, expected 1"
     );
-    // Behind a gap nothing is looked at.
+    // Records behind a gap are not decoded.
     other[0] = 2;
     assert_eq!(
         recover(&snapshot, &[other])
@@ -117,7 +118,7 @@
     T::read_from_buffer_with_ctx(Endianness::LittleEndian, body).map_err(|error| error.to_string())
 }
 
-/// Every kind of order, with the time that is left. A kind that is added needs an entry here.
+/// Every kind of order, with its time-out. A kind that is added needs an entry here.
 fn orders() -> Vec<(&'static str, (u32, Order))> {
     let name = |order: &Order| match order {
         Order::PutConfiguration(put) if put.base == 0 => "put the first configuration",
@@ -136,7 +137,7 @@
     ];
     orders
         .into_iter()
-        .map(|order| (name(&order), (LEFT_MS, order)))
+        .map(|order| (name(&order), (TIMEOUT_MS, order)))
         .collect()
 }
 
@@ -201,13 +202,12 @@
     recorded.finish();
 }
 
-/// Gives the head the order recorded as `order`, again while it has no answer: the orders may be carried out
-/// twice.
+/// Sends the head the order recorded as `order`, again while it has no answer: the orders may be executed twice.
 async fn answer_of(orders: &OrderService, order: &str) -> Vec<u8> {
     let body = Bytes::from(RecordedBytes::open("orders").bytes(order));
     for _ in 0..10 {
         let answer = orders
-            .take_forwarded(body.clone())
+            .execute_forwarded(body.clone())
             .await
             .expect("a recorded order");
         if !answer.is_empty() {
@@ -290,15 +290,15 @@
 }
 
 #[tokio::test]
-async fn orders_that_cannot_be_read_are_refused_with_the_reason() {
+async fn orders_that_cannot_be_decoded_are_rejected_with_the_reason() {
     let folder = tempfile::tempdir().expect("a folder");
     let (_driver, service) = start_core(folder.path()).await;
     for (name, _) in orders() {
-        let whole = RecordedBytes::open("orders").bytes(name);
-        for length in 0..whole.len() {
+        let complete = RecordedBytes::open("orders").bytes(name);
+        for length in 0..complete.len() {
             let text = outcome(
                 service
-                    .take_forwarded(Bytes::copy_from_slice(&whole[..length]))
+                    .execute_forwarded(Bytes::copy_from_slice(&complete[..length]))
                     .await,
             );
             let expected = if length == 0 {
@@ -309,8 +309,8 @@
             assert_eq!(text, expected, "{name}, {length} bytes");
         }
         for version in [0, 2, 255] {
-            let other = [&[version], &whole[1..]].concat();
-            let text = outcome(service.take_forwarded(Bytes::from(other)).await);
+            let other = [&[version], &complete[1..]].concat();
+            let text = outcome(service.execute_forwarded(Bytes::from(other)).await);
             assert_eq!(
                 text,
                 format!("order version {version}, expected 1"),
@@ -318,14 +318,14 @@
             );
         }
     }
-    let unknown = [&[1][..], &LEFT_MS.to_le_bytes(), &4_u32.to_le_bytes()].concat();
+    let unknown = [&[1][..], &TIMEOUT_MS.to_le_bytes(), &4_u32.to_le_bytes()].concat();
     assert_eq!(
-        outcome(service.take_forwarded(Bytes::from(unknown)).await),
+        outcome(service.execute_forwarded(Bytes::from(unknown)).await),
         "malformed order"
     );
 }
 
-/// By its digest a configuration that comes again is known, also by a program of another version.
+/// A retried configuration is recognized by its digest, also by a program of another version.
 #[tokio::test]
 async fn the_digest_of_a_configuration_is_as_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Disks of core machines as an earlier program left them: what was committed there is in force, and is gone
-//! on from.
+//! Disks of core machines as an earlier program left them: the committed state is recovered, and the machines
+//! continue from it.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -20,7 +20,9 @@
     TakenConfiguration, View,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
-use woadreach_control::order::{Answer, Order, OrderService, submit_storage_view};
+use woadreach_control::order::execution::submit_storage_view;
+use woadreach_control::order::message::{Answer, Order};
+use woadreach_control::order::service::OrderService;
 use woadreach_journal::{Journal, JournalOptions, Recovered};
 use woadreach_storage::{StorageMember, StorageView};
 
@@ -28,13 +30,17 @@
 const IDENTITY: u64 = 7;
 const LONG: Duration = Duration::from_secs(20);
 
-/// Runs one life of a process; at its end all its tasks are gone.
-fn in_one_life<F: Future>(life: F) -> F::Output {
+/// Runs one incarnation of a process, with which all its tasks end.
+fn run_incarnation<F: Future>(incarnation: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(LONG, life).await.expect("in time") })
+    runtime.block_on(async {
+        tokio::time::timeout(LONG, incarnation)
+            .await
+            .expect("in time")
+    })
 }
 
 fn body(generation: u64) -> Vec<u8> {
@@ -74,7 +80,7 @@
     }
 }
 
-/// The view in which storage-3 gives way to storage-4, with the order to empty storage-3.
+/// The view in which storage-4 replaces storage-3, with the order to retire storage-3.
 fn joint_storage_view() -> StorageView {
     StorageView {
         epoch: 2,
@@ -99,9 +105,9 @@
     assert_eq!(execute(orders, Order::ReadConfiguration).await, expected);
 }
 
-/// The disk of a core of one machine, after two lives.
+/// Makes the disk of a core of one machine, after two incarnations.
 fn make_disk_of_one(folder: &Path) {
-    in_one_life(async {
+    run_incarnation(async {
         let (driver, orders) = start_core(folder).await;
         assert_eq!(
             execute(&orders, Order::PutConfiguration(put(0, 3))).await,
@@ -109,7 +115,7 @@
         );
         assert!(submit_storage_view(&driver, 0, &first_storage_view()).await);
     });
-    in_one_life(async {
+    run_incarnation(async {
         let (driver, orders) = start_core(folder).await;
         assert_eq!(
             execute(&orders, Order::PutConfiguration(put(3, 7))).await,
@@ -127,7 +133,7 @@
 
 fn read_disk(folder: &Path) -> Recovered {
     Journal::open(folder, JournalOptions::default())
-        .expect("a whole journal")
+        .expect("an intact journal")
         .1
 }
 
@@ -137,7 +143,7 @@
 }
 
 #[test]
-fn the_disk_of_a_core_of_one_machine_holds_what_was_committed() {
+fn the_disk_of_a_core_of_one_machine_has_the_committed_state() {
     let folder = copy_of("core-of-one", make_disk_of_one);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!((durable.identity, durable.bootstrap), (IDENTITY, true));
@@ -167,10 +173,10 @@
 }
 
 #[test]
-fn a_core_of_one_machine_goes_on_from_an_earlier_disk() {
+fn a_core_of_one_machine_continues_from_an_earlier_disk() {
     let folder = copy_of("core-of-one", make_disk_of_one);
     let epoch_before = recover_disk(folder.path()).durable.view.epoch;
-    in_one_life(async {
+    run_incarnation(async {
         let (driver, orders) = start_core(folder.path()).await;
         assert!(driver.status().epoch >= epoch_before);
         expect_configuration(&orders, 7).await;
@@ -196,7 +202,7 @@
             Answer::Done
         );
     });
-    in_one_life(async {
+    run_incarnation(async {
         let (_driver, orders) = start_core(folder.path()).await;
         expect_configuration(&orders, 9).await;
     });
@@ -240,7 +246,7 @@
     })
 }
 
-/// Records of the second member of three, from the first epoch to the seventh; it sat epoch 5 out.
+/// Records of the second member of three, from the first epoch to the seventh; it was idle in epoch 5.
 fn records_of_three() -> Vec<Record> {
     let ballot = |round, proposer| Ballot {
         round,
@@ -290,28 +296,28 @@
     ]
 }
 
-/// Records in the snapshot; the others stand in the log behind it.
-const IN_SNAPSHOT: usize = 7;
+/// Number of records in the snapshot; the others are in the log behind it.
+const SNAPSHOT_RECORDS: usize = 7;
 
 fn new_disk_of_three() -> Durable {
     let seeds = [1, 2, 3].map(|number| member(number).address);
     Durable::new(member(2).identity, true, View::bootstrap(&seeds))
 }
 
-/// The journal that a member leaves which has put its first records into a snapshot.
+/// Makes the journal of a member whose first records are in a snapshot.
 fn make_disk_of_three(folder: &Path) {
     let records = records_of_three();
     let mut durable = new_disk_of_three();
-    records[..IN_SNAPSHOT]
+    records[..SNAPSHOT_RECORDS]
         .iter()
         .for_each(|record| durable.apply(record));
-    in_one_life(async {
+    run_incarnation(async {
         let (journal, _) = Journal::open(folder, JournalOptions::default()).expect("a journal");
-        let snapshot = encode_snapshot(IN_SNAPSHOT as u64, &durable);
+        let snapshot = encode_snapshot(SNAPSHOT_RECORDS as u64, &durable);
         let _receipt = journal.replace(snapshot).await.expect("a sync");
-        for (place, record) in records.iter().enumerate().skip(IN_SNAPSHOT) {
+        for (index, record) in records.iter().enumerate().skip(SNAPSHOT_RECORDS) {
             let _receipt = journal
-                .append(encode_record(place as u64 + 1, record))
+                .append(encode_record(index as u64 + 1, record))
                 .await
                 .expect("a sync");
         }
@@ -319,15 +325,15 @@
 }
 
 #[test]
-fn the_disk_of_one_of_three_core_machines_holds_every_kind_of_record() {
+fn the_disk_of_one_of_three_core_machines_has_every_kind_of_record() {
     let folder = copy_of("core-of-three", make_disk_of_three);
     let found = read_disk(folder.path());
     let records = records_of_three();
     let expected: Vec<Vec<u8>> = records
         .iter()
         .enumerate()
-        .skip(IN_SNAPSHOT)
-        .map(|(place, record)| encode_record(place as u64 + 1, record))
+        .skip(SNAPSHOT_RECORDS)
+        .map(|(index, record)| encode_record(index as u64 + 1, record))
         .collect();
     assert_eq!(
         found.records, expected,
@@ -341,7 +347,7 @@
 }
 
 #[test]
-fn one_of_three_core_machines_comes_back_with_its_view_its_promise_and_its_vote() {
+fn one_of_three_core_machines_recovers_its_view_its_promise_and_its_vote() {
     let folder = copy_of("core-of-three", make_disk_of_three);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!(
--- a/crates/tier/journal/tests/recorded_bytes.rs
+++ b/crates/tier/journal/tests/recorded_bytes.rs
@@ -1,4 +1,4 @@
-//! Slots as they were recorded: a snapshot and the frames of its log are read and written alike for ever.
+//! Encoding of slots: a header, a snapshot and the frames of its log are decoded and encoded as recorded.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -7,12 +7,12 @@
 use woadreach_journal::{Disk, Engine, FileDisk, JournalError, Recovered, SimulatedDisk, Slot};
 
 const MAX_BYTES: u64 = 1 << 20;
-/// Bytes of a slot's head.
-const HEAD: usize = 33;
-/// Bytes of a frame before its records.
-const FRAME_HEAD: usize = 28;
+/// Bytes of a slot's header.
+const HEADER_BYTES: usize = 33;
+/// Bytes of a frame before its payload.
+const FRAME_HEADER_BYTES: usize = 28;
 
-/// What a process did to an empty journal, the slot that it left, and what a later one finds there.
+/// What a process does to an empty journal, the slot that it leaves, and what a later one recovers.
 struct Scenario {
     name: &'static str,
     slot: Slot,
@@ -86,7 +86,7 @@
                 commit(engine, &[b"three", b"four"]);
                 let _receipt = engine
                     .continue_replacement()
-                    .expect("one piece")
+                    .expect("one chunk")
                     .expect("the disk works");
                 commit(engine, &[b"five"]);
             },
@@ -98,8 +98,8 @@
     ]
 }
 
-/// Slot of a journal on which `run` was done; the other one is empty.
-fn written(scenario: &Scenario) -> Vec<u8> {
+/// Content of the slot after the scenario; the other one must be empty.
+fn written_slot(scenario: &Scenario) -> Vec<u8> {
     let mut disk = SimulatedDisk::default();
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).expect("an empty disk");
     (scenario.run)(&mut engine);
@@ -112,8 +112,8 @@
     disk.read(scenario.slot).expect("a slot")
 }
 
-/// What is found where one slot holds `content`.
-fn read(slot: Slot, content: &[u8]) -> Result<Recovered, JournalError> {
+/// Recovers the journal in which `slot` has `content`.
+fn recover(slot: Slot, content: &[u8]) -> Result<Recovered, JournalError> {
     let mut disk = SimulatedDisk::default();
     disk.write(slot, 0, content).expect("the disk works");
     disk.sync(slot).expect("the disk works");
@@ -128,17 +128,17 @@
 fn slots_are_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("slots");
     for scenario in scenarios() {
-        recorded.check_bytes(scenario.name, &written(&scenario));
+        recorded.check_bytes(scenario.name, &written_slot(&scenario));
         let content = recorded_slot(scenario.name);
-        let found = read(scenario.slot, &content).expect("a recorded slot is whole");
+        let found = recover(scenario.slot, &content).expect("a recorded slot is intact");
         assert_eq!(found, scenario.found, "{}", scenario.name);
     }
     recorded.finish();
 }
 
-/// A recorded slot is gone on with as one that was written today.
+/// Records are appended to a recorded slot as to one that this program has written.
 #[test]
-fn a_recorded_log_is_gone_on_with() {
+fn a_recorded_log_is_continued() {
     let mut disk = SimulatedDisk::default();
     disk.write(Slot::A, 0, &recorded_slot("one record"))
         .expect("the disk works");
@@ -147,40 +147,45 @@
     commit(&mut engine, &[b"two"]);
     let content = disk.read(Slot::A).expect("a slot");
     assert_eq!(
-        read(Slot::A, &content).expect("a whole slot").records,
+        recover(Slot::A, &content).expect("an intact slot").records,
         [b"one".to_vec(), b"two".to_vec()]
     );
     replace(&mut engine, b"all so far");
     let content = disk.read(Slot::B).expect("a slot");
     assert_eq!(
-        read(Slot::B, &content).expect("a whole slot"),
+        recover(Slot::B, &content).expect("an intact slot"),
         found(Some(b"all so far"), &[])
     );
 }
 
 #[test]
-fn a_log_cut_at_any_byte_ends_before_the_frame_that_is_not_whole() {
+fn a_log_truncated_at_any_byte_ends_before_the_incomplete_frame() {
     let content = recorded_slot("several frames of several records");
-    let ends = [HEAD, HEAD + 48, HEAD + 48 + 36, content.len()];
+    let ends = [
+        HEADER_BYTES,
+        HEADER_BYTES + 48,
+        HEADER_BYTES + 48 + 36,
+        content.len(),
+    ];
     let counts = [0, 3, 4, 6];
-    for length in HEAD..=content.len() {
-        let whole = ends
+    for length in HEADER_BYTES..=content.len() {
+        let complete = ends
             .iter()
             .rposition(|end| *end <= length)
-            .expect("the head is whole");
-        let found = read(Slot::A, &content[..length]).expect("a torn tail is no damage");
-        assert_eq!(found.records.len(), counts[whole], "{length}");
+            .expect("the header is complete");
+        let found = recover(Slot::A, &content[..length]).expect("a torn tail is no corruption");
+        assert_eq!(found.records.len(), counts[complete], "{length}");
     }
 }
 
 #[test]
-fn a_head_or_a_snapshot_that_is_cut_is_damage() {
+fn a_truncated_header_or_snapshot_is_corrupt() {
     let content = recorded_slot("snapshot alone");
-    let runs = outcomes_when_cut(&content, |bytes| read(Slot::B, bytes));
+    let runs = outcomes_when_cut(&content, |bytes| recover(Slot::B, bytes));
     let expected = [
         (0, "read"),
         (1, "slot-b is damaged at byte 0"),
-        (HEAD, "slot-b is damaged at byte 33"),
+        (HEADER_BYTES, "slot-b is damaged at byte 33"),
     ];
     assert_eq!(
         runs,
@@ -188,27 +193,27 @@
     );
 }
 
-/// Damage in the last frame can't be told from a tail that was torn by a loss of power, unless its number
-/// says that a frame before it is missing.
+/// Corruption of the last frame looks like a tail that was torn by a loss of power, unless its sequence number shows
+/// that a frame before it is missing.
 #[test]
-fn a_changed_byte_is_damage_unless_it_is_in_the_last_frame() {
+fn a_changed_byte_is_corruption_unless_it_is_in_the_last_frame() {
     let content = recorded_slot("third generation with a log");
-    let log = HEAD + b"all up to two".len();
-    let last = log + FRAME_HEAD + 4 + b"three".len();
-    for place in 0..content.len() {
+    let log = HEADER_BYTES + b"all up to two".len();
+    let last = log + FRAME_HEADER_BYTES + 4 + b"three".len();
+    for index in 0..content.len() {
         let mut changed = content.clone();
-        changed[place] ^= 0x40;
-        let text = outcome(read(Slot::A, &changed));
-        let expected = match place {
-            _ if place < HEAD => "slot-a is damaged at byte 0".to_owned(),
-            _ if place < log => "slot-a is damaged at byte 33".to_owned(),
-            _ if place < last => format!("slot-a is damaged at byte {log}"),
-            _ if (last + 12..last + 20).contains(&place) => {
+        changed[index] ^= 0x40;
+        let text = outcome(recover(Slot::A, &changed));
+        let expected = match index {
+            _ if index < HEADER_BYTES => "slot-a is damaged at byte 0".to_owned(),
+            _ if index < log => "slot-a is damaged at byte 33".to_owned(),
+            _ if index < last => format!("slot-a is damaged at byte {log}"),
+            _ if (last + 12..last + 20).contains(&index) => {
                 format!("slot-a is damaged at byte {last}")
             }
             _ => "read".to_owned(),
         };
-        assert_eq!(text, expected, "byte {place}");
+        assert_eq!(text, expected, "byte {index}");
     }
 }
 
@@ -218,8 +223,8 @@
     for version in [0, 2, 255] {
         content[8] = version;
         let checksum = crc32fast::hash(&content[..29]);
-        content[29..HEAD].copy_from_slice(&checksum.to_le_bytes());
-        let text = outcome(read(Slot::A, &content));
+        content[29..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
+        let text = outcome(recover(Slot::A, &content));
         assert_eq!(
             text,
             format!("slot-a has format version {version}, this program reads 1")
@@ -228,16 +233,20 @@
 }
 
 #[test]
-fn foreign_files_are_damage_and_zeros_are_a_blank_slot() {
+fn foreign_files_are_corrupt_and_zeros_are_an_empty_slot() {
     let foreign: [&[u8]; 3] = [b"generation: 1", &[0xff; 100], b"WOADSLOT"];
     for content in foreign {
         assert_eq!(
-            outcome(read(Slot::A, content)),
+            outcome(recover(Slot::A, content)),
             "slot-a is damaged at byte 0",
             "{content:?}"
         );
     }
-    assert!(read(Slot::A, &[0; 100]).expect("a blank slot").was_empty);
+    assert!(
+        recover(Slot::A, &[0; 100])
+            .expect("an empty slot")
+            .was_empty
+    );
 }
 
 #[test]
--- a/crates/tier/rpc/tests/recorded_bytes.rs
+++ b/crates/tier/rpc/tests/recorded_bytes.rs
@@ -1,4 +1,4 @@
-//! Frames as they were recorded, and what a client and a server put on a connection.
+//! Encoding of frames: decoded and encoded as recorded, and sent so by a client and a server.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -17,11 +17,11 @@
 
 const LONG: Duration = Duration::from_secs(10);
 
-fn frame(kind: FrameKind, service: ServiceId, number: u64, body: &'static [u8]) -> Frame {
+fn frame(kind: FrameKind, service: ServiceId, request_id: u64, body: &'static [u8]) -> Frame {
     Frame {
         kind,
         service,
-        number,
+        request_id,
         body: Bytes::from_static(body),
     }
 }
@@ -32,7 +32,7 @@
     bytes.to_vec()
 }
 
-/// What is read of the front of `bytes`.
+/// Decodes the frame at the start of `bytes`.
 fn decode(bytes: &[u8]) -> Result<Option<Frame>, FrameError> {
     Frame::decode(&mut BytesMut::from(bytes))
 }
@@ -49,7 +49,7 @@
         ),
         (
             "one-way announcement",
-            frame(FrameKind::OneWay, ServiceId::ANNOUNCE, 0, b"here"),
+            frame(FrameKind::Notification, ServiceId::ANNOUNCE, 0, b"here"),
         ),
         (
             "refusal of storage",
@@ -81,9 +81,9 @@
     recorded.finish();
 }
 
-/// Nothing is told of a frame that may yet be whole.
+/// A frame that may yet be completed is no error.
 #[test]
-fn a_frame_cut_at_any_byte_is_waited_for() {
+fn a_frame_truncated_at_any_byte_is_incomplete() {
     for (name, frame) in frames() {
         let bytes = encode(&frame);
         assert_eq!(
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn what_is_no_frame_is_refused_with_the_reason() {
-    let whole = encode(&frames()[0].1);
-    let with = |place: usize, bytes: &[u8]| {
-        let mut changed = whole.clone();
-        changed[place..place + bytes.len()].copy_from_slice(bytes);
+fn bytes_that_are_not_a_frame_are_an_error_with_the_reason() {
+    let complete = encode(&frames()[0].1);
+    let with = |index: usize, bytes: &[u8]| {
+        let mut changed = complete.clone();
+        changed[index..index + bytes.len()].copy_from_slice(bytes);
         outcome(decode(&changed))
     };
-    let longest = 11 + (64 << 20);
-    let bad_length = |length: u32| {
-        format!("a frame of {length} bytes; at most {longest} and at least 11 are allowed")
+    let max_length = 11 + (64 << 20);
+    let invalid_length = |length: u32| {
+        format!("a frame of {length} bytes; at most {max_length} and at least 11 are allowed")
     };
-    for length in [0, 10, longest + 1, u32::MAX] {
-        assert_eq!(with(0, &length.to_le_bytes()), bad_length(length));
+    for length in [0, 10, max_length + 1, u32::MAX] {
+        assert_eq!(with(0, &length.to_le_bytes()), invalid_length(length));
     }
     for version in [0, 2, 255] {
         assert_eq!(
@@ -122,13 +122,13 @@
         assert_eq!(with(5, &[code]), format!("unknown kind of frame {code}"));
     }
     let foreign = outcome(decode(b"GET / HTTP/1.1\r\n\r\n"));
-    assert_eq!(foreign, bad_length(u32::from_le_bytes(*b"GET ")));
+    assert_eq!(foreign, invalid_length(u32::from_le_bytes(*b"GET ")));
 }
 
 async fn read_exactly(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
     let read = tokio::time::timeout(LONG, stream.read_exact(&mut bytes)).await;
-    read.expect("in time").expect("the connection is whole");
+    read.expect("in time").expect("the connection is open");
     bytes
 }
 
@@ -140,7 +140,7 @@
     (listener, address)
 }
 
-/// There is nothing on the connection but frames, and calls are numbered from 1.
+/// The connection carries nothing but frames, and request ids begin at 1.
 #[tokio::test]
 async fn a_client_sends_the_recorded_frames() {
     let (listener, address) = listen().await;
@@ -161,8 +161,11 @@
         Ok(Bytes::from_static(b"answer"))
     );
     client.send(address, ServiceId::ANNOUNCE, b"here".to_vec());
-    let one_way = RecordedBytes::open("frames").bytes("one-way announcement");
-    assert_eq!(read_exactly(&mut stream, one_way.len()).await, one_way);
+    let notification = RecordedBytes::open("frames").bytes("one-way announcement");
+    assert_eq!(
+        read_exactly(&mut stream, notification.len()).await,
+        notification
+    );
 }
 
 #[derive(Debug, Snafu)]
