--- a/crates/tier/control/src/compaction.rs
+++ b/crates/tier/control/src/compaction.rs
@@ -11,7 +11,8 @@
 
 use std::time::Duration;
 
-/// Length in bytes from which the log is replaced by a snapshot, if it is twice as long as the last snapshot too.
+/// Length in bytes from which the log is replaced by a snapshot, if it is twice as long as the last snapshot
+/// too.
 pub const COMPACTION_BYTES: u64 = 8 << 20;
 /// Interval between a compaction that failed and the next one.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -30,7 +31,8 @@
     phase: Phase,
     /// Bytes of the last snapshot.
     snapshot_bytes: u64,
-    /// Earliest time of the next compaction, on the clock of [`Compaction::is_due`]. Repairs don't wait for it.
+    /// Earliest time of the next compaction, on the clock of [`Compaction::is_due`]. Repairs don't wait for
+    /// it.
     not_before: Duration,
 }
 
--- a/crates/tier/control/src/durable_log.rs
+++ b/crates/tier/control/src/durable_log.rs
@@ -1,8 +1,9 @@
 //! A member's durable state in the journal: numbered records after a snapshot.
 //!
-//! Records carry consecutive numbers. Where one is missing (its append failed, and later ones did not), recovery
-//! skips the records after the gap: the driver has reported none of them as synced. The incarnation that starts
-//! from there appends the missing number anew, behind the skipped records, and a later recovery continues with it.
+//! Records carry consecutive numbers. Where one is missing (its append failed, and later ones did not),
+//! recovery skips the records after the gap: the driver has reported none of them as synced. The incarnation
+//! that starts from there appends the missing number anew, behind the skipped records, and a later recovery
+//! continues with it.
 
 use woadreach_chain::{Durable, Record, RecordError};
 
--- a/crates/tier/control/src/error.rs
+++ b/crates/tier/control/src/error.rs
@@ -57,7 +57,7 @@
         /// The journal's failure.
         source: JournalError,
     },
-    /// The journal holds something that this program can't read.
+    /// The journal has a record or snapshot that this program can't decode.
     #[snafu(display("journal in {}: {source}", path.display()))]
     Unreadable {
         /// Folder of the journal.
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Start reading at [`core_role::run`] or [`storage_role::run`], which wire a process of the role together.
 //!
-//! A machine of the `core` role is a member of a chain that replicates the operator's configuration and the view
-//! of the storage machines:
+//! A machine of the `core` role is a member of a chain that replicates the operator's configuration and the
+//! view of the storage machines:
 //!
 //! - [`member_driver`] runs [`woadreach_chain::Member`], which decides without I/O, on the clock, disk and
 //!   network; [`durable_log`] encodes its records in the journal, and [`compaction`] has the states of that
@@ -14,8 +14,8 @@
 //! - [`storage_planner`] changes the view of the storage machines while this machine is the head.
 //! - [`committed`] publishes the committed state to the data plane by way of `woadreach-discovery`.
 //!
-//! A machine of the `storage` role ([`storage_role`]) runs [`woadreach_storage::server::Server`] and announces
-//! itself to the core. The protocol is described in `docs/control-plane.md` and `docs/storage.md`.
+//! A machine of the `storage` role ([`storage_role`]) runs [`woadreach_storage::server::Server`] and
+//! announces itself to the core. The protocol is described in `docs/control-plane.md` and `docs/storage.md`.
 
 pub mod command_line;
 pub mod committed;
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -1,9 +1,9 @@
 //! Runs a [`Member`] on the real clock, disk and network.
 //!
-//! [`MemberDriver::input`] gives the member an event and executes its outputs. They are executed under the lock
-//! under which they were decided, so that records reach the journal in the order of their numbers. Three tasks
-//! run beside the callers: one awaits syncs of records, one awaits snapshots (both in `persistence`), and one
-//! wakes the member when its next time-out is due.
+//! [`MemberDriver::input`] gives the member an event and executes its outputs. They are executed under the
+//! lock under which they were decided, so that records reach the journal in the order of their numbers. Three
+//! tasks run beside the callers: one awaits syncs of records, one awaits snapshots (both in `persistence`),
+//! and one wakes the member when its next time-out is due.
 
 mod persistence;
 
@@ -51,8 +51,8 @@
 
 struct DriverState {
     member: Member,
-    /// Number of the last record of earlier incarnations. The member counts its records from 1; their numbers in
-    /// the journal go on from here.
+    /// Number of the last record of earlier incarnations. The member counts its records from 1; their numbers
+    /// in the journal go on from here.
     recovered_number: u64,
     /// Number of the last record that the member has made. Must not be less than `recovered_number`.
     last_number: u64,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Sends the member a request and waits for its reply, however long the chain takes. A member that isn't the
-    /// head replies [`Reply::Unavailable`].
+    /// Sends the member a request and waits for its reply, however long the chain takes. A member that isn't
+    /// the head replies [`Reply::Unavailable`].
     pub async fn request(&self, request: Request) -> Reply {
         let (sender, receiver) = oneshot::channel();
         let id = {
@@ -194,8 +194,8 @@
         self.published().storage_view.clone()
     }
 
-    /// A counter that rises with each change of the committed state, of the view, and of whether this machine is
-    /// in quorum.
+    /// A counter that rises with each change of the committed state, of the view, and of whether this machine
+    /// is in quorum.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -289,8 +289,8 @@
     );
 }
 
-/// The initial state of a machine whose disk is empty. A bootstrapping machine starts with a view of the seeds,
-/// any other with no view until a running core machine sends it one.
+/// The initial state of a machine whose disk is empty. A bootstrapping machine starts with a view of the
+/// seeds, any other with no view until a running core machine sends it one.
 pub fn new_durable(bootstrap: bool, options: &MemberOptions, identity: u64) -> Durable {
     let view = if bootstrap {
         View::bootstrap(&options.seeds)
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -41,8 +41,8 @@
         let _ = self.syncs.send(pending);
     }
 
-    /// Replaces a long log by a snapshot, while records are appended. Must be called when every record that the
-    /// member has made is appended: one appended later would be in the snapshot already.
+    /// Replaces a long log by a snapshot, while records are appended. Must be called when every record that
+    /// the member has made is appended: one appended later would be in the snapshot already.
     pub(super) fn compact(&self, state: &mut DriverState) {
         let now = self.started.elapsed();
         if !state.compaction.is_due(now, self.journal.log_bytes()) {
@@ -56,7 +56,8 @@
             .send(Box::pin(self.journal.replace(snapshot)));
     }
 
-    /// Awaits the snapshots that replace the log. One that is superseded by a repair's snapshot has not failed.
+    /// Awaits the snapshots that replace the log. One that is superseded by a repair's snapshot has not
+    /// failed.
     pub(super) async fn await_snapshots(
         self: Arc<Self>,
         mut pending: mpsc::UnboundedReceiver<SyncFuture>,
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Queues a snapshot of all records so far. Later records are appended behind it, and their syncs count only
-    /// once the snapshot is synced: until then they may follow a gap.
+    /// Queues a snapshot of all records so far. Later records are appended behind it, and their syncs count
+    /// only once the snapshot is synced: until then they may follow a gap.
     fn begin_repair(&self, pending: &mut mpsc::UnboundedReceiver<PendingSync>) -> PendingSync {
         let mut state = self.state.lock();
         while pending.try_recv().is_ok() {}
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -1,7 +1,7 @@
 //! Execution of an order at the head of the chain.
 //!
-//! Each function returns `None` where the order has no answer: this machine isn't the head any more, or another
-//! change came first. The caller then tries again.
+//! Each function returns `None` where the order has no answer: this machine isn't the head any more, or
+//! another change came first. The caller then tries again.
 
 use woadreach_chain::{
     Blob, Command, PutConfiguration, PutStorageView, Reply, Request, StoredStorageView,
--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -1,7 +1,7 @@
 //! Orders and answers, and their encoding between core machines.
 //!
-//! A message is a version byte and the value in `speedy`'s little-endian encoding. An order is preceded by the
-//! milliseconds that its caller still waits. An empty response says that the receiver has no answer.
+//! A message is a version byte and the value in `speedy`'s little-endian encoding. An order is preceded by
+//! the milliseconds that its caller still waits. An empty response says that the receiver has no answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,8 +32,8 @@
     },
 }
 
-/// Answer to an order. [`Answer::Undecided`] and [`Answer::UnreadableStorageView`] leave open whether the order
-/// takes effect; all others are final.
+/// Answer to an order. [`Answer::Undecided`] and [`Answer::UnreadableStorageView`] leave open whether the
+/// order takes effect; all others are final.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Answer {
     /// The order is committed, now or by an earlier copy of it.
--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -29,8 +29,8 @@
     Answer(Answer),
 }
 
-/// Decides an order to retire `node` on the stored view. `tolerated_failures` is how many storage machines may
-/// be lost at once.
+/// Decides an order to retire `node` on the stored view. `tolerated_failures` is how many storage machines
+/// may be lost at once.
 #[must_use]
 pub fn decide_retire(
     stored: Option<&StoredStorageView>,
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -85,8 +85,8 @@
 }
 
 impl OrderService {
-    /// Creates the service of the machine with the internal address `own_address`. `tolerated_failures` is how
-    /// many storage machines may be lost at once.
+    /// Creates the service of the machine with the internal address `own_address`. `tolerated_failures` is
+    /// how many storage machines may be lost at once.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Executes an order, here or at the head, and waits for the answer until `deadline`. A new head is tried at
-    /// once, without waiting for the former one, so an order may be executed twice.
+    /// Executes an order, here or at the head, and waits for the answer until `deadline`. A new head is tried
+    /// at once, without waiting for the former one, so an order may be executed twice.
     ///
     /// # Errors
     /// See [`Unanswered`].
@@ -171,8 +171,8 @@
         call.await.unwrap_or(Err(CallError::Broken))
     }
 
-    /// Executes an order that another core machine has forwarded. Returns the encoded answer; empty if there is
-    /// none.
+    /// Executes an order that another core machine has forwarded. Returns the encoded answer; empty if there
+    /// is none.
     ///
     /// # Errors
     /// [`MessageError`] if the order can't be read.
--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -19,8 +19,8 @@
 
 /// Announces this machine to the core, at intervals and at once when a pull has ended.
 ///
-/// Each announcement goes to every core machine, and one of them is to answer whether it is in quorum. After a
-/// time without such answers this machine was partitioned and may have missed records.
+/// Each announcement goes to every core machine, and one of them is to answer whether it is in quorum. After
+/// a time without such answers this machine was partitioned and may have missed records.
 pub(crate) struct StorageAnnouncer<'a> {
     server: &'a Server,
     rpc: &'a Client,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// After an answer, checks for a partition before it; without one, another core machine is to answer next.
+    /// After an answer, checks for a partition before it; without one, another core machine is to answer
+    /// next.
     fn record_outcome(&mut self, is_answered: bool) {
         if !is_answered {
             self.next_responder = self.next_responder.wrapping_add(1);
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -110,8 +110,8 @@
     Ok(())
 }
 
-/// Waits for SIGTERM, and then until no data depends on this machine's disk, which may never come back, or until
-/// the grace period is over but for [`STOP_MARGIN`].
+/// Waits for SIGTERM, and then until no data depends on this machine's disk, which may never come back, or
+/// until the grace period is over but for [`STOP_MARGIN`].
 async fn leave_on_sigterm(server: &Server, terminate: &mut Signal, grace_period: Duration) {
     terminate.recv().await;
     tracing::info!("departure from the storage view requested");
--- a/crates/tier/control/tests/durable_log.rs
+++ b/crates/tier/control/tests/durable_log.rs
@@ -57,8 +57,8 @@
     );
 }
 
-/// One incarnation appends 1 and 2, fails at 3, and has 4 and 5 on the disk. The next one appends 3 and 4 anew and
-/// reports both as synced.
+/// One incarnation appends 1 and 2, fails at 3, and has 4 and 5 on the disk. The next one appends 3 and 4
+/// anew and reports both as synced.
 #[test]
 fn records_of_the_next_incarnation_are_used_after_a_gap_of_the_last() {
     let mut records = [1, 2, 4, 5]
--- a/crates/tier/control/tests/journal_bounds.rs
+++ b/crates/tier/control/tests/journal_bounds.rs
@@ -1,5 +1,5 @@
-//! Thousands of changes on a core of one machine: its journal stays short, and everything acknowledged survives a
-//! loss of power at any moment, also in the middle of a snapshot.
+//! Thousands of changes on a core of one machine: its journal stays short, and everything acknowledged
+//! survives a loss of power at any moment, also in the middle of a snapshot.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -165,8 +165,8 @@
     assert_eq!(recovered_state(&disk).0, 60);
 }
 
-/// Loses power at a random moment of each incarnation; returns after how many of them something acknowledged was
-/// missing.
+/// Loses power at a random moment of each incarnation; returns after how many of them something acknowledged
+/// was missing.
 fn count_losses(incarnations: u64, ignores_syncs: bool) -> u64 {
     let mut random = Rand64::new(4);
     let mut disk = SimulatedDisk::default();
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -1,6 +1,6 @@
 //! Three core machines with real drivers, journals and connections on loopback: orders that race at several
-//! machines at once, two copies of each at different machines, and a head that stops with orders in flight. As a
-//! negative control, the same races on three machines that are a core each must be found to be wrong.
+//! machines at once, two copies of each at different machines, and a head that stops with orders in flight.
+//! As a negative control, the same races on three machines that are a core each must be found to be wrong.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
--- a/crates/tier/control/tests/order_route.rs
+++ b/crates/tier/control/tests/order_route.rs
@@ -1,4 +1,5 @@
-//! Where an order goes: to the head as known here, to a new one at once, and nowhere from a partitioned machine.
+//! Where an order goes: to the head as known here, to a new one at once, and nowhere from a partitioned
+//! machine.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
--- a/crates/tier/control/tests/recorded_bytes.rs
+++ b/crates/tier/control/tests/recorded_bytes.rs
@@ -1,4 +1,5 @@
-//! Encoding of a member's records in its journal, and of orders between core machines: decoded and encoded as recorded.
+//! Encoding of a member's records in its journal, and of orders between core machines: decoded and encoded as
+//! recorded.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -202,7 +203,8 @@
     recorded.finish();
 }
 
-/// Sends the head the order recorded as `order`, again while it has no answer: the orders may be executed twice.
+/// Sends the head the order recorded as `order`, again while it has no answer: the orders may be executed
+/// twice.
 async fn answer_of(orders: &OrderService, order: &str) -> Vec<u8> {
     let body = Bytes::from(RecordedBytes::open("orders").bytes(order));
     for _ in 0..10 {
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -1,9 +1,10 @@
-//! Orders to retire storage machines, interleaved with the planner's changes of the view, losses of uncommitted
-//! changes, and copies of earlier orders. The decisions are those of the program; the chain is a model.
+//! Orders to retire storage machines, interleaved with the planner's changes of the view, losses of
+//! uncommitted changes, and copies of earlier orders. The decisions are those of the program; the chain is a
+//! model.
 //!
-//! A script of numbers says what happens next. Two defences can be switched off, and the loss must be found: the
-//! planner's view replaces any view, whatever epoch it was planned on, or an answer isn't confirmed after the
-//! barrier.
+//! A script of numbers says what happens next. Two defences can be switched off, and the loss must be found:
+//! the planner's view replaces any view, whatever epoch it was planned on, or an answer isn't confirmed after
+//! the barrier.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
--- a/crates/tier/journal/src/disk.rs
+++ b/crates/tier/journal/src/disk.rs
@@ -12,8 +12,8 @@
 
 /// Two files that can be read, written at an offset, truncated and synced.
 ///
-/// After a loss of power, each write and truncation since the last successful [`Disk::sync`] of that slot may be
-/// present, missing or torn.
+/// After a loss of power, each write and truncation since the last successful [`Disk::sync`] of that slot may
+/// be present, missing or torn.
 pub trait Disk: Send {
     /// Reads all of a slot. A slot that was never written is empty.
     ///
--- a/crates/tier/journal/src/engine/mod.rs
+++ b/crates/tier/journal/src/engine/mod.rs
@@ -23,7 +23,8 @@
     position: LogPosition,
     /// Limit on the bytes of both slots together.
     max_bytes: u64,
-    /// A replacement failed while its header was written: recovery might choose its slot as the newer one. Must be
+    /// A replacement failed while its header was written: recovery might choose its slot as the newer one.
+    /// Must be
     /// `false`, its slot being emptied, before anything else is appended.
     is_replacement_uncertain: bool,
     /// The replacement under way.
@@ -90,8 +91,8 @@
     /// Appends `records` in one frame and syncs it.
     ///
     /// # Errors
-    /// [`JournalError::Full`] or [`JournalError::Io`]. None of the records is acknowledged then; after the latter
-    /// they may be recovered after a restart all the same.
+    /// [`JournalError::Full`] or [`JournalError::Io`]. None of the records is acknowledged then; after the
+    /// latter they may be recovered after a restart all the same.
     pub fn commit(&mut self, records: &[Vec<u8>]) -> Result<Synced, JournalError> {
         self.initialize()?;
         self.discard_uncertain_replacement()?;
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Truncates what follows the last complete frame, and syncs the frames: a process that was killed may have
-    /// written them without a sync.
+    /// Truncates what follows the last complete frame, and syncs the frames: a process that was killed may
+    /// have written them without a sync.
     fn truncate_torn_tail(&mut self, content_length: u64) -> Result<(), JournalError> {
         let (slot, end) = (self.position.slot, self.position.end);
         if content_length > end {
--- a/crates/tier/journal/src/engine/replacement.rs
+++ b/crates/tier/journal/src/engine/replacement.rs
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Begins to write `snapshot` into the other slot, chunk by chunk, so that appends wait for one chunk at most.
-    /// The snapshot must hold everything that was appended before; what is appended meanwhile is added to the new
-    /// slot's log. A replacement that is under way is abandoned.
+    /// Begins to write `snapshot` into the other slot, chunk by chunk, so that appends wait for one chunk at
+    /// most. The snapshot must hold everything that was appended before; what is appended meanwhile is added
+    /// to the new slot's log. A replacement that is under way is abandoned.
     ///
     /// # Errors
     /// As for [`Engine::replace`].
@@ -88,10 +88,12 @@
         Some(outcome)
     }
 
-    /// Writes the last chunk, the records appended meanwhile, and then the header, and switches to the new slot.
+    /// Writes the last chunk, the records appended meanwhile, and then the header, and switches to the new
+    /// slot.
     ///
-    /// The header makes the slot the newer one, so it must be written only once everything else is synced: if it
-    /// were durable before the appended records, recovery after a loss of power would choose a slot without them.
+    /// The header makes the slot the newer one, so it must be written only once everything else is synced: if
+    /// it were durable before the appended records, recovery after a loss of power would choose a slot
+    /// without them.
     fn finish_replacement(&mut self, replacement: &Replacement) -> Result<Synced, JournalError> {
         let previous = self.position.slot;
         let start = replacement.written;
@@ -133,8 +135,8 @@
         EncodedLog { bytes, position }
     }
 
-    /// Empties the slot of a replacement that failed while its header was written, so that recovery can't choose
-    /// it over records that are appended from here on.
+    /// Empties the slot of a replacement that failed while its header was written, so that recovery can't
+    /// choose it over records that are appended from here on.
     pub(super) fn discard_uncertain_replacement(&mut self) -> Result<(), JournalError> {
         if self.is_replacement_uncertain {
             let slot = self.position.slot.other();
--- a/crates/tier/journal/src/error.rs
+++ b/crates/tier/journal/src/error.rs
@@ -71,7 +71,8 @@
         /// The operating system's class of failure.
         kind: io::ErrorKind,
     },
-    /// Data that was acknowledged is corrupt. After [`crate::Journal::discard`], the state can be had from replicas.
+    /// Data that was acknowledged is corrupt. After [`crate::Journal::discard`], the state can be had from
+    /// replicas.
     #[snafu(display("{slot} is damaged at byte {offset}"))]
     Corrupt {
         /// Slot that is corrupt.
@@ -89,7 +90,8 @@
         /// Version that this program reads.
         supported: u8,
     },
-    /// Records of [`crate::JournalOptions::max_queued_bytes`] wait for the disk already. The record is not appended.
+    /// Records of [`crate::JournalOptions::max_queued_bytes`] wait for the disk already. The record is not
+    /// appended.
     #[snafu(display("{queued} bytes wait for the disk already"))]
     Overloaded {
         /// Bytes that wait.
--- a/crates/tier/journal/src/format.rs
+++ b/crates/tier/journal/src/format.rs
@@ -7,9 +7,9 @@
 //! payload  (record length 4 | record)*
 //! ```
 //!
-//! Numbers are little-endian. Checksums are CRC-32. That of a frame covers its header, its payload and the checksum
-//! of the frame before it (of the slot's header for the first), so that a frame of an earlier use of the slot, or
-//! one after a gap, never matches.
+//! Numbers are little-endian. Checksums are CRC-32. That of a frame covers its header, its payload and the
+//! checksum of the frame before it (of the slot's header for the first), so that a frame of an earlier use of
+//! the slot, or one after a gap, never matches.
 
 use crc32fast::Hasher;
 
@@ -112,7 +112,8 @@
     crc32fast::hash(&encode_header(header))
 }
 
-/// Encodes `records` as the frame number `sequence` of a slot's log. `previous` is the checksum of the frame before.
+/// Encodes `records` as the frame number `sequence` of a slot's log. `previous` is the checksum of the frame
+/// before.
 #[must_use]
 pub(crate) fn encode_frame(
     generation: u64,
@@ -156,7 +157,8 @@
 
 /// Whether `content` has the header of a frame of `generation` with a number above `sequence`, at any offset.
 ///
-/// At most one frame is unsynced at a time, so a later one proves that the frames before it were acknowledged.
+/// At most one frame is unsynced at a time, so a later one proves that the frames before it were
+/// acknowledged.
 #[must_use]
 pub(crate) fn contains_later_frame(content: &[u8], generation: u64, sequence: u64) -> bool {
     content.windows(FRAME_HEADER_BYTES).any(|header| {
--- a/crates/tier/journal/src/journal/disk_thread.rs
+++ b/crates/tier/journal/src/journal/disk_thread.rs
@@ -121,8 +121,8 @@
     }
 }
 
-/// Writes at least one chunk, and at least as many bytes as were just appended. So no more is appended during a
-/// replacement than the snapshot's length and one batch. Returns `reply` while chunks remain.
+/// Writes at least one chunk, and at least as many bytes as were just appended. So no more is appended during
+/// a replacement than the snapshot's length and one batch. Returns `reply` while chunks remain.
 fn continue_replacement(
     engine: &mut Engine,
     reply: Reply,
--- a/crates/tier/journal/src/journal/mod.rs
+++ b/crates/tier/journal/src/journal/mod.rs
@@ -112,12 +112,13 @@
         Ok(())
     }
 
-    /// Queues `record` before this function returns, in the order of calls. The future completes when the record is
-    /// synced; it need not be polled for that. All records that wait at the same time share one sync.
+    /// Queues `record` before this function returns, in the order of calls. The future completes when the
+    /// record is synced; it need not be polled for that. All records that wait at the same time share one
+    /// sync.
     ///
     /// # Errors
-    /// [`JournalError::Full`] and [`JournalError::Io`] (after the latter the record may be recovered after a restart
-    /// all the same), [`JournalError::Overloaded`], [`JournalError::Closed`].
+    /// [`JournalError::Full`] and [`JournalError::Io`] (after the latter the record may be recovered after a
+    /// restart all the same), [`JournalError::Overloaded`], [`JournalError::Closed`].
     pub fn append(
         &self,
         record: Vec<u8>,
@@ -131,8 +132,8 @@
     /// snapshot is synced and the log has only the records that were appended since this call.
     ///
     /// # Errors
-    /// As for [`Journal::append`], and [`JournalError::Superseded`]. The journal continues with its old snapshot and
-    /// log.
+    /// As for [`Journal::append`], and [`JournalError::Superseded`]. The journal continues with its old
+    /// snapshot and log.
     pub fn replace(
         &self,
         snapshot: Vec<u8>,
@@ -148,8 +149,8 @@
         self.progress.lock().log_bytes
     }
 
-    /// How long the oldest unsynced record has waited, or the disk has been busy with one chunk of a snapshot if that
-    /// is longer; zero if there is neither.
+    /// How long the oldest unsynced record has waited, or the disk has been busy with one chunk of a snapshot
+    /// if that is longer; zero if there is neither.
     #[must_use]
     pub fn stalled_for(&self) -> Duration {
         self.progress
--- a/crates/tier/journal/src/journal/queue.rs
+++ b/crates/tier/journal/src/journal/queue.rs
@@ -34,7 +34,8 @@
     /// Counts a record of `bytes` bytes that is queued at `now`.
     ///
     /// # Errors
-    /// [`JournalError::Overloaded`] if others wait already, and more than `max_queued_bytes` would wait with it.
+    /// [`JournalError::Overloaded`] if others wait already, and more than `max_queued_bytes` would wait with
+    /// it.
     pub(super) fn record_append(
         &mut self,
         bytes: usize,
--- a/crates/tier/journal/src/lib.rs
+++ b/crates/tier/journal/src/lib.rs
@@ -16,8 +16,8 @@
 //! - [`Journal`] runs the engine on its thread.
 //!
 //! Durability is said in types: [`Synced`] is the receipt of a sync, and only the journal can make one. Every
-//! byte is covered by a checksum that is chained from frame to frame. Recovery truncates a torn tail, which was
-//! never acknowledged; corruption of acknowledged data is an error and never returned as data.
+//! byte is covered by a checksum that is chained from frame to frame. Recovery truncates a torn tail, which
+//! was never acknowledged; corruption of acknowledged data is an error and never returned as data.
 
 mod disk;
 mod engine;
--- a/crates/tier/journal/src/recovery.rs
+++ b/crates/tier/journal/src/recovery.rs
@@ -139,8 +139,8 @@
 /// State of a slot, as its bytes show.
 enum SlotState {
     Empty,
-    /// Corrupt from `offset` on: a replacement that was never acknowledged, an older slot that is being replaced,
-    /// or a slot that was damaged.
+    /// Corrupt from `offset` on: a replacement that was never acknowledged, an older slot that is being
+    /// replaced, or a slot that was damaged.
     Corrupt {
         offset: u64,
         /// Generation of the slot, if frames behind the corruption prove that it was acknowledged.
@@ -198,8 +198,8 @@
     }
 }
 
-/// Reads the records of all frames before the torn tail and moves `position` behind them; `None` if acknowledged
-/// frames follow the first one that is incomplete.
+/// Reads the records of all frames before the torn tail and moves `position` behind them; `None` if
+/// acknowledged frames follow the first one that is incomplete.
 fn read_frames(content: &[u8], position: &mut LogPosition) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     loop {
--- a/crates/tier/journal/src/simulated.rs
+++ b/crates/tier/journal/src/simulated.rs
@@ -108,7 +108,8 @@
     }
 }
 
-/// Handle of a simulated disk. Clones share its content, as the successive processes of a machine share its disk.
+/// Handle of a simulated disk. Clones share its content, as the successive processes of a machine share its
+/// disk.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
@@ -132,8 +133,8 @@
         self.state.lock().changes
     }
 
-    /// Lets the change of this number (see [`SimulatedDisk::changes`]) fail, and no other. A write or a truncation is
-    /// made all the same, a sync isn't.
+    /// Lets the change of this number (see [`SimulatedDisk::changes`]) fail, and no other. A write or a
+    /// truncation is made all the same, a sync isn't.
     pub fn fail_change(&self, number: u64) {
         self.state.lock().failing_change = Some(number);
     }
@@ -155,8 +156,8 @@
             .sum()
     }
 
-    /// Restores power. `survivals` says, in the order of the files, what is left of each unsynced change; changes
-    /// without a value are missing.
+    /// Restores power. `survivals` says, in the order of the files, what is left of each unsynced change;
+    /// changes without a value are missing.
     pub fn restore_power(&self, survivals: impl IntoIterator<Item = Survival>) {
         let mut state = self.state.lock();
         state.failing_change = None;
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Loses power and restores it. Each unsynced change is present, missing or torn at random; one time in four all
-    /// of a file are missing.
+    /// Loses power and restores it. Each unsynced change is present, missing or torn at random; one time in
+    /// four all of a file are missing.
     pub fn lose_power(&self, random: &mut Rand64) {
         let mut state = self.state.lock();
         for file in &mut state.files {
--- a/crates/tier/journal/src/slot.rs
+++ b/crates/tier/journal/src/slot.rs
@@ -2,7 +2,8 @@
 
 use std::fmt;
 
-/// One of the two files of a journal. The files are never renamed: a rename would have to be made durable too.
+/// One of the two files of a journal. The files are never renamed: a rename would have to be made durable
+/// too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
     /// File `slot-a`.
--- a/crates/tier/journal/src/synced.rs
+++ b/crates/tier/journal/src/synced.rs
@@ -1,7 +1,7 @@
 //! The receipt of a sync.
 
-/// Receipt that records are durable. Only the journal can make one, so that a function which must not run before
-/// the sync can require it as an argument.
+/// Receipt that records are durable. Only the journal can make one, so that a function which must not run
+/// before the sync can require it as an argument.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Synced(());
--- a/crates/tier/journal/tests/engine.rs
+++ b/crates/tier/journal/tests/engine.rs
@@ -292,8 +292,8 @@
     }
 }
 
-/// A header with a valid checksum and another version is of another program: it is neither decoded nor reported
-/// as corruption, after which a core machine would empty its disk.
+/// A header with a valid checksum and another version is of another program: it is neither decoded nor
+/// reported as corruption, after which a core machine would empty its disk.
 #[test]
 fn a_slot_of_an_older_or_newer_format_is_an_error_of_its_own() {
     let (slot, content) = slot_with_snapshot(b"state");
--- a/crates/tier/journal/tests/power_losses.rs
+++ b/crates/tier/journal/tests/power_losses.rs
@@ -1,5 +1,5 @@
-//! Loss of power at every operation on the disk, with every outcome of unsynced changes: everything acknowledged is
-//! recovered, including records that were appended while a snapshot was being written.
+//! Loss of power at every operation on the disk, with every outcome of unsynced changes: everything
+//! acknowledged is recovered, including records that were appended while a snapshot was being written.
 //!
 //! The state is a list of consecutive numbers: a snapshot has the numbers so far, a record the next one.
 
--- a/crates/tier/journal/tests/recorded_bytes.rs
+++ b/crates/tier/journal/tests/recorded_bytes.rs
@@ -193,8 +193,8 @@
     );
 }
 
-/// Corruption of the last frame looks like a tail that was torn by a loss of power, unless its sequence number shows
-/// that a frame before it is missing.
+/// Corruption of the last frame looks like a tail that was torn by a loss of power, unless its sequence
+/// number shows that a frame before it is missing.
 #[test]
 fn a_changed_byte_is_corruption_unless_it_is_in_the_last_frame() {
     let content = recorded_slot("third generation with a log");
--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -67,8 +67,8 @@
     accepts_any_request_id: bool,
 }
 
-/// A call that is pending until this is dropped, be it that the response has arrived or the caller has stopped
-/// waiting.
+/// A call that is pending until this is dropped, be it that the response has arrived or the caller has
+/// stopped waiting.
 struct PendingCall<'a> {
     connection: &'a Connection,
     request_id: u64,
@@ -108,7 +108,8 @@
         *self.shared.mutation.lock() == Some(mutation)
     }
 
-    /// Sends a request and waits for its response, for `timeout` at most. The request is never sent more than once.
+    /// Sends a request and waits for its response, for `timeout` at most. The request is never sent more than
+    /// once.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Sends a notification, which has no response. It is dropped if the body is longer than [`MAX_BODY_BYTES`] or the
-    /// queue of the connection is full, and may be lost with the connection.
+    /// Sends a notification, which has no response. It is dropped if the body is longer than
+    /// [`MAX_BODY_BYTES`] or the queue of the connection is full, and may be lost with the connection.
     pub fn send(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
         if body.len() <= MAX_BODY_BYTES {
             let frame = Frame {
@@ -269,7 +270,8 @@
     }
 }
 
-/// Connects, and sends and receives frames until the connection ends or is dropped by the client and all calls.
+/// Connects, and sends and receives frames until the connection ends or is dropped by the client and all
+/// calls.
 async fn run(
     address: SocketAddr,
     options: ClientOptions,
--- a/crates/tier/rpc/src/connection.rs
+++ b/crates/tier/rpc/src/connection.rs
@@ -16,9 +16,11 @@
 pub(crate) const QUEUE_CAPACITY: usize = 1024;
 /// Bytes from which a write takes no further frame.
 const MAX_WRITE_BYTES: usize = 256 * 1024;
-/// Capacity in bytes from which an empty buffer is freed, so that one long frame doesn't cost memory for good.
+/// Capacity in bytes from which an empty buffer is freed, so that one long frame doesn't cost memory for
+/// good.
 const MAX_IDLE_BUFFER_BYTES: usize = 64 * 1024;
-/// Time within which the peer's kernel must acknowledge sent data (RFC 5482); after it the connection is closed.
+/// Time within which the peer's kernel must acknowledge sent data (RFC 5482); after it the connection is
+/// closed.
 const USER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Idle time after which keep-alive probes are sent, to detect a peer that has failed.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(5);
@@ -69,7 +71,8 @@
         }
     }
 
-    /// The next frame; `None` when the connection has ended, or has sent bytes that are not a frame, which is logged.
+    /// The next frame; `None` when the connection has ended, or has sent bytes that are not a frame, which is
+    /// logged.
     pub(crate) async fn next(&mut self) -> Option<Frame> {
         loop {
             match Frame::decode(&mut self.buffer) {
--- a/crates/tier/rpc/src/error.rs
+++ b/crates/tier/rpc/src/error.rs
@@ -14,8 +14,8 @@
     /// No response arrived in time. The request may have been handled.
     #[snafu(display("no response in time"))]
     TimedOut,
-    /// The queue of the connection is full, the peer has no handler for the service, or its handler has rejected the
-    /// request. The request was not handled.
+    /// The queue of the connection is full, the peer has no handler for the service, or its handler has
+    /// rejected the request. The request was not handled.
     #[snafu(display("the request was refused"))]
     Refused,
     /// The body is longer than [`crate::MAX_BODY_BYTES`]. The request was not sent.
--- a/crates/tier/rpc/src/frame.rs
+++ b/crates/tier/rpc/src/frame.rs
@@ -124,8 +124,8 @@
         buffer.put_slice(&self.body);
     }
 
-    /// Removes the first frame from `buffer` and decodes it. Returns `None`, with `buffer` unchanged, while the frame
-    /// is incomplete.
+    /// Removes the first frame from `buffer` and decodes it. Returns `None`, with `buffer` unchanged, while
+    /// the frame is incomplete.
     ///
     /// # Errors
     /// See [`FrameError`].
--- a/crates/tier/rpc/src/rejected.rs
+++ b/crates/tier/rpc/src/rejected.rs
@@ -9,8 +9,8 @@
 
 use crate::frame::ServiceId;
 
-/// Limit on the pairs of service and sender that are counted apart, which bounds the memory. Rejected requests of
-/// further senders are counted by service only.
+/// Limit on the pairs of service and sender that are counted apart, which bounds the memory. Rejected
+/// requests of further senders are counted by service only.
 const MAX_COUNTED_SENDERS: usize = 4096;
 
 #[derive(Default)]
@@ -36,8 +36,8 @@
             .unwrap_or(0)
     }
 
-    /// Records a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so that a peer
-    /// of another version does not fill the log.
+    /// Records a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so
+    /// that a peer of another version does not fill the log.
     pub(crate) fn record(&self, service: ServiceId, peer: SocketAddr, reason: &dyn Error) {
         let count = self.increment(service, peer.ip());
         if count.is_power_of_two() {
--- a/crates/tier/rpc/src/server.rs
+++ b/crates/tier/rpc/src/server.rs
@@ -18,7 +18,8 @@
 
 /// Limit on the connections that a process accepts from others of the tier; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 2048;
-/// Limit on the requests of one connection that are handled at once; further ones wait in the kernel's buffers.
+/// Limit on the requests of one connection that are handled at once; further ones wait in the kernel's
+/// buffers.
 const MAX_REQUESTS_IN_FLIGHT: usize = 1024;
 /// Interval between a failed `accept`, as when descriptors have run out, and the next attempt.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -40,8 +41,8 @@
         Router::default()
     }
 
-    /// Adds the handler of a service. It gets the sender's address and the body of the request, and returns the body
-    /// of the response, which is dropped if the message was a notification.
+    /// Adds the handler of a service. It gets the sender's address and the body of the request, and returns
+    /// the body of the response, which is dropped if the message was a notification.
     pub fn route<H, F>(mut self, service: ServiceId, handler: H) -> Self
     where
         H: Fn(SocketAddr, Bytes) -> F + Send + Sync + 'static,
@@ -55,9 +56,9 @@
         self
     }
 
-    /// Adds the handler of a service that may reject a request. A handler that returns an error must not have acted on
-    /// the request: the request is counted and logged with its sender and the error, and the caller gets
-    /// [`crate::CallError::Refused`].
+    /// Adds the handler of a service that may reject a request. A handler that returns an error must not have
+    /// acted on the request: the request is counted and logged with its sender and the error, and the caller
+    /// gets [`crate::CallError::Refused`].
     pub fn route_checked<H, F, E>(mut self, service: ServiceId, handler: H) -> Self
     where
         H: Fn(SocketAddr, Bytes) -> F + Send + Sync + 'static,
--- a/crates/tier/rpc/tests/call_faults.rs
+++ b/crates/tier/rpc/tests/call_faults.rs
@@ -1,5 +1,5 @@
-//! Calls under faults: every response goes to its call, and no request is sent twice. `CALL_SEEDS` sets the number
-//! of seeds.
+//! Calls under faults: every response goes to its call, and no request is sent twice. `CALL_SEEDS` sets the
+//! number of seeds.
 
 mod faulty_server;
 
--- a/crates/tier/rpc/tests/faulty_server/mod.rs
+++ b/crates/tier/rpc/tests/faulty_server/mod.rs
@@ -1,6 +1,6 @@
-//! Calls to a server that answers late, twice, truncated, in another order, with unknown request ids or not at all, and
-//! that restarts at its address. An oracle knows which response belongs to which call and how often a request may
-//! arrive.
+//! Calls to a server that answers late, twice, truncated, in another order, with unknown request ids or not
+//! at all, and that restarts at its address. An oracle knows which response belongs to which call and how
+//! often a request may arrive.
 
 mod oracle;
 mod server;
--- a/crates/tier/rpc/tests/rejected.rs
+++ b/crates/tier/rpc/tests/rejected.rs
@@ -1,5 +1,5 @@
-//! Requests that a handler rejects: the caller gets an error, and they are counted and logged with their sender and
-//! the reason.
+//! Requests that a handler rejects: the caller gets an error, and they are counted and logged with their
+//! sender and the reason.
 
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
