--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -150,7 +150,7 @@
 
 fn reject(status: StatusCode, name: &'static str, message: &str) -> Response {
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        // Every heartbeat gets this while the machine is out of quorum; `quorum contact changed` is logged once.
+        // Every heartbeat gets this while the machine is out of quorum, which is logged once elsewhere.
         tracing::debug!(error = name, "heartbeat received but not acknowledged");
     } else {
         tracing::info!(%status, error = name, message, "heartbeat rejected");
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -8,8 +8,8 @@
 //! - [`member_driver`] runs [`woadreach_chain::Member`], which decides without I/O, on the clock, disk and
 //!   network; [`durable_log`] encodes its records in the journal, and [`compaction`] has the states of that
 //!   journal.
-//! - [`operator`] is the operator's HTTP API. Any core machine accepts an order; [`order`] takes it to the head
-//!   of the chain.
+//! - [`operator`] is the operator's HTTP API. Any core machine accepts an order, and [`order`] takes it to
+//!   the head of the chain.
 //! - [`instances`] is the HTTP API of the replicas' heartbeats.
 //! - [`storage_planner`] changes the view of the storage machines while this machine is the head.
 //! - [`committed`] publishes the committed state to the data plane by way of `woadreach-discovery`.
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -67,8 +67,8 @@
     if driver.request(Request::Confirm).await != Reply::Confirmed {
         return None;
     }
-    // The view that was decided on may have been lost with an earlier term of this head: the committed one must
-    // lead to the same answer.
+    // The view that was decided on may have been lost with an earlier term of this head. The committed view
+    // must lead to the same answer.
     let confirmed = decide(driver.published_storage_view());
     (confirmed == RetireDecision::Answer(answer.clone())).then_some(answer)
 }
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -89,7 +89,8 @@
     let router = sampler.handlers(server.routes(Router::new()));
     let control = ControlWatch::spawn_with_sampler(&settings, rpc.clone(), Arc::clone(&sampler));
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
-    // The parts that need the changed settings reload them; without a handler the signal would kill the process.
+    // The parts that need the changed settings reload them. Without a handler the signal would kill the
+    // process.
     let _hangup = signal(SignalKind::hangup()).context(SignalSnafu)?;
     tracing::info!(node = settings.node, %address, "storage machine started");
     let seeds = settings.seed_internal_addresses();
--- a/crates/tier/journal/src/lib.rs
+++ b/crates/tier/journal/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! - [`Disk`] is the interface to the file system. [`FileDisk`] implements it on files, [`SimulatedDisk`] in
 //!   memory, where it loses, tears and fails writes on command.
-//! - `format` encodes and decodes headers and frames; `recovery` finds the newest slot and the end of its log.
+//! - `format` encodes and decodes headers and frames; `recovery` finds the newest slot and its log's end.
 //! - [`Engine`] appends and replaces, synchronously and without threads or clock.
 //! - [`Journal`] runs the engine on its thread.
 //!
