--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,17 +1,20 @@
-//! `woadreach cluster`: real processes of the program on loopback, under faults between them. Owns how a run
-//! is asked for and printed; must never judge one by more than rules and crashes.
+//! `woadreach cluster`: real processes of the program on loopback, under faults between them.
 
-use crate::{Ended, Format};
+use crate::Verdict;
+use crate::error::{CommandError, JsonSnafu, OwnPathSnafu};
+use crate::output::Format;
 use clap::{Args, Subcommand};
+use snafu::ResultExt;
 use std::path::PathBuf;
 use woadreach_process_tests::{Outcome, Plan, Scenario, play};
 
+/// What to do with processes.
 #[derive(Subcommand)]
-pub enum What {
+pub(crate) enum Action {
     /// Starts co-ordinators in their zones, puts a scenario's faults between them, and says how they fared
     #[command(
         after_help = "Example: woadreach cluster play zone-loss --coordinators 6 --zones 3 --seed 1\n\
-                            Exit code 1 if a rule broke, a process crashed or a duty was held twice."
+                            Exit code 1 if a rule broke, a process crashed or a singleton role was held twice."
     )]
     Play(Play),
     /// Names the scenarios
@@ -19,7 +22,7 @@
 }
 
 #[derive(Args)]
-pub struct Play {
+pub(crate) struct Play {
     /// What goes wrong: see `woadreach cluster scenarios`
     scenario: Scenario,
     /// Processes of the program under test, dealt out among the zones
@@ -34,13 +37,13 @@
     /// Searches a second at each co-ordinator
     #[arg(long, default_value_t = 120.0)]
     rate: f64,
-    /// Bars them from speaking with each other, so that each decides alone
+    /// Keeps them from exchanging messages, so that each decides alone
     #[arg(long)]
     alone: bool,
     /// Leaves ties between replicas to chance, as without the setting `failover.near`
     #[arg(long)]
     spread: bool,
-    /// Has each do every duty for itself
+    /// Has each do every singleton role for itself
     #[arg(long)]
     no_duties: bool,
     /// The program under test; `woadreachd` beside this one if not given
@@ -50,53 +53,55 @@
     format: Format,
 }
 
-pub fn run(what: What) -> Ended {
-    match what {
-        What::Play(args) => one(&args).unwrap_or_else(Ended::Bad),
-        What::Scenarios => {
-            Scenario::ALL.iter().for_each(|s| println!("{s}"));
-            Ended::Good
+/// Runs a subcommand of `woadreach cluster`.
+pub(crate) fn execute(action: Action) -> Result<Verdict, CommandError> {
+    match action {
+        Action::Play(arguments) => play_scenario(&arguments),
+        Action::Scenarios => {
+            Scenario::ALL
+                .iter()
+                .for_each(|scenario| println!("{scenario}"));
+            Ok(Verdict::Good)
         }
     }
 }
 
-/// The program that `run` starts, built beside this one.
-fn beside() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("this program's place: {e}"))?;
-    let binary = own.with_file_name("woadreachd");
-    if binary.is_file() {
-        return Ok(binary);
+/// The program that is under test if none is named: `woadreachd`, built beside this one.
+fn default_binary() -> Result<PathBuf, CommandError> {
+    let own = std::env::current_exe().context(OwnPathSnafu)?;
+    let path = own.with_file_name("woadreachd");
+    if path.is_file() {
+        Ok(path)
+    } else {
+        Err(CommandError::NoProgram { path })
     }
-    let looked = binary.display();
-    Err(format!(
-        "no program at {looked}; build it (cargo build --release) or name it with --binary"
-    ))
 }
 
-fn one(args: &Play) -> Result<Ended, String> {
-    let binary = args.binary.clone().map_or_else(beside, Ok)?;
+fn play_scenario(arguments: &Play) -> Result<Verdict, CommandError> {
+    let binary = arguments.binary.clone().map_or_else(default_binary, Ok)?;
     let plan = Plan {
-        scenario: args.scenario,
-        co_ordinators: args.coordinators,
-        zones: args.zones,
-        regions: args.regions,
-        seed: args.seed,
+        scenario: arguments.scenario,
+        co_ordinators: arguments.coordinators,
+        zones: arguments.zones,
+        regions: arguments.regions,
+        seed: arguments.seed,
         binary,
-        peers: !args.alone,
-        near: !args.spread,
-        duties: !args.no_duties,
-        rate: args.rate,
+        peers: !arguments.alone,
+        near: !arguments.spread,
+        duties: !arguments.no_duties,
+        rate: arguments.rate,
     };
-    let outcome = play(&plan)?;
-    match args.format {
-        Format::Json => println!(
-            "{}",
-            serde_json::to_string(&outcome).map_err(|e| e.to_string())?
-        ),
+    let outcome = play(&plan).map_err(CommandError::failed)?;
+    match arguments.format {
+        Format::Json => println!("{}", serde_json::to_string(&outcome).context(JsonSnafu)?),
         Format::Text => print(&outcome),
     }
-    let bad = outcome.rules_broken > 0 || outcome.crashes > 0 || outcome.duties.two_holders > 0;
-    Ok(if bad { Ended::Found } else { Ended::Good })
+    let is_bad = outcome.rules_broken > 0 || outcome.crashes > 0 || outcome.duties.two_holders > 0;
+    Ok(if is_bad {
+        Verdict::Found
+    } else {
+        Verdict::Good
+    })
 }
 
 fn print(o: &Outcome) {
--- /dev/null
+++ b/crates/cli/src/error.rs
@@ -0,0 +1,58 @@
+//! What can go wrong with a command; each ends the program with exit code 2.
+
+use snafu::Snafu;
+use std::io;
+use std::path::PathBuf;
+
+/// Bad use, or an input that can't be used.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub(crate) enum CommandError {
+    /// An option has a value that can't be used, or doesn't go with another.
+    #[snafu(display("{option}: {expected}"))]
+    Usage {
+        option: &'static str,
+        expected: &'static str,
+    },
+    /// Neither a seed nor a file that can be read.
+    #[snafu(display("{path}: {source}; expected a seed or a script"))]
+    ReadScript { path: String, source: io::Error },
+    /// A file or folder can't be written.
+    #[snafu(display("{}: {source}", path.display()))]
+    Write { path: PathBuf, source: io::Error },
+    /// A thread that plays has panicked.
+    #[snafu(display("a thread has died"))]
+    ThreadPanicked,
+    /// A mutation that doesn't exist.
+    #[cfg(feature = "mutations")]
+    #[snafu(display("no such mutation: {name}"))]
+    UnknownMutation { name: String },
+    /// A build without the feature.
+    #[cfg(not(feature = "mutations"))]
+    #[snafu(display("this build has no mutations: build it with --features mutations"))]
+    NoMutations,
+    /// The path of the running program isn't known.
+    #[snafu(display("this program's place: {source}"))]
+    OwnPath { source: io::Error },
+    /// The program under test isn't there.
+    #[snafu(display(
+        "no program at {}; build it (cargo build --release) or name it with --binary",
+        path.display()
+    ))]
+    NoProgram { path: PathBuf },
+    /// A result can't be printed as JSON.
+    #[snafu(display("{source}"))]
+    Json { source: serde_json::Error },
+    /// The libraries reject what they are given, or fail.
+    #[snafu(display("{message}"))]
+    Failed { message: String },
+}
+
+impl CommandError {
+    /// An error of a library that plays, as it describes itself.
+    pub(crate) fn failed(error: impl ToString) -> CommandError {
+        CommandError::Failed {
+            message: error.to_string(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/faults/mod.rs
@@ -0,0 +1,51 @@
+//! `woadreach faults`: plays seeds on the virtual clock, replays one, shrinks a failing script.
+
+mod compare;
+mod draw;
+mod mutations;
+mod parallel;
+mod replay;
+mod run;
+mod script;
+mod shrink;
+mod summary;
+
+use crate::Verdict;
+use crate::error::CommandError;
+use clap::Subcommand;
+
+/// What to do with seeds and scripts.
+#[derive(Subcommand)]
+pub(crate) enum Action {
+    /// Plays seeds, and says which break a rule
+    #[command(after_help = "Example: woadreach faults run --seeds 0..10000 --jobs 4")]
+    Run(run::Arguments),
+    /// Plays one seed or script again, byte for byte
+    #[command(after_help = "Example: woadreach faults replay 4711 --trace trace.jsonl")]
+    Replay(replay::Arguments),
+    /// Cuts a script down to the smallest that still breaks the same rule
+    #[command(after_help = "Example: woadreach faults shrink 4711 --out small.toml")]
+    Shrink(shrink::Arguments),
+    /// Prints the script of a seed
+    Draw(draw::Arguments),
+    /// Plays a script without its faults on loopback sockets and on the virtual clock, side by side
+    #[command(
+        after_help = "Example: woadreach faults compare calm.toml; exit code 1 if more than 0.02 apart"
+    )]
+    Compare(compare::Arguments),
+    /// Switches known defences off, one at a time, and says after how many seeds each is missed
+    #[command(after_help = "Needs a build with --features mutations")]
+    Mutations(mutations::Arguments),
+}
+
+/// Runs a subcommand of `woadreach faults`.
+pub(crate) fn execute(action: Action) -> Result<Verdict, CommandError> {
+    match action {
+        Action::Run(arguments) => run::execute(&arguments),
+        Action::Replay(arguments) => replay::execute(&arguments),
+        Action::Shrink(arguments) => shrink::execute(&arguments),
+        Action::Draw(arguments) => Ok(draw::execute(&arguments)),
+        Action::Compare(arguments) => compare::execute(&arguments),
+        Action::Mutations(arguments) => mutations::execute(&arguments),
+    }
+}
--- /dev/null
+++ b/crates/cli/src/faults/replay.rs
@@ -0,0 +1,84 @@
+//! `woadreach faults replay`: plays one seed or script again.
+
+use super::script::{script, write};
+use crate::Verdict;
+use crate::error::CommandError;
+use crate::output::{Format, json, print_proof};
+use clap::Args;
+use std::path::PathBuf;
+use woadreach_simulation::{Options, Outcome, play};
+
+#[derive(Args)]
+pub(crate) struct Arguments {
+    /// A seed, or the file of a script
+    script: String,
+    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
+    #[arg(long)]
+    tier: bool,
+    /// Writes every event there, one JSON object a line
+    #[arg(long, value_name = "FILE")]
+    trace: Option<PathBuf>,
+    /// Writes what the co-ordinators log to standard error, in their order
+    #[arg(long)]
+    log: bool,
+    #[arg(long, value_enum, default_value_t = Format::Text)]
+    format: Format,
+}
+
+/// Plays the script and prints its outcome.
+pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+    let script = script(&arguments.script, arguments.tier)?;
+    if arguments.log {
+        log_to_standard_error();
+    }
+    let options = Options {
+        trace: arguments.trace.is_some(),
+        stop_at_breach: false,
+    };
+    let outcome = play(&script, options);
+    if let Some(path) = &arguments.trace {
+        let lines: Vec<String> = outcome.trace.iter().map(json).collect();
+        write(path, &(lines.join("\n") + "\n"))?;
+    }
+    match arguments.format {
+        Format::Json => println!("{}", json(&outcome)),
+        Format::Text => print(&outcome),
+    }
+    Ok(if outcome.breaches.is_empty() {
+        Verdict::Good
+    } else {
+        Verdict::Found
+    })
+}
+
+fn log_to_standard_error() {
+    tracing_subscriber::fmt()
+        .with_max_level(tracing::Level::DEBUG)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .without_time()
+        .init();
+}
+
+fn print(outcome: &Outcome) {
+    println!("digest {}", outcome.digest);
+    println!(
+        "{:.1} simulated s, {} searches, {} in time, {} sub-requests, {} steps",
+        outcome.seconds, outcome.searches, outcome.good, outcome.sub_requests, outcome.steps
+    );
+    for recovery in &outcome.recoveries {
+        let back = recovery.back_after.map_or("not back".into(), |seconds| {
+            format!("back after {seconds:.2} s")
+        });
+        println!(
+            "{:>7.2} s {} for {} s: {:.3} before, {:.3} meanwhile, {back}, {:.1} lost",
+            recovery.at,
+            recovery.kind,
+            recovery.lasts,
+            recovery.before,
+            recovery.during,
+            recovery.lost
+        );
+    }
+    outcome.breaches.iter().for_each(print_proof);
+}
--- /dev/null
+++ b/crates/cli/src/faults/run.rs
@@ -0,0 +1,98 @@
+//! `woadreach faults run`: plays seeds, and says which break a rule.
+
+use super::parallel::play_all;
+use super::script::{drawn, kind, seeds};
+use super::summary::Summary;
+use crate::Verdict;
+use crate::error::CommandError;
+use crate::output::{Format, describe, json};
+use clap::Args;
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::IsTerminal;
+use std::ops::Range;
+use std::time::Instant;
+use woadreach_simulation::{Options, Outcome, play};
+
+#[derive(Args)]
+pub(crate) struct Arguments {
+    /// From the first to before the last
+    #[arg(long, value_parser = seeds, value_name = "A..B")]
+    seeds: Range<u64>,
+    /// Threads; the cores of this machine if not given
+    #[arg(long)]
+    jobs: Option<usize>,
+    /// Draws these kinds of faults only
+    #[arg(long, value_delimiter = ',', value_parser = kind, value_name = "KIND,..")]
+    only: Vec<String>,
+    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
+    #[arg(long)]
+    tier: bool,
+    /// Seconds under load, for every seed
+    #[arg(long, value_name = "SECONDS")]
+    until: Option<f64>,
+    #[arg(long, value_enum, default_value_t = Format::Text)]
+    format: Format,
+}
+
+impl Arguments {
+    fn check(&self) -> Result<(), CommandError> {
+        if self
+            .until
+            .is_some_and(|seconds| !(1.0..=600.0).contains(&seconds))
+        {
+            return Err(CommandError::Usage {
+                option: "--until",
+                expected: "expected 1 to 600 seconds",
+            });
+        }
+        if self.tier && (self.until.is_some() || !self.only.is_empty()) {
+            return Err(CommandError::Usage {
+                option: "--tier",
+                expected: "its days have lengths and faults of their own, without --until and --only",
+            });
+        }
+        Ok(())
+    }
+}
+
+/// Plays the seeds and prints a summary.
+pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+    arguments.check()?;
+    let progress = progress_bar(arguments.seeds.end - arguments.seeds.start);
+    let started = Instant::now();
+    let outcomes = play_all(arguments.seeds.clone(), arguments.jobs, |seed| {
+        Some(play_seed(arguments, seed, &progress))
+    });
+    progress.finish_and_clear();
+    let summary = Summary::new(&outcomes?, started.elapsed().as_secs_f64());
+    match arguments.format {
+        Format::Json => println!("{}", json(&summary)),
+        Format::Text => summary.print(),
+    }
+    Ok(if summary.broken.is_empty() {
+        Verdict::Good
+    } else {
+        Verdict::Found
+    })
+}
+
+fn progress_bar(seeds: u64) -> ProgressBar {
+    let bar = if std::io::stderr().is_terminal() {
+        ProgressBar::new(seeds)
+    } else {
+        ProgressBar::hidden()
+    };
+    let style = ProgressStyle::with_template("{pos}/{len} seeds, {per_sec}, {msg} {eta}");
+    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar
+}
+
+fn play_seed(arguments: &Arguments, seed: u64, progress: &ProgressBar) -> Outcome {
+    let script = drawn(seed, arguments.tier, &arguments.only, arguments.until);
+    let outcome = play(&script, Options::default());
+    if let Some(first) = outcome.breaches.first() {
+        progress.println(format!("seed {seed}: {}", describe(first)));
+    }
+    progress.inc(1);
+    outcome
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,11 +1,15 @@
-//! `woadreach`: one command for operators and contributors, with a subcommand for each thing it can do.
-//! Results go to standard output, all else to standard error. Exit codes: 0 good, 1 something wrong was
-//! found, 2 bad use or input. Must never decide what its libraries decide.
+//! `woadreach`: one command for operators and contributors, with a subcommand for each thing that it can do.
+//!
+//! Results go to standard output, all else to standard error. Exit codes: 0 if all is well, 1 if something wrong
+//! was found, 2 for bad use or input. The libraries decide; this program reads arguments and prints.
 
 mod cluster;
+mod error;
 mod faults;
+mod output;
 
-use clap::{Parser, Subcommand, ValueEnum};
+use clap::{Parser, Subcommand};
+use error::CommandError;
 use std::process::ExitCode;
 
 #[derive(Parser)]
@@ -17,47 +21,46 @@
 )]
 struct Command {
     #[command(subcommand)]
-    what: What,
+    topic: Topic,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Topic {
     /// Seeded faults on a virtual clock: hunt, replay, shrink
     Faults {
         #[command(subcommand)]
-        what: faults::What,
+        action: faults::Action,
     },
     /// Many processes on loopback, under faults between their zones
     Cluster {
         #[command(subcommand)]
-        what: cluster::What,
+        action: cluster::Action,
     },
 }
 
-/// How results are printed.
-#[derive(Clone, Copy, PartialEq, ValueEnum)]
-pub enum Format {
-    Text,
-    Json,
-}
-
-/// Something wrong was found, or the use or an input was bad, with what to print.
-pub enum Ended {
+/// What a command has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Verdict {
+    /// All is well.
     Good,
+    /// Something wrong was found, and printed.
     Found,
-    Bad(String),
 }
 
 fn main() -> ExitCode {
-    let ended = match Command::parse().what {
-        What::Faults { what } => faults::run(what),
-        What::Cluster { what } => cluster::run(what),
+    let result = match Command::parse().topic {
+        Topic::Faults { action } => faults::execute(action),
+        Topic::Cluster { action } => cluster::execute(action),
     };
-    match ended {
-        Ended::Good => ExitCode::SUCCESS,
-        Ended::Found => ExitCode::from(1),
-        Ended::Bad(why) => {
-            eprintln!("woadreach: {why}");
+    exit_code(result)
+}
+
+fn exit_code(result: Result<Verdict, CommandError>) -> ExitCode {
+    match result {
+        Ok(Verdict::Good) => ExitCode::SUCCESS,
+        Ok(Verdict::Found) => ExitCode::from(1),
+        Err(error) => {
+            eprintln!("woadreach: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -27,7 +27,7 @@
 #[case::no_such_kind(&["faults", "run", "--seeds", "0..1", "--only", "hail"], "there are die, vanish")]
 #[case::too_long(&["faults", "run", "--seeds", "0..1", "--until", "9999"], "1 to 600 seconds")]
 #[case::no_such_file(&["faults", "replay", "/no/such.toml"], "expected a seed or a script")]
-#[cfg_attr(not(feature = "mutations"), case::no_plants(&["faults", "mutations"], "--features mutations"))]
+#[cfg_attr(not(feature = "mutations"), case::no_mutations(&["faults", "mutations"], "--features mutations"))]
 fn bad_use_is_named(#[case] arguments: &[&str], #[case] why: &str) {
     let ended = woadreach(arguments);
     let said = String::from_utf8_lossy(&ended.stderr).into_owned();
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -40,7 +40,7 @@
         rule: None,
         small: None,
     };
-    mutation(Some(name));
+    mutate(Some(name));
     for seed in seeds.clone() {
         // What only many together bring about does not show where there are few.
         let tier = OF_A_TIER.contains(&name);
@@ -67,6 +67,6 @@
             break;
         }
     }
-    mutation(None);
+    mutate(None);
     Some(hunted)
 }
