--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -119,9 +119,9 @@
 async fn stopped(server: &Server, terminate: &mut Signal, grace_period: Duration) {
     terminate.recv().await;
     tracing::info!("leaving the storage machines");
-    server.begin_leaving();
+    server.begin_shutdown();
     let deadline = Instant::now() + grace_period.saturating_sub(LEAVE_MARGIN);
-    while !server.may_end() {
+    while !server.may_shut_down() {
         if Instant::now() >= deadline {
             tracing::warn!("this machine's disk is still needed");
             return;
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -150,12 +150,12 @@
             .iter()
             .filter(|(number, _)| !self.silent.contains(number))
         {
-            self.heard.heard(
+            self.heard.record(
                 self.now,
                 Announcement {
                     member: member(number, disk),
                     pulled_epoch,
-                    leaving: false,
+                    shutting_down: false,
                 },
             );
         }
--- a/crates/tier/proxy/src/turn_store.rs
+++ b/crates/tier/proxy/src/turn_store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 use woadreach_storage::{
-    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Turn, TurnKey,
+    ChainError, ReservationGuard, ReserveError, ReserveRequest, StorageClient, Turn, TurnKey,
 };
 
 /// Why a request stops at its storage.
@@ -31,7 +31,7 @@
     previous: Option<TurnKey>,
     events: Vec<Bytes>,
     /// What it holds of the program's budget.
-    reservation: Option<HeldReservation>,
+    reservation: Option<ReservationGuard>,
 }
 
 impl PreparedTurn {
@@ -71,7 +71,7 @@
                     program: self.program.clone(),
                     request_id: self.request_id.clone(),
                     budget,
-                    most: u64::from(client.facts.tokens.unwrap_or_default().output),
+                    max_tokens: u64::from(client.facts.tokens.unwrap_or_default().output),
                 };
                 let reserve = async { store.reserve(&request).await.map(Some) };
                 tokio::join!(reserve, chain)
@@ -87,7 +87,7 @@
     pub fn take_events(&mut self, events: Vec<Event>) {
         self.ledger.add_events(events.len());
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_given(self.ledger.given());
+            reservation.set_delivered_tokens(self.ledger.given());
         }
         if self.kept {
             self.events
--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -10,15 +10,15 @@
 use parking_lot::Mutex;
 use speedy::{Readable, Writable};
 
-use crate::message::{self, MessageError};
+use crate::codec::{self, MessageError};
 use crate::view::StorageMember;
 
 /// Interval between two announcements of a machine.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Without any announcement for this long, the observer itself was frozen or cut off.
-const OBSERVER_GAP: Duration = Duration::from_secs(1);
+const MAX_OBSERVER_GAP: Duration = Duration::from_secs(1);
 /// Most machines that are remembered.
-const MOST_MACHINES: usize = 4_096;
+const MAX_MACHINES: usize = 4_096;
 
 /// What a storage machine tells.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
@@ -28,31 +28,31 @@
     /// Joint epoch for which everything has been pulled; 0 if none.
     pub pulled_epoch: u64,
     /// The process is being stopped, and its disk may not come back.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// What is known of one storage machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sighting {
+pub struct MachineObservation {
     /// The machine and its disk.
     pub member: StorageMember,
     /// Joint epoch for which everything has been pulled; 0 if none.
     pub pulled_epoch: u64,
     /// Its process is being stopped.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// When it was first heard.
-    pub first: Instant,
+    pub first_heard: Instant,
     /// When it was last heard.
-    pub last: Instant,
+    pub last_heard: Instant,
 }
 
 /// Announcements as one core machine has heard them.
 #[derive(Debug)]
 pub struct Announcements {
-    sightings: BTreeMap<String, Sighting>,
+    observations: BTreeMap<String, MachineObservation>,
     /// Since when this observer has been listening without a gap.
     listening_since: Instant,
-    last_any: Instant,
+    last_heard_any: Instant,
 }
 
 impl Announcements {
@@ -60,55 +60,55 @@
     #[must_use]
     pub fn new(now: Instant) -> Announcements {
         Announcements {
-            sightings: BTreeMap::new(),
+            observations: BTreeMap::new(),
             listening_since: now,
-            last_any: now,
+            last_heard_any: now,
         }
     }
 
     /// Notes an announcement.
-    pub fn heard(&mut self, now: Instant, announcement: Announcement) {
-        if now.saturating_duration_since(self.last_any) > OBSERVER_GAP {
+    pub fn record(&mut self, now: Instant, announcement: Announcement) {
+        if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
             self.listening_since = now;
         }
-        self.last_any = now;
+        self.last_heard_any = now;
         let node = announcement.member.node.clone();
-        let known = self.sightings.get(&node).map(|seen| seen.first);
-        if known.is_none() && self.sightings.len() >= MOST_MACHINES {
+        let known = self.observations.get(&node).map(|seen| seen.first_heard);
+        if known.is_none() && self.observations.len() >= MAX_MACHINES {
             return;
         }
-        let sighting = Sighting {
+        let observation = MachineObservation {
             member: announcement.member,
             pulled_epoch: announcement.pulled_epoch,
-            leaving: announcement.leaving,
-            first: known.unwrap_or(now),
-            last: now,
+            shutting_down: announcement.shutting_down,
+            first_heard: known.unwrap_or(now),
+            last_heard: now,
         };
-        self.sightings.insert(node, sighting);
+        self.observations.insert(node, observation);
     }
 
     /// What is known of a machine.
     #[must_use]
-    pub fn sighting(&self, node: &str) -> Option<&Sighting> {
-        self.sightings.get(node)
+    pub fn observation(&self, node: &str) -> Option<&MachineObservation> {
+        self.observations.get(node)
     }
 
     /// All machines that were ever heard.
-    pub fn sightings(&self) -> impl Iterator<Item = &Sighting> {
-        self.sightings.values()
+    pub fn observations(&self) -> impl Iterator<Item = &MachineObservation> {
+        self.observations.values()
     }
 
     /// How long a machine has been silent while this observer was listening. An observer that has just
     /// started, thawed or been cut off knows of no silence.
     #[must_use]
-    pub fn silent_for(&self, now: Instant, node: &str) -> Duration {
-        if now.saturating_duration_since(self.last_any) > OBSERVER_GAP {
+    pub fn unresponsive_for(&self, now: Instant, node: &str) -> Duration {
+        if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
             return Duration::ZERO;
         }
         let last = self
-            .sightings
+            .observations
             .get(node)
-            .map_or(self.listening_since, |seen| seen.last);
+            .map_or(self.listening_since, |seen| seen.last_heard);
         now.saturating_duration_since(last.max(self.listening_since))
     }
 }
@@ -120,9 +120,9 @@
     is_in_quorum: impl Fn() -> bool + Send + Sync + 'static,
 ) -> impl Fn(SocketAddr, Bytes) -> Ready<Result<Vec<u8>, MessageError>> + Send + Sync + 'static {
     move |_, body| {
-        let read = message::read::<Announcement>(&body);
+        let read = codec::read::<Announcement>(&body);
         ready(read.map(|announcement| {
-            announcements.lock().heard(Instant::now(), announcement);
+            announcements.lock().record(Instant::now(), announcement);
             vec![u8::from(is_in_quorum())]
         }))
     }
--- a/crates/tier/storage/src/cache.rs
+++ b/crates/tier/storage/src/cache.rs
@@ -12,18 +12,18 @@
     turns: HashMap<TurnKey, Arc<Turn>>,
     order: VecDeque<(Duration, TurnKey)>,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl TurnCache {
     /// An empty cache.
     #[must_use]
-    pub fn new(most_bytes: usize) -> TurnCache {
+    pub fn new(max_bytes: usize) -> TurnCache {
         TurnCache {
             turns: HashMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            most_bytes,
+            max_bytes,
         }
     }
 
@@ -37,7 +37,7 @@
             self.bytes += size;
             self.order.push_back((expires, key));
         }
-        while self.bytes > self.most_bytes {
+        while self.bytes > self.max_bytes {
             self.remove_oldest();
         }
     }
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -15,13 +15,13 @@
 use crate::view::{StorageMember, StorageView};
 
 /// How long a chain may take.
-const CHAIN_WITHIN: Duration = Duration::from_millis(1_200);
+const CHAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How long one try waits for a machine's answer.
-const TRY_TIMEOUT: Duration = Duration::from_millis(400);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 /// When the next machine is asked beside one that has not answered.
-const HEDGE_AFTER: Duration = Duration::from_millis(50);
+const HEDGE_DELAY: Duration = Duration::from_millis(50);
 /// Pause before everything is asked again.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What asking all machines of a group came to.
 enum Search {
@@ -34,7 +34,7 @@
 
 impl StorageClient {
     pub(super) async fn read_chain(&self, newest: TurnKey) -> Result<Vec<Arc<Turn>>, ChainError> {
-        let deadline = Instant::now() + CHAIN_WITHIN;
+        let deadline = Instant::now() + CHAIN_TIMEOUT;
         let mut chain = Vec::new();
         let mut next = Some(newest);
         while let Some(key) = next {
@@ -72,7 +72,7 @@
                     }
                 }
             }
-            sleep(RETRY_AFTER).await;
+            sleep(RETRY_INTERVAL).await;
         }
         Err(ChainError::Unavailable)
     }
@@ -106,12 +106,14 @@
         loop {
             if let Some(member) = waiting.next() {
                 let (client, request) = (self.clone(), request.clone());
-                asked.spawn(async move { client.exchange(&member, &request, TRY_TIMEOUT).await });
+                asked.spawn(
+                    async move { client.exchange(&member, &request, ATTEMPT_TIMEOUT).await },
+                );
             } else if asked.is_empty() {
                 return Search::Nowhere { all_answered };
             }
             let hedge_at = if waiting.len() > 0 {
-                Instant::now() + HEDGE_AFTER
+                Instant::now() + HEDGE_DELAY
             } else {
                 deadline
             };
@@ -145,7 +147,7 @@
         let mut asked = JoinSet::new();
         for member in view.members() {
             let (client, request, member) = (self.clone(), request.clone(), member.clone());
-            asked.spawn(async move { client.exchange(&member, &request, TRY_TIMEOUT).await });
+            asked.spawn(async move { client.exchange(&member, &request, ATTEMPT_TIMEOUT).await });
         }
         let mut all_answered = !asked.is_empty();
         while let Ok(Some(answer)) = timeout_at(deadline, asked.join_next()).await {
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -6,7 +6,7 @@
 use woadreach_rpc::{CallError, ServiceId};
 
 use super::StorageClient;
-use crate::message::{Answer, Fence, Operation, Request, Response, decode, encode};
+use crate::message::{Answer, FencingToken, Operation, Request, Response, decode, encode};
 use crate::view::StorageMember;
 
 /// Place of the disk's identity in an encoded request: after the version and the epoch.
@@ -21,7 +21,7 @@
 impl EncodedRequest {
     pub(super) fn new(epoch: u64, operation: &Operation) -> EncodedRequest {
         let request = Request {
-            fence: Fence { epoch, disk: 0 },
+            fencing_token: FencingToken { epoch, disk: 0 },
             operation: operation.clone(),
         };
         EncodedRequest {
@@ -59,22 +59,25 @@
         if let Answer::Stale { view } = &response.answer {
             self.set_view(Arc::new(view.clone()));
         }
-        self.bring_view(member, response.epoch);
+        self.send_newer_view(member, response.epoch);
         Ok(response.answer)
     }
 
     /// Tells a machine the newer view.
-    fn bring_view(&self, member: &StorageMember, known_epoch: u64) {
+    fn send_newer_view(&self, member: &StorageMember, known_epoch: u64) {
         let view = self.view();
         if known_epoch < view.epoch {
-            let fence = Fence {
+            let fencing_token = FencingToken {
                 epoch: view.epoch,
                 disk: member.disk,
             };
             let operation = Operation::NewView {
                 view: (*view).clone(),
             };
-            let body = encode(&Request { fence, operation });
+            let body = encode(&Request {
+                fencing_token,
+                operation,
+            });
             self.shared
                 .rpc
                 .send(member.address, ServiceId::STORAGE, body);
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -22,17 +22,17 @@
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::StorageView;
 
-use self::peers::SilentPeers;
-pub use self::reservation::HeldReservation;
+use self::peers::UnresponsivePeers;
+pub use self::reservation::ReservationGuard;
 
 /// Memory for turns that were seen.
 const CACHE_BYTES: usize = 16 << 20;
 /// How long a reservation may take.
-const RESERVE_WITHIN: Duration = Duration::from_millis(600);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a turn may take to become durable.
-const PUT_WITHIN: Duration = Duration::from_secs(2);
+const PUT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a withdrawal is waited for before the refusal is told.
-const WITHDRAW_WITHIN: Duration = Duration::from_millis(200);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Tokens that a turn may generate.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// Tokens that the program's turns may generate together.
     pub budget: u64,
     /// The most that this turn may generate.
-    pub most: u64,
+    pub max_tokens: u64,
 }
 
 /// Why nothing was reserved.
@@ -90,7 +90,7 @@
     view: watch::Sender<Arc<StorageView>>,
     cache: Mutex<TurnCache>,
     random: Mutex<Rand64>,
-    silent: Mutex<SilentPeers>,
+    silent: Mutex<UnresponsivePeers>,
 }
 
 impl StorageClient {
@@ -136,23 +136,26 @@
     ///
     /// # Errors
     /// See [`ReserveError`].
-    pub async fn reserve(&self, request: &ReserveRequest) -> Result<HeldReservation, ReserveError> {
+    pub async fn reserve(
+        &self,
+        request: &ReserveRequest,
+    ) -> Result<ReservationGuard, ReserveError> {
         let program = &request.program;
         let id = self.shared.random.lock().rand_u64();
-        let mut reservation = HeldReservation::new(self.clone(), program.clone(), id);
+        let mut reservation = ReservationGuard::new(self.clone(), program.clone(), id);
         let operation = Operation::Reserve {
             program: program.clone(),
             reservation: id,
-            most: request.most,
+            max_tokens: request.max_tokens,
         };
-        let written = self.write(program, operation, RESERVE_WITHIN).await;
+        let written = self.write(program, operation, RESERVE_TIMEOUT).await;
         let write = written.map_err(|_| ReserveError::Unavailable)?;
-        if write.reservation_fits(id, request.most, request.budget) {
+        if write.is_within_budget(id, request.max_tokens, request.budget) {
             return Ok(reservation);
         }
         let withdrawal = settle_operation(program.clone(), reservation.settlement());
         if self
-            .write(program, withdrawal, WITHDRAW_WITHIN)
+            .write(program, withdrawal, WITHDRAW_TIMEOUT)
             .await
             .is_ok()
         {
@@ -169,7 +172,7 @@
     pub async fn put_turn(
         &self,
         turn: Turn,
-        reservation: Option<&mut HeldReservation>,
+        reservation: Option<&mut ReservationGuard>,
     ) -> Result<(), Unavailable> {
         let program = turn.program.clone();
         let mut records = self.adopted_ancestors(&turn).await?;
@@ -180,7 +183,7 @@
             turns: records.clone(),
             settlement,
         };
-        self.write(&program, operation, PUT_WITHIN).await?;
+        self.write(&program, operation, PUT_TIMEOUT).await?;
         if let Some(held) = reservation {
             held.set_settled();
         }
--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/peers.rs
@@ -22,18 +22,18 @@
 use crate::view::StorageMember;
 
 /// How long one try waits for a machine's answer: several slow syncs.
-const TRY_TIMEOUT: Duration = Duration::from_millis(500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before the first new try at a silent machine; it doubles.
-const FIRST_BACKOFF: Duration = Duration::from_millis(60);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 /// Longest pause between tries.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(480);
+const MAX_BACKOFF: Duration = Duration::from_millis(480);
 /// How long a write is kept for a silent machine.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const MISSED_WRITE_RETENTION: Duration = Duration::from_secs(10);
 /// Most bytes that are kept for a silent machine.
-const MOST_BYTES: usize = 2 << 20;
+const MAX_MISSED_BYTES: usize = 2 << 20;
 
 /// Missed writes that are sent side by side once a machine answers again.
-const BURST: usize = 64;
+const MAX_CONCURRENT_RETRIES: usize = 64;
 
 /// Where the answers of a write go: epoch, disk and answer.
 pub(super) type Sender = UnboundedSender<(u64, u64, Answer)>;
@@ -68,7 +68,7 @@
     fn push(&mut self, delivery: Delivery) {
         self.bytes += delivery.request.len();
         self.queue.push_back(delivery);
-        while self.bytes > MOST_BYTES {
+        while self.bytes > MAX_MISSED_BYTES {
             self.pop();
         }
     }
@@ -83,7 +83,7 @@
         while self
             .queue
             .front()
-            .is_some_and(|delivery| delivery.since.elapsed() > KEPT_FOR)
+            .is_some_and(|delivery| delivery.since.elapsed() > MISSED_WRITE_RETENTION)
         {
             self.pop();
         }
@@ -92,7 +92,7 @@
 
 /// Machines that do not answer at present, by disk.
 #[derive(Default)]
-pub(super) struct SilentPeers {
+pub(super) struct UnresponsivePeers {
     missed: HashMap<u64, Missed>,
 }
 
@@ -114,14 +114,17 @@
         drop(silent);
         let (client, member) = (self.clone(), member.clone());
         tokio::spawn(async move {
-            if let Try::Again(delivery) = client.try_once(&member, delivery).await {
-                client.keep_for_later(member, delivery);
+            if let Try::Again(delivery) = client.attempt_delivery(&member, delivery).await {
+                client.queue_for_retry(member, delivery);
             }
         });
     }
 
-    async fn try_once(&self, member: &StorageMember, delivery: Delivery) -> Try {
-        match self.exchange(member, &delivery.request, TRY_TIMEOUT).await {
+    async fn attempt_delivery(&self, member: &StorageMember, delivery: Delivery) -> Try {
+        match self
+            .exchange(member, &delivery.request, ATTEMPT_TIMEOUT)
+            .await
+        {
             Ok(Answer::Failed | Answer::Behind) | Err(_) => Try::Again(delivery),
             Ok(answer) => {
                 let _ = delivery.answers.send((delivery.epoch, member.disk, answer));
@@ -130,7 +133,7 @@
         }
     }
 
-    fn keep_for_later(&self, member: StorageMember, delivery: Delivery) {
+    fn queue_for_retry(&self, member: StorageMember, delivery: Delivery) {
         let mut silent = self.shared.silent.lock();
         let probed = silent.missed.contains_key(&member.disk);
         silent.missed.entry(member.disk).or_default().push(delivery);
@@ -142,35 +145,35 @@
 
     /// Tries the oldest write that a silent machine has missed until one succeeds, then sends the rest.
     async fn probe(&self, member: StorageMember) {
-        let mut backoff = FIRST_BACKOFF;
-        let mut at_once = 1;
+        let mut backoff = INITIAL_BACKOFF;
+        let mut concurrent = 1;
         loop {
-            let deliveries = self.oldest_missed(member.disk, at_once);
+            let deliveries = self.take_oldest_missed(member.disk, concurrent);
             if deliveries.is_empty() {
                 return;
             }
-            if self.try_all(&member, deliveries).await {
-                backoff = FIRST_BACKOFF;
-                at_once = BURST;
+            if self.attempt_all(&member, deliveries).await {
+                backoff = INITIAL_BACKOFF;
+                concurrent = MAX_CONCURRENT_RETRIES;
             } else {
-                at_once = 1;
+                concurrent = 1;
                 sleep(backoff).await;
-                backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 
     /// Tries some missed writes side by side; whether all were answered.
-    async fn try_all(&self, member: &StorageMember, deliveries: Vec<Delivery>) -> bool {
+    async fn attempt_all(&self, member: &StorageMember, deliveries: Vec<Delivery>) -> bool {
         let mut tries = JoinSet::new();
         for delivery in deliveries {
             let (client, member) = (self.clone(), member.clone());
-            tries.spawn(async move { client.try_once(&member, delivery).await });
+            tries.spawn(async move { client.attempt_delivery(&member, delivery).await });
         }
         let mut all_answered = true;
         while let Some(outcome) = tries.join_next().await {
             if let Ok(Try::Again(delivery)) = outcome {
-                self.put_back(member.disk, delivery);
+                self.requeue(member.disk, delivery);
                 all_answered = false;
             }
         }
@@ -178,20 +181,20 @@
     }
 
     /// The oldest missed writes; without any the machine counts as answering again.
-    fn oldest_missed(&self, disk: u64, most: usize) -> Vec<Delivery> {
+    fn take_oldest_missed(&self, disk: u64, limit: usize) -> Vec<Delivery> {
         let mut silent = self.shared.silent.lock();
         let Some(missed) = silent.missed.get_mut(&disk) else {
             return Vec::new();
         };
         missed.drop_old();
-        let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(most).collect();
+        let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(limit).collect();
         if deliveries.is_empty() {
             silent.missed.remove(&disk);
         }
         deliveries
     }
 
-    fn put_back(&self, disk: u64, delivery: Delivery) {
+    fn requeue(&self, disk: u64, delivery: Delivery) {
         let mut silent = self.shared.silent.lock();
         let missed = silent.missed.entry(disk).or_default();
         missed.bytes += delivery.request.len();
--- a/crates/tier/storage/src/client/reservation.rs
+++ b/crates/tier/storage/src/client/reservation.rs
@@ -9,45 +9,45 @@
 use crate::message::Settlement;
 
 /// How long one round of telling the end of a turn takes at most.
-const SETTLE_ROUND: Duration = Duration::from_secs(8);
+const SETTLE_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
 /// Rounds before the reservation is left at its most: longer than a cut or a restart of the storage machines
 /// lasts.
-const SETTLE_ROUNDS: usize = 8;
+const MAX_SETTLE_ATTEMPTS: usize = 8;
 
 /// Tokens that a turn holds of its program's budget.
 ///
 /// Dropping it settles it in the background at what has been given until then, so no way out of a turn (an
 /// error, a client that leaves, a future that is cancelled) leaves the most of the turn reserved.
 #[must_use = "dropping a reservation settles it"]
-pub struct HeldReservation {
+pub struct ReservationGuard {
     client: StorageClient,
     program: String,
     id: u64,
-    given: u64,
+    delivered_tokens: u64,
     settled: bool,
 }
 
-impl HeldReservation {
-    pub(super) fn new(client: StorageClient, program: String, id: u64) -> HeldReservation {
-        HeldReservation {
+impl ReservationGuard {
+    pub(super) fn new(client: StorageClient, program: String, id: u64) -> ReservationGuard {
+        ReservationGuard {
             client,
             program,
             id,
-            given: 0,
+            delivered_tokens: 0,
             settled: false,
         }
     }
 
     /// Notes the tokens that the turn has given so far.
-    pub fn set_given(&mut self, given: u64) {
-        self.given = given;
+    pub fn set_delivered_tokens(&mut self, delivered_tokens: u64) {
+        self.delivered_tokens = delivered_tokens;
     }
 
     /// The end of the turn, if it ended now.
     pub(super) fn settlement(&self) -> Settlement {
         Settlement {
             reservation: self.id,
-            given: self.given,
+            delivered_tokens: self.delivered_tokens,
         }
     }
 
@@ -57,23 +57,23 @@
     }
 }
 
-impl Debug for HeldReservation {
+impl Debug for ReservationGuard {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        let HeldReservation {
+        let ReservationGuard {
             program,
             id,
-            given,
+            delivered_tokens,
             settled,
             ..
         } = self;
         write!(
             formatter,
-            "reservation {id} of {program}: given {given}, settled {settled}"
+            "reservation {id} of {program}: {delivered_tokens} tokens delivered, settled {settled}"
         )
     }
 }
 
-impl Drop for HeldReservation {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if self.settled {
             return;
@@ -89,15 +89,19 @@
 impl StorageClient {
     /// Tells the end of a turn until a quorum knows it.
     async fn settle(&self, program: &str, settlement: Settlement) {
-        for _ in 0..SETTLE_ROUNDS {
+        for _ in 0..MAX_SETTLE_ATTEMPTS {
             let operation = settle_operation(program.to_owned(), settlement);
-            if self.write(program, operation, SETTLE_ROUND).await.is_ok() {
+            if self
+                .write(program, operation, SETTLE_ATTEMPT_TIMEOUT)
+                .await
+                .is_ok()
+            {
                 return;
             }
         }
         tracing::warn!(
             program,
-            given = settlement.given,
+            delivered_tokens = settlement.delivered_tokens,
             "the end of a turn could not be told"
         );
     }
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -29,7 +29,7 @@
         while !write.is_durable() {
             tokio::select! {
                 biased;
-                Some((epoch, disk, answer)) = answers.recv() => write.answered(epoch, disk, answer),
+                Some((epoch, disk, answer)) = answers.recv() => write.record_answer(epoch, disk, answer),
                 changed = timeout_at(deadline, views.changed()) => {
                     changed.map_err(|_| Unavailable)?.map_err(|_| Unavailable)?;
                     let view = views.borrow_and_update().clone();
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod budget;
 pub mod cache;
 pub mod client;
+mod codec;
 pub mod member;
 pub mod message;
 pub mod operation;
@@ -28,7 +29,7 @@
 pub mod view;
 
 pub use client::{
-    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Unavailable,
+    ChainError, ReservationGuard, ReserveError, ReserveRequest, StorageClient, Unavailable,
 };
 pub use turn::{Turn, TurnKey};
 pub use view::{StorageMember, StorageView};
--- a/crates/tier/storage/src/member.rs
+++ b/crates/tier/storage/src/member.rs
@@ -9,7 +9,7 @@
 
 use crate::budget::Reservation;
 use crate::message::{
-    Answer, Fence, Operation, ProgramRecords, Request, Response, Settlement, decode, encode,
+    Answer, FencingToken, Operation, ProgramRecords, Request, Response, Settlement, decode, encode,
 };
 use crate::placement::holds;
 use crate::record::{Record, SnapshotWriter, snapshot_records};
@@ -18,9 +18,9 @@
 use crate::view::{StorageMember, StorageView};
 
 /// Most bytes of turns in one answer.
-const MOST_ANSWER_BYTES: usize = 512 << 10;
+const MAX_ANSWER_BYTES: usize = 512 << 10;
 /// Most digests in one answer.
-const MOST_DIGESTS: usize = 4_000;
+const MAX_DIGESTS: usize = 4_000;
 
 /// What to do with a request.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     sealed_epoch: u64,
     pulled_epoch: u64,
     /// The disk has refused records that are in memory.
-    has_unsynced: bool,
+    has_unsynced_records: bool,
     store: Store,
 }
 
@@ -83,7 +83,7 @@
             view: StorageView::default(),
             sealed_epoch: 0,
             pulled_epoch: 0,
-            has_unsynced: false,
+            has_unsynced_records: false,
             store: Store::default(),
         };
         (member, encode(&Record::Identity { disk }))
@@ -173,7 +173,7 @@
     /// Whether the process, which is being stopped, may end although the disk may not come back: the view
     /// does without it, or can't, as too few others are there.
     #[must_use]
-    pub fn may_end(&self) -> bool {
+    pub fn may_shut_down(&self) -> bool {
         let is_here = |member: &StorageMember| member.disk == self.disk;
         if !self.view.members().into_iter().any(is_here) {
             return true;
@@ -192,8 +192,8 @@
     /// on its way to the disk, so a last sync goes behind it.
     pub fn finish_pull(&mut self, now: Duration, epoch: u64) -> Step {
         let pending = Pending::Pulled(epoch);
-        if self.has_unsynced {
-            self.has_unsynced = false;
+        if self.has_unsynced_records {
+            self.has_unsynced_records = false;
             return Step::Compact {
                 snapshot: self.snapshot(now),
                 pending,
@@ -223,15 +223,15 @@
                 .learn_view(view)
                 .unwrap_or_else(|| self.reply(Answer::Stored));
         }
-        if let Err(answer) = self.admit(request.fence) {
+        if let Err(answer) = self.admit(request.fencing_token) {
             return self.reply(answer);
         }
         match request.operation {
             Operation::Reserve {
                 program,
                 reservation,
-                most,
-            } => self.reserve(now, program, reservation, most),
+                max_tokens,
+            } => self.reserve(now, program, reservation, max_tokens),
             Operation::Settle {
                 program,
                 settlement,
@@ -245,7 +245,7 @@
                 program,
                 request_id,
             } => {
-                let chain = self.store.chain(&program, &request_id, MOST_ANSWER_BYTES);
+                let chain = self.store.chain(&program, &request_id, MAX_ANSWER_BYTES);
                 let turns = chain.iter().map(|turn| TurnRecord::clone(turn)).collect();
                 self.reply(Answer::Chain { turns })
             }
@@ -253,7 +253,7 @@
                 programs: self.store.programs_of(&request_id),
             }),
             Operation::Digests { node, after } => {
-                self.digests(request.fence, &node, after.as_deref())
+                self.digests(request.fencing_token, &node, after.as_deref())
             }
             Operation::Fetch { programs } => self.fetch(now, &programs),
             Operation::NewView { .. } => unreachable!("taken above"),
@@ -282,8 +282,8 @@
 
     /// Answer to a request whose record the disk did not take.
     #[must_use]
-    pub fn failed(&mut self) -> Response {
-        self.has_unsynced = true;
+    pub fn persist_failed(&mut self) -> Response {
+        self.has_unsynced_records = true;
         self.response(Answer::Failed)
     }
 
@@ -312,11 +312,11 @@
         })
     }
 
-    fn admit(&self, fence: Fence) -> Result<(), Answer> {
-        if fence.disk != self.disk {
+    fn admit(&self, fencing_token: FencingToken) -> Result<(), Answer> {
+        if fencing_token.disk != self.disk {
             return Err(Answer::WrongDisk);
         }
-        if fence.epoch < self.view.epoch {
+        if fencing_token.epoch < self.view.epoch {
             return Err(Answer::Stale {
                 view: self.view.clone(),
             });
@@ -324,10 +324,10 @@
         Ok(())
     }
 
-    fn reserve(&mut self, now: Duration, program: String, id: u64, most: u64) -> Step {
+    fn reserve(&mut self, now: Duration, program: String, id: u64, max_tokens: u64) -> Step {
         let reservation = Reservation {
             id,
-            tokens: most,
+            tokens: max_tokens,
             settled: false,
         };
         let records = Store::records(program.clone(), vec![reservation], Vec::new());
@@ -346,7 +346,7 @@
         }
         let settled = settlement.map(|end| Reservation {
             id: end.reservation,
-            tokens: end.given,
+            tokens: end.delivered_tokens,
             settled: true,
         });
         let records = Store::records(program, settled.into_iter().collect(), turns);
@@ -359,12 +359,12 @@
         Step::Persist { record, pending }
     }
 
-    fn digests(&self, fence: Fence, node: &str, after: Option<&str>) -> Step {
-        if self.sealed_epoch < fence.epoch {
+    fn digests(&self, fencing_token: FencingToken, node: &str, after: Option<&str>) -> Step {
+        if self.sealed_epoch < fencing_token.epoch {
             return self.reply(Answer::Behind);
         }
         let wanted = |program: &str| holds(self.view.latest(), program, self.tolerated, node);
-        let (digests, more) = self.store.digests(after, MOST_DIGESTS, wanted);
+        let (digests, more) = self.store.digests(after, MAX_DIGESTS, wanted);
         self.reply(Answer::DigestPage { digests, more })
     }
 
@@ -372,7 +372,7 @@
         let mut programs = Vec::new();
         let mut bytes = 0;
         for name in names {
-            if bytes > MOST_ANSWER_BYTES {
+            if bytes > MAX_ANSWER_BYTES {
                 break;
             }
             let expired = || Store::records(name.clone(), Vec::new(), Vec::new());
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,18 +1,15 @@
 //! Messages between proxies, storage machines and each other.
 
-use snafu::{OptionExt, Snafu, ensure};
-use speedy::{LittleEndian, Readable, Writable};
+use speedy::{Readable, Writable};
 
 use crate::budget::Reservation;
+pub use crate::codec::{MessageError, decode, encode, read};
 use crate::turn::TurnRecord;
 use crate::view::StorageView;
 
-/// Version of the messages; the first byte of each.
-const MESSAGE_VERSION: u8 = 1;
-
 /// Under which view a request was sent, and to which disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
-pub struct Fence {
+pub struct FencingToken {
     /// Epoch of the sender's view. A machine of a newer one refuses.
     pub epoch: u64,
     /// Identity of the disk that the sender believes to address.
@@ -25,7 +22,7 @@
     /// Reservation that was made for the turn.
     pub reservation: u64,
     /// Tokens that were given to the client.
-    pub given: u64,
+    pub delivered_tokens: u64,
 }
 
 /// What is asked of a storage machine.
@@ -39,7 +36,7 @@
         /// Number drawn for this reservation.
         reservation: u64,
         /// The most that the turn may generate.
-        most: u64,
+        max_tokens: u64,
     },
     /// Settle a reservation.
     Settle {
@@ -92,7 +89,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Request {
     /// View and disk it is meant for.
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     /// What is asked.
     pub operation: Operation,
 }
@@ -175,57 +172,3 @@
     /// The answer.
     pub answer: Answer,
 }
-
-/// Encodes a message, its version first.
-///
-/// # Panics
-/// Never: writing to memory cannot fail.
-#[must_use]
-pub fn encode<T: Writable<LittleEndian>>(message: &T) -> Vec<u8> {
-    let length = message
-        .bytes_needed()
-        .expect("a message in memory has a length");
-    let mut bytes = Vec::with_capacity(1 + length);
-    bytes.push(MESSAGE_VERSION);
-    message
-        .write_to_stream(&mut bytes)
-        .expect("memory takes any message");
-    bytes
-}
-
-/// Why bytes are not a message.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum MessageError {
-    /// Nothing there.
-    #[snafu(display("the message is empty"))]
-    Empty,
-    /// Another version of the messages.
-    #[snafu(display("message version {found}, expected {MESSAGE_VERSION}"))]
-    Version {
-        /// Version found.
-        found: u8,
-    },
-    /// Not whole, or with bytes after it.
-    #[snafu(display("malformed message"))]
-    Malformed,
-}
-
-/// Reads a message.
-///
-/// # Errors
-/// [`MessageError`] if it is not whole, has anything after it or another version.
-pub fn read<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<T, MessageError> {
-    let (&version, body) = bytes.split_first().context(EmptySnafu)?;
-    ensure!(version == MESSAGE_VERSION, VersionSnafu { found: version });
-    let (message, used) = T::read_with_length_from_buffer(body);
-    message
-        .ok()
-        .filter(|_| used == body.len())
-        .context(MalformedSnafu)
-}
-
-/// Decodes a message; `None` where [`read`] fails.
-#[must_use]
-pub fn decode<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Option<T> {
-    read(bytes).ok()
-}
--- a/crates/tier/storage/src/operation.rs
+++ b/crates/tier/storage/src/operation.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::Budget;
 use crate::message::{Answer, Operation};
-use crate::quorum::{Need, Quorum};
+use crate::quorum::{Quorum, QuorumKind};
 use crate::view::{StorageMember, StorageView};
 
 /// State of a write.
@@ -32,7 +32,7 @@
         operation: Operation,
         tolerated: usize,
     ) -> Write {
-        let quorum = Quorum::new(view, &program, tolerated, Need::Write);
+        let quorum = Quorum::new(view, &program, tolerated, QuorumKind::Write);
         Write {
             program,
             operation,
@@ -47,7 +47,7 @@
     pub fn restart(&mut self, view: &StorageView) {
         if view.epoch > self.epoch {
             self.epoch = view.epoch;
-            self.quorum = Quorum::new(view, &self.program, self.tolerated, Need::Write);
+            self.quorum = Quorum::new(view, &self.program, self.tolerated, QuorumKind::Write);
             self.answers.clear();
         }
     }
@@ -71,10 +71,10 @@
     }
 
     /// Counts the answer of one machine to the request that was sent under `epoch`.
-    pub fn answered(&mut self, epoch: u64, disk: u64, answer: Answer) {
+    pub fn record_answer(&mut self, epoch: u64, disk: u64, answer: Answer) {
         let stored = matches!(answer, Answer::Stored | Answer::Reserved { .. });
         if epoch == self.epoch && stored && !self.is_durable() {
-            self.quorum.answered(disk);
+            self.quorum.record_answer(disk);
             self.answers.push(answer);
         }
     }
@@ -82,13 +82,13 @@
     /// Whether a quorum of each group has it on disk.
     #[must_use]
     pub fn is_durable(&self) -> bool {
-        self.quorum.reached()
+        self.quorum.is_reached()
     }
 
     /// For a reservation that is durable: whether the turn fits into the budget. Of two that do not fit
     /// together at least one sees the other, as their quorums meet.
     #[must_use]
-    pub fn reservation_fits(&self, reservation: u64, most: u64, budget: u64) -> bool {
+    pub fn is_within_budget(&self, reservation: u64, max_tokens: u64, budget: u64) -> bool {
         let mut known = Budget::default();
         for answer in &self.answers {
             if let Answer::Reserved { reservations } = answer {
@@ -97,6 +97,6 @@
                 }
             }
         }
-        known.sum_of_others(reservation).saturating_add(most) <= budget
+        known.sum_of_others(reservation).saturating_add(max_tokens) <= budget
     }
 }
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -12,7 +12,7 @@
 use crate::view::{StorageMember, StorageView};
 
 /// Programs asked for in one message.
-const FETCH_AT_ONCE: usize = 64;
+const MAX_PROGRAMS_PER_FETCH: usize = 64;
 
 /// Progress of one pull from all sources of an epoch.
 #[derive(Debug, Clone)]
@@ -20,9 +20,9 @@
     epoch: u64,
     sources: Vec<StorageMember>,
     finished: Vec<u64>,
-    may_miss: usize,
+    max_missing: usize,
     /// A group has at most one machine of each zone.
-    zones_differ: bool,
+    has_distinct_zones: bool,
 }
 
 impl Pull {
@@ -30,7 +30,7 @@
     #[must_use]
     pub fn new(view: &StorageView, own: u64, tolerated: usize) -> Pull {
         let size = group_size(view.current.len(), tolerated);
-        let may_miss = write_quorum(size, tolerated).min(size).saturating_sub(1);
+        let max_missing = write_quorum(size, tolerated).min(size).saturating_sub(1);
         let finished = if view.is_current(own) {
             vec![own]
         } else {
@@ -41,13 +41,13 @@
             .iter()
             .map(|member| member.zone.as_str())
             .collect();
-        let zones_differ = zones.len() >= size;
+        let has_distinct_zones = zones.len() >= size;
         Pull {
             epoch: view.epoch,
             sources: view.current.clone(),
             finished,
-            may_miss,
-            zones_differ,
+            max_missing,
+            has_distinct_zones,
         }
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Everything of one source is synced here.
-    pub fn finished(&mut self, disk: u64) {
+    pub fn record_finished(&mut self, disk: u64) {
         let is_source = self.sources.iter().any(|source| source.disk == disk);
         if is_source && !self.finished.contains(&disk) {
             self.finished.push(disk);
@@ -74,16 +74,16 @@
     /// Whether so many sources are done that every acknowledged write was met: of no group are more missing
     /// than a read may miss.
     #[must_use]
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let missing = self
             .sources
             .iter()
             .filter(|source| !self.finished.contains(&source.disk));
-        if self.zones_differ {
+        if self.has_distinct_zones {
             let zones: BTreeSet<&str> = missing.map(|source| source.zone.as_str()).collect();
-            return zones.len() <= self.may_miss;
+            return zones.len() <= self.max_missing;
         }
-        missing.count() <= self.may_miss
+        missing.count() <= self.max_missing
     }
 }
 
@@ -98,9 +98,14 @@
 impl Pages {
     /// The next request; `None` once everything has been asked for.
     #[must_use]
-    pub fn next(&self, node: &str) -> Option<Operation> {
+    pub fn next_request(&self, node: &str) -> Option<Operation> {
         if !self.to_fetch.is_empty() {
-            let programs = self.to_fetch.iter().take(FETCH_AT_ONCE).cloned().collect();
+            let programs = self
+                .to_fetch
+                .iter()
+                .take(MAX_PROGRAMS_PER_FETCH)
+                .cloned()
+                .collect();
             return Some(Operation::Fetch { programs });
         }
         (!self.last_page).then(|| Operation::Digests {
@@ -109,8 +114,8 @@
         })
     }
 
-    /// Takes the answer to [`Pages::next`]; gives the records to be merged. `None` if it is another answer.
-    pub fn answered(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
+    /// Takes the answer to [`Pages::next_request`]; gives the records to be merged. `None` if it is another answer.
+    pub fn accept_answer(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
         match answer {
             Answer::DigestPage { digests, more } => {
                 self.last_page = !more;
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -5,7 +5,7 @@
 
 /// Which answers an operation waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum QuorumKind {
     /// Enough that the write survives and is met by every later read.
     Write,
     /// Enough to meet every earlier write.
@@ -14,36 +14,41 @@
 
 /// One group and who of it has answered.
 #[derive(Debug, Clone)]
-struct Side {
+struct GroupQuorum {
     disks: Vec<u64>,
     answered: Vec<u64>,
     needed: usize,
 }
 
-impl Side {
-    fn new(members: &[StorageMember], program: &str, tolerated: usize, need: Need) -> Side {
+impl GroupQuorum {
+    fn new(
+        members: &[StorageMember],
+        program: &str,
+        tolerated: usize,
+        kind: QuorumKind,
+    ) -> GroupQuorum {
         let disks: Vec<u64> = group(members, program, tolerated)
             .iter()
             .map(|member| member.disk)
             .collect();
-        let needed = match need {
-            Need::Write => write_quorum(disks.len(), tolerated),
-            Need::Read => read_quorum(disks.len(), tolerated),
+        let needed = match kind {
+            QuorumKind::Write => write_quorum(disks.len(), tolerated),
+            QuorumKind::Read => read_quorum(disks.len(), tolerated),
         };
-        Side {
+        GroupQuorum {
             disks,
             answered: Vec::new(),
             needed,
         }
     }
 
-    fn answered(&mut self, disk: u64) {
+    fn record_answer(&mut self, disk: u64) {
         if self.disks.contains(&disk) && !self.answered.contains(&disk) {
             self.answered.push(disk);
         }
     }
 
-    fn reached(&self) -> bool {
+    fn is_reached(&self) -> bool {
         self.answered.len() >= self.needed
     }
 }
@@ -51,25 +56,25 @@
 /// Answers of the program's present group and, in a joint epoch, of its next one.
 #[derive(Debug, Clone)]
 pub struct Quorum {
-    sides: Vec<Side>,
+    groups: Vec<GroupQuorum>,
     members: Vec<StorageMember>,
 }
 
 impl Quorum {
     /// Starts an operation on `program` under `view`.
     #[must_use]
-    pub fn new(view: &StorageView, program: &str, tolerated: usize, need: Need) -> Quorum {
-        let mut sides = Vec::with_capacity(2);
+    pub fn new(view: &StorageView, program: &str, tolerated: usize, kind: QuorumKind) -> Quorum {
+        let mut groups = Vec::with_capacity(2);
         let mut members: Vec<StorageMember> = Vec::new();
         for list in std::iter::once(&view.current).chain(&view.next) {
-            sides.push(Side::new(list, program, tolerated, need));
+            groups.push(GroupQuorum::new(list, program, tolerated, kind));
             for member in group(list, program, tolerated) {
                 if !members.iter().any(|known| known.disk == member.disk) {
                     members.push(member.clone());
                 }
             }
         }
-        Quorum { sides, members }
+        Quorum { groups, members }
     }
 
     /// Machines that the operation is sent to.
@@ -79,15 +84,15 @@
     }
 
     /// Counts an answer.
-    pub fn answered(&mut self, disk: u64) {
-        for side in &mut self.sides {
-            side.answered(disk);
+    pub fn record_answer(&mut self, disk: u64) {
+        for group_quorum in &mut self.groups {
+            group_quorum.record_answer(disk);
         }
     }
 
     /// Whether enough have answered.
     #[must_use]
-    pub fn reached(&self) -> bool {
-        self.sides.iter().all(Side::reached)
+    pub fn is_reached(&self) -> bool {
+        self.groups.iter().all(GroupQuorum::is_reached)
     }
 }
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -73,7 +73,7 @@
     pulled: watch::Sender<u64>,
     upkeep: Mutex<Upkeep>,
     /// The process is being stopped.
-    leaving: AtomicBool,
+    shutting_down: AtomicBool,
     /// The last record was refused; told once.
     disk_refuses: AtomicBool,
 }
@@ -110,7 +110,7 @@
             pull_due: watch::Sender::new(PullDue { epoch, missed: 1 }),
             pulled: watch::Sender::new(0),
             upkeep: Mutex::new(Upkeep::new(started, &options.node)),
-            leaving: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             disk_refuses: AtomicBool::new(false),
         };
         Ok(Server {
@@ -140,20 +140,20 @@
                 zone: self.shared.zone.clone(),
             },
             pulled_epoch: member.pulled_epoch(),
-            leaving: self.shared.leaving.load(Ordering::Relaxed),
+            shutting_down: self.shared.shutting_down.load(Ordering::Relaxed),
         }
     }
 
     /// The process is being stopped: from now on the core is told, at once and with each announcement.
-    pub fn begin_leaving(&self) {
-        self.shared.leaving.store(true, Ordering::Relaxed);
+    pub fn begin_shutdown(&self) {
+        self.shared.shutting_down.store(true, Ordering::Relaxed);
         self.shared.pulled.send_modify(|_| {});
     }
 
     /// Whether the process, which is being stopped, may end; see [`Member::may_end`].
     #[must_use]
-    pub fn may_end(&self) -> bool {
-        self.shared.member.lock().may_end()
+    pub fn may_shut_down(&self) -> bool {
+        self.shared.member.lock().may_shut_down()
     }
 
     /// Changes whenever the announcement should be sent at once.
@@ -219,7 +219,7 @@
                 if !self.shared.disk_refuses.swap(true, Ordering::Relaxed) {
                     tracing::warn!(%error, "the disk takes no records");
                 }
-                member.failed()
+                member.persist_failed()
             }
         };
         let epoch = member.view().epoch;
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -8,14 +8,16 @@
 use woadreach_rpc::ServiceId;
 
 use super::{PullDue, Server};
-use crate::message::{Answer, Fence, Operation, ProgramRecords, Request, Response, decode, encode};
+use crate::message::{
+    Answer, FencingToken, Operation, ProgramRecords, Request, Response, decode, encode,
+};
 use crate::pull::{Pages, Pull};
 use crate::view::{StorageMember, StorageView};
 
 /// How long one request of a pull may take.
 const PULL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before a source is tried again.
-const PULL_RETRY: Duration = Duration::from_millis(150);
+const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
     pub(super) async fn pull_when_due(&self) {
@@ -49,11 +51,11 @@
         for source in view.current.iter().filter(|source| source.disk != disk) {
             sources.spawn(pull_from(self.clone(), view.clone(), source.clone()));
         }
-        while !progress.complete() {
+        while !progress.is_complete() {
             let Some(Ok(source)) = sources.join_next().await else {
                 return;
             };
-            progress.finished(source);
+            progress.record_finished(source);
         }
         if joins {
             self.end_pull(view.epoch).await;
@@ -68,7 +70,7 @@
             if self.finish(step).await.answer == Answer::Stored {
                 break;
             }
-            sleep(PULL_RETRY).await;
+            sleep(PULL_RETRY_INTERVAL).await;
         }
         tracing::info!(epoch, "pulled what this machine should hold");
         self.shared.pulled.send_replace(epoch);
@@ -80,11 +82,14 @@
         epoch: u64,
         operation: Operation,
     ) -> Option<Answer> {
-        let fence = Fence {
+        let fencing_token = FencingToken {
             epoch,
             disk: source.disk,
         };
-        let body = encode(&Request { fence, operation });
+        let body = encode(&Request {
+            fencing_token,
+            operation,
+        });
         let reply = self
             .shared
             .rpc
@@ -101,7 +106,7 @@
             if self.finish(step).await.answer == Answer::Stored {
                 return;
             }
-            sleep(PULL_RETRY).await;
+            sleep(PULL_RETRY_INTERVAL).await;
         }
     }
 }
@@ -114,7 +119,7 @@
 async fn pull_from(server: Server, view: StorageView, source: StorageMember) -> u64 {
     let node = server.shared.member.lock().node().to_owned();
     let mut pages = Pages::default();
-    while let Some(operation) = pages.next(&node) {
+    while let Some(operation) = pages.next_request(&node) {
         let answer = server.call_source(&source, view.epoch, operation).await;
         let records = match answer {
             Some(Answer::Behind) => {
@@ -126,11 +131,11 @@
                 server.learn_view(view).await;
                 None
             }
-            Some(answer) => pages.answered(server.shared.member.lock().store(), answer),
+            Some(answer) => pages.accept_answer(server.shared.member.lock().store(), answer),
             None => None,
         };
         let Some(records) = records else {
-            sleep(PULL_RETRY).await;
+            sleep(PULL_RETRY_INTERVAL).await;
             continue;
         };
         store_all(&server, records).await;
--- a/crates/tier/storage/src/server/start.rs
+++ b/crates/tier/storage/src/server/start.rs
@@ -11,7 +11,7 @@
 use crate::member::Member;
 
 /// Most bytes that wait for the disk before requests are refused.
-const MOST_QUEUED_BYTES: usize = 8 << 20;
+const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 /// The machine as its disk has it, or a new one on a disk that holds nothing or is damaged.
 ///
@@ -23,7 +23,7 @@
 ) -> Result<(Journal, Member), ServerError> {
     let bounds = JournalOptions {
         max_bytes: options.disk_bytes,
-        max_queued_bytes: MOST_QUEUED_BYTES,
+        max_queued_bytes: MAX_QUEUED_BYTES,
     };
     match Journal::open(folder, bounds) {
         Ok((journal, found)) => {
@@ -48,11 +48,13 @@
         }
         Err(source) => return Err(ServerError::Disk { source }),
     }
-    begin_anew(folder, bounds, options).await.context(DiskSnafu)
+    create_anew(folder, bounds, options)
+        .await
+        .context(DiskSnafu)
 }
 
 /// Gives the disk a new identity.
-async fn begin_anew(
+async fn create_anew(
     folder: &Path,
     bounds: JournalOptions,
     options: &ServerOptions,
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -7,9 +7,9 @@
 use super::Server;
 
 /// A pause between two ticks that is longer than this means that the process was frozen.
-const FROZEN_AFTER: Duration = Duration::from_millis(1_200);
+const MAX_TICK_GAP: Duration = Duration::from_millis(1_200);
 /// A log shorter than this is never compacted.
-const LEAST_LOG_BYTES: u64 = 8 << 20;
+const MIN_LOG_BYTES: u64 = 8 << 20;
 
 /// What is known from earlier ticks.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     pub(super) fn upkeep(&self) {
         let now = Instant::now();
         let last_tick = std::mem::replace(&mut self.shared.upkeep.lock().last_tick, now);
-        if now.saturating_duration_since(last_tick) > FROZEN_AFTER {
+        if now.saturating_duration_since(last_tick) > MAX_TICK_GAP {
             self.missed_records();
         }
         self.shared.member.lock().expire(self.now());
@@ -46,7 +46,7 @@
     fn compact_if_due(&self) {
         let alive = self.shared.member.lock().store().bytes() as u64;
         let mut upkeep = self.shared.upkeep.lock();
-        let allowed = LEAST_LOG_BYTES.max(alive) * upkeep.log_percent / 100;
+        let allowed = MIN_LOG_BYTES.max(alive) * upkeep.log_percent / 100;
         if upkeep.compacting || self.shared.journal.log_bytes() <= allowed {
             return;
         }
--- a/crates/tier/storage/src/store.rs
+++ b/crates/tier/storage/src/store.rs
@@ -84,8 +84,8 @@
                 .insert(turn.request_id.clone(), Arc::new(turn));
             changed = true;
         }
-        let kept_for = Duration::from_millis(records.remaining_ms);
-        program.turns_until = program.turns_until.max(now + kept_for);
+        let retained_for = Duration::from_millis(records.remaining_ms);
+        program.turns_until = program.turns_until.max(now + retained_for);
         program.budget_until = program.budget_until.max(now + BUDGET_RETENTION);
         let after = (program.next_expiry(), name);
         if before != after {
@@ -125,12 +125,7 @@
 
     /// A turn and its ancestors, newest first, up to one that is not here or `most_bytes`.
     #[must_use]
-    pub fn chain(
-        &self,
-        program: &str,
-        request_id: &str,
-        most_bytes: usize,
-    ) -> Vec<Arc<TurnRecord>> {
+    pub fn chain(&self, program: &str, request_id: &str, max_bytes: usize) -> Vec<Arc<TurnRecord>> {
         let mut chain: Vec<Arc<TurnRecord>> = Vec::new();
         let Some(found) = self.programs.get(program) else {
             return chain;
@@ -139,7 +134,7 @@
         let mut bytes = 0;
         while let Some(turn) = next {
             bytes += turn.size();
-            let full = bytes > most_bytes && !chain.is_empty();
+            let full = bytes > max_bytes && !chain.is_empty();
             if full || chain.len() > found.turns.len() {
                 break;
             }
@@ -166,7 +161,7 @@
     pub fn digests(
         &self,
         after: Option<&str>,
-        most: usize,
+        limit: usize,
         filter: impl Fn(&str) -> bool,
     ) -> (Vec<ProgramDigest>, bool) {
         let start = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
@@ -175,7 +170,7 @@
             .range::<str, _>((start, std::ops::Bound::Unbounded));
         let mut digests = Vec::new();
         for (name, program) in range.filter(|(name, _)| filter(name)) {
-            if digests.len() == most {
+            if digests.len() == limit {
                 return (digests, true);
             }
             digests.push(ProgramDigest {
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -11,7 +11,7 @@
 pub use member::StorageMember;
 pub use plan::plan;
 
-use crate::message;
+use crate::codec::{self, MessageError};
 
 /// Membership at one epoch. While `next` is there the epoch is a *joint* one: writes need quorums of both.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Readable, Writable)]
@@ -43,21 +43,21 @@
     /// Bytes for the control state.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        message::encode(self)
+        codec::encode(self)
     }
 
     /// View from the control state's bytes.
     ///
     /// # Errors
-    /// [`message::MessageError`] if they are not one.
-    pub fn read(bytes: &[u8]) -> Result<StorageView, message::MessageError> {
-        message::read(bytes)
+    /// [`MessageError`] if they are not one.
+    pub fn read(bytes: &[u8]) -> Result<StorageView, MessageError> {
+        codec::read(bytes)
     }
 
     /// View from the control state's bytes; `None` if they are not one.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<StorageView> {
-        message::decode(bytes)
+        codec::decode(bytes)
     }
 
     /// Whether the disk belongs to the machines that hold everything.
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use crate::announce::{Announcements, Sighting};
+use crate::announce::{Announcements, MachineObservation};
 use crate::view::{StorageMember, StorageView};
 
 /// How long the first view waits for more machines than it needs.
@@ -18,14 +18,14 @@
 /// How long it waits when there are fewer than a full group.
 const SMALL_FIRST_VIEW_WAIT: Duration = Duration::from_secs(5);
 /// Silence after which a machine gives its place to one that joins.
-const REPLACEABLE_AFTER: Duration = Duration::from_millis(1_500);
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Silence after which a machine goes that holds up a change of the membership, though less than a full group
 /// stays.
-const HOLDS_UP_AFTER: Duration = Duration::from_millis(2_500);
+const STALLED_CHANGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Silence after which a machine is dropped though nobody takes its place.
-const DROPPED_AFTER: Duration = Duration::from_secs(6);
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(6);
 /// Announcements older than this do not make a machine join.
-const FRESH: Duration = Duration::from_millis(1_200);
+const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_millis(1_200);
 
 /// The next view, if it should differ from `view`. `tolerated` machines may be lost at once.
 #[must_use]
@@ -48,8 +48,8 @@
         return Some(end_of_joint_epoch(view, next));
     }
     let pulled = |member: &StorageMember| {
-        let sighting = announcements.sighting(&member.node);
-        sighting
+        let observation = announcements.observation(&member.node);
+        observation
             .is_some_and(|seen| seen.member.disk == member.disk && seen.pulled_epoch == view.epoch)
     };
     next.iter()
@@ -64,11 +64,14 @@
     tolerated: usize,
 ) -> Option<StorageView> {
     let members: Vec<StorageMember> = announcements
-        .sightings()
-        .filter(|seen| now.saturating_duration_since(seen.last) < FRESH)
+        .observations()
+        .filter(|seen| now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE)
         .map(member_of)
         .collect();
-    let first = announcements.sightings().map(|seen| seen.first).min()?;
+    let first = announcements
+        .observations()
+        .map(|seen| seen.first_heard)
+        .min()?;
     let waited = now.saturating_duration_since(first);
     let full = members.len() > 2 * tolerated;
     let ready = (full && waited >= FIRST_VIEW_WAIT)
@@ -96,9 +99,9 @@
         is_emptied || stopping.contains(node)
     };
     let joining: Vec<StorageMember> = announcements
-        .sightings()
-        .filter(|seen| !leaves(&seen.member.node) && !seen.leaving)
-        .filter(|seen| now.saturating_duration_since(seen.last) < FRESH)
+        .observations()
+        .filter(|seen| !leaves(&seen.member.node) && !seen.shutting_down)
+        .filter(|seen| now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE)
         .filter(|seen| {
             !view
                 .latest()
@@ -113,21 +116,22 @@
         .filter(|member| !leaves(&member.node))
         .map(|member| {
             announcements
-                .sighting(&member.node)
+                .observation(&member.node)
                 .map_or_else(|| member.clone(), member_of)
         })
         .collect();
     wanted.extend(joining);
-    let silence = |member: &StorageMember| announcements.silent_for(now, &member.node);
-    drop_silent(&mut wanted, view, silence, tolerated);
+    let silence = |member: &StorageMember| announcements.unresponsive_for(now, &member.node);
+    drop_unresponsive(&mut wanted, view, silence, tolerated);
     wanted
 }
 
 /// Machines that are heard and are not to be emptied.
 fn alive_without_emptied(now: Instant, view: &StorageView, announcements: &Announcements) -> usize {
     let stays = |node: &str| !view.retiring.contains(node) && !view.retired.contains(node);
-    let heard =
-        |member: &&StorageMember| announcements.silent_for(now, &member.node) < REPLACEABLE_AFTER;
+    let heard = |member: &&StorageMember| {
+        announcements.unresponsive_for(now, &member.node) < REPLACEMENT_TIMEOUT
+    };
     view.latest()
         .iter()
         .filter(|member| stays(&member.node))
@@ -143,11 +147,13 @@
     announcements: &Announcements,
     tolerated: usize,
 ) -> BTreeSet<String> {
-    let fresh = |seen: &&Sighting| now.saturating_duration_since(seen.last) < FRESH;
-    let (stopping, others): (Vec<&Sighting>, Vec<&Sighting>) = announcements
-        .sightings()
+    let fresh = |seen: &&MachineObservation| {
+        now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE
+    };
+    let (stopping, others): (Vec<&MachineObservation>, Vec<&MachineObservation>) = announcements
+        .observations()
         .filter(fresh)
-        .partition(|seen| seen.leaving);
+        .partition(|seen| seen.shutting_down);
     // A machine that is being emptied is still one of the group.
     let nodes = others.iter().map(|seen| &seen.member.node);
     let present: Vec<&String> = nodes.filter(|node| !view.retired.contains(*node)).collect();
@@ -166,7 +172,7 @@
 
 /// Drops silent machines, the longest silent first, where others have taken their place or enough stay. A
 /// machine that is silent while the membership changes anyway goes sooner, for it holds the change up.
-fn drop_silent(
+fn drop_unresponsive(
     wanted: &mut Vec<StorageMember>,
     view: &StorageView,
     silence: impl Fn(&StorageMember) -> Duration,
@@ -176,21 +182,21 @@
     let places = view.current.iter().filter(stays).count();
     let changing = view.next.is_some() || !same_members(wanted, &view.current);
     let patience = if changing {
-        REPLACEABLE_AFTER
+        REPLACEMENT_TIMEOUT
     } else {
-        DROPPED_AFTER
+        REMOVAL_TIMEOUT
     };
     let mut silent: Vec<(Duration, String)> = wanted
         .iter()
         .map(|member| (silence(member), member.node.clone()))
         .collect();
-    silent.retain(|(silence, _)| *silence >= REPLACEABLE_AFTER);
+    silent.retain(|(silence, _)| *silence >= REPLACEMENT_TIMEOUT);
     silent.sort();
     let alive = wanted.len() - silent.len();
     for (silence, node) in silent.into_iter().rev() {
         let replaced = wanted.len() > places;
         let spare = silence >= patience && alive > 2 * tolerated;
-        let holds_up = changing && silence >= HOLDS_UP_AFTER && alive > tolerated;
+        let holds_up = changing && silence >= STALLED_CHANGE_TIMEOUT && alive > tolerated;
         if replaced || spare || holds_up {
             wanted.retain(|member| member.node != node);
         }
@@ -223,7 +229,7 @@
     changed
 }
 
-fn member_of(seen: &Sighting) -> StorageMember {
+fn member_of(seen: &MachineObservation) -> StorageMember {
     seen.member.clone()
 }
 
--- a/crates/tier/storage/tests/announce.rs
+++ b/crates/tier/storage/tests/announce.rs
@@ -27,7 +27,7 @@
     let announcement = Bytes::from(encode(&Announcement {
         member,
         pulled_epoch: 0,
-        leaving: false,
+        shutting_down: false,
     }));
     for expected in [true, false, true] {
         is_in_quorum.store(expected, Ordering::Relaxed);
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -144,7 +144,7 @@
         hear(peer, Bytes::new()).into_inner().unwrap_err(),
         MessageError::Empty
     );
-    assert_eq!(announcements.lock().sightings().count(), 0);
+    assert_eq!(announcements.lock().observations().count(), 0);
 }
 
 #[test]
--- a/crates/tier/storage/tests/codecs.rs
+++ b/crates/tier/storage/tests/codecs.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use woadreach_storage::budget::Reservation;
 use woadreach_storage::message::{
-    Answer, Fence, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement, decode,
-    encode,
+    Answer, FencingToken, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement,
+    decode, encode,
 };
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
 use woadreach_storage::turn::TurnRecord;
@@ -48,7 +48,7 @@
 fn settlement(random: &mut Gen) -> Settlement {
     Settlement {
         reservation: u64::arbitrary(random),
-        given: u64::arbitrary(random),
+        delivered_tokens: u64::arbitrary(random),
     }
 }
 
@@ -88,7 +88,7 @@
             0 => Operation::Reserve {
                 program: text(random),
                 reservation: u64::arbitrary(random),
-                most: u64::arbitrary(random),
+                max_tokens: u64::arbitrary(random),
             },
             1 => Operation::Settle {
                 program: text(random),
@@ -115,11 +115,14 @@
             },
             _ => Operation::NewView { view: view(random) },
         };
-        let fence = Fence {
+        let fencing_token = FencingToken {
             epoch: u64::arbitrary(random),
             disk: u64::arbitrary(random),
         };
-        Any(Request { fence, operation })
+        Any(Request {
+            fencing_token,
+            operation,
+        })
     }
 }
 
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -15,7 +15,7 @@
 use woadreach_rpc::{Client, ClientOptions, Router, serve};
 use woadreach_storage::server::{Server, ServerOptions};
 use woadreach_storage::{
-    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, StorageMember,
+    ChainError, ReservationGuard, ReserveError, ReserveRequest, StorageClient, StorageMember,
     StorageView, Turn, TurnKey, Unavailable,
 };
 
@@ -127,12 +127,12 @@
     }
 }
 
-fn request(program: &str, request_id: &str, budget: u64, most: u64) -> ReserveRequest {
+fn request(program: &str, request_id: &str, budget: u64, max_tokens: u64) -> ReserveRequest {
     ReserveRequest {
         program: program.into(),
         request_id: request_id.into(),
         budget,
-        most,
+        max_tokens,
     }
 }
 
@@ -183,7 +183,7 @@
         two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(),
         ReserveError::Spent
     );
-    first.set_given(30);
+    first.set_delivered_tokens(30);
     one.put_turn(turn("p", "a", None), Some(&mut first))
         .await
         .unwrap();
@@ -196,7 +196,7 @@
 }
 
 /// Waits until a turn is granted, which it is once others of its program are settled.
-async fn wait_until_granted(client: &StorageClient, request: &ReserveRequest) -> HeldReservation {
+async fn wait_until_granted(client: &StorageClient, request: &ReserveRequest) -> ReservationGuard {
     let granted = async {
         loop {
             match client.reserve(request).await {
@@ -215,7 +215,7 @@
     let (_machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
     let mut held = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    held.set_given(30);
+    held.set_delivered_tokens(30);
     assert_eq!(
         two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(),
         ReserveError::Spent
@@ -249,7 +249,7 @@
     let (machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
     let mut held = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    held.set_given(30);
+    held.set_delivered_tokens(30);
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
     tokio::time::pause();
     assert_eq!(
@@ -290,7 +290,7 @@
     let (machines, view) = machines(3);
     let one = client(&view);
     let mut ended = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    ended.set_given(30);
+    ended.set_delivered_tokens(30);
     one.put_turn(turn("p", "a", None), Some(&mut ended))
         .await
         .unwrap();
--- a/crates/tier/storage/tests/plan.rs
+++ b/crates/tier/storage/tests/plan.rs
@@ -22,11 +22,11 @@
 struct Tier {
     now: Instant,
     view: StorageView,
-    heard: Announcements,
+    announcements: Announcements,
     /// Machines that announce themselves, and whether they pull.
     machines: Vec<(StorageMember, bool)>,
     /// Machines whose processes are being stopped.
-    leaving: BTreeSet<String>,
+    shutting_down: BTreeSet<String>,
     tolerated: usize,
 }
 
@@ -36,13 +36,13 @@
         let machines = (0..count)
             .map(|number| (member(number, u64::from(number) + 1), true))
             .collect();
-        let (view, heard) = (StorageView::default(), Announcements::new(now));
+        let (view, announcements) = (StorageView::default(), Announcements::new(now));
         let mut tier = Tier {
             now,
             view,
-            heard,
+            announcements,
             machines,
-            leaving: BTreeSet::new(),
+            shutting_down: BTreeSet::new(),
             tolerated,
         };
         tier.pass(Duration::from_millis(1_500));
@@ -57,11 +57,11 @@
                 let announcement = Announcement {
                     member: member.clone(),
                     pulled_epoch,
-                    leaving: self.leaving.contains(&member.node),
+                    shutting_down: self.shutting_down.contains(&member.node),
                 };
-                self.heard.heard(self.now, announcement);
+                self.announcements.record(self.now, announcement);
             }
-            if let Some(view) = plan(self.now, &self.view, &self.heard, self.tolerated) {
+            if let Some(view) = plan(self.now, &self.view, &self.announcements, self.tolerated) {
                 assert_eq!(view.epoch, self.view.epoch + 1);
                 self.view = view;
             }
@@ -189,7 +189,7 @@
         plan(
             tier.now + Duration::from_secs(30),
             &tier.view,
-            &tier.heard,
+            &tier.announcements,
             1
         ),
         None
@@ -268,7 +268,7 @@
 #[test]
 fn a_machine_that_is_being_stopped_goes_if_a_full_group_stays() {
     let mut tier = Tier::new(4, 1);
-    tier.leaving.insert("store-2".to_owned());
+    tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
     tier.pass(Duration::from_secs(1));
     assert!(!tier.settled(), "not before everyone has pulled");
@@ -276,7 +276,7 @@
     tier.pass(Duration::from_secs(1));
     assert!(tier.settled());
     assert_eq!(tier.current(), [1, 2, 4]);
-    tier.leaving.clear();
+    tier.shutting_down.clear();
     tier.pass(Duration::from_secs(1));
     assert_eq!(tier.current(), [1, 2, 3, 4], "it comes back");
 }
@@ -284,7 +284,7 @@
 #[test]
 fn a_machine_that_is_being_stopped_keeps_its_place_if_fewer_stay() {
     let mut tier = Tier::new(3, 1);
-    tier.leaving.insert("store-2".to_owned());
+    tier.shutting_down.insert("store-2".to_owned());
     tier.pass(Duration::from_secs(1));
     assert_eq!((tier.view.epoch, tier.current()), (1, vec![1, 2, 3]));
 }
@@ -292,7 +292,7 @@
 #[test]
 fn machines_that_are_stopped_all_at_once_change_nothing() {
     let mut tier = Tier::new(5, 1);
-    tier.leaving = (0..5).map(|number| format!("store-{number}")).collect();
+    tier.shutting_down = (0..5).map(|number| format!("store-{number}")).collect();
     tier.pass(Duration::from_secs(2));
     assert_eq!((tier.view.epoch, tier.current().len()), (1, 5));
 }
@@ -300,7 +300,7 @@
 #[test]
 fn a_machine_on_its_way_out_does_not_come_back_while_it_is_being_stopped() {
     let mut tier = Tier::new(4, 1);
-    tier.leaving.insert("store-2".to_owned());
+    tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
     tier.pass(Duration::from_secs(1));
     tier.view = retire(&tier.view, "store-1", 1).unwrap();
@@ -321,7 +321,7 @@
 fn a_machine_that_is_being_stopped_goes_with_one_that_is_to_be_emptied() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-3", 1).unwrap();
-    tier.leaving.insert("store-2".to_owned());
+    tier.shutting_down.insert("store-2".to_owned());
     tier.pass(Duration::from_secs(1));
     assert!(tier.settled() && tier.view.retired.contains("store-3"));
     assert_eq!(tier.current(), [1, 2]);
--- a/crates/tier/storage/tests/retention.rs
+++ b/crates/tier/storage/tests/retention.rs
@@ -4,11 +4,11 @@
 
 use woadreach_storage::budget::Reservation;
 use woadreach_storage::member::{Member, Step};
-use woadreach_storage::message::{Fence, Operation, Request, Settlement};
+use woadreach_storage::message::{FencingToken, Operation, Request, Settlement};
 use woadreach_storage::turn::TurnRecord;
 
 const DISK: u64 = 7;
-const MOST: u64 = 30;
+const MAX_TOKENS: u64 = 30;
 const SECOND: Duration = Duration::from_secs(1);
 
 fn turn(request_id: &str, retention: Duration) -> TurnRecord {
@@ -25,7 +25,7 @@
 /// Takes a request; the record that its answer waits for.
 fn record(member: &mut Member, now: Duration, operation: Operation) -> Vec<u8> {
     let request = Request {
-        fence: Fence {
+        fencing_token: FencingToken {
             epoch: 0,
             disk: DISK,
         },
@@ -41,7 +41,7 @@
     Operation::Reserve {
         program: "program".to_owned(),
         reservation,
-        most: MOST,
+        max_tokens: MAX_TOKENS,
     }
 }
 
@@ -59,7 +59,7 @@
     let (mut member, identity) = Member::create("store".to_owned(), DISK, 1);
     let settlement = Settlement {
         reservation: 1,
-        given: 3,
+        delivered_tokens: 3,
     };
     let journal = vec![
         identity,
@@ -83,7 +83,7 @@
         },
         Reservation {
             id: 2,
-            tokens: MOST,
+            tokens: MAX_TOKENS,
             settled: false,
         },
     ]
--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -8,7 +8,7 @@
 
 use super::world::Mutation;
 
-pub struct Core {
+pub(crate) struct Core {
     base: Instant,
     pub committed: StorageView,
     announcements: Announcements,
@@ -16,7 +16,7 @@
 }
 
 impl Core {
-    pub fn new(base: Instant) -> Core {
+    pub(crate) fn new(base: Instant) -> Core {
         let announcements = Announcements::new(base);
         Core {
             base,
@@ -26,12 +26,12 @@
         }
     }
 
-    pub fn heard(&mut self, now: Duration, announcement: Announcement) {
-        self.announcements.heard(self.base + now, announcement);
+    pub(crate) fn record(&mut self, now: Duration, announcement: Announcement) {
+        self.announcements.record(self.base + now, announcement);
     }
 
     /// The next view, if there is one.
-    pub fn plan(
+    pub(crate) fn plan(
         &mut self,
         now: Duration,
         tolerated: usize,
@@ -56,7 +56,7 @@
     }
 
     /// Takes an order to empty a machine; whether it was taken.
-    pub fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
+    pub(crate) fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
         retire(&self.committed, node, tolerated)
             .ok()
             .filter(|view| *view != self.committed)
--- a/crates/tier/storage/tests/simulation/faults.rs
+++ b/crates/tier/storage/tests/simulation/faults.rs
@@ -8,10 +8,10 @@
 use super::world::{Event, World};
 
 /// After its return a machine still counts as lost for this long.
-pub const CATCH_UP: Duration = Duration::from_millis(4_100);
+pub(crate) const CATCH_UP: Duration = Duration::from_millis(4_100);
 
 #[derive(Debug, Clone, Copy)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// Draw one and the time of the next.
     Draw,
     Kill(usize),
@@ -35,7 +35,7 @@
 }
 
 impl World {
-    pub fn on_fault(&mut self, fault: Fault) {
+    pub(crate) fn on_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Draw => self.draw_fault(),
             Fault::Kill(index) => self.take_down(index, false, false),
@@ -86,7 +86,7 @@
             4 | 5 => self.lose_one(Fault::Wipe),
             6 => self.freeze(),
             7 | 8 => self.cut(),
-            9 => self.disk_trouble(),
+            9 => self.fault_disk(),
             10 => self.replace(),
             11 => self.add(),
             12 => self.retire(),
@@ -95,7 +95,7 @@
     }
 
     /// The machine that counts as lost from now on, if one more may be.
-    pub fn choose_loss(&mut self) -> Option<(usize, usize)> {
+    pub(crate) fn choose_loss(&mut self) -> Option<(usize, usize)> {
         let chosen = self.draw_loss();
         self.trace(|| format!("chosen for a loss: {chosen:?}"));
         chosen
@@ -113,7 +113,7 @@
         Some((slot, index))
     }
 
-    pub fn lose_one(&mut self, fault: impl Fn(usize) -> Fault) {
+    pub(crate) fn lose_one(&mut self, fault: impl Fn(usize) -> Fault) {
         if let Some((slot, index)) = self.choose_loss() {
             let fault = fault(index);
             self.lose(slot, index, fault, Duration::ZERO);
@@ -136,7 +136,7 @@
     }
 
     /// Strikes right after an acknowledgement, as often as the run says.
-    pub fn after_acknowledgement(&mut self) {
+    pub(crate) fn after_acknowledgement(&mut self) {
         if self.after_ack_share == 0 || !self.chance(self.after_ack_share) {
             return;
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    fn disk_trouble(&mut self) {
+    fn fault_disk(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
             let time = self.millis(100, 4_000);
             self.losses[slot] = self.now + time + CATCH_UP;
@@ -194,7 +194,7 @@
         }
     }
 
-    pub fn remove(&mut self, index: usize) {
+    pub(crate) fn remove(&mut self, index: usize) {
         self.kill_machine(index, true);
         self.machines[index].disk.wipe();
         self.machines[index].removed = true;
@@ -220,7 +220,7 @@
     }
 
     /// Machines whose order has succeeded are taken away at once; others may lose their disks right after.
-    pub fn emptied_machines_go(&mut self) {
+    pub(crate) fn emptied_machines_go(&mut self) {
         for index in 0..self.machines.len() {
             let retired = self
                 .core
--- a/crates/tier/storage/tests/simulation/final_fault.rs
+++ b/crates/tier/storage/tests/simulation/final_fault.rs
@@ -8,7 +8,7 @@
 
 /// Whether and when a run has a final fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FinalFault {
+pub(crate) enum FinalFault {
     /// The run has none.
     Never,
     /// It comes after an acknowledgement.
@@ -19,13 +19,13 @@
 
 impl World {
     /// A run that has a final fault beside the ordinary ones.
-    pub fn with_final_fault(mut self) -> World {
+    pub(crate) fn with_final_fault(mut self) -> World {
         self.final_fault = FinalFault::ToCome;
         self
     }
 
     /// A turn or a reservation was acknowledged: at times the fault follows within a few milliseconds.
-    pub fn final_fault_after_acknowledgement(&mut self) {
+    pub(crate) fn final_fault_after_acknowledgement(&mut self) {
         if self.final_fault == FinalFault::ToCome && self.chance(ACKNOWLEDGEMENTS) {
             self.final_fault = FinalFault::Over;
             let delay = self.millis(0, 4);
@@ -34,7 +34,7 @@
     }
 
     /// Machines that are lost already take up a part of the tolerated number.
-    pub fn strike_finally(&mut self) {
+    pub(crate) fn strike_finally(&mut self) {
         let lost = self
             .losses
             .iter()
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -18,7 +18,7 @@
 
 /// Whom an answer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Caller {
+pub(crate) enum Caller {
     /// A call over the network.
     Call(u64),
     /// The machine itself: a record that was pulled from this disk.
@@ -28,7 +28,7 @@
 }
 
 /// Something that waits for the disk.
-pub struct Waiting {
+pub(crate) struct Waiting {
     record: Record,
     pending: Pending,
     caller: Caller,
@@ -40,7 +40,7 @@
 }
 
 /// Pull from one source.
-pub struct Source {
+pub(crate) struct Source {
     pub member: StorageMember,
     pub pages: Pages,
     /// Records of the last page that are not synced yet.
@@ -49,14 +49,14 @@
 }
 
 /// Pull for one epoch.
-pub struct Pulling {
+pub(crate) struct Pulling {
     pub progress: Pull,
     pub sources: Vec<Source>,
     pub finishing: bool,
 }
 
 /// A running process.
-pub struct Process {
+pub(crate) struct Process {
     pub member: Member,
     engine: Engine,
     queue: VecDeque<Waiting>,
@@ -64,7 +64,7 @@
     pub pulling: Option<Pulling>,
 }
 
-pub struct Machine {
+pub(crate) struct Machine {
     pub node: String,
     pub zone: String,
     pub address: std::net::SocketAddr,
@@ -84,17 +84,17 @@
 }
 
 impl Machine {
-    pub fn announcement(&self) -> Option<Announcement> {
+    pub(crate) fn announcement(&self) -> Option<Announcement> {
         let process = self.process.as_ref()?;
         let member = self.member(process.member.disk());
         Some(Announcement {
             member,
             pulled_epoch: process.member.pulled_epoch(),
-            leaving: self.stop.is_some(),
+            shutting_down: self.stop.is_some(),
         })
     }
 
-    pub fn member(&self, disk: u64) -> StorageMember {
+    pub(crate) fn member(&self, disk: u64) -> StorageMember {
         StorageMember {
             node: self.node.clone(),
             disk,
@@ -103,12 +103,12 @@
         }
     }
 
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.process.is_some() && !self.frozen
     }
 
     /// Starts the process on what the disk holds.
-    pub fn start(
+    pub(crate) fn start(
         &mut self,
         now: Duration,
         tolerated: usize,
@@ -152,7 +152,7 @@
     }
 
     /// Ends the process; with `power`, what is not synced may be lost.
-    pub fn kill(&mut self, random: &mut Rand64, power: bool) {
+    pub(crate) fn kill(&mut self, random: &mut Rand64, power: bool) {
         if let Some(mut process) = self.process.take() {
             self.disk.set_fault(DiskFault::FailingSync);
             let records = process
@@ -173,7 +173,7 @@
     }
 
     /// Takes a request; an answer that can be given at once is returned.
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         now: Duration,
         mut request: Request,
@@ -182,7 +182,8 @@
     ) -> Option<Response> {
         let process = self.process.as_mut()?;
         if mutation == Mutation::Unfenced {
-            request.fence.epoch = request.fence.epoch.max(process.member.view().epoch);
+            request.fencing_token.epoch =
+                request.fencing_token.epoch.max(process.member.view().epoch);
         }
         let is_reserve = matches!(request.operation, Operation::Reserve { .. });
         let step = process.member.handle(now, request);
@@ -196,7 +197,7 @@
     }
 
     /// Queues what must be synced.
-    pub fn take(&mut self, step: Step, caller: Caller) -> Option<Response> {
+    pub(crate) fn take(&mut self, step: Step, caller: Caller) -> Option<Response> {
         let process = self.process.as_mut()?;
         let (record, pending) = match step {
             Step::Reply(response) => return Some(response),
@@ -211,7 +212,7 @@
         None
     }
 
-    pub fn learn_view(&mut self, view: StorageView) {
+    pub(crate) fn learn_view(&mut self, view: StorageView) {
         let Some(process) = self.process.as_mut() else {
             return;
         };
@@ -222,7 +223,7 @@
     }
 
     /// Whether a sync should begin now.
-    pub fn begin_sync(&mut self) -> bool {
+    pub(crate) fn begin_sync(&mut self) -> bool {
         let stalled = self.stalled;
         let Some(process) = self.process.as_mut() else {
             return false;
@@ -245,7 +246,7 @@
     }
 
     /// Ends the sync: answers for all callers.
-    pub fn end_sync(&mut self) -> Vec<(Caller, Response)> {
+    pub(crate) fn end_sync(&mut self) -> Vec<(Caller, Response)> {
         let Some(process) = self.process.as_mut() else {
             return Vec::new();
         };
@@ -263,7 +264,7 @@
         let answers = batch.into_iter().map(|waiting| {
             let response = match &outcome {
                 Ok(synced) => process.member.complete(waiting.pending, synced),
-                Err(_) => process.member.failed(),
+                Err(_) => process.member.persist_failed(),
             };
             (waiting.caller, response)
         });
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -97,7 +97,7 @@
 fn bugs_that_a_final_fault_brings_out_are_found() {
     for mutation in [
         Mutation::EndBeforeSync,
-        Mutation::OneCopyTooFew,
+        Mutation::OneReplicaTooFew,
         Mutation::ReservationInMemory,
     ] {
         let violation = |seed| violation_with_final_fault(seed, mutation);
@@ -124,7 +124,7 @@
 
 #[test]
 fn one_copy_too_few_is_found() {
-    assert_found(Mutation::OneCopyTooFew, 0);
+    assert_found(Mutation::OneReplicaTooFew, 0);
 }
 
 #[test]
--- a/crates/tier/storage/tests/simulation/oracle.rs
+++ b/crates/tier/storage/tests/simulation/oracle.rs
@@ -8,47 +8,63 @@
 
 /// State of one try to reserve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Attempt {
+pub(crate) enum Attempt {
     /// Sent, or given up without a durable withdrawal: counts at its most.
-    Open { most: u64 },
+    Open { max_tokens: u64 },
     /// Granted; the turn may run.
-    Granted { most: u64 },
+    Granted { max_tokens: u64 },
     /// The proxy knows what was given, the machines may not.
-    Ended { most: u64, given: u64 },
+    Ended {
+        max_tokens: u64,
+        delivered_tokens: u64,
+    },
     /// A quorum knows since `at` what was given.
-    Settled { most: u64, given: u64, at: Duration },
+    Settled {
+        max_tokens: u64,
+        delivered_tokens: u64,
+        at: Duration,
+    },
 }
 
 impl Attempt {
-    fn given(self) -> u64 {
+    fn delivered_tokens(self) -> u64 {
         match self {
             Attempt::Open { .. } => 0,
-            Attempt::Granted { most } => most,
-            Attempt::Ended { given, .. } | Attempt::Settled { given, .. } => given,
+            Attempt::Granted { max_tokens } => max_tokens,
+            Attempt::Ended {
+                delivered_tokens, ..
+            }
+            | Attempt::Settled {
+                delivered_tokens, ..
+            } => delivered_tokens,
         }
     }
 
     /// What it may count for in an answer to a request that was sent at `sent`.
     fn at_most(self, sent: Duration) -> u64 {
         match self {
-            Attempt::Settled { given, at, .. } if at <= sent => given,
-            Attempt::Open { most }
-            | Attempt::Granted { most }
-            | Attempt::Ended { most, .. }
-            | Attempt::Settled { most, .. } => most,
+            Attempt::Settled {
+                delivered_tokens,
+                at,
+                ..
+            } if at <= sent => delivered_tokens,
+            Attempt::Open { max_tokens }
+            | Attempt::Granted { max_tokens }
+            | Attempt::Ended { max_tokens, .. }
+            | Attempt::Settled { max_tokens, .. } => max_tokens,
         }
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     /// Turns whose answer ended whole.
     pub acknowledged: BTreeMap<TurnKey, TurnRecord>,
     attempts: BTreeMap<String, BTreeMap<u64, Attempt>>,
 }
 
 impl Oracle {
-    pub fn attempt(&mut self, program: &str, id: u64, state: Attempt) {
+    pub(crate) fn attempt(&mut self, program: &str, id: u64, state: Attempt) {
         self.attempts
             .entry(program.to_owned())
             .or_default()
@@ -56,17 +72,17 @@
     }
 
     /// A reservation was granted: what was given and may still be given must fit.
-    pub fn granted(
+    pub(crate) fn granted(
         &mut self,
         program: &str,
         id: u64,
-        most: u64,
+        max_tokens: u64,
         budget: u64,
     ) -> Result<(), String> {
-        self.attempt(program, id, Attempt::Granted { most });
+        self.attempt(program, id, Attempt::Granted { max_tokens });
         let total: u64 = self.attempts[program]
             .values()
-            .map(|attempt| attempt.given())
+            .map(|attempt| attempt.delivered_tokens())
             .sum();
         if total > budget {
             return Err(format!(
@@ -77,27 +93,27 @@
     }
 
     /// A reservation was refused: with everything open at its most it must not fit.
-    pub fn refused(
+    pub(crate) fn refused(
         &self,
         program: &str,
         id: u64,
-        (most, budget): (u64, u64),
+        (max_tokens, budget): (u64, u64),
         sent: Duration,
     ) -> Result<(), String> {
         let others = self.attempts[program]
             .iter()
             .filter(|(other, _)| **other != id);
         let total: u64 = others.map(|(_, attempt)| attempt.at_most(sent)).sum();
-        if total + most <= budget {
+        if total + max_tokens <= budget {
             return Err(format!(
-                "turn of {program} refused though {total} + {most} fit {budget}"
+                "turn of {program} refused though {total} + {max_tokens} fit {budget}"
             ));
         }
         Ok(())
     }
 
     /// A chain was read: it must be the acknowledged turn and all its ancestors.
-    pub fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
+    pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
         let mut next = Some(newest.clone());
         for turn in chain {
             let Some(key) = next else {
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use woadreach_storage::message::{Answer, Fence, Operation, Request};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request};
 use woadreach_storage::operation::Write;
-use woadreach_storage::quorum::{Need, Quorum};
+use woadreach_storage::quorum::{Quorum, QuorumKind};
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, TurnKey};
 
 /// Number of a job of a proxy.
-pub type JobId = u64;
+pub(crate) type JobId = u64;
 
 /// What a job is for.
 #[derive(Debug, Clone)]
-pub enum Purpose {
+pub(crate) enum Purpose {
     Reserve {
         program: usize,
         id: u64,
@@ -24,12 +24,12 @@
         program: usize,
         id: u64,
         turn: TurnRecord,
-        given: u64,
+        delivered_tokens: u64,
     },
     Settle {
         program: usize,
         id: u64,
-        given: u64,
+        delivered_tokens: u64,
     },
     Read {
         key: TurnKey,
@@ -38,13 +38,13 @@
 }
 
 /// Progress of a job.
-pub enum Work {
+pub(crate) enum Work {
     Write(Write),
     Read(Read),
 }
 
 /// A chain that is being read, newest first.
-pub struct Read {
+pub(crate) struct Read {
     pub chain: Vec<TurnRecord>,
     pub next: TurnKey,
     pub phase: ReadPhase,
@@ -56,19 +56,19 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadPhase {
+pub(crate) enum ReadPhase {
     Group,
     Everywhere,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadFailure {
+pub(crate) enum ReadFailure {
     NotFound,
     Unavailable,
 }
 
 impl Read {
-    pub fn new(key: TurnKey) -> Read {
+    pub(crate) fn new(key: TurnKey) -> Read {
         Read {
             chain: Vec::new(),
             next: key,
@@ -84,7 +84,7 @@
     fn requests(&mut self, view: &StorageView, tolerated: usize) -> Vec<(StorageMember, Request)> {
         let (members, operation) = match self.phase {
             ReadPhase::Group => {
-                let quorum = Quorum::new(view, &self.next.program, tolerated, Need::Read);
+                let quorum = Quorum::new(view, &self.next.program, tolerated, QuorumKind::Read);
                 let (program, request_id) =
                     (self.next.program.clone(), self.next.request_id.clone());
                 (
@@ -107,14 +107,14 @@
         self.all_answered = !members.is_empty();
         self.waiting = members.iter().map(|member| member.disk).collect();
         let request = |member: StorageMember| {
-            let fence = Fence {
+            let fencing_token = FencingToken {
                 epoch: view.epoch,
                 disk: member.disk,
             };
             (
                 member,
                 Request {
-                    fence,
+                    fencing_token,
                     operation: operation.clone(),
                 },
             )
@@ -158,7 +158,7 @@
     }
 }
 
-pub struct Job {
+pub(crate) struct Job {
     pub purpose: Purpose,
     pub work: Work,
     pub deadline: Duration,
@@ -167,14 +167,18 @@
     pub reported: bool,
 }
 
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub view: Arc<StorageView>,
     pub jobs: BTreeMap<JobId, Job>,
 }
 
 impl Proxy {
     /// Requests to be sent now for a job: to all that have not answered.
-    pub fn requests(&mut self, job: JobId, tolerated: usize) -> Vec<(StorageMember, Request)> {
+    pub(crate) fn requests(
+        &mut self,
+        job: JobId,
+        tolerated: usize,
+    ) -> Vec<(StorageMember, Request)> {
         let view = Arc::clone(&self.view);
         let Some(job) = self.jobs.get_mut(&job) else {
             return Vec::new();
@@ -190,14 +194,14 @@
                     .iter()
                     .filter(|member| !job.answered.contains(&member.disk));
                 let request = |member: &StorageMember| {
-                    let fence = Fence {
+                    let fencing_token = FencingToken {
                         epoch: write.epoch(),
                         disk: member.disk,
                     };
                     (
                         member.clone(),
                         Request {
-                            fence,
+                            fencing_token,
                             operation: write.operation().clone(),
                         },
                     )
@@ -209,7 +213,7 @@
     }
 
     /// Round of a job's requests.
-    pub fn round(&self, job: JobId) -> u64 {
+    pub(crate) fn round(&self, job: JobId) -> u64 {
         match self.jobs.get(&job).map(|job| &job.work) {
             Some(Work::Read(read)) => read.round,
             _ => 0,
@@ -217,7 +221,7 @@
     }
 
     /// Takes an answer; whether the job's requests should be sent at once.
-    pub fn answered(
+    pub(crate) fn answered(
         &mut self,
         id: JobId,
         (epoch, round): (u64, u64),
@@ -240,7 +244,7 @@
                     if epoch == write.epoch() {
                         job.answered.insert(disk);
                     }
-                    write.answered(epoch, disk, answer);
+                    write.record_answer(epoch, disk, answer);
                     false
                 }
             },
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of a machine whose process is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub(crate) enum Stop {
     /// It comes back with its disk; the slot counts it as lost until then.
     Roll(usize),
     /// It is taken away together with its disk.
@@ -25,7 +25,7 @@
 
 impl World {
     /// Begins planned work as soon as no loss counts.
-    pub fn draw_planned_work(&mut self) {
+    pub(crate) fn draw_planned_work(&mut self) {
         if self.now > self.end_of_faults {
             return;
         }
@@ -67,7 +67,7 @@
     }
 
     /// Tells a process to stop.
-    pub fn stop(&mut self, index: usize, stop: Stop) {
+    pub(crate) fn stop(&mut self, index: usize, stop: Stop) {
         let machine = &self.machines[index];
         if !machine.is_up() || machine.stop.is_some() {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// Lets a process end that may, or must.
-    pub fn check_stop(&mut self, index: usize, incarnation: u64) {
+    pub(crate) fn check_stop(&mut self, index: usize, incarnation: u64) {
         let machine = &self.machines[index];
         if machine.incarnation != incarnation || machine.process.is_none() {
             return;
@@ -113,7 +113,7 @@
         } else {
             LEAVE_TIMEOUT
         };
-        if waited >= limit || (!machine.frozen && self.may_end(index)) {
+        if waited >= limit || (!machine.frozen && self.may_shut_down(index)) {
             return self.end(index, stop);
         }
         self.after(POLL, Event::Fault(Fault::CheckStop(index, incarnation)));
@@ -134,9 +134,9 @@
         }
     }
 
-    fn may_end(&self, index: usize) -> bool {
+    fn may_shut_down(&self, index: usize) -> bool {
         let process = self.machines[index].process.as_ref();
         self.mutation == Mutation::StopsAtOnce
-            || process.is_some_and(|process| process.member.may_end())
+            || process.is_some_and(|process| process.member.may_shut_down())
     }
 }
--- a/crates/tier/storage/tests/simulation/world.rs
+++ b/crates/tier/storage/tests/simulation/world.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use woadreach_journal::SimulatedDisk;
 use woadreach_storage::announce::Announcement;
-use woadreach_storage::message::{Answer, Fence, Operation, Request, Response, Settlement};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Response, Settlement};
 use woadreach_storage::operation::Write;
 use woadreach_storage::pull::{Pages, Pull};
 use woadreach_storage::turn::TurnRecord;
@@ -23,10 +23,10 @@
 
 /// Mutated bug.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mutation {
+pub(crate) enum Mutation {
     None,
     EndBeforeSync,
-    OneCopyTooFew,
+    OneReplicaTooFew,
     ReservationInMemory,
     JointEpochEndsEarly,
     WipedMachineCounts,
@@ -36,23 +36,23 @@
 }
 
 const MS: Duration = Duration::from_millis(1);
-const RESERVE_WITHIN: Duration = Duration::from_millis(600);
-const PUT_WITHIN: Duration = Duration::from_millis(2_000);
-const READ_WITHIN: Duration = Duration::from_millis(1_200);
-const TRIED_FOR: Duration = Duration::from_secs(8);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(600);
+const PUT_TIMEOUT: Duration = Duration::from_millis(2_000);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(8);
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-const RESEND: Duration = Duration::from_millis(150);
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 const START_OF_TRAFFIC: Duration = Duration::from_secs(3);
 /// After this the proxies' background tries have ended too.
 const SETTLED_AFTER: Duration = Duration::from_secs(12);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Endpoint {
+pub(crate) enum Endpoint {
     Machine(usize),
     Proxy(usize),
 }
 
-pub enum Event {
+pub(crate) enum Event {
     Request {
         to: usize,
         call: u64,
@@ -124,7 +124,7 @@
     last: Option<TurnKey>,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Duration,
     pub random: Rand64,
     pub mutation: Mutation,
@@ -154,7 +154,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, mutation: Mutation) -> World {
+    pub(crate) fn new(seed: u64, mutation: Mutation) -> World {
         let mut random = Rand64::new(u128::from(seed));
         let tolerated = if random.rand_range(0..5) == 0 { 2 } else { 1 };
         let machines = 2 * tolerated + 1 + random.rand_range(0..2) as usize;
@@ -214,8 +214,8 @@
         world
     }
 
-    pub fn run(mut self) -> Result<(), String> {
-        let end = self.end_of_faults + SETTLED_AFTER + READ_WITHIN * 2;
+    pub(crate) fn run(mut self) -> Result<(), String> {
+        let end = self.end_of_faults + SETTLED_AFTER + READ_TIMEOUT * 2;
         while let Some(Reverse((time, number))) = self.events.pop() {
             if time > end || self.violation.is_some() {
                 break;
@@ -233,21 +233,21 @@
         }
     }
 
-    pub fn chance(&mut self, one_in: u64) -> bool {
+    pub(crate) fn chance(&mut self, one_in: u64) -> bool {
         self.random.rand_range(0..one_in) == 0
     }
 
-    pub fn millis(&mut self, from: u64, to: u64) -> Duration {
+    pub(crate) fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_micros(self.random.rand_range(from * 1_000..to * 1_000))
     }
 
-    pub fn at(&mut self, time: Duration, event: Event) {
+    pub(crate) fn at(&mut self, time: Duration, event: Event) {
         let number = self.number();
         self.events.push(Reverse((time, number)));
         self.scheduled.insert(number, event);
     }
 
-    pub fn after(&mut self, delay: Duration, event: Event) {
+    pub(crate) fn after(&mut self, delay: Duration, event: Event) {
         self.at(self.now + delay, event);
     }
 
@@ -264,7 +264,7 @@
 
     // Machines
 
-    pub fn add_machine(&mut self) -> usize {
+    pub(crate) fn add_machine(&mut self) -> usize {
         let index = self.machines.len();
         let zone = self.random.rand_range(0..4);
         self.machines.push(Machine {
@@ -286,7 +286,7 @@
         index
     }
 
-    pub fn start_machine(&mut self, index: usize) {
+    pub(crate) fn start_machine(&mut self, index: usize) {
         if self.machines[index].removed || self.machines[index].process.is_some() {
             return;
         }
@@ -303,12 +303,12 @@
         self.disk_work(index);
     }
 
-    pub fn kill_machine(&mut self, index: usize, power: bool) {
+    pub(crate) fn kill_machine(&mut self, index: usize, power: bool) {
         self.machines[index].kill(&mut self.random, power);
         self.held.remove(&index);
     }
 
-    pub fn thaw(&mut self, index: usize) {
+    pub(crate) fn thaw(&mut self, index: usize) {
         self.machines[index].frozen = false;
         for event in self.held.remove(&index).unwrap_or_default() {
             self.after(Duration::ZERO, event);
@@ -330,7 +330,7 @@
         }
     }
 
-    pub fn unstall(&mut self, index: usize) {
+    pub(crate) fn unstall(&mut self, index: usize) {
         self.machines[index].stalled = false;
         self.disk_work(index);
     }
@@ -388,14 +388,14 @@
         if source.unsynced > 0 || source.done {
             return;
         }
-        let Some(operation) = source.pages.next(&node) else {
+        let Some(operation) = source.pages.next_request(&node) else {
             source.done = true;
-            pulling.progress.finished(disk);
+            pulling.progress.record_finished(disk);
             return self.check_pull(index);
         };
         let member = source.member.clone();
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation,
         };
         self.send(
@@ -418,7 +418,7 @@
         let Some(pulling) = process.pulling.as_mut() else {
             return;
         };
-        if pulling.finishing || !pulling.progress.complete() {
+        if pulling.finishing || !pulling.progress.is_complete() {
             return;
         }
         pulling.finishing = true;
@@ -446,7 +446,7 @@
         purpose: CallFor,
     ) {
         let call = self.number();
-        let (epoch, disk) = (request.fence.epoch, request.fence.disk);
+        let (epoch, disk) = (request.fencing_token.epoch, request.fencing_token.disk);
         self.calls.insert(
             call,
             Call {
@@ -494,7 +494,7 @@
     // Events
 
     /// Tells a step of the run, if `STORAGE_TRACE` is set.
-    pub fn trace(&self, text: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.traced {
             eprintln!("{:?} {}", self.now, text());
         }
@@ -517,7 +517,7 @@
         match event {
             Event::Request { to, call, request } => self.on_request(to, call, request),
             Event::Response { call, response } => self.on_response(call, response),
-            Event::Silence { call } => self.on_silence(call),
+            Event::Silence { call } => self.on_call_timeout(call),
             Event::SyncDone {
                 machine,
                 incarnation,
@@ -527,7 +527,7 @@
                 incarnation,
             } => self.on_announce(machine, incarnation),
             Event::Announced(announcement) if !self.core.frozen => {
-                self.core.heard(self.now, announcement)
+                self.core.record(self.now, announcement)
             }
             Event::Announced(_) => {}
             Event::Plan => self.on_plan(),
@@ -629,7 +629,7 @@
         }
     }
 
-    pub fn announce(&mut self, index: usize) {
+    pub(crate) fn announce(&mut self, index: usize) {
         if let Some(announcement) = self.machines[index].announcement()
             && !self.machines[index].cut_out
         {
@@ -677,13 +677,13 @@
         }
     }
 
-    pub fn propose(&mut self, view: StorageView) {
+    pub(crate) fn propose(&mut self, view: StorageView) {
         self.committing = true;
         let delay = self.millis(5, 40);
         self.after(delay, Event::Commit(view));
     }
 
-    pub fn is_committing(&self) -> bool {
+    pub(crate) fn is_committing(&self) -> bool {
         self.committing
     }
 
@@ -770,7 +770,7 @@
         }
     }
 
-    fn on_silence(&mut self, call: u64) {
+    fn on_call_timeout(&mut self, call: u64) {
         let Some(Call {
             purpose,
             epoch,
@@ -825,7 +825,7 @@
                 let view = process.member.view().clone();
                 let (address, incarnation) = (source.member.address, machine.incarnation);
                 let request = Request {
-                    fence: Fence { epoch, disk },
+                    fencing_token: FencingToken { epoch, disk },
                     operation: Operation::NewView { view },
                 };
                 let purpose = CallFor::Pull {
@@ -838,7 +838,7 @@
             answer => {
                 let records = source
                     .pages
-                    .answered(process.member.store(), answer)
+                    .accept_answer(process.member.store(), answer)
                     .unwrap_or_default();
                 let mut steps = Vec::new();
                 for program in records {
@@ -874,15 +874,15 @@
 
     fn start_write(&mut self, proxy: usize, purpose: Purpose, program: &str, operation: Operation) {
         let view = Arc::clone(&self.proxies[proxy].view);
-        let tolerated = if self.mutation == Mutation::OneCopyTooFew {
+        let tolerated = if self.mutation == Mutation::OneReplicaTooFew {
             self.tolerated - 1
         } else {
             self.tolerated
         };
         let within = match purpose {
-            Purpose::Reserve { .. } => RESERVE_WITHIN,
-            Purpose::Put { .. } => PUT_WITHIN,
-            _ => TRIED_FOR,
+            Purpose::Reserve { .. } => RESERVE_TIMEOUT,
+            Purpose::Put { .. } => PUT_TIMEOUT,
+            _ => RETRY_TIMEOUT,
         };
         let write = Write::new(&view, program.to_owned(), operation, tolerated);
         self.start_job(proxy, purpose, Work::Write(write), within);
@@ -890,7 +890,7 @@
 
     fn start_read(&mut self, proxy: usize, key: TurnKey, last: bool) {
         let work = Work::Read(Read::new(key.clone()));
-        self.start_job(proxy, Purpose::Read { key, last }, work, READ_WITHIN);
+        self.start_job(proxy, Purpose::Read { key, last }, work, READ_TIMEOUT);
     }
 
     fn send_job(&mut self, proxy: usize, job: JobId) {
@@ -909,7 +909,7 @@
             );
         }
         if is_write {
-            self.after(RESEND, Event::Resend { proxy, job });
+            self.after(RESEND_INTERVAL, Event::Resend { proxy, job });
         }
     }
 
@@ -922,7 +922,7 @@
         response: Option<Response>,
     ) {
         if let Some(known) = response.as_ref().map(|response| response.epoch) {
-            self.bring_view(proxy, disk, known);
+            self.send_newer_view(proxy, disk, known);
         }
         let answer = response.map(|response| response.answer);
         let again = self.proxies[proxy].answered(id, sent, disk, answer);
@@ -933,7 +933,7 @@
     }
 
     /// The client tells a machine the newer view.
-    fn bring_view(&mut self, proxy: usize, disk: u64, known_epoch: u64) {
+    fn send_newer_view(&mut self, proxy: usize, disk: u64, known_epoch: u64) {
         let view = Arc::clone(&self.proxies[proxy].view);
         if known_epoch < view.epoch
             && let Some(index) = self
@@ -982,7 +982,7 @@
         let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else {
             return;
         };
-        if job.reported || job.deadline + TRIED_FOR <= self.now {
+        if job.reported || job.deadline + RETRY_TIMEOUT <= self.now {
             self.proxies[proxy].jobs.remove(&id);
             return;
         }
@@ -993,7 +993,7 @@
         }
         job.reported = true;
         let purpose = job.purpose.clone();
-        self.after(TRIED_FOR, Event::Deadline { proxy, job: id });
+        self.after(RETRY_TIMEOUT, Event::Deadline { proxy, job: id });
         if let Purpose::Reserve { program, id } = purpose {
             self.settle(proxy, program, id, 0);
         }
@@ -1013,12 +1013,12 @@
             self.start_read(proxy, last, false);
         }
         let id = self.random.rand_u64();
-        let (name, most) = (self.programs[program].name.clone(), MOST);
-        self.oracle.attempt(&name, id, Attempt::Open { most });
+        let (name, max_tokens) = (self.programs[program].name.clone(), MAX_TOKENS);
+        self.oracle.attempt(&name, id, Attempt::Open { max_tokens });
         let operation = Operation::Reserve {
             program: name.clone(),
             reservation: id,
-            most,
+            max_tokens,
         };
         self.start_write(proxy, Purpose::Reserve { program, id }, &name, operation);
     }
@@ -1026,14 +1026,18 @@
     fn on_durable(&mut self, proxy: usize, job: JobId, purpose: Purpose) {
         match purpose {
             Purpose::Reserve { program, id } => self.on_reserved(proxy, job, program, id),
-            Purpose::Settle { program, id, given } => {
+            Purpose::Settle {
+                program,
+                id,
+                delivered_tokens,
+            } => {
                 let name = self.programs[program].name.clone();
                 self.oracle.attempt(
                     &name,
                     id,
                     Attempt::Settled {
-                        most: MOST,
-                        given,
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
                         at: self.now,
                     },
                 );
@@ -1042,15 +1046,15 @@
                 program,
                 id,
                 turn,
-                given,
+                delivered_tokens,
             } => {
                 let name = self.programs[program].name.clone();
                 self.oracle.attempt(
                     &name,
                     id,
                     Attempt::Settled {
-                        most: MOST,
-                        given,
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
                         at: self.now,
                     },
                 );
@@ -1076,16 +1080,16 @@
         else {
             return;
         };
-        let sent = *deadline - RESERVE_WITHIN;
-        let fits = write.reservation_fits(id, MOST, budget);
+        let sent = *deadline - RESERVE_TIMEOUT;
+        let fits = write.is_within_budget(id, MAX_TOKENS, budget);
         if fits {
-            let outcome = self.oracle.granted(&name, id, MOST, budget);
+            let outcome = self.oracle.granted(&name, id, MAX_TOKENS, budget);
             self.violated(outcome);
             self.final_fault_after_acknowledgement();
             let delay = self.millis(5, 400);
             self.after(delay, Event::EndOfTurn { proxy, program, id });
         } else {
-            let outcome = self.oracle.refused(&name, id, (MOST, budget), sent);
+            let outcome = self.oracle.refused(&name, id, (MAX_TOKENS, budget), sent);
             self.violated(outcome);
             self.settle(proxy, program, id, 0);
         }
@@ -1093,15 +1097,20 @@
 
     fn on_end_of_turn(&mut self, proxy: usize, program: usize, id: u64) {
         let name = self.programs[program].name.clone();
-        let given = self.random.rand_range(0..MOST + 1);
+        let delivered_tokens = self.random.rand_range(0..MAX_TOKENS + 1);
         match self.random.rand_range(0..20) {
             // The proxy is gone: the reservation stays at its most, and whatever it had under way ends.
             0 => {
-                self.oracle
-                    .attempt(&name, id, Attempt::Granted { most: MOST });
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Granted {
+                        max_tokens: MAX_TOKENS,
+                    },
+                );
                 self.crash_proxy(proxy);
             }
-            1 | 2 => self.settle(proxy, program, id, given),
+            1 | 2 => self.settle(proxy, program, id, delivered_tokens),
             _ => {
                 self.programs[program].turns += 1;
                 let turn = TurnRecord {
@@ -1115,11 +1124,17 @@
                     retention_ms: 60_000,
                     content: id.to_le_bytes().to_vec(),
                 };
-                self.oracle
-                    .attempt(&name, id, Attempt::Ended { most: MOST, given });
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Ended {
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
+                    },
+                );
                 let settlement = Some(Settlement {
                     reservation: id,
-                    given,
+                    delivered_tokens,
                 });
                 let operation = Operation::PutTurns {
                     program: name.clone(),
@@ -1132,7 +1147,7 @@
                         program,
                         id,
                         turn,
-                        given,
+                        delivered_tokens,
                     },
                     &name,
                     operation,
@@ -1154,20 +1169,30 @@
         );
     }
 
-    fn settle(&mut self, proxy: usize, program: usize, id: u64, given: u64) {
+    fn settle(&mut self, proxy: usize, program: usize, id: u64, delivered_tokens: u64) {
         let name = self.programs[program].name.clone();
-        self.oracle
-            .attempt(&name, id, Attempt::Ended { most: MOST, given });
+        self.oracle.attempt(
+            &name,
+            id,
+            Attempt::Ended {
+                max_tokens: MAX_TOKENS,
+                delivered_tokens,
+            },
+        );
         let operation = Operation::Settle {
             program: name.clone(),
             settlement: Settlement {
                 reservation: id,
-                given,
+                delivered_tokens,
             },
         };
         self.start_write(
             proxy,
-            Purpose::Settle { program, id, given },
+            Purpose::Settle {
+                program,
+                id,
+                delivered_tokens,
+            },
             &name,
             operation,
         );
@@ -1291,7 +1316,7 @@
 }
 
 /// The most that a turn generates.
-const MOST: u64 = 30;
+const MAX_TOKENS: u64 = 30;
 
 fn program(number: u64, random: &mut Rand64) -> Program {
     let budget = random.rand_range(60..1_500);
--- a/crates/tier/storage/tests/state.rs
+++ b/crates/tier/storage/tests/state.rs
@@ -7,7 +7,7 @@
 use woadreach_storage::budget::{Budget, Reservation};
 use woadreach_storage::cache::TurnCache;
 use woadreach_storage::member::{Member, Step};
-use woadreach_storage::message::{Answer, Fence, Operation, Request, Settlement};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Settlement};
 use woadreach_storage::store::Store;
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
@@ -69,8 +69,8 @@
             let step = member.handle(Duration::ZERO, put(&format!("turn-{id}"), u64::from(*id)));
             let Step::Persist { record, .. } = step else { return false };
             records.push(record);
-            let given = tokens.get(number).copied().unwrap_or(1);
-            let step = member.handle(Duration::ZERO, reserve(u64::from(given)));
+            let delivered_tokens = tokens.get(number).copied().unwrap_or(1);
+            let step = member.handle(Duration::ZERO, reserve(u64::from(delivered_tokens)));
             let Step::Persist { record, .. } = step else { return false };
             records.push(record);
             if number == compact_at % 8 {
@@ -95,7 +95,7 @@
 
 fn fenced(epoch: u64, operation: Operation) -> Request {
     Request {
-        fence: Fence { epoch, disk: 7 },
+        fencing_token: FencingToken { epoch, disk: 7 },
         operation,
     }
 }
@@ -103,7 +103,7 @@
 fn put(request_id: &str, reservation: u64) -> Request {
     let settlement = Some(Settlement {
         reservation,
-        given: 3,
+        delivered_tokens: 3,
     });
     let turns = vec![turn(request_id, None)];
     fenced(
@@ -122,7 +122,7 @@
         Operation::Reserve {
             program: "program".to_owned(),
             reservation,
-            most: 30,
+            max_tokens: 30,
         },
     )
 }
@@ -177,7 +177,7 @@
         Answer::DigestPage { .. }
     ));
     let mut other = reserve(1);
-    other.fence = Fence { epoch: 10, disk: 8 };
+    other.fencing_token = FencingToken { epoch: 10, disk: 8 };
     assert_eq!(
         answer(member.handle(Duration::ZERO, other)),
         Answer::WrongDisk
@@ -188,7 +188,7 @@
 fn a_view_that_the_disk_refused_is_sealed_when_it_comes_again() {
     let (mut member, _) = Member::create("store".to_owned(), 7, 1);
     assert!(member.learn_view(view(10, 7)).is_some());
-    let _ = member.failed();
+    let _ = member.persist_failed();
     let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else {
         panic!("no record")
     };
@@ -203,7 +203,7 @@
         member.handle(Duration::ZERO, reserve(1)),
         Step::Persist { .. }
     ));
-    let _ = member.failed();
+    let _ = member.persist_failed();
     let Step::Compact { pending, .. } = member.finish_pull(Duration::ZERO, 10) else {
         panic!("no snapshot")
     };
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -8,17 +8,17 @@
 use woadreach_journal::{Engine, SimulatedDisk, Synced};
 use woadreach_storage::announce::Announcement;
 use woadreach_storage::member::{Member, Step};
-use woadreach_storage::message::{Answer, Fence, Operation, Request, Response};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Response};
 use woadreach_storage::pull::Pull;
 use woadreach_storage::{StorageMember, StorageView};
 
 /// The only moment of the search.
 const NOW: Duration = Duration::ZERO;
-const MOST_BYTES: u64 = 1 << 20;
+const MAX_BYTES: u64 = 1 << 20;
 
 /// A machine in one life of its process. Its syncs are done at once.
 #[derive(Clone)]
-pub struct Machine {
+pub(crate) struct Machine {
     index: u8,
     pub member: Member,
     /// Records on the disk, oldest first.
@@ -34,7 +34,7 @@
 }
 
 fn empty_journal() -> Engine {
-    Engine::open(Box::new(SimulatedDisk::default()), MOST_BYTES)
+    Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES)
         .expect("an empty disk")
         .0
 }
@@ -49,7 +49,7 @@
     })
 }
 
-pub fn storage_member(index: u8, disk: u64) -> StorageMember {
+pub(crate) fn storage_member(index: u8, disk: u64) -> StorageMember {
     StorageMember {
         node: format!("store-{index}"),
         disk,
@@ -59,7 +59,7 @@
 }
 
 impl Machine {
-    pub fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
+    pub(crate) fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
         let (member, record) = Member::create(format!("store-{index}"), disk, tolerated);
         Machine {
             index,
@@ -71,7 +71,7 @@
     }
 
     /// The process starts again with what its disk has.
-    pub fn restart(&mut self, tolerated: usize) {
+    pub(crate) fn restart(&mut self, tolerated: usize) {
         let node = self.member.node().to_owned();
         self.member =
             Member::recover(NOW, node, tolerated, None, &self.records).expect("its own records");
@@ -79,15 +79,15 @@
         self.digest = None;
     }
 
-    pub fn identity(&self) -> StorageMember {
+    pub(crate) fn identity(&self) -> StorageMember {
         storage_member(self.index, self.member.disk())
     }
 
-    pub fn announcement(&self) -> Announcement {
+    pub(crate) fn announcement(&self) -> Announcement {
         Announcement {
             member: self.identity(),
             pulled_epoch: self.member.pulled_epoch(),
-            leaving: false,
+            shutting_down: false,
         }
     }
 
@@ -103,9 +103,9 @@
     }
 
     /// The answer to a request that was sent under `epoch` to `disk`.
-    pub fn ask(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
+    pub(crate) fn request(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation,
         };
         let step = self.member.handle(NOW, request);
@@ -115,9 +115,9 @@
     }
 
     /// The answer to a request that changes nothing.
-    pub fn look(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
+    pub(crate) fn read(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation,
         };
         match self.member.clone().handle(NOW, request) {
@@ -126,7 +126,7 @@
         }
     }
 
-    pub fn learn(&mut self, view: &StorageView, tolerated: usize) {
+    pub(crate) fn learn(&mut self, view: &StorageView, tolerated: usize) {
         if let Some(step) = self.member.learn_view(view.clone()) {
             let _ = self.finish(step);
             self.pull = Some(Pull::new(view, self.member.disk(), tolerated));
@@ -135,7 +135,10 @@
     }
 
     /// Everything that `source` has told is stored here.
-    pub fn store_pulled(&mut self, records: Vec<woadreach_storage::message::ProgramRecords>) {
+    pub(crate) fn store_pulled(
+        &mut self,
+        records: Vec<woadreach_storage::message::ProgramRecords>,
+    ) {
         for records in records {
             if let Some(step) = self.member.merge(NOW, records) {
                 let _ = self.finish(step);
@@ -145,14 +148,14 @@
     }
 
     /// A source is done; if that was the last one needed, the pull is finished.
-    pub fn finished_source(&mut self, disk: u64) {
+    pub(crate) fn finished_source(&mut self, disk: u64) {
         let Some(pull) = &mut self.pull else { return };
-        pull.finished(disk);
+        pull.record_finished(disk);
         self.finish_pull_if_complete();
     }
 
-    pub fn finish_pull_if_complete(&mut self) {
-        let Some(pull) = self.pull.as_ref().filter(|pull| pull.complete()) else {
+    pub(crate) fn finish_pull_if_complete(&mut self) {
+        let Some(pull) = self.pull.as_ref().filter(|pull| pull.is_complete()) else {
             return;
         };
         let epoch = pull.epoch();
@@ -171,18 +174,18 @@
         self.digest = None;
     }
 
-    pub fn has_digest(&self) -> bool {
+    pub(crate) fn has_digest(&self) -> bool {
         self.digest.is_some()
     }
 
-    pub fn compute_digest(&mut self) {
+    pub(crate) fn compute_digest(&mut self) {
         let mut hasher = DefaultHasher::new();
         self.member.snapshot(NOW).hash(&mut hasher);
         (self.member.pulled_epoch(), format!("{:?}", self.pull)).hash(&mut hasher);
         self.digest = Some(hasher.finish());
     }
 
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.digest.expect("computed at the end of each action")
     }
 }
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -21,14 +21,14 @@
     writes: 0,
 };
 
-fn world(most: Counts) -> World {
+fn world(max_counts: Counts) -> World {
     World {
         current: 3,
         machines: 3,
         tolerated: 1,
         mutated: Mutated::Nothing,
         is_coarse: true,
-        most,
+        max_counts,
         started: Instant::now(),
     }
 }
@@ -71,7 +71,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_and_a_write() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         wipes: 1,
         writes: 1,
@@ -79,7 +79,7 @@
     };
     let world = World {
         is_coarse: false,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a lost disk", world, 40), None);
 }
@@ -90,13 +90,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_second_disk_is_lost_after_the_repair() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 4,
         wipes: 2,
         writes: 1,
         ..NOTHING
     };
-    assert_eq!(search("two lost disks", world(most), 40), None);
+    assert_eq!(search("two lost disks", world(max_counts), 40), None);
 }
 
 #[test]
@@ -105,7 +105,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_machine_is_emptied_and_another_loses_its_disk() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         wipes: 1,
         retirements: 1,
@@ -115,7 +115,7 @@
     let world = World {
         current: 4,
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a retirement and a lost disk", world, 6), None);
 }
@@ -126,7 +126,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_machine_takes_the_place_of_a_silent_one() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         silences: 1,
         writes: 1,
@@ -135,7 +135,7 @@
     };
     let world = World {
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a replacement", world, 7), None);
 }
@@ -146,22 +146,22 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn machines_restart_in_a_joint_epoch() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         restarts: 2,
         wipes: 1,
         writes: 1,
         ..NOTHING
     };
-    assert_eq!(search("restarts", world(most), 12), None);
+    assert_eq!(search("restarts", world(max_counts), 12), None);
 }
 
 /// A machine joins while a turn is written.
-fn is_found(mutated: Mutated, most: Counts, actions: usize) -> bool {
+fn is_found(mutated: Mutated, max_counts: Counts, actions: usize) -> bool {
     let world = World {
         mutated,
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
     search(&format!("mutated: {mutated:?}"), world, actions).is_some()
 }
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -19,11 +19,11 @@
 const PROGRAM: &str = "program";
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Silence after which the core drops a machine whatever else happens.
-const LONG_SILENCE: Duration = Duration::from_secs(8);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What a mutated fault leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutated {
+pub(crate) enum Mutated {
     Nothing,
     /// A source serves pages before it refuses writes under the view before.
     Seal,
@@ -37,7 +37,7 @@
 
 /// One tier to search.
 #[derive(Clone)]
-pub struct World {
+pub(crate) struct World {
     /// Machines of the first view; one more that waits comes after them.
     pub current: u8,
     pub machines: u8,
@@ -46,13 +46,13 @@
     /// Whether the core hears each announcement at once, and a machine pulls from all sources that answer at
     /// once.
     pub is_coarse: bool,
-    pub most: Counts,
+    pub max_counts: Counts,
     pub started: Instant,
 }
 
 /// How often each thing has happened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub views: u8,
     pub wipes: u8,
     pub restarts: u8,
@@ -63,7 +63,7 @@
 
 /// A state of the tier.
 #[derive(Clone)]
-pub struct Tier {
+pub(crate) struct Tier {
     machines: Vec<Arc<Machine>>,
     /// The last announcement that the core has of each machine that is not silent.
     heard: Vec<Option<Announcement>>,
@@ -79,10 +79,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
+pub(crate) enum Action {
     Announce(u8),
     /// The core hears nothing more of a machine until it announces itself again.
-    FallSilent(u8),
+    StopResponding(u8),
     Plan,
     Retire(u8),
     Learn(u8),
@@ -195,12 +195,12 @@
 
     /// What the core knows of the machines: those that it hears announce themselves all the time.
     fn announcements(&self, world: &World) -> (Instant, Announcements) {
-        let end = world.started + LONG_SILENCE;
+        let end = world.started + UNRESPONSIVE_TIMEOUT;
         let mut now = world.started;
         let mut announcements = Announcements::new(now);
         while now <= end {
             for announcement in self.heard.iter().flatten() {
-                announcements.heard(now, announcement.clone());
+                announcements.record(now, announcement.clone());
             }
             now += ANNOUNCE_INTERVAL;
         }
@@ -222,7 +222,7 @@
     }
 
     /// The write under the view that the proxy knows, with the answers so far.
-    fn write_in_hand(&self, world: &World) -> Option<Write> {
+    fn write_in_flight(&self, world: &World) -> Option<Write> {
         let (request_id, answered) = self.write.as_ref()?;
         let mut view = self.views[self.proxy].clone();
         if world.mutated == Mutated::NextQuorum {
@@ -231,7 +231,7 @@
         let operation = put_operation(request_id);
         let mut write = Write::new(&view, PROGRAM.to_owned(), operation, world.tolerated);
         for disk in answered {
-            write.answered(view.epoch, *disk, Answer::Stored);
+            write.record_answer(view.epoch, *disk, Answer::Stored);
         }
         Some(write)
     }
@@ -248,7 +248,7 @@
     }
 
     fn put(&mut self, world: &World, index: u8) {
-        let Some(write) = self.write_in_hand(world) else {
+        let Some(write) = self.write_in_flight(world) else {
             return;
         };
         let (epoch, operation) = (write.epoch(), write.operation().clone());
@@ -257,7 +257,7 @@
             return;
         };
         let disk = member.disk;
-        let answer = self.machine(index).ask(epoch, disk, operation);
+        let answer = self.machine(index).request(epoch, disk, operation);
         if answer != Answer::Stored {
             return;
         }
@@ -270,7 +270,7 @@
         }
         let request_id = request_id.clone();
         if self
-            .write_in_hand(world)
+            .write_in_flight(world)
             .is_some_and(|write| write.is_durable())
         {
             self.acknowledged.push(request_id);
@@ -283,15 +283,15 @@
         let node = self.machines[usize::from(to)].identity().node;
         let source = Arc::clone(&self.machines[usize::from(from)]);
         let mut pages = Pages::default();
-        while let Some(operation) = pages.next(&node) {
+        while let Some(operation) = pages.next_request(&node) {
             let epoch = if world.mutated == Mutated::Seal {
                 source.member.view().epoch
             } else {
                 epoch
             };
-            let answer = source.look(epoch, source.member.disk(), operation);
+            let answer = source.read(epoch, source.member.disk(), operation);
             let store = self.machines[usize::from(to)].member.store();
-            let Some(records) = pages.answered(store, answer) else {
+            let Some(records) = pages.accept_answer(store, answer) else {
                 return;
             };
             self.machine(to).store_pulled(records);
@@ -354,7 +354,7 @@
             };
             let answer = self
                 .holder(member)
-                .map(|machine| machine.look(view.epoch, member.disk, operation));
+                .map(|machine| machine.read(view.epoch, member.disk, operation));
             matches!(answer, Some(Answer::Found { programs }) if programs.is_empty())
         })
     }
@@ -411,13 +411,13 @@
         if tier.violation.is_some() {
             return;
         }
-        if tier.counts.views < self.most.views && tier.planned(self).is_some() {
+        if tier.counts.views < self.max_counts.views && tier.planned(self).is_some() {
             actions.push(Action::Plan);
         }
         if tier.proxy + 1 < tier.views.len() {
             actions.push(Action::ProxyLearns);
         }
-        if tier.write.is_none() && tier.counts.writes < self.most.writes {
+        if tier.write.is_none() && tier.counts.writes < self.max_counts.writes {
             actions.push(Action::Write);
         }
         let newest = tier.view().epoch;
@@ -427,8 +427,8 @@
             if heard.as_ref() != Some(&machine.announcement()) {
                 actions.push(Action::Announce(index));
             }
-            if heard.is_some() && tier.counts.silences < self.most.silences {
-                actions.push(Action::FallSilent(index));
+            if heard.is_some() && tier.counts.silences < self.max_counts.silences {
+                actions.push(Action::StopResponding(index));
             }
             if machine.member.view().epoch < newest {
                 actions.push(Action::Learn(index));
@@ -442,13 +442,13 @@
             } else if sources.next().is_some() {
                 actions.push(Action::PullFromAll(index));
             }
-            if tier.counts.restarts < self.most.restarts {
+            if tier.counts.restarts < self.max_counts.restarts {
                 actions.push(Action::Restart(index));
             }
-            if tier.counts.wipes < self.most.wipes && tier.may_lose(self, index) {
+            if tier.counts.wipes < self.max_counts.wipes && tier.may_lose(self, index) {
                 actions.push(Action::Wipe(index));
             }
-            if tier.counts.retirements < self.most.retirements {
+            if tier.counts.retirements < self.max_counts.retirements {
                 actions.push(Action::Retire(index));
             }
         }
@@ -461,7 +461,7 @@
                 let announcement = next.machines[usize::from(index)].announcement();
                 next.heard[usize::from(index)] = Some(announcement);
             }
-            Action::FallSilent(index) => {
+            Action::StopResponding(index) => {
                 next.counts.silences += 1;
                 next.heard[usize::from(index)] = None;
             }
@@ -513,9 +513,9 @@
             Action::Wipe(index) => {
                 next.counts.wipes += 1;
                 let fresh = 10 * u64::from(next.counts.wipes) + u64::from(index);
-                let kept = next.machines[usize::from(index)].member.disk();
+                let previous_disk = next.machines[usize::from(index)].member.disk();
                 let disk = if self.mutated == Mutated::Identity {
-                    kept
+                    previous_disk
                 } else {
                     fresh
                 };
