--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -1,4 +1,4 @@
-//! The core as storage sees it: hears announcements, plans, commits one view after the other.
+//! The core as storage sees it: receives announcements, plans, and commits one view after the other.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::view::{plan, retire};
 
-use super::world::Mutation;
+use super::mutation::Mutation;
 
 pub(crate) struct Core {
     base: Instant,
@@ -55,7 +55,7 @@
         )
     }
 
-    /// Takes an order to empty a machine; whether it was taken.
+    /// The view that an order to empty a machine leads to; `None` if the order is refused or repeated.
     pub(crate) fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
         retire(&self.committed, node, tolerated)
             .ok()
--- a/crates/tier/storage/tests/simulation/faults.rs
+++ b/crates/tier/storage/tests/simulation/faults.rs
@@ -4,8 +4,9 @@
 
 use woadreach_journal::DiskFault;
 
+use super::event::Event;
 use super::stops::Stop;
-use super::world::{Event, World};
+use super::world::World;
 
 /// After its return a machine still counts as lost for this long.
 pub(crate) const CATCH_UP: Duration = Duration::from_millis(4_100);
@@ -19,14 +20,14 @@
     Wipe(usize),
     Start(usize),
     Thaw(usize),
-    Joined(usize),
+    HealPartition(usize),
     HealDisk(usize),
     AddMachine,
     /// Begin planned work, if it may begin, and draw the time of the next.
     DrawPlanned,
-    /// The process is told to stop; then the machine is taken away, or comes back.
+    /// The process is asked to stop; then the machine is removed or restarted.
     Stop(usize, Stop),
-    /// A process that is being stopped looks whether it may end.
+    /// Check whether a process that is shutting down may exit.
     CheckStop(usize, u64),
     ThawCore,
     StartAll,
@@ -38,14 +39,14 @@
     pub(crate) fn on_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Draw => self.draw_fault(),
-            Fault::Kill(index) => self.take_down(index, false, false),
-            Fault::PowerLoss(index) => self.take_down(index, true, false),
-            Fault::Wipe(index) => self.take_down(index, true, true),
+            Fault::Kill(index) => self.stop_machine(index, false, false),
+            Fault::PowerLoss(index) => self.stop_machine(index, true, false),
+            Fault::Wipe(index) => self.stop_machine(index, true, true),
             Fault::Start(index) => self.start_machine(index),
             Fault::Thaw(index) => self.thaw(index),
-            Fault::Joined(index) => {
-                self.machines[index].cut_in = false;
-                self.machines[index].cut_out = false;
+            Fault::HealPartition(index) => {
+                self.machines[index].inbound_partitioned = false;
+                self.machines[index].outbound_partitioned = false;
             }
             Fault::HealDisk(index) => {
                 if self.machines[index].process.is_some() {
@@ -60,7 +61,7 @@
             Fault::Stop(index, stop) => self.stop(index, stop),
             Fault::CheckStop(index, incarnation) => self.check_stop(index, incarnation),
             Fault::ThawCore => self.core.frozen = false,
-            Fault::Final => self.strike_finally(),
+            Fault::Final => self.inject_final_fault(),
             Fault::StartAll => {
                 for index in 0..self.machines.len() {
                     self.start_machine(index);
@@ -75,7 +76,7 @@
         }
         let next = self.millis(200, 3_000);
         self.after(next, Event::Fault(Fault::Draw));
-        let kind = if self.churn {
+        let kind = if self.is_membership_run {
             self.random.rand_range(10..13)
         } else {
             self.random.rand_range(0..14)
@@ -85,12 +86,12 @@
             2 | 3 => self.lose_one(Fault::PowerLoss),
             4 | 5 => self.lose_one(Fault::Wipe),
             6 => self.freeze(),
-            7 | 8 => self.cut(),
+            7 | 8 => self.partition(),
             9 => self.fault_disk(),
             10 => self.replace(),
             11 => self.add(),
             12 => self.retire(),
-            _ => self.rare(),
+            _ => self.inject_rare_fault(),
         }
     }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Strikes after `delay`; the machine is back after a while.
+    /// Injects a fault after `delay`; the machine returns after a random time.
     fn lose(&mut self, slot: usize, index: usize, fault: Fault, delay: Duration) {
         let down = self.millis(100, 3_000);
         self.losses[slot] = self.now + delay + down + CATCH_UP;
@@ -128,16 +129,16 @@
         self.after(delay + down, Event::Fault(Fault::Start(index)));
     }
 
-    fn take_down(&mut self, index: usize, power: bool, wipe: bool) {
+    fn stop_machine(&mut self, index: usize, power: bool, wipe: bool) {
         self.kill_machine(index, power);
         if wipe {
             self.machines[index].disk.wipe();
         }
     }
 
-    /// Strikes right after an acknowledgement, as often as the run says.
-    pub(crate) fn after_acknowledgement(&mut self) {
-        if self.after_ack_share == 0 || !self.chance(self.after_ack_share) {
+    /// Injects a fault right after an acknowledgement, as often as the run draws.
+    pub(crate) fn maybe_fault_after_acknowledgement(&mut self) {
+        if self.acknowledgements_per_fault == 0 || !self.chance(self.acknowledgements_per_fault) {
             return;
         }
         if let Some((slot, index)) = self.choose_loss() {
@@ -160,14 +161,14 @@
         }
     }
 
-    fn cut(&mut self) {
+    fn partition(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
             let time = self.millis(100, 5_000);
             self.losses[slot] = self.now + time + CATCH_UP;
             let how = self.random.rand_range(0..3);
-            self.machines[index].cut_in = how != 0;
-            self.machines[index].cut_out = how != 1;
-            self.after(time, Event::Fault(Fault::Joined(index)));
+            self.machines[index].inbound_partitioned = how != 0;
+            self.machines[index].outbound_partitioned = how != 1;
+            self.after(time, Event::Fault(Fault::HealPartition(index)));
         }
     }
 
@@ -184,7 +185,7 @@
         }
     }
 
-    /// One machine is gone for good; an empty one comes at another address.
+    /// Removes one machine for good; an empty one joins at another address.
     fn replace(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
             let pause = self.millis(500, 2_500);
@@ -219,8 +220,8 @@
         }
     }
 
-    /// Machines whose order has succeeded are taken away at once; others may lose their disks right after.
-    pub(crate) fn emptied_machines_go(&mut self) {
+    /// Removes machines that were emptied, at once; another machine may lose its disk right after.
+    pub(crate) fn remove_retired_machines(&mut self) {
         for index in 0..self.machines.len() {
             let retired = self
                 .core
@@ -234,7 +235,7 @@
         }
     }
 
-    fn rare(&mut self) {
+    fn inject_rare_fault(&mut self) {
         if self.chance(2) {
             self.core.frozen = true;
             let time = self.millis(100, 3_000);
--- a/crates/tier/storage/tests/simulation/final_fault.rs
+++ b/crates/tier/storage/tests/simulation/final_fault.rs
@@ -1,40 +1,41 @@
 //! The worst fault of a day: all machines lose power at once, and as many as may be lost lose their disks.
 
+use super::event::Event;
 use super::faults::{CATCH_UP, Fault};
-use super::world::{Event, World};
+use super::world::World;
 
-/// One in so many acknowledgements is followed by the fault, until it has come.
-const ACKNOWLEDGEMENTS: u64 = 30;
+/// The fault follows an acknowledgement with a probability of one in this number.
+const ACKNOWLEDGEMENTS_PER_FAULT: u64 = 30;
 
 /// Whether and when a run has a final fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FinalFault {
     /// The run has none.
     Never,
-    /// It comes after an acknowledgement.
-    ToCome,
-    /// It has come.
-    Over,
+    /// It is injected after an acknowledgement.
+    Pending,
+    /// It was injected.
+    Injected,
 }
 
 impl World {
     /// A run that has a final fault beside the ordinary ones.
     pub(crate) fn with_final_fault(mut self) -> World {
-        self.final_fault = FinalFault::ToCome;
+        self.final_fault = FinalFault::Pending;
         self
     }
 
-    /// A turn or a reservation was acknowledged: at times the fault follows within a few milliseconds.
-    pub(crate) fn final_fault_after_acknowledgement(&mut self) {
-        if self.final_fault == FinalFault::ToCome && self.chance(ACKNOWLEDGEMENTS) {
-            self.final_fault = FinalFault::Over;
+    /// After some acknowledgements of a turn or a reservation, injects the fault within a few milliseconds.
+    pub(crate) fn maybe_final_fault_after_acknowledgement(&mut self) {
+        if self.final_fault == FinalFault::Pending && self.chance(ACKNOWLEDGEMENTS_PER_FAULT) {
+            self.final_fault = FinalFault::Injected;
             let delay = self.millis(0, 4);
             self.after(delay, Event::Fault(Fault::Final));
         }
     }
 
-    /// Machines that are lost already take up a part of the tolerated number.
-    pub(crate) fn strike_finally(&mut self) {
+    /// Stops all machines and wipes as many disks as may still be lost beside the machines that are lost already.
+    pub(crate) fn inject_final_fault(&mut self) {
         let lost = self
             .losses
             .iter()
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -11,12 +11,12 @@
 use woadreach_storage::pull::{Pages, Pull};
 use woadreach_storage::{StorageMember, StorageView};
 
+use super::mutation::Mutation;
 use super::stops::Stop;
-use super::world::Mutation;
 
 const MAX_BYTES: u64 = 64 << 20;
 
-/// Whom an answer is for.
+/// Receiver of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Caller {
     /// A call over the network.
@@ -27,7 +27,7 @@
     Nobody,
 }
 
-/// Something that waits for the disk.
+/// A record that waits for a sync, and the answer that depends on it.
 pub(crate) struct Waiting {
     record: Record,
     pending: Pending,
@@ -74,9 +74,10 @@
     pub incarnation: u64,
     pub process: Option<Process>,
     pub frozen: bool,
-    /// Cut off from other machines, from here or to here.
-    pub cut_out: bool,
-    pub cut_in: bool,
+    /// Requests and announcements of this machine are lost.
+    pub outbound_partitioned: bool,
+    /// Requests and views for this machine are lost.
+    pub inbound_partitioned: bool,
     pub stalled: bool,
     pub removed: bool,
     /// How the process is being stopped, and since when.
@@ -272,7 +273,7 @@
     }
 }
 
-/// A receipt for something else than the record.
+/// A receipt for a sync of another disk.
 fn receipt_of_another_disk() -> Synced {
     let (mut engine, _) = Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES).unwrap();
     engine.commit(&[Vec::new()]).unwrap()
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -1,22 +1,26 @@
 //! Whole storage tier on simulated time, with a simulated disk at every sync, against an oracle.
 //!
 //! One run draws a deployment, programs that take turns through several proxies, and faults within the
-//! tolerated number: kills, losses of power, wiped disks, freezes, cuts, replaced, added and retired
+//! tolerated number: kills, losses of power, wiped disks, freezes, partitions, replaced, added and retired
 //! machines.
 //! The oracle knows what was acknowledged: no such turn may be missing or differ, no budget may be overspent,
 //! and no turn that fits may be refused.
 
 mod core;
+mod event;
 mod faults;
 mod final_fault;
 mod machine;
+mod mutation;
 mod oracle;
 mod proxy;
 mod stops;
 mod world;
 
 use parking_lot::Mutex;
-use world::{Mutation, World};
+
+use self::mutation::Mutation;
+use self::world::World;
 
 /// Seeds of an ordinary test run; `STORAGE_SEEDS` plays more.
 const SEEDS: u64 = 300;
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn one_copy_too_few_is_found() {
+fn one_replica_too_few_is_found() {
     assert_found(Mutation::OneReplicaTooFew, 0);
 }
 
@@ -148,6 +152,6 @@
 }
 
 #[test]
-fn a_machine_that_ends_as_soon_as_it_is_told_to_stop_is_found() {
-    assert_found(Mutation::StopsAtOnce, 0);
+fn a_machine_that_exits_without_waiting_for_others_is_found() {
+    assert_found(Mutation::ExitsAtOnce, 0);
 }
--- a/crates/tier/storage/tests/simulation/oracle.rs
+++ b/crates/tier/storage/tests/simulation/oracle.rs
@@ -6,19 +6,19 @@
 use woadreach_storage::TurnKey;
 use woadreach_storage::turn::TurnRecord;
 
-/// State of one try to reserve.
+/// State of one attempt to reserve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Attempt {
-    /// Sent, or given up without a durable withdrawal: counts at its most.
+    /// Sent, or abandoned without a durable withdrawal: counts at its upper bound.
     Open { max_tokens: u64 },
     /// Granted; the turn may run.
     Granted { max_tokens: u64 },
-    /// The proxy knows what was given, the machines may not.
+    /// The proxy knows the tokens delivered; the machines may not.
     Ended {
         max_tokens: u64,
         delivered_tokens: u64,
     },
-    /// A quorum knows since `at` what was given.
+    /// A quorum has known the tokens delivered since `at`.
     Settled {
         max_tokens: u64,
         delivered_tokens: u64,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// What it may count for in an answer to a request that was sent at `sent`.
-    fn at_most(self, sent: Duration) -> u64 {
+    /// Tokens that it may count for, at most, in an answer to a request sent at `sent`.
+    fn max_counted_tokens(self, sent: Duration) -> u64 {
         match self {
             Attempt::Settled {
                 delivered_tokens,
@@ -58,7 +58,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
-    /// Turns whose answer ended whole.
+    /// Turns that were acknowledged as durable.
     pub acknowledged: BTreeMap<TurnKey, TurnRecord>,
     attempts: BTreeMap<String, BTreeMap<u64, Attempt>>,
 }
@@ -71,7 +71,7 @@
             .insert(id, state);
     }
 
-    /// A reservation was granted: what was given and may still be given must fit.
+    /// Checks a granted reservation: tokens that were and may still be delivered must fit into the budget.
     pub(crate) fn granted(
         &mut self,
         program: &str,
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// A reservation was refused: with everything open at its most it must not fit.
+    /// Checks a refused reservation: with all open ones at their upper bound it must not fit.
     pub(crate) fn refused(
         &self,
         program: &str,
@@ -103,7 +103,9 @@
         let others = self.attempts[program]
             .iter()
             .filter(|(other, _)| **other != id);
-        let total: u64 = others.map(|(_, attempt)| attempt.at_most(sent)).sum();
+        let total: u64 = others
+            .map(|(_, attempt)| attempt.max_counted_tokens(sent))
+            .sum();
         if total + max_tokens <= budget {
             return Err(format!(
                 "turn of {program} refused though {total} + {max_tokens} fit {budget}"
@@ -112,7 +114,7 @@
         Ok(())
     }
 
-    /// A chain was read: it must be the acknowledged turn and all its ancestors.
+    /// Checks a chain that was read: it must be the acknowledged turn and all its ancestors.
     pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
         let mut next = Some(newest.clone());
         for turn in chain {
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -13,6 +13,13 @@
 /// Number of a job of a proxy.
 pub(crate) type JobId = u64;
 
+/// Epoch and round under which a request was sent, by which late answers are told from current ones.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct SentUnder {
+    pub epoch: u64,
+    pub round: u64,
+}
+
 /// What a job is for.
 #[derive(Debug, Clone)]
 pub(crate) enum Purpose {
@@ -33,7 +40,7 @@
     },
     Read {
         key: TurnKey,
-        last: bool,
+        is_final: bool,
     },
 }
 
@@ -122,8 +129,8 @@
         members.into_iter().map(request).collect()
     }
 
-    /// Takes an answer, or silence; whether the next phase begins.
-    fn answered(&mut self, round: u64, disk: u64, answer: Option<Answer>) -> bool {
+    /// Records an answer, or `None` for a time-out. Returns whether the next phase begins.
+    fn record_answer(&mut self, round: u64, disk: u64, answer: Option<Answer>) -> bool {
         if round != self.round || !self.waiting.remove(&disk) {
             return false;
         }
@@ -158,15 +165,17 @@
     }
 }
 
+/// One write or read of a proxy.
 pub(crate) struct Job {
     pub purpose: Purpose,
     pub work: Work,
     pub deadline: Duration,
     pub answered: BTreeSet<u64>,
-    /// The outcome was told; only machines that missed it are still tried.
+    /// The outcome was reported; the write is only retried for machines that missed it.
     pub reported: bool,
 }
 
+/// A proxy with the view that it knows and its jobs in flight.
 pub(crate) struct Proxy {
     pub view: Arc<StorageView>,
     pub jobs: BTreeMap<JobId, Job>,
@@ -220,11 +229,11 @@
         }
     }
 
-    /// Takes an answer; whether the job's requests should be sent at once.
-    pub(crate) fn answered(
+    /// Records an answer. Returns whether the job's requests should be sent again at once.
+    pub(crate) fn record_answer(
         &mut self,
         id: JobId,
-        (epoch, round): (u64, u64),
+        sent: SentUnder,
         disk: u64,
         answer: Option<Answer>,
     ) -> bool {
@@ -241,14 +250,16 @@
                 Some(Answer::Stale { .. }) => write.epoch() < self.view.epoch,
                 Some(Answer::Failed) | None => false,
                 Some(answer) => {
-                    if epoch == write.epoch() {
+                    if sent.epoch == write.epoch() {
                         job.answered.insert(disk);
                     }
-                    write.record_answer(epoch, disk, answer);
+                    write.record_answer(sent.epoch, disk, answer);
                     false
                 }
             },
-            Work::Read(read) => read.answered(round, disk, answer) && read.outcome.is_none(),
+            Work::Read(read) => {
+                read.record_answer(sent.round, disk, answer) && read.outcome.is_none()
+            }
         }
     }
 }
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -1,25 +1,27 @@
-//! Processes that are told to stop, as the driver of the storage role does it.
+//! Graceful shutdown of storage processes, as the driver of the storage role does it.
 
 use std::time::Duration;
 
+use super::event::Event;
 use super::faults::{CATCH_UP, Fault};
-use super::world::{Event, Mutation, World};
+use super::mutation::Mutation;
+use super::world::World;
 
-/// From the order to stop to the kill.
+/// Time between the order to stop and the kill.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// Longest wait of a process for the others to do without its disk.
+/// How long a process waits at most for the others to do without its disk.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// How often a process looks whether it may end.
-const POLL: Duration = Duration::from_millis(50);
-/// From the end of a process to its next start.
-const RESTART: Duration = Duration::from_millis(1_000);
+/// Interval between two checks of whether a process may exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between the exit of a process and its next start.
+const RESTART_DELAY: Duration = Duration::from_millis(1_000);
 
 /// What becomes of a machine whose process is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stop {
     /// It comes back with its disk; the slot counts it as lost until then.
     Roll(usize),
-    /// It is taken away together with its disk.
+    /// It is removed together with its disk.
     Remove,
 }
 
@@ -61,12 +63,12 @@
     /// A process is stopped and comes back.
     fn roll_one(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
-            self.losses[slot] = self.now + GRACE_PERIOD + RESTART + CATCH_UP;
+            self.losses[slot] = self.now + GRACE_PERIOD + RESTART_DELAY + CATCH_UP;
             self.stop(index, Stop::Roll(slot));
         }
     }
 
-    /// Tells a process to stop.
+    /// Asks a process to stop.
     pub(crate) fn stop(&mut self, index: usize, stop: Stop) {
         let machine = &self.machines[index];
         if !machine.is_up() || machine.stop.is_some() {
@@ -98,7 +100,7 @@
         others > 2 * self.tolerated
     }
 
-    /// Lets a process end that may, or must.
+    /// Ends a process that may exit, or that has waited as long as it may.
     pub(crate) fn check_stop(&mut self, index: usize, incarnation: u64) {
         let machine = &self.machines[index];
         if machine.incarnation != incarnation || machine.process.is_none() {
@@ -116,7 +118,10 @@
         if waited >= limit || (!machine.frozen && self.may_shut_down(index)) {
             return self.end(index, stop);
         }
-        self.after(POLL, Event::Fault(Fault::CheckStop(index, incarnation)));
+        self.after(
+            POLL_INTERVAL,
+            Event::Fault(Fault::CheckStop(index, incarnation)),
+        );
     }
 
     fn end(&mut self, index: usize, stop: Stop) {
@@ -124,8 +129,8 @@
         match stop {
             Stop::Roll(slot) => {
                 self.kill_machine(index, false);
-                self.losses[slot] = self.now + RESTART + CATCH_UP;
-                self.after(RESTART, Event::Fault(Fault::Start(index)));
+                self.losses[slot] = self.now + RESTART_DELAY + CATCH_UP;
+                self.after(RESTART_DELAY, Event::Fault(Fault::Start(index)));
             }
             Stop::Remove => {
                 self.remove(index);
@@ -136,7 +141,7 @@
 
     fn may_shut_down(&self, index: usize) -> bool {
         let process = self.machines[index].process.as_ref();
-        self.mutation == Mutation::StopsAtOnce
+        self.mutation == Mutation::ExitsAtOnce
             || process.is_some_and(|process| process.member.may_shut_down())
     }
 }
--- /dev/null
+++ b/crates/tier/storage/tests/simulation/world/final_reads.rs
@@ -0,0 +1,89 @@
+//! Checks at the end of a run, when no fault is left: every acknowledged turn is readable and replicated.
+
+use std::sync::Arc;
+
+use woadreach_storage::TurnKey;
+
+use super::super::machine::{Machine, Process, Source};
+use super::World;
+
+impl World {
+    /// Requires every acknowledged turn to be readable and on enough machines, now that no fault is left.
+    pub(super) fn on_final_reads(&mut self) {
+        for proxy in &mut self.proxies {
+            proxy.view = Arc::new(self.core.committed.clone());
+        }
+        if self.core.committed.next.is_some() {
+            let waits = format!(
+                "joint epoch does not end: {:?}; {}",
+                self.core.committed,
+                self.describe()
+            );
+            return self.record_check(Err(waits));
+        }
+        let keys: Vec<TurnKey> = self.oracle.acknowledged.keys().cloned().collect();
+        for key in keys {
+            let replicas = self.replica_count(&key);
+            if replicas <= self.tolerated {
+                self.record_check(Err(format!("turn {key:?} has only {replicas} replicas")));
+            }
+            self.start_read(0, key, true);
+        }
+    }
+
+    /// Machines in one line, for the message of a violation.
+    fn describe(&self) -> String {
+        let line = |machine: &Machine| {
+            let process = machine.process.as_ref();
+            let view =
+                process.map(|process| (process.member.view().epoch, process.member.pulled_epoch()));
+            let sources = process
+                .and_then(|process| process.pulling.as_ref())
+                .map(|pulling| {
+                    let source =
+                        |source: &Source| (source.member.disk, source.unsynced, source.done);
+                    (
+                        pulling.progress.epoch(),
+                        pulling.sources.iter().map(source).collect::<Vec<_>>(),
+                    )
+                });
+            let faults = (
+                machine.inbound_partitioned,
+                machine.outbound_partitioned,
+                machine.frozen,
+                machine.stalled,
+                machine.removed,
+            );
+            format!(
+                "{} {:x} {view:?} {sources:?} {faults:?}",
+                machine.node, machine.identity
+            )
+        };
+        self.machines
+            .iter()
+            .map(line)
+            .collect::<Vec<_>>()
+            .join("; ")
+    }
+
+    fn replica_count(&self, key: &TurnKey) -> usize {
+        let members = &self.core.committed.current;
+        let processes = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.process.as_ref());
+        let counted = processes.filter(|process| {
+            members
+                .iter()
+                .any(|member| member.disk == process.member.disk())
+        });
+        let has = |process: &&Process| {
+            !process
+                .member
+                .store()
+                .chain(&key.program, &key.request_id, usize::MAX)
+                .is_empty()
+        };
+        counted.filter(has).count()
+    }
+}
--- /dev/null
+++ b/crates/tier/storage/tests/simulation/world/turns.rs
@@ -0,0 +1,268 @@
+//! Workload: programs that reserve, take and settle turns.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use oorandom::Rand64;
+use woadreach_storage::TurnKey;
+use woadreach_storage::message::{Operation, Settlement};
+use woadreach_storage::turn::TurnRecord;
+
+use super::super::event::{Endpoint, Event};
+use super::super::oracle::Attempt;
+use super::super::proxy::{Job, JobId, Purpose, ReadFailure, Work};
+use super::World;
+use super::jobs::RESERVE_TIMEOUT;
+
+/// Upper bound of the tokens that one turn generates.
+const MAX_TOKENS: u64 = 30;
+/// How long a crashed proxy takes to come back and learn the view.
+const PROXY_RESTART: Duration = Duration::from_millis(200);
+
+/// A program and its last durable turn.
+pub(super) struct Program {
+    name: String,
+    budget: u64,
+    turns: u64,
+    last: Option<TurnKey>,
+}
+
+impl Program {
+    /// A program with a random budget.
+    pub(super) fn draw(number: u64, random: &mut Rand64) -> Program {
+        let budget = random.rand_range(60..1_500);
+        Program {
+            name: format!("program-{number}"),
+            budget,
+            turns: 0,
+            last: None,
+        }
+    }
+}
+
+impl World {
+    pub(super) fn on_turn(&mut self) {
+        if self.now > self.end_of_faults {
+            return;
+        }
+        let delay = self.millis(10, 250);
+        self.after(delay, Event::Turn);
+        let program = self.random.rand_range(0..self.programs.len() as u64) as usize;
+        let proxy = self.random.rand_range(0..self.proxies.len() as u64) as usize;
+        if let Some(last) = self.programs[program].last.clone() {
+            self.start_read(proxy, last, false);
+        }
+        let id = self.random.rand_u64();
+        let (name, max_tokens) = (self.programs[program].name.clone(), MAX_TOKENS);
+        self.oracle.attempt(&name, id, Attempt::Open { max_tokens });
+        let operation = Operation::Reserve {
+            program: name.clone(),
+            reservation: id,
+            max_tokens,
+        };
+        self.start_write(proxy, Purpose::Reserve { program, id }, &name, operation);
+    }
+
+    pub(super) fn on_durable(&mut self, proxy: usize, job: JobId, purpose: Purpose) {
+        match purpose {
+            Purpose::Reserve { program, id } => self.on_reserved(proxy, job, program, id),
+            Purpose::Settle {
+                program,
+                id,
+                delivered_tokens,
+            } => {
+                let name = self.programs[program].name.clone();
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Settled {
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
+                        at: self.now,
+                    },
+                );
+            }
+            Purpose::Put {
+                program,
+                id,
+                turn,
+                delivered_tokens,
+            } => {
+                let name = self.programs[program].name.clone();
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Settled {
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
+                        at: self.now,
+                    },
+                );
+                self.programs[program].last = Some(turn.key());
+                self.oracle.acknowledged.insert(turn.key(), turn);
+                self.maybe_fault_after_acknowledgement();
+                self.maybe_final_fault_after_acknowledgement();
+            }
+            Purpose::Read { .. } => {}
+        }
+    }
+
+    fn on_reserved(&mut self, proxy: usize, job: JobId, program: usize, id: u64) {
+        let (name, budget) = (
+            self.programs[program].name.clone(),
+            self.programs[program].budget,
+        );
+        let Some(Job {
+            work: Work::Write(write),
+            deadline,
+            ..
+        }) = self.proxies[proxy].jobs.get(&job)
+        else {
+            return;
+        };
+        let sent = *deadline - RESERVE_TIMEOUT;
+        let fits = write.is_within_budget(id, MAX_TOKENS, budget);
+        if fits {
+            let outcome = self.oracle.granted(&name, id, MAX_TOKENS, budget);
+            self.record_check(outcome);
+            self.maybe_final_fault_after_acknowledgement();
+            let delay = self.millis(5, 400);
+            self.after(delay, Event::TurnEnded { proxy, program, id });
+        } else {
+            let outcome = self.oracle.refused(&name, id, (MAX_TOKENS, budget), sent);
+            self.record_check(outcome);
+            self.settle(proxy, program, id, 0);
+        }
+    }
+
+    pub(super) fn on_turn_ended(&mut self, proxy: usize, program: usize, id: u64) {
+        let name = self.programs[program].name.clone();
+        let delivered_tokens = self.random.rand_range(0..MAX_TOKENS + 1);
+        match self.random.rand_range(0..20) {
+            // The proxy crashes: the reservation stays at its upper bound, and its jobs end.
+            0 => {
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Granted {
+                        max_tokens: MAX_TOKENS,
+                    },
+                );
+                self.crash_proxy(proxy);
+            }
+            1 | 2 => self.settle(proxy, program, id, delivered_tokens),
+            _ => {
+                self.programs[program].turns += 1;
+                let turn = TurnRecord {
+                    program: name.clone(),
+                    session: "session".to_owned(),
+                    request_id: format!("{name}-{}", self.programs[program].turns),
+                    previous: self.programs[program]
+                        .last
+                        .as_ref()
+                        .map(|key| key.request_id.clone()),
+                    retention_ms: 60_000,
+                    content: id.to_le_bytes().to_vec(),
+                };
+                self.oracle.attempt(
+                    &name,
+                    id,
+                    Attempt::Ended {
+                        max_tokens: MAX_TOKENS,
+                        delivered_tokens,
+                    },
+                );
+                let settlement = Some(Settlement {
+                    reservation: id,
+                    delivered_tokens,
+                });
+                let operation = Operation::PutTurns {
+                    program: name.clone(),
+                    turns: vec![turn.clone()],
+                    settlement,
+                };
+                self.start_write(
+                    proxy,
+                    Purpose::Put {
+                        program,
+                        id,
+                        turn,
+                        delivered_tokens,
+                    },
+                    &name,
+                    operation,
+                );
+            }
+        }
+    }
+
+    fn crash_proxy(&mut self, proxy: usize) {
+        self.proxies[proxy].jobs.clear();
+        self.proxies[proxy].view = Arc::default();
+        let view = self.core.committed.clone();
+        self.after(
+            PROXY_RESTART,
+            Event::View {
+                to: Endpoint::Proxy(proxy),
+                view,
+            },
+        );
+    }
+
+    pub(super) fn settle(&mut self, proxy: usize, program: usize, id: u64, delivered_tokens: u64) {
+        let name = self.programs[program].name.clone();
+        self.oracle.attempt(
+            &name,
+            id,
+            Attempt::Ended {
+                max_tokens: MAX_TOKENS,
+                delivered_tokens,
+            },
+        );
+        let operation = Operation::Settle {
+            program: name.clone(),
+            settlement: Settlement {
+                reservation: id,
+                delivered_tokens,
+            },
+        };
+        self.start_write(
+            proxy,
+            Purpose::Settle {
+                program,
+                id,
+                delivered_tokens,
+            },
+            &name,
+            operation,
+        );
+    }
+
+    pub(super) fn on_read(
+        &mut self,
+        purpose: Purpose,
+        outcome: Result<(), ReadFailure>,
+        chain: &[TurnRecord],
+    ) {
+        let Purpose::Read { key, is_final } = purpose else {
+            return;
+        };
+        match outcome {
+            Ok(()) => {
+                let checked = self.oracle.read(&key, chain);
+                self.record_check(checked);
+            }
+            Err(ReadFailure::NotFound) => {
+                self.record_check(Err(format!(
+                    "acknowledged turn {key:?} is said not to exist"
+                )));
+            }
+            Err(ReadFailure::Unavailable) if is_final => {
+                self.record_check(Err(format!(
+                    "acknowledged turn {key:?} is out of reach though all is well"
+                )));
+            }
+            Err(ReadFailure::Unavailable) => {}
+        }
+    }
+}
