--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -134,7 +134,7 @@
         self.digest = None;
     }
 
-    /// Everything that `source` has told is stored here.
+    /// Stores records that were pulled from another machine.
     pub(crate) fn store_pulled(
         &mut self,
         records: Vec<woadreach_storage::message::ProgramRecords>,
@@ -147,7 +147,7 @@
         self.digest = None;
     }
 
-    /// A source is done; if that was the last one needed, the pull is finished.
+    /// Records that everything of one source is stored; finishes the pull if that was the last one needed.
     pub(crate) fn finished_source(&mut self, disk: u64) {
         let Some(pull) = &mut self.pull else { return };
         pull.record_finished(disk);
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -10,14 +10,14 @@
 
 use stateright::{Checker, HasDiscoveries, Model};
 
-use self::tier::{Counts, Mutated, World};
+use self::tier::{Counts, Mutation, World};
 
 const NOTHING: Counts = Counts {
     views: 0,
     wipes: 0,
     restarts: 0,
     retirements: 0,
-    silences: 0,
+    timeouts: 0,
     writes: 0,
 };
 
@@ -26,7 +26,7 @@
         current: 3,
         machines: 3,
         tolerated: 1,
-        mutated: Mutated::Nothing,
+        mutation: Mutation::None,
         is_coarse: true,
         max_counts,
         started: Instant::now(),
@@ -125,10 +125,10 @@
     debug_assertions,
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
-fn a_machine_takes_the_place_of_a_silent_one() {
+fn a_machine_replaces_an_unresponsive_one() {
     let max_counts = Counts {
         views: 2,
-        silences: 1,
+        timeouts: 1,
         writes: 1,
         wipes: 1,
         ..NOTHING
@@ -157,13 +157,13 @@
 }
 
 /// A machine joins while a turn is written.
-fn is_found(mutated: Mutated, max_counts: Counts, actions: usize) -> bool {
+fn is_found(mutation: Mutation, max_counts: Counts, actions: usize) -> bool {
     let world = World {
-        mutated,
+        mutation,
         machines: 4,
         ..world(max_counts)
     };
-    search(&format!("mutated: {mutated:?}"), world, actions).is_some()
+    search(&format!("mutation: {mutation:?}"), world, actions).is_some()
 }
 
 const JOIN: Counts = Counts {
@@ -178,7 +178,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn pages_before_the_seal_are_found() {
-    assert!(is_found(Mutated::Seal, JOIN, 17));
+    assert!(is_found(Mutation::Seal, JOIN, 17));
 }
 
 #[test]
@@ -187,7 +187,11 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    assert!(is_found(Mutated::Identity, Counts { wipes: 1, ..JOIN }, 17));
+    assert!(is_found(
+        Mutation::Identity,
+        Counts { wipes: 1, ..JOIN },
+        17
+    ));
 }
 
 #[test]
@@ -195,8 +199,8 @@
     debug_assertions,
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
-fn a_pull_that_is_not_whole_is_found() {
-    assert!(is_found(Mutated::Pull, Counts { wipes: 1, ..JOIN }, 17));
+fn an_incomplete_pull_is_found() {
+    assert!(is_found(Mutation::Pull, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
@@ -205,5 +209,5 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_write_without_the_next_quorum_is_found() {
-    assert!(is_found(Mutated::NextQuorum, JOIN, 20));
+    assert!(is_found(Mutation::NextQuorum, JOIN, 20));
 }
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -1,30 +1,32 @@
-//! The machines, the core's view of them, a proxy that writes, and what may happen next.
+//! A state of the tier: the machines, what the core knows of them, and a proxy that writes.
+
+mod model;
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use stateright::{Model, Property};
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::message::{Answer, Operation};
 use woadreach_storage::operation::Write;
 use woadreach_storage::placement::group;
 use woadreach_storage::pull::Pages;
 use woadreach_storage::turn::TurnRecord;
-use woadreach_storage::view::{plan, retire};
+use woadreach_storage::view::plan;
 use woadreach_storage::{StorageMember, StorageView};
 
-use super::machine::{Machine, storage_member};
+use super::machine::Machine;
 
 const PROGRAM: &str = "program";
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which the core drops a machine whatever else happens.
+/// Time without announcements after which the core drops a machine whatever else happens.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a mutated fault leaves out.
+/// A bug that is put into the tier, by what it leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mutated {
-    Nothing,
+pub(crate) enum Mutation {
+    /// The unchanged code.
+    None,
     /// A source serves pages before it refuses writes under the view before.
     Seal,
     /// A machine that lost its disk keeps its identity.
@@ -38,11 +40,11 @@
 /// One tier to search.
 #[derive(Clone)]
 pub(crate) struct World {
-    /// Machines of the first view; one more that waits comes after them.
+    /// Number of machines of the first view; those beyond it wait to join.
     pub current: u8,
     pub machines: u8,
     pub tolerated: usize,
-    pub mutated: Mutated,
+    pub mutation: Mutation,
     /// Whether the core hears each announcement at once, and a machine pulls from all sources that answer at
     /// once.
     pub is_coarse: bool,
@@ -57,7 +59,7 @@
     pub wipes: u8,
     pub restarts: u8,
     pub retirements: u8,
-    pub silences: u8,
+    pub timeouts: u8,
     pub writes: u8,
 }
 
@@ -65,8 +67,8 @@
 #[derive(Clone)]
 pub(crate) struct Tier {
     machines: Vec<Arc<Machine>>,
-    /// The last announcement that the core has of each machine that is not silent.
-    heard: Vec<Option<Announcement>>,
+    /// The last announcement that the core has of each machine; `None` for an unresponsive one.
+    last_announcements: Vec<Option<Announcement>>,
     /// Views that the core has committed, newest last.
     views: Vec<StorageView>,
     /// View that the proxy knows, as a position in `views`.
@@ -81,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
     Announce(u8),
-    /// The core hears nothing more of a machine until it announces itself again.
+    /// The core receives nothing more of a machine until it announces itself again.
     StopResponding(u8),
     Plan,
     Retire(u8),
@@ -104,7 +106,7 @@
         self.machines
             .iter()
             .for_each(|machine| machine.digest().hash(state));
-        format!("{:?} {:?}", self.heard, self.views.last()).hash(state);
+        format!("{:?} {:?}", self.last_announcements, self.views.last()).hash(state);
         (
             self.views.len(),
             self.proxy,
@@ -125,7 +127,7 @@
                 .collect::<Vec<_>>()
         };
         digests(self) == digests(other)
-            && self.heard == other.heard
+            && self.last_announcements == other.last_announcements
             && self.views == other.views
             && (self.proxy, &self.write, &self.acknowledged, self.counts)
                 == (other.proxy, &other.write, &other.acknowledged, other.counts)
@@ -147,7 +149,7 @@
     }
 }
 
-fn turn(request_id: &str) -> TurnRecord {
+fn turn_record(request_id: &str) -> TurnRecord {
     TurnRecord {
         program: PROGRAM.to_owned(),
         session: String::new(),
@@ -193,13 +195,13 @@
             .count()
     }
 
-    /// What the core knows of the machines: those that it hears announce themselves all the time.
+    /// What the core knows, if every responsive machine has announced itself at each interval.
     fn announcements(&self, world: &World) -> (Instant, Announcements) {
         let end = world.started + UNRESPONSIVE_TIMEOUT;
         let mut now = world.started;
         let mut announcements = Announcements::new(now);
         while now <= end {
-            for announcement in self.heard.iter().flatten() {
+            for announcement in self.last_announcements.iter().flatten() {
                 announcements.record(now, announcement.clone());
             }
             now += ANNOUNCE_INTERVAL;
@@ -207,9 +209,9 @@
         (end, announcements)
     }
 
-    /// Every machine that is not silent announces itself.
+    /// Every machine that is responsive announces itself.
     fn hear_all(&mut self) {
-        for (heard, machine) in self.heard.iter_mut().zip(&self.machines) {
+        for (heard, machine) in self.last_announcements.iter_mut().zip(&self.machines) {
             if heard.is_some() {
                 *heard = Some(machine.announcement());
             }
@@ -225,7 +227,7 @@
     fn write_in_flight(&self, world: &World) -> Option<Write> {
         let (request_id, answered) = self.write.as_ref()?;
         let mut view = self.views[self.proxy].clone();
-        if world.mutated == Mutated::NextQuorum {
+        if world.mutation == Mutation::NextQuorum {
             view.next = None;
         }
         let operation = put_operation(request_id);
@@ -236,7 +238,7 @@
         Some(write)
     }
 
-    /// Makes the state ready to be told from others.
+    /// Computes the digests by which the state is compared with others.
     fn compute_digests(&mut self) {
         for machine in self
             .machines
@@ -284,7 +286,7 @@
         let source = Arc::clone(&self.machines[usize::from(from)]);
         let mut pages = Pages::default();
         while let Some(operation) = pages.next_request(&node) {
-            let epoch = if world.mutated == Mutated::Seal {
+            let epoch = if world.mutation == Mutation::Seal {
                 source.member.view().epoch
             } else {
                 epoch
@@ -363,180 +365,7 @@
 fn put_operation(request_id: &str) -> Operation {
     Operation::PutTurns {
         program: PROGRAM.to_owned(),
-        turns: vec![turn(request_id)],
+        turns: vec![turn_record(request_id)],
         settlement: None,
     }
 }
-
-impl Model for World {
-    type State = Tier;
-    type Action = Action;
-
-    fn init_states(&self) -> Vec<Tier> {
-        let members = (0..self.current)
-            .map(|index| storage_member(index, u64::from(index) + 1))
-            .collect();
-        let view = StorageView {
-            epoch: 1,
-            current: members,
-            ..StorageView::default()
-        };
-        let machine = |index: u8| {
-            let mut machine = Machine::create(index, u64::from(index) + 1, self.tolerated);
-            if index < self.current {
-                machine.learn(&view, self.tolerated);
-            }
-            Arc::new(machine)
-        };
-        let machines: Vec<Arc<Machine>> = (0..self.machines).map(machine).collect();
-        // Those that wait have not announced themselves yet.
-        let heard = machines.iter().enumerate().map(|(index, machine)| {
-            (index < usize::from(self.current)).then(|| machine.announcement())
-        });
-        let mut tier = Tier {
-            heard: heard.collect(),
-            machines,
-            views: vec![view],
-            proxy: 0,
-            write: None,
-            acknowledged: Vec::new(),
-            counts: Counts::default(),
-            violation: None,
-        };
-        tier.compute_digests();
-        vec![tier]
-    }
-
-    fn actions(&self, tier: &Tier, actions: &mut Vec<Action>) {
-        if tier.violation.is_some() {
-            return;
-        }
-        if tier.counts.views < self.max_counts.views && tier.planned(self).is_some() {
-            actions.push(Action::Plan);
-        }
-        if tier.proxy + 1 < tier.views.len() {
-            actions.push(Action::ProxyLearns);
-        }
-        if tier.write.is_none() && tier.counts.writes < self.max_counts.writes {
-            actions.push(Action::Write);
-        }
-        let newest = tier.view().epoch;
-        for index in 0..self.machines {
-            let machine = &tier.machines[usize::from(index)];
-            let heard = &tier.heard[usize::from(index)];
-            if heard.as_ref() != Some(&machine.announcement()) {
-                actions.push(Action::Announce(index));
-            }
-            if heard.is_some() && tier.counts.silences < self.max_counts.silences {
-                actions.push(Action::StopResponding(index));
-            }
-            if machine.member.view().epoch < newest {
-                actions.push(Action::Learn(index));
-            }
-            if tier.write.is_some() {
-                actions.push(Action::Put(index));
-            }
-            let mut sources = (0..self.machines).filter(|&from| tier.can_pull(index, from));
-            if !self.is_coarse {
-                actions.extend(sources.map(|from| Action::Pull { to: index, from }));
-            } else if sources.next().is_some() {
-                actions.push(Action::PullFromAll(index));
-            }
-            if tier.counts.restarts < self.max_counts.restarts {
-                actions.push(Action::Restart(index));
-            }
-            if tier.counts.wipes < self.max_counts.wipes && tier.may_lose(self, index) {
-                actions.push(Action::Wipe(index));
-            }
-            if tier.counts.retirements < self.max_counts.retirements {
-                actions.push(Action::Retire(index));
-            }
-        }
-    }
-
-    fn next_state(&self, tier: &Tier, action: Action) -> Option<Tier> {
-        let mut next = tier.clone();
-        match action {
-            Action::Announce(index) => {
-                let announcement = next.machines[usize::from(index)].announcement();
-                next.heard[usize::from(index)] = Some(announcement);
-            }
-            Action::StopResponding(index) => {
-                next.counts.silences += 1;
-                next.heard[usize::from(index)] = None;
-            }
-            Action::Plan => {
-                next.counts.views += 1;
-                next.views.push(tier.planned(self)?);
-            }
-            Action::Retire(index) => {
-                let node = next.machines[usize::from(index)].identity().node;
-                let view = retire(next.view(), &node, self.tolerated).ok()?;
-                next.counts.retirements += 1;
-                next.views.push(view);
-            }
-            Action::Learn(index) => {
-                let view = next.view().clone();
-                let tolerated = self.tolerated;
-                next.machine(index).learn(&view, tolerated);
-                next.machine(index).finish_pull_if_complete();
-                if self.mutated == Mutated::Pull {
-                    let disk = next.machines[usize::from(index)].member.disk();
-                    let sources = view.current.iter().filter(|source| source.disk != disk);
-                    sources.for_each(|source| next.machine(index).finished_source(source.disk));
-                }
-            }
-            Action::ProxyLearns => {
-                next.proxy = next.views.len() - 1;
-                next.write
-                    .iter_mut()
-                    .for_each(|(_, answered)| answered.clear());
-            }
-            Action::Write => {
-                next.write = Some((format!("turn-{}", next.counts.writes), Vec::new()));
-                next.counts.writes += 1;
-            }
-            Action::Put(index) => next.put(self, index),
-            Action::Pull { to, from } => next.pull(self, to, from),
-            Action::PullFromAll(to) => {
-                for from in 0..self.machines {
-                    if next.can_pull(to, from) {
-                        next.pull(self, to, from);
-                    }
-                }
-            }
-            Action::Restart(index) => {
-                next.counts.restarts += 1;
-                let tolerated = self.tolerated;
-                next.machine(index).restart(tolerated);
-            }
-            Action::Wipe(index) => {
-                next.counts.wipes += 1;
-                let fresh = 10 * u64::from(next.counts.wipes) + u64::from(index);
-                let previous_disk = next.machines[usize::from(index)].member.disk();
-                let disk = if self.mutated == Mutated::Identity {
-                    previous_disk
-                } else {
-                    fresh
-                };
-                next.machines[usize::from(index)] =
-                    Arc::new(Machine::create(index, disk, self.tolerated));
-            }
-        }
-        if self.is_coarse {
-            next.hear_all();
-        }
-        next.compute_digests();
-        next.check(self);
-        (next != *tier).then_some(next)
-    }
-
-    fn properties(&self) -> Vec<Property<Self>> {
-        vec![
-            Property::<Self>::always("holds", |_, tier| tier.violation.is_none()),
-            Property::<Self>::sometimes("a joint epoch ends", |_, tier| {
-                tier.views.len() >= 3 && tier.view().next.is_none()
-            }),
-        ]
-    }
-}
