--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -1,4 +1,4 @@
-//! Storage machines tell the core that they are there, with which disk, and how far they have pulled.
+//! Announcements of the storage machines to the core: that they run, with which disk, and how far they have pulled.
 
 use std::collections::BTreeMap;
 use std::future::{Future, Ready, ready};
@@ -15,48 +15,48 @@
 
 /// Interval between two announcements of a machine.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Without any announcement for this long, the observer itself was frozen or cut off.
+/// Without any announcement for longer than this, the observer itself was frozen or partitioned.
 const MAX_OBSERVER_GAP: Duration = Duration::from_secs(1);
-/// Most machines that are remembered.
+/// Upper bound of the machines that an observer remembers.
 const MAX_MACHINES: usize = 4_096;
 
-/// What a storage machine tells.
+/// What a storage machine announces.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Announcement {
     /// The machine and its disk.
     pub member: StorageMember,
     /// Joint epoch for which everything has been pulled; 0 if none.
     pub pulled_epoch: u64,
-    /// The process is being stopped, and its disk may not come back.
+    /// Whether the process is shutting down; its disk may not come back.
     pub shutting_down: bool,
 }
 
-/// What is known of one storage machine.
+/// What one core machine has observed of a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineObservation {
     /// The machine and its disk.
     pub member: StorageMember,
     /// Joint epoch for which everything has been pulled; 0 if none.
     pub pulled_epoch: u64,
-    /// Its process is being stopped.
+    /// Whether the process is shutting down.
     pub shutting_down: bool,
-    /// When it was first heard.
+    /// When its first announcement arrived.
     pub first_heard: Instant,
-    /// When it was last heard.
+    /// When its latest announcement arrived.
     pub last_heard: Instant,
 }
 
-/// Announcements as one core machine has heard them.
+/// Announcements that one core machine has received.
 #[derive(Debug)]
 pub struct Announcements {
     observations: BTreeMap<String, MachineObservation>,
-    /// Since when this observer has been listening without a gap.
+    /// Since when this observer has received announcements without a gap.
     listening_since: Instant,
     last_heard_any: Instant,
 }
 
 impl Announcements {
-    /// An observer that starts to listen now.
+    /// An observer that starts to listen at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Announcements {
         Announcements {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes an announcement.
+    /// Records an announcement that arrived at `now`.
     pub fn record(&mut self, now: Instant, announcement: Announcement) {
         if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
             self.listening_since = now;
@@ -87,19 +87,19 @@
         self.observations.insert(node, observation);
     }
 
-    /// What is known of a machine.
+    /// What was observed of a machine; `None` if it has never announced itself.
     #[must_use]
     pub fn observation(&self, node: &str) -> Option<&MachineObservation> {
         self.observations.get(node)
     }
 
-    /// All machines that were ever heard.
+    /// All machines that have ever announced themselves.
     pub fn observations(&self) -> impl Iterator<Item = &MachineObservation> {
         self.observations.values()
     }
 
-    /// How long a machine has been silent while this observer was listening. An observer that has just
-    /// started, thawed or been cut off knows of no silence.
+    /// How long a machine has not announced itself while this observer was listening. It is zero for an observer
+    /// that has just started, was frozen or is partitioned: that observer knows of no unresponsive machine.
     #[must_use]
     pub fn unresponsive_for(&self, now: Instant, node: &str) -> Duration {
         if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Handler of announcements for a core machine's router. It answers whether that machine is in quorum now:
-/// a storage machine that hears only core machines that are cut off is cut off itself.
+/// Handler of announcements for a core machine's router. The answer says whether that machine is in quorum now:
+/// a storage machine that reaches only core machines out of quorum is partitioned itself.
 pub fn handler(
     announcements: Arc<Mutex<Announcements>>,
     is_in_quorum: impl Fn() -> bool + Send + Sync + 'static,
--- a/crates/tier/storage/src/budget.rs
+++ b/crates/tier/storage/src/budget.rs
@@ -1,20 +1,20 @@
 //! A program's budget: a set of reservations that only grows.
 //!
-//! A reservation is made at the most that a turn may generate and settled once, at what was given. Both are
-//! joins (`open < settled`), so copies at several machines can be merged in any order.
+//! A reservation is made for the tokens that a turn may generate at most, and settled once at the tokens delivered.
+//! Both are joins of a semilattice (`open < settled`), so replicas can be merged in any order.
 
 use std::collections::BTreeMap;
 
 use speedy::{Readable, Writable};
 
-/// What one turn counts for.
+/// Tokens that one turn counts for in its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct Reservation {
-    /// Number that the reserving process drew at random.
+    /// Random number drawn by the process that reserved.
     pub id: u64,
-    /// The most that the turn may generate while open; what was given once settled.
+    /// Upper bound of the tokens that the turn generates while open; the tokens delivered once settled.
     pub tokens: u64,
-    /// Whether the end of the turn is known.
+    /// Whether the number of tokens delivered is known.
     pub settled: bool,
 }
 
@@ -25,8 +25,8 @@
 }
 
 impl Budget {
-    /// Merges one reservation; returns whether anything changed. A settled one never changes, except that of
-    /// two different ends the larger counts.
+    /// Merges one reservation and returns whether anything changed. A settled one replaces an open one; of two
+    /// different settlements the larger counts.
     pub fn join(&mut self, reservation: Reservation) -> bool {
         let Some(known) = self.reservations.get_mut(&reservation.id) else {
             self.reservations.insert(reservation.id, reservation);
@@ -40,14 +40,14 @@
         newer
     }
 
-    /// Sum of what all turns count for, but for the reservation `own`.
+    /// Tokens of all reservations except `own`, saturating.
     #[must_use]
     pub fn sum_of_others(&self, own: u64) -> u64 {
         let others = self.reservations.values().filter(|entry| entry.id != own);
         others.fold(0, |sum, entry| sum.saturating_add(entry.tokens))
     }
 
-    /// All reservations, by number.
+    /// All reservations in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &Reservation> {
         self.reservations.values()
     }
@@ -58,7 +58,7 @@
         self.reservations.len()
     }
 
-    /// Whether no turn was ever reserved.
+    /// Whether there is no reservation.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty()
--- a/crates/tier/storage/src/cache.rs
+++ b/crates/tier/storage/src/cache.rs
@@ -1,4 +1,4 @@
-//! Durable turns that a proxy has seen, so that it seldom has to ask.
+//! Cache of the durable turns that a proxy has seen, so that it seldom reads from the storage machines.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -6,17 +6,24 @@
 
 use crate::turn::{Turn, TurnKey};
 
-/// Turns by name, bounded in bytes; the oldest give way.
+/// A cached turn and when it expires.
+#[derive(Debug)]
+struct CachedKey {
+    expires: Duration,
+    key: TurnKey,
+}
+
+/// Turns by key, bounded in bytes. The oldest are evicted first.
 #[derive(Debug)]
 pub struct TurnCache {
     turns: HashMap<TurnKey, Arc<Turn>>,
-    order: VecDeque<(Duration, TurnKey)>,
+    order: VecDeque<CachedKey>,
     bytes: usize,
     max_bytes: usize,
 }
 
 impl TurnCache {
-    /// An empty cache.
+    /// An empty cache of at most `max_bytes`.
     #[must_use]
     pub fn new(max_bytes: usize) -> TurnCache {
         TurnCache {
@@ -35,14 +42,14 @@
         let size = turn.size();
         if self.turns.insert(key.clone(), turn).is_none() {
             self.bytes += size;
-            self.order.push_back((expires, key));
+            self.order.push_back(CachedKey { expires, key });
         }
         while self.bytes > self.max_bytes {
             self.remove_oldest();
         }
     }
 
-    /// The turn and its ancestors, newest first, as far as they are here.
+    /// The turn and its ancestors, newest first, up to the first that is not cached.
     #[must_use]
     pub fn chain(&self, newest: &TurnKey) -> Vec<Arc<Turn>> {
         let mut chain: Vec<Arc<Turn>> = Vec::new();
@@ -60,7 +67,7 @@
         chain
     }
 
-    /// Bytes of all turns, roughly.
+    /// Approximate bytes of all turns.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
@@ -70,14 +77,14 @@
         while self
             .order
             .front()
-            .is_some_and(|(expires, _)| *expires <= now)
+            .is_some_and(|oldest| oldest.expires <= now)
         {
             self.remove_oldest();
         }
     }
 
     fn remove_oldest(&mut self) {
-        if let Some((_, key)) = self.order.pop_front()
+        if let Some(CachedKey { key, .. }) = self.order.pop_front()
             && let Some(turn) = self.turns.remove(&key)
         {
             self.bytes -= turn.size();
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -1,4 +1,4 @@
-//! Reading a chain: from the cache, the nearest machine of the group, the others, and at last all machines.
+//! Reading a chain: from the cache, the nearest machine of the group, the others of the group, then all machines.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,20 +14,21 @@
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::{StorageMember, StorageView};
 
-/// How long a chain may take.
+/// How long reading a chain may take.
 const CHAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long one try waits for a machine's answer.
+/// How long one attempt waits for a machine's answer.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// When the next machine is asked beside one that has not answered.
+/// Time without an answer after which a hedged request goes to the next machine.
 const HEDGE_DELAY: Duration = Duration::from_millis(50);
-/// Pause before everything is asked again.
+/// Interval between two searches of all machines.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What asking all machines of a group came to.
+/// Result of a search.
 enum Search {
     Found(Vec<TurnRecord>),
-    /// Nobody of those that answered has it; whether all have answered.
-    Nowhere {
+    /// No machine that answered has the turn.
+    NotFound {
+        /// Whether all machines have answered.
         all_answered: bool,
     },
 }
@@ -38,20 +39,20 @@
         let mut chain = Vec::new();
         let mut next = Some(newest);
         while let Some(key) = next {
-            let mut part = self.shared.cache.lock().chain(&key);
-            if part.is_empty() {
-                part = self.fetch_chain(&key, deadline, chain.is_empty()).await?;
+            let mut segment = self.shared.cache.lock().chain(&key);
+            if segment.is_empty() {
+                segment = self.fetch_segment(&key, deadline, chain.is_empty()).await?;
             }
-            next = part.last().and_then(|oldest| oldest.previous.clone());
-            chain.extend(part);
+            next = segment.last().and_then(|oldest| oldest.previous.clone());
+            chain.extend(segment);
         }
         chain.reverse();
         Ok(chain)
     }
 
-    /// A part of the chain from the machines, newest first. Only the newest turn may turn out not to exist:
-    /// a missing ancestor is out of reach.
-    async fn fetch_chain(
+    /// Reads a segment of the chain from the machines, newest first. Only the newest turn can be reported as not found:
+    /// a missing ancestor is unavailable.
+    async fn fetch_segment(
         &self,
         key: &TurnKey,
         deadline: Instant,
@@ -60,13 +61,15 @@
         while Instant::now() < deadline {
             let view = self.view();
             match self.search_group(&view, key, deadline).await {
-                Search::Found(records) => return Ok(self.remember(records)),
-                Search::Nowhere { .. } if !is_newest => {}
-                Search::Nowhere { .. } => {
-                    match self.search_everywhere(&view, key, deadline).await {
-                        Search::Found(records) => return Ok(self.remember(records)),
-                        Search::Nowhere { all_answered: true } => return Err(ChainError::NotFound),
-                        Search::Nowhere {
+                Search::Found(records) => return Ok(self.cache_records(records)),
+                Search::NotFound { .. } if !is_newest => {}
+                Search::NotFound { .. } => {
+                    match self.search_all_machines(&view, key, deadline).await {
+                        Search::Found(records) => return Ok(self.cache_records(records)),
+                        Search::NotFound { all_answered: true } => {
+                            return Err(ChainError::NotFound);
+                        }
+                        Search::NotFound {
                             all_answered: false,
                         } => {}
                     }
@@ -77,7 +80,7 @@
         Err(ChainError::Unavailable)
     }
 
-    fn remember(&self, records: Vec<TurnRecord>) -> Vec<Arc<Turn>> {
+    fn cache_records(&self, records: Vec<TurnRecord>) -> Vec<Arc<Turn>> {
         let now = self.now();
         let mut cache = self.shared.cache.lock();
         let turns: Vec<Arc<Turn>> = records
@@ -91,7 +94,8 @@
         turns
     }
 
-    /// Asks the machines of the program's groups, the nearest first, the next ones when it is slow.
+    /// Reads from the machines of the program's groups, those of the own zone first, with hedged requests to the next
+    /// ones.
     async fn search_group(&self, view: &StorageView, key: &TurnKey, deadline: Instant) -> Search {
         let mut members = self.group_members(view, &key.program);
         members.sort_by_key(|member| member.zone != self.shared.zone);
@@ -100,31 +104,31 @@
             request_id: key.request_id.clone(),
         };
         let request = EncodedRequest::new(view.epoch, &operation);
-        let mut waiting = members.into_iter();
-        let mut asked = JoinSet::new();
+        let mut remaining = members.into_iter();
+        let mut requests = JoinSet::new();
         let mut all_answered = true;
         loop {
-            if let Some(member) = waiting.next() {
+            if let Some(member) = remaining.next() {
                 let (client, request) = (self.clone(), request.clone());
-                asked.spawn(
+                requests.spawn(
                     async move { client.exchange(&member, &request, ATTEMPT_TIMEOUT).await },
                 );
-            } else if asked.is_empty() {
-                return Search::Nowhere { all_answered };
+            } else if requests.is_empty() {
+                return Search::NotFound { all_answered };
             }
-            let hedge_at = if waiting.len() > 0 {
+            let hedge_at = if remaining.len() > 0 {
                 Instant::now() + HEDGE_DELAY
             } else {
                 deadline
             };
-            match timeout_at(hedge_at.min(deadline), asked.join_next()).await {
+            match timeout_at(hedge_at.min(deadline), requests.join_next()).await {
                 Ok(Some(Ok(Ok(Answer::Chain { turns })))) if !turns.is_empty() => {
                     return Search::Found(turns);
                 }
                 Ok(Some(Ok(Ok(Answer::Chain { .. })))) | Ok(None) => {}
                 Ok(Some(_)) => all_answered = false,
                 Err(_) if Instant::now() >= deadline => {
-                    return Search::Nowhere {
+                    return Search::NotFound {
                         all_answered: false,
                     };
                 }
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Asks every machine whether any program has the turn.
-    async fn search_everywhere(
+    /// Searches every machine for a program that has the turn.
+    async fn search_all_machines(
         &self,
         view: &StorageView,
         key: &TurnKey,
@@ -144,13 +148,14 @@
             request_id: key.request_id.clone(),
         };
         let request = EncodedRequest::new(view.epoch, &operation);
-        let mut asked = JoinSet::new();
+        let mut requests = JoinSet::new();
         for member in view.members() {
             let (client, request, member) = (self.clone(), request.clone(), member.clone());
-            asked.spawn(async move { client.exchange(&member, &request, ATTEMPT_TIMEOUT).await });
+            requests
+                .spawn(async move { client.exchange(&member, &request, ATTEMPT_TIMEOUT).await });
         }
-        let mut all_answered = !asked.is_empty();
-        while let Ok(Some(answer)) = timeout_at(deadline, asked.join_next()).await {
+        let mut all_answered = !requests.is_empty();
+        while let Ok(Some(answer)) = timeout_at(deadline, requests.join_next()).await {
             match answer {
                 Ok(Ok(Answer::Found { programs })) => {
                     if let Some(program) = programs.into_iter().next() {
@@ -164,8 +169,8 @@
                 _ => all_answered = false,
             }
         }
-        Search::Nowhere {
-            all_answered: all_answered && asked.is_empty(),
+        Search::NotFound {
+            all_answered: all_answered && requests.is_empty(),
         }
     }
 
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -9,7 +9,7 @@
 use crate::message::{Answer, FencingToken, Operation, Request, Response, decode, encode};
 use crate::view::StorageMember;
 
-/// Place of the disk's identity in an encoded request: after the version and the epoch.
+/// Offset of the disk's identity in an encoded request: after the version and the epoch.
 const DISK_OFFSET: usize = 9;
 
 /// A request that was encoded once for all machines of a group.
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Bytes of the request.
+    /// Length of the request in bytes.
     pub(super) fn len(&self) -> usize {
         self.bytes.len()
     }
@@ -42,7 +42,7 @@
 }
 
 impl StorageClient {
-    /// Sends a request and reads the answer; brings views up to date on both sides.
+    /// Sends a request and reads the answer. Whichever side has the older view gets the newer one.
     pub(super) async fn exchange(
         &self,
         member: &StorageMember,
@@ -63,7 +63,7 @@
         Ok(response.answer)
     }
 
-    /// Tells a machine the newer view.
+    /// Sends the newer view to a machine that knows an older one.
     fn send_newer_view(&self, member: &StorageMember, known_epoch: u64) {
         let view = self.view();
         if known_epoch < view.epoch {
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -25,16 +25,16 @@
 use self::peers::UnresponsivePeers;
 pub use self::reservation::ReservationGuard;
 
-/// Memory for turns that were seen.
+/// Upper bound of the cache of turns.
 const CACHE_BYTES: usize = 16 << 20;
 /// How long a reservation may take.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a turn may take to become durable.
 const PUT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a withdrawal is waited for before the refusal is told.
+/// How long a refusal waits for the withdrawal of its reservation.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Tokens that a turn may generate.
+/// A request to reserve the tokens of a turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReserveRequest {
     /// Program that takes the turn.
@@ -43,7 +43,7 @@
     pub request_id: String,
     /// Tokens that the program's turns may generate together.
     pub budget: u64,
-    /// The most that this turn may generate.
+    /// Upper bound of the tokens that this turn generates.
     pub max_tokens: u64,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ReserveError {
-    /// The turn does not fit into what is left of the budget. Nothing stays reserved for it.
+    /// The turn does not fit into the remaining budget. Nothing stays reserved for it.
     #[snafu(display("the budget is spent"))]
     Spent,
     /// No quorum of storage machines has answered in time.
@@ -64,11 +64,11 @@
 #[snafu(display("no quorum of storage machines in reach"))]
 pub struct Unavailable;
 
-/// Why a chain cannot be given.
+/// Why a chain cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ChainError {
-    /// Every machine that could hold the turn says that there is none.
+    /// Every machine that could hold the turn has answered that it does not.
     #[snafu(display("no such turn"))]
     NotFound,
     /// Not all machines that could hold it were in reach.
@@ -90,12 +90,12 @@
     view: watch::Sender<Arc<StorageView>>,
     cache: Mutex<TurnCache>,
     random: Mutex<Rand64>,
-    silent: Mutex<UnresponsivePeers>,
+    unresponsive: Mutex<UnresponsivePeers>,
 }
 
 impl StorageClient {
-    /// A client that knows no view yet. Machines of `own_zone` are read first; `tolerated` machines may be
-    /// lost at once.
+    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated` machines may be lost at
+    /// once.
     #[must_use]
     pub fn new(rpc: Client, own_zone: String, tolerated: usize) -> StorageClient {
         let (view, _) = watch::channel(Arc::new(StorageView::default()));
@@ -108,14 +108,14 @@
             view,
             cache: Mutex::new(TurnCache::new(CACHE_BYTES)),
             random: Mutex::new(Rand64::new(seed)),
-            silent: Mutex::default(),
+            unresponsive: Mutex::default(),
         };
         StorageClient {
             shared: Arc::new(shared),
         }
     }
 
-    /// Takes a view unless a newer one is known.
+    /// Sets the view unless a newer one is known.
     pub fn set_view(&self, view: Arc<StorageView>) {
         self.shared.view.send_if_modified(|known| {
             let newer = view.epoch > known.epoch;
@@ -126,13 +126,14 @@
         });
     }
 
-    /// The newest view that is known.
+    /// The newest view that this client knows.
     #[must_use]
     pub fn view(&self) -> Arc<StorageView> {
         self.shared.view.borrow().clone()
     }
 
-    /// Reserves what a turn may generate, durably, before it is sent on. Cancelling this withdraws it.
+    /// Reserves the tokens of a turn durably, before the request is forwarded. Dropping the future withdraws the
+    /// reservation.
     ///
     /// # Errors
     /// See [`ReserveError`].
@@ -195,7 +196,7 @@
         Ok(())
     }
 
-    /// The chain that a new turn goes on from, oldest first.
+    /// The chain that a new turn continues, oldest first.
     ///
     /// # Errors
     /// See [`ChainError`].
@@ -211,7 +212,7 @@
         self.read_chain(key).await
     }
 
-    /// Turns of another program that `turn` goes on from, to be stored in its own program's group.
+    /// Ancestors of `turn` from another program, to be stored in its own program's group.
     async fn adopted_ancestors(&self, turn: &Turn) -> Result<Vec<TurnRecord>, Unavailable> {
         let Some(previous) = &turn.previous else {
             return Ok(Vec::new());
@@ -247,7 +248,7 @@
     }
 }
 
-/// A number that no other process draws, from the standard library's source of randomness and `salt`.
+/// A random number that no other process draws, from the standard library's randomness, the clock and `salt`.
 #[must_use]
 pub fn random_number(salt: &str) -> u64 {
     let mut hasher = RandomState::new().build_hasher();
--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/peers.rs
@@ -1,12 +1,12 @@
-//! Writes under way to each storage machine.
+//! Writes in flight to each storage machine, with their reattempts.
 //!
-//! A machine that fails to answer gets one request at a time until it answers again; what it misses meanwhile
-//! waits in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
+//! A machine that fails to answer gets one request at a time until it answers again. The writes that it misses
+//! meanwhile wait in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
 //!
 //! ```text
-//! answering -> silent     a try fails; the write is queued and a prober starts
-//! silent    -> answering  the prober's try succeeds; what is queued is sent
-//! silent    -> answering  the queue has run out of age
+//! responsive   -> unresponsive  an attempt fails; the write is queued and a probe starts
+//! unresponsive -> responsive    the probe succeeds; the queued writes are sent
+//! unresponsive -> responsive    all queued writes have expired
 //! ```
 
 use std::collections::{HashMap, VecDeque};
@@ -21,33 +21,41 @@
 use crate::message::Answer;
 use crate::view::StorageMember;
 
-/// How long one try waits for a machine's answer: several slow syncs.
+/// How long one attempt waits for a machine's answer: several slow syncs.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before the first new try at a silent machine; it doubles.
+/// Backoff before the first retry at an unresponsive machine; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
-/// Longest pause between tries.
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(480);
-/// How long a write is kept for a silent machine.
+/// How long a missed write is retried.
 const MISSED_WRITE_RETENTION: Duration = Duration::from_secs(10);
-/// Most bytes that are kept for a silent machine.
+/// Upper bound of the missed writes of one machine, in bytes.
 const MAX_MISSED_BYTES: usize = 2 << 20;
-
-/// Missed writes that are sent side by side once a machine answers again.
+/// Missed writes that are sent concurrently once a machine answers again.
 const MAX_CONCURRENT_RETRIES: usize = 64;
 
-/// Where the answers of a write go: epoch, disk and answer.
-pub(super) type Sender = UnboundedSender<(u64, u64, Answer)>;
+/// An answer of one machine to a write.
+pub(super) struct MachineAnswer {
+    /// Epoch under which the write was sent.
+    pub(super) epoch: u64,
+    /// Disk of the machine.
+    pub(super) disk: u64,
+    pub(super) answer: Answer,
+}
+
+/// Receives the answers to a write.
+pub(super) type AnswerSender = UnboundedSender<MachineAnswer>;
 
 /// One write for one machine.
 pub(super) struct Delivery {
     epoch: u64,
     request: EncodedRequest,
-    answers: Sender,
+    answers: AnswerSender,
     since: Instant,
 }
 
 impl Delivery {
-    pub(super) fn new(epoch: u64, request: EncodedRequest, answers: Sender) -> Delivery {
+    pub(super) fn new(epoch: u64, request: EncodedRequest, answers: AnswerSender) -> Delivery {
         Delivery {
             epoch,
             request,
@@ -57,7 +65,7 @@
     }
 }
 
-/// Writes that a silent machine has missed.
+/// Writes that an unresponsive machine has missed, oldest first.
 #[derive(Default)]
 struct Missed {
     queue: VecDeque<Delivery>,
@@ -79,7 +87,7 @@
         Some(delivery)
     }
 
-    fn drop_old(&mut self) {
+    fn remove_expired(&mut self) {
         while self
             .queue
             .front()
@@ -90,60 +98,72 @@
     }
 }
 
-/// Machines that do not answer at present, by disk.
+/// Missed writes of the machines that do not answer at present, by disk.
 #[derive(Default)]
 pub(super) struct UnresponsivePeers {
     missed: HashMap<u64, Missed>,
 }
 
-/// Outcome of one try.
-enum Try {
-    /// The machine has answered for good: stored, or refused in a way that no new try changes.
-    Done,
-    Again(Delivery),
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    /// The machine has stored the write, or refused it in a way that no retry changes.
+    Completed,
+    /// The attempt failed; the write is to be retried.
+    Retry(Delivery),
 }
 
 impl StorageClient {
-    /// Brings a write to one machine, in the background.
+    /// Delivers a write to one machine in the background.
     pub(super) fn deliver(&self, member: &StorageMember, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        if let Some(missed) = silent.missed.get_mut(&member.disk) {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        if let Some(missed) = unresponsive.missed.get_mut(&member.disk) {
             missed.push(delivery);
             return;
         }
-        drop(silent);
+        drop(unresponsive);
         let (client, member) = (self.clone(), member.clone());
         tokio::spawn(async move {
-            if let Try::Again(delivery) = client.attempt_delivery(&member, delivery).await {
+            if let AttemptOutcome::Retry(delivery) =
+                client.attempt_delivery(&member, delivery).await
+            {
                 client.queue_for_retry(member, delivery);
             }
         });
     }
 
-    async fn attempt_delivery(&self, member: &StorageMember, delivery: Delivery) -> Try {
+    async fn attempt_delivery(&self, member: &StorageMember, delivery: Delivery) -> AttemptOutcome {
         match self
             .exchange(member, &delivery.request, ATTEMPT_TIMEOUT)
             .await
         {
-            Ok(Answer::Failed | Answer::Behind) | Err(_) => Try::Again(delivery),
+            Ok(Answer::Failed | Answer::Behind) | Err(_) => AttemptOutcome::Retry(delivery),
             Ok(answer) => {
-                let _ = delivery.answers.send((delivery.epoch, member.disk, answer));
-                Try::Done
+                // Nobody waits for it any more once the write is durable or has failed.
+                let _ = delivery.answers.send(MachineAnswer {
+                    epoch: delivery.epoch,
+                    disk: member.disk,
+                    answer,
+                });
+                AttemptOutcome::Completed
             }
         }
     }
 
     fn queue_for_retry(&self, member: StorageMember, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        let probed = silent.missed.contains_key(&member.disk);
-        silent.missed.entry(member.disk).or_default().push(delivery);
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let probed = unresponsive.missed.contains_key(&member.disk);
+        unresponsive
+            .missed
+            .entry(member.disk)
+            .or_default()
+            .push(delivery);
         if !probed {
             let client = self.clone();
             tokio::spawn(async move { client.probe(member).await });
         }
     }
 
-    /// Tries the oldest write that a silent machine has missed until one succeeds, then sends the rest.
+    /// Retries the oldest write that an unresponsive machine has missed until one succeeds, then sends the rest.
     async fn probe(&self, member: StorageMember) {
         let mut backoff = INITIAL_BACKOFF;
         let mut concurrent = 1;
@@ -163,16 +183,16 @@
         }
     }
 
-    /// Tries some missed writes side by side; whether all were answered.
+    /// Attempts some missed writes concurrently and returns whether all were answered.
     async fn attempt_all(&self, member: &StorageMember, deliveries: Vec<Delivery>) -> bool {
-        let mut tries = JoinSet::new();
+        let mut attempts = JoinSet::new();
         for delivery in deliveries {
             let (client, member) = (self.clone(), member.clone());
-            tries.spawn(async move { client.attempt_delivery(&member, delivery).await });
+            attempts.spawn(async move { client.attempt_delivery(&member, delivery).await });
         }
         let mut all_answered = true;
-        while let Some(outcome) = tries.join_next().await {
-            if let Ok(Try::Again(delivery)) = outcome {
+        while let Some(outcome) = attempts.join_next().await {
+            if let Ok(AttemptOutcome::Retry(delivery)) = outcome {
                 self.requeue(member.disk, delivery);
                 all_answered = false;
             }
@@ -180,23 +200,23 @@
         all_answered
     }
 
-    /// The oldest missed writes; without any the machine counts as answering again.
+    /// Takes the oldest missed writes; without any the machine counts as responsive again.
     fn take_oldest_missed(&self, disk: u64, limit: usize) -> Vec<Delivery> {
-        let mut silent = self.shared.silent.lock();
-        let Some(missed) = silent.missed.get_mut(&disk) else {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let Some(missed) = unresponsive.missed.get_mut(&disk) else {
             return Vec::new();
         };
-        missed.drop_old();
+        missed.remove_expired();
         let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(limit).collect();
         if deliveries.is_empty() {
-            silent.missed.remove(&disk);
+            unresponsive.missed.remove(&disk);
         }
         deliveries
     }
 
     fn requeue(&self, disk: u64, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        let missed = silent.missed.entry(disk).or_default();
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let missed = unresponsive.missed.entry(disk).or_default();
         missed.bytes += delivery.request.len();
         missed.queue.push_front(delivery);
     }
--- a/crates/tier/storage/src/client/reservation.rs
+++ b/crates/tier/storage/src/client/reservation.rs
@@ -8,16 +8,16 @@
 use super::{StorageClient, settle_operation};
 use crate::message::Settlement;
 
-/// How long one round of telling the end of a turn takes at most.
+/// How long one attempt to settle a reservation takes at most.
 const SETTLE_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
-/// Rounds before the reservation is left at its most: longer than a cut or a restart of the storage machines
-/// lasts.
+/// Attempts before the reservation is left open, at its upper bound: longer than a partition or a restart of the
+/// storage machines lasts.
 const MAX_SETTLE_ATTEMPTS: usize = 8;
 
-/// Tokens that a turn holds of its program's budget.
+/// Tokens of a program's budget that are reserved for a turn.
 ///
-/// Dropping it settles it in the background at what has been given until then, so no way out of a turn (an
-/// error, a client that leaves, a future that is cancelled) leaves the most of the turn reserved.
+/// Dropping the guard settles the reservation in the background at the tokens delivered until then. So no end of a turn
+/// (an error, a client that disconnects, a cancelled future) leaves its upper bound reserved.
 #[must_use = "dropping a reservation settles it"]
 pub struct ReservationGuard {
     client: StorageClient,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Notes the tokens that the turn has given so far.
+    /// Sets the tokens that were delivered to the client so far.
     pub fn set_delivered_tokens(&mut self, delivered_tokens: u64) {
         self.delivered_tokens = delivered_tokens;
     }
 
-    /// The end of the turn, if it ended now.
+    /// The settlement, if the turn ended now.
     pub(super) fn settlement(&self) -> Settlement {
         Settlement {
             reservation: self.id,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A quorum knows the settlement.
+    /// Marks the reservation as settled at a quorum.
     pub(super) fn set_settled(&mut self) {
         self.settled = true;
     }
@@ -87,7 +87,7 @@
 }
 
 impl StorageClient {
-    /// Tells the end of a turn until a quorum knows it.
+    /// Retries the settlement until a quorum has it.
     async fn settle(&self, program: &str, settlement: Settlement) {
         for _ in 0..MAX_SETTLE_ATTEMPTS {
             let operation = settle_operation(program.to_owned(), settlement);
@@ -102,7 +102,7 @@
         tracing::warn!(
             program,
             delivered_tokens = settlement.delivered_tokens,
-            "the end of a turn could not be told"
+            "settlement abandoned"
         );
     }
 }
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -6,21 +6,21 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::exchange::EncodedRequest;
-use super::peers::Delivery;
+use super::peers::{AnswerSender, Delivery};
 use super::{StorageClient, Unavailable};
 use crate::message::Operation;
 use crate::operation::Write;
 
 impl StorageClient {
-    /// Sends a write to all machines of the groups at once and waits for a quorum. The others are tried on in
-    /// the background.
+    /// Sends a write to all machines of the groups at once and waits for a quorum. The others are retried in the
+    /// background.
     pub(super) async fn write(
         &self,
         program: &str,
         operation: Operation,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Write, Unavailable> {
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let mut views = self.shared.view.subscribe();
         let view = views.borrow_and_update().clone();
         let mut write = Write::new(&view, program.to_owned(), operation, self.shared.tolerated);
@@ -29,7 +29,9 @@
         while !write.is_durable() {
             tokio::select! {
                 biased;
-                Some((epoch, disk, answer)) = answers.recv() => write.record_answer(epoch, disk, answer),
+                Some(received) = answers.recv() => {
+                    write.record_answer(received.epoch, received.disk, received.answer);
+                }
                 changed = timeout_at(deadline, views.changed()) => {
                     changed.map_err(|_| Unavailable)?.map_err(|_| Unavailable)?;
                     let view = views.borrow_and_update().clone();
@@ -41,7 +43,7 @@
         Ok(write)
     }
 
-    fn send_to_all(&self, write: &Write, sender: &super::peers::Sender) {
+    fn send_to_all(&self, write: &Write, sender: &AnswerSender) {
         let request = EncodedRequest::new(write.epoch(), write.operation());
         for member in write.members() {
             let delivery = Delivery::new(write.epoch(), request.clone(), sender.clone());
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -1,13 +1,22 @@
-//! Kept turns and programs' budgets, on the disks of the storage machines.
+//! Durable turns and programs' budgets, on the disks of the storage machines.
 //!
 //! A program's turns and its budget live at its *group*: the first `2f + 1` storage machines by rendezvous
 //! hashing over the agreed [`StorageView`]. Turns never change and budgets only grow, so no machine decides
 //! alone: a write is durable once a quorum of the group has synced it. When the membership changes, a joint
 //! epoch demands quorums of the present and of the next group until every next member has pulled its part.
 //!
-//! Pure parts, without I/O or clock: [`placement`], [`view`], [`budget`], [`store`], [`member`] (one storage
-//! machine), [`operation`] (one write of a client), [`pull`] (copying from other members). Drivers:
-//! [`client`] for proxies, [`server`] for storage machines, [`announce`] for both ends of the membership.
+//! Start with [`client`], which proxies use, and with [`node`], which decides what a storage machine answers.
+//!
+//! Decisions, without I/O or clock:
+//!
+//! - [`placement`] and [`quorum`]: which machines hold a program, and how many of them must answer;
+//! - [`view`]: the agreed membership, and the next one to propose;
+//! - [`node`]: one storage machine, with its [`store`] and the [`budget`] of each program;
+//! - [`operation`]: one write of a client; [`pull`]: copying from other machines in a joint epoch.
+//!
+//! Drivers: [`client`] for proxies, [`server`] for storage machines, [`announce`] for both ends of the membership.
+//! Formats: [`message`] on the wire, [`record`] on disk, both in the byte format of [`message::encode`].
+//! `docs/storage.md` describes the protocol and its measurements.
 
 #![warn(missing_docs)]
 
@@ -16,8 +25,8 @@
 pub mod cache;
 pub mod client;
 mod codec;
-pub mod member;
 pub mod message;
+pub mod node;
 pub mod operation;
 pub mod placement;
 pub mod pull;
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -7,78 +7,81 @@
 use crate::turn::TurnRecord;
 use crate::view::StorageView;
 
-/// Under which view a request was sent, and to which disk.
+/// View under which a request was sent, and the disk it addresses.
+///
+/// A machine that knows a newer view, or runs on another disk, refuses the request: an old sender cannot write past
+/// a change of the membership, and a wiped machine does not pass for its predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct FencingToken {
-    /// Epoch of the sender's view. A machine of a newer one refuses.
+    /// Epoch of the sender's view.
     pub epoch: u64,
     /// Identity of the disk that the sender believes to address.
     pub disk: u64,
 }
 
-/// The end of a turn in its budget.
+/// The final count of a turn in its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct Settlement {
     /// Reservation that was made for the turn.
     pub reservation: u64,
-    /// Tokens that were given to the client.
+    /// Tokens that were delivered to the client.
     pub delivered_tokens: u64,
 }
 
-/// What is asked of a storage machine.
+/// What a request asks of a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Operation {
-    /// Reserve tokens and tell all of the program's reservations.
+    /// Reserve tokens; the answer has all reservations of the program.
     Reserve {
         /// Program whose budget it is.
         program: String,
-        /// Number drawn for this reservation.
+        /// Random number of this reservation.
         reservation: u64,
-        /// The most that the turn may generate.
+        /// Upper bound of the tokens that the turn generates.
         max_tokens: u64,
     },
     /// Settle a reservation.
     Settle {
         /// Program whose budget it is.
         program: String,
-        /// How the turn ended.
+        /// Final count of the turn.
         settlement: Settlement,
     },
     /// Store turns of one program, and settle the newest one's reservation.
     PutTurns {
         /// Program in whose group they are stored.
         program: String,
-        /// Turns, oldest first: one, or more when a chain is taken over from another program.
+        /// Turns, oldest first: one, or several when a chain is adopted from another program.
         turns: Vec<TurnRecord>,
-        /// End of the newest turn in its budget.
+        /// Settlement of the newest turn's reservation.
         settlement: Option<Settlement>,
     },
-    /// Tell a turn and its ancestors, newest first, as far as they are here.
+    /// Read a turn and its ancestors, newest first, as far as they are stored.
     ReadChain {
         /// Program in whose group the turn is.
         program: String,
-        /// Newest turn asked for.
+        /// `Request-Id` of the newest turn of the chain.
         request_id: String,
     },
-    /// Tell which programs have a turn of this name here.
+    /// Find the programs that have a turn with this `Request-Id`.
     Find {
         /// `Request-Id` of the turn.
         request_id: String,
     },
-    /// Tell digests of the programs that `node` should hold, in order of their names.
+    /// Read digests of the programs that `node` should hold, in order of their names.
     Digests {
-        /// The machine that asks.
+        /// Name of the machine that pulls.
         node: String,
-        /// Last program of the page before.
+        /// Last program of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// Tell all records of these programs.
+    /// Read all records of these programs.
     Fetch {
         /// Names of the programs.
         programs: Vec<String>,
     },
-    /// A committed view, newer than the receiver's.
+    /// Learn a committed view that is newer than the receiver's.
     NewView {
         /// The view.
         view: StorageView,
@@ -90,16 +93,16 @@
 pub struct Request {
     /// View and disk it is meant for.
     pub fencing_token: FencingToken,
-    /// What is asked.
+    /// What is requested.
     pub operation: Operation,
 }
 
-/// What a program's records amount to at one machine; equal digests mean equal records.
+/// Digest of a program's records at one machine; equal digests mean equal records.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct ProgramDigest {
     /// Name of the program.
     pub program: String,
-    /// Hash over its reservations and the names of its turns.
+    /// Hash over its reservations and the `Request-Id`s of its turns.
     pub digest: u64,
 }
 
@@ -112,7 +115,7 @@
     pub reservations: Vec<Reservation>,
     /// Its turns.
     pub turns: Vec<TurnRecord>,
-    /// How much longer they are kept.
+    /// Remaining retention of the turns.
     pub remaining_ms: u64,
 }
 
@@ -120,19 +123,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Answer {
-    /// The reservation is synced; these are all that are known of the program.
+    /// The reservation is synced.
     Reserved {
-        /// All reservations, its own included.
+        /// All known reservations of the program, the new one included.
         reservations: Vec<Reservation>,
     },
-    /// What was to be stored is synced.
+    /// The records of the request are synced.
     Stored,
-    /// Turns found, newest first; empty if the newest asked for is not here.
+    /// Turns of the chain, newest first; empty if the newest is not stored.
     Chain {
-        /// The turn asked for and its ancestors, up to a bound of bytes or one that is not here.
+        /// The turn and its ancestors, up to a bound of bytes or the first that is not stored.
         turns: Vec<TurnRecord>,
     },
-    /// Programs that have the turn.
+    /// Programs that have a turn of the requested `Request-Id`.
     Found {
         /// Names of the programs.
         programs: Vec<String>,
@@ -144,27 +147,27 @@
         /// Whether more follow.
         more: bool,
     },
-    /// Records of the first of the programs asked for, as many as fit a message.
+    /// Records of the first of the requested programs, as many as fit a message.
     Records {
-        /// One entry a program; empty where it has expired.
+        /// One entry for each program, without records where it has expired.
         programs: Vec<ProgramRecords>,
     },
-    /// The sender's view is old.
+    /// The sender's view is older than this machine's.
     Stale {
         /// The newer view.
         view: StorageView,
     },
     /// This machine's view is older than the request needs.
     Behind,
-    /// Another disk than the one addressed is at this address.
+    /// The machine at this address runs on another disk than the one addressed.
     WrongDisk,
-    /// Not stored, for the disk does not take it.
+    /// The disk refused the record, so nothing is stored.
     Failed,
     /// The request could not be read.
     Malformed,
 }
 
-/// Answer with the epoch that the machine knows, so that the sender can bring it its own view.
+/// An answer and the epoch that the machine knows, so that the sender can send it a newer view.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Response {
     /// Epoch of the machine's view.
--- a/crates/tier/storage/src/member.rs
+++ b/crates/tier/storage/src/node.rs
@@ -1,7 +1,7 @@
 //! One storage machine, without I/O or clock.
 //!
-//! A request is either answered at once or leads to a record that must be synced first; the answer to the
-//! latter can only be had for the receipt of that sync.
+//! A request is either answered at once or leads to a record that must be synced first; the answer to the latter is
+//! built from the receipt of that sync.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
 };
 use crate::placement::holds;
 use crate::record::{Record, SnapshotWriter, snapshot_records};
-use crate::store::Store;
+use crate::store::{DigestPage, Store};
 use crate::turn::TurnRecord;
 use crate::view::{StorageMember, StorageView};
 
-/// Most bytes of turns in one answer.
+/// Upper bound of the bytes of turns in one answer; one turn may exceed it.
 const MAX_ANSWER_BYTES: usize = 512 << 10;
-/// Most digests in one answer.
+/// Upper bound of the digests in one answer.
 const MAX_DIGESTS: usize = 4_000;
 
-/// What to do with a request.
+/// What the driver does with a request.
 #[derive(Debug)]
 #[must_use]
 pub enum Step {
     /// Send this answer.
     Reply(Response),
-    /// Append the record to the journal; the receipt of its sync gives the answer.
+    /// Append the record to the journal, then build the answer from the receipt of its sync.
     Persist {
         /// Record to append.
         record: Vec<u8>,
-        /// What the answer depends on.
+        /// The answer that waits for the sync.
         pending: Pending,
     },
-    /// Replace the journal's snapshot; the receipt gives the answer.
+    /// Replace the journal's snapshot, then build the answer from the receipt.
     Compact {
-        /// Snapshot of everything that is known here.
+        /// Snapshot of the whole state.
         snapshot: Vec<u8>,
-        /// What the answer depends on.
+        /// The answer that waits for the sync.
         pending: Pending,
     },
 }
@@ -47,37 +47,37 @@
 /// An answer that waits for a sync.
 #[derive(Debug)]
 pub enum Pending {
-    /// Tell all reservations of the program.
+    /// All reservations of this program.
     Reservations(String),
-    /// Say that it is stored.
+    /// That the record is stored.
     Stored,
-    /// Epoch that is sealed by the sync.
+    /// That requests of epochs before this one are refused even after a restart.
     Sealed(u64),
-    /// Joint epoch for which the pull is whole once this is synced.
+    /// That the pull for this joint epoch is complete.
     Pulled(u64),
 }
 
 /// State of one storage machine.
 #[derive(Clone, Debug)]
-pub struct Member {
-    node: String,
+pub struct StorageNode {
+    name: String,
     disk: u64,
     tolerated: usize,
     view: StorageView,
-    /// Epoch whose predecessors are refused even after a restart.
+    /// Requests of epochs before this one are refused even after a restart.
     sealed_epoch: u64,
     pulled_epoch: u64,
-    /// The disk has refused records that are in memory.
+    /// Whether the disk has refused records that are in memory.
     has_unsynced_records: bool,
     store: Store,
 }
 
-impl Member {
-    /// A machine whose disk is new, with the record that gives the disk its identity.
+impl StorageNode {
+    /// The state of a machine with a new disk, and the record that gives the disk its identity.
     #[must_use]
-    pub fn create(node: String, disk: u64, tolerated: usize) -> (Member, Vec<u8>) {
-        let member = Member {
-            node,
+    pub fn create(name: String, disk: u64, tolerated: usize) -> (StorageNode, Vec<u8>) {
+        let node = StorageNode {
+            name,
             disk,
             tolerated,
             view: StorageView::default(),
@@ -86,19 +86,19 @@
             has_unsynced_records: false,
             store: Store::default(),
         };
-        (member, encode(&Record::Identity { disk }))
+        (node, encode(&Record::Identity { disk }))
     }
 
-    /// A machine from its journal; `None` if the journal does not begin with the disk's identity or holds
-    /// what cannot be read.
+    /// Recovers the state from the journal; `None` if the journal does not begin with the disk's identity or holds
+    /// a record that cannot be decoded.
     #[must_use]
     pub fn recover(
         now: Duration,
-        node: String,
+        name: String,
         tolerated: usize,
         snapshot: Option<&[u8]>,
         records: &[Vec<u8>],
-    ) -> Option<Member> {
+    ) -> Option<StorageNode> {
         let snapshot = snapshot.map_or(Some(Vec::new()), snapshot_records)?;
         let mut all = snapshot
             .into_iter()
@@ -106,23 +106,23 @@
         let Record::Identity { disk } = decode(all.next()?)? else {
             return None;
         };
-        let (mut member, _) = Member::create(node, disk, tolerated);
+        let (mut node, _) = StorageNode::create(name, disk, tolerated);
         for bytes in all {
             match decode::<Record>(bytes)? {
                 Record::Identity { .. } => return None,
                 Record::View(view) => {
-                    member.sealed_epoch = view.epoch;
-                    member.view = view;
+                    node.sealed_epoch = view.epoch;
+                    node.view = view;
                 }
                 Record::Program(records) => {
-                    member.store.merge(now, records);
+                    node.store.merge(now, records);
                 }
             }
         }
-        Some(member)
+        Some(node)
     }
 
-    /// Everything durable in one piece, for [`Member::recover`].
+    /// Snapshot of the durable state, for [`StorageNode::recover`].
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Vec<u8> {
         let mut snapshot = SnapshotWriter::new(self.store.bytes());
@@ -148,17 +148,17 @@
 
     /// Name of the machine.
     #[must_use]
-    pub fn node(&self) -> &str {
-        &self.node
+    pub fn name(&self) -> &str {
+        &self.name
     }
 
-    /// The newest view that is known here.
+    /// The newest view that this machine knows.
     #[must_use]
     pub fn view(&self) -> &StorageView {
         &self.view
     }
 
-    /// Tolerated losses.
+    /// Number of machines that may be lost at once.
     #[must_use]
     pub fn tolerated(&self) -> usize {
         self.tolerated
@@ -170,26 +170,26 @@
         self.pulled_epoch
     }
 
-    /// Whether the process, which is being stopped, may end although the disk may not come back: the view
-    /// does without it, or can't, as too few others are there.
+    /// Whether a process that is shutting down may exit although its disk may not come back: the view no longer needs
+    /// this disk, or too few other machines are there to replace it.
     #[must_use]
     pub fn may_shut_down(&self) -> bool {
         let is_here = |member: &StorageMember| member.disk == self.disk;
         if !self.view.members().into_iter().any(is_here) {
             return true;
         }
-        let is_on_its_way_out = !self.view.latest().iter().any(is_here);
+        let is_being_replaced = !self.view.latest().iter().any(is_here);
         let others = self
             .view
             .latest()
             .iter()
-            .filter(|member| member.node != self.node)
+            .filter(|member| member.node != self.name)
             .count();
-        !is_on_its_way_out && others <= 2 * self.tolerated
+        !is_being_replaced && others <= 2 * self.tolerated
     }
 
-    /// Everything that was to be pulled for `epoch` is in memory here. What was in memory before may still be
-    /// on its way to the disk, so a last sync goes behind it.
+    /// Ends the pull for `epoch`, of which everything is in memory. Earlier records may still wait for a sync, so the
+    /// step appends one more record behind them, or a snapshot if the disk has refused any.
     pub fn finish_pull(&mut self, now: Duration, epoch: u64) -> Step {
         let pending = Pending::Pulled(epoch);
         if self.has_unsynced_records {
@@ -205,18 +205,18 @@
         }
     }
 
-    /// Turns and budgets.
+    /// Turns and budgets of this machine.
     #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Forgets what has expired.
+    /// Removes turns and budgets that have expired by `now`.
     pub fn expire(&mut self, now: Duration) {
         self.store.expire(now);
     }
 
-    /// Takes a request.
+    /// Handles a request that arrived at `now`.
     pub fn handle(&mut self, now: Duration, request: Request) -> Step {
         if let Operation::NewView { view } = request.operation {
             return self
@@ -256,7 +256,7 @@
                 self.digests(request.fencing_token, &node, after.as_deref())
             }
             Operation::Fetch { programs } => self.fetch(now, &programs),
-            Operation::NewView { .. } => unreachable!("taken above"),
+            Operation::NewView { .. } => unreachable!("handled above"),
         }
     }
 
@@ -280,14 +280,15 @@
         }
     }
 
-    /// Answer to a request whose record the disk did not take.
+    /// Answer to a request whose record the disk refused.
     #[must_use]
     pub fn persist_failed(&mut self) -> Response {
         self.has_unsynced_records = true;
         self.response(Answer::Failed)
     }
 
-    /// Takes a newer view: older ones are refused from now on, and pulls are served once it is synced.
+    /// Learns a newer view: requests of older ones are refused from now on, and pulls are served once it is synced.
+    /// `None` if the view is not newer.
     pub fn learn_view(&mut self, view: StorageView) -> Option<Step> {
         // A view that is known and not sealed is written again: the disk may have refused it.
         if view.epoch < self.view.epoch || view.epoch <= self.sealed_epoch {
@@ -302,7 +303,7 @@
         })
     }
 
-    /// Merges records from another machine; `None` if nothing of them is new here.
+    /// Merges records from another machine; `None` if none of them is new.
     pub fn merge(&mut self, now: Duration, records: ProgramRecords) -> Option<Step> {
         let record = encode(&Record::Program(records.clone()));
         let changed = self.store.merge(now, records);
@@ -364,7 +365,7 @@
             return self.reply(Answer::Behind);
         }
         let wanted = |program: &str| holds(self.view.latest(), program, self.tolerated, node);
-        let (digests, more) = self.store.digests(after, MAX_DIGESTS, wanted);
+        let DigestPage { digests, more } = self.store.digests(after, MAX_DIGESTS, wanted);
         self.reply(Answer::DigestPage { digests, more })
     }
 
--- a/crates/tier/storage/src/operation.rs
+++ b/crates/tier/storage/src/operation.rs
@@ -1,4 +1,4 @@
-//! One write of a client to the quorums of a program's groups, and what a reservation's answers decide.
+//! One write of a client to the quorums of a program's groups, and whether a reservation fits the budget.
 
 use crate::budget::Budget;
 use crate::message::{Answer, Operation};
@@ -24,7 +24,7 @@
 }
 
 impl Write {
-    /// A write under `view` that nobody has answered.
+    /// A write under `view` that no machine has answered yet.
     #[must_use]
     pub fn new(
         view: &StorageView,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Starts again under a newer view: answers under an older one do not count.
+    /// Restarts under a newer view, since answers under an older one do not count; ignores an older view.
     pub fn restart(&mut self, view: &StorageView) {
         if view.epoch > self.epoch {
             self.epoch = view.epoch;
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Epoch under which it is sent.
+    /// Epoch under which the write is sent.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// What is sent.
+    /// The operation that is sent.
     #[must_use]
     pub fn operation(&self) -> &Operation {
         &self.operation
     }
 
-    /// To whom it is sent.
+    /// Machines that the write is sent to.
     #[must_use]
     pub fn members(&self) -> &[StorageMember] {
         self.quorum.members()
     }
 
-    /// Counts the answer of one machine to the request that was sent under `epoch`.
+    /// Records the answer of the machine with `disk` to the request that was sent under `epoch`.
     pub fn record_answer(&mut self, epoch: u64, disk: u64, answer: Answer) {
         let stored = matches!(answer, Answer::Stored | Answer::Reserved { .. });
         if epoch == self.epoch && stored && !self.is_durable() {
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Whether a quorum of each group has it on disk.
+    /// Whether a quorum of each group has the write on disk.
     #[must_use]
     pub fn is_durable(&self) -> bool {
         self.quorum.is_reached()
     }
 
-    /// For a reservation that is durable: whether the turn fits into the budget. Of two that do not fit
-    /// together at least one sees the other, as their quorums meet.
+    /// Whether a durable reservation of `max_tokens` fits into `budget`. Of two reservations that do not fit together at
+    /// least one sees the other, since their quorums intersect.
     #[must_use]
     pub fn is_within_budget(&self, reservation: u64, max_tokens: u64, budget: u64) -> bool {
         let mut known = Budget::default();
--- a/crates/tier/storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -1,14 +1,14 @@
-//! Which machines hold a program's records, and how many of them a quorum needs.
+//! Placement of programs on machines, and the sizes of quorums.
 //!
-//! Every machine is ranked by rendezvous hashing of its name and the program's. Machines of zones that are
-//! not represented yet go first.
+//! Every machine is ranked by rendezvous hashing (Thaler & Ravishankar, 1998) of its name and the program's. Machines
+//! of zones that are not represented yet come first.
 
 use woadreach_routing::rendezvous::rank;
 
 use crate::view::StorageMember;
 
-/// The machines that hold `program`: the first `2f + 1` of `members` by rank, of different zones where there
-/// are. Ranked by name, not by disk, so that a machine with a new disk keeps its place.
+/// The machines that hold `program`: the first `2f + 1` of `members` by rank, for `f` tolerated losses, of different
+/// zones as far as there are any. The rank comes from the name, so a machine keeps it with a new disk.
 #[must_use]
 pub fn group<'a>(
     members: &'a [StorageMember],
@@ -55,13 +55,13 @@
     members.min(2 * tolerated + 1)
 }
 
-/// Machines of a group that must have synced a write.
+/// Number of machines of a group that must have synced a write.
 #[must_use]
 pub fn write_quorum(group: usize, tolerated: usize) -> usize {
     (tolerated + 1).max(group / 2 + 1)
 }
 
-/// Machines of a group that must answer a read, so that it meets every write.
+/// Number of machines of a group that must answer a read, so that it intersects every write.
 #[must_use]
 pub fn read_quorum(group: usize, tolerated: usize) -> usize {
     (group + 1)
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -1,4 +1,4 @@
-//! Copying from other members what a machine should hold.
+//! Copying the records that a machine should hold from other members.
 //!
 //! A machine of `next` pulls from the members of `current`, page by page: digests first, then the records of
 //! the programs whose digests differ. A source that serves a page has sealed the epoch, so no write under an
@@ -11,7 +11,7 @@
 use crate::store::Store;
 use crate::view::{StorageMember, StorageView};
 
-/// Programs asked for in one message.
+/// Upper bound of the programs requested in one message.
 const MAX_PROGRAMS_PER_FETCH: usize = 64;
 
 /// Progress of one pull from all sources of an epoch.
@@ -21,7 +21,7 @@
     sources: Vec<StorageMember>,
     finished: Vec<u64>,
     max_missing: usize,
-    /// A group has at most one machine of each zone.
+    /// Whether a group has at most one machine of each zone.
     has_distinct_zones: bool,
 }
 
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Epoch that is pulled for.
+    /// Joint epoch of the pull.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Everything of one source is synced here.
+    /// Records that everything of one source is synced.
     pub fn record_finished(&mut self, disk: u64) {
         let is_source = self.sources.iter().any(|source| source.disk == disk);
         if is_source && !self.finished.contains(&disk) {
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Whether a source is done.
+    /// Whether everything of a source is synced.
     #[must_use]
     pub fn has_finished(&self, disk: u64) -> bool {
         self.finished.contains(&disk)
     }
 
-    /// Whether so many sources are done that every acknowledged write was met: of no group are more missing
-    /// than a read may miss.
+    /// Whether every acknowledged write is included: no group has more unfinished sources than a read quorum may
+    /// leave out.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let missing = self
@@ -87,7 +87,7 @@
     }
 }
 
-/// Pages from one source.
+/// Progress through the pages of one source.
 #[derive(Debug, Clone, Default)]
 pub struct Pages {
     after: Option<String>,
@@ -96,7 +96,7 @@
 }
 
 impl Pages {
-    /// The next request; `None` once everything has been asked for.
+    /// The next request; `None` once everything was requested.
     #[must_use]
     pub fn next_request(&self, node: &str) -> Option<Operation> {
         if !self.to_fetch.is_empty() {
@@ -114,7 +114,8 @@
         })
     }
 
-    /// Takes the answer to [`Pages::next_request`]; gives the records to be merged. `None` if it is another answer.
+    /// Takes the answer to [`Pages::next_request`] and returns the records to merge; `None` if the answer does not fit
+    /// the request.
     pub fn accept_answer(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
         match answer {
             Answer::DigestPage { digests, more } => {
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -1,18 +1,19 @@
-//! Progress of one operation over a program's group, under one view.
+//! Progress of one operation over a program's group, under one view: a majority quorum or, in a joint epoch, one of
+//! each group (joint consensus, Ongaro, Consensus: Bridging Theory and Practice, §4.3).
 
 use crate::placement::{group, read_quorum, write_quorum};
 use crate::view::{StorageMember, StorageView};
 
-/// Which answers an operation waits for.
+/// How many answers an operation waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuorumKind {
-    /// Enough that the write survives and is met by every later read.
+    /// Enough that the write survives the tolerated losses and intersects every later read.
     Write,
-    /// Enough to meet every earlier write.
+    /// Enough to intersect every earlier write.
     Read,
 }
 
-/// One group and who of it has answered.
+/// One group and the disks of it that have answered.
 #[derive(Debug, Clone)]
 struct GroupQuorum {
     disks: Vec<u64>,
@@ -61,7 +62,7 @@
 }
 
 impl Quorum {
-    /// Starts an operation on `program` under `view`.
+    /// A quorum for an operation on `program` under `view`, without answers yet.
     #[must_use]
     pub fn new(view: &StorageView, program: &str, tolerated: usize, kind: QuorumKind) -> Quorum {
         let mut groups = Vec::with_capacity(2);
@@ -83,14 +84,14 @@
         &self.members
     }
 
-    /// Counts an answer.
+    /// Records an answer of the machine with `disk`; a repeated one counts once.
     pub fn record_answer(&mut self, disk: u64) {
         for group_quorum in &mut self.groups {
             group_quorum.record_answer(disk);
         }
     }
 
-    /// Whether enough have answered.
+    /// Whether enough machines of each group have answered.
     #[must_use]
     pub fn is_reached(&self) -> bool {
         self.groups.iter().all(GroupQuorum::is_reached)
--- a/crates/tier/storage/src/record.rs
+++ b/crates/tier/storage/src/record.rs
@@ -1,4 +1,4 @@
-//! What a storage machine writes to its journal.
+//! Records that a storage machine writes to its journal.
 
 use speedy::{Readable, Writable};
 
@@ -14,13 +14,13 @@
         /// Number drawn at random when the disk was first used.
         disk: u64,
     },
-    /// The newest committed view that is known here; older ones are refused from now on.
+    /// The newest committed view that the machine knows; requests of older ones are refused from now on.
     View(StorageView),
-    /// Records of a program, to be merged with what is there.
+    /// Records of a program, to be merged with those stored.
     Program(ProgramRecords),
 }
 
-/// Writes records one behind the other, each with its length before it, without a second copy of all.
+/// Builds a snapshot: records one after another, each with its length (4 bytes, little endian) before it.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     bytes: Vec<u8>,
@@ -43,14 +43,14 @@
         self.bytes.extend_from_slice(&record);
     }
 
-    /// The snapshot.
+    /// Bytes of the snapshot.
     #[must_use]
     pub fn finish(self) -> Vec<u8> {
         self.bytes
     }
 }
 
-/// Encoded records of a snapshot; `None` if it is not whole.
+/// Encoded records of a snapshot; `None` if it is truncated.
 #[must_use]
 pub fn snapshot_records(mut snapshot: &[u8]) -> Option<Vec<&[u8]>> {
     let mut records = Vec::new();
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -19,20 +19,20 @@
 
 use self::upkeep::Upkeep;
 use crate::announce::Announcement;
-use crate::member::{Member, Pending, Step};
 use crate::message::{MessageError, Request, Response, encode, read};
+use crate::node::{Pending, Step, StorageNode};
 use crate::view::{StorageMember, StorageView};
 
-/// Why a storage machine cannot run.
+/// Why a storage machine cannot start.
 #[derive(Debug, Snafu)]
 pub enum ServerError {
     /// The disk does not work.
     #[snafu(display("storage cannot use its disk: {source}"))]
     Disk {
-        /// What the journal says.
+        /// Error of the journal.
         source: JournalError,
     },
-    /// The disk is whole and holds what this program can't read. It is left as it is.
+    /// The disk is intact and holds the state of another version of this program. It is not changed.
     #[snafu(display("{} holds the state of another version of this program", path.display()))]
     Unreadable {
         /// Folder of the journal.
@@ -40,7 +40,7 @@
     },
 }
 
-/// Who a storage machine is.
+/// Configuration of a storage machine.
 #[derive(Debug, Clone)]
 pub struct ServerOptions {
     /// Name of the machine.
@@ -49,7 +49,7 @@
     pub address: SocketAddr,
     /// Zone of the machine.
     pub zone: String,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated: usize,
     /// Space for data files, in bytes.
     pub disk_bytes: u64,
@@ -63,18 +63,18 @@
 
 struct Shared {
     started: Instant,
-    member: Mutex<Member>,
+    node: Mutex<StorageNode>,
     journal: Journal,
     rpc: Client,
     address: SocketAddr,
     zone: String,
-    /// Changes with the view's epoch, and when records may have been missed.
+    /// Why a pull is due; changes with the view's epoch, and when records may have been missed.
     pull_due: watch::Sender<PullDue>,
     pulled: watch::Sender<u64>,
     upkeep: Mutex<Upkeep>,
-    /// The process is being stopped.
+    /// Whether the process is shutting down.
     shutting_down: AtomicBool,
-    /// The last record was refused; told once.
+    /// Whether the disk refused the last record; only the first refusal is logged.
     disk_refuses: AtomicBool,
 }
 
@@ -82,27 +82,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PullDue {
     epoch: u64,
-    /// Rises whenever records may have been missed: after a start, a freeze or a cut.
+    /// Rises whenever records may have been missed: after a start, a freeze or a partition.
     missed: u64,
 }
 
 impl Server {
-    /// Opens the journal in `folder`. A disk that is empty, or whose content is damaged, begins anew with
-    /// another identity and is filled from the other machines. Blocks on the disk.
+    /// Opens the journal in `folder`. A disk that is empty or corrupt gets a new identity and is filled from the other
+    /// machines. Blocks on the disk.
     ///
     /// # Errors
-    /// [`ServerError::Disk`].
+    /// See [`ServerError`].
     pub async fn open(
         folder: &Path,
         rpc: Client,
         options: ServerOptions,
     ) -> Result<Server, ServerError> {
         let started = Instant::now();
-        let (journal, member) = start::start(folder, &options).await?;
-        let epoch = member.view().epoch;
+        let (journal, node) = start::start(folder, &options).await?;
+        let epoch = node.view().epoch;
         let shared = Shared {
             started,
-            member: Mutex::new(member),
+            node: Mutex::new(node),
             journal,
             rpc,
             address: options.address,
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Adds the handler of storage requests.
+    /// Adds the handler of storage requests to `router`.
     #[must_use]
     pub fn routes(&self, router: Router) -> Router {
         let server = self.clone();
@@ -128,59 +128,59 @@
         })
     }
 
-    /// What is to be told to the core.
+    /// The announcement to send to the core.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
-        let member = self.shared.member.lock();
+        let node = self.shared.node.lock();
         Announcement {
             member: StorageMember {
-                node: member.node().to_owned(),
-                disk: member.disk(),
+                node: node.name().to_owned(),
+                disk: node.disk(),
                 address: self.shared.address,
                 zone: self.shared.zone.clone(),
             },
-            pulled_epoch: member.pulled_epoch(),
+            pulled_epoch: node.pulled_epoch(),
             shutting_down: self.shared.shutting_down.load(Ordering::Relaxed),
         }
     }
 
-    /// The process is being stopped: from now on the core is told, at once and with each announcement.
+    /// Begins a graceful shutdown: it is announced to the core at once and with each later announcement.
     pub fn begin_shutdown(&self) {
         self.shared.shutting_down.store(true, Ordering::Relaxed);
         self.shared.pulled.send_modify(|_| {});
     }
 
-    /// Whether the process, which is being stopped, may end; see [`Member::may_end`].
+    /// Whether the process may exit during a graceful shutdown; see [`StorageNode::may_shut_down`].
     #[must_use]
     pub fn may_shut_down(&self) -> bool {
-        self.shared.member.lock().may_shut_down()
+        self.shared.node.lock().may_shut_down()
     }
 
-    /// Changes whenever the announcement should be sent at once.
+    /// Notified whenever the announcement should be sent at once.
     #[must_use]
     pub fn pulled(&self) -> watch::Receiver<u64> {
         self.shared.pulled.subscribe()
     }
 
-    /// Takes a committed view.
+    /// Learns a committed view.
     pub async fn learn_view(&self, view: StorageView) {
-        let step = self.shared.member.lock().learn_view(view);
+        let step = self.shared.node.lock().learn_view(view);
         if let Some(step) = step {
             let _ = self.finish(step).await;
         }
     }
 
-    /// This machine may have missed records: they are pulled from the others.
+    /// Pulls again from the others, because this machine may have missed records.
     pub fn missed_records(&self) {
         self.shared.pull_due.send_modify(|due| due.missed += 1);
     }
 
-    /// Pulls what is due, for as long as the future is polled.
+    /// Runs pulls whenever they are due, for as long as the future is polled.
     pub async fn run(&self) {
         self.pull_when_due().await;
     }
 
-    /// Expires and compacts; to be called every [`crate::announce::ANNOUNCE_INTERVAL`].
+    /// Expires records and compacts the journal; to be called every [`crate::announce::ANNOUNCE_INTERVAL`].
     pub fn tick(&self) {
         self.upkeep();
     }
@@ -188,12 +188,12 @@
     async fn answer(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
         let request: Request = read(&body)?;
         let now = self.now();
-        let step = self.shared.member.lock().handle(now, request);
+        let step = self.shared.node.lock().handle(now, request);
         Ok(encode(&self.finish(step).await))
     }
 
-    /// Syncs what a step demands and gives its answer. Appends are queued in the order of the steps, as one
-    /// thread makes both without a pause between.
+    /// Carries out a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
+    /// both without yielding in between.
     async fn finish(&self, step: Step) -> Response {
         match step {
             Step::Reply(response) => response,
@@ -209,21 +209,21 @@
     }
 
     fn complete(&self, pending: Pending, synced: Result<Synced, JournalError>) -> Response {
-        let mut member = self.shared.member.lock();
+        let mut node = self.shared.node.lock();
         let response = match &synced {
             Ok(receipt) => {
                 self.shared.disk_refuses.store(false, Ordering::Relaxed);
-                member.complete(pending, receipt)
+                node.complete(pending, receipt)
             }
             Err(error) => {
                 if !self.shared.disk_refuses.swap(true, Ordering::Relaxed) {
-                    tracing::warn!(%error, "the disk takes no records");
+                    tracing::warn!(%error, "disk write failed");
                 }
-                member.persist_failed()
+                node.persist_failed()
             }
         };
-        let epoch = member.view().epoch;
-        drop(member);
+        let epoch = node.view().epoch;
+        drop(node);
         self.shared
             .pull_due
             .send_if_modified(|due| std::mem::replace(&mut due.epoch, epoch) != epoch);
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -16,7 +16,7 @@
 
 /// How long one request of a pull may take.
 const PULL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause before a source is tried again.
+/// Interval between two attempts at a source.
 const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
@@ -27,16 +27,16 @@
             let known = *due.borrow_and_update();
             tokio::select! {
                 () = self.pull_for(known) => {}
-                () = something_else_due(&mut due, known) => due.mark_changed(),
+                () = next_due(&mut due, known) => due.mark_changed(),
             }
         }
     }
 
-    /// Pulls what this machine should hold under the present view.
+    /// Pulls the records that this machine should hold under the current view.
     async fn pull_for(&self, due: PullDue) {
         let (view, disk) = {
-            let member = self.shared.member.lock();
-            (member.view().clone(), member.disk())
+            let node = self.shared.node.lock();
+            (node.view().clone(), node.disk())
         };
         if view.epoch != due.epoch {
             return;
@@ -45,7 +45,7 @@
         if !joins && !view.is_current(disk) {
             return;
         }
-        let tolerated = self.shared.member.lock().tolerated();
+        let tolerated = self.shared.node.lock().tolerated();
         let mut progress = Pull::new(&view, disk, tolerated);
         let mut sources = JoinSet::new();
         for source in view.current.iter().filter(|source| source.disk != disk) {
@@ -60,19 +60,19 @@
         if joins {
             self.end_pull(view.epoch).await;
         }
-        // The other sources are not needed for a quorum, but may hold copies that few others have.
+        // The other sources are not needed for a quorum, but may hold records that few others have.
         while sources.join_next().await.is_some() {}
     }
 
     async fn end_pull(&self, epoch: u64) {
         loop {
-            let step = self.shared.member.lock().finish_pull(self.now(), epoch);
+            let step = self.shared.node.lock().finish_pull(self.now(), epoch);
             if self.finish(step).await.answer == Answer::Stored {
                 break;
             }
             sleep(PULL_RETRY_INTERVAL).await;
         }
-        tracing::info!(epoch, "pulled what this machine should hold");
+        tracing::info!(epoch, "storage pull completed");
         self.shared.pulled.send_replace(epoch);
     }
 
@@ -101,7 +101,7 @@
 
     async fn store_pulled(&self, records: ProgramRecords) {
         loop {
-            let step = self.shared.member.lock().merge(self.now(), records.clone());
+            let step = self.shared.node.lock().merge(self.now(), records.clone());
             let Some(step) = step else { return };
             if self.finish(step).await.answer == Answer::Stored {
                 return;
@@ -111,13 +111,13 @@
     }
 }
 
-async fn something_else_due(due: &mut watch::Receiver<PullDue>, known: PullDue) {
+async fn next_due(due: &mut watch::Receiver<PullDue>, known: PullDue) {
     let _ = due.wait_for(|due| *due != known).await;
 }
 
-/// Copies everything that this machine should hold from one source; returns the source's disk.
+/// Copies all records that this machine should hold from one source, and returns the source's disk.
 async fn pull_from(server: Server, view: StorageView, source: StorageMember) -> u64 {
-    let node = server.shared.member.lock().node().to_owned();
+    let node = server.shared.node.lock().name().to_owned();
     let mut pages = Pages::default();
     while let Some(operation) = pages.next_request(&node) {
         let answer = server.call_source(&source, view.epoch, operation).await;
@@ -131,7 +131,7 @@
                 server.learn_view(view).await;
                 None
             }
-            Some(answer) => pages.accept_answer(server.shared.member.lock().store(), answer),
+            Some(answer) => pages.accept_answer(server.shared.node.lock().store(), answer),
             None => None,
         };
         let Some(records) = records else {
@@ -143,7 +143,7 @@
     source.disk
 }
 
-/// Stores the records of one page, which share one sync.
+/// Stores the records of one page in one sync.
 async fn store_all(server: &Server, records: Vec<ProgramRecords>) {
     let mut stored = JoinSet::new();
     for program in records {
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -1,4 +1,4 @@
-//! Expiry, compaction, and noticing that this process stood still.
+//! Expiry, compaction, and detection of a process that was frozen.
 
 use std::time::{Duration, Instant};
 
@@ -6,18 +6,18 @@
 
 use super::Server;
 
-/// A pause between two ticks that is longer than this means that the process was frozen.
+/// A longer gap between two ticks means that the process was frozen.
 const MAX_TICK_GAP: Duration = Duration::from_millis(1_200);
-/// A log shorter than this is never compacted.
+/// Shorter logs are never compacted.
 const MIN_LOG_BYTES: u64 = 8 << 20;
 
-/// What is known from earlier ticks.
+/// State between ticks.
 #[derive(Debug)]
 pub(super) struct Upkeep {
     last_tick: Instant,
     compacting: bool,
-    /// How long the log may be, in hundredths of what is alive. It differs between the machines, so that they
-    /// do not compact at the same time.
+    /// Length of the log, as a percentage of the live bytes, beyond which it is compacted. It differs between the
+    /// machines, so that they do not compact at the same time.
     log_percent: u64,
 }
 
@@ -39,12 +39,12 @@
         if now.saturating_duration_since(last_tick) > MAX_TICK_GAP {
             self.missed_records();
         }
-        self.shared.member.lock().expire(self.now());
+        self.shared.node.lock().expire(self.now());
         self.compact_if_due();
     }
 
     fn compact_if_due(&self) {
-        let alive = self.shared.member.lock().store().bytes() as u64;
+        let alive = self.shared.node.lock().store().bytes() as u64;
         let mut upkeep = self.shared.upkeep.lock();
         let allowed = MIN_LOG_BYTES.max(alive) * upkeep.log_percent / 100;
         if upkeep.compacting || self.shared.journal.log_bytes() <= allowed {
@@ -52,12 +52,12 @@
         }
         upkeep.compacting = true;
         drop(upkeep);
-        let snapshot = self.shared.member.lock().snapshot(self.now());
+        let snapshot = self.shared.node.lock().snapshot(self.now());
         let replaced = self.shared.journal.replace(snapshot);
         let server = self.clone();
         tokio::spawn(async move {
             if let Err(error) = replaced.await {
-                tracing::warn!(%error, "the log was not compacted");
+                tracing::warn!(%error, "log compaction failed");
             }
             server.shared.upkeep.lock().compacting = false;
         });
--- a/crates/tier/storage/src/store.rs
+++ b/crates/tier/storage/src/store.rs
@@ -1,9 +1,10 @@
 //! State of one storage machine in memory: turns and budgets by program.
 //!
-//! A program's turns are kept together until the retention of its newest turn has passed, so that a chain is
-//! never cut; its budget is kept for longer, as the program may go on.
+//! A program's turns are kept together until the retention of its newest turn has passed, so that no chain loses its
+//! ancestors; its budget is kept for longer, as the program may take further turns.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::message::{ProgramDigest, ProgramRecords};
 use crate::turn::TurnRecord;
 
-/// Kept beyond the retention, for the way to the client and back.
+/// Added to the retention, for the latency to the client and back.
 const RETENTION_MARGIN: Duration = Duration::from_secs(5);
 /// How long the budget of a program is kept after its last use.
 const BUDGET_RETENTION: Duration = Duration::from_secs(300);
@@ -28,7 +29,7 @@
 }
 
 impl Program {
-    /// When something of it expires next.
+    /// When its turns or, without any, its budget expires.
     fn next_expiry(&self) -> Duration {
         if self.turns.is_empty() {
             self.budget_until
@@ -50,23 +51,42 @@
     }
 }
 
-/// Turns and budgets. Times are of the process's steady clock.
+/// When something of a program expires; ordered by that time.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Expiry {
+    at: Duration,
+    program: String,
+}
+
+/// A page of digests, in the order of the programs' names.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DigestPage {
+    /// Digests of the page.
+    pub digests: Vec<ProgramDigest>,
+    /// Whether further pages follow.
+    pub more: bool,
+}
+
+/// Turns and budgets. Times are those of the process's monotonic clock, since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     programs: BTreeMap<String, Program>,
-    /// Programs of a turn's name.
+    /// Programs that have a turn with this `Request-Id`.
     programs_of: BTreeMap<String, BTreeSet<String>>,
-    expiries: BTreeSet<(Duration, String)>,
+    expiries: BTreeSet<Expiry>,
     bytes: usize,
 }
 
 impl Store {
-    /// Merges records of a program; returns whether anything was new.
+    /// Merges records of a program and returns whether any of them was new.
     pub fn merge(&mut self, now: Duration, records: ProgramRecords) -> bool {
         let name = records.program;
         let mut changed = false;
         let program = self.programs.entry(name.clone()).or_default();
-        let before = (program.next_expiry(), name.clone());
+        let before = Expiry {
+            at: program.next_expiry(),
+            program: name.clone(),
+        };
         for reservation in records.reservations {
             changed |= program.budget.join(reservation);
         }
@@ -87,7 +107,10 @@
         let retained_for = Duration::from_millis(records.remaining_ms);
         program.turns_until = program.turns_until.max(now + retained_for);
         program.budget_until = program.budget_until.max(now + BUDGET_RETENTION);
-        let after = (program.next_expiry(), name);
+        let after = Expiry {
+            at: program.next_expiry(),
+            program: name,
+        };
         if before != after {
             self.expiries.remove(&before);
         }
@@ -123,7 +146,8 @@
             .unwrap_or_default()
     }
 
-    /// A turn and its ancestors, newest first, up to one that is not here or `most_bytes`.
+    /// A turn and its ancestors, newest first, up to the first that is not stored or to `max_bytes`; at least one turn
+    /// if the newest is stored.
     #[must_use]
     pub fn chain(&self, program: &str, request_id: &str, max_bytes: usize) -> Vec<Arc<TurnRecord>> {
         let mut chain: Vec<Arc<TurnRecord>> = Vec::new();
@@ -147,7 +171,7 @@
         chain
     }
 
-    /// Programs that have a turn of this name.
+    /// Names of the programs that have a turn with this `Request-Id`.
     #[must_use]
     pub fn programs_of(&self, request_id: &str) -> Vec<String> {
         self.programs_of
@@ -156,38 +180,42 @@
             .unwrap_or_default()
     }
 
-    /// Digests of up to `most` programs after `after` that `filter` accepts, and whether more follow.
+    /// Digests of up to `limit` programs after `after` that `filter` accepts.
     #[must_use]
     pub fn digests(
         &self,
         after: Option<&str>,
         limit: usize,
         filter: impl Fn(&str) -> bool,
-    ) -> (Vec<ProgramDigest>, bool) {
-        let start = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let range = self
-            .programs
-            .range::<str, _>((start, std::ops::Bound::Unbounded));
+    ) -> DigestPage {
+        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let range = self.programs.range::<str, _>((start, Bound::Unbounded));
         let mut digests = Vec::new();
         for (name, program) in range.filter(|(name, _)| filter(name)) {
             if digests.len() == limit {
-                return (digests, true);
+                return DigestPage {
+                    digests,
+                    more: true,
+                };
             }
             digests.push(ProgramDigest {
                 program: name.clone(),
                 digest: program.digest(),
             });
         }
-        (digests, false)
+        DigestPage {
+            digests,
+            more: false,
+        }
     }
 
-    /// Digest of one program; `None` if nothing of it is here.
+    /// Digest of one program; `None` if nothing of it is stored.
     #[must_use]
     pub fn digest(&self, program: &str) -> Option<u64> {
         self.programs.get(program).map(Program::digest)
     }
 
-    /// All records of a program.
+    /// All records of a program; `None` if nothing of it is stored.
     #[must_use]
     pub fn program(&self, now: Duration, name: &str) -> Option<ProgramRecords> {
         let program = self.programs.get(name)?;
@@ -209,14 +237,14 @@
         self.programs.keys().map(String::as_str)
     }
 
-    /// Forgets what has expired.
+    /// Removes what has expired by `now`.
     pub fn expire(&mut self, now: Duration) {
-        while let Some((when, name)) = self.expiries.first().cloned() {
-            if when > now {
+        while let Some(expiry) = self.expiries.first().cloned() {
+            if expiry.at > now {
                 return;
             }
             self.expiries.pop_first();
-            self.expire_program(now, name);
+            self.expire_program(now, expiry.program);
         }
     }
 
@@ -238,11 +266,14 @@
         if program.turns.is_empty() && program.budget_until <= now {
             self.programs.remove(&name);
         } else {
-            self.expiries.insert((program.next_expiry(), name));
+            self.expiries.insert(Expiry {
+                at: program.next_expiry(),
+                program: name,
+            });
         }
     }
 
-    /// Bytes of all turns, roughly.
+    /// Approximate bytes of all turns.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
--- a/crates/tier/storage/src/turn.rs
+++ b/crates/tier/storage/src/turn.rs
@@ -1,11 +1,11 @@
-//! Turns of a conversation: what a client sent and what it was answered.
+//! Turns of a conversation: a client's input and the events of the answer.
 
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
 use speedy::{Readable, Writable};
 
-/// Name of a turn.
+/// Key of a turn.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct TurnKey {
     /// Program that took the turn.
@@ -14,16 +14,16 @@
     pub request_id: String,
 }
 
-/// A turn that was answered whole. Turns never change.
+/// A turn with its complete answer. Turns are immutable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Turn {
     /// Program that took the turn.
     pub program: String,
-    /// Line of turns within the program.
+    /// Session of the turn within the program.
     pub session: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
-    /// Turn that this one goes on from.
+    /// Turn that this one continues.
     pub previous: Option<TurnKey>,
     /// The client's new input.
     pub input: Bytes,
@@ -34,7 +34,7 @@
 }
 
 impl Turn {
-    /// Name of the turn.
+    /// Key of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
         TurnKey {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Bytes that the turn takes in memory, roughly.
+    /// Approximate bytes of the turn in memory.
     #[must_use]
     pub fn size(&self) -> usize {
         let events: usize = self
@@ -54,8 +54,8 @@
         size_of::<Turn>() + self.input.len() + events
     }
 
-    /// The form in which it is sent and stored, under `program`: a turn that another program goes on from is
-    /// copied into that program's group, so that a chain always lies in one group.
+    /// The turn as it is sent and stored under `program`. A turn that another program continues is copied into that
+    /// program's group, so that a chain always lies in one group.
     #[must_use]
     pub fn to_record(&self, program: &str) -> TurnRecord {
         TurnRecord {
@@ -69,25 +69,25 @@
     }
 }
 
-/// A turn as it is sent and stored. Its content stays opaque to the storage machines.
+/// A turn as it is sent and stored. Its content is opaque to the storage machines.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct TurnRecord {
     /// Program in whose group it is stored.
     pub program: String,
-    /// Line of turns within the program.
+    /// Session of the turn within the program.
     pub session: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
-    /// Turn of the same program that this one goes on from.
+    /// Turn of the same program that this one continues.
     pub previous: Option<String>,
-    /// How long it is kept after the end of the answer.
+    /// How long it is retained after the end of the answer.
     pub retention_ms: u64,
-    /// Input and events, each with its length before it.
+    /// Input and events, each with its length (4 bytes, little endian) before it.
     pub content: Vec<u8>,
 }
 
 impl TurnRecord {
-    /// Name of the turn.
+    /// Key of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
         TurnKey {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Bytes that the record takes in memory, roughly.
+    /// Approximate bytes of the record in memory.
     #[must_use]
     pub fn size(&self) -> usize {
         size_of::<TurnRecord>() + self.program.len() + self.request_id.len() + self.content.len()
     }
 
-    /// The turn, or `None` if the content cannot be read.
+    /// The turn; `None` if the content is malformed.
     #[must_use]
     pub fn into_turn(self) -> Option<Turn> {
         let (input, events) = decode_content(self.content.into())?;
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -13,25 +13,25 @@
 
 use crate::codec::{self, MessageError};
 
-/// Membership at one epoch. While `next` is there the epoch is a *joint* one: writes need quorums of both.
+/// Membership at one epoch. While there is a `next` the epoch is a *joint* one: writes need quorums of both.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Readable, Writable)]
 pub struct StorageView {
-    /// Rises with each change.
+    /// Number of the view; it rises by one with each change.
     pub epoch: u64,
-    /// Machines that hold all that was ever acknowledged; empty before the first view.
+    /// Machines that hold everything that was ever acknowledged; empty before the first view.
     pub current: Vec<StorageMember>,
     /// Machines that are to take over, once each has pulled what it should hold.
     pub next: Option<Vec<StorageMember>>,
-    /// Machines that are to be emptied.
+    /// Names of machines that are being emptied.
     pub retiring: BTreeSet<String>,
-    /// Machines that were emptied and may be taken away.
+    /// Names of machines that were emptied and may be removed.
     pub retired: BTreeSet<String>,
 }
 
 /// Why a machine cannot be emptied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RetireError {
-    /// No such machine.
+    /// The view has no such machine.
     #[snafu(display("no storage machine of this name"))]
     Unknown,
     /// Fewer machines than the tolerated losses and one would remain.
@@ -40,33 +40,33 @@
 }
 
 impl StorageView {
-    /// Bytes for the control state.
+    /// Encodes the view for the control state.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// View from the control state's bytes.
+    /// Decodes the view from the control state's bytes.
     ///
     /// # Errors
-    /// [`MessageError`] if they are not one.
+    /// [`MessageError`] if the bytes are no view.
     pub fn read(bytes: &[u8]) -> Result<StorageView, MessageError> {
         codec::read(bytes)
     }
 
-    /// View from the control state's bytes; `None` if they are not one.
+    /// Decodes the view from the control state's bytes; `None` where [`StorageView::read`] fails.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<StorageView> {
         codec::decode(bytes)
     }
 
-    /// Whether the disk belongs to the machines that hold everything.
+    /// Whether the disk is one of [`StorageView::current`].
     #[must_use]
     pub fn is_current(&self, disk: u64) -> bool {
         self.current.iter().any(|member| member.disk == disk)
     }
 
-    /// Machines that hold, or are to hold, the records: `next` if there is one.
+    /// Members after the change in progress: `next` if there is one, else `current`.
     #[must_use]
     pub fn latest(&self) -> &[StorageMember] {
         self.next.as_deref().unwrap_or(&self.current)
@@ -85,7 +85,7 @@
     }
 }
 
-/// The view in which `node` is to be emptied. A repeated order changes nothing.
+/// The view in which `node` is being emptied. A repeated order changes nothing.
 ///
 /// # Errors
 /// [`RetireError::Unknown`] if no view names the machine, [`RetireError::TooFew`] if fewer than
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -15,19 +15,19 @@
 
 /// How long the first view waits for more machines than it needs.
 const FIRST_VIEW_WAIT: Duration = Duration::from_secs(1);
-/// How long it waits when there are fewer than a full group.
+/// How long the first view waits while there are fewer machines than a full group.
 const SMALL_FIRST_VIEW_WAIT: Duration = Duration::from_secs(5);
-/// Silence after which a machine gives its place to one that joins.
+/// Time without announcements after which a machine is replaced by one that joins.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Silence after which a machine goes that holds up a change of the membership, though less than a full group
-/// stays.
+/// Time without announcements after which a machine that stalls a change of the membership is removed, even if less
+/// than a full group remains.
 const STALLED_CHANGE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Silence after which a machine is dropped though nobody takes its place.
+/// Time without announcements after which a machine is removed even if no other replaces it.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(6);
-/// Announcements older than this do not make a machine join.
+/// A machine joins only if its latest announcement is not older than this.
 const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_millis(1_200);
 
-/// The next view, if it should differ from `view`. `tolerated` machines may be lost at once.
+/// The view that should follow `view`; `None` if it should stay. `tolerated` machines may be lost at once.
 #[must_use]
 pub fn plan(
     now: Instant,
@@ -35,178 +35,206 @@
     announcements: &Announcements,
     tolerated: usize,
 ) -> Option<StorageView> {
-    if view.current.is_empty() {
-        return first_view(now, view, announcements, tolerated);
-    }
-    let wanted = wanted_members(now, view, announcements, tolerated);
-    if !same_members(&wanted, view.latest()) {
-        return Some(with_next(view, wanted));
-    }
-    let next = view.next.as_ref()?;
-    // A change that was called off needs no pulls: every write has reached the present machines too.
-    if same_members(next, &view.current) && view.retiring.is_empty() {
-        return Some(end_of_joint_epoch(view, next));
-    }
-    let pulled = |member: &StorageMember| {
-        let observation = announcements.observation(&member.node);
-        observation
-            .is_some_and(|seen| seen.member.disk == member.disk && seen.pulled_epoch == view.epoch)
+    let planner = Planner {
+        now,
+        view,
+        announcements,
+        tolerated,
     };
-    next.iter()
-        .all(pulled)
-        .then(|| end_of_joint_epoch(view, next))
+    planner.next_view()
 }
 
-fn first_view(
+/// What a plan is made from.
+struct Planner<'a> {
     now: Instant,
-    view: &StorageView,
-    announcements: &Announcements,
+    view: &'a StorageView,
+    announcements: &'a Announcements,
     tolerated: usize,
-) -> Option<StorageView> {
-    let members: Vec<StorageMember> = announcements
-        .observations()
-        .filter(|seen| now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE)
-        .map(member_of)
-        .collect();
-    let first = announcements
-        .observations()
-        .map(|seen| seen.first_heard)
-        .min()?;
-    let waited = now.saturating_duration_since(first);
-    let full = members.len() > 2 * tolerated;
-    let ready = (full && waited >= FIRST_VIEW_WAIT)
-        || (members.len() > tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
-    ready.then(|| StorageView {
-        epoch: view.epoch + 1,
-        current: members,
-        ..StorageView::default()
-    })
 }
 
-/// The membership as it should be: the latest one, with machines replaced, added, dropped and emptied.
-fn wanted_members(
-    now: Instant,
-    view: &StorageView,
-    announcements: &Announcements,
-    tolerated: usize,
-) -> Vec<StorageMember> {
-    let others_alive = alive_without_emptied(now, view, announcements);
-    // An order waits while too few others are there to take over.
-    let may_leave = others_alive > tolerated;
-    let stopping = stopping_to_drop(now, view, announcements, tolerated);
-    let leaves = |node: &str| {
-        let is_emptied = (may_leave && view.retiring.contains(node)) || view.retired.contains(node);
-        is_emptied || stopping.contains(node)
-    };
-    let joining: Vec<StorageMember> = announcements
-        .observations()
-        .filter(|seen| !leaves(&seen.member.node) && !seen.shutting_down)
-        .filter(|seen| now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE)
-        .filter(|seen| {
-            !view
-                .latest()
-                .iter()
-                .any(|member| member.node == seen.member.node)
-        })
-        .map(member_of)
-        .collect();
-    let mut wanted: Vec<StorageMember> = view
-        .latest()
-        .iter()
-        .filter(|member| !leaves(&member.node))
-        .map(|member| {
-            announcements
-                .observation(&member.node)
-                .map_or_else(|| member.clone(), member_of)
-        })
-        .collect();
-    wanted.extend(joining);
-    let silence = |member: &StorageMember| announcements.unresponsive_for(now, &member.node);
-    drop_unresponsive(&mut wanted, view, silence, tolerated);
-    wanted
+/// A machine and the time for which it has not announced itself; ordered by that time.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct UnresponsiveMachine {
+    unresponsive_for: Duration,
+    node: String,
 }
 
-/// Machines that are heard and are not to be emptied.
-fn alive_without_emptied(now: Instant, view: &StorageView, announcements: &Announcements) -> usize {
-    let stays = |node: &str| !view.retiring.contains(node) && !view.retired.contains(node);
-    let heard = |member: &&StorageMember| {
-        announcements.unresponsive_for(now, &member.node) < REPLACEMENT_TIMEOUT
-    };
-    view.latest()
-        .iter()
-        .filter(|member| stays(&member.node))
-        .filter(heard)
-        .count()
-}
+impl Planner<'_> {
+    fn next_view(&self) -> Option<StorageView> {
+        let view = self.view;
+        if view.current.is_empty() {
+            return self.first_view();
+        }
+        let wanted = self.wanted_members();
+        if !same_members(&wanted, view.latest()) {
+            return Some(joint_epoch(view, wanted));
+        }
+        let next = view.next.as_ref()?;
+        // A cancelled change needs no pulls: every write has reached the current machines too.
+        let is_cancelled = same_members(next, &view.current) && view.retiring.is_empty();
+        let is_pulled = next.iter().all(|member| self.has_pulled(member));
+        (is_cancelled || is_pulled).then(|| end_of_joint_epoch(view, next))
+    }
 
-/// Machines whose processes are being stopped and that are not needed: a full group of others is there.
-/// Without one a stopped machine keeps its place, for it may come back with its disk.
-fn stopping_to_drop(
-    now: Instant,
-    view: &StorageView,
-    announcements: &Announcements,
-    tolerated: usize,
-) -> BTreeSet<String> {
-    let fresh = |seen: &&MachineObservation| {
-        now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE
-    };
-    let (stopping, others): (Vec<&MachineObservation>, Vec<&MachineObservation>) = announcements
-        .observations()
-        .filter(fresh)
-        .partition(|seen| seen.shutting_down);
-    // A machine that is being emptied is still one of the group.
-    let nodes = others.iter().map(|seen| &seen.member.node);
-    let present: Vec<&String> = nodes.filter(|node| !view.retired.contains(*node)).collect();
-    let left = present
-        .iter()
-        .filter(|node| !view.retiring.contains(**node))
-        .count();
-    if present.len() <= 2 * tolerated || left <= tolerated {
-        return BTreeSet::new();
+    fn first_view(&self) -> Option<StorageView> {
+        let observations = self.announcements.observations();
+        let members: Vec<StorageMember> = observations
+            .filter(|seen| self.is_fresh(seen))
+            .map(|seen| seen.member.clone())
+            .collect();
+        let observations = self.announcements.observations();
+        let first = observations.map(|seen| seen.first_heard).min()?;
+        let waited = self.now.saturating_duration_since(first);
+        let is_full_group = members.len() > 2 * self.tolerated;
+        let is_ready = (is_full_group && waited >= FIRST_VIEW_WAIT)
+            || (members.len() > self.tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
+        is_ready.then(|| StorageView {
+            epoch: self.view.epoch + 1,
+            current: members,
+            ..StorageView::default()
+        })
     }
-    stopping
-        .iter()
-        .map(|seen| seen.member.node.clone())
-        .collect()
-}
 
-/// Drops silent machines, the longest silent first, where others have taken their place or enough stay. A
-/// machine that is silent while the membership changes anyway goes sooner, for it holds the change up.
-fn drop_unresponsive(
-    wanted: &mut Vec<StorageMember>,
-    view: &StorageView,
-    silence: impl Fn(&StorageMember) -> Duration,
-    tolerated: usize,
-) {
-    let stays = |member: &&StorageMember| wanted.iter().any(|other| other.node == member.node);
-    let places = view.current.iter().filter(stays).count();
-    let changing = view.next.is_some() || !same_members(wanted, &view.current);
-    let patience = if changing {
-        REPLACEMENT_TIMEOUT
-    } else {
-        REMOVAL_TIMEOUT
-    };
-    let mut silent: Vec<(Duration, String)> = wanted
-        .iter()
-        .map(|member| (silence(member), member.node.clone()))
-        .collect();
-    silent.retain(|(silence, _)| *silence >= REPLACEMENT_TIMEOUT);
-    silent.sort();
-    let alive = wanted.len() - silent.len();
-    for (silence, node) in silent.into_iter().rev() {
-        let replaced = wanted.len() > places;
-        let spare = silence >= patience && alive > 2 * tolerated;
-        let holds_up = changing && silence >= STALLED_CHANGE_TIMEOUT && alive > tolerated;
-        if replaced || spare || holds_up {
-            wanted.retain(|member| member.node != node);
+    /// The membership as it should be: the latest one, with machines replaced, added, removed and emptied.
+    fn wanted_members(&self) -> Vec<StorageMember> {
+        let departing = self.departing();
+        let staying = self.view.latest().iter();
+        let mut wanted: Vec<StorageMember> = staying
+            .filter(|member| !departing.contains(&member.node))
+            .map(|member| self.as_announced(member))
+            .collect();
+        wanted.extend(self.joining(&departing));
+        self.remove_unresponsive(&mut wanted);
+        wanted
+    }
+
+    /// Names of the machines that are emptied, or that shut down and are not needed.
+    fn departing(&self) -> BTreeSet<String> {
+        let mut departing = self.unneeded_in_shutdown();
+        departing.extend(self.view.retired.iter().cloned());
+        // An order to empty a machine waits while too few others are there to take over.
+        if self.responsive_and_staying() > self.tolerated {
+            departing.extend(self.view.retiring.iter().cloned());
+        }
+        departing
+    }
+
+    /// Machines that have announced themselves and are not in the latest membership.
+    fn joining(&self, departing: &BTreeSet<String>) -> Vec<StorageMember> {
+        let latest = self.view.latest();
+        let is_member = |node: &str| latest.iter().any(|member| member.node == node);
+        let joining = self.announcements.observations().filter(|seen| {
+            let node = &seen.member.node;
+            !departing.contains(node)
+                && !seen.shutting_down
+                && self.is_fresh(seen)
+                && !is_member(node)
+        });
+        joining.map(|seen| seen.member.clone()).collect()
+    }
+
+    /// Number of responsive machines that are not being emptied.
+    fn responsive_and_staying(&self) -> usize {
+        let is_responsive = |member: &&StorageMember| {
+            self.announcements.unresponsive_for(self.now, &member.node) < REPLACEMENT_TIMEOUT
+        };
+        let members = self.view.latest().iter();
+        members
+            .filter(|member| !self.is_emptied(&member.node))
+            .filter(is_responsive)
+            .count()
+    }
+
+    /// Machines that are shutting down and are not needed, since the others are a full group. Without a full group a
+    /// stopped machine stays a member, since it may come back with its disk.
+    fn unneeded_in_shutdown(&self) -> BTreeSet<String> {
+        let view = self.view;
+        let observations = self.announcements.observations();
+        let (shutting_down, others): (Vec<_>, Vec<_>) = observations
+            .filter(|seen| self.is_fresh(seen))
+            .partition(|seen| seen.shutting_down);
+        // A machine that is being emptied is still one of the group.
+        let nodes = others.iter().map(|seen| &seen.member.node);
+        let present: Vec<&String> = nodes.filter(|node| !view.retired.contains(*node)).collect();
+        let remaining = present
+            .iter()
+            .filter(|node| !view.retiring.contains(**node))
+            .count();
+        if present.len() <= 2 * self.tolerated || remaining <= self.tolerated {
+            return BTreeSet::new();
+        }
+        let nodes = shutting_down.iter().map(|seen| seen.member.node.clone());
+        nodes.collect()
+    }
+
+    /// Removes unresponsive machines, the longest unresponsive first, where others have replaced them or enough remain. A
+    /// machine that is unresponsive during a change of the membership is removed sooner, since it stalls the change.
+    fn remove_unresponsive(&self, wanted: &mut Vec<StorageMember>) {
+        let current = &self.view.current;
+        let is_wanted =
+            |member: &&StorageMember| wanted.iter().any(|other| other.node == member.node);
+        let members_to_keep = current.iter().filter(is_wanted).count();
+        let is_changing = self.view.next.is_some() || !same_members(wanted, current);
+        let removal_timeout = if is_changing {
+            REPLACEMENT_TIMEOUT
+        } else {
+            REMOVAL_TIMEOUT
+        };
+        let unresponsive = self.unresponsive_machines(wanted);
+        let responsive = wanted.len() - unresponsive.len();
+        for machine in unresponsive.into_iter().rev() {
+            let time = machine.unresponsive_for;
+            let is_replaced = wanted.len() > members_to_keep;
+            let is_redundant = time >= removal_timeout && responsive > 2 * self.tolerated;
+            let stalls_change =
+                is_changing && time >= STALLED_CHANGE_TIMEOUT && responsive > self.tolerated;
+            if is_replaced || is_redundant || stalls_change {
+                wanted.retain(|member| member.node != machine.node);
+            }
         }
     }
+
+    /// Members that have not announced themselves for [`REPLACEMENT_TIMEOUT`], in ascending order of the time.
+    fn unresponsive_machines(&self, members: &[StorageMember]) -> Vec<UnresponsiveMachine> {
+        let mut machines: Vec<UnresponsiveMachine> = members
+            .iter()
+            .map(|member| UnresponsiveMachine {
+                unresponsive_for: self.announcements.unresponsive_for(self.now, &member.node),
+                node: member.node.clone(),
+            })
+            .filter(|machine| machine.unresponsive_for >= REPLACEMENT_TIMEOUT)
+            .collect();
+        machines.sort();
+        machines
+    }
+
+    fn is_fresh(&self, seen: &MachineObservation) -> bool {
+        self.now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE
+    }
+
+    fn is_emptied(&self, node: &str) -> bool {
+        self.view.retiring.contains(node) || self.view.retired.contains(node)
+    }
+
+    /// Whether the member has announced that it has pulled for the view's epoch.
+    fn has_pulled(&self, member: &StorageMember) -> bool {
+        let observation = self.announcements.observation(&member.node);
+        observation.is_some_and(|seen| {
+            seen.member.disk == member.disk && seen.pulled_epoch == self.view.epoch
+        })
+    }
+
+    /// The member with its disk and address as last announced.
+    fn as_announced(&self, member: &StorageMember) -> StorageMember {
+        let observation = self.announcements.observation(&member.node);
+        observation.map_or_else(|| member.clone(), |seen| seen.member.clone())
+    }
 }
 
-fn with_next(view: &StorageView, wanted: Vec<StorageMember>) -> StorageView {
+fn joint_epoch(view: &StorageView, next: Vec<StorageMember>) -> StorageView {
     let mut changed = view.clone();
     changed.epoch += 1;
-    changed.next = Some(wanted);
+    changed.next = Some(next);
     changed
 }
 
@@ -215,24 +243,14 @@
     changed.epoch += 1;
     changed.next = None;
     changed.current = next.to_vec();
-    let gone = |node: &String| !next.iter().any(|member| &member.node == node);
-    let emptied: Vec<String> = view
-        .retiring
-        .iter()
-        .filter(|node| gone(node))
-        .cloned()
-        .collect();
-    for node in emptied {
-        changed.retiring.remove(&node);
-        changed.retired.insert(node);
+    let has_departed = |node: &&String| !next.iter().any(|member| member.node == **node);
+    for node in view.retiring.iter().filter(has_departed) {
+        changed.retiring.remove(node);
+        changed.retired.insert(node.clone());
     }
     changed
 }
 
-fn member_of(seen: &MachineObservation) -> StorageMember {
-    seen.member.clone()
-}
-
 fn same_members(left: &[StorageMember], right: &[StorageMember]) -> bool {
     left.len() == right.len() && left.iter().all(|member| right.contains(member))
 }
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_disk_of_another_format_is_left_as_it_is() {
+async fn a_disk_of_another_format_is_not_changed() {
     let folder = tempfile::tempdir().unwrap();
     drop(open(folder.path()).await.unwrap());
     let slot = used_slot(folder.path());
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn records_of_another_version_are_left_as_they_are() {
+async fn records_of_another_version_are_not_changed() {
     let folder = tempfile::tempdir().unwrap();
     let (journal, _) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
     let mut record = encode(&Record::Identity { disk: 7 });
@@ -97,9 +97,9 @@
     assert_eq!(files(folder.path()), before);
 }
 
-/// Damage is another matter: the machine begins anew, with a new identity, and pulls from the others.
+/// A corrupt disk gets a new identity, and the machine pulls from the others.
 #[tokio::test]
-async fn a_damaged_disk_begins_anew() {
+async fn a_corrupt_disk_gets_a_new_identity() {
     let folder = tempfile::tempdir().unwrap();
     let server = open(folder.path()).await.unwrap();
     let disk = server.announcement().member.disk;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn requests_of_other_versions_or_cut_short_are_refused_and_counted() {
+async fn truncated_requests_and_those_of_other_versions_are_rejected_and_counted() {
     let folder = tempfile::tempdir().unwrap();
     let server = open(folder.path()).await.unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -121,8 +121,8 @@
     let router = server.routes(Router::new());
     let rejected = router.rejected();
     tokio::spawn(serve(listener, router));
-    let bad: [&[u8]; 5] = [&[], &[0, 1, 2], &[2, 1, 2], &[1], &[1, 0, 0, 0]];
-    for body in bad {
+    let invalid: [&[u8]; 5] = [&[], &[0, 1, 2], &[2, 1, 2], &[1], &[1, 0, 0, 0]];
+    for body in invalid {
         let answer = rpc()
             .call(address, ServiceId::STORAGE, body.to_vec(), LONG)
             .await;
@@ -132,23 +132,23 @@
 }
 
 #[test]
-fn announcements_that_cannot_be_read_are_not_heard() {
+fn malformed_announcements_are_not_recorded() {
     let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
-    let hear = handler(announcements.clone(), || true);
+    let handle = handler(announcements.clone(), || true);
     let peer: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let error = hear(peer, Bytes::from_static(&[9, 1]))
+    let error = handle(peer, Bytes::from_static(&[9, 1]))
         .into_inner()
         .unwrap_err();
     assert_eq!(error, MessageError::Version { found: 9 });
     assert_eq!(
-        hear(peer, Bytes::new()).into_inner().unwrap_err(),
+        handle(peer, Bytes::new()).into_inner().unwrap_err(),
         MessageError::Empty
     );
     assert_eq!(announcements.lock().observations().count(), 0);
 }
 
 #[test]
-fn a_view_cut_at_any_byte_or_of_another_version_is_an_error() {
+fn a_view_truncated_at_any_byte_or_of_another_version_is_an_error() {
     let address = "127.0.0.1:1".parse().unwrap();
     let member = StorageMember {
         node: "storage-1".to_owned(),
--- a/crates/tier/storage/tests/codecs.rs
+++ b/crates/tier/storage/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Codecs: what is written is read back, and nothing else is read.
+//! Codecs: every encoded value is decoded to itself, and nothing else is decoded.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -12,7 +12,7 @@
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
 
-/// Anything that is sent or stored.
+/// A random value of each type that is sent or stored.
 #[derive(Debug, Clone, PartialEq)]
 struct Any<T>(T);
 
@@ -187,7 +187,7 @@
         decode(&encode(&record.0)) == Some(record.0)
     }
 
-    fn a_cut_message_is_not_read(request: Any<Request>, cut: usize) -> bool {
+    fn a_truncated_message_is_not_decoded(request: Any<Request>, cut: usize) -> bool {
         let bytes = encode(&request.0);
         decode::<Request>(&bytes[..cut % bytes.len()]).is_none()
     }
@@ -252,9 +252,9 @@
     }
 }
 
-/// A length that promises more than there is must not be allocated for.
+/// A length prefix beyond the end of the message must not lead to an allocation of that size.
 #[test]
-fn a_promised_length_is_not_allocated() {
+fn a_length_beyond_the_message_is_not_allocated() {
     let mut bytes = encode(&Response {
         epoch: 0,
         answer: Answer::Found {
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn another_program_may_go_on_from_a_turn() {
+async fn another_program_may_continue_a_turn() {
     let (_machines, view) = machines(4);
     let writer = client(&view);
     writer.put_turn(turn("p", "a", None), None).await.unwrap();
@@ -195,7 +195,7 @@
     let _third = one.reserve(&request("p", "e", 100, 10)).await.unwrap();
 }
 
-/// Waits until a turn is granted, which it is once others of its program are settled.
+/// Waits until a reservation is granted, which it is once others of its program are settled.
 async fn wait_until_granted(client: &StorageClient, request: &ReserveRequest) -> ReservationGuard {
     let granted = async {
         loop {
@@ -211,16 +211,16 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_reservation_that_is_dropped_counts_for_what_was_given() {
+async fn a_dropped_reservation_counts_the_tokens_delivered() {
     let (_machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
-    let mut held = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    held.set_delivered_tokens(30);
+    let mut reservation = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
+    reservation.set_delivered_tokens(30);
     assert_eq!(
         two.reserve(&request("p", "b", 100, 60)).await.unwrap_err(),
         ReserveError::Spent
     );
-    drop(held);
+    drop(reservation);
     let _next = wait_until_granted(&two, &request("p", "c", 100, 70)).await;
     assert_eq!(
         two.reserve(&request("p", "d", 100, 1)).await.unwrap_err(),
@@ -233,8 +233,8 @@
     let (_machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
     let never_polled_again = async {
-        let asked = request("p", "a", 100, 60);
-        let mut reserve = std::pin::pin!(one.reserve(&asked));
+        let reserve_request = request("p", "a", 100, 60);
+        let mut reserve = std::pin::pin!(one.reserve(&reserve_request));
         let polled =
             std::future::poll_fn(|context| Poll::Ready(reserve.as_mut().poll(context))).await;
         assert!(polled.is_pending(), "no machine has answered");
@@ -243,21 +243,22 @@
     let _next = wait_until_granted(&two, &request("p", "b", 100, 100)).await;
 }
 
-/// The machines are away for longer than one round of telling them.
+/// The machines are away for longer than one attempt to settle.
 #[tokio::test(flavor = "current_thread")]
-async fn a_turn_that_could_not_be_stored_counts_for_what_it_gave_once_the_machines_are_back() {
+async fn a_turn_that_could_not_be_stored_is_settled_once_the_machines_are_back() {
     let (machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
-    let mut held = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    held.set_delivered_tokens(30);
+    let mut reservation = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
+    reservation.set_delivered_tokens(30);
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
     tokio::time::pause();
     assert_eq!(
-        one.put_turn(turn("p", "a", None), Some(&mut held)).await,
+        one.put_turn(turn("p", "a", None), Some(&mut reservation))
+            .await,
         Err(Unavailable)
     );
-    drop(held);
-    // The first round of telling them begins, and is over long before they are back.
+    drop(reservation);
+    // The first attempt to settle begins, and has failed long before they are back.
     tokio::time::advance(Duration::from_millis(1)).await;
     tokio::time::advance(Duration::from_secs(20)).await;
     tokio::time::resume();
@@ -286,7 +287,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn what_is_counted_holds_when_all_machines_have_stopped() {
+async fn budgets_survive_a_stop_of_all_machines() {
     let (machines, view) = machines(3);
     let one = client(&view);
     let mut ended = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
--- a/crates/tier/storage/tests/placement.rs
+++ b/crates/tier/storage/tests/placement.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn every_read_meets_every_write_and_a_write_outlives_the_tolerated_losses() {
+fn every_read_intersects_every_write_and_a_write_survives_the_tolerated_losses() {
     for tolerated in 0..4 {
         for members in tolerated + 1..12 {
             let group = group_size(members, tolerated);
@@ -79,16 +79,18 @@
 }
 
 #[test]
-fn programs_spread_over_the_machines() {
+fn programs_are_distributed_among_the_machines() {
     let members = machines(4, 4);
-    let mut held = [0; 4];
+    let mut programs_of_machine = [0; 4];
     for program in 0..4_000 {
         for member in group(&members, &format!("{program:x}"), 1) {
-            held[member.disk as usize - 1] += 1;
+            programs_of_machine[member.disk as usize - 1] += 1;
         }
     }
     assert!(
-        held.iter().all(|count| (2_700..3_300).contains(count)),
-        "{held:?}"
+        programs_of_machine
+            .iter()
+            .all(|count| (2_700..3_300).contains(count)),
+        "{programs_of_machine:?}"
     );
 }
--- a/crates/tier/storage/tests/plan.rs
+++ b/crates/tier/storage/tests/plan.rs
@@ -25,7 +25,7 @@
     announcements: Announcements,
     /// Machines that announce themselves, and whether they pull.
     machines: Vec<(StorageMember, bool)>,
-    /// Machines whose processes are being stopped.
+    /// Machines whose processes are shutting down.
     shutting_down: BTreeSet<String>,
     tolerated: usize,
 }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_machine_that_stays_away_is_dropped_if_a_full_group_stays() {
+fn a_machine_that_stays_away_is_removed_if_a_full_group_remains() {
     for (count, left) in [(4, vec![2, 3, 4]), (3, vec![1, 2, 3])] {
         let mut tier = Tier::new(count, 1);
         tier.stop(0);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_new_disk_takes_the_place_of_the_old_one_at_once() {
+fn a_new_disk_replaces_the_old_one_at_once() {
     let mut tier = Tier::new(3, 1);
     tier.stop(1);
     tier.start(1, 12);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_replacement_takes_the_place_of_a_silent_machine_soon() {
+fn a_joining_machine_soon_replaces_an_unresponsive_one() {
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
     tier.pass(Duration::from_secs(1));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_change_that_is_called_off_ends_without_the_silent_machine() {
+fn a_cancelled_change_completes_without_the_unresponsive_machine() {
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
     tier.start(3, 4);
@@ -178,13 +178,13 @@
 }
 
 #[test]
-fn an_observer_that_was_frozen_drops_nobody() {
+fn an_observer_that_was_frozen_removes_no_machine() {
     let mut tier = Tier::new(4, 1);
     tier.now += Duration::from_secs(30);
     tier.stop(0);
     tier.pass(Duration::from_millis(1_400));
     assert_eq!(tier.view.epoch, 1);
-    // Nor does one that hears nobody at all.
+    // Nor does one that receives no announcement at all.
     assert_eq!(
         plan(
             tier.now + Duration::from_secs(30),
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_order_for_a_machine_that_dies_succeeds_too() {
+fn an_order_for_a_machine_that_crashes_succeeds_too() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-2", 1).unwrap();
     tier.stop(2);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn an_order_waits_while_too_few_others_are_heard() {
+fn an_order_waits_while_too_few_others_are_responsive() {
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
     tier.pass(Duration::from_secs(2));
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_machine_that_is_being_stopped_goes_if_a_full_group_stays() {
+fn a_machine_in_shutdown_is_removed_if_a_full_group_remains() {
     let mut tier = Tier::new(4, 1);
     tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_machine_that_is_being_stopped_keeps_its_place_if_fewer_stay() {
+fn a_machine_in_shutdown_stays_a_member_if_fewer_remain() {
     let mut tier = Tier::new(3, 1);
     tier.shutting_down.insert("store-2".to_owned());
     tier.pass(Duration::from_secs(1));
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn machines_that_are_stopped_all_at_once_change_nothing() {
+fn a_shutdown_of_all_machines_at_once_changes_nothing() {
     let mut tier = Tier::new(5, 1);
     tier.shutting_down = (0..5).map(|number| format!("store-{number}")).collect();
     tier.pass(Duration::from_secs(2));
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_machine_on_its_way_out_does_not_come_back_while_it_is_being_stopped() {
+fn a_departing_machine_does_not_rejoin_during_its_shutdown() {
     let mut tier = Tier::new(4, 1);
     tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_machine_that_is_being_stopped_goes_with_one_that_is_to_be_emptied() {
+fn a_machine_in_shutdown_is_removed_with_one_that_is_emptied() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-3", 1).unwrap();
     tier.shutting_down.insert("store-2".to_owned());
--- a/crates/tier/storage/tests/retention.rs
+++ b/crates/tier/storage/tests/retention.rs
@@ -1,10 +1,10 @@
-//! What a stopped program finds when it goes on within its turns' retention, also after a restart.
+//! What a stopped program finds when it continues within its turns' retention, also after a restart.
 
 use std::time::Duration;
 
 use woadreach_storage::budget::Reservation;
-use woadreach_storage::member::{Member, Step};
 use woadreach_storage::message::{FencingToken, Operation, Request, Settlement};
+use woadreach_storage::node::{Step, StorageNode};
 use woadreach_storage::turn::TurnRecord;
 
 const DISK: u64 = 7;
@@ -22,8 +22,8 @@
     }
 }
 
-/// Takes a request; the record that its answer waits for.
-fn record(member: &mut Member, now: Duration, operation: Operation) -> Vec<u8> {
+/// Handles a request and returns the record that its answer waits for.
+fn record(node: &mut StorageNode, now: Duration, operation: Operation) -> Vec<u8> {
     let request = Request {
         fencing_token: FencingToken {
             epoch: 0,
@@ -31,7 +31,7 @@
         },
         operation,
     };
-    match member.handle(now, request) {
+    match node.handle(now, request) {
         Step::Persist { record, .. } => record,
         other => panic!("nothing to sync: {other:?}"),
     }
@@ -54,24 +54,24 @@
     }
 }
 
-/// A machine with one turn that gave three tokens and one that never ended, and its journal.
-fn stopped_program(retention: Duration) -> (Member, Vec<Vec<u8>>) {
-    let (mut member, identity) = Member::create("store".to_owned(), DISK, 1);
+/// A machine with one turn that delivered three tokens and one that never ended, and its journal.
+fn stopped_program(retention: Duration) -> (StorageNode, Vec<Vec<u8>>) {
+    let (mut node, identity) = StorageNode::create("store".to_owned(), DISK, 1);
     let settlement = Settlement {
         reservation: 1,
         delivered_tokens: 3,
     };
     let journal = vec![
         identity,
-        record(&mut member, Duration::ZERO, reserve(1)),
-        record(&mut member, Duration::ZERO, put("a", retention, settlement)),
-        record(&mut member, Duration::ZERO, reserve(2)),
+        record(&mut node, Duration::ZERO, reserve(1)),
+        record(&mut node, Duration::ZERO, put("a", retention, settlement)),
+        record(&mut node, Duration::ZERO, reserve(2)),
     ];
-    (member, journal)
+    (node, journal)
 }
 
-fn counted(member: &Member) -> Vec<Reservation> {
-    member.store().reservations("program")
+fn reservations(node: &StorageNode) -> Vec<Reservation> {
+    node.store().reservations("program")
 }
 
 fn expected() -> [Reservation; 2] {
@@ -89,19 +89,19 @@
     ]
 }
 
-fn has_turn(member: &Member) -> bool {
-    !member.store().chain("program", "a", usize::MAX).is_empty()
+fn has_turn(node: &StorageNode) -> bool {
+    !node.store().chain("program", "a", usize::MAX).is_empty()
 }
 
 #[test]
-fn turns_and_budget_are_there_for_the_whole_retention() {
+fn turns_and_budget_are_stored_until_the_retention_has_passed() {
     for seconds in [60, 600, 3_600] {
-        let (mut member, _) = stopped_program(SECOND * seconds);
-        member.expire(SECOND * seconds);
-        assert!(has_turn(&member), "{seconds} s");
-        assert_eq!(counted(&member), expected(), "{seconds} s");
-        member.expire(SECOND * (seconds + 1_000));
-        assert!(member.store().is_empty(), "{seconds} s");
+        let (mut node, _) = stopped_program(SECOND * seconds);
+        node.expire(SECOND * seconds);
+        assert!(has_turn(&node), "{seconds} s");
+        assert_eq!(reservations(&node), expected(), "{seconds} s");
+        node.expire(SECOND * (seconds + 1_000));
+        assert!(node.store().is_empty(), "{seconds} s");
     }
 }
 
@@ -109,24 +109,28 @@
 fn a_restart_shortens_neither_the_retention_nor_what_is_counted() {
     for seconds in [60, 600] {
         let (_, journal) = stopped_program(SECOND * seconds);
-        let back = Member::recover(Duration::ZERO, "store".to_owned(), 1, None, &journal);
+        let back = StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, None, &journal);
         let mut back = back.expect("a journal that can be read");
         back.expire(SECOND * seconds);
         assert!(has_turn(&back), "{seconds} s");
-        assert_eq!(counted(&back), expected(), "{seconds} s");
+        assert_eq!(reservations(&back), expected(), "{seconds} s");
     }
 }
 
 #[test]
-fn a_snapshot_keeps_the_time_that_is_left() {
-    let (member, _) = stopped_program(SECOND * 60);
-    let snapshot = member.snapshot(SECOND * 40);
-    let back = Member::recover(Duration::ZERO, "store".to_owned(), 1, Some(&snapshot), &[]);
+fn a_snapshot_preserves_the_remaining_retention() {
+    let (node, _) = stopped_program(SECOND * 60);
+    let snapshot = node.snapshot(SECOND * 40);
+    let back = StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, Some(&snapshot), &[]);
     let mut back = back.expect("a snapshot that can be read");
     back.expire(SECOND * 20);
     assert!(has_turn(&back));
-    assert_eq!(counted(&back), expected());
+    assert_eq!(reservations(&back), expected());
     back.expire(SECOND * 26);
     assert!(!has_turn(&back));
-    assert_eq!(counted(&back), expected(), "the budget is kept for longer");
+    assert_eq!(
+        reservations(&back),
+        expected(),
+        "the budget is kept for longer"
+    );
 }
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! One simulated storage machine: the pure member, its journal on a simulated disk, and group commit.
+//! One simulated storage machine: its decisions, its journal on a simulated disk, and group commit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use oorandom::Rand64;
 use woadreach_journal::{DiskFault, Engine, JournalError, SimulatedDisk, Synced};
 use woadreach_storage::announce::Announcement;
-use woadreach_storage::member::{Member, Pending, Step};
 use woadreach_storage::message::{Operation, Request, Response};
+use woadreach_storage::node::{Pending, Step, StorageNode};
 use woadreach_storage::pull::{Pages, Pull};
 use woadreach_storage::{StorageMember, StorageView};
 
@@ -57,7 +57,7 @@
 
 /// A running process.
 pub(crate) struct Process {
-    pub member: Member,
+    pub node: StorageNode,
     engine: Engine,
     queue: VecDeque<Waiting>,
     batch: Vec<Waiting>,
@@ -87,10 +87,10 @@
 impl Machine {
     pub(crate) fn announcement(&self) -> Option<Announcement> {
         let process = self.process.as_ref()?;
-        let member = self.member(process.member.disk());
+        let member = self.member(process.node.disk());
         Some(Announcement {
             member,
-            pulled_epoch: process.member.pulled_epoch(),
+            pulled_epoch: process.node.pulled_epoch(),
             shutting_down: self.stop.is_some(),
         })
     }
@@ -132,19 +132,19 @@
         };
         let snapshot = found.snapshot.as_deref();
         let recovered =
-            Member::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
-        let member = recovered.unwrap_or_else(|| {
+            StorageNode::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
+        let node = recovered.unwrap_or_else(|| {
             if mutation != Mutation::WipedMachineCounts || self.identity == 0 {
                 self.identity = random.rand_u64();
             }
-            let (member, record) = Member::create(self.node.clone(), self.identity, tolerated);
+            let (node, record) = StorageNode::create(self.node.clone(), self.identity, tolerated);
             let _ = engine.commit(&[record]).unwrap();
-            member
+            node
         });
-        self.identity = member.disk();
+        self.identity = node.disk();
         let (queue, batch) = (VecDeque::new(), Vec::new());
         self.process = Some(Process {
-            member,
+            node,
             engine,
             queue,
             batch,
@@ -184,15 +184,15 @@
         let process = self.process.as_mut()?;
         if mutation == Mutation::Unfenced {
             request.fencing_token.epoch =
-                request.fencing_token.epoch.max(process.member.view().epoch);
+                request.fencing_token.epoch.max(process.node.view().epoch);
         }
         let is_reserve = matches!(request.operation, Operation::Reserve { .. });
-        let step = process.member.handle(now, request);
+        let step = process.node.handle(now, request);
         if mutation == Mutation::ReservationInMemory
             && is_reserve
             && let Step::Persist { pending, .. } = step
         {
-            return Some(process.member.complete(pending, &receipt_of_another_disk()));
+            return Some(process.node.complete(pending, &receipt_of_another_disk()));
         }
         self.take(step, Caller::Call(call))
     }
@@ -217,7 +217,7 @@
         let Some(process) = self.process.as_mut() else {
             return;
         };
-        if let Some(step) = process.member.learn_view(view) {
+        if let Some(step) = process.node.learn_view(view) {
             let answer = self.take(step, Caller::Nobody);
             assert!(answer.is_none());
         }
@@ -264,8 +264,8 @@
         };
         let answers = batch.into_iter().map(|waiting| {
             let response = match &outcome {
-                Ok(synced) => process.member.complete(waiting.pending, synced),
-                Err(_) => process.member.persist_failed(),
+                Ok(synced) => process.node.complete(waiting.pending, synced),
+                Err(_) => process.node.persist_failed(),
             };
             (waiting.caller, response)
         });
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -13,7 +13,7 @@
 /// Number of a job of a proxy.
 pub(crate) type JobId = u64;
 
-/// Epoch and round under which a request was sent, by which late answers are told from current ones.
+/// Epoch and round under which a request was sent, which distinguishes late answers from current ones.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SentUnder {
     pub epoch: u64,
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -142,6 +142,6 @@
     fn may_shut_down(&self, index: usize) -> bool {
         let process = self.machines[index].process.as_ref();
         self.mutation == Mutation::ExitsAtOnce
-            || process.is_some_and(|process| process.member.may_shut_down())
+            || process.is_some_and(|process| process.node.may_shut_down())
     }
 }
--- a/crates/tier/storage/tests/simulation/world/final_reads.rs
+++ b/crates/tier/storage/tests/simulation/world/final_reads.rs
@@ -36,7 +36,7 @@
         let line = |machine: &Machine| {
             let process = machine.process.as_ref();
             let view =
-                process.map(|process| (process.member.view().epoch, process.member.pulled_epoch()));
+                process.map(|process| (process.node.view().epoch, process.node.pulled_epoch()));
             let sources = process
                 .and_then(|process| process.pulling.as_ref())
                 .map(|pulling| {
@@ -75,11 +75,11 @@
         let counted = processes.filter(|process| {
             members
                 .iter()
-                .any(|member| member.disk == process.member.disk())
+                .any(|member| member.disk == process.node.disk())
         });
         let has = |process: &&Process| {
             !process
-                .member
+                .node
                 .store()
                 .chain(&key.program, &key.request_id, usize::MAX)
                 .is_empty()
--- a/crates/tier/storage/tests/simulation/world/machines.rs
+++ b/crates/tier/storage/tests/simulation/world/machines.rs
@@ -92,7 +92,7 @@
                 .map(|pulling| pulling.progress.epoch())
         });
         let process = self.machines[index].process.as_ref();
-        let pulled_before = process.map_or(0, |process| process.member.pulled_epoch());
+        let pulled_before = process.map_or(0, |process| process.node.pulled_epoch());
         for (caller, response) in self.machines[index].end_sync() {
             match caller {
                 Caller::Call(call) => self.respond(index, call, response),
@@ -104,8 +104,8 @@
             .process
             .as_ref()
             .expect("it was there above");
-        let epoch = process.member.view().epoch;
-        let pulled_now = process.member.pulled_epoch() > pulled_before;
+        let epoch = process.node.view().epoch;
+        let pulled_now = process.node.pulled_epoch() > pulled_before;
         if epoch_before != Some(epoch) {
             self.start_pull(index);
         } else if pulled_now {
--- a/crates/tier/storage/tests/simulation/world/pulls.rs
+++ b/crates/tier/storage/tests/simulation/world/pulls.rs
@@ -14,8 +14,8 @@
         let Some(process) = self.machines[index].process.as_mut() else {
             return;
         };
-        let view = process.member.view().clone();
-        let own = process.member.disk();
+        let view = process.node.view().clone();
+        let own = process.node.disk();
         process.pulling = None;
         if !view.next.iter().flatten().any(|member| member.disk == own) {
             return;
@@ -98,7 +98,7 @@
         }
         pulling.finishing = true;
         let epoch = pulling.progress.epoch();
-        let step = process.member.finish_pull(now, epoch);
+        let step = process.node.finish_pull(now, epoch);
         machine.take(step, Caller::Nobody);
         self.disk_work(index);
     }
@@ -129,7 +129,7 @@
                 return self.disk_work(index);
             }
             Answer::Behind => {
-                let view = process.member.view().clone();
+                let view = process.node.view().clone();
                 let (address, incarnation) = (source.member.address, machine.incarnation);
                 let request = Request {
                     fencing_token: FencingToken { epoch, disk },
@@ -145,11 +145,11 @@
             answer => {
                 let records = source
                     .pages
-                    .accept_answer(process.member.store(), answer)
+                    .accept_answer(process.node.store(), answer)
                     .unwrap_or_default();
                 let mut steps = Vec::new();
                 for program in records {
-                    steps.extend(process.member.merge(now, program));
+                    steps.extend(process.node.merge(now, program));
                 }
                 source.unsynced += steps.len();
                 for step in steps {
--- a/crates/tier/storage/tests/simulation/world/views.rs
+++ b/crates/tier/storage/tests/simulation/world/views.rs
@@ -40,7 +40,7 @@
         let known = self.machines[index]
             .process
             .as_ref()
-            .map(|process| process.member.view().epoch);
+            .map(|process| process.node.view().epoch);
         if known < Some(self.core.committed.epoch) && !self.machines[index].inbound_partitioned {
             let view = self.core.committed.clone();
             self.after(
--- a/crates/tier/storage/tests/state.rs
+++ b/crates/tier/storage/tests/state.rs
@@ -6,8 +6,8 @@
 use woadreach_journal::{Engine, SimulatedDisk, Synced};
 use woadreach_storage::budget::{Budget, Reservation};
 use woadreach_storage::cache::TurnCache;
-use woadreach_storage::member::{Member, Step};
 use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Settlement};
+use woadreach_storage::node::{Step, StorageNode};
 use woadreach_storage::store::Store;
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
@@ -60,36 +60,36 @@
         })
     }
 
-    /// Whatever is stored is there after a restart, from a snapshot as well as from the log.
+    /// Everything stored is recovered after a restart, from a snapshot as well as from the log.
     fn a_machine_recovers_what_it_stored(turns: Vec<u8>, tokens: Vec<u8>, compact_at: usize) -> bool {
-        let (mut member, first) = Member::create("store".to_owned(), 7, 1);
+        let (mut node, first) = StorageNode::create("store".to_owned(), 7, 1);
         let mut records = vec![first];
         let mut snapshot = None;
         for (number, id) in turns.iter().enumerate() {
-            let step = member.handle(Duration::ZERO, put(&format!("turn-{id}"), u64::from(*id)));
+            let step = node.handle(Duration::ZERO, put(&format!("turn-{id}"), u64::from(*id)));
             let Step::Persist { record, .. } = step else { return false };
             records.push(record);
             let delivered_tokens = tokens.get(number).copied().unwrap_or(1);
-            let step = member.handle(Duration::ZERO, reserve(u64::from(delivered_tokens)));
+            let step = node.handle(Duration::ZERO, reserve(u64::from(delivered_tokens)));
             let Step::Persist { record, .. } = step else { return false };
             records.push(record);
             if number == compact_at % 8 {
-                snapshot = Some(member.snapshot(Duration::ZERO));
+                snapshot = Some(node.snapshot(Duration::ZERO));
                 records.clear();
             }
         }
-        let node = "store".to_owned();
-        let found = Member::recover(Duration::ZERO, node, 1, snapshot.as_deref(), &records);
+        let name = "store".to_owned();
+        let found = StorageNode::recover(Duration::ZERO, name, 1, snapshot.as_deref(), &records);
         found.is_some_and(|found| {
             found.disk() == 7
-                && found.store().digest("program") == member.store().digest("program")
-                && found.store().reservations("program") == member.store().reservations("program")
+                && found.store().digest("program") == node.store().digest("program")
+                && found.store().reservations("program") == node.store().reservations("program")
         })
     }
 
     fn a_damaged_journal_gives_no_machine_and_no_panic(snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> bool {
-        let node = "store".to_owned();
-        Member::recover(Duration::ZERO, node, 1, Some(&snapshot), &records).is_none()
+        let name = "store".to_owned();
+        StorageNode::recover(Duration::ZERO, name, 1, Some(&snapshot), &records).is_none()
     }
 }
 
@@ -151,12 +151,12 @@
 
 #[test]
 fn requests_under_an_older_view_or_for_another_disk_are_refused() {
-    let (mut member, _) = Member::create("store".to_owned(), 7, 1);
-    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else {
+    let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
+    let Some(Step::Persist { pending, .. }) = node.learn_view(view(10, 7)) else {
         panic!("no record")
     };
     assert_eq!(
-        answer(member.handle(Duration::ZERO, reserve(1))),
+        answer(node.handle(Duration::ZERO, reserve(1))),
         Answer::Stale { view: view(10, 7) }
     );
     let pull = fenced(
@@ -167,53 +167,53 @@
         },
     );
     assert_eq!(
-        answer(member.handle(Duration::ZERO, pull.clone())),
+        answer(node.handle(Duration::ZERO, pull.clone())),
         Answer::Behind,
         "not sealed on disk yet"
     );
-    assert_eq!(member.complete(pending, &synced()).answer, Answer::Stored);
+    assert_eq!(node.complete(pending, &synced()).answer, Answer::Stored);
     assert!(matches!(
-        answer(member.handle(Duration::ZERO, pull)),
+        answer(node.handle(Duration::ZERO, pull)),
         Answer::DigestPage { .. }
     ));
     let mut other = reserve(1);
     other.fencing_token = FencingToken { epoch: 10, disk: 8 };
     assert_eq!(
-        answer(member.handle(Duration::ZERO, other)),
+        answer(node.handle(Duration::ZERO, other)),
         Answer::WrongDisk
     );
 }
 
 #[test]
-fn a_view_that_the_disk_refused_is_sealed_when_it_comes_again() {
-    let (mut member, _) = Member::create("store".to_owned(), 7, 1);
-    assert!(member.learn_view(view(10, 7)).is_some());
-    let _ = member.persist_failed();
-    let Some(Step::Persist { pending, .. }) = member.learn_view(view(10, 7)) else {
+fn a_view_that_the_disk_refused_is_sealed_when_it_is_learned_again() {
+    let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
+    assert!(node.learn_view(view(10, 7)).is_some());
+    let _ = node.persist_failed();
+    let Some(Step::Persist { pending, .. }) = node.learn_view(view(10, 7)) else {
         panic!("no record")
     };
-    let _ = member.complete(pending, &synced());
-    assert!(member.learn_view(view(10, 7)).is_none());
+    let _ = node.complete(pending, &synced());
+    assert!(node.learn_view(view(10, 7)).is_none());
 }
 
 #[test]
-fn a_pull_after_a_refused_record_ends_with_a_snapshot() {
-    let (mut member, _) = Member::create("store".to_owned(), 7, 1);
+fn a_pull_after_a_refused_record_finishes_with_a_snapshot() {
+    let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
     assert!(matches!(
-        member.handle(Duration::ZERO, reserve(1)),
+        node.handle(Duration::ZERO, reserve(1)),
         Step::Persist { .. }
     ));
-    let _ = member.persist_failed();
-    let Step::Compact { pending, .. } = member.finish_pull(Duration::ZERO, 10) else {
+    let _ = node.persist_failed();
+    let Step::Compact { pending, .. } = node.finish_pull(Duration::ZERO, 10) else {
         panic!("no snapshot")
     };
-    assert_eq!(member.pulled_epoch(), 0);
-    let _ = member.complete(pending, &synced());
-    assert_eq!(member.pulled_epoch(), 10);
+    assert_eq!(node.pulled_epoch(), 0);
+    let _ = node.complete(pending, &synced());
+    assert_eq!(node.pulled_epoch(), 10);
 }
 
 #[test]
-fn a_chain_is_kept_as_long_as_its_newest_turn() {
+fn a_chain_is_retained_as_long_as_its_newest_turn() {
     let mut store = Store::default();
     let second = Duration::from_secs(1);
     let records = |turns| Store::records("program".to_owned(), Vec::new(), turns);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_chain_that_leads_back_to_itself_ends() {
+fn reading_a_cyclic_chain_terminates() {
     let mut store = Store::default();
     let turns = vec![turn("a", Some("b")), turn("b", Some("a"))];
     store.merge(
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_cache_is_bounded_and_forgets() {
+fn the_cache_is_bounded_and_expires() {
     let mut cache = TurnCache::new(4_000);
     let cached = |number: u32| Turn {
         program: "program".to_owned(),
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -7,8 +7,8 @@
 
 use woadreach_journal::{Engine, SimulatedDisk, Synced};
 use woadreach_storage::announce::Announcement;
-use woadreach_storage::member::{Member, Step};
 use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Response};
+use woadreach_storage::node::{Step, StorageNode};
 use woadreach_storage::pull::Pull;
 use woadreach_storage::{StorageMember, StorageView};
 
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub(crate) struct Machine {
     index: u8,
-    pub member: Member,
+    pub node: StorageNode,
     /// Records on the disk, oldest first.
     records: Vec<Vec<u8>>,
     /// Progress of the pull for the view that the member knows.
@@ -60,10 +60,10 @@
 
 impl Machine {
     pub(crate) fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
-        let (member, record) = Member::create(format!("store-{index}"), disk, tolerated);
+        let (node, record) = StorageNode::create(format!("store-{index}"), disk, tolerated);
         Machine {
             index,
-            member,
+            node,
             records: vec![record],
             pull: None,
             digest: None,
@@ -72,21 +72,21 @@
 
     /// The process starts again with what its disk has.
     pub(crate) fn restart(&mut self, tolerated: usize) {
-        let node = self.member.node().to_owned();
-        self.member =
-            Member::recover(NOW, node, tolerated, None, &self.records).expect("its own records");
+        let node = self.node.name().to_owned();
+        self.node = StorageNode::recover(NOW, node, tolerated, None, &self.records)
+            .expect("its own records");
         self.pull = None;
         self.digest = None;
     }
 
     pub(crate) fn identity(&self) -> StorageMember {
-        storage_member(self.index, self.member.disk())
+        storage_member(self.index, self.node.disk())
     }
 
     pub(crate) fn announcement(&self) -> Announcement {
         Announcement {
             member: self.identity(),
-            pulled_epoch: self.member.pulled_epoch(),
+            pulled_epoch: self.node.pulled_epoch(),
             shutting_down: false,
         }
     }
@@ -96,7 +96,7 @@
             Step::Reply(response) => response,
             Step::Persist { record, pending } => {
                 self.records.push(record);
-                self.member.complete(pending, &receipt())
+                self.node.complete(pending, &receipt())
             }
             Step::Compact { .. } => unreachable!("no disk fails here"),
         }
@@ -108,7 +108,7 @@
             fencing_token: FencingToken { epoch, disk },
             operation,
         };
-        let step = self.member.handle(NOW, request);
+        let step = self.node.handle(NOW, request);
         let answer = self.finish(step).answer;
         self.digest = None;
         answer
@@ -120,16 +120,16 @@
             fencing_token: FencingToken { epoch, disk },
             operation,
         };
-        match self.member.clone().handle(NOW, request) {
+        match self.node.clone().handle(NOW, request) {
             Step::Reply(response) => response.answer,
             step => unreachable!("{step:?}"),
         }
     }
 
     pub(crate) fn learn(&mut self, view: &StorageView, tolerated: usize) {
-        if let Some(step) = self.member.learn_view(view.clone()) {
+        if let Some(step) = self.node.learn_view(view.clone()) {
             let _ = self.finish(step);
-            self.pull = Some(Pull::new(view, self.member.disk(), tolerated));
+            self.pull = Some(Pull::new(view, self.node.disk(), tolerated));
         }
         self.digest = None;
     }
@@ -140,7 +140,7 @@
         records: Vec<woadreach_storage::message::ProgramRecords>,
     ) {
         for records in records {
-            if let Some(step) = self.member.merge(NOW, records) {
+            if let Some(step) = self.node.merge(NOW, records) {
                 let _ = self.finish(step);
             }
         }
@@ -159,16 +159,16 @@
             return;
         };
         let epoch = pull.epoch();
-        let disk = self.member.disk();
+        let disk = self.node.disk();
         let joins = self
-            .member
+            .node
             .view()
             .next
             .iter()
             .flatten()
             .any(|member| member.disk == disk);
-        if joins && self.member.pulled_epoch() < epoch {
-            let step = self.member.finish_pull(NOW, epoch);
+        if joins && self.node.pulled_epoch() < epoch {
+            let step = self.node.finish_pull(NOW, epoch);
             let _ = self.finish(step);
         }
         self.digest = None;
@@ -180,8 +180,8 @@
 
     pub(crate) fn compute_digest(&mut self) {
         let mut hasher = DefaultHasher::new();
-        self.member.snapshot(NOW).hash(&mut hasher);
-        (self.member.pulled_epoch(), format!("{:?}", self.pull)).hash(&mut hasher);
+        self.node.snapshot(NOW).hash(&mut hasher);
+        (self.node.pulled_epoch(), format!("{:?}", self.pull)).hash(&mut hasher);
         self.digest = Some(hasher.finish());
     }
 
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -33,17 +33,17 @@
     }
 }
 
-fn further() -> usize {
+fn additional_depth() -> usize {
     std::env::var("STORAGE_MODEL_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0)
 }
 
-/// Searches every run of at most `actions` actions; gives the violation that was found.
+/// Searches every run of at most `actions` actions; returns the violation that was found.
 fn search(name: &str, world: World, actions: usize) -> Option<&'static str> {
     let started = Instant::now();
-    let actions = actions + further();
+    let actions = actions + additional_depth();
     let checker = world
         .checker()
         .threads(2)
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -137,12 +137,12 @@
 impl std::fmt::Debug for Tier {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for machine in &self.machines {
-            let names: Vec<&str> = machine.member.store().names().collect();
-            let epoch = machine.member.view().epoch;
+            let names: Vec<&str> = machine.node.store().names().collect();
+            let epoch = machine.node.view().epoch;
             writeln!(
                 formatter,
                 "disk {} epoch {epoch} has {names:?}",
-                machine.member.disk()
+                machine.node.disk()
             )?;
         }
         write!(formatter, "{:?} {:?}", self.views.last(), self.acknowledged)
@@ -174,14 +174,14 @@
             .machines
             .iter()
             .find(|machine| machine.identity().node == member.node)?;
-        (machine.member.disk() == member.disk).then_some(machine)
+        (machine.node.disk() == member.disk).then_some(machine)
     }
 
     fn has_turn(&self, member: &StorageMember, request_id: &str) -> bool {
         let holder = self.holder(member);
         holder.is_some_and(|machine| {
             !machine
-                .member
+                .node
                 .store()
                 .chain(PROGRAM, request_id, 1)
                 .is_empty()
@@ -281,31 +281,31 @@
     }
 
     fn pull(&mut self, world: &World, to: u8, from: u8) {
-        let epoch = self.machines[usize::from(to)].member.view().epoch;
+        let epoch = self.machines[usize::from(to)].node.view().epoch;
         let node = self.machines[usize::from(to)].identity().node;
         let source = Arc::clone(&self.machines[usize::from(from)]);
         let mut pages = Pages::default();
         while let Some(operation) = pages.next_request(&node) {
             let epoch = if world.mutation == Mutation::Seal {
-                source.member.view().epoch
+                source.node.view().epoch
             } else {
                 epoch
             };
-            let answer = source.read(epoch, source.member.disk(), operation);
-            let store = self.machines[usize::from(to)].member.store();
+            let answer = source.read(epoch, source.node.disk(), operation);
+            let store = self.machines[usize::from(to)].node.store();
             let Some(records) = pages.accept_answer(store, answer) else {
                 return;
             };
             self.machine(to).store_pulled(records);
         }
-        let disk = source.member.disk();
+        let disk = source.node.disk();
         self.machine(to).finished_source(disk);
     }
 
     fn can_pull(&self, to: u8, from: u8) -> bool {
         let machine = &self.machines[usize::from(to)];
-        let disk = self.machines[usize::from(from)].member.disk();
-        let view = machine.member.view();
+        let disk = self.machines[usize::from(from)].node.disk();
+        let view = machine.node.view();
         to != from
             && view.is_current(disk)
             && machine
--- a/crates/tier/storage/tests/view_model/tier/model.rs
+++ b/crates/tier/storage/tests/view_model/tier/model.rs
@@ -71,7 +71,7 @@
             if heard.is_some() && tier.counts.timeouts < self.max_counts.timeouts {
                 actions.push(Action::StopResponding(index));
             }
-            if machine.member.view().epoch < newest {
+            if machine.node.view().epoch < newest {
                 actions.push(Action::Learn(index));
             }
             if tier.write.is_some() {
@@ -122,7 +122,7 @@
                 next.machine(index).learn(&view, tolerated);
                 next.machine(index).finish_pull_if_complete();
                 if self.mutation == Mutation::Pull {
-                    let disk = next.machines[usize::from(index)].member.disk();
+                    let disk = next.machines[usize::from(index)].node.disk();
                     let sources = view.current.iter().filter(|source| source.disk != disk);
                     sources.for_each(|source| next.machine(index).finished_source(source.disk));
                 }
@@ -154,7 +154,7 @@
             Action::Wipe(index) => {
                 next.counts.wipes += 1;
                 let fresh = 10 * u64::from(next.counts.wipes) + u64::from(index);
-                let previous_disk = next.machines[usize::from(index)].member.disk();
+                let previous_disk = next.machines[usize::from(index)].node.disk();
                 let disk = if self.mutation == Mutation::Identity {
                     previous_disk
                 } else {
