--- a/crates/tier/control/src/core_role.rs
+++ b/crates/tier/control/src/core_role.rs
@@ -65,7 +65,7 @@
     let (journal, recovered) = open_member(&settings, &options).await?;
     let rpc = Client::new(ClientOptions::default());
     let driver = MemberDriver::start(options, recovered, journal, rpc.clone());
-    let tolerated = settings.fault_tolerance.members_of_a_group();
+    let tolerated = settings.fault_tolerance.tolerated_group_losses();
     let own_address = settings.internal_address();
     // An order may hold a configuration; signs of life and heartbeats don't wait behind it.
     let orders_rpc = Client::new(ClientOptions::default());
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -76,7 +76,7 @@
         node: settings.node.clone(),
         address,
         zone: settings.zone.clone(),
-        tolerated: settings.fault_tolerance.members_of_a_group(),
+        tolerated: settings.fault_tolerance.tolerated_group_losses(),
         disk_bytes: settings.limits.disk_mb * MEGABYTE,
     };
     let server = Server::open(&folder, rpc.clone(), options)
--- a/crates/tier/proxy/src/run.rs
+++ b/crates/tier/proxy/src/run.rs
@@ -61,7 +61,7 @@
     let signals = Signals::new().context(SignalsSnafu)?;
 
     let rpc = Client::new(ClientOptions::default());
-    let tolerated = settings.fault_tolerance.members_of_a_group();
+    let tolerated = settings.fault_tolerance.tolerated_group_losses();
     let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated);
     let seed = RandomState::new().hash_one(&settings.node);
     let proxy = Arc::new(Proxy::new(
--- a/crates/tier/settings/src/error.rs
+++ b/crates/tier/settings/src/error.rs
@@ -1,42 +1,42 @@
-//! Why a settings file was refused.
+//! Errors of a settings file.
 
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// A settings file that can't be used, and what would make it usable.
+/// Why a settings file cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
-    /// The environment doesn't name a settings file.
+    /// The environment variable with the path of the settings file is not set.
     #[snafu(display(
         "the environment variable {variable} is not set; set it to the path of the settings file"
     ))]
-    NoPath {
-        /// The variable that was looked for.
+    PathNotSet {
+        /// Name of the variable.
         variable: &'static str,
     },
-    /// The file can't be read.
+    /// The file cannot be read.
     #[snafu(display("settings file {}: {source}", path.display()))]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no YAML, or a field is missing or of another type; the message names the field.
+    /// The file is not YAML, or a field is missing or of another type. The message names the field.
     #[snafu(display("settings: {source}"))]
     Malformed {
-        /// What the parser said, with field, line and column.
+        /// Error of the parser, with field, line and column.
         source: serde_norway::Error,
     },
-    /// A field holds a value that no process can work with.
+    /// A field has a value outside its range.
     #[snafu(display("settings: field `{field}` is {found}; expected {expected}"))]
-    BadValue {
-        /// The field's name, with dots between the levels.
+    InvalidValue {
+        /// Path of the field, with dots between the levels.
         field: &'static str,
-        /// What stands there.
+        /// Value of the field.
         found: String,
-        /// What would be accepted.
+        /// Description of the values that are accepted.
         expected: &'static str,
     },
 }
--- a/crates/tier/settings/src/file.rs
+++ b/crates/tier/settings/src/file.rs
@@ -1,9 +1,10 @@
-//! The fields as they stand in the file.
+//! The fields as the YAML file has them, before validation. Their names are those of the operators' pages.
 
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
+/// The whole file; see [`NodeSettings`](crate::NodeSettings) for the meaning of the fields.
 #[derive(Deserialize)]
 pub(crate) struct SettingsFile {
     pub node: String,
@@ -49,7 +50,7 @@
 #[derive(Deserialize)]
 pub(crate) struct LimitsFile {
     pub cpu_share: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_cores")]
     pub cores: f64,
     pub memory_mb: u64,
     pub max_fds: u64,
@@ -59,7 +60,7 @@
     pub disk_mb: u64,
 }
 
-fn one() -> f64 {
+fn default_cores() -> f64 {
     1.0
 }
 
@@ -72,7 +73,7 @@
     pub regions: usize,
 }
 
-/// Each bound may be absent: the defaults are those of the smallest deployment.
+/// Time bounds. Each may be absent; the defaults are those of the smallest deployment.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct BoundsFile {
--- a/crates/tier/settings/src/lib.rs
+++ b/crates/tier/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings file of a process: reading and checking.
+//! The settings file of a process: parsing and validation.
 //!
-//! The platform writes one YAML file for each process and names its path in [`SETTINGS_VARIABLE`]. Unknown
+//! Start with [`NodeSettings::load_from_environment`]. The platform writes one YAML file for each process and names its path in [`SETTINGS_VARIABLE`]. Unknown
 //! fields are ignored; a missing or malformed field is an error that names it.
 
 #![warn(missing_docs)]
--- a/crates/tier/settings/src/settings.rs
+++ b/crates/tier/settings/src/settings.rs
@@ -1,7 +1,9 @@
-//! Checked settings, as the programs use them.
+//! Validated settings, as the programs use them.
 
 use crate::SETTINGS_VARIABLE;
-use crate::error::{BadValueSnafu, MalformedSnafu, NoPathSnafu, SettingsError, UnreadableSnafu};
+use crate::error::{
+    InvalidValueSnafu, MalformedSnafu, PathNotSetSnafu, SettingsError, UnreadableSnafu,
+};
 use crate::file::{BoundsFile, SettingsFile};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,7 +19,7 @@
     pub role: String,
     /// Class of the machine: `edge`, `core` or `storage`.
     pub machine_class: String,
-    /// Who calls this role from outside.
+    /// Callers of this role from outside the tier.
     pub serves: Vec<String>,
     /// The machine's address.
     pub ip: Ipv4Addr,
@@ -25,29 +27,29 @@
     pub zone: String,
     /// The zone's region.
     pub region: String,
-    /// Where this process is called from outside.
+    /// Addresses for callers from outside the tier.
     pub listen: Listen,
-    /// First and last port for traffic between the tier's own processes.
+    /// First and last port for traffic between the processes of the tier.
     pub port_range: (u16, u16),
-    /// Control addresses of a few core machines, as they stood when the file was written.
+    /// Control addresses of a few core machines at the time when the file was written.
     pub seeds: Vec<SocketAddr>,
-    /// True on the very first start of the whole system only.
+    /// Whether this is the very first start of the whole system.
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts towards the fault tolerance.
+    /// Whether the loss of this machine counts against the fault tolerance.
     pub counts_for_quorum: bool,
-    /// What the process may use.
+    /// Resources that the process may use.
     pub limits: ProcessLimits,
-    /// Folder for durable state, on machines that have a disk.
+    /// Folder for durable state; `None` on a machine without a disk.
     pub data_dir: Option<PathBuf>,
     /// Interval between two heartbeats of a replica.
     pub heartbeat: Duration,
-    /// What may be lost at once.
+    /// Losses that may happen at once.
     pub fault_tolerance: FaultTolerance,
     /// Time bounds of the rules.
     pub bounds: Bounds,
 }
 
-/// Addresses on which a process is called from outside.
+/// Addresses on which a process listens for callers from outside the tier.
 #[derive(Clone, Debug, Default)]
 pub struct Listen {
     /// Clients, on an `edge` machine.
@@ -58,99 +60,108 @@
     pub control: Option<SocketAddr>,
 }
 
-/// What a process may use.
+/// Resources that a process may use.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
     /// Share of one core, 0 to 1.
     pub cpu_share: f64,
-    /// How many times as fast a core is.
+    /// Speed of a core, as a multiple of the reference core.
     pub cores: f64,
-    /// Memory, in MB; above it the process is killed.
+    /// Memory in MB; a process above it is killed.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Upper bound of open file descriptors.
     pub max_fds: u64,
-    /// The machine's link, in Mbit/s.
+    /// Bandwidth of the machine's link, in Mbit/s; 0 if the file has none.
     pub link_mbps: f64,
-    /// Space on the disk, in MB; 0 without one.
+    /// Space on the disk in MB; 0 without a disk.
     pub disk_mb: u64,
 }
 
-/// How many losses at once every rule survives.
+/// Number of losses at once that every guarantee survives.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultTolerance {
-    /// Machines that count for a quorum.
+    /// Lost machines that count for a quorum.
     pub machines: usize,
-    /// Whole zones.
+    /// Lost zones.
     pub zones: usize,
-    /// Whole regions.
+    /// Lost regions.
     pub regions: usize,
 }
 
 impl FaultTolerance {
-    /// How many members of a group may be lost at once, if the group spreads over zones and regions: the loss
-    /// of one of those is the loss of one member.
-    pub fn members_of_a_group(&self) -> usize {
+    /// Number of members of a replication group that may be lost at once. The members are in different zones and
+    /// regions, so the loss of a zone or region is the loss of one member.
+    pub fn tolerated_group_losses(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 }
 
-/// Time bounds of the rules, under the names of the operators' pages.
+/// Time bounds of the guarantees, under the names of the operators' pages.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// How far the operators' list of control machines lags.
+    /// Lag of the operators' list of control machines.
     pub seed_lag: Duration,
-    /// When the address of an ended replica may be given to another.
+    /// Time after which the address of an ended replica may be reused by another.
     pub reuse_after: Duration,
-    /// How long a machine must have been undisturbed to be in touch.
+    /// Time without faults after which a machine counts as in touch with the others.
     pub touch: Duration,
-    /// Within which an order of the operator is acknowledged.
+    /// Time within which an order of the operator is acknowledged.
     pub ack: Duration,
-    /// After which a returned or new machine counts as whole.
+    /// Time after which a returned or new machine has caught up.
     pub catch_up: Duration,
-    /// Within which a drain is followed.
+    /// Time within which a drain takes effect.
     pub drain_timeout: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace_period: Duration,
-    /// Within which a read request that closes without an answer is excused.
+    /// Time within which a read request that is closed without an answer is excused.
     pub lost: Duration,
-    /// Within which a configuration is in force.
+    /// Time within which a configuration is active.
     pub config: Duration,
-    /// How far apart two versions may be seen out of order on one machine.
+    /// Time during which two versions may be observed out of order on one machine.
     pub back: Duration,
-    /// What an unstable core may add to the bound on configurations.
+    /// Time that an unstable core may add to [`Bounds::config`].
     pub outer: Duration,
-    /// Within which service resumes after a disaster.
+    /// Time within which service resumes after a disaster.
     pub recover: Duration,
-    /// Within which an event of a stream is passed on.
+    /// Time within which an event of a stream is forwarded.
     pub pass: Duration,
-    /// Within which a request may come again.
+    /// Time within which a request may be repeated.
     pub again: Duration,
-    /// How long programs run on after the end of traffic.
+    /// Time for which programs run on after the end of traffic.
     pub finish: Duration,
-    /// Within which the end of a turn is settled in its budget.
+    /// Time within which the tokens of an ended turn are settled in its budget.
     pub settle: Duration,
 }
 
 impl NodeSettings {
-    /// Reads the file that the environment names.
+    /// Reads and validates the file that the environment variable [`SETTINGS_VARIABLE`] names.
+    ///
+    /// # Errors
+    /// See [`SettingsError`].
     pub fn load_from_environment() -> Result<Self, SettingsError> {
         let path = std::env::var_os(SETTINGS_VARIABLE);
-        let path = path.context(NoPathSnafu {
+        let path = path.context(PathNotSetSnafu {
             variable: SETTINGS_VARIABLE,
         })?;
         Self::load(Path::new(&path))
     }
 
-    /// Reads the file at `path`.
+    /// Reads and validates the file at `path`.
+    ///
+    /// # Errors
+    /// See [`SettingsError`].
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         Self::parse(&text)
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
+    ///
+    /// # Errors
+    /// [`SettingsError::Malformed`] or [`SettingsError::InvalidValue`].
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let file: SettingsFile = serde_norway::from_str(text).context(MalformedSnafu)?;
-        check(&file)?;
+        validate(&file)?;
         Ok(NodeSettings {
             node: file.node,
             role: file.role,
@@ -183,16 +194,16 @@
                 zones: file.fault_tolerance.zones,
                 regions: file.fault_tolerance.regions,
             },
-            bounds: bounds(&file.bounds)?,
+            bounds: parse_bounds(&file.bounds)?,
         })
     }
 
-    /// Where the other processes of the tier reach this one.
+    /// Address at which the other processes of the tier reach this one.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port_range.0))
     }
 
-    /// Where the seeds' processes are reached by others of the tier: ports are the same on all machines.
+    /// Addresses at which the processes of the tier reach the seeds. Ports are the same on all machines.
     pub fn seed_internal_addresses(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
@@ -201,10 +212,10 @@
     }
 }
 
-fn check(file: &SettingsFile) -> Result<(), SettingsError> {
+fn validate(file: &SettingsFile) -> Result<(), SettingsError> {
     ensure!(
         !file.node.is_empty(),
-        BadValueSnafu {
+        InvalidValueSnafu {
             field: "node",
             found: "empty",
             expected: "the machine's name"
@@ -213,7 +224,7 @@
     let ports = &file.port_range;
     ensure!(
         ports.len() == 2 && ports[0] <= ports[1] && ports[0] > 0,
-        BadValueSnafu {
+        InvalidValueSnafu {
             field: "port_range",
             found: format!("{ports:?}"),
             expected: "two ports, the first not above the second"
@@ -221,7 +232,7 @@
     );
     ensure!(
         file.limits.cpu_share > 0.0 && file.limits.cpu_share.is_finite(),
-        BadValueSnafu {
+        InvalidValueSnafu {
             field: "limits.cpu_share",
             found: file.limits.cpu_share.to_string(),
             expected: "a share above 0"
@@ -229,7 +240,7 @@
     );
     ensure!(
         file.limits.memory_mb > 0,
-        BadValueSnafu {
+        InvalidValueSnafu {
             field: "limits.memory_mb",
             found: "0",
             expected: "a size above 0"
@@ -237,7 +248,7 @@
     );
     ensure!(
         file.heartbeat_ms > 0,
-        BadValueSnafu {
+        InvalidValueSnafu {
             field: "heartbeat_ms",
             found: "0",
             expected: "an interval above 0"
@@ -246,11 +257,11 @@
     Ok(())
 }
 
-fn bounds(file: &BoundsFile) -> Result<Bounds, SettingsError> {
+fn parse_bounds(file: &BoundsFile) -> Result<Bounds, SettingsError> {
     let seconds = |field: &'static str, value: f64| {
         Duration::try_from_secs_f64(value)
             .ok()
-            .context(BadValueSnafu {
+            .context(InvalidValueSnafu {
                 field,
                 found: value.to_string(),
                 expected: "a length of time",
--- a/crates/tier/settings/tests/settings.rs
+++ b/crates/tier/settings/tests/settings.rs
@@ -46,7 +46,7 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read_and_unknown_fields_are_ignored() {
+fn a_complete_file_is_read_and_unknown_fields_are_ignored() {
     let settings = NodeSettings::parse(EDGE).unwrap();
     assert_eq!(settings.node, "edge-1");
     assert_eq!(
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn bad_values_are_named() {
+fn invalid_values_are_named() {
     let cases = [
         ("node: \"edge-1\"", "node: \"\"", "node"),
         ("  - 7380\n  - 7395", "  - 7395\n  - 7380", "port_range"),
@@ -98,7 +98,7 @@
     ];
     for (from, to, field) in cases {
         match NodeSettings::parse(&EDGE.replace(from, to)) {
-            Err(SettingsError::BadValue { field: named, .. }) => assert_eq!(named, field),
+            Err(SettingsError::InvalidValue { field: named, .. }) => assert_eq!(named, field),
             other => panic!("{field}: {other:?}"),
         }
     }
@@ -111,26 +111,26 @@
 }
 
 quickcheck! {
-    fn any_text_is_read_or_refused_without_a_panic(text: String) -> bool {
+    fn any_text_is_read_or_rejected_without_a_panic(text: String) -> bool {
         let _ = NodeSettings::parse(&text);
         true
     }
 
-    fn a_file_cut_anywhere_is_read_or_refused_without_a_panic(length: usize) -> bool {
+    fn a_file_truncated_anywhere_is_read_or_rejected_without_a_panic(length: usize) -> bool {
         let _ = NodeSettings::parse(&EDGE[..length % EDGE.len()]);
         true
     }
 }
 
 #[test]
-fn a_group_bears_the_greatest_of_the_tolerated_losses() {
+fn a_group_tolerates_the_greatest_of_the_configured_losses() {
     let tolerance = |machines, zones, regions| FaultTolerance {
         machines,
         zones,
         regions,
     };
-    assert_eq!(tolerance(1, 0, 0).members_of_a_group(), 1);
-    assert_eq!(tolerance(0, 1, 0).members_of_a_group(), 1);
-    assert_eq!(tolerance(1, 2, 1).members_of_a_group(), 2);
-    assert_eq!(tolerance(0, 0, 1).members_of_a_group(), 1);
+    assert_eq!(tolerance(1, 0, 0).tolerated_group_losses(), 1);
+    assert_eq!(tolerance(0, 1, 0).tolerated_group_losses(), 1);
+    assert_eq!(tolerance(1, 2, 1).tolerated_group_losses(), 2);
+    assert_eq!(tolerance(0, 0, 1).tolerated_group_losses(), 1);
 }
