--- a/crates/tier/settings/tests/recorded_settings.rs
+++ b/crates/tier/settings/tests/recorded_settings.rs
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn the_variable_that_names_the_file_stays() {
+fn the_name_of_the_environment_variable_is_unchanged() {
     assert_eq!(SETTINGS_VARIABLE, "WOADREACH_NODE_FILE");
-    let error = SettingsError::NoPath {
+    let error = SettingsError::PathNotSet {
         variable: SETTINGS_VARIABLE,
     }
     .to_string();
--- a/crates/tier/storage/tests/recorded_bytes.rs
+++ b/crates/tier/storage/tests/recorded_bytes/main.rs
@@ -1,265 +1,31 @@
-//! Records and messages of the storage machines as they were recorded: read and written alike for ever.
+//! Messages and records of the storage machines are decoded and encoded as they were recorded.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../../tests/recorded/blocks.rs"]
 mod recorded;
+mod samples;
 
-use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use parking_lot::Mutex;
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
+use samples::{
+    announcements, joint_view, member, program_records, records, requests, reservations, responses,
+    turn, turns, view,
+};
 use speedy::{LittleEndian, Readable};
 use woadreach_storage::announce::{Announcement, Announcements, handler, is_from_quorum};
-use woadreach_storage::budget::Reservation;
-use woadreach_storage::member::Member;
 use woadreach_storage::message::{
-    Answer, Fence, MessageError, Operation, ProgramDigest, ProgramRecords, Request, Response,
-    Settlement, encode, read,
+    MessageError, Request,
+    Response, encode, read,
 };
+use woadreach_storage::node::StorageNode;
 use woadreach_storage::placement::group;
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
 use woadreach_storage::store::Store;
 use woadreach_storage::turn::TurnRecord;
-use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
-
-fn member(number: u8) -> StorageMember {
-    let address = SocketAddr::from(([10, 1, 0, number], 7380));
-    StorageMember {
-        node: format!("storage-{number}"),
-        disk: 0xd15c_0000 + u64::from(number),
-        address,
-        zone: "a".into(),
-    }
-}
-
-fn names(names: &[&str]) -> BTreeSet<String> {
-    names.iter().map(|name| name.to_string()).collect()
-}
-
-fn view() -> StorageView {
-    StorageView {
-        epoch: 4,
-        current: vec![member(1), member(2)],
-        ..StorageView::default()
-    }
-}
-
-fn joint_view() -> StorageView {
-    StorageView {
-        epoch: 5,
-        current: vec![member(1), member(2)],
-        next: Some(vec![member(2), member(3)]),
-        retiring: names(&["storage-1"]),
-        retired: names(&["storage-8", "storage-9"]),
-    }
-}
-
-fn turn(request_id: &str, previous: Option<&str>) -> Turn {
-    let program = "program".to_owned();
-    Turn {
-        program: program.clone(),
-        session: "session".into(),
-        request_id: request_id.into(),
-        previous: previous.map(|request_id| TurnKey {
-            program,
-            request_id: request_id.into(),
-        }),
-        input: Bytes::from_static(b"what was asked"),
-        events: vec![
-            Bytes::from_static(b"one"),
-            Bytes::new(),
-            Bytes::from_static(b"three"),
-        ],
-        retention: Duration::from_millis(60_500),
-    }
-}
-
-fn turns() -> Vec<TurnRecord> {
-    vec![
-        turn("first", None).to_record("program"),
-        turn("second", Some("first")).to_record("program"),
-    ]
-}
-
-fn reservations() -> Vec<Reservation> {
-    let reservation = |id, tokens, settled| Reservation {
-        id,
-        tokens,
-        settled,
-    };
-    vec![reservation(7, 100, false), reservation(u64::MAX, 30, true)]
-}
-
-fn program_records() -> ProgramRecords {
-    let (reservations, turns) = (reservations(), turns());
-    ProgramRecords {
-        program: "program".into(),
-        reservations,
-        turns,
-        remaining_ms: 65_500,
-    }
-}
-
-/// Every kind of record. A kind that is added needs an entry here.
-fn records() -> Vec<(&'static str, Record)> {
-    let name = |record: &Record| match record {
-        Record::Identity { .. } => "identity",
-        Record::View(view) if view.next.is_some() => "joint view",
-        Record::View(_) => "view",
-        Record::Program(_) => "program",
-    };
-    let records = [
-        Record::Identity {
-            disk: member(1).disk,
-        },
-        Record::View(view()),
-        Record::View(joint_view()),
-        Record::Program(program_records()),
-    ];
-    records
-        .into_iter()
-        .map(|record| (name(&record), record))
-        .collect()
-}
-
-/// Every kind of request. A kind that is added needs an entry here.
-fn requests() -> Vec<(&'static str, Request)> {
-    let name = |operation: &Operation| match operation {
-        Operation::Reserve { .. } => "reserve",
-        Operation::Settle { .. } => "settle",
-        Operation::PutTurns {
-            settlement: Some(_),
-            ..
-        } => "put turns and settle",
-        Operation::PutTurns { .. } => "put turns",
-        Operation::ReadChain { .. } => "read chain",
-        Operation::Find { .. } => "find",
-        Operation::Digests { after: None, .. } => "first digests",
-        Operation::Digests { .. } => "more digests",
-        Operation::Fetch { .. } => "fetch",
-        Operation::NewView { .. } => "new view",
-    };
-    let program = || "program".to_owned();
-    let settlement = Settlement {
-        reservation: 7,
-        given: 30,
-    };
-    let operations = [
-        Operation::Reserve {
-            program: program(),
-            reservation: 7,
-            most: 100,
-        },
-        Operation::Settle {
-            program: program(),
-            settlement,
-        },
-        Operation::PutTurns {
-            program: program(),
-            turns: turns(),
-            settlement: Some(settlement),
-        },
-        Operation::PutTurns {
-            program: program(),
-            turns: Vec::new(),
-            settlement: None,
-        },
-        Operation::ReadChain {
-            program: program(),
-            request_id: "second".into(),
-        },
-        Operation::Find {
-            request_id: "second".into(),
-        },
-        Operation::Digests {
-            node: "storage-3".into(),
-            after: None,
-        },
-        Operation::Digests {
-            node: "storage-3".into(),
-            after: Some(program()),
-        },
-        Operation::Fetch {
-            programs: vec![program(), "other".into()],
-        },
-        Operation::NewView { view: joint_view() },
-    ];
-    let fence = Fence {
-        epoch: 4,
-        disk: member(1).disk,
-    };
-    operations
-        .into_iter()
-        .map(|operation| (name(&operation), Request { fence, operation }))
-        .collect()
-}
-
-/// Every kind of answer. A kind that is added needs an entry here.
-fn responses() -> Vec<(&'static str, Response)> {
-    let name = |answer: &Answer| match answer {
-        Answer::Reserved { .. } => "reserved",
-        Answer::Stored => "stored",
-        Answer::Chain { .. } => "chain",
-        Answer::Found { .. } => "found",
-        Answer::DigestPage { .. } => "digest page",
-        Answer::Records { .. } => "records",
-        Answer::Stale { .. } => "stale",
-        Answer::Behind => "behind",
-        Answer::WrongDisk => "wrong disk",
-        Answer::Failed => "failed",
-        Answer::Malformed => "malformed",
-    };
-    let digests = vec![ProgramDigest {
-        program: "program".into(),
-        digest: 0x0102_0304_0506_0708,
-    }];
-    let answers = [
-        Answer::Reserved {
-            reservations: reservations(),
-        },
-        Answer::Stored,
-        Answer::Chain { turns: turns() },
-        Answer::Found {
-            programs: vec!["program".into(), "other".into()],
-        },
-        Answer::DigestPage {
-            digests,
-            more: true,
-        },
-        Answer::Records {
-            programs: vec![program_records()],
-        },
-        Answer::Stale { view: joint_view() },
-        Answer::Behind,
-        Answer::WrongDisk,
-        Answer::Failed,
-        Answer::Malformed,
-    ];
-    answers
-        .into_iter()
-        .map(|answer| (name(&answer), Response { epoch: 5, answer }))
-        .collect()
-}
-
-fn announcements() -> Vec<(&'static str, Announcement)> {
-    let calm = Announcement {
-        member: member(1),
-        pulled_epoch: 0,
-        leaving: false,
-    };
-    let leaving = Announcement {
-        member: member(3),
-        pulled_epoch: 5,
-        leaving: true,
-    };
-    vec![
-        ("announcement", calm),
-        ("announcement of one that leaves", leaving),
-    ]
-}
+use woadreach_storage::{StorageMember, StorageView, Turn};
 
 #[test]
 fn every_kind_of_record_is_read_and_written_as_recorded() {
@@ -321,20 +87,23 @@
 
 /// The core's answer to an announcement is one byte without a version.
 #[test]
-fn the_core_answers_announcements_with_whether_it_is_in_quorum() {
+fn the_answer_to_an_announcement_says_whether_the_core_is_in_quorum() {
     let peer = SocketAddr::from(([127, 0, 0, 1], 9));
     for (in_quorum, expected) in [(true, vec![1]), (false, vec![0])] {
-        let heard = Arc::new(Mutex::new(Announcements::new(Instant::now())));
-        let hear = handler(Arc::clone(&heard), move || in_quorum);
+        let announcements_received = Arc::new(Mutex::new(Announcements::new(Instant::now())));
+        let handle = handler(Arc::clone(&announcements_received), move || in_quorum);
         let body = RecordedBytes::open("announcements").bytes("announcement");
-        assert_eq!(hear(peer, body.into()).into_inner(), Ok(expected.clone()));
+        assert_eq!(handle(peer, body.into()).into_inner(), Ok(expected.clone()));
         assert_eq!(is_from_quorum(&expected), in_quorum);
-        let sighting = heard
+        let observation = announcements_received
             .lock()
-            .sighting("storage-1")
+            .observation("storage-1")
             .cloned()
             .expect("it is heard");
-        assert_eq!((sighting.member, sighting.pulled_epoch), (member(1), 0));
+        assert_eq!(
+            (observation.member, observation.pulled_epoch),
+            (member(1), 0)
+        );
     }
     for other in [&[][..], &[2], &[1, 0]] {
         assert!(!is_from_quorum(other), "{other:?}");
@@ -389,7 +158,7 @@
     assert_eq!(runs, [(0, "no turn".to_owned())]);
 }
 
-/// Tells of bytes what reading them comes to.
+/// Decodes bytes and returns the outcome.
 type Reader = fn(&[u8]) -> Result<(), MessageError>;
 
 /// Every encoded message and record, and how it is read.
@@ -422,7 +191,7 @@
 }
 
 #[test]
-fn what_is_cut_at_any_byte_is_malformed() {
+fn a_message_truncated_at_any_byte_is_malformed() {
     let expected = [
         (0, "the message is empty".to_owned()),
         (1, "malformed message".to_owned()),
@@ -433,7 +202,7 @@
 }
 
 #[test]
-fn a_byte_behind_a_message_makes_it_malformed() {
+fn a_message_followed_by_a_byte_is_malformed() {
     for (name, bytes, read) in all_bytes() {
         assert_eq!(outcome(read(&bytes)), "read", "{name}");
         assert_eq!(
@@ -485,9 +254,9 @@
     );
 }
 
-/// A snapshot that is not whole is none, whatever of it could be read.
+/// A truncated snapshot is rejected, whatever of it could be decoded.
 #[test]
-fn a_cut_snapshot_is_none_unless_it_ends_with_a_record() {
+fn a_truncated_snapshot_is_none_unless_it_ends_with_a_record() {
     let bytes = RecordedBytes::open("snapshot").bytes("every kind of record");
     let mut ends = vec![0];
     for (_, record) in records() {
@@ -503,22 +272,24 @@
     }
 }
 
-/// A journal that does not begin with the disk's identity, or holds what can't be read, is not taken.
+/// A journal that does not begin with the disk's identity, or has a record that cannot be decoded, is rejected.
 #[test]
 fn a_machine_is_rebuilt_from_recorded_records_alone() {
     let recorded = RecordedBytes::open("records");
     let log = |names: &[&str]| -> Vec<Vec<u8>> {
         names.iter().map(|name| recorded.bytes(name)).collect()
     };
-    let recover =
-        |records: &[Vec<u8>]| Member::recover(Duration::ZERO, "storage-1".into(), 1, None, records);
-    let whole = recover(&log(&["identity", "view", "joint view", "program"])).expect("own records");
+    let recover = |records: &[Vec<u8>]| {
+        StorageNode::recover(Duration::ZERO, "storage-1".into(), 1, None, records)
+    };
+    let recovered =
+        recover(&log(&["identity", "view", "joint view", "program"])).expect("own records");
     assert_eq!(
-        (whole.disk(), whole.view()),
+        (recovered.disk(), recovered.view()),
         (member(1).disk, &joint_view())
     );
-    assert_eq!(whole.store().reservations("program"), reservations());
-    let chain = whole.store().chain("program", "second", usize::MAX);
+    assert_eq!(recovered.store().reservations("program"), reservations());
+    let chain = recovered.store().chain("program", "second", usize::MAX);
     assert_eq!(
         chain
             .into_iter()
@@ -529,9 +300,9 @@
     for refused in [&["view", "program"][..], &["identity", "identity"], &[]] {
         assert!(recover(&log(refused)).is_none(), "{refused:?}");
     }
-    let mut cut = log(&["identity", "program"]);
-    cut[1].pop();
-    assert!(recover(&cut).is_none());
+    let mut truncated = log(&["identity", "program"]);
+    truncated[1].pop();
+    assert!(recover(&truncated).is_none());
 }
 
 /// Machines and proxies of different versions must agree on where a program's records are.
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -1,5 +1,4 @@
-//! The disk of a storage machine as an earlier program left it: turns and budgets are there, and are gone on
-//! from.
+//! The disk of a storage machine as an earlier version left it: its turns and budgets are read and continued.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -16,8 +15,8 @@
 use tokio::net::TcpListener;
 use woadreach_journal::{Journal, JournalOptions};
 use woadreach_rpc::{Client, ClientOptions, Router, serve};
-use woadreach_storage::member::{Member, Step};
-use woadreach_storage::message::{Answer, Fence, Operation, Request, encode};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request, encode};
+use woadreach_storage::node::{Step, StorageNode};
 use woadreach_storage::record::Record;
 use woadreach_storage::server::{Server, ServerOptions};
 use woadreach_storage::{
@@ -31,13 +30,17 @@
 /// Tokens that the turns of the program may generate together.
 const BUDGET: u64 = 100;
 
-/// Runs one life of a process; at its end all its tasks are gone.
-fn in_one_life<F: Future>(life: F) -> F::Output {
+/// Runs one incarnation of a process; all its tasks are dropped at its end.
+fn in_one_incarnation<F: Future>(incarnation: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(LONG, life).await.expect("in time") })
+    runtime.block_on(async {
+        tokio::time::timeout(LONG, incarnation)
+            .await
+            .expect("in time")
+    })
 }
 
 fn machine(number: u8) -> StorageMember {
@@ -97,12 +100,12 @@
     }
 }
 
-fn request(program: &str, request_id: &str, most: u64) -> ReserveRequest {
+fn request(program: &str, request_id: &str, max_tokens: u64) -> ReserveRequest {
     ReserveRequest {
         program: program.into(),
         request_id: request_id.into(),
         budget: BUDGET,
-        most,
+        max_tokens,
     }
 }
 
@@ -132,29 +135,29 @@
     (server, client)
 }
 
-/// Takes a turn that gives `given` tokens.
-async fn take_turn(client: &StorageClient, turn: Turn, given: u64) {
-    let most = given + 10;
-    let asked = request(&turn.program, &turn.request_id, most);
-    let mut reservation = client.reserve(&asked).await.expect("it fits");
-    reservation.set_given(given);
+/// Takes a turn that delivers `delivered_tokens` tokens.
+async fn take_turn(client: &StorageClient, turn: Turn, delivered_tokens: u64) {
+    let max_tokens = delivered_tokens + 10;
+    let reserve_request = request(&turn.program, &turn.request_id, max_tokens);
+    let mut reservation = client.reserve(&reserve_request).await.expect("it fits");
+    reservation.set_delivered_tokens(delivered_tokens);
     client
         .put_turn(turn, Some(&mut reservation))
         .await
         .expect("the machine is there");
 }
 
-fn recover(folder: &Path) -> (Journal, Member) {
+fn recover(folder: &Path) -> (Journal, StorageNode) {
     let (journal, found) =
         Journal::open(folder, JournalOptions::default()).expect("a whole journal");
     let snapshot = found.snapshot.as_deref();
-    let member = Member::recover(Duration::ZERO, NODE.into(), 0, snapshot, &found.records);
-    (journal, member.expect("own records"))
+    let node = StorageNode::recover(Duration::ZERO, NODE.into(), 0, snapshot, &found.records);
+    (journal, node.expect("own records"))
 }
 
-/// A disk with a snapshot of one life, the log of another, and the views of three epochs.
+/// A disk with a snapshot of one incarnation, the log of another, and the views of three epochs.
 fn make_disk(folder: &Path) {
-    in_one_life(async {
+    in_one_incarnation(async {
         let (journal, _) =
             Journal::open(folder, JournalOptions::default()).expect("an empty journal");
         let _receipt = journal
@@ -162,20 +165,20 @@
             .await
             .expect("a sync");
     });
-    in_one_life(async {
+    in_one_incarnation(async {
         let (server, client) = start(folder, 1).await;
         server.learn_view(first_view()).await;
         take_turn(&client, turn("program", "a", None), 30).await;
         take_turn(&client, turn("program", "b", Some(("program", "a"))), 20).await;
     });
-    in_one_life(async {
-        let (journal, member) = recover(folder);
+    in_one_incarnation(async {
+        let (journal, node) = recover(folder);
         let _receipt = journal
-            .replace(member.snapshot(Duration::ZERO))
+            .replace(node.snapshot(Duration::ZERO))
             .await
             .expect("a sync");
     });
-    in_one_life(async {
+    in_one_incarnation(async {
         let (server, client) = start(folder, 3).await;
         server.learn_view(joint_view()).await;
         server.learn_view(last_view()).await;
@@ -220,28 +223,28 @@
 }
 
 #[test]
-fn an_earlier_disk_keeps_its_identity_its_view_and_what_it_refuses() {
+fn an_earlier_disk_has_its_identity_its_view_and_its_fencing() {
     let folder = copy();
-    let (_journal, mut member) = recover(folder.path());
-    assert_eq!((member.disk(), member.view()), (DISK, &last_view()));
+    let (_journal, mut node) = recover(folder.path());
+    assert_eq!((node.disk(), node.view()), (DISK, &last_view()));
     let find = Operation::Find {
         request_id: "a".into(),
     };
-    let mut ask = |epoch, disk| {
+    let mut request_find = |epoch, disk| {
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation: find.clone(),
         };
-        let Step::Reply(response) = member.handle(Duration::ZERO, request) else {
+        let Step::Reply(response) = node.handle(Duration::ZERO, request) else {
             panic!("nothing to sync")
         };
         assert_eq!(response.epoch, 3);
         response.answer
     };
-    assert_eq!(ask(2, DISK), Answer::Stale { view: last_view() });
-    assert_eq!(ask(3, DISK + 1), Answer::WrongDisk);
+    assert_eq!(request_find(2, DISK), Answer::Stale { view: last_view() });
+    assert_eq!(request_find(3, DISK + 1), Answer::WrongDisk);
     assert_eq!(
-        ask(3, DISK),
+        request_find(3, DISK),
         Answer::Found {
             programs: vec!["other".into(), "program".into()]
         }
@@ -251,8 +254,8 @@
 #[test]
 fn an_earlier_disk_has_its_budgets() {
     let folder = copy();
-    let (_journal, member) = recover(folder.path());
-    let mut counted: Vec<(u64, bool)> = member
+    let (_journal, node) = recover(folder.path());
+    let mut counted: Vec<(u64, bool)> = node
         .store()
         .reservations("program")
         .into_iter()
@@ -260,13 +263,13 @@
         .collect();
     counted.sort_unstable();
     assert_eq!(counted, [(20, true), (25, false), (30, true)]);
-    assert_eq!(member.store().reservations("other"), []);
+    assert_eq!(node.store().reservations("other"), []);
 }
 
 #[test]
-fn conversations_are_read_whole_from_an_earlier_disk() {
+fn complete_conversations_are_read_from_an_earlier_disk() {
     let folder = copy();
-    in_one_life(async {
+    in_one_incarnation(async {
         let (server, client) = start(folder.path(), 3).await;
         assert_eq!(server.announcement().member.disk, DISK);
         let expected = [
@@ -301,9 +304,9 @@
 }
 
 #[test]
-fn conversations_and_budgets_go_on_from_an_earlier_disk() {
+fn conversations_and_budgets_continue_from_an_earlier_disk() {
     let folder = copy();
-    in_one_life(async {
+    in_one_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
         let refused = client
             .reserve(&request("program", "e", 26))
@@ -312,7 +315,7 @@
         assert_eq!(refused, Err(ReserveError::Spent), "75 of 100 are counted");
         take_turn(&client, turn("program", "e", Some(("program", "c"))), 15).await;
     });
-    in_one_life(async {
+    in_one_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
         assert_eq!(
             client
--- a/tests/recorded/blocks.rs
+++ b/tests/recorded/blocks.rs
@@ -19,7 +19,7 @@
 const LINE_BYTES: usize = 32;
 
 /// Entries of one text file. One test uses a file, so that no two write it at a time.
-pub struct RecordedBytes {
+pub(crate) struct RecordedBytes {
     path: PathBuf,
     entries: BTreeMap<String, Vec<u8>>,
     checked: RefCell<BTreeSet<String>>,
@@ -27,7 +27,7 @@
 
 impl RecordedBytes {
     /// The file `tests/recorded/{name}.txt` of the crate under test.
-    pub fn open(name: &str) -> RecordedBytes {
+    pub(crate) fn open(name: &str) -> RecordedBytes {
         let path = folder().join(format!("{name}.txt"));
         let text = fs::read_to_string(&path).unwrap_or_default();
         RecordedBytes {
@@ -39,7 +39,7 @@
 
     /// Checks that the bytes recorded as `name` are read as `value`, and that `value` is written as those
     /// bytes.
-    pub fn check<T: Debug + PartialEq, E: Display>(
+    pub(crate) fn check<T: Debug + PartialEq, E: Display>(
         &self,
         name: &str,
         value: &T,
@@ -60,7 +60,7 @@
     }
 
     /// Checks bytes that are only written, not read.
-    pub fn check_bytes(&self, name: &str, written: &[u8]) {
+    pub(crate) fn check_bytes(&self, name: &str, written: &[u8]) {
         let bytes = self.entry(name, written);
         assert_eq!(
             hexadecimal(written),
@@ -70,7 +70,7 @@
     }
 
     /// The bytes recorded as `name`.
-    pub fn bytes(&self, name: &str) -> Vec<u8> {
+    pub(crate) fn bytes(&self, name: &str) -> Vec<u8> {
         self.entries
             .get(name)
             .unwrap_or_else(|| panic!("no bytes are recorded as {name}"))
@@ -78,7 +78,7 @@
     }
 
     /// Checks that every entry of the file was checked: what was once recorded stays readable.
-    pub fn finish(self) {
+    pub(crate) fn finish(self) {
         let checked = self.checked.into_inner();
         let left: Vec<&String> = self
             .entries
@@ -117,7 +117,7 @@
 
 /// What a decoder says to `bytes` cut to each length below their own, as the first length of each run of the
 /// same outcome: an error's text, or `read`.
-pub fn outcomes_when_cut<T, E: Display>(
+pub(crate) fn outcomes_when_cut<T, E: Display>(
     bytes: &[u8],
     decode: impl Fn(&[u8]) -> Result<T, E>,
 ) -> Vec<(usize, String)> {
@@ -132,13 +132,13 @@
 }
 
 /// The text of an error, or `read`.
-pub fn outcome<T, E: Display>(result: Result<T, E>) -> String {
+pub(crate) fn outcome<T, E: Display>(result: Result<T, E>) -> String {
     result.map_or_else(|error| error.to_string(), |_| "read".to_owned())
 }
 
 /// Folder of a recorded disk, `tests/recorded/{name}` of the crate under test. If it is missing, and
 /// recording is asked for, `make` gives the files.
-pub fn recorded_disk(name: &str, make: impl FnOnce(&Path)) -> PathBuf {
+pub(crate) fn recorded_disk(name: &str, make: impl FnOnce(&Path)) -> PathBuf {
     static MAKING: Mutex<()> = Mutex::new(());
     let _one_at_a_time = MAKING.lock().unwrap_or_else(PoisonError::into_inner);
     let path = folder().join(name);
@@ -158,7 +158,7 @@
 }
 
 /// Copies the files of a recorded disk: opening a disk changes it.
-pub fn copy_disk(from: &Path, to: &Path) {
+pub(crate) fn copy_disk(from: &Path, to: &Path) {
     for entry in fs::read_dir(from).expect("a recorded disk") {
         let entry = entry.expect("a file of the disk");
         fs::copy(entry.path(), to.join(entry.file_name())).expect("a file is copied");
@@ -166,7 +166,7 @@
 }
 
 /// Whether missing entries are to be added.
-pub fn is_recording() -> bool {
+pub(crate) fn is_recording() -> bool {
     std::env::var("WOADREACH_RECORD").is_ok_and(|value| value == "1")
 }
 
