--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -2,10 +2,8 @@
 
 use super::Balancer;
 use super::placement::Pick;
+use crate::api::{Attempt, Ending, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search};
 use crate::samples::{Sample, push};
-use crate::api::{
-    Attempt, Ending, Outcome, Plan, QueryType, Repeat, Reply, ReplicaId, Search,
-};
 use crate::{fleet::InFlight, mutations::is_mutated};
 
 const ROUNDING: f64 = 1e-4; // sums of weights may fall this short
@@ -87,12 +85,15 @@
         Some(call)
     }
 
-    /// The latency target of the step in hand, and the last moment at which an answer still earns value.
+    /// The time by which the present step has to be answered to meet its latency target, and the last time at
+    /// which an answer still has value.
     pub(super) fn target_and_deadline(&self, search: &Search) -> (f64, f64) {
         let margin = 4.0 * self.settings.tick; // one to be asked, one to reply, and the way to the client
         let query_type = &self.settings.query_types[search.query_type.0];
         let end = search.client_deadline - margin;
-        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target - margin).min(end);
+        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target
+            - margin)
+            .min(end);
         // A late answer costs as much as one in time: waited for only if it keeps over half its value.
         let until = if query_type.late_value > 0.5 && !self.limits.overloaded {
             end
@@ -100,7 +101,9 @@
             target
         };
         // Twice the unloaded tail of the second step: once alone its parts would be skipped on arrival.
-        let tail = self.budget.tail(0.0, &self.unloaded, None, query_type.second_step);
+        let tail = self
+            .budget
+            .tail(0.0, &self.unloaded, None, query_type.second_step);
         let reserve = if search.step == 1 && query_type.second_step > 0 {
             2.0 * tail
         } else {
@@ -114,7 +117,7 @@
         if search.finished {
             return;
         }
-        self.note_overload(now);
+        self.record_overload(now);
         let query_type = self.settings.query_types[search.query_type.0].clone();
         if search.first_asked_at.is_none() {
             self.arrive(search, &query_type);
@@ -142,7 +145,7 @@
             return self.give_up(now, search);
         }
         for (part_index, pick) in picks {
-            self.call_off(now, target, search, part_index);
+            self.cancel_hung(now, target, search, part_index);
             self.act(now, until, search, part_index, pick);
             if is_first_look {
                 self.send_probe(now, until, search, part_index);
@@ -151,7 +154,7 @@
     }
 
     /// Updates the overload state, and logs when it changes.
-    fn note_overload(&mut self, now: f64) {
+    fn record_overload(&mut self, now: f64) {
         if !self.limits.update_overload(now, &self.unloaded) {
             return;
         }
@@ -171,7 +174,11 @@
         search: &mut Search,
         picks: &[(usize, Pick)],
     ) -> bool {
-        let began = if search.step == 1 { search.arrived } else { now };
+        let began = if search.step == 1 {
+            search.arrived
+        } else {
+            now
+        };
         self.retries.taken(began, search.step_parts().count());
         let chosen: Vec<ReplicaId> = picks
             .iter()
@@ -190,7 +197,8 @@
         let query_type = &self.settings.query_types[search.query_type.0];
         let come = search.answered_weight();
         let harmless = query_type.repeat == Repeat::Idempotent
-            || search.parts
+            || search
+                .parts
                 .iter()
                 .all(|p| p.attempts.iter().all(Attempt::proven_unrun))
             || is_mutated("module-harmless");
@@ -204,12 +212,12 @@
                 complete: is_mutated("module-whole"),
             }
         } else if harmless {
-            // Back when half its spare time is gone, if a later try can still make it; else late, for relief.
+            // Back when half its time_left time is gone, if a later try can still make it; else late, for relief.
             let longest = self.settings.max_retry_after.unwrap_or(0.0);
-            let spare = search.queuing_deadline.unwrap_or(now) - now;
+            let time_left = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
-                retry_after: if spare > 0.0 {
-                    longest.min(spare / 2.0)
+                retry_after: if time_left > 0.0 {
+                    longest.min(time_left / 2.0)
                 } else {
                     longest
                 },
@@ -220,7 +228,7 @@
         self.close(search, Some(reply));
     }
 
-    /// Ends the step in hand, or the search: what is held or in flight is given up.
+    /// Ends the present step, or the search: what is queued or in flight is given up.
     pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
         for i in 0..search.parts.len() {
             self.dequeue(search, i);
@@ -233,8 +241,14 @@
         }
         let query_type = &self.settings.query_types[search.query_type.0];
         match reply {
-            Some(Reply::Answered { complete }) if search.step == 1 && query_type.second_step > 0 => {
-                (search.step, search.first_step_complete, search.queuing_deadline) = (2, complete, None);
+            Some(Reply::Answered { complete })
+                if search.step == 1 && query_type.second_step > 0 =>
+            {
+                (
+                    search.step,
+                    search.first_step_complete,
+                    search.queuing_deadline,
+                ) = (2, complete, None);
             }
             _ => search.finished = true,
         }
