--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -168,8 +168,8 @@
     /// Stores a turn and settles its reservation. When this returns, the turn is durable.
     ///
     /// # Errors
-    /// [`Unavailable`]; the turn must then not be answered as whole, and its reservation is settled when it
-    /// is dropped.
+    /// [`Unavailable`]. The client must then not get a complete answer; the reservation is settled when its guard is
+    /// dropped.
     pub async fn put_turn(
         &self,
         turn: Turn,
@@ -178,15 +178,15 @@
         let program = turn.program.clone();
         let mut records = self.adopted_ancestors(&turn).await?;
         records.push(turn.to_record(&program));
-        let settlement = reservation.as_ref().map(|held| held.settlement());
+        let settlement = reservation.as_ref().map(|guard| guard.settlement());
         let operation = Operation::PutTurns {
             program: program.clone(),
             turns: records.clone(),
             settlement,
         };
         self.write(&program, operation, PUT_TIMEOUT).await?;
-        if let Some(held) = reservation {
-            held.set_settled();
+        if let Some(guard) = reservation {
+            guard.set_settled();
         }
         let now = self.now();
         let mut cache = self.shared.cache.lock();
--- a/crates/tier/storage/tests/recorded_bytes/main.rs
+++ b/crates/tier/storage/tests/recorded_bytes/main.rs
@@ -16,10 +16,7 @@
 };
 use speedy::{LittleEndian, Readable};
 use woadreach_storage::announce::{Announcement, Announcements, handler, is_from_quorum};
-use woadreach_storage::message::{
-    MessageError, Request,
-    Response, encode, read,
-};
+use woadreach_storage::message::{MessageError, Request, Response, encode, read};
 use woadreach_storage::node::StorageNode;
 use woadreach_storage::placement::group;
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -15,36 +15,43 @@
 mod oracle;
 mod proxy;
 mod stops;
+mod violation;
 mod world;
 
 use parking_lot::Mutex;
 
 use self::mutation::Mutation;
-use self::world::World;
+use self::world::{FoundViolation, World};
 
 /// Seeds of an ordinary test run; `STORAGE_SEEDS` plays more.
 const SEEDS: u64 = 300;
 /// Seeds within which each injected bug must be found.
 const MUTATION_SEEDS: u64 = 600;
 
-fn violation(seed: u64, mutation: Mutation) -> Option<String> {
-    World::new(seed, mutation).run().err()
+/// A seed whose run breaks a guarantee.
+struct FailedSeed {
+    seed: u64,
+    violation: FoundViolation,
 }
 
-fn violation_with_final_fault(seed: u64, mutation: Mutation) -> Option<String> {
-    World::new(seed, mutation).with_final_fault().run().err()
+fn violation(seed: u64, mutation: Mutation) -> Option<FoundViolation> {
+    World::new(seed, mutation).run()
+}
+
+fn violation_with_final_fault(seed: u64, mutation: Mutation) -> Option<FoundViolation> {
+    World::new(seed, mutation).with_final_fault().run()
 }
 
 /// Plays seeds from `first` on several threads until one finds a violation.
-fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<(u64, String)> {
+fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<FailedSeed> {
     first_violation_of(first, count, |seed| violation(seed, mutation))
 }
 
 fn first_violation_of(
     first: u64,
     count: u64,
-    violation: impl Fn(u64) -> Option<String> + Sync,
-) -> Option<(u64, String)> {
+    violation: impl Fn(u64) -> Option<FoundViolation> + Sync,
+) -> Option<FailedSeed> {
     let threads = 4;
     let found = Mutex::new(None);
     std::thread::scope(|scope| {
@@ -56,7 +63,7 @@
                         return;
                     }
                     if let Some(violation) = violation(seed) {
-                        found.lock().get_or_insert((seed, violation));
+                        found.lock().get_or_insert(FailedSeed { seed, violation });
                     }
                 }
             });
@@ -75,7 +82,7 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    if let Some((seed, violation)) = first_violation(first, count, Mutation::None) {
+    if let Some(FailedSeed { seed, violation }) = first_violation(first, count, Mutation::None) {
         panic!("seed {seed}: {violation}");
     }
 }
@@ -92,7 +99,7 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let violation = |seed| violation_with_final_fault(seed, Mutation::None);
-    if let Some((seed, violation)) = first_violation_of(first, count, violation) {
+    if let Some(FailedSeed { seed, violation }) = first_violation_of(first, count, violation) {
         panic!("seed {seed}: {violation}");
     }
 }
--- a/crates/tier/storage/tests/simulation/oracle.rs
+++ b/crates/tier/storage/tests/simulation/oracle.rs
@@ -6,6 +6,11 @@
 use woadreach_storage::TurnKey;
 use woadreach_storage::turn::TurnRecord;
 
+use super::violation::{
+    BudgetOverspentSnafu, ChainTooLongSnafu, ChangedTurnSnafu, TruncatedChainSnafu, Violation,
+    WrongRefusalSnafu,
+};
+
 /// State of one attempt to reserve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Attempt {
@@ -78,16 +83,19 @@
         id: u64,
         max_tokens: u64,
         budget: u64,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         self.attempt(program, id, Attempt::Granted { max_tokens });
         let total: u64 = self.attempts[program]
             .values()
             .map(|attempt| attempt.delivered_tokens())
             .sum();
         if total > budget {
-            return Err(format!(
-                "budget of {program} overspent: {total} of {budget}"
-            ));
+            return BudgetOverspentSnafu {
+                program,
+                total,
+                budget,
+            }
+            .fail();
         }
         Ok(())
     }
@@ -99,7 +107,7 @@
         id: u64,
         (max_tokens, budget): (u64, u64),
         sent: Duration,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let others = self.attempts[program]
             .iter()
             .filter(|(other, _)| **other != id);
@@ -107,25 +115,35 @@
             .map(|(_, attempt)| attempt.max_counted_tokens(sent))
             .sum();
         if total + max_tokens <= budget {
-            return Err(format!(
-                "turn of {program} refused though {total} + {max_tokens} fit {budget}"
-            ));
+            return WrongRefusalSnafu {
+                program,
+                total,
+                max_tokens,
+                budget,
+            }
+            .fail();
         }
         Ok(())
     }
 
     /// Checks a chain that was read: it must be the acknowledged turn and all its ancestors.
-    pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
+    pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), Violation> {
         let mut next = Some(newest.clone());
         for turn in chain {
             let Some(key) = next else {
-                return Err(format!("chain of {newest:?} is too long"));
+                return ChainTooLongSnafu {
+                    newest: newest.clone(),
+                }
+                .fail();
             };
             if self.acknowledged.get(&key) != Some(turn) {
-                let known = self.acknowledged.get(&key);
-                return Err(format!(
-                    "turn {key:?} is {turn:?}, not {known:?} as acknowledged"
-                ));
+                let known = self.acknowledged.get(&key).cloned();
+                return ChangedTurnSnafu {
+                    key,
+                    turn: Box::new(turn.clone()),
+                    known: Box::new(known),
+                }
+                .fail();
             }
             let program = key.program;
             next = turn.previous.clone().map(|request_id| TurnKey {
@@ -133,8 +151,12 @@
                 request_id,
             });
         }
-        next.map_or(Ok(()), |key| {
-            Err(format!("chain of {newest:?} ends before {key:?}"))
+        next.map_or(Ok(()), |missing| {
+            TruncatedChainSnafu {
+                newest: newest.clone(),
+                missing,
+            }
+            .fail()
         })
     }
 }
--- a/crates/tier/storage/tests/simulation/world/final_reads.rs
+++ b/crates/tier/storage/tests/simulation/world/final_reads.rs
@@ -5,6 +5,7 @@
 use woadreach_storage::TurnKey;
 
 use super::super::machine::{Machine, Process, Source};
+use super::super::violation::{EndlessJointEpochSnafu, TooFewReplicasSnafu};
 use super::World;
 
 impl World {
@@ -14,18 +15,15 @@
             proxy.view = Arc::new(self.core.committed.clone());
         }
         if self.core.committed.next.is_some() {
-            let waits = format!(
-                "joint epoch does not end: {:?}; {}",
-                self.core.committed,
-                self.describe()
-            );
-            return self.record_check(Err(waits));
+            let state = format!("{:?}; {}", self.core.committed, self.describe());
+            return self.record_check(EndlessJointEpochSnafu { state }.fail());
         }
         let keys: Vec<TurnKey> = self.oracle.acknowledged.keys().cloned().collect();
         for key in keys {
             let replicas = self.replica_count(&key);
             if replicas <= self.tolerated {
-                self.record_check(Err(format!("turn {key:?} has only {replicas} replicas")));
+                let key = key.clone();
+                self.record_check(TooFewReplicasSnafu { key, replicas }.fail());
             }
             self.start_read(0, key, true);
         }
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -10,6 +10,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
+use std::fmt::{Display, Formatter};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -25,12 +26,27 @@
 use super::mutation::Mutation;
 use super::oracle::Oracle;
 use super::proxy::Proxy;
+use super::violation::Violation;
 
 /// When the first turn is taken.
 const START_OF_TRAFFIC: Duration = Duration::from_secs(3);
 /// Time after the end of the faults by which the proxies' background retries have ended too.
 const QUIET_PERIOD: Duration = Duration::from_secs(12);
 
+/// A violation and the simulated time at which it was found.
+#[derive(Debug)]
+pub(crate) struct FoundViolation {
+    pub violation: Violation,
+    pub at: Duration,
+}
+
+impl Display for FoundViolation {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{} at {:?}", self.violation, self.at)
+    }
+}
+
+/// The simulated tier, its faults and its queue of events.
 pub(crate) struct World {
     pub now: Duration,
     pub random: Rand64,
@@ -57,7 +73,7 @@
     programs: Vec<Program>,
     has_commit_in_flight: bool,
     is_traced: bool,
-    pub violation: Option<String>,
+    pub violation: Option<Violation>,
 }
 
 impl World {
@@ -121,7 +137,8 @@
         world
     }
 
-    pub(crate) fn run(mut self) -> Result<(), String> {
+    /// Plays the run to its end; returns the first violation and when it was found.
+    pub(crate) fn run(mut self) -> Option<FoundViolation> {
         let end = self.end_of_faults + QUIET_PERIOD + jobs::READ_TIMEOUT * 2;
         while let Some(Reverse((time, number))) = self.events.pop() {
             if time > end || self.violation.is_some() {
@@ -134,10 +151,9 @@
                 .expect("every number has an event");
             self.dispatch(event);
         }
-        match self.violation {
-            Some(violation) => Err(format!("{violation} at {:?}", self.now)),
-            None => Ok(()),
-        }
+        let at = self.now;
+        self.violation
+            .map(|violation| FoundViolation { violation, at })
     }
 
     pub(crate) fn chance(&mut self, one_in: u64) -> bool {
@@ -163,7 +179,7 @@
         self.next_number
     }
 
-    fn record_check(&mut self, outcome: Result<(), String>) {
+    fn record_check(&mut self, outcome: Result<(), Violation>) {
         if let Err(violation) = outcome {
             self.violation.get_or_insert(violation);
         }
--- a/crates/tier/storage/tests/simulation/world/turns.rs
+++ b/crates/tier/storage/tests/simulation/world/turns.rs
@@ -11,6 +11,7 @@
 use super::super::event::{Endpoint, Event};
 use super::super::oracle::Attempt;
 use super::super::proxy::{Job, JobId, Purpose, ReadFailure, Work};
+use super::super::violation::{DeniedTurnSnafu, UnavailableTurnSnafu};
 use super::World;
 use super::jobs::RESERVE_TIMEOUT;
 
@@ -253,14 +254,10 @@
                 self.record_check(checked);
             }
             Err(ReadFailure::NotFound) => {
-                self.record_check(Err(format!(
-                    "acknowledged turn {key:?} is said not to exist"
-                )));
+                self.record_check(DeniedTurnSnafu { key }.fail());
             }
             Err(ReadFailure::Unavailable) if is_final => {
-                self.record_check(Err(format!(
-                    "acknowledged turn {key:?} is out of reach though all is well"
-                )));
+                self.record_check(UnavailableTurnSnafu { key }.fail());
             }
             Err(ReadFailure::Unavailable) => {}
         }
