--- a/crates/tier/settings/tests/recorded_settings.rs
+++ b/crates/tier/settings/tests/recorded_settings.rs
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn unknown_keys_are_passed_over_at_every_level() {
+fn unknown_keys_are_ignored_at_every_level() {
     let mut text = format!("later_key: [1, 2]\nzones: {{a: north}}\n{RECORDED}");
     for block in ["listen", "limits", "fault_tolerance", "bounds"] {
         text = text.replace(
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -204,7 +204,7 @@
     });
 }
 
-fn copy() -> TempDir {
+fn copied_disk() -> TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     copy_disk(&recorded_disk("storage-disk", make_disk), folder.path());
     folder
@@ -212,7 +212,7 @@
 
 #[test]
 fn an_earlier_disk_has_a_snapshot_and_a_log() {
-    let folder = copy();
+    let folder = copied_disk();
     let (_, found) =
         Journal::open(folder.path(), JournalOptions::default()).expect("a whole journal");
     assert!(found.snapshot.is_some_and(|snapshot| !snapshot.is_empty()));
@@ -224,7 +224,7 @@
 
 #[test]
 fn an_earlier_disk_has_its_identity_its_view_and_its_fencing() {
-    let folder = copy();
+    let folder = copied_disk();
     let (_journal, mut node) = recover(folder.path());
     assert_eq!((node.disk(), node.view()), (DISK, &last_view()));
     let find = Operation::Find {
@@ -253,7 +253,7 @@
 
 #[test]
 fn an_earlier_disk_has_its_budgets() {
-    let folder = copy();
+    let folder = copied_disk();
     let (_journal, node) = recover(folder.path());
     let mut counted: Vec<(u64, bool)> = node
         .store()
@@ -268,7 +268,7 @@
 
 #[test]
 fn complete_conversations_are_read_from_an_earlier_disk() {
-    let folder = copy();
+    let folder = copied_disk();
     in_one_incarnation(async {
         let (server, client) = start(folder.path(), 3).await;
         assert_eq!(server.announcement().member.disk, DISK);
@@ -305,7 +305,7 @@
 
 #[test]
 fn conversations_and_budgets_continue_from_an_earlier_disk() {
-    let folder = copy();
+    let folder = copied_disk();
     in_one_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
         let refused = client
