--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -6,10 +6,10 @@
 use woadreach_rpc::{CallError, ServiceId};
 
 use super::StorageClient;
-use crate::message::{Answer, Fence, Operation, Request, Response, decode, encode};
+use crate::message::{Answer, FencingToken, Operation, Request, Response, decode, encode};
 use crate::view::StorageMember;
 
-/// Place of the disk's identity in an encoded request: after the version and the epoch.
+/// Offset of the disk's identity in an encoded request: after the version and the epoch.
 const DISK_OFFSET: usize = 9;
 
 /// A request that was encoded once for all machines of a group.
@@ -21,7 +21,7 @@
 impl EncodedRequest {
     pub(super) fn new(epoch: u64, operation: &Operation) -> EncodedRequest {
         let request = Request {
-            fence: Fence { epoch, disk: 0 },
+            fencing_token: FencingToken { epoch, disk: 0 },
             operation: operation.clone(),
         };
         EncodedRequest {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Bytes of the request.
+    /// Length of the request in bytes.
     pub(super) fn len(&self) -> usize {
         self.bytes.len()
     }
@@ -42,7 +42,7 @@
 }
 
 impl StorageClient {
-    /// Sends a request and reads the answer; brings views up to date on both sides.
+    /// Sends a request and reads the answer. Whichever side has the older view gets the newer one.
     pub(super) async fn exchange(
         &self,
         member: &StorageMember,
@@ -59,22 +59,25 @@
         if let Answer::Stale { view } = &response.answer {
             self.set_view(Arc::new(view.clone()));
         }
-        self.bring_view(member, response.epoch);
+        self.send_newer_view(member, response.epoch);
         Ok(response.answer)
     }
 
-    /// Tells a machine the newer view.
-    fn bring_view(&self, member: &StorageMember, known_epoch: u64) {
+    /// Sends the newer view to a machine that knows an older one.
+    fn send_newer_view(&self, member: &StorageMember, known_epoch: u64) {
         let view = self.view();
         if known_epoch < view.epoch {
-            let fence = Fence {
+            let fencing_token = FencingToken {
                 epoch: view.epoch,
                 disk: member.disk,
             };
             let operation = Operation::NewView {
                 view: (*view).clone(),
             };
-            let body = encode(&Request { fence, operation });
+            let body = encode(&Request {
+                fencing_token,
+                operation,
+            });
             self.shared
                 .rpc
                 .send(member.address, ServiceId::STORAGE, body);
