--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -72,7 +72,7 @@
         node: settings.node.clone(),
         address,
         zone: settings.zone.clone(),
-        tolerated: settings.fault_tolerance.members_of_a_group(),
+        tolerated: settings.fault_tolerance.tolerated_group_losses(),
         disk_bytes: settings.limits.disk_mb * MEGABYTE,
     };
     let server = Server::open(&folder, rpc.clone(), options)
@@ -116,9 +116,9 @@
 async fn leave_on_sigterm(server: &Server, terminate: &mut Signal, grace_period: Duration) {
     terminate.recv().await;
     tracing::info!("departure from the storage view requested");
-    server.begin_leaving();
+    server.begin_shutdown();
     let deadline = Instant::now() + grace_period.saturating_sub(STOP_MARGIN);
-    while !server.may_end() {
+    while !server.may_shut_down() {
         if Instant::now() >= deadline {
             tracing::warn!("stopped at the deadline while the disk was still needed");
             return;
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -151,12 +151,12 @@
             .iter()
             .filter(|(number, _)| !self.unresponsive.contains(number))
         {
-            self.announcements.heard(
+            self.announcements.record(
                 self.now,
                 Announcement {
                     member: member(number, disk),
                     pulled_epoch,
-                    leaving: false,
+                    shutting_down: false,
                 },
             );
         }
--- a/crates/tier/settings/tests/recorded_settings.rs
+++ b/crates/tier/settings/tests/recorded_settings.rs
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn the_variable_that_names_the_file_stays() {
+fn the_name_of_the_environment_variable_is_unchanged() {
     assert_eq!(SETTINGS_VARIABLE, "WOADREACH_NODE_FILE");
-    let error = SettingsError::NoPath {
+    let error = SettingsError::PathNotSet {
         variable: SETTINGS_VARIABLE,
     }
     .to_string();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn unknown_keys_are_passed_over_at_every_level() {
+fn unknown_keys_are_ignored_at_every_level() {
     let mut text = format!("later_key: [1, 2]\nzones: {{a: north}}\n{RECORDED}");
     for block in ["listen", "limits", "fault_tolerance", "bounds"] {
         text = text.replace(
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! One simulated storage machine: the pure member, its journal on a simulated disk, and group commit.
+//! One simulated storage machine: its decisions, its journal on a simulated disk, and group commit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use oorandom::Rand64;
 use woadreach_journal::{DiskFault, Engine, JournalError, SimulatedDisk, Synced};
 use woadreach_storage::announce::Announcement;
-use woadreach_storage::member::{Member, Pending, Step};
 use woadreach_storage::message::{Operation, Request, Response};
+use woadreach_storage::node::{Pending, Step, StorageNode};
 use woadreach_storage::pull::{Pages, Pull};
 use woadreach_storage::{StorageMember, StorageView};
 
+use super::mutation::Mutation;
 use super::stops::Stop;
-use super::world::Mutation;
 
 const MAX_BYTES: u64 = 64 << 20;
 
-/// Whom an answer is for.
+/// Receiver of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Caller {
+pub(crate) enum Caller {
     /// A call over the network.
     Call(u64),
     /// The machine itself: a record that was pulled from this disk.
@@ -27,8 +27,8 @@
     Nobody,
 }
 
-/// Something that waits for the disk.
-pub struct Waiting {
+/// A record that waits for a sync, and the answer that depends on it.
+pub(crate) struct Waiting {
     record: Record,
     pending: Pending,
     caller: Caller,
@@ -40,7 +40,7 @@
 }
 
 /// Pull from one source.
-pub struct Source {
+pub(crate) struct Source {
     pub member: StorageMember,
     pub pages: Pages,
     /// Records of the last page that are not synced yet.
@@ -49,22 +49,22 @@
 }
 
 /// Pull for one epoch.
-pub struct Pulling {
+pub(crate) struct Pulling {
     pub progress: Pull,
     pub sources: Vec<Source>,
     pub finishing: bool,
 }
 
 /// A running process.
-pub struct Process {
-    pub member: Member,
+pub(crate) struct Process {
+    pub node: StorageNode,
     engine: Engine,
     queue: VecDeque<Waiting>,
     batch: Vec<Waiting>,
     pub pulling: Option<Pulling>,
 }
 
-pub struct Machine {
+pub(crate) struct Machine {
     pub node: String,
     pub zone: String,
     pub address: std::net::SocketAddr,
@@ -74,9 +74,10 @@
     pub incarnation: u64,
     pub process: Option<Process>,
     pub frozen: bool,
-    /// Cut off from other machines, from here or to here.
-    pub cut_out: bool,
-    pub cut_in: bool,
+    /// Requests and announcements of this machine are lost.
+    pub outbound_partitioned: bool,
+    /// Requests and views for this machine are lost.
+    pub inbound_partitioned: bool,
     pub stalled: bool,
     pub removed: bool,
     /// How the process is being stopped, and since when.
@@ -84,17 +85,17 @@
 }
 
 impl Machine {
-    pub fn announcement(&self) -> Option<Announcement> {
+    pub(crate) fn announcement(&self) -> Option<Announcement> {
         let process = self.process.as_ref()?;
-        let member = self.member(process.member.disk());
+        let member = self.member(process.node.disk());
         Some(Announcement {
             member,
-            pulled_epoch: process.member.pulled_epoch(),
-            leaving: self.stop.is_some(),
+            pulled_epoch: process.node.pulled_epoch(),
+            shutting_down: self.stop.is_some(),
         })
     }
 
-    pub fn member(&self, disk: u64) -> StorageMember {
+    pub(crate) fn member(&self, disk: u64) -> StorageMember {
         StorageMember {
             node: self.node.clone(),
             disk,
@@ -103,12 +104,12 @@
         }
     }
 
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.process.is_some() && !self.frozen
     }
 
     /// Starts the process on what the disk holds.
-    pub fn start(
+    pub(crate) fn start(
         &mut self,
         now: Duration,
         tolerated: usize,
@@ -131,19 +132,19 @@
         };
         let snapshot = found.snapshot.as_deref();
         let recovered =
-            Member::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
-        let member = recovered.unwrap_or_else(|| {
+            StorageNode::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
+        let node = recovered.unwrap_or_else(|| {
             if mutation != Mutation::WipedMachineCounts || self.identity == 0 {
                 self.identity = random.rand_u64();
             }
-            let (member, record) = Member::create(self.node.clone(), self.identity, tolerated);
+            let (node, record) = StorageNode::create(self.node.clone(), self.identity, tolerated);
             let _ = engine.commit(&[record]).unwrap();
-            member
+            node
         });
-        self.identity = member.disk();
+        self.identity = node.disk();
         let (queue, batch) = (VecDeque::new(), Vec::new());
         self.process = Some(Process {
-            member,
+            node,
             engine,
             queue,
             batch,
@@ -152,7 +153,7 @@
     }
 
     /// Ends the process; with `power`, what is not synced may be lost.
-    pub fn kill(&mut self, random: &mut Rand64, power: bool) {
+    pub(crate) fn kill(&mut self, random: &mut Rand64, power: bool) {
         if let Some(mut process) = self.process.take() {
             self.disk.set_fault(DiskFault::FailingSync);
             let records = process
@@ -173,7 +174,7 @@
     }
 
     /// Takes a request; an answer that can be given at once is returned.
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         now: Duration,
         mut request: Request,
@@ -182,21 +183,22 @@
     ) -> Option<Response> {
         let process = self.process.as_mut()?;
         if mutation == Mutation::Unfenced {
-            request.fence.epoch = request.fence.epoch.max(process.member.view().epoch);
+            request.fencing_token.epoch =
+                request.fencing_token.epoch.max(process.node.view().epoch);
         }
         let is_reserve = matches!(request.operation, Operation::Reserve { .. });
-        let step = process.member.handle(now, request);
+        let step = process.node.handle(now, request);
         if mutation == Mutation::ReservationInMemory
             && is_reserve
             && let Step::Persist { pending, .. } = step
         {
-            return Some(process.member.complete(pending, &receipt_of_another_disk()));
+            return Some(process.node.complete(pending, &receipt_of_another_disk()));
         }
         self.take(step, Caller::Call(call))
     }
 
     /// Queues what must be synced.
-    pub fn take(&mut self, step: Step, caller: Caller) -> Option<Response> {
+    pub(crate) fn take(&mut self, step: Step, caller: Caller) -> Option<Response> {
         let process = self.process.as_mut()?;
         let (record, pending) = match step {
             Step::Reply(response) => return Some(response),
@@ -211,18 +213,18 @@
         None
     }
 
-    pub fn learn_view(&mut self, view: StorageView) {
+    pub(crate) fn learn_view(&mut self, view: StorageView) {
         let Some(process) = self.process.as_mut() else {
             return;
         };
-        if let Some(step) = process.member.learn_view(view) {
+        if let Some(step) = process.node.learn_view(view) {
             let answer = self.take(step, Caller::Nobody);
             assert!(answer.is_none());
         }
     }
 
     /// Whether a sync should begin now.
-    pub fn begin_sync(&mut self) -> bool {
+    pub(crate) fn begin_sync(&mut self) -> bool {
         let stalled = self.stalled;
         let Some(process) = self.process.as_mut() else {
             return false;
@@ -245,7 +247,7 @@
     }
 
     /// Ends the sync: answers for all callers.
-    pub fn end_sync(&mut self) -> Vec<(Caller, Response)> {
+    pub(crate) fn end_sync(&mut self) -> Vec<(Caller, Response)> {
         let Some(process) = self.process.as_mut() else {
             return Vec::new();
         };
@@ -262,8 +264,8 @@
         };
         let answers = batch.into_iter().map(|waiting| {
             let response = match &outcome {
-                Ok(synced) => process.member.complete(waiting.pending, synced),
-                Err(_) => process.member.failed(),
+                Ok(synced) => process.node.complete(waiting.pending, synced),
+                Err(_) => process.node.persist_failed(),
             };
             (waiting.caller, response)
         });
@@ -271,7 +273,7 @@
     }
 }
 
-/// A receipt for something else than the record.
+/// A receipt for a sync of another disk.
 fn receipt_of_another_disk() -> Synced {
     let (mut engine, _) = Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES).unwrap();
     engine.commit(&[Vec::new()]).unwrap()
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -4,18 +4,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use woadreach_storage::message::{Answer, Fence, Operation, Request};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request};
 use woadreach_storage::operation::Write;
-use woadreach_storage::quorum::{Need, Quorum};
+use woadreach_storage::quorum::{Quorum, QuorumKind};
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, TurnKey};
 
 /// Number of a job of a proxy.
-pub type JobId = u64;
+pub(crate) type JobId = u64;
+
+/// Epoch and round under which a request was sent, which distinguishes late answers from current ones.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct SentUnder {
+    pub epoch: u64,
+    pub round: u64,
+}
 
 /// What a job is for.
 #[derive(Debug, Clone)]
-pub enum Purpose {
+pub(crate) enum Purpose {
     Reserve {
         program: usize,
         id: u64,
@@ -24,27 +31,27 @@
         program: usize,
         id: u64,
         turn: TurnRecord,
-        given: u64,
+        delivered_tokens: u64,
     },
     Settle {
         program: usize,
         id: u64,
-        given: u64,
+        delivered_tokens: u64,
     },
     Read {
         key: TurnKey,
-        last: bool,
+        is_final: bool,
     },
 }
 
 /// Progress of a job.
-pub enum Work {
+pub(crate) enum Work {
     Write(Write),
     Read(Read),
 }
 
 /// A chain that is being read, newest first.
-pub struct Read {
+pub(crate) struct Read {
     pub chain: Vec<TurnRecord>,
     pub next: TurnKey,
     pub phase: ReadPhase,
@@ -56,19 +63,19 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadPhase {
+pub(crate) enum ReadPhase {
     Group,
     Everywhere,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadFailure {
+pub(crate) enum ReadFailure {
     NotFound,
     Unavailable,
 }
 
 impl Read {
-    pub fn new(key: TurnKey) -> Read {
+    pub(crate) fn new(key: TurnKey) -> Read {
         Read {
             chain: Vec::new(),
             next: key,
@@ -84,7 +91,7 @@
     fn requests(&mut self, view: &StorageView, tolerated: usize) -> Vec<(StorageMember, Request)> {
         let (members, operation) = match self.phase {
             ReadPhase::Group => {
-                let quorum = Quorum::new(view, &self.next.program, tolerated, Need::Read);
+                let quorum = Quorum::new(view, &self.next.program, tolerated, QuorumKind::Read);
                 let (program, request_id) =
                     (self.next.program.clone(), self.next.request_id.clone());
                 (
@@ -107,14 +114,14 @@
         self.all_answered = !members.is_empty();
         self.waiting = members.iter().map(|member| member.disk).collect();
         let request = |member: StorageMember| {
-            let fence = Fence {
+            let fencing_token = FencingToken {
                 epoch: view.epoch,
                 disk: member.disk,
             };
             (
                 member,
                 Request {
-                    fence,
+                    fencing_token,
                     operation: operation.clone(),
                 },
             )
@@ -122,8 +129,8 @@
         members.into_iter().map(request).collect()
     }
 
-    /// Takes an answer, or silence; whether the next phase begins.
-    fn answered(&mut self, round: u64, disk: u64, answer: Option<Answer>) -> bool {
+    /// Records an answer, or `None` for a time-out. Returns whether the next phase begins.
+    fn record_answer(&mut self, round: u64, disk: u64, answer: Option<Answer>) -> bool {
         if round != self.round || !self.waiting.remove(&disk) {
             return false;
         }
@@ -158,23 +165,29 @@
     }
 }
 
-pub struct Job {
+/// One write or read of a proxy.
+pub(crate) struct Job {
     pub purpose: Purpose,
     pub work: Work,
     pub deadline: Duration,
     pub answered: BTreeSet<u64>,
-    /// The outcome was told; only machines that missed it are still tried.
+    /// The outcome was reported; the write is only retried for machines that missed it.
     pub reported: bool,
 }
 
-pub struct Proxy {
+/// A proxy with the view that it knows and its jobs in flight.
+pub(crate) struct Proxy {
     pub view: Arc<StorageView>,
     pub jobs: BTreeMap<JobId, Job>,
 }
 
 impl Proxy {
     /// Requests to be sent now for a job: to all that have not answered.
-    pub fn requests(&mut self, job: JobId, tolerated: usize) -> Vec<(StorageMember, Request)> {
+    pub(crate) fn requests(
+        &mut self,
+        job: JobId,
+        tolerated: usize,
+    ) -> Vec<(StorageMember, Request)> {
         let view = Arc::clone(&self.view);
         let Some(job) = self.jobs.get_mut(&job) else {
             return Vec::new();
@@ -190,14 +203,14 @@
                     .iter()
                     .filter(|member| !job.answered.contains(&member.disk));
                 let request = |member: &StorageMember| {
-                    let fence = Fence {
+                    let fencing_token = FencingToken {
                         epoch: write.epoch(),
                         disk: member.disk,
                     };
                     (
                         member.clone(),
                         Request {
-                            fence,
+                            fencing_token,
                             operation: write.operation().clone(),
                         },
                     )
@@ -209,18 +222,18 @@
     }
 
     /// Round of a job's requests.
-    pub fn round(&self, job: JobId) -> u64 {
+    pub(crate) fn round(&self, job: JobId) -> u64 {
         match self.jobs.get(&job).map(|job| &job.work) {
             Some(Work::Read(read)) => read.round,
             _ => 0,
         }
     }
 
-    /// Takes an answer; whether the job's requests should be sent at once.
-    pub fn answered(
+    /// Records an answer. Returns whether the job's requests should be sent again at once.
+    pub(crate) fn record_answer(
         &mut self,
         id: JobId,
-        (epoch, round): (u64, u64),
+        sent: SentUnder,
         disk: u64,
         answer: Option<Answer>,
     ) -> bool {
@@ -237,14 +250,16 @@
                 Some(Answer::Stale { .. }) => write.epoch() < self.view.epoch,
                 Some(Answer::Failed) | None => false,
                 Some(answer) => {
-                    if epoch == write.epoch() {
+                    if sent.epoch == write.epoch() {
                         job.answered.insert(disk);
                     }
-                    write.answered(epoch, disk, answer);
+                    write.record_answer(sent.epoch, disk, answer);
                     false
                 }
             },
-            Work::Read(read) => read.answered(round, disk, answer) && read.outcome.is_none(),
+            Work::Read(read) => {
+                read.record_answer(sent.round, disk, answer) && read.outcome.is_none()
+            }
         }
     }
 }
