--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -1,8 +1,8 @@
 //! Agreement on the next view: single-decree Paxos, one instance for each epoch.
 //!
-//! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance of
-//! epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more writes
-//! of that epoch, so the state that it reports with the promise is final.
+//! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance
+//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more
+//! writes of that epoch, so the state that it reports with the promise is final.
 //!
 //! The acceptor's part is in `member/views.rs`; this module is the proposer's.
 //!
@@ -38,8 +38,8 @@
     pub can_replicate: bool,
     /// Members that it has heard within the suspicion time-out, itself included.
     pub hears: Vec<MemberId>,
-    /// Epochs in which it knows that nothing was committed. Must stay the last field: earlier messages end before
-    /// it.
+    /// Epochs in which it knows that nothing was committed. Must stay the last field: earlier messages end
+    /// before it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Begins phase 1 with a ballot above every one seen so far. The caller must put its own promise of the ballot
-    /// on disk before it sends the ballot to anyone.
+    /// Begins phase 1 with a ballot above every one seen so far. The caller must put its own promise of the
+    /// ballot on disk before it sends the ballot to anyone.
     pub(crate) fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
         self.highest_round += 1;
         let ballot = Ballot {
@@ -145,8 +145,8 @@
         }
     }
 
-    /// The view that must be proposed because it may already have been decided: that of the accepted proposal with
-    /// the highest ballot (Paxos Made Simple, property P2c).
+    /// The view that must be proposed because it may already have been decided: that of the accepted proposal
+    /// with the highest ballot (Paxos Made Simple, property P2c).
     pub(crate) fn highest_accepted_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
         let votes = reports
             .values()
@@ -156,8 +156,9 @@
             .map(|vote| vote.view.clone())
     }
 
-    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. The caller must have the reports of
-    /// a majority, and `view` must be [`highest_accepted_view`](Self::highest_accepted_view) of them if there is one.
+    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. The caller must have the
+    /// reports of a majority, and `view` must be [`highest_accepted_view`](Self::highest_accepted_view) of
+    /// them if there is one.
     pub(crate) fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
         let Phase::Preparing { ballot, .. } = self.phase else {
             return None;
@@ -171,8 +172,8 @@
         Some(ballot)
     }
 
-    /// Records an acceptance. Returns the view, now decided, once a majority of the voters of `current` has accepted
-    /// it.
+    /// Records an acceptance. Returns the view, now decided, once a majority of the voters of `current` has
+    /// accepted it.
     pub(crate) fn record_accepted(
         &mut self,
         from: MemberId,
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -1,7 +1,7 @@
 //! The durable state of a member, and the records that change it.
 //!
-//! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and applies the
-//! records that follow it in order.
+//! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and applies
+//! the records that follow it in order.
 
 use snafu::{OptionExt, ResultExt, Snafu};
 use speedy::{Endianness, Readable, Writable};
@@ -65,7 +65,8 @@
 pub struct IdleEpoch {
     /// The epoch.
     pub epoch: u64,
-    /// Floor of its view. A member that was active in this epoch or later holds every write committed up to `epoch`.
+    /// Floor of its view. A member that was active in this epoch or later holds every write committed up to
+    /// `epoch`.
     pub floor: u64,
 }
 
@@ -81,7 +82,8 @@
     pub bootstrap: bool,
     /// The newest decided view that the member knows. Its epoch never decreases.
     pub view: View,
-    /// The last promise. Binds only if its epoch is that of `view`; see [`current_promise`](Self::current_promise).
+    /// The last promise. Binds only if its epoch is that of `view`; see
+    /// [`current_promise`](Self::current_promise).
     pub promise: Option<Promise>,
     /// The accepted proposal with the highest ballot for the view after `view`. Cleared by every new view.
     pub accepted: Option<Accepted>,
@@ -89,15 +91,15 @@
     pub active_epoch: u64,
     /// The state with every write, committed or not.
     pub state: ControlState,
-    /// Epochs known to have committed nothing, oldest first. Must stay the last field: earlier snapshots end before
-    /// it.
+    /// Epochs known to have committed nothing, oldest first. Must stay the last field: earlier snapshots end
+    /// before it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
 
 impl Durable {
-    /// The durable state of a disk that is used for the first time. `bootstrap` must be set only in the first start of
-    /// the whole system, where `view` is [`View::bootstrap`].
+    /// The durable state of a disk that is used for the first time. `bootstrap` must be set only in the first
+    /// start of the whole system, where `view` is [`View::bootstrap`].
     pub fn new(identity: u64, bootstrap: bool, view: View) -> Durable {
         Durable {
             identity,
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Records the current epoch, which ends now, as idle if this member was in its chain and never active in it.
+    /// Records the current epoch, which ends now, as idle if this member was in its chain and never active in
+    /// it.
     fn record_idle_epoch(&mut self) {
         let View { epoch, floor, .. } = self.view;
         let is_in_chain = self
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -1,20 +1,20 @@
-//! Replicated control state: agreed membership, chain replication and the registers of the control plane, without
-//! I/O and without a clock.
+//! Replicated control state: agreed membership, chain replication and the registers of the control plane,
+//! without I/O and without a clock.
 //!
-//! Start with [`Member`], which is one core machine. It takes the time and an [`Input`] (a message of another member, a
-//! request, a finished sync, a tick) and returns [`Output`]s (records to persist, messages to send, replies). The
-//! driver around it, in `woadreach-control`, owns the sockets, the disk and the timers.
+//! Start with [`Member`], which is one core machine. It takes the time and an [`Input`] (a message of another
+//! member, a request, a finished sync, a tick) and returns [`Output`]s (records to persist, messages to send,
+//! replies). The driver around it, in `woadreach-control`, owns the sockets, the disk and the timers.
 //!
-//! - [`View`]: the agreed membership. An epoch, the voters, and the chain. The view of epoch `e + 1` is decided by
-//!   single-decree Paxos among the voters of view `e` (`agreement`; Lamport, Paxos Made Simple, 2001). A promise seals
-//!   epoch `e` at the voter.
+//! - [`View`]: the agreed membership. An epoch, the voters, and the chain. The view of epoch `e + 1` is
+//!   decided by single-decree Paxos among the voters of view `e` (`agreement`; Lamport, Paxos Made Simple,
+//!   2001). A promise seals epoch `e` at the voter.
 //! - [`ControlState`]: two compare-and-set registers, the operator's configuration and the view of the
-//!   storage machines. It is replicated down the chain (`replication`; van Renesse & Schneider, Chain Replication,
-//!   2004): the head takes commands, every member persists a write before it forwards it, and what the tail has
-//!   persisted is committed.
+//!   storage machines. It is replicated down the chain (`replication`; van Renesse & Schneider, Chain
+//!   Replication, 2004): the head takes commands, every member persists a write before it forwards it, and
+//!   what the tail has persisted is committed.
 //! - [`Durable`]: what a member has on its disk, as the result of applying [`Record`]s in order.
-//! - `peers` is the failure detector, [`next_view`] chooses the next view, and `election` and the `proposals` of a
-//!   member decide when one is proposed.
+//! - `peers` is the failure detector, [`next_view`] chooses the next view, and `election` and the `proposals`
+//!   of a member decide when one is proposed.
 //!
 //! Formats on the wire and on disk follow the order of fields and variants, which must not change.
 
--- a/crates/tier/chain/src/member/chain.rs
+++ b/crates/tier/chain/src/member/chain.rs
@@ -12,8 +12,8 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member takes writes of the current epoch: it is in the chain, has activated the epoch and has not
-    /// sealed it.
+    /// Whether this member takes writes of the current epoch: it is in the chain, has activated the epoch and
+    /// has not sealed it.
     pub(crate) fn is_active(&self) -> bool {
         let view = &self.durable.view;
         view.epoch > 0
@@ -37,7 +37,8 @@
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
-    /// Takes the writes after `after` from the predecessor, or activates the epoch if the states are the same.
+    /// Takes the writes after `after` from the predecessor, or activates the epoch if the states are the
+    /// same.
     pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
@@ -129,7 +130,8 @@
         self.send_now(predecessor.address, report);
     }
 
-    /// Forwards what the successor lacks. The tail commits what it has persisted, if the chain is long enough.
+    /// Forwards what the successor lacks. The tail commits what it has persisted, if the chain is long
+    /// enough.
     pub(crate) fn advance_replication(&mut self, now: Duration) {
         if !self.is_active() {
             return;
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: when a member may exit.
 //!
-//! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others no longer
-//! need the disk, or until the driver's time-out:
+//! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others
+//! no longer need the disk, or until the driver's time-out:
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
@@ -19,8 +19,8 @@
 use crate::message::Body;
 use crate::view::MemberId;
 
-/// Longest time for which a view that was proposed before others knew of the shutdown may still be decided: twice
-/// [`PHASE_TIMEOUT`](crate::election::PHASE_TIMEOUT) and the delay of messages.
+/// Longest time for which a view that was proposed before others knew of the shutdown may still be decided:
+/// twice [`PHASE_TIMEOUT`](crate::election::PHASE_TIMEOUT) and the delay of messages.
 const MAX_DECISION_TIME: Duration = Duration::from_millis(1000);
 
 /// Whether a member that is shutting down may exit, or why not.
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while this member
-    /// is no voter or isn't in contact with a majority.
+    /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while
+    /// this member is no voter or isn't in contact with a majority.
     pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
         let view = &self.durable.view;
         let mut addresses: Vec<SocketAddrV4> =
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/messages.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Sends a message that promises nothing durable. One to this member itself is handled before the input's outputs
-    /// are returned.
+    /// Sends a message that promises nothing durable. One to this member itself is handled before the input's
+    /// outputs are returned.
     pub(crate) fn send_now(&mut self, to: SocketAddrV4, body: Body) {
         let envelope = self.envelope(body);
         if to == self.id.address {
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -9,9 +9,9 @@
 //!
 //! A message that promises something durable leaves only once every record before it is synced.
 //!
-//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `views` is the
-//! acceptor and installs views, `proposals` and `view_selection` are the proposer, `chain` and `head` replicate,
-//! `heartbeats` and `quorum_contact` watch the others, `departure` ends a process.
+//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `views`
+//! is the acceptor and installs views, `proposals` and `view_selection` are the proposer, `chain` and `head`
+//! replicate, `heartbeats` and `quorum_contact` watch the others, `departure` ends a process.
 
 mod chain;
 mod departure;
@@ -73,8 +73,9 @@
 
 /// One core machine, without I/O and without a clock.
 ///
-/// The driver calls [`handle`](Self::handle) for every [`Input`] and at the latest at [`next_wake`](Self::next_wake),
-/// and must carry out every [`Output`] in order. Times are durations since any fixed origin and must never decrease.
+/// The driver calls [`handle`](Self::handle) for every [`Input`] and at the latest at
+/// [`next_wake`](Self::next_wake), and must carry out every [`Output`] in order. Times are durations since
+/// any fixed origin and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(crate) id: MemberId,
@@ -94,7 +95,8 @@
     published: Arc<ControlState>,
     /// Session of this member's barriers, drawn anew with every view. Never 0.
     barrier_session: u64,
-    /// Whether this member has had, since it came into contact with a majority, every state that was committed then.
+    /// Whether this member has had, since it came into contact with a majority, every state that was
+    /// committed then.
     is_caught_up: bool,
     pub(crate) is_disk_healthy: bool,
     pub(crate) is_leaving: bool,
@@ -186,7 +188,8 @@
         self.id
     }
 
-    /// What the disk holds once every record is synced. A snapshot of it may replace the log up to the last record.
+    /// What the disk holds once every record is synced. A snapshot of it may replace the log up to the last
+    /// record.
     pub fn durable(&self) -> &Durable {
         &self.durable
     }
--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -4,10 +4,10 @@
 //! | --- | --- | --- |
 //! | out of contact | a majority of the voters has echoed a recent heartbeat | catching up |
 //! | catching up | the published state is as new as any that those voters have reported | in quorum |
-//! | any | the echoes of a majority are older than [`CONTACT_TIMEOUT`](crate::peers::CONTACT_TIMEOUT) | out of contact |
+//! | any | the echoes of a majority are older than `CONTACT_TIMEOUT` | out of contact |
 //!
-//! An echo proves both directions of the link, and its age counts from when this member sent the heartbeat. So a
-//! member that only hears, one that is only heard, and one that was stalled are all out of contact.
+//! An echo proves both directions of the link, and its age counts from when this member sent the heartbeat.
+//! So a member that only hears, one that is only heard, and one that was stalled are all out of contact.
 
 use std::time::Duration;
 
@@ -35,7 +35,8 @@
         !view.voters.is_empty() && reached >= view.majority()
     }
 
-    /// Whether a voter has echoed a recent heartbeat. The voters of epoch 0 have no identities; being heard suffices.
+    /// Whether a voter has echoed a recent heartbeat. The voters of epoch 0 have no identities; being heard
+    /// suffices.
     fn reaches_voter(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.hears_voter(now, voter);
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -17,8 +17,8 @@
     pub is_head: bool,
     /// Whether the chain contains this member.
     pub in_chain: bool,
-    /// Whether this member is in contact with a majority of the voters and has caught up with every state that one of
-    /// them had reported as committed by then.
+    /// Whether this member is in contact with a majority of the voters and has caught up with every state
+    /// that one of them had reported as committed by then.
     pub in_quorum: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
--- a/crates/tier/chain/src/member/steps.rs
+++ b/crates/tier/chain/src/member/steps.rs
@@ -1,5 +1,5 @@
-//! The steps that [`Input::Tick`](super::Input::Tick) takes when they are due, one at a time: for exhaustive searches,
-//! which have no clock.
+//! The steps that [`Input::Tick`](super::Input::Tick) takes when they are due, one at a time: for exhaustive
+//! searches, which have no clock.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -48,8 +48,8 @@
         reports.len() >= self.durable.view.majority()
     }
 
-    /// Appends everything on which decisions depend to `text`, without times and without what the failure detector
-    /// knows.
+    /// Appends everything on which decisions depend to `text`, without times and without what the failure
+    /// detector knows.
     #[doc(hidden)]
     pub fn write_canonical(&self, text: &mut String) {
         let written = write!(
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -1,6 +1,8 @@
-//! The acceptor's part of the agreement on views, the messages of the proposer, and the installation of a view.
+//! The acceptor's part of the agreement on views, the messages of the proposer, and the installation of a
+//! view.
 //!
-//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are reported.
+//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
+//! reported.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Phase 1a: begins a proposal. The own promise is on disk before the ballot is sent, so that a restart can't use
-    /// the same ballot for another view.
+    /// Phase 1a: begins a proposal. The own promise is on disk before the ballot is sent, so that a restart
+    /// can't use the same ballot for another view.
     pub(crate) fn start_proposal(&mut self, now: Duration) {
         if let Some(promise) = self.durable.current_promise() {
             self.proposer.observe_ballot(promise.ballot);
@@ -178,7 +180,8 @@
         self.proposer.phase()
     }
 
-    /// Installs a decided view, unless a newer one is installed. Whatever belongs to the earlier epoch is dropped.
+    /// Installs a decided view, unless a newer one is installed. Whatever belongs to the earlier epoch is
+    /// dropped.
     pub(super) fn install_view(&mut self, now: Duration, view: View) {
         if view.epoch <= self.durable.view.epoch {
             return;
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -78,8 +78,8 @@
 
 /// Number of a barrier.
 ///
-/// A barrier is a mark that passes down the chain behind every earlier write. Once the tail has confirmed it, every
-/// member of the chain was still in the epoch when the barrier passed it.
+/// A barrier is a mark that passes down the chain behind every earlier write. Once the tail has confirmed it,
+/// every member of the chain was still in the epoch when the barrier passed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Barrier {
     /// Drawn when the head installed its view, so that barriers of different terms differ.
@@ -107,7 +107,8 @@
         /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// Phase 1b: the sender has promised, which also seals its epoch. Leaves only after the promise is synced.
+    /// Phase 1b: the sender has promised, which also seals its epoch. Leaves only after the promise is
+    /// synced.
     Promise {
         /// Ballot that was promised.
         ballot: Ballot,
@@ -179,9 +180,9 @@
 }
 
 impl Body {
-    /// Whether the message may carry a configuration, which may take long to transmit. The driver must send such
-    /// messages in order over a connection of their own, so that heartbeats and Paxos messages don't queue behind
-    /// them.
+    /// Whether the message may carry a configuration, which may take long to transmit. The driver must send
+    /// such messages in order over a connection of their own, so that heartbeats and Paxos messages don't
+    /// queue behind them.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,8 +1,8 @@
 //! Failure detector: which members are alive and reach each other, as their heartbeats show.
 //!
-//! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that their sender
-//! hears, so that links between others are known too, and echo the receiver's last heartbeat, which proves both
-//! directions of a link.
+//! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that
+//! their sender hears, so that links between others are known too, and echo the receiver's last heartbeat,
+//! which proves both directions of a link.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Restarts the time-outs of members that were alive at `last_tick`: this process was stalled from then to `now`
-    /// and could not receive their messages.
+    /// Restarts the time-outs of members that were alive at `last_tick`: this process was stalled from then
+    /// to `now` and could not receive their messages.
     pub(crate) fn excuse_stall(&mut self, now: Duration, last_tick: Duration) {
         self.started = now;
         for peer in self.table.values_mut() {
@@ -238,8 +238,8 @@
     }
 
     /// Whether `member` has echoed a heartbeat that this process sent within [`CONTACT_TIMEOUT`]. Unlike
-    /// [`is_reachable`](Self::is_reachable) this counts from the send time, so it ends when either direction of the
-    /// link fails and while this process is stalled.
+    /// [`is_reachable`](Self::is_reachable) this counts from the send time, so it ends when either direction
+    /// of the link fails and while this process is stalled.
     pub(crate) fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
         let echoed = || self.table.get(&member).and_then(|peer| peer.echoed);
         member == self.own
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,7 +1,7 @@
 //! Choice of the next view from what its voters report.
 //!
-//! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be proposed, unless
-//! one of them contains an accepted proposal, which must be proposed instead.
+//! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be
+//! proposed, unless one of them contains an accepted proposal, which must be proposed instead.
 
 use std::cmp::Reverse;
 
@@ -38,11 +38,11 @@
 
 /// The view after `current`.
 ///
-/// `voters` are the voters of `current` that have reported, and must be a majority of them; `learners` are the other
-/// reachable members. The chain begins with a voter that holds every write that may have been committed, and contains
-/// only members of which each two reach each other (`are_connected`). Voters that have not reported are replaced by
-/// learners as far as there are any. A voter whose address is now used by another identity has lost its disk and is
-/// dropped.
+/// `voters` are the voters of `current` that have reported, and must be a majority of them; `learners` are
+/// the other reachable members. The chain begins with a voter that holds every write that may have been
+/// committed, and contains only members of which each two reach each other (`are_connected`). Voters that
+/// have not reported are replaced by learners as far as there are any. A voter whose address is now used by
+/// another identity has lost its disk and is dropped.
 ///
 /// # Errors
 ///
@@ -65,8 +65,8 @@
     })
 }
 
-/// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of such an
-/// epoch holds every write committed before the epoch, and so every write committed up to its end.
+/// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of
+/// such an epoch holds every write committed before the epoch, and so every write committed up to its end.
 pub(crate) fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
     while let Some(idle) = idle_epochs
@@ -78,9 +78,9 @@
     floor
 }
 
-/// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every majority.
-/// If the chain doesn't, or if one of its members has sealed the epoch without having been active in it, nothing was
-/// committed in the epoch and the floor stays.
+/// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every
+/// majority. If the chain doesn't, or if one of its members has sealed the epoch without having been active
+/// in it, nothing was committed in the epoch and the floor stays.
 fn next_floor(current: &View, voters: &[Candidate]) -> u64 {
     if !current.meets_every_majority() {
         return current.floor;
@@ -140,8 +140,8 @@
         .collect())
 }
 
-/// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of them; the first
-/// in `ordered` where several do.
+/// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of them;
+/// the first in `ordered` where several do.
 fn next_member(
     ordered: &[Candidate],
     can_replicate: bool,
--- a/crates/tier/chain/src/policy.rs
+++ b/crates/tier/chain/src/policy.rs
@@ -36,8 +36,8 @@
 }
 
 impl Policy {
-    /// The policy that survives these losses. If zones or regions may be lost, members are spread over them, so
-    /// that losing one of them costs no more than the tolerated number of members.
+    /// The policy that survives these losses. If zones or regions may be lost, members are spread over them,
+    /// so that losing one of them costs no more than the tolerated number of members.
     pub fn tolerating(tolerance: Tolerance) -> Policy {
         let faults = tolerance
             .machines
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -1,11 +1,11 @@
 //! Replication down the chain, in one epoch.
 //!
-//! Van Renesse & Schneider, Chain Replication for Supporting High Throughput and Availability (2004), section 3:
-//! the head takes updates, every member passes them to its successor in order, and the tail's copy decides what
-//! is committed. Acknowledgements travel back from the tail to the head.
+//! Van Renesse & Schneider, Chain Replication for Supporting High Throughput and Availability (2004), section
+//! 3: the head takes updates, every member passes them to its successor in order, and the tail's copy decides
+//! what is committed. Acknowledgements travel back from the tail to the head.
 //!
-//! [`Replication`] is the volatile part of a member's role: which writes are persisted and committed, and how far
-//! the successor has come. The durable part, the state with every write, is [`Durable`](crate::Durable).
+//! [`Replication`] is the volatile part of a member's role: which writes are persisted and committed, and how
+//! far the successor has come. The durable part, the state with every write, is [`Durable`](crate::Durable).
 //!
 //! | state of the link to the successor | event | next |
 //! | --- | --- | --- |
@@ -13,12 +13,12 @@
 //! | `Unknown`, `Transferring` | answered "active" | `Streaming` |
 //! | `Streaming` | answered "inactive" (it has restarted) | `Transferring` |
 //! | any | not up to date, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
-//! | any | a report without progress, [`RESEND_INTERVAL`] after sending or progress | the same; sends what it lacks |
+//! | any | a report without progress, [`RESEND_INTERVAL`] after the last | the same; sends what it lacks |
 //!
-//! A state or a write may be in flight for long, on a slow link or to a slow disk. A probe follows it on the same
-//! connection and is answered once everything before it has arrived and is synced. So an answer without progress
-//! shows that a message was lost, while a missing answer shows nothing: it never causes a large message to be sent
-//! again.
+//! A state or a write may be in flight for long, on a slow link or to a slow disk. A probe follows it on the
+//! same connection and is answered once everything before it has arrived and is synced. So an answer without
+//! progress shows that a message was lost, while a missing answer shows nothing: it never causes a large
+//! message to be sent again.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 use crate::message::{Barrier, Body, Write};
 use crate::state::{Command, ControlState, Stamp};
 
-/// Interval between probes of a successor that isn't up to date, and the least time before anything is sent to it
-/// a second time.
+/// Interval between probes of a successor that isn't up to date, and the least time before anything is sent
+/// to it a second time.
 pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 /// Upper bound of the bytes of writes in one message. A single write may exceed it.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Begins again from `state`, which record number `record` replaced or activated in `epoch`. Nothing of the
-    /// state is known to be committed in this epoch.
+    /// Begins again from `state`, which record number `record` replaced or activated in `epoch`. Nothing of
+    /// the state is known to be committed in this epoch.
     pub(crate) fn restart(&mut self, record: u64, epoch: u64, state: &ControlState) {
         self.base = state.clone();
         self.is_base_committed = false;
@@ -160,7 +160,8 @@
         });
     }
 
-    /// Records that every record up to number `through` is synced. Returns whether the persisted state changed.
+    /// Records that every record up to number `through` is synced. Returns whether the persisted state
+    /// changed.
     pub(crate) fn synced(&mut self, through: u64) -> bool {
         let before = self.persisted;
         while let Some(record) = self.unsynced.front() {
@@ -203,7 +204,8 @@
         self.barrier
     }
 
-    /// Records that the tail has persisted every write up to `stamp`. Returns whether more is committed than before.
+    /// Records that the tail has persisted every write up to `stamp`. Returns whether more is committed than
+    /// before.
     pub(crate) fn commit(&mut self, stamp: Stamp) -> bool {
         let before = self.committed_stamp();
         while self
@@ -286,8 +288,8 @@
         self.must_resend |= !has_changed && is_overdue && self.has_content_in_flight();
     }
 
-    /// Everything here that decisions depend on, without times: for exhaustive searches. Numbers of records are
-    /// counted back from `newest`, so that equal states compare equal.
+    /// Everything here that decisions depend on, without times: for exhaustive searches. Numbers of records
+    /// are counted back from `newest`, so that equal states compare equal.
     pub(crate) fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
         let unsynced: Vec<_> = self
             .unsynced
@@ -320,8 +322,8 @@
         }
     }
 
-    /// The next message to the successor, if one is due. The caller must send it, and call again until there is
-    /// none.
+    /// The next message to the successor, if one is due. The caller must send it, and call again until there
+    /// is none.
     pub(crate) fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
         let own = self.persisted_stamp(epoch)?;
         let is_due =
@@ -370,7 +372,8 @@
         Some(self.replicate(from, writes))
     }
 
-    /// The writes after `from`, up to `own` and to [`MAX_MESSAGE_BYTES`]; `None` if they are no longer retained.
+    /// The writes after `from`, up to `own` and to [`MAX_MESSAGE_BYTES`]; `None` if they are no longer
+    /// retained.
     fn writes_after(&self, from: Stamp, own: Stamp) -> Option<Vec<Write>> {
         let is_retained =
             from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
@@ -393,8 +396,8 @@
         Some(writes)
     }
 
-    /// A message without writes: the successor reports its progress, and activates the epoch if it has the same
-    /// state.
+    /// A message without writes: the successor reports its progress, and activates the epoch if it has the
+    /// same state.
     fn probe(&self, own: Stamp) -> Body {
         self.replicate(own, Vec::new())
     }
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -1,9 +1,9 @@
 //! Requests to the head that are pending until the chain has confirmed what the reply is based on.
 //!
-//! A reply leaves only when everything on which it is based is committed. A rejection and a read also wait for a
-//! barrier that began after the request arrived and has passed every member of the chain in the current epoch. Before
-//! another epoch can commit anything, a member of this chain must seal this epoch. So when that member forwarded the
-//! barrier, this head's state was still the newest.
+//! A reply leaves only when everything on which it is based is committed. A rejection and a read also wait
+//! for a barrier that began after the request arrived and has passed every member of the chain in the current
+//! epoch. Before another epoch can commit anything, a member of this chain must seal this epoch. So when that
+//! member forwarded the barrier, this head's state was still the newest.
 
 use std::collections::BTreeMap;
 
@@ -70,8 +70,8 @@
 }
 
 impl PendingRequests {
-    /// Adds a request that waits for the commit of `stamp`: of its own write if `is_new`, else of the state that
-    /// contains the earlier one.
+    /// Adds a request that waits for the commit of `stamp`: of its own write if `is_new`, else of the state
+    /// that contains the earlier one.
     pub(crate) fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
         let outcome = if is_new {
             Outcome::Taken
@@ -135,8 +135,8 @@
         self.pending.is_empty()
     }
 
-    /// Removes and returns the requests that wait for nothing beyond `committed` and `confirmed_barrier`, with their
-    /// replies. `confirmed_barrier` must be of the head's current session, else 0.
+    /// Removes and returns the requests that wait for nothing beyond `committed` and `confirmed_barrier`,
+    /// with their replies. `confirmed_barrier` must be of the head's current session, else 0.
     pub(crate) fn resolve(
         &mut self,
         committed: &ControlState,
@@ -160,8 +160,8 @@
             .collect()
     }
 
-    /// Lets every request that waits for a barrier wait for `barrier`. Must be called when the head stays head in a new
-    /// epoch, since barriers of the earlier epoch prove nothing there.
+    /// Lets every request that waits for a barrier wait for `barrier`. Must be called when the head stays
+    /// head in a new epoch, since barriers of the earlier epoch prove nothing there.
     pub(crate) fn renew_barriers(&mut self, barrier: u64) {
         for request in self
             .pending
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -12,17 +12,17 @@
 //! | `PutStorageView` | an epoch other than `expected_epoch` | `Rejected(StorageEpochMismatch)` |
 //! | `PutStorageView` | `expected_epoch` | `Take` |
 //!
-//! `Rejected` of a configuration is final: generations only rise, so that no later state takes it either, and a
-//! duplicate of the request that arrives later can't bring it into force. Where that can't be guaranteed, the verdict
-//! is `Undecided`.
+//! `Rejected` of a configuration is final: generations only rise, so that no later state takes it either, and
+//! a duplicate of the request that arrives later can't bring it into force. Where that can't be guaranteed,
+//! the verdict is `Undecided`.
 
 use snafu::Snafu;
 use speedy::{Readable, Writable};
 
 use crate::blob::Blob;
 
-/// Upper bound of the digests of taken configurations that the state retains. Whether an older change was taken is
-/// undecided.
+/// Upper bound of the digests of taken configurations that the state retains. Whether an older change was
+/// taken is undecided.
 pub const MAX_TAKEN_CONFIGURATIONS: usize = 8192;
 
 /// Digest of a configuration's bytes. Computed by the driver; compared here only for equality.
@@ -125,8 +125,8 @@
 /// Why it is undecided whether a command takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Undecided {
-    /// The change builds on a generation above the current one, which may yet come into force; a duplicate of the
-    /// request that arrives after that would be taken.
+    /// The change builds on a generation above the current one, which may yet come into force; a duplicate of
+    /// the request that arrives after that would be taken.
     #[snafu(display("the change builds on a generation above the current one, {current}"))]
     FutureBase {
         /// Generation in force.
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -8,8 +8,8 @@
 
 /// A core machine together with its disk.
 ///
-/// The identity is drawn when an empty disk is first used. A machine that has lost its disk has lost its promises
-/// with it, and must not vote as the member that it was.
+/// The identity is drawn when an empty disk is first used. A machine that has lost its disk has lost its
+/// promises with it, and must not vote as the member that it was.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
     /// Internal address of the machine.
@@ -57,8 +57,8 @@
     pub voters: Vec<MemberId>,
     /// Members that replicate the state, from head to tail. Each must be a voter.
     pub chain: Vec<MemberId>,
-    /// A member that has been active in this epoch or a later one holds every write that was committed before the
-    /// view's epoch. Must not be above `epoch`.
+    /// A member that has been active in this epoch or a later one holds every write that was committed before
+    /// the view's epoch. Must not be above `epoch`.
     pub floor: u64,
 }
 
@@ -167,8 +167,8 @@
         self.chain.first().copied()
     }
 
-    /// Whether every majority of the voters contains a member of the chain. A chain of which that isn't true must
-    /// commit nothing, since its epoch could be sealed without its knowledge.
+    /// Whether every majority of the voters contains a member of the chain. A chain of which that isn't true
+    /// must commit nothing, since its epoch could be sealed without its knowledge.
     pub fn meets_every_majority(&self) -> bool {
         let in_chain = self
             .voters
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -1,4 +1,5 @@
-//! Members that return after they have missed changes, while writes continue, on links and disks of bounded rates.
+//! Members that return after they have missed changes, while writes continue, on links and disks of bounded
+//! rates.
 //!
 //! Simulated time. Every case writes without a pause, kills one member, starts it again after a number of
 //! changes, and waits until it is active in the chain; then the head is killed, so that an old state would
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! Long partitions, in one direction or both: the invariants of every run, and that a machine which reports to be in
-//! quorum is never far behind.
+//! Long partitions, in one direction or both: the invariants of every run, and that a machine which reports
+//! to be in quorum is never far behind.
 //!
 //! `WOADREACH_RUNS` and `WOADREACH_SEED` as in `world.rs`.
 
--- a/crates/tier/chain/tests/old_views.rs
+++ b/crates/tier/chain/tests/old_views.rs
@@ -54,7 +54,8 @@
     replaced
 }
 
-/// Five machines that tolerate one loss, after two voters were replaced one after the other. All processes are down.
+/// Five machines that tolerate one loss, after two voters were replaced one after the other. All processes
+/// are down.
 fn two_replaced(seed: u64) -> (World, [usize; 2]) {
     let mut world = World::new(seed, 5, 0, 1, None);
     world.are_faults_over = true;
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -1,5 +1,5 @@
-//! Rates of links and disks: long messages of one machine leave one after the other at the link's rate, short ones
-//! beside them; a sync takes as long as its bytes need.
+//! Rates of links and disks: long messages of one machine leave one after the other at the link's rate, short
+//! ones beside them; a sync takes as long as its bytes need.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/tier/chain/tests/simulation/mod.rs
+++ b/crates/tier/chain/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A core on simulated time: machines with disks, a network that loses and delays messages and partitions, operators who race,
-//! faults from a seed, and a checker of the answers that operators got.
+//! A core on simulated time: machines with disks, a network that loses and delays messages and partitions,
+//! operators who race, faults from a seed, and a checker of the answers that operators got.
 
 // Each test program uses a part of this module.
 #![allow(dead_code)]
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -1,7 +1,7 @@
 //! Operators who change and read the configuration concurrently, and retry what got no answer.
 //!
-//! Each has several orders in flight. An order may build on one that is unanswered, is at times sent to two machines at
-//! once, and a duplicate of it may arrive seconds late, long after the order was answered.
+//! Each has several orders in flight. An order may build on one that is unanswered, is at times sent to two
+//! machines at once, and a duplicate of it may arrive seconds late, long after the order was answered.
 
 use std::time::Duration;
 
--- a/crates/tier/chain/tests/simulation/partitions.rs
+++ b/crates/tier/chain/tests/simulation/partitions.rs
@@ -1,6 +1,6 @@
-//! Long partitions of one machine, of as many as may be lost, or of the link between two: in both directions or in one;
-//! with restarts, power loss and freezes of the isolated machines. Operators send to both sides, and must be answered
-//! all the time.
+//! Long partitions of one machine, of as many as may be lost, or of the link between two: in both directions
+//! or in one; with restarts, power loss and freezes of the isolated machines. Operators send to both sides,
+//! and must be answered all the time.
 
 use std::time::Duration;
 
