--- a/crates/tier/control/src/core_role.rs
+++ b/crates/tier/control/src/core_role.rs
@@ -236,7 +236,7 @@
             _ = hangup.recv() => read_seeds_again(driver, sampler),
             () = tokio::time::sleep(SETTINGS_INTERVAL) => {
                 let in_quorum = driver.status().in_quorum;
-                sampler.set_lost(!in_quorum);
+                sampler.set_disconnected(!in_quorum);
                 if !in_quorum {
                     read_seeds_again(driver, sampler);
                 }
--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -121,7 +121,7 @@
     State(discovery): State<Arc<CoreDiscovery>>,
     Path(id): Path<String>,
 ) -> Response {
-    acknowledge(discovery.leave(&id).await)
+    acknowledge(discovery.deregister(&id).await)
 }
 
 fn acknowledge(result: Result<(), AcknowledgeError>) -> Response {
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -18,10 +18,10 @@
 use crate::watcher::{WatchAction, WatchChange, Watcher};
 
 /// How often a process that hears no core machine looks for other seeds in its settings.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How often a process that knows no address at all looks again.
-const IDLE_WAKE: Duration = Duration::from_secs(1);
+const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a call gave.
 enum Completed {
@@ -81,7 +81,10 @@
     async fn run(mut self) {
         loop {
             self.start_calls();
-            let idle_wake = self.calls.is_empty().then(|| self.now() + IDLE_WAKE);
+            let idle_wake = self
+                .calls
+                .is_empty()
+                .then(|| self.now() + IDLE_WAKE_INTERVAL);
             let next_wake = self
                 .watcher
                 .next_wake()
@@ -201,15 +204,15 @@
 
     /// While no core machine answers: asks the settings and other processes for their addresses.
     fn look_for_core_machines(&mut self) {
-        let is_lost = self.watcher.is_lost(self.now());
+        let is_disconnected = self.watcher.is_disconnected(self.now());
         if let Some(sampler) = &self.sampler {
-            sampler.set_lost(is_lost);
-            if is_lost {
+            sampler.set_disconnected(is_disconnected);
+            if is_disconnected {
                 self.watcher
                     .set_hints(sampler.core_machines().borrow().clone());
             }
         }
-        if is_lost && self.settings_read_at.elapsed() >= SETTINGS_INTERVAL {
+        if is_disconnected && self.settings_read_at.elapsed() >= SETTINGS_RELOAD_INTERVAL {
             self.settings_read_at = Instant::now();
             self.reread_seeds();
         }
--- a/crates/tier/discovery/src/core.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -15,26 +15,26 @@
 
 use crate::committed::CommittedState;
 use crate::core_state::{CoreIdentity, CoreState};
-use crate::departure::{DepartureRound, MAJORITY, Verdict};
+use crate::departure::{DepartureDecision, DepartureNotification, MAJORITY_TIMEOUT};
 use crate::exchange::{CHANGE_DELAY, Urgency};
 use crate::messages::{
     BatchResponse, ConfigurationResponse, MessageError, PollRequest, RegistryResponse, Request,
     VersionedBytes, decode, decode_answer, encode,
 };
-use crate::registry::{Ack, HeartbeatError, RegistryCounters};
+use crate::poll_response::has_updates;
+use crate::registry::{HeartbeatError, HeartbeatOutcome, RegistryCounters};
 use crate::replica::Heartbeat;
-use crate::server::has_news;
 
 /// How often silence is looked at and batches are sent.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause before a peer that could not be told of a departure is told again.
-const URGENT_RETRY: Duration = Duration::from_millis(60);
+const DEPARTURE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// How long a core machine waits for another's registry.
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest wait of a poll.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
 /// Pause before peers are asked for their registries again.
-const REGISTRY_RETRY: Duration = Duration::from_millis(500);
+const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a replica's call is not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -110,8 +110,8 @@
     }
 
     /// Takes a replica's word that it ends, and tells the other core machines before it returns.
-    pub async fn leave(&self, id: &str) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().leave(self.now(), id)?;
+    pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
+        let ack = self.state.lock().deregister(self.now(), id)?;
         self.after_change(id, ack).await
     }
 
@@ -129,16 +129,16 @@
         self.started.elapsed()
     }
 
-    async fn after_change(&self, id: &str, ack: Ack) -> Result<(), AcknowledgeError> {
+    async fn after_change(&self, id: &str, ack: HeartbeatOutcome) -> Result<(), AcknowledgeError> {
         let is_acknowledged = match ack {
-            Ack::Unchanged => self.may_acknowledge(ack),
-            Ack::Changed => {
+            HeartbeatOutcome::Unchanged => self.may_acknowledge(ack),
+            HeartbeatOutcome::Changed => {
                 self.flush.notify_one();
                 self.may_acknowledge(ack)
             }
-            Ack::Leaving => {
+            HeartbeatOutcome::Departing => {
                 self.publish();
-                self.tell_peers(id).await
+                self.notify_peers(id).await
             }
         };
         if is_acknowledged {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn may_acknowledge(&self, ack: Ack) -> bool {
+    fn may_acknowledge(&self, ack: HeartbeatOutcome) -> bool {
         let view = self.committed.view();
         self.state.lock().may_acknowledge(self.now(), ack, &view)
     }
@@ -171,7 +171,7 @@
     }
 
     /// Tells the peers of a departure. Returns whether it may be acknowledged.
-    async fn tell_peers(&self, id: &str) -> bool {
+    async fn notify_peers(&self, id: &str) -> bool {
         let now = self.now();
         let view = self.committed.view();
         let (batch, peers, round) = {
@@ -179,7 +179,7 @@
             (
                 state.urgent_batch(now, id),
                 state.peers(now, &view),
-                state.begin_departure(now, &view),
+                state.start_departure(now, &view),
             )
         };
         let body = encode(&Request::Urgent(batch));
@@ -196,20 +196,20 @@
 
     async fn await_peers(
         &self,
-        mut round: DepartureRound,
+        mut round: DepartureNotification,
         peers: Vec<SocketAddr>,
         body: Vec<u8>,
     ) -> bool {
-        let deadline = Instant::now() + MAJORITY;
+        let deadline = Instant::now() + MAJORITY_TIMEOUT;
         let mut calls = JoinSet::new();
         for peer in peers {
-            calls.spawn(tell_peer(self.rpc.clone(), peer, body.clone(), deadline));
+            calls.spawn(notify_peer(self.rpc.clone(), peer, body.clone(), deadline));
         }
         let is_acknowledged = loop {
-            let until = match round.verdict(self.now()) {
-                Verdict::Acknowledged => break true,
-                Verdict::Unconfirmed => break false,
-                Verdict::Wait { until } => self.started + until,
+            let until = match round.decision(self.now()) {
+                DepartureDecision::Acknowledged => break true,
+                DepartureDecision::Unconfirmed => break false,
+                DepartureDecision::Wait { until } => self.started + until,
             };
             match timeout_at(until, calls.join_next()).await {
                 Ok(Some(Ok(Some(peer)))) => round.answered(peer),
@@ -223,7 +223,7 @@
     }
 
     async fn exchange_batches(&self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -269,11 +269,13 @@
             }
             let warming = {
                 let view = self.committed.view();
-                self.state.lock().peers_asked(self.now(), &view, warm_peer)
+                self.state
+                    .lock()
+                    .complete_registry_pull(self.now(), &view, warm_peer)
             };
             self.publish();
             if warming {
-                tokio::time::sleep(REGISTRY_RETRY).await;
+                tokio::time::sleep(REGISTRY_RETRY_INTERVAL).await;
             } else {
                 self.pull.notified().await;
             }
@@ -341,7 +343,7 @@
                 .state
                 .lock()
                 .respond(self.now(), &request, self.committed.as_ref());
-            if has_news(&request, &response) || Instant::now() >= deadline {
+            if has_updates(&request, &response) || Instant::now() >= deadline {
                 return encode(&response);
             }
             tokio::select! {
@@ -354,7 +356,7 @@
 }
 
 /// Tells `peer` of a departure, again if need be. Returns the peer once it has answered.
-async fn tell_peer(
+async fn notify_peer(
     rpc: Client,
     peer: SocketAddr,
     body: Vec<u8>,
@@ -369,7 +371,7 @@
         {
             return Some(peer);
         }
-        tokio::time::sleep(URGENT_RETRY).await;
+        tokio::time::sleep(DEPARTURE_RETRY_INTERVAL).await;
     }
     None
 }
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use crate::committed::{CommittedState, ViewSummary};
-use crate::departure::DepartureRound;
+use crate::departure::DepartureNotification;
 use crate::exchange::{Inbox, Outbox, Urgency};
+use crate::failure_detector::FailureDetector;
 use crate::messages::{Batch, PollRequest, PollResponse, RegistryResponse};
-use crate::registry::{Ack, HeartbeatError, Registry, RegistryVersion};
+use crate::poll_response::{MAX_STATUSES, respond};
+use crate::registry::{HeartbeatError, HeartbeatOutcome, Registry, RegistryVersion};
 use crate::replica::Heartbeat;
-use crate::server::{MAX_STATUSES, respond};
-use crate::warming::Observation;
 
 /// Unchanged heartbeats that a machine out of quorum refuses in a second, so that the replicas go on to
 /// others: without any quorum, each replica would otherwise call every core machine at each heartbeat.
-const REFUSALS_A_SECOND: u32 = 200;
+const MAX_REFUSALS_PER_SECOND: u32 = 200;
 
 /// Who a core machine is.
 #[derive(Clone, Debug)]
@@ -36,24 +36,24 @@
 pub struct CoreState {
     identity: CoreIdentity,
     registry: Registry,
-    observation: Observation,
+    failure_detector: FailureDetector,
     outbox: Outbox,
     inbox: Inbox,
     /// Peers whose registry is to be asked for.
     incomplete: BTreeSet<SocketAddr>,
     /// Replicas have been heard of since this machine is warming.
-    heard_any: bool,
-    refusals: Refusals,
+    has_heard_replicas: bool,
+    refusal_limiter: RefusalLimiter,
 }
 
 /// Heartbeats refused in the present second.
 #[derive(Default)]
-struct Refusals {
+struct RefusalLimiter {
     since: Duration,
     count: u32,
 }
 
-impl Refusals {
+impl RefusalLimiter {
     fn may_refuse(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.since) >= Duration::from_secs(1) {
             *self = Self {
@@ -62,7 +62,7 @@
             };
         }
         self.count += 1;
-        self.count <= REFUSALS_A_SECOND
+        self.count <= MAX_REFUSALS_PER_SECOND
     }
 }
 
@@ -73,12 +73,12 @@
         incomplete.remove(&identity.address);
         Self {
             registry: Registry::new(identity.incarnation, identity.reuse_after),
-            observation: Observation::new(now, identity.heartbeat),
+            failure_detector: FailureDetector::new(now, identity.heartbeat),
             outbox: Outbox::new(identity.incarnation, identity.address),
             inbox: Inbox::default(),
             incomplete,
-            heard_any: false,
-            refusals: Refusals::default(),
+            has_heard_replicas: false,
+            refusal_limiter: RefusalLimiter::default(),
             identity,
         }
     }
@@ -95,7 +95,7 @@
 
     /// Whether this machine does not know all replicas yet.
     pub fn is_warming(&self, now: Duration) -> bool {
-        self.observation.is_warming(now)
+        self.failure_detector.is_warming(now)
     }
 
     /// Takes a replica's heartbeat.
@@ -104,36 +104,51 @@
         now: Duration,
         id: &str,
         heartbeat: Heartbeat,
-    ) -> Result<Ack, HeartbeatError> {
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
         let ack = self.registry.heartbeat(now, id, heartbeat)?;
-        self.heard_any = true;
+        self.has_heard_replicas = true;
         match ack {
-            Ack::Unchanged => self.outbox.heard(id),
-            Ack::Changed | Ack::Leaving => self.outbox.changed(id),
+            HeartbeatOutcome::Unchanged => self.outbox.heard(id),
+            HeartbeatOutcome::Changed | HeartbeatOutcome::Departing => self.outbox.changed(id),
         }
         Ok(ack)
     }
 
     /// Takes a replica's word that it ends.
-    pub fn leave(&mut self, now: Duration, id: &str) -> Result<Ack, HeartbeatError> {
-        let ack = self.registry.leave(now, id)?;
+    pub fn deregister(
+        &mut self,
+        now: Duration,
+        id: &str,
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
+        let ack = self.registry.deregister(now, id)?;
         self.outbox.changed(id);
         Ok(ack)
     }
 
     /// Whether a heartbeat that was taken, and that is no departure, is acknowledged. A machine out of quorum
     /// may be the only one that knows of it: the replica is to call another.
-    pub fn may_acknowledge(&mut self, now: Duration, ack: Ack, view: &ViewSummary) -> bool {
-        let is_cut_off = view.epoch > 0 && !view.in_quorum;
-        !is_cut_off || (ack == Ack::Unchanged && !self.refusals.may_refuse(now))
+    pub fn may_acknowledge(
+        &mut self,
+        now: Duration,
+        ack: HeartbeatOutcome,
+        view: &ViewSummary,
+    ) -> bool {
+        let is_out_of_quorum = view.epoch > 0 && !view.in_quorum;
+        !is_out_of_quorum
+            || (ack == HeartbeatOutcome::Unchanged && !self.refusal_limiter.may_refuse(now))
     }
 
     /// Begins to tell the peers of a departure. Nothing if this machine is out of quorum, and can promise
     /// nothing.
-    pub fn begin_departure(&self, now: Duration, view: &ViewSummary) -> Option<DepartureRound> {
-        let is_cut_off = view.epoch > 0 && !view.in_quorum;
+    pub fn start_departure(
+        &self,
+        now: Duration,
+        view: &ViewSummary,
+    ) -> Option<DepartureNotification> {
+        let is_out_of_quorum = view.epoch > 0 && !view.in_quorum;
         let peers = self.peers(now, view);
-        (!is_cut_off).then(|| DepartureRound::new(now, self.identity.address, &peers, view))
+        (!is_out_of_quorum)
+            .then(|| DepartureNotification::new(now, self.identity.address, &peers, view))
     }
 
     /// The other core machines: members of the view, and those that send batches; the seeds before there is
@@ -143,7 +158,7 @@
         if peers.is_empty() {
             peers.extend(&self.identity.seeds);
         }
-        peers.extend(self.observation.heard_peers(now));
+        peers.extend(self.failure_detector.reachable_peers(now));
         peers.remove(&self.identity.address);
         peers.into_iter().collect()
     }
@@ -164,15 +179,19 @@
     pub fn tick(&mut self, now: Duration, view: &ViewSummary) {
         let peers = self.peers(now, view);
         let silences = self.registry.replicas(now).map(|(_, silence)| silence);
-        let tick = self
-            .observation
-            .tick(now, view.in_quorum, &peers, silences, self.heard_any);
+        let tick = self.failure_detector.tick(
+            now,
+            view.in_quorum,
+            &peers,
+            silences,
+            self.has_heard_replicas,
+        );
         if tick.stalled {
             tracing::warn!(
                 "this process stood still: asking the other core machines for the replicas"
             );
-            self.registry.restart_silence(now);
-            self.heard_any = false;
+            self.registry.restart_timeouts(now);
+            self.has_heard_replicas = false;
             self.incomplete.extend(&peers);
         }
         if let Some(silence) = tick.expiry {
@@ -181,16 +200,16 @@
                 self.outbox.changed(&id);
             }
         }
-        self.registry.forget_tombstones(now);
+        self.registry.drop_tombstones(now);
     }
 
     /// Takes a batch of another core machine. Returns how soon watchers are to be told.
     pub fn receive(&mut self, now: Duration, batch: Batch) -> Urgency {
         let sender = SocketAddr::from(batch.sender);
         if batch.serial > 0 {
-            self.observation.heard_peer(now, sender);
+            self.failure_detector.record_peer_batch(now, sender);
         }
-        self.heard_any |= !batch.refreshes.is_empty();
+        self.has_heard_replicas |= !batch.refreshes.is_empty();
         let result = self.inbox.receive(now, batch, &mut self.registry);
         if result.incomplete {
             self.incomplete.insert(sender);
@@ -215,8 +234,8 @@
 
     /// Takes a part of the registry of `peer`.
     pub fn take_registry(&mut self, now: Duration, peer: SocketAddr, response: RegistryResponse) {
-        self.inbox.taken_in(peer, response.version);
-        self.heard_any |= !response.statuses.is_empty() && !response.warming;
+        self.inbox.record_registry(peer, response.version);
+        self.has_heard_replicas |= !response.statuses.is_empty() && !response.warming;
         for entry in response.statuses {
             let (id, status) = entry.into_status();
             self.registry.merge(now, &id, status);
@@ -225,9 +244,14 @@
 
     /// All reachable peers have been asked; `warm_peer` says whether one that is not warming has answered. A
     /// machine that is still warming asks all of them again. Returns whether it is.
-    pub fn peers_asked(&mut self, now: Duration, view: &ViewSummary, warm_peer: bool) -> bool {
+    pub fn complete_registry_pull(
+        &mut self,
+        now: Duration,
+        view: &ViewSummary,
+        warm_peer: bool,
+    ) -> bool {
         if warm_peer && self.incomplete.is_empty() {
-            self.observation.peers_taken_in();
+            self.failure_detector.complete_warm_up();
         }
         if self.is_warming(now) {
             self.incomplete.extend(self.peers(now, view));
--- a/crates/tier/discovery/src/departure.rs
+++ b/crates/tier/discovery/src/departure.rs
@@ -6,8 +6,8 @@
 //! | state | event | next |
 //! | --- | --- | --- |
 //! | telling | every peer has answered | acknowledged |
-//! | telling, [`ALL_PEERS`] have passed | a majority of the voters knows it | acknowledged |
-//! | telling | [`MAJORITY`] have passed | unconfirmed: the replica is to ask another machine |
+//! | telling, [`ALL_PEERS_TIMEOUT`] have passed | a majority of the voters knows it | acknowledged |
+//! | telling | [`MAJORITY_TIMEOUT`] have passed | unconfirmed: the replica is to ask another machine |
 //!
 //! Without a majority this machine may be cut off, with observers on the other side that do not hear of it.
 
@@ -18,13 +18,13 @@
 use crate::committed::ViewSummary;
 
 /// How long all peers are waited for; then a majority of the voters suffices.
-pub const ALL_PEERS: Duration = Duration::from_millis(300);
+pub const ALL_PEERS_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a majority is waited for. A replica calls another machine after a second.
-pub const MAJORITY: Duration = Duration::from_millis(700);
+pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// What is to be done about a departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DepartureDecision {
     /// Wait for answers, until then at most.
     Wait {
         /// When to look again.
@@ -38,15 +38,15 @@
 
 /// One departure that the peers are being told of.
 #[derive(Clone, Debug)]
-pub struct DepartureRound {
+pub struct DepartureNotification {
     started: Duration,
     silent: BTreeSet<SocketAddr>,
     /// Voters that know of it; this machine too, if it is one.
-    voters_told: usize,
+    notified_voters: usize,
     voters: BTreeSet<SocketAddr>,
 }
 
-impl DepartureRound {
+impl DepartureNotification {
     /// Begins at `now` at the machine `own`. Before there is a view, all peers count as voters.
     pub fn new(now: Duration, own: SocketAddr, peers: &[SocketAddr], view: &ViewSummary) -> Self {
         let mut voters: BTreeSet<SocketAddr> = view.voters.iter().copied().collect();
@@ -54,11 +54,11 @@
             voters.extend(peers);
             voters.insert(own);
         }
-        let voters_told = usize::from(voters.contains(&own));
+        let notified_voters = usize::from(voters.contains(&own));
         Self {
             started: now,
             silent: peers.iter().copied().collect(),
-            voters_told,
+            notified_voters,
             voters,
         }
     }
@@ -66,25 +66,25 @@
     /// `peer` has taken it.
     pub fn answered(&mut self, peer: SocketAddr) {
         if self.silent.remove(&peer) && self.voters.contains(&peer) {
-            self.voters_told += 1;
+            self.notified_voters += 1;
         }
     }
 
     /// What is to be done now.
-    pub fn verdict(&self, now: Duration) -> Verdict {
-        let is_known_to_majority = 2 * self.voters_told > self.voters.len();
+    pub fn decision(&self, now: Duration) -> DepartureDecision {
+        let is_known_to_majority = 2 * self.notified_voters > self.voters.len();
         let waited = now.saturating_sub(self.started);
-        if is_known_to_majority && (self.silent.is_empty() || waited >= ALL_PEERS) {
-            Verdict::Acknowledged
-        } else if waited >= MAJORITY || self.silent.is_empty() {
-            Verdict::Unconfirmed
-        } else if waited < ALL_PEERS {
-            Verdict::Wait {
-                until: self.started + ALL_PEERS,
+        if is_known_to_majority && (self.silent.is_empty() || waited >= ALL_PEERS_TIMEOUT) {
+            DepartureDecision::Acknowledged
+        } else if waited >= MAJORITY_TIMEOUT || self.silent.is_empty() {
+            DepartureDecision::Unconfirmed
+        } else if waited < ALL_PEERS_TIMEOUT {
+            DepartureDecision::Wait {
+                until: self.started + ALL_PEERS_TIMEOUT,
             }
         } else {
-            Verdict::Wait {
-                until: self.started + MAJORITY,
+            DepartureDecision::Wait {
+                until: self.started + MAJORITY_TIMEOUT,
             }
         }
     }
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -83,7 +83,7 @@
             warming,
             refreshes: heard
                 .iter()
-                .filter_map(|id| registry.refresh_of(id))
+                .filter_map(|id| registry.refresh_for(id))
                 .collect(),
             statuses: statuses(registry, changed.iter()),
         })
@@ -191,7 +191,7 @@
     }
 
     /// The registry of `peer` has been taken in up to `version`.
-    pub fn taken_in(&mut self, peer: SocketAddr, version: RegistryVersion) {
+    pub fn record_registry(&mut self, peer: SocketAddr, version: RegistryVersion) {
         let peer = self.peers.entry(peer).or_default();
         peer.version = version;
         peer.incomplete = false;
--- a/crates/tier/discovery/src/lib.rs
+++ b/crates/tier/discovery/src/lib.rs
@@ -12,12 +12,14 @@
 
 pub mod committed;
 pub mod control_watch;
-pub mod core;
+pub mod core_discovery;
 pub mod core_state;
 pub mod departure;
 pub mod exchange;
+pub mod failure_detector;
 mod heartbeat_check;
 pub mod messages;
+pub mod poll_response;
 mod polled_machine;
 pub mod registry;
 pub mod replica;
@@ -25,16 +27,14 @@
 pub mod sampler;
 pub mod sampling;
 pub mod selection;
-pub mod server;
 pub mod snapshot;
 pub mod status;
-pub mod warming;
 pub mod watcher;
 
 pub use committed::{CommittedState, ViewSummary};
 pub use control_watch::ControlWatch;
-pub use core::{AcknowledgeError, CoreDiscovery};
-pub use registry::{Ack, HeartbeatError, Registry};
+pub use core_discovery::{AcknowledgeError, CoreDiscovery};
+pub use registry::{HeartbeatError, HeartbeatOutcome, Registry};
 pub use replica::{Heartbeat, ModelRecord, ReplicaRecord, ReplicaState};
 pub use sampler::Sampler;
 pub use sampling::NodeRole;
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -195,7 +195,7 @@
     /// It is there.
     Present(WireRecord),
     /// It is gone.
-    Gone {
+    Departed {
         /// Sequence that the departure covers.
         sequence: u64,
         /// Why.
@@ -222,10 +222,10 @@
     /// The wire form of an account.
     pub fn new(id: String, status: &ReplicaStatus) -> Self {
         let status = match status {
-            ReplicaStatus::Gone {
+            ReplicaStatus::Departed {
                 sequence,
                 departure,
-            } => WireStatus::Gone {
+            } => WireStatus::Departed {
                 sequence: *sequence,
                 departure: *departure,
             },
@@ -249,10 +249,10 @@
     pub fn into_status(self) -> (String, ReplicaStatus) {
         let id = self.id;
         let status = match self.status {
-            WireStatus::Gone {
+            WireStatus::Departed {
                 sequence,
                 departure,
-            } => ReplicaStatus::Gone {
+            } => ReplicaStatus::Departed {
                 sequence,
                 departure,
             },
--- a/crates/tier/discovery/src/server.rs
+++ b/crates/tier/discovery/src/poll_response.rs
@@ -44,7 +44,7 @@
 }
 
 /// Whether `response` tells something that `request` did not name.
-pub fn has_news(request: &PollRequest, response: &PollResponse) -> bool {
+pub fn has_updates(request: &PollRequest, response: &PollResponse) -> bool {
     response.view.is_some()
         || response.storage_view.is_some()
         || response.configuration_generation > request.configuration_generation
--- a/crates/tier/discovery/src/polled_machine.rs
+++ b/crates/tier/discovery/src/polled_machine.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use crate::messages::Standing;
-use crate::selection::Use;
+use crate::selection::MachineHealth;
 
 /// Least time between the starts of two polls of one machine.
-pub const POLL_SPACING: Duration = Duration::from_millis(15);
-/// First pause after a failed poll; it doubles up to [`BACKOFF_MAX`].
-pub const BACKOFF_MIN: Duration = Duration::from_millis(60);
+pub const MIN_POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// First pause after a failed poll; it doubles up to [`MAX_BACKOFF`].
+pub const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Longest pause after a failed poll.
-pub const BACKOFF_MAX: Duration = Duration::from_millis(800);
+pub const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Whether a poll is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,22 +22,22 @@
 }
 
 /// A core machine that is polled, and what it has told.
-pub(crate) struct Machine {
+pub(crate) struct PolledMachine {
     pub state: PollState,
     pub failures: u32,
     pub standing: Standing,
-    pub configuration_told: u64,
+    pub reported_generation: u64,
     pub failed_fetches: u32,
     pub answered: bool,
 }
 
-impl Machine {
+impl PolledMachine {
     pub fn new(now: Duration) -> Self {
         Self {
             state: PollState::Idle { next_at: now },
             failures: 0,
             standing: Standing::default(),
-            configuration_told: 0,
+            reported_generation: 0,
             failed_fetches: 0,
             answered: false,
         }
@@ -49,34 +49,34 @@
     }
 
     /// Of what use it is to the process.
-    pub fn use_of(&self) -> Use {
+    pub fn use_of(&self) -> MachineHealth {
         match (self.failures, self.answered) {
-            (0, false) => Use::Untried,
-            (0, true) if self.standing.in_quorum => Use::Proven,
-            _ => Use::None,
+            (0, false) => MachineHealth::Unknown,
+            (0, true) if self.standing.in_quorum => MachineHealth::Healthy,
+            _ => MachineHealth::Unhealthy,
         }
     }
 
     /// It has answered.
-    pub fn answered(&mut self, now: Duration, standing: Standing, configuration_told: u64) {
+    pub fn answered(&mut self, now: Duration, standing: Standing, reported_generation: u64) {
         let since = match self.state {
             PollState::Polling { since } => since,
             PollState::Idle { .. } => now,
         };
         self.state = PollState::Idle {
-            next_at: now.max(since + POLL_SPACING),
+            next_at: now.max(since + MIN_POLL_INTERVAL),
         };
         self.failures = 0;
         self.answered = true;
         self.standing = standing;
-        self.configuration_told = configuration_told;
+        self.reported_generation = reported_generation;
     }
 
     /// It has not answered in time, or could not be asked.
     pub fn failed(&mut self, now: Duration) {
-        let backoff = BACKOFF_MIN
+        let backoff = MIN_BACKOFF
             .saturating_mul(1 << self.failures.min(8))
-            .min(BACKOFF_MAX);
+            .min(MAX_BACKOFF);
         self.failures += 1;
         self.state = PollState::Idle {
             next_at: now + backoff,
--- a/crates/tier/discovery/src/registry.rs
+++ b/crates/tier/discovery/src/registry.rs
@@ -2,7 +2,7 @@
 //! machines.
 //!
 //! Every change of a replica's content gets the next `revision`, by which watchers and other core machines
-//! ask for what is new to them. Departures stay as tombstones for [`TOMBSTONE_LIFE`], so that neither a
+//! ask for what is new to them. Departures stay as tombstones for [`TOMBSTONE_TTL`], so that neither a
 //! delayed heartbeat nor a delayed message of a core machine revives what is gone.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,25 +15,25 @@
 use crate::status::{Departure, ReplicaStatus};
 
 /// How long a tombstone is kept.
-pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(300);
+pub const TOMBSTONE_TTL: Duration = Duration::from_secs(300);
 /// Most tombstones kept beside one for each replica; the oldest go first.
-pub const TOMBSTONES_BASE: usize = 4096;
+pub const MIN_TOMBSTONE_LIMIT: usize = 4096;
 /// What a heartbeat or a departure that was taken means for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ack {
+pub enum HeartbeatOutcome {
     /// The same as before: the other core machines learn of it with the next batch.
     Unchanged,
     /// New or changed: told at once.
     Changed,
     /// The replica leaves: acknowledged only after the other core machines have been told.
-    Leaving,
+    Departing,
 }
 
 /// Counters of what the registry took and refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegistryCounters {
     /// Heartbeats taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Heartbeats refused because of an older sequence.
     pub stale: u64,
     /// Heartbeats refused because the replica had left.
@@ -104,7 +104,7 @@
     incarnation: u64,
     revision: u64,
     /// Revision up to which tombstones may have been dropped.
-    forgotten_revision: u64,
+    dropped_tombstone_revision: u64,
     supersede_after: Duration,
     entries: BTreeMap<String, Entry>,
     by_revision: BTreeMap<u64, String>,
@@ -120,7 +120,7 @@
         Self {
             incarnation,
             revision: 1,
-            forgotten_revision: 0,
+            dropped_tombstone_revision: 0,
             supersede_after: reuse_after / 2,
             entries: BTreeMap::new(),
             by_revision: BTreeMap::new(),
@@ -171,21 +171,21 @@
         now: Duration,
         id: &str,
         heartbeat: Heartbeat,
-    ) -> Result<Ack, HeartbeatError> {
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
         if let Err(error) = check_heartbeat(id, &heartbeat) {
             self.counters.invalid += 1;
             return Err(error);
         }
         let record = ReplicaRecord::new(id, heartbeat);
         let ack = match self.entries.get(id).map(|entry| &entry.status) {
-            Some(ReplicaStatus::Gone {
-                departure: Departure::Left,
+            Some(ReplicaStatus::Departed {
+                departure: Departure::Deregistered,
                 ..
             }) => {
                 self.counters.departed += 1;
                 return DepartedSnafu { id }.fail();
             }
-            Some(ReplicaStatus::Present(known)) if *known == record => Ack::Unchanged,
+            Some(ReplicaStatus::Present(known)) if *known == record => HeartbeatOutcome::Unchanged,
             Some(known) if record.sequence <= known.sequence() => {
                 self.counters.stale += 1;
                 let newest = known.sequence();
@@ -196,16 +196,18 @@
                 }
                 .fail();
             }
-            Some(ReplicaStatus::Present(known)) if known.same_content(&record) => Ack::Unchanged,
-            _ => Ack::Changed,
+            Some(ReplicaStatus::Present(known)) if known.has_same_content(&record) => {
+                HeartbeatOutcome::Unchanged
+            }
+            _ => HeartbeatOutcome::Changed,
         };
         let ack = if record.state == ReplicaState::Draining {
-            Ack::Leaving
+            HeartbeatOutcome::Departing
         } else {
             ack
         };
         let address = record.address;
-        self.counters.taken += 1;
+        self.counters.accepted += 1;
         self.put(now, id, ReplicaStatus::Present(record));
         self.supersede_others_at(now, address, id);
         Ok(ack)
@@ -213,10 +215,14 @@
 
     /// Takes the word of `id` itself that it ends. Also an unknown id leaves a tombstone, against delayed
     /// messages.
-    pub fn leave(&mut self, now: Duration, id: &str) -> Result<Ack, HeartbeatError> {
+    pub fn deregister(
+        &mut self,
+        now: Duration,
+        id: &str,
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
         check_id(id)?;
-        self.put(now, id, ReplicaStatus::left());
-        Ok(Ack::Leaving)
+        self.put(now, id, ReplicaStatus::deregistered());
+        Ok(HeartbeatOutcome::Departing)
     }
 
     /// Joins another core machine's account of `id`. Returns whether it changed what is known here.
@@ -236,7 +242,7 @@
             return true;
         }
         let refuted =
-            matches!(status, ReplicaStatus::Gone { .. }) && entry.status.record().is_some();
+            matches!(status, ReplicaStatus::Departed { .. }) && entry.status.record().is_some();
         if refuted {
             self.assign_revision(id);
         }
@@ -262,7 +268,7 @@
     }
 
     /// What one machine tells the others of `id` when it has heard of it: its sign of life.
-    pub fn refresh_of(&self, id: &str) -> Option<Refresh> {
+    pub fn refresh_for(&self, id: &str) -> Option<Refresh> {
         let entry = self.entries.get(id)?;
         let record = entry.status.record()?;
         Some(Refresh {
@@ -280,9 +286,9 @@
             .map(|(record, _)| (record.id.clone(), record.sequence))
             .collect();
         for (id, sequence) in &expired {
-            let status = ReplicaStatus::Gone {
+            let status = ReplicaStatus::Departed {
                 sequence: *sequence,
-                departure: Departure::Silent,
+                departure: Departure::Unresponsive,
             };
             self.put(now, id, status);
         }
@@ -291,15 +297,15 @@
     }
 
     /// Counts all silence from now on only: this machine could not hear before.
-    pub fn restart_silence(&mut self, now: Duration) {
+    pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut() {
             entry.heard_at = now;
         }
     }
 
-    /// Drops tombstones that are older than [`TOMBSTONE_LIFE`], or too many.
-    pub fn forget_tombstones(&mut self, now: Duration) {
-        let limit = TOMBSTONES_BASE + self.present;
+    /// Drops tombstones that are older than [`TOMBSTONE_TTL`], or too many.
+    pub fn drop_tombstones(&mut self, now: Duration) {
+        let limit = MIN_TOMBSTONE_LIMIT + self.present;
         let mut surplus = (self.entries.len() - self.present).saturating_sub(limit);
         let mut dropped = Vec::new();
         for (revision, id) in &self.by_revision {
@@ -307,7 +313,7 @@
             if entry.status.record().is_some() {
                 continue;
             }
-            if surplus == 0 && now.saturating_sub(entry.heard_at) <= TOMBSTONE_LIFE {
+            if surplus == 0 && now.saturating_sub(entry.heard_at) <= TOMBSTONE_TTL {
                 break;
             }
             surplus = surplus.saturating_sub(1);
@@ -316,7 +322,7 @@
         for (revision, id) in dropped {
             self.by_revision.remove(&revision);
             self.entries.remove(&id);
-            self.forgotten_revision = self.forgotten_revision.max(revision);
+            self.dropped_tombstone_revision = self.dropped_tombstone_revision.max(revision);
         }
     }
 
@@ -326,7 +332,7 @@
     /// first answer that has `restart` set begins it.
     pub fn changes_since(&self, known: RegistryVersion, limit: usize) -> RegistryChanges {
         let comparable = known.incarnation == self.incarnation
-            && known.revision.max(known.floor) >= self.forgotten_revision
+            && known.revision.max(known.floor) >= self.dropped_tombstone_revision
             && known.revision <= self.revision;
         let after = if comparable { known.revision } else { 0 };
         let mut statuses = Vec::new();
@@ -355,7 +361,7 @@
         RegistryVersion {
             incarnation: self.incarnation,
             revision,
-            floor: self.forgotten_revision,
+            floor: self.dropped_tombstone_revision,
         }
     }
 
@@ -379,7 +385,7 @@
             self.put(
                 now,
                 &other,
-                ReplicaStatus::Gone {
+                ReplicaStatus::Departed {
                     sequence,
                     departure: Departure::Superseded,
                 },
@@ -399,7 +405,7 @@
                     ..
                 }),
                 ReplicaStatus::Present(two),
-            ) => one.same_content(two),
+            ) => one.has_same_content(two),
             (Some(entry), status) => entry.status == *status,
         };
         if let Some(record) = former.as_ref().and_then(|entry| entry.status.record()) {
--- a/crates/tier/discovery/src/replica.rs
+++ b/crates/tier/discovery/src/replica.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether both describe the replica alike, apart from what changes with every heartbeat.
-    pub fn same_content(&self, other: &Self) -> bool {
+    pub fn has_same_content(&self, other: &Self) -> bool {
         self.id == other.id
             && self.service == other.service
             && self.address == other.address
@@ -108,7 +108,7 @@
             && (self.cold_remaining_ms > 0) == (other.cold_remaining_ms > 0)
     }
 
-    /// A digest of what [`same_content`](Self::same_content) compares.
+    /// A digest of what [`has_same_content`](Self::has_same_content) compares.
     pub fn content_digest(&self) -> u32 {
         let mut hash = Fnv::new();
         for text in [&self.id, &self.service, &self.zone, &self.generation] {
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -2,7 +2,7 @@
 //!
 //! Accounts are joined by [`ReplicaStatus::is_newer_than`], so their order does not matter. That a machine's
 //! list lacks a replica is no account: a replica that no trusted machine lists any more (all core machines
-//! may have restarted since it ended) is dropped only after [`UNLISTED_LIMIT`].
+//! may have restarted since it ended) is dropped only after [`UNLISTED_TIMEOUT`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use crate::messages::{RegistryResponse, StatusEntry};
-use crate::registry::{RegistryVersion, TOMBSTONE_LIFE};
+use crate::registry::{RegistryVersion, TOMBSTONE_TTL};
 use crate::replica::ReplicaRecord;
 use crate::status::ReplicaStatus;
 
 /// How long trusted machines must not list a replica before it is dropped.
-pub const UNLISTED_LIMIT: Duration = Duration::from_secs(8);
+pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(8);
 /// Least time between two looks for replicas that are not listed.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A machine whose last answer is older is not asked about its list.
-pub const LISTING_LIFE: Duration = Duration::from_secs(3);
+pub const LISTING_TTL: Duration = Duration::from_secs(3);
 
 struct Known {
     status: ReplicaStatus,
@@ -114,14 +114,13 @@
         }
         self.next_sweep = now + SWEEP_INTERVAL;
         self.known.retain(|_, known| {
-            known.status.record().is_some()
-                || now.saturating_sub(known.changed_at) <= TOMBSTONE_LIFE
+            known.status.record().is_some() || now.saturating_sub(known.changed_at) <= TOMBSTONE_TTL
         });
         self.update_unlisted(now);
         let dropped: Vec<String> = self
             .unlisted_since
             .iter()
-            .filter(|(_, since)| now.saturating_sub(**since) > UNLISTED_LIMIT)
+            .filter(|(_, since)| now.saturating_sub(**since) > UNLISTED_TIMEOUT)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &dropped {
@@ -138,11 +137,13 @@
             .listings
             .values()
             .filter(|listing| listing.trusted && listing.complete)
-            .filter(|listing| now.saturating_sub(listing.answered_at) <= LISTING_LIFE)
+            .filter(|listing| now.saturating_sub(listing.answered_at) <= LISTING_TTL)
             .collect();
         // What is listed is known, so a list of as many replicas as are known has them all: the usual case.
-        let is_whole = |listing: &&Listing| listing.present.len() == self.present.len();
-        if trusted.is_empty() || trusted.iter().any(is_whole) && self.unlisted_since.is_empty() {
+        let is_complete_listing = |listing: &&Listing| listing.present.len() == self.present.len();
+        if trusted.is_empty()
+            || trusted.iter().any(is_complete_listing) && self.unlisted_since.is_empty()
+        {
             self.unlisted_since.clear();
             return;
         }
@@ -162,7 +163,7 @@
         }
         let former = current.and_then(ReplicaStatus::record);
         let changed = match (former, status.record()) {
-            (Some(one), Some(two)) => !one.same_content(two),
+            (Some(one), Some(two)) => !one.has_same_content(two),
             (None, None) => false,
             _ => true,
         };
--- a/crates/tier/discovery/src/sampler.rs
+++ b/crates/tier/discovery/src/sampler.rs
@@ -72,8 +72,10 @@
     }
 
     /// Whether this process hears no core machine: then it shuffles more often.
-    pub fn set_lost(&self, is_lost: bool) {
-        self.view.lock().set_lost(self.started.elapsed(), is_lost);
+    pub fn set_disconnected(&self, is_disconnected: bool) {
+        self.view
+            .lock()
+            .set_disconnected(self.started.elapsed(), is_disconnected);
     }
 
     /// The settings name these seeds now.
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -15,19 +15,19 @@
 use crate::messages::Endpoint;
 
 /// Entries that a process holds.
-pub const VIEW_ENTRIES: usize = 8;
+pub const MAX_VIEW_ENTRIES: usize = 8;
 /// Entries exchanged at a time, with the sender's own.
-pub const SHUFFLE_ENTRIES: usize = 4;
+pub const MAX_SHUFFLE_ENTRIES: usize = 4;
 /// Places kept for core machines.
-pub const CORE_ENTRIES: usize = 3;
+pub const RESERVED_CORE_ENTRIES: usize = 3;
 /// A process that holds fewer entries knows too little.
-pub const ENOUGH_ENTRIES: usize = 4;
+pub const MIN_ENTRIES: usize = 4;
 /// Time between shuffles while the process knows too little or has lost the core.
 pub const SHUFFLE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time between shuffles otherwise.
-pub const CALM_SHUFFLE_INTERVAL: Duration = Duration::from_millis(2000);
+pub const STABLE_SHUFFLE_INTERVAL: Duration = Duration::from_millis(2000);
 /// An entry that was issued longer ago is dropped.
-pub const MAX_AGE: Duration = Duration::from_secs(120);
+pub const MAX_ENTRY_AGE: Duration = Duration::from_secs(120);
 /// Longest name of a node in bytes.
 pub const MAX_NODE_BYTES: usize = 128;
 
@@ -72,14 +72,14 @@
 }
 
 #[derive(Clone)]
-struct Held {
+struct ViewEntry {
     entry: NodeEntry,
     /// Age when it was received.
     age: Duration,
     received_at: Duration,
 }
 
-impl Held {
+impl ViewEntry {
     fn age(&self, now: Duration) -> Duration {
         self.age + now.saturating_sub(self.received_at)
     }
@@ -97,12 +97,12 @@
 pub struct PartialView {
     own: NodeEntry,
     seeds: Vec<SocketAddr>,
-    held: Vec<Held>,
+    entries: Vec<ViewEntry>,
     random: Rand32,
     next_shuffle: Duration,
     /// The exchange under way: its partner, and what was sent.
     exchange: Option<(SocketAddr, Vec<SocketAddr>)>,
-    is_lost: bool,
+    is_disconnected: bool,
 }
 
 impl PartialView {
@@ -113,11 +113,11 @@
         let mut view = Self {
             own,
             seeds,
-            held: Vec::new(),
+            entries: Vec::new(),
             random,
             next_shuffle,
             exchange: None,
-            is_lost: false,
+            is_disconnected: false,
         };
         view.add_seeds(now);
         view
@@ -129,21 +129,24 @@
     }
 
     /// Whether the process hears no core machine: then it shuffles more often.
-    pub fn set_lost(&mut self, now: Duration, is_lost: bool) {
-        if is_lost && !self.is_lost {
+    pub fn set_disconnected(&mut self, now: Duration, is_disconnected: bool) {
+        if is_disconnected && !self.is_disconnected {
             self.next_shuffle = self.next_shuffle.min(now + SHUFFLE_INTERVAL);
         }
-        self.is_lost = is_lost;
+        self.is_disconnected = is_disconnected;
     }
 
-    /// The processes held, youngest entry first.
+    /// The processes entry, youngest entry first.
     pub fn entries(&self, now: Duration) -> Vec<NodeEntry> {
-        let mut held: Vec<&Held> = self.held.iter().collect();
-        held.sort_by_key(|held| held.age(now));
-        held.into_iter().map(|held| held.entry.clone()).collect()
+        let mut entries: Vec<&ViewEntry> = self.entries.iter().collect();
+        entries.sort_by_key(|entry| entry.age(now));
+        entries
+            .into_iter()
+            .map(|entry| entry.entry.clone())
+            .collect()
     }
 
-    /// Internal addresses of the core machines held, youngest entry first.
+    /// Internal addresses of the core machines entry, youngest entry first.
     pub fn core_machines(&self, now: Duration) -> Vec<SocketAddr> {
         let entries = self.entries(now).into_iter();
         entries
@@ -162,21 +165,25 @@
         if now < self.next_shuffle {
             return None;
         }
-        let is_calm = !self.is_lost && self.held.len() >= ENOUGH_ENTRIES;
+        let is_calm = !self.is_disconnected && self.entries.len() >= MIN_ENTRIES;
         let interval = if is_calm {
-            CALM_SHUFFLE_INTERVAL
+            STABLE_SHUFFLE_INTERVAL
         } else {
             SHUFFLE_INTERVAL
         };
         // Spread over time: processes that started together would shuffle together.
         self.next_shuffle = now + interval.mul_f32(0.75 + 0.5 * self.random.rand_float());
         self.drop_old(now);
-        if self.held.is_empty() {
+        if self.entries.is_empty() {
             self.add_seeds(now);
         }
-        let partner = self.held.iter().max_by_key(|held| held.age(now))?.address();
-        let chosen = self.choose(partner, SHUFFLE_ENTRIES - 1);
-        let sent = chosen.iter().map(Held::address).collect();
+        let partner = self
+            .entries
+            .iter()
+            .max_by_key(|entry| entry.age(now))?
+            .address();
+        let chosen = self.choose(partner, MAX_SHUFFLE_ENTRIES - 1);
+        let sent = chosen.iter().map(ViewEntry::address).collect();
         self.exchange = Some((partner, sent));
         Some((partner, self.shuffle_of(now, &chosen)))
     }
@@ -187,10 +194,10 @@
             .entries
             .first()
             .map_or(self.own.address, |first| first.entry.address);
-        let chosen = self.choose(asker.into(), SHUFFLE_ENTRIES - 1);
-        let sent: Vec<SocketAddr> = chosen.iter().map(Held::address).collect();
+        let chosen = self.choose(asker.into(), MAX_SHUFFLE_ENTRIES - 1);
+        let sent: Vec<SocketAddr> = chosen.iter().map(ViewEntry::address).collect();
         let answer = self.shuffle_of(now, &chosen);
-        self.take_in(now, shuffle, &sent);
+        self.merge(now, shuffle, &sent);
         answer
     }
 
@@ -199,9 +206,9 @@
         let Some((partner, sent)) = self.exchange.take() else {
             return;
         };
-        self.held.retain(|held| held.address() != partner);
+        self.entries.retain(|entry| entry.address() != partner);
         if let Some(answer) = answer {
-            self.take_in(now, answer, &sent);
+            self.merge(now, answer, &sent);
         }
     }
 
@@ -214,7 +221,7 @@
                 address,
                 control: None,
             };
-            self.hold(Held {
+            self.insert(ViewEntry {
                 entry,
                 age: Duration::ZERO,
                 received_at: now,
@@ -223,87 +230,90 @@
     }
 
     fn drop_old(&mut self, now: Duration) {
-        self.held.retain(|held| held.age(now) <= MAX_AGE);
+        self.entries.retain(|entry| entry.age(now) <= MAX_ENTRY_AGE);
     }
 
     /// Up to `count` random entries other than that of `partner`, among them one of a core machine if there
     /// is one.
-    fn choose(&mut self, partner: SocketAddr, count: usize) -> Vec<Held> {
-        let mut candidates: Vec<Held> = self
-            .held
+    fn choose(&mut self, partner: SocketAddr, count: usize) -> Vec<ViewEntry> {
+        let mut candidates: Vec<ViewEntry> = self
+            .entries
             .iter()
-            .filter(|held| held.address() != partner)
+            .filter(|entry| entry.address() != partner)
             .cloned()
             .collect();
         for index in (1..candidates.len()).rev() {
             let other = self.random.rand_range(0..index as u32 + 1) as usize;
             candidates.swap(index, other);
         }
-        if let Some(core) = candidates.iter().position(Held::is_core) {
+        if let Some(core) = candidates.iter().position(ViewEntry::is_core) {
             candidates.swap(0, core);
         }
         candidates.truncate(count);
         candidates
     }
 
-    fn shuffle_of(&self, now: Duration, chosen: &[Held]) -> Shuffle {
+    fn shuffle_of(&self, now: Duration, chosen: &[ViewEntry]) -> Shuffle {
         let mut entries = vec![AgedEntry {
             entry: self.own.clone(),
             age_ms: 0,
         }];
-        entries.extend(chosen.iter().map(|held| AgedEntry {
-            entry: held.entry.clone(),
-            age_ms: u32::try_from(held.age(now).as_millis()).unwrap_or(u32::MAX),
+        entries.extend(chosen.iter().map(|entry| AgedEntry {
+            entry: entry.entry.clone(),
+            age_ms: u32::try_from(entry.age(now).as_millis()).unwrap_or(u32::MAX),
         }));
         Shuffle { entries }
     }
 
-    fn take_in(&mut self, now: Duration, shuffle: Shuffle, sent: &[SocketAddr]) {
-        for aged in shuffle.entries.into_iter().take(SHUFFLE_ENTRIES) {
+    fn merge(&mut self, now: Duration, shuffle: Shuffle, sent: &[SocketAddr]) {
+        for aged in shuffle.entries.into_iter().take(MAX_SHUFFLE_ENTRIES) {
             let age = Duration::from_millis(u64::from(aged.age_ms));
-            if aged.entry.node.len() <= MAX_NODE_BYTES && age <= MAX_AGE {
-                self.hold(Held {
+            if aged.entry.node.len() <= MAX_NODE_BYTES && age <= MAX_ENTRY_AGE {
+                self.insert(ViewEntry {
                     entry: aged.entry,
                     age,
                     received_at: now,
                 });
             }
         }
-        while self.held.len() > VIEW_ENTRIES {
+        while self.entries.len() > MAX_VIEW_ENTRIES {
             let surplus = self.surplus_entry(now, sent);
-            self.held.remove(surplus);
+            self.entries.remove(surplus);
         }
     }
 
     /// Adds an entry, or renews that of the same address if this one is younger.
-    fn hold(&mut self, new: Held) {
+    fn insert(&mut self, new: ViewEntry) {
         if new.entry.address == self.own.address {
             return;
         }
         let now = new.received_at;
         match self
-            .held
+            .entries
             .iter_mut()
-            .find(|held| held.entry.address == new.entry.address)
+            .find(|entry| entry.entry.address == new.entry.address)
         {
-            Some(held) if held.entry.node.is_empty() || new.age(now) < held.age(now) => *held = new,
+            Some(entry) if entry.entry.node.is_empty() || new.age(now) < entry.age(now) => {
+                *entry = new
+            }
             Some(_) => {}
-            None => self.held.push(new),
+            None => self.entries.push(new),
         }
     }
 
     /// Which entry to drop: one that the partner has now, else the oldest; core machines only beyond their
     /// places.
     fn surplus_entry(&self, now: Duration, sent: &[SocketAddr]) -> usize {
-        let keep_core = self.held.iter().filter(|held| held.is_core()).count() <= CORE_ENTRIES;
+        let keep_core =
+            self.entries.iter().filter(|entry| entry.is_core()).count() <= RESERVED_CORE_ENTRIES;
         let candidates = self
-            .held
+            .entries
             .iter()
             .enumerate()
-            .filter(|(_, held)| !(keep_core && held.is_core()));
-        let order = |held: &Held| (sent.contains(&held.address()), held.age(now));
+            .filter(|(_, entry)| !(keep_core && entry.is_core()));
+        let order = |entry: &ViewEntry| (sent.contains(&entry.address()), entry.age(now));
         candidates
-            .max_by_key(|(_, held)| order(held))
+            .max_by_key(|(_, entry)| order(entry))
             .map_or(0, |(index, _)| index)
     }
 }
--- a/crates/tier/discovery/src/selection.rs
+++ b/crates/tier/discovery/src/selection.rs
@@ -6,34 +6,34 @@
 use std::net::SocketAddr;
 
 /// Core machines polled at once.
-pub const POLLED_MACHINES: usize = 3;
+pub const TARGET_POLLED_MACHINES: usize = 3;
 /// Most addresses asked at once while some or all are of no use.
-pub const ASKED_MACHINES: usize = 8;
+pub const MAX_POLLED_MACHINES: usize = 8;
 
 /// Of what use a machine is, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum MachineHealth {
     /// It answers, and is in quorum.
-    Proven,
+    Healthy,
     /// It has not been asked, or has not answered yet.
-    Untried,
+    Unknown,
     /// It does not answer, or is cut off from the core's majority.
-    None,
+    Unhealthy,
 }
 
 /// The machines to ask, of `ranked` ones, the best first. A process that is lost asks as many as it may.
 pub fn select(
     ranked: &[SocketAddr],
-    is_lost: bool,
-    use_of: impl Fn(&SocketAddr) -> Use,
+    is_disconnected: bool,
+    use_of: impl Fn(&SocketAddr) -> MachineHealth,
 ) -> Vec<SocketAddr> {
-    let limit = if is_lost {
-        ASKED_MACHINES
+    let limit = if is_disconnected {
+        MAX_POLLED_MACHINES
     } else {
-        POLLED_MACHINES
+        TARGET_POLLED_MACHINES
     };
     let useful: Vec<usize> = (0..ranked.len())
-        .filter(|&place| use_of(&ranked[place]) != Use::None)
+        .filter(|&place| use_of(&ranked[place]) != MachineHealth::Unhealthy)
         .take(limit)
         .collect();
     let end = if useful.len() == limit {
@@ -45,20 +45,20 @@
     // What has not proven itself yet must not take the place of all that has.
     if !selected
         .iter()
-        .any(|address| use_of(address) == Use::Proven)
+        .any(|address| use_of(address) == MachineHealth::Healthy)
     {
         selected.extend(
             ranked
                 .iter()
                 .copied()
-                .find(|address| use_of(address) == Use::Proven),
+                .find(|address| use_of(address) == MachineHealth::Healthy),
         );
     }
     let useless = ranked[..end]
         .iter()
         .copied()
-        .filter(|address| use_of(address) == Use::None);
-    selected.extend(useless.take(ASKED_MACHINES.saturating_sub(selected.len())));
+        .filter(|address| use_of(address) == MachineHealth::Unhealthy);
+    selected.extend(useless.take(MAX_POLLED_MACHINES.saturating_sub(selected.len())));
     selected
 }
 
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -14,11 +14,11 @@
 )]
 pub enum Departure {
     /// No core machine has heard of it for some heartbeats. A later heartbeat brings it back.
-    Silent,
+    Unresponsive,
     /// Another incarnation serves at its address. A later heartbeat brings it back.
     Superseded,
     /// It said so itself. Final.
-    Left,
+    Deregistered,
 }
 
 /// The newest account of one incarnation.
@@ -27,7 +27,7 @@
     /// It is there.
     Present(ReplicaRecord),
     /// It is gone (a tombstone).
-    Gone {
+    Departed {
         /// Last sequence that this departure covers; the largest number if it is final.
         sequence: u64,
         /// Why.
@@ -37,10 +37,10 @@
 
 impl ReplicaStatus {
     /// The tombstone of a replica that has said that it leaves.
-    pub fn left() -> Self {
-        Self::Gone {
+    pub fn deregistered() -> Self {
+        Self::Departed {
             sequence: u64::MAX,
-            departure: Departure::Left,
+            departure: Departure::Deregistered,
         }
     }
 
@@ -48,7 +48,7 @@
     pub fn sequence(&self) -> u64 {
         match self {
             Self::Present(record) => record.sequence,
-            Self::Gone { sequence, .. } => *sequence,
+            Self::Departed { sequence, .. } => *sequence,
         }
     }
 
@@ -56,7 +56,7 @@
     pub fn record(&self) -> Option<&ReplicaRecord> {
         match self {
             Self::Present(record) => Some(record),
-            Self::Gone { .. } => None,
+            Self::Departed { .. } => None,
         }
     }
 
@@ -70,10 +70,10 @@
         self.sequence()
             .cmp(&other.sequence())
             .then_with(|| match (self, other) {
-                (Self::Present(_), Self::Gone { .. }) => Ordering::Less,
-                (Self::Gone { .. }, Self::Present(_)) => Ordering::Greater,
+                (Self::Present(_), Self::Departed { .. }) => Ordering::Less,
+                (Self::Departed { .. }, Self::Present(_)) => Ordering::Greater,
                 (Self::Present(one), Self::Present(two)) => one.cmp(two),
-                (Self::Gone { departure: one, .. }, Self::Gone { departure: two, .. }) => {
+                (Self::Departed { departure: one, .. }, Self::Departed { departure: two, .. }) => {
                     one.cmp(two)
                 }
             })
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,10 +1,10 @@
 //! Decisions of the client side: which core machines to poll when, and what to make of their answers.
 //!
-//! Up to [`POLLED_MACHINES`](crate::selection::POLLED_MACHINES) machines are polled at once. A machine that
+//! Up to [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) machines are polled at once. A machine that
 //! does not answer is asked again with backoff, and the next by rank takes its place meanwhile; so it does
 //! beside a machine that answers, but is cut off from the core's majority. Ranks follow from the process's
 //! own name, so that the processes spread over the core machines. A process that hears no machine in quorum
-//! for [`LOST_AFTER`] asks every address it has heard of: members, seeds and hints.
+//! for [`QUORUM_CONTACT_TIMEOUT`] asks every address it has heard of: members, seeds and hints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 use bytes::Bytes;
 
 use crate::messages::{CoreView, PollRequest, PollResponse};
-use crate::polled_machine::{BACKOFF_MIN, Machine, PollState};
+use crate::polled_machine::{MIN_BACKOFF, PollState, PolledMachine};
 use crate::replica_table::ReplicaTable;
-use crate::selection::{Use, rank, select};
+use crate::selection::{MachineHealth, rank, select};
 
 /// A machine of no use that is not asked any more is tried again after this time.
-pub const RETRY_AFTER: Duration = Duration::from_millis(4000);
+pub const UNHEALTHY_RETRY_INTERVAL: Duration = Duration::from_millis(4000);
 /// How long a core machine waits for news.
 pub const POLL_WAIT: Duration = Duration::from_millis(1000);
 /// A poll that is not answered this long after its wait is broken.
-pub const POLL_GRACE: Duration = Duration::from_millis(700);
+pub const POLL_GRACE_PERIOD: Duration = Duration::from_millis(700);
 /// Without an answer of a machine in quorum for this long, all known addresses are asked.
-pub const LOST_AFTER: Duration = Duration::from_millis(2000);
+pub const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long a configuration may take to come at the first try; each further try gives it as much more.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time for a configuration to come.
-pub const FETCH_TIMEOUT_MAX: Duration = Duration::from_millis(3000);
+pub const MAX_FETCH_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How long the first complete answer waits for those of the other machines.
-pub const WARM_UP: Duration = Duration::from_millis(400);
+pub const WARM_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What the driver is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -84,11 +84,11 @@
     hints: Vec<SocketAddr>,
     view_epoch: u64,
     members: Vec<SocketAddr>,
-    machines: BTreeMap<SocketAddr, Machine>,
+    machines: BTreeMap<SocketAddr, PolledMachine>,
     /// Machines of no use that are not asked, and until when.
-    set_aside: BTreeMap<SocketAddr, Duration>,
+    unhealthy_until: BTreeMap<SocketAddr, Duration>,
     /// The newest generation that any machine has told.
-    newest_told: u64,
+    newest_reported_generation: u64,
     table: ReplicaTable,
     configuration_generation: u64,
     storage_view: Option<(u64, Bytes)>,
@@ -111,8 +111,8 @@
             view_epoch: 0,
             members: Vec::new(),
             machines: BTreeMap::new(),
-            set_aside: BTreeMap::new(),
-            newest_told: 0,
+            unhealthy_until: BTreeMap::new(),
+            newest_reported_generation: 0,
             table: ReplicaTable::default(),
             configuration_generation: 0,
             storage_view: None,
@@ -159,8 +159,9 @@
     }
 
     /// Whether no core machine in quorum has answered lately.
-    pub fn is_lost(&self, now: Duration) -> bool {
-        now.saturating_sub(self.quorum_heard_at.unwrap_or(self.started_at)) >= LOST_AFTER
+    pub fn is_disconnected(&self, now: Duration) -> bool {
+        now.saturating_sub(self.quorum_heard_at.unwrap_or(self.started_at))
+            >= QUORUM_CONTACT_TIMEOUT
     }
 
     /// The settings name these seeds now.
@@ -182,7 +183,7 @@
             let machine = self
                 .machines
                 .entry(address)
-                .or_insert_with(|| Machine::new(now));
+                .or_insert_with(|| PolledMachine::new(now));
             let PollState::Idle { next_at } = machine.state else {
                 continue;
             };
@@ -193,7 +194,7 @@
             let request = PollRequest {
                 configuration_generation: self
                     .configuration_generation
-                    .max(machine.configuration_told),
+                    .max(machine.reported_generation),
                 view_epoch: self.view_epoch,
                 storage_epoch: self.storage_view.as_ref().map_or(0, |(epoch, _)| *epoch),
                 registry: self.table.version(address),
@@ -203,7 +204,7 @@
             actions.push(WatchAction::Poll {
                 machine: address,
                 request,
-                timeout: POLL_WAIT + POLL_GRACE,
+                timeout: POLL_WAIT + POLL_GRACE_PERIOD,
             });
         }
         actions.extend(self.fetch_action(now));
@@ -220,7 +221,7 @@
                 PollState::Polling { .. } => None,
             });
         let fetch = match self.fetch {
-            FetchState::Idle { next_at, .. } if self.is_told_newer() => Some(next_at),
+            FetchState::Idle { next_at, .. } if self.has_newer_configuration() => Some(next_at),
             _ => None,
         };
         polls.chain(fetch).min()
@@ -238,7 +239,9 @@
             return WatchChange::default();
         };
         entry.answered(now, response.standing, response.configuration_generation);
-        self.newest_told = self.newest_told.max(response.configuration_generation);
+        self.newest_reported_generation = self
+            .newest_reported_generation
+            .max(response.configuration_generation);
         if response.standing.in_quorum {
             self.quorum_heard_at = Some(now);
         }
@@ -294,7 +297,7 @@
             }
             None => {
                 self.fetch = FetchState::Idle {
-                    next_at: now + BACKOFF_MIN,
+                    next_at: now + MIN_BACKOFF,
                     attempts: attempts + 1,
                 };
                 if let Some(source) = self.machines.get_mut(&machine) {
@@ -307,10 +310,10 @@
     }
 
     /// Whether a machine that is polled has told of a newer configuration than the one taken last.
-    fn is_told_newer(&self) -> bool {
+    fn has_newer_configuration(&self) -> bool {
         self.machines
             .values()
-            .any(|machine| machine.configuration_told > self.configuration_generation)
+            .any(|machine| machine.reported_generation > self.configuration_generation)
     }
 
     fn fetch_action(&mut self, now: Duration) -> Option<WatchAction> {
@@ -324,8 +327,8 @@
         let sources = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.configuration_told > known);
-        let order = |(address, machine): &(&SocketAddr, &Machine)| {
+            .filter(|(_, machine)| machine.reported_generation > known);
+        let order = |(address, machine): &(&SocketAddr, &PolledMachine)| {
             (
                 machine.failed_fetches,
                 machine.failures,
@@ -336,7 +339,7 @@
         self.fetch = FetchState::Fetching { machine, attempts };
         let timeout = FETCH_TIMEOUT
             .saturating_mul(attempts + 1)
-            .min(FETCH_TIMEOUT_MAX);
+            .min(MAX_FETCH_TIMEOUT);
         Some(WatchAction::FetchConfiguration { machine, timeout })
     }
 
@@ -353,7 +356,7 @@
 
     /// The machines to poll.
     fn wanted_machines(&self, now: Duration) -> Vec<SocketAddr> {
-        let lost = self.is_lost(now);
+        let lost = self.is_disconnected(now);
         let mut known: BTreeSet<SocketAddr> = self.members.iter().copied().collect();
         if known.is_empty() || lost {
             known.extend(&self.seeds);
@@ -366,21 +369,21 @@
         select(&ranked, lost, |address| self.use_of(now, *address))
     }
 
-    fn use_of(&self, now: Duration, address: SocketAddr) -> Use {
-        let is_set_aside = || {
-            self.set_aside
+    fn use_of(&self, now: Duration, address: SocketAddr) -> MachineHealth {
+        let is_unhealthy = || {
+            self.unhealthy_until
                 .get(&address)
                 .is_some_and(|until| *until > now)
         };
         match self.machines.get(&address) {
             Some(machine) => machine.use_of(),
-            None if is_set_aside() => Use::None,
-            None => Use::Untried,
+            None if is_unhealthy() => MachineHealth::Unhealthy,
+            None => MachineHealth::Unknown,
         }
     }
 
     fn drop_unwanted(&mut self, now: Duration, wanted: &[SocketAddr]) {
-        self.set_aside.retain(|_, until| *until > now);
+        self.unhealthy_until.retain(|_, until| *until > now);
         let dropped: Vec<SocketAddr> = self
             .machines
             .keys()
@@ -388,8 +391,9 @@
             .copied()
             .collect();
         for address in dropped {
-            if self.use_of(now, address) == Use::None {
-                self.set_aside.insert(address, now + RETRY_AFTER);
+            if self.use_of(now, address) == MachineHealth::Unhealthy {
+                self.unhealthy_until
+                    .insert(address, now + UNHEALTHY_RETRY_INTERVAL);
             }
             self.machines.remove(&address);
             self.table.forget_machine(address);
@@ -404,9 +408,9 @@
         if self.warmed || self.configuration_generation == 0 {
             return false;
         }
-        let current = self.configuration_generation >= self.newest_told;
+        let current = self.configuration_generation >= self.newest_reported_generation;
         let all_answered = self.machines.values().all(|machine| machine.answered);
-        let waited = now.saturating_sub(trusted_since) >= WARM_UP;
+        let waited = now.saturating_sub(trusted_since) >= WARM_UP_TIMEOUT;
         self.warmed = current && (all_answered || waited);
         self.warmed
     }
--- a/crates/tier/discovery/tests/catch_up.rs
+++ b/crates/tier/discovery/tests/catch_up.rs
@@ -148,8 +148,9 @@
             let Some((request, since, number)) = self.held.get(&machine).cloned() else {
                 continue;
             };
-            let has_news = self.generation > request.configuration_generation;
-            if has_news || self.now >= since + Duration::from_millis(u64::from(request.wait_ms)) {
+            let has_updates = self.generation > request.configuration_generation;
+            if has_updates || self.now >= since + Duration::from_millis(u64::from(request.wait_ms))
+            {
                 self.held.remove(&machine);
                 let generation = self.generation;
                 self.send(
--- a/crates/tier/discovery/tests/common/world.rs
+++ b/crates/tier/discovery/tests/common/world.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 use woadreach_discovery::core_state::{CoreIdentity, CoreState};
-use woadreach_discovery::departure::{DepartureRound, Verdict};
+use woadreach_discovery::departure::{DepartureDecision, DepartureNotification};
 use woadreach_discovery::exchange::{CHANGE_DELAY, Urgency};
 use woadreach_discovery::messages::{
     Batch, ConfigurationResponse, PollRequest, PollResponse, RegistryResponse, Request,
     VersionedBytes, decode, encode,
 };
-use woadreach_discovery::registry::{Ack, RegistryVersion};
-use woadreach_discovery::server::has_news;
+use woadreach_discovery::poll_response::has_updates;
+use woadreach_discovery::registry::{HeartbeatOutcome, RegistryVersion};
 use woadreach_discovery::watcher::{WatchAction, Watcher};
 use woadreach_discovery::{CommittedState, Heartbeat, HeartbeatError, ReplicaState, ViewSummary};
 
@@ -26,9 +26,9 @@
 
 pub const LINK_DELAY: Duration = Duration::from_millis(1);
 pub const HEARTBEAT: Duration = Duration::from_millis(1200);
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
-const REGISTRY_RETRY: Duration = Duration::from_millis(500);
+const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// A replica asks the next core machine after this time without an acknowledgement.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
@@ -66,7 +66,7 @@
 
 struct WaitingAck {
     replica: usize,
-    round: DepartureRound,
+    round: DepartureNotification,
 }
 
 pub struct EdgeNode {
@@ -587,7 +587,7 @@
         }
         let view = self.cores[core].committed.view();
         self.cores[core].state.tick(self.now, &view);
-        self.push(self.now + TICK, Event::CoreTick { core, life });
+        self.push(self.now + TICK_INTERVAL, Event::CoreTick { core, life });
         self.send_batch(core);
         self.after_change(core);
     }
@@ -674,9 +674,9 @@
             let warm_peer = self.cores[core].warm_peer;
             if self.cores[core]
                 .state
-                .peers_asked(self.now, &view, warm_peer)
+                .complete_registry_pull(self.now, &view, warm_peer)
             {
-                self.cores[core].pull_not_before = self.now + REGISTRY_RETRY;
+                self.cores[core].pull_not_before = self.now + REGISTRY_RETRY_INTERVAL;
             }
         }
         self.after_change(core);
@@ -699,7 +699,7 @@
             .polls
             .iter()
             .filter(|(_, (.., request))| {
-                has_news(
+                has_updates(
                     request,
                     &node
                         .state
@@ -767,7 +767,7 @@
                         },
                     );
                     let node = &self.cores[core];
-                    if has_news(
+                    if has_updates(
                         &request,
                         &node
                             .state
@@ -958,7 +958,7 @@
         let state = &mut self.cores[core].state;
         let result = match heartbeat {
             Some(heartbeat) => state.heartbeat(now, &id, heartbeat),
-            None => state.leave(now, &id),
+            None => state.deregister(now, &id),
         };
         self.take_beat(replica, core, call, &id, result);
     }
@@ -969,14 +969,14 @@
         core: usize,
         call: u64,
         id: &str,
-        result: Result<Ack, HeartbeatError>,
+        result: Result<HeartbeatOutcome, HeartbeatError>,
     ) {
         let view = self.cores[core].committed.view();
         match result {
-            Ok(Ack::Leaving) => {
+            Ok(HeartbeatOutcome::Departing) => {
                 self.answer_polls(core);
-                self.tell_peers(core, call, id);
-                match self.cores[core].state.begin_departure(self.now, &view) {
+                self.notify_peers(core, call, id);
+                match self.cores[core].state.start_departure(self.now, &view) {
                     Some(round) => {
                         self.cores[core]
                             .waiting_acks
@@ -1003,7 +1003,7 @@
                         taken,
                     },
                 );
-                if ack == Ack::Changed {
+                if ack == HeartbeatOutcome::Changed {
                     self.flush_soon(core);
                 }
             }
@@ -1020,7 +1020,7 @@
         }
     }
 
-    fn tell_peers(&mut self, core: usize, ack: u64, id: &str) {
+    fn notify_peers(&mut self, core: usize, ack: u64, id: &str) {
         let life = self.cores[core].life;
         let body = encode(&Request::Urgent(
             self.cores[core].state.urgent_batch(self.now, id),
@@ -1040,12 +1040,12 @@
             return;
         };
         let (replica, life) = (waiting.replica, self.cores[core].life);
-        let taken = match waiting.round.verdict(self.now) {
-            Verdict::Wait { until } => {
+        let taken = match waiting.round.decision(self.now) {
+            DepartureDecision::Wait { until } => {
                 return self.push(until, Event::AckDeadline { core, life, ack });
             }
-            Verdict::Acknowledged => true,
-            Verdict::Unconfirmed => false,
+            DepartureDecision::Acknowledged => true,
+            DepartureDecision::Unconfirmed => false,
         };
         self.cores[core].waiting_acks.remove(&ack);
         self.push(
--- a/crates/tier/discovery/tests/cut_off.rs
+++ b/crates/tier/discovery/tests/cut_off.rs
@@ -8,9 +8,11 @@
 use common::view;
 use common::world::{HEARTBEAT, Node, World, core_address};
 use woadreach_discovery::core_state::{CoreIdentity, CoreState};
-use woadreach_discovery::departure::{ALL_PEERS, DepartureRound, MAJORITY, Verdict};
+use woadreach_discovery::departure::{
+    ALL_PEERS_TIMEOUT, DepartureDecision, DepartureNotification, MAJORITY_TIMEOUT,
+};
 use woadreach_discovery::selection::rank;
-use woadreach_discovery::{Ack, ViewSummary};
+use woadreach_discovery::{HeartbeatOutcome, ViewSummary};
 
 /// From a commit on, in force at every observer that reaches the majority.
 const IN_FORCE: Duration = Duration::from_millis(2000);
@@ -89,7 +91,7 @@
             "seed {seed}: ready with an old configuration"
         );
         assert!(
-            world.edges[0].watcher.is_lost(world.now),
+            world.edges[0].watcher.is_disconnected(world.now),
             "seed {seed}: it looks for other machines"
         );
         world.edges[0].watcher.set_hints(vec![core_address(1)]);
@@ -199,15 +201,19 @@
     let mut state = CoreState::new(Duration::ZERO, identity);
     let view = view(1, false, vec![core_address(0), core_address(1)]);
     let refused = (0..10_000)
-        .filter(|_| !state.may_acknowledge(millis(500), Ack::Unchanged, &view))
+        .filter(|_| !state.may_acknowledge(millis(500), HeartbeatOutcome::Unchanged, &view))
         .count();
     assert_eq!(refused, 200, "a bounded number goes on to other machines");
     assert!(
-        !state.may_acknowledge(millis(1600), Ack::Unchanged, &view),
+        !state.may_acknowledge(millis(1600), HeartbeatOutcome::Unchanged, &view),
         "in another second others do"
     );
-    assert!((0..10_000).all(|_| !state.may_acknowledge(millis(1600), Ack::Changed, &view)));
-    assert!(state.begin_departure(millis(1600), &view).is_none());
+    assert!((0..10_000).all(|_| !state.may_acknowledge(
+        millis(1600),
+        HeartbeatOutcome::Changed,
+        &view
+    )));
+    assert!(state.start_departure(millis(1600), &view).is_none());
 }
 
 #[test]
@@ -220,21 +226,32 @@
         voters,
         members: members.clone(),
     };
-    let mut round = DepartureRound::new(Duration::ZERO, core_address(8), &members[..8], &view);
+    let mut round =
+        DepartureNotification::new(Duration::ZERO, core_address(8), &members[..8], &view);
     (3..8).for_each(|core| round.answered(core_address(core)));
     round.answered(core_address(0));
     round.answered(core_address(0));
     assert_eq!(
-        round.verdict(millis(400)),
-        Verdict::Wait { until: MAJORITY }
+        round.decision(millis(400)),
+        DepartureDecision::Wait {
+            until: MAJORITY_TIMEOUT
+        }
+    );
+    assert_eq!(
+        round.decision(MAJORITY_TIMEOUT),
+        DepartureDecision::Unconfirmed
     );
-    assert_eq!(round.verdict(MAJORITY), Verdict::Unconfirmed);
     round.answered(core_address(1));
     assert_eq!(
-        round.verdict(millis(100)),
-        Verdict::Wait { until: ALL_PEERS }
+        round.decision(millis(100)),
+        DepartureDecision::Wait {
+            until: ALL_PEERS_TIMEOUT
+        }
+    );
+    assert_eq!(
+        round.decision(ALL_PEERS_TIMEOUT),
+        DepartureDecision::Acknowledged
     );
-    assert_eq!(round.verdict(ALL_PEERS), Verdict::Acknowledged);
     round.answered(core_address(2));
-    assert_eq!(round.verdict(millis(100)), Verdict::Acknowledged);
+    assert_eq!(round.decision(millis(100)), DepartureDecision::Acknowledged);
 }
--- a/crates/tier/discovery/tests/loopback.rs
+++ b/crates/tier/discovery/tests/loopback.rs
@@ -107,7 +107,7 @@
         snapshot.replicas["r1"].state == ReplicaState::Draining
     })
     .await;
-    cores[1].discovery.leave("r1").await.unwrap();
+    cores[1].discovery.deregister("r1").await.unwrap();
     wait_for(&mut snapshots, |snapshot| {
         !snapshot.replicas.contains_key("r1")
     })
--- a/crates/tier/discovery/tests/messages.rs
+++ b/crates/tier/discovery/tests/messages.rs
@@ -23,7 +23,7 @@
             adapters: vec![id.clone()],
         }];
         let status = if place % 3 == 2 {
-            ReplicaStatus::left()
+            ReplicaStatus::deregistered()
         } else {
             ReplicaStatus::Present(record)
         };
--- a/crates/tier/discovery/tests/registry.rs
+++ b/crates/tier/discovery/tests/registry.rs
@@ -8,8 +8,8 @@
 use common::{draining, heartbeat};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_discovery::registry::{
-    Ack, HeartbeatError, Refresh, RefreshResult, Registry, RegistryVersion, TOMBSTONE_LIFE,
-    TOMBSTONES_BASE,
+    HeartbeatError, HeartbeatOutcome, MIN_TOMBSTONE_LIMIT, Refresh, RefreshResult, Registry,
+    RegistryVersion, TOMBSTONE_TTL,
 };
 use woadreach_discovery::{Departure, Heartbeat, ReplicaStatus};
 
@@ -35,11 +35,11 @@
     let mut registry = registry();
     assert_eq!(
         registry.heartbeat(seconds(0.0), "r", heartbeat(1, 5)),
-        Ok(Ack::Changed)
+        Ok(HeartbeatOutcome::Changed)
     );
     assert_eq!(
         registry.heartbeat(seconds(0.1), "r", draining(1, 6)),
-        Ok(Ack::Leaving)
+        Ok(HeartbeatOutcome::Departing)
     );
     let before = (registry.status("r").cloned(), registry.version());
     let stale = HeartbeatError::Stale {
@@ -70,7 +70,7 @@
     let version = registry.version();
     assert_eq!(
         registry.heartbeat(seconds(0.4), "r", draining(1, 5)),
-        Ok(Ack::Leaving)
+        Ok(HeartbeatOutcome::Departing)
     );
     assert_eq!(registry.version(), version);
 }
@@ -85,7 +85,7 @@
     for sequence in 2..50 {
         assert_eq!(
             registry.heartbeat(seconds(1.0), "r", heartbeat(1, sequence)),
-            Ok(Ack::Unchanged)
+            Ok(HeartbeatOutcome::Unchanged)
         );
     }
     assert_eq!(registry.version(), version);
@@ -123,7 +123,7 @@
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
         .unwrap();
     let record = registry.status("r").cloned().unwrap();
-    registry.leave(seconds(1.0), "r").unwrap();
+    registry.deregister(seconds(1.0), "r").unwrap();
     let departed = HeartbeatError::Departed { id: "r".into() };
     assert_eq!(
         registry.heartbeat(seconds(1.1), "r", heartbeat(1, 9)),
@@ -144,8 +144,8 @@
     );
     assert_eq!(registry.present(), 0);
     assert_eq!(
-        registry.leave(seconds(1.4), "r"),
-        Ok(Ack::Leaving),
+        registry.deregister(seconds(1.4), "r"),
+        Ok(HeartbeatOutcome::Departing),
         "said again, acknowledged again"
     );
 }
@@ -155,7 +155,7 @@
     let mut other = registry();
     other.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
     let mut registry = registry();
-    registry.leave(seconds(0.0), "r").unwrap();
+    registry.deregister(seconds(0.0), "r").unwrap();
     registry.merge(seconds(0.1), "r", other.status("r").cloned().unwrap());
     assert_eq!(registry.present(), 0);
 }
@@ -168,9 +168,9 @@
         .unwrap();
     assert!(registry.expire(seconds(4.0), seconds(4.2)).is_empty());
     assert_eq!(registry.expire(seconds(4.3), seconds(4.2)), ["r"]);
-    let gone = ReplicaStatus::Gone {
+    let gone = ReplicaStatus::Departed {
         sequence: 3,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     };
     assert_eq!(registry.status("r"), Some(&gone));
     assert!(
@@ -181,7 +181,7 @@
     );
     assert_eq!(
         registry.heartbeat(seconds(5.0), "r", heartbeat(1, 4)),
-        Ok(Ack::Changed)
+        Ok(HeartbeatOutcome::Changed)
     );
     assert_eq!(registry.present(), 1);
 }
@@ -193,9 +193,9 @@
         .heartbeat(seconds(0.0), "r", heartbeat(1, 8))
         .unwrap();
     let version = registry.version();
-    let expiry = ReplicaStatus::Gone {
+    let expiry = ReplicaStatus::Departed {
         sequence: 5,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     };
     assert!(registry.merge(seconds(0.1), "r", expiry));
     let changes = registry.changes_since(version, 10);
@@ -245,7 +245,7 @@
     sender
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
         .unwrap();
-    let refresh = |sender: &Registry| sender.refresh_of("r").unwrap();
+    let refresh = |sender: &Registry| sender.refresh_for("r").unwrap();
     assert_eq!(
         receiver.refresh(seconds(0.1), &refresh(&sender)),
         RefreshResult::Unknown
@@ -271,23 +271,23 @@
 #[test]
 fn tombstones_are_kept_for_minutes_and_are_bounded() {
     let mut registry = registry();
-    registry.leave(seconds(0.0), "r").unwrap();
-    registry.forget_tombstones(TOMBSTONE_LIFE);
+    registry.deregister(seconds(0.0), "r").unwrap();
+    registry.drop_tombstones(TOMBSTONE_TTL);
     assert!(registry.status("r").is_some());
     let before = registry.version();
-    registry.forget_tombstones(TOMBSTONE_LIFE + seconds(1.0));
+    registry.drop_tombstones(TOMBSTONE_TTL + seconds(1.0));
     assert!(registry.status("r").is_none());
     assert!(
         !registry.changes_since(before, 10).restart,
         "that receiver has had the tombstone"
     );
 
-    for number in 0..TOMBSTONES_BASE + 10 {
+    for number in 0..MIN_TOMBSTONE_LIMIT + 10 {
         registry
-            .leave(TOMBSTONE_LIFE, &format!("t{number}"))
+            .deregister(TOMBSTONE_TTL, &format!("t{number}"))
             .unwrap();
     }
-    registry.forget_tombstones(TOMBSTONE_LIFE);
+    registry.drop_tombstones(TOMBSTONE_TTL);
     assert!(registry.status("t9").is_none(), "the oldest go first");
     assert!(registry.status("t10").is_some());
 }
@@ -299,13 +299,13 @@
         .heartbeat(seconds(0.0), "gone", heartbeat(9, 1))
         .unwrap();
     let early = registry.version();
-    registry.leave(seconds(1.0), "gone").unwrap();
+    registry.deregister(seconds(1.0), "gone").unwrap();
     for port in 1..=7 {
         registry
             .heartbeat(seconds(2.0), &format!("r{port}"), heartbeat(port, 1))
             .unwrap();
     }
-    registry.forget_tombstones(seconds(2.0) + TOMBSTONE_LIFE);
+    registry.drop_tombstones(seconds(2.0) + TOMBSTONE_TTL);
     let mut version = early;
     let mut listed = Vec::new();
     for part in 0..4 {
@@ -398,7 +398,7 @@
         for step in &steps {
             let expected = oracle_takes(&mut oracle, step);
             let taken = match *step {
-                Step::Leave { replica } => registry.leave(seconds(0.0), &replica.to_string()).is_ok(),
+                Step::Leave { replica } => registry.deregister(seconds(0.0), &replica.to_string()).is_ok(),
                 Step::Heartbeat { replica, sequence, is_draining } => {
                     let make = if is_draining { draining } else { heartbeat };
                     let heartbeat = make(u16::from(replica) + 1, u64::from(sequence));
@@ -425,7 +425,7 @@
             let status = registry.status(&replica.to_string());
             let watched = follower.get(&replica.to_string());
             let same = match (status, watched) {
-                (Some(ReplicaStatus::Present(one)), Some(ReplicaStatus::Present(two))) => one.same_content(two),
+                (Some(ReplicaStatus::Present(one)), Some(ReplicaStatus::Present(two))) => one.has_same_content(two),
                 (one, two) => one == two,
             };
             let record = status.and_then(ReplicaStatus::record);
--- a/crates/tier/discovery/tests/replica_table.rs
+++ b/crates/tier/discovery/tests/replica_table.rs
@@ -10,7 +10,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_discovery::messages::{RegistryResponse, StatusEntry};
 use woadreach_discovery::registry::RegistryVersion;
-use woadreach_discovery::replica_table::{ReplicaTable, UNLISTED_LIMIT};
+use woadreach_discovery::replica_table::{ReplicaTable, UNLISTED_TIMEOUT};
 use woadreach_discovery::{Departure, ReplicaRecord, ReplicaStatus};
 
 fn machine(number: u8) -> SocketAddr {
@@ -47,9 +47,9 @@
 }
 
 fn silent(sequence: u64) -> ReplicaStatus {
-    ReplicaStatus::Gone {
+    ReplicaStatus::Departed {
         sequence,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     }
 }
 
@@ -66,7 +66,7 @@
     let empty = |incarnation| response(incarnation, true, &[]);
     table.apply(seconds(1), machine(1), true, empty(2));
     assert!(!table.sweep(seconds(1)));
-    let almost = seconds(1) + UNLISTED_LIMIT;
+    let almost = seconds(1) + UNLISTED_TIMEOUT;
     table.apply(almost, machine(1), true, empty(2));
     assert!(!table.sweep(almost));
     assert!(table.sweep(almost + seconds(1)));
@@ -152,9 +152,9 @@
         // Content follows from id and sequence, as a replica has one word for each sequence.
         let sequence = u64::from(u8::arbitrary(generator) % 12);
         let status = match u8::arbitrary(generator) % 6 {
-            0 => ReplicaStatus::left(),
+            0 => ReplicaStatus::deregistered(),
             1 => silent(sequence),
-            2 => ReplicaStatus::Gone {
+            2 => ReplicaStatus::Departed {
                 sequence,
                 departure: Departure::Superseded,
             },
@@ -206,7 +206,7 @@
         }
         [table_of(accounts.iter()), table_of(again.into_iter())].iter().all(|table| {
             table.present().len() == expected.len()
-                && table.present().iter().all(|(id, record)| expected[id].same_content(record))
+                && table.present().iter().all(|(id, record)| expected[id].has_same_content(record))
         })
     }
 }
--- a/crates/tier/discovery/tests/sampling.rs
+++ b/crates/tier/discovery/tests/sampling.rs
@@ -8,8 +8,8 @@
 use quickcheck::quickcheck;
 use woadreach_discovery::messages::{decode, encode};
 use woadreach_discovery::sampling::{
-    AgedEntry, CORE_ENTRIES, NodeEntry, NodeRole, PartialView, SHUFFLE_ENTRIES, Shuffle,
-    VIEW_ENTRIES,
+    AgedEntry, MAX_SHUFFLE_ENTRIES, MAX_VIEW_ENTRIES, NodeEntry, NodeRole, PartialView,
+    RESERVED_CORE_ENTRIES, Shuffle,
 };
 
 const STEP: Duration = Duration::from_millis(100);
@@ -135,7 +135,7 @@
         tier.run_for(Duration::from_secs(60));
         for process in 0..size {
             let known = tier.known(process);
-            assert!(known.len() <= VIEW_ENTRIES);
+            assert!(known.len() <= MAX_VIEW_ENTRIES);
             assert!(
                 known.iter().any(|known| *known < cores),
                 "{process} of {size} knows no core machine"
@@ -216,9 +216,9 @@
                 view.entries(now).into_iter().map(|entry| entry.address.into()).collect();
             let distinct: BTreeSet<SocketAddr> = held.iter().copied().collect();
             let started = view.start_shuffle(now);
-            answer.entries.len() <= SHUFFLE_ENTRIES
-                && started.is_none_or(|(_, shuffle)| shuffle.entries.len() <= SHUFFLE_ENTRIES)
-                && held.len() <= VIEW_ENTRIES
+            answer.entries.len() <= MAX_SHUFFLE_ENTRIES
+                && started.is_none_or(|(_, shuffle)| shuffle.entries.len() <= MAX_SHUFFLE_ENTRIES)
+                && held.len() <= MAX_VIEW_ENTRIES
                 && held.len() == distinct.len()
                 && !distinct.contains(&address(0))
         })
@@ -227,7 +227,7 @@
     /// Core machines keep their places however many other processes are named.
     fn core_machines_are_not_crowded_out(others: Vec<u8>) -> bool {
         let mut view = PartialView::new(Duration::ZERO, entry(0, 0), vec![], 9);
-        for core in 1..=CORE_ENTRIES {
+        for core in 1..=RESERVED_CORE_ENTRIES {
             let aged = AgedEntry { entry: entry(300 + core, usize::MAX), age_ms: 1000 };
             view.answer(Duration::ZERO, Shuffle { entries: vec![aged] });
         }
@@ -235,7 +235,7 @@
             let aged = AgedEntry { entry: entry(usize::from(other), 0), age_ms: 0 };
             view.answer(STEP, Shuffle { entries: vec![aged] });
         }
-        view.core_machines(STEP).len() == CORE_ENTRIES
+        view.core_machines(STEP).len() == RESERVED_CORE_ENTRIES
     }
 
     fn bytes_that_are_no_shuffle_are_an_error_or_a_bounded_message(bytes: Vec<u8>) -> bool {
