--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -1,7 +1,10 @@
 //! Parts in flight: those that are called off, and trials of ejected replicas.
 
 use super::{Balancer, Known};
-use crate::{api::{Search, Attempt, ReplicaId}, fleet::Replica};
+use crate::{
+    api::{Attempt, ReplicaId, Search},
+    fleet::Replica,
+};
 
 /// In flight so many times `late_after`: called off where hedges are barred. Of 0.7 to 3, on days with hangs.
 const CALL_OFF: f64 = 1.5;
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,7 +1,11 @@
 //! Where the parts of a search go, and when they leave.
 
 use super::{Balancer, Candidates, Known, PartBudget};
-use crate::{api::{ReplicaId, Search, Part, Attempt, Placement}, fleet::Replica, samples::groups};
+use crate::{
+    api::{Attempt, Part, Placement, ReplicaId, Search},
+    fleet::Replica,
+    samples::groups,
+};
 use std::collections::BTreeMap;
 
 type Counts = BTreeMap<ReplicaId, usize>;
@@ -45,7 +49,14 @@
         picks
     }
 
-    fn pick(&mut self, now: f64, until: f64, search: &Search, part: &Part, planned: &Counts) -> Pick {
+    fn pick(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &Search,
+        part: &Part,
+        planned: &Counts,
+    ) -> Pick {
         let mut only = None;
         if !part.attempts.is_empty() {
             match self.may_repeat(now, search, part) {
@@ -72,7 +83,9 @@
         at.require(|(id, r)| !self.exceeds_slow_start(now, r, planned(id)));
         at.prefer(|(id, _)| !part.tried(id));
         at.prefer(|(_, r)| !self.is_zone_ejected(r));
-        at.prefer(|(_, r)| !r.state.health.is_ejected_for(search.query_type) && !self.is_unresponsive(now, r));
+        at.prefer(|(_, r)| {
+            !r.state.health.is_ejected_for(search.query_type) && !self.is_unresponsive(now, r)
+        });
         at.prefer(|(_, r)| self.share(r.zone) > drawn);
         at.prefer(|(_, r)| self.limits.overloaded || !r.state.health.failed_last(now));
         // Own calls in flight, with `more` parts about to leave now: parts sent at one time share calls.
@@ -118,8 +131,12 @@
 
     /// The replica's unloaded tail for a part of the step in hand.
     pub(super) fn tail(&self, now: f64, search: &Search, id: &ReplicaId) -> f64 {
-        self.budget
-            .tail(now, &self.unloaded, self.with_own_samples(id), search.step_parts().count())
+        self.budget.tail(
+            now,
+            &self.unloaded,
+            self.with_own_samples(id),
+            search.step_parts().count(),
+        )
     }
 
     pub(super) fn act(&mut self, now: f64, until: f64, search: &mut Search, i: usize, pick: Pick) {
@@ -130,14 +147,22 @@
             Pick::Go(id) => self.send(now, until, search, i, id),
             // A held hedge is pointless: its part is in flight already.
             Pick::Hold(id) if !part.in_flight() => {
-                self.queue.insert(&id, search.queuing_deadline(), (search.id, part.id));
+                self.queue
+                    .insert(&id, search.queuing_deadline(), (search.id, part.id));
                 search.parts[i].queued_at = Some(id);
             }
             _ => {}
         }
     }
 
-    pub(super) fn send(&mut self, now: f64, until: f64, search: &mut Search, i: usize, id: ReplicaId) {
+    pub(super) fn send(
+        &mut self,
+        now: f64,
+        until: f64,
+        search: &mut Search,
+        i: usize,
+        id: ReplicaId,
+    ) {
         let begin_by = self
             .may_repeat(now, search, &search.parts[i])
             .map_or(f64::INFINITY, |may| may.1);
@@ -168,8 +193,11 @@
 
     pub(super) fn dequeue(&mut self, search: &mut Search, i: usize) {
         if let Some(id) = search.parts[i].queued_at.take() {
-            self.queue
-                .remove(&id, search.queuing_deadline(), (search.id, search.parts[i].id));
+            self.queue.remove(
+                &id,
+                search.queuing_deadline(),
+                (search.id, search.parts[i].id),
+            );
             self.reconsider_next(&id);
         }
     }
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -1,7 +1,11 @@
 //! Whether a part may be sent once more.
 
 use super::{Balancer, Known};
-use crate::{api::{Search, Part, ReplicaId, Repeat}, fleet::Replica, mutations::is_mutated};
+use crate::{
+    api::{Part, Repeat, ReplicaId, Search},
+    fleet::Replica,
+    mutations::is_mutated,
+};
 
 impl Balancer {
     /// No effect twice: whether the part may be sent once more, to which replica alone if not any, and before
@@ -31,7 +35,8 @@
     /// None under overload, else up to two further; a hedge only of a part that is lost.
     pub(super) fn worth_repeating(&mut self, now: f64, part: &Part) -> bool {
         let spent = part.attempts.len() > 2 || part.attempts.len() >= self.settings.max_attempts;
-        let barred = part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
+        let barred =
+            part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
         !self.limits.overloaded && !spent && !barred && self.retries.has_room(now)
     }
 
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -2,10 +2,8 @@
 
 use super::Balancer;
 use super::placement::Pick;
+use crate::api::{Attempt, Ending, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search};
 use crate::samples::{Sample, push};
-use crate::api::{
-    Attempt, Ending, Outcome, Plan, QueryType, Repeat, Reply, ReplicaId, Search,
-};
 use crate::{fleet::InFlight, mutations::is_mutated};
 
 const ROUNDING: f64 = 1e-4; // sums of weights may fall this short
@@ -92,7 +90,9 @@
         let margin = 4.0 * self.settings.tick; // one to be asked, one to reply, and the way to the client
         let query_type = &self.settings.query_types[search.query_type.0];
         let end = search.client_deadline - margin;
-        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target - margin).min(end);
+        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target
+            - margin)
+            .min(end);
         // A late answer costs as much as one in time: waited for only if it keeps over half its value.
         let until = if query_type.late_value > 0.5 && !self.limits.overloaded {
             end
@@ -100,7 +100,9 @@
             target
         };
         // Twice the unloaded tail of the second step: once alone its parts would be skipped on arrival.
-        let tail = self.budget.tail(0.0, &self.unloaded, None, query_type.second_step);
+        let tail = self
+            .budget
+            .tail(0.0, &self.unloaded, None, query_type.second_step);
         let reserve = if search.step == 1 && query_type.second_step > 0 {
             2.0 * tail
         } else {
@@ -171,7 +173,11 @@
         search: &mut Search,
         picks: &[(usize, Pick)],
     ) -> bool {
-        let began = if search.step == 1 { search.arrived } else { now };
+        let began = if search.step == 1 {
+            search.arrived
+        } else {
+            now
+        };
         self.retries.taken(began, search.step_parts().count());
         let chosen: Vec<ReplicaId> = picks
             .iter()
@@ -190,7 +196,8 @@
         let query_type = &self.settings.query_types[search.query_type.0];
         let come = search.answered_weight();
         let harmless = query_type.repeat == Repeat::Idempotent
-            || search.parts
+            || search
+                .parts
                 .iter()
                 .all(|p| p.attempts.iter().all(Attempt::proven_unrun))
             || is_mutated("module-harmless");
@@ -233,8 +240,14 @@
         }
         let query_type = &self.settings.query_types[search.query_type.0];
         match reply {
-            Some(Reply::Answered { complete }) if search.step == 1 && query_type.second_step > 0 => {
-                (search.step, search.first_step_complete, search.queuing_deadline) = (2, complete, None);
+            Some(Reply::Answered { complete })
+                if search.step == 1 && query_type.second_step > 0 =>
+            {
+                (
+                    search.step,
+                    search.first_step_complete,
+                    search.queuing_deadline,
+                ) = (2, complete, None);
             }
             _ => search.finished = true,
         }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The replicas that the list names, by cell, and what of ours is in flight at each: facts, no decisions.
 
-use crate::api::{QueryTypeId, ZoneId, PartId, ReplicaId, Listed, ShardId};
+use crate::api::{Listed, PartId, QueryTypeId, ReplicaId, ShardId, ZoneId};
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,8 +10,8 @@
 
 pub mod api;
 pub mod balancer;
-pub mod fleet;
 pub mod deadline_queue;
+pub mod fleet;
 pub mod mutations;
 pub mod rendezvous;
 pub mod samples;
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
-    Candidates, Change, EjectionConfig, DeadlineQueue, Hold, LatencyLimits, Observation,
+    Candidates, Change, DeadlineQueue, EjectionConfig, Hold, LatencyLimits, Observation,
     OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
--- /dev/null
+++ b/crates/tier/discovery/tests/control_traffic.rs
@@ -0,0 +1,98 @@
+//! What the control plane sends to a tier of three sizes, and how soon it is in force there. Simulated time.
+
+mod common;
+
+use std::time::Duration;
+
+use common::world::{LINK_DELAY, World};
+
+/// From the acknowledgement of a departure on, in force everywhere.
+const IN_FORCE: Duration = Duration::from_millis(20);
+
+fn millis(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn seconds(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
+}
+
+/// Times after an acknowledgement or a commit at which the observers had it in force, ascending.
+struct InForce(Vec<Duration>);
+
+impl InForce {
+    fn measure(world: &mut World, has_it: impl Fn(&World, usize) -> bool) -> Self {
+        let (start, edges) = (world.now, world.edges.len());
+        let mut waiting: Vec<usize> = (0..edges).collect();
+        let mut times = Vec::new();
+        while !waiting.is_empty() && world.now < start + seconds(2) {
+            waiting.retain(|edge| !has_it(world, *edge));
+            times.resize(edges - waiting.len(), world.now - start);
+            world.run_for(millis(1));
+        }
+        assert!(
+            waiting.is_empty(),
+            "{} observers do not have it",
+            waiting.len()
+        );
+        Self(times)
+    }
+
+    fn percentile(&self, share: f64) -> Duration {
+        self.0[((self.0.len() - 1) as f64 * share) as usize]
+    }
+}
+
+/// Distribution and load of a tier of this size; prints the figures for the page on discovery.
+fn measure_tier(cores: usize, edges: usize, replicas: usize) {
+    let mut world = World::new(11, cores, edges, replicas);
+    world.run(seconds(10));
+    assert!(world.edges.iter().all(|edge| edge.watcher.is_warmed()));
+    world
+        .edges
+        .iter_mut()
+        .for_each(|edge| (edge.bytes, edge.messages) = (0, 0));
+    world.core_bytes = 0;
+    world.run_for(seconds(10));
+    let bytes = world.edges.iter().map(|edge| edge.bytes).max().unwrap() / 10;
+    let messages = world.edges.iter().map(|edge| edge.messages).max().unwrap() / 10;
+    let core_bytes = world.core_bytes / 10 / cores as u64;
+    assert!(bytes < 1_000, "{bytes} bytes a second");
+    assert!(messages <= 7, "{messages} messages a second");
+
+    world.commit_configuration(2);
+    let configuration = InForce::measure(&mut world, |world, edge| {
+        world.edges[edge].configuration == 2
+    });
+    world.drain(0, 0);
+    world.run_for(millis(20));
+    assert!(world.replicas[0].drained_at.is_some(), "acknowledged");
+    let departure = InForce::measure(&mut world, |world, edge| !world.is_used(edge, 0));
+    let bounds = [
+        ("configuration", &configuration, 10 * LINK_DELAY),
+        ("departure", &departure, IN_FORCE),
+    ];
+    for (name, times, bound) in bounds {
+        let [middle, high, worst] = [0.5, 0.99, 1.0].map(|share| times.percentile(share));
+        println!("{cores} core, {edges} edges: {name} in force {middle:?} {high:?} {worst:?}");
+        assert!(worst <= bound, "{name}: {worst:?}");
+    }
+    println!(
+        "{cores} core, {edges} edges: {bytes} B/s and {messages} messages/s an edge, {core_bytes} B/s a core"
+    );
+}
+
+#[test]
+fn control_of_a_small_tier_stays_within_its_bytes_and_messages() {
+    measure_tier(3, 6, 14);
+}
+
+#[test]
+fn control_of_a_middle_tier_stays_within_its_bytes_and_messages() {
+    measure_tier(5, 73, 150);
+}
+
+#[test]
+fn control_of_a_large_tier_stays_within_its_bytes_and_messages() {
+    measure_tier(19, 620, 300);
+}
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -1,4 +1,4 @@
-//! Messages of discovery as they were recorded: read and written alike for ever.
+//! Messages of discovery as they were recorded, which every release decodes and encodes alike.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
@@ -14,7 +14,7 @@
 use woadreach_discovery::registry::{Refresh, RegistryVersion};
 use woadreach_discovery::sampling::{AgedEntry, NodeEntry, Shuffle};
 use woadreach_discovery::{
-    Departure, ModelRecord, NodeRole, ReplicaRecord, ReplicaState, ReplicaStatus,
+    Departure, Heartbeat, ModelRecord, NodeRole, ReplicaRecord, ReplicaState, ReplicaStatus,
 };
 
 fn endpoint(number: u8) -> Endpoint {
@@ -33,48 +33,52 @@
 fn model_replica() -> ReplicaRecord {
     ReplicaRecord {
         id: "replica-1".into(),
-        service: "model".into(),
-        address: SocketAddr::from(([10, 128, 0, 9], 8000)),
-        zone: "a".into(),
-        generation: "v1".into(),
-        capacity: 32,
-        state: ReplicaState::Draining,
-        cold_remaining_ms: 1500,
-        stage: Some("decode".into()),
-        models: vec![ModelRecord {
-            name: "m".into(),
-            generation: 4,
-            adapters: vec!["x".into(), "y".into()],
-        }],
-        sequence: 17,
+        heartbeat: Heartbeat {
+            service: "model".into(),
+            address: SocketAddr::from(([10, 128, 0, 9], 8000)),
+            zone: "a".into(),
+            generation: "v1".into(),
+            capacity: 32,
+            state: ReplicaState::Draining,
+            cold_remaining_ms: 1500,
+            stage: Some("decode".into()),
+            models: vec![ModelRecord {
+                name: "m".into(),
+                generation: 4,
+                adapters: vec!["x".into(), "y".into()],
+            }],
+            sequence: 17,
+        },
     }
 }
 
 fn plain_replica() -> ReplicaRecord {
     ReplicaRecord {
         id: "replica-2".into(),
-        state: ReplicaState::Ready,
-        cold_remaining_ms: 0,
-        stage: None,
-        models: Vec::new(),
-        ..model_replica()
+        heartbeat: Heartbeat {
+            state: ReplicaState::Ready,
+            cold_remaining_ms: 0,
+            stage: None,
+            models: Vec::new(),
+            ..model_replica().heartbeat
+        },
     }
 }
 
-/// Every kind of account of a replica.
+/// Every kind of status of a replica.
 fn statuses() -> Vec<StatusEntry> {
-    let gone = |sequence, departure| ReplicaStatus::Gone {
+    let departed = |sequence, departure| ReplicaStatus::Departed {
         sequence,
         departure,
     };
-    let accounts = [
+    let statuses = [
         ("replica-1", ReplicaStatus::Present(model_replica())),
         ("replica-2", ReplicaStatus::Present(plain_replica())),
-        ("replica-3", gone(5, Departure::Silent)),
-        ("replica-4", gone(6, Departure::Superseded)),
-        ("replica-5", ReplicaStatus::left()),
+        ("replica-3", departed(5, Departure::Unresponsive)),
+        ("replica-4", departed(6, Departure::Superseded)),
+        ("replica-5", ReplicaStatus::deregistered()),
     ];
-    accounts
+    statuses
         .into_iter()
         .map(|(id, status)| StatusEntry::new(id.to_owned(), &status))
         .collect()
@@ -139,7 +143,7 @@
 }
 
 fn poll_responses() -> Vec<(&'static str, PollResponse)> {
-    let news = PollResponse {
+    let updates = PollResponse {
         standing: Standing {
             in_quorum: true,
             warming: true,
@@ -155,7 +159,7 @@
         }),
         registry: registry_response(),
     };
-    let no_news = PollResponse {
+    let no_updates = PollResponse {
         standing: Standing::default(),
         configuration_generation: 0,
         view: None,
@@ -168,7 +172,7 @@
             ..registry_response()
         },
     };
-    vec![("news", news), ("no news", no_news)]
+    vec![("news", updates), ("no news", no_updates)]
 }
 
 fn configuration_responses() -> Vec<(&'static str, ConfigurationResponse)> {
@@ -187,7 +191,7 @@
     ]
 }
 
-/// A process of every role, with and without a control address, and a seed that was not heard yet.
+/// A process of every role, with and without a control address, and a seed that has not answered yet.
 fn shuffle() -> Shuffle {
     let aged = |node: &str, role, control, age_ms| AgedEntry {
         entry: NodeEntry {
@@ -260,9 +264,9 @@
     recorded.finish();
 }
 
-/// What a core machine is told of a replica comes back with all that the replica has said.
+/// The status that a core machine receives contains everything that the replica has reported.
 #[test]
-fn accounts_of_replicas_come_back_whole() {
+fn statuses_of_replicas_are_decoded_completely() {
     let bytes = RecordedBytes::open("responses").bytes("registry");
     let response: RegistryResponse = decode(&bytes).expect("a recorded message");
     let found: Vec<(String, ReplicaStatus)> = response
@@ -284,12 +288,15 @@
             ReplicaStatus::Present(plain_replica())
         )
     );
-    assert_eq!(found[4], ("replica-5".to_owned(), ReplicaStatus::left()));
+    assert_eq!(
+        found[4],
+        ("replica-5".to_owned(), ReplicaStatus::deregistered())
+    );
 }
 
 /// Machines compare these digests with their own.
 #[test]
-fn digests_of_accounts_are_as_recorded() {
+fn digests_of_records_are_as_recorded() {
     let recorded = RecordedBytes::open("digests");
     recorded.check_bytes(
         "model replica",
@@ -302,7 +309,7 @@
     recorded.finish();
 }
 
-/// Tells of bytes what reading them comes to.
+/// Decodes bytes as one kind of message.
 type Reader = fn(&[u8]) -> Result<(), MessageError>;
 
 /// Every encoded message, and how it is read.
@@ -343,7 +350,7 @@
 }
 
 #[test]
-fn what_is_cut_at_any_byte_cannot_be_decoded() {
+fn messages_truncated_at_any_byte_cannot_be_decoded() {
     let expected = [
         (0, "the message is empty".to_owned()),
         (1, "the message cannot be decoded".to_owned()),
@@ -355,7 +362,7 @@
 
 /// Later programs may add fields at the end.
 #[test]
-fn bytes_behind_a_message_are_passed_over() {
+fn bytes_after_a_message_are_ignored() {
     for (name, bytes, read) in all_bytes() {
         assert_eq!(
             outcome(read(&[bytes, vec![0, 1, 2]].concat())),
@@ -381,7 +388,7 @@
     }
 }
 
-/// The kind of a request stands in four bytes behind the version.
+/// The kind of a request is in the four bytes after the version.
 #[test]
 fn unknown_kinds_cannot_be_decoded() {
     for kind in [5, 255, u32::MAX] {
