--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -7,10 +7,11 @@
 
 use crate::action::Action;
 use crate::call::{Call, CallId};
-use crate::fleet::{Fleet, ReplicaKey};
-use crate::in_hand::{AttemptState, CallInHand};
+use crate::calls_in_flight::{AttemptState, CallInFlight};
+use crate::fleet::Fleet;
+use crate::keys::ReplicaKey;
 use crate::outcome::{Outcome, ServerLoad};
-use crate::pace::Programs;
+use crate::programs::Programs;
 use crate::routes::Routes;
 use crate::service::Service;
 use crate::spec::{ReplicaSpec, ServiceSpec};
@@ -25,7 +26,7 @@
     pub(crate) fleet: Fleet,
     pub(crate) routes: Routes,
     pub(crate) programs: Programs,
-    pub(crate) calls: BTreeMap<CallId, CallInHand>,
+    pub(crate) calls: BTreeMap<CallId, CallInFlight>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
     /// Calls that no replica may take for now.
     pub(crate) waiting: BTreeSet<CallId>,
@@ -79,7 +80,7 @@
         self.displaced.extend(self.waiting.iter());
         for (id, call) in &self.calls {
             if call
-                .waits_at()
+                .queued_at()
                 .is_some_and(|replica| !self.fleet.get(replica).is_some_and(|r| r.is_usable()))
             {
                 self.displaced.insert(*id);
@@ -97,9 +98,10 @@
         if let Some(service) = self.services.get_mut(&service) {
             service.arrived(now, call.priority);
         }
-        self.calls.insert(id, CallInHand::new(call, route, service));
+        self.calls
+            .insert(id, CallInFlight::new(call, route, service));
         let mut actions = Vec::new();
-        match self.refused_on_arrival(now, id) {
+        match self.rejection_on_arrival(now, id) {
             Some(retry_after) => self.refuse(now, id, retry_after, &mut actions),
             None => self.decide(now, id, &mut actions),
         }
@@ -122,7 +124,7 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return actions;
         };
-        if sent.state != AttemptState::Out {
+        if sent.state != AttemptState::InFlight {
             return actions;
         }
         sent.state = AttemptState::Ended(outcome);
@@ -133,11 +135,11 @@
             self.end(now, id, true);
             freed
                 .into_iter()
-                .for_each(|replica| self.release_held(now, replica, &mut actions));
+                .for_each(|replica| self.release_queued(now, replica, &mut actions));
         } else {
             self.decide_after_failure(now, id, outcome, &mut actions);
         }
-        self.release_held(now, replica, &mut actions);
+        self.release_queued(now, replica, &mut actions);
         actions
     }
 
@@ -149,7 +151,7 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return;
         };
-        if sent.state == AttemptState::Out && !sent.begun {
+        if sent.state == AttemptState::InFlight && !sent.begun {
             sent.begun = true;
             self.timers.set(&mut call.timer, id, None);
             self.observe_begin(now, id, attempt, load);
@@ -166,7 +168,7 @@
         let released = self.abort_all(id, &mut actions);
         self.end(now, id, false);
         for replica in released {
-            self.release_held(now, replica, &mut actions);
+            self.release_queued(now, replica, &mut actions);
         }
         actions
     }
--- a/crates/tier/scheduler/src/call_state.rs
+++ b/crates/tier/scheduler/src/call_state.rs
@@ -3,29 +3,29 @@
 //! | state | meaning | event | next |
 //! | --- | --- | --- | --- |
 //! | `Deciding` | nothing is out, a decision is due | `Sent` | `Running` |
-//! | | | `HeldBack` | `Held` |
-//! | | | `PutOff` | `Waiting` |
-//! | `Held` | waits in the queue of a replica | `Released` | `Deciding` |
-//! | `Waiting` | no replica may take it for now | `Released` | `Deciding` |
+//! | | | `Enqueued` | `Queued` |
+//! | | | `Postponed` | `Unplaced` |
+//! | `Queued` | waits in the queue of a replica | `Released` | `Deciding` |
+//! | `Unplaced` | no replica may take it for now | `Released` | `Deciding` |
 //! | `Running` | at least one attempt is out | `Sent` | `Running` |
-//! | | | `NothingOut` | `Deciding` |
+//! | | | `AttemptsEnded` | `Deciding` |
 //!
-//! A call that ends is dropped in any state but `Held` (it is released first).
+//! A call that ends is dropped in any state but `Queued` (it is released first).
 
 use snafu::Snafu;
 
-use crate::fleet::ReplicaKey;
+use crate::keys::ReplicaKey;
 
 /// Where a call stands. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallState {
     Deciding,
     /// Held back from `replica`, in order of `deadline`.
-    Held {
+    Queued {
         replica: ReplicaKey,
         deadline: f64,
     },
-    Waiting,
+    Unplaced,
     Running,
 }
 
@@ -33,10 +33,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallEvent {
     Sent,
-    HeldBack { replica: ReplicaKey, deadline: f64 },
-    PutOff,
+    Enqueued { replica: ReplicaKey, deadline: f64 },
+    Postponed,
     Released,
-    NothingOut,
+    AttemptsEnded,
 }
 
 /// A change that the table does not name.
@@ -52,14 +52,14 @@
     pub fn after(self, event: CallEvent) -> Result<CallState, UnexpectedEvent> {
         match (self, event) {
             (CallState::Deciding | CallState::Running, CallEvent::Sent) => Ok(CallState::Running),
-            (CallState::Deciding, CallEvent::HeldBack { replica, deadline }) => {
-                Ok(CallState::Held { replica, deadline })
+            (CallState::Deciding, CallEvent::Enqueued { replica, deadline }) => {
+                Ok(CallState::Queued { replica, deadline })
             }
-            (CallState::Deciding, CallEvent::PutOff) => Ok(CallState::Waiting),
-            (CallState::Held { .. } | CallState::Waiting, CallEvent::Released) => {
+            (CallState::Deciding, CallEvent::Postponed) => Ok(CallState::Unplaced),
+            (CallState::Queued { .. } | CallState::Unplaced, CallEvent::Released) => {
                 Ok(CallState::Deciding)
             }
-            (CallState::Running, CallEvent::NothingOut) => Ok(CallState::Deciding),
+            (CallState::Running, CallEvent::AttemptsEnded) => Ok(CallState::Deciding),
             (state, event) => Err(UnexpectedEvent { state, event }),
         }
     }
--- a/crates/tier/scheduler/src/in_hand.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -5,17 +5,17 @@
 
 use crate::call::Call;
 use crate::call_state::{CallEvent, CallState};
-use crate::fleet::ReplicaKey;
+use crate::keys::ReplicaKey;
+use crate::keys::RouteKey;
 use crate::outcome::Outcome;
-use crate::routes::RouteKey;
 
 /// How often a call may be sent again to a replica that did not run it.
-const MOST_RETURNS: usize = 3;
+const MAX_RESENDS: usize = 3;
 
 /// How an attempt stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
-    Out,
+    InFlight,
     Ended(Outcome),
     /// Dropped by us: it may have run.
     Aborted,
@@ -54,7 +54,7 @@
 
 /// A call from its arrival to its end.
 #[derive(Debug)]
-pub(crate) struct CallInHand {
+pub(crate) struct CallInFlight {
     pub call: Call,
     pub route: RouteKey,
     pub service: Arc<str>,
@@ -68,9 +68,9 @@
     state: CallState,
 }
 
-impl CallInHand {
+impl CallInFlight {
     pub fn new(call: Call, route: RouteKey, service: Arc<str>) -> Self {
-        CallInHand {
+        CallInFlight {
             call,
             route,
             service,
@@ -95,18 +95,18 @@
     }
 
     /// The replica in whose queue it is held.
-    pub fn waits_at(&self) -> Option<ReplicaKey> {
+    pub fn queued_at(&self) -> Option<ReplicaKey> {
         match self.state {
-            CallState::Held { replica, .. } => Some(replica),
+            CallState::Queued { replica, .. } => Some(replica),
             _ => None,
         }
     }
 
     /// Whether a try at a replica is still out.
-    pub fn is_out(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.state == AttemptState::Out)
+            .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
     /// Whether it is proven that no attempt ran or will run.
@@ -128,7 +128,7 @@
             .collect()
     }
 
-    pub fn was_tried_at(&self, replica: ReplicaKey) -> bool {
+    pub fn was_sent_to(&self, replica: ReplicaKey) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.replica == replica)
@@ -138,8 +138,8 @@
     /// replica answered.
     ///
     /// After a few returns a refusal serves the client better: its next try may go elsewhere.
-    pub fn may_return_to(&self, replica: ReplicaKey) -> bool {
-        if self.sends_to(replica) > MOST_RETURNS {
+    pub fn may_resend_to(&self, replica: ReplicaKey) -> bool {
+        if self.sends_to(replica) > MAX_RESENDS {
             return false;
         }
         let misdirected = AttemptState::Ended(Outcome::Misdirected);
@@ -152,11 +152,11 @@
 
     /// Whether a second copy may be sent beside the attempt that is out: one at a time, before an answer has
     /// begun, within the most replicas.
-    pub fn may_be_copied(&self) -> bool {
+    pub fn may_hedge(&self) -> bool {
         let mut out = self
             .attempts
             .iter()
-            .filter(|attempt| attempt.state == AttemptState::Out);
+            .filter(|attempt| attempt.state == AttemptState::InFlight);
         let single = out.next().is_some_and(|attempt| !attempt.begun) && out.next().is_none();
         let within_bounds = self.replicas_reached().len() < self.call.max_replicas as usize;
         single && within_bounds && self.call.kind.may_run_again()
@@ -171,12 +171,12 @@
     }
 
     /// Whether the call has been offered to a replica.
-    pub fn was_offered(&self) -> bool {
+    pub fn has_reached_replica(&self) -> bool {
         self.attempts.iter().any(Attempt::reached_replica)
     }
 
     /// The outcome of the last attempt that may have run.
-    pub fn last_run(&self) -> Option<Outcome> {
+    pub fn last_executed_outcome(&self) -> Option<Outcome> {
         self.attempts
             .iter()
             .rev()
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -8,8 +8,8 @@
 use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
-use crate::fleet::ReplicaKey;
-use crate::in_hand::{Attempt, AttemptState};
+use crate::calls_in_flight::{Attempt, AttemptState};
+use crate::keys::ReplicaKey;
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, tokens_to_read};
 use crate::replica::InFlight;
@@ -17,9 +17,9 @@
 use crate::timers::has_come;
 
 /// The share of its target for which a call may be held without having been offered to a replica.
-const UNOFFERED_SHARE: f64 = 0.25;
+const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
 /// First pause (seconds) before a call goes back to a replica that did not run it; doubled with each attempt.
-const FIRST_BACKOFF: f64 = 0.03;
+const INITIAL_BACKOFF: f64 = 0.03;
 impl Admission {
     /// Decides anew about a call, whatever its state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
@@ -27,8 +27,8 @@
             return;
         };
         match call.state() {
-            CallState::Running => self.consider_late(now, id, actions),
-            CallState::Held { .. } | CallState::Waiting => {
+            CallState::Running => self.handle_late_attempt(now, id, actions),
+            CallState::Queued { .. } | CallState::Unplaced => {
                 self.release(id);
                 self.place(now, id, actions);
             }
@@ -44,11 +44,11 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_out()) else {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_in_flight()) else {
             return;
         };
-        call.apply(CallEvent::NothingOut);
-        let doubled = FIRST_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
+        call.apply(CallEvent::AttemptsEnded);
+        let doubled = INITIAL_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
         call.not_before = match outcome {
             Outcome::NotExecuted {
                 retry_after: Some(asked),
@@ -60,7 +60,7 @@
 
     /// Held calls leave earliest queuing deadline first, and those put off in order of arrival, as far as a
     /// replica that has just become freer allows.
-    pub(crate) fn release_held(
+    pub(crate) fn release_queued(
         &mut self,
         now: f64,
         replica: ReplicaKey,
@@ -68,7 +68,7 @@
     ) {
         let mut asked = BTreeSet::new();
         while let Some(first) = self
-            .held
+            .queue
             .first(&replica)
             .filter(|first| asked.insert(*first))
         {
@@ -101,7 +101,7 @@
         };
         let mut freed = Vec::new();
         for (number, attempt) in (0..).zip(&mut call.attempts) {
-            if attempt.state == AttemptState::Out {
+            if attempt.state == AttemptState::InFlight {
                 attempt.state = AttemptState::Aborted;
                 actions.push(Action::Abort {
                     call: id,
@@ -149,10 +149,10 @@
             return;
         };
         if call.has_not_run() {
-            let retry_after = self.retry_advice(now, id);
+            let retry_after = self.retry_after_for(now, id);
             return self.refuse(now, id, retry_after, actions);
         }
-        let reason = match call.last_run() {
+        let reason = match call.last_executed_outcome() {
             Some(Outcome::ReplicaError) => FailReason::ReplicaError,
             Some(Outcome::TimedOut) => FailReason::TimedOut,
             _ if now >= call.call.give_up_at => FailReason::TimedOut,
@@ -168,8 +168,8 @@
             return;
         };
         match call.state() {
-            CallState::Held { replica, deadline } => self.held.remove(&replica, deadline, id),
-            CallState::Waiting => {
+            CallState::Queued { replica, deadline } => self.queue.remove(&replica, deadline, id),
+            CallState::Unplaced => {
                 self.waiting.remove(&id);
             }
             CallState::Deciding | CallState::Running => return,
@@ -186,10 +186,10 @@
             return self.give_up(now, id, actions);
         }
         match self.choose(now, id) {
-            Choice::Never => self.without_replica(now, id, actions),
-            Choice::Later => self.put_off(now, id, None, actions),
-            Choice::Hold(replica) => self.hold_back(now, id, replica, actions),
-            Choice::SendTrial(replica) => {
+            Choice::NoReplica => self.handle_missing_replica(now, id, actions),
+            Choice::Postpone => self.postpone(now, id, None, actions),
+            Choice::Enqueue(replica) => self.enqueue(now, id, replica, actions),
+            Choice::SendProbe(replica) => {
                 if let Some(replica) = self.fleet.get_mut(replica) {
                     replica.health.probe_sent(now);
                 }
@@ -201,7 +201,7 @@
 
     fn choose(&mut self, now: f64, id: CallId) -> Choice {
         let Some(call) = self.calls.get_mut(&id) else {
-            return Choice::Never;
+            return Choice::NoReplica;
         };
         let service = self.services.get(&call.service);
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, service);
@@ -213,12 +213,12 @@
             routes: &self.routes,
         };
         let Some(call) = self.calls.get(&id) else {
-            return Choice::Never;
+            return Choice::NoReplica;
         };
         let is_behind = |replica: ReplicaKey| {
-            self.held.first(&replica).is_some()
+            self.queue.first(&replica).is_some()
                 && self
-                    .held
+                    .queue
                     .is_behind(&replica, step.queuing_deadline(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
@@ -244,17 +244,17 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (returns, not_before) = (call.was_tried_at(replica), call.not_before);
-        let repeats = call.was_offered();
+        let (returns, not_before) = (call.was_sent_to(replica), call.not_before);
+        let repeats = call.has_reached_replica();
         let affordable = self
             .services
             .get(&call.service)
-            .is_none_or(|service| service.budget.allows());
+            .is_none_or(|service| service.budget.can_retry());
         if self.is_hopeless(now, id, replica) || (repeats && !affordable) {
             return self.give_up(now, id, actions);
         }
         if returns && !has_come(now, not_before) {
-            return self.put_off(now, id, Some(not_before), actions);
+            return self.postpone(now, id, Some(not_before), actions);
         }
         self.send(now, id, replica, actions);
     }
@@ -272,13 +272,13 @@
         let Some(at) = self.fleet.get_mut(replica) else {
             return;
         };
-        let repeats = call.was_offered();
+        let repeats = call.has_reached_replica();
         let attempt = call.attempts.len() as u32;
         let replica_id = at.spec.id.clone();
         call.attempts.push(Attempt {
             replica,
             replica_id,
-            state: AttemptState::Out,
+            state: AttemptState::InFlight,
             begun: false,
         });
         call.apply(CallEvent::Sent);
@@ -303,7 +303,7 @@
                 service.budget.earn()
             }
         }
-        let late_after = if call.may_be_copied() {
+        let late_after = if call.may_hedge() {
             self.routes.late_after(call.route)
         } else {
             self.routes.lost_after(call.route)
@@ -321,12 +321,12 @@
 
     /// Every replica that it might go to is gone or has had it. Only where the service has none at all, a
     /// call that has not run waits for one, for as long as it may be held.
-    fn without_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
+    fn handle_missing_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.attempts.is_empty() && self.fleet.usable(&call.service).next().is_none() {
-            self.put_off(now, id, None, actions);
+            self.postpone(now, id, None, actions);
         } else {
             self.give_up(now, id, actions);
         }
@@ -334,28 +334,28 @@
 
     /// Until when a call may be held: a share of its target if no replica was offered it, else as long as a
     /// replica can still make it.
-    fn held_until(&self, now: f64, id: CallId) -> f64 {
+    fn max_queued_until(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return now;
         };
-        if call.was_offered() {
+        if call.has_reached_replica() {
             let k = self.programs.step_size(&call.call);
             call.call.give_up_at - self.routes.tail(now, call.route, None, k)
         } else {
-            call.call.arrived + UNOFFERED_SHARE * call.call.target_latency
+            call.call.arrived + UNOFFERED_QUEUE_SHARE * call.call.target_latency
         }
     }
 
     /// No replica may take it now: it waits for one, at the longest until `until`.
-    fn put_off(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
-        let most = self.held_until(now, id);
+    fn postpone(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
+        let most = self.max_queued_until(now, id);
         if has_come(now, most) {
             return self.give_up(now, id, actions);
         }
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.apply(CallEvent::PutOff);
+        call.apply(CallEvent::Postponed);
         self.waiting.insert(id);
         let until = until.map_or(most, |until| until.min(most));
         self.timers.set(&mut call.timer, id, Some(until));
@@ -363,8 +363,8 @@
 
     /// Its replica is held: it waits there, ordered by the queuing deadline of its step. When it may be
     /// held no longer without having been offered, it is offered all the same.
-    fn hold_back(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let most = self.held_until(now, id);
+    fn enqueue(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
+        let most = self.max_queued_until(now, id);
         if self.is_hopeless(now, id, replica) {
             return self.give_up(now, id, actions);
         }
@@ -381,11 +381,11 @@
             return;
         };
         let deadline = step.queuing_deadline(call, replica);
-        self.held.insert(&replica, deadline, id);
+        self.queue.insert(&replica, deadline, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.apply(CallEvent::HeldBack { replica, deadline });
+        call.apply(CallEvent::Enqueued { replica, deadline });
         self.timers.set(&mut call.timer, id, Some(most));
     }
 }
--- a/crates/tier/scheduler/src/fleet.rs
+++ b/crates/tier/scheduler/src/fleet.rs
@@ -3,20 +3,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use crate::keys::ReplicaKey;
 use crate::replica::Replica;
 use crate::spec::ReplicaSpec;
 
-/// A replica's number in this process; never used twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ReplicaKey(u32);
-
 /// The replicas and their numbers.
 #[derive(Default)]
 pub(crate) struct Fleet {
     replicas: BTreeMap<ReplicaKey, Replica>,
     by_id: BTreeMap<Arc<str>, ReplicaKey>,
     by_service: BTreeMap<Arc<str>, BTreeSet<ReplicaKey>>,
-    named: u32,
+    last_key: u32,
 }
 
 impl Fleet {
@@ -73,8 +70,8 @@
     }
 
     fn insert(&mut self, now: f64, spec: &ReplicaSpec) {
-        self.named += 1;
-        let key = ReplicaKey(self.named);
+        self.last_key += 1;
+        let key = ReplicaKey::new(self.last_key);
         self.by_id.insert(spec.id.clone(), key);
         self.by_service
             .entry(spec.service.clone())
--- a/crates/tier/scheduler/src/second_copies.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -4,27 +4,27 @@
 use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::CallEvent;
-use crate::fleet::ReplicaKey;
-use crate::in_hand::{Attempt, AttemptState};
+use crate::calls_in_flight::{Attempt, AttemptState};
+use crate::keys::ReplicaKey;
 use crate::placement::Placement;
 use crate::replica::InFlight;
 
 /// How soon (seconds) a late attempt is looked at again, at the least.
-const LOOK_AGAIN: f64 = 0.05;
+const MIN_RECHECK_INTERVAL: f64 = 0.05;
 /// A call that so many sent later overtook at its replica has lost its answer.
-const OVERTAKEN: u32 = 2;
+const MIN_OVERTAKEN: u32 = 2;
 
 impl Admission {
     /// A late attempt. If its replica has lost it that speaks against the replica. If the call may run again,
     /// a safe one gets a second copy, and a resumable stream is taken from a replica that has lost it.
-    pub(crate) fn consider_late(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        self.observe_lost(now, id);
+    pub(crate) fn handle_late_attempt(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
+        self.observe_lost_attempts(now, id);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let streaming = call.call.kind.is_streaming();
-        let wanted = call.may_be_copied() && (!streaming || self.has_lost_it(now, id));
-        if let Some(replica) = self.copy_target(now, id).filter(|_| wanted) {
+        let wanted = call.may_hedge() && (!streaming || self.have_all_attempts_been_lost(now, id));
+        if let Some(replica) = self.hedge_target(now, id).filter(|_| wanted) {
             let freed = if streaming {
                 self.abort_lost(now, id, actions)
             } else {
@@ -33,31 +33,31 @@
             self.send(now, id, replica, actions);
             freed
                 .into_iter()
-                .for_each(|freed| self.release_held(now, freed, actions));
+                .for_each(|freed| self.release_queued(now, freed, actions));
             return;
         }
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let begun = call.attempts.iter().any(|attempt| attempt.begun);
-        let again = now + (self.routes.late_after(call.route) / 2.0).max(LOOK_AGAIN);
+        let again = now + (self.routes.late_after(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
         let again = Some(again).filter(|at| !begun && *at < call.call.give_up_at);
         self.timers.set(&mut call.timer, id, again);
     }
 
     /// Replicas that have lost an attempt of the call are ejected, as it won't be told otherwise for long.
-    fn observe_lost(&mut self, now: f64, id: CallId) {
+    fn observe_lost_attempts(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let late = |sent: &InFlight| now > sent.sent_at + self.routes.lost_after(sent.route);
         let lost: Vec<(u32, ReplicaKey)> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::Out && !attempt.begun)
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.begun)
             .filter(|(number, attempt)| {
                 let replica = self.fleet.get(attempt.replica);
                 let sent = replica.and_then(|replica| replica.in_flight.get(&(id, *number)));
-                sent.is_some_and(late) && self.is_lost(now, id, *number, attempt)
+                sent.is_some_and(late) && self.has_lost_attempt(now, id, *number, attempt)
             })
             .map(|(number, attempt)| (number, attempt.replica))
             .collect();
@@ -70,42 +70,42 @@
         self.observe_given_up(now, id);
         let freed = self.abort_all(id, actions);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.apply(CallEvent::NothingOut);
+            call.apply(CallEvent::AttemptsEnded);
         }
         freed
     }
 
-    fn copy_target(&mut self, now: f64, id: CallId) -> Option<ReplicaKey> {
+    fn hedge_target(&mut self, now: f64, id: CallId) -> Option<ReplicaKey> {
         let call = self.calls.get(&id)?;
         let service = self.services.get(&call.service)?;
-        if !service.budget.allows() {
+        if !service.budget.can_retry() {
             return None;
         }
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, Some(service));
-        let replica = placement.choose_copy(call, &mut self.random)?;
+        let replica = placement.choose_hedge(call, &mut self.random)?;
         (!self.is_hopeless(now, id, replica)).then_some(replica)
     }
 
     /// Whether every replica where the call is out has lost it.
-    fn has_lost_it(&self, now: f64, id: CallId) -> bool {
+    fn have_all_attempts_been_lost(&self, now: f64, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
         let mut out = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::Out);
-        out.all(|(number, attempt)| self.is_lost(now, id, number, attempt))
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight);
+        out.all(|(number, attempt)| self.has_lost_attempt(now, id, number, attempt))
     }
 
     /// Whether the replica of a late attempt has left, shows no sign of work, or began others sent later.
-    fn is_lost(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
+    fn has_lost_attempt(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
         let Some(replica) = self.fleet.get(attempt.replica) else {
             return true;
         };
         let overtaken = replica
             .in_flight
             .get(&(id, number))
-            .is_none_or(|s| s.overtaken >= OVERTAKEN);
-        overtaken || replica.is_silent(now, |route| self.routes.late_after(route))
+            .is_none_or(|s| s.overtaken >= MIN_OVERTAKEN);
+        overtaken || replica.is_unresponsive(now, |route| self.routes.late_after(route))
     }
 }
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -4,8 +4,8 @@
 
 use crate::admission::Admission;
 use crate::call::CallId;
-use crate::fleet::ReplicaKey;
-use crate::in_hand::AttemptState;
+use crate::calls_in_flight::AttemptState;
+use crate::keys::ReplicaKey;
 use crate::outcome::{Outcome, ServerLoad};
 use crate::replica::{Failure, FailureKind, InFlight};
 
@@ -44,7 +44,7 @@
         if sent.alone {
             route.unloaded.record(now, &key, latency, ejected);
         }
-        replica.heard(now, load);
+        replica.record_activity(now, load);
         replica.begun(id, attempt, late);
         if self
             .calls
@@ -87,7 +87,7 @@
             return;
         };
         replica.in_flight.remove(&(id, attempt));
-        replica.told_load(now, load);
+        replica.record_load(now, load);
         match outcome {
             Outcome::Answered | Outcome::ReplicaError => replica.answered(),
             Outcome::NotExecuted { .. } if too_large => return,
@@ -141,7 +141,7 @@
         };
         let out: Vec<u32> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::Out && !attempt.begun)
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.begun)
             .map(|(number, _)| number)
             .collect();
         for number in out {
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -17,33 +17,35 @@
 use woadreach_routing::decide::candidates::Candidates;
 use woadreach_routing::rendezvous::rank;
 
-use crate::fleet::{Fleet, ReplicaKey};
-use crate::in_hand::CallInHand;
+use crate::calls_in_flight::CallInFlight;
+use crate::fleet::Fleet;
+use crate::keys::ReplicaKey;
+use crate::keys::RouteKey;
 use crate::replica::Replica;
-use crate::routes::{RouteKey, Routes};
+use crate::routes::Routes;
 use crate::service::Service;
 
 /// Prompt tokens that count as one in the comparison: finer differences are not worth a longer queue.
 const TOKENS_PER_UNIT: usize = 256;
 /// The part of a prompt that is counted as kept at the home of its program: all but the newest input,
 /// which is a quarter once a program has grown for a few turns. It understates what long programs keep.
-const KEPT_AT_HOME: f64 = 0.75;
+const CACHED_SHARE_AT_HOME: f64 = 0.75;
 /// Replicas that a call may be tried at in all, whatever the route allows: those that it never reached
 /// count too.
-const MOST_ATTEMPTS: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 
 /// Where an attempt may go.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Choice {
     Send(ReplicaKey),
     /// As a trial of an ejected replica.
-    SendTrial(ReplicaKey),
+    SendProbe(ReplicaKey),
     /// Its replica is held, or earlier calls wait there.
-    Hold(ReplicaKey),
+    Enqueue(ReplicaKey),
     /// Replicas exist, but none may take it now.
-    Later,
+    Postpone,
     /// No replica that may run it.
-    Never,
+    NoReplica,
 }
 
 /// What the choice reads.
@@ -82,38 +84,38 @@
     /// replica.
     pub fn choose(
         &self,
-        call: &CallInHand,
+        call: &CallInFlight,
         is_behind: impl Fn(ReplicaKey) -> bool,
         random: &mut oorandom::Rand64,
     ) -> Choice {
         let mut candidates = self.allowed(call);
         if candidates.is_empty() {
-            return Choice::Never;
+            return Choice::NoReplica;
         }
         candidates
             .require(|key| self.with(*key, |replica| replica.in_flight.len() < self.connections));
         if candidates.is_empty() {
-            return Choice::Later;
+            return Choice::Postpone;
         }
         if let Some(trial) = self.trial(call, &candidates) {
-            return Choice::SendTrial(trial);
+            return Choice::SendProbe(trial);
         }
         self.prefer_sound(call, &mut candidates);
-        let is_held = |key: &ReplicaKey| {
+        let is_queueing = |key: &ReplicaKey| {
             is_behind(*key)
                 || self.with(*key, |replica| replica.hold.holds(replica.in_flight.len()))
         };
-        candidates.prefer(|key| !is_held(key));
+        candidates.prefer(|key| !is_queueing(key));
         match self.cheapest(call, &mut candidates, random) {
-            Some(key) if is_held(&key) => Choice::Hold(key),
+            Some(key) if is_queueing(&key) => Choice::Enqueue(key),
             Some(key) => Choice::Send(key),
-            None => Choice::Later,
+            None => Choice::Postpone,
         }
     }
 
     /// The home of the call's program or object. Programs have it in the own zone, through which their turns
     /// mostly come in, unless too few replicas are there.
-    pub fn home(&self, call: &CallInHand) -> Option<ReplicaKey> {
+    pub fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
         let is_engine = self.mean_read > 0;
         let key = if is_engine {
             call.call.program.or(call.call.session)
@@ -122,7 +124,7 @@
         };
         let key = key?.to_le_bytes();
         let is_sound = |(_, replica): &(ReplicaKey, &Replica)| {
-            !replica.health.is_ejected_for(call.route) && !self.is_silent(replica)
+            !replica.health.is_ejected_for(call.route) && !self.is_unresponsive(replica)
         };
         let sound: Vec<(ReplicaKey, &Replica)> =
             self.fleet.usable(&call.service).filter(is_sound).collect();
@@ -157,41 +159,44 @@
 
     /// Chooses for a second copy beside an attempt that is out: only an untried, sound replica that is no
     /// busier than any other.
-    pub fn choose_copy(
+    pub fn choose_hedge(
         &self,
-        call: &CallInHand,
+        call: &CallInFlight,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
         let mut candidates = self.allowed(call);
-        candidates.require(|key| !call.was_tried_at(*key));
+        candidates.require(|key| !call.was_sent_to(*key));
         candidates.require(|key| {
             self.with(*key, |replica| {
                 replica.in_flight.len() < self.connections
                     && !replica.health.is_ejected_for(call.route)
                     && !replica.is_saturated(self.now)
                     && !replica.hold.holds(replica.in_flight.len())
-                    && !self.is_silent(replica)
+                    && !self.is_unresponsive(replica)
             })
         });
         self.cheapest(call, &mut candidates, random)
     }
 
     /// Replicas that the rules allow: usable ones of the service, within the most that a try may be sent to.
-    fn allowed(&self, call: &CallInHand) -> Candidates<ReplicaKey> {
+    fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
         let spent = reached.len() >= call.call.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
-        candidates.require(|key| {
-            call.attempts.len() < MOST_ATTEMPTS && (!spent || reached.contains(key))
-        });
-        candidates.require(|key| call.may_return_to(*key));
-        candidates.prefer(|key| !call.was_tried_at(*key));
+        candidates
+            .require(|key| call.attempts.len() < MAX_ATTEMPTS && (!spent || reached.contains(key)));
+        candidates.require(|key| call.may_resend_to(*key));
+        candidates.prefer(|key| !call.was_sent_to(*key));
         candidates
     }
 
     /// An ejected replica that is due a trial, if this call can be risked: it may run again elsewhere, or a
     /// failure as the last one there costs a call nothing, or the last one was long ago.
-    fn trial(&self, call: &CallInHand, candidates: &Candidates<ReplicaKey>) -> Option<ReplicaKey> {
+    fn trial(
+        &self,
+        call: &CallInFlight,
+        candidates: &Candidates<ReplicaKey>,
+    ) -> Option<ReplicaKey> {
         let others_exist =
             candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
         if !call.attempts.is_empty() || !others_exist {
@@ -199,7 +204,7 @@
         }
         let may_move = call.call.kind.may_run_again() && call.call.max_replicas > 1;
         let due = |replica: &Replica| {
-            let may_risk = may_move || replica.trial_is_harmless(self.now);
+            let may_risk = may_move || replica.may_probe_with_any_call(self.now);
             may_risk && replica.health.probe_due(self.now, call.route)
         };
         self.fleet
@@ -209,24 +214,25 @@
     }
 
     /// Drops what failed of late, is silent, full or cold, as long as others remain.
-    fn prefer_sound(&self, call: &CallInHand, candidates: &mut Candidates<ReplicaKey>) {
+    fn prefer_sound(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
         // Where most are ejected for being slow the load is the cause, and fewer replicas would make it
         // worse.
-        let load_is_the_cause = self.most_are_ejected(call);
+        let load_is_the_cause = self.is_majority_ejected(call);
         candidates.prefer(|key| {
             let spared = load_is_the_cause && self.with(*key, Replica::is_merely_slow);
             spared || !self.is_ejected(*key, call.route)
         });
-        candidates.prefer(|key| self.with(*key, |replica| !self.is_silent(replica)));
-        candidates.prefer(|key| self.with(*key, |replica| !replica.failed_just_now(self.now)));
+        candidates.prefer(|key| self.with(*key, |replica| !self.is_unresponsive(replica)));
+        candidates.prefer(|key| self.with(*key, |replica| !replica.has_failed_recently(self.now)));
         candidates.prefer(|key| self.with(*key, |replica| !replica.is_saturated(self.now)));
-        candidates.prefer(|key| self.with(*key, |replica| replica.is_warm_enough(self.now)));
-        candidates.prefer(|key| !call.was_tried_at(*key));
+        candidates
+            .prefer(|key| self.with(*key, |replica| replica.has_slow_start_capacity(self.now)));
+        candidates.prefer(|key| !call.was_sent_to(*key));
     }
 
     fn cheapest(
         &self,
-        call: &CallInHand,
+        call: &CallInFlight,
         candidates: &mut Candidates<ReplicaKey>,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
@@ -239,7 +245,7 @@
 
     /// Own calls in flight; for engines in units of the prompt tokens that they and this call need read
     /// there.
-    fn cost(&self, key: ReplicaKey, call: &CallInHand) -> usize {
+    fn cost(&self, key: ReplicaKey, call: &CallInFlight) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
         };
@@ -254,7 +260,7 @@
         self.with(key, |replica| replica.health.is_ejected_for(route))
     }
 
-    fn most_are_ejected(&self, call: &CallInHand) -> bool {
+    fn is_majority_ejected(&self, call: &CallInFlight) -> bool {
         let usable = || self.fleet.usable(&call.service);
         let ejected = usable()
             .filter(|(_, replica)| replica.health.is_ejected_for(call.route))
@@ -262,8 +268,8 @@
         ejected * 2 > usable().count()
     }
 
-    fn is_silent(&self, replica: &Replica) -> bool {
-        replica.is_silent(self.now, |route| self.routes.late_after(route))
+    fn is_unresponsive(&self, replica: &Replica) -> bool {
+        replica.is_unresponsive(self.now, |route| self.routes.late_after(route))
     }
 
     fn with(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
@@ -273,10 +279,10 @@
 
 /// Prompt tokens that the replica would have to read: those that neither its own cache is known to hold nor,
 /// at the call's home, others have sent.
-pub(crate) fn tokens_to_read(call: &CallInHand, key: ReplicaKey, replica: &Replica) -> u32 {
+pub(crate) fn tokens_to_read(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.call.tokens_in;
     let sent_by_others = if call.home == Some(key) {
-        f64::from(tokens) * KEPT_AT_HOME
+        f64::from(tokens) * CACHED_SHARE_AT_HOME
     } else {
         0.0
     };
--- a/crates/tier/scheduler/src/pace.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -12,16 +12,16 @@
 use crate::call::{Call, CallId};
 
 /// A program without a call in hand for so long (seconds) is over.
-const OVER_AFTER: f64 = 3.0;
+const IDLE_TIMEOUT: f64 = 3.0;
 /// Weight of the latest program in the learned share.
 const LEARNING_RATE: f64 = 0.1;
 /// Share of its time that the work of a program takes, before any of its kind has ended.
-const FIRST_SHARE: f64 = 0.5;
+const INITIAL_WORK_SHARE: f64 = 0.5;
 /// The least share of the time left that is taken for work still expected: a program that has done more
 /// than is typical of its kind may still go on.
-const LEAST_WORK_LEFT: f64 = 0.25;
+const MIN_REMAINING_WORK_SHARE: f64 = 0.25;
 /// Programs looked at for their end with each arrival, so that an arrival costs the same with many programs.
-const LOOKED_AT: usize = 2;
+const MAX_PROGRAMS_CHECKED: usize = 2;
 
 /// A program with calls here.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     last_end: f64,
     answers: u32,
     /// Calls in hand: those of its present step.
-    in_hand: BTreeSet<CallId>,
+    in_flight: BTreeSet<CallId>,
     step_started: f64,
     /// What the longest call of the present step takes on an idle replica.
     step_unloaded: f64,
@@ -61,7 +61,7 @@
             time: None,
             last_end: now,
             answers: 0,
-            in_hand: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             step_started: now,
             step_unloaded: 0.0,
             lost: 0.0,
@@ -69,11 +69,11 @@
         program.time = program
             .time
             .or(call.finish_at.map(|at| at - program.started));
-        if program.in_hand.is_empty() {
+        if program.in_flight.is_empty() {
             program.step_started = call.arrived;
             program.step_unloaded = 0.0;
         }
-        program.in_hand.insert(call.id);
+        program.in_flight.insert(call.id);
     }
 
     /// A call of a program has ended, which takes `unloaded` seconds on an idle replica.
@@ -81,11 +81,11 @@
         let Some(program) = call.program.and_then(|id| self.programs.get_mut(&id)) else {
             return;
         };
-        program.in_hand.remove(&call.id);
+        program.in_flight.remove(&call.id);
         program.last_end = now;
         program.answers += u32::from(answered);
         program.step_unloaded = program.step_unloaded.max(unloaded);
-        if program.in_hand.is_empty() {
+        if program.in_flight.is_empty() {
             program.lost += (now - program.step_started - program.step_unloaded).max(0.0);
         }
     }
@@ -93,8 +93,8 @@
     /// The calls of the same program in hand, this one among them.
     pub fn step_calls(&self, call: &Call) -> Vec<CallId> {
         match call.program.and_then(|id| self.programs.get(&id)) {
-            Some(program) if !program.in_hand.is_empty() => {
-                program.in_hand.iter().copied().collect()
+            Some(program) if !program.in_flight.is_empty() => {
+                program.in_flight.iter().copied().collect()
             }
             _ => vec![call.id],
         }
@@ -104,19 +104,19 @@
     pub fn step_size(&self, call: &Call) -> usize {
         call.program
             .and_then(|id| self.programs.get(&id))
-            .map_or(1, |program| program.in_hand.len().max(1))
+            .map_or(1, |program| program.in_flight.len().max(1))
     }
 
     /// When the present step of the call's program began.
     pub fn step_started(&self, call: &Call) -> f64 {
         let program = call.program.and_then(|id| self.programs.get(&id));
         program
-            .filter(|program| !program.in_hand.is_empty())
+            .filter(|program| !program.in_flight.is_empty())
             .map_or(call.arrived, |p| p.step_started)
     }
 
     /// Whether a call of the program has been answered here.
-    pub fn is_under_way(&self, call: &Call) -> bool {
+    pub fn is_in_progress(&self, call: &Call) -> bool {
         call.program
             .and_then(|id| self.programs.get(&id))
             .is_some_and(|program| program.answers > 0)
@@ -124,7 +124,7 @@
 
     /// The time (seconds) within which the present step should be answered, if it takes `unloaded` on an idle
     /// replica. Without a program's end in time it is the route's latency target.
-    pub fn aim(&self, call: &Call, unloaded: f64) -> f64 {
+    pub fn latency_target(&self, call: &Call, unloaded: f64) -> f64 {
         let known = call.program.and_then(|id| self.programs.get(&id));
         let Some((program, finish_at)) = known.zip(call.finish_at) else {
             return call.target_latency;
@@ -136,7 +136,7 @@
     }
 
     /// The time (seconds) that a program can lose and still end in time; negative once it is late.
-    pub fn spare(&self, now: f64, call: &Call) -> Option<f64> {
+    pub fn slack(&self, now: f64, call: &Call) -> Option<f64> {
         let program = self.programs.get(&call.program?)?;
         Some(call.finish_at? - now - self.expected_work(program, now))
     }
@@ -146,23 +146,23 @@
             .work_share
             .get(&program.kind)
             .copied()
-            .unwrap_or(FIRST_SHARE);
+            .unwrap_or(INITIAL_WORK_SHARE);
         let Some(time) = program.time else { return 0.0 };
         let elapsed = now - program.started;
         let done = (elapsed - program.lost).max(0.0);
         (time * share - done)
-            .max((time - elapsed) * LEAST_WORK_LEFT)
+            .max((time - elapsed) * MIN_REMAINING_WORK_SHARE)
             .max(0.0)
     }
 
     fn forget_ended(&mut self, now: f64) {
-        for _ in 0..LOOKED_AT {
+        for _ in 0..MAX_PROGRAMS_CHECKED {
             let next = self.programs.range(self.cursor.wrapping_add(1)..).next();
             let Some((id, program)) = next.or(self.programs.iter().next()) else {
                 return;
             };
             self.cursor = *id;
-            if program.in_hand.is_empty() && now > program.last_end + OVER_AFTER {
+            if program.in_flight.is_empty() && now > program.last_end + IDLE_TIMEOUT {
                 let over = self.programs.remove(&self.cursor);
                 over.iter().for_each(|program| self.learn(program));
             }
@@ -181,11 +181,11 @@
         let share = self
             .work_share
             .entry(program.kind.clone())
-            .or_insert(FIRST_SHARE);
+            .or_insert(INITIAL_WORK_SHARE);
         *share += LEARNING_RATE * (worked.clamp(0.0, 1.0) - *share);
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pace.rs"]
+#[path = "../tests/unit/programs.rs"]
 mod tests;
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -6,20 +6,20 @@
 use woadreach_routing::decide::outlier_detector::OutlierDetector;
 
 use crate::call::CallId;
+use crate::keys::RouteKey;
 use crate::outcome::ServerLoad;
 use crate::prefix_cache::PrefixCache;
-use crate::routes::RouteKey;
 use crate::spec::ReplicaSpec;
 
 /// Seconds for which a told load counts.
-const LOAD_AGE: f64 = 1.0;
+const LOAD_TTL: f64 = 1.0;
 /// Answers for each further call in flight at a replica that is still cold.
-const ANSWERS_PER_COLD_CALL: usize = 4;
+const ANSWERS_PER_SLOW_START_CALL: usize = 4;
 
 /// Seconds for which a single failure counts where traffic is sparse.
-const AVOIDED_FOR: f64 = 2.0;
+const FAILURE_AVOIDANCE_WINDOW: f64 = 2.0;
 /// Seconds after a failure from which a call that can't run again is risked as a trial.
-const RISKED_AFTER: f64 = 5.0;
+const PROBE_RISK_WINDOW: f64 = 5.0;
 
 /// How an attempt failed, as far as it tells of its replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,15 +65,15 @@
     /// Another replica has its address; until its record changes.
     pub misdirected: bool,
     load: Option<(f64, ServerLoad)>,
-    last_sign: f64,
+    last_activity_at: f64,
     answers: usize,
-    cold_until: f64,
+    warming_until: f64,
 }
 
 impl Replica {
     pub fn new(now: f64, spec: ReplicaSpec) -> Self {
         Replica {
-            cold_until: now + spec.cold_remaining,
+            warming_until: now + spec.cold_remaining,
             spec,
             in_flight: BTreeMap::new(),
             hold: Hold::default(),
@@ -82,7 +82,7 @@
             cache: PrefixCache::default(),
             misdirected: false,
             load: None,
-            last_sign: 0.0,
+            last_activity_at: 0.0,
             answers: 0,
         }
     }
@@ -96,7 +96,7 @@
             self.cache.clear();
         }
         self.misdirected = false;
-        self.cold_until = now + spec.cold_remaining;
+        self.warming_until = now + spec.cold_remaining;
         self.spec = spec.clone();
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// The replica showed that it works: an event, a head or an answer came.
-    pub fn heard(&mut self, now: f64, load: Option<ServerLoad>) {
-        self.last_sign = now;
-        self.told_load(now, load);
+    pub fn record_activity(&mut self, now: f64, load: Option<ServerLoad>) {
+        self.last_activity_at = now;
+        self.record_load(now, load);
     }
 
     /// It told its load, with an answer of any kind.
-    pub fn told_load(&mut self, now: f64, load: Option<ServerLoad>) {
+    pub fn record_load(&mut self, now: f64, load: Option<ServerLoad>) {
         self.load = load.map(|load| (now, load)).or(self.load);
     }
 
@@ -124,7 +124,7 @@
 
     /// By its own word of late, all slots are taken.
     pub fn is_saturated(&self, now: f64) -> bool {
-        let fresh = self.load.filter(|(at, _)| now - at <= LOAD_AGE);
+        let fresh = self.load.filter(|(at, _)| now - at <= LOAD_TTL);
         fresh.is_some_and(|(_, load)| load.slots > 0 && load.running + load.waiting >= load.slots)
     }
 
@@ -135,34 +135,35 @@
     }
 
     /// Where traffic is sparse the last outcome decides, for a while: two failures take long to see there.
-    pub fn failed_just_now(&self, now: f64) -> bool {
+    pub fn has_failed_recently(&self, now: f64) -> bool {
         self.health.failed_last(now)
             && self
                 .last_failure
-                .is_some_and(|last| now < last.at + AVOIDED_FOR)
+                .is_some_and(|last| now < last.at + FAILURE_AVOIDANCE_WINDOW)
     }
 
     /// Whether a trial may be made with a call that can't run again: the last failure had not run, or was
     /// long ago.
-    pub fn trial_is_harmless(&self, now: f64) -> bool {
+    pub fn may_probe_with_any_call(&self, now: f64) -> bool {
         let risky =
-            |last: &Failure| last.kind != FailureKind::NotRun && now <= last.at + RISKED_AFTER;
+            |last: &Failure| last.kind != FailureKind::NotRun && now <= last.at + PROBE_RISK_WINDOW;
         !self.last_failure.as_ref().is_some_and(risky)
     }
 
     /// Slow start: while it is cold, one more call for every few answers.
-    pub fn is_warm_enough(&self, now: f64) -> bool {
-        now >= self.cold_until || self.in_flight.len() < 1 + self.answers / ANSWERS_PER_COLD_CALL
+    pub fn has_slow_start_capacity(&self, now: f64) -> bool {
+        now >= self.warming_until
+            || self.in_flight.len() < 1 + self.answers / ANSWERS_PER_SLOW_START_CALL
     }
 
     /// Has shown no sign of work since it took a call that is late by now; `late_after` by route.
-    pub fn is_silent(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
+    pub fn is_unresponsive(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
         let late = |sent: &InFlight| {
             sent.begun_late.is_none() && now > sent.sent_at + late_after(sent.route)
         };
         self.in_flight
             .values()
-            .any(|sent| late(sent) && self.last_sign < sent.sent_at)
+            .any(|sent| late(sent) && self.last_activity_at < sent.sent_at)
     }
 
     /// An attempt began: those sent before it that have not begun were overtaken.
--- a/crates/tier/scheduler/src/retry_budget.rs
+++ b/crates/tier/scheduler/src/retry_budget.rs
@@ -8,24 +8,24 @@
 }
 
 /// Further attempts that each first attempt pays for.
-const EARNED: f64 = 0.2;
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
 /// The most that is kept, so that a short trouble after a calm time is ridden out.
-const MOST: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: MOST }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
     /// A call was sent for the first time.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(MOST);
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
     /// Whether a further attempt is affordable.
-    pub fn allows(&self) -> bool {
+    pub fn can_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -7,29 +7,25 @@
 use woadreach_routing::decide::unloaded_latency::UnloadedLatency;
 use woadreach_routing::samples::{push, quantile};
 
-use crate::fleet::ReplicaKey;
-
-/// A route's number in this process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct RouteKey(u32);
+use crate::keys::{ReplicaKey, RouteKey};
 
 /// Latest latencies that tell from when one is late.
-const RECENT: usize = 64;
+const MAX_RECENT_LATENCIES: usize = 64;
 /// How often the threshold is worked out anew, in answers.
-const RENEWED_EVERY: usize = 8;
+const ANSWERS_PER_UPDATE: usize = 8;
 /// With fewer samples the threshold is the route's target.
-const LEAST: usize = 16;
+const MIN_SAMPLES: usize = 16;
 /// Late: beyond this quantile of the recent ones, which a sixth of the replicas can't lift by being slow,
 /// and so many times their median. Of work with an exponential spread 6 in 100 are, and half of eight in a
 /// row hardly ever.
 const LATE_QUANTILE: f64 = 0.8;
-const LATE_MEDIANS: f64 = 4.0;
+const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
 /// And at least this share of the target: a moment in which this process stood still makes no replica bad.
 const LATE_SHARE_OF_TARGET: f64 = 0.125;
 /// An attempt counts as lost beyond so many times the longest of the recent ones, if its replica is at work.
-const LOST_LONGEST: f64 = 1.5;
+const LOST_LONGEST_MULTIPLE: f64 = 1.5;
 /// Before any sample an unloaded answer is taken to need this share of the target.
-const START_SHARE_OF_TARGET: f64 = 0.1;
+const INITIAL_SHARE_OF_TARGET: f64 = 0.1;
 
 /// Latencies of one route. For streams they run to the first event.
 pub(crate) struct Route {
@@ -45,22 +41,22 @@
 impl Route {
     fn new(target: f64) -> Self {
         Route {
-            unloaded: UnloadedLatency::new(target * START_SHARE_OF_TARGET),
+            unloaded: UnloadedLatency::new(target * INITIAL_SHARE_OF_TARGET),
             target,
             recent: VecDeque::new(),
             answers: 0,
             late_after: target,
-            lost_after: target * LOST_LONGEST,
-            typical: target * START_SHARE_OF_TARGET,
+            lost_after: target * LOST_LONGEST_MULTIPLE,
+            typical: target * INITIAL_SHARE_OF_TARGET,
         }
     }
 
     /// Takes in the latency of an attempt that began (streams) or was answered.
     pub fn record(&mut self, latency: f64) {
-        push(&mut self.recent, latency, RECENT);
+        push(&mut self.recent, latency, MAX_RECENT_LATENCIES);
         self.answers += 1;
-        if self.recent.len() >= LEAST && self.answers.is_multiple_of(RENEWED_EVERY) {
-            self.renew();
+        if self.recent.len() >= MIN_SAMPLES && self.answers.is_multiple_of(ANSWERS_PER_UPDATE) {
+            self.update_thresholds();
         }
     }
 
@@ -74,14 +70,14 @@
         self.typical
     }
 
-    fn renew(&mut self) {
+    fn update_thresholds(&mut self) {
         let recent: Vec<f64> = self.recent.iter().copied().collect();
         let high = quantile(recent.clone(), LATE_QUANTILE).unwrap_or(self.target);
         self.typical = quantile(recent, 0.5).unwrap_or(self.typical);
-        let floor = (self.typical * LATE_MEDIANS).max(self.target * LATE_SHARE_OF_TARGET);
+        let floor = (self.typical * LATE_MEDIAN_MULTIPLE).max(self.target * LATE_SHARE_OF_TARGET);
         self.late_after = high.max(floor);
         let longest = self.recent.iter().copied().fold(0.0, f64::max);
-        self.lost_after = self.late_after.max(longest * LOST_LONGEST);
+        self.lost_after = self.late_after.max(longest * LOST_LONGEST_MULTIPLE);
     }
 }
 
@@ -99,7 +95,7 @@
         if let Some(key) = self.keys.get(name) {
             return *key;
         }
-        let key = RouteKey(self.keys.len() as u32);
+        let key = RouteKey::new(self.keys.len() as u32);
         self.keys.insert(name.clone(), key);
         self.routes.insert(key, Route::new(target));
         key
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -6,11 +6,11 @@
 /// Weight of the latest call in the mean of the tokens to read.
 const LEARNING_RATE: f64 = 0.05;
 /// Before any call, as many tokens as this are taken to be read for one.
-const START_READ: f64 = 512.0;
+const INITIAL_MEAN_READ: f64 = 512.0;
 /// Never less: each call costs an engine something, even one whose prompt it holds whole.
-const LEAST_READ: f64 = 64.0;
+const MIN_MEAN_READ: f64 = 64.0;
 /// Own calls in flight at a replica where the configuration sets no bound.
-const MOST_CONNECTIONS: usize = 1_024;
+const MAX_CONNECTIONS: usize = 1_024;
 
 /// One service, and what its calls have needed.
 pub(crate) struct Service {
@@ -24,7 +24,7 @@
 }
 
 /// Seconds for which a more urgent call makes others less urgent ones.
-const URGENCY_AGE: f64 = 2.0;
+const URGENCY_WINDOW: f64 = 2.0;
 
 impl Service {
     pub fn new(spec: &ServiceSpec, edges: usize) -> Self {
@@ -32,7 +32,7 @@
             spec: spec.clone(),
             connections: 1,
             budget: RetryBudget::default(),
-            mean_read: START_READ,
+            mean_read: INITIAL_MEAN_READ,
             most_urgent: (u8::MAX, f64::NEG_INFINITY),
         };
         service.configure(spec, edges);
@@ -42,7 +42,7 @@
     /// Takes in its configuration; `edges` processes share the connections.
     pub fn configure(&mut self, spec: &ServiceSpec, edges: usize) {
         let most = if spec.max_conns == 0 {
-            MOST_CONNECTIONS
+            MAX_CONNECTIONS
         } else {
             spec.max_conns as usize
         };
@@ -53,7 +53,7 @@
     /// A call of this rank arrived.
     pub fn arrived(&mut self, now: f64, priority: u8) {
         let (rank, at) = self.most_urgent;
-        if priority <= rank || now > at + URGENCY_AGE {
+        if priority <= rank || now > at + URGENCY_WINDOW {
             self.most_urgent = (priority, now);
         }
     }
@@ -61,7 +61,7 @@
     /// Whether no more urgent call arrived of late.
     pub fn is_most_urgent(&self, now: f64, priority: u8) -> bool {
         let (rank, at) = self.most_urgent;
-        priority <= rank || now > at + URGENCY_AGE
+        priority <= rank || now > at + URGENCY_WINDOW
     }
 
     /// A call was sent whose replica has to read so many prompt tokens.
@@ -72,7 +72,7 @@
     /// Prompt tokens that a call has to have read, on average; 0 if the service is no engine.
     pub fn mean_read(&self) -> usize {
         if self.spec.engine.is_some() {
-            self.mean_read.max(LEAST_READ) as usize
+            self.mean_read.max(MIN_MEAN_READ) as usize
         } else {
             0
         }
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -3,15 +3,16 @@
 use std::collections::BTreeMap;
 
 use crate::call::CallId;
-use crate::fleet::ReplicaKey;
-use crate::in_hand::{AttemptState, CallInHand};
-use crate::pace::Programs;
-use crate::routes::{RouteKey, Routes};
+use crate::calls_in_flight::{AttemptState, CallInFlight};
+use crate::keys::ReplicaKey;
+use crate::keys::RouteKey;
+use crate::programs::Programs;
+use crate::routes::Routes;
 
 /// What the deadline is worked out from.
 pub(crate) struct Step<'a> {
     pub now: f64,
-    pub calls: &'a BTreeMap<CallId, CallInHand>,
+    pub calls: &'a BTreeMap<CallId, CallInFlight>,
     pub programs: &'a Programs,
     pub routes: &'a Routes,
 }
@@ -22,7 +23,7 @@
     /// would go to `replica`; others of the step that have none yet count as average.
     ///
     /// Calls of different routes have histograms of their own: the k' of one route get p^(k'/k) of the whole.
-    pub fn queuing_deadline(&self, call: &CallInHand, replica: ReplicaKey) -> f64 {
+    pub fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
         let ids = self.programs.step_calls(&call.call);
         let size = ids.len();
@@ -42,7 +43,8 @@
             .iter()
             .map(|(route, at)| self.quantile(*route, at, each));
         let unloaded = quantiles.fold(0.0, f64::max);
-        self.programs.step_started(&call.call) + self.programs.aim(&call.call, unloaded) - unloaded
+        self.programs.step_started(&call.call) + self.programs.latency_target(&call.call, unloaded)
+            - unloaded
     }
 
     fn quantile(&self, route: RouteKey, replicas: &[Option<ReplicaKey>], each: f64) -> f64 {
@@ -55,11 +57,11 @@
 }
 
 /// Where a call is out or held.
-fn replica_of(call: &CallInHand) -> Option<ReplicaKey> {
+fn replica_of(call: &CallInFlight) -> Option<ReplicaKey> {
     let out = call
         .attempts
         .iter()
         .rev()
-        .find(|attempt| attempt.state == AttemptState::Out);
-    out.map(|attempt| attempt.replica).or(call.waits_at())
+        .find(|attempt| attempt.state == AttemptState::InFlight);
+    out.map(|attempt| attempt.replica).or(call.queued_at())
 }
--- a/crates/tier/scheduler/tests/unit/call_state.rs
+++ b/crates/tier/scheduler/tests/unit/call_state.rs
@@ -23,31 +23,39 @@
 #[test]
 fn the_table_is_kept() {
     let (replica, deadline) = (some_replica(), 1.0);
-    let held = CallState::Held { replica, deadline };
-    let held_back = CallEvent::HeldBack { replica, deadline };
+    let held = CallState::Queued { replica, deadline };
+    let held_back = CallEvent::Enqueued { replica, deadline };
     let states = [
         CallState::Deciding,
         held,
-        CallState::Waiting,
+        CallState::Unplaced,
         CallState::Running,
     ];
     let events = [
         CallEvent::Sent,
         held_back,
-        CallEvent::PutOff,
+        CallEvent::Postponed,
         CallEvent::Released,
-        CallEvent::NothingOut,
+        CallEvent::AttemptsEnded,
     ];
     let table = [
         (CallState::Deciding, CallEvent::Sent, CallState::Running),
         (CallState::Deciding, held_back, held),
-        (CallState::Deciding, CallEvent::PutOff, CallState::Waiting),
+        (
+            CallState::Deciding,
+            CallEvent::Postponed,
+            CallState::Unplaced,
+        ),
         (held, CallEvent::Released, CallState::Deciding),
-        (CallState::Waiting, CallEvent::Released, CallState::Deciding),
+        (
+            CallState::Unplaced,
+            CallEvent::Released,
+            CallState::Deciding,
+        ),
         (CallState::Running, CallEvent::Sent, CallState::Running),
         (
             CallState::Running,
-            CallEvent::NothingOut,
+            CallEvent::AttemptsEnded,
             CallState::Deciding,
         ),
     ];
--- a/crates/tier/scheduler/tests/unit/pace.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -38,7 +38,7 @@
         finish_at: None,
         ..call(0.0, 1, 1, 0.0)
     };
-    assert!(is_near(programs.aim(&alone, UNLOADED), 0.25));
+    assert!(is_near(programs.latency_target(&alone, UNLOADED), 0.25));
 }
 
 #[test]
@@ -47,10 +47,10 @@
     let first = call(0.0, 1, 1, 4.0);
     programs.arrived(0.0, &first);
     assert!(
-        is_near(programs.aim(&first, UNLOADED), 0.2),
+        is_near(programs.latency_target(&first, UNLOADED), 0.2),
         "half of the time is work: twice its own"
     );
-    assert!(is_near(programs.spare(0.0, &first).unwrap(), 2.0));
+    assert!(is_near(programs.slack(0.0, &first).unwrap(), 2.0));
 }
 
 #[test]
@@ -62,7 +62,7 @@
         programs.ended(answered_at, &first, true, UNLOADED);
         let second = call(1.0, 10 + program, program, 4.0);
         programs.arrived(1.0, &second);
-        programs.aim(&second, UNLOADED)
+        programs.latency_target(&second, UNLOADED)
     };
     let on_time = aim_after(&mut programs, 1, UNLOADED);
     let lost = aim_after(&mut programs, 2, 0.6);
@@ -74,7 +74,7 @@
     let mut programs = Programs::default();
     let late = call(5.0, 1, 1, 4.0);
     programs.arrived(5.0, &late);
-    assert!(is_near(programs.aim(&late, UNLOADED), 0.0));
+    assert!(is_near(programs.latency_target(&late, UNLOADED), 0.0));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     }
     let first = call(5_000.0, 10_000, 10_000, 5_004.0);
     programs.arrived(5_000.0, &first);
-    let aim = programs.aim(&first, UNLOADED);
+    let aim = programs.latency_target(&first, UNLOADED);
     assert!(
         (0.38..0.42).contains(&aim),
         "a quarter of the time is work: {aim}"
