--- a/crates/tier/scheduler/src/action.rs
+++ b/crates/tier/scheduler/src/action.rs
@@ -1,4 +1,4 @@
-//! What the driver should do.
+//! Actions that the scheduler requests of its driver.
 
 use std::sync::Arc;
 
@@ -7,32 +7,50 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailReason {
-    /// Its time is over (504); it may have run.
+    /// Its time is up (504). It may have run.
     TimedOut,
-    /// An attempt broke off and the call may not be repeated (502).
+    /// An attempt was interrupted, and the call is not idempotent (502).
     MayHaveRun,
-    /// The replica's own error answer is the final one: it is passed on unchanged.
+    /// The replica's own error response is final, and is forwarded unchanged.
     ReplicaError,
 }
 
-/// What to do now, in the order given.
+/// What the driver has to do, in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the call to this replica; the attempt ends after `timeout` seconds at the latest. The driver
-    /// reports one [`crate::Outcome`] for it, unless the attempt is aborted or the call cancelled before.
+    /// Send the call to a replica. The driver reports one [`crate::Outcome`] of the attempt, unless the attempt is
+    /// aborted or the call cancelled before.
     Send {
+        /// The call to send.
         call: CallId,
-        /// Counts the attempts of a call from 0.
+        /// Index of the attempt among those of the call, from 0.
         attempt: u32,
+        /// Identifier of the replica.
         replica: Arc<str>,
+        /// Time-out of the attempt in seconds.
         timeout: f64,
-        /// Value of the `Priority` header, if it should be set.
+        /// Value of the `Priority` header, if it has to be set.
         priority: Option<u8>,
     },
-    /// Answer 503 with `Retry-After`: the call has not run and never will.
-    Refuse { call: CallId, retry_after: f64 },
-    /// Answer that the call failed.
-    Fail { call: CallId, reason: FailReason },
-    /// Drop an attempt whose answer is no longer wanted; no outcome is expected for it.
-    Abort { call: CallId, attempt: u32 },
+    /// Reject the call with 503 and `Retry-After`. It has not run and never will.
+    Refuse {
+        /// The call to reject.
+        call: CallId,
+        /// Value of `Retry-After` in seconds.
+        retry_after: f64,
+    },
+    /// Answer that the call has failed.
+    Fail {
+        /// The call that has failed.
+        call: CallId,
+        /// Why it has failed.
+        reason: FailReason,
+    },
+    /// Abort an attempt whose response is no longer needed. No outcome is expected of it.
+    Abort {
+        /// The call of the attempt.
+        call: CallId,
+        /// Index of the attempt.
+        attempt: u32,
+    },
 }
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -1,4 +1,4 @@
-//! The inputs of the module, each in one function.
+//! Inputs of the scheduler, each in one function.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::spec::{ReplicaSpec, ServiceSpec};
 use crate::timers::Timers;
 
-/// Decides for one process; see the crate's page.
+/// The scheduler of one process; see the documentation of the crate.
 pub struct Admission {
     pub(crate) random: oorandom::Rand64,
     pub(crate) zone: String,
@@ -28,15 +28,15 @@
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, CallInFlight>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
-    /// Calls that no replica may take for now.
+    /// Postponed calls, which no replica may receive for now.
     pub(crate) waiting: BTreeSet<CallId>,
     pub(crate) timers: Timers,
-    /// Calls whose place changed with the list of replicas: looked at on the next wake.
+    /// Calls that have to be decided anew on the next wake, after replicas or services have changed.
     pub(crate) displaced: BTreeSet<CallId>,
 }
 
 impl Admission {
-    /// `zone` is this process's own.
+    /// A scheduler without services and replicas. `zone` is the zone of this process.
     pub fn new(seed: u64, zone: String) -> Self {
         Admission {
             random: oorandom::Rand64::new(u128::from(seed)),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// All services of the configuration in force, and among how many edges their connections are shared.
+    /// Applies all services of the current configuration. `edges` processes share the connections of each replica.
     pub fn configure(&mut self, _now: f64, services: &[ServiceSpec], edges: usize) {
         self.edges = edges;
         let named: BTreeSet<&str> = services.iter().map(|spec| &*spec.name).collect();
@@ -71,11 +71,11 @@
         self.displaced.extend(self.waiting.iter());
     }
 
-    /// All replicas there are; one that is not named has left. What this changes for calls in hand is decided
-    /// on the next wake.
+    /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are decided on
+    /// the next wake.
     pub fn replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
-        for left in self.fleet.update(now, listed) {
-            self.routes.forget(left);
+        for departed in self.fleet.update(now, listed) {
+            self.routes.forget(departed);
         }
         self.displaced.extend(self.waiting.iter());
         for (id, call) in &self.calls {
@@ -88,15 +88,15 @@
         }
     }
 
-    /// A client's try has been read whole.
+    /// Accepts a call that has been received completely. Returns the actions to execute.
     pub fn arrive(&mut self, now: f64, mut call: Call) -> Vec<Action> {
         let id = call.id;
         call.prefix = call.known_prefix();
         let service = self.choose_service(&call);
         let route = self.routes.key(&call.route, call.target_latency);
-        self.programs.arrived(now, &call);
+        self.programs.record_arrival(now, &call);
         if let Some(service) = self.services.get_mut(&service) {
-            service.arrived(now, call.priority);
+            service.record_arrival(now, call.priority);
         }
         self.calls
             .insert(id, CallInFlight::new(call, route, service));
@@ -108,7 +108,7 @@
         actions
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt. Returns the actions to execute.
     pub fn outcome(
         &mut self,
         now: f64,
@@ -143,7 +143,7 @@
         actions
     }
 
-    /// The first event of a stream, or the head of any other answer, came.
+    /// Records that the first event of a stream, or the head of any other response, has arrived.
     pub fn first_event(&mut self, now: f64, id: CallId, attempt: u32, load: Option<ServerLoad>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -151,14 +151,14 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return;
         };
-        if sent.state == AttemptState::InFlight && !sent.begun {
-            sent.begun = true;
+        if sent.state == AttemptState::InFlight && !sent.has_begun {
+            sent.has_begun = true;
             self.timers.set(&mut call.timer, id, None);
             self.observe_begin(now, id, attempt, load);
         }
     }
 
-    /// The client has gone: nothing is owed any more, and no outcome is expected for what is out.
+    /// Ends a call whose client has disconnected. No outcomes are expected of its attempts.
     pub fn cancelled(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
@@ -173,7 +173,7 @@
         actions
     }
 
-    /// The time that `next_wake` named has come.
+    /// Makes the decisions that are due at `now`. Returns the actions to execute.
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         let displaced = std::mem::take(&mut self.displaced);
@@ -183,7 +183,7 @@
         actions
     }
 
-    /// When something is to be decided without further input.
+    /// When [`wake`](Self::wake) has to be called if no input arrives before; `None` if nothing is scheduled.
     pub fn next_wake(&self, now: f64) -> Option<f64> {
         if self.displaced.is_empty() {
             self.timers.next()
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -1,24 +1,27 @@
-//! What the driver tells of a client's request.
+//! A client's request, as the driver describes it.
 
 use std::sync::Arc;
 
-/// Identity of one try of a client at this process; never used twice.
+/// Identifier of one attempt of a client at this process. It is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What may be repeated.
+/// Whether a call is idempotent, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// Runs once at most.
+    /// Not idempotent: runs once at most.
     Unsafe,
-    /// A stream of events; only a resumable one may run more than once.
-    Streaming { resumable: bool },
+    /// The response is a stream of events.
+    Streaming {
+        /// Whether the stream may be resumed at another replica, and the call may run more than once.
+        resumable: bool,
+    },
 }
 
 impl CallKind {
-    /// Whether the call may be sent again after it may have run.
+    /// Whether the call may be sent again after an attempt that may have run.
     pub fn may_run_again(self) -> bool {
         matches!(
             self,
@@ -26,7 +29,7 @@
         )
     }
 
-    /// Whether the answer is a stream of events of a model.
+    /// Whether the response is a stream of events of a model.
     pub fn is_streaming(self) -> bool {
         matches!(self, CallKind::Streaming { .. })
     }
@@ -35,44 +38,51 @@
 /// A part of a prompt that other requests may share (`Prefix-Hash`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
+    /// Hash that identifies the part and everything before it.
     pub id: u64,
+    /// Tokens of the part.
     pub tokens: u32,
 }
 
-/// One try of a client, as it arrived. Times are seconds.
+/// One attempt of a client, as it arrived. Times are seconds from any origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
+    /// Identifier of the call.
     pub id: CallId,
-    /// Name of the route that it came by.
+    /// Name of the route that it matched.
     pub route: Arc<str>,
+    /// Whether it is idempotent or a stream.
     pub kind: CallKind,
     /// Services that may run it, with their weights.
     pub clusters: Vec<(Arc<str>, u32)>,
+    /// When it arrived.
     pub arrived: f64,
     /// The earliest of the client's deadline and the route's timeout.
     pub give_up_at: f64,
-    /// Seconds from arrival within which an answer (a stream's first event) earns its full worth.
+    /// Latency target: seconds from arrival within which a response (a stream's first event) has its full value.
     pub target_latency: f64,
-    /// When the program should be over (`Finish-Ms`).
+    /// When the program should end (`Finish-Ms`).
     pub finish_at: Option<f64>,
+    /// Hash of the program's identifier.
     pub program: Option<u64>,
-    /// A line of turns of a program.
+    /// Hash of the identifier of a conversation within the program.
     pub session: Option<u64>,
-    /// The object that the request is about, where replicas are faster on what they have seen lately.
+    /// Hash of the object that the request is about, if replicas are faster on objects that they have seen lately.
     pub affinity: Option<u64>,
     /// Parts of the prompt in order; empty if unknown.
     pub prefix: Vec<PrefixPart>,
-    /// Tokens of the prompt, and the most that it may generate.
+    /// Tokens of the prompt.
     pub tokens_in: u32,
+    /// Most tokens that it may generate.
     pub tokens_out: u32,
-    /// Rank of the route, 0 the highest.
+    /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// The largest number of replicas that this try may be sent to.
+    /// Most replicas that this call may be sent to.
     pub max_replicas: u32,
 }
 
 impl Call {
-    /// The parts of the prompt; where none are told, a session's prompt counts as one part that grows.
+    /// The parts of the prompt. If they are unknown, the prompt of a session counts as one part that grows.
     pub(crate) fn known_prefix(&self) -> Vec<PrefixPart> {
         match self.session {
             Some(id) if self.prefix.is_empty() => vec![PrefixPart {
--- a/crates/tier/scheduler/src/call_state.rs
+++ b/crates/tier/scheduler/src/call_state.rs
@@ -1,35 +1,35 @@
-//! The states of a call in hand, and the only function that changes them.
+//! States of a call in flight, and the only function that changes them.
 //!
 //! | state | meaning | event | next |
 //! | --- | --- | --- | --- |
-//! | `Deciding` | nothing is out, a decision is due | `Sent` | `Running` |
+//! | `Deciding` | no attempt is in flight, a decision is due | `Sent` | `Running` |
 //! | | | `Enqueued` | `Queued` |
 //! | | | `Postponed` | `Unplaced` |
 //! | `Queued` | waits in the queue of a replica | `Released` | `Deciding` |
-//! | `Unplaced` | no replica may take it for now | `Released` | `Deciding` |
-//! | `Running` | at least one attempt is out | `Sent` | `Running` |
+//! | `Unplaced` | no replica may receive it for now | `Released` | `Deciding` |
+//! | `Running` | at least one attempt is in flight | `Sent` | `Running` |
 //! | | | `AttemptsEnded` | `Deciding` |
 //!
-//! A call that ends is dropped in any state but `Queued` (it is released first).
+//! A call may end in any state except `Queued`, from which it is released first.
 
 use snafu::Snafu;
 
 use crate::keys::ReplicaKey;
 
-/// Where a call stands. Times are seconds.
+/// State of a call. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallState {
+    /// No attempt is in flight, and a decision is due.
     Deciding,
-    /// Held back from `replica`, in order of `deadline`.
-    Queued {
-        replica: ReplicaKey,
-        deadline: f64,
-    },
+    /// Waits in the queue of `replica`, which is ordered by `deadline`.
+    Queued { replica: ReplicaKey, deadline: f64 },
+    /// Waits until some replica may receive it.
     Unplaced,
+    /// At least one attempt is in flight.
     Running,
 }
 
-/// What changes the state of a call.
+/// An event that changes the state of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallEvent {
     Sent,
@@ -39,7 +39,7 @@
     AttemptsEnded,
 }
 
-/// A change that the table does not name.
+/// An event that the table does not allow in a state.
 #[derive(Debug, PartialEq, Snafu)]
 #[snafu(display("a call in state {state:?} can't take the event {event:?}"))]
 pub(crate) struct UnexpectedEvent {
@@ -49,7 +49,7 @@
 
 impl CallState {
     /// The state after `event`.
-    pub fn after(self, event: CallEvent) -> Result<CallState, UnexpectedEvent> {
+    pub(crate) fn after(self, event: CallEvent) -> Result<CallState, UnexpectedEvent> {
         match (self, event) {
             (CallState::Deciding | CallState::Running, CallEvent::Sent) => Ok(CallState::Running),
             (CallState::Deciding, CallEvent::Enqueued { replica, deadline }) => {
--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! A call that has not ended, with its attempts.
+//! A call that has not ended, and its attempts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,15 +9,17 @@
 use crate::keys::RouteKey;
 use crate::outcome::Outcome;
 
-/// How often a call may be sent again to a replica that did not run it.
+/// Most times that a call is sent again to a replica that did not run it.
 const MAX_RESENDS: usize = 3;
 
-/// How an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
+    /// Its outcome is unknown yet.
     InFlight,
+    /// It has ended with this outcome.
     Ended(Outcome),
-    /// Dropped by us: it may have run.
+    /// This process has aborted it. It may have run.
     Aborted,
 }
 
@@ -25,20 +27,20 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub replica: ReplicaKey,
-    /// The replica's own name, which outlives its place in the list.
+    /// Identifier of the replica, which is valid even after the replica has departed.
     pub replica_id: Arc<str>,
     pub state: AttemptState,
-    /// Its first event (or head) has come.
-    pub begun: bool,
+    /// Whether its first event (or response head) has arrived.
+    pub has_begun: bool,
 }
 
 impl Attempt {
-    /// Known not to have run, and never to run.
+    /// Whether it is known not to have run, and never to run.
     fn has_not_run(&self) -> bool {
         matches!(self.state, AttemptState::Ended(outcome) if outcome.has_not_run())
     }
 
-    /// Whether its replica counts among those that the call was sent to: bytes of it reached that replica.
+    /// Whether bytes of the call reached the replica, so that it counts towards the limit of replicas.
     fn reached_replica(&self) -> bool {
         !matches!(
             self.state,
@@ -59,17 +61,17 @@
     pub route: RouteKey,
     pub service: Arc<str>,
     pub attempts: Vec<Attempt>,
-    /// Whether to look at it again, in microseconds.
+    /// When to reconsider the call, in microseconds.
     pub timer: Option<i64>,
-    /// The replica that the processes of a zone agree on for its program, and all for its object.
+    /// Home of the call's program or object; see [`crate::placement`].
     pub home: Option<ReplicaKey>,
-    /// Not to be sent before this time, after a replica asked to come back.
+    /// Earliest time of the next attempt, from a backoff or a replica's `Retry-After`.
     pub not_before: f64,
     state: CallState,
 }
 
 impl CallInFlight {
-    pub fn new(call: Call, route: RouteKey, service: Arc<str>) -> Self {
+    pub(crate) fn new(call: Call, route: RouteKey, service: Arc<str>) -> Self {
         CallInFlight {
             call,
             route,
@@ -82,45 +84,45 @@
         }
     }
 
-    pub fn state(&self) -> CallState {
+    pub(crate) fn state(&self) -> CallState {
         self.state
     }
 
-    /// Changes the state; a change that the table does not name is a fault of this crate, not of its input.
-    pub fn apply(&mut self, event: CallEvent) {
+    /// Changes the state. An event that the table does not allow is a fault of this crate, and never of its input.
+    pub(crate) fn apply(&mut self, event: CallEvent) {
         match self.state.after(event) {
             Ok(state) => self.state = state,
             Err(unexpected) => unreachable!("{unexpected}"),
         }
     }
 
-    /// The replica in whose queue it is held.
-    pub fn queued_at(&self) -> Option<ReplicaKey> {
+    /// The replica in whose queue the call waits.
+    pub(crate) fn queued_at(&self) -> Option<ReplicaKey> {
         match self.state {
             CallState::Queued { replica, .. } => Some(replica),
             _ => None,
         }
     }
 
-    /// Whether a try at a replica is still out.
-    pub fn is_in_flight(&self) -> bool {
+    /// Whether an attempt is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
     /// Whether it is proven that no attempt ran or will run.
-    pub fn has_not_run(&self) -> bool {
+    pub(crate) fn has_not_run(&self) -> bool {
         self.attempts.iter().all(Attempt::has_not_run)
     }
 
-    /// Whether a further attempt can do no harm.
-    pub fn may_send(&self) -> bool {
+    /// Whether the call may be sent (again) without running twice by mistake.
+    pub(crate) fn may_send(&self) -> bool {
         self.call.kind.may_run_again() || self.has_not_run()
     }
 
-    /// The replicas that count against the most that one try may be sent to.
-    pub fn replicas_reached(&self) -> BTreeSet<ReplicaKey> {
+    /// The replicas that count towards [`Call::max_replicas`].
+    pub(crate) fn replicas_reached(&self) -> BTreeSet<ReplicaKey> {
         self.attempts
             .iter()
             .filter(|a| a.reached_replica())
@@ -128,55 +130,56 @@
             .collect()
     }
 
-    pub fn was_sent_to(&self, replica: ReplicaKey) -> bool {
+    pub(crate) fn was_sent_to(&self, replica: ReplicaKey) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether the call may be sent to this replica (again): not where it may have run, nor where another
-    /// replica answered.
+    /// Whether the call may be sent to `replica` (again): not where it may have run, nor where another replica
+    /// answered.
     ///
-    /// After a few returns a refusal serves the client better: its next try may go elsewhere.
-    pub fn may_resend_to(&self, replica: ReplicaKey) -> bool {
+    /// After [`MAX_RESENDS`] a rejection serves the client better, since its retry may reach another process.
+    pub(crate) fn may_resend_to(&self, replica: ReplicaKey) -> bool {
         if self.sends_to(replica) > MAX_RESENDS {
             return false;
         }
         let misdirected = AttemptState::Ended(Outcome::Misdirected);
-        let mut there = self
+        let mut earlier_attempts = self
             .attempts
             .iter()
             .filter(|attempt| attempt.replica == replica);
-        there.all(|attempt| attempt.has_not_run() && attempt.state != misdirected)
+        earlier_attempts.all(|attempt| attempt.has_not_run() && attempt.state != misdirected)
     }
 
-    /// Whether a second copy may be sent beside the attempt that is out: one at a time, before an answer has
-    /// begun, within the most replicas.
-    pub fn may_hedge(&self) -> bool {
-        let mut out = self
+    /// Whether a hedge may be sent beside the attempt in flight: one at a time, before a response has begun, within
+    /// the limit of replicas.
+    pub(crate) fn may_hedge(&self) -> bool {
+        let mut in_flight = self
             .attempts
             .iter()
             .filter(|attempt| attempt.state == AttemptState::InFlight);
-        let single = out.next().is_some_and(|attempt| !attempt.begun) && out.next().is_none();
+        let is_single = in_flight.next().is_some_and(|attempt| !attempt.has_begun)
+            && in_flight.next().is_none();
         let within_bounds = self.replicas_reached().len() < self.call.max_replicas as usize;
-        single && within_bounds && self.call.kind.may_run_again()
+        is_single && within_bounds && self.call.kind.may_run_again()
     }
 
     /// How often the call was sent to a replica.
-    pub fn sends_to(&self, replica: ReplicaKey) -> usize {
+    pub(crate) fn sends_to(&self, replica: ReplicaKey) -> usize {
         self.attempts
             .iter()
             .filter(|attempt| attempt.replica == replica)
             .count()
     }
 
-    /// Whether the call has been offered to a replica.
-    pub fn has_reached_replica(&self) -> bool {
+    /// Whether bytes of the call have reached any replica.
+    pub(crate) fn has_reached_replica(&self) -> bool {
         self.attempts.iter().any(Attempt::reached_replica)
     }
 
-    /// The outcome of the last attempt that may have run.
-    pub fn last_executed_outcome(&self) -> Option<Outcome> {
+    /// Outcome of the last attempt that may have run.
+    pub(crate) fn last_executed_outcome(&self) -> Option<Outcome> {
         self.attempts
             .iter()
             .rev()
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What happens to a call: sent, held, put off, copied, ended.
+//! Decisions about one call: whether it is sent, queued, postponed or ended.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +11,18 @@
 use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::ReplicaKey;
 use crate::outcome::Outcome;
-use crate::placement::{Choice, Placement, tokens_to_read};
+use crate::placement::{Choice, Placement, prefill_tokens};
 use crate::replica::InFlight;
 use crate::step::Step;
 use crate::timers::has_come;
 
-/// The share of its target for which a call may be held without having been offered to a replica.
+/// Share of its latency target for which a call may be queued before it has reached any replica.
 const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
-/// First pause (seconds) before a call goes back to a replica that did not run it; doubled with each attempt.
+/// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each attempt.
+
 const INITIAL_BACKOFF: f64 = 0.03;
 impl Admission {
-    /// Decides anew about a call, whatever its state.
+    /// Decides anew about a call in any state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -36,7 +37,7 @@
         }
     }
 
-    /// An attempt of the call ended without an answer.
+    /// Decides about a call of which an attempt has ended without an answer.
     pub(crate) fn decide_after_failure(
         &mut self,
         now: f64,
@@ -51,26 +52,26 @@
         let doubled = INITIAL_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
         call.not_before = match outcome {
             Outcome::NotExecuted {
-                retry_after: Some(asked),
-            } => now + asked.max(doubled),
+                retry_after: Some(requested),
+            } => now + requested.max(doubled),
             _ => now + doubled,
         };
         self.place(now, id, actions);
     }
 
-    /// Held calls leave earliest queuing deadline first, and those put off in order of arrival, as far as a
-    /// replica that has just become freer allows.
+    /// Releases queued calls by earliest queuing deadline, and then postponed calls in the order of their arrival, as
+    /// far as `replica`, which has just got capacity, allows.
     pub(crate) fn release_queued(
         &mut self,
         now: f64,
         replica: ReplicaKey,
         actions: &mut Vec<Action>,
     ) {
-        let mut asked = BTreeSet::new();
+        let mut considered = BTreeSet::new();
         while let Some(first) = self
             .queue
             .first(&replica)
-            .filter(|first| asked.insert(*first))
+            .filter(|first| considered.insert(*first))
         {
             let Some(at) = self.fleet.get(replica) else {
                 break;
@@ -94,7 +95,7 @@
             .for_each(|id| self.decide(now, id, actions));
     }
 
-    /// Drops what is out; gives back the replicas where it was.
+    /// Aborts all attempts in flight. Returns their replicas.
     pub(crate) fn abort_all(&mut self, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
@@ -116,7 +117,7 @@
         freed
     }
 
-    /// Forgets a call that has ended.
+    /// Removes a call that has ended.
     pub(crate) fn end(&mut self, now: f64, id: CallId, answered: bool) {
         self.release(id);
         let Some(mut call) = self.calls.remove(&id) else {
@@ -125,10 +126,11 @@
         self.timers.set(&mut call.timer, id, None);
         self.displaced.remove(&id);
         let unloaded = self.routes.unloaded_median(now, call.route);
-        self.programs.ended(now, &call.call, answered, unloaded);
+        self.programs
+            .record_end(now, &call.call, answered, unloaded);
     }
 
-    /// Ends a call that has not run and never will.
+    /// Rejects a call that has not run and never will.
     pub(crate) fn refuse(
         &mut self,
         now: f64,
@@ -143,7 +145,7 @@
         self.end(now, id, false);
     }
 
-    /// Ends a call for which nothing more can be done, with the most that honesty allows.
+    /// Ends a call that cannot be sent again: rejects it if it has not run, otherwise reports why it failed.
     fn give_up(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -162,7 +164,7 @@
         self.end(now, id, false);
     }
 
-    /// Takes a call out of the queue where it waits.
+    /// Removes a call from the queue in which it waits.
     fn release(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -224,13 +226,14 @@
         placement.choose(call, is_behind, &mut self.random)
     }
 
-    /// The skip: a call whose time left is under its replica's unloaded tail stays unsent.
+    /// Whether the call's remaining time is below the unloaded tail latency of `replica`, so that sending it would be
+    /// useless (DSSP paper, part skipping).
     pub(crate) fn is_hopeless(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
         self.calls.get(&id).is_none_or(|call| {
             let k = self.programs.step_size(&call.call);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
-            let time_left = call.call.give_up_at - now;
-            has_come(now, call.call.give_up_at) || PartBudget::hopeless(time_left, tail)
+            let remaining = call.call.give_up_at - now;
+            has_come(now, call.call.give_up_at) || PartBudget::hopeless(remaining, tail)
         })
     }
 
@@ -279,7 +282,7 @@
             replica,
             replica_id,
             state: AttemptState::InFlight,
-            begun: false,
+            has_begun: false,
         });
         call.apply(CallEvent::Sent);
         let alone = at.in_flight.is_empty();
@@ -293,10 +296,10 @@
         };
         at.in_flight.insert((id, attempt), sent);
         if let Some(service) = self.services.get_mut(&call.service) {
-            let to_read = tokens_to_read(call, replica, at);
+            let prefill = prefill_tokens(call, replica, at);
             at.cache
                 .record(&call.call.prefix, service.cache_share(self.edges));
-            service.sent(to_read);
+            service.record_sent(prefill);
             if repeats {
                 service.budget.spend()
             } else {
@@ -319,8 +322,8 @@
         });
     }
 
-    /// Every replica that it might go to is gone or has had it. Only where the service has none at all, a
-    /// call that has not run waits for one, for as long as it may be held.
+    /// Handles a call for which no replica remains. It waits only if the service has no replica at all and the call has
+    /// not been sent.
     fn handle_missing_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -332,8 +335,8 @@
         }
     }
 
-    /// Until when a call may be held: a share of its target if no replica was offered it, else as long as a
-    /// replica can still make it.
+    /// Until when a call may be queued: for a share of its latency target before it has reached a replica, afterwards
+    /// as long as a replica can still answer it in time.
     fn max_queued_until(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return now;
@@ -346,10 +349,10 @@
         }
     }
 
-    /// No replica may take it now: it waits for one, at the longest until `until`.
+    /// Postpones a call that no replica may receive now, until `until` at the latest.
     fn postpone(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
-        let most = self.max_queued_until(now, id);
-        if has_come(now, most) {
+        let limit = self.max_queued_until(now, id);
+        if has_come(now, limit) {
             return self.give_up(now, id, actions);
         }
         let Some(call) = self.calls.get_mut(&id) else {
@@ -357,18 +360,18 @@
         };
         call.apply(CallEvent::Postponed);
         self.waiting.insert(id);
-        let until = until.map_or(most, |until| until.min(most));
+        let until = until.map_or(limit, |until| until.min(limit));
         self.timers.set(&mut call.timer, id, Some(until));
     }
 
-    /// Its replica is held: it waits there, ordered by the queuing deadline of its step. When it may be
-    /// held no longer without having been offered, it is offered all the same.
+    /// Queues a call at its replica, ordered by the queuing deadline of its step. A call that may not be queued any
+    /// longer is sent instead.
     fn enqueue(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let most = self.max_queued_until(now, id);
+        let limit = self.max_queued_until(now, id);
         if self.is_hopeless(now, id, replica) {
             return self.give_up(now, id, actions);
         }
-        if has_come(now, most) {
+        if has_come(now, limit) {
             return self.send_if_worthwhile(now, id, replica, actions);
         }
         let step = Step {
@@ -386,6 +389,6 @@
             return;
         };
         call.apply(CallEvent::Enqueued { replica, deadline });
-        self.timers.set(&mut call.timer, id, Some(most));
+        self.timers.set(&mut call.timer, id, Some(limit));
     }
 }
--- a/crates/tier/scheduler/src/fleet.rs
+++ b/crates/tier/scheduler/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All replicas that have announced themselves, by service.
+//! All registered replicas, by service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use crate::replica::Replica;
 use crate::spec::ReplicaSpec;
 
-/// The replicas and their numbers.
+/// The replicas and their keys.
 #[derive(Default)]
 pub(crate) struct Fleet {
     replicas: BTreeMap<ReplicaKey, Replica>,
@@ -17,8 +17,8 @@
 }
 
 impl Fleet {
-    /// Takes in the whole list; gives back the replicas that have left.
-    pub fn update(&mut self, now: f64, listed: &[ReplicaSpec]) -> Vec<ReplicaKey> {
+    /// Applies the complete list of replicas. Returns those that have departed.
+    pub(crate) fn update(&mut self, now: f64, listed: &[ReplicaSpec]) -> Vec<ReplicaKey> {
         for spec in listed {
             match self
                 .by_id
@@ -33,26 +33,26 @@
                 None => self.insert(now, spec),
             }
         }
-        let named: BTreeSet<&str> = listed.iter().map(|spec| &*spec.id).collect();
-        let left: Vec<Arc<str>> = self
+        let listed_ids: BTreeSet<&str> = listed.iter().map(|spec| &*spec.id).collect();
+        let departed: Vec<Arc<str>> = self
             .by_id
             .keys()
-            .filter(|id| !named.contains(&***id))
+            .filter(|id| !listed_ids.contains(&***id))
             .cloned()
             .collect();
-        left.iter().filter_map(|id| self.remove(id)).collect()
+        departed.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    pub fn get(&self, key: ReplicaKey) -> Option<&Replica> {
+    pub(crate) fn get(&self, key: ReplicaKey) -> Option<&Replica> {
         self.replicas.get(&key)
     }
 
-    pub fn get_mut(&mut self, key: ReplicaKey) -> Option<&mut Replica> {
+    pub(crate) fn get_mut(&mut self, key: ReplicaKey) -> Option<&mut Replica> {
         self.replicas.get_mut(&key)
     }
 
-    /// Another replica answered at the address of this one: it is not used until its record changes.
-    pub fn misdirected(&mut self, id: &str) {
+    /// Records that another replica answers at the address of this one, which is not used until its record changes.
+    pub(crate) fn misdirected(&mut self, id: &str) {
         if let Some(replica) = self
             .by_id
             .get(id)
@@ -62,11 +62,11 @@
         }
     }
 
-    /// The replicas of a service that may be given new calls.
-    pub fn usable(&self, service: &str) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
+    /// The replicas of a service that may receive new calls.
+    pub(crate) fn usable(&self, service: &str) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.replicas.get(key)?)))
-            .filter(|(_, r)| r.is_usable())
+            .filter(|(_, replica)| replica.is_usable())
     }
 
     fn insert(&mut self, now: f64, spec: &ReplicaSpec) {
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -1,4 +1,4 @@
-//! What becomes of late attempts.
+//! Hedging: late attempts get a second one beside them, or are replaced if their replica has lost them.
 
 use crate::action::Action;
 use crate::admission::Admission;
@@ -9,22 +9,23 @@
 use crate::placement::Placement;
 use crate::replica::InFlight;
 
-/// How soon (seconds) a late attempt is looked at again, at the least.
+/// Least time until a late attempt is checked again, in seconds.
 const MIN_RECHECK_INTERVAL: f64 = 0.05;
-/// A call that so many sent later overtook at its replica has lost its answer.
+/// Number of later calls that must begin before an attempt at its replica for the attempt to count as lost.
 const MIN_OVERTAKEN: u32 = 2;
 
 impl Admission {
-    /// A late attempt. If its replica has lost it that speaks against the replica. If the call may run again,
-    /// a safe one gets a second copy, and a resumable stream is taken from a replica that has lost it.
+    /// Handles a late attempt of a call. Replicas that have lost an attempt are ejected. If the call is idempotent, a
+    /// hedge is sent; a resumable stream moves away from replicas that have lost it.
     pub(crate) fn handle_late_attempt(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         self.observe_lost_attempts(now, id);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let streaming = call.call.kind.is_streaming();
-        let wanted = call.may_hedge() && (!streaming || self.have_all_attempts_been_lost(now, id));
-        if let Some(replica) = self.hedge_target(now, id).filter(|_| wanted) {
+        let is_wanted =
+            call.may_hedge() && (!streaming || self.have_all_attempts_been_lost(now, id));
+        if let Some(replica) = self.hedge_target(now, id).filter(|_| is_wanted) {
             let freed = if streaming {
                 self.abort_lost(now, id, actions)
             } else {
@@ -39,13 +40,13 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let begun = call.attempts.iter().any(|attempt| attempt.begun);
+        let has_begun = call.attempts.iter().any(|attempt| attempt.has_begun);
         let again = now + (self.routes.late_after(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
-        let again = Some(again).filter(|at| !begun && *at < call.call.give_up_at);
+        let again = Some(again).filter(|at| !has_begun && *at < call.call.give_up_at);
         self.timers.set(&mut call.timer, id, again);
     }
 
-    /// Replicas that have lost an attempt of the call are ejected, as it won't be told otherwise for long.
+    /// Ejects replicas that have lost an attempt of the call, which no outcome would reveal for a long time.
     fn observe_lost_attempts(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -53,7 +54,7 @@
         let late = |sent: &InFlight| now > sent.sent_at + self.routes.lost_after(sent.route);
         let lost: Vec<(u32, ReplicaKey)> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.begun)
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
             .filter(|(number, attempt)| {
                 let replica = self.fleet.get(attempt.replica);
                 let sent = replica.and_then(|replica| replica.in_flight.get(&(id, *number)));
@@ -86,18 +87,18 @@
         (!self.is_hopeless(now, id, replica)).then_some(replica)
     }
 
-    /// Whether every replica where the call is out has lost it.
+    /// Whether every replica with an attempt of the call in flight has lost it.
     fn have_all_attempts_been_lost(&self, now: f64, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let mut out = (0..)
+        let mut in_flight = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight);
-        out.all(|(number, attempt)| self.has_lost_attempt(now, id, number, attempt))
+        in_flight.all(|(number, attempt)| self.has_lost_attempt(now, id, number, attempt))
     }
 
-    /// Whether the replica of a late attempt has left, shows no sign of work, or began others sent later.
+    /// Whether the replica of a late attempt has departed, is unresponsive, or began attempts that were sent later.
     fn has_lost_attempt(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
         let Some(replica) = self.fleet.get(attempt.replica) else {
             return true;
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -1,16 +1,23 @@
-//! Decisions of the data plane: which replica runs a call, when it leaves, how often it is tried, how it
-//! ends.
+//! Decisions of the data plane about calls: placement, queueing, retries, hedging and load shedding.
 //!
-//! [`Admission`] is pure: it owns no socket, timer or clock. The driver hands in the time (seconds) and what
-//! happened, carries out the [`Action`]s it gets back in order, and calls [`Admission::wake`] at
-//! [`Admission::next_wake`], which it asks for after every input. The same seed and the same input give the
-//! same actions.
+//! [`Admission`] is the state machine and the place to start reading. It does no I/O and has no clock. The driver
+//! passes the time in seconds and what has happened, executes the returned [`Action`]s in order, and calls
+//! [`Admission::wake`] at [`Admission::next_wake`], which it queries after every input. The same seed and the same
+//! inputs give the same actions.
 //!
-//! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is told as
-//! [`Action::Refuse`] or [`Action::Fail`], or its client has gone ([`Admission::cancelled`]).
+//! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by [`Action::Refuse`] or
+//! failed by [`Action::Fail`], or its client disconnects ([`Admission::cancelled`]).
 //!
-//! The mechanism is that of `woadreach_routing::decide`, with a call in the place of a part and the calls that one
-//! program has in hand in the place of a search (docs/design.md, "Agent programs").
+//! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent calls of
+//! one program in place of a search (docs/design.md, "Agent programs").
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `admission` | the inputs of the state machine |
+//! | `call_state` | states of a call |
+//! | `decisions`, `hedging`, `shedding` | what happens to a call |
+//! | `placement` | choice of a replica |
+//! | `observations`, `replica`, `routes`, `programs`, `service` | what is learned, and from what |
 
 mod action;
 mod admission;
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -1,4 +1,4 @@
-//! What the module learns from what happens to attempts.
+//! What the scheduler learns from the outcomes of attempts.
 
 use woadreach_routing::decide::outlier_detector::{EjectionConfig, Observation};
 
@@ -9,15 +9,16 @@
 use crate::outcome::{Outcome, ServerLoad};
 use crate::replica::{Failure, FailureKind, InFlight};
 
-/// Half of the last eight outcomes at a replica, two at least, eject it (docs/design.md, exception 3).
+/// A replica is ejected when half of its last eight outcomes, at least two, are failures (docs/design.md,
+/// exception 3).
 const EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     least: 2,
 };
 
 impl Admission {
-    /// An attempt's first event or head came: its latency counts, and the replica is at work. For a stream it
-    /// speaks for the replica's health; other answers do so by their status, at their end.
+    /// Records the latency of an attempt whose first event or response head has arrived, and the replica's activity.
+    /// For a stream it counts towards the replica's health; other responses count at their end, by their status.
     pub(crate) fn observe_begin(
         &mut self,
         now: f64,
@@ -45,7 +46,7 @@
             route.unloaded.record(now, &key, latency, ejected);
         }
         replica.record_activity(now, load);
-        replica.begun(id, attempt, late);
+        replica.record_begin(id, attempt, late);
         if self
             .calls
             .get(&id)
@@ -55,7 +56,7 @@
         }
     }
 
-    /// An attempt ended: what it says of the replica's queue, health and load.
+    /// Records what the end of an attempt implies for the replica's queue, health and load.
     pub(crate) fn observe_end(
         &mut self,
         now: f64,
@@ -89,7 +90,7 @@
         replica.in_flight.remove(&(id, attempt));
         replica.record_load(now, load);
         match outcome {
-            Outcome::Answered | Outcome::ReplicaError => replica.answered(),
+            Outcome::Answered | Outcome::ReplicaError => replica.record_answer(),
             Outcome::NotExecuted { .. } if too_large => return,
             Outcome::NotExecuted { .. } | Outcome::TimedOut => {
                 replica.hold.begin(replica.in_flight.len())
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A replica has lost an attempt: it is ejected, once for each attempt.
+    /// Ejects a replica that has lost an attempt, once for each attempt.
     pub(crate) fn observe_lost_attempt(
         &mut self,
         now: f64,
@@ -134,17 +135,17 @@
         self.observe_health(now, key, sent, Some(FailureKind::MayHaveRun));
     }
 
-    /// A call is given up: attempts that are late without a sign of life speak against their replicas.
+    /// Records a failure of each replica with a late attempt of a call that is given up.
     pub(crate) fn observe_given_up(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let out: Vec<u32> = (0..)
+        let in_flight: Vec<u32> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.begun)
+            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
             .map(|(number, _)| number)
             .collect();
-        for number in out {
+        for number in in_flight {
             let Some((key, sent)) = self.in_flight(id, number) else {
                 continue;
             };
@@ -183,8 +184,7 @@
         Some((key, *sent))
     }
 
-    /// Whether all replicas refuse this prompt as though they were full, because it is larger than their
-    /// memory.
+    /// Whether the call is larger than a replica's KV cache, so that all replicas reject it as though they were full.
     fn is_too_large(&self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
--- a/crates/tier/scheduler/src/outcome.rs
+++ b/crates/tier/scheduler/src/outcome.rs
@@ -1,24 +1,31 @@
-//! How one attempt ended.
+//! Outcome of one attempt.
 
 /// How the attempt of a call at one replica ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The whole answer came, any status but a replica's own failure.
+    /// The complete response arrived, with any status except a replica's own error.
     Answered,
-    /// The replica's own 5xx: it has run the call.
+    /// The replica answered 5xx itself: it has run the call.
     ReplicaError,
-    /// The replica promises that it did not run the call (`Not-Executed`); when it asked to come back, in
-    /// seconds.
-    NotExecuted { retry_after: Option<f64> },
+    /// The replica reported that it has not run the call (`Not-Executed`).
+    NotExecuted {
+        /// Its `Retry-After` in seconds, if it sent one.
+        retry_after: Option<f64>,
+    },
     /// 421: another replica has this address. The call has not run.
     Misdirected,
-    /// No connection came up, or none of the request's bytes left.
+    /// No connection could be established, or no byte of the request was sent.
     Unreachable,
-    /// The connection ended early: whether a byte of the request had left, and how many events had come.
-    Broken { sent: bool, events: u32 },
-    /// No answer within the attempt's timeout; it may have run.
+    /// The connection was closed before the response was complete.
+    Broken {
+        /// Whether any byte of the request was sent.
+        sent: bool,
+        /// Number of events that had arrived.
+        events: u32,
+    },
+    /// No response within the attempt's time-out. It may have run.
     TimedOut,
-    /// The driver did not send it, for a reason of its own.
+    /// The driver did not send the attempt.
     NeverSent,
 }
 
@@ -34,10 +41,13 @@
     }
 }
 
-/// What a replica tells of itself with an answer (`Server-Load`).
+/// Load that a replica reports with a response (`Server-Load`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
+    /// Requests that it is processing.
     pub running: u32,
+    /// Requests in its queue.
     pub waiting: u32,
+    /// Requests that it can process concurrently.
     pub slots: u32,
 }
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,15 +1,16 @@
-//! The choice of a replica for one attempt of a call.
+//! Choice of a replica for one attempt of a call.
 //!
-//! The rule: fewest own calls in flight, ties at random. The exceptions, in order: replicas that must not
-//! be used; those that failed of late, are silent, full by their own word or still cold, as long as others
-//! remain; for engines, calls are weighed by the prompt tokens that would have to be read (a replica that
-//! holds the head of the prompt wins unless it has so many more calls that their reading takes longer);
-//! among equals, the home of the call's program or object; then the own zone.
+//! The replica with the fewest calls of this process in flight is chosen, ties at random, with these exceptions in
+//! order. Replicas that must not be used are excluded. Replicas that have recently failed, are unresponsive, have
+//! reported that they are full, or are warming up are used only if no others remain. For engines, calls are weighed
+//! by the prompt tokens that have to be prefilled: a replica that has cached the head of the prompt is chosen unless
+//! it has so many more calls that their prefill takes longer. Among equals the home of the call's program or object
+//! is preferred, and then this process's zone.
 //!
-//! The *home* is where the processes of a zone send the calls of one program, and all processes those about
-//! one object: the usable replica of the highest rendezvous rank that is not known to be in trouble; for a
-//! program, of the own zone. What it keeps of the prompt was mostly sent by other processes, and is known
-//! without a message.
+//! The *home* is the replica to which all processes of a zone send the calls of one program, and all processes the
+//! calls about one object (affinity by rendezvous hashing): the usable and healthy replica of the highest rank, for a
+//! program within the zone. Most of the prompt that it has cached was sent by other processes, which this process
+//! knows without any message.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,45 +26,45 @@
 use crate::routes::Routes;
 use crate::service::Service;
 
-/// Prompt tokens that count as one in the comparison: finer differences are not worth a longer queue.
+/// Prompt tokens that count as one unit in the comparison. Smaller differences do not justify a longer queue.
 const TOKENS_PER_UNIT: usize = 256;
-/// The part of a prompt that is counted as kept at the home of its program: all but the newest input,
-/// which is a quarter once a program has grown for a few turns. It understates what long programs keep.
+/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input, which is
+/// about a quarter after a few turns. Underestimates the cache of long programs.
 const CACHED_SHARE_AT_HOME: f64 = 0.75;
-/// Replicas that a call may be tried at in all, whatever the route allows: those that it never reached
-/// count too.
+/// Most attempts of a call on any route, including those that never reached a replica.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Where an attempt may go.
+/// Decision on the next attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Choice {
+    /// Send it to this replica.
     Send(ReplicaKey),
-    /// As a trial of an ejected replica.
+    /// Send it to this ejected replica as a probe.
     SendProbe(ReplicaKey),
-    /// Its replica is held, or earlier calls wait there.
+    /// Queue it at this replica, which has no capacity or has earlier calls in its queue.
     Enqueue(ReplicaKey),
-    /// Replicas exist, but none may take it now.
+    /// Replicas exist, but none may receive it now.
     Postpone,
-    /// No replica that may run it.
+    /// No replica may run it.
     NoReplica,
 }
 
-/// What the choice reads.
+/// State from which a replica is chosen.
 pub(crate) struct Placement<'a> {
     pub now: f64,
     pub fleet: &'a Fleet,
     pub routes: &'a Routes,
-    /// Own zone.
+    /// Zone of this process.
     pub zone: &'a str,
-    /// Own share of the connections that a replica accepts.
+    /// This process's share of the connections that a replica accepts.
     pub connections: usize,
-    /// Mean of the prompt tokens that a call of the service has to have read; 0 if it is no engine.
-    pub mean_read: usize,
+    /// Mean of the prefill tokens of a call of the service; 0 if it serves no model.
+    pub mean_prefill: usize,
 }
 
 impl<'a> Placement<'a> {
-    /// What is read for the calls of `service`; a service that is not configured sets no bounds.
-    pub fn new(
+    /// The state for calls of `service`. A service that is not configured sets no limits.
+    pub(crate) fn new(
         now: f64,
         fleet: &'a Fleet,
         routes: &'a Routes,
@@ -76,13 +77,13 @@
             routes,
             zone,
             connections: service.map_or(usize::MAX, |service| service.connections),
-            mean_read: service.map_or(0, Service::mean_read),
+            mean_prefill: service.map_or(0, Service::mean_prefill),
         }
     }
 
-    /// Chooses for the next attempt of `call`; `is_behind` tells whether earlier held calls wait at a
+    /// Decides on the next attempt of `call`. `is_behind` says whether calls with earlier deadlines are queued at a
     /// replica.
-    pub fn choose(
+    pub(crate) fn choose(
         &self,
         call: &CallInFlight,
         is_behind: impl Fn(ReplicaKey) -> bool,
@@ -97,10 +98,10 @@
         if candidates.is_empty() {
             return Choice::Postpone;
         }
-        if let Some(trial) = self.trial(call, &candidates) {
-            return Choice::SendProbe(trial);
+        if let Some(probe) = self.probe(call, &candidates) {
+            return Choice::SendProbe(probe);
         }
-        self.prefer_sound(call, &mut candidates);
+        self.prefer_healthy(call, &mut candidates);
         let is_queueing = |key: &ReplicaKey| {
             is_behind(*key)
                 || self.with(*key, |replica| replica.hold.holds(replica.in_flight.len()))
@@ -113,34 +114,37 @@
         }
     }
 
-    /// The home of the call's program or object. Programs have it in the own zone, through which their turns
-    /// mostly come in, unless too few replicas are there.
-    pub fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
-        let is_engine = self.mean_read > 0;
+    /// The home of the call's program or object. That of a program is in this process's zone, where most of its calls
+    /// arrive, unless too few replicas are there.
+    pub(crate) fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
+        let is_engine = self.mean_prefill > 0;
         let key = if is_engine {
             call.call.program.or(call.call.session)
         } else {
             call.call.affinity
         };
         let key = key?.to_le_bytes();
-        let is_sound = |(_, replica): &(ReplicaKey, &Replica)| {
+        let is_healthy = |(_, replica): &(ReplicaKey, &Replica)| {
             !replica.health.is_ejected_for(call.route) && !self.is_unresponsive(replica)
         };
-        let sound: Vec<(ReplicaKey, &Replica)> =
-            self.fleet.usable(&call.service).filter(is_sound).collect();
-        let stays_near = is_engine && self.own_zone_can_serve(&sound);
+        let healthy: Vec<(ReplicaKey, &Replica)> = self
+            .fleet
+            .usable(&call.service)
+            .filter(is_healthy)
+            .collect();
+        let stays_near = is_engine && self.own_zone_can_serve(&healthy);
         let preference = |replica: &Replica| {
             let is_near = stays_near && self.is_near(replica);
             (is_near, rank(&key, &replica.spec.id))
         };
-        sound
+        healthy
             .into_iter()
             .max_by_key(|(_, replica)| preference(replica))
             .map(|(key, _)| key)
     }
 
-    /// Whether the own zone has at least half as many of these replicas as zones have on average: with
-    /// fewer, the programs that come in here would crowd them.
+    /// Whether this process's zone has at least half as many of these replicas as zones have on average. With fewer, the
+    /// programs that arrive here would overload them.
     fn own_zone_can_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
@@ -157,9 +161,9 @@
         &*replica.spec.zone == self.zone
     }
 
-    /// Chooses for a second copy beside an attempt that is out: only an untried, sound replica that is no
-    /// busier than any other.
-    pub fn choose_hedge(
+    /// Chooses a replica for a hedge: only a healthy one that the call has not been sent to, and that is no busier than
+    /// any other.
+    pub(crate) fn choose_hedge(
         &self,
         call: &CallInFlight,
         random: &mut oorandom::Rand64,
@@ -178,21 +182,22 @@
         self.cheapest(call, &mut candidates, random)
     }
 
-    /// Replicas that the rules allow: usable ones of the service, within the most that a try may be sent to.
+    /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and attempts.
     fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
-        let spent = reached.len() >= call.call.max_replicas.max(1) as usize;
+        let is_limit_reached = reached.len() >= call.call.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
-        candidates
-            .require(|key| call.attempts.len() < MAX_ATTEMPTS && (!spent || reached.contains(key)));
+        candidates.require(|key| {
+            call.attempts.len() < MAX_ATTEMPTS && (!is_limit_reached || reached.contains(key))
+        });
         candidates.require(|key| call.may_resend_to(*key));
         candidates.prefer(|key| !call.was_sent_to(*key));
         candidates
     }
 
-    /// An ejected replica that is due a trial, if this call can be risked: it may run again elsewhere, or a
-    /// failure as the last one there costs a call nothing, or the last one was long ago.
-    fn trial(
+    /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or the replica
+    /// allows probes with any call.
+    fn probe(
         &self,
         call: &CallInFlight,
         candidates: &Candidates<ReplicaKey>,
@@ -213,14 +218,13 @@
             .map(|(key, _)| key)
     }
 
-    /// Drops what failed of late, is silent, full or cold, as long as others remain.
-    fn prefer_sound(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
-        // Where most are ejected for being slow the load is the cause, and fewer replicas would make it
-        // worse.
-        let load_is_the_cause = self.is_majority_ejected(call);
+    /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others remain.
+    fn prefer_healthy(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
+        // If most are ejected for being slow, the load is the cause, and excluding them would increase it.
+        let is_load_the_cause = self.is_majority_ejected(call);
         candidates.prefer(|key| {
-            let spared = load_is_the_cause && self.with(*key, Replica::is_merely_slow);
-            spared || !self.is_ejected(*key, call.route)
+            let is_excused = is_load_the_cause && self.with(*key, Replica::is_merely_slow);
+            is_excused || !self.is_ejected(*key, call.route)
         });
         candidates.prefer(|key| self.with(*key, |replica| !self.is_unresponsive(replica)));
         candidates.prefer(|key| self.with(*key, |replica| !replica.has_failed_recently(self.now)));
@@ -243,17 +247,18 @@
         candidates.choose(|_| 0, random)
     }
 
-    /// Own calls in flight; for engines in units of the prompt tokens that they and this call need read
-    /// there.
+    /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in units of
+    /// [`TOKENS_PER_UNIT`].
     fn cost(&self, key: ReplicaKey, call: &CallInFlight) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
         };
         let in_flight = replica.in_flight.len();
-        if self.mean_read == 0 {
+        if self.mean_prefill == 0 {
             return in_flight;
         }
-        (in_flight * self.mean_read + tokens_to_read(call, key, replica) as usize) / TOKENS_PER_UNIT
+        (in_flight * self.mean_prefill + prefill_tokens(call, key, replica) as usize)
+            / TOKENS_PER_UNIT
     }
 
     fn is_ejected(&self, key: ReplicaKey, route: RouteKey) -> bool {
@@ -277,9 +282,9 @@
     }
 }
 
-/// Prompt tokens that the replica would have to read: those that neither its own cache is known to hold nor,
-/// at the call's home, others have sent.
-pub(crate) fn tokens_to_read(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
+/// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the call's
+/// home, sent by other processes.
+pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.call.tokens_in;
     let sent_by_others = if call.home == Some(key) {
         f64::from(tokens) * CACHED_SHARE_AT_HOME
@@ -294,7 +299,7 @@
     )
 }
 
-/// Whether all replicas of a service that may be used are full, by their own word or by a hold.
+/// Whether all usable replicas of a service are full, by their reported load or by a queue at this process.
 pub(crate) fn is_overloaded(now: f64, fleet: &Fleet, service: &Arc<str>) -> bool {
     let mut usable = fleet.usable(service).peekable();
     let full = |replica: &Replica| {
--- a/crates/tier/scheduler/src/prefix_cache.rs
+++ b/crates/tier/scheduler/src/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! Which prompt parts a replica's KV cache is likely to hold, by what this process has sent there.
+//! Estimate of the prefixes in a replica's KV cache, from the prompts that this process has sent there.
 
 use std::collections::BTreeMap;
 
 use crate::call::PrefixPart;
 
-/// The parts known of one replica; those unused longest give way.
+/// Parts of prompts in the cache of one replica, evicted in the order of their last use.
 ///
-/// Other processes fill the same memory unseen, so only a share of it is counted on.
+/// Other processes use the same cache, so this process relies on its share of the capacity only.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     parts: BTreeMap<u64, CachedPart>,
@@ -22,8 +22,8 @@
 }
 
 impl PrefixCache {
-    /// Tokens at the head of this prompt that need not be read again: a part counts if all before it do.
-    pub fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
+    /// Tokens at the head of the prompt that are cached. A part counts only if all parts before it are cached completely.
+    pub(crate) fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let mut cached: u32 = 0;
         for part in prefix {
             let known = self
@@ -38,23 +38,23 @@
         cached
     }
 
-    /// The replica has been given this prompt; at most `most` tokens are counted on.
-    pub fn record(&mut self, prefix: &[PrefixPart], most: u64) {
+    /// Records that the prompt was sent to the replica. Evicts the oldest parts beyond `max_tokens`.
+    pub(crate) fn record(&mut self, prefix: &[PrefixPart], max_tokens: u64) {
         for part in prefix.iter().rev() {
             self.touch(*part);
         }
-        while self.tokens > most {
+        while self.tokens > max_tokens {
             let Some((_, oldest)) = self.by_use.pop_first() else {
                 break;
             };
-            if let Some(gone) = self.parts.remove(&oldest) {
-                self.tokens -= u64::from(gone.tokens);
+            if let Some(evicted) = self.parts.remove(&oldest) {
+                self.tokens -= u64::from(evicted.tokens);
             }
         }
     }
 
-    /// Nothing is known any more, as after a restart of the replica.
-    pub fn clear(&mut self) {
+    /// Empties the estimate, as after a restart of the replica.
+    pub(crate) fn clear(&mut self) {
         *self = PrefixCache::default();
     }
 
--- a/crates/tier/scheduler/src/retry_budget.rs
+++ b/crates/tier/scheduler/src/retry_budget.rs
@@ -1,15 +1,14 @@
-//! A retry budget: further attempts are a bounded share of the first ones, so that they never multiply an
-//! overload.
+//! Retry budget: retries and hedges are a bounded share of first attempts, so that they cannot amplify an overload.
 
-/// Tokens earned by first attempts and spent by further ones.
+/// Tokens that first attempts earn, and retries and hedges spend.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
-/// Further attempts that each first attempt pays for.
+/// Retries that each first attempt earns.
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
-/// The most that is kept, so that a short trouble after a calm time is ridden out.
+/// Most tokens in the budget, which allow retries during a short fault.
 const MAX_TOKENS: f64 = 20.0;
 
 impl Default for RetryBudget {
@@ -19,18 +18,18 @@
 }
 
 impl RetryBudget {
-    /// A call was sent for the first time.
-    pub fn earn(&mut self) {
+    /// Records a first attempt.
+    pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Whether a further attempt is affordable.
-    pub fn can_retry(&self) -> bool {
+    /// Whether the budget allows a retry or hedge.
+    pub(crate) fn can_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A further attempt is sent.
-    pub fn spend(&mut self) {
+    /// Records a retry or hedge.
+    pub(crate) fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -1,4 +1,4 @@
-//! Latencies by route: what an answer takes on an idle replica, and from when one is late.
+//! Latencies by route: unloaded latency, and thresholds from which an attempt is late or lost.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,25 +9,27 @@
 
 use crate::keys::{ReplicaKey, RouteKey};
 
-/// Latest latencies that tell from when one is late.
+/// Number of recent latencies from which the thresholds are derived.
 const MAX_RECENT_LATENCIES: usize = 64;
-/// How often the threshold is worked out anew, in answers.
+/// Number of answers between two updates of the thresholds.
 const ANSWERS_PER_UPDATE: usize = 8;
-/// With fewer samples the threshold is the route's target.
+/// With fewer samples an attempt is late beyond the route's latency target.
 const MIN_SAMPLES: usize = 16;
-/// Late: beyond this quantile of the recent ones, which a sixth of the replicas can't lift by being slow,
-/// and so many times their median. Of work with an exponential spread 6 in 100 are, and half of eight in a
-/// row hardly ever.
+/// An attempt is late beyond this quantile of the recent latencies, which a sixth of the replicas cannot raise by
+/// being slow, and beyond [`LATE_MEDIAN_MULTIPLE`] times their median. Of exponentially distributed latencies 6 in
+/// 100 are late, so half of eight in a row hardly ever are.
 const LATE_QUANTILE: f64 = 0.8;
+/// See [`LATE_QUANTILE`].
 const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
-/// And at least this share of the target: a moment in which this process stood still makes no replica bad.
+/// Least threshold of lateness as a share of the latency target, so that a short stall of this process ejects no
+/// replica.
 const LATE_SHARE_OF_TARGET: f64 = 0.125;
-/// An attempt counts as lost beyond so many times the longest of the recent ones, if its replica is at work.
+/// An attempt at a working replica is lost beyond this multiple of the longest recent latency.
 const LOST_LONGEST_MULTIPLE: f64 = 1.5;
-/// Before any sample an unloaded answer is taken to need this share of the target.
+/// Assumed unloaded latency before the first sample, as a share of the latency target.
 const INITIAL_SHARE_OF_TARGET: f64 = 0.1;
 
-/// Latencies of one route. For streams they run to the first event.
+/// Latencies of one route in seconds. Those of streams end with the first event.
 pub(crate) struct Route {
     pub unloaded: UnloadedLatency<ReplicaKey>,
     target: f64,
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Takes in the latency of an attempt that began (streams) or was answered.
-    pub fn record(&mut self, latency: f64) {
+    /// Records the latency of an attempt that has begun (streams) or was answered.
+    pub(crate) fn record(&mut self, latency: f64) {
         push(&mut self.recent, latency, MAX_RECENT_LATENCIES);
         self.answers += 1;
         if self.recent.len() >= MIN_SAMPLES && self.answers.is_multiple_of(ANSWERS_PER_UPDATE) {
@@ -61,12 +63,12 @@
     }
 
     /// Seconds from which an attempt counts as late.
-    pub fn late_after(&self) -> f64 {
+    pub(crate) fn late_after(&self) -> f64 {
         self.late_after
     }
 
     /// Median of the recent latencies, loaded or not.
-    pub fn typical(&self) -> f64 {
+    pub(crate) fn typical(&self) -> f64 {
         self.typical
     }
 
@@ -81,7 +83,7 @@
     }
 }
 
-/// All routes that calls came by.
+/// All routes of which calls have arrived.
 #[derive(Default)]
 pub(crate) struct Routes {
     keys: BTreeMap<Arc<str>, RouteKey>,
@@ -90,8 +92,8 @@
 }
 
 impl Routes {
-    /// The number of a route, made at its first call.
-    pub fn key(&mut self, name: &Arc<str>, target: f64) -> RouteKey {
+    /// The key of a route, which is assigned at its first call.
+    pub(crate) fn key(&mut self, name: &Arc<str>, target: f64) -> RouteKey {
         if let Some(key) = self.keys.get(name) {
             return *key;
         }
@@ -101,46 +103,51 @@
         key
     }
 
-    pub fn get(&self, key: RouteKey) -> Option<&Route> {
+    pub(crate) fn get(&self, key: RouteKey) -> Option<&Route> {
         self.routes.get(&key)
     }
 
-    pub fn get_mut(&mut self, key: RouteKey) -> Option<&mut Route> {
+    pub(crate) fn get_mut(&mut self, key: RouteKey) -> Option<&mut Route> {
         self.routes.get_mut(&key)
     }
 
     /// Seconds from which an attempt of this route counts as late.
-    pub fn late_after(&self, key: RouteKey) -> f64 {
+    pub(crate) fn late_after(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(f64::INFINITY, Route::late_after)
     }
 
-    /// Seconds from which an attempt counts as lost, if its replica shows no sign of work or has begun later
-    /// ones.
-    pub fn lost_after(&self, key: RouteKey) -> f64 {
+    /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later attempts.
+    pub(crate) fn lost_after(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(f64::INFINITY, |route| route.lost_after)
     }
 
-    /// The unloaded tail of a replica for one of `k` calls side by side.
-    pub fn tail(&self, now: f64, key: RouteKey, replica: Option<ReplicaKey>, k: usize) -> f64 {
+    /// The unloaded tail latency of a replica for one of `k` concurrent calls, in seconds.
+    pub(crate) fn tail(
+        &self,
+        now: f64,
+        key: RouteKey,
+        replica: Option<ReplicaKey>,
+        k: usize,
+    ) -> f64 {
         let Some(route) = self.routes.get(&key) else {
             return 0.0;
         };
         self.budget.tail(now, &route.unloaded, replica.as_ref(), k)
     }
 
-    /// What a call of this route takes on an idle replica, on average over the fleet.
-    pub fn unloaded_median(&self, now: f64, key: RouteKey) -> f64 {
+    /// Median unloaded latency of this route over all replicas, in seconds.
+    pub(crate) fn unloaded_median(&self, now: f64, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(0.0, |route| route.unloaded.quantile(now, None, 0.5))
     }
 
-    /// Forgets what a replica that has left was like.
-    pub fn forget(&mut self, replica: ReplicaKey) {
+    /// Drops the latencies of a replica that has departed.
+    pub(crate) fn forget(&mut self, replica: ReplicaKey) {
         self.routes
             .values_mut()
             .for_each(|route| route.unloaded.forget(&replica));
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -1,93 +1,104 @@
-//! What is configured and learned of one service.
+//! Configuration of one service, and what is learned of its calls.
 
 use crate::retry_budget::RetryBudget;
 use crate::spec::ServiceSpec;
 
-/// Weight of the latest call in the mean of the tokens to read.
+/// Weight of the latest call in the mean of the prefill tokens.
 const LEARNING_RATE: f64 = 0.05;
-/// Before any call, as many tokens as this are taken to be read for one.
-const INITIAL_MEAN_READ: f64 = 512.0;
-/// Never less: each call costs an engine something, even one whose prompt it holds whole.
-const MIN_MEAN_READ: f64 = 64.0;
-/// Own calls in flight at a replica where the configuration sets no bound.
+/// Assumed mean of the prefill tokens before the first call.
+const INITIAL_MEAN_PREFILL: f64 = 512.0;
+/// Least mean of the prefill tokens: even a completely cached prompt costs an engine some work.
+const MIN_MEAN_PREFILL: f64 = 64.0;
+/// Most calls of this process in flight at a replica if the configuration sets no limit.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// One service, and what its calls have needed.
+/// One service, and what is learned of its calls.
 pub(crate) struct Service {
     pub spec: ServiceSpec,
-    /// Own share of the connections that each replica accepts.
+    /// This process's share of the connections that each replica accepts.
     pub connections: usize,
     pub budget: RetryBudget,
-    mean_read: f64,
-    /// The most urgent rank of its calls of late, and when it was seen.
-    most_urgent: (u8, f64),
+    mean_prefill: f64,
+    highest_priority: RecentPriority,
 }
 
-/// Seconds for which a more urgent call makes others less urgent ones.
+/// The highest priority among recent calls.
+struct RecentPriority {
+    /// Rank of the priority; 0 is the highest.
+    rank: u8,
+    /// When a call of this priority last arrived.
+    seen_at: f64,
+}
+
+/// Seconds for which a call of a higher priority ranks others below it.
 const URGENCY_WINDOW: f64 = 2.0;
 
 impl Service {
-    pub fn new(spec: &ServiceSpec, edges: usize) -> Self {
+    pub(crate) fn new(spec: &ServiceSpec, edges: usize) -> Self {
         let mut service = Service {
             spec: spec.clone(),
             connections: 1,
             budget: RetryBudget::default(),
-            mean_read: INITIAL_MEAN_READ,
-            most_urgent: (u8::MAX, f64::NEG_INFINITY),
+            mean_prefill: INITIAL_MEAN_PREFILL,
+            highest_priority: RecentPriority {
+                rank: u8::MAX,
+                seen_at: f64::NEG_INFINITY,
+            },
         };
         service.configure(spec, edges);
         service
     }
 
-    /// Takes in its configuration; `edges` processes share the connections.
-    pub fn configure(&mut self, spec: &ServiceSpec, edges: usize) {
-        let most = if spec.max_conns == 0 {
+    /// Applies its configuration. `edges` processes share the connections.
+    pub(crate) fn configure(&mut self, spec: &ServiceSpec, edges: usize) {
+        let max_connections = if spec.max_conns == 0 {
             MAX_CONNECTIONS
         } else {
             spec.max_conns as usize
         };
-        self.connections = (most / edges.max(1)).max(1);
+        self.connections = (max_connections / edges.max(1)).max(1);
         self.spec = spec.clone();
     }
 
-    /// A call of this rank arrived.
-    pub fn arrived(&mut self, now: f64, priority: u8) {
-        let (rank, at) = self.most_urgent;
-        if priority <= rank || now > at + URGENCY_WINDOW {
-            self.most_urgent = (priority, now);
+    /// Records the arrival of a call of this priority.
+    pub(crate) fn record_arrival(&mut self, now: f64, priority: u8) {
+        if self.is_highest_priority(now, priority) {
+            self.highest_priority = RecentPriority {
+                rank: priority,
+                seen_at: now,
+            };
         }
     }
 
-    /// Whether no more urgent call arrived of late.
-    pub fn is_most_urgent(&self, now: f64, priority: u8) -> bool {
-        let (rank, at) = self.most_urgent;
-        priority <= rank || now > at + URGENCY_WINDOW
+    /// Whether no call of a higher priority has arrived recently.
+    pub(crate) fn is_highest_priority(&self, now: f64, priority: u8) -> bool {
+        let highest = &self.highest_priority;
+        priority <= highest.rank || now > highest.seen_at + URGENCY_WINDOW
     }
 
-    /// A call was sent whose replica has to read so many prompt tokens.
-    pub fn sent(&mut self, tokens_to_read: u32) {
-        self.mean_read += LEARNING_RATE * (f64::from(tokens_to_read) - self.mean_read);
+    /// Records a sent call, of which the replica has to prefill so many tokens.
+    pub(crate) fn record_sent(&mut self, prefill_tokens: u32) {
+        self.mean_prefill += LEARNING_RATE * (f64::from(prefill_tokens) - self.mean_prefill);
     }
 
-    /// Prompt tokens that a call has to have read, on average; 0 if the service is no engine.
-    pub fn mean_read(&self) -> usize {
+    /// Mean of the prefill tokens of a call; 0 if the service serves no model.
+    pub(crate) fn mean_prefill(&self) -> usize {
         if self.spec.engine.is_some() {
-            self.mean_read.max(MIN_MEAN_READ) as usize
+            self.mean_prefill.max(MIN_MEAN_PREFILL) as usize
         } else {
             0
         }
     }
 
-    /// Tokens of a replica's memory that this process counts on, as the others fill theirs.
-    pub fn cache_share(&self, edges: usize) -> u64 {
+    /// This process's share of a replica's KV cache, in tokens.
+    pub(crate) fn cache_share(&self, edges: usize) -> u64 {
         self.spec
             .engine
             .map_or(0, |engine| engine.kv_tokens / edges.max(1) as u64)
     }
 
-    /// Whether a prompt and its answer are larger than a replica's memory, so that all will refuse it as
-    /// full.
-    pub fn is_too_large(&self, tokens: u64) -> bool {
+    /// Whether a prompt and its response exceed a replica's KV cache, so that all replicas reject it.
+    pub(crate) fn is_too_large(&self, tokens: u64) -> bool {
         self.spec
             .engine
             .is_some_and(|engine| engine.kv_tokens > 0 && tokens > engine.kv_tokens)
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -1,23 +1,24 @@
-//! Load shedding: which calls are refused as soon as they arrive, and when their clients should come back.
+//! Load shedding: which calls are rejected on arrival, and when their clients should retry.
 
 use crate::admission::Admission;
 use crate::call::CallId;
 use crate::placement::is_overloaded;
 
-/// Shortest advice (seconds).
+/// Least `Retry-After` in seconds.
 const MIN_RETRY_AFTER: f64 = 0.05;
-/// Advice where no replica is known, or none could be reached.
+/// `Retry-After` in seconds while no replica is usable.
 const RETRY_AFTER_WITHOUT_REPLICA: f64 = 0.25;
-/// Clients heed an advice up to this share of the time that they have left.
+/// Largest `Retry-After` as a share of the client's remaining time. Clients ignore a longer one.
 const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
-/// A less urgent call is refused at this share of the delay that the most urgent of its service may have.
-const LESS_URGENT_SHARE: f64 = 0.5;
+/// A call of a lower priority is rejected at this share of the delay that is acceptable for the highest.
+const LOWER_PRIORITY_SHARE: f64 = 0.5;
 
 impl Admission {
-    /// Whether the call is refused at once, with the advice for its client.
+    /// The `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
     ///
-    /// Only while every replica of its service is full: where a new program would not end in time for the
-    /// delay seen, or a call of a program under way would not be answered before its client gives up.
+    /// Calls are rejected only while every replica of the service is full: a call of a new program if the program would
+    /// not end in time at the present delay, and a call of a program in progress if its client would give up before the
+    /// response.
     pub(crate) fn rejection_on_arrival(&self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         if !is_overloaded(now, &self.fleet, &call.service) {
@@ -27,45 +28,46 @@
         let k = self.programs.step_size(&call.call);
         let tail = self.routes.tail(now, call.route, None, k);
         let delay = (route.typical() - tail).max(0.0);
-        let before_the_end = call.call.give_up_at - now - tail;
-        let bearable = if self.programs.is_in_progress(&call.call) {
-            before_the_end
+        let max_delay = call.call.give_up_at - now - tail;
+        let acceptable = if self.programs.is_in_progress(&call.call) {
+            max_delay
         } else {
-            let spare = self
+            let slack = self
                 .programs
                 .slack(now, &call.call)
                 .unwrap_or(call.call.target_latency);
-            before_the_end.min(spare.max(0.0))
+            max_delay.min(slack.max(0.0))
         };
-        let urgent = self
+        let is_highest_priority = self
             .services
             .get(&call.service)
-            .is_none_or(|s| s.is_most_urgent(now, call.call.priority));
-        let bearable = if urgent {
-            bearable
+            .is_none_or(|service| service.is_highest_priority(now, call.call.priority));
+        let acceptable = if is_highest_priority {
+            acceptable
         } else {
-            bearable * LESS_URGENT_SHARE
+            acceptable * LOWER_PRIORITY_SHARE
         };
-        (delay > bearable).then(|| self.retry_after_for(now, id))
+        (delay > acceptable).then(|| self.retry_after_for(now, id))
     }
 
-    /// When a refused client should come back: when a place is likely to be free, within what it heeds.
+    /// The `Retry-After` in seconds of a rejected call: when a replica probably has capacity, within
+    /// [`RETRY_AFTER_SHARE`] of the client's remaining time.
     pub(crate) fn retry_after_for(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return RETRY_AFTER_WITHOUT_REPLICA;
         };
-        let heeded = (call.call.give_up_at - now).max(0.0) * RETRY_AFTER_SHARE;
+        let longest = (call.call.give_up_at - now).max(0.0) * RETRY_AFTER_SHARE;
         let typical = self
             .routes
             .get(call.route)
             .map_or(0.0, |route| route.typical());
-        let asked = (call.not_before - now).max(0.0);
+        let backoff = (call.not_before - now).max(0.0);
         let reachable = self.fleet.usable(&call.service).next().is_some();
-        let free = if reachable {
-            typical.max(asked)
+        let expected = if reachable {
+            typical.max(backoff)
         } else {
             RETRY_AFTER_WITHOUT_REPLICA
         };
-        free.min(heeded).max(MIN_RETRY_AFTER)
+        expected.min(longest).max(MIN_RETRY_AFTER)
     }
 }
--- a/crates/tier/scheduler/src/spec.rs
+++ b/crates/tier/scheduler/src/spec.rs
@@ -1,15 +1,17 @@
-//! What is configured and which replicas exist.
+//! Configured services and registered replicas, as the driver passes them.
 
 use std::sync::Arc;
 
 /// A service of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Requests that a replica works on at a time, if the configuration tells.
+    /// Requests that a replica processes concurrently, if configured.
     pub capacity_hint: Option<u32>,
-    /// Connections that a replica accepts from all callers together.
+    /// Connections that a replica accepts from all processes together; 0 for the default.
     pub max_conns: u32,
+    /// How the replicas generate tokens, if they serve a model.
     pub engine: Option<EngineSpec>,
 }
 
@@ -18,22 +20,26 @@
 pub struct EngineSpec {
     /// Requests in one batch.
     pub capacity: u32,
-    /// Memory for running requests and cached parts together, in tokens.
+    /// Capacity of the KV cache for running requests and cached prefixes together, in tokens.
     pub kv_tokens: u64,
-    /// Tokens in each event.
+    /// Tokens per event.
     pub stride: u32,
 }
 
-/// A replica that has announced itself.
+/// A registered replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaSpec {
+    /// Identifier of the replica's incarnation.
     pub id: Arc<str>,
+    /// Service that it belongs to.
     pub service: Arc<str>,
+    /// Its zone.
     pub zone: Arc<str>,
+    /// Requests that it processes concurrently.
     pub capacity: u32,
-    /// False while it drains.
+    /// Whether it accepts new requests; false while it is draining.
     pub ready: bool,
-    /// Seconds for which it is still slow from its start.
+    /// Seconds until it has warmed up.
     pub cold_remaining: f64,
     /// Version of its software.
     pub generation: Arc<str>,
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -9,7 +9,7 @@
 use crate::programs::Programs;
 use crate::routes::Routes;
 
-/// What the deadline is worked out from.
+/// State from which the queuing deadline is computed.
 pub(crate) struct Step<'a> {
     pub now: f64,
     pub calls: &'a BTreeMap<CallId, CallInFlight>,
@@ -18,12 +18,12 @@
 }
 
 impl Step<'_> {
-    /// When the calls of the step must have begun, at the latest, for all to be answered within the step's
-    /// aim: its arrival + aim - the p-quantile of the product of its replicas' unloaded histograms. `call`
-    /// would go to `replica`; others of the step that have none yet count as average.
+    /// When the calls of the step must have begun for all to be answered within the step's latency target: its arrival
+    /// plus the target, less the p-quantile of the product of its replicas' unloaded histograms (DSSP paper, queuing
+    /// deadline). `call` would be sent to `replica`; calls of the step without a replica count as average.
     ///
-    /// Calls of different routes have histograms of their own: the k' of one route get p^(k'/k) of the whole.
-    pub fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
+    /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the whole.
+    pub(crate) fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
         let ids = self.programs.step_calls(&call.call);
         let size = ids.len();
@@ -31,12 +31,12 @@
             let Some(other) = self.calls.get(&id) else {
                 continue;
             };
-            let at = if id == call.call.id {
+            let replica = if id == call.call.id {
                 Some(replica)
             } else {
                 replica_of(other)
             };
-            replicas.entry(other.route).or_default().push(at);
+            replicas.entry(other.route).or_default().push(replica);
         }
         let each = self.routes.budget.part_quantile(size);
         let quantiles = replicas
@@ -56,12 +56,14 @@
     }
 }
 
-/// Where a call is out or held.
+/// The replica at which a call is in flight or queued.
 fn replica_of(call: &CallInFlight) -> Option<ReplicaKey> {
-    let out = call
+    let in_flight = call
         .attempts
         .iter()
         .rev()
         .find(|attempt| attempt.state == AttemptState::InFlight);
-    out.map(|attempt| attempt.replica).or(call.queued_at())
+    in_flight
+        .map(|attempt| attempt.replica)
+        .or(call.queued_at())
 }
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -10,10 +10,10 @@
     ServerLoad, ServiceSpec,
 };
 
-pub const SERVICE: &str = "service";
-pub const ZONE: &str = "zone-a";
+pub(crate) const SERVICE: &str = "service";
+pub(crate) const ZONE: &str = "zone-a";
 
-pub fn service() -> ServiceSpec {
+pub(crate) fn service() -> ServiceSpec {
     ServiceSpec {
         name: Arc::from(SERVICE),
         capacity_hint: None,
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn engine_service() -> ServiceSpec {
+pub(crate) fn engine_service() -> ServiceSpec {
     let engine = EngineSpec {
         capacity: 32,
         kv_tokens: 200_000,
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn replica(id: &str) -> ReplicaSpec {
+pub(crate) fn replica(id: &str) -> ReplicaSpec {
     ReplicaSpec {
         id: Arc::from(id),
         service: Arc::from(SERVICE),
@@ -46,12 +46,12 @@
     }
 }
 
-pub fn replicas(ids: &[&str]) -> Vec<ReplicaSpec> {
+pub(crate) fn replicas(ids: &[&str]) -> Vec<ReplicaSpec> {
     ids.iter().map(|id| replica(id)).collect()
 }
 
 /// A safe call that arrives at `now` and may be sent to two replicas.
-pub fn call(now: f64, id: u64) -> Call {
+pub(crate) fn call(now: f64, id: u64) -> Call {
     Call {
         id: CallId(id),
         route: Arc::from("route"),
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn unsafe_call(now: f64, id: u64) -> Call {
+pub(crate) fn unsafe_call(now: f64, id: u64) -> Call {
     Call {
         kind: CallKind::Unsafe,
         ..call(now, id)
@@ -81,7 +81,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub(crate) enum End {
     Answered,
     Refused,
     Failed(FailReason),
@@ -89,7 +89,7 @@
 }
 
 /// A call as the driver sees it.
-pub struct Seen {
+pub(crate) struct Seen {
     pub call: Call,
     /// Replica and outcome of each attempt; `None` while it is out, and for aborted ones.
     pub attempts: Vec<(Arc<str>, Option<Outcome>)>,
@@ -143,7 +143,7 @@
 }
 
 /// The module with a driver around it.
-pub struct Driver {
+pub(crate) struct Driver {
     pub now: f64,
     pub admission: Admission,
     pub seen: BTreeMap<CallId, Seen>,
@@ -153,7 +153,7 @@
 }
 
 impl Driver {
-    pub fn new(seed: u64, service: ServiceSpec, replicas: &[ReplicaSpec]) -> Self {
+    pub(crate) fn new(seed: u64, service: ServiceSpec, replicas: &[ReplicaSpec]) -> Self {
         let mut driver = Driver {
             now: 100.0,
             admission: Admission::new(seed, ZONE.to_string()),
@@ -167,7 +167,7 @@
         driver
     }
 
-    pub fn list(&mut self, replicas: &[ReplicaSpec]) {
+    pub(crate) fn list(&mut self, replicas: &[ReplicaSpec]) {
         for spec in replicas {
             let changed = self.listed.get(&spec.id).is_some_and(|known| known != spec);
             if changed || !self.listed.contains_key(&spec.id) {
@@ -184,7 +184,7 @@
         self.run_due();
     }
 
-    pub fn arrive(&mut self, call: Call) -> Vec<Action> {
+    pub(crate) fn arrive(&mut self, call: Call) -> Vec<Action> {
         let id = call.id;
         let seen = Seen {
             call: call.clone(),
@@ -199,7 +199,7 @@
     }
 
     /// Lets time pass, with every wake on its way.
-    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut all = Vec::new();
         while let Some(at) = self.admission.next_wake(self.now).filter(|at| *at <= until) {
@@ -210,17 +210,17 @@
         all
     }
 
-    pub fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
+    pub(crate) fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
         self.admission
             .first_event(self.now, CallId(id), attempt, load);
         self.check_progress();
     }
 
-    pub fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub(crate) fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         self.outcome_with_load(id, attempt, outcome, None)
     }
 
-    pub fn outcome_with_load(
+    pub(crate) fn outcome_with_load(
         &mut self,
         id: u64,
         attempt: u32,
@@ -245,7 +245,7 @@
         actions
     }
 
-    pub fn cancel(&mut self, id: u64) -> Vec<Action> {
+    pub(crate) fn cancel(&mut self, id: u64) -> Vec<Action> {
         if let Some(seen) = self.seen.get_mut(&CallId(id)) {
             seen.end = seen.end.or(Some(End::Cancelled));
         }
@@ -255,7 +255,7 @@
     }
 
     /// Attempts that are out, as (call, attempt).
-    pub fn out(&self) -> Vec<(u64, u32)> {
+    pub(crate) fn out(&self) -> Vec<(u64, u32)> {
         let each = |(id, seen): (&CallId, &Seen)| {
             let out: Vec<_> = (0..seen.attempts.len())
                 .filter(|n| seen.is_out(*n))
@@ -267,12 +267,12 @@
         self.seen.iter().flat_map(each).collect()
     }
 
-    pub fn end(&self, id: u64) -> Option<End> {
+    pub(crate) fn end(&self, id: u64) -> Option<End> {
         self.seen[&CallId(id)].end
     }
 
     /// The replicas that a call was sent to, in order.
-    pub fn sent_to(&self, id: u64) -> Vec<String> {
+    pub(crate) fn sent_to(&self, id: u64) -> Vec<String> {
         self.seen[&CallId(id)]
             .attempts
             .iter()
@@ -281,7 +281,7 @@
     }
 
     /// Runs every wake that is due now.
-    pub fn run_due(&mut self) -> Vec<Action> {
+    pub(crate) fn run_due(&mut self) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..1_000 {
             if self
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -45,7 +45,7 @@
 fn spare_time_is_spread_in_proportion_to_the_work() {
     let mut programs = Programs::default();
     let first = call(0.0, 1, 1, 4.0);
-    programs.arrived(0.0, &first);
+    programs.record_arrival(0.0, &first);
     assert!(
         is_near(programs.latency_target(&first, UNLOADED), 0.2),
         "half of the time is work: twice its own"
@@ -58,10 +58,10 @@
     let mut programs = Programs::default();
     let aim_after = |programs: &mut Programs, program: u64, answered_at: f64| {
         let first = call(0.0, program, program, 4.0);
-        programs.arrived(0.0, &first);
-        programs.ended(answered_at, &first, true, UNLOADED);
+        programs.record_arrival(0.0, &first);
+        programs.record_end(answered_at, &first, true, UNLOADED);
         let second = call(1.0, 10 + program, program, 4.0);
-        programs.arrived(1.0, &second);
+        programs.record_arrival(1.0, &second);
         programs.latency_target(&second, UNLOADED)
     };
     let on_time = aim_after(&mut programs, 1, UNLOADED);
@@ -73,7 +73,7 @@
 fn a_late_program_has_no_time_for_a_step() {
     let mut programs = Programs::default();
     let late = call(5.0, 1, 1, 4.0);
-    programs.arrived(5.0, &late);
+    programs.record_arrival(5.0, &late);
     assert!(is_near(programs.latency_target(&late, UNLOADED), 0.0));
 }
 
@@ -86,12 +86,12 @@
         for (at, taken) in [(0.0, UNLOADED), (0.9, UNLOADED)] {
             id += 1;
             let step = call(start + at, id, program, start + 4.0);
-            programs.arrived(start + at, &step);
-            programs.ended(start + at + taken, &step, true, UNLOADED);
+            programs.record_arrival(start + at, &step);
+            programs.record_end(start + at + taken, &step, true, UNLOADED);
         }
     }
     let first = call(5_000.0, 10_000, 10_000, 5_004.0);
-    programs.arrived(5_000.0, &first);
+    programs.record_arrival(5_000.0, &first);
     let aim = programs.latency_target(&first, UNLOADED);
     assert!(
         (0.38..0.42).contains(&aim),
@@ -107,14 +107,14 @@
         .collect();
     calls
         .iter()
-        .for_each(|call| programs.arrived(call.arrived, call));
+        .for_each(|call| programs.record_arrival(call.arrived, call));
     assert_eq!(programs.step_size(&calls[2]), 3);
     assert!(is_near(programs.step_started(&calls[2]), 0.1));
     calls
         .iter()
-        .for_each(|call| programs.ended(1.0, call, true, UNLOADED));
+        .for_each(|call| programs.record_end(1.0, call, true, UNLOADED));
     let next = call(2.0, 4, 1, 4.0);
-    programs.arrived(2.0, &next);
+    programs.record_arrival(2.0, &next);
     assert_eq!(programs.step_size(&next), 1);
     assert!(is_near(programs.step_started(&next), 2.0));
 }
