--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -12,14 +12,12 @@
 use crate::keys::ReplicaKey;
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, prefill_tokens};
-use crate::replica::InFlight;
 use crate::step::Step;
 use crate::timers::has_come;
 
 /// Share of its latency target for which a call may be queued before it has reached any replica.
 const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
 /// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each attempt.
-
 const INITIAL_BACKOFF: f64 = 0.03;
 impl Admission {
     /// Decides anew about a call in any state.
@@ -262,6 +260,7 @@
         self.send(now, id, replica, actions);
     }
 
+    /// Sends a call to `replica`, and sets the timer after which the attempt is late.
     pub(crate) fn send(
         &mut self,
         now: f64,
@@ -272,35 +271,26 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let Some(at) = self.fleet.get_mut(replica) else {
+        let Some(target) = self.fleet.get_mut(replica) else {
             return;
         };
-        let repeats = call.has_reached_replica();
+        let is_retry = call.has_reached_replica();
         let attempt = call.attempts.len() as u32;
-        let replica_id = at.spec.id.clone();
         call.attempts.push(Attempt {
             replica,
-            replica_id,
+            replica_id: target.spec.id.clone(),
             state: AttemptState::InFlight,
             has_begun: false,
         });
         call.apply(CallEvent::Sent);
-        let alone = at.in_flight.is_empty();
-        let sent = InFlight {
-            sent_at: now,
-            route: call.route,
-            alone,
-            begun_late: None,
-            overtaken: 0,
-            lost: false,
-        };
-        at.in_flight.insert((id, attempt), sent);
+        target.record_sent(now, id, attempt, call.route);
         if let Some(service) = self.services.get_mut(&call.service) {
-            let prefill = prefill_tokens(call, replica, at);
-            at.cache
+            let prefill = prefill_tokens(call, replica, target);
+            target
+                .cache
                 .record(&call.call.prefix, service.cache_share(self.edges));
             service.record_sent(prefill);
-            if repeats {
+            if is_retry {
                 service.budget.spend()
             } else {
                 service.budget.earn()
@@ -311,12 +301,12 @@
         } else {
             self.routes.lost_after(call.route)
         };
-        let look_at = Some(now + late_after).filter(|at| *at < call.call.give_up_at);
-        self.timers.set(&mut call.timer, id, look_at);
+        let late_at = Some(now + late_after).filter(|at| *at < call.call.give_up_at);
+        self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
             attempt,
-            replica: at.spec.id.clone(),
+            replica: target.spec.id.clone(),
             timeout: call.call.give_up_at - now,
             priority: None,
         });
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -105,6 +105,19 @@
         self.spec.ready && !self.misdirected
     }
 
+    /// Records that an attempt of this process was sent to it.
+    pub(crate) fn record_sent(&mut self, now: f64, call: CallId, attempt: u32, route: RouteKey) {
+        let sent = InFlight {
+            sent_at: now,
+            route,
+            alone: self.in_flight.is_empty(),
+            begun_late: None,
+            overtaken: 0,
+            lost: false,
+        };
+        self.in_flight.insert((call, attempt), sent);
+    }
+
     /// Records that the replica is working: an event, a response head or a response has arrived.
     pub(crate) fn record_activity(&mut self, now: f64, load: Option<ServerLoad>) {
         self.last_activity_at = now;
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A driver for tests: keeps what a real driver would know, and checks every action against the rules.
+//! A driver for tests, which has the state of a real driver and checks every action against the rules.
 
 #![allow(dead_code)]
 
@@ -91,7 +91,7 @@
 /// A call as the driver sees it.
 pub(crate) struct Seen {
     pub call: Call,
-    /// Replica and outcome of each attempt; `None` while it is out, and for aborted ones.
+    /// Replica and outcome of each attempt; `None` while it is in flight, and for aborted ones.
     pub attempts: Vec<(Arc<str>, Option<Outcome>)>,
     pub aborted: BTreeSet<u32>,
     pub end: Option<End>,
@@ -104,7 +104,7 @@
             && !self.aborted.contains(&(attempt as u32))
     }
 
-    /// Proven by what the replicas said, independently of the module's own account.
+    /// Whether the outcomes prove that the call has not run, independently of the scheduler's own state.
     fn has_not_run(&self) -> bool {
         self.attempts.iter().all(|(_, outcome)| match outcome {
             Some(Outcome::NotExecuted { .. } | Outcome::Misdirected | Outcome::Unreachable) => true,
@@ -142,7 +142,7 @@
     }
 }
 
-/// The module with a driver around it.
+/// The scheduler with its driver.
 pub(crate) struct Driver {
     pub now: f64,
     pub admission: Admission,
@@ -198,7 +198,7 @@
         actions
     }
 
-    /// Lets time pass, with every wake on its way.
+    /// Advances the time, with every wake that is due meanwhile.
     pub(crate) fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut all = Vec::new();
@@ -254,7 +254,7 @@
         actions
     }
 
-    /// Attempts that are out, as (call, attempt).
+    /// Attempts in flight, as (call, attempt).
     pub(crate) fn out(&self) -> Vec<(u64, u32)> {
         let each = |(id, seen): (&CallId, &Seen)| {
             let out: Vec<_> = (0..seen.attempts.len())
@@ -305,7 +305,7 @@
         self.check_progress();
     }
 
-    /// Each call in hand has an attempt out, or a time at which it will be looked at.
+    /// Checks that each call has an attempt in flight, or a timer.
     fn check_progress(&self) {
         let woken = self.admission.next_wake(self.now).is_some();
         for (id, seen) in self.seen.iter().filter(|(_, seen)| seen.end.is_none()) {
@@ -326,7 +326,7 @@
                 self.check_send(*call, *attempt, replica, *timeout);
             }
             Action::Refuse { call, retry_after } => {
-                let seen = self.in_hand(*call);
+                let seen = self.in_flight(*call);
                 assert!(
                     seen.has_not_run(),
                     "{call:?} is refused though it may have run"
@@ -335,7 +335,7 @@
                 seen.end = Some(End::Refused);
             }
             Action::Fail { call, reason } => {
-                let seen = self.in_hand(*call);
+                let seen = self.in_flight(*call);
                 assert!(
                     !seen.has_not_run(),
                     "{call:?} fails though it is proven not to have run"
@@ -353,7 +353,7 @@
         }
     }
 
-    fn in_hand(&mut self, id: CallId) -> &mut Seen {
+    fn in_flight(&mut self, id: CallId) -> &mut Seen {
         let seen = self.seen.get_mut(&id).expect("a call that arrived");
         assert_eq!(seen.end, None, "{id:?} ends twice or goes on after its end");
         seen
@@ -367,7 +367,7 @@
             !self.misdirected.contains(replica),
             "{replica} is not at its address"
         );
-        let seen = self.in_hand(id);
+        let seen = self.in_flight(id);
         assert_eq!(attempt as usize, seen.attempts.len());
         assert!(
             seen.may_run_again() || seen.has_not_run(),
--- a/crates/tier/scheduler/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -1,19 +1,19 @@
-//! Replicas that fail, are slow or silent: when they are left out, and when they come back.
+//! Replicas that fail, are slow or unresponsive: when they are ejected, and when they are restored.
 
 mod common;
 
 use common::{Driver, call, replicas, service, unsafe_call};
 use woadreach_scheduler::{Action, Call, CallKind, Outcome};
 
-/// Asks with safe calls, 20 a second, of which `bad` fails those that it gets; gives back how often it was
-/// first.
-fn ask_with_bad(driver: &mut Driver, ids: std::ops::Range<u64>, fails: bool) -> usize {
-    let mut first_at_bad = 0;
+/// Sends safe calls, 20 a second; if `fails`, the replica `bad` fails those that it receives. Returns how many
+/// calls it received first.
+fn send_with_failing_replica(driver: &mut Driver, ids: std::ops::Range<u64>, fails: bool) -> usize {
+    let mut is_first_at_failing = 0;
     for id in ids {
         driver.arrive(call(driver.now, id));
-        let at_bad = driver.sent_to(id) == ["bad"];
-        first_at_bad += usize::from(at_bad);
-        let outcome = if at_bad && fails {
+        let is_at_failing = driver.sent_to(id) == ["bad"];
+        is_first_at_failing += usize::from(is_at_failing);
+        let outcome = if is_at_failing && fails {
             Outcome::ReplicaError
         } else {
             Outcome::Answered
@@ -24,18 +24,18 @@
         }
         driver.advance(0.05);
     }
-    first_at_bad
+    is_first_at_failing
 }
 
 #[test]
-fn a_failing_replica_is_left_out_and_comes_back_by_trials() {
+fn a_failing_replica_is_ejected_and_restored_by_probes() {
     let mut driver = Driver::new(1, service(), &replicas(&["good", "bad"]));
-    let while_bad = ask_with_bad(&mut driver, 1..401, true);
+    let while_failing = send_with_failing_replica(&mut driver, 1..401, true);
     assert!(
-        (4..=16).contains(&while_bad),
-        "trials every few seconds in 20 s: {while_bad}"
+        (4..=16).contains(&while_failing),
+        "trials every few seconds in 20 s: {while_failing}"
     );
-    let while_good = ask_with_bad(&mut driver, 401..801, false);
+    let while_good = send_with_failing_replica(&mut driver, 401..801, false);
     assert!(
         while_good > 100,
         "back after the first good trials: {while_good}"
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn a_call_that_may_not_run_again_is_no_trial_soon_after_a_failure() {
+fn a_call_that_is_not_idempotent_is_no_probe_soon_after_a_failure() {
     let mut driver = Driver::new(1, service(), &replicas(&["good", "bad"]));
-    ask_with_bad(&mut driver, 1..101, true);
+    send_with_failing_replica(&mut driver, 1..101, true);
     for id in 101..=150 {
         driver.arrive(unsafe_call(driver.now, id));
         assert_eq!(driver.sent_to(id), ["good"]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_unreachable_replica_is_left_out_at_once() {
+fn an_unreachable_replica_is_ejected_at_once() {
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &replicas(&["a", "b"]));
         for id in 1..=10 {
@@ -119,9 +119,9 @@
     }
 }
 
-/// A replica that swallows one call and answers others: seen long before that call times out.
+/// A replica that loses one call and answers others is ejected long before that call times out.
 #[test]
-fn a_replica_that_lost_a_call_is_left_out() {
+fn a_replica_that_lost_a_call_is_ejected() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=40 {
         driver.arrive(unsafe_call(driver.now, id));
@@ -150,23 +150,23 @@
 }
 
 #[test]
-fn a_silent_replica_gets_no_more() {
+fn an_unresponsive_replica_receives_no_more_calls() {
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &replicas(&["a", "b"]));
         driver.arrive(unsafe_call(driver.now, 1));
-        let silent = driver.sent_to(1)[0].clone();
+        let unresponsive = driver.sent_to(1)[0].clone();
         driver.advance(0.3);
-        // The other one has more calls out than the silent one, and answers.
+        // The other one has more calls in flight than the unresponsive one, and answers.
         for id in 2..=4 {
             driver.arrive(unsafe_call(driver.now, id));
-            assert_ne!(driver.sent_to(id)[0], silent);
+            assert_ne!(driver.sent_to(id)[0], unresponsive);
         }
     }
 }
 
-/// Two of three become ten times as slow: one alone would be pushed over by the calls of all.
+/// Two of three become ten times as slow. The third alone would be overloaded by the calls of all.
 #[test]
-fn slowness_of_most_replicas_leaves_none_out() {
+fn slowness_of_most_replicas_ejects_none() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     let round = |driver: &mut Driver, from: u64, slow: f64| {
         let ids: Vec<u64> = (from..from + 6).collect();
@@ -236,9 +236,9 @@
     assert_eq!(driver.sent_to(1), ["a"], "one that overtook it is no proof");
 }
 
-/// One of six becomes eight times as slow, which is no more of the answers than the threshold stands.
+/// One of six becomes eight times as slow, so that its answers cannot raise the threshold of lateness.
 #[test]
-fn a_slow_replica_is_left_out() {
+fn a_slow_replica_is_ejected() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c", "d", "e", "slow"]));
     let mut at_slow = Vec::new();
     for round in 0..100 {
--- a/crates/tier/scheduler/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -1,4 +1,4 @@
-//! The home of a program's or an object's calls: processes agree on it without a message.
+//! The home of a program's or an object's calls, on which processes agree without a message.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{Driver, engine_service, replica, replicas, service, unsafe_call};
 use woadreach_scheduler::{Call, Outcome, PrefixPart, ReplicaSpec};
 
-/// A turn of a program whose prompt is known to no process yet.
+/// A call of a program, of which no process knows the prompt yet.
 fn turn(now: f64, id: u64, program: u64) -> Call {
     let prefix = vec![
         PrefixPart {
@@ -41,7 +41,7 @@
         .collect()
 }
 
-/// Where a process that has seen nothing before sends a program's turn.
+/// The replica to which a process without any observations sends a program's call.
 fn home_of(seed: u64, list: &[ReplicaSpec], program: u64) -> String {
     let mut driver = Driver::new(seed, engine_service(), list);
     driver.arrive(turn(driver.now, 1, program));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn programs_spread_over_all_replicas() {
+fn programs_spread_across_all_replicas() {
     let list = fleet(10);
     let mut programs: BTreeMap<String, usize> = BTreeMap::new();
     for program in 0..500 {
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_home_with_many_more_own_calls_is_passed_over() {
+fn a_home_with_many_more_own_calls_is_not_chosen() {
     let mut driver = Driver::new(1, engine_service(), &fleet(6));
     for id in 1..=30 {
-        // Sub-agents side by side, each with an input of its own.
+        // Concurrent sub-agents, each with an input of its own.
         let mut call = turn(driver.now, id, 5);
         call.prefix[1].id += id;
         driver.arrive(call);
@@ -170,7 +170,7 @@
     assert_eq!(homes.len(), 4);
 }
 
-/// Replicas by zone, as many as told for each.
+/// Replicas by zone, as many as given for each.
 fn zones(counts: &[(&str, usize)]) -> Vec<ReplicaSpec> {
     let of_zone = |(zone, count): &(&str, usize)| {
         let zone: Arc<str> = Arc::from(*zone);
--- a/crates/tier/scheduler/tests/overload.rs
+++ b/crates/tier/scheduler/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What is refused on arrival when all replicas of a service are full, and what never is.
+//! Load shedding: which calls are rejected on arrival when all replicas of a service are full.
 
 mod common;
 
@@ -16,7 +16,7 @@
     slots: 6,
 };
 
-/// A program's call, with `time` seconds until the program should be over.
+/// A program's call, with `time` seconds until the program should end.
 fn program_call(now: f64, id: u64, program: u64, time: f64) -> Call {
     Call {
         program: Some(program),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Two replicas whose unloaded answers take 0.1 s, and whose answers of late took 1 s; they say `load`.
+/// Two replicas whose unloaded answers take 0.1 s, and whose recent answers took 1 s; they report `load`.
 fn loaded(load: ServerLoad) -> Driver {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     let answer = |driver: &mut Driver, ids: std::ops::Range<u64>, latency: f64| {
@@ -42,7 +42,7 @@
         }
     };
     answer(&mut driver, 1..40, 0.1);
-    // One call stays out at each replica, so that no slow answer is an unloaded sample.
+    // One call stays in flight at each replica, so that no slow answer is an unloaded sample.
     for id in [1_000, 1_001] {
         driver.arrive(Call {
             give_up_at: driver.now + 1e3,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_program_under_way_goes_before_new_ones() {
+fn a_program_in_progress_goes_before_new_ones() {
     let mut driver = loaded(FULL);
     let mut before = program_call(driver.now, 5_000, 1, 0.5);
     before.finish_at = Some(driver.now + 50.0);
@@ -90,15 +90,15 @@
 #[test]
 fn less_urgent_calls_are_refused_before_urgent_ones() {
     let mut driver = loaded(FULL);
-    let spare = 2.6; // half of the time is work: 1.3 s is spare, half of it under the delay
+    let slack = 2.6; // half of the time is work: 1.3 s is slack, half of it under the delay
     driver.arrive(Call {
         priority: 0,
-        ..program_call(driver.now, 5_000, 1, spare)
+        ..program_call(driver.now, 5_000, 1, slack)
     });
     assert_eq!(driver.end(5_000), None);
     let refused = driver.arrive(Call {
         priority: 1,
-        ..program_call(driver.now, 5_001, 2, spare)
+        ..program_call(driver.now, 5_001, 2, slack)
     });
     assert!(is_refused(&refused), "{refused:?}");
 }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_word_of_long_ago_refuses_nothing() {
+fn an_expired_load_report_rejects_nothing() {
     let mut driver = loaded(FULL);
     driver.advance(1.5);
     assert!(!is_refused(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn safe_calls_get_no_copies_while_all_replicas_are_full() {
+fn safe_calls_are_not_hedged_while_all_replicas_are_full() {
     let mut driver = loaded(FULL);
     let patient = |call: Call| Call {
         target_latency: 10.0,
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which replica an attempt goes to.
+//! Choice of the replica for an attempt.
 
 mod common;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A turn whose prompt begins with a shared part and goes on with one of its session.
+/// A call whose prompt consists of a shared part and one of its session.
 fn turn(now: f64, id: u64, session: u64, tokens: u32) -> Call {
     let prefix = vec![
         PrefixPart {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_session_goes_where_its_prompt_is_kept() {
+fn a_session_goes_where_its_prompt_is_cached() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     driver.arrive(turn(driver.now, 1, 5, 1_000));
     let first = driver.sent_to(1);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_session_stays_without_parts_of_its_prompt_being_told() {
+fn a_session_stays_without_known_parts_of_its_prompt() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     let turn = |now, id, tokens_in| Call {
         session: Some(9),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_replica_that_says_it_is_full_is_passed_over() {
+fn a_replica_that_reports_that_it_is_full_is_not_chosen() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.arrive(unsafe_call(driver.now, 1));
     let full = driver.sent_to(1)[0].clone();
@@ -222,15 +222,17 @@
 }
 
 #[test]
-fn a_cold_replica_gets_calls_as_it_answers() {
-    let cold = ReplicaSpec {
+fn a_replica_in_slow_start_receives_calls_as_it_answers() {
+    let warming = ReplicaSpec {
         cold_remaining: 10.0,
-        ..replica("cold")
+        ..replica("warming")
     };
-    let mut driver = Driver::new(1, service(), &[replica("warm"), cold]);
+    let mut driver = Driver::new(1, service(), &[replica("warm"), warming]);
     for id in 1..=8 {
         driver.arrive(unsafe_call(driver.now, id));
     }
-    let cold_calls = (1..=8).filter(|id| driver.sent_to(*id) == ["cold"]).count();
-    assert_eq!(cold_calls, 1);
+    let slow_start_calls = (1..=8)
+        .filter(|id| driver.sent_to(*id) == ["warming"])
+        .count();
+    assert_eq!(slow_start_calls, 1);
 }
--- a/crates/tier/scheduler/tests/queueing.rs
+++ b/crates/tier/scheduler/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! Holds: when calls wait, in which order they leave, and for how long they may wait.
+//! Queues: when calls are queued, in which order they are sent, and for how long they may wait.
 
 mod common;
 
@@ -15,8 +15,8 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// One replica with four calls out, after the fifth was answered full: what comes now is held.
-fn held_replica() -> Driver {
+/// One replica with four calls in flight, after it has answered the fifth that it is full: further calls are queued.
+fn replica_with_queue() -> Driver {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=5 {
         driver.arrive(Call {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn nothing_is_held_before_a_full_or_timed_out_answer() {
+fn nothing_is_queued_before_a_full_or_timed_out_answer() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=100 {
         assert_eq!(driver.arrive(unsafe_call(driver.now, id)).len(), 1);
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_full_answer_holds_what_exceeds_the_calls_then_out() {
-    let mut driver = held_replica();
+    let mut driver = replica_with_queue();
     assert!(driver.arrive(unsafe_call(driver.now, 7)).is_empty());
     assert!(driver.sent_to(7).is_empty());
     assert_eq!(sent(&driver.outcome(1, 0, Outcome::Answered)), [7]);
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn held_calls_leave_by_queuing_deadline() {
-    let mut driver = held_replica();
+fn queued_calls_are_sent_by_queuing_deadline() {
+    let mut driver = replica_with_queue();
     let targets = [(7, 0.9), (8, 0.3), (9, 0.6)];
     for (id, target_latency) in targets {
         driver.arrive(Call {
@@ -79,8 +79,7 @@
     assert_eq!(order, [8, 9, 7]);
 }
 
-/// Three programs with the same time at their start, of which one has lost time to a slow answer and one is
-/// late.
+/// Three programs with the same time at their start. One has lost time to a slow answer, and one is late.
 #[test]
 fn programs_that_lost_time_leave_first() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
@@ -123,8 +122,8 @@
 }
 
 #[test]
-fn a_call_is_held_for_a_quarter_of_its_target_without_being_offered() {
-    let mut driver = held_replica();
+fn a_call_is_queued_for_a_quarter_of_its_target_before_it_is_sent() {
+    let mut driver = replica_with_queue();
     driver.arrive(unsafe_call(driver.now, 7));
     assert!(driver.advance(0.0624).is_empty());
     assert_eq!(
@@ -135,8 +134,8 @@
 }
 
 #[test]
-fn held_calls_of_a_replica_that_drains_go_elsewhere() {
-    let mut driver = held_replica();
+fn queued_calls_of_a_draining_replica_go_elsewhere() {
+    let mut driver = replica_with_queue();
     driver.arrive(unsafe_call(driver.now, 7));
     let drains = woadreach_scheduler::ReplicaSpec {
         ready: false,
@@ -147,8 +146,8 @@
 }
 
 #[test]
-fn held_calls_of_a_replica_that_left_go_elsewhere() {
-    let mut driver = held_replica();
+fn queued_calls_of_a_departed_replica_go_elsewhere() {
+    let mut driver = replica_with_queue();
     driver.arrive(unsafe_call(driver.now, 7));
     driver.list(&replicas(&["b"]));
     assert_eq!(driver.sent_to(7), ["b"]);
@@ -169,7 +168,7 @@
 }
 
 #[test]
-fn a_call_with_less_time_left_than_the_unloaded_tail_is_refused_at_once() {
+fn a_call_with_less_remaining_time_than_the_unloaded_tail_is_rejected_at_once() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=20 {
         driver.arrive(unsafe_call(driver.now, id));
@@ -195,9 +194,9 @@
     );
 }
 
-/// A stream holds its place from its first event to its last: only its end frees one.
+/// A stream occupies a slot from its first event to its last: only its end frees it.
 #[test]
-fn for_streams_the_end_and_not_the_first_event_ends_a_hold() {
+fn for_streams_the_end_and_not_the_first_event_releases_queued_calls() {
     let stream = |now, id| Call {
         kind: CallKind::Streaming { resumable: false },
         ..call(now, id)
@@ -219,7 +218,7 @@
     assert_eq!(sent(&driver.outcome(1, 0, Outcome::Answered)), [5]);
 }
 
-/// All replicas refuse a prompt that is larger than their memory: that says nothing of their queues.
+/// All replicas reject a prompt that exceeds their KV cache, which implies nothing about their queues.
 #[test]
 fn a_full_answer_to_a_prompt_beyond_the_memory_holds_nothing() {
     let mut driver = Driver::new(1, common::engine_service(), &replicas(&["a"]));
--- a/crates/tier/scheduler/tests/retries.rs
+++ b/crates/tier/scheduler/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, and how a call ends that is not.
+//! Retries and hedges, and how a call ends that is not retried.
 
 mod common;
 
@@ -15,11 +15,11 @@
     sent: true,
     events: 0,
 };
-const CUT_MIDWAY: Outcome = Outcome::Broken {
+const BROKEN_MIDWAY: Outcome = Outcome::Broken {
     sent: true,
     events: 3,
 };
-const CUT_UNSENT: Outcome = Outcome::Broken {
+const BROKEN_UNSENT: Outcome = Outcome::Broken {
     sent: false,
     events: 0,
 };
@@ -56,22 +56,22 @@
         (SAFE, 1, LOST, Next::Failed(MayHaveRun)),
         (SAFE, 1, Outcome::ReplicaError, Next::Failed(ReplicaError)),
         (SAFE, 1, Outcome::TimedOut, Next::Failed(TimedOut)),
-        (SAFE, 1, CUT_UNSENT, Next::Again),
-        (RESUMABLE, 2, CUT_MIDWAY, Next::Again),
-        (RESUMABLE, 1, CUT_MIDWAY, Next::Failed(MayHaveRun)),
+        (SAFE, 1, BROKEN_UNSENT, Next::Again),
+        (RESUMABLE, 2, BROKEN_MIDWAY, Next::Again),
+        (RESUMABLE, 1, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
         (UNSAFE, 2, FULL, Next::Again),
         (UNSAFE, 2, Outcome::Misdirected, Next::Again),
         (UNSAFE, 1, Outcome::Misdirected, Next::Again),
         (UNSAFE, 1, Outcome::Unreachable, Next::Again),
         (UNSAFE, 1, Outcome::NeverSent, Next::Again),
-        (UNSAFE, 1, CUT_UNSENT, Next::Again),
+        (UNSAFE, 1, BROKEN_UNSENT, Next::Again),
         (UNSAFE, 2, LOST, Next::Failed(MayHaveRun)),
         (UNSAFE, 2, Outcome::TimedOut, Next::Failed(TimedOut)),
         (UNSAFE, 2, Outcome::ReplicaError, Next::Failed(ReplicaError)),
         (STREAM, 2, FULL, Next::Again),
-        (STREAM, 2, CUT_MIDWAY, Next::Failed(MayHaveRun)),
+        (STREAM, 2, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
         (STREAM, 2, LOST, Next::Failed(MayHaveRun)),
-        (STREAM, 2, CUT_UNSENT, Next::Again),
+        (STREAM, 2, BROKEN_UNSENT, Next::Again),
     ];
     for (kind, max_replicas, first, expected) in cases {
         assert_eq!(
@@ -158,16 +158,16 @@
 }
 
 #[test]
-fn a_late_safe_call_gets_one_second_copy_and_its_answer_drops_the_first() {
+fn a_late_safe_call_is_hedged_once_and_the_answer_aborts_the_first_attempt() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     driver.arrive(Call {
         max_replicas: 3,
         ..call(driver.now, 1)
     });
-    let copies = driver.advance(2.0);
+    let hedges = driver.advance(2.0);
     assert!(
-        matches!(copies[..], [Action::Send { attempt: 1, .. }]),
-        "{copies:?}"
+        matches!(hedges[..], [Action::Send { attempt: 1, .. }]),
+        "{hedges:?}"
     );
     let dropped = driver.outcome(1, 1, Outcome::Answered);
     assert!(
@@ -178,13 +178,13 @@
 }
 
 #[test]
-fn no_copy_is_sent_when_the_time_is_over() {
+fn no_hedge_is_sent_when_the_time_is_up() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=40 {
         driver.arrive(call(driver.now, id));
-        driver.outcome(id, 0, Outcome::Answered); // at once: the unloaded tail is nothing
+        driver.outcome(id, 0, Outcome::Answered); // at once: the unloaded tail is zero
     }
-    // A copy would be due after an eighth of the target, 0.03125 s: at the very end.
+    // A hedge would be due after an eighth of the target, 0.03125 s: at the very end.
     let give_up_at = driver.now + 0.03125;
     driver.arrive(Call {
         give_up_at,
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn late_calls_that_may_not_run_again_are_left_alone() {
+fn late_calls_that_are_not_idempotent_are_not_hedged() {
     for kind in [UNSAFE, STREAM] {
         let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
         driver.arrive(Call {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_resumable_stream_leaves_a_silent_replica_but_not_one_that_works() {
+fn a_resumable_stream_leaves_an_unresponsive_replica_but_not_one_that_works() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.arrive(Call {
         kind: RESUMABLE,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn further_attempts_are_a_bounded_share_of_the_first_ones() {
+fn retries_are_a_bounded_share_of_first_attempts() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     for id in 1..=400 {
         driver.arrive(call(driver.now, id));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_client_that_has_gone_is_owed_nothing() {
+fn a_disconnected_client_gets_no_answer() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.arrive(call(driver.now, 1));
     assert!(matches!(
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Random histories against the rules that the driver of `common` checks: a call that may not run again is
-//! never sent on or refused once it may have run, each call ends once, none is forgotten, the same input
-//! gives the same actions.
+//! Random histories against the rules that the driver of `common` checks: a call that is not idempotent is never
+//! sent again or rejected once it may have run, each call ends exactly once, and the same inputs give the same
+//! actions.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use woadreach_scheduler::{Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad};
 
-/// One input of a history; indices pick among what there is at that moment.
+/// One input of a history. Indices select among the calls and replicas of that moment.
 #[derive(Clone, Debug)]
 enum Input {
     Arrive {
@@ -212,7 +212,7 @@
     }
 }
 
-/// Plays a history, then lets every attempt that is out time out until all calls have ended.
+/// Runs a history, and then times out every attempt in flight until all calls have ended.
 fn play(seed: u64, engine: bool, inputs: &[Input]) -> Vec<Action> {
     let service = if engine { engine_service() } else { service() };
     let mut driver = Driver::new(seed, service, &list(31, 31, 0));
@@ -232,12 +232,12 @@
             }
         }
     }
-    let left = driver
+    let remaining = driver
         .seen
         .values()
         .filter(|seen| seen.end.is_none())
         .count();
-    assert_eq!(left, 0, "calls without an end");
+    assert_eq!(remaining, 0, "calls without an end");
     assert_eq!(
         driver.admission.next_wake(driver.now),
         None,
--- a/crates/tier/scheduler/tests/unit/call_state.rs
+++ b/crates/tier/scheduler/tests/unit/call_state.rs
@@ -1,4 +1,4 @@
-//! Every change of state against the table of the module.
+//! Every state and event against the table of the module.
 
 use super::*;
 use crate::fleet::Fleet;
@@ -21,32 +21,32 @@
 }
 
 #[test]
-fn the_table_is_kept() {
+fn the_table_of_transitions_is_exhaustive() {
     let (replica, deadline) = (some_replica(), 1.0);
-    let held = CallState::Queued { replica, deadline };
-    let held_back = CallEvent::Enqueued { replica, deadline };
+    let queued = CallState::Queued { replica, deadline };
+    let enqueued = CallEvent::Enqueued { replica, deadline };
     let states = [
         CallState::Deciding,
-        held,
+        queued,
         CallState::Unplaced,
         CallState::Running,
     ];
     let events = [
         CallEvent::Sent,
-        held_back,
+        enqueued,
         CallEvent::Postponed,
         CallEvent::Released,
         CallEvent::AttemptsEnded,
     ];
     let table = [
         (CallState::Deciding, CallEvent::Sent, CallState::Running),
-        (CallState::Deciding, held_back, held),
+        (CallState::Deciding, enqueued, queued),
         (
             CallState::Deciding,
             CallEvent::Postponed,
             CallState::Unplaced,
         ),
-        (held, CallEvent::Released, CallState::Deciding),
+        (queued, CallEvent::Released, CallState::Deciding),
         (
             CallState::Unplaced,
             CallEvent::Released,
--- a/crates/tier/scheduler/tests/unit/prefix_cache.rs
+++ b/crates/tier/scheduler/tests/unit/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Cases of the account of cached prompt parts.
+//! Cases of the estimate of cached prompt parts.
 
 use super::*;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_parts_unused_longest_give_way() {
+fn the_least_recently_used_parts_are_evicted() {
     let mut cache = PrefixCache::default();
     cache.record(&[part(1, 100)], 250);
     cache.record(&[part(2, 100)], 250);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_tail_of_a_prompt_gives_way_before_its_head() {
+fn the_tail_of_a_prompt_is_evicted_before_its_head() {
     let mut cache = PrefixCache::default();
     cache.record(&[part(1, 100), part(2, 100)], 150);
     assert_eq!(cache.cached_tokens(&[part(1, 100), part(2, 100)]), 100);
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -1,4 +1,4 @@
-//! Cases of the aim that a step gets out of its program's time.
+//! Cases of a step's latency target.
 
 use super::*;
 use crate::call::CallKind;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn without_a_program_or_an_end_the_target_is_the_aim() {
+fn without_a_program_or_an_end_the_target_is_that_of_the_route() {
     let programs = Programs::default();
     let alone = Call {
         program: None,
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn spare_time_is_spread_in_proportion_to_the_work() {
+fn slack_is_spread_in_proportion_to_the_work() {
     let mut programs = Programs::default();
     let first = call(0.0, 1, 1, 4.0);
     programs.record_arrival(0.0, &first);
@@ -56,7 +56,7 @@
 #[test]
 fn a_program_that_lost_time_hurries() {
     let mut programs = Programs::default();
-    let aim_after = |programs: &mut Programs, program: u64, answered_at: f64| {
+    let latency_target_after = |programs: &mut Programs, program: u64, answered_at: f64| {
         let first = call(0.0, program, program, 4.0);
         programs.record_arrival(0.0, &first);
         programs.record_end(answered_at, &first, true, UNLOADED);
@@ -64,8 +64,8 @@
         programs.record_arrival(1.0, &second);
         programs.latency_target(&second, UNLOADED)
     };
-    let on_time = aim_after(&mut programs, 1, UNLOADED);
-    let lost = aim_after(&mut programs, 2, 0.6);
+    let on_time = latency_target_after(&mut programs, 1, UNLOADED);
+    let lost = latency_target_after(&mut programs, 2, 0.6);
     assert!(lost < on_time, "{lost} < {on_time}");
 }
 
@@ -92,15 +92,15 @@
     }
     let first = call(5_000.0, 10_000, 10_000, 5_004.0);
     programs.record_arrival(5_000.0, &first);
-    let aim = programs.latency_target(&first, UNLOADED);
+    let target = programs.latency_target(&first, UNLOADED);
     assert!(
-        (0.38..0.42).contains(&aim),
-        "a quarter of the time is work: {aim}"
+        (0.38..0.42).contains(&target),
+        "a quarter of the time is work: {target}"
     );
 }
 
 #[test]
-fn calls_in_hand_are_one_step() {
+fn calls_in_flight_are_one_step() {
     let mut programs = Programs::default();
     let calls: Vec<Call> = (1..=3)
         .map(|id| call(0.1 * id as f64, id, 1, 4.0))
