--- a/crates/tier/discovery/src/committed.rs
+++ b/crates/tier/discovery/src/committed.rs
@@ -19,8 +19,8 @@
 }
 
 impl ViewSummary {
-    /// Whether there is a view of which this machine does not reach a majority. Before the first view no machine
-    /// is out of quorum.
+    /// Whether there is a view of which this machine does not reach a majority. Before the first view no
+    /// machine is out of quorum.
     pub fn is_out_of_quorum(&self) -> bool {
         self.epoch > 0 && !self.in_quorum
     }
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -45,8 +45,8 @@
         /// Why it is rejected.
         source: HeartbeatError,
     },
-    /// The heartbeat is applied here, but other machines may not learn of it. The replica has to call another core
-    /// machine.
+    /// The heartbeat is applied here, but other machines may not learn of it. The replica has to call another
+    /// core machine.
     #[snafu(display("taken, but this machine may be cut off from the core's majority"))]
     OutOfQuorum,
 }
@@ -67,8 +67,8 @@
 }
 
 impl CoreDiscovery {
-    /// Discovery of the process that `settings` describe. `incarnation` differs between starts and is not 0. The
-    /// caller spawns [`run`](Self::run) and serves [`handlers`](Self::handlers).
+    /// Discovery of the process that `settings` describe. `incarnation` differs between starts and is not 0.
+    /// The caller spawns [`run`](Self::run) and serves [`handlers`](Self::handlers).
     pub fn new(
         settings: &NodeSettings,
         incarnation: u64,
@@ -107,8 +107,8 @@
         tokio::join!(self.exchange_batches(), Arc::clone(&self).pull_registries());
     }
 
-    /// Applies a replica's heartbeat. Returns when it is acknowledged: a draining replica's after the other core
-    /// machines have been notified.
+    /// Applies a replica's heartbeat. Returns when it is acknowledged: a draining replica's after the other
+    /// core machines have been notified.
     ///
     /// # Errors
     /// If the heartbeat is rejected, or other machines may not learn of it.
@@ -164,7 +164,8 @@
         self.state.lock().may_acknowledge(self.now(), ack, &view)
     }
 
-    /// Wakes the pending polls if the registry has changed, and the pull task if a peer's registry is incomplete.
+    /// Wakes the pending polls if the registry has changed, and the pull task if a peer's registry is
+    /// incomplete.
     fn publish(&self) {
         let revision = self.state.lock().registry().version().revision;
         self.wake_puller();
@@ -293,8 +294,8 @@
         }
     }
 
-    /// Requests and merges the registry of `peer`. Returns whether that machine is warming up itself, or `None` if a
-    /// request fails.
+    /// Requests and merges the registry of `peer`. Returns whether that machine is warming up itself, or
+    /// `None` if a request fails.
     async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> Option<bool> {
         loop {
             let known = self.state.lock().version_of_peer(peer);
@@ -363,7 +364,8 @@
     }
 }
 
-/// Notifies `peer` of a departure, with retries until `deadline`. Returns the peer once it has acknowledged it.
+/// Notifies `peer` of a departure, with retries until `deadline`. Returns the peer once it has acknowledged
+/// it.
 async fn notify_peer(
     rpc: Client,
     peer: SocketAddr,
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -1,5 +1,5 @@
-//! Decisions of discovery on a core machine, without I/O: what it knows of the replicas, what it sends to the other
-//! core machines and what it requests from them. [`CoreDiscovery`](crate::CoreDiscovery) drives them.
+//! Decisions of discovery on a core machine, without I/O: what it knows of the replicas, what it sends to the
+//! other core machines and what it requests from them. [`CoreDiscovery`](crate::CoreDiscovery) drives them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 use crate::registry::{HeartbeatError, HeartbeatOutcome, Registry, RegistryVersion};
 use crate::replica::Heartbeat;
 
-/// Most unchanged heartbeats per second that a machine out of quorum leaves unacknowledged, so that the replicas
-/// call other machines. Without the limit each replica would call every core machine at each heartbeat while no
-/// machine is in quorum.
+/// Most unchanged heartbeats per second that a machine out of quorum leaves unacknowledged, so that the
+/// replicas call other machines. Without the limit each replica would call every core machine at each
+/// heartbeat while no machine is in quorum.
 const MAX_REFUSALS_PER_SECOND: u32 = 200;
 
 /// Identity and parameters of a core machine.
@@ -135,8 +135,8 @@
         Ok(ack)
     }
 
-    /// Whether an accepted heartbeat that is no departure is acknowledged. A machine out of quorum may be the only
-    /// one that knows of the heartbeat, so the replica has to call another.
+    /// Whether an accepted heartbeat that is no departure is acknowledged. A machine out of quorum may be the
+    /// only one that knows of the heartbeat, so the replica has to call another.
     pub fn may_acknowledge(
         &mut self,
         now: Duration,
@@ -147,8 +147,8 @@
             || (ack == HeartbeatOutcome::Unchanged && !self.refusal_limiter.try_acquire(now))
     }
 
-    /// Starts to notify the peers of a departure. `None` if this machine is out of quorum, and may not acknowledge
-    /// departures.
+    /// Starts to notify the peers of a departure. `None` if this machine is out of quorum, and may not
+    /// acknowledge departures.
     pub fn start_departure(
         &self,
         now: Duration,
@@ -159,8 +159,8 @@
             .then(|| DepartureNotification::new(now, self.identity.address, &peers, view))
     }
 
-    /// The other core machines: members of the view and machines that send batches. Before the first view, the seeds
-    /// take the place of the members.
+    /// The other core machines: members of the view and machines that send batches. Before the first view,
+    /// the seeds take the place of the members.
     pub fn peers(&self, now: Duration, view: &ViewSummary) -> Vec<SocketAddr> {
         let mut peers: BTreeSet<SocketAddr> = view.members.iter().copied().collect();
         if peers.is_empty() {
@@ -248,9 +248,9 @@
         }
     }
 
-    /// Records that all reachable peers have been asked for their registries. `warm_peer` says whether one that is
-    /// not warming up has answered. Returns whether this machine is still warming up, and has to ask all of them
-    /// again.
+    /// Records that all reachable peers have been asked for their registries. `warm_peer` says whether one
+    /// that is not warming up has answered. Returns whether this machine is still warming up, and has to ask
+    /// all of them again.
     pub fn complete_registry_pull(
         &mut self,
         now: Duration,
--- a/crates/tier/discovery/src/departure.rs
+++ b/crates/tier/discovery/src/departure.rs
@@ -1,7 +1,8 @@
 //! When a replica's departure is acknowledged.
 //!
-//! The acknowledgement promises the replica that no observer sends it a new request soon after. A core machine
-//! therefore first notifies the other core machines; one that answers has answered its pending polls too:
+//! The acknowledgement promises the replica that no observer sends it a new request soon after. A core
+//! machine therefore first notifies the other core machines; one that answers has answered its pending polls
+//! too:
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
@@ -48,7 +49,8 @@
 }
 
 impl DepartureNotification {
-    /// Starts at `now` on the machine with the address `own`. All peers count as voters before there is a view.
+    /// Starts at `now` on the machine with the address `own`. All peers count as voters before there is a
+    /// view.
     pub fn new(now: Duration, own: SocketAddr, peers: &[SocketAddr], view: &ViewSummary) -> Self {
         let mut voters: BTreeSet<SocketAddr> = view.voters.iter().copied().collect();
         if voters.is_empty() {
--- a/crates/tier/discovery/src/failure_detector.rs
+++ b/crates/tier/discovery/src/failure_detector.rs
@@ -1,7 +1,8 @@
 //! How long a replica may be unresponsive before this core machine expires it.
 //!
-//! A machine that has just started, whose process has stalled, or that does not hear its peers or most replicas
-//! cannot tell which replicas have failed. It then waits longer, or leaves the decision to the others.
+//! A machine that has just started, whose process has stalled, or that does not hear its peers or most
+//! replicas cannot tell which replicas have failed. It then waits longer, or leaves the decision to the
+//! others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,8 +18,8 @@
 pub const EXPIRY_HEARTBEATS_PEER_UNREACHABLE: f64 = 8.0;
 /// The same while most replicas are unresponsive, so that the fault is probably on this side.
 pub const EXPIRY_HEARTBEATS_MAJORITY_UNRESPONSIVE: f64 = 25.0;
-/// Heartbeat intervals without a heartbeat from which a replica counts as unresponsive when the machine judges
-/// whether most replicas are.
+/// Heartbeat intervals without a heartbeat from which a replica counts as unresponsive when the machine
+/// judges whether most replicas are.
 pub const SUSPECT_HEARTBEATS: f64 = 2.0;
 /// How long a machine that has not received a peer's registry warms up, in heartbeat intervals.
 pub const WARMING_HEARTBEATS: f64 = 1.5;
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Whether this machine may not know all replicas. True as well while its loop has stalled and no tick has
-    /// noticed it yet.
+    /// Whether this machine may not know all replicas. True as well while its loop has stalled and no tick
+    /// has noticed it yet.
     pub fn is_warming(&self, now: Duration) -> bool {
         self.warm_up != WarmUpState::Warm || self.has_stalled(now)
     }
@@ -89,8 +90,9 @@
         self.warm_up = WarmUpState::Warm;
     }
 
-    /// One iteration of the machine's loop. `idle_times` are the times since the last heartbeat of each replica;
-    /// `has_heard_replicas` says whether any heartbeat has arrived since the machine began to warm up.
+    /// One iteration of the machine's loop. `idle_times` are the times since the last heartbeat of each
+    /// replica; `has_heard_replicas` says whether any heartbeat has arrived since the machine began to warm
+    /// up.
     pub fn tick(
         &mut self,
         now: Duration,
--- a/crates/tier/discovery/src/lib.rs
+++ b/crates/tier/discovery/src/lib.rs
@@ -1,12 +1,12 @@
 //! Discovery of replicas and nodes, and distribution of the control plane's state to the data plane.
 //!
-//! Replicas register themselves by heartbeats at any core machine. What a core machine has received is soft state
-//! in its [`Registry`], shared with the other core machines by [`exchange`] and rebuilt from heartbeats after a
-//! restart. Every data-plane process long-polls three core machines ([`messages::PollRequest`]). A core machine
-//! answers as soon as it knows something newer than the poll names ([`poll_response`]).
+//! Replicas register themselves by heartbeats at any core machine. What a core machine has received is soft
+//! state in its [`Registry`], shared with the other core machines by [`exchange`] and rebuilt from heartbeats
+//! after a restart. Every data-plane process long-polls three core machines ([`messages::PollRequest`]). A
+//! core machine answers as soon as it knows something newer than the poll names ([`poll_response`]).
 //!
-//! Decisions are state machines without clock and I/O: `now` is the time since the process started, and results
-//! are plain values. Each has a driver beside it, which is the place to start reading:
+//! Decisions are state machines without clock and I/O: `now` is the time since the process started, and
+//! results are plain values. Each has a driver beside it, which is the place to start reading:
 //!
 //! | driver | state machine | concern |
 //! | --- | --- | --- |
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages of discovery between processes, and their codec.
 //!
 //! A message is a version byte followed by its `speedy` encoding. Decoding never allocates more than the
-//! message's own length allows, and returns a typed error for whatever is not a message. Fields and variants are
-//! encoded by their order, which must not change within a [`MESSAGE_VERSION`].
+//! message's own length allows, and returns a typed error for whatever is not a message. Fields and variants
+//! are encoded by their order, which must not change within a [`MESSAGE_VERSION`].
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -300,7 +300,8 @@
 }
 
 impl RegistryResponse {
-    /// The wire form of a registry's changes. `warming` says that the machine may not know all replicas itself.
+    /// The wire form of a registry's changes. `warming` says that the machine may not know all replicas
+    /// itself.
     pub fn new(changes: RegistryChanges, warming: bool) -> Self {
         let statuses = changes.statuses;
         Self {
--- a/crates/tier/discovery/src/registry.rs
+++ b/crates/tier/discovery/src/registry.rs
@@ -1,9 +1,9 @@
 //! The replicas that one core machine knows: soft state, built from heartbeats and from the other core
 //! machines.
 //!
-//! Every change of a replica's content is assigned the next `revision`, by which watchers and other core machines
-//! request what is new to them. Departures remain as tombstones for [`TOMBSTONE_TTL`], so that neither a delayed
-//! heartbeat nor a delayed message of a core machine restores a departed replica.
+//! Every change of a replica's content is assigned the next `revision`, by which watchers and other core
+//! machines request what is new to them. Departures remain as tombstones for [`TOMBSTONE_TTL`], so that
+//! neither a delayed heartbeat nor a delayed message of a core machine restores a departed replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 
 /// How long a tombstone is retained.
 pub const TOMBSTONE_TTL: Duration = Duration::from_secs(300);
-/// Number of tombstones that a registry without replicas retains; each registered replica adds one. The oldest
-/// are dropped first.
+/// Number of tombstones that a registry without replicas retains; each registered replica adds one. The
+/// oldest are dropped first.
 pub const MIN_TOMBSTONE_LIMIT: usize = 4096;
 
 /// How an accepted heartbeat or deregistration changes what others have to know.
@@ -56,8 +56,8 @@
     pub incarnation: u64,
     /// Revision within it.
     pub revision: u64,
-    /// Highest revision at or below which a tombstone had been dropped. A receiver that has taken this version
-    /// knows no replica whose tombstone was dropped up to it.
+    /// Highest revision at or below which a tombstone had been dropped. A receiver that has taken this
+    /// version knows no replica whose tombstone was dropped up to it.
     pub floor: u64,
 }
 
@@ -117,8 +117,8 @@
 }
 
 impl Registry {
-    /// An empty registry of the process `incarnation`, which is never 0. A replica is superseded by another at its
-    /// address once it has been unresponsive for half of `reuse_after`.
+    /// An empty registry of the process `incarnation`, which is never 0. A replica is superseded by another
+    /// at its address once it has been unresponsive for half of `reuse_after`.
     pub fn new(incarnation: u64, reuse_after: Duration) -> Self {
         Self {
             incarnation,
@@ -171,7 +171,8 @@
     /// Applies a heartbeat that the replica `id` sent to this machine.
     ///
     /// # Errors
-    /// If a field is invalid, a newer heartbeat is known, or the replica has deregistered. Nothing changes then.
+    /// If a field is invalid, a newer heartbeat is known, or the replica has deregistered. Nothing changes
+    /// then.
     pub fn heartbeat(
         &mut self,
         now: Duration,
@@ -219,8 +220,8 @@
         Ok(ack)
     }
 
-    /// Applies the deregistration that the replica `id` sent to this machine. An unknown id gets a tombstone too,
-    /// so that a delayed heartbeat does not register it.
+    /// Applies the deregistration that the replica `id` sent to this machine. An unknown id gets a tombstone
+    /// too, so that a delayed heartbeat does not register it.
     ///
     /// # Errors
     /// If the id is invalid.
@@ -236,8 +237,8 @@
 
     /// Merges another core machine's status of `id`. Returns whether watchers have to be notified.
     ///
-    /// A departure that a newer heartbeat refutes assigns a new revision to the replica, so that watchers that
-    /// have taken the departure from the other machine receive the newer status.
+    /// A departure that a newer heartbeat refutes assigns a new revision to the replica, so that watchers
+    /// that have taken the departure from the other machine receive the newer status.
     pub fn merge(&mut self, now: Duration, id: &str, status: ReplicaStatus) -> bool {
         if check_id(id).is_err() {
             return false;
--- a/crates/tier/discovery/src/replica.rs
+++ b/crates/tier/discovery/src/replica.rs
@@ -97,8 +97,8 @@
         self.id == other.id && self.heartbeat.has_same_content(&other.heartbeat)
     }
 
-    /// Digest of what [`has_same_content`](Self::has_same_content) compares. Core machines of different releases
-    /// compare digests, so the hash and the order of its fields must not change.
+    /// Digest of what [`has_same_content`](Self::has_same_content) compares. Core machines of different
+    /// releases compare digests, so the hash and the order of its fields must not change.
     pub fn content_digest(&self) -> u32 {
         let heartbeat = &self.heartbeat;
         let mut hash = Fnv32::new();
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -1,8 +1,9 @@
 //! The replicas as an observer of several core machines knows them.
 //!
-//! Statuses are merged by [`ReplicaStatus::is_newer_than`], so the order in which they arrive does not matter. A
-//! replica that is missing from a machine's list has not departed for that reason. A replica that no trusted
-//! machine lists, because all core machines have restarted since it ended, is dropped after [`UNLISTED_TIMEOUT`].
+//! Statuses are merged by [`ReplicaStatus::is_newer_than`], so the order in which they arrive does not
+//! matter. A replica that is missing from a machine's list has not departed for that reason. A replica that
+//! no trusted machine lists, because all core machines have restarted since it ended, is dropped after
+//! [`UNLISTED_TIMEOUT`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -66,8 +67,8 @@
             .is_some_and(|listing| listing.complete)
     }
 
-    /// Merges a response of `machine`. `trusted` says that the machine is in quorum and not warming up. Returns
-    /// whether the registered replicas have changed.
+    /// Merges a response of `machine`. `trusted` says that the machine is in quorum and not warming up.
+    /// Returns whether the registered replicas have changed.
     pub fn apply(
         &mut self,
         now: Duration,
@@ -106,8 +107,8 @@
         self.listings.remove(&machine);
     }
 
-    /// Drops old tombstones, and replicas that no trusted machine has listed for [`UNLISTED_TIMEOUT`]. Returns
-    /// whether the registered replicas have changed.
+    /// Drops old tombstones, and replicas that no trusted machine has listed for [`UNLISTED_TIMEOUT`].
+    /// Returns whether the registered replicas have changed.
     pub fn sweep(&mut self, now: Duration) -> bool {
         if now < self.next_sweep {
             return false;
@@ -131,8 +132,8 @@
         !dropped.is_empty()
     }
 
-    /// Updates since when each replica has been listed by no trusted machine. No replica counts as unlisted while
-    /// there is no trusted machine.
+    /// Updates since when each replica has been listed by no trusted machine. No replica counts as unlisted
+    /// while there is no trusted machine.
     fn update_unlisted(&mut self, now: Duration) {
         let trusted: Vec<&Listing> = self
             .listings
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -1,9 +1,9 @@
 //! Peer sampling with shuffled partial views, by which the processes of the tier know each other.
 //!
-//! Each process has entries of a few others, and periodically exchanges some of them with the process whose entry
-//! is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). A process that no longer answers drops out
-//! of the views; one that has restarted is found by those that still have its entry. Some entries are reserved for
-//! core machines, so that every process knows a few of them in a tier of any size.
+//! Each process has entries of a few others, and periodically exchanges some of them with the process whose
+//! entry is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). A process that no longer
+//! answers drops out of the views; one that has restarted is found by those that still have its entry. Some
+//! entries are reserved for core machines, so that every process knows a few of them in a tier of any size.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -207,8 +207,8 @@
         answer
     }
 
-    /// Ends the shuffle in flight with the partner's answer. The partner's entry is dropped; an answer contains a
-    /// fresh one. `answer` is `None` if the partner has not answered.
+    /// Ends the shuffle in flight with the partner's answer. The partner's entry is dropped; an answer
+    /// contains a fresh one. `answer` is `None` if the partner has not answered.
     pub fn complete_shuffle(&mut self, now: Duration, answer: Option<Shuffle>) {
         let Some(PendingShuffle { partner, sent }) = self.pending.take() else {
             return;
@@ -240,7 +240,8 @@
         self.entries.retain(|entry| entry.age(now) <= MAX_ENTRY_AGE);
     }
 
-    /// Up to `count` random entries except that of `partner`. One of a core machine is among them if the view has any.
+    /// Up to `count` random entries except that of `partner`. One of a core machine is among them if the view
+    /// has any.
     fn choose(&mut self, partner: SocketAddr, count: usize) -> Vec<ViewEntry> {
         let mut candidates: Vec<ViewEntry> = self
             .entries
@@ -307,8 +308,8 @@
         }
     }
 
-    /// Index of the entry to drop: one that was sent to the partner if there is any, else the oldest. Entries of core
-    /// machines are dropped only beyond [`RESERVED_CORE_ENTRIES`].
+    /// Index of the entry to drop: one that was sent to the partner if there is any, else the oldest. Entries
+    /// of core machines are dropped only beyond [`RESERVED_CORE_ENTRIES`].
     fn surplus_entry(&self, now: Duration, sent: &[SocketAddr]) -> usize {
         let keep_core =
             self.entries.iter().filter(|entry| entry.is_core()).count() <= RESERVED_CORE_ENTRIES;
--- a/crates/tier/discovery/src/selection.rs
+++ b/crates/tier/discovery/src/selection.rs
@@ -1,7 +1,7 @@
 //! Which core machines a process polls, by rank and health.
 //!
-//! Machines are chosen in the order of their rendezvous rank for the process. Beside the healthy ones, unhealthy
-//! machines that rank before them are polled too, so that a machine that recovers is noticed.
+//! Machines are chosen in the order of their rendezvous rank for the process. Beside the healthy ones,
+//! unhealthy machines that rank before them are polled too, so that a machine that recovers is noticed.
 
 use std::net::SocketAddr;
 
@@ -60,8 +60,8 @@
 
 /// Rendezvous rank of the core machine at `address` for the process `name`: the lowest is polled first.
 ///
-/// The same in every release, so that processes spread alike over the machines. The name and an IPv4 address are
-/// hashed by FNV-1a; other addresses count as empty.
+/// The same in every release, so that processes spread alike over the machines. The name and an IPv4 address
+/// are hashed by FNV-1a; other addresses count as empty.
 pub fn rank(name: &str, address: SocketAddr) -> u64 {
     let mut hash = hash64(name.as_bytes(), FNV_OFFSET);
     if let SocketAddr::V4(address) = address {
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,9 +1,10 @@
-//! Decisions of the client side, without I/O: which core machines to poll when, and how to merge their answers.
+//! Decisions of the client side, without I/O: which core machines to poll when, and how to merge their
+//! answers.
 //!
-//! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once. A
-//! machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same holds
-//! for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that the
-//! processes spread over the core machines. A process that has heard no machine in quorum for
+//! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once.
+//! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
+//! holds for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that
+//! the processes spread over the core machines. A process that has heard no machine in quorum for
 //! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: members, seeds and hints.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -102,7 +103,8 @@
 }
 
 impl Watcher {
-    /// The client side of the process `name`, which starts at `now` and knows the internal addresses of `seeds`.
+    /// The client side of the process `name`, which starts at `now` and knows the internal addresses of
+    /// `seeds`.
     pub fn new(now: Duration, name: String, seeds: Vec<SocketAddr>) -> Self {
         Self {
             name,
@@ -281,8 +283,8 @@
         }
     }
 
-    /// Records the end of a fetch. `generation` is `None` if the configuration could not be fetched or parsed.
-    /// Returns whether the configuration is newer than the last one, and takes effect.
+    /// Records the end of a fetch. `generation` is `None` if the configuration could not be fetched or
+    /// parsed. Returns whether the configuration is newer than the last one, and takes effect.
     pub fn configuration_fetched(&mut self, now: Duration, generation: Option<u64>) -> bool {
         let FetchState::Fetching { machine, attempts } = self.fetch else {
             return false;
@@ -417,8 +419,8 @@
         }
     }
 
-    /// Updates whether the process has warmed up: it has had a complete and current state once. Returns whether it
-    /// has done so now.
+    /// Updates whether the process has warmed up: it has had a complete and current state once. Returns
+    /// whether it has done so now.
     fn update_warmed(&mut self, now: Duration) -> bool {
         let Some(trusted_since) = self.trusted_since else {
             return false;
--- a/crates/tier/discovery/tests/catch_up.rs
+++ b/crates/tier/discovery/tests/catch_up.rs
@@ -270,8 +270,8 @@
     }
 }
 
-/// Time from the end of a partition, in which `missed` changes came, to the newest configuration of that moment;
-/// and how many fetches that took.
+/// Time from the end of a partition, in which `missed` changes came, to the newest configuration of that
+/// moment; and how many fetches that took.
 fn catch_up(
     bytes: u64,
     link_rate: u64,
--- a/crates/tier/discovery/tests/common/world/event.rs
+++ b/crates/tier/discovery/tests/common/world/event.rs
@@ -151,7 +151,8 @@
     }
 }
 
-/// An event that is due at a time. Events that are due at the same time are handled in the order of their numbers.
+/// An event that is due at a time. Events that are due at the same time are handled in the order of their
+/// numbers.
 pub(super) struct QueuedEvent {
     pub(super) at: Duration,
     pub(super) number: u64,
--- a/crates/tier/discovery/tests/distribution.rs
+++ b/crates/tier/discovery/tests/distribution.rs
@@ -432,7 +432,8 @@
     world.set_power(0, PowerState::Unreachable);
     world.run_for(seconds(10));
     world.restart_core(0);
-    // A poll to the unreachable machine is broken 1.7 s after its start, and the next starts 0.8 s later at most.
+    // A poll to the unreachable machine is broken 1.7 s after its start, and the next starts 0.8 s later at
+    // most.
     world.run_for(millis(2600));
     world
         .partitions
--- a/crates/tier/scheduler/src/action.rs
+++ b/crates/tier/scheduler/src/action.rs
@@ -18,8 +18,8 @@
 /// What the driver has to do, in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the call to a replica. The driver reports one [`crate::Outcome`] of the attempt, unless the attempt is
-    /// aborted or the call cancelled before.
+    /// Send the call to a replica. The driver reports one [`crate::Outcome`] of the attempt, unless the
+    /// attempt is aborted or the call cancelled before.
     Send {
         /// The call to send.
         call: CallId,
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Applies all services of the current configuration. `edges` processes share the connections of each replica.
+    /// Applies all services of the current configuration. `edges` processes share the connections of each
+    /// replica.
     pub fn configure(&mut self, _now: f64, services: &[ServiceSpec], edges: usize) {
         self.edges = edges;
         let named: BTreeSet<&str> = services.iter().map(|spec| &*spec.name).collect();
@@ -71,8 +72,8 @@
         self.displaced.extend(self.waiting.iter());
     }
 
-    /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are decided on
-    /// the next wake.
+    /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are
+    /// decided on the next wake.
     pub fn replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
         for departed in self.fleet.update(now, listed) {
             self.routes.forget(departed);
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -59,7 +59,8 @@
     pub arrived: f64,
     /// The earliest of the client's deadline and the route's timeout.
     pub give_up_at: f64,
-    /// Latency target: seconds from arrival within which a response (a stream's first event) has its full value.
+    /// Latency target: seconds from arrival within which a response (a stream's first event) has its full
+    /// value.
     pub target_latency: f64,
     /// When the program should end (`Finish-Ms`).
     pub finish_at: Option<f64>,
@@ -67,7 +68,8 @@
     pub program: Option<u64>,
     /// Hash of the identifier of a conversation within the program.
     pub session: Option<u64>,
-    /// Hash of the object that the request is about, if replicas are faster on objects that they have seen lately.
+    /// Hash of the object that the request is about, if replicas are faster on objects that they have seen
+    /// lately.
     pub affinity: Option<u64>,
     /// Parts of the prompt in order; empty if unknown.
     pub prefix: Vec<PrefixPart>,
--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -88,7 +88,8 @@
         self.state
     }
 
-    /// Changes the state. An event that the table does not allow is a fault of this crate, and never of its input.
+    /// Changes the state. An event that the table does not allow is a fault of this crate, and never of its
+    /// input.
     pub(crate) fn apply(&mut self, event: CallEvent) {
         match self.state.after(event) {
             Ok(state) => self.state = state,
@@ -136,8 +137,8 @@
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether the call may be sent to `replica` (again): not where it may have run, nor where another replica
-    /// answered.
+    /// Whether the call may be sent to `replica` (again): not where it may have run, nor where another
+    /// replica answered.
     ///
     /// After [`MAX_RESENDS`] a rejection serves the client better, since its retry may reach another process.
     pub(crate) fn may_resend_to(&self, replica: ReplicaKey) -> bool {
@@ -152,8 +153,8 @@
         earlier_attempts.all(|attempt| attempt.has_not_run() && attempt.state != misdirected)
     }
 
-    /// Whether a hedge may be sent beside the attempt in flight: one at a time, before a response has begun, within
-    /// the limit of replicas.
+    /// Whether a hedge may be sent beside the attempt in flight: one at a time, before a response has begun,
+    /// within the limit of replicas.
     pub(crate) fn may_hedge(&self) -> bool {
         let mut in_flight = self
             .attempts
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -17,7 +17,8 @@
 
 /// Share of its latency target for which a call may be queued before it has reached any replica.
 const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
-/// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each attempt.
+/// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each
+/// attempt.
 const INITIAL_BACKOFF: f64 = 0.03;
 impl Admission {
     /// Decides anew about a call in any state.
@@ -57,8 +58,8 @@
         self.place(now, id, actions);
     }
 
-    /// Releases queued calls by earliest queuing deadline, and then postponed calls in the order of their arrival, as
-    /// far as `replica`, which has just got capacity, allows.
+    /// Releases queued calls by earliest queuing deadline, and then postponed calls in the order of their
+    /// arrival, as far as `replica`, which has just got capacity, allows.
     pub(crate) fn release_queued(
         &mut self,
         now: f64,
@@ -224,8 +225,8 @@
         placement.choose(call, is_behind, &mut self.random)
     }
 
-    /// Whether the call's remaining time is below the unloaded tail latency of `replica`, so that sending it would be
-    /// useless (DSSP paper, part skipping).
+    /// Whether the call's remaining time is below the unloaded tail latency of `replica`, so that sending it
+    /// would be useless (DSSP paper, part skipping).
     pub(crate) fn is_hopeless(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
         self.calls.get(&id).is_none_or(|call| {
             let k = self.programs.step_size(&call.call);
@@ -312,8 +313,8 @@
         });
     }
 
-    /// Handles a call for which no replica remains. It waits only if the service has no replica at all and the call has
-    /// not been sent.
+    /// Handles a call for which no replica remains. It waits only if the service has no replica at all and
+    /// the call has not been sent.
     fn handle_missing_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -325,8 +326,8 @@
         }
     }
 
-    /// Until when a call may be queued: for a share of its latency target before it has reached a replica, afterwards
-    /// as long as a replica can still answer it in time.
+    /// Until when a call may be queued: for a share of its latency target before it has reached a replica,
+    /// afterwards as long as a replica can still answer it in time.
     fn max_queued_until(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return now;
@@ -354,8 +355,8 @@
         self.timers.set(&mut call.timer, id, Some(until));
     }
 
-    /// Queues a call at its replica, ordered by the queuing deadline of its step. A call that may not be queued any
-    /// longer is sent instead.
+    /// Queues a call at its replica, ordered by the queuing deadline of its step. A call that may not be
+    /// queued any longer is sent instead.
     fn enqueue(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
         let limit = self.max_queued_until(now, id);
         if self.is_hopeless(now, id, replica) {
--- a/crates/tier/scheduler/src/fleet.rs
+++ b/crates/tier/scheduler/src/fleet.rs
@@ -51,7 +51,8 @@
         self.replicas.get_mut(&key)
     }
 
-    /// Records that another replica answers at the address of this one, which is not used until its record changes.
+    /// Records that another replica answers at the address of this one, which is not used until its record
+    /// changes.
     pub(crate) fn misdirected(&mut self, id: &str) {
         if let Some(replica) = self
             .by_id
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -15,8 +15,8 @@
 const MIN_OVERTAKEN: u32 = 2;
 
 impl Admission {
-    /// Handles a late attempt of a call. Replicas that have lost an attempt are ejected. If the call is idempotent, a
-    /// hedge is sent; a resumable stream moves away from replicas that have lost it.
+    /// Handles a late attempt of a call. Replicas that have lost an attempt are ejected. If the call is
+    /// idempotent, a hedge is sent; a resumable stream moves away from replicas that have lost it.
     pub(crate) fn handle_late_attempt(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         self.observe_lost_attempts(now, id);
         let Some(call) = self.calls.get(&id) else {
@@ -98,7 +98,8 @@
         in_flight.all(|(number, attempt)| self.has_lost_attempt(now, id, number, attempt))
     }
 
-    /// Whether the replica of a late attempt has departed, is unresponsive, or began attempts that were sent later.
+    /// Whether the replica of a late attempt has departed, is unresponsive, or began attempts that were sent
+    /// later.
     fn has_lost_attempt(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
         let Some(replica) = self.fleet.get(attempt.replica) else {
             return true;
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -1,15 +1,15 @@
 //! Decisions of the data plane about calls: placement, queueing, retries, hedging and load shedding.
 //!
-//! [`Admission`] is the state machine and the place to start reading. It does no I/O and has no clock. The driver
-//! passes the time in seconds and what has happened, executes the returned [`Action`]s in order, and calls
-//! [`Admission::wake`] at [`Admission::next_wake`], which it queries after every input. The same seed and the same
-//! inputs give the same actions.
+//! [`Admission`] is the state machine and the place to start reading. It does no I/O and has no clock. The
+//! driver passes the time in seconds and what has happened, executes the returned [`Action`]s in order, and
+//! calls [`Admission::wake`] at [`Admission::next_wake`], which it queries after every input. The same seed
+//! and the same inputs give the same actions.
 //!
-//! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by [`Action::Refuse`] or
-//! failed by [`Action::Fail`], or its client disconnects ([`Admission::cancelled`]).
+//! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by
+//! [`Action::Refuse`] or failed by [`Action::Fail`], or its client disconnects ([`Admission::cancelled`]).
 //!
-//! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent calls of
-//! one program in place of a search (docs/design.md, "Agent programs").
+//! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent
+//! calls of one program in place of a search (docs/design.md, "Agent programs").
 //!
 //! | module | concern |
 //! | --- | --- |
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -17,8 +17,9 @@
 };
 
 impl Admission {
-    /// Records the latency of an attempt whose first event or response head has arrived, and the replica's activity.
-    /// For a stream it counts towards the replica's health; other responses count at their end, by their status.
+    /// Records the latency of an attempt whose first event or response head has arrived, and the replica's
+    /// activity. For a stream it counts towards the replica's health; other responses count at their end, by
+    /// their status.
     pub(crate) fn observe_begin(
         &mut self,
         now: f64,
@@ -184,7 +185,8 @@
         Some((key, *sent))
     }
 
-    /// Whether the call is larger than a replica's KV cache, so that all replicas reject it as though they were full.
+    /// Whether the call is larger than a replica's KV cache, so that all replicas reject it as though they
+    /// were full.
     fn is_too_large(&self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,16 +1,16 @@
 //! Choice of a replica for one attempt of a call.
 //!
-//! The replica with the fewest calls of this process in flight is chosen, ties at random, with these exceptions in
-//! order. Replicas that must not be used are excluded. Replicas that have recently failed, are unresponsive, have
-//! reported that they are full, or are warming up are used only if no others remain. For engines, calls are weighed
-//! by the prompt tokens that have to be prefilled: a replica that has cached the head of the prompt is chosen unless
-//! it has so many more calls that their prefill takes longer. Among equals the home of the call's program or object
-//! is preferred, and then this process's zone.
+//! The replica with the fewest calls of this process in flight is chosen, ties at random, with these
+//! exceptions in order. Replicas that must not be used are excluded. Replicas that have recently failed, are
+//! unresponsive, have reported that they are full, or are warming up are used only if no others remain. For
+//! engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the
+//! head of the prompt is chosen unless it has so many more calls that their prefill takes longer. Among
+//! equals the home of the call's program or object is preferred, and then this process's zone.
 //!
-//! The *home* is the replica to which all processes of a zone send the calls of one program, and all processes the
-//! calls about one object (affinity by rendezvous hashing): the usable and healthy replica of the highest rank, for a
-//! program within the zone. Most of the prompt that it has cached was sent by other processes, which this process
-//! knows without any message.
+//! The *home* is the replica to which all processes of a zone send the calls of one program, and all
+//! processes the calls about one object (affinity by rendezvous hashing): the usable and healthy replica of
+//! the highest rank, for a program within the zone. Most of the prompt that it has cached was sent by other
+//! processes, which this process knows without any message.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 
 /// Prompt tokens that count as one unit in the comparison. Smaller differences do not justify a longer queue.
 const TOKENS_PER_UNIT: usize = 256;
-/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input, which is
-/// about a quarter after a few turns. Underestimates the cache of long programs.
+/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input,
+/// which is about a quarter after a few turns. Underestimates the cache of long programs.
 const CACHED_SHARE_AT_HOME: f64 = 0.75;
 /// Most attempts of a call on any route, including those that never reached a replica.
 const MAX_ATTEMPTS: usize = 8;
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Decides on the next attempt of `call`. `is_behind` says whether calls with earlier deadlines are queued at a
-    /// replica.
+    /// Decides on the next attempt of `call`. `is_behind` says whether calls with earlier deadlines are
+    /// queued at a replica.
     pub(crate) fn choose(
         &self,
         call: &CallInFlight,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// The home of the call's program or object. That of a program is in this process's zone, where most of its calls
-    /// arrive, unless too few replicas are there.
+    /// The home of the call's program or object. That of a program is in this process's zone, where most of
+    /// its calls arrive, unless too few replicas are there.
     pub(crate) fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
         let is_engine = self.mean_prefill > 0;
         let key = if is_engine {
@@ -143,8 +143,8 @@
             .map(|(key, _)| key)
     }
 
-    /// Whether this process's zone has at least half as many of these replicas as zones have on average. With fewer, the
-    /// programs that arrive here would overload them.
+    /// Whether this process's zone has at least half as many of these replicas as zones have on average. With
+    /// fewer, the programs that arrive here would overload them.
     fn own_zone_can_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
@@ -161,8 +161,8 @@
         &*replica.spec.zone == self.zone
     }
 
-    /// Chooses a replica for a hedge: only a healthy one that the call has not been sent to, and that is no busier than
-    /// any other.
+    /// Chooses a replica for a hedge: only a healthy one that the call has not been sent to, and that is no
+    /// busier than any other.
     pub(crate) fn choose_hedge(
         &self,
         call: &CallInFlight,
@@ -182,7 +182,8 @@
         self.cheapest(call, &mut candidates, random)
     }
 
-    /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and attempts.
+    /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and
+    /// attempts.
     fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
         let is_limit_reached = reached.len() >= call.call.max_replicas.max(1) as usize;
@@ -195,8 +196,8 @@
         candidates
     }
 
-    /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or the replica
-    /// allows probes with any call.
+    /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or
+    /// the replica allows probes with any call.
     fn probe(
         &self,
         call: &CallInFlight,
@@ -218,7 +219,8 @@
             .map(|(key, _)| key)
     }
 
-    /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others remain.
+    /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others
+    /// remain.
     fn prefer_healthy(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
         // If most are ejected for being slow, the load is the cause, and excluding them would increase it.
         let is_load_the_cause = self.is_majority_ejected(call);
@@ -247,8 +249,8 @@
         candidates.choose(|_| 0, random)
     }
 
-    /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in units of
-    /// [`TOKENS_PER_UNIT`].
+    /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in
+    /// units of [`TOKENS_PER_UNIT`].
     fn cost(&self, key: ReplicaKey, call: &CallInFlight) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
@@ -282,8 +284,8 @@
     }
 }
 
-/// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the call's
-/// home, sent by other processes.
+/// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
+/// call's home, sent by other processes.
 pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.call.tokens_in;
     let sent_by_others = if call.home == Some(key) {
--- a/crates/tier/scheduler/src/prefix_cache.rs
+++ b/crates/tier/scheduler/src/prefix_cache.rs
@@ -22,7 +22,8 @@
 }
 
 impl PrefixCache {
-    /// Tokens at the head of the prompt that are cached. A part counts only if all parts before it are cached completely.
+    /// Tokens at the head of the prompt that are cached. A part counts only if all parts before it are cached
+    /// completely.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let mut cached: u32 = 0;
         for part in prefix {
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -1,10 +1,10 @@
 //! Latency targets of programs' steps, learned from the programs of the same kind.
 //!
-//! A program reports only when it should end. The work of programs of one kind, which are those whose first call
-//! matched the same route, takes a typical share of the time that they start with. The remaining work is that share
-//! less the work already done. A step may use the same share of the remaining time as it has of the remaining work.
-//! The slack is thus spread over all steps in proportion, and a program that has lost time gets shorter targets
-//! (docs/design.md, "Agent programs").
+//! A program reports only when it should end. The work of programs of one kind, which are those whose first
+//! call matched the same route, takes a typical share of the time that they start with. The remaining work is
+//! that share less the work already done. A step may use the same share of the remaining time as it has of
+//! the remaining work. The slack is thus spread over all steps in proportion, and a program that has lost
+//! time gets shorter targets (docs/design.md, "Agent programs").
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -122,8 +122,8 @@
             .is_some_and(|program| program.answers > 0)
     }
 
-    /// Latency target of the current step in seconds, if its unloaded latency is `unloaded` seconds. That of the route if
-    /// the end of the program is unknown.
+    /// Latency target of the current step in seconds, if its unloaded latency is `unloaded` seconds. That of
+    /// the route if the end of the program is unknown.
     pub(crate) fn latency_target(&self, call: &Call, unloaded: f64) -> f64 {
         let known = call.program.and_then(|id| self.programs.get(&id));
         let Some((program, finish_at)) = known.zip(call.finish_at) else {
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Updates the share of work of the program's kind. Programs with a single answer are ignored, as they may have been
-    /// abandoned.
+    /// Updates the share of work of the program's kind. Programs with a single answer are ignored, as they
+    /// may have been abandoned.
     fn learn(&mut self, program: &Program) {
         let Some(time) = program
             .time
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -147,8 +147,8 @@
             .is_some_and(|last| last.kind == FailureKind::Late)
     }
 
-    /// Whether its last outcome was a recent failure. This decides where traffic is sparse, since two failures take
-    /// long to observe there.
+    /// Whether its last outcome was a recent failure. This decides where traffic is sparse, since two
+    /// failures take long to observe there.
     pub(crate) fn has_failed_recently(&self, now: f64) -> bool {
         self.health.failed_last(now)
             && self
@@ -156,8 +156,8 @@
                 .is_some_and(|last| now < last.at + FAILURE_AVOIDANCE_WINDOW)
     }
 
-    /// Whether a call that is not idempotent may probe it: the call of the last failure had not run, or failed long
-    /// ago.
+    /// Whether a call that is not idempotent may probe it: the call of the last failure had not run, or
+    /// failed long ago.
     pub(crate) fn may_probe_with_any_call(&self, now: f64) -> bool {
         let risky =
             |last: &Failure| last.kind != FailureKind::NotRun && now <= last.at + PROBE_RISK_WINDOW;
@@ -171,8 +171,8 @@
             || self.in_flight.len() < 1 + self.answers / ANSWERS_PER_SLOW_START_CALL
     }
 
-    /// Whether it has not shown any activity since it received a call that is late by now. `late_after` is the
-    /// threshold by route.
+    /// Whether it has not shown any activity since it received a call that is late by now. `late_after` is
+    /// the threshold by route.
     pub(crate) fn is_unresponsive(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
         let late = |sent: &InFlight| {
             sent.begun_late.is_none() && now > sent.sent_at + late_after(sent.route)
--- a/crates/tier/scheduler/src/retry_budget.rs
+++ b/crates/tier/scheduler/src/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Retry budget: retries and hedges are a bounded share of first attempts, so that they cannot amplify an overload.
+//! Retry budget: retries and hedges are a bounded share of first attempts, so that they cannot amplify an
+//! overload.
 
 /// Tokens that first attempts earn, and retries and hedges spend.
 #[derive(Debug)]
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -15,14 +15,14 @@
 const ANSWERS_PER_UPDATE: usize = 8;
 /// With fewer samples an attempt is late beyond the route's latency target.
 const MIN_SAMPLES: usize = 16;
-/// An attempt is late beyond this quantile of the recent latencies, which a sixth of the replicas cannot raise by
-/// being slow, and beyond [`LATE_MEDIAN_MULTIPLE`] times their median. Of exponentially distributed latencies 6 in
-/// 100 are late, so half of eight in a row hardly ever are.
+/// An attempt is late beyond this quantile of the recent latencies, which a sixth of the replicas cannot
+/// raise by being slow, and beyond [`LATE_MEDIAN_MULTIPLE`] times their median. Of exponentially distributed
+/// latencies 6 in 100 are late, so half of eight in a row hardly ever are.
 const LATE_QUANTILE: f64 = 0.8;
 /// See [`LATE_QUANTILE`].
 const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
-/// Least threshold of lateness as a share of the latency target, so that a short stall of this process ejects no
-/// replica.
+/// Least threshold of lateness as a share of the latency target, so that a short stall of this process ejects
+/// no replica.
 const LATE_SHARE_OF_TARGET: f64 = 0.125;
 /// An attempt at a working replica is lost beyond this multiple of the longest recent latency.
 const LOST_LONGEST_MULTIPLE: f64 = 1.5;
@@ -118,7 +118,8 @@
             .map_or(f64::INFINITY, Route::late_after)
     }
 
-    /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later attempts.
+    /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later
+    /// attempts.
     pub(crate) fn lost_after(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -16,9 +16,9 @@
 impl Admission {
     /// The `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
     ///
-    /// Calls are rejected only while every replica of the service is full: a call of a new program if the program would
-    /// not end in time at the present delay, and a call of a program in progress if its client would give up before the
-    /// response.
+    /// Calls are rejected only while every replica of the service is full: a call of a new program if the
+    /// program would not end in time at the present delay, and a call of a program in progress if its client
+    /// would give up before the response.
     pub(crate) fn rejection_on_arrival(&self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         if !is_overloaded(now, &self.fleet, &call.service) {
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -18,11 +18,13 @@
 }
 
 impl Step<'_> {
-    /// When the calls of the step must have begun for all to be answered within the step's latency target: its arrival
-    /// plus the target, less the p-quantile of the product of its replicas' unloaded histograms (DSSP paper, queuing
-    /// deadline). `call` would be sent to `replica`; calls of the step without a replica count as average.
+    /// When the calls of the step must have begun for all to be answered within the step's latency target:
+    /// its arrival plus the target, less the p-quantile of the product of its replicas' unloaded histograms
+    /// (DSSP paper, queuing deadline). `call` would be sent to `replica`; calls of the step without a replica
+    /// count as average.
     ///
-    /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the whole.
+    /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the
+    /// whole.
     pub(crate) fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
         let ids = self.programs.step_calls(&call.call);
--- a/crates/tier/scheduler/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -5,8 +5,8 @@
 use common::{Driver, call, replicas, service, unsafe_call};
 use woadreach_scheduler::{Action, Call, CallKind, Outcome};
 
-/// Sends safe calls, 20 a second; if `fails`, the replica `bad` fails those that it receives. Returns how many
-/// calls it received first.
+/// Sends safe calls, 20 a second; if `fails`, the replica `bad` fails those that it receives. Returns how
+/// many calls it received first.
 fn send_with_failing_replica(driver: &mut Driver, ids: std::ops::Range<u64>, fails: bool) -> usize {
     let mut is_first_at_failing = 0;
     for id in ids {
--- a/crates/tier/scheduler/tests/queueing.rs
+++ b/crates/tier/scheduler/tests/queueing.rs
@@ -15,7 +15,8 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// One replica with four calls in flight, after it has answered the fifth that it is full: further calls are queued.
+/// One replica with four calls in flight, after it has answered the fifth that it is full: further calls are
+/// queued.
 fn replica_with_queue() -> Driver {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     for id in 1..=5 {
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Random histories against the rules that the driver of `common` checks: a call that is not idempotent is never
-//! sent again or rejected once it may have run, each call ends exactly once, and the same inputs give the same
-//! actions.
+//! Random histories against the rules that the driver of `common` checks: a call that is not idempotent is
+//! never sent again or rejected once it may have run, each call ends exactly once, and the same inputs give
+//! the same actions.
 
 mod common;
 
