--- a/crates/tier/discovery/tests/bad_input.rs
+++ b/crates/tier/discovery/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests and answers that cannot be read, over real connections of this machine.
+//! Requests and answers that cannot be decoded, over real connections of this machine.
 
 mod common;
 
@@ -61,7 +61,7 @@
     assert_eq!(discovery.counters(), Default::default());
 }
 
-/// A core machine of another version is requests again and again; nothing that it says is in force.
+/// A core machine of another version is polled again and again, and none of its answers takes effect.
 #[tokio::test]
 async fn answers_of_another_version_are_not_in_force() {
     let listener = TcpListener::bind((Ipv4Addr::new(127, 0, 0, 52), 0))
--- a/crates/tier/discovery/tests/catch_up.rs
+++ b/crates/tier/discovery/tests/catch_up.rs
@@ -1,8 +1,8 @@
 //! How long a process that was partitioned from the core takes to have the newest configuration again, while
 //! further changes come, on a link that carries a bounded number of bytes. Simulated time.
 //!
-//! Everything that the core machines answer comes through one link, one answer after the other, whether or
-//! not it is awaited any more.
+//! Everything that the core machines answer comes through one link, one answer after the other, even if
+//! its request has timed out.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 const POLL_BYTES: u64 = 200;
 const LONGEST: Duration = Duration::from_secs(60);
 
-/// What is on its way to the process.
+/// An answer in flight to the process.
 enum Answer {
     Poll {
         machine: SocketAddr,
@@ -251,7 +251,7 @@
         self.in_flight.clear();
     }
 
-    /// Runs until the process has `generation`; none if that takes too long.
+    /// Runs until the process has `generation`. `None` if that takes too long.
     fn time_to(&mut self, generation: u64) -> Option<Duration> {
         let started_at = self.now;
         while self.watcher.configuration_generation() < generation {
@@ -271,7 +271,7 @@
 }
 
 /// Time from the end of a partition, in which `missed` changes came, to the newest configuration of that
-/// moment; and how many fetches that took.
+/// moment; and number of fetches.
 fn catch_up(
     bytes: u64,
     link_rate: u64,
@@ -330,7 +330,7 @@
     }
 }
 
-/// The longest that a fetch waits is three seconds: 4 MB on 11 Mbit/s.
+/// The longest time-out of a fetch is three seconds: 4 MB on 11 Mbit/s.
 #[test]
 fn a_link_that_is_too_slow_is_found() {
     assert_eq!(
--- a/crates/tier/discovery/tests/common/world/core_node.rs
+++ b/crates/tier/discovery/tests/common/world/core_node.rs
@@ -120,7 +120,7 @@
 }
 
 impl World {
-    /// The core machine starts anew, without memory.
+    /// Restarts the core machine without its state.
     pub(crate) fn restart_core(&mut self, core: usize) {
         let cores = self.cores.len();
         let node = &mut self.cores[core];
@@ -136,7 +136,7 @@
         self.boot_core(core);
     }
 
-    /// Stops, partitions power or freezes; [`Self::restart_core`] and [`Self::thaw_core`] are the way back.
+    /// Stops, isolates or freezes the core machine, until [`Self::restart_core`] or [`Self::thaw_core`].
     pub(crate) fn set_power(&mut self, core: usize, power: PowerState) {
         self.cores[core].power = power;
         if power == PowerState::Down {
--- a/crates/tier/discovery/tests/common/world/mod.rs
+++ b/crates/tier/discovery/tests/common/world/mod.rs
@@ -29,7 +29,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
 const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// A replica asks the next core machine after this time without an acknowledgement.
+/// Time without an acknowledgement after which a replica calls the next core machine.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1000);
 
 pub(crate) struct World {
--- a/crates/tier/discovery/tests/common/world/replica.rs
+++ b/crates/tier/discovery/tests/common/world/replica.rs
@@ -8,7 +8,7 @@
 use super::event::Event;
 use super::{ACK_TIMEOUT, HEARTBEAT, LINK_DELAY, World};
 
-/// A replica that sends heartbeats to random core machines, from its first start on.
+/// A replica that sends heartbeats to random core machines, from its start on.
 pub(crate) struct Replica {
     pub(crate) id: String,
     pub(crate) heartbeat: Heartbeat,
@@ -16,7 +16,7 @@
     pub(crate) acknowledged: u64,
     pub(crate) drained_at: Option<Duration>,
     pub(crate) deregistered_at: Option<Duration>,
-    /// Core machine that it calls first at every heartbeat; another one each time if none is set.
+    /// Core machine that it calls first at every heartbeat; a random one if `None`.
     pub(crate) first_core: Option<usize>,
     pub(super) leaving: bool,
     pub(super) core: usize,
@@ -24,7 +24,7 @@
 }
 
 impl World {
-    /// Starts a replica at an address of its own; returns its index.
+    /// Starts a replica at its own address. Returns its index.
     pub(crate) fn add_replica(&mut self, id: &str, address_index: usize) -> usize {
         let address = SocketAddr::from((
             [10, 128, (address_index >> 8) as u8, address_index as u8],
@@ -52,14 +52,14 @@
         replica
     }
 
-    /// The replica says that it drains, now, to this core machine first.
+    /// The replica reports now, to this core machine first, that it drains.
     pub(crate) fn drain(&mut self, replica: usize, core: usize) {
         self.replicas[replica].heartbeat.state = ReplicaState::Draining;
         self.replicas[replica].core = core;
         self.send_heartbeat(replica);
     }
 
-    /// The replica says that it ends, now, to this core machine first.
+    /// The replica deregisters now, at this core machine first.
     pub(crate) fn leave(&mut self, replica: usize, core: usize) {
         self.replicas[replica].leaving = true;
         self.replicas[replica].core = core;
--- a/crates/tier/discovery/tests/control_traffic.rs
+++ b/crates/tier/discovery/tests/control_traffic.rs
@@ -1,4 +1,5 @@
-//! What the control plane sends to a tier of three sizes, and how soon it is in force there. Simulated time.
+//! Traffic of the control plane to tiers of three sizes, and the time until changes are in force there.
+//! Simulated time.
 
 mod common;
 
@@ -6,7 +7,7 @@
 
 use common::world::{LINK_DELAY, World};
 
-/// From the acknowledgement of a departure on, in force everywhere.
+/// Time after the acknowledgement of a departure by which it is in force everywhere.
 const IN_FORCE: Duration = Duration::from_millis(20);
 
 fn millis(millis: u64) -> Duration {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Distribution and load of a tier of this size; prints the figures for the page on discovery.
+/// Distribution and load of a tier of this size; prints the figures of docs/discovery.md.
 fn measure_tier(cores: usize, edges: usize, replicas: usize) {
     let mut world = World::new(11, cores, edges, replicas);
     world.run(seconds(10));
--- a/crates/tier/discovery/tests/distribution.rs
+++ b/crates/tier/discovery/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! Core machines, observers and replicas on simulated time: what reaches the observers, and when.
+//! Core machines, observers and replicas on simulated time: which changes reach the observers, and when.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::view;
 use common::world::{HEARTBEAT, Node, PowerState, World, core_address};
 
-/// From the acknowledgement of a departure on, in force everywhere.
+/// Time after the acknowledgement of a departure by which it is in force everywhere.
 const IN_FORCE: Duration = Duration::from_millis(20);
 /// Time after its last heartbeat by which a replica has expired everywhere.
 const EXPIRY: Duration = Duration::from_millis(4200 + 500);
@@ -335,7 +335,7 @@
 
 #[test]
 fn replicas_that_reach_only_one_side_of_a_partition_stay_registered() {
-    // Cut off from the others, out of quorum, and the only one that the replicas reach.
+    // Partitioned from the others, out of quorum, and the only one that the replicas reach.
     let mut world = calm(6, 3, 6, 12);
     world.partition_cores(0, 1);
     world.partition_cores(0, 2);
@@ -432,7 +432,7 @@
     world.set_power(0, PowerState::Unreachable);
     world.run_for(seconds(10));
     world.restart_core(0);
-    // A poll to the unreachable machine is broken 1.7 s after its start, and the next starts 0.8 s later at
+    // A poll to the unreachable machine times out 1.7 s after its start, and the next starts 0.8 s later at
     // most.
     world.run_for(millis(2600));
     world
--- a/crates/tier/discovery/tests/loopback.rs
+++ b/crates/tier/discovery/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! Core machines and an observer over real connections of this machine. Waits for events, never for time.
+//! Core machines and an observer over real connections of this machine. The test waits for events and not for
+//! a time.
 
 mod common;
 
--- a/crates/tier/discovery/tests/messages.rs
+++ b/crates/tier/discovery/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The codec: what is encoded comes back, and other bytes are an error.
+//! The codec: messages survive encoding and decoding, and other bytes are an error.
 
 mod common;
 
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -14,7 +14,7 @@
 use woadreach_discovery::selection::rank;
 use woadreach_discovery::{HeartbeatOutcome, ViewSummary};
 
-/// From a commit on, in force at every observer that reaches the majority.
+/// Time after a commit by which it is in force at every observer that reaches the majority.
 const IN_FORCE: Duration = Duration::from_millis(2000);
 
 fn millis(millis: u64) -> Duration {
@@ -105,7 +105,7 @@
 
 #[test]
 fn an_observer_that_is_lost_asks_every_machine_in_turn() {
-    // More machines are cut off than are asked at once, and they come first by rank.
+    // More machines are partitioned than are polled at once, and they rank first.
     let mut world = World::new(1, 19, 2, 12);
     world.run(seconds(8));
     let minority: Vec<usize> = by_rank(&world, 0)[..9].to_vec();
@@ -116,7 +116,7 @@
     assert_eq!(world.edges[0].configuration, 9);
 }
 
-/// Cuts core machine 0 off, one way or both, and every observer off from it.
+/// Partitions core machine 0 from the others, one way or both, and from every observer.
 fn partition_core_and_observers(world: &mut World, hears: bool, is_heard: bool) {
     for other in 1..world.cores.len() {
         if !hears {
@@ -138,7 +138,7 @@
             let mut world = World::new(seed, 3, 6, 12);
             world.run(seconds(8));
             partition_core_and_observers(&mut world, hears, is_heard);
-            // The machine does not know yet that it is cut off.
+            // The machine does not know yet that it is partitioned.
             world.drain(0, 0);
             world.leave(1, 0);
             while world.replicas[0].drained_at.is_none()
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -294,7 +294,7 @@
     );
 }
 
-/// Machines compare these digests with their own.
+/// Core machines compare these digests with their own.
 #[test]
 fn digests_of_records_are_as_recorded() {
     let recorded = RecordedBytes::open("digests");
--- a/crates/tier/discovery/tests/registry.rs
+++ b/crates/tier/discovery/tests/registry.rs
@@ -362,7 +362,7 @@
     }
 }
 
-/// Latest update of each replica: its sequence and whether it drains; none once it has left.
+/// Latest update of each replica: its sequence and whether it drains; `None` once it has deregistered.
 type Oracle = BTreeMap<u8, Option<(u8, bool)>>;
 
 fn oracle_takes(oracle: &mut Oracle, step: &Step) -> bool {
@@ -408,7 +408,7 @@
             if is_accepted != expected {
                 return false;
             }
-            // A watcher that asks in parts of one account now and then.
+            // A watcher that sometimes requests one status at a time.
             let changes = registry.changes_since(version, 1);
             version = changes.version;
             follower.extend(changes.statuses);
--- a/crates/tier/discovery/tests/replica_table.rs
+++ b/crates/tier/discovery/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! What an observer makes of the accounts of three core machines.
+//! How an observer merges the statuses of three core machines.
 
 mod common;
 
@@ -62,7 +62,7 @@
         true,
         response(1, true, &[("r", ready("r", 1))]),
     );
-    // The machine starts anew and has not heard of the replica.
+    // The machine has restarted and has not heard of the replica.
     let empty = |incarnation| response(incarnation, true, &[]);
     table.apply(seconds(1), machine(1), true, empty(2));
     assert!(!table.sweep(seconds(1)));
@@ -137,7 +137,7 @@
     ));
 }
 
-/// An account of a replica as some core machine sends it.
+/// A status of a replica as some core machine sends it.
 #[derive(Clone, Debug)]
 struct Account {
     machine: u8,
@@ -149,7 +149,7 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let replica = u8::arbitrary(generator) % 4;
         let id = replica.to_string();
-        // Content follows from id and sequence, as a replica has one word for each sequence.
+        // Content follows from id and sequence, as a replica sends one heartbeat for each sequence.
         let sequence = u64::from(u8::arbitrary(generator) % 12);
         let status = match u8::arbitrary(generator) % 6 {
             0 => ReplicaStatus::deregistered(),
@@ -187,7 +187,8 @@
 }
 
 quickcheck! {
-    /// The oracle: of all accounts of a replica, the one of the highest sequence; at the same, a departure.
+    /// The oracle: the status of the highest sequence, and of a departure and a record with the same sequence
+    /// the departure.
     fn any_order_and_repetition_gives_the_same_replicas(accounts: Vec<Account>, order: Vec<usize>) -> bool {
         let mut shuffled: Vec<&Account> = accounts.iter().collect();
         for (index, other) in order.iter().enumerate().take(shuffled.len()) {
--- a/crates/tier/discovery/tests/sampling.rs
+++ b/crates/tier/discovery/tests/sampling.rs
@@ -154,7 +154,7 @@
         tier.run_for(Duration::from_secs(30));
         tier.bytes = vec![0; size];
         tier.run_for(Duration::from_secs(seconds));
-        // Seeds and other core machines are asked more often than others.
+        // Seeds and other core machines receive more shuffles than others.
         worst.insert(size, tier.bytes[cores..].iter().max().unwrap() / seconds);
     }
     assert!(
@@ -224,7 +224,7 @@
         })
     }
 
-    /// Core machines keep their places however many other processes are named.
+    /// Entries of core machines are retained however many other processes are named.
     fn core_machines_are_not_crowded_out(others: Vec<u8>) -> bool {
         let mut view = PartialView::new(Duration::ZERO, entry(0, 0), vec![], 9);
         for core in 1..=RESERVED_CORE_ENTRIES {
