--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -90,7 +90,7 @@
     rpc: Client,
     listener: TcpListener,
 ) -> Services {
-    let tolerated_failures = settings.fault_tolerance.members_of_a_group();
+    let tolerated_failures = settings.fault_tolerance.tolerated_group_losses();
     // An order may be as long as a configuration; heartbeats between members must not queue behind it.
     let order_rpc = Client::new(ClientOptions::default());
     let orders = Arc::new(OrderService::new(
--- a/crates/tier/storage/tests/simulation/oracle.rs
+++ b/crates/tier/storage/tests/simulation/oracle.rs
@@ -6,108 +6,144 @@
 use woadreach_storage::TurnKey;
 use woadreach_storage::turn::TurnRecord;
 
-/// State of one try to reserve.
+use super::violation::{
+    BudgetOverspentSnafu, ChainTooLongSnafu, ChangedTurnSnafu, TruncatedChainSnafu, Violation,
+    WrongRefusalSnafu,
+};
+
+/// State of one attempt to reserve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Attempt {
-    /// Sent, or given up without a durable withdrawal: counts at its most.
-    Open { most: u64 },
+pub(crate) enum Attempt {
+    /// Sent, or abandoned without a durable withdrawal: counts at its upper bound.
+    Open { max_tokens: u64 },
     /// Granted; the turn may run.
-    Granted { most: u64 },
-    /// The proxy knows what was given, the machines may not.
-    Ended { most: u64, given: u64 },
-    /// A quorum knows since `at` what was given.
-    Settled { most: u64, given: u64, at: Duration },
+    Granted { max_tokens: u64 },
+    /// The proxy knows the tokens delivered; the machines may not.
+    Ended {
+        max_tokens: u64,
+        delivered_tokens: u64,
+    },
+    /// A quorum has known the tokens delivered since `at`.
+    Settled {
+        max_tokens: u64,
+        delivered_tokens: u64,
+        at: Duration,
+    },
 }
 
 impl Attempt {
-    fn given(self) -> u64 {
+    fn delivered_tokens(self) -> u64 {
         match self {
             Attempt::Open { .. } => 0,
-            Attempt::Granted { most } => most,
-            Attempt::Ended { given, .. } | Attempt::Settled { given, .. } => given,
+            Attempt::Granted { max_tokens } => max_tokens,
+            Attempt::Ended {
+                delivered_tokens, ..
+            }
+            | Attempt::Settled {
+                delivered_tokens, ..
+            } => delivered_tokens,
         }
     }
 
-    /// What it may count for in an answer to a request that was sent at `sent`.
-    fn at_most(self, sent: Duration) -> u64 {
+    /// Tokens that it may count for, at most, in an answer to a request sent at `sent`.
+    fn max_counted_tokens(self, sent: Duration) -> u64 {
         match self {
-            Attempt::Settled { given, at, .. } if at <= sent => given,
-            Attempt::Open { most }
-            | Attempt::Granted { most }
-            | Attempt::Ended { most, .. }
-            | Attempt::Settled { most, .. } => most,
+            Attempt::Settled {
+                delivered_tokens,
+                at,
+                ..
+            } if at <= sent => delivered_tokens,
+            Attempt::Open { max_tokens }
+            | Attempt::Granted { max_tokens }
+            | Attempt::Ended { max_tokens, .. }
+            | Attempt::Settled { max_tokens, .. } => max_tokens,
         }
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Oracle {
-    /// Turns whose answer ended whole.
+pub(crate) struct Oracle {
+    /// Turns that were acknowledged as durable.
     pub acknowledged: BTreeMap<TurnKey, TurnRecord>,
     attempts: BTreeMap<String, BTreeMap<u64, Attempt>>,
 }
 
 impl Oracle {
-    pub fn attempt(&mut self, program: &str, id: u64, state: Attempt) {
+    pub(crate) fn attempt(&mut self, program: &str, id: u64, state: Attempt) {
         self.attempts
             .entry(program.to_owned())
             .or_default()
             .insert(id, state);
     }
 
-    /// A reservation was granted: what was given and may still be given must fit.
-    pub fn granted(
+    /// Checks a granted reservation: tokens that were and may still be delivered must fit into the budget.
+    pub(crate) fn granted(
         &mut self,
         program: &str,
         id: u64,
-        most: u64,
+        max_tokens: u64,
         budget: u64,
-    ) -> Result<(), String> {
-        self.attempt(program, id, Attempt::Granted { most });
+    ) -> Result<(), Violation> {
+        self.attempt(program, id, Attempt::Granted { max_tokens });
         let total: u64 = self.attempts[program]
             .values()
-            .map(|attempt| attempt.given())
+            .map(|attempt| attempt.delivered_tokens())
             .sum();
         if total > budget {
-            return Err(format!(
-                "budget of {program} overspent: {total} of {budget}"
-            ));
+            return BudgetOverspentSnafu {
+                program,
+                total,
+                budget,
+            }
+            .fail();
         }
         Ok(())
     }
 
-    /// A reservation was refused: with everything open at its most it must not fit.
-    pub fn refused(
+    /// Checks a refused reservation: with all open ones at their upper bound it must not fit.
+    pub(crate) fn refused(
         &self,
         program: &str,
         id: u64,
-        (most, budget): (u64, u64),
+        (max_tokens, budget): (u64, u64),
         sent: Duration,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let others = self.attempts[program]
             .iter()
             .filter(|(other, _)| **other != id);
-        let total: u64 = others.map(|(_, attempt)| attempt.at_most(sent)).sum();
-        if total + most <= budget {
-            return Err(format!(
-                "turn of {program} refused though {total} + {most} fit {budget}"
-            ));
+        let total: u64 = others
+            .map(|(_, attempt)| attempt.max_counted_tokens(sent))
+            .sum();
+        if total + max_tokens <= budget {
+            return WrongRefusalSnafu {
+                program,
+                total,
+                max_tokens,
+                budget,
+            }
+            .fail();
         }
         Ok(())
     }
 
-    /// A chain was read: it must be the acknowledged turn and all its ancestors.
-    pub fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), String> {
+    /// Checks a chain that was read: it must be the acknowledged turn and all its ancestors.
+    pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), Violation> {
         let mut next = Some(newest.clone());
         for turn in chain {
             let Some(key) = next else {
-                return Err(format!("chain of {newest:?} is too long"));
+                return ChainTooLongSnafu {
+                    newest: newest.clone(),
+                }
+                .fail();
             };
             if self.acknowledged.get(&key) != Some(turn) {
-                let known = self.acknowledged.get(&key);
-                return Err(format!(
-                    "turn {key:?} is {turn:?}, not {known:?} as acknowledged"
-                ));
+                let known = self.acknowledged.get(&key).cloned();
+                return ChangedTurnSnafu {
+                    key,
+                    turn: Box::new(turn.clone()),
+                    known: Box::new(known),
+                }
+                .fail();
             }
             let program = key.program;
             next = turn.previous.clone().map(|request_id| TurnKey {
@@ -115,8 +151,12 @@
                 request_id,
             });
         }
-        next.map_or(Ok(()), |key| {
-            Err(format!("chain of {newest:?} ends before {key:?}"))
+        next.map_or(Ok(()), |missing| {
+            TruncatedChainSnafu {
+                newest: newest.clone(),
+                missing,
+            }
+            .fail()
         })
     }
 }
