--- a/crates/tier/control/src/core_role/shutdown.rs
+++ b/crates/tier/control/src/core_role/shutdown.rs
@@ -35,7 +35,7 @@
             _ = hangup.recv() => reload_seeds(driver, sampler),
             () = tokio::time::sleep(SETTINGS_RELOAD_INTERVAL) => {
                 let in_quorum = driver.status().in_quorum;
-                sampler.set_lost(!in_quorum);
+                sampler.set_disconnected(!in_quorum);
                 if !in_quorum {
                     reload_seeds(driver, sampler);
                 }
--- a/crates/tier/discovery/tests/sampling.rs
+++ b/crates/tier/discovery/tests/sampling.rs
@@ -8,8 +8,8 @@
 use quickcheck::quickcheck;
 use woadreach_discovery::messages::{decode, encode};
 use woadreach_discovery::sampling::{
-    AgedEntry, CORE_ENTRIES, NodeEntry, NodeRole, PartialView, SHUFFLE_ENTRIES, Shuffle,
-    VIEW_ENTRIES,
+    AgedEntry, MAX_SHUFFLE_ENTRIES, MAX_VIEW_ENTRIES, NodeEntry, NodeRole, PartialView,
+    RESERVED_CORE_ENTRIES, Shuffle,
 };
 
 const STEP: Duration = Duration::from_millis(100);
@@ -135,7 +135,7 @@
         tier.run_for(Duration::from_secs(60));
         for process in 0..size {
             let known = tier.known(process);
-            assert!(known.len() <= VIEW_ENTRIES);
+            assert!(known.len() <= MAX_VIEW_ENTRIES);
             assert!(
                 known.iter().any(|known| *known < cores),
                 "{process} of {size} knows no core machine"
@@ -154,7 +154,7 @@
         tier.run_for(Duration::from_secs(30));
         tier.bytes = vec![0; size];
         tier.run_for(Duration::from_secs(seconds));
-        // Seeds and other core machines are asked more often than others.
+        // Seeds and other core machines receive more shuffles than others.
         worst.insert(size, tier.bytes[cores..].iter().max().unwrap() / seconds);
     }
     assert!(
@@ -164,11 +164,11 @@
 }
 
 #[test]
-fn processes_that_have_gone_drop_out_of_the_views() {
+fn processes_that_have_ended_drop_out_of_the_views() {
     let mut tier = Tier::new(5, 3, 40);
     tier.run_for(Duration::from_secs(60));
-    for gone in [1, 20, 21, 22, 23] {
-        tier.running[gone] = false;
+    for ended in [1, 20, 21, 22, 23] {
+        tier.running[ended] = false;
     }
     tier.run_for(Duration::from_secs(150));
     for process in (0..40).filter(|process| tier.running[*process]) {
@@ -185,8 +185,8 @@
         let mut tier = Tier::new(seed, 5, 40);
         tier.run_for(Duration::from_secs(40));
         // The seeds are replaced by other core machines.
-        for gone in 0..3 {
-            tier.running[gone] = false;
+        for ended in 0..3 {
+            tier.running[ended] = false;
         }
         tier.run_for(Duration::from_secs(20));
         tier.restart(30, (0..3).map(address).collect());
@@ -212,22 +212,22 @@
                 age_ms: *age_ms,
             });
             let answer = view.answer(now, Shuffle { entries: entries.collect() });
-            let held: Vec<SocketAddr> =
+            let entries: Vec<SocketAddr> =
                 view.entries(now).into_iter().map(|entry| entry.address.into()).collect();
-            let distinct: BTreeSet<SocketAddr> = held.iter().copied().collect();
+            let distinct: BTreeSet<SocketAddr> = entries.iter().copied().collect();
             let started = view.start_shuffle(now);
-            answer.entries.len() <= SHUFFLE_ENTRIES
-                && started.is_none_or(|(_, shuffle)| shuffle.entries.len() <= SHUFFLE_ENTRIES)
-                && held.len() <= VIEW_ENTRIES
-                && held.len() == distinct.len()
+            answer.entries.len() <= MAX_SHUFFLE_ENTRIES
+                && started.is_none_or(|(_, shuffle)| shuffle.entries.len() <= MAX_SHUFFLE_ENTRIES)
+                && entries.len() <= MAX_VIEW_ENTRIES
+                && entries.len() == distinct.len()
                 && !distinct.contains(&address(0))
         })
     }
 
-    /// Core machines keep their places however many other processes are named.
+    /// Entries of core machines are retained however many other processes are named.
     fn core_machines_are_not_crowded_out(others: Vec<u8>) -> bool {
         let mut view = PartialView::new(Duration::ZERO, entry(0, 0), vec![], 9);
-        for core in 1..=CORE_ENTRIES {
+        for core in 1..=RESERVED_CORE_ENTRIES {
             let aged = AgedEntry { entry: entry(300 + core, usize::MAX), age_ms: 1000 };
             view.answer(Duration::ZERO, Shuffle { entries: vec![aged] });
         }
@@ -235,7 +235,7 @@
             let aged = AgedEntry { entry: entry(usize::from(other), 0), age_ms: 0 };
             view.answer(STEP, Shuffle { entries: vec![aged] });
         }
-        view.core_machines(STEP).len() == CORE_ENTRIES
+        view.core_machines(STEP).len() == RESERVED_CORE_ENTRIES
     }
 
     fn bytes_that_are_no_shuffle_are_an_error_or_a_bounded_message(bytes: Vec<u8>) -> bool {
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What happens to a call: sent, held, put off, copied, ended.
+//! Decisions about one call: whether it is sent, queued, postponed or ended.
 
 use std::collections::BTreeSet;
 
@@ -8,27 +8,27 @@
 use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
-use crate::fleet::ReplicaKey;
-use crate::in_hand::{Attempt, AttemptState};
+use crate::calls_in_flight::{Attempt, AttemptState};
+use crate::keys::ReplicaKey;
 use crate::outcome::Outcome;
-use crate::placement::{Choice, Placement, tokens_to_read};
-use crate::replica::InFlight;
+use crate::placement::{Choice, Placement, prefill_tokens};
 use crate::step::Step;
 use crate::timers::has_come;
 
-/// The share of its target for which a call may be held without having been offered to a replica.
-const UNOFFERED_SHARE: f64 = 0.25;
-/// First pause (seconds) before a call goes back to a replica that did not run it; doubled with each attempt.
-const FIRST_BACKOFF: f64 = 0.03;
+/// Share of its latency target for which a call may be queued before it has reached any replica.
+const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
+/// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each
+/// attempt.
+const INITIAL_BACKOFF: f64 = 0.03;
 impl Admission {
-    /// Decides anew about a call, whatever its state.
+    /// Decides anew about a call in any state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         match call.state() {
-            CallState::Running => self.consider_late(now, id, actions),
-            CallState::Held { .. } | CallState::Waiting => {
+            CallState::Running => self.handle_late_attempt(now, id, actions),
+            CallState::Queued { .. } | CallState::Unplaced => {
                 self.release(id);
                 self.place(now, id, actions);
             }
@@ -36,7 +36,7 @@
         }
     }
 
-    /// An attempt of the call ended without an answer.
+    /// Decides about a call of which an attempt has ended without an answer.
     pub(crate) fn decide_after_failure(
         &mut self,
         now: f64,
@@ -44,33 +44,33 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_out()) else {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_in_flight()) else {
             return;
         };
-        call.apply(CallEvent::NothingOut);
-        let doubled = FIRST_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
+        call.apply(CallEvent::AttemptsEnded);
+        let doubled = INITIAL_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
         call.not_before = match outcome {
             Outcome::NotExecuted {
-                retry_after: Some(asked),
-            } => now + asked.max(doubled),
+                retry_after: Some(requested),
+            } => now + requested.max(doubled),
             _ => now + doubled,
         };
         self.place(now, id, actions);
     }
 
-    /// Held calls leave earliest queuing deadline first, and those put off in order of arrival, as far as a
-    /// replica that has just become freer allows.
-    pub(crate) fn release_held(
+    /// Releases queued calls by earliest queuing deadline, and then postponed calls in the order of their
+    /// arrival, as far as `replica`, which has just got capacity, allows.
+    pub(crate) fn release_queued(
         &mut self,
         now: f64,
         replica: ReplicaKey,
         actions: &mut Vec<Action>,
     ) {
-        let mut asked = BTreeSet::new();
+        let mut considered = BTreeSet::new();
         while let Some(first) = self
-            .held
+            .queue
             .first(&replica)
-            .filter(|first| asked.insert(*first))
+            .filter(|first| considered.insert(*first))
         {
             let Some(at) = self.fleet.get(replica) else {
                 break;
@@ -94,14 +94,14 @@
             .for_each(|id| self.decide(now, id, actions));
     }
 
-    /// Drops what is out; gives back the replicas where it was.
+    /// Aborts all attempts in flight. Returns their replicas.
     pub(crate) fn abort_all(&mut self, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
         let mut freed = Vec::new();
         for (number, attempt) in (0..).zip(&mut call.attempts) {
-            if attempt.state == AttemptState::Out {
+            if attempt.state == AttemptState::InFlight {
                 attempt.state = AttemptState::Aborted;
                 actions.push(Action::Abort {
                     call: id,
@@ -116,7 +116,7 @@
         freed
     }
 
-    /// Forgets a call that has ended.
+    /// Removes a call that has ended.
     pub(crate) fn end(&mut self, now: f64, id: CallId, answered: bool) {
         self.release(id);
         let Some(mut call) = self.calls.remove(&id) else {
@@ -125,10 +125,11 @@
         self.timers.set(&mut call.timer, id, None);
         self.displaced.remove(&id);
         let unloaded = self.routes.unloaded_median(now, call.route);
-        self.programs.ended(now, &call.call, answered, unloaded);
+        self.programs
+            .record_end(now, &call.call, answered, unloaded);
     }
 
-    /// Ends a call that has not run and never will.
+    /// Rejects a call that has not run and never will.
     pub(crate) fn refuse(
         &mut self,
         now: f64,
@@ -143,16 +144,16 @@
         self.end(now, id, false);
     }
 
-    /// Ends a call for which nothing more can be done, with the most that honesty allows.
+    /// Ends a call that cannot be sent again: rejects it if it has not run, otherwise reports why it failed.
     fn give_up(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.has_not_run() {
-            let retry_after = self.retry_advice(now, id);
+            let retry_after = self.retry_after_for(now, id);
             return self.refuse(now, id, retry_after, actions);
         }
-        let reason = match call.last_run() {
+        let reason = match call.last_executed_outcome() {
             Some(Outcome::ReplicaError) => FailReason::ReplicaError,
             Some(Outcome::TimedOut) => FailReason::TimedOut,
             _ if now >= call.call.give_up_at => FailReason::TimedOut,
@@ -162,14 +163,14 @@
         self.end(now, id, false);
     }
 
-    /// Takes a call out of the queue where it waits.
+    /// Removes a call from the queue in which it waits.
     fn release(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         match call.state() {
-            CallState::Held { replica, deadline } => self.held.remove(&replica, deadline, id),
-            CallState::Waiting => {
+            CallState::Queued { replica, deadline } => self.queue.remove(&replica, deadline, id),
+            CallState::Unplaced => {
                 self.waiting.remove(&id);
             }
             CallState::Deciding | CallState::Running => return,
@@ -186,10 +187,10 @@
             return self.give_up(now, id, actions);
         }
         match self.choose(now, id) {
-            Choice::Never => self.without_replica(now, id, actions),
-            Choice::Later => self.put_off(now, id, None, actions),
-            Choice::Hold(replica) => self.hold_back(now, id, replica, actions),
-            Choice::SendTrial(replica) => {
+            Choice::NoReplica => self.handle_missing_replica(now, id, actions),
+            Choice::Postpone => self.postpone(now, id, None, actions),
+            Choice::Enqueue(replica) => self.enqueue(now, id, replica, actions),
+            Choice::SendProbe(replica) => {
                 if let Some(replica) = self.fleet.get_mut(replica) {
                     replica.health.probe_sent(now);
                 }
@@ -201,7 +202,7 @@
 
     fn choose(&mut self, now: f64, id: CallId) -> Choice {
         let Some(call) = self.calls.get_mut(&id) else {
-            return Choice::Never;
+            return Choice::NoReplica;
         };
         let service = self.services.get(&call.service);
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, service);
@@ -213,24 +214,25 @@
             routes: &self.routes,
         };
         let Some(call) = self.calls.get(&id) else {
-            return Choice::Never;
+            return Choice::NoReplica;
         };
         let is_behind = |replica: ReplicaKey| {
-            self.held.first(&replica).is_some()
+            self.queue.first(&replica).is_some()
                 && self
-                    .held
+                    .queue
                     .is_behind(&replica, step.queuing_deadline(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
     }
 
-    /// The skip: a call whose time left is under its replica's unloaded tail stays unsent.
+    /// Whether the call's remaining time is below the unloaded tail latency of `replica`, so that sending it
+    /// would be useless (DSSP paper, part skipping).
     pub(crate) fn is_hopeless(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
         self.calls.get(&id).is_none_or(|call| {
             let k = self.programs.step_size(&call.call);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
-            let time_left = call.call.give_up_at - now;
-            has_come(now, call.call.give_up_at) || PartBudget::hopeless(time_left, tail)
+            let remaining = call.call.give_up_at - now;
+            has_come(now, call.call.give_up_at) || PartBudget::hopeless(remaining, tail)
         })
     }
 
@@ -244,21 +246,22 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (returns, not_before) = (call.was_tried_at(replica), call.not_before);
-        let repeats = call.was_offered();
+        let (returns, not_before) = (call.was_sent_to(replica), call.not_before);
+        let repeats = call.has_reached_replica();
         let affordable = self
             .services
             .get(&call.service)
-            .is_none_or(|service| service.budget.allows());
+            .is_none_or(|service| service.budget.can_retry());
         if self.is_hopeless(now, id, replica) || (repeats && !affordable) {
             return self.give_up(now, id, actions);
         }
         if returns && !has_come(now, not_before) {
-            return self.put_off(now, id, Some(not_before), actions);
+            return self.postpone(now, id, Some(not_before), actions);
         }
         self.send(now, id, replica, actions);
     }
 
+    /// Sends a call to `replica`, and sets the timer after which the attempt is late.
     pub(crate) fn send(
         &mut self,
         now: f64,
@@ -269,106 +272,97 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let Some(at) = self.fleet.get_mut(replica) else {
+        let Some(target) = self.fleet.get_mut(replica) else {
             return;
         };
-        let repeats = call.was_offered();
+        let is_retry = call.has_reached_replica();
         let attempt = call.attempts.len() as u32;
-        let replica_id = at.spec.id.clone();
         call.attempts.push(Attempt {
             replica,
-            replica_id,
-            state: AttemptState::Out,
-            begun: false,
+            replica_id: target.spec.id.clone(),
+            state: AttemptState::InFlight,
+            has_begun: false,
         });
         call.apply(CallEvent::Sent);
-        let alone = at.in_flight.is_empty();
-        let sent = InFlight {
-            sent_at: now,
-            route: call.route,
-            alone,
-            begun_late: None,
-            overtaken: 0,
-            lost: false,
-        };
-        at.in_flight.insert((id, attempt), sent);
+        target.record_sent(now, id, attempt, call.route);
         if let Some(service) = self.services.get_mut(&call.service) {
-            let to_read = tokens_to_read(call, replica, at);
-            at.cache
+            let prefill = prefill_tokens(call, replica, target);
+            target
+                .cache
                 .record(&call.call.prefix, service.cache_share(self.edges));
-            service.sent(to_read);
-            if repeats {
+            service.record_sent(prefill);
+            if is_retry {
                 service.budget.spend()
             } else {
                 service.budget.earn()
             }
         }
-        let late_after = if call.may_be_copied() {
+        let late_after = if call.may_hedge() {
             self.routes.late_after(call.route)
         } else {
             self.routes.lost_after(call.route)
         };
-        let look_at = Some(now + late_after).filter(|at| *at < call.call.give_up_at);
-        self.timers.set(&mut call.timer, id, look_at);
+        let late_at = Some(now + late_after).filter(|at| *at < call.call.give_up_at);
+        self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
             attempt,
-            replica: at.spec.id.clone(),
+            replica: target.spec.id.clone(),
             timeout: call.call.give_up_at - now,
             priority: None,
         });
     }
 
-    /// Every replica that it might go to is gone or has had it. Only where the service has none at all, a
-    /// call that has not run waits for one, for as long as it may be held.
-    fn without_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
+    /// Handles a call for which no replica remains. It waits only if the service has no replica at all and
+    /// the call has not been sent.
+    fn handle_missing_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.attempts.is_empty() && self.fleet.usable(&call.service).next().is_none() {
-            self.put_off(now, id, None, actions);
+            self.postpone(now, id, None, actions);
         } else {
             self.give_up(now, id, actions);
         }
     }
 
-    /// Until when a call may be held: a share of its target if no replica was offered it, else as long as a
-    /// replica can still make it.
-    fn held_until(&self, now: f64, id: CallId) -> f64 {
+    /// Until when a call may be queued: for a share of its latency target before it has reached a replica,
+    /// afterwards as long as a replica can still answer it in time.
+    fn max_queued_until(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return now;
         };
-        if call.was_offered() {
+        if call.has_reached_replica() {
             let k = self.programs.step_size(&call.call);
             call.call.give_up_at - self.routes.tail(now, call.route, None, k)
         } else {
-            call.call.arrived + UNOFFERED_SHARE * call.call.target_latency
+            call.call.arrived + UNOFFERED_QUEUE_SHARE * call.call.target_latency
         }
     }
 
-    /// No replica may take it now: it waits for one, at the longest until `until`.
-    fn put_off(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
-        let most = self.held_until(now, id);
-        if has_come(now, most) {
+    /// Postpones a call that no replica may receive now, until `until` at the latest.
+    fn postpone(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
+        let limit = self.max_queued_until(now, id);
+        if has_come(now, limit) {
             return self.give_up(now, id, actions);
         }
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.apply(CallEvent::PutOff);
+        call.apply(CallEvent::Postponed);
         self.waiting.insert(id);
-        let until = until.map_or(most, |until| until.min(most));
+        let until = until.map_or(limit, |until| until.min(limit));
         self.timers.set(&mut call.timer, id, Some(until));
     }
 
-    /// Its replica is held: it waits there, ordered by the queuing deadline of its step. When it may be
-    /// held no longer without having been offered, it is offered all the same.
-    fn hold_back(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let most = self.held_until(now, id);
+    /// Queues a call at its replica, ordered by the queuing deadline of its step. A call that may not be
+    /// queued any longer is sent instead.
+    fn enqueue(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
+        let limit = self.max_queued_until(now, id);
         if self.is_hopeless(now, id, replica) {
             return self.give_up(now, id, actions);
         }
-        if has_come(now, most) {
+        if has_come(now, limit) {
             return self.send_if_worthwhile(now, id, replica, actions);
         }
         let step = Step {
@@ -381,11 +375,11 @@
             return;
         };
         let deadline = step.queuing_deadline(call, replica);
-        self.held.insert(&replica, deadline, id);
+        self.queue.insert(&replica, deadline, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.apply(CallEvent::HeldBack { replica, deadline });
-        self.timers.set(&mut call.timer, id, Some(most));
+        call.apply(CallEvent::Enqueued { replica, deadline });
+        self.timers.set(&mut call.timer, id, Some(limit));
     }
 }
--- /dev/null
+++ b/crates/tier/scheduler/src/programs.rs
@@ -0,0 +1,192 @@
+//! Latency targets of programs' steps, learned from the programs of the same kind.
+//!
+//! A program reports only when it should end. The work of programs of one kind, which are those whose first
+//! call matched the same route, takes a typical share of the time that they start with. The remaining work is
+//! that share less the work already done. A step may use the same share of the remaining time as it has of
+//! the remaining work. The slack is thus spread over all steps in proportion, and a program that has lost
+//! time gets shorter targets (docs/design.md, "Agent programs").
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use crate::call::{Call, CallId};
+
+/// Seconds without a call in flight after which a program has ended.
+const IDLE_TIMEOUT: f64 = 3.0;
+/// Weight of the latest program in the learned share of work.
+const LEARNING_RATE: f64 = 0.1;
+/// Assumed share of work in a program's time before any program of its kind has ended.
+const INITIAL_WORK_SHARE: f64 = 0.5;
+/// Least share of the remaining time that counts as remaining work. A program that has done more work than is
+/// typical of its kind may still continue.
+const MIN_REMAINING_WORK_SHARE: f64 = 0.25;
+/// Programs checked for their end at each arrival, which bounds the cost of an arrival.
+const MAX_PROGRAMS_CHECKED: usize = 2;
+
+/// A program with calls at this process. Times are seconds.
+#[derive(Debug)]
+struct Program {
+    kind: Arc<str>,
+    started: f64,
+    /// Time from its start to when it should end, if any call has reported it.
+    time: Option<f64>,
+    last_end: f64,
+    answers: u32,
+    /// Calls in flight, which form its current step.
+    in_flight: BTreeSet<CallId>,
+    step_started: f64,
+    /// Unloaded latency of the longest call of the current step.
+    step_unloaded: f64,
+    /// Time that steps have taken beyond their unloaded latency.
+    lost_time: f64,
+}
+
+/// All programs that have calls at this process, and the learned share of work by kind.
+#[derive(Debug, Default)]
+pub(crate) struct Programs {
+    programs: BTreeMap<u64, Program>,
+    work_share: BTreeMap<Arc<str>, f64>,
+    /// The program that was last checked for its end.
+    cursor: u64,
+}
+
+impl Programs {
+    /// Records the arrival of a call.
+    pub(crate) fn record_arrival(&mut self, now: f64, call: &Call) {
+        self.remove_ended(now);
+        let Some(id) = call.program else { return };
+        let program = self.programs.entry(id).or_insert_with(|| Program {
+            kind: call.route.clone(),
+            started: now,
+            time: None,
+            last_end: now,
+            answers: 0,
+            in_flight: BTreeSet::new(),
+            step_started: now,
+            step_unloaded: 0.0,
+            lost_time: 0.0,
+        });
+        program.time = program
+            .time
+            .or(call.finish_at.map(|at| at - program.started));
+        if program.in_flight.is_empty() {
+            program.step_started = call.arrived;
+            program.step_unloaded = 0.0;
+        }
+        program.in_flight.insert(call.id);
+    }
+
+    /// Records the end of a call, of which the unloaded latency is `unloaded` seconds.
+    pub(crate) fn record_end(&mut self, now: f64, call: &Call, answered: bool, unloaded: f64) {
+        let Some(program) = call.program.and_then(|id| self.programs.get_mut(&id)) else {
+            return;
+        };
+        program.in_flight.remove(&call.id);
+        program.last_end = now;
+        program.answers += u32::from(answered);
+        program.step_unloaded = program.step_unloaded.max(unloaded);
+        if program.in_flight.is_empty() {
+            program.lost_time += (now - program.step_started - program.step_unloaded).max(0.0);
+        }
+    }
+
+    /// The calls of the current step of the call's program, including the call.
+    pub(crate) fn step_calls(&self, call: &Call) -> Vec<CallId> {
+        match call.program.and_then(|id| self.programs.get(&id)) {
+            Some(program) if !program.in_flight.is_empty() => {
+                program.in_flight.iter().copied().collect()
+            }
+            _ => vec![call.id],
+        }
+    }
+
+    /// Number of concurrent calls of the call's program, including the call.
+    pub(crate) fn step_size(&self, call: &Call) -> usize {
+        call.program
+            .and_then(|id| self.programs.get(&id))
+            .map_or(1, |program| program.in_flight.len().max(1))
+    }
+
+    /// When the current step of the call's program started.
+    pub(crate) fn step_started(&self, call: &Call) -> f64 {
+        let program = call.program.and_then(|id| self.programs.get(&id));
+        program
+            .filter(|program| !program.in_flight.is_empty())
+            .map_or(call.arrived, |p| p.step_started)
+    }
+
+    /// Whether a call of the program has been answered at this process.
+    pub(crate) fn is_in_progress(&self, call: &Call) -> bool {
+        call.program
+            .and_then(|id| self.programs.get(&id))
+            .is_some_and(|program| program.answers > 0)
+    }
+
+    /// Latency target of the current step in seconds, if its unloaded latency is `unloaded` seconds. That of
+    /// the route if the end of the program is unknown.
+    pub(crate) fn latency_target(&self, call: &Call, unloaded: f64) -> f64 {
+        let known = call.program.and_then(|id| self.programs.get(&id));
+        let Some((program, finish_at)) = known.zip(call.finish_at) else {
+            return call.target_latency;
+        };
+        let started = self.step_started(call);
+        let remaining = finish_at - started;
+        let expected = self.expected_work(program, started).max(unloaded);
+        (remaining * unloaded / expected).max(0.0)
+    }
+
+    /// Seconds that a program may lose and still end in time; negative once it is late.
+    pub(crate) fn slack(&self, now: f64, call: &Call) -> Option<f64> {
+        let program = self.programs.get(&call.program?)?;
+        Some(call.finish_at? - now - self.expected_work(program, now))
+    }
+
+    fn expected_work(&self, program: &Program, now: f64) -> f64 {
+        let share = self
+            .work_share
+            .get(&program.kind)
+            .copied()
+            .unwrap_or(INITIAL_WORK_SHARE);
+        let Some(time) = program.time else { return 0.0 };
+        let elapsed = now - program.started;
+        let done = (elapsed - program.lost_time).max(0.0);
+        (time * share - done)
+            .max((time - elapsed) * MIN_REMAINING_WORK_SHARE)
+            .max(0.0)
+    }
+
+    fn remove_ended(&mut self, now: f64) {
+        for _ in 0..MAX_PROGRAMS_CHECKED {
+            let next = self.programs.range(self.cursor.wrapping_add(1)..).next();
+            let Some((id, program)) = next.or(self.programs.iter().next()) else {
+                return;
+            };
+            self.cursor = *id;
+            if program.in_flight.is_empty() && now > program.last_end + IDLE_TIMEOUT {
+                let ended = self.programs.remove(&self.cursor);
+                ended.iter().for_each(|program| self.learn(program));
+            }
+        }
+    }
+
+    /// Updates the share of work of the program's kind. Programs with a single answer are ignored, as they
+    /// may have been abandoned.
+    fn learn(&mut self, program: &Program) {
+        let Some(time) = program
+            .time
+            .filter(|time| *time > 0.0 && program.answers > 1)
+        else {
+            return;
+        };
+        let worked = (program.last_end - program.started - program.lost_time) / time;
+        let share = self
+            .work_share
+            .entry(program.kind.clone())
+            .or_insert(INITIAL_WORK_SHARE);
+        *share += LEARNING_RATE * (worked.clamp(0.0, 1.0) - *share);
+    }
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/programs.rs"]
+mod tests;
--- a/crates/tier/scheduler/tests/unit/pace.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -1,4 +1,4 @@
-//! Cases of the aim that a step gets out of its program's time.
+//! Cases of a step's latency target.
 
 use super::*;
 use crate::call::CallKind;
@@ -31,41 +31,41 @@
 }
 
 #[test]
-fn without_a_program_or_an_end_the_target_is_the_aim() {
+fn without_a_program_or_an_end_the_target_is_that_of_the_route() {
     let programs = Programs::default();
     let alone = Call {
         program: None,
         finish_at: None,
         ..call(0.0, 1, 1, 0.0)
     };
-    assert!(is_near(programs.aim(&alone, UNLOADED), 0.25));
+    assert!(is_near(programs.latency_target(&alone, UNLOADED), 0.25));
 }
 
 #[test]
-fn spare_time_is_spread_in_proportion_to_the_work() {
+fn slack_is_spread_in_proportion_to_the_work() {
     let mut programs = Programs::default();
     let first = call(0.0, 1, 1, 4.0);
-    programs.arrived(0.0, &first);
+    programs.record_arrival(0.0, &first);
     assert!(
-        is_near(programs.aim(&first, UNLOADED), 0.2),
+        is_near(programs.latency_target(&first, UNLOADED), 0.2),
         "half of the time is work: twice its own"
     );
-    assert!(is_near(programs.spare(0.0, &first).unwrap(), 2.0));
+    assert!(is_near(programs.slack(0.0, &first).unwrap(), 2.0));
 }
 
 #[test]
 fn a_program_that_lost_time_hurries() {
     let mut programs = Programs::default();
-    let aim_after = |programs: &mut Programs, program: u64, answered_at: f64| {
+    let latency_target_after = |programs: &mut Programs, program: u64, answered_at: f64| {
         let first = call(0.0, program, program, 4.0);
-        programs.arrived(0.0, &first);
-        programs.ended(answered_at, &first, true, UNLOADED);
+        programs.record_arrival(0.0, &first);
+        programs.record_end(answered_at, &first, true, UNLOADED);
         let second = call(1.0, 10 + program, program, 4.0);
-        programs.arrived(1.0, &second);
-        programs.aim(&second, UNLOADED)
+        programs.record_arrival(1.0, &second);
+        programs.latency_target(&second, UNLOADED)
     };
-    let on_time = aim_after(&mut programs, 1, UNLOADED);
-    let lost = aim_after(&mut programs, 2, 0.6);
+    let on_time = latency_target_after(&mut programs, 1, UNLOADED);
+    let lost = latency_target_after(&mut programs, 2, 0.6);
     assert!(lost < on_time, "{lost} < {on_time}");
 }
 
@@ -73,8 +73,8 @@
 fn a_late_program_has_no_time_for_a_step() {
     let mut programs = Programs::default();
     let late = call(5.0, 1, 1, 4.0);
-    programs.arrived(5.0, &late);
-    assert!(is_near(programs.aim(&late, UNLOADED), 0.0));
+    programs.record_arrival(5.0, &late);
+    assert!(is_near(programs.latency_target(&late, UNLOADED), 0.0));
 }
 
 #[test]
@@ -86,35 +86,35 @@
         for (at, taken) in [(0.0, UNLOADED), (0.9, UNLOADED)] {
             id += 1;
             let step = call(start + at, id, program, start + 4.0);
-            programs.arrived(start + at, &step);
-            programs.ended(start + at + taken, &step, true, UNLOADED);
+            programs.record_arrival(start + at, &step);
+            programs.record_end(start + at + taken, &step, true, UNLOADED);
         }
     }
     let first = call(5_000.0, 10_000, 10_000, 5_004.0);
-    programs.arrived(5_000.0, &first);
-    let aim = programs.aim(&first, UNLOADED);
+    programs.record_arrival(5_000.0, &first);
+    let target = programs.latency_target(&first, UNLOADED);
     assert!(
-        (0.38..0.42).contains(&aim),
-        "a quarter of the time is work: {aim}"
+        (0.38..0.42).contains(&target),
+        "a quarter of the time is work: {target}"
     );
 }
 
 #[test]
-fn calls_in_hand_are_one_step() {
+fn calls_in_flight_are_one_step() {
     let mut programs = Programs::default();
     let calls: Vec<Call> = (1..=3)
         .map(|id| call(0.1 * id as f64, id, 1, 4.0))
         .collect();
     calls
         .iter()
-        .for_each(|call| programs.arrived(call.arrived, call));
+        .for_each(|call| programs.record_arrival(call.arrived, call));
     assert_eq!(programs.step_size(&calls[2]), 3);
     assert!(is_near(programs.step_started(&calls[2]), 0.1));
     calls
         .iter()
-        .for_each(|call| programs.ended(1.0, call, true, UNLOADED));
+        .for_each(|call| programs.record_end(1.0, call, true, UNLOADED));
     let next = call(2.0, 4, 1, 4.0);
-    programs.arrived(2.0, &next);
+    programs.record_arrival(2.0, &next);
     assert_eq!(programs.step_size(&next), 1);
     assert!(is_near(programs.step_started(&next), 2.0));
 }
