--- /dev/null
+++ b/crates/router/lease/src/clock_stamp.rs
@@ -0,0 +1,27 @@
+//! Times on the wire.
+
+use serde::{Deserialize, Serialize};
+
+/// A time of the sender's own clock in hundredths of a second, modulo 2^16 (about eleven minutes). Only its sender can
+/// read it: the receiver returns it unchanged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ClockStamp(pub u16);
+
+impl ClockStamp {
+    /// The stamp of the time `now`, in seconds.
+    pub fn at(now: f64) -> ClockStamp {
+        ClockStamp(((now * 100.0) as u64 & 0xffff) as u16)
+    }
+
+    /// The latest time up to `now` that has this stamp, in seconds, and a hundredth earlier, so that rounding never
+    /// makes it later than it was.
+    pub fn to_seconds(self, now: f64) -> f64 {
+        let ticks_ago = ClockStamp::at(now).0.wrapping_sub(self.0);
+        now - f64::from(ticks_ago) / 100.0 - 0.01
+    }
+
+    /// Whether this stamp is `other` or later, for stamps less than half of the range apart.
+    pub(crate) fn is_at_or_after(self, other: ClockStamp) -> bool {
+        self.0.wrapping_sub(other.0) < 0x8000
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -0,0 +1,239 @@
+//! The proposer's side of a lease: what a member does to acquire and keep one role.
+
+use super::config::LeaseConfig;
+use std::collections::BTreeSet;
+use woadreach_membership::MemberId;
+
+/// A request to all acceptors, and who has answered it.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Proposal {
+    pub(super) request_id: u16,
+    /// For how long the acceptors' grants are valid, in seconds.
+    grant_duration: f64,
+    pub(super) started_at: f64,
+    /// When acceptors that have not answered receive the request again.
+    pub(super) resend_at: f64,
+    pub(super) granted: BTreeSet<MemberId>,
+    /// Those that have granted or denied it. Contains all of `granted`.
+    pub(super) answered: BTreeSet<MemberId>,
+}
+
+/// A grant by an acceptor.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Grant {
+    pub(super) by: MemberId,
+    pub(super) request_id: u16,
+    pub(super) epoch: u32,
+}
+
+/// A denial by an acceptor.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Denial {
+    pub(super) by: MemberId,
+    pub(super) request_id: u16,
+    /// The highest epoch that the acceptor knows of.
+    pub(super) highest_epoch: u32,
+    /// After how many seconds a new request may be granted.
+    pub(super) wait: f64,
+}
+
+/// What a candidacy needs next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Step {
+    /// Nothing is due.
+    Wait,
+    /// The lease has expired.
+    Expire,
+    /// The current proposal goes again to those that have not answered.
+    Resend,
+    /// The current proposal has failed.
+    Abandon,
+    /// A new proposal, or a renewal, is due.
+    Propose,
+}
+
+/// This member's candidacy for a role, or its lease on it.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Candidacy {
+    /// This member's position among the candidates; 0 comes first.
+    pub(super) rank: usize,
+    /// The epoch of the current proposal or lease.
+    pub(super) epoch: u32,
+    /// The highest epoch that a denial named.
+    pub(super) highest_denied_epoch: u32,
+    /// Failed proposals since this member last held the role or learnt of a holder.
+    pub(super) failed_proposals: u32,
+    pub(super) proposal: Option<Proposal>,
+    /// The lease, if this member has one, ends then. It must be before every grant of its majority ends.
+    pub(super) held_until: Option<f64>,
+    /// When the next proposal, or renewal, is due.
+    pub(super) next_proposal: f64,
+}
+
+impl Candidacy {
+    pub(super) fn new(rank: usize, next_proposal: f64) -> Candidacy {
+        Candidacy {
+            rank,
+            epoch: 0,
+            highest_denied_epoch: 0,
+            failed_proposals: 0,
+            proposal: None,
+            held_until: None,
+            next_proposal,
+        }
+    }
+
+    pub(super) fn is_holder(&self) -> bool {
+        self.held_until.is_some()
+    }
+
+    /// When [`Candidacy::next_step`] is due.
+    pub(super) fn next_due(&self) -> f64 {
+        let due = self
+            .proposal
+            .as_ref()
+            .map_or(self.next_proposal, |proposal| proposal.resend_at);
+        self.held_until.map_or(due, |until| due.min(until))
+    }
+
+    /// What is due now. The caller must carry it out.
+    pub(super) fn next_step(&mut self, now: f64, config: &LeaseConfig) -> Step {
+        if self.held_until.is_some_and(|until| now >= until) {
+            return Step::Expire;
+        }
+        let is_holder = self.is_holder();
+        if let Some(proposal) = &mut self.proposal {
+            let timeout = if is_holder {
+                config.renew_interval
+            } else {
+                config.proposal_timeout
+            };
+            if now < proposal.started_at + timeout {
+                if now < proposal.resend_at {
+                    return Step::Wait;
+                }
+                proposal.resend_at = now + config.retry_interval;
+                return Step::Resend;
+            }
+            self.next_proposal = now;
+            if !is_holder {
+                return Step::Abandon;
+            }
+            // A holder whose renewal fails starts a new one, so that a later majority extends the lease.
+            self.proposal = None;
+        }
+        if now < self.next_proposal {
+            Step::Wait
+        } else {
+            Step::Propose
+        }
+    }
+
+    /// Starts a proposal. A candidate's epoch exceeds `highest_epoch`, the highest that this member knows of.
+    pub(super) fn propose(
+        &mut self,
+        now: f64,
+        request_id: u16,
+        highest_epoch: u32,
+        config: &LeaseConfig,
+    ) {
+        if !self.is_holder() {
+            let known = self.highest_denied_epoch.max(highest_epoch);
+            self.epoch = self.epoch.max(known) + 1;
+        }
+        self.proposal = Some(Proposal {
+            request_id,
+            grant_duration: config.grant_duration(self.is_holder()),
+            started_at: now,
+            resend_at: now + config.retry_interval,
+            granted: BTreeSet::new(),
+            answered: BTreeSet::new(),
+        });
+    }
+
+    /// Records a grant. Returns whether the lease was acquired by it; a renewal is none.
+    pub(super) fn record_grant(
+        &mut self,
+        now: f64,
+        grant: &Grant,
+        quorum: usize,
+        config: &LeaseConfig,
+    ) -> bool {
+        let Some(proposal) = self
+            .proposal
+            .as_mut()
+            .filter(|p| self.epoch == grant.epoch && p.request_id == grant.request_id)
+        else {
+            return false;
+        };
+        proposal.answered.insert(grant.by);
+        proposal.granted.insert(grant.by);
+        if proposal.granted.len() < quorum {
+            return false;
+        }
+        // The lease runs from before the request was sent, and ends a margin before the grants do.
+        let until = proposal.started_at + proposal.grant_duration - config.clock_margin;
+        // An initial lease is extended to the whole duration at once.
+        let next_proposal = if proposal.grant_duration < config.lease_duration {
+            now
+        } else {
+            proposal.started_at + config.renew_interval
+        };
+        self.proposal = None;
+        if now >= until {
+            self.next_proposal = now;
+            return false;
+        }
+        self.next_proposal = next_proposal;
+        self.failed_proposals = 0;
+        let previous = self.held_until;
+        self.held_until = Some(previous.map_or(until, |previous| previous.max(until)));
+        previous.is_none()
+    }
+
+    /// Records a denial. Returns whether the proposal has failed by it, so that the caller must abandon it.
+    pub(super) fn record_denial(
+        &mut self,
+        now: f64,
+        denial: &Denial,
+        acceptor_count: usize,
+        config: &LeaseConfig,
+    ) -> bool {
+        let is_holder = self.is_holder();
+        let Some(proposal) = self
+            .proposal
+            .as_mut()
+            .filter(|p| p.request_id == denial.request_id)
+        else {
+            return false;
+        };
+        self.highest_denied_epoch = self.highest_denied_epoch.max(denial.highest_epoch);
+        let is_for_long = denial.wait >= config.proposal_timeout;
+        // An acceptor whose promise ends soon counts as one that has not answered: it receives the request again.
+        if denial.highest_epoch < self.epoch && !is_for_long {
+            return false;
+        }
+        proposal.answered.insert(denial.by);
+        let denied = proposal.answered.len() - proposal.granted.len();
+        let majority_is_possible = (acceptor_count - denied) * 2 > acceptor_count;
+        // A holder keeps its lease until it expires, whoever denies the renewal.
+        if is_holder || majority_is_possible {
+            return false;
+        }
+        self.next_proposal = now + denial.wait.min(config.lease_duration);
+        if is_for_long {
+            // There is a holder: it was no other candidate that stood in the way.
+            self.failed_proposals = 0;
+        }
+        true
+    }
+
+    /// Delays the next proposal after one that has failed. `random` is in 0..1. The delay grows with the rank and with
+    /// the failures, so that two candidates that have disturbed each other don't do so again.
+    pub(super) fn back_off(&mut self, random: f64, config: &LeaseConfig) {
+        let delay = (self.rank as f64 + random) * config.backoff;
+        let factor = f64::from(1u32 << self.failed_proposals.min(2));
+        self.next_proposal += (delay * factor).min(config.lease_duration / 4.0);
+        self.failed_proposals += 1;
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -0,0 +1,83 @@
+//! The state of leases in a form that model checkers can compare.
+
+use super::Leases;
+use super::acceptor::Acceptor;
+use super::candidacy::Candidacy;
+use crate::fencing_token::FencingToken;
+use crate::role::Role;
+
+/// Separate the parts of the state, so that no two states have one form.
+const PROMISE: i64 = -1;
+const KNOWN_HOLDER: i64 = -2;
+const CANDIDACY: i64 = -3;
+const PROPOSAL: i64 = -4;
+const ANSWERED: i64 = -5;
+const LATEST_PROMISED: i64 = -6;
+
+/// A time in milliseconds from now, at most 100 s away.
+fn relative_ms(time: f64, now: f64) -> i64 {
+    ((time - now).clamp(-100.0, 100.0) * 1000.0).round() as i64
+}
+
+fn append_token(state: &mut Vec<i64>, marker: i64, role: Role, token: FencingToken) {
+    state.extend([
+        marker,
+        i64::from(role.number()),
+        i64::from(token.epoch),
+        i64::from(token.holder.0),
+        i64::from(token.incarnation.0),
+    ]);
+}
+
+fn append_acceptor(state: &mut Vec<i64>, acceptor: &Acceptor, now: f64) {
+    for (role, promise) in acceptor.promises() {
+        append_token(state, PROMISE, *role, promise.token);
+        state.push(relative_ms(promise.until, now));
+    }
+    for (role, token) in acceptor.latest_promised() {
+        append_token(state, LATEST_PROMISED, *role, *token);
+    }
+}
+
+fn append_candidacy(state: &mut Vec<i64>, role: Role, candidacy: &Candidacy, now: f64) {
+    let held_until = candidacy
+        .held_until
+        .map_or(i64::MIN, |until| relative_ms(until, now));
+    state.extend([
+        CANDIDACY,
+        i64::from(role.number()),
+        i64::from(candidacy.epoch),
+        held_until,
+        relative_ms(candidacy.next_proposal, now),
+    ]);
+    if let Some(proposal) = &candidacy.proposal {
+        state.extend([
+            PROPOSAL,
+            i64::from(proposal.request_id),
+            relative_ms(proposal.started_at, now),
+            relative_ms(proposal.resend_at, now),
+        ]);
+        state.extend(proposal.granted.iter().map(|member| i64::from(member.0)));
+        state.push(ANSWERED);
+        state.extend(proposal.answered.iter().map(|member| i64::from(member.0)));
+    }
+}
+
+impl Leases {
+    /// What determines this member's further behaviour, with times relative to `now`. For model checkers.
+    pub fn canonical_state(&self, now: f64) -> Vec<i64> {
+        let mut state = vec![
+            relative_ms(self.acceptor.silent_until(), now).max(0),
+            relative_ms(self.last_call, now),
+            i64::from(self.last_request_id),
+        ];
+        append_acceptor(&mut state, &self.acceptor, now);
+        for (role, token) in self.holders.tokens() {
+            append_token(&mut state, KNOWN_HOLDER, role, token);
+        }
+        for (role, candidacy) in &self.candidacies {
+            append_candidacy(&mut state, *role, candidacy, now);
+        }
+        state
+    }
+}
--- a/crates/router/lease/src/lib.rs
+++ b/crates/router/lease/src/lib.rs
@@ -1,25 +1,41 @@
-//! SingletonRoles that one co-ordinator holds at a time.
+//! Singleton roles of a tier of co-ordinators, each held by one member at a time under a lease.
 //!
-//! [`Leases`] is both sides of the agreement: it asks a few members of the tier, the acceptors, for a lease
-//! on a duty, and as an acceptor promises one. A majority of promises is a lease; no two majorities are
-//! without a common member. Every act of a holder carries a [`FencingToken`], and whoever has seen a later one
-//! refuses it. Nothing is written to a disk: an acceptor that has started, or whose clock has jumped, is
-//! silent for as long as any promise that it may have forgotten.
+//! Start with [`SingletonRoles`]: it is the state machine that a co-ordinator's driver feeds with times, datagrams
+//! and demands, and whose [`RoleActions`] it executes. The crate has no clock, no socket and no thread. Inside it:
 //!
-//! Two duties stand on it: [`QuotaShare`] and [`QuotaAllocator`] share out what a cold replica bears, [`EndpointUpdates`] spreads
-//! what a list told one of them. Times and messages go in, messages and acts come out: no clock, no socket.
-//! `docs/leases.md` has the options that were weighed and the operators' page.
+//! - [`Leases`] decides who holds a [`Role`]. It asks a fixed set of acceptors for a lease, and answers such requests
+//!   as an acceptor itself. A majority of grants is a lease. Every action of a holder carries a [`FencingToken`], and a
+//!   member that has seen a later token rejects it. Nothing is written to disk: an acceptor that may have forgotten a
+//!   grant stays silent for as long as that grant could be valid.
+//! - [`QuotaShare`] and [`QuotaAllocator`] share out the request quota of replicas that are warming up.
+//! - [`EndpointUpdates`] passes on that a replica drains or has departed.
+//! - [`Message`] is what members send each other, with [`seal`] and [`open`] as its codec.
+//!
+//! Design, alternatives and the operators' page: `docs/leases.md`.
 
+mod clock_stamp;
 mod endpoint_update;
+mod endpoint_updates;
+mod fencing_token;
 mod leases;
 mod message;
-mod quota_allocator;
-mod singleton_roles;
+mod quota;
+mod rendezvous;
+mod replica_key;
+mod role;
+mod roles;
 
-pub use endpoint_update::{Departure, EndpointUpdate, EndpointUpdates};
-pub use leases::{Actions, LeaseConfig, LeaseCounters, LeaseEvent, Leases};
-pub use message::{FencingToken, Incarnation, MAX_MESSAGES, Message, Role, open, seal};
-pub use quota_allocator::{
-    LocalDemand, QuotaAllocator, QuotaConfig, QuotaGrant, QuotaShare, ReplicaDemand, ReplicaKey,
+pub use clock_stamp::ClockStamp;
+pub use endpoint_update::{Departure, EndpointUpdate};
+pub use endpoint_updates::EndpointUpdates;
+pub use fencing_token::{FencingToken, Incarnation};
+pub use leases::{Actions, LeaseConfig, LeaseCounters, LeaseEvent, Leases, OutgoingMessage};
+pub use message::{MAX_MESSAGES, Message, open, seal};
+pub use quota::{
+    Allocation, LocalDemand, QuotaAllocator, QuotaConfig, QuotaGrant, QuotaShare, ReplicaDemand,
+};
+pub use replica_key::ReplicaKey;
+pub use role::Role;
+pub use roles::{
+    LeaseAction, LocalMember, OutgoingDatagram, RoleActions, SingletonRoles, SlowStartSplit,
 };
-pub use singleton_roles::{LocalMember, RoleActions, SingletonRoles};
--- a/crates/router/lease/src/message.rs
+++ b/crates/router/lease/src/message.rs
@@ -1,134 +1,148 @@
-//! What members say to each other of duties. Owns the form on the wire; must never judge it.
+//! Messages between members on singleton roles, and their encoding.
+//!
+//! The encoding is postcard: variants and fields are identified by their order, so neither may be reordered.
 
+use crate::clock_stamp::ClockStamp;
 use crate::endpoint_update::EndpointUpdate;
-use crate::quota_allocator::{QuotaGrant, ReplicaDemand};
+use crate::fencing_token::{FencingToken, Incarnation};
+use crate::quota::{QuotaGrant, ReplicaDemand};
+use crate::role::Role;
 use serde::{Deserialize, Serialize};
 use woadreach_membership::MemberId;
 
-/// What one member does for others.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Role {
-    /// Keeps the watch on the list for a zone, and tells of what drains and goes.
-    EndpointWatch(u8),
-    /// QuotaGrants out what cold replicas bear: those whose names fall into this bucket.
-    QuotaAllocator(u8),
-}
-
-/// One run of a process, by a number that it drew at its start: what its former life said counts for nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation(pub u16);
-
-/// Whose lease an act was done under. A later epoch goes before; of one epoch the first that was seen stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct FencingToken {
-    pub epoch: u32,
-    pub holder: MemberId,
-    pub life: Incarnation,
-}
-
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// May I have it, under this epoch? `ask` tells this time of asking from others; `holds`: I have it, and
-    /// ask for a whole lease.
+    /// To an acceptor: the sender requests a lease, or its renewal.
     Request {
-        duty: Role,
+        /// The role whose lease is requested.
+        role: Role,
+        /// The epoch of the lease.
         epoch: u32,
-        life: Incarnation,
-        ask: u16,
-        holds: bool,
+        /// The sender's run.
+        incarnation: Incarnation,
+        /// Tells this request from others of the same sender.
+        request_id: u16,
+        /// Whether the sender holds the lease, and requests a grant for its whole duration.
+        is_holder: bool,
     },
+    /// An acceptor grants a request.
     Granted {
-        duty: Role,
+        /// The role that was requested.
+        role: Role,
+        /// The epoch that was requested.
         epoch: u32,
-        life: Incarnation,
-        ask: u16,
+        /// The incarnation that requested it.
+        incarnation: Incarnation,
+        /// The request that is answered.
+        request_id: u16,
     },
-    /// No. `epoch` is the highest that was seen; in `wait` hundredths of a second it is worth asking again.
+    /// An acceptor denies a request.
     Denied {
-        duty: Role,
+        /// The role that was requested.
+        role: Role,
+        /// The highest epoch that the acceptor knows of.
         epoch: u32,
-        life: Incarnation,
-        ask: u16,
-        wait: u16,
+        /// The incarnation that requested it.
+        incarnation: Incarnation,
+        /// The request that is answered.
+        request_id: u16,
+        /// After how many hundredths of a second a new request may be granted.
+        wait_centis: u16,
     },
+    /// To an acceptor: the sender gives up a lease, or a request that found no majority.
     Release {
-        duty: Role,
+        /// The role whose lease is given up.
+        role: Role,
+        /// The epoch of the lease.
         epoch: u32,
-        life: Incarnation,
+        /// The sender's run.
+        incarnation: Incarnation,
     },
-    /// The holder of a list's duty tells that it lives, and what has drained or gone.
+    /// From the holder of [`Role::EndpointWatch`]: it is alive, and these replicas take nothing new.
     EndpointUpdates {
-        duty: Role,
-        fence: FencingToken,
-        facts: Vec<EndpointUpdate>,
+        /// The sender's role.
+        role: Role,
+        /// The sender's lease.
+        token: FencingToken,
+        /// Replicas that drain or have departed.
+        updates: Vec<EndpointUpdate>,
     },
-    /// A warden tells that it lives. `stamp` counts hundredths of a second on its own clock.
+    /// From the holder of [`Role::QuotaAllocator`]: it is alive. Other members pass it on.
     Beacon {
-        duty: Role,
-        fence: FencingToken,
-        stamp: u16,
+        /// The allocator's role.
+        role: Role,
+        /// The allocator's lease.
+        token: FencingToken,
+        /// When the allocator sent it, by its own clock.
+        sent_at: ClockStamp,
     },
-    /// To a warden: what is asked of cold replicas, and what is left to others. `stamp` is that of its
-    /// beacon, `own` this member's.
+    /// To a quota allocator: what the sender would send to warming replicas, and which shares it releases.
     Demands {
-        duty: Role,
-        fence: FencingToken,
-        stamp: u16,
-        own: u16,
-        offers: Vec<ReplicaDemand>,
+        /// The allocator's role.
+        role: Role,
+        /// The allocator's lease, by its latest beacon.
+        token: FencingToken,
+        /// `sent_at` of that beacon.
+        beacon_sent_at: ClockStamp,
+        /// When this message was sent, by the sender's clock.
+        sent_at: ClockStamp,
+        /// One for each replica.
+        demands: Vec<ReplicaDemand>,
     },
-    /// From a warden: beyond what is everybody's, of each replica, until `lasts` hundredths after `own`.
+    /// From a quota allocator: quota beyond the receiver's even share.
     QuotaGrants {
-        duty: Role,
-        fence: FencingToken,
-        own: u16,
-        lasts: u16,
-        shares: Vec<QuotaGrant>,
+        /// The allocator's role.
+        role: Role,
+        /// The allocator's lease.
+        token: FencingToken,
+        /// `sent_at` of the demands that are answered.
+        demands_sent_at: ClockStamp,
+        /// For how many hundredths of a second after `demands_sent_at` the grants are valid.
+        valid_for_centis: u16,
+        /// One for each replica.
+        grants: Vec<QuotaGrant>,
     },
 }
 
 impl Message {
-    pub fn duty(&self) -> Role {
+    /// The fencing token, in messages that carry one.
+    fn token(&self) -> Option<&FencingToken> {
         match self {
-            Message::Request { duty, .. }
-            | Message::Granted { duty, .. }
-            | Message::Denied { duty, .. }
-            | Message::Release { duty, .. }
-            | Message::EndpointUpdates { duty, .. }
-            | Message::Beacon { duty, .. }
-            | Message::Demands { duty, .. }
-            | Message::QuotaGrants { duty, .. } => *duty,
+            Message::EndpointUpdates { token, .. }
+            | Message::Beacon { token, .. }
+            | Message::Demands { token, .. }
+            | Message::QuotaGrants { token, .. } => Some(token),
+            _ => None,
         }
     }
 }
 
-/// Most messages of one datagram, beside its bytes.
+/// Limit on the messages of one datagram, beside the limit on its bytes.
 pub const MAX_MESSAGES: usize = 32;
 
-/// None if there is nothing to say.
+/// Encodes messages as one payload; it is empty if there are none.
 pub fn seal(messages: &[Message]) -> Vec<u8> {
-    // Writing to memory cannot fail.
     if messages.is_empty() {
         Vec::new()
     } else {
+        // Writing to memory cannot fail.
         postcard::to_stdvec(messages).unwrap_or_default()
     }
 }
 
-/// Danger: any process may send anything here. What does not read to its last byte, or names a duty, a
-/// replica or a holder in numbers beyond sense, is refused as a whole. None: garbled.
-pub fn open(bytes: &[u8], roster: usize) -> Option<Vec<Message>> {
+/// Decodes a payload from any process. `None` if it is malformed, has bytes left over, has more than [`MAX_MESSAGES`]
+/// messages, or names a holder outside a roster of `roster_size` members; all of it is rejected then.
+pub fn open(bytes: &[u8], roster_size: usize) -> Option<Vec<Message>> {
     if bytes.is_empty() {
         return Some(Vec::new());
     }
     let (messages, rest): (Vec<Message>, _) = postcard::take_from_bytes(bytes).ok()?;
-    let known = |m: &Message| match m {
-        Message::EndpointUpdates { fence, .. }
-        | Message::Beacon { fence, .. }
-        | Message::Demands { fence, .. }
-        | Message::QuotaGrants { fence, .. } => usize::from(fence.holder.0) < roster,
-        _ => true,
+    let holder_is_member = |message: &Message| {
+        let holder: Option<MemberId> = message.token().map(|token| token.holder);
+        holder.is_none_or(|holder| usize::from(holder.0) < roster_size)
     };
-    (rest.is_empty() && messages.len() <= MAX_MESSAGES && messages.iter().all(known))
-        .then_some(messages)
+    let is_valid =
+        rest.is_empty() && messages.len() <= MAX_MESSAGES && messages.iter().all(holder_is_member);
+    is_valid.then_some(messages)
 }
--- /dev/null
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -0,0 +1,172 @@
+//! The lease holder's table of released and granted shares.
+
+use super::FULL_QUOTA;
+use super::config::QuotaConfig;
+use super::demand::{QuotaGrant, ReplicaDemand};
+use crate::replica_key::ReplicaKey;
+use std::collections::BTreeMap;
+use woadreach_membership::MemberId;
+
+/// Part of its true length that a duration has at least by a clock of another rate.
+const CLOCK_RATE_TOLERANCE: f64 = 0.98;
+
+/// A grant that may still be in use.
+#[derive(Clone, Copy, Debug)]
+struct ActiveGrant {
+    fraction: u16,
+    /// Until when it counts as used: a window after it ends, since what was sent under it counts for so long.
+    counts_until: f64,
+}
+
+/// Released and granted shares of one replica.
+#[derive(Clone, Debug, Default)]
+struct ReplicaQuota {
+    /// Until when, at the least and by the allocator's clock, each member has released its share.
+    released_until: BTreeMap<MemberId, f64>,
+    grants: BTreeMap<MemberId, ActiveGrant>,
+}
+
+impl ReplicaQuota {
+    fn remove_expired(&mut self, now: f64) {
+        self.released_until.retain(|_, until| *until > now);
+        self.grants.retain(|_, grant| grant.counts_until > now);
+    }
+
+    fn is_empty(&self) -> bool {
+        self.released_until.is_empty() && self.grants.is_empty()
+    }
+
+    fn record_release(&mut self, member: MemberId, until: f64) {
+        let released_until = self.released_until.entry(member).or_insert(until);
+        *released_until = released_until.max(until);
+    }
+
+    /// The fraction for a member that demands `parts`, from shares released until `counts_until` at least. `None` if
+    /// nothing can be granted, or less than the member already has.
+    fn grantable(
+        &self,
+        member: MemberId,
+        parts: u8,
+        even_share: u16,
+        counts_until: f64,
+    ) -> Option<u16> {
+        let releases = self.released_until.values();
+        let usable_releases = releases.filter(|until| **until >= counts_until).count();
+        let pool = u32::from(even_share) * usable_releases as u32;
+        let granted_to_others: u32 = self
+            .grants
+            .iter()
+            .filter(|(other, _)| **other != member)
+            .map(|(_, grant)| u32::from(grant.fraction))
+            .sum();
+        let limit = pool
+            .saturating_sub(granted_to_others)
+            .min(u32::from(u16::MAX)) as u16;
+        let current = self.grants.get(&member).map_or(0, |grant| grant.fraction);
+        if limit < current {
+            return None;
+        }
+        // First come, first served suffices: a grant is renewed only while there is demand.
+        let demanded = even_share.saturating_mul(u16::from(parts));
+        let fraction = limit.min(current.max(demanded));
+        (fraction > 0).then_some(fraction)
+    }
+}
+
+/// The grants that answer one report.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Allocation {
+    /// One for each replica of which something is granted.
+    pub grants: Vec<QuotaGrant>,
+    /// Until when the grants are valid, by the allocator's clock.
+    pub valid_until: f64,
+}
+
+/// The lease holder's table of released and granted shares. It is void once the lease ends. A new allocator starts with
+/// an empty table and grants nothing until every earlier allocator's grants have expired.
+#[derive(Clone, Debug)]
+pub struct QuotaAllocator {
+    config: QuotaConfig,
+    member_count: usize,
+    started_at: f64,
+    replicas: BTreeMap<ReplicaKey, ReplicaQuota>,
+}
+
+impl QuotaAllocator {
+    /// An allocator whose lease was acquired at `now`. `member_count` is the number of members among which the quota
+    /// is split by the settings.
+    pub fn new(member_count: usize, config: QuotaConfig, now: f64) -> QuotaAllocator {
+        QuotaAllocator {
+            config,
+            member_count: member_count.max(1),
+            started_at: now,
+            replicas: BTreeMap::new(),
+        }
+    }
+
+    /// Records a member's report and answers it with grants.
+    ///
+    /// `beacon_sent_at` is when the beacon was sent that the member had received, by the allocator's clock: what the
+    /// member releases, it has released since then at the earliest. A grant ends a window before the release that it
+    /// rests on, and counts as used for a window after it ends. So no share is used twice, even if datagrams are late,
+    /// lost or duplicated. The cost is that a share is idle for a window between two members that use it.
+    pub fn allocate(
+        &mut self,
+        now: f64,
+        member: MemberId,
+        beacon_sent_at: f64,
+        demands: &[ReplicaDemand],
+    ) -> Allocation {
+        let config = &self.config;
+        let even_share = (FULL_QUOTA / self.member_count as f64) as u16;
+        let released_until = beacon_sent_at
+            + (config.release_duration + config.window) * CLOCK_RATE_TOLERANCE
+            - config.clock_margin;
+        let valid_until = (beacon_sent_at + config.release_duration * CLOCK_RATE_TOLERANCE
+            - config.clock_margin)
+            .min(now + config.grant_duration);
+        let counts_until = valid_until + config.window;
+        let may_grant =
+            valid_until > now && now >= self.started_at + config.release_duration + config.window;
+        let mut grants = Vec::new();
+        for demand in demands {
+            let is_full = self.replicas.len() >= config.max_replicas;
+            if is_full && !self.replicas.contains_key(&demand.replica) {
+                continue;
+            }
+            let quota = self.replicas.entry(demand.replica).or_default();
+            quota.remove_expired(now);
+            if demand.parts == 0 {
+                quota.record_release(member, released_until);
+                continue;
+            }
+            if !may_grant {
+                continue;
+            }
+            if let Some(fraction) = quota.grantable(member, demand.parts, even_share, counts_until)
+            {
+                let grant = ActiveGrant {
+                    fraction,
+                    counts_until,
+                };
+                quota.grants.insert(member, grant);
+                grants.push(QuotaGrant {
+                    replica: demand.replica,
+                    fraction,
+                });
+            }
+        }
+        Allocation {
+            grants,
+            valid_until,
+        }
+    }
+
+    /// Forgets replicas without releases and grants.
+    pub fn remove_expired(&mut self, now: f64) {
+        for quota in self.replicas.values_mut() {
+            quota.remove_expired(now);
+        }
+        self.replicas.retain(|_, quota| !quota.is_empty());
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/quota/share.rs
@@ -0,0 +1,148 @@
+//! A member's own share of each warming replica's quota.
+
+use super::FULL_QUOTA;
+use super::config::QuotaConfig;
+use super::demand::{LocalDemand, QuotaGrant, ReplicaDemand};
+use crate::message::MAX_MESSAGES;
+use crate::replica_key::ReplicaKey;
+use std::collections::BTreeMap;
+
+/// A member's share of one replica.
+#[derive(Clone, Debug, Default)]
+struct ReplicaShare {
+    /// Until when the even share is released.
+    released_until: f64,
+    /// The latest grant, in 65,535ths of the quota, and until when it is valid.
+    granted_fraction: u16,
+    granted_until: f64,
+    /// Parts demanded since the last report.
+    unreported_parts: u32,
+    /// When anything was last demanded or sent.
+    last_active: f64,
+}
+
+/// A member's own share of the quota of each warming replica.
+#[derive(Clone, Debug)]
+pub struct QuotaShare {
+    config: QuotaConfig,
+    member_count: usize,
+    replicas: BTreeMap<ReplicaKey, ReplicaShare>,
+    last_report: f64,
+}
+
+impl QuotaShare {
+    /// `member_count` is the number of members among which the quota is split by the settings.
+    pub fn new(member_count: usize, config: QuotaConfig) -> QuotaShare {
+        QuotaShare {
+            config,
+            member_count: member_count.max(1),
+            replicas: BTreeMap::new(),
+            last_report: f64::NEG_INFINITY,
+        }
+    }
+
+    /// Records the demand for all warming replicas that the endpoint list names. Other replicas are forgotten, unless
+    /// their shares are released.
+    pub fn record_demand(&mut self, now: f64, demands: &[LocalDemand]) {
+        for demand in demands {
+            let is_full = self.replicas.len() >= self.config.max_replicas;
+            if is_full && !self.replicas.contains_key(&demand.replica) {
+                continue;
+            }
+            let share = self
+                .replicas
+                .entry(demand.replica)
+                .or_insert_with(|| ReplicaShare {
+                    last_active: now,
+                    ..ReplicaShare::default()
+                });
+            share.unreported_parts = share.unreported_parts.saturating_add(demand.parts);
+            if demand.parts > 0 || demand.sent_recently {
+                share.last_active = now;
+            }
+        }
+        let is_named = |replica: &ReplicaKey| demands.iter().any(|d| d.replica == *replica);
+        self.replicas
+            .retain(|replica, share| is_named(replica) || share.released_until > now);
+    }
+
+    /// Whether a report to the allocators is due. If so, the next is due an interval later.
+    pub fn start_report_if_due(&mut self, now: f64) -> bool {
+        let is_due = now >= self.last_report + self.config.report_interval;
+        if is_due {
+            self.last_report = now;
+        }
+        is_due
+    }
+
+    /// The report to the allocator of a bucket whose latest beacon is `beacon_age` seconds old. It is empty if the
+    /// beacon has expired. Releases the shares of idle replicas, and counts demands as reported.
+    pub fn take_report(
+        &mut self,
+        now: f64,
+        bucket: u8,
+        bucket_count: u8,
+        beacon_age: f64,
+    ) -> Vec<ReplicaDemand> {
+        if beacon_age > self.config.beacon_timeout {
+            return Vec::new();
+        }
+        let window = self.config.window;
+        let released_until = now + (self.config.release_duration + window);
+        let mut report = Vec::new();
+        for (replica, share) in &mut self.replicas {
+            if replica.bucket(bucket_count) != bucket {
+                continue;
+            }
+            // Only a member that has sent nothing for a window releases its share: otherwise another could use the
+            // share within the same window.
+            let is_idle = now - share.last_active > window.max(self.config.idle_timeout);
+            if is_idle {
+                share.released_until = released_until;
+            }
+            if is_idle || share.unreported_parts > 0 {
+                report.push(ReplicaDemand {
+                    replica: *replica,
+                    parts: share.unreported_parts.min(255) as u8,
+                });
+                share.unreported_parts = 0;
+            }
+            if report.len() == MAX_MESSAGES {
+                break;
+            }
+        }
+        report
+    }
+
+    /// Records a grant that is valid until `until` by this member's clock, counted from when it reported its demand.
+    pub fn record_grant(&mut self, now: f64, grant: QuotaGrant, until: f64) {
+        if until <= now {
+            return;
+        }
+        let latest = now + self.config.release_duration;
+        if let Some(share) = self.replicas.get_mut(&grant.replica) {
+            share.granted_fraction = grant.fraction;
+            share.granted_until = until.min(latest);
+        }
+    }
+
+    /// Whether it has no warming replica in its state table.
+    pub fn is_empty(&self) -> bool {
+        self.replicas.is_empty()
+    }
+
+    /// How many times its even share this member may send to the replica. It is 1 where nothing was released or
+    /// granted.
+    pub fn multiple_of_even_share(&self, now: f64, replica: ReplicaKey) -> f64 {
+        let Some(share) = self.replicas.get(&replica) else {
+            return 1.0;
+        };
+        let even = if share.released_until > now { 0.0 } else { 1.0 };
+        let granted = if share.granted_until > now {
+            f64::from(share.granted_fraction) / FULL_QUOTA
+        } else {
+            0.0
+        };
+        even + granted * self.member_count as f64
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/roles/actions.rs
@@ -0,0 +1,63 @@
+//! What [`SingletonRoles`](super::SingletonRoles) asks of its driver.
+
+use crate::endpoint_update::EndpointUpdate;
+use crate::leases::LeaseEvent;
+use crate::message::{Message, seal};
+use crate::replica_key::ReplicaKey;
+use crate::role::Role;
+use woadreach_membership::MemberId;
+
+/// An encoded payload for another member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// The receiver.
+    pub to: MemberId,
+    /// The payload, for [`open`](crate::open).
+    pub bytes: Vec<u8>,
+}
+
+/// An action that this member has done as a lease holder.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseAction {
+    /// The role that the action belongs to.
+    pub role: Role,
+    /// The epoch of the lease.
+    pub epoch: u32,
+}
+
+/// What the driver has to do.
+#[derive(Clone, Debug, Default)]
+pub struct RoleActions {
+    /// Datagrams to send. Losing them is safe.
+    pub datagrams: Vec<OutgoingDatagram>,
+    /// Leases acquired and lost, for the log.
+    pub events: Vec<LeaseEvent>,
+    /// Actions done under a lease, for the log.
+    pub lease_actions: Vec<LeaseAction>,
+    /// Replicas to be sent nothing new, as a lease holder reported.
+    pub closed: Vec<EndpointUpdate>,
+    /// Replicas whose closing has expired: the member's own endpoint list decides on them again.
+    pub expired: Vec<ReplicaKey>,
+}
+
+impl RoleActions {
+    pub(super) fn send(&mut self, to: MemberId, message: &Message) {
+        self.datagrams.push(OutgoingDatagram {
+            to,
+            bytes: seal(std::slice::from_ref(message)),
+        });
+    }
+
+    pub(super) fn send_to_all(
+        &mut self,
+        receivers: impl IntoIterator<Item = MemberId>,
+        message: &Message,
+    ) {
+        let bytes = seal(std::slice::from_ref(message));
+        let datagrams = receivers.into_iter().map(|to| OutgoingDatagram {
+            to,
+            bytes: bytes.clone(),
+        });
+        self.datagrams.extend(datagrams);
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/roles/quota_exchange.rs
@@ -0,0 +1,111 @@
+//! Reports of demand to quota allocators, and the grants that answer them.
+
+use super::SingletonRoles;
+use super::actions::{LeaseAction, RoleActions};
+use crate::clock_stamp::ClockStamp;
+use crate::fencing_token::FencingToken;
+use crate::message::Message;
+use crate::quota::{QuotaGrant, ReplicaDemand};
+use crate::role::Role;
+use woadreach_membership::MemberId;
+
+/// Limits on the replicas of one message, so that it fits a datagram.
+const MAX_DEMANDS_PER_MESSAGE: usize = 24;
+const MAX_GRANTS_PER_MESSAGE: usize = 25;
+
+/// A member's report as its allocator receives it.
+pub(super) struct DemandReport<'a> {
+    pub(super) from: MemberId,
+    pub(super) bucket: u8,
+    pub(super) token: FencingToken,
+    pub(super) beacon_sent_at: ClockStamp,
+    pub(super) sent_at: ClockStamp,
+    pub(super) demands: &'a [ReplicaDemand],
+}
+
+impl SingletonRoles {
+    /// Reports demand and releases to the allocators, if it is time to. A report to this member itself is answered
+    /// after all others are sent.
+    pub(super) fn report_demand(&mut self, now: f64, actions: &mut RoleActions) {
+        let Some(quota_share) = &mut self.quota_share else {
+            return;
+        };
+        if !quota_share.start_report_if_due(now) {
+            return;
+        }
+        let sent_at = ClockStamp::at(now);
+        let mut reports_to_self = Vec::new();
+        for (bucket, beacon) in &self.beacons {
+            let beacon_age = now - beacon.received_at;
+            let demands = quota_share.take_report(now, *bucket, self.bucket_count, beacon_age);
+            for chunk in demands.chunks(MAX_DEMANDS_PER_MESSAGE) {
+                let message = Message::Demands {
+                    role: Role::QuotaAllocator(*bucket),
+                    token: beacon.token,
+                    beacon_sent_at: beacon.sent_at,
+                    sent_at,
+                    demands: chunk.to_vec(),
+                };
+                if beacon.token.holder == self.member.id {
+                    reports_to_self.push(message);
+                } else {
+                    actions.send(beacon.token.holder, &message);
+                }
+            }
+        }
+        for message in reports_to_self {
+            self.receive_message(now, self.member.id, message, actions);
+        }
+    }
+
+    /// As an allocator: answers a report with grants.
+    pub(super) fn answer_report(
+        &mut self,
+        now: f64,
+        report: &DemandReport<'_>,
+        actions: &mut RoleActions,
+    ) {
+        let role = Role::QuotaAllocator(report.bucket);
+        // A report to another lease of this member is not for the current allocator.
+        let Some(token) = self.leases.token(now, role).filter(|t| *t == report.token) else {
+            return;
+        };
+        let Some(allocator) = self.allocators.get_mut(&report.bucket) else {
+            return;
+        };
+        let beacon_sent_at = report.beacon_sent_at.to_seconds(now);
+        let allocation = allocator.allocate(now, report.from, beacon_sent_at, report.demands);
+        let valid_for_centis = ((allocation.valid_until - now).max(0.0) * 100.0) as u16;
+        if allocation.grants.is_empty() || valid_for_centis == 0 {
+            return;
+        }
+        actions.lease_actions.push(LeaseAction {
+            role,
+            epoch: token.epoch,
+        });
+        if report.from == self.member.id {
+            let valid_until = now + f64::from(valid_for_centis) / 100.0;
+            self.record_grants(now, &allocation.grants, valid_until);
+            return;
+        }
+        for chunk in allocation.grants.chunks(MAX_GRANTS_PER_MESSAGE) {
+            let message = Message::QuotaGrants {
+                role,
+                token,
+                demands_sent_at: report.sent_at,
+                valid_for_centis,
+                grants: chunk.to_vec(),
+            };
+            actions.send(report.from, &message);
+        }
+    }
+
+    /// Records grants that are valid until `valid_until` by this member's clock.
+    pub(super) fn record_grants(&mut self, now: f64, grants: &[QuotaGrant], valid_until: f64) {
+        if let Some(quota_share) = &mut self.quota_share {
+            for grant in grants {
+                quota_share.record_grant(now, *grant, valid_until);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/lease/src/roles/receive.rs
@@ -0,0 +1,143 @@
+//! Messages of other members.
+
+use super::actions::RoleActions;
+use super::quota_exchange::DemandReport;
+use super::{Beacon, SingletonRoles};
+use crate::clock_stamp::ClockStamp;
+use crate::endpoint_update::EndpointUpdate;
+use crate::fencing_token::FencingToken;
+use crate::message::{MAX_MESSAGES, Message, open};
+use crate::role::Role;
+use woadreach_membership::MemberId;
+
+impl SingletonRoles {
+    /// Handles a payload of another member. One that can't be decoded is counted and dropped; messages under an older
+    /// lease than the latest known are rejected.
+    pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
+        let mut actions = RoleActions::default();
+        let Some(messages) = open(bytes, self.member.roster_size) else {
+            self.rejected += 1;
+            return actions;
+        };
+        debug_assert!(messages.len() <= MAX_MESSAGES);
+        for message in messages {
+            self.receive_message(now, from, message, &mut actions);
+        }
+        actions
+    }
+
+    pub(super) fn receive_message(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        message: Message,
+        actions: &mut RoleActions,
+    ) {
+        match message {
+            Message::Request { .. }
+            | Message::Granted { .. }
+            | Message::Denied { .. }
+            | Message::Release { .. } => {
+                let lease_actions = self.leases.receive(now, from, &message);
+                self.execute(now, lease_actions, actions);
+            }
+            Message::EndpointUpdates {
+                role,
+                token,
+                updates,
+            } => self.receive_endpoint_updates(now, from, role, token, updates, actions),
+            other => self.receive_allocator_message(now, from, other, actions),
+        }
+    }
+
+    /// A message from a quota allocator, or to one.
+    fn receive_allocator_message(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        message: Message,
+        actions: &mut RoleActions,
+    ) {
+        match message {
+            Message::Beacon {
+                role: Role::QuotaAllocator(bucket),
+                token,
+                sent_at,
+            } if bucket < self.bucket_count => {
+                self.receive_beacon(now, bucket, token, sent_at);
+            }
+            Message::Demands {
+                role: Role::QuotaAllocator(bucket),
+                token,
+                beacon_sent_at,
+                sent_at,
+                demands,
+            } => {
+                let report = DemandReport {
+                    from,
+                    bucket,
+                    token,
+                    beacon_sent_at,
+                    sent_at,
+                    demands: &demands,
+                };
+                self.answer_report(now, &report, actions);
+            }
+            Message::QuotaGrants {
+                role: role @ Role::QuotaAllocator(_),
+                token,
+                demands_sent_at,
+                valid_for_centis,
+                grants,
+            } => {
+                if token.holder == from && self.leases.accept_token(now, role, token) {
+                    let valid_for = f64::from(valid_for_centis) / 100.0;
+                    let valid_until = demands_sent_at.to_seconds(now) + valid_for;
+                    self.record_grants(now, &grants, valid_until);
+                }
+            }
+            _ => self.rejected += 1,
+        }
+    }
+
+    /// Updates of the holder of this zone's endpoint watch. Others are rejected.
+    fn receive_endpoint_updates(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        role: Role,
+        token: FencingToken,
+        updates: Vec<EndpointUpdate>,
+        actions: &mut RoleActions,
+    ) {
+        if token.holder != from || role != Role::EndpointWatch(self.member.zone) {
+            self.rejected += 1;
+        } else if self.leases.accept_token(now, role, token) {
+            let new_updates = updates
+                .into_iter()
+                .filter(|update| self.endpoint_updates.receive(now, *update));
+            actions.closed.extend(new_updates);
+        }
+    }
+
+    /// A beacon, from its allocator or passed on by any member. One that is known already is no stale action, so it
+    /// doesn't count as one.
+    fn receive_beacon(&mut self, now: f64, bucket: u8, token: FencingToken, sent_at: ClockStamp) {
+        let is_known = self
+            .beacons
+            .get(&bucket)
+            .is_some_and(|known| known.token == token && known.sent_at.is_at_or_after(sent_at));
+        if token.holder == self.member.id || is_known {
+            return;
+        }
+        let role = Role::QuotaAllocator(bucket);
+        if self.leases.accept_token(now, role, token) {
+            let beacon = Beacon {
+                token,
+                sent_at,
+                received_at: now,
+            };
+            self.beacons.insert(bucket, beacon);
+        }
+    }
+}
--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -1,32 +1,33 @@
-//! Every run of a small world, by `stateright`: three members, of which two would hold the duty; clocks one
-//! per cent fast and slow; messages lost, late, doubled and in any order; a member that stands still for any
-//! time, and one that starts again and has forgotten.
+//! Every run of a small tier, by `stateright`: three members, two of them candidates; clocks 1 % fast and slow; messages
+//! lost, late, duplicated and in any order; a member that stalls for any time, and one that restarts.
 
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
-use woadreach_lease::{LeaseConfig, Leases, Message, Role, seal};
+use woadreach_lease::{
+    Actions, ClockStamp, LeaseConfig, Leases, Message, OutgoingMessage, Role, seal,
+};
 use woadreach_membership::MemberId;
 
-const DUTY: Role = Role::QuotaAllocator(0);
+const ROLE: Role = Role::QuotaAllocator(0);
 const MEMBERS: usize = 3;
-/// True seconds are whole; the fast clock is an acceptor's.
+/// True time advances by whole seconds; the fast clock is an acceptor's.
 const RATES: [f64; MEMBERS] = [0.99, 1.0, 1.01];
 const START: f64 = 10.0;
 
 #[derive(Clone, Debug)]
 struct World {
-    figures: LeaseConfig,
-    /// The true seconds up to which it is looked at, and most messages that are under way.
+    config: LeaseConfig,
+    /// True seconds at which runs end, and limit on the messages in flight.
     until: u8,
     most: usize,
-    /// Messages may come twice, and how many members may start again.
-    doubled: u8,
+    /// How many messages may be duplicated, and how many members may restart.
+    duplicates: u8,
     restarts: u8,
-    /// Planted: the receiver takes whatever comes.
-    takes_stale: bool,
-    /// Nothing is lost or late and nobody stands still; this member dies at this time.
+    /// Mutation: the receiver accepts every action.
+    accepts_stale_tokens: bool,
+    /// Nothing is lost or late and nobody stalls; this member crashes at this time.
     fair: Option<(usize, u8)>,
 }
 
@@ -34,18 +35,18 @@
 struct State {
     at: u8,
     nodes: Vec<Leases>,
-    flight: Vec<(usize, usize, Message)>,
-    doubled: u8,
+    in_flight: Vec<(usize, usize, Message)>,
+    duplicates: u8,
     restarts: u8,
-    /// The highest epoch under which each receiver has taken an act, and whether it took an older one after
-    /// it.
-    taken: u32,
-    went_back: bool,
+    /// The highest epoch under which an action was accepted, and whether one under a lower epoch was accepted
+    /// after it.
+    accepted_epoch: u32,
+    regressed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// The next second: all run then but those that stand still, a bit each.
+    /// The next second: all members run but those that stall, a bit each.
     Second(u8),
     Deliver(usize, bool),
     Restart(usize),
@@ -59,42 +60,42 @@
     fn key(&self) -> Vec<i64> {
         let mut key = vec![
             i64::from(self.at),
-            i64::from(self.doubled),
+            i64::from(self.duplicates),
             i64::from(self.restarts),
         ];
-        key.extend([i64::from(self.taken), i64::from(self.went_back)]);
+        key.extend([i64::from(self.accepted_epoch), i64::from(self.regressed)]);
         for (n, node) in self.nodes.iter().enumerate() {
             key.push(-9 - n as i64);
-            key.extend(node.essence(clock(n, self.at)));
+            key.extend(node.canonical_state(clock(n, self.at)));
         }
-        let mut flight: Vec<Vec<i64>> = Vec::new();
-        for (from, to, message) in &self.flight {
+        let mut in_flight: Vec<Vec<i64>> = Vec::new();
+        for (from, to, message) in &self.in_flight {
             let bytes = seal(std::slice::from_ref(message))
                 .into_iter()
                 .map(i64::from);
-            flight.push(
+            in_flight.push(
                 [*from as i64, *to as i64]
                     .into_iter()
                     .chain(bytes)
                     .collect(),
             );
         }
-        flight.sort();
-        key.extend(flight.into_iter().flat_map(|m| [vec![-8], m].concat()));
+        in_flight.sort();
+        key.extend(in_flight.into_iter().flat_map(|m| [vec![-8], m].concat()));
         key
     }
 
     fn holders(&self) -> usize {
-        let holds = |n: &usize| self.nodes[*n].holds(clock(*n, self.at), DUTY).is_some();
+        let holds = |n: &usize| self.nodes[*n].token(clock(*n, self.at), ROLE).is_some();
         (0..MEMBERS).filter(holds).count()
     }
 
-    fn send(&mut self, from: usize, acts: woadreach_lease::Actions) {
-        for (to, message) in acts.send {
+    fn send(&mut self, from: usize, actions: Actions) {
+        for OutgoingMessage { to, message } in actions.messages {
             let sent = (from, usize::from(to.0), message);
-            // One of a kind under way is as good as two: doubling is an action of its own.
-            if !self.flight.contains(&sent) {
-                self.flight.push(sent);
+            // Equal messages in flight are one: duplication is an action of its own.
+            if !self.in_flight.contains(&sent) {
+                self.in_flight.push(sent);
             }
         }
     }
@@ -113,14 +114,14 @@
 }
 
 impl World {
-    fn new(figures: LeaseConfig) -> World {
+    fn new(config: LeaseConfig) -> World {
         World {
-            figures,
+            config,
             until: 4,
             most: 4,
-            doubled: 0,
+            duplicates: 0,
             restarts: 0,
-            takes_stale: false,
+            accepts_stale_tokens: false,
             fair: None,
         }
     }
@@ -131,36 +132,36 @@
 
     fn run(&self, s: &mut State, n: usize) {
         let now = clock(n, s.at);
-        let acts = s.nodes[n].want(now, &self.wanted());
-        s.send(n, acts);
-        // An act, on its way to the member that bids for nothing.
-        if let Some(fence) = s.nodes[n].holds(now, DUTY) {
-            let act = (
+        let actions = s.nodes[n].set_candidates(now, &self.candidates());
+        s.send(n, actions);
+        // An action, sent to the member that is no candidate.
+        if let Some(token) = s.nodes[n].token(now, ROLE) {
+            let action = (
                 n,
                 2,
                 Message::Beacon {
-                    duty: DUTY,
-                    fence,
-                    stamp: 0,
+                    role: ROLE,
+                    token,
+                    sent_at: ClockStamp(0),
                 },
             );
-            if !s.flight.contains(&act) {
-                s.flight.push(act);
+            if !s.in_flight.contains(&action) {
+                s.in_flight.push(action);
             }
         }
     }
 
     fn take(&self, s: &mut State, message: &Message) {
-        if let Message::Beacon { fence, .. } = message
-            && (s.nodes[2].accept(clock(2, s.at), DUTY, *fence) || self.takes_stale)
+        if let Message::Beacon { token, .. } = message
+            && (s.nodes[2].accept_token(clock(2, s.at), ROLE, *token) || self.accepts_stale_tokens)
         {
-            s.went_back |= fence.epoch < s.taken;
-            s.taken = s.taken.max(fence.epoch);
+            s.regressed |= token.epoch < s.accepted_epoch;
+            s.accepted_epoch = s.accepted_epoch.max(token.epoch);
         }
     }
 
-    fn wanted(&self) -> BTreeMap<Role, Vec<MemberId>> {
-        BTreeMap::from([(DUTY, vec![MemberId(0), MemberId(1)])])
+    fn candidates(&self) -> BTreeMap<Role, Vec<MemberId>> {
+        BTreeMap::from([(ROLE, vec![MemberId(0), MemberId(1)])])
     }
 }
 
@@ -169,12 +170,12 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // Long started, so that all may speak; the clocks agree at the beginning.
+        // Started long ago, so that no acceptor is silent; the clocks agree at the beginning.
         let node = |n| {
             Leases::new(
                 MemberId(n as u16),
                 MEMBERS,
-                self.figures.clone(),
+                self.config.clone(),
                 n as u64,
                 START - 5.0,
             )
@@ -182,11 +183,11 @@
         let mut state = State {
             at: 0,
             nodes: (0..MEMBERS).map(node).collect(),
-            flight: Vec::new(),
-            doubled: self.doubled,
+            in_flight: Vec::new(),
+            duplicates: self.duplicates,
             restarts: self.restarts,
-            taken: 0,
-            went_back: false,
+            accepted_epoch: 0,
+            regressed: false,
         };
         state.nodes.iter_mut().for_each(|n| drop(n.tick(START)));
         vec![state]
@@ -195,12 +196,12 @@
     fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         if self.fair.is_none() {
             actions.extend((0..1 << MEMBERS).map(Action::Second));
-        } else if s.flight.is_empty() {
+        } else if s.in_flight.is_empty() {
             actions.push(Action::Second(0));
         }
-        for i in 0..s.flight.len() {
+        for i in 0..s.in_flight.len() {
             actions.push(Action::Deliver(i, false));
-            if s.doubled > 0 {
+            if s.duplicates > 0 {
                 actions.push(Action::Deliver(i, true));
             }
         }
@@ -220,78 +221,76 @@
                 }
             }
             Action::Deliver(i, again) => {
-                let (from, to, message) = s.flight[i].clone();
+                let (from, to, message) = s.in_flight[i].clone();
                 if again {
-                    s.doubled -= 1;
+                    s.duplicates -= 1;
                 } else {
-                    s.flight.remove(i);
+                    s.in_flight.remove(i);
                 }
                 if !self.dead(to, s.at) {
                     self.take(&mut s, &message);
-                    let acts = s.nodes[to].heard(clock(to, s.at), MemberId(from as u16), &message);
-                    s.send(to, acts);
+                    let actions =
+                        s.nodes[to].receive(clock(to, s.at), MemberId(from as u16), &message);
+                    s.send(to, actions);
                 }
             }
             Action::Restart(n) => {
                 s.restarts -= 1;
                 let (id, now) = (MemberId(n as u16), clock(n, s.at));
-                s.nodes[n] = Leases::new(id, MEMBERS, self.figures.clone(), 77, now);
-                // What it took before is forgotten with it.
-                s.taken = 0;
+                s.nodes[n] = Leases::new(id, MEMBERS, self.config.clone(), 77, now);
+                // What it accepted before is forgotten with its run.
+                s.accepted_epoch = 0;
             }
         }
         Some(s)
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.at <= self.until && s.flight.len() <= self.most
+        s.at <= self.until && s.in_flight.len() <= self.most
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder at most", |_, s: &State| s.holders() <= 1),
-            Property::always("no older epoch after a later one", |_, s: &State| {
-                !s.went_back
+            Property::always("no lower epoch after a higher one", |_, s: &State| {
+                !s.regressed
             }),
-            Property::sometimes("somebody holds", |_, s: &State| s.holders() == 1),
+            Property::sometimes("somebody holds it", |_, s: &State| s.holders() == 1),
             Property::sometimes("it passes to another", |_, s: &State| {
                 s.holders() == 1
                     && s.nodes[1]
-                        .holds(clock(1, s.at), DUTY)
+                        .token(clock(1, s.at), ROLE)
                         .is_some_and(|f| f.epoch > 1)
             }),
-            Property::always(
-                "once most hear each other, somebody holds in time",
-                |w: &World, s: &State| {
-                    // A lease and two rounds, of a second each here, after the death; asked at the next second.
-                    let late = w
-                        .fair
-                        .is_some_and(|(_, from)| f64::from(s.at - from.min(s.at)) > 3.0 + 2.0);
-                    !(late && s.flight.is_empty()) || s.holders() == 1
-                },
-            ),
+            Property::always("a majority has a holder in time", |w: &World, s: &State| {
+                // A lease and two rounds, of a second each here, after the crash; checked at the next second.
+                let late = w
+                    .fair
+                    .is_some_and(|(_, from)| f64::from(s.at - from.min(s.at)) > 3.0 + 2.0);
+                !(late && s.in_flight.is_empty()) || s.holders() == 1
+            }),
         ]
     }
 }
 
-/// One second is a round here: what is a tenth of one in service is whole. No chance: each order is tried.
-fn figures() -> LeaseConfig {
+/// A round trip takes one second here. There is no randomness: each order is tried.
+fn config() -> LeaseConfig {
     let real = LeaseConfig::default();
     let rounds = LeaseConfig {
-        renew: 1.0,
-        again: 1.0,
-        patience: 1.0,
+        renew_interval: 1.0,
+        retry_interval: 1.0,
+        proposal_timeout: 1.0,
         backoff: 0.0,
-        first: 2.0,
+        initial_grant_duration: 2.0,
         ..real
     };
     LeaseConfig {
-        acceptors: MEMBERS,
+        max_acceptors: MEMBERS,
         ..rounds
     }
 }
 
-/// All that can happen, or until a property fails.
+/// Checks all runs, or until a property fails.
 fn check(world: World) -> impl Checker<World> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = world
@@ -300,7 +299,7 @@
         .finish_when(HasDiscoveries::AnyFailures);
     let checked = checker.spawn_bfs().join();
     println!(
-        "{} states, {} of them unlike",
+        "{} states, {} of them distinct",
         checked.state_count(),
         checked.unique_state_count()
     );
@@ -308,46 +307,46 @@
 }
 
 #[rstest]
-#[case::doubled(4, 1, 0, 3)]
-#[case::an_acceptor_starts_again(4, 0, 1, 3)]
+#[case::duplicates(4, 1, 0, 3)]
+#[case::an_acceptor_restarts(4, 0, 1, 3)]
 #[case::longer(5, 0, 0, 3)]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn in_every_run_of_a_small_world_one_holds_at_most(
+fn every_run_has_at_most_one_holder(
     #[case] until: u8,
-    #[case] doubled: u8,
+    #[case] duplicates: u8,
     #[case] restarts: u8,
     #[case] most: usize,
 ) {
     let checked = check(World {
         until,
-        doubled,
+        duplicates,
         restarts,
         most,
-        ..World::new(figures())
+        ..World::new(config())
     });
     checked.assert_no_discovery("one holder at most");
-    checked.assert_no_discovery("no older epoch after a later one");
-    checked.assert_any_discovery("somebody holds");
+    checked.assert_no_discovery("no lower epoch after a higher one");
+    checked.assert_any_discovery("somebody holds it");
     if until > 4 {
         checked.assert_any_discovery("it passes to another");
     }
 }
 
 #[rstest]
-#[case::a_holder_without_its_margin("one holder at most", World::new(LeaseConfig { margin: 0.0, ..figures() }))]
-#[case::a_receiver_that_takes_a_stale_epoch(
-    "no older epoch after a later one",
-    World { until: 6, takes_stale: true, ..World::new(figures()) }
+#[case::a_holder_without_clock_margin("one holder at most", World::new(LeaseConfig { clock_margin: 0.0, ..config() }))]
+#[case::a_receiver_that_accepts_a_stale_epoch(
+    "no lower epoch after a higher one",
+    World { until: 6, accepts_stale_tokens: true, ..World::new(config()) }
 )]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn a_injected_bug_is_found(#[case] property: &'static str, #[case] world: World) {
-    // Depth first: what is planted shows at the end of long runs.
+fn an_injected_bug_is_detected(#[case] property: &'static str, #[case] world: World) {
+    // Depth first: injected bugs show at the end of long runs.
     let failures = HasDiscoveries::AnyFailures;
     let checked = world
         .checker()
@@ -359,14 +358,14 @@
 }
 
 #[test]
-fn once_most_hear_each_other_somebody_holds_in_time() {
+fn a_majority_has_a_holder_in_time() {
     let fair = World {
         fair: Some((0, 3)),
         until: 10,
         most: 12,
-        ..World::new(figures())
+        ..World::new(config())
     };
     let checked = check(fair);
-    checked.assert_no_discovery("once most hear each other, somebody holds in time");
-    checked.assert_any_discovery("somebody holds");
+    checked.assert_no_discovery("a majority has a holder in time");
+    checked.assert_any_discovery("somebody holds it");
 }
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -1,52 +1,55 @@
-//! What holders do: a cold replica's shares never add up to more than the whole, whatever is lost or late,
-//! and a fact only ever closes.
+//! What holders do: the shares of a warming replica never add up to more than its quota, whatever is lost or late,
+//! and endpoint updates only ever close replicas.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use woadreach_lease::{
-    Departure, LeaseConfig, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles,
+    Departure, LeaseConfig, LocalDemand, LocalMember, ReplicaKey, Role, RoleActions,
+    SingletonRoles, SlowStartSplit,
 };
 use woadreach_membership::{MemberId, View};
 
 const WINDOW: f64 = 1.0;
 
-/// Members that all see each other, on a network that loses and delays; some of them want a cold replica.
+/// Members that all see each other, on a network that loses and delays; some of them demand a warming replica.
 struct Tier {
     now: f64,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     loss: f64,
-    late: f64,
+    max_latency: f64,
     members: Vec<Option<SingletonRoles>>,
     rates: Vec<f64>,
-    flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     n: u64,
     closed: Vec<(usize, ReplicaKey, Departure)>,
-    wants: Vec<u32>,
+    demands: Vec<u32>,
 }
 
-const COLD: ReplicaKey = ReplicaKey(7);
+const WARMING: ReplicaKey = ReplicaKey(7);
 
-fn place(n: usize, members: usize) -> LocalMember {
-    let cold = Some((members, WINDOW));
+fn local_member(n: usize, member_count: usize) -> LocalMember {
     LocalMember {
-        me: MemberId(n as u16),
+        id: MemberId(n as u16),
         zone: 0,
-        roster: members,
-        cold,
+        roster_size: member_count,
+        slow_start: Some(SlowStartSplit {
+            member_count,
+            window: WINDOW,
+        }),
     }
 }
 
 impl Tier {
-    fn new(members: usize, seed: u64, loss: f64, late: f64) -> Tier {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    fn new(members: usize, seed: u64, loss: f64, max_latency: f64) -> Tier {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let rates: Vec<f64> = (0..members)
-            .map(|_| 1.0 + 0.01 * (2.0 * chance.random::<f64>() - 1.0))
+            .map(|_| 1.0 + 0.01 * (2.0 * random.random::<f64>() - 1.0))
             .collect();
-        let duties = |n| {
+        let roles = |n| {
             SingletonRoles::new(
-                place(n, members),
+                local_member(n, members),
                 LeaseConfig::default(),
                 seed * 100 + n as u64,
                 500.0,
@@ -54,15 +57,15 @@
         };
         Tier {
             now: 0.0,
-            chance,
+            random,
             loss,
-            late,
-            members: (0..members).map(|n| Some(duties(n))).collect(),
+            max_latency,
+            members: (0..members).map(|n| Some(roles(n))).collect(),
             rates,
-            flight: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             n: 0,
             closed: Vec::new(),
-            wants: vec![0; members],
+            demands: vec![0; members],
         }
     }
 
@@ -70,20 +73,21 @@
         500.0 + self.now * self.rates[n]
     }
 
-    fn take(&mut self, from: usize, done: RoleActions) {
+    fn execute(&mut self, from: usize, actions: RoleActions) {
+        let closed = actions.closed.iter();
         self.closed
-            .extend(done.closed.iter().map(|(r, what)| (from, *r, *what)));
-        for (to, bytes) in done.send {
-            self.put(from, usize::from(to.0), bytes);
+            .extend(closed.map(|update| (from, update.replica, update.departure)));
+        for datagram in actions.datagrams {
+            self.send(from, usize::from(datagram.to.0), datagram.bytes);
         }
     }
 
-    fn put(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         assert!(bytes.len() <= 240, "{} bytes", bytes.len());
-        if !self.chance.random_bool(self.loss) {
-            let at = self.now + 0.001 + self.late * self.chance.random::<f64>();
+        if !self.random.random_bool(self.loss) {
+            let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
             self.n += 1;
-            self.flight
+            self.in_flight
                 .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
         }
     }
@@ -102,47 +106,51 @@
             version: 1,
         };
         let mut most = 0.0f64;
-        // What each may use, at its most within the last window.
+        // What each member may use, at its maximum within the last window.
         let mut used: Vec<Vec<(f64, f64)>> = vec![Vec::new(); members];
         while self.now < until {
             self.now += 0.02;
             while let Some(entry) = self
-                .flight
+                .in_flight
                 .first_entry()
                 .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
             {
                 let (from, to, bytes) = entry.remove();
                 let clock = self.clock(to);
-                if let Some(done) = self.members[to]
+                if let Some(actions) = self.members[to]
                     .as_mut()
-                    .map(|m| m.heard(clock, MemberId(from as u16), &bytes))
+                    .map(|m| m.receive(clock, MemberId(from as u16), &bytes))
                 {
-                    self.take(to, done);
+                    self.execute(to, actions);
                 }
             }
             for (n, used) in used.iter_mut().enumerate() {
-                let (clock, wants) = (self.clock(n), self.wants[n]);
+                let (clock, parts) = (self.clock(n), self.demands[n]);
                 let Some(m) = &mut self.members[n] else {
                     continue;
                 };
-                let done = m.look(
+                let actions = m.update(
                     clock,
                     &view,
                     &[LocalDemand {
-                        replica: COLD,
-                        wants,
-                        sent: wants > 0,
+                        replica: WARMING,
+                        parts,
+                        sent_recently: parts > 0,
                     }],
                 );
-                let rides = m.riders(clock);
-                // A member's word on its own: it sends only while it wants to.
-                let times = if wants > 0 { m.times(clock, COLD) } else { 0.0 };
-                used.push((self.now, times));
+                let gossip = m.gossip(clock);
+                // A member sends only while it has demand.
+                let multiple = if parts > 0 {
+                    m.multiple_of_even_share(clock, WARMING)
+                } else {
+                    0.0
+                };
+                used.push((self.now, multiple));
                 used.retain(|u| u.0 > self.now - WINDOW);
-                self.take(n, done);
-                if !rides.is_empty() {
-                    let to = self.chance.random_range(0..members);
-                    self.put(n, to, rides);
+                self.execute(n, actions);
+                if !gossip.is_empty() {
+                    let to = self.random.random_range(0..members);
+                    self.send(n, to, gossip);
                 }
             }
             let sum: f64 = used
@@ -155,31 +163,35 @@
     }
 }
 
-/// One of ten wants a cold replica, and comes to have most of it; the sum stays within the whole throughout,
-/// also as others begin to want it, wardens die and words are lost.
+/// One of ten members demands a warming replica, and comes to have most of its quota. The sum never exceeds the quota,
+/// also as others begin to demand it, allocators crash and messages are lost.
 #[rstest]
-fn shares_never_add_up_to_more_than_the_whole(
+fn shares_never_exceed_the_quota(
     #[values(0.0, 0.3)] loss: f64,
-    #[values(0.01, 0.4)] late: f64,
+    #[values(0.01, 0.4)] max_latency: f64,
 ) {
     let mut best = 0.0f64;
     for seed in 0..12 {
-        let mut t = Tier::new(10, seed, loss, late);
-        t.wants[3] = 5;
+        let mut t = Tier::new(10, seed, loss, max_latency);
+        t.demands[3] = 5;
         let mut most = t.run(20.0);
         let clock = t.clock(3);
-        best = best.max(t.members[3].as_ref().map_or(0.0, |m| m.times(clock, COLD)));
+        best = best.max(
+            t.members[3]
+                .as_ref()
+                .map_or(0.0, |m| m.multiple_of_even_share(clock, WARMING)),
+        );
         for n in [0, 5, 8] {
             most = most.max(t.run(t.now + 1.7));
-            t.wants[n] = 3;
+            t.demands[n] = 3;
         }
         most = most.max(t.run(t.now + 4.0));
-        // Whoever holds it dies, and a new one takes it up.
+        // The holder crashes, and another acquires the lease.
         let clocks: Vec<f64> = (0..10).map(|n| t.clock(n)).collect();
         let holds = |n: &usize| {
             t.members[*n]
                 .as_ref()
-                .is_some_and(|m| !m.leases.held(clocks[*n]).is_empty())
+                .is_some_and(|m| !m.leases().held_roles(clocks[*n]).is_empty())
         };
         if let Some(holder) = (0..10).find(holds) {
             t.members[holder] = None;
@@ -191,60 +203,63 @@
         );
     }
     assert!(
-        best > 5.0 || late > 0.1,
+        best > 5.0 || max_latency > 0.1,
         "it came to have {best} even shares of 10"
     );
 }
 
 #[test]
-fn a_holder_tells_what_drains_and_goes_and_nobody_else_does() {
+fn only_the_holder_sends_endpoint_updates() {
     let mut t = Tier::new(5, 1, 0.1, 0.02);
     t.run(8.0);
-    let (gone, draining) = (ReplicaKey(21), ReplicaKey(22));
+    let (departed, draining) = (ReplicaKey(21), ReplicaKey(22));
     for n in 0..5 {
-        // Its own list tells each of them that this one drains; only one has been told of the other.
+        // Each member's own list reports the draining replica; only the holder's reports the departed one.
         let clock = t.clock(n);
         if let Some(m) = &mut t.members[n] {
-            m.listed(clock, draining, Some(Departure::Draining));
+            m.record_list_report(clock, draining, Some(Departure::Draining));
         }
     }
     let clocks: Vec<f64> = (0..5).map(|n| t.clock(n)).collect();
-    let list = woadreach_lease::Role::EndpointWatch(0);
+    let watch = Role::EndpointWatch(0);
     let holds = |n: &usize| {
         t.members[*n]
             .as_ref()
-            .is_some_and(|m| m.leases.holds(clocks[*n], list).is_some())
+            .is_some_and(|m| m.leases().token(clocks[*n], watch).is_some())
     };
     let holder = (0..5).find(holds).expect("somebody holds it");
     let clock = t.clock(holder);
     t.members[holder]
         .as_mut()
         .expect("it lives")
-        .listed(clock, gone, Some(Departure::Departed));
+        .record_list_report(clock, departed, Some(Departure::Departed));
     t.run(t.now + 2.0);
-    let told: Vec<usize> = t
+    let closed_at: Vec<usize> = t
         .closed
         .iter()
-        .filter(|c| c.1 == gone)
+        .filter(|c| c.1 == departed)
         .map(|c| c.0)
         .collect();
-    assert_eq!(told.len(), 4, "{:?}", t.closed);
+    assert_eq!(closed_at.len(), 4, "{:?}", t.closed);
     assert!(
         t.closed
             .iter()
-            .all(|c| c.0 != holder && (c.1 != gone || c.2 == Departure::Departed)),
+            .all(|c| c.0 != holder && (c.1 != departed || c.2 == Departure::Departed)),
         "{:?}",
         t.closed
     );
 }
 
-/// Bad input costs a count, and nothing else.
+/// Malformed payloads are counted and have no other effect.
 #[rstest]
 #[case::garbled(&[0x07, 0xff, 0xff, 0xff, 0xff])]
 #[case::too_long(&[0x00; 300])]
-fn what_cannot_be_read_is_counted(#[case] bytes: &[u8]) {
-    let mut duties = SingletonRoles::new(place(0, 3), LeaseConfig::default(), 1, 0.0);
-    let done = duties.heard(1.0, MemberId(1), bytes);
-    assert!(done.send.is_empty() && done.closed.is_empty(), "{done:?}");
-    assert_eq!(duties.refused, 1);
+fn payloads_that_cannot_be_decoded_are_counted(#[case] bytes: &[u8]) {
+    let mut roles = SingletonRoles::new(local_member(0, 3), LeaseConfig::default(), 1, 0.0);
+    let actions = roles.receive(1.0, MemberId(1), bytes);
+    assert!(
+        actions.datagrams.is_empty() && actions.closed.is_empty(),
+        "{actions:?}"
+    );
+    assert_eq!(roles.rejected(), 1);
 }
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -1,72 +1,75 @@
-//! Members that lease a duty from each other on a lossy network, with clocks of their own rates, stalls,
-//! cuts, deaths and restarts: all of it from one seed.
+//! Members that lease a role from each other on a lossy network, with clocks of different rates, stalls, partitions,
+//! crashes and restarts. Each run is determined by its seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::collections::BTreeMap;
-use woadreach_lease::{FencingToken, LeaseConfig, LeaseEvent, Leases, Message, Role, open, seal};
+use woadreach_lease::{
+    Actions, ClockStamp, FencingToken, Incarnation, LeaseConfig, LeaseEvent, Leases, Message, Role,
+    open, seal,
+};
 use woadreach_membership::MemberId;
 
-const DUTY: Role = Role::QuotaAllocator(0);
+const ROLE: Role = Role::QuotaAllocator(0);
 
 struct Node {
     leases: Leases,
     rate: f64,
     offset: f64,
-    /// It does not run until then.
-    stalled: f64,
+    /// It does not run before.
+    stalled_until: f64,
     alive: bool,
 }
 
 struct World {
     now: f64,
-    chance: Pcg64Mcg,
-    figures: LeaseConfig,
+    random: Pcg64Mcg,
+    config: LeaseConfig,
     loss: f64,
-    cut: Vec<bool>,
+    partitioned: Vec<bool>,
     nodes: Vec<Node>,
-    flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     n: u64,
-    /// True time, member and epoch of each act, and of each loss or gain of the lease.
-    acts: Vec<(f64, usize, u32)>,
-    held: Vec<(f64, usize, LeaseEvent)>,
+    /// True time, member and epoch of each action, and of each lease event.
+    actions: Vec<(f64, usize, u32)>,
+    lease_events: Vec<(f64, usize, LeaseEvent)>,
     two_holders: usize,
-    late: f64,
+    max_latency: f64,
 }
 
 impl World {
-    fn new(members: usize, seed: u64, figures: LeaseConfig) -> World {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    fn new(members: usize, seed: u64, config: LeaseConfig) -> World {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..members).map(|n| {
-            let rate = 1.0 + 0.01 * (2.0 * chance.random::<f64>() - 1.0);
-            let offset = 1000.0 * chance.random::<f64>();
+            let rate = 1.0 + 0.01 * (2.0 * random.random::<f64>() - 1.0);
+            let offset = 1000.0 * random.random::<f64>();
             let id = MemberId(n as u16);
-            let leases = Leases::new(id, members, figures.clone(), seed * 100 + n as u64, offset);
+            let leases = Leases::new(id, members, config.clone(), seed * 100 + n as u64, offset);
             Node {
                 leases,
                 rate,
                 offset,
-                stalled: 0.0,
+                stalled_until: 0.0,
                 alive: true,
             }
         });
         let nodes = nodes.collect();
-        let (flight, acts, held) = (BTreeMap::new(), Vec::new(), Vec::new());
-        let cut = vec![false; members];
+        let (in_flight, actions, lease_events) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let partitioned = vec![false; members];
         World {
             now: 0.0,
-            chance,
-            figures,
+            random,
+            config,
             loss: 0.0,
-            cut,
+            partitioned,
             nodes,
-            flight,
+            in_flight,
             n: 0,
-            acts,
-            held,
+            actions,
+            lease_events,
             two_holders: 0,
-            late: 0.01,
+            max_latency: 0.01,
         }
     }
 
@@ -74,26 +77,27 @@
         self.nodes[n].offset + self.now * self.nodes[n].rate
     }
 
-    fn take(&mut self, from: usize, acts: woadreach_lease::Actions) {
-        self.held
-            .extend(acts.changes.iter().map(|c| (self.now, from, *c)));
-        for (to, message) in acts.send {
-            let to = usize::from(to.0);
-            if self.cut[from] != self.cut[to] || self.chance.random_bool(self.loss) {
+    fn take(&mut self, from: usize, actions: Actions) {
+        self.lease_events
+            .extend(actions.events.iter().map(|event| (self.now, from, *event)));
+        for outgoing in actions.messages {
+            let to = usize::from(outgoing.to.0);
+            if self.partitioned[from] != self.partitioned[to] || self.random.random_bool(self.loss)
+            {
                 continue;
             }
-            for _ in 0..if self.chance.random_bool(0.05) { 2 } else { 1 } {
-                let at = self.now + 0.001 + self.late * self.chance.random::<f64>();
+            for _ in 0..if self.random.random_bool(0.05) { 2 } else { 1 } {
+                let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
                 self.n += 1;
-                let bytes = seal(std::slice::from_ref(&message));
-                self.flight
+                let bytes = seal(std::slice::from_ref(&outgoing.message));
+                self.in_flight
                     .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
             }
         }
     }
 
     fn runs(&self, n: usize) -> bool {
-        self.nodes[n].alive && self.now >= self.nodes[n].stalled
+        self.nodes[n].alive && self.now >= self.nodes[n].stalled_until
     }
 
     fn run(&mut self, until: f64) {
@@ -101,41 +105,42 @@
         while self.now < until {
             self.now += 0.005;
             while let Some(entry) = self
-                .flight
+                .in_flight
                 .first_entry()
                 .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
             {
                 let (key, (from, to, bytes)) = entry.remove_entry();
                 if !self.runs(to) {
-                    // Read once it runs again.
+                    // It is received once the member runs again.
                     if self.nodes[to].alive {
-                        self.flight
+                        self.in_flight
                             .insert((key.0 + 10_000, key.1), (from, to, bytes));
                     }
                     continue;
                 }
                 let clock = self.clock(to);
-                for message in open(&bytes, members).expect("sound") {
-                    let acts = self.nodes[to]
-                        .leases
-                        .heard(clock, MemberId(from as u16), &message);
-                    self.take(to, acts);
+                for message in open(&bytes, members).expect("it can be decoded") {
+                    let actions =
+                        self.nodes[to]
+                            .leases
+                            .receive(clock, MemberId(from as u16), &message);
+                    self.take(to, actions);
                 }
             }
             let all: Vec<MemberId> = (0..members as u16).map(MemberId).collect();
-            let wanted = BTreeMap::from([(DUTY, all)]);
+            let candidates = BTreeMap::from([(ROLE, all)]);
             for n in (0..members).filter(|n| self.runs(*n)).collect::<Vec<_>>() {
                 let clock = self.clock(n);
-                let acts = self.nodes[n].leases.want(clock, &wanted);
-                self.take(n, acts);
-                if let Some(fence) = self.nodes[n].leases.holds(clock, DUTY) {
-                    self.acts.push((self.now, n, fence.epoch));
+                let actions = self.nodes[n].leases.set_candidates(clock, &candidates);
+                self.take(n, actions);
+                if let Some(token) = self.nodes[n].leases.token(clock, ROLE) {
+                    self.actions.push((self.now, n, token.epoch));
                 }
             }
             // By the true clock, whether or not they run just now.
             let holders = (0..members).filter(|n| self.nodes[*n].alive);
             let holders = holders
-                .filter(|n| self.nodes[*n].leases.holds(self.clock(*n), DUTY).is_some())
+                .filter(|n| self.nodes[*n].leases.token(self.clock(*n), ROLE).is_some())
                 .count();
             self.two_holders += usize::from(holders > 1);
         }
@@ -143,19 +148,19 @@
 
     fn restart(&mut self, n: usize, seed: u64) {
         let (id, clock) = (MemberId(n as u16), self.clock(n));
-        self.nodes[n].leases = Leases::new(id, self.nodes.len(), self.figures.clone(), seed, clock);
+        self.nodes[n].leases = Leases::new(id, self.nodes.len(), self.config.clone(), seed, clock);
         self.nodes[n].alive = true;
     }
 
     fn holder(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|n| {
-            self.nodes[*n].alive && self.nodes[*n].leases.holds(self.clock(*n), DUTY).is_some()
+            self.nodes[*n].alive && self.nodes[*n].leases.token(self.clock(*n), ROLE).is_some()
         })
     }
 
-    /// Seconds from `since` until another than `old` acts.
+    /// Seconds from `since` until a member other than `old` acts.
     fn handed_over(&self, since: f64, old: usize) -> Option<f64> {
-        self.acts
+        self.actions
             .iter()
             .find(|a| a.0 > since && a.1 != old)
             .map(|a| a.0 - since)
@@ -163,114 +168,121 @@
 }
 
 #[test]
-fn one_holds_and_keeps_it() {
+fn one_member_acquires_the_lease_and_keeps_it() {
     for seed in 0..20 {
         let mut w = World::new(6, seed, LeaseConfig::default());
         w.run(30.0);
-        let held: Vec<_> = w
-            .held
+        let acquired: Vec<_> = w
+            .lease_events
             .iter()
-            .filter(|h| matches!(h.2, LeaseEvent::Acquired(..)))
+            .filter(|h| matches!(h.2, LeaseEvent::Acquired { .. }))
             .collect();
         assert_eq!(
-            (held.len(), w.two_holders),
+            (acquired.len(), w.two_holders),
             (1, 0),
             "seed {seed}: {:?}",
-            w.held
+            w.lease_events
+        );
+        assert!(
+            acquired[0].0 < w.config.lease_duration * 2.0,
+            "{acquired:?}"
         );
-        assert!(held[0].0 < w.figures.lease * 2.0, "{held:?}");
     }
 }
 
-/// A holder dies, stands still, or is cut off: another has the duty a lease and a second later at most.
+/// A holder crashes, stalls, or is partitioned: another has the role a lease and a second later at most.
 #[rstest]
 #[case::killed(0)]
-#[case::stalled(1)]
-#[case::cut_off(2)]
+#[case::stalled_until(1)]
+#[case::partitioned(2)]
 #[case::killed_under_loss(3)]
-fn it_is_handed_on(#[case] how: u8) {
+fn a_failed_holder_is_replaced(#[case] fault: u8) {
     for seed in 0..40 {
         let mut w = World::new(6, seed, LeaseConfig::default());
-        w.loss = if how == 3 { 0.3 } else { 0.02 };
+        w.loss = if fault == 3 { 0.3 } else { 0.02 };
         w.run(12.0);
         let Some(old) = w.holder() else {
-            panic!("seed {seed}: nobody holds it: {:?}", w.held)
+            panic!("seed {seed}: nobody holds the lease: {:?}", w.lease_events)
         };
         let since = w.now;
-        match how {
-            1 => w.nodes[old].stalled = since + 6.0,
-            2 => w.cut[old] = true,
+        match fault {
+            1 => w.nodes[old].stalled_until = since + 6.0,
+            2 => w.partitioned[old] = true,
             _ => w.nodes[old].alive = false,
         }
         w.run(since + 8.0);
         let after = w.handed_over(since, old);
         assert!(
-            after.is_some_and(|s| s <= w.figures.lease + 1.0),
+            after.is_some_and(|s| s <= w.config.lease_duration + 1.0),
             "seed {seed}: {after:?} {:?}",
-            w.held
+            w.lease_events
         );
-        // One that stood still or was cut off does not act under what it had.
-        w.cut[old] = false;
+        // A member that stalled or was partitioned does not act under what it had.
+        w.partitioned[old] = false;
         w.run(w.now + 6.0);
         let newer = w
-            .acts
+            .actions
             .iter()
             .filter(|a| a.1 != old && a.0 > since)
             .map(|a| a.2)
             .min();
         let stale = w
-            .acts
+            .actions
             .iter()
-            .filter(|a| a.1 == old && a.0 > since + w.figures.lease);
+            .filter(|a| a.1 == old && a.0 > since + w.config.lease_duration);
         assert!(stale.clone().all(|a| Some(a.2) > newer), "seed {seed}");
         assert_eq!(w.two_holders, 0, "seed {seed}");
     }
 }
 
-/// Drawn: loss, delay, stalls, cuts, deaths and restarts. `seeds`: how many.
-fn drawn(seeds: std::ops::Range<u64>, figures: &LeaseConfig) -> (usize, usize) {
-    let (mut two, mut held) = (0, 0);
+/// Plays random loss, latency, stalls, partitions, crashes and restarts. Returns the number of moments with two
+/// holders, and of seeds in which anybody held the lease.
+fn play_seeds(seeds: std::ops::Range<u64>, config: &LeaseConfig) -> (usize, usize) {
+    let (mut two_holders, mut seeds_with_holder) = (0, 0);
     for seed in seeds {
-        let mut w = World::new(3 + (seed % 5) as usize, seed, figures.clone());
+        let mut w = World::new(3 + (seed % 5) as usize, seed, config.clone());
         w.loss = [0.0, 0.1, 0.3][(seed % 3) as usize];
-        w.late = [0.01, 0.3, 2.5][(seed / 3 % 3) as usize];
+        w.max_latency = [0.01, 0.3, 2.5][(seed / 3 % 3) as usize];
         let mut draw = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
         while w.now < 40.0 {
             w.run(w.now + 0.5 + 2.0 * draw.random::<f64>());
             let n = w.holder().filter(|_| draw.random_bool(0.5));
             let n = n.unwrap_or_else(|| draw.random_range(0..w.nodes.len()));
             match draw.random_range(0..6) {
-                0 => w.nodes[n].stalled = w.now + 5.0 * draw.random::<f64>(),
-                1 => w.cut[n] = !w.cut[n],
+                0 => w.nodes[n].stalled_until = w.now + 5.0 * draw.random::<f64>(),
+                1 => w.partitioned[n] = !w.partitioned[n],
                 2 => w.nodes[n].alive = false,
-                3 => w.cut.iter_mut().for_each(|c| *c = false),
+                3 => w.partitioned.iter_mut().for_each(|c| *c = false),
                 _ => w.restart(n, draw.random()),
             }
         }
-        two += w.two_holders;
-        held += usize::from(!w.acts.is_empty());
+        two_holders += w.two_holders;
+        seeds_with_holder += usize::from(!w.actions.is_empty());
     }
-    (two, held)
+    (two_holders, seeds_with_holder)
 }
 
 #[test]
 fn never_two_holders() {
-    let (two, held) = drawn(0..150, &LeaseConfig::default());
-    assert_eq!(two, 0);
-    assert!(held > 60, "only {held} of 150 seeds had a holder at all");
+    let (two_holders, seeds_with_holder) = play_seeds(0..150, &LeaseConfig::default());
+    assert_eq!(two_holders, 0);
+    assert!(
+        seeds_with_holder > 60,
+        "only {seeds_with_holder} of 150 seeds had a holder at all"
+    );
 }
 
-/// The same rig finds a holder that ignores its margin.
+/// The same simulation detects a holder that ignores its margin.
 #[test]
-fn a_holder_without_its_margin_is_found() {
-    let figures = LeaseConfig {
-        margin: -0.3,
+fn a_holder_without_clock_margin_is_detected() {
+    let config = LeaseConfig {
+        clock_margin: -0.3,
         ..LeaseConfig::default()
     };
-    assert!(drawn(0..150, &figures).0 > 0);
+    assert!(play_seeds(0..150, &config).0 > 0);
 }
 
-/// Not a verdict of CI, but a measurement: `cargo test --release -p woadreach-lease -- --ignored
+/// Not a check of CI, but a measurement: `cargo test --release -p woadreach-lease -- --ignored
 /// --nocapture`.
 #[test]
 #[ignore = "a measurement of minutes"]
@@ -279,7 +291,7 @@
     let all: Vec<_> = (0..threads)
         .map(|t| {
             let (from, to) = (10_000 * t / threads, 10_000 * (t + 1) / threads);
-            std::thread::spawn(move || drawn(from..to, &LeaseConfig::default()))
+            std::thread::spawn(move || play_seeds(from..to, &LeaseConfig::default()))
         })
         .collect();
     let sum = all
@@ -293,28 +305,28 @@
     assert_eq!(sum.0, 0);
 }
 
-/// Likewise: how soon a duty is handed on, by the length of a lease and by loss.
+/// Likewise: how soon a role is handed over, by the duration of a lease and by loss.
 #[test]
 #[ignore = "a measurement"]
-fn how_soon_it_is_handed_on() {
+fn measure_hand_over_time() {
     for lease in [2.0, 3.0, 5.0] {
         for loss in [0.0, 0.1, 0.3] {
             let margin = lease * 0.05;
-            let figures = LeaseConfig {
-                lease,
-                margin,
-                renew: lease / 3.0,
+            let config = LeaseConfig {
+                lease_duration: lease,
+                clock_margin: margin,
+                renew_interval: lease / 3.0,
                 ..LeaseConfig::default()
             };
             let (mut after, mut lost, mut sent) = (Vec::new(), 0, 0);
             for seed in 0..200 {
-                let mut w = World::new(6, seed, figures.clone());
+                let mut w = World::new(6, seed, config.clone());
                 w.loss = loss;
                 w.run(20.0);
                 lost += w
-                    .held
+                    .lease_events
                     .iter()
-                    .filter(|h| matches!(h.2, LeaseEvent::Lost(..)))
+                    .filter(|h| matches!(h.2, LeaseEvent::Lost { .. }))
                     .count();
                 sent += w.n;
                 let Some(old) = w.holder() else { continue };
@@ -339,32 +351,35 @@
 }
 
 #[test]
-fn an_act_under_an_old_epoch_is_refused_and_counted() {
+fn an_action_under_an_old_epoch_is_rejected_and_counted() {
     let mut leases = Leases::new(MemberId(0), 3, LeaseConfig::default(), 1, 0.0);
-    let fence = |epoch, holder, life| FencingToken {
+    let token = |epoch, holder, incarnation| FencingToken {
         epoch,
         holder: MemberId(holder),
-        life: woadreach_lease::Incarnation(life),
+        incarnation: Incarnation(incarnation),
     };
-    assert!(leases.accept(1.0, DUTY, fence(4, 1, 9)));
+    assert!(leases.accept_token(1.0, ROLE, token(4, 1, 9)));
     assert!(
-        leases.accept(1.1, DUTY, fence(4, 1, 9)),
+        leases.accept_token(1.1, ROLE, token(4, 1, 9)),
         "the same holder goes on"
     );
-    assert!(!leases.accept(1.2, DUTY, fence(3, 2, 9)), "an older epoch");
     assert!(
-        !leases.accept(1.3, DUTY, fence(4, 2, 9)),
+        !leases.accept_token(1.2, ROLE, token(3, 2, 9)),
+        "an older epoch"
+    );
+    assert!(
+        !leases.accept_token(1.3, ROLE, token(4, 2, 9)),
         "another under the same"
     );
     assert!(
-        !leases.accept(1.4, DUTY, fence(4, 1, 8)),
-        "a former life of the same"
+        !leases.accept_token(1.4, ROLE, token(4, 1, 8)),
+        "an earlier run of the same"
     );
-    assert!(leases.accept(1.5, DUTY, fence(5, 2, 9)));
-    assert_eq!(leases.counts().stale, 3);
+    assert!(leases.accept_token(1.5, ROLE, token(5, 2, 9)));
+    assert_eq!(leases.counters().stale_tokens, 3);
 }
 
-/// An acceptor says nothing while it may have forgotten a promise: after a start, and after its clock leapt.
+/// An acceptor is silent while it may have forgotten a promise: after a start, and after its clock has jumped.
 #[rstest]
 #[case::started(0.0, 1.0, false)]
 #[case::long_started(0.0, 4.0, true)]
@@ -376,23 +391,23 @@
 ) {
     let mut leases = Leases::new(MemberId(0), 3, LeaseConfig::default(), 1, 0.0);
     leases.tick(before);
-    let ask = Message::Request {
-        duty: DUTY,
+    let request = Message::Request {
+        role: ROLE,
         epoch: 1,
-        life: woadreach_lease::Incarnation(7),
-        ask: 1,
-        holds: false,
+        incarnation: Incarnation(7),
+        request_id: 1,
+        is_holder: false,
     };
-    let acts = leases.heard(now, MemberId(1), &ask);
-    assert_eq!(!acts.send.is_empty(), answers, "{acts:?}");
-    assert_eq!(leases.counts().jumped, u64::from(now < before));
+    let actions = leases.receive(now, MemberId(1), &request);
+    assert_eq!(!actions.messages.is_empty(), answers, "{actions:?}");
+    assert_eq!(leases.counters().clock_jumps, u64::from(now < before));
 }
 
 #[rstest]
 #[case::nothing(&[], true)]
 #[case::garbled(&[0xff, 0x03, 0x17], false)]
-#[case::another_s_holder(&seal(&[Message::Beacon { duty: DUTY, stamp: 1, fence: FencingToken { epoch: 1,
-    holder: MemberId(9), life: woadreach_lease::Incarnation(1) } }]), false)]
-fn what_cannot_be_read_is_refused(#[case] bytes: &[u8], #[case] sound: bool) {
-    assert_eq!(open(bytes, 3).is_some(), sound);
+#[case::a_holder_outside_the_roster(&seal(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
+    holder: MemberId(9), incarnation: Incarnation(1) } }]), false)]
+fn payloads_that_cannot_be_decoded_are_rejected(#[case] bytes: &[u8], #[case] is_valid: bool) {
+    assert_eq!(open(bytes, 3).is_some(), is_valid);
 }
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{debug, info, warn};
 use woadreach_lease::{
-    LeaseEvent, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles,
+    LeaseEvent, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles, SlowStartSplit,
 };
 use woadreach_membership::{Member, MemberId, Members, MembershipEvent, datagram};
 use woadreach_routing::api::{ZoneFailoverState, ZoneId};
@@ -146,12 +146,18 @@
         now,
     );
     zones.forced = figures.out.iter().map(|z| *z as u8).collect();
-    let cold = figures.cold.filter(|_| figures.warden);
+    let slow_start = figures
+        .cold
+        .filter(|_| figures.warden)
+        .map(|(member_count, window)| SlowStartSplit {
+            member_count,
+            window,
+        });
     let place = LocalMember {
-        me: id,
+        id,
         zone: figures.zone as u8,
-        roster,
-        cold,
+        roster_size: roster,
+        slow_start,
     };
     let leases = woadreach_lease::LeaseConfig::default();
     let duties = figures
@@ -208,7 +214,7 @@
             Some(word) = words.recv() => {
                 let now = task.net.now();
                 if let Some(duties) = &mut task.duties {
-                    duties.listed(now, word.replica, word.what);
+                    duties.record_list_report(now, word.replica, word.what);
                 }
             }
             came = task.socket.receive(&mut bytes) => match came {
@@ -249,15 +255,15 @@
                 "peers"
             );
             if let Some(duties) = &self.duties {
-                let c = duties.counts();
+                let c = duties.counters();
                 info!(
-                    held = duties.leases.held(now).len(),
-                    taken = c.held,
+                    held = duties.leases().held_roles(now).len(),
+                    taken = c.acquired,
                     lost = c.lost,
-                    stale = c.stale,
-                    jumped = c.jumped,
-                    refused = duties.refused,
-                    ahead = duties.ahead(),
+                    stale = c.stale_tokens,
+                    jumped = c.clock_jumps,
+                    refused = duties.rejected(),
+                    ahead = duties.updates_ahead_of_list(),
                     "duties"
                 );
             }
@@ -291,23 +297,23 @@
                 .min(u64::from(u32::MAX)) as u32;
             LocalDemand {
                 replica: *replica,
-                wants,
-                sent: *sent,
+                parts: wants,
+                sent_recently: *sent,
             }
         };
         let wants: Vec<LocalDemand> = told.colds.iter().map(want).collect();
-        let done = duties.look(now, self.peer.view(), &wants);
+        let done = duties.update(now, self.peer.view(), &wants);
         let mut rations = Vec::new();
         let mut kept = BTreeMap::new();
         for (replica, so_far, _) in &told.colds {
-            let times = duties.times(now, *replica);
+            let times = duties.multiple_of_even_share(now, *replica);
             if (times - before(replica).1).abs() > 1e-9 {
                 rations.push((*replica, times));
             }
             kept.insert(*replica, (*so_far, times));
         }
         self.wants = kept;
-        self.peer.role_messages = duties.riders(now);
+        self.peer.role_messages = duties.gossip(now);
         if !rations.is_empty() {
             // The core ends with the process.
             let _ = self
@@ -318,26 +324,31 @@
     }
 
     fn carry_duties(&mut self, done: RoleActions) {
-        for (to, bytes) in &done.send {
-            let out = self.peer.tell(*to, bytes);
+        for datagram in &done.datagrams {
+            let out = self.peer.tell(datagram.to, &datagram.bytes);
             self.carry_out(out);
         }
-        for change in &done.changes {
-            match change {
-                LeaseEvent::Acquired(duty, epoch) => {
+        for event in &done.events {
+            match event {
+                LeaseEvent::Acquired { role: duty, epoch } => {
                     info!(duty = ?duty, epoch, held = true, "lease")
                 }
-                LeaseEvent::Lost(duty, epoch) => info!(duty = ?duty, epoch, held = false, "lease"),
+                LeaseEvent::Lost { role: duty, epoch } => {
+                    info!(duty = ?duty, epoch, held = false, "lease")
+                }
             }
         }
-        for (duty, epoch) in &done.acts {
+        for action in &done.lease_actions {
             if self.figures.records {
-                info!(duty = ?duty, epoch, "act");
+                info!(duty = ?action.role, epoch = action.epoch, "act");
             }
         }
         let told = [
-            (!done.closed.is_empty()).then_some(RoleUpdate::Closed(done.closed)),
-            (!done.lapsed.is_empty()).then_some(RoleUpdate::Expired(done.lapsed)),
+            (!done.closed.is_empty()).then(|| {
+                let closed = done.closed.iter();
+                RoleUpdate::Closed(closed.map(|c| (c.replica, c.departure)).collect())
+            }),
+            (!done.expired.is_empty()).then_some(RoleUpdate::Expired(done.expired)),
         ];
         for told in told.into_iter().flatten() {
             let _ = self.events.send(Event::Role(told));
@@ -419,7 +430,7 @@
             );
         }
         if let (Some((from, bytes)), Some(duties)) = (&out.roles, &mut self.duties) {
-            let done = duties.heard(self.net.now(), *from, bytes);
+            let done = duties.receive(self.net.now(), *from, bytes);
             self.carry_duties(done);
         }
         if !out.turns.is_empty() {
--- a/crates/testing/process-tests/src/tally.rs
+++ b/crates/testing/process-tests/src/tally.rs
@@ -215,7 +215,7 @@
             handover_s_p99: quantile(0.99),
             handovers: handed.len(),
             gripped: self.grips.len(),
-            lease_s: woadreach_lease::LeaseConfig::default().lease,
+            lease_s: woadreach_lease::LeaseConfig::default().lease_duration,
         }
     }
 
