--- a/crates/router/membership/src/lib.rs
+++ b/crates/router/membership/src/lib.rs
@@ -1,17 +1,28 @@
-//! Which co-ordinators of a tier are there, as each hears it from the others in small datagrams.
+//! Which co-ordinators of a tier are alive, as each learns it from the others in small datagrams.
 //!
-//! [`Members`] decides: times and datagrams go in, datagrams and changes come out; it holds no socket and
-//! reads no clock. The protocol is SWIM by the `foca` crate; around it stand the tier's roster (the
-//! configured `peers`), Lifeguard's local health awareness, and a stand against self-delusion: one that hears
-//! at most half of its roster says of itself that it is cut off, and calls nobody dead. [`datagram`] is the
-//! envelope, which also carries zone_gossip of other packages. `docs/failover.md` has the options that were
-//! weighed.
+//! Start with [`Members`], the state machine: it takes times and messages and returns [`Actions`]; it has no socket and
+//! reads no clock. The protocol is SWIM (Das and others, 2002) as the `foca` crate implements it. Three things are added:
 //!
-//! Owns what is known of members; must never decide where a search goes, nor know what zone_gossip mean.
+//! - the roster: only the configured members can join, and those that are missing are asked to;
+//! - local health awareness (Lifeguard, Dadgar and others, 2018): a member whose own probes fail is slower to suspect;
+//! - partition detection: a member that hears at most half of the roster reports itself as cut off
+//!   ([`View::cut_off`]), instead of taking all others for dead.
+//!
+//! [`datagram`] is the envelope of everything that co-ordinators send each other. It also carries payloads of
+//! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read.
+//!
+//! Design, alternatives and the operators' page: `docs/failover.md`.
 
+mod actions;
+mod config;
 pub mod datagram;
-mod decide;
 mod member;
+mod members;
+mod protocol_state;
+mod view;
 
-pub use decide::{Actions, Members, MembershipConfig, MembershipEvent, View};
+pub use actions::{Actions, MembershipEvent, OutgoingMessage};
+pub use config::MembershipConfig;
 pub use member::{Member, MemberId};
+pub use members::Members;
+pub use view::View;
--- a/crates/router/membership/src/member.rs
+++ b/crates/router/membership/src/member.rs
@@ -1,20 +1,21 @@
-//! A member's name on the wire. Owns nothing; must never hold an address: each co-ordinator has its own for
-//! every other.
+//! How members are identified in messages. Addresses are not: each co-ordinator has its own table of them.
 
 use serde::{Deserialize, Serialize};
 
-/// A co-ordinator's place in the roster: the configured `peers`, in their order.
+/// A co-ordinator's position in the roster, which is the list of configured `peers` in its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A member as the protocol tells it: four bytes in most datagrams.
+/// A member's identity in the protocol; four bytes in most datagrams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// Its position in the roster.
     pub id: MemberId,
-    /// Its own zone, by the settings' order of zones.
+    /// Its own zone, as a position in the settings' list of zones.
     pub zone: u8,
-    /// Grows each time it is declared down by mistake or comes back: the later one stands.
-    pub turn: u16,
+    /// Increases each time the member joins again after it was declared down. Of two identities with one `id` the later
+    /// generation is valid. It wraps.
+    pub generation: u16,
 }
 
 impl foca::Identity for Member {
@@ -22,7 +23,7 @@
 
     fn renew(&self) -> Option<Self> {
         Some(Member {
-            turn: self.turn.wrapping_add(1),
+            generation: self.generation.wrapping_add(1),
             ..self.clone()
         })
     }
@@ -32,8 +33,8 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        // Turns wrap: the one that is less than half the circle ahead is the later.
-        let ahead = self.turn.wrapping_sub(other.turn);
+        // Generations wrap: the one that is less than half of the range ahead is the later.
+        let ahead = self.generation.wrapping_sub(other.generation);
         if ahead == 0 {
             self.zone > other.zone
         } else {
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members on a lossy network in virtual time: all of it from one seed.
+//! Members on a lossy network in simulated time. Each run is determined by its seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,21 +7,23 @@
 use woadreach_membership::datagram::{
     Body, MAX_BYTES, Rejection, VERSION, capacity_beside, decode, encode,
 };
-use woadreach_membership::{Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent};
+use woadreach_membership::{
+    Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent, OutgoingMessage,
+};
 
 struct Net {
     now: f64,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     loss: f64,
     members: BTreeMap<MemberId, Members>,
-    /// Stand still: what comes waits for them.
+    /// Stalled members: what is sent to them is lost.
     stalled: BTreeSet<MemberId>,
-    /// A side of a partition each; the same side hears each other.
+    /// The side of a partition on which each member is.
     side: BTreeMap<MemberId, u8>,
-    flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
+    in_flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
     sent: u64,
     bytes: u64,
-    changes: Vec<(f64, MemberId, MembershipEvent)>,
+    events: Vec<(f64, MemberId, MembershipEvent)>,
 }
 
 fn id(n: usize) -> MemberId {
@@ -32,7 +34,7 @@
     let me = Member {
         id: id(n),
         zone: (n % 3) as u8,
-        turn: 0,
+        generation: 0,
     };
     Members::new(me, roster, MembershipConfig::default(), 7 + n as u64, now)
 }
@@ -41,39 +43,42 @@
     fn new(n: usize, loss: f64, seed: u64) -> Net {
         Net {
             now: 0.0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            random: Pcg64Mcg::seed_from_u64(seed),
             loss,
             members: (0..n).map(|i| (id(i), member(i, n, 0.0))).collect(),
             stalled: BTreeSet::new(),
             side: BTreeMap::new(),
-            flight: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             bytes: 0,
-            changes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    fn take(&mut self, from: MemberId, acts: Actions) {
-        self.changes
-            .extend(acts.changes.into_iter().map(|c| (self.now, from, c)));
-        for (to, message) in acts.send {
+    fn execute(&mut self, from: MemberId, actions: Actions) {
+        self.events
+            .extend(actions.events.into_iter().map(|c| (self.now, from, c)));
+        for OutgoingMessage { to, bytes } in actions.messages {
             let body = encode(&Body {
                 from,
-                swim: &message,
+                swim: &bytes,
                 zone_gossip: &[],
                 roles: &[],
             })
             .expect("it fits");
             self.sent += 1;
             self.bytes += body.len() as u64;
-            if self.chance.random_bool(self.loss) || self.side.get(&from) != self.side.get(&to) {
+            if self.random.random_bool(self.loss) || self.side.get(&from) != self.side.get(&to) {
                 continue;
             }
-            // One in fifty comes twice, each at its own time, so that they overtake each other.
-            for _ in 0..if self.chance.random_bool(0.02) { 2 } else { 1 } {
-                let at = self.now + 0.001 + 0.02 * self.chance.random::<f64>();
-                self.flight.insert(
-                    ((at * 1e6) as u64, self.sent * 2 + self.flight.len() as u64),
+            // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
+            for _ in 0..if self.random.random_bool(0.02) { 2 } else { 1 } {
+                let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
+                self.in_flight.insert(
+                    (
+                        (at * 1e6) as u64,
+                        self.sent * 2 + self.in_flight.len() as u64,
+                    ),
                     (from, to, body.clone()),
                 );
             }
@@ -84,7 +89,7 @@
         while self.now < until {
             self.now += 0.005;
             while let Some(entry) = self
-                .flight
+                .in_flight
                 .first_entry()
                 .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
             {
@@ -92,10 +97,10 @@
                 if self.stalled.contains(&to) {
                     continue;
                 }
-                let body = decode(&bytes).expect("sound");
+                let body = decode(&bytes).expect("it can be decoded");
                 if let Some(m) = self.members.get_mut(&to) {
-                    let acts = m.heard(self.now, body.swim);
-                    self.take(to, acts);
+                    let actions = m.receive(self.now, body.swim);
+                    self.execute(to, actions);
                 }
             }
             let due: Vec<_> = self
@@ -109,8 +114,8 @@
                 .filter(|i| !self.stalled.contains(i))
                 .collect::<Vec<_>>()
             {
-                if let Some(acts) = self.members.get_mut(&i).map(|m| m.tick(self.now)) {
-                    self.take(i, acts);
+                if let Some(actions) = self.members.get_mut(&i).map(|m| m.tick(self.now)) {
+                    self.execute(i, actions);
                 }
             }
         }
@@ -121,7 +126,7 @@
     }
 
     fn downs(&self) -> usize {
-        self.changes
+        self.events
             .iter()
             .filter(|c| matches!(c.2, MembershipEvent::Down(_)))
             .count()
@@ -132,7 +137,7 @@
 #[case(3, 0.0)]
 #[case(6, 0.3)]
 #[case(100, 0.1)]
-fn all_who_start_together_know_each_other_and_stay(#[case] n: usize, #[case] loss: f64) {
+fn members_that_start_together_find_each_other_and_stay(#[case] n: usize, #[case] loss: f64) {
     let mut net = Net::new(n, loss, 1);
     net.run(10.0);
     assert!(
@@ -148,8 +153,8 @@
     assert_eq!(zones, (0..n).map(|i| (i % 3) as u8).collect::<Vec<_>>());
     let (sent, bytes, downs) = (net.sent, net.bytes, net.downs());
     net.run(40.0);
-    assert_eq!(net.downs(), downs, "loss alone kills nobody");
-    // SWIM: a probe and an answer a period each, and what loss adds.
+    assert_eq!(net.downs(), downs, "loss alone makes nobody down");
+    // SWIM: a probe and an answer each period, and what loss adds.
     let rate = (net.sent - sent) as f64 / 30.0 / n as f64;
     println!(
         "{n} members, loss {loss}: {rate:.1} datagrams, {:.0} bytes a second a member",
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn one_that_dies_is_down_for_all_and_comes_back() {
+fn a_crashed_member_is_down_for_all_and_rejoins() {
     let mut net = Net::new(6, 0.1, 2);
     net.run(10.0);
     net.members.remove(&id(5));
@@ -172,19 +177,19 @@
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once() {
+fn a_member_that_leaves_is_down_at_once() {
     let mut net = Net::new(6, 0.0, 3);
     net.run(10.0);
     let now = net.now;
-    let acts = net.members.get_mut(&id(5)).expect("there").leave(now);
-    net.take(id(5), acts);
+    let actions = net.members.get_mut(&id(5)).expect("there").leave(now);
+    net.execute(id(5), actions);
     net.members.remove(&id(5));
     net.run(now + 1.0);
     assert!(net.agree(5));
 }
 
-/// After both sides have declared each other down they find each other again; the minority says all along
-/// that it is the one cut off.
+/// After both sides have declared each other down they find each other again; the minority reports all along
+/// that it is the one that is cut off.
 #[test]
 fn a_partition_heals_and_only_the_minority_is_cut_off() {
     let mut net = Net::new(5, 0.0, 4);
@@ -200,9 +205,9 @@
     assert!(net.members.values().all(|m| !m.view().cut_off));
 }
 
-/// One that has stood still for longer than a suspicion condemns nobody when it goes on, and is back itself.
+/// A member that has stalled for longer than a suspicion lasts declares nobody down when it resumes, and rejoins.
 #[test]
-fn one_that_stood_still_condemns_nobody() {
+fn a_stalled_member_declares_nobody_down() {
     let mut net = Net::new(6, 0.0, 5);
     net.run(10.0);
     net.stalled.insert(id(2));
@@ -211,7 +216,7 @@
     let woken = net.now;
     net.run(30.0);
     let wrong = net
-        .changes
+        .events
         .iter()
         .filter(|c| c.0 > woken && matches!(c.2, MembershipEvent::Down(d) if d != id(2)));
     assert_eq!(wrong.count(), 0);
@@ -219,16 +224,16 @@
 }
 
 #[test]
-fn a_name_beyond_the_roster_is_no_member() {
+fn an_id_outside_the_roster_is_no_member() {
     let mut net = Net::new(3, 0.0, 6);
-    // It believes in a larger roster, of which it is the last.
+    // It is configured with a larger roster, of which it is the last.
     net.members.insert(id(9), member(9, 10, 0.0));
     net.run(10.0);
     assert!((0..3).all(|i| net.members[&id(i)].view().live.len() == 3));
 }
 
 #[test]
-fn the_envelope_is_read_as_it_was_sealed() {
+fn a_datagram_is_decoded_as_it_was_encoded() {
     let swim = vec![7; 120];
     let roles = vec![3; 40];
     let zone_gossip = vec![9; capacity_beside(swim.len() + roles.len())];
@@ -238,27 +243,27 @@
         zone_gossip: &zone_gossip,
         roles: &roles,
     };
-    let bytes = encode(&body).expect("the room is what fits");
+    let bytes = encode(&body).expect("it has the capacity");
     assert!(bytes.len() <= MAX_BYTES && bytes.len() + 5 > MAX_BYTES);
     assert_eq!(decode(&bytes), Ok(body));
 }
 
 #[rstest]
-#[case::nothing(vec![], Rejection::Garbled)]
-#[case::version(vec![VERSION + 1, 0, 0, 0], Rejection::Version)]
-#[case::cut(vec![VERSION, 1, 5, 1, 2], Rejection::Garbled)]
-#[case::longer_than_it_says(vec![VERSION, 1, 0, 0, 0, 0], Rejection::Garbled)]
-#[case::a_length_beyond_reason(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Rejection::Garbled)]
+#[case::nothing(vec![], Rejection::Malformed)]
+#[case::version(vec![VERSION + 1, 0, 0, 0], Rejection::UnknownVersion)]
+#[case::cut(vec![VERSION, 1, 5, 1, 2], Rejection::Malformed)]
+#[case::longer_than_it_says(vec![VERSION, 1, 0, 0, 0, 0], Rejection::Malformed)]
+#[case::a_length_beyond_reason(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Rejection::Malformed)]
 #[case::oversize(vec![VERSION; MAX_BYTES + 1], Rejection::Oversize)]
-fn what_is_not_sound_is_refused(#[case] bytes: Vec<u8>, #[case] why: Rejection) {
+fn malformed_datagrams_are_rejected(#[case] bytes: Vec<u8>, #[case] why: Rejection) {
     assert_eq!(decode(&bytes), Err(why));
 }
 
 #[test]
-fn a_message_that_is_garbled_is_counted_and_changes_nothing() {
+fn a_malformed_message_is_counted_and_changes_nothing() {
     let mut m = member(0, 3, 0.0);
     let before = m.view().clone();
-    let acts = m.heard(0.0, &[1, 2, 3, 250, 251]);
-    assert!(acts.send.is_empty() && acts.changes.is_empty());
-    assert_eq!((m.unusable, m.view()), (1, &before));
+    let actions = m.receive(0.0, &[1, 2, 3, 250, 251]);
+    assert!(actions.messages.is_empty() && actions.events.is_empty());
+    assert_eq!((m.unusable_messages(), m.view()), (1, &before));
 }
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -118,7 +118,7 @@
     let me = Member {
         id,
         zone: figures.zone as u8,
-        turn: 0,
+        generation: 0,
     };
     let roster = figures.roster.len();
     let members = Members::new(
@@ -247,7 +247,7 @@
                 live = view.live.len(),
                 roster = view.roster,
                 cut_off = view.cut_off,
-                health = self.peer.members.health(),
+                health = self.peer.members.local_health(),
                 sent = c.sent,
                 bytes = c.bytes,
                 taken = c.taken,
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -4,7 +4,7 @@
 use crate::decide::{Turn, ZoneObservation, Zones};
 use std::collections::BTreeMap;
 use woadreach_membership::datagram::{self, Body, Rejection};
-use woadreach_membership::{Actions, MemberId, Members, MembershipEvent, View};
+use woadreach_membership::{Actions, MemberId, Members, MembershipEvent, OutgoingMessage, View};
 
 /// While something is about to change, reports go to so many others at each look beside the members' own
 /// datagrams. At 300 members each round reaches four times as many; with two of them eight plays at 10 %
@@ -71,7 +71,7 @@
 
     pub fn counts(&self) -> PeerCounters {
         PeerCounters {
-            unusable: self.members.unusable + self.zones.refused,
+            unusable: self.members.unusable_messages() + self.zones.refused,
             ..self.counts.clone()
         }
     }
@@ -91,7 +91,7 @@
             if named {
                 Ok(body)
             } else {
-                Err(Rejection::Name)
+                Err(Rejection::WrongSender)
             }
         });
         let body = match body {
@@ -111,7 +111,7 @@
                 ..Out::default()
             };
         }
-        let acts = self.members.heard(now, body.swim);
+        let acts = self.members.receive(now, body.swim);
         Out {
             roles,
             ..self.out(now, acts)
@@ -160,7 +160,7 @@
             to = 1;
             self.next_push = now + PUSH_LATER;
         }
-        for to in self.members.some(to) {
+        for to in self.members.random_peers(to) {
             let room = datagram::capacity_beside(self.role_messages.len());
             let gossip = self.zones.gossip(now, room, self.members.view());
             if !gossip.is_empty() {
@@ -176,10 +176,10 @@
 
     fn out(&mut self, now: f64, acts: Actions) -> Out {
         let mut out = Out {
-            changes: acts.changes,
+            changes: acts.events,
             ..Out::default()
         };
-        for (to, message) in acts.send {
+        for OutgoingMessage { to, bytes: message } in acts.messages {
             let room = datagram::capacity_beside(message.len() + self.role_messages.len());
             let gossip = self.zones.gossip(now, room, self.members.view());
             self.send(to, &message, &gossip, &mut out);
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -40,7 +40,11 @@
         let peers = (0..members).map(|n| {
             let id = MemberId(n as u16);
             let zone = zone_of(id, zones) as u8;
-            let me = Member { id, zone, turn: 0 };
+            let me = Member {
+                id,
+                zone,
+                generation: 0,
+            };
             let m = Members::new(
                 me,
                 members,
