--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -1,5 +1,4 @@
-//! What members say to each other of duties, held still: recorded bytes read as they did, and are written
-//! again the same.
+//! Messages between members on singleton roles: recorded bytes are decoded as before, and encoded to the same.
 
 #[path = "../../../../tests/recorded/lines.rs"]
 mod recorded;
@@ -7,8 +6,8 @@
 use recorded::{Records, inverted, unhex};
 use rstest::rstest;
 use woadreach_lease::{
-    Departure, EndpointUpdate, FencingToken, Incarnation, MAX_MESSAGES, Message, QuotaGrant,
-    ReplicaDemand, ReplicaKey, Role, open, seal,
+    ClockStamp, Departure, EndpointUpdate, FencingToken, Incarnation, MAX_MESSAGES, Message,
+    QuotaGrant, ReplicaDemand, ReplicaKey, Role, open, seal,
 };
 use woadreach_membership::MemberId;
 
@@ -21,92 +20,92 @@
     ))
 }
 
-fn fence() -> FencingToken {
+fn token() -> FencingToken {
     FencingToken {
         epoch: 70_000,
         holder: MemberId(299),
-        life: Incarnation(40_000),
+        incarnation: Incarnation(40_000),
     }
 }
 
 /// A message of each kind, with numbers of one byte on the wire and of several.
 fn messages() -> Vec<Message> {
-    let (list, warden, fence) = (Role::EndpointWatch(2), Role::QuotaAllocator(200), fence());
+    let (watch, allocator, token) = (Role::EndpointWatch(2), Role::QuotaAllocator(200), token());
     let (small, large) = (ReplicaKey(1), ReplicaKey(u32::MAX));
     vec![
         Message::Request {
-            duty: list,
+            role: watch,
             epoch: 1,
-            life: Incarnation(2),
-            ask: 3,
-            holds: false,
+            incarnation: Incarnation(2),
+            request_id: 3,
+            is_holder: false,
         },
         Message::Granted {
-            duty: warden,
+            role: allocator,
             epoch: u32::MAX,
-            life: Incarnation(u16::MAX),
-            ask: u16::MAX,
+            incarnation: Incarnation(u16::MAX),
+            request_id: u16::MAX,
         },
         Message::Denied {
-            duty: list,
+            role: watch,
             epoch: 128,
-            life: Incarnation(127),
-            ask: 300,
-            wait: 65_000,
+            incarnation: Incarnation(127),
+            request_id: 300,
+            wait_centis: 65_000,
         },
         Message::Release {
-            duty: warden,
+            role: allocator,
             epoch: 0,
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
         },
         Message::EndpointUpdates {
-            duty: list,
-            fence,
-            facts: vec![
+            role: watch,
+            token,
+            updates: vec![
                 EndpointUpdate {
                     replica: small,
-                    what: Departure::Draining,
+                    departure: Departure::Draining,
                 },
                 EndpointUpdate {
                     replica: large,
-                    what: Departure::Departed,
+                    departure: Departure::Departed,
                 },
             ],
         },
         Message::Beacon {
-            duty: warden,
-            fence,
-            stamp: 65_535,
+            role: allocator,
+            token,
+            sent_at: ClockStamp(65_535),
         },
         Message::Demands {
-            duty: warden,
-            fence,
-            stamp: 1,
-            own: 500,
-            offers: vec![
+            role: allocator,
+            token,
+            beacon_sent_at: ClockStamp(1),
+            sent_at: ClockStamp(500),
+            demands: vec![
                 ReplicaDemand {
                     replica: small,
-                    wants: 0,
+                    parts: 0,
                 },
                 ReplicaDemand {
                     replica: large,
-                    wants: 255,
+                    parts: 255,
                 },
             ],
         },
         Message::QuotaGrants {
-            duty: warden,
-            fence,
-            own: 500,
-            lasts: 270,
-            shares: vec![
+            role: allocator,
+            token,
+            demands_sent_at: ClockStamp(500),
+            valid_for_centis: 270,
+            grants: vec![
                 QuotaGrant {
                     replica: small,
-                    of: 0,
+                    fraction: 0,
                 },
                 QuotaGrant {
                     replica: large,
-                    of: 65_535,
+                    fraction: 65_535,
                 },
             ],
         },
@@ -130,16 +129,16 @@
 /// Each message by itself, and what else a datagram may hold.
 fn samples() -> Vec<(&'static str, Vec<Message>)> {
     let holder = Message::Request {
-        duty: Role::QuotaAllocator(3),
+        role: Role::QuotaAllocator(3),
         epoch: 9,
-        life: Incarnation(8),
-        ask: 7,
-        holds: true,
+        incarnation: Incarnation(8),
+        request_id: 7,
+        is_holder: true,
     };
     let nothing = Message::EndpointUpdates {
-        duty: Role::EndpointWatch(0),
-        fence: fence(),
-        facts: Vec::new(),
+        role: Role::EndpointWatch(0),
+        token: token(),
+        updates: Vec::new(),
     };
     let mut samples: Vec<_> = messages()
         .into_iter()
@@ -170,7 +169,7 @@
 }
 
 #[test]
-fn messages_that_are_cut_or_run_on_are_refused() {
+fn messages_that_are_truncated_or_too_long_are_rejected() {
     for (name, messages) in samples() {
         let mut bytes = datagrams().bytes(name, &seal(&messages));
         for end in 1..bytes.len() {
@@ -181,7 +180,7 @@
     }
 }
 
-/// Numbers that were changed on the way cannot be told; a form that was changed is.
+/// Changed numbers can't be detected; changes of the form are.
 #[test]
 fn inverted_bytes_fare_as_they_did() {
     let outcomes = Records::at(concat!(
@@ -201,13 +200,13 @@
 #[case::no_messages("00", Some(0))]
 #[case::more_claimed_than_come("02 0300010203", None)]
 #[case::ninth_kind("01 0800010203", None)]
-#[case::third_duty("01 0302010203", None)]
+#[case::third_role("01 0302010203", None)]
 #[case::release("01 0300010203", Some(1))]
 #[case::epoch_beyond_its_bits("01 030001ffffffff1f03", None)]
-#[case::life_beyond_its_bits("01 03000102ffff07", None)]
+#[case::incarnation_beyond_its_bits("01 03000102ffff07", None)]
 #[case::number_that_never_ends("01 030001ffffffffffffffff", None)]
-#[case::holds_that_is_no_truth_value("01 000001010203 02", None)]
-#[case::third_way_to_go("01 0400010101010101 02", None)]
+#[case::is_holder_that_is_no_truth_value("01 000001010203 02", None)]
+#[case::third_departure("01 0400010101010101 02", None)]
 #[case::holder_of_the_roster("01 050001 01ab0201 01", Some(1))]
 #[case::holder_beyond_the_roster("01 050001 01ac0201 01", None)]
 #[case::text("68656c6c6f", None)]
@@ -221,7 +220,7 @@
 }
 
 #[test]
-fn more_messages_than_may_be_are_refused() {
+fn too_many_messages_are_rejected() {
     let (_, mut messages) = samples().pop().expect("there are samples");
     messages.push(messages[0].clone());
     assert_eq!(open(&seal(&messages), ROSTER), None);
@@ -246,11 +245,11 @@
     );
 }
 
-/// As logs name them, and rigs that read those.
+/// Test programs that read logs depend on these names.
 #[test]
-fn duties_are_named_in_logs_as_they_were() {
+fn roles_have_their_recorded_names_in_logs() {
     assert_eq!(
-        [Role::EndpointWatch(2), Role::QuotaAllocator(0)].map(|duty| format!("{duty:?}")),
+        [Role::EndpointWatch(2), Role::QuotaAllocator(0)].map(|role| format!("{role:?}")),
         ["EndpointWatch(2)", "QuotaAllocator(0)"]
     );
 }
--- a/crates/router/membership/tests/recorded.rs
+++ b/crates/router/membership/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! The envelope of datagrams and the messages of the membership protocol, held still: recorded bytes read as
-//! they did, and are written again the same.
+//! The envelope of datagrams and the messages of the membership protocol: recorded bytes are decoded as before, and
+//! encoded to the same.
 
 #[path = "../../../../tests/recorded/lines.rs"]
 mod recorded;
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use woadreach_membership::datagram::{Body, MAX_BYTES, Rejection, capacity_beside, decode, encode};
-use woadreach_membership::{Member, MemberId, Members, MembershipConfig};
+use woadreach_membership::{Member, MemberId, Members, MembershipConfig, OutgoingMessage};
 
 const ROSTER: usize = 300;
 
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn datagrams_that_are_cut_or_run_on_are_garbled() {
+fn datagrams_that_are_truncated_or_too_long_are_malformed() {
     for (name, body) in bodies() {
         let mut bytes = envelopes().bytes(name, &encode(&body).expect("it is short enough"));
         for end in 0..bytes.len() {
             assert_eq!(
                 decode(&bytes[..end]),
-                Err(Rejection::Garbled),
+                Err(Rejection::Malformed),
                 "{name}, cut at {end}"
             );
         }
         bytes.push(0);
         assert_eq!(
             decode(&bytes),
-            Err(Rejection::Garbled),
+            Err(Rejection::Malformed),
             "{name}, with a further byte"
         );
     }
@@ -86,13 +86,13 @@
 }
 
 #[rstest]
-#[case::first_version("0100000000", Rejection::Version)]
-#[case::next_version("0300000000", Rejection::Version)]
-#[case::version_alone("02", Rejection::Garbled)]
-#[case::sender_beyond_its_bits("02ffff0f000000", Rejection::Garbled)]
-#[case::sender_that_never_ends("02ffffffffffff", Rejection::Garbled)]
-#[case::contents_longer_than_all("02000500000000", Rejection::Garbled)]
-#[case::text("68656c6c6f", Rejection::Version)]
+#[case::first_version("0100000000", Rejection::UnknownVersion)]
+#[case::next_version("0300000000", Rejection::UnknownVersion)]
+#[case::version_alone("02", Rejection::Malformed)]
+#[case::sender_beyond_its_bits("02ffff0f000000", Rejection::Malformed)]
+#[case::sender_that_never_ends("02ffffffffffff", Rejection::Malformed)]
+#[case::contents_longer_than_all("02000500000000", Rejection::Malformed)]
+#[case::text("68656c6c6f", Rejection::UnknownVersion)]
 fn foreign_datagrams(#[case] hex: &str, #[case] why: Rejection) {
     assert_eq!(decode(&unhex(hex)), Err(why));
 }
@@ -120,11 +120,11 @@
     assert_eq!(decode(&[2; 257]), Err(Rejection::Oversize));
 }
 
-fn member(id: u16, zone: u8, turn: u16) -> Member {
+fn member(id: u16, zone: u8, generation: u16) -> Member {
     Member {
         id: MemberId(id),
         zone,
-        turn,
+        generation,
     }
 }
 
@@ -269,14 +269,14 @@
     assert_eq!(records("membership.hex").names(), sorted(names));
 }
 
-/// Each is of use to a member that hears it first of all, and tells it of its sender.
+/// Each can be used by a member that receives it first of all, and makes its sender known.
 #[test]
-fn members_take_recorded_messages() {
+fn members_accept_recorded_messages() {
     for (name, swim) in swims() {
-        let mut hearer = members(0);
-        hearer.heard(0.0, &records("membership.hex").bytes(&name, &write(&swim)));
-        let live: Vec<u16> = hearer.view().live.keys().map(|id| id.0).collect();
-        let today = format!("{} unusable, live {live:?}", hearer.unusable);
+        let mut receiver = members(0);
+        receiver.receive(0.0, &records("membership.hex").bytes(&name, &write(&swim)));
+        let live: Vec<u16> = receiver.view().live.keys().map(|id| id.0).collect();
+        let today = format!("{} unusable, live {live:?}", receiver.unusable_messages());
         assert_eq!(records("taken.txt").text(&name, &today), today, "{name}");
     }
 }
@@ -287,35 +287,39 @@
     for (name, swim) in swims() {
         let bytes = records("membership.hex").bytes(&name, &write(&swim));
         let outcome = |end: usize| {
-            let mut hearer = members(0);
-            hearer.heard(0.0, &bytes[..end]);
-            if hearer.unusable > 0 { 'u' } else { 't' }
+            let mut receiver = members(0);
+            receiver.receive(0.0, &bytes[..end]);
+            if receiver.unusable_messages() > 0 {
+                'u'
+            } else {
+                't'
+            }
         };
         let today: String = (0..bytes.len()).map(outcome).collect();
         assert_eq!(records("cut.txt").text(&name, &today), today, "{name}");
     }
 }
 
-/// What two members say to each other is of these forms, and nothing of it is lost on the way through them.
+/// Messages of two members have these forms, and are the same after decoding and encoding.
 #[test]
-fn what_members_say_is_read_and_written_the_same() {
+fn messages_of_members_are_decoded_and_encoded_the_same() {
     let mut both = [members(0), members(1)];
     let mut kinds = BTreeSet::new();
-    let mut said: Vec<(MemberId, Vec<u8>)> = Vec::new();
+    let mut in_flight: Vec<OutgoingMessage> = Vec::new();
     for step in 0..100 {
         let now = f64::from(step) * 0.05;
-        for (to, message) in std::mem::take(&mut said) {
-            let swim = read(&message);
+        for OutgoingMessage { to, bytes } in std::mem::take(&mut in_flight) {
+            let swim = read(&bytes);
             kinds.insert(name(&swim.0.message));
-            assert_eq!(write(&swim), message);
-            if let Some(hearer) = both.get_mut(usize::from(to.0)) {
-                said.extend(hearer.heard(now, &message).send);
+            assert_eq!(write(&swim), bytes);
+            if let Some(receiver) = both.get_mut(usize::from(to.0)) {
+                in_flight.extend(receiver.receive(now, &bytes).messages);
             }
         }
         both.iter_mut()
-            .for_each(|member| said.extend(member.tick(now).send));
+            .for_each(|member| in_flight.extend(member.tick(now).messages));
     }
-    assert_eq!(both.map(|member| member.unusable), [0, 0]);
+    assert_eq!(both.map(|member| member.unusable_messages()), [0, 0]);
     assert!(
         ["announce", "feed", "ping", "ack", "gossip"]
             .iter()
--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -6,11 +6,11 @@
 use recorded::Records;
 use rstest::rstest;
 use woadreach_lease::{
-    Departure, EndpointUpdate, FencingToken, Incarnation, Message, ReplicaKey, Role,
+    ClockStamp, Departure, EndpointUpdate, FencingToken, Incarnation, Message, ReplicaKey, Role,
 };
 use woadreach_membership::MemberId;
 use woadreach_membership::datagram::{self, Body};
-use woadreach_zone_failover::{GossipPayload, Report, ZoneVerdict};
+use woadreach_zone_failover::{GossipPayload, PartCounts, Report, ZoneVerdict};
 use woadreachd::events::{Entry, Lifecycle};
 use woadreachd::{frame, list};
 
@@ -218,29 +218,30 @@
 #[test]
 fn a_datagram_with_all_riders_is_read_and_written_as_it_was() {
     let (zones, roster) = (2, 6);
+    let parts = [(9, 0), (12, 12)].map(|(seen, failed)| PartCounts { seen, failed });
     let riders = GossipPayload {
         verdicts: vec![ZoneVerdict::new(1, 3, 2.5, 1)],
-        reports: vec![Report::new(MemberId(4), 1, 200, 40.0, &[(9, 0), (12, 12)]).aged(0.5)],
+        reports: vec![Report::new(MemberId(4), 1, 200, 40.0, &parts).with_age(0.5)],
     };
-    let fence = FencingToken {
+    let token = FencingToken {
         epoch: 5,
         holder: MemberId(4),
-        life: Incarnation(700),
+        incarnation: Incarnation(700),
     };
-    let facts = vec![EndpointUpdate {
+    let updates = vec![EndpointUpdate {
         replica: ReplicaKey::named("r-1", 1.5),
-        what: Departure::Draining,
+        departure: Departure::Draining,
     }];
     let messages = vec![
         Message::EndpointUpdates {
-            duty: Role::EndpointWatch(1),
-            fence,
-            facts,
+            role: Role::EndpointWatch(1),
+            token,
+            updates,
         },
         Message::Beacon {
-            duty: Role::QuotaAllocator(0),
-            fence,
-            stamp: 1234,
+            role: Role::QuotaAllocator(0),
+            token,
+            sent_at: ClockStamp(1234),
         },
     ];
     let (carried, duties) = (riders.seal(), woadreach_lease::seal(&messages));
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! What rides on datagrams between co-ordinators, held still: recorded bytes read as they did, and are
-//! written again the same, by themselves and in a whole datagram.
+//! Gossip payloads of co-ordinators: recorded bytes are decoded as before, and encoded to the same, by themselves and in
+//! a complete datagram.
 
 #[path = "../../../../tests/recorded/lines.rs"]
 mod recorded;
@@ -10,7 +10,8 @@
 use woadreach_membership::datagram::{Body, Rejection, decode, encode};
 use woadreach_membership::{Member, MemberId, Members};
 use woadreach_zone_failover::{
-    GossipPayload, InvalidPayload, Peer, Report, ZoneFailoverConfig, ZoneVerdict, Zones,
+    GossipPayload, InvalidPayload, OutgoingDatagram, PartCounts, Peer, Report, RolePayload,
+    ZoneFailoverConfig, ZoneVerdict, Zones,
 };
 
 const ZONES: usize = 3;
@@ -32,18 +33,19 @@
 }
 
 fn reports() -> Vec<Report> {
-    let rows = [(0, 0), (15, 15), (1000, 300)];
+    let parts = |seen, failed| PartCounts { seen, failed };
+    let zones = [parts(0, 0), parts(15, 15), parts(1000, 300)];
     vec![
-        Report::new(MemberId(0), 0, 0, 0.0, &[(0, 0); ZONES]),
-        Report::new(MemberId(299), 2, 255, 100.0, &rows).aged(1.0),
+        Report::new(MemberId(0), 0, 0, 0.0, &[parts(0, 0); ZONES]),
+        Report::new(MemberId(299), 2, 255, 100.0, &zones).with_age(1.0),
         Report::new(
             MemberId(130),
             1,
             128,
             1e12,
-            &[(7, 9), (1, 1), (u32::from(u16::MAX), 0)],
+            &[parts(7, 9), parts(1, 1), parts(u32::from(u16::MAX), 0)],
         )
-        .aged(1e6),
+        .with_age(1e6),
     ]
 }
 
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn recorded_riders_read_and_are_written_the_same() {
+fn recorded_payloads_are_decoded_and_encoded_the_same() {
     for (name, payload) in samples() {
         let kept = kept(name, &payload);
         assert_eq!(
@@ -83,7 +85,7 @@
 
 /// The scales of ages and demands, and the roundings of rows, as the receiver has them.
 #[test]
-fn recorded_riders_mean_what_they_meant() {
+fn recorded_payloads_have_their_values() {
     let (_, payload) = samples().pop().expect("there are samples");
     let read = GossipPayload::open(&kept("both", &payload), ZONES, ROSTER).expect("they are sound");
     let verdicts: Vec<_> = read
@@ -100,13 +102,17 @@
         ]
     );
     let of = |r: &Report| {
+        let parts = |zone| {
+            let parts = r.parts(zone);
+            (parts.seen, parts.failed)
+        };
         (
             r.member.0,
             r.zone,
-            r.nth,
+            r.sequence,
             r.age(),
-            [r.row(0), r.row(1), r.row(2)],
-            r.row(3),
+            [parts(0), parts(1), parts(2)],
+            parts(3),
         )
     };
     let reports: Vec<_> = read.reports.iter().map(of).collect();
@@ -125,20 +131,20 @@
 }
 
 #[test]
-fn riders_that_are_cut_or_run_on_are_refused() {
+fn payloads_that_are_truncated_or_too_long_are_rejected() {
     for (name, payload) in samples() {
         let mut bytes = kept(name, &payload);
         for end in 1..bytes.len() {
             assert_eq!(
                 GossipPayload::open(&bytes[..end], ZONES, ROSTER),
-                Err(InvalidPayload),
+                Err(InvalidPayload::Malformed),
                 "{name}, cut at {end}"
             );
         }
         bytes.push(0);
         assert_eq!(
             GossipPayload::open(&bytes, ZONES, ROSTER),
-            Err(InvalidPayload),
+            Err(InvalidPayload::Malformed),
             "{name}, with a further byte"
         );
     }
@@ -164,23 +170,23 @@
 #[case::report_of_the_last_member("00 01 ab02 00 00 00 00 03000000", true)]
 #[case::report_beyond_the_roster("00 01 ac02 00 00 00 00 03000000", false)]
 #[case::report_from_beyond_the_zones("00 01 00 03 00 00 00 03000000", false)]
-#[case::too_few_rows("00 01 00 00 00 00 00 020000", false)]
-#[case::too_many_rows("00 01 00 00 00 00 00 0400000000", false)]
-#[case::more_bad_than_seen("00 01 00 00 00 00 00 030f0000", true)]
+#[case::too_few_zones("00 01 00 00 00 00 00 020000", false)]
+#[case::too_many_zones("00 01 00 00 00 00 00 0400000000", false)]
+#[case::more_failed_than_seen("00 01 00 00 00 00 00 030f0000", true)]
 #[case::more_claimed_than_come("02 02000000 00", false)]
 #[case::epoch_beyond_its_bits("01 02 ffffffff1f 00 00 00", false)]
 #[case::number_that_never_ends("ffffffffffffffffffff", false)]
 #[case::text("68656c6c6f", false)]
-fn foreign_bytes(#[case] hex: &str, #[case] sound: bool) {
+fn foreign_bytes(#[case] hex: &str, #[case] is_valid: bool) {
     let bytes = unhex(&hex.replace(' ', ""));
-    assert_eq!(GossipPayload::open(&bytes, ZONES, ROSTER).is_ok(), sound);
+    assert_eq!(GossipPayload::open(&bytes, ZONES, ROSTER).is_ok(), is_valid);
 }
 
 fn peer() -> Peer {
     let me = Member {
         id: MemberId(0),
         zone: 0,
-        turn: 0,
+        generation: 0,
     };
     let members = Members::new(
         me,
@@ -205,7 +211,14 @@
 
 const ROLE_MESSAGES: &[u8] = b"duties";
 
-/// A member asks another to join; both payload are with it.
+fn role_payload() -> RolePayload {
+    RolePayload {
+        from: MemberId(1),
+        bytes: ROLE_MESSAGES.to_vec(),
+    }
+}
+
+/// A member asks another to join; both payloads are with it.
 fn datagram() -> Vec<u8> {
     let announce = unhex("0101020600000006");
     let (_, payload) = samples().swap_remove(1);
@@ -223,27 +236,31 @@
 }
 
 #[test]
-fn a_recorded_datagram_is_taken_with_all_that_it_carries() {
+fn a_recorded_datagram_is_accepted_with_all_payloads() {
     let bytes = datagram();
     let mut peer = peer();
-    let out = peer.heard(1.0, Some(MemberId(1)), &bytes);
-    assert_eq!(out.roles, Some((MemberId(1), ROLE_MESSAGES.to_vec())));
+    let actions = peer.receive(1.0, Some(MemberId(1)), &bytes);
+    assert_eq!(actions.roles, Some(role_payload()));
     assert_eq!(
         peer.view().live,
         BTreeMap::from([(MemberId(0), 0), (MemberId(1), 1)])
     );
-    let counts = peer.counts();
+    let counters = peer.counters();
     assert_eq!(
-        (counts.taken, counts.unusable, counts.refused.len()),
+        (
+            counters.accepted,
+            counters.unusable,
+            counters.rejected.len()
+        ),
         (1, 0, 0)
     );
 }
 
 #[test]
-fn what_a_peer_tells_is_written_as_it_was() {
-    let out = peer().tell(MemberId(1), ROLE_MESSAGES);
-    let [(to, today)] = &out.datagrams[..] else {
-        panic!("one datagram: {out:?}")
+fn a_datagram_on_roles_has_its_recorded_bytes() {
+    let actions = peer().send_roles(MemberId(1), ROLE_MESSAGES);
+    let [OutgoingDatagram { to, bytes: today }] = &actions.datagrams[..] else {
+        panic!("one datagram: {actions:?}")
     };
     assert_eq!(*to, MemberId(1));
     let kept = records("datagrams.hex").bytes("duties-alone", today);
@@ -261,10 +278,10 @@
 }
 
 #[rstest]
-#[case::from_another_address(Some(2), 0, Rejection::Name)]
-#[case::from_nowhere(None, 0, Rejection::Name)]
-#[case::of_another_version(Some(1), 1, Rejection::Version)]
-fn a_datagram_is_refused_and_counted(
+#[case::from_another_address(Some(2), 0, Rejection::WrongSender)]
+#[case::from_nowhere(None, 0, Rejection::WrongSender)]
+#[case::of_another_version(Some(1), 1, Rejection::UnknownVersion)]
+fn a_datagram_is_rejected_and_counted(
     #[case] from: Option<u16>,
     #[case] changed: u8,
     #[case] why: Rejection,
@@ -272,14 +289,14 @@
     let mut bytes = datagram();
     bytes[0] ^= changed;
     let mut peer = peer();
-    let out = peer.heard(1.0, from.map(MemberId), &bytes);
-    assert_eq!((out.roles, out.datagrams), (None, Vec::new()));
-    assert_eq!(peer.counts().refused, BTreeMap::from([(why, 1)]));
-    assert_eq!(peer.counts().taken, 0);
+    let actions = peer.receive(1.0, from.map(MemberId), &bytes);
+    assert_eq!((actions.roles, actions.datagrams), (None, Vec::new()));
+    assert_eq!(peer.counters().rejected, BTreeMap::from([(why, 1)]));
+    assert_eq!(peer.counters().accepted, 0);
 }
 
 #[test]
-fn a_datagram_with_foreign_riders_is_taken_but_for_them() {
+fn a_datagram_with_a_foreign_payload_is_accepted_but_for_it() {
     let body = Body {
         from: MemberId(1),
         swim: &[],
@@ -287,15 +304,19 @@
         roles: ROLE_MESSAGES,
     };
     let mut peer = peer();
-    let out = peer.heard(
+    let actions = peer.receive(
         1.0,
         Some(MemberId(1)),
         &encode(&body).expect("it is short enough"),
     );
-    assert_eq!(out.roles, Some((MemberId(1), ROLE_MESSAGES.to_vec())));
-    let counts = peer.counts();
+    assert_eq!(actions.roles, Some(role_payload()));
+    let counters = peer.counters();
     assert_eq!(
-        (counts.taken, counts.unusable, counts.refused.len()),
+        (
+            counters.accepted,
+            counters.unusable,
+            counters.rejected.len()
+        ),
         (1, 1, 0)
     );
 }
--- a/tests/recorded/lines.rs
+++ b/tests/recorded/lines.rs
@@ -16,18 +16,18 @@
 static LOOKING: Mutex<()> = Mutex::new(());
 
 /// A file of records, one a line: a name, a colon and its text.
-pub struct Records {
+pub(crate) struct Records {
     path: PathBuf,
     /// Records that are missing are written.
     records: bool,
 }
 
 impl Records {
-    pub fn at(path: &str) -> Records {
+    pub(crate) fn at(path: &str) -> Records {
         Records::recording(path, may_record())
     }
 
-    pub fn recording(path: &str, records: bool) -> Records {
+    pub(crate) fn recording(path: &str, records: bool) -> Records {
         Records {
             path: path.into(),
             records,
@@ -49,14 +49,14 @@
     }
 
     /// The names of all records, in the order of the alphabet.
-    pub fn names(&self) -> Vec<String> {
+    pub(crate) fn names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.lines().into_iter().map(|line| line.0).collect();
         names.sort();
         names
     }
 
     /// The record of this name; `today` is what would be recorded.
-    pub fn text(&self, name: &str, today: &str) -> String {
+    pub(crate) fn text(&self, name: &str, today: &str) -> String {
         let _looking = LOOKING.lock().unwrap_or_else(PoisonError::into_inner);
         let found = self.lines().into_iter().find(|line| line.0 == name);
         if let Some((_, text)) = found {
@@ -72,13 +72,13 @@
     }
 
     /// As `text`, of bytes that are kept as hex digits.
-    pub fn bytes(&self, name: &str, today: &[u8]) -> Vec<u8> {
+    pub(crate) fn bytes(&self, name: &str, today: &[u8]) -> Vec<u8> {
         unhex(&self.text(name, &hex(today)))
     }
 }
 
 /// A file that is one record as a whole; `today` is what would be recorded.
-pub fn file(path: &str, today: &str) -> String {
+pub(crate) fn file(path: &str, today: &str) -> String {
     let path = Path::new(path);
     let _looking = LOOKING.lock().unwrap_or_else(PoisonError::into_inner);
     if !path.exists() {
@@ -98,11 +98,11 @@
         .unwrap_or_else(|e| panic!("{}: {e}", path.display()));
 }
 
-pub fn hex(bytes: &[u8]) -> String {
+pub(crate) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-pub fn unhex(text: &str) -> Vec<u8> {
+pub(crate) fn unhex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16);
     (0..text.len())
         .step_by(2)
@@ -112,7 +112,7 @@
 
 /// What becomes of these bytes with one of them inverted, a letter for each of them: `t` where they are
 /// taken, `r` where they are refused.
-pub fn inverted(bytes: &[u8], taken: impl Fn(&[u8]) -> bool) -> String {
+pub(crate) fn inverted(bytes: &[u8], taken: impl Fn(&[u8]) -> bool) -> String {
     let outcome = |at: usize| {
         let mut bytes = bytes.to_vec();
         bytes[at] = !bytes[at];
