--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -22,6 +22,37 @@
     alive: bool,
 }
 
+/// A datagram in flight.
+struct Datagram {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// When a datagram arrives, in true microseconds, and a number that keeps their order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at_micros: u64,
+    number: u64,
+}
+
+/// A moment of true time in which a member could act under its lease.
+#[derive(Debug)]
+struct RecordedAction {
+    at: f64,
+    member: usize,
+    epoch: u32,
+}
+
+/// A lease event in true time.
+#[derive(Debug)]
+struct RecordedEvent {
+    at: f64,
+    #[expect(dead_code, reason = "printed where an assertion fails")]
+    member: usize,
+    event: LeaseEvent,
+}
+
 struct World {
     now: f64,
     random: Pcg64Mcg,
@@ -29,11 +60,11 @@
     loss: f64,
     partitioned: Vec<bool>,
     nodes: Vec<Node>,
-    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
-    n: u64,
-    /// True time, member and epoch of each action, and of each lease event.
-    actions: Vec<(f64, usize, u32)>,
-    lease_events: Vec<(f64, usize, LeaseEvent)>,
+    in_flight: BTreeMap<Arrival, Datagram>,
+    sent: u64,
+    actions: Vec<RecordedAction>,
+    lease_events: Vec<RecordedEvent>,
+    /// Moments with two holders.
     two_holders: usize,
     max_latency: f64,
 }
@@ -65,7 +96,7 @@
             partitioned,
             nodes,
             in_flight,
-            n: 0,
+            sent: 0,
             actions,
             lease_events,
             two_holders: 0,
@@ -77,9 +108,14 @@
         self.nodes[n].offset + self.now * self.nodes[n].rate
     }
 
-    fn take(&mut self, from: usize, actions: Actions) {
-        self.lease_events
-            .extend(actions.events.iter().map(|event| (self.now, from, *event)));
+    fn execute(&mut self, from: usize, actions: Actions) {
+        let at = self.now;
+        let events = actions.events.into_iter();
+        self.lease_events.extend(events.map(|event| RecordedEvent {
+            at,
+            member: from,
+            event,
+        }));
         for outgoing in actions.messages {
             let to = usize::from(outgoing.to.0);
             if self.partitioned[from] != self.partitioned[to] || self.random.random_bool(self.loss)
@@ -88,10 +124,13 @@
             }
             for _ in 0..if self.random.random_bool(0.05) { 2 } else { 1 } {
                 let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
-                self.n += 1;
+                self.sent += 1;
                 let bytes = seal(std::slice::from_ref(&outgoing.message));
-                self.in_flight
-                    .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
+                let arrival = Arrival {
+                    at_micros: (at * 1e6) as u64,
+                    number: self.sent,
+                };
+                self.in_flight.insert(arrival, Datagram { from, to, bytes });
             }
         }
     }
@@ -107,24 +146,27 @@
             while let Some(entry) = self
                 .in_flight
                 .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
+                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
             {
-                let (key, (from, to, bytes)) = entry.remove_entry();
+                let (arrival, datagram) = entry.remove_entry();
+                let to = datagram.to;
                 if !self.runs(to) {
                     // It is received once the member runs again.
                     if self.nodes[to].alive {
-                        self.in_flight
-                            .insert((key.0 + 10_000, key.1), (from, to, bytes));
+                        let at_micros = arrival.at_micros + 10_000;
+                        let later = Arrival {
+                            at_micros,
+                            ..arrival
+                        };
+                        self.in_flight.insert(later, datagram);
                     }
                     continue;
                 }
                 let clock = self.clock(to);
-                for message in open(&bytes, members).expect("it can be decoded") {
-                    let actions =
-                        self.nodes[to]
-                            .leases
-                            .receive(clock, MemberId(from as u16), &message);
-                    self.take(to, actions);
+                let from = MemberId(datagram.from as u16);
+                for message in open(&datagram.bytes, members).expect("it can be decoded") {
+                    let actions = self.nodes[to].leases.receive(clock, from, &message);
+                    self.execute(to, actions);
                 }
             }
             let all: Vec<MemberId> = (0..members as u16).map(MemberId).collect();
@@ -132,9 +174,13 @@
             for n in (0..members).filter(|n| self.runs(*n)).collect::<Vec<_>>() {
                 let clock = self.clock(n);
                 let actions = self.nodes[n].leases.set_candidates(clock, &candidates);
-                self.take(n, actions);
+                self.execute(n, actions);
                 if let Some(token) = self.nodes[n].leases.token(clock, ROLE) {
-                    self.actions.push((self.now, n, token.epoch));
+                    self.actions.push(RecordedAction {
+                        at: self.now,
+                        member: n,
+                        epoch: token.epoch,
+                    });
                 }
             }
             // By the true clock, whether or not they run just now.
@@ -162,8 +208,8 @@
     fn handed_over(&self, since: f64, old: usize) -> Option<f64> {
         self.actions
             .iter()
-            .find(|a| a.0 > since && a.1 != old)
-            .map(|a| a.0 - since)
+            .find(|action| action.at > since && action.member != old)
+            .map(|action| action.at - since)
     }
 }
 
@@ -175,7 +221,7 @@
         let acquired: Vec<_> = w
             .lease_events
             .iter()
-            .filter(|h| matches!(h.2, LeaseEvent::Acquired { .. }))
+            .filter(|recorded| matches!(recorded.event, LeaseEvent::Acquired { .. }))
             .collect();
         assert_eq!(
             (acquired.len(), w.two_holders),
@@ -184,7 +230,7 @@
             w.lease_events
         );
         assert!(
-            acquired[0].0 < w.config.lease_duration * 2.0,
+            acquired[0].at < w.config.lease_duration * 2.0,
             "{acquired:?}"
         );
     }
@@ -223,22 +269,33 @@
         let newer = w
             .actions
             .iter()
-            .filter(|a| a.1 != old && a.0 > since)
-            .map(|a| a.2)
+            .filter(|action| action.member != old && action.at > since)
+            .map(|action| action.epoch)
             .min();
         let stale = w
             .actions
             .iter()
-            .filter(|a| a.1 == old && a.0 > since + w.config.lease_duration);
-        assert!(stale.clone().all(|a| Some(a.2) > newer), "seed {seed}");
+            .filter(|action| action.member == old && action.at > since + w.config.lease_duration);
+        assert!(
+            stale.clone().all(|action| Some(action.epoch) > newer),
+            "seed {seed}"
+        );
         assert_eq!(w.two_holders, 0, "seed {seed}");
     }
 }
 
-/// Plays random loss, latency, stalls, partitions, crashes and restarts. Returns the number of moments with two
-/// holders, and of seeds in which anybody held the lease.
-fn play_seeds(seeds: std::ops::Range<u64>, config: &LeaseConfig) -> (usize, usize) {
-    let (mut two_holders, mut seeds_with_holder) = (0, 0);
+/// What several seeds have shown.
+#[derive(Debug, Default)]
+struct Outcome {
+    /// Moments with two holders.
+    two_holders: usize,
+    /// Seeds in which anybody held the lease.
+    seeds_with_holder: usize,
+}
+
+/// Plays random loss, latency, stalls, partitions, crashes and restarts.
+fn play_seeds(seeds: std::ops::Range<u64>, config: &LeaseConfig) -> Outcome {
+    let mut outcome = Outcome::default();
     for seed in seeds {
         let mut w = World::new(3 + (seed % 5) as usize, seed, config.clone());
         w.loss = [0.0, 0.1, 0.3][(seed % 3) as usize];
@@ -256,19 +313,19 @@
                 _ => w.restart(n, draw.random()),
             }
         }
-        two_holders += w.two_holders;
-        seeds_with_holder += usize::from(!w.actions.is_empty());
+        outcome.two_holders += w.two_holders;
+        outcome.seeds_with_holder += usize::from(!w.actions.is_empty());
     }
-    (two_holders, seeds_with_holder)
+    outcome
 }
 
 #[test]
 fn never_two_holders() {
-    let (two_holders, seeds_with_holder) = play_seeds(0..150, &LeaseConfig::default());
-    assert_eq!(two_holders, 0);
+    let outcome = play_seeds(0..150, &LeaseConfig::default());
+    assert_eq!(outcome.two_holders, 0);
     assert!(
-        seeds_with_holder > 60,
-        "only {seeds_with_holder} of 150 seeds had a holder at all"
+        outcome.seeds_with_holder > 60,
+        "too few of 150 seeds had a holder at all: {outcome:?}"
     );
 }
 
@@ -279,7 +336,7 @@
         clock_margin: -0.3,
         ..LeaseConfig::default()
     };
-    assert!(play_seeds(0..150, &config).0 > 0);
+    assert!(play_seeds(0..150, &config).two_holders > 0);
 }
 
 /// Not a check of CI, but a measurement: `cargo test --release -p woadreach-lease -- --ignored
@@ -294,15 +351,17 @@
             std::thread::spawn(move || play_seeds(from..to, &LeaseConfig::default()))
         })
         .collect();
-    let sum = all
-        .into_iter()
-        .map(|t| t.join().expect("played"))
-        .fold((0, 0), |a, x| (a.0 + x.0, a.1 + x.1));
+    let mut total = Outcome::default();
+    for thread in all {
+        let outcome = thread.join().expect("played");
+        total.two_holders += outcome.two_holders;
+        total.seeds_with_holder += outcome.seeds_with_holder;
+    }
     println!(
         "two holders: {} moments in 10000 seeds, of which {} had a holder",
-        sum.0, sum.1
+        total.two_holders, total.seeds_with_holder
     );
-    assert_eq!(sum.0, 0);
+    assert_eq!(total.two_holders, 0);
 }
 
 /// Likewise: how soon a role is handed over, by the duration of a lease and by loss.
@@ -326,9 +385,9 @@
                 lost += w
                     .lease_events
                     .iter()
-                    .filter(|h| matches!(h.2, LeaseEvent::Lost { .. }))
+                    .filter(|recorded| matches!(recorded.event, LeaseEvent::Lost { .. }))
                     .count();
-                sent += w.n;
+                sent += w.sent;
                 let Some(old) = w.holder() else { continue };
                 w.nodes[old].alive = false;
                 let since = w.now;
