--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -675,7 +675,7 @@
             if let Some(of) = sights.zones.get_mut(s.zone.0 as usize) {
                 *of = ZoneObservation {
                     seen: s.seen as u32,
-                    bad: s.failed as u32,
+                    failed: s.failed as u32,
                     capacity: s.capacity,
                 };
             }
