--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -683,7 +683,7 @@
         let wrong = sights
             .zones
             .iter()
-            .any(|s| s.bad > 0 && s.bad * 2 >= s.seen);
+            .any(|s| s.failed > 0 && s.failed * 2 >= s.seen);
         // None listens after the end.
         let _ = to.send(sights);
         self.look_at(now + if wrong { LOOK } else { CALM_LOOK });
