--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use snafu::ResultExt;
 use std::path::PathBuf;
-use woadreach_process_tests::{Outcome, Plan, Scenario, play};
+use woadreach_process_tests::{Outcome, PlayConfig, Scenario, play};
 
 /// What to do with processes.
 #[derive(Subcommand)]
@@ -79,24 +79,25 @@
 
 fn play_scenario(arguments: &Play) -> Result<Verdict, CommandError> {
     let binary = arguments.binary.clone().map_or_else(default_binary, Ok)?;
-    let plan = Plan {
+    let config = PlayConfig {
         scenario: arguments.scenario,
         co_ordinators: arguments.coordinators,
         zones: arguments.zones,
         regions: arguments.regions,
         seed: arguments.seed,
         binary,
-        peers: !arguments.alone,
-        near: !arguments.spread,
-        duties: !arguments.no_duties,
-        rate: arguments.rate,
+        has_peers: !arguments.alone,
+        prefers_near: !arguments.spread,
+        has_roles: !arguments.no_duties,
+        searches_per_second: arguments.rate,
     };
-    let outcome = play(&plan).map_err(CommandError::failed)?;
+    let outcome = play(&config).map_err(CommandError::failed)?;
     match arguments.format {
         Format::Json => println!("{}", serde_json::to_string(&outcome).context(JsonSnafu)?),
         Format::Text => print(&outcome),
     }
-    let is_bad = outcome.rules_broken > 0 || outcome.crashes > 0 || outcome.duties.two_holders > 0;
+    let is_bad =
+        outcome.broken_invariants > 0 || outcome.crashes > 0 || outcome.roles.two_holders > 0;
     Ok(if is_bad {
         Verdict::Found
     } else {
@@ -104,44 +105,56 @@
     })
 }
 
-fn print(o: &Outcome) {
+fn print(outcome: &Outcome) {
     println!(
         "{}, seed {}: {} co-ordinators in {} zones, {} s",
-        o.scenario, o.seed, o.coordinators, o.zones, o.seconds
+        outcome.scenario, outcome.seed, outcome.coordinators, outcome.zones, outcome.seconds
     );
-    o.breaches.iter().for_each(|why| println!("broken: {why}"));
-    println!("rules broken {}, crashes {}", o.rules_broken, o.crashes);
-    println!("served in time {:.3} of {} searches", o.served, o.searches);
-    if o.expected > 0 {
+    outcome
+        .breaches
+        .iter()
+        .for_each(|why| println!("broken: {why}"));
+    println!(
+        "rules broken {}, crashes {}",
+        outcome.broken_invariants, outcome.crashes
+    );
+    println!(
+        "served in time {:.3} of {} searches",
+        outcome.served_share, outcome.searches
+    );
+    if outcome.expected > 0 {
         let seconds = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
         println!(
             "verdict held by {} of {} outside, after {} (half), {} (0.99)",
-            o.agreed,
-            o.expected,
-            seconds(o.agree_s_p50),
-            seconds(o.agree_s_p99)
+            outcome.agreed,
+            outcome.expected,
+            seconds(outcome.agree_s_p50),
+            seconds(outcome.agree_s_p99)
         );
     }
-    println!("false shifts {}, flaps {}", o.false_shifts, o.flaps);
-    if let Some(near) = o.near_share_safe {
+    println!(
+        "false shifts {}, flaps {}",
+        outcome.false_failovers, outcome.flaps
+    );
+    if let Some(near) = outcome.near_share_safe {
         println!(
             "near while safe {near:.3}, by an even spread {:.3}",
-            o.near_share_even
+            outcome.near_share_even
         );
     }
-    let d = &o.duties;
+    let roles = &outcome.roles;
     println!(
         "acts under a lease {}, of two holders {}, refused as stale {}",
-        d.acts, d.two_holders, d.stale_acts_refused
+        roles.actions, roles.two_holders, roles.stale_actions_rejected
     );
-    if let (Some(half), Some(most)) = (d.handover_s_p50, d.handover_s_p99) {
+    if let (Some(half), Some(most)) = (roles.handover_s_p50, roles.handover_s_p99) {
         println!(
             "handed on {} of {} times, after {half:.2} s (half), {most:.2} s (0.99), with leases of {} s",
-            d.handovers, d.gripped, d.lease_s
+            roles.handovers, roles.holder_faults, roles.lease_s
         );
     }
     println!(
         "a second a member: {:.1} datagrams, {:.0} bytes",
-        o.datagrams_per_s_per_member, o.bytes_per_s_per_member
+        outcome.datagrams_per_s_per_member, outcome.bytes_per_s_per_member
     );
 }
--- a/crates/router/woadreachd/tests/cluster.rs
+++ b/crates/router/woadreachd/tests/cluster.rs
@@ -2,28 +2,28 @@
 //! One after the other, so that they do not take the machine from each other.
 
 use std::path::PathBuf;
-use woadreach_process_tests::{Outcome, Plan, Scenario, play};
+use woadreach_process_tests::{Outcome, PlayConfig, Scenario, play};
 
-fn played(scenario: Scenario, seed: u64, peers: bool) -> Outcome {
+fn played(scenario: Scenario, seed: u64, has_peers: bool) -> Outcome {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_woadreachd"));
     let (co_ordinators, zones, regions) = (6, 3, 1);
     // Where traffic stays near, those outside a zone see too little of it at this rate to judge it.
-    let near = scenario == Scenario::Calm;
-    let plan = Plan {
+    let prefers_near = scenario == Scenario::Calm;
+    let config = PlayConfig {
         scenario,
         co_ordinators,
         zones,
         regions,
         seed,
         binary,
-        peers,
-        near,
-        duties: true,
-        rate: 30.0,
+        has_peers,
+        prefers_near,
+        has_roles: true,
+        searches_per_second: 30.0,
     };
-    let outcome = play(&plan).unwrap_or_else(|why| panic!("{scenario}: {why}"));
+    let outcome = play(&config).unwrap_or_else(|why| panic!("{scenario}: {why}"));
     assert_eq!(
-        (outcome.rules_broken, outcome.crashes),
+        (outcome.broken_invariants, outcome.crashes),
         (0, 0),
         "{outcome:#?}"
     );
@@ -35,7 +35,7 @@
 fn processes_under_faults_between_them_keep_the_rules() {
     let calm = played(Scenario::Calm, 1, true);
     assert_eq!(
-        (calm.false_shifts, calm.flaps, calm.duties.two_holders),
+        (calm.false_failovers, calm.flaps, calm.roles.two_holders),
         (0, 0, 0),
         "{calm:#?}"
     );
@@ -46,20 +46,20 @@
         "those outside come to hold the verdict: {lost:#?}"
     );
     played(Scenario::MassKill, 3, true);
-    let killed = played(Scenario::HolderKill, 5, true).duties;
+    let killed = played(Scenario::HolderKill, 5, true).roles;
     assert_eq!(
         (killed.two_holders, killed.handovers),
-        (0, killed.gripped),
+        (0, killed.holder_faults),
         "{killed:#?}"
     );
-    let stalled = played(Scenario::HolderStall, 6, true).duties;
+    let stalled = played(Scenario::HolderStall, 6, true).roles;
     assert_eq!(
         (stalled.two_holders, stalled.handovers),
-        (0, stalled.gripped),
+        (0, stalled.holder_faults),
         "{stalled:#?}"
     );
     assert!(
-        stalled.gripped > 0 && stalled.handover_s_p99 < Some(stalled.lease_s + 2.0),
+        stalled.holder_faults > 0 && stalled.handover_s_p99 < Some(stalled.lease_s + 2.0),
         "{stalled:#?}"
     );
     let alone = played(Scenario::ZoneCut, 4, false);
@@ -68,5 +68,5 @@
         (0, 0.0),
         "{alone:#?}"
     );
-    assert_eq!(alone.duties.acts, 0, "{alone:#?}");
+    assert_eq!(alone.roles.actions, 0, "{alone:#?}");
 }
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -12,7 +12,7 @@
 use woadreach_local_tier::{
     Client, Operator, ReplicaKind, StandInReplica, Tier, TierError, TurnAnswer, chunks_of, example,
 };
-use woadreach_process_tests::Relay;
+use woadreach_process_tests::{Relay, ZonePair};
 
 /// Zone of the edges and zone of the replicas, between which the relay stands.
 const EDGES: usize = 0;
@@ -61,7 +61,7 @@
 }
 
 fn set_partition(relay: &Relay, (from, to): (usize, usize), is_partitioned: bool) {
-    relay.change(from, to, |fares| fares.cut = is_partitioned);
+    relay.change(from, to, |link| link.is_partitioned = is_partitioned);
 }
 
 type Call = (String, JoinHandle<Result<TurnAnswer, TierError>>);
@@ -136,10 +136,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let own = listener.local_addr().unwrap();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let announced = relay
-            .connections(any, own, (EDGES, REPLICAS))
-            .await
-            .unwrap();
+        let zones = ZonePair {
+            from: EDGES,
+            to: REPLICAS,
+        };
+        let announced = relay.relay_connections(any, own, zones).await.unwrap();
         let id = format!("i-orders-{index}");
         replicas.push(StandInReplica::start_at(
             &id,
--- /dev/null
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -0,0 +1,59 @@
+//! What the cluster does to the processes, for the history that invariants are checked on.
+
+use super::Cluster;
+use woadreach_fakes::Recorder;
+use woadreach_invariants::{NodeId, What};
+use woadreach_runtime::Net;
+
+impl Cluster {
+    pub(super) fn record_process_start(&self, node: usize) {
+        self.recorder.tell(What::NodeStarted { node: NodeId(node) });
+    }
+
+    pub(super) fn record_process_kill(&self, node: usize) {
+        self.recorder.tell(What::NodeKilled { node: NodeId(node) });
+    }
+
+    pub(super) fn record_process_end(&self, node: usize) {
+        self.recorder.tell(What::NodeEnded { node: NodeId(node) });
+    }
+
+    /// What a paused process owes is late and excused.
+    pub(super) fn record_process_pause(&self, node: usize, seconds: f64) {
+        let node = NodeId(node);
+        self.recorder.tell(What::Stalled { node, seconds });
+    }
+
+    /// What a partitioned link holds back arrives late and is excused.
+    pub(super) fn record_link_change(&self, replica: usize, is_partitioned: bool) {
+        self.recorder.tell(What::Way {
+            replica: self.replicas[replica].name.as_str().into(),
+            held: is_partitioned,
+        });
+    }
+
+    /// A co-ordinator that is still running, or has still not read the endpoint list, breaks an invariant.
+    pub(super) fn record_overdue(&self, node: usize, why: String) {
+        let node = NodeId(node);
+        self.recorder.tell(What::Kept { node, why });
+    }
+
+    /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
+    /// there from the beginning isn't recorded: it has long been warm.
+    pub(super) fn recorder_of_replica(&self, replica: usize, is_warming_up: bool) -> Recorder {
+        let recorder = self.recorder.clone();
+        let (measurements, net) = (self.measurements.clone(), self.net);
+        let (zone, zones) = (self.replicas[replica].zone, self.config.zones);
+        Recorder::new(move |event| {
+            if let What::Sent { node, .. } = &event {
+                let is_near = node.0 % zones == zone;
+                measurements
+                    .borrow_mut()
+                    .record_received_part(net.now(), is_near);
+            }
+            if is_warming_up || !matches!(event, What::Born { .. }) {
+                recorder.tell(event);
+            }
+        })
+    }
+}
--- /dev/null
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -0,0 +1,97 @@
+//! Clients: each co-ordinator is sent searches at random intervals.
+
+use super::Cluster;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::Arc;
+use woadreach_fakes::{Caller, Retry};
+use woadreach_runtime::{Net, Tokio};
+use woadreach_simulation::{Repeats, Script, draw_ask, draw_gap, seed_of};
+
+/// How many times more searches clients send while they abandon them.
+const ABANDONING_FACTOR: f64 = 3.0;
+/// Seconds after which a client abandons a search at the latest.
+const MAX_ABANDON_DELAY: f64 = 0.2;
+
+/// The clients of one co-ordinator.
+struct Clients {
+    net: Tokio,
+    script: Script,
+    node: usize,
+    client: Caller<Tokio>,
+    /// Counts the searches of all clients, for their names.
+    search_count: Rc<Cell<u64>>,
+    takes_clients: Rc<Vec<Cell<bool>>>,
+    abandon: Rc<Cell<bool>>,
+    random: Pcg64Mcg,
+}
+
+impl Cluster {
+    /// Has clients send searches to all co-ordinators until this time.
+    pub(super) fn start_load(&self, until: f64) {
+        let search_count = Rc::new(Cell::new(0));
+        for (node, co_ordinator) in self.co_ordinators.iter().enumerate() {
+            let seed = seed_of(self.config.seed, &format!("load {node}"));
+            let clients = Clients {
+                net: self.net,
+                script: self.script.clone(),
+                node,
+                client: co_ordinator.client.clone(),
+                search_count: search_count.clone(),
+                takes_clients: self.takes_clients.clone(),
+                abandon: self.clients_abandon.clone(),
+                random: Pcg64Mcg::seed_from_u64(seed),
+            };
+            drop(self.net.spawn(clients.run(until)));
+        }
+    }
+}
+
+impl Clients {
+    async fn run(mut self, until: f64) {
+        while self.net.now() < until {
+            let factor = if self.abandon.get() {
+                ABANDONING_FACTOR
+            } else {
+                1.0
+            };
+            let rate = self.script.load.rate * factor;
+            let gap = draw_gap(rate, &mut self.random);
+            self.net.sleep(gap).await;
+            self.send_search();
+        }
+    }
+
+    fn send_search(&mut self) {
+        let name = next_name(&self.search_count);
+        let mut search = draw_ask(&self.script, 1.0, name, &mut self.random);
+        if self.abandon.get() {
+            search.leaves_after = Some(MAX_ABANDON_DELAY * self.random.random::<f64>());
+        }
+        if !self.takes_clients[self.node].get() {
+            return;
+        }
+        let query_type = &self.script.query_types[search.query_type];
+        let is_idempotent = query_type.repeats == Repeats::Idempotent;
+        let retry = Retry {
+            times: self.script.load.retries,
+            pause: self.script.load.pause,
+            heeds: self.script.load.heeds,
+        };
+        let (client, search_count) = (self.client.clone(), self.search_count.clone());
+        drop(self.net.spawn(async move {
+            let name = move || next_name(&search_count);
+            drop(
+                client
+                    .ask_and_again(search, retry, is_idempotent, name)
+                    .await,
+            );
+        }));
+    }
+}
+
+fn next_name(search_count: &Cell<u64>) -> Arc<str> {
+    format!("q{}", search_count.replace(search_count.get() + 1)).into()
+}
--- /dev/null
+++ b/crates/testing/process-tests/src/killable.rs
@@ -0,0 +1,74 @@
+//! A runtime whose tasks can all be ended at once, as those of a process are when it is killed.
+
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use tokio::sync::watch;
+use woadreach_runtime::{Joined, Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
+
+/// The runtime of one fake replica.
+#[derive(Clone)]
+pub(crate) struct Killable {
+    net: Tokio,
+    is_killed: watch::Sender<bool>,
+}
+
+impl Killable {
+    pub(crate) fn new(net: Tokio) -> Killable {
+        Killable {
+            net,
+            is_killed: watch::channel(false).0,
+        }
+    }
+
+    /// Ends all tasks that were spawned on it.
+    pub(crate) fn kill(&self) {
+        let _ = self.is_killed.send_replace(true);
+    }
+}
+
+impl Net for Killable {
+    type Stream = TokioStream;
+    type Listener = TokioListener;
+    type Datagrams = TokioDatagrams;
+    type Joined = Joined;
+
+    fn now(&self) -> f64 {
+        self.net.now()
+    }
+
+    fn sleep_until(&self, time: f64) -> impl Future<Output = ()> {
+        self.net.sleep_until(time)
+    }
+
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Joined {
+        let mut is_killed = self.is_killed.subscribe();
+        self.net.spawn(async move {
+            tokio::select! {
+                biased;
+                _ = is_killed.wait_for(|is_killed| *is_killed) => {}
+                () = task => {}
+            }
+        })
+    }
+
+    fn turn(&self) -> impl Future<Output = ()> {
+        self.net.turn()
+    }
+
+    async fn lookup(&self, name: &str) -> io::Result<SocketAddr> {
+        self.net.lookup(name).await
+    }
+
+    async fn connect(&self, to: SocketAddr) -> io::Result<TokioStream> {
+        self.net.connect(to).await
+    }
+
+    fn listen(&self, at: SocketAddr) -> io::Result<TokioListener> {
+        self.net.listen(at)
+    }
+
+    fn datagrams(&self, at: SocketAddr) -> io::Result<TokioDatagrams> {
+        self.net.datagrams(at)
+    }
+}
--- a/crates/testing/process-tests/src/lib.rs
+++ b/crates/testing/process-tests/src/lib.rs
@@ -1,21 +1,36 @@
-//! Co-ordinators as they run: real processes of `woadreachd` on loopback, zone by zone, with stand-in
-//! replicas, discovery and clients, and a relay through which every datagram and connection between zones
-//! passes.
+//! Tests of co-ordinators as they run: many real processes of `woadreachd` on loopback, zone by zone, with fake
+//! replicas, discovery agents and clients, and a relay through which every datagram and connection between
+//! zones passes.
 //!
-//! A [`Scenario`] says what goes wrong when; [`play`] runs it and gives an [`Outcome`]: the rules broken, the
-//! crashes, and what the processes said of themselves in their records (JSON lines on standard error). What
-//! it measures depends on the machine; what it judges, rules and crashes, should not.
+//! [`play`] starts what a [`PlayConfig`] describes, injects the faults of its [`Scenario`] and returns an
+//! [`Outcome`]: the invariants that were broken, the crashes, and figures from the processes' logs (JSON lines
+//! on standard error). The figures depend on the machine; broken invariants and crashes should not.
 //!
-//! Owns the processes it starts and ends each of them by its id; must never run anything but the program
-//! under test, nor leave loopback.
+//! Where to start reading:
+//!
+//! - `schedule.rs`: what each scenario does and when;
+//! - `cluster/run.rs`: the course of a play;
+//! - `cluster/actions.rs`: how faults are injected;
+//! - `log_events.rs` and `measurements.rs`: what is read from the logs, and the figures taken from it.
 
+mod addresses;
+mod cluster;
+mod config;
+mod error;
+mod killable;
+mod log_events;
+mod measurements;
+mod outcome;
+mod play;
 mod process;
 mod relay;
-mod rig;
 mod scenario;
-mod tally;
+mod schedule;
+mod script;
 
-pub use relay::{Fares, Relay};
-pub use rig::{Plan, play};
-pub use scenario::{Act, Fault, Scenario, Step};
-pub use tally::Outcome;
+pub use config::PlayConfig;
+pub use error::{PlayError, UnknownScenario};
+pub use outcome::{Outcome, RoleOutcome};
+pub use play::play;
+pub use relay::{LinkCondition, Relay, ZonePair};
+pub use scenario::Scenario;
--- a/crates/testing/process-tests/src/relay.rs
+++ b/crates/testing/process-tests/src/relay.rs
@@ -1,9 +1,10 @@
-//! The relay: stands for the network between zones. Owns the ways, one for each direction between two zones,
-//! and all that passes; must never look into bytes.
+//! The network between zones. All datagrams and connections between zones pass through the relay, which has a
+//! link for each direction between two zones and doesn't interpret the bytes.
 //!
-//! A way that is cut holds back what connections carry, as a network does whose packets are lost, and passes
-//! it on when it is mended; datagrams on it are lost. A connection asked for meanwhile comes up at the relay
-//! and is silent: its SYN cannot be held back from here. Connections may also be reset, at both ends.
+//! A partitioned link holds back what connections carry, as a network does whose packets are lost, and passes
+//! it on when it is repaired; its datagrams are lost. A connection that is opened meanwhile is accepted by the
+//! relay and then silent, since its SYN can't be held back from here. Connections can also be reset, at both
+//! ends.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,186 +18,235 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How one direction between two zones fares. Shares are of datagrams.
+/// Bytes of a connection that are read at once.
+const STREAM_BUFFER_BYTES: usize = 16 * 1024;
+/// Longer datagrams are truncated.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// The condition of a link: one direction between two zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fares {
-    pub cut: bool,
-    pub lost: f64,
-    pub doubled: f64,
-    /// Seconds on the way, and by how much more at most, drawn anew for each datagram so that they overtake
-    /// each other.
+pub struct LinkCondition {
+    /// Nothing passes.
+    pub is_partitioned: bool,
+    /// Share of the datagrams that are lost.
+    pub loss: f64,
+    /// Share of the datagrams that are delivered twice.
+    pub duplication: f64,
+    /// Seconds that everything is delayed.
     pub delay: f64,
+    /// Seconds that a datagram is delayed at most in addition, drawn for each of them, so that they are
+    /// reordered.
     pub jitter: f64,
 }
 
-struct Way {
-    fares: Cell<Fares>,
+/// The two zones of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ZonePair {
+    /// The zone of the senders, or of those who open connections.
+    pub from: usize,
+    /// The zone of the receivers.
+    pub to: usize,
+}
+
+impl ZonePair {
+    fn reversed(self) -> ZonePair {
+        ZonePair {
+            from: self.to,
+            to: self.from,
+        }
+    }
+}
+
+struct Link {
+    condition: Cell<LinkCondition>,
     changed: Notify,
     reset: Notify,
 }
 
+/// Passes on what is sent between zones, under the condition of each link. Clones share the links.
 #[derive(Clone)]
 pub struct Relay(Rc<Inner>);
 
 struct Inner {
     zones: usize,
-    ways: Vec<Way>,
-    chance: RefCell<Pcg64Mcg>,
+    links: Vec<Link>,
+    random: RefCell<Pcg64Mcg>,
 }
 
 impl Relay {
+    /// A relay between this number of zones, all of whose links are sound.
     pub fn new(zones: usize, seed: u64) -> Relay {
-        let way = |_| Way {
-            fares: Cell::default(),
+        let link = |_| Link {
+            condition: Cell::default(),
             changed: Notify::new(),
             reset: Notify::new(),
         };
-        let ways = (0..zones * zones).map(way).collect();
         Relay(Rc::new(Inner {
             zones,
-            ways,
-            chance: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+            links: (0..zones * zones).map(link).collect(),
+            random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         }))
     }
 
-    fn way(&self, from: usize, to: usize) -> &Way {
-        &self.0.ways[from * self.0.zones + to]
+    fn link(&self, zones: ZonePair) -> &Link {
+        &self.0.links[zones.from * self.0.zones + zones.to]
+    }
+
+    /// Whether the link from one zone to another is partitioned.
+    pub fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.condition(ZonePair { from, to }).is_partitioned
     }
 
-    pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.way(from, to).fares.get().cut
+    fn condition(&self, zones: ZonePair) -> LinkCondition {
+        self.link(zones).condition.get()
     }
 
-    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut Fares)) {
-        let way = self.way(from, to);
-        let mut fares = way.fares.get();
-        change(&mut fares);
-        way.fares.set(fares);
-        way.changed.notify_waiters();
+    /// Changes the condition of the link from one zone to another.
+    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkCondition)) {
+        let link = self.link(ZonePair { from, to });
+        let mut condition = link.condition.get();
+        change(&mut condition);
+        link.condition.set(condition);
+        link.changed.notify_waiters();
     }
 
-    /// Resets the connections that were made from one zone to another and are up.
+    /// Resets the open connections that were made from one zone to another.
     pub fn reset(&self, from: usize, to: usize) {
-        self.way(from, to).reset.notify_waiters();
+        self.link(ZonePair { from, to }).reset.notify_waiters();
     }
 
-    /// Passes on connections from one zone that are made to `listen`, to `to` in another. Gives the address
+    /// Passes on connections that are made to `listen` in one zone, to `to` in another. Returns the address
     /// that it listens at.
-    pub async fn connections(
+    pub async fn relay_connections(
         &self,
         listen: SocketAddr,
         to: SocketAddr,
-        zones: (usize, usize),
+        zones: ZonePair,
     ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(listen).await?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let relay = self.clone();
         spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                spawn_local(relay.clone().connection(near, to, zones));
+            while let Ok((client, _)) = listener.accept().await {
+                spawn_local(relay.clone().relay_connection(client, to, zones));
             }
         });
-        Ok(at)
+        Ok(address)
     }
 
-    async fn connection(self, mut near: TcpStream, to: SocketAddr, (from, into): (usize, usize)) {
-        self.open(from, into).await;
-        // Refused there: the drop of this one tells it.
-        let Ok(mut far) = TcpStream::connect(to).await else {
+    async fn relay_connection(self, mut client: TcpStream, to: SocketAddr, zones: ZonePair) {
+        self.wait_until_repaired(zones).await;
+        // If the server refuses, the client sees its connection closed.
+        let Ok(mut server) = TcpStream::connect(to).await else {
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let reset = self.way(from, into).reset.notified();
-        let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
-        // One side's end ends both, as a reset does; an orderly end has been passed on by then.
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let reset = self.link(zones).reset.notified();
+        let (client_read, client_write) = client.split();
+        let (server_read, server_write) = server.split();
+        // The end of one side ends both, as a reset does; an orderly end has been passed on by then.
         let is_reset = tokio::select! {
             () = reset => true,
-            () = self.pump(near_in, far_out, (from, into)) => false,
-            () = self.pump(far_in, near_out, (into, from)) => false,
+            () = self.forward(client_read, server_write, zones) => false,
+            () = self.forward(server_read, client_write, zones.reversed()) => false,
         };
         if is_reset {
-            // One that cannot be told so closes as ever.
-            let _ = (near.set_zero_linger(), far.set_zero_linger());
+            // Where the option can't be set the connection is closed without a reset.
+            let _ = (client.set_zero_linger(), server.set_zero_linger());
         }
     }
 
-    async fn pump(
+    async fn forward(
         &self,
         mut from: impl AsyncRead + Unpin,
         mut to: impl AsyncWrite + Unpin,
-        zones: (usize, usize),
+        zones: ZonePair,
     ) {
-        let mut bytes = vec![0; 16 * 1024];
+        let mut buffer = vec![0; STREAM_BUFFER_BYTES];
         loop {
-            let n = match from.read(&mut bytes).await {
-                Ok(n) => n,
-                Err(_) => return,
+            let Ok(length) = from.read(&mut buffer).await else {
+                return;
             };
-            self.open(zones.0, zones.1).await;
-            let delay = self.way(zones.0, zones.1).fares.get().delay;
+            self.wait_until_repaired(zones).await;
+            let delay = self.condition(zones).delay;
             if delay > 0.0 {
                 tokio::time::sleep(Duration::from_secs_f64(delay)).await;
             }
-            if n == 0 {
+            if length == 0 {
                 let _ = to.shutdown().await;
                 return;
             }
-            if to.write_all(&bytes[..n]).await.is_err() {
+            if to.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Waits while the way is cut.
-    async fn open(&self, from: usize, to: usize) {
-        let way = self.way(from, to);
+    /// Waits while the link is partitioned.
+    async fn wait_until_repaired(&self, zones: ZonePair) {
+        let link = self.link(zones);
         loop {
-            let changed = way.changed.notified();
-            if !way.fares.get().cut {
+            let changed = link.changed.notified();
+            if !link.condition.get().is_partitioned {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Passes datagrams that come to `from` on, out of `as_of`, to `to`.
-    pub fn datagrams(
+    /// Passes on datagrams that come to `from`; they are sent by `sender`, whose address the receiver sees,
+    /// to `to`.
+    pub fn relay_datagrams(
         &self,
         from: Rc<UdpSocket>,
-        as_of: Rc<UdpSocket>,
+        sender: Rc<UdpSocket>,
         to: SocketAddr,
-        zones: (usize, usize),
+        zones: ZonePair,
     ) {
         let relay = self.clone();
         spawn_local(async move {
-            let mut bytes = vec![0; 2048];
+            let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
             loop {
-                // An unreachable receiver is told as an error of the next call.
-                let Ok((n, _)) = from.recv_from(&mut bytes).await else {
-                    continue;
-                };
-                let fares = relay.way(zones.0, zones.1).fares.get();
-                if fares.cut || relay.happens(fares.lost) {
-                    continue;
-                }
-                for _ in 0..if relay.happens(fares.doubled) { 2 } else { 1 } {
-                    let (out, bytes) = (as_of.clone(), bytes[..n].to_vec());
-                    let delay =
-                        fares.delay + fares.jitter * relay.0.chance.borrow_mut().random::<f64>();
-                    if delay <= 0.0 {
-                        let _ = out.try_send_to(&bytes, to);
-                        continue;
-                    }
-                    spawn_local(async move {
-                        tokio::time::sleep(Duration::from_secs_f64(delay)).await;
-                        let _ = out.try_send_to(&bytes, to);
-                    });
+                // An unreachable receiver of the last datagram shows as an error here.
+                if let Ok((length, _)) = from.recv_from(&mut buffer).await {
+                    relay.relay_datagram(&buffer[..length], &sender, to, zones);
                 }
             }
         });
     }
 
+    fn relay_datagram(
+        &self,
+        bytes: &[u8],
+        sender: &Rc<UdpSocket>,
+        to: SocketAddr,
+        zones: ZonePair,
+    ) {
+        let condition = self.condition(zones);
+        if condition.is_partitioned || self.happens(condition.loss) {
+            return;
+        }
+        let deliveries = if self.happens(condition.duplication) {
+            2
+        } else {
+            1
+        };
+        for _ in 0..deliveries {
+            let (sender, bytes) = (sender.clone(), bytes.to_vec());
+            let delay =
+                condition.delay + condition.jitter * self.0.random.borrow_mut().random::<f64>();
+            if delay <= 0.0 {
+                let _ = sender.try_send_to(&bytes, to);
+                continue;
+            }
+            spawn_local(async move {
+                tokio::time::sleep(Duration::from_secs_f64(delay)).await;
+                let _ = sender.try_send_to(&bytes, to);
+            });
+        }
+    }
+
     fn happens(&self, share: f64) -> bool {
-        share > 0.0 && self.0.chance.borrow_mut().random_bool(share.min(1.0))
+        share > 0.0 && self.0.random.borrow_mut().random_bool(share.min(1.0))
     }
 }
--- a/crates/testing/process-tests/tests/recorded.rs
+++ b/crates/testing/process-tests/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Scenarios by the names that the command line takes, held still.
+//! The names of scenarios on the command line, which stay as they are.
 
 use woadreach_process_tests::Scenario;
 
@@ -7,7 +7,7 @@
     discovery-down, leave-burst";
 
 #[test]
-fn scenarios_read_and_are_named_as_they_were() {
+fn scenarios_have_their_recorded_names() {
     let names: Vec<&str> = NAMES.split(", ").collect();
     assert_eq!(Scenario::ALL.map(Scenario::name).to_vec(), names);
     for (scenario, name) in Scenario::ALL.into_iter().zip(names) {
@@ -17,7 +17,10 @@
 }
 
 #[test]
-fn an_unknown_scenario_is_refused_with_all_names() {
-    let refused = "Calm".parse::<Scenario>();
-    assert_eq!(refused, Err(format!("no such scenario; there are {NAMES}")));
+fn unknown_scenario_error_lists_all_names() {
+    let error = "Calm".parse::<Scenario>().expect_err("it is no scenario");
+    assert_eq!(
+        error.to_string(),
+        format!("no such scenario; there are {NAMES}")
+    );
 }
--- a/crates/testing/process-tests/tests/unit/tally.rs
+++ b/crates/testing/process-tests/tests/unit/measurements.rs
@@ -1,9 +1,9 @@
-//! Tests of what `src/tally.rs` keeps to itself; that file takes them in as its own module.
+//! Tests of private items of `src/measurements.rs`, which includes this file as a module.
 
 #[path = "../../../../../tests/recorded/lines.rs"]
 mod recorded;
 
-use super::*;
+use super::{LogLine, Measurements, Outcome, RoleOutcome, ZoneFault};
 use crate::scenario::Scenario;
 use recorded::Records;
 
@@ -18,7 +18,7 @@
 ];
 
 /// 2026-03-01T00:00:00Z.
-const BEGUN: f64 = 1_772_323_200.0;
+const LOAD_STARTED_AT: f64 = 1_772_323_200.0;
 
 fn outcome() -> Outcome {
     Outcome {
@@ -28,78 +28,85 @@
         zones: 2,
         regions: 1,
         seconds: 10.0,
-        rules_broken: 1,
+        broken_invariants: 1,
         breaches: vec!["why".into()],
         crashes: 0,
         agree_s_p50: None,
         agree_s_p99: None,
         expected: 0,
         agreed: 0,
-        false_shifts: 0,
+        false_failovers: 0,
         flaps: 0,
         near_share_safe: None,
         near_share_even: 0.5,
         datagrams_per_s_per_member: 0.0,
         bytes_per_s_per_member: 0.0,
-        duties: Leases::default(),
+        roles: RoleOutcome::default(),
         searches: 100,
-        served: 0.75,
+        served_share: 0.75,
     }
 }
 
-/// What the logged lines tell, of a zone at fault and a holder that something was done to.
-fn told() -> Outcome {
-    let mut tally = Tally::new(
+/// The outcome of the logged lines, with a zone at fault and a fault injected into a lease holder.
+fn measured() -> Outcome {
+    let mut measurements = Measurements::new(
         2,
-        vec![Fault {
+        vec![ZoneFault {
             zone: 1,
             from: 3.0,
             until: 8.0,
         }],
     );
-    tally.begins(BEGUN);
-    tally.started(0);
+    measurements.record_load_start(LOAD_STARTED_AT);
+    measurements.record_process_start(0);
     for (node, line) in [0, 1, 0, 0, 0, 0].into_iter().zip(LOGGED) {
         let fields = serde_json::from_str(line).expect("it is JSON");
-        tally.record(BEGUN + 4.5, &Record { node, fields });
+        measurements.record_log_line(LOAD_STARTED_AT + 4.5, &LogLine { node, fields });
     }
-    assert_eq!(tally.holder(), Some(1));
-    tally.gripped(BEGUN + 1.75, 0, &[]);
+    assert_eq!(measurements.lease_holder(), Some(1));
+    measurements.record_holder_fault(LOAD_STARTED_AT + 1.75, 0, &[]);
     let mut outcome = outcome();
-    tally.finish(2, &mut outcome);
+    measurements.complete(2, &mut outcome);
     outcome
 }
 
 #[test]
-fn what_processes_log_is_read_as_it_was() {
-    let told = told();
+fn logged_events_are_measured() {
+    let measured = measured();
     assert_eq!(
-        (told.agree_s_p50, told.expected, told.agreed),
+        (measured.agree_s_p50, measured.expected, measured.agreed),
         (Some(1.5), 1, 1)
     );
-    assert_eq!((told.false_shifts, told.flaps), (0, 0));
+    assert_eq!((measured.false_failovers, measured.flaps), (0, 0));
     assert_eq!(
-        (told.datagrams_per_s_per_member, told.bytes_per_s_per_member),
+        (
+            measured.datagrams_per_s_per_member,
+            measured.bytes_per_s_per_member
+        ),
         (2.0, 100.0)
     );
-    let duties = told.duties;
+    let roles = measured.roles;
     assert_eq!(
-        (duties.acts, duties.two_holders, duties.stale_acts_refused),
+        (
+            roles.actions,
+            roles.two_holders,
+            roles.stale_actions_rejected
+        ),
         (3, 0, 2)
     );
     assert_eq!(
-        (duties.handovers, duties.gripped, duties.handover_s_p50),
+        (roles.handovers, roles.holder_faults, roles.handover_s_p50),
         (1, 1, Some(0.25))
     );
 }
 
 #[test]
-fn an_outcome_is_written_as_it_was() {
+fn outcome_json_matches_the_record() {
     let outcomes = Records::at(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/tests/recorded/outcome.txt"
     ));
-    for (name, outcome) in [("nothing told", outcome()), ("told", told())] {
+    for (name, outcome) in [("nothing told", outcome()), ("told", measured())] {
         let today = serde_json::to_string(&outcome).expect("it is JSON");
         assert_eq!(outcomes.text(name, &today), today, "{name}");
     }
