--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -57,7 +57,7 @@
 /// A call from its arrival to its end.
 #[derive(Debug)]
 pub(crate) struct CallInFlight {
-    pub call: Call,
+    pub request: Call,
     pub route: RouteKey,
     pub service: Arc<str>,
     pub attempts: Vec<Attempt>,
@@ -73,7 +73,7 @@
 impl CallInFlight {
     pub(crate) fn new(call: Call, route: RouteKey, service: Arc<str>) -> Self {
         CallInFlight {
-            call,
+            request: call,
             route,
             service,
             attempts: Vec::new(),
@@ -119,7 +119,7 @@
 
     /// Whether the call may be sent (again) without running twice by mistake.
     pub(crate) fn may_send(&self) -> bool {
-        self.call.kind.may_run_again() || self.has_not_run()
+        self.request.kind.may_run_again() || self.has_not_run()
     }
 
     /// The replicas that count towards [`Call::max_replicas`].
@@ -162,8 +162,8 @@
             .filter(|attempt| attempt.state == AttemptState::InFlight);
         let is_single = in_flight.next().is_some_and(|attempt| !attempt.has_begun)
             && in_flight.next().is_none();
-        let within_bounds = self.replicas_reached().len() < self.call.max_replicas as usize;
-        is_single && within_bounds && self.call.kind.may_run_again()
+        let within_bounds = self.replicas_reached().len() < self.request.max_replicas as usize;
+        is_single && within_bounds && self.request.kind.may_run_again()
     }
 
     /// How often the call was sent to a replica.
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -126,7 +126,7 @@
         self.displaced.remove(&id);
         let unloaded = self.routes.unloaded_median(now, call.route);
         self.programs
-            .record_end(now, &call.call, answered, unloaded);
+            .record_end(now, &call.request, answered, unloaded);
     }
 
     /// Rejects a call that has not run and never will.
@@ -156,7 +156,7 @@
         let reason = match call.last_executed_outcome() {
             Some(Outcome::ReplicaError) => FailReason::ReplicaError,
             Some(Outcome::TimedOut) => FailReason::TimedOut,
-            _ if now >= call.call.give_up_at => FailReason::TimedOut,
+            _ if now >= call.request.give_up_at => FailReason::TimedOut,
             _ => FailReason::MayHaveRun,
         };
         actions.push(Action::Fail { call: id, reason });
@@ -183,7 +183,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        if !call.may_send() || has_come(now, call.call.give_up_at) {
+        if !call.may_send() || has_come(now, call.request.give_up_at) {
             return self.give_up(now, id, actions);
         }
         match self.choose(now, id) {
@@ -229,10 +229,10 @@
     /// would be useless (DSSP paper, part skipping).
     pub(crate) fn is_hopeless(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
         self.calls.get(&id).is_none_or(|call| {
-            let k = self.programs.step_size(&call.call);
+            let k = self.programs.step_size(&call.request);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
-            let remaining = call.call.give_up_at - now;
-            has_come(now, call.call.give_up_at) || PartBudget::hopeless(remaining, tail)
+            let remaining = call.request.give_up_at - now;
+            has_come(now, call.request.give_up_at) || PartBudget::hopeless(remaining, tail)
         })
     }
 
@@ -289,7 +289,7 @@
             let prefill = prefill_tokens(call, replica, target);
             target
                 .cache
-                .record(&call.call.prefix, service.cache_share(self.edges));
+                .record(&call.request.prefix, service.cache_share(self.edges));
             service.record_sent(prefill);
             if is_retry {
                 service.budget.spend()
@@ -302,13 +302,13 @@
         } else {
             self.routes.lost_after(call.route)
         };
-        let late_at = Some(now + late_after).filter(|at| *at < call.call.give_up_at);
+        let late_at = Some(now + late_after).filter(|at| *at < call.request.give_up_at);
         self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
             attempt,
             replica: target.spec.id.clone(),
-            timeout: call.call.give_up_at - now,
+            timeout: call.request.give_up_at - now,
             priority: None,
         });
     }
@@ -333,10 +333,10 @@
             return now;
         };
         if call.has_reached_replica() {
-            let k = self.programs.step_size(&call.call);
-            call.call.give_up_at - self.routes.tail(now, call.route, None, k)
+            let k = self.programs.step_size(&call.request);
+            call.request.give_up_at - self.routes.tail(now, call.route, None, k)
         } else {
-            call.call.arrived + UNOFFERED_QUEUE_SHARE * call.call.target_latency
+            call.request.arrived + UNOFFERED_QUEUE_SHARE * call.request.target_latency
         }
     }
 
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -22,7 +22,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let streaming = call.call.kind.is_streaming();
+        let streaming = call.request.kind.is_streaming();
         let is_wanted =
             call.may_hedge() && (!streaming || self.have_all_attempts_been_lost(now, id));
         if let Some(replica) = self.hedge_target(now, id).filter(|_| is_wanted) {
@@ -42,7 +42,7 @@
         };
         let has_begun = call.attempts.iter().any(|attempt| attempt.has_begun);
         let again = now + (self.routes.late_after(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
-        let again = Some(again).filter(|at| !has_begun && *at < call.call.give_up_at);
+        let again = Some(again).filter(|at| !has_begun && *at < call.request.give_up_at);
         self.timers.set(&mut call.timer, id, again);
     }
 
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -43,7 +43,7 @@
         };
         let late = latency > route.late_after();
         route.record(latency);
-        if sent.alone {
+        if sent.is_only_call {
             route.unloaded.record(now, &key, latency, ejected);
         }
         replica.record_activity(now, load);
@@ -51,7 +51,7 @@
         if self
             .calls
             .get(&id)
-            .is_some_and(|call| call.call.kind.is_streaming())
+            .is_some_and(|call| call.request.kind.is_streaming())
         {
             self.observe_health(now, key, sent, late.then_some(FailureKind::Late));
         }
@@ -81,7 +81,7 @@
         let streaming = self
             .calls
             .get(&id)
-            .is_some_and(|call| call.call.kind.is_streaming());
+            .is_some_and(|call| call.request.kind.is_streaming());
         let Some((key, sent)) = self.in_flight(id, attempt) else {
             return;
         };
@@ -191,7 +191,7 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let tokens = u64::from(call.call.tokens_in) + u64::from(call.call.tokens_out);
+        let tokens = u64::from(call.request.tokens_in) + u64::from(call.request.tokens_out);
         self.services
             .get(&call.service)
             .is_some_and(|service| service.is_too_large(tokens))
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -119,9 +119,9 @@
     pub(crate) fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
         let is_engine = self.mean_prefill > 0;
         let key = if is_engine {
-            call.call.program.or(call.call.session)
+            call.request.program.or(call.request.session)
         } else {
-            call.call.affinity
+            call.request.affinity
         };
         let key = key?.to_le_bytes();
         let is_healthy = |(_, replica): &(ReplicaKey, &Replica)| {
@@ -186,7 +186,7 @@
     /// attempts.
     fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
-        let is_limit_reached = reached.len() >= call.call.max_replicas.max(1) as usize;
+        let is_limit_reached = reached.len() >= call.request.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
         candidates.require(|key| {
             call.attempts.len() < MAX_ATTEMPTS && (!is_limit_reached || reached.contains(key))
@@ -208,7 +208,7 @@
         if !call.attempts.is_empty() || !others_exist {
             return None;
         }
-        let may_move = call.call.kind.may_run_again() && call.call.max_replicas > 1;
+        let may_move = call.request.kind.may_run_again() && call.request.max_replicas > 1;
         let due = |replica: &Replica| {
             let may_risk = may_move || replica.may_probe_with_any_call(self.now);
             may_risk && replica.health.probe_due(self.now, call.route)
@@ -287,7 +287,7 @@
 /// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
 /// call's home, sent by other processes.
 pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
-    let tokens = call.call.tokens_in;
+    let tokens = call.request.tokens_in;
     let sent_by_others = if call.home == Some(key) {
         f64::from(tokens) * CACHED_SHARE_AT_HOME
     } else {
@@ -296,7 +296,7 @@
     tokens.saturating_sub(
         replica
             .cache
-            .cached_tokens(&call.call.prefix)
+            .cached_tokens(&call.request.prefix)
             .max(sent_by_others as u32),
     )
 }
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -45,7 +45,7 @@
     pub sent_at: f64,
     pub route: RouteKey,
     /// Whether no other call of this process was in flight there when it was sent.
-    pub alone: bool,
+    pub is_only_call: bool,
     /// Whether its first event (or response head) was late; `None` before it has arrived.
     pub begun_late: Option<bool>,
     /// Number of attempts that were sent later and began before it.
@@ -110,7 +110,7 @@
         let sent = InFlight {
             sent_at: now,
             route,
-            alone: self.in_flight.is_empty(),
+            is_only_call: self.in_flight.is_empty(),
             begun_late: None,
             overtaken: 0,
             lost: false,
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -25,23 +25,23 @@
             return None;
         }
         let route = self.routes.get(call.route)?;
-        let k = self.programs.step_size(&call.call);
+        let k = self.programs.step_size(&call.request);
         let tail = self.routes.tail(now, call.route, None, k);
         let delay = (route.typical() - tail).max(0.0);
-        let max_delay = call.call.give_up_at - now - tail;
-        let acceptable = if self.programs.is_in_progress(&call.call) {
+        let max_delay = call.request.give_up_at - now - tail;
+        let acceptable = if self.programs.is_in_progress(&call.request) {
             max_delay
         } else {
             let slack = self
                 .programs
-                .slack(now, &call.call)
-                .unwrap_or(call.call.target_latency);
+                .slack(now, &call.request)
+                .unwrap_or(call.request.target_latency);
             max_delay.min(slack.max(0.0))
         };
         let is_highest_priority = self
             .services
             .get(&call.service)
-            .is_none_or(|service| service.is_highest_priority(now, call.call.priority));
+            .is_none_or(|service| service.is_highest_priority(now, call.request.priority));
         let acceptable = if is_highest_priority {
             acceptable
         } else {
@@ -56,7 +56,7 @@
         let Some(call) = self.calls.get(&id) else {
             return RETRY_AFTER_WITHOUT_REPLICA;
         };
-        let longest = (call.call.give_up_at - now).max(0.0) * RETRY_AFTER_SHARE;
+        let longest = (call.request.give_up_at - now).max(0.0) * RETRY_AFTER_SHARE;
         let typical = self
             .routes
             .get(call.route)
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -27,13 +27,13 @@
     /// whole.
     pub(crate) fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
-        let ids = self.programs.step_calls(&call.call);
+        let ids = self.programs.step_calls(&call.request);
         let size = ids.len();
         for id in ids {
             let Some(other) = self.calls.get(&id) else {
                 continue;
             };
-            let replica = if id == call.call.id {
+            let replica = if id == call.request.id {
                 Some(replica)
             } else {
                 replica_of(other)
@@ -45,7 +45,8 @@
             .iter()
             .map(|(route, at)| self.quantile(*route, at, each));
         let unloaded = quantiles.fold(0.0, f64::max);
-        self.programs.step_started(&call.call) + self.programs.latency_target(&call.call, unloaded)
+        self.programs.step_started(&call.request)
+            + self.programs.latency_target(&call.request, unloaded)
             - unloaded
     }
 
