--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -1,15 +1,17 @@
 //! Agreement on the next view: single-decree Paxos, one instance for each epoch.
 //!
-//! The instance of epoch `e` is decided by the voters of view `e` and yields view `e + 1`. A promise seals
-//! epoch `e`: whoever has promised takes no more writes of it, so the state that it reports with the promise
-//! stays.
+//! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance
+//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more
+//! writes of that epoch, so the state that it reports with the promise is final.
+//!
+//! The acceptor's part is in `member/views.rs`; this module is the proposer's.
 //!
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
 //! | `Idle` | [`Proposer::start`] | `Preparing` |
-//! | `Preparing` | [`Proposer::promised`], a majority | stays, until [`Proposer::propose`] |
+//! | `Preparing` | [`Proposer::record_promise`], a majority | stays, until [`Proposer::propose`] |
 //! | `Preparing` | [`Proposer::propose`] | `Accepting` |
-//! | `Accepting` | [`Proposer::accepted`], a majority | `Idle`, the view is decided |
+//! | `Accepting` | [`Proposer::record_accepted`], a majority | `Idle`, the view is decided |
 //! | any | [`Proposer::abandon`] | `Idle` |
 
 use std::collections::BTreeMap;
@@ -17,74 +19,75 @@
 
 use speedy::{Readable, Writable};
 
-use crate::durable::{Accepted, IdleEpoch};
+use crate::ballot::{Accepted, Ballot};
+use crate::durable::IdleEpoch;
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
-/// Number of a proposal; the proposer's identity breaks ties.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
-pub struct Ballot {
-    pub round: u64,
-    pub proposer: MemberId,
-}
-
-/// A promise to take no proposal below `ballot` in the instance of `epoch`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct Promise {
-    pub epoch: u64,
-    pub ballot: Ballot,
-}
-
-/// What a voter reports with its promise.
+/// What an acceptor reports with its promise.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Report {
-    /// Its vote on the next view, if it has given one.
+    /// The proposal with the highest ballot that it has accepted in this instance.
     pub accepted: Option<Accepted>,
-    /// The last epoch in which it was active in the chain: its state holds all that was committed up to it.
+    /// The last epoch in which it was active in the chain. Its state holds every write that was committed
+    /// up to and including that epoch.
     pub active_epoch: u64,
-    /// Stamp of its state.
+    /// Stamp of its state, committed or not. Final, since the epoch is sealed.
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
-    pub fit: bool,
-    /// Members that it has heard lately.
+    pub can_replicate: bool,
+    /// Members that it has heard within the suspicion time-out, itself included.
     pub hears: Vec<MemberId>,
-    /// Epochs in which it knows that nothing was committed. At the end, as earlier messages lack it.
+    /// Epochs in which it knows that nothing was committed. Must stay the last field: earlier messages end
+    /// before it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
 
-/// Phase of a proposer.
+/// Phase of a proposer. A proposer has at most one ballot at a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
+    /// No proposal.
     #[default]
     Idle,
+    /// Phase 1: promises are collected.
     Preparing {
+        /// Ballot of the proposal.
         ballot: Ballot,
+        /// When the phase began.
         since: Duration,
+        /// Reports of the acceptors that have promised.
         reports: BTreeMap<MemberId, Report>,
     },
+    /// Phase 2: acceptances are collected.
     Accepting {
+        /// Ballot of the proposal.
         ballot: Ballot,
+        /// When the phase began.
         since: Duration,
+        /// The proposed view. Must never change under one ballot.
         view: View,
+        /// Acceptors that have accepted it, each at most once.
         accepted_by: Vec<MemberId>,
     },
 }
 
 /// The proposing side of one instance.
 #[derive(Clone, Debug, Default)]
-pub struct Proposer {
+pub(crate) struct Proposer {
     phase: Phase,
+    /// The highest round seen in any ballot. Never decreases.
     highest_round: u64,
 }
 
 impl Proposer {
-    pub fn phase(&self) -> &Phase {
+    /// The phase of the current proposal.
+    pub(crate) fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// The proposer without its times.
-    pub fn canonical(&self) -> impl std::fmt::Debug + '_ {
+    /// Everything here that decisions depend on, without times: for exhaustive searches.
+    pub(crate) fn canonical(&self) -> impl std::fmt::Debug + '_ {
         let phase = match &self.phase {
             Phase::Idle => None,
             Phase::Preparing {
@@ -100,16 +103,17 @@
         (phase, self.highest_round)
     }
 
-    /// Ballot of the present proposal.
-    pub fn ballot(&self) -> Option<Ballot> {
+    /// Ballot of the current proposal.
+    pub(crate) fn ballot(&self) -> Option<Ballot> {
         match self.phase {
             Phase::Idle => None,
             Phase::Preparing { ballot, .. } | Phase::Accepting { ballot, .. } => Some(ballot),
         }
     }
 
-    /// Begins a proposal above every ballot seen so far.
-    pub fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
+    /// Begins phase 1 with a ballot above every one seen so far. The caller must put its own promise of the
+    /// ballot on disk before it sends the ballot to anyone.
+    pub(crate) fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
         self.highest_round += 1;
         let ballot = Ballot {
             round: self.highest_round,
@@ -123,13 +127,13 @@
         ballot
     }
 
-    /// Notes a ballot of another proposer, so that the next own one is above it.
-    pub fn saw(&mut self, ballot: Ballot) {
+    /// Records another proposer's ballot, so that the next own one is above it.
+    pub(crate) fn observe_ballot(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
     }
 
-    /// Takes a promise. Reports of members that don't vote must not be passed in.
-    pub fn promised(&mut self, from: MemberId, ballot: Ballot, report: Report) {
+    /// Records a promise, unless it belongs to another ballot. `from` must be a voter of the current view.
+    pub(crate) fn record_promise(&mut self, from: MemberId, ballot: Ballot, report: Report) {
         if let Phase::Preparing {
             ballot: own,
             reports,
@@ -141,8 +145,9 @@
         }
     }
 
-    /// The view that must be proposed because it may have been decided: that of the highest vote reported.
-    pub fn bound_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
+    /// The view that must be proposed because it may already have been decided: that of the accepted proposal
+    /// with the highest ballot (Paxos Made Simple, property P2c).
+    pub(crate) fn highest_accepted_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
         let votes = reports
             .values()
             .filter_map(|report| report.accepted.as_ref());
@@ -151,8 +156,10 @@
             .map(|vote| vote.view.clone())
     }
 
-    /// Goes on to the second phase with `view`.
-    pub fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
+    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. The caller must have the
+    /// reports of a majority, and `view` must be [`highest_accepted_view`](Self::highest_accepted_view) of
+    /// them if there is one.
+    pub(crate) fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
         let Phase::Preparing { ballot, .. } = self.phase else {
             return None;
         };
@@ -165,8 +172,14 @@
         Some(ballot)
     }
 
-    /// Takes a vote; gives the view back once a majority of `current`'s voters has voted for it.
-    pub fn accepted(&mut self, from: MemberId, voted: Ballot, current: &View) -> Option<View> {
+    /// Records an acceptance. Returns the view, now decided, once a majority of the voters of `current` has
+    /// accepted it.
+    pub(crate) fn record_accepted(
+        &mut self,
+        from: MemberId,
+        voted: Ballot,
+        current: &View,
+    ) -> Option<View> {
         let Phase::Accepting {
             ballot,
             view,
@@ -188,8 +201,8 @@
         Some(decided)
     }
 
-    /// Gives the proposal up.
-    pub fn abandon(&mut self) {
+    /// Abandons the proposal. Its ballot must not be used again.
+    pub(crate) fn abandon(&mut self) {
         self.phase = Phase::Idle;
     }
 }
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/views.rs
@@ -1,28 +1,35 @@
-//! This member's part in the agreement on views, and taking a view into force.
+//! The acceptor's part of the agreement on views, the messages of the proposer, and the installation of a
+//! view.
+//!
+//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
+//! reported.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use super::{Member, Output};
-use crate::agreement::{Ballot, Phase, Promise, Report};
-use crate::durable::{Accepted, Record};
-use crate::election::SEALED_WAIT;
+use crate::agreement::{Phase, Report};
+use crate::ballot::{Accepted, Ballot, Promise};
+use crate::durable::Record;
+use crate::election::SEALED_EPOCH_DELAY;
 use crate::message::Body;
 use crate::replication::Replication;
 use crate::requests::Reply;
 use crate::view::{MemberId, View};
 
 impl Member {
+    /// Whether this member may promise and accept in the instance of the current epoch.
     pub(super) fn is_eligible_voter(&self) -> bool {
         let view = &self.durable.view;
         view.is_voter(self.id) && (view.epoch > 0 || self.durable.bootstrap)
     }
 
-    pub(super) fn promise(&mut self, from: MemberId, ballot: Ballot) {
+    /// Phase 1b: promises `ballot` and seals the epoch, unless a higher ballot was promised.
+    pub(super) fn handle_prepare(&mut self, from: MemberId, ballot: Ballot) {
         if !self.is_eligible_voter() || !self.durable.view.is_voter(from) {
             return;
         }
-        self.proposer.saw(ballot);
+        self.proposer.observe_ballot(ballot);
         let current = self.durable.current_promise();
         if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
             return self.send_now(
@@ -35,24 +42,26 @@
         if current.is_none_or(|promise| promise.ballot < ballot) {
             let epoch = self.durable.view.epoch;
             self.persist(Record::Promise(Promise { epoch, ballot }));
-            self.election.promised_to_another();
+            self.election.cancel();
         }
         let report = self.report();
         self.send_after_sync(from, Body::Promise { ballot, report });
     }
 
+    /// What this member reports with a promise. Must be called after the promise is recorded.
     pub(super) fn report(&self) -> Report {
         Report {
             accepted: self.durable.accepted.clone(),
             active_epoch: self.durable.active_epoch,
             stamp: self.durable.state.stamp,
-            fit: self.is_fit(),
-            hears: self.peers.heard_lately(self.last_tick),
+            can_replicate: self.can_replicate(),
+            hears: self.peers.heard_members(self.last_tick),
             idle_epochs: self.durable.idle_epochs.clone(),
         }
     }
 
-    pub(super) fn accept(&mut self, from: MemberId, accepted: Accepted) {
+    /// Phase 2b: accepts a proposal, unless a higher ballot was promised.
+    pub(super) fn handle_accept(&mut self, from: MemberId, accepted: Accepted) {
         let epoch = self.durable.view.epoch;
         let ballot = accepted.ballot;
         let is_for_next = accepted.view.epoch == epoch + 1;
@@ -77,7 +86,8 @@
         self.send_after_sync(from, Body::Accepted { ballot });
     }
 
-    pub(super) fn take_promise(
+    /// Records a promise of this member's ballot.
+    pub(super) fn handle_promise(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -85,19 +95,20 @@
         report: Report,
     ) {
         if self.durable.view.is_voter(from) {
-            self.proposer.promised(from, ballot, report);
+            self.proposer.record_promise(from, ballot, report);
             self.propose_if_ready(now);
         }
     }
 
-    pub(super) fn take_vote(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
+    /// Records an acceptance of this member's ballot, and announces the view if that decides it.
+    pub(super) fn handle_accepted(&mut self, now: Duration, from: MemberId, ballot: Ballot) {
         let current = self.durable.view.clone();
-        let Some(view) = self.proposer.accepted(from, ballot, &current) else {
+        let Some(view) = self.proposer.record_accepted(from, ballot, &current) else {
             return;
         };
         let mut addresses: Vec<SocketAddrV4> = self
             .peers
-            .heard_lately(now)
+            .heard_members(now)
             .iter()
             .map(|peer| peer.address)
             .collect();
@@ -114,24 +125,25 @@
         }
     }
 
-    pub(super) fn superseded(&mut self, now: Duration, promised: Ballot) {
-        self.proposer.saw(promised);
+    /// Abandons this member's ballot if another voter has promised a higher one.
+    pub(super) fn handle_superseded(&mut self, now: Duration, promised: Ballot) {
+        self.proposer.observe_ballot(promised);
         if self
             .proposer
             .ballot()
             .is_some_and(|ballot| ballot < promised)
         {
             self.proposer.abandon();
-            let wait = self.wait_after_failure();
-            self.election.retry(now + SEALED_WAIT + wait);
+            let wait = self.delay_after_failure();
+            self.election.schedule(now + SEALED_EPOCH_DELAY + wait);
         }
     }
 
-    /// Begins a proposal. The own promise is on disk before anyone hears of the ballot: after a restart no
-    /// ballot may stand for a second view.
+    /// Phase 1a: begins a proposal. The own promise is on disk before the ballot is sent, so that a restart
+    /// can't use the same ballot for another view.
     pub(crate) fn start_proposal(&mut self, now: Duration) {
         if let Some(promise) = self.durable.current_promise() {
-            self.proposer.saw(promise.ballot);
+            self.proposer.observe_ballot(promise.ballot);
         }
         let ballot = self.proposer.start(now, self.id);
         let epoch = self.durable.view.epoch;
@@ -141,6 +153,7 @@
         }
     }
 
+    /// Phase 2a: asks the voters to accept `view`.
     pub(crate) fn propose(&mut self, now: Duration, view: View) {
         let Some(ballot) = self.proposer.propose(now, view.clone()) else {
             return;
@@ -156,46 +169,52 @@
         }
     }
 
-    pub(crate) fn random_wait(&mut self, longest: Duration) -> Duration {
-        let share = self.random.rand_float();
-        longest.mul_f64(share)
+    /// A random duration below `limit`.
+    pub(crate) fn random_delay(&mut self, limit: Duration) -> Duration {
+        let fraction = self.random.rand_float();
+        limit.mul_f64(fraction)
     }
 
+    /// Phase of this member's proposal.
     pub(crate) fn proposal_phase(&self) -> &Phase {
         self.proposer.phase()
     }
 
-    pub(super) fn install(&mut self, now: Duration, view: View) {
+    /// Installs a decided view, unless a newer one is installed. Whatever belongs to the earlier epoch is
+    /// dropped.
+    pub(super) fn install_view(&mut self, now: Duration, view: View) {
         if view.epoch <= self.durable.view.epoch {
             return;
         }
         self.persist(Record::View(view.clone()));
         self.deferred.clear();
         self.proposer.abandon();
-        self.election.installed();
-        self.forget_active_members();
+        self.election.cancel();
+        self.clear_active_members();
         self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         self.barrier_session = self.random.rand_u64() | 1;
         self.outputs.push(Output::ViewInstalled(view.clone()));
         if view.head() == Some(self.id) {
-            self.take_office(now);
+            self.become_head(now);
         } else {
-            self.give_requests_up();
+            self.abort_requests();
         }
-        self.next_ping = now;
+        self.next_heartbeat = now;
     }
 
-    pub(super) fn take_office(&mut self, now: Duration) {
+    /// Begins to serve as head of the installed view, with this member's own state.
+    pub(super) fn become_head(&mut self, now: Duration) {
         let epoch = self.durable.view.epoch;
         let record = self.persist(Record::Activate(epoch));
         self.replication.restart(record, epoch, &self.durable.state);
         let barrier = self.replication.next_barrier(self.barrier_session);
-        self.waiting.renew_barriers(barrier.number);
-        self.drive(now);
+        self.pending_requests.renew_barriers(barrier.number);
+        self.advance_replication(now);
     }
 
-    pub(super) fn give_requests_up(&mut self) {
-        for id in self.waiting.drain() {
+    /// Answers every pending request with [`Reply::Unavailable`].
+    pub(super) fn abort_requests(&mut self) {
+        for id in self.pending_requests.drain() {
             self.outputs.push(Output::Reply {
                 id,
                 reply: Reply::Unavailable,
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,18 +1,22 @@
-//! Choice of the next view.
+//! Choice of the next view from what its voters report.
+//!
+//! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be
+//! proposed, unless one of them contains an accepted proposal, which must be proposed instead.
 
 use std::cmp::Reverse;
 
 use snafu::Snafu;
-use speedy::{Readable, Writable};
 
 use crate::durable::IdleEpoch;
+use crate::failure_domain::FailureDomain;
+use crate::policy::Policy;
 use crate::state::Stamp;
 use crate::view::{MemberId, View};
 
-/// Why no view can be proposed.
+/// Why there is no next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PlanError {
-    /// Nobody in reach holds every write that may have been committed.
+    /// No reporting voter is known to hold every write that may have been committed.
     #[snafu(display("no member in reach holds the complete state"))]
     NoCompleteMember,
 }
@@ -20,105 +24,38 @@
 /// A member that may be in the next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
+    /// The member.
     pub member: MemberId,
     /// The last epoch in which it was active in the chain.
     pub active_epoch: u64,
+    /// Stamp of its state, committed or not.
     pub stamp: Stamp,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
-    pub fit: bool,
-    pub place: Place,
-}
-
-/// Where a machine stands, as digests of the names of its zone and region.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Place {
-    pub zone: u32,
-    pub region: u32,
-}
-
-impl Place {
-    /// The place of these names.
-    pub fn named(zone: &str, region: &str) -> Place {
-        Place {
-            zone: digest(zone),
-            region: digest(region),
-        }
-    }
-}
-
-/// Digest of a name (FNV-1a, 32 bits).
-fn digest(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| {
-        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
-    })
-}
-
-/// What may be lost at once.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tolerance {
-    pub machines: usize,
-    pub zones: usize,
-    pub regions: usize,
-}
-
-/// How many members a view wants.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Policy {
-    /// Voters, and members of the chain: `2f + 1`.
-    pub replicas: usize,
-    /// Members without which the chain commits nothing: `f + 1`.
-    pub minimum: usize,
-    /// Whether members should stand in different zones.
-    pub spread_zones: bool,
-    /// Whether members should stand in different regions.
-    pub spread_regions: bool,
-}
-
-impl Policy {
-    /// The policy that bears these losses. Members spread over zones or regions, so that the loss of one of
-    /// those is the loss of no more members than the policy bears.
-    pub fn tolerating(tolerance: Tolerance) -> Policy {
-        let faults = tolerance
-            .machines
-            .max(tolerance.zones)
-            .max(tolerance.regions);
-        Policy {
-            replicas: 2 * faults + 1,
-            minimum: faults + 1,
-            spread_zones: tolerance.zones > 0,
-            spread_regions: tolerance.regions > 0,
-        }
-    }
-
-    /// How many of `chosen` a machine at `place` would be lost together with; fewer is better.
-    fn crowding(&self, place: Place, chosen: &[Candidate]) -> (usize, usize) {
-        let in_region = chosen
-            .iter()
-            .filter(|other| other.place.region == place.region)
-            .count();
-        let in_zone = chosen.iter().filter(|other| other.place == place).count();
-        (
-            if self.spread_regions { in_region } else { 0 },
-            if self.spread_zones { in_zone } else { 0 },
-        )
-    }
+    pub can_replicate: bool,
+    /// Its zone and region.
+    pub failure_domain: FailureDomain,
 }
 
 /// The view after `current`.
 ///
-/// `voters` are the voters of `current` that have reported, `learners` the other members in reach. The chain
-/// begins with a member that holds every write that may have been committed; only members that reach each
-/// other (`linked`) are in it. Voters that have not reported are replaced by learners, and are kept where
-/// there is none; one whose address has come back with another identity has lost its disk and is dropped.
+/// `voters` are the voters of `current` that have reported, and must be a majority of them; `learners` are
+/// the other reachable members. The chain begins with a voter that holds every write that may have been
+/// committed, and contains only members of which each two reach each other (`are_connected`). Voters that
+/// have not reported are replaced by learners as far as there are any. A voter whose address is now used by
+/// another identity has lost its disk and is dropped.
+///
+/// # Errors
+///
+/// [`PlanError::NoCompleteMember`] if no voter has been active in the floor or later.
 pub fn next_view(
     current: &View,
     voters: &[Candidate],
     learners: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<View, PlanError> {
     let floor = next_floor(current, voters);
-    let chain = next_chain(current, floor, voters, learners, policy, linked)?;
+    let chain = next_chain(current, floor, voters, learners, policy, are_connected)?;
     let voters = next_voters(current, &chain, voters, learners, policy);
     Ok(View {
         epoch: current.epoch + 1,
@@ -128,9 +65,9 @@
     })
 }
 
-/// The floor without epochs in which nothing was committed: whoever was active in the floor of such an epoch
-/// holds what was committed before it, and so all that was.
-pub fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
+/// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of
+/// such an epoch holds every write committed before the epoch, and so every write committed up to its end.
+pub(crate) fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
     while let Some(idle) = idle_epochs
         .iter()
@@ -141,9 +78,9 @@
     floor
 }
 
-/// The floor of the next view. A commit needs every member of a chain that meets every majority: if the chain
-/// doesn't, or if one of them has sealed the epoch without ever having been active in it, nothing was
-/// committed in it, and the earlier floor holds.
+/// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every
+/// majority. If the chain doesn't, or if one of its members has sealed the epoch without having been active
+/// in it, nothing was committed in the epoch and the floor stays.
 fn next_floor(current: &View, voters: &[Candidate]) -> u64 {
     if !current.meets_every_majority() {
         return current.floor;
@@ -164,15 +101,20 @@
     voters: &[Candidate],
     learners: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<Vec<MemberId>, PlanError> {
     let position = |member: MemberId| {
         let found = current.chain.iter().position(|&other| other == member);
         found.unwrap_or(current.chain.len())
     };
     let complete = voters.iter().filter(|voter| voter.active_epoch >= floor);
-    let base =
-        complete.max_by_key(|voter| (voter.fit, voter.stamp, Reverse(position(voter.member))));
+    let base = complete.max_by_key(|voter| {
+        (
+            voter.can_replicate,
+            voter.stamp,
+            Reverse(position(voter.member)),
+        )
+    });
     let base = base.ok_or(PlanError::NoCompleteMember)?;
 
     let mut ordered: Vec<Candidate> = voters.to_vec();
@@ -180,16 +122,17 @@
     ordered.extend_from_slice(learners);
 
     let mut chain = vec![*base];
-    let mut extend = |fit: bool, length: usize| {
+    let mut extend = |can_replicate: bool, length: usize| {
         while chain.len() < length {
-            let Some(next) = next_member(&ordered, fit, &chain, policy, linked) else {
+            let Some(next) = next_member(&ordered, can_replicate, &chain, policy, are_connected)
+            else {
                 return;
             };
             chain.push(next);
         }
     };
     extend(true, policy.replicas);
-    // Members that leave or sync slowly are better than a chain that commits nothing.
+    // A chain with a member that is shutting down or syncs slowly is better than one that commits nothing.
     extend(false, policy.minimum);
     Ok(chain
         .into_iter()
@@ -197,24 +140,29 @@
         .collect())
 }
 
-/// The first of `ordered` that reaches everyone in `chain`, those at less crowded places before others.
+/// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of them;
+/// the first in `ordered` where several do.
 fn next_member(
     ordered: &[Candidate],
-    fit: bool,
+    can_replicate: bool,
     chain: &[Candidate],
     policy: Policy,
-    linked: &dyn Fn(MemberId, MemberId) -> bool,
+    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Option<Candidate> {
-    let outside = ordered.iter().filter(|candidate| {
-        candidate.fit == fit && chain.iter().all(|other| other.member != candidate.member)
+    let others = ordered.iter().filter(|candidate| {
+        candidate.can_replicate == can_replicate
+            && chain.iter().all(|other| other.member != candidate.member)
     });
-    let reaching = outside.filter(|candidate| {
+    let reaching = others.filter(|candidate| {
         chain
             .iter()
-            .all(|other| linked(candidate.member, other.member))
+            .all(|other| are_connected(candidate.member, other.member))
     });
     reaching
-        .min_by_key(|candidate| policy.crowding(candidate.place, chain))
+        .min_by_key(|candidate| {
+            let domains = chain.iter().map(|other| other.failure_domain);
+            policy.crowding(candidate.failure_domain, domains)
+        })
         .copied()
 }
 
@@ -231,22 +179,22 @@
             next.push(member);
         }
     };
-    let reported = voters.iter().filter(|voter| voter.fit);
+    let reported = voters.iter().filter(|voter| voter.can_replicate);
     reported.for_each(|voter| add(voter.member));
-    let fresh = learners.iter().filter(|learner| learner.fit);
-    fresh.for_each(|learner| add(learner.member));
+    let new = learners.iter().filter(|learner| learner.can_replicate);
+    new.for_each(|learner| add(learner.member));
     if current.epoch > 0 {
-        let silent = current
+        let unreported = current
             .voters
             .iter()
             .filter(|voter| !has_lost_its_disk(**voter, learners));
-        silent.for_each(|&voter| add(voter));
+        unreported.for_each(|&voter| add(voter));
     }
     next.sort();
     next
 }
 
-/// Whether another member lives at the address of `voter`.
+/// Whether the address of `voter` is now used by another identity.
 fn has_lost_its_disk(voter: MemberId, learners: &[Candidate]) -> bool {
     learners.iter().any(|learner| {
         learner.member.address == voter.address && learner.member.identity != voter.identity
--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Ballot, Body, Durable, Input, Member, MemberId, MemberOptions, Output, Place, Record,
+    Ballot, Body, Durable, FailureDomain, Input, Member, MemberId, MemberOptions, Output, Record,
     TimedStep, Tolerance, View,
 };
 
@@ -41,7 +41,7 @@
             machines: 1,
             ..Tolerance::default()
         },
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     };
     Member::new(NOW, options, durable)
@@ -80,7 +80,7 @@
     let mut durable = disk();
     let mut member = head(durable.clone());
     let outputs = member.take_step(NOW, TimedStep::Propose);
-    // The disk gets the record, and the process ends right after the ballot is told.
+    // The disk gets the record, and the process exits right after the ballot is sent.
     for (_, record) in records(&outputs) {
         durable.apply(&record);
     }
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -8,17 +8,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use simulation::event::Event;
 use simulation::faults::play_in;
 use simulation::operator::{CallId, new_put};
-use simulation::world::{Event, InjectedBug, World};
-use woadreach_chain::{Command, PutConfiguration, Request, TAKEN_LIMIT};
+use simulation::world::{InjectedBug, World};
+use woadreach_chain::{Command, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, Request};
 
 /// Operators whose orders these tests send; the world's own ones are the first two.
 const OWN_OPERATOR: usize = 0;
 /// Distance of the moments at which the members are struck.
 const GRID: Duration = Duration::from_micros(500);
 /// An order in a calm world has its answer within this time.
-const LONGEST_ORDER: Duration = Duration::from_millis(40);
+const MAX_ORDER_TIME: Duration = Duration::from_millis(40);
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
@@ -60,10 +61,10 @@
     world.run_until(end);
 }
 
-/// How a member is struck while orders are under way.
-type Strike = fn(&mut World, usize);
+/// A fault of a member while orders are in flight.
+type InjectFault = fn(&mut World, usize);
 
-const STRIKES: [(&str, Strike); 4] = [
+const FAULTS: [(&str, InjectFault); 4] = [
     ("killed", World::kill),
     ("wiped", World::wipe),
     ("frozen", |world, node| {
@@ -71,8 +72,8 @@
     }),
     ("cut off", |world, node| {
         for other in (0..world.nodes.len()).filter(|&other| other != node) {
-            world.cuts.insert((node, other));
-            world.cuts.insert((other, node));
+            world.partitioned_links.insert((node, other));
+            world.partitioned_links.insert((other, node));
         }
     }),
 ];
@@ -82,7 +83,7 @@
 fn race_through(
     moment: Duration,
     position: usize,
-    strike: Strike,
+    inject_fault: InjectFault,
     bug: Option<InjectedBug>,
 ) -> World {
     let mut world = quiet_world(7, bug);
@@ -94,16 +95,16 @@
         .view
         .chain
         .clone();
-    let struck = world
+    let affected = world
         .nodes
         .iter()
         .position(|node| node.address == chain[position].address);
-    let struck = struck.expect("a machine of the world");
+    let affected = affected.expect("a machine of the world");
     let [one, other] = racing_orders();
     send(&mut world, 1, &one, &[0, 1]);
     send(&mut world, 2, &other, &[1, 2]);
     run_for(&mut world, moment);
-    strike(&mut world, struck);
+    inject_fault(&mut world, affected);
     for _ in 0..12 {
         run_for(&mut world, Duration::from_millis(200));
         send(&mut world, 1, &one, &[0, 1, 2]);
@@ -137,7 +138,7 @@
     }
     let [one, other] = racing_orders();
     let is_first = newest.taken[0].digest == one.digest;
-    let answers = world.history.told([one.digest, other.digest]);
+    let answers = world.history.recorded_answers([one.digest, other.digest]);
     let (acknowledged, refused) = ((true, false), (false, true));
     let expected = if is_first {
         [acknowledged, refused]
@@ -154,12 +155,12 @@
 /// Every moment, member and way of losing it; which orders won, or the first thing that is wrong.
 fn race_at_each_moment(bug: Option<InjectedBug>) -> Result<BTreeSet<bool>, String> {
     let mut winners = BTreeSet::new();
-    let moments = LONGEST_ORDER.as_micros() / GRID.as_micros();
-    for (name, strike) in STRIKES {
+    let moments = MAX_ORDER_TIME.as_micros() / GRID.as_micros();
+    for (name, inject_fault) in FAULTS {
         for position in 0..3 {
             for step in 0..moments {
                 let moment = GRID * u32::try_from(step).expect("small");
-                let world = race_through(moment, position, strike, bug);
+                let world = race_through(moment, position, inject_fault, bug);
                 let winner = winner(&world);
                 winners.insert(
                     winner.map_err(|why| format!("{position} {name} after {moment:?}: {why}"))?,
@@ -193,7 +194,7 @@
     let first = number("WOADREACH_SEED", 1);
     for seed in first..first + number("WOADREACH_RUNS", 6) {
         let mut world = World::new(seed, 3, 0, 1, None);
-        world.begin_after(TAKEN_LIMIT as u64 + 100);
+        world.begin_after(MAX_TAKEN_CONFIGURATIONS as u64 + 100);
         let finding = play_in(world, Duration::from_secs(8));
         assert!(
             finding.violations.is_empty(),
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
-use woadreach_chain::{MemberOptions, Place, Tolerance};
+use woadreach_chain::{FailureDomain, MemberOptions, Tolerance};
 use woadreach_discovery::{CoreDiscovery, NodeRole, Sampler};
 use woadreach_rpc::{Client, ClientOptions, Router, ServiceId};
 use woadreach_settings::NodeSettings;
@@ -157,7 +157,7 @@
             zones: settings.fault_tolerance.zones,
             regions: settings.fault_tolerance.regions,
         },
-        place: Place::named(&settings.zone, &settings.region),
+        failure_domain: FailureDomain::named(&settings.zone, &settings.region),
         random_seed: random_number(),
     })
 }
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -38,9 +38,10 @@
 
 async fn read_configuration(driver: &MemberDriver) -> Option<Answer> {
     match driver.request(Request::ReadConfiguration).await {
-        Reply::Configuration(Some((generation, body))) => {
-            Some(Answer::Configuration { generation, body })
-        }
+        Reply::Configuration(Some(stored)) => Some(Answer::Configuration {
+            generation: stored.generation,
+            body: stored.body,
+        }),
         Reply::Configuration(None) => Some(Answer::NoConfiguration),
         _ => None,
     }
