--- a/crates/testing/process-tests/src/relay.rs
+++ b/crates/testing/process-tests/src/relay.rs
@@ -12,7 +12,6 @@
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::Notify;
@@ -30,13 +29,6 @@
     pub is_partitioned: bool,
     /// Share of the datagrams that are lost.
     pub loss: f64,
-    /// Share of the datagrams that are delivered twice.
-    pub duplication: f64,
-    /// Seconds that everything is delayed.
-    pub delay: f64,
-    /// Seconds that a datagram is delayed at most in addition, drawn for each of them, so that they are
-    /// reordered.
-    pub jitter: f64,
 }
 
 /// The two zones of a link.
@@ -168,10 +160,6 @@
                 return;
             };
             self.wait_until_repaired(zones).await;
-            let delay = self.condition(zones).delay;
-            if delay > 0.0 {
-                tokio::time::sleep(Duration::from_secs_f64(delay)).await;
-            }
             if length == 0 {
                 let _ = to.shutdown().await;
                 return;
@@ -215,34 +203,11 @@
         });
     }
 
-    fn relay_datagram(
-        &self,
-        bytes: &[u8],
-        sender: &Rc<UdpSocket>,
-        to: SocketAddr,
-        zones: ZonePair,
-    ) {
+    fn relay_datagram(&self, bytes: &[u8], sender: &UdpSocket, to: SocketAddr, zones: ZonePair) {
         let condition = self.condition(zones);
-        if condition.is_partitioned || self.happens(condition.loss) {
-            return;
-        }
-        let deliveries = if self.happens(condition.duplication) {
-            2
-        } else {
-            1
-        };
-        for _ in 0..deliveries {
-            let (sender, bytes) = (sender.clone(), bytes.to_vec());
-            let delay =
-                condition.delay + condition.jitter * self.0.random.borrow_mut().random::<f64>();
-            if delay <= 0.0 {
-                let _ = sender.try_send_to(&bytes, to);
-                continue;
-            }
-            spawn_local(async move {
-                tokio::time::sleep(Duration::from_secs_f64(delay)).await;
-                let _ = sender.try_send_to(&bytes, to);
-            });
+        if !condition.is_partitioned && !self.happens(condition.loss) {
+            // One that can't be sent at once is lost, as in a network.
+            let _ = sender.try_send_to(bytes, to);
         }
     }
 
