--- a/crates/testing/simulation/src/clock.rs
+++ b/crates/testing/simulation/src/clock.rs
@@ -165,7 +165,8 @@
             .is_some_and(|p| p.alive)
     }
 
-    /// Tasks that a process has.
+    /// How many tasks a process has.
+    #[cfg(test)]
     pub fn tasks(&self, process: ProcessId) -> usize {
         self.0
             .processes
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -17,11 +17,8 @@
 mod sockets;
 mod world;
 
-pub use clock::{Clock, MILLISECOND, Nanos, ProcessId, Sleep};
 pub use load::{draw_ask, draw_gap};
-pub use network::{
-    BEGIN, Network, NetworkConfig, SimDatagrams, SimNet, SimStream, Zone, address, seed_of,
-};
+pub use network::{BEGIN, seed_of};
 pub use record::{Fared, Record};
 pub use recovery::Recovery;
 pub use script::{Bad, Fault, Kind, Peers, Repeats, Script, SilentCalls};
--- /dev/null
+++ b/crates/testing/simulation/src/network/connect.rs
@@ -0,0 +1,160 @@
+//! Opening a connection: requests that are answered, refused, or sent again when nobody answers.
+
+use super::Network;
+use super::address::process_at;
+use super::listener::AcceptQueue;
+use super::stream::SimStream;
+use crate::clock::{MILLISECOND, Nanos, ProcessId};
+use std::cell::RefCell;
+use std::future::poll_fn;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::{Poll, Waker};
+
+/// TCP sends a SYN again after one second, then after twice as long each time.
+const INITIAL_SYN_TIMEOUT: Nanos = 1000 * MILLISECOND;
+/// How often a SYN that nobody answers is sent again.
+const MAX_SYN_RETRIES: u32 = 6;
+
+/// The outcome of a connect, once there is one.
+#[derive(Default)]
+struct Connecting {
+    result: Option<io::Result<SimStream>>,
+    waker: Option<Waker>,
+}
+
+type SharedConnecting = Rc<RefCell<Connecting>>;
+
+/// Whether the caller has dropped its connect.
+fn is_abandoned(connecting: &SharedConnecting) -> bool {
+    Rc::strong_count(connecting) < 2
+}
+
+fn complete(connecting: &SharedConnecting, result: io::Result<SimStream>) {
+    let mut c = connecting.borrow_mut();
+    c.result = Some(result);
+    let waker = c.waker.take();
+    drop(c);
+    if let Some(waker) = waker {
+        waker.wake();
+    }
+}
+
+fn refuse(connecting: &SharedConnecting) {
+    complete(connecting, Err(ErrorKind::ConnectionRefused.into()));
+}
+
+impl Network {
+    /// Opens a connection. Never completes if the other machine can't be reached.
+    pub(super) async fn connect(&self, from: ProcessId, to: SocketAddr) -> io::Result<SimStream> {
+        let connecting = SharedConnecting::default();
+        self.send_syn(from, to, &connecting, 0);
+        poll_fn(|cx| {
+            let mut c = connecting.borrow_mut();
+            match c.result.take() {
+                Some(result) => Poll::Ready(result),
+                None => {
+                    c.waker = Some(cx.waker().clone());
+                    Poll::Pending
+                }
+            }
+        })
+        .await
+    }
+
+    fn send_syn(
+        &self,
+        from: ProcessId,
+        to: SocketAddr,
+        connecting: &SharedConnecting,
+        retries: u32,
+    ) {
+        if (retries > 0 && is_abandoned(connecting)) || !self.0.clock.alive(from) {
+            return;
+        }
+        let queue = self.0.accept_queues.borrow().get(&to).cloned();
+        let machine = queue
+            .as_ref()
+            .map(|q| q.process)
+            .or_else(|| self.machine_at(to));
+        let reachable =
+            machine.filter(|m| self.is_reachable(from, *m) && self.is_reachable(*m, from));
+        let Some(machine) = reachable else {
+            if retries < MAX_SYN_RETRIES {
+                self.retry_syn(
+                    INITIAL_SYN_TIMEOUT << retries,
+                    from,
+                    to,
+                    connecting,
+                    retries,
+                );
+            }
+            return;
+        };
+        let (there, back) = (self.latency(from, machine), self.latency(machine, from));
+        match queue {
+            Some(queue) if !queue.is_full(self.0.config.backlog) => {
+                self.establish(from, queue, connecting.clone(), there, back);
+            }
+            // The kernel drops a SYN when the accept queue is full.
+            Some(_) => self.retry_syn(INITIAL_SYN_TIMEOUT, from, to, connecting, retries),
+            None => {
+                let connecting = connecting.clone();
+                self.0
+                    .clock
+                    .call_at(self.now() + there + back, move || refuse(&connecting));
+            }
+        }
+    }
+
+    fn retry_syn(
+        &self,
+        after: Nanos,
+        from: ProcessId,
+        to: SocketAddr,
+        connecting: &SharedConnecting,
+        retries: u32,
+    ) {
+        let (network, connecting) = (self.clone(), connecting.clone());
+        self.0.clock.call_at(self.now() + after, move || {
+            network.send_syn(from, to, &connecting, retries + 1);
+        });
+    }
+
+    /// Puts the connection into the accept queue when the SYN arrives, and completes the connect when the
+    /// answer is back.
+    fn establish(
+        &self,
+        from: ProcessId,
+        queue: Rc<AcceptQueue>,
+        connecting: SharedConnecting,
+        there: Nanos,
+        back: Nanos,
+    ) {
+        let (network, sent_at) = (self.clone(), self.now());
+        self.0.clock.call_at(sent_at + there, move || {
+            if !network.0.clock.alive(queue.process) {
+                return refuse(&connecting);
+            }
+            if is_abandoned(&connecting) {
+                return;
+            }
+            let (client, server) = SimStream::pair(&network, from, queue.process);
+            queue.push(server);
+            network.0.clock.call_at(sent_at + there + back, move || {
+                complete(&connecting, Ok(client));
+            });
+        });
+    }
+
+    /// The machine of an address at which nobody listens.
+    fn machine_at(&self, address: SocketAddr) -> Option<ProcessId> {
+        let process = process_at(address)?;
+        self.0
+            .machines
+            .borrow()
+            .contains_key(&process)
+            .then_some(process)
+    }
+}
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -2,7 +2,7 @@
 //! every process of the run and what each fault does to them; must never decide anything for a co-ordinator.
 
 use crate::clock::{Clock, MILLISECOND, Nanos, ProcessId};
-use crate::network::{BEGIN, Network, SimNet, Zone, address, seed_of};
+use crate::network::{BEGIN, LatencyRange, Network, NetworkConfig, SimNet, Zone, address, seed_of};
 use crate::record::{Fared, Record};
 use crate::recovery::{Recovery, recoveries};
 use crate::script::{Script, SilentCalls};
@@ -178,8 +178,8 @@
         searches: fared.len() as u64,
         good: fared.iter().filter(|f| f.good).count() as u64,
         sub_requests: r.sent.len() as u64,
-        datagrams: world.network.datagrams().0,
-        datagram_bytes: world.network.datagrams().1,
+        datagrams: world.network.datagrams().count,
+        datagram_bytes: world.network.datagrams().bytes,
         verdicts: world.judged.take(),
         recoveries: recoveries(script, &fared, &r.sent),
         trace: r.trace.take().unwrap_or_default(),
@@ -191,16 +191,19 @@
         let clock = Clock::new();
         let way = nanos(script.fleet.way);
         let peers = script.peers.as_ref();
-        let figures = crate::NetworkConfig {
-            lost: peers.map_or(0.0, |p| p.lost),
-            doubled: peers.map_or(0.0, |p| p.doubled),
-            late: peers.map_or(0, |p| nanos(p.late)),
-            far: (way * 2 / 5, way * 3 / 5),
+        let config = NetworkConfig {
+            datagram_loss: peers.map_or(0.0, |p| p.lost),
+            datagram_duplication: peers.map_or(0.0, |p| p.doubled),
+            max_datagram_delay: peers.map_or(0, |p| nanos(p.late)),
+            between_zones: LatencyRange {
+                min: way * 2 / 5,
+                jitter: way * 3 / 5,
+            },
             receive_buffer: script.fleet.buffers,
             send_buffer: script.fleet.buffers,
-            ..crate::NetworkConfig::default()
+            ..NetworkConfig::default()
         };
-        let network = Network::new(&clock, seed_of(script.seed, "network"), figures);
+        let network = Network::new(&clock, seed_of(script.seed, "network"), config);
         let time = clock.clone();
         let recorder = Record::recorder(&record, move || BEGIN + time.now() as f64 / 1e9);
         let f = &script.fleet;
@@ -209,8 +212,11 @@
             .map(|n| {
                 let zone = Zone(n % f.zones);
                 let ahead = f.clocks_apart * (2.0 * apart.random::<f64>() - 1.0);
-                let first = network.machine(zone, ahead);
-                let (clients, agent) = (network.machine(zone, 0.0), network.machine(zone, 0.0));
+                let first = network.add_machine(zone, ahead);
+                let (clients, agent) = (
+                    network.add_machine(zone, 0.0),
+                    network.add_machine(zone, 0.0),
+                );
                 let at = address(first.process(), CLIENTS_PORT);
                 let agent_process = agent.process();
                 let place = address(agent_process, DISCOVERY_PORT);
@@ -240,7 +246,7 @@
         let replicas: Vec<Slot> = (0..script.replicas())
             .map(|r| {
                 let zone = r % f.replicas % f.zones;
-                let net = network.machine(Zone(zone), 0.0);
+                let net = network.add_machine(Zone(zone), 0.0);
                 let ports = (0..f.co_ordinators)
                     .map(|n| (NodeId(n), address(net.process(), REPLICAS_PORT + n as u16)));
                 let addresses: Vec<_> = ports.collect();
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -37,7 +37,8 @@
             Kind::Vanish { replicas } => {
                 for r in replicas {
                     self.way(*r, true);
-                    self.network.silence(self.replicas[*r].process.get(), true);
+                    self.network
+                        .set_isolated(self.replicas[*r].process.get(), true);
                 }
             }
             Kind::Drain { replicas } => {
@@ -66,9 +67,9 @@
             }),
             Kind::Cut { from, to, both } => {
                 self.ways_of(&[*from, *to], true);
-                self.network.cut(Zone(*from), Zone(*to), true);
+                self.network.partition(Zone(*from), Zone(*to));
                 if *both {
-                    self.network.cut(Zone(*to), Zone(*from), true);
+                    self.network.partition(Zone(*to), Zone(*from));
                 }
             }
             Kind::DiscoverySilent { co_ordinators } => {
@@ -120,7 +121,8 @@
             }
             Kind::Vanish { replicas } => {
                 for r in replicas {
-                    self.network.silence(self.replicas[*r].process.get(), false);
+                    self.network
+                        .set_isolated(self.replicas[*r].process.get(), false);
                     self.way(*r, false);
                 }
             }
@@ -136,7 +138,7 @@
                     // Its successor is another machine, under another name.
                     let name = format!("r{r}.{}", slot.turns.get());
                     *slot.name.borrow_mut() = name;
-                    let net = self.network.machine(Zone(slot.zone), 0.0);
+                    let net = self.network.add_machine(Zone(slot.zone), 0.0);
                     let addresses = slot
                         .addresses
                         .borrow()
@@ -167,8 +169,8 @@
                 (b.accepts_late, b.reads_late) = (0.0, 0.0);
             }),
             Kind::Cut { from, to, .. } => {
-                self.network.cut(Zone(*from), Zone(*to), false);
-                self.network.cut(Zone(*to), Zone(*from), false);
+                self.network.heal(Zone(*from), Zone(*to));
+                self.network.heal(Zone(*to), Zone(*from));
                 self.ways_of(&[*from, *to], false);
             }
             Kind::DiscoverySilent { co_ordinators } => {
@@ -201,7 +203,7 @@
     pub(super) fn start_replica(&self, r: usize, cold: bool) {
         let slot = &self.replicas[r];
         self.network.kill(slot.process.get());
-        let net = self.network.machine(Zone(slot.zone), 0.0);
+        let net = self.network.add_machine(Zone(slot.zone), 0.0);
         slot.process.set(net.process());
         slot.alive.set(true);
         let turn = slot.turns.replace(slot.turns.get() + 1);
--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -22,7 +22,7 @@
         let start = node.starts.replace(node.starts.get() + 1);
         let net = match node.process.get().filter(|_| start == 0) {
             Some(process) => self.network.process(process),
-            None => self.network.machine(zone, 0.0),
+            None => self.network.add_machine(zone, 0.0),
         };
         node.process.set(Some(net.process()));
         self.recorder
@@ -202,7 +202,9 @@
 
     pub(super) fn reload(self: &Rc<Self>, n: usize) {
         let node = &self.nodes[n];
-        let net = self.network.machine(Zone(n % self.script.fleet.zones), 0.0);
+        let net = self
+            .network
+            .add_machine(Zone(n % self.script.fleet.zones), 0.0);
         node.moves.set(node.moves.get() + 1);
         let place = address(net.process(), DISCOVERY_PORT);
         let moved =
