--- a/crates/cli/src/faults.rs
+++ b/crates/cli/src/faults.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 use woadreach_invariants::{Breach, Event};
-use woadreach_simulation::{Kind, Options, Outcome, Script, play, shrink};
+use woadreach_simulation::{FaultKind, Options, Outcome, Script, play, shrink};
 
 /// Seeds that break a rule and are told one by one.
 const TOLD: usize = 20;
@@ -143,12 +143,12 @@
 }
 
 fn kind(text: &str) -> Result<String, String> {
-    if Kind::NAMES.contains(&text) {
+    if FaultKind::NAMES.contains(&text) {
         Ok(text.to_string())
     } else {
         Err(format!(
             "no such kind; there are {}",
-            Kind::NAMES.join(", ")
+            FaultKind::NAMES.join(", ")
         ))
     }
 }
--- a/crates/testing/process-tests/src/rig.rs
+++ b/crates/testing/process-tests/src/rig.rs
@@ -341,7 +341,7 @@
             .map(|c| (c.from, c.time));
         let behaviour = Behaviour {
             cores: f.cores,
-            room: f.room,
+            room: f.queue_capacity,
             cold,
             ..Behaviour::default()
         };
@@ -814,8 +814,8 @@
             let mut chance = Pcg64Mcg::seed_from_u64(seed_of(self.plan.seed, &format!("load {n}")));
             let retry = Retry {
                 times: script.load.retries,
-                pause: script.load.pause,
-                heeds: script.load.heeds,
+                pause: script.load.retry_delay,
+                heeds: script.load.honors_retry_after,
             };
             drop(net.spawn(async move {
                 let name = move || format!("q{}", names.replace(names.get() + 1)).into();
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -21,7 +21,10 @@
 pub use network::{BEGIN, seed_of};
 pub use record::{Fared, Record};
 pub use recovery::Recovery;
-pub use script::{Bad, Fault, Kind, Peers, Repeats, Script, SilentCalls};
+pub use script::{
+    Budget, Cold, Fault, FaultKind, Fleet, InvalidScript, Load, Peers, Position, QueryType,
+    Repeats, Script, ScriptError, Settings, SilentCalls,
+};
 pub use shrink::{Small, shrink};
 pub use sockets::on_sockets;
 pub use world::{Judged, Options, Outcome, Places, configuration, play, terms};
--- a/crates/testing/simulation/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -2,25 +2,20 @@
 //! becomes of a search.
 
 use crate::network::seed_of;
-use crate::script::Script;
+use crate::script::{HEAVY_SHARE, HEAVY_WORK_FACTOR, Script};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use woadreach_fakes::Ask;
 
-/// The share of searches whose parts cost so many times as much.
-const HEAVY: (f64, f64) = (0.03, 4.0);
-/// So many times its query type's work a part has on average.
-pub const MEAN_HEAVY: f64 = 1.0 + HEAVY.0 * (HEAVY.1 - 1.0);
-
 /// How many times the mean of all each co-ordinator gets.
 pub fn parts(script: &Script) -> Vec<f64> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "uneven"));
     // Twelve draws add up to what is normal enough here.
     let mut normal = || (0..12).map(|_| chance.random::<f64>()).sum::<f64>() - 6.0;
     let all: Vec<f64> = (0..script.fleet.co_ordinators)
-        .map(|_| (script.load.uneven * normal()).exp())
+        .map(|_| (script.load.skew * normal()).exp())
         .collect();
     let mean = all.iter().sum::<f64>() / all.len() as f64;
     all.into_iter().map(|part| part / mean).collect()
@@ -41,18 +36,18 @@
     });
     let query_type = which.unwrap_or(0);
     let t = &types[query_type];
-    let n = chance.random_range(t.least_parts..=t.most_parts);
+    let n = chance.random_range(t.min_parts..=t.max_parts);
     let mut shards = BTreeSet::new();
     while shards.len() < n {
         shards.insert(chance.random_range(0..script.fleet.shards));
     }
-    let heavy = if chance.random_bool(HEAVY.0) {
-        HEAVY.1
+    let heavy = if chance.random_bool(HEAVY_SHARE) {
+        HEAVY_WORK_FACTOR
     } else {
         1.0
     };
     let work = t.work * heavy * costly * (0.5 + chance.random::<f64>());
-    let leaves = chance.random_bool(script.load.leaves);
+    let leaves = chance.random_bool(script.load.disconnect_share);
     let leaves_after = leaves.then(|| chance.random::<f64>() * t.client_timeout);
     Ask {
         search,
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -46,7 +46,7 @@
     let mut fared = fared.to_vec();
     fared.sort_by(|a, b| a.asked.total_cmp(&b.asked));
     let one = |fault: &crate::script::Fault| {
-        let (begin, end) = (BEGIN + fault.at, BEGIN + fault.at + fault.lasts);
+        let (begin, end) = (BEGIN + fault.at, BEGIN + fault.at + fault.duration);
         let over = BEGIN + script.seconds;
         let before = level(&fared, begin - BEFORE, begin).unwrap_or(1.0);
         let mut at = end;
@@ -69,7 +69,7 @@
         Recovery {
             kind: fault.kind.name(),
             at: fault.at,
-            lasts: fault.lasts,
+            lasts: fault.duration,
             before,
             during: level(&fared, begin, end).unwrap_or(before),
             back_after: back.map(|b| b - end),
--- /dev/null
+++ b/crates/testing/simulation/src/script/model.rs
@@ -0,0 +1,154 @@
+//! The parts of a script.
+
+use serde::{Deserialize, Serialize};
+
+/// Co-ordinators, replicas and their machines.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Fleet {
+    /// Number of co-ordinators.
+    pub co_ordinators: usize,
+    /// Number of zones.
+    pub zones: usize,
+    /// Number of shard groups.
+    pub cells: u64,
+    /// Shard groups that hold each shard.
+    pub span: u64,
+    /// Number of shards.
+    pub shards: u64,
+    /// Replicas of each shard group.
+    pub replicas: usize,
+    /// Cores of each replica.
+    pub cores: usize,
+    /// Parts that wait at a replica before it rejects further ones.
+    #[serde(rename = "room")]
+    pub queue_capacity: usize,
+    /// Largest offset of a co-ordinator's clock, in seconds.
+    #[serde(rename = "clocks_apart")]
+    pub max_clock_offset: f64,
+    /// Longest one-way latency between two zones, in seconds.
+    #[serde(rename = "way")]
+    pub max_latency: f64,
+    /// Bytes that a connection holds unread at one end, and unsent at the other.
+    pub buffers: usize,
+    /// What becomes of calls to discovery while it is unresponsive.
+    #[serde(default)]
+    pub calls_while_silent: SilentCalls,
+}
+
+/// What becomes of calls to discovery while it is unresponsive. Corresponds to
+/// [`woadreach_fakes::CallsWhileSilent`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum SilentCalls {
+    /// All are answered when it responds again.
+    #[default]
+    Kept,
+    /// Watches are answered then, calls for the whole list never.
+    ListsLost,
+    /// None is ever answered.
+    Lost,
+}
+
+/// The settings of the co-ordinators.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Settings {
+    /// Parts that one call to a replica holds.
+    pub per_call: usize,
+    /// Whether replicas understand cancellations.
+    pub cancelling: bool,
+    /// Whether parts may be hedged.
+    #[serde(rename = "copies")]
+    pub hedging: bool,
+    /// Most attempts of a part.
+    pub attempts: usize,
+    /// Most calls in flight on one connection.
+    pub streams: usize,
+    /// Most open sockets of a co-ordinator.
+    pub descriptors: usize,
+    /// Whether rejections say when to retry.
+    pub retry_after: bool,
+    /// Whether clients mark their retries.
+    pub marks_repeats: bool,
+    /// Seconds in which a draining replica may still be sent parts.
+    pub drain_grace: f64,
+    /// Seconds until a connect is given up.
+    pub connect_timeout: f64,
+    /// Seconds after which an idle connection isn't used again.
+    pub idle_close: f64,
+    /// The retry budget, if there is one.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub budget: Option<Budget>,
+    /// How replicas warm up, if they do.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub cold: Option<Cold>,
+}
+
+/// The retry budget: attempts beyond each part's first that may be sent in any window.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Budget {
+    /// Attempts that are always allowed.
+    pub free: f64,
+    /// Further attempts, as a share of the accepted requests.
+    pub share: f64,
+    /// The window, in seconds.
+    pub window: f64,
+}
+
+/// How a replica warms up.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Cold {
+    /// Share of its capacity that a replica has when it starts.
+    pub from: f64,
+    /// Seconds until it has all of it.
+    pub time: f64,
+    /// Overload threshold as a multiple of the replica's current capacity.
+    pub multiple: f64,
+    /// Window over which requests are counted against the threshold, in seconds.
+    pub window: f64,
+}
+
+/// What clients send.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Load {
+    /// Searches per second at each co-ordinator, as a mean over them.
+    pub rate: f64,
+    /// Standard deviation of the logarithm of a co-ordinator's rate. At 0 all get the same; at 3 one of
+    /// thirty may get half of all searches.
+    #[serde(rename = "uneven", default, skip_serializing_if = "is_zero")]
+    pub skew: f64,
+    /// Most retries of a client.
+    pub retries: usize,
+    /// Seconds between a client's attempts.
+    #[serde(rename = "pause")]
+    pub retry_delay: f64,
+    /// Whether clients wait as long as `Retry-After` says.
+    #[serde(rename = "heeds")]
+    pub honors_retry_after: bool,
+    /// Share of the searches whose client disconnects before its timeout.
+    #[serde(rename = "leaves")]
+    pub disconnect_share: f64,
+}
+
+fn is_zero(n: &f64) -> bool {
+    *n == 0.0
+}
+
+/// The network of datagrams between co-ordinators.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Peers {
+    /// Share of the datagrams that are lost.
+    #[serde(rename = "lost")]
+    pub loss: f64,
+    /// Share of the datagrams that arrive twice.
+    #[serde(rename = "doubled")]
+    pub duplication: f64,
+    /// Longest additional delay, in seconds.
+    #[serde(rename = "late")]
+    pub max_delay: f64,
+}
--- /dev/null
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -0,0 +1,63 @@
+//! Query types, and how the work of their searches varies.
+
+use serde::{Deserialize, Serialize};
+
+/// Share of the searches whose parts are heavy.
+pub(crate) const HEAVY_SHARE: f64 = 0.03;
+/// How many times as much a heavy search's parts cost.
+pub(crate) const HEAVY_WORK_FACTOR: f64 = 4.0;
+/// Mean cost of a part as a multiple of its query type's work.
+pub(super) const MEAN_WORK_FACTOR: f64 = 1.0 + HEAVY_SHARE * (HEAVY_WORK_FACTOR - 1.0);
+
+/// Whether a part may run again.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Repeats {
+    /// Any number of times.
+    Idempotent,
+    /// Replicas recognise a repeat by its token, for a time.
+    Tokened,
+    /// At most once.
+    NonIdempotent,
+}
+
+/// A kind of search.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct QueryType {
+    /// Lower-case letters and dashes; the path of its requests.
+    pub name: String,
+    /// Share of all searches, relative to the other query types.
+    pub share: f64,
+    /// Seconds within which an answer counts in full.
+    pub latency_target: f64,
+    /// Seconds after which clients give up.
+    pub client_timeout: f64,
+    /// Whether its parts may run again.
+    pub repeats: Repeats,
+    /// Seconds in which repeats of a tokened part are recognised.
+    pub window: f64,
+    /// Whether every replica of the shard recognises them, or only the one that ran the part.
+    pub any_holder: bool,
+    /// Share of the weight from which an answer is complete.
+    pub need: f64,
+    /// Least share of the weight that an answer may have.
+    pub floor: f64,
+    /// Parts of the second step; 0 without one.
+    pub fetch: usize,
+    /// Fewest parts of a search.
+    #[serde(rename = "least_parts")]
+    pub min_parts: usize,
+    /// Most parts of a search.
+    #[serde(rename = "most_parts")]
+    pub max_parts: usize,
+    /// Mean work of a part, in seconds of one core.
+    pub work: f64,
+}
+
+impl QueryType {
+    /// Mean number of parts of a search, in both steps.
+    pub(super) fn mean_parts(&self) -> f64 {
+        (self.min_parts + self.max_parts) as f64 / 2.0 + self.fetch as f64
+    }
+}
--- a/crates/testing/simulation/src/shrink.rs
+++ b/crates/testing/simulation/src/shrink.rs
@@ -50,7 +50,7 @@
     let last = script
         .faults
         .iter()
-        .map(|f| f.at + f.lasts)
+        .map(|f| f.at + f.duration)
         .fold(2.0, f64::max);
     with(&|s| s.seconds = (s.seconds / 2.0).max(2.0));
     with(&|s| s.seconds = last.min(s.seconds));
@@ -61,20 +61,20 @@
     with(&|s| s.fleet.replicas = (s.fleet.replicas - 1).max(1));
     with(&|s| s.load.rate = (s.load.rate / 2.0).max(0.5));
     with(&|s| s.load.retries = 0);
-    with(&|s| s.load.leaves = 0.0);
-    with(&|s| s.fleet.clocks_apart = 0.0);
+    with(&|s| s.load.disconnect_share = 0.0);
+    with(&|s| s.fleet.max_clock_offset = 0.0);
     with(&|s| s.settings.budget = None);
     with(&|s| s.settings.cold = None);
     for i in 0..script.query_types.len() {
         with(&|s| s.query_types[i].fetch = 0);
-        with(&|s| s.query_types[i].most_parts = s.query_types[i].least_parts);
+        with(&|s| s.query_types[i].max_parts = s.query_types[i].min_parts);
         with(&|s| {
-            s.query_types[i].least_parts = 1;
-            s.query_types[i].most_parts = 1;
+            s.query_types[i].min_parts = 1;
+            s.query_types[i].max_parts = 1;
         });
     }
     for i in 0..script.faults.len() {
-        with(&|s| s.faults[i].lasts = (s.faults[i].lasts / 2.0 * 100.0).round() / 100.0);
+        with(&|s| s.faults[i].duration = (s.faults[i].duration / 2.0 * 100.0).round() / 100.0);
         with(&|s| s.faults[i].at = (s.faults[i].at / 2.0 * 100.0).round() / 100.0);
     }
     all
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -64,7 +64,7 @@
         let name = format!("r{r}");
         let behaviour = Behaviour {
             cores: f.cores,
-            room: f.room,
+            room: f.queue_capacity,
             ..Behaviour::default()
         };
         let seed = seed_of(script.seed, &name);
@@ -135,11 +135,7 @@
             names.clone(),
         )));
     }
-    let longest = script
-        .query_types
-        .iter()
-        .map(|t| t.client_timeout)
-        .fold(0.0, f64::max);
+    let longest = script.max_client_timeout();
     while net.now() < end + longest + 1.0 {
         net.sleep(LOOK).await;
         record.borrow_mut().tick(net.now());
@@ -176,8 +172,8 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
     let retry = Retry {
         times: script.load.retries,
-        pause: script.load.pause,
-        heeds: script.load.heeds,
+        pause: script.load.retry_delay,
+        heeds: script.load.honors_retry_after,
     };
     while net.now() < end {
         net.sleep(draw_gap(script.load.rate, &mut chance)).await;
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -139,15 +139,11 @@
     )));
     let world = World::new(script.clone(), record.clone());
     world.begin();
-    let longest = script
-        .query_types
-        .iter()
-        .map(|t| t.client_timeout)
-        .fold(0.0, f64::max);
+    let longest = script.max_client_timeout();
     let last = script
         .faults
         .iter()
-        .map(|f| f.at + f.lasts)
+        .map(|f| f.at + f.duration)
         .fold(script.seconds, f64::max);
     let end = nanos(last + longest + QUIET);
     let mut at = 0;
@@ -189,12 +185,12 @@
 impl World {
     fn new(script: Script, record: Rc<RefCell<Record>>) -> Rc<World> {
         let clock = Clock::new();
-        let way = nanos(script.fleet.way);
+        let way = nanos(script.fleet.max_latency);
         let peers = script.peers.as_ref();
         let config = NetworkConfig {
-            datagram_loss: peers.map_or(0.0, |p| p.lost),
-            datagram_duplication: peers.map_or(0.0, |p| p.doubled),
-            max_datagram_delay: peers.map_or(0, |p| nanos(p.late)),
+            datagram_loss: peers.map_or(0.0, |p| p.loss),
+            datagram_duplication: peers.map_or(0.0, |p| p.duplication),
+            max_datagram_delay: peers.map_or(0, |p| nanos(p.max_delay)),
             between_zones: LatencyRange {
                 min: way * 2 / 5,
                 jitter: way * 3 / 5,
@@ -211,7 +207,7 @@
         let nodes: Vec<Node> = (0..f.co_ordinators)
             .map(|n| {
                 let zone = Zone(n % f.zones);
-                let ahead = f.clocks_apart * (2.0 * apart.random::<f64>() - 1.0);
+                let ahead = f.max_clock_offset * (2.0 * apart.random::<f64>() - 1.0);
                 let first = network.add_machine(zone, ahead);
                 let (clients, agent) = (
                     network.add_machine(zone, 0.0),
@@ -253,7 +249,7 @@
                 let name = format!("r{r}");
                 let behaviour = Behaviour {
                     cores: f.cores,
-                    room: f.room,
+                    room: f.queue_capacity,
                     ..Behaviour::default()
                 };
                 let seed = seed_of(script.seed, &name);
@@ -313,10 +309,10 @@
         for fault in self.script.faults.clone() {
             let (world, kind) = (self.clone(), fault.kind.clone());
             self.clock
-                .call_at(nanos(fault.at), move || world.strike(&kind, fault.lasts));
+                .call_at(nanos(fault.at), move || world.strike(&kind, fault.duration));
             let (world, kind) = (self.clone(), fault.kind);
             self.clock
-                .call_at(nanos(fault.at + fault.lasts), move || world.lift(&kind));
+                .call_at(nanos(fault.at + fault.duration), move || world.lift(&kind));
         }
         let world = self.clone();
         self.clock.call_at(nanos(self.script.seconds), move || {
@@ -325,12 +321,7 @@
         });
         // What was still asked by then keeps no connection either.
         let world = self.clone();
-        let longest = self
-            .script
-            .query_types
-            .iter()
-            .map(|t| t.client_timeout)
-            .fold(0.0, f64::max);
+        let longest = self.script.max_client_timeout();
         let late = self.script.seconds + 2.0 * longest;
         self.clock.call_at(nanos(late), move || {
             world.nodes.iter().for_each(|n| n.clients.close_idle())
--- a/crates/testing/simulation/src/world/clients.rs
+++ b/crates/testing/simulation/src/world/clients.rs
@@ -3,7 +3,7 @@
 use super::World;
 use crate::load::{draw_ask, draw_gap, parts};
 use crate::network::{SimNet, seed_of};
-use crate::script::{Kind, Repeats};
+use crate::script::{FaultKind, Repeats};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
@@ -58,8 +58,8 @@
         let load = &self.script.load;
         let retry = Retry {
             times: load.retries,
-            pause: load.pause,
-            heeds: load.heeds,
+            pause: load.retry_delay,
+            heeds: load.honors_retry_after,
         };
         let may_repeat = self.script.query_types[ask.query_type].repeats == Repeats::Idempotent;
         let caller = self.nodes[at].clients.clone();
@@ -113,7 +113,7 @@
             .script
             .faults
             .iter()
-            .any(|f| matches!(f.kind, Kind::Stall { .. }));
+            .any(|f| matches!(f.kind, FaultKind::StallCoordinators { .. }));
         if (ended.is_err() && !stood && self.nodes[n].process.get() == process) || served {
             let what = String::from_utf8_lossy(&junk[..junk.len().min(40)]).to_string();
             let why = if served {
--- a/crates/testing/simulation/src/world/configuration.rs
+++ b/crates/testing/simulation/src/world/configuration.rs
@@ -40,7 +40,7 @@
             window: b.window,
         }),
         slack: 0.05,
-        way: script.fleet.way,
+        way: script.fleet.max_latency,
     }
 }
 
@@ -113,7 +113,7 @@
         row(&|t| t.fetch.to_string()),
         s.attempts,
         s.cancelling,
-        s.copies,
+        s.hedging,
         s.streams,
         s.idle_close * 1000.0,
         s.connect_timeout * 1000.0,
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -3,16 +3,16 @@
 use super::{LISTED_AFTER, World, nanos};
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
-use crate::script::Kind;
+use crate::script::FaultKind;
 use std::rc::Rc;
 use woadreach_fakes::{Behaviour, Line, Recorder};
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::Net;
 
 impl World {
-    pub(super) fn strike(self: &Rc<Self>, kind: &Kind, lasts: f64) {
+    pub(super) fn strike(self: &Rc<Self>, kind: &FaultKind, lasts: f64) {
         match kind {
-            Kind::Die {
+            FaultKind::Crash {
                 replicas,
                 listed_after,
             } => {
@@ -34,14 +34,14 @@
                         });
                 }
             }
-            Kind::Vanish { replicas } => {
+            FaultKind::Isolate { replicas } => {
                 for r in replicas {
                     self.way(*r, true);
                     self.network
                         .set_isolated(self.replicas[*r].process.get(), true);
                 }
             }
-            Kind::Drain { replicas } => {
+            FaultKind::Drain { replicas } => {
                 let alive: Vec<usize> = replicas
                     .iter()
                     .copied()
@@ -49,35 +49,45 @@
                     .collect();
                 self.list(&alive, "draining");
             }
-            Kind::Hang { replicas } => self.behave(replicas, |b| b.hangs = true),
-            Kind::Slow { replicas, factor } => self.behave(replicas, |b| b.speed /= factor),
-            Kind::Full { replicas } => self.behave(replicas, |b| b.full = true),
-            Kind::Swallow { replicas, share } => self.behave(replicas, |b| b.swallows = *share),
-            Kind::Errors { replicas, share } => self.behave(replicas, |b| b.errors = *share),
-            Kind::Spoil { replicas, share } => self.behave(replicas, |b| b.spoils = *share),
-            Kind::Double { replicas, share } => self.behave(replicas, |b| b.doubles = *share),
-            Kind::Break { replicas, share } => self.behave(replicas, |b| b.breaks = *share),
-            Kind::Heedless { replicas } => self.behave(replicas, |b| b.heedless = true),
-            Kind::Late {
+            FaultKind::Hang { replicas } => self.behave(replicas, |b| b.hangs = true),
+            FaultKind::Slow { replicas, factor } => self.behave(replicas, |b| b.speed /= factor),
+            FaultKind::RejectParts { replicas } => self.behave(replicas, |b| b.full = true),
+            FaultKind::DropAnswers { replicas, share } => {
+                self.behave(replicas, |b| b.swallows = *share)
+            }
+            FaultKind::AnswerErrors { replicas, share } => {
+                self.behave(replicas, |b| b.errors = *share)
+            }
+            FaultKind::CorruptAnswers { replicas, share } => {
+                self.behave(replicas, |b| b.spoils = *share)
+            }
+            FaultKind::DuplicateAnswers { replicas, share } => {
+                self.behave(replicas, |b| b.doubles = *share)
+            }
+            FaultKind::BreakConnections { replicas, share } => {
+                self.behave(replicas, |b| b.breaks = *share)
+            }
+            FaultKind::IgnoreCancels { replicas } => self.behave(replicas, |b| b.heedless = true),
+            FaultKind::SlowReads {
                 replicas,
                 accepts,
                 reads,
             } => self.behave(replicas, |b| {
                 (b.accepts_late, b.reads_late) = (*accepts, *reads);
             }),
-            Kind::Cut { from, to, both } => {
+            FaultKind::Partition { from, to, both } => {
                 self.ways_of(&[*from, *to], true);
                 self.network.partition(Zone(*from), Zone(*to));
                 if *both {
                     self.network.partition(Zone(*to), Zone(*from));
                 }
             }
-            Kind::DiscoverySilent { co_ordinators } => {
+            FaultKind::DiscoverySilent { co_ordinators } => {
                 co_ordinators
                     .iter()
                     .for_each(|n| self.nodes[*n].agent.silence(true));
             }
-            Kind::Stall { co_ordinators } => {
+            FaultKind::StallCoordinators { co_ordinators } => {
                 for n in co_ordinators {
                     if let Some(process) = self.nodes[*n].process.get() {
                         self.recorder.tell(EventKind::Stalled {
@@ -88,25 +98,29 @@
                     }
                 }
             }
-            Kind::StallReplicas { replicas } => {
+            FaultKind::StallReplicas { replicas } => {
                 for r in replicas {
                     self.clock.stall(self.replicas[*r].process.get());
                 }
             }
-            Kind::Kill { co_ordinators } => co_ordinators.iter().for_each(|n| self.kill_node(*n)),
-            Kind::Restart { co_ordinators } => {
+            FaultKind::KillCoordinators { co_ordinators } => {
+                co_ordinators.iter().for_each(|n| self.kill_node(*n))
+            }
+            FaultKind::RestartCoordinators { co_ordinators } => {
                 co_ordinators.iter().for_each(|n| self.restart_node(*n))
             }
-            Kind::Reload { co_ordinators } => co_ordinators.iter().for_each(|n| self.reload(*n)),
-            Kind::Burst { factor } => self.burst.set(*factor),
-            Kind::Costly { factor } => self.costly.set(*factor),
-            Kind::Rude { rate } => self.rude.set(*rate),
+            FaultKind::ReloadCoordinators { co_ordinators } => {
+                co_ordinators.iter().for_each(|n| self.reload(*n))
+            }
+            FaultKind::LoadBurst { factor } => self.burst.set(*factor),
+            FaultKind::ExpensiveSearches { factor } => self.costly.set(*factor),
+            FaultKind::MalformedRequests { rate } => self.rude.set(*rate),
         }
     }
 
-    pub(super) fn lift(self: &Rc<Self>, kind: &Kind) {
+    pub(super) fn lift(self: &Rc<Self>, kind: &FaultKind) {
         match kind {
-            Kind::Die { replicas, .. } => {
+            FaultKind::Crash { replicas, .. } => {
                 for r in replicas
                     .iter()
                     .copied()
@@ -119,14 +133,14 @@
                         .call_at(listed, move || world.list(&[r], "ready"));
                 }
             }
-            Kind::Vanish { replicas } => {
+            FaultKind::Isolate { replicas } => {
                 for r in replicas {
                     self.network
                         .set_isolated(self.replicas[*r].process.get(), false);
                     self.way(*r, false);
                 }
             }
-            Kind::Drain { replicas } => {
+            FaultKind::Drain { replicas } => {
                 for r in replicas
                     .iter()
                     .copied()
@@ -156,46 +170,51 @@
                         });
                 }
             }
-            Kind::Hang { replicas } => self.behave(replicas, |b| b.hangs = false),
-            Kind::Slow { replicas, .. } => self.behave(replicas, |b| b.speed = 1.0),
-            Kind::Full { replicas } => self.behave(replicas, |b| b.full = false),
-            Kind::Swallow { replicas, .. } => self.behave(replicas, |b| b.swallows = 0.0),
-            Kind::Errors { replicas, .. } => self.behave(replicas, |b| b.errors = 0.0),
-            Kind::Spoil { replicas, .. } => self.behave(replicas, |b| b.spoils = 0.0),
-            Kind::Double { replicas, .. } => self.behave(replicas, |b| b.doubles = 0.0),
-            Kind::Break { replicas, .. } => self.behave(replicas, |b| b.breaks = 0.0),
-            Kind::Heedless { replicas } => self.behave(replicas, |b| b.heedless = false),
-            Kind::Late { replicas, .. } => self.behave(replicas, |b| {
+            FaultKind::Hang { replicas } => self.behave(replicas, |b| b.hangs = false),
+            FaultKind::Slow { replicas, .. } => self.behave(replicas, |b| b.speed = 1.0),
+            FaultKind::RejectParts { replicas } => self.behave(replicas, |b| b.full = false),
+            FaultKind::DropAnswers { replicas, .. } => self.behave(replicas, |b| b.swallows = 0.0),
+            FaultKind::AnswerErrors { replicas, .. } => self.behave(replicas, |b| b.errors = 0.0),
+            FaultKind::CorruptAnswers { replicas, .. } => self.behave(replicas, |b| b.spoils = 0.0),
+            FaultKind::DuplicateAnswers { replicas, .. } => {
+                self.behave(replicas, |b| b.doubles = 0.0)
+            }
+            FaultKind::BreakConnections { replicas, .. } => {
+                self.behave(replicas, |b| b.breaks = 0.0)
+            }
+            FaultKind::IgnoreCancels { replicas } => self.behave(replicas, |b| b.heedless = false),
+            FaultKind::SlowReads { replicas, .. } => self.behave(replicas, |b| {
                 (b.accepts_late, b.reads_late) = (0.0, 0.0);
             }),
-            Kind::Cut { from, to, .. } => {
+            FaultKind::Partition { from, to, .. } => {
                 self.network.heal(Zone(*from), Zone(*to));
                 self.network.heal(Zone(*to), Zone(*from));
                 self.ways_of(&[*from, *to], false);
             }
-            Kind::DiscoverySilent { co_ordinators } => {
+            FaultKind::DiscoverySilent { co_ordinators } => {
                 co_ordinators
                     .iter()
                     .for_each(|n| self.nodes[*n].agent.silence(false));
             }
-            Kind::Stall { co_ordinators } => {
+            FaultKind::StallCoordinators { co_ordinators } => {
                 co_ordinators
                     .iter()
                     .filter_map(|n| self.nodes[*n].process.get())
                     .for_each(|p| self.clock.resume(p));
             }
-            Kind::StallReplicas { replicas } => {
+            FaultKind::StallReplicas { replicas } => {
                 for r in replicas {
                     self.clock.resume(self.replicas[*r].process.get());
                 }
             }
-            Kind::Kill { co_ordinators } | Kind::Restart { co_ordinators } => {
+            FaultKind::KillCoordinators { co_ordinators }
+            | FaultKind::RestartCoordinators { co_ordinators } => {
                 co_ordinators.iter().for_each(|n| self.start_again(*n));
             }
-            Kind::Reload { .. } => {}
-            Kind::Burst { .. } => self.burst.set(1.0),
-            Kind::Costly { .. } => self.costly.set(1.0),
-            Kind::Rude { .. } => self.rude.set(0.0),
+            FaultKind::ReloadCoordinators { .. } => {}
+            FaultKind::LoadBurst { .. } => self.burst.set(1.0),
+            FaultKind::ExpensiveSearches { .. } => self.costly.set(1.0),
+            FaultKind::MalformedRequests { .. } => self.rude.set(0.0),
         }
     }
 
@@ -210,7 +229,7 @@
         let settings = self.script.settings.cold.as_ref().filter(|_| cold);
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
-            room: self.script.fleet.room,
+            room: self.script.fleet.queue_capacity,
             cold: settings.map(|c| (c.from, c.time)),
             ..Behaviour::default()
         };
--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -5,7 +5,7 @@
 };
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
-use crate::script::Kind;
+use crate::script::FaultKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -160,18 +160,13 @@
             .call_at(self.clock.now() + 300 * MILLISECOND, move || {
                 world.nodes[n].up.set(false)
             });
-        let longest = self
-            .script
-            .query_types
-            .iter()
-            .map(|t| t.client_timeout)
-            .fold(0.0, f64::max);
+        let longest = self.script.max_client_timeout();
         let (world, process) = (self.clone(), node.process.get());
         let killed = nanos(longest.min(3.0) + KILL_AFTER) + 50 * MILLISECOND;
         self.clock.call_at(self.clock.now() + killed, move || {
             // One that has stood still meanwhile counts from when it was told, and is killed all the same.
             let stalled = |f: &crate::script::Fault| match &f.kind {
-                Kind::Stall { co_ordinators } => co_ordinators.contains(&n),
+                FaultKind::StallCoordinators { co_ordinators } => co_ordinators.contains(&n),
                 _ => false,
             };
             if world.nodes[n].process.get() == process && world.script.faults.iter().any(stalled) {
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days on the virtual clock: seeds, the hard cases, and scripts that once broke a rule, each pinned.
 
 use rstest::rstest;
-use woadreach_simulation::{Fault, Kind, Options, Outcome, Script, SilentCalls, play};
+use woadreach_simulation::{Fault, FaultKind, Options, Outcome, Script, SilentCalls, play};
 
 /// A fleet of two cells in two zones under three co-ordinators, all sound; one query type of each kind.
 const CALM: &str = r#"
@@ -72,10 +72,10 @@
     Script::read("calm", CALM).unwrap_or_else(|bad| panic!("{bad}"))
 }
 
-fn with(faults: &[(f64, f64, Kind)]) -> Script {
+fn with(faults: &[(f64, f64, FaultKind)]) -> Script {
     let faults = faults.iter().map(|(at, lasts, kind)| Fault {
         at: *at,
-        lasts: *lasts,
+        duration: *lasts,
         kind: kind.clone(),
     });
     Script {
@@ -114,49 +114,49 @@
 /// The cases in which much goes wrong at once: every rule is kept, and service comes back.
 #[rstest]
 #[case::mass_death_and_a_cold_return_under_full_load(&[
-    (4.0, 3.0, Kind::Die { replicas: vec![0, 3], listed_after: 1.0 }),
-    (4.0, 6.0, Kind::Burst { factor: 2.0 }),
+    (4.0, 3.0, FaultKind::Crash { replicas: vec![0, 3], listed_after: 1.0 }),
+    (4.0, 6.0, FaultKind::LoadBurst { factor: 2.0 }),
 ])]
 #[case::a_drain_that_one_co_ordinator_hears_late(&[
-    (4.0, 3.0, Kind::DiscoverySilent { co_ordinators: vec![1] }),
-    (4.2, 4.0, Kind::Drain { replicas: vec![0, 4] }),
+    (4.0, 3.0, FaultKind::DiscoverySilent { co_ordinators: vec![1] }),
+    (4.2, 4.0, FaultKind::Drain { replicas: vec![0, 4] }),
 ])]
 #[case::a_restart_within_a_reload(&[
-    (4.0, 1.0, Kind::Reload { co_ordinators: vec![0, 1, 2] }),
-    (4.05, 1.0, Kind::Restart { co_ordinators: vec![0, 1] }),
+    (4.0, 1.0, FaultKind::ReloadCoordinators { co_ordinators: vec![0, 1, 2] }),
+    (4.05, 1.0, FaultKind::RestartCoordinators { co_ordinators: vec![0, 1] }),
 ])]
 #[case::killed_in_a_burst(&[
-    (4.0, 2.0, Kind::Burst { factor: 3.0 }),
-    (5.0, 1.0, Kind::Kill { co_ordinators: vec![0] }),
+    (4.0, 2.0, FaultKind::LoadBurst { factor: 3.0 }),
+    (5.0, 1.0, FaultKind::KillCoordinators { co_ordinators: vec![0] }),
 ])]
 #[case::answers_after_their_searches(&[
-    (3.0, 9.0, Kind::Heedless { replicas: (0..6).collect() }),
-    (4.0, 3.0, Kind::Slow { replicas: vec![0, 3], factor: 20.0 }),
+    (3.0, 9.0, FaultKind::IgnoreCancels { replicas: (0..6).collect() }),
+    (4.0, 3.0, FaultKind::Slow { replicas: vec![0, 3], factor: 20.0 }),
 ])]
 #[case::stood_still_and_flooded(&[
-    (4.0, 2.0, Kind::Stall { co_ordinators: vec![0] }),
-    (4.0, 3.0, Kind::Burst { factor: 3.0 }),
+    (4.0, 2.0, FaultKind::StallCoordinators { co_ordinators: vec![0] }),
+    (4.0, 3.0, FaultKind::LoadBurst { factor: 3.0 }),
 ])]
 #[case::a_hall_cut_while_discovery_is_stale(&[
-    (4.0, 4.0, Kind::DiscoverySilent { co_ordinators: vec![0, 1, 2] }),
-    (4.2, 3.0, Kind::Cut { from: 0, to: 1, both: true }),
+    (4.0, 4.0, FaultKind::DiscoverySilent { co_ordinators: vec![0, 1, 2] }),
+    (4.2, 3.0, FaultKind::Partition { from: 0, to: 1, both: true }),
 ])]
 #[case::spoilt_next_to_good(&[
-    (3.0, 8.0, Kind::Spoil { replicas: vec![0, 1], share: 0.2 }),
-    (3.0, 8.0, Kind::Break { replicas: vec![3, 4], share: 0.2 }),
-    (3.0, 8.0, Kind::Double { replicas: vec![2, 5], share: 1.0 }),
+    (3.0, 8.0, FaultKind::CorruptAnswers { replicas: vec![0, 1], share: 0.2 }),
+    (3.0, 8.0, FaultKind::BreakConnections { replicas: vec![3, 4], share: 0.2 }),
+    (3.0, 8.0, FaultKind::DuplicateAnswers { replicas: vec![2, 5], share: 1.0 }),
 ])]
 #[case::rude_clients_and_a_restart(&[
-    (3.0, 8.0, Kind::Rude { rate: 20.0 }),
-    (5.0, 1.0, Kind::Restart { co_ordinators: vec![0] }),
+    (3.0, 8.0, FaultKind::MalformedRequests { rate: 20.0 }),
+    (5.0, 1.0, FaultKind::RestartCoordinators { co_ordinators: vec![0] }),
 ])]
 #[case::replicas_that_accept_and_read_late(&[
-    (3.0, 8.0, Kind::Late { replicas: vec![0, 1, 3], accepts: 0.1, reads: 0.001 }),
-    (4.0, 4.0, Kind::Slow { replicas: vec![0, 3], factor: 10.0 }),
+    (3.0, 8.0, FaultKind::SlowReads { replicas: vec![0, 1, 3], accepts: 0.1, reads: 0.001 }),
+    (4.0, 4.0, FaultKind::Slow { replicas: vec![0, 3], factor: 10.0 }),
 ])]
-fn hard_cases(#[case] faults: &[(f64, f64, Kind)], #[values(0.0, 0.05)] clocks_apart: f64) {
+fn hard_cases(#[case] faults: &[(f64, f64, FaultKind)], #[values(0.0, 0.05)] clocks_apart: f64) {
     let mut script = with(faults);
-    script.fleet.clocks_apart = clocks_apart;
+    script.fleet.max_clock_offset = clocks_apart;
     let outcome = kept(&script);
     assert!(
         outcome.searches > 200 && share(&outcome) > 0.5,
@@ -176,10 +176,10 @@
     #[values(9.7, 9.9, 10.1, 10.3, 10.5, 10.7, 10.9)] returns: f64,
     #[values(-0.5, 0.0, 0.05)] drains_after: f64,
 ) {
-    let silence = Kind::DiscoverySilent {
+    let silence = FaultKind::DiscoverySilent {
         co_ordinators: vec![0, 1, 2],
     };
-    let drain = Kind::Drain {
+    let drain = FaultKind::Drain {
         replicas: vec![0, 4],
     };
     let mut script = with(&[
@@ -196,13 +196,13 @@
     #[values(SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost)] calls: SilentCalls,
     #[values(9.7, 10.0, 10.3, 10.6, 10.9)] returns: f64,
 ) {
-    let silence = Kind::DiscoverySilent {
+    let silence = FaultKind::DiscoverySilent {
         co_ordinators: vec![0, 1, 2],
     };
-    let kill = Kind::Kill {
+    let kill = FaultKind::KillCoordinators {
         co_ordinators: vec![0, 1],
     };
-    let drain = Kind::Drain {
+    let drain = FaultKind::Drain {
         replicas: vec![0, 4],
     };
     let faults = [
--- a/crates/testing/simulation/tests/peers.rs
+++ b/crates/testing/simulation/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Co-ordinators that speak with each other, on the virtual clock: zones lost, cut off and sound.
 
 use rstest::rstest;
-use woadreach_simulation::{Fault, Kind, Options, Outcome, Peers, Script, play};
+use woadreach_simulation::{Fault, FaultKind, Options, Outcome, Peers, Script, play};
 
 /// Six co-ordinators in three zones, a replica of each of two cells in every zone.
 const TIER: &str = r#"
@@ -63,11 +63,11 @@
     (0..12).filter(|r| r % 6 % 3 == zone).collect()
 }
 
-fn tier(faults: &[(f64, f64, Kind)], change: impl FnOnce(&mut Script)) -> Script {
+fn tier(faults: &[(f64, f64, FaultKind)], change: impl FnOnce(&mut Script)) -> Script {
     let mut script = Script::read("tier", TIER).unwrap_or_else(|bad| panic!("{bad}"));
     let faults = faults.iter().map(|(at, lasts, kind)| Fault {
         at: *at,
-        lasts: *lasts,
+        duration: *lasts,
         kind: kind.clone(),
     });
     script.faults = faults.collect();
@@ -100,11 +100,11 @@
 /// quarter of the target to be told from business: up to 2.5 s here, under 1 s at the rates of `woadreach
 /// cluster play`.
 #[rstest]
-#[case::silent(Kind::Vanish { replicas: of_zone(1) })]
-#[case::dead_and_back_cold(Kind::Die { replicas: of_zone(1), listed_after: 4.0 })]
-#[case::slow_not_dead(Kind::Slow { replicas: of_zone(1), factor: 30.0 })]
-#[case::answers_errors(Kind::Errors { replicas: of_zone(1), share: 1.0 })]
-fn a_lost_zone_is_out_for_all_and_back(#[case] kind: Kind) {
+#[case::silent(FaultKind::Isolate { replicas: of_zone(1) })]
+#[case::dead_and_back_cold(FaultKind::Crash { replicas: of_zone(1), listed_after: 4.0 })]
+#[case::slow_not_dead(FaultKind::Slow { replicas: of_zone(1), factor: 30.0 })]
+#[case::answers_errors(FaultKind::AnswerErrors { replicas: of_zone(1), share: 1.0 })]
+fn a_lost_zone_is_out_for_all_and_back(#[case] kind: FaultKind) {
     let outcome = kept(&tier(&[(8.0, 5.0, kind)], |_| {}));
     let held = out(&outcome, 1, 8.0);
     assert_eq!(held.len(), 6, "{:?}", outcome.verdicts);
@@ -131,7 +131,7 @@
         (
             8.0,
             8.0,
-            Kind::Cut {
+            FaultKind::Partition {
                 from: 2,
                 to,
                 both: true,
@@ -159,7 +159,7 @@
         (
             8.0,
             6.0,
-            Kind::Cut {
+            FaultKind::Partition {
                 from: 2,
                 to,
                 both: false,
@@ -185,16 +185,16 @@
 
 #[rstest]
 #[case::loss_alone(&[], 0.3)]
-#[case::overload(&[(8.0, 6.0, Kind::Burst { factor: 5.0 })], 0.0)]
-#[case::most_co_ordinators_killed(&[(8.0, 3.0, Kind::Kill { co_ordinators: vec![0, 1, 2, 3] })], 0.0)]
-fn no_zone_is_shifted(#[case] faults: &[(f64, f64, Kind)], #[case] lost: f64) {
+#[case::overload(&[(8.0, 6.0, FaultKind::LoadBurst { factor: 5.0 })], 0.0)]
+#[case::most_co_ordinators_killed(&[(8.0, 3.0, FaultKind::KillCoordinators { co_ordinators: vec![0, 1, 2, 3] })], 0.0)]
+fn no_zone_is_shifted(#[case] faults: &[(f64, f64, FaultKind)], #[case] lost: f64) {
     for seed in 0..4 {
         let outcome = kept(&tier(faults, |s| {
             s.seed = seed;
             s.peers = Some(Peers {
-                lost,
-                doubled: 0.02,
-                late: 0.05,
+                loss: lost,
+                duplication: 0.02,
+                max_delay: 0.05,
             });
         }));
         assert!(
@@ -209,7 +209,7 @@
 /// Two of three zones are lost, and all co-ordinators live: at most one is out at a time, and a lost one.
 #[test]
 fn of_two_lost_zones_at_most_one_is_out() {
-    let both = Kind::Vanish {
+    let both = FaultKind::Isolate {
         replicas: [of_zone(0), of_zone(1)].concat(),
     };
     let outcome = kept(&tier(&[(8.0, 5.0, both)], |_| {}));
@@ -228,7 +228,7 @@
         &[(
             8.0,
             5.0,
-            Kind::Vanish {
+            FaultKind::Isolate {
                 replicas: of_zone(1),
             },
         )],
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, Terms};
 use woadreach_simulation::{
-    Judged, Kind, Outcome, Record, Recovery, Repeats, Script, SilentCalls, digest,
+    FaultKind, Judged, Outcome, Record, Recovery, Repeats, Script, SilentCalls, digest,
 };
 
 const EVERY_KEY: &str = include_str!("recorded/every-key.toml");
@@ -41,11 +41,11 @@
         (3, 2, 2, 2, 6)
     );
     assert_eq!(
-        (f.replicas, f.cores, f.room, f.buffers),
+        (f.replicas, f.cores, f.queue_capacity, f.buffers),
         (2, 4, 16, 131_072)
     );
     assert_eq!(
-        (f.clocks_apart, f.way, f.calls_while_silent),
+        (f.max_clock_offset, f.max_latency, f.calls_while_silent),
         (0.01, 0.001, SilentCalls::ListsLost)
     );
     assert_eq!(
@@ -53,7 +53,7 @@
         (4, 3, 2, 1024)
     );
     assert_eq!(
-        (s.cancelling, s.copies, s.retry_after, s.marks_repeats),
+        (s.cancelling, s.hedging, s.retry_after, s.marks_repeats),
         (true, false, true, true)
     );
     assert_eq!(
@@ -70,11 +70,14 @@
         (Some((10.0, 0.2, 5.0)), Some((0.25, 12.0, 2.0, 1.0)))
     );
     assert_eq!(
-        (l.rate, l.uneven, l.retries, l.pause),
+        (l.rate, l.skew, l.retries, l.retry_delay),
         (1.1965811965811965, 3.0, 3, 0.2)
     );
-    assert_eq!((l.heeds, l.leaves), (true, 0.05));
-    let peers = script.peers.as_ref().map(|p| (p.lost, p.doubled, p.late));
+    assert_eq!((l.honors_retry_after, l.disconnect_share), (true, 0.05));
+    let peers = script
+        .peers
+        .as_ref()
+        .map(|p| (p.loss, p.duplication, p.max_delay));
     assert_eq!(peers, Some((0.3, 0.02, 1.0)));
 }
 
@@ -111,7 +114,7 @@
     );
     assert_eq!((browse.need, browse.floor, browse.fetch), (1.0, 0.5, 2));
     assert_eq!(
-        (browse.least_parts, browse.most_parts, browse.work),
+        (browse.min_parts, browse.max_parts, browse.work),
         (2, 4, 0.1)
     );
 }
@@ -120,25 +123,25 @@
 fn faults_of_every_kind_read_as_they_did() {
     let faults = every_key().faults;
     let names: Vec<&str> = faults.iter().map(|fault| fault.kind.name()).collect();
-    assert_eq!(names, Kind::NAMES);
-    assert_eq!((faults[0].at, faults[0].lasts), (1.0, 0.5));
+    assert_eq!(names, FaultKind::NAMES);
+    assert_eq!((faults[0].at, faults[0].duration), (1.0, 0.5));
     assert_eq!(
         faults[0].kind,
-        Kind::Die {
+        FaultKind::Crash {
             replicas: vec![0, 3],
             listed_after: 0.25
         }
     );
     assert_eq!(
         faults[4].kind,
-        Kind::Slow {
+        FaultKind::Slow {
             replicas: vec![1],
             factor: 8.0
         }
     );
     assert_eq!(
         faults[12].kind,
-        Kind::Late {
+        FaultKind::SlowReads {
             replicas: vec![1],
             accepts: 0.5,
             reads: 0.25
@@ -146,7 +149,7 @@
     );
     assert_eq!(
         faults[13].kind,
-        Kind::Cut {
+        FaultKind::Partition {
             from: 0,
             to: 1,
             both: true
@@ -154,11 +157,11 @@
     );
     assert_eq!(
         faults[14].kind,
-        Kind::DiscoverySilent {
+        FaultKind::DiscoverySilent {
             co_ordinators: vec![0, 2]
         }
     );
-    assert_eq!(faults[22].kind, Kind::Rude { rate: 5.0 });
+    assert_eq!(faults[22].kind, FaultKind::MalformedRequests { rate: 5.0 });
 }
 
 #[rstest]
@@ -394,7 +397,7 @@
 
 #[test]
 fn an_outcome_is_written_as_it_was() {
-    let kind = Kind::Burst { factor: 2.0 }.name();
+    let kind = FaultKind::LoadBurst { factor: 2.0 }.name();
     let (before, during, back_after, lost, sub_requests) = (1.0, 0.5, Some(2.25), 3.5, 1.25);
     let recovery = Recovery {
         kind,
--- a/crates/testing/simulation/tests/unit/script.rs
+++ b/crates/testing/simulation/tests/unit/script.rs
@@ -1,10 +1,10 @@
-//! Tests of what `src/script.rs` keeps to itself; that file takes them in as its own module.
+//! Tests of what the module `script` keeps to itself; `src/script/mod.rs` takes them in as its own module.
 
-use super::*;
+use super::{Fault, Script, ScriptError};
 use rstest::rstest;
 
 #[test]
-fn drawn_scripts_are_sound_and_read_as_they_were_written() {
+fn drawn_scripts_are_valid_and_read_as_they_were_written() {
     for seed in 0..500 {
         let script = Script::draw(seed, &[], None);
         script
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn only_the_kinds_that_are_asked_for() {
+fn only_the_wanted_kinds_are_drawn() {
     let only = ["drain".to_string(), "kill".to_string()];
     let drawn: Vec<Fault> = (0..50)
         .flat_map(|seed| Script::draw(seed, &only, None).faults)
@@ -44,7 +44,7 @@
 )]
 #[case::unknown_key_of_a_fault("kind = ", "surely = 1\nkind = ", None, "surely")]
 #[case::no_such_kind("kind = \"", "kind = \"no_such_", None, "no_such_")]
-fn bad_scripts_are_named(
+fn invalid_scripts_are_rejected_with_the_place(
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: Option<usize>,
@@ -52,9 +52,16 @@
 ) {
     let text = Script::draw(3, &[], None).text().replacen(from, to, 1);
     let bad = Script::read("day.toml", &text).unwrap_err();
+    let (reason, found) = match &bad {
+        ScriptError::Syntax {
+            message, position, ..
+        } => (message.clone(), Some(position.line)),
+        ScriptError::Content { message, .. } => (message.clone(), None),
+        ScriptError::Invalid { source, .. } => (source.to_string(), None),
+    };
     assert!(
-        bad.to_string().starts_with("day.toml:") && bad.why.contains(why),
+        bad.to_string().starts_with("day.toml:") && reason.contains(why),
         "{bad}"
     );
-    assert!(line.is_none() || bad.at.map(|at| at.0) == line, "{bad}");
+    assert!(line.is_none() || found == line, "{bad}");
 }
