--- a/crates/tier/chain/src/member/chain.rs
+++ b/crates/tier/chain/src/member/chain.rs
@@ -1,16 +1,19 @@
-//! This member's place in the chain: writes, transfers and commits.
+//! Replication of writes and states down the chain, and commits back up.
+//!
+//! Van Renesse & Schneider, Chain Replication (2004), section 3.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Member, Output, STATE_REQUEST_PAUSE};
+use super::{MIN_STATE_REQUEST_INTERVAL, Member, Output};
 use crate::durable::Record;
 use crate::message::{Barrier, Body, Write};
 use crate::state::{ControlState, Stamp};
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member takes writes of the current epoch.
+    /// Whether this member takes writes of the current epoch: it is in the chain, has activated the epoch and
+    /// has not sealed it.
     pub(crate) fn is_active(&self) -> bool {
         let view = &self.durable.view;
         view.epoch > 0
@@ -19,19 +22,24 @@
             && !self.durable.is_sealed()
     }
 
+    /// Whether this member is the head and takes commands.
     pub(super) fn is_serving_head(&self) -> bool {
         self.durable.view.head() == Some(self.id) && self.is_active()
     }
 
+    /// The next member of the chain; `None` at the tail and outside the chain.
     pub(super) fn successor(&self) -> Option<MemberId> {
         self.durable.view.successor(self.id)
     }
 
+    /// Whether a message of the chain comes from the predecessor and the epoch isn't sealed.
     pub(super) fn is_from_predecessor(&self, from: MemberId) -> bool {
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
-    pub(super) fn replicate(
+    /// Takes the writes after `after` from the predecessor, or activates the epoch if the states are the
+    /// same.
+    pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -50,7 +58,7 @@
             let record = self.persist(Record::Activate(epoch));
             self.replication.restart(record, epoch, &self.durable.state);
         }
-        self.replication.take_barrier(barrier);
+        self.replication.record_barrier(barrier);
         if after <= self.durable.state.stamp {
             for write in writes {
                 self.append(write);
@@ -59,9 +67,10 @@
         if !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
-        self.drive(now);
+        self.advance_replication(now);
     }
 
+    /// Appends a write to the state, unless the state contains it. Writes must come without gaps.
     pub(super) fn append(&mut self, write: Write) {
         if write.stamp <= self.durable.state.stamp {
             return;
@@ -75,7 +84,8 @@
             .push(record, self.durable.view.epoch, stamp, command);
     }
 
-    pub(super) fn take_transfer(
+    /// Takes the predecessor's complete state, unless the own one is as new, and activates the epoch.
+    pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
         from: MemberId,
@@ -86,30 +96,31 @@
             return;
         }
         let epoch = self.durable.view.epoch;
-        let is_news = self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
-        if !is_news && !self.replication.is_syncing() {
+        let is_newer = self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
+        if !is_newer && !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
-        if is_news {
+        if is_newer {
             let record = self.persist(Record::State { epoch, state });
             self.replication.restart(record, epoch, &self.durable.state);
         }
-        self.replication.take_barrier(barrier);
-        self.drive(now);
+        self.replication.record_barrier(barrier);
+        self.advance_replication(now);
     }
 
-    pub(super) fn persisted_more(&mut self, now: Duration) {
-        self.drive(now);
+    /// More of the chain's records are synced: forwards them and reports that to the predecessor.
+    pub(super) fn report_persisted(&mut self, now: Duration) {
+        self.advance_replication(now);
         self.report_to_predecessor();
     }
 
-    /// Tells the predecessor how far this member and those after it are.
+    /// Reports the progress of this member and of those behind it to the predecessor.
     pub(super) fn report_to_predecessor(&mut self) {
         let view = &self.durable.view;
         let Some(predecessor) = view.predecessor(self.id) else {
             return;
         };
-        let persisted = self.replication.persisted_in(view.epoch);
+        let persisted = self.replication.persisted_stamp(view.epoch);
         let report = Body::Replicated {
             active: persisted.is_some(),
             persisted: persisted.unwrap_or_default(),
@@ -119,20 +130,21 @@
         self.send_now(predecessor.address, report);
     }
 
-    /// Sends on what the successor lacks; at the tail, commits.
-    pub(crate) fn drive(&mut self, now: Duration) {
+    /// Forwards what the successor lacks. The tail commits what it has persisted, if the chain is long
+    /// enough.
+    pub(crate) fn advance_replication(&mut self, now: Duration) {
         if !self.is_active() {
             return;
         }
         let epoch = self.durable.view.epoch;
-        let Some(persisted) = self.replication.persisted_in(epoch) else {
+        let Some(persisted) = self.replication.persisted_stamp(epoch) else {
             return;
         };
         let Some(successor) = self.successor() else {
             let barrier = self.replication.barrier();
             let view = &self.durable.view;
             if view.chain.len() >= self.policy.minimum && view.meets_every_majority() {
-                self.chain_confirmed(now, Some(persisted), barrier);
+                self.record_chain_progress(now, Some(persisted), barrier);
             }
             return;
         };
@@ -141,8 +153,8 @@
         }
     }
 
-    /// The rest of the chain has persisted everything up to `committed` and passed `barrier` on.
-    pub(super) fn chain_confirmed(
+    /// Records that the tail has committed everything up to `committed` and that `barrier` has reached it.
+    pub(super) fn record_chain_progress(
         &mut self,
         now: Duration,
         committed: Option<Stamp>,
@@ -159,30 +171,33 @@
             self.resolve_requests();
         }
         if self.successor().is_some() {
-            self.drive(now);
+            self.advance_replication(now);
         }
     }
 
+    /// Publishes a committed state, unless a newer one is published.
     pub(super) fn publish(&mut self, now: Duration, state: Arc<ControlState>) {
         if state.stamp <= self.published.stamp {
             return;
         }
         self.published = Arc::clone(&state);
-        self.next_state_request = self.next_state_request.min(now + STATE_REQUEST_PAUSE);
-        self.state_request_pause = STATE_REQUEST_PAUSE;
+        self.next_state_request = self
+            .next_state_request
+            .min(now + MIN_STATE_REQUEST_INTERVAL);
+        self.state_request_interval = MIN_STATE_REQUEST_INTERVAL;
         self.outputs.push(Output::Committed(state));
         if self.is_active() && self.successor().is_none() {
-            self.ping_others_than_chain(now);
+            self.send_heartbeats_outside_chain(now);
         }
     }
 
-    /// Lets the members outside the chain know at once that there is something newer.
-    pub(super) fn ping_others_than_chain(&mut self, now: Duration) {
+    /// Announces the new state to the members outside the chain at once, by a heartbeat.
+    pub(super) fn send_heartbeats_outside_chain(&mut self, now: Duration) {
         let chain = self.durable.view.chain.clone();
-        for peer in self.peers.heard_lately(now) {
+        for peer in self.peers.heard_members(now) {
             if !chain.contains(&peer) {
-                let ping = self.ping(now, peer.address);
-                self.send_now(peer.address, ping);
+                let heartbeat = self.heartbeat(now, peer.address);
+                self.send_now(peer.address, heartbeat);
             }
         }
     }
--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -7,9 +7,9 @@
 
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
 use woadreach_chain::{
-    Accepted, Ballot, Barrier, Blob, Body, Command, ControlState, Durable, Envelope, IdleEpoch,
-    MemberId, Ping, PingTime, Place, Promise, PutConfiguration, PutStorageView, Record, Report,
-    Stamp, StoredConfiguration, StoredStorageView, TakenConfiguration, View, Write,
+    Accepted, Ballot, Barrier, Blob, Body, Command, ControlState, Durable, Envelope, FailureDomain,
+    Heartbeat, HeartbeatTime, IdleEpoch, MemberId, Promise, PutConfiguration, PutStorageView,
+    Record, Report, Stamp, StoredConfiguration, StoredStorageView, TakenConfiguration, View, Write,
 };
 
 fn member(number: u8) -> MemberId {
@@ -164,20 +164,20 @@
     vec![("several epochs", whole), ("first start", first)]
 }
 
-fn ping() -> Ping {
-    Ping {
-        sent: PingTime {
-            life: 1,
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        sent: HeartbeatTime {
+            incarnation: 1,
             micros: 2_000_000,
         },
-        echo: PingTime {
-            life: 3,
+        echo: HeartbeatTime {
+            incarnation: 3,
             micros: 4_000_000,
         },
-        fit: true,
+        can_replicate: true,
         leaving: false,
         bootstrap: true,
-        place: Place { zone: 5, region: 6 },
+        failure_domain: FailureDomain { zone: 5, region: 6 },
         committed: Stamp {
             epoch: 5,
             number: 12,
@@ -194,7 +194,7 @@
             epoch: 5,
             number: 12,
         },
-        fit: true,
+        can_replicate: true,
         hears: members(&[1, 3]),
         idle_epochs,
     }
@@ -210,7 +210,7 @@
 /// Every kind of message. A kind that is added needs an entry here.
 fn messages() -> Vec<(&'static str, Envelope)> {
     let name = |body: &Body| match body {
-        Body::Ping(_) => "ping",
+        Body::Heartbeat(_) => "ping",
         Body::Prepare { .. } => "prepare",
         Body::Promise { report, .. } if report.accepted.is_none() => "promise without a vote",
         Body::Promise { .. } => "promise with a vote",
@@ -256,7 +256,7 @@
         IdleEpoch { epoch: 5, floor: 2 },
     ];
     let bodies = [
-        Body::Ping(ping()),
+        Body::Heartbeat(heartbeat()),
         Body::Prepare {
             ballot: ballot(9, 2),
         },
@@ -493,7 +493,7 @@
     let recorded = RecordedBytes::open("places");
     let places = [("a", "north"), ("zone-2", "region-3"), ("", "")];
     for (zone, region) in places {
-        let place = Place::named(zone, region);
+        let place = FailureDomain::named(zone, region);
         let bytes = [place.zone.to_le_bytes(), place.region.to_le_bytes()].concat();
         recorded.check_bytes(&format!("zone {zone:?} of region {region:?}"), &bytes);
     }
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -1,8 +1,7 @@
-//! Operators who change and read the configuration, repeat what got no answer, and race.
+//! Operators who change and read the configuration concurrently, and retry what got no answer.
 //!
-//! Each has several orders under way at once. An order may build on one that has no answer yet, is sent to
-//! two machines at once now and then, and a copy of it may reach a machine seconds late, when the order has
-//! long been answered.
+//! Each has several orders in flight. An order may build on one that is unanswered, is at times sent to two
+//! machines at once, and a duplicate of it may arrive seconds late, long after the order was answered.
 
 use std::time::Duration;
 
@@ -10,46 +9,47 @@
     Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, Stamp,
 };
 
+use super::event::Event;
 use super::history::{Attempt, Outcome};
-use super::world::{Event, World};
+use super::world::World;
 
 /// Interval of the operators' clock.
 const STEP: Duration = Duration::from_millis(40);
-/// Patience of the operators unless a test sets another.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// An operator gives an order up after this time.
-const GIVE_UP: Duration = Duration::from_secs(4);
-/// Most orders of one operator under way at once.
-const MOST_UNDER_WAY: usize = 4;
-/// Longest time by which a copy of an order is late.
-const LATE: Duration = Duration::from_secs(5);
+/// Time without an answer after which an operator retries, unless a test sets another.
+const RETRY_TIMEOUT: Duration = Duration::from_millis(300);
+/// An operator abandons an order after this time.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Upper bound of the orders of one operator in flight.
+const MAX_ORDERS_IN_FLIGHT: usize = 4;
+/// Longest delay of a duplicate of an order.
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(5);
 
-/// A call: an operator's order, and which try of it.
+/// A call: an operator's order, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId {
+pub(crate) struct CallId {
     pub operator: usize,
     pub order: u64,
     pub attempt: u64,
 }
 
-/// An order under way.
+/// An order in flight.
 #[derive(Clone, Debug)]
 struct Pending {
     id: CallId,
     request: Request,
     attempt: Attempt,
     started: Duration,
-    asked: Duration,
+    sent_at: Duration,
 }
 
 /// One operator.
 #[derive(Clone, Debug, Default)]
 struct Operator {
     pending: Vec<Pending>,
-    /// Last generation that it was told of.
+    /// The last generation that it knows.
     known: u64,
     next_order: u64,
-    wants_read: bool,
+    must_read: bool,
     /// Orders that were taken, any of which may be sent once more.
     taken: Vec<PutConfiguration>,
 }
@@ -69,24 +69,24 @@
 
 /// All operators.
 #[derive(Clone, Debug)]
-pub struct Operators {
+pub(crate) struct Operators {
     operators: Vec<Operator>,
     pub is_stopped: bool,
-    /// An operator asks another machine after so long without an answer.
-    pub patience: Duration,
-    /// Each operator has one order under way at a time, and no copy of it is late.
+    /// Time without an answer after which an operator sends its order to another machine.
+    pub retry_timeout: Duration,
+    /// Each operator has one order in flight at a time, and no duplicate of it is late.
     pub are_orderly: bool,
     next_generation: u64,
     next_digest: u64,
 }
 
 impl Operators {
-    pub fn new(count: usize) -> Operators {
+    pub(crate) fn new(count: usize) -> Operators {
         let operators = vec![Operator::default(); count];
         Operators {
             operators,
             is_stopped: false,
-            patience: PATIENCE,
+            retry_timeout: RETRY_TIMEOUT,
             are_orderly: false,
             next_generation: 0,
             next_digest: 0,
@@ -94,7 +94,7 @@
     }
 
     /// The operators have made `changes` before, and may send any of them again.
-    pub fn remember(&mut self, changes: &[PutConfiguration]) {
+    pub(crate) fn remember(&mut self, changes: &[PutConfiguration]) {
         let newest = changes.last().map_or(0, |put| put.generation);
         self.next_generation = newest;
         self.next_digest = newest;
@@ -106,7 +106,7 @@
 }
 
 /// The changes 1 to `count`, each on the one before it, and the state after them.
-pub fn earlier_changes(count: u64) -> (Vec<PutConfiguration>, ControlState) {
+pub(crate) fn earlier_changes(count: u64) -> (Vec<PutConfiguration>, ControlState) {
     let mut state = ControlState::default();
     let changes: Vec<PutConfiguration> = (1..=count)
         .map(|generation| new_put(generation - 1, generation, generation))
@@ -122,37 +122,37 @@
 }
 
 /// Lets every operator act.
-pub fn operate(world: &mut World) {
+pub(crate) fn operate(world: &mut World) {
     for index in 0..world.operators.operators.len() {
-        give_up_old(world, index);
-        ask_again(world, index);
-        let under_way = world.operators.operators[index].pending.len();
-        let most = if world.operators.are_orderly {
+        expire_orders(world, index);
+        resend_overdue(world, index);
+        let in_flight = world.operators.operators[index].pending.len();
+        let limit = if world.operators.are_orderly {
             1
         } else {
-            MOST_UNDER_WAY
+            MAX_ORDERS_IN_FLIGHT
         };
-        let share = if under_way == 0 { 0.3 } else { 0.04 };
-        if !world.operators.is_stopped && under_way < most && world.chance(share) {
+        let share = if in_flight == 0 { 0.3 } else { 0.04 };
+        if !world.operators.is_stopped && in_flight < limit && world.chance(share) {
             begin(world, index);
         }
     }
     world.schedule(STEP, Event::Operate);
 }
 
-fn give_up_old(world: &mut World, index: usize) {
+fn expire_orders(world: &mut World, index: usize) {
     let now = world.now;
     let operator = &mut world.operators.operators[index];
     let before = operator.pending.len();
     operator
         .pending
-        .retain(|pending| now - pending.started <= GIVE_UP);
-    operator.wants_read |= operator.pending.len() < before;
+        .retain(|pending| now - pending.started <= ORDER_TIMEOUT);
+    operator.must_read |= operator.pending.len() < before;
 }
 
-fn ask_again(world: &mut World, index: usize) {
-    let (now, patience) = (world.now, world.operators.patience);
-    let is_late = |pending: &&Pending| now - pending.asked > patience;
+fn resend_overdue(world: &mut World, index: usize) {
+    let (now, retry_timeout) = (world.now, world.operators.retry_timeout);
+    let is_late = |pending: &&Pending| now - pending.sent_at > retry_timeout;
     let pending = &world.operators.operators[index].pending;
     let late: Vec<u64> = pending
         .iter()
@@ -160,7 +160,7 @@
         .map(|pending| pending.id.order)
         .collect();
     for order in late {
-        ask(world, index, order);
+        send_order(world, index, order);
     }
 }
 
@@ -175,8 +175,8 @@
     let operator = &mut operators.operators[index];
     let request = if let Some(put) = operator.taken.get(repeated).filter(|_| repeat) {
         Request::Submit(Command::PutConfiguration(put.clone()))
-    } else if operator.wants_read || read {
-        operator.wants_read = false;
+    } else if operator.must_read || read {
+        operator.must_read = false;
         Request::ReadConfiguration
     } else {
         let generation = if same_number {
@@ -208,10 +208,10 @@
         request,
         attempt,
         started: now,
-        asked: now,
+        sent_at: now,
     };
     world.operators.operators[index].pending.push(pending);
-    ask(world, index, order);
+    send_order(world, index, order);
 }
 
 /// Position of a change that was taken: any of them, or the last one if the operators are orderly.
@@ -224,7 +224,7 @@
     }
 }
 
-pub fn new_put(base: u64, generation: u64, number: u64) -> PutConfiguration {
+pub(crate) fn new_put(base: u64, generation: u64, number: u64) -> PutConfiguration {
     let mut digest = [0; 16];
     digest[..8].copy_from_slice(&number.to_le_bytes());
     let body = Blob::from(number.to_le_bytes().to_vec());
@@ -237,26 +237,26 @@
 }
 
 /// Sends a pending order to a machine drawn at random, at times to a second one too.
-fn ask(world: &mut World, index: usize, order: u64) {
+fn send_order(world: &mut World, index: usize, order: u64) {
     let now = world.now;
     let pending = &mut world.operators.operators[index].pending;
     let Some(pending) = pending.iter_mut().find(|pending| pending.id.order == order) else {
         return;
     };
-    pending.asked = now;
+    pending.sent_at = now;
     pending.id.attempt += 1;
     let (call, request) = (pending.id, pending.request.clone());
     let is_orderly = world.operators.are_orderly;
-    let copies = if !is_orderly && world.chance(0.1) {
+    let sends = if !is_orderly && world.chance(0.1) {
         2
     } else {
         1
     };
-    for _ in 0..copies {
+    for _ in 0..sends {
         let node = world.pick(world.nodes.len());
         let is_late = !is_orderly && world.chance(0.05);
         let delay = if is_late {
-            world.random_duration(LATE)
+            world.random_duration(MAX_DUPLICATE_DELAY)
         } else {
             Duration::ZERO
         };
@@ -271,7 +271,7 @@
 }
 
 /// Takes the answer of a machine.
-pub fn answered(world: &mut World, call: CallId, request: &Request, reply: &Reply) {
+pub(crate) fn answered(world: &mut World, call: CallId, request: &Request, reply: &Reply) {
     let now = world.now;
     world.history.replied(request, reply);
     let operator = &mut world.operators.operators[call.operator];
@@ -289,7 +289,7 @@
             Outcome::Acknowledged
         }
         (Request::Submit(_), Reply::Rejected(rejection)) => {
-            operator.wants_read = true;
+            operator.must_read = true;
             if let Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } =
                 rejection
             {
@@ -298,12 +298,12 @@
             Outcome::Refused(*rejection)
         }
         (Request::ReadConfiguration, Reply::Configuration(found)) => {
-            let read = found.as_ref().map_or(0, |(generation, _)| *generation);
+            let read = found.as_ref().map_or(0, |stored| stored.generation);
             operator.known = operator.known.max(read);
             Outcome::Read(
                 found
                     .as_ref()
-                    .map(|(generation, body)| (*generation, body.0.to_vec())),
+                    .map(|stored| (stored.generation, stored.body.0.to_vec())),
             )
         }
         _ => return,
--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -124,7 +124,7 @@
     State(discovery): State<Arc<CoreDiscovery>>,
     Path(id): Path<String>,
 ) -> Response {
-    respond(discovery.leave(&id).await)
+    respond(discovery.deregister(&id).await)
 }
 
 fn respond(result: Result<(), AcknowledgeError>) -> Response {
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -1,4 +1,4 @@
-//! The inputs of the module, each in one function.
+//! Inputs of the scheduler, each in one function.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,16 +7,17 @@
 
 use crate::action::Action;
 use crate::call::{Call, CallId};
-use crate::fleet::{Fleet, ReplicaKey};
-use crate::in_hand::{AttemptState, CallInHand};
+use crate::calls_in_flight::{AttemptState, CallInFlight};
+use crate::fleet::Fleet;
+use crate::keys::ReplicaKey;
 use crate::outcome::{Outcome, ServerLoad};
-use crate::pace::Programs;
+use crate::programs::Programs;
 use crate::routes::Routes;
 use crate::service::Service;
 use crate::spec::{ReplicaSpec, ServiceSpec};
 use crate::timers::Timers;
 
-/// Decides for one process; see the crate's page.
+/// The scheduler of one process; see the documentation of the crate.
 pub struct Admission {
     pub(crate) random: oorandom::Rand64,
     pub(crate) zone: String,
@@ -25,17 +26,17 @@
     pub(crate) fleet: Fleet,
     pub(crate) routes: Routes,
     pub(crate) programs: Programs,
-    pub(crate) calls: BTreeMap<CallId, CallInHand>,
-    pub(crate) held: DeadlineQueue<ReplicaKey, CallId>,
-    /// Calls that no replica may take for now.
+    pub(crate) calls: BTreeMap<CallId, CallInFlight>,
+    pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
+    /// Postponed calls, which no replica may receive for now.
     pub(crate) waiting: BTreeSet<CallId>,
     pub(crate) timers: Timers,
-    /// Calls whose place changed with the list of replicas: looked at on the next wake.
+    /// Calls that have to be decided anew on the next wake, after replicas or services have changed.
     pub(crate) displaced: BTreeSet<CallId>,
 }
 
 impl Admission {
-    /// `zone` is this process's own.
+    /// A scheduler without services and replicas. `zone` is the zone of this process.
     pub fn new(seed: u64, zone: String) -> Self {
         Admission {
             random: oorandom::Rand64::new(u128::from(seed)),
@@ -46,14 +47,15 @@
             routes: Routes::default(),
             programs: Programs::default(),
             calls: BTreeMap::new(),
-            held: DeadlineQueue::default(),
+            queue: DeadlineQueue::default(),
             waiting: BTreeSet::new(),
             timers: Timers::default(),
             displaced: BTreeSet::new(),
         }
     }
 
-    /// All services of the configuration in force, and among how many edges their connections are shared.
+    /// Applies all services of the current configuration. `edges` processes share the connections of each
+    /// replica.
     pub fn configure(&mut self, _now: f64, services: &[ServiceSpec], edges: usize) {
         self.edges = edges;
         let named: BTreeSet<&str> = services.iter().map(|spec| &*spec.name).collect();
@@ -70,16 +72,16 @@
         self.displaced.extend(self.waiting.iter());
     }
 
-    /// All replicas there are; one that is not named has left. What this changes for calls in hand is decided
-    /// on the next wake.
+    /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are
+    /// decided on the next wake.
     pub fn replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
-        for left in self.fleet.update(now, listed) {
-            self.routes.forget(left);
+        for departed in self.fleet.update(now, listed) {
+            self.routes.forget(departed);
         }
         self.displaced.extend(self.waiting.iter());
         for (id, call) in &self.calls {
             if call
-                .waits_at()
+                .queued_at()
                 .is_some_and(|replica| !self.fleet.get(replica).is_some_and(|r| r.is_usable()))
             {
                 self.displaced.insert(*id);
@@ -87,26 +89,27 @@
         }
     }
 
-    /// A client's try has been read whole.
+    /// Accepts a call that has been received completely. Returns the actions to execute.
     pub fn arrive(&mut self, now: f64, mut call: Call) -> Vec<Action> {
         let id = call.id;
         call.prefix = call.known_prefix();
         let service = self.choose_service(&call);
         let route = self.routes.key(&call.route, call.target_latency);
-        self.programs.arrived(now, &call);
+        self.programs.record_arrival(now, &call);
         if let Some(service) = self.services.get_mut(&service) {
-            service.arrived(now, call.priority);
+            service.record_arrival(now, call.priority);
         }
-        self.calls.insert(id, CallInHand::new(call, route, service));
+        self.calls
+            .insert(id, CallInFlight::new(call, route, service));
         let mut actions = Vec::new();
-        match self.refused_on_arrival(now, id) {
+        match self.rejection_on_arrival(now, id) {
             Some(retry_after) => self.refuse(now, id, retry_after, &mut actions),
             None => self.decide(now, id, &mut actions),
         }
         actions
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt. Returns the actions to execute.
     pub fn outcome(
         &mut self,
         now: f64,
@@ -122,7 +125,7 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return actions;
         };
-        if sent.state != AttemptState::Out {
+        if sent.state != AttemptState::InFlight {
             return actions;
         }
         sent.state = AttemptState::Ended(outcome);
@@ -133,15 +136,15 @@
             self.end(now, id, true);
             freed
                 .into_iter()
-                .for_each(|replica| self.release_held(now, replica, &mut actions));
+                .for_each(|replica| self.release_queued(now, replica, &mut actions));
         } else {
             self.decide_after_failure(now, id, outcome, &mut actions);
         }
-        self.release_held(now, replica, &mut actions);
+        self.release_queued(now, replica, &mut actions);
         actions
     }
 
-    /// The first event of a stream, or the head of any other answer, came.
+    /// Records that the first event of a stream, or the head of any other response, has arrived.
     pub fn first_event(&mut self, now: f64, id: CallId, attempt: u32, load: Option<ServerLoad>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -149,14 +152,14 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return;
         };
-        if sent.state == AttemptState::Out && !sent.begun {
-            sent.begun = true;
+        if sent.state == AttemptState::InFlight && !sent.has_begun {
+            sent.has_begun = true;
             self.timers.set(&mut call.timer, id, None);
             self.observe_begin(now, id, attempt, load);
         }
     }
 
-    /// The client has gone: nothing is owed any more, and no outcome is expected for what is out.
+    /// Ends a call whose client has disconnected. No outcomes are expected of its attempts.
     pub fn cancelled(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
@@ -166,12 +169,12 @@
         let released = self.abort_all(id, &mut actions);
         self.end(now, id, false);
         for replica in released {
-            self.release_held(now, replica, &mut actions);
+            self.release_queued(now, replica, &mut actions);
         }
         actions
     }
 
-    /// The time that `next_wake` named has come.
+    /// Makes the decisions that are due at `now`. Returns the actions to execute.
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         let displaced = std::mem::take(&mut self.displaced);
@@ -181,7 +184,7 @@
         actions
     }
 
-    /// When something is to be decided without further input.
+    /// When [`wake`](Self::wake) has to be called if no input arrives before; `None` if nothing is scheduled.
     pub fn next_wake(&self, now: f64) -> Option<f64> {
         if self.displaced.is_empty() {
             self.timers.next()
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A driver for tests: keeps what a real driver would know, and checks every action against the rules.
+//! A driver for tests, which has the state of a real driver and checks every action against the rules.
 
 #![allow(dead_code)]
 
@@ -10,10 +10,10 @@
     ServerLoad, ServiceSpec,
 };
 
-pub const SERVICE: &str = "service";
-pub const ZONE: &str = "zone-a";
+pub(crate) const SERVICE: &str = "service";
+pub(crate) const ZONE: &str = "zone-a";
 
-pub fn service() -> ServiceSpec {
+pub(crate) fn service() -> ServiceSpec {
     ServiceSpec {
         name: Arc::from(SERVICE),
         capacity_hint: None,
@@ -22,7 +22,7 @@
     }
 }
 
-pub fn engine_service() -> ServiceSpec {
+pub(crate) fn engine_service() -> ServiceSpec {
     let engine = EngineSpec {
         capacity: 32,
         kv_tokens: 200_000,
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn replica(id: &str) -> ReplicaSpec {
+pub(crate) fn replica(id: &str) -> ReplicaSpec {
     ReplicaSpec {
         id: Arc::from(id),
         service: Arc::from(SERVICE),
@@ -46,12 +46,12 @@
     }
 }
 
-pub fn replicas(ids: &[&str]) -> Vec<ReplicaSpec> {
+pub(crate) fn replicas(ids: &[&str]) -> Vec<ReplicaSpec> {
     ids.iter().map(|id| replica(id)).collect()
 }
 
 /// A safe call that arrives at `now` and may be sent to two replicas.
-pub fn call(now: f64, id: u64) -> Call {
+pub(crate) fn call(now: f64, id: u64) -> Call {
     Call {
         id: CallId(id),
         route: Arc::from("route"),
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn unsafe_call(now: f64, id: u64) -> Call {
+pub(crate) fn unsafe_call(now: f64, id: u64) -> Call {
     Call {
         kind: CallKind::Unsafe,
         ..call(now, id)
@@ -81,7 +81,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub(crate) enum End {
     Answered,
     Refused,
     Failed(FailReason),
@@ -89,9 +89,9 @@
 }
 
 /// A call as the driver sees it.
-pub struct Seen {
+pub(crate) struct Seen {
     pub call: Call,
-    /// Replica and outcome of each attempt; `None` while it is out, and for aborted ones.
+    /// Replica and outcome of each attempt; `None` while it is in flight, and for aborted ones.
     pub attempts: Vec<(Arc<str>, Option<Outcome>)>,
     pub aborted: BTreeSet<u32>,
     pub end: Option<End>,
@@ -104,7 +104,7 @@
             && !self.aborted.contains(&(attempt as u32))
     }
 
-    /// Proven by what the replicas said, independently of the module's own account.
+    /// Whether the outcomes prove that the call has not run, independently of the scheduler's own state.
     fn has_not_run(&self) -> bool {
         self.attempts.iter().all(|(_, outcome)| match outcome {
             Some(Outcome::NotExecuted { .. } | Outcome::Misdirected | Outcome::Unreachable) => true,
@@ -142,8 +142,8 @@
     }
 }
 
-/// The module with a driver around it.
-pub struct Driver {
+/// The scheduler with its driver.
+pub(crate) struct Driver {
     pub now: f64,
     pub admission: Admission,
     pub seen: BTreeMap<CallId, Seen>,
@@ -153,7 +153,7 @@
 }
 
 impl Driver {
-    pub fn new(seed: u64, service: ServiceSpec, replicas: &[ReplicaSpec]) -> Self {
+    pub(crate) fn new(seed: u64, service: ServiceSpec, replicas: &[ReplicaSpec]) -> Self {
         let mut driver = Driver {
             now: 100.0,
             admission: Admission::new(seed, ZONE.to_string()),
@@ -167,7 +167,7 @@
         driver
     }
 
-    pub fn list(&mut self, replicas: &[ReplicaSpec]) {
+    pub(crate) fn list(&mut self, replicas: &[ReplicaSpec]) {
         for spec in replicas {
             let changed = self.listed.get(&spec.id).is_some_and(|known| known != spec);
             if changed || !self.listed.contains_key(&spec.id) {
@@ -184,7 +184,7 @@
         self.run_due();
     }
 
-    pub fn arrive(&mut self, call: Call) -> Vec<Action> {
+    pub(crate) fn arrive(&mut self, call: Call) -> Vec<Action> {
         let id = call.id;
         let seen = Seen {
             call: call.clone(),
@@ -198,8 +198,8 @@
         actions
     }
 
-    /// Lets time pass, with every wake on its way.
-    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
+    /// Advances the time, with every wake that is due meanwhile.
+    pub(crate) fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut all = Vec::new();
         while let Some(at) = self.admission.next_wake(self.now).filter(|at| *at <= until) {
@@ -210,17 +210,17 @@
         all
     }
 
-    pub fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
+    pub(crate) fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
         self.admission
             .first_event(self.now, CallId(id), attempt, load);
         self.check_progress();
     }
 
-    pub fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub(crate) fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         self.outcome_with_load(id, attempt, outcome, None)
     }
 
-    pub fn outcome_with_load(
+    pub(crate) fn outcome_with_load(
         &mut self,
         id: u64,
         attempt: u32,
@@ -245,7 +245,7 @@
         actions
     }
 
-    pub fn cancel(&mut self, id: u64) -> Vec<Action> {
+    pub(crate) fn cancel(&mut self, id: u64) -> Vec<Action> {
         if let Some(seen) = self.seen.get_mut(&CallId(id)) {
             seen.end = seen.end.or(Some(End::Cancelled));
         }
@@ -254,8 +254,8 @@
         actions
     }
 
-    /// Attempts that are out, as (call, attempt).
-    pub fn out(&self) -> Vec<(u64, u32)> {
+    /// Attempts in flight, as (call, attempt).
+    pub(crate) fn out(&self) -> Vec<(u64, u32)> {
         let each = |(id, seen): (&CallId, &Seen)| {
             let out: Vec<_> = (0..seen.attempts.len())
                 .filter(|n| seen.is_out(*n))
@@ -267,12 +267,12 @@
         self.seen.iter().flat_map(each).collect()
     }
 
-    pub fn end(&self, id: u64) -> Option<End> {
+    pub(crate) fn end(&self, id: u64) -> Option<End> {
         self.seen[&CallId(id)].end
     }
 
     /// The replicas that a call was sent to, in order.
-    pub fn sent_to(&self, id: u64) -> Vec<String> {
+    pub(crate) fn sent_to(&self, id: u64) -> Vec<String> {
         self.seen[&CallId(id)]
             .attempts
             .iter()
@@ -281,7 +281,7 @@
     }
 
     /// Runs every wake that is due now.
-    pub fn run_due(&mut self) -> Vec<Action> {
+    pub(crate) fn run_due(&mut self) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..1_000 {
             if self
@@ -305,7 +305,7 @@
         self.check_progress();
     }
 
-    /// Each call in hand has an attempt out, or a time at which it will be looked at.
+    /// Checks that each call has an attempt in flight, or a timer.
     fn check_progress(&self) {
         let woken = self.admission.next_wake(self.now).is_some();
         for (id, seen) in self.seen.iter().filter(|(_, seen)| seen.end.is_none()) {
@@ -326,7 +326,7 @@
                 self.check_send(*call, *attempt, replica, *timeout);
             }
             Action::Refuse { call, retry_after } => {
-                let seen = self.in_hand(*call);
+                let seen = self.in_flight(*call);
                 assert!(
                     seen.has_not_run(),
                     "{call:?} is refused though it may have run"
@@ -335,7 +335,7 @@
                 seen.end = Some(End::Refused);
             }
             Action::Fail { call, reason } => {
-                let seen = self.in_hand(*call);
+                let seen = self.in_flight(*call);
                 assert!(
                     !seen.has_not_run(),
                     "{call:?} fails though it is proven not to have run"
@@ -353,7 +353,7 @@
         }
     }
 
-    fn in_hand(&mut self, id: CallId) -> &mut Seen {
+    fn in_flight(&mut self, id: CallId) -> &mut Seen {
         let seen = self.seen.get_mut(&id).expect("a call that arrived");
         assert_eq!(seen.end, None, "{id:?} ends twice or goes on after its end");
         seen
@@ -367,7 +367,7 @@
             !self.misdirected.contains(replica),
             "{replica} is not at its address"
         );
-        let seen = self.in_hand(id);
+        let seen = self.in_flight(id);
         assert_eq!(attempt as usize, seen.attempts.len());
         assert!(
             seen.may_run_again() || seen.has_not_run(),
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,87 +1,87 @@
 //! Messages between proxies, storage machines and each other.
 
-use snafu::{OptionExt, Snafu, ensure};
-use speedy::{LittleEndian, Readable, Writable};
+use speedy::{Readable, Writable};
 
 use crate::budget::Reservation;
+pub use crate::codec::{MessageError, decode, encode, read};
 use crate::turn::TurnRecord;
 use crate::view::StorageView;
 
-/// Version of the messages; the first byte of each.
-const MESSAGE_VERSION: u8 = 1;
-
-/// Under which view a request was sent, and to which disk.
+/// View under which a request was sent, and the disk it addresses.
+///
+/// A machine that knows a newer view, or runs on another disk, refuses the request: an old sender cannot write past
+/// a change of the membership, and a wiped machine does not pass for its predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
-pub struct Fence {
-    /// Epoch of the sender's view. A machine of a newer one refuses.
+pub struct FencingToken {
+    /// Epoch of the sender's view.
     pub epoch: u64,
     /// Identity of the disk that the sender believes to address.
     pub disk: u64,
 }
 
-/// The end of a turn in its budget.
+/// The final count of a turn in its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct Settlement {
     /// Reservation that was made for the turn.
     pub reservation: u64,
-    /// Tokens that were given to the client.
-    pub given: u64,
+    /// Tokens that were delivered to the client.
+    pub delivered_tokens: u64,
 }
 
-/// What is asked of a storage machine.
+/// What a request asks of a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Operation {
-    /// Reserve tokens and tell all of the program's reservations.
+    /// Reserve tokens; the answer has all reservations of the program.
     Reserve {
         /// Program whose budget it is.
         program: String,
-        /// Number drawn for this reservation.
+        /// Random number of this reservation.
         reservation: u64,
-        /// The most that the turn may generate.
-        most: u64,
+        /// Upper bound of the tokens that the turn generates.
+        max_tokens: u64,
     },
     /// Settle a reservation.
     Settle {
         /// Program whose budget it is.
         program: String,
-        /// How the turn ended.
+        /// Final count of the turn.
         settlement: Settlement,
     },
     /// Store turns of one program, and settle the newest one's reservation.
     PutTurns {
         /// Program in whose group they are stored.
         program: String,
-        /// Turns, oldest first: one, or more when a chain is taken over from another program.
+        /// Turns, oldest first: one, or several when a chain is adopted from another program.
         turns: Vec<TurnRecord>,
-        /// End of the newest turn in its budget.
+        /// Settlement of the newest turn's reservation.
         settlement: Option<Settlement>,
     },
-    /// Tell a turn and its ancestors, newest first, as far as they are here.
+    /// Read a turn and its ancestors, newest first, as far as they are stored.
     ReadChain {
         /// Program in whose group the turn is.
         program: String,
-        /// Newest turn asked for.
+        /// `Request-Id` of the newest turn of the chain.
         request_id: String,
     },
-    /// Tell which programs have a turn of this name here.
+    /// Find the programs that have a turn with this `Request-Id`.
     Find {
         /// `Request-Id` of the turn.
         request_id: String,
     },
-    /// Tell digests of the programs that `node` should hold, in order of their names.
+    /// Read digests of the programs that `node` should hold, in order of their names.
     Digests {
-        /// The machine that asks.
+        /// Name of the machine that pulls.
         node: String,
-        /// Last program of the page before.
+        /// Last program of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// Tell all records of these programs.
+    /// Read all records of these programs.
     Fetch {
         /// Names of the programs.
         programs: Vec<String>,
     },
-    /// A committed view, newer than the receiver's.
+    /// Learn a committed view that is newer than the receiver's.
     NewView {
         /// The view.
         view: StorageView,
@@ -92,17 +92,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Request {
     /// View and disk it is meant for.
-    pub fence: Fence,
-    /// What is asked.
+    pub fencing_token: FencingToken,
+    /// What is requested.
     pub operation: Operation,
 }
 
-/// What a program's records amount to at one machine; equal digests mean equal records.
+/// Digest of a program's records at one machine; equal digests mean equal records.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct ProgramDigest {
     /// Name of the program.
     pub program: String,
-    /// Hash over its reservations and the names of its turns.
+    /// Hash over its reservations and the `Request-Id`s of its turns.
     pub digest: u64,
 }
 
@@ -115,7 +115,7 @@
     pub reservations: Vec<Reservation>,
     /// Its turns.
     pub turns: Vec<TurnRecord>,
-    /// How much longer they are kept.
+    /// Remaining retention of the turns.
     pub remaining_ms: u64,
 }
 
@@ -123,19 +123,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Answer {
-    /// The reservation is synced; these are all that are known of the program.
+    /// The reservation is synced.
     Reserved {
-        /// All reservations, its own included.
+        /// All known reservations of the program, the new one included.
         reservations: Vec<Reservation>,
     },
-    /// What was to be stored is synced.
+    /// The records of the request are synced.
     Stored,
-    /// Turns found, newest first; empty if the newest asked for is not here.
+    /// Turns of the chain, newest first; empty if the newest is not stored.
     Chain {
-        /// The turn asked for and its ancestors, up to a bound of bytes or one that is not here.
+        /// The turn and its ancestors, up to a bound of bytes or the first that is not stored.
         turns: Vec<TurnRecord>,
     },
-    /// Programs that have the turn.
+    /// Programs that have a turn of the requested `Request-Id`.
     Found {
         /// Names of the programs.
         programs: Vec<String>,
@@ -147,27 +147,27 @@
         /// Whether more follow.
         more: bool,
     },
-    /// Records of the first of the programs asked for, as many as fit a message.
+    /// Records of the first of the requested programs, as many as fit a message.
     Records {
-        /// One entry a program; empty where it has expired.
+        /// One entry for each program, without records where it has expired.
         programs: Vec<ProgramRecords>,
     },
-    /// The sender's view is old.
+    /// The sender's view is older than this machine's.
     Stale {
         /// The newer view.
         view: StorageView,
     },
     /// This machine's view is older than the request needs.
     Behind,
-    /// Another disk than the one addressed is at this address.
+    /// The machine at this address runs on another disk than the one addressed.
     WrongDisk,
-    /// Not stored, for the disk does not take it.
+    /// The disk refused the record, so nothing is stored.
     Failed,
     /// The request could not be read.
     Malformed,
 }
 
-/// Answer with the epoch that the machine knows, so that the sender can bring it its own view.
+/// An answer and the epoch that the machine knows, so that the sender can send it a newer view.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Response {
     /// Epoch of the machine's view.
@@ -175,57 +175,3 @@
     /// The answer.
     pub answer: Answer,
 }
-
-/// Encodes a message, its version first.
-///
-/// # Panics
-/// Never: writing to memory cannot fail.
-#[must_use]
-pub fn encode<T: Writable<LittleEndian>>(message: &T) -> Vec<u8> {
-    let length = message
-        .bytes_needed()
-        .expect("a message in memory has a length");
-    let mut bytes = Vec::with_capacity(1 + length);
-    bytes.push(MESSAGE_VERSION);
-    message
-        .write_to_stream(&mut bytes)
-        .expect("memory takes any message");
-    bytes
-}
-
-/// Why bytes are not a message.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum MessageError {
-    /// Nothing there.
-    #[snafu(display("the message is empty"))]
-    Empty,
-    /// Another version of the messages.
-    #[snafu(display("message version {found}, expected {MESSAGE_VERSION}"))]
-    Version {
-        /// Version found.
-        found: u8,
-    },
-    /// Not whole, or with bytes after it.
-    #[snafu(display("malformed message"))]
-    Malformed,
-}
-
-/// Reads a message.
-///
-/// # Errors
-/// [`MessageError`] if it is not whole, has anything after it or another version.
-pub fn read<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<T, MessageError> {
-    let (&version, body) = bytes.split_first().context(EmptySnafu)?;
-    ensure!(version == MESSAGE_VERSION, VersionSnafu { found: version });
-    let (message, used) = T::read_with_length_from_buffer(body);
-    message
-        .ok()
-        .filter(|_| used == body.len())
-        .context(MalformedSnafu)
-}
-
-/// Decodes a message; `None` where [`read`] fails.
-#[must_use]
-pub fn decode<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Option<T> {
-    read(bytes).ok()
-}
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -10,40 +10,40 @@
 
 use stateright::{Checker, HasDiscoveries, Model};
 
-use self::tier::{Counts, Mutated, World};
+use self::tier::{Counts, Mutation, World};
 
 const NOTHING: Counts = Counts {
     views: 0,
     wipes: 0,
     restarts: 0,
     retirements: 0,
-    silences: 0,
+    timeouts: 0,
     writes: 0,
 };
 
-fn world(most: Counts) -> World {
+fn world(max_counts: Counts) -> World {
     World {
         current: 3,
         machines: 3,
         tolerated: 1,
-        mutated: Mutated::Nothing,
+        mutation: Mutation::None,
         is_coarse: true,
-        most,
+        max_counts,
         started: Instant::now(),
     }
 }
 
-fn further() -> usize {
+fn additional_depth() -> usize {
     std::env::var("STORAGE_MODEL_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0)
 }
 
-/// Searches every run of at most `actions` actions; gives the violation that was found.
+/// Searches every run of at most `actions` actions; returns the violation that was found.
 fn search(name: &str, world: World, actions: usize) -> Option<&'static str> {
     let started = Instant::now();
-    let actions = actions + further();
+    let actions = actions + additional_depth();
     let checker = world
         .checker()
         .threads(2)
@@ -71,7 +71,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_and_a_write() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         wipes: 1,
         writes: 1,
@@ -79,7 +79,7 @@
     };
     let world = World {
         is_coarse: false,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a lost disk", world, 40), None);
 }
@@ -90,13 +90,13 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_second_disk_is_lost_after_the_repair() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 4,
         wipes: 2,
         writes: 1,
         ..NOTHING
     };
-    assert_eq!(search("two lost disks", world(most), 40), None);
+    assert_eq!(search("two lost disks", world(max_counts), 40), None);
 }
 
 #[test]
@@ -105,7 +105,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_machine_is_emptied_and_another_loses_its_disk() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         wipes: 1,
         retirements: 1,
@@ -115,7 +115,7 @@
     let world = World {
         current: 4,
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a retirement and a lost disk", world, 6), None);
 }
@@ -125,17 +125,17 @@
     debug_assertions,
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
-fn a_machine_takes_the_place_of_a_silent_one() {
-    let most = Counts {
+fn a_machine_replaces_an_unresponsive_one() {
+    let max_counts = Counts {
         views: 2,
-        silences: 1,
+        timeouts: 1,
         writes: 1,
         wipes: 1,
         ..NOTHING
     };
     let world = World {
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
     assert_eq!(search("a replacement", world, 7), None);
 }
@@ -146,24 +146,24 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn machines_restart_in_a_joint_epoch() {
-    let most = Counts {
+    let max_counts = Counts {
         views: 2,
         restarts: 2,
         wipes: 1,
         writes: 1,
         ..NOTHING
     };
-    assert_eq!(search("restarts", world(most), 12), None);
+    assert_eq!(search("restarts", world(max_counts), 12), None);
 }
 
 /// A machine joins while a turn is written.
-fn is_found(mutated: Mutated, most: Counts, actions: usize) -> bool {
+fn is_found(mutation: Mutation, max_counts: Counts, actions: usize) -> bool {
     let world = World {
-        mutated,
+        mutation,
         machines: 4,
-        ..world(most)
+        ..world(max_counts)
     };
-    search(&format!("mutated: {mutated:?}"), world, actions).is_some()
+    search(&format!("mutation: {mutation:?}"), world, actions).is_some()
 }
 
 const JOIN: Counts = Counts {
@@ -178,7 +178,7 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn pages_before_the_seal_are_found() {
-    assert!(is_found(Mutated::Seal, JOIN, 17));
+    assert!(is_found(Mutation::Seal, JOIN, 17));
 }
 
 #[test]
@@ -187,7 +187,11 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_lost_disk_under_the_old_identity_is_found() {
-    assert!(is_found(Mutated::Identity, Counts { wipes: 1, ..JOIN }, 17));
+    assert!(is_found(
+        Mutation::Identity,
+        Counts { wipes: 1, ..JOIN },
+        17
+    ));
 }
 
 #[test]
@@ -195,8 +199,8 @@
     debug_assertions,
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
-fn a_pull_that_is_not_whole_is_found() {
-    assert!(is_found(Mutated::Pull, Counts { wipes: 1, ..JOIN }, 17));
+fn an_incomplete_pull_is_found() {
+    assert!(is_found(Mutation::Pull, Counts { wipes: 1, ..JOIN }, 17));
 }
 
 #[test]
@@ -205,5 +209,5 @@
     ignore = "minutes where it is not optimised; .ci/run plays it in release"
 )]
 fn a_write_without_the_next_quorum_is_found() {
-    assert!(is_found(Mutated::NextQuorum, JOIN, 20));
+    assert!(is_found(Mutation::NextQuorum, JOIN, 20));
 }
