--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -31,6 +31,6 @@
     println!("\nbroken: {}", describe(breach));
     for event in &breach.proof {
         let at = event.at - woadreach_simulation::BEGIN;
-        println!("  {at:>11.6} {}", json(&event.what));
+        println!("  {at:>11.6} {}", json(&event.kind));
     }
 }
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -77,8 +77,8 @@
         let is_idempotent = query_type.repeats == Repeats::Idempotent;
         let retry = Retry {
             times: self.script.load.retries,
-            pause: self.script.load.pause,
-            heeds: self.script.load.heeds,
+            pause: self.script.load.retry_delay,
+            heeds: self.script.load.honors_retry_after,
         };
         let (client, search_count) = (self.client.clone(), self.search_count.clone());
         drop(self.net.spawn(async move {
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -57,7 +57,7 @@
         let slow_start = self.script.settings.cold.as_ref();
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
-            room: self.script.fleet.room,
+            room: self.script.fleet.queue_capacity,
             cold: slow_start
                 .filter(|_| is_warming_up)
                 .map(|slow_start| (slow_start.from, slow_start.time)),
--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -5,11 +5,11 @@
 };
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
-use crate::script::Kind;
+use crate::script::FaultKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_invariants::{NodeId, What};
+use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::Net;
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
@@ -22,10 +22,11 @@
         let start = node.starts.replace(node.starts.get() + 1);
         let net = match node.process.get().filter(|_| start == 0) {
             Some(process) => self.network.process(process),
-            None => self.network.machine(zone, 0.0),
+            None => self.network.add_machine(zone, 0.0),
         };
         node.process.set(Some(net.process()));
-        self.recorder.tell(What::NodeStarted { node: NodeId(n) });
+        self.recorder
+            .tell(EventKind::NodeStarted { node: NodeId(n) });
         node.agent.process_started();
         let seed = seed_of(self.script.seed, &format!("node {n} {start}"));
         let (hangup, hangups) = mpsc::unbounded_channel();
@@ -46,7 +47,7 @@
             let (node, ready) = (NodeId(n), replica.alive.get());
             let replica = replica.name.borrow().as_str().into();
             if ready {
-                self.recorder.tell(What::Told {
+                self.recorder.tell(EventKind::ReplicaListed {
                     node,
                     replica,
                     ready,
@@ -87,8 +88,8 @@
             };
             let node = NodeId(n);
             match ended {
-                Ok(()) => world.recorder.tell(What::NodeEnded { node }),
-                Err(why) => world.recorder.tell(What::Panicked { node, why }),
+                Ok(()) => world.recorder.tell(EventKind::NodeEnded { node }),
+                Err(why) => world.recorder.tell(EventKind::Panicked { node, why }),
             }
             let (process, again) = (run.process(), world.clone());
             // Not from within itself.
@@ -132,7 +133,8 @@
         let Some(process) = node.process.take() else {
             return;
         };
-        self.recorder.tell(What::NodeKilled { node: NodeId(n) });
+        self.recorder
+            .tell(EventKind::NodeKilled { node: NodeId(n) });
         self.network.kill(process);
         let world = self.clone();
         // A front notices after a while.
@@ -158,25 +160,20 @@
             .call_at(self.clock.now() + 300 * MILLISECOND, move || {
                 world.nodes[n].up.set(false)
             });
-        let longest = self
-            .script
-            .query_types
-            .iter()
-            .map(|t| t.client_timeout)
-            .fold(0.0, f64::max);
+        let longest = self.script.max_client_timeout();
         let (world, process) = (self.clone(), node.process.get());
         let killed = nanos(longest.min(3.0) + KILL_AFTER) + 50 * MILLISECOND;
         self.clock.call_at(self.clock.now() + killed, move || {
             // One that has stood still meanwhile counts from when it was told, and is killed all the same.
             let stalled = |f: &crate::script::Fault| match &f.kind {
-                Kind::Stall { co_ordinators } => co_ordinators.contains(&n),
+                FaultKind::StallCoordinators { co_ordinators } => co_ordinators.contains(&n),
                 _ => false,
             };
             if world.nodes[n].process.get() == process && world.script.faults.iter().any(stalled) {
                 world.kill_node(n);
             } else if world.nodes[n].process.get() == process {
                 let why = "it has not ended by the time that SIGKILL comes".to_string();
-                world.recorder.tell(What::Kept {
+                world.recorder.tell(EventKind::Leaked {
                     node: NodeId(n),
                     why,
                 });
@@ -200,7 +197,9 @@
 
     pub(super) fn reload(self: &Rc<Self>, n: usize) {
         let node = &self.nodes[n];
-        let net = self.network.machine(Zone(n % self.script.fleet.zones), 0.0);
+        let net = self
+            .network
+            .add_machine(Zone(n % self.script.fleet.zones), 0.0);
         node.moves.set(node.moves.get() + 1);
         let place = address(net.process(), DISCOVERY_PORT);
         let moved =
