--- a/crates/router/runtime/src/tokio_net.rs
+++ b/crates/router/runtime/src/tokio_net.rs
@@ -1,7 +1,6 @@
-//! The seam on tokio's sockets, timers and tasks of one thread. Owns no socket but through what it hands out;
-//! must never hold back, join or alter bytes.
+//! [`Net`] on tokio's sockets, timers and tasks of one thread.
 
-use crate::{Datagrams, Listener, Net, Read, Stream, Write};
+use crate::{Datagrams, Listener, Net, Read, Stream, TaskError, Write};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -14,19 +13,21 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::task::JoinHandle;
 
-/// Connections that wait to be accepted, as many as the kernel allows.
-const BACKLOG: u32 = 4096;
+/// Most connections that wait to be accepted; the kernel may allow fewer.
+const MAX_BACKLOG: u32 = 4096;
 
-/// The system's clock at the start, and what has passed since, so that it never goes back.
+/// Sockets of the system, and a clock that starts at the system's time and never goes back.
 #[derive(Clone, Copy)]
 pub struct Tokio {
+    /// In Unix seconds.
     start: f64,
     since: Instant,
-    /// Seconds by this clock in a true one: 1, but for rigs.
+    /// Seconds by this clock in a second of the system's: 1 but in tests.
     rate: f64,
 }
 
 impl Tokio {
+    /// The system's clock.
     pub fn new() -> Self {
         let start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -39,14 +40,14 @@
         }
     }
 
-    /// A clock that runs so much faster or slower, and is so many seconds ahead: for rigs that try what
-    /// happens where machines' clocks differ.
+    /// A clock that runs `rate` times as fast as the system's, and is `ahead` seconds ahead of it: for tests of
+    /// machines whose clocks differ.
     pub fn skewed(rate: f64, ahead: f64) -> Self {
-        let true_one = Self::new();
+        let system = Self::new();
         Tokio {
-            start: true_one.start + ahead,
+            start: system.start + ahead,
             rate,
-            ..true_one
+            ..system
         }
     }
 }
@@ -57,14 +58,16 @@
     }
 }
 
-/// Dropped, it lets its task go on.
+/// The end of a task; dropped, it lets the task go on.
 pub struct Joined(JoinHandle<()>);
 
 impl Future for Joined {
-    type Output = Result<(), String>;
+    type Output = Result<(), TaskError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
-        Pin::new(&mut self.0).poll(cx).map_err(|e| e.to_string())
+        Pin::new(&mut self.0).poll(cx).map_err(|e| TaskError {
+            reason: e.to_string(),
+        })
     }
 }
 
@@ -79,9 +82,8 @@
     }
 
     fn sleep_until(&self, time: f64) -> impl Future<Output = ()> {
-        let ahead =
-            Duration::try_from_secs_f64((time - self.start) / self.rate).unwrap_or_default();
-        tokio::time::sleep_until((self.since + ahead).into())
+        let wait = Duration::try_from_secs_f64((time - self.start) / self.rate).unwrap_or_default();
+        tokio::time::sleep_until((self.since + wait).into())
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Joined {
@@ -93,7 +95,7 @@
     }
 
     async fn lookup(&self, name: &str) -> io::Result<SocketAddr> {
-        // The name of an address is the address, which asks nobody.
+        // An address needs no lookup.
         if let Ok(address) = name.parse() {
             return Ok(address);
         }
@@ -114,10 +116,10 @@
         } else {
             TcpSocket::new_v6()?
         };
-        // A restart takes the address of a process that has just died.
+        // A restart gets the address of a process that has just died.
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
-        socket.listen(BACKLOG).map(TokioListener)
+        socket.listen(MAX_BACKLOG).map(TokioListener)
     }
 
     fn datagrams(&self, at: SocketAddr) -> io::Result<TokioDatagrams> {
@@ -127,6 +129,7 @@
     }
 }
 
+/// A socket for datagrams.
 pub struct TokioDatagrams(UdpSocket);
 
 impl Datagrams for TokioDatagrams {
@@ -139,6 +142,7 @@
     }
 }
 
+/// A listener for connections.
 pub struct TokioListener(TcpListener);
 
 impl Listener for TokioListener {
@@ -156,11 +160,12 @@
     }
 }
 
+/// A connection.
 pub struct TokioStream(TcpStream);
 
 impl TokioStream {
     fn new(stream: TcpStream) -> Self {
-        // One that cannot be told so is only slower.
+        // A socket on which this fails is only slower.
         let _ = stream.set_nodelay(true);
         TokioStream(stream)
     }
@@ -171,8 +176,8 @@
     type Writer<'a> = TokioWriter<'a>;
 
     fn split(&mut self) -> (TokioReader<'_>, TokioWriter<'_>) {
-        let (from, to) = self.0.split();
-        (TokioReader(from), TokioWriter(to))
+        let (reader, writer) = self.0.split();
+        (TokioReader(reader), TokioWriter(writer))
     }
 
     async fn readable(&self) -> io::Result<()> {
@@ -200,11 +205,12 @@
     }
 
     fn reset_on_drop(&self) {
-        // One that cannot be told so closes as ever.
+        // A socket on which this fails closes without a reset.
         let _ = self.0.set_zero_linger();
     }
 }
 
+/// The reading half of a connection.
 pub struct TokioReader<'a>(ReadHalf<'a>);
 
 impl Read for TokioReader<'_> {
@@ -217,6 +223,7 @@
     }
 }
 
+/// The writing half of a connection.
 pub struct TokioWriter<'a>(WriteHalf<'a>);
 
 impl Write for TokioWriter<'_> {
@@ -231,9 +238,9 @@
     fn unsent(&self) -> usize {
         let mut bytes: libc::c_int = 0;
         let fd = self.0.as_ref().as_raw_fd();
-        // SAFETY: the call writes one number to the place that is given, and nothing else.
-        let told = unsafe { libc::ioctl(fd, SIOCOUTQNSD, &raw mut bytes) };
-        if told == 0 {
+        // SAFETY: the call writes one number to the address that is given, and nothing else.
+        let result = unsafe { libc::ioctl(fd, SIOCOUTQNSD, &raw mut bytes) };
+        if result == 0 {
             usize::try_from(bytes).unwrap_or(0)
         } else {
             0
@@ -241,18 +248,17 @@
     }
 }
 
-/// Linux: how many bytes of the send queue have not been sent (`linux/sockios.h`).
+/// Linux: the request for the number of bytes in the send queue that have not been sent (`linux/sockios.h`).
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
 
-/// For how many seconds the last bytes of a connection have lain in the kernel, or there have been none; 0
-/// where the kernel does not tell.
+/// Seconds since the kernel received the last bytes of a connection; 0 where it does not report that.
 fn waited(socket: &impl AsRawFd) -> f64 {
     // SAFETY: a plain struct of numbers, for which all zeros are a value; the call writes at most `length`
     // bytes to it.
     let (mut info, mut length) = (unsafe { std::mem::zeroed::<libc::tcp_info>() }, 0);
     length += size_of::<libc::tcp_info>() as libc::socklen_t;
     let to = (&raw mut info).cast();
-    let told = unsafe {
+    let result = unsafe {
         libc::getsockopt(
             socket.as_raw_fd(),
             libc::IPPROTO_TCP,
@@ -261,7 +267,7 @@
             &mut length,
         )
     };
-    if told == 0 {
+    if result == 0 {
         f64::from(info.tcpi_last_data_recv) / 1000.0
     } else {
         0.0
--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -1,111 +1,151 @@
-//! The searches in hand of one co-ordinator, beside the module that decides about them. Owns each search from
-//! `take` until it is over and knows when each wants to be asked about next; what a plan asks for goes, in
-//! its order, into a sink. Must never decide, nor keep a clock: the caller tells the time.
+//! The searches in flight of one co-ordinator, beside the routing decisions.
+//!
+//! [`SearchTable`] owns each search from [`SearchTable::insert`] until it is over, and knows when the
+//! decisions want to be asked about it next. What a plan asks for goes, in its order, to a [`PlanExecutor`].
+//! The caller keeps the clock.
 
-use crate::watch::{Shape, WatchCounters};
+use crate::watch::{ProposedLimits, WatchCounters};
 use std::collections::{BTreeMap, VecDeque};
-use woadreach_routing::api::*;
+use woadreach_routing::api::{
+    Listed, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search, SearchId, Settings,
+    ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
+};
 use woadreach_routing::decide::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
 
-/// Where the steps of a plan go. `attempt_index` numbers the sub-requests of a part.
+/// How much before its time a timer may fire, in seconds: hosts' timers count in microseconds.
+const TIMER_PRECISION: f64 = 1e-5;
+
+/// Carries out the steps of a plan. `attempt_index` numbers the attempts of a part from 0.
 pub trait PlanExecutor {
+    /// Logs a line.
     fn note(&mut self, line: &str);
+    /// Cancels an attempt.
     fn cancel(&mut self, part: PartId, attempt_index: usize);
+    /// Sends an attempt.
     fn send(&mut self, search: &Search, placement: &Placement, attempt_index: usize);
+    /// Replies to a search, or begins its second step where it is not finished.
     fn reply(&mut self, search: &Search, reply: Reply);
-    /// Call `SearchTable::due` for this search after `wait` seconds; earlier timers of it may still come.
+    /// Calls [`SearchTable::timer_fired`] for this search after `wait` seconds; earlier timers of it may still
+    /// fire.
     fn timer(&mut self, search: SearchId, wait: f64);
-    /// The search is over and let go, answered or not.
+    /// The search is over, answered or not, and is not in the table any more.
     fn finished(&mut self, search: &Search);
 }
 
 struct SearchInFlight {
     search: Search,
-    /// When its next timer comes; infinite = none set.
+    /// When its next timer fires; infinite if none is set.
     due: f64,
 }
 
+/// A comparison with the settings of another deployment.
+struct Comparison {
+    limits: ProposedLimits,
+    /// Whether parts of the query type may not run twice there, by query type.
+    once: Vec<bool>,
+    counters: WatchCounters,
+}
+
+/// What is in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InFlight {
+    /// Number of searches.
+    pub searches: usize,
+    /// Number of their parts.
+    pub parts: usize,
+}
+
+/// The searches in flight. See the module's documentation.
 pub struct SearchTable {
     balancer: Balancer,
     searches: BTreeMap<SearchId, SearchInFlight>,
     by_part: BTreeMap<PartId, SearchId>,
-    /// While operators watch before a move: the new shape, which query types it makes `once`, the counts.
-    watch: Option<(Shape, Vec<bool>, WatchCounters)>,
+    comparison: Option<Comparison>,
 }
 
 impl SearchTable {
-    pub fn new(set: Settings) -> Self {
+    /// A table without searches.
+    pub fn new(settings: Settings) -> Self {
         SearchTable {
-            balancer: Balancer::new(set),
+            balancer: Balancer::new(settings),
             searches: BTreeMap::new(),
             by_part: BTreeMap::new(),
-            watch: None,
+            comparison: None,
         }
     }
 
-    /// Decides as before, and counts where `shape` would have decided otherwise; names: of the query types.
-    pub fn watching(&mut self, shape: Shape, query_types: &[String]) {
-        let once = query_types.iter().map(|n| shape.once.contains(n)).collect();
-        self.watch = Some((shape, once, WatchCounters::default()));
+    /// Counts from now on where `limits` would not have allowed a step. `query_types`: their names.
+    pub fn compare_with(&mut self, limits: ProposedLimits, query_types: &[String]) {
+        let once = query_types
+            .iter()
+            .map(|n| limits.once.contains(n))
+            .collect();
+        self.comparison = Some(Comparison {
+            limits,
+            once,
+            counters: WatchCounters::default(),
+        });
     }
 
-    pub fn watched(&self) -> Option<WatchCounters> {
-        self.watch.as_ref().map(|w| w.2)
+    /// The counts of a comparison, if there is one.
+    pub fn watch_counters(&self) -> Option<WatchCounters> {
+        self.comparison.as_ref().map(|c| c.counters)
     }
 
-    pub fn list(&mut self, full: bool, lines: &[Listed]) {
+    /// Applies an endpoint list: a complete one, or changes.
+    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
         self.balancer.list(full, lines);
     }
 
-    /// What the tier has decided in common, or that this co-ordinator is alone.
-    pub fn zone_failover(&mut self, now: f64, told: Option<ZoneFailoverState>) {
-        self.balancer.zone_failover(now, told);
+    /// Applies what the tier has agreed on; `None`: this co-ordinator has no peers.
+    pub fn set_zone_failover(&mut self, now: f64, state: Option<ZoneFailoverState>) {
+        self.balancer.zone_failover(now, state);
     }
 
+    /// What this co-ordinator's latest parts say of each zone.
     pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
         self.balancer.zone_health(now)
     }
 
-    /// What was asked of each cold replica so far.
+    /// Demand for each warming replica.
     pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
         self.balancer.slow_start_demands(now)
     }
 
-    /// The tier has shared out what a cold replica bears.
-    pub fn quota_share(&mut self, replica: &ReplicaId, times: f64) {
-        self.balancer.quota_share(replica, times);
+    /// Sets this co-ordinator's share of a warming replica, as a multiple of an even share.
+    pub fn set_quota_share(&mut self, replica: &ReplicaId, factor: f64) {
+        self.balancer.quota_share(replica, factor);
     }
 
-    /// Searches in hand, and their parts.
-    pub fn held(&self) -> (usize, usize) {
-        (self.searches.len(), self.by_part.len())
+    /// Numbers of searches and parts in flight.
+    pub fn in_flight(&self) -> InFlight {
+        InFlight {
+            searches: self.searches.len(),
+            parts: self.by_part.len(),
+        }
     }
 
+    /// The search that a part belongs to.
     pub fn search_of(&self, part: PartId) -> Option<SearchId> {
         self.by_part.get(&part).copied()
     }
 
-    /// Takes a search in hand; `ask` comes once its parts are in.
-    pub fn take(&mut self, search: Search) {
-        self.by_part
-            .extend(search.parts.iter().map(|p| (p.id, search.id)));
-        self.searches.insert(
-            search.id,
-            SearchInFlight {
-                search,
-                due: f64::INFINITY,
-            },
-        );
+    /// Adds a search; [`SearchTable::place`] follows once its parts are added.
+    pub fn insert(&mut self, search: Search) {
+        let parts = search.parts.iter().map(|p| (p.id, search.id));
+        self.by_part.extend(parts);
+        let (id, due) = (search.id, f64::INFINITY);
+        self.searches.insert(id, SearchInFlight { search, due });
     }
 
-    /// A part of the step in hand; false if the search is no longer held.
+    /// Adds a part to a search's step in progress; false if the search is not in flight any more.
     pub fn add_part(&mut self, search: SearchId, id: PartId, shard: ShardId, weight: f64) -> bool {
-        let Some(held) = self.searches.get_mut(&search) else {
+        let Some(in_flight) = self.searches.get_mut(&search) else {
             return false;
         };
-        let step = held.search.step;
-        let part = Part {
+        let step = in_flight.search.step;
+        in_flight.search.parts.push(Part {
             id,
             shard,
             weight,
@@ -113,133 +153,159 @@
             answered: false,
             held: None,
             attempts: Vec::new(),
-        };
-        held.search.parts.push(part);
+        });
         self.by_part.insert(id, search);
         true
     }
 
-    pub fn ask(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
-        if let Some(held) = self.searches.get_mut(&search) {
-            let plan = self.balancer.place(now, &mut held.search);
-            self.carry_out(now, Some(search), plan, sink);
+    /// Asks the decisions about a search, and carries out their plan.
+    pub fn place(&mut self, now: f64, search: SearchId, executor: &mut impl PlanExecutor) {
+        if let Some(in_flight) = self.searches.get_mut(&search) {
+            let plan = self.balancer.place(now, &mut in_flight.search);
+            self.execute(now, Some(search), plan, executor);
         }
     }
 
-    pub fn outcome(&mut self, now: f64, outcome: &Outcome, sink: &mut impl PlanExecutor) {
-        let search = self.by_part.get(&outcome.part).copied();
-        let held = search
-            .and_then(|s| self.searches.get_mut(&s))
-            .map(|h| &mut h.search);
-        let plan = self.balancer.after(now, held, outcome);
-        self.carry_out(now, search, plan, sink);
+    /// An attempt has ended.
+    pub fn attempt_finished(
+        &mut self,
+        now: f64,
+        outcome: &Outcome,
+        executor: &mut impl PlanExecutor,
+    ) {
+        let id = self.search_of(outcome.part);
+        let search = id
+            .and_then(|id| self.searches.get_mut(&id))
+            .map(|in_flight| &mut in_flight.search);
+        let plan = self.balancer.after(now, search, outcome);
+        self.execute(now, id, plan, executor);
     }
 
-    /// A timer of this search has come. One that an earlier one replaced is ignored; clocks that count in
-    /// microseconds may bring one a moment early.
-    pub fn due(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
-        let Some(held) = self
+    /// A timer of this search has fired. One that an earlier one replaced is ignored.
+    pub fn timer_fired(&mut self, now: f64, search: SearchId, executor: &mut impl PlanExecutor) {
+        let Some(in_flight) = self
             .searches
             .get_mut(&search)
-            .filter(|h| h.due <= now + 1e-5)
+            .filter(|s| s.due <= now + TIMER_PRECISION)
         else {
             return;
         };
-        held.due = f64::INFINITY;
-        self.ask(now, search, sink);
+        in_flight.due = f64::INFINITY;
+        self.place(now, search, executor);
     }
 
-    /// The client has left.
-    pub fn left(&mut self, now: f64, search: SearchId, sink: &mut impl PlanExecutor) {
-        if let Some(held) = self.searches.get_mut(&search) {
-            let plan = self.balancer.client_left(&mut held.search);
-            self.carry_out(now, Some(search), plan, sink);
+    /// The client has disconnected before its answer.
+    pub fn client_disconnected(
+        &mut self,
+        now: f64,
+        search: SearchId,
+        executor: &mut impl PlanExecutor,
+    ) {
+        if let Some(in_flight) = self.searches.get_mut(&search) {
+            let plan = self.balancer.client_left(&mut in_flight.search);
+            self.execute(now, Some(search), plan, executor);
         }
     }
 
-    fn carry_out(
+    /// Carries out a plan, and the plans of the searches that it has reconsidered.
+    fn execute(
         &mut self,
         now: f64,
         search: Option<SearchId>,
         plan: Plan,
-        sink: &mut impl PlanExecutor,
+        executor: &mut impl PlanExecutor,
     ) {
-        // A search to be asked about again is asked when its turn comes, not when it is queued: a plan made
-        // earlier could be carried out after its search was over, and its sends would be lost unsent.
-        let mut plans = VecDeque::from([(search, Some(plan))]);
-        while let Some((search, plan)) = plans.pop_front() {
-            let plan = match (plan, search.and_then(|id| self.searches.get_mut(&id))) {
-                (Some(plan), _) => plan,
-                (None, Some(held)) => self.balancer.place(now, &mut held.search),
-                (None, None) => continue,
+        self.execute_one(now, search, &plan, executor);
+        // A search is asked about when its turn comes, not when it is queued: a plan made earlier could be
+        // carried out after its search was over, and its sends would be lost.
+        let mut queue = VecDeque::from(plan.reconsider);
+        while let Some(id) = queue.pop_front() {
+            let Some(in_flight) = self.searches.get_mut(&id) else {
+                continue;
             };
-            self.steps(search, &plan, sink);
-            if let Some(id) = search {
-                self.settle(now, id, sink);
-            }
-            plans.extend(plan.reconsider.into_iter().map(|next| (Some(next), None)));
+            let plan = self.balancer.place(now, &mut in_flight.search);
+            self.execute_one(now, Some(id), &plan, executor);
+            queue.extend(plan.reconsider);
         }
     }
 
-    fn steps(&mut self, search: Option<SearchId>, plan: &Plan, sink: &mut impl PlanExecutor) {
-        plan.notes.iter().for_each(|n| sink.note(n));
-        plan.cancel
-            .iter()
-            .for_each(|(part, attempt_index)| sink.cancel(*part, *attempt_index));
-        let Some(search) = search
-            .and_then(|id| self.searches.get(&id))
-            .map(|h| &h.search)
-        else {
+    fn execute_one(
+        &mut self,
+        now: f64,
+        search: Option<SearchId>,
+        plan: &Plan,
+        executor: &mut impl PlanExecutor,
+    ) {
+        plan.notes.iter().for_each(|line| executor.note(line));
+        for (part, attempt_index) in &plan.cancel {
+            executor.cancel(*part, *attempt_index);
+        }
+        let Some(id) = search else {
             return;
         };
-        for (i, s) in plan.send.iter().enumerate() {
-            // The module has noted them all by now: this one stands before those that follow it.
-            let attempts = search
-                .parts
-                .iter()
-                .find(|p| p.id == s.part)
-                .map_or(0, |p| p.attempts.len());
-            let later = plan.send[i..].iter().filter(|x| x.part == s.part).count();
-            sink.send(search, s, attempts.saturating_sub(later));
-            if let (Some((shape, once, counts)), Some(part)) = (
-                &mut self.watch,
-                search.parts.iter().find(|p| p.id == s.part),
-            ) {
-                let once = once.get(search.query_type.0).copied().unwrap_or(false);
-                shape.sent(part, attempts.saturating_sub(later), once, counts);
-            }
-        }
-        if let Some(reply) = plan.reply {
-            sink.reply(search, reply);
-            if let Some((shape, _, counts)) = &mut self.watch {
-                shape.replied(reply, counts);
+        if let Some(in_flight) = self.searches.get(&id) {
+            let comparison = &mut self.comparison;
+            execute_sends(&in_flight.search, plan, comparison, executor);
+            if let Some(reply) = plan.reply {
+                executor.reply(&in_flight.search, reply);
+                if let Some(comparison) = comparison {
+                    let counters = &mut comparison.counters;
+                    comparison.limits.count_reply(reply, counters);
+                }
             }
         }
+        self.finish_or_set_timer(now, id, executor);
     }
 
-    /// Lets go of a search that is over, or sees to it that its next timer comes in time.
-    fn settle(&mut self, now: f64, id: SearchId, sink: &mut impl PlanExecutor) {
-        let Some(held) = self.searches.get_mut(&id) else {
+    /// Removes a search that is over, or has its next timer set.
+    fn finish_or_set_timer(&mut self, now: f64, id: SearchId, executor: &mut impl PlanExecutor) {
+        let Some(in_flight) = self.searches.get_mut(&id) else {
             return;
         };
-        if held.search.finished {
-            held.search
-                .parts
-                .iter()
-                .filter(|_| !is_mutated("hand-keeps-parts"))
-                .for_each(|p| {
-                    self.by_part.remove(&p.id);
-                });
-            sink.finished(&held.search);
+        if in_flight.search.finished {
+            let parts = in_flight.search.parts.iter();
+            for part in parts.filter(|_| !is_mutated("hand-keeps-parts")) {
+                self.by_part.remove(&part.id);
+            }
+            executor.finished(&in_flight.search);
             self.searches.remove(&id);
             return;
         }
-        let wait = self.balancer.wait(now, &held.search);
-        if now + wait < held.due {
-            held.due = now + wait;
+        let wait = self.balancer.wait(now, &in_flight.search);
+        if now + wait < in_flight.due {
+            in_flight.due = now + wait;
             if !is_mutated("hand-no-timer") {
-                sink.timer(id, wait);
+                executor.timer(id, wait);
             }
         }
     }
 }
+
+/// Sends a plan's attempts, and counts them in a comparison.
+fn execute_sends(
+    search: &Search,
+    plan: &Plan,
+    comparison: &mut Option<Comparison>,
+    executor: &mut impl PlanExecutor,
+) {
+    for (i, placement) in plan.send.iter().enumerate() {
+        let part = search.parts.iter().find(|p| p.id == placement.part);
+        // The decisions have recorded all attempts by now: this one stands before those that follow it.
+        let recorded = part.map_or(0, |p| p.attempts.len());
+        let following = &plan.send[i..];
+        let following = following
+            .iter()
+            .filter(|p| p.part == placement.part)
+            .count();
+        let attempt_index = recorded.saturating_sub(following);
+        executor.send(search, placement, attempt_index);
+        if let (Some(comparison), Some(part)) = (&mut *comparison, part) {
+            let once = comparison.once.get(search.query_type.0);
+            let once = once.copied().unwrap_or(false);
+            let counters = &mut comparison.counters;
+            comparison
+                .limits
+                .count_attempt(part, attempt_index, once, counters);
+        }
+    }
+}
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 use serde_json::json;
+use woadreach_routing::api::{Attempt, Ending, PartId, ReplicaId, ShardId};
 
 fn part(endings: &[Option<Ending>]) -> Part {
-    let sub = |e: &Option<Ending>| Attempt {
+    let attempt = |e: &Option<Ending>| Attempt {
         replica: ReplicaId("r".into()),
         sent_at: 0.0,
         ending: *e,
@@ -16,66 +17,75 @@
         step: 1,
         answered: false,
         held: None,
-        attempts: endings.iter().map(sub).collect(),
+        attempts: endings.iter().map(attempt).collect(),
     }
 }
 
 #[test]
-fn bad_settings_name_their_key() {
-    assert_eq!(shape(&json!({})), Ok(None));
-    assert!(shape(&json!({"watch": 3})).unwrap_err().contains("/watch"));
+fn invalid_settings_name_their_key() {
+    assert_eq!(parse_proposed_limits(&json!({})), Ok(None));
     assert!(
-        shape(&json!({"watch": {"retryAfter": "no"}}))
+        parse_proposed_limits(&json!({"watch": 3}))
             .unwrap_err()
+            .to_string()
+            .contains("/watch")
+    );
+    assert!(
+        parse_proposed_limits(&json!({"watch": {"retryAfter": "no"}}))
+            .unwrap_err()
+            .to_string()
             .contains("/watch/retryAfter")
     );
     assert!(
-        shape(&json!({"watch": {"once": [1]}}))
+        parse_proposed_limits(&json!({"watch": {"once": [1]}}))
             .unwrap_err()
+            .to_string()
             .contains("/watch/once/0")
     );
     assert!(
-        shape(&json!({"watch": {"once": "x"}}))
+        parse_proposed_limits(&json!({"watch": {"once": "x"}}))
             .unwrap_err()
+            .to_string()
             .contains("/watch/once")
     );
     assert!(
-        shape(&json!({"watch": {"probes": false}}))
+        parse_proposed_limits(&json!({"watch": {"probes": false}}))
             .unwrap_err()
+            .to_string()
             .contains("/watch/probes")
     );
-    let s = shape(&json!({"watch": {"mayDuplicate": false, "once": ["fit-hold"]}}))
+    let s = parse_proposed_limits(&json!({"watch": {"mayDuplicate": false, "once": ["fit-hold"]}}))
         .unwrap()
         .unwrap();
-    assert_eq!(s.second_copies, Some(false));
+    assert_eq!(s.hedging_allowed, Some(false));
     assert_eq!(s.once, vec!["fit-hold".to_string()]);
 }
 
 #[test]
-fn counts_what_the_new_shape_would_not_allow() {
-    let strict = Shape {
+fn counts_steps_that_proposed_limits_would_not_allow() {
+    let strict = ProposedLimits {
         retry_after: Some(false),
-        second_copies: Some(false),
+        hedging_allowed: Some(false),
         once: vec![],
     };
     let mut c = WatchCounters::default();
-    // A copy while the first is out; a repeat after a lost answer; a repeat after no connection.
-    strict.sent(&part(&[None, None]), 1, true, &mut c);
-    strict.sent(&part(&[Some(Ending::TimedOut), None]), 1, true, &mut c);
-    strict.sent(&part(&[Some(Ending::Unreachable), None]), 1, true, &mut c);
-    strict.sent(&part(&[None]), 0, true, &mut c);
-    strict.replied(Reply::Shed { retry_after: 0.5 }, &mut c);
-    strict.replied(Reply::Shed { retry_after: 0.0 }, &mut c);
+    // A hedge; a retry after a lost answer; a retry after no connection.
+    strict.count_attempt(&part(&[None, None]), 1, true, &mut c);
+    strict.count_attempt(&part(&[Some(Ending::TimedOut), None]), 1, true, &mut c);
+    strict.count_attempt(&part(&[Some(Ending::Unreachable), None]), 1, true, &mut c);
+    strict.count_attempt(&part(&[None]), 0, true, &mut c);
+    strict.count_reply(Reply::Shed { retry_after: 0.5 }, &mut c);
+    strict.count_reply(Reply::Shed { retry_after: 0.0 }, &mut c);
     assert_eq!(
         c,
         WatchCounters {
             retry_after: 1,
-            second_copy: 1,
-            repeat_once: 2
+            hedges: 1,
+            retries_of_once: 2
         }
     );
     let mut none = WatchCounters::default();
-    Shape::default().sent(&part(&[None, None]), 1, false, &mut none);
-    Shape::default().replied(Reply::Shed { retry_after: 0.5 }, &mut none);
+    ProposedLimits::default().count_attempt(&part(&[None, None]), 1, false, &mut none);
+    ProposedLimits::default().count_reply(Reply::Shed { retry_after: 0.5 }, &mut none);
     assert_eq!(none, WatchCounters::default());
 }
--- /dev/null
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -0,0 +1,51 @@
+//! The steps of a plan as actions on the wire.
+
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use woadreach_routing::api::{PartId, Placement, Reply, Search, SearchId};
+use woadreach_search_driver::PlanExecutor;
+
+/// The simulator's times are in milliseconds.
+pub(crate) const MS_PER_SECOND: f64 = 1000.0;
+
+/// Appends actions to a co-ordinator's output.
+pub(crate) struct Actions<'a> {
+    pub(crate) out: &'a mut Vec<Value>,
+    /// Searches in flight by the simulator's number of the query.
+    pub(crate) by_query: &'a mut BTreeMap<u64, SearchId>,
+}
+
+impl PlanExecutor for Actions<'_> {
+    fn note(&mut self, line: &str) {
+        self.out.push(json!(["remark", line]));
+    }
+
+    fn cancel(&mut self, part: PartId, attempt_index: usize) {
+        self.out.push(json!(["undoSend", part.0, attempt_index]));
+    }
+
+    fn send(&mut self, _: &Search, placement: &Placement, _: usize) {
+        let timeout_ms = placement.timeout * MS_PER_SECOND;
+        let replica = &*placement.replica.0;
+        self.out
+            .push(json!(["place", placement.part.0, replica, timeout_ms]));
+    }
+
+    fn reply(&mut self, search: &Search, reply: Reply) {
+        let id = search.id.0;
+        self.out.push(match reply {
+            Reply::Answered { complete } => json!(["conclude", id, complete]),
+            Reply::Shed { retry_after } => json!(["turnAway", id, retry_after * MS_PER_SECOND]),
+            Reply::Errored => json!(["endFailed", id]),
+        });
+    }
+
+    fn timer(&mut self, search: SearchId, wait: f64) {
+        let (wait_ms, name) = (wait * MS_PER_SECOND, search.0.to_string());
+        self.out.push(json!(["setTimer", wait_ms, name]));
+    }
+
+    fn finished(&mut self, search: &Search) {
+        self.by_query.retain(|_, id| *id != search.id);
+    }
+}
--- a/crates/router/sim-adapter/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -1,29 +1,37 @@
-//! From the wire's values to the module's plain types.
+//! Values of the wire as the plain types of the routing decisions. `None` for a value that is malformed.
 
+use crate::actions::MS_PER_SECOND;
 use serde_json::Value;
-use woadreach_routing::api::*;
+use woadreach_routing::api::{
+    CellId, Ending, Listed, Outcome, PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId,
+    ZoneId,
+};
 
-pub fn seconds(v: &Value) -> Option<f64> {
-    v.as_f64().map(|ms| ms / 1000.0)
+/// The bit of a request's options that marks it as a retry.
+const OPTION_RETRY: u64 = 2;
+
+/// A time in milliseconds, in seconds.
+pub(crate) fn seconds(value: &Value) -> Option<f64> {
+    value.as_f64().map(|ms| ms / MS_PER_SECOND)
 }
 
-pub fn replica(v: &Value) -> Option<ReplicaId> {
-    v.as_str().map(|s| ReplicaId(s.into()))
+fn replica(value: &Value) -> Option<ReplicaId> {
+    value.as_str().map(|name| ReplicaId(name.into()))
 }
 
-/// A line of a list; None if it is malformed.
-pub fn listed(v: &Value) -> Option<Listed> {
+/// A line of an endpoint list.
+pub(crate) fn listed(value: &Value) -> Option<Listed> {
     Some(Listed {
-        open: v.get(0)?.as_str()? == "U",
-        zone: ZoneId(v.get(2)?.as_u64()?),
-        cell: CellId(v.get(3)?.as_u64()?),
-        replica: replica(v.get(4)?)?,
-        ready_at: v.get(5).and_then(seconds).filter(|t| *t > 0.0),
+        open: value.get(0)?.as_str()? == "U",
+        zone: ZoneId(value.get(2)?.as_u64()?),
+        cell: CellId(value.get(3)?.as_u64()?),
+        replica: replica(value.get(4)?)?,
+        ready_at: value.get(5).and_then(seconds).filter(|t| *t > 0.0),
     })
 }
 
-pub fn ending(v: &Value) -> Option<Ending> {
-    Some(match v.as_str()? {
+fn ending(value: &Value) -> Option<Ending> {
+    Some(match value.as_str()? {
         "served" => Ending::Answered,
         "server_error" => Ending::Errored,
         "turned_away" => Ending::Full,
@@ -37,12 +45,64 @@
 }
 
 /// `["closedAttempt", part, attempt_index, replica, disposition, rtt, ...]`
-pub fn outcome(v: &Value) -> Option<Outcome> {
+pub(crate) fn outcome(event: &Value) -> Option<Outcome> {
     Some(Outcome {
-        part: PartId(v.get(1)?.as_u64()?),
-        attempt_index: v.get(2)?.as_u64()? as usize,
-        replica: replica(v.get(3)?)?,
-        ending: ending(v.get(4)?)?,
-        latency: v.get(5).and_then(seconds).unwrap_or(0.0),
+        part: PartId(event.get(1)?.as_u64()?),
+        attempt_index: event.get(2)?.as_u64()? as usize,
+        replica: replica(event.get(3)?)?,
+        ending: ending(event.get(4)?)?,
+        latency: event.get(5).and_then(seconds).unwrap_or(0.0),
     })
 }
+
+/// What a `newRequest` event brings.
+pub(crate) enum Arrival {
+    Search(SearchArrival),
+    Part(PartArrival),
+}
+
+/// A search, before its parts.
+pub(crate) struct SearchArrival {
+    pub(crate) search: SearchId,
+    /// The simulator's number of the query, by which parts name it.
+    pub(crate) query: u64,
+    pub(crate) query_type: QueryTypeId,
+    pub(crate) tenant: TenantId,
+    /// Seconds that the client waits.
+    pub(crate) client_timeout: f64,
+    pub(crate) is_retry: bool,
+}
+
+/// A part of a search.
+pub(crate) struct PartArrival {
+    pub(crate) part: PartId,
+    pub(crate) query: u64,
+    pub(crate) shard: ShardId,
+    pub(crate) weight: f64,
+}
+
+/// `["newRequest", id, class, tenant, key, left, hint, query, segment, amount, options]`. A negative segment
+/// means a search, any other a part of it.
+pub(crate) fn arrival(event: &Value) -> Option<Arrival> {
+    let id = event.get(1)?.as_u64()?;
+    let query = event.get(7)?.as_u64()?;
+    let segment = event.get(8)?.as_f64()?;
+    if segment >= 0.0 {
+        return Some(Arrival::Part(PartArrival {
+            part: PartId(id),
+            query,
+            shard: ShardId(segment as u64),
+            weight: event.get(9).and_then(Value::as_f64).unwrap_or(0.0),
+        }));
+    }
+    let options = event.get(10).and_then(Value::as_u64).unwrap_or(0);
+    let tenant = event.get(3).and_then(Value::as_u64).unwrap_or(0);
+    Some(Arrival::Search(SearchArrival {
+        search: SearchId(id),
+        query,
+        query_type: QueryTypeId(event.get(2)?.as_u64()? as usize),
+        tenant: TenantId(tenant as usize),
+        client_timeout: event.get(5).and_then(seconds)?,
+        is_retry: options & OPTION_RETRY != 0,
+    }))
+}
--- a/crates/router/sim-adapter/src/main.rs
+++ b/crates/router/sim-adapter/src/main.rs
@@ -1,29 +1,45 @@
-//! Hosts co-ordinators on the bench's wire: decodes lines into calls of the decision module and encodes its
-//! answers. Keeps the clock, the timers and the searches in hand; decides nothing.
+//! Hosts co-ordinators on the wire of the bench's simulator: JSON lines with events on standard input, JSON
+//! lines with actions on standard output. It decides nothing; [`woadreach_search_driver`] does.
+//!
+//! - [`instances`]: all co-ordinators of a process, and the events for each batch.
+//! - [`instance`]: one co-ordinator; [`actions`]: the steps of its plans as actions.
+//! - [`decode`]: values of the wire as the plain types of the routing decisions.
 
+mod actions;
 mod decode;
-mod host;
+mod error;
+mod instance;
+mod instances;
 
+use error::{AdapterError, InputSnafu, OutputSnafu};
+use instances::Instances;
+use snafu::ResultExt;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
+fn answer(
+    instances: &mut Instances,
+    line: std::io::Result<String>,
+    output: &mut impl Write,
+) -> Result<(), AdapterError> {
+    let reply = instances.batch(&line.context(InputSnafu)?)?;
+    writeln!(output, "{reply}")
+        .and_then(|()| output.flush())
+        .context(OutputSnafu)
+}
+
 fn main() -> ExitCode {
-    let mut host = host::Host::default();
-    let mut stdout = std::io::stdout().lock();
-    for (n, line) in std::io::stdin().lock().lines().enumerate() {
-        let reply = line.map_err(|e| e.to_string()).and_then(|l| host.batch(&l));
-        let reply = match reply {
-            Ok(reply) => reply,
-            Err(why) => {
-                eprintln!("line {}: {why}", n + 1);
+    let mut instances = Instances::default();
+    let mut output = std::io::stdout().lock();
+    for (index, line) in std::io::stdin().lock().lines().enumerate() {
+        match answer(&mut instances, line, &mut output) {
+            Ok(()) => {}
+            // The simulator has ended.
+            Err(AdapterError::Output { .. }) => return ExitCode::FAILURE,
+            Err(error) => {
+                eprintln!("line {}: {error}", index + 1);
                 return ExitCode::FAILURE;
             }
-        };
-        if writeln!(stdout, "{reply}")
-            .and_then(|()| stdout.flush())
-            .is_err()
-        {
-            return ExitCode::FAILURE;
         }
     }
     ExitCode::SUCCESS
--- a/crates/router/sim-adapter/tests/unit/host.rs
+++ b/crates/router/sim-adapter/tests/unit/instances.rs
@@ -1,15 +1,16 @@
-//! Tests of what `src/host.rs` keeps to itself; that file takes them in as its own module.
+//! Tests of what `src/instances.rs` keeps to itself; that file includes them as its own module.
 
 use super::*;
+use crate::instance::WATCH_TIMER;
 
-fn facts(discovery: &str) -> Value {
+fn settings(discovery: &str) -> Value {
     json!({"discovery": discovery, "tickMs": 5.0, "domain": {"sets": 2},
            "requestClasses": [{"aimMs": 1000.0, "giveUpMs": 3000.0, "repeat": "repeatable"}]})
 }
 
-fn out(host: &mut Host, now: f64, events: Value) -> Vec<Value> {
+fn out(instances: &mut Instances, now: f64, events: Value) -> Vec<Value> {
     let line = json!({"simTimeMs": now, "groups": [{"co-ordinatorId": 3, "in": events}]});
-    let reply = host.batch(&line.to_string()).unwrap();
+    let reply = instances.batch(&line.to_string()).unwrap();
     reply
         .pointer("/groups/0/out")
         .and_then(Value::as_array)
@@ -24,27 +25,31 @@
 /// Where the list comes only when asked, a watch is asked for at the start; a refused one is asked for
 /// again only after a wait that grows, never at once.
 #[test]
-fn an_asked_for_list_is_watched_and_asked_again_after_a_wait() {
-    let mut host = Host::default();
+fn a_subscribed_list_is_watched_and_requested_again_after_a_wait() {
+    let mut instances = Instances::default();
     let start = out(
-        &mut host,
+        &mut instances,
         0.0,
-        json!([["newInstance", 1, facts("subscribe")]]),
+        json!([["newInstance", 1, settings("subscribe")]]),
     );
     assert_eq!(named(&start, "observe").len(), 1);
     let mut waits = Vec::new();
     for n in 0..6 {
         let refused = out(
-            &mut host,
+            &mut instances,
             10.0 + n as f64,
             json!([["sync", 0, "refused", 0]]),
         );
         assert!(named(&refused, "observe").is_empty(), "asked again at once");
         let timer = named(&refused, "setTimer");
         assert_eq!(timer.len(), 1);
-        assert_eq!(timer[0][2], WATCH);
+        assert_eq!(timer[0][2], WATCH_TIMER);
         waits.push(timer[0][1].as_f64().unwrap());
-        let again = out(&mut host, 20.0 + n as f64, json!([["timer", WATCH]]));
+        let again = out(
+            &mut instances,
+            20.0 + n as f64,
+            json!([["timer", WATCH_TIMER]]),
+        );
         assert_eq!(named(&again, "observe").len(), 1);
     }
     assert!(waits.windows(2).take(4).all(|w| w[1] > w[0]), "{waits:?}");
@@ -52,14 +57,14 @@
 }
 
 #[test]
-fn a_list_that_comes_by_itself_is_not_asked_for() {
-    let mut host = Host::default();
+fn a_list_that_is_sent_by_itself_is_not_requested() {
+    let mut instances = Instances::default();
     let start = out(
-        &mut host,
+        &mut instances,
         0.0,
-        json!([["newInstance", 1, facts("automatic")]]),
+        json!([["newInstance", 1, settings("automatic")]]),
     );
     assert!(named(&start, "observe").is_empty());
-    let refused = out(&mut host, 1.0, json!([["sync", 0, "refused", 0]]));
+    let refused = out(&mut instances, 1.0, json!([["sync", 0, "refused", 0]]));
     assert!(named(&refused, "setTimer").is_empty() && named(&refused, "observe").is_empty());
 }
--- a/crates/router/woadreachd/src/discovery/parse.rs
+++ b/crates/router/woadreachd/src/discovery/parse.rs
@@ -1,33 +1,25 @@
-//! Reading of what discovery writes: whole lists and the lines of a watch. Owns nothing; must never decide
-//! what a list means.
+//! Parsing of what discovery writes: complete lists and the objects of a watch.
 
-use crate::events::{Entry, Lifecycle, List};
-use crate::json::{Bad, Reader};
+use crate::events::{Endpoint, EndpointList, Lifecycle};
+use crate::json::{ParseError, Reader, invalid};
 use tracing::warn;
 
-/// A list or a line of a watch; an entry that cannot be used is left out, with a log line.
-pub fn list(text: &[u8]) -> Result<List, Bad> {
-    let mut list = List {
-        generation: 0,
-        full: false,
-        entries: Vec::new(),
-    };
-    let mut seen = (false, false);
-    Reader::whole(text, |r| {
+/// A list or an object of a watch. An entry that cannot be used is left out, with a log line.
+///
+/// # Errors
+///
+/// [`ParseError`] where the text is not JSON, or lacks the generation or the entries.
+pub fn parse_list(text: &[u8]) -> Result<EndpointList, ParseError> {
+    let (mut generation, mut full, mut entries) = (None, false, None);
+    Reader::read_all(text, |r| {
         r.object(|key, r| {
             match key {
-                "generation" => (list.generation, seen.0) = (r.whole_number()?, true),
-                "reset" => list.full = r.boolean()?,
+                "generation" => generation = Some(r.unsigned()?),
+                "reset" => full = r.boolean()?,
                 "instances" => {
-                    seen.1 = true;
+                    let entries = entries.get_or_insert_with(Vec::new);
                     r.array(|r| {
-                        let text = r.skip()?;
-                        match entry(text) {
-                            Ok(entry) => list.entries.push(entry),
-                            Err(Bad(why)) => {
-                                warn!("entry skipped ({why}): {}", String::from_utf8_lossy(text))
-                            }
-                        }
+                        entries.extend(parse_entry(r.skip()?));
                         Ok(())
                     })?;
                 }
@@ -36,31 +28,41 @@
             Ok(())
         })
     })?;
-    if seen == (true, true) {
-        Ok(list)
-    } else {
-        Err(Bad("no generation or no instances"))
+    match (generation, entries) {
+        (Some(generation), Some(entries)) => Ok(EndpointList {
+            generation,
+            full,
+            entries,
+        }),
+        _ => Err(invalid("no generation or no instances")),
     }
 }
 
-fn entry(text: &[u8]) -> Result<Entry, Bad> {
+fn parse_entry(text: &[u8]) -> Option<Endpoint> {
+    match parse_endpoint(text) {
+        Ok(endpoint) => Some(endpoint),
+        Err(error) => {
+            let entry = String::from_utf8_lossy(text);
+            warn!(%error, %entry, "endpoint entry skipped");
+            None
+        }
+    }
+}
+
+fn parse_endpoint(text: &[u8]) -> Result<Endpoint, ParseError> {
     let (mut id, mut address, mut lifecycle, mut cell) = (None, None, None, None);
     let (mut zone, mut started_at) = (String::new(), 0.0);
-    Reader::whole(text, |r| {
+    Reader::read_all(text, |r| {
         r.object(|key, r| {
             match key {
                 "instanceId" => id = Some(r.string()?.into_owned()),
-                "hostPort" => address = Some(r.string()?.parse().map_err(|_| Bad("bad address"))?),
-                "zone" => zone = r.string()?.into_owned(),
-                "cell" => cell = Some(r.whole_number()?),
-                "lifecycle" => {
-                    lifecycle = Some(match &*r.string()? {
-                        "ready" => Lifecycle::Ready,
-                        "draining" => Lifecycle::Draining,
-                        "gone" => Lifecycle::Gone,
-                        _ => return Err(Bad("unknown lifecycle")),
-                    });
+                "hostPort" => {
+                    let text = r.string()?;
+                    address = Some(text.parse().map_err(|_| invalid("bad address"))?);
                 }
+                "zone" => zone = r.string()?.into_owned(),
+                "cell" => cell = Some(r.unsigned()?),
+                "lifecycle" => lifecycle = Some(parse_lifecycle(&r.string()?)?),
                 "startedAtMs" => started_at = r.number()? / 1000.0,
                 _ => r.skip().map(|_| ())?,
             }
@@ -69,13 +71,22 @@
     })?;
     let id = id
         .filter(|i: &String| !i.is_empty())
-        .ok_or(Bad("no instanceId"))?;
-    Ok(Entry {
+        .ok_or(invalid("no instanceId"))?;
+    Ok(Endpoint {
         id,
-        address: address.ok_or(Bad("no hostPort"))?,
+        address: address.ok_or(invalid("no hostPort"))?,
         zone,
-        cell: cell.ok_or(Bad("no cell"))?,
-        lifecycle: lifecycle.ok_or(Bad("no lifecycle"))?,
+        cell: cell.ok_or(invalid("no cell"))?,
+        lifecycle: lifecycle.ok_or(invalid("no lifecycle"))?,
         started_at,
     })
 }
+
+fn parse_lifecycle(text: &str) -> Result<Lifecycle, ParseError> {
+    match text {
+        "ready" => Ok(Lifecycle::Ready),
+        "draining" => Ok(Lifecycle::Draining),
+        "gone" => Ok(Lifecycle::Departed),
+        _ => Err(invalid("unknown lifecycle")),
+    }
+}
--- a/crates/router/woadreachd/src/discovery/schedule.rs
+++ b/crates/router/woadreachd/src/discovery/schedule.rs
@@ -1,55 +1,57 @@
 //! Decides when discovery is called, for what, and when a call is replaced by a new one. No I/O and no clock:
-//! the time comes in, the calls to open come out. Must never know what an answer holds.
+//! the time comes in, the calls to open come out.
 //!
 //! # Why several calls
 //!
 //! The agent answers at once, or not at all: a call made while discovery is down may be answered at its
-//! return, or never, and nothing tells the two apart. What the agent has then counts as told at once, so that
-//! within the drain grace of its return either a watch that has waited has told it, or a call made after the
-//! return. Up to four calls are open, the first whole answer counts, and then all others are closed:
+//! return, or never, and nothing shows which. What the agent has then counts as received at once, so that
+//! within the drain grace of its return it must be received, by a watch that has waited or by a call made
+//! after the return. Up to four calls are open, the first complete answer counts, and then all others are
+//! closed:
 //!
 //! | slot | request | opened after | replaced after | answers an agent that |
 //! | --- | --- | --- | --- | --- |
-//! | `First` | list, or watch | 0 | never: the turn ends after `PATIENT` | needs long, or answers first calls only |
-//! | `Second` | list | one interval | `HUNG` | needs up to `HUNG` and has lost the first call |
+//! | `First` | list, or watch | 0 | never: the turn ends after `TURN_TIMEOUT` | needs long, or answers first calls only |
+//! | `Second` | list | one interval | `HUNG_CALL_TIMEOUT` | needs up to `HUNG_CALL_TIMEOUT` and has lost the first call |
 //! | `Latest` | list | two intervals | one interval | has lost all calls made before its return |
 //! | `Resume` | watch | two intervals | never | keeps waiting watches and pushes at its return |
 //!
 //! `First` and `Latest` have descriptors of their own. The interval is half of the drain grace: the other
-//! half is left for the answer and for the core's round.
+//! half is left for the answer and for the core's pass.
 
-/// A call that has not been answered in whole for so long has another opened beside it.
-pub const HUNG: f64 = 1.2;
-/// The longest that a call is waited for while others are tried beside it: an agent that needs longer to put
-/// its list together is of no use.
-const PATIENT: f64 = 10.0;
-/// Between two calls of which the first failed: the agent is on this machine, so a call is cheap.
-pub const RETRY: f64 = 0.2;
-/// Bounds on the interval, whatever the drain grace: below the first a core would spend itself on calls.
-const SHORTEST: f64 = 0.05;
+/// Seconds without a complete answer after which a call has another opened beside it.
+pub(crate) const HUNG_CALL_TIMEOUT: f64 = 1.2;
+/// Longest wait for a call while others are made beside it, in seconds: an agent that needs longer to put its
+/// list together is of no use.
+const TURN_TIMEOUT: f64 = 10.0;
+/// Seconds between two calls of which the first failed: the agent is on this machine, so a call is cheap.
+pub(super) const RETRY_INTERVAL: f64 = 0.2;
+/// Shortest interval, whatever the drain grace, in seconds: below it a core would spend itself on calls.
+const MIN_INTERVAL: f64 = 0.05;
 
 /// What is asked of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Request {
-    WholeList,
-    /// Changes after the version that is held.
+pub(super) enum Request {
+    /// The complete list.
+    FullList,
+    /// Changes after the version in force.
     Watch,
 }
 
-/// What would bring the list that is held up to date.
+/// What would bring the list in force up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
-    /// Changes after the version that is held; nothing is known to be missed.
+pub(super) enum Need {
+    /// Changes after the version in force; nothing is known to be missed.
     Changes,
-    /// A whole list, or a watch that proves by its first line that it is alive.
+    /// A complete list, or a watch that proves by its first line that it is alive.
     Resume,
-    /// A whole list and nothing else: what is held may be wrong.
-    WholeList,
+    /// A complete list and nothing else: the one in force may be wrong.
+    FullList,
 }
 
 /// One of the calls that may be open at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Slot {
+pub(super) enum Slot {
     First,
     Second,
     Latest,
@@ -57,18 +59,18 @@
 }
 
 impl Slot {
-    pub const ALL: [Slot; 4] = [Slot::First, Slot::Second, Slot::Latest, Slot::Resume];
+    pub(super) const ALL: [Slot; 4] = [Slot::First, Slot::Second, Slot::Latest, Slot::Resume];
 
-    /// Opened only where a descriptor is free: the others keep the drain grace without it.
-    pub fn is_spare(self) -> bool {
+    /// Whether it is opened only where a descriptor is free: the others keep the drain grace without it.
+    pub(super) fn is_optional(self) -> bool {
         matches!(self, Slot::Second | Slot::Resume)
     }
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
-    /// Open a call in this slot, in place of the one that it holds.
+pub(super) enum Action {
+    /// Open a call in this slot, in place of the one that is there.
     Open(Slot, Request),
     /// Nothing before this time.
     WaitUntil(f64),
@@ -79,28 +81,28 @@
 #[derive(Clone, Copy)]
 struct Call {
     request: Request,
-    /// How long it may stay open before a new one takes its place; none: to the end of the turn.
+    /// Seconds that it may stay open before a new one takes its place; `None`: to the end of the turn.
     lifetime: Option<f64>,
     open: bool,
     /// When it is next opened.
     due: f64,
 }
 
-/// The calls of one turn: from the first call to the first whole answer.
-pub struct Schedule {
+/// The calls of one turn: from the first call to the first complete answer.
+pub(super) struct Schedule {
     calls: [Option<Call>; 4],
-    gives_up: f64,
+    deadline: f64,
     retry: f64,
 }
 
 /// How often a new call is made while none is answered, in seconds.
-pub fn interval(drain_grace: f64) -> f64 {
-    (drain_grace / 2.0).clamp(SHORTEST, HUNG)
+pub(crate) fn call_interval(drain_grace: f64) -> f64 {
+    (drain_grace / 2.0).clamp(MIN_INTERVAL, HUNG_CALL_TIMEOUT)
 }
 
 impl Schedule {
-    /// `interval` in seconds, as the function of that name gives it.
-    pub fn new(now: f64, need: Need, interval: f64) -> Self {
+    /// The calls of a turn that begins `now`; `interval` as [`call_interval`] gives it.
+    pub(super) fn new(now: f64, need: Need, interval: f64) -> Self {
         let call = |request, lifetime, after: f64| {
             Some(Call {
                 request,
@@ -112,7 +114,7 @@
         let first = if need == Need::Changes {
             Request::Watch
         } else {
-            Request::WholeList
+            Request::FullList
         };
         let resume = (need == Need::Resume)
             .then(|| call(Request::Watch, None, 2.0))
@@ -120,18 +122,18 @@
         Schedule {
             calls: [
                 call(first, None, 0.0),
-                call(Request::WholeList, Some(HUNG), 1.0),
-                call(Request::WholeList, Some(interval), 2.0),
+                call(Request::FullList, Some(HUNG_CALL_TIMEOUT), 1.0),
+                call(Request::FullList, Some(interval), 2.0),
                 resume,
             ],
-            gives_up: now + PATIENT,
-            retry: RETRY.min(interval),
+            deadline: now + TURN_TIMEOUT,
+            retry: RETRY_INTERVAL.min(interval),
         }
     }
 
-    /// To be asked again, until it says to wait.
-    pub fn next(&mut self, now: f64) -> Action {
-        if now >= self.gives_up {
+    /// What to do next; called again until it says to wait.
+    pub(super) fn next(&mut self, now: f64) -> Action {
+        if now >= self.deadline {
             return Action::GiveUp;
         }
         for (slot, call) in Slot::ALL.into_iter().zip(&mut self.calls) {
@@ -144,11 +146,11 @@
             }
         }
         let due = self.calls.iter().flatten().map(|call| call.due);
-        Action::WaitUntil(due.fold(self.gives_up, f64::min))
+        Action::WaitUntil(due.fold(self.deadline, f64::min))
     }
 
     /// The call in this slot has failed. False if no other is open: the turn has failed with it.
-    pub fn failed(&mut self, now: f64, slot: Slot) -> bool {
+    pub(super) fn failed(&mut self, now: f64, slot: Slot) -> bool {
         if let Some(call) = &mut self.calls[slot as usize] {
             call.open = false;
             call.due = now + self.retry;
--- a/crates/router/woadreachd/src/discovery/version.rs
+++ b/crates/router/woadreachd/src/discovery/version.rs
@@ -1,73 +1,74 @@
-//! Decides whether a list is taken, by its version and the one that is held. No I/O and no clock. Owns the
-//! held version; must never hold the list itself.
+//! Decides whether a list is accepted, by its version and the one in force. No I/O and no clock.
 
-use crate::events::{Entry, List};
+use crate::events::{Endpoint, EndpointList};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// What is done with a list or a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    Take,
-    /// The version that is held, with other entries: what the agent has now counts.
-    TakeOtherEntries,
-    /// A whole list with an older version where what is held is in doubt: it is what the agent has.
-    TakeOlder,
-    /// A whole list with an older version, once: it may have been put together long ago, and what it says of
-    /// replicas been told otherwise since. The next list shows what the agent has.
+pub(super) enum ListDecision {
+    Accept,
+    /// Accepted: the version in force with other entries, which are what the agent has now.
+    AcceptOtherEntries,
+    /// Accepted: a complete list with an older version, where the one in force is in doubt.
+    AcceptOlder,
+    /// Ignored: a complete list with an older version, for the first time. It may have been put together long
+    /// ago, and changes been sent since. The next list shows what the agent has.
     IgnoreOlder,
-    /// A change that stands before what is held: something was lost, and only a whole list makes up for it.
+    /// Ignored: a change before the version in force. Something was lost, and only a complete list makes up
+    /// for it.
     Lost,
 }
 
-/// The version that is held.
+/// The version in force.
 #[derive(Default)]
-pub struct Version {
+pub(super) struct ListVersion {
     generation: Option<u64>,
-    /// Of the entries, as long as they are those of one whole list.
+    /// Of the entries, as long as they are those of one complete list.
     digest: Option<u64>,
-    /// Something has been lost, or an older list has come: the next whole list counts, whatever its version.
+    /// Something was lost, or an older list was received: the next complete list is accepted, whatever its
+    /// version.
     doubted: bool,
 }
 
-impl Version {
-    pub fn new(generation: Option<u64>) -> Self {
-        Version {
+impl ListVersion {
+    pub(super) fn new(generation: Option<u64>) -> Self {
+        ListVersion {
             generation,
-            ..Version::default()
+            ..ListVersion::default()
         }
     }
 
-    pub fn generation(&self) -> Option<u64> {
+    pub(super) fn generation(&self) -> Option<u64> {
         self.generation
     }
 
-    /// Something that was told could not be read.
-    pub fn doubt(&mut self) {
+    /// Something was received that could not be read.
+    pub(super) fn doubt(&mut self) {
         self.doubted = true;
     }
 
-    /// Judges a list; one that is taken is held from now on.
-    pub fn judge(&mut self, list: &List) -> Judgement {
-        let judgement = self.compare(list);
-        match judgement {
-            Judgement::IgnoreOlder | Judgement::Lost => self.doubt(),
-            _ => self.hold(list),
+    /// Decides about a list; one that is accepted is in force from now on.
+    pub(super) fn check(&mut self, list: &EndpointList) -> ListDecision {
+        let decision = self.compare(list);
+        match decision {
+            ListDecision::IgnoreOlder | ListDecision::Lost => self.doubt(),
+            _ => self.accept(list),
         }
-        judgement
+        decision
     }
 
-    fn compare(&self, list: &List) -> Judgement {
-        let Some(held) = self.generation else {
-            return Judgement::Take;
+    fn compare(&self, list: &EndpointList) -> ListDecision {
+        let Some(current) = self.generation else {
+            return ListDecision::Accept;
         };
-        if list.generation < held {
+        if list.generation < current {
             if !list.full {
-                return Judgement::Lost;
+                return ListDecision::Lost;
             }
             return if self.doubted {
-                Judgement::TakeOlder
+                ListDecision::AcceptOlder
             } else {
-                Judgement::IgnoreOlder
+                ListDecision::IgnoreOlder
             };
         }
         let differs = if list.full {
@@ -76,14 +77,14 @@
         } else {
             !list.entries.is_empty()
         };
-        if list.generation == held && differs {
-            Judgement::TakeOtherEntries
+        if list.generation == current && differs {
+            ListDecision::AcceptOtherEntries
         } else {
-            Judgement::Take
+            ListDecision::Accept
         }
     }
 
-    fn hold(&mut self, list: &List) {
+    fn accept(&mut self, list: &EndpointList) {
         self.generation = Some(list.generation);
         self.doubted = false;
         if list.full {
@@ -95,8 +96,8 @@
 }
 
 /// The same for the same entries in any order.
-fn digest_of(entries: &[Entry]) -> u64 {
-    let of = |entry: &Entry| {
+fn digest_of(entries: &[Endpoint]) -> u64 {
+    let of = |entry: &Endpoint| {
         let mut hasher = DefaultHasher::new();
         let lifecycle = entry.lifecycle as u8;
         (&entry.id, entry.address, &entry.zone, entry.cell, lifecycle).hash(&mut hasher);
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -1,135 +1,180 @@
-//! What the tasks tell the core, as plain types that all of them share. Owns nothing; must never do anything.
+//! Events that the tasks send to the core task, and the plain types that they carry.
 
-use crate::frame::End;
+use crate::frame::PartStatus;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 use woadreach_lease::{Departure, ReplicaKey};
-use woadreach_routing::api::*;
+use woadreach_routing::api::{PartId, QueryTypeId, SearchId, ShardId, TenantId, ZoneFailoverState};
 
-pub type Events = mpsc::UnboundedSender<Event>;
-pub type Lists = mpsc::UnboundedSender<List>;
+/// The core task's event queue.
+pub(crate) type Events = mpsc::UnboundedSender<Event>;
+/// The core task's queue of endpoint lists, which go before events.
+pub(crate) type EndpointLists = mpsc::UnboundedSender<EndpointList>;
+/// Where the core task reports what its endpoint list says of replicas.
+pub(crate) type EndpointReports = mpsc::UnboundedSender<EndpointReport>;
 
+/// Identifies a connection to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// A part, and which of its sub-requests.
-pub type AttemptId = (PartId, usize);
+/// One send of a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub(crate) part: PartId,
+    /// Which of the part's attempts, from 0.
+    pub(crate) index: usize,
+}
 
-pub enum Event {
-    Arrived(Box<Arrival>),
-    /// The client has closed its connection.
-    ClientLeft(SearchId),
-    Connection(ConnId, ConnectionEvent),
-    /// What the co-ordinators of the tier have decided in common.
+/// An input of the core task.
+pub(crate) enum Event {
+    SearchArrived(Box<Arrival>),
+    /// The client has closed its connection before its answer.
+    ClientDisconnected(SearchId),
+    Connection(ConnectionId, ConnectionEvent),
+    /// The co-ordinators of the tier have agreed on the zones that take traffic.
     ZoneFailover(ZoneFailoverState),
-    /// What a holder of a duty has told.
+    /// The holder of a singleton role has sent a message.
     Role(RoleUpdate),
 }
 
-/// What comes of duties that others hold.
-pub enum RoleUpdate {
-    /// So many times its even share of a cold replica is this one's.
-    QuotaShare(Vec<(ReplicaKey, f64)>),
-    /// Replicas that take no more, by the word of who keeps the watch for the zone.
+/// What the holders of singleton roles decide for this process.
+pub(crate) enum RoleUpdate {
+    /// This process's shares of warming replicas.
+    QuotaShares(Vec<QuotaFactor>),
+    /// Replicas that take no new attempts, as the lease holder of their zone observes.
     Closed(Vec<(ReplicaKey, Departure)>),
-    /// Such words that the own list has not borne out: what it says stands again.
+    /// Replicas whose departure the own endpoint list has not confirmed in time: the list's word stands again.
     Expired(Vec<ReplicaKey>),
 }
 
-/// What the own list has said of a replica; none: it serves.
-pub struct EndpointReport {
-    pub replica: ReplicaKey,
-    pub what: Option<Departure>,
+/// The share of a warming replica that this process may use.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct QuotaFactor {
+    pub(crate) replica: ReplicaKey,
+    /// As a multiple of an even share.
+    pub(crate) factor: f64,
 }
 
-pub type EndpointReports = mpsc::UnboundedSender<EndpointReport>;
-
-/// A search as a front has read it.
-pub struct Arrival {
-    pub search: SearchId,
-    /// Its name on the wire.
-    pub trace: String,
-    pub query_type: QueryTypeId,
-    pub tenant: TenantId,
-    pub at: f64,
-    pub client_deadline: f64,
-    pub repeated: Option<bool>,
-    pub parts: Vec<(ShardId, f64)>,
-    pub text: Rc<str>,
-    pub bytes: usize,
-    pub reply: oneshot::Sender<Answer>,
+/// What the own endpoint list says of a replica.
+pub(crate) struct EndpointReport {
+    pub(crate) replica: ReplicaKey,
+    /// `None`: the replica is ready.
+    pub(crate) departure: Option<Departure>,
+}
+
+/// A client's search, as the front has read it.
+pub(crate) struct Arrival {
+    pub(crate) search: SearchId,
+    /// The client's trace id, which names the search on the wire.
+    pub(crate) trace: String,
+    pub(crate) query_type: QueryTypeId,
+    pub(crate) tenant: TenantId,
+    /// When the kernel had the request, in Unix seconds.
+    pub(crate) at: f64,
+    /// Until when the client waits, in Unix seconds.
+    pub(crate) client_deadline: f64,
+    /// Whether the client marks the request as a retry; `None` where clients don't mark them.
+    pub(crate) repeated: Option<bool>,
+    /// Shards with their weights in the answer.
+    pub(crate) parts: Vec<(ShardId, f64)>,
+    pub(crate) text: Rc<str>,
+    pub(crate) bytes: usize,
+    pub(crate) reply: oneshot::Sender<Answer>,
 }
 
 /// The final answer of a search.
-pub enum Answer {
-    /// Rows are shards with the values that replicas gave, from which an answer is made whole or not.
+pub(crate) enum Answer {
     Answered {
-        whole: bool,
+        complete: bool,
+        /// Shards with the values that their replicas gave.
         rows: Vec<(ShardId, String)>,
     },
     Shed {
+        /// Seconds until the client may come back; 0 for no advice.
         retry_after: f64,
     },
     Errored,
-    /// Its name is in hand already.
-    Twice,
+    /// Another search under the same trace id is in flight or has just been answered.
+    DuplicateTrace,
 }
 
-/// What a co-ordinator holds at one moment. All but the counts of the list level off at even traffic.
+/// What a process has in memory. At an even load every count but `replicas` levels off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
+    /// Searches in flight.
     pub searches: usize,
+    /// Parts of searches in flight.
     pub parts: usize,
-    /// Sub-requests, and connections to replicas.
-    pub out: usize,
+    /// Attempts in flight or waiting to be written.
+    pub attempts: usize,
+    /// Connections to replicas.
     pub connections: usize,
-    /// Replicas that the list names.
+    /// Replicas that the endpoint list names.
     pub replicas: usize,
+    /// Timers of the core task.
     pub timers: usize,
-    /// Descriptors of clients' connections, and of ours.
-    pub clients: usize,
-    pub ours: usize,
-    /// Of requests.
-    pub bytes: usize,
-    /// The longest that an event has waited for its round since the last look, in seconds.
-    pub late: f64,
+    /// Descriptors of clients' connections.
+    pub client_sockets: usize,
+    /// Descriptors of connections to replicas and to discovery.
+    pub own_sockets: usize,
+    /// Bytes of requests in flight.
+    pub request_bytes: usize,
+    /// Longest wait of an event for the core task since the last report, in seconds.
+    pub max_event_delay: f64,
 }
 
-/// What a connection's task tells the core.
-pub enum ConnectionEvent {
-    Up,
-    Answer {
-        id: String,
-        end: End,
+/// What a connection's task reports.
+pub(crate) enum ConnectionEvent {
+    Connected,
+    AnswerReceived {
+        wire_id: String,
+        status: PartStatus,
         score: u64,
         value: Vec<u8>,
+        /// When the kernel had it, in Unix seconds.
         at: f64,
     },
-    Ended,
+    /// The socket is closed and its permit given back; the last event of a connection.
+    Closed,
 }
 
+/// State of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lifecycle {
+pub(crate) enum Lifecycle {
     Ready,
     Draining,
-    Gone,
+    Departed,
+}
+
+impl Lifecycle {
+    /// How the endpoint departs; `None` for one that is ready.
+    pub(crate) fn departure(self) -> Option<Departure> {
+        match self {
+            Lifecycle::Ready => None,
+            Lifecycle::Draining => Some(Departure::Draining),
+            Lifecycle::Departed => Some(Departure::Departed),
+        }
+    }
 }
 
+/// A replica as an endpoint list names it.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    pub id: String,
-    pub address: SocketAddr,
-    pub zone: String,
-    pub cell: u64,
-    pub lifecycle: Lifecycle,
+pub(crate) struct Endpoint {
+    pub(crate) id: String,
+    pub(crate) address: SocketAddr,
+    pub(crate) zone: String,
+    pub(crate) cell: u64,
+    pub(crate) lifecycle: Lifecycle,
     /// Unix seconds of the last start; 0 for long ago.
-    pub started_at: f64,
+    pub(crate) started_at: f64,
 }
 
+/// An endpoint list of discovery, complete or the changes after an earlier one.
 #[derive(Clone, Debug)]
-pub struct List {
-    pub generation: u64,
-    pub full: bool,
-    pub entries: Vec<Entry>,
+pub struct EndpointList {
+    pub(crate) generation: u64,
+    /// Whether the list is complete: replicas that it does not name have departed.
+    pub(crate) full: bool,
+    pub(crate) entries: Vec<Endpoint>,
 }
--- /dev/null
+++ b/crates/router/woadreachd/src/front/connection.rs
@@ -0,0 +1,114 @@
+//! The task of one client connection.
+
+use super::client_connection::ClientConnection;
+use super::request_reader::Received;
+use super::responder::Response;
+use super::{Front, Phase};
+use crate::http;
+use crate::sockets::Permit;
+use std::rc::Rc;
+use tracing::debug;
+use woadreach_runtime::{Net, Stream};
+
+/// Seconds for which a connection that is closed is read from, and the bytes that are read at most: what a
+/// sound client may have sent meanwhile. Prevents that its last answer is lost to a reset.
+const LINGER_TIMEOUT: f64 = 0.5;
+const MAX_LINGER_BYTES: usize = http::MAX_BODY;
+/// The same when the process is about to be killed.
+const LINGER_TIMEOUT_AT_END: f64 = 0.1;
+/// Seconds after which a client that does not read its answer is given up.
+const WRITE_TIMEOUT: f64 = 5.0;
+/// Seconds between the refusal of a request and the next look at its connection.
+///
+/// Prevents that a client which sends invalid requests as fast as it can takes more time than one that is
+/// served. Cost: this delay, for a client that has made a mistake.
+const REFUSAL_DELAY: f64 = 0.02;
+
+/// How the requests of a connection have ended.
+#[derive(PartialEq)]
+enum Ended {
+    /// Nothing is owed and nothing is unread.
+    Idle,
+    /// The client may still be reading the last response.
+    AfterResponse,
+}
+
+impl<N: Net> Front<N> {
+    /// Serves a connection until it is closed.
+    pub(super) async fn connection(self: Rc<Self>, stream: N::Stream, permit: Permit) {
+        let mut client = ClientConnection::<N> {
+            stream,
+            bytes: Vec::new(),
+            received_at: self.net.now(),
+        };
+        if self.requests(&mut client).await == Ended::AfterResponse {
+            self.linger(&mut client).await;
+        }
+        drop(client);
+        drop(permit);
+        self.open_connections.set(self.open_connections.get() - 1);
+    }
+
+    /// Reads to the client's end. Prevents that the kernel answers what is unread with a reset, which
+    /// overtakes the last response.
+    async fn linger(&self, client: &mut ClientConnection<N>) {
+        let _ = client.stream.shutdown().await;
+        let drain = async {
+            client.bytes.clear();
+            let mut remaining = MAX_LINGER_BYTES;
+            while let Ok(n @ 1..) = client.read(&self.net).await {
+                remaining = remaining.saturating_sub(n);
+                client.bytes.clear();
+                if remaining == 0 {
+                    break;
+                }
+            }
+        };
+        let timeout = if *self.phase.borrow() == Phase::Ending {
+            LINGER_TIMEOUT_AT_END
+        } else {
+            LINGER_TIMEOUT
+        };
+        let _ = self.net.timeout(timeout, drain).await;
+    }
+
+    /// Serves requests one after the other.
+    async fn requests(&self, client: &mut ClientConnection<N>) -> Ended {
+        let mut accepted_at = Some(self.net.now());
+        loop {
+            let response = match self.next_request(client, accepted_at.take()).await {
+                Received::End => return Ended::Idle,
+                Received::Refused(refusal) => {
+                    debug!(
+                        status = refusal.status,
+                        reason = refusal.reason,
+                        "request refused"
+                    );
+                    Response {
+                        bytes: refusal.response(true),
+                        close: true,
+                        refused: true,
+                    }
+                }
+                Received::Request { head, content } => {
+                    // The response to a HEAD has no body: the method is not supported, and ends the
+                    // connection.
+                    let close = head.closes() || head.method() == "HEAD";
+                    match self.respond(client, &head, content, close).await {
+                        Some(response) => response,
+                        None => return Ended::Idle,
+                    }
+                }
+            };
+            let written = client.stream.write_all(&response.bytes);
+            match self.net.timeout(WRITE_TIMEOUT, written).await {
+                Ok(Ok(())) if !response.close => {}
+                Ok(Ok(())) => return Ended::AfterResponse,
+                _ => return Ended::Idle,
+            }
+            if response.refused {
+                self.net.sleep(REFUSAL_DELAY).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -0,0 +1,170 @@
+//! Responses: waiting for the core's answer to a search, and its bytes.
+
+use super::client_connection::ClientConnection;
+use super::refusal::Refusal;
+use super::routing::Route;
+use super::{Front, Phase};
+use crate::events::{Answer, Event};
+use crate::http::{self, Head};
+use crate::json::write_string;
+use tokio::sync::oneshot;
+use tracing::debug;
+use woadreach_routing::api::{SearchId, ShardId};
+use woadreach_routing::mutations::is_mutated;
+use woadreach_runtime::Net;
+
+/// Seconds between two reads of bytes that are thrown away: at up to 80 KiB each the most that two kernels
+/// hold back, some megabytes, is read well within the 0.1 s in which a client's end has to be seen.
+const DISCARD_INTERVAL: f64 = 0.001;
+
+/// What a request is answered with.
+pub(super) struct Response {
+    pub(super) bytes: Vec<u8>,
+    /// Whether the connection ends with it.
+    pub(super) close: bool,
+    /// Whether the request was invalid.
+    pub(super) refused: bool,
+}
+
+/// What a client has received from the core, if anything.
+struct Waited {
+    /// `None` if the core has dropped the search.
+    answer: Option<Answer>,
+    /// Whether bytes that the client has sent meanwhile were thrown away.
+    discarded: bool,
+}
+
+impl<N: Net> Front<N> {
+    /// Responds to a request; `None` if the client has disconnected.
+    pub(super) async fn respond(
+        &self,
+        client: &mut ClientConnection<N>,
+        head: &Head,
+        content: Vec<u8>,
+        close: bool,
+    ) -> Option<Response> {
+        let (search, reply) = match self.route(head, &content, client.received_at) {
+            Err(refusal) => {
+                debug!(
+                    status = refusal.status,
+                    reason = refusal.reason,
+                    "request refused"
+                );
+                let close = self.closes_after_response(close);
+                return Some(Response {
+                    bytes: refusal.response(close),
+                    close,
+                    refused: true,
+                });
+            }
+            Ok(Route::Healthy) => {
+                let close = self.closes_after_response(close);
+                return Some(Response {
+                    bytes: http::response(200, &[], b"", close),
+                    close,
+                    refused: false,
+                });
+            }
+            Ok(Route::Search { arrival, reply }) => {
+                let search = arrival.search;
+                let _ = self.events.send(Event::SearchArrived(arrival));
+                (search, reply)
+            }
+        };
+        // The core holds what it needs of the request, and counts that.
+        drop(content);
+        let waited = self.wait_for_answer(client, search, reply).await?;
+        if is_mutated("front-no-answer-at-end") && *self.phase.borrow() > Phase::Serving {
+            return None;
+        }
+        let close = self.closes_after_response(close) || waited.discarded;
+        let refused = matches!(waited.answer, Some(Answer::DuplicateTrace));
+        Some(Response {
+            bytes: answer_bytes(waited.answer, close),
+            close,
+            refused,
+        })
+    }
+
+    /// Whether the connection ends with the response at hand. `requested`: the client asks for it.
+    ///
+    /// Where many connections are open, responses end theirs. Prevents that clients which pool more than they
+    /// use take up all descriptors. Cost: a new connection for the next request of such a client. After
+    /// SIGTERM no new clients come, and none that is sent away comes back, so that connections stay open.
+    fn closes_after_response(&self, requested: bool) -> bool {
+        match *self.phase.borrow() {
+            Phase::Serving => requested || self.exhausted.get() || self.sockets.has_many_clients(),
+            Phase::Draining => requested,
+            Phase::Closing | Phase::Ending => true,
+        }
+    }
+
+    /// Waits for the core's answer, and reads what the client sends ahead; `None` if it disconnects.
+    ///
+    /// What is beyond the budget is read and thrown away, at a pace, and the connection ends with the answer.
+    /// Prevents that the disconnection of a client which has sent much goes unseen behind what is unread,
+    /// and its search is worked on. It costs nothing to clients that send one request at a time.
+    async fn wait_for_answer(
+        &self,
+        client: &mut ClientConnection<N>,
+        search: SearchId,
+        mut reply: oneshot::Receiver<Answer>,
+    ) -> Option<Waited> {
+        let (mut phase, mut ending) = (self.phase.clone(), false);
+        let (mut read_ahead, mut paused, mut discarded) = (self.read_ahead.share(), false, false);
+        let answer = loop {
+            tokio::select! {
+                biased;
+                answer = &mut reply => break answer.ok(),
+                // The core drops the search, and so the channel, before anything is answered.
+                _ = phase.wait_for(|p| *p == Phase::Ending), if !ending => {
+                    ending = true;
+                    let _ = self.events.send(Event::ClientDisconnected(search));
+                }
+                n = client.read(&self.net), if !paused => {
+                    if matches!(n, Ok(0) | Err(_)) {
+                        let _ = self.events.send(Event::ClientDisconnected(search));
+                        return None;
+                    }
+                    let limit = read_ahead.reserve(client.bytes.len());
+                    if client.bytes.len() > limit {
+                        client.bytes.truncate(limit);
+                        client.bytes.reserve(limit);
+                        (paused, discarded) = (true, true);
+                    }
+                }
+                () = self.net.sleep(DISCARD_INTERVAL), if paused => paused = false,
+            }
+        };
+        Some(Waited { answer, discarded })
+    }
+}
+
+fn answer_bytes(answer: Option<Answer>, close: bool) -> Vec<u8> {
+    match answer {
+        Some(Answer::Answered { complete, rows }) => {
+            let json = ("Content-Type", "application/json".to_string());
+            http::response(200, &[json], &answer_body(complete, &rows), close)
+        }
+        Some(Answer::Shed { retry_after }) if retry_after > 0.0 => {
+            let header = ("Retry-After", format!("{retry_after:.3}"));
+            http::response(503, &[header], b"", close)
+        }
+        Some(Answer::Shed { .. }) => http::response(503, &[], b"", close),
+        Some(Answer::DuplicateTrace) => Refusal::new(409, "trace id in hand").response(close),
+        Some(Answer::Errored) | None => http::response(500, &[], b"", close),
+    }
+}
+
+/// The body of an answer, with the values as replicas gave them.
+fn answer_body(complete: bool, rows: &[(ShardId, String)]) -> Vec<u8> {
+    let mut out = format!("{{\"exact\":{complete},\"rows\":[").into_bytes();
+    for (i, (shard, value)) in rows.iter().enumerate() {
+        out.extend(if i > 0 { &b","[..] } else { b"" });
+        out.extend(format!("{{\"id\":{},\"data\":", shard.0).into_bytes());
+        write_string(&mut out, value);
+        out.push(b'}');
+    }
+    out.extend(b"]}");
+    out
+}
--- a/crates/router/woadreachd/src/main.rs
+++ b/crates/router/woadreachd/src/main.rs
@@ -1,27 +1,67 @@
-//! The program: one co-ordinator on tokio's sockets. Takes hold of the signals, reads what it is given, says
-//! how it ended. Must never hold anything that the library owns.
+//! The program: one co-ordinator on tokio's sockets. Receives the signals, reads the configuration's source,
+//! and reports how the co-ordinator ended.
 
+use snafu::{ResultExt, Snafu};
+use std::io;
 use std::process::ExitCode;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 use woadreach_runtime::Tokio;
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
+use woadreachd::{Environment, ServeError};
 
-/// The file that `PROXY_CONFIG` names, and the places that the environment gives.
-fn given() -> Result<Given, String> {
-    let path = std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG is not set")?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let listen = std::env::var("PROXY_LISTEN").ok();
-    Ok(Given {
+/// Names the configuration file.
+const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
+/// Makes the clock differ from the system's, for the process tests.
+const CLOCK_VARIABLE: &str = "WOADREACH_CLOCK";
+/// Slowest and fastest clock, as multiples of the system's.
+const CLOCK_RATES: std::ops::RangeInclusive<f64> = 0.5..=2.0;
+/// Farthest that a clock may be from the system's, in seconds.
+const MAX_CLOCK_OFFSET: f64 = 1e6;
+
+const EXIT_FAILURE: u8 = 1;
+const EXIT_INVALID_CONFIG: u8 = 2;
+
+/// Why the program ends with an error.
+#[derive(Debug, Snafu)]
+enum ProgramError {
+    #[snafu(display("signals: {source}"))]
+    Signals { source: io::Error },
+    #[snafu(display("{source}"))]
+    Config { source: ConfigError },
+    #[snafu(display("WOADREACH_CLOCK: expected RATE,AHEAD with a rate from 0.5 to 2, not {text}"))]
+    Clock { text: String },
+    #[snafu(display("{source}"))]
+    Serve { source: ServeError },
+}
+
+impl ProgramError {
+    fn exit_code(&self) -> u8 {
+        match self {
+            ProgramError::Config { .. } | ProgramError::Clock { .. } => EXIT_INVALID_CONFIG,
+            ProgramError::Signals { .. } | ProgramError::Serve { .. } => EXIT_FAILURE,
+        }
+    }
+}
+
+/// The file that `PROXY_CONFIG` names, and the addresses in the environment.
+fn read_source() -> Result<ConfigSource, ConfigError> {
+    let path = std::env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::VariableNotSet {
+        variable: CONFIG_VARIABLE,
+    })?;
+    let text = std::fs::read_to_string(&path).map_err(|source| ConfigError::UnreadableFile {
+        path: path.clone(),
+        source,
+    })?;
+    Ok(ConfigSource {
         path,
         text,
-        listen,
+        listen: std::env::var("PROXY_LISTEN").ok(),
         discovery: std::env::var("PROXY_DISCOVERY").ok(),
     })
 }
 
-/// Passes on a signal for as long as the process runs.
+/// Forwards a signal for as long as the process runs.
 fn forward(mut signal: Signal) -> mpsc::UnboundedReceiver<()> {
     let (sender, receiver) = mpsc::unbounded_channel();
     tokio::task::spawn_local(async move {
@@ -31,50 +71,46 @@
     receiver
 }
 
-/// The system's clock, or for rigs one that `WOADREACH_CLOCK=RATE,AHEAD` makes differ from it.
-fn clock() -> Result<Tokio, (u8, String)> {
-    let Ok(text) = std::env::var("WOADREACH_CLOCK") else {
+/// The system's clock, or one that `WOADREACH_CLOCK=RATE,AHEAD` makes differ from it.
+fn clock() -> Result<Tokio, ProgramError> {
+    let Ok(text) = std::env::var(CLOCK_VARIABLE) else {
         return Ok(Tokio::new());
     };
-    let read = text
+    let parsed = text
         .split_once(',')
-        .and_then(|(r, a)| Some((r.parse().ok()?, a.parse().ok()?)));
-    match read {
-        Some((rate, ahead)) if (0.5..=2.0).contains(&rate) && f64::abs(ahead) <= 1e6 => {
+        .and_then(|(rate, ahead)| Some((rate.parse().ok()?, ahead.parse().ok()?)));
+    match parsed {
+        Some((rate, ahead))
+            if CLOCK_RATES.contains(&rate) && f64::abs(ahead) <= MAX_CLOCK_OFFSET =>
+        {
             Ok(Tokio::skewed(rate, ahead))
         }
-        _ => Err((
-            2,
-            format!("WOADREACH_CLOCK: expected RATE,AHEAD with a rate from 0.5 to 2, not {text}"),
-        )),
+        _ => ClockSnafu { text }.fail(),
     }
 }
 
-async fn run() -> Result<(), (u8, String)> {
-    let signal = |kind| signal(kind).map_err(|e| (1, format!("signals: {e}")));
-    // Before all else: until then either would end the process.
-    let (hangup, term) = (
-        signal(SignalKind::hangup())?,
-        signal(SignalKind::terminate())?,
-    );
-    let config = given()
-        .and_then(|given| config::read(First::Environment, &given))
-        .map_err(|why| (2, why))?;
-    let (hangup, term) = (forward(hangup), forward(term));
-    let (report, verdict) = (Box::new(|_: &_| {}), Box::new(|_: &_| {}));
-    let outside = Outside {
-        hangup,
-        term,
-        given: Box::new(given),
-        report,
-        verdict,
+async fn run() -> Result<(), ProgramError> {
+    // Before all else: until then either signal would end the process.
+    let sighup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+    let sigterm = signal(SignalKind::terminate()).context(SignalsSnafu)?;
+    let config = read_source()
+        .and_then(|source| config::read(AddressPrecedence::Environment, &source))
+        .context(ConfigSnafu)?;
+    let environment = Environment {
+        sighup: forward(sighup),
+        sigterm: forward(sigterm),
+        read_source: Box::new(read_source),
+        on_usage: Box::new(|_| {}),
+        on_verdict: Box::new(|_| {}),
     };
-    woadreachd::serve(clock()?, config, outside)
+    woadreachd::serve(clock()?, config, environment)
         .await
-        .map_err(|why| (1, why))
+        .context(ServeSnafu)
 }
 
-fn main() -> ExitCode {
+/// Logs to standard error. `WOADREACH_LOG`: the level; `WOADREACH_LOG_FORMAT=json`: a JSON object a line, with
+/// the system's time.
+fn init_log() {
     let level = match std::env::var("WOADREACH_LOG").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("warn") => tracing::Level::WARN,
@@ -82,8 +118,7 @@
     };
     let log = tracing_subscriber::fmt()
         .with_max_level(level)
-        .with_writer(std::io::stderr);
-    // Records for machines: a JSON object a line, with the system's time.
+        .with_writer(io::stderr);
     if std::env::var("WOADREACH_LOG_FORMAT").as_deref() == Ok("json") {
         log.json()
             .flatten_event(true)
@@ -92,21 +127,25 @@
     } else {
         log.with_ansi(false).without_time().init();
     }
+}
+
+fn main() -> ExitCode {
+    init_log();
     let runtime = match tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
     {
         Ok(runtime) => runtime,
-        Err(e) => {
-            eprintln!("woadreachd: {e}");
+        Err(error) => {
+            eprintln!("woadreachd: {error}");
             return ExitCode::FAILURE;
         }
     };
     match tokio::task::LocalSet::new().block_on(&runtime, run()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err((code, why)) => {
-            eprintln!("woadreachd: {why}");
-            ExitCode::from(code)
+        Err(error) => {
+            eprintln!("woadreachd: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -1,429 +1,328 @@
-//! The task that speaks with the other co-ordinators of the tier. Owns the socket for their datagrams and
-//! what is known by them; must never decide: membership and verdicts do so behind [`Peer`], and the module
-//! what a verdict does to a search. Nothing is sent but where the settings allow it.
+//! The task that speaks with the other co-ordinators of the tier.
+//!
+//! It owns the socket for their datagrams and drives the state machines behind [`Peer`] (membership, verdicts
+//! on zones) and [`SingletonRoles`] (leases). They decide; this task carries out what they ask for and sends
+//! the core what the tier has agreed on. Nothing is sent unless the settings allow it. Start reading at
+//! [`run`]:
+//!
+//! - [`roles`]: singleton roles and the demand for warming replicas.
+//! - [`zone_failover`]: the zones that take traffic.
 
-use crate::events::{EndpointReport, Event, Events, RoleUpdate};
+mod config;
+mod roles;
+mod zone_failover;
+
+pub(crate) use config::{PeerConfig, SlowStartSplit};
+
+use crate::events::{EndpointReport, Events};
 use crate::front::Phase;
-use std::collections::{BTreeMap, BTreeSet};
+use roles::WarmingShare;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
 use tracing::{debug, info, warn};
-use woadreach_lease::{
-    LeaseEvent, LocalDemand, LocalMember, ReplicaKey, RoleActions, SingletonRoles,
+use woadreach_lease::{LeaseConfig, LocalMember, ReplicaKey, SingletonRoles};
+use woadreach_membership::{
+    Member, MemberId, Members, MembershipConfig, MembershipEvent, datagram,
 };
-use woadreach_membership::{Member, MemberId, Members, MembershipEvent, datagram};
-use woadreach_routing::api::{ZoneFailoverState, ZoneId};
+use woadreach_routing::api::ZoneFailoverState;
 use woadreach_runtime::{Datagrams, Net};
-use woadreach_zone_failover::{Out, Peer, Turn, ZoneObservation, Zones};
+use woadreach_zone_failover::{Out, Peer, Turn, ZoneFailoverConfig, ZoneObservation, Zones};
+use zone_failover::AttemptRate;
 
-/// What the configuration says of peers.
-#[derive(Clone, Debug, PartialEq)]
-pub struct PeerConfig {
-    pub listen: SocketAddr,
-    /// One for each co-ordinator of the tier, its own included.
-    pub roster: Vec<SocketAddr>,
-    pub me: usize,
-    pub zone: usize,
-    /// By the settings' order.
-    pub zones: Vec<String>,
-    /// Each zone's region, by number.
-    pub regions: Vec<u8>,
-    /// Zones that an operator has taken out, at this co-ordinator alone.
-    pub out: Vec<usize>,
-    /// Ties between replicas go near. Off unless an operator asks for it: where clients are uneven between
-    /// zones it crowds the busy ones, and on the fleet bench's calm day it cost a fifth of the score.
-    pub near: bool,
-    /// Seconds in which a replica that has started warms up; 0 if it is warm at once.
-    pub warm: f64,
-    /// SingletonRoles that one co-ordinator holds for others; off, each does them for itself.
-    pub duties: bool,
-    /// A warden shares out what cold replicas bear. Off unless an operator asks for it: on the fleet bench's
-    /// day of restarts, where all want every cold replica, shares ceded lay idle and G fell from 0.83 to
-    /// 0.70.
-    pub warden: bool,
-    /// Each act under a lease is told in the log: for rigs, and for who hunts a duty held twice.
-    pub records: bool,
-    /// Over how many co-ordinators the cold rule is split, and its window in seconds; absent where there is
-    /// none.
-    pub cold: Option<(usize, f64)>,
-    pub seed: u64,
+/// What the core observes of zones and of warming replicas.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ZoneObservations {
+    /// In the settings' order.
+    pub(crate) zones: Vec<ZoneObservation>,
+    /// Attempts sent since the start.
+    pub(crate) attempts_sent: u64,
+    pub(crate) warming: Vec<WarmingDemand>,
 }
 
-/// What the core tells of each zone, and how many parts it has sent so far.
-#[derive(Clone, Debug, Default)]
-pub struct ZoneObservations {
-    pub zones: Vec<ZoneObservation>,
-    pub sent: u64,
-    /// Of each cold replica: what was asked of it so far, and whether it was sent any lately.
-    pub colds: Vec<(ReplicaKey, u64, bool)>,
+/// Demand for a warming replica.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct WarmingDemand {
+    pub(crate) replica: ReplicaKey,
+    /// Attempts that it was wanted for since the start.
+    pub(crate) total: u64,
+    /// Whether it was sent any lately.
+    pub(crate) sent: bool,
 }
 
-/// What the task hears of, and whom it tells.
-pub struct Ends {
-    pub(crate) sights: watch::Receiver<ZoneObservations>,
-    /// What its own list says.
-    pub(crate) words: mpsc::UnboundedReceiver<EndpointReport>,
+/// Receives each new verdict on a zone.
+pub type VerdictCallback = Box<dyn Fn(&Turn)>;
+
+/// The task's inputs from other tasks, and where its results go.
+pub(crate) struct PeerChannels {
+    pub(crate) observations: watch::Receiver<ZoneObservations>,
+    pub(crate) endpoint_reports: mpsc::UnboundedReceiver<EndpointReport>,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) events: Events,
-    /// ConnectionEvent each new verdict.
-    pub(crate) verdict: Box<dyn Fn(&Turn)>,
+    pub(crate) on_verdict: VerdictCallback,
 }
 
-/// Seconds between the lines that say how it stands.
-const REPORT: f64 = 5.0;
-/// The share that stays near is told to the module in such steps, so that it is not told of every breath.
-const STEP: f64 = 0.05;
-/// A zone that is back has all of its traffic after a third of the time in which a replica warms up, so that
-/// the ramp is over before the cold guard's is; but within these bounds of seconds.
-const RAMP: (f64, f64) = (1.5, 8.0);
-/// What of a new count of parts a second, twice a second, goes into the one that is told. With a half of it
-/// the share that stays near swung between 0.4 and 1 on a calm day.
-const SMOOTH: f64 = 0.1;
-/// After an error of the socket, which then has something the matter that passes.
-const PAUSE: f64 = 0.1;
+/// Seconds between the log lines that report the state of membership and leases.
+const STATUS_INTERVAL: f64 = 5.0;
+/// Shortest and longest slow start of a zone that is back, in seconds.
+const MIN_ZONE_SLOW_START: f64 = 1.5;
+const MAX_ZONE_SLOW_START: f64 = 8.0;
+/// A zone that is back has all of its traffic after the time in which a replica warms up divided by this, so that
+/// its slow start is over before that of its replicas.
+const ZONE_SLOW_START_DIVISOR: f64 = 3.0;
+/// Seconds to wait after an error of the socket, which is temporary.
+const RECEIVE_RETRY_INTERVAL: f64 = 0.1;
+/// Makes the seed of leases differ from that of membership.
+const LEASE_SEED_ROTATION: u32 = 17;
 
-struct Task<N: Net> {
+struct PeerTask<N: Net> {
     net: N,
-    figures: PeerConfig,
+    config: PeerConfig,
     socket: N::Datagrams,
     by_address: BTreeMap<SocketAddr, MemberId>,
     peer: Peer,
-    duties: Option<SingletonRoles>,
-    /// Of each cold replica: what was asked of it by the last look, and what share the module was told of.
-    wants: BTreeMap<ReplicaKey, (u64, f64)>,
+    roles: Option<SingletonRoles>,
+    /// By warming replica, as of the last observation.
+    warming: BTreeMap<ReplicaKey, WarmingShare>,
     events: Events,
-    verdict: Box<dyn Fn(&Turn)>,
-    told: Option<ZoneFailoverState>,
-    /// It has met another: before that it is alone, and decides as one that has no peers.
-    met: bool,
-    /// The parts sent by the last look, when that was, and how many a second.
-    sent: (u64, f64),
-    demand: f64,
-    /// How many times that has been counted.
-    counts: f64,
-    next_report: f64,
+    on_verdict: VerdictCallback,
+    /// What the core was last sent.
+    published: Option<ZoneFailoverState>,
+    /// Whether another co-ordinator has been heard: before that this one decides as if it had no peers.
+    has_met_peer: bool,
+    attempt_rate: AttemptRate,
+    next_status: f64,
 }
 
-/// Runs until the co-ordinator ends.
-pub async fn run<N: Net>(net: N, figures: PeerConfig, socket: N::Datagrams, ends: Ends) {
-    let Ends {
-        mut sights,
-        mut words,
+/// Runs until the process ends.
+pub(crate) async fn run<N: Net>(
+    net: N,
+    config: PeerConfig,
+    socket: N::Datagrams,
+    channels: PeerChannels,
+) {
+    let PeerChannels {
+        mut observations,
+        mut endpoint_reports,
         mut phase,
         events,
-        verdict,
-    } = ends;
-    let now = net.now();
-    let id = MemberId(figures.me as u16);
-    let me = Member {
-        id,
-        zone: figures.zone as u8,
-        turn: 0,
-    };
-    let roster = figures.roster.len();
-    let members = Members::new(
-        me,
-        roster,
-        woadreach_membership::MembershipConfig::default(),
-        figures.seed,
-        now,
-    );
-    let ramp = if figures.warm > 0.0 {
-        (figures.warm / 3.0).clamp(RAMP.0, RAMP.1)
-    } else {
-        RAMP.0
-    };
-    let of_zones = woadreach_zone_failover::ZoneFailoverConfig {
-        ramp,
-        ..woadreach_zone_failover::ZoneFailoverConfig::default()
-    };
-    let mut zones = Zones::new(
-        id,
-        figures.zone as u8,
-        figures.regions.clone(),
-        roster,
-        of_zones,
-        now,
-    );
-    zones.forced = figures.out.iter().map(|z| *z as u8).collect();
-    let cold = figures.cold.filter(|_| figures.warden);
-    let place = LocalMember {
-        me: id,
-        zone: figures.zone as u8,
-        roster,
-        cold,
-    };
-    let leases = woadreach_lease::LeaseConfig::default();
-    let duties = figures
-        .duties
-        .then(|| SingletonRoles::new(place, leases, figures.seed.rotate_left(17), now));
-    let names = figures
-        .roster
-        .iter()
-        .enumerate()
-        .map(|(n, at)| (*at, MemberId(n as u16)));
-    let mut task = Task {
-        net: net.clone(),
-        by_address: names.collect(),
-        peer: Peer::new(id, members, zones),
-        duties,
-        wants: BTreeMap::new(),
-        figures,
-        socket,
-        events,
-        verdict,
-        told: None,
-        met: false,
-        sent: (0, now),
-        demand: 0.0,
-        counts: 0.0,
-        next_report: now + REPORT,
-    };
+        on_verdict,
+    } = channels;
+    let mut task = PeerTask::new(net.clone(), config, socket, events, on_verdict);
     let mut bytes = [0; datagram::MAX_BYTES + 1];
     loop {
-        let leases = task
-            .duties
-            .as_ref()
-            .map_or(f64::INFINITY, SingletonRoles::next_due);
-        let due = task.peer.next_due().min(task.next_report).min(leases);
+        let due = task.next_due();
         tokio::select! {
             biased;
-            ended = phase.changed() => {
-                if ended.is_err() || *phase.borrow() > Phase::Draining {
-                    let now = task.net.now();
-                    let done = task.duties.as_mut().map(|d| d.leave(now));
-                    task.carry_duties(done.unwrap_or_default());
-                    let out = task.peer.leave(now);
-                    return task.carry_out(out);
+            changed = phase.changed() => {
+                if changed.is_err() || *phase.borrow() > Phase::Draining {
+                    return task.leave();
                 }
             }
             () = net.sleep_until(due) => task.tick(),
-            told = sights.changed() => {
-                if told.is_err() {
+            changed = observations.changed() => {
+                if changed.is_err() {
                     return;
                 }
-                let told = sights.borrow_and_update().clone();
-                task.see(&told);
+                let observed = observations.borrow_and_update().clone();
+                task.observe(&observed);
             }
-            Some(word) = words.recv() => {
-                let now = task.net.now();
-                if let Some(duties) = &mut task.duties {
-                    duties.listed(now, word.replica, word.what);
-                }
-            }
-            came = task.socket.receive(&mut bytes) => match came {
-                Ok((n, from)) => {
-                    let from = task.by_address.get(&from).copied();
-                    let out = task.peer.heard(task.net.now(), from, &bytes[..n]);
-                    task.carry_out(out);
-                }
-                Err(e) => {
-                    debug!("peers: {e}");
-                    net.sleep(PAUSE).await;
+            Some(report) = endpoint_reports.recv() => task.endpoint_reported(report),
+            received = task.socket.receive(&mut bytes) => match received {
+                Ok((length, from)) => task.datagram_received(&bytes[..length], from),
+                Err(error) => {
+                    debug!(%error, "receiving a datagram failed");
+                    net.sleep(RECEIVE_RETRY_INTERVAL).await;
                 }
             },
         }
     }
 }
 
-impl<N: Net> Task<N> {
+impl<N: Net> PeerTask<N> {
+    fn new(
+        net: N,
+        config: PeerConfig,
+        socket: N::Datagrams,
+        events: Events,
+        on_verdict: VerdictCallback,
+    ) -> Self {
+        let now = net.now();
+        let addresses = config.roster.iter().enumerate();
+        let by_address = addresses
+            .map(|(index, address)| (*address, MemberId(index as u16)))
+            .collect();
+        PeerTask {
+            by_address,
+            peer: new_peer(&config, now),
+            roles: config.roles.then(|| new_roles(&config, now)),
+            warming: BTreeMap::new(),
+            net,
+            config,
+            socket,
+            events,
+            on_verdict,
+            published: None,
+            has_met_peer: false,
+            attempt_rate: AttemptRate::new(now),
+            next_status: now + STATUS_INTERVAL,
+        }
+    }
+
+    fn next_due(&self) -> f64 {
+        let roles = self.roles.as_ref();
+        let roles = roles.map_or(f64::INFINITY, SingletonRoles::next_due);
+        self.peer.next_due().min(self.next_status).min(roles)
+    }
+
     fn tick(&mut self) {
         let now = self.net.now();
-        let done = self.duties.as_mut().map(|d| d.tick(now));
-        self.carry_duties(done.unwrap_or_default());
+        let actions = self.roles.as_mut().map(|roles| roles.tick(now));
+        self.perform_role_actions(actions.unwrap_or_default());
         let out = self.peer.tick(now);
-        self.carry_out(out);
-        if now >= self.next_report {
-            self.next_report = now + REPORT;
-            let (view, c) = (self.peer.view(), self.peer.counts());
-            let refused: u64 = c.refused.values().sum::<u64>() + c.unusable;
-            info!(
-                live = view.live.len(),
-                roster = view.roster,
-                cut_off = view.cut_off,
-                health = self.peer.members.health(),
-                sent = c.sent,
-                bytes = c.bytes,
-                taken = c.taken,
-                refused,
-                "peers"
-            );
-            if let Some(duties) = &self.duties {
-                let c = duties.counts();
-                info!(
-                    held = duties.leases.held(now).len(),
-                    taken = c.held,
-                    lost = c.lost,
-                    stale = c.stale,
-                    jumped = c.jumped,
-                    refused = duties.refused,
-                    ahead = duties.ahead(),
-                    "duties"
-                );
-            }
+        self.perform(out);
+        if now >= self.next_status {
+            self.next_status = now + STATUS_INTERVAL;
+            self.log_membership();
+            self.log_roles(now);
         }
     }
 
-    fn see(&mut self, told: &ZoneObservations) {
+    /// Gives leases back and tells the peers that this process ends.
+    fn leave(mut self) {
         let now = self.net.now();
-        // Over half a second at least, so that one search's parts are no rate.
-        if now - self.sent.1 >= 0.5 {
-            let rate = told.sent.saturating_sub(self.sent.0) as f64 / (now - self.sent.1);
-            // The first counts are averaged: from nothing it would take seconds, and seem to grow meanwhile.
-            self.counts += 1.0;
-            self.demand += SMOOTH.max(1.0 / self.counts) * (rate - self.demand);
-            self.sent = (told.sent, now);
-        }
-        self.look_at_duties(now, told);
-        let out = self.peer.see(now, &told.zones, self.demand);
-        self.carry_out(out);
-        self.tell(now);
+        let actions = self.roles.as_mut().map(|roles| roles.leave(now));
+        self.perform_role_actions(actions.unwrap_or_default());
+        let out = self.peer.leave(now);
+        self.perform(out);
     }
 
-    fn look_at_duties(&mut self, now: f64, told: &ZoneObservations) {
-        let Some(duties) = &mut self.duties else {
-            return;
-        };
-        let before = |r: &ReplicaKey| self.wants.get(r).copied().unwrap_or((0, 1.0));
-        let want = |(replica, wants, sent): &(ReplicaKey, u64, bool)| {
-            let wants = wants
-                .saturating_sub(before(replica).0)
-                .min(u64::from(u32::MAX)) as u32;
-            LocalDemand {
-                replica: *replica,
-                wants,
-                sent: *sent,
-            }
-        };
-        let wants: Vec<LocalDemand> = told.colds.iter().map(want).collect();
-        let done = duties.look(now, self.peer.view(), &wants);
-        let mut rations = Vec::new();
-        let mut kept = BTreeMap::new();
-        for (replica, so_far, _) in &told.colds {
-            let times = duties.times(now, *replica);
-            if (times - before(replica).1).abs() > 1e-9 {
-                rations.push((*replica, times));
-            }
-            kept.insert(*replica, (*so_far, times));
-        }
-        self.wants = kept;
-        self.peer.role_messages = duties.riders(now);
-        if !rations.is_empty() {
-            // The core ends with the process.
-            let _ = self
-                .events
-                .send(Event::Role(RoleUpdate::QuotaShare(rations)));
-        }
-        self.carry_duties(done);
+    fn observe(&mut self, observed: &ZoneObservations) {
+        let now = self.net.now();
+        self.attempt_rate.record(now, observed.attempts_sent);
+        self.update_roles(now, observed);
+        let demand = self.attempt_rate.per_second;
+        let out = self.peer.see(now, &observed.zones, demand);
+        self.perform(out);
+        self.publish_zone_failover(now);
     }
 
-    fn carry_duties(&mut self, done: RoleActions) {
-        for (to, bytes) in &done.send {
-            let out = self.peer.tell(*to, bytes);
-            self.carry_out(out);
-        }
-        for change in &done.changes {
-            match change {
-                LeaseEvent::Acquired(duty, epoch) => {
-                    info!(duty = ?duty, epoch, held = true, "lease")
-                }
-                LeaseEvent::Lost(duty, epoch) => info!(duty = ?duty, epoch, held = false, "lease"),
+    fn datagram_received(&mut self, bytes: &[u8], from: SocketAddr) {
+        let from = self.by_address.get(&from).copied();
+        let out = self.peer.heard(self.net.now(), from, bytes);
+        self.perform(out);
+    }
+
+    /// Carries out what membership and verdicts ask for.
+    fn perform(&mut self, out: Out) {
+        for (to, bytes) in &out.datagrams {
+            if let Some(address) = self.config.roster.get(usize::from(to.0))
+                && let Err(error) = self.socket.send(bytes, *address)
+            {
+                debug!(%address, %error, "sending a datagram failed");
             }
         }
-        for (duty, epoch) in &done.acts {
-            if self.figures.records {
-                info!(duty = ?duty, epoch, "act");
-            }
+        for event in &out.changes {
+            self.log_membership_event(event);
         }
-        let told = [
-            (!done.closed.is_empty()).then_some(RoleUpdate::Closed(done.closed)),
-            (!done.lapsed.is_empty()).then_some(RoleUpdate::Expired(done.lapsed)),
-        ];
-        for told in told.into_iter().flatten() {
-            let _ = self.events.send(Event::Role(told));
+        for turn in &out.turns {
+            (self.on_verdict)(turn);
+            self.log_verdict(turn);
         }
-    }
-
-    /// Tells the module what is decided in common, where that is new or has to be kept up.
-    fn tell(&mut self, now: f64) {
-        let view = self.peer.view();
-        self.met |= view.live.len() > 1;
-        if !self.met {
-            return;
+        if let (Some((from, bytes)), Some(roles)) = (&out.roles, &mut self.roles) {
+            let actions = roles.heard(self.net.now(), *from, bytes);
+            self.perform_role_actions(actions);
         }
-        let ids = |zones: &BTreeSet<u8>| zones.iter().map(|z| ZoneId(u64::from(*z))).collect();
-        let step = |share: f64| (share / STEP).round() * STEP;
-        let shares = self.peer.zones.shares(now);
-        let ladder = if self.figures.near {
-            self.peer.zones.ladder(now, view)
-        } else {
-            Vec::new()
-        };
-        let zone_failover = ZoneFailoverState {
-            shares: shares
-                .iter()
-                .enumerate()
-                .map(|(z, s)| (ZoneId(z as u64), *s))
-                .collect(),
-            near: ladder.iter().map(|(z, s)| (ids(z), step(*s))).collect(),
-        };
-        // One that is out is told again, so that trials of its own do not end that.
-        if self.told.as_ref() != Some(&zone_failover) || shares.iter().any(|s| *s <= 0.0) {
-            let near = |z: &ZoneFailoverState| z.near.first().map_or(0.0, |n| n.1);
-            let moved = |told: &ZoneFailoverState| (near(told) - near(&zone_failover)).abs() > 1e-9;
-            if self.figures.near && self.told.as_ref().is_none_or(moved) {
-                info!(share = near(&zone_failover), "near");
-            }
-            self.told = Some(zone_failover.clone());
-            // The core ends with the process.
-            let _ = self.events.send(Event::ZoneFailover(zone_failover));
+        if !out.turns.is_empty() {
+            self.publish_zone_failover(self.net.now());
         }
     }
 
-    fn carry_out(&mut self, out: Out) {
-        for (to, bytes) in &out.datagrams {
-            if let Some(at) = self.figures.roster.get(usize::from(to.0))
-                && let Err(e) = self.socket.send(bytes, *at)
-            {
-                debug!("peers: {at}: {e}");
+    fn log_membership_event(&self, event: &MembershipEvent) {
+        match event {
+            MembershipEvent::Up(member) => debug!(member = member.0, "member joined"),
+            // Not heard, while this side may be the one that is partitioned.
+            MembershipEvent::Down(member) if self.peer.view().cut_off => {
+                debug!(member = member.0, "member unheard");
             }
-        }
-        for change in &out.changes {
-            match change {
-                MembershipEvent::Up(m) => debug!(member = m.0, "member up"),
-                // Unheard, while this side may be the one that is cut off.
-                MembershipEvent::Down(m) if self.peer.view().cut_off => {
-                    debug!(member = m.0, "member unheard")
-                }
-                MembershipEvent::Down(m) => debug!(member = m.0, "member down"),
-                MembershipEvent::Rejoined => warn!("taken for down by others, and back"),
-                MembershipEvent::CutOff(cut) => warn!(cut_off = cut, "cut off"),
+            MembershipEvent::Down(member) => debug!(member = member.0, "member failed"),
+            MembershipEvent::Rejoined => {
+                warn!("rejoined after peers had declared this member failed")
             }
+            MembershipEvent::CutOff(true) => warn!("partitioned from the majority"),
+            MembershipEvent::CutOff(false) => warn!("reconnected to the majority"),
         }
-        for turn in &out.turns {
-            (self.verdict)(turn);
-            let v = turn.verdict;
-            let zone = self
-                .figures
-                .zones
-                .get(usize::from(turn.zone))
-                .map_or("", String::as_str);
+    }
+
+    fn log_verdict(&self, turn: &Turn) {
+        let zone = self.config.zones.get(usize::from(turn.zone));
+        let zone = zone.map_or("", String::as_str);
+        let (verdict, seen, bad) = (turn.verdict, turn.seen, turn.bad);
+        let (epoch, consecutive_failovers) = (verdict.epoch, verdict.consecutive_failovers);
+        if verdict.out() {
             warn!(
                 zone,
-                epoch = v.epoch,
-                out = v.out(),
-                consecutive_failovers = v.consecutive_failovers,
-                seen = turn.seen,
-                bad = turn.bad,
-                "verdict"
+                epoch, consecutive_failovers, seen, bad, "zone ejected"
+            );
+        } else {
+            warn!(
+                zone,
+                epoch, consecutive_failovers, seen, bad, "zone restored"
             );
-        }
-        if let (Some((from, bytes)), Some(duties)) = (&out.roles, &mut self.duties) {
-            let done = duties.heard(self.net.now(), *from, bytes);
-            self.carry_duties(done);
-        }
-        if !out.turns.is_empty() {
-            self.tell(self.net.now());
         }
     }
+
+    fn log_membership(&self) {
+        let (view, counts) = (self.peer.view(), self.peer.counts());
+        let refused: u64 = counts.refused.values().sum::<u64>() + counts.unusable;
+        info!(
+            live = view.live.len(),
+            roster = view.roster,
+            partitioned = view.cut_off,
+            health = self.peer.members.health(),
+            datagrams_sent = counts.sent,
+            bytes_sent = counts.bytes,
+            datagrams_received = counts.taken,
+            datagrams_refused = refused,
+            "membership reported"
+        );
+    }
+}
+
+fn new_peer(config: &PeerConfig, now: f64) -> Peer {
+    let id = MemberId(config.index as u16);
+    let zone = config.zone as u8;
+    let roster = config.roster.len();
+    let member = Member { id, zone, turn: 0 };
+    let members = Members::new(
+        member,
+        roster,
+        MembershipConfig::default(),
+        config.seed,
+        now,
+    );
+    let ramp = if config.warm_up > 0.0 {
+        (config.warm_up / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
+    } else {
+        MIN_ZONE_SLOW_START
+    };
+    let failover = ZoneFailoverConfig {
+        ramp,
+        ..ZoneFailoverConfig::default()
+    };
+    let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
+    zones.forced = config.forced_out.iter().map(|z| *z as u8).collect();
+    Peer::new(id, members, zones)
+}
+
+fn new_roles(config: &PeerConfig, now: f64) -> SingletonRoles {
+    let slow_start = config.slow_start.filter(|_| config.quota_allocator);
+    let member = LocalMember {
+        me: MemberId(config.index as u16),
+        zone: config.zone as u8,
+        roster: config.roster.len(),
+        cold: slow_start.map(|split| (split.coordinators, split.window)),
+    };
+    let seed = config.seed.rotate_left(LEASE_SEED_ROTATION);
+    SingletonRoles::new(member, LeaseConfig::default(), seed, now)
 }
--- /dev/null
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -0,0 +1,260 @@
+//! How attempts end: by an answer, a time-out, a cancellation, or with their connection.
+
+use super::write_queue::{Closing, QueuedMessage};
+use super::{Replicas, write_queue::WriteQueue};
+use crate::events::{AttemptId, ConnectionEvent, ConnectionId};
+use crate::frame::PartStatus;
+use std::rc::Rc;
+use tracing::debug;
+use woadreach_routing::api::{Ending, Outcome, ReplicaId};
+use woadreach_routing::mutations::is_mutated;
+use woadreach_runtime::Net;
+
+/// An attempt without an outcome.
+pub(super) struct AttemptInFlight {
+    pub(super) replica: ReplicaId,
+    /// `None` until the attempts of its pass are put on connections.
+    pub(super) connection: Option<ConnectionId>,
+    pub(super) wire_id: String,
+    /// In Unix seconds.
+    pub(super) sent_at: f64,
+}
+
+/// An attempt whose answer has been received.
+pub(crate) struct AnsweredAttempt {
+    pub(crate) attempt: AttemptId,
+    pub(crate) score: u64,
+    pub(crate) value: String,
+}
+
+/// What becomes of a connection after an attempt on it was given up.
+#[derive(Clone, Copy, PartialEq)]
+enum Aftermath {
+    Keep,
+    Retire,
+    Reset,
+}
+
+impl<N: Net> Replicas<N> {
+    /// Records the outcome of an attempt, for the core to take.
+    pub(super) fn finish(&mut self, id: AttemptId, ending: Ending, at: f64) {
+        let Some(attempt) = self.attempts.remove(&id) else {
+            return;
+        };
+        let connection = attempt
+            .connection
+            .and_then(|c| self.connections.get_mut(&c));
+        if let Some(connection) = connection {
+            let max_finished = self.config.max_attempts;
+            connection.attempt_finished(&attempt.wire_id, ending, max_finished);
+            connection.last_used = self.net.now();
+            connection.close_if_retired();
+        }
+        let latency = (at - attempt.sent_at).max(0.0);
+        debug!(
+            part = id.part.0,
+            attempt_index = id.index,
+            replica = %attempt.replica.0,
+            ?ending,
+            latency_s = latency,
+            "attempt finished"
+        );
+        self.outcomes.push_back(Outcome {
+            part: id.part,
+            attempt_index: id.index,
+            replica: attempt.replica,
+            ending,
+            latency,
+        });
+    }
+
+    /// The routing decisions give the attempt up.
+    pub(crate) fn cancel(&mut self, now: f64, id: AttemptId) {
+        self.give_up(now, id, Some(Ending::Cancelled));
+    }
+
+    /// The attempt's time is over.
+    pub(crate) fn time_out(&mut self, now: f64, id: AttemptId) {
+        self.give_up(now, id, None);
+    }
+
+    /// Ends an attempt that is not waited for any more: by `ending`, or by what is known of it.
+    fn give_up(&mut self, now: f64, id: AttemptId, ending: Option<Ending>) {
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
+        let connection = attempt.connection;
+        let (observed, aftermath) = self.take_from_connection(now, id);
+        self.finish(id, ending.unwrap_or(observed), now);
+        match (aftermath, connection) {
+            (Aftermath::Reset, Some(connection)) => self.reset(now, connection),
+            (Aftermath::Retire, Some(connection)) => self.retire(connection),
+            _ => {}
+        }
+    }
+
+    /// Takes an attempt off its connection as far as it has not left, or has it cancelled.
+    fn take_from_connection(&mut self, now: f64, id: AttemptId) -> (Ending, Aftermath) {
+        // What has not left says nothing of the replica's work.
+        let unsent = (Ending::NeverSent, Aftermath::Keep);
+        let Some(attempt) = self.attempts.get(&id) else {
+            return unsent;
+        };
+        let connection = attempt.connection.and_then(|c| self.connections.get(&c));
+        let Some(connection) = connection else {
+            return unsent;
+        };
+        let queue = &connection.queue;
+        if is_mutated("replicas-cancelled-stays") {
+            return (Ending::TimedOut, Aftermath::Keep);
+        }
+        if queue.take_back(id) {
+            return if connection.connected {
+                unsent
+            } else {
+                (Ending::Unreachable, Aftermath::Keep)
+            };
+        }
+        if queue.is_partly_sent(id) {
+            return (queue.partly_sent_ending(id), Aftermath::Reset);
+        }
+        if self.config.cancellation_allowed {
+            queue.push(QueuedMessage::Cancel(attempt.wire_id.clone()));
+        }
+        // Prevents that each new attempt waits its whole time on a connection on which nothing is received
+        // any more, as of a machine that is unreachable. Cost: a replica that is only slow gets a new
+        // connection.
+        let waited = now > attempt.sent_at + self.config.connect_timeout;
+        let unresponsive = connection.last_heard <= attempt.sent_at && waited;
+        let aftermath = if unresponsive {
+            Aftermath::Retire
+        } else {
+            Aftermath::Keep
+        };
+        (Ending::TimedOut, aftermath)
+    }
+
+    /// Resets a connection on which part of a message has left.
+    ///
+    /// Prevents that an attempt which is given up arrives afterwards, where the other machine has stopped
+    /// reading: its last byte never leaves. Cost: what else is in flight on it is retried, where it may be.
+    fn reset(&mut self, now: f64, id: ConnectionId) {
+        if let Some(connection) = self.connections.get(&id) {
+            connection.queue.close(Closing::Reset);
+        }
+        self.abort(now, id);
+    }
+
+    /// The attempt's search is over: it does not leave any more, if it has not begun to.
+    pub(crate) fn withdraw(&mut self, now: f64, id: AttemptId) {
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
+        let connection = attempt.connection;
+        let queue: Option<Rc<WriteQueue>> = connection
+            .and_then(|c| self.connections.get(&c))
+            .map(|c| c.queue.clone());
+        let (Some(connection), Some(queue)) = (connection, queue) else {
+            return self.finish(id, Ending::NeverSent, now);
+        };
+        if queue.take_back(id) {
+            self.finish(id, Ending::NeverSent, now);
+        } else if queue.is_partly_sent(id) {
+            self.finish(id, queue.partly_sent_ending(id), now);
+            self.reset(now, connection);
+        }
+    }
+
+    /// Handles what a connection's task reports; the attempt that was answered, if one was.
+    pub(crate) fn handle_event(
+        &mut self,
+        now: f64,
+        id: ConnectionId,
+        event: ConnectionEvent,
+    ) -> Option<AnsweredAttempt> {
+        match event {
+            ConnectionEvent::Connected => self.connections.get_mut(&id)?.connected = true,
+            ConnectionEvent::Closed => self.connection_closed(now, id),
+            ConnectionEvent::AnswerReceived {
+                wire_id,
+                status,
+                score,
+                value,
+                at,
+            } => {
+                let connection = self.connections.get_mut(&id)?;
+                connection.last_heard = now;
+                let Some(attempt) = connection.in_flight.get(&wire_id).copied() else {
+                    debug!(%wire_id, ?status, "answer to no attempt in flight received");
+                    if !connection.has_finished(&wire_id) {
+                        self.abort(now, id);
+                    }
+                    return None;
+                };
+                let (ending, value) = outcome_of(status, value);
+                self.finish(attempt, ending, at);
+                if ending == Ending::Broken {
+                    self.abort(now, id);
+                }
+                return value.map(|value| AnsweredAttempt {
+                    attempt,
+                    score,
+                    value,
+                });
+            }
+        }
+        None
+    }
+
+    fn connection_closed(&mut self, now: f64, id: ConnectionId) {
+        self.finish_all(now, id);
+        let Some(connection) = self.connections.remove(&id) else {
+            return;
+        };
+        if let Some(endpoint) = self.endpoints.get_mut(&connection.replica) {
+            endpoint.connections.remove(&id);
+        }
+    }
+
+    /// Closes a connection at once.
+    ///
+    /// Prevents that attempts wait in vain on a connection whose bytes mean nothing any more, after an answer
+    /// that belongs to no attempt. Cost: the other attempts on it are retried, where they may be.
+    fn abort(&mut self, now: f64, id: ConnectionId) {
+        self.finish_all(now, id);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.retired = true;
+            connection.queue.close(Closing::Abort);
+        }
+    }
+
+    /// Ends all attempts on a connection that is of no further use, each by its true outcome.
+    fn finish_all(&mut self, now: f64, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let unwritten = connection.queue.unwritten();
+        connection.queue.clear();
+        let attempts: Vec<AttemptId> = connection.in_flight.values().copied().collect();
+        for attempt in attempts {
+            let never_ran = unwritten.contains(&attempt) || is_mutated("replicas-never-ran");
+            let ending = if never_ran {
+                Ending::Unreachable
+            } else {
+                Ending::Broken
+            };
+            self.finish(attempt, ending, now);
+        }
+    }
+}
+
+/// How an answered attempt ends, and its value.
+fn outcome_of(status: PartStatus, value: Vec<u8>) -> (Ending, Option<String>) {
+    match (status, String::from_utf8(value)) {
+        (PartStatus::Ok, Ok(value)) => (Ending::Answered, Some(value)),
+        (PartStatus::Full, _) => (Ending::Full, None),
+        (PartStatus::Error, _) => (Ending::Errored, None),
+        // A value that no answer could carry unchanged.
+        (PartStatus::Ok, Err(_)) => (Ending::Broken, None),
+    }
+}
--- /dev/null
+++ b/crates/router/woadreachd/src/replicas/config.rs
@@ -0,0 +1,25 @@
+//! Parameters of connections to replicas.
+
+/// Limits of connections to replicas, from the settings.
+pub(crate) struct ConnectionConfig {
+    /// Most attempts in flight on one connection.
+    pub(crate) max_attempts: usize,
+    /// Most parts in one call.
+    pub(crate) max_parts_per_call: usize,
+    /// Seconds after which a replica closes a connection without traffic.
+    pub(crate) idle_timeout: f64,
+    /// Seconds that a connection may take to come up; also the longest that a message may be on its way.
+    pub(crate) connect_timeout: f64,
+    /// Whether attempts in flight may be cancelled.
+    pub(crate) cancellation_allowed: bool,
+}
+
+impl ConnectionConfig {
+    /// Seconds after which a connection without traffic is not written to any more.
+    ///
+    /// PROTOCOL: what is written after the replica's idle time-out is lost. One connect time-out, the longest
+    /// that a message may be on its way, keeps clear of it.
+    pub(super) fn max_idle(&self) -> f64 {
+        self.idle_timeout - self.connect_timeout
+    }
+}
--- /dev/null
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -0,0 +1,218 @@
+//! The task of one connection to a replica, from its first packet to its end.
+
+use super::write_queue::{Closing, QueuedMessage, WriteQueue};
+use crate::events::{ConnectionEvent, ConnectionId, Event, Events};
+use crate::frame::{self, Frame};
+use crate::sockets::Permit;
+use snafu::{ResultExt, Snafu};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tracing::debug;
+use woadreach_runtime::{Net, Read, Stream, Write};
+
+/// Capacity for the bytes of an ordinary answer; what a longer one took is given back.
+const READ_CAPACITY: usize = 2048;
+/// Seconds after which a connection that could not be written to has kept its attempts waiting.
+const MAX_WRITE_DELAY: f64 = 0.001;
+
+/// Why a connection ended.
+#[derive(Debug, Snafu)]
+pub(super) enum ConnectionError {
+    #[snafu(display("closed by the replica"))]
+    ClosedByReplica,
+    #[snafu(display("a frame without its end"))]
+    IncompleteFrame,
+    #[snafu(display("{source}"))]
+    InvalidFrame { source: frame::ParseError },
+    #[snafu(display("refused: {reason}"))]
+    Refused { reason: String },
+    #[snafu(display("what waited was not written"))]
+    NotWritten,
+    #[snafu(display("{source}"))]
+    Io { source: io::Error },
+}
+
+/// What a connection's task needs to know.
+pub(super) struct ConnectionTask<N: Net> {
+    pub(super) net: N,
+    pub(super) id: ConnectionId,
+    pub(super) address: SocketAddr,
+    /// Seconds that the connection, or a message on it, may take.
+    pub(super) timeout: f64,
+    pub(super) queue: Rc<WriteQueue>,
+    pub(super) events: Events,
+    pub(super) permit: Permit,
+}
+
+impl<N: Net> ConnectionTask<N> {
+    /// Connects, reads and writes until the connection ends. Sends `Closed` exactly once, after the socket is
+    /// closed and its permit given back.
+    pub(super) async fn run(self) {
+        let (id, address) = (self.id.0, self.address);
+        match self
+            .net
+            .timeout(self.timeout, self.net.connect(address))
+            .await
+        {
+            Ok(Ok(stream)) => self.serve(stream).await,
+            Ok(Err(error)) => debug!(connection = id, %address, %error, "connection failed"),
+            Err(_) => debug!(connection = id, %address, "connection timed out"),
+        }
+        drop(self.permit);
+        // The core's queue is gone only at the end of the process.
+        let _ = self
+            .events
+            .send(Event::Connection(self.id, ConnectionEvent::Closed));
+    }
+
+    async fn serve(&self, mut stream: N::Stream) {
+        let _ = self
+            .events
+            .send(Event::Connection(self.id, ConnectionEvent::Connected));
+        let (reader, writer) = stream.split();
+        let ended = tokio::select! {
+            biased;
+            ended = read(&self.net, self.id, reader, self.timeout, &self.events) => ended,
+            // Before the writing: a frame that is cut off must not get its last byte now.
+            ended = closed(&self.net, &self.queue, self.timeout) => ended,
+            ended = write(&self.net, writer, &self.queue) => ended,
+        };
+        if let Err(reason) = ended {
+            debug!(connection = self.id.0, address = %self.address, %reason, "connection closed");
+        }
+        if self.queue.closing() == Closing::Reset {
+            stream.reset_on_drop();
+        }
+    }
+}
+
+/// Waits until the connection is to end, and then for as long as what waits on it may take to be written.
+///
+/// Prevents that a machine which reads nothing keeps the connection's descriptor for good. Cost: messages to
+/// a slow machine are lost, all of which cancel attempts that nobody waits for.
+async fn closed(net: &impl Net, queue: &WriteQueue, timeout: f64) -> Result<(), ConnectionError> {
+    queue.closed().await;
+    if queue.closing() < Closing::Abort {
+        net.sleep(timeout).await;
+    }
+    NotWrittenSnafu.fail()
+}
+
+/// Reads frames and sends their answers to the core, until the connection ends.
+///
+/// A frame that has begun must be complete within `timeout` seconds. Prevents that one whose stated length
+/// is too large leaves the connection open, so that every later attempt on it waits in vain. It costs
+/// nothing: a sound replica writes a frame at one time.
+pub(super) async fn read(
+    net: &impl Net,
+    id: ConnectionId,
+    mut reader: impl Read,
+    timeout: f64,
+    events: &Events,
+) -> Result<(), ConnectionError> {
+    let mut bytes = Vec::with_capacity(READ_CAPACITY);
+    let mut deadline = net.now();
+    loop {
+        let begins = bytes.is_empty();
+        let read = if begins {
+            reader.read(&mut bytes).await
+        } else {
+            net.timeout_at(deadline, reader.read(&mut bytes))
+                .await
+                .map_err(|_| ConnectionError::IncompleteFrame)?
+        };
+        if read.context(IoSnafu)? == 0 {
+            return ClosedByReplicaSnafu.fail();
+        }
+        // An answer counts from when the kernel had it. Prevents that sound replicas look slow after a moment
+        // in which this process stood still.
+        let received_at = net.now() - reader.waited();
+        let taken = take_frames(&bytes, id, received_at, events)?;
+        bytes.drain(..taken);
+        if begins || taken > 0 {
+            deadline = net.now() + timeout;
+            bytes.shrink_to(READ_CAPACITY);
+        }
+    }
+}
+
+/// Sends the answers of all complete frames to the core; the number of bytes that these frames take.
+fn take_frames(
+    bytes: &[u8],
+    connection: ConnectionId,
+    received_at: f64,
+    events: &Events,
+) -> Result<usize, ConnectionError> {
+    let mut offset = 0;
+    while let Some((frame, length)) = frame::read(&bytes[offset..]).context(InvalidFrameSnafu)? {
+        offset += length;
+        match frame {
+            Frame::Answer {
+                id,
+                status,
+                score,
+                value,
+            } => {
+                let event = ConnectionEvent::AnswerReceived {
+                    wire_id: id.into(),
+                    status,
+                    score,
+                    value: value.into(),
+                    at: received_at,
+                };
+                let _ = events.send(Event::Connection(connection, event));
+            }
+            Frame::Probe => {}
+            Frame::Refused(reason) => {
+                let reason = String::from_utf8_lossy(reason);
+                return RefusedSnafu { reason }.fail();
+            }
+        }
+    }
+    Ok(offset)
+}
+
+async fn write(
+    net: &impl Net,
+    mut writer: impl Write,
+    queue: &WriteQueue,
+) -> Result<(), ConnectionError> {
+    let mut first = true;
+    loop {
+        if queue.is_empty() {
+            if queue.closing() > Closing::Open {
+                return Ok(());
+            }
+            queue.changed().await;
+            continue;
+        }
+        // A message is taken only once it can begin to leave: until then a drain may take it back.
+        let since = net.now();
+        writer.writable().await.context(IoSnafu)?;
+        // Prevents that an attempt which has waited for its connection leaves for a client that has
+        // disconnected, or after a drain, where the news lies unread behind this connection's beginning: all
+        // sockets are polled, then the core. Cost: such an attempt leaves some microseconds later.
+        if std::mem::take(&mut first) || net.now() > since + MAX_WRITE_DELAY {
+            net.turn().await;
+            net.turn().await;
+        }
+        let Some(message) = queue.pop() else {
+            continue;
+        };
+        let bytes = match message {
+            QueuedMessage::Cancel(wire_id) => {
+                let mut bytes = Vec::new();
+                frame::cancel(&mut bytes, &wire_id);
+                bytes
+            }
+            QueuedMessage::Call(attempts) => match queue.begin_call(attempts, net.now()) {
+                Some(bytes) => bytes,
+                None => continue,
+            },
+        };
+        writer.write_all(&bytes).await.context(IoSnafu)?;
+        let unsent = writer.unsent() > 0;
+        queue.written(net.now(), unsent);
+    }
+}
--- /dev/null
+++ b/crates/router/woadreachd/src/shutdown.rs
@@ -0,0 +1,46 @@
+//! The phases after SIGTERM, and their times.
+
+use crate::front::Phase;
+use std::future::pending;
+use tokio::sync::watch;
+use woadreach_runtime::Net;
+
+/// PROTOCOL: SIGKILL follows SIGTERM no sooner than after the longest client time-out, of which 3 s count at
+/// most, and 0.7 s more. Until then clients use the connections that they have.
+const KILL_GRACE: f64 = 0.7;
+const MAX_COUNTED_CLIENT_TIMEOUT: f64 = 3.0;
+/// Seconds in which the last answers are written, by a process that may be held up.
+const LAST_ANSWERS_TIME: f64 = 0.3;
+
+/// When the phases after SIGTERM begin, in seconds after it.
+pub(crate) struct ShutdownSchedule {
+    closing: f64,
+    ending: f64,
+}
+
+impl ShutdownSchedule {
+    /// The schedule for these longest times of any query type, in seconds.
+    pub(crate) fn new(max_client_timeout: f64, max_latency_target: f64) -> Self {
+        let killed = KILL_GRACE + max_client_timeout.min(MAX_COUNTED_CLIENT_TIMEOUT);
+        // What arrives until then is answered in time, or not at all.
+        let closing = killed - max_latency_target - LAST_ANSWERS_TIME;
+        ShutdownSchedule {
+            closing: closing.max(KILL_GRACE),
+            ending: killed - LAST_ANSWERS_TIME,
+        }
+    }
+
+    /// Enters the phases after `Draining`, each in its time; never returns.
+    ///
+    /// A process serves for as long as what it takes can be answered. Prevents that, in a restart of all
+    /// processes one after the other, clients are spread only over those that are back, which may be none.
+    /// Cost: a restart by hand takes that long.
+    pub(crate) async fn run(&self, net: &impl Net, phase: &watch::Sender<Phase>) {
+        let start = net.now();
+        net.sleep_until(start + self.closing).await;
+        let _ = phase.send(Phase::Closing);
+        net.sleep_until(start + self.ending).await;
+        let _ = phase.send(Phase::Ending);
+        pending::<()>().await;
+    }
+}
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -1,29 +1,34 @@
-//! The one owner of the descriptor budget. Every socket is opened under a permit, which its drop gives back,
-//! here and nowhere else. Must never open a socket, nor know what one is for beyond its side.
+//! The budget of file descriptors. Every socket is opened under a [`Permit`], whose drop gives it back.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
 /// Descriptors that are not sockets of clients, replicas or discovery: standard streams, the listener, the
-/// event queue and its wake-up, signals (ten of them in a process at rest), the socket for peers, the file
-/// that is read at a hangup, and a client connection that is accepted before it has its permit; one spare.
-const OTHERS: usize = 14;
-/// Danger: clients that rest, and connections to replicas, hold every descriptor, and the call that would
-/// tell of a drain has none. Discovery has its own: a call, and another beside it. Covers any flood. Harm:
-/// two fewer for others.
-const DISCOVERY: usize = 2;
+/// event queue and its wake-up, signals (ten of these in a process at rest), the socket for peers, the file
+/// that is read at a SIGHUP, and a client connection that is accepted before it has its permit; one in
+/// reserve.
+const OTHER_DESCRIPTORS: usize = 14;
+/// Descriptors of discovery: a call, and another beside it.
+///
+/// Prevents that idle clients and connections to replicas hold every descriptor, so that the call which would
+/// report a drain has none. Cost: two descriptors fewer for others.
+const DISCOVERY_DESCRIPTORS: usize = 2;
+/// Fewest descriptors for clients and replicas, however low the limit.
+const MIN_SHARED_DESCRIPTORS: usize = 4;
 
+/// What a socket is for.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Side {
+pub(crate) enum Side {
     Clients,
     Replicas,
     Discovery,
-    /// Calls of discovery beyond its own two, where there is room.
-    DiscoverySpare,
+    /// Calls of discovery beyond its own two, where a descriptor is free.
+    DiscoveryExtra,
 }
 
 struct Budget {
+    /// Descriptors that clients and replicas share.
     limit: usize,
     clients: Cell<usize>,
     replicas: Cell<usize>,
@@ -31,78 +36,98 @@
     freed: Notify,
 }
 
+/// The budget, shared by all tasks of a process.
 #[derive(Clone)]
-pub struct Sockets(Rc<Budget>);
+pub(crate) struct Sockets(Rc<Budget>);
 
-pub struct Permit {
+/// Permission to have one socket open.
+pub(crate) struct Permit {
     budget: Rc<Budget>,
     side: Side,
 }
 
+/// Descriptors in use.
+pub(crate) struct SocketUsage {
+    pub(crate) clients: usize,
+    /// Of replicas and discovery.
+    pub(crate) own: usize,
+}
+
 impl Sockets {
-    pub fn new(limit: usize) -> Self {
-        let limit = limit.saturating_sub(OTHERS + DISCOVERY).max(4);
-        let (clients, replicas, discovery) = Default::default();
+    /// The budget of a process that may have `limit` descriptors open.
+    pub(crate) fn new(limit: usize) -> Self {
+        let limit = limit
+            .saturating_sub(OTHER_DESCRIPTORS + DISCOVERY_DESCRIPTORS)
+            .max(MIN_SHARED_DESCRIPTORS);
         Sockets(Rc::new(Budget {
             limit,
-            clients,
-            replicas,
-            discovery,
+            clients: Cell::new(0),
+            replicas: Cell::new(0),
+            discovery: Cell::new(0),
             freed: Notify::new(),
         }))
     }
 
-    /// Danger: a flood of clients leaves no descriptor to ask a replica with, and every search fails. Clients
-    /// have at most three quarters; replicas may use what is left. Covers also clients that never close.
-    /// Harm: the last quarter may lie idle while clients wait to be accepted.
-    pub fn permit(&self, side: Side) -> Option<Permit> {
-        let b = &self.0;
-        let room = b.clients.get() + b.replicas.get() < b.limit;
-        let may = match side {
-            Side::Clients => room && b.clients.get() < b.limit / 4 * 3,
-            Side::Replicas | Side::DiscoverySpare => room,
-            Side::Discovery => b.discovery.get() < DISCOVERY,
+    /// A permit for one socket, if one is left.
+    ///
+    /// Clients have at most three quarters; replicas may use what is left. Prevents that a flood of clients,
+    /// or clients that never close, leave no descriptor to ask a replica with. Cost: the last quarter may lie
+    /// idle while clients wait to be accepted.
+    pub(crate) fn permit(&self, side: Side) -> Option<Permit> {
+        let budget = &self.0;
+        let free = budget.clients.get() + budget.replicas.get() < budget.limit;
+        let allowed = match side {
+            Side::Clients => free && budget.clients.get() < budget.client_limit(),
+            Side::Replicas | Side::DiscoveryExtra => free,
+            Side::Discovery => budget.discovery.get() < DISCOVERY_DESCRIPTORS,
         };
-        if !may {
+        if !allowed {
             return None;
         }
-        b.count(side).set(b.count(side).get() + 1);
+        let count = budget.count(side);
+        count.set(count.get() + 1);
         Some(Permit {
-            budget: b.clone(),
+            budget: budget.clone(),
             side,
         })
     }
 
-    /// Descriptors that clients never get.
-    pub fn kept_for_replicas(&self) -> usize {
-        self.0.limit - self.0.limit / 4 * 3
+    /// Number of descriptors that clients never get.
+    pub(crate) fn reserved_for_replicas(&self) -> usize {
+        self.0.limit - self.0.client_limit()
     }
 
-    /// LATER: for requests, clients hold at most a third of the descriptors, and stop asking there. At a
-    /// quarter their connections are better ended with their answers.
-    pub fn many_clients(&self) -> bool {
+    /// Whether clients hold so many that responses should end their connections.
+    ///
+    /// LATER: for requests, clients hold at most a third of the descriptors, and stop asking there. From a
+    /// quarter on their connections are better ended with their answers.
+    pub(crate) fn has_many_clients(&self) -> bool {
         self.0.clients.get() >= self.0.limit / 4
     }
 
     /// Waits until a permit has been given back.
-    pub async fn freed(&self) {
+    pub(crate) async fn freed(&self) {
         self.0.freed.notified().await;
     }
 
-    /// Usage by clients, and by us.
-    pub fn held(&self) -> (usize, usize) {
-        (
-            self.0.clients.get(),
-            self.0.replicas.get() + self.0.discovery.get(),
-        )
+    /// Descriptors in use by now.
+    pub(crate) fn usage(&self) -> SocketUsage {
+        SocketUsage {
+            clients: self.0.clients.get(),
+            own: self.0.replicas.get() + self.0.discovery.get(),
+        }
     }
 }
 
 impl Budget {
+    fn client_limit(&self) -> usize {
+        self.limit / 4 * 3
+    }
+
     fn count(&self, side: Side) -> &Cell<usize> {
         match side {
             Side::Clients => &self.clients,
-            Side::Replicas | Side::DiscoverySpare => &self.replicas,
+            Side::Replicas | Side::DiscoveryExtra => &self.replicas,
             Side::Discovery => &self.discovery,
         }
     }
@@ -112,7 +137,8 @@
     fn drop(&mut self) {
         let count = self.budget.count(self.side);
         count.set(count.get() - 1);
-        // Not for whoever waits later: by then it may be taken, and one more connection would make room.
+        // Wakes only those that wait now: by the time of a later one the descriptor may be taken, and one
+        // more connection would be closed for it.
         self.budget.freed.notify_waiters();
     }
 }
--- a/crates/router/woadreachd/tests/daemon.rs
+++ b/crates/router/woadreachd/tests/daemon.rs
@@ -38,7 +38,7 @@
     assert_eq!(status, 200);
     assert_eq!(
         body,
-        whole(true, &[row(0, ""), row(1, "v1"), row(2, "v\\\"2\\u000a")])
+        answer_body(true, &[row(0, ""), row(1, "v1"), row(2, "v\\\"2\\u000a")])
     );
     assert_eq!(
         a.call()[0].id,
@@ -46,7 +46,7 @@
         "the next request was read with the first"
     );
     a.answer("t-2.0", "200", 0, "z");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "z")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "z")]));
 }
 
 #[rstest]
@@ -63,7 +63,7 @@
         b.call();
         b.answer("t.1", end, 0, "no");
     }
-    assert_eq!(client.reply().2, whole(false, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(false, &[row(0, "v")]));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     }
     assert_eq!(
         client.reply().2,
-        whole(true, &[row(2, "second"), row(1, "second")])
+        answer_body(true, &[row(2, "second"), row(1, "second")])
     );
 }
 
@@ -195,7 +195,7 @@
     a.answer("t.0", "200", 0, "late");
     a.answer("u.0", "200", 0, "v");
     a.answer("u.0", "200", 0, "twice");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
     client.write(request("pay", "w", &[0], "q"));
     assert_eq!(a.call()[0].id, "w.0");
 }
@@ -225,7 +225,7 @@
     let mut next = s.a.accept();
     assert_eq!(next.call()[0].id, "v.0");
     next.answer("v.0", "200", 0, "v");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
 }
 
 /// An answer that is good stays good with noise right behind it, and what comes next goes elsewhere.
@@ -237,7 +237,7 @@
     let mut a = s.a.accept();
     a.call();
     a.write(b"\x0d\0\0\0Ot.0 200 1 \nv\xff\xff\xff\xffnoise");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
     assert!(a.ended());
     client.write(request("pay", "u", &[0], "q"));
     assert_eq!(s.a.accept().call()[0].id, "u.0");
@@ -245,7 +245,7 @@
 
 /// A connection on which a part waited in vain, with nothing read, is not given the next.
 #[test]
-fn a_deaf_connection_is_left() {
+fn an_unresponsive_connection_is_retired() {
     let s = scene_with(|c| with_times(&c, 300, 50));
     let mut client = Wire::to(s.address);
     client.write(request("pay", "t", &[0], "q"));
@@ -313,16 +313,16 @@
             s.a.line(&format!("n{n}"), 0, "gone"),
             s.a.line(&format!("n{}", n + 1), 0, "ready"),
         );
-        tell(&mut watch, &list(43 + n, false, &[old, new]));
+        send_line(&mut watch, &list(43 + n, false, &[old, new]));
     }
-    s.program.says("list 242 ");
+    s.program.says("endpoint list received generation=242 ");
     // The second, for the first may have been on its way.
     s.program.says(" replicas=");
     assert!(s.program.says(" replicas=").starts_with("3 "));
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_search() {
+fn a_client_that_disconnects_cancels_its_search() {
     let s = scene();
     let mut client = Wire::to(s.address);
     client.write(request("browse", "t", &[0], "q"));
@@ -341,7 +341,7 @@
         client
     };
     let clients: Vec<Wire> = (0..400).map(search).collect();
-    (0..400).for_each(|_| drop(s.program.says("send t")));
+    (0..400).for_each(|_| drop(s.program.says("attempt sent wire_id=t")));
     clients
 }
 
@@ -354,14 +354,14 @@
 
 /// What has begun to leave is the replica's; the rest is taken back, has not run, and is shed.
 #[test]
-fn a_drain_takes_back_what_waits() {
+fn a_drain_takes_back_queued_attempts() {
     let mut s = scene_with(with_others);
     let mut watch = watch(
         &s.discovery,
         &[others(), vec![s.a.line("a", 0, "ready")]].concat(),
     );
     let mut clients = crowd(&mut s);
-    tell(
+    send_line(
         &mut watch,
         &list(43, false, &[s.a.line("a", 0, "draining")]),
     );
@@ -393,7 +393,7 @@
 
 /// Started on a list that is out of date, while discovery is silent: what is still there serves.
 #[test]
-fn restarted_on_old_knowledge() {
+fn restarted_on_an_outdated_list() {
     let (x, a, discovery) = (StandIn::new(), StandIn::new(), StandIn::new());
     let known = [x.line("x", 0, "ready"), a.line("a", 0, "ready")];
     let (_program, address) = start(&config(&known, discovery.address()));
@@ -405,7 +405,7 @@
         let wire = wire.get_or_insert_with(|| a.accept());
         let id = wire.call()[0].id.clone();
         wire.answer(&id, "200", 0, "v");
-        assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+        assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
     }
 }
 
@@ -417,7 +417,7 @@
     let mut first = watch(&s.discovery, &lines);
     let odd =
         r#"{"instanceId":"x","hostPort":"nowhere","cell":0,"lifecycle":"ready"},7"#.to_string();
-    tell(
+    send_line(
         &mut first,
         &list(
             43,
@@ -432,9 +432,9 @@
     let mut wire = c.accept();
     wire.call();
     wire.answer("t.0", "200", 0, "v");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
     // A line that is not JSON: the whole list is asked for anew.
-    tell(&mut second, "{oh");
+    send_line(&mut second, "{oh");
     assert!(second.ended());
     watch(&s.discovery, &lines);
     client.write(request("browse", "u", &[0], "q"));
@@ -457,25 +457,25 @@
     for bad in [&sound[..sound.len() / 2], "", "{\"settings\":{}}"] {
         std::fs::write(&s.program.path, bad).unwrap();
         s.program.signal("-HUP");
-        s.program.says("SIGHUP: nothing is changed");
+        s.program.says("configuration not reloaded");
     }
     std::fs::remove_file(&s.program.path).unwrap();
     s.program.signal("-HUP");
-    s.program.says("SIGHUP: nothing is changed");
+    s.program.says("configuration not reloaded");
     std::fs::write(&s.program.path, &sound).unwrap();
     s.program.signal("-HUP");
-    assert_eq!(s.program.says("at the next start only: "), "limits");
+    assert_eq!(s.program.says("deferred to the next start keys="), "limits");
     // The whole list of the new place, and what is told there from then on, is in force.
     let mut new = watch(
         &next,
         &[s.a.line("a", 0, "draining"), s.b.line("b", 1, "ready")],
     );
     assert!(old.ended());
-    tell(&mut new, &list(43, false, &[c.line("c", 0, "ready")]));
-    s.program.says("list 43 ");
+    send_line(&mut new, &list(43, false, &[c.line("c", 0, "ready")]));
+    s.program.says("endpoint list received generation=43 ");
     client_of(&s, "u", &c);
     a.answer("t.0", "200", 0, "v");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
     // Again, and at once the end: with nothing in hand it ends as it would without.
     s.program.signal("-HUP");
     s.program.signal("-TERM");
@@ -489,16 +489,16 @@
     let mut wire = replica.accept();
     let id = wire.call()[0].id.clone();
     wire.answer(&id, "200", 0, "v");
-    assert_eq!(client.reply().2, whole(true, &[row(0, "v")]));
+    assert_eq!(client.reply().2, answer_body(true, &[row(0, "v")]));
 }
 
 #[test]
-fn sigterm_finishes_what_is_in_hand() {
+fn sigterm_finishes_searches_in_flight() {
     let mut s = scene_with(|c| c.replace("\"sockets\":1024", "\"sockets\":40"));
-    let (mut first, mut kept) = (Wire::to(s.address), Wire::to(s.address));
+    let (mut first, mut served) = (Wire::to(s.address), Wire::to(s.address));
     first.write(request("browse", "t", &[0], "q"));
-    kept.write("GET /health/ready HTTP/1.1\r\n\r\n");
-    assert_eq!(kept.reply().0, 200);
+    served.write("GET /health/ready HTTP/1.1\r\n\r\n");
+    assert_eq!(served.reply().0, 200);
     // So many that answers end connections while it serves.
     let _many: Vec<Wire> = (0..8).map(|_| Wire::to(s.address)).collect();
     let mut a = s.a.accept();
@@ -508,8 +508,8 @@
     // New connections and those that are open are served and kept, until it closes them and ends.
     let mut next = Wire::to(s.address);
     next.write(request("browse", "u", &[0], "q"));
-    kept.write("GET /health/ready HTTP/1.1\r\n\r\n");
-    assert_eq!(kept.reply().0, 503);
+    served.write("GET /health/ready HTTP/1.1\r\n\r\n");
+    assert_eq!(served.reply().0, 503);
     a.call();
     for (client, id) in [(&mut first, "t.0"), (&mut next, "u.0")] {
         a.answer(id, "200", 0, "v");
@@ -523,7 +523,7 @@
     a.call();
     a.answer("w.0", "200", 0, "v");
     assert_eq!(first.reply().0, 200);
-    assert!(first.ended() && next.ended() && kept.ended());
+    assert!(first.ended() && next.ended() && served.ended());
     assert_eq!(s.program.exit(), Some(0));
 }
 
@@ -582,7 +582,7 @@
 #[rstest]
 #[case::too_many("\"attemptsCap\"", "\"maxOpen\":3,\"attemptsCap\"")]
 #[case::too_large("\"memory_mb\":192", "\"memory_mb\":0.0001")]
-fn shed_whole_beyond_what_may_be_held(#[case] from: &str, #[case] to: &str) {
+fn shed_beyond_the_limits_of_searches_and_memory(#[case] from: &str, #[case] to: &str) {
     let s = scene_with(|c| c.replace(from, to));
     let mut client = Wire::to(s.address);
     client.write(request("browse", "t", &[0, 1, 2], "q"));
@@ -632,7 +632,7 @@
 #[case::body_too_long(edited("Content-Length: ", "Content-Length: 1000"), 413, true)]
 #[case::head_too_long(edited("Host: x", &"X: y\r\n".repeat(3000)), 431, true)]
 #[case::old_version(edited("HTTP/1.1", "HTTP/3.0"), 505, true)]
-fn bad_requests(#[case] text: String, #[case] status: u16, #[case] closes: bool) {
+fn invalid_requests_are_refused(#[case] text: String, #[case] status: u16, #[case] closes: bool) {
     let s = scene();
     let mut client = Wire::to(s.address);
     client.write(text);
@@ -672,31 +672,31 @@
 
 /// Of those that are idle, the ones that never said a word make room, not those that are served.
 #[test]
-fn silent_connections_make_room_first() {
+fn unused_connections_are_closed_first() {
     let s = scene_with(|c| c.replace("\"sockets\":1024", "\"sockets\":40"));
     let live = "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n";
-    let mut gone = Wire::to(s.address);
-    gone.write(live);
-    assert!(gone.reply().0 == 200 && gone.ended());
-    drop(gone);
+    let mut first = Wire::to(s.address);
+    first.write(live);
+    assert!(first.reply().0 == 200 && first.ended());
+    drop(first);
     let live = "GET /health/live HTTP/1.1\r\n\r\n";
-    let mut kept = Wire::to(s.address);
-    kept.write(live);
-    assert_eq!(kept.reply().0, 200);
-    let mut silent: Vec<Wire> = (0..17).map(|_| Wire::to(s.address)).collect();
+    let mut served = Wire::to(s.address);
+    served.write(live);
+    assert_eq!(served.reply().0, 200);
+    let mut unused: Vec<Wire> = (0..17).map(|_| Wire::to(s.address)).collect();
     std::thread::sleep(Duration::from_millis(500));
     let mut next = Wire::to(s.address);
     next.write(live);
     assert_eq!(next.reply().0, 200);
-    kept.write(live);
-    assert_eq!(kept.reply().0, 200);
-    assert!(silent[0].ended());
-    silent[1].write(live);
-    assert_eq!(silent[1].reply().0, 200, "one makes room for one");
+    served.write(live);
+    assert_eq!(served.reply().0, 200);
+    assert!(unused[0].ended());
+    unused[1].write(live);
+    assert_eq!(unused[1].reply().0, 200, "one makes room for one");
 }
 
 #[test]
-fn a_trace_id_that_is_taken_is_refused() {
+fn a_duplicate_trace_id_is_refused() {
     let s = scene();
     let (mut first, mut second) = (Wire::to(s.address), Wire::to(s.address));
     first.write(request("browse", "t", &[0], "q"));
@@ -712,7 +712,7 @@
 }
 
 #[test]
-fn a_client_that_waits_to_go_on_is_told_to() {
+fn a_client_that_expects_continue_receives_it() {
     let s = scene();
     let mut client = Wire::to(s.address);
     let text = edited("Host: x", "EXPECT: 100-Continue");
@@ -733,7 +733,7 @@
 #[case::no_seed(Some(odd_config("seed")), "seed")]
 #[case::no_limit(Some(odd_config("sockets")), "sockets")]
 #[case::no_listen(Some(odd_config("listen")), "listen")]
-fn a_bad_configuration_is_named(#[case] config: Option<String>, #[case] named: &str) {
+fn an_invalid_configuration_is_named(#[case] config: Option<String>, #[case] named: &str) {
     let mut program = Program::start(env!("CARGO_BIN_EXE_woadreachd"), config.as_deref());
     let line = program.says("woadreachd: ");
     assert!(line.contains(named), "{line}");
@@ -754,11 +754,11 @@
     assert_eq!(program.exit(), Some(1));
 }
 
-/// Before a move: a watch of the new shape counts, by kind, what it would not have allowed, and decides
+/// Before a move: a watch of proposed limits counts, by kind, what it would not have allowed, and decides
 /// nothing otherwise. Here `browse` is to become a query type that may not run twice: its part is sent again
 /// after an error, as before, and that is counted.
 #[test]
-fn the_watch_counts_what_a_new_shape_would_not_allow() {
+fn the_watch_counts_steps_that_proposed_limits_would_not_allow() {
     let s = scene_with(|c| {
         c.replacen(
             r#""settings":{"#,
@@ -776,11 +776,14 @@
     a.answer("t.0", "200", 0, "v");
     assert_eq!(client.reply().0, 200);
     // The counts are told with each report, the first of them perhaps before the search came.
-    let told: Vec<String> = (0..2).map(|_| program.says("watch ")).collect();
+    let reports: Vec<String> = (0..2)
+        .map(|_| program.says("watched settings compared "))
+        .collect();
     assert!(
-        told.iter()
-            .any(|t| t == "retry_after=0 second_copy=0 repeat_once=1"),
-        "{told:?}"
+        reports
+            .iter()
+            .any(|t| t == "retry_after=0 hedges=0 retries_of_once=1"),
+        "{reports:?}"
     );
 }
 
--- a/crates/router/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -10,8 +10,8 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// What there is to tell counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// PROTOCOL: an update counts as received so long after discovery had it and could be reached.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 
 /// Writes a byte every so often, as long as anybody takes it.
 fn trickle(mut wire: Wire, text: String) {
@@ -36,7 +36,7 @@
 
 /// A call whose answer comes in drops is not waited for alone.
 #[test]
-fn a_list_that_trickles_is_asked_for_again() {
+fn a_list_that_trickles_is_requested_again() {
     let s = scene();
     let start = Instant::now();
     let mut first = s.discovery.accept();
@@ -44,9 +44,9 @@
     trickle(first, head_and(""));
     let mut second = s.discovery.accept();
     second.head();
-    give(&mut second, &list(42, true, &[s.a.line("a", 0, "ready")]));
+    respond(&mut second, &list(42, true, &[s.a.line("a", 0, "ready")]));
     watch_from(&s.discovery, 42);
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
 }
 
 /// Two calls hang: a third is still opened and answered in time, and one that is answered late counts too.
@@ -67,14 +67,14 @@
     } else {
         &mut third
     };
-    give(answers, &list(42, true, &[s.a.line("a", 0, "ready")]));
+    respond(answers, &list(42, true, &[s.a.line("a", 0, "ready")]));
     watch_from(&s.discovery, 42);
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
 }
 
-/// Half a line is no sign of life, however its bytes come; what it missed is asked for as a whole list.
+/// Half a line does not renew a watch, however its bytes come; what it missed is requested as a full list.
 #[test]
-fn half_a_line_is_no_sign_of_life() {
+fn half_a_line_does_not_renew_a_watch() {
     let mut s = scene();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let mut open = watch(&s.discovery, &lines);
@@ -84,17 +84,17 @@
     trickle(open, half);
     let mut call = s.discovery.accept();
     assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"));
-    give(
+    respond(
         &mut call,
         &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
     );
-    s.program.says("list 44 ");
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    s.program.says("endpoint list received generation=44 ");
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
 }
 
 /// A watch may be silent from its first moment; so may the one that follows it.
 #[test]
-fn a_silent_watch_is_made_up_for_by_a_whole_list() {
+fn a_silent_watch_is_replaced_by_a_full_list() {
     let mut s = scene();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let _silent = watch(&s.discovery, &lines);
@@ -104,17 +104,17 @@
         call.head().starts_with("GET /registry/instances HTTP/1.1"),
         "not another watch"
     );
-    give(
+    respond(
         &mut call,
         &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
     );
-    s.program.says("list 44 ");
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    s.program.says("endpoint list received generation=44 ");
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
 }
 
 /// An answer may state no length: its connection's sound end is its own, and a reset is none.
 #[test]
-fn a_list_without_a_length_ends_with_its_connection_and_not_with_a_reset() {
+fn a_list_without_a_length_is_complete_on_close_and_not_on_reset() {
     let mut s = scene();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     for (generation, sound) in [(42, false), (43, true)] {
@@ -124,7 +124,9 @@
         if sound { drop(call) } else { reset(call) }
     }
     assert!(
-        s.program.says("discovery: list ").starts_with("43 "),
+        s.program
+            .says("endpoint list received generation=")
+            .starts_with("43 "),
         "a reset is no end"
     );
 }
@@ -141,11 +143,11 @@
         .replace(":[{", ":[\n    {\n      ")
         .replace("}]}", "}\n  ]\n}");
     assert_ne!(text, indented);
-    tell(&mut open, &indented);
-    s.program.says("list 43 ");
-    tell(&mut open, "");
-    tell(&mut open, &list(44, false, &[s.a.line("a", 0, "ready")]));
-    s.program.says("list 44 ");
+    send_line(&mut open, &indented);
+    s.program.says("endpoint list received generation=43 ");
+    send_line(&mut open, "");
+    send_line(&mut open, &list(44, false, &[s.a.line("a", 0, "ready")]));
+    s.program.says("endpoint list received generation=44 ");
     assert!(!s.discovery.called(), "nothing was asked for anew");
 }
 
@@ -158,7 +160,7 @@
     let s = scene();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let mut open = watch(&s.discovery, &lines);
-    tell(&mut open, line);
+    send_line(&mut open, line);
     assert!(open.ended());
     watch(&s.discovery, &lines);
 }
@@ -211,13 +213,13 @@
         let text = request("browse", &format!("t{i}"), &[0], "q");
         client.write(text.replace("X-Expires-In: 5.0", "X-Expires-In: 20.0"));
     }
-    program.says("no descriptor for a connection to");
+    program.says("connection refused, no descriptor left");
     let back = StandIn(std::net::TcpListener::bind(here).unwrap());
     let start = Instant::now();
     let mut open = watch_from(&back, 42);
-    tell(&mut open, &list(43, false, &[line(0, "draining")]));
-    program.says("list 43 ");
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    send_line(&mut open, &list(43, false, &[line(0, "draining")]));
+    program.says("endpoint list received generation=43 ");
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
 }
 
 /// Clients that rest fill the descriptors while discovery is down: the next client is served, and discovery
@@ -237,8 +239,8 @@
     s.program.says("Connection refused");
     let back = StandIn(std::net::TcpListener::bind(here).unwrap());
     let mut open = watch_from(&back, 42);
-    tell(&mut open, &list(43, false, &[s.a.line("a", 0, "draining")]));
-    s.program.says("list 43 ");
+    send_line(&mut open, &list(43, false, &[s.a.line("a", 0, "draining")]));
+    s.program.says("endpoint list received generation=43 ");
 }
 
 /// A process that knows of no replica while discovery is down is ready all the same within 10 s, and says
@@ -270,7 +272,7 @@
     assert_eq!(client.reply().0, 503);
 }
 
-// ---- clients that go ----
+// ---- clients that disconnect ----
 
 /// A client that has sent much ahead and then goes is gone: its end lies behind all of that.
 #[rstest]
@@ -305,7 +307,7 @@
     client.write(vec![b'x'; 300_000]);
     a.answer("t.0", "200", 0, "v");
     let (status, head, body) = client.reply();
-    assert_eq!((status, body), (200, whole(true, &[row(0, "v")])));
+    assert_eq!((status, body), (200, answer_body(true, &[row(0, "v")])));
     assert!(head.contains("Connection: close"), "{head}");
     assert!(client.ended());
 }
@@ -319,7 +321,7 @@
     let mut client = Wire::to(s.address);
     client.write(request("browse", "t", &[0], "q"));
     let mut program = s.program;
-    program.says("connection 0 to a");
+    program.says("connection opened connection=0 replica=a");
     program.signal("-STOP");
     drop(client);
     full.accept(&s.a);
@@ -391,13 +393,13 @@
     let mut s = scene();
     let mut busy = Wire::to(s.address);
     busy.write(request("browse", "t", &[0], "q"));
-    let mut kept = Wire::to(s.address);
-    kept.write("GET /health/live HTTP/1.1\r\n\r\n");
-    assert_eq!(kept.reply().0, 200);
+    let mut served = Wire::to(s.address);
+    served.write("GET /health/live HTTP/1.1\r\n\r\n");
+    assert_eq!(served.reply().0, 200);
     let mut a = s.a.accept();
     a.call();
     s.program.signal("-TERM");
-    assert!(kept.ended(), "idle ones end as it closes");
+    assert!(served.ended(), "idle ones end as it closes");
     std::thread::sleep(Duration::from_millis(100));
     let mut last = Wire::to(s.address);
     last.write(request("browse", "u", &[0], "q"));
@@ -411,7 +413,7 @@
 /// A client that asks and does not read its answers holds nothing up for others, and is left after a while.
 #[test]
 fn a_client_that_never_reads() {
-    const ASKED: usize = 200;
+    const REQUESTS: usize = 200;
     const VALUE: usize = 60_000;
     let Scene {
         a,
@@ -422,7 +424,7 @@
     } = scene();
     let mut slow = Wire::to(address);
     let ask = |i| request("browse", &format!("t{i}"), &[0], "q");
-    slow.write((0..ASKED).map(ask).collect::<String>());
+    slow.write((0..REQUESTS).map(ask).collect::<String>());
     std::thread::spawn(move || {
         let mut a = a.accept();
         let value = "v".repeat(VALUE);
@@ -442,7 +444,7 @@
     let _ = slow.0.read_to_end(&mut read);
     let answers = read.windows(9).filter(|w| w == b"HTTP/1.1 ").count();
     assert!(
-        (1..ASKED).contains(&answers),
+        (1..REQUESTS).contains(&answers),
         "{answers} answers: it was waited for"
     );
 }
--- a/crates/router/woadreachd/tests/parsers.rs
+++ b/crates/router/woadreachd/tests/parsers.rs
@@ -1,6 +1,6 @@
 //! Tables for the parsers: split, truncated and hostile input.
 
-use http::{Bad, Body, Framing};
+use http::{Body, Framing, ParseError};
 use json::Reader;
 use rstest::rstest;
 use woadreachd::{frame, http, json};
@@ -8,30 +8,30 @@
 const LENGTH: &str = "POST /a/b?c HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\n\r\nhello";
 const CHUNKS: &str = "POST /a/b?c HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nT: u\r\n\r\n";
 
-/// Reads a request that comes in two pieces: its first words, its content, and the bytes that it takes.
-fn in_two(text: &[u8], split: usize) -> Result<(String, Vec<u8>, usize), Bad> {
+/// Reads a request that is received in two pieces: method and path, content, and the bytes that it takes.
+fn in_two(text: &[u8], split: usize) -> Result<(String, Vec<u8>, usize), ParseError> {
     let mut bytes = &text[..split];
-    let mut head = http::request(bytes)?;
+    let mut head = http::parse_request(bytes)?;
     if head.is_none() {
         bytes = text;
-        head = http::request(bytes)?;
+        head = http::parse_request(bytes)?;
     }
     let head = head.expect("all of the head is there");
     let (mut body, mut content) = (Body::new(head.framing()?), Vec::new());
-    let (mut at, mut ended) = body.take(&bytes[head.length..], &mut content, http::LONGEST_BODY)?;
-    at += head.length;
-    if !ended {
-        let (taken, end) = body.take(&text[at..], &mut content, http::LONGEST_BODY)?;
-        (at, ended) = (at + taken, end);
+    let first = body.take(&bytes[head.length..], &mut content, http::MAX_BODY)?;
+    let (mut at, mut complete) = (head.length + first.bytes, first.complete);
+    if !complete {
+        let second = body.take(&text[at..], &mut content, http::MAX_BODY)?;
+        (at, complete) = (at + second.bytes, second.complete);
     }
-    assert!(ended);
+    assert!(complete);
     Ok((format!("{} {}", head.method(), head.path()), content, at))
 }
 
 #[rstest]
 #[case::length(LENGTH)]
 #[case::chunks(CHUNKS)]
-fn split_requests_read_as_whole_ones(#[case] text: &str) {
+fn split_requests_read_as_complete_ones(#[case] text: &str) {
     let two = format!("{text}GET /next");
     for split in 0..=two.len() {
         let read = in_two(two.as_bytes(), split).unwrap();
@@ -46,53 +46,56 @@
 #[rstest]
 #[case::length(LENGTH)]
 #[case::chunks(CHUNKS)]
-fn a_truncated_request_is_never_whole(#[case] text: &str) {
+fn a_truncated_request_is_never_complete(#[case] text: &str) {
     for end in 0..text.len() {
         let bytes = &text.as_bytes()[..end];
-        let Some(head) = http::request(bytes).unwrap() else {
+        let Some(head) = http::parse_request(bytes).unwrap() else {
             continue;
         };
         let mut body = Body::new(head.framing().unwrap());
-        let (_, ended) = body
+        let taken = body
             .take(&bytes[head.length..], &mut Vec::new(), 64)
             .unwrap();
-        assert!(!ended, "ended at {end}");
+        assert!(!taken.complete, "complete at {end}");
     }
 }
 
 #[rstest]
-#[case::no_version("GET /\r\n\r\n", Bad::Malformed("bad first line"))]
-#[case::no_path("GET x HTTP/1.1\r\n\r\n", Bad::Malformed("bad first line"))]
-#[case::other_version("GET / HTTP/2.0\r\n\r\n", Bad::Version)]
+#[case::no_version("GET /\r\n\r\n", ParseError::Malformed { reason: "bad first line" })]
+#[case::no_path("GET x HTTP/1.1\r\n\r\n", ParseError::Malformed { reason: "bad first line" })]
+#[case::other_version("GET / HTTP/2.0\r\n\r\n", ParseError::UnsupportedVersion)]
 #[case::no_colon(
     "GET / HTTP/1.1\r\nHost\r\n\r\n",
-    Bad::Malformed("a header without a colon")
+    ParseError::Malformed { reason: "a header without a colon" }
 )]
-#[case::space_in_name("GET / HTTP/1.1\r\nA b: c\r\n\r\n", Bad::Malformed("bad header"))]
+#[case::space_in_name("GET / HTTP/1.1\r\nA b: c\r\n\r\n", ParseError::Malformed { reason: "bad header" })]
 #[case::folded(
     "GET / HTTP/1.1\r\nA: b\r\n c: d\r\n\r\n",
-    Bad::Malformed("bad header")
+    ParseError::Malformed { reason: "bad header" }
 )]
-#[case::bare_line_feed("GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", Bad::Malformed("bad header"))]
+#[case::bare_line_feed("GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", ParseError::Malformed { reason: "bad header" })]
 #[case::control(
     "GET / HTTP/1.1\r\nA: \0\r\n\r\n",
-    Bad::Malformed("control character in the head")
+    ParseError::Malformed { reason: "control character in the head" }
 )]
 #[case::signed(
     "P / HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
-    Bad::Malformed("bad length")
+    ParseError::Malformed { reason: "bad length" }
 )]
 #[case::huge(
     "P / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
-    Bad::BodyTooLong
+    ParseError::BodyTooLong
+)]
+#[case::over(
+    "P / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
+    ParseError::BodyTooLong
 )]
-#[case::over("P / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", Bad::BodyTooLong)]
 #[case::coding(
     "P / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-    Bad::Malformed("unknown coding")
+    ParseError::Malformed { reason: "unknown coding" }
 )]
-fn odd_heads(#[case] text: &str, #[case] bad: Bad) {
-    assert_eq!(in_two(text.as_bytes(), text.len()), Err(bad));
+fn odd_heads(#[case] text: &str, #[case] error: ParseError) {
+    assert_eq!(in_two(text.as_bytes(), text.len()), Err(error));
 }
 
 #[rstest]
@@ -103,26 +106,30 @@
     let text = format!("P / HTTP/1.1\r\nContent-Length: 1\r\n{second}\r\n\r\n");
     assert_eq!(
         in_two(text.as_bytes(), text.len()),
-        Err(Bad::Malformed("more than one length"))
+        Err(ParseError::Malformed {
+            reason: "more than one length"
+        })
     );
 }
 
 #[rstest]
-#[case::not_hex("zz\r\n", Bad::Malformed("bad chunk"))]
-#[case::empty(";\r\n", Bad::Malformed("bad chunk"))]
-#[case::no_end("1\r\nabc\r\n", Bad::Malformed("bad chunk"))]
-#[case::claims_much("ffffffff\r\n", Bad::BodyTooLong)]
-#[case::overflows("fffffffffffffffff\r\n", Bad::BodyTooLong)]
-fn odd_chunks(#[case] text: &str, #[case] bad: Bad) {
-    let taken =
-        Body::new(Framing::Chunked).take(text.as_bytes(), &mut Vec::new(), http::LONGEST_BODY);
-    assert_eq!(taken, Err(bad));
+#[case::not_hex("zz\r\n", ParseError::Malformed { reason: "bad chunk" })]
+#[case::empty(";\r\n", ParseError::Malformed { reason: "bad chunk" })]
+#[case::no_end("1\r\nabc\r\n", ParseError::Malformed { reason: "bad chunk" })]
+#[case::claims_much("ffffffff\r\n", ParseError::BodyTooLong)]
+#[case::overflows("fffffffffffffffff\r\n", ParseError::BodyTooLong)]
+fn odd_chunks(#[case] text: &str, #[case] error: ParseError) {
+    let taken = Body::new(Framing::Chunked).take(text.as_bytes(), &mut Vec::new(), http::MAX_BODY);
+    assert_eq!(taken, Err(error));
 }
 
 #[test]
 fn heads_and_chunk_lines_are_bounded() {
-    let long = "GET / HTTP/1.1\r\nA: ".to_string() + &"a".repeat(http::LONGEST_HEAD);
-    assert_eq!(http::request(long.as_bytes()).err(), Some(Bad::HeadTooLong));
+    let long = "GET / HTTP/1.1\r\nA: ".to_string() + &"a".repeat(http::MAX_HEAD);
+    assert_eq!(
+        http::parse_request(long.as_bytes()).err(),
+        Some(ParseError::HeadTooLong)
+    );
     let line = "1;".to_string() + &"x".repeat(1000);
     assert!(
         Body::new(Framing::Chunked)
@@ -136,7 +143,7 @@
 }
 
 #[test]
-fn a_frame_is_read_once_it_is_whole() {
+fn a_frame_is_read_once_it_is_complete() {
     let answer = framed(b"Oab.3 200 1840277719 inflight=7\nx\ny");
     for end in 0..answer.len() {
         assert_eq!(frame::read(&answer[..end]), Ok(None), "at {end}");
@@ -145,7 +152,7 @@
     let (first, taken) = frame::read(&two).unwrap().unwrap();
     let expect = frame::Frame::Answer {
         id: "ab.3",
-        end: frame::End::Ok,
+        status: frame::PartStatus::Ok,
         score: 1840277719,
         value: b"x\ny",
     };
@@ -176,7 +183,7 @@
 fn an_answer_is_good_whatever_its_report(#[case] body: &[u8]) {
     let expect = frame::Frame::Answer {
         id: "ab.3",
-        end: frame::End::Ok,
+        status: frame::PartStatus::Ok,
         score: 7,
         value: b"value",
     };
@@ -194,7 +201,7 @@
     ];
     let mut out = Vec::new();
     frame::call(&mut out, &parts.each_ref().map(|p| p.as_slice()));
-    frame::give_up(&mut out, "ab.3");
+    frame::cancel(&mut out, "ab.3");
     let call = framed(b"Dab.3 3 d=240 8\nq\"\\u00e9ab.9 9 d=240 0\n");
     assert_eq!(out, [call, framed(b"Kab.3")].concat());
 }
@@ -210,11 +217,12 @@
     for whole in TEXTS.split('|').chain(["\"a\tb\"", "\"a\u{1}\""]) {
         for end in 0..=whole.len() {
             let text = &whole[..end];
-            let ours = Reader::whole(text.as_bytes(), |r| r.skip().map(|_| ()));
+            let ours = Reader::read_all(text.as_bytes(), |r| r.skip().map(|_| ()));
             let theirs = serde_json::from_str::<serde_json::Value>(text);
             assert_eq!(ours.is_ok(), theirs.is_ok(), "{text}");
             if let Ok(serde_json::Value::String(theirs)) = theirs {
-                let ours = Reader::whole(text.as_bytes(), |r| r.string().map(|s| s.into_owned()));
+                let ours =
+                    Reader::read_all(text.as_bytes(), |r| r.string().map(|s| s.into_owned()));
                 assert_eq!(ours, Ok(theirs));
             }
         }
@@ -224,7 +232,7 @@
 #[test]
 fn nested_beyond_bounds_is_refused() {
     let text = "[".repeat(1_000_000);
-    assert!(Reader::whole(text.as_bytes(), |r| r.skip().map(|_| ())).is_err());
+    assert!(Reader::read_all(text.as_bytes(), |r| r.skip().map(|_| ())).is_err());
 }
 
 #[rstest]
--- a/crates/router/woadreachd/tests/scene/mod.rs
+++ b/crates/router/woadreachd/tests/scene/mod.rs
@@ -29,7 +29,7 @@
 
 pub fn start(config: &str) -> (Program, SocketAddr) {
     let mut program = Program::start(env!("CARGO_BIN_EXE_woadreachd"), Some(config));
-    let address = program.says("listening on ").parse().unwrap();
+    let address = program.says("listening address=").parse().unwrap();
     (program, address)
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-pub fn tell(watch: &mut Wire, line: &str) {
+pub fn send_line(watch: &mut Wire, line: &str) {
     watch.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
 }
 
@@ -123,7 +123,7 @@
     format!(r#"{{"id":{shard},"data":"{value}"}}"#)
 }
 
-pub fn whole(exact: bool, rows: &[String]) -> String {
+pub fn answer_body(exact: bool, rows: &[String]) -> String {
     format!(r#"{{"exact":{exact},"rows":[{}]}}"#, rows.join(","))
 }
 
@@ -137,7 +137,7 @@
     let length = size_of::<libc::linger>() as libc::socklen_t;
     let fd = wire.0.as_raw_fd();
     // SAFETY: the call reads `length` bytes of a plain struct of numbers that lives until it returns.
-    let told = unsafe {
+    let result = unsafe {
         libc::setsockopt(
             fd,
             libc::SOL_SOCKET,
@@ -146,7 +146,7 @@
             length,
         )
     };
-    assert_eq!(told, 0);
+    assert_eq!(result, 0);
 }
 
 /// A replica's machine whose kernel takes no further connection: those asked for meanwhile come up once these
@@ -172,7 +172,7 @@
 }
 
 /// The answer of a list's source, with its length.
-pub fn give(call: &mut Wire, body: &str) {
+pub fn respond(call: &mut Wire, body: &str) {
     call.write(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/router/woadreachd/tests/unit/schedule.rs
+++ b/crates/router/woadreachd/tests/unit/schedule.rs
@@ -7,7 +7,7 @@
 
 /// Plays a turn in which nothing is answered; the calls that are opened up to `until`, with their times.
 fn played(need: Need, drain_grace: f64, until: f64) -> Vec<(f64, Slot, Request)> {
-    let mut schedule = Schedule::new(0.0, need, interval(drain_grace));
+    let mut schedule = Schedule::new(0.0, need, call_interval(drain_grace));
     let (mut now, mut calls) = (0.0, Vec::new());
     while now <= until {
         match schedule.next(now) {
@@ -27,14 +27,14 @@
 #[case::of_half_a_second(0.5)]
 #[case::of_two_seconds(2.0)]
 #[case::of_a_tenth(0.1)]
-fn a_list_is_asked_for_within_half_a_drain_grace(
+fn a_list_is_requested_within_half_a_drain_grace(
     #[case] drain_grace: f64,
-    #[values(Need::Changes, Need::Resume, Need::WholeList)] need: Need,
+    #[values(Need::Changes, Need::Resume, Need::FullList)] need: Need,
 ) {
     let calls = played(need, drain_grace, 9.9);
     let mut lists: Vec<f64> = calls
         .iter()
-        .filter(|c| c.2 == Request::WholeList)
+        .filter(|c| c.2 == Request::FullList)
         .map(|(at, ..)| *at)
         .collect();
     lists.insert(0, 0.0);
@@ -49,8 +49,8 @@
 /// A watch waits from early on where one can stand in for a whole list, and only there.
 #[rstest]
 #[case::nothing_missed(Need::Changes, Some((0.0, Slot::First)))]
-#[case::after_silence(Need::Resume, Some((GRACE, Slot::Resume)))]
-#[case::what_is_held_may_be_wrong(Need::WholeList, None)]
+#[case::after_a_timeout(Need::Resume, Some((GRACE, Slot::Resume)))]
+#[case::list_in_force_may_be_wrong(Need::FullList, None)]
 fn a_watch_waits_through_the_turn(#[case] need: Need, #[case] expected: Option<(f64, Slot)>) {
     let watches: Vec<(f64, Slot)> = played(need, GRACE, 20.0)
         .into_iter()
@@ -66,16 +66,16 @@
 
 /// A whole list goes first after silence: a new watch may be as dead as the one before.
 #[test]
-fn the_first_call_after_silence_is_for_a_list() {
+fn the_first_call_after_a_timeout_is_for_a_list() {
     assert_eq!(
         played(Need::Resume, GRACE, 0.0),
-        [(0.0, Slot::First, Request::WholeList)]
+        [(0.0, Slot::First, Request::FullList)]
     );
 }
 
 /// Slow answers are waited for: one call for a second and more, one through the whole turn.
 #[test]
-fn some_calls_are_left_their_time() {
+fn some_calls_stay_open() {
     let opened = |wanted| -> Vec<f64> {
         played(Need::Resume, GRACE, 9.9)
             .into_iter()
@@ -88,18 +88,18 @@
     assert!(
         second
             .windows(2)
-            .all(|pair| pair[1] - pair[0] >= HUNG - 1e-9),
+            .all(|pair| pair[1] - pair[0] >= HUNG_CALL_TIMEOUT - 1e-9),
         "{second:?}"
     );
     assert!(second.len() > 5);
 }
 
 #[test]
-fn silence_is_told_after_a_while() {
-    let mut schedule = Schedule::new(100.0, Need::Resume, interval(GRACE));
+fn a_turn_times_out() {
+    let mut schedule = Schedule::new(100.0, Need::Resume, call_interval(GRACE));
     assert_eq!(
         schedule.next(100.0),
-        Action::Open(Slot::First, Request::WholeList)
+        Action::Open(Slot::First, Request::FullList)
     );
     assert_eq!(schedule.next(100.0), Action::WaitUntil(100.0 + GRACE / 2.0));
     assert_eq!(schedule.next(110.0), Action::GiveUp);
@@ -108,34 +108,37 @@
 /// A call that fails alone ends the turn; beside others it is made anew soon after.
 #[test]
 fn a_call_that_fails() {
-    let mut schedule = Schedule::new(0.0, Need::Resume, interval(GRACE));
+    let mut schedule = Schedule::new(0.0, Need::Resume, call_interval(GRACE));
     assert_eq!(
         schedule.next(0.0),
-        Action::Open(Slot::First, Request::WholeList)
+        Action::Open(Slot::First, Request::FullList)
     );
     assert!(!schedule.failed(0.1, Slot::First), "nothing else is open");
 
-    let mut schedule = Schedule::new(0.0, Need::Resume, interval(GRACE));
+    let mut schedule = Schedule::new(0.0, Need::Resume, call_interval(GRACE));
     assert_eq!(
         schedule.next(0.0),
-        Action::Open(Slot::First, Request::WholeList)
+        Action::Open(Slot::First, Request::FullList)
     );
     assert_eq!(
         schedule.next(0.25),
-        Action::Open(Slot::Second, Request::WholeList)
+        Action::Open(Slot::Second, Request::FullList)
     );
     assert!(schedule.failed(0.25, Slot::First));
-    assert_eq!(schedule.next(0.25), Action::WaitUntil(0.25 + RETRY));
     assert_eq!(
-        schedule.next(0.25 + RETRY),
-        Action::Open(Slot::First, Request::WholeList)
+        schedule.next(0.25),
+        Action::WaitUntil(0.25 + RETRY_INTERVAL)
+    );
+    assert_eq!(
+        schedule.next(0.25 + RETRY_INTERVAL),
+        Action::Open(Slot::First, Request::FullList)
     );
 }
 
 #[rstest]
 #[case::half_of_the_grace(0.5, 0.25)]
-#[case::never_longer_than_a_call_may_hang(10.0, HUNG)]
-#[case::no_busy_loop(0.0, SHORTEST)]
-fn interval_of_a_drain_grace(#[case] drain_grace: f64, #[case] expected: f64) {
-    assert_eq!(interval(drain_grace), expected);
+#[case::never_longer_than_a_call_may_hang(10.0, HUNG_CALL_TIMEOUT)]
+#[case::no_busy_loop(0.0, MIN_INTERVAL)]
+fn call_interval_of_a_drain_grace(#[case] drain_grace: f64, #[case] expected: f64) {
+    assert_eq!(call_interval(drain_grace), expected);
 }
--- a/crates/router/woadreachd/tests/unit/version.rs
+++ b/crates/router/woadreachd/tests/unit/version.rs
@@ -1,15 +1,15 @@
-//! Which lists are taken: tables of versions, without a network.
+//! Which lists are accepted: tables of versions, without a network.
 
 use super::*;
 use crate::events::Lifecycle;
 use rstest::rstest;
 use std::net::SocketAddr;
 
-const HELD: u64 = 42;
+const CURRENT: u64 = 42;
 
-fn entry(id: &str, lifecycle: Lifecycle) -> Entry {
+fn entry(id: &str, lifecycle: Lifecycle) -> Endpoint {
     let address = SocketAddr::from(([127, 0, 0, 1], 8443));
-    Entry {
+    Endpoint {
         id: id.into(),
         address,
         zone: "z".into(),
@@ -19,98 +19,111 @@
     }
 }
 
-fn list(generation: u64, full: bool, entries: &[Entry]) -> List {
-    List {
+fn list(generation: u64, full: bool, entries: &[Endpoint]) -> EndpointList {
+    EndpointList {
         generation,
         full,
         entries: entries.to_vec(),
     }
 }
 
-/// Holds a whole list of two replicas that are ready.
-fn holding() -> Version {
-    let mut version = Version::new(None);
+/// Has a complete list of two replicas that are ready.
+fn with_full_list() -> ListVersion {
+    let mut version = ListVersion::new(None);
     let entries = [entry("a", Lifecycle::Ready), entry("b", Lifecycle::Ready)];
-    assert_eq!(version.judge(&list(HELD, true, &entries)), Judgement::Take);
+    assert_eq!(
+        version.check(&list(CURRENT, true, &entries)),
+        ListDecision::Accept
+    );
     version
 }
 
 #[rstest]
-#[case::next_change(HELD + 1, false, &[entry("a", Lifecycle::Draining)], Judgement::Take, HELD + 1)]
-#[case::later_list(HELD + 9, true, &[], Judgement::Take, HELD + 9)]
-#[case::nothing_new(HELD, false, &[], Judgement::Take, HELD)]
+#[case::next_change(CURRENT + 1, false, &[entry("a", Lifecycle::Draining)], ListDecision::Accept, CURRENT + 1)]
+#[case::later_list(CURRENT + 9, true, &[], ListDecision::Accept, CURRENT + 9)]
+#[case::nothing_new(CURRENT, false, &[], ListDecision::Accept, CURRENT)]
 #[case::the_same_in_another_order(
-    HELD, true, &[entry("b", Lifecycle::Ready), entry("a", Lifecycle::Ready)], Judgement::Take, HELD
+    CURRENT, true, &[entry("b", Lifecycle::Ready), entry("a", Lifecycle::Ready)], ListDecision::Accept, CURRENT
 )]
 #[case::the_same_version_drains_one(
-    HELD, true, &[entry("a", Lifecycle::Draining), entry("b", Lifecycle::Ready)],
-    Judgement::TakeOtherEntries, HELD
+    CURRENT, true, &[entry("a", Lifecycle::Draining), entry("b", Lifecycle::Ready)],
+    ListDecision::AcceptOtherEntries, CURRENT
 )]
 #[case::the_same_version_leaves_one_out(
-    HELD, true, &[entry("a", Lifecycle::Ready)], Judgement::TakeOtherEntries, HELD
+    CURRENT, true, &[entry("a", Lifecycle::Ready)], ListDecision::AcceptOtherEntries, CURRENT
 )]
 #[case::a_change_of_the_same_version(
-    HELD, false, &[entry("a", Lifecycle::Draining)], Judgement::TakeOtherEntries, HELD
+    CURRENT, false, &[entry("a", Lifecycle::Draining)], ListDecision::AcceptOtherEntries, CURRENT
 )]
-#[case::older_list(HELD - 1, true, &[entry("a", Lifecycle::Ready)], Judgement::IgnoreOlder, HELD)]
-#[case::older_change(HELD - 1, false, &[entry("a", Lifecycle::Ready)], Judgement::Lost, HELD)]
-fn judged(
+#[case::older_list(CURRENT - 1, true, &[entry("a", Lifecycle::Ready)], ListDecision::IgnoreOlder, CURRENT)]
+#[case::older_change(CURRENT - 1, false, &[entry("a", Lifecycle::Ready)], ListDecision::Lost, CURRENT)]
+fn decisions_by_version(
     #[case] generation: u64,
     #[case] full: bool,
-    #[case] entries: &[Entry],
-    #[case] expected: Judgement,
-    #[case] held: u64,
+    #[case] entries: &[Endpoint],
+    #[case] expected: ListDecision,
+    #[case] current: u64,
 ) {
-    let mut version = holding();
-    assert_eq!(version.judge(&list(generation, full, entries)), expected);
-    assert_eq!(version.generation(), Some(held));
+    let mut version = with_full_list();
+    assert_eq!(version.check(&list(generation, full, entries)), expected);
+    assert_eq!(version.generation(), Some(current));
 }
 
 /// Entries that came as changes are not compared: a whole list may leave out what drains.
 #[test]
-fn a_list_after_changes_is_taken() {
-    let mut version = holding();
-    version.judge(&list(HELD + 1, false, &[entry("a", Lifecycle::Draining)]));
-    let without = list(HELD + 1, true, &[entry("b", Lifecycle::Ready)]);
-    assert_eq!(version.judge(&without), Judgement::Take);
+fn a_list_after_changes_is_accepted() {
+    let mut version = with_full_list();
+    version.check(&list(
+        CURRENT + 1,
+        false,
+        &[entry("a", Lifecycle::Draining)],
+    ));
+    let without = list(CURRENT + 1, true, &[entry("b", Lifecycle::Ready)]);
+    assert_eq!(version.check(&without), ListDecision::Accept);
 }
 
 /// A list that was put together long ago comes once; the next one is what the agent has, also where its
 /// versions have begun anew.
 #[test]
 fn an_older_list_twice() {
-    let mut version = holding();
+    let mut version = with_full_list();
     let older = list(3, true, &[]);
-    assert_eq!(version.judge(&older), Judgement::IgnoreOlder);
-    assert_eq!(version.judge(&older), Judgement::TakeOlder);
+    assert_eq!(version.check(&older), ListDecision::IgnoreOlder);
+    assert_eq!(version.check(&older), ListDecision::AcceptOlder);
     assert_eq!(version.generation(), Some(3));
 }
 
 /// Anything that is taken in between ends the doubt.
 #[test]
 fn an_older_list_now_and_then() {
-    let mut version = holding();
+    let mut version = with_full_list();
     for _ in 0..3 {
-        assert_eq!(version.judge(&list(3, true, &[])), Judgement::IgnoreOlder);
-        assert_eq!(version.judge(&list(HELD, false, &[])), Judgement::Take);
+        assert_eq!(
+            version.check(&list(3, true, &[])),
+            ListDecision::IgnoreOlder
+        );
+        assert_eq!(
+            version.check(&list(CURRENT, false, &[])),
+            ListDecision::Accept
+        );
     }
 }
 
 /// After something that was lost or could not be read, the next whole list counts.
 #[rstest]
 #[case::unreadable(None)]
-#[case::an_older_change(Some(HELD - 1))]
-fn an_older_list_where_what_is_held_is_in_doubt(#[case] change: Option<u64>) {
-    let mut version = holding();
+#[case::an_older_change(Some(CURRENT - 1))]
+fn an_older_list_where_the_current_one_is_in_doubt(#[case] change: Option<u64>) {
+    let mut version = with_full_list();
     match change {
         Some(generation) => assert_eq!(
-            version.judge(&list(generation, false, &[])),
-            Judgement::Lost
+            version.check(&list(generation, false, &[])),
+            ListDecision::Lost
         ),
         None => version.doubt(),
     }
     assert_eq!(
-        version.judge(&list(HELD - 1, true, &[])),
-        Judgement::TakeOlder
+        version.check(&list(CURRENT - 1, true, &[])),
+        ListDecision::AcceptOlder
     );
 }
--- a/crates/testing/process-tests/src/tally.rs
+++ b/crates/testing/process-tests/src/tally.rs
@@ -131,7 +131,7 @@
     pub fn record(&mut self, at: f64, record: &Record) {
         let (at, fields) = (at - self.begun, &record.fields);
         match fields.get("message").and_then(Value::as_str) {
-            Some("verdict") => {
+            Some("zone ejected" | "zone restored") => {
                 let zone = fields.get("zone").and_then(Value::as_str);
                 let zone = zone.and_then(|z| z.trim_start_matches('z').parse().ok());
                 self.verdicts.push((
@@ -141,9 +141,9 @@
                     number(fields, "epoch"),
                 ));
             }
-            Some("act") => {
+            Some("role action performed") => {
                 let duty = fields
-                    .get("duty")
+                    .get("role")
                     .and_then(Value::as_str)
                     .unwrap_or("")
                     .to_string();
@@ -152,14 +152,17 @@
                 self.acts
                     .push((at, record.node, duty, number(fields, "epoch")));
             }
-            Some("duties") => {
+            Some("roles reported") => {
                 let start = self.starts.get(&record.node).copied().unwrap_or(0);
                 self.stale
                     .insert((record.node, start), number(fields, "stale"));
             }
-            Some("peers") => {
+            Some("membership reported") => {
                 let start = self.starts.get(&record.node).copied().unwrap_or(0);
-                let so_far = (number(fields, "sent"), number(fields, "bytes"));
+                let so_far = (
+                    number(fields, "datagrams_sent"),
+                    number(fields, "bytes_sent"),
+                );
                 self.traffic.insert((record.node, start), so_far);
             }
             _ => {}
--- a/crates/testing/simulation/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -805,12 +805,14 @@
 }
 
 impl Future for SimJoined {
-    type Output = Result<(), String>;
+    type Output = Result<(), woadreach_runtime::TaskError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         Pin::new(&mut self.outcome)
             .poll(cx)
-            .map_err(|_| "the task has panicked".to_string())
+            .map_err(|_| woadreach_runtime::TaskError {
+                reason: "the task has panicked".to_string(),
+            })
     }
 }
 
