--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -17,8 +17,8 @@
 use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Replica, Retry};
 use woadreach_invariants::{NodeId, What};
 use woadreach_runtime::{Net, Tokio};
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::Environment;
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 
 /// Before the first search: co-ordinators listen and have their list.
 const BEFORE: f64 = 0.5;
@@ -93,31 +93,37 @@
             peers: Vec::new(),
         };
         let text = configuration(script, n, &places, seed, &agent.known());
-        let given = Given {
+        let given = ConfigSource {
             path: format!("n{n}"),
             text,
             listen: None,
             discovery: None,
         };
-        let config = config::read(First::Environment, &given).map_err(std::io::Error::other)?;
+        let config =
+            config::read(AddressPrecedence::Environment, &given).map_err(std::io::Error::other)?;
         // Kept by the task, so that neither signal ever comes.
         let ((hold, hangup), (hold_too, term)) =
             (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        let given = Box::new(|| Err("nothing is given anew".to_string()));
+        let given = Box::new(|| {
+            Err(ConfigError::VariableNotSet {
+                variable: "PROXY_CONFIG",
+            })
+        });
         let (report, verdict) = (Box::new(|_: &_| {}), Box::new(|_: &_| {}));
-        let outside = Outside {
-            hangup,
-            term,
-            given,
-            report,
-            verdict,
+        let environment = Environment {
+            sighup: hangup,
+            sigterm: term,
+            read_source: given,
+            on_usage: report,
+            on_verdict: verdict,
         };
         let node = NodeId(n);
         recorder.tell(What::NodeStarted { node });
         let tell = recorder.clone();
         drop(net.spawn(async move {
             let _held = (hold, hold_too);
-            if let Err(why) = woadreachd::serve(net, config, outside).await {
+            if let Err(why) = woadreachd::serve(net, config, environment).await {
+                let why = why.to_string();
                 tell.tell(What::Panicked { node, why });
             }
         }));
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -366,7 +366,13 @@
             .filter(|(_, n)| n.process.get().is_some())
         {
             let h = node.held.get();
-            let quiet = (h.searches, h.parts, h.out, h.clients, h.bytes) == (0, 0, 0, 0, 0);
+            let quiet = (
+                h.searches,
+                h.parts,
+                h.attempts,
+                h.client_sockets,
+                h.request_bytes,
+            ) == (0, 0, 0, 0, 0);
             if !quiet {
                 let why = format!("all is quiet, and it holds {h:?}");
                 self.recorder.tell(What::Kept {
--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -11,8 +11,8 @@
 use tokio::sync::mpsc;
 use woadreach_invariants::{NodeId, What};
 use woadreach_runtime::Net;
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::Environment;
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 use woadreachd::events::Usage;
 
 impl World {
@@ -37,7 +37,9 @@
             move || {
                 world
                     .upgrade()
-                    .ok_or("the world is over".to_string())
+                    .ok_or(ConfigError::VariableNotSet {
+                        variable: "PROXY_CONFIG",
+                    })
                     .map(|w| w.given(n, seed))
             }
         };
@@ -71,19 +73,21 @@
         let world = self.clone();
         let run = net.clone();
         drop(net.spawn(async move {
-            let ended = match given().and_then(|g| config::read(First::Environment, &g)) {
+            let ended = match given().and_then(|g| config::read(AddressPrecedence::Environment, &g))
+            {
                 Ok(config) => {
                     let given = Box::new(given);
-                    let outside = Outside {
-                        hangup: hangups,
-                        term: terms,
-                        given,
-                        report,
-                        verdict,
+                    let environment = Environment {
+                        sighup: hangups,
+                        sigterm: terms,
+                        read_source: given,
+                        on_usage: report,
+                        on_verdict: verdict,
                     };
-                    woadreachd::serve(run.clone(), config, outside).await
+                    let served = woadreachd::serve(run.clone(), config, environment).await;
+                    served.map_err(|error| error.to_string())
                 }
-                Err(why) => Err(why),
+                Err(error) => Err(error.to_string()),
             };
             let node = NodeId(n);
             match ended {
@@ -108,7 +112,7 @@
             });
     }
 
-    pub(super) fn given(&self, n: usize, seed: u64) -> Given {
+    pub(super) fn given(&self, n: usize, seed: u64) -> ConfigSource {
         let node = &self.nodes[n];
         let discovery = address(node.agent_process.get(), DISCOVERY_PORT);
         let at = |node: &Node| SocketAddr::new(node.address.ip(), PEERS_PORT);
@@ -119,7 +123,7 @@
             peers: self.nodes.iter().map(at).collect(),
         };
         let text = configuration(&self.script, n, &places, seed, &node.agent.known());
-        Given {
+        ConfigSource {
             path: format!("n{n}"),
             text,
             listen: None,
