--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -151,7 +151,7 @@
             weight,
             step,
             answered: false,
-            held: None,
+            queued_at: None,
             attempts: Vec::new(),
         });
         self.by_part.insert(id, search);
--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -37,25 +37,29 @@
 /// What the configuration says.
 pub struct Config {
     /// Address for clients.
-    pub(crate) listen: SocketAddr,
+    pub listen: SocketAddr,
     /// Address of discovery.
-    pub(crate) discovery: String,
+    pub discovery: String,
     /// Seconds between calls of discovery while none is answered.
-    pub(crate) discovery_interval: f64,
+    pub discovery_interval: f64,
     /// Most descriptors.
-    pub(crate) sockets: usize,
+    pub sockets: usize,
     /// The replicas that are known at the start.
-    pub(crate) known: Option<EndpointList>,
-    pub(crate) settings: Settings,
-    pub(crate) names: RequestNames,
-    pub(crate) core: CoreConfig,
-    pub(crate) replicas: ConnectionConfig,
+    pub known: Option<EndpointList>,
+    /// Parameters of the routing decisions.
+    pub settings: Settings,
+    /// The names that requests speak of.
+    pub names: RequestNames,
+    /// Parameters of the core task.
+    pub core: CoreConfig,
+    /// Parameters of connections to replicas.
+    pub replicas: ConnectionConfig,
     /// Settings of another deployment to compare decisions with (`settings.watch`).
-    pub(crate) watch: Option<ProposedLimits>,
+    pub watch: Option<ProposedLimits>,
     /// The other co-ordinators; `None` where they are not allowed or not configured.
-    pub(crate) peers: Option<PeerConfig>,
-    /// The file as it was read, without [`KEYS_READ_ONCE`].
-    pub(crate) file: Value,
+    pub peers: Option<PeerConfig>,
+    /// The file as it was read, without the keys that are of use once only.
+    pub file: Value,
 }
 
 /// Where both the environment and the file state an address, which one counts.
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -20,7 +20,7 @@
 mod timers;
 mod usage_report;
 
-pub(crate) use config::CoreConfig;
+pub use config::CoreConfig;
 pub(crate) use observations::ObservationSender;
 
 use crate::events::{EndpointList, EndpointReports, Event, Usage};
--- a/crates/router/woadreachd/src/core/observations.rs
+++ b/crates/router/woadreachd/src/core/observations.rs
@@ -81,7 +81,7 @@
             if let Some(observation) = observations.get_mut(health.zone.0 as usize) {
                 *observation = ZoneObservation {
                     seen: health.seen as u32,
-                    bad: health.bad as u32,
+                    bad: health.failed as u32,
                     capacity: health.capacity,
                 };
             }
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -141,9 +141,12 @@
 
 /// State of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Lifecycle {
+pub enum Lifecycle {
+    /// It takes attempts.
     Ready,
+    /// It takes no new attempts and finishes those in flight.
     Draining,
+    /// It is not there any more.
     Departed,
 }
 
@@ -160,21 +163,28 @@
 
 /// A replica as an endpoint list names it.
 #[derive(Clone, Debug)]
-pub(crate) struct Endpoint {
-    pub(crate) id: String,
-    pub(crate) address: SocketAddr,
-    pub(crate) zone: String,
-    pub(crate) cell: u64,
-    pub(crate) lifecycle: Lifecycle,
+pub struct Endpoint {
+    /// The replica's name.
+    pub id: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The name of its zone.
+    pub zone: String,
+    /// Its shard group.
+    pub cell: u64,
+    /// Its state.
+    pub lifecycle: Lifecycle,
     /// Unix seconds of the last start; 0 for long ago.
-    pub(crate) started_at: f64,
+    pub started_at: f64,
 }
 
 /// An endpoint list of discovery, complete or the changes after an earlier one.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    pub(crate) generation: u64,
+    /// The list's version, which ascends.
+    pub generation: u64,
     /// Whether the list is complete: replicas that it does not name have departed.
-    pub(crate) full: bool,
-    pub(crate) entries: Vec<Endpoint>,
+    pub full: bool,
+    /// The replicas that it names.
+    pub entries: Vec<Endpoint>,
 }
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -41,14 +41,15 @@
 const ACCEPT_RETRY_INTERVAL: f64 = 0.02;
 
 /// The names that the settings give to what requests speak of.
-pub(crate) struct RequestNames {
-    /// In the order of their numbers, as are the tenants.
-    pub(crate) query_types: Vec<String>,
-    pub(crate) tenants: Vec<String>,
+pub struct RequestNames {
+    /// Names of the query types, in the order of their numbers.
+    pub query_types: Vec<String>,
+    /// Names of the tenants, in the order of their numbers.
+    pub tenants: Vec<String>,
     /// Number of shards.
-    pub(crate) shards: u64,
+    pub shards: u64,
     /// Whether clients mark retries.
-    pub(crate) marks_retries: bool,
+    pub marks_retries: bool,
 }
 
 /// The front. See the module's documentation.
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -26,8 +26,10 @@
 mod shutdown;
 mod sockets;
 
-pub use crate::core::UsageCallback;
+pub use crate::core::{CoreConfig, UsageCallback};
 pub use discovery::parse_list;
 pub use error::ServeError;
-pub use peers::VerdictCallback;
+pub use front::RequestNames;
+pub use peers::{PeerConfig, SlowStartSplit, VerdictCallback};
+pub use replicas::ConnectionConfig;
 pub use server::{Environment, ReadSource, serve};
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -12,7 +12,7 @@
 mod roles;
 mod zone_failover;
 
-pub(crate) use config::{PeerConfig, SlowStartSplit};
+pub use config::{PeerConfig, SlowStartSplit};
 
 use crate::events::{EndpointReport, Events};
 use crate::front::Phase;
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -15,7 +15,7 @@
 mod pooled_connection;
 mod write_queue;
 
-pub(crate) use config::ConnectionConfig;
+pub use config::ConnectionConfig;
 pub(crate) use write_queue::{LastWrite, QueuedAttempt};
 
 use crate::events::{AttemptId, ConnectionId, Endpoint, EndpointList, Events, Lifecycle};
--- a/crates/router/woadreachd/src/replicas/config.rs
+++ b/crates/router/woadreachd/src/replicas/config.rs
@@ -1,17 +1,17 @@
 //! Parameters of connections to replicas.
 
 /// Limits of connections to replicas, from the settings.
-pub(crate) struct ConnectionConfig {
+pub struct ConnectionConfig {
     /// Most attempts in flight on one connection.
-    pub(crate) max_attempts: usize,
+    pub max_attempts: usize,
     /// Most parts in one call.
-    pub(crate) max_parts_per_call: usize,
+    pub max_parts_per_call: usize,
     /// Seconds after which a replica closes a connection without traffic.
-    pub(crate) idle_timeout: f64,
+    pub idle_timeout: f64,
     /// Seconds that a connection may take to come up; also the longest that a message may be on its way.
-    pub(crate) connect_timeout: f64,
+    pub connect_timeout: f64,
     /// Whether attempts in flight may be cancelled.
-    pub(crate) cancellation_allowed: bool,
+    pub cancellation_allowed: bool,
 }
 
 impl ConnectionConfig {
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -1,4 +1,4 @@
-//! Copying from other members what a machine should hold.
+//! Copying the records that a machine should hold from other members.
 //!
 //! A machine of `next` pulls from the members of `current`, page by page: digests first, then the records of
 //! the programs whose digests differ. A source that serves a page has sealed the epoch, so no write under an
@@ -11,8 +11,8 @@
 use crate::store::Store;
 use crate::view::{StorageMember, StorageView};
 
-/// Programs asked for in one message.
-const FETCH_AT_ONCE: usize = 64;
+/// Upper bound of the programs requested in one message.
+const MAX_PROGRAMS_PER_FETCH: usize = 64;
 
 /// Progress of one pull from all sources of an epoch.
 #[derive(Debug, Clone)]
@@ -20,9 +20,9 @@
     epoch: u64,
     sources: Vec<StorageMember>,
     finished: Vec<u64>,
-    may_miss: usize,
-    /// A group has at most one machine of each zone.
-    zones_differ: bool,
+    max_missing: usize,
+    /// Whether a group has at most one machine of each zone.
+    has_distinct_zones: bool,
 }
 
 impl Pull {
@@ -30,7 +30,7 @@
     #[must_use]
     pub fn new(view: &StorageView, own: u64, tolerated: usize) -> Pull {
         let size = group_size(view.current.len(), tolerated);
-        let may_miss = write_quorum(size, tolerated).min(size).saturating_sub(1);
+        let max_missing = write_quorum(size, tolerated).min(size).saturating_sub(1);
         let finished = if view.is_current(own) {
             vec![own]
         } else {
@@ -41,53 +41,53 @@
             .iter()
             .map(|member| member.zone.as_str())
             .collect();
-        let zones_differ = zones.len() >= size;
+        let has_distinct_zones = zones.len() >= size;
         Pull {
             epoch: view.epoch,
             sources: view.current.clone(),
             finished,
-            may_miss,
-            zones_differ,
+            max_missing,
+            has_distinct_zones,
         }
     }
 
-    /// Epoch that is pulled for.
+    /// Joint epoch of the pull.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Everything of one source is synced here.
-    pub fn finished(&mut self, disk: u64) {
+    /// Records that everything of one source is synced.
+    pub fn record_finished(&mut self, disk: u64) {
         let is_source = self.sources.iter().any(|source| source.disk == disk);
         if is_source && !self.finished.contains(&disk) {
             self.finished.push(disk);
         }
     }
 
-    /// Whether a source is done.
+    /// Whether everything of a source is synced.
     #[must_use]
     pub fn has_finished(&self, disk: u64) -> bool {
         self.finished.contains(&disk)
     }
 
-    /// Whether so many sources are done that every acknowledged write was met: of no group are more missing
-    /// than a read may miss.
+    /// Whether every acknowledged write is included: no group has more unfinished sources than a read quorum may
+    /// leave out.
     #[must_use]
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let missing = self
             .sources
             .iter()
             .filter(|source| !self.finished.contains(&source.disk));
-        if self.zones_differ {
+        if self.has_distinct_zones {
             let zones: BTreeSet<&str> = missing.map(|source| source.zone.as_str()).collect();
-            return zones.len() <= self.may_miss;
+            return zones.len() <= self.max_missing;
         }
-        missing.count() <= self.may_miss
+        missing.count() <= self.max_missing
     }
 }
 
-/// Pages from one source.
+/// Progress through the pages of one source.
 #[derive(Debug, Clone, Default)]
 pub struct Pages {
     after: Option<String>,
@@ -96,11 +96,16 @@
 }
 
 impl Pages {
-    /// The next request; `None` once everything has been asked for.
+    /// The next request; `None` once everything was requested.
     #[must_use]
-    pub fn next(&self, node: &str) -> Option<Operation> {
+    pub fn next_request(&self, node: &str) -> Option<Operation> {
         if !self.to_fetch.is_empty() {
-            let programs = self.to_fetch.iter().take(FETCH_AT_ONCE).cloned().collect();
+            let programs = self
+                .to_fetch
+                .iter()
+                .take(MAX_PROGRAMS_PER_FETCH)
+                .cloned()
+                .collect();
             return Some(Operation::Fetch { programs });
         }
         (!self.last_page).then(|| Operation::Digests {
@@ -109,8 +114,9 @@
         })
     }
 
-    /// Takes the answer to [`Pages::next`]; gives the records to be merged. `None` if it is another answer.
-    pub fn answered(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
+    /// Takes the answer to [`Pages::next_request`] and returns the records to merge; `None` if the answer does not fit
+    /// the request.
+    pub fn accept_answer(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
         match answer {
             Answer::DigestPage { digests, more } => {
                 self.last_page = !more;
