--- a/crates/router/runtime/src/lib.rs
+++ b/crates/router/runtime/src/lib.rs
@@ -162,7 +162,7 @@
     /// As [`Stream::waited`].
     fn waited(&self) -> f64;
 
-    /// The same of the byte that is so many before the last one read, where the system reports it apart.
+    /// The same of the byte `behind` bytes before the last one read, where the system reports it separately.
     fn waited_for(&self, behind: usize) -> f64 {
         let _ = behind;
         self.waited()
--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration, read and checked as a whole: at the start, and at each SIGHUP (see [`reload`]).
+//! The configuration, read and checked as a whole: at the start, and at each SIGHUP (see `config/reload.rs`).
 
 mod error;
 mod fields;
--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -79,7 +79,7 @@
 }
 
 /// The own index in the roster and the own zone. A process that does not know them, or whose zone is not
-/// named, speaks with nobody.
+/// named, does not contact peers.
 fn own_position(fields: Fields<'_>, roster: usize, zones: usize) -> Option<(usize, usize)> {
     let number = |key: &str| Some(fields.settings.get(key)?.as_u64()? as usize);
     let (index, zone) = (number("me")?, number("zone")?);
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -9,7 +9,7 @@
 //! - [`executor`]: carries out the plans of the routing decisions.
 //! - [`timers`]: the timers and their order.
 //! - [`endpoint_updates`]: endpoint lists and what other co-ordinators say of endpoints.
-//! - [`observations`]: what the peers are told of zones and of warming replicas.
+//! - [`observations`]: what the peers receive about zones and warming replicas.
 //! - [`usage_report`]: the periodic report of what is in memory.
 
 mod config;
@@ -43,8 +43,8 @@
 
 /// Seconds after which a process without an endpoint list reports that it is ready, and sheds all searches.
 ///
-/// Prevents that a process which starts while discovery is down never lets clients in, so that nobody tells
-/// them when to come back. Operators count one that is not ready after 10 s as failed; two seconds remain
+/// Prevents that a process which starts while discovery is down never lets clients in: a shed reply states
+/// when to come back, a refused connection does not. Operators count one that is not ready after 10 s as failed; two seconds remain
 /// for their check. Cost: a client that another process could have served asks twice.
 const FIRST_LIST_TIMEOUT: f64 = 8.0;
 
--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -10,7 +10,7 @@
 use woadreach_routing::api::{CellId, Listed, ReplicaId, ZoneId};
 use woadreach_runtime::Net;
 
-/// The endpoints that this process's own list names, kept where peers are told of them.
+/// The endpoints that this process's own list names, recorded where they are reported to peers.
 #[derive(Default)]
 pub(super) struct EndpointState {
     reports: Option<EndpointReports>,
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -163,7 +163,7 @@
             self.delayed_answers.insert(search.id, delayed);
             return self.timers.insert(due, Timer::Answer(search.id));
         }
-        // Fails if the client has disconnected meanwhile: then nobody waits for it.
+        // Fails if the client has disconnected meanwhile, which is fine.
         let _ = request.reply.send(answer);
     }
 
--- a/crates/router/woadreachd/src/core/observations.rs
+++ b/crates/router/woadreachd/src/core/observations.rs
@@ -1,4 +1,4 @@
-//! What the peers are told of this process's view: the health of zones and the demand for warming replicas.
+//! What the peers receive of this process's view: the health of zones and the demand for warming replicas.
 
 use super::Core;
 use super::timers::Timer;
@@ -27,7 +27,7 @@
 }
 
 impl ObservationSender {
-    /// Sends observations of so many zones, in the settings' order.
+    /// Sends observations of the first `zones` zones, in the settings' order.
     pub(crate) fn new(zones: usize, sender: watch::Sender<ZoneObservations>) -> Self {
         ObservationSender {
             zones,
--- a/crates/router/woadreachd/src/frame.rs
+++ b/crates/router/woadreachd/src/frame.rs
@@ -1,6 +1,6 @@
 //! The frames that replicas and co-ordinators exchange, as pure functions over bytes: a length of four bytes,
-//! little endian, a letter, and a body. Nothing here does I/O, or allocates by a length that a frame merely
-//! claims.
+//! little endian, a letter, and a body. Nothing here does I/O, or allocates by a
+//! length that a frame states.
 
 use snafu::Snafu;
 use std::str::from_utf8;
--- a/crates/router/woadreachd/src/front/idle.rs
+++ b/crates/router/woadreachd/src/front/idle.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A client that has a request sends it as it connects: one that has sent nothing for so many seconds may
+/// Seconds in which a client that has a request should have sent it: one that has sent nothing by then may
 /// never send any.
 const FIRST_REQUEST_TIMEOUT: f64 = 0.25;
 
--- a/crates/router/woadreachd/src/json.rs
+++ b/crates/router/woadreachd/src/json.rs
@@ -1,5 +1,5 @@
 //! A pull parser of JSON over bytes (RFC 8259): it takes the values asked for by slice and skips the rest. It
-//! never recurses beyond [`MAX_DEPTH`], nor allocates by a length that the text merely claims.
+//! never recurses beyond 32 levels, nor allocates by a length that the text merely claims.
 
 use snafu::Snafu;
 use std::borrow::Cow;
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! [`serve`] starts the tasks that do the work, and ends them at SIGTERM. A search passes through them thus:
 //!
-//! 1. [`front`] reads a client's request (with [`http`] and [`json`]) and sends it to the core.
-//! 2. [`core`](mod@core) has the routing decisions place its parts, and owns all timers.
-//! 3. [`replicas`] sends the parts as [`frame`]s and reports how each attempt ends.
+//! 1. `front` reads a client's request (with [`http`] and [`json`]) and sends it to the core.
+//! 2. `core` has the routing decisions place its parts, and owns all timers.
+//! 3. `replicas` sends the parts as [`frame`]s and reports how each attempt ends.
 //! 4. The core sends the final answer back to the front.
 //!
-//! [`discovery`] keeps the endpoint list, [`peers`] speaks with the other co-ordinators, [`config`] reads the
-//! settings, [`sockets`] is the budget of descriptors that all share, and [`events`] are the messages between
+//! `discovery` keeps the endpoint list, `peers` speaks with the other co-ordinators, [`config`] reads the
+//! settings, `sockets` is the budget of descriptors that all share, and [`events`] are the messages between
 //! tasks.
 
 pub mod config;
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -120,10 +120,10 @@
 
 /// The demand since the last observation.
 fn local_demand(demand: &WarmingDemand, last: WarmingShare) -> LocalDemand {
-    let wants = demand.total.saturating_sub(last.demand);
+    let new = demand.total.saturating_sub(last.demand);
     LocalDemand {
         replica: demand.replica,
-        wants: wants.min(u64::from(u32::MAX)) as u32,
+        wants: new.min(u64::from(u32::MAX)) as u32,
         sent: demand.sent,
     }
 }
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -90,7 +90,7 @@
 /// Waits until the connection is to end, and then for as long as what waits on it may take to be written.
 ///
 /// Prevents that a machine which reads nothing keeps the connection's descriptor for good. Cost: messages to
-/// a slow machine are lost, all of which cancel attempts that nobody waits for.
+/// a slow machine are lost, all of which only cancel attempts that were given up.
 async fn closed(net: &impl Net, queue: &WriteQueue, timeout: f64) -> Result<(), ConnectionError> {
     queue.closed().await;
     if queue.closing() < Closing::Abort {
--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -141,7 +141,7 @@
     /// Encodes a call at the time at which it leaves; `None` if no attempt of it is in time.
     ///
     /// Prevents that a process which was held up, or whose replica is slow to read, writes attempts after
-    /// their time. It costs nothing: nobody waits for them.
+    /// their time. It costs nothing: they were given up.
     pub(super) fn begin_call(&self, attempts: Vec<QueuedAttempt>, now: f64) -> Option<Vec<u8>> {
         let (attempts, expired): (Vec<_>, Vec<_>) =
             attempts.into_iter().partition(|a| a.is_in_time(now));
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, ObservationSender, UsageCallback};
 use crate::discovery::{self, DiscoveryConfig};
 use crate::error::{CoreEndedSnafu, FrontSnafu, ListenSnafu, LocalAddressSnafu, ServeError};
-use crate::events::{EndpointList, Events};
+use crate::events::{EndpointList, EndpointLists, Events};
 use crate::front::{Front, Phase, RequestNames};
 use crate::peers::{self, PeerChannels, PeerConfig, VerdictCallback, ZoneObservations};
 use crate::replicas::{ConnectionConfig, Replicas};
@@ -84,7 +84,7 @@
         () = shutdown.run(&net, &phase) => {}
     }
     // Prevents that peers take seconds to find out that a process without searches in flight has ended: it
-    // tells them, and waits for nobody.
+    // notifies them, and waits for no response.
     let _ = phase.send(Phase::Ending);
     if let Some(peers) = tasks.peers {
         drop(peers.await);
@@ -140,14 +140,7 @@
         known_generation,
         call_interval: config.discovery_interval,
     };
-    let sockets = shared.sockets.clone();
-    drop(net.spawn(discovery::follow(
-        net.clone(),
-        addresses,
-        discovery,
-        sockets,
-        lists,
-    )));
+    shared.start_discovery(addresses, discovery, lists);
     let (sighup, read_source) = (environment.sighup, environment.read_source);
     drop(net.spawn(config::reload(sighup, read_source, config.file, address)));
     let front = net.spawn(front.serve(listener));
@@ -171,6 +164,18 @@
         Front::new(names, net, sockets, events, phases)
     }
 
+    /// Starts the client of discovery, which runs for as long as the process.
+    fn start_discovery(
+        &self,
+        addresses: watch::Receiver<String>,
+        config: DiscoveryConfig,
+        lists: EndpointLists,
+    ) {
+        let sockets = self.sockets.clone();
+        let task = discovery::follow(self.net.clone(), addresses, config, sockets, lists);
+        drop(self.net.spawn(task));
+    }
+
     /// Starts the task that speaks with peers, and connects it to the core.
     fn start_peers(
         &self,
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -97,7 +97,7 @@
         self.0.limit - self.0.client_limit()
     }
 
-    /// Whether clients hold so many that responses should end their connections.
+    /// Whether clients have so many descriptors that responses should end their connections.
     ///
     /// LATER: for requests, clients hold at most a third of the descriptors, and stop asking there. From a
     /// quarter on their connections are better ended with their answers.
--- /dev/null
+++ b/crates/router/woadreachd/tests/daemon/main.rs
@@ -0,0 +1,11 @@
+//! The built program, spoken to over sockets: clients, replicas and discovery are fakes on loopback.
+
+#[path = "../../../../routing/tests/common/mod.rs"]
+mod common;
+#[path = "../scene/mod.rs"]
+mod scene;
+
+mod clients;
+mod process;
+mod replicas;
+mod searches;
--- a/crates/router/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -4,9 +4,12 @@
 #[path = "../../../routing/tests/common/mod.rs"]
 mod common;
 mod scene;
-use common::*;
+use common::{StandIn, Wire, list, parts, request};
 use rstest::rstest;
-use scene::*;
+use scene::{
+    Scene, answer_body, config, fill, reset, respond, row, scene, scene_with, send_line, start,
+    watch, watch_from,
+};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
@@ -94,10 +97,10 @@
 
 /// A watch may be silent from its first moment; so may the one that follows it.
 #[test]
-fn a_silent_watch_is_replaced_by_a_full_list() {
+fn a_watch_that_timed_out_is_replaced_by_a_full_list() {
     let mut s = scene();
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
-    let _silent = watch(&s.discovery, &lines);
+    let _watch = watch(&s.discovery, &lines);
     let start = Instant::now();
     let mut call = s.discovery.accept();
     assert!(
@@ -182,7 +185,7 @@
     let start = Instant::now();
     s.program.signal("-HUP");
     watch(&next, &[s.a.line("a", 0, "ready")]);
-    // What comes from the old place now is nobody's.
+    // The call to the old address is closed.
     assert!(hung.ended());
     assert!(
         start.elapsed() < Duration::from_secs(4),
@@ -340,7 +343,7 @@
 
 // ---- attempts that may not begin any more ----
 
-/// A part that may have run is sent again within the window in which repeats are told apart, or not at all:
+/// A part that may have run is retried within the window in which replicas recognize retries, or not at all:
 /// the connection for it comes up after that.
 #[test]
 fn a_repeat_that_waits_past_its_window_does_not_leave() {
--- a/crates/router/woadreachd/tests/scene/mod.rs
+++ b/crates/router/woadreachd/tests/scene/mod.rs
@@ -1,9 +1,8 @@
-//! A co-ordinator between two replicas and discovery, all played by the test: for the tests that start the
-//! program.
+//! A co-ordinator between two replicas and discovery, all of them fakes: for the tests that start the program.
 
 #![allow(dead_code)]
 
-use crate::common::*;
+use crate::common::{PATIENCE, Program, StandIn, Wire, entry, list};
 use std::net::SocketAddr;
 use std::time::Instant;
 
--- a/crates/router/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -46,7 +46,7 @@
 #[rstest]
 #[case::cancelled(false, Ending::Cancelled)]
 #[case::timed_out(true, Ending::NeverSent)]
-fn given_up_before_it_leaves(#[case] timed_out: bool, #[case] ending: Ending) {
+fn abandoned_before_it_leaves(#[case] timed_out: bool, #[case] ending: Ending) {
     let (events, _queue) = tokio::sync::mpsc::unbounded_channel();
     let mut replicas = Replicas::new(config(), Tokio::new(), Sockets::new(64), events);
     let list = EndpointList {
