--- a/crates/cli/src/faults/script.rs
+++ b/crates/cli/src/faults/script.rs
@@ -4,7 +4,7 @@
 use snafu::ResultExt;
 use std::ops::Range;
 use std::path::Path;
-use woadreach_simulation::{Kind, Script};
+use woadreach_simulation::{FaultKind, Script};
 
 /// Reads a range of seeds, `A..B`.
 pub(super) fn seeds(text: &str) -> Result<Range<u64>, InvalidArgument> {
@@ -22,10 +22,10 @@
 
 /// Reads the name of a kind of fault.
 pub(super) fn kind(text: &str) -> Result<String, InvalidArgument> {
-    if Kind::NAMES.contains(&text) {
+    if FaultKind::NAMES.contains(&text) {
         Ok(text.to_string())
     } else {
-        let names = Kind::NAMES.join(", ");
+        let names = FaultKind::NAMES.join(", ");
         Err(InvalidArgument(format!("no such kind; there are {names}")))
     }
 }
--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -5,10 +5,11 @@
 
 use super::error::{ConfigError, InvalidPeerAddressSnafu, RegionNotTextSnafu, UnknownZoneSnafu};
 use super::fields::{Fields, texts};
-use crate::peers::{PeerConfig, SlowStartSplit};
+use crate::peers::PeerConfig;
 use serde_json::Value;
 use snafu::OptionExt;
 use std::net::SocketAddr;
+use woadreach_lease::SlowStartSplit;
 
 /// `None` where peers are not allowed, not configured, or this process does not know its own index or zone.
 pub(super) fn read_peers(fields: Fields<'_>, seed: u64) -> Result<Option<PeerConfig>, ConfigError> {
@@ -91,7 +92,7 @@
     fields.number("/guarantees/tipMultiple")?;
     let coordinators = fields.number("/siblings").unwrap_or(1.0).max(1.0);
     Some(SlowStartSplit {
-        coordinators: coordinators as usize,
+        member_count: coordinators as usize,
         window: fields.seconds("/guarantees/tipAfterMs")?,
     })
 }
--- a/crates/router/woadreachd/src/core/observations.rs
+++ b/crates/router/woadreachd/src/core/observations.rs
@@ -62,7 +62,7 @@
         let fault = observations
             .zones
             .iter()
-            .any(|z| z.bad > 0 && z.bad * 2 >= z.seen);
+            .any(|z| z.failed > 0 && z.failed * 2 >= z.seen);
         if let Some(sender) = &self.observation_sender {
             // Nobody receives it after the end.
             let _ = sender.sender.send(observations);
@@ -81,7 +81,7 @@
             if let Some(observation) = observations.get_mut(health.zone.0 as usize) {
                 *observation = ZoneObservation {
                     seen: health.seen as u32,
-                    bad: health.failed as u32,
+                    failed: health.failed as u32,
                     capacity: health.capacity,
                 };
             }
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -30,6 +30,6 @@
 pub use discovery::parse_list;
 pub use error::ServeError;
 pub use front::RequestNames;
-pub use peers::{PeerConfig, SlowStartSplit, VerdictCallback};
+pub use peers::{PeerConfig, VerdictCallback};
 pub use replicas::ConnectionConfig;
 pub use server::{Environment, ReadSource, serve};
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -12,7 +12,7 @@
 mod roles;
 mod zone_failover;
 
-pub use config::{PeerConfig, SlowStartSplit};
+pub use config::PeerConfig;
 
 use crate::events::{EndpointReport, Events};
 use crate::front::Phase;
@@ -27,7 +27,9 @@
 };
 use woadreach_routing::api::ZoneFailoverState;
 use woadreach_runtime::{Datagrams, Net};
-use woadreach_zone_failover::{Out, Peer, Turn, ZoneFailoverConfig, ZoneObservation, Zones};
+use woadreach_zone_failover::{
+    Peer, PeerActions, VerdictChange, ZoneFailoverConfig, ZoneObservation, Zones,
+};
 use zone_failover::AttemptRate;
 
 /// What the core observes of zones and of warming replicas.
@@ -51,7 +53,7 @@
 }
 
 /// Receives each new verdict on a zone.
-pub type VerdictCallback = Box<dyn Fn(&Turn)>;
+pub type VerdictCallback = Box<dyn Fn(&VerdictChange)>;
 
 /// The task's inputs from other tasks, and where its results go.
 pub(crate) struct PeerChannels {
@@ -202,38 +204,38 @@
         self.attempt_rate.record(now, observed.attempts_sent);
         self.update_roles(now, observed);
         let demand = self.attempt_rate.per_second;
-        let out = self.peer.see(now, &observed.zones, demand);
+        let out = self.peer.update(now, &observed.zones, demand);
         self.perform(out);
         self.publish_zone_failover(now);
     }
 
     fn datagram_received(&mut self, bytes: &[u8], from: SocketAddr) {
         let from = self.by_address.get(&from).copied();
-        let out = self.peer.heard(self.net.now(), from, bytes);
+        let out = self.peer.receive(self.net.now(), from, bytes);
         self.perform(out);
     }
 
     /// Carries out what membership and verdicts ask for.
-    fn perform(&mut self, out: Out) {
-        for (to, bytes) in &out.datagrams {
-            if let Some(address) = self.config.roster.get(usize::from(to.0))
-                && let Err(error) = self.socket.send(bytes, *address)
+    fn perform(&mut self, actions: PeerActions) {
+        for datagram in &actions.datagrams {
+            if let Some(address) = self.config.roster.get(usize::from(datagram.to.0))
+                && let Err(error) = self.socket.send(&datagram.bytes, *address)
             {
                 debug!(%address, %error, "sending a datagram failed");
             }
         }
-        for event in &out.changes {
+        for event in &actions.membership_events {
             self.log_membership_event(event);
         }
-        for turn in &out.turns {
-            (self.on_verdict)(turn);
-            self.log_verdict(turn);
+        for change in &actions.verdict_changes {
+            (self.on_verdict)(change);
+            self.log_verdict(change);
         }
-        if let (Some((from, bytes)), Some(roles)) = (&out.roles, &mut self.roles) {
-            let actions = roles.heard(self.net.now(), *from, bytes);
+        if let (Some(received), Some(roles)) = (&actions.roles, &mut self.roles) {
+            let actions = roles.receive(self.net.now(), received.from, &received.bytes);
             self.perform_role_actions(actions);
         }
-        if !out.turns.is_empty() {
+        if !actions.verdict_changes.is_empty() {
             self.publish_zone_failover(self.net.now());
         }
     }
@@ -254,35 +256,35 @@
         }
     }
 
-    fn log_verdict(&self, turn: &Turn) {
-        let zone = self.config.zones.get(usize::from(turn.zone));
+    fn log_verdict(&self, change: &VerdictChange) {
+        let zone = self.config.zones.get(usize::from(change.zone));
         let zone = zone.map_or("", String::as_str);
-        let (verdict, seen, bad) = (turn.verdict, turn.seen, turn.bad);
+        let (verdict, seen, failed) = (change.verdict, change.seen, change.failed);
         let (epoch, consecutive_failovers) = (verdict.epoch, verdict.consecutive_failovers);
-        if verdict.out() {
+        if verdict.is_out() {
             warn!(
                 zone,
-                epoch, consecutive_failovers, seen, bad, "zone ejected"
+                epoch, consecutive_failovers, seen, failed, "zone ejected"
             );
         } else {
             warn!(
                 zone,
-                epoch, consecutive_failovers, seen, bad, "zone restored"
+                epoch, consecutive_failovers, seen, failed, "zone restored"
             );
         }
     }
 
     fn log_membership(&self) {
-        let (view, counts) = (self.peer.view(), self.peer.counts());
-        let refused: u64 = counts.refused.values().sum::<u64>() + counts.unusable;
+        let (view, counts) = (self.peer.view(), self.peer.counters());
+        let refused: u64 = counts.rejected.values().sum::<u64>() + counts.unusable;
         info!(
             live = view.live.len(),
             roster = view.roster,
             partitioned = view.cut_off,
-            health = self.peer.members.health(),
+            health = self.peer.members.local_health(),
             datagrams_sent = counts.sent,
-            bytes_sent = counts.bytes,
-            datagrams_received = counts.taken,
+            bytes_sent = counts.sent_bytes,
+            datagrams_received = counts.accepted,
             datagrams_refused = refused,
             "membership reported"
         );
@@ -293,7 +295,11 @@
     let id = MemberId(config.index as u16);
     let zone = config.zone as u8;
     let roster = config.roster.len();
-    let member = Member { id, zone, turn: 0 };
+    let member = Member {
+        id,
+        zone,
+        generation: 0,
+    };
     let members = Members::new(
         member,
         roster,
@@ -301,27 +307,27 @@
         config.seed,
         now,
     );
-    let ramp = if config.warm_up > 0.0 {
+    let ramp_duration = if config.warm_up > 0.0 {
         (config.warm_up / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
     } else {
         MIN_ZONE_SLOW_START
     };
     let failover = ZoneFailoverConfig {
-        ramp,
+        ramp_duration,
         ..ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
-    zones.forced = config.forced_out.iter().map(|z| *z as u8).collect();
+    zones.forced_out = config.forced_out.iter().map(|z| *z as u8).collect();
     Peer::new(id, members, zones)
 }
 
 fn new_roles(config: &PeerConfig, now: f64) -> SingletonRoles {
     let slow_start = config.slow_start.filter(|_| config.quota_allocator);
     let member = LocalMember {
-        me: MemberId(config.index as u16),
+        id: MemberId(config.index as u16),
         zone: config.zone as u8,
-        roster: config.roster.len(),
-        cold: slow_start.map(|split| (split.coordinators, split.window)),
+        roster_size: config.roster.len(),
+        slow_start,
     };
     let seed = config.seed.rotate_left(LEASE_SEED_ROTATION);
     SingletonRoles::new(member, LeaseConfig::default(), seed, now)
--- a/crates/router/woadreachd/src/peers/config.rs
+++ b/crates/router/woadreachd/src/peers/config.rs
@@ -1,6 +1,7 @@
 //! Parameters of the task that speaks with peers.
 
 use std::net::SocketAddr;
+use woadreach_lease::SlowStartSplit;
 
 /// What the configuration says of the other co-ordinators of the tier.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,12 +40,3 @@
     /// Seed of random choices.
     pub seed: u64,
 }
-
-/// How what a warming replica takes is split.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlowStartSplit {
-    /// Number of co-ordinators that share it.
-    pub coordinators: usize,
-    /// Window of the overload threshold, in seconds.
-    pub window: f64,
-}
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -32,7 +32,7 @@
     pub(super) fn endpoint_reported(&mut self, report: EndpointReport) {
         let now = self.net.now();
         if let Some(roles) = &mut self.roles {
-            roles.listed(now, report.replica, report.departure);
+            roles.record_list_report(now, report.replica, report.departure);
         }
     }
 
@@ -47,12 +47,12 @@
             .iter()
             .map(|demand| local_demand(demand, last(&demand.replica)))
             .collect();
-        let actions = roles.look(now, self.peer.view(), &demands);
+        let actions = roles.update(now, self.peer.view(), &demands);
         let mut shares = Vec::new();
         let mut warming = BTreeMap::new();
         for demand in &observed.warming {
             let replica = demand.replica;
-            let factor = roles.times(now, replica);
+            let factor = roles.multiple_of_even_share(now, replica);
             if (factor - last(&replica).factor).abs() > MIN_FACTOR_CHANGE {
                 shares.push(QuotaFactor { replica, factor });
             }
@@ -63,7 +63,7 @@
             warming.insert(replica, share);
         }
         self.warming = warming;
-        self.peer.role_messages = roles.riders(now);
+        self.peer.role_gossip = roles.gossip(now);
         if !shares.is_empty() {
             self.send_role_update(RoleUpdate::QuotaShares(shares));
         }
@@ -72,26 +72,28 @@
 
     /// Carries out what the roles ask for.
     pub(super) fn perform_role_actions(&mut self, actions: RoleActions) {
-        for (to, bytes) in &actions.send {
-            let out = self.peer.tell(*to, bytes);
+        for datagram in &actions.datagrams {
+            let out = self.peer.send_roles(datagram.to, &datagram.bytes);
             self.perform(out);
         }
-        for event in &actions.changes {
+        for event in &actions.events {
             match event {
-                LeaseEvent::Acquired(role, epoch) => info!(?role, epoch, "lease acquired"),
-                LeaseEvent::Lost(role, epoch) => info!(?role, epoch, "lease lost"),
+                LeaseEvent::Acquired { role, epoch } => info!(?role, epoch, "lease acquired"),
+                LeaseEvent::Lost { role, epoch } => info!(?role, epoch, "lease lost"),
             }
         }
         if self.config.log_role_actions {
-            for (role, epoch) in &actions.acts {
-                info!(?role, epoch, "role action performed");
+            for action in &actions.lease_actions {
+                info!(role = ?action.role, epoch = action.epoch, "role action performed");
             }
         }
         if !actions.closed.is_empty() {
-            self.send_role_update(RoleUpdate::Closed(actions.closed));
+            let closed = actions.closed.iter();
+            let closed = closed.map(|c| (c.replica, c.departure)).collect();
+            self.send_role_update(RoleUpdate::Closed(closed));
         }
-        if !actions.lapsed.is_empty() {
-            self.send_role_update(RoleUpdate::Expired(actions.lapsed));
+        if !actions.expired.is_empty() {
+            self.send_role_update(RoleUpdate::Expired(actions.expired));
         }
     }
 
@@ -104,15 +106,15 @@
         let Some(roles) = &self.roles else {
             return;
         };
-        let counts = roles.counts();
+        let counts = roles.counters();
         info!(
-            held = roles.leases.held(now).len(),
-            acquired = counts.held,
+            held = roles.leases().held_roles(now).len(),
+            acquired = counts.acquired,
             lost = counts.lost,
-            stale = counts.stale,
-            clock_jumps = counts.jumped,
-            refused = roles.refused,
-            ahead = roles.ahead(),
+            stale = counts.stale_tokens,
+            clock_jumps = counts.clock_jumps,
+            refused = roles.rejected(),
+            ahead = roles.updates_ahead_of_list(),
             "roles reported"
         );
     }
@@ -123,7 +125,7 @@
     let new = demand.total.saturating_sub(last.demand);
     LocalDemand {
         replica: demand.replica,
-        wants: new.min(u64::from(u32::MAX)) as u32,
-        sent: demand.sent,
+        parts: new.min(u64::from(u32::MAX)) as u32,
+        sent_recently: demand.sent,
     }
 }
--- a/crates/router/woadreachd/src/peers/zone_failover.rs
+++ b/crates/router/woadreachd/src/peers/zone_failover.rs
@@ -76,9 +76,9 @@
     }
 
     fn zone_failover_state(&self, now: f64) -> ZoneFailoverState {
-        let shares = self.peer.zones.shares(now);
-        let ladder = if self.config.prefer_near {
-            self.peer.zones.ladder(now, self.peer.view())
+        let shares = self.peer.zones.traffic_shares(now);
+        let spill_order = if self.config.prefer_near {
+            self.peer.zones.spill_order(now, self.peer.view())
         } else {
             Vec::new()
         };
@@ -88,9 +88,9 @@
                 .enumerate()
                 .map(|(zone, share)| (ZoneId(zone as u64), *share))
                 .collect(),
-            near: ladder
+            near: spill_order
                 .iter()
-                .map(|(zones, share)| (zone_ids(zones), round_to_step(*share)))
+                .map(|group| (zone_ids(&group.zones), round_to_step(group.share)))
                 .collect(),
         }
     }
--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -160,7 +160,7 @@
 }
 
 fn tier(p: &PeerConfig) -> Vec<(&'static str, String)> {
-    let slow_start = p.slow_start.map(|split| (split.coordinators, split.window));
+    let slow_start = p.slow_start.map(|split| (split.member_count, split.window));
     vec![
         ("peers listen", p.listen.to_string()),
         ("peers roster", format!("{:?}", p.roster)),
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -2,7 +2,7 @@
 //! every process of the run and what each fault does to them; must never decide anything for a co-ordinator.
 
 use crate::clock::{Clock, MILLISECOND, Nanos, ProcessId};
-use crate::network::{BEGIN, Network, SimNet, Zone, address, seed_of};
+use crate::network::{BEGIN, LatencyRange, Network, NetworkConfig, SimNet, Zone, address, seed_of};
 use crate::record::{Fared, Record};
 use crate::recovery::{Recovery, recoveries};
 use crate::script::{Script, SilentCalls};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder, Replica};
-use woadreach_invariants::{Breach, Event, NodeId, What};
+use woadreach_invariants::{Breach, Event, EventKind, NodeId};
 use woadreachd::events::Usage;
 
 mod clients;
@@ -139,15 +139,11 @@
     )));
     let world = World::new(script.clone(), record.clone());
     world.begin();
-    let longest = script
-        .query_types
-        .iter()
-        .map(|t| t.client_timeout)
-        .fold(0.0, f64::max);
+    let longest = script.max_client_timeout();
     let last = script
         .faults
         .iter()
-        .map(|f| f.at + f.lasts)
+        .map(|f| f.at + f.duration)
         .fold(script.seconds, f64::max);
     let end = nanos(last + longest + QUIET);
     let mut at = 0;
@@ -178,8 +174,8 @@
         searches: fared.len() as u64,
         good: fared.iter().filter(|f| f.good).count() as u64,
         sub_requests: r.sent.len() as u64,
-        datagrams: world.network.datagrams().0,
-        datagram_bytes: world.network.datagrams().1,
+        datagrams: world.network.datagrams().count,
+        datagram_bytes: world.network.datagrams().bytes,
         verdicts: world.judged.take(),
         recoveries: recoveries(script, &fared, &r.sent),
         trace: r.trace.take().unwrap_or_default(),
@@ -189,18 +185,21 @@
 impl World {
     fn new(script: Script, record: Rc<RefCell<Record>>) -> Rc<World> {
         let clock = Clock::new();
-        let way = nanos(script.fleet.way);
+        let way = nanos(script.fleet.max_latency);
         let peers = script.peers.as_ref();
-        let figures = crate::NetworkConfig {
-            lost: peers.map_or(0.0, |p| p.lost),
-            doubled: peers.map_or(0.0, |p| p.doubled),
-            late: peers.map_or(0, |p| nanos(p.late)),
-            far: (way * 2 / 5, way * 3 / 5),
+        let config = NetworkConfig {
+            datagram_loss: peers.map_or(0.0, |p| p.loss),
+            datagram_duplication: peers.map_or(0.0, |p| p.duplication),
+            max_datagram_delay: peers.map_or(0, |p| nanos(p.max_delay)),
+            between_zones: LatencyRange {
+                min: way * 2 / 5,
+                jitter: way * 3 / 5,
+            },
             receive_buffer: script.fleet.buffers,
             send_buffer: script.fleet.buffers,
-            ..crate::NetworkConfig::default()
+            ..NetworkConfig::default()
         };
-        let network = Network::new(&clock, seed_of(script.seed, "network"), figures);
+        let network = Network::new(&clock, seed_of(script.seed, "network"), config);
         let time = clock.clone();
         let recorder = Record::recorder(&record, move || BEGIN + time.now() as f64 / 1e9);
         let f = &script.fleet;
@@ -208,9 +207,12 @@
         let nodes: Vec<Node> = (0..f.co_ordinators)
             .map(|n| {
                 let zone = Zone(n % f.zones);
-                let ahead = f.clocks_apart * (2.0 * apart.random::<f64>() - 1.0);
-                let first = network.machine(zone, ahead);
-                let (clients, agent) = (network.machine(zone, 0.0), network.machine(zone, 0.0));
+                let ahead = f.max_clock_offset * (2.0 * apart.random::<f64>() - 1.0);
+                let first = network.add_machine(zone, ahead);
+                let (clients, agent) = (
+                    network.add_machine(zone, 0.0),
+                    network.add_machine(zone, 0.0),
+                );
                 let at = address(first.process(), CLIENTS_PORT);
                 let agent_process = agent.process();
                 let place = address(agent_process, DISCOVERY_PORT);
@@ -240,14 +242,14 @@
         let replicas: Vec<Slot> = (0..script.replicas())
             .map(|r| {
                 let zone = r % f.replicas % f.zones;
-                let net = network.machine(Zone(zone), 0.0);
+                let net = network.add_machine(Zone(zone), 0.0);
                 let ports = (0..f.co_ordinators)
                     .map(|n| (NodeId(n), address(net.process(), REPLICAS_PORT + n as u16)));
                 let addresses: Vec<_> = ports.collect();
                 let name = format!("r{r}");
                 let behaviour = Behaviour {
                     cores: f.cores,
-                    room: f.room,
+                    room: f.queue_capacity,
                     ..Behaviour::default()
                 };
                 let seed = seed_of(script.seed, &name);
@@ -307,10 +309,10 @@
         for fault in self.script.faults.clone() {
             let (world, kind) = (self.clone(), fault.kind.clone());
             self.clock
-                .call_at(nanos(fault.at), move || world.strike(&kind, fault.lasts));
+                .call_at(nanos(fault.at), move || world.strike(&kind, fault.duration));
             let (world, kind) = (self.clone(), fault.kind);
             self.clock
-                .call_at(nanos(fault.at + fault.lasts), move || world.lift(&kind));
+                .call_at(nanos(fault.at + fault.duration), move || world.lift(&kind));
         }
         let world = self.clone();
         self.clock.call_at(nanos(self.script.seconds), move || {
@@ -319,12 +321,7 @@
         });
         // What was still asked by then keeps no connection either.
         let world = self.clone();
-        let longest = self
-            .script
-            .query_types
-            .iter()
-            .map(|t| t.client_timeout)
-            .fold(0.0, f64::max);
+        let longest = self.script.max_client_timeout();
         let late = self.script.seconds + 2.0 * longest;
         self.clock.call_at(nanos(late), move || {
             world.nodes.iter().for_each(|n| n.clients.close_idle())
@@ -350,7 +347,7 @@
             } else {
                 why
             };
-            self.recorder.tell(What::Panicked {
+            self.recorder.tell(EventKind::Panicked {
                 node: NodeId(node.unwrap_or(0)),
                 why,
             });
@@ -375,7 +372,7 @@
             ) == (0, 0, 0, 0, 0);
             if !quiet {
                 let why = format!("all is quiet, and it holds {h:?}");
-                self.recorder.tell(What::Kept {
+                self.recorder.tell(EventKind::Leaked {
                     node: NodeId(n),
                     why,
                 });
@@ -384,7 +381,7 @@
         let owed = self.record.borrow().owed();
         if owed > 0 {
             let why = format!("{owed} searches have neither an answer nor an end");
-            self.recorder.tell(What::Kept {
+            self.recorder.tell(EventKind::Leaked {
                 node: NodeId(0),
                 why,
             });
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/messages.rs
@@ -1,10 +1,12 @@
-//! Messages by epoch, and the sync that some of them wait for.
+//! Dispatch of messages, and the syncs that outgoing messages wait for.
+//!
+//! A message of another epoch is not handled: the one of the two members that is behind gets the newer view.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Member, Output};
+use super::{DeferredMessage, Member, Output};
 use crate::durable::Record;
 use crate::message::{Body, Envelope};
 use crate::replication::Progress;
@@ -12,51 +14,52 @@
 use crate::view::MemberId;
 
 impl Member {
+    /// Handles a message of any epoch.
     pub(super) fn receive(&mut self, now: Duration, envelope: Envelope) {
         let Envelope { from, epoch, body } = envelope;
         if from != self.id {
-            self.peers.heard(now, from);
+            self.peers.record_message(now, from);
         }
-        if let Body::Ping(ping) = &body {
-            self.take_ping(now, from, ping);
+        if let Body::Heartbeat(heartbeat) = &body {
+            self.handle_heartbeat(now, from, heartbeat);
         }
         match body {
-            Body::Decided(view) => return self.install(now, view),
-            Body::RequestView => return self.tell_view(from),
-            Body::RequestState => return self.tell_state(from),
+            Body::Decided(view) => return self.install_view(now, view),
+            Body::RequestView => return self.send_view(from),
+            Body::RequestState => return self.send_state(from),
             Body::Committed(state) => return self.publish(now, Arc::new(state)),
             _ => {}
         }
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::NoEpochCheck)
+        if self.is_mutated(crate::mutations::Mutation::NoEpochCheck)
             && epoch != self.durable.view.epoch
         {
-            return self.receive_in_epoch(now, from, body);
+            return self.handle_in_epoch(now, from, body);
         }
         let own_epoch = self.durable.view.epoch;
         if epoch > own_epoch {
             return self.send_now(from.address, Body::RequestView);
         }
         if epoch < own_epoch {
-            return self.tell_view(from);
+            return self.send_view(from);
         }
-        self.receive_in_epoch(now, from, body);
+        self.handle_in_epoch(now, from, body);
     }
 
-    /// Takes a message of the own epoch; nothing of another one comes here.
-    pub(super) fn receive_in_epoch(&mut self, now: Duration, from: MemberId, body: Body) {
+    /// Handles a message of the current epoch. Must not be called for one of another epoch.
+    pub(super) fn handle_in_epoch(&mut self, now: Duration, from: MemberId, body: Body) {
         match body {
-            Body::Prepare { ballot } => self.promise(from, ballot),
-            Body::Promise { ballot, report } => self.take_promise(now, from, ballot, report),
-            Body::Accept(accepted) => self.accept(from, accepted),
-            Body::Accepted { ballot } => self.take_vote(now, from, ballot),
-            Body::Superseded { promised } => self.superseded(now, promised),
+            Body::Prepare { ballot } => self.handle_prepare(from, ballot),
+            Body::Promise { ballot, report } => self.handle_promise(now, from, ballot, report),
+            Body::Accept(accepted) => self.handle_accept(from, accepted),
+            Body::Accepted { ballot } => self.handle_accepted(now, from, ballot),
+            Body::Superseded { promised } => self.handle_superseded(now, promised),
             Body::Replicate {
                 after,
                 writes,
                 barrier,
-            } => self.replicate(now, from, after, writes, barrier),
-            Body::Transfer { state, barrier } => self.take_transfer(now, from, state, barrier),
+            } => self.handle_replicate(now, from, after, writes, barrier),
+            Body::Transfer { state, barrier } => self.handle_transfer(now, from, state, barrier),
             Body::Replicated {
                 active,
                 persisted,
@@ -70,13 +73,13 @@
                         committed,
                         barrier,
                     };
-                    self.replication.successor_reported(now, progress);
-                    self.chain_confirmed(now, committed, barrier);
+                    self.replication.record_progress(now, progress);
+                    self.record_chain_progress(now, committed, barrier);
                 }
             }
-            Body::RequestActive => self.tell_active(from),
-            Body::Active => self.note_active(from),
-            Body::Ping(_)
+            Body::RequestActive => self.send_active(from),
+            Body::Active => self.record_active(from),
+            Body::Heartbeat(_)
             | Body::Decided(_)
             | Body::RequestView
             | Body::RequestState
@@ -84,18 +87,21 @@
         }
     }
 
-    pub(super) fn tell_view(&mut self, to: MemberId) {
+    /// Sends the newest decided view, if there is one.
+    pub(super) fn send_view(&mut self, to: MemberId) {
         if self.durable.view.epoch > 0 {
             let view = self.durable.view.clone();
             self.send_now(to.address, Body::Decided(view));
         }
     }
 
-    pub(super) fn tell_state(&mut self, to: MemberId) {
+    /// Sends the newest committed state.
+    pub(super) fn send_state(&mut self, to: MemberId) {
         let state = ControlState::clone(&self.published);
         self.send_now(to.address, Body::Committed(state));
     }
 
+    /// `body` with this member as sender and the current epoch.
     pub(super) fn envelope(&self, body: Body) -> Envelope {
         Envelope {
             from: self.id,
@@ -104,6 +110,8 @@
         }
     }
 
+    /// Sends a message that promises nothing durable. One to this member itself is handled before the input's
+    /// outputs are returned.
     pub(crate) fn send_now(&mut self, to: SocketAddrV4, body: Body) {
         let envelope = self.envelope(body);
         if to == self.id.address {
@@ -113,15 +121,20 @@
         }
     }
 
-    /// Sends a message once every record so far is synced, if the epoch is still the same then.
+    /// Sends a message once every record so far is synced, unless a view is installed before that.
     pub(super) fn send_after_sync(&mut self, to: MemberId, body: Body) {
         if self.synced_number == self.record_number {
             self.send_now(to.address, body);
         } else {
-            self.deferred.push_back((self.record_number, to, body));
+            self.deferred.push_back(DeferredMessage {
+                after_record: self.record_number,
+                to,
+                body,
+            });
         }
     }
 
+    /// Applies a record and asks the driver to persist it. Returns its number.
     pub(super) fn persist(&mut self, record: Record) -> u64 {
         self.record_number += 1;
         self.durable.apply(&record);
@@ -132,19 +145,20 @@
         self.record_number
     }
 
+    /// Sends what waited for the records up to `through`, which are synced.
     pub(super) fn synced(&mut self, now: Duration, through: u64) {
         self.synced_number = self.synced_number.max(through);
         while self
             .deferred
             .front()
-            .is_some_and(|(number, _, _)| *number <= through)
+            .is_some_and(|message| message.after_record <= through)
         {
-            if let Some((_, to, body)) = self.deferred.pop_front() {
-                self.send_now(to.address, body);
+            if let Some(message) = self.deferred.pop_front() {
+                self.send_now(message.to.address, message.body);
             }
         }
         if self.replication.synced(through) {
-            self.persisted_more(now);
+            self.report_persisted(now);
         }
     }
 }
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -1,13 +1,13 @@
-//! Machines that are cut off for long, one way or both: what holds in every run, and that a machine which
-//! says that it is in quorum is never far behind.
+//! Long partitions, in one direction or both: the invariants of every run, and that a machine which reports
+//! to be in quorum is never far behind.
 //!
 //! `WOADREACH_RUNS` and `WOADREACH_SEED` as in `world.rs`.
 
 mod simulation;
 
-use simulation::cuts::{CutRun, play};
 #[cfg(feature = "mutations")]
 use simulation::history::Violation;
+use simulation::partitions::{PartitionRun, play};
 use simulation::world::InjectedBug;
 
 fn number(variable: &str, default: u64) -> u64 {
@@ -21,7 +21,7 @@
     let first = number("WOADREACH_SEED", 1);
     let bug: Option<InjectedBug> = None;
     for seed in first..first + number("WOADREACH_RUNS", 50) {
-        let finding = play(CutRun {
+        let finding = play(PartitionRun {
             seed,
             nodes,
             fault_tolerance,
@@ -41,17 +41,17 @@
 }
 
 #[test]
-fn three_machines_bear_a_long_cut_of_one() {
+fn three_machines_tolerate_a_long_partition_of_one() {
     play_runs(3, 1);
 }
 
 #[test]
-fn four_machines_bear_a_long_cut_of_one() {
+fn four_machines_tolerate_a_long_partition_of_one() {
     play_runs(4, 1);
 }
 
 #[test]
-fn five_machines_bear_a_long_cut_of_two() {
+fn five_machines_tolerate_a_long_partition_of_two() {
     play_runs(5, 2);
 }
 
@@ -59,7 +59,7 @@
 fn is_found(mutation: woadreach_chain::Mutation) -> bool {
     (1..=100).any(|seed| {
         let bug = Some(InjectedBug::Member(mutation));
-        let finding = play(CutRun {
+        let finding = play(PartitionRun {
             seed,
             nodes: 3,
             fault_tolerance: 1,
@@ -80,6 +80,6 @@
 
 #[cfg(feature = "mutations")]
 #[test]
-fn a_member_that_asks_for_the_state_where_nobody_hears_it_is_found() {
+fn a_member_that_requests_the_state_from_members_that_do_not_hear_it_is_found() {
     assert!(is_found(woadreach_chain::Mutation::StateFromTheDeaf));
 }
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -1,138 +1,34 @@
-//! The machines, the network and the clock.
+//! The clock, the network and the disks of the simulated machines.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::collections::{BTreeSet, BinaryHeap};
+use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use woadreach_chain::{
-    Body, ControlState, Durable, Envelope, Input, Member, MemberOptions, Output, Place, Reply,
-    Request, RequestId, Tolerance, View,
-};
+use woadreach_chain::{Body, ControlState, Envelope, Input, Output};
 
 use super::capacity::Capacity;
 use super::disk::SimulatedDisk;
+use super::event::{Event, Scheduled};
 use super::history::{History, Violation};
-use super::operator::{CallId, Operators};
-use super::stops::Stop;
+use super::node::Node;
+use super::operator::Operators;
 
-/// A defence that a test switches off in every machine.
+/// A safeguard that a test switches off in every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InjectedBug {
+pub(crate) enum InjectedBug {
     #[cfg(feature = "mutations")]
     Member(woadreach_chain::Mutation),
     /// A machine keeps its identity although its disk is lost.
     IdentitySurvivesWipe,
 }
 
-/// What happens at a moment.
-#[derive(Debug)]
-pub enum Event {
-    Wake {
-        node: usize,
-        life: u64,
-    },
-    Deliver {
-        to: usize,
-        from: usize,
-        envelope: Box<Envelope>,
-    },
-    Synced {
-        node: usize,
-        life: u64,
-        through: u64,
-    },
-    Start {
-        node: usize,
-    },
-    Thaw {
-        node: usize,
-    },
-    /// A process is stopped; see [`super::stops`].
-    Stop {
-        node: usize,
-        stop: Stop,
-    },
-    /// A machine loses its disk.
-    Lose {
-        node: usize,
-    },
-    /// A process that is being stopped looks whether it may end.
-    CheckStop {
-        node: usize,
-        life: u64,
-    },
-    /// A call of an operator reaches a machine; `hops` machines have passed it on.
-    Call {
-        node: usize,
-        call: CallId,
-        request: Request,
-        hops: u8,
-    },
-    /// The operators' clock.
-    Operate,
-    Fault,
-    EndFault,
-}
-
-struct Scheduled {
-    at: Duration,
-    order: u64,
-    event: Event,
-}
-
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
-
-/// One core machine.
-pub struct Node {
-    pub address: SocketAddrV4,
-    pub member: Option<Member>,
-    pub disk: Option<SimulatedDisk>,
-    /// Counts starts, so that what belongs to an earlier life is dropped.
-    pub life: u64,
-    pub frozen_until: Option<Duration>,
-    /// How many times slower the disk is.
-    pub disk_factor: u32,
-    pub is_disk_stalled: bool,
-    /// How the process is being stopped, and since when.
-    pub stop: Option<(Stop, Duration)>,
-    /// The machine is gone for good.
-    pub is_removed: bool,
-    /// The machine was there in the very first start.
-    pub is_founding: bool,
-    is_syncing: bool,
-    sync_started: Duration,
-    /// Last record that this life's disk has synced.
-    last_synced: u64,
-    woken_for: Duration,
-    identity: u64,
-    /// Messages that wait for a frozen process.
-    backlog: Vec<(usize, Box<Envelope>)>,
-    calls: BTreeMap<RequestId, (CallId, Request)>,
-    next_request: u64,
-}
-
 /// The whole simulated core.
-pub struct World {
+pub(crate) struct World {
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub random: oorandom::Rand64,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitioned_links: BTreeSet<(usize, usize)>,
     /// Share of messages that are lost.
     pub loss: f64,
     pub history: History,
@@ -144,12 +40,12 @@
     /// What links and disks can carry; without it, bytes cost nothing.
     pub capacity: Option<Capacity>,
     /// What every disk holds when it is first used.
-    first_state: ControlState,
+    pub(super) first_state: ControlState,
     /// Kinds of faults that strike.
     pub fault_kinds: &'static [super::faults::Fault],
     /// When the planned work counts as over.
-    pub over_at: Duration,
-    /// Longest time that a whole state is on its way.
+    pub planned_work_ends_at: Duration,
+    /// Longest time that a transfer of the state takes.
     pub longest_transfer: Duration,
     /// No further fault strikes.
     pub are_faults_over: bool,
@@ -160,7 +56,7 @@
 
 impl World {
     /// `nodes` machines in `zones` zones (0: zones don't matter).
-    pub fn new(
+    pub(crate) fn new(
         seed: u64,
         nodes: usize,
         zones: usize,
@@ -169,9 +65,9 @@
     ) -> World {
         let mut world = World {
             now: Duration::from_secs(1),
-            nodes: (0..nodes).map(new_node).collect(),
+            nodes: (0..nodes).map(Node::new).collect(),
             random: oorandom::Rand64::new(u128::from(seed)),
-            cuts: BTreeSet::new(),
+            partitioned_links: BTreeSet::new(),
             loss: 0.0,
             history: History::default(),
             operators: Operators::new(2),
@@ -181,7 +77,7 @@
             capacity: None,
             first_state: ControlState::default(),
             fault_kinds: &[],
-            over_at: Duration::ZERO,
+            planned_work_ends_at: Duration::ZERO,
             longest_transfer: Duration::ZERO,
             are_faults_over: false,
             is_traced: std::env::var_os("WOADREACH_TRACE").is_some(),
@@ -197,7 +93,7 @@
     }
 
     /// Lets `count` changes have been taken before the run begins. To be called before it does.
-    pub fn begin_after(&mut self, count: u64) {
+    pub(crate) fn begin_after(&mut self, count: u64) {
         let (changes, state) = super::operator::earlier_changes(count);
         self.operators.remember(&changes);
         self.history.begin_after(changes);
@@ -205,13 +101,13 @@
     }
 
     /// Prints what happens if `WOADREACH_TRACE` is set.
-    pub fn trace(&self, what: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, what: impl FnOnce() -> String) {
         if self.is_traced {
             eprintln!("{:?} {}", self.now, what());
         }
     }
 
-    pub fn schedule(&mut self, delay: Duration, event: Event) {
+    pub(crate) fn schedule(&mut self, delay: Duration, event: Event) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled {
             at: self.now + delay,
@@ -220,25 +116,25 @@
         }));
     }
 
-    pub fn random_duration(&mut self, longest: Duration) -> Duration {
+    pub(crate) fn random_duration(&mut self, longest: Duration) -> Duration {
         let share = self.random.rand_float();
         longest.mul_f64(share)
     }
 
-    pub fn pick(&mut self, count: usize) -> usize {
+    pub(crate) fn pick(&mut self, count: usize) -> usize {
         self.random.rand_range(0..count as u64) as usize
     }
 
-    pub fn chance(&mut self, probability: f64) -> bool {
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
         self.random.rand_float() < probability
     }
 
-    pub fn is_running(&self, node: usize) -> bool {
+    pub(crate) fn is_running(&self, node: usize) -> bool {
         self.nodes[node].member.is_some() && self.nodes[node].frozen_until.is_none()
     }
 
     /// Runs until `end`.
-    pub fn run_until(&mut self, end: Duration) {
+    pub(crate) fn run_until(&mut self, end: Duration) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > end {
                 break;
@@ -252,8 +148,8 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Wake { node, life } => {
-                if self.nodes[node].life == life && self.is_running(node) {
+            Event::Wake { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation && self.is_running(node) {
                     self.check_disk(node);
                     self.input(node, Input::Tick);
                 }
@@ -261,14 +157,14 @@
             Event::Deliver { to, from, envelope } => self.deliver(to, from, envelope),
             Event::Synced {
                 node,
-                life,
+                incarnation,
                 through,
-            } => self.synced(node, life, through),
+            } => self.synced(node, incarnation, through),
             Event::Start { node } => self.start(node),
             Event::Thaw { node } => self.thaw(node),
             Event::Stop { node, stop } => super::stops::stop(self, node, stop),
             Event::Lose { node } => self.wipe(node),
-            Event::CheckStop { node, life } => super::stops::check(self, node, life),
+            Event::CheckStop { node, incarnation } => super::stops::check(self, node, incarnation),
             Event::Call {
                 node,
                 call,
@@ -276,16 +172,17 @@
                 hops,
             } => self.call(node, call, request, hops),
             Event::Operate => super::operator::operate(self),
-            Event::Fault => super::faults::strike(self),
+            Event::Fault => super::faults::inject_next_fault(self),
             Event::EndFault => super::faults::end_lasting_faults(self),
         }
     }
 
-    fn deliver(&mut self, to: usize, from: usize, envelope: Box<Envelope>) {
-        if self.nodes[to].member.is_none() || self.cuts.contains(&(from, to)) {
+    /// A message arrives, unless the link or the machine is down.
+    pub(super) fn deliver(&mut self, to: usize, from: usize, envelope: Box<Envelope>) {
+        if self.nodes[to].member.is_none() || self.partitioned_links.contains(&(from, to)) {
             return;
         }
-        // A whole state is long: it ends with the machine that sends it.
+        // A transfer takes long, so it fails with the machine that sends it.
         let is_state = matches!(envelope.body, Body::Transfer { .. });
         if is_state && !self.longest_transfer.is_zero() && self.nodes[from].member.is_none() {
             return;
@@ -306,8 +203,8 @@
         self.input(node, Input::DiskHealth { is_healthy });
     }
 
-    fn synced(&mut self, node: usize, life: u64, through: u64) {
-        if self.nodes[node].life != life {
+    fn synced(&mut self, node: usize, incarnation: u64, through: u64) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         if self.nodes[node].is_disk_stalled {
@@ -315,7 +212,7 @@
                 Duration::from_millis(50),
                 Event::Synced {
                     node,
-                    life,
+                    incarnation,
                     through,
                 },
             );
@@ -346,7 +243,7 @@
         self.nodes[node].is_syncing = true;
         self.nodes[node].sync_started = self.now;
         let base = Duration::from_millis(1) + self.random_duration(Duration::from_millis(5));
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let written = self.nodes[node]
             .disk
             .as_ref()
@@ -360,14 +257,14 @@
             delay,
             Event::Synced {
                 node,
-                life,
+                incarnation,
                 through,
             },
         );
     }
 
     /// Gives a member an input and carries its outputs out.
-    pub fn input(&mut self, node: usize, input: Input) {
+    pub(crate) fn input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let Some(member) = self.nodes[node].member.as_mut() else {
             return;
@@ -375,18 +272,18 @@
         let outputs = member.handle(now, input);
         let wake = member.next_wake();
         for output in outputs {
-            self.carry_out(node, output);
+            self.execute(node, output);
         }
         self.begin_sync(node);
         if self.nodes[node].woken_for <= now || wake < self.nodes[node].woken_for {
             let at = wake.max(now + Duration::from_micros(100));
             self.nodes[node].woken_for = at;
-            let life = self.nodes[node].life;
-            self.schedule(at - now, Event::Wake { node, life });
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule(at - now, Event::Wake { node, incarnation });
         }
     }
 
-    fn carry_out(&mut self, node: usize, output: Output) {
+    fn execute(&mut self, node: usize, output: Output) {
         match output {
             Output::Persist { number, record } => {
                 self.nodes[node]
@@ -421,7 +318,7 @@
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
         };
-        if self.cuts.contains(&(from, to)) || self.chance(self.loss) {
+        if self.partitioned_links.contains(&(from, to)) || self.chance(self.loss) {
             return;
         }
         if self.nodes[to].member.is_some()
@@ -455,228 +352,4 @@
         }
         self.schedule(delay, Event::Deliver { to, from, envelope });
     }
-
-    // ---- calls of operators ----
-
-    fn call(&mut self, node: usize, call: CallId, request: Request, hops: u8) {
-        if !self.is_running(node) {
-            return;
-        }
-        let now = self.now;
-        let status = self.nodes[node]
-            .member
-            .as_ref()
-            .expect("running")
-            .status(now);
-        if !status.is_head {
-            let head = status.head.and_then(|head| {
-                self.nodes
-                    .iter()
-                    .position(|other| other.address == head.address)
-            });
-            let Some(head) = head.filter(|&head| head != node && hops < 2) else {
-                return;
-            };
-            if !self.cuts.contains(&(node, head)) {
-                self.schedule(
-                    Duration::from_millis(1),
-                    Event::Call {
-                        node: head,
-                        call,
-                        request,
-                        hops: hops + 1,
-                    },
-                );
-            }
-            return;
-        }
-        let id = RequestId(self.nodes[node].next_request);
-        self.nodes[node].next_request += 1;
-        self.nodes[node].calls.insert(id, (call, request.clone()));
-        self.input(node, Input::Request(id, request));
-    }
-
-    fn reply(&mut self, node: usize, id: RequestId, reply: Reply) {
-        let Some((call, request)) = self.nodes[node].calls.remove(&id) else {
-            return;
-        };
-        if reply == Reply::Unavailable || self.chance(0.1) {
-            return;
-        }
-        super::operator::answered(self, call, &request, &reply);
-    }
-
-    // ---- faults ----
-
-    /// The process ends; a random prefix of what was not synced is on the disk.
-    pub fn kill(&mut self, node: usize) {
-        self.trace(|| format!("node {node} killed"));
-        let waiting = self.nodes[node]
-            .disk
-            .as_ref()
-            .map_or(0, SimulatedDisk::waiting);
-        let kept = self.pick(waiting + 1);
-        let state = &mut self.nodes[node];
-        if state.member.take().is_none() {
-            return;
-        }
-        if let Some(disk) = &mut state.disk {
-            disk.lose(kept);
-        }
-        state.life += 1;
-        state.last_synced = 0;
-        state.is_syncing = false;
-        state.frozen_until = None;
-        state.stop = None;
-        state.backlog.clear();
-        state.calls.clear();
-    }
-
-    /// The process ends and its disk is empty afterwards.
-    pub fn wipe(&mut self, node: usize) {
-        self.kill(node);
-        self.nodes[node].disk = None;
-        self.trace(|| format!("node {node} wiped"));
-    }
-
-    pub fn start(&mut self, node: usize) {
-        if self.nodes[node].member.is_some() || self.nodes[node].is_removed {
-            return;
-        }
-        let present = self.nodes.iter().filter(|node| !node.is_removed);
-        let seeds: Vec<SocketAddrV4> = present.take(3).map(|node| node.address).collect();
-        let is_first_life = self.nodes[node].life == 0 && self.nodes[node].is_founding;
-        if self.nodes[node].disk.is_none() {
-            let view = if is_first_life {
-                View::bootstrap(&seeds)
-            } else {
-                View::default()
-            };
-            let keeps_identity =
-                self.bug == Some(InjectedBug::IdentitySurvivesWipe) && !is_first_life;
-            if !keeps_identity {
-                self.nodes[node].identity = self.random.rand_u64() | 1;
-            }
-            let mut durable = Durable::new(self.nodes[node].identity, is_first_life, view);
-            if is_first_life {
-                durable.state = self.first_state.clone();
-            }
-            self.nodes[node].disk = Some(SimulatedDisk::new(durable));
-        }
-        let options = MemberOptions {
-            address: self.nodes[node].address,
-            seeds,
-            tolerance: Tolerance {
-                machines: self.fault_tolerance,
-                zones: usize::from(self.zones > 0),
-                regions: 0,
-            },
-            place: self.place(node),
-            random_seed: self.random.rand_u64(),
-        };
-        let disk = self.nodes[node].disk.as_ref().expect("made above");
-        let durable = Durable::decode(&disk.synced.encode()).expect("own snapshot");
-        #[allow(unused_mut)]
-        let mut member = Member::new(self.now, options, durable);
-        #[cfg(feature = "mutations")]
-        if let Some(InjectedBug::Member(mutation)) = self.bug {
-            member.mutation(mutation);
-        }
-        self.trace(|| format!("node {node} started as {:?}", member.id()));
-        self.nodes[node].member = Some(member);
-        self.nodes[node].woken_for = Duration::ZERO;
-        self.history.restarted(node);
-        self.input(node, Input::Tick);
-    }
-
-    /// A machine is added, with an empty disk; gives back its number.
-    pub fn add(&mut self) -> usize {
-        let node = self.nodes.len();
-        self.nodes.push(Node {
-            is_founding: false,
-            ..new_node(node)
-        });
-        self.start(node);
-        node
-    }
-
-    /// Machines that are not gone for good.
-    pub fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len())
-            .filter(|&node| !self.nodes[node].is_removed)
-            .collect()
-    }
-
-    fn place(&self, node: usize) -> Place {
-        if self.zones == 0 {
-            Place::default()
-        } else {
-            Place {
-                zone: (node % self.zones) as u32,
-                region: 0,
-            }
-        }
-    }
-
-    pub fn freeze(&mut self, node: usize, length: Duration) {
-        if self.is_running(node) {
-            self.nodes[node].frozen_until = Some(self.now + length);
-            self.schedule(length, Event::Thaw { node });
-        }
-    }
-
-    fn thaw(&mut self, node: usize) {
-        let is_due = self.nodes[node]
-            .frozen_until
-            .is_some_and(|until| until <= self.now);
-        if !is_due {
-            return;
-        }
-        self.nodes[node].frozen_until = None;
-        for (from, envelope) in std::mem::take(&mut self.nodes[node].backlog) {
-            self.deliver(node, from, envelope);
-        }
-        self.nodes[node].woken_for = Duration::ZERO;
-        self.input(node, Input::Tick);
-        let through = self.nodes[node].last_synced;
-        self.input(node, Input::Persisted(through));
-    }
-
-    /// Ends every fault and starts every machine.
-    pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.loss = 0.0;
-        for node in 0..self.nodes.len() {
-            self.nodes[node].disk_factor = 1;
-            self.nodes[node].is_disk_stalled = false;
-            if self.nodes[node].frozen_until.is_some() {
-                self.nodes[node].frozen_until = Some(self.now);
-                self.thaw(node);
-            }
-            self.start(node);
-        }
-    }
-}
-
-fn new_node(index: usize) -> Node {
-    Node {
-        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000),
-        member: None,
-        disk: None,
-        life: 0,
-        frozen_until: None,
-        disk_factor: 1,
-        is_disk_stalled: false,
-        stop: None,
-        is_removed: false,
-        is_founding: true,
-        is_syncing: false,
-        sync_started: Duration::ZERO,
-        last_synced: 0,
-        woken_for: Duration::ZERO,
-        identity: 0,
-        backlog: Vec::new(),
-        calls: BTreeMap::new(),
-        next_request: 0,
-    }
 }
--- a/crates/tier/discovery/src/core.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -1,4 +1,4 @@
-//! Driver of discovery on a core machine: heartbeats, batches between core machines, and long-polls.
+//! Driver of [`CoreState`]: heartbeats, batches between core machines, and long-polls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,37 +15,38 @@
 
 use crate::committed::CommittedState;
 use crate::core_state::{CoreIdentity, CoreState};
-use crate::departure::{DepartureRound, MAJORITY, Verdict};
+use crate::departure::{DepartureDecision, DepartureNotification, MAJORITY_TIMEOUT};
 use crate::exchange::{CHANGE_DELAY, Urgency};
 use crate::messages::{
     BatchResponse, ConfigurationResponse, MessageError, PollRequest, RegistryResponse, Request,
     VersionedBytes, decode, decode_answer, encode,
 };
-use crate::registry::{Ack, HeartbeatError, RegistryCounters};
+use crate::poll_response::has_updates;
+use crate::registry::{HeartbeatError, HeartbeatOutcome, RegistryCounters};
 use crate::replica::Heartbeat;
-use crate::server::has_news;
 
-/// How often silence is looked at and batches are sent.
-const TICK: Duration = Duration::from_millis(250);
-/// Pause before a peer that could not be told of a departure is told again.
-const URGENT_RETRY: Duration = Duration::from_millis(60);
-/// How long a core machine waits for another's registry.
+/// How often time-outs are checked and batches are sent.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause before a peer that did not acknowledge a departure is notified again.
+const DEPARTURE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// Time-out of a request for another core machine's registry.
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest wait of a poll.
+/// Longest time that a poll is held open.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// Pause before peers are asked for their registries again.
-const REGISTRY_RETRY: Duration = Duration::from_millis(500);
+/// Pause before a machine that is still warming up requests its peers' registries again.
+const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a replica's call is not acknowledged.
+/// Why a replica's heartbeat or deregistration is not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum AcknowledgeError {
-    /// The call is not taken.
+    /// The heartbeat is rejected.
     #[snafu(transparent)]
     Refused {
-        /// Why.
+        /// Why it is rejected.
         source: HeartbeatError,
     },
-    /// The call is taken here, but others may not hear of it; another core machine is to be called.
+    /// The heartbeat is applied here, but other machines may not learn of it. The replica has to call another
+    /// core machine.
     #[snafu(display("taken, but this machine may be cut off from the core's majority"))]
     OutOfQuorum,
 }
@@ -57,14 +58,17 @@
     rpc: Client,
     committed: Arc<dyn CommittedState>,
     state: Mutex<CoreState>,
+    /// Newest revision of the registry of which polls have been notified.
     revision: watch::Sender<u64>,
+    /// Asks the exchange task to send a batch soon.
     flush: Notify,
+    /// Asks the pull task to request incomplete registries.
     pull: Notify,
 }
 
 impl CoreDiscovery {
     /// Discovery of the process that `settings` describe. `incarnation` differs between starts and is not 0.
-    /// [`run`](Self::run) has to be spawned, and [`handlers`](Self::handlers) to be served.
+    /// The caller spawns [`run`](Self::run) and serves [`handlers`](Self::handlers).
     pub fn new(
         settings: &NodeSettings,
         incarnation: u64,
@@ -75,7 +79,7 @@
             incarnation,
             address: settings.internal_address(),
             seeds: settings.seed_internal_addresses(),
-            heartbeat: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat,
             reuse_after: settings.bounds.reuse_after,
         };
         Arc::new(Self {
@@ -90,7 +94,7 @@
         })
     }
 
-    /// Adds the handler of discovery to the machine's services.
+    /// Adds discovery's handler to `router`.
     pub fn handlers(self: &Arc<Self>, router: Router) -> Router {
         let discovery = Arc::clone(self);
         router.route_checked(ServiceId::DISCOVERY, move |_peer, body| {
@@ -98,29 +102,36 @@
         })
     }
 
-    /// Sends batches and watches for silence until the task is dropped.
+    /// Exchanges batches and registries with the other core machines until the future is dropped.
     pub async fn run(self: Arc<Self>) {
         tokio::join!(self.exchange_batches(), Arc::clone(&self).pull_registries());
     }
 
-    /// Takes a replica's heartbeat. A departure is acknowledged after the other core machines have been told.
+    /// Applies a replica's heartbeat. Returns when it is acknowledged: a draining replica's after the other
+    /// core machines have been notified.
+    ///
+    /// # Errors
+    /// If the heartbeat is rejected, or other machines may not learn of it.
     pub async fn heartbeat(&self, id: &str, heartbeat: Heartbeat) -> Result<(), AcknowledgeError> {
         let ack = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
         self.after_change(id, ack).await
     }
 
-    /// Takes a replica's word that it ends, and tells the other core machines before it returns.
-    pub async fn leave(&self, id: &str) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().leave(self.now(), id)?;
+    /// Applies a replica's deregistration, and notifies the other core machines before it returns.
+    ///
+    /// # Errors
+    /// If the id is invalid, or other machines may not learn of the deregistration.
+    pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
+        let ack = self.state.lock().deregister(self.now(), id)?;
         self.after_change(id, ack).await
     }
 
-    /// What the registry took and refused since the start.
+    /// Counters of the registry since the start.
     pub fn counters(&self) -> RegistryCounters {
         self.state.lock().registry().counters()
     }
 
-    /// Counts a heartbeat that could not be read.
+    /// Counts a heartbeat that could not be decoded.
     pub fn count_unreadable(&self) {
         self.state.lock().count_unreadable();
     }
@@ -129,16 +140,16 @@
         self.started.elapsed()
     }
 
-    async fn after_change(&self, id: &str, ack: Ack) -> Result<(), AcknowledgeError> {
+    async fn after_change(&self, id: &str, ack: HeartbeatOutcome) -> Result<(), AcknowledgeError> {
         let is_acknowledged = match ack {
-            Ack::Unchanged => self.may_acknowledge(ack),
-            Ack::Changed => {
+            HeartbeatOutcome::Unchanged => self.may_acknowledge(ack),
+            HeartbeatOutcome::Changed => {
                 self.flush.notify_one();
                 self.may_acknowledge(ack)
             }
-            Ack::Leaving => {
+            HeartbeatOutcome::Departing => {
                 self.publish();
-                self.tell_peers(id).await
+                self.notify_peers(id).await
             }
         };
         if is_acknowledged {
@@ -148,12 +159,13 @@
         }
     }
 
-    fn may_acknowledge(&self, ack: Ack) -> bool {
+    fn may_acknowledge(&self, ack: HeartbeatOutcome) -> bool {
         let view = self.committed.view();
         self.state.lock().may_acknowledge(self.now(), ack, &view)
     }
 
-    /// Wakes the polls if the registry has news, and the puller if a peer knows more.
+    /// Wakes the pending polls if the registry has changed, and the pull task if a peer's registry is
+    /// incomplete.
     fn publish(&self) {
         let revision = self.state.lock().registry().version().revision;
         self.wake_puller();
@@ -170,21 +182,21 @@
         }
     }
 
-    /// Tells the peers of a departure. Returns whether it may be acknowledged.
-    async fn tell_peers(&self, id: &str) -> bool {
+    /// Notifies the peers of a departure. Returns whether it may be acknowledged.
+    async fn notify_peers(&self, id: &str) -> bool {
         let now = self.now();
         let view = self.committed.view();
-        let (batch, peers, round) = {
+        let (batch, peers, notification) = {
             let state = self.state.lock();
             (
                 state.urgent_batch(now, id),
                 state.peers(now, &view),
-                state.begin_departure(now, &view),
+                state.start_departure(now, &view),
             )
         };
         let body = encode(&Request::Urgent(batch));
-        match round {
-            Some(round) => self.await_peers(round, peers, body).await,
+        match notification {
+            Some(notification) => self.await_peers(notification, peers, body).await,
             None => {
                 peers
                     .into_iter()
@@ -196,34 +208,34 @@
 
     async fn await_peers(
         &self,
-        mut round: DepartureRound,
+        mut notification: DepartureNotification,
         peers: Vec<SocketAddr>,
         body: Vec<u8>,
     ) -> bool {
-        let deadline = Instant::now() + MAJORITY;
+        let deadline = Instant::now() + MAJORITY_TIMEOUT;
         let mut calls = JoinSet::new();
         for peer in peers {
-            calls.spawn(tell_peer(self.rpc.clone(), peer, body.clone(), deadline));
+            calls.spawn(notify_peer(self.rpc.clone(), peer, body.clone(), deadline));
         }
         let is_acknowledged = loop {
-            let until = match round.verdict(self.now()) {
-                Verdict::Acknowledged => break true,
-                Verdict::Unconfirmed => break false,
-                Verdict::Wait { until } => self.started + until,
+            let until = match notification.decision(self.now()) {
+                DepartureDecision::Acknowledged => break true,
+                DepartureDecision::Unconfirmed => break false,
+                DepartureDecision::Wait { until } => self.started + until,
             };
             match timeout_at(until, calls.join_next()).await {
-                Ok(Some(Ok(Some(peer)))) => round.answered(peer),
+                Ok(Some(Ok(Some(peer)))) => notification.record_answer(peer),
                 Ok(Some(_)) | Err(_) => {}
                 Ok(None) => sleep_until(until).await,
             }
         };
-        // Peers that have not answered are told all the same, until the deadline.
+        // The remaining peers are still notified until the deadline.
         calls.detach_all();
         is_acknowledged
     }
 
     async fn exchange_batches(&self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -255,7 +267,7 @@
         }
     }
 
-    /// Asks the peers that know more for their registries.
+    /// Requests the registries of peers of which updates are missing.
     async fn pull_registries(self: Arc<Self>) {
         loop {
             let peers = self.state.lock().take_incomplete_peers();
@@ -269,19 +281,21 @@
             }
             let warming = {
                 let view = self.committed.view();
-                self.state.lock().peers_asked(self.now(), &view, warm_peer)
+                self.state
+                    .lock()
+                    .complete_registry_pull(self.now(), &view, warm_peer)
             };
             self.publish();
             if warming {
-                tokio::time::sleep(REGISTRY_RETRY).await;
+                tokio::time::sleep(REGISTRY_RETRY_INTERVAL).await;
             } else {
                 self.pull.notified().await;
             }
         }
     }
 
-    /// Takes in the registry of `peer`. Returns whether that machine is warming itself, or nothing if it
-    /// fails.
+    /// Requests and merges the registry of `peer`. Returns whether that machine is warming up itself, or
+    /// `None` if a request fails.
     async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> Option<bool> {
         loop {
             let known = self.state.lock().version_of_peer(peer);
@@ -293,7 +307,7 @@
                 .ok()?;
             let response: RegistryResponse = decode_answer(peer, &answer)?;
             let (warming, more) = (response.warming, response.more);
-            self.state.lock().take_registry(self.now(), peer, response);
+            self.state.lock().merge_registry(self.now(), peer, response);
             if !more {
                 return Some(warming);
             }
@@ -306,10 +320,7 @@
             Request::Configuration => {
                 let configuration = self.committed.configuration();
                 encode(&ConfigurationResponse {
-                    configuration: configuration.map(|(version, body)| VersionedBytes {
-                        version,
-                        bytes: body.to_vec(),
-                    }),
+                    configuration: configuration.map(VersionedBytes::from),
                 })
             }
             Request::Batch(batch) | Request::Urgent(batch) => {
@@ -341,35 +352,36 @@
                 .state
                 .lock()
                 .respond(self.now(), &request, self.committed.as_ref());
-            if has_news(&request, &response) || Instant::now() >= deadline {
+            if has_updates(&request, &response) || Instant::now() >= deadline {
                 return encode(&response);
             }
             tokio::select! {
                 _ = registry_changed.changed() => {}
                 Ok(()) = committed_changed.changed() => {}
-                () = tokio::time::sleep_until(deadline) => {}
+                () = sleep_until(deadline) => {}
             }
         }
     }
 }
 
-/// Tells `peer` of a departure, again if need be. Returns the peer once it has answered.
-async fn tell_peer(
+/// Notifies `peer` of a departure, with retries until `deadline`. Returns the peer once it has acknowledged
+/// it.
+async fn notify_peer(
     rpc: Client,
     peer: SocketAddr,
     body: Vec<u8>,
     deadline: Instant,
 ) -> Option<SocketAddr> {
     while Instant::now() < deadline {
-        let left = deadline - Instant::now();
+        let remaining = deadline - Instant::now();
         if rpc
-            .call(peer, ServiceId::DISCOVERY, body.clone(), left)
+            .call(peer, ServiceId::DISCOVERY, body.clone(), remaining)
             .await
             .is_ok()
         {
             return Some(peer);
         }
-        tokio::time::sleep(URGENT_RETRY).await;
+        tokio::time::sleep(DEPARTURE_RETRY_INTERVAL).await;
     }
     None
 }
--- a/crates/tier/discovery/tests/registry.rs
+++ b/crates/tier/discovery/tests/registry.rs
@@ -8,8 +8,8 @@
 use common::{draining, heartbeat};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_discovery::registry::{
-    Ack, HeartbeatError, Refresh, RefreshResult, Registry, RegistryVersion, TOMBSTONE_LIFE,
-    TOMBSTONES_BASE,
+    HeartbeatError, HeartbeatOutcome, MIN_TOMBSTONE_LIMIT, Refresh, RefreshResult, Registry,
+    RegistryVersion, TOMBSTONE_TTL,
 };
 use woadreach_discovery::{Departure, Heartbeat, ReplicaStatus};
 
@@ -35,11 +35,11 @@
     let mut registry = registry();
     assert_eq!(
         registry.heartbeat(seconds(0.0), "r", heartbeat(1, 5)),
-        Ok(Ack::Changed)
+        Ok(HeartbeatOutcome::Changed)
     );
     assert_eq!(
         registry.heartbeat(seconds(0.1), "r", draining(1, 6)),
-        Ok(Ack::Leaving)
+        Ok(HeartbeatOutcome::Departing)
     );
     let before = (registry.status("r").cloned(), registry.version());
     let stale = HeartbeatError::Stale {
@@ -70,13 +70,13 @@
     let version = registry.version();
     assert_eq!(
         registry.heartbeat(seconds(0.4), "r", draining(1, 5)),
-        Ok(Ack::Leaving)
+        Ok(HeartbeatOutcome::Departing)
     );
     assert_eq!(registry.version(), version);
 }
 
 #[test]
-fn heartbeats_without_news_are_no_news_for_watchers() {
+fn heartbeats_without_changes_are_no_update_for_watchers() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
@@ -85,7 +85,7 @@
     for sequence in 2..50 {
         assert_eq!(
             registry.heartbeat(seconds(1.0), "r", heartbeat(1, sequence)),
-            Ok(Ack::Unchanged)
+            Ok(HeartbeatOutcome::Unchanged)
         );
     }
     assert_eq!(registry.version(), version);
@@ -117,13 +117,13 @@
 }
 
 #[test]
-fn a_replica_that_has_left_stays_gone() {
+fn a_deregistered_replica_stays_departed() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
         .unwrap();
     let record = registry.status("r").cloned().unwrap();
-    registry.leave(seconds(1.0), "r").unwrap();
+    registry.deregister(seconds(1.0), "r").unwrap();
     let departed = HeartbeatError::Departed { id: "r".into() };
     assert_eq!(
         registry.heartbeat(seconds(1.1), "r", heartbeat(1, 9)),
@@ -144,8 +144,8 @@
     );
     assert_eq!(registry.present(), 0);
     assert_eq!(
-        registry.leave(seconds(1.4), "r"),
-        Ok(Ack::Leaving),
+        registry.deregister(seconds(1.4), "r"),
+        Ok(HeartbeatOutcome::Departing),
         "said again, acknowledged again"
     );
 }
@@ -155,24 +155,24 @@
     let mut other = registry();
     other.heartbeat(seconds(0.0), "r", heartbeat(1, 1)).unwrap();
     let mut registry = registry();
-    registry.leave(seconds(0.0), "r").unwrap();
+    registry.deregister(seconds(0.0), "r").unwrap();
     registry.merge(seconds(0.1), "r", other.status("r").cloned().unwrap());
     assert_eq!(registry.present(), 0);
 }
 
 #[test]
-fn a_silent_replica_expires_and_a_later_heartbeat_brings_it_back() {
+fn an_unresponsive_replica_expires_and_a_later_heartbeat_restores_it() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "r", heartbeat(1, 3))
         .unwrap();
     assert!(registry.expire(seconds(4.0), seconds(4.2)).is_empty());
     assert_eq!(registry.expire(seconds(4.3), seconds(4.2)), ["r"]);
-    let gone = ReplicaStatus::Gone {
+    let expired = ReplicaStatus::Departed {
         sequence: 3,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     };
-    assert_eq!(registry.status("r"), Some(&gone));
+    assert_eq!(registry.status("r"), Some(&expired));
     assert!(
         registry
             .heartbeat(seconds(4.4), "r", heartbeat(1, 3))
@@ -181,7 +181,7 @@
     );
     assert_eq!(
         registry.heartbeat(seconds(5.0), "r", heartbeat(1, 4)),
-        Ok(Ack::Changed)
+        Ok(HeartbeatOutcome::Changed)
     );
     assert_eq!(registry.present(), 1);
 }
@@ -193,9 +193,9 @@
         .heartbeat(seconds(0.0), "r", heartbeat(1, 8))
         .unwrap();
     let version = registry.version();
-    let expiry = ReplicaStatus::Gone {
+    let expiry = ReplicaStatus::Departed {
         sequence: 5,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     };
     assert!(registry.merge(seconds(0.1), "r", expiry));
     let changes = registry.changes_since(version, 10);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_new_incarnation_at_the_same_address_supersedes_a_silent_one_only() {
+fn a_new_incarnation_at_the_same_address_supersedes_only_an_unresponsive_one() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "old", heartbeat(1, 7))
@@ -245,7 +245,7 @@
     sender
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
         .unwrap();
-    let refresh = |sender: &Registry| sender.refresh_of("r").unwrap();
+    let refresh = |sender: &Registry| sender.refresh_for("r").unwrap();
     assert_eq!(
         receiver.refresh(seconds(0.1), &refresh(&sender)),
         RefreshResult::Unknown
@@ -269,43 +269,43 @@
 }
 
 #[test]
-fn tombstones_are_kept_for_minutes_and_are_bounded() {
+fn tombstones_are_retained_for_minutes_and_are_bounded() {
     let mut registry = registry();
-    registry.leave(seconds(0.0), "r").unwrap();
-    registry.forget_tombstones(TOMBSTONE_LIFE);
+    registry.deregister(seconds(0.0), "r").unwrap();
+    registry.drop_tombstones(TOMBSTONE_TTL);
     assert!(registry.status("r").is_some());
     let before = registry.version();
-    registry.forget_tombstones(TOMBSTONE_LIFE + seconds(1.0));
+    registry.drop_tombstones(TOMBSTONE_TTL + seconds(1.0));
     assert!(registry.status("r").is_none());
     assert!(
         !registry.changes_since(before, 10).restart,
         "that receiver has had the tombstone"
     );
 
-    for number in 0..TOMBSTONES_BASE + 10 {
+    for number in 0..MIN_TOMBSTONE_LIMIT + 10 {
         registry
-            .leave(TOMBSTONE_LIFE, &format!("t{number}"))
+            .deregister(TOMBSTONE_TTL, &format!("t{number}"))
             .unwrap();
     }
-    registry.forget_tombstones(TOMBSTONE_LIFE);
+    registry.drop_tombstones(TOMBSTONE_TTL);
     assert!(registry.status("t9").is_none(), "the oldest go first");
     assert!(registry.status("t10").is_some());
 }
 
 #[test]
-fn a_receiver_from_before_a_dropped_tombstone_gets_the_whole_list_also_in_parts() {
+fn a_receiver_from_before_a_dropped_tombstone_gets_the_complete_list_also_in_several_responses() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "gone", heartbeat(9, 1))
         .unwrap();
     let early = registry.version();
-    registry.leave(seconds(1.0), "gone").unwrap();
+    registry.deregister(seconds(1.0), "gone").unwrap();
     for port in 1..=7 {
         registry
             .heartbeat(seconds(2.0), &format!("r{port}"), heartbeat(port, 1))
             .unwrap();
     }
-    registry.forget_tombstones(seconds(2.0) + TOMBSTONE_LIFE);
+    registry.drop_tombstones(seconds(2.0) + TOMBSTONE_TTL);
     let mut version = early;
     let mut listed = Vec::new();
     for part in 0..4 {
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn another_incarnation_gets_the_whole_list() {
+fn a_receiver_of_another_incarnation_gets_the_complete_list() {
     let mut registry = registry();
     registry
         .heartbeat(seconds(0.0), "r", heartbeat(1, 1))
@@ -334,7 +334,7 @@
     assert!(changes.restart && changes.statuses.len() == 1);
 }
 
-/// One step of a replica's life, told to a registry.
+/// One step in the lifetime of a replica, applied to a registry.
 #[derive(Clone, Debug)]
 enum Step {
     Heartbeat {
@@ -362,7 +362,7 @@
     }
 }
 
-/// Latest word of each replica: its sequence and whether it drains; none once it has left.
+/// Latest update of each replica: its sequence and whether it drains; `None` once it has deregistered.
 type Oracle = BTreeMap<u8, Option<(u8, bool)>>;
 
 fn oracle_takes(oracle: &mut Oracle, step: &Step) -> bool {
@@ -376,12 +376,12 @@
             sequence,
             is_draining,
         } => {
-            let word = (sequence, is_draining);
+            let update = (sequence, is_draining);
             match oracle.get(&replica) {
                 Some(None) => false,
-                Some(Some(known)) if *known != word && known.0 >= sequence => false,
+                Some(Some(known)) if *known != update && known.0 >= sequence => false,
                 _ => {
-                    oracle.insert(replica, Some(word));
+                    oracle.insert(replica, Some(update));
                     true
                 }
             }
@@ -390,25 +390,25 @@
 }
 
 quickcheck! {
-    fn the_registry_follows_the_latest_word_of_each_replica(steps: Vec<Step>) -> bool {
+    fn the_registry_follows_the_latest_update_of_each_replica(steps: Vec<Step>) -> bool {
         let mut registry = registry();
         let mut follower = registry_of_watcher();
         let mut version = RegistryVersion::default();
         let mut oracle = Oracle::new();
         for step in &steps {
             let expected = oracle_takes(&mut oracle, step);
-            let taken = match *step {
-                Step::Leave { replica } => registry.leave(seconds(0.0), &replica.to_string()).is_ok(),
+            let is_accepted = match *step {
+                Step::Leave { replica } => registry.deregister(seconds(0.0), &replica.to_string()).is_ok(),
                 Step::Heartbeat { replica, sequence, is_draining } => {
                     let make = if is_draining { draining } else { heartbeat };
                     let heartbeat = make(u16::from(replica) + 1, u64::from(sequence));
                     registry.heartbeat(seconds(0.0), &replica.to_string(), heartbeat).is_ok()
                 }
             };
-            if taken != expected {
+            if is_accepted != expected {
                 return false;
             }
-            // A watcher that asks in parts of one account now and then.
+            // A watcher that sometimes requests one status at a time.
             let changes = registry.changes_since(version, 1);
             version = changes.version;
             follower.extend(changes.statuses);
@@ -421,15 +421,15 @@
                 break;
             }
         }
-        oracle.iter().all(|(replica, word)| {
+        oracle.iter().all(|(replica, update)| {
             let status = registry.status(&replica.to_string());
             let watched = follower.get(&replica.to_string());
             let same = match (status, watched) {
-                (Some(ReplicaStatus::Present(one)), Some(ReplicaStatus::Present(two))) => one.same_content(two),
+                (Some(ReplicaStatus::Present(one)), Some(ReplicaStatus::Present(two))) => one.has_same_content(two),
                 (one, two) => one == two,
             };
             let record = status.and_then(ReplicaStatus::record);
-            same && record.map(|record| record.sequence) == word.map(|word| u64::from(word.0))
+            same && record.map(|record| record.heartbeat.sequence) == update.map(|update| u64::from(update.0))
         })
     }
 }
