--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -9,9 +9,9 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use woadreach_routing::api::{QueryType, Repeat, Settings};
-use woadreachd::config::{Config, First, Given, read};
-use woadreachd::events::{Lifecycle, List};
-use woadreachd::peers;
+use woadreachd::PeerConfig;
+use woadreachd::config::{AddressPrecedence, Config, ConfigSource, read};
+use woadreachd::events::{EndpointList, Lifecycle};
 
 const WHOLE: &str = include_str!("recorded/config.json");
 
@@ -19,8 +19,8 @@
     serde_json::from_str(WHOLE).expect("the example is JSON")
 }
 
-fn given(text: &str) -> Given {
-    Given {
+fn given(text: &str) -> ConfigSource {
+    ConfigSource {
         path: "proxy.json".into(),
         text: text.into(),
         listen: None,
@@ -29,13 +29,14 @@
 }
 
 fn taken(text: &str) -> Config {
-    read(First::Environment, &given(text)).unwrap_or_else(|why| panic!("{why}"))
+    read(AddressPrecedence::Environment, &given(text)).unwrap_or_else(|why| panic!("{why}"))
 }
 
 fn refused(text: &str) -> String {
-    read(First::Environment, &given(text))
+    read(AddressPrecedence::Environment, &given(text))
         .err()
         .expect("it is not sound")
+        .to_string()
 }
 
 /// Values by the names that stand in the records.
@@ -63,11 +64,11 @@
     )
 }
 
-fn list(list: &List) -> String {
+fn list(list: &EndpointList) -> String {
     let lifecycle = |of| match of {
         Lifecycle::Ready => "ready",
         Lifecycle::Draining => "draining",
-        Lifecycle::Gone => "gone",
+        Lifecycle::Departed => "gone",
     };
     let entries = list.entries.iter().map(|e| {
         let lifecycle = lifecycle(e.lifecycle);
@@ -129,7 +130,7 @@
     let watch = c
         .watch
         .as_ref()
-        .map(|w| (w.retry_after, w.second_copies, &w.once));
+        .map(|w| (w.retry_after, w.hedging_allowed, &w.once));
     vec![
         ("listen", c.listen.to_string()),
         ("discovery", c.discovery.clone()),
@@ -139,37 +140,41 @@
         ("names of query types", format!("{:?}", c.names.query_types)),
         ("names of tenants", format!("{:?}", c.names.tenants)),
         ("shards", c.names.shards.to_string()),
-        ("marks repeats", c.names.marks_repeats.to_string()),
+        ("marks repeats", c.names.marks_retries.to_string()),
         ("core open", c.core.max_open.to_string()),
         ("core bytes", c.core.max_bytes.to_string()),
         ("core zones", format!("{:?}", c.core.zones)),
-        ("core fetch", format!("{:?}", c.core.fetch)),
-        ("core longest", c.core.longest.to_string()),
-        ("core longest target", c.core.longest_target.to_string()),
-        ("streams", c.replicas.streams_per_conn.to_string()),
-        ("replicas per call", c.replicas.parts_per_call.to_string()),
-        ("idle close", c.replicas.idle_close.to_string()),
+        ("core fetch", format!("{:?}", c.core.second_step_parts)),
+        ("core longest", c.core.max_client_timeout.to_string()),
+        ("core longest target", c.core.max_latency_target.to_string()),
+        ("streams", c.replicas.max_attempts.to_string()),
+        (
+            "replicas per call",
+            c.replicas.max_parts_per_call.to_string(),
+        ),
+        ("idle close", c.replicas.idle_timeout.to_string()),
         ("connect timeout", c.replicas.connect_timeout.to_string()),
-        ("cancelling", c.replicas.cancelling.to_string()),
+        ("cancelling", c.replicas.cancellation_allowed.to_string()),
         ("watch", format!("{watch:?}")),
     ]
 }
 
-fn tier(p: &peers::PeerConfig) -> Vec<(&'static str, String)> {
+fn tier(p: &PeerConfig) -> Vec<(&'static str, String)> {
+    let slow_start = p.slow_start.map(|split| (split.member_count, split.window));
     vec![
         ("peers listen", p.listen.to_string()),
         ("peers roster", format!("{:?}", p.roster)),
-        ("peers me", p.me.to_string()),
+        ("peers me", p.index.to_string()),
         ("peers zone", p.zone.to_string()),
         ("peers zones", format!("{:?}", p.zones)),
         ("peers regions", format!("{:?}", p.regions)),
-        ("peers out", format!("{:?}", p.out)),
-        ("peers near", p.near.to_string()),
-        ("peers warm", p.warm.to_string()),
-        ("peers duties", p.duties.to_string()),
-        ("peers warden", p.warden.to_string()),
-        ("peers records", p.records.to_string()),
-        ("peers cold", format!("{:?}", p.cold)),
+        ("peers out", format!("{:?}", p.forced_out)),
+        ("peers near", p.prefer_near.to_string()),
+        ("peers warm", p.warm_up.to_string()),
+        ("peers duties", p.roles.to_string()),
+        ("peers warden", p.quota_allocator.to_string()),
+        ("peers records", p.log_role_actions.to_string()),
+        ("peers cold", format!("{slow_start:?}")),
         ("peers seed", p.seed.to_string()),
     ]
 }
@@ -239,7 +244,7 @@
 /// What comes of a file: why it is refused, or each value that is another than the whole file's.
 fn outcome(file: &Value) -> String {
     let before = values(&taken(WHOLE));
-    let now = match read(First::Environment, &given(&file.to_string())) {
+    let now = match read(AddressPrecedence::Environment, &given(&file.to_string())) {
         Ok(config) => values(&config),
         Err(why) => return format!("refused, {why}"),
     };
@@ -402,17 +407,21 @@
 }
 
 #[rstest]
-#[case::environment_first(First::Environment, "127.0.0.1:1", "127.0.0.1:2")]
-#[case::file_first(First::File, "127.0.0.1:8080", "127.0.0.1:8081")]
-fn addresses_beside_the_file(#[case] first: First, #[case] listen: &str, #[case] discovery: &str) {
+#[case::environment_first(AddressPrecedence::Environment, "127.0.0.1:1", "127.0.0.1:2")]
+#[case::file_first(AddressPrecedence::File, "127.0.0.1:8080", "127.0.0.1:8081")]
+fn addresses_beside_the_file(
+    #[case] precedence: AddressPrecedence,
+    #[case] listen: &str,
+    #[case] discovery: &str,
+) {
     let (beside_listen, beside_discovery) =
         (Some("127.0.0.1:1".into()), Some("127.0.0.1:2".into()));
-    let given = Given {
+    let given = ConfigSource {
         listen: beside_listen,
         discovery: beside_discovery,
         ..given(WHOLE)
     };
-    let config = read(first, &given).unwrap_or_else(|why| panic!("{why}"));
+    let config = read(precedence, &given).unwrap_or_else(|why| panic!("{why}"));
     assert_eq!(
         (
             config.listen.to_string().as_str(),
--- a/crates/testing/process-tests/src/cluster/actions.rs
+++ b/crates/testing/process-tests/src/cluster/actions.rs
@@ -13,7 +13,7 @@
 const START_LISTED_AFTER: f64 = 0.2;
 /// Seconds from SIGTERM to SIGKILL: the longest client time-out, 1.5 s, and 0.7 s more.
 const SIGKILL_AFTER: f64 = 2.2;
-/// With so many zones, two of them are a minority.
+/// The least number of zones of which two are a minority.
 const MIN_ZONES_FOR_MINORITY_OF_TWO: usize = 5;
 
 impl Cluster {
--- a/crates/testing/process-tests/src/log_events.rs
+++ b/crates/testing/process-tests/src/log_events.rs
@@ -1,5 +1,5 @@
 //! The events of `woadreachd`'s JSON log that measurements are taken from: their message texts, the names of
-//! their fields, and what was read. `crates/router/woadreachd/src/peers.rs` writes them.
+//! their fields, and what was read. They are written by the module `peers` of the crate `woadreachd`.
 
 use serde_json::Value;
 
@@ -47,7 +47,7 @@
 }
 
 impl ZoneVerdict {
-    const MESSAGES: [&str; 1] = ["verdict"];
+    const MESSAGES: [&str; 2] = ["zone ejected", "zone restored"];
     const ZONE: &str = "zone";
 
     fn parse(fields: &Value) -> ZoneVerdict {
@@ -71,8 +71,8 @@
 }
 
 impl RoleAction {
-    const MESSAGE: &str = "act";
-    const ROLE: &str = "duty";
+    const MESSAGE: &str = "role action performed";
+    const ROLE: &str = "role";
 
     fn parse(fields: &Value) -> RoleAction {
         RoleAction {
@@ -91,7 +91,7 @@
 }
 
 impl RolesReport {
-    const MESSAGE: &str = "duties";
+    const MESSAGE: &str = "roles reported";
     const STALE: &str = "stale";
 
     fn parse(fields: &Value) -> RolesReport {
@@ -109,9 +109,9 @@
 }
 
 impl MembershipReport {
-    const MESSAGE: &str = "peers";
-    const DATAGRAMS_SENT: &str = "sent";
-    const BYTES_SENT: &str = "bytes";
+    const MESSAGE: &str = "membership reported";
+    const DATAGRAMS_SENT: &str = "datagrams_sent";
+    const BYTES_SENT: &str = "bytes_sent";
 
     fn parse(fields: &Value) -> MembershipReport {
         MembershipReport {
--- a/crates/testing/process-tests/tests/unit/measurements.rs
+++ b/crates/testing/process-tests/tests/unit/measurements.rs
@@ -9,12 +9,12 @@
 
 /// Lines as processes log them.
 const LOGGED: [&str; 6] = [
-    r#"{"timestamp":"2026-03-01T00:00:01.500000Z","level":"INFO","message":"act","duty":"QuotaAllocator(0)","epoch":3}"#,
-    r#"{"timestamp":"2026-03-01T00:00:02.000000Z","level":"INFO","message":"act","duty":"QuotaAllocator(0)","epoch":4}"#,
-    r#"{"timestamp":"2026-03-01T00:00:02.250000Z","level":"INFO","message":"act","duty":"EndpointWatch(0)","epoch":9}"#,
-    r#"{"level":"WARN","message":"verdict","zone":"z1","epoch":5,"out":true,"strikes":0,"seen":9,"bad":8}"#,
-    r#"{"level":"INFO","message":"duties","held":1,"taken":1,"lost":0,"stale":2,"jumped":0,"refused":0,"ahead":0}"#,
-    r#"{"level":"INFO","message":"peers","live":3,"roster":3,"cut_off":false,"sent":40,"bytes":2000,"taken":40}"#,
+    r#"{"timestamp":"2026-03-01T00:00:01.500000Z","level":"INFO","message":"role action performed","role":"QuotaAllocator(0)","epoch":3}"#,
+    r#"{"timestamp":"2026-03-01T00:00:02.000000Z","level":"INFO","message":"role action performed","role":"QuotaAllocator(0)","epoch":4}"#,
+    r#"{"timestamp":"2026-03-01T00:00:02.250000Z","level":"INFO","message":"role action performed","role":"EndpointWatch(0)","epoch":9}"#,
+    r#"{"level":"WARN","message":"zone ejected","zone":"z1","epoch":5,"consecutive_failovers":0,"seen":9,"failed":8}"#,
+    r#"{"level":"INFO","message":"roles reported","held":1,"acquired":1,"lost":0,"stale":2,"clock_jumps":0,"refused":0,"ahead":0}"#,
+    r#"{"level":"INFO","message":"membership reported","live":3,"roster":3,"partitioned":false,"datagrams_sent":40,"bytes_sent":2000,"datagrams_received":40}"#,
 ];
 
 /// 2026-03-01T00:00:00Z.
