--- a/crates/tier/journal/src/engine/mod.rs
+++ b/crates/tier/journal/src/engine/mod.rs
@@ -23,9 +23,8 @@
     position: LogPosition,
     /// Limit on the bytes of both slots together.
     max_bytes: u64,
-    /// A replacement failed while its header was written: recovery might choose its slot as the newer one.
-    /// Must be
-    /// `false`, its slot being emptied, before anything else is appended.
+    /// A replacement failed while its header was written, so recovery might choose its slot as the newer one.
+    /// That slot must be emptied, and this be `false`, before anything else is appended.
     is_replacement_uncertain: bool,
     /// The replacement under way.
     replacement: Option<Replacement>,
@@ -93,7 +92,7 @@
     /// # Errors
     /// [`JournalError::Full`] or [`JournalError::Io`]. None of the records is acknowledged then; after the
     /// latter they may be recovered after a restart all the same.
-    pub fn commit(&mut self, records: &[Vec<u8>]) -> Result<Synced, JournalError> {
+    pub fn append_batch(&mut self, records: &[Vec<u8>]) -> Result<Synced, JournalError> {
         self.initialize()?;
         self.discard_uncertain_replacement()?;
         let position = &self.position;
--- a/crates/tier/journal/src/journal/disk_thread.rs
+++ b/crates/tier/journal/src/journal/disk_thread.rs
@@ -57,7 +57,7 @@
         let started = Instant::now();
         let work = collect_work(first, queue);
         let appended_bytes = work.batch.bytes;
-        commit(&mut engine, work.batch, started, progress);
+        write_batch(&mut engine, work.batch, started, progress);
         if let Some(queued) = work.snapshot {
             // The newer snapshot holds everything that the one under way does.
             if let Some(superseded) = replacing.take() {
@@ -91,11 +91,11 @@
     work
 }
 
-fn commit(engine: &mut Engine, batch: Batch, started: Instant, progress: &Mutex<Progress>) {
+fn write_batch(engine: &mut Engine, batch: Batch, started: Instant, progress: &Mutex<Progress>) {
     if batch.records.is_empty() {
         return;
     }
-    let outcome = engine.commit(&batch.records);
+    let outcome = engine.append_batch(&batch.records);
     {
         let mut progress = progress.lock();
         progress.record_batch(batch.records.len(), batch.bytes, started);
--- a/crates/tier/journal/src/recovery.rs
+++ b/crates/tier/journal/src/recovery.rs
@@ -46,7 +46,8 @@
 }
 
 impl LogPosition {
-    /// Position before the first slot is written, which is `slot-a`.
+    /// Position before the first slot is written. It names slot B, so that the first write goes to the other
+    /// one, `slot-a`.
     pub(crate) fn of_empty_disk() -> LogPosition {
         LogPosition {
             slot: Slot::B,
--- a/crates/tier/journal/tests/engine.rs
+++ b/crates/tier/journal/tests/engine.rs
@@ -120,7 +120,7 @@
                 let batch: Vec<_> = (0..random.rand_range(1..4))
                     .map(|_| record(&mut random))
                     .collect();
-                match engine.commit(&batch) {
+                match engine.append_batch(&batch) {
                     Ok(_) => {
                         oracle.records.extend(batch.clone());
                         oracle.tail.extend(batch);
@@ -152,7 +152,7 @@
         let disk = SimulatedDisk::default();
         disk.set_fault(DiskFault::IgnoresSync);
         let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
-        let _ = engine.commit(&[vec![1]]).unwrap();
+        let _ = engine.append_batch(&[vec![1]]).unwrap();
         disk.lose_power(&mut random);
         let recovered = Engine::open(Box::new(disk.clone()), MAX_BYTES);
         lost += u32::from(!matches!(recovered, Ok((_, found)) if found.records == [vec![1]]));
@@ -165,10 +165,10 @@
         let disk = SimulatedDisk::default();
         let mut random = Rand64::new(u128::from(seed));
         let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
-        let _ = engine.commit(&[vec![7; 9]]).unwrap();
+        let _ = engine.append_batch(&[vec![7; 9]]).unwrap();
         let _ = engine.replace(&snapshot).unwrap();
         for record in &records {
-            let _ = engine.commit(std::slice::from_ref(record)).unwrap();
+            let _ = engine.append_batch(std::slice::from_ref(record)).unwrap();
         }
         let slot = Slot::ALL[usize::from(seed.is_multiple_of(2))];
         if !disk.flip_bit(slot, &mut random) {
@@ -192,9 +192,9 @@
     let disk = SimulatedDisk::default();
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), 1_000).unwrap();
     let _ = engine.replace(&[1; 400]).unwrap();
-    let _ = engine.commit(&[vec![2; 300]]).unwrap();
+    let _ = engine.append_batch(&[vec![2; 300]]).unwrap();
     assert!(matches!(
-        engine.commit(&[vec![3; 400]]),
+        engine.append_batch(&[vec![3; 400]]),
         Err(JournalError::Full { .. })
     ));
     assert!(matches!(
@@ -213,7 +213,7 @@
         let disk = SimulatedDisk::default();
         let (engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
         let mut engine = engine.with_chunk_bytes(100);
-        let _ = engine.commit(&[vec![1; 10]]).unwrap();
+        let _ = engine.append_batch(&[vec![1; 10]]).unwrap();
         let before = disk.used_bytes();
         engine.begin_replacement(vec![2; 350]).unwrap();
         for _ in 0..chunks {
@@ -226,7 +226,7 @@
         ));
         disk.set_fault(DiskFault::Healthy);
         assert_eq!(disk.used_bytes(), before, "after {chunks} chunks");
-        let _ = engine.commit(&[vec![3; 10]]).unwrap();
+        let _ = engine.append_batch(&[vec![3; 10]]).unwrap();
         let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
         assert_eq!(found.records, [vec![1; 10], vec![3; 10]]);
     }
@@ -237,11 +237,11 @@
     let disk = SimulatedDisk::default();
     let (mut engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
     assert!(found.was_empty);
-    let _ = engine.commit(&[vec![1; 10], vec![2; 10]]).unwrap();
+    let _ = engine.append_batch(&[vec![1; 10], vec![2; 10]]).unwrap();
     let (mut engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
     assert!(!found.was_empty);
     assert_eq!(found.records.len(), 2);
-    let _ = engine.commit(&[vec![3; 10]]).unwrap();
+    let _ = engine.append_batch(&[vec![3; 10]]).unwrap();
     let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
     assert_eq!(found.records, [vec![1; 10], vec![2; 10], vec![3; 10]]);
 }
--- a/crates/tier/journal/tests/power_losses.rs
+++ b/crates/tier/journal/tests/power_losses.rs
@@ -49,7 +49,7 @@
         let first = self.acknowledgements.acknowledged;
         let batch: Vec<Vec<u8>> = (first..first + count).map(|number| vec![number]).collect();
         self.acknowledgements.in_flight = self.acknowledgements.in_flight.max(count);
-        let _receipt = self.engine.commit(&batch)?;
+        let _receipt = self.engine.append_batch(&batch)?;
         self.acknowledgements = Acknowledgements {
             acknowledged: first + count,
             in_flight: 0,
--- a/crates/tier/journal/tests/recorded_bytes.rs
+++ b/crates/tier/journal/tests/recorded_bytes.rs
@@ -22,7 +22,7 @@
 
 fn commit(engine: &mut Engine, records: &[&[u8]]) {
     let records: Vec<Vec<u8>> = records.iter().map(|record| record.to_vec()).collect();
-    let _receipt = engine.commit(&records).expect("the disk works");
+    let _receipt = engine.append_batch(&records).expect("the disk works");
 }
 
 fn replace(engine: &mut Engine, snapshot: &[u8]) {
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -138,7 +138,7 @@
                 self.identity = random.rand_u64();
             }
             let (node, record) = StorageNode::create(self.node.clone(), self.identity, tolerated);
-            let _ = engine.commit(&[record]).unwrap();
+            let _ = engine.append_batch(&[record]).unwrap();
             node
         });
         self.identity = node.disk();
@@ -163,7 +163,7 @@
                     Record::Append(record) => Some(record.clone()),
                     Record::Replace(_) => None,
                 });
-            let _ = process.engine.commit(&records.collect::<Vec<_>>());
+            let _ = process.engine.append_batch(&records.collect::<Vec<_>>());
         }
         if power {
             self.disk.lose_power(random);
@@ -259,7 +259,7 @@
                     Record::Append(record) => Some(record.clone()),
                     Record::Replace(_) => None,
                 });
-                process.engine.commit(&records.collect::<Vec<_>>())
+                process.engine.append_batch(&records.collect::<Vec<_>>())
             }
         };
         let answers = batch.into_iter().map(|waiting| {
@@ -276,5 +276,5 @@
 /// A receipt for a sync of another disk.
 fn receipt_of_another_disk() -> Synced {
     let (mut engine, _) = Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES).unwrap();
-    engine.commit(&[Vec::new()]).unwrap()
+    engine.append_batch(&[Vec::new()]).unwrap()
 }
--- a/crates/tier/storage/tests/state.rs
+++ b/crates/tier/storage/tests/state.rs
@@ -14,7 +14,7 @@
 
 fn synced() -> Synced {
     let (mut engine, _) = Engine::open(Box::new(SimulatedDisk::default()), 1 << 20).unwrap();
-    engine.commit(&[Vec::new()]).unwrap()
+    engine.append_batch(&[Vec::new()]).unwrap()
 }
 
 fn turn(request_id: &str, previous: Option<&str>) -> TurnRecord {
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -42,9 +42,9 @@
 /// The receipt of a sync, which only a journal gives.
 fn receipt() -> Synced {
     JOURNAL.with_borrow_mut(|journal| {
-        journal.commit(&[vec![0]]).unwrap_or_else(|_| {
+        journal.append_batch(&[vec![0]]).unwrap_or_else(|_| {
             *journal = empty_journal();
-            journal.commit(&[vec![0]]).expect("a healthy disk")
+            journal.append_batch(&[vec![0]]).expect("a healthy disk")
         })
     })
 }
