--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -4,7 +4,7 @@
 //! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more
 //! writes of that epoch, so the state that it reports with the promise is final.
 //!
-//! The acceptor's part is in `member/views.rs`; this module is the proposer's.
+//! The acceptor's part is in `member/paxos.rs`; this module is the proposer's.
 //!
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
--- a/crates/tier/chain/src/blob.rs
+++ b/crates/tier/chain/src/blob.rs
@@ -27,7 +27,7 @@
 impl<'a, C: Context> Readable<'a, C> for Blob {
     fn read_from<R: Reader<'a, C>>(reader: &mut R) -> Result<Self, C::Error> {
         let length = reader.read_u32()? as usize;
-        // `read_vec` checks that so many bytes are there before it allocates.
+        // `read_vec` checks that `length` bytes are there before it allocates.
         let bytes: Vec<u8> = reader.read_vec(length)?;
         Ok(Blob(Bytes::from(bytes)))
     }
--- a/crates/tier/chain/src/member/messages.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -36,6 +36,7 @@
         {
             return self.handle_in_epoch(now, from, body);
         }
+        // A heartbeat of another epoch gets here too: by it a machine that returns is sent the view.
         let own_epoch = self.durable.view.epoch;
         if epoch > own_epoch {
             return self.send_now(from.address, Body::RequestView);
@@ -158,7 +159,7 @@
             }
         }
         if self.replication.synced(through) {
-            self.report_persisted(now);
+            self.report_progress(now);
         }
     }
 }
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -69,7 +69,7 @@
                     .map(|peer| peer.address),
             );
         }
-        if view.epoch == 0 || !self.reaches_majority(now) || !is_in_view {
+        if view.epoch == 0 || !self.is_in_contact_with_majority(now) || !is_in_view {
             addresses.extend_from_slice(&self.seeds);
         }
         addresses.sort();
--- a/crates/tier/chain/src/member/io.rs
+++ b/crates/tier/chain/src/member/io.rs
@@ -21,7 +21,7 @@
     /// The caller of a request has disconnected.
     Cancel(RequestId),
     /// Every record up to this number is synced.
-    Persisted(u64),
+    Synced(u64),
     /// The disk has become healthy or unhealthy.
     DiskHealth {
         /// Whether the disk syncs in time.
@@ -36,7 +36,7 @@
 /// What the driver must do, in the order in which outputs are returned.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Append the record and sync; then report [`Input::Persisted`] with its number.
+    /// Append the record and sync; then report [`Input::Synced`] with its number.
     Persist {
         /// Number of the record, one above that of the record before.
         number: u64,
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -9,23 +9,27 @@
 //!
 //! A message that promises something durable leaves only once every record before it is synced.
 //!
-//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `views`
-//! is the acceptor and installs views, `proposals` and `view_selection` are the proposer, `chain` and `head`
-//! replicate, `heartbeats` and `quorum_contact` watch the others, `departure` ends a process.
+//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `paxos`
+//! is the acceptor and sends the proposer's messages, `proposals` and `view_selection` decide when to propose
+//! and which view, `installation` installs a decided view, `propagation` and `head` replicate, `heartbeats`
+//! and `quorum_contact` watch the others, `departure` says when a process that is shutting down may exit,
+//! `dispatch` dispatches messages and defers those that wait for a sync, `steps` is for exhaustive searches.
+//! `options`, `io` and `status` have the types of the member's settings, inputs, outputs and status.
 
-mod chain;
 mod departure;
+mod dispatch;
 mod head;
 mod heartbeats;
+mod installation;
 mod io;
-mod messages;
 mod options;
+mod paxos;
+mod propagation;
 mod proposals;
 mod quorum_contact;
 mod status;
 mod steps;
 mod view_selection;
-mod views;
 
 pub use io::{Input, Output};
 pub use options::MemberOptions;
@@ -55,7 +59,7 @@
 /// Interval between heartbeats to the same member.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A gap between two ticks that is longer than this shows that the process was stalled.
-const STALL_THRESHOLD: Duration = Duration::from_millis(450);
+const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(450);
 /// First interval between requests for the committed state. It doubles while no state arrives, up to
 /// [`MAX_STATE_REQUEST_INTERVAL`], since a state may be in flight for long.
 const MIN_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
@@ -129,8 +133,8 @@
             identity: durable.identity,
         };
         let mut random = oorandom::Rand64::new(u128::from(options.random_seed));
-        // Names this life of the process in its heartbeats, and its first term as head in its barriers.
-        let session = random.rand_u64() | 1;
+        // The incarnation in heartbeats, and the session of the first barriers.
+        let incarnation = random.rand_u64() | 1;
         let replication = Replication::new(durable.active_epoch, &durable.state);
         let mut proposer = Proposer::default();
         if let Some(promise) = durable.promise {
@@ -141,13 +145,13 @@
             seeds: options.seeds,
             policy: Policy::tolerating(options.tolerance),
             failure_domain: options.failure_domain,
-            peers: Peers::new(id, session, now),
+            peers: Peers::new(id, incarnation, now),
             proposer,
             election: Election::new(now),
             replication,
             pending_requests: PendingRequests::default(),
             published: Arc::new(ControlState::default()),
-            barrier_session: session,
+            barrier_session: incarnation,
             is_caught_up: false,
             is_disk_healthy: true,
             is_leaving: false,
@@ -235,7 +239,7 @@
             Input::Message(envelope) => self.receive(now, envelope),
             Input::Request(id, request) => self.handle_request(now, id, request),
             Input::Cancel(id) => self.pending_requests.cancel(id),
-            Input::Persisted(through) => self.synced(now, through),
+            Input::Synced(through) => self.synced(now, through),
             Input::DiskHealth { is_healthy } => self.disk_health(now, is_healthy),
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Leave => self.leave(now),
@@ -260,7 +264,7 @@
     }
 
     fn recover_from_stall(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_tick) > STALL_THRESHOLD {
+        if now.saturating_sub(self.last_tick) > PROCESS_STALL_THRESHOLD {
             self.peers.excuse_stall(now, self.last_tick);
             self.election.cancel();
             self.last_tick = now;
--- a/crates/tier/chain/src/member/views.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -1,5 +1,4 @@
-//! The acceptor's part of the agreement on views, the messages of the proposer, and the installation of a
-//! view.
+//! The acceptor's part of the agreement on views, and the messages of the proposer.
 //!
 //! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
 //! reported.
@@ -7,14 +6,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::{Member, Output};
+use super::Member;
 use crate::agreement::{Phase, Report};
 use crate::ballot::{Accepted, Ballot, Promise};
 use crate::durable::Record;
 use crate::election::SEALED_EPOCH_DELAY;
 use crate::message::Body;
-use crate::replication::Replication;
-use crate::requests::Reply;
 use crate::view::{MemberId, View};
 
 impl Member {
@@ -179,46 +176,4 @@
     pub(crate) fn proposal_phase(&self) -> &Phase {
         self.proposer.phase()
     }
-
-    /// Installs a decided view, unless a newer one is installed. Whatever belongs to the earlier epoch is
-    /// dropped.
-    pub(super) fn install_view(&mut self, now: Duration, view: View) {
-        if view.epoch <= self.durable.view.epoch {
-            return;
-        }
-        self.persist(Record::View(view.clone()));
-        self.deferred.clear();
-        self.proposer.abandon();
-        self.election.cancel();
-        self.clear_active_members();
-        self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
-        self.barrier_session = self.random.rand_u64() | 1;
-        self.outputs.push(Output::ViewInstalled(view.clone()));
-        if view.head() == Some(self.id) {
-            self.become_head(now);
-        } else {
-            self.abort_requests();
-        }
-        self.next_heartbeat = now;
-    }
-
-    /// Begins to serve as head of the installed view, with this member's own state.
-    pub(super) fn become_head(&mut self, now: Duration) {
-        let epoch = self.durable.view.epoch;
-        let record = self.persist(Record::Activate(epoch));
-        self.replication.restart(record, epoch, &self.durable.state);
-        let barrier = self.replication.next_barrier(self.barrier_session);
-        self.pending_requests.renew_barriers(barrier.number);
-        self.advance_replication(now);
-    }
-
-    /// Answers every pending request with [`Reply::Unavailable`].
-    pub(super) fn abort_requests(&mut self) {
-        for id in self.pending_requests.drain() {
-            self.outputs.push(Output::Reply {
-                id,
-                reply: Reply::Unavailable,
-            });
-        }
-    }
 }
--- a/crates/tier/chain/src/member/chain.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -37,8 +37,8 @@
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
-    /// Takes the writes after `after` from the predecessor, or activates the epoch if the states are the
-    /// same.
+    /// Activates the epoch if this member's state is the predecessor's at `after`, then appends the writes
+    /// that follow it.
     pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
@@ -53,6 +53,7 @@
         let epoch = self.durable.view.epoch;
         if self.durable.active_epoch != epoch {
             if self.durable.state.stamp != after {
+                // Reported as inactive, which makes the predecessor send its complete state.
                 return self.report_to_predecessor();
             }
             let record = self.persist(Record::Activate(epoch));
@@ -84,7 +85,9 @@
             .push(record, self.durable.view.epoch, stamp, command);
     }
 
-    /// Takes the predecessor's complete state, unless the own one is as new, and activates the epoch.
+    /// Replaces the own state by the predecessor's and activates the epoch. Before the activation this is
+    /// done even if the own state is newer: what it has beyond the predecessor's was never committed. After
+    /// it, only a newer state is taken.
     pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
@@ -96,11 +99,12 @@
             return;
         }
         let epoch = self.durable.view.epoch;
-        let is_newer = self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
-        if !is_newer && !self.replication.is_syncing() {
+        let must_replace =
+            self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
+        if !must_replace && !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
-        if is_newer {
+        if must_replace {
             let record = self.persist(Record::State { epoch, state });
             self.replication.restart(record, epoch, &self.durable.state);
         }
@@ -109,7 +113,7 @@
     }
 
     /// More of the chain's records are synced: forwards them and reports that to the predecessor.
-    pub(super) fn report_persisted(&mut self, now: Duration) {
+    pub(super) fn report_progress(&mut self, now: Duration) {
         self.advance_replication(now);
         self.report_to_predecessor();
     }
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -117,6 +117,8 @@
         is_ready.then_some(ProposalReason::Bootstrap)
     }
 
+    /// Voters that this member hears and that list it as heard. Weaker than quorum contact: a member that has
+    /// not caught up may propose.
     fn reachable_voters(&self, now: Duration) -> usize {
         let voters = self.durable.view.voters.iter();
         voters
@@ -138,10 +140,10 @@
             .voters
             .iter()
             .filter(|&&voter| !self.has_reported(reports, voter));
-        let are_expected = missing
+        let awaited = missing
             .filter(|&&voter| self.is_expected(now, voter))
             .count();
-        if are_expected > 0 && now.saturating_sub(*since) < REPORT_TIMEOUT {
+        if awaited > 0 && now.saturating_sub(*since) < REPORT_TIMEOUT {
             return;
         }
         self.propose_from_reports(now);
--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -21,23 +21,23 @@
         if self.is_mutated(crate::mutations::Mutation::QuorumByHearing) {
             return self.hears_majority(now);
         }
-        self.is_caught_up && self.reaches_majority(now)
+        self.is_caught_up && self.is_in_contact_with_majority(now)
     }
 
     /// Whether a majority of the voters has echoed a recent heartbeat of this member.
-    pub(super) fn reaches_majority(&self, now: Duration) -> bool {
+    pub(super) fn is_in_contact_with_majority(&self, now: Duration) -> bool {
         let view = &self.durable.view;
         let reached = view
             .voters
             .iter()
-            .filter(|&&voter| self.reaches_voter(now, voter))
+            .filter(|&&voter| self.is_in_contact_with_voter(now, voter))
             .count();
         !view.voters.is_empty() && reached >= view.majority()
     }
 
     /// Whether a voter has echoed a recent heartbeat. The voters of epoch 0 have no identities; being heard
     /// suffices.
-    fn reaches_voter(&self, now: Duration, voter: MemberId) -> bool {
+    fn is_in_contact_with_voter(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.hears_voter(now, voter);
         }
@@ -57,14 +57,14 @@
 
     /// Updates the state of the table above. Must be called before and after each input.
     pub(super) fn update_contact(&mut self, now: Duration) {
-        if !self.reaches_majority(now) {
+        if !self.is_in_contact_with_majority(now) {
             self.is_caught_up = false;
         } else if !self.is_caught_up {
             let view = &self.durable.view;
             let reached = view
                 .voters
                 .iter()
-                .filter(|&&voter| self.reaches_voter(now, voter));
+                .filter(|&&voter| self.is_in_contact_with_voter(now, voter));
             let newest = reached
                 .map(|&voter| self.peers.committed(voter))
                 .max()
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -23,23 +23,23 @@
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
     /// Internal addresses of the core machines that are known, this one included.
-    pub members: Vec<SocketAddrV4>,
+    pub core_machines: Vec<SocketAddrV4>,
 }
 
 impl Member {
     /// What this member knows of the core at `now`.
     pub fn status(&self, now: Duration) -> Status {
         let view = &self.durable.view;
-        let mut members: Vec<SocketAddrV4> = self
+        let mut core_machines: Vec<SocketAddrV4> = self
             .peers
             .heard_members(now)
             .iter()
             .map(|peer| peer.address)
             .collect();
-        members.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
-        members.extend(view.voters.iter().map(|voter| voter.address));
-        members.sort();
-        members.dedup();
+        core_machines.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
+        core_machines.extend(view.voters.iter().map(|voter| voter.address));
+        core_machines.sort();
+        core_machines.dedup();
         Status {
             epoch: view.epoch,
             head: view.head(),
@@ -47,7 +47,7 @@
             in_chain: view.chain.contains(&self.id),
             in_quorum: self.is_in_quorum(now),
             voters: view.voters.iter().map(|voter| voter.address).collect(),
-            members,
+            core_machines,
         }
     }
 }
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -66,7 +66,7 @@
     /// Whether `wanted` has further members in the chain or other voters, all of them stable.
     pub(super) fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
         let view = &self.durable.view;
-        let added: BTreeSet<MemberId> = wanted
+        let wanted_members: BTreeSet<MemberId> = wanted
             .chain
             .iter()
             .chain(&wanted.voters)
@@ -81,7 +81,9 @@
             .clone()
             .all(|&member| member == self.id || self.peers.is_stable(now, member));
         let has_more = new_in_chain.count() > 0;
-        let has_other_voters = added.iter().any(|member| !view.voters.contains(member));
+        let has_other_voters = wanted_members
+            .iter()
+            .any(|member| !view.voters.contains(member));
         are_stable && (has_more || has_other_voters)
     }
 
@@ -111,8 +113,9 @@
             None => self.peers.hears(now, first, second),
         };
         let are_connected = |first, second| {
-            let is_first_known = self.durable.view.epoch == 0;
-            is_first_known || (hears(first, second) && hears(second, first))
+            // In the first start nobody has heard the others for long enough to tell.
+            let is_first_start = self.durable.view.epoch == 0;
+            is_first_start || (hears(first, second) && hears(second, first))
         };
         next_view(
             &self.view_with_known_floor(reports),
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -82,7 +82,7 @@
 /// every member of the chain was still in the epoch when the barrier passed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Barrier {
-    /// Drawn when the head installed its view, so that barriers of different terms differ.
+    /// Drawn when the head installed its view, so that barriers of different views differ.
     pub session: u64,
     /// Counts the barriers of a session from 1; 0 stands for none.
     pub number: u64,
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -11,9 +11,9 @@
 //! | --- | --- | --- |
 //! | `Unknown` | probe sent, answered "inactive" | `Transferring` |
 //! | `Unknown`, `Transferring` | answered "active" | `Streaming` |
-//! | `Streaming` | answered "inactive" (it has restarted) | `Transferring` |
+//! | `Streaming` | answered "inactive" (a report that arrived late) | `Transferring` |
 //! | any | not up to date, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
-//! | any | a report without progress, [`RESEND_INTERVAL`] after the last | the same; sends what it lacks |
+//! | any | the same report again, with content in flight and no progress for [`RESEND_INTERVAL`] | the same, and what the successor lacks is sent again |
 //!
 //! A state or a write may be in flight for long, on a slow link or to a slow disk. A probe follows it on the
 //! same connection and is answered once everything before it has arrived and is synced. So an answer without
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -79,7 +79,7 @@
     },
     /// A member of the chain is no voter.
     #[snafu(display("the chain of epoch {epoch} has {member:?}, who does not vote"))]
-    Stranger {
+    ChainMemberWithoutVote {
         /// Epoch of the view.
         epoch: u64,
         /// The member of the chain that is no voter.
@@ -141,12 +141,12 @@
         };
         let is_twice = is_named_twice(&self.voters) || is_named_twice(&self.chain);
         ensure!(!is_twice, NamedTwiceSnafu { epoch: self.epoch });
-        let stranger = self
+        let without_vote = self
             .chain
             .iter()
             .find(|member| !self.voters.contains(member));
-        if let Some(&member) = stranger {
-            return StrangerSnafu {
+        if let Some(&member) = without_vote {
+            return ChainMemberWithoutVoteSnafu {
                 epoch: self.epoch,
                 member,
             }
--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -71,7 +71,7 @@
     let outputs = member.take_step(NOW, TimedStep::Propose);
     assert_eq!(prepared(&outputs), None);
     let last = records(&outputs).last().expect("the own promise").0;
-    let outputs = member.handle(NOW, Input::Persisted(last));
+    let outputs = member.handle(NOW, Input::Synced(last));
     assert!(prepared(&outputs).is_some());
 }
 
@@ -85,11 +85,11 @@
         durable.apply(&record);
     }
     let last = records(&outputs).last().expect("the own promise").0;
-    let first = prepared(&member.handle(NOW, Input::Persisted(last))).expect("a ballot");
+    let first = prepared(&member.handle(NOW, Input::Synced(last))).expect("a ballot");
 
     let mut member = head(durable);
     let outputs = member.take_step(NOW, TimedStep::Propose);
     let last = records(&outputs).last().expect("the own promise").0;
-    let second = prepared(&member.handle(NOW, Input::Persisted(last))).expect("a ballot");
+    let second = prepared(&member.handle(NOW, Input::Synced(last))).expect("a ballot");
     assert!(second > first);
 }
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -223,7 +223,7 @@
             if is_done && let Some(through) = Arc::make_mut(&mut self.machines[index]).sync() {
                 let now = self.now;
                 let machine = Arc::make_mut(&mut self.machines[index]);
-                outputs.extend(machine.member.handle(now, Input::Persisted(through)));
+                outputs.extend(machine.member.handle(now, Input::Synced(through)));
             }
         }
         Arc::make_mut(&mut self.machines[index]).forget_digest();
@@ -276,7 +276,7 @@
 
     pub(crate) fn sync(&mut self, world: &World, index: usize) {
         if let Some(through) = Arc::make_mut(&mut self.machines[index]).sync() {
-            self.input(world, index, Input::Persisted(through));
+            self.input(world, index, Input::Synced(through));
         }
     }
 
--- a/crates/tier/chain/tests/simulation/processes.rs
+++ b/crates/tier/chain/tests/simulation/processes.rs
@@ -143,7 +143,7 @@
         self.nodes[node].woken_for = Duration::ZERO;
         self.input(node, Input::Tick);
         let through = self.nodes[node].last_synced;
-        self.input(node, Input::Persisted(through));
+        self.input(node, Input::Synced(through));
     }
 
     /// Ends every fault and starts every machine.
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -224,7 +224,7 @@
             disk.sync(through);
         }
         if self.is_running(node) {
-            self.input(node, Input::Persisted(through));
+            self.input(node, Input::Synced(through));
         }
         self.begin_sync(node);
     }
--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -23,13 +23,17 @@
 impl CommittedState for PublishedState {
     fn view(&self) -> ViewSummary {
         let status = self.driver.status();
-        let members = status.members.into_iter().map(SocketAddr::V4).collect();
+        let core_machines = status
+            .core_machines
+            .into_iter()
+            .map(SocketAddr::V4)
+            .collect();
         let voters = status.voters.into_iter().map(SocketAddr::V4).collect();
         ViewSummary {
             epoch: status.epoch,
             in_quorum: status.in_quorum,
             voters,
-            members,
+            core_machines,
         }
     }
 
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -94,7 +94,7 @@
     /// Notifies the member that all records up to `number` are synced, of which `_receipt` is the proof.
     fn report_synced(&self, number: u64, _receipt: Synced) {
         let recovered_number = self.state.lock().recovered_number;
-        self.input(Input::Persisted(number - recovered_number));
+        self.input(Input::Synced(number - recovered_number));
     }
 
     /// Replaces the journal by a snapshot, again and again until that succeeds. The snapshot has every record
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -76,7 +76,7 @@
             return;
         };
         let is_from_core = status
-            .members
+            .core_machines
             .iter()
             .any(|member| SocketAddr::V4(*member).ip() == peer.ip());
         if !status.is_head && !is_from_core && !self.seeds.contains(&head) {
--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -67,7 +67,7 @@
             "{length}: {error}"
         );
     }
-    assert_eq!(driver.status().members, before.members);
+    assert_eq!(driver.status().core_machines, before.core_machines);
     assert!(driver.status().is_head && driver.status().epoch == before.epoch);
 }
 
@@ -91,7 +91,7 @@
         ),
         (
             view(epoch + 1, &[1, 2], &[3]),
-            ViewError::Stranger {
+            ViewError::ChainMemberWithoutVote {
                 epoch: epoch + 1,
                 member: stranger(3),
             },
--- a/crates/tier/discovery/src/committed.rs
+++ b/crates/tier/discovery/src/committed.rs
@@ -14,8 +14,8 @@
     pub in_quorum: bool,
     /// Internal addresses of the view's voters.
     pub voters: Vec<SocketAddr>,
-    /// Internal addresses of the view's members.
-    pub members: Vec<SocketAddr>,
+    /// Internal addresses of the core machines that this machine knows, in the view or not.
+    pub core_machines: Vec<SocketAddr>,
 }
 
 impl ViewSummary {
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -169,7 +169,7 @@
         }
         self.snapshot.configuration = configuration.map(Arc::new);
         WatchChange {
-            standing: true,
+            core_or_configuration: true,
             ..WatchChange::default()
         }
     }
@@ -180,7 +180,7 @@
         if change.replicas {
             self.snapshot.replicas = Arc::clone(self.watcher.table().present());
         }
-        if change.standing {
+        if change.core_or_configuration {
             self.snapshot.core_members = self.watcher.members().to_vec();
         }
         if change.storage_view {
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -162,7 +162,7 @@
     /// The other core machines: members of the view and machines that send batches. Before the first view,
     /// the seeds take the place of the members.
     pub fn peers(&self, now: Duration, view: &ViewSummary) -> Vec<SocketAddr> {
-        let mut peers: BTreeSet<SocketAddr> = view.members.iter().copied().collect();
+        let mut peers: BTreeSet<SocketAddr> = view.core_machines.iter().copied().collect();
         if peers.is_empty() {
             peers.extend(&self.identity.seeds);
         }
--- a/crates/tier/discovery/src/failure_detector.rs
+++ b/crates/tier/discovery/src/failure_detector.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A loop that runs later than this has stalled.
-pub const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
+pub const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(1500);
 /// A peer whose last batch is older than this is unreachable.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time without a heartbeat after which a replica expires, in heartbeat intervals.
@@ -122,7 +122,7 @@
     }
 
     fn has_stalled(&self, now: Duration) -> bool {
-        now.saturating_sub(self.last_tick) > STALL_THRESHOLD
+        now.saturating_sub(self.last_tick) > PROCESS_STALL_THRESHOLD
     }
 
     fn expiry(
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -123,8 +123,8 @@
 pub struct CoreView {
     /// Epoch of the view.
     pub epoch: u64,
-    /// Internal addresses of its members.
-    pub members: Vec<Endpoint>,
+    /// Internal addresses of the core machines that the sender knows. Sent again only with a newer epoch.
+    pub core_machines: Vec<Endpoint>,
 }
 
 /// A committed value and its version, on the wire.
--- a/crates/tier/discovery/src/poll_response.rs
+++ b/crates/tier/discovery/src/poll_response.rs
@@ -31,7 +31,11 @@
             .map_or(0, |configuration| configuration.version),
         view: (view.epoch > request.view_epoch).then(|| CoreView {
             epoch: view.epoch,
-            members: view.members.iter().map(|member| (*member).into()).collect(),
+            core_machines: view
+                .core_machines
+                .iter()
+                .map(|machine| (*machine).into())
+                .collect(),
         }),
         storage_view: storage_view.map(VersionedBytes::from),
         registry: RegistryResponse::new(
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -60,14 +60,15 @@
     pub replicas: bool,
     /// The storage view.
     pub storage_view: bool,
-    /// Members of the core, the configuration, or whether the process has warmed up.
-    pub standing: bool,
+    /// Members of the core, the configuration, or whether the process has warmed up. Not a machine's
+    /// [`Standing`](crate::messages::Standing).
+    pub core_or_configuration: bool,
 }
 
 impl WatchChange {
     /// Whether anything has changed.
     pub fn any(self) -> bool {
-        self.replicas || self.storage_view || self.standing
+        self.replicas || self.storage_view || self.core_or_configuration
     }
 }
 
@@ -258,7 +259,7 @@
         let trusted = entry.is_trusted();
         let mut change = WatchChange::default();
         if let Some(view) = response.view {
-            change.standing |= self.merge_view(view);
+            change.core_or_configuration |= self.merge_view(view);
         }
         if let Some(storage_view) = response.storage_view {
             change.storage_view = self.merge_storage_view(storage_view);
@@ -268,7 +269,7 @@
         if trusted && self.trusted_since.is_none() && self.table.is_complete(machine) {
             self.trusted_since = Some(now);
         }
-        change.standing |= self.update_warmed(now);
+        change.core_or_configuration |= self.update_warmed(now);
         change
     }
 
@@ -278,7 +279,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            standing: self.update_warmed(now),
+            core_or_configuration: self.update_warmed(now),
             ..WatchChange::default()
         }
     }
@@ -354,7 +355,11 @@
             return false;
         }
         self.view_epoch = view.epoch;
-        let members: Vec<SocketAddr> = view.members.into_iter().map(SocketAddr::from).collect();
+        let members: Vec<SocketAddr> = view
+            .core_machines
+            .into_iter()
+            .map(SocketAddr::from)
+            .collect();
         let changed = members != self.members;
         self.members = members;
         changed
--- a/crates/tier/discovery/tests/common/mod.rs
+++ b/crates/tier/discovery/tests/common/mod.rs
@@ -71,7 +71,7 @@
         epoch,
         in_quorum,
         voters: members.clone(),
-        members,
+        core_machines: members,
     }
 }
 
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -179,7 +179,7 @@
                     epoch: 1,
                     in_quorum: core < 3,
                     voters,
-                    members,
+                    core_machines: members,
                 },
             );
         }
@@ -228,7 +228,7 @@
         epoch: 1,
         in_quorum: true,
         voters,
-        members: members.clone(),
+        core_machines: members.clone(),
     };
     let mut notification =
         DepartureNotification::new(Duration::ZERO, core_address(8), &members[..8], &view);
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -151,7 +151,7 @@
         configuration_generation: 7,
         view: Some(CoreView {
             epoch: 5,
-            members: vec![endpoint(1), endpoint(2)],
+            core_machines: vec![endpoint(1), endpoint(2)],
         }),
         storage_view: Some(VersionedBytes {
             version: 3,
