--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -8,19 +8,19 @@
 
 use crate::member_driver::MemberDriver;
 
-/// The committed state that this core machine's member knows.
-pub struct PublishedState {
+/// The committed state that this machine's member has published, for discovery.
+pub struct MemberCommittedState {
     driver: Arc<MemberDriver>,
 }
 
-impl PublishedState {
+impl MemberCommittedState {
     /// Reads the state of the member that `driver` runs.
-    pub fn new(driver: Arc<MemberDriver>) -> PublishedState {
-        PublishedState { driver }
+    pub fn new(driver: Arc<MemberDriver>) -> MemberCommittedState {
+        MemberCommittedState { driver }
     }
 }
 
-impl CommittedState for PublishedState {
+impl CommittedState for MemberCommittedState {
     fn view(&self) -> ViewSummary {
         let status = self.driver.status();
         let core_machines = status
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -17,7 +17,7 @@
 use woadreach_rpc::{Client, ClientOptions, Router, ServiceId};
 use woadreach_settings::NodeSettings;
 
-use crate::committed::PublishedState;
+use crate::committed::MemberCommittedState;
 use crate::error::{ListenSnafu, MissingFieldSnafu, RoleError, SignalSnafu, UnusableFieldSnafu};
 use crate::member_driver::MemberDriver;
 use crate::order::service::OrderService;
@@ -99,7 +99,7 @@
         settings.internal_address(),
         tolerated_failures,
     ));
-    let committed = Arc::new(PublishedState::new(Arc::clone(driver)));
+    let committed = Arc::new(MemberCommittedState::new(Arc::clone(driver)));
     let discovery = CoreDiscovery::new(settings, random_number() | 1, rpc.clone(), committed);
     let seeds = settings.seed_internal_addresses();
     let planner = StoragePlanner::new(Arc::clone(driver), rpc, seeds, tolerated_failures);
--- a/crates/tier/control/src/compaction.rs
+++ b/crates/tier/control/src/journal_health.rs
@@ -5,9 +5,10 @@
 //! | `Healthy` | the log is long | `Compacting`: appends go on |
 //! | `Compacting` | the snapshot is written, or superseded by a newer one | `Healthy` |
 //! | `Compacting` | the snapshot can't be written | `Healthy`, and none is begun for [`RETRY_INTERVAL`] |
-//! | `Healthy`, `Compacting`, `Repairing` | an append or the repair fails | `Broken`: nothing is appended |
-//! | `Broken` | a snapshot of all records is queued | `Repairing`: appends queue behind it |
+//! | `Healthy`, `Compacting` | an append fails, a snapshot is queued | `Repairing`: appends queue behind it |
 //! | `Repairing` | the snapshot is written | `Healthy` |
+//! | `Repairing` | the snapshot can't be written | `Broken`: nothing is appended |
+//! | `Broken` | the next snapshot is queued | `Repairing` |
 
 use std::time::Duration;
 
@@ -25,21 +26,21 @@
     Repairing,
 }
 
-/// State of the journal's compaction and repair.
+/// Whether the journal is healthy, being compacted, or being repaired.
 #[derive(Debug)]
-pub struct Compaction {
+pub struct JournalHealth {
     phase: Phase,
     /// Bytes of the last snapshot.
     snapshot_bytes: u64,
-    /// Earliest time of the next compaction, on the clock of [`Compaction::is_due`]. Repairs don't wait for
-    /// it.
+    /// Earliest time of the next compaction, on the clock of [`JournalHealth::is_due`]. Repairs don't wait
+    /// for it.
     not_before: Duration,
 }
 
-impl Compaction {
+impl JournalHealth {
     /// The state of a journal that has just been opened.
-    pub fn new() -> Compaction {
-        Compaction {
+    pub fn new() -> JournalHealth {
+        JournalHealth {
             phase: Phase::Healthy,
             snapshot_bytes: 0,
             not_before: Duration::ZERO,
@@ -81,8 +82,8 @@
         self.end();
     }
 
-    /// Records that an append, or the snapshot of a repair, has failed.
-    pub fn break_off(&mut self) {
+    /// Records that the snapshot of a repair can't be written.
+    pub fn fail_repair(&mut self) {
         self.phase = Phase::Broken;
     }
 
@@ -100,8 +101,8 @@
     }
 }
 
-impl Default for Compaction {
-    fn default() -> Compaction {
-        Compaction::new()
+impl Default for JournalHealth {
+    fn default() -> JournalHealth {
+        JournalHealth::new()
     }
 }
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -6,8 +6,8 @@
 //! view of the storage machines:
 //!
 //! - [`member_driver`] runs [`woadreach_chain::Member`], which decides without I/O, on the clock, disk and
-//!   network; [`durable_log`] encodes its records in the journal, and [`compaction`] has the states of that
-//!   journal.
+//!   network; [`durable_log`] encodes its records in the journal, and [`journal_health`] has the states of
+//!   that journal.
 //! - [`operator`] is the operator's HTTP API. Any core machine accepts an order, and [`order`] takes it to
 //!   the head of the chain.
 //! - [`instances`] is the HTTP API of the replicas' heartbeats.
@@ -19,12 +19,12 @@
 
 pub mod command_line;
 pub mod committed;
-pub mod compaction;
 pub mod core_role;
 pub mod durable_log;
 pub mod error;
 pub mod http_server;
 pub mod instances;
+pub mod journal_health;
 pub mod logging;
 pub mod member_driver;
 pub mod operator;
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -22,13 +22,13 @@
 use woadreach_journal::Journal;
 use woadreach_rpc::{Client, ClientOptions, ServiceId};
 
-use crate::compaction::Compaction;
 use crate::durable_log::RecoveredMember;
+use crate::journal_health::JournalHealth;
 
 use persistence::{PendingSync, SyncFuture};
 
 /// A disk that has not synced for this long is unhealthy.
-const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+const DISK_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A member and everything that it needs of its process.
 pub struct MemberDriver {
@@ -56,7 +56,7 @@
     recovered_number: u64,
     /// Number of the last record that the member has made. Must not be less than `recovered_number`.
     last_number: u64,
-    compaction: Compaction,
+    journal_health: JournalHealth,
     /// What the member was last notified of.
     is_disk_healthy: bool,
     /// Requests that the member has not answered.
@@ -104,7 +104,7 @@
                 member,
                 recovered_number: recovered.number,
                 last_number: recovered.number,
-                compaction: Compaction::new(),
+                journal_health: JournalHealth::new(),
                 is_disk_healthy: true,
                 replies: HashMap::new(),
                 next_request: 0,
@@ -184,7 +184,7 @@
         Arc::clone(self.state.lock().member.published())
     }
 
-    /// The storage view with every change that this head has accepted, committed or not.
+    /// The storage view with every change that this head has taken, committed or not.
     pub fn latest_storage_view(&self) -> Option<StoredStorageView> {
         self.state.lock().member.latest().storage_view.clone()
     }
@@ -266,8 +266,8 @@
     fn check_disk(&self) {
         let is_healthy = {
             let mut state = self.state.lock();
-            let is_healthy =
-                state.compaction.is_healthy() && self.journal.stalled_for() < STALL_TIMEOUT;
+            let is_healthy = state.journal_health.is_healthy()
+                && self.journal.stalled_for() < DISK_STALL_TIMEOUT;
             if is_healthy == state.is_disk_healthy {
                 return;
             }
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -29,7 +29,9 @@
     pub(super) fn persist(&self, state: &mut DriverState, member_number: u64, record: &Record) {
         let number = state.recovered_number + member_number;
         state.last_number = number;
-        if !state.compaction.accepts_records() {
+        if !state.journal_health.accepts_records() {
+            // The member's state has the record, so the snapshot of the next repair contains it. Until then
+            // nothing reports it as synced.
             return;
         }
         let synced = self.journal.append(encode_record(number, record));
@@ -45,11 +47,11 @@
     /// the member has made is appended: one appended later would be in the snapshot already.
     pub(super) fn compact(&self, state: &mut DriverState) {
         let now = self.started.elapsed();
-        if !state.compaction.is_due(now, self.journal.log_bytes()) {
+        if !state.journal_health.is_due(now, self.journal.log_bytes()) {
             return;
         }
         let snapshot = encode_snapshot(state.last_number, state.member.durable());
-        state.compaction.begin(snapshot.len() as u64);
+        state.journal_health.begin(snapshot.len() as u64);
         // The receiving task lives as long as this driver.
         let _ = self
             .snapshots
@@ -66,10 +68,10 @@
             let outcome = replaced.await;
             let mut state = self.state.lock();
             match outcome {
-                Ok(_) | Err(JournalError::Superseded) => state.compaction.end(),
+                Ok(_) | Err(JournalError::Superseded) => state.journal_health.end(),
                 Err(error) => {
                     tracing::warn!(%error, "journal compaction failed");
-                    state.compaction.fail(self.started.elapsed());
+                    state.journal_health.fail(self.started.elapsed());
                 }
             }
         }
@@ -104,13 +106,13 @@
             let PendingSync { number, synced } = self.begin_repair(pending);
             match synced.await {
                 Ok(receipt) => {
-                    self.state.lock().compaction.end_repair();
+                    self.state.lock().journal_health.end_repair();
                     tracing::info!(number, "journal repaired");
                     return self.report_synced(number, receipt);
                 }
                 Err(error) => {
                     tracing::warn!(%error, "journal repair failed");
-                    self.state.lock().compaction.break_off();
+                    self.state.lock().journal_health.fail_repair();
                     tokio::time::sleep(REPAIR_INTERVAL).await;
                 }
             }
@@ -124,7 +126,7 @@
         while pending.try_recv().is_ok() {}
         let number = state.last_number;
         let snapshot = encode_snapshot(number, state.member.durable());
-        state.compaction.begin_repair(snapshot.len() as u64);
+        state.journal_health.begin_repair(snapshot.len() as u64);
         PendingSync {
             number,
             synced: Box::pin(self.journal.replace(snapshot)),
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -68,7 +68,7 @@
     if driver.request(Request::Confirm).await != Reply::Confirmed {
         return None;
     }
-    // The view that was decided on may have been lost with an earlier term of this head. The committed view
+    // The view that was decided on may have been lost when this head lost an earlier view. The committed view
     // must lead to the same answer.
     let confirmed = decide(driver.published_storage_view());
     (confirmed == RetireDecision::Answer(answer.clone())).then_some(answer)
--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -58,7 +58,7 @@
         /// Whether the storage machine may be removed.
         is_finished: bool,
     },
-    /// The order was not accepted at this time; it may or may not take effect when sent again.
+    /// It is undecided whether the order takes effect, now or when it is sent again.
     Undecided(Undecided),
     /// The head does not know the format of the stored storage view.
     UnreadableStorageView,
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -18,8 +18,8 @@
 use super::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
-/// Callers move on to another machine after a second; an order that takes longer than this gets
-/// [`Unanswered::Late`] before.
+/// Callers move on to another machine after a second; before that, an order that takes longer than this gets
+/// [`Unanswered::Late`], or [`Unanswered::NoHead`] if it never reached a head.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(780);
 /// Longest wait for another view before the head is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
