--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -11,8 +11,8 @@
 use woadreach_membership::MemberId;
 use woadreach_membership::datagram::{self, Body};
 use woadreach_zone_failover::{GossipPayload, PartCounts, Report, ZoneVerdict};
-use woadreachd::events::{Entry, Lifecycle};
-use woadreachd::{frame, list};
+use woadreachd::events::{Endpoint, Lifecycle};
+use woadreachd::{frame, parse_list};
 
 fn records(file: &str) -> Records {
     Records::at(&format!(
@@ -25,7 +25,7 @@
 "lifecycle":"ready","startedAtMs":1500}"#;
 
 /// The parts of an entry but for its lifecycle.
-fn parts(entry: &Entry) -> (&str, String, &str, u64, f64) {
+fn parts(entry: &Endpoint) -> (&str, String, &str, u64, f64) {
     (
         &entry.id,
         entry.address.to_string(),
@@ -38,7 +38,7 @@
 #[test]
 fn a_list_with_every_key_is_read() {
     let text = format!(r#"{{"generation":42,"reset":true,"instances":[{ENTRY}],"novel":[{{}}]}}"#);
-    let list = list(text.as_bytes()).expect("it is sound");
+    let list = parse_list(text.as_bytes()).expect("it is sound");
     assert_eq!(
         (list.generation, list.full, list.entries.len()),
         (42, true, 1)
@@ -64,7 +64,7 @@
     #[case] full: bool,
     #[case] entries: usize,
 ) {
-    let list = list(text.as_bytes()).expect("it is sound");
+    let list = parse_list(text.as_bytes()).expect("it is sound");
     assert_eq!(
         (list.generation, list.full, list.entries.len()),
         (generation, full, entries)
@@ -73,14 +73,14 @@
 
 #[rstest]
 #[case::draining("ready", "draining", Lifecycle::Draining)]
-#[case::gone("ready", "gone", Lifecycle::Gone)]
+#[case::gone("ready", "gone", Lifecycle::Departed)]
 fn lifecycles_are_read(#[case] from: &str, #[case] to: &str, #[case] lifecycle: Lifecycle) {
     let text = format!(
         r#"{{"generation":1,"instances":[{}]}}"#,
         ENTRY.replace(from, to)
     );
     assert_eq!(
-        list(text.as_bytes()).expect("it is sound").entries[0].lifecycle,
+        parse_list(text.as_bytes()).expect("it is sound").entries[0].lifecycle,
         lifecycle
     );
 }
@@ -92,7 +92,7 @@
 fn an_entry_may_lack_or_add(#[case] from: &str, #[case] to: &str, #[case] read: (&str, f64)) {
     let entry = ENTRY.replace('\n', "").replacen(from, to, 1);
     let text = format!(r#"{{"generation":1,"instances":[{entry}]}}"#);
-    let list = list(text.as_bytes()).expect("it is sound");
+    let list = parse_list(text.as_bytes()).expect("it is sound");
     assert_eq!(
         (list.entries[0].zone.as_str(), list.entries[0].started_at),
         read
@@ -116,7 +116,13 @@
     let odd = ENTRY.replacen(from, to, 1);
     assert_ne!(odd, ENTRY);
     let text = format!(r#"{{"generation":1,"instances":[{odd},7,{ENTRY}]}}"#);
-    assert_eq!(list(text.as_bytes()).expect("it is sound").entries.len(), 1);
+    assert_eq!(
+        parse_list(text.as_bytes())
+            .expect("it is sound")
+            .entries
+            .len(),
+        1
+    );
 }
 
 #[rstest]
@@ -134,7 +140,9 @@
 #[case::cut(r#"{"generation":1,"instances":["#)]
 #[case::more_after_it(r#"{"generation":1,"instances":[]}{}"#)]
 fn a_list_that_cannot_be_used(#[case] text: &str) {
-    let today = list(text.as_bytes()).expect_err("it is not sound").0;
+    let today = parse_list(text.as_bytes())
+        .expect_err("it is not sound")
+        .reason;
     let name = if text.is_empty() { "nothing" } else { text };
     assert_eq!(records("list-errors.txt").text(name, today), today);
 }
@@ -161,19 +169,19 @@
     let expected = match name {
         "answer" => frame::Frame::Answer {
             id: "ab.3",
-            end: frame::End::Ok,
+            status: frame::PartStatus::Ok,
             score: 7,
             value: b"value",
         },
         "error" => frame::Frame::Answer {
             id: "ab.3",
-            end: frame::End::Error,
+            status: frame::PartStatus::Error,
             score: 0,
             value: b"",
         },
         "full" => frame::Frame::Answer {
             id: "ab.3",
-            end: frame::End::Full,
+            status: frame::PartStatus::Full,
             score: 0,
             value: b"",
         },
@@ -196,7 +204,10 @@
 #[case::unknown_end("0a0000004f61203230312037200a", "unknown end")]
 #[case::score_below_nought("0b0000004f6120323030202d370a00", "a score that is not a whole number")]
 fn frames_that_cannot_be_used(#[case] hex: &str, #[case] why: &'static str) {
-    assert_eq!(frame::read(&recorded::unhex(hex)), Err(frame::Bad(why)));
+    assert_eq!(
+        frame::read(&recorded::unhex(hex)),
+        Err(frame::ParseError { reason: why })
+    );
 }
 
 #[test]
@@ -208,7 +219,7 @@
     let mut call = Vec::new();
     frame::call(&mut call, &parts.each_ref().map(Vec::as_slice));
     let mut given_up = Vec::new();
-    frame::give_up(&mut given_up, "ab.3");
+    frame::cancel(&mut given_up, "ab.3");
     for (name, today) in [("call", call), ("give-up", given_up)] {
         assert_eq!(records("frames.hex").bytes(name, &today), today, "{name}");
     }
