--- a/crates/testing/process-tests/src/rig.rs
+++ b/crates/testing/process-tests/src/rig.rs
@@ -20,7 +20,7 @@
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
 use woadreach_simulation::{
-    Places, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms,
+    CoordinatorAddresses, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms,
 };
 
 /// What is to be played.
@@ -455,7 +455,7 @@
         node.starts += 1;
         let peer_listen = self.plan.peers.then_some(node.peer_listen);
         let peers = node.peers.clone();
-        let places = Places {
+        let places = CoordinatorAddresses {
             listen: node.listen,
             discovery: node.discovery,
             peer_listen,
--- a/crates/testing/simulation/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use woadreach_fakes::Ask;
 
-/// How many times the mean of all each co-ordinator gets.
-pub fn parts(script: &Script) -> Vec<f64> {
+/// The rate of searches at each co-ordinator, as a multiple of the mean.
+pub(crate) fn rate_shares(script: &Script) -> Vec<f64> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "uneven"));
     // Twelve draws add up to what is normal enough here.
     let mut normal = || (0..12).map(|_| chance.random::<f64>()).sum::<f64>() - 6.0;
--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -1,5 +1,4 @@
-//! The record of a run: every event in its order, judged as it comes, with a digest of all of them. Owns the
-//! checker and the figures that are taken from events alone; must never be told anything but events.
+//! The record of a run: every event in its order, judged as it arrives, with a digest of all of them.
 
 use serde::Serialize;
 use std::cell::RefCell;
@@ -9,43 +8,51 @@
 use woadreach_fakes::Recorder;
 use woadreach_invariants::{Breach, Checker, Event, EventKind, Terms};
 
-/// Breaches kept of one run: the first ones tell what is wrong.
-const MOST_BREACHES: usize = 20;
+/// Most breaches that are kept of a run: the first ones show what is wrong.
+const MAX_BREACHES: usize = 20;
 
-/// A search as its client fared.
+/// How a search ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Fared {
+pub struct SearchOutcome {
+    /// When the request arrived, in Unix seconds.
     pub asked: f64,
     /// Answered within its latency target.
     pub good: bool,
-    /// It went away by itself, and says nothing of service.
+    /// The client disconnected, so the search says nothing of the service.
     pub left: bool,
 }
 
-struct Open {
-    asked: f64,
-    target: f64,
+/// A search that awaits its answer.
+struct OpenSearch {
+    requested_at: f64,
+    latency_target: f64,
 }
 
+/// The record of a run.
 pub struct Record {
     checker: Checker,
-    targets: Vec<f64>,
+    latency_targets: Vec<f64>,
     hash: blake3::Hasher,
     line: Vec<u8>,
+    /// Every event, if they are kept.
     pub trace: Option<Vec<Event>>,
+    /// The first breaches.
     pub breaches: Vec<Breach>,
+    /// How many events there were.
     pub events: u64,
+    /// When each attempt was received, in Unix seconds.
     pub sent: Vec<f64>,
-    pub fared: Vec<Fared>,
-    open: BTreeMap<Arc<str>, Open>,
+    /// The searches that have ended, in the order of their ends.
+    pub fared: Vec<SearchOutcome>,
+    open: BTreeMap<Arc<str>, OpenSearch>,
 }
 
 impl Record {
-    /// `targets`: the latency target of each query type.
-    pub fn new(terms: Terms, targets: Vec<f64>, trace: bool) -> Self {
+    /// An empty record. `latency_targets` has one of each query type, in seconds; `trace` keeps every event.
+    pub fn new(terms: Terms, latency_targets: Vec<f64>, trace: bool) -> Self {
         Record {
             checker: Checker::new(terms),
-            targets,
+            latency_targets,
             hash: blake3::Hasher::new(),
             line: Vec::new(),
             trace: trace.then(Vec::new),
@@ -57,71 +64,95 @@
         }
     }
 
-    /// A way to the record for all parties; `now` gives Unix seconds.
+    /// A recorder that writes to this record; `now` returns Unix seconds.
     pub fn recorder(record: &Rc<RefCell<Record>>, now: impl Fn() -> f64 + 'static) -> Recorder {
         let record = record.clone();
         Recorder::new(move |kind| record.borrow_mut().take(Event { at: now(), kind }))
     }
 
+    /// Records breaches of what is overdue at `now`, in Unix seconds.
+    pub fn tick(&mut self, now: f64) {
+        let breaches = self.checker.tick(now);
+        self.add_breaches(breaches);
+    }
+
+    /// How many final answers are still owed.
+    pub fn owed(&self) -> usize {
+        self.checker.owed()
+    }
+
+    /// The digest of all events so far.
+    pub fn digest(&self) -> String {
+        crate::digest::shorten(&self.hash.finalize())
+    }
+
+    /// The searches whose client didn't disconnect.
+    pub(crate) fn served(&self) -> Vec<SearchOutcome> {
+        self.fared
+            .iter()
+            .filter(|search| !search.left)
+            .copied()
+            .collect()
+    }
+
     fn take(&mut self, event: Event) {
         self.events += 1;
         self.line.clear();
-        // Writing to memory cannot fail, and the event holds nothing that JSON does not.
+        // Writing to memory can't fail, and JSON can express everything that an event holds.
         let _ = serde_json::to_writer(&mut self.line, &event);
         self.line.push(b'\n');
         self.hash.update(&self.line);
         self.count(&event);
-        let broken = self.checker.take(&event);
-        self.keep(broken);
+        let breaches = self.checker.take(&event);
+        self.add_breaches(breaches);
         if let Some(trace) = &mut self.trace {
             trace.push(event);
         }
     }
 
-    fn keep(&mut self, broken: Vec<Breach>) {
-        let room = MOST_BREACHES.saturating_sub(self.breaches.len());
-        self.breaches.extend(broken.into_iter().take(room));
-    }
-
-    pub fn tick(&mut self, now: f64) {
-        let broken = self.checker.tick(now);
-        self.keep(broken);
-    }
-
-    /// Final answers that are still owed.
-    pub fn owed(&self) -> usize {
-        self.checker.owed()
-    }
-
-    pub fn digest(&self) -> String {
-        self.hash.finalize().to_hex()[..16].to_string()
+    fn add_breaches(&mut self, breaches: Vec<Breach>) {
+        let capacity = MAX_BREACHES.saturating_sub(self.breaches.len());
+        self.breaches.extend(breaches.into_iter().take(capacity));
     }
 
     fn count(&mut self, event: &Event) {
         let at = event.at;
-        let (search, good, left) = match &event.kind {
+        match &event.kind {
             EventKind::Requested {
                 search, query_type, ..
             } => {
-                let target = self.targets.get(*query_type).copied().unwrap_or(0.0);
-                self.open.insert(search.clone(), Open { asked: at, target });
-                return;
+                let target = self.latency_targets.get(*query_type).copied();
+                let open = OpenSearch {
+                    requested_at: at,
+                    latency_target: target.unwrap_or(0.0),
+                };
+                self.open.insert(search.clone(), open);
             }
-            EventKind::PartReceived { .. } => return self.sent.push(at),
-            EventKind::Answered { search, .. } => (search, true, false),
+            EventKind::PartReceived { .. } => self.sent.push(at),
+            EventKind::Answered { search, .. } => self.close(search, |open| SearchOutcome {
+                asked: open.requested_at,
+                good: at - open.requested_at <= open.latency_target,
+                left: false,
+            }),
             EventKind::Shed { search }
             | EventKind::Failed { search }
-            | EventKind::ConnectionClosed { search } => (search, false, false),
-            EventKind::ClientDisconnected { search } => (search, false, true),
-            _ => return,
-        };
+            | EventKind::ConnectionClosed { search } => self.close(search, |open| SearchOutcome {
+                asked: open.requested_at,
+                good: false,
+                left: false,
+            }),
+            EventKind::ClientDisconnected { search } => self.close(search, |open| SearchOutcome {
+                asked: open.requested_at,
+                good: false,
+                left: true,
+            }),
+            _ => {}
+        }
+    }
+
+    fn close(&mut self, search: &Arc<str>, outcome: impl Fn(OpenSearch) -> SearchOutcome) {
         if let Some(open) = self.open.remove(search) {
-            let good = good && at - open.asked <= open.target;
-            self.fared.push(Fared {
-                asked: open.asked,
-                good,
-                left,
-            });
+            self.fared.push(outcome(open));
         }
     }
 }
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -2,7 +2,7 @@
 //! it, and what it cost meanwhile. Pure functions over what clients saw; must never look into a co-ordinator.
 
 use crate::network::BEGIN;
-use crate::record::Fared;
+use crate::record::SearchOutcome;
 use crate::script::Script;
 use serde::Serialize;
 
@@ -31,7 +31,7 @@
     pub sub_requests: f64,
 }
 
-fn level(fared: &[Fared], from: f64, to: f64) -> Option<f64> {
+fn level(fared: &[SearchOutcome], from: f64, to: f64) -> Option<f64> {
     let of: Vec<bool> = fared
         .iter()
         .filter(|f| f.asked >= from && f.asked < to)
@@ -42,7 +42,7 @@
 }
 
 /// One for each fault of a script, in its order. `fared` and `sent` are as the record has them.
-pub fn recoveries(script: &Script, fared: &[Fared], sent: &[f64]) -> Vec<Recovery> {
+pub fn recoveries(script: &Script, fared: &[SearchOutcome], sent: &[f64]) -> Vec<Recovery> {
     let mut fared = fared.to_vec();
     fared.sort_by(|a, b| a.asked.total_cmp(&b.asked));
     let one = |fault: &crate::script::Fault| {
@@ -60,7 +60,7 @@
             at += STEP;
         };
         let until = back.unwrap_or(over).max(begin);
-        let of: Vec<&Fared> = fared
+        let of: Vec<&SearchOutcome> = fared
             .iter()
             .filter(|f| f.asked >= begin && f.asked < until)
             .collect();
--- a/crates/testing/simulation/src/script/fault.rs
+++ b/crates/testing/simulation/src/script/fault.rs
@@ -241,7 +241,7 @@
     ];
 
     /// The replicas that it affects.
-    pub(super) fn replicas(&self) -> &[usize] {
+    pub(crate) fn replicas(&self) -> &[usize] {
         match self {
             FaultKind::Crash { replicas, .. }
             | FaultKind::Isolate { replicas }
--- a/crates/testing/simulation/src/script/mod.rs
+++ b/crates/testing/simulation/src/script/mod.rs
@@ -59,6 +59,17 @@
         self.fleet.cells as usize * self.fleet.replicas
     }
 
+    /// The latency target of each query type, in seconds.
+    pub(crate) fn latency_targets(&self) -> Vec<f64> {
+        self.query_types.iter().map(|t| t.latency_target).collect()
+    }
+
+    /// When the last fault has ended and the last search's client has given up, in seconds.
+    pub(crate) fn end(&self) -> f64 {
+        let last_fault = self.faults.iter().map(|f| f.at + f.duration);
+        last_fault.fold(self.seconds, f64::max) + self.max_client_timeout()
+    }
+
     /// The longest client timeout of all query types, in seconds.
     pub(crate) fn max_client_timeout(&self) -> f64 {
         self.query_types
--- a/crates/testing/simulation/src/world/configuration.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -125,7 +125,7 @@
 }
 
 /// Where a co-ordinator is reached, and where it reaches what it needs.
-pub struct Places {
+pub struct CoordinatorAddresses {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// Where datagrams come to it, and where it sends those for each co-ordinator of the tier, itself among
@@ -135,7 +135,13 @@
 }
 
 /// The configuration of one co-ordinator, as its file would hold it.
-pub fn configuration(script: &Script, n: usize, at: &Places, seed: u64, known: &str) -> String {
+pub fn configuration(
+    script: &Script,
+    n: usize,
+    at: &CoordinatorAddresses,
+    seed: u64,
+    known: &str,
+) -> String {
     let peers: Vec<String> = at.peers.iter().map(|p| format!(r#""{p}""#)).collect();
     let listen = at
         .peer_listen
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -4,9 +4,10 @@
 
 use crate::load::{draw_ask, draw_gap};
 use crate::network::seed_of;
-use crate::record::{Fared, Record};
+use crate::outcome::Outcome;
+use crate::record::Record;
 use crate::script::Script;
-use crate::world::{Outcome, Places, configuration, terms};
+use crate::settings::{CoordinatorAddresses, configuration, terms};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -86,7 +87,7 @@
         agent.change(&replicas.iter().enumerate().map(line).collect::<Vec<_>>());
         let seed = seed_of(script.seed, &format!("node {n} 0"));
         // Its peers are not played here: the network between zones is what `woadreach cluster` is for.
-        let places = Places {
+        let places = CoordinatorAddresses {
             listen,
             discovery: place,
             peer_listen: None,
@@ -141,23 +142,7 @@
         record.borrow_mut().tick(net.now());
     }
     let r = record.borrow();
-    let fared: Vec<Fared> = r.fared.iter().filter(|f| !f.left).copied().collect();
-    Ok(Outcome {
-        seed: script.seed,
-        digest: r.digest(),
-        breaches: r.breaches.clone(),
-        seconds: script.seconds,
-        steps: 0,
-        events: r.events,
-        searches: fared.len() as u64,
-        good: fared.iter().filter(|f| f.good).count() as u64,
-        sub_requests: r.sent.len() as u64,
-        datagrams: 0,
-        datagram_bytes: 0,
-        verdicts: Vec::new(),
-        recoveries: Vec::new(),
-        trace: Vec::new(),
-    })
+    Ok(Outcome::of_record(script.seed, script.seconds, &r))
 }
 
 async fn load(
--- /dev/null
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -0,0 +1,247 @@
+//! The co-ordinators of a world: their starts, ends and reloads.
+
+use super::{CHECK_INTERVAL, Coordinator, DISCOVERY_PORT, PEERS_PORT, SECOND, World, nanos};
+use crate::clock::MILLISECOND;
+use crate::network::{SimNet, Zone, address, seed_of};
+use crate::outcome::VerdictAdoption;
+use crate::script::{Fault, FaultKind};
+use crate::settings::{CoordinatorAddresses, configuration};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::mpsc;
+use woadreach_invariants::{EventKind, NodeId};
+use woadreach_runtime::Net;
+use woadreach_zone_failover::VerdictChange;
+use woadreachd::Outside;
+use woadreachd::config::{self, First, Given};
+use woadreachd::events::Usage;
+
+/// PROTOCOL: SIGKILL comes no sooner than so many seconds after SIGTERM and the longest client timeout, of
+/// which at most `MAX_SHUTDOWN_TIMEOUT` counts.
+const KILL_DELAY: f64 = 0.7;
+const MAX_SHUTDOWN_TIMEOUT: f64 = 3.0;
+
+impl World {
+    /// Starts a co-ordinator's process, which gets clients a little later.
+    pub(super) fn start_coordinator(self: &Rc<Self>, n: usize) {
+        let coordinator = &self.coordinators[n];
+        let start = coordinator.starts.replace(coordinator.starts.get() + 1);
+        let net = self.coordinator_machine(n, start);
+        coordinator.process.set(Some(net.process()));
+        let node = NodeId(n);
+        self.recorder.tell(EventKind::NodeStarted { node });
+        coordinator.agent.process_started();
+        let seed = seed_of(self.script.seed, &format!("node {n} {start}"));
+        let outside = self.outside(n, seed);
+        self.report_known_replicas(n);
+        let task = self.clone().run_coordinator(n, net.clone(), seed, outside);
+        drop(net.spawn(task));
+        let world = self.clone();
+        // The load balancer sends it clients once it has answered a health check.
+        let ready_at = self.clock.now() + 200 * MILLISECOND;
+        self.clock.call_at(ready_at, move || {
+            let coordinator = &world.coordinators[n];
+            let is_running = coordinator.process.get() == Some(net.process());
+            coordinator.in_rotation.set(is_running);
+        });
+    }
+
+    /// The first process has the machine that the world was built with; each later one gets its own.
+    fn coordinator_machine(&self, n: usize, start: u64) -> SimNet {
+        match self.coordinators[n].process.get().filter(|_| start == 0) {
+            Some(process) => self.network.process(process),
+            None => self
+                .network
+                .add_machine(Zone(n % self.script.fleet.zones), 0.0),
+        }
+    }
+
+    /// What a co-ordinator's process gets from outside: signals, its configuration, and who hears its
+    /// reports.
+    fn outside(self: &Rc<Self>, n: usize, seed: u64) -> Outside {
+        let coordinator = &self.coordinators[n];
+        let (sighup, hangup) = mpsc::unbounded_channel();
+        let (sigterm, term) = mpsc::unbounded_channel();
+        *coordinator.sighup.borrow_mut() = Some(sighup);
+        *coordinator.sigterm.borrow_mut() = Some(sigterm);
+        let world = Rc::downgrade(self);
+        let given = move || {
+            let world = world.upgrade().ok_or("the world is over".to_string())?;
+            Ok(world.config_source(n, seed))
+        };
+        let usage = coordinator.usage.clone();
+        let world = Rc::downgrade(self);
+        let verdict = move |change: &VerdictChange| {
+            if let Some(world) = world.upgrade() {
+                world.adopt_verdict(n, change);
+            }
+        };
+        Outside {
+            hangup,
+            term,
+            given: Box::new(given),
+            report: Box::new(move |now: &Usage| usage.set(*now)),
+            verdict: Box::new(verdict),
+        }
+    }
+
+    fn adopt_verdict(&self, n: usize, change: &VerdictChange) {
+        self.verdicts.borrow_mut().push(VerdictAdoption {
+            at: self.clock.now() as f64 / SECOND,
+            node: NodeId(n),
+            zone: usize::from(change.zone),
+            epoch: change.verdict.epoch,
+        });
+    }
+
+    /// The configuration names the replicas that are alive, so that a new process knows them at once.
+    fn report_known_replicas(&self, n: usize) {
+        for slot in self.replicas.iter().filter(|slot| slot.alive.get()) {
+            self.recorder.tell(EventKind::ReplicaListed {
+                node: NodeId(n),
+                replica: slot.name.borrow().as_str().into(),
+                ready: true,
+            });
+        }
+    }
+
+    async fn run_coordinator(self: Rc<Self>, n: usize, net: SimNet, seed: u64, outside: Outside) {
+        let config = config::read(First::Environment, &self.config_source(n, seed));
+        let ended = match config {
+            Ok(config) => woadreachd::serve(net.clone(), config, outside)
+                .await
+                .map_err(|error| error.to_string()),
+            Err(error) => Err(error.to_string()),
+        };
+        let node = NodeId(n);
+        match ended {
+            Ok(()) => self.recorder.tell(EventKind::NodeEnded { node }),
+            Err(why) => self.recorder.tell(EventKind::Panicked { node, why }),
+        }
+        let (process, world) = (net.process(), self.clone());
+        // Not from within the process itself.
+        self.clock.call_at(self.clock.now(), move || {
+            world.network.kill(process);
+            let coordinator = &world.coordinators[n];
+            if coordinator.process.get() == Some(process) {
+                coordinator.process.set(None);
+            }
+        });
+    }
+
+    fn config_source(&self, n: usize, seed: u64) -> Given {
+        let coordinator = &self.coordinators[n];
+        let peer_address = |c: &Coordinator| SocketAddr::new(c.address.ip(), PEERS_PORT);
+        let addresses = CoordinatorAddresses {
+            listen: coordinator.address,
+            discovery: address(coordinator.agent_process.get(), DISCOVERY_PORT),
+            peer_listen: self
+                .script
+                .peers
+                .as_ref()
+                .map(|_| peer_address(coordinator)),
+            peers: self.coordinators.iter().map(peer_address).collect(),
+        };
+        let known = coordinator.agent.known();
+        Given {
+            path: format!("n{n}"),
+            text: configuration(&self.script, n, &addresses, seed, &known),
+            listen: None,
+            discovery: None,
+        }
+    }
+
+    /// Kills a co-ordinator. The load balancer notices a second later.
+    pub(super) fn kill_coordinator(self: &Rc<Self>, n: usize) {
+        let Some(process) = self.coordinators[n].process.take() else {
+            return;
+        };
+        let node = NodeId(n);
+        self.recorder.tell(EventKind::NodeKilled { node });
+        self.network.kill(process);
+        let world = self.clone();
+        let noticed_at = self.clock.now() + 1000 * MILLISECOND;
+        self.clock.call_at(noticed_at, move || {
+            let coordinator = &world.coordinators[n];
+            if coordinator.process.get().is_none() {
+                coordinator.in_rotation.set(false);
+            }
+        });
+    }
+
+    /// Sends SIGTERM to a co-ordinator, and SIGKILL when its time for a graceful shutdown is over.
+    pub(super) fn shut_down(self: &Rc<Self>, n: usize) {
+        let coordinator = &self.coordinators[n];
+        let Some(process) = coordinator.process.get() else {
+            return;
+        };
+        if let Some(sigterm) = &*coordinator.sigterm.borrow() {
+            let _ = sigterm.send(());
+        }
+        let world = self.clone();
+        let noticed_at = self.clock.now() + 300 * MILLISECOND;
+        self.clock.call_at(noticed_at, move || {
+            world.coordinators[n].in_rotation.set(false);
+        });
+        let timeout = self.script.max_client_timeout().min(MAX_SHUTDOWN_TIMEOUT);
+        let killed_at = self.clock.now() + nanos(timeout + KILL_DELAY) + 50 * MILLISECOND;
+        let world = self.clone();
+        self.clock.call_at(killed_at, move || {
+            if world.coordinators[n].process.get() == Some(process) {
+                world.kill_after_shutdown(n);
+            }
+        });
+    }
+
+    fn kill_after_shutdown(self: &Rc<Self>, n: usize) {
+        // A process that was suspended got SIGTERM late, and is killed without blame.
+        let stalls = |fault: &Fault| match &fault.kind {
+            FaultKind::StallCoordinators { co_ordinators } => co_ordinators.contains(&n),
+            _ => false,
+        };
+        if !self.script.faults.iter().any(stalls) {
+            let why = "it has not ended by the time that SIGKILL comes".to_string();
+            self.report_leak(n, why);
+        }
+        self.kill_coordinator(n);
+    }
+
+    /// Starts a co-ordinator after its last process has ended.
+    pub(super) fn start_again(self: &Rc<Self>, n: usize) {
+        if self.coordinators[n].process.get().is_none() {
+            return self.start_coordinator(n);
+        }
+        // It was not shut down, or is in rotation again.
+        if self.coordinators[n].in_rotation.get() {
+            return;
+        }
+        let world = self.clone();
+        let again_at = self.clock.now() + CHECK_INTERVAL;
+        self.clock.call_at(again_at, move || world.start_again(n));
+    }
+
+    /// Moves a co-ordinator's discovery agent to another address, and sends it SIGHUP.
+    pub(super) fn reload(self: &Rc<Self>, n: usize) {
+        let coordinator = &self.coordinators[n];
+        let zone = Zone(n % self.script.fleet.zones);
+        let net = self.network.add_machine(zone, 0.0);
+        let place = address(net.process(), DISCOVERY_PORT);
+        let agent = Some(&coordinator.agent);
+        let moved = woadreach_fakes::discovery(&net, NodeId(n), place, agent, &self.recorder);
+        moved.unwrap_or_else(|e| panic!("a new machine's address is taken: {e}"));
+        let old = coordinator.agent_process.replace(net.process());
+        let network = self.network.clone();
+        let killed_at = self.clock.now() + 1500 * MILLISECOND;
+        self.clock.call_at(killed_at, move || network.kill(old));
+        if let Some(sighup) = &*coordinator.sighup.borrow() {
+            let _ = sighup.send(());
+        }
+    }
+}
+
+impl Coordinator {
+    /// The network of its clients' machine.
+    pub(super) fn clients_net(&self) -> &SimNet {
+        self.clients.net()
+    }
+}
--- /dev/null
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -0,0 +1,50 @@
+//! Panics, and what co-ordinators and clients still hold when all is quiet.
+
+use super::World;
+use woadreach_invariants::{EventKind, NodeId};
+
+impl World {
+    /// Records the panics since the last call.
+    pub(super) fn report_panics(&self) {
+        for (process, why) in self.clock.panics() {
+            let node = self
+                .coordinators
+                .iter()
+                .position(|n| n.process.get() == Some(process));
+            let why = if node.is_none() {
+                format!("process {}: {why}", process.0)
+            } else {
+                why
+            };
+            self.recorder.tell(EventKind::Panicked {
+                node: NodeId(node.unwrap_or(0)),
+                why,
+            });
+        }
+    }
+
+    /// Records what is still held, when nothing should be.
+    pub(super) fn report_leaks(&self) {
+        for (n, coordinator) in self.coordinators.iter().enumerate() {
+            if coordinator.process.get().is_none() {
+                continue;
+            }
+            let u = coordinator.usage.get();
+            let idle = (u.searches, u.parts, u.out, u.clients, u.bytes) == (0, 0, 0, 0, 0);
+            if !idle {
+                self.report_leak(n, format!("all is quiet, and it holds {u:?}"));
+            }
+        }
+        let owed = self.record.borrow().owed();
+        if owed > 0 {
+            let why = format!("{owed} searches have neither an answer nor an end");
+            self.report_leak(0, why);
+        }
+    }
+
+    /// Records a leak of a co-ordinator.
+    pub(super) fn report_leak(&self, node: usize, why: String) {
+        let node = NodeId(node);
+        self.recorder.tell(EventKind::Leaked { node, why });
+    }
+}
--- /dev/null
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -0,0 +1,154 @@
+//! The replicas of a world: their processes, their entries in endpoint lists, and their behaviour.
+
+use super::{World, nanos};
+use crate::clock::MILLISECOND;
+use crate::network::{Zone, address, seed_of};
+use std::rc::Rc;
+use woadreach_fakes::{Behaviour, Line, Recorder};
+use woadreach_invariants::EventKind;
+use woadreach_runtime::Net;
+
+/// Seconds from a replica's start until the endpoint list says so.
+const LISTING_DELAY: f64 = 0.2;
+
+impl World {
+    /// Those of the replicas that are alive now, or those that are not.
+    fn with_liveness(&self, replicas: &[usize], alive: bool) -> Vec<usize> {
+        replicas
+            .iter()
+            .copied()
+            .filter(|r| self.replicas[*r].alive.get() == alive)
+            .collect()
+    }
+
+    /// Starts a replica's process at the addresses that it had. It warms up, if the settings say how.
+    pub(super) fn start_replica(&self, r: usize, warming_up: bool) {
+        let slot = &self.replicas[r];
+        self.network.kill(slot.process.get());
+        let net = self.network.add_machine(Zone(slot.zone), 0.0);
+        slot.process.set(net.process());
+        slot.alive.set(true);
+        let start = slot.starts.replace(slot.starts.get() + 1);
+        let cold = self.script.settings.cold.as_ref().filter(|_| warming_up);
+        let behaviour = Behaviour {
+            cores: self.script.fleet.cores,
+            room: self.script.fleet.queue_capacity,
+            cold: cold.map(|c| (c.from, c.time)),
+            ..Behaviour::default()
+        };
+        slot.started_at
+            .set(if warming_up { net.now() } else { 0.0 });
+        let name = slot.name.borrow().clone();
+        let seed = seed_of(self.script.seed, &format!("{name} {start}"));
+        let recorder = self.recorder.clone();
+        // The start of a replica that was there before the run isn't part of it.
+        let recorder = Recorder::new(move |event| {
+            if warming_up || !matches!(event, EventKind::ReplicaStarted { .. }) {
+                recorder.tell(event);
+            }
+        });
+        let addresses = slot.addresses.borrow();
+        let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder);
+        *slot.handle.borrow_mut() =
+            handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
+    }
+
+    /// Kills replicas, and lists them as departed after a delay in seconds.
+    pub(super) fn crash_replicas(self: &Rc<Self>, replicas: &[usize], listed_after: f64) {
+        for r in self.with_liveness(replicas, true) {
+            let slot = &self.replicas[r];
+            slot.alive.set(false);
+            self.network.kill(slot.process.get());
+            let (world, start) = (self.clone(), slot.starts.get());
+            let listed_at = self.clock.now() + nanos(listed_after);
+            self.clock.call_at(listed_at, move || {
+                let slot = &world.replicas[r];
+                if !slot.alive.get() && slot.starts.get() == start {
+                    world.list(&[r], "gone");
+                }
+            });
+        }
+    }
+
+    /// Starts crashed replicas again, and lists them as ready a little later.
+    pub(super) fn restart_replicas(self: &Rc<Self>, replicas: &[usize]) {
+        for r in self.with_liveness(replicas, false) {
+            self.start_replica(r, true);
+            let world = self.clone();
+            let listed_at = self.clock.now() + nanos(LISTING_DELAY);
+            self.clock
+                .call_at(listed_at, move || world.list(&[r], "ready"));
+        }
+    }
+
+    /// Lists replicas as draining.
+    pub(super) fn drain_replicas(&self, replicas: &[usize]) {
+        self.list(&self.with_liveness(replicas, true), "draining");
+    }
+
+    /// Replaces drained replicas by processes on other machines under other names.
+    pub(super) fn replace_replicas(&self, replicas: &[usize]) {
+        for r in self.with_liveness(replicas, true) {
+            let slot = &self.replicas[r];
+            let old = slot.process.get();
+            self.list(&[r], "gone");
+            *slot.name.borrow_mut() = format!("r{r}.{}", slot.starts.get());
+            let net = self.network.add_machine(Zone(slot.zone), 0.0);
+            for (_, replica_address) in slot.addresses.borrow_mut().iter_mut() {
+                *replica_address = address(net.process(), replica_address.port());
+            }
+            slot.process.set(net.process());
+            self.start_replica(r, true);
+            self.list(&[r], "ready");
+            let network = self.network.clone();
+            let killed_at = self.clock.now() + 1000 * MILLISECOND;
+            self.clock.call_at(killed_at, move || network.kill(old));
+        }
+    }
+
+    /// A replica's entry in a co-ordinator's endpoint list.
+    fn list_entry(&self, r: usize, n: usize, lifecycle: &'static str) -> Line {
+        let slot = &self.replicas[r];
+        Line {
+            id: slot.name.borrow().clone(),
+            address: slot.addresses.borrow()[n].1,
+            zone: format!("z{}", slot.zone),
+            cell: slot.cell,
+            lifecycle,
+            started_at: slot.started_at.get(),
+        }
+    }
+
+    /// Lists replicas in this state for every co-ordinator.
+    pub(super) fn list(&self, replicas: &[usize], lifecycle: &'static str) {
+        for (n, coordinator) in self.coordinators.iter().enumerate() {
+            let entries: Vec<Line> = replicas
+                .iter()
+                .map(|r| self.list_entry(*r, n, lifecycle))
+                .collect();
+            coordinator.agent.change(&entries);
+        }
+    }
+
+    /// Changes the behaviour of replicas.
+    pub(super) fn change_behaviour(&self, replicas: &[usize], change: impl Fn(&mut Behaviour)) {
+        for r in replicas {
+            self.replicas[*r].handle.borrow().change(&change);
+        }
+    }
+
+    /// Records that what a replica is sent may be delayed from now on, or no longer is.
+    pub(super) fn report_link(&self, r: usize, held: bool) {
+        let replica = self.replicas[r].name.borrow().as_str().into();
+        self.recorder.tell(EventKind::LinkBlocked { replica, held });
+    }
+
+    /// Records the same for all replicas of these zones.
+    pub(super) fn report_links_of(&self, zones: &[usize], held: bool) {
+        for (r, slot) in self.replicas.iter().enumerate() {
+            if zones.contains(&slot.zone) {
+                self.report_link(r, held);
+            }
+        }
+    }
+}
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, Terms};
 use woadreach_simulation::{
-    FaultKind, Judged, Outcome, Record, Recovery, Repeats, Script, SilentCalls, digest,
+    FaultKind, Outcome, Record, Recovery, Repeats, Script, SilentCalls, VerdictAdoption, digest,
 };
 
 const EVERY_KEY: &str = include_str!("recorded/every-key.toml");
@@ -432,7 +432,7 @@
         sub_requests: 5,
         datagrams: 6,
         datagram_bytes: 8,
-        verdicts: vec![Judged {
+        verdicts: vec![VerdictAdoption {
             at: 1.5,
             node: NodeId(2),
             zone: 1,
