--- a/crates/testing/simulation/src/clock.rs
+++ b/crates/testing/simulation/src/clock.rs
@@ -1,6 +1,6 @@
-//! The virtual clock and the processes that run on it: an executor of one thread. Owns every task of a world,
-//! the order in which they run, and time, which moves only when nothing is ready. Must never draw a random
-//! number, nor depend on anything but what was spawned and scheduled: the same calls give the same run.
+//! The virtual clock and the processes that run on it: an executor of one thread. Time advances only when no
+//! task is ready. The order of tasks depends only on what was spawned and scheduled, so that the same calls
+//! give the same run.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -13,22 +13,31 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// Nanoseconds since the world began.
-pub type Nanos = u64;
+/// Nanoseconds from the world's beginning.
+pub(crate) type Nanos = u64;
 
-pub const MILLISECOND: Nanos = 1_000_000;
+/// One millisecond.
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
 
+/// A process by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProcessId(pub usize);
+pub(crate) struct ProcessId(pub usize);
 
 type Task = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Tasks that are ready, in the order in which they became so; those of one step in the order they were
-/// spawned.
-type Ready = Arc<Mutex<VecDeque<(usize, u64)>>>;
+/// Tasks that are ready, in the order in which they became so; those of one step in the order in which they
+/// were spawned.
+type Ready = Arc<Mutex<VecDeque<TaskId>>>;
+
+/// A task: where it is kept, and its number, since slots are used again.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct TaskId {
+    slot: usize,
+    serial: u64,
+}
 
 struct TaskWaker {
-    task: (usize, u64),
+    task: TaskId,
     queued: AtomicBool,
     ready: Ready,
 }
@@ -48,11 +57,11 @@
 }
 
 struct Slot {
-    /// Absent while it is being polled.
+    /// None while it is being polled.
     task: Option<Task>,
     process: ProcessId,
-    /// Which of the tasks that have had this slot.
-    turn: u64,
+    /// The number of the task that has the slot now.
+    serial: u64,
     waker: Arc<TaskWaker>,
 }
 
@@ -61,20 +70,20 @@
     tasks: BTreeSet<usize>,
     alive: bool,
     stalled: bool,
-    /// Became ready while it was stalled.
-    parked: Vec<(usize, u64)>,
+    /// Tasks that became ready while it was suspended.
+    parked: Vec<TaskId>,
 }
 
-/// What happens at a time.
-pub enum Happening {
+/// What happens at a scheduled time.
+pub(crate) enum Scheduled {
     Wake(Rc<Cell<Option<Waker>>>),
-    Do(Box<dyn FnOnce()>),
+    Call(Box<dyn FnOnce()>),
 }
 
 struct Entry {
     at: Nanos,
     order: u64,
-    what: Happening,
+    action: Scheduled,
 }
 
 impl PartialEq for Entry {
@@ -101,7 +110,7 @@
 struct Inner {
     now: Cell<Nanos>,
     order: Cell<u64>,
-    turns: Cell<u64>,
+    next_serial: Cell<u64>,
     steps: Cell<u64>,
     ready: Ready,
     slots: RefCell<Vec<Slot>>,
@@ -111,30 +120,33 @@
     panics: RefCell<Vec<(ProcessId, String)>>,
 }
 
-/// A handle on the clock; all clones are one.
+/// A handle on the clock; all clones are one clock.
 #[derive(Clone, Default)]
-pub struct Clock(Rc<Inner>);
+pub(crate) struct Clock(Rc<Inner>);
 
 impl Clock {
-    pub fn new() -> Self {
+    /// A clock at time 0, without processes.
+    pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    pub fn now(&self) -> Nanos {
+    /// The time.
+    pub(crate) fn now(&self) -> Nanos {
         self.0.now.get()
     }
 
-    /// Tasks polled and things happened so far.
-    pub fn steps(&self) -> u64 {
+    /// Tasks polled and actions called so far.
+    pub(crate) fn steps(&self) -> u64 {
         self.0.steps.get()
     }
 
-    /// Tasks that have panicked since the last look, with what they said.
-    pub fn panics(&self) -> Vec<(ProcessId, String)> {
+    /// Takes the panics of tasks since the last call, with their messages.
+    pub(crate) fn panics(&self) -> Vec<(ProcessId, String)> {
         std::mem::take(&mut self.0.panics.borrow_mut())
     }
 
-    pub fn add_process(&self) -> ProcessId {
+    /// Adds a process without tasks.
+    pub(crate) fn add_process(&self) -> ProcessId {
         let mut all = self.0.processes.borrow_mut();
         all.push(Process {
             alive: true,
@@ -143,13 +155,13 @@
         ProcessId(all.len() - 1)
     }
 
-    /// How many there have been.
-    pub fn processes(&self) -> usize {
+    /// How many processes there have been.
+    pub(crate) fn processes(&self) -> usize {
         self.0.processes.borrow().len()
     }
 
-    /// Nothing more is to happen: what was to be done holds on to what it would be done to.
-    pub fn forget(&self) {
+    /// Drops all that is scheduled and ready, and with it the references to the world.
+    pub(crate) fn forget(&self) {
         let events = std::mem::take(&mut *self.0.events.borrow_mut());
         drop(events);
         if let Ok(mut ready) = self.0.ready.lock() {
@@ -157,7 +169,8 @@
         }
     }
 
-    pub fn alive(&self, process: ProcessId) -> bool {
+    /// Whether a process has not been killed.
+    pub(crate) fn alive(&self, process: ProcessId) -> bool {
         self.0
             .processes
             .borrow()
@@ -175,20 +188,21 @@
             .map_or(0, |p| p.tasks.len())
     }
 
-    pub fn spawn(&self, process: ProcessId, task: impl Future<Output = ()> + 'static) {
+    /// Adds a task to a process.
+    pub(crate) fn spawn(&self, process: ProcessId, task: impl Future<Output = ()> + 'static) {
         let inner = &*self.0;
-        let turn = inner.turns.replace(inner.turns.get() + 1);
+        let serial = inner.next_serial.replace(inner.next_serial.get() + 1);
         let mut slots = inner.slots.borrow_mut();
         let at = inner.free.borrow_mut().pop().unwrap_or(slots.len());
         let waker = Arc::new(TaskWaker {
-            task: (at, turn),
+            task: TaskId { slot: at, serial },
             queued: AtomicBool::new(true),
             ready: inner.ready.clone(),
         });
         let slot = Slot {
             task: Some(Box::pin(task)),
             process,
-            turn,
+            serial,
             waker,
         };
         if at == slots.len() {
@@ -200,52 +214,53 @@
         if let Some(p) = inner.processes.borrow_mut().get_mut(process.0) {
             p.tasks.insert(at);
         }
-        self.make_ready((at, turn));
+        self.make_ready(TaskId { slot: at, serial });
     }
 
-    fn make_ready(&self, task: (usize, u64)) {
+    fn make_ready(&self, task: TaskId) {
         if let Ok(mut ready) = self.0.ready.lock() {
             ready.push_back(task);
         }
     }
 
-    /// Danger: `tokio`'s watch channel wakes its receivers in an order that it draws, and two runs of a seed
-    /// part where several wait for one. What one step has made ready therefore runs in the order it was
-    /// spawned in. Covers every channel that wakes several at once. Harm: none; an order by chance is no
-    /// test.
+    /// Runs a step, and sorts the tasks that it makes ready by when they were spawned. Without this two runs of
+    /// a seed would differ, because tokio's watch channel wakes its receivers in random order. Only the order
+    /// of tasks that one step wakes is affected.
     fn in_order<T>(&self, step: impl FnOnce() -> T) -> T {
         let before = self.0.ready.lock().map_or(0, |ready| ready.len());
         let done = step();
         if let Ok(mut ready) = self.0.ready.lock()
             && ready.len() > before + 1
         {
-            ready.make_contiguous()[before..].sort_unstable_by_key(|(_, turn)| *turn);
+            ready.make_contiguous()[before..].sort_unstable_by_key(|task| task.serial);
         }
         done
     }
 
-    /// At `at`, after all that was asked for at that time before.
-    pub fn at(&self, at: Nanos, what: Happening) {
+    /// Schedules an action, after all that were scheduled for that time before.
+    pub(crate) fn at(&self, at: Nanos, action: Scheduled) {
         let order = self.0.order.replace(self.0.order.get() + 1);
         self.0.events.borrow_mut().push(Reverse(Entry {
             at: at.max(self.now()),
             order,
-            what,
+            action,
         }));
     }
 
-    pub fn call_at(&self, at: Nanos, what: impl FnOnce() + 'static) {
-        self.at(at, Happening::Do(Box::new(what)));
+    /// Schedules a call.
+    pub(crate) fn call_at(&self, at: Nanos, action: impl FnOnce() + 'static) {
+        self.at(at, Scheduled::Call(Box::new(action)));
     }
 
-    /// Its tasks are not run until `resume`.
-    pub fn stall(&self, process: ProcessId) {
+    /// Suspends a process: its tasks don't run until `resume`.
+    pub(crate) fn stall(&self, process: ProcessId) {
         if let Some(p) = self.0.processes.borrow_mut().get_mut(process.0) {
             p.stalled = true;
         }
     }
 
-    pub fn resume(&self, process: ProcessId) {
+    /// Ends a suspension; the tasks that were woken meanwhile become ready.
+    pub(crate) fn resume(&self, process: ProcessId) {
         let parked = match self.0.processes.borrow_mut().get_mut(process.0) {
             Some(p) => {
                 p.stalled = false;
@@ -256,8 +271,8 @@
         parked.into_iter().for_each(|task| self.make_ready(task));
     }
 
-    /// Ends it outright: all of its tasks are dropped, newest first.
-    pub fn kill(&self, process: ProcessId) {
+    /// Kills a process: its tasks are dropped, newest first.
+    pub(crate) fn kill(&self, process: ProcessId) {
         let tasks = match self.0.processes.borrow_mut().get_mut(process.0) {
             Some(p) => {
                 p.alive = false;
@@ -269,13 +284,13 @@
         for at in tasks.into_iter().rev() {
             let task = self.0.slots.borrow_mut()[at].task.take();
             self.0.free.borrow_mut().push(at);
-            // Its drop may wake others, spawn nothing, and borrow anything.
+            // Dropping it may wake tasks and borrow anything, but spawns none.
             drop(task);
         }
     }
 
-    /// Runs all that is ready, then what happens next, until nothing is left to happen before `end`.
-    pub fn run_until(&self, end: Nanos) {
+    /// Runs all ready tasks, then the next scheduled action, until none is left before `end`.
+    pub(crate) fn run_until(&self, end: Nanos) {
         loop {
             self.run_ready();
             let next = {
@@ -287,15 +302,15 @@
             };
             let Some(Reverse(entry)) = next else { break };
             self.0.now.set(entry.at);
-            match entry.what {
-                Happening::Wake(waker) => {
+            match entry.action {
+                Scheduled::Wake(waker) => {
                     if let Some(waker) = waker.take() {
                         waker.wake();
                     }
                 }
-                Happening::Do(what) => {
+                Scheduled::Call(action) => {
                     self.0.steps.set(self.0.steps.get() + 1);
-                    self.in_order(what);
+                    self.in_order(action);
                 }
             }
         }
@@ -310,61 +325,84 @@
                 .lock()
                 .ok()
                 .and_then(|mut ready| ready.pop_front());
-            let Some((at, turn)) = next else { return };
-            let (mut task, waker, process) = {
-                let mut slots = self.0.slots.borrow_mut();
-                let Some(slot) = slots.get_mut(at).filter(|s| s.turn == turn) else {
-                    continue;
-                };
-                let mut processes = self.0.processes.borrow_mut();
-                let process = &mut processes[slot.process.0];
-                if process.stalled {
-                    process.parked.push((at, turn));
-                    continue;
-                }
-                slot.waker.queued.store(false, Ordering::Relaxed);
-                let Some(task) = slot.task.take() else {
-                    continue;
-                };
-                (task, slot.waker.clone(), slot.process)
-            };
-            self.0.steps.set(self.0.steps.get() + 1);
-            let waker = Waker::from(waker);
-            let mut cx = Context::from_waker(&waker);
-            let done = match catch_unwind(AssertUnwindSafe(|| {
-                self.in_order(|| task.as_mut().poll(&mut cx))
-            })) {
-                Ok(poll) => poll.is_ready(),
-                Err(why) => {
-                    let why = why.downcast_ref::<String>().cloned();
-                    let why = why.unwrap_or_else(|| "a task has panicked".into());
-                    self.0.panics.borrow_mut().push((process, why));
-                    true
-                }
-            };
-            let gone = self.0.slots.borrow()[at].turn != turn || !self.alive(process);
-            if done || gone {
-                if !gone {
-                    self.0.processes.borrow_mut()[process.0].tasks.remove(&at);
-                    self.0.free.borrow_mut().push(at);
-                }
-                drop(task);
-            } else {
-                self.0.slots.borrow_mut()[at].task = Some(task);
+            let Some(id) = next else { return };
+            if let Some(polled) = self.take_task(id) {
+                self.poll(id, polled);
             }
         }
     }
+
+    /// Takes a task out of its slot for polling, if it still exists and its process isn't suspended.
+    fn take_task(&self, id: TaskId) -> Option<PolledTask> {
+        let mut slots = self.0.slots.borrow_mut();
+        let slot = slots.get_mut(id.slot).filter(|s| s.serial == id.serial)?;
+        let mut processes = self.0.processes.borrow_mut();
+        let process = &mut processes[slot.process.0];
+        if process.stalled {
+            process.parked.push(id);
+            return None;
+        }
+        slot.waker.queued.store(false, Ordering::Relaxed);
+        Some(PolledTask {
+            task: slot.task.take()?,
+            waker: slot.waker.clone(),
+            process: slot.process,
+        })
+    }
+
+    fn poll(&self, id: TaskId, polled: PolledTask) {
+        let PolledTask {
+            mut task,
+            waker,
+            process,
+        } = polled;
+        self.0.steps.set(self.0.steps.get() + 1);
+        let waker = Waker::from(waker);
+        let mut cx = Context::from_waker(&waker);
+        let poll = catch_unwind(AssertUnwindSafe(|| {
+            self.in_order(|| task.as_mut().poll(&mut cx))
+        }));
+        let done = match poll {
+            Ok(poll) => poll.is_ready(),
+            Err(payload) => {
+                let message = payload.downcast_ref::<String>().cloned();
+                let message = message.unwrap_or_else(|| "a task has panicked".into());
+                self.0.panics.borrow_mut().push((process, message));
+                true
+            }
+        };
+        let is_gone = self.0.slots.borrow()[id.slot].serial != id.serial || !self.alive(process);
+        if !done && !is_gone {
+            self.0.slots.borrow_mut()[id.slot].task = Some(task);
+            return;
+        }
+        if !is_gone {
+            self.0.processes.borrow_mut()[process.0]
+                .tasks
+                .remove(&id.slot);
+            self.0.free.borrow_mut().push(id.slot);
+        }
+        // Dropping it may wake or spawn tasks, so nothing is borrowed here.
+        drop(task);
+    }
+}
+
+/// A task that is being polled.
+struct PolledTask {
+    task: Task,
+    waker: Arc<TaskWaker>,
+    process: ProcessId,
 }
 
-/// Over at a time. Dropped before, it wakes nobody.
-pub struct Sleep {
+/// Completes at a time. If it is dropped before, it wakes no task.
+pub(crate) struct Sleep {
     clock: Clock,
     due: Nanos,
     waker: Option<Rc<Cell<Option<Waker>>>>,
 }
 
 impl Sleep {
-    pub fn new(clock: &Clock, due: Nanos) -> Self {
+    pub(crate) fn new(clock: &Clock, due: Nanos) -> Self {
         Sleep {
             clock: clock.clone(),
             due,
@@ -384,7 +422,7 @@
             Some(waker) => waker.set(Some(cx.waker().clone())),
             None => {
                 let waker = Rc::new(Cell::new(Some(cx.waker().clone())));
-                self.clock.at(self.due, Happening::Wake(waker.clone()));
+                self.clock.at(self.due, Scheduled::Wake(waker.clone()));
                 self.waker = Some(waker);
             }
         }
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -31,6 +31,6 @@
     Repeats, Script, ScriptError, Settings, SilentCalls,
 };
 pub use settings::{CoordinatorAddresses, configuration, terms};
-pub use shrink::{Small, shrink};
+pub use shrink::{Shrunk, shrink};
 pub use sockets::on_sockets;
 pub use world::{Options, play};
--- a/crates/testing/simulation/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -1,5 +1,4 @@
-//! The searches that clients ask, drawn from a script. Pure functions of their chance; must never know what
-//! becomes of a search.
+//! The searches that clients send, drawn from a script. Pure functions of their random generator.
 
 use crate::network::seed_of;
 use crate::script::{HEAVY_SHARE, HEAVY_WORK_FACTOR, Script};
@@ -11,9 +10,9 @@
 
 /// The rate of searches at each co-ordinator, as a multiple of the mean.
 pub(crate) fn rate_shares(script: &Script) -> Vec<f64> {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "uneven"));
-    // Twelve draws add up to what is normal enough here.
-    let mut normal = || (0..12).map(|_| chance.random::<f64>()).sum::<f64>() - 6.0;
+    let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "uneven"));
+    // The sum of twelve uniform draws is close enough to a normal distribution.
+    let mut normal = || (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     let all: Vec<f64> = (0..script.fleet.co_ordinators)
         .map(|_| (script.load.skew * normal()).exp())
         .collect();
@@ -21,34 +20,34 @@
     all.into_iter().map(|part| part / mean).collect()
 }
 
-/// The time until a client's next search, at so many a second.
-pub fn draw_gap(rate: f64, chance: &mut Pcg64Mcg) -> f64 {
-    -(1.0 - chance.random::<f64>()).ln() / rate.max(1e-3)
+/// Seconds until the next search, at a rate per second.
+pub fn draw_gap(rate: f64, rng: &mut Pcg64Mcg) -> f64 {
+    -(1.0 - rng.random::<f64>()).ln() / rate.max(1e-3)
 }
 
-/// One search of any query type, by their shares; its parts cost `costly` times as much as ever.
-pub fn draw_ask(script: &Script, costly: f64, search: Arc<str>, chance: &mut Pcg64Mcg) -> Ask {
+/// One search of any query type, by their shares. Its parts cost `work_factor` times as much as usual.
+pub fn draw_ask(script: &Script, work_factor: f64, search: Arc<str>, rng: &mut Pcg64Mcg) -> Ask {
     let types = &script.query_types;
-    let mut at = chance.random::<f64>() * types.iter().map(|t| t.share).sum::<f64>();
+    let mut at = rng.random::<f64>() * types.iter().map(|t| t.share).sum::<f64>();
     let which = types.iter().position(|t| {
         at -= t.share;
         at < 0.0
     });
     let query_type = which.unwrap_or(0);
     let t = &types[query_type];
-    let n = chance.random_range(t.min_parts..=t.max_parts);
+    let n = rng.random_range(t.min_parts..=t.max_parts);
     let mut shards = BTreeSet::new();
     while shards.len() < n {
-        shards.insert(chance.random_range(0..script.fleet.shards));
+        shards.insert(rng.random_range(0..script.fleet.shards));
     }
-    let heavy = if chance.random_bool(HEAVY_SHARE) {
+    let heavy = if rng.random_bool(HEAVY_SHARE) {
         HEAVY_WORK_FACTOR
     } else {
         1.0
     };
-    let work = t.work * heavy * costly * (0.5 + chance.random::<f64>());
-    let leaves = chance.random_bool(script.load.disconnect_share);
-    let leaves_after = leaves.then(|| chance.random::<f64>() * t.client_timeout);
+    let work = t.work * heavy * work_factor * (0.5 + rng.random::<f64>());
+    let leaves = rng.random_bool(script.load.disconnect_share);
+    let leaves_after = leaves.then(|| rng.random::<f64>() * t.client_timeout);
     Ask {
         search,
         query_type,
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -1,35 +1,41 @@
-//! The hunt for injected bugs: each known defence is switched off by itself, and seeds are played until a rule
-//! breaks. Owns nothing; only in builds with the feature `mutations`.
+//! The search for injected bugs: each defence is switched off by itself, and seeds are played until a rule
+//! breaks. Only in builds with the feature `mutations`.
 
 use crate::script::Script;
-use crate::shrink::{Small, shrink};
+use crate::shrink::{Shrunk, shrink};
 use crate::world::{Options, play};
 use serde::Serialize;
 use std::ops::Range;
 use woadreach_routing::mutations::{MUTATIONS, mutate};
 
+/// What the search for one injected bug has found.
 #[derive(Clone, Debug, Serialize)]
 pub struct Hunted {
+    /// The mutation's name.
     pub mutation: &'static str,
     /// The defence that is switched off.
     pub defence: &'static str,
-    /// The first seed that breaks a rule, and after how many seeds; none if none of them does.
+    /// The first seed that breaks a rule; none if none of them does.
     pub seed: Option<u64>,
+    /// How many seeds were played.
     pub after: u64,
+    /// The broken rule.
     pub rule: Option<String>,
+    /// The shrunk script, if one was wanted.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub small: Option<Small>,
+    pub small: Option<Shrunk>,
 }
 
-/// Hunted on days of a whole tier.
-const OF_A_TIER: [&str; 2] = ["module-cold-cap", "host-siblings"];
+/// Mutations that show only in runs of a whole tier.
+const TIER_MUTATIONS: [&str; 2] = ["module-cold-cap", "host-siblings"];
 
 /// The names of all mutations.
 pub fn names() -> Vec<&'static str> {
     MUTATIONS.iter().map(|p| p.0).collect()
 }
 
-/// Plays seeds with one defence off until a rule breaks; cuts the script down if `smaller`.
+/// Plays seeds with one defence off until a rule breaks; shrinks the script if `smaller`. None if there is no
+/// such mutation.
 pub fn hunt(name: &str, seeds: Range<u64>, smaller: bool) -> Option<Hunted> {
     let (name, defence) = *MUTATIONS.iter().find(|p| p.0 == name)?;
     let mut hunted = Hunted {
@@ -42,8 +48,7 @@
     };
     mutate(Some(name));
     for seed in seeds.clone() {
-        // What only many together bring about does not show where there are few.
-        let tier = OF_A_TIER.contains(&name);
+        let tier = TIER_MUTATIONS.contains(&name);
         let script = if tier {
             Script::draw_tier(seed)
         } else {
--- a/crates/testing/simulation/src/network/config.rs
+++ b/crates/testing/simulation/src/network/config.rs
@@ -4,7 +4,7 @@
 
 /// A range of latencies, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct LatencyRange {
+pub(crate) struct LatencyRange {
     /// The shortest.
     pub min: Nanos,
     /// How much longer it may be; each transmission draws its own.
@@ -13,7 +13,7 @@
 
 /// What holds for every connection of a simulated world.
 #[derive(Clone, Debug)]
-pub struct NetworkConfig {
+pub(crate) struct NetworkConfig {
     /// One-way latency within a zone.
     pub within_zone: LatencyRange,
     /// One-way latency between two zones.
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -1,81 +1,100 @@
-//! Recovery as a measure: how long after a fault's end service is back at its level before, what was lost to
-//! it, and what it cost meanwhile. Pure functions over what clients saw; must never look into a co-ordinator.
+//! Recovery from faults: how long after a fault's end the service is back at its earlier level, how many
+//! searches were lost, and how many attempts it cost. Pure functions over what clients saw.
 
 use crate::network::BEGIN;
 use crate::record::SearchOutcome;
-use crate::script::Script;
+use crate::script::{Fault, Script};
 use serde::Serialize;
 
-/// Service is looked at over so many seconds: at some searches a second fewer tell nothing.
+/// Seconds over which the level of service is measured: at a few searches per second, a shorter time would
+/// show nothing.
 const WINDOW: f64 = 3.0;
-/// The level before is that of so many seconds.
-const BEFORE: f64 = 5.0;
-/// Back is what comes within so much of the level before.
-const NEARLY: f64 = 0.05;
-/// Looked at so often.
+/// Seconds before the fault over which the earlier level is measured.
+const BASELINE_WINDOW: f64 = 5.0;
+/// The service is back when its level is at most so much lower than before.
+const TOLERANCE: f64 = 0.05;
+/// Seconds between two windows.
 const STEP: f64 = 0.25;
 
+/// The recovery from one fault.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Recovery {
+    /// The fault's kind.
     pub kind: &'static str,
+    /// When the fault began, in seconds from the run's beginning.
     pub at: f64,
+    /// How long it lasted, in seconds.
     pub lasts: f64,
-    /// Shares of searches answered within their latency target: before it, and from its begin to its end.
+    /// Share of the searches before it that were answered within their latency target.
     pub before: f64,
+    /// The same share from its begin to its end.
     pub during: f64,
-    /// Seconds after its end until service is back; none if the run ends first.
+    /// Seconds from its end until the service was back; none if the run ended first.
     pub back_after: Option<f64>,
-    /// Searches not answered in time, beyond the share of those before, until it was back.
+    /// Searches that missed their latency target until then, beyond the earlier share.
     pub lost: f64,
-    /// Sub-requests for each search, from its begin until it was back.
+    /// Attempts per search, from its begin until the service was back.
     pub sub_requests: f64,
 }
 
-fn level(fared: &[SearchOutcome], from: f64, to: f64) -> Option<f64> {
-    let of: Vec<bool> = fared
+/// The share of the searches from this time to that which were answered within their latency target.
+fn level(searches: &[SearchOutcome], from: f64, to: f64) -> Option<f64> {
+    let is_good: Vec<bool> = searches
         .iter()
-        .filter(|f| f.asked >= from && f.asked < to)
-        .map(|f| f.good)
+        .filter(|s| s.asked >= from && s.asked < to)
+        .map(|s| s.good)
         .collect();
-    let good = of.iter().filter(|g| **g).count();
-    (!of.is_empty()).then(|| good as f64 / of.len() as f64)
+    let good = is_good.iter().filter(|good| **good).count();
+    (!is_good.is_empty()).then(|| good as f64 / is_good.len() as f64)
 }
 
-/// One for each fault of a script, in its order. `fared` and `sent` are as the record has them.
-pub fn recoveries(script: &Script, fared: &[SearchOutcome], sent: &[f64]) -> Vec<Recovery> {
-    let mut fared = fared.to_vec();
-    fared.sort_by(|a, b| a.asked.total_cmp(&b.asked));
-    let one = |fault: &crate::script::Fault| {
-        let (begin, end) = (BEGIN + fault.at, BEGIN + fault.at + fault.duration);
-        let over = BEGIN + script.seconds;
-        let before = level(&fared, begin - BEFORE, begin).unwrap_or(1.0);
-        let mut at = end;
-        let back = loop {
-            if at + WINDOW > over {
-                break None;
-            }
-            if level(&fared, at, at + WINDOW).is_some_and(|l| l >= before - NEARLY) {
-                break Some(at);
-            }
-            at += STEP;
-        };
-        let until = back.unwrap_or(over).max(begin);
-        let of: Vec<&SearchOutcome> = fared
-            .iter()
-            .filter(|f| f.asked >= begin && f.asked < until)
-            .collect();
-        let bad = of.iter().filter(|f| !f.good).count() as f64;
-        let sent = sent.iter().filter(|t| **t >= begin && **t < until).count() as f64;
-        Recovery {
-            kind: fault.kind.name(),
-            at: fault.at,
-            lasts: fault.duration,
-            before,
-            during: level(&fared, begin, end).unwrap_or(before),
-            back_after: back.map(|b| b - end),
-            lost: (bad - (1.0 - before) * of.len() as f64).max(0.0),
-            sub_requests: sent / of.len().max(1) as f64,
+/// When the level is back, from `end` on; none if it isn't before `run_end`.
+fn back_at(searches: &[SearchOutcome], before: f64, end: f64, run_end: f64) -> Option<f64> {
+    let mut at = end;
+    while at + WINDOW <= run_end {
+        if level(searches, at, at + WINDOW).is_some_and(|l| l >= before - TOLERANCE) {
+            return Some(at);
         }
-    };
-    script.faults.iter().map(one).collect()
+        at += STEP;
+    }
+    None
+}
+
+fn recovery(fault: &Fault, run_end: f64, searches: &[SearchOutcome], sent: &[f64]) -> Recovery {
+    let (begin, end) = (BEGIN + fault.at, BEGIN + fault.at + fault.duration);
+    let before = level(searches, begin - BASELINE_WINDOW, begin).unwrap_or(1.0);
+    let back = back_at(searches, before, end, run_end);
+    let until = back.unwrap_or(run_end).max(begin);
+    let affected: Vec<&SearchOutcome> = searches
+        .iter()
+        .filter(|s| s.asked >= begin && s.asked < until)
+        .collect();
+    let missed = affected.iter().filter(|s| !s.good).count() as f64;
+    let attempts = sent.iter().filter(|t| **t >= begin && **t < until).count() as f64;
+    Recovery {
+        kind: fault.kind.name(),
+        at: fault.at,
+        lasts: fault.duration,
+        before,
+        during: level(searches, begin, end).unwrap_or(before),
+        back_after: back.map(|b| b - end),
+        lost: (missed - (1.0 - before) * affected.len() as f64).max(0.0),
+        sub_requests: attempts / affected.len().max(1) as f64,
+    }
+}
+
+/// The recovery from each fault of a script, in its order. `searches` and `sent` are the record's.
+pub(crate) fn recoveries(
+    script: &Script,
+    searches: &[SearchOutcome],
+    sent: &[f64],
+) -> Vec<Recovery> {
+    let mut searches = searches.to_vec();
+    searches.sort_by(|a, b| a.asked.total_cmp(&b.asked));
+    let run_end = BEGIN + script.seconds;
+    script
+        .faults
+        .iter()
+        .map(|fault| recovery(fault, run_end, &searches, sent))
+        .collect()
 }
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -1,10 +1,19 @@
-//! What a script means as the terms of the checker and as the configuration of each co-ordinator.
+//! A script as the terms of the checker and as the configuration of each co-ordinator.
 
-use crate::script::{QueryType, Repeats, Script};
+use crate::script::{QueryType, Repeats, Script, Settings};
 use std::net::SocketAddr;
 use woadreach_invariants::{Budget, Cold, QueryTerms, Terms};
 
-/// The terms of a script for the checker of the rules.
+/// Milliseconds in a second.
+const MILLISECONDS: f64 = 1000.0;
+/// How long after its deadline an answer still counts, in seconds.
+const ANSWER_GRACE: f64 = 0.05;
+/// The checker's tolerance of time limits, in seconds.
+const SLACK: f64 = 0.05;
+/// From so many co-ordinators on, an overload counts only if most senders knew of the start.
+const LARGE_TIER: usize = 10;
+
+/// The numbers of the rules for the checker.
 pub fn terms(script: &Script) -> Terms {
     let s = &script.settings;
     let query_types = script.query_types.iter().map(|t| QueryTerms {
@@ -23,7 +32,7 @@
     });
     Terms {
         query_types: query_types.collect(),
-        answer_grace: 0.05,
+        answer_grace: ANSWER_GRACE,
         drain_grace: s.drain_grace,
         cold: s.cold.as_ref().map(|c| Cold {
             from: c.from,
@@ -31,76 +40,97 @@
             multiple: c.multiple,
             window: c.window,
             work: script.mean_work(),
-            // In a tier of many each sends one part before it can know; the page does not count that.
-            untold_too: script.fleet.co_ordinators < 10,
+            // In a large tier each sends one part before it can know, which the protocol does not count.
+            untold_too: script.fleet.co_ordinators < LARGE_TIER,
         }),
         budget: s.budget.as_ref().map(|b| Budget {
             free: b.free,
             share: b.share,
             window: b.window,
         }),
-        slack: 0.05,
+        slack: SLACK,
         way: script.fleet.max_latency,
     }
 }
 
-/// The settings of a script as a co-ordinator's configuration holds them.
-fn settings(script: &Script, n: usize) -> String {
-    let (s, f) = (&script.settings, &script.fleet);
-    let row = |of: &dyn Fn(&QueryType) -> String| {
-        script
-            .query_types
-            .iter()
-            .map(of)
-            .collect::<Vec<_>>()
-            .join(",")
+/// The values of all query types, as the elements of a JSON array.
+fn of_query_types(script: &Script, value: impl Fn(&QueryType) -> String) -> String {
+    let values: Vec<String> = script.query_types.iter().map(value).collect();
+    values.join(",")
+}
+
+fn query_type_json(t: &QueryType) -> String {
+    let repeat = match t.repeats {
+        Repeats::Idempotent => "repeatable",
+        Repeats::Tokened => "by_key",
+        Repeats::NonIdempotent => "once",
     };
-    let types = row(&|t| {
-        let repeat = match t.repeats {
-            Repeats::Idempotent => "repeatable",
-            Repeats::Tokened => "by_key",
-            Repeats::NonIdempotent => "once",
-        };
-        let group = if t.any_holder { "all" } else { "one" };
-        format!(
-            concat!(
-                r#"{{"name":"{}","aimMs":{},"giveUpMs":{},"repeat":"{}","#,
-                r#""memorySpanMs":{},"group":"{}"}}"#
-            ),
-            t.name,
-            t.latency_target * 1000.0,
-            t.client_timeout * 1000.0,
-            repeat,
-            t.window * 1000.0,
-            group
-        )
-    });
-    let cold = s.cold.as_ref().map_or(String::new(), |c| {
+    let group = if t.any_holder { "all" } else { "one" };
+    format!(
+        concat!(
+            r#"{{"name":"{}","aimMs":{},"giveUpMs":{},"repeat":"{}","#,
+            r#""memorySpanMs":{},"group":"{}"}}"#
+        ),
+        t.name,
+        t.latency_target * MILLISECONDS,
+        t.client_timeout * MILLISECONDS,
+        repeat,
+        t.window * MILLISECONDS,
+        group
+    )
+}
+
+/// The guarantees, as the members of a JSON object.
+fn guarantees_json(settings: &Settings) -> String {
+    let cold = settings.cold.as_ref().map_or(String::new(), |c| {
         format!(
             r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
             c.multiple,
-            c.window * 1000.0,
+            c.window * MILLISECONDS,
             c.from,
-            c.time * 1000.0
+            c.time * MILLISECONDS
         )
     });
-    let budget = s.budget.as_ref().map_or(String::new(), |b| {
+    let budget = settings.budget.as_ref().map_or(String::new(), |b| {
         format!(
             r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#,
             b.share,
-            b.window * 1000.0,
+            b.window * MILLISECONDS,
             b.free
         )
     });
+    let drain_grace = settings.drain_grace * MILLISECONDS;
+    format!(r#""drainGraceMs":{drain_grace}{cold}{budget}"#)
+}
+
+/// The limits, as the members of a JSON object.
+fn limits_json(script: &Script) -> String {
+    let s = &script.settings;
+    format!(
+        r#""attemptsCap":{},"cancelling":{},
+"mayDuplicate":{},"streamsPerConn":{},"idleCloseMs":{},"connectTimeoutMs":{},"retryAfter":{},
+"maxRetryAfterMs":2000,"peers":{}"#,
+        s.attempts,
+        s.cancelling,
+        s.hedging,
+        s.streams,
+        s.idle_close * MILLISECONDS,
+        s.connect_timeout * MILLISECONDS,
+        s.retry_after,
+        script.peers.is_some(),
+    )
+}
+
+/// The settings of a co-ordinator, in the JSON of its configuration.
+fn settings_json(script: &Script, n: usize) -> String {
+    let (s, f) = (&script.settings, &script.fleet);
     let zones: Vec<String> = (0..f.zones).map(|z| format!(r#""z{z}""#)).collect();
     format!(
         r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{n},"zone":{},
 "domain":{{"sets":{},"span":{},"slices":{},"perCall":{},
-"classNeed":[{}],"classFloor":[{}],"classFetch":[{}]}},"limits":{{"attemptsCap":{},"cancelling":{},
-"mayDuplicate":{},"streamsPerConn":{},"idleCloseMs":{},"connectTimeoutMs":{},"retryAfter":{},
-"maxRetryAfterMs":2000,"peers":{}}},"clients":{{"marksRetry":{}}},
-"guarantees":{{"drainGraceMs":{}{cold}{budget}}},
-"tenants":[{{"name":"acme","share":1.0}}],"requestClasses":[{types}]}}"#,
+"classNeed":[{}],"classFloor":[{}],"classFetch":[{}]}},"limits":{{{}}},"clients":{{"marksRetry":{}}},
+"guarantees":{{{}}},
+"tenants":[{{"name":"acme","share":1.0}}],"requestClasses":[{}]}}"#,
         f.co_ordinators,
         zones.join(","),
         n % f.zones,
@@ -108,33 +138,30 @@
         f.span,
         f.shards,
         s.per_call,
-        row(&|t| t.need.to_string()),
-        row(&|t| t.floor.to_string()),
-        row(&|t| t.fetch.to_string()),
-        s.attempts,
-        s.cancelling,
-        s.hedging,
-        s.streams,
-        s.idle_close * 1000.0,
-        s.connect_timeout * 1000.0,
-        s.retry_after,
-        script.peers.is_some(),
+        of_query_types(script, |t| t.need.to_string()),
+        of_query_types(script, |t| t.floor.to_string()),
+        of_query_types(script, |t| t.fetch.to_string()),
+        limits_json(script),
         s.marks_repeats,
-        s.drain_grace * 1000.0,
+        guarantees_json(s),
+        of_query_types(script, query_type_json),
     )
 }
 
-/// Where a co-ordinator is reached, and where it reaches what it needs.
+/// The addresses that a co-ordinator's configuration names.
 pub struct CoordinatorAddresses {
+    /// Where it accepts clients.
     pub listen: SocketAddr,
+    /// Where its discovery agent listens.
     pub discovery: SocketAddr,
-    /// Where datagrams come to it, and where it sends those for each co-ordinator of the tier, itself among
-    /// them.
+    /// Where it receives datagrams of its peers; none where it doesn't.
     pub peer_listen: Option<SocketAddr>,
+    /// Where each co-ordinator of the tier receives datagrams, itself included.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The configuration of one co-ordinator, as its file would hold it.
+/// The configuration of one co-ordinator, as its file would have it. `known` is the JSON of the endpoint list
+/// that it knows from the start.
 pub fn configuration(
     script: &Script,
     n: usize,
@@ -153,6 +180,6 @@
         at.discovery,
         peers.join(","),
         script.settings.descriptors,
-        settings(script, n)
+        settings_json(script, n)
     )
 }
--- a/crates/testing/simulation/src/shrink.rs
+++ b/crates/testing/simulation/src/shrink.rs
@@ -1,22 +1,27 @@
-//! Cuts a failing script down by itself: fewer faults, shorter, fewer parties, a plainer load, for as long as
-//! the same rule still breaks. Owns nothing; must never keep a script that breaks another rule only.
+//! Shrinks a failing script: fewer faults, a shorter run, fewer processes, a simpler load, for as long as the
+//! same rule still breaks.
 
 use crate::script::Script;
 use crate::world::{Options, play};
 use serde::Serialize;
 use woadreach_invariants::{Breach, Rule};
 
-/// Plays at most so many scripts: some minutes.
-const MOST_TRIES: usize = 400;
+/// Most scripts that are played, which takes some minutes.
+const MAX_TRIES: usize = 400;
 
+/// A shrunk script.
 #[derive(Clone, Debug, Serialize)]
-pub struct Small {
+pub struct Shrunk {
+    /// The smallest script that was found.
     pub script: Script,
+    /// The rule that it breaks.
     pub breach: Breach,
+    /// How many scripts were played.
     pub tried: usize,
 }
 
-fn breaks(script: &Script, rule: Option<Rule>) -> Option<Breach> {
+/// The first breach of a script, of this rule if one is given.
+fn first_breach(script: &Script, rule: Option<Rule>) -> Option<Breach> {
     script.check().ok()?;
     let outcome = play(
         script,
@@ -31,8 +36,8 @@
         .find(|b| rule.is_none_or(|r| r == b.rule))
 }
 
-/// Each step of cutting that is worth a try, boldest first.
-fn cuts(script: &Script) -> Vec<Script> {
+/// The scripts that are one step smaller, boldest steps first.
+fn reductions(script: &Script) -> Vec<Script> {
     let mut all = Vec::new();
     let mut with = |change: &dyn Fn(&mut Script)| {
         let mut next = script.clone();
@@ -55,8 +60,8 @@
     with(&|s| s.seconds = (s.seconds / 2.0).max(2.0));
     with(&|s| s.seconds = last.min(s.seconds));
     with(&|s| s.seconds = (s.seconds - 1.0).max(2.0));
-    // The largest numbers go first; a fault that names one that is gone makes the script unsound, and is not
-    // tried.
+    // Removes the process with the largest number. A script with a fault that names it is invalid, and isn't
+    // played.
     with(&|s| s.fleet.co_ordinators = (s.fleet.co_ordinators - 1).max(1));
     with(&|s| s.fleet.replicas = (s.fleet.replicas - 1).max(1));
     with(&|s| s.load.rate = (s.load.rate / 2.0).max(0.5));
@@ -81,25 +86,25 @@
 }
 
 /// The smallest script found that breaks the rule which `script` breaks first; none if it breaks none.
-/// `progress` is told how many were tried and kept.
-pub fn shrink(script: &Script, progress: impl Fn(usize, usize)) -> Option<Small> {
-    let mut breach = breaks(script, None)?;
+/// `progress` is called with the numbers of scripts that were played, and of steps that were kept.
+pub fn shrink(script: &Script, progress: impl Fn(usize, usize)) -> Option<Shrunk> {
+    let mut breach = first_breach(script, None)?;
     let (mut small, mut tried, mut kept) = (script.clone(), 1, 0);
     'again: loop {
-        for next in cuts(&small) {
-            if tried >= MOST_TRIES {
+        for next in reductions(&small) {
+            if tried >= MAX_TRIES {
                 break 'again;
             }
             tried += 1;
             progress(tried, kept);
-            if let Some(found) = breaks(&next, Some(breach.rule)) {
+            if let Some(found) = first_breach(&next, Some(breach.rule)) {
                 (small, breach, kept) = (next, found, kept + 1);
                 continue 'again;
             }
         }
         break;
     }
-    Some(Small {
+    Some(Shrunk {
         script: small,
         breach,
         tried,
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -1,150 +1,197 @@
-//! The same co-ordinators, stand-ins and load on loopback sockets in real time, without faults: what the
-//! simulated network is held against. Owns all of a day's parties on one thread; must never be a test's
-//! verdict, for it depends on what else the machine does.
+//! The same co-ordinators, replicas, clients and load on loopback sockets in real time, without faults: what
+//! the simulated network is compared with. Its figures depend on what else the machine does.
 
 use crate::load::{draw_ask, draw_gap};
 use crate::network::seed_of;
 use crate::outcome::Outcome;
 use crate::record::Record;
-use crate::script::Script;
+use crate::script::{Repeats, Script};
 use crate::settings::{CoordinatorAddresses, configuration, terms};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use snafu::{ResultExt, Snafu};
 use std::cell::{Cell, RefCell};
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Replica, Retry};
+use tokio::task::LocalSet;
+use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Recorder, Retry};
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Tokio};
 use woadreachd::Outside;
 use woadreachd::config::{self, First, Given};
 
-/// Before the first search: co-ordinators listen and have their list.
-const BEFORE: f64 = 0.5;
-/// The rules are looked at so often, beside every event.
-const LOOK: f64 = 0.1;
+/// Seconds before the first search, for co-ordinators to listen and get their endpoint lists.
+const STARTUP_TIME: f64 = 0.5;
+/// Seconds between two checks of what is overdue, beside every event.
+const CHECK_INTERVAL: f64 = 0.1;
+/// Seconds after the last search's deadline.
+const QUIET_TIME: f64 = 1.0;
 
-/// A replica, with the address that each co-ordinator has of it.
-type Running = (Vec<(NodeId, SocketAddr)>, Replica<Tokio>);
+/// Why a script can't be played on sockets.
+#[derive(Debug, Snafu)]
+pub enum SocketsError {
+    /// The async runtime can't be built.
+    #[snafu(display("runtime: {source}"))]
+    Runtime {
+        /// The system's error.
+        source: io::Error,
+    },
+    /// A party can't listen, or a configuration can't be read.
+    #[snafu(display("{source}"))]
+    Start {
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+/// A replica, and where each co-ordinator reaches it.
+struct RunningReplica {
+    addresses: Vec<(NodeId, SocketAddr)>,
+}
 
 /// An address on loopback that was free a moment ago.
-fn free() -> std::io::Result<SocketAddr> {
+fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// Plays a script's fleet and load on sockets; its faults are left out. Takes as long as the script says.
-pub fn on_sockets(script: &Script) -> Result<Outcome, String> {
+/// Plays a script's fleet and load on sockets, without its faults. Takes as long as the script says.
+///
+/// # Errors
+/// The runtime can't be built, or a party can't be started.
+pub fn on_sockets(script: &Script) -> Result<Outcome, SocketsError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    tokio::task::LocalSet::new()
-        .block_on(&runtime, day(script))
-        .map_err(|e| e.to_string())
+        .build()
+        .context(RuntimeSnafu)?;
+    LocalSet::new()
+        .block_on(&runtime, run(script))
+        .context(StartSnafu)
 }
 
-async fn day(script: &Script) -> std::io::Result<Outcome> {
+async fn run(script: &Script) -> io::Result<Outcome> {
     let net = Tokio::new();
-    let targets = script
-        .query_types
-        .iter()
-        .map(|t| t.latency_target)
-        .collect();
-    let record = Rc::new(RefCell::new(Record::new(terms(script), targets, false)));
+    let record = Record::new(terms(script), script.latency_targets(), false);
+    let record = Rc::new(RefCell::new(record));
     let recorder = Record::recorder(&record, move || net.now());
-    let f = &script.fleet;
-    // Replicas first, then what tells of them, then those who ask.
-    let mut replicas: Vec<Running> = Vec::new();
-    for r in 0..script.replicas() {
-        let mut addresses = Vec::new();
-        for n in 0..f.co_ordinators {
-            addresses.push((NodeId(n), free()?));
-        }
-        let name = format!("r{r}");
-        let behaviour = Behaviour {
-            cores: f.cores,
-            room: f.queue_capacity,
-            ..Behaviour::default()
-        };
-        let seed = seed_of(script.seed, &name);
-        let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder)?;
-        replicas.push((addresses, handle));
+    let replicas = (0..script.replicas())
+        .map(|r| start_replica(net, script, r, &recorder))
+        .collect::<io::Result<Vec<_>>>()?;
+    let clients = (0..script.fleet.co_ordinators)
+        .map(|n| start_coordinator(net, script, n, &replicas, &recorder))
+        .collect::<io::Result<Vec<_>>>()?;
+    net.sleep(STARTUP_TIME).await;
+    let (names, end) = (Rc::new(Cell::new(0u64)), net.now() + script.seconds);
+    for (n, caller) in clients.iter().enumerate() {
+        let (script, caller) = (script.clone(), caller.clone());
+        drop(net.spawn(load(net, script, caller, n, end, names.clone())));
     }
-    let mut clients = Vec::new();
-    for n in 0..f.co_ordinators {
-        let (place, listen) = (free()?, free()?);
-        let agent: Agent = woadreach_fakes::discovery(&net, NodeId(n), place, None, &recorder)?;
-        let line = |(r, (addresses, _)): (usize, &Running)| Line {
+    while net.now() < end + script.max_client_timeout() + QUIET_TIME {
+        net.sleep(CHECK_INTERVAL).await;
+        record.borrow_mut().tick(net.now());
+    }
+    let record = record.borrow();
+    Ok(Outcome::of_record(script.seed, script.seconds, &record))
+}
+
+fn start_replica(
+    net: Tokio,
+    script: &Script,
+    r: usize,
+    recorder: &Recorder,
+) -> io::Result<RunningReplica> {
+    let addresses = (0..script.fleet.co_ordinators)
+        .map(|n| Ok((NodeId(n), free_address()?)))
+        .collect::<io::Result<Vec<_>>>()?;
+    let name = format!("r{r}");
+    let behaviour = Behaviour {
+        cores: script.fleet.cores,
+        room: script.fleet.queue_capacity,
+        ..Behaviour::default()
+    };
+    let seed = seed_of(script.seed, &name);
+    woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, recorder)?;
+    Ok(RunningReplica { addresses })
+}
+
+/// Starts the discovery agent of a co-ordinator, with all replicas in its list.
+fn start_agent(
+    net: Tokio,
+    script: &Script,
+    n: usize,
+    address: SocketAddr,
+    replicas: &[RunningReplica],
+    recorder: &Recorder,
+) -> io::Result<Agent> {
+    let f = &script.fleet;
+    let agent = woadreach_fakes::discovery(&net, NodeId(n), address, None, recorder)?;
+    let entries: Vec<Line> = replicas
+        .iter()
+        .enumerate()
+        .map(|(r, replica)| Line {
             id: format!("r{r}"),
-            address: addresses[n].1,
+            address: replica.addresses[n].1,
             zone: format!("z{}", r % f.replicas % f.zones),
             cell: (r / f.replicas) as u64,
             lifecycle: "ready",
             started_at: 0.0,
-        };
-        agent.change(&replicas.iter().enumerate().map(line).collect::<Vec<_>>());
-        let seed = seed_of(script.seed, &format!("node {n} 0"));
-        // Its peers are not played here: the network between zones is what `woadreach cluster` is for.
-        let places = CoordinatorAddresses {
-            listen,
-            discovery: place,
-            peer_listen: None,
-            peers: Vec::new(),
-        };
-        let text = configuration(script, n, &places, seed, &agent.known());
-        let given = Given {
-            path: format!("n{n}"),
-            text,
-            listen: None,
-            discovery: None,
-        };
-        let config = config::read(First::Environment, &given).map_err(std::io::Error::other)?;
-        // Kept by the task, so that neither signal ever comes.
-        let ((hold, hangup), (hold_too, term)) =
-            (mpsc::unbounded_channel(), mpsc::unbounded_channel());
-        let given = Box::new(|| Err("nothing is given anew".to_string()));
-        let (report, verdict) = (Box::new(|_: &_| {}), Box::new(|_: &_| {}));
-        let outside = Outside {
-            hangup,
-            term,
-            given,
-            report,
-            verdict,
-        };
-        let node = NodeId(n);
-        recorder.tell(EventKind::NodeStarted { node });
-        let tell = recorder.clone();
-        drop(net.spawn(async move {
-            let _held = (hold, hold_too);
-            if let Err(why) = woadreachd::serve(net, config, outside).await {
-                tell.tell(EventKind::Panicked { node, why });
-            }
-        }));
-        clients.push(Caller::new(&net, node, listen, &recorder));
-    }
-    net.sleep(BEFORE).await;
-    let (names, end) = (Rc::new(Cell::new(0u64)), net.now() + script.seconds);
-    for (n, caller) in clients.iter().enumerate() {
-        drop(net.spawn(load(
-            net,
-            script.clone(),
-            caller.clone(),
-            n,
-            end,
-            names.clone(),
-        )));
-    }
-    let longest = script.max_client_timeout();
-    while net.now() < end + longest + 1.0 {
-        net.sleep(LOOK).await;
-        record.borrow_mut().tick(net.now());
-    }
-    let r = record.borrow();
-    Ok(Outcome::of_record(script.seed, script.seconds, &r))
+        })
+        .collect();
+    agent.change(&entries);
+    Ok(agent)
+}
+
+/// Starts a co-ordinator and its discovery agent. Returns its clients.
+fn start_coordinator(
+    net: Tokio,
+    script: &Script,
+    n: usize,
+    replicas: &[RunningReplica],
+    recorder: &Recorder,
+) -> io::Result<Caller<Tokio>> {
+    let (discovery, listen) = (free_address()?, free_address()?);
+    let agent = start_agent(net, script, n, discovery, replicas, recorder)?;
+    let seed = seed_of(script.seed, &format!("node {n} 0"));
+    // Its peers aren't started: `woadreach cluster` plays the network between zones.
+    let addresses = CoordinatorAddresses {
+        listen,
+        discovery,
+        peer_listen: None,
+        peers: Vec::new(),
+    };
+    let given = Given {
+        path: format!("n{n}"),
+        text: configuration(script, n, &addresses, seed, &agent.known()),
+        listen: None,
+        discovery: None,
+    };
+    let config = config::read(First::Environment, &given).map_err(io::Error::other)?;
+    // The task keeps the senders, so that neither signal ever arrives.
+    let (sighup, hangup) = mpsc::unbounded_channel();
+    let (sigterm, term) = mpsc::unbounded_channel();
+    let outside = Outside {
+        hangup,
+        term,
+        given: Box::new(|| Err("nothing is given anew".to_string())),
+        report: Box::new(|_: &_| {}),
+        verdict: Box::new(|_: &_| {}),
+    };
+    let node = NodeId(n);
+    recorder.tell(EventKind::NodeStarted { node });
+    let events = recorder.clone();
+    drop(net.spawn(async move {
+        let _signals = (sighup, sigterm);
+        if let Err(error) = woadreachd::serve(net, config, outside).await {
+            let why = error.to_string();
+            events.tell(EventKind::Panicked { node, why });
+        }
+    }));
+    Ok(Caller::new(&net, node, listen, recorder))
 }
 
+/// Sends the searches of one co-ordinator's clients until `end`.
 async fn load(
     net: Tokio,
     script: Script,
@@ -154,20 +201,19 @@
     names: Rc<Cell<u64>>,
 ) {
     let name = move || -> Arc<str> { format!("q{}", names.replace(names.get() + 1)).into() };
-    let mut chance = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
+    let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
     let retry = Retry {
         times: script.load.retries,
         pause: script.load.retry_delay,
         heeds: script.load.honors_retry_after,
     };
     while net.now() < end {
-        net.sleep(draw_gap(script.load.rate, &mut chance)).await;
-        let ask: Ask = draw_ask(&script, 1.0, name(), &mut chance);
-        let idempotent =
-            script.query_types[ask.query_type].repeats == crate::script::Repeats::Idempotent;
+        net.sleep(draw_gap(script.load.rate, &mut rng)).await;
+        let request: Ask = draw_ask(&script, 1.0, name(), &mut rng);
+        let idempotent = script.query_types[request.query_type].repeats == Repeats::Idempotent;
         let (caller, name) = (caller.clone(), name.clone());
         drop(net.spawn(async move {
-            drop(caller.ask_and_again(ask, retry, idempotent, name).await);
+            drop(caller.ask_and_again(request, retry, idempotent, name).await);
         }));
     }
 }
