--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -1,74 +1,93 @@
-//! Clients: each asks a search of a co-ordinator, waits as long as its patience lasts, and may ask again.
-//! Owns the clients' connections, which it keeps and uses again as browsers' pools do; must never ask two
-//! things on one connection at a time.
+//! Clients of a co-ordinator: each sends a search, waits until its timeout, and may retry. Connections are
+//! kept and used again, as browsers do, with one request at a time.
 
 use crate::recorder::Recorder;
-use crate::wire::{self, Message};
-use std::cell::{Cell, RefCell};
+use crate::wire::{Response, encode_request, parse_response};
+use std::cell::RefCell;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Stream};
 
-/// A close by the co-ordinator that comes so soon after a request was written on a used connection has
-/// crossed it: the request is sent once more on a new one.
-const CROSSING: f64 = 0.02;
-/// A client that still waits so long after the end of its time is only there to see late answers.
-const AFTER_END: f64 = 0.3;
-/// Connections that are kept when nothing is asked on them.
-const KEPT: usize = 32;
+/// Seconds in which a close can have crossed a request on a used connection: the request is sent again on a
+/// new one.
+const CROSSING_TIME: f64 = 0.02;
+/// Seconds that a client waits after its timeout, to see late answers.
+const LATE_ANSWER_TIME: f64 = 0.3;
+/// Idle connections that are kept.
+const MAX_IDLE_CONNECTIONS: usize = 32;
+/// Seconds that must be left for another attempt.
+const MIN_ATTEMPT_TIME: f64 = 0.05;
 
-/// One search as it is to be asked.
+/// A search, as a client sends it.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// New with every request.
+pub struct SearchRequest {
+    /// Its identifier, new with every request.
     pub search: Arc<str>,
+    /// Index of its query type.
     pub query_type: usize,
+    /// Path of its URL: the query type's name.
     pub path: Rc<str>,
+    /// The tenant.
     pub tenant: Rc<str>,
+    /// Each queried shard with its share of the whole weight.
     pub parts: Arc<[(u64, f64)]>,
     /// What each part carries; its first word is the work, in seconds of one core.
     pub text: String,
-    pub expires: f64,
-    /// The client marks that it asks again.
-    pub again: bool,
-    /// It goes away so many seconds after it asked.
-    pub leaves_after: Option<f64>,
+    /// Seconds until the client gives up.
+    pub timeout: f64,
+    /// Whether the client marks it as a retry.
+    pub is_retry: bool,
+    /// Seconds after which the client disconnects, if it does before its timeout.
+    pub disconnect_after: Option<f64>,
 }
 
-/// How an asked search ended for its client.
+/// How a search ended for its client. `after` is in seconds from the call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Calls {
+pub enum CallOutcome {
+    /// An answer with results.
     Answered {
+        /// Whether it claims to be complete.
         whole: bool,
+        /// When.
         after: f64,
     },
+    /// Rejected because of overload.
     Shed {
+        /// Seconds after which the client may retry.
         retry_after: Option<f64>,
+        /// When.
         after: f64,
     },
+    /// An error.
     Errored {
+        /// When.
         after: f64,
     },
-    /// Nothing was asked: no connection came up.
+    /// The request was not sent: no connection could be opened.
     Unreached,
-    /// The connection broke, or the time was over.
+    /// The connection broke, or the client's timeout passed.
     Unanswered,
+    /// The client disconnected.
     Left,
 }
 
-/// When a client asks again.
+/// When a client retries.
 #[derive(Clone, Copy, Debug)]
 pub struct Retry {
+    /// Most retries.
     pub times: usize,
+    /// Seconds between attempts.
     pub pause: f64,
-    /// Waits as long as `Retry-After` says, if that is longer.
+    /// Whether the client waits as long as `Retry-After` says, if that is longer.
     pub heeds: bool,
 }
 
-struct Kept<S> {
+struct Connection<S> {
     stream: S,
+    /// Received and not yet parsed.
     bytes: Vec<u8>,
 }
 
@@ -77,8 +96,7 @@
     node: NodeId,
     address: SocketAddr,
     recorder: Recorder,
-    idle: RefCell<Vec<Kept<N::Stream>>>,
-    open: Cell<usize>,
+    idle: RefCell<Vec<Connection<N::Stream>>>,
 }
 
 /// The clients of one co-ordinator.
@@ -90,14 +108,16 @@
     }
 }
 
-enum Heard {
-    Message(Message),
-    Ended,
-    Bad(String),
-    TimeOver,
+/// What a client gets after its request.
+enum Received {
+    Response(Response),
+    Closed,
+    Malformed(String),
+    TimedOut,
 }
 
 impl<N: Net> Caller<N> {
+    /// Clients of the co-ordinator at this address.
     pub fn new(net: &N, node: NodeId, address: SocketAddr, recorder: &Recorder) -> Self {
         Caller(Rc::new(Inner {
             net: net.clone(),
@@ -105,222 +125,214 @@
             address,
             recorder: recorder.clone(),
             idle: RefCell::default(),
-            open: Cell::new(0),
         }))
     }
 
+    /// The network of the clients' machine.
     pub fn net(&self) -> &N {
         &self.0.net
     }
 
-    pub fn node(&self) -> NodeId {
-        self.0.node
-    }
-
-    /// Searches that wait for their answers.
-    pub fn open(&self) -> usize {
-        self.0.open.get()
-    }
-
-    /// Closes the connections on which nothing is asked.
+    /// Closes the idle connections.
     pub fn close_idle(&self) {
         self.0.idle.borrow_mut().clear();
     }
 
-    /// Asks once.
-    pub async fn ask(&self, ask: &Ask) -> Calls {
-        let inner = &self.0;
-        inner.open.set(inner.open.get() + 1);
-        let ended = self.ask_on(ask, true).await;
-        inner.open.set(inner.open.get() - 1);
-        ended
+    /// Sends a search, and retries under new names for as long as it is not answered and `retry` allows.
+    /// Returns how each attempt ended. `next_name` gives the names of the retries.
+    pub async fn call_with_retries(
+        &self,
+        mut request: SearchRequest,
+        retry: Retry,
+        idempotent: bool,
+        mut next_name: impl FnMut() -> Arc<str>,
+    ) -> Vec<CallOutcome> {
+        let deadline = self.0.net.now() + request.timeout;
+        let mut outcomes = Vec::new();
+        loop {
+            let outcome = self.call(&request, true).await;
+            outcomes.push(outcome.clone());
+            let pause = match outcome {
+                CallOutcome::Answered { .. } | CallOutcome::Left => return outcomes,
+                // A part of it may have run.
+                CallOutcome::Errored { .. } | CallOutcome::Unanswered if !idempotent => {
+                    return outcomes;
+                }
+                CallOutcome::Shed {
+                    retry_after: Some(advice),
+                    ..
+                } if retry.heeds => retry.pause.max(advice),
+                _ => retry.pause,
+            };
+            let remaining = deadline - self.0.net.now() - pause;
+            if outcomes.len() > retry.times || remaining < MIN_ATTEMPT_TIME {
+                return outcomes;
+            }
+            self.0.net.sleep(pause).await;
+            request.search = next_name();
+            request.timeout = remaining;
+            request.is_retry = true;
+        }
     }
 
-    async fn ask_on(&self, ask: &Ask, may_reuse: bool) -> Calls {
-        let (inner, recorder) = (&self.0, &self.0.recorder);
-        let begun = inner.net.now();
-        let kept = if may_reuse { self.take_idle() } else { None };
-        let reused = kept.is_some();
-        let mut kept = match kept {
-            Some(kept) => kept,
-            None => match inner
-                .net
-                .timeout(ask.expires, inner.net.connect(inner.address))
-                .await
-            {
-                Ok(Ok(stream)) => Kept {
-                    stream,
-                    bytes: Vec::new(),
-                },
-                _ => return Calls::Unreached,
+    async fn call(&self, request: &SearchRequest, may_reuse: bool) -> CallOutcome {
+        let (inner, search) = (&self.0, request.search.clone());
+        let started = inner.net.now();
+        let idle = if may_reuse { self.take_idle() } else { None };
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => match self.connect(request.timeout).await {
+                Some(connection) => connection,
+                None => return CallOutcome::Unreached,
             },
         };
-        let (asked, search) = (inner.net.now(), ask.search.clone());
-        let bytes = wire::request(
-            &ask.path,
-            &ask.search,
-            &ask.tenant,
-            ask.expires,
-            ask.again,
-            &ask.parts,
-            &ask.text,
-        );
-        // What a stand-in writes is small: it is taken at once, so that the record can say so before the
-        // co-ordinator can act on it.
-        recorder.tell(EventKind::Requested {
-            node: inner.node,
-            search: search.clone(),
-            query_type: ask.query_type,
-            parts: ask.parts.clone(),
-            ends: asked + ask.expires,
-        });
-        if kept.stream.write_all(&bytes).await.is_err() {
-            // It was never all written: nothing was taken.
-            recorder.tell(EventKind::ClientDisconnected { search });
+        let requested_at = inner.net.now();
+        if !self.send(&mut connection, request, requested_at).await {
+            inner
+                .recorder
+                .tell(EventKind::ClientDisconnected { search });
             if reused {
-                return Box::pin(self.ask_on(ask, false)).await;
+                return Box::pin(self.call(request, false)).await;
             }
-            return Calls::Unreached;
+            return CallOutcome::Unreached;
         }
-        let until = match ask.leaves_after {
-            Some(after) => asked + after.min(ask.expires),
-            None => asked + ask.expires + AFTER_END,
+        let until = match request.disconnect_after {
+            Some(after) => requested_at + after.min(request.timeout),
+            None => requested_at + request.timeout + LATE_ANSWER_TIME,
         };
-        let heard = self.hear(&mut kept, until).await;
-        let after = inner.net.now() - begun;
-        match heard {
-            Heard::Message(message) => {
-                let calls = match message.status {
-                    200 => match message.rows() {
-                        Ok((whole, rows)) => {
-                            recorder.tell(EventKind::Answered {
-                                search,
-                                whole,
-                                rows,
-                            });
-                            Calls::Answered { whole, after }
-                        }
-                        Err(why) => {
-                            let why = format!("an answer that cannot be read: {why}");
-                            recorder.tell(EventKind::Leaked {
-                                node: inner.node,
-                                why,
-                            });
-                            recorder.tell(EventKind::Failed { search });
-                            Calls::Errored { after }
-                        }
-                    },
-                    429 | 503 => {
-                        recorder.tell(EventKind::Shed { search });
-                        Calls::Shed {
-                            retry_after: message.retry_after,
-                            after,
-                        }
-                    }
-                    _ => {
-                        recorder.tell(EventKind::Failed { search });
-                        Calls::Errored { after }
-                    }
-                };
-                if !message.closes && inner.idle.borrow().len() < KEPT {
-                    inner.idle.borrow_mut().push(kept);
+        let received = self.receive(&mut connection, until).await;
+        let crossed = reused && inner.net.now() - requested_at < CROSSING_TIME;
+        match received {
+            Received::Response(response) => {
+                let after = inner.net.now() - started;
+                let outcome = self.record_response(search, &response, after);
+                let mut idle = inner.idle.borrow_mut();
+                if !response.closes && idle.len() < MAX_IDLE_CONNECTIONS {
+                    idle.push(connection);
                 }
-                calls
+                outcome
             }
-            Heard::Ended if reused && inner.net.now() - asked < CROSSING => {
-                // The close crossed the request.
-                recorder.tell(EventKind::ClientDisconnected { search });
-                Box::pin(self.ask_on(ask, false)).await
+            Received::Closed if crossed => {
+                inner
+                    .recorder
+                    .tell(EventKind::ClientDisconnected { search });
+                Box::pin(self.call(request, false)).await
             }
-            Heard::Ended => {
-                recorder.tell(EventKind::ConnectionClosed { search });
-                Calls::Unanswered
+            failure => self.record_failure(request, failure),
+        }
+    }
+
+    async fn connect(&self, timeout: f64) -> Option<Connection<N::Stream>> {
+        let connect = self.0.net.connect(self.0.address);
+        let connected = self.0.net.timeout(timeout, connect).await;
+        let stream = connected.ok()?.ok()?;
+        let bytes = Vec::new();
+        Some(Connection { stream, bytes })
+    }
+
+    /// Sends the request. Returns whether all of it was written.
+    async fn send(
+        &self,
+        connection: &mut Connection<N::Stream>,
+        request: &SearchRequest,
+        now: f64,
+    ) -> bool {
+        let bytes = encode_request(request);
+        // Recorded first, so that the record has it before the co-ordinator can act on it.
+        self.0.recorder.tell(EventKind::Requested {
+            node: self.0.node,
+            search: request.search.clone(),
+            query_type: request.query_type,
+            parts: request.parts.clone(),
+            ends: now + request.timeout,
+        });
+        connection.stream.write_all(&bytes).await.is_ok()
+    }
+
+    fn record_leak(&self, why: String) {
+        let node = self.0.node;
+        self.0.recorder.tell(EventKind::Leaked { node, why });
+    }
+
+    fn record_response(&self, search: Arc<str>, response: &Response, after: f64) -> CallOutcome {
+        let recorder = &self.0.recorder;
+        match response.status {
+            200 => match response.rows() {
+                Ok(answer) => {
+                    let (whole, rows) = (answer.complete, answer.rows);
+                    recorder.tell(EventKind::Answered {
+                        search,
+                        whole,
+                        rows,
+                    });
+                    CallOutcome::Answered { whole, after }
+                }
+                Err(error) => {
+                    self.record_leak(format!("an answer that cannot be read: {error}"));
+                    recorder.tell(EventKind::Failed { search });
+                    CallOutcome::Errored { after }
+                }
+            },
+            429 | 503 => {
+                recorder.tell(EventKind::Shed { search });
+                CallOutcome::Shed {
+                    retry_after: response.retry_after,
+                    after,
+                }
             }
-            Heard::Bad(why) => {
-                recorder.tell(EventKind::Leaked {
-                    node: inner.node,
-                    why,
-                });
-                recorder.tell(EventKind::ClientDisconnected { search });
-                Calls::Unanswered
+            _ => {
+                recorder.tell(EventKind::Failed { search });
+                CallOutcome::Errored { after }
             }
-            Heard::TimeOver => {
+        }
+    }
+
+    fn record_failure(&self, request: &SearchRequest, failure: Received) -> CallOutcome {
+        let (recorder, search) = (&self.0.recorder, request.search.clone());
+        match failure {
+            Received::Closed => {
+                recorder.tell(EventKind::ConnectionClosed { search });
+                return CallOutcome::Unanswered;
+            }
+            Received::Malformed(why) => self.record_leak(why),
+            Received::TimedOut if request.disconnect_after.is_some() => {
                 recorder.tell(EventKind::ClientDisconnected { search });
-                if ask.leaves_after.is_some() {
-                    Calls::Left
-                } else {
-                    Calls::Unanswered
-                }
+                return CallOutcome::Left;
             }
+            Received::TimedOut | Received::Response(_) => {}
         }
+        recorder.tell(EventKind::ClientDisconnected { search });
+        CallOutcome::Unanswered
     }
 
-    /// One that the co-ordinator has not closed meanwhile.
-    fn take_idle(&self) -> Option<Kept<N::Stream>> {
+    /// An idle connection that the co-ordinator has not closed.
+    fn take_idle(&self) -> Option<Connection<N::Stream>> {
         loop {
-            let mut kept = self.0.idle.borrow_mut().pop()?;
-            match kept.stream.try_read(&mut kept.bytes) {
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return Some(kept),
+            let mut connection = self.0.idle.borrow_mut().pop()?;
+            match connection.stream.try_read(&mut connection.bytes) {
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Some(connection),
                 _ => {}
             }
         }
     }
 
-    async fn hear(&self, kept: &mut Kept<N::Stream>, until: f64) -> Heard {
+    async fn receive(&self, connection: &mut Connection<N::Stream>, until: f64) -> Received {
         loop {
-            match wire::response(&kept.bytes) {
-                Ok(Some((message, taken))) => {
-                    kept.bytes.drain(..taken);
-                    return Heard::Message(message);
+            match parse_response(&connection.bytes) {
+                Ok(Some((response, taken))) => {
+                    connection.bytes.drain(..taken);
+                    return Received::Response(response);
                 }
                 Ok(None) => {}
-                Err(why) => return Heard::Bad(why),
+                Err(error) => return Received::Malformed(error.to_string()),
             }
-            match self
-                .0
-                .net
-                .timeout_at(until, kept.stream.read(&mut kept.bytes))
-                .await
-            {
+            let read = connection.stream.read(&mut connection.bytes);
+            match self.0.net.timeout_at(until, read).await {
                 Ok(Ok(1..)) => {}
-                Ok(_) => return Heard::Ended,
-                Err(_) => return Heard::TimeOver,
+                Ok(_) => return Received::Closed,
+                Err(_) => return Received::TimedOut,
             }
         }
     }
-
-    /// Asks, and asks again under a new name for as long as it has not been answered and the terms allow;
-    /// gives how each try ended. `name` gives the names of further tries.
-    pub async fn ask_and_again(
-        &self,
-        mut ask: Ask,
-        retry: Retry,
-        may_repeat: bool,
-        mut name: impl FnMut() -> Arc<str>,
-    ) -> Vec<Calls> {
-        let ends = self.0.net.now() + ask.expires;
-        let mut all = Vec::new();
-        loop {
-            let calls = self.ask(&ask).await;
-            all.push(calls.clone());
-            let pause = match calls {
-                Calls::Answered { .. } | Calls::Left => return all,
-                // Not proven harmless.
-                Calls::Errored { .. } | Calls::Unanswered if !may_repeat => return all,
-                Calls::Shed {
-                    retry_after: Some(advice),
-                    ..
-                } if retry.heeds => retry.pause.max(advice),
-                _ => retry.pause,
-            };
-            let left = ends - self.0.net.now() - pause;
-            if all.len() > retry.times || left < 0.05 {
-                return all;
-            }
-            self.0.net.sleep(pause).await;
-            ask.search = name();
-            ask.expires = left;
-            ask.again = true;
-        }
-    }
 }
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -1,5 +1,4 @@
-//! Discovery: an agent for each co-ordinator, which knows what it has been told and passes it on. Owns each
-//! agent's list and watches; must never tell one co-ordinator what only another agent knows.
+//! Discovery: an agent for each co-ordinator, with an endpoint list of its own and the watches on it.
 
 use crate::recorder::Recorder;
 use std::cell::{Cell, RefCell};
@@ -10,15 +9,19 @@
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Listener, Net, Stream};
 
-/// PROTOCOL: as long as nothing changes, an empty line comes so often.
-const HEARTBEAT: f64 = 2.0;
+/// PROTOCOL: seconds between two heartbeats, which are empty lines.
+const HEARTBEAT_INTERVAL: f64 = 2.0;
 
-/// A replica as the list has it.
+/// A replica in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ListEntry {
+    /// The replica's name.
     pub id: String,
+    /// Where the agent's co-ordinator reaches it.
     pub address: SocketAddr,
+    /// The zone's name.
     pub zone: String,
+    /// The shard group.
     pub cell: u64,
     /// `ready`, `draining` or `gone`.
     pub lifecycle: &'static str,
@@ -26,9 +29,9 @@
     pub started_at: f64,
 }
 
-impl Line {
-    /// The entry as it stands in a list.
-    pub fn json(&self) -> String {
+impl ListEntry {
+    /// The entry in the JSON of a list.
+    fn json(&self) -> String {
         format!(
             concat!(
                 r#"{{"instanceId":"{}","hostPort":"{}","zone":"{}","machineType":"m","cell":{},"#,
@@ -44,14 +47,14 @@
     }
 }
 
-/// What becomes of calls that are made while discovery is down. The page on the protocol says only that the
-/// agent is silent then; a co-ordinator has to get along with each of these.
+/// What becomes of calls that are made while discovery is unresponsive. The protocol leaves it open, so a
+/// co-ordinator has to work with each of these.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallsWhileSilent {
-    /// All are answered at its return.
+    /// All are answered when it responds again.
     #[default]
     Kept,
-    /// Watches are, and calls for the whole list never.
+    /// Watches are answered then, calls for the whole list never.
     ListsLost,
     /// None is ever answered.
     Lost,
@@ -61,24 +64,25 @@
     node: NodeId,
     recorder: Recorder,
     generation: Cell<u64>,
-    /// What each replica is now, and the version since when.
-    lines: RefCell<BTreeMap<String, (u64, Line)>>,
-    /// The latest that has been written to its co-ordinator.
-    told: Cell<u64>,
+    /// Each replica with the generation of its last change.
+    lines: RefCell<BTreeMap<String, (u64, ListEntry)>>,
+    /// The latest generation that was written to the co-ordinator.
+    written: Cell<u64>,
     silent: Cell<bool>,
     calls_while_silent: Cell<CallsWhileSilent>,
-    /// The version up to which all counts as told.
-    counted: Cell<u64>,
+    /// The generation up to which the record has the list.
+    recorded: Cell<u64>,
     changed: Notify,
-    /// Counts what was told to be closed: watches of an older count end.
-    era: Cell<u64>,
 }
 
-/// One co-ordinator's agent.
+/// The discovery agent of one co-ordinator. All clones are one agent.
 #[derive(Clone)]
 pub struct Agent(Rc<Inner>);
 
-/// Starts an agent at an address.
+/// Starts an agent at an address, or lets an existing one listen there too.
+///
+/// # Errors
+/// The address is in use.
 pub fn discovery<N: Net>(
     net: &N,
     node: NodeId,
@@ -91,13 +95,12 @@
             node,
             recorder: recorder.clone(),
             generation: Cell::new(1),
-            told: Cell::new(0),
+            written: Cell::new(0),
             lines: RefCell::default(),
             silent: Cell::new(false),
             calls_while_silent: Cell::default(),
-            counted: Cell::new(0),
+            recorded: Cell::new(0),
             changed: Notify::new(),
-            era: Cell::new(0),
         }))
     });
     let listener = net.listen(address)?;
@@ -106,8 +109,8 @@
 }
 
 impl Agent {
-    /// A change that the agent has been sent: one version of the list.
-    pub fn change(&self, lines: &[Line]) {
+    /// Changes these entries of the list, which gets a new generation.
+    pub fn change(&self, lines: &[ListEntry]) {
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
         for line in lines {
@@ -116,65 +119,61 @@
                 .borrow_mut()
                 .insert(line.id.clone(), (generation, line.clone()));
         }
-        self.count();
+        self.record_changes();
         self.0.changed.notify_waiters();
     }
 
-    /// What it has counts as told, whether or not a watch is open, unless it is silent.
-    fn count(&self) {
+    /// Records what the list has, unless the agent is unresponsive.
+    fn record_changes(&self) {
         if !self.0.silent.get() {
-            let (after, generation) = (self.0.counted.get(), self.0.generation.get());
-            self.0.counted.set(generation);
-            self.tell(&self.list(after, false).1);
+            let (after, generation) = (self.0.recorded.get(), self.0.generation.get());
+            self.0.recorded.set(generation);
+            self.record(&self.list(after, false).1);
         }
     }
 
-    /// A new process of its co-ordinator has started: all that the agent has counts as told to it.
+    /// A new process of its co-ordinator has started, to which the whole list is news.
     pub fn process_started(&self) {
-        self.0.counted.set(0);
-        self.count();
+        self.0.recorded.set(0);
+        self.record_changes();
     }
 
-    /// From now on, for calls that come while it is silent.
+    /// Sets what becomes of calls while it is unresponsive.
     pub fn calls_while_silent(&self, calls: CallsWhileSilent) {
         self.0.calls_while_silent.set(calls);
     }
 
-    /// The version that it has, and the latest that it has told.
+    /// The generation of its list.
     pub fn generation(&self) -> u64 {
         self.0.generation.get()
     }
 
+    /// The latest generation that was written to the co-ordinator.
     pub fn told(&self) -> u64 {
-        self.0.told.get()
+        self.0.written.get()
     }
 
-    /// Says nothing until it is told to speak again; what it has by then counts as told at once.
+    /// Makes it unresponsive, or responsive again.
     pub fn silence(&self, silent: bool) {
         self.0.silent.set(silent);
-        self.count();
+        self.record_changes();
         self.0.changed.notify_waiters();
     }
 
-    /// Ends its watches.
-    pub fn close_all(&self) {
-        self.0.era.set(self.0.era.get() + 1);
-        self.0.changed.notify_waiters();
-    }
-
-    /// The list as a co-ordinator's configuration holds it.
+    /// The JSON of the list, for a co-ordinator's configuration.
     pub fn known(&self) -> String {
         self.list(0, true).0
     }
 
-    /// What has changed after a version, and which replicas it names; what is gone stands among changes only.
-    fn list(&self, after: u64, full: bool) -> (String, Vec<Line>) {
+    /// The JSON of the list, and the entries in it: those that changed after a generation. A full list is
+    /// without departed replicas.
+    fn list(&self, after: u64, full: bool) -> (String, Vec<ListEntry>) {
         let lines = self.0.lines.borrow();
         let wanted = lines
             .values()
             .filter(|(at, line)| *at > after && !(full && line.lifecycle == "gone"));
-        let lines: Vec<Line> = wanted.map(|(_, line)| line.clone()).collect();
-        let entries: Vec<String> = lines.iter().map(Line::json).collect();
+        let lines: Vec<ListEntry> = wanted.map(|(_, line)| line.clone()).collect();
+        let entries: Vec<String> = lines.iter().map(ListEntry::json).collect();
         let generation = self.0.generation.get();
         let text = format!(
             r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
@@ -183,12 +182,11 @@
         (text, lines)
     }
 
-    /// A version has been written to the co-ordinator.
-    fn written(&self, generation: u64) {
-        self.0.told.set(self.0.told.get().max(generation));
+    fn record_written(&self, generation: u64) {
+        self.0.written.set(self.0.written.get().max(generation));
     }
 
-    fn tell(&self, lines: &[Line]) {
+    fn record(&self, lines: &[ListEntry]) {
         for line in lines {
             let (node, replica) = (self.0.node, line.id.as_str().into());
             self.0.recorder.tell(EventKind::ReplicaListed {
@@ -206,23 +204,31 @@
     }
 }
 
-async fn serve<N: Net>(net: N, agent: Agent, mut stream: N::Stream) {
-    let mut bytes = Vec::new();
-    let head = loop {
+/// Reads a request's head; none if the connection closes before.
+async fn read_head<S: Stream>(stream: &mut S, bytes: &mut Vec<u8>) -> Option<String> {
+    loop {
         if let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
-            break String::from_utf8_lossy(&bytes[..end]).to_string();
+            return Some(String::from_utf8_lossy(&bytes[..end]).to_string());
         }
-        match stream.read(&mut bytes).await {
-            Ok(0) | Err(_) => return,
+        match stream.read(bytes).await {
+            Ok(0) | Err(_) => return None,
             Ok(_) => {}
         }
+    }
+}
+
+/// The generation that a request wants the changes after; none if it wants the whole list.
+fn requested_index(head: &str) -> Option<u64> {
+    let value = head.split("index=").nth(1)?;
+    value.split([' ', '&']).next()?.parse().ok()
+}
+
+async fn serve<N: Net>(net: N, agent: Agent, mut stream: N::Stream) {
+    let mut bytes = Vec::new();
+    let Some(head) = read_head(&mut stream, &mut bytes).await else {
+        return;
     };
-    let index = head
-        .split("index=")
-        .nth(1)
-        .and_then(|r| r.split([' ', '&']).next());
-    let index = index.and_then(|i| i.parse::<u64>().ok());
-    let era = agent.0.era.get();
+    let index = requested_index(&head);
     let lost = match agent.0.calls_while_silent.get() {
         CallsWhileSilent::Kept => false,
         CallsWhileSilent::ListsLost => index.is_none(),
@@ -233,7 +239,6 @@
         return;
     }
     while agent.0.silent.get() {
-        // Whoever has gone meanwhile is told nothing.
         tokio::select! {
             biased;
             ended = stream.read(&mut bytes) => if !matches!(ended, Ok(1..)) {
@@ -242,50 +247,53 @@
             () = agent.0.changed.notified() => {}
         }
     }
-    let Some(mut index) = index else {
-        let (generation, (list, _)) = (agent.generation(), agent.list(0, true));
-        let answer = format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
-            list.len()
-        );
-        if stream.write_all(answer.as_bytes()).await.is_ok() {
-            agent.written(generation);
-        }
-        let _ = stream.shutdown().await;
-        // To its end, so that nothing is reset.
-        while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
-        return;
-    };
-    if stream
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .await
-        .is_err()
-    {
+    match index {
+        None => serve_list(&agent, stream, bytes).await,
+        Some(index) => serve_watch(&net, &agent, stream, index).await,
+    }
+}
+
+async fn serve_list<S: Stream>(agent: &Agent, mut stream: S, mut bytes: Vec<u8>) {
+    let (generation, (list, _)) = (agent.generation(), agent.list(0, true));
+    let response = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
+    if stream.write_all(response.as_bytes()).await.is_ok() {
+        agent.record_written(generation);
+    }
+    let _ = stream.shutdown().await;
+    // Reads to the end, so that the connection isn't reset.
+    while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
+}
+
+async fn serve_watch<N: Net>(net: &N, agent: &Agent, mut stream: N::Stream, mut index: u64) {
+    let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    if stream.write_all(head).await.is_err() {
         return;
     }
-    let chunk = |text: &str| format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
-    while agent.0.era.get() == era {
+    loop {
         let changed = agent.0.changed.notified();
         if !agent.0.silent.get() {
-            let text = if agent.0.generation.get() > index {
+            let text = if agent.generation() > index {
                 let (list, _) = agent.list(index, false);
-                index = agent.0.generation.get();
+                index = agent.generation();
                 list
             } else {
                 String::new()
             };
-            if stream.write_all(chunk(&text).as_bytes()).await.is_err() {
+            let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
+            if stream.write_all(chunk.as_bytes()).await.is_err() {
                 return;
             }
-            agent.written(index);
+            agent.record_written(index);
         }
-        // A heartbeat, or sooner if there is something to tell, or the end of the other side.
         let mut rest = Vec::new();
         tokio::select! {
             biased;
             () = changed => {}
             _ = stream.read(&mut rest) => return,
-            () = net.sleep(HEARTBEAT) => {}
+            () = net.sleep(HEARTBEAT_INTERVAL) => {}
         }
     }
 }
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -1,9 +1,8 @@
-//! The one set of scripted parties for all rigs and tests: replicas, clients and discovery, over any network.
-//! Each plays its script and tells a [`Recorder`] what it saw; whoever runs them changes their scripts while
-//! they play. They read and write the protocol by themselves, so that a co-ordinator's own mistakes are not
-//! theirs.
+//! Scripted replicas, clients and discovery agents, over any network, for the simulation and the process tests.
 //!
-//! Owns the stand-ins' state and connections; must never judge what it sees: that is `woadreach-invariants`.
+//! Each follows its script and reports what it sees to a [`Recorder`]; the test changes the script during the
+//! run. They implement the protocol independently of the co-ordinator's code, so that they don't share its
+//! mistakes. They judge nothing: that is `woadreach-invariants`.
 
 mod client;
 mod discovery;
@@ -11,8 +10,7 @@
 mod replica;
 mod wire;
 
-pub use client::{Ask, Caller, Calls, Retry};
-pub use discovery::{Agent, CallsWhileSilent, Line, discovery};
+pub use client::{CallOutcome, Caller, Retry, SearchRequest};
+pub use discovery::{Agent, CallsWhileSilent, ListEntry, discovery};
 pub use recorder::Recorder;
-pub use replica::{Behaviour, Replica, replica};
-pub use wire::{Frame, Message, Part, answer_frame, frame, parts_of, request, response};
+pub use replica::{Behaviour, Replica, WarmUp, replica};
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -1,8 +1,7 @@
-//! A replica: cores with a waiting room in front, cold after its start, and as bad as its script says at the
-//! moment. Owns its connections and what is at work; must never do what the script does not say.
+//! A replica: cores with a queue, which warms up after its start and fails as its script says.
 
 use crate::recorder::Recorder;
-use crate::wire::{Part, answer_frame, frame, parts_of};
+use crate::wire::{Part, PartEnd, encode_answer, parse_frame, parse_parts};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -14,51 +13,65 @@
 use woadreach_invariants::{EventKind, NodeId, PartName, ReplicaName};
 use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
-/// What a replica does with what it is sent; may change at any time.
+/// How a replica warms up.
+#[derive(Clone, Copy, Debug)]
+pub struct WarmUp {
+    /// Share of its capacity that it has when it starts.
+    pub initial_share: f64,
+    /// Seconds until it has all of it.
+    pub duration: f64,
+}
+
+/// What a replica does with what it is sent; may change at any time. Shares are of the parts.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
+    /// Its cores.
     pub cores: usize,
-    /// Parts that wait while all cores are at work; further ones are turned away.
-    pub room: usize,
-    /// How much faster than told it works.
+    /// Parts that wait while all cores are busy; further ones are rejected.
+    pub queue_capacity: usize,
+    /// Its speed, as a multiple of what the parts say.
     pub speed: f64,
-    /// Capacity at its start and the seconds until it has all of it; none if it is warm at once.
-    pub cold: Option<(f64, f64)>,
-    /// Takes parts in and never does anything with them.
+    /// How it warms up; none if it has all of its capacity at once.
+    pub warm_up: Option<WarmUp>,
+    /// Accepts parts and never runs them.
     pub hangs: bool,
-    /// Turns everything away.
-    pub full: bool,
-    /// Shares of parts: lost without a word, failed, answered with what cannot be read, answered twice, run
-    /// with the answer lost together with its connection.
-    pub swallows: f64,
-    pub errors: f64,
-    pub spoils: f64,
-    pub doubles: f64,
-    pub breaks: f64,
-    /// Finishes and answers what has been given up.
-    pub heedless: bool,
-    /// Seconds before it accepts a connection, and before it reads what has come.
-    pub accepts_late: f64,
-    pub reads_late: f64,
+    /// Rejects every part.
+    pub rejects_all: bool,
+    /// Share that is run and never answered.
+    pub drop_share: f64,
+    /// Share that is answered with an error.
+    pub error_share: f64,
+    /// Share that is answered with bytes that can't be parsed.
+    pub corrupt_share: f64,
+    /// Share that is answered twice.
+    pub duplicate_share: f64,
+    /// Share that is run, and whose answer is lost with the connection.
+    pub break_share: f64,
+    /// Runs and answers cancelled parts.
+    pub ignores_cancels: bool,
+    /// Seconds until it accepts a connection.
+    pub accept_delay: f64,
+    /// Seconds until it parses what it has read.
+    pub read_delay: f64,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         Behaviour {
             cores: 2,
-            room: 64,
+            queue_capacity: 64,
             speed: 1.0,
-            cold: None,
+            warm_up: None,
             hangs: false,
-            full: false,
-            swallows: 0.0,
-            errors: 0.0,
-            spoils: 0.0,
-            doubles: 0.0,
-            breaks: 0.0,
-            heedless: false,
-            accepts_late: 0.0,
-            reads_late: 0.0,
+            rejects_all: false,
+            drop_share: 0.0,
+            error_share: 0.0,
+            corrupt_share: 0.0,
+            duplicate_share: 0.0,
+            break_share: 0.0,
+            ignores_cancels: false,
+            accept_delay: 0.0,
+            read_delay: 0.0,
         }
     }
 }
@@ -69,23 +82,23 @@
     to: Rc<Outlet>,
 }
 
-/// What waits to be written on a connection.
+/// What waits to be written on a connection, and which of its parts were cancelled.
 #[derive(Default)]
 struct Outlet {
     bytes: RefCell<VecDeque<Vec<u8>>>,
-    given_up: RefCell<BTreeSet<(String, u64, bool)>>,
+    cancelled: RefCell<BTreeSet<PartName>>,
     wake: Notify,
-    ends: Cell<bool>,
+    closed: Cell<bool>,
 }
 
 impl Outlet {
-    fn say(&self, bytes: Vec<u8>) {
+    fn send(&self, bytes: Vec<u8>) {
         self.bytes.borrow_mut().push_back(bytes);
         self.wake.notify_one();
     }
 
     fn end(&self) {
-        self.ends.set(true);
+        self.closed.set(true);
         self.wake.notify_one();
     }
 }
@@ -96,13 +109,12 @@
     behaviour: RefCell<Behaviour>,
     recorder: Recorder,
     started: f64,
-    chance: RefCell<Pcg64Mcg>,
+    rng: RefCell<Pcg64Mcg>,
     queue: RefCell<VecDeque<Job>>,
-    at_work: Cell<usize>,
-    done: Cell<u64>,
+    busy_cores: Cell<usize>,
 }
 
-/// A handle on a replica that runs.
+/// A handle on a running replica. All clones are one replica.
 pub struct Replica<N: Net>(Rc<Inner<N>>);
 
 impl<N: Net> Clone for Replica<N> {
@@ -111,7 +123,10 @@
     }
 }
 
-/// Starts one that listens at an address for each co-ordinator, by which it knows them.
+/// Starts a replica. It listens at an address of its own for each co-ordinator, which tells them apart.
+///
+/// # Errors
+/// An address is in use.
 pub fn replica<N: Net>(
     net: &N,
     name: &str,
@@ -130,10 +145,9 @@
         behaviour: RefCell::new(behaviour),
         recorder: recorder.clone(),
         started: net.now(),
-        chance: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+        rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         queue: RefCell::default(),
-        at_work: Cell::new(0),
-        done: Cell::new(0),
+        busy_cores: Cell::new(0),
     });
     for (node, address) in addresses {
         let listener = net.listen(*address)?;
@@ -143,23 +157,15 @@
 }
 
 impl<N: Net> Replica<N> {
+    /// Changes what it does from now on.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.0.behaviour.borrow_mut());
     }
-
-    /// Parts at work, waiting, and done so far.
-    pub fn load(&self) -> (usize, usize, u64) {
-        (
-            self.0.at_work.get(),
-            self.0.queue.borrow().len(),
-            self.0.done.get(),
-        )
-    }
 }
 
 async fn accept<N: Net>(inner: Rc<Inner<N>>, node: NodeId, listener: N::Listener) {
     while let Ok(stream) = listener.accept().await {
-        let late = inner.behaviour.borrow().accepts_late;
+        let late = inner.behaviour.borrow().accept_delay;
         if late > 0.0 {
             inner.net.sleep(late).await;
         }
@@ -175,8 +181,8 @@
         () = inner.read(node, from, &outlet) => {}
         () = write(to, &outlet) => {}
     }
-    // What is at work for it is finished for nobody.
-    outlet.ends.set(true);
+    // Parts that still run have nobody to answer.
+    outlet.closed.set(true);
 }
 
 async fn write(mut to: impl Write, outlet: &Outlet) {
@@ -188,7 +194,7 @@
                     return;
                 }
             }
-            None if outlet.ends.get() => return,
+            None if outlet.closed.get() => return,
             None => outlet.wake.notified().await,
         }
     }
@@ -220,7 +226,7 @@
         .unwrap_or(0.0)
 }
 
-/// Score and value are a mark of the part: the same wherever it runs, but for the replica's name.
+/// A score that depends on the part alone, and is the same at every replica.
 fn score_of(part: &Part) -> u64 {
     let mix = |mixed: u64, byte: u8| (mixed ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     part.search
@@ -238,27 +244,27 @@
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
-            let late = self.behaviour.borrow().reads_late;
+            let late = self.behaviour.borrow().read_delay;
             if late > 0.0 {
                 self.net.sleep(late).await;
             }
-            while let Some((f, taken)) = frame(&bytes) {
+            while let Some((f, taken)) = parse_frame(&bytes) {
                 let begun = self.net.now() - from.waited_for(bytes.len() - 1);
                 bytes.drain(..taken);
                 let came = self.net.now() - from.waited_for(bytes.len());
                 match f.letter {
-                    b'D' => match parts_of(&f.rest) {
+                    b'D' => match parse_parts(&f.rest) {
                         Ok(parts) => {
                             for part in parts {
                                 self.sent(node, part, begun, came, outlet);
                             }
                         }
                         Err(why) => {
-                            self.refuse(node, &why, outlet);
+                            self.refuse(node, &why.to_string(), outlet);
                             return;
                         }
                     },
-                    b'K' => self.given_up(node, &f.rest, outlet),
+                    b'K' => self.cancelled(node, &f.rest, outlet),
                     b'I' | b'U' => {}
                     _ => return self.refuse(node, "an unknown letter", outlet),
                 }
@@ -289,13 +295,13 @@
         if b.hangs {
             return;
         }
-        if b.full || self.queue.borrow().len() >= b.room {
+        if b.rejects_all || self.queue.borrow().len() >= b.queue_capacity {
             self.recorder.tell(EventKind::PartRejected {
                 node,
                 replica: self.name.clone(),
                 part: name_of(&part),
             });
-            return to.say(answer_frame(&id_of(&part), "503", None, ""));
+            return to.send(encode_answer(&id_of(&part), PartEnd::Rejected, None, ""));
         }
         self.queue.borrow_mut().push_back(Job {
             node,
@@ -305,7 +311,7 @@
         self.work();
     }
 
-    fn given_up(&self, node: NodeId, id: &[u8], to: &Rc<Outlet>) {
+    fn cancelled(&self, node: NodeId, id: &[u8], to: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
         let (rest, fetch) = id
             .strip_suffix(".fetch")
@@ -324,9 +330,9 @@
         self.recorder.tell(EventKind::PartCancelled {
             node,
             replica: self.name.clone(),
-            part,
+            part: part.clone(),
         });
-        if self.behaviour.borrow().heedless {
+        if self.behaviour.borrow().ignores_cancels {
             return;
         }
         let same = |p: &Part| p.search == search && p.shard == shard && p.fetch == fetch;
@@ -335,35 +341,34 @@
             .borrow_mut()
             .retain(|job| !(Rc::ptr_eq(&job.to, to) && same(&job.part)));
         if self.queue.borrow().len() == before {
-            to.given_up
-                .borrow_mut()
-                .insert((search.to_string(), shard, fetch));
+            to.cancelled.borrow_mut().insert(part);
         }
     }
 
-    /// Starts what the cores have room for.
+    /// Starts queued parts while there are idle cores.
     fn work(self: &Rc<Self>) {
         loop {
             let b = self.behaviour.borrow().clone();
-            if self.at_work.get() >= b.cores {
+            if self.busy_cores.get() >= b.cores {
                 return;
             }
             let Some(job) = self.queue.borrow_mut().pop_front() else {
                 return;
             };
-            self.at_work.set(self.at_work.get() + 1);
+            self.busy_cores.set(self.busy_cores.get() + 1);
             let inner = self.clone();
             drop(self.net.spawn(async move {
                 let age = inner.net.now() - inner.started;
-                let warm = b.cold.map_or(1.0, |(from, time)| {
-                    from + (1.0 - from) * (age / time).clamp(0.0, 1.0)
+                let warm = b.warm_up.map_or(1.0, |w| {
+                    let progress = (age / w.duration).clamp(0.0, 1.0);
+                    w.initial_share + (1.0 - w.initial_share) * progress
                 });
                 inner
                     .net
                     .sleep(work_of(&job.part) / (b.speed * warm).max(1e-6))
                     .await;
                 inner.finish(&job);
-                inner.at_work.set(inner.at_work.get() - 1);
+                inner.busy_cores.set(inner.busy_cores.get() - 1);
                 inner.work();
             }));
         }
@@ -372,21 +377,15 @@
     fn finish(&self, job: &Job) {
         let (part, to) = (&job.part, &job.to);
         let b = self.behaviour.borrow().clone();
-        let happens =
-            |share: f64| share > 0.0 && self.chance.borrow_mut().random_bool(share.min(1.0));
-        let marked =
-            to.given_up
-                .borrow_mut()
-                .remove(&(part.search.clone(), part.shard, part.fetch));
-        self.done.set(self.done.get() + 1);
-        if b.hangs || happens(b.swallows) || (marked && !b.heedless) {
+        let happens = |share: f64| share > 0.0 && self.rng.borrow_mut().random_bool(share.min(1.0));
+        let marked = to.cancelled.borrow_mut().remove(&name_of(part));
+        if b.hangs || happens(b.drop_share) || (marked && !b.ignores_cancels) {
             return;
         }
         let id = id_of(part);
-        if happens(b.errors) {
-            return to.say(answer_frame(&id, "500", None, ""));
+        if happens(b.error_share) {
+            return to.send(encode_answer(&id, PartEnd::Failed, None, ""));
         }
-        // A replica that is not the one of its shard's first step does no work for the second.
         let value: Arc<str> = format!("{id}@{}", self.name).into();
         let made = EventKind::PartCompleted {
             node: job.node,
@@ -395,23 +394,23 @@
             value: value.clone(),
         };
         self.recorder.tell(made);
-        if happens(b.breaks) {
+        if happens(b.break_share) {
             return to.end();
         }
-        if happens(b.spoils) {
+        if happens(b.corrupt_share) {
             let noise: [&[u8]; 4] = [
                 b"\xff\xff\xff\x7fO",
                 b"\x05\0\0\0Qabcd",
                 b"\x0e\0\0\0Ono.7 200 1 -\nv",
                 b"\x0c\0\0\0Oa 299 1 -\nv",
             ];
-            let which = self.chance.borrow_mut().random_range(0..noise.len());
-            return to.say(noise[which].to_vec());
+            let which = self.rng.borrow_mut().random_range(0..noise.len());
+            return to.send(noise[which].to_vec());
         }
-        let answer = answer_frame(&id, "200", Some(score_of(part)), &value);
-        if happens(b.doubles) {
-            to.say(answer.clone());
+        let answer = encode_answer(&id, PartEnd::Completed, Some(score_of(part)), &value);
+        if happens(b.duplicate_share) {
+            to.send(answer.clone());
         }
-        to.say(answer);
+        to.send(answer);
     }
 }
--- a/crates/testing/process-tests/src/rig.rs
+++ b/crates/testing/process-tests/src/rig.rs
@@ -16,11 +16,13 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
-use woadreach_fakes::{Agent, Behaviour, Caller, Line as Listed, Recorder, Replica, Retry};
+use woadreach_fakes::{
+    Agent, Behaviour, Caller, ListEntry as Listed, Recorder, Replica, Retry, WarmUp,
+};
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
 use woadreach_simulation::{
-    CoordinatorAddresses, Record, Script, configuration, draw_ask, draw_gap, seed_of, terms,
+    CoordinatorAddresses, Record, Script, configuration, draw_gap, draw_request, seed_of, terms,
 };
 
 /// What is to be played.
@@ -338,11 +340,14 @@
             .cold
             .as_ref()
             .filter(|_| cold)
-            .map(|c| (c.from, c.time));
+            .map(|c| WarmUp {
+                initial_share: c.from,
+                duration: c.time,
+            });
         let behaviour = Behaviour {
             cores: f.cores,
-            room: f.queue_capacity,
-            cold,
+            queue_capacity: f.queue_capacity,
+            warm_up: cold,
             ..Behaviour::default()
         };
         let seed = seed_of(self.plan.seed, &format!("r{r}"));
@@ -822,9 +827,9 @@
                 while net.now() < until {
                     let rate = script.load.rate * if leaving.get() { 3.0 } else { 1.0 };
                     net.sleep(draw_gap(rate, &mut chance)).await;
-                    let mut ask = draw_ask(&script, 1.0, name(), &mut chance);
+                    let mut ask = draw_request(&script, 1.0, name(), &mut chance);
                     if leaving.get() {
-                        ask.leaves_after = Some(0.2 * chance.random::<f64>());
+                        ask.disconnect_after = Some(0.2 * chance.random::<f64>());
                     }
                     if !up[n].get() {
                         continue;
@@ -833,7 +838,7 @@
                         == woadreach_simulation::Repeats::Idempotent;
                     let (caller, name) = (caller.clone(), name.clone());
                     drop(net.spawn(async move {
-                        drop(caller.ask_and_again(ask, retry, idempotent, name).await);
+                        drop(caller.call_with_retries(ask, retry, idempotent, name).await);
                     }));
                 }
             }));
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -21,7 +21,7 @@
 mod world;
 
 pub use digest::digest;
-pub use load::{draw_ask, draw_gap};
+pub use load::{draw_gap, draw_request};
 pub use network::{BEGIN, seed_of};
 pub use outcome::{Outcome, VerdictAdoption};
 pub use record::{Record, SearchOutcome};
--- a/crates/testing/simulation/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use woadreach_fakes::Ask;
+use woadreach_fakes::SearchRequest;
 
 /// The rate of searches at each co-ordinator, as a multiple of the mean.
 pub(crate) fn rate_shares(script: &Script) -> Vec<f64> {
@@ -26,7 +26,12 @@
 }
 
 /// One search of any query type, by their shares. Its parts cost `work_factor` times as much as usual.
-pub fn draw_ask(script: &Script, work_factor: f64, search: Arc<str>, rng: &mut Pcg64Mcg) -> Ask {
+pub fn draw_request(
+    script: &Script,
+    work_factor: f64,
+    search: Arc<str>,
+    rng: &mut Pcg64Mcg,
+) -> SearchRequest {
     let types = &script.query_types;
     let mut at = rng.random::<f64>() * types.iter().map(|t| t.share).sum::<f64>();
     let which = types.iter().position(|t| {
@@ -47,16 +52,16 @@
     };
     let work = t.work * heavy * work_factor * (0.5 + rng.random::<f64>());
     let leaves = rng.random_bool(script.load.disconnect_share);
-    let leaves_after = leaves.then(|| rng.random::<f64>() * t.client_timeout);
-    Ask {
+    let disconnect_after = leaves.then(|| rng.random::<f64>() * t.client_timeout);
+    SearchRequest {
         search,
         query_type,
         path: t.name.as_str().into(),
         tenant: "acme".into(),
         parts: shards.into_iter().map(|s| (s, 1.0 / n as f64)).collect(),
         text: format!("{work:.6} q"),
-        expires: t.client_timeout,
-        again: false,
-        leaves_after,
+        timeout: t.client_timeout,
+        is_retry: false,
+        disconnect_after,
     }
 }
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -1,7 +1,7 @@
 //! The same co-ordinators, replicas, clients and load on loopback sockets in real time, without faults: what
 //! the simulated network is compared with. Its figures depend on what else the machine does.
 
-use crate::load::{draw_ask, draw_gap};
+use crate::load::{draw_gap, draw_request};
 use crate::network::seed_of;
 use crate::outcome::Outcome;
 use crate::record::Record;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
-use woadreach_fakes::{Agent, Ask, Behaviour, Caller, Line, Recorder, Retry};
+use woadreach_fakes::{Agent, Behaviour, Caller, ListEntry, Recorder, Retry, SearchRequest};
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Tokio};
 use woadreachd::Outside;
@@ -108,7 +108,7 @@
     let name = format!("r{r}");
     let behaviour = Behaviour {
         cores: script.fleet.cores,
-        room: script.fleet.queue_capacity,
+        queue_capacity: script.fleet.queue_capacity,
         ..Behaviour::default()
     };
     let seed = seed_of(script.seed, &name);
@@ -127,10 +127,10 @@
 ) -> io::Result<Agent> {
     let f = &script.fleet;
     let agent = woadreach_fakes::discovery(&net, NodeId(n), address, None, recorder)?;
-    let entries: Vec<Line> = replicas
+    let entries: Vec<ListEntry> = replicas
         .iter()
         .enumerate()
-        .map(|(r, replica)| Line {
+        .map(|(r, replica)| ListEntry {
             id: format!("r{r}"),
             address: replica.addresses[n].1,
             zone: format!("z{}", r % f.replicas % f.zones),
@@ -209,11 +209,15 @@
     };
     while net.now() < end {
         net.sleep(draw_gap(script.load.rate, &mut rng)).await;
-        let request: Ask = draw_ask(&script, 1.0, name(), &mut rng);
+        let request: SearchRequest = draw_request(&script, 1.0, name(), &mut rng);
         let idempotent = script.query_types[request.query_type].repeats == Repeats::Idempotent;
         let (caller, name) = (caller.clone(), name.clone());
         drop(net.spawn(async move {
-            drop(caller.ask_and_again(request, retry, idempotent, name).await);
+            drop(
+                caller
+                    .call_with_retries(request, retry, idempotent, name)
+                    .await,
+            );
         }));
     }
 }
--- a/crates/testing/simulation/src/world/clients.rs
+++ b/crates/testing/simulation/src/world/clients.rs
@@ -1,14 +1,14 @@
 //! The clients of a world.
 
 use super::World;
-use crate::load::{draw_ask, draw_gap, rate_shares};
+use crate::load::{draw_gap, draw_request, rate_shares};
 use crate::network::seed_of;
 use crate::script::Repeats;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_fakes::{Ask, Retry};
+use woadreach_fakes::{Retry, SearchRequest};
 use woadreach_runtime::Net;
 
 /// Seconds until the first client, when co-ordinators have their endpoint lists.
@@ -33,13 +33,13 @@
             let rate = self.script.load.rate * share * self.load_factor.get();
             net.sleep(draw_gap(rate, &mut rng).min(MAX_GAP)).await;
             let name = self.next_search_name();
-            let request = draw_ask(&self.script, self.work_factor.get(), name, &mut rng);
+            let request = draw_request(&self.script, self.work_factor.get(), name, &mut rng);
             drop(net.spawn(self.clone().run_client(n, request)));
         }
     }
 
     /// Runs one client, at the first co-ordinator from `n` on that is in rotation.
-    async fn run_client(self: Rc<Self>, n: usize, request: Ask) {
+    async fn run_client(self: Rc<Self>, n: usize, request: SearchRequest) {
         let all = self.coordinators.len();
         let in_rotation = (0..all)
             .map(|i| &self.coordinators[(n + i) % all])
@@ -56,7 +56,7 @@
         let idempotent = self.script.query_types[request.query_type].repeats == Repeats::Idempotent;
         let caller = coordinator.clients.clone();
         caller
-            .ask_and_again(request, retry, idempotent, || self.next_search_name())
+            .call_with_retries(request, retry, idempotent, || self.next_search_name())
             .await;
     }
 
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -81,15 +81,15 @@
         self.change_behaviour(kind.replicas(), |b| match kind {
             FaultKind::Hang { .. } => b.hangs = true,
             FaultKind::Slow { factor, .. } => b.speed /= factor,
-            FaultKind::RejectParts { .. } => b.full = true,
-            FaultKind::DropAnswers { share, .. } => b.swallows = *share,
-            FaultKind::AnswerErrors { share, .. } => b.errors = *share,
-            FaultKind::CorruptAnswers { share, .. } => b.spoils = *share,
-            FaultKind::DuplicateAnswers { share, .. } => b.doubles = *share,
-            FaultKind::BreakConnections { share, .. } => b.breaks = *share,
-            FaultKind::IgnoreCancels { .. } => b.heedless = true,
+            FaultKind::RejectParts { .. } => b.rejects_all = true,
+            FaultKind::DropAnswers { share, .. } => b.drop_share = *share,
+            FaultKind::AnswerErrors { share, .. } => b.error_share = *share,
+            FaultKind::CorruptAnswers { share, .. } => b.corrupt_share = *share,
+            FaultKind::DuplicateAnswers { share, .. } => b.duplicate_share = *share,
+            FaultKind::BreakConnections { share, .. } => b.break_share = *share,
+            FaultKind::IgnoreCancels { .. } => b.ignores_cancels = true,
             FaultKind::SlowReads { accepts, reads, .. } => {
-                (b.accepts_late, b.reads_late) = (*accepts, *reads);
+                (b.accept_delay, b.read_delay) = (*accepts, *reads);
             }
             _ => {}
         });
@@ -99,14 +99,14 @@
         self.change_behaviour(kind.replicas(), |b| match kind {
             FaultKind::Hang { .. } => b.hangs = false,
             FaultKind::Slow { .. } => b.speed = 1.0,
-            FaultKind::RejectParts { .. } => b.full = false,
-            FaultKind::DropAnswers { .. } => b.swallows = 0.0,
-            FaultKind::AnswerErrors { .. } => b.errors = 0.0,
-            FaultKind::CorruptAnswers { .. } => b.spoils = 0.0,
-            FaultKind::DuplicateAnswers { .. } => b.doubles = 0.0,
-            FaultKind::BreakConnections { .. } => b.breaks = 0.0,
-            FaultKind::IgnoreCancels { .. } => b.heedless = false,
-            FaultKind::SlowReads { .. } => (b.accepts_late, b.reads_late) = (0.0, 0.0),
+            FaultKind::RejectParts { .. } => b.rejects_all = false,
+            FaultKind::DropAnswers { .. } => b.drop_share = 0.0,
+            FaultKind::AnswerErrors { .. } => b.error_share = 0.0,
+            FaultKind::CorruptAnswers { .. } => b.corrupt_share = 0.0,
+            FaultKind::DuplicateAnswers { .. } => b.duplicate_share = 0.0,
+            FaultKind::BreakConnections { .. } => b.break_share = 0.0,
+            FaultKind::IgnoreCancels { .. } => b.ignores_cancels = false,
+            FaultKind::SlowReads { .. } => (b.accept_delay, b.read_delay) = (0.0, 0.0),
             _ => {}
         });
     }
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -4,7 +4,7 @@
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
 use std::rc::Rc;
-use woadreach_fakes::{Behaviour, Line, Recorder};
+use woadreach_fakes::{Behaviour, ListEntry, Recorder, WarmUp};
 use woadreach_invariants::EventKind;
 use woadreach_runtime::Net;
 
@@ -32,8 +32,11 @@
         let cold = self.script.settings.cold.as_ref().filter(|_| warming_up);
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
-            room: self.script.fleet.queue_capacity,
-            cold: cold.map(|c| (c.from, c.time)),
+            queue_capacity: self.script.fleet.queue_capacity,
+            warm_up: cold.map(|c| WarmUp {
+                initial_share: c.from,
+                duration: c.time,
+            }),
             ..Behaviour::default()
         };
         slot.started_at
@@ -107,9 +110,9 @@
     }
 
     /// A replica's entry in a co-ordinator's endpoint list.
-    fn list_entry(&self, r: usize, n: usize, lifecycle: &'static str) -> Line {
+    fn list_entry(&self, r: usize, n: usize, lifecycle: &'static str) -> ListEntry {
         let slot = &self.replicas[r];
-        Line {
+        ListEntry {
             id: slot.name.borrow().clone(),
             address: slot.addresses.borrow()[n].1,
             zone: format!("z{}", slot.zone),
@@ -122,7 +125,7 @@
     /// Lists replicas in this state for every co-ordinator.
     pub(super) fn list(&self, replicas: &[usize], lifecycle: &'static str) {
         for (n, coordinator) in self.coordinators.iter().enumerate() {
-            let entries: Vec<Line> = replicas
+            let entries: Vec<ListEntry> = replicas
                 .iter()
                 .map(|r| self.list_entry(*r, n, lifecycle))
                 .collect();
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -90,7 +90,7 @@
     let name = format!("r{r}");
     let behaviour = Behaviour {
         cores: f.cores,
-        room: f.queue_capacity,
+        queue_capacity: f.queue_capacity,
         ..Behaviour::default()
     };
     let seed = seed_of(script.seed, &name);
