--- a/crates/testing/simulation/src/network/process.rs
+++ b/crates/testing/simulation/src/network/process.rs
@@ -11,7 +11,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::sync::oneshot;
-use woadreach_runtime::Net;
+use woadreach_runtime::{Net, TaskError};
 
 /// Unix seconds at which every simulated world begins.
 pub const BEGIN: f64 = 1_700_000_000.0;
@@ -54,12 +54,12 @@
 }
 
 impl Future for SimJoined {
-    type Output = Result<(), String>;
+    type Output = Result<(), TaskError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
-        Pin::new(&mut self.outcome)
-            .poll(cx)
-            .map_err(|_| "the task has panicked".to_string())
+        Pin::new(&mut self.outcome).poll(cx).map_err(|_| TaskError {
+            reason: "the task has panicked".to_string(),
+        })
     }
 }
 
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -20,8 +20,8 @@
 use woadreach_fakes::{Agent, Behaviour, Caller, ListEntry, Recorder, Retry, SearchRequest};
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::{Net, Tokio};
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::Environment;
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 
 /// Seconds before the first search, for co-ordinators to listen and get their endpoint lists.
 const STARTUP_TIME: f64 = 0.5;
@@ -161,29 +161,33 @@
         peer_listen: None,
         peers: Vec::new(),
     };
-    let given = Given {
+    let source = ConfigSource {
         path: format!("n{n}"),
         text: configuration(script, n, &addresses, seed, &agent.known()),
         listen: None,
         discovery: None,
     };
-    let config = config::read(First::Environment, &given).map_err(io::Error::other)?;
+    let config = config::read(AddressPrecedence::Environment, &source).map_err(io::Error::other)?;
     // The task keeps the senders, so that neither signal ever arrives.
-    let (sighup, hangup) = mpsc::unbounded_channel();
-    let (sigterm, term) = mpsc::unbounded_channel();
-    let outside = Outside {
-        hangup,
-        term,
-        given: Box::new(|| Err("nothing is given anew".to_string())),
-        report: Box::new(|_: &_| {}),
-        verdict: Box::new(|_: &_| {}),
+    let (sighup_sender, sighup) = mpsc::unbounded_channel();
+    let (sigterm_sender, sigterm) = mpsc::unbounded_channel();
+    let environment = Environment {
+        sighup,
+        sigterm,
+        read_source: Box::new(|| {
+            Err(ConfigError::VariableNotSet {
+                variable: "PROXY_CONFIG",
+            })
+        }),
+        on_usage: Box::new(|_: &_| {}),
+        on_verdict: Box::new(|_: &_| {}),
     };
     let node = NodeId(n);
     recorder.tell(EventKind::NodeStarted { node });
     let events = recorder.clone();
     drop(net.spawn(async move {
-        let _signals = (sighup, sigterm);
-        if let Err(error) = woadreachd::serve(net, config, outside).await {
+        let _signals = (sighup_sender, sigterm_sender);
+        if let Err(error) = woadreachd::serve(net, config, environment).await {
             let why = error.to_string();
             events.tell(EventKind::Panicked { node, why });
         }
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -12,8 +12,8 @@
 use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::Net;
 use woadreach_zone_failover::VerdictChange;
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::Environment;
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 use woadreachd::events::Usage;
 
 /// PROTOCOL: SIGKILL comes no sooner than so many seconds after SIGTERM and the longest client timeout, of
@@ -32,9 +32,11 @@
         self.recorder.tell(EventKind::NodeStarted { node });
         coordinator.agent.process_started();
         let seed = seed_of(self.script.seed, &format!("node {n} {start}"));
-        let outside = self.outside(n, seed);
+        let environment = self.environment(n, seed);
         self.report_known_replicas(n);
-        let task = self.clone().run_coordinator(n, net.clone(), seed, outside);
+        let task = self
+            .clone()
+            .run_coordinator(n, net.clone(), seed, environment);
         drop(net.spawn(task));
         let world = self.clone();
         // The load balancer sends it clients once it has answered a health check.
@@ -58,30 +60,32 @@
 
     /// What a co-ordinator's process gets from outside: signals, its configuration, and who hears its
     /// reports.
-    fn outside(self: &Rc<Self>, n: usize, seed: u64) -> Outside {
+    fn environment(self: &Rc<Self>, n: usize, seed: u64) -> Environment {
         let coordinator = &self.coordinators[n];
-        let (sighup, hangup) = mpsc::unbounded_channel();
-        let (sigterm, term) = mpsc::unbounded_channel();
-        *coordinator.sighup.borrow_mut() = Some(sighup);
-        *coordinator.sigterm.borrow_mut() = Some(sigterm);
+        let (sighup_sender, sighup) = mpsc::unbounded_channel();
+        let (sigterm_sender, sigterm) = mpsc::unbounded_channel();
+        *coordinator.sighup.borrow_mut() = Some(sighup_sender);
+        *coordinator.sigterm.borrow_mut() = Some(sigterm_sender);
         let world = Rc::downgrade(self);
-        let given = move || {
-            let world = world.upgrade().ok_or("the world is over".to_string())?;
+        let read_source = move || {
+            let world = world.upgrade().ok_or(ConfigError::VariableNotSet {
+                variable: "PROXY_CONFIG",
+            })?;
             Ok(world.config_source(n, seed))
         };
         let usage = coordinator.usage.clone();
         let world = Rc::downgrade(self);
-        let verdict = move |change: &VerdictChange| {
+        let on_verdict = move |change: &VerdictChange| {
             if let Some(world) = world.upgrade() {
                 world.adopt_verdict(n, change);
             }
         };
-        Outside {
-            hangup,
-            term,
-            given: Box::new(given),
-            report: Box::new(move |now: &Usage| usage.set(*now)),
-            verdict: Box::new(verdict),
+        Environment {
+            sighup,
+            sigterm,
+            read_source: Box::new(read_source),
+            on_usage: Box::new(move |now: &Usage| usage.set(*now)),
+            on_verdict: Box::new(on_verdict),
         }
     }
 
@@ -105,10 +109,16 @@
         }
     }
 
-    async fn run_coordinator(self: Rc<Self>, n: usize, net: SimNet, seed: u64, outside: Outside) {
-        let config = config::read(First::Environment, &self.config_source(n, seed));
+    async fn run_coordinator(
+        self: Rc<Self>,
+        n: usize,
+        net: SimNet,
+        seed: u64,
+        environment: Environment,
+    ) {
+        let config = config::read(AddressPrecedence::Environment, &self.config_source(n, seed));
         let ended = match config {
-            Ok(config) => woadreachd::serve(net.clone(), config, outside)
+            Ok(config) => woadreachd::serve(net.clone(), config, environment)
                 .await
                 .map_err(|error| error.to_string()),
             Err(error) => Err(error.to_string()),
@@ -129,7 +139,7 @@
         });
     }
 
-    fn config_source(&self, n: usize, seed: u64) -> Given {
+    fn config_source(&self, n: usize, seed: u64) -> ConfigSource {
         let coordinator = &self.coordinators[n];
         let peer_address = |c: &Coordinator| SocketAddr::new(c.address.ip(), PEERS_PORT);
         let addresses = CoordinatorAddresses {
@@ -143,7 +153,7 @@
             peers: self.coordinators.iter().map(peer_address).collect(),
         };
         let known = coordinator.agent.known();
-        Given {
+        ConfigSource {
             path: format!("n{n}"),
             text: configuration(&self.script, n, &addresses, seed, &known),
             listen: None,
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -30,8 +30,14 @@
                 continue;
             }
             let u = coordinator.usage.get();
-            let idle = (u.searches, u.parts, u.out, u.clients, u.bytes) == (0, 0, 0, 0, 0);
-            if !idle {
+            let held = [
+                u.searches,
+                u.parts,
+                u.attempts,
+                u.client_sockets,
+                u.request_bytes,
+            ];
+            if held.iter().any(|count| *count > 0) {
                 self.report_leak(n, format!("all is quiet, and it holds {u:?}"));
             }
         }
