--- a/crates/testing/simulation/src/clock.rs
+++ b/crates/testing/simulation/src/clock.rs
@@ -180,7 +180,7 @@
 
     /// How many tasks a process has.
     #[cfg(test)]
-    pub fn tasks(&self, process: ProcessId) -> usize {
+    pub(crate) fn tasks(&self, process: ProcessId) -> usize {
         self.0
             .processes
             .borrow()
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -85,7 +85,7 @@
 }
 
 /// Plays it; no rule may break.
-fn kept(script: &Script) -> Outcome {
+fn play_without_breach(script: &Script) -> Outcome {
     let outcome = play(script, Options::default());
     let told: Vec<String> = outcome
         .breaches
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_calm_day_is_served() {
-    let outcome = kept(&calm());
+    let outcome = play_without_breach(&calm());
     assert!(
         outcome.searches > 300 && share(&outcome) > 0.97,
         "{} of {}",
@@ -154,10 +154,13 @@
     (3.0, 8.0, FaultKind::SlowReads { replicas: vec![0, 1, 3], accepts: 0.1, reads: 0.001 }),
     (4.0, 4.0, FaultKind::Slow { replicas: vec![0, 3], factor: 10.0 }),
 ])]
-fn hard_cases(#[case] faults: &[(f64, f64, FaultKind)], #[values(0.0, 0.05)] clocks_apart: f64) {
+fn combined_faults_break_no_rule(
+    #[case] faults: &[(f64, f64, FaultKind)],
+    #[values(0.0, 0.05)] clocks_apart: f64,
+) {
     let mut script = with(faults);
     script.fleet.max_clock_offset = clocks_apart;
-    let outcome = kept(&script);
+    let outcome = play_without_breach(&script);
     assert!(
         outcome.searches > 200 && share(&outcome) > 0.5,
         "{} of {}",
@@ -171,7 +174,7 @@
 /// after: what the agent has then counts as told at once, whether the calls made meanwhile are answered at
 /// its return, only watches are (by push), or none (by list), and whenever in a turn of calls it returns.
 #[rstest]
-fn a_drain_as_discovery_returns(
+fn a_drain_when_discovery_responds_again(
     #[values(SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost)] calls: SilentCalls,
     #[values(9.7, 9.9, 10.1, 10.3, 10.5, 10.7, 10.9)] returns: f64,
     #[values(-0.5, 0.0, 0.05)] drains_after: f64,
@@ -187,7 +190,7 @@
         (returns + drains_after, 4.0, drain),
     ]);
     script.fleet.calls_while_silent = calls;
-    kept(&script);
+    play_without_breach(&script);
 }
 
 /// The same for a process that starts while discovery is down, on what was known before.
@@ -212,7 +215,7 @@
     ];
     let mut script = with(&faults);
     script.fleet.calls_while_silent = calls;
-    kept(&script);
+    play_without_breach(&script);
 }
 
 /// Seeds that once broke a rule: the budget counted a search from when it was placed, and half a request kept
@@ -233,8 +236,8 @@
 #[case::cold_larger_of_two_shares(include_str!("scripts/cold-larger-of-two-shares.toml"))]
 #[case::budget_of_the_process_before(include_str!("scripts/budget-of-the-process-before.toml"))]
 #[case::budget_of_the_process_before_too(include_str!("scripts/budget-of-the-process-before-2.toml"))]
-fn pinned(#[case] text: &str) {
-    kept(&Script::read("pinned", text).unwrap_or_else(|bad| panic!("{bad}")));
+fn saved_scripts_break_no_rule(#[case] text: &str) {
+    play_without_breach(&Script::read("pinned", text).unwrap_or_else(|bad| panic!("{bad}")));
 }
 
 /// The same script gives the same run, whatever else this process plays beside it.
@@ -267,8 +270,8 @@
 #[case::no_wait("core-no-wait", woadreach_invariants::Rule::NoSearchLost)]
 #[case::drains_unread("discovery-no-drains", woadreach_invariants::Rule::DrainsKept)]
 #[case::floor("module-floor", woadreach_invariants::Rule::HonestAnswers)]
-fn a_injected_bug_is_found(#[case] mutation: &str, #[case] rule: woadreach_invariants::Rule) {
+fn an_injected_bug_is_found(#[case] mutation: &str, #[case] rule: woadreach_invariants::Rule) {
     let hunted = woadreach_simulation::mutations::hunt(mutation, 0..200, false).unwrap();
     assert_eq!(hunted.rule, Some(rule.to_string()));
-    kept(&Script::draw(hunted.seed.unwrap(), &[], None));
+    play_without_breach(&Script::draw(hunted.seed.unwrap(), &[], None));
 }
--- a/crates/testing/simulation/tests/peers.rs
+++ b/crates/testing/simulation/tests/peers.rs
@@ -75,7 +75,7 @@
     script
 }
 
-fn kept(script: &Script) -> Outcome {
+fn play_without_breach(script: &Script) -> Outcome {
     let outcome = play(script, Options::default());
     assert!(outcome.breaches.is_empty(), "{:#?}", outcome.breaches);
     outcome
@@ -104,8 +104,8 @@
 #[case::dead_and_back_cold(FaultKind::Crash { replicas: of_zone(1), listed_after: 4.0 })]
 #[case::slow_not_dead(FaultKind::Slow { replicas: of_zone(1), factor: 30.0 })]
 #[case::answers_errors(FaultKind::AnswerErrors { replicas: of_zone(1), share: 1.0 })]
-fn a_lost_zone_is_out_for_all_and_back(#[case] kind: FaultKind) {
-    let outcome = kept(&tier(&[(8.0, 5.0, kind)], |_| {}));
+fn a_failed_zone_is_ejected_by_all_and_restored(#[case] kind: FaultKind) {
+    let outcome = play_without_breach(&tier(&[(8.0, 5.0, kind)], |_| {}));
     let held = out(&outcome, 1, 8.0);
     assert_eq!(held.len(), 6, "{:?}", outcome.verdicts);
     assert!(held.iter().all(|h| h.1 < 3.0), "{held:?}");
@@ -126,7 +126,7 @@
 
 /// Its own co-ordinators see all else fail, and shift nobody.
 #[test]
-fn a_zone_cut_off_shifts_nobody_else() {
+fn a_partitioned_zone_shifts_no_other_zone() {
     let cut = |to| {
         (
             8.0,
@@ -138,7 +138,7 @@
             },
         )
     };
-    let outcome = kept(&tier(&[cut(0), cut(1)], |_| {}));
+    let outcome = play_without_breach(&tier(&[cut(0), cut(1)], |_| {}));
     let held = out(&outcome, 2, 8.0);
     assert!(
         held.iter().filter(|h| h.0 % 3 != 2).count() == 4,
@@ -154,7 +154,7 @@
 
 /// Loss in one direction only: what leaves the zone is lost.
 #[test]
-fn a_zone_heard_by_nobody_is_out() {
+fn a_zone_that_nobody_hears_is_ejected() {
     let cut = |to| {
         (
             8.0,
@@ -166,7 +166,7 @@
             },
         )
     };
-    let outcome = kept(&tier(&[cut(0), cut(1)], |_| {}));
+    let outcome = play_without_breach(&tier(&[cut(0), cut(1)], |_| {}));
     assert!(
         out(&outcome, 2, 8.0)
             .iter()
@@ -189,7 +189,7 @@
 #[case::most_co_ordinators_killed(&[(8.0, 3.0, FaultKind::KillCoordinators { co_ordinators: vec![0, 1, 2, 3] })], 0.0)]
 fn no_zone_is_shifted(#[case] faults: &[(f64, f64, FaultKind)], #[case] lost: f64) {
     for seed in 0..4 {
-        let outcome = kept(&tier(faults, |s| {
+        let outcome = play_without_breach(&tier(faults, |s| {
             s.seed = seed;
             s.peers = Some(Peers {
                 loss: lost,
@@ -208,11 +208,11 @@
 
 /// Two of three zones are lost, and all co-ordinators live: at most one is out at a time, and a lost one.
 #[test]
-fn of_two_lost_zones_at_most_one_is_out() {
+fn of_two_failed_zones_at_most_one_is_ejected() {
     let both = FaultKind::Isolate {
         replicas: [of_zone(0), of_zone(1)].concat(),
     };
-    let outcome = kept(&tier(&[(8.0, 5.0, both)], |_| {}));
+    let outcome = play_without_breach(&tier(&[(8.0, 5.0, both)], |_| {}));
     let mut epochs = [[0; 3]; 6];
     for v in &outcome.verdicts {
         epochs[v.node.0][v.zone] = v.epoch;
@@ -224,7 +224,7 @@
 /// Where they may not speak nothing is sent, and a lost zone is each one's own affair.
 #[test]
 fn without_peers_nothing_is_sent() {
-    let outcome = kept(&tier(
+    let outcome = play_without_breach(&tier(
         &[(
             8.0,
             5.0,
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -168,7 +168,7 @@
 #[case::kept("kept", SilentCalls::Kept)]
 #[case::lists_lost("lists_lost", SilentCalls::ListsLost)]
 #[case::lost("lost", SilentCalls::Lost)]
-fn calls_to_a_silent_discovery(#[case] name: &str, #[case] calls: SilentCalls) {
+fn calls_to_an_unresponsive_discovery(#[case] name: &str, #[case] calls: SilentCalls) {
     let text = EVERY_KEY.replace("\"lists_lost\"", &format!("{name:?}"));
     let script = Script::read("x", &text).unwrap_or_else(|bad| panic!("{bad}"));
     assert_eq!(script.fleet.calls_while_silent, calls);
--- a/crates/testing/simulation/tests/unit/clock.rs
+++ b/crates/testing/simulation/tests/unit/clock.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_stalled_process_does_what_waited_afterwards() {
+fn a_suspended_process_runs_what_waited_afterwards() {
     let (clock, (lines, say)) = (Clock::new(), log());
     let process = clock.add_process();
     let inner = clock.clone();
@@ -54,7 +54,7 @@
 
 /// A task that is killed drops what it holds, and is never run again; one that panics ends alone.
 #[test]
-fn killed_and_panicked() {
+fn killed_tasks_are_dropped_and_panics_end_one_task() {
     let (clock, (lines, say)) = (Clock::new(), log());
     let (first, second) = (clock.add_process(), clock.add_process());
     let held = Rc::new(());
