--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -15,7 +15,7 @@
 use woadreach_fakes::Caller;
 use woadreach_invariants::NodeId;
 use woadreach_runtime::Net;
-use woadreach_simulation::{Places, configuration, seed_of};
+use woadreach_simulation::{CoordinatorAddresses, configuration, seed_of};
 
 /// Seconds between attempts to connect to a process that is starting.
 const CONNECT_INTERVAL: f64 = 0.05;
@@ -114,7 +114,7 @@
         let co_ordinator = &self.co_ordinators[node];
         let start = format!("node {node} {}", co_ordinator.start_count);
         let seed = seed_of(self.config.seed, &start);
-        let places = Places {
+        let places = CoordinatorAddresses {
             listen: co_ordinator.client_listen,
             discovery: co_ordinator.discovery,
             peer_listen: self.config.has_peers.then_some(co_ordinator.peer_listen),
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use woadreach_fakes::{Caller, Retry};
 use woadreach_runtime::{Net, Tokio};
-use woadreach_simulation::{Repeats, Script, draw_ask, draw_gap, seed_of};
+use woadreach_simulation::{Repeats, Script, draw_gap, draw_request, seed_of};
 
 /// How many times more searches clients send while they abandon them.
 const ABANDONING_FACTOR: f64 = 3.0;
@@ -66,9 +66,9 @@
 
     fn send_search(&mut self) {
         let name = next_name(&self.search_count);
-        let mut search = draw_ask(&self.script, 1.0, name, &mut self.random);
+        let mut search = draw_request(&self.script, 1.0, name, &mut self.random);
         if self.abandon.get() {
-            search.leaves_after = Some(MAX_ABANDON_DELAY * self.random.random::<f64>());
+            search.disconnect_after = Some(MAX_ABANDON_DELAY * self.random.random::<f64>());
         }
         if !self.takes_clients[self.node].get() {
             return;
@@ -85,7 +85,7 @@
             let name = move || next_name(&search_count);
             drop(
                 client
-                    .ask_and_again(search, retry, is_idempotent, name)
+                    .call_with_retries(search, retry, is_idempotent, name)
                     .await,
             );
         }));
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -5,7 +5,7 @@
 use crate::relay::ZonePair;
 use std::io;
 use std::net::SocketAddr;
-use woadreach_fakes::{Behaviour, Line};
+use woadreach_fakes::{Behaviour, ListEntry, WarmUp};
 use woadreach_invariants::NodeId;
 use woadreach_runtime::Net;
 use woadreach_simulation::seed_of;
@@ -57,13 +57,16 @@
         let slow_start = self.script.settings.cold.as_ref();
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
-            room: self.script.fleet.queue_capacity,
-            cold: slow_start
+            queue_capacity: self.script.fleet.queue_capacity,
+            warm_up: slow_start
                 .filter(|_| is_warming_up)
-                .map(|slow_start| (slow_start.from, slow_start.time)),
+                .map(|slow_start| WarmUp {
+                    initial_share: slow_start.from,
+                    duration: slow_start.time,
+                }),
             ..Behaviour::default()
         };
-        let is_warming_up = behaviour.cold.is_some();
+        let is_warming_up = behaviour.warm_up.is_some();
         let seed = seed_of(self.config.seed, &format!("r{replica}"));
         let recorder = self.recorder_of_replica(replica, is_warming_up);
         let now = self.net.now();
@@ -84,7 +87,7 @@
     /// Has all discovery agents list these replicas with this state.
     pub(super) fn list_replicas(&self, replicas: &[usize], lifecycle: Lifecycle) {
         for (node, co_ordinator) in self.co_ordinators.iter().enumerate() {
-            let lines: Vec<Line> = replicas
+            let lines: Vec<ListEntry> = replicas
                 .iter()
                 .map(|replica| self.list_line(*replica, node, lifecycle))
                 .collect();
@@ -92,9 +95,9 @@
         }
     }
 
-    fn list_line(&self, replica: usize, node: usize, lifecycle: Lifecycle) -> Line {
+    fn list_line(&self, replica: usize, node: usize, lifecycle: Lifecycle) -> ListEntry {
         let slot = &self.replicas[replica];
-        Line {
+        ListEntry {
             id: slot.name.clone(),
             address: slot.listed[node],
             zone: format!("z{}", slot.zone),
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, Terms};
 use woadreach_simulation::{
-    FaultKind, Judged, Outcome, Record, Recovery, Repeats, Script, SilentCalls, digest,
+    FaultKind, Outcome, Record, Recovery, Repeats, Script, SilentCalls, VerdictAdoption, digest,
 };
 
 const EVERY_KEY: &str = include_str!("recorded/every-key.toml");
@@ -168,7 +168,7 @@
 #[case::kept("kept", SilentCalls::Kept)]
 #[case::lists_lost("lists_lost", SilentCalls::ListsLost)]
 #[case::lost("lost", SilentCalls::Lost)]
-fn calls_to_a_silent_discovery(#[case] name: &str, #[case] calls: SilentCalls) {
+fn calls_to_an_unresponsive_discovery(#[case] name: &str, #[case] calls: SilentCalls) {
     let text = EVERY_KEY.replace("\"lists_lost\"", &format!("{name:?}"));
     let script = Script::read("x", &text).unwrap_or_else(|bad| panic!("{bad}"));
     assert_eq!(script.fleet.calls_while_silent, calls);
@@ -432,7 +432,7 @@
         sub_requests: 5,
         datagrams: 6,
         datagram_bytes: 8,
-        verdicts: vec![Judged {
+        verdicts: vec![VerdictAdoption {
             at: 1.5,
             node: NodeId(2),
             zone: 1,
