--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,17 +1,20 @@
-//! `woadreach cluster`: real processes of the program on loopback, under faults between them. Owns how a run
-//! is asked for and printed; must never judge one by more than rules and crashes.
+//! `woadreach cluster`: real processes of the program on loopback, under faults between them.
 
-use crate::{Ended, Format};
+use crate::Verdict;
+use crate::error::{CommandError, JsonSnafu, OwnPathSnafu, PlayScenarioSnafu};
+use crate::output::Format;
 use clap::{Args, Subcommand};
+use snafu::ResultExt;
 use std::path::PathBuf;
-use woadreach_process_tests::{Outcome, Plan, Scenario, play};
+use woadreach_process_tests::{Outcome, PlayConfig, RoleOutcome, Scenario, play};
 
+/// What to do with processes.
 #[derive(Subcommand)]
-pub enum What {
+pub(crate) enum Action {
     /// Starts co-ordinators in their zones, puts a scenario's faults between them, and says how they fared
     #[command(
         after_help = "Example: woadreach cluster play zone-loss --coordinators 6 --zones 3 --seed 1\n\
-                            Exit code 1 if a rule broke, a process crashed or a duty was held twice."
+                            Exit code 1 if a rule broke, a process crashed or a singleton role was held twice."
     )]
     Play(Play),
     /// Names the scenarios
@@ -19,7 +22,7 @@
 }
 
 #[derive(Args)]
-pub struct Play {
+pub(crate) struct Play {
     /// What goes wrong: see `woadreach cluster scenarios`
     scenario: Scenario,
     /// Processes of the program under test, dealt out among the zones
@@ -34,13 +37,13 @@
     /// Searches a second at each co-ordinator
     #[arg(long, default_value_t = 120.0)]
     rate: f64,
-    /// Bars them from speaking with each other, so that each decides alone
+    /// Keeps them from exchanging messages, so that each decides alone
     #[arg(long)]
     alone: bool,
     /// Leaves ties between replicas to chance, as without the setting `failover.near`
     #[arg(long)]
     spread: bool,
-    /// Has each do every duty for itself
+    /// Has each do every singleton role for itself
     #[arg(long)]
     no_duties: bool,
     /// The program under test; `woadreachd` beside this one if not given
@@ -50,93 +53,114 @@
     format: Format,
 }
 
-pub fn run(what: What) -> Ended {
-    match what {
-        What::Play(args) => one(&args).unwrap_or_else(Ended::Bad),
-        What::Scenarios => {
-            Scenario::ALL.iter().for_each(|s| println!("{s}"));
-            Ended::Good
+/// Runs a subcommand of `woadreach cluster`.
+pub(crate) fn execute(action: Action) -> Result<Verdict, CommandError> {
+    match action {
+        Action::Play(arguments) => play_scenario(&arguments),
+        Action::Scenarios => {
+            Scenario::ALL
+                .iter()
+                .for_each(|scenario| println!("{scenario}"));
+            Ok(Verdict::Good)
         }
     }
 }
 
-/// The program that `run` starts, built beside this one.
-fn beside() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| format!("this program's place: {e}"))?;
-    let binary = own.with_file_name("woadreachd");
-    if binary.is_file() {
-        return Ok(binary);
+/// The program that is under test if none is named: `woadreachd`, built beside this one.
+fn default_binary() -> Result<PathBuf, CommandError> {
+    let own = std::env::current_exe().context(OwnPathSnafu)?;
+    let path = own.with_file_name("woadreachd");
+    if path.is_file() {
+        Ok(path)
+    } else {
+        Err(CommandError::NoProgram { path })
     }
-    let looked = binary.display();
-    Err(format!(
-        "no program at {looked}; build it (cargo build --release) or name it with --binary"
-    ))
 }
 
-fn one(args: &Play) -> Result<Ended, String> {
-    let binary = args.binary.clone().map_or_else(beside, Ok)?;
-    let plan = Plan {
-        scenario: args.scenario,
-        co_ordinators: args.coordinators,
-        zones: args.zones,
-        regions: args.regions,
-        seed: args.seed,
+fn play_scenario(arguments: &Play) -> Result<Verdict, CommandError> {
+    let binary = arguments.binary.clone().map_or_else(default_binary, Ok)?;
+    let config = PlayConfig {
+        scenario: arguments.scenario,
+        co_ordinators: arguments.coordinators,
+        zones: arguments.zones,
+        regions: arguments.regions,
+        seed: arguments.seed,
         binary,
-        peers: !args.alone,
-        near: !args.spread,
-        duties: !args.no_duties,
-        rate: args.rate,
+        has_peers: !arguments.alone,
+        prefers_near: !arguments.spread,
+        has_roles: !arguments.no_duties,
+        searches_per_second: arguments.rate,
     };
-    let outcome = play(&plan)?;
-    match args.format {
-        Format::Json => println!(
-            "{}",
-            serde_json::to_string(&outcome).map_err(|e| e.to_string())?
-        ),
-        Format::Text => print(&outcome),
+    let outcome = play(&config).context(PlayScenarioSnafu)?;
+    match arguments.format {
+        Format::Json => println!("{}", serde_json::to_string(&outcome).context(JsonSnafu)?),
+        Format::Text => print_outcome(&outcome),
     }
-    let bad = outcome.rules_broken > 0 || outcome.crashes > 0 || outcome.duties.two_holders > 0;
-    Ok(if bad { Ended::Found } else { Ended::Good })
+    let has_failed =
+        outcome.broken_invariants > 0 || outcome.crashes > 0 || outcome.roles.two_holders > 0;
+    Ok(if has_failed {
+        Verdict::Found
+    } else {
+        Verdict::Good
+    })
 }
 
-fn print(o: &Outcome) {
+fn print_outcome(outcome: &Outcome) {
     println!(
         "{}, seed {}: {} co-ordinators in {} zones, {} s",
-        o.scenario, o.seed, o.coordinators, o.zones, o.seconds
+        outcome.scenario, outcome.seed, outcome.coordinators, outcome.zones, outcome.seconds
     );
-    o.breaches.iter().for_each(|why| println!("broken: {why}"));
-    println!("rules broken {}, crashes {}", o.rules_broken, o.crashes);
-    println!("served in time {:.3} of {} searches", o.served, o.searches);
-    if o.expected > 0 {
+    for breach in &outcome.breaches {
+        println!("broken: {breach}");
+    }
+    println!(
+        "rules broken {}, crashes {}",
+        outcome.broken_invariants, outcome.crashes
+    );
+    println!(
+        "served in time {:.3} of {} searches",
+        outcome.served_share, outcome.searches
+    );
+    print_failovers(outcome);
+    print_roles(&outcome.roles);
+    println!(
+        "a second a member: {:.1} datagrams, {:.0} bytes",
+        outcome.datagrams_per_s_per_member, outcome.bytes_per_s_per_member
+    );
+}
+
+fn print_failovers(outcome: &Outcome) {
+    if outcome.expected > 0 {
         let seconds = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
         println!(
             "verdict held by {} of {} outside, after {} (half), {} (0.99)",
-            o.agreed,
-            o.expected,
-            seconds(o.agree_s_p50),
-            seconds(o.agree_s_p99)
+            outcome.agreed,
+            outcome.expected,
+            seconds(outcome.agree_s_p50),
+            seconds(outcome.agree_s_p99)
         );
     }
-    println!("false shifts {}, flaps {}", o.false_shifts, o.flaps);
-    if let Some(near) = o.near_share_safe {
+    println!(
+        "false shifts {}, flaps {}",
+        outcome.false_failovers, outcome.flaps
+    );
+    if let Some(near) = outcome.near_share_safe {
         println!(
             "near while safe {near:.3}, by an even spread {:.3}",
-            o.near_share_even
+            outcome.near_share_even
         );
     }
-    let d = &o.duties;
+}
+
+fn print_roles(roles: &RoleOutcome) {
     println!(
         "acts under a lease {}, of two holders {}, refused as stale {}",
-        d.acts, d.two_holders, d.stale_acts_refused
+        roles.actions, roles.two_holders, roles.stale_actions_rejected
     );
-    if let (Some(half), Some(most)) = (d.handover_s_p50, d.handover_s_p99) {
+    if let (Some(median), Some(highest)) = (roles.handover_s_p50, roles.handover_s_p99) {
         println!(
-            "handed on {} of {} times, after {half:.2} s (half), {most:.2} s (0.99), with leases of {} s",
-            d.handovers, d.gripped, d.lease_s
+            "handed on {} of {} times, after {median:.2} s (half), {highest:.2} s (0.99), with leases of {} s",
+            roles.handovers, roles.holder_faults, roles.lease_s
         );
     }
-    println!(
-        "a second a member: {:.1} datagrams, {:.0} bytes",
-        o.datagrams_per_s_per_member, o.bytes_per_s_per_member
-    );
 }
--- /dev/null
+++ b/crates/router/lease/tests/recorded.rs
@@ -0,0 +1,255 @@
+//! Messages between members on singleton roles: recorded bytes are decoded as before, and encoded to the same.
+
+#[path = "../../../../tests/recorded/lines.rs"]
+mod recorded;
+
+use recorded::{Records, inverted, unhex};
+use rstest::rstest;
+use woadreach_lease::{
+    ClockStamp, Departure, EndpointUpdate, FencingToken, Incarnation, MAX_MESSAGES, Message,
+    QuotaGrant, ReplicaDemand, ReplicaKey, Role, open, seal,
+};
+use woadreach_membership::MemberId;
+
+const ROSTER: usize = 300;
+
+fn datagrams() -> Records {
+    Records::at(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/tests/recorded/messages.hex"
+    ))
+}
+
+fn token() -> FencingToken {
+    FencingToken {
+        epoch: 70_000,
+        holder: MemberId(299),
+        incarnation: Incarnation(40_000),
+    }
+}
+
+/// A message of each kind, with numbers of one byte on the wire and of several.
+fn messages() -> Vec<Message> {
+    let (watch, allocator, token) = (Role::EndpointWatch(2), Role::QuotaAllocator(200), token());
+    let (small, large) = (ReplicaKey(1), ReplicaKey(u32::MAX));
+    vec![
+        Message::Request {
+            role: watch,
+            epoch: 1,
+            incarnation: Incarnation(2),
+            request_id: 3,
+            is_holder: false,
+        },
+        Message::Granted {
+            role: allocator,
+            epoch: u32::MAX,
+            incarnation: Incarnation(u16::MAX),
+            request_id: u16::MAX,
+        },
+        Message::Denied {
+            role: watch,
+            epoch: 128,
+            incarnation: Incarnation(127),
+            request_id: 300,
+            wait_centis: 65_000,
+        },
+        Message::Release {
+            role: allocator,
+            epoch: 0,
+            incarnation: Incarnation(0),
+        },
+        Message::EndpointUpdates {
+            role: watch,
+            token,
+            updates: vec![
+                EndpointUpdate {
+                    replica: small,
+                    departure: Departure::Draining,
+                },
+                EndpointUpdate {
+                    replica: large,
+                    departure: Departure::Departed,
+                },
+            ],
+        },
+        Message::Beacon {
+            role: allocator,
+            token,
+            sent_at: ClockStamp(65_535),
+        },
+        Message::Demands {
+            role: allocator,
+            token,
+            beacon_sent_at: ClockStamp(1),
+            sent_at: ClockStamp(500),
+            demands: vec![
+                ReplicaDemand {
+                    replica: small,
+                    parts: 0,
+                },
+                ReplicaDemand {
+                    replica: large,
+                    parts: 255,
+                },
+            ],
+        },
+        Message::QuotaGrants {
+            role: allocator,
+            token,
+            demands_sent_at: ClockStamp(500),
+            valid_for_centis: 270,
+            grants: vec![
+                QuotaGrant {
+                    replica: small,
+                    fraction: 0,
+                },
+                QuotaGrant {
+                    replica: large,
+                    fraction: 65_535,
+                },
+            ],
+        },
+    ]
+}
+
+/// Of the record; a further kind needs one.
+fn name(message: &Message) -> &'static str {
+    match message {
+        Message::Request { .. } => "ask",
+        Message::Granted { .. } => "grant",
+        Message::Denied { .. } => "deny",
+        Message::Release { .. } => "release",
+        Message::EndpointUpdates { .. } => "facts",
+        Message::Beacon { .. } => "beacon",
+        Message::Demands { .. } => "offers",
+        Message::QuotaGrants { .. } => "shares",
+    }
+}
+
+/// Each message by itself, and what else a datagram may hold.
+fn samples() -> Vec<(&'static str, Vec<Message>)> {
+    let holder = Message::Request {
+        role: Role::QuotaAllocator(3),
+        epoch: 9,
+        incarnation: Incarnation(8),
+        request_id: 7,
+        is_holder: true,
+    };
+    let nothing = Message::EndpointUpdates {
+        role: Role::EndpointWatch(0),
+        token: token(),
+        updates: Vec::new(),
+    };
+    let mut samples: Vec<_> = messages()
+        .into_iter()
+        .map(|m| (name(&m), vec![m]))
+        .collect();
+    samples.push(("ask-of-a-holder", vec![holder.clone()]));
+    samples.push(("facts-of-nothing", vec![nothing]));
+    samples.push(("one-of-each", messages()));
+    samples.push(("as-many-as-may-be", vec![holder; MAX_MESSAGES]));
+    samples
+}
+
+#[test]
+fn recorded_messages_read_and_are_written_the_same() {
+    for (name, messages) in samples() {
+        let today = seal(&messages);
+        let kept = datagrams().bytes(name, &today);
+        assert_eq!(open(&kept, ROSTER), Some(messages), "{name}");
+        assert_eq!(today, kept, "{name}");
+    }
+}
+
+#[test]
+fn nothing_is_recorded_that_is_not_read() {
+    let mut names: Vec<&str> = samples().into_iter().map(|sample| sample.0).collect();
+    names.sort_unstable();
+    assert_eq!(datagrams().names(), names);
+}
+
+#[test]
+fn messages_that_are_truncated_or_too_long_are_rejected() {
+    for (name, messages) in samples() {
+        let mut bytes = datagrams().bytes(name, &seal(&messages));
+        for end in 1..bytes.len() {
+            assert_eq!(open(&bytes[..end], ROSTER), None, "{name}, cut at {end}");
+        }
+        bytes.push(0);
+        assert_eq!(open(&bytes, ROSTER), None, "{name}, with a further byte");
+    }
+}
+
+/// Changed numbers can't be detected; changes of the form are.
+#[test]
+fn inverted_bytes_fare_as_they_did() {
+    let outcomes = Records::at(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/tests/recorded/inverted.txt"
+    ));
+    for message in messages() {
+        let name = name(&message);
+        let bytes = datagrams().bytes(name, &seal(&[message]));
+        let today = inverted(&bytes, |bytes| open(bytes, ROSTER).is_some());
+        assert_eq!(outcomes.text(name, &today), today, "{name}");
+    }
+}
+
+#[rstest]
+#[case::nothing("", Some(0))]
+#[case::no_messages("00", Some(0))]
+#[case::more_claimed_than_come("02 0300010203", None)]
+#[case::ninth_kind("01 0800010203", None)]
+#[case::third_role("01 0302010203", None)]
+#[case::release("01 0300010203", Some(1))]
+#[case::epoch_beyond_its_bits("01 030001ffffffff1f03", None)]
+#[case::incarnation_beyond_its_bits("01 03000102ffff07", None)]
+#[case::number_that_never_ends("01 030001ffffffffffffffff", None)]
+#[case::is_holder_that_is_no_truth_value("01 000001010203 02", None)]
+#[case::third_departure("01 0400010101010101 02", None)]
+#[case::holder_of_the_roster("01 050001 01ab0201 01", Some(1))]
+#[case::holder_beyond_the_roster("01 050001 01ac0201 01", None)]
+#[case::text("68656c6c6f", None)]
+#[case::ones("ffffffffffffffff", None)]
+fn foreign_bytes(#[case] hex: &str, #[case] messages: Option<usize>) {
+    let bytes = unhex(&hex.replace(' ', ""));
+    assert_eq!(
+        open(&bytes, ROSTER).map(|messages| messages.len()),
+        messages
+    );
+}
+
+#[test]
+fn too_many_messages_are_rejected() {
+    let (_, mut messages) = samples().pop().expect("there are samples");
+    messages.push(messages[0].clone());
+    assert_eq!(open(&seal(&messages), ROSTER), None);
+}
+
+/// Members know a replica by the same number whatever they run.
+#[rstest]
+#[case::listed("10.0.0.7:8443", 1_700_000_000.125)]
+#[case::long_ago("10.0.0.7:8443", 0.0)]
+#[case::no_name("", -1.0)]
+#[case::not_ascii("répl-1", 0.0005)]
+fn replicas_keep_their_numbers(#[case] name: &str, #[case] started_at: f64) {
+    let numbers = Records::at(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/tests/recorded/replicas.txt"
+    ));
+    let replica = ReplicaKey::named(name, started_at);
+    let today = format!("{} {} {}", replica.0, replica.bucket(4), replica.bucket(0));
+    assert_eq!(
+        numbers.text(&format!("{name} started {started_at}"), &today),
+        today
+    );
+}
+
+/// Test programs that read logs depend on these names.
+#[test]
+fn roles_have_their_recorded_names_in_logs() {
+    assert_eq!(
+        [Role::EndpointWatch(2), Role::QuotaAllocator(0)].map(|role| format!("{role:?}")),
+        ["EndpointWatch(2)", "QuotaAllocator(0)"]
+    );
+}
--- /dev/null
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -0,0 +1,224 @@
+//! Events and breaches as lines of a record, held still: each is written as it was.
+
+#[path = "../../../../tests/recorded/lines.rs"]
+mod recorded;
+
+use recorded::Records;
+use serde_json::Value;
+use std::sync::Arc;
+use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, ReplicaName, Rule};
+
+fn records(file: &str) -> Records {
+    Records::at(&format!(
+        "{}/tests/recorded/{file}",
+        env!("CARGO_MANIFEST_DIR")
+    ))
+}
+
+const NODE: NodeId = NodeId(3);
+
+fn search() -> Arc<str> {
+    "5be2a07c19f04d63".into()
+}
+
+fn replica() -> ReplicaName {
+    "r-1 \"é\"".into()
+}
+
+fn part(fetch: bool) -> PartName {
+    PartName {
+        search: search(),
+        shard: 7,
+        fetch,
+    }
+}
+
+fn sent(from: Vec<u64>, first_whole: Option<bool>) -> EventKind {
+    let (replica, part) = (replica(), part(!from.is_empty()));
+    EventKind::PartReceived {
+        node: NODE,
+        replica,
+        part,
+        begun: 1.25,
+        came: 1.5,
+        work: 0.05,
+        from,
+        first_whole,
+    }
+}
+
+/// An event of each kind.
+fn events() -> Vec<EventKind> {
+    let (search, replica, part) = (search(), replica(), part(false));
+    let rows = vec![(0, "value".to_string()), (7, String::new())];
+    let made = EventKind::PartCompleted {
+        node: NODE,
+        replica: replica.clone(),
+        part: part.clone(),
+        value: "v".into(),
+    };
+    let parts = Arc::from([(0, 0.5), (7, 0.5)]);
+    vec![
+        EventKind::NodeStarted { node: NODE },
+        EventKind::NodeKilled { node: NODE },
+        EventKind::NodeEnded { node: NODE },
+        EventKind::Requested {
+            node: NODE,
+            search: search.clone(),
+            query_type: 1,
+            parts,
+            ends: 2.5,
+        },
+        EventKind::Answered {
+            search: search.clone(),
+            whole: true,
+            rows,
+        },
+        EventKind::Shed {
+            search: search.clone(),
+        },
+        EventKind::Failed {
+            search: search.clone(),
+        },
+        EventKind::ClientDisconnected {
+            search: search.clone(),
+        },
+        EventKind::ConnectionClosed { search },
+        sent(Vec::new(), None),
+        EventKind::PartRejected {
+            node: NODE,
+            replica: replica.clone(),
+            part: part.clone(),
+        },
+        made,
+        EventKind::PartCancelled {
+            node: NODE,
+            replica: replica.clone(),
+            part,
+        },
+        EventKind::ReplicaListed {
+            node: NODE,
+            replica: replica.clone(),
+            ready: false,
+        },
+        EventKind::ReplicaStarted {
+            replica: replica.clone(),
+            cores: 2.0,
+        },
+        EventKind::LinkBlocked {
+            replica,
+            held: true,
+        },
+        EventKind::Stalled {
+            node: NODE,
+            seconds: 0.3,
+        },
+        EventKind::Panicked {
+            node: NODE,
+            why: "why".into(),
+        },
+        EventKind::Leaked {
+            node: NODE,
+            why: "why".into(),
+        },
+    ]
+}
+
+/// The kind as the record names it; a further kind needs a record.
+fn name(kind: &EventKind) -> &'static str {
+    match kind {
+        EventKind::NodeStarted { .. } => "node_started",
+        EventKind::NodeKilled { .. } => "node_killed",
+        EventKind::NodeEnded { .. } => "node_ended",
+        EventKind::Requested { .. } => "asked",
+        EventKind::Answered { .. } => "answered",
+        EventKind::Shed { .. } => "shed",
+        EventKind::Failed { .. } => "errored",
+        EventKind::ClientDisconnected { .. } => "left",
+        EventKind::ConnectionClosed { .. } => "dropped",
+        EventKind::PartReceived { .. } => "sent",
+        EventKind::PartRejected { .. } => "turned_away",
+        EventKind::PartCompleted { .. } => "made",
+        EventKind::PartCancelled { .. } => "given_up",
+        EventKind::ReplicaListed { .. } => "told",
+        EventKind::ReplicaStarted { .. } => "born",
+        EventKind::LinkBlocked { .. } => "way",
+        EventKind::Stalled { .. } => "stalled",
+        EventKind::Panicked { .. } => "panicked",
+        EventKind::Leaked { .. } => "kept",
+    }
+}
+
+fn line(kind: EventKind) -> String {
+    serde_json::to_string(&Event { at: 1000.125, kind }).expect("it is JSON")
+}
+
+#[test]
+fn events_are_written_as_they_were() {
+    for kind in events() {
+        let name = name(&kind);
+        let today = line(kind);
+        assert_eq!(records("events.txt").text(name, &today), today, "{name}");
+        let read: Value = serde_json::from_str(&today).expect("it is JSON");
+        assert_eq!(
+            (&read["what"], &read["at"]),
+            (&Value::from(name), &Value::from(1000.125))
+        );
+    }
+}
+
+#[test]
+fn a_part_of_a_second_step_says_what_it_had_of_the_first() {
+    let today = line(sent(vec![0, 7], Some(false)));
+    assert_eq!(
+        records("events.txt").text("sent-second-step", &today),
+        today
+    );
+}
+
+#[test]
+fn nothing_is_recorded_that_is_not_written() {
+    let mut names: Vec<&str> = events()
+        .iter()
+        .map(name)
+        .chain(["sent-second-step"])
+        .collect();
+    names.sort_unstable();
+    assert_eq!(records("events.txt").names(), names);
+}
+
+const RULES: [Rule; 7] = [
+    Rule::NoSearchLost,
+    Rule::NoEffectTwice,
+    Rule::DrainsKept,
+    Rule::ColdNotPushedOver,
+    Rule::HonestAnswers,
+    Rule::Budget,
+    Rule::Sound,
+];
+
+fn breach(rule: Rule, search: Option<Arc<str>>) -> String {
+    let proof = vec![Event {
+        at: 1.0,
+        kind: EventKind::NodeStarted { node: NODE },
+    }];
+    let breach = Breach {
+        rule,
+        at: 2.5,
+        search,
+        why: "why".into(),
+        proof,
+    };
+    serde_json::to_string(&breach).expect("it is JSON")
+}
+
+#[test]
+fn breaches_are_written_as_they_were() {
+    for rule in RULES {
+        let (name, today) = (rule.to_string(), breach(rule, Some(search())));
+        assert_eq!(records("breaches.txt").text(&name, &today), today, "{name}");
+    }
+    let today = breach(Rule::Sound, None);
+    assert_eq!(records("breaches.txt").text("of no search", &today), today);
+    assert_eq!(records("breaches.txt").names().len(), RULES.len() + 1);
+}
--- /dev/null
+++ b/crates/testing/simulation/src/settings.rs
@@ -0,0 +1,185 @@
+//! A script as the terms of the checker and as the configuration of each co-ordinator.
+
+use crate::script::{QueryType, Repeats, Script, Settings};
+use std::net::SocketAddr;
+use woadreach_invariants::{Budget, Cold, QueryTerms, Terms};
+
+/// Milliseconds in a second.
+const MILLISECONDS: f64 = 1000.0;
+/// How long after its deadline an answer still counts, in seconds.
+const ANSWER_GRACE: f64 = 0.05;
+/// The checker's tolerance of time limits, in seconds.
+const SLACK: f64 = 0.05;
+/// From so many co-ordinators on, an overload counts only if most senders knew of the start.
+const LARGE_TIER: usize = 10;
+
+/// The numbers of the rules for the checker.
+pub fn terms(script: &Script) -> Terms {
+    let s = &script.settings;
+    let query_types = script.query_types.iter().map(|t| QueryTerms {
+        name: t.name.clone(),
+        repeats: match t.repeats {
+            Repeats::Idempotent => woadreach_invariants::Repeats::Idempotent,
+            Repeats::Tokened => woadreach_invariants::Repeats::Tokened {
+                window: t.window,
+                any_holder: t.any_holder,
+            },
+            Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
+        },
+        need: t.need,
+        floor: t.floor,
+        fetch: t.fetch,
+    });
+    Terms {
+        query_types: query_types.collect(),
+        answer_grace: ANSWER_GRACE,
+        drain_grace: s.drain_grace,
+        cold: s.cold.as_ref().map(|c| Cold {
+            from: c.from,
+            time: c.time,
+            multiple: c.multiple,
+            window: c.window,
+            work: script.mean_work(),
+            // In a large tier each sends one part before it can know, which the protocol does not count.
+            untold_too: script.fleet.co_ordinators < LARGE_TIER,
+        }),
+        budget: s.budget.as_ref().map(|b| Budget {
+            free: b.free,
+            share: b.share,
+            window: b.window,
+        }),
+        slack: SLACK,
+        way: script.fleet.max_latency,
+    }
+}
+
+/// The values of all query types, as the elements of a JSON array.
+fn of_query_types(script: &Script, value: impl Fn(&QueryType) -> String) -> String {
+    let values: Vec<String> = script.query_types.iter().map(value).collect();
+    values.join(",")
+}
+
+fn query_type_json(t: &QueryType) -> String {
+    let repeat = match t.repeats {
+        Repeats::Idempotent => "repeatable",
+        Repeats::Tokened => "by_key",
+        Repeats::NonIdempotent => "once",
+    };
+    let group = if t.any_holder { "all" } else { "one" };
+    format!(
+        concat!(
+            r#"{{"name":"{}","aimMs":{},"giveUpMs":{},"repeat":"{}","#,
+            r#""memorySpanMs":{},"group":"{}"}}"#
+        ),
+        t.name,
+        t.latency_target * MILLISECONDS,
+        t.client_timeout * MILLISECONDS,
+        repeat,
+        t.window * MILLISECONDS,
+        group
+    )
+}
+
+/// The guarantees, as the members of a JSON object.
+fn guarantees_json(settings: &Settings) -> String {
+    let cold = settings.cold.as_ref().map_or(String::new(), |c| {
+        format!(
+            r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
+            c.multiple,
+            c.window * MILLISECONDS,
+            c.from,
+            c.time * MILLISECONDS
+        )
+    });
+    let budget = settings.budget.as_ref().map_or(String::new(), |b| {
+        format!(
+            r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#,
+            b.share,
+            b.window * MILLISECONDS,
+            b.free
+        )
+    });
+    let drain_grace = settings.drain_grace * MILLISECONDS;
+    format!(r#""drainGraceMs":{drain_grace}{cold}{budget}"#)
+}
+
+/// The limits, as the members of a JSON object.
+fn limits_json(script: &Script) -> String {
+    let s = &script.settings;
+    format!(
+        r#""attemptsCap":{},"cancelling":{},
+"mayDuplicate":{},"streamsPerConn":{},"idleCloseMs":{},"connectTimeoutMs":{},"retryAfter":{},
+"maxRetryAfterMs":2000,"peers":{}"#,
+        s.attempts,
+        s.cancelling,
+        s.hedging,
+        s.streams,
+        s.idle_close * MILLISECONDS,
+        s.connect_timeout * MILLISECONDS,
+        s.retry_after,
+        script.peers.is_some(),
+    )
+}
+
+/// The settings of a co-ordinator, in the JSON of its configuration.
+fn settings_json(script: &Script, n: usize) -> String {
+    let (s, f) = (&script.settings, &script.fleet);
+    let zones: Vec<String> = (0..f.zones).map(|z| format!(r#""z{z}""#)).collect();
+    format!(
+        r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{n},"zone":{},
+"domain":{{"sets":{},"span":{},"slices":{},"perCall":{},
+"classNeed":[{}],"classFloor":[{}],"classFetch":[{}]}},"limits":{{{}}},"clients":{{"marksRetry":{}}},
+"guarantees":{{{}}},
+"tenants":[{{"name":"acme","share":1.0}}],"requestClasses":[{}]}}"#,
+        f.co_ordinators,
+        zones.join(","),
+        n % f.zones,
+        f.cells,
+        f.span,
+        f.shards,
+        s.per_call,
+        of_query_types(script, |t| t.need.to_string()),
+        of_query_types(script, |t| t.floor.to_string()),
+        of_query_types(script, |t| t.fetch.to_string()),
+        limits_json(script),
+        s.marks_repeats,
+        guarantees_json(s),
+        of_query_types(script, query_type_json),
+    )
+}
+
+/// The addresses that a co-ordinator's configuration names.
+pub struct CoordinatorAddresses {
+    /// Where it accepts clients.
+    pub listen: SocketAddr,
+    /// Where its discovery agent listens.
+    pub discovery: SocketAddr,
+    /// Where it receives datagrams of its peers; none where it doesn't.
+    pub peer_listen: Option<SocketAddr>,
+    /// Where each co-ordinator of the tier receives datagrams, itself included.
+    pub peers: Vec<SocketAddr>,
+}
+
+/// The configuration of one co-ordinator, as its file would have it. `known` is the JSON of the endpoint list
+/// that it knows from the start.
+pub fn configuration(
+    script: &Script,
+    n: usize,
+    at: &CoordinatorAddresses,
+    seed: u64,
+    known: &str,
+) -> String {
+    let peers: Vec<String> = at.peers.iter().map(|p| format!(r#""{p}""#)).collect();
+    let listen = at
+        .peer_listen
+        .map_or(String::new(), |l| format!(r#""peer_listen":"{l}","#));
+    format!(
+        r#"{{"name":"n{n}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
+"limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"known":{known},"settings":{}}}"#,
+        at.listen,
+        at.discovery,
+        peers.join(","),
+        script.settings.descriptors,
+        settings_json(script, n)
+    )
+}
--- /dev/null
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -0,0 +1,103 @@
+//! Heartbeats: what this member reports of itself, and what it does on those of others.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use super::{MAX_STATE_REQUEST_INTERVAL, Member};
+use crate::failure_domain::FailureDomain;
+use crate::message::{Body, Heartbeat};
+use crate::view::MemberId;
+
+impl Member {
+    /// Whether this member may be in a chain.
+    pub(crate) fn can_replicate(&self) -> bool {
+        self.is_disk_healthy && !self.is_leaving
+    }
+
+    /// Zone and region of a member, this one included.
+    pub(crate) fn failure_domain_of(&self, member: MemberId) -> FailureDomain {
+        if member == self.id {
+            self.failure_domain
+        } else {
+            self.peers.failure_domain(member)
+        }
+    }
+
+    /// Whether a voter is heard. The voters of epoch 0 are known by address only.
+    pub(super) fn hears_voter(&self, now: Duration, voter: MemberId) -> bool {
+        if self.durable.view.epoch == 0 {
+            return voter.address == self.id.address
+                || self.peers.is_bootstrapping(now, voter.address);
+        }
+        self.peers.is_heard(now, voter)
+    }
+
+    /// A heartbeat to the member at `to`.
+    pub(super) fn heartbeat(&self, now: Duration, to: SocketAddrV4) -> Body {
+        Body::Heartbeat(Heartbeat {
+            sent: self.peers.heartbeat_time(now),
+            echo: self.peers.echo_for(to),
+            can_replicate: self.can_replicate(),
+            leaving: self.is_leaving,
+            bootstrap: self.durable.bootstrap,
+            failure_domain: self.failure_domain,
+            committed: self.published.stamp,
+            hears: self.peers.heard_members(now),
+        })
+    }
+
+    /// Sends a heartbeat to every member that should hear from this one.
+    pub(super) fn broadcast_heartbeat(&mut self, now: Duration) {
+        for address in self.heartbeat_addresses(now) {
+            let heartbeat = self.heartbeat(now, address);
+            self.send_now(address, heartbeat);
+        }
+    }
+
+    /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while
+    /// this member is no voter or isn't in contact with a majority.
+    pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
+        let view = &self.durable.view;
+        let mut addresses: Vec<SocketAddrV4> =
+            view.voters.iter().map(|voter| voter.address).collect();
+        let is_in_view = view.voters.contains(&self.id);
+        if is_in_view || view.epoch == 0 {
+            addresses.extend(
+                self.peers
+                    .heard_members(now)
+                    .iter()
+                    .map(|peer| peer.address),
+            );
+        }
+        if view.epoch == 0 || !self.is_in_contact_with_majority(now) || !is_in_view {
+            addresses.extend_from_slice(&self.seeds);
+        }
+        addresses.sort();
+        addresses.dedup();
+        addresses.retain(|&address| address != self.id.address);
+        addresses
+    }
+
+    /// Records a heartbeat, and requests the committed state if the sender has a newer one.
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        heartbeat: &Heartbeat,
+    ) {
+        self.peers.record_heartbeat(now, from, heartbeat);
+        // A member that doesn't hear this one can't answer, and a request to it would delay the next one.
+        let can_answer = self.peers.is_in_contact(now, from);
+        #[cfg(feature = "mutations")]
+        let can_answer =
+            can_answer || self.is_mutated(crate::mutations::Mutation::StateFromTheDeaf);
+        let is_behind =
+            can_answer && heartbeat.committed > self.published.stamp && !self.is_active();
+        if is_behind && now >= self.next_state_request {
+            self.next_state_request = now + self.state_request_interval;
+            self.state_request_interval =
+                (2 * self.state_request_interval).min(MAX_STATE_REQUEST_INTERVAL);
+            self.send_now(from.address, Body::RequestState);
+        }
+    }
+}
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -1,23 +1,39 @@
-//! One core machine: joins the decisions of the other modules.
+//! One core machine: combines Paxos, chain replication and failure detection.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | in the chain, active | promise on the next view | sealed: takes nothing of the epoch |
+//! | in the chain, active | promises in the instance of its epoch | sealed: takes no writes of the epoch |
 //! | sealed | the next view is decided | head: active; in the chain: waits for predecessor; else outside |
 //! | waits for its predecessor | its state is the predecessor's, or was transferred | active |
-//! | outside the chain | a view takes it in | waits for its predecessor |
+//! | outside the chain | a view adds it | waits for its predecessor |
 //!
-//! Messages that promise something durable leave only once every record before them is synced.
+//! A message that promises something durable leaves only once every record before it is synced.
+//!
+//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `paxos`
+//! is the acceptor and sends the proposer's messages, `proposals` and `view_selection` decide when to propose
+//! and which view, `installation` installs a decided view, `propagation` and `head` replicate, `heartbeats`
+//! and `quorum_contact` watch the others, `departure` says when a process that is shutting down may exit,
+//! `dispatch` dispatches messages and defers those that wait for a sync, `steps` is for exhaustive searches.
+//! `options`, `io` and `status` have the types of the member's settings, inputs, outputs and status.
 
-mod chain;
-mod contact;
 mod departure;
+mod dispatch;
 mod head;
-mod messages;
-mod signs_of_life;
+mod heartbeats;
+mod installation;
+mod io;
+mod options;
+mod paxos;
+mod propagation;
+mod proposals;
+mod quorum_contact;
+mod status;
 mod steps;
-mod views;
+mod view_selection;
 
+pub use io::{Input, Output};
+pub use options::MemberOptions;
+pub use status::Status;
 pub use steps::TimedStep;
 
 use std::collections::VecDeque;
@@ -26,163 +42,116 @@
 use std::time::Duration;
 
 use crate::agreement::Proposer;
-use crate::durable::{Durable, Record};
+use crate::durable::Durable;
 use crate::election::Election;
+use crate::failure_domain::FailureDomain;
 use crate::message::{Body, Envelope};
 use crate::peers::Peers;
-use crate::plan::{Place, Policy, Tolerance};
+use crate::policy::Policy;
 use crate::replication::Replication;
-use crate::requests::{Reply, Request, RequestId, WaitingRequests};
+use crate::requests::PendingRequests;
 use crate::state::ControlState;
-use crate::view::{MemberId, View};
+use crate::view::MemberId;
 
 pub use departure::Departure;
 use departure::Leaving;
 
-/// Interval between two signs of life.
-pub(crate) const PING_INTERVAL: Duration = Duration::from_millis(200);
-/// A tick that comes so much after the last one tells that this process stood still.
-const STANDSTILL: Duration = Duration::from_millis(450);
-/// Pause between two requests for the committed state. It doubles while no state comes, up to
-/// [`LONGEST_STATE_REQUEST_PAUSE`]: a state may be long under way.
-const STATE_REQUEST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause between two requests for the committed state.
-const LONGEST_STATE_REQUEST_PAUSE: Duration = Duration::from_millis(2400);
-
-/// What a member is told.
-#[derive(Clone, Debug)]
-pub struct MemberOptions {
-    /// Internal address of this machine.
-    pub address: SocketAddrV4,
-    /// Internal addresses of the seeds.
-    pub seeds: Vec<SocketAddrV4>,
-    /// What may be lost at once.
-    pub tolerance: Tolerance,
-    /// Where this machine stands.
-    pub place: Place,
-    /// Seed of the random waits.
-    pub random_seed: u64,
-}
+/// Interval between heartbeats to the same member.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// A gap between two ticks that is longer than this shows that the process was stalled.
+const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(450);
+/// First interval between requests for the committed state. It doubles while no state arrives, up to
+/// [`MAX_STATE_REQUEST_INTERVAL`], since a state may be in flight for long.
+const MIN_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest interval between requests for the committed state.
+const MAX_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(2400);
 
-/// What happens to a member.
+/// A message that waits until a record is synced.
 #[derive(Clone, Debug)]
-pub enum Input {
-    /// Time has passed; see [`Member::next_wake`].
-    Tick,
-    /// A message came.
-    Message(Envelope),
-    /// A request came.
-    Request(RequestId, Request),
-    /// The caller of a request has gone.
-    Cancel(RequestId),
-    /// Every record up to this number is synced.
-    Persisted(u64),
-    /// Whether the disk syncs in time.
-    DiskHealth { is_healthy: bool },
-    /// The settings name other seeds.
-    Seeds(Vec<SocketAddrV4>),
-    /// This process is stopping.
-    Leave,
+struct DeferredMessage {
+    /// Number of the record that must be synced first.
+    after_record: u64,
+    to: MemberId,
+    body: Body,
 }
 
-/// What the driver does.
-#[derive(Clone, Debug)]
-pub enum Output {
-    /// Append the record and sync; then say [`Input::Persisted`] with its number.
-    Persist { number: u64, record: Record },
-    /// Send a message, best effort.
-    Send {
-        to: SocketAddrV4,
-        envelope: Envelope,
-    },
-    /// Answer a request.
-    Reply { id: RequestId, reply: Reply },
-    /// A newer state is committed.
-    Committed(Arc<ControlState>),
-    /// Another view is in force.
-    ViewInstalled(View),
-}
-
-/// What a member knows of the core.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
-    pub epoch: u64,
-    pub head: Option<MemberId>,
-    pub is_head: bool,
-    pub in_chain: bool,
-    /// Whether this member is in contact with a majority of the voters, and since then has had every state
-    /// that one of them knew to be committed.
-    pub in_quorum: bool,
-    /// Internal addresses of the voters.
-    pub voters: Vec<SocketAddrV4>,
-    /// Internal addresses of the core machines that are known, this one included.
-    pub members: Vec<SocketAddrV4>,
-}
-
-/// One core machine.
+/// One core machine, without I/O and without a clock.
+///
+/// The driver calls [`handle`](Self::handle) for every [`Input`] and at the latest at
+/// [`next_wake`](Self::next_wake), and must carry out every [`Output`] in order. Times are durations since
+/// any fixed origin and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(crate) id: MemberId,
     pub(crate) seeds: Vec<SocketAddrV4>,
     pub(crate) policy: Policy,
-    place: Place,
+    failure_domain: FailureDomain,
+    /// The durable state with every record, synced or not.
     pub(crate) durable: Durable,
     pub(crate) peers: Peers,
     pub(crate) proposer: Proposer,
     pub(crate) election: Election,
+    /// Replication in the current epoch; replaced with every view.
     pub(crate) replication: Replication,
-    waiting: WaitingRequests,
+    /// Requests to this member as head; empty at every other member.
+    pending_requests: PendingRequests,
+    /// The newest committed state that this member knows. Its stamp never decreases.
     published: Arc<ControlState>,
+    /// Session of this member's barriers, drawn anew with every view. Never 0.
     barrier_session: u64,
-    /// Since it came into contact with a majority, this member has had what was committed then.
+    /// Whether this member has had, since it came into contact with a majority, every state that was
+    /// committed then.
     is_caught_up: bool,
     pub(crate) is_disk_healthy: bool,
     pub(crate) is_leaving: bool,
     leaving: Leaving,
+    /// Number of the last record; rises by one with each.
     record_number: u64,
+    /// Every record up to this number is synced. Never above `record_number`.
     synced_number: u64,
-    /// Messages that wait for the sync of a record.
-    deferred: VecDeque<(u64, MemberId, Body)>,
-    /// Messages of this member to itself.
+    /// Messages that wait for the sync of a record, in ascending order of record numbers.
+    deferred: VecDeque<DeferredMessage>,
+    /// Messages of this member to itself, handled before [`handle`](Self::handle) returns.
     loopback: VecDeque<Envelope>,
+    /// What [`handle`](Self::handle) is to return.
     outputs: Vec<Output>,
     last_tick: Duration,
-    next_ping: Duration,
-    /// When the committed state may be asked for again.
+    next_heartbeat: Duration,
+    /// When the committed state may be requested again.
     next_state_request: Duration,
-    state_request_pause: Duration,
+    state_request_interval: Duration,
     random: oorandom::Rand64,
     #[cfg(feature = "mutations")]
     mutation: Option<crate::mutations::Mutation>,
 }
 
 impl Member {
-    /// A member whose disk holds `durable`, all of it synced.
+    /// A member whose disk holds `durable`, all of it synced. Its first tick is due at once.
     pub fn new(now: Duration, options: MemberOptions, durable: Durable) -> Member {
         let id = MemberId {
             address: options.address,
             identity: durable.identity,
         };
         let mut random = oorandom::Rand64::new(u128::from(options.random_seed));
-        // Names this life of the process in its signs of life, and its first term as head in its barriers.
-        let session = random.rand_u64() | 1;
+        // The incarnation in heartbeats, and the session of the first barriers.
+        let incarnation = random.rand_u64() | 1;
         let replication = Replication::new(durable.active_epoch, &durable.state);
         let mut proposer = Proposer::default();
         if let Some(promise) = durable.promise {
-            proposer.saw(promise.ballot);
+            proposer.observe_ballot(promise.ballot);
         }
         Member {
             id,
             seeds: options.seeds,
             policy: Policy::tolerating(options.tolerance),
-            place: options.place,
-            peers: Peers::new(id, session, now),
+            failure_domain: options.failure_domain,
+            peers: Peers::new(id, incarnation, now),
             proposer,
             election: Election::new(now),
             replication,
-            waiting: WaitingRequests::default(),
+            pending_requests: PendingRequests::default(),
             published: Arc::new(ControlState::default()),
-            barrier_session: session,
+            barrier_session: incarnation,
             is_caught_up: false,
             is_disk_healthy: true,
             is_leaving: false,
@@ -193,9 +162,9 @@
             loopback: VecDeque::new(),
             outputs: Vec::new(),
             last_tick: now,
-            next_ping: now,
+            next_heartbeat: now,
             next_state_request: Duration::ZERO,
-            state_request_pause: STATE_REQUEST_PAUSE,
+            state_request_interval: MIN_STATE_REQUEST_INTERVAL,
             random,
             #[cfg(feature = "mutations")]
             mutation: None,
@@ -203,9 +172,9 @@
         }
     }
 
-    /// Switches a defence off.
+    /// Switches a safeguard off. Must be called before the first input.
     #[cfg(feature = "mutations")]
-    pub fn mutation(&mut self, mutation: crate::mutations::Mutation) {
+    pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
         if mutation == crate::mutations::Mutation::DigestsForgotten {
             self.durable.state.taken.clear();
@@ -214,7 +183,7 @@
     }
 
     #[cfg(feature = "mutations")]
-    fn has_mutation(&self, mutation: crate::mutations::Mutation) -> bool {
+    fn is_mutated(&self, mutation: crate::mutations::Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
@@ -223,7 +192,8 @@
         self.id
     }
 
-    /// What the disk holds once every record is synced; the snapshot from which a restart may begin.
+    /// What the disk holds once every record is synced. A snapshot of it may replace the log up to the last
+    /// record.
     pub fn durable(&self) -> &Durable {
         &self.durable
     }
@@ -233,37 +203,14 @@
         &self.published
     }
 
-    /// The state with every write that this head has taken, committed or not.
+    /// The state with every write that this member has taken, committed or not.
     pub fn latest(&self) -> &ControlState {
         &self.durable.state
     }
 
-    pub fn status(&self, now: Duration) -> Status {
-        let view = &self.durable.view;
-        let mut members: Vec<SocketAddrV4> = self
-            .peers
-            .heard_lately(now)
-            .iter()
-            .map(|peer| peer.address)
-            .collect();
-        members.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
-        members.extend(view.voters.iter().map(|voter| voter.address));
-        members.sort();
-        members.dedup();
-        Status {
-            epoch: view.epoch,
-            head: view.head(),
-            is_head: self.is_serving_head(),
-            in_chain: view.chain.contains(&self.id),
-            in_quorum: self.is_in_quorum(now),
-            voters: view.voters.iter().map(|voter| voter.address).collect(),
-            members,
-        }
-    }
-
-    /// When [`Input::Tick`] is wanted next.
+    /// When [`Input::Tick`] must be handled next. Changes with every input.
     pub fn next_wake(&self) -> Duration {
-        let mut wake = self.next_ping;
+        let mut wake = self.next_heartbeat;
         let majority = self.durable.view.majority();
         if let Some(election) = self.election.next_wake(&self.proposer, majority) {
             wake = wake.min(election);
@@ -283,16 +230,16 @@
         wake
     }
 
-    /// Takes an input; gives back what is to be done, in order.
+    /// Handles an input. Returns what the driver must do, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        self.wake_from_standstill(now);
+        self.recover_from_stall(now);
         self.update_contact(now);
         match input {
             Input::Tick => self.tick(now),
             Input::Message(envelope) => self.receive(now, envelope),
-            Input::Request(id, request) => self.take_request(now, id, request),
-            Input::Cancel(id) => self.waiting.cancel(id),
-            Input::Persisted(through) => self.synced(now, through),
+            Input::Request(id, request) => self.handle_request(now, id, request),
+            Input::Cancel(id) => self.pending_requests.cancel(id),
+            Input::Synced(through) => self.synced(now, through),
             Input::DiskHealth { is_healthy } => self.disk_health(now, is_healthy),
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Leave => self.leave(now),
@@ -300,14 +247,14 @@
         self.finish(now)
     }
 
-    /// Takes this member's messages to itself, then gives back what is to be done.
+    /// Handles this member's messages to itself, then returns the outputs.
     fn finish(&mut self, now: Duration) -> Vec<Output> {
         while let Some(envelope) = self.loopback.pop_front() {
             self.receive(now, envelope);
         }
         self.update_contact(now);
         #[cfg(feature = "mutations")]
-        if self.has_mutation(crate::mutations::Mutation::AcknowledgeBeforeSync) {
+        if self.is_mutated(crate::mutations::Mutation::AcknowledgeBeforeSync) {
             self.synced(now, self.record_number);
             while let Some(envelope) = self.loopback.pop_front() {
                 self.receive(now, envelope);
@@ -316,10 +263,10 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn wake_from_standstill(&mut self, now: Duration) {
-        if now.saturating_sub(self.last_tick) > STANDSTILL {
-            self.peers.forgive(now, self.last_tick);
-            self.election.postpone();
+    fn recover_from_stall(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_tick) > PROCESS_STALL_THRESHOLD {
+            self.peers.excuse_stall(now, self.last_tick);
+            self.election.cancel();
             self.last_tick = now;
         }
     }
@@ -327,30 +274,30 @@
     fn tick(&mut self, now: Duration) {
         self.last_tick = now;
         self.peers.expire(now);
-        if now >= self.next_ping {
-            self.next_ping = now + PING_INTERVAL;
-            self.ping_all(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            self.broadcast_heartbeat(now);
             if self.is_leaving {
-                self.ask_for_active_members();
+                self.request_active();
             }
         }
         self.run_election(now);
-        self.drive(now);
+        self.advance_replication(now);
     }
 
-    /// The others hear at once of a disk that stalls: this member can't open an election without it.
+    /// Reports a stalled disk to the others at once, since this member can't propose without it.
     fn disk_health(&mut self, now: Duration, is_healthy: bool) {
         let has_changed = self.is_disk_healthy != is_healthy;
         self.is_disk_healthy = is_healthy;
         if has_changed {
-            self.ping_all(now);
+            self.broadcast_heartbeat(now);
         }
     }
 
     fn leave(&mut self, now: Duration) {
         self.is_leaving = true;
         self.begin_leaving(now);
-        self.ping_all(now);
-        self.ask_for_active_members();
+        self.broadcast_heartbeat(now);
+        self.request_active();
     }
 }
--- /dev/null
+++ b/crates/tier/chain/src/member/status.rs
@@ -0,0 +1,53 @@
+//! What a member knows of the core, for operators and for the driver.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use super::Member;
+use crate::view::MemberId;
+
+/// What a member knows of the core.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Status {
+    /// Epoch of the installed view.
+    pub epoch: u64,
+    /// Head of the installed view's chain.
+    pub head: Option<MemberId>,
+    /// Whether this member is that head and takes commands.
+    pub is_head: bool,
+    /// Whether the chain contains this member.
+    pub in_chain: bool,
+    /// Whether this member is in contact with a majority of the voters and has caught up with every state
+    /// that one of them had reported as committed by then.
+    pub in_quorum: bool,
+    /// Internal addresses of the voters.
+    pub voters: Vec<SocketAddrV4>,
+    /// Internal addresses of the core machines that are known, this one included.
+    pub core_machines: Vec<SocketAddrV4>,
+}
+
+impl Member {
+    /// What this member knows of the core at `now`.
+    pub fn status(&self, now: Duration) -> Status {
+        let view = &self.durable.view;
+        let mut core_machines: Vec<SocketAddrV4> = self
+            .peers
+            .heard_members(now)
+            .iter()
+            .map(|peer| peer.address)
+            .collect();
+        core_machines.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
+        core_machines.extend(view.voters.iter().map(|voter| voter.address));
+        core_machines.sort();
+        core_machines.dedup();
+        Status {
+            epoch: view.epoch,
+            head: view.head(),
+            is_head: self.is_serving_head(),
+            in_chain: view.chain.contains(&self.id),
+            in_quorum: self.is_in_quorum(now),
+            voters: view.voters.iter().map(|voter| voter.address).collect(),
+            core_machines,
+        }
+    }
+}
--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Ballot, Body, Durable, Input, Member, MemberId, MemberOptions, Output, Place, Record,
+    Ballot, Body, Durable, FailureDomain, Input, Member, MemberId, MemberOptions, Output, Record,
     TimedStep, Tolerance, View,
 };
 
@@ -41,7 +41,7 @@
             machines: 1,
             ..Tolerance::default()
         },
-        place: Place::default(),
+        failure_domain: FailureDomain::default(),
         random_seed: 1,
     };
     Member::new(NOW, options, durable)
@@ -71,7 +71,7 @@
     let outputs = member.take_step(NOW, TimedStep::Propose);
     assert_eq!(prepared(&outputs), None);
     let last = records(&outputs).last().expect("the own promise").0;
-    let outputs = member.handle(NOW, Input::Persisted(last));
+    let outputs = member.handle(NOW, Input::Synced(last));
     assert!(prepared(&outputs).is_some());
 }
 
@@ -80,16 +80,16 @@
     let mut durable = disk();
     let mut member = head(durable.clone());
     let outputs = member.take_step(NOW, TimedStep::Propose);
-    // The disk gets the record, and the process ends right after the ballot is told.
+    // The disk gets the record, and the process exits right after the ballot is sent.
     for (_, record) in records(&outputs) {
         durable.apply(&record);
     }
     let last = records(&outputs).last().expect("the own promise").0;
-    let first = prepared(&member.handle(NOW, Input::Persisted(last))).expect("a ballot");
+    let first = prepared(&member.handle(NOW, Input::Synced(last))).expect("a ballot");
 
     let mut member = head(durable);
     let outputs = member.take_step(NOW, TimedStep::Propose);
     let last = records(&outputs).last().expect("the own promise").0;
-    let second = prepared(&member.handle(NOW, Input::Persisted(last))).expect("a ballot");
+    let second = prepared(&member.handle(NOW, Input::Synced(last))).expect("a ballot");
     assert!(second > first);
 }
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -1,28 +1,29 @@
-//! Faults from a seed, within what a core has to bear.
+//! Faults from a seed, within what a core must tolerate.
 
 use std::time::Duration;
 
+use super::event::Event;
 use super::history::Violation;
 use super::stops;
-use super::world::{Event, InjectedBug, World};
+use super::world::{InjectedBug, World};
 
-/// A machine counts as lost for so long after its return.
-pub const CATCH_UP: Duration = Duration::from_millis(4100);
-/// Longest pause between two faults.
-const PAUSE: Duration = Duration::from_millis(1500);
+/// Time after its return for which a machine still counts as lost.
+pub(crate) const CATCH_UP: Duration = Duration::from_millis(4100);
+/// Longest interval between two faults.
+const MAX_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Longest time that a whole state takes, as one of 4 MB does on a slow link.
-const LONGEST_TRANSFER: Duration = Duration::from_millis(400);
+/// Longest time that a transfer of the state takes, as one of 4 MB does on a slow link.
+const MAX_TRANSFER_TIME: Duration = Duration::from_millis(400);
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     Kill,
     PowerLoss,
     Wipe,
     Freeze,
-    Cut,
-    OneWayCut,
+    Partition,
+    AsymmetricPartition,
     Loss,
     SlowDisk,
     StalledDisk,
@@ -37,8 +38,8 @@
     Fault::PowerLoss,
     Fault::Wipe,
     Fault::Freeze,
-    Fault::Cut,
-    Fault::OneWayCut,
+    Fault::Partition,
+    Fault::AsymmetricPartition,
     Fault::Loss,
     Fault::SlowDisk,
     Fault::StalledDisk,
@@ -54,9 +55,9 @@
     Fault::Kill,
 ];
 
-/// A run: how many machines, what they bear, how long faults go on.
+/// A run: how many machines, what they tolerate, and for how long faults occur.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub(crate) struct Run {
     pub seed: u64,
     pub nodes: usize,
     /// Number of zones of which one may be lost; 0 if zones don't matter.
@@ -68,34 +69,34 @@
 
 /// What a run showed.
 #[derive(Debug)]
-pub struct Finding {
+pub(crate) struct Finding {
     pub violations: Vec<Violation>,
     pub acknowledged: u64,
     pub history: String,
 }
 
 /// Plays a run and checks it.
-pub fn play(run: Run) -> Finding {
+pub(crate) fn play(run: Run) -> Finding {
     let world = World::new(run.seed, run.nodes, run.zones, run.fault_tolerance, run.bug);
     play_in(world, run.length)
 }
 
 /// Plays faults for `length` in a world that has just been made, and checks it.
-pub fn play_in(world: World, length: Duration) -> Finding {
+pub(crate) fn play_in(world: World, length: Duration) -> Finding {
     play_kinds(world, length, &FAULTS)
 }
 
 /// Plays a run in which machines are stopped and replaced again and again, with a state that takes a while to
 /// be sent.
-pub fn play_planned_work(run: Run) -> Finding {
+pub(crate) fn play_planned_work(run: Run) -> Finding {
     let mut world = World::new(run.seed, run.nodes, run.zones, run.fault_tolerance, run.bug);
-    world.longest_transfer = LONGEST_TRANSFER;
+    world.longest_transfer = MAX_TRANSFER_TIME;
     play_kinds(world, run.length, &PLANNED)
 }
 
 fn play_kinds(mut world: World, length: Duration, kinds: &'static [Fault]) -> Finding {
     world.fault_kinds = kinds;
-    let first = Duration::from_millis(1500) + world.random_duration(PAUSE);
+    let first = Duration::from_millis(1500) + world.random_duration(MAX_INTERVAL);
     world.schedule(first, Event::Fault);
     let end = world.now + length;
     world.run_until(end);
@@ -138,7 +139,7 @@
 /// As many disks as may be lost are lost a moment after an acknowledgement; the others lose power.
 fn final_fault(world: &mut World) {
     world.heal();
-    let calm = world.over_at.max(world.now + CATCH_UP) + Duration::from_secs(2);
+    let calm = world.planned_work_ends_at.max(world.now + CATCH_UP) + Duration::from_secs(2);
     let deadline = calm + Duration::from_secs(3);
     world.run_until(calm);
     let before = world.history.newly_taken;
@@ -168,26 +169,26 @@
 }
 
 /// One more fault, if it may come now.
-pub fn strike(world: &mut World) {
+pub(crate) fn inject_next_fault(world: &mut World) {
     if world.are_faults_over {
         return;
     }
     let kind = world.fault_kinds[world.pick(world.fault_kinds.len())];
     let length = Duration::from_millis(50) + world.random_duration(Duration::from_millis(2500));
     if let Some(over) = planned_work(world, kind) {
-        world.over_at = world.now + over;
-        let pause = over + world.random_duration(PAUSE);
-        return world.schedule(pause, Event::Fault);
+        world.planned_work_ends_at = world.now + over;
+        let interval = over + world.random_duration(MAX_INTERVAL);
+        return world.schedule(interval, Event::Fault);
     }
     inject(world, kind, length);
     // The next fault comes when this one counts as over: machines whose links lost messages count as lost,
     // too, until they had time to catch up.
     world.schedule(length, Event::EndFault);
-    let pause = length + CATCH_UP + world.random_duration(PAUSE);
-    world.schedule(pause, Event::Fault);
+    let interval = length + CATCH_UP + world.random_duration(MAX_INTERVAL);
+    world.schedule(interval, Event::Fault);
 }
 
-/// Begins planned work, if `kind` is that; gives back when it is over.
+/// Begins planned work, if `kind` is that. Returns how long it takes.
 fn planned_work(world: &mut World, kind: Fault) -> Option<Duration> {
     match kind {
         Fault::Roll => Some(stops::roll(world)),
@@ -201,7 +202,7 @@
 
 fn inject(world: &mut World, kind: Fault, length: Duration) {
     world.trace(|| format!("fault {kind:?} for {length:?}"));
-    let struck = draw_machines(world, kind);
+    let affected = draw_machines(world, kind);
     match kind {
         Fault::KillAll => {
             for node in world.present() {
@@ -212,7 +213,7 @@
         }
         Fault::Loss => world.loss = 0.02 + 0.3 * world.random.rand_float(),
         Fault::Kill | Fault::PowerLoss | Fault::Wipe => {
-            for &node in &struck {
+            for &node in &affected {
                 if kind == Fault::Wipe {
                     world.wipe(node);
                 } else {
@@ -221,13 +222,15 @@
                 world.schedule(length, Event::Start { node });
             }
         }
-        Fault::Freeze => struck.iter().for_each(|&node| world.freeze(node, length)),
-        Fault::Cut | Fault::OneWayCut => cut(world, &struck, kind == Fault::OneWayCut),
-        Fault::SlowDisk => struck
+        Fault::Freeze => affected.iter().for_each(|&node| world.freeze(node, length)),
+        Fault::Partition | Fault::AsymmetricPartition => {
+            inject_partition(world, &affected, kind == Fault::AsymmetricPartition)
+        }
+        Fault::SlowDisk => affected
             .iter()
             .for_each(|&node| world.nodes[node].disk_factor = 30),
         Fault::Roll | Fault::Replace => {}
-        Fault::StalledDisk => struck
+        Fault::StalledDisk => affected
             .iter()
             .for_each(|&node| world.nodes[node].is_disk_stalled = true),
     }
@@ -251,8 +254,8 @@
 }
 
 /// Cuts, slow disks and losses of messages end.
-pub fn end_lasting_faults(world: &mut World) {
-    world.cuts.clear();
+pub(crate) fn end_lasting_faults(world: &mut World) {
+    world.partitioned_links.clear();
     world.loss = 0.0;
     for node in &mut world.nodes {
         node.disk_factor = 1;
@@ -260,20 +263,20 @@
     }
 }
 
-fn cut(world: &mut World, struck: &[usize], one_way: bool) {
+fn inject_partition(world: &mut World, affected: &[usize], one_way: bool) {
     let is_outward = world.chance(0.5);
-    cut_off(world, struck, one_way, is_outward);
+    partition(world, affected, one_way, is_outward);
 }
 
 /// Cuts machines off from the others, one way or both. They may be cut off already.
-pub(super) fn cut_off(world: &mut World, struck: &[usize], one_way: bool, is_outward: bool) {
-    for &node in struck {
-        for other in (0..world.nodes.len()).filter(|other| !struck.contains(other)) {
+pub(super) fn partition(world: &mut World, affected: &[usize], one_way: bool, is_outward: bool) {
+    for &node in affected {
+        for other in (0..world.nodes.len()).filter(|other| !affected.contains(other)) {
             if !one_way || is_outward {
-                world.cuts.insert((node, other));
+                world.partitioned_links.insert((node, other));
             }
             if !one_way || !is_outward {
-                world.cuts.insert((other, node));
+                world.partitioned_links.insert((other, node));
             }
         }
     }
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -1,28 +1,29 @@
-//! Processes that are told to stop, as the driver of the core role does it, and machines that are replaced.
+//! Graceful shutdown of processes, as the driver of the core role does it, and replacement of machines.
 
 use std::time::Duration;
 
 use woadreach_chain::{Departure, Input};
 
+use super::event::Event;
 use super::faults::CATCH_UP;
-use super::world::{Event, World};
+use super::world::World;
 
-/// From the order to stop to the kill.
+/// From the start of the shutdown to the kill.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// Longest wait for leave to end.
+/// Time-out of the shutdown.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(5500);
-/// Longest wait of a process that nobody can take over from.
+/// Time-out of a process from which no other can take over.
 const ALONE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often a process looks whether it may end.
+/// How often a process checks whether it may exit.
 const POLL: Duration = Duration::from_millis(50);
-/// From the end of a process to its next start.
+/// From the exit of a process to its next start.
 const RESTART: Duration = Duration::from_millis(1000);
-/// A machine is lost at most so long after others have ended.
+/// Longest time from the exit of machines to the loss of another one.
 const LOSS_AFTER_END: Duration = Duration::from_millis(60);
 
 /// What becomes of a machine whose process is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub(crate) enum Stop {
     /// It comes back with its disk.
     Roll,
     /// It is taken away together with its disk.
@@ -31,21 +32,21 @@
     RemoveThenLoss,
 }
 
-/// Tells a process to stop.
-pub fn stop(world: &mut World, node: usize, stop: Stop) {
+/// Begins the shutdown of a process.
+pub(crate) fn stop(world: &mut World, node: usize, stop: Stop) {
     if !world.is_running(node) || world.nodes[node].stop.is_some() {
         return;
     }
-    world.trace(|| format!("node {node} told to stop: {stop:?}"));
+    world.trace(|| format!("node {node} shutting down: {stop:?}"));
     world.nodes[node].stop = Some((stop, world.now));
     world.input(node, Input::Leave);
-    let life = world.nodes[node].life;
-    world.schedule(Duration::ZERO, Event::CheckStop { node, life });
+    let incarnation = world.nodes[node].incarnation;
+    world.schedule(Duration::ZERO, Event::CheckStop { node, incarnation });
 }
 
-/// Lets a process end that may, or must.
-pub fn check(world: &mut World, node: usize, life: u64) {
-    if world.nodes[node].life != life {
+/// Ends a process that may or must exit.
+pub(crate) fn check(world: &mut World, node: usize, incarnation: u64) {
+    if world.nodes[node].incarnation != incarnation {
         return;
     }
     let Some((stop, since)) = world.nodes[node].stop else {
@@ -66,7 +67,7 @@
     if may_end {
         end(world, node, stop);
     } else {
-        world.schedule(POLL, Event::CheckStop { node, life });
+        world.schedule(POLL, Event::CheckStop { node, incarnation });
     }
 }
 
@@ -97,8 +98,8 @@
 }
 
 /// Replaces `count` machines: the new ones come first, and have their time; then the old ones are stopped at
-/// once. Gives back how long it may take until a further fault may strike.
-pub fn replace(world: &mut World, count: usize) -> Duration {
+/// once. Returns the time until a further fault may occur.
+pub(crate) fn replace(world: &mut World, count: usize) -> Duration {
     let old = draw(world, count);
     for _ in &old {
         world.add();
@@ -116,7 +117,7 @@
 }
 
 /// Stops machines one after the other, each once the last one is back; or all of them at once.
-pub fn roll(world: &mut World) -> Duration {
+pub(crate) fn roll(world: &mut World) -> Duration {
     let is_at_once = world.chance(0.2);
     let gap = if is_at_once {
         Duration::ZERO
@@ -142,8 +143,8 @@
     let mut present = world.present();
     let mut drawn = Vec::new();
     while drawn.len() < count && !present.is_empty() {
-        let place = world.pick(present.len());
-        drawn.push(present.swap_remove(place));
+        let index = world.pick(present.len());
+        drawn.push(present.swap_remove(index));
     }
     drawn
 }
--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -1,48 +1,58 @@
-//! Committed state of the core, as discovery tells it to the data plane.
+//! Committed state of the core, as discovery sends it to the data plane.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use bytes::Bytes;
 use tokio::sync::watch;
-use woadreach_discovery::{CommittedState, ViewSummary};
+use woadreach_discovery::{CommittedState, CommittedValue, ViewSummary};
 
 use crate::member_driver::MemberDriver;
 
-/// What this core machine's member has published.
-pub struct PublishedState {
+/// The committed state that this machine's member has published, for discovery.
+pub struct MemberCommittedState {
     driver: Arc<MemberDriver>,
 }
 
-impl PublishedState {
-    pub fn new(driver: Arc<MemberDriver>) -> PublishedState {
-        PublishedState { driver }
+impl MemberCommittedState {
+    /// Reads the state of the member that `driver` runs.
+    pub fn new(driver: Arc<MemberDriver>) -> MemberCommittedState {
+        MemberCommittedState { driver }
     }
 }
 
-impl CommittedState for PublishedState {
+impl CommittedState for MemberCommittedState {
     fn view(&self) -> ViewSummary {
         let status = self.driver.status();
-        let members = status.members.into_iter().map(SocketAddr::V4).collect();
+        let core_machines = status
+            .core_machines
+            .into_iter()
+            .map(SocketAddr::V4)
+            .collect();
         let voters = status.voters.into_iter().map(SocketAddr::V4).collect();
         ViewSummary {
             epoch: status.epoch,
             in_quorum: status.in_quorum,
             voters,
-            members,
+            core_machines,
         }
     }
 
-    fn configuration(&self) -> Option<(u64, Bytes)> {
+    fn configuration(&self) -> Option<CommittedValue> {
         let state = self.driver.published();
         let stored = state.configuration.as_ref()?;
-        Some((stored.generation, stored.body.0.clone()))
+        Some(CommittedValue {
+            version: stored.generation,
+            bytes: stored.body.0.clone(),
+        })
     }
 
-    fn storage_view(&self) -> Option<(u64, Bytes)> {
+    fn storage_view(&self) -> Option<CommittedValue> {
         let state = self.driver.published();
         let stored = state.storage_view.as_ref()?;
-        Some((stored.epoch, stored.bytes.0.clone()))
+        Some(CommittedValue {
+            version: stored.epoch,
+            bytes: stored.bytes.0.clone(),
+        })
     }
 
     fn changed(&self) -> watch::Receiver<u64> {
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,73 +1,74 @@
-//! Decisions of the client side: which core machines to poll when, and what to make of their answers.
+//! Decisions of the client side, without I/O: which core machines to poll when, and how to merge their
+//! answers.
 //!
-//! Up to [`POLLED_MACHINES`](crate::selection::POLLED_MACHINES) machines are polled at once. A machine that
-//! does not answer is asked again with backoff, and the next by rank takes its place meanwhile; so it does
-//! beside a machine that answers, but is cut off from the core's majority. Ranks follow from the process's
-//! own name, so that the processes spread over the core machines. A process that hears no machine in quorum
-//! for [`LOST_AFTER`] asks every address it has heard of: members, seeds and hints.
+//! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once.
+//! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
+//! holds for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that
+//! the processes spread over the core machines. A process that has heard no machine in quorum for
+//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: members, seeds and hints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bytes::Bytes;
-
-use crate::messages::{CoreView, PollRequest, PollResponse};
-use crate::polled_machine::{BACKOFF_MIN, Machine, PollState};
+use crate::committed::CommittedValue;
+use crate::messages::{CoreView, PollRequest, PollResponse, VersionedBytes};
+use crate::polled_machine::{MIN_BACKOFF, PollState, PolledMachine};
 use crate::replica_table::ReplicaTable;
-use crate::selection::{Use, rank, select};
+use crate::selection::{MachineHealth, rank, select};
 
-/// A machine of no use that is not asked any more is tried again after this time.
-pub const RETRY_AFTER: Duration = Duration::from_millis(4000);
-/// How long a core machine waits for news.
+/// Time after which an unhealthy machine that is no longer polled may be polled again.
+pub const UNHEALTHY_RETRY_INTERVAL: Duration = Duration::from_millis(4000);
+/// How long a core machine may hold a poll open without updates.
 pub const POLL_WAIT: Duration = Duration::from_millis(1000);
-/// A poll that is not answered this long after its wait is broken.
-pub const POLL_GRACE: Duration = Duration::from_millis(700);
-/// Without an answer of a machine in quorum for this long, all known addresses are asked.
-pub const LOST_AFTER: Duration = Duration::from_millis(2000);
-/// How long a configuration may take to come at the first try; each further try gives it as much more.
+/// Time beyond [`POLL_WAIT`] after which an unanswered poll has failed.
+pub const POLL_GRACE_PERIOD: Duration = Duration::from_millis(700);
+/// Time without an answer of a machine in quorum after which all known addresses are polled.
+pub const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Time-out of the first attempt to fetch a configuration. Each further attempt has as much more.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for a configuration to come.
-pub const FETCH_TIMEOUT_MAX: Duration = Duration::from_millis(3000);
-/// How long the first complete answer waits for those of the other machines.
-pub const WARM_UP: Duration = Duration::from_millis(400);
+/// Longest time-out of an attempt to fetch a configuration.
+pub const MAX_FETCH_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long a process that has its first complete list waits for the answers of the other machines.
+pub const WARM_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What the driver is to do.
+/// What the driver has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchAction {
-    /// Poll this machine.
+    /// Poll a core machine.
     Poll {
         /// Its internal address.
         machine: SocketAddr,
-        /// The poll.
+        /// The request to send.
         request: PollRequest,
-        /// When to give up.
+        /// Time after which the call has failed.
         timeout: Duration,
     },
-    /// Fetch the configuration from this machine.
+    /// Fetch the configuration from a core machine.
     FetchConfiguration {
         /// Its internal address.
         machine: SocketAddr,
-        /// When to give up.
+        /// Time after which the call has failed.
         timeout: Duration,
     },
 }
 
-/// What has changed for the process's other parts.
+/// Which parts of the [`ControlSnapshot`](crate::ControlSnapshot) have changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchChange {
-    /// Replicas.
+    /// The registered replicas.
     pub replicas: bool,
-    /// Storage view.
+    /// The storage view.
     pub storage_view: bool,
-    /// Members of the core, or whether the process is warmed.
-    pub standing: bool,
+    /// Members of the core, the configuration, or whether the process has warmed up. Not a machine's
+    /// [`Standing`](crate::messages::Standing).
+    pub core_or_configuration: bool,
 }
 
 impl WatchChange {
     /// Whether anything has changed.
     pub fn any(self) -> bool {
-        self.replicas || self.storage_view || self.standing
+        self.replicas || self.storage_view || self.core_or_configuration
     }
 }
 
@@ -77,32 +78,34 @@
     Fetching { machine: SocketAddr, attempts: u32 },
 }
 
-/// The client side's decisions.
+/// State of the client side.
 pub struct Watcher {
     name: String,
     seeds: Vec<SocketAddr>,
     hints: Vec<SocketAddr>,
     view_epoch: u64,
     members: Vec<SocketAddr>,
-    machines: BTreeMap<SocketAddr, Machine>,
-    /// Machines of no use that are not asked, and until when.
-    set_aside: BTreeMap<SocketAddr, Duration>,
-    /// The newest generation that any machine has told.
-    newest_told: u64,
+    machines: BTreeMap<SocketAddr, PolledMachine>,
+    /// Unhealthy machines that are not polled, and until when.
+    unhealthy_until: BTreeMap<SocketAddr, Duration>,
+    /// Newest configuration generation that any machine has reported.
+    newest_reported_generation: u64,
     table: ReplicaTable,
     configuration_generation: u64,
-    storage_view: Option<(u64, Bytes)>,
+    storage_view: Option<CommittedValue>,
     fetch: FetchState,
     heard_at: Option<Duration>,
-    /// When a machine in quorum was last heard.
+    /// When a machine in quorum last answered.
     quorum_heard_at: Option<Duration>,
     started_at: Duration,
+    /// When the first complete list of a trusted machine was received.
     trusted_since: Option<Duration>,
     warmed: bool,
 }
 
 impl Watcher {
-    /// Of the process `name`, which starts at `now` and knows the internal addresses `seeds`.
+    /// The client side of the process `name`, which starts at `now` and knows the internal addresses of
+    /// `seeds`.
     pub fn new(now: Duration, name: String, seeds: Vec<SocketAddr>) -> Self {
         Self {
             name,
@@ -111,8 +114,8 @@
             view_epoch: 0,
             members: Vec::new(),
             machines: BTreeMap::new(),
-            set_aside: BTreeMap::new(),
-            newest_told: 0,
+            unhealthy_until: BTreeMap::new(),
+            newest_reported_generation: 0,
             table: ReplicaTable::default(),
             configuration_generation: 0,
             storage_view: None,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// The replicas known.
+    /// The known replicas.
     pub fn table(&self) -> &ReplicaTable {
         &self.table
     }
@@ -138,79 +141,88 @@
         &self.members
     }
 
-    /// Epoch and bytes of the storage view.
-    pub fn storage_view(&self) -> Option<&(u64, Bytes)> {
+    /// The newest storage view, versioned by its epoch.
+    pub fn storage_view(&self) -> Option<&CommittedValue> {
         self.storage_view.as_ref()
     }
 
-    /// Generation of the configuration taken last.
+    /// Generation of the newest configuration that has been fetched; 0 before the first.
     pub fn configuration_generation(&self) -> u64 {
         self.configuration_generation
     }
 
-    /// When a core machine was last heard.
+    /// When a core machine last answered.
     pub fn heard_at(&self) -> Option<Duration> {
         self.heard_at
     }
 
-    /// Whether configuration and replicas are known from a trusted core machine.
+    /// Whether configuration and replicas have been received from a trusted core machine.
     pub fn is_warmed(&self) -> bool {
         self.warmed
     }
 
-    /// Whether no core machine in quorum has answered lately.
-    pub fn is_lost(&self, now: Duration) -> bool {
-        now.saturating_sub(self.quorum_heard_at.unwrap_or(self.started_at)) >= LOST_AFTER
+    /// Whether no core machine in quorum has answered for [`QUORUM_CONTACT_TIMEOUT`].
+    pub fn is_disconnected(&self, now: Duration) -> bool {
+        now.saturating_sub(self.quorum_heard_at.unwrap_or(self.started_at))
+            >= QUORUM_CONTACT_TIMEOUT
     }
 
-    /// The settings name these seeds now.
+    /// Replaces the seeds after the settings have changed.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Other processes name these core machines.
+    /// Replaces the addresses of core machines that peer sampling has found.
     pub fn set_hints(&mut self, hints: Vec<SocketAddr>) {
         self.hints = hints;
     }
 
-    /// Everything that is to be started now.
-    pub fn act(&mut self, now: Duration) -> Vec<WatchAction> {
+    /// Starts all calls that are due at `now`. Returns them for the driver to execute.
+    pub fn start_due_calls(&mut self, now: Duration) -> Vec<WatchAction> {
         let wanted = self.wanted_machines(now);
         self.drop_unwanted(now, &wanted);
-        let mut actions = Vec::new();
-        for address in wanted {
-            let machine = self
-                .machines
-                .entry(address)
-                .or_insert_with(|| Machine::new(now));
-            let PollState::Idle { next_at } = machine.state else {
-                continue;
-            };
-            if next_at > now {
-                continue;
-            }
-            machine.state = PollState::Polling { since: now };
-            let request = PollRequest {
-                configuration_generation: self
-                    .configuration_generation
-                    .max(machine.configuration_told),
-                view_epoch: self.view_epoch,
-                storage_epoch: self.storage_view.as_ref().map_or(0, |(epoch, _)| *epoch),
-                registry: self.table.version(address),
-                standing: machine.standing,
-                wait_ms: POLL_WAIT.as_millis() as u32,
-            };
-            actions.push(WatchAction::Poll {
-                machine: address,
-                request,
-                timeout: POLL_WAIT + POLL_GRACE,
-            });
-        }
-        actions.extend(self.fetch_action(now));
+        let mut actions: Vec<WatchAction> = wanted
+            .into_iter()
+            .filter_map(|address| self.start_poll(now, address))
+            .collect();
+        actions.extend(self.start_fetch(now));
         actions
     }
 
-    /// When [`act`](Self::act) has something to do without any answer having come.
+    /// Starts the poll of the machine at `address` if it is due.
+    fn start_poll(&mut self, now: Duration, address: SocketAddr) -> Option<WatchAction> {
+        let storage_epoch = self.storage_epoch();
+        let machine = self
+            .machines
+            .entry(address)
+            .or_insert_with(|| PolledMachine::new(now));
+        match machine.state {
+            PollState::Idle { next_at } if next_at <= now => {}
+            _ => return None,
+        }
+        machine.state = PollState::Polling { since: now };
+        let request = PollRequest {
+            configuration_generation: self
+                .configuration_generation
+                .max(machine.reported_generation),
+            view_epoch: self.view_epoch,
+            storage_epoch,
+            registry: self.table.version(address),
+            standing: machine.standing,
+            wait_ms: POLL_WAIT.as_millis() as u32,
+        };
+        Some(WatchAction::Poll {
+            machine: address,
+            request,
+            timeout: POLL_WAIT + POLL_GRACE_PERIOD,
+        })
+    }
+
+    fn storage_epoch(&self) -> u64 {
+        self.storage_view.as_ref().map_or(0, |view| view.version)
+    }
+
+    /// When the next call is due if no answer arrives before; `None` if no call is scheduled.
     pub fn next_wake(&self) -> Option<Duration> {
         let polls = self
             .machines
@@ -220,13 +232,13 @@
                 PollState::Polling { .. } => None,
             });
         let fetch = match self.fetch {
-            FetchState::Idle { next_at, .. } if self.is_told_newer() => Some(next_at),
+            FetchState::Idle { next_at, .. } if self.has_newer_configuration() => Some(next_at),
             _ => None,
         };
         polls.chain(fetch).min()
     }
 
-    /// `machine` has answered its poll.
+    /// Merges the answer of `machine` to a poll. Returns what has changed.
     pub fn poll_answered(
         &mut self,
         now: Duration,
@@ -237,45 +249,43 @@
         let Some(entry) = self.machines.get_mut(&machine) else {
             return WatchChange::default();
         };
-        entry.answered(now, response.standing, response.configuration_generation);
-        self.newest_told = self.newest_told.max(response.configuration_generation);
+        entry.record_answer(now, response.standing, response.configuration_generation);
+        self.newest_reported_generation = self
+            .newest_reported_generation
+            .max(response.configuration_generation);
         if response.standing.in_quorum {
             self.quorum_heard_at = Some(now);
         }
         let trusted = entry.is_trusted();
         let mut change = WatchChange::default();
         if let Some(view) = response.view {
-            change.standing |= self.take_view(view);
+            change.core_or_configuration |= self.merge_view(view);
         }
         if let Some(storage_view) = response.storage_view {
-            let known = self.storage_view.as_ref().map_or(0, |(epoch, _)| *epoch);
-            if storage_view.version > known {
-                self.storage_view = Some((storage_view.version, storage_view.bytes.into()));
-                change.storage_view = true;
-            }
+            change.storage_view = self.merge_storage_view(storage_view);
         }
         change.replicas = self.table.apply(now, machine, trusted, response.registry);
         change.replicas |= self.table.sweep(now);
         if trusted && self.trusted_since.is_none() && self.table.is_complete(machine) {
             self.trusted_since = Some(now);
         }
-        change.standing |= self.update_warmed(now);
+        change.core_or_configuration |= self.update_warmed(now);
         change
     }
 
-    /// The poll of `machine` has failed.
+    /// Records that the poll of `machine` has failed. Returns what has changed.
     pub fn poll_failed(&mut self, now: Duration, machine: SocketAddr) -> WatchChange {
         if let Some(entry) = self.machines.get_mut(&machine) {
-            entry.failed(now);
+            entry.record_failure(now);
         }
         WatchChange {
-            standing: self.update_warmed(now),
+            core_or_configuration: self.update_warmed(now),
             ..WatchChange::default()
         }
     }
 
-    /// A configuration has come; `generation` is none if it could not be fetched or read. Returns whether it
-    /// is newer than the one taken last: then it is to be put in force.
+    /// Records the end of a fetch. `generation` is `None` if the configuration could not be fetched or
+    /// parsed. Returns whether the configuration is newer than the last one, and takes effect.
     pub fn configuration_fetched(&mut self, now: Duration, generation: Option<u64>) -> bool {
         let FetchState::Fetching { machine, attempts } = self.fetch else {
             return false;
@@ -294,7 +304,7 @@
             }
             None => {
                 self.fetch = FetchState::Idle {
-                    next_at: now + BACKOFF_MIN,
+                    next_at: now + MIN_BACKOFF,
                     attempts: attempts + 1,
                 };
                 if let Some(source) = self.machines.get_mut(&machine) {
@@ -306,14 +316,14 @@
         newer.is_some()
     }
 
-    /// Whether a machine that is polled has told of a newer configuration than the one taken last.
-    fn is_told_newer(&self) -> bool {
+    /// Whether a polled machine has reported a newer configuration than the last one fetched.
+    fn has_newer_configuration(&self) -> bool {
         self.machines
             .values()
-            .any(|machine| machine.configuration_told > self.configuration_generation)
+            .any(|machine| machine.reported_generation > self.configuration_generation)
     }
 
-    fn fetch_action(&mut self, now: Duration) -> Option<WatchAction> {
+    fn start_fetch(&mut self, now: Duration) -> Option<WatchAction> {
         let FetchState::Idle { next_at, attempts } = self.fetch else {
             return None;
         };
@@ -324,11 +334,11 @@
         let sources = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.configuration_told > known);
-        let order = |(address, machine): &(&SocketAddr, &Machine)| {
+            .filter(|(_, machine)| machine.reported_generation > known);
+        let order = |(address, machine): &(&SocketAddr, &PolledMachine)| {
             (
                 machine.failed_fetches,
-                machine.failures,
+                machine.consecutive_failures,
                 rank(&self.name, **address),
             )
         };
@@ -336,51 +346,68 @@
         self.fetch = FetchState::Fetching { machine, attempts };
         let timeout = FETCH_TIMEOUT
             .saturating_mul(attempts + 1)
-            .min(FETCH_TIMEOUT_MAX);
+            .min(MAX_FETCH_TIMEOUT);
         Some(WatchAction::FetchConfiguration { machine, timeout })
     }
 
-    fn take_view(&mut self, view: CoreView) -> bool {
+    fn merge_view(&mut self, view: CoreView) -> bool {
         if view.epoch <= self.view_epoch {
             return false;
         }
         self.view_epoch = view.epoch;
-        let members: Vec<SocketAddr> = view.members.into_iter().map(SocketAddr::from).collect();
+        let members: Vec<SocketAddr> = view
+            .core_machines
+            .into_iter()
+            .map(SocketAddr::from)
+            .collect();
         let changed = members != self.members;
         self.members = members;
         changed
     }
 
-    /// The machines to poll.
+    fn merge_storage_view(&mut self, storage_view: VersionedBytes) -> bool {
+        let is_newer = storage_view.version > self.storage_epoch();
+        if is_newer {
+            self.storage_view = Some(CommittedValue {
+                version: storage_view.version,
+                bytes: storage_view.bytes.into(),
+            });
+        }
+        is_newer
+    }
+
+    /// The machines to poll at `now`.
     fn wanted_machines(&self, now: Duration) -> Vec<SocketAddr> {
-        let lost = self.is_lost(now);
+        let is_disconnected = self.is_disconnected(now);
         let mut known: BTreeSet<SocketAddr> = self.members.iter().copied().collect();
-        if known.is_empty() || lost {
+        if known.is_empty() || is_disconnected {
             known.extend(&self.seeds);
         }
-        if lost {
+        if is_disconnected {
             known.extend(&self.hints);
         }
         let mut ranked: Vec<SocketAddr> = known.into_iter().collect();
         ranked.sort_by_cached_key(|address| rank(&self.name, *address));
-        select(&ranked, lost, |address| self.use_of(now, *address))
+        select(&ranked, is_disconnected, |address| {
+            self.health_of(now, *address)
+        })
     }
 
-    fn use_of(&self, now: Duration, address: SocketAddr) -> Use {
-        let is_set_aside = || {
-            self.set_aside
+    fn health_of(&self, now: Duration, address: SocketAddr) -> MachineHealth {
+        let is_unhealthy = || {
+            self.unhealthy_until
                 .get(&address)
                 .is_some_and(|until| *until > now)
         };
         match self.machines.get(&address) {
-            Some(machine) => machine.use_of(),
-            None if is_set_aside() => Use::None,
-            None => Use::Untried,
+            Some(machine) => machine.health(),
+            None if is_unhealthy() => MachineHealth::Unhealthy,
+            None => MachineHealth::Unknown,
         }
     }
 
     fn drop_unwanted(&mut self, now: Duration, wanted: &[SocketAddr]) {
-        self.set_aside.retain(|_, until| *until > now);
+        self.unhealthy_until.retain(|_, until| *until > now);
         let dropped: Vec<SocketAddr> = self
             .machines
             .keys()
@@ -388,15 +415,17 @@
             .copied()
             .collect();
         for address in dropped {
-            if self.use_of(now, address) == Use::None {
-                self.set_aside.insert(address, now + RETRY_AFTER);
+            if self.health_of(now, address) == MachineHealth::Unhealthy {
+                self.unhealthy_until
+                    .insert(address, now + UNHEALTHY_RETRY_INTERVAL);
             }
             self.machines.remove(&address);
             self.table.forget_machine(address);
         }
     }
 
-    /// Warmed is final: the process has had a whole and current state once.
+    /// Updates whether the process has warmed up: it has had a complete and current state once. Returns
+    /// whether it has done so now.
     fn update_warmed(&mut self, now: Duration) -> bool {
         let Some(trusted_since) = self.trusted_since else {
             return false;
@@ -404,9 +433,9 @@
         if self.warmed || self.configuration_generation == 0 {
             return false;
         }
-        let current = self.configuration_generation >= self.newest_told;
-        let all_answered = self.machines.values().all(|machine| machine.answered);
-        let waited = now.saturating_sub(trusted_since) >= WARM_UP;
+        let current = self.configuration_generation >= self.newest_reported_generation;
+        let all_answered = self.machines.values().all(|machine| machine.has_answered);
+        let waited = now.saturating_sub(trusted_since) >= WARM_UP_TIMEOUT;
         self.warmed = current && (all_answered || waited);
         self.warmed
     }
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -268,12 +268,12 @@
             return;
         }
         tracing::debug!(request = %self.client.metadata.request_id, attempt = number, %replica, "attempt sent");
-        let max_conns = routing_state.max_conns(&record.service);
+        let max_conns = routing_state.max_conns(&record.heartbeat.service);
         let params = AttemptParams {
             attempt: number,
             endpoint: ReplicaEndpoint {
                 replica,
-                address: record.address,
+                address: record.heartbeat.address,
             },
             max_connections: connections_per_edge(max_conns, self.proxy.edges()),
             deadline: (Instant::now() + duration_from_seconds(timeout)).min(self.client.deadline),
--- a/crates/tier/proxy/src/turns/store.rs
+++ b/crates/tier/proxy/src/turns/store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 use woadreach_storage::{
-    ChainError, HeldReservation, ReserveError, ReserveRequest, StorageClient, Turn, TurnKey,
+    ChainError, ReservationGuard, ReserveError, ReserveRequest, StorageClient, Turn, TurnKey,
 };
 
 /// Why a request cannot go on because of its turns or its budget.
@@ -31,7 +31,7 @@
     previous: Option<TurnKey>,
     events: Vec<Bytes>,
     /// Tokens reserved of the program's budget.
-    reservation: Option<HeldReservation>,
+    reservation: Option<ReservationGuard>,
 }
 
 impl PreparedTurn {
@@ -75,7 +75,7 @@
                     program: self.program.clone(),
                     request_id: self.request_id.clone(),
                     budget,
-                    most: u64::from(client.metadata.tokens.unwrap_or_default().output),
+                    max_tokens: u64::from(client.metadata.tokens.unwrap_or_default().output),
                 };
                 let reserve = async { store.reserve(&request).await.map(Some) };
                 tokio::join!(reserve, chain)
@@ -91,7 +91,7 @@
     pub fn add_events(&mut self, events: Vec<Event>) {
         self.token_counter.add_events(events.len());
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_given(self.token_counter.tokens());
+            reservation.set_delivered_tokens(self.token_counter.tokens());
         }
         if self.is_stored {
             self.events
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -1,46 +1,57 @@
 //! Whole storage tier on simulated time, with a simulated disk at every sync, against an oracle.
 //!
 //! One run draws a deployment, programs that take turns through several proxies, and faults within the
-//! tolerated number: kills, losses of power, wiped disks, freezes, cuts, replaced, added and retired
+//! tolerated number: kills, losses of power, wiped disks, freezes, partitions, replaced, added and retired
 //! machines.
 //! The oracle knows what was acknowledged: no such turn may be missing or differ, no budget may be overspent,
 //! and no turn that fits may be refused.
 
 mod core;
+mod event;
 mod faults;
 mod final_fault;
 mod machine;
+mod mutation;
 mod oracle;
 mod proxy;
 mod stops;
+mod violation;
 mod world;
 
 use parking_lot::Mutex;
-use world::{Mutation, World};
+
+use self::mutation::Mutation;
+use self::world::{FoundViolation, World};
 
 /// Seeds of an ordinary test run; `STORAGE_SEEDS` plays more.
 const SEEDS: u64 = 300;
 /// Seeds within which each injected bug must be found.
 const MUTATION_SEEDS: u64 = 600;
 
-fn violation(seed: u64, mutation: Mutation) -> Option<String> {
-    World::new(seed, mutation).run().err()
+/// A seed whose run breaks a guarantee.
+struct FailedSeed {
+    seed: u64,
+    violation: FoundViolation,
+}
+
+fn violation(seed: u64, mutation: Mutation) -> Option<FoundViolation> {
+    World::new(seed, mutation).run()
 }
 
-fn violation_with_final_fault(seed: u64, mutation: Mutation) -> Option<String> {
-    World::new(seed, mutation).with_final_fault().run().err()
+fn violation_with_final_fault(seed: u64, mutation: Mutation) -> Option<FoundViolation> {
+    World::new(seed, mutation).with_final_fault().run()
 }
 
 /// Plays seeds from `first` on several threads until one finds a violation.
-fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<(u64, String)> {
+fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<FailedSeed> {
     first_violation_of(first, count, |seed| violation(seed, mutation))
 }
 
 fn first_violation_of(
     first: u64,
     count: u64,
-    violation: impl Fn(u64) -> Option<String> + Sync,
-) -> Option<(u64, String)> {
+    violation: impl Fn(u64) -> Option<FoundViolation> + Sync,
+) -> Option<FailedSeed> {
     let threads = 4;
     let found = Mutex::new(None);
     std::thread::scope(|scope| {
@@ -52,7 +63,7 @@
                         return;
                     }
                     if let Some(violation) = violation(seed) {
-                        found.lock().get_or_insert((seed, violation));
+                        found.lock().get_or_insert(FailedSeed { seed, violation });
                     }
                 }
             });
@@ -71,7 +82,7 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    if let Some((seed, violation)) = first_violation(first, count, Mutation::None) {
+    if let Some(FailedSeed { seed, violation }) = first_violation(first, count, Mutation::None) {
         panic!("seed {seed}: {violation}");
     }
 }
@@ -88,7 +99,7 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     let violation = |seed| violation_with_final_fault(seed, Mutation::None);
-    if let Some((seed, violation)) = first_violation_of(first, count, violation) {
+    if let Some(FailedSeed { seed, violation }) = first_violation_of(first, count, violation) {
         panic!("seed {seed}: {violation}");
     }
 }
@@ -97,7 +108,7 @@
 fn bugs_that_a_final_fault_brings_out_are_found() {
     for mutation in [
         Mutation::EndBeforeSync,
-        Mutation::OneCopyTooFew,
+        Mutation::OneReplicaTooFew,
         Mutation::ReservationInMemory,
     ] {
         let violation = |seed| violation_with_final_fault(seed, mutation);
@@ -123,8 +134,8 @@
 }
 
 #[test]
-fn one_copy_too_few_is_found() {
-    assert_found(Mutation::OneCopyTooFew, 0);
+fn one_replica_too_few_is_found() {
+    assert_found(Mutation::OneReplicaTooFew, 0);
 }
 
 #[test]
@@ -148,6 +159,6 @@
 }
 
 #[test]
-fn a_machine_that_ends_as_soon_as_it_is_told_to_stop_is_found() {
-    assert_found(Mutation::StopsAtOnce, 0);
+fn a_machine_that_exits_without_waiting_for_others_is_found() {
+    assert_found(Mutation::ExitsAtOnce, 0);
 }
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -7,20 +7,20 @@
 
 use woadreach_journal::{Engine, SimulatedDisk, Synced};
 use woadreach_storage::announce::Announcement;
-use woadreach_storage::member::{Member, Step};
-use woadreach_storage::message::{Answer, Fence, Operation, Request, Response};
+use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Response};
+use woadreach_storage::node::{Step, StorageNode};
 use woadreach_storage::pull::Pull;
 use woadreach_storage::{StorageMember, StorageView};
 
 /// The only moment of the search.
 const NOW: Duration = Duration::ZERO;
-const MOST_BYTES: u64 = 1 << 20;
+const MAX_BYTES: u64 = 1 << 20;
 
 /// A machine in one life of its process. Its syncs are done at once.
 #[derive(Clone)]
-pub struct Machine {
+pub(crate) struct Machine {
     index: u8,
-    pub member: Member,
+    pub node: StorageNode,
     /// Records on the disk, oldest first.
     records: Vec<Vec<u8>>,
     /// Progress of the pull for the view that the member knows.
@@ -34,7 +34,7 @@
 }
 
 fn empty_journal() -> Engine {
-    Engine::open(Box::new(SimulatedDisk::default()), MOST_BYTES)
+    Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES)
         .expect("an empty disk")
         .0
 }
@@ -42,14 +42,14 @@
 /// The receipt of a sync, which only a journal gives.
 fn receipt() -> Synced {
     JOURNAL.with_borrow_mut(|journal| {
-        journal.commit(&[vec![0]]).unwrap_or_else(|_| {
+        journal.append_batch(&[vec![0]]).unwrap_or_else(|_| {
             *journal = empty_journal();
-            journal.commit(&[vec![0]]).expect("a healthy disk")
+            journal.append_batch(&[vec![0]]).expect("a healthy disk")
         })
     })
 }
 
-pub fn storage_member(index: u8, disk: u64) -> StorageMember {
+pub(crate) fn storage_member(index: u8, disk: u64) -> StorageMember {
     StorageMember {
         node: format!("store-{index}"),
         disk,
@@ -59,11 +59,11 @@
 }
 
 impl Machine {
-    pub fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
-        let (member, record) = Member::create(format!("store-{index}"), disk, tolerated);
+    pub(crate) fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
+        let (node, record) = StorageNode::create(format!("store-{index}"), disk, tolerated);
         Machine {
             index,
-            member,
+            node,
             records: vec![record],
             pull: None,
             digest: None,
@@ -71,23 +71,23 @@
     }
 
     /// The process starts again with what its disk has.
-    pub fn restart(&mut self, tolerated: usize) {
-        let node = self.member.node().to_owned();
-        self.member =
-            Member::recover(NOW, node, tolerated, None, &self.records).expect("its own records");
+    pub(crate) fn restart(&mut self, tolerated: usize) {
+        let node = self.node.name().to_owned();
+        self.node = StorageNode::recover(NOW, node, tolerated, None, &self.records)
+            .expect("its own records");
         self.pull = None;
         self.digest = None;
     }
 
-    pub fn identity(&self) -> StorageMember {
-        storage_member(self.index, self.member.disk())
+    pub(crate) fn identity(&self) -> StorageMember {
+        storage_member(self.index, self.node.disk())
     }
 
-    pub fn announcement(&self) -> Announcement {
+    pub(crate) fn announcement(&self) -> Announcement {
         Announcement {
             member: self.identity(),
-            pulled_epoch: self.member.pulled_epoch(),
-            leaving: false,
+            pulled_epoch: self.node.pulled_epoch(),
+            shutting_down: false,
         }
     }
 
@@ -96,93 +96,96 @@
             Step::Reply(response) => response,
             Step::Persist { record, pending } => {
                 self.records.push(record);
-                self.member.complete(pending, &receipt())
+                self.node.complete(pending, &receipt())
             }
             Step::Compact { .. } => unreachable!("no disk fails here"),
         }
     }
 
     /// The answer to a request that was sent under `epoch` to `disk`.
-    pub fn ask(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
+    pub(crate) fn request(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation,
         };
-        let step = self.member.handle(NOW, request);
+        let step = self.node.handle(NOW, request);
         let answer = self.finish(step).answer;
         self.digest = None;
         answer
     }
 
     /// The answer to a request that changes nothing.
-    pub fn look(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
+    pub(crate) fn read(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
-            fence: Fence { epoch, disk },
+            fencing_token: FencingToken { epoch, disk },
             operation,
         };
-        match self.member.clone().handle(NOW, request) {
+        match self.node.clone().handle(NOW, request) {
             Step::Reply(response) => response.answer,
             step => unreachable!("{step:?}"),
         }
     }
 
-    pub fn learn(&mut self, view: &StorageView, tolerated: usize) {
-        if let Some(step) = self.member.learn_view(view.clone()) {
+    pub(crate) fn learn(&mut self, view: &StorageView, tolerated: usize) {
+        if let Some(step) = self.node.learn_view(view.clone()) {
             let _ = self.finish(step);
-            self.pull = Some(Pull::new(view, self.member.disk(), tolerated));
+            self.pull = Some(Pull::new(view, self.node.disk(), tolerated));
         }
         self.digest = None;
     }
 
-    /// Everything that `source` has told is stored here.
-    pub fn store_pulled(&mut self, records: Vec<woadreach_storage::message::ProgramRecords>) {
+    /// Stores records that were pulled from another machine.
+    pub(crate) fn store_pulled(
+        &mut self,
+        records: Vec<woadreach_storage::message::ProgramRecords>,
+    ) {
         for records in records {
-            if let Some(step) = self.member.merge(NOW, records) {
+            if let Some(step) = self.node.merge(NOW, records) {
                 let _ = self.finish(step);
             }
         }
         self.digest = None;
     }
 
-    /// A source is done; if that was the last one needed, the pull is finished.
-    pub fn finished_source(&mut self, disk: u64) {
+    /// Records that everything of one source is stored; finishes the pull if that was the last one needed.
+    pub(crate) fn finished_source(&mut self, disk: u64) {
         let Some(pull) = &mut self.pull else { return };
-        pull.finished(disk);
+        pull.record_finished(disk);
         self.finish_pull_if_complete();
     }
 
-    pub fn finish_pull_if_complete(&mut self) {
-        let Some(pull) = self.pull.as_ref().filter(|pull| pull.complete()) else {
+    pub(crate) fn finish_pull_if_complete(&mut self) {
+        let Some(pull) = self.pull.as_ref().filter(|pull| pull.is_complete()) else {
             return;
         };
         let epoch = pull.epoch();
-        let disk = self.member.disk();
+        let disk = self.node.disk();
         let joins = self
-            .member
+            .node
             .view()
             .next
             .iter()
             .flatten()
             .any(|member| member.disk == disk);
-        if joins && self.member.pulled_epoch() < epoch {
-            let step = self.member.finish_pull(NOW, epoch);
+        if joins && self.node.pulled_epoch() < epoch {
+            let step = self.node.finish_pull(NOW, epoch);
             let _ = self.finish(step);
         }
         self.digest = None;
     }
 
-    pub fn has_digest(&self) -> bool {
+    pub(crate) fn has_digest(&self) -> bool {
         self.digest.is_some()
     }
 
-    pub fn compute_digest(&mut self) {
+    pub(crate) fn compute_digest(&mut self) {
         let mut hasher = DefaultHasher::new();
-        self.member.snapshot(NOW).hash(&mut hasher);
-        (self.member.pulled_epoch(), format!("{:?}", self.pull)).hash(&mut hasher);
+        self.node.snapshot(NOW).hash(&mut hasher);
+        (self.node.pulled_epoch(), format!("{:?}", self.pull)).hash(&mut hasher);
         self.digest = Some(hasher.finish());
     }
 
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.digest.expect("computed at the end of each action")
     }
 }
