--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/peers.rs
@@ -1,12 +1,12 @@
-//! Writes under way to each storage machine.
+//! Writes in flight to each storage machine, with their reattempts.
 //!
-//! A machine that fails to answer gets one request at a time until it answers again; what it misses meanwhile
-//! waits in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
+//! A machine that fails to answer gets one request at a time until it answers again. The writes that it misses
+//! meanwhile wait in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
 //!
 //! ```text
-//! answering -> silent     a try fails; the write is queued and a prober starts
-//! silent    -> answering  the prober's try succeeds; what is queued is sent
-//! silent    -> answering  the queue has run out of age
+//! responsive   -> unresponsive  an attempt fails; the write is queued and a probe starts
+//! unresponsive -> responsive    the probe succeeds; the queued writes are sent
+//! unresponsive -> responsive    all queued writes have expired
 //! ```
 
 use std::collections::{HashMap, VecDeque};
@@ -21,33 +21,41 @@
 use crate::message::Answer;
 use crate::view::StorageMember;
 
-/// How long one try waits for a machine's answer: several slow syncs.
-const TRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before the first new try at a silent machine; it doubles.
-const FIRST_BACKOFF: Duration = Duration::from_millis(60);
-/// Longest pause between tries.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(480);
-/// How long a write is kept for a silent machine.
-const KEPT_FOR: Duration = Duration::from_secs(10);
-/// Most bytes that are kept for a silent machine.
-const MOST_BYTES: usize = 2 << 20;
-
-/// Missed writes that are sent side by side once a machine answers again.
-const BURST: usize = 64;
+/// How long one attempt waits for a machine's answer: several slow syncs.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Backoff before the first retry at an unresponsive machine; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(480);
+/// How long a missed write is retried.
+const MISSED_WRITE_RETENTION: Duration = Duration::from_secs(10);
+/// Upper bound of the missed writes of one machine, in bytes.
+const MAX_MISSED_BYTES: usize = 2 << 20;
+/// Missed writes that are sent concurrently once a machine answers again.
+const MAX_CONCURRENT_RETRIES: usize = 64;
+
+/// An answer of one machine to a write.
+pub(super) struct MachineAnswer {
+    /// Epoch under which the write was sent.
+    pub(super) epoch: u64,
+    /// Disk of the machine.
+    pub(super) disk: u64,
+    pub(super) answer: Answer,
+}
 
-/// Where the answers of a write go: epoch, disk and answer.
-pub(super) type Sender = UnboundedSender<(u64, u64, Answer)>;
+/// Receives the answers to a write.
+pub(super) type AnswerSender = UnboundedSender<MachineAnswer>;
 
 /// One write for one machine.
 pub(super) struct Delivery {
     epoch: u64,
     request: EncodedRequest,
-    answers: Sender,
+    answers: AnswerSender,
     since: Instant,
 }
 
 impl Delivery {
-    pub(super) fn new(epoch: u64, request: EncodedRequest, answers: Sender) -> Delivery {
+    pub(super) fn new(epoch: u64, request: EncodedRequest, answers: AnswerSender) -> Delivery {
         Delivery {
             epoch,
             request,
@@ -57,7 +65,7 @@
     }
 }
 
-/// Writes that a silent machine has missed.
+/// Writes that an unresponsive machine has missed, oldest first.
 #[derive(Default)]
 struct Missed {
     queue: VecDeque<Delivery>,
@@ -68,7 +76,7 @@
     fn push(&mut self, delivery: Delivery) {
         self.bytes += delivery.request.len();
         self.queue.push_back(delivery);
-        while self.bytes > MOST_BYTES {
+        while self.bytes > MAX_MISSED_BYTES {
             self.pop();
         }
     }
@@ -79,121 +87,136 @@
         Some(delivery)
     }
 
-    fn drop_old(&mut self) {
+    fn remove_expired(&mut self) {
         while self
             .queue
             .front()
-            .is_some_and(|delivery| delivery.since.elapsed() > KEPT_FOR)
+            .is_some_and(|delivery| delivery.since.elapsed() > MISSED_WRITE_RETENTION)
         {
             self.pop();
         }
     }
 }
 
-/// Machines that do not answer at present, by disk.
+/// Missed writes of the machines that do not answer at present, by disk.
 #[derive(Default)]
-pub(super) struct SilentPeers {
+pub(super) struct UnresponsivePeers {
     missed: HashMap<u64, Missed>,
 }
 
-/// Outcome of one try.
-enum Try {
-    /// The machine has answered for good: stored, or refused in a way that no new try changes.
-    Done,
-    Again(Delivery),
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    /// The machine has stored the write, or refused it in a way that no retry changes.
+    Completed,
+    /// The attempt failed; the write is to be retried.
+    Retry(Delivery),
 }
 
 impl StorageClient {
-    /// Brings a write to one machine, in the background.
+    /// Delivers a write to one machine in the background.
     pub(super) fn deliver(&self, member: &StorageMember, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        if let Some(missed) = silent.missed.get_mut(&member.disk) {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        if let Some(missed) = unresponsive.missed.get_mut(&member.disk) {
             missed.push(delivery);
             return;
         }
-        drop(silent);
+        drop(unresponsive);
         let (client, member) = (self.clone(), member.clone());
         tokio::spawn(async move {
-            if let Try::Again(delivery) = client.try_once(&member, delivery).await {
-                client.keep_for_later(member, delivery);
+            if let AttemptOutcome::Retry(delivery) =
+                client.attempt_delivery(&member, delivery).await
+            {
+                client.queue_for_retry(member, delivery);
             }
         });
     }
 
-    async fn try_once(&self, member: &StorageMember, delivery: Delivery) -> Try {
-        match self.exchange(member, &delivery.request, TRY_TIMEOUT).await {
-            Ok(Answer::Failed | Answer::Behind) | Err(_) => Try::Again(delivery),
+    async fn attempt_delivery(&self, member: &StorageMember, delivery: Delivery) -> AttemptOutcome {
+        match self
+            .exchange(member, &delivery.request, ATTEMPT_TIMEOUT)
+            .await
+        {
+            Ok(Answer::Failed | Answer::Behind) | Err(_) => AttemptOutcome::Retry(delivery),
             Ok(answer) => {
-                let _ = delivery.answers.send((delivery.epoch, member.disk, answer));
-                Try::Done
+                // Nobody waits for it any more once the write is durable or has failed.
+                let _ = delivery.answers.send(MachineAnswer {
+                    epoch: delivery.epoch,
+                    disk: member.disk,
+                    answer,
+                });
+                AttemptOutcome::Completed
             }
         }
     }
 
-    fn keep_for_later(&self, member: StorageMember, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        let probed = silent.missed.contains_key(&member.disk);
-        silent.missed.entry(member.disk).or_default().push(delivery);
+    fn queue_for_retry(&self, member: StorageMember, delivery: Delivery) {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let probed = unresponsive.missed.contains_key(&member.disk);
+        unresponsive
+            .missed
+            .entry(member.disk)
+            .or_default()
+            .push(delivery);
         if !probed {
             let client = self.clone();
             tokio::spawn(async move { client.probe(member).await });
         }
     }
 
-    /// Tries the oldest write that a silent machine has missed until one succeeds, then sends the rest.
+    /// Retries the oldest write that an unresponsive machine has missed until one succeeds, then sends the rest.
     async fn probe(&self, member: StorageMember) {
-        let mut backoff = FIRST_BACKOFF;
-        let mut at_once = 1;
+        let mut backoff = INITIAL_BACKOFF;
+        let mut concurrent = 1;
         loop {
-            let deliveries = self.oldest_missed(member.disk, at_once);
+            let deliveries = self.take_oldest_missed(member.disk, concurrent);
             if deliveries.is_empty() {
                 return;
             }
-            if self.try_all(&member, deliveries).await {
-                backoff = FIRST_BACKOFF;
-                at_once = BURST;
+            if self.attempt_all(&member, deliveries).await {
+                backoff = INITIAL_BACKOFF;
+                concurrent = MAX_CONCURRENT_RETRIES;
             } else {
-                at_once = 1;
+                concurrent = 1;
                 sleep(backoff).await;
-                backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 
-    /// Tries some missed writes side by side; whether all were answered.
-    async fn try_all(&self, member: &StorageMember, deliveries: Vec<Delivery>) -> bool {
-        let mut tries = JoinSet::new();
+    /// Attempts some missed writes concurrently and returns whether all were answered.
+    async fn attempt_all(&self, member: &StorageMember, deliveries: Vec<Delivery>) -> bool {
+        let mut attempts = JoinSet::new();
         for delivery in deliveries {
             let (client, member) = (self.clone(), member.clone());
-            tries.spawn(async move { client.try_once(&member, delivery).await });
+            attempts.spawn(async move { client.attempt_delivery(&member, delivery).await });
         }
         let mut all_answered = true;
-        while let Some(outcome) = tries.join_next().await {
-            if let Ok(Try::Again(delivery)) = outcome {
-                self.put_back(member.disk, delivery);
+        while let Some(outcome) = attempts.join_next().await {
+            if let Ok(AttemptOutcome::Retry(delivery)) = outcome {
+                self.requeue(member.disk, delivery);
                 all_answered = false;
             }
         }
         all_answered
     }
 
-    /// The oldest missed writes; without any the machine counts as answering again.
-    fn oldest_missed(&self, disk: u64, most: usize) -> Vec<Delivery> {
-        let mut silent = self.shared.silent.lock();
-        let Some(missed) = silent.missed.get_mut(&disk) else {
+    /// Takes the oldest missed writes; without any the machine counts as responsive again.
+    fn take_oldest_missed(&self, disk: u64, limit: usize) -> Vec<Delivery> {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let Some(missed) = unresponsive.missed.get_mut(&disk) else {
             return Vec::new();
         };
-        missed.drop_old();
-        let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(most).collect();
+        missed.remove_expired();
+        let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(limit).collect();
         if deliveries.is_empty() {
-            silent.missed.remove(&disk);
+            unresponsive.missed.remove(&disk);
         }
         deliveries
     }
 
-    fn put_back(&self, disk: u64, delivery: Delivery) {
-        let mut silent = self.shared.silent.lock();
-        let missed = silent.missed.entry(disk).or_default();
+    fn requeue(&self, disk: u64, delivery: Delivery) {
+        let mut unresponsive = self.shared.unresponsive.lock();
+        let missed = unresponsive.missed.entry(disk).or_default();
         missed.bytes += delivery.request.len();
         missed.queue.push_front(delivery);
     }
--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -1,4 +1,4 @@
-//! The core as storage sees it: hears announcements, plans, commits one view after the other.
+//! The core as storage sees it: receives announcements, plans, and commits one view after the other.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::view::{plan, retire};
 
-use super::world::Mutation;
+use super::mutation::Mutation;
 
-pub struct Core {
+pub(crate) struct Core {
     base: Instant,
     pub committed: StorageView,
     announcements: Announcements,
@@ -16,7 +16,7 @@
 }
 
 impl Core {
-    pub fn new(base: Instant) -> Core {
+    pub(crate) fn new(base: Instant) -> Core {
         let announcements = Announcements::new(base);
         Core {
             base,
@@ -26,12 +26,12 @@
         }
     }
 
-    pub fn heard(&mut self, now: Duration, announcement: Announcement) {
-        self.announcements.heard(self.base + now, announcement);
+    pub(crate) fn record(&mut self, now: Duration, announcement: Announcement) {
+        self.announcements.record(self.base + now, announcement);
     }
 
     /// The next view, if there is one.
-    pub fn plan(
+    pub(crate) fn plan(
         &mut self,
         now: Duration,
         tolerated: usize,
@@ -55,8 +55,8 @@
         )
     }
 
-    /// Takes an order to empty a machine; whether it was taken.
-    pub fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
+    /// The view that an order to empty a machine leads to; `None` if the order is refused or repeated.
+    pub(crate) fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
         retire(&self.committed, node, tolerated)
             .ok()
             .filter(|view| *view != self.committed)
