--- a/crates/testing/simulation/src/world/nodes.rs
+++ b/crates/testing/simulation/src/world/nodes.rs
@@ -5,14 +5,14 @@
 };
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
-use crate::script::Kind;
+use crate::script::FaultKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_invariants::{NodeId, What};
+use woadreach_invariants::{EventKind, NodeId};
 use woadreach_runtime::Net;
-use woadreachd::Outside;
-use woadreachd::config::{self, First, Given};
+use woadreachd::Environment;
+use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 use woadreachd::events::Usage;
 
 impl World {
@@ -22,10 +22,11 @@
         let start = node.starts.replace(node.starts.get() + 1);
         let net = match node.process.get().filter(|_| start == 0) {
             Some(process) => self.network.process(process),
-            None => self.network.machine(zone, 0.0),
+            None => self.network.add_machine(zone, 0.0),
         };
         node.process.set(Some(net.process()));
-        self.recorder.tell(What::NodeStarted { node: NodeId(n) });
+        self.recorder
+            .tell(EventKind::NodeStarted { node: NodeId(n) });
         node.agent.process_started();
         let seed = seed_of(self.script.seed, &format!("node {n} {start}"));
         let (hangup, hangups) = mpsc::unbounded_channel();
@@ -37,7 +38,9 @@
             move || {
                 world
                     .upgrade()
-                    .ok_or("the world is over".to_string())
+                    .ok_or(ConfigError::VariableNotSet {
+                        variable: "PROXY_CONFIG",
+                    })
                     .map(|w| w.given(n, seed))
             }
         };
@@ -46,7 +49,7 @@
             let (node, ready) = (NodeId(n), replica.alive.get());
             let replica = replica.name.borrow().as_str().into();
             if ready {
-                self.recorder.tell(What::Told {
+                self.recorder.tell(EventKind::ReplicaListed {
                     node,
                     replica,
                     ready,
@@ -56,7 +59,7 @@
         let held = node.held.clone();
         let report = Box::new(move |now: &Usage| held.set(*now));
         let judges = Rc::downgrade(self);
-        let verdict = Box::new(move |turn: &woadreach_zone_failover::Turn| {
+        let verdict = Box::new(move |turn: &woadreach_zone_failover::VerdictChange| {
             if let Some(w) = judges.upgrade() {
                 let at = w.clock.now() as f64 / 1e9;
                 let (node, zone) = (NodeId(n), usize::from(turn.zone));
@@ -71,24 +74,26 @@
         let world = self.clone();
         let run = net.clone();
         drop(net.spawn(async move {
-            let ended = match given().and_then(|g| config::read(First::Environment, &g)) {
+            let ended = match given().and_then(|g| config::read(AddressPrecedence::Environment, &g))
+            {
                 Ok(config) => {
                     let given = Box::new(given);
-                    let outside = Outside {
-                        hangup: hangups,
-                        term: terms,
-                        given,
-                        report,
-                        verdict,
+                    let environment = Environment {
+                        sighup: hangups,
+                        sigterm: terms,
+                        read_source: given,
+                        on_usage: report,
+                        on_verdict: verdict,
                     };
-                    woadreachd::serve(run.clone(), config, outside).await
+                    let served = woadreachd::serve(run.clone(), config, environment).await;
+                    served.map_err(|error| error.to_string())
                 }
-                Err(why) => Err(why),
+                Err(error) => Err(error.to_string()),
             };
             let node = NodeId(n);
             match ended {
-                Ok(()) => world.recorder.tell(What::NodeEnded { node }),
-                Err(why) => world.recorder.tell(What::Panicked { node, why }),
+                Ok(()) => world.recorder.tell(EventKind::NodeEnded { node }),
+                Err(why) => world.recorder.tell(EventKind::Panicked { node, why }),
             }
             let (process, again) = (run.process(), world.clone());
             // Not from within itself.
@@ -108,7 +113,7 @@
             });
     }
 
-    pub(super) fn given(&self, n: usize, seed: u64) -> Given {
+    pub(super) fn given(&self, n: usize, seed: u64) -> ConfigSource {
         let node = &self.nodes[n];
         let discovery = address(node.agent_process.get(), DISCOVERY_PORT);
         let at = |node: &Node| SocketAddr::new(node.address.ip(), PEERS_PORT);
@@ -119,7 +124,7 @@
             peers: self.nodes.iter().map(at).collect(),
         };
         let text = configuration(&self.script, n, &places, seed, &node.agent.known());
-        Given {
+        ConfigSource {
             path: format!("n{n}"),
             text,
             listen: None,
@@ -132,7 +137,8 @@
         let Some(process) = node.process.take() else {
             return;
         };
-        self.recorder.tell(What::NodeKilled { node: NodeId(n) });
+        self.recorder
+            .tell(EventKind::NodeKilled { node: NodeId(n) });
         self.network.kill(process);
         let world = self.clone();
         // A front notices after a while.
@@ -158,25 +164,20 @@
             .call_at(self.clock.now() + 300 * MILLISECOND, move || {
                 world.nodes[n].up.set(false)
             });
-        let longest = self
-            .script
-            .query_types
-            .iter()
-            .map(|t| t.client_timeout)
-            .fold(0.0, f64::max);
+        let longest = self.script.max_client_timeout();
         let (world, process) = (self.clone(), node.process.get());
         let killed = nanos(longest.min(3.0) + KILL_AFTER) + 50 * MILLISECOND;
         self.clock.call_at(self.clock.now() + killed, move || {
             // One that has stood still meanwhile counts from when it was told, and is killed all the same.
             let stalled = |f: &crate::script::Fault| match &f.kind {
-                Kind::Stall { co_ordinators } => co_ordinators.contains(&n),
+                FaultKind::StallCoordinators { co_ordinators } => co_ordinators.contains(&n),
                 _ => false,
             };
             if world.nodes[n].process.get() == process && world.script.faults.iter().any(stalled) {
                 world.kill_node(n);
             } else if world.nodes[n].process.get() == process {
                 let why = "it has not ended by the time that SIGKILL comes".to_string();
-                world.recorder.tell(What::Kept {
+                world.recorder.tell(EventKind::Leaked {
                     node: NodeId(n),
                     why,
                 });
@@ -200,7 +201,9 @@
 
     pub(super) fn reload(self: &Rc<Self>, n: usize) {
         let node = &self.nodes[n];
-        let net = self.network.machine(Zone(n % self.script.fleet.zones), 0.0);
+        let net = self
+            .network
+            .add_machine(Zone(n % self.script.fleet.zones), 0.0);
         node.moves.set(node.moves.get() + 1);
         let place = address(net.process(), DISCOVERY_PORT);
         let moved =
--- /dev/null
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -0,0 +1,179 @@
+//! When and why this member proposes a view. The choice of the view is in `view_selection`.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::Member;
+use crate::agreement::{Phase, Proposer, Report};
+use crate::election::{
+    MAX_PROPOSAL_DELAY, PHASE_TIMEOUT, ProposalReason, REPORT_TIMEOUT, SEALED_EPOCH_DELAY,
+};
+use crate::view::MemberId;
+
+impl Member {
+    /// Advances the current proposal, or begins one if there is a reason and its delay has passed.
+    pub(crate) fn run_election(&mut self, now: Duration) {
+        match self.proposal_phase() {
+            Phase::Preparing { since, .. } | Phase::Accepting { since, .. }
+                if now.saturating_sub(*since) >= PHASE_TIMEOUT =>
+            {
+                self.proposer.abandon();
+                let wait = self.delay_after_failure();
+                self.election.schedule(now + wait);
+            }
+            Phase::Preparing { .. } => self.propose_if_ready(now),
+            Phase::Accepting { .. } => {}
+            Phase::Idle => self.consider_proposal(now),
+        }
+    }
+
+    fn consider_proposal(&mut self, now: Duration) {
+        let Some(reason) = self.proposal_reason(now) else {
+            self.election.cancel();
+            return;
+        };
+        let at = match self.election.scheduled() {
+            Some(at) => at,
+            None => now + self.delay_before(reason),
+        };
+        self.election.schedule(at);
+        if now >= at {
+            self.election.cancel();
+            self.start_proposal(now);
+        }
+    }
+
+    /// Random delay before the proposal after a failed one.
+    pub(crate) fn delay_after_failure(&mut self) -> Duration {
+        self.random_delay(2 * MAX_PROPOSAL_DELAY)
+    }
+
+    fn delay_before(&mut self, reason: ProposalReason) -> Duration {
+        match reason {
+            ProposalReason::Improvement => Duration::ZERO,
+            ProposalReason::ChainBroken => self.random_delay(MAX_PROPOSAL_DELAY),
+            ProposalReason::EpochSealed => {
+                SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
+            }
+            ProposalReason::Bootstrap => {
+                let first = self
+                    .durable
+                    .view
+                    .voters
+                    .iter()
+                    .map(|voter| voter.address)
+                    .min();
+                let is_first = first == Some(self.id.address);
+                if is_first {
+                    Duration::ZERO
+                } else {
+                    SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
+                }
+            }
+        }
+    }
+
+    fn proposal_reason(&self, now: Duration) -> Option<ProposalReason> {
+        let view = &self.durable.view;
+        if view.epoch == 0 {
+            return self.bootstrap_reason(now);
+        }
+        if !view.is_voter(self.id) || self.reachable_voters(now) < view.majority() {
+            return None;
+        }
+        if !self.is_disk_healthy {
+            // A proposal begins with a promise on this member's disk.
+            return None;
+        }
+        if self.durable.is_sealed() {
+            return Some(ProposalReason::EpochSealed);
+        }
+        let wanted = self.wanted_view(now)?;
+        let is_broken = view
+            .chain
+            .iter()
+            .any(|member| !wanted.chain.contains(member));
+        if is_broken {
+            return Some(ProposalReason::ChainBroken);
+        }
+        let is_head = view.head() == Some(self.id);
+        (is_head && self.is_improvement(now, &wanted)).then_some(ProposalReason::Improvement)
+    }
+
+    fn bootstrap_reason(&self, now: Duration) -> Option<ProposalReason> {
+        let view = &self.durable.view;
+        if !self.durable.bootstrap || !view.is_voter(self.id) {
+            return None;
+        }
+        let others = view
+            .voters
+            .iter()
+            .filter(|voter| voter.address != self.id.address);
+        let present = 1 + others
+            .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
+            .count();
+        let has_waited = self.election.is_bootstrap_overdue(now);
+        let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
+        is_ready.then_some(ProposalReason::Bootstrap)
+    }
+
+    fn reachable_voters(&self, now: Duration) -> usize {
+        let voters = self.durable.view.voters.iter();
+        voters
+            .filter(|&&voter| self.peers.is_reachable(now, voter))
+            .count()
+    }
+
+    /// Begins phase 2 once every voter that is expected to report has, or once a majority has and
+    /// [`REPORT_TIMEOUT`] has passed.
+    pub(crate) fn propose_if_ready(&mut self, now: Duration) {
+        let Phase::Preparing { since, reports, .. } = self.proposal_phase() else {
+            return;
+        };
+        let view = &self.durable.view;
+        if reports.len() < view.majority() {
+            return;
+        }
+        let missing = view
+            .voters
+            .iter()
+            .filter(|&&voter| !self.has_reported(reports, voter));
+        let are_expected = missing
+            .filter(|&&voter| self.is_expected(now, voter))
+            .count();
+        if are_expected > 0 && now.saturating_sub(*since) < REPORT_TIMEOUT {
+            return;
+        }
+        self.propose_from_reports(now);
+    }
+
+    /// Begins phase 2 with the reports so far, if they are of a majority.
+    pub(crate) fn propose_from_reports(&mut self, now: Duration) {
+        let Phase::Preparing { reports, .. } = self.proposal_phase() else {
+            return;
+        };
+        if reports.len() < self.durable.view.majority() {
+            return;
+        }
+        let next =
+            Proposer::highest_accepted_view(reports).or_else(|| self.planned_view(now, reports));
+        match next {
+            Some(view) => self.propose(now, view),
+            None => self.proposer.abandon(),
+        }
+    }
+
+    fn has_reported(&self, reports: &BTreeMap<MemberId, Report>, voter: MemberId) -> bool {
+        if self.durable.view.epoch == 0 {
+            return reports.keys().any(|member| member.address == voter.address);
+        }
+        reports.contains_key(&voter)
+    }
+
+    fn is_expected(&self, now: Duration, voter: MemberId) -> bool {
+        if self.durable.view.epoch == 0 {
+            return self.peers.is_bootstrapping(now, voter.address);
+        }
+        self.peers.is_heard(now, voter)
+    }
+}
--- a/crates/tier/chain/tests/member_model/machine.rs
+++ b/crates/tier/chain/tests/member_model/machine.rs
@@ -5,32 +5,34 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use woadreach_chain::{Durable, Member, MemberId, MemberOptions, Place, Record, Tolerance, View};
+use woadreach_chain::{
+    Durable, FailureDomain, Member, MemberId, MemberOptions, Record, Tolerance, View,
+};
 
-/// A machine in one life of its process.
+/// A machine in one incarnation of its process.
 #[derive(Clone)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub member: Member,
     /// What a loss of power leaves.
     pub synced: Durable,
-    /// Records on their way to the disk.
+    /// Records that the disk has yet to sync.
     pub unsynced: Vec<(u64, Record)>,
     pub is_leaving: bool,
-    /// Whether it has exchanged signs of life with the others in this life.
-    pub has_greeted: bool,
+    /// Whether it has exchanged heartbeats with the others in this incarnation.
+    pub has_exchanged_heartbeats: bool,
     /// Hash of everything above, once it is needed.
     digest: Option<u64>,
 }
 
-pub fn address(index: usize) -> SocketAddrV4 {
+pub(crate) fn address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, index as u8 + 1), 7000)
 }
 
-pub fn index_of(address: SocketAddrV4) -> usize {
+pub(crate) fn index_of(address: SocketAddrV4) -> usize {
     usize::from(address.ip().octets()[3]) - 1
 }
 
-pub fn first_identity(index: usize) -> MemberId {
+pub(crate) fn first_identity(index: usize) -> MemberId {
     MemberId {
         address: address(index),
         identity: index as u64 + 1,
@@ -39,7 +41,7 @@
 
 impl Machine {
     /// The process starts with what is synced.
-    pub fn start(now: Duration, index: usize, faults: usize, durable: Durable) -> Machine {
+    pub(crate) fn start(now: Duration, index: usize, faults: usize, durable: Durable) -> Machine {
         let options = MemberOptions {
             address: address(index),
             seeds: Vec::new(),
@@ -47,7 +49,7 @@
                 machines: faults,
                 ..Tolerance::default()
             },
-            place: Place::default(),
+            failure_domain: FailureDomain::default(),
             random_seed: index as u64,
         };
         let member = Member::new(now, options, durable.clone());
@@ -56,13 +58,13 @@
             synced: durable,
             unsynced: Vec::new(),
             is_leaving: false,
-            has_greeted: false,
+            has_exchanged_heartbeats: false,
             digest: None,
         }
     }
 
     /// The disk of a machine in the first view. Voters were active in the epoch before.
-    pub fn first_disk(index: usize, view: &View, is_active: bool) -> Durable {
+    pub(crate) fn first_disk(index: usize, view: &View, is_active: bool) -> Durable {
         let identity = first_identity(index);
         let mut durable = Durable::new(identity.identity, true, View::default());
         if view.is_voter(identity) {
@@ -75,18 +77,18 @@
         durable
     }
 
-    /// What is left when the process ends and `kept` of the records on their way have reached the disk.
-    pub fn disk_after_crash(&self, kept: usize) -> Durable {
+    /// What is left when the process ends and `retained` of the unsynced records have reached the disk.
+    pub(crate) fn disk_after_crash(&self, retained: usize) -> Durable {
         let mut durable = self.synced.clone();
         self.unsynced
             .iter()
-            .take(kept)
+            .take(retained)
             .for_each(|(_, record)| durable.apply(record));
         durable
     }
 
-    /// Everything on its way has reached the disk; gives the last number.
-    pub fn sync(&mut self) -> Option<u64> {
+    /// Syncs every record and returns the last one's number.
+    pub(crate) fn sync(&mut self) -> Option<u64> {
         let last = self.unsynced.last().map(|(number, _)| *number);
         for (_, record) in self.unsynced.drain(..) {
             self.synced.apply(&record);
@@ -94,38 +96,43 @@
         last
     }
 
-    pub fn id(&self) -> MemberId {
+    pub(crate) fn id(&self) -> MemberId {
         self.member.id()
     }
 
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.member.durable().view.epoch
     }
 
     /// Whether the member is the head of its view, active and not sealed.
-    pub fn is_serving_head(&self, now: Duration) -> bool {
+    pub(crate) fn is_serving_head(&self, now: Duration) -> bool {
         self.member.status(now).is_head
     }
 
-    /// Something has changed.
-    pub fn forget_digest(&mut self) {
+    /// Must be called whenever the machine has changed.
+    pub(crate) fn forget_digest(&mut self) {
         self.digest = None;
     }
 
-    pub fn has_digest(&self) -> bool {
+    pub(crate) fn has_digest(&self) -> bool {
         self.digest.is_some()
     }
 
-    pub fn compute_digest(&mut self) {
+    pub(crate) fn compute_digest(&mut self) {
         let mut text = String::with_capacity(4096);
         self.member.write_canonical(&mut text);
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
-        (self.unsynced.len(), self.is_leaving, self.has_greeted).hash(&mut hasher);
+        (
+            self.unsynced.len(),
+            self.is_leaving,
+            self.has_exchanged_heartbeats,
+        )
+            .hash(&mut hasher);
         self.digest = Some(hasher.finish());
     }
 
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.digest.expect("computed at the end of each action")
     }
 }
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -1,5 +1,5 @@
-//! What a link and a disk can carry: long messages of one machine leave one after the other at the link's
-//! rate, short ones beside them; a sync takes as long as the bytes that it covers.
+//! Rates of links and disks: long messages of one machine leave one after the other at the link's rate, short
+//! ones beside them; a sync takes as long as its bytes need.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 const SMALL_BYTES: u64 = 200;
 /// Bytes of the digest and the number of one taken configuration.
 const TAKEN_BYTES: u64 = 24;
-/// Way of a message on an empty link.
+/// Latency of a message on an idle link.
 const LATENCY: Duration = Duration::from_millis(1);
 
 /// Rates, and what they are used for at present.
 #[derive(Clone, Debug)]
-pub struct Capacity {
+pub(crate) struct Capacity {
     /// Bytes a second that a machine can send.
     pub link_rate: u64,
     /// Bytes a second that a disk can write.
     pub disk_rate: u64,
-    /// A defence switched off: signs of life and votes wait behind long messages.
+    /// A safeguard switched off: heartbeats and votes wait behind long messages.
     pub has_one_queue: bool,
     /// When each machine has sent everything.
     sent_at: BTreeMap<usize, Duration>,
-    /// Most bytes that waited to be sent at one machine.
-    pub most_waiting: u64,
+    /// Largest number of bytes that were queued at one machine.
+    pub max_backlog_bytes: u64,
     /// Bytes that were sent between machines.
     pub sent_bytes: u64,
 }
 
 impl Capacity {
-    pub fn new(link_rate: u64, disk_rate: u64) -> Capacity {
+    pub(crate) fn new(link_rate: u64, disk_rate: u64) -> Capacity {
         Capacity {
             link_rate,
             disk_rate,
             has_one_queue: false,
             sent_at: BTreeMap::new(),
-            most_waiting: 0,
+            max_backlog_bytes: 0,
             sent_bytes: 0,
         }
     }
 
     /// How long a message of `from` takes to its receiver.
-    pub fn send(&mut self, now: Duration, from: usize, envelope: &Envelope) -> Duration {
+    pub(crate) fn send(&mut self, now: Duration, from: usize, envelope: &Envelope) -> Duration {
         let bytes = message_bytes(&envelope.body);
         self.sent_bytes += bytes;
         if !envelope.body.is_bulk() && !self.has_one_queue {
@@ -58,12 +58,12 @@
         let sent = free + duration(bytes, self.link_rate);
         self.sent_at.insert(from, sent);
         let waiting = (sent - now).as_nanos() as u64 / 1000 * self.link_rate / 1_000_000;
-        self.most_waiting = self.most_waiting.max(waiting);
+        self.max_backlog_bytes = self.max_backlog_bytes.max(waiting);
         sent - now + LATENCY
     }
 
     /// How long a disk takes to write `bytes`, without the sync.
-    pub fn write(&self, bytes: u64) -> Duration {
+    pub(crate) fn write(&self, bytes: u64) -> Duration {
         duration(bytes, self.disk_rate)
     }
 }
@@ -72,7 +72,7 @@
     Duration::from_nanos(bytes * 1_000_000_000 / rate)
 }
 
-pub fn record_bytes(record: &Record) -> u64 {
+pub(crate) fn record_bytes(record: &Record) -> u64 {
     match record {
         Record::State { state, .. } => state_bytes(state),
         Record::Write { command, .. } => SMALL_BYTES + command_bytes(command),
@@ -94,7 +94,7 @@
     }
 }
 
-pub fn state_bytes(state: &ControlState) -> u64 {
+pub(crate) fn state_bytes(state: &ControlState) -> u64 {
     let configuration = state
         .configuration
         .as_ref()
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -1,4 +1,4 @@
-//! What operators were told and what machines published, and whether one register can have done that.
+//! What machines answered to operators and what they published, and whether a single register explains it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 /// Number of an order in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempt(usize);
+pub(crate) struct Attempt(usize);
 
 /// A clear answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     Acknowledged,
     Refused(Rejection),
     Read(Option<(u64, Vec<u8>)>),
@@ -31,7 +31,7 @@
 
 /// Something that no single register can have done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Violation {
+pub(crate) enum Violation {
     /// Two machines published different states under one stamp.
     Diverged { stamp: Stamp },
     /// A machine published something older than before.
@@ -54,7 +54,7 @@
     TwoAnswers { generation: u64 },
     /// A read gave something older than what was acknowledged before it began.
     StaleRead { read: u64, acknowledged: u64 },
-    /// A read gave bytes that nobody sent under that generation.
+    /// A read returned bytes that nobody submitted under that generation.
     ForeignRead { generation: u64 },
     /// A member sent a view that other members reject.
     UnsoundView { node: usize },
@@ -65,15 +65,15 @@
         published: u64,
         acknowledged: u64,
     },
-    /// While a majority was connected, no order was answered for long.
+    /// No order was answered for too long although a majority was connected.
     NoAnswers,
-    /// After everything was well again, nothing could be written.
+    /// Nothing could be written after all faults had ended.
     NoProgress,
 }
 
 /// Everything that was seen.
 #[derive(Default)]
-pub struct History {
+pub(crate) struct History {
     orders: Vec<Order>,
     /// Published states: configuration's generation and digest by stamp.
     versions: BTreeMap<Stamp, (u64, Digest)>,
@@ -96,7 +96,7 @@
 }
 
 impl History {
-    pub fn invoked(&mut self, now: Duration, id: CallId, request: &Request) -> Attempt {
+    pub(crate) fn invoked(&mut self, now: Duration, id: CallId, request: &Request) -> Attempt {
         self.orders.push(Order {
             id,
             request: request.clone(),
@@ -106,7 +106,7 @@
         Attempt(self.orders.len() - 1)
     }
 
-    pub fn answered(&mut self, now: Duration, attempt: Attempt, outcome: Outcome) {
+    pub(crate) fn answered(&mut self, now: Duration, attempt: Attempt, outcome: Outcome) {
         if outcome == Outcome::Acknowledged {
             self.acknowledged += 1;
             self.last_acknowledged_at = Some(now);
@@ -115,8 +115,8 @@
         self.orders[attempt.0].answered = Some((now, outcome));
     }
 
-    /// Notes every reply that an operator got, also one to an order that had its answer before.
-    pub fn replied(&mut self, request: &Request, reply: &Reply) {
+    /// Records every reply that an operator got, also one to an order that was answered before.
+    pub(crate) fn replied(&mut self, request: &Request, reply: &Reply) {
         let Request::Submit(Command::PutConfiguration(put)) = request else {
             return;
         };
@@ -132,23 +132,23 @@
     }
 
     /// Whether each change was ever acknowledged, and ever refused.
-    pub fn told(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
+    pub(crate) fn recorded_answers(&self, changes: [Digest; 2]) -> [(bool, bool); 2] {
         changes.map(|digest| self.answers.get(&digest).copied().unwrap_or_default())
     }
 
     /// `changes` were taken and acknowledged before the run began.
-    pub fn begin_after(&mut self, changes: Vec<PutConfiguration>) {
+    pub(crate) fn begin_after(&mut self, changes: Vec<PutConfiguration>) {
         for put in &changes {
             self.answers.insert(put.digest, (true, false));
         }
         self.earlier = changes;
     }
 
-    pub fn restarted(&mut self, node: usize) {
+    pub(crate) fn restarted(&mut self, node: usize) {
         self.newest.remove(&node);
     }
 
-    pub fn published(&mut self, now: Duration, node: usize, state: &ControlState) {
+    pub(crate) fn published(&mut self, now: Duration, node: usize, state: &ControlState) {
         self.published_count += 1;
         let Some(configuration) = &state.configuration else {
             return;
@@ -166,7 +166,7 @@
         *newest = state.stamp;
     }
 
-    pub fn view_installed(&mut self, view: &View) {
+    pub(crate) fn view_installed(&mut self, view: &View) {
         let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
         if known != view {
             self.violations
@@ -174,12 +174,12 @@
         }
     }
 
-    pub fn report(&mut self, violation: Violation) {
+    pub(crate) fn report(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
 
     /// Checks the whole history against the state that is committed at the end.
-    pub fn check(&self, last: &ControlState) -> Vec<Violation> {
+    pub(crate) fn check(&self, last: &ControlState) -> Vec<Violation> {
         let mut violations = self.violations.clone();
         violations.extend(self.check_generations());
         violations.extend(self.check_changes(last));
@@ -269,7 +269,7 @@
     }
 
     /// Whether the base of `refused` was surely the current one from `start` to `end`: acknowledged before
-    /// `start`, and nothing that was published before `end` is newer, nor was any other change under way.
+    /// `start`, and nothing that was published before `end` is newer, nor was any other change in flight.
     fn was_current_throughout(
         &self,
         refused: &PutConfiguration,
@@ -323,7 +323,7 @@
         violations
     }
 
-    /// The newest generation that an operator was told before `moment`, by an acknowledgement or a read.
+    /// The newest generation that an operator knew before `moment`, from an acknowledgement or a read.
     fn newest_known_before(&self, moment: Duration) -> u64 {
         let known = self.orders.iter().filter_map(|order| {
             let (at, outcome) = order.answered.as_ref()?;
@@ -345,7 +345,7 @@
     }
 
     /// A machine says that it is in quorum and that `published` is the newest generation.
-    pub fn claimed_current(&mut self, node: usize, published: u64, moment: Duration) {
+    pub(crate) fn claimed_current(&mut self, node: usize, published: u64, moment: Duration) {
         let acknowledged = self.newest_known_before(moment);
         if published < acknowledged {
             self.report(Violation::StaleInQuorum {
@@ -368,7 +368,7 @@
             .any(|put| put.generation == generation && put.body.0 == body)
     }
 
-    pub fn describe(&self) -> String {
+    pub(crate) fn describe(&self) -> String {
         let lines = self.orders.iter().map(|order| {
             format!(
                 "{:?} {:?} {:?} -> {:?}\n",
--- a/crates/tier/discovery/tests/loopback.rs
+++ b/crates/tier/discovery/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! Core machines and an observer over real connections of this machine. Waits for events, never for time.
+//! Core machines and an observer over real connections of this machine. The test waits for events and not for
+//! a time.
 
 mod common;
 
@@ -96,7 +97,7 @@
     wait_for(&mut snapshots, has_seven).await;
     wait_for(&mut snapshots, |snapshot| snapshot.warmed).await;
 
-    // The machine that acknowledges dies at once: the others have been told before.
+    // The machine that acknowledges dies at once: the others have been notified before.
     cores[0]
         .discovery
         .heartbeat("r1", draining(1, 2))
@@ -104,10 +105,10 @@
         .unwrap();
     cores[0].stop();
     wait_for(&mut snapshots, |snapshot| {
-        snapshot.replicas["r1"].state == ReplicaState::Draining
+        snapshot.replicas["r1"].heartbeat.state == ReplicaState::Draining
     })
     .await;
-    cores[1].discovery.leave("r1").await.unwrap();
+    cores[1].discovery.deregister("r1").await.unwrap();
     wait_for(&mut snapshots, |snapshot| {
         !snapshot.replicas.contains_key("r1")
     })
--- a/crates/tier/discovery/tests/replica_table.rs
+++ b/crates/tier/discovery/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! What an observer makes of the accounts of three core machines.
+//! How an observer merges the statuses of three core machines.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_discovery::messages::{RegistryResponse, StatusEntry};
 use woadreach_discovery::registry::RegistryVersion;
-use woadreach_discovery::replica_table::{ReplicaTable, UNLISTED_LIMIT};
+use woadreach_discovery::replica_table::{ReplicaTable, UNLISTED_TIMEOUT};
 use woadreach_discovery::{Departure, ReplicaRecord, ReplicaStatus};
 
 fn machine(number: u8) -> SocketAddr {
@@ -46,10 +46,10 @@
     ReplicaStatus::Present(ReplicaRecord::new(id, heartbeat(1, sequence)))
 }
 
-fn silent(sequence: u64) -> ReplicaStatus {
-    ReplicaStatus::Gone {
+fn unresponsive(sequence: u64) -> ReplicaStatus {
+    ReplicaStatus::Departed {
         sequence,
-        departure: Departure::Silent,
+        departure: Departure::Unresponsive,
     }
 }
 
@@ -62,11 +62,11 @@
         true,
         response(1, true, &[("r", ready("r", 1))]),
     );
-    // The machine starts anew and has not heard of the replica.
+    // The machine has restarted and has not heard of the replica.
     let empty = |incarnation| response(incarnation, true, &[]);
     table.apply(seconds(1), machine(1), true, empty(2));
     assert!(!table.sweep(seconds(1)));
-    let almost = seconds(1) + UNLISTED_LIMIT;
+    let almost = seconds(1) + UNLISTED_TIMEOUT;
     table.apply(almost, machine(1), true, empty(2));
     assert!(!table.sweep(almost));
     assert!(table.sweep(almost + seconds(1)));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_expiry_removes_and_a_later_word_brings_back() {
+fn an_expiry_removes_a_replica_and_a_later_heartbeat_restores_it() {
     let mut table = ReplicaTable::default();
     table.apply(
         seconds(0),
@@ -102,7 +102,7 @@
         seconds(1),
         machine(2),
         true,
-        response(1, true, &[("r", silent(6))])
+        response(1, true, &[("r", unresponsive(6))])
     ));
     assert!(table.present().is_empty());
     assert!(!table.apply(
@@ -117,11 +117,11 @@
         true,
         response(1, false, &[("r", ready("r", 7))])
     ));
-    assert_eq!(table.present()["r"].sequence, 7);
+    assert_eq!(table.present()["r"].heartbeat.sequence, 7);
 }
 
 #[test]
-fn a_sign_of_life_without_news_is_no_change() {
+fn a_heartbeat_without_changes_is_no_change() {
     let mut table = ReplicaTable::default();
     assert!(table.apply(
         seconds(0),
@@ -137,7 +137,7 @@
     ));
 }
 
-/// An account of a replica as some core machine sends it.
+/// A status of a replica as some core machine sends it.
 #[derive(Clone, Debug)]
 struct Account {
     machine: u8,
@@ -149,12 +149,12 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let replica = u8::arbitrary(generator) % 4;
         let id = replica.to_string();
-        // Content follows from id and sequence, as a replica has one word for each sequence.
+        // Content follows from id and sequence, as a replica sends one heartbeat for each sequence.
         let sequence = u64::from(u8::arbitrary(generator) % 12);
         let status = match u8::arbitrary(generator) % 6 {
-            0 => ReplicaStatus::left(),
-            1 => silent(sequence),
-            2 => ReplicaStatus::Gone {
+            0 => ReplicaStatus::deregistered(),
+            1 => unresponsive(sequence),
+            2 => ReplicaStatus::Departed {
                 sequence,
                 departure: Departure::Superseded,
             },
@@ -187,7 +187,8 @@
 }
 
 quickcheck! {
-    /// The oracle: of all accounts of a replica, the one of the highest sequence; at the same, a departure.
+    /// The oracle: the status of the highest sequence, and of a departure and a record with the same sequence
+    /// the departure.
     fn any_order_and_repetition_gives_the_same_replicas(accounts: Vec<Account>, order: Vec<usize>) -> bool {
         let mut shuffled: Vec<&Account> = accounts.iter().collect();
         for (index, other) in order.iter().enumerate().take(shuffled.len()) {
@@ -206,7 +207,7 @@
         }
         [table_of(accounts.iter()), table_of(again.into_iter())].iter().all(|table| {
             table.present().len() == expected.len()
-                && table.present().iter().all(|(id, record)| expected[id].same_content(record))
+                && table.present().iter().all(|(id, record)| expected[id].has_same_content(record))
         })
     }
 }
--- a/crates/tier/scheduler/tests/unit/call_state.rs
+++ b/crates/tier/scheduler/tests/unit/call_state.rs
@@ -1,4 +1,4 @@
-//! Every change of state against the table of the module.
+//! Every state and event against the table of the module.
 
 use super::*;
 use crate::fleet::Fleet;
@@ -21,33 +21,41 @@
 }
 
 #[test]
-fn the_table_is_kept() {
+fn the_table_of_transitions_is_exhaustive() {
     let (replica, deadline) = (some_replica(), 1.0);
-    let held = CallState::Held { replica, deadline };
-    let held_back = CallEvent::HeldBack { replica, deadline };
+    let queued = CallState::Queued { replica, deadline };
+    let enqueued = CallEvent::Enqueued { replica, deadline };
     let states = [
         CallState::Deciding,
-        held,
-        CallState::Waiting,
+        queued,
+        CallState::Unplaced,
         CallState::Running,
     ];
     let events = [
         CallEvent::Sent,
-        held_back,
-        CallEvent::PutOff,
+        enqueued,
+        CallEvent::Postponed,
         CallEvent::Released,
-        CallEvent::NothingOut,
+        CallEvent::AttemptsEnded,
     ];
     let table = [
         (CallState::Deciding, CallEvent::Sent, CallState::Running),
-        (CallState::Deciding, held_back, held),
-        (CallState::Deciding, CallEvent::PutOff, CallState::Waiting),
-        (held, CallEvent::Released, CallState::Deciding),
-        (CallState::Waiting, CallEvent::Released, CallState::Deciding),
+        (CallState::Deciding, enqueued, queued),
+        (
+            CallState::Deciding,
+            CallEvent::Postponed,
+            CallState::Unplaced,
+        ),
+        (queued, CallEvent::Released, CallState::Deciding),
+        (
+            CallState::Unplaced,
+            CallEvent::Released,
+            CallState::Deciding,
+        ),
         (CallState::Running, CallEvent::Sent, CallState::Running),
         (
             CallState::Running,
-            CallEvent::NothingOut,
+            CallEvent::AttemptsEnded,
             CallState::Deciding,
         ),
     ];
