--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -8,28 +8,32 @@
 
 use crate::member_driver::MemberDriver;
 
-/// The committed state that this core machine's member knows.
-pub struct PublishedState {
+/// The committed state that this machine's member has published, for discovery.
+pub struct MemberCommittedState {
     driver: Arc<MemberDriver>,
 }
 
-impl PublishedState {
+impl MemberCommittedState {
     /// Reads the state of the member that `driver` runs.
-    pub fn new(driver: Arc<MemberDriver>) -> PublishedState {
-        PublishedState { driver }
+    pub fn new(driver: Arc<MemberDriver>) -> MemberCommittedState {
+        MemberCommittedState { driver }
     }
 }
 
-impl CommittedState for PublishedState {
+impl CommittedState for MemberCommittedState {
     fn view(&self) -> ViewSummary {
         let status = self.driver.status();
-        let members = status.members.into_iter().map(SocketAddr::V4).collect();
+        let core_machines = status
+            .core_machines
+            .into_iter()
+            .map(SocketAddr::V4)
+            .collect();
         let voters = status.voters.into_iter().map(SocketAddr::V4).collect();
         ViewSummary {
             epoch: status.epoch,
             in_quorum: status.in_quorum,
             voters,
-            members,
+            core_machines,
         }
     }
 
