--- a/crates/router/lease/src/quota/config.rs
+++ b/crates/router/lease/src/quota/config.rs
@@ -5,7 +5,7 @@
 pub struct QuotaConfig {
     /// For how long a share is released, beyond `window`, in seconds.
     pub release_duration: f64,
-    /// A member that has neither demanded nor sent anything for so long releases its share, in seconds. Why it exceeds
+    /// A member that has neither demanded nor sent anything for this time, in seconds, releases its share. Why it exceeds
     /// `window`: `docs/leases.md#what-would-change-our-mind`.
     pub idle_timeout: f64,
     /// For how long a grant is valid, in seconds. It must be at least three of `report_interval`, so that a grant is
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -228,7 +228,7 @@
         Some(request)
     }
 
-    /// Keeps an answered search's trace id reserved for as long as any client may wait.
+    /// Keeps an answered search's trace id reserved for the longest client timeout (`max_client_timeout`).
     ///
     /// Prevents that a request under the same trace id has its parts taken for those of the one just
     /// answered. It costs nothing to clients that keep to the protocol: each request has a new id.
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -1,4 +1,4 @@
-//! The front for clients: HTTP/1.1 as PROTOCOL has it.
+//! The front for clients: HTTP/1.1 as the protocol page of the users describes it.
 //!
 //! [`Front`] owns the listener and every client connection, from its acceptance until it is closed, with its
 //! descriptor permit. It turns requests into [`Arrival`]s for the core and answers into bytes. It decides
--- a/crates/router/woadreachd/src/front/request_reader.rs
+++ b/crates/router/woadreachd/src/front/request_reader.rs
@@ -10,10 +10,10 @@
 /// Seconds from the acceptance of a connection, or from the first byte of a later request, within which the
 /// request must be complete.
 ///
-/// LATER: a client that sends nothing valid is owed an error or a close 3 s after it connected; half a second
+/// By the protocol a client that sends nothing valid is owed an error or a close 3 s after it connected; half a second
 /// is left for the way.
 const REQUEST_TIMEOUT: f64 = 2.5;
-/// Seconds after which an idle connection is closed. LATER: one without an open request may be closed after
+/// Seconds after which an idle connection is closed. By the protocol one without an open request may be closed after
 /// 2 s.
 const IDLE_TIMEOUT: f64 = 2.0;
 /// Capacity for an ordinary request, in bytes; given back between requests.
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -99,7 +99,7 @@
 
     /// Whether clients have so many descriptors that responses should end their connections.
     ///
-    /// LATER: for requests, clients hold at most a third of the descriptors, and stop asking there. From a
+    /// By the protocol clients hold, for requests, at most a third of the descriptors, and stop asking there. From a
     /// quarter on their connections are better ended with their answers.
     pub(crate) fn has_many_clients(&self) -> bool {
         self.0.clients.get() >= self.0.limit / 4
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -12,7 +12,7 @@
     /// Limit on the members whose reports decide, chosen by a hash of their ids. Their reports fit into a few datagrams
     /// whatever the size of the tier. Of 32, some 21 are outside one of three zones.
     pub max_reporters: usize,
-    /// A zone is ejected only if at least so many parts of it were seen. Chosen in
+    /// A zone is ejected only if at least this number of its parts was seen. Chosen in
     /// `docs/failover.md#verdict-thresholds`.
     pub min_parts_to_eject: u32,
     /// A zone is ejected only if at least this share of the parts seen has failed.
@@ -21,7 +21,7 @@
     /// It prevents that an overload everywhere is made worse, and that a zone that is cut off ejects the others. The
     /// cost: when two of three zones fail at once, none is ejected.
     pub max_failed_share_of_sound_zone: f64,
-    /// A zone is restored only if at least so many parts of it were seen. Trials are few.
+    /// A zone is restored only if at least this number of its parts was seen. Trials are few.
     pub min_parts_to_restore: u32,
     /// A zone is restored only if at most this share of the parts seen has failed.
     pub max_failed_share_to_restore: f64,
@@ -29,9 +29,9 @@
     pub dwell: f64,
     /// Limit on the count of consecutive failovers.
     pub max_consecutive_failovers: u8,
-    /// A zone that is ejected again within so long after its return has one more consecutive failover, in seconds.
+    /// A zone that is ejected again within this time after its return has one more consecutive failover, in seconds.
     pub stable_after: f64,
-    /// An ejected zone of which nothing was seen for so many dwells is restored on trial: without hedged requests there
+    /// An ejected zone of which nothing was seen for this number of dwells is restored on trial: without hedged requests there
     /// is no trial traffic, and no evidence for it would ever come. Must exceed the time between trials (4 s).
     pub unobserved_dwells: f64,
     /// Time from a zone's return until it has all of its traffic, in seconds.
--- a/crates/router/zone-failover/src/zones/urgency.rs
+++ b/crates/router/zone-failover/src/zones/urgency.rs
@@ -4,7 +4,7 @@
 use crate::part_counts::PartCounts;
 use crate::verdict::Verdict;
 
-/// So many members other than this one must see a zone contrary to its verdict. One alone may do so by chance, and in a
+/// Number of members other than this one that must see a zone contrary to its verdict. One alone may do so by chance, and in a
 /// large tier there is always one; `docs/failover.md#reports-and-pushes` has the measured cost.
 const MIN_DISSENTERS: usize = 2;
 /// Parts that a member must have seen succeed, or fail, to see a zone contrary to its verdict.
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -148,7 +148,7 @@
         replica.unanswered(now + 1e-6, self.limits.hedge_after) > 0
     }
 
-    /// What the tier is told of each zone: the latest parts, or the run of losses up to now where there is
+    /// What is reported to the tier of each zone: the latest parts, or the run of losses up to now where there is
     /// one, as the answers before it say nothing of a zone that has just been lost.
     pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
         let mut overdue_and_capacity: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -1,4 +1,5 @@
-//! Attempts in flight: cancelling those that hang, and probes of ejected replicas.
+//! Attempts in flight: cancelling those that hang, where hedges are not allowed, and probes of ejected replicas.
+//! Hedges themselves are picked in `placement`, and allowed in `repeats`.
 
 use super::{Balancer, Known};
 use crate::api::{Attempt, ReplicaId, Search};
@@ -47,7 +48,7 @@
                 .fleet
                 .get_mut(&attempt.replica)
                 .and_then(|replica| replica.in_flight.get_mut(&(part.id, attempt_index)));
-            if call.is_some_and(|call| !std::mem::replace(&mut call.called_off, true)) {
+            if call.is_some_and(|call| !std::mem::replace(&mut call.cancelled_as_hung, true)) {
                 self.plan.cancel.push((part.id, attempt_index));
             }
         }
--- a/crates/routing/src/decide/hold.rs
+++ b/crates/routing/src/decide/hold.rs
@@ -6,9 +6,13 @@
     /// Calls may leave.
     #[default]
     Open,
-    /// Calls wait while over `above` are in flight, until `answers` more have come: its queue turned over.
-    #[allow(missing_docs)]
-    Holding { above: usize, answers: usize },
+    /// Calls wait for the replica's queue to turn over.
+    Holding {
+        /// Calls wait while more than this number are in flight.
+        above: usize,
+        /// Number of answers that have to come before the hold ends.
+        answers: usize,
+    },
 }
 
 impl Hold {
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -17,8 +17,8 @@
             search.record_outcome(outcome);
             self.decide(now, search);
         }
-        // One called off frees no room at its replica: that it answers nothing is why.
-        if !call.is_some_and(|c| c.called_off) {
+        // An attempt that was cancelled as hung frees no capacity: its replica answers nothing.
+        if !call.is_some_and(|c| c.cancelled_as_hung) {
             self.reconsider_next(&outcome.replica);
         }
         self.forget_if_departed(&outcome.replica);
@@ -212,7 +212,8 @@
                 complete: is_mutated("module-whole"),
             }
         } else if harmless {
-            // Back when half its time_left time is gone, if a later try can still make it; else late, for relief.
+            // The client should retry after half of the time left for queuing, if a retry can still be in time;
+            // otherwise as late as allowed, which relieves the replicas.
             let longest = self.settings.max_retry_after.unwrap_or(0.0);
             let time_left = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -15,8 +15,8 @@
     pub query_type: QueryTypeId,
     /// Number of attempts that were sent there later and answered before it.
     pub passed: usize,
-    /// Whether this co-ordinator has cancelled it, so that its part can go elsewhere.
-    pub called_off: bool,
+    /// Whether it was cancelled because its replica hangs, so that its part can go elsewhere.
+    pub cancelled_as_hung: bool,
 }
 
 /// A replica, and the `state` in which the decisions keep what they know of it.
@@ -48,7 +48,7 @@
             alone,
             query_type,
             passed: 0,
-            called_off: false,
+            cancelled_as_hung: false,
         };
         self.in_flight.insert((part, attempt_index), call);
     }
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -28,7 +28,7 @@
     pub dispatcher: Dispatcher,
     /// Pooled connections to replicas.
     pub pool: Arc<ReplicaPool>,
-    /// Client of the storage nodes, for turns and budgets.
+    /// Client of the storage machines, for turns and budgets.
     pub turns: StorageClient,
     /// Counters of the state line.
     pub counters: Counters,
--- a/crates/tier/proxy/src/request/state.rs
+++ b/crates/tier/proxy/src/request/state.rs
@@ -17,7 +17,7 @@
 /// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// Its stored turns are loaded and its budget is reserved.
+    /// Its stored turns are being loaded and its budget is being reserved.
     Preparing,
     /// No attempt is in flight.
     Waiting,
@@ -38,7 +38,7 @@
     Answered,
     /// A replica's own error response was forwarded.
     ReplicaFailure,
-    /// 503 with `Retry-After`: it has not run and never will.
+    /// 503 with `Retry-After`: it has not run and never will, or it is idempotent and may be repeated.
     Refused,
     /// 504: its deadline has passed and it may have run.
     TimedOut,
--- a/crates/tier/proxy/src/request/task/ending.rs
+++ b/crates/tier/proxy/src/request/task/ending.rs
@@ -10,7 +10,7 @@
 use http::{Response, StatusCode};
 use woadreach_scheduler::FailReason;
 
-/// `Retry-After` of a request that no replica was tried for, in seconds.
+/// `Retry-After` of a 503 that the scheduler did not decide, in seconds.
 pub(super) const RETRY_AFTER_SECONDS: f64 = 0.2;
 
 impl RequestTask {
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -21,9 +21,9 @@
     pub routes: Arc<RouteTable>,
     /// Replicas by id.
     pub replicas: Arc<BTreeMap<String, ReplicaRecord>>,
-    /// Whether configuration and replicas have come from a core node in quorum. Stays true.
+    /// Whether configuration and replicas have come from a core machine in quorum. Stays true.
     pub warmed: bool,
-    /// Whether the view of the storage nodes has been received. Stays true.
+    /// Whether the view of the storage machines has been received. Stays true.
     pub has_storage_view: bool,
 }
 
--- a/crates/tier/proxy/src/turns/store.rs
+++ b/crates/tier/proxy/src/turns/store.rs
@@ -1,4 +1,4 @@
-//! The storage nodes' part in a request: its token budget, the turns that it continues, and the turn it adds.
+//! The storage machines' part in a request: its token budget, the turns that it continues, and the turn it adds.
 
 use crate::client::request::ClientRequest;
 use crate::replica::event_stream::Event;
@@ -17,7 +17,7 @@
     BudgetSpent,
     /// `Previous` names no turn.
     UnknownTurn,
-    /// Too few storage nodes answered.
+    /// Too few storage machines answered.
     Unavailable,
 }
 
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// [`TurnError::Unavailable`] if too few storage nodes have acknowledged the turn.
+    /// [`TurnError::Unavailable`] if too few storage machines have acknowledged the turn.
     pub async fn commit(
         &mut self,
         store: &StorageClient,
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Ends a call whose client has disconnected. No outcomes are expected of its attempts.
+    /// Ends a call that the driver gives up: its client has disconnected, its deadline is reached, or its
+    /// response was cut. Does nothing if the call has ended already. No outcomes are expected of its attempts.
     pub fn cancelled(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -6,7 +6,7 @@
 //! and the same inputs give the same actions.
 //!
 //! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by
-//! [`Action::Refuse`] or failed by [`Action::Fail`], or its client disconnects ([`Admission::cancelled`]).
+//! [`Action::Refuse`] or failed by [`Action::Fail`], or its driver gives it up ([`Admission::cancelled`]).
 //!
 //! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent
 //! calls of one program in place of a search (docs/design.md, "Agent programs").
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -76,7 +76,7 @@
         priority <= highest.rank || now > highest.seen_at + URGENCY_WINDOW
     }
 
-    /// Records a sent call, of which the replica has to prefill so many tokens.
+    /// Records a sent call, of which the replica has to prefill `prefill_tokens` tokens.
     pub(crate) fn record_sent(&mut self, prefill_tokens: u32) {
         self.mean_prefill += LEARNING_RATE * (f64::from(prefill_tokens) - self.mean_prefill);
     }
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client of the storage machines, for proxies.
+//! Client of the storage machines, for edges.
 
 mod chain;
 mod exchange;
--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/peers.rs
@@ -1,4 +1,4 @@
-//! Writes in flight to each storage machine, with their reattempts.
+//! Writes in flight to each storage machine, with their retries.
 //!
 //! A machine that fails to answer gets one request at a time until it answers again. The writes that it misses
 //! meanwhile wait in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -5,7 +5,7 @@
 //! alone: a write is durable once a quorum of the group has synced it. When the membership changes, a joint
 //! epoch demands quorums of the present and of the next group until every next member has pulled its part.
 //!
-//! Start with [`client`], which proxies use, and with [`node`], which decides what a storage machine answers.
+//! Start with [`client`], which edges use, and with [`node`], which decides what a storage machine answers.
 //!
 //! Decisions, without I/O or clock:
 //!
@@ -14,7 +14,7 @@
 //! - [`node`]: one storage machine, with its [`store`] and the [`budget`] of each program;
 //! - [`operation`]: one write of a client; [`pull`]: copying from other machines in a joint epoch.
 //!
-//! Drivers: [`client`] for proxies, [`server`] for storage machines, [`announce`] for both ends of the membership.
+//! Drivers: [`client`] for edges, [`server`] for storage machines, [`announce`] for both ends of the membership.
 //! Formats: [`message`] on the wire, [`record`] on disk, both in the byte format of [`message::encode`].
 //! `docs/storage.md` describes the protocol and its measurements.
 
