--- a/crates/testing/local-tier/src/main.rs
+++ b/crates/testing/local-tier/src/main.rs
@@ -19,7 +19,7 @@
     Command::new("woadreach-local-tier")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Starts a serving tier on loopback, plays a conversation through it and says what came back")
-        .after_help("Example: woadreach-tier --edges 3 --turns 5")
+        .after_help("Example: woadreach-local-tier --edges 3 --turns 5")
         .arg(count("edges", "2", "Edge machines"))
         .arg(count("core", "3", "Core machines"))
         .arg(count("storage", "3", "Storage machines"))
