--- a/crates/testing/local-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -218,7 +218,7 @@
 async fn wait_until_refilled(tier: &Tier, index: u8, pulls: usize) {
     let pulled = |log: &str| {
         log.lines()
-            .filter(|line| line.contains("pulled what"))
+            .filter(|line| line.contains("storage pull completed"))
             .count()
     };
     let epoch = wait_for(tier, "a pull by the storage machine that came back", || {
@@ -251,7 +251,7 @@
         let log = log_of(&tier, MachineClass::Storage, lost);
         let pulls = log
             .lines()
-            .filter(|line| line.contains("pulled what"))
+            .filter(|line| line.contains("storage pull completed"))
             .count();
         tier.node(MachineClass::Storage, lost)
             .unwrap()
