--- a/crates/testing/local-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -224,7 +224,7 @@
     let epoch = wait_for(tier, "a pull by the storage machine that came back", || {
         let log = log_of(tier, MachineClass::Storage, index);
         if pulled(&log) > pulls {
-            number_after(&log, "hold epoch=")
+            number_after(&log, "completed epoch=")
         } else {
             None
         }
