--- a/crates/router/runtime/src/lib.rs
+++ b/crates/router/runtime/src/lib.rs
@@ -7,7 +7,7 @@
 
 mod tokio_net;
 
-pub use tokio_net::{Joined, Tokio, TokioDatagrams, TokioListener, TokioStream};
+pub use tokio_net::{TaskHandle, Tokio, TokioDatagrams, TokioListener, TokioStream};
 
 use snafu::Snafu;
 use std::future::Future;
@@ -37,7 +37,7 @@
     /// A socket for datagrams.
     type Datagrams: Datagrams;
     /// Finishes when the task does. Dropping it lets the task go on by itself.
-    type Joined: Future<Output = Result<(), TaskError>> + Unpin;
+    type TaskHandle: Future<Output = Result<(), TaskError>> + Unpin;
 
     /// Unix seconds by this machine's clock, which never goes back.
     fn now(&self) -> f64;
@@ -46,10 +46,10 @@
     fn sleep_until(&self, time: f64) -> impl Future<Output = ()>;
 
     /// Starts a task.
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Joined;
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::TaskHandle;
 
     /// Yields once to all tasks and sockets that are ready.
-    fn turn(&self) -> impl Future<Output = ()>;
+    fn yield_now(&self) -> impl Future<Output = ()>;
 
     /// The address of a host and port by name.
     fn lookup(&self, name: &str) -> impl Future<Output = io::Result<SocketAddr>>;
@@ -148,7 +148,7 @@
     fn shutdown(&mut self) -> impl Future<Output = io::Result<()>>;
 
     /// Seconds since the kernel received the last bytes; 0 where it does not report that.
-    fn waited(&self) -> f64;
+    fn receive_delay(&self) -> f64;
 
     /// From now on its drop resets the connection, and discards what has not left this machine.
     fn reset_on_drop(&self);
@@ -159,13 +159,13 @@
     /// Appends to `into`; 0 at the end of what the other side sends.
     fn read(&mut self, into: &mut Vec<u8>) -> impl Future<Output = io::Result<usize>>;
 
-    /// As [`Stream::waited`].
-    fn waited(&self) -> f64;
+    /// As [`Stream::receive_delay`].
+    fn receive_delay(&self) -> f64;
 
     /// The same of the byte `behind` bytes before the last one read, where the system reports it separately.
-    fn waited_for(&self, behind: usize) -> f64 {
+    fn receive_delay_of(&self, behind: usize) -> f64 {
         let _ = behind;
-        self.waited()
+        self.receive_delay()
     }
 }
 
--- a/crates/router/runtime/src/tokio_net.rs
+++ b/crates/router/runtime/src/tokio_net.rs
@@ -59,9 +59,9 @@
 }
 
 /// The end of a task; dropped, it lets the task go on.
-pub struct Joined(JoinHandle<()>);
+pub struct TaskHandle(JoinHandle<()>);
 
-impl Future for Joined {
+impl Future for TaskHandle {
     type Output = Result<(), TaskError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
@@ -75,7 +75,7 @@
     type Stream = TokioStream;
     type Listener = TokioListener;
     type Datagrams = TokioDatagrams;
-    type Joined = Joined;
+    type TaskHandle = TaskHandle;
 
     fn now(&self) -> f64 {
         self.start + self.since.elapsed().as_secs_f64() * self.rate
@@ -86,11 +86,11 @@
         tokio::time::sleep_until((self.since + wait).into())
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Joined {
-        Joined(tokio::task::spawn_local(task))
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> TaskHandle {
+        TaskHandle(tokio::task::spawn_local(task))
     }
 
-    fn turn(&self) -> impl Future<Output = ()> {
+    fn yield_now(&self) -> impl Future<Output = ()> {
         tokio::task::yield_now()
     }
 
@@ -200,8 +200,8 @@
         self.0.shutdown().await
     }
 
-    fn waited(&self) -> f64 {
-        waited(&self.0)
+    fn receive_delay(&self) -> f64 {
+        receive_delay(&self.0)
     }
 
     fn reset_on_drop(&self) {
@@ -218,8 +218,8 @@
         self.0.read_buf(into).await
     }
 
-    fn waited(&self) -> f64 {
-        waited(self.0.as_ref())
+    fn receive_delay(&self) -> f64 {
+        receive_delay(self.0.as_ref())
     }
 }
 
@@ -252,7 +252,7 @@
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
 
 /// Seconds since the kernel received the last bytes of a connection; 0 where it does not report that.
-fn waited(socket: &impl AsRawFd) -> f64 {
+fn receive_delay(socket: &impl AsRawFd) -> f64 {
     // SAFETY: a plain struct of numbers, for which all zeros are a value; the call writes at most `length`
     // bytes to it.
     let (mut info, mut length) = (unsafe { std::mem::zeroed::<libc::tcp_info>() }, 0);
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -139,7 +139,7 @@
             self.process_queued(first, &mut events);
             // Prevents that a pass which was held up by the machine sends parts for clients that have gone
             // meanwhile: sockets are polled once more first. Cost: a part leaves some microseconds later.
-            self.executor.net.turn().await;
+            self.executor.net.yield_now().await;
             self.process_queued(None, &mut events);
             self.executor.replicas.flush(self.executor.now);
         }
--- a/crates/router/woadreachd/src/front/client_connection.rs
+++ b/crates/router/woadreachd/src/front/client_connection.rs
@@ -23,6 +23,6 @@
     /// Prevents that one which has waited to be accepted or read, in a flood or while the process was held
     /// up, is worked on after its client's time.
     pub(super) fn record_receipt(&mut self, net: &N) {
-        self.received_at = net.now() - self.stream.waited();
+        self.received_at = net.now() - self.stream.receive_delay();
     }
 }
--- a/crates/router/woadreachd/src/front/request_reader.rs
+++ b/crates/router/woadreachd/src/front/request_reader.rs
@@ -179,7 +179,7 @@
                 () = self.net.sleep_until(deadline) => ending = true,
             }
             if ending {
-                self.net.turn().await;
+                self.net.yield_now().await;
             }
         };
         client.record_receipt(&self.net);
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -127,7 +127,7 @@
         }
         // An answer counts from when the kernel had it. Prevents that sound replicas look slow after a moment
         // in which this process stood still.
-        let received_at = net.now() - reader.waited();
+        let received_at = net.now() - reader.receive_delay();
         let taken = take_frames(&bytes, id, received_at, events)?;
         bytes.drain(..taken);
         if begins || taken > 0 {
@@ -194,8 +194,8 @@
         // disconnected, or after a drain, where the news lies unread behind this connection's beginning: all
         // sockets are polled, then the core. Cost: such an attempt leaves some microseconds later.
         if std::mem::take(&mut first) || net.now() > since + MAX_WRITE_DELAY {
-            net.turn().await;
-            net.turn().await;
+            net.yield_now().await;
+            net.yield_now().await;
         }
         let Some(message) = queue.pop() else {
             continue;
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -45,9 +45,9 @@
 
 /// The tasks whose end the process waits for.
 struct Tasks<N: Net> {
-    core: N::Joined,
-    front: N::Joined,
-    peers: Option<N::Joined>,
+    core: N::TaskHandle,
+    front: N::TaskHandle,
+    peers: Option<N::TaskHandle>,
 }
 
 /// Serves until all is answered after SIGTERM.
@@ -182,7 +182,7 @@
         config: PeerConfig,
         core: &mut Core<N>,
         on_verdict: VerdictCallback,
-    ) -> Result<N::Joined, ServeError> {
+    ) -> Result<N::TaskHandle, ServeError> {
         let address = config.listen;
         let socket = self.net.datagrams(address);
         let socket = socket.context(ListenSnafu { address })?;
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -249,9 +249,9 @@
                 self.net.sleep(late).await;
             }
             while let Some((f, taken)) = parse_frame(&bytes) {
-                let begun = self.net.now() - from.waited_for(bytes.len() - 1);
+                let begun = self.net.now() - from.receive_delay_of(bytes.len() - 1);
                 bytes.drain(..taken);
-                let came = self.net.now() - from.waited_for(bytes.len());
+                let came = self.net.now() - from.receive_delay_of(bytes.len());
                 match f.letter {
                     b'D' => match parse_parts(&f.rest) {
                         Ok(parts) => {
--- a/crates/testing/process-tests/src/killable.rs
+++ b/crates/testing/process-tests/src/killable.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 use tokio::sync::watch;
-use woadreach_runtime::{Joined, Net, Tokio, TokioDatagrams, TokioListener, TokioStream};
+use woadreach_runtime::{Net, TaskHandle, Tokio, TokioDatagrams, TokioListener, TokioStream};
 
 /// The runtime of one fake replica.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
     type Stream = TokioStream;
     type Listener = TokioListener;
     type Datagrams = TokioDatagrams;
-    type Joined = Joined;
+    type TaskHandle = TaskHandle;
 
     fn now(&self) -> f64 {
         self.net.now()
@@ -41,7 +41,7 @@
         self.net.sleep_until(time)
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Joined {
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::TaskHandle {
         let mut is_killed = self.is_killed.subscribe();
         self.net.spawn(async move {
             tokio::select! {
@@ -52,8 +52,8 @@
         })
     }
 
-    fn turn(&self) -> impl Future<Output = ()> {
-        self.net.turn()
+    fn yield_now(&self) -> impl Future<Output = ()> {
+        self.net.yield_now()
     }
 
     async fn lookup(&self, name: &str) -> io::Result<SocketAddr> {
--- a/crates/testing/simulation/src/network/process.rs
+++ b/crates/testing/simulation/src/network/process.rs
@@ -49,11 +49,11 @@
 }
 
 /// Completes when its task does.
-pub(crate) struct SimJoined {
+pub(crate) struct SimTaskHandle {
     outcome: oneshot::Receiver<()>,
 }
 
-impl Future for SimJoined {
+impl Future for SimTaskHandle {
     type Output = Result<(), TaskError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
@@ -67,7 +67,7 @@
     type Stream = SimStream;
     type Listener = SimListener;
     type Datagrams = SimDatagrams;
-    type Joined = SimJoined;
+    type TaskHandle = SimTaskHandle;
 
     fn now(&self) -> f64 {
         BEGIN + self.clock_offset() + self.network.now() as f64 / SECOND
@@ -82,16 +82,16 @@
         }
     }
 
-    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> SimJoined {
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> SimTaskHandle {
         let (sender, outcome) = oneshot::channel();
         self.network.0.clock.spawn(self.process, async move {
             task.await;
             let _ = sender.send(());
         });
-        SimJoined { outcome }
+        SimTaskHandle { outcome }
     }
 
-    async fn turn(&self) {
+    async fn yield_now(&self) {
         let mut turned = false;
         poll_fn(|cx| {
             if std::mem::replace(&mut turned, true) {
--- a/crates/testing/simulation/src/network/stream.rs
+++ b/crates/testing/simulation/src/network/stream.rs
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    fn waited(&self) -> f64 {
+    fn receive_delay(&self) -> f64 {
         self.0.since_last_data()
     }
 
@@ -184,11 +184,11 @@
         self.0.read(into).await
     }
 
-    fn waited(&self) -> f64 {
+    fn receive_delay(&self) -> f64 {
         self.0.since_last_data()
     }
 
-    fn waited_for(&self, behind: usize) -> f64 {
+    fn receive_delay_of(&self, behind: usize) -> f64 {
         let p = self.0.input.state.borrow();
         let arrived = p.arrivals.back().map_or(0, |a| a.total_bytes);
         let read = arrived - p.received.len() as u64;
