--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -6,10 +6,10 @@
 use woadreach_routing::decide::deadline_queue::DeadlineQueue;
 
 use crate::action::Action;
-use crate::call::{Call, CallId, WeightedService};
+use crate::call::{Call, CallId};
 use crate::calls_in_flight::{AttemptState, CallInFlight};
 use crate::fleet::Fleet;
-use crate::keys::{AttemptKey, ReplicaKey};
+use crate::keys::ReplicaKey;
 use crate::outcome::{Outcome, ServerLoad};
 use crate::programs::Programs;
 use crate::routes::Routes;
@@ -130,11 +130,7 @@
         }
         sent.state = AttemptState::Ended(outcome);
         let replica = sent.replica;
-        let attempt = AttemptKey {
-            call: id,
-            index: attempt,
-        };
-        self.observe_end(now, attempt, outcome, load);
+        self.observe_end(now, id, attempt, outcome, load);
         if outcome == Outcome::Answered {
             let freed = self.abort_all(id, &mut actions);
             self.end(now, id, true);
@@ -159,11 +155,7 @@
         if sent.state == AttemptState::InFlight && !sent.has_begun {
             sent.has_begun = true;
             self.timers.set(&mut call.timer, id, None);
-            let attempt = AttemptKey {
-                call: id,
-                index: attempt,
-            };
-            self.observe_begin(now, attempt, load);
+            self.observe_begin(now, id, attempt, load);
         }
     }
 
@@ -174,7 +166,7 @@
         if !self.calls.contains_key(&id) {
             return actions;
         }
-        self.observe_late_attempts(now, id);
+        self.observe_given_up(now, id);
         let released = self.abort_all(id, &mut actions);
         self.end(now, id, false);
         for replica in released {
@@ -207,14 +199,14 @@
         let total: u64 = call
             .clusters
             .iter()
-            .map(|cluster| u64::from(cluster.weight))
+            .map(|(_, weight)| u64::from(*weight))
             .sum();
         let mut drawn = if total > 0 {
             self.random.rand_range(0..total)
         } else {
             0
         };
-        for WeightedService { service, weight } in &call.clusters {
+        for (service, weight) in &call.clusters {
             if drawn < u64::from(*weight) {
                 return service.clone();
             }
@@ -222,7 +214,7 @@
         }
         call.clusters
             .first()
-            .map(|cluster| cluster.service.clone())
+            .map(|(service, _)| service.clone())
             .unwrap_or_else(|| Arc::from(""))
     }
 }
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -35,15 +35,6 @@
     }
 }
 
-/// A service that may run a call.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WeightedService {
-    /// Name of the service.
-    pub service: Arc<str>,
-    /// Its weight among the services of the call. If all weights are 0, the first service is chosen.
-    pub weight: u32,
-}
-
 /// A part of a prompt that other requests may share (`Prefix-Hash`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
@@ -62,8 +53,8 @@
     pub route: Arc<str>,
     /// Whether it is idempotent or a stream.
     pub kind: CallKind,
-    /// Services that may run it; one is drawn by weight.
-    pub clusters: Vec<WeightedService>,
+    /// Services that may run it, with their weights.
+    pub clusters: Vec<(Arc<str>, u32)>,
     /// When it arrived.
     pub arrived: f64,
     /// The earliest of the client's deadline and the route's timeout.
@@ -84,11 +75,11 @@
     pub prefix: Vec<PrefixPart>,
     /// Tokens of the prompt.
     pub tokens_in: u32,
-    /// Limit on the tokens that it may generate.
+    /// Most tokens that it may generate.
     pub tokens_out: u32,
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// Limit on the replicas that bytes of the call may reach.
+    /// Most replicas that this call may be sent to.
     pub max_replicas: u32,
 }
 
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -5,7 +5,8 @@
 use woadreach_routing::decide::hold::Hold;
 use woadreach_routing::decide::outlier_detector::OutlierDetector;
 
-use crate::keys::{AttemptKey, ReplicaKey, RouteKey};
+use crate::call::CallId;
+use crate::keys::RouteKey;
 use crate::outcome::ServerLoad;
 use crate::prefix_cache::PrefixCache;
 use crate::spec::ReplicaSpec;
@@ -38,11 +39,9 @@
     pub kind: FailureKind,
 }
 
-/// An attempt in flight, with the replica that it was sent to.
+/// An attempt in flight at the replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
-    pub replica: ReplicaKey,
-    /// When it was sent, in seconds.
     pub sent_at: f64,
     pub route: RouteKey,
     /// Whether no other call of this process was in flight there when it was sent.
@@ -55,33 +54,19 @@
     pub lost: bool,
 }
 
-/// The load that a replica has reported last.
-#[derive(Clone, Copy, Debug)]
-struct ReportedLoad {
-    /// When it arrived, in seconds.
-    at: f64,
-    load: ServerLoad,
-}
-
 /// One replica, as this process has observed it.
 pub(crate) struct Replica {
     pub spec: ReplicaSpec,
-    /// Attempts of this process in flight there.
-    pub in_flight: BTreeMap<AttemptKey, InFlight>,
-    /// How many attempts it may have before further calls are queued, learned from its rejections
-    /// and time-outs.
+    pub in_flight: BTreeMap<(CallId, u32), InFlight>,
     pub hold: Hold,
     pub health: OutlierDetector<RouteKey>,
     pub last_failure: Option<Failure>,
     pub cache: PrefixCache,
     /// Whether another replica answers at its address. Reset when its record changes.
     pub misdirected: bool,
-    load: Option<ReportedLoad>,
-    /// When it last showed that it is working, in seconds.
+    load: Option<(f64, ServerLoad)>,
     last_activity_at: f64,
-    /// Number of complete responses of any status.
     answers: usize,
-    /// When its slow start ends, in seconds.
     warming_until: f64,
 }
 
@@ -121,15 +106,8 @@
     }
 
     /// Records that an attempt of this process was sent to it.
-    pub(crate) fn record_sent(
-        &mut self,
-        now: f64,
-        attempt: AttemptKey,
-        replica: ReplicaKey,
-        route: RouteKey,
-    ) {
+    pub(crate) fn record_sent(&mut self, now: f64, call: CallId, attempt: u32, route: RouteKey) {
         let sent = InFlight {
-            replica,
             sent_at: now,
             route,
             is_only_call: self.in_flight.is_empty(),
@@ -137,7 +115,7 @@
             overtaken: 0,
             lost: false,
         };
-        self.in_flight.insert(attempt, sent);
+        self.in_flight.insert((call, attempt), sent);
     }
 
     /// Records that the replica is working: an event, a response head or a response has arrived.
@@ -148,9 +126,7 @@
 
     /// Records the load that it reported with a response of any kind.
     pub(crate) fn record_load(&mut self, now: f64, load: Option<ServerLoad>) {
-        self.load = load
-            .map(|load| ReportedLoad { at: now, load })
-            .or(self.load);
+        self.load = load.map(|load| (now, load)).or(self.load);
     }
 
     /// Records a complete response.
@@ -161,10 +137,8 @@
 
     /// Whether it has recently reported that all slots are taken.
     pub(crate) fn is_saturated(&self, now: f64) -> bool {
-        let fresh = self.load.filter(|reported| now - reported.at <= LOAD_TTL);
-        fresh.is_some_and(|ReportedLoad { load, .. }| {
-            load.slots > 0 && load.running + load.waiting >= load.slots
-        })
+        let fresh = self.load.filter(|(at, _)| now - at <= LOAD_TTL);
+        fresh.is_some_and(|(_, load)| load.slots > 0 && load.running + load.waiting >= load.slots)
     }
 
     /// Whether its last failure was only a late response.
@@ -209,8 +183,8 @@
     }
 
     /// Records that an attempt has begun, and has overtaken those that were sent before it and have not.
-    pub(crate) fn record_begin(&mut self, attempt: AttemptKey, late: bool) {
-        let Some(sent) = self.in_flight.get_mut(&attempt) else {
+    pub(crate) fn record_begin(&mut self, call: CallId, attempt: u32, late: bool) {
+        let Some(sent) = self.in_flight.get_mut(&(call, attempt)) else {
             return;
         };
         sent.begun_late = Some(late);
