--- a/crates/router/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use scene::{
     Scene, answer_body, config, fill, reset, respond, row, scene, scene_with, send_line, start,
-    watch, watch_from,
+    wait_for_pending_connect, watch, watch_from,
 };
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -325,6 +325,8 @@
     client.write(request("browse", "t", &[0], "q"));
     let mut program = s.program;
     program.says("connection opened connection=0 replica=a");
+    // A logged opening is not yet a request to the kernel; a process that is stopped before it never makes one.
+    wait_for_pending_connect(s.a.address());
     program.signal("-STOP");
     drop(client);
     full.accept(&s.a);
--- a/crates/router/woadreachd/tests/scene/mod.rs
+++ b/crates/router/woadreachd/tests/scene/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{PATIENCE, Program, StandIn, Wire, entry, list};
 use std::net::SocketAddr;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Shards 0 and 2 are in cell 0, shards 1 and 3 in cell 1. `browse` may be answered in half, `pay` may not
 /// run twice, `deep` fetches from two shards in a second step.
@@ -170,6 +170,26 @@
     }
 }
 
+/// Waits until a process has asked the kernel for a connection to this address, which is not up yet: until one is in
+/// the state `SYN_SENT`, as `/proc/net/tcp` numbers and prints it.
+pub(crate) fn wait_for_pending_connect(to: SocketAddr) {
+    const SYN_SENT: &str = "02";
+    let port = format!(":{:04X}", to.port());
+    let is_pending = |line: &str| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        fields[2].ends_with(&port) && fields[3] == SYN_SENT
+    };
+    let start = Instant::now();
+    while start.elapsed() < PATIENCE {
+        let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        if table.lines().skip(1).any(is_pending) {
+            return;
+        }
+        std::thread::sleep(Duration::from_millis(2));
+    }
+    panic!("nobody asks for a connection to {to}");
+}
+
 /// The answer of a list's source, with its length.
 pub(crate) fn respond(call: &mut Wire, body: &str) {
     call.write(format!(
