--- a/crates/router/lease/src/clock_stamp.rs
+++ b/crates/router/lease/src/clock_stamp.rs
@@ -8,16 +8,16 @@
 pub struct ClockStamp(pub u16);
 
 impl ClockStamp {
-    /// The stamp of the time `now`, in seconds.
-    pub fn at(now: f64) -> ClockStamp {
-        ClockStamp(((now * 100.0) as u64 & 0xffff) as u16)
+    /// The stamp of the time `now_s`, in seconds.
+    pub fn at(now_s: f64) -> ClockStamp {
+        ClockStamp(((now_s * 100.0) as u64 & 0xffff) as u16)
     }
 
-    /// The latest time up to `now` that has this stamp, in seconds, and a hundredth earlier, so that rounding never
+    /// The latest time up to `now_s` that has this stamp, in seconds, and a hundredth earlier, so that rounding never
     /// makes it later than it was.
-    pub fn to_seconds(self, now: f64) -> f64 {
-        let ticks_ago = ClockStamp::at(now).0.wrapping_sub(self.0);
-        now - f64::from(ticks_ago) / 100.0 - 0.01
+    pub fn to_seconds(self, now_s: f64) -> f64 {
+        let ticks_ago = ClockStamp::at(now_s).0.wrapping_sub(self.0);
+        now_s - f64::from(ticks_ago) / 100.0 - 0.01
     }
 
     /// Whether this stamp is `other` or later, for stamps less than half of the range apart.
--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -10,9 +10,9 @@
 /// How often an update is sent. At 30 % loss, one member in 37 receives none of three.
 const SENDS_PER_UPDATE: u8 = 3;
 /// Time between two sends of an update, in seconds.
-const SEND_INTERVAL: f64 = 0.3;
+const SEND_INTERVAL_S: f64 = 0.3;
 /// How long a received update is valid, in seconds. Discovery has reported the change 6 s after it at the latest.
-const UPDATE_TIMEOUT: f64 = 8.0;
+const UPDATE_TIMEOUT_S: f64 = 8.0;
 /// Limit on the updates of one datagram.
 const MAX_UPDATES_PER_MESSAGE: usize = 24;
 /// Limit on the updates to send, and on those received. Further ones are dropped.
@@ -23,14 +23,14 @@
 struct OutgoingUpdate {
     departure: Departure,
     sends_left: u8,
-    next_send: f64,
+    next_send_s: f64,
 }
 
 /// An update that a lease holder has sent.
 #[derive(Clone, Debug)]
 struct ReceivedUpdate {
     departure: Departure,
-    expires_at: f64,
+    expires_at_s: f64,
 }
 
 /// Endpoint updates to send and received.
@@ -47,7 +47,7 @@
     /// was received.
     pub fn record_list_report(
         &mut self,
-        now: f64,
+        now_s: f64,
         replica: ReplicaKey,
         departure: Option<Departure>,
     ) {
@@ -61,19 +61,19 @@
             let update = OutgoingUpdate {
                 departure,
                 sends_left: SENDS_PER_UPDATE,
-                next_send: now,
+                next_send_s: now_s,
             };
             self.outgoing.insert(replica, update);
         }
     }
 
     /// The updates that a lease holder has to send now. They count as sent once.
-    pub fn take_due(&mut self, now: f64) -> Vec<EndpointUpdate> {
+    pub fn take_due(&mut self, now_s: f64) -> Vec<EndpointUpdate> {
         let mut due = Vec::new();
         for (replica, update) in &mut self.outgoing {
-            if update.next_send <= now && due.len() < MAX_UPDATES_PER_MESSAGE {
+            if update.next_send_s <= now_s && due.len() < MAX_UPDATES_PER_MESSAGE {
                 update.sends_left -= 1;
-                update.next_send = now + SEND_INTERVAL;
+                update.next_send_s = now_s + SEND_INTERVAL_S;
                 due.push(EndpointUpdate {
                     replica: *replica,
                     departure: update.departure,
@@ -91,7 +91,7 @@
 
     /// Records an update from the lease holder. Returns whether it is new, in which case the replica has to be closed.
     /// Of two departures the later in [`Departure`]'s order is kept.
-    pub fn receive(&mut self, now: f64, update: EndpointUpdate) -> bool {
+    pub fn receive(&mut self, now_s: f64, update: EndpointUpdate) -> bool {
         let known = self.received.get(&update.replica).map(|r| r.departure);
         if self.received.len() >= MAX_UPDATES && known.is_none() {
             return false;
@@ -99,7 +99,7 @@
         let departure = known.map_or(update.departure, |known| known.max(update.departure));
         let received = ReceivedUpdate {
             departure,
-            expires_at: now + UPDATE_TIMEOUT,
+            expires_at_s: now_s + UPDATE_TIMEOUT_S,
         };
         self.received.insert(update.replica, received);
         self.ahead_of_list += u64::from(known.is_none());
@@ -108,14 +108,15 @@
 
     /// Removes the received updates that this member's own endpoint list has not confirmed in time, and returns their
     /// replicas, which the list decides on again.
-    pub fn take_expired(&mut self, now: f64) -> Vec<ReplicaKey> {
+    pub fn take_expired(&mut self, now_s: f64) -> Vec<ReplicaKey> {
         let expired = self
             .received
             .iter()
-            .filter(|(_, update)| update.expires_at <= now)
+            .filter(|(_, update)| update.expires_at_s <= now_s)
             .map(|(replica, _)| *replica)
             .collect();
-        self.received.retain(|_, update| update.expires_at > now);
+        self.received
+            .retain(|_, update| update.expires_at_s > now_s);
         expired
     }
 }
--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Promise {
     pub(super) token: FencingToken,
-    pub(super) until: f64,
+    pub(super) until_s: f64,
     /// Whether it was given to a holder. A candidate may give it up at any moment.
     to_holder: bool,
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Acceptor {
     /// No request is answered before.
-    silent_until: f64,
+    silent_until_s: f64,
     /// Promises in force; at most one a role.
     promises: BTreeMap<Role, Promise>,
     /// The latest token promised for each role. Its epoch never decreases. It is kept apart from the tokens under which
@@ -39,23 +39,23 @@
 }
 
 impl Acceptor {
-    /// An acceptor that has forgotten its promises at `now`.
-    pub(super) fn new(now: f64, config: &LeaseConfig) -> Acceptor {
+    /// An acceptor that has forgotten its promises at `now_s`.
+    pub(super) fn new(now_s: f64, config: &LeaseConfig) -> Acceptor {
         Acceptor {
-            silent_until: config.silent_until(now),
+            silent_until_s: config.silent_until_s(now_s),
             promises: BTreeMap::new(),
             latest_promised: BTreeMap::new(),
         }
     }
 
     /// Drops all promises and stays silent until they could no longer be valid. Required once the clock has jumped.
-    pub(super) fn reset(&mut self, now: f64, config: &LeaseConfig) {
-        self.silent_until = config.silent_until(now);
+    pub(super) fn reset(&mut self, now_s: f64, config: &LeaseConfig) {
+        self.silent_until_s = config.silent_until_s(now_s);
         self.promises.clear();
     }
 
-    pub(super) fn remove_expired(&mut self, now: f64) {
-        self.promises.retain(|_, promise| promise.until > now);
+    pub(super) fn remove_expired(&mut self, now_s: f64) {
+        self.promises.retain(|_, promise| promise.until_s > now_s);
     }
 
     pub(super) fn has_promises(&self) -> bool {
@@ -84,24 +84,24 @@
     /// promises and by the actions of holders.
     pub(super) fn answer(
         &mut self,
-        now: f64,
+        now_s: f64,
         request: &LeaseRequest,
         highest_epoch: u32,
         config: &LeaseConfig,
     ) -> Option<Message> {
-        if now < self.silent_until {
+        if now_s < self.silent_until_s {
             return None;
         }
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.promises.get(&role).filter(|p| p.until > now);
+        let current = self.promises.get(&role).filter(|p| p.until_s > now_s);
         let is_renewal = current.is_some_and(|promise| promise.token == token);
         let other = current.filter(|promise| promise.token != token);
         let is_latest =
             token.epoch == highest_epoch && self.latest_promised.get(&role) == Some(&token);
         let is_new = token.epoch > highest_epoch || is_latest;
         if other.is_some() || !(is_renewal || is_new) {
-            let wait = match other {
-                Some(promise) if promise.to_holder => promise.until - now,
+            let wait_s = match other {
+                Some(promise) if promise.to_holder => promise.until_s - now_s,
                 _ => 0.0,
             };
             return Some(Message::Denied {
@@ -109,17 +109,17 @@
                 epoch: highest_epoch,
                 incarnation: token.incarnation,
                 request_id: request.request_id,
-                wait_centis: (wait * 100.0).ceil() as u16,
+                wait_centis: (wait_s * 100.0).ceil() as u16,
             });
         }
         // Never shorter than the promise in force.
-        let until = current
-            .map_or(now, |promise| promise.until)
-            .max(now + config.grant_duration(request.is_holder));
+        let until_s = current
+            .map_or(now_s, |promise| promise.until_s)
+            .max(now_s + config.grant_duration_s(request.is_holder));
         let to_holder = request.is_holder || current.is_some_and(|promise| promise.to_holder);
         let promise = Promise {
             token,
-            until,
+            until_s,
             to_holder,
         };
         self.promises.insert(role, promise);
@@ -132,8 +132,8 @@
         })
     }
 
-    pub(super) fn silent_until(&self) -> f64 {
-        self.silent_until
+    pub(super) fn silent_until_s(&self) -> f64 {
+        self.silent_until_s
     }
 
     pub(super) fn promises(&self) -> &BTreeMap<Role, Promise> {
--- a/crates/router/lease/src/leases/candidacy.rs
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -9,10 +9,10 @@
 pub(super) struct Proposal {
     pub(super) request_id: u16,
     /// For how long the acceptors' grants are valid, in seconds.
-    grant_duration: f64,
-    pub(super) started_at: f64,
+    grant_duration_s: f64,
+    pub(super) started_at_s: f64,
     /// When acceptors that have not answered receive the request again.
-    pub(super) resend_at: f64,
+    pub(super) resend_at_s: f64,
     pub(super) granted: BTreeSet<MemberId>,
     /// Those that have granted or denied it. Contains all of `granted`.
     pub(super) answered: BTreeSet<MemberId>,
@@ -34,7 +34,7 @@
     /// The highest epoch that the acceptor knows of.
     pub(super) highest_epoch: u32,
     /// After how many seconds a new request may be granted.
-    pub(super) wait: f64,
+    pub(super) wait_s: f64,
 }
 
 /// What a candidacy needs next.
@@ -65,64 +65,64 @@
     pub(super) failed_proposals: u32,
     pub(super) proposal: Option<Proposal>,
     /// The lease, if this member has one, ends then. It must be before every grant of its majority ends.
-    pub(super) held_until: Option<f64>,
+    pub(super) held_until_s: Option<f64>,
     /// When the next proposal, or renewal, is due.
-    pub(super) next_proposal: f64,
+    pub(super) next_proposal_s: f64,
 }
 
 impl Candidacy {
-    pub(super) fn new(rank: usize, next_proposal: f64) -> Candidacy {
+    pub(super) fn new(rank: usize, next_proposal_s: f64) -> Candidacy {
         Candidacy {
             rank,
             epoch: 0,
             highest_denied_epoch: 0,
             failed_proposals: 0,
             proposal: None,
-            held_until: None,
-            next_proposal,
+            held_until_s: None,
+            next_proposal_s,
         }
     }
 
     pub(super) fn is_holder(&self) -> bool {
-        self.held_until.is_some()
+        self.held_until_s.is_some()
     }
 
     /// When [`Candidacy::next_step`] is due.
-    pub(super) fn next_due(&self) -> f64 {
+    pub(super) fn next_due_s(&self) -> f64 {
         let due = self
             .proposal
             .as_ref()
-            .map_or(self.next_proposal, |proposal| proposal.resend_at);
-        self.held_until.map_or(due, |until| due.min(until))
+            .map_or(self.next_proposal_s, |proposal| proposal.resend_at_s);
+        self.held_until_s.map_or(due, |until_s| due.min(until_s))
     }
 
     /// What is due now. The caller must carry it out.
-    pub(super) fn next_step(&mut self, now: f64, config: &LeaseConfig) -> Step {
-        if self.held_until.is_some_and(|until| now >= until) {
+    pub(super) fn next_step(&mut self, now_s: f64, config: &LeaseConfig) -> Step {
+        if self.held_until_s.is_some_and(|until_s| now_s >= until_s) {
             return Step::Expire;
         }
         let is_holder = self.is_holder();
         if let Some(proposal) = &mut self.proposal {
-            let timeout = if is_holder {
-                config.renew_interval
+            let timeout_s = if is_holder {
+                config.renew_interval_s
             } else {
-                config.proposal_timeout
+                config.proposal_timeout_s
             };
-            if now < proposal.started_at + timeout {
-                if now < proposal.resend_at {
+            if now_s < proposal.started_at_s + timeout_s {
+                if now_s < proposal.resend_at_s {
                     return Step::Wait;
                 }
-                proposal.resend_at = now + config.retry_interval;
+                proposal.resend_at_s = now_s + config.retry_interval_s;
                 return Step::Resend;
             }
-            self.next_proposal = now;
+            self.next_proposal_s = now_s;
             if !is_holder {
                 return Step::Abandon;
             }
             // A holder whose renewal fails starts a new one, so that a later majority extends the lease.
             self.proposal = None;
         }
-        if now < self.next_proposal {
+        if now_s < self.next_proposal_s {
             Step::Wait
         } else {
             Step::Propose
@@ -132,7 +132,7 @@
     /// Starts a proposal. A candidate's epoch exceeds `highest_epoch`, the highest that this member knows of.
     pub(super) fn propose(
         &mut self,
-        now: f64,
+        now_s: f64,
         request_id: u16,
         highest_epoch: u32,
         config: &LeaseConfig,
@@ -143,9 +143,9 @@
         }
         self.proposal = Some(Proposal {
             request_id,
-            grant_duration: config.grant_duration(self.is_holder()),
-            started_at: now,
-            resend_at: now + config.retry_interval,
+            grant_duration_s: config.grant_duration_s(self.is_holder()),
+            started_at_s: now_s,
+            resend_at_s: now_s + config.retry_interval_s,
             granted: BTreeSet::new(),
             answered: BTreeSet::new(),
         });
@@ -154,7 +154,7 @@
     /// Records a grant. Returns whether the lease was acquired by it; a renewal is none.
     pub(super) fn record_grant(
         &mut self,
-        now: f64,
+        now_s: f64,
         grant: &Grant,
         quorum: usize,
         config: &LeaseConfig,
@@ -172,29 +172,29 @@
             return false;
         }
         // The lease runs from before the request was sent, and ends a margin before the grants do.
-        let until = proposal.started_at + proposal.grant_duration - config.clock_margin;
+        let until_s = proposal.started_at_s + proposal.grant_duration_s - config.clock_margin_s;
         // An initial lease is extended to the whole duration at once.
-        let next_proposal = if proposal.grant_duration < config.lease_duration {
-            now
+        let next_proposal_s = if proposal.grant_duration_s < config.lease_duration_s {
+            now_s
         } else {
-            proposal.started_at + config.renew_interval
+            proposal.started_at_s + config.renew_interval_s
         };
         self.proposal = None;
-        if now >= until {
-            self.next_proposal = now;
+        if now_s >= until_s {
+            self.next_proposal_s = now_s;
             return false;
         }
-        self.next_proposal = next_proposal;
+        self.next_proposal_s = next_proposal_s;
         self.failed_proposals = 0;
-        let previous = self.held_until;
-        self.held_until = Some(previous.map_or(until, |previous| previous.max(until)));
+        let previous = self.held_until_s;
+        self.held_until_s = Some(previous.map_or(until_s, |previous| previous.max(until_s)));
         previous.is_none()
     }
 
     /// Records a denial. Returns whether the proposal has failed by it, so that the caller must abandon it.
     pub(super) fn record_denial(
         &mut self,
-        now: f64,
+        now_s: f64,
         denial: &Denial,
         acceptor_count: usize,
         config: &LeaseConfig,
@@ -208,7 +208,7 @@
             return false;
         };
         self.highest_denied_epoch = self.highest_denied_epoch.max(denial.highest_epoch);
-        let is_for_long = denial.wait >= config.proposal_timeout;
+        let is_for_long = denial.wait_s >= config.proposal_timeout_s;
         // An acceptor whose promise ends soon counts as one that has not answered: it receives the request again.
         if denial.highest_epoch < self.epoch && !is_for_long {
             return false;
@@ -220,7 +220,7 @@
         if is_holder || majority_is_possible {
             return false;
         }
-        self.next_proposal = now + denial.wait.min(config.lease_duration);
+        self.next_proposal_s = now_s + denial.wait_s.min(config.lease_duration_s);
         if is_for_long {
             // There is a holder: it was no other candidate that stood in the way.
             self.failed_proposals = 0;
@@ -231,9 +231,9 @@
     /// Delays the next proposal after one that has failed. `random` is in 0..1. The delay grows with the rank and with
     /// the failures, so that two candidates that have disturbed each other don't do so again.
     pub(super) fn back_off(&mut self, random: f64, config: &LeaseConfig) {
-        let delay = (self.rank as f64 + random) * config.backoff;
+        let delay_s = (self.rank as f64 + random) * config.backoff_s;
         let factor = f64::from(1u32 << self.failed_proposals.min(2));
-        self.next_proposal += (delay * factor).min(config.lease_duration / 4.0);
+        self.next_proposal_s += (delay_s * factor).min(config.lease_duration_s / 4.0);
         self.failed_proposals += 1;
     }
 }
--- a/crates/router/lease/src/leases/canonical_state.rs
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -15,8 +15,8 @@
 const LATEST_PROMISED: i64 = -6;
 
 /// A time in milliseconds from now, at most 100 s away.
-fn relative_ms(time: f64, now: f64) -> i64 {
-    ((time - now).clamp(-100.0, 100.0) * 1000.0).round() as i64
+fn relative_ms(time_s: f64, now_s: f64) -> i64 {
+    ((time_s - now_s).clamp(-100.0, 100.0) * 1000.0).round() as i64
 }
 
 fn append_token(state: &mut Vec<i64>, marker: i64, role: Role, token: FencingToken) {
@@ -29,33 +29,33 @@
     ]);
 }
 
-fn append_acceptor(state: &mut Vec<i64>, acceptor: &Acceptor, now: f64) {
+fn append_acceptor(state: &mut Vec<i64>, acceptor: &Acceptor, now_s: f64) {
     for (role, promise) in acceptor.promises() {
         append_token(state, PROMISE, *role, promise.token);
-        state.push(relative_ms(promise.until, now));
+        state.push(relative_ms(promise.until_s, now_s));
     }
     for (role, token) in acceptor.latest_promised() {
         append_token(state, LATEST_PROMISED, *role, *token);
     }
 }
 
-fn append_candidacy(state: &mut Vec<i64>, role: Role, candidacy: &Candidacy, now: f64) {
-    let held_until = candidacy
-        .held_until
-        .map_or(i64::MIN, |until| relative_ms(until, now));
+fn append_candidacy(state: &mut Vec<i64>, role: Role, candidacy: &Candidacy, now_s: f64) {
+    let held_until_ms = candidacy
+        .held_until_s
+        .map_or(i64::MIN, |until_s| relative_ms(until_s, now_s));
     state.extend([
         CANDIDACY,
         i64::from(role.number()),
         i64::from(candidacy.epoch),
-        held_until,
-        relative_ms(candidacy.next_proposal, now),
+        held_until_ms,
+        relative_ms(candidacy.next_proposal_s, now_s),
     ]);
     if let Some(proposal) = &candidacy.proposal {
         state.extend([
             PROPOSAL,
             i64::from(proposal.request_id),
-            relative_ms(proposal.started_at, now),
-            relative_ms(proposal.resend_at, now),
+            relative_ms(proposal.started_at_s, now_s),
+            relative_ms(proposal.resend_at_s, now_s),
         ]);
         state.extend(proposal.granted.iter().map(|member| i64::from(member.0)));
         state.push(ANSWERED);
@@ -64,19 +64,19 @@
 }
 
 impl Leases {
-    /// What determines this member's further behaviour, with times relative to `now`. For model checkers.
-    pub fn canonical_state(&self, now: f64) -> Vec<i64> {
+    /// What determines this member's further behaviour, with times relative to `now_s`. For model checkers.
+    pub fn canonical_state(&self, now_s: f64) -> Vec<i64> {
         let mut state = vec![
-            relative_ms(self.acceptor.silent_until(), now).max(0),
-            relative_ms(self.last_call, now),
+            relative_ms(self.acceptor.silent_until_s(), now_s).max(0),
+            relative_ms(self.last_call_s, now_s),
             i64::from(self.last_request_id),
         ];
-        append_acceptor(&mut state, &self.acceptor, now);
+        append_acceptor(&mut state, &self.acceptor, now_s);
         for (role, token) in self.holders.tokens() {
             append_token(&mut state, KNOWN_HOLDER, role, token);
         }
         for (role, candidacy) in &self.candidacies {
-            append_candidacy(&mut state, *role, candidacy, now);
+            append_candidacy(&mut state, *role, candidacy, now_s);
         }
         state
     }
--- a/crates/router/lease/src/leases/known_holders.rs
+++ b/crates/router/lease/src/leases/known_holders.rs
@@ -5,10 +5,11 @@
 use std::collections::BTreeMap;
 
 /// The latest action of a holder.
-#[derive(Clone, Debug)]
-struct LatestAction {
-    token: FencingToken,
-    at: f64,
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LatestAction {
+    pub(super) token: FencingToken,
+    /// When this member received it, by its own clock.
+    pub(super) at_s: f64,
 }
 
 /// The latest action that was accepted for each role.
@@ -27,8 +28,9 @@
     }
 
     /// Records an action under a token, which must not be superseded.
-    pub(super) fn record(&mut self, now: f64, role: Role, token: FencingToken) {
-        self.latest.insert(role, LatestAction { token, at: now });
+    pub(super) fn record(&mut self, now_s: f64, role: Role, token: FencingToken) {
+        self.latest
+            .insert(role, LatestAction { token, at_s: now_s });
     }
 
     /// The highest epoch seen; 0 if there is none.
@@ -38,10 +40,9 @@
             .map_or(0, |latest| latest.token.epoch)
     }
 
-    /// The latest token, and when it was used last.
-    pub(super) fn latest(&self, role: Role) -> Option<(FencingToken, f64)> {
-        let latest = self.latest.get(&role)?;
-        Some((latest.token, latest.at))
+    /// The latest action for a role.
+    pub(super) fn latest(&self, role: Role) -> Option<LatestAction> {
+        self.latest.get(&role).copied()
     }
 
     /// The latest token of each role.
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -47,7 +47,7 @@
     config: LeaseConfig,
     random: Pcg64Mcg,
     /// The time of the latest call. A call with an earlier one means that the clock went back.
-    last_call: f64,
+    last_call_s: f64,
     acceptor: Acceptor,
     holders: KnownHolders,
     candidacies: BTreeMap<Role, Candidacy>,
@@ -64,7 +64,7 @@
         roster_size: usize,
         config: LeaseConfig,
         seed: u64,
-        now: f64,
+        now_s: f64,
     ) -> Leases {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let incarnation = Incarnation(random.random());
@@ -72,10 +72,10 @@
             id,
             incarnation,
             roster_size,
-            acceptor: Acceptor::new(now, &config),
+            acceptor: Acceptor::new(now_s, &config),
             config,
             random,
-            last_call: now,
+            last_call_s: now_s,
             holders: KnownHolders::default(),
             candidacies: BTreeMap::new(),
             last_request_id: 0,
@@ -92,10 +92,10 @@
     /// Roles that are not named, or for which this member is no candidate, are released.
     pub fn set_candidates(
         &mut self,
-        now: f64,
+        now_s: f64,
         candidates: &BTreeMap<Role, Vec<MemberId>>,
     ) -> Actions {
-        let mut actions = self.tick(now);
+        let mut actions = self.tick(now_s);
         let unnamed: Vec<Role> = self
             .candidacies
             .keys()
@@ -103,32 +103,34 @@
             .copied()
             .collect();
         for role in unnamed {
-            self.withdraw(now, role, &mut actions);
+            self.withdraw(now_s, role, &mut actions);
         }
         for (role, members) in candidates {
             if members.contains(&self.id) {
-                self.stand(now, *role, members);
+                self.stand(now_s, *role, members);
             } else {
-                self.withdraw(now, *role, &mut actions);
+                self.withdraw(now_s, *role, &mut actions);
             }
         }
         actions
     }
 
     /// The token to act under, if this member holds the role at this moment.
-    pub fn token(&self, now: f64, role: Role) -> Option<FencingToken> {
+    pub fn token(&self, now_s: f64, role: Role) -> Option<FencingToken> {
         let candidacy = self.candidacies.get(&role)?;
         // Once the clock has gone back, it can't be told whether the lease has expired.
-        let clock_is_valid = now >= self.last_call;
-        let is_held = candidacy.held_until.is_some_and(|until| now < until);
+        let clock_is_valid = now_s >= self.last_call_s;
+        let is_held = candidacy
+            .held_until_s
+            .is_some_and(|until_s| now_s < until_s);
         (clock_is_valid && is_held).then_some(self.own_token(candidacy.epoch))
     }
 
     /// The roles that this member holds at this moment.
-    pub fn held_roles(&self, now: f64) -> Vec<Role> {
+    pub fn held_roles(&self, now_s: f64) -> Vec<Role> {
         self.candidacies
             .keys()
-            .filter(|role| self.token(now, **role).is_some())
+            .filter(|role| self.token(now_s, **role).is_some())
             .copied()
             .collect()
     }
@@ -138,12 +140,12 @@
     /// A holder that resumes after a stall may act under a lease that has passed to another: its action is rejected by
     /// every member that has seen a later token. The cost: after most acceptors have restarted at once, a new holder's
     /// epoch may be low, and it is rejected until it has learnt of the higher one.
-    pub fn accept_token(&mut self, now: f64, role: Role, token: FencingToken) -> bool {
+    pub fn accept_token(&mut self, now_s: f64, role: Role, token: FencingToken) -> bool {
         if self.holders.supersedes(role, token) {
             self.counters.stale_tokens += 1;
             return false;
         }
-        self.holders.record(now, role, token);
+        self.holders.record(now_s, role, token);
         // While there is a holder, a proposal would only be denied.
         let waiting_rank = self
             .candidacies
@@ -151,36 +153,36 @@
             .filter(|candidacy| !candidacy.is_holder() && candidacy.proposal.is_none())
             .map(|candidacy| candidacy.rank);
         if let Some(rank) = waiting_rank {
-            let next_proposal = self.first_proposal(now, role, rank);
+            let next_proposal_s = self.first_proposal_s(now_s, role, rank);
             if let Some(candidacy) = self.candidacies.get_mut(&role) {
-                candidacy.next_proposal = next_proposal;
+                candidacy.next_proposal_s = next_proposal_s;
             }
         }
         true
     }
 
     /// When [`Leases::tick`] is due. Calls of other methods may bring it forward.
-    pub fn next_due(&self) -> f64 {
+    pub fn next_due_s(&self) -> f64 {
         let candidacies = self.candidacies.values();
         let first = candidacies
-            .map(Candidacy::next_due)
+            .map(Candidacy::next_due_s)
             .fold(f64::INFINITY, f64::min);
         if self.acceptor.has_promises() {
             // Often enough to detect a clock that jumps.
-            first.min(self.last_call + self.config.lease_duration / 4.0)
+            first.min(self.last_call_s + self.config.lease_duration_s / 4.0)
         } else {
             first
         }
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: f64) -> Actions {
+    pub fn tick(&mut self, now_s: f64) -> Actions {
         let mut actions = Actions::default();
-        self.check_clock(now, &mut actions);
-        self.acceptor.remove_expired(now);
+        self.check_clock(now_s, &mut actions);
+        self.acceptor.remove_expired(now_s);
         let roles: Vec<Role> = self.candidacies.keys().copied().collect();
         for role in roles {
-            self.advance(now, role, &mut actions);
+            self.advance(now_s, role, &mut actions);
         }
         actions
     }
@@ -204,25 +206,28 @@
     }
 
     /// Becomes a candidate, or updates its rank among the candidates.
-    fn stand(&mut self, now: f64, role: Role, candidates: &[MemberId]) {
+    fn stand(&mut self, now_s: f64, role: Role, candidates: &[MemberId]) {
         let own_weight = rendezvous::weight(role, self.id);
         let is_before = |member: &&MemberId| rendezvous::weight(role, **member) < own_weight;
         let rank = candidates.iter().filter(is_before).count();
         if let Some(candidacy) = self.candidacies.get_mut(&role) {
             candidacy.rank = rank;
         } else {
-            let next_proposal = self.first_proposal(now, role, rank);
+            let next_proposal_s = self.first_proposal_s(now_s, role, rank);
             self.candidacies
-                .insert(role, Candidacy::new(rank, next_proposal));
+                .insert(role, Candidacy::new(rank, next_proposal_s));
         }
     }
 
     /// Releases a role and is no candidate any more.
-    fn withdraw(&mut self, now: f64, role: Role, actions: &mut Actions) {
+    fn withdraw(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        let was_held = candidacy.held_until.take().is_some_and(|until| now < until);
+        let was_held = candidacy
+            .held_until_s
+            .take()
+            .is_some_and(|until_s| now_s < until_s);
         if was_held {
             // The lease ends here, before any acceptor is notified.
             let epoch = candidacy.epoch;
@@ -236,29 +241,29 @@
     }
 
     /// When to propose first: not while another member is known to hold the role, and later the higher the rank.
-    fn first_proposal(&mut self, now: f64, role: Role, rank: usize) -> f64 {
-        let lease_duration = self.config.lease_duration;
-        let other_lease_end = self
+    fn first_proposal_s(&mut self, now_s: f64, role: Role, rank: usize) -> f64 {
+        let lease_duration_s = self.config.lease_duration_s;
+        let other_lease_end_s = self
             .holders
             .latest(role)
-            .filter(|(token, _)| token.holder != self.id)
-            .map(|(_, at)| at + lease_duration);
-        let delay = (rank as f64 + self.random.random::<f64>()) * self.config.backoff;
-        other_lease_end.map_or(now, |end| end.max(now)) + delay.min(lease_duration)
+            .filter(|action| action.token.holder != self.id)
+            .map(|action| action.at_s + lease_duration_s);
+        let delay_s = (rank as f64 + self.random.random::<f64>()) * self.config.backoff_s;
+        other_lease_end_s.map_or(now_s, |end| end.max(now_s)) + delay_s.min(lease_duration_s)
     }
 
     /// Detects a clock that has jumped. One that jumps ahead ends grants that are still valid, one that goes back
     /// extends leases; neither can be told from a stall of the process. All are treated like a restart. The cost: a
     /// process that has stalled grants nothing for the duration of a lease.
-    fn check_clock(&mut self, now: f64, actions: &mut Actions) {
-        let went_back = now < self.last_call;
-        let max_step = self.config.lease_duration * MAX_CLOCK_STEP;
-        let jumped_ahead = self.acceptor.has_promises() && now > self.last_call + max_step;
+    fn check_clock(&mut self, now_s: f64, actions: &mut Actions) {
+        let went_back = now_s < self.last_call_s;
+        let max_step_s = self.config.lease_duration_s * MAX_CLOCK_STEP;
+        let jumped_ahead = self.acceptor.has_promises() && now_s > self.last_call_s + max_step_s;
         if went_back || jumped_ahead {
             self.counters.clock_jumps += 1;
-            self.acceptor.reset(now, &self.config);
+            self.acceptor.reset(now_s, &self.config);
             for (role, candidacy) in &mut self.candidacies {
-                if candidacy.held_until.take().is_some() {
+                if candidacy.held_until_s.take().is_some() {
                     self.counters.lost += 1;
                     actions.events.push(LeaseEvent::Lost {
                         role: *role,
@@ -266,10 +271,10 @@
                     });
                 }
                 candidacy.proposal = None;
-                candidacy.next_proposal = now + self.config.backoff;
+                candidacy.next_proposal_s = now_s + self.config.backoff_s;
             }
         }
-        self.last_call = now;
+        self.last_call_s = now_s;
     }
 
     /// Gives up a proposal that has failed and backs off.
@@ -304,44 +309,45 @@
     }
 
     /// Does what is due for a role.
-    fn advance(&mut self, now: f64, role: Role, actions: &mut Actions) {
+    fn advance(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        match candidacy.next_step(now, &self.config) {
+        match candidacy.next_step(now_s, &self.config) {
             Step::Wait => {}
-            Step::Expire => self.expire(now, role, actions),
-            Step::Resend => self.request_grants(now, role, actions),
+            Step::Expire => self.expire(now_s, role, actions),
+            Step::Resend => self.request_grants(now_s, role, actions),
             Step::Abandon => self.abandon_proposal(role, actions),
-            Step::Propose => self.propose(now, role, actions),
+            Step::Propose => self.propose(now_s, role, actions),
         }
     }
 
-    fn expire(&mut self, now: f64, role: Role, actions: &mut Actions) {
+    fn expire(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        candidacy.held_until = None;
+        candidacy.held_until_s = None;
         let random: f64 = self.random.random();
-        candidacy.next_proposal = now + (candidacy.rank as f64 + random) * self.config.backoff;
+        candidacy.next_proposal_s =
+            now_s + (candidacy.rank as f64 + random) * self.config.backoff_s;
         let epoch = candidacy.epoch;
         self.counters.lost += 1;
         actions.events.push(LeaseEvent::Lost { role, epoch });
         self.release(role, actions);
     }
 
-    fn propose(&mut self, now: f64, role: Role, actions: &mut Actions) {
+    fn propose(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let highest_epoch = self.highest_epoch(role);
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
         self.last_request_id = self.last_request_id.wrapping_add(1);
-        candidacy.propose(now, self.last_request_id, highest_epoch, &self.config);
-        self.request_grants(now, role, actions);
+        candidacy.propose(now_s, self.last_request_id, highest_epoch, &self.config);
+        self.request_grants(now_s, role, actions);
     }
 
     /// Sends the current proposal to every acceptor that has not answered it; this member answers itself directly.
-    fn request_grants(&mut self, now: f64, role: Role, actions: &mut Actions) {
+    fn request_grants(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get(&role) else {
             return;
         };
@@ -368,8 +374,8 @@
                     is_holder: request.is_holder,
                 };
                 actions.send(acceptor, message);
-            } else if let Some(answer) = self.answer(now, &request) {
-                self.record_answer(now, acceptor, &answer, actions);
+            } else if let Some(answer) = self.answer(now_s, &request) {
+                self.record_answer(now_s, acceptor, &answer, actions);
             }
         }
     }
--- a/crates/router/lease/src/leases/receive.rs
+++ b/crates/router/lease/src/leases/receive.rs
@@ -12,9 +12,9 @@
 
 impl Leases {
     /// Handles a message of another member. Messages that are not about leases are ignored.
-    pub fn receive(&mut self, now: f64, from: MemberId, message: &Message) -> Actions {
+    pub fn receive(&mut self, now_s: f64, from: MemberId, message: &Message) -> Actions {
         let mut actions = Actions::default();
-        self.check_clock(now, &mut actions);
+        self.check_clock(now_s, &mut actions);
         match *message {
             Message::Request {
                 role,
@@ -34,15 +34,15 @@
                     request_id,
                     is_holder,
                 };
-                self.yield_to(now, role, from, &mut actions);
-                if let Some(answer) = self.answer(now, &request) {
+                self.yield_to(now_s, role, from, &mut actions);
+                if let Some(answer) = self.answer(now_s, &request) {
                     actions.send(from, answer);
                 }
             }
             Message::Granted { incarnation, .. } | Message::Denied { incarnation, .. }
                 if incarnation == self.incarnation =>
             {
-                self.record_answer(now, from, message, &mut actions);
+                self.record_answer(now_s, from, message, &mut actions);
             }
             Message::Release {
                 role,
@@ -64,31 +64,31 @@
     /// Abandons an own proposal in favour of a candidate that comes before this one, since two that propose at once may
     /// each get some of the acceptors and neither a majority. The cost: where the other can't succeed either, a moment
     /// is lost.
-    fn yield_to(&mut self, now: f64, role: Role, candidate: MemberId, actions: &mut Actions) {
+    fn yield_to(&mut self, now_s: f64, role: Role, candidate: MemberId, actions: &mut Actions) {
         let is_before = rendezvous::weight(role, candidate) < rendezvous::weight(role, self.id);
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
         if is_before && !candidacy.is_holder() && candidacy.proposal.is_some() {
-            candidacy.next_proposal = now + self.config.proposal_timeout;
+            candidacy.next_proposal_s = now_s + self.config.proposal_timeout_s;
             self.abandon_proposal(role, actions);
         }
     }
 
     /// As an acceptor; `None` if this member is no acceptor of the role, or silent.
-    pub(super) fn answer(&mut self, now: f64, request: &LeaseRequest) -> Option<Message> {
+    pub(super) fn answer(&mut self, now_s: f64, request: &LeaseRequest) -> Option<Message> {
         if !self.acceptors(request.role).contains(&self.id) {
             return None;
         }
         let highest_epoch = self.highest_epoch(request.role);
         self.acceptor
-            .answer(now, request, highest_epoch, &self.config)
+            .answer(now_s, request, highest_epoch, &self.config)
     }
 
     /// Records an acceptor's answer to a request of this member's current run.
     pub(super) fn record_answer(
         &mut self,
-        now: f64,
+        now_s: f64,
         by: MemberId,
         answer: &Message,
         actions: &mut Actions,
@@ -105,7 +105,7 @@
                     request_id,
                     epoch,
                 };
-                self.record_grant(now, role, &grant, actions);
+                self.record_grant(now_s, role, &grant, actions);
             }
             Message::Denied {
                 role,
@@ -118,33 +118,33 @@
                     by,
                     request_id,
                     highest_epoch: epoch,
-                    wait: f64::from(wait_centis) / 100.0,
+                    wait_s: f64::from(wait_centis) / 100.0,
                 };
-                self.record_denial(now, role, &denial, actions);
+                self.record_denial(now_s, role, &denial, actions);
             }
             _ => {}
         }
     }
 
-    fn record_grant(&mut self, now: f64, role: Role, grant: &Grant, actions: &mut Actions) {
+    fn record_grant(&mut self, now_s: f64, role: Role, grant: &Grant, actions: &mut Actions) {
         let quorum = self.acceptors(role).len() / 2 + 1;
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        if candidacy.record_grant(now, grant, quorum, &self.config) {
+        if candidacy.record_grant(now_s, grant, quorum, &self.config) {
             let epoch = candidacy.epoch;
             self.counters.acquired += 1;
             actions.events.push(LeaseEvent::Acquired { role, epoch });
-            self.holders.record(now, role, self.own_token(epoch));
+            self.holders.record(now_s, role, self.own_token(epoch));
         }
     }
 
-    fn record_denial(&mut self, now: f64, role: Role, denial: &Denial, actions: &mut Actions) {
+    fn record_denial(&mut self, now_s: f64, role: Role, denial: &Denial, actions: &mut Actions) {
         let acceptor_count = self.acceptors(role).len();
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        if candidacy.record_denial(now, denial, acceptor_count, &self.config) {
+        if candidacy.record_denial(now_s, denial, acceptor_count, &self.config) {
             self.abandon_proposal(role, actions);
         }
     }
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -15,43 +15,45 @@
 struct ActiveGrant {
     fraction: u16,
     /// Until when it counts as used: a window after it ends, since what was sent under it counts for so long.
-    counts_until: f64,
+    counts_until_s: f64,
 }
 
 /// Released and granted shares of one replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaQuota {
     /// Until when, at the least and by the allocator's clock, each member has released its share.
-    released_until: BTreeMap<MemberId, f64>,
+    released_until_s: BTreeMap<MemberId, f64>,
     grants: BTreeMap<MemberId, ActiveGrant>,
 }
 
 impl ReplicaQuota {
-    fn remove_expired(&mut self, now: f64) {
-        self.released_until.retain(|_, until| *until > now);
-        self.grants.retain(|_, grant| grant.counts_until > now);
+    fn remove_expired(&mut self, now_s: f64) {
+        self.released_until_s.retain(|_, until_s| *until_s > now_s);
+        self.grants.retain(|_, grant| grant.counts_until_s > now_s);
     }
 
     fn is_empty(&self) -> bool {
-        self.released_until.is_empty() && self.grants.is_empty()
+        self.released_until_s.is_empty() && self.grants.is_empty()
     }
 
-    fn record_release(&mut self, member: MemberId, until: f64) {
-        let released_until = self.released_until.entry(member).or_insert(until);
-        *released_until = released_until.max(until);
+    fn record_release(&mut self, member: MemberId, until_s: f64) {
+        let released_until_s = self.released_until_s.entry(member).or_insert(until_s);
+        *released_until_s = released_until_s.max(until_s);
     }
 
-    /// The fraction for a member that demands `parts`, from shares released until `counts_until` at least. `None` if
+    /// The fraction for a member that demands `parts`, from shares released until `counts_until_s` at least. `None` if
     /// nothing can be granted, or less than the member already has.
     fn grantable(
         &self,
         member: MemberId,
         parts: u8,
         even_share: u16,
-        counts_until: f64,
+        counts_until_s: f64,
     ) -> Option<u16> {
-        let releases = self.released_until.values();
-        let usable_releases = releases.filter(|until| **until >= counts_until).count();
+        let releases = self.released_until_s.values();
+        let usable_releases = releases
+            .filter(|until_s| **until_s >= counts_until_s)
+            .count();
         let pool = u32::from(even_share) * usable_releases as u32;
         let granted_to_others: u32 = self
             .grants
@@ -79,7 +81,7 @@
     /// One for each replica of which something is granted.
     pub grants: Vec<QuotaGrant>,
     /// Until when the grants are valid, by the allocator's clock.
-    pub valid_until: f64,
+    pub valid_until_s: f64,
 }
 
 /// The lease holder's table of released and granted shares. It is void once the lease ends. A new allocator starts with
@@ -88,46 +90,46 @@
 pub struct QuotaAllocator {
     config: QuotaConfig,
     member_count: usize,
-    started_at: f64,
+    started_at_s: f64,
     replicas: BTreeMap<ReplicaKey, ReplicaQuota>,
 }
 
 impl QuotaAllocator {
-    /// An allocator whose lease was acquired at `now`. `member_count` is the number of members among which the quota
+    /// An allocator whose lease was acquired at `now_s`. `member_count` is the number of members among which the quota
     /// is split by the settings.
-    pub fn new(member_count: usize, config: QuotaConfig, now: f64) -> QuotaAllocator {
+    pub fn new(member_count: usize, config: QuotaConfig, now_s: f64) -> QuotaAllocator {
         QuotaAllocator {
             config,
             member_count: member_count.max(1),
-            started_at: now,
+            started_at_s: now_s,
             replicas: BTreeMap::new(),
         }
     }
 
     /// Records a member's report and answers it with grants.
     ///
-    /// `beacon_sent_at` is when the beacon was sent that the member had received, by the allocator's clock: what the
+    /// `beacon_sent_at_s` is when the beacon was sent that the member had received, by the allocator's clock: what the
     /// member releases, it has released since then at the earliest. A grant ends a window before the release that it
     /// rests on, and counts as used for a window after it ends. So no share is used twice, even if datagrams are late,
     /// lost or duplicated. The cost is that a share is idle for a window between two members that use it.
     pub fn allocate(
         &mut self,
-        now: f64,
+        now_s: f64,
         member: MemberId,
-        beacon_sent_at: f64,
+        beacon_sent_at_s: f64,
         demands: &[ReplicaDemand],
     ) -> Allocation {
         let config = &self.config;
         let even_share = (FULL_QUOTA / self.member_count as f64) as u16;
-        let released_until = beacon_sent_at
-            + (config.release_duration + config.window) * CLOCK_RATE_TOLERANCE
-            - config.clock_margin;
-        let valid_until = (beacon_sent_at + config.release_duration * CLOCK_RATE_TOLERANCE
-            - config.clock_margin)
-            .min(now + config.grant_duration);
-        let counts_until = valid_until + config.window;
-        let may_grant =
-            valid_until > now && now >= self.started_at + config.release_duration + config.window;
+        let released_until_s = beacon_sent_at_s
+            + (config.release_duration_s + config.window_s) * CLOCK_RATE_TOLERANCE
+            - config.clock_margin_s;
+        let valid_until_s = (beacon_sent_at_s + config.release_duration_s * CLOCK_RATE_TOLERANCE
+            - config.clock_margin_s)
+            .min(now_s + config.grant_duration_s);
+        let counts_until_s = valid_until_s + config.window_s;
+        let may_grant = valid_until_s > now_s
+            && now_s >= self.started_at_s + config.release_duration_s + config.window_s;
         let mut grants = Vec::new();
         for demand in demands {
             let is_full = self.replicas.len() >= config.max_replicas;
@@ -135,19 +137,20 @@
                 continue;
             }
             let quota = self.replicas.entry(demand.replica).or_default();
-            quota.remove_expired(now);
+            quota.remove_expired(now_s);
             if demand.parts == 0 {
-                quota.record_release(member, released_until);
+                quota.record_release(member, released_until_s);
                 continue;
             }
             if !may_grant {
                 continue;
             }
-            if let Some(fraction) = quota.grantable(member, demand.parts, even_share, counts_until)
+            if let Some(fraction) =
+                quota.grantable(member, demand.parts, even_share, counts_until_s)
             {
                 let grant = ActiveGrant {
                     fraction,
-                    counts_until,
+                    counts_until_s,
                 };
                 quota.grants.insert(member, grant);
                 grants.push(QuotaGrant {
@@ -158,14 +161,14 @@
         }
         Allocation {
             grants,
-            valid_until,
+            valid_until_s,
         }
     }
 
     /// Forgets replicas without releases and grants.
-    pub fn remove_expired(&mut self, now: f64) {
+    pub fn remove_expired(&mut self, now_s: f64) {
         for quota in self.replicas.values_mut() {
-            quota.remove_expired(now);
+            quota.remove_expired(now_s);
         }
         self.replicas.retain(|_, quota| !quota.is_empty());
     }
--- a/crates/router/lease/src/quota/share.rs
+++ b/crates/router/lease/src/quota/share.rs
@@ -11,14 +11,14 @@
 #[derive(Clone, Debug, Default)]
 struct ReplicaShare {
     /// Until when the even share is released.
-    released_until: f64,
+    released_until_s: f64,
     /// The latest grant, in 65,535ths of the quota, and until when it is valid.
     granted_fraction: u16,
-    granted_until: f64,
+    granted_until_s: f64,
     /// Parts demanded since the last report.
     unreported_parts: u32,
     /// When anything was last demanded or sent.
-    last_active: f64,
+    last_active_s: f64,
 }
 
 /// A member's own share of the quota of each warming replica.
@@ -27,7 +27,7 @@
     config: QuotaConfig,
     member_count: usize,
     replicas: BTreeMap<ReplicaKey, ReplicaShare>,
-    last_report: f64,
+    last_report_s: f64,
 }
 
 impl QuotaShare {
@@ -37,13 +37,13 @@
             config,
             member_count: member_count.max(1),
             replicas: BTreeMap::new(),
-            last_report: f64::NEG_INFINITY,
+            last_report_s: f64::NEG_INFINITY,
         }
     }
 
     /// Records the demand for all warming replicas that the endpoint list names. Other replicas are forgotten, unless
     /// their shares are released.
-    pub fn record_demand(&mut self, now: f64, demands: &[LocalDemand]) {
+    pub fn record_demand(&mut self, now_s: f64, demands: &[LocalDemand]) {
         for demand in demands {
             let is_full = self.replicas.len() >= self.config.max_replicas;
             if is_full && !self.replicas.contains_key(&demand.replica) {
@@ -53,42 +53,42 @@
                 .replicas
                 .entry(demand.replica)
                 .or_insert_with(|| ReplicaShare {
-                    last_active: now,
+                    last_active_s: now_s,
                     ..ReplicaShare::default()
                 });
             share.unreported_parts = share.unreported_parts.saturating_add(demand.parts);
             if demand.parts > 0 || demand.sent_recently {
-                share.last_active = now;
+                share.last_active_s = now_s;
             }
         }
         let is_named = |replica: &ReplicaKey| demands.iter().any(|d| d.replica == *replica);
         self.replicas
-            .retain(|replica, share| is_named(replica) || share.released_until > now);
+            .retain(|replica, share| is_named(replica) || share.released_until_s > now_s);
     }
 
     /// Whether a report to the allocators is due. If so, the next is due an interval later.
-    pub fn start_report_if_due(&mut self, now: f64) -> bool {
-        let is_due = now >= self.last_report + self.config.report_interval;
+    pub fn start_report_if_due(&mut self, now_s: f64) -> bool {
+        let is_due = now_s >= self.last_report_s + self.config.report_interval_s;
         if is_due {
-            self.last_report = now;
+            self.last_report_s = now_s;
         }
         is_due
     }
 
-    /// The report to the allocator of a bucket whose latest beacon is `beacon_age` seconds old. It is empty if the
+    /// The report to the allocator of a bucket whose latest beacon is `beacon_age_s` seconds old. It is empty if the
     /// beacon has expired. Releases the shares of idle replicas, and counts demands as reported.
     pub fn take_report(
         &mut self,
-        now: f64,
+        now_s: f64,
         bucket: u8,
         bucket_count: u8,
-        beacon_age: f64,
+        beacon_age_s: f64,
     ) -> Vec<ReplicaDemand> {
-        if beacon_age > self.config.beacon_timeout {
+        if beacon_age_s > self.config.beacon_timeout_s {
             return Vec::new();
         }
-        let window = self.config.window;
-        let released_until = now + (self.config.release_duration + window);
+        let window_s = self.config.window_s;
+        let released_until_s = now_s + (self.config.release_duration_s + window_s);
         let mut report = Vec::new();
         for (replica, share) in &mut self.replicas {
             if replica.bucket(bucket_count) != bucket {
@@ -96,9 +96,9 @@
             }
             // Only a member that has sent nothing for a window releases its share: otherwise another could use the
             // share within the same window.
-            let is_idle = now - share.last_active > window.max(self.config.idle_timeout);
+            let is_idle = now_s - share.last_active_s > window_s.max(self.config.idle_timeout_s);
             if is_idle {
-                share.released_until = released_until;
+                share.released_until_s = released_until_s;
             }
             if is_idle || share.unreported_parts > 0 {
                 report.push(ReplicaDemand {
@@ -114,15 +114,15 @@
         report
     }
 
-    /// Records a grant that is valid until `until` by this member's clock, counted from when it reported its demand.
-    pub fn record_grant(&mut self, now: f64, grant: QuotaGrant, until: f64) {
-        if until <= now {
+    /// Records a grant that is valid until `until_s` by this member's clock, counted from when it reported its demand.
+    pub fn record_grant(&mut self, now_s: f64, grant: QuotaGrant, until_s: f64) {
+        if until_s <= now_s {
             return;
         }
-        let latest = now + self.config.release_duration;
+        let latest = now_s + self.config.release_duration_s;
         if let Some(share) = self.replicas.get_mut(&grant.replica) {
             share.granted_fraction = grant.fraction;
-            share.granted_until = until.min(latest);
+            share.granted_until_s = until_s.min(latest);
         }
     }
 
@@ -133,12 +133,16 @@
 
     /// How many times its even share this member may send to the replica. It is 1 where nothing was released or
     /// granted.
-    pub fn multiple_of_even_share(&self, now: f64, replica: ReplicaKey) -> f64 {
+    pub fn multiple_of_even_share(&self, now_s: f64, replica: ReplicaKey) -> f64 {
         let Some(share) = self.replicas.get(&replica) else {
             return 1.0;
         };
-        let even = if share.released_until > now { 0.0 } else { 1.0 };
-        let granted = if share.granted_until > now {
+        let even = if share.released_until_s > now_s {
+            0.0
+        } else {
+            1.0
+        };
+        let granted = if share.granted_until_s > now_s {
             f64::from(share.granted_fraction) / FULL_QUOTA
         } else {
             0.0
--- a/crates/router/lease/src/replica_key.rs
+++ b/crates/router/lease/src/replica_key.rs
@@ -7,10 +7,10 @@
 pub struct ReplicaKey(pub u32);
 
 impl ReplicaKey {
-    /// The key of the replica `name` that started at `started_at`, in seconds since the epoch. It is a 32-bit FNV-1a
+    /// The key of the replica `name` that started at `started_at_s`, in seconds since the epoch. It is a 32-bit FNV-1a
     /// hash, so that all members compute the same.
-    pub fn named(name: &str, started_at: f64) -> ReplicaKey {
-        let started_at_ms = (started_at * 1000.0).round() as i64;
+    pub fn named(name: &str, started_at_s: f64) -> ReplicaKey {
+        let started_at_ms = (started_at_s * 1000.0).round() as i64;
         let bytes = name.bytes().chain(started_at_ms.to_le_bytes());
         ReplicaKey(bytes.fold(0x811c_9dc5, |hash: u32, byte| {
             (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
--- a/crates/router/lease/src/roles/holder.rs
+++ b/crates/router/lease/src/roles/holder.rs
@@ -11,18 +11,18 @@
 use woadreach_membership::{MemberId, View};
 
 /// Time between two announcements of a holder that it is alive, in seconds.
-const ANNOUNCEMENT_INTERVAL: f64 = 0.5;
+const ANNOUNCEMENT_INTERVAL_S: f64 = 0.5;
 
 impl SingletonRoles {
     /// Sends endpoint updates and beacons for the roles that this member holds.
-    pub(super) fn announce(&mut self, now: f64, view: &View, actions: &mut RoleActions) {
-        let is_due = now >= self.last_announcement + ANNOUNCEMENT_INTERVAL;
+    pub(super) fn announce(&mut self, now_s: f64, view: &View, actions: &mut RoleActions) {
+        let is_due = now_s >= self.last_announcement_s + ANNOUNCEMENT_INTERVAL_S;
         if is_due {
-            self.last_announcement = now;
+            self.last_announcement_s = now_s;
         }
         let watch = Role::EndpointWatch(self.member.zone);
-        if let Some(token) = self.leases.token(now, watch) {
-            self.announce_endpoint_updates(now, is_due, token, view, actions);
+        if let Some(token) = self.leases.token(now_s, watch) {
+            self.announce_endpoint_updates(now_s, is_due, token, view, actions);
         } else {
             self.endpoint_updates.clear_outgoing();
         }
@@ -31,8 +31,8 @@
         }
         for bucket in 0..self.bucket_count {
             let allocator = Role::QuotaAllocator(bucket);
-            if let Some(token) = self.leases.token(now, allocator) {
-                self.announce_allocator(now, bucket, token, view, actions);
+            if let Some(token) = self.leases.token(now_s, allocator) {
+                self.announce_allocator(now_s, bucket, token, view, actions);
             }
         }
     }
@@ -41,13 +41,13 @@
     /// to the other candidates only: that the holder is alive concerns nobody else.
     fn announce_endpoint_updates(
         &mut self,
-        now: f64,
+        now_s: f64,
         announcement_is_due: bool,
         token: FencingToken,
         view: &View,
         actions: &mut RoleActions,
     ) {
-        let updates = self.endpoint_updates.take_due(now);
+        let updates = self.endpoint_updates.take_due(now_s);
         if updates.is_empty() && !announcement_is_due {
             return;
         }
@@ -72,14 +72,14 @@
     /// Sends a quota allocator's beacon to the other candidates. All other members receive it by gossip.
     fn announce_allocator(
         &mut self,
-        now: f64,
+        now_s: f64,
         bucket: u8,
         token: FencingToken,
         view: &View,
         actions: &mut RoleActions,
     ) {
         let role = Role::QuotaAllocator(bucket);
-        let sent_at = ClockStamp::at(now);
+        let sent_at = ClockStamp::at(now_s);
         let message = Message::Beacon {
             role,
             token,
@@ -95,11 +95,11 @@
         let beacon = Beacon {
             token,
             sent_at,
-            received_at: now,
+            received_at_s: now_s,
         };
         self.beacons.insert(bucket, beacon);
         if let Some(allocator) = self.allocators.get_mut(&bucket) {
-            allocator.remove_expired(now);
+            allocator.remove_expired(now_s);
         }
     }
 }
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -40,7 +40,7 @@
     /// The number of members with an even share each.
     pub member_count: usize,
     /// Window over which the slow-start rule counts, in seconds.
-    pub window: f64,
+    pub window_s: f64,
 }
 
 /// What this co-ordinator is by its settings.
@@ -62,13 +62,13 @@
     token: FencingToken,
     sent_at: ClockStamp,
     /// When it was received first, by this member's clock.
-    received_at: f64,
+    received_at_s: f64,
 }
 
 /// All singleton roles of one co-ordinator.
 ///
 /// The driver calls [`update`](Self::update) about ten times a second, [`tick`](Self::tick) when
-/// [`next_due`](Self::next_due) says so, [`receive`](Self::receive) for each payload, and adds
+/// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each payload, and adds
 /// [`gossip`](Self::gossip) to datagrams that it sends anyway. It executes the [`RoleActions`] that they return.
 pub struct SingletonRoles {
     member: LocalMember,
@@ -82,34 +82,34 @@
     allocators: BTreeMap<u8, QuotaAllocator>,
     /// The latest beacon of each bucket's allocator.
     beacons: BTreeMap<u8, Beacon>,
-    last_announcement: f64,
+    last_announcement_s: f64,
     rejected: u64,
 }
 
 fn quota_config(split: SlowStartSplit) -> QuotaConfig {
     QuotaConfig {
-        window: split.window,
+        window_s: split.window_s,
         ..QuotaConfig::default()
     }
 }
 
 impl SingletonRoles {
-    /// The roles of a co-ordinator that starts at `now`.
-    pub fn new(member: LocalMember, config: LeaseConfig, seed: u64, now: f64) -> SingletonRoles {
+    /// The roles of a co-ordinator that starts at `now_s`.
+    pub fn new(member: LocalMember, config: LeaseConfig, seed: u64, now_s: f64) -> SingletonRoles {
         let bucket_count = member
             .roster_size
             .div_ceil(MEMBERS_PER_ALLOCATOR)
             .clamp(1, MAX_ALLOCATORS) as u8;
         SingletonRoles {
             bucket_count,
-            leases: Leases::new(member.id, member.roster_size, config, seed, now),
+            leases: Leases::new(member.id, member.roster_size, config, seed, now_s),
             endpoint_updates: EndpointUpdates::default(),
             quota_share: member
                 .slow_start
                 .map(|split| QuotaShare::new(split.member_count, quota_config(split))),
             allocators: BTreeMap::new(),
             beacons: BTreeMap::new(),
-            last_announcement: f64::NEG_INFINITY,
+            last_announcement_s: f64::NEG_INFINITY,
             rejected: 0,
             member,
         }
@@ -138,69 +138,69 @@
     /// This member's own endpoint list has reported a replica; `None`: it serves.
     pub fn record_list_report(
         &mut self,
-        now: f64,
+        now_s: f64,
         replica: ReplicaKey,
         departure: Option<Departure>,
     ) {
         self.endpoint_updates
-            .record_list_report(now, replica, departure);
+            .record_list_report(now_s, replica, departure);
     }
 
     /// How many times its even share this member may send to a warming replica; 1 where nothing is allocated.
-    pub fn multiple_of_even_share(&self, now: f64, replica: ReplicaKey) -> f64 {
+    pub fn multiple_of_even_share(&self, now_s: f64, replica: ReplicaKey) -> f64 {
         self.quota_share
             .as_ref()
-            .map_or(1.0, |share| share.multiple_of_even_share(now, replica))
+            .map_or(1.0, |share| share.multiple_of_even_share(now_s, replica))
     }
 
     /// Does what is due, with the current members and the demand for all warming replicas. To be called about ten times
     /// a second.
-    pub fn update(&mut self, now: f64, view: &View, demands: &[LocalDemand]) -> RoleActions {
+    pub fn update(&mut self, now_s: f64, view: &View, demands: &[LocalDemand]) -> RoleActions {
         let mut actions = RoleActions::default();
-        let lease_actions = self.leases.set_candidates(now, &self.candidates(view));
-        self.execute(now, lease_actions, &mut actions);
+        let lease_actions = self.leases.set_candidates(now_s, &self.candidates(view));
+        self.execute(now_s, lease_actions, &mut actions);
         if let Some(quota_share) = &mut self.quota_share {
-            quota_share.record_demand(now, demands);
+            quota_share.record_demand(now_s, demands);
         }
-        self.announce(now, view, &mut actions);
-        self.report_demand(now, &mut actions);
-        actions.expired = self.endpoint_updates.take_expired(now);
+        self.announce(now_s, view, &mut actions);
+        self.report_demand(now_s, &mut actions);
+        actions.expired = self.endpoint_updates.take_expired(now_s);
         actions
     }
 
     /// When [`SingletonRoles::tick`] is due.
-    pub fn next_due(&self) -> f64 {
-        self.leases.next_due()
+    pub fn next_due_s(&self) -> f64 {
+        self.leases.next_due_s()
     }
 
     /// Renews leases and sends requests again.
-    pub fn tick(&mut self, now: f64) -> RoleActions {
+    pub fn tick(&mut self, now_s: f64) -> RoleActions {
         let mut actions = RoleActions::default();
-        let lease_actions = self.leases.tick(now);
-        self.execute(now, lease_actions, &mut actions);
+        let lease_actions = self.leases.tick(now_s);
+        self.execute(now_s, lease_actions, &mut actions);
         actions
     }
 
     /// Releases all leases before the co-ordinator ends.
-    pub fn leave(&mut self, now: f64) -> RoleActions {
+    pub fn leave(&mut self, now_s: f64) -> RoleActions {
         let mut actions = RoleActions::default();
-        let lease_actions = self.leases.set_candidates(now, &BTreeMap::new());
-        self.execute(now, lease_actions, &mut actions);
+        let lease_actions = self.leases.set_candidates(now_s, &BTreeMap::new());
+        self.execute(now_s, lease_actions, &mut actions);
         actions
     }
 
     /// The payload to piggyback on other datagrams: the latest beacons, so that they reach all members within a few
     /// rounds. Empty if there are none, or if this member has no use for them.
-    pub fn gossip(&self, now: f64) -> Vec<u8> {
+    pub fn gossip(&self, now_s: f64) -> Vec<u8> {
         let has_no_demand = self.quota_share.as_ref().is_none_or(QuotaShare::is_empty);
         if has_no_demand && self.allocators.is_empty() {
             return Vec::new();
         }
-        let timeout = QuotaConfig::default().beacon_timeout;
+        let timeout_s = QuotaConfig::default().beacon_timeout_s;
         let beacons: Vec<Message> = self
             .beacons
             .iter()
-            .filter(|(_, beacon)| now - beacon.received_at < timeout)
+            .filter(|(_, beacon)| now_s - beacon.received_at_s < timeout_s)
             .map(|(bucket, beacon)| Message::Beacon {
                 role: Role::QuotaAllocator(*bucket),
                 token: beacon.token,
@@ -216,7 +216,7 @@
     }
 
     /// Executes what the leases ask for: starts and ends allocators, and passes on messages and events.
-    fn execute(&mut self, now: f64, lease_actions: Actions, actions: &mut RoleActions) {
+    fn execute(&mut self, now_s: f64, lease_actions: Actions, actions: &mut RoleActions) {
         for event in &lease_actions.events {
             match *event {
                 LeaseEvent::Acquired {
@@ -225,7 +225,7 @@
                 } => {
                     if let Some(split) = self.member.slow_start {
                         let config = quota_config(split);
-                        let allocator = QuotaAllocator::new(split.member_count, config, now);
+                        let allocator = QuotaAllocator::new(split.member_count, config, now_s);
                         self.allocators.insert(bucket, allocator);
                     }
                 }
--- a/crates/router/lease/src/roles/quota_exchange.rs
+++ b/crates/router/lease/src/roles/quota_exchange.rs
@@ -26,18 +26,18 @@
 impl SingletonRoles {
     /// Reports demand and releases to the allocators, if it is time to. A report to this member itself is answered
     /// after all others are sent.
-    pub(super) fn report_demand(&mut self, now: f64, actions: &mut RoleActions) {
+    pub(super) fn report_demand(&mut self, now_s: f64, actions: &mut RoleActions) {
         let Some(quota_share) = &mut self.quota_share else {
             return;
         };
-        if !quota_share.start_report_if_due(now) {
+        if !quota_share.start_report_if_due(now_s) {
             return;
         }
-        let sent_at = ClockStamp::at(now);
+        let sent_at = ClockStamp::at(now_s);
         let mut reports_to_self = Vec::new();
         for (bucket, beacon) in &self.beacons {
-            let beacon_age = now - beacon.received_at;
-            let demands = quota_share.take_report(now, *bucket, self.bucket_count, beacon_age);
+            let beacon_age_s = now_s - beacon.received_at_s;
+            let demands = quota_share.take_report(now_s, *bucket, self.bucket_count, beacon_age_s);
             for chunk in demands.chunks(MAX_DEMANDS_PER_MESSAGE) {
                 let message = Message::Demands {
                     role: Role::QuotaAllocator(*bucket),
@@ -54,28 +54,32 @@
             }
         }
         for message in reports_to_self {
-            self.receive_message(now, self.member.id, message, actions);
+            self.receive_message(now_s, self.member.id, message, actions);
         }
     }
 
     /// As an allocator: answers a report with grants.
     pub(super) fn answer_report(
         &mut self,
-        now: f64,
+        now_s: f64,
         report: &DemandReport<'_>,
         actions: &mut RoleActions,
     ) {
         let role = Role::QuotaAllocator(report.bucket);
         // A report to another lease of this member is not for the current allocator.
-        let Some(token) = self.leases.token(now, role).filter(|t| *t == report.token) else {
+        let Some(token) = self
+            .leases
+            .token(now_s, role)
+            .filter(|t| *t == report.token)
+        else {
             return;
         };
         let Some(allocator) = self.allocators.get_mut(&report.bucket) else {
             return;
         };
-        let beacon_sent_at = report.beacon_sent_at.to_seconds(now);
-        let allocation = allocator.allocate(now, report.from, beacon_sent_at, report.demands);
-        let valid_for_centis = ((allocation.valid_until - now).max(0.0) * 100.0) as u16;
+        let beacon_sent_at_s = report.beacon_sent_at.to_seconds(now_s);
+        let allocation = allocator.allocate(now_s, report.from, beacon_sent_at_s, report.demands);
+        let valid_for_centis = ((allocation.valid_until_s - now_s).max(0.0) * 100.0) as u16;
         if allocation.grants.is_empty() || valid_for_centis == 0 {
             return;
         }
@@ -84,8 +88,8 @@
             epoch: token.epoch,
         });
         if report.from == self.member.id {
-            let valid_until = now + f64::from(valid_for_centis) / 100.0;
-            self.record_grants(now, &allocation.grants, valid_until);
+            let valid_until_s = now_s + f64::from(valid_for_centis) / 100.0;
+            self.record_grants(now_s, &allocation.grants, valid_until_s);
             return;
         }
         for chunk in allocation.grants.chunks(MAX_GRANTS_PER_MESSAGE) {
@@ -100,11 +104,11 @@
         }
     }
 
-    /// Records grants that are valid until `valid_until` by this member's clock.
-    pub(super) fn record_grants(&mut self, now: f64, grants: &[QuotaGrant], valid_until: f64) {
+    /// Records grants that are valid until `valid_until_s` by this member's clock.
+    pub(super) fn record_grants(&mut self, now_s: f64, grants: &[QuotaGrant], valid_until_s: f64) {
         if let Some(quota_share) = &mut self.quota_share {
             for grant in grants {
-                quota_share.record_grant(now, *grant, valid_until);
+                quota_share.record_grant(now_s, *grant, valid_until_s);
             }
         }
     }
--- a/crates/router/lease/src/roles/receive.rs
+++ b/crates/router/lease/src/roles/receive.rs
@@ -13,7 +13,7 @@
 impl SingletonRoles {
     /// Handles a payload of another member. One that can't be decoded is counted and dropped; messages under an older
     /// lease than the latest known are rejected.
-    pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
+    pub fn receive(&mut self, now_s: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
         let mut actions = RoleActions::default();
         let Some(messages) = open(bytes, self.member.roster_size) else {
             self.rejected += 1;
@@ -21,14 +21,14 @@
         };
         debug_assert!(messages.len() <= MAX_MESSAGES);
         for message in messages {
-            self.receive_message(now, from, message, &mut actions);
+            self.receive_message(now_s, from, message, &mut actions);
         }
         actions
     }
 
     pub(super) fn receive_message(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: MemberId,
         message: Message,
         actions: &mut RoleActions,
@@ -38,22 +38,22 @@
             | Message::Granted { .. }
             | Message::Denied { .. }
             | Message::Release { .. } => {
-                let lease_actions = self.leases.receive(now, from, &message);
-                self.execute(now, lease_actions, actions);
+                let lease_actions = self.leases.receive(now_s, from, &message);
+                self.execute(now_s, lease_actions, actions);
             }
             Message::EndpointUpdates {
                 role,
                 token,
                 updates,
-            } => self.receive_endpoint_updates(now, from, role, token, updates, actions),
-            other => self.receive_allocator_message(now, from, other, actions),
+            } => self.receive_endpoint_updates(now_s, from, role, token, updates, actions),
+            other => self.receive_allocator_message(now_s, from, other, actions),
         }
     }
 
     /// A message from a quota allocator, or to one.
     fn receive_allocator_message(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: MemberId,
         message: Message,
         actions: &mut RoleActions,
@@ -64,7 +64,7 @@
                 token,
                 sent_at,
             } if bucket < self.bucket_count => {
-                self.receive_beacon(now, bucket, token, sent_at);
+                self.receive_beacon(now_s, bucket, token, sent_at);
             }
             Message::Demands {
                 role: Role::QuotaAllocator(bucket),
@@ -81,7 +81,7 @@
                     sent_at,
                     demands: &demands,
                 };
-                self.answer_report(now, &report, actions);
+                self.answer_report(now_s, &report, actions);
             }
             Message::QuotaGrants {
                 role: role @ Role::QuotaAllocator(_),
@@ -90,10 +90,10 @@
                 valid_for_centis,
                 grants,
             } => {
-                if token.holder == from && self.leases.accept_token(now, role, token) {
-                    let valid_for = f64::from(valid_for_centis) / 100.0;
-                    let valid_until = demands_sent_at.to_seconds(now) + valid_for;
-                    self.record_grants(now, &grants, valid_until);
+                if token.holder == from && self.leases.accept_token(now_s, role, token) {
+                    let valid_for_s = f64::from(valid_for_centis) / 100.0;
+                    let valid_until_s = demands_sent_at.to_seconds(now_s) + valid_for_s;
+                    self.record_grants(now_s, &grants, valid_until_s);
                 }
             }
             _ => self.rejected += 1,
@@ -103,7 +103,7 @@
     /// Updates of the holder of this zone's endpoint watch. Others are rejected.
     fn receive_endpoint_updates(
         &mut self,
-        now: f64,
+        now_s: f64,
         from: MemberId,
         role: Role,
         token: FencingToken,
@@ -112,17 +112,17 @@
     ) {
         if token.holder != from || role != Role::EndpointWatch(self.member.zone) {
             self.rejected += 1;
-        } else if self.leases.accept_token(now, role, token) {
+        } else if self.leases.accept_token(now_s, role, token) {
             let new_updates = updates
                 .into_iter()
-                .filter(|update| self.endpoint_updates.receive(now, *update));
+                .filter(|update| self.endpoint_updates.receive(now_s, *update));
             actions.closed.extend(new_updates);
         }
     }
 
     /// A beacon, from its allocator or passed on by any member. One that is known already is no stale action, so it
     /// doesn't count as one.
-    fn receive_beacon(&mut self, now: f64, bucket: u8, token: FencingToken, sent_at: ClockStamp) {
+    fn receive_beacon(&mut self, now_s: f64, bucket: u8, token: FencingToken, sent_at: ClockStamp) {
         let is_known = self
             .beacons
             .get(&bucket)
@@ -131,11 +131,11 @@
             return;
         }
         let role = Role::QuotaAllocator(bucket);
-        if self.leases.accept_token(now, role, token) {
+        if self.leases.accept_token(now_s, role, token) {
             let beacon = Beacon {
                 token,
                 sent_at,
-                received_at: now,
+                received_at_s: now_s,
             };
             self.beacons.insert(bucket, beacon);
         }
--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -277,11 +277,11 @@
 fn config() -> LeaseConfig {
     let real = LeaseConfig::default();
     let rounds = LeaseConfig {
-        renew_interval: 1.0,
-        retry_interval: 1.0,
-        proposal_timeout: 1.0,
-        backoff: 0.0,
-        initial_grant_duration: 2.0,
+        renew_interval_s: 1.0,
+        retry_interval_s: 1.0,
+        proposal_timeout_s: 1.0,
+        backoff_s: 0.0,
+        initial_grant_duration_s: 2.0,
         ..real
     };
     LeaseConfig {
@@ -336,7 +336,7 @@
 }
 
 #[rstest]
-#[case::a_holder_without_clock_margin("one holder at most", World::new(LeaseConfig { clock_margin: 0.0, ..config() }))]
+#[case::a_holder_without_clock_margin("one holder at most", World::new(LeaseConfig { clock_margin_s: 0.0, ..config() }))]
 #[case::a_receiver_that_accepts_a_stale_epoch(
     "no lower epoch after a higher one",
     World { until: 6, accepts_stale_tokens: true, ..World::new(config()) }
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -36,7 +36,7 @@
         roster_size: member_count,
         slow_start: Some(SlowStartSplit {
             member_count,
-            window: WINDOW,
+            window_s: WINDOW,
         }),
     }
 }
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -230,7 +230,7 @@
             w.lease_events
         );
         assert!(
-            acquired[0].at < w.config.lease_duration * 2.0,
+            acquired[0].at < w.config.lease_duration_s * 2.0,
             "{acquired:?}"
         );
     }
@@ -259,7 +259,7 @@
         w.run(since + 8.0);
         let after = w.handed_over(since, old);
         assert!(
-            after.is_some_and(|s| s <= w.config.lease_duration + 1.0),
+            after.is_some_and(|s| s <= w.config.lease_duration_s + 1.0),
             "seed {seed}: {after:?} {:?}",
             w.lease_events
         );
@@ -275,7 +275,7 @@
         let stale = w
             .actions
             .iter()
-            .filter(|action| action.member == old && action.at > since + w.config.lease_duration);
+            .filter(|action| action.member == old && action.at > since + w.config.lease_duration_s);
         assert!(
             stale.clone().all(|action| Some(action.epoch) > newer),
             "seed {seed}"
@@ -333,7 +333,7 @@
 #[test]
 fn a_holder_without_clock_margin_is_detected() {
     let config = LeaseConfig {
-        clock_margin: -0.3,
+        clock_margin_s: -0.3,
         ..LeaseConfig::default()
     };
     assert!(play_seeds(0..150, &config).two_holders > 0);
@@ -372,9 +372,9 @@
         for loss in [0.0, 0.1, 0.3] {
             let margin = lease * 0.05;
             let config = LeaseConfig {
-                lease_duration: lease,
-                clock_margin: margin,
-                renew_interval: lease / 3.0,
+                lease_duration_s: lease,
+                clock_margin_s: margin,
+                renew_interval_s: lease / 3.0,
                 ..LeaseConfig::default()
             };
             let (mut after, mut lost, mut sent) = (Vec::new(), 0, 0);
--- a/crates/router/membership/src/members.rs
+++ b/crates/router/membership/src/members.rs
@@ -12,14 +12,15 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 
 /// A timer that comes so late shows that the process has stalled, in seconds. Must exceed the time of a probe.
-const STALL_THRESHOLD: f64 = 0.5;
+const STALL_THRESHOLD_S: f64 = 0.5;
 /// How often each update is sent, as a multiple of the natural logarithm of the number of members (SWIM, section 4.1).
 const TRANSMISSION_FACTOR: f64 = 3.0;
 
 /// The membership protocol of one member.
 ///
-/// The driver calls [`tick`](Self::tick) when [`next_due`](Self::next_due) says so, [`receive`](Self::receive) for each
-/// message, and executes the returned [`Actions`]. All times are in seconds of one clock, whose origin doesn't matter.
+/// The driver calls [`tick`](Self::tick) when [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for
+/// each message, and executes the returned [`Actions`]. All times are in seconds of one clock, whose origin doesn't
+/// matter.
 pub struct Members {
     id: MemberId,
     config: MembershipConfig,
@@ -27,7 +28,7 @@
     state: ProtocolState,
     random: Pcg64Mcg,
     /// When a missing member is next asked to join.
-    next_join: f64,
+    next_join_s: f64,
     unusable_messages: u64,
 }
 
@@ -64,7 +65,7 @@
         roster_size: usize,
         config: MembershipConfig,
         seed: u64,
-        now: f64,
+        now_s: f64,
     ) -> Members {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let view = View {
@@ -81,14 +82,14 @@
             PostcardCodec,
         );
         // At random, so that members that start together don't ask at the same times.
-        let next_join = now + random.random::<f64>() * config.join_interval.as_secs_f64();
+        let next_join_s = now_s + random.random::<f64>() * config.join_interval.as_secs_f64();
         Members {
             id,
             config,
             foca,
-            state: ProtocolState::new(now, view),
+            state: ProtocolState::new(now_s, view),
             random,
-            next_join,
+            next_join_s,
             unusable_messages: 0,
         }
     }
@@ -122,24 +123,24 @@
     }
 
     /// When [`Members::tick`] is due.
-    pub fn next_due(&self) -> f64 {
-        let timer = self.state.next_timer();
-        timer.map_or(self.next_join, |timer| timer.min(self.next_join))
+    pub fn next_due_s(&self) -> f64 {
+        let timer = self.state.next_timer_s();
+        timer.map_or(self.next_join_s, |timer| timer.min(self.next_join_s))
     }
 
     /// Handles a message of the membership protocol. One that is malformed is counted.
-    pub fn receive(&mut self, now: f64, message: &[u8]) -> Actions {
-        self.state.now = now;
+    pub fn receive(&mut self, now_s: f64, message: &[u8]) -> Actions {
+        self.state.now_s = now_s;
         let result = self.foca.handle_data(message, &mut self.state);
         self.unusable_messages += u64::from(result.is_err());
         self.state.take_actions()
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: f64) -> Actions {
-        self.state.now = now;
-        self.absorb_stall(now);
-        while let Some(timer) = self.state.take_due_timer(now) {
+    pub fn tick(&mut self, now_s: f64) -> Actions {
+        self.state.now_s = now_s;
+        self.absorb_stall(now_s);
+        while let Some(timer) = self.state.take_due_timer(now_s) {
             let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
             self.state.start_probe();
             let result = self.foca.handle_timer(timer, &mut self.state);
@@ -148,7 +149,7 @@
                 self.state.record_probe_outcome();
             }
         }
-        if now >= self.next_join {
+        if now_s >= self.next_join_s {
             self.ask_missing_member_to_join();
             let view = &self.state.view;
             let interval = if view.live.len() * 2 > view.roster {
@@ -157,14 +158,14 @@
                 self.config.join_interval
             };
             let jitter = 0.5 + self.random.random::<f64>();
-            self.next_join = now + interval.as_secs_f64() * jitter;
+            self.next_join_s = now_s + interval.as_secs_f64() * jitter;
         }
         self.state.take_actions()
     }
 
     /// Notifies the others that this member leaves, so that they needn't detect it.
-    pub fn leave(&mut self, now: f64) -> Actions {
-        self.state.now = now;
+    pub fn leave(&mut self, now_s: f64) -> Actions {
+        self.state.now_s = now_s;
         let result = self.foca.leave_cluster(&mut self.state);
         self.unusable_messages += u64::from(result.is_err());
         self.state.take_actions()
@@ -172,11 +173,11 @@
 
     /// Delays all timers by the length of a stall. Without it a process that was stopped, or a machine that slept,
     /// would declare down whomever it was probing, though the answers are waiting in its socket.
-    fn absorb_stall(&mut self, now: f64) {
-        if let Some(first) = self.state.next_timer() {
-            let lateness = now - first;
-            if lateness > STALL_THRESHOLD {
-                self.state.delay_timers(lateness);
+    fn absorb_stall(&mut self, now_s: f64) {
+        if let Some(first) = self.state.next_timer_s() {
+            let lateness_s = now_s - first;
+            if lateness_s > STALL_THRESHOLD_S {
+                self.state.delay_timers(lateness_s);
             }
         }
     }
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -17,8 +17,8 @@
 const CUT_OFF_HEALTH: u8 = 4;
 
 /// A time in microseconds, rounded up.
-pub(crate) fn micros(time: f64) -> u64 {
-    (time.max(0.0) * 1e6).ceil() as u64
+pub(crate) fn micros(time_s: f64) -> u64 {
+    (time_s.max(0.0) * 1e6).ceil() as u64
 }
 
 /// When a timer is due, and a number that keeps timers of one time in the order in which they were set.
@@ -31,7 +31,7 @@
 /// The state that `foca` changes by callbacks.
 pub(crate) struct ProtocolState {
     /// The time of the current call, in seconds.
-    pub(crate) now: f64,
+    pub(crate) now_s: f64,
     timers: BTreeMap<TimerKey, Timer<Member>>,
     timers_set: u64,
     /// Lifeguard's local health score: how slow or badly connected this member itself seems. 0 is healthy.
@@ -43,9 +43,9 @@
 }
 
 impl ProtocolState {
-    pub(crate) fn new(now: f64, view: View) -> ProtocolState {
+    pub(crate) fn new(now_s: f64, view: View) -> ProtocolState {
         ProtocolState {
-            now,
+            now_s,
             timers: BTreeMap::new(),
             timers_set: 0,
             local_health: 0,
@@ -60,20 +60,20 @@
     }
 
     /// When the next timer is due, in seconds.
-    pub(crate) fn next_timer(&self) -> Option<f64> {
+    pub(crate) fn next_timer_s(&self) -> Option<f64> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due_micros as f64 / 1e6)
     }
 
-    /// Removes the first timer that is due by `now`.
-    pub(crate) fn take_due_timer(&mut self, now: f64) -> Option<Timer<Member>> {
+    /// Removes the first timer that is due by `now_s`.
+    pub(crate) fn take_due_timer(&mut self, now_s: f64) -> Option<Timer<Member>> {
         let first = self.timers.first_entry()?;
-        (first.key().due_micros <= micros(now)).then(|| first.remove())
+        (first.key().due_micros <= micros(now_s)).then(|| first.remove())
     }
 
     /// Delays all timers, and trusts this member less for a while.
-    pub(crate) fn delay_timers(&mut self, delay: f64) {
-        let delay_micros = micros(delay);
+    pub(crate) fn delay_timers(&mut self, delay_s: f64) {
+        let delay_micros = micros(delay_s);
         let timers = std::mem::take(&mut self.timers);
         let delayed = timers.into_iter().map(|(key, timer)| {
             let due_micros = key.due_micros + delay_micros;
@@ -152,7 +152,7 @@
         self.probe_failed |= matches!(timer, Timer::ChangeSuspectToDown { .. });
         self.timers_set += 1;
         let key = TimerKey {
-            due_micros: micros(self.now + after.as_secs_f64() * slowdown),
+            due_micros: micros(self.now_s + after.as_secs_f64() * slowdown),
             number: self.timers_set,
         };
         self.timers.insert(key, timer);
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -106,7 +106,7 @@
             let due: Vec<_> = self
                 .members
                 .iter()
-                .filter(|(_, m)| m.next_due() <= self.now)
+                .filter(|(_, m)| m.next_due_s() <= self.now)
                 .map(|(i, _)| *i)
                 .collect();
             for i in due
--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -93,6 +93,6 @@
     let coordinators = fields.number("/siblings").unwrap_or(1.0).max(1.0);
     Some(SlowStartSplit {
         member_count: coordinators as usize,
-        window: fields.seconds("/guarantees/tipAfterMs")?,
+        window_s: fields.seconds("/guarantees/tipAfterMs")?,
     })
 }
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -173,8 +173,8 @@
 
     fn next_due(&self) -> f64 {
         let roles = self.roles.as_ref();
-        let roles = roles.map_or(f64::INFINITY, SingletonRoles::next_due);
-        self.peer.next_due().min(self.next_status).min(roles)
+        let roles = roles.map_or(f64::INFINITY, SingletonRoles::next_due_s);
+        self.peer.next_due_s().min(self.next_status).min(roles)
     }
 
     fn tick(&mut self) {
@@ -307,13 +307,13 @@
         config.seed,
         now,
     );
-    let ramp_duration = if config.warm_up > 0.0 {
+    let ramp_duration_s = if config.warm_up > 0.0 {
         (config.warm_up / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
     } else {
         MIN_ZONE_SLOW_START
     };
     let failover = ZoneFailoverConfig {
-        ramp_duration,
+        ramp_duration_s,
         ..ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -160,7 +160,9 @@
 }
 
 fn tier(p: &PeerConfig) -> Vec<(&'static str, String)> {
-    let slow_start = p.slow_start.map(|split| (split.member_count, split.window));
+    let slow_start = p
+        .slow_start
+        .map(|split| (split.member_count, split.window_s));
     vec![
         ("peers listen", p.listen.to_string()),
         ("peers roster", format!("{:?}", p.roster)),
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -3,12 +3,12 @@
 /// Thresholds and timing of failover between zones. Times are in seconds of the member's own clock.
 #[derive(Clone, Debug)]
 pub struct ZoneFailoverConfig {
-    /// How long a report is valid, in seconds. Must exceed two of `report_interval`.
-    pub report_timeout: f64,
+    /// How long a report is valid, in seconds. Must exceed two of `report_interval_s`.
+    pub report_timeout_s: f64,
     /// Time between two reports of a member while nothing is about to change, in seconds.
-    pub report_interval: f64,
+    pub report_interval_s: f64,
     /// The same while a verdict may be about to change.
-    pub urgent_report_interval: f64,
+    pub urgent_report_interval_s: f64,
     /// Limit on the members whose reports decide, chosen by a hash of their ids. Their reports fit into a few datagrams
     /// whatever the size of the tier. Of 32, some 21 are outside one of three zones.
     pub max_reporters: usize,
@@ -26,16 +26,16 @@
     /// A zone is restored only if at most this share of the parts seen has failed.
     pub max_failed_share_to_restore: f64,
     /// Least time in a verdict, in seconds. For an ejected zone it doubles with each consecutive failover.
-    pub dwell: f64,
+    pub dwell_s: f64,
     /// Limit on the count of consecutive failovers.
     pub max_consecutive_failovers: u8,
     /// A zone that is ejected again within this time after its return has one more consecutive failover, in seconds.
-    pub stable_after: f64,
+    pub stable_after_s: f64,
     /// An ejected zone of which nothing was seen for this number of dwells is restored on trial: without hedged requests there
     /// is no trial traffic, and no evidence for it would ever come. Must exceed the time between trials (4 s).
     pub unobserved_dwells: f64,
     /// Time from a zone's return until it has all of its traffic, in seconds.
-    pub ramp_duration: f64,
+    pub ramp_duration_s: f64,
     /// The share of its traffic with which a zone returns.
     pub initial_share: f64,
     /// Envoy's overprovisioning factor: traffic stays near while the healthy share, multiplied by it, covers the
@@ -48,20 +48,20 @@
 impl Default for ZoneFailoverConfig {
     fn default() -> Self {
         ZoneFailoverConfig {
-            report_timeout: 3.0,
-            report_interval: 1.0,
-            urgent_report_interval: 0.1,
+            report_timeout_s: 3.0,
+            report_interval_s: 1.0,
+            urgent_report_interval_s: 0.1,
             max_reporters: 32,
             min_parts_to_eject: 6,
             failed_share_to_eject: 0.75,
             max_failed_share_of_sound_zone: 0.25,
             min_parts_to_restore: 4,
             max_failed_share_to_restore: 0.2,
-            dwell: 1.0,
+            dwell_s: 1.0,
             max_consecutive_failovers: 5,
-            stable_after: 20.0,
+            stable_after_s: 20.0,
             unobserved_dwells: 6.0,
-            ramp_duration: 3.0,
+            ramp_duration_s: 3.0,
             initial_share: 0.1,
             overprovisioning_factor: 1.4,
             max_crowding: 1.2,
--- a/crates/router/zone-failover/src/gossip/report.rs
+++ b/crates/router/zone-failover/src/gossip/report.rs
@@ -7,7 +7,7 @@
 /// Limit on the parts of an encoded count, which has four bits. Larger counts are scaled down.
 const MAX_ENCODED_PARTS: u32 = 15;
 /// Unit of an encoded age, in seconds.
-const AGE_UNIT: f64 = 0.05;
+const AGE_UNIT_S: f64 = 0.05;
 /// Encoded demand is a logarithm to the base of two, in units of one part of this number.
 const DEMAND_STEPS: f64 = 8.0;
 
@@ -59,15 +59,15 @@
     }
 
     /// How old it was when it was sent, in seconds.
-    pub fn age(&self) -> f64 {
-        f64::from(self.age) * AGE_UNIT
+    pub fn age_s(&self) -> f64 {
+        f64::from(self.age) * AGE_UNIT_S
     }
 
     /// The same report with another age, in seconds.
     #[must_use]
-    pub fn with_age(&self, age: f64) -> Report {
+    pub fn with_age(&self, age_s: f64) -> Report {
         Report {
-            age: (age / AGE_UNIT).clamp(0.0, 255.0) as u8,
+            age: (age_s / AGE_UNIT_S).clamp(0.0, 255.0) as u8,
             ..self.clone()
         }
     }
--- a/crates/router/zone-failover/src/gossip/zone_verdict.rs
+++ b/crates/router/zone-failover/src/gossip/zone_verdict.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Unit of an encoded age, in seconds.
-const AGE_UNIT: f64 = 0.01;
+const AGE_UNIT_S: f64 = 0.01;
 
 /// A zone's verdict as it is sent. It has an age instead of a time, so that clocks needn't agree.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -18,18 +18,18 @@
 }
 
 impl ZoneVerdict {
-    /// A verdict that has been in force for `age` seconds.
-    pub fn new(zone: u8, epoch: u32, age: f64, consecutive_failovers: u8) -> ZoneVerdict {
+    /// A verdict that has been in force for `age_s` seconds.
+    pub fn new(zone: u8, epoch: u32, age_s: f64, consecutive_failovers: u8) -> ZoneVerdict {
         ZoneVerdict {
             zone,
             epoch,
-            age: (age.max(0.0) / AGE_UNIT) as u32,
+            age: (age_s.max(0.0) / AGE_UNIT_S) as u32,
             consecutive_failovers,
         }
     }
 
     /// How long it had been in force when it was sent, in seconds, rounded down to hundredths.
-    pub fn age(&self) -> f64 {
-        f64::from(self.age) * AGE_UNIT
+    pub fn age_s(&self) -> f64 {
+        f64::from(self.age) * AGE_UNIT_S
     }
 }
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -10,24 +10,24 @@
 /// of membership. Measurements: `docs/failover.md#reports-and-pushes`.
 const URGENT_FANOUT: usize = 3;
 /// How long reports are pushed at each update, in seconds; by then all members have them.
-const URGENT_DURATION: f64 = 1.5;
+const URGENT_DURATION_S: f64 = 1.5;
 /// Time between two pushes after that, in seconds, to one member each. Under an overload a verdict may be about to
 /// change all the time.
-const SUSTAINED_PUSH_INTERVAL: f64 = 0.5;
+const SUSTAINED_PUSH_INTERVAL_S: f64 = 0.5;
 /// After so long without urgency, in seconds, the next counts as new.
-const URGENCY_GAP: f64 = 3.0;
+const URGENCY_GAP_S: f64 = 3.0;
 
 /// A time in which a verdict may be about to change.
 #[derive(Clone, Copy, Debug)]
 struct Urgency {
-    since: f64,
-    last: f64,
+    since_s: f64,
+    last_s: f64,
 }
 
 /// One co-ordinator among its peers.
 ///
 /// The driver calls [`update`](Self::update) about ten times a second, [`tick`](Self::tick) when
-/// [`next_due`](Self::next_due) says so, [`receive`](Self::receive) for each datagram, and executes the returned
+/// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each datagram, and executes the returned
 /// [`PeerActions`].
 pub struct Peer {
     id: MemberId,
@@ -37,7 +37,7 @@
     pub zones: Zones,
     /// A payload on singleton roles to piggyback on every datagram. This crate doesn't read it.
     pub role_gossip: Vec<u8>,
-    next_push: f64,
+    next_push_s: f64,
     urgency: Option<Urgency>,
     counters: PeerCounters,
 }
@@ -50,7 +50,7 @@
             members,
             zones,
             role_gossip: Vec::new(),
-            next_push: 0.0,
+            next_push_s: 0.0,
             urgency: None,
             counters: PeerCounters::default(),
         }
@@ -70,8 +70,8 @@
     }
 
     /// When [`Peer::tick`] is due.
-    pub fn next_due(&self) -> f64 {
-        self.members.next_due()
+    pub fn next_due_s(&self) -> f64 {
+        self.members.next_due_s()
     }
 
     /// Handles a datagram. `from` is the member whose address in the roster it came from, if any.
@@ -79,7 +79,7 @@
     /// A datagram whose sender isn't the member with its address is rejected, so that two co-ordinators that are
     /// configured alike don't speak for each other. Forged addresses are not detected. The cost: a member that has moved
     /// is unheard until the roster has its new address.
-    pub fn receive(&mut self, now: f64, from: Option<MemberId>, bytes: &[u8]) -> PeerActions {
+    pub fn receive(&mut self, now_s: f64, from: Option<MemberId>, bytes: &[u8]) -> PeerActions {
         let body = match self.decode(from, bytes) {
             Ok(body) => body,
             Err(rejection) => {
@@ -89,15 +89,15 @@
         };
         self.counters.accepted += 1;
         // `Zones` counts a payload that it rejects. The rest of the datagram is valid all the same.
-        let _ = self.zones.receive(now, body.zone_gossip);
+        let _ = self.zones.receive(now_s, body.zone_gossip);
         let roles = (!body.roles.is_empty()).then(|| RolePayload {
             from: body.from,
             bytes: body.roles.to_vec(),
         });
         let mut actions = PeerActions::default();
         if !body.swim.is_empty() {
-            let membership = self.members.receive(now, body.swim);
-            actions = self.execute(now, membership);
+            let membership = self.members.receive(now_s, body.swim);
+            actions = self.execute(now_s, membership);
         }
         actions.roles = roles;
         actions
@@ -117,9 +117,9 @@
     }
 
     /// Does what is due of membership.
-    pub fn tick(&mut self, now: f64) -> PeerActions {
-        let membership = self.members.tick(now);
-        self.execute(now, membership)
+    pub fn tick(&mut self, now_s: f64) -> PeerActions {
+        let membership = self.members.tick(now_s);
+        self.execute(now_s, membership)
     }
 
     /// Takes what this co-ordinator sees of each zone and its own parts per second, computes the verdicts, and pushes
@@ -127,25 +127,25 @@
     /// members that took more of a small co-ordinator's processor than its searches.
     pub fn update(
         &mut self,
-        now: f64,
+        now_s: f64,
         observations: &[ZoneObservation],
         demand: f64,
     ) -> PeerActions {
-        self.zones.record_observations(now, observations, demand);
+        self.zones.record_observations(now_s, observations, demand);
         let mut actions = PeerActions {
-            verdict_changes: self.zones.decide(now, self.members.view()),
+            verdict_changes: self.zones.decide(now_s, self.members.view()),
             ..PeerActions::default()
         };
-        if now >= self.next_push {
-            self.push(now, &mut actions);
+        if now_s >= self.next_push_s {
+            self.push(now_s, &mut actions);
         }
         actions
     }
 
     /// Notifies the others that this co-ordinator leaves.
-    pub fn leave(&mut self, now: f64) -> PeerActions {
-        let membership = self.members.leave(now);
-        self.execute(now, membership)
+    pub fn leave(&mut self, now_s: f64) -> PeerActions {
+        let membership = self.members.leave(now_s);
+        self.execute(now_s, membership)
     }
 
     fn decode<'a>(&self, from: Option<MemberId>, bytes: &'a [u8]) -> Result<Body<'a>, Rejection> {
@@ -158,22 +158,25 @@
     }
 
     /// Sends reports to a few members while a verdict may be about to change.
-    fn push(&mut self, now: f64, actions: &mut PeerActions) {
-        self.next_push = now;
-        if !self.zones.is_urgent(now) {
-            self.urgency = self.urgency.filter(|u| now - u.last < URGENCY_GAP);
+    fn push(&mut self, now_s: f64, actions: &mut PeerActions) {
+        self.next_push_s = now_s;
+        if !self.zones.is_urgent(now_s) {
+            self.urgency = self.urgency.filter(|u| now_s - u.last_s < URGENCY_GAP_S);
             return;
         }
-        let started_at = self.urgency.map_or(now, |urgency| urgency.since);
-        let since = started_at.max(self.zones.last_change());
-        self.urgency = Some(Urgency { since, last: now });
+        let started_at_s = self.urgency.map_or(now_s, |urgency| urgency.since_s);
+        let since_s = started_at_s.max(self.zones.last_change_s());
+        self.urgency = Some(Urgency {
+            since_s,
+            last_s: now_s,
+        });
         let mut fanout = URGENT_FANOUT;
-        if now - since > URGENT_DURATION {
+        if now_s - since_s > URGENT_DURATION_S {
             fanout = 1;
-            self.next_push = now + SUSTAINED_PUSH_INTERVAL;
+            self.next_push_s = now_s + SUSTAINED_PUSH_INTERVAL_S;
         }
         for to in self.members.random_peers(fanout) {
-            let gossip = self.zone_gossip(now, 0);
+            let gossip = self.zone_gossip(now_s, 0);
             if !gossip.is_empty() {
                 self.send_with_roles(to, &[], &gossip, actions);
             }
@@ -181,22 +184,22 @@
     }
 
     /// Sends membership's messages with gossip piggybacked.
-    fn execute(&mut self, now: f64, membership: Actions) -> PeerActions {
+    fn execute(&mut self, now_s: f64, membership: Actions) -> PeerActions {
         let mut actions = PeerActions {
             membership_events: membership.events,
             ..PeerActions::default()
         };
         for message in membership.messages {
-            let gossip = self.zone_gossip(now, message.bytes.len());
+            let gossip = self.zone_gossip(now_s, message.bytes.len());
             self.send_with_roles(message.to, &message.bytes, &gossip, &mut actions);
         }
         actions
     }
 
     /// The payload on zones for a datagram with a membership message of `swim_bytes`.
-    fn zone_gossip(&mut self, now: f64, swim_bytes: usize) -> Vec<u8> {
+    fn zone_gossip(&mut self, now_s: f64, swim_bytes: usize) -> Vec<u8> {
         let capacity = datagram::capacity_beside(swim_bytes + self.role_gossip.len());
-        self.zones.gossip(now, capacity, self.members.view())
+        self.zones.gossip(now_s, capacity, self.members.view())
     }
 
     fn send_with_roles(
--- a/crates/router/zone-failover/src/report_table.rs
+++ b/crates/router/zone-failover/src/report_table.rs
@@ -8,29 +8,29 @@
 /// A report, and how often it was passed on.
 struct StoredReport {
     report: Report,
-    made_at: f64,
+    made_at_s: f64,
     sends: u32,
 }
 
 /// The latest report of each member.
 pub(crate) struct ReportTable {
     /// How long a report is valid, in seconds.
-    timeout: f64,
+    timeout_s: f64,
     reports: BTreeMap<MemberId, StoredReport>,
 }
 
 impl ReportTable {
-    pub(crate) fn new(timeout: f64) -> ReportTable {
+    pub(crate) fn new(timeout_s: f64) -> ReportTable {
         ReportTable {
-            timeout,
+            timeout_s,
             reports: BTreeMap::new(),
         }
     }
 
-    /// Replaces a member's report by one that was made at `made_at`.
-    pub(crate) fn insert(&mut self, report: Report, made_at: f64) {
+    /// Replaces a member's report by one that was made at `made_at_s`.
+    pub(crate) fn insert(&mut self, report: Report, made_at_s: f64) {
         let stored = StoredReport {
-            made_at,
+            made_at_s,
             sends: 0,
             report,
         };
@@ -38,33 +38,33 @@
     }
 
     /// Inserts a report from another member, unless it has expired or the table has a newer one.
-    pub(crate) fn insert_if_newer(&mut self, now: f64, report: Report) {
-        let made_at = now - report.age();
-        let oldest = now - self.timeout;
+    pub(crate) fn insert_if_newer(&mut self, now_s: f64, report: Report) {
+        let made_at_s = now_s - report.age_s();
+        let oldest = now_s - self.timeout_s;
         let known = self.reports.get(&report.member);
         let is_outdated = known
-            .filter(|known| known.made_at > oldest)
+            .filter(|known| known.made_at_s > oldest)
             .is_some_and(|known| {
                 // Sequence numbers wrap.
                 let ahead = report.sequence.wrapping_sub(known.report.sequence);
                 ahead.wrapping_sub(1) >= 127
             });
-        if made_at > oldest && !is_outdated {
-            self.insert(report, made_at);
+        if made_at_s > oldest && !is_outdated {
+            self.insert(report, made_at_s);
         }
     }
 
-    pub(crate) fn remove_expired(&mut self, now: f64) {
-        let oldest = now - self.timeout;
-        self.reports.retain(|_, stored| stored.made_at > oldest);
+    pub(crate) fn remove_expired(&mut self, now_s: f64) {
+        let oldest = now_s - self.timeout_s;
+        self.reports.retain(|_, stored| stored.made_at_s > oldest);
     }
 
     /// The reports that are valid.
-    pub(crate) fn valid(&self, now: f64) -> impl Iterator<Item = &Report> {
-        let oldest = now - self.timeout;
+    pub(crate) fn valid(&self, now_s: f64) -> impl Iterator<Item = &Report> {
+        let oldest = now_s - self.timeout_s;
         self.reports
             .values()
-            .filter(move |stored| stored.made_at > oldest)
+            .filter(move |stored| stored.made_at_s > oldest)
             .map(|stored| &stored.report)
     }
 
@@ -72,21 +72,21 @@
     /// these the newest. They count as passed on. None is passed on more than `max_sends` times.
     pub(crate) fn take_for_gossip(
         &mut self,
-        now: f64,
+        now_s: f64,
         capacity: usize,
         max_sends: u32,
         reporters: &Reporters,
     ) -> Vec<Report> {
-        let oldest = now - self.timeout;
+        let oldest = now_s - self.timeout_s;
         let mut due: Vec<&mut StoredReport> = self
             .reports
             .values_mut()
-            .filter(|stored| stored.made_at > oldest && stored.sends < max_sends)
+            .filter(|stored| stored.made_at_s > oldest && stored.sends < max_sends)
             .filter(|stored| reporters.contains(stored.report.member))
             .collect();
         due.sort_by(|a, b| {
             let by_sends = a.sends.cmp(&b.sends);
-            by_sends.then(b.made_at.total_cmp(&a.made_at))
+            by_sends.then(b.made_at_s.total_cmp(&a.made_at_s))
         });
         let mut reports = Vec::new();
         let mut size = 0;
@@ -96,7 +96,7 @@
                 break;
             }
             stored.sends += 1;
-            reports.push(stored.report.with_age(now - stored.made_at));
+            reports.push(stored.report.with_age(now_s - stored.made_at_s));
         }
         reports
     }
--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -9,7 +9,7 @@
     /// Increases by one with each change. Even: the zone serves; odd: it is ejected.
     pub epoch: u32,
     /// When the verdict came into force, by this member's clock. Members that found it at once take the earliest.
-    pub since: f64,
+    pub since_s: f64,
     /// How often in succession the zone was ejected soon after its return.
     pub consecutive_failovers: u8,
 }
@@ -34,27 +34,27 @@
     }
 
     /// The verdict that follows for an ejected zone, if it is to be restored: parts tried there succeed after the dwell,
-    /// or nothing was seen of it since `last_observed` for long.
+    /// or nothing was seen of it since `last_observed_s` for long.
     pub(crate) fn restored(
         self,
-        now: f64,
+        now_s: f64,
         evidence: &Evidence,
-        last_observed: f64,
+        last_observed_s: f64,
         config: &ZoneFailoverConfig,
     ) -> Option<Verdict> {
         let parts = evidence.parts;
         let exponent = self
             .consecutive_failovers
             .min(config.max_consecutive_failovers);
-        let dwell = config.dwell * f64::from(1u32 << exponent);
+        let dwell_s = config.dwell_s * f64::from(1u32 << exponent);
         let is_sound = parts.seen >= config.min_parts_to_restore
             && parts.failed_share_is_at_most(config.max_failed_share_to_restore);
-        let unobserved_for = now - self.since.max(last_observed);
-        let is_unobserved = unobserved_for >= config.unobserved_dwells * dwell;
-        let may_return = is_sound && now - self.since >= dwell;
+        let unobserved_for_s = now_s - self.since_s.max(last_observed_s);
+        let is_unobserved = unobserved_for_s >= config.unobserved_dwells * dwell_s;
+        let may_return = is_sound && now_s - self.since_s >= dwell_s;
         (may_return || is_unobserved).then_some(Verdict {
             epoch: self.epoch + 1,
-            since: now,
+            since_s: now_s,
             consecutive_failovers: self.consecutive_failovers,
         })
     }
@@ -63,7 +63,7 @@
     /// zones remain.
     pub(crate) fn ejected(
         self,
-        now: f64,
+        now_s: f64,
         evidence: &Evidence,
         others_can_serve: bool,
         config: &ZoneFailoverConfig,
@@ -71,22 +71,22 @@
         let parts = evidence.parts;
         let has_failed = parts.seen >= config.min_parts_to_eject
             && parts.failed_share_is_at_least(config.failed_share_to_eject);
-        let age = now - self.since;
+        let age_s = now_s - self.since_s;
         let was_ejected_before = self.epoch > 0;
-        let dwell_is_over = !was_ejected_before || age >= config.dwell;
+        let dwell_is_over = !was_ejected_before || age_s >= config.dwell_s;
         let is_ejected = has_failed
             && evidence.has_majority_against()
             && evidence.others_are_sound
             && others_can_serve
             && dwell_is_over;
-        let consecutive_failovers = if was_ejected_before && age < config.stable_after {
+        let consecutive_failovers = if was_ejected_before && age_s < config.stable_after_s {
             (self.consecutive_failovers + 1).min(config.max_consecutive_failovers)
         } else {
             0
         };
         is_ejected.then_some(Verdict {
             epoch: self.epoch + 1,
-            since: now,
+            since_s: now_s,
             consecutive_failovers,
         })
     }
--- a/crates/router/zone-failover/src/zones/mod.rs
+++ b/crates/router/zone-failover/src/zones/mod.rs
@@ -24,7 +24,7 @@
 use woadreach_membership::{MemberId, View};
 
 /// Tolerance of the comparison of times, in seconds.
-const TIME_EPSILON: f64 = 1e-9;
+const TIME_EPSILON_S: f64 = 1e-9;
 
 /// The verdicts of one member. All times are in seconds of one clock, whose origin doesn't matter.
 pub struct Zones {
@@ -40,12 +40,12 @@
     reports: ReportTable,
     reporters: Reporters,
     /// When any report had parts of each zone.
-    last_observed: Vec<f64>,
+    last_observed_s: Vec<f64>,
     observations: Vec<ZoneObservation>,
     /// This member's own parts per second.
     demand: f64,
     last_sequence: u8,
-    last_report: f64,
+    last_report_s: f64,
     /// Zones that an operator has ejected at this member alone.
     pub forced_out: BTreeSet<u8>,
     /// The region of each zone.
@@ -62,11 +62,11 @@
         regions: Vec<u8>,
         roster_size: usize,
         config: ZoneFailoverConfig,
-        now: f64,
+        now_s: f64,
     ) -> Zones {
         let zone_count = regions.len();
         let serving = Verdict {
-            since: now,
+            since_s: now_s,
             ..Verdict::default()
         };
         Zones {
@@ -75,15 +75,15 @@
             roster_size,
             verdicts: vec![serving; zone_count],
             returned_epochs: vec![0; zone_count],
-            reports: ReportTable::new(config.report_timeout),
+            reports: ReportTable::new(config.report_timeout_s),
             config,
             reporters: Reporters::default(),
-            last_observed: vec![now; zone_count],
+            last_observed_s: vec![now_s; zone_count],
             observations: vec![ZoneObservation::default(); zone_count],
             demand: 0.0,
             // Unlike at each member and the same in each run.
             last_sequence: (rank(id) >> 16) as u8,
-            last_report: f64::NEG_INFINITY,
+            last_report_s: f64::NEG_INFINITY,
             forced_out: BTreeSet::new(),
             regions,
             rejected: 0,
@@ -101,50 +101,55 @@
     }
 
     /// When a verdict last changed; negative infinity if none ever did.
-    pub fn last_change(&self) -> f64 {
+    pub fn last_change_s(&self) -> f64 {
         let changed = self.verdicts.iter().filter(|verdict| verdict.epoch > 0);
         changed
-            .map(|verdict| verdict.since)
+            .map(|verdict| verdict.since_s)
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
     /// Records what this member sees of each zone now, and its own parts per second. They go into its report when that
     /// is due.
-    pub fn record_observations(&mut self, now: f64, observations: &[ZoneObservation], demand: f64) {
+    pub fn record_observations(
+        &mut self,
+        now_s: f64,
+        observations: &[ZoneObservation],
+        demand: f64,
+    ) {
         for (own, observation) in self.observations.iter_mut().zip(observations) {
             *own = *observation;
         }
         self.demand = demand;
-        let interval = if self.is_urgent(now) {
-            self.config.urgent_report_interval
+        let interval_s = if self.is_urgent(now_s) {
+            self.config.urgent_report_interval_s
         } else {
-            self.config.report_interval
+            self.config.report_interval_s
         };
-        if now < self.last_report + interval - TIME_EPSILON {
+        if now_s < self.last_report_s + interval_s - TIME_EPSILON_S {
             return;
         }
-        self.last_report = now;
+        self.last_report_s = now_s;
         self.last_sequence = self.last_sequence.wrapping_add(1);
         let observations = self.observations.iter();
         let parts: Vec<PartCounts> = observations.map(ZoneObservation::parts).collect();
         let report = Report::new(self.id, self.zone, self.last_sequence, demand, &parts);
-        self.reports.insert(report, now);
+        self.reports.insert(report, now_s);
     }
 
     /// Computes the verdicts, and returns those that have changed since the last call, by this member's own evidence or
     /// by a message.
-    pub fn decide(&mut self, now: f64, view: &View) -> Vec<VerdictChange> {
-        self.reports.remove_expired(now);
+    pub fn decide(&mut self, now_s: f64, view: &View) -> Vec<VerdictChange> {
+        self.reports.remove_expired(now_s);
         self.reporters.update(view, self.config.max_reporters);
         let mut changes = Vec::new();
         for zone in 0..self.verdicts.len() {
-            let evidence = self.collect_evidence(now, zone);
+            let evidence = self.collect_evidence(now_s, zone);
             if evidence.parts.seen > 0 {
-                self.last_observed[zone] = now;
+                self.last_observed_s[zone] = now_s;
             }
             // A side that is cut off keeps the last verdict in common.
             if !view.cut_off && evidence.has_quorum() {
-                self.update_verdict(now, zone, &evidence);
+                self.update_verdict(now_s, zone, &evidence);
             }
             let verdict = self.verdicts[zone];
             if verdict.epoch != self.returned_epochs[zone] {
@@ -160,12 +165,12 @@
         changes
     }
 
-    fn collect_evidence(&self, now: f64, zone: usize) -> Evidence {
+    fn collect_evidence(&self, now_s: f64, zone: usize) -> Evidence {
         let zone_count = self.verdicts.len();
         let serving: Vec<usize> = (0..zone_count)
             .filter(|other| *other != zone && !self.verdicts[*other].is_out())
             .collect();
-        let reports = self.reports.valid(now);
+        let reports = self.reports.valid(now_s);
         Evidence::collect(
             zone,
             zone_count,
@@ -176,14 +181,14 @@
         )
     }
 
-    fn update_verdict(&mut self, now: f64, zone: usize, evidence: &Evidence) {
+    fn update_verdict(&mut self, now_s: f64, zone: usize, evidence: &Evidence) {
         let verdict = self.verdicts[zone];
         let next = if verdict.is_out() {
-            verdict.restored(now, evidence, self.last_observed[zone], &self.config)
+            verdict.restored(now_s, evidence, self.last_observed_s[zone], &self.config)
         } else {
             let out = self.verdicts.iter().filter(|v| v.is_out()).count();
             let others_can_serve = (out + 1) * 2 <= self.verdicts.len();
-            verdict.ejected(now, evidence, others_can_serve, &self.config)
+            verdict.ejected(now_s, evidence, others_can_serve, &self.config)
         };
         if let Some(next) = next {
             self.verdicts[zone] = next;
--- a/crates/router/zone-failover/src/zones/piggyback.rs
+++ b/crates/router/zone-failover/src/zones/piggyback.rs
@@ -22,15 +22,15 @@
     /// # Errors
     ///
     /// The payload is malformed or of another deployment. It is counted, and nothing of it is used.
-    pub fn receive(&mut self, now: f64, bytes: &[u8]) -> Result<(), InvalidPayload> {
+    pub fn receive(&mut self, now_s: f64, bytes: &[u8]) -> Result<(), InvalidPayload> {
         let payload = GossipPayload::open(bytes, self.verdicts.len(), self.roster_size)
             .inspect_err(|_| self.rejected += 1)?;
         for verdict in &payload.verdicts {
-            self.adopt(now, verdict);
+            self.adopt(now_s, verdict);
         }
         for report in payload.reports {
             if report.member != self.id {
-                self.reports.insert_if_newer(now, report);
+                self.reports.insert_if_newer(now_s, report);
             }
         }
         Ok(())
@@ -39,10 +39,10 @@
     /// Adopts a received verdict if its epoch is higher. One that is further ahead than a member can have missed is
     /// rejected, since a corrupted epoch would be valid for ever. The cost: a member that was cut off for longer than so
     /// many changes has to be restarted.
-    fn adopt(&mut self, now: f64, received: &ZoneVerdict) {
+    fn adopt(&mut self, now_s: f64, received: &ZoneVerdict) {
         let max_consecutive_failovers = self.config.max_consecutive_failovers;
         let verdict = &mut self.verdicts[usize::from(received.zone)];
-        let since = now - received.age();
+        let since_s = now_s - received.age_s();
         if received.epoch > verdict.epoch {
             if verdict.epoch > 0 && received.epoch - verdict.epoch > MAX_EPOCH_GAP {
                 self.rejected += 1;
@@ -50,34 +50,34 @@
             }
             *verdict = Verdict {
                 epoch: received.epoch,
-                since,
+                since_s,
                 consecutive_failovers: received
                     .consecutive_failovers
                     .min(max_consecutive_failovers),
             };
         } else if received.epoch == verdict.epoch && received.epoch > 0 {
             // Two members may have found it at once: the earlier time is valid, so that ramps agree.
-            verdict.since = verdict.since.min(since);
+            verdict.since_s = verdict.since_s.min(since_s);
         }
     }
 
     /// The payload for a datagram that has `capacity` bytes for it: all verdicts, then the reports that were passed on
     /// least often. Empty if there is nothing to send, or if it doesn't fit.
-    pub fn gossip(&mut self, now: f64, capacity: usize, view: &View) -> Vec<u8> {
+    pub fn gossip(&mut self, now_s: f64, capacity: usize, view: &View) -> Vec<u8> {
         let verdicts: Vec<ZoneVerdict> = self
             .verdicts
             .iter()
             .enumerate()
             .filter(|(_, verdict)| verdict.epoch > 0)
             .map(|(zone, verdict)| {
-                let age = now - verdict.since;
+                let age_s = now_s - verdict.since_s;
                 let failovers = verdict.consecutive_failovers;
-                ZoneVerdict::new(zone as u8, verdict.epoch, age, failovers)
+                ZoneVerdict::new(zone as u8, verdict.epoch, age_s, failovers)
             })
             .collect();
         self.reporters.update(view, self.config.max_reporters);
         let base_bytes = LIST_BYTES + verdicts.len() * VERDICT_BYTES;
-        let capacity = if self.is_urgent(now) {
+        let capacity = if self.is_urgent(now_s) {
             capacity
         } else {
             capacity.min(base_bytes + CALM_REPORT_BYTES)
@@ -87,7 +87,7 @@
         let report_bytes = capacity.saturating_sub(base_bytes);
         let reports = self
             .reports
-            .take_for_gossip(now, report_bytes, max_sends, &self.reporters);
+            .take_for_gossip(now_s, report_bytes, max_sends, &self.reporters);
         let payload = GossipPayload { verdicts, reports };
         let bytes = payload.seal();
         if payload == GossipPayload::default() || bytes.len() > capacity {
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -27,7 +27,7 @@
     /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its return.
     /// It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at one
     /// pace.
-    pub fn traffic_shares(&self, now: f64) -> Vec<f64> {
+    pub fn traffic_shares(&self, now_s: f64) -> Vec<f64> {
         let config = &self.config;
         let share = |zone: usize| {
             let verdict = &self.verdicts[zone];
@@ -36,8 +36,8 @@
             } else if verdict.epoch == 0 {
                 1.0
             } else {
-                let age = now - verdict.since;
-                let growth = (1.0 - config.initial_share) * age / config.ramp_duration;
+                let age_s = now_s - verdict.since_s;
+                let growth = (1.0 - config.initial_share) * age_s / config.ramp_duration_s;
                 (config.initial_share + growth).clamp(0.0, 1.0)
             }
         };
@@ -47,7 +47,7 @@
     /// The groups of zones that are preferred, nearest first: the own zone, then the own region. Parts beyond the last
     /// group's share have no preference. A group keeps its traffic while its health, by all reports, covers it, and
     /// while its own co-ordinators don't crowd it.
-    pub fn spill_order(&self, now: f64, view: &View) -> Vec<SpillGroup> {
+    pub fn spill_order(&self, now_s: f64, view: &View) -> Vec<SpillGroup> {
         let own_region = self.regions.get(usize::from(self.zone));
         let region: BTreeSet<u8> = (0..self.regions.len() as u8)
             .filter(|zone| self.regions.get(usize::from(*zone)) == own_region)
@@ -59,7 +59,7 @@
         let mut spilled = 1.0;
         let mut order = Vec::new();
         for zones in groups {
-            spilled *= 1.0 - self.share_that_stays(now, view, &zones);
+            spilled *= 1.0 - self.share_that_stays(now_s, view, &zones);
             let share = 1.0 - spilled;
             order.push(SpillGroup { zones, share });
         }
@@ -67,15 +67,15 @@
     }
 
     /// The share of a group's traffic that may stay in it.
-    fn share_that_stays(&self, now: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+    fn share_that_stays(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
         let mut parts = PartCounts::default();
-        for report in self.reports.valid(now) {
+        for report in self.reports.valid(now_s) {
             for zone in group {
                 parts.add(report.parts(usize::from(*zone)));
             }
         }
         let healthy_share = 1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1));
-        let demand = self.estimate_demand(now, view);
+        let demand = self.estimate_demand(now_s, view);
         let capacity: Vec<f64> = self.observations.iter().map(|o| o.capacity).collect();
         let demand_share = share_of(group, &demand);
         let capacity_share = share_of(group, &capacity);
@@ -84,7 +84,7 @@
         } else {
             1.0
         };
-        let traffic_shares = self.traffic_shares(now);
+        let traffic_shares = self.traffic_shares(now_s);
         let traffic_share = group
             .iter()
             .map(|zone| traffic_shares[usize::from(*zone)])
@@ -97,9 +97,9 @@
 
     /// The parts per second that each zone's co-ordinators cause, estimated by the mean of their reports and the number
     /// of live members. A zone without reports is taken to cause as much per member as the others.
-    fn estimate_demand(&self, now: f64, view: &View) -> Vec<f64> {
+    fn estimate_demand(&self, now_s: f64, view: &View) -> Vec<f64> {
         let mut reported = vec![ReportedDemand::default(); self.verdicts.len()];
-        for report in self.reports.valid(now) {
+        for report in self.reports.valid(now_s) {
             let zone = &mut reported[usize::from(report.zone)];
             zone.total += report.demand();
             zone.reports += 1;
--- a/crates/router/zone-failover/tests/common/mod.rs
+++ b/crates/router/zone-failover/tests/common/mod.rs
@@ -135,7 +135,7 @@
             let due = self
                 .peers
                 .iter()
-                .filter(|(_, p)| p.next_due() <= self.now)
+                .filter(|(_, p)| p.next_due_s() <= self.now)
                 .map(|(id, _)| *id);
             for id in due.collect::<Vec<_>>() {
                 if let Some(actions) = self.peers.get_mut(&id).map(|p| p.tick(self.now)) {
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -91,7 +91,7 @@
     let verdicts: Vec<_> = read
         .verdicts
         .iter()
-        .map(|v| (v.zone, v.epoch, v.age(), v.consecutive_failovers))
+        .map(|v| (v.zone, v.epoch, v.age_s(), v.consecutive_failovers))
         .collect();
     assert_eq!(
         verdicts,
@@ -110,7 +110,7 @@
             r.member.0,
             r.zone,
             r.sequence,
-            r.age(),
+            r.age_s(),
             [parts(0), parts(1), parts(2)],
             parts(3),
         )
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -39,13 +39,13 @@
     let mut lowest = f64::INFINITY;
     for peer in w.peers.values() {
         assert!(!peer.zones.verdicts()[1].is_out());
-        lowest = lowest.min(peer.zones.verdicts()[1].since);
+        lowest = lowest.min(peer.zones.verdicts()[1].since_s);
     }
     // One ramp: all count it from the same moment, but for the latency of the gossip.
     let last = w
         .peers
         .values()
-        .map(|p| p.zones.verdicts()[1].since)
+        .map(|p| p.zones.verdicts()[1].since_s)
         .fold(0.0, f64::max);
     assert!(last - lowest < 0.25, "{lowest} to {last}");
     assert!(
@@ -212,7 +212,7 @@
     };
     zones.receive(10.0, &gossip(3, 1.0)).expect("it is valid");
     assert_eq!(
-        (zones.verdicts()[1].epoch, zones.verdicts()[1].since),
+        (zones.verdicts()[1].epoch, zones.verdicts()[1].since_s),
         (3, 9.0)
     );
     zones.receive(11.0, &gossip(2, 0.0)).expect("it is valid");
--- a/crates/testing/process-tests/src/measurements.rs
+++ b/crates/testing/process-tests/src/measurements.rs
@@ -247,7 +247,7 @@
             handover_s_p99: quantile(&delays, 0.99),
             handovers: delays.len(),
             holder_faults: self.holder_faults.len(),
-            lease_s: woadreach_lease::LeaseConfig::default().lease_duration,
+            lease_s: woadreach_lease::LeaseConfig::default().lease_duration_s,
         }
     }
 }
