--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct OutgoingUpdate {
     departure: Departure,
-    sends_left: u8,
+    remaining_sends: u8,
     next_send_s: f64,
 }
 
@@ -60,7 +60,7 @@
         if known.is_none_or(|update| update.departure != departure) {
             let update = OutgoingUpdate {
                 departure,
-                sends_left: SENDS_PER_UPDATE,
+                remaining_sends: SENDS_PER_UPDATE,
                 next_send_s: now_s,
             };
             self.outgoing.insert(replica, update);
@@ -72,7 +72,7 @@
         let mut due = Vec::new();
         for (replica, update) in &mut self.outgoing {
             if update.next_send_s <= now_s && due.len() < MAX_UPDATES_PER_MESSAGE {
-                update.sends_left -= 1;
+                update.remaining_sends -= 1;
                 update.next_send_s = now_s + SEND_INTERVAL_S;
                 due.push(EndpointUpdate {
                     replica: *replica,
@@ -80,7 +80,7 @@
                 });
             }
         }
-        self.outgoing.retain(|_, update| update.sends_left > 0);
+        self.outgoing.retain(|_, update| update.remaining_sends > 0);
         due
     }
 
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -58,7 +58,7 @@
 impl Leases {
     /// The leases of the member `id`, of `roster_size` members in all; both must be the same at all members. A new
     /// acceptor may have forgotten grants of its last run, so it is silent at first: after all members have started at
-    /// once, nobody holds anything for the duration of a lease.
+    /// once, no role has a holder for the duration of a lease.
     pub fn new(
         id: MemberId,
         roster_size: usize,
@@ -118,7 +118,7 @@
     /// The token to act under, if this member holds the role at this moment.
     pub fn token(&self, now_s: f64, role: Role) -> Option<FencingToken> {
         let candidacy = self.candidacies.get(&role)?;
-        // Once the clock has gone back, it can't be told whether the lease has expired.
+        // Once the clock has gone back, the lease may have expired without this member noticing.
         let clock_is_valid = now_s >= self.last_call_s;
         let is_held = candidacy
             .held_until_s
@@ -252,9 +252,9 @@
         other_lease_end_s.map_or(now_s, |end| end.max(now_s)) + delay_s.min(lease_duration_s)
     }
 
-    /// Detects a clock that has jumped. One that jumps ahead ends grants that are still valid, one that goes back
-    /// extends leases; neither can be told from a stall of the process. All are treated like a restart. The cost: a
-    /// process that has stalled grants nothing for the duration of a lease.
+    /// Detects a clock that has jumped, and treats it like a restart: a clock that jumps ahead ends grants that are still
+    /// valid, one that goes back extends leases. A stall of the process looks like a jump ahead. The cost: a process
+    /// that has stalled grants nothing for the duration of a lease.
     fn check_clock(&mut self, now_s: f64, actions: &mut Actions) {
         let went_back = now_s < self.last_call_s;
         let max_step_s = self.config.lease_duration_s * MAX_CLOCK_STEP;
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -13,8 +13,10 @@
 /// A grant that may still be in use.
 #[derive(Clone, Copy, Debug)]
 struct ActiveGrant {
+    /// In 65,535ths of the replica's complete quota.
     fraction: u16,
-    /// Until when it counts as used: a window after it ends, since what was sent under it counts for so long.
+    /// When it no longer counts as used. That is a slow-start window after it expires, since the replica counts what was
+    /// sent under it for that long.
     counts_until_s: f64,
 }
 
--- a/crates/router/lease/src/quota/config.rs
+++ b/crates/router/lease/src/quota/config.rs
@@ -5,8 +5,8 @@
 pub struct QuotaConfig {
     /// For how long a share is released, beyond `window_s`, in seconds.
     pub release_duration_s: f64,
-    /// A member that has neither demanded nor sent anything for this time, in seconds, releases its share. Why it exceeds
-    /// `window_s`: `docs/leases.md#what-would-change-our-mind`.
+    /// A member that has neither demanded nor sent anything for this time, in seconds, releases its share. Why it
+    /// exceeds `window_s`: `docs/leases.md#what-would-change-our-mind`.
     pub idle_timeout_s: f64,
     /// For how long a grant is valid, in seconds. It must be at least three of `report_interval_s`, so that a grant is
     /// renewed in time, and shorter than `release_duration_s` by the age of a beacon.
@@ -16,7 +16,7 @@
     pub report_interval_s: f64,
     /// For how long an allocator's beacon is valid, in seconds.
     pub beacon_timeout_s: f64,
-    /// Window of the slow-start rule, in seconds. What was sent under a share counts for so long after it.
+    /// Window of the slow-start rule, in seconds: how long a sent part counts against the replica's quota.
     pub window_s: f64,
     /// How much sooner than a release a grant of it ends, in seconds, for clocks whose rates differ.
     pub clock_margin_s: f64,
--- a/crates/router/lease/src/roles/candidates.rs
+++ b/crates/router/lease/src/roles/candidates.rs
@@ -14,7 +14,7 @@
     /// The candidates for each role; none while this member is partitioned, since it could hold nothing for long.
     pub(super) fn candidates(&self, view: &View) -> BTreeMap<Role, Vec<MemberId>> {
         let mut candidates = BTreeMap::new();
-        if view.cut_off {
+        if view.is_partitioned {
             return candidates;
         }
         let watch = Role::EndpointWatch(self.member.zone);
--- a/crates/router/lease/src/roles/holder.rs
+++ b/crates/router/lease/src/roles/holder.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sends due endpoint updates to all members of the zone. Without updates, and if an announcement is due, it goes
-    /// to the other candidates only: that the holder is alive concerns nobody else.
+    /// to the other candidates only, as they alone act on the holder being alive.
     fn announce_endpoint_updates(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -155,9 +155,9 @@
 fn recorded_messages_read_and_are_written_the_same() {
     for (name, messages) in samples() {
         let today = seal(&messages);
-        let kept = datagrams().bytes(name, &today);
-        assert_eq!(open(&kept, ROSTER), Some(messages), "{name}");
-        assert_eq!(today, kept, "{name}");
+        let recorded_bytes = datagrams().bytes(name, &today);
+        assert_eq!(open(&recorded_bytes, ROSTER), Some(messages), "{name}");
+        assert_eq!(today, recorded_bytes, "{name}");
     }
 }
 
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -101,11 +101,11 @@
             .collect();
         let view = View {
             live,
-            roster: members,
-            cut_off: false,
+            roster_size: members,
+            is_partitioned: false,
             version: 1,
         };
-        let mut most = 0.0f64;
+        let mut max_in_use = 0.0f64;
         // What each member may use, at its maximum within the last window.
         let mut used: Vec<Vec<(f64, f64)>> = vec![Vec::new(); members];
         while self.now < until {
@@ -157,9 +157,9 @@
                 .iter()
                 .map(|u| u.iter().map(|x| x.1).fold(0.0, f64::max))
                 .sum();
-            most = most.max(sum);
+            max_in_use = max_in_use.max(sum);
         }
-        most
+        max_in_use
     }
 }
 
@@ -174,7 +174,7 @@
     for seed in 0..12 {
         let mut t = Tier::new(10, seed, loss, max_latency);
         t.demands[3] = 5;
-        let mut most = t.run(20.0);
+        let mut max_in_use = t.run(20.0);
         let clock = t.clock(3);
         best = best.max(
             t.members[3]
@@ -182,10 +182,10 @@
                 .map_or(0.0, |m| m.multiple_of_even_share(clock, WARMING)),
         );
         for n in [0, 5, 8] {
-            most = most.max(t.run(t.now + 1.7));
+            max_in_use = max_in_use.max(t.run(t.now + 1.7));
             t.demands[n] = 3;
         }
-        most = most.max(t.run(t.now + 4.0));
+        max_in_use = max_in_use.max(t.run(t.now + 4.0));
         // The holder crashes, and another acquires the lease.
         let clocks: Vec<f64> = (0..10).map(|n| t.clock(n)).collect();
         let holds = |n: &usize| {
@@ -196,10 +196,10 @@
         if let Some(holder) = (0..10).find(holds) {
             t.members[holder] = None;
         }
-        most = most.max(t.run(t.now + 14.0));
+        max_in_use = max_in_use.max(t.run(t.now + 14.0));
         assert!(
-            most <= 10.0 + 1e-6,
-            "seed {seed}: {most} even shares of 10 in use within a window"
+            max_in_use <= 10.0 + 1e-6,
+            "seed {seed}: {max_in_use} even shares of 10 in use within a window"
         );
     }
     assert!(
--- a/crates/router/membership/src/actions.rs
+++ b/crates/router/membership/src/actions.rs
@@ -7,12 +7,14 @@
 pub enum MembershipEvent {
     /// The member has joined.
     Up(MemberId),
-    /// The member has left, or neither this member nor any other that it asked has an answer from it.
+    /// The member has left, or was suspected for the suspicion time-out without refuting it (SWIM, section 4.2).
     Down(MemberId),
-    /// Others took this member for down; it has joined again under a new generation.
+    /// Others had declared this member down; it has joined again under a new generation.
     Rejoined,
-    /// Whether this member seems to be the one that is cut off, see [`View::cut_off`](crate::View::cut_off).
-    CutOff(bool),
+    /// This member seems partitioned from the majority, see [`View::is_partitioned`](crate::View::is_partitioned).
+    Partitioned,
+    /// This member hears the majority again.
+    Reconnected,
 }
 
 /// A message of the membership protocol for another member.
--- a/crates/router/membership/src/config.rs
+++ b/crates/router/membership/src/config.rs
@@ -10,15 +10,16 @@
     /// How long a probe waits for a direct answer before other members are asked to probe. Must exceed the longest
     /// round trip.
     pub probe_timeout: Duration,
-    /// How long a member is suspected before it counts as down.
+    /// How long a member is suspected before it is declared down (SWIM, section 4.2).
     pub suspicion_timeout: Duration,
-    /// How many other members are asked to probe a member that has not answered.
+    /// How many other members are asked to probe a member that has not answered (SWIM's ping-req, section 3.1).
     pub indirect_probes: usize,
-    /// Time between two gossip messages while there are updates to spread.
+    /// Time between two gossip messages while there are updates to spread. They go beside those that are piggybacked on
+    /// probes (SWIM, section 4.1).
     pub gossip_interval: Duration,
     /// To how many members each gossip message goes.
     pub gossip_fanout: usize,
-    /// Time between two requests to missing members to join, while at most half of the roster is alive.
+    /// Mean time between two announcements to missing members, while at most half of the roster is alive.
     pub join_interval: Duration,
     /// The same while more than half of the roster is alive.
     pub rejoin_interval: Duration,
--- a/crates/router/membership/src/member.rs
+++ b/crates/router/membership/src/member.rs
@@ -14,7 +14,8 @@
     /// Its own zone, as a position in the settings' list of zones.
     pub zone: u8,
     /// Increases each time the member joins again after it was declared down. Of two identities with one `id` the later
-    /// generation is valid. It wraps.
+    /// generation is valid. It wraps. It is not SWIM's incarnation number, by which a live member refutes a suspicion:
+    /// that one is kept by `foca`.
     pub generation: u16,
 }
 
--- a/crates/router/membership/src/members.rs
+++ b/crates/router/membership/src/members.rs
@@ -27,7 +27,7 @@
     foca: Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     state: ProtocolState,
     random: Pcg64Mcg,
-    /// When a missing member is next asked to join.
+    /// When this member next announces itself to a missing one.
     next_join_s: f64,
     unusable_messages: u64,
 }
@@ -48,7 +48,7 @@
         remove_down_after: Some(config.down_memory),
         max_packet_size: at_least_one(config.max_message_bytes),
         notify_down_members: true,
-        // `Members` asks missing members of the roster to join instead.
+        // `Members` announces itself to missing members of the roster instead.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         periodic_gossip: Some(PeriodicParams {
@@ -70,8 +70,8 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let view = View {
             live: BTreeMap::from([(me.id, me.zone)]),
-            roster: roster_size,
-            cut_off: roster_size > 1,
+            roster_size,
+            is_partitioned: roster_size > 1,
             version: 1,
         };
         let id = me.id;
@@ -81,7 +81,7 @@
             Pcg64Mcg::seed_from_u64(random.random()),
             PostcardCodec,
         );
-        // At random, so that members that start together don't ask at the same times.
+        // At random, so that members that start together don't announce themselves at the same times.
         let next_join_s = now_s + random.random::<f64>() * config.join_interval.as_secs_f64();
         Members {
             id,
@@ -150,9 +150,9 @@
             }
         }
         if now_s >= self.next_join_s {
-            self.ask_missing_member_to_join();
+            self.announce_to_missing_member();
             let view = &self.state.view;
-            let interval = if view.live.len() * 2 > view.roster {
+            let interval = if view.live.len() * 2 > view.roster_size {
                 self.config.rejoin_interval
             } else {
                 self.config.join_interval
@@ -182,11 +182,11 @@
         }
     }
 
-    /// Asks a random missing member of the roster to join. After a partition, in which each side has declared the other
-    /// down, this is how they find each other again.
-    fn ask_missing_member_to_join(&mut self) {
+    /// Announces this member to a random one of the roster that is missing, which makes it join. After a partition, in
+    /// which each side has declared the other down, this is how they find each other again.
+    fn announce_to_missing_member(&mut self) {
         let view = &self.state.view;
-        let missing: Vec<MemberId> = (0..view.roster as u16)
+        let missing: Vec<MemberId> = (0..view.roster_size as u16)
             .map(MemberId)
             .filter(|id| !view.live.contains_key(id))
             .collect();
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -10,11 +10,11 @@
 /// Limit on the local health score (Lifeguard, "Local Health Multiplier").
 const MAX_LOCAL_HEALTH: u8 = 8;
 /// By which part of itself a timeout grows with each step of the local health score. Lifeguard's is 1; with it a side
-/// of a partition took over 10 s to detect that it was cut off.
+/// of a partition took over 10 s to detect it.
 const HEALTH_STEP: f64 = 1.0 / 4.0;
-/// A local health score from which a member takes itself for cut off: so many more of its probes have failed than
-/// succeeded, indirect ones included. At 30 % loss one probe in five fails.
-const CUT_OFF_HEALTH: u8 = 4;
+/// The local health score from which a member reports itself as partitioned. It is the number of its probes that have
+/// failed beyond those that succeeded, indirect ones included. At 30 % loss one probe in five fails.
+const PARTITIONED_HEALTH: u8 = 4;
 
 /// A time in microseconds, rounded up.
 pub(crate) fn micros(time_s: f64) -> u64 {
@@ -98,13 +98,18 @@
         self.local_health = health.min(MAX_LOCAL_HEALTH);
     }
 
-    /// Updates whether this member seems cut off, and returns what is to be done since the last call.
+    /// Updates whether this member seems partitioned, and returns the actions since the last call.
     pub(crate) fn take_actions(&mut self) -> Actions {
-        let has_majority = self.view.live.len() * 2 > self.view.roster;
-        let cut_off = !has_majority || self.local_health >= CUT_OFF_HEALTH;
-        if cut_off != self.view.cut_off {
-            self.view.cut_off = cut_off;
-            self.actions.events.push(MembershipEvent::CutOff(cut_off));
+        let has_majority = self.view.live.len() * 2 > self.view.roster_size;
+        let is_partitioned = !has_majority || self.local_health >= PARTITIONED_HEALTH;
+        if is_partitioned != self.view.is_partitioned {
+            self.view.is_partitioned = is_partitioned;
+            let event = if is_partitioned {
+                MembershipEvent::Partitioned
+            } else {
+                MembershipEvent::Reconnected
+            };
+            self.actions.events.push(event);
         }
         std::mem::take(&mut self.actions)
     }
@@ -113,7 +118,7 @@
 impl Runtime<Member> for &mut ProtocolState {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
-            Notification::MemberUp(member) if usize::from(member.id.0) < self.view.roster => {
+            Notification::MemberUp(member) if usize::from(member.id.0) < self.view.roster_size => {
                 self.view.live.insert(member.id, member.zone);
                 self.view.version += 1;
                 self.actions.events.push(MembershipEvent::Up(member.id));
--- a/crates/router/membership/src/view.rs
+++ b/crates/router/membership/src/view.rs
@@ -9,12 +9,12 @@
     /// The live members, each with its zone.
     pub live: BTreeMap<MemberId, u8>,
     /// The number of members in the roster, alive or not.
-    pub roster: usize,
-    /// Whether this member seems to be cut off from the tier: it hears at most half of the roster, or its probes fail
-    /// in succession. Members that it doesn't hear are then unheard, not dead, and nothing must be decided on their
-    /// behalf. The cost: after a crash of half of the tier, which looks the same, nothing is decided in common until
-    /// half of the members are back.
-    pub cut_off: bool,
+    pub roster_size: usize,
+    /// Whether this member seems to be on the minority side of a partition: at most half of the roster is in `live`, or
+    /// this member's own probes fail in succession. Members that are not in `live` may then be alive, and nothing must
+    /// be decided on their behalf. The cost: a crash of half of the tier looks the same, so nothing is decided in common
+    /// until more than half of the members are back.
+    pub is_partitioned: bool,
     /// Increases with each change of `live`, so that what is derived from it can be cached.
     pub version: u64,
 }
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -148,7 +148,7 @@
             .map(|m| m.view().live.len())
             .collect::<Vec<_>>()
     );
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
     let zones: Vec<u8> = net.members[&id(0)].view().live.values().copied().collect();
     assert_eq!(zones, (0..n).map(|i| (i % 3) as u8).collect::<Vec<_>>());
     let (sent, bytes, downs) = (net.sent, net.bytes, net.downs());
@@ -170,7 +170,7 @@
     net.members.remove(&id(5));
     net.run(18.0);
     assert!(net.agree(5));
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
     net.members.insert(id(5), member(5, 6, net.now));
     net.run(26.0);
     assert!(net.agree(6));
@@ -188,24 +188,24 @@
     assert!(net.agree(5));
 }
 
-/// After both sides have declared each other down they find each other again; the minority reports all along
-/// that it is the one that is cut off.
+/// After both sides have declared each other down they find each other again; the minority reports throughout that it
+/// is partitioned.
 #[test]
-fn a_partition_heals_and_only_the_minority_is_cut_off() {
+fn a_partition_heals_and_only_the_minority_is_partitioned() {
     let mut net = Net::new(5, 0.0, 4);
     net.run(10.0);
     net.side = (0..5).map(|i| (id(i), u8::from(i < 2))).collect();
     net.run(30.0);
     for (i, m) in &net.members {
-        assert_eq!(m.view().cut_off, i.0 < 2, "{i:?}");
+        assert_eq!(m.view().is_partitioned, i.0 < 2, "{i:?}");
     }
     net.side.clear();
     net.run(45.0);
     assert!(net.agree(5));
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
 }
 
-/// A member that has stalled for longer than a suspicion lasts declares nobody down when it resumes, and rejoins.
+/// A member that has stalled for longer than the suspicion time-out declares nobody down when it resumes, and rejoins.
 #[test]
 fn a_stalled_member_declares_nobody_down() {
     let mut net = Net::new(6, 0.0, 5);
--- a/crates/router/membership/tests/recorded.rs
+++ b/crates/router/membership/tests/recorded.rs
@@ -50,9 +50,9 @@
 fn recorded_datagrams_read_and_are_written_the_same() {
     for (name, body) in bodies() {
         let today = encode(&body).expect("it is short enough");
-        let kept = envelopes().bytes(name, &today);
-        assert_eq!(decode(&kept), Ok(body), "{name}");
-        assert_eq!(today, kept, "{name}");
+        let recorded_bytes = envelopes().bytes(name, &today);
+        assert_eq!(decode(&recorded_bytes), Ok(body), "{name}");
+        assert_eq!(today, recorded_bytes, "{name}");
     }
 }
 
@@ -128,8 +128,8 @@
     }
 }
 
-/// What the protocol says of members, with each of their states.
-fn news() -> Vec<foca::Member<Member>> {
+/// Updates of members, one in each state.
+fn updates() -> Vec<foca::Member<Member>> {
     vec![
         foca::Member::new(member(3, 2, 0), 0, State::Alive),
         foca::Member::new(member(200, 0, 300), 500, State::Suspect),
@@ -184,7 +184,7 @@
     }
 }
 
-/// A message's header and the news that follow it: none at all, or their number in two bytes and each.
+/// A message's header and the updates that are piggybacked on it: none at all, or their number in two bytes and each.
 type Swim = (Header<Member>, Option<Vec<foca::Member<Member>>>);
 
 fn swims() -> Vec<(String, Swim)> {
@@ -197,11 +197,14 @@
     let plain = kinds()
         .into_iter()
         .map(|m| (name(&m).to_string(), (header(m), None)));
-    let told = [Message::Ping(30), Message::Feed, Message::Gossip];
-    let told = told
-        .into_iter()
-        .map(|m| (format!("{}-with-news", name(&m)), (header(m), Some(news()))));
-    plain.chain(told).collect()
+    let with_updates = [Message::Ping(30), Message::Feed, Message::Gossip];
+    let with_updates = with_updates.into_iter().map(|m| {
+        (
+            format!("{}-with-news", name(&m)),
+            (header(m), Some(updates())),
+        )
+    });
+    plain.chain(with_updates).collect()
 }
 
 fn write(swim: &Swim) -> Vec<u8> {
@@ -209,9 +212,9 @@
     PostcardCodec
         .encode_header(&swim.0, &mut bytes)
         .expect("memory holds it");
-    if let Some(news) = &swim.1 {
-        bytes.extend((news.len() as u16).to_be_bytes());
-        for member in news {
+    if let Some(updates) = &swim.1 {
+        bytes.extend((updates.len() as u16).to_be_bytes());
+        for member in updates {
             PostcardCodec
                 .encode_member(member, &mut bytes)
                 .expect("memory holds it");
@@ -227,11 +230,11 @@
         return (header, None);
     };
     let count = u16::from_be_bytes(*count);
-    let news = (0..count)
+    let updates = (0..count)
         .map(|_| PostcardCodec.decode_member(&mut rest).expect("a member"))
         .collect();
     assert!(rest.is_empty());
-    (header, Some(news))
+    (header, Some(updates))
 }
 
 fn members(id: u16) -> Members {
@@ -248,9 +251,9 @@
 fn recorded_messages_read_and_are_written_the_same() {
     for (name, swim) in swims() {
         let today = write(&swim);
-        let kept = records("membership.hex").bytes(&name, &today);
-        assert_eq!(read(&kept), swim, "{name}");
-        assert_eq!(today, kept, "{name}");
+        let recorded_bytes = records("membership.hex").bytes(&name, &today);
+        assert_eq!(read(&recorded_bytes), swim, "{name}");
+        assert_eq!(today, recorded_bytes, "{name}");
     }
 }
 
@@ -281,9 +284,9 @@
     }
 }
 
-/// Cut at each byte: a letter for each length, `u` where it is unusable, `t` where it is taken.
+/// Truncated at each byte: a letter for each length, `u` where it is unusable, `t` where it is accepted.
 #[test]
-fn messages_that_are_cut_fare_as_they_did() {
+fn truncated_messages_fare_as_they_did() {
     for (name, swim) in swims() {
         let bytes = records("membership.hex").bytes(&name, &write(&swim));
         let outcome = |end: usize| {
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -244,15 +244,15 @@
         match event {
             MembershipEvent::Up(member) => debug!(member = member.0, "member joined"),
             // Not heard, while this side may be the one that is partitioned.
-            MembershipEvent::Down(member) if self.peer.view().cut_off => {
+            MembershipEvent::Down(member) if self.peer.view().is_partitioned => {
                 debug!(member = member.0, "member unheard");
             }
             MembershipEvent::Down(member) => debug!(member = member.0, "member failed"),
             MembershipEvent::Rejoined => {
                 warn!("rejoined after peers had declared this member failed")
             }
-            MembershipEvent::CutOff(true) => warn!("partitioned from the majority"),
-            MembershipEvent::CutOff(false) => warn!("reconnected to the majority"),
+            MembershipEvent::Partitioned => warn!("partitioned from the majority"),
+            MembershipEvent::Reconnected => warn!("reconnected to the majority"),
         }
     }
 
@@ -261,7 +261,7 @@
         let zone = zone.map_or("", String::as_str);
         let (verdict, seen, failed) = (change.verdict, change.seen, change.failed);
         let (epoch, consecutive_failovers) = (verdict.epoch, verdict.consecutive_failovers);
-        if verdict.is_out() {
+        if verdict.is_ejected() {
             warn!(
                 zone,
                 epoch, consecutive_failovers, seen, failed, "zone ejected"
@@ -279,8 +279,8 @@
         let refused: u64 = counts.rejected.values().sum::<u64>() + counts.unusable;
         info!(
             live = view.live.len(),
-            roster = view.roster,
-            partitioned = view.cut_off,
+            roster = view.roster_size,
+            partitioned = view.is_partitioned,
             health = self.peer.members.local_health(),
             datagrams_sent = counts.sent,
             bytes_sent = counts.sent_bytes,
@@ -317,7 +317,7 @@
         ..ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
-    zones.forced_out = config.forced_out.iter().map(|z| *z as u8).collect();
+    zones.ejected_by_operator = config.forced_out.iter().map(|z| *z as u8).collect();
     Peer::new(id, members, zones)
 }
 
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -18,7 +18,7 @@
     /// A zone is ejected only if at least this share of the parts seen has failed.
     pub failed_share_to_eject: f64,
     /// A zone is ejected only if more than half of the other zones that serve have at most this share of failed parts.
-    /// It prevents that an overload everywhere is made worse, and that a zone that is cut off ejects the others. The
+    /// It prevents that an overload everywhere is made worse, and that a partitioned zone ejects the others. The
     /// cost: when two of three zones fail at once, none is ejected.
     pub max_failed_share_of_sound_zone: f64,
     /// A zone is restored only if at least this number of its parts was seen. Trials are few.
--- a/crates/router/zone-failover/src/gossip/report.rs
+++ b/crates/router/zone-failover/src/gossip/report.rs
@@ -8,8 +8,8 @@
 const MAX_ENCODED_PARTS: u32 = 15;
 /// Unit of an encoded age, in seconds.
 const AGE_UNIT_S: f64 = 0.05;
-/// Encoded demand is a logarithm to the base of two, in units of one part of this number.
-const DEMAND_STEPS: f64 = 8.0;
+/// Steps of the encoded rate for each doubling: it is a logarithm to the base of two.
+const RATE_STEPS: f64 = 8.0;
 
 /// What one member sees of all zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,9 +20,10 @@
     pub zone: u8,
     /// Increases with each report of the member. It wraps: one less than half of the range ahead is newer.
     pub sequence: u8,
+    /// In units of [`AGE_UNIT_S`].
     age: u8,
-    /// Parts per second, on a logarithmic scale.
-    demand: u8,
+    /// Parts per second, in [`RATE_STEPS`] on a logarithmic scale.
+    rate: u8,
     /// A byte for each zone: parts seen in the upper four bits, those that failed in the lower.
     counts: Vec<u8>,
 }
@@ -40,12 +41,13 @@
 }
 
 impl Report {
-    /// A report made now. `demand` is the member's own parts per second; `parts` has one entry for each zone.
+    /// A report made now. `parts_per_second` is the rate at which the member sends parts; `parts` has
+    /// one entry for each zone.
     pub fn new(
         member: MemberId,
         zone: u8,
         sequence: u8,
-        demand: f64,
+        parts_per_second: f64,
         parts: &[PartCounts],
     ) -> Report {
         Report {
@@ -53,7 +55,7 @@
             zone,
             sequence,
             age: 0,
-            demand: ((1.0 + demand.max(0.0)).log2() * DEMAND_STEPS).min(255.0) as u8,
+            rate: ((1.0 + parts_per_second.max(0.0)).log2() * RATE_STEPS).min(255.0) as u8,
             counts: parts.iter().map(encode_counts).collect(),
         }
     }
@@ -72,9 +74,9 @@
         }
     }
 
-    /// The member's own parts per second, within a tenth.
-    pub fn demand(&self) -> f64 {
-        (f64::from(self.demand) / DEMAND_STEPS).exp2() - 1.0
+    /// The rate at which the member sends parts, within a tenth.
+    pub fn parts_per_second(&self) -> f64 {
+        (f64::from(self.rate) / RATE_STEPS).exp2() - 1.0
     }
 
     /// Parts seen of a zone; none for an unknown zone.
--- a/crates/router/zone-failover/src/gossip/zone_verdict.rs
+++ b/crates/router/zone-failover/src/gossip/zone_verdict.rs
@@ -12,6 +12,7 @@
     pub zone: u8,
     /// The verdict's epoch: odd if the zone is ejected.
     pub epoch: u32,
+    /// In units of [`AGE_UNIT_S`].
     age: u32,
     /// How often in succession the zone was ejected soon after its return.
     pub consecutive_failovers: u8,
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -122,16 +122,17 @@
         self.execute(now_s, membership)
     }
 
-    /// Takes what this co-ordinator sees of each zone and its own parts per second, computes the verdicts, and pushes
-    /// reports. To be called about ten times a second. Verdicts are computed here and not for each datagram: at 300
+    /// Records what this co-ordinator sees of each zone and how many parts per second it sends, computes the verdicts,
+    /// and pushes reports. To be called about ten times a second. Verdicts are computed here and not for each datagram: at 300
     /// members that took more of a small co-ordinator's processor than its searches.
     pub fn update(
         &mut self,
         now_s: f64,
         observations: &[ZoneObservation],
-        demand: f64,
+        parts_per_second: f64,
     ) -> PeerActions {
-        self.zones.record_observations(now_s, observations, demand);
+        self.zones
+            .record_observations(now_s, observations, parts_per_second);
         let mut actions = PeerActions {
             verdict_changes: self.zones.decide(now_s, self.members.view()),
             ..PeerActions::default()
--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -29,7 +29,7 @@
 
 impl Verdict {
     /// Whether the zone is ejected.
-    pub fn is_out(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.epoch % 2 == 1
     }
 
@@ -73,18 +73,18 @@
             && parts.failed_share_is_at_least(config.failed_share_to_eject);
         let age_s = now_s - self.since_s;
         let was_ejected_before = self.epoch > 0;
-        let dwell_is_over = !was_ejected_before || age_s >= config.dwell_s;
-        let is_ejected = has_failed
+        let dwell_has_passed = !was_ejected_before || age_s >= config.dwell_s;
+        let must_eject = has_failed
             && evidence.has_majority_against()
             && evidence.others_are_sound
             && others_can_serve
-            && dwell_is_over;
+            && dwell_has_passed;
         let consecutive_failovers = if was_ejected_before && age_s < config.stable_after_s {
             (self.consecutive_failovers + 1).min(config.max_consecutive_failovers)
         } else {
             0
         };
-        is_ejected.then_some(Verdict {
+        must_eject.then_some(Verdict {
             epoch: self.epoch + 1,
             since_s: now_s,
             consecutive_failovers,
--- a/crates/router/zone-failover/src/zones/mod.rs
+++ b/crates/router/zone-failover/src/zones/mod.rs
@@ -42,12 +42,10 @@
     /// When any report had parts of each zone.
     last_observed_s: Vec<f64>,
     observations: Vec<ZoneObservation>,
-    /// This member's own parts per second.
-    demand: f64,
     last_sequence: u8,
     last_report_s: f64,
     /// Zones that an operator has ejected at this member alone.
-    pub forced_out: BTreeSet<u8>,
+    pub ejected_by_operator: BTreeSet<u8>,
     /// The region of each zone.
     regions: Vec<u8>,
     rejected: u64,
@@ -80,11 +78,10 @@
             reporters: Reporters::default(),
             last_observed_s: vec![now_s; zone_count],
             observations: vec![ZoneObservation::default(); zone_count],
-            demand: 0.0,
             // Unlike at each member and the same in each run.
             last_sequence: (rank(id) >> 16) as u8,
             last_report_s: f64::NEG_INFINITY,
-            forced_out: BTreeSet::new(),
+            ejected_by_operator: BTreeSet::new(),
             regions,
             rejected: 0,
         }
@@ -108,18 +105,17 @@
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Records what this member sees of each zone now, and its own parts per second. They go into its report when that
-    /// is due.
+    /// Records what this member sees of each zone now, and how many parts per second it sends. They go into its report
+    /// when that is due.
     pub fn record_observations(
         &mut self,
         now_s: f64,
         observations: &[ZoneObservation],
-        demand: f64,
+        parts_per_second: f64,
     ) {
         for (own, observation) in self.observations.iter_mut().zip(observations) {
             *own = *observation;
         }
-        self.demand = demand;
         let interval_s = if self.is_urgent(now_s) {
             self.config.urgent_report_interval_s
         } else {
@@ -132,7 +128,13 @@
         self.last_sequence = self.last_sequence.wrapping_add(1);
         let observations = self.observations.iter();
         let parts: Vec<PartCounts> = observations.map(ZoneObservation::parts).collect();
-        let report = Report::new(self.id, self.zone, self.last_sequence, demand, &parts);
+        let report = Report::new(
+            self.id,
+            self.zone,
+            self.last_sequence,
+            parts_per_second,
+            &parts,
+        );
         self.reports.insert(report, now_s);
     }
 
@@ -147,8 +149,8 @@
             if evidence.parts.seen > 0 {
                 self.last_observed_s[zone] = now_s;
             }
-            // A side that is cut off keeps the last verdict in common.
-            if !view.cut_off && evidence.has_quorum() {
+            // The minority side of a partition keeps the last verdict in common.
+            if !view.is_partitioned && evidence.has_quorum() {
                 self.update_verdict(now_s, zone, &evidence);
             }
             let verdict = self.verdicts[zone];
@@ -168,7 +170,7 @@
     fn collect_evidence(&self, now_s: f64, zone: usize) -> Evidence {
         let zone_count = self.verdicts.len();
         let serving: Vec<usize> = (0..zone_count)
-            .filter(|other| *other != zone && !self.verdicts[*other].is_out())
+            .filter(|other| *other != zone && !self.verdicts[*other].is_ejected())
             .collect();
         let reports = self.reports.valid(now_s);
         Evidence::collect(
@@ -183,11 +185,11 @@
 
     fn update_verdict(&mut self, now_s: f64, zone: usize, evidence: &Evidence) {
         let verdict = self.verdicts[zone];
-        let next = if verdict.is_out() {
+        let next = if verdict.is_ejected() {
             verdict.restored(now_s, evidence, self.last_observed_s[zone], &self.config)
         } else {
-            let out = self.verdicts.iter().filter(|v| v.is_out()).count();
-            let others_can_serve = (out + 1) * 2 <= self.verdicts.len();
+            let ejected = self.verdicts.iter().filter(|v| v.is_ejected()).count();
+            let others_can_serve = (ejected + 1) * 2 <= self.verdicts.len();
             verdict.ejected(now_s, evidence, others_can_serve, &self.config)
         };
         if let Some(next) = next {
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -16,7 +16,7 @@
 
 /// What the reports say of the traffic that one zone's co-ordinators cause.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReportedDemand {
+struct ReportedRate {
     /// Sum of the reported parts per second.
     total: f64,
     /// The number of reports.
@@ -31,7 +31,7 @@
         let config = &self.config;
         let share = |zone: usize| {
             let verdict = &self.verdicts[zone];
-            if verdict.is_out() || self.forced_out.contains(&(zone as u8)) {
+            if verdict.is_ejected() || self.ejected_by_operator.contains(&(zone as u8)) {
                 0.0
             } else if verdict.epoch == 0 {
                 1.0
@@ -68,45 +68,54 @@
 
     /// The share of a group's traffic that may stay in it.
     fn share_that_stays(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+        let traffic_shares = self.traffic_shares(now_s);
+        let traffic_share = group
+            .iter()
+            .map(|zone| traffic_shares[usize::from(*zone)])
+            .fold(0.0, f64::max);
+        (self.config.overprovisioning_factor * self.healthy_share(now_s, group))
+            .min(self.uncrowded_share(now_s, view, group))
+            .min(1.0)
+            * traffic_share
+    }
+
+    /// The share of a group's parts that has not failed, by all reports.
+    fn healthy_share(&self, now_s: f64, group: &BTreeSet<u8>) -> f64 {
         let mut parts = PartCounts::default();
         for report in self.reports.valid(now_s) {
             for zone in group {
                 parts.add(report.parts(usize::from(*zone)));
             }
         }
-        let healthy_share = 1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1));
-        let demand = self.estimate_demand(now_s, view);
+        1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1))
+    }
+
+    /// The share of the traffic of a group's own co-ordinators that its replicas take without being crowded; it may
+    /// exceed 1.
+    fn uncrowded_share(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+        let rates = self.estimate_rates(now_s, view);
         let capacity: Vec<f64> = self.observations.iter().map(|o| o.capacity).collect();
-        let demand_share = share_of(group, &demand);
+        let rate_share = share_of(group, &rates);
         let capacity_share = share_of(group, &capacity);
-        let uncrowded_share = if demand_share > 0.0 {
-            self.config.max_crowding * capacity_share / demand_share
+        if rate_share > 0.0 {
+            self.config.max_crowding * capacity_share / rate_share
         } else {
             1.0
-        };
-        let traffic_shares = self.traffic_shares(now_s);
-        let traffic_share = group
-            .iter()
-            .map(|zone| traffic_shares[usize::from(*zone)])
-            .fold(0.0, f64::max);
-        (self.config.overprovisioning_factor * healthy_share)
-            .min(uncrowded_share)
-            .min(1.0)
-            * traffic_share
+        }
     }
 
     /// The parts per second that each zone's co-ordinators cause, estimated by the mean of their reports and the number
     /// of live members. A zone without reports is taken to cause as much per member as the others.
-    fn estimate_demand(&self, now_s: f64, view: &View) -> Vec<f64> {
-        let mut reported = vec![ReportedDemand::default(); self.verdicts.len()];
+    fn estimate_rates(&self, now_s: f64, view: &View) -> Vec<f64> {
+        let mut reported = vec![ReportedRate::default(); self.verdicts.len()];
         for report in self.reports.valid(now_s) {
             let zone = &mut reported[usize::from(report.zone)];
-            zone.total += report.demand();
+            zone.total += report.parts_per_second();
             zone.reports += 1;
         }
         let total = reported.iter().fold(0.0, |sum, zone| sum + zone.total);
         let reports: usize = reported.iter().map(|zone| zone.reports).sum();
-        let estimate = |(index, zone): (usize, &ReportedDemand)| {
+        let estimate = |(index, zone): (usize, &ReportedRate)| {
             let per_member = if zone.reports > 0 {
                 zone.total / zone.reports as f64
             } else {
--- a/crates/router/zone-failover/src/zones/urgency.rs
+++ b/crates/router/zone-failover/src/zones/urgency.rs
@@ -43,7 +43,7 @@
         }
         let is_contrary = |zone: &usize| {
             let (verdict, parts) = (&self.verdicts[*zone], parts(*zone));
-            if verdict.is_out() {
+            if verdict.is_ejected() {
                 let is_sound = parts.seen >= MIN_PARTS && parts.failed == 0;
                 is_sound && now_s - verdict.since_s > self.config.dwell_s
             } else {
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -59,20 +59,20 @@
     ]
 }
 
-fn kept(name: &str, zone_gossip: &GossipPayload) -> Vec<u8> {
+fn recorded_payload(name: &str, zone_gossip: &GossipPayload) -> Vec<u8> {
     records("riders.hex").bytes(name, &zone_gossip.seal())
 }
 
 #[test]
 fn recorded_payloads_are_decoded_and_encoded_the_same() {
     for (name, payload) in samples() {
-        let kept = kept(name, &payload);
+        let recorded_bytes = recorded_payload(name, &payload);
         assert_eq!(
-            GossipPayload::open(&kept, ZONES, ROSTER).as_ref(),
+            GossipPayload::open(&recorded_bytes, ZONES, ROSTER).as_ref(),
             Ok(&payload),
             "{name}"
         );
-        assert_eq!(payload.seal(), kept, "{name}");
+        assert_eq!(payload.seal(), recorded_bytes, "{name}");
     }
 }
 
@@ -83,11 +83,12 @@
     assert_eq!(records("riders.hex").names(), names);
 }
 
-/// The scales of ages and demands, and the roundings of rows, as the receiver has them.
+/// The scales of ages and rates, and the rounding of counts, as the receiver has them.
 #[test]
 fn recorded_payloads_have_their_values() {
     let (_, payload) = samples().pop().expect("there are samples");
-    let read = GossipPayload::open(&kept("both", &payload), ZONES, ROSTER).expect("they are sound");
+    let read = GossipPayload::open(&recorded_payload("both", &payload), ZONES, ROSTER)
+        .expect("they are sound");
     let verdicts: Vec<_> = read
         .verdicts
         .iter()
@@ -122,18 +123,18 @@
         (130, 1, 128, 12.75, [(7, 7), (1, 1), (15, 0)], (0, 0)),
     ];
     assert_eq!(reports, expected);
-    let demands: Vec<f64> = read
+    let rates: Vec<f64> = read
         .reports
         .iter()
-        .map(|r| (r.demand() * 1000.0).round() / 1000.0)
+        .map(|r| (r.parts_per_second() * 1000.0).round() / 1000.0)
         .collect();
-    assert_eq!(demands, [0.0, 97.701, 3_938_502_374.864]);
+    assert_eq!(rates, [0.0, 97.701, 3_938_502_374.864]);
 }
 
 #[test]
 fn payloads_that_are_truncated_or_too_long_are_rejected() {
     for (name, payload) in samples() {
-        let mut bytes = kept(name, &payload);
+        let mut bytes = recorded_payload(name, &payload);
         for end in 1..bytes.len() {
             assert_eq!(
                 GossipPayload::open(&bytes[..end], ZONES, ROSTER),
@@ -157,7 +158,7 @@
 #[test]
 fn inverted_bytes_fare_as_they_did() {
     for (name, payload) in samples() {
-        let today = inverted(&kept(name, &payload), |bytes| {
+        let today = inverted(&recorded_payload(name, &payload), |bytes| {
             GossipPayload::open(bytes, ZONES, ROSTER).is_ok()
         });
         assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
@@ -263,9 +264,9 @@
         panic!("one datagram: {actions:?}")
     };
     assert_eq!(*to, MemberId(1));
-    let kept = records("datagrams.hex").bytes("duties-alone", today);
-    assert_eq!(*today, kept);
-    let body = decode(&kept).expect("it is sound");
+    let recorded_bytes = records("datagrams.hex").bytes("duties-alone", today);
+    assert_eq!(*today, recorded_bytes);
+    let body = decode(&recorded_bytes).expect("it is sound");
     assert_eq!(
         body,
         Body {
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -38,7 +38,7 @@
     w.run(30.0);
     let mut lowest = f64::INFINITY;
     for peer in w.peers.values() {
-        assert!(!peer.zones.verdicts()[1].is_out());
+        assert!(!peer.zones.verdicts()[1].is_ejected());
         lowest = lowest.min(peer.zones.verdicts()[1].since_s);
     }
     // One ramp: all count it from the same moment, but for the latency of the gossip.
@@ -61,7 +61,7 @@
     );
 }
 
-/// A zone that is cut off sees all others fail. Its own members eject none; the others eject it.
+/// A partitioned zone sees all others fail. Its own members eject none; the others eject it.
 #[test]
 fn a_partitioned_zone_does_not_eject_the_others() {
     let mut w = World::new(6, 3, 0.0, 2);
@@ -85,7 +85,7 @@
         w.verdict_changes
     );
     let view = w.peers[&MemberId(2)].view();
-    assert!(view.cut_off);
+    assert!(view.is_partitioned);
 }
 
 /// Only one zone can't reach another: the third has no reason to eject either.
@@ -116,7 +116,7 @@
     assert!(out.is_empty(), "{:?}", w.verdict_changes);
 }
 
-/// Two of three zones have failed with their co-ordinators: the third can't tell that from being cut off itself.
+/// Two of three zones have failed with their co-ordinators: the third can't tell that from being partitioned itself.
 #[test]
 fn without_a_quorum_the_last_verdict_stands() {
     let mut w = World::new(6, 3, 0.0, 5);
@@ -131,7 +131,7 @@
         .filter(|change| change.at > 16.0)
         .collect();
     assert!(late.is_empty(), "{late:?}");
-    assert!(w.peers.values().all(|p| p.view().cut_off));
+    assert!(w.peers.values().all(|p| p.view().is_partitioned));
 }
 
 /// A zone that fails and recovers every two seconds is ejected for longer each time.
@@ -247,8 +247,8 @@
     );
     let view = woadreach_membership::View {
         live: (0..3).map(|i| (MemberId(i), i as u8)).collect(),
-        roster: 3,
-        cut_off: false,
+        roster_size: 3,
+        is_partitioned: false,
         version: 1,
     };
     let order = zones.spill_order(1.0, &view);
@@ -256,7 +256,7 @@
     assert!((order[0].share - stays).abs() < 0.02, "{order:?}");
     assert_eq!(order[1].zones, BTreeSet::from([0, 1]));
     assert!(order[1].share >= order[0].share);
-    zones.forced_out.insert(0);
+    zones.ejected_by_operator.insert(0);
     assert_eq!(
         (
             zones.spill_order(1.0, &view)[0].share,
