--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -52,7 +52,8 @@
         departure: Option<Departure>,
     ) {
         self.received.remove(&replica);
-        let Some(departure) = departure.filter(|_| self.outgoing.len() < MAX_UPDATES) else {
+        let has_capacity = self.outgoing.len() < MAX_UPDATES;
+        let Some(departure) = departure.filter(|_| has_capacity) else {
             self.outgoing.remove(&replica);
             return;
         };
--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -1,6 +1,7 @@
 //! The acceptor's side of a lease: it grants a role to one member at a time.
 
 use super::config::LeaseConfig;
+use crate::clock_stamp::CENTIS_PER_SECOND;
 use crate::fencing_token::FencingToken;
 use crate::message::Message;
 use crate::role::Role;
@@ -19,6 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Promise {
     pub(super) token: FencingToken,
+    /// When it expires, by this acceptor's clock. A renewal never brings it forward.
     pub(super) until_s: f64,
     /// Whether it was given to a holder. A candidate may give it up at any moment.
     to_holder: bool,
@@ -92,26 +94,46 @@
         if now_s < self.silent_until_s {
             return None;
         }
+        let denial = self.denial(now_s, request, highest_epoch);
+        Some(denial.unwrap_or_else(|| self.grant(now_s, request, config)))
+    }
+
+    fn promise_in_force(&self, now_s: f64, role: Role) -> Option<&Promise> {
+        self.promises
+            .get(&role)
+            .filter(|promise| promise.until_s > now_s)
+    }
+
+    /// Denies a request while the role is promised to another token, and one whose token is outdated. `None` if it may be
+    /// granted.
+    fn denial(&self, now_s: f64, request: &LeaseRequest, highest_epoch: u32) -> Option<Message> {
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.promises.get(&role).filter(|p| p.until_s > now_s);
+        let current = self.promise_in_force(now_s, role);
         let is_renewal = current.is_some_and(|promise| promise.token == token);
         let other = current.filter(|promise| promise.token != token);
         let is_latest =
             token.epoch == highest_epoch && self.latest_promised.get(&role) == Some(&token);
         let is_new = token.epoch > highest_epoch || is_latest;
-        if other.is_some() || !(is_renewal || is_new) {
-            let wait_s = match other {
-                Some(promise) if promise.to_holder => promise.until_s - now_s,
-                _ => 0.0,
-            };
-            return Some(Message::Denied {
-                role,
-                epoch: highest_epoch,
-                incarnation: token.incarnation,
-                request_id: request.request_id,
-                wait_centis: (wait_s * 100.0).ceil() as u16,
-            });
+        if other.is_none() && (is_renewal || is_new) {
+            return None;
         }
+        let wait_s = match other {
+            Some(promise) if promise.to_holder => promise.until_s - now_s,
+            _ => 0.0,
+        };
+        Some(Message::Denied {
+            role,
+            epoch: highest_epoch,
+            incarnation: token.incarnation,
+            request_id: request.request_id,
+            wait_centis: (wait_s * CENTIS_PER_SECOND).ceil() as u16,
+        })
+    }
+
+    /// Promises the role to the token of a request, which must not be denied.
+    fn grant(&mut self, now_s: f64, request: &LeaseRequest, config: &LeaseConfig) -> Message {
+        let LeaseRequest { role, token, .. } = *request;
+        let current = self.promise_in_force(now_s, role);
         // Never shorter than the promise in force.
         let until_s = current
             .map_or(now_s, |promise| promise.until_s)
@@ -124,12 +146,12 @@
         };
         self.promises.insert(role, promise);
         self.latest_promised.insert(role, token);
-        Some(Message::Granted {
+        Message::Granted {
             role,
             epoch: token.epoch,
             incarnation: token.incarnation,
             request_id: request.request_id,
-        })
+        }
     }
 
     pub(super) fn silent_until_s(&self) -> f64 {
--- a/crates/router/lease/src/leases/candidacy.rs
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -10,6 +10,7 @@
     pub(super) request_id: u16,
     /// For how long the acceptors' grants are valid, in seconds.
     grant_duration_s: f64,
+    /// When it was first sent. A lease from it runs from here, which is before any acceptor has granted it.
     pub(super) started_at_s: f64,
     /// When acceptors that have not answered receive the request again.
     pub(super) resend_at_s: f64,
--- a/crates/router/lease/src/leases/known_holders.rs
+++ b/crates/router/lease/src/leases/known_holders.rs
@@ -15,6 +15,7 @@
 /// The latest action that was accepted for each role.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownHolders {
+    /// The epoch of a role never decreases.
     latest: BTreeMap<Role, LatestAction>,
 }
 
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -50,11 +50,19 @@
     last_call_s: f64,
     acceptor: Acceptor,
     holders: KnownHolders,
+    /// The roles of which this member is a candidate or the holder.
     candidacies: BTreeMap<Role, Candidacy>,
+    /// Of the latest proposal. It wraps: an answer to a proposal that is not the current one has another id.
     last_request_id: u16,
     counters: LeaseCounters,
 }
 
+/// Counts and reports that a lease has ended.
+fn record_loss(role: Role, epoch: u32, counters: &mut LeaseCounters, actions: &mut Actions) {
+    counters.lost += 1;
+    actions.events.push(LeaseEvent::Lost { role, epoch });
+}
+
 impl Leases {
     /// The leases of the member `id`, of `roster_size` members in all; both must be the same at all members. A new
     /// acceptor may have forgotten grants of its last run, so it is silent at first: after all members have started at
@@ -230,9 +238,7 @@
             .is_some_and(|until_s| now_s < until_s);
         if was_held {
             // The lease ends here, before any acceptor is notified.
-            let epoch = candidacy.epoch;
-            self.counters.lost += 1;
-            actions.events.push(LeaseEvent::Lost { role, epoch });
+            record_loss(role, candidacy.epoch, &mut self.counters, actions);
         }
         if was_held || candidacy.proposal.is_some() {
             self.release(role, actions);
@@ -264,11 +270,7 @@
             self.acceptor.reset(now_s, &self.config);
             for (role, candidacy) in &mut self.candidacies {
                 if candidacy.held_until_s.take().is_some() {
-                    self.counters.lost += 1;
-                    actions.events.push(LeaseEvent::Lost {
-                        role: *role,
-                        epoch: candidacy.epoch,
-                    });
+                    record_loss(*role, candidacy.epoch, &mut self.counters, actions);
                 }
                 candidacy.proposal = None;
                 candidacy.next_proposal_s = now_s + self.config.backoff_s;
@@ -322,6 +324,7 @@
         }
     }
 
+    /// Ends a lease that has expired, and backs off.
     fn expire(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
@@ -330,12 +333,11 @@
         let random: f64 = self.random.random();
         candidacy.next_proposal_s =
             now_s + (candidacy.rank as f64 + random) * self.config.backoff_s;
-        let epoch = candidacy.epoch;
-        self.counters.lost += 1;
-        actions.events.push(LeaseEvent::Lost { role, epoch });
+        record_loss(role, candidacy.epoch, &mut self.counters, actions);
         self.release(role, actions);
     }
 
+    /// Starts a proposal, or a renewal.
     fn propose(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let highest_epoch = self.highest_epoch(role);
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
--- a/crates/router/lease/src/leases/receive.rs
+++ b/crates/router/lease/src/leases/receive.rs
@@ -4,6 +4,7 @@
 use super::acceptor::LeaseRequest;
 use super::actions::{Actions, LeaseEvent};
 use super::candidacy::{Denial, Grant};
+use crate::clock_stamp::CENTIS_PER_SECOND;
 use crate::fencing_token::FencingToken;
 use crate::message::Message;
 use crate::rendezvous;
@@ -118,7 +119,7 @@
                     by,
                     request_id,
                     highest_epoch: epoch,
-                    wait_s: f64::from(wait_centis) / 100.0,
+                    wait_s: f64::from(wait_centis) / CENTIS_PER_SECOND,
                 };
                 self.record_denial(now_s, role, &denial, actions);
             }
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -25,6 +25,7 @@
 struct ReplicaQuota {
     /// Until when, at the least and by the allocator's clock, each member has released its share.
     released_until_s: BTreeMap<MemberId, f64>,
+    /// Each was given out of shares that are released until its `counts_until_s` at the least.
     grants: BTreeMap<MemberId, ActiveGrant>,
 }
 
@@ -77,6 +78,19 @@
     }
 }
 
+/// The times that apply to all demands of one report, by the allocator's clock.
+#[derive(Clone, Copy, Debug)]
+struct GrantTerms {
+    /// Until when the member has released the shares that it reports as released, at the least.
+    released_until_s: f64,
+    /// When grants to the member expire.
+    valid_until_s: f64,
+    /// When such grants no longer count as used; see [`ActiveGrant`].
+    counts_until_s: f64,
+    /// Whether anything may be granted now.
+    may_grant: bool,
+}
+
 /// The grants that answer one report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Allocation {
@@ -121,50 +135,69 @@
         beacon_sent_at_s: f64,
         demands: &[ReplicaDemand],
     ) -> Allocation {
+        let terms = self.grant_terms(now_s, beacon_sent_at_s);
+        let grants = demands
+            .iter()
+            .filter_map(|demand| self.answer_demand(now_s, member, demand, &terms))
+            .collect();
+        Allocation {
+            grants,
+            valid_until_s: terms.valid_until_s,
+        }
+    }
+
+    /// The terms for a member that has received the beacon of `beacon_sent_at_s`.
+    fn grant_terms(&self, now_s: f64, beacon_sent_at_s: f64) -> GrantTerms {
         let config = &self.config;
-        let even_share = (FULL_QUOTA / self.member_count as f64) as u16;
         let released_until_s = beacon_sent_at_s
             + (config.release_duration_s + config.window_s) * CLOCK_RATE_TOLERANCE
             - config.clock_margin_s;
         let valid_until_s = (beacon_sent_at_s + config.release_duration_s * CLOCK_RATE_TOLERANCE
             - config.clock_margin_s)
             .min(now_s + config.grant_duration_s);
-        let counts_until_s = valid_until_s + config.window_s;
-        let may_grant = valid_until_s > now_s
-            && now_s >= self.started_at_s + config.release_duration_s + config.window_s;
-        let mut grants = Vec::new();
-        for demand in demands {
-            let is_full = self.replicas.len() >= config.max_replicas;
-            if is_full && !self.replicas.contains_key(&demand.replica) {
-                continue;
-            }
-            let quota = self.replicas.entry(demand.replica).or_default();
-            quota.remove_expired(now_s);
-            if demand.parts == 0 {
-                quota.record_release(member, released_until_s);
-                continue;
-            }
-            if !may_grant {
-                continue;
-            }
-            if let Some(fraction) =
-                quota.grantable(member, demand.parts, even_share, counts_until_s)
-            {
-                let grant = ActiveGrant {
-                    fraction,
-                    counts_until_s,
-                };
-                quota.grants.insert(member, grant);
-                grants.push(QuotaGrant {
-                    replica: demand.replica,
-                    fraction,
-                });
-            }
-        }
-        Allocation {
-            grants,
+        // Until then, grants of an earlier allocator may be in use.
+        let starts_granting_at_s = self.started_at_s + config.release_duration_s + config.window_s;
+        GrantTerms {
+            released_until_s,
             valid_until_s,
+            counts_until_s: valid_until_s + config.window_s,
+            may_grant: valid_until_s > now_s && now_s >= starts_granting_at_s,
+        }
+    }
+
+    /// Records a member's release of a replica, or grants what it demands of it as far as it can.
+    fn answer_demand(
+        &mut self,
+        now_s: f64,
+        member: MemberId,
+        demand: &ReplicaDemand,
+        terms: &GrantTerms,
+    ) -> Option<QuotaGrant> {
+        let is_full = self.replicas.len() >= self.config.max_replicas;
+        if is_full && !self.replicas.contains_key(&demand.replica) {
+            return None;
+        }
+        let even_share = (FULL_QUOTA / self.member_count as f64) as u16;
+        let quota = self.replicas.entry(demand.replica).or_default();
+        quota.remove_expired(now_s);
+        if demand.parts == 0 {
+            quota.record_release(member, terms.released_until_s);
+            return None;
+        }
+        if !terms.may_grant {
+            return None;
         }
+        let counts_until_s = terms.counts_until_s;
+        let fraction = quota.grantable(member, demand.parts, even_share, counts_until_s)?;
+        let grant = ActiveGrant {
+            fraction,
+            counts_until_s,
+        };
+        quota.grants.insert(member, grant);
+        Some(QuotaGrant {
+            replica: demand.replica,
+            fraction,
+        })
     }
 
     /// Forgets replicas without releases and grants.
--- a/crates/router/lease/src/quota/share.rs
+++ b/crates/router/lease/src/quota/share.rs
@@ -3,17 +3,20 @@
 use super::FULL_QUOTA;
 use super::config::QuotaConfig;
 use super::demand::{LocalDemand, QuotaGrant, ReplicaDemand};
-use crate::message::MAX_MESSAGES;
 use crate::replica_key::ReplicaKey;
 use std::collections::BTreeMap;
 
+/// Limit on the replicas of one report. Further ones are in the next.
+const MAX_DEMANDS_PER_REPORT: usize = 32;
+
 /// A member's share of one replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaShare {
     /// Until when the even share is released.
     released_until_s: f64,
-    /// The latest grant, in 65,535ths of the quota, and until when it is valid.
+    /// The latest grant, in 65,535ths of the quota.
     granted_fraction: u16,
+    /// When the latest grant expires.
     granted_until_s: f64,
     /// Parts demanded since the last report.
     unreported_parts: u32,
@@ -107,7 +110,7 @@
                 });
                 share.unreported_parts = 0;
             }
-            if report.len() == MAX_MESSAGES {
+            if report.len() == MAX_DEMANDS_PER_REPORT {
                 break;
             }
         }
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -65,6 +65,13 @@
     received_at_s: f64,
 }
 
+/// When a message was received, by this member's clock, and from whom.
+#[derive(Clone, Copy, Debug)]
+struct Reception {
+    now_s: f64,
+    from: MemberId,
+}
+
 /// All singleton roles of one co-ordinator.
 ///
 /// The driver calls [`update`](Self::update) about ten times a second, [`tick`](Self::tick) when
@@ -83,6 +90,7 @@
     /// The latest beacon of each bucket's allocator.
     beacons: BTreeMap<u8, Beacon>,
     last_announcement_s: f64,
+    /// Payloads and messages, see [`SingletonRoles::rejected`].
     rejected: u64,
 }
 
@@ -222,13 +230,7 @@
                 LeaseEvent::Acquired {
                     role: Role::QuotaAllocator(bucket),
                     ..
-                } => {
-                    if let Some(split) = self.member.slow_start {
-                        let config = quota_config(split);
-                        let allocator = QuotaAllocator::new(split.member_count, config, now_s);
-                        self.allocators.insert(bucket, allocator);
-                    }
-                }
+                } => self.start_allocator(now_s, bucket),
                 LeaseEvent::Lost {
                     role: Role::QuotaAllocator(bucket),
                     ..
@@ -244,4 +246,11 @@
             actions.send(outgoing.to, &outgoing.message);
         }
     }
+
+    fn start_allocator(&mut self, now_s: f64, bucket: u8) {
+        if let Some(split) = self.member.slow_start {
+            let allocator = QuotaAllocator::new(split.member_count, quota_config(split), now_s);
+            self.allocators.insert(bucket, allocator);
+        }
+    }
 }
--- a/crates/router/lease/src/roles/quota_exchange.rs
+++ b/crates/router/lease/src/roles/quota_exchange.rs
@@ -1,8 +1,8 @@
 //! Reports of demand to quota allocators, and the grants that answer them.
 
-use super::SingletonRoles;
 use super::actions::{LeaseAction, RoleActions};
-use crate::clock_stamp::ClockStamp;
+use super::{Reception, SingletonRoles};
+use crate::clock_stamp::{CENTIS_PER_SECOND, ClockStamp};
 use crate::fencing_token::FencingToken;
 use crate::message::Message;
 use crate::quota::{QuotaGrant, ReplicaDemand};
@@ -53,8 +53,12 @@
                 }
             }
         }
+        let reception = Reception {
+            now_s,
+            from: self.member.id,
+        };
         for message in reports_to_self {
-            self.receive_message(now_s, self.member.id, message, actions);
+            self.receive_message(reception, message, actions);
         }
     }
 
@@ -79,7 +83,8 @@
         };
         let beacon_sent_at_s = report.beacon_sent_at.to_seconds(now_s);
         let allocation = allocator.allocate(now_s, report.from, beacon_sent_at_s, report.demands);
-        let valid_for_centis = ((allocation.valid_until_s - now_s).max(0.0) * 100.0) as u16;
+        let valid_for_centis =
+            ((allocation.valid_until_s - now_s).max(0.0) * CENTIS_PER_SECOND) as u16;
         if allocation.grants.is_empty() || valid_for_centis == 0 {
             return;
         }
@@ -88,7 +93,7 @@
             epoch: token.epoch,
         });
         if report.from == self.member.id {
-            let valid_until_s = now_s + f64::from(valid_for_centis) / 100.0;
+            let valid_until_s = now_s + f64::from(valid_for_centis) / CENTIS_PER_SECOND;
             self.record_grants(now_s, &allocation.grants, valid_until_s);
             return;
         }
--- a/crates/router/lease/src/roles/receive.rs
+++ b/crates/router/lease/src/roles/receive.rs
@@ -2,8 +2,8 @@
 
 use super::actions::RoleActions;
 use super::quota_exchange::DemandReport;
-use super::{Beacon, SingletonRoles};
-use crate::clock_stamp::ClockStamp;
+use super::{Beacon, Reception, SingletonRoles};
+use crate::clock_stamp::{CENTIS_PER_SECOND, ClockStamp};
 use crate::endpoint_update::EndpointUpdate;
 use crate::fencing_token::FencingToken;
 use crate::message::{MAX_MESSAGES, Message, open};
@@ -21,15 +21,14 @@
         };
         debug_assert!(messages.len() <= MAX_MESSAGES);
         for message in messages {
-            self.receive_message(now_s, from, message, &mut actions);
+            self.receive_message(Reception { now_s, from }, message, &mut actions);
         }
         actions
     }
 
     pub(super) fn receive_message(
         &mut self,
-        now_s: f64,
-        from: MemberId,
+        reception: Reception,
         message: Message,
         actions: &mut RoleActions,
     ) {
@@ -38,6 +37,7 @@
             | Message::Granted { .. }
             | Message::Denied { .. }
             | Message::Release { .. } => {
+                let Reception { now_s, from } = reception;
                 let lease_actions = self.leases.receive(now_s, from, &message);
                 self.execute(now_s, lease_actions, actions);
             }
@@ -45,16 +45,15 @@
                 role,
                 token,
                 updates,
-            } => self.receive_endpoint_updates(now_s, from, role, token, updates, actions),
-            other => self.receive_allocator_message(now_s, from, other, actions),
+            } => self.receive_endpoint_updates(reception, role, token, updates, actions),
+            other => self.receive_allocator_message(reception, other, actions),
         }
     }
 
     /// A message from a quota allocator, or to one.
     fn receive_allocator_message(
         &mut self,
-        now_s: f64,
-        from: MemberId,
+        Reception { now_s, from }: Reception,
         message: Message,
         actions: &mut RoleActions,
     ) {
@@ -91,7 +90,7 @@
                 grants,
             } => {
                 if token.holder == from && self.leases.accept_token(now_s, role, token) {
-                    let valid_for_s = f64::from(valid_for_centis) / 100.0;
+                    let valid_for_s = f64::from(valid_for_centis) / CENTIS_PER_SECOND;
                     let valid_until_s = demands_sent_at.to_seconds(now_s) + valid_for_s;
                     self.record_grants(now_s, &grants, valid_until_s);
                 }
@@ -103,8 +102,7 @@
     /// Updates of the holder of this zone's endpoint watch. Others are rejected.
     fn receive_endpoint_updates(
         &mut self,
-        now_s: f64,
-        from: MemberId,
+        Reception { now_s, from }: Reception,
         role: Role,
         token: FencingToken,
         updates: Vec<EndpointUpdate>,
