--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -104,8 +104,8 @@
             .filter(|promise| promise.until_s > now_s)
     }
 
-    /// Denies a request while the role is promised to another token, and one whose token is outdated. `None` if it may be
-    /// granted.
+    /// Denies a request while the role is promised to another token, and one whose token is outdated. `None` if it may
+    /// be granted.
     fn denial(&self, now_s: f64, request: &LeaseRequest, highest_epoch: u32) -> Option<Message> {
         let LeaseRequest { role, token, .. } = *request;
         let current = self.promise_in_force(now_s, role);
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -258,9 +258,9 @@
         other_lease_end_s.map_or(now_s, |end| end.max(now_s)) + delay_s.min(lease_duration_s)
     }
 
-    /// Detects a clock that has jumped, and treats it like a restart: a clock that jumps ahead ends grants that are still
-    /// valid, one that goes back extends leases. A stall of the process looks like a jump ahead. The cost: a process
-    /// that has stalled grants nothing for the duration of a lease.
+    /// Detects a clock that has jumped, and treats it like a restart: a clock that jumps ahead ends grants that are
+    /// still valid, one that goes back extends leases. A stall of the process looks like a jump ahead. The cost: a
+    /// process that has stalled grants nothing for the duration of a lease.
     fn check_clock(&mut self, now_s: f64, actions: &mut Actions) {
         let went_back = now_s < self.last_call_s;
         let max_step_s = self.config.lease_duration_s * MAX_CLOCK_STEP;
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -15,8 +15,8 @@
 struct ActiveGrant {
     /// In 65,535ths of the replica's complete quota.
     fraction: u16,
-    /// When it no longer counts as used. That is a slow-start window after it expires, since the replica counts what was
-    /// sent under it for that long.
+    /// When it no longer counts as used. That is a slow-start window after it expires, since the replica counts what
+    /// was sent under it for that long.
     counts_until_s: f64,
 }
 
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -13,6 +13,34 @@
 
 const WINDOW: f64 = 1.0;
 
+/// When a datagram arrives, in microseconds, and a number that keeps their order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at_micros: u64,
+    number: u64,
+}
+
+/// A datagram in flight.
+struct Datagram {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// A replica that a member has closed.
+#[derive(Debug)]
+struct ClosedReplica {
+    member: usize,
+    replica: ReplicaKey,
+    departure: Departure,
+}
+
+/// What a member could use of its quota at a time, as a multiple of an even share.
+struct Usable {
+    at: f64,
+    multiple: f64,
+}
+
 /// Members that all see each other, on a network that loses and delays; some of them demand a warming replica.
 struct Tier {
     now: f64,
@@ -21,9 +49,9 @@
     max_latency: f64,
     members: Vec<Option<SingletonRoles>>,
     rates: Vec<f64>,
-    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
-    n: u64,
-    closed: Vec<(usize, ReplicaKey, Departure)>,
+    in_flight: BTreeMap<Arrival, Datagram>,
+    sent: u64,
+    closed: Vec<ClosedReplica>,
     demands: Vec<u32>,
 }
 
@@ -63,7 +91,7 @@
             members: (0..members).map(|n| Some(roles(n))).collect(),
             rates,
             in_flight: BTreeMap::new(),
-            n: 0,
+            sent: 0,
             closed: Vec::new(),
             demands: vec![0; members],
         }
@@ -75,8 +103,11 @@
 
     fn execute(&mut self, from: usize, actions: RoleActions) {
         let closed = actions.closed.iter();
-        self.closed
-            .extend(closed.map(|update| (from, update.replica, update.departure)));
+        self.closed.extend(closed.map(|update| ClosedReplica {
+            member: from,
+            replica: update.replica,
+            departure: update.departure,
+        }));
         for datagram in actions.datagrams {
             self.send(from, usize::from(datagram.to.0), datagram.bytes);
         }
@@ -86,9 +117,12 @@
         assert!(bytes.len() <= 240, "{} bytes", bytes.len());
         if !self.random.random_bool(self.loss) {
             let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
-            self.n += 1;
-            self.in_flight
-                .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
+            self.sent += 1;
+            let arrival = Arrival {
+                at_micros: (at * 1e6) as u64,
+                number: self.sent,
+            };
+            self.in_flight.insert(arrival, Datagram { from, to, bytes });
         }
     }
 
@@ -106,16 +140,16 @@
             version: 1,
         };
         let mut max_in_use = 0.0f64;
-        // What each member may use, at its maximum within the last window.
-        let mut used: Vec<Vec<(f64, f64)>> = vec![Vec::new(); members];
+        // By member, within the last window.
+        let mut usable: Vec<Vec<Usable>> = (0..members).map(|_| Vec::new()).collect();
         while self.now < until {
             self.now += 0.02;
             while let Some(entry) = self
                 .in_flight
                 .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
+                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
             {
-                let (from, to, bytes) = entry.remove();
+                let Datagram { from, to, bytes } = entry.remove();
                 let clock = self.clock(to);
                 if let Some(actions) = self.members[to]
                     .as_mut()
@@ -124,7 +158,7 @@
                     self.execute(to, actions);
                 }
             }
-            for (n, used) in used.iter_mut().enumerate() {
+            for (n, usable) in usable.iter_mut().enumerate() {
                 let (clock, parts) = (self.clock(n), self.demands[n]);
                 let Some(m) = &mut self.members[n] else {
                     continue;
@@ -145,18 +179,22 @@
                 } else {
                     0.0
                 };
-                used.push((self.now, multiple));
-                used.retain(|u| u.0 > self.now - WINDOW);
+                usable.push(Usable {
+                    at: self.now,
+                    multiple,
+                });
+                usable.retain(|moment| moment.at > self.now - WINDOW);
                 self.execute(n, actions);
                 if !gossip.is_empty() {
                     let to = self.random.random_range(0..members);
                     self.send(n, to, gossip);
                 }
             }
-            let sum: f64 = used
-                .iter()
-                .map(|u| u.iter().map(|x| x.1).fold(0.0, f64::max))
-                .sum();
+            let max_of = |moments: &Vec<Usable>| {
+                let multiples = moments.iter().map(|moment| moment.multiple);
+                multiples.fold(0.0, f64::max)
+            };
+            let sum: f64 = usable.iter().map(max_of).sum();
             max_in_use = max_in_use.max(sum);
         }
         max_in_use
@@ -234,17 +272,11 @@
         .expect("it lives")
         .record_list_report(clock, departed, Some(Departure::Departed));
     t.run(t.now + 2.0);
-    let closed_at: Vec<usize> = t
-        .closed
-        .iter()
-        .filter(|c| c.1 == departed)
-        .map(|c| c.0)
-        .collect();
-    assert_eq!(closed_at.len(), 4, "{:?}", t.closed);
+    let closed_at = t.closed.iter().filter(|closed| closed.replica == departed);
+    assert_eq!(closed_at.count(), 4, "{:?}", t.closed);
     assert!(
-        t.closed
-            .iter()
-            .all(|c| c.0 != holder && (c.1 != departed || c.2 == Departure::Departed)),
+        t.closed.iter().all(|closed| closed.member != holder
+            && (closed.replica != departed || closed.departure == Departure::Departed)),
         "{:?}",
         t.closed
     );
--- a/crates/router/membership/src/datagram.rs
+++ b/crates/router/membership/src/datagram.rs
@@ -6,8 +6,8 @@
 
 /// Limit on the length of a datagram in bytes. The platform voids a run in which one is longer.
 pub const MAX_BYTES: usize = 256;
-/// The version of the envelope and of all payloads; datagrams of other versions are rejected. It must be raised when the
-/// meaning of either changes.
+/// The version of the envelope and of all payloads; datagrams of other versions are rejected. It must be raised when
+/// the meaning of either changes.
 pub const VERSION: u8 = 2;
 /// Bytes of a datagram beside its payloads: the version, the sender and the payloads' lengths at their longest.
 const FRAMING_BYTES: usize = 1 + 3 + 2 + 2 + 2;
--- a/crates/router/membership/src/members.rs
+++ b/crates/router/membership/src/members.rs
@@ -29,6 +29,7 @@
     random: Pcg64Mcg,
     /// When this member next announces itself to a missing one.
     next_join_s: f64,
+    /// Calls of `foca` that returned an error.
     unusable_messages: u64,
 }
 
@@ -114,6 +115,7 @@
         let live = self.state.view.live.keys().copied();
         let mut peers: Vec<MemberId> = live.filter(|peer| *peer != self.id).collect();
         let chosen = limit.min(peers.len());
+        // The first steps of a Fisher-Yates shuffle.
         for i in 0..chosen {
             let j = self.random.random_range(i..peers.len());
             peers.swap(i, j);
@@ -151,14 +153,7 @@
         }
         if now_s >= self.next_join_s {
             self.announce_to_missing_member();
-            let view = &self.state.view;
-            let interval = if view.live.len() * 2 > view.roster_size {
-                self.config.rejoin_interval
-            } else {
-                self.config.join_interval
-            };
-            let jitter = 0.5 + self.random.random::<f64>();
-            self.next_join_s = now_s + interval.as_secs_f64() * jitter;
+            self.schedule_next_join(now_s);
         }
         self.state.take_actions()
     }
@@ -182,6 +177,16 @@
         }
     }
 
+    fn schedule_next_join(&mut self, now_s: f64) {
+        let interval = if self.state.view.has_majority() {
+            self.config.rejoin_interval
+        } else {
+            self.config.join_interval
+        };
+        let jitter = 0.5 + self.random.random::<f64>();
+        self.next_join_s = now_s + interval.as_secs_f64() * jitter;
+    }
+
     /// Announces this member to a random one of the roster that is missing, which makes it join. After a partition, in
     /// which each side has declared the other down, this is how they find each other again.
     fn announce_to_missing_member(&mut self) {
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -17,7 +17,7 @@
 const PARTITIONED_HEALTH: u8 = 4;
 
 /// A time in microseconds, rounded up.
-pub(crate) fn micros(time_s: f64) -> u64 {
+fn micros(time_s: f64) -> u64 {
     (time_s.max(0.0) * 1e6).ceil() as u64
 }
 
@@ -33,11 +33,13 @@
     /// The time of the current call, in seconds.
     pub(crate) now_s: f64,
     timers: BTreeMap<TimerKey, Timer<Member>>,
+    /// How many timers were set so far, for [`TimerKey::number`].
     timers_set: u64,
     /// Lifeguard's local health score: how slow or badly connected this member itself seems. 0 is healthy.
     local_health: u8,
     /// Whether the current probe has made a member suspected.
     probe_failed: bool,
+    /// Since the last [`ProtocolState::take_actions`].
     actions: Actions,
     pub(crate) view: View,
 }
@@ -100,8 +102,7 @@
 
     /// Updates whether this member seems partitioned, and returns the actions since the last call.
     pub(crate) fn take_actions(&mut self) -> Actions {
-        let has_majority = self.view.live.len() * 2 > self.view.roster_size;
-        let is_partitioned = !has_majority || self.local_health >= PARTITIONED_HEALTH;
+        let is_partitioned = !self.view.has_majority() || self.local_health >= PARTITIONED_HEALTH;
         if is_partitioned != self.view.is_partitioned {
             self.view.is_partitioned = is_partitioned;
             let event = if is_partitioned {
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -11,6 +11,25 @@
     Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent, OutgoingMessage,
 };
 
+/// When a datagram arrives, in microseconds, and a number that keeps their order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at_micros: u64,
+    number: u64,
+}
+
+/// A datagram in flight.
+struct Datagram {
+    to: MemberId,
+    bytes: Vec<u8>,
+}
+
+/// An event that some member has reported.
+struct RecordedEvent {
+    at: f64,
+    event: MembershipEvent,
+}
+
 struct Net {
     now: f64,
     random: Pcg64Mcg,
@@ -20,10 +39,10 @@
     stalled: BTreeSet<MemberId>,
     /// The side of a partition on which each member is.
     side: BTreeMap<MemberId, u8>,
-    in_flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
+    in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
     bytes: u64,
-    events: Vec<(f64, MemberId, MembershipEvent)>,
+    events: Vec<RecordedEvent>,
 }
 
 fn id(n: usize) -> MemberId {
@@ -56,8 +75,11 @@
     }
 
     fn execute(&mut self, from: MemberId, actions: Actions) {
-        self.events
-            .extend(actions.events.into_iter().map(|c| (self.now, from, c)));
+        let events = actions.events.into_iter();
+        self.events.extend(events.map(|event| RecordedEvent {
+            at: self.now,
+            event,
+        }));
         for OutgoingMessage { to, bytes } in actions.messages {
             let body = encode(&Body {
                 from,
@@ -74,13 +96,12 @@
             // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
             for _ in 0..if self.random.random_bool(0.02) { 2 } else { 1 } {
                 let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
-                self.in_flight.insert(
-                    (
-                        (at * 1e6) as u64,
-                        self.sent * 2 + self.in_flight.len() as u64,
-                    ),
-                    (from, to, body.clone()),
-                );
+                let arrival = Arrival {
+                    at_micros: (at * 1e6) as u64,
+                    number: self.sent * 2 + self.in_flight.len() as u64,
+                };
+                let bytes = body.clone();
+                self.in_flight.insert(arrival, Datagram { to, bytes });
             }
         }
     }
@@ -91,9 +112,9 @@
             while let Some(entry) = self
                 .in_flight
                 .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
+                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
             {
-                let (_, to, bytes) = entry.remove();
+                let Datagram { to, bytes } = entry.remove();
                 if self.stalled.contains(&to) {
                     continue;
                 }
@@ -128,7 +149,7 @@
     fn downs(&self) -> usize {
         self.events
             .iter()
-            .filter(|c| matches!(c.2, MembershipEvent::Down(_)))
+            .filter(|recorded| matches!(recorded.event, MembershipEvent::Down(_)))
             .count()
     }
 }
@@ -215,10 +236,10 @@
     net.stalled.clear();
     let woken = net.now;
     net.run(30.0);
-    let wrong = net
-        .events
-        .iter()
-        .filter(|c| c.0 > woken && matches!(c.2, MembershipEvent::Down(d) if d != id(2)));
+    let wrong = net.events.iter().filter(|recorded| {
+        recorded.at > woken
+            && matches!(recorded.event, MembershipEvent::Down(member) if member != id(2))
+    });
     assert_eq!(wrong.count(), 0);
     assert!(net.agree(6));
 }
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -31,8 +31,9 @@
     pub max_consecutive_failovers: u8,
     /// A zone that is ejected again within this time after its return has one more consecutive failover, in seconds.
     pub stable_after_s: f64,
-    /// An ejected zone of which nothing was seen for this number of dwells is restored on trial: without hedged requests there
-    /// is no trial traffic, and no evidence for it would ever come. Must exceed the time between trials (4 s).
+    /// An ejected zone of which nothing was seen for this number of dwells is restored on trial: without hedged
+    /// requests there is no trial traffic, and no evidence for it would ever come. Must exceed the time between trials
+    /// (4 s).
     pub unobserved_dwells: f64,
     /// Time from a zone's return until it has all of its traffic, in seconds.
     pub ramp_duration_s: f64,
--- a/crates/router/zone-failover/src/evidence.rs
+++ b/crates/router/zone-failover/src/evidence.rs
@@ -76,8 +76,8 @@
     }
 
     /// Whether more than two thirds of the observers are against the zone, and at least two, where reporters outside
-    /// that were not heard count for it. So neither one member ejects a zone, nor a group that alone is partitioned from it,
-    /// nor one unlucky member where the others are evenly divided.
+    /// that were not heard count for it. So neither one member ejects a zone, nor a group that alone is partitioned
+    /// from it, nor one unlucky member where the others are evenly divided.
     pub(crate) fn has_majority_against(&self) -> bool {
         let observers_and_unheard = self.observers + self.outside - self.heard;
         self.against >= 2 && self.against * 3 > 2 * observers_and_unheard
--- a/crates/router/zone-failover/src/lib.rs
+++ b/crates/router/zone-failover/src/lib.rs
@@ -3,11 +3,11 @@
 //! Start with [`Peer`]: it is one co-ordinator among its peers, datagrams in and datagrams out. It joins
 //! [`Members`](woadreach_membership::Members) with [`Zones`], which decides:
 //!
-//! - Each co-ordinator sees a few parts of every zone ([`ZoneObservation`]). Members exchange them as [`Report`]s of a few
-//!   bytes, piggybacked on membership datagrams ([`GossipPayload`]).
+//! - Each co-ordinator sees a few parts of every zone ([`ZoneObservation`]). Members exchange them as [`Report`]s of a
+//!   few bytes, piggybacked on membership datagrams ([`GossipPayload`]).
 //! - From the reports and the members that are alive ([`View`](woadreach_membership::View)) each member computes a
-//!   [`Verdict`] for each zone. It is a deterministic function of them, and the verdict with the highest epoch is valid,
-//!   so that all members agree in the end.
+//!   [`Verdict`] for each zone. It is a deterministic function of them, and the verdict with the highest epoch is
+//!   valid, so that all members agree in the end.
 //! - Verdicts give the share of its traffic that each zone may have, and how much traffic stays near.
 //!
 //! The crate has no clock and no socket, and names no replica: what a verdict does to one search is decided in
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -11,8 +11,9 @@
 const URGENT_FANOUT: usize = 3;
 /// How long reports are pushed at each update, in seconds; by then all members have them.
 const URGENT_DURATION_S: f64 = 1.5;
-/// Time between two pushes after that, in seconds, to one member each. Under an overload a verdict may be about to
-/// change all the time.
+/// To how many members reports are pushed after that.
+const SUSTAINED_FANOUT: usize = 1;
+/// Time between two pushes after that, in seconds. Under an overload a verdict may be about to change all the time.
 const SUSTAINED_PUSH_INTERVAL_S: f64 = 0.5;
 /// After so long without urgency, in seconds, the next counts as new.
 const URGENCY_GAP_S: f64 = 3.0;
@@ -20,7 +21,9 @@
 /// A time in which a verdict may be about to change.
 #[derive(Clone, Copy, Debug)]
 struct Urgency {
+    /// When it began, or the latest change of a verdict if that was later.
     since_s: f64,
+    /// When reports were last pushed for it.
     last_s: f64,
 }
 
@@ -38,6 +41,7 @@
     /// A payload on singleton roles to piggyback on every datagram. This crate doesn't read it.
     pub role_gossip: Vec<u8>,
     next_push_s: f64,
+    /// The latest urgency, for [`URGENCY_GAP_S`] after its end.
     urgency: Option<Urgency>,
     counters: PeerCounters,
 }
@@ -77,8 +81,8 @@
     /// Handles a datagram. `from` is the member whose address in the roster it came from, if any.
     ///
     /// A datagram whose sender isn't the member with its address is rejected, so that two co-ordinators that are
-    /// configured alike don't speak for each other. Forged addresses are not detected. The cost: a member that has moved
-    /// is unheard until the roster has its new address.
+    /// configured alike don't speak for each other. Forged addresses are not detected. The cost: a member that has
+    /// moved is unheard until the roster has its new address.
     pub fn receive(&mut self, now_s: f64, from: Option<MemberId>, bytes: &[u8]) -> PeerActions {
         let body = match self.decode(from, bytes) {
             Ok(body) => body,
@@ -123,8 +127,8 @@
     }
 
     /// Records what this co-ordinator sees of each zone and how many parts per second it sends, computes the verdicts,
-    /// and pushes reports. To be called about ten times a second. Verdicts are computed here and not for each datagram: at 300
-    /// members that took more of a small co-ordinator's processor than its searches.
+    /// and pushes reports. To be called about ten times a second. Verdicts are computed here and not for each datagram:
+    /// at 300 members that took more of a small co-ordinator's processor than its searches.
     pub fn update(
         &mut self,
         now_s: f64,
@@ -173,7 +177,7 @@
         });
         let mut fanout = URGENT_FANOUT;
         if now_s - since_s > URGENT_DURATION_S {
-            fanout = 1;
+            fanout = SUSTAINED_FANOUT;
             self.next_push_s = now_s + SUSTAINED_PUSH_INTERVAL_S;
         }
         for to in self.members.random_peers(fanout) {
--- a/crates/router/zone-failover/src/report_table.rs
+++ b/crates/router/zone-failover/src/report_table.rs
@@ -5,10 +5,12 @@
 use std::collections::BTreeMap;
 use woadreach_membership::MemberId;
 
-/// A report, and how often it was passed on.
+/// A report in the table.
 struct StoredReport {
     report: Report,
+    /// When its member made it, by this member's clock.
     made_at_s: f64,
+    /// How often this member has passed it on.
     sends: u32,
 }
 
--- a/crates/router/zone-failover/src/reporters.rs
+++ b/crates/router/zone-failover/src/reporters.rs
@@ -16,6 +16,7 @@
 pub(crate) struct Reporters {
     /// The version of the view that they were chosen from.
     view_version: u64,
+    /// The zone of each.
     zones: BTreeMap<MemberId, u8>,
 }
 
@@ -25,17 +26,13 @@
         if self.view_version == view.version {
             return;
         }
-        let mut members: Vec<(u64, MemberId, u8)> = view
-            .live
-            .iter()
-            .map(|(member, zone)| (rank(*member), *member, *zone))
-            .collect();
-        members.sort_unstable();
+        let mut members: Vec<MemberId> = view.live.keys().copied().collect();
+        members.sort_unstable_by_key(|member| rank(*member));
+        members.truncate(limit);
         self.view_version = view.version;
         self.zones = members
             .into_iter()
-            .take(limit)
-            .map(|(_, member, zone)| (member, zone))
+            .map(|member| (member, view.live[&member]))
             .collect();
     }
 
--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -33,8 +33,8 @@
         self.epoch % 2 == 1
     }
 
-    /// The verdict that follows for an ejected zone, if it is to be restored: parts tried there succeed after the dwell,
-    /// or nothing was seen of it since `last_observed_s` for long.
+    /// The verdict that follows for an ejected zone, if it is to be restored: parts tried there succeed after the
+    /// dwell, or nothing was seen of it since `last_observed_s` for long.
     pub(crate) fn restored(
         self,
         now_s: f64,
--- a/crates/router/zone-failover/src/zones/mod.rs
+++ b/crates/router/zone-failover/src/zones/mod.rs
@@ -37,12 +37,16 @@
     verdicts: Vec<Verdict>,
     /// The epochs whose changes [`Zones::decide`] has returned.
     returned_epochs: Vec<u32>,
+    /// The latest report of each member, this one included.
     reports: ReportTable,
     reporters: Reporters,
-    /// When any report had parts of each zone.
+    /// When a valid report last had parts of the zone.
     last_observed_s: Vec<f64>,
+    /// What this member has lately seen.
     observations: Vec<ZoneObservation>,
+    /// Of this member's latest report. It wraps.
     last_sequence: u8,
+    /// When this member made its latest report.
     last_report_s: f64,
     /// Zones that an operator has ejected at this member alone.
     pub ejected_by_operator: BTreeSet<u8>,
@@ -78,7 +82,7 @@
             reporters: Reporters::default(),
             last_observed_s: vec![now_s; zone_count],
             observations: vec![ZoneObservation::default(); zone_count],
-            // Unlike at each member and the same in each run.
+            // Different at each member, and the same in each run.
             last_sequence: (rank(id) >> 16) as u8,
             last_report_s: f64::NEG_INFINITY,
             ejected_by_operator: BTreeSet::new(),
--- a/crates/router/zone-failover/src/zones/piggyback.rs
+++ b/crates/router/zone-failover/src/zones/piggyback.rs
@@ -37,8 +37,8 @@
     }
 
     /// Adopts a received verdict if its epoch is higher. One that is further ahead than a member can have missed is
-    /// rejected, since a corrupted epoch would be valid for ever. The cost: a member that was partitioned for longer than
-    /// that number of changes has to be restarted.
+    /// rejected, since a corrupted epoch would be valid for ever. The cost: a member that was partitioned for longer
+    /// than that number of changes has to be restarted.
     fn adopt(&mut self, now_s: f64, received: &ZoneVerdict) {
         let max_consecutive_failovers = self.config.max_consecutive_failovers;
         let verdict = &mut self.verdicts[usize::from(received.zone)];
@@ -56,7 +56,8 @@
                     .min(max_consecutive_failovers),
             };
         } else if received.epoch == verdict.epoch && received.epoch > 0 {
-            // Two members may have reached it at once: the earlier time is valid, so that the slow starts of a restored zone agree.
+            // Two members may have reached it at once: the earlier time is valid, so that the slow starts of a restored
+            // zone agree.
             verdict.since_s = verdict.since_s.min(since_s);
         }
     }
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -24,9 +24,9 @@
 }
 
 impl Zones {
-    /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its return.
-    /// It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at one
-    /// pace.
+    /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its
+    /// return. It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at
+    /// one pace.
     pub fn traffic_shares(&self, now_s: f64) -> Vec<f64> {
         let config = &self.config;
         let share = |zone: usize| {
--- a/crates/router/zone-failover/src/zones/urgency.rs
+++ b/crates/router/zone-failover/src/zones/urgency.rs
@@ -4,8 +4,8 @@
 use crate::part_counts::PartCounts;
 use crate::verdict::Verdict;
 
-/// Number of members other than this one that must see a zone contrary to its verdict. One alone may do so by chance, and in a
-/// large tier there is always one; `docs/failover.md#reports-and-pushes` has the measured cost.
+/// Number of members other than this one that must see a zone contrary to its verdict. One alone may do so by chance,
+/// and in a large tier there is always one; `docs/failover.md#reports-and-pushes` has the measured cost.
 const MIN_DISSENTERS: usize = 2;
 /// Parts that a member must have seen succeed, or fail, to see a zone contrary to its verdict.
 const MIN_PARTS: u32 = 2;
@@ -33,8 +33,8 @@
         dissenters.iter().any(|count| *count >= MIN_DISSENTERS)
     }
 
-    /// The zones that a member with these observations sees contrary to their verdicts. None if it sees most zones fail,
-    /// since the fault is then more likely its own.
+    /// The zones that a member with these observations sees contrary to their verdicts. None if it sees most zones
+    /// fail, since the fault is then more likely its own.
     fn zones_seen_contrary(&self, now_s: f64, parts: impl Fn(usize) -> PartCounts) -> Vec<usize> {
         let zone_count = self.verdicts.len();
         let failing = (0..zone_count).filter(|zone| parts(*zone).half_failed());
--- a/crates/router/zone-failover/tests/common/mod.rs
+++ b/crates/router/zone-failover/tests/common/mod.rs
@@ -11,6 +11,27 @@
 /// The share of parts that fails, by time and by the zones of the co-ordinator and of the replica.
 pub(crate) type FailedShare = Box<dyn Fn(f64, usize, usize) -> f64>;
 
+/// When a datagram arrives, in microseconds, and a number that keeps their order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at_micros: u64,
+    number: u64,
+}
+
+/// A datagram in flight.
+struct Datagram {
+    from: MemberId,
+    to: MemberId,
+    bytes: Vec<u8>,
+}
+
+/// A part of a search that has ended.
+#[derive(Clone, Copy)]
+struct EndedPart {
+    at: f64,
+    has_failed: bool,
+}
+
 /// A change of a member's verdict on a zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordedChange {
@@ -31,9 +52,9 @@
     /// Whether datagrams between two zones are lost, by time.
     pub(crate) is_partitioned: Box<dyn Fn(f64, usize, usize) -> bool>,
     pub(crate) peers: BTreeMap<MemberId, Peer>,
-    /// What each member has lately seen of each zone: when, and whether it failed.
-    seen: BTreeMap<MemberId, Vec<VecDeque<(f64, bool)>>>,
-    in_flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
+    /// What each member has lately seen of each zone.
+    seen: BTreeMap<MemberId, Vec<VecDeque<EndedPart>>>,
+    in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
     pub(crate) verdict_changes: Vec<RecordedChange>,
 }
@@ -42,39 +63,61 @@
     usize::from(id.0) % zones
 }
 
+fn new_peer(n: usize, members: usize, zones: usize, seed: u64) -> Peer {
+    let id = MemberId(n as u16);
+    let zone = zone_of(id, zones) as u8;
+    let me = Member {
+        id,
+        zone,
+        generation: 0,
+    };
+    let membership = Members::new(
+        me,
+        members,
+        MembershipConfig::default(),
+        seed * 1000 + n as u64,
+        0.0,
+    );
+    let verdicts = Zones::new(
+        id,
+        zone,
+        vec![0; zones],
+        members,
+        ZoneFailoverConfig::default(),
+        0.0,
+    );
+    Peer::new(id, membership, verdicts)
+}
+
+/// What a member with these latest parts of a zone observes, as the routing decisions do: the run of failed parts up to
+/// now, where there is one.
+fn observation(parts: &VecDeque<EndedPart>, now: f64) -> ZoneObservation {
+    let run = parts
+        .iter()
+        .rev()
+        .take_while(|part| part.has_failed)
+        .count() as u32;
+    let fresh = parts.iter().filter(|part| part.at > now - 2.0);
+    let seen = if run > 1 {
+        run
+    } else {
+        fresh.clone().count() as u32
+    };
+    let failed = if run > 1 {
+        run
+    } else {
+        fresh.filter(|part| part.has_failed).count() as u32
+    };
+    ZoneObservation {
+        seen,
+        failed,
+        capacity: 1.0,
+    }
+}
+
 impl World {
     pub(crate) fn new(members: usize, zones: usize, loss: f64, seed: u64) -> World {
-        let peers = (0..members).map(|n| {
-            let id = MemberId(n as u16);
-            let zone = zone_of(id, zones) as u8;
-            let me = Member {
-                id,
-                zone,
-                generation: 0,
-            };
-            let m = Members::new(
-                me,
-                members,
-                MembershipConfig::default(),
-                seed * 1000 + n as u64,
-                0.0,
-            );
-            (
-                id,
-                Peer::new(
-                    id,
-                    m,
-                    Zones::new(
-                        id,
-                        zone,
-                        vec![0; zones],
-                        members,
-                        ZoneFailoverConfig::default(),
-                        0.0,
-                    ),
-                ),
-            )
-        });
+        let peers = (0..members).map(|n| (MemberId(n as u16), new_peer(n, members, zones, seed)));
         World {
             now: 0.0,
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -107,8 +150,11 @@
             if !self.random.random_bool(self.loss) && !(self.is_partitioned)(self.now, a, b) {
                 let at = self.now + 0.001 + 0.01 * self.random.random::<f64>();
                 self.sent += 1;
-                self.in_flight
-                    .insert(((at * 1e6) as u64, self.sent), (from, to, bytes));
+                let arrival = Arrival {
+                    at_micros: (at * 1e6) as u64,
+                    number: self.sent,
+                };
+                self.in_flight.insert(arrival, Datagram { from, to, bytes });
             }
         }
     }
@@ -120,9 +166,9 @@
             while let Some(entry) = self
                 .in_flight
                 .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
+                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
             {
-                let (from, to, bytes) = entry.remove();
+                let Datagram { from, to, bytes } = entry.remove();
                 if let Some(peer) = self.peers.get_mut(&to) {
                     let actions = peer.receive(self.now, Some(from), &bytes);
                     self.execute(to, actions);
@@ -154,36 +200,20 @@
             };
             let shares = peer.zones.traffic_shares(self.now);
             let mut observations = Vec::new();
-            for (z, window) in seen.iter_mut().enumerate() {
-                if self
-                    .random
-                    .random_bool((self.rate * 0.1 * shares[z].max(0.1)).min(1.0))
-                {
-                    let share = (self.failed_share)(self.now, zone_of(*id, self.zones), z);
-                    window.push_back((self.now, self.random.random_bool(share.max(0.03))));
+            for (zone, parts) in seen.iter_mut().enumerate() {
+                let sent = self.rate * 0.1 * shares[zone].max(0.1);
+                if self.random.random_bool(sent.min(1.0)) {
+                    let share = (self.failed_share)(self.now, zone_of(*id, self.zones), zone);
+                    parts.push_back(EndedPart {
+                        at: self.now,
+                        has_failed: self.random.random_bool(share.max(0.03)),
+                    });
                 }
-                window.retain(|x| x.0 > self.now - 6.0);
-                while window.len() > 6 {
-                    window.pop_front();
+                parts.retain(|part| part.at > self.now - 6.0);
+                while parts.len() > 6 {
+                    parts.pop_front();
                 }
-                // As the routing decisions do: the run of failed parts up to now, where there is one.
-                let run = window.iter().rev().take_while(|x| x.1).count() as u32;
-                let fresh = window.iter().filter(|x| x.0 > self.now - 2.0);
-                let seen = if run > 1 {
-                    run
-                } else {
-                    fresh.clone().count() as u32
-                };
-                let failed = if run > 1 {
-                    run
-                } else {
-                    fresh.filter(|x| x.1).count() as u32
-                };
-                observations.push(ZoneObservation {
-                    seen,
-                    failed,
-                    capacity: 1.0,
-                });
+                observations.push(observation(parts, self.now));
             }
             all_actions.push((
                 *id,
@@ -195,8 +225,8 @@
         }
     }
 
-    /// Seconds from `since` until the last of `who` had an odd epoch of the zone.
-    pub(crate) fn agreed(
+    /// Seconds from `since` until the last of `who` ejected the zone.
+    pub(crate) fn time_to_ejection(
         &self,
         since: f64,
         zone: u8,
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Gossip payloads of co-ordinators: recorded bytes are decoded as before, and encoded to the same, by themselves and in
-//! a complete datagram.
+//! Gossip payloads of co-ordinators: recorded bytes are decoded as before, and encoded to the same, by themselves and
+//! in a complete datagram.
 
 #[path = "../../../../tests/recorded/lines.rs"]
 mod recorded;
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -33,7 +33,9 @@
     w.run(10.0);
     assert!(w.verdict_changes.is_empty(), "{:?}", w.verdict_changes);
     w.run(14.9);
-    let agreed = w.agreed(10.0, 1, |_| true).expect("all have ejected it");
+    let agreed = w
+        .time_to_ejection(10.0, 1, |_| true)
+        .expect("all have ejected it");
     assert!(agreed < within, "{agreed}");
     w.run(30.0);
     let mut lowest = f64::INFINITY;
@@ -72,7 +74,7 @@
     w.is_partitioned = Box::new(is_partitioned);
     w.run(22.0);
     assert!(
-        w.agreed(10.0, 2, |id| zone_of(id, 3) != 2)
+        w.time_to_ejection(10.0, 2, |id| zone_of(id, 3) != 2)
             .is_some_and(|s| s < 1.5),
         "{:?}",
         w.verdict_changes
@@ -298,13 +300,13 @@
             println!(
                 "{rate} parts a second to each zone, seed {seed}: agreed {:?} s; a second a member, \
                  calm {:.1} datagrams {:.0} bytes, during the fault {:.1} and {:.0}",
-                w.agreed(20.0, 1, |_| true),
+                w.time_to_ejection(20.0, 1, |_| true),
                 each(calm.0, 20.0),
                 each(calm.1, 20.0),
                 each(faulty.0 - calm.0, 5.0),
                 each(faulty.1 - calm.1, 5.0)
             );
-            worst.extend(w.agreed(20.0, 1, |_| true));
+            worst.extend(w.time_to_ejection(20.0, 1, |_| true));
         }
         worst.sort_by(f64::total_cmp);
         println!(
