--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -1,6 +1,10 @@
 //! What holders do: the shares of a warming replica never add up to more than its quota, whatever is lost or late,
 //! and endpoint updates only ever close replicas.
 
+#[path = "../../membership/tests/common/arrival.rs"]
+mod arrival;
+
+use arrival::{Arrival, take_arrived};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -13,13 +17,6 @@
 
 const WINDOW: f64 = 1.0;
 
-/// When a datagram arrives, in microseconds, and a number that keeps their order.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Arrival {
-    at_micros: u64,
-    number: u64,
-}
-
 /// A datagram in flight.
 struct Datagram {
     from: usize,
@@ -118,10 +115,7 @@
         if !self.random.random_bool(self.loss) {
             let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
             self.sent += 1;
-            let arrival = Arrival {
-                at_micros: (at * 1e6) as u64,
-                number: self.sent,
-            };
+            let arrival = Arrival::new(at, self.sent);
             self.in_flight.insert(arrival, Datagram { from, to, bytes });
         }
     }
@@ -144,12 +138,8 @@
         let mut usable: Vec<Vec<Usable>> = (0..members).map(|_| Vec::new()).collect();
         while self.now < until {
             self.now += 0.02;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
-            {
-                let Datagram { from, to, bytes } = entry.remove();
+            while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+                let Datagram { from, to, bytes } = datagram;
                 let clock = self.clock(to);
                 if let Some(actions) = self.members[to]
                     .as_mut()
--- /dev/null
+++ b/crates/router/membership/tests/common/arrival.rs
@@ -0,0 +1,27 @@
+//! The order in which datagrams of a simulated network arrive. Tests of other crates include this file as well.
+
+use std::collections::BTreeMap;
+
+/// When a datagram arrives, in microseconds, and a number that keeps the order of those that arrive at once.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Arrival {
+    at_micros: u64,
+    number: u64,
+}
+
+impl Arrival {
+    /// An arrival at `at_s` seconds.
+    pub(crate) fn new(at_s: f64, number: u64) -> Arrival {
+        Arrival {
+            at_micros: (at_s * 1e6) as u64,
+            number,
+        }
+    }
+}
+
+/// Removes the first datagram that has arrived by `now_s` seconds.
+pub(crate) fn take_arrived<T>(in_flight: &mut BTreeMap<Arrival, T>, now_s: f64) -> Option<T> {
+    let first = in_flight.first_entry()?;
+    let has_arrived = first.key().at_micros as f64 / 1e6 <= now_s;
+    has_arrived.then(|| first.remove())
+}
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -1,5 +1,9 @@
 //! Members on a lossy network in simulated time. Each run is determined by its seed.
 
+#[path = "common/arrival.rs"]
+mod arrival;
+
+use arrival::{Arrival, take_arrived};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -11,13 +15,6 @@
     Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent, OutgoingMessage,
 };
 
-/// When a datagram arrives, in microseconds, and a number that keeps their order.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Arrival {
-    at_micros: u64,
-    number: u64,
-}
-
 /// A datagram in flight.
 struct Datagram {
     to: MemberId,
@@ -96,10 +93,7 @@
             // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
             for _ in 0..if self.random.random_bool(0.02) { 2 } else { 1 } {
                 let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
-                let arrival = Arrival {
-                    at_micros: (at * 1e6) as u64,
-                    number: self.sent * 2 + self.in_flight.len() as u64,
-                };
+                let arrival = Arrival::new(at, self.sent * 2 + self.in_flight.len() as u64);
                 let bytes = body.clone();
                 self.in_flight.insert(arrival, Datagram { to, bytes });
             }
@@ -109,12 +103,8 @@
     fn run(&mut self, until: f64) {
         while self.now < until {
             self.now += 0.005;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
-            {
-                let Datagram { to, bytes } = entry.remove();
+            while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+                let Datagram { to, bytes } = datagram;
                 if self.stalled.contains(&to) {
                     continue;
                 }
--- a/crates/router/zone-failover/tests/common/mod.rs
+++ b/crates/router/zone-failover/tests/common/mod.rs
@@ -1,5 +1,9 @@
 //! A simulated tier: co-ordinators on a lossy network, and zones that fail.
 
+#[path = "../../../membership/tests/common/arrival.rs"]
+mod arrival;
+
+use arrival::{Arrival, take_arrived};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,13 +15,6 @@
 /// The share of parts that fails, by time and by the zones of the co-ordinator and of the replica.
 pub(crate) type FailedShare = Box<dyn Fn(f64, usize, usize) -> f64>;
 
-/// When a datagram arrives, in microseconds, and a number that keeps their order.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Arrival {
-    at_micros: u64,
-    number: u64,
-}
-
 /// A datagram in flight.
 struct Datagram {
     from: MemberId,
@@ -150,10 +147,7 @@
             if !self.random.random_bool(self.loss) && !(self.is_partitioned)(self.now, a, b) {
                 let at = self.now + 0.001 + 0.01 * self.random.random::<f64>();
                 self.sent += 1;
-                let arrival = Arrival {
-                    at_micros: (at * 1e6) as u64,
-                    number: self.sent,
-                };
+                let arrival = Arrival::new(at, self.sent);
                 self.in_flight.insert(arrival, Datagram { from, to, bytes });
             }
         }
@@ -163,12 +157,8 @@
         let mut next_observation = self.now;
         while self.now < until {
             self.now += 0.01;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
-            {
-                let Datagram { from, to, bytes } = entry.remove();
+            while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+                let Datagram { from, to, bytes } = datagram;
                 if let Some(peer) = self.peers.get_mut(&to) {
                     let actions = peer.receive(self.now, Some(from), &bytes);
                     self.execute(to, actions);
