--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -19,7 +19,7 @@
 /// Carries out the steps of a plan. `attempt_index` numbers the attempts of a part from 0.
 pub trait PlanExecutor {
     /// Logs a line.
-    fn note(&mut self, line: &str);
+    fn log(&mut self, line: &str);
     /// Cancels an attempt.
     fn cancel(&mut self, part: PartId, attempt_index: usize);
     /// Sends an attempt.
@@ -35,7 +35,7 @@
 
 struct SearchInFlight {
     search: Search,
-    /// When its next timer fires; infinite if none is set.
+    /// When its next timer fires; infinite if none is set. Only an earlier timer replaces it.
     due: f64,
 }
 
@@ -47,6 +47,19 @@
     counters: WatchCounters,
 }
 
+impl Comparison {
+    fn count_attempt(&mut self, search: &Search, part: &Part, attempt_index: usize) {
+        let once = self.once.get(search.query_type.0);
+        let once = once.copied().unwrap_or(false);
+        self.limits
+            .count_attempt(part, attempt_index, once, &mut self.counters);
+    }
+
+    fn count_reply(&mut self, reply: Reply) {
+        self.limits.count_reply(reply, &mut self.counters);
+    }
+}
+
 /// What is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlight {
@@ -60,6 +73,7 @@
 pub struct SearchTable {
     balancer: Balancer,
     searches: BTreeMap<SearchId, SearchInFlight>,
+    /// The search of each part in flight.
     by_part: BTreeMap<PartId, SearchId>,
     comparison: Option<Comparison>,
 }
@@ -135,8 +149,11 @@
     pub fn insert(&mut self, search: Search) {
         let parts = search.parts.iter().map(|p| (p.id, search.id));
         self.by_part.extend(parts);
-        let (id, due) = (search.id, f64::INFINITY);
-        self.searches.insert(id, SearchInFlight { search, due });
+        let in_flight = SearchInFlight {
+            due: f64::INFINITY,
+            search,
+        };
+        self.searches.insert(in_flight.search.id, in_flight);
     }
 
     /// Adds a part to a search's step in progress; false if the search is not in flight any more.
@@ -236,7 +253,9 @@
         plan: &Plan,
         executor: &mut impl PlanExecutor,
     ) {
-        plan.notes.iter().for_each(|line| executor.note(line));
+        for line in &plan.notes {
+            executor.log(line);
+        }
         for (part, attempt_index) in &plan.cancel {
             executor.cancel(*part, *attempt_index);
         }
@@ -249,8 +268,7 @@
             if let Some(reply) = plan.reply {
                 executor.reply(&in_flight.search, reply);
                 if let Some(comparison) = comparison {
-                    let counters = &mut comparison.counters;
-                    comparison.limits.count_reply(reply, counters);
+                    comparison.count_reply(reply);
                 }
             }
         }
@@ -288,24 +306,18 @@
     comparison: &mut Option<Comparison>,
     executor: &mut impl PlanExecutor,
 ) {
-    for (i, placement) in plan.send.iter().enumerate() {
+    for (position, placement) in plan.send.iter().enumerate() {
         let part = search.parts.iter().find(|p| p.id == placement.part);
         // The decisions have recorded all attempts by now: this one stands before those that follow it.
         let recorded = part.map_or(0, |p| p.attempts.len());
-        let following = &plan.send[i..];
-        let following = following
+        let this_and_later = plan.send[position..]
             .iter()
-            .filter(|p| p.part == placement.part)
+            .filter(|later| later.part == placement.part)
             .count();
-        let attempt_index = recorded.saturating_sub(following);
+        let attempt_index = recorded.saturating_sub(this_and_later);
         executor.send(search, placement, attempt_index);
         if let (Some(comparison), Some(part)) = (&mut *comparison, part) {
-            let once = comparison.once.get(search.query_type.0);
-            let once = once.copied().unwrap_or(false);
-            let counters = &mut comparison.counters;
-            comparison
-                .limits
-                .count_attempt(part, attempt_index, once, counters);
+            comparison.count_attempt(search, part, attempt_index);
         }
     }
 }
--- a/crates/router/search-driver/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -87,9 +87,12 @@
 }
 
 fn parse_query_types(fields: Fields<'_>) -> Result<Vec<QueryType>, SettingsError> {
-    let (pointer, expected) = ("/requestClasses", "a list");
+    let pointer = "/requestClasses";
     let classes = fields.required(pointer)?.as_array();
-    let classes = classes.context(WrongTypeSnafu { pointer, expected })?;
+    let classes = classes.context(WrongTypeSnafu {
+        pointer,
+        expected: "a list",
+    })?;
     (0..classes.len())
         .map(|index| parse_query_type(fields, index))
         .collect()
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/watch.rs
@@ -24,41 +24,23 @@
 #[test]
 fn invalid_settings_name_their_key() {
     assert_eq!(parse_proposed_limits(&json!({})), Ok(None));
-    assert!(
-        parse_proposed_limits(&json!({"watch": 3}))
-            .unwrap_err()
-            .to_string()
-            .contains("/watch")
-    );
-    assert!(
-        parse_proposed_limits(&json!({"watch": {"retryAfter": "no"}}))
-            .unwrap_err()
-            .to_string()
-            .contains("/watch/retryAfter")
-    );
-    assert!(
-        parse_proposed_limits(&json!({"watch": {"once": [1]}}))
-            .unwrap_err()
-            .to_string()
-            .contains("/watch/once/0")
-    );
-    assert!(
-        parse_proposed_limits(&json!({"watch": {"once": "x"}}))
-            .unwrap_err()
-            .to_string()
-            .contains("/watch/once")
-    );
-    assert!(
-        parse_proposed_limits(&json!({"watch": {"probes": false}}))
-            .unwrap_err()
-            .to_string()
-            .contains("/watch/probes")
-    );
-    let s = parse_proposed_limits(&json!({"watch": {"mayDuplicate": false, "once": ["fit-hold"]}}))
-        .unwrap()
-        .unwrap();
-    assert_eq!(s.hedging_allowed, Some(false));
-    assert_eq!(s.once, vec!["fit-hold".to_string()]);
+    let invalid = [
+        (json!({"watch": 3}), "/watch"),
+        (json!({"watch": {"retryAfter": "no"}}), "/watch/retryAfter"),
+        (json!({"watch": {"once": [1]}}), "/watch/once/0"),
+        (json!({"watch": {"once": "x"}}), "/watch/once"),
+        (json!({"watch": {"probes": false}}), "/watch/probes"),
+    ];
+    for (settings, pointer) in invalid {
+        let error = parse_proposed_limits(&settings).unwrap_err().to_string();
+        assert!(error.contains(pointer), "{settings}: {error}");
+    }
+    let limits =
+        parse_proposed_limits(&json!({"watch": {"mayDuplicate": false, "once": ["fit-hold"]}}))
+            .unwrap()
+            .unwrap();
+    assert_eq!(limits.hedging_allowed, Some(false));
+    assert_eq!(limits.once, vec!["fit-hold".to_string()]);
 }
 
 #[test]
@@ -68,16 +50,26 @@
         hedging_allowed: Some(false),
         once: vec![],
     };
-    let mut c = WatchCounters::default();
+    let mut counters = WatchCounters::default();
     // A hedge; a retry after a lost answer; a retry after no connection.
-    strict.count_attempt(&part(&[None, None]), 1, true, &mut c);
-    strict.count_attempt(&part(&[Some(Ending::TimedOut), None]), 1, true, &mut c);
-    strict.count_attempt(&part(&[Some(Ending::Unreachable), None]), 1, true, &mut c);
-    strict.count_attempt(&part(&[None]), 0, true, &mut c);
-    strict.count_reply(Reply::Shed { retry_after: 0.5 }, &mut c);
-    strict.count_reply(Reply::Shed { retry_after: 0.0 }, &mut c);
+    strict.count_attempt(&part(&[None, None]), 1, true, &mut counters);
+    strict.count_attempt(
+        &part(&[Some(Ending::TimedOut), None]),
+        1,
+        true,
+        &mut counters,
+    );
+    strict.count_attempt(
+        &part(&[Some(Ending::Unreachable), None]),
+        1,
+        true,
+        &mut counters,
+    );
+    strict.count_attempt(&part(&[None]), 0, true, &mut counters);
+    strict.count_reply(Reply::Shed { retry_after: 0.5 }, &mut counters);
+    strict.count_reply(Reply::Shed { retry_after: 0.0 }, &mut counters);
     assert_eq!(
-        c,
+        counters,
         WatchCounters {
             retry_after: 1,
             hedges: 1,
--- a/crates/router/sim-adapter/src/actions.rs
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -16,7 +16,7 @@
 }
 
 impl PlanExecutor for Actions<'_> {
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         self.out.push(json!(["remark", line]));
     }
 
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -97,7 +97,7 @@
 }
 
 impl<N: Net> PlanExecutor for Executor<N> {
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         info!("{line}");
     }
 
