--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -112,7 +112,7 @@
     ]
 }
 
-/// Of the record; a further kind needs one.
+/// The name under which a message of its kind is recorded.
 fn name(message: &Message) -> &'static str {
     match message {
         Message::Request { .. } => "ask",
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -120,64 +120,71 @@
         }
     }
 
-    /// The greatest sum, in even shares of the whole, that is in use within any window.
-    fn run(&mut self, until: f64) -> f64 {
+    fn view(&self) -> View {
         let members = self.members.len();
-        let live: BTreeMap<MemberId, u8> = (0..members)
+        let live = (0..members)
             .filter(|n| self.members[*n].is_some())
             .map(|n| (MemberId(n as u16), 0))
             .collect();
-        let view = View {
+        View {
             live,
             roster_size: members,
             is_partitioned: false,
             version: 1,
+        }
+    }
+
+    fn deliver_arrived(&mut self) {
+        while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+            let Datagram { from, to, bytes } = datagram;
+            let clock = self.clock(to);
+            if let Some(member) = &mut self.members[to] {
+                let actions = member.receive(clock, MemberId(from as u16), &bytes);
+                self.execute(to, actions);
+            }
+        }
+    }
+
+    /// Updates a member, and returns how many even shares it may use; `None` if it has crashed.
+    fn update(&mut self, n: usize, view: &View) -> Option<f64> {
+        let clock = self.clock(n);
+        let parts = self.demands[n];
+        let member = self.members[n].as_mut()?;
+        let demand = LocalDemand {
+            replica: WARMING,
+            parts,
+            sent_recently: parts > 0,
         };
+        let actions = member.update(clock, view, &[demand]);
+        let gossip = member.gossip(clock);
+        // A member sends only while it has demand.
+        let multiple = if parts > 0 {
+            member.multiple_of_even_share(clock, WARMING)
+        } else {
+            0.0
+        };
+        self.execute(n, actions);
+        if !gossip.is_empty() {
+            let to = self.random.random_range(0..self.members.len());
+            self.send(n, to, gossip);
+        }
+        Some(multiple)
+    }
+
+    /// The greatest sum, in even shares of the whole, that is in use within any window.
+    fn run(&mut self, until: f64) -> f64 {
+        let view = self.view();
         let mut max_in_use = 0.0f64;
         // By member, within the last window.
-        let mut usable: Vec<Vec<Usable>> = (0..members).map(|_| Vec::new()).collect();
+        let mut usable: Vec<Vec<Usable>> = self.members.iter().map(|_| Vec::new()).collect();
         while self.now < until {
             self.now += 0.02;
-            while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
-                let Datagram { from, to, bytes } = datagram;
-                let clock = self.clock(to);
-                if let Some(actions) = self.members[to]
-                    .as_mut()
-                    .map(|m| m.receive(clock, MemberId(from as u16), &bytes))
-                {
-                    self.execute(to, actions);
-                }
-            }
+            self.deliver_arrived();
             for (n, usable) in usable.iter_mut().enumerate() {
-                let (clock, parts) = (self.clock(n), self.demands[n]);
-                let Some(m) = &mut self.members[n] else {
-                    continue;
-                };
-                let actions = m.update(
-                    clock,
-                    &view,
-                    &[LocalDemand {
-                        replica: WARMING,
-                        parts,
-                        sent_recently: parts > 0,
-                    }],
-                );
-                let gossip = m.gossip(clock);
-                // A member sends only while it has demand.
-                let multiple = if parts > 0 {
-                    m.multiple_of_even_share(clock, WARMING)
-                } else {
-                    0.0
-                };
-                usable.push(Usable {
-                    at: self.now,
-                    multiple,
-                });
-                usable.retain(|moment| moment.at > self.now - WINDOW);
-                self.execute(n, actions);
-                if !gossip.is_empty() {
-                    let to = self.random.random_range(0..members);
-                    self.send(n, to, gossip);
+                if let Some(multiple) = self.update(n, &view) {
+                    let at = self.now;
+                    usable.push(Usable { at, multiple });
+                    usable.retain(|moment| moment.at > at - WINDOW);
                 }
             }
             let max_of = |moments: &Vec<Usable>| {
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -91,7 +91,8 @@
                 continue;
             }
             // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
-            for _ in 0..if self.random.random_bool(0.02) { 2 } else { 1 } {
+            let copies = if self.random.random_bool(0.02) { 2 } else { 1 };
+            for _ in 0..copies {
                 let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
                 let arrival = Arrival::new(at, self.sent * 2 + self.in_flight.len() as u64);
                 let bytes = body.clone();
@@ -132,11 +133,13 @@
         }
     }
 
-    fn agree(&self, live: usize) -> bool {
+    /// Whether every member sees this number of live members.
+    fn all_see(&self, live: usize) -> bool {
         self.members.values().all(|m| m.view().live.len() == live)
     }
 
-    fn downs(&self) -> usize {
+    /// How often a member was declared down.
+    fn down_events(&self) -> usize {
         self.events
             .iter()
             .filter(|recorded| matches!(recorded.event, MembershipEvent::Down(_)))
@@ -152,7 +155,7 @@
     let mut net = Net::new(n, loss, 1);
     net.run(10.0);
     assert!(
-        net.agree(n),
+        net.all_see(n),
         "{:?}",
         net.members
             .values()
@@ -162,9 +165,9 @@
     assert!(net.members.values().all(|m| !m.view().is_partitioned));
     let zones: Vec<u8> = net.members[&id(0)].view().live.values().copied().collect();
     assert_eq!(zones, (0..n).map(|i| (i % 3) as u8).collect::<Vec<_>>());
-    let (sent, bytes, downs) = (net.sent, net.bytes, net.downs());
+    let (sent, bytes, downs) = (net.sent, net.bytes, net.down_events());
     net.run(40.0);
-    assert_eq!(net.downs(), downs, "loss alone makes nobody down");
+    assert_eq!(net.down_events(), downs, "loss alone makes nobody down");
     // SWIM: a probe and an answer each period, and what loss adds.
     let rate = (net.sent - sent) as f64 / 30.0 / n as f64;
     println!(
@@ -180,11 +183,11 @@
     net.run(10.0);
     net.members.remove(&id(5));
     net.run(18.0);
-    assert!(net.agree(5));
+    assert!(net.all_see(5));
     assert!(net.members.values().all(|m| !m.view().is_partitioned));
     net.members.insert(id(5), member(5, 6, net.now));
     net.run(26.0);
-    assert!(net.agree(6));
+    assert!(net.all_see(6));
 }
 
 #[test]
@@ -196,7 +199,7 @@
     net.execute(id(5), actions);
     net.members.remove(&id(5));
     net.run(now + 1.0);
-    assert!(net.agree(5));
+    assert!(net.all_see(5));
 }
 
 /// After both sides have declared each other down they find each other again; the minority reports throughout that it
@@ -212,7 +215,7 @@
     }
     net.side.clear();
     net.run(45.0);
-    assert!(net.agree(5));
+    assert!(net.all_see(5));
     assert!(net.members.values().all(|m| !m.view().is_partitioned));
 }
 
@@ -231,7 +234,7 @@
             && matches!(recorded.event, MembershipEvent::Down(member) if member != id(2))
     });
     assert_eq!(wrong.count(), 0);
-    assert!(net.agree(6));
+    assert!(net.all_see(6));
 }
 
 #[test]
--- a/crates/router/membership/tests/recorded.rs
+++ b/crates/router/membership/tests/recorded.rs
@@ -167,7 +167,7 @@
     ]
 }
 
-/// Of the record; a further kind needs one.
+/// The name under which a message of its kind is recorded.
 fn name(message: &Message<Member>) -> &'static str {
     match message {
         Message::Ping(_) => "ping",
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -25,7 +25,7 @@
     pub min_parts_to_restore: u32,
     /// A zone is restored only if at most this share of the parts seen has failed.
     pub max_failed_share_to_restore: f64,
-    /// Least time in a verdict, in seconds. For an ejected zone it doubles with each consecutive failover.
+    /// Minimum time that a verdict stays in force, in seconds. For an ejected zone it doubles with each consecutive failover.
     pub dwell_s: f64,
     /// Limit on the count of consecutive failovers.
     pub max_consecutive_failovers: u8,
