--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -1,6 +1,10 @@
 //! What holders do: the shares of a warming replica never add up to more than its quota, whatever is lost or late,
 //! and endpoint updates only ever close replicas.
 
+#[path = "../../membership/tests/common/arrival.rs"]
+mod arrival;
+
+use arrival::{Arrival, take_arrived};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -13,6 +17,27 @@
 
 const WINDOW: f64 = 1.0;
 
+/// A datagram in flight.
+struct Datagram {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// A replica that a member has closed.
+#[derive(Debug)]
+struct ClosedReplica {
+    member: usize,
+    replica: ReplicaKey,
+    departure: Departure,
+}
+
+/// What a member could use of its quota at a time, as a multiple of an even share.
+struct Usable {
+    at: f64,
+    multiple: f64,
+}
+
 /// Members that all see each other, on a network that loses and delays; some of them demand a warming replica.
 struct Tier {
     now: f64,
@@ -21,9 +46,9 @@
     max_latency: f64,
     members: Vec<Option<SingletonRoles>>,
     rates: Vec<f64>,
-    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
-    n: u64,
-    closed: Vec<(usize, ReplicaKey, Departure)>,
+    in_flight: BTreeMap<Arrival, Datagram>,
+    sent: u64,
+    closed: Vec<ClosedReplica>,
     demands: Vec<u32>,
 }
 
@@ -36,7 +61,7 @@
         roster_size: member_count,
         slow_start: Some(SlowStartSplit {
             member_count,
-            window: WINDOW,
+            window_s: WINDOW,
         }),
     }
 }
@@ -63,7 +88,7 @@
             members: (0..members).map(|n| Some(roles(n))).collect(),
             rates,
             in_flight: BTreeMap::new(),
-            n: 0,
+            sent: 0,
             closed: Vec::new(),
             demands: vec![0; members],
         }
@@ -75,8 +100,11 @@
 
     fn execute(&mut self, from: usize, actions: RoleActions) {
         let closed = actions.closed.iter();
-        self.closed
-            .extend(closed.map(|update| (from, update.replica, update.departure)));
+        self.closed.extend(closed.map(|update| ClosedReplica {
+            member: from,
+            replica: update.replica,
+            departure: update.departure,
+        }));
         for datagram in actions.datagrams {
             self.send(from, usize::from(datagram.to.0), datagram.bytes);
         }
@@ -86,80 +114,87 @@
         assert!(bytes.len() <= 240, "{} bytes", bytes.len());
         if !self.random.random_bool(self.loss) {
             let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
-            self.n += 1;
-            self.in_flight
-                .insert(((at * 1e6) as u64, self.n), (from, to, bytes));
+            self.sent += 1;
+            let arrival = Arrival::new(at, self.sent);
+            self.in_flight.insert(arrival, Datagram { from, to, bytes });
         }
     }
 
-    /// The greatest sum, in even shares of the whole, that is in use within any window.
-    fn run(&mut self, until: f64) -> f64 {
+    fn view(&self) -> View {
         let members = self.members.len();
-        let live: BTreeMap<MemberId, u8> = (0..members)
+        let live = (0..members)
             .filter(|n| self.members[*n].is_some())
             .map(|n| (MemberId(n as u16), 0))
             .collect();
-        let view = View {
+        View {
             live,
-            roster: members,
-            cut_off: false,
+            roster_size: members,
+            is_partitioned: false,
             version: 1,
+        }
+    }
+
+    fn deliver_arrived(&mut self) {
+        while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+            let Datagram { from, to, bytes } = datagram;
+            let clock = self.clock(to);
+            if let Some(member) = &mut self.members[to] {
+                let actions = member.receive(clock, MemberId(from as u16), &bytes);
+                self.execute(to, actions);
+            }
+        }
+    }
+
+    /// Updates a member, and returns how many even shares it may use; `None` if it has crashed.
+    fn update(&mut self, n: usize, view: &View) -> Option<f64> {
+        let clock = self.clock(n);
+        let parts = self.demands[n];
+        let member = self.members[n].as_mut()?;
+        let demand = LocalDemand {
+            replica: WARMING,
+            parts,
+            sent_recently: parts > 0,
         };
-        let mut most = 0.0f64;
-        // What each member may use, at its maximum within the last window.
-        let mut used: Vec<Vec<(f64, f64)>> = vec![Vec::new(); members];
+        let actions = member.update(clock, view, &[demand]);
+        let gossip = member.gossip(clock);
+        // A member sends only while it has demand.
+        let multiple = if parts > 0 {
+            member.multiple_of_even_share(clock, WARMING)
+        } else {
+            0.0
+        };
+        self.execute(n, actions);
+        if !gossip.is_empty() {
+            let to = self.random.random_range(0..self.members.len());
+            self.send(n, to, gossip);
+        }
+        Some(multiple)
+    }
+
+    /// The greatest sum, in even shares of the whole, that is in use within any window.
+    fn run(&mut self, until: f64) -> f64 {
+        let view = self.view();
+        let mut max_in_use = 0.0f64;
+        // By member, within the last window.
+        let mut usable: Vec<Vec<Usable>> = self.members.iter().map(|_| Vec::new()).collect();
         while self.now < until {
             self.now += 0.02;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
-            {
-                let (from, to, bytes) = entry.remove();
-                let clock = self.clock(to);
-                if let Some(actions) = self.members[to]
-                    .as_mut()
-                    .map(|m| m.receive(clock, MemberId(from as u16), &bytes))
-                {
-                    self.execute(to, actions);
+            self.deliver_arrived();
+            for (n, usable) in usable.iter_mut().enumerate() {
+                if let Some(multiple) = self.update(n, &view) {
+                    let at = self.now;
+                    usable.push(Usable { at, multiple });
+                    usable.retain(|moment| moment.at > at - WINDOW);
                 }
             }
-            for (n, used) in used.iter_mut().enumerate() {
-                let (clock, parts) = (self.clock(n), self.demands[n]);
-                let Some(m) = &mut self.members[n] else {
-                    continue;
-                };
-                let actions = m.update(
-                    clock,
-                    &view,
-                    &[LocalDemand {
-                        replica: WARMING,
-                        parts,
-                        sent_recently: parts > 0,
-                    }],
-                );
-                let gossip = m.gossip(clock);
-                // A member sends only while it has demand.
-                let multiple = if parts > 0 {
-                    m.multiple_of_even_share(clock, WARMING)
-                } else {
-                    0.0
-                };
-                used.push((self.now, multiple));
-                used.retain(|u| u.0 > self.now - WINDOW);
-                self.execute(n, actions);
-                if !gossip.is_empty() {
-                    let to = self.random.random_range(0..members);
-                    self.send(n, to, gossip);
-                }
-            }
-            let sum: f64 = used
-                .iter()
-                .map(|u| u.iter().map(|x| x.1).fold(0.0, f64::max))
-                .sum();
-            most = most.max(sum);
+            let max_of = |moments: &Vec<Usable>| {
+                let multiples = moments.iter().map(|moment| moment.multiple);
+                multiples.fold(0.0, f64::max)
+            };
+            let sum: f64 = usable.iter().map(max_of).sum();
+            max_in_use = max_in_use.max(sum);
         }
-        most
+        max_in_use
     }
 }
 
@@ -174,7 +209,7 @@
     for seed in 0..12 {
         let mut t = Tier::new(10, seed, loss, max_latency);
         t.demands[3] = 5;
-        let mut most = t.run(20.0);
+        let mut max_in_use = t.run(20.0);
         let clock = t.clock(3);
         best = best.max(
             t.members[3]
@@ -182,10 +217,10 @@
                 .map_or(0.0, |m| m.multiple_of_even_share(clock, WARMING)),
         );
         for n in [0, 5, 8] {
-            most = most.max(t.run(t.now + 1.7));
+            max_in_use = max_in_use.max(t.run(t.now + 1.7));
             t.demands[n] = 3;
         }
-        most = most.max(t.run(t.now + 4.0));
+        max_in_use = max_in_use.max(t.run(t.now + 4.0));
         // The holder crashes, and another acquires the lease.
         let clocks: Vec<f64> = (0..10).map(|n| t.clock(n)).collect();
         let holds = |n: &usize| {
@@ -196,10 +231,10 @@
         if let Some(holder) = (0..10).find(holds) {
             t.members[holder] = None;
         }
-        most = most.max(t.run(t.now + 14.0));
+        max_in_use = max_in_use.max(t.run(t.now + 14.0));
         assert!(
-            most <= 10.0 + 1e-6,
-            "seed {seed}: {most} even shares of 10 in use within a window"
+            max_in_use <= 10.0 + 1e-6,
+            "seed {seed}: {max_in_use} even shares of 10 in use within a window"
         );
     }
     assert!(
@@ -234,17 +269,11 @@
         .expect("it lives")
         .record_list_report(clock, departed, Some(Departure::Departed));
     t.run(t.now + 2.0);
-    let closed_at: Vec<usize> = t
-        .closed
-        .iter()
-        .filter(|c| c.1 == departed)
-        .map(|c| c.0)
-        .collect();
-    assert_eq!(closed_at.len(), 4, "{:?}", t.closed);
+    let closed_at = t.closed.iter().filter(|closed| closed.replica == departed);
+    assert_eq!(closed_at.count(), 4, "{:?}", t.closed);
     assert!(
-        t.closed
-            .iter()
-            .all(|c| c.0 != holder && (c.1 != departed || c.2 == Departure::Departed)),
+        t.closed.iter().all(|closed| closed.member != holder
+            && (closed.replica != departed || closed.departure == Departure::Departed)),
         "{:?}",
         t.closed
     );
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -10,15 +10,15 @@
 /// Limit on the local health score (Lifeguard, "Local Health Multiplier").
 const MAX_LOCAL_HEALTH: u8 = 8;
 /// By which part of itself a timeout grows with each step of the local health score. Lifeguard's is 1; with it a side
-/// of a partition took over 10 s to detect that it was cut off.
+/// of a partition took over 10 s to detect it.
 const HEALTH_STEP: f64 = 1.0 / 4.0;
-/// A local health score from which a member takes itself for cut off: so many more of its probes have failed than
-/// succeeded, indirect ones included. At 30 % loss one probe in five fails.
-const CUT_OFF_HEALTH: u8 = 4;
+/// The local health score from which a member reports itself as partitioned. It is the number of its probes that have
+/// failed beyond those that succeeded, indirect ones included. At 30 % loss one probe in five fails.
+const PARTITIONED_HEALTH: u8 = 4;
 
 /// A time in microseconds, rounded up.
-pub(crate) fn micros(time: f64) -> u64 {
-    (time.max(0.0) * 1e6).ceil() as u64
+fn micros(time_s: f64) -> u64 {
+    (time_s.max(0.0) * 1e6).ceil() as u64
 }
 
 /// When a timer is due, and a number that keeps timers of one time in the order in which they were set.
@@ -31,21 +31,23 @@
 /// The state that `foca` changes by callbacks.
 pub(crate) struct ProtocolState {
     /// The time of the current call, in seconds.
-    pub(crate) now: f64,
+    pub(crate) now_s: f64,
     timers: BTreeMap<TimerKey, Timer<Member>>,
+    /// How many timers were set so far, for [`TimerKey::number`].
     timers_set: u64,
     /// Lifeguard's local health score: how slow or badly connected this member itself seems. 0 is healthy.
     local_health: u8,
     /// Whether the current probe has made a member suspected.
     probe_failed: bool,
+    /// Since the last [`ProtocolState::take_actions`].
     actions: Actions,
     pub(crate) view: View,
 }
 
 impl ProtocolState {
-    pub(crate) fn new(now: f64, view: View) -> ProtocolState {
+    pub(crate) fn new(now_s: f64, view: View) -> ProtocolState {
         ProtocolState {
-            now,
+            now_s,
             timers: BTreeMap::new(),
             timers_set: 0,
             local_health: 0,
@@ -60,20 +62,20 @@
     }
 
     /// When the next timer is due, in seconds.
-    pub(crate) fn next_timer(&self) -> Option<f64> {
+    pub(crate) fn next_timer_s(&self) -> Option<f64> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due_micros as f64 / 1e6)
     }
 
-    /// Removes the first timer that is due by `now`.
-    pub(crate) fn take_due_timer(&mut self, now: f64) -> Option<Timer<Member>> {
+    /// Removes the first timer that is due by `now_s`.
+    pub(crate) fn take_due_timer(&mut self, now_s: f64) -> Option<Timer<Member>> {
         let first = self.timers.first_entry()?;
-        (first.key().due_micros <= micros(now)).then(|| first.remove())
+        (first.key().due_micros <= micros(now_s)).then(|| first.remove())
     }
 
     /// Delays all timers, and trusts this member less for a while.
-    pub(crate) fn delay_timers(&mut self, delay: f64) {
-        let delay_micros = micros(delay);
+    pub(crate) fn delay_timers(&mut self, delay_s: f64) {
+        let delay_micros = micros(delay_s);
         let timers = std::mem::take(&mut self.timers);
         let delayed = timers.into_iter().map(|(key, timer)| {
             let due_micros = key.due_micros + delay_micros;
@@ -98,13 +100,17 @@
         self.local_health = health.min(MAX_LOCAL_HEALTH);
     }
 
-    /// Updates whether this member seems cut off, and returns what is to be done since the last call.
+    /// Updates whether this member seems partitioned, and returns the actions since the last call.
     pub(crate) fn take_actions(&mut self) -> Actions {
-        let has_majority = self.view.live.len() * 2 > self.view.roster;
-        let cut_off = !has_majority || self.local_health >= CUT_OFF_HEALTH;
-        if cut_off != self.view.cut_off {
-            self.view.cut_off = cut_off;
-            self.actions.events.push(MembershipEvent::CutOff(cut_off));
+        let is_partitioned = !self.view.has_majority() || self.local_health >= PARTITIONED_HEALTH;
+        if is_partitioned != self.view.is_partitioned {
+            self.view.is_partitioned = is_partitioned;
+            let event = if is_partitioned {
+                MembershipEvent::Partitioned
+            } else {
+                MembershipEvent::Reconnected
+            };
+            self.actions.events.push(event);
         }
         std::mem::take(&mut self.actions)
     }
@@ -113,7 +119,7 @@
 impl Runtime<Member> for &mut ProtocolState {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
-            Notification::MemberUp(member) if usize::from(member.id.0) < self.view.roster => {
+            Notification::MemberUp(member) if usize::from(member.id.0) < self.view.roster_size => {
                 self.view.live.insert(member.id, member.zone);
                 self.view.version += 1;
                 self.actions.events.push(MembershipEvent::Up(member.id));
@@ -152,7 +158,7 @@
         self.probe_failed |= matches!(timer, Timer::ChangeSuspectToDown { .. });
         self.timers_set += 1;
         let key = TimerKey {
-            due_micros: micros(self.now + after.as_secs_f64() * slowdown),
+            due_micros: micros(self.now_s + after.as_secs_f64() * slowdown),
             number: self.timers_set,
         };
         self.timers.insert(key, timer);
--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -1,5 +1,9 @@
 //! Members on a lossy network in simulated time. Each run is determined by its seed.
 
+#[path = "common/arrival.rs"]
+mod arrival;
+
+use arrival::{Arrival, take_arrived};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -11,6 +15,18 @@
     Actions, Member, MemberId, Members, MembershipConfig, MembershipEvent, OutgoingMessage,
 };
 
+/// A datagram in flight.
+struct Datagram {
+    to: MemberId,
+    bytes: Vec<u8>,
+}
+
+/// An event that some member has reported.
+struct RecordedEvent {
+    at: f64,
+    event: MembershipEvent,
+}
+
 struct Net {
     now: f64,
     random: Pcg64Mcg,
@@ -20,10 +36,10 @@
     stalled: BTreeSet<MemberId>,
     /// The side of a partition on which each member is.
     side: BTreeMap<MemberId, u8>,
-    in_flight: BTreeMap<(u64, u64), (MemberId, MemberId, Vec<u8>)>,
+    in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
     bytes: u64,
-    events: Vec<(f64, MemberId, MembershipEvent)>,
+    events: Vec<RecordedEvent>,
 }
 
 fn id(n: usize) -> MemberId {
@@ -56,8 +72,11 @@
     }
 
     fn execute(&mut self, from: MemberId, actions: Actions) {
-        self.events
-            .extend(actions.events.into_iter().map(|c| (self.now, from, c)));
+        let events = actions.events.into_iter();
+        self.events.extend(events.map(|event| RecordedEvent {
+            at: self.now,
+            event,
+        }));
         for OutgoingMessage { to, bytes } in actions.messages {
             let body = encode(&Body {
                 from,
@@ -72,15 +91,12 @@
                 continue;
             }
             // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
-            for _ in 0..if self.random.random_bool(0.02) { 2 } else { 1 } {
+            let copies = if self.random.random_bool(0.02) { 2 } else { 1 };
+            for _ in 0..copies {
                 let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
-                self.in_flight.insert(
-                    (
-                        (at * 1e6) as u64,
-                        self.sent * 2 + self.in_flight.len() as u64,
-                    ),
-                    (from, to, body.clone()),
-                );
+                let arrival = Arrival::new(at, self.sent * 2 + self.in_flight.len() as u64);
+                let bytes = body.clone();
+                self.in_flight.insert(arrival, Datagram { to, bytes });
             }
         }
     }
@@ -88,12 +104,8 @@
     fn run(&mut self, until: f64) {
         while self.now < until {
             self.now += 0.005;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().0 as f64 / 1e6 <= self.now)
-            {
-                let (_, to, bytes) = entry.remove();
+            while let Some(datagram) = take_arrived(&mut self.in_flight, self.now) {
+                let Datagram { to, bytes } = datagram;
                 if self.stalled.contains(&to) {
                     continue;
                 }
@@ -106,7 +118,7 @@
             let due: Vec<_> = self
                 .members
                 .iter()
-                .filter(|(_, m)| m.next_due() <= self.now)
+                .filter(|(_, m)| m.next_due_s() <= self.now)
                 .map(|(i, _)| *i)
                 .collect();
             for i in due
@@ -121,14 +133,16 @@
         }
     }
 
-    fn agree(&self, live: usize) -> bool {
+    /// Whether every member sees this number of live members.
+    fn all_see(&self, live: usize) -> bool {
         self.members.values().all(|m| m.view().live.len() == live)
     }
 
-    fn downs(&self) -> usize {
+    /// How often a member was declared down.
+    fn down_events(&self) -> usize {
         self.events
             .iter()
-            .filter(|c| matches!(c.2, MembershipEvent::Down(_)))
+            .filter(|recorded| matches!(recorded.event, MembershipEvent::Down(_)))
             .count()
     }
 }
@@ -141,19 +155,19 @@
     let mut net = Net::new(n, loss, 1);
     net.run(10.0);
     assert!(
-        net.agree(n),
+        net.all_see(n),
         "{:?}",
         net.members
             .values()
             .map(|m| m.view().live.len())
             .collect::<Vec<_>>()
     );
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
     let zones: Vec<u8> = net.members[&id(0)].view().live.values().copied().collect();
     assert_eq!(zones, (0..n).map(|i| (i % 3) as u8).collect::<Vec<_>>());
-    let (sent, bytes, downs) = (net.sent, net.bytes, net.downs());
+    let (sent, bytes, downs) = (net.sent, net.bytes, net.down_events());
     net.run(40.0);
-    assert_eq!(net.downs(), downs, "loss alone makes nobody down");
+    assert_eq!(net.down_events(), downs, "loss alone makes nobody down");
     // SWIM: a probe and an answer each period, and what loss adds.
     let rate = (net.sent - sent) as f64 / 30.0 / n as f64;
     println!(
@@ -169,11 +183,11 @@
     net.run(10.0);
     net.members.remove(&id(5));
     net.run(18.0);
-    assert!(net.agree(5));
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.all_see(5));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
     net.members.insert(id(5), member(5, 6, net.now));
     net.run(26.0);
-    assert!(net.agree(6));
+    assert!(net.all_see(6));
 }
 
 #[test]
@@ -185,27 +199,27 @@
     net.execute(id(5), actions);
     net.members.remove(&id(5));
     net.run(now + 1.0);
-    assert!(net.agree(5));
+    assert!(net.all_see(5));
 }
 
-/// After both sides have declared each other down they find each other again; the minority reports all along
-/// that it is the one that is cut off.
+/// After both sides have declared each other down they find each other again; the minority reports throughout that it
+/// is partitioned.
 #[test]
-fn a_partition_heals_and_only_the_minority_is_cut_off() {
+fn a_partition_heals_and_only_the_minority_is_partitioned() {
     let mut net = Net::new(5, 0.0, 4);
     net.run(10.0);
     net.side = (0..5).map(|i| (id(i), u8::from(i < 2))).collect();
     net.run(30.0);
     for (i, m) in &net.members {
-        assert_eq!(m.view().cut_off, i.0 < 2, "{i:?}");
+        assert_eq!(m.view().is_partitioned, i.0 < 2, "{i:?}");
     }
     net.side.clear();
     net.run(45.0);
-    assert!(net.agree(5));
-    assert!(net.members.values().all(|m| !m.view().cut_off));
+    assert!(net.all_see(5));
+    assert!(net.members.values().all(|m| !m.view().is_partitioned));
 }
 
-/// A member that has stalled for longer than a suspicion lasts declares nobody down when it resumes, and rejoins.
+/// A member that has stalled for longer than the suspicion time-out declares nobody down when it resumes, and rejoins.
 #[test]
 fn a_stalled_member_declares_nobody_down() {
     let mut net = Net::new(6, 0.0, 5);
@@ -215,12 +229,12 @@
     net.stalled.clear();
     let woken = net.now;
     net.run(30.0);
-    let wrong = net
-        .events
-        .iter()
-        .filter(|c| c.0 > woken && matches!(c.2, MembershipEvent::Down(d) if d != id(2)));
+    let wrong = net.events.iter().filter(|recorded| {
+        recorded.at > woken
+            && matches!(recorded.event, MembershipEvent::Down(member) if member != id(2))
+    });
     assert_eq!(wrong.count(), 0);
-    assert!(net.agree(6));
+    assert!(net.all_see(6));
 }
 
 #[test]
--- a/crates/router/zone-failover/src/gossip/report.rs
+++ b/crates/router/zone-failover/src/gossip/report.rs
@@ -7,9 +7,9 @@
 /// Limit on the parts of an encoded count, which has four bits. Larger counts are scaled down.
 const MAX_ENCODED_PARTS: u32 = 15;
 /// Unit of an encoded age, in seconds.
-const AGE_UNIT: f64 = 0.05;
-/// Encoded demand is a logarithm to the base of two, in units of one part of this number.
-const DEMAND_STEPS: f64 = 8.0;
+const AGE_UNIT_S: f64 = 0.05;
+/// Steps of the encoded rate for each doubling: it is a logarithm to the base of two.
+const RATE_STEPS: f64 = 8.0;
 
 /// What one member sees of all zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,9 +20,10 @@
     pub zone: u8,
     /// Increases with each report of the member. It wraps: one less than half of the range ahead is newer.
     pub sequence: u8,
+    /// In units of [`AGE_UNIT_S`].
     age: u8,
-    /// Parts per second, on a logarithmic scale.
-    demand: u8,
+    /// Parts per second, in [`RATE_STEPS`] on a logarithmic scale.
+    rate: u8,
     /// A byte for each zone: parts seen in the upper four bits, those that failed in the lower.
     counts: Vec<u8>,
 }
@@ -40,12 +41,13 @@
 }
 
 impl Report {
-    /// A report made now. `demand` is the member's own parts per second; `parts` has one entry for each zone.
+    /// A report made now. `parts_per_second` is the rate at which the member sends parts; `parts` has
+    /// one entry for each zone.
     pub fn new(
         member: MemberId,
         zone: u8,
         sequence: u8,
-        demand: f64,
+        parts_per_second: f64,
         parts: &[PartCounts],
     ) -> Report {
         Report {
@@ -53,28 +55,28 @@
             zone,
             sequence,
             age: 0,
-            demand: ((1.0 + demand.max(0.0)).log2() * DEMAND_STEPS).min(255.0) as u8,
+            rate: ((1.0 + parts_per_second.max(0.0)).log2() * RATE_STEPS).min(255.0) as u8,
             counts: parts.iter().map(encode_counts).collect(),
         }
     }
 
     /// How old it was when it was sent, in seconds.
-    pub fn age(&self) -> f64 {
-        f64::from(self.age) * AGE_UNIT
+    pub fn age_s(&self) -> f64 {
+        f64::from(self.age) * AGE_UNIT_S
     }
 
     /// The same report with another age, in seconds.
     #[must_use]
-    pub fn with_age(&self, age: f64) -> Report {
+    pub fn with_age(&self, age_s: f64) -> Report {
         Report {
-            age: (age / AGE_UNIT).clamp(0.0, 255.0) as u8,
+            age: (age_s / AGE_UNIT_S).clamp(0.0, 255.0) as u8,
             ..self.clone()
         }
     }
 
-    /// The member's own parts per second, within a tenth.
-    pub fn demand(&self) -> f64 {
-        (f64::from(self.demand) / DEMAND_STEPS).exp2() - 1.0
+    /// The rate at which the member sends parts, within a tenth.
+    pub fn parts_per_second(&self) -> f64 {
+        (f64::from(self.rate) / RATE_STEPS).exp2() - 1.0
     }
 
     /// Parts seen of a zone; none for an unknown zone.
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -16,7 +16,7 @@
 
 /// What the reports say of the traffic that one zone's co-ordinators cause.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReportedDemand {
+struct ReportedRate {
     /// Sum of the reported parts per second.
     total: f64,
     /// The number of reports.
@@ -24,20 +24,20 @@
 }
 
 impl Zones {
-    /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its return.
-    /// It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at one
-    /// pace.
-    pub fn traffic_shares(&self, now: f64) -> Vec<f64> {
+    /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its
+    /// return. It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at
+    /// one pace.
+    pub fn traffic_shares(&self, now_s: f64) -> Vec<f64> {
         let config = &self.config;
         let share = |zone: usize| {
             let verdict = &self.verdicts[zone];
-            if verdict.is_out() || self.forced_out.contains(&(zone as u8)) {
+            if verdict.is_ejected() || self.ejected_by_operator.contains(&(zone as u8)) {
                 0.0
             } else if verdict.epoch == 0 {
                 1.0
             } else {
-                let age = now - verdict.since;
-                let growth = (1.0 - config.initial_share) * age / config.ramp_duration;
+                let age_s = now_s - verdict.since_s;
+                let growth = (1.0 - config.initial_share) * age_s / config.ramp_duration_s;
                 (config.initial_share + growth).clamp(0.0, 1.0)
             }
         };
@@ -47,7 +47,7 @@
     /// The groups of zones that are preferred, nearest first: the own zone, then the own region. Parts beyond the last
     /// group's share have no preference. A group keeps its traffic while its health, by all reports, covers it, and
     /// while its own co-ordinators don't crowd it.
-    pub fn spill_order(&self, now: f64, view: &View) -> Vec<SpillGroup> {
+    pub fn spill_order(&self, now_s: f64, view: &View) -> Vec<SpillGroup> {
         let own_region = self.regions.get(usize::from(self.zone));
         let region: BTreeSet<u8> = (0..self.regions.len() as u8)
             .filter(|zone| self.regions.get(usize::from(*zone)) == own_region)
@@ -59,7 +59,7 @@
         let mut spilled = 1.0;
         let mut order = Vec::new();
         for zones in groups {
-            spilled *= 1.0 - self.share_that_stays(now, view, &zones);
+            spilled *= 1.0 - self.share_that_stays(now_s, view, &zones);
             let share = 1.0 - spilled;
             order.push(SpillGroup { zones, share });
         }
@@ -67,46 +67,55 @@
     }
 
     /// The share of a group's traffic that may stay in it.
-    fn share_that_stays(&self, now: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+    fn share_that_stays(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+        let traffic_shares = self.traffic_shares(now_s);
+        let traffic_share = group
+            .iter()
+            .map(|zone| traffic_shares[usize::from(*zone)])
+            .fold(0.0, f64::max);
+        (self.config.overprovisioning_factor * self.healthy_share(now_s, group))
+            .min(self.uncrowded_share(now_s, view, group))
+            .min(1.0)
+            * traffic_share
+    }
+
+    /// The share of a group's parts that has not failed, by all reports.
+    fn healthy_share(&self, now_s: f64, group: &BTreeSet<u8>) -> f64 {
         let mut parts = PartCounts::default();
-        for report in self.reports.valid(now) {
+        for report in self.reports.valid(now_s) {
             for zone in group {
                 parts.add(report.parts(usize::from(*zone)));
             }
         }
-        let healthy_share = 1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1));
-        let demand = self.estimate_demand(now, view);
+        1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1))
+    }
+
+    /// The share of the traffic of a group's own co-ordinators that its replicas take without being crowded; it may
+    /// exceed 1.
+    fn uncrowded_share(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+        let rates = self.estimate_rates(now_s, view);
         let capacity: Vec<f64> = self.observations.iter().map(|o| o.capacity).collect();
-        let demand_share = share_of(group, &demand);
+        let rate_share = share_of(group, &rates);
         let capacity_share = share_of(group, &capacity);
-        let uncrowded_share = if demand_share > 0.0 {
-            self.config.max_crowding * capacity_share / demand_share
+        if rate_share > 0.0 {
+            self.config.max_crowding * capacity_share / rate_share
         } else {
             1.0
-        };
-        let traffic_shares = self.traffic_shares(now);
-        let traffic_share = group
-            .iter()
-            .map(|zone| traffic_shares[usize::from(*zone)])
-            .fold(0.0, f64::max);
-        (self.config.overprovisioning_factor * healthy_share)
-            .min(uncrowded_share)
-            .min(1.0)
-            * traffic_share
+        }
     }
 
     /// The parts per second that each zone's co-ordinators cause, estimated by the mean of their reports and the number
     /// of live members. A zone without reports is taken to cause as much per member as the others.
-    fn estimate_demand(&self, now: f64, view: &View) -> Vec<f64> {
-        let mut reported = vec![ReportedDemand::default(); self.verdicts.len()];
-        for report in self.reports.valid(now) {
+    fn estimate_rates(&self, now_s: f64, view: &View) -> Vec<f64> {
+        let mut reported = vec![ReportedRate::default(); self.verdicts.len()];
+        for report in self.reports.valid(now_s) {
             let zone = &mut reported[usize::from(report.zone)];
-            zone.total += report.demand();
+            zone.total += report.parts_per_second();
             zone.reports += 1;
         }
         let total = reported.iter().fold(0.0, |sum, zone| sum + zone.total);
         let reports: usize = reported.iter().map(|zone| zone.reports).sum();
-        let estimate = |(index, zone): (usize, &ReportedDemand)| {
+        let estimate = |(index, zone): (usize, &ReportedRate)| {
             let per_member = if zone.reports > 0 {
                 zone.total / zone.reports as f64
             } else {
