--- a/crates/tier/proxy/src/client/request.rs
+++ b/crates/tier/proxy/src/client/request.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use woadreach_config::{Route, RouteType};
-use woadreach_scheduler::{Call, CallId, CallKind};
+use woadreach_scheduler::{Call, CallId, CallKind, WeightedService};
 
 /// A complete request with its route.
 pub struct ClientRequest {
@@ -80,10 +80,13 @@
         }
     }
 
-    fn clusters(&self) -> Vec<(Arc<str>, u32)> {
+    fn clusters(&self) -> Vec<WeightedService> {
         let clusters = self.route.clusters.iter();
         clusters
-            .map(|cluster| (Arc::from(cluster.service.as_str()), cluster.weight))
+            .map(|cluster| WeightedService {
+                service: Arc::from(cluster.service.as_str()),
+                weight: cluster.weight,
+            })
             .collect()
     }
 
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/admission.rs
@@ -6,10 +6,10 @@
 use woadreach_routing::decide::deadline_queue::DeadlineQueue;
 
 use crate::action::Action;
-use crate::call::{Call, CallId};
+use crate::call::{Call, CallId, WeightedService};
 use crate::calls_in_flight::{AttemptState, CallInFlight};
 use crate::fleet::Fleet;
-use crate::keys::ReplicaKey;
+use crate::keys::{AttemptKey, ReplicaKey};
 use crate::outcome::{Outcome, ServerLoad};
 use crate::programs::Programs;
 use crate::routes::Routes;
@@ -130,7 +130,11 @@
         }
         sent.state = AttemptState::Ended(outcome);
         let replica = sent.replica;
-        self.observe_end(now, id, attempt, outcome, load);
+        let attempt = AttemptKey {
+            call: id,
+            index: attempt,
+        };
+        self.observe_end(now, attempt, outcome, load);
         if outcome == Outcome::Answered {
             let freed = self.abort_all(id, &mut actions);
             self.end(now, id, true);
@@ -155,7 +159,11 @@
         if sent.state == AttemptState::InFlight && !sent.has_begun {
             sent.has_begun = true;
             self.timers.set(&mut call.timer, id, None);
-            self.observe_begin(now, id, attempt, load);
+            let attempt = AttemptKey {
+                call: id,
+                index: attempt,
+            };
+            self.observe_begin(now, attempt, load);
         }
     }
 
@@ -166,7 +174,7 @@
         if !self.calls.contains_key(&id) {
             return actions;
         }
-        self.observe_given_up(now, id);
+        self.observe_late_attempts(now, id);
         let released = self.abort_all(id, &mut actions);
         self.end(now, id, false);
         for replica in released {
@@ -199,14 +207,14 @@
         let total: u64 = call
             .clusters
             .iter()
-            .map(|(_, weight)| u64::from(*weight))
+            .map(|cluster| u64::from(cluster.weight))
             .sum();
         let mut drawn = if total > 0 {
             self.random.rand_range(0..total)
         } else {
             0
         };
-        for (service, weight) in &call.clusters {
+        for WeightedService { service, weight } in &call.clusters {
             if drawn < u64::from(*weight) {
                 return service.clone();
             }
@@ -214,7 +222,7 @@
         }
         call.clusters
             .first()
-            .map(|(service, _)| service.clone())
+            .map(|cluster| cluster.service.clone())
             .unwrap_or_else(|| Arc::from(""))
     }
 }
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -35,6 +35,15 @@
     }
 }
 
+/// A service that may run a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightedService {
+    /// Name of the service.
+    pub service: Arc<str>,
+    /// Its weight among the services of the call. If all weights are 0, the first service is chosen.
+    pub weight: u32,
+}
+
 /// A part of a prompt that other requests may share (`Prefix-Hash`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
@@ -53,8 +62,8 @@
     pub route: Arc<str>,
     /// Whether it is idempotent or a stream.
     pub kind: CallKind,
-    /// Services that may run it, with their weights.
-    pub clusters: Vec<(Arc<str>, u32)>,
+    /// Services that may run it; one is drawn by weight.
+    pub clusters: Vec<WeightedService>,
     /// When it arrived.
     pub arrived: f64,
     /// The earliest of the client's deadline and the route's timeout.
@@ -75,11 +84,11 @@
     pub prefix: Vec<PrefixPart>,
     /// Tokens of the prompt.
     pub tokens_in: u32,
-    /// Most tokens that it may generate.
+    /// Limit on the tokens that it may generate.
     pub tokens_out: u32,
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// Most replicas that this call may be sent to.
+    /// Limit on the replicas that bytes of the call may reach.
     pub max_replicas: u32,
 }
 
--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -5,11 +5,10 @@
 
 use crate::call::Call;
 use crate::call_state::{CallEvent, CallState};
-use crate::keys::ReplicaKey;
-use crate::keys::RouteKey;
+use crate::keys::{ReplicaKey, RouteKey};
 use crate::outcome::Outcome;
 
-/// Most times that a call is sent again to a replica that did not run it.
+/// Limit on how often a call is sent again to a replica that did not run it.
 const MAX_RESENDS: usize = 3;
 
 /// State of an attempt.
@@ -65,7 +64,8 @@
     pub timer: Option<i64>,
     /// Home of the call's program or object; see [`crate::placement`].
     pub home: Option<ReplicaKey>,
-    /// Earliest time of the next attempt, from a backoff or a replica's `Retry-After`.
+    /// Earliest time of the next attempt at a replica that the call was sent to before, in seconds: from a backoff
+    /// or the replica's `Retry-After`.
     pub not_before: f64,
     state: CallState,
 }
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -9,7 +9,7 @@
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
 use crate::calls_in_flight::{Attempt, AttemptState};
-use crate::keys::ReplicaKey;
+use crate::keys::{AttemptKey, ReplicaKey};
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, prefill_tokens};
 use crate::step::Step;
@@ -20,6 +20,7 @@
 /// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each
 /// attempt.
 const INITIAL_BACKOFF: f64 = 0.03;
+
 impl Admission {
     /// Decides anew about a call in any state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
@@ -100,16 +101,16 @@
             return Vec::new();
         };
         let mut freed = Vec::new();
-        for (number, attempt) in (0..).zip(&mut call.attempts) {
+        for (index, attempt) in (0..).zip(&mut call.attempts) {
             if attempt.state == AttemptState::InFlight {
                 attempt.state = AttemptState::Aborted;
                 actions.push(Action::Abort {
                     call: id,
-                    attempt: number,
+                    attempt: index,
                 });
                 freed.push(attempt.replica);
                 if let Some(replica) = self.fleet.get_mut(attempt.replica) {
-                    replica.in_flight.remove(&(id, number));
+                    replica.in_flight.remove(&AttemptKey { call: id, index });
                 }
             }
         }
@@ -276,7 +277,7 @@
             return;
         };
         let is_retry = call.has_reached_replica();
-        let attempt = call.attempts.len() as u32;
+        let index = call.attempts.len() as u32;
         call.attempts.push(Attempt {
             replica,
             replica_id: target.spec.id.clone(),
@@ -284,7 +285,8 @@
             has_begun: false,
         });
         call.apply(CallEvent::Sent);
-        target.record_sent(now, id, attempt, call.route);
+        let attempt = AttemptKey { call: id, index };
+        target.record_sent(now, attempt, replica, call.route);
         if let Some(service) = self.services.get_mut(&call.service) {
             let prefill = prefill_tokens(call, replica, target);
             target
@@ -306,7 +308,7 @@
         self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
-            attempt,
+            attempt: index,
             replica: target.spec.id.clone(),
             timeout: call.request.give_up_at - now,
             priority: None,
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -5,13 +5,13 @@
 use crate::call::CallId;
 use crate::call_state::CallEvent;
 use crate::calls_in_flight::{Attempt, AttemptState};
-use crate::keys::ReplicaKey;
+use crate::keys::{AttemptKey, ReplicaKey};
 use crate::placement::Placement;
 use crate::replica::InFlight;
 
-/// Least time until a late attempt is checked again, in seconds.
+/// Lower bound of the interval between two checks of a late attempt, in seconds.
 const MIN_RECHECK_INTERVAL: f64 = 0.05;
-/// Number of later calls that must begin before an attempt at its replica for the attempt to count as lost.
+/// An attempt is lost once its replica has begun this many attempts that were sent to it later.
 const MIN_OVERTAKEN: u32 = 2;
 
 impl Admission {
@@ -52,23 +52,24 @@
             return;
         };
         let late = |sent: &InFlight| now > sent.sent_at + self.routes.lost_after(sent.route);
-        let lost: Vec<(u32, ReplicaKey)> = (0..)
+        let lost: Vec<AttemptKey> = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
-            .filter(|(number, attempt)| {
+            .map(|(index, attempt)| (AttemptKey { call: id, index }, attempt))
+            .filter(|(key, attempt)| {
                 let replica = self.fleet.get(attempt.replica);
-                let sent = replica.and_then(|replica| replica.in_flight.get(&(id, *number)));
-                sent.is_some_and(late) && self.has_lost_attempt(now, id, *number, attempt)
+                let sent = replica.and_then(|replica| replica.in_flight.get(key));
+                sent.is_some_and(late) && self.has_lost_attempt(now, *key, attempt)
             })
-            .map(|(number, attempt)| (number, attempt.replica))
+            .map(|(key, _)| key)
             .collect();
-        for (number, replica) in lost {
-            self.observe_lost_attempt(now, id, number, replica);
+        for attempt in lost {
+            self.observe_lost_attempt(now, attempt);
         }
     }
 
     fn abort_lost(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
-        self.observe_given_up(now, id);
+        self.observe_late_attempts(now, id);
         let freed = self.abort_all(id, actions);
         if let Some(call) = self.calls.get_mut(&id) {
             call.apply(CallEvent::AttemptsEnded);
@@ -95,19 +96,21 @@
         let mut in_flight = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight);
-        in_flight.all(|(number, attempt)| self.has_lost_attempt(now, id, number, attempt))
+        in_flight.all(|(index, attempt)| {
+            self.has_lost_attempt(now, AttemptKey { call: id, index }, attempt)
+        })
     }
 
     /// Whether the replica of a late attempt has departed, is unresponsive, or began attempts that were sent
     /// later.
-    fn has_lost_attempt(&self, now: f64, id: CallId, number: u32, attempt: &Attempt) -> bool {
+    fn has_lost_attempt(&self, now: f64, key: AttemptKey, attempt: &Attempt) -> bool {
         let Some(replica) = self.fleet.get(attempt.replica) else {
             return true;
         };
         let overtaken = replica
             .in_flight
-            .get(&(id, number))
-            .is_none_or(|s| s.overtaken >= MIN_OVERTAKEN);
+            .get(&key)
+            .is_none_or(|sent| sent.overtaken >= MIN_OVERTAKEN);
         overtaken || replica.is_unresponsive(now, |route| self.routes.late_after(route))
     }
 }
--- a/crates/tier/scheduler/src/keys.rs
+++ b/crates/tier/scheduler/src/keys.rs
@@ -1,4 +1,6 @@
-//! Numbers by which this process refers to replicas and routes.
+//! Keys by which this process refers to replicas, routes and attempts.
+
+use crate::call::CallId;
 
 /// Number of a replica in this process. It is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -11,6 +13,14 @@
     }
 }
 
+/// An attempt of a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptKey {
+    pub call: CallId,
+    /// Index of the attempt among those of the call, from 0.
+    pub index: u32,
+}
+
 /// Number of a route in this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RouteKey(u32);
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -44,6 +44,6 @@
 
 pub use action::{Action, FailReason};
 pub use admission::Admission;
-pub use call::{Call, CallId, CallKind, PrefixPart};
+pub use call::{Call, CallId, CallKind, PrefixPart, WeightedService};
 pub use outcome::{Outcome, ServerLoad};
 pub use spec::{EngineSpec, ReplicaSpec, ServiceSpec};
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -5,7 +5,7 @@
 use crate::admission::Admission;
 use crate::call::CallId;
 use crate::calls_in_flight::AttemptState;
-use crate::keys::ReplicaKey;
+use crate::keys::AttemptKey;
 use crate::outcome::{Outcome, ServerLoad};
 use crate::replica::{Failure, FailureKind, InFlight};
 
@@ -23,17 +23,16 @@
     pub(crate) fn observe_begin(
         &mut self,
         now: f64,
-        id: CallId,
-        attempt: u32,
+        attempt: AttemptKey,
         load: Option<ServerLoad>,
     ) {
-        let Some((key, sent)) = self
-            .in_flight(id, attempt)
-            .filter(|(_, sent)| sent.begun_late.is_none())
+        let Some(sent) = self
+            .in_flight(attempt)
+            .filter(|sent| sent.begun_late.is_none())
         else {
             return;
         };
-        let Some(replica) = self.fleet.get_mut(key) else {
+        let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
         let ejected = replica.health.is_ejected_for(sent.route);
@@ -44,16 +43,12 @@
         let late = latency > route.late_after();
         route.record(latency);
         if sent.is_only_call {
-            route.unloaded.record(now, &key, latency, ejected);
+            route.unloaded.record(now, &sent.replica, latency, ejected);
         }
         replica.record_activity(now, load);
-        replica.record_begin(id, attempt, late);
-        if self
-            .calls
-            .get(&id)
-            .is_some_and(|call| call.request.kind.is_streaming())
-        {
-            self.observe_health(now, key, sent, late.then_some(FailureKind::Late));
+        replica.record_begin(attempt, late);
+        if self.is_streaming(attempt.call) {
+            self.observe_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
 
@@ -61,34 +56,30 @@
     pub(crate) fn observe_end(
         &mut self,
         now: f64,
-        id: CallId,
-        attempt: u32,
+        attempt: AttemptKey,
         outcome: Outcome,
         load: Option<ServerLoad>,
     ) {
         if outcome == Outcome::Misdirected
             && let Some(sent) = self
                 .calls
-                .get(&id)
-                .and_then(|call| call.attempts.get(attempt as usize))
+                .get(&attempt.call)
+                .and_then(|call| call.attempts.get(attempt.index as usize))
         {
             self.fleet.misdirected(&sent.replica_id);
         }
         if matches!(outcome, Outcome::Answered | Outcome::ReplicaError) {
-            self.observe_begin(now, id, attempt, load);
+            self.observe_begin(now, attempt, load);
         }
-        let too_large = self.is_too_large(id);
-        let streaming = self
-            .calls
-            .get(&id)
-            .is_some_and(|call| call.request.kind.is_streaming());
-        let Some((key, sent)) = self.in_flight(id, attempt) else {
+        let too_large = self.is_too_large(attempt.call);
+        let streaming = self.is_streaming(attempt.call);
+        let Some(sent) = self.in_flight(attempt) else {
             return;
         };
-        let Some(replica) = self.fleet.get_mut(key) else {
+        let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
-        replica.in_flight.remove(&(id, attempt));
+        replica.in_flight.remove(&attempt);
         replica.record_load(now, load);
         match outcome {
             Outcome::Answered | Outcome::ReplicaError => replica.record_answer(),
@@ -105,65 +96,47 @@
             } else {
                 FailureKind::MayHaveRun
             };
-            self.observe_health(now, key, sent, Some(kind));
+            self.observe_health(now, sent, Some(kind));
         } else if !streaming {
             let late = sent.begun_late == Some(true);
-            self.observe_health(now, key, sent, late.then_some(FailureKind::Late));
+            self.observe_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
 
     /// Ejects a replica that has lost an attempt, once for each attempt.
-    pub(crate) fn observe_lost_attempt(
-        &mut self,
-        now: f64,
-        id: CallId,
-        attempt: u32,
-        key: ReplicaKey,
-    ) {
-        let Some(replica) = self.fleet.get_mut(key) else {
+    pub(crate) fn observe_lost_attempt(&mut self, now: f64, attempt: AttemptKey) {
+        let Some(sent) = self.in_flight(attempt).filter(|sent| !sent.lost) else {
             return;
         };
-        let Some(sent) = replica
-            .in_flight
-            .get_mut(&(id, attempt))
-            .filter(|sent| !sent.lost)
-        else {
+        let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
-        sent.lost = true;
-        let sent = *sent;
+        if let Some(sent) = replica.in_flight.get_mut(&attempt) {
+            sent.lost = true;
+        }
         replica.health.eject(now, None);
-        self.observe_health(now, key, sent, Some(FailureKind::MayHaveRun));
+        self.observe_health(now, sent, Some(FailureKind::MayHaveRun));
     }
 
-    /// Records a failure of each replica with a late attempt of a call that is given up.
-    pub(crate) fn observe_given_up(&mut self, now: f64, id: CallId) {
+    /// Records a failure of each replica with a late attempt of a call whose attempts are about to be aborted.
+    pub(crate) fn observe_late_attempts(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let in_flight: Vec<u32> = (0..)
+        let late: Vec<InFlight> = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
-            .map(|(number, _)| number)
+            .filter_map(|(index, _)| self.in_flight(AttemptKey { call: id, index }))
+            .filter(|sent| now > sent.sent_at + self.routes.late_after(sent.route))
             .collect();
-        for number in in_flight {
-            let Some((key, sent)) = self.in_flight(id, number) else {
-                continue;
-            };
-            if now > sent.sent_at + self.routes.late_after(sent.route) {
-                self.observe_health(now, key, sent, Some(FailureKind::MayHaveRun));
-            }
+        for sent in late {
+            self.observe_health(now, sent, Some(FailureKind::MayHaveRun));
         }
     }
 
-    fn observe_health(
-        &mut self,
-        now: f64,
-        key: ReplicaKey,
-        sent: InFlight,
-        failure: Option<FailureKind>,
-    ) {
-        let Some(replica) = self.fleet.get_mut(key) else {
+    /// Counts an attempt towards the health of its replica.
+    fn observe_health(&mut self, now: f64, sent: InFlight, failure: Option<FailureKind>) {
+        let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
         replica.last_failure = failure
@@ -179,10 +152,18 @@
         replica.health.observe(EJECTION, observation);
     }
 
-    fn in_flight(&self, id: CallId, attempt: u32) -> Option<(ReplicaKey, InFlight)> {
-        let key = self.calls.get(&id)?.attempts.get(attempt as usize)?.replica;
-        let sent = self.fleet.get(key)?.in_flight.get(&(id, attempt))?;
-        Some((key, *sent))
+    /// The attempt, if it is in flight and its replica has not departed.
+    fn in_flight(&self, attempt: AttemptKey) -> Option<InFlight> {
+        let call = self.calls.get(&attempt.call)?;
+        let replica = call.attempts.get(attempt.index as usize)?.replica;
+        let sent = self.fleet.get(replica)?.in_flight.get(&attempt)?;
+        Some(*sent)
+    }
+
+    fn is_streaming(&self, id: CallId) -> bool {
+        self.calls
+            .get(&id)
+            .is_some_and(|call| call.request.kind.is_streaming())
     }
 
     /// Whether the call is larger than a replica's KV cache, so that all replicas reject it as though they
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -20,8 +20,7 @@
 
 use crate::calls_in_flight::CallInFlight;
 use crate::fleet::Fleet;
-use crate::keys::ReplicaKey;
-use crate::keys::RouteKey;
+use crate::keys::{ReplicaKey, RouteKey};
 use crate::replica::Replica;
 use crate::routes::Routes;
 use crate::service::Service;
@@ -31,7 +30,7 @@
 /// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input,
 /// which is about a quarter after a few turns. Underestimates the cache of long programs.
 const CACHED_SHARE_AT_HOME: f64 = 0.75;
-/// Most attempts of a call on any route, including those that never reached a replica.
+/// Limit on the attempts of a call on any route, including those that never reached a replica.
 const MAX_ATTEMPTS: usize = 8;
 
 /// Decision on the next attempt of a call.
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -17,7 +17,7 @@
 const LEARNING_RATE: f64 = 0.1;
 /// Assumed share of work in a program's time before any program of its kind has ended.
 const INITIAL_WORK_SHARE: f64 = 0.5;
-/// Least share of the remaining time that counts as remaining work. A program that has done more work than is
+/// Lower bound of the remaining work, as a share of the remaining time. A program that has done more work than is
 /// typical of its kind may still continue.
 const MIN_REMAINING_WORK_SHARE: f64 = 0.25;
 /// Programs checked for their end at each arrival, which bounds the cost of an arrival.
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -5,8 +5,7 @@
 use woadreach_routing::decide::hold::Hold;
 use woadreach_routing::decide::outlier_detector::OutlierDetector;
 
-use crate::call::CallId;
-use crate::keys::RouteKey;
+use crate::keys::{AttemptKey, ReplicaKey, RouteKey};
 use crate::outcome::ServerLoad;
 use crate::prefix_cache::PrefixCache;
 use crate::spec::ReplicaSpec;
@@ -39,9 +38,11 @@
     pub kind: FailureKind,
 }
 
-/// An attempt in flight at the replica.
+/// An attempt in flight, with the replica that it was sent to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
+    pub replica: ReplicaKey,
+    /// When it was sent, in seconds.
     pub sent_at: f64,
     pub route: RouteKey,
     /// Whether no other call of this process was in flight there when it was sent.
@@ -54,19 +55,33 @@
     pub lost: bool,
 }
 
+/// The load that a replica has reported last.
+#[derive(Clone, Copy, Debug)]
+struct ReportedLoad {
+    /// When it arrived, in seconds.
+    at: f64,
+    load: ServerLoad,
+}
+
 /// One replica, as this process has observed it.
 pub(crate) struct Replica {
     pub spec: ReplicaSpec,
-    pub in_flight: BTreeMap<(CallId, u32), InFlight>,
+    /// Attempts of this process in flight there.
+    pub in_flight: BTreeMap<AttemptKey, InFlight>,
+    /// How many attempts it may have before further calls are queued, learned from its rejections
+    /// and time-outs.
     pub hold: Hold,
     pub health: OutlierDetector<RouteKey>,
     pub last_failure: Option<Failure>,
     pub cache: PrefixCache,
     /// Whether another replica answers at its address. Reset when its record changes.
     pub misdirected: bool,
-    load: Option<(f64, ServerLoad)>,
+    load: Option<ReportedLoad>,
+    /// When it last showed that it is working, in seconds.
     last_activity_at: f64,
+    /// Number of complete responses of any status.
     answers: usize,
+    /// When its slow start ends, in seconds.
     warming_until: f64,
 }
 
@@ -106,8 +121,15 @@
     }
 
     /// Records that an attempt of this process was sent to it.
-    pub(crate) fn record_sent(&mut self, now: f64, call: CallId, attempt: u32, route: RouteKey) {
+    pub(crate) fn record_sent(
+        &mut self,
+        now: f64,
+        attempt: AttemptKey,
+        replica: ReplicaKey,
+        route: RouteKey,
+    ) {
         let sent = InFlight {
+            replica,
             sent_at: now,
             route,
             is_only_call: self.in_flight.is_empty(),
@@ -115,7 +137,7 @@
             overtaken: 0,
             lost: false,
         };
-        self.in_flight.insert((call, attempt), sent);
+        self.in_flight.insert(attempt, sent);
     }
 
     /// Records that the replica is working: an event, a response head or a response has arrived.
@@ -126,7 +148,9 @@
 
     /// Records the load that it reported with a response of any kind.
     pub(crate) fn record_load(&mut self, now: f64, load: Option<ServerLoad>) {
-        self.load = load.map(|load| (now, load)).or(self.load);
+        self.load = load
+            .map(|load| ReportedLoad { at: now, load })
+            .or(self.load);
     }
 
     /// Records a complete response.
@@ -137,8 +161,10 @@
 
     /// Whether it has recently reported that all slots are taken.
     pub(crate) fn is_saturated(&self, now: f64) -> bool {
-        let fresh = self.load.filter(|(at, _)| now - at <= LOAD_TTL);
-        fresh.is_some_and(|(_, load)| load.slots > 0 && load.running + load.waiting >= load.slots)
+        let fresh = self.load.filter(|reported| now - reported.at <= LOAD_TTL);
+        fresh.is_some_and(|ReportedLoad { load, .. }| {
+            load.slots > 0 && load.running + load.waiting >= load.slots
+        })
     }
 
     /// Whether its last failure was only a late response.
@@ -183,8 +209,8 @@
     }
 
     /// Records that an attempt has begun, and has overtaken those that were sent before it and have not.
-    pub(crate) fn record_begin(&mut self, call: CallId, attempt: u32, late: bool) {
-        let Some(sent) = self.in_flight.get_mut(&(call, attempt)) else {
+    pub(crate) fn record_begin(&mut self, attempt: AttemptKey, late: bool) {
+        let Some(sent) = self.in_flight.get_mut(&attempt) else {
             return;
         };
         sent.begun_late = Some(late);
--- a/crates/tier/scheduler/src/retry_budget.rs
+++ b/crates/tier/scheduler/src/retry_budget.rs
@@ -9,7 +9,7 @@
 
 /// Retries that each first attempt earns.
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
-/// Most tokens in the budget, which allow retries during a short fault.
+/// Limit on the tokens in the budget. Allows retries during a short fault.
 const MAX_TOKENS: f64 = 20.0;
 
 impl Default for RetryBudget {
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -21,8 +21,8 @@
 const LATE_QUANTILE: f64 = 0.8;
 /// See [`LATE_QUANTILE`].
 const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
-/// Least threshold of lateness as a share of the latency target, so that a short stall of this process ejects
-/// no replica.
+/// Lower bound of the threshold from which an attempt is late, as a share of the latency target. A short stall
+/// of this process must not eject a replica.
 const LATE_SHARE_OF_TARGET: f64 = 0.125;
 /// An attempt at a working replica is lost beyond this multiple of the longest recent latency.
 const LOST_LONGEST_MULTIPLE: f64 = 1.5;
@@ -32,11 +32,17 @@
 /// Latencies of one route in seconds. Those of streams end with the first event.
 pub(crate) struct Route {
     pub unloaded: UnloadedLatency<ReplicaKey>,
+    /// The route's latency target.
     target: f64,
+    /// The last [`MAX_RECENT_LATENCIES`] latencies, loaded or not.
     recent: VecDeque<f64>,
+    /// Number of latencies recorded so far.
     answers: usize,
+    /// Latency from which an attempt is late.
     late_after: f64,
+    /// Latency from which an attempt may be lost; at least `late_after`.
     lost_after: f64,
+    /// Median of `recent`.
     typical: f64,
 }
 
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -7,9 +7,9 @@
 const LEARNING_RATE: f64 = 0.05;
 /// Assumed mean of the prefill tokens before the first call.
 const INITIAL_MEAN_PREFILL: f64 = 512.0;
-/// Least mean of the prefill tokens: even a completely cached prompt costs an engine some work.
+/// Lower bound of the mean of the prefill tokens: even a completely cached prompt costs an engine some work.
 const MIN_MEAN_PREFILL: f64 = 64.0;
-/// Most calls of this process in flight at a replica if the configuration sets no limit.
+/// Limit on the calls of this process in flight at a replica if the configuration sets no limit.
 const MAX_CONNECTIONS: usize = 1_024;
 
 /// One service, and what is learned of its calls.
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -4,7 +4,7 @@
 use crate::call::CallId;
 use crate::placement::is_overloaded;
 
-/// Least `Retry-After` in seconds.
+/// Lower bound of `Retry-After`, in seconds.
 const MIN_RETRY_AFTER: f64 = 0.05;
 /// `Retry-After` in seconds while no replica is usable.
 const RETRY_AFTER_WITHOUT_REPLICA: f64 = 0.25;
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -4,8 +4,7 @@
 
 use crate::call::CallId;
 use crate::calls_in_flight::{AttemptState, CallInFlight};
-use crate::keys::ReplicaKey;
-use crate::keys::RouteKey;
+use crate::keys::{ReplicaKey, RouteKey};
 use crate::programs::Programs;
 use crate::routes::Routes;
 
--- /dev/null
+++ b/crates/tier/scheduler/tests/common/base_call.rs
@@ -0,0 +1,27 @@
+//! The call that other calls of tests are derived from. The unit tests include this file too.
+
+use std::sync::Arc;
+
+use super::{Call, CallId, CallKind};
+
+/// A safe call of no program and no service, which arrives at `now`.
+pub(crate) fn base_call(now: f64, id: u64) -> Call {
+    Call {
+        id: CallId(id),
+        route: Arc::from("route"),
+        kind: CallKind::Safe,
+        clusters: Vec::new(),
+        arrived: now,
+        give_up_at: now + 5.0,
+        target_latency: 0.25,
+        finish_at: None,
+        program: None,
+        session: None,
+        affinity: None,
+        prefix: Vec::new(),
+        tokens_in: 0,
+        tokens_out: 0,
+        priority: 1,
+        max_replicas: 1,
+    }
+}
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -2,12 +2,15 @@
 
 #![allow(dead_code)]
 
+mod base_call;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use base_call::base_call;
 use woadreach_scheduler::{
     Action, Admission, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec,
-    ServerLoad, ServiceSpec,
+    ServerLoad, ServiceSpec, WeightedService,
 };
 
 pub(crate) const SERVICE: &str = "service";
@@ -53,22 +56,12 @@
 /// A safe call that arrives at `now` and may be sent to two replicas.
 pub(crate) fn call(now: f64, id: u64) -> Call {
     Call {
-        id: CallId(id),
-        route: Arc::from("route"),
-        kind: CallKind::Safe,
-        clusters: vec![(Arc::from(SERVICE), 1)],
-        arrived: now,
-        give_up_at: now + 5.0,
-        target_latency: 0.25,
-        finish_at: None,
-        program: None,
-        session: None,
-        affinity: None,
-        prefix: Vec::new(),
-        tokens_in: 0,
-        tokens_out: 0,
-        priority: 1,
+        clusters: vec![WeightedService {
+            service: Arc::from(SERVICE),
+            weight: 1,
+        }],
         max_replicas: 2,
+        ..base_call(now, id)
     }
 }
 
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -8,7 +8,9 @@
 
 use common::{Driver, SERVICE, call, engine_service, replica, service};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use woadreach_scheduler::{Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad};
+use woadreach_scheduler::{
+    Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad, WeightedService,
+};
 
 /// One input of a history. Indices select among the calls and replicas of that moment.
 #[derive(Clone, Debug)]
@@ -136,8 +138,14 @@
         kind: kind(kind_of),
         route: Arc::from(format!("route-{}", kind_of % 4)),
         clusters: vec![
-            (Arc::from(SERVICE), 3),
-            (Arc::from("gone"), u32::from(kind_of == 255)),
+            WeightedService {
+                service: Arc::from(SERVICE),
+                weight: 3,
+            },
+            WeightedService {
+                service: Arc::from("gone"),
+                weight: u32::from(kind_of == 255),
+            },
         ],
         give_up_at: now + f64::from(give_up_ms % 4_000) / 1e3,
         finish_at: program.map(|program| now + program as f64),
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -1,5 +1,10 @@
 //! Cases of a step's latency target.
 
+#[path = "../common/base_call.rs"]
+mod base_call;
+
+use base_call::base_call;
+
 use super::*;
 use crate::call::CallKind;
 
@@ -7,22 +12,11 @@
 
 fn call(now: f64, id: u64, program: u64, finish_at: f64) -> Call {
     Call {
-        id: CallId(id),
         route: Arc::from("turns"),
         kind: CallKind::Unsafe,
-        clusters: Vec::new(),
-        arrived: now,
-        give_up_at: now + 5.0,
-        target_latency: 0.25,
         finish_at: Some(finish_at),
         program: Some(program),
-        session: None,
-        affinity: None,
-        prefix: Vec::new(),
-        tokens_in: 0,
-        tokens_out: 0,
-        priority: 1,
-        max_replicas: 1,
+        ..base_call(now, id)
     }
 }
 
