--- a/crates/tier/scheduler/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -87,7 +87,7 @@
         assert_eq!(
             driver.sent_to(21)[0],
             down,
-            "a trial, which costs a call nothing if it fails again"
+            "a probe, which costs a call nothing if it fails again"
         );
     }
 }
@@ -257,5 +257,5 @@
         }
     }
     let late: usize = at_slow[60..].iter().sum();
-    assert!(late <= 8, "a trial every few seconds: {at_slow:?}");
+    assert!(late <= 8, "a probe every few seconds: {at_slow:?}");
 }
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -161,14 +161,14 @@
 fn a_replica_of_a_new_generation_has_lost_its_cache() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b"]));
     driver.arrive(turn(driver.now, 1, 5, 4_000));
-    let kept = driver.sent_to(1)[0].clone();
+    let first = driver.sent_to(1)[0].clone();
     driver.outcome(1, 0, Outcome::Answered);
     driver.arrive(turn(driver.now, 2, 6, 1_000));
     let changed = ReplicaSpec {
         generation: Arc::from("v2"),
-        ..replica(&kept)
+        ..replica(&first)
     };
-    let other = if kept == "a" { "b" } else { "a" };
+    let other = if first == "a" { "b" } else { "a" };
     driver.list(&[changed, replica(other)]);
     driver.arrive(turn(driver.now, 3, 5, 4_000));
     assert_eq!(
@@ -191,7 +191,7 @@
     driver.outcome_with_load(1, 0, Outcome::Answered, Some(load));
     for id in 2..=4 {
         driver.arrive(unsafe_call(driver.now, id));
-        assert_ne!(driver.sent_to(id)[0], full, "while the word is fresh");
+        assert_ne!(driver.sent_to(id)[0], full, "while the report is fresh");
     }
     driver.advance(1.5);
     driver.arrive(unsafe_call(driver.now, 5));
--- a/crates/tier/scheduler/tests/queueing.rs
+++ b/crates/tier/scheduler/tests/queueing.rs
@@ -2,6 +2,8 @@
 
 mod common;
 
+use std::ops::RangeInclusive;
+
 use common::{Driver, End, call, replicas, service, unsafe_call};
 use woadreach_scheduler::{Action, Call, CallKind, Outcome, PrefixPart};
 
@@ -15,18 +17,24 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// One replica with four calls in flight, after it has answered the fifth that it is full: further calls are
-/// queued.
-fn replica_with_queue() -> Driver {
-    let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    for id in 1..=5 {
+/// Sends these calls to the only replica, which answers the last one that it is full.
+fn fill_replica(driver: &mut Driver, ids: RangeInclusive<u64>) {
+    let last = *ids.end();
+    for id in ids {
         driver.arrive(Call {
             max_replicas: 1,
             ..unsafe_call(driver.now, id)
         });
     }
-    driver.outcome(5, 0, FULL);
-    driver.cancel(5);
+    driver.outcome(last, 0, FULL);
+    driver.cancel(last);
+}
+
+/// One replica with four calls in flight, after it has answered the fifth that it is full: further calls are
+/// queued.
+fn replica_with_queue() -> Driver {
+    let mut driver = Driver::new(1, service(), &replicas(&["a"]));
+    fill_replica(&mut driver, 1..=5);
     driver.arrive(unsafe_call(driver.now, 6));
     assert_eq!(
         driver.sent_to(6),
@@ -99,14 +107,7 @@
     driver.advance(1.0);
     driver.outcome(2, 0, Outcome::Answered);
     driver.outcome(3, 0, Outcome::Answered);
-    for id in 10..=14 {
-        driver.arrive(Call {
-            max_replicas: 1,
-            ..unsafe_call(driver.now, id)
-        });
-    }
-    driver.outcome(14, 0, FULL);
-    driver.cancel(14);
+    fill_replica(&mut driver, 10..=14);
     driver.arrive(unsafe_call(driver.now, 15));
     for (program, time) in times {
         driver.arrive(of_program(driver.now, 20 + program, program, time));
--- a/crates/tier/scheduler/tests/unit/prefix_cache.rs
+++ b/crates/tier/scheduler/tests/unit/prefix_cache.rs
@@ -29,10 +29,10 @@
     cache.record(&[part(2, 100)], 250);
     cache.record(&[part(1, 100)], 250);
     cache.record(&[part(3, 100)], 250);
-    let kept: Vec<u32> = (1..=3)
+    let cached: Vec<u32> = (1..=3)
         .map(|id| cache.cached_tokens(&[part(id, 100)]))
         .collect();
-    assert_eq!(kept, [100, 0, 100]);
+    assert_eq!(cached, [100, 0, 100]);
 }
 
 #[test]
