--- a/crates/tier/config/src/error.rs
+++ b/crates/tier/config/src/error.rs
@@ -3,14 +3,14 @@
 use snafu::Snafu;
 
 /// Why a configuration was rejected.
-#[derive(Clone, Debug, PartialEq, Eq, Snafu)]
+#[derive(Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigurationError {
     /// The body is not a complete JSON document.
-    #[snafu(display("the body is no whole JSON document: {reason}"))]
+    #[snafu(display("the body is no whole JSON document: {source}"))]
     MalformedJson {
-        /// Message of the parser, with the position.
-        reason: String,
+        /// Error of the parser, with the position.
+        source: simd_json::Error,
     },
     /// A field is missing or of another type.
     #[snafu(display("{location}: field `{field}` is not {expected}"))]
--- a/crates/tier/config/src/parse.rs
+++ b/crates/tier/config/src/parse.rs
@@ -2,13 +2,13 @@
 
 use crate::error::{
     ConfigurationError, DuplicateRouteSnafu, DuplicateServiceSnafu, InvalidFieldSnafu,
-    UnknownServiceSnafu, ZeroTimeoutSnafu, ZeroWeightSnafu,
+    MalformedJsonSnafu, UnknownServiceSnafu, ZeroTimeoutSnafu, ZeroWeightSnafu,
 };
 use crate::model::{
     ClientLimits, Configuration, Engine, Route, RouteType, Service, WeightedCluster,
 };
 use crate::value::{Object, ROOT};
-use snafu::{OptionExt, ensure};
+use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -22,11 +22,7 @@
     /// See [`ConfigurationError`].
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut bytes = body.to_vec();
-        let document = simd_json::to_owned_value(&mut bytes).map_err(|error| {
-            ConfigurationError::MalformedJson {
-                reason: error.to_string(),
-            }
-        })?;
+        let document = simd_json::to_owned_value(&mut bytes).context(MalformedJsonSnafu)?;
         let root = Object::new(ROOT.to_owned(), &document);
         let configuration = Configuration {
             generation: root.unsigned("generation")?,
--- a/crates/tier/settings/src/settings.rs
+++ b/crates/tier/settings/src/settings.rs
@@ -29,8 +29,8 @@
     pub region: String,
     /// Addresses for callers from outside the tier.
     pub listen: Listen,
-    /// First and last port for traffic between the processes of the tier.
-    pub port_range: (u16, u16),
+    /// Ports for traffic between the processes of the tier, the same on all machines.
+    pub port_range: PortRange,
     /// Control addresses of a few core machines at the time when the file was written.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the very first start of the whole system.
@@ -60,6 +60,15 @@
     pub control: Option<SocketAddr>,
 }
 
+/// Ports of a process, both ends included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// First port; above 0. Calls from other processes of the tier arrive here.
+    pub first: u16,
+    /// Last port; not below `first`.
+    pub last: u16,
+}
+
 /// Resources that a process may use.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
@@ -175,7 +184,10 @@
                 ready: file.listen.ready,
                 control: file.listen.control,
             },
-            port_range: (file.port_range[0], file.port_range[1]),
+            port_range: PortRange {
+                first: file.port_range[0],
+                last: file.port_range[1],
+            },
             seeds: file.seeds,
             bootstrap: file.bootstrap,
             counts_for_quorum: file.counts_for_quorum,
@@ -200,14 +212,14 @@
 
     /// Address at which the other processes of the tier reach this one.
     pub fn internal_address(&self) -> SocketAddr {
-        SocketAddr::from((self.ip, self.port_range.0))
+        SocketAddr::from((self.ip, self.port_range.first))
     }
 
     /// Addresses at which the processes of the tier reach the seeds. Ports are the same on all machines.
     pub fn seed_internal_addresses(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
-            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.0))
+            .map(|seed| SocketAddr::new(seed.ip(), self.port_range.first))
             .collect()
     }
 }
--- a/crates/tier/settings/tests/recorded_settings.rs
+++ b/crates/tier/settings/tests/recorded_settings.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use woadreach_settings::{NodeSettings, SETTINGS_VARIABLE, SettingsError};
+use woadreach_settings::{NodeSettings, PortRange, SETTINGS_VARIABLE, SettingsError};
 
 const RECORDED: &str = include_str!("recorded/settings.yaml");
 
@@ -102,7 +102,11 @@
         listen,
         expected.map(|address| Some(address.parse().expect("an address")))
     );
-    assert_eq!(settings.port_range, (7380, 7395));
+    let expected = PortRange {
+        first: 7380,
+        last: 7395,
+    };
+    assert_eq!(settings.port_range, expected);
     let seeds = ["127.0.0.1:8144", "127.0.0.2:8145"];
     assert_eq!(
         settings.seeds,
