--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -48,6 +48,16 @@
     mutation: Mutex<Option<Mutation>>,
 }
 
+/// A request and where it goes.
+#[cfg_attr(feature = "mutations", derive(Clone))]
+struct OutgoingRequest {
+    address: SocketAddr,
+    service: ServiceId,
+    body: Bytes,
+    /// Limit on the time until the response, which includes connecting.
+    timeout: Duration,
+}
+
 /// Calls of one connection that have no response yet.
 #[derive(Default)]
 struct PendingCalls {
@@ -123,33 +133,33 @@
         if body.len() > MAX_BODY_BYTES {
             return Err(CallError::TooLong);
         }
+        let request = OutgoingRequest {
+            address,
+            service,
+            body: body.into(),
+            timeout,
+        };
         #[cfg(feature = "mutations")]
-        let again = body.clone();
-        let result = self.call_once(address, service, body, timeout).await;
+        let again = request.clone();
+        let result = self.call_once(request).await;
         #[cfg(feature = "mutations")]
         if result == Err(CallError::Broken) && self.has_mutation(Mutation::RetriesBrokenCalls) {
-            return self.call_once(address, service, again, timeout).await;
+            return self.call_once(again).await;
         }
         result
     }
 
-    async fn call_once(
-        &self,
-        address: SocketAddr,
-        service: ServiceId,
-        body: Vec<u8>,
-        timeout: Duration,
-    ) -> Result<Bytes, CallError> {
-        let deadline = Instant::now() + timeout;
-        let connection = self.connection(address);
+    async fn call_once(&self, request: OutgoingRequest) -> Result<Bytes, CallError> {
+        let deadline = Instant::now() + request.timeout;
+        let connection = self.connection(request.address);
         let request_id = self.shared.next_request_id.fetch_add(1, Ordering::Relaxed);
         let received_before = connection.received.load(Ordering::Relaxed);
         let mut call = connection.register_call(request_id)?;
         let frame = Frame {
             kind: FrameKind::Request,
-            service,
+            service: request.service,
             request_id,
-            body: body.into(),
+            body: request.body,
         };
         connection
             .queue
