--- a/crates/tier/proxy/src/client/connection.rs
+++ b/crates/tier/proxy/src/client/connection.rs
@@ -43,13 +43,16 @@
     Stalled,
 }
 
-/// Times are seconds of the process's clock.
+/// What a connection is doing, and since when, in seconds of the process's clock.
 #[derive(Debug)]
 struct ConnectionState {
     activity: Activity,
     activity_since: f64,
+    /// Since when the client has not read what was written; `None` while the socket accepts bytes.
     write_blocked_since: Option<f64>,
+    /// When the connection's task was first notified of a time-out. Must not change once set.
     close_requested_at: Option<f64>,
+    /// The time-out of which the task was notified last.
     timeout: Option<ConnectionTimeout>,
 }
 
--- a/crates/tier/proxy/src/client/listener.rs
+++ b/crates/tier/proxy/src/client/listener.rs
@@ -26,7 +26,7 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Descriptors reserved for files, replicas and other processes of the tier.
 const RESERVED_DESCRIPTORS: u64 = 1400;
-/// Memory that one client's connection may need.
+/// Memory that one client's connection may need, in bytes.
 const CONNECTION_BYTES: u64 = 24 * 1024;
 /// Clients' connections together may fill the process's memory divided by this.
 const CONNECTIONS_MEMORY_DIVISOR: u64 = 3;
@@ -41,7 +41,9 @@
 /// The listener with the clients' connections that are open.
 pub struct ClientListener {
     proxy: Arc<Proxy>,
+    /// Open connections by their number, in the order in which they were accepted.
     connections: Mutex<BTreeMap<u64, Arc<ConnectionMonitor>>>,
+    /// Limit on the open connections; see [`max_connections`].
     max_connections: usize,
 }
 
--- a/crates/tier/proxy/src/dispatcher.rs
+++ b/crates/tier/proxy/src/dispatcher.rs
@@ -43,17 +43,28 @@
     },
 }
 
+/// A request that the dispatcher knows.
+pub struct RegisteredCall {
+    /// Id of its call; never reused within a process.
+    pub id: CallId,
+    /// Commands for its task, in the order in which they are to be executed.
+    pub commands: UnboundedReceiver<Command>,
+}
+
 struct Inner {
     admission: Admission,
+    /// Senders of the requests that are registered.
     command_senders: HashMap<CallId, UnboundedSender<Command>>,
-    next_id: u64,
-    /// When the timer wakes next, in seconds of the process's clock.
+    /// The id that was given last.
+    last_id: u64,
+    /// When the timer wakes next, in seconds of the process's clock; `None` if it waits to be rearmed.
     armed_for: Option<f64>,
 }
 
 /// The scheduler, with the requests that wait for its decisions.
 pub struct Dispatcher {
     inner: Mutex<Inner>,
+    /// Notified when the timer has to wake earlier than it would.
     rearm: Notify,
     clock: Clock,
 }
@@ -64,7 +75,7 @@
         let inner = Inner {
             admission,
             command_senders: HashMap::new(),
-            next_id: 0,
+            last_id: 0,
             armed_for: None,
         };
         Dispatcher {
@@ -74,14 +85,14 @@
         }
     }
 
-    /// Registers a new request: its id, and the channel of its commands.
-    pub fn register(&self) -> (CallId, UnboundedReceiver<Command>) {
-        let (sender, receiver) = unbounded_channel();
+    /// Registers a new request.
+    pub fn register(&self) -> RegisteredCall {
+        let (sender, commands) = unbounded_channel();
         let mut inner = self.inner.lock();
-        inner.next_id += 1;
-        let id = CallId(inner.next_id);
+        inner.last_id += 1;
+        let id = CallId(inner.last_id);
         inner.command_senders.insert(id, sender);
-        (id, receiver)
+        RegisteredCall { id, commands }
     }
 
     /// Removes a request that has ended.
--- a/crates/tier/proxy/src/lifecycle.rs
+++ b/crates/tier/proxy/src/lifecycle.rs
@@ -21,8 +21,10 @@
 /// The phase of this process and the number of its requests in flight.
 #[derive(Default)]
 pub struct Lifecycle {
+    /// Never goes back to an earlier phase.
     phase: Mutex<Phase>,
     requests_in_flight: AtomicUsize,
+    /// When the process ends at the latest; set when the shutdown starts.
     shutdown_deadline: OnceLock<Instant>,
 }
 
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -32,12 +32,13 @@
     pub turns: StorageClient,
     /// Counters of the state line.
     pub counters: Counters,
-    /// Phase of the process and requests in flight.
+    /// Phase of the process, and the number of its requests in flight.
     pub lifecycle: Lifecycle,
     /// Bytes of the requests' bodies that are being read.
     pub buffered_body_bytes: AtomicUsize,
     /// Limit of `buffered_body_bytes`; above it requests get 503.
     pub max_buffered_body_bytes: usize,
+    /// Replaced as a whole by each snapshot; requests keep the one that they have read.
     routing_state: Mutex<Arc<RoutingState>>,
 }
 
--- a/crates/tier/proxy/src/replica/attempt.rs
+++ b/crates/tier/proxy/src/replica/attempt.rs
@@ -86,6 +86,7 @@
     pub head: Parts,
     /// The events to come.
     pub body: Incoming,
+    /// Resets the connection when it is dropped, and with it the replica's work.
     connection: PooledConnection,
 }
 
@@ -110,10 +111,26 @@
     pub attempt: u32,
     /// How it ended.
     pub result: AttemptResult,
-    /// Load of the replica.
+    /// Load of the replica, if the head of a response to this request had one.
     pub load: Option<ServerLoad>,
 }
 
+/// What one exchange with a replica has come to.
+struct Exchange {
+    result: AttemptResult,
+    load: Option<ServerLoad>,
+}
+
+impl Exchange {
+    /// An exchange without the head of a response to this request.
+    fn without_response(outcome: Outcome) -> Self {
+        Exchange {
+            result: failed(outcome),
+            load: None,
+        }
+    }
+}
+
 impl OpenStream {
     /// Returns the connection to the pool after the complete body has been read.
     pub fn release(self) {
@@ -128,7 +145,8 @@
     params: AttemptParams,
 ) -> AttemptReport {
     let exchanged = timeout_at(params.deadline, exchange(&pool, &request, &params)).await;
-    let (result, load) = exchanged.unwrap_or_else(|_| (failed(Outcome::TimedOut), None));
+    let Exchange { result, load } =
+        exchanged.unwrap_or_else(|_| Exchange::without_response(Outcome::TimedOut));
     AttemptReport {
         attempt: params.attempt,
         result,
@@ -143,32 +161,35 @@
     }
 }
 
+/// Sends the request, over another connection as long as the last one had been closed before a byte was written.
 async fn exchange(
     pool: &Arc<ReplicaPool>,
     request: &OutgoingRequest,
     params: &AttemptParams,
-) -> (AttemptResult, Option<ServerLoad>) {
+) -> Exchange {
     for _ in 0..MAX_STALE_CONNECTIONS {
         let Some(mut pooled) = check_out(pool, request, params) else {
-            return (failed(Outcome::NeverSent), None);
+            return Exchange::without_response(Outcome::NeverSent);
         };
         let connection = match pooled.connection().await {
             Ok(connection) => connection,
             Err(error) => {
                 tracing::debug!(replica = %params.endpoint.replica, %error, "replica connection failed");
-                return (failed(Outcome::Unreachable), None);
+                return Exchange::without_response(Outcome::Unreachable);
             }
         };
         let was_new = connection.is_new();
         request.used_connections.lock().push(connection.id());
         match connection.send(build_request(request, params)).await {
             Ok(response) => return receive(pooled, request, response).await,
-            Err(SendError::NotSent) if was_new => return (failed(Outcome::Unreachable), None),
+            Err(SendError::NotSent) if was_new => {
+                return Exchange::without_response(Outcome::Unreachable);
+            }
             Err(SendError::NotSent) => {}
-            Err(SendError::Broken) => return (failed(BROKEN), None),
+            Err(SendError::Broken) => return Exchange::without_response(BROKEN),
         }
     }
-    (failed(Outcome::Unreachable), None)
+    Exchange::without_response(Outcome::Unreachable)
 }
 
 fn check_out(
@@ -215,18 +236,19 @@
     outgoing
 }
 
+/// Classifies the head of a response, and reads its body unless it is a stream.
 async fn receive(
     pooled: PooledConnection,
     request: &OutgoingRequest,
     response: Response<Incoming>,
-) -> (AttemptResult, Option<ServerLoad>) {
+) -> Exchange {
     let (head, body) = response.into_parts();
     let load = server_load(&head.headers);
     let class = classify(&head, request);
     if class == ResponseClass::Mismatched {
         let (replica, id) = (pooled.replica(), &request.request_id);
         tracing::debug!(%replica, request = %id, status = %head.status, "response mismatched");
-        return (failed(BROKEN), None);
+        return Exchange::without_response(BROKEN);
     }
     if class == ResponseClass::Success && request.is_stream {
         let stream = OpenStream {
@@ -234,14 +256,16 @@
             body,
             connection: pooled,
         };
-        return (AttemptResult::Streaming(Box::new(stream)), load);
+        let result = AttemptResult::Streaming(Box::new(stream));
+        return Exchange { result, load };
     }
     let Some(body) = read_to_end(body).await else {
         let outcome = match class {
             ResponseClass::NotExecuted(outcome) => outcome,
             _ => BROKEN,
         };
-        return (failed(outcome), load);
+        let result = failed(outcome);
+        return Exchange { result, load };
     };
     release_connection(pooled, &head);
     let response = ReplicaResponse { head, body };
@@ -256,9 +280,10 @@
         ResponseClass::NotExecuted(outcome) => failed(outcome),
         ResponseClass::Mismatched => failed(BROKEN),
     };
-    (result, load)
+    Exchange { result, load }
 }
 
+/// Classifies the head of a response to the request.
 fn classify(head: &Parts, request: &OutgoingRequest) -> ResponseClass {
     let class = classify_response(head, &request.request_id);
     if class == ResponseClass::NotExecuted(Outcome::Misdirected)
--- a/crates/tier/proxy/src/replica/connection.rs
+++ b/crates/tier/proxy/src/replica/connection.rs
@@ -86,11 +86,14 @@
 pub struct ReplicaConnection {
     id: ConnectionId,
     sender: SendRequest<Full<Bytes>>,
+    /// Task that reads and writes the socket.
     driver: AbortHandle,
+    /// Bytes written to the socket since it was opened.
     bytes_written: Arc<AtomicU64>,
     /// Value of `bytes_written` from which on the last request's body has been written.
     body_end_offset: u64,
     idle_since: Instant,
+    /// Until when it may be used, shortly before the replica closes it; `None` if the replica sent no `Keep-Alive`.
     expires_at: Option<Instant>,
     requests_sent: u64,
 }
--- a/crates/tier/proxy/src/request/state.rs
+++ b/crates/tier/proxy/src/request/state.rs
@@ -68,9 +68,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProgress {
     state: RequestState,
+    /// Whether it may run more than once.
     idempotent: bool,
-    /// An attempt that has ended may have run.
+    /// Whether an attempt that has ended, or one with a stream, may have run. Must stay `true` once set.
     may_have_run: bool,
+    /// Attempts that were sent and have not ended.
     attempts_in_flight: u32,
 }
 
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -1,6 +1,8 @@
 //! The task of one request, from its complete reading to its end.
 //!
-//! The task executes the scheduler's commands, reports the outcome of each attempt, and forwards the response.
+//! The task executes the scheduler's commands, reports the outcome of each attempt, and forwards the response. Start
+//! with `drive`: it prepares the turn, offers the request to the scheduler, and then handles one event after the other
+//! until one of them ends the request. `streaming` forwards events, `ending` builds the client's response to each end.
 //! Every change of state goes through [`RequestProgress`], whose table is in [`crate::request::state`].
 
 mod ending;
@@ -11,7 +13,7 @@
 use crate::client::request::ClientRequest;
 use crate::client::response_body::ResponseBody;
 use crate::client::response_sender::ResponseSender;
-use crate::dispatcher::Command;
+use crate::dispatcher::{Command, RegisteredCall};
 use crate::proxy::Proxy;
 use crate::replica::attempt::{
     AttemptParams, AttemptReport, AttemptResult, OpenStream, OutgoingRequest, ReplicaResponse,
@@ -36,8 +38,10 @@
 
 /// A stream that is being forwarded.
 struct ActiveStream {
+    /// Number of the attempt that it is the response to.
     attempt: u32,
     open: Box<OpenStream>,
+    /// Bytes of an event that is not complete yet.
     reader: EventReader,
 }
 
@@ -57,12 +61,18 @@
 
 /// What the task waits for.
 enum TaskEvent {
+    /// The scheduler has decided.
     Command(Command),
+    /// An attempt has ended, or its stream has started.
     Attempt(Box<AttemptReport>),
+    /// Bytes of the stream's body.
     StreamData(Bytes),
+    /// The stream's body has ended as its framing says.
     StreamEnded,
+    /// The stream's connection ended before its body.
     StreamBroke,
     ClientDisconnected,
+    /// The deadline of the request, not of an attempt.
     DeadlineReached,
 }
 
@@ -74,15 +84,22 @@
     commands: UnboundedReceiver<Command>,
     response: ResponseSender,
     progress: RequestProgress,
+    /// The request as replicas get it; `None` until it is prepared.
     outgoing: Option<Arc<OutgoingRequest>>,
+    /// Tasks of the attempts whose response has not started, and of aborted ones.
     attempts: JoinSet<AttemptReport>,
+    /// The attempts whose response has not started. A report of any other attempt is ignored.
     running: Vec<RunningAttempt>,
+    /// The stream that is being forwarded.
     stream: Option<ActiveStream>,
-    /// Head of the client's response, once a stream has started.
+    /// Head of the client's response, once a stream has started. Must not change after a byte was forwarded.
     stream_head: Option<Parts>,
+    /// How much of the stream the client has.
     position: StreamPosition,
     turn: PreparedTurn,
+    /// The last error response of a replica itself, which is forwarded if no further attempt is made.
     last_failure: Option<ReplicaResponse>,
+    /// Fires when the request must be answered.
     deadline: Pin<Box<Sleep>>,
 }
 
@@ -93,7 +110,7 @@
         client: ClientRequest,
         head: oneshot::Sender<Response<ResponseBody>>,
     ) -> Self {
-        let (id, commands) = proxy.dispatcher.register();
+        let RegisteredCall { id, commands } = proxy.dispatcher.register();
         let progress = RequestProgress::new(client.is_idempotent());
         let deadline = Box::pin(sleep_until(client.deadline));
         let turn = PreparedTurn::new(&client);
@@ -134,6 +151,7 @@
         );
     }
 
+    /// Prepares the request, offers it to the scheduler and handles events until one ends it.
     async fn drive(&mut self) -> RequestEnd {
         if let Some(end) = self.prepare().await {
             return end;
@@ -187,6 +205,7 @@
         }
     }
 
+    /// Waits for the next event, from whichever side it comes.
     async fn next_event(&mut self) -> TaskEvent {
         let RequestTask {
             commands,
@@ -223,6 +242,7 @@
         }
     }
 
+    /// Handles one event. Returns an end if the request has ended with it.
     async fn handle(&mut self, event: TaskEvent) -> Option<RequestEnd> {
         match event {
             TaskEvent::Command(command) => self.execute(command),
@@ -255,6 +275,7 @@
         }
     }
 
+    /// Starts an attempt. One that cannot be sent is reported as [`Outcome::NeverSent`].
     fn send(&mut self, number: u32, replica: Arc<str>, timeout: f64, priority: Option<u8>) {
         let routing_state = self.proxy.routing_state();
         let record = routing_state.replicas.get(&*replica);
@@ -289,6 +310,7 @@
         });
     }
 
+    /// Aborts an attempt, which resets its connection. It counts as one that may have run.
     fn abort(&mut self, attempt: u32) {
         if let Some(running) = self.remove_running(attempt) {
             running.handle.abort();
@@ -302,6 +324,7 @@
         Some(self.running.swap_remove(index))
     }
 
+    /// Handles the end of an attempt, or the start of its stream.
     fn handle_report(&mut self, report: AttemptReport) -> Option<RequestEnd> {
         let AttemptReport {
             attempt,
@@ -344,6 +367,7 @@
         dispatcher.attempt_ended(self.id, attempt, outcome, load);
     }
 
+    /// Changes the state. A transition that the table does not name is a fault of this program, and is logged.
     fn transition(
         &mut self,
         change: impl FnOnce(&mut RequestProgress) -> Result<(), InvalidTransition>,
--- a/crates/tier/proxy/src/turns/store.rs
+++ b/crates/tier/proxy/src/turns/store.rs
@@ -27,10 +27,13 @@
     pub token_counter: TokenCounter,
     program: String,
     request_id: String,
+    /// Whether its route stores turns.
     is_stored: bool,
+    /// The stored turn that it continues; known once it is prepared.
     previous: Option<TurnKey>,
+    /// Data of the events forwarded so far; empty if the turn is not stored.
     events: Vec<Bytes>,
-    /// Tokens reserved of the program's budget.
+    /// Tokens reserved of the program's budget. Settled at the tokens delivered when it is dropped.
     reservation: Option<ReservationGuard>,
 }
 
--- a/crates/tier/proxy/src/turns/token_counter.rs
+++ b/crates/tier/proxy/src/turns/token_counter.rs
@@ -3,8 +3,10 @@
 /// Events sent to the client, and how many tokens these come to.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenCounter {
+    /// At least 1.
     tokens_per_event: u64,
     max_tokens: u64,
+    /// Events forwarded to the client.
     events: u64,
 }
 
