--- a/crates/tier/proxy/src/client/headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -146,20 +146,27 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// The only value of a header; a header that is given twice is malformed.
-fn single<'a>(
-    headers: &'a HeaderMap,
+/// Reads a header that may be absent. One that is given twice, or that `parse` does not accept, is malformed.
+fn optional<T>(
+    headers: &HeaderMap,
     name: &HeaderName,
-    malformed: HeaderError,
-) -> Result<Option<&'a str>, HeaderError> {
+    shown: &'static str,
+    expected: &'static str,
+    parse: impl Fn(&str) -> Option<T>,
+) -> Result<Option<T>, HeaderError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    if values.next().is_some() {
-        return Err(malformed);
-    }
-    text(value).map(Some).ok_or(malformed)
+    let parsed = match values.next() {
+        None => text(value).and_then(parse),
+        Some(_second) => None,
+    };
+    let malformed = HeaderError::Malformed {
+        name: shown,
+        expected,
+    };
+    parsed.map(Some).ok_or(malformed)
 }
 
 fn identity(
@@ -167,20 +174,11 @@
     name: &HeaderName,
     shown: &'static str,
 ) -> Result<Option<String>, HeaderError> {
-    let malformed = HeaderError::Malformed {
-        name: shown,
-        expected: "an id",
-    };
-    let Some(value) = single(headers, name, malformed)? else {
-        return Ok(None);
-    };
-    let is_valid =
-        !value.is_empty() && value.len() <= MAX_ID_BYTES && value.bytes().all(is_id_byte);
-    if is_valid {
-        Ok(Some(value.to_owned()))
-    } else {
-        Err(malformed)
-    }
+    optional(headers, name, shown, "an id", |value| {
+        let is_valid =
+            !value.is_empty() && value.len() <= MAX_ID_BYTES && value.bytes().all(is_id_byte);
+        is_valid.then(|| value.to_owned())
+    })
 }
 
 fn is_id_byte(byte: u8) -> bool {
@@ -192,50 +190,32 @@
     name: &HeaderName,
     shown: &'static str,
 ) -> Result<Option<Duration>, HeaderError> {
-    let malformed = HeaderError::Malformed {
-        name: shown,
-        expected: "milliseconds",
-    };
-    let Some(value) = single(headers, name, malformed)? else {
-        return Ok(None);
-    };
-    let number: f64 = value.parse().map_err(|_| malformed)?;
-    // The time until the target is negative once the target has passed.
-    let number = if *name == FINISH_MS && number < 0.0 {
-        0.0
-    } else {
-        number
-    };
-    Duration::try_from_secs_f64(number / 1000.0)
-        .map(Some)
-        .map_err(|_| malformed)
+    optional(headers, name, shown, "milliseconds", |value| {
+        let number: f64 = value.parse().ok()?;
+        // The time until the target is negative once the target has passed.
+        let number = if *name == FINISH_MS && number < 0.0 {
+            0.0
+        } else {
+            number
+        };
+        Duration::try_from_secs_f64(number / 1000.0).ok()
+    })
 }
 
 fn budget(headers: &HeaderMap) -> Result<Option<u64>, HeaderError> {
-    let malformed = HeaderError::Malformed {
-        name: "Budget",
-        expected: "a number of tokens",
-    };
-    let Some(value) = single(headers, &BUDGET, malformed)? else {
-        return Ok(None);
-    };
-    value.parse().map(Some).map_err(|_| malformed)
+    optional(headers, &BUDGET, "Budget", "a number of tokens", |value| {
+        value.parse().ok()
+    })
 }
 
 fn token_usage(headers: &HeaderMap) -> Result<Option<TokenUsage>, HeaderError> {
-    let malformed = HeaderError::Malformed {
-        name: "Token-Usage",
-        expected: "IN,OUT",
-    };
-    let Some(value) = single(headers, &TOKEN_USAGE, malformed)? else {
-        return Ok(None);
-    };
-    let (input, output) = value.split_once(',').ok_or(malformed)?;
-    let number = |part: &str| part.trim().parse::<u32>().map_err(|_| malformed);
-    Ok(Some(TokenUsage {
-        input: number(input)?,
-        output: number(output)?,
-    }))
+    optional(headers, &TOKEN_USAGE, "Token-Usage", "IN,OUT", |value| {
+        let (input, output) = value.split_once(',')?;
+        Some(TokenUsage {
+            input: input.trim().parse().ok()?,
+            output: output.trim().parse().ok()?,
+        })
+    })
 }
 
 /// A header that only helps to place a request: a malformed one is counted and the request is served.
