--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{EventKind, NodeId, ShardValue, ShardWeight};
 use woadreach_runtime::{Net, Stream};
 
 /// Seconds in which a close can have crossed a request on a used connection: the request is sent again on a
@@ -239,13 +239,15 @@
         now: f64,
     ) -> bool {
         let bytes = encode_request(request);
+        let parts = request.parts.iter();
+        let parts = parts.map(|&(shard, weight)| ShardWeight { shard, weight });
         // Recorded first, so that the record has it before the co-ordinator can act on it.
         self.0.recorder.tell(EventKind::Requested {
             node: self.0.node,
             search: request.search.clone(),
             query_type: request.query_type,
-            parts: request.parts.clone(),
-            ends: now + request.timeout,
+            parts: parts.collect(),
+            deadline: now + request.timeout,
         });
         connection.stream.write_all(&bytes).await.is_ok()
     }
@@ -260,13 +262,18 @@
         match response.status {
             200 => match response.rows() {
                 Ok(answer) => {
-                    let (whole, rows) = (answer.complete, answer.rows);
+                    let complete = answer.complete;
+                    let rows = answer.rows.into_iter();
+                    let rows = rows.map(|(shard, value)| ShardValue { shard, value });
                     recorder.tell(EventKind::Answered {
                         search,
-                        whole,
-                        rows,
+                        complete,
+                        rows: rows.collect(),
                     });
-                    CallOutcome::Answered { whole, after }
+                    CallOutcome::Answered {
+                        whole: complete,
+                        after,
+                    }
                 }
                 Err(error) => {
                     self.record_leak(format!("an answer that cannot be read: {error}"));
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -285,11 +285,11 @@
             node,
             replica: self.name.clone(),
             part: name_of(&part),
-            begun,
-            came,
+            first_byte_at: begun,
+            last_byte_at: came,
             work: work_of(&part),
-            from: part.from.clone(),
-            first_whole: part.whole,
+            first_step_shards: part.from.clone(),
+            first_step_complete: part.whole,
         });
         let b = self.behaviour.borrow().clone();
         if b.hangs {
--- a/crates/testing/invariants/src/breach.rs
+++ b/crates/testing/invariants/src/breach.rs
@@ -1,11 +1,12 @@
 //! The rules by name, and the report of a broken one.
 
 use crate::event::Event;
+use crate::units::Seconds;
 use serde::Serialize;
 use std::fmt;
 use std::sync::Arc;
 
-/// A guarantee of the router.
+/// A guarantee of the router. The names in the record are older than some of the variants'.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
@@ -14,9 +15,11 @@
     /// A part that isn't idempotent runs at most once.
     NoEffectTwice,
     /// A draining replica gets nothing new after the grace period.
-    DrainsKept,
+    #[serde(rename = "drains_kept")]
+    DrainRespected,
     /// A replica that warms up isn't overloaded.
-    ColdNotPushedOver,
+    #[serde(rename = "cold_not_pushed_over")]
+    NoSlowStartOverload,
     /// An answer holds only values that replicas computed, and says correctly whether it is complete.
     HonestAnswers,
     /// Retries and hedges stay within the retry budget.
@@ -30,8 +33,8 @@
         f.write_str(match self {
             Rule::NoSearchLost => "no search is lost",
             Rule::NoEffectTwice => "no effect happens twice",
-            Rule::DrainsKept => "drains are kept",
-            Rule::ColdNotPushedOver => "a cold replica is not pushed over",
+            Rule::DrainRespected => "drains are kept",
+            Rule::NoSlowStartOverload => "a cold replica is not pushed over",
             Rule::HonestAnswers => "answers are honest",
             Rule::Budget => "further sub-requests stay within budget",
             Rule::Sound => "the co-ordinator is sound",
@@ -44,8 +47,8 @@
 pub struct Breach {
     /// The broken rule.
     pub rule: Rule,
-    /// When it was found, in seconds of the run's clock.
-    pub at: f64,
+    /// When it was found, by the run's clock.
+    pub at: Seconds,
     /// The search that shows it; none where the breach concerns a co-ordinator as a whole.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub search: Option<Arc<str>>,
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -4,11 +4,12 @@
 use crate::event::{Event, EventKind, NodeId, ReplicaName};
 use crate::state::{Coordinator, Period, Replica, ReplicaStart, Search};
 use crate::terms::Terms;
+use crate::units::Seconds;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Seconds from a search's end until it is forgotten: longer than any of its frames is under way.
-const SEARCH_RETENTION: f64 = 20.0;
+/// How long after its end a search is remembered: longer than any of its frames is in flight.
+const SEARCH_RETENTION: Seconds = 20.0;
 
 /// When a search's answer is overdue. Ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -17,15 +18,21 @@
     search: Arc<str>,
 }
 
+/// A search that has ended, and when.
+struct EndedSearch {
+    at: Seconds,
+    search: Arc<str>,
+}
+
 /// Judges a history event by event. It remembers searches until well after their end, and what it knows of
 /// replicas and co-ordinators.
 pub struct Checker {
     pub(crate) terms: Terms,
-    pub(crate) now: f64,
+    pub(crate) now: Seconds,
     pub(crate) searches: BTreeMap<Arc<str>, Search>,
     due: BTreeSet<AnswerDue>,
-    /// Searches that have ended, and when.
-    ended: VecDeque<(f64, Arc<str>)>,
+    /// Searches that have ended, in the order of their ends.
+    ended: VecDeque<EndedSearch>,
     pub(crate) replicas: BTreeMap<ReplicaName, Replica>,
     pub(crate) coordinators: BTreeMap<NodeId, Coordinator>,
     breaches: Vec<Breach>,
@@ -34,7 +41,7 @@
 }
 
 /// A time in whole microseconds, for ordering.
-fn microseconds(seconds: f64) -> u64 {
+fn microseconds(seconds: Seconds) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
 
@@ -55,12 +62,12 @@
     }
 
     /// How many searches still await their final answer.
-    pub fn owed(&self) -> usize {
+    pub fn open_searches(&self) -> usize {
         self.searches.values().filter(|s| s.is_open()).count()
     }
 
     /// Whether this replica has been overloaded since it started.
-    pub fn fallen(&self, replica: &str) -> bool {
+    pub fn is_overloaded(&self, replica: &str) -> bool {
         self.replicas.get(replica).is_some_and(|r| r.overloaded)
     }
 
@@ -77,13 +84,13 @@
         std::mem::take(&mut self.breaches)
     }
 
-    /// Returns the breaches of answers that are overdue at `now`, in seconds.
-    pub fn tick(&mut self, now: f64) -> Vec<Breach> {
+    /// Returns the breaches of answers that are overdue at `now`.
+    pub fn tick(&mut self, now: Seconds) -> Vec<Breach> {
         self.advance(now);
         std::mem::take(&mut self.breaches)
     }
 
-    fn advance(&mut self, now: f64) {
+    fn advance(&mut self, now: Seconds) {
         self.now = self.now.max(now);
         while self
             .due
@@ -96,10 +103,10 @@
         while self
             .ended
             .front()
-            .is_some_and(|(at, _)| at + SEARCH_RETENTION < now)
-            && let Some((_, search)) = self.ended.pop_front()
+            .is_some_and(|ended| ended.at + SEARCH_RETENTION < now)
+            && let Some(ended) = self.ended.pop_front()
         {
-            self.searches.remove(&search);
+            self.searches.remove(&ended.search);
         }
     }
 
@@ -117,7 +124,9 @@
             EventKind::ReplicaStarted { replica, cores } => {
                 self.replica_started(at, replica, *cores);
             }
-            EventKind::LinkBlocked { replica, held } => self.link_blocked(at, replica, *held),
+            EventKind::LinkBlocked { replica, blocked } => {
+                self.link_blocked(at, replica, *blocked);
+            }
             EventKind::Stalled { node, seconds } => self.coordinator_stalled(at, *node, *seconds),
             EventKind::Panicked { node, why } => {
                 self.report_coordinator(Rule::Sound, *node, format!("a panic: {why}"));
@@ -135,9 +144,9 @@
             EventKind::Requested { .. } => self.search_requested(event),
             EventKind::Answered {
                 search,
-                whole,
+                complete,
                 rows,
-            } => self.search_answered(at, search, *whole, rows),
+            } => self.search_answered(at, search, *complete, rows),
             EventKind::Shed { search } => self.search_shed(at, search),
             EventKind::Failed { search } => {
                 self.accept_final_answer(at, search);
@@ -151,7 +160,7 @@
         }
     }
 
-    fn coordinator_started(&mut self, at: f64, node: NodeId) {
+    fn coordinator_started(&mut self, at: Seconds, node: NodeId) {
         let coordinator = Coordinator {
             started: at,
             ..Coordinator::default()
@@ -163,14 +172,14 @@
         }
     }
 
-    fn coordinator_stalled(&mut self, at: f64, node: NodeId, seconds: f64) {
+    fn coordinator_stalled(&mut self, at: Seconds, node: NodeId, seconds: Seconds) {
         self.coordinators.entry(node).or_default().stalled = Some(Period {
             since: at,
             until: at + seconds,
         });
     }
 
-    fn replica_listed(&mut self, at: f64, node: NodeId, replica: &ReplicaName, ready: bool) {
+    fn replica_listed(&mut self, at: Seconds, node: NodeId, replica: &ReplicaName, ready: bool) {
         let r = self.replicas.entry(replica.clone()).or_default();
         if ready {
             r.leaving.remove(&node);
@@ -181,7 +190,7 @@
         }
     }
 
-    fn replica_started(&mut self, at: f64, replica: &ReplicaName, cores: f64) {
+    fn replica_started(&mut self, at: Seconds, replica: &ReplicaName, cores: f64) {
         let r = self.replicas.entry(replica.clone()).or_default();
         r.start = Some(ReplicaStart { at, cores });
         r.work.clear();
@@ -189,7 +198,7 @@
         r.overloaded = false;
     }
 
-    fn link_blocked(&mut self, at: f64, replica: &ReplicaName, blocked: bool) {
+    fn link_blocked(&mut self, at: Seconds, replica: &ReplicaName, blocked: bool) {
         let slack = self.terms.slack;
         let r = self.replicas.entry(replica.clone()).or_default();
         let since = r
@@ -210,14 +219,14 @@
     }
 
     /// Whether the co-ordinator is excused for what it did or left undone between these times.
-    pub(crate) fn is_excused(&self, node: NodeId, from: f64, to: f64) -> bool {
+    pub(crate) fn is_excused(&self, node: NodeId, from: Seconds, to: Seconds) -> bool {
         self.coordinators
             .get(&node)
             .is_some_and(|n| n.is_excused(from, to))
     }
 
     /// The latest time at which an answer to a search with this deadline counts.
-    pub(crate) fn latest_answer(&self, deadline: f64) -> f64 {
+    pub(crate) fn latest_answer(&self, deadline: Seconds) -> Seconds {
         deadline + self.terms.answer_grace + self.terms.slack
     }
 
@@ -241,7 +250,10 @@
             microseconds: microseconds(self.latest_answer(deadline)),
             search: name.clone(),
         });
-        self.ended.push_back((self.now, name.clone()));
+        self.ended.push_back(EndedSearch {
+            at: self.now,
+            search: name.clone(),
+        });
     }
 
     /// Reports a breach that a search shows.
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -1,6 +1,7 @@
 //! The events of a recorded history, each reported by the side that saw it.
 
-use serde::Serialize;
+use crate::units::{CoreSeconds, Seconds, Share};
+use serde::{Serialize, Serializer};
 use std::sync::Arc;
 
 /// A co-ordinator by its number, which it keeps over restarts.
@@ -24,17 +25,47 @@
     pub fetch: bool,
 }
 
+/// A queried shard and how much it counts; `[shard, weight]` in the record.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShardWeight {
+    /// The shard.
+    pub shard: u64,
+    /// Its share of the whole weight.
+    pub weight: Share,
+}
+
+impl Serialize for ShardWeight {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.shard, self.weight).serialize(serializer)
+    }
+}
+
+/// A shard and the value that an answer has for it; `[shard, value]` in the record.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardValue {
+    /// The shard.
+    pub shard: u64,
+    /// The value.
+    pub value: String,
+}
+
+impl Serialize for ShardValue {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.shard, &self.value).serialize(serializer)
+    }
+}
+
 /// Something that happened, and when.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Seconds of the run's one clock.
-    pub at: f64,
+    /// When, by the run's one clock.
+    pub at: Seconds,
     /// What happened.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// What happened. The names in the record are older than those of the variants.
+/// What happened. The names in the record are older than those of the variants and fields.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
@@ -63,19 +94,21 @@
         search: Arc<str>,
         /// Index into [`Terms::query_types`](crate::Terms::query_types).
         query_type: usize,
-        /// Each queried shard with its share of the whole weight.
-        parts: Arc<[(u64, f64)]>,
-        /// The deadline, in seconds of the run's clock.
-        ends: f64,
+        /// The queried shards.
+        parts: Arc<[ShardWeight]>,
+        /// When the client stops waiting, by the run's clock.
+        #[serde(rename = "ends")]
+        deadline: Seconds,
     },
     /// The client has read the last byte of an answer with results.
     Answered {
         /// The search.
         search: Arc<str>,
         /// Whether the answer claims to be complete.
-        whole: bool,
-        /// Each shard with the value that the answer has for it.
-        rows: Vec<(u64, String)>,
+        #[serde(rename = "whole")]
+        complete: bool,
+        /// What the answer has for each shard.
+        rows: Vec<ShardValue>,
     },
     /// The client has read the last byte of an answer that says the search was shed.
     Shed {
@@ -112,17 +145,19 @@
         /// The part.
         part: PartName,
         /// When the frame's first byte arrived at the replica's machine.
-        begun: f64,
+        #[serde(rename = "begun")]
+        first_byte_at: Seconds,
         /// When its last byte arrived there. The replica may have read it later.
-        came: f64,
-        /// What the part costs, in seconds of one core.
-        work: f64,
+        #[serde(rename = "came")]
+        last_byte_at: Seconds,
+        /// What the part costs.
+        work: CoreSeconds,
         /// For a part of the second step: the shards that the first step's result is said to be from.
-        #[serde(skip_serializing_if = "Vec::is_empty")]
-        from: Vec<u64>,
+        #[serde(rename = "from", skip_serializing_if = "Vec::is_empty")]
+        first_step_shards: Vec<u64>,
         /// For a part of the second step: whether the first step's result is said to be complete.
-        #[serde(skip_serializing_if = "Option::is_none")]
-        first_whole: Option<bool>,
+        #[serde(rename = "first_whole", skip_serializing_if = "Option::is_none")]
+        first_step_complete: Option<bool>,
     },
     /// The replica has rejected the part without running it, and said so.
     #[serde(rename = "turned_away")]
@@ -173,7 +208,7 @@
     ReplicaStarted {
         /// The replica.
         replica: ReplicaName,
-        /// Its cores.
+        /// Number of its cores.
         cores: f64,
     },
     /// One cause that delays what is sent to a replica has begun or ended.
@@ -182,7 +217,8 @@
         /// The replica.
         replica: ReplicaName,
         /// Begun; otherwise ended.
-        held: bool,
+        #[serde(rename = "held")]
+        blocked: bool,
     },
 
     /// The co-ordinator's process is suspended from now on, and can't answer meanwhile.
@@ -190,7 +226,7 @@
         /// The co-ordinator.
         node: NodeId,
         /// For how long.
-        seconds: f64,
+        seconds: Seconds,
     },
     /// A task of the co-ordinator has panicked.
     Panicked {
--- a/crates/testing/invariants/src/lib.rs
+++ b/crates/testing/invariants/src/lib.rs
@@ -14,8 +14,10 @@
 mod rules;
 mod state;
 mod terms;
+mod units;
 
 pub use breach::{Breach, Rule};
 pub use checker::Checker;
-pub use event::{Event, EventKind, NodeId, PartName, ReplicaName};
-pub use terms::{Budget, Cold, QueryTerms, Repeats, Terms};
+pub use event::{Event, EventKind, NodeId, PartName, ReplicaName, ShardValue, ShardWeight};
+pub use terms::{QueryTerms, Repeats, RetryBudget, SlowStart, Terms};
+pub use units::{CoreSeconds, Seconds, Share};
--- a/crates/testing/invariants/src/rules/answers.rs
+++ b/crates/testing/invariants/src/rules/answers.rs
@@ -3,27 +3,26 @@
 
 use crate::breach::Rule;
 use crate::checker::Checker;
-use crate::event::PartName;
+use crate::event::{PartName, ShardValue};
 use crate::rules::WEIGHT_TOLERANCE;
 use crate::state::{FirstStep, PartKey, Search};
 use crate::terms::QueryTerms;
+use crate::units::Seconds;
 use std::sync::Arc;
 
 /// What is wrong with the rows themselves.
-fn row_faults(s: &Search, fetch: bool, rows: &[(u64, String)]) -> Vec<String> {
+fn row_faults(s: &Search, fetch: bool, rows: &[ShardValue]) -> Vec<String> {
     let mut faults = Vec::new();
     let mut seen = Vec::new();
-    for (shard, value) in rows {
-        if seen.contains(shard) {
+    for row in rows {
+        let shard = row.shard;
+        if seen.contains(&shard) {
             faults.push(format!("shard {shard} stands in it twice"));
         }
-        seen.push(*shard);
-        let key = PartKey {
-            shard: *shard,
-            fetch,
-        };
+        seen.push(shard);
+        let key = PartKey { shard, fetch };
         let mut values = s.values.get(&key).into_iter().flatten();
-        if !values.any(|v| **v == **value) {
+        if !values.any(|value| **value == *row.value) {
             faults.push(format!("no replica made the value of shard {shard} for it"));
         }
     }
@@ -35,17 +34,17 @@
     s: &Search,
     terms: &QueryTerms,
     complete: bool,
-    rows: &[(u64, String)],
+    rows: &[ShardValue],
 ) -> Vec<String> {
     let mut faults = Vec::new();
-    let weight = s.weight(|shard| rows.iter().any(|row| row.0 == shard));
-    if weight < terms.floor - WEIGHT_TOLERANCE {
+    let weight = s.weight(|shard| rows.iter().any(|row| row.shard == shard));
+    if weight < terms.minimum_weight - WEIGHT_TOLERANCE {
         faults.push(format!(
             "{weight:.3} of the weight is in, {} is the least",
-            terms.floor
+            terms.minimum_weight
         ));
     }
-    if complete && weight < terms.need - WEIGHT_TOLERANCE {
+    if complete && weight < terms.complete_weight - WEIGHT_TOLERANCE {
         faults.push(format!("marked whole with {weight:.3} of the weight"));
     }
     faults
@@ -57,12 +56,12 @@
         return vec!["answered before its second step".into()];
     };
     let mut faults = Vec::new();
-    let wanted = terms.fetch.min(first.shards.len()).max(1);
+    let wanted = terms.second_step_parts.min(first.shards.len()).max(1);
     let share = rows as f64 / wanted as f64;
     if complete && (!first.complete || share < 1.0 - WEIGHT_TOLERANCE) {
         faults.push("marked whole, though its first or second step is not".into());
     }
-    if share < terms.floor - WEIGHT_TOLERANCE {
+    if share < terms.minimum_weight - WEIGHT_TOLERANCE {
         faults.push(format!(
             "{rows} of {wanted} parts of the second step are in"
         ));
@@ -100,8 +99,8 @@
             part.shard
         ));
     }
-    if weight < terms.floor - WEIGHT_TOLERANCE
-        || (complete && weight < terms.need - WEIGHT_TOLERANCE)
+    if weight < terms.minimum_weight - WEIGHT_TOLERANCE
+        || (complete && weight < terms.complete_weight - WEIGHT_TOLERANCE)
     {
         faults.push(format!(
             "its first step ended with {weight:.3} of the weight, whole: {complete}"
@@ -114,24 +113,24 @@
     /// The client has read an answer with results.
     pub(crate) fn search_answered(
         &mut self,
-        at: f64,
+        at: Seconds,
         search: &Arc<str>,
         complete: bool,
-        rows: &[(u64, String)],
+        rows: &[ShardValue],
     ) {
         if self.accept_final_answer(at, search) {
             self.check_answer(search, complete, rows);
         }
     }
 
-    fn check_answer(&mut self, search: &Arc<str>, complete: bool, rows: &[(u64, String)]) {
+    fn check_answer(&mut self, search: &Arc<str>, complete: bool, rows: &[ShardValue]) {
         let Some(s) = self.searches.get(search) else {
             return;
         };
         let Some(terms) = self.terms.query_types.get(s.query_type) else {
             return;
         };
-        let two_steps = terms.fetch > 0;
+        let two_steps = terms.second_step_parts > 0;
         let mut faults = row_faults(s, two_steps, rows);
         faults.extend(if two_steps {
             second_step_faults(s, terms, complete, rows.len())
--- a/crates/testing/invariants/src/rules/disconnected_clients.rs
+++ b/crates/testing/invariants/src/rules/disconnected_clients.rs
@@ -3,17 +3,17 @@
 use crate::breach::Rule;
 use crate::checker::Checker;
 use crate::rules::parts::ReceivedPart;
+use crate::units::Seconds;
 use std::sync::Arc;
 
-/// How long after a client's disconnection attempts may still begin, in seconds: the co-ordinator has to
-/// notice it.
-const DISCONNECT_GRACE: f64 = 0.1;
+/// How long after a client's disconnection attempts may still begin: the co-ordinator has to notice it.
+const DISCONNECT_GRACE: Seconds = 0.1;
 /// Cases of a run from which on late attempts are a breach: the delay until a co-ordinator reads its sockets
 /// varies.
 const MIN_LATE_ATTEMPTS: usize = 3;
 
 impl Checker {
-    pub(crate) fn client_disconnected(&mut self, at: f64, search: &Arc<str>) {
+    pub(crate) fn client_disconnected(&mut self, at: Seconds, search: &Arc<str>) {
         if let Some(s) = self.searches.get_mut(search).filter(|s| s.is_open()) {
             s.disconnected = Some(at);
         }
@@ -25,10 +25,10 @@
         let Some(disconnected) = self.searches.get(name).and_then(|s| s.disconnected) else {
             return;
         };
-        let began = received.first_byte_at;
-        if began <= disconnected + DISCONNECT_GRACE + self.terms.slack
+        let sent_at = received.first_byte_at;
+        if sent_at <= disconnected + DISCONNECT_GRACE + self.terms.slack
             || self.was_delayed(received, disconnected)
-            || self.is_excused(received.node, disconnected, began)
+            || self.is_excused(received.node, disconnected, sent_at)
         {
             return;
         }
@@ -37,7 +37,7 @@
             let why = format!(
                 "shard {} was sent on {:.3} s after its client had gone, case {} of the run",
                 received.part.shard,
-                began - disconnected,
+                sent_at - disconnected,
                 self.late_attempts
             );
             self.report(Rule::Sound, name, why);
--- a/crates/testing/invariants/src/rules/drains.rs
+++ b/crates/testing/invariants/src/rules/drains.rs
@@ -12,17 +12,17 @@
             .and_then(|r| r.leaving.get(&received.node))
             .copied();
         let Some(listed) = leaving else { return };
-        let began = received.first_byte_at;
-        if began > listed + self.terms.drain_grace + self.terms.slack
+        let sent_at = received.first_byte_at;
+        if sent_at > listed + self.terms.drain_grace + self.terms.slack
             && !self.was_delayed(received, listed)
-            && !self.is_excused(received.node, listed, began)
+            && !self.is_excused(received.node, listed, sent_at)
         {
             let why = format!(
                 "sent to {} {:.3} s after it was told to leave",
                 received.replica,
-                began - listed
+                sent_at - listed
             );
-            self.report(Rule::DrainsKept, &received.part.search, why);
+            self.report(Rule::DrainRespected, &received.part.search, why);
         }
     }
 }
--- a/crates/testing/invariants/src/rules/lost_searches.rs
+++ b/crates/testing/invariants/src/rules/lost_searches.rs
@@ -5,13 +5,14 @@
 use crate::event::{Event, EventKind, NodeId};
 use crate::rules::parts::ReceivedPart;
 use crate::state::Search;
+use crate::units::Seconds;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A stall up to so many seconds before a deadline still excuses a late answer.
-const STALL_BEFORE_DEADLINE: f64 = 1.0;
-/// Latency of a link up to which an attempt that arrives after the answer was sent after it, in seconds.
-const SHORT_LATENCY: f64 = 0.001;
+/// How long before a deadline a stall may have ended and still excuse a late answer.
+const STALL_BEFORE_DEADLINE: Seconds = 1.0;
+/// Latency of a link up to which an attempt that arrives after the answer was sent after it.
+const SHORT_LATENCY: Seconds = 0.001;
 
 impl Checker {
     pub(crate) fn search_requested(&mut self, event: &Event) {
@@ -20,7 +21,7 @@
             search,
             query_type,
             parts,
-            ends,
+            deadline,
         } = &event.kind
         else {
             return;
@@ -30,7 +31,7 @@
             node: *node,
             query_type: *query_type,
             parts: parts.clone(),
-            deadline: *ends,
+            deadline: *deadline,
             answered: None,
             ended: false,
             disconnected: None,
@@ -44,7 +45,7 @@
     }
 
     /// The latest time for a search's answer, `due`, has passed.
-    pub(crate) fn answer_overdue(&mut self, search: &Arc<str>, due: f64) {
+    pub(crate) fn answer_overdue(&mut self, search: &Arc<str>, due: Seconds) {
         let Some(s) = self.searches.get(search).filter(|s| s.is_open()) else {
             return;
         };
@@ -56,7 +57,7 @@
     }
 
     /// Whether this is the search's one answer; reports a second one and a late one.
-    pub(crate) fn accept_final_answer(&mut self, at: f64, search: &Arc<str>) -> bool {
+    pub(crate) fn accept_final_answer(&mut self, at: Seconds, search: &Arc<str>) -> bool {
         let Some(s) = self.searches.get_mut(search) else {
             return false;
         };
@@ -125,9 +126,9 @@
             self.report(Rule::NoSearchLost, name, why);
             return false;
         };
-        // Over a slow link nobody can know what is still under way.
-        let under_way = (self.terms.way - SHORT_LATENCY).max(0.0);
-        let Some(answered) = s.answered.filter(|a| received.at > *a + under_way) else {
+        // What was sent before the answer may arrive after it, by the latency of a link.
+        let in_flight_for = (self.terms.max_link_latency - SHORT_LATENCY).max(0.0);
+        let Some(answered) = s.answered.filter(|a| received.at > *a + in_flight_for) else {
             return true;
         };
         if self.was_delayed(received, answered) {
@@ -148,7 +149,7 @@
         let requested = self
             .searches
             .get(name)
-            .is_some_and(|s| s.parts.iter().any(|p| p.0 == shard));
+            .is_some_and(|s| s.parts.iter().any(|part| part.shard == shard));
         if !requested {
             let why = format!("shard {shard} was not asked for");
             self.report(Rule::NoSearchLost, name, why);
--- a/crates/testing/invariants/src/rules/mod.rs
+++ b/crates/testing/invariants/src/rules/mod.rs
@@ -1,7 +1,9 @@
 //! One file for each guarantee. Every file adds the methods of [`Checker`](crate::Checker) that judge it.
 
+use crate::units::Share;
+
 /// Least difference of shares of weight that counts: settings write weights with few digits.
-pub(crate) const WEIGHT_TOLERANCE: f64 = 1e-4;
+pub(crate) const WEIGHT_TOLERANCE: Share = 1e-4;
 
 mod answers;
 mod disconnected_clients;
--- a/crates/testing/invariants/src/rules/parts.rs
+++ b/crates/testing/invariants/src/rules/parts.rs
@@ -3,14 +3,15 @@
 use crate::checker::Checker;
 use crate::event::{Event, EventKind, NodeId, PartName, ReplicaName};
 use crate::state::PartKey;
+use crate::units::Seconds;
 use std::sync::Arc;
 
 /// A part that arrived at a replica.
 pub(crate) struct ReceivedPart<'a> {
-    /// When its last byte arrived, in seconds.
-    pub(crate) at: f64,
-    /// When its first byte arrived, in seconds.
-    pub(crate) first_byte_at: f64,
+    /// When its last byte arrived.
+    pub(crate) at: Seconds,
+    /// When its first byte arrived.
+    pub(crate) first_byte_at: Seconds,
     pub(crate) node: NodeId,
     pub(crate) replica: &'a ReplicaName,
     pub(crate) part: &'a PartName,
@@ -22,18 +23,18 @@
             node,
             replica,
             part,
-            begun,
-            came,
+            first_byte_at,
+            last_byte_at,
             work,
-            from,
-            first_whole,
+            first_step_shards,
+            first_step_complete,
         } = &event.kind
         else {
             return;
         };
         let received = ReceivedPart {
-            at: *came,
-            first_byte_at: *begun,
+            at: *last_byte_at,
+            first_byte_at: *first_byte_at,
             node: *node,
             replica,
             part,
@@ -43,8 +44,8 @@
         if self.check_search_awaits_part(&received) {
             self.check_repeat(&received);
         }
-        self.check_second_step(part, from, *first_whole);
-        self.check_slow_start(*came, *node, replica, *work);
+        self.check_second_step(part, first_step_shards, *first_step_complete);
+        self.check_slow_start(*last_byte_at, *node, replica, *work);
     }
 
     pub(crate) fn part_rejected(&mut self, replica: &ReplicaName, part: &PartName) {
@@ -58,7 +59,7 @@
         }
     }
 
-    pub(crate) fn part_completed(&mut self, at: f64, part: &PartName, value: &Arc<str>) {
+    pub(crate) fn part_completed(&mut self, at: Seconds, part: &PartName, value: &Arc<str>) {
         if let Some(s) = self.searches.get_mut(&part.search) {
             s.values
                 .entry(PartKey::from(part))
@@ -69,7 +70,7 @@
     }
 
     /// Whether the part may have been written before `since` and delayed on its link.
-    pub(crate) fn was_delayed(&self, received: &ReceivedPart<'_>, since: f64) -> bool {
+    pub(crate) fn was_delayed(&self, received: &ReceivedPart<'_>, since: Seconds) -> bool {
         self.replicas
             .get(received.replica)
             .is_some_and(|r| r.was_delayed(since, received.at))
--- a/crates/testing/invariants/src/rules/repeats.rs
+++ b/crates/testing/invariants/src/rules/repeats.rs
@@ -5,11 +5,12 @@
 use crate::rules::parts::ReceivedPart;
 use crate::state::{Attempt, PartKey};
 use crate::terms::Repeats;
+use crate::units::Seconds;
 use std::sync::Arc;
 
 impl Checker {
     /// The client has read that its search was shed.
-    pub(crate) fn search_shed(&mut self, at: f64, search: &Arc<str>) {
+    pub(crate) fn search_shed(&mut self, at: Seconds, search: &Arc<str>) {
         if self.accept_final_answer(at, search) {
             self.check_shed(search);
         }
@@ -43,7 +44,7 @@
         let attempts = s.attempts.get(&PartKey::from(part));
         let first = attempts.and_then(|all| all.first());
         let is_retry = first.is_some();
-        // When a delayed attempt was written can't be told here.
+        // When a delayed attempt was written is unknown here.
         let delayed = first.is_some_and(|a| self.was_delayed(received, a.at));
         let may_have_run = attempts.into_iter().flatten().find(|a| !a.rejected);
         let forbidden = may_have_run
--- a/crates/testing/invariants/src/rules/retry_budget.rs
+++ b/crates/testing/invariants/src/rules/retry_budget.rs
@@ -5,12 +5,13 @@
 use crate::event::{NodeId, PartName};
 use crate::rules::WEIGHT_TOLERANCE;
 use crate::state::{AcceptedRequests, Coordinator, PartKey};
+use crate::units::Seconds;
 
 /// Tolerance for rounding in the sum of the allowed attempts.
 const ROUNDING: f64 = 1e-9;
 
 /// Forgets requests that were accepted before the window.
-fn forget_accepted(coordinator: &mut Coordinator, window: f64, at: f64) {
+fn forget_accepted(coordinator: &mut Coordinator, window: Seconds, at: Seconds) {
     while coordinator
         .accepted
         .front()
@@ -22,11 +23,11 @@
 
 impl Checker {
     /// Counts the requests of a search that a co-ordinator has accepted.
-    pub(crate) fn count_accepted(&mut self, at: f64, node: NodeId, count: usize) {
-        let Some(budget) = &self.terms.budget else {
+    pub(crate) fn count_accepted(&mut self, at: Seconds, node: NodeId, count: usize) {
+        let Some(budget) = &self.terms.retry_budget else {
             return;
         };
-        let window = budget.window + self.terms.way;
+        let window = budget.window + self.terms.max_link_latency;
         let coordinator = self.coordinators.entry(node).or_default();
         coordinator
             .accepted
@@ -35,7 +36,7 @@
     }
 
     /// Counts the requests of a second step, from the earliest time at which it can begin.
-    pub(crate) fn count_second_step(&mut self, at: f64, part: &PartName) {
+    pub(crate) fn count_second_step(&mut self, at: Seconds, part: &PartName) {
         let Some(s) = self
             .searches
             .get_mut(&part.search)
@@ -47,7 +48,7 @@
             .terms
             .query_types
             .get(s.query_type)
-            .filter(|t| t.fetch > 0)
+            .filter(|t| t.second_step_parts > 0)
         else {
             return;
         };
@@ -55,9 +56,9 @@
             let fetch = false;
             s.values.contains_key(&PartKey { shard, fetch })
         });
-        if completed >= terms.floor - WEIGHT_TOLERANCE {
+        if completed >= terms.minimum_weight - WEIGHT_TOLERANCE {
             s.second_step_possible = true;
-            let count = terms.fetch;
+            let count = terms.second_step_parts;
             if let Some(coordinator) = self.coordinators.get_mut(&s.node) {
                 coordinator
                     .accepted
@@ -70,11 +71,11 @@
     ///
     /// An attempt may arrive later than the co-ordinator counted it, by up to the latency of a link: the
     /// window is shorter by that much for attempts, and longer for accepted requests.
-    pub(crate) fn check_retry_budget(&mut self, at: f64, node: NodeId) {
-        let Some(budget) = self.terms.budget.clone() else {
+    pub(crate) fn check_retry_budget(&mut self, at: Seconds, node: NodeId) {
+        let Some(budget) = self.terms.retry_budget.clone() else {
             return;
         };
-        let (latency, slack, now) = (self.terms.way, self.terms.slack, self.now);
+        let (latency, slack, now) = (self.terms.max_link_latency, self.terms.slack, self.now);
         let coordinator = self.coordinators.entry(node).or_default();
         // A suspended replica may read it after its co-ordinator was restarted.
         if at < coordinator.started {
@@ -92,10 +93,10 @@
         }
         let accepted: usize = coordinator.accepted.iter().map(|a| a.count).sum();
         let sent = coordinator.retries.len();
-        let allowed = budget.free + budget.share * accepted as f64;
-        let is_over = sent as f64 > allowed + ROUNDING;
-        let was_over = std::mem::replace(&mut coordinator.over_budget, is_over);
-        if is_over && !was_over {
+        let allowed = budget.min_retries + budget.ratio * accepted as f64;
+        let exceeds_budget = sent as f64 > allowed + ROUNDING;
+        let exceeded_before = std::mem::replace(&mut coordinator.exceeds_budget, exceeds_budget);
+        if exceeds_budget && !exceeded_before {
             let window = budget.window;
             let why =
                 format!("{sent} further sub-requests in {window} s, {allowed:.1} are allowed");
--- a/crates/testing/invariants/src/rules/slow_start.rs
+++ b/crates/testing/invariants/src/rules/slow_start.rs
@@ -4,64 +4,72 @@
 use crate::checker::Checker;
 use crate::event::{NodeId, ReplicaName};
 use crate::state::{ReceivedWork, Replica, ReplicaStart};
-use crate::terms::Cold;
+use crate::terms::SlowStart;
+use crate::units::{CoreSeconds, Seconds};
 
-/// The share of its capacity, in cores, that a replica has at this time.
-fn capacity(cold: &Cold, start: ReplicaStart, at: f64) -> f64 {
-    let warmed_up = ((at - start.at) / cold.time).min(1.0);
-    start.cores * (cold.from + (1.0 - cold.from) * warmed_up)
+/// The capacity that a replica has at this time, in cores.
+fn capacity(terms: &SlowStart, start: ReplicaStart, at: Seconds) -> f64 {
+    let warmed_up = ((at - start.at) / terms.duration).min(1.0);
+    start.cores * (terms.initial_capacity + (1.0 - terms.initial_capacity) * warmed_up)
 }
 
 impl Replica {
     /// Requests of mean work that it received in the window.
-    fn requests(&self, cold: &Cold, counts: impl Fn(&ReceivedWork) -> bool) -> f64 {
+    fn requests(&self, terms: &SlowStart, counts: impl Fn(&ReceivedWork) -> bool) -> f64 {
         let work = self.work.iter().filter(|w| counts(w)).map(|w| w.work);
-        work.sum::<f64>() / cold.work
+        work.sum::<f64>() / terms.mean_work
     }
 }
 
 impl Checker {
     pub(crate) fn check_slow_start(
         &mut self,
-        at: f64,
+        at: Seconds,
         node: NodeId,
         replica: &ReplicaName,
-        work: f64,
+        work: CoreSeconds,
     ) {
-        let Some(cold) = self.terms.cold.clone() else {
+        let Some(terms) = self.terms.slow_start.clone() else {
             return;
         };
         let Some(r) = self.replicas.get_mut(replica) else {
             return;
         };
-        let warming = r.start.filter(|s| at < s.at + cold.time && !r.overloaded);
+        let warming = r
+            .start
+            .filter(|s| at < s.at + terms.duration && !r.overloaded);
         let Some(start) = warming else { return };
         r.work.push_back(ReceivedWork {
             at,
             work,
             sender_notified: r.notified.contains(&node),
         });
-        while r.work.front().is_some_and(|w| w.at + cold.window <= at) {
+        while r
+            .work
+            .front()
+            .is_some_and(|w| w.at + terms.overload_window <= at)
+        {
             r.work.pop_front();
         }
-        let received = r.requests(&cold, |_| true);
-        let budget = cold.multiple * capacity(&cold, start, at) * cold.window / cold.work;
+        let received = r.requests(&terms, |_| true);
+        let budget = terms.overload_multiple * capacity(&terms, start, at) * terms.overload_window
+            / terms.mean_work;
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
         if received <= allowed {
             return;
         }
         r.overloaded = true;
-        let notified = r.requests(&cold, |w| w.sender_notified);
+        let notified = r.requests(&terms, |w| w.sender_notified);
         // Over two thirds of it must have come from senders that knew of the start.
-        if !cold.untold_too && notified * 3.0 <= received * 2.0 {
+        if !terms.counts_unlisted_senders && notified * 3.0 <= received * 2.0 {
             return;
         }
         let why = format!(
             "{replica}, {:.2} s old, was sent {received:.1} requests of mean work in {} s: {budget:.1} are \
              its budget, {allowed:.1} the most that chance brings",
             at - start.at,
-            cold.window
+            terms.overload_window
         );
-        self.report_coordinator(Rule::ColdNotPushedOver, node, why);
+        self.report_coordinator(Rule::NoSlowStartOverload, node, why);
     }
 }
--- a/crates/testing/invariants/src/state.rs
+++ b/crates/testing/invariants/src/state.rs
@@ -1,21 +1,22 @@
 //! What a checker remembers of each search, replica and co-ordinator.
 
-use crate::event::{Event, NodeId, PartName, ReplicaName};
+use crate::event::{Event, NodeId, PartName, ReplicaName, ShardWeight};
+use crate::units::{CoreSeconds, Seconds, Share};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How long after a stall a process may still work off what waited for it, in seconds.
-const STALL_RECOVERY: f64 = 0.5;
-/// Delayed frames arrive within so many seconds of the end of the delay.
-const RETRANSMIT_TIMEOUT: f64 = 0.1;
+/// How long after a stall a process may still work off what waited for it.
+const STALL_RECOVERY: Seconds = 0.5;
+/// How long after the end of a delay the delayed frames may still arrive.
+const RETRANSMIT_TIMEOUT: Seconds = 0.1;
 /// Most events of one search that are kept as proof.
 const MAX_PROOF_EVENTS: usize = 64;
 
 /// One send of a part.
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaName,
-    /// When it arrived there, in seconds.
-    pub(crate) at: f64,
+    /// When it arrived there.
+    pub(crate) at: Seconds,
     pub(crate) rejected: bool,
 }
 
@@ -45,14 +46,14 @@
 pub(crate) struct Search {
     pub(crate) node: NodeId,
     pub(crate) query_type: usize,
-    pub(crate) parts: Arc<[(u64, f64)]>,
-    pub(crate) deadline: f64,
+    pub(crate) parts: Arc<[ShardWeight]>,
+    pub(crate) deadline: Seconds,
     /// When its one final answer was read.
-    pub(crate) answered: Option<f64>,
+    pub(crate) answered: Option<Seconds>,
     /// No answer is owed any more.
     pub(crate) ended: bool,
     /// When its client disconnected before it had its answer.
-    pub(crate) disconnected: Option<f64>,
+    pub(crate) disconnected: Option<Seconds>,
     pub(crate) attempts: BTreeMap<PartKey, Vec<Attempt>>,
     /// The values that replicas computed.
     pub(crate) values: BTreeMap<PartKey, Vec<Arc<str>>>,
@@ -76,20 +77,19 @@
     }
 
     /// The share of the weight that the given shards have.
-    pub(crate) fn weight(&self, included: impl Fn(u64) -> bool) -> f64 {
+    pub(crate) fn weight(&self, included: impl Fn(u64) -> bool) -> Share {
         self.parts
             .iter()
-            .filter(|p| included(p.0))
-            .map(|p| p.1)
+            .filter(|part| included(part.shard))
+            .map(|part| part.weight)
             .sum()
     }
 }
 
 /// Work that a warming replica received.
 pub(crate) struct ReceivedWork {
-    pub(crate) at: f64,
-    /// In seconds of one core.
-    pub(crate) work: f64,
+    pub(crate) at: Seconds,
+    pub(crate) work: CoreSeconds,
     /// Its sender's agent had listed the replica.
     pub(crate) sender_notified: bool,
 }
@@ -97,22 +97,22 @@
 /// When a replica's process started, and with how many cores.
 #[derive(Clone, Copy)]
 pub(crate) struct ReplicaStart {
-    pub(crate) at: f64,
+    pub(crate) at: Seconds,
     pub(crate) cores: f64,
 }
 
 /// A time in which something was delayed or suspended.
 #[derive(Clone, Copy)]
 pub(crate) struct Period {
-    pub(crate) since: f64,
-    pub(crate) until: f64,
+    pub(crate) since: Seconds,
+    pub(crate) until: Seconds,
 }
 
 /// A replica by its name.
 #[derive(Default)]
 pub(crate) struct Replica {
     /// Whose agents list it as draining or departed, and since when.
-    pub(crate) leaving: BTreeMap<NodeId, f64>,
+    pub(crate) leaving: BTreeMap<NodeId, Seconds>,
     pub(crate) start: Option<ReplicaStart>,
     /// What it received in the last window while warming up.
     pub(crate) work: VecDeque<ReceivedWork>,
@@ -127,7 +127,7 @@
 
 impl Replica {
     /// Whether a frame that arrived `at` may have been written before `since` and delayed.
-    pub(crate) fn was_delayed(&self, since: f64, at: f64) -> bool {
+    pub(crate) fn was_delayed(&self, since: Seconds, at: Seconds) -> bool {
         self.delayed.is_some_and(|period| {
             period.until >= since && period.since <= at && at <= period.until + RETRANSMIT_TIMEOUT
         })
@@ -136,7 +136,7 @@
 
 /// Requests that a co-ordinator accepted, for the retry budget.
 pub(crate) struct AcceptedRequests {
-    pub(crate) at: f64,
+    pub(crate) at: Seconds,
     pub(crate) count: usize,
 }
 
@@ -144,17 +144,18 @@
 #[derive(Default)]
 pub(crate) struct Coordinator {
     /// What arrived before was sent by the previous process, and counts in no budget.
-    pub(crate) started: f64,
+    pub(crate) started: Seconds,
     pub(crate) accepted: VecDeque<AcceptedRequests>,
-    pub(crate) retries: VecDeque<f64>,
-    pub(crate) over_budget: bool,
+    pub(crate) retries: VecDeque<Seconds>,
+    /// Whether its retries exceeded the budget when the last one arrived.
+    pub(crate) exceeds_budget: bool,
     /// The last time in which it was suspended.
     pub(crate) stalled: Option<Period>,
 }
 
 impl Coordinator {
     /// Whether the process was suspended at some time between these, or recovered from it.
-    pub(crate) fn is_excused(&self, from: f64, to: f64) -> bool {
+    pub(crate) fn is_excused(&self, from: Seconds, to: Seconds) -> bool {
         self.stalled
             .is_some_and(|stall| stall.since <= to && stall.until + STALL_RECOVERY >= from)
     }
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -6,7 +6,9 @@
 use recorded::Records;
 use serde_json::Value;
 use std::sync::Arc;
-use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, ReplicaName, Rule};
+use woadreach_invariants::{
+    Breach, Event, EventKind, NodeId, PartName, ReplicaName, Rule, ShardValue, ShardWeight,
+};
 
 fn records(file: &str) -> Records {
     Records::at(&format!(
@@ -33,31 +35,34 @@
     }
 }
 
-fn sent(from: Vec<u64>, first_whole: Option<bool>) -> EventKind {
-    let (replica, part) = (replica(), part(!from.is_empty()));
+fn sent(first_step_shards: Vec<u64>, first_step_complete: Option<bool>) -> EventKind {
+    let (replica, part) = (replica(), part(!first_step_shards.is_empty()));
     EventKind::PartReceived {
         node: NODE,
         replica,
         part,
-        begun: 1.25,
-        came: 1.5,
+        first_byte_at: 1.25,
+        last_byte_at: 1.5,
         work: 0.05,
-        from,
-        first_whole,
+        first_step_shards,
+        first_step_complete,
     }
 }
 
 /// An event of each kind.
 fn events() -> Vec<EventKind> {
     let (search, replica, part) = (search(), replica(), part(false));
-    let rows = vec![(0, "value".to_string()), (7, String::new())];
+    let rows = [(0, "value"), (7, "")].map(|(shard, value)| ShardValue {
+        shard,
+        value: value.into(),
+    });
     let made = EventKind::PartCompleted {
         node: NODE,
         replica: replica.clone(),
         part: part.clone(),
         value: "v".into(),
     };
-    let parts = Arc::from([(0, 0.5), (7, 0.5)]);
+    let parts = [(0, 0.5), (7, 0.5)].map(|(shard, weight)| ShardWeight { shard, weight });
     vec![
         EventKind::NodeStarted { node: NODE },
         EventKind::NodeKilled { node: NODE },
@@ -66,13 +71,13 @@
             node: NODE,
             search: search.clone(),
             query_type: 1,
-            parts,
-            ends: 2.5,
+            parts: Arc::from(parts),
+            deadline: 2.5,
         },
         EventKind::Answered {
             search: search.clone(),
-            whole: true,
-            rows,
+            complete: true,
+            rows: rows.into(),
         },
         EventKind::Shed {
             search: search.clone(),
@@ -107,7 +112,7 @@
         },
         EventKind::LinkBlocked {
             replica,
-            held: true,
+            blocked: true,
         },
         EventKind::Stalled {
             node: NODE,
@@ -190,8 +195,8 @@
 const RULES: [Rule; 7] = [
     Rule::NoSearchLost,
     Rule::NoEffectTwice,
-    Rule::DrainsKept,
-    Rule::ColdNotPushedOver,
+    Rule::DrainRespected,
+    Rule::NoSlowStartOverload,
     Rule::HonestAnswers,
     Rule::Budget,
     Rule::Sound,
--- /dev/null
+++ b/crates/testing/invariants/tests/rules/disconnected_clients.rs
@@ -0,0 +1,35 @@
+//! Nothing is sent for a client that has disconnected.
+
+use crate::support::{requested, rules_of, sent_at, terms};
+use rstest::rstest;
+use woadreach_invariants::{Checker, Event, EventKind, Rule, Terms};
+
+/// A client has gone at 0.2 s: attempts that begin up to 0.1 s later, and the slack of the record, are on
+/// their way; later ones are a break from the third on.
+#[rstest]
+#[case::on_their_way(&[0.21, 0.3, 0.34, 0.34], 0)]
+#[case::two_are_none(&[0.36, 0.5], 0)]
+#[case::three(&[0.36, 0.5, 0.6], 1)]
+#[case::four(&[0.36, 0.5, 0.6, 0.7], 2)]
+fn attempts_for_a_disconnected_client(#[case] at: &[f64], #[case] breaks: usize) {
+    let mut checker = Checker::new(Terms {
+        retry_budget: None,
+        slow_start: None,
+        ..terms()
+    });
+    let mut all = checker.take(&Event {
+        at: 0.0,
+        kind: requested(0),
+    });
+    all.extend(checker.take(&Event {
+        at: 0.2,
+        kind: EventKind::ClientDisconnected { search: "s".into() },
+    }));
+    for at in at {
+        all.extend(checker.take(&Event {
+            at: *at,
+            kind: sent_at(0, "a", *at),
+        }));
+    }
+    assert_eq!(rules_of(&all), vec![Rule::Sound; breaks]);
+}
--- /dev/null
+++ b/crates/testing/invariants/tests/rules/proof.rs
@@ -0,0 +1,29 @@
+//! What a breach shows as its proof.
+
+use crate::support::{COMPLETE, answered, requested, sent_at, terms};
+use woadreach_invariants::{Checker, Event};
+
+/// The proof of a breach is what was seen of its search, and of no other.
+#[test]
+fn breaches_come_with_their_events() {
+    let mut checker = Checker::new(terms());
+    for (at, kind) in [(0.0, requested(0)), (0.1, sent_at(0, "a", 0.1))] {
+        assert!(checker.take(&Event { at, kind }).is_empty());
+    }
+    assert_eq!(checker.open_searches(), 1);
+    let found = checker.take(&Event {
+        at: 0.2,
+        kind: answered(true, &COMPLETE),
+    });
+    assert_eq!(
+        (found.len(), found[0].proof.len(), checker.open_searches()),
+        (1, 3, 0)
+    );
+    assert!(
+        found[0]
+            .why
+            .contains("no replica made the value of shard 0"),
+        "{}",
+        found[0].why
+    );
+}
--- /dev/null
+++ b/crates/testing/invariants/tests/rules/retry_budget.rs
@@ -0,0 +1,31 @@
+//! Retries and hedges stay within the retry budget.
+
+use crate::support::{NODE, broken_rules, requested, sent_at};
+use rstest::rstest;
+use woadreach_invariants::{EventKind, Rule};
+
+#[rstest]
+#[case::one_is_free(&[0.1, 0.2], &[])]
+#[case::two_are_not(&[0.1, 0.2, 0.3], &[Rule::Budget])]
+fn budget(#[case] at: &[f64], #[case] expected: &[Rule]) {
+    let sent = at.iter().map(|at| (*at, sent_at(0, "a", *at)));
+    assert_eq!(
+        broken_rules([(0.0, requested(0))].into_iter().chain(sent).collect(), 0.9),
+        expected
+    );
+}
+
+/// What an ended process had sent, and a replica that stood still reads only now, is not of the new one's
+/// budget.
+#[test]
+fn budget_of_a_process_begins_with_it() {
+    let late = [(0, 0.1), (0, 0.2), (0, 0.3)].map(|(shard, came)| (0.6, sent_at(shard, "a", came)));
+    let started = (0.5, EventKind::NodeStarted { node: NODE });
+    let now = (0.7, sent_at(0, "a", 0.7));
+    let events = [(0.0, requested(0)), started]
+        .into_iter()
+        .chain(late)
+        .chain([now])
+        .collect();
+    assert_eq!(broken_rules(events, 0.9), []);
+}
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -31,7 +31,7 @@
     pub(super) fn record_link_change(&self, replica: usize, is_partitioned: bool) {
         self.recorder.tell(EventKind::LinkBlocked {
             replica: self.replicas[replica].name.as_str().into(),
-            held: is_partitioned,
+            blocked: is_partitioned,
         });
     }
 
--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -78,7 +78,7 @@
 
     /// How many final answers are still owed.
     pub fn owed(&self) -> usize {
-        self.checker.owed()
+        self.checker.open_searches()
     }
 
     /// The digest of all events so far.
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{QueryType, Repeats, Script, Settings};
 use std::net::SocketAddr;
-use woadreach_invariants::{Budget, Cold, QueryTerms, Terms};
+use woadreach_invariants::{QueryTerms, RetryBudget, SlowStart, Terms};
 
 /// Milliseconds in a second.
 const MILLISECONDS: f64 = 1000.0;
@@ -26,30 +26,30 @@
             },
             Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
         },
-        need: t.need,
-        floor: t.floor,
-        fetch: t.fetch,
+        complete_weight: t.need,
+        minimum_weight: t.floor,
+        second_step_parts: t.fetch,
     });
     Terms {
         query_types: query_types.collect(),
         answer_grace: ANSWER_GRACE,
         drain_grace: s.drain_grace,
-        cold: s.cold.as_ref().map(|c| Cold {
-            from: c.from,
-            time: c.time,
-            multiple: c.multiple,
-            window: c.window,
-            work: script.mean_work(),
+        slow_start: s.cold.as_ref().map(|c| SlowStart {
+            initial_capacity: c.from,
+            duration: c.time,
+            overload_multiple: c.multiple,
+            overload_window: c.window,
+            mean_work: script.mean_work(),
             // In a large tier each sends one part before it can know, which the protocol does not count.
-            untold_too: script.fleet.co_ordinators < LARGE_TIER,
+            counts_unlisted_senders: script.fleet.co_ordinators < LARGE_TIER,
         }),
-        budget: s.budget.as_ref().map(|b| Budget {
-            free: b.free,
-            share: b.share,
+        retry_budget: s.budget.as_ref().map(|b| RetryBudget {
+            min_retries: b.free,
+            ratio: b.share,
             window: b.window,
         }),
         slack: SLACK,
-        way: script.fleet.max_latency,
+        max_link_latency: script.fleet.max_latency,
     }
 }
 
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -141,9 +141,10 @@
     }
 
     /// Records that what a replica is sent may be delayed from now on, or no longer is.
-    pub(super) fn report_link(&self, r: usize, held: bool) {
+    pub(super) fn report_link(&self, r: usize, blocked: bool) {
         let replica = self.replicas[r].name.borrow().as_str().into();
-        self.recorder.tell(EventKind::LinkBlocked { replica, held });
+        self.recorder
+            .tell(EventKind::LinkBlocked { replica, blocked });
     }
 
     /// Records the same for all replicas of these zones.
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -8,7 +8,9 @@
 use rstest::rstest;
 use std::cell::RefCell;
 use std::rc::Rc;
-use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, Terms};
+use woadreach_invariants::{
+    Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, ShardValue, ShardWeight, Terms,
+};
 use woadreach_simulation::{
     FaultKind, Outcome, Record, Recovery, Repeats, Script, SilentCalls, VerdictAdoption, digest,
 };
@@ -312,18 +314,18 @@
     let browse = QueryTerms {
         name: "browse".into(),
         repeats,
-        need: 1.0,
-        floor: 1.0,
-        fetch: 0,
+        complete_weight: 1.0,
+        minimum_weight: 1.0,
+        second_step_parts: 0,
     };
     Terms {
         query_types: vec![browse],
         answer_grace: 0.05,
         drain_grace: 0.5,
-        cold: None,
-        budget: None,
+        slow_start: None,
+        retry_budget: None,
         slack: 0.05,
-        way: 0.001,
+        max_link_latency: 0.001,
     }
 }
 
@@ -338,27 +340,30 @@
     let (replica, value): (std::sync::Arc<str>, _) = ("r-1".into(), "v".into());
     let record = Rc::new(RefCell::new(Record::new(terms(), vec![0.5], true)));
     let recorder = Record::recorder(&record, || 10.0);
-    let (begun, came, work) = (10.0, 10.0, 0.1);
+    let (first_byte_at, last_byte_at, work) = (10.0, 10.0, 0.1);
     recorder.tell(EventKind::NodeStarted { node });
-    let parts = std::sync::Arc::from([(0, 1.0)]);
+    let parts = std::sync::Arc::from([ShardWeight {
+        shard: 0,
+        weight: 1.0,
+    }]);
     recorder.tell(EventKind::Requested {
         node,
         search: search.clone(),
         query_type: 0,
         parts,
-        ends: 11.0,
+        deadline: 11.0,
     });
-    let (from, first_whole) = (Vec::new(), None);
+    let (first_step_shards, first_step_complete) = (Vec::new(), None);
     let (to, of) = (replica.clone(), part.clone());
     recorder.tell(EventKind::PartReceived {
         node,
         replica: to,
         part: of,
-        begun,
-        came,
+        first_byte_at,
+        last_byte_at,
         work,
-        from,
-        first_whole,
+        first_step_shards,
+        first_step_complete,
     });
     recorder.tell(EventKind::PartCompleted {
         node,
@@ -368,8 +373,11 @@
     });
     recorder.tell(EventKind::Answered {
         search,
-        whole: true,
-        rows: vec![(0, "v".into())],
+        complete: true,
+        rows: vec![ShardValue {
+            shard: 0,
+            value: "v".into(),
+        }],
     });
     record
 }
