--- /dev/null
+++ b/crates/routing/tests/balance/hedging.rs
@@ -0,0 +1,127 @@
+//! Hedges of parts that are lost, and the cancelling of those that hang where hedges are not allowed.
+
+use crate::settings::settings;
+use crate::support::{balancer_of, new_search, outcome, replica_id, search_in_flight_at};
+use rstest::rstest;
+use std::ops::Range;
+use woadreach_routing::api::{Ending, Placement, Repeat};
+use woadreach_routing::decide::balancer::Balancer;
+
+/// Sends one-part searches of these numbers at 0.1 s.
+fn send_searches(balancer: &mut Balancer, numbers: Range<u64>) -> Vec<Placement> {
+    let mut send = |n| {
+        balancer
+            .place(0.1, &mut new_search(n, 1, 0.1, 3.0))
+            .send
+            .remove(0)
+    };
+    numbers.map(&mut send).collect()
+}
+
+/// A part that is late while four sent later at the same replica have been answered is lost: it gets a hedge.
+#[rstest]
+#[case::by_three(3, 0)]
+#[case::by_four(4, 1)]
+fn overtaken_parts_get_a_hedge(#[case] later: u64, #[case] hedges: usize) {
+    let mut balancer = balancer_of(settings(), &["a", "b"]);
+    let (mut search, _) = search_in_flight_at(&mut balancer, "a", 0.0);
+    let sent = send_searches(&mut balancer, 2000..2002 + 2 * later);
+    let mut at_a = 0;
+    for placement in sent {
+        at_a += u64::from(placement.replica == replica_id("a"));
+        let ending = if placement.replica == replica_id("b") || at_a <= later {
+            Ending::Answered
+        } else {
+            Ending::NeverSent
+        };
+        balancer.after(0.2, None, &outcome(&placement, 0, ending, 0.1));
+    }
+    assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
+}
+
+/// A part at an unresponsive replica gets a hedge while that still has its tail left.
+#[rstest]
+#[case::not_yet(0.7, 0)]
+#[case::last_call(0.85, 1)]
+fn hedges_leave_in_time(#[case] age: f64, #[case] hedges: usize) {
+    let mut balancer = balancer_of(settings(), &["a", "b"]);
+    for n in 1..=50 {
+        let mut search = new_search(n, 1, 0.0, 3.0);
+        let placement = balancer.place(0.0, &mut search).send[0].clone();
+        // Six in a hundred at 0.9 s: the 0.95 quantile, but not the tail, which is 0.1 s.
+        let latency = if n % 20 == 0 || n == 50 { 0.9 } else { 0.1 };
+        balancer.after(
+            1.0,
+            Some(&mut search),
+            &outcome(&placement, 0, Ending::Answered, latency),
+        );
+    }
+    let mut search = new_search(99, 1, 2.0, 3.0);
+    balancer.place(2.0, &mut search);
+    assert_eq!(balancer.place(2.0 + age, &mut search).send.len(), hedges);
+}
+
+/// Where hedges are not allowed (`second_copies = false`), a lost part gets none, however it was overtaken.
+#[rstest]
+#[case::copies_allowed(true, 1)]
+#[case::copies_barred(false, 0)]
+fn no_hedge_where_hedging_is_not_allowed(#[case] hedging_allowed: bool, #[case] hedges: usize) {
+    let mut settings = settings();
+    settings.hedging_allowed = hedging_allowed;
+    let mut balancer = balancer_of(settings, &["a", "b"]);
+    let (mut search, _) = search_in_flight_at(&mut balancer, "a", 0.0);
+    let sent = send_searches(&mut balancer, 2000..2010);
+    for placement in sent {
+        balancer.after(0.2, None, &outcome(&placement, 0, Ending::Answered, 0.1));
+    }
+    assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
+}
+
+/// Where hedges are not allowed, a part at a replica that has answered nothing since it was sent is cancelled
+/// once it is long overdue, and goes to the other holder when the outcome is in; never where a hedge may go
+/// instead, never a part that may not run twice, and never before it is overdue.
+#[rstest]
+#[case::barred(false, Repeat::Idempotent, 0.6, true)]
+#[case::not_yet_overdue(false, Repeat::Idempotent, 0.12, false)]
+#[case::copies_allowed(true, Repeat::Idempotent, 0.6, false)]
+#[case::once(false, Repeat::NonIdempotent, 0.6, false)]
+fn an_attempt_at_an_unresponsive_replica_is_cancelled(
+    #[case] hedging_allowed: bool,
+    #[case] repeat: Repeat,
+    #[case] later: f64,
+    #[case] cancelled: bool,
+) {
+    let mut settings = settings();
+    settings.hedging_allowed = hedging_allowed;
+    settings.query_types[0].repeat = repeat;
+    let mut balancer = balancer_of(settings, &["a", "b"]);
+    let (mut search, placement) = search_in_flight_at(&mut balancer, "a", 0.01);
+    let plan = balancer.place(later, &mut search);
+    assert!(plan.reply.is_none());
+    assert_eq!(
+        plan.cancel.contains(&(placement.part, 0)),
+        cancelled,
+        "{:?}",
+        plan.cancel
+    );
+    if cancelled {
+        assert!(plan.send.is_empty(), "never two in flight at once");
+        assert!(
+            balancer.place(later + 0.01, &mut search).cancel.is_empty(),
+            "cancelled once"
+        );
+        let resent = balancer.after(
+            later + 0.02,
+            Some(&mut search),
+            &outcome(&placement, 0, Ending::Cancelled, later),
+        );
+        assert_eq!(
+            resent
+                .send
+                .iter()
+                .map(|placement| placement.replica.clone())
+                .collect::<Vec<_>>(),
+            vec![replica_id("b")]
+        );
+    }
+}
--- /dev/null
+++ b/crates/routing/tests/balance/zones.rs
@@ -0,0 +1,132 @@
+//! What the tier has agreed on about zones.
+
+use crate::settings::settings;
+use crate::support::{listed, new_search, outcome, search_in_flight_at};
+use rstest::rstest;
+use std::collections::BTreeSet;
+use woadreach_routing::api::{Ending, Listed, ZoneFailoverState, ZoneId};
+use woadreach_routing::decide::balancer::Balancer;
+
+/// Two replicas in each of two zones, named by their zone's number: a0, b0, a1, b1.
+fn two_zones() -> Balancer {
+    let mut balancer = Balancer::new(settings());
+    let lines = ["a0", "b0", "a1", "b1"].map(|n| {
+        let zone = ZoneId(u64::from(n.ends_with('1')));
+        Listed {
+            zone,
+            ..listed(n, true, None)
+        }
+    });
+    balancer.list(true, &lines);
+    balancer
+}
+
+fn zone_failover(shares: [f64; 2], near: Option<f64>) -> Option<ZoneFailoverState> {
+    let shares = shares
+        .into_iter()
+        .enumerate()
+        .map(|(zone, share)| (ZoneId(zone as u64), share))
+        .collect();
+    let near = near.map(|share| (BTreeSet::from([ZoneId(0)]), share));
+    Some(ZoneFailoverState {
+        shares,
+        near: near.into_iter().collect(),
+    })
+}
+
+/// How many of 200 one-part searches go to zone 0, each answered at once, a millisecond apart.
+fn searches_to_zone_0(balancer: &mut Balancer, from: f64) -> usize {
+    let mut searches = 0;
+    for i in 0..200 {
+        let now = from + 0.001 * f64::from(i);
+        let mut search = new_search(5000 + u64::from(i as u32), 1, now, 3.0);
+        let sent = balancer.place(now, &mut search).send;
+        searches += usize::from(sent[0].replica.0.ends_with('0'));
+        for (attempt_index, placement) in sent.iter().enumerate() {
+            balancer.after(
+                now,
+                Some(&mut search),
+                &outcome(placement, attempt_index, Ending::Answered, 0.01),
+            );
+        }
+    }
+    searches
+}
+
+#[rstest]
+#[case::alone(None, 70..130)]
+#[case::all_serve(zone_failover([1.0, 1.0], None), 70..130)]
+#[case::one_is_out(zone_failover([0.0, 1.0], None), 0..1)]
+#[case::one_is_on_its_way_back(zone_failover([0.2, 1.0], None), 10..40)]
+#[case::near(zone_failover([1.0, 1.0], Some(1.0)), 200..201)]
+#[case::near_for_a_part_of_it(zone_failover([1.0, 1.0], Some(0.6)), 140..185)]
+#[case::near_is_out(zone_failover([0.0, 1.0], Some(0.0)), 0..1)]
+#[case::both_are_out_and_there_is_no_other(zone_failover([0.0, 0.0], None), 70..130)]
+fn parts_go_where_the_tier_says(
+    #[case] agreed: Option<ZoneFailoverState>,
+    #[case] expected: std::ops::Range<usize>,
+) {
+    let mut balancer = two_zones();
+    balancer.zone_failover(0.0, agreed);
+    let searches = searches_to_zone_0(&mut balancer, 1.0);
+    assert!(expected.contains(&searches), "{searches} of 200");
+}
+
+/// What this co-ordinator has seen of a replica counts although the tier has agreed that its zone serves, and so
+/// does the endpoint list.
+#[test]
+fn the_tier_overrules_no_judgement_of_a_replica() {
+    let mut balancer = two_zones();
+    let (mut search, placement) = search_in_flight_at(&mut balancer, "a0", 1.0);
+    balancer.after(
+        1.0,
+        Some(&mut search),
+        &outcome(&placement, 0, Ending::Errored, 0.01),
+    );
+    balancer.zone_failover(1.1, zone_failover([0.0, 1.0], Some(1.0)));
+    balancer.zone_failover(1.2, zone_failover([1.0, 1.0], Some(1.0)));
+    let draining = Listed {
+        zone: ZoneId(0),
+        ..listed("b0", false, None)
+    };
+    balancer.list(false, &[draining]);
+    for i in 0..50 {
+        let now = 1.2 + 0.001 * f64::from(i);
+        let mut search = new_search(7000 + u64::from(i as u32), 1, now, 3.0);
+        let placement = balancer.place(now, &mut search).send[0].clone();
+        assert!(placement.replica.0.ends_with('1'), "{placement:?}");
+        balancer.after(
+            now,
+            Some(&mut search),
+            &outcome(&placement, 0, Ending::Answered, 0.01),
+        );
+    }
+}
+
+/// A zone that the tier restores is restored here at once; sparse probes would take seconds.
+#[test]
+fn a_zone_that_is_back_in_common_is_back_here() {
+    let mut balancer = two_zones();
+    balancer.zone_failover(1.0, zone_failover([0.0, 1.0], None));
+    assert_eq!(searches_to_zone_0(&mut balancer, 1.1), 0);
+    balancer.zone_failover(2.0, zone_failover([1.0, 1.0], None));
+    assert!(searches_to_zone_0(&mut balancer, 2.1) > 50);
+}
+
+/// The last six parts of a zone within 2 s, or the run of failures up to now; a part in flight that is overdue
+/// counts before it ends.
+#[test]
+fn what_is_seen_of_zones_counts_what_is_overdue() {
+    let mut balancer = two_zones();
+    searches_to_zone_0(&mut balancer, 1.0);
+    let health = |balancer: &Balancer, now: f64| {
+        let zones = balancer.zone_health(now).into_iter();
+        let values = zones.map(|zone| (zone.zone.0, zone.seen, zone.failed, zone.capacity));
+        values.collect::<Vec<_>>()
+    };
+    assert_eq!(health(&balancer, 1.2), [(0, 6, 0, 2.0), (1, 6, 0, 2.0)]);
+    search_in_flight_at(&mut balancer, "a0", 1.3);
+    assert_eq!(health(&balancer, 1.3), [(0, 6, 0, 2.0), (1, 6, 0, 2.0)]);
+    assert_eq!(health(&balancer, 2.0)[0], (0, 7, 1, 2.0));
+    assert_eq!(health(&balancer, 4.0), [(0, 1, 1, 2.0), (1, 0, 0, 2.0)]);
+}
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -1,6 +1,7 @@
 //! Tables of cases for the parts of `decide` that know nothing of searches, as a second proxy uses them.
 
-mod common;
+mod settings;
+
 use rstest::rstest;
 use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
@@ -122,24 +123,24 @@
 
 #[test]
 fn earliest_deadline_leaves_first_late_ones_too() {
-    let mut held = DeadlineQueue::default();
+    let mut queue = DeadlineQueue::default();
     for (deadline, call) in [(3.0, 1), (-1.0, 2), (2.0, 3)] {
-        held.insert(&"a", deadline, call);
+        queue.insert(&"a", deadline, call);
     }
     assert!(
-        held.is_behind(&"a", 0.0, 4)
-            && !held.is_behind(&"a", -2.0, 4)
-            && !held.is_behind(&"b", 9.0, 4)
+        queue.is_behind(&"a", 0.0, 4)
+            && !queue.is_behind(&"a", -2.0, 4)
+            && !queue.is_behind(&"b", 9.0, 4)
     );
     let mut order = Vec::new();
     for (call, deadline) in [(2, -1.0), (3, 2.0), (1, 3.0)] {
-        order.extend(held.first(&"a"));
-        held.remove(&"a", deadline, call);
+        order.extend(queue.first(&"a"));
+        queue.remove(&"a", deadline, call);
     }
-    assert_eq!((order, held.first(&"a")), (vec![2, 3, 1], None));
-    held.insert(&"a", 1.0, 1);
-    held.forget(&"a");
-    assert_eq!(held.first(&"a"), None);
+    assert_eq!((order, queue.first(&"a")), (vec![2, 3, 1], None));
+    queue.insert(&"a", 1.0, 1);
+    queue.forget(&"a");
+    assert_eq!(queue.first(&"a"), None);
 }
 
 #[test]
@@ -259,7 +260,7 @@
     assert_eq!((limits.rate(1.5), limits.rate(3.0)), (10.0, 0.0));
 }
 
-/// Overload begins where the lower quartile is over 1.5 times the unloaded one, and is told once.
+/// Overload begins where the lower quartile is over 1.5 times the unloaded one, and is reported once.
 #[rstest]
 #[case::just_as_unloaded(0.3, false)]
 #[case::half_as_much_again(0.449, false)]
@@ -292,7 +293,7 @@
     });
     let mut retries = RetryBudget::new(&Settings {
         retry_budget: budget,
-        ..common::settings()
+        ..settings::settings()
     });
     retries.taken(0.0, 8);
     let may = (0..100)
