--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -95,12 +95,12 @@
 
     /// Applies an endpoint list: a complete one, or changes.
     pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
-        self.balancer.list(full, lines);
+        self.balancer.apply_endpoint_list(full, lines);
     }
 
     /// Applies what the tier has agreed on; `None`: this co-ordinator has no peers.
     pub fn set_zone_failover(&mut self, now: f64, state: Option<ZoneFailoverState>) {
-        self.balancer.zone_failover(now, state);
+        self.balancer.set_zone_failover(now, state);
     }
 
     /// What this co-ordinator's latest parts say of each zone.
@@ -115,7 +115,7 @@
 
     /// Sets this co-ordinator's share of a warming replica, as a multiple of an even share.
     pub fn set_quota_share(&mut self, replica: &ReplicaId, factor: f64) {
-        self.balancer.quota_share(replica, factor);
+        self.balancer.set_quota_share(replica, factor);
     }
 
     /// Numbers of searches and parts in flight.
@@ -177,7 +177,7 @@
         let search = id
             .and_then(|id| self.searches.get_mut(&id))
             .map(|in_flight| &mut in_flight.search);
-        let plan = self.balancer.after(now, search, outcome);
+        let plan = self.balancer.attempt_finished(now, search, outcome);
         self.execute(now, id, plan, executor);
     }
 
@@ -202,7 +202,7 @@
         executor: &mut impl PlanExecutor,
     ) {
         if let Some(in_flight) = self.searches.get_mut(&search) {
-            let plan = self.balancer.client_left(&mut in_flight.search);
+            let plan = self.balancer.client_disconnected(&mut in_flight.search);
             self.execute(now, Some(search), plan, executor);
         }
     }
@@ -237,8 +237,8 @@
         executor: &mut impl PlanExecutor,
     ) {
         plan.notes.iter().for_each(|line| executor.note(line));
-        for (part, attempt_index) in &plan.cancel {
-            executor.cancel(*part, *attempt_index);
+        for attempt in &plan.cancel {
+            executor.cancel(attempt.part, attempt.index);
         }
         let Some(id) = search else {
             return;
--- a/crates/router/woadreachd/src/peers/zone_failover.rs
+++ b/crates/router/woadreachd/src/peers/zone_failover.rs
@@ -4,7 +4,7 @@
 use crate::events::Event;
 use std::collections::BTreeSet;
 use tracing::info;
-use woadreach_routing::api::{ZoneFailoverState, ZoneId};
+use woadreach_routing::api::{NearZones, ZoneFailoverState, ZoneId};
 use woadreach_runtime::Net;
 
 /// The share of traffic that stays near is published in such steps, so that the core is not sent every small
@@ -90,7 +90,10 @@
                 .collect(),
             near: spill_order
                 .iter()
-                .map(|group| (zone_ids(&group.zones), round_to_step(group.share)))
+                .map(|group| NearZones {
+                    zones: zone_ids(&group.zones),
+                    cumulative_share: round_to_step(group.share),
+                })
                 .collect(),
         }
     }
@@ -106,5 +109,5 @@
 
 /// The share that stays in the nearest zones.
 fn near_share(state: &ZoneFailoverState) -> f64 {
-    state.near.first().map_or(0.0, |near| near.1)
+    state.near.first().map_or(0.0, |near| near.cumulative_share)
 }
--- a/crates/routing/src/api/endpoints.rs
+++ b/crates/routing/src/api/endpoints.rs
@@ -1,6 +1,6 @@
 //! Replicas and zones, as discovery lists them and as the tier agrees on them.
 
-use super::{CellId, ReplicaId, ZoneId};
+use super::{CellId, ReplicaId, Seconds, Share, WarmReplicas, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A replica in the endpoint list.
@@ -14,8 +14,17 @@
     pub zone: ZoneId,
     /// The cell whose shards it holds.
     pub cell: CellId,
-    /// When its process started (seconds), if that was recent; absent for a process that has long been warm.
-    pub ready_at: Option<f64>,
+    /// When its process started, if that was recent; absent for a process that has long been warm.
+    pub ready_at: Option<Seconds>,
+}
+
+/// A group of zones to be preferred.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NearZones {
+    /// The zones.
+    pub zones: BTreeSet<ZoneId>,
+    /// Share of all parts that may go to this group or to a nearer one.
+    pub cumulative_share: Share,
 }
 
 /// What the co-ordinators of the tier have agreed on about zones.
@@ -23,10 +32,9 @@
 pub struct ZoneFailoverState {
     /// Share of its traffic that each zone may have: 0 while it is ejected, 1 while it serves, between them
     /// while it is being restored; 1 for a zone that isn't named.
-    pub shares: BTreeMap<ZoneId, f64>,
-    /// Groups of zones to be preferred, nearest first. The number is the share of all parts that may go to the
-    /// group or to a nearer one.
-    pub near: Vec<(BTreeSet<ZoneId>, f64)>,
+    pub shares: BTreeMap<ZoneId, Share>,
+    /// Groups of zones to be preferred, nearest first.
+    pub near: Vec<NearZones>,
 }
 
 /// This co-ordinator's latest observations of a zone.
@@ -38,8 +46,8 @@
     pub seen: usize,
     /// How many of them were failed, late or overdue.
     pub failed: usize,
-    /// Capacity of its open replicas, in warm replicas.
-    pub capacity: f64,
+    /// Capacity of its open replicas.
+    pub capacity: WarmReplicas,
 }
 
 /// This co-ordinator's demand on a replica that is warming up.
--- a/crates/routing/src/api/health.rs
+++ b/crates/routing/src/api/health.rs
@@ -1,21 +1,23 @@
 //! Inputs and results of outlier ejection.
 
+use super::Seconds;
+
 /// Parameters of outlier ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
-    /// Number of latest calls that count.
+    /// Number of calls that count: the latest ones.
     pub window: usize,
     /// Least number of failures among them that ejects; they must also be half of the calls.
-    pub least: usize,
+    pub min_failures: usize,
 }
 
 /// The end of a call, as far as it says something about health. `C` is a class of calls, such as the query type.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<C> {
-    /// When it ended (seconds).
-    pub at: f64,
-    /// When it was sent (seconds).
-    pub sent_at: f64,
+    /// When it ended.
+    pub at: Seconds,
+    /// When it was sent.
+    pub sent_at: Seconds,
     /// Its class.
     pub class: C,
     /// Whether it failed, or took far longer than usual.
--- a/crates/routing/src/api/ids.rs
+++ b/crates/routing/src/api/ids.rs
@@ -10,6 +10,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartId(pub u64);
 
+/// An attempt of a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The part.
+    pub part: PartId,
+    /// Its index among the attempts of the part.
+    pub index: usize,
+}
+
 /// An index into `Settings::query_types`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryTypeId(pub usize);
--- a/crates/routing/src/api/plan.rs
+++ b/crates/routing/src/api/plan.rs
@@ -1,6 +1,6 @@
 //! What a caller has to carry out.
 
-use super::{PartId, ReplicaId, SearchId};
+use super::{AttemptId, PartId, ReplicaId, SearchId, Seconds};
 
 /// The reply to a search, or to its first step.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,8 +12,8 @@
     },
     /// Rejected before anything ran: asking again is harmless.
     Shed {
-        /// Advised wait before the next attempt, in seconds; 0 for no advice.
-        retry_after: f64,
+        /// Advised wait before the next attempt; 0 for no advice.
+        retry_after: Seconds,
     },
     /// Neither an answer nor proof that asking again is harmless.
     Errored,
@@ -26,17 +26,17 @@
     pub part: PartId,
     /// The replica that it is sent to.
     pub replica: ReplicaId,
-    /// How long it may run, in seconds.
-    pub timeout: f64,
-    /// Latest time (seconds) at which it may begin to leave; infinite if there is none.
-    pub begin_by: f64,
+    /// How long it may run.
+    pub timeout: Seconds,
+    /// Latest time at which it may begin to leave; infinite if there is none.
+    pub begin_by: Seconds,
 }
 
 /// What to do now, in this order: cancel, send, reply, then ask again about the searches named.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Attempts to be cancelled, by part and attempt index.
-    pub cancel: Vec<(PartId, usize)>,
+    /// Attempts to be cancelled.
+    pub cancel: Vec<AttemptId>,
     /// Attempts to be made.
     pub send: Vec<Placement>,
     /// The reply, if it is due.
--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -1,6 +1,6 @@
 //! A search, its parts and their attempts.
 
-use super::{PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId};
+use super::{PartId, QueryTypeId, ReplicaId, SearchId, Seconds, ShardId, Share, TenantId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,8 +34,8 @@
     pub replica: ReplicaId,
     /// How it ended.
     pub ending: Ending,
-    /// Seconds since it was sent.
-    pub latency: f64,
+    /// Time since it was sent.
+    pub latency: Seconds,
 }
 
 /// One send of a part to a replica.
@@ -43,8 +43,8 @@
 pub struct Attempt {
     /// The replica that it was sent to.
     pub replica: ReplicaId,
-    /// When it was sent (seconds).
-    pub sent_at: f64,
+    /// When it was sent.
+    pub sent_at: Seconds,
     /// How it ended; absent while it is in flight.
     pub ending: Option<Ending>,
 }
@@ -66,8 +66,8 @@
     pub id: PartId,
     /// The shard that it queries.
     pub shard: ShardId,
-    /// Its share of the complete answer, from 0 to 1.
-    pub weight: f64,
+    /// Its share of the complete answer.
+    pub weight: Share,
     /// The step of its search, 1 or 2.
     pub step: usize,
     /// Whether an answer has come.
@@ -109,10 +109,10 @@
     pub query_type: QueryTypeId,
     /// The tenant that asks.
     pub tenant: TenantId,
-    /// When it arrived (seconds).
-    pub arrived: f64,
-    /// When the client stops waiting (seconds).
-    pub client_deadline: f64,
+    /// When it arrived.
+    pub arrived: Seconds,
+    /// When the client stops waiting.
+    pub client_deadline: Seconds,
     /// Its parts, those of a second step last.
     pub parts: Vec<Part>,
     /// The step that is being executed, 1 or 2.
@@ -121,10 +121,10 @@
     pub first_step_complete: bool,
     /// Whether the client says that this is a retry of its own; absent where clients don't mark retries.
     pub repeated: Option<bool>,
-    /// When the client first asked (seconds), as far as can be told; set by the decisions.
-    pub first_asked_at: Option<f64>,
-    /// Queuing deadline of the present step (seconds); set by the decisions.
-    pub queuing_deadline: Option<f64>,
+    /// When the client sent its first attempt, as estimated by the decisions.
+    pub first_requested_at: Option<Seconds>,
+    /// Queuing deadline of the present step; set by the decisions.
+    pub queuing_deadline: Option<Seconds>,
     /// Whether the final answer has been given.
     pub finished: bool,
 }
@@ -135,8 +135,8 @@
         id: SearchId,
         query_type: QueryTypeId,
         tenant: TenantId,
-        arrived: f64,
-        client_deadline: f64,
+        arrived: Seconds,
+        client_deadline: Seconds,
     ) -> Self {
         Search {
             id,
@@ -148,7 +148,7 @@
             step: 1,
             first_step_complete: false,
             repeated: None,
-            first_asked_at: None,
+            first_requested_at: None,
             queuing_deadline: None,
             finished: false,
         }
@@ -163,7 +163,7 @@
     }
 
     /// The weight of the parts of the present step that are answered.
-    pub fn answered_weight(&self) -> f64 {
+    pub fn answered_weight(&self) -> Share {
         self.step_parts()
             .filter(|(_, part)| part.answered)
             .map(|(_, part)| part.weight)
@@ -183,7 +183,7 @@
     }
 
     /// The queuing deadline of the present step; before it is set, the arrival, which goes before all others.
-    pub fn queuing_deadline(&self) -> f64 {
+    pub fn queuing_deadline(&self) -> Seconds {
         self.queuing_deadline.unwrap_or(self.arrived)
     }
 }
--- a/crates/routing/src/api/settings.rs
+++ b/crates/routing/src/api/settings.rs
@@ -1,5 +1,7 @@
 //! What a co-ordinator is configured with at its start.
 
+use super::{Seconds, Share};
+
 /// Whether a part may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Repeat {
@@ -7,8 +9,8 @@
     Idempotent,
     /// The store recognizes a repeated attempt by its token and doesn't run it again.
     Tokened {
-        /// For how long a token is remembered, in seconds from the first attempt that may have run.
-        window: f64,
+        /// For how long a token is remembered, from the first attempt that may have run.
+        window: Seconds,
         /// Whether all replicas that hold the shard share the tokens; otherwise only the replica that had the
         /// first attempt remembers it.
         any_holder: bool,
@@ -20,20 +22,20 @@
 /// What the decisions read of a query type.
 #[derive(Clone, Debug)]
 pub struct QueryType {
-    /// Latency target in seconds from the client's first attempt; a later answer is late.
-    pub latency_target: f64,
-    /// How long a client waits for its answer, in seconds.
-    pub client_timeout: f64,
+    /// Latency target from the client's first attempt; a later answer is late.
+    pub latency_target: Seconds,
+    /// How long a client waits for its answer.
+    pub client_timeout: Seconds,
     /// Value of an answer that meets the target.
     pub value: f64,
-    /// Share of the value that a late answer keeps, from 0 to 1.
-    pub late_value: f64,
+    /// Share of the value that a late answer keeps.
+    pub late_value: Share,
     /// Whether its parts may run again.
     pub repeat: Repeat,
-    /// Share of the parts' weights that makes an answer complete, from 0 to 1.
-    pub complete_weight: f64,
-    /// Least share of the parts' weights with which a search may be answered, from 0 to 1.
-    pub minimum_weight: f64,
+    /// Share of the parts' weights that makes an answer complete.
+    pub complete_weight: Share,
+    /// Least share of the parts' weights with which a search may be answered.
+    pub minimum_weight: Share,
     /// Number of parts of the second step; 0 if there is one step only.
     pub second_step: usize,
 }
@@ -42,24 +44,24 @@
 #[derive(Clone, Debug)]
 pub struct SlowStartConfig {
     /// Capacity at the start, as a share of a warm replica's.
-    pub initial_capacity: f64,
-    /// Seconds from the start until the replica is warm; capacity grows linearly meanwhile.
-    pub duration: f64,
+    pub initial_capacity: Share,
+    /// Time from the start until the replica is warm; capacity grows linearly meanwhile.
+    pub duration: Seconds,
     /// Overload threshold as a multiple of the replica's current capacity.
     pub overload_multiple: f64,
-    /// Window in seconds over which requests are counted against the threshold.
-    pub overload_window: f64,
+    /// Window over which requests are counted against the threshold.
+    pub overload_window: Seconds,
 }
 
 /// Limit on retries and hedges: attempts beyond the first of each part.
 #[derive(Clone, Debug)]
 pub struct RetryBudgetConfig {
-    /// Retries that are allowed in any window, whatever the traffic.
+    /// Number of retries that are allowed in any window, whatever the traffic.
     pub min_retries: f64,
-    /// Retries beyond those, as a share of the searches and parts taken in the window.
+    /// Retries beyond those, as a multiple of the searches and parts taken in the window.
     pub ratio: f64,
-    /// Length of the window in seconds.
-    pub window: f64,
+    /// Length of the window.
+    pub window: Seconds,
 }
 
 /// Start-up settings. An absent option means that the feature or limit is off.
@@ -71,12 +73,12 @@
     pub coordinator_index: Option<u64>,
     /// Number of co-ordinators of the tier.
     pub coordinators: usize,
-    /// Longest time in seconds from an event until it is handled.
-    pub tick: f64,
+    /// Longest time from an event until it is handled.
+    pub tick: Seconds,
     /// Query types; a [`super::QueryTypeId`] is an index into them.
     pub query_types: Vec<QueryType>,
-    /// Each tenant's share of the service, from 0 to 1; a [`super::TenantId`] is an index into them.
-    pub tenants: Vec<f64>,
+    /// Each tenant's share of the service; a [`super::TenantId`] is an index into them.
+    pub tenants: Vec<Share>,
     /// Value of a search of a tenant beyond its share, as a multiple of its query type's value.
     pub over_share_value: f64,
     /// Number of cells into which replicas are grouped.
@@ -87,15 +89,14 @@
     pub parts_per_call: usize,
     /// Maximum number of attempts of one part.
     pub max_attempts: usize,
-    /// Longest time in seconds from the decision to send until the attempt leaves, or is reported as never
-    /// sent.
-    pub max_send_delay: f64,
+    /// Longest time from the decision to send until the attempt leaves, or is reported as never sent.
+    pub max_send_delay: Seconds,
     /// Whether an attempt in flight can be cancelled.
     pub cancellation_allowed: bool,
     /// Whether a part may have two attempts in flight.
     pub hedging_allowed: bool,
-    /// Longest `retry_after` of a rejected search, in seconds; without it none is advised.
-    pub max_retry_after: Option<f64>,
+    /// Longest `retry_after` of a rejected search; without it none is advised.
+    pub max_retry_after: Option<Seconds>,
     /// Slow start of replicas.
     pub slow_start: Option<SlowStartConfig>,
     /// Limit on retries.
@@ -103,8 +104,8 @@
 }
 
 impl Settings {
-    /// The shortest latency target of all query types, in seconds.
-    pub fn shortest_target(&self) -> f64 {
+    /// The shortest latency target of all query types.
+    pub fn shortest_target(&self) -> Seconds {
         self.query_types
             .iter()
             .map(|query_type| query_type.latency_target)
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,12 +1,12 @@
 //! The state of all decisions on searches, which the files of `decide` read and update; it decides nothing.
 //!
 //! A caller keeps the clock, the timers and the searches in flight. It reports events, and asks [`Balancer::place`],
-//! [`Balancer::after`] and [`Balancer::wait`] (`decide::search_steps`) what to do. A [`Plan`] says what to
+//! [`Balancer::attempt_finished`] and [`Balancer::wait`] (`decide::search_steps`) what to do. A [`Plan`] says what to
 //! cancel, send and reply, and which queued searches to ask about next, in that order.
 
 use crate::api::{
-    Listed, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Settings, SlowStartDemand,
-    TenantId, ZoneFailoverState, ZoneId,
+    Listed, Part, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Seconds, Settings,
+    SlowStartDemand, TenantId, ZoneFailoverState, ZoneId,
 };
 use crate::deadline_queue::DeadlineQueue;
 use crate::decide::part_budget::START_DIVISOR;
@@ -30,11 +30,27 @@
     pub(crate) warming: Warming,
 }
 
+/// A part that waits for its replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueuedPart {
+    pub(crate) search: SearchId,
+    pub(crate) part: PartId,
+}
+
+impl QueuedPart {
+    pub(crate) fn of(search: &Search, part: &Part) -> Self {
+        QueuedPart {
+            search: search.id,
+            part: part.id,
+        }
+    }
+}
+
 /// How a part at a zone ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneOutcome {
-    /// When it ended (seconds).
-    pub(crate) at: f64,
+    /// When it ended.
+    pub(crate) at: Seconds,
     /// Whether it was lost: without an answer, or far too late.
     pub(crate) is_lost: bool,
 }
@@ -44,7 +60,7 @@
 pub(crate) struct ArrivalRecord {
     /// Its value, divided by the number of its parts.
     pub(crate) value_per_part: f64,
-    /// Who asked.
+    /// Its tenant.
     pub(crate) tenant: TenantId,
 }
 
@@ -62,25 +78,25 @@
     /// The latest outcomes of each zone, oldest first.
     pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<ZoneOutcome>>,
     /// Parts that wait for their replica.
-    pub(crate) queue: DeadlineQueue<ReplicaId, (SearchId, PartId)>,
+    pub(crate) queue: DeadlineQueue<ReplicaId, QueuedPart>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
     pub(crate) budget: PartBudget,
-    /// The shortest latency target of all query types, in seconds.
-    pub(crate) shortest: f64,
+    /// The shortest latency target of all query types.
+    pub(crate) shortest_target: Seconds,
     pub(crate) limits: LatencyLimits,
     pub(crate) retries: RetryBudget,
     /// The latest searches.
     pub(crate) arrivals: VecDeque<ArrivalRecord>,
     /// The plan that is being made.
     pub(crate) plan: Plan,
-    /// Time left of the latest searches of each query type at their arrival, in seconds.
-    pub(crate) times_left: Vec<VecDeque<f64>>,
+    /// Time that remained to the clients of the latest searches of each query type at their arrival.
+    pub(crate) times_remaining: Vec<VecDeque<Seconds>>,
 }
 
 impl Balancer {
     /// A co-ordinator that knows no replica yet.
     pub fn new(settings: Settings) -> Self {
-        let shortest = settings.shortest_target();
+        let shortest_target = settings.shortest_target();
         Balancer {
             rng: oorandom::Rand64::new(u128::from(settings.seed)),
             fleet: Fleet::new(settings.cells, settings.span),
@@ -89,13 +105,13 @@
             zone_failover: None,
             zone_outcomes: BTreeMap::new(),
             queue: DeadlineQueue::default(),
-            unloaded: UnloadedLatency::new(shortest / START_DIVISOR),
+            unloaded: UnloadedLatency::new(shortest_target / START_DIVISOR),
             budget: PartBudget::default(),
-            shortest,
-            limits: LatencyLimits::new(shortest),
+            shortest_target,
+            limits: LatencyLimits::new(shortest_target),
             retries: RetryBudget::new(&settings),
             arrivals: VecDeque::new(),
-            times_left: vec![VecDeque::new(); settings.query_types.len()],
+            times_remaining: vec![VecDeque::new(); settings.query_types.len()],
             plan: Plan::default(),
             settings,
         }
@@ -104,8 +120,8 @@
     /// Takes in the endpoint list, or changes of it. A `full` list names all replicas. A replica that isn't
     /// open gets nothing new from this call on. A new process is warming up, and nothing that was known of the
     /// old one counts for it.
-    pub fn list(&mut self, full: bool, lines: &[Listed]) {
-        let departed = self.fleet.list(full, lines, |line| {
+    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
+        let departed = self.fleet.apply_endpoint_list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
             let warming = Warming::new(
                 &line.replica,
@@ -134,19 +150,19 @@
     }
 
     /// Where to send this search. Called when it or its second step arrives, and whenever `wait` is over.
-    pub fn place(&mut self, now: f64, search: &mut Search) -> Plan {
+    pub fn place(&mut self, now: Seconds, search: &mut Search) -> Plan {
         self.decide(now, search);
         std::mem::take(&mut self.plan)
     }
 
     /// The client has disconnected: nothing more is owed to it.
-    pub fn client_left(&mut self, search: &mut Search) -> Plan {
+    pub fn client_disconnected(&mut self, search: &mut Search) -> Plan {
         self.close(search, None);
         std::mem::take(&mut self.plan)
     }
 
     /// The demand on each replica that is warming up.
-    pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
+    pub fn slow_start_demands(&self, now: Seconds) -> Vec<SlowStartDemand> {
         let Some(config) = &self.settings.slow_start else {
             return Vec::new();
         };
@@ -168,10 +184,10 @@
         self.fleet.iter().filter_map(demand).collect()
     }
 
-    /// The tier has allocated the quota of a warming replica: this co-ordinator has `times` its even share.
-    pub fn quota_share(&mut self, replica: &ReplicaId, times: f64) {
+    /// Sets what the tier has allocated to this co-ordinator of a warming replica, in even shares.
+    pub fn set_quota_share(&mut self, replica: &ReplicaId, even_shares: f64) {
         if let Some(replica) = self.fleet.get_mut(replica) {
-            replica.state.warming.quota_share = Some(times);
+            replica.state.warming.quota_share = Some(even_shares);
         }
     }
 }
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -1,34 +1,55 @@
 //! The health of replicas and zones, by this co-ordinator's own calls and by what the tier has agreed on.
 
 use super::{Balancer, EjectionConfig, Known, Observation, OutlierDetector};
-use crate::api::{Ending, Outcome, ReplicaId, ZoneFailoverState, ZoneHealth, ZoneId};
+use crate::api::{
+    Ending, Outcome, ReplicaId, Seconds, Share, WarmReplicas, ZoneFailoverState, ZoneHealth, ZoneId,
+};
 use crate::balancer::ZoneOutcome;
 use crate::fleet::{InFlight, Replica};
 use crate::samples::push;
 use std::collections::BTreeMap;
 
-/// Number of latest outcomes that are kept of each zone, and the most that are reported.
+/// Number of outcomes of each zone that are kept, the latest, and the greatest number that is reported.
 const ZONE_OUTCOMES: usize = 6;
-/// Seconds for which an outcome can be part of a zone's run of losses.
-const RUN_WINDOW: f64 = 6.0;
-/// Seconds for which an outcome counts otherwise.
-const OUTCOME_WINDOW: f64 = 2.0;
+/// How long an outcome can be part of a zone's run of losses.
+const RUN_WINDOW: Seconds = 6.0;
+/// How long an outcome counts otherwise.
+const OUTCOME_WINDOW: Seconds = 2.0;
 /// Ejection of a replica.
 const REPLICA_EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
-    least: 2,
+    min_failures: 2,
 };
 /// Ejection of a zone.
 const ZONE_EJECTION: EjectionConfig = EjectionConfig {
     window: 32,
-    least: 8,
+    min_failures: 8,
 };
 
+/// What is in flight at a zone for too long, and what the zone can take.
+#[derive(Default)]
+struct ZoneLoad {
+    overdue: usize,
+    capacity: WarmReplicas,
+}
+
+/// How many parts count of a zone, and how many of them were lost.
+struct OutcomeCounts {
+    seen: usize,
+    lost: usize,
+}
+
 impl Balancer {
     /// Records the end of a call at its replica and at its zone. A zone that is cut off, or whose links lose
     /// much, makes all of its replicas fail while each is known by too few outcomes; so the outcomes of
     /// replicas that are not ejected themselves count for their zone.
-    pub(super) fn observe(&mut self, now: f64, outcome: &Outcome, call: &InFlight, failed: bool) {
+    pub(super) fn observe(
+        &mut self,
+        now: Seconds,
+        outcome: &Outcome,
+        call: &InFlight,
+        failed: bool,
+    ) {
         let Some(replica) = self.fleet.get_mut(&outcome.replica) else {
             return;
         };
@@ -60,13 +81,13 @@
     /// only from half of the latency target on, or from a quarter where nothing has come since it was sent.
     fn record_zone_outcome(
         &mut self,
-        now: f64,
+        now: Seconds,
         zone: ZoneId,
         outcome: &Outcome,
         has_answered_since: bool,
     ) {
         let divisor = if has_answered_since { 2.0 } else { 4.0 };
-        let is_slow = outcome.latency > self.shortest / divisor;
+        let is_slow = outcome.latency > self.shortest_target / divisor;
         let is_lost = is_slow
             || !matches!(
                 outcome.ending,
@@ -79,7 +100,7 @@
     }
 
     /// Records a call's end for the outlier ejection of its zone.
-    fn observe_zone(&mut self, zone: ZoneId, now: f64, sent_at: f64, failed: bool) {
+    fn observe_zone(&mut self, zone: ZoneId, now: Seconds, sent_at: Seconds, failed: bool) {
         let observation = Observation {
             at: now,
             sent_at,
@@ -96,7 +117,7 @@
 
     /// Takes over what the tier has agreed on about zones, if this co-ordinator is connected to it. A single
     /// co-ordinator observes too little of a zone that is lost.
-    pub fn zone_failover(&mut self, now: f64, agreed: Option<ZoneFailoverState>) {
+    pub fn set_zone_failover(&mut self, now: Seconds, agreed: Option<ZoneFailoverState>) {
         for (zone, share) in agreed.iter().flat_map(|state| &state.shares) {
             let was_ejected = self.share(Some(*zone)) <= 0.0;
             let health = self.zones.entry(*zone).or_default();
@@ -109,8 +130,8 @@
         self.zone_failover = agreed;
     }
 
-    /// The share of its traffic that a zone may have, from 0 to 1.
-    pub(super) fn share(&self, zone: Option<ZoneId>) -> f64 {
+    /// The share of its traffic that a zone may have.
+    pub(super) fn share(&self, zone: Option<ZoneId>) -> Share {
         self.zone_failover
             .as_ref()
             .zip(zone)
@@ -144,36 +165,34 @@
     }
 
     /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
-    pub(super) fn is_unresponsive(&self, now: f64, replica: &Replica<Known>) -> bool {
+    pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<Known>) -> bool {
         replica.unanswered(now + 1e-6, self.limits.hedge_after) > 0
     }
 
     /// What is reported to the tier of each zone: the latest parts, or the run of losses up to now where there is
     /// one, as the answers before it say nothing of a zone that has just been lost.
-    pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
-        let mut overdue_and_capacity: BTreeMap<ZoneId, (usize, f64)> = BTreeMap::new();
+    pub fn zone_health(&self, now: Seconds) -> Vec<ZoneHealth> {
+        let mut loads: BTreeMap<ZoneId, ZoneLoad> = BTreeMap::new();
         for (_, replica) in self.fleet.iter() {
             let Some(zone) = replica.zone else { continue };
-            let (overdue, capacity) = overdue_and_capacity.entry(zone).or_default();
-            *overdue += replica.unanswered(now, self.shortest / 4.0);
-            *capacity += self.capacity_of(now, replica);
+            let load = loads.entry(zone).or_default();
+            load.overdue += replica.unanswered(now, self.shortest_target / 4.0);
+            load.capacity += self.capacity_of(now, replica);
         }
-        overdue_and_capacity
-            .into_iter()
-            .map(|(zone, (overdue, capacity))| {
-                let (seen, failed) = self.recent_outcomes(now, zone, overdue);
-                ZoneHealth {
-                    zone,
-                    seen,
-                    failed,
-                    capacity,
-                }
-            })
-            .collect()
+        let health = |(zone, load): (ZoneId, ZoneLoad)| {
+            let counts = self.recent_outcomes(now, zone, load.overdue);
+            ZoneHealth {
+                zone,
+                seen: counts.seen,
+                failed: counts.lost,
+                capacity: load.capacity,
+            }
+        };
+        loads.into_iter().map(health).collect()
     }
 
-    /// How many parts count of a zone and how many of them were lost, with `overdue` parts in flight.
-    fn recent_outcomes(&self, now: f64, zone: ZoneId, overdue: usize) -> (usize, usize) {
+    /// Counts the recent outcomes of a zone, with `overdue` parts in flight.
+    fn recent_outcomes(&self, now: Seconds, zone: ZoneId, overdue: usize) -> OutcomeCounts {
         let outcomes = self.zone_outcomes.get(&zone).into_iter().flatten().rev();
         let recent = || {
             outcomes
@@ -183,10 +202,16 @@
         let run = overdue + recent().take_while(|outcome| outcome.is_lost).count();
         let run = run.min(ZONE_OUTCOMES);
         if run > 1 {
-            return (run, run);
+            return OutcomeCounts {
+                seen: run,
+                lost: run,
+            };
         }
         let fresh = || recent().take_while(|outcome| outcome.at > now - OUTCOME_WINDOW);
         let lost = fresh().filter(|outcome| outcome.is_lost).count();
-        (overdue + fresh().count(), overdue + lost)
+        OutcomeCounts {
+            seen: overdue + fresh().count(),
+            lost: overdue + lost,
+        }
     }
 }
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -2,7 +2,7 @@
 //! Hedges themselves are picked in `placement`, and allowed in `repeats`.
 
 use super::{Balancer, Known};
-use crate::api::{Attempt, ReplicaId, Search};
+use crate::api::{Attempt, AttemptId, ReplicaId, Search, Seconds};
 use crate::fleet::Replica;
 
 /// An attempt is taken for hung after this multiple of the time after which it is late.
@@ -13,8 +13,8 @@
     /// replica can still meet the target: the part goes there once the outcome is in.
     pub(super) fn cancel_hung(
         &mut self,
-        now: f64,
-        target: f64,
+        now: Seconds,
+        target: Seconds,
         search: &Search,
         part_index: usize,
     ) {
@@ -43,13 +43,15 @@
         if !other_fits || !part.waiting().all(|(_, attempt)| is_hung(attempt)) {
             return;
         }
-        for (attempt_index, attempt) in part.waiting() {
+        for (index, attempt) in part.waiting() {
+            let part = part.id;
+            let id = AttemptId { part, index };
             let call = self
                 .fleet
                 .get_mut(&attempt.replica)
-                .and_then(|replica| replica.in_flight.get_mut(&(part.id, attempt_index)));
+                .and_then(|replica| replica.in_flight.get_mut(&id));
             if call.is_some_and(|call| !std::mem::replace(&mut call.cancelled_as_hung, true)) {
-                self.plan.cancel.push((part.id, attempt_index));
+                self.plan.cancel.push(id);
             }
         }
     }
@@ -58,8 +60,8 @@
     /// which no search waits.
     pub(super) fn send_probe(
         &mut self,
-        now: f64,
-        until: f64,
+        now: Seconds,
+        until: Seconds,
         search: &mut Search,
         part_index: usize,
     ) {
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -1,29 +1,29 @@
 //! Outlier ejection: a replica or zone whose latest calls failed gets no traffic until probes succeed.
 
+use crate::api::Seconds;
 pub use crate::api::{Change, EjectionConfig, Observation};
 use crate::samples::push;
 use std::collections::VecDeque;
 
-/// Seconds for which an observation counts: longer than sparse traffic needs for two calls, shorter than most
-/// faults.
-const OBSERVATION_WINDOW: f64 = 10.0;
+/// How long an observation counts: longer than sparse traffic needs for two calls, shorter than most faults.
+const OBSERVATION_WINDOW: Seconds = 10.0;
 /// Failed calls of one class that eject it alone, and calls of other classes that show them to be healthy.
 const MIN_CLASS_CALLS: usize = 3;
 /// Successful probes in a row that end an ejection.
 const SUCCESSES_TO_RESTORE: usize = 4;
-/// First interval between probes, in seconds; it doubles with each failure.
-const PROBE_INTERVAL: f64 = 1.0;
-/// Longest interval between probes, in seconds.
-const MAX_PROBE_INTERVAL: f64 = 4.0;
+/// First interval between probes; it doubles with each failure.
+const PROBE_INTERVAL: Seconds = 1.0;
+/// Longest interval between probes.
+const MAX_PROBE_INTERVAL: Seconds = 4.0;
 /// Traffic with fewer recent calls than this is sparse.
 const SPARSE_CALLS: usize = 4;
 
 struct Ejection<C> {
     /// The only class that is ejected; all if there is none.
     only: Option<C>,
-    since: f64,
-    next_probe: f64,
-    probe_interval: f64,
+    since: Seconds,
+    next_probe: Seconds,
+    probe_interval: Seconds,
     successes: usize,
 }
 
@@ -45,9 +45,9 @@
     calls.iter().filter(|call| call.failed).count()
 }
 
-/// Whether half of the calls failed, and at least `least` of them.
-fn mostly_fail<C>(calls: &[&Observation<C>], least: usize) -> bool {
-    failures(calls) >= least && failures(calls) * 2 >= calls.len()
+/// Whether half of the calls failed, and at least `min_failures` of them.
+fn mostly_fail<C>(calls: &[&Observation<C>], min_failures: usize) -> bool {
+    failures(calls) >= min_failures && failures(calls) * 2 >= calls.len()
 }
 
 /// The latest calls to one replica or zone, and whether it is ejected for their failures.
@@ -81,7 +81,7 @@
             let is_failing = if only_class {
                 mostly_fail(&own, MIN_CLASS_CALLS)
             } else {
-                mostly_fail(&[own, others].concat(), config.least)
+                mostly_fail(&[own, others].concat(), config.min_failures)
             };
             if !is_failing {
                 return None;
@@ -95,7 +95,7 @@
             .only
             .filter(|only| *only != call.class || call.sent_at < ejection.since)
         {
-            if only != call.class && mostly_fail(&own, config.least) {
+            if only != call.class && mostly_fail(&own, config.min_failures) {
                 ejection.only = None;
             }
             return None;
@@ -110,7 +110,7 @@
     }
 
     /// Ejects it for one class, or for all; nothing if it is ejected already.
-    pub fn eject(&mut self, now: f64, only: Option<C>) {
+    pub fn eject(&mut self, now: Seconds, only: Option<C>) {
         let ejection = Ejection {
             only,
             since: now,
@@ -134,25 +134,25 @@
     }
 
     /// Whether a probe of this class may be sent to the ejected replica or zone.
-    pub fn probe_due(&self, now: f64, class: C) -> bool {
+    pub fn probe_due(&self, now: Seconds, class: C) -> bool {
         self.is_ejected_for(class) && self.ejection.as_ref().is_some_and(|e| now >= e.next_probe)
     }
 
     /// Records that a probe was sent: the next one is due an interval later, or at once if this one succeeds.
-    pub fn probe_sent(&mut self, now: f64) {
+    pub fn probe_sent(&mut self, now: Seconds) {
         if let Some(ejection) = &mut self.ejection {
             ejection.next_probe = now + ejection.probe_interval;
         }
     }
 
     /// Whether all calls since then failed, three at least.
-    pub fn all_failed(&self, since: f64) -> bool {
+    pub fn all_failed(&self, since: Seconds) -> bool {
         let mut recent = self.seen.iter().filter(|call| call.at > since);
         recent.clone().count() >= MIN_CLASS_CALLS && recent.all(|call| call.failed)
     }
 
     /// Whether the last call failed where traffic is sparse: two failures take long to see there.
-    pub fn failed_last(&self, now: f64) -> bool {
+    pub fn failed_last(&self, now: Seconds) -> bool {
         let mut recent = self
             .seen
             .iter()
--- a/crates/routing/src/decide/part_budget.rs
+++ b/crates/routing/src/decide/part_budget.rs
@@ -1,12 +1,13 @@
 //! The latency budget of one part of a request, and the queuing deadline of the whole (docs/design.md, Kept).
 
-use super::UnloadedLatency as Latencies;
+use super::UnloadedLatency;
+use crate::api::{Seconds, Share};
 
-/// Seconds for which an unloaded latency counts.
-pub(crate) const SAMPLE_AGE: f64 = 20.0;
-/// Samples of one replica: they are replaced in seconds, and have a 0.97 quantile.
+/// How long an unloaded latency counts.
+pub(crate) const SAMPLE_AGE: Seconds = 20.0;
+/// Number of samples of one replica: they are replaced in seconds, and have a 0.97 quantile.
 pub(crate) const OWN_SAMPLES: usize = 32;
-/// Samples of the fleet.
+/// Number of samples of the fleet.
 pub(crate) const FLEET_SAMPLES: usize = 256;
 /// Before any sample, the unloaded latency is taken for the shortest latency target divided by this, which
 /// restricts nothing.
@@ -15,48 +16,61 @@
 /// samples push queuing deadlines below zero, so that such calls overtake every queue.
 pub(crate) const LEAST_SAMPLES: usize = 8;
 
-/// Splits a target over `k` parts side by side: in time with probability `p` asks for p^(1/k) of each part.
+/// The probability with which all parts of a request are to be in time. Samples contain other co-ordinators' queues,
+/// so that with 0.95 a replica's tail is the worst of them and healthy replicas are skipped; with 0.5 hopeless parts
+/// still leave.
+const IN_TIME_PROBABILITY: Share = 0.7;
+/// The highest quantile of a replica's latencies that is used: 32 samples allow no finer one. Beyond 1 - 1/16 one
+/// outlier has parts of wide requests skipped.
+const MAX_QUANTILE: Share = 1.0 - 1.0 / 16.0;
+
+/// Splits a target over `k` parts side by side: in time with probability p asks for p^(1/k) of each part.
 pub struct PartBudget {
-    p: f64,
-    finest: f64,
+    probability: Share,
+    max_quantile: Share,
 }
 
 impl Default for PartBudget {
-    /// `p` is 0.7. Samples contain other co-ordinators' queues, so that with 0.95 a replica's tail is the worst of
-    /// them and healthy replicas are skipped; with 0.5 hopeless parts still leave. The quantile is no finer than
-    /// 32 samples allow: beyond 1 - 1/16 one outlier has parts of wide requests skipped.
     fn default() -> Self {
         PartBudget {
-            p: 0.7,
-            finest: 1.0 - 1.0 / 16.0,
+            probability: IN_TIME_PROBABILITY,
+            max_quantile: MAX_QUANTILE,
         }
     }
 }
 
 impl PartBudget {
     /// The quantile of a replica's unloaded latencies that a part of `k` must make: p^(1/k).
-    pub fn part_quantile(&self, k: usize) -> f64 {
-        self.p.powf(1.0 / k.max(1) as f64).min(self.finest)
+    pub fn part_quantile(&self, k: usize) -> Share {
+        self.probability
+            .powf(1.0 / k.max(1) as f64)
+            .min(self.max_quantile)
     }
 
     /// When parts at these replicas must begin for the whole to end by `end`; `None` counts as average.
     pub fn queuing_deadline<R: Ord>(
         &self,
-        now: f64,
-        end: f64,
-        of: &Latencies<R>,
-        at: &[Option<&R>],
-    ) -> f64 {
-        end - of.product_quantile(now, at, self.p)
+        now: Seconds,
+        end: Seconds,
+        latencies: &UnloadedLatency<R>,
+        replicas: &[Option<&R>],
+    ) -> Seconds {
+        end - latencies.product_quantile(now, replicas, self.probability)
     }
 
     /// The unloaded tail of a replica for one of `k` parts.
-    pub fn tail<R: Ord>(&self, now: f64, of: &Latencies<R>, at: Option<&R>, k: usize) -> f64 {
-        of.quantile(now, at, self.part_quantile(k))
+    pub fn tail<R: Ord>(
+        &self,
+        now: Seconds,
+        latencies: &UnloadedLatency<R>,
+        replica: Option<&R>,
+        k: usize,
+    ) -> Seconds {
+        latencies.quantile(now, replica, self.part_quantile(k))
     }
 
-    /// Whether a part is left unsent: its time left is under the unloaded tail.
-    pub fn hopeless(time_left: f64, tail: f64) -> bool {
-        time_left < tail
+    /// Whether a part is not worth sending: the time that remains is shorter than the unloaded tail.
+    pub fn hopeless(remaining: Seconds, tail: Seconds) -> bool {
+        remaining < tail
     }
 }
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,7 +1,8 @@
 //! Where the parts of a search go, and when they leave.
 
 use super::{Balancer, Candidates, Known, PartBudget};
-use crate::api::{Attempt, Part, Placement, ReplicaId, Search};
+use crate::api::{Attempt, AttemptId, Part, Placement, ReplicaId, Search, Seconds, Share};
+use crate::balancer::QueuedPart;
 use crate::fleet::Replica;
 use crate::samples::groups;
 use std::collections::BTreeMap;
@@ -12,6 +13,9 @@
 /// A replica that could be sent a part.
 type Holder<'a> = (&'a ReplicaId, &'a Replica<Known>);
 
+/// Tolerance for rounding in the time at which a hedge is due.
+const DUE_TOLERANCE: Seconds = 1e-9;
+
 /// What to do with a part.
 pub(super) enum Pick {
     /// Send it now.
@@ -24,6 +28,12 @@
     Never,
 }
 
+/// A part of a search, by its index, and what to do with it.
+pub(super) struct PartPick {
+    pub(super) part_index: usize,
+    pub(super) pick: Pick,
+}
+
 impl Pick {
     /// The replica that was chosen, if any.
     pub(super) fn replica(&self) -> Option<&ReplicaId> {
@@ -37,12 +47,17 @@
 
 impl Balancer {
     /// A pick for each part of the step that has no answer, and nothing in flight that is not due a hedge.
-    pub(super) fn pick_all(&mut self, now: f64, until: f64, search: &Search) -> Vec<(usize, Pick)> {
+    pub(super) fn pick_all(
+        &mut self,
+        now: Seconds,
+        until: Seconds,
+        search: &Search,
+    ) -> Vec<PartPick> {
         let mut planned = PlannedParts::new();
         let mut picks = Vec::new();
         let hedge_after = self.limits.hedge_after;
         for (part_index, part) in search.step_parts().filter(|(_, part)| !part.answered) {
-            let is_due = |attempt: &Attempt| now >= attempt.sent_at + hedge_after - 1e-9;
+            let is_due = |attempt: &Attempt| now >= attempt.sent_at + hedge_after - DUE_TOLERANCE;
             if part.waiting().any(|(_, attempt)| !is_due(attempt)) {
                 continue;
             }
@@ -50,15 +65,15 @@
             if let Pick::Go(id) = &pick {
                 *planned.entry(id.clone()).or_default() += 1;
             }
-            picks.push((part_index, pick));
+            picks.push(PartPick { part_index, pick });
         }
         picks
     }
 
     fn pick(
         &mut self,
-        now: f64,
-        until: f64,
+        now: Seconds,
+        until: Seconds,
         search: &Search,
         part: &Part,
         planned: &PlannedParts,
@@ -66,7 +81,7 @@
         let mut only = None;
         if !part.attempts.is_empty() {
             match self.may_repeat(now, search, part) {
-                Some(repeat) if self.worth_repeating(now, part) => only = repeat.only,
+                Some(repeat) if self.is_repeat_worthwhile(now, part) => only = repeat.only,
                 _ => return Pick::Never,
             }
         }
@@ -117,7 +132,8 @@
     fn go_or_queue(&self, search: &Search, part: &Part, chosen: Holder<'_>, load: usize) -> Pick {
         let (id, replica) = chosen;
         let deadline = search.queuing_deadline();
-        let is_behind = self.queue.is_behind(id, deadline, (search.id, part.id));
+        let queued = QueuedPart::of(search, part);
+        let is_behind = self.queue.is_behind(id, deadline, queued);
         if is_behind || replica.state.hold.holds(load) {
             Pick::Queue(id.clone())
         } else {
@@ -128,10 +144,10 @@
     /// Prefers replicas that haven't had the part, and among them those that are expected to answer.
     fn prefer_healthy(
         &self,
-        now: f64,
+        now: Seconds,
         search: &Search,
         part: &Part,
-        zone_draw: f64,
+        zone_draw: Share,
         candidates: &mut Candidates<Holder<'_>>,
     ) {
         candidates.prefer(|(id, _)| !part.tried(id));
@@ -147,18 +163,18 @@
     }
 
     /// Whether the replica is in one of the zones that are preferred for this draw.
-    fn is_near(&self, replica: &Replica<Known>, zone_draw: f64) -> bool {
+    fn is_near(&self, replica: &Replica<Known>, zone_draw: Share) -> bool {
         let near = self
             .zone_failover
             .iter()
             .flat_map(|state| &state.near)
-            .find(|(_, share)| zone_draw < *share);
+            .find(|near| zone_draw < near.cumulative_share);
         near.zip(replica.zone)
-            .is_some_and(|((zones, _), zone)| zones.contains(&zone))
+            .is_some_and(|(near, zone)| near.zones.contains(&zone))
     }
 
-    /// The replica's unloaded tail for a part of the present step, in seconds.
-    pub(super) fn tail(&self, now: f64, search: &Search, id: &ReplicaId) -> f64 {
+    /// The replica's unloaded tail for a part of the present step.
+    pub(super) fn tail(&self, now: Seconds, search: &Search, id: &ReplicaId) -> Seconds {
         self.budget.tail(
             now,
             &self.unloaded,
@@ -170,8 +186,8 @@
     /// Carries out a pick: sends the part, or queues it.
     pub(super) fn act(
         &mut self,
-        now: f64,
-        until: f64,
+        now: Seconds,
+        until: Seconds,
         search: &mut Search,
         part_index: usize,
         pick: Pick,
@@ -183,8 +199,8 @@
             Pick::Go(id) => self.send(now, until, search, part_index, id),
             // A queued hedge is pointless: its part is in flight already.
             Pick::Queue(id) if !part.in_flight() => {
-                self.queue
-                    .insert(&id, search.queuing_deadline(), (search.id, part.id));
+                let queued = QueuedPart::of(search, part);
+                self.queue.insert(&id, search.queuing_deadline(), queued);
                 search.parts[part_index].queued_at = Some(id);
             }
             _ => {}
@@ -194,8 +210,8 @@
     /// Sends an attempt of a part to a replica that is still known.
     pub(super) fn send(
         &mut self,
-        now: f64,
-        until: f64,
+        now: Seconds,
+        until: Seconds,
         search: &mut Search,
         part_index: usize,
         id: ReplicaId,
@@ -208,13 +224,17 @@
             return;
         };
         if !part.attempts.is_empty() {
-            self.retries.sent(now);
+            self.retries.record_sent(now);
         }
-        replica.sent(now, part.id, part.attempts.len(), search.query_type);
+        let attempt = AttemptId {
+            part: part.id,
+            index: part.attempts.len(),
+        };
+        replica.attempt_sent(now, attempt, search.query_type);
         replica
             .state
             .warming
-            .sent(now, self.settings.slow_start.as_ref());
+            .attempt_sent(now, self.settings.slow_start.as_ref());
         part.attempts.push(Attempt {
             replica: id.clone(),
             sent_at: now,
@@ -231,11 +251,8 @@
     /// Takes a part out of the queue of its replica, if it waits in one.
     pub(super) fn dequeue(&mut self, search: &mut Search, part_index: usize) {
         if let Some(id) = search.parts[part_index].queued_at.take() {
-            self.queue.remove(
-                &id,
-                search.queuing_deadline(),
-                (search.id, search.parts[part_index].id),
-            );
+            let queued = QueuedPart::of(search, &search.parts[part_index]);
+            self.queue.remove(&id, search.queuing_deadline(), queued);
             self.reconsider_next(&id);
         }
     }
@@ -245,11 +262,11 @@
         if self
             .fleet
             .get(id)
-            .is_some_and(|r| !r.state.hold.holds(r.in_flight.len()))
+            .is_some_and(|replica| !replica.state.hold.holds(replica.in_flight.len()))
         {
             self.plan
                 .reconsider
-                .extend(self.queue.first(id).map(|(search, _)| search));
+                .extend(self.queue.first(id).map(|queued| queued.search));
         }
     }
 }
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -1,16 +1,47 @@
 //! One search from its arrival to its reply.
 
 use super::Balancer;
-use super::placement::Pick;
-use crate::api::{Attempt, Ending, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search};
+use super::placement::{PartPick, Pick};
+use crate::api::{
+    Attempt, AttemptId, Ending, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search,
+    Seconds, Share,
+};
+use crate::fleet::InFlight;
+use crate::mutations::is_mutated;
 use crate::samples::{Sample, push};
-use crate::{fleet::InFlight, mutations::is_mutated};
 
-const ROUNDING: f64 = 1e-4; // sums of weights may fall this short
+/// Sums of weights may fall this short.
+const ROUNDING: Share = 1e-4;
+/// Latencies that are remembered of each replica, with its queue.
+const LOADED_SAMPLES: usize = 8;
+/// How soon a part without an attempt that is due a hedge is looked at again: slow start and the retry budget open with
+/// time alone.
+const RECONSIDER_INTERVAL: Seconds = 0.1;
+/// Ticks that an answer takes beyond its last part: one until it is handled, one until it leaves, and its way to the
+/// client.
+const REPLY_TICKS: f64 = 4.0;
+/// A late answer is waited for only if it keeps more than this share of its value: it costs as much as one in time.
+const MIN_LATE_VALUE: Share = 0.5;
+/// Unloaded tails of the second step that the first step leaves of the target: with one of them the second step's parts
+/// would be skipped on arrival.
+const SECOND_STEP_TAILS: f64 = 2.0;
+
+/// By when the present step of a search is to be answered.
+pub(super) struct StepTimes {
+    /// The time by which it has to be answered to meet the latency target.
+    pub(super) target: Seconds,
+    /// The last time at which an answer still has value.
+    pub(super) until: Seconds,
+}
 
 impl Balancer {
     /// What to do after this outcome; the search is absent if the caller no longer holds it.
-    pub fn after(&mut self, now: f64, search: Option<&mut Search>, outcome: &Outcome) -> Plan {
+    pub fn attempt_finished(
+        &mut self,
+        now: Seconds,
+        search: Option<&mut Search>,
+        outcome: &Outcome,
+    ) -> Plan {
         let call = self.record(now, outcome);
         self.limits.update(&self.unloaded, &self.budget);
         if let Some(search) = search {
@@ -18,7 +49,7 @@
             self.decide(now, search);
         }
         // An attempt that was cancelled as hung frees no capacity: its replica answers nothing.
-        if !call.is_some_and(|c| c.cancelled_as_hung) {
+        if !call.is_some_and(|call| call.cancelled_as_hung) {
             self.reconsider_next(&outcome.replica);
         }
         self.forget_if_departed(&outcome.replica);
@@ -26,103 +57,105 @@
     }
 
     /// How long until the search should be asked about again, if no outcome comes before.
-    pub fn wait(&self, now: f64, search: &Search) -> f64 {
-        let (target, until) = self.target_and_deadline(search);
+    pub fn wait(&self, now: Seconds, search: &Search) -> Seconds {
+        let StepTimes { target, until } = self.step_times(search);
         let mut due = if target > now {
             until.min(target)
         } else {
             until
         };
-        for (_, part) in search.step_parts().filter(|(_, p)| !p.answered) {
+        for (_, part) in search.step_parts().filter(|(_, part)| !part.answered) {
             let hedge_due = part
                 .waiting()
                 .last()
-                .map(|(_, s)| s.sent_at + self.limits.hedge_after);
-            // Guards open with time alone, and a hedge may become affordable: look again soon.
-            due = due.min(hedge_due.filter(|at| *at > now).unwrap_or(now + 0.1));
+                .map(|(_, attempt)| attempt.sent_at + self.limits.hedge_after)
+                .filter(|at| *at > now);
+            due = due.min(hedge_due.unwrap_or(now + RECONSIDER_INTERVAL));
         }
         (due - now).max(self.settings.tick)
     }
 
     /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
-    fn record(&mut self, now: f64, o: &Outcome) -> Option<InFlight> {
+    fn record(&mut self, now: Seconds, outcome: &Outcome) -> Option<InFlight> {
         self.watch_capacity(now);
-        let (late, ejected) = (
-            o.latency > self.limits.late_after,
-            self.with_own_samples(&o.replica).is_none(),
-        );
-        let replica = self.fleet.get_mut(&o.replica)?;
-        let answered = o.ending == Ending::Answered;
-        let call = replica.ended(now, o.part, o.attempt_index, answered)?;
+        let late = outcome.latency > self.limits.late_after;
+        let ejected = self.with_own_samples(&outcome.replica).is_none();
+        let replica = self.fleet.get_mut(&outcome.replica)?;
+        let answered = outcome.ending == Ending::Answered;
+        let id = AttemptId {
+            part: outcome.part,
+            index: outcome.attempt_index,
+        };
+        let call = replica.attempt_finished(now, id, answered)?;
         let known = &mut replica.state;
         if answered {
             known.hold.answered();
-            self.limits.answered(now, o.latency);
+            self.limits.answered(now, outcome.latency);
             if call.alone {
-                self.unloaded.record(now, &o.replica, o.latency, ejected);
+                self.unloaded
+                    .record(now, &outcome.replica, outcome.latency, ejected);
             }
         }
-        if answered || (matches!(o.ending, Ending::TimedOut | Ending::Cancelled) && o.latency > 0.0)
-        {
+        let was_given_up = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
+        if answered || (was_given_up && outcome.latency > 0.0) {
             push(
                 &mut known.loaded,
                 Sample {
                     at: now,
-                    value: o.latency,
+                    value: outcome.latency,
                 },
-                8,
+                LOADED_SAMPLES,
             );
         }
-        if matches!(o.ending, Ending::Full | Ending::TimedOut) {
+        if matches!(outcome.ending, Ending::Full | Ending::TimedOut) {
             known.hold.begin(replica.in_flight.len());
         }
         // One given up says something of health only if it is late.
-        if o.ending == Ending::NeverSent || (o.ending == Ending::Cancelled && !late) {
+        if outcome.ending == Ending::NeverSent || (outcome.ending == Ending::Cancelled && !late) {
             return Some(call);
         }
-        known.warming.ended(o.ending);
-        self.observe(now, o, &call, !answered || late);
+        known.warming.attempt_finished(outcome.ending);
+        self.observe(now, outcome, &call, !answered || late);
         Some(call)
     }
 
-    /// The time by which the present step has to be answered to meet its latency target, and the last time at
-    /// which an answer still has value.
-    pub(super) fn target_and_deadline(&self, search: &Search) -> (f64, f64) {
-        let margin = 4.0 * self.settings.tick; // one to be asked, one to reply, and the way to the client
+    /// By when the present step is to be answered.
+    pub(super) fn step_times(&self, search: &Search) -> StepTimes {
+        let margin = REPLY_TICKS * self.settings.tick;
         let query_type = &self.settings.query_types[search.query_type.0];
         let end = search.client_deadline - margin;
-        let target = (search.first_asked_at.unwrap_or(search.arrived) + query_type.latency_target
-            - margin)
-            .min(end);
-        // A late answer costs as much as one in time: waited for only if it keeps over half its value.
-        let until = if query_type.late_value > 0.5 && !self.limits.overloaded {
+        let first_requested_at = search.first_requested_at.unwrap_or(search.arrived);
+        let target = (first_requested_at + query_type.latency_target - margin).min(end);
+        let until = if query_type.late_value > MIN_LATE_VALUE && !self.limits.overloaded {
             end
         } else {
             target
         };
-        // Twice the unloaded tail of the second step: once alone its parts would be skipped on arrival.
         let tail = self
             .budget
             .tail(0.0, &self.unloaded, None, query_type.second_step);
         let reserve = if search.step == 1 && query_type.second_step > 0 {
-            2.0 * tail
+            SECOND_STEP_TAILS * tail
         } else {
             0.0
         };
-        (target - reserve, until)
+        StepTimes {
+            target: target - reserve,
+            until,
+        }
     }
 
     /// Sends, queues or ends what is due of a search.
-    pub(crate) fn decide(&mut self, now: f64, search: &mut Search) {
+    pub(crate) fn decide(&mut self, now: Seconds, search: &mut Search) {
         if search.finished {
             return;
         }
         self.record_overload(now);
         let query_type = self.settings.query_types[search.query_type.0].clone();
-        if search.first_asked_at.is_none() {
-            self.arrive(search, &query_type);
+        if search.first_requested_at.is_none() {
+            self.record_arrival(search, &query_type);
         }
-        let (target, until) = self.target_and_deadline(search);
+        let StepTimes { target, until } = self.step_times(search);
         if search.step_parts().next().is_none() {
             if search.step == 1 || now >= until {
                 self.give_up(now, search);
@@ -136,25 +169,25 @@
         if now >= until || (now >= target && may_answer_partially(&query_type, search)) {
             return self.give_up(now, search);
         }
-        let is_first_look = search.queuing_deadline.is_none();
+        let is_new_step = search.queuing_deadline.is_none();
         let picks = self.pick_all(now, until, search);
-        if is_first_look && !self.admit_step(now, target, search, &picks) {
+        if is_new_step && !self.admit_step(now, target, search, &picks) {
             return self.give_up(now, search);
         }
         if !can_reach_minimum(&query_type, search, &picks) {
             return self.give_up(now, search);
         }
-        for (part_index, pick) in picks {
+        for PartPick { part_index, pick } in picks {
             self.cancel_hung(now, target, search, part_index);
             self.act(now, until, search, part_index, pick);
-            if is_first_look {
+            if is_new_step {
                 self.send_probe(now, until, search, part_index);
             }
         }
     }
 
     /// Updates the overload state, and logs when it changes.
-    fn record_overload(&mut self, now: f64) {
+    fn record_overload(&mut self, now: Seconds) {
         if !self.limits.update_overload(now, &self.unloaded) {
             return;
         }
@@ -169,20 +202,21 @@
     /// Sets the queuing deadline of a step that has just begun; false if the search is to be shed instead.
     fn admit_step(
         &mut self,
-        now: f64,
-        target: f64,
+        now: Seconds,
+        target: Seconds,
         search: &mut Search,
-        picks: &[(usize, Pick)],
+        picks: &[PartPick],
     ) -> bool {
-        let began = if search.step == 1 {
+        let step_started_at = if search.step == 1 {
             search.arrived
         } else {
             now
         };
-        self.retries.taken(began, search.step_parts().count());
+        self.retries
+            .record_taken(step_started_at, search.step_parts().count());
         let chosen: Vec<ReplicaId> = picks
             .iter()
-            .filter_map(|(_, pick)| pick.replica().cloned())
+            .filter_map(|part| part.pick.replica().cloned())
             .collect();
         let sampled: Vec<_> = chosen.iter().map(|id| self.with_own_samples(id)).collect();
         let deadline = self
@@ -192,33 +226,34 @@
         !(search.step == 1 && self.sheds(now, target, search, &chosen))
     }
 
-    /// The parts that came if they meet the floor; shed where asking again is proven harmless; or an error.
-    fn give_up(&mut self, now: f64, search: &mut Search) {
+    /// Replies with the parts that are answered if they suffice, with a rejection where another attempt is proven
+    /// harmless, or else with an error.
+    fn give_up(&mut self, now: Seconds, search: &mut Search) {
         let query_type = &self.settings.query_types[search.query_type.0];
-        let come = search.answered_weight();
-        let harmless = query_type.repeat == Repeat::Idempotent
+        let answered = search.answered_weight();
+        let is_harmless = query_type.repeat == Repeat::Idempotent
             || search
                 .parts
                 .iter()
-                .all(|p| p.attempts.iter().all(Attempt::proven_unrun))
+                .all(|part| part.attempts.iter().all(Attempt::proven_unrun))
             || is_mutated("module-harmless");
-        let floor = if is_mutated("module-floor") {
+        let minimum = if is_mutated("module-floor") {
             0.0
         } else {
             query_type.minimum_weight
         };
-        let reply = if come > 0.0 && come >= floor - ROUNDING {
+        let reply = if answered > 0.0 && answered >= minimum - ROUNDING {
             Reply::Answered {
                 complete: is_mutated("module-whole"),
             }
-        } else if harmless {
-            // The client should retry after half of the time left for queuing, if a retry can still be in time;
+        } else if is_harmless {
+            // The client should retry after half of the time that remains for queuing, if that can still be in time;
             // otherwise as late as allowed, which relieves the replicas.
             let longest = self.settings.max_retry_after.unwrap_or(0.0);
-            let time_left = search.queuing_deadline.unwrap_or(now) - now;
+            let remaining = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
-                retry_after: if time_left > 0.0 {
-                    longest.min(time_left / 2.0)
+                retry_after: if remaining > 0.0 {
+                    longest.min(remaining / 2.0)
                 } else {
                     longest
                 },
@@ -231,25 +266,26 @@
 
     /// Ends the present step, or the search: what is queued or in flight is given up.
     pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
-        for i in 0..search.parts.len() {
-            self.dequeue(search, i);
-            let part = &search.parts[i];
-            let live = part
+        for part_index in 0..search.parts.len() {
+            self.dequeue(search, part_index);
+            let part = &search.parts[part_index];
+            let in_flight = part
                 .waiting()
                 .filter(|_| self.settings.cancellation_allowed)
-                .map(|(n, _)| (part.id, n));
-            self.plan.cancel.extend(live);
+                .map(|(index, _)| AttemptId {
+                    part: part.id,
+                    index,
+                });
+            self.plan.cancel.extend(in_flight);
         }
         let query_type = &self.settings.query_types[search.query_type.0];
         match reply {
             Some(Reply::Answered { complete })
                 if search.step == 1 && query_type.second_step > 0 =>
             {
-                (
-                    search.step,
-                    search.first_step_complete,
-                    search.queuing_deadline,
-                ) = (2, complete, None);
+                search.step = 2;
+                search.first_step_complete = complete;
+                search.queuing_deadline = None;
             }
             _ => search.finished = true,
         }
@@ -276,11 +312,11 @@
 }
 
 /// Whether the parts that can still be answered suffice for the least answer.
-fn can_reach_minimum(query_type: &QueryType, search: &Search, picks: &[(usize, Pick)]) -> bool {
+fn can_reach_minimum(query_type: &QueryType, search: &Search, picks: &[PartPick]) -> bool {
     let is_hopeless = |part_index: usize| {
         picks
             .iter()
-            .any(|(index, pick)| part_index == *index && matches!(pick, Pick::Never))
+            .any(|part| part.part_index == part_index && matches!(part.pick, Pick::Never))
     };
     let weights: Vec<f64> = search
         .step_parts()
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: limits what is sent to a replica that is warming up (docs/design.md, exception 7).
 
 use super::{Balancer, Known};
-use crate::api::{Ending, ReplicaId, SlowStartConfig};
+use crate::api::{Ending, ReplicaId, Seconds, Share, SlowStartConfig, WarmReplicas};
 use crate::fleet::Replica;
 use crate::mutations::is_mutated;
 use crate::samples::{Sample, mean, push};
@@ -11,19 +11,20 @@
 /// The golden ratio's fraction. Steps of it spread the co-ordinators' turns evenly: in any window as many have
 /// theirs as their shares add up to.
 const GOLDEN: f64 = 0.618_033_988_75;
-/// Number of samples of the fleet's capacity that are kept.
+/// Number of samples of the fleet's capacity that are kept, the latest.
 const CAPACITY_SAMPLES: usize = 9;
-/// Seconds between two samples of the fleet's capacity.
-const CAPACITY_INTERVAL: f64 = 0.25;
+/// Interval between two samples of the fleet's capacity.
+const CAPACITY_INTERVAL: Seconds = 0.25;
 
 /// What this co-ordinator knows of a replica's start.
 #[derive(Default)]
 pub(crate) struct Warming {
-    phase: f64,
-    /// What the tier has allocated to this co-ordinator, as a multiple of its even share.
+    /// Where this co-ordinator's turns begin.
+    phase: Share,
+    /// What the tier has allocated to this co-ordinator, in even shares.
     pub(crate) quota_share: Option<f64>,
     /// Times of the attempts sent within the overload window.
-    pub(crate) sends: VecDeque<f64>,
+    pub(crate) sends: VecDeque<Seconds>,
     /// Number of parts that slow start has kept from the replica.
     pub(crate) suppressed: Cell<u64>,
     /// Whether its connections were reset since it last answered.
@@ -31,12 +32,12 @@
     /// Whether it is taken for a new process that isn't listed yet.
     restarted: bool,
     /// When such a process was first sent a part.
-    restarted_at: Option<f64>,
+    restarted_at: Option<Seconds>,
 }
 
 impl Warming {
     /// A process that has just been listed. The turns of different replicas and co-ordinators begin apart.
-    pub(crate) fn new(replica: &ReplicaId, coordinator_index: Option<u64>, random: f64) -> Self {
+    pub(crate) fn new(replica: &ReplicaId, coordinator_index: Option<u64>, random: Share) -> Self {
         let offset = replica
             .0
             .bytes()
@@ -50,13 +51,13 @@
     /// Records how an attempt ended. A replica that resets connections and then refuses a new one has died:
     /// what answers next is a new process, which is listed only seconds later. A replica that can't be reached
     /// becomes unresponsive instead.
-    pub(crate) fn ended(&mut self, ending: Ending) {
+    pub(crate) fn attempt_finished(&mut self, ending: Ending) {
         self.restarted |= self.reset && ending == Ending::Unreachable;
         self.reset = ending == Ending::Broken || (self.reset && ending != Ending::Answered);
     }
 
     /// Records that a part leaves for the replica.
-    pub(crate) fn sent(&mut self, now: f64, config: Option<&SlowStartConfig>) {
+    pub(crate) fn attempt_sent(&mut self, now: Seconds, config: Option<&SlowStartConfig>) {
         if std::mem::take(&mut self.restarted) {
             self.restarted_at = Some(now);
             self.sends.clear();
@@ -68,7 +69,7 @@
     }
 
     /// When its process started, as far as this co-ordinator knows; `ready_at` is what the list says.
-    fn started_at(&self, now: f64, ready_at: Option<f64>) -> Option<f64> {
+    fn started_at(&self, now: Seconds, ready_at: Option<Seconds>) -> Option<Seconds> {
         let restarted = if self.restarted {
             Some(now)
         } else {
@@ -77,15 +78,15 @@
         ready_at.into_iter().chain(restarted).max_by(f64::total_cmp)
     }
 
-    /// Number of attempts sent within the last `window` seconds.
-    fn sent_within(&self, now: f64, window: f64) -> usize {
+    /// Number of attempts sent within the last `window`.
+    fn sent_within(&self, now: Seconds, window: Seconds) -> usize {
         self.sends.iter().filter(|at| **at > now - window).count()
     }
 }
 
 impl Balancer {
-    /// The present capacity of an open replica, in warm replicas; 0 for one that isn't open.
-    pub(super) fn capacity_of(&self, now: f64, replica: &Replica<Known>) -> f64 {
+    /// The present capacity of an open replica; 0 for one that isn't open.
+    pub(super) fn capacity_of(&self, now: Seconds, replica: &Replica<Known>) -> WarmReplicas {
         if !replica.open {
             return 0.0;
         }
@@ -98,7 +99,7 @@
     }
 
     /// Samples the fleet's capacity, for as long as answers count for a replica's share.
-    pub(super) fn watch_capacity(&mut self, now: f64) {
+    pub(super) fn watch_capacity(&mut self, now: Seconds) {
         if self
             .capacity
             .back()
@@ -122,7 +123,7 @@
     /// than one part goes by turns, one overload window each.
     pub(super) fn exceeds_slow_start(
         &self,
-        now: f64,
+        now: Seconds,
         replica: &Replica<Known>,
         planned: usize,
     ) -> bool {
@@ -153,12 +154,12 @@
         is_closed
     }
 
-    /// Parts a second that this co-ordinator may send to a replica that is warm: what a warm one answers it on
+    /// Parts per second that this co-ordinator may send to a replica that is warm: what a warm one answers it on
     /// average, or half of its even share at the mean unloaded latency on one core; adjusted by the share that
     /// the tier has allocated.
-    fn warming_rate(&self, now: f64, warming: &Warming) -> f64 {
+    fn warming_rate(&self, now: Seconds, warming: &Warming) -> f64 {
         // The mean, not the median: the work of parts is skewed, and the overload threshold sums it.
-        let work = mean(&self.unloaded.fleet()).unwrap_or(self.shortest / 5.0);
+        let work = mean(&self.unloaded.fleet()).unwrap_or(self.shortest_target / 5.0);
         let even = 1.0 / work / self.settings.coordinators.max(1) as f64;
         let warm_replicas = self
             .capacity
@@ -166,8 +167,8 @@
             .map(|sample| sample.value)
             .fold(1.0, f64::max);
         let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
-        warming.quota_share.map_or(own, |times| {
-            own * times.min(1.0) + even * (times - 1.0).max(0.0)
+        warming.quota_share.map_or(own, |even_shares| {
+            own * even_shares.min(1.0) + even * (even_shares - 1.0).max(0.0)
         })
     }
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,20 +1,20 @@
 //! The replicas that the endpoint list names, by cell, with this co-ordinator's attempts in flight at each.
 
-use crate::api::{Listed, PartId, QueryTypeId, ReplicaId, ShardId, ZoneId};
+use crate::api::{AttemptId, Listed, QueryTypeId, ReplicaId, Seconds, ShardId, ZoneId};
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
-    /// When it was sent (seconds).
-    pub sent_at: f64,
+    /// When it was sent.
+    pub sent_at: Seconds,
     /// Whether nothing else of this co-ordinator was in flight at its replica when it was sent.
     pub alone: bool,
     /// The query type of its search.
     pub query_type: QueryTypeId,
     /// Number of attempts that were sent there later and answered before it.
-    pub passed: usize,
+    pub overtaken_by: usize,
     /// Whether it was cancelled because its replica hangs, so that its part can go elsewhere.
     pub cancelled_as_hung: bool,
 }
@@ -27,63 +27,63 @@
     /// Its zone, once listed.
     pub zone: Option<ZoneId>,
     cell: u64,
-    /// When its process started (seconds), if that was recent.
-    pub ready_at: Option<f64>,
-    /// Attempts in flight, by part and attempt index.
-    pub in_flight: BTreeMap<(PartId, usize), InFlight>,
+    /// When its process started, if that was recent.
+    pub ready_at: Option<Seconds>,
+    /// Attempts in flight.
+    pub in_flight: BTreeMap<AttemptId, InFlight>,
     /// Number of answers since the start of its process.
     pub answers: usize,
-    /// When the last of them came (seconds).
-    pub answered_at: f64,
+    /// When the last of them came.
+    pub answered_at: Seconds,
     /// What the decisions know of it.
     pub state: S,
 }
 
 impl<S> Replica<S> {
     /// Records that an attempt leaves for it.
-    pub fn sent(&mut self, now: f64, part: PartId, attempt_index: usize, query_type: QueryTypeId) {
+    pub fn attempt_sent(&mut self, now: Seconds, id: AttemptId, query_type: QueryTypeId) {
         let alone = self.in_flight.is_empty();
         let call = InFlight {
             sent_at: now,
             alone,
             query_type,
-            passed: 0,
+            overtaken_by: 0,
             cancelled_as_hung: false,
         };
-        self.in_flight.insert((part, attempt_index), call);
+        self.in_flight.insert(id, call);
     }
 
     /// Records the end of an attempt; `None` if it was not in flight.
-    pub fn ended(
+    pub fn attempt_finished(
         &mut self,
-        now: f64,
-        part: PartId,
-        attempt_index: usize,
+        now: Seconds,
+        id: AttemptId,
         answered: bool,
     ) -> Option<InFlight> {
-        let call = self.in_flight.remove(&(part, attempt_index))?;
+        let call = self.in_flight.remove(&id)?;
         if answered {
             self.in_flight
                 .values_mut()
-                .filter(|c| c.sent_at < call.sent_at)
-                .for_each(|c| c.passed += 1);
+                .filter(|other| other.sent_at < call.sent_at)
+                .for_each(|other| other.overtaken_by += 1);
             self.answers += 1;
             self.answered_at = now;
         }
         Some(call)
     }
 
-    /// The age of the oldest attempt in flight in seconds, or 0.
-    pub fn oldest(&self, now: f64) -> f64 {
+    /// The age of the oldest attempt in flight, or 0.
+    pub fn oldest(&self, now: Seconds) -> Seconds {
         self.in_flight
             .values()
-            .map(|c| now - c.sent_at)
+            .map(|call| now - call.sent_at)
             .fold(0.0, f64::max)
     }
 
-    /// The number of attempts in flight for over `age` seconds with nothing answered since they were sent.
-    pub fn unanswered(&self, now: f64, age: f64) -> usize {
-        let overdue = |c: &&InFlight| c.sent_at + age < now && self.answered_at < c.sent_at;
+    /// The number of attempts in flight for longer than `age` with nothing answered since they were sent.
+    pub fn unanswered(&self, now: Seconds, age: Seconds) -> usize {
+        let overdue =
+            |call: &&InFlight| call.sent_at + age < now && self.answered_at < call.sent_at;
         self.in_flight.values().filter(overdue).count()
     }
 }
@@ -111,24 +111,28 @@
 
     /// Takes in lines of the endpoint list; a `full` list names all replicas. `started` makes the state of a new
     /// process. Returns the replicas that have departed.
-    pub fn list(
+    pub fn apply_endpoint_list(
         &mut self,
         full: bool,
         lines: &[Listed],
         mut started: impl FnMut(&Listed) -> S,
     ) -> Vec<ReplicaId> {
         if full {
-            self.replicas.values_mut().for_each(|r| r.open = false);
+            self.replicas
+                .values_mut()
+                .for_each(|replica| replica.open = false);
         }
         for line in lines {
             let replica = self.replicas.entry(line.replica.clone()).or_default();
             if line.open && replica.ready_at != line.ready_at {
                 // A new process, perhaps of a machine that comes back under its identifier.
                 replica.ready_at = line.ready_at;
-                (replica.answers, replica.answered_at, replica.state) = (0, 0.0, started(line));
+                replica.answers = 0;
+                replica.answered_at = 0.0;
+                replica.state = started(line);
             }
-            (replica.open, replica.zone) =
-                (line.open || is_mutated("module-drain"), Some(line.zone));
+            replica.open = line.open || is_mutated("module-drain");
+            replica.zone = Some(line.zone);
             let cell = line.cell.0 % self.cell_count;
             self.cells
                 .entry(replica.cell)
@@ -140,7 +144,7 @@
                 .insert(line.replica.clone());
             replica.cell = cell;
         }
-        let named = lines.iter().map(|l| l.replica.clone());
+        let named = lines.iter().map(|line| line.replica.clone());
         let ids: Vec<_> = if full {
             self.replicas.keys().cloned().collect()
         } else {
@@ -155,7 +159,7 @@
         let Some(departed) = self
             .replicas
             .get(id)
-            .filter(|r| !r.open && r.in_flight.is_empty())
+            .filter(|replica| !replica.open && replica.in_flight.is_empty())
         else {
             return false;
         };
@@ -182,9 +186,9 @@
     /// The open replicas that hold a shard.
     pub fn holders(&self, shard: ShardId) -> impl Iterator<Item = (&ReplicaId, &Replica<S>)> {
         let cells = (0..self.span.min(self.cell_count))
-            .map(move |j| (shard.0 % self.cell_count + j) % self.cell_count);
+            .map(move |offset| (shard.0 % self.cell_count + offset) % self.cell_count);
         let ids = cells.filter_map(|cell| self.cells.get(&cell)).flatten();
-        ids.filter_map(|id| self.replicas.get(id).map(|r| (id, r)))
-            .filter(|(_, r)| r.open)
+        ids.filter_map(|id| self.replicas.get(id).map(|replica| (id, replica)))
+            .filter(|(_, replica)| replica.open)
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -36,7 +36,7 @@
     //!   not ejected, send a probe when `probe_due`.
     //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
     //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
-    //! - [`RetryBudget`]: count what is `taken` and what is `sent` beyond a first call, while it
+    //! - [`RetryBudget`]: `record_taken` for each request, `record_sent` for each call beyond a first, while it
     //!   `allows_retry`.
 
     mod admission;
--- a/crates/routing/src/mutations.rs
+++ b/crates/routing/src/mutations.rs
@@ -2,55 +2,68 @@
 //! Without the feature `mutations`, which no release build has, nothing can be switched off and nothing of this is
 //! in the program.
 
-/// Every mutation: its name, and what it switches off.
-pub const MUTATIONS: [(&str, &str); 20] = [
-    ("module-cold-cap", "the cap on what a cold replica is sent"),
-    ("module-budget", "the budget of further sub-requests"),
-    (
+/// A defence that can be switched off.
+#[derive(Clone, Copy, Debug)]
+pub struct Mutation {
+    /// The name by which it is switched off.
+    pub name: &'static str,
+    /// The defence, for a person to read.
+    pub defence: &'static str,
+}
+
+const fn mutation(name: &'static str, defence: &'static str) -> Mutation {
+    Mutation { name, defence }
+}
+
+/// Every mutation.
+pub const MUTATIONS: [Mutation; 20] = [
+    mutation("module-cold-cap", "the cap on what a cold replica is sent"),
+    mutation("module-budget", "the budget of further sub-requests"),
+    mutation(
         "module-budget-window",
         "a tenth of the budget's window: further ones are forgotten early",
     ),
-    ("module-once", "the bar on repeats of non-idempotent parts"),
-    (
+    mutation("module-once", "the bar on repeats of non-idempotent parts"),
+    mutation(
         "module-token-window",
         "the time in which repeats of tokened parts are told apart",
     ),
-    (
+    mutation(
         "module-harmless",
         "the proof that a shed search has not run",
     ),
-    ("module-floor", "the least share of parts"),
-    ("module-whole", "the mark of an answer that is not whole"),
-    ("module-drain", "the heed of a list that says draining"),
-    (
+    mutation("module-floor", "the least share of parts"),
+    mutation("module-whole", "the mark of an answer that is not whole"),
+    mutation("module-drain", "the heed of a list that says draining"),
+    mutation(
         "host-siblings",
         "one co-ordinator of the tier, in what each counts as its share of a cold replica",
     ),
-    ("hand-keeps-parts", "the return of a search's parts"),
-    ("hand-no-timer", "the timers of searches"),
-    (
+    mutation("hand-keeps-parts", "the return of a search's parts"),
+    mutation("hand-no-timer", "the timers of searches"),
+    mutation(
         "core-no-wait",
         "the moment between a part's leaving and its search's answer",
     ),
-    (
+    mutation(
         "core-names-all",
         "the list of shards that a second step's parts name",
     ),
-    ("core-keeps-bytes", "the return of a request's bytes"),
-    (
+    mutation("core-keeps-bytes", "the return of a request's bytes"),
+    mutation(
         "replicas-no-take-back",
         "the take-back of what waits on a drain",
     ),
-    (
+    mutation(
         "replicas-cancelled-stays",
         "the take-back of a part that is cancelled",
     ),
-    (
+    mutation(
         "replicas-never-ran",
         "the memory that a broken connection's parts may have run",
     ),
-    ("discovery-no-drains", "the reading of draining in a watch"),
-    (
+    mutation("discovery-no-drains", "the reading of draining in a watch"),
+    mutation(
         "front-no-answer-at-end",
         "the answers owed when the process is told to end",
     ),
--- a/crates/routing/src/samples.rs
+++ b/crates/routing/src/samples.rs
@@ -1,13 +1,14 @@
 //! Windows of samples and their quantiles: arithmetic alone, nothing is decided here.
 
+use crate::api::Seconds;
 use std::collections::VecDeque;
 
-/// A value and the time (seconds) at which it was seen.
+/// A value and the time at which it was seen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
     /// When it was seen.
-    pub at: f64,
-    /// What was seen, such as a latency in seconds.
+    pub at: Seconds,
+    /// What was seen, such as a latency in seconds or a number of parts.
     pub value: f64,
 }
 
@@ -20,11 +21,11 @@
 }
 
 /// The values seen after this time, oldest first.
-pub fn since(window: &VecDeque<Sample>, after: f64) -> Vec<f64> {
+pub fn since(window: &VecDeque<Sample>, after: Seconds) -> Vec<f64> {
     window
         .iter()
-        .filter(|s| s.at > after)
-        .map(|s| s.value)
+        .filter(|sample| sample.at > after)
+        .map(|sample| sample.value)
         .collect()
 }
 
@@ -35,6 +36,11 @@
     samples.get(at.max(1) - 1).or(samples.last()).copied()
 }
 
+/// The share of sorted samples that are at or under this time; 0 without samples.
+fn share_at_or_under(sorted: &[f64], time: f64) -> f64 {
+    sorted.partition_point(|sample| *sample <= time) as f64 / sorted.len().max(1) as f64
+}
+
 /// The smallest time at which a product of shares reaches `p`: of each of `distributions` the share of its
 /// samples at or under that time, and that of `rest` to the power of `count`. `None` without samples.
 pub fn product_quantile(
@@ -46,7 +52,7 @@
     distributions
         .iter_mut()
         .chain([&mut rest])
-        .for_each(|s| s.sort_by(f64::total_cmp));
+        .for_each(|samples| samples.sort_by(f64::total_cmp));
     let mut times: Vec<f64> = distributions
         .iter()
         .chain([&rest])
@@ -54,22 +60,23 @@
         .copied()
         .collect();
     times.sort_by(f64::total_cmp);
-    let share =
-        |s: &Vec<f64>, t: f64| s.partition_point(|x| *x <= t) as f64 / s.len().max(1) as f64;
-    let of_rest = |t: f64| share(&rest, t).powi(count as i32);
-    let product = |t: f64| distributions.iter().map(|s| share(s, t)).product::<f64>() * of_rest(t);
+    let product = |time: f64| {
+        let shares = distributions.iter();
+        let shares = shares.map(|samples| share_at_or_under(samples, time));
+        shares.product::<f64>() * share_at_or_under(&rest, time).powi(count as i32)
+    };
     times
-        .get(times.partition_point(|t| product(*t) < p))
+        .get(times.partition_point(|time| product(*time) < p))
         .copied()
 }
 
-/// How many groups of at most `of` these times make, where only equal ones go together.
-pub fn groups(times: impl Iterator<Item = f64>, of: usize) -> usize {
+/// How many groups of at most `size` these times make, where only equal ones go together.
+pub fn groups(times: impl Iterator<Item = f64>, size: usize) -> usize {
     let mut times: Vec<f64> = times.collect();
     times.sort_by(f64::total_cmp);
     times
         .chunk_by(|a, b| a == b)
-        .map(|c| c.len().div_ceil(of.max(1)))
+        .map(|equal| equal.len().div_ceil(size.max(1)))
         .sum()
 }
 
--- a/crates/routing/src/unloaded_latency.rs
+++ b/crates/routing/src/unloaded_latency.rs
@@ -1,29 +1,30 @@
 //! Unloaded latencies: those of calls that found nothing else of ours in flight at their replica. Windows and
 //! quantiles alone; `decide::part_budget` says how many samples count, and for how long.
 
+use crate::api::Seconds;
 use crate::decide::part_budget::{FLEET_SAMPLES, LEAST_SAMPLES, OWN_SAMPLES, SAMPLE_AGE};
 use crate::samples::{Sample, product_quantile, push, quantile, since};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A moving window of unloaded latencies (seconds) for each replica, and one of the fleet.
+/// A moving window of unloaded latencies for each replica, and one of the fleet.
 pub struct UnloadedLatency<R> {
     replicas: BTreeMap<R, VecDeque<Sample>>,
-    fleet: VecDeque<f64>,
-    start: f64,
+    fleet: VecDeque<Seconds>,
+    initial: Seconds,
 }
 
 impl<R: Ord> UnloadedLatency<R> {
-    /// `start`: the quantile (seconds) that stands in before the first sample.
-    pub fn new(start: f64) -> Self {
+    /// `initial`: the quantile that stands in before the first sample.
+    pub fn new(initial: Seconds) -> Self {
         UnloadedLatency {
             replicas: BTreeMap::new(),
             fleet: VecDeque::new(),
-            start,
+            initial,
         }
     }
 
     /// Records the latency of an answered call; that of an ejected replica is kept out of the fleet's.
-    pub fn record(&mut self, now: f64, replica: &R, latency: f64, ejected: bool)
+    pub fn record(&mut self, now: Seconds, replica: &R, latency: Seconds, ejected: bool)
     where
         R: Clone,
     {
@@ -47,35 +48,35 @@
     }
 
     /// The fleet's latest samples, oldest first.
-    pub fn fleet(&self) -> Vec<f64> {
+    pub fn fleet(&self) -> Vec<Seconds> {
         self.fleet.iter().copied().collect()
     }
 
     /// A replica's own samples; none if it counts as average.
-    pub fn own(&self, now: f64, replica: &R) -> Option<Vec<f64>> {
+    pub fn own(&self, now: Seconds, replica: &R) -> Option<Vec<Seconds>> {
         let own = since(self.replicas.get(replica)?, now - SAMPLE_AGE);
         (own.len() >= LEAST_SAMPLES).then_some(own)
     }
 
     /// Samples to judge a replica by; `None` for one that counts as average, such as an ejected one.
-    pub fn samples(&self, now: f64, replica: Option<&R>) -> Vec<f64> {
+    pub fn samples(&self, now: Seconds, replica: Option<&R>) -> Vec<Seconds> {
         replica
-            .and_then(|r| self.own(now, r))
+            .and_then(|replica| self.own(now, replica))
             .unwrap_or_else(|| self.fleet())
     }
 
-    /// The `p` quantile of `samples`, or the start value.
-    pub fn quantile(&self, now: f64, replica: Option<&R>, p: f64) -> f64 {
-        quantile(self.samples(now, replica), p).unwrap_or(self.start)
+    /// The `p` quantile of `samples`, or the initial value.
+    pub fn quantile(&self, now: Seconds, replica: Option<&R>, p: f64) -> Seconds {
+        quantile(self.samples(now, replica), p).unwrap_or(self.initial)
     }
 
     /// The smallest time by which all these replicas have answered with probability `p` or more.
-    pub fn product_quantile(&self, now: f64, replicas: &[Option<&R>], p: f64) -> f64 {
+    pub fn product_quantile(&self, now: Seconds, replicas: &[Option<&R>], p: f64) -> Seconds {
         let own: Vec<_> = replicas
             .iter()
-            .filter_map(|r| r.and_then(|r| self.own(now, r)))
+            .filter_map(|replica| self.own(now, (*replica)?))
             .collect();
         let average = replicas.len() - own.len();
-        product_quantile(own, self.fleet(), average, p).unwrap_or(self.start)
+        product_quantile(own, self.fleet(), average, p).unwrap_or(self.initial)
     }
 }
--- a/crates/routing/tests/balance/admission.rs
+++ b/crates/routing/tests/balance/admission.rs
@@ -33,14 +33,14 @@
         if n != 20 {
             let latency = if n < 20 { 0.005 } else { latency };
             let answer = outcome(&placement, 0, Ending::Answered, latency);
-            balancer.after(0.0, None, &answer);
+            balancer.attempt_finished(0.0, None, &answer);
         }
     }
     let mut search = new_search(500, 1, 0.1, 3.0);
     let lost = balancer.place(0.1, &mut search).send[0].clone();
     assert_eq!(
         balancer
-            .after(
+            .attempt_finished(
                 0.1,
                 Some(&mut search),
                 &outcome(&lost, 0, Ending::Errored, 0.1)
@@ -59,7 +59,7 @@
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut search = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut search).send[0].clone();
-    balancer.after(
+    balancer.attempt_finished(
         0.1,
         Some(&mut search),
         &outcome(&placement, 0, Ending::Answered, 0.1),
@@ -67,7 +67,7 @@
     for n in 0..3 {
         let mut set_back = new_search(10 + n, 1, 5.0, 3.0);
         let placement = balancer.place(5.0, &mut set_back).send[0].clone();
-        balancer.after(5.0, None, &outcome(&placement, 0, Ending::Full, 0.005));
+        balancer.attempt_finished(5.0, None, &outcome(&placement, 0, Ending::Full, 0.005));
     }
     let plan = balancer.place(5.0 + later, &mut new_search(50, 1, 5.0 + later, 3.0));
     assert_eq!(!plan.send.is_empty(), sent);
@@ -84,12 +84,12 @@
 #[case::marked_shorter(1.5, Some(true), true)]
 #[case::marked_first_but_short(1.5, Some(false), false)]
 fn stale_retries_are_shed(
-    #[case] time_left: f64,
+    #[case] time_remaining: f64,
     #[case] repeated: Option<bool>,
     #[case] shed: bool,
 ) {
     let mut balancer = balancer_after_retries(settings());
-    let mut search = new_search(50, 1, 0.5, time_left);
+    let mut search = new_search(50, 1, 0.5, time_remaining);
     search.repeated = repeated;
     assert_eq!(
         matches!(
@@ -107,7 +107,7 @@
 #[case::recurs_over_target(1.5, 3, true)]
 #[case::outnumbers_first_tries(0.6, 40, false)]
 fn impatient_clients_are_not_stale(
-    #[case] time_left: f64,
+    #[case] time_remaining: f64,
     #[case] before: u64,
     #[case] shed: bool,
 ) {
@@ -116,10 +116,10 @@
         balancer.place(0.0, &mut new_search(n, 1, 0.0, 1.8));
     }
     (0..before)
-        .for_each(|n| drop(balancer.place(0.0, &mut new_search(100 + n, 1, 0.0, time_left))));
+        .for_each(|n| drop(balancer.place(0.0, &mut new_search(100 + n, 1, 0.0, time_remaining))));
     assert_eq!(
         balancer
-            .place(0.5, &mut new_search(50, 1, 0.5, time_left))
+            .place(0.5, &mut new_search(50, 1, 0.5, time_remaining))
             .reply
             .is_some(),
         shed
@@ -139,7 +139,7 @@
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut search = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut search).send[0].clone();
-    balancer.after(
+    balancer.attempt_finished(
         0.2,
         Some(&mut search),
         &outcome(&placement, 0, Ending::Answered, 0.2),
@@ -158,14 +158,14 @@
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut first = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut first).send[0].clone();
-    balancer.after(
+    balancer.attempt_finished(
         0.98,
         Some(&mut first),
         &outcome(&placement, 0, Ending::Cancelled, 0.98),
     );
     let mut second = new_search(2, 1, 0.98, 3.0);
     let placement = balancer.place(0.98, &mut second).send[0].clone();
-    balancer.after(
+    balancer.attempt_finished(
         0.98 + latency,
         Some(&mut second),
         &outcome(&placement, 0, Ending::Answered, latency),
--- a/crates/routing/tests/balance/ejection.rs
+++ b/crates/routing/tests/balance/ejection.rs
@@ -29,7 +29,7 @@
         } else {
             outcome(&placement, 0, ending, latency)
         };
-        balancer.after(now, None, &ended);
+        balancer.attempt_finished(now, None, &ended);
     }
     let sends = |balancer: &mut Balancer, now: f64| -> usize {
         let mut at_a = 0;
@@ -38,7 +38,11 @@
             for placement in balancer.place(now, &mut search).send {
                 at_a += usize::from(placement.replica == replica_id("a"));
                 if placement.replica == replica_id("b") {
-                    balancer.after(now, None, &outcome(&placement, 0, Ending::Answered, 0.1));
+                    balancer.attempt_finished(
+                        now,
+                        None,
+                        &outcome(&placement, 0, Ending::Answered, 0.1),
+                    );
                 }
             }
         }
@@ -61,7 +65,7 @@
             .clone();
         let slow = n > 120 && placement.replica == replica_id("a");
         let latency = if slow { latency } else { 0.005 };
-        balancer.after(
+        balancer.attempt_finished(
             0.0,
             None,
             &outcome(&placement, 0, Ending::Answered, latency),
@@ -111,12 +115,12 @@
         } else {
             Ending::Answered
         };
-        balancer.after(0.1, None, &outcome(placement, 0, ending, 0.1));
+        balancer.attempt_finished(0.1, None, &outcome(placement, 0, ending, 0.1));
     }
     for n in 0..later {
         let placement = balancer.place(0.1, &mut typed(1000 + n, 1)).send.remove(0);
         assert_eq!(placement.replica, replica_id("a"));
-        balancer.after(0.1, None, &outcome(&placement, 0, Ending::Errored, 0.01));
+        balancer.attempt_finished(0.1, None, &outcome(&placement, 0, Ending::Errored, 0.01));
     }
     for (t, used) in used.into_iter().enumerate() {
         let sent = (5000..5010).flat_map(|n| balancer.place(0.2, &mut typed(n, t)).send);
@@ -152,10 +156,10 @@
         .collect();
     lines.push(at("y", 8, 1));
     lines.extend(other.then(|| at("z", 8, 2)));
-    balancer.list(true, &lines);
+    balancer.apply_endpoint_list(true, &lines);
     let mut search = new_search(1, 8, 0.0, 3.0);
     for placement in balancer.place(0.0, &mut search).send {
-        balancer.after(0.5, None, &outcome(&placement, 0, Ending::TimedOut, 0.5));
+        balancer.attempt_finished(0.5, None, &outcome(&placement, 0, Ending::TimedOut, 0.5));
     }
     for n in 0..10 {
         let mut search = new_search(10 + n, 1, 0.6, 3.0);
@@ -185,7 +189,7 @@
         } else {
             Ending::Answered
         };
-        balancer.after(0.2, None, &outcome(&placement, 0, ending, 0.1));
+        balancer.attempt_finished(0.2, None, &outcome(&placement, 0, ending, 0.1));
     }
     let now = 0.2 + later;
     let at_a = (1..=20).any(|n| {
@@ -211,9 +215,9 @@
     for n in 0..2 {
         let now = 0.01 * n as f64;
         let (_, placement) = search_in_flight_at(&mut balancer, "a", now);
-        balancer.after(now, None, &outcome(&placement, 0, Ending::Errored, 0.01));
+        balancer.attempt_finished(now, None, &outcome(&placement, 0, Ending::Errored, 0.01));
     }
-    balancer.list(false, &[listed("b", true, Some(9.0))]);
+    balancer.apply_endpoint_list(false, &[listed("b", true, Some(9.0))]);
     for n in 0..out_at_cold {
         balancer.place(10.0, &mut new_search(n + 10, 1, 10.0, 3.0));
     }
@@ -233,7 +237,7 @@
     for n in 0..12 {
         let mut search = new_search(n + 1, 1, n as f64, 3.0);
         let placement = balancer.place(n as f64, &mut search).send[0].clone();
-        balancer.after(
+        balancer.attempt_finished(
             n as f64 + 0.1,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Errored, 0.1),
--- a/crates/routing/tests/balance/hedging.rs
+++ b/crates/routing/tests/balance/hedging.rs
@@ -4,7 +4,7 @@
 use crate::support::{balancer_of, new_search, outcome, replica_id, search_in_flight_at};
 use rstest::rstest;
 use std::ops::Range;
-use woadreach_routing::api::{Ending, Placement, Repeat};
+use woadreach_routing::api::{AttemptId, Ending, Placement, Repeat};
 use woadreach_routing::decide::balancer::Balancer;
 
 /// Sends one-part searches of these numbers at 0.1 s.
@@ -34,7 +34,7 @@
         } else {
             Ending::NeverSent
         };
-        balancer.after(0.2, None, &outcome(&placement, 0, ending, 0.1));
+        balancer.attempt_finished(0.2, None, &outcome(&placement, 0, ending, 0.1));
     }
     assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
 }
@@ -50,7 +50,7 @@
         let placement = balancer.place(0.0, &mut search).send[0].clone();
         // Six in a hundred at 0.9 s: the 0.95 quantile, but not the tail, which is 0.1 s.
         let latency = if n % 20 == 0 || n == 50 { 0.9 } else { 0.1 };
-        balancer.after(
+        balancer.attempt_finished(
             1.0,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Answered, latency),
@@ -72,7 +72,7 @@
     let (mut search, _) = search_in_flight_at(&mut balancer, "a", 0.0);
     let sent = send_searches(&mut balancer, 2000..2010);
     for placement in sent {
-        balancer.after(0.2, None, &outcome(&placement, 0, Ending::Answered, 0.1));
+        balancer.attempt_finished(0.2, None, &outcome(&placement, 0, Ending::Answered, 0.1));
     }
     assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
 }
@@ -98,19 +98,18 @@
     let (mut search, placement) = search_in_flight_at(&mut balancer, "a", 0.01);
     let plan = balancer.place(later, &mut search);
     assert!(plan.reply.is_none());
-    assert_eq!(
-        plan.cancel.contains(&(placement.part, 0)),
-        cancelled,
-        "{:?}",
-        plan.cancel
-    );
+    let first = AttemptId {
+        part: placement.part,
+        index: 0,
+    };
+    assert_eq!(plan.cancel.contains(&first), cancelled, "{:?}", plan.cancel);
     if cancelled {
         assert!(plan.send.is_empty(), "never two in flight at once");
         assert!(
             balancer.place(later + 0.01, &mut search).cancel.is_empty(),
             "cancelled once"
         );
-        let resent = balancer.after(
+        let resent = balancer.attempt_finished(
             later + 0.02,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Cancelled, later),
--- a/crates/routing/tests/balance/placement.rs
+++ b/crates/routing/tests/balance/placement.rs
@@ -39,7 +39,7 @@
             &["a"],
         );
         balancer.place(0.0, &mut new_search(1, 3, 0.0, 3.0));
-        balancer.list(false, &[listed("b", true, None)]);
+        balancer.apply_endpoint_list(false, &[listed("b", true, None)]);
         balancer.place(0.1, &mut new_search(2, 1, 0.1, 3.0));
         balancer.place(0.2, &mut new_search(3, 1, 0.2, 3.0)).send[0]
             .replica
@@ -59,8 +59,8 @@
         cell: CellId(1),
         ..listed("a", true, Some(1.0))
     };
-    balancer.list(false, &[before]);
-    balancer.list(false, &[listed("a", true, Some(2.0))]);
+    balancer.apply_endpoint_list(false, &[before]);
+    balancer.apply_endpoint_list(false, &[listed("a", true, Some(2.0))]);
     balancer
 }
 
@@ -82,7 +82,7 @@
         1
     );
     let mut departed = restarted_in_another_cell();
-    departed.list(true, &[]);
+    departed.apply_endpoint_list(true, &[]);
     assert_eq!(of_the_old_cell(&mut departed, 3), []);
 }
 
@@ -100,7 +100,7 @@
     let mut balancer = balancer_of(settings, &["a"]);
     let mut first = new_search(1, 3, 0.0, 3.0);
     let sent = balancer.place(0.0, &mut first).send;
-    balancer.after(0.1, None, &outcome(&sent[2], 0, trigger, 0.1));
+    balancer.attempt_finished(0.1, None, &outcome(&sent[2], 0, trigger, 0.1));
     let (mut slow, mut fast) = (new_search(2, 1, 0.1, 3.0), new_search(3, 1, 0.12, 3.0));
     fast.query_type = QueryTypeId(1);
     let let_in = balancer.place(0.1, &mut slow);
@@ -115,7 +115,7 @@
             && balancer.place(0.12, &mut fast).send.is_empty()
     );
     assert!(!later.finished && !fast.finished);
-    let plan = balancer.after(0.2, None, &outcome(&sent[0], 0, Ending::Answered, 0.2));
+    let plan = balancer.attempt_finished(0.2, None, &outcome(&sent[0], 0, Ending::Answered, 0.2));
     assert_eq!(plan.reconsider, [SearchId(3)]);
     assert_eq!(balancer.place(0.2, &mut fast).send.len(), 1);
 }
@@ -126,7 +126,7 @@
 #[case::absent_from_full(true, vec![listed("b", true, None)])]
 fn draining_replicas_get_nothing_new(#[case] full: bool, #[case] lines: Vec<Listed>) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
-    balancer.list(full, &lines);
+    balancer.apply_endpoint_list(full, &lines);
     for n in 0..20 {
         let plan = balancer.place(0.0, &mut new_search(n, 2, 0.0, 3.0));
         assert!(
@@ -150,20 +150,20 @@
         } else {
             Ending::Errored
         };
-        balancer.after(0.0, None, &outcome(&placement, 0, ending, 0.1));
+        balancer.attempt_finished(0.0, None, &outcome(&placement, 0, ending, 0.1));
     }
     let (_, last) = search_in_flight_at(&mut balancer, "a", 0.0);
     let finish = |balancer: &mut Balancer| {
-        balancer.after(0.1, None, &outcome(&last, 0, Ending::Errored, 0.1));
+        balancer.attempt_finished(0.1, None, &outcome(&last, 0, Ending::Errored, 0.1));
     };
     if !in_flight {
         finish(&mut balancer);
     }
-    balancer.list(false, &[listed("a", false, None)]);
+    balancer.apply_endpoint_list(false, &[listed("a", false, None)]);
     if in_flight {
         finish(&mut balancer);
     }
-    balancer.list(false, &[listed("a", true, None)]);
+    balancer.apply_endpoint_list(false, &[listed("a", true, None)]);
     let to_a = (1..=20).filter(|n| {
         balancer.place(0.2, &mut new_search(*n, 1, 0.2, 3.0)).send[0].replica == replica_id("a")
     });
--- a/crates/routing/tests/balance/repeats.rs
+++ b/crates/routing/tests/balance/repeats.rs
@@ -27,7 +27,8 @@
         let mut balancer = balancer_of(settings, &["a", "b", "c"]);
         let mut search = new_search(1, 1, 0.0, 3.0);
         let sent = balancer.place(0.0, &mut search).send[0].clone();
-        let plan = balancer.after(0.1, Some(&mut search), &outcome(&sent, 0, ending, 0.1));
+        let plan =
+            balancer.attempt_finished(0.1, Some(&mut search), &outcome(&sent, 0, ending, 0.1));
         assert_eq!(!plan.send.is_empty(), again, "{ending:?}");
         if matches!(
             repeat,
@@ -64,7 +65,7 @@
     let sent = balancer.place(0.0, &mut search).send[0].clone();
     assert_eq!(
         balancer
-            .after(0.1, Some(&mut search), &outcome(&sent, 0, ending, 0.1))
+            .attempt_finished(0.1, Some(&mut search), &outcome(&sent, 0, ending, 0.1))
             .send
             .len(),
         1
@@ -88,7 +89,7 @@
         let mut search = new_search(n + 1, 3, 0.0, 3.0);
         for placement in balancer.place(0.0, &mut search).send {
             retries += balancer
-                .after(
+                .attempt_finished(
                     0.1,
                     Some(&mut search),
                     &outcome(&placement, 0, Ending::Errored, 0.1),
@@ -127,7 +128,7 @@
     let mut balancer = balancer_of(settings, &["a", "b"]);
     let mut search = new_search(1, 1, 0.0, 60.0);
     let placement = balancer.place(5.0, &mut search).send[0].clone();
-    let plan = balancer.after(
+    let plan = balancer.attempt_finished(
         failed_at,
         Some(&mut search),
         &outcome(&placement, 0, Ending::Errored, failed_at - 5.0),
--- a/crates/routing/tests/balance/replies.rs
+++ b/crates/routing/tests/balance/replies.rs
@@ -1,4 +1,4 @@
-//! The one reply to a search: when it comes, and what it says.
+//! The reply to a search: when it is due, and what it has.
 
 use crate::settings::settings;
 use crate::support::{add_parts, balancer_of, new_search, outcome, replica_id};
@@ -11,9 +11,9 @@
 #[case::nearly_over(&["a"], 0.001)]
 #[case::already_over(&["a"], 0.0)]
 #[case::silence(&["a", "b"], 2.0)]
-fn no_search_is_lost(#[case] names: &[&str], #[case] time_left: f64) {
+fn no_search_is_lost(#[case] names: &[&str], #[case] time_remaining: f64) {
     let mut balancer = balancer_of(settings(), names);
-    let mut search = new_search(1, 2, 5.0, time_left);
+    let mut search = new_search(1, 2, 5.0, time_remaining);
     let (mut now, mut replies) = (5.0, 0);
     for _ in 0..200 {
         let plan = balancer.place(now, &mut search);
@@ -25,7 +25,7 @@
         now += balancer.wait(now, &search);
     }
     assert!(
-        search.finished && replies == 1 && now <= 5.0 + time_left,
+        search.finished && replies == 1 && now <= 5.0 + time_remaining,
         "ended at {now}"
     );
     assert!(
@@ -58,14 +58,14 @@
     let mut last = None;
     for placement in &sent[..answered] {
         last = balancer
-            .after(
+            .attempt_finished(
                 0.1,
                 Some(&mut search),
                 &outcome(placement, 0, Ending::Answered, 0.1),
             )
             .reply;
         // A part counts once.
-        balancer.after(
+        balancer.attempt_finished(
             0.1,
             Some(&mut search),
             &outcome(placement, 0, Ending::Answered, 0.1),
@@ -91,7 +91,7 @@
     let mut balancer = balancer_of(settings, &["a", "b"]);
     let mut search = new_search(1, 4, 0.0, 3.0);
     for placement in &balancer.place(0.0, &mut search).send[..first] {
-        balancer.after(
+        balancer.attempt_finished(
             0.1,
             Some(&mut search),
             &outcome(placement, 0, Ending::Answered, 0.1),
@@ -103,7 +103,7 @@
     let mut reply = None;
     for placement in &balancer.place(0.795, &mut search).send[..second] {
         reply = balancer
-            .after(
+            .attempt_finished(
                 0.9,
                 Some(&mut search),
                 &outcome(placement, 0, Ending::Answered, 0.1),
@@ -134,7 +134,7 @@
         ending: Ending::Answered,
         latency: f64::NAN,
     };
-    assert!(balancer.after(0.0, None, &stray).send.is_empty());
+    assert!(balancer.attempt_finished(0.0, None, &stray).send.is_empty());
     let mut search = new_search(1, 2, 0.0, 3.0);
     search.parts.iter_mut().for_each(|part| part.weight = 0.0);
     assert!(
@@ -143,7 +143,7 @@
     );
     let mut search = new_search(2, 1, 0.0, 3.0);
     let sent = balancer.place(0.0, &mut search).send;
-    balancer.after(
+    balancer.attempt_finished(
         0.1,
         Some(&mut search),
         &outcome(&sent[0], 9, Ending::Answered, 0.1),
--- a/crates/routing/tests/balance/slow_start.rs
+++ b/crates/routing/tests/balance/slow_start.rs
@@ -19,14 +19,14 @@
         overload_window: 1.0,
     });
     let mut balancer = balancer_of(settings, &[]);
-    balancer.list(true, &[listed("a", true, Some(10.0 - age))]);
+    balancer.apply_endpoint_list(true, &[listed("a", true, Some(10.0 - age))]);
     let mut sent = 0;
     for n in 0..100 {
         let now = 10.0 + 0.01 * n as f64;
         let mut search = new_search(n + 1, 1, now, 3.0);
         for placement in balancer.place(now, &mut search).send {
             sent += 1;
-            balancer.after(
+            balancer.attempt_finished(
                 now,
                 Some(&mut search),
                 &outcome(&placement, 0, ending, 0.005),
@@ -69,13 +69,13 @@
             },
             &[],
         );
-        balancer.list(true, &[listed("a", true, Some(10.0))]);
+        balancer.apply_endpoint_list(true, &[listed("a", true, Some(10.0))]);
         for (window, sent) in sent.iter_mut().enumerate() {
             let now = 10.01 + window as f64;
             let mut search = new_search(window as u64, 1, now, 3.0);
             for placement in balancer.place(now, &mut search).send {
                 *sent += 1;
-                balancer.after(
+                balancer.attempt_finished(
                     now,
                     Some(&mut search),
                     &outcome(&placement, 0, Ending::Answered, 0.05),
@@ -111,7 +111,7 @@
                 ..settings()
             };
             let mut balancer = balancer_of(settings, &[]);
-            balancer.list(true, &[listed("a", true, Some(10.0))]);
+            balancer.apply_endpoint_list(true, &[listed("a", true, Some(10.0))]);
             balancer
                 .place(
                     10.01 + window as f64,
@@ -143,11 +143,11 @@
         overload_window: 1.0,
     });
     let mut balancer = balancer_of(settings, &[]);
-    balancer.list(true, &[listed("a", true, Some(1.0))]);
+    balancer.apply_endpoint_list(true, &[listed("a", true, Some(1.0))]);
     for n in 0..answers {
         let mut search = new_search(n + 1, 1, 2.0, 3.0);
         let placement = balancer.place(2.0, &mut search).send[0].clone();
-        balancer.after(
+        balancer.attempt_finished(
             2.0,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Answered, 0.01),
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -24,18 +24,18 @@
 pub(crate) fn balancer_of(settings: Settings, names: &[&str]) -> Balancer {
     let mut balancer = Balancer::new(settings);
     let lines: Vec<Listed> = names.iter().map(|name| listed(name, true, None)).collect();
-    balancer.list(true, &lines);
+    balancer.apply_endpoint_list(true, &lines);
     balancer
 }
 
 /// A search of `parts` equal parts, numbered from 100 times its own number.
-pub(crate) fn new_search(n: u64, parts: usize, now: f64, time_left: f64) -> Search {
+pub(crate) fn new_search(n: u64, parts: usize, now: f64, time_remaining: f64) -> Search {
     let mut search = Search::new(
         SearchId(n),
         QueryTypeId(0),
         TenantId(0),
         now,
-        now + time_left,
+        now + time_remaining,
     );
     add_parts(&mut search, n * 100, parts);
     search
@@ -83,7 +83,7 @@
         if placement.replica == replica_id(name) {
             return (search, placement);
         }
-        balancer.after(
+        balancer.attempt_finished(
             now,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Answered, 0.1),
--- a/crates/routing/tests/balance/zones.rs
+++ b/crates/routing/tests/balance/zones.rs
@@ -4,7 +4,7 @@
 use crate::support::{listed, new_search, outcome, search_in_flight_at};
 use rstest::rstest;
 use std::collections::BTreeSet;
-use woadreach_routing::api::{Ending, Listed, ZoneFailoverState, ZoneId};
+use woadreach_routing::api::{Ending, Listed, NearZones, ZoneFailoverState, ZoneId};
 use woadreach_routing::decide::balancer::Balancer;
 
 /// Two replicas in each of two zones, named by their zone's number: a0, b0, a1, b1.
@@ -17,7 +17,7 @@
             ..listed(n, true, None)
         }
     });
-    balancer.list(true, &lines);
+    balancer.apply_endpoint_list(true, &lines);
     balancer
 }
 
@@ -27,7 +27,10 @@
         .enumerate()
         .map(|(zone, share)| (ZoneId(zone as u64), share))
         .collect();
-    let near = near.map(|share| (BTreeSet::from([ZoneId(0)]), share));
+    let near = near.map(|cumulative_share| NearZones {
+        zones: BTreeSet::from([ZoneId(0)]),
+        cumulative_share,
+    });
     Some(ZoneFailoverState {
         shares,
         near: near.into_iter().collect(),
@@ -43,7 +46,7 @@
         let sent = balancer.place(now, &mut search).send;
         searches += usize::from(sent[0].replica.0.ends_with('0'));
         for (attempt_index, placement) in sent.iter().enumerate() {
-            balancer.after(
+            balancer.attempt_finished(
                 now,
                 Some(&mut search),
                 &outcome(placement, attempt_index, Ending::Answered, 0.01),
@@ -67,7 +70,7 @@
     #[case] expected: std::ops::Range<usize>,
 ) {
     let mut balancer = two_zones();
-    balancer.zone_failover(0.0, agreed);
+    balancer.set_zone_failover(0.0, agreed);
     let searches = searches_to_zone_0(&mut balancer, 1.0);
     assert!(expected.contains(&searches), "{searches} of 200");
 }
@@ -78,24 +81,24 @@
 fn the_tier_overrules_no_judgement_of_a_replica() {
     let mut balancer = two_zones();
     let (mut search, placement) = search_in_flight_at(&mut balancer, "a0", 1.0);
-    balancer.after(
+    balancer.attempt_finished(
         1.0,
         Some(&mut search),
         &outcome(&placement, 0, Ending::Errored, 0.01),
     );
-    balancer.zone_failover(1.1, zone_failover([0.0, 1.0], Some(1.0)));
-    balancer.zone_failover(1.2, zone_failover([1.0, 1.0], Some(1.0)));
+    balancer.set_zone_failover(1.1, zone_failover([0.0, 1.0], Some(1.0)));
+    balancer.set_zone_failover(1.2, zone_failover([1.0, 1.0], Some(1.0)));
     let draining = Listed {
         zone: ZoneId(0),
         ..listed("b0", false, None)
     };
-    balancer.list(false, &[draining]);
+    balancer.apply_endpoint_list(false, &[draining]);
     for i in 0..50 {
         let now = 1.2 + 0.001 * f64::from(i);
         let mut search = new_search(7000 + u64::from(i as u32), 1, now, 3.0);
         let placement = balancer.place(now, &mut search).send[0].clone();
         assert!(placement.replica.0.ends_with('1'), "{placement:?}");
-        balancer.after(
+        balancer.attempt_finished(
             now,
             Some(&mut search),
             &outcome(&placement, 0, Ending::Answered, 0.01),
@@ -107,9 +110,9 @@
 #[test]
 fn a_zone_that_is_back_in_common_is_back_here() {
     let mut balancer = two_zones();
-    balancer.zone_failover(1.0, zone_failover([0.0, 1.0], None));
+    balancer.set_zone_failover(1.0, zone_failover([0.0, 1.0], None));
     assert_eq!(searches_to_zone_0(&mut balancer, 1.1), 0);
-    balancer.zone_failover(2.0, zone_failover([1.0, 1.0], None));
+    balancer.set_zone_failover(2.0, zone_failover([1.0, 1.0], None));
     assert!(searches_to_zone_0(&mut balancer, 2.1) > 50);
 }
 
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -11,7 +11,7 @@
 
 const RULE: EjectionConfig = EjectionConfig {
     window: 8,
-    least: 2,
+    min_failures: 2,
 };
 
 /// Samples of 0.1, 0.2, ... seconds of each replica named, taken at one time.
@@ -295,12 +295,12 @@
         retry_budget: budget,
         ..settings::settings()
     });
-    retries.taken(0.0, 8);
+    retries.record_taken(0.0, 8);
     let may = (0..100)
         .take_while(|_| {
             retries
                 .allows_retry(1.0)
-                .then(|| retries.sent(1.0))
+                .then(|| retries.record_sent(1.0))
                 .is_some()
         })
         .count();
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -6,7 +6,7 @@
 use crate::world::{Options, play};
 use serde::Serialize;
 use std::ops::Range;
-use woadreach_routing::mutations::{MUTATIONS, mutate};
+use woadreach_routing::mutations::{MUTATIONS, Mutation, mutate};
 
 /// What the search for one injected bug has found.
 #[derive(Clone, Debug, Serialize)]
@@ -31,13 +31,13 @@
 
 /// The names of all mutations.
 pub fn names() -> Vec<&'static str> {
-    MUTATIONS.iter().map(|p| p.0).collect()
+    MUTATIONS.iter().map(|mutation| mutation.name).collect()
 }
 
 /// Plays seeds with one defence off until a rule breaks; shrinks the script if `smaller`. None if there is no
 /// such mutation.
 pub fn hunt(name: &str, seeds: Range<u64>, smaller: bool) -> Option<Hunted> {
-    let (name, defence) = *MUTATIONS.iter().find(|p| p.0 == name)?;
+    let Mutation { name, defence } = *MUTATIONS.iter().find(|mutation| mutation.name == name)?;
     let mut hunted = Hunted {
         mutation: name,
         defence,
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -13,7 +13,7 @@
 /// exception 3).
 const EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
-    least: 2,
+    min_failures: 2,
 };
 
 impl Admission {
