--- a/crates/router/sim-adapter/src/actions.rs
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -2,10 +2,10 @@
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use woadreach_routing::api::{PartId, Placement, Reply, Search, SearchId};
+use woadreach_routing::api::{PartId, Placement, Reply, Search, SearchId, Seconds};
 use woadreach_search_driver::PlanExecutor;
 
-/// The simulator's times are in milliseconds.
+/// The wire has times in milliseconds, the decisions in seconds.
 pub(crate) const MS_PER_SECOND: f64 = 1000.0;
 
 /// Appends actions to a co-ordinator's output.
@@ -40,7 +40,7 @@
         });
     }
 
-    fn timer(&mut self, search: SearchId, wait: f64) {
+    fn timer(&mut self, search: SearchId, wait: Seconds) {
         let (wait_ms, name) = (wait * MS_PER_SECOND, search.0.to_string());
         self.out.push(json!(["setTimer", wait_ms, name]));
     }
--- a/crates/router/sim-adapter/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -3,15 +3,15 @@
 use crate::actions::MS_PER_SECOND;
 use serde_json::Value;
 use woadreach_routing::api::{
-    CellId, Ending, Listed, Outcome, PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId,
-    ZoneId,
+    CellId, Ending, Listed, Outcome, PartId, QueryTypeId, ReplicaId, SearchId, Seconds, ShardId,
+    Share, TenantId, ZoneId,
 };
 
 /// The bit of a request's options that marks it as a retry.
 const OPTION_RETRY: u64 = 2;
 
-/// A time in milliseconds, in seconds.
-pub(crate) fn seconds(value: &Value) -> Option<f64> {
+/// A time, which the wire has in milliseconds.
+pub(crate) fn seconds(value: &Value) -> Option<Seconds> {
     value.as_f64().map(|ms| ms / MS_PER_SECOND)
 }
 
@@ -26,7 +26,7 @@
         zone: ZoneId(value.get(2)?.as_u64()?),
         cell: CellId(value.get(3)?.as_u64()?),
         replica: replica(value.get(4)?)?,
-        ready_at: value.get(5).and_then(seconds).filter(|t| *t > 0.0),
+        ready_at: value.get(5).and_then(seconds).filter(|at| *at > 0.0),
     })
 }
 
@@ -68,8 +68,8 @@
     pub(crate) query: u64,
     pub(crate) query_type: QueryTypeId,
     pub(crate) tenant: TenantId,
-    /// Seconds that the client waits.
-    pub(crate) client_timeout: f64,
+    /// How long the client waits.
+    pub(crate) client_timeout: Seconds,
     pub(crate) is_retry: bool,
 }
 
@@ -78,7 +78,7 @@
     pub(crate) part: PartId,
     pub(crate) query: u64,
     pub(crate) shard: ShardId,
-    pub(crate) weight: f64,
+    pub(crate) weight: Share,
 }
 
 /// `["newRequest", id, class, tenant, key, left, hint, query, segment, amount, options]`. A negative segment
--- a/crates/router/sim-adapter/src/instance.rs
+++ b/crates/router/sim-adapter/src/instance.rs
@@ -4,37 +4,47 @@
 use crate::decode::{self, Arrival, PartArrival, SearchArrival};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use woadreach_routing::api::{Listed, Search, SearchId};
+use woadreach_routing::api::{Listed, Search, SearchId, Seconds};
 use woadreach_search_driver::{SearchTable, SettingsError, parse_settings};
 
 /// The name of the timer after which a refused watch is requested again; timers of searches have numbers.
 pub(crate) const WATCH_TIMER: &str = "watch";
 
-const MIN_WATCH_WAIT: f64 = 0.25;
-/// After so many refusals the wait doubles no more.
+/// Wait after the first refusal.
+const MIN_WATCH_WAIT: Seconds = 0.25;
+/// Number of refusals after which the wait doubles no more.
 const MAX_DOUBLINGS: u32 = 4;
+/// Least multiple of the wait that an instance waits.
+const MIN_SPREAD: f64 = 0.75;
+/// Width of the range of these multiples.
+const SPREAD_WIDTH: f64 = 0.5;
+/// Steps of the golden ratio's fraction spread instances evenly over the range.
+const INSTANCE_STEP: f64 = 0.618_034;
+/// What the golden ratio's fraction leaves of 1: the step from one refusal to the next.
+const REFUSAL_STEP: f64 = 0.381_966;
 
 /// Endpoint lists by their numbers on the wire.
 pub(crate) type Lists = BTreeMap<u64, Vec<Listed>>;
 
-/// Seconds until a watch is requested again after `refused` refusals in a row.
+/// How long until a watch is requested again after `refused` refusals in a row.
 ///
 /// The wait doubles from a quarter second to 4 s, spread by instance to between 0.75 and 1.25 times that: well
-/// within the four times `askWithinMs` that a failed call allows. Prevents that the calls of all co-ordinators
+/// within the four times `askWithinMs` that a failed call allows. Otherwise the calls of all co-ordinators would
 /// keep the list's source too busy to answer any (on one simulated day it granted 14 watches to 92,759 calls).
-/// Cost: a list that is late by as much.
-fn watch_wait(refused: u32, instance: i64) -> f64 {
+/// The list is late by as much.
+fn watch_wait(refused: u32, instance: i64) -> Seconds {
     let wait = MIN_WATCH_WAIT * 2f64.powi(refused.min(MAX_DOUBLINGS) as i32);
-    let spread = (instance as f64 * 0.618_034 + refused as f64 * 0.381_966).rem_euclid(1.0);
-    wait * (0.75 + 0.5 * spread)
+    let steps = instance as f64 * INSTANCE_STEP + refused as f64 * REFUSAL_STEP;
+    wait * (MIN_SPREAD + SPREAD_WIDTH * steps.rem_euclid(1.0))
 }
 
 /// One co-ordinator, from its start to its end.
 pub(crate) struct Instance {
     id: i64,
     search_table: SearchTable,
+    /// Searches in flight by the simulator's number of the query.
     by_query: BTreeMap<u64, SearchId>,
-    query_types: usize,
+    query_type_count: usize,
     /// Whether clients mark retries.
     marks_retries: bool,
     /// Whether the list is sent only on request (`discovery = "subscribe"`): a watch is kept open, and
@@ -55,7 +65,7 @@
         let settings = parse_settings(seed, settings)?;
         Ok(Instance {
             id,
-            query_types: settings.query_types.len(),
+            query_type_count: settings.query_types.len(),
             search_table: SearchTable::new(settings),
             by_query: BTreeMap::new(),
             marks_retries,
@@ -74,9 +84,9 @@
 
     /// Handles an event by its name; `None` for one that is malformed or about something that is not in
     /// flight any more.
-    pub(crate) fn event(
+    pub(crate) fn handle_event(
         &mut self,
-        now: f64,
+        now: Seconds,
         name: &str,
         event: &Value,
         lists: &Lists,
@@ -113,7 +123,7 @@
     }
 
     /// Places the searches of this batch.
-    pub(crate) fn place_searches(&mut self, now: f64, out: &mut Vec<Value>) {
+    pub(crate) fn place_searches(&mut self, now: Seconds, out: &mut Vec<Value>) {
         let mut actions = Actions {
             out,
             by_query: &mut self.by_query,
@@ -142,8 +152,8 @@
         Some(())
     }
 
-    fn search_arrived(&mut self, now: f64, arrival: SearchArrival) -> Option<()> {
-        if arrival.query_type.0 >= self.query_types {
+    fn search_arrived(&mut self, now: Seconds, arrival: SearchArrival) -> Option<()> {
+        if arrival.query_type.0 >= self.query_type_count {
             return None;
         }
         let id = arrival.search;
--- a/crates/router/sim-adapter/src/instances.rs
+++ b/crates/router/sim-adapter/src/instances.rs
@@ -6,6 +6,7 @@
 use serde_json::{Value, json};
 use snafu::{OptionExt, ResultExt};
 use std::collections::BTreeMap;
+use woadreach_routing::api::Seconds;
 
 const COORDINATOR_ID: &str = "co-ordinatorId";
 
@@ -17,15 +18,15 @@
 }
 
 impl Instances {
-    /// Handles one line: the events of a moment, in groups by co-ordinator.
-    pub(crate) fn batch(&mut self, line: &str) -> Result<Value, AdapterError> {
+    /// Handles one line: the events of a moment, in groups by co-ordinator. Returns the actions, in such groups.
+    pub(crate) fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_str(line).context(NotJsonSnafu)?;
         let now = batch.get("simTimeMs").and_then(decode::seconds);
         let now = now.context(MissingKeySnafu { key: "simTimeMs" })?;
         let groups = batch.get("groups").and_then(Value::as_array);
         let groups = groups.context(MissingKeySnafu { key: "groups" })?;
         // A co-ordinator may have several groups; a restart in a later one voids the actions of an earlier.
-        let mut outs: BTreeMap<i64, Vec<Value>> = BTreeMap::new();
+        let mut actions: BTreeMap<i64, Vec<Value>> = BTreeMap::new();
         for group in groups {
             let key = COORDINATOR_ID;
             let id = group.get(key).and_then(Value::as_i64);
@@ -33,13 +34,13 @@
             let key = "in";
             let events = group.get(key).and_then(Value::as_array);
             let events = events.context(MissingGroupKeySnafu { key })?;
-            let out = outs.entry(id).or_default();
+            let out = actions.entry(id).or_default();
             for event in events {
-                self.event(now, id, event, out);
+                self.handle_event(now, id, event, out);
             }
         }
         let mut replies = Vec::new();
-        for (id, mut out) in outs {
+        for (id, mut out) in actions {
             if let Some(instance) = self.instances.get_mut(&id) {
                 instance.place_searches(now, &mut out);
             }
@@ -52,7 +53,13 @@
 
     /// Handles an event. One that is unknown, malformed or about something that is not in flight any more is
     /// skipped.
-    fn event(&mut self, now: f64, id: i64, event: &Value, out: &mut Vec<Value>) -> Option<()> {
+    fn handle_event(
+        &mut self,
+        now: Seconds,
+        id: i64,
+        event: &Value,
+        out: &mut Vec<Value>,
+    ) -> Option<()> {
         match event.get(0)?.as_str()? {
             "newInstance" => {
                 // What the instance before it asked for is void: actions run after the complete batch.
@@ -67,7 +74,7 @@
             }
             name => {
                 let instance = self.instances.get_mut(&id)?;
-                instance.event(now, name, event, &self.lists, out)?;
+                instance.handle_event(now, name, event, &self.lists, out)?;
             }
         }
         Some(())
--- a/crates/router/sim-adapter/src/main.rs
+++ b/crates/router/sim-adapter/src/main.rs
@@ -17,12 +17,13 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-fn answer(
+/// Handles one line of the input, and writes one line of output.
+fn answer_line(
     instances: &mut Instances,
     line: std::io::Result<String>,
     output: &mut impl Write,
 ) -> Result<(), AdapterError> {
-    let reply = instances.batch(&line.context(InputSnafu)?)?;
+    let reply = instances.handle_batch(&line.context(InputSnafu)?)?;
     writeln!(output, "{reply}")
         .and_then(|()| output.flush())
         .context(OutputSnafu)
@@ -32,7 +33,7 @@
     let mut instances = Instances::default();
     let mut output = std::io::stdout().lock();
     for (index, line) in std::io::stdin().lock().lines().enumerate() {
-        match answer(&mut instances, line, &mut output) {
+        match answer_line(&mut instances, line, &mut output) {
             Ok(()) => {}
             // The simulator has ended.
             Err(AdapterError::Output { .. }) => return ExitCode::FAILURE,
--- a/crates/router/sim-adapter/tests/recorded.rs
+++ b/crates/router/sim-adapter/tests/recorded.rs
@@ -9,25 +9,25 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const FACTS: &str = r#"{"tickMs":5.0,"siblings":1,"discovery":"subscribe","domain":{"sets":1,"span":1},
+const SETTINGS: &str = r#"{"tickMs":5.0,"siblings":1,"discovery":"subscribe","domain":{"sets":1,"span":1},
 "clients":{"marksRetry":true},"limits":{"cancelling":true,"mayDuplicate":true,"retryAfter":true,
 "maxRetryAfterMs":2000.0,"connectTimeoutMs":250.0},"guarantees":{"repeatRatio":1.0,"budgetFree":10.0,
 "countedOverMs":5000.0},"requestClasses":[{"aimMs":1000.0,"giveUpMs":3000.0,"repeat":"repeatable"},
 {"aimMs":1000.0,"giveUpMs":3000.0,"repeat":"once"}]}"#;
 
-const START: &str = r#"["newInstance",7,FACTS],["sheet",0,[["U",1,0,0,"a:1",null,0],["U",1,0,0,"a:2",null,0],
+const START: &str = r#"["newInstance",7,SETTINGS],["sheet",0,[["U",1,0,0,"a:1",null,0],["U",1,0,0,"a:2",null,0],
 ["D",1,0,0,"a:3",null,0],["U",1,0,0,"a:4",900.0,0]]],["sync",0,"all",1]"#;
 
 /// A search of two parts at one shard each, sent at 1 s.
-const ASK: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0],
+const REQUEST: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0],
 ["newRequest",2,0,0,"k",900.0,null,1,0,0.5,0],["newRequest",3,0,0,"k",900.0,null,1,0,0.5,2]"#;
 
-/// As [`ASK`], of one part that may run once only.
-const ASK_ONCE: &str = r#"["newRequest",1,1,0,"k",900.0,null,1,-1,1.0,0],
+/// As [`REQUEST`], of one part that may run once only.
+const REQUEST_ONCE: &str = r#"["newRequest",1,1,0,"k",900.0,null,1,-1,1.0,0],
 ["newRequest",2,1,0,"k",900.0,null,1,0,1.0,0]"#;
 
 fn batch(at: f64, events: &str) -> String {
-    let events = events.replace("FACTS", FACTS).replace('\n', "");
+    let events = events.replace("SETTINGS", SETTINGS).replace('\n', "");
     format!(r#"{{"simTimeMs":{at:?},"groups":[{{"co-ordinatorId":3,"in":[{events}]}}]}}"#) + "\n"
 }
 
@@ -54,41 +54,45 @@
 }
 
 /// A search that comes without any of its parts.
-const ASK_NOTHING: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0]"#;
+const REQUEST_WITHOUT_PARTS: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0]"#;
 
-/// What the list says of one replica has changed, or all that it says.
+/// An endpoint list that changes one replica, and one that names other replicas.
 const CHANGES: &str = r#"["sheet",1,[["D",1,0,0,"a:1",null,0]]],["sync",1,"changes",2]"#;
 const OTHERS: &str = r#"["sheet",1,[["U",1,0,0,"b:1",null,0]]],["sync",1,"all",2]"#;
 
 /// One line of output for the start, one for the search and one for what comes 50 ms later.
 #[rstest]
-#[case::nothing_later("sent", ASK, "")]
-#[case::whole("whole", ASK, r#"["closedAttempt",2,0,"a:1","served",50.0,true,null],
+#[case::nothing_later("sent", REQUEST, "")]
+#[case::whole("whole", REQUEST, r#"["closedAttempt",2,0,"a:1","served",50.0,true,null],
     ["closedAttempt",3,0,"a:1","served",50.0,true,null],["closedAttempt",2,0,"a:2","served",50.0,true,null],
     ["closedAttempt",3,0,"a:2","served",50.0,true,null],["closedAttempt",2,0,"a:4","served",50.0,true,null],
     ["closedAttempt",3,0,"a:4","served",50.0,true,null]"#)]
-#[case::withdrawn("withdrawn", ASK, r#"["withdrawn",1]"#)]
-#[case::timer("timer", ASK, r#"["timer","1"]"#)]
-#[case::restarted("restarted", ASK, r#"["destroy"],["newInstance",7,FACTS]"#)]
-#[case::remembered("remembered", ASK, r#"["sync",0,"remembered",2]"#)]
-#[case::changes("changes", ASK, CHANGES)]
-#[case::asked_after_changes("asked-after-changes", CHANGES, ASK)]
-#[case::asked_after_another_list("asked-after-another-list", OTHERS, ASK)]
-#[case::no_parts("no-parts", ASK_NOTHING, "")]
-#[case::refused("refused", ASK, r#"["sync",0,"refused",2]"#)]
-#[case::watch("watch", ASK, r#"["timer","watch"]"#)]
-#[case::unsound_start("unsound-start", ASK, r#"["newInstance",7,{}]"#)]
-fn actions_are_written_as_they_were(#[case] name: &str, #[case] ask: &str, #[case] later: &str) {
+#[case::withdrawn("withdrawn", REQUEST, r#"["withdrawn",1]"#)]
+#[case::timer("timer", REQUEST, r#"["timer","1"]"#)]
+#[case::restarted("restarted", REQUEST, r#"["destroy"],["newInstance",7,SETTINGS]"#)]
+#[case::remembered("remembered", REQUEST, r#"["sync",0,"remembered",2]"#)]
+#[case::changes("changes", REQUEST, CHANGES)]
+#[case::asked_after_changes("asked-after-changes", CHANGES, REQUEST)]
+#[case::asked_after_another_list("asked-after-another-list", OTHERS, REQUEST)]
+#[case::no_parts("no-parts", REQUEST_WITHOUT_PARTS, "")]
+#[case::refused("refused", REQUEST, r#"["sync",0,"refused",2]"#)]
+#[case::watch("watch", REQUEST, r#"["timer","watch"]"#)]
+#[case::unsound_start("unsound-start", REQUEST, r#"["newInstance",7,{}]"#)]
+fn actions_are_written_as_they_were(
+    #[case] name: &str,
+    #[case] request: &str,
+    #[case] later: &str,
+) {
     let input = [
         batch(900.0, START),
-        batch(1000.0, ask),
+        batch(1000.0, request),
         batch(1050.0, later),
     ]
     .concat();
     check(name, &run(&input));
 }
 
-/// Every way in which an attempt may end, told of whichever replica the part was sent to.
+/// Each ending of an attempt, at whichever replica the part was sent to.
 #[rstest]
 fn endings_of_attempts_are_taken_as_they_were(
     #[values(
@@ -106,13 +110,13 @@
 ) {
     let ended =
         |replica: &str| format!(r#"["closedAttempt",2,0,"{replica}","{ending}",50.0,true,null]"#);
-    for (kind, ask) in [("repeatable", ASK), ("once", ASK_ONCE)] {
-        let asked = [batch(900.0, START), batch(1000.0, ask)].concat();
-        let sent = run(&asked);
+    for (kind, request) in [("repeatable", REQUEST), ("once", REQUEST_ONCE)] {
+        let requested = [batch(900.0, START), batch(1000.0, request)].concat();
+        let sent = run(&requested);
         let mut replicas = ["a:1", "a:2", "a:4"].into_iter();
         let to = replicas.find(|r| sent.contains(&format!(r#"["place",2,"{r}""#)));
         let later = batch(1050.0, &ended(to.expect("the part was sent")));
-        check(&format!("{ending} {kind}"), &run(&(asked + &later)));
+        check(&format!("{ending} {kind}"), &run(&(requested + &later)));
     }
 }
 
--- a/crates/router/sim-adapter/tests/unit/instances.rs
+++ b/crates/router/sim-adapter/tests/unit/instances.rs
@@ -10,7 +10,7 @@
 
 fn out(instances: &mut Instances, now: f64, events: Value) -> Vec<Value> {
     let line = json!({"simTimeMs": now, "groups": [{"co-ordinatorId": 3, "in": events}]});
-    let reply = instances.batch(&line.to_string()).unwrap();
+    let reply = instances.handle_batch(&line.to_string()).unwrap();
     reply
         .pointer("/groups/0/out")
         .and_then(Value::as_array)
--- a/crates/router/sim-adapter/tests/wire.rs
+++ b/crates/router/sim-adapter/tests/wire.rs
@@ -4,11 +4,11 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const FACTS: &str = r#"{"tickMs":5.0,"siblings":1,"domain":{"sets":1,"span":1},"limits":{},"guarantees":{},
+const SETTINGS: &str = r#"{"tickMs":5.0,"siblings":1,"domain":{"sets":1,"span":1},"limits":{},"guarantees":{},
 "requestClasses":[{"aimMs":1000.0,"giveUpMs":3000.0,"repeat":"repeatable"}]}"#;
 
 fn batch(events: &str) -> String {
-    let events = events.replace("FACTS", FACTS).replace('\n', "");
+    let events = events.replace("SETTINGS", SETTINGS).replace('\n', "");
     format!(r#"{{"simTimeMs":1000.0,"groups":[{{"co-ordinatorId":0,"in":[{events}]}}]}}"#) + "\n"
 }
 
@@ -28,8 +28,7 @@
     child.wait_with_output().unwrap()
 }
 
-const START: &str =
-    r#"["newInstance",7,FACTS],["sheet",0,[["U",1,0,0,"a:1",null,0]]],["sync",0,"remembered",1]"#;
+const START: &str = r#"["newInstance",7,SETTINGS],["sheet",0,[["U",1,0,0,"a:1",null,0]]],["sync",0,"remembered",1]"#;
 
 #[rstest]
 #[case::nothing("", "")]
@@ -49,7 +48,7 @@
     r#"["turnAway",1,0.0]"#
 )]
 #[case::restart_voids(
-    r#"["newRequest",1,0,0,"k",900.0,null,1,-1,0,0],["destroy"],["newInstance",7,FACTS]"#,
+    r#"["newRequest",1,0,0,"k",900.0,null,1,-1,0,0],["destroy"],["newInstance",7,SETTINGS]"#,
     ""
 )]
 fn events_that_are_odd(#[case] events: &str, #[case] expect: &str) {
@@ -80,7 +79,7 @@
 #[case::target("aimMs")]
 fn a_required_setting_is_named(#[case] key: &str) {
     let out = run(&batch(
-        &START.replace("FACTS", &FACTS.replace(key, "absent")),
+        &START.replace("SETTINGS", &SETTINGS.replace(key, "absent")),
     ));
     assert!(String::from_utf8(out.stderr).unwrap().contains(key));
     let text = String::from_utf8(out.stdout).unwrap();
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -92,7 +92,7 @@
         self.0.write_all(bytes.as_ref()).unwrap();
     }
 
-    /// The next frame: its type, which is one letter, and its body.  at the end of the connection.
+    /// The next frame: its type, which is one letter, and its body. `None` at the end of the connection.
     pub(crate) fn frame(&mut self) -> Option<(char, Vec<u8>)> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
