--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -63,22 +63,27 @@
 
     /// How many searches still await their final answer.
     pub fn open_searches(&self) -> usize {
-        self.searches.values().filter(|s| s.is_open()).count()
+        self.searches
+            .values()
+            .filter(|search| search.is_open())
+            .count()
     }
 
     /// Whether this replica has been overloaded since it started.
     pub fn is_overloaded(&self, replica: &str) -> bool {
-        self.replicas.get(replica).is_some_and(|r| r.overloaded)
+        self.replicas
+            .get(replica)
+            .is_some_and(|replica| replica.overloaded)
     }
 
     /// Takes the next event, which must not be earlier than the one before. Returns the breaches that it
     /// proves, and those of answers that are overdue by its time.
     pub fn take(&mut self, event: &Event) -> Vec<Breach> {
         self.advance(event.at);
-        if let Some(search) = event.kind.search()
-            && let Some(s) = self.searches.get_mut(search)
+        if let Some(name) = event.kind.search()
+            && let Some(search) = self.searches.get_mut(name)
         {
-            s.remember(event);
+            search.remember(event);
         }
         self.apply(event);
         std::mem::take(&mut self.breaches)
@@ -179,50 +184,50 @@
         });
     }
 
-    fn replica_listed(&mut self, at: Seconds, node: NodeId, replica: &ReplicaName, ready: bool) {
-        let r = self.replicas.entry(replica.clone()).or_default();
+    fn replica_listed(&mut self, at: Seconds, node: NodeId, name: &ReplicaName, ready: bool) {
+        let replica = self.replicas.entry(name.clone()).or_default();
         if ready {
-            r.leaving.remove(&node);
-            r.notified.insert(node);
+            replica.leaving.remove(&node);
+            replica.notified.insert(node);
         } else {
             // The grace period runs from the first listing.
-            r.leaving.entry(node).or_insert(at);
+            replica.leaving.entry(node).or_insert(at);
         }
     }
 
-    fn replica_started(&mut self, at: Seconds, replica: &ReplicaName, cores: f64) {
-        let r = self.replicas.entry(replica.clone()).or_default();
-        r.start = Some(ReplicaStart { at, cores });
-        r.work.clear();
-        r.notified.clear();
-        r.overloaded = false;
+    fn replica_started(&mut self, at: Seconds, name: &ReplicaName, cores: f64) {
+        let replica = self.replicas.entry(name.clone()).or_default();
+        replica.start = Some(ReplicaStart { at, cores });
+        replica.work.clear();
+        replica.notified.clear();
+        replica.overloaded = false;
     }
 
-    fn link_blocked(&mut self, at: Seconds, replica: &ReplicaName, blocked: bool) {
+    fn link_blocked(&mut self, at: Seconds, name: &ReplicaName, blocked: bool) {
         let slack = self.terms.slack;
-        let r = self.replicas.entry(replica.clone()).or_default();
-        let since = r
+        let replica = self.replicas.entry(name.clone()).or_default();
+        let since = replica
             .delayed
             .filter(|period| period.until.is_infinite() || period.until + slack > at)
             .map_or(at, |period| period.since);
-        r.delays = if blocked {
-            r.delays + 1
+        replica.delays = if blocked {
+            replica.delays + 1
         } else {
-            r.delays.saturating_sub(1)
+            replica.delays.saturating_sub(1)
         };
-        let until = if r.delays > 0 {
+        let until = if replica.delays > 0 {
             f64::INFINITY
         } else {
             at + slack
         };
-        r.delayed = Some(Period { since, until });
+        replica.delayed = Some(Period { since, until });
     }
 
     /// Whether the co-ordinator is excused for what it did or left undone between these times.
     pub(crate) fn is_excused(&self, node: NodeId, from: Seconds, to: Seconds) -> bool {
         self.coordinators
             .get(&node)
-            .is_some_and(|n| n.is_excused(from, to))
+            .is_some_and(|coordinator| coordinator.is_excused(from, to))
     }
 
     /// The latest time at which an answer to a search with this deadline counts.
@@ -241,11 +246,11 @@
 
     /// Marks that no answer is owed any more. What still arrives for the search is judged for a while.
     pub(crate) fn end_search(&mut self, name: &Arc<str>) {
-        let Some(s) = self.searches.get_mut(name) else {
+        let Some(search) = self.searches.get_mut(name) else {
             return;
         };
-        s.ended = true;
-        let deadline = s.deadline;
+        search.ended = true;
+        let deadline = search.deadline;
         self.due.remove(&AnswerDue {
             microseconds: microseconds(self.latest_answer(deadline)),
             search: name.clone(),
@@ -261,7 +266,7 @@
         let proof = self
             .searches
             .get(search)
-            .map_or(Vec::new(), |s| s.events.clone());
+            .map_or(Vec::new(), |search| search.events.clone());
         self.breaches.push(Breach {
             rule,
             at: self.now,
--- a/crates/testing/invariants/src/rules/answers.rs
+++ b/crates/testing/invariants/src/rules/answers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// What is wrong with the rows themselves.
-fn row_faults(s: &Search, fetch: bool, rows: &[ShardValue]) -> Vec<String> {
+fn row_faults(search: &Search, fetch: bool, rows: &[ShardValue]) -> Vec<String> {
     let mut faults = Vec::new();
     let mut seen = Vec::new();
     for row in rows {
@@ -21,7 +21,7 @@
         }
         seen.push(shard);
         let key = PartKey { shard, fetch };
-        let mut values = s.values.get(&key).into_iter().flatten();
+        let mut values = search.values.get(&key).into_iter().flatten();
         if !values.any(|value| **value == *row.value) {
             faults.push(format!("no replica made the value of shard {shard} for it"));
         }
@@ -31,13 +31,13 @@
 
 /// What is wrong with the share of the weight that an answer of a single step has.
 fn weight_faults(
-    s: &Search,
+    search: &Search,
     terms: &QueryTerms,
     complete: bool,
     rows: &[ShardValue],
 ) -> Vec<String> {
     let mut faults = Vec::new();
-    let weight = s.weight(|shard| rows.iter().any(|row| row.shard == shard));
+    let weight = search.weight(|shard| rows.iter().any(|row| row.shard == shard));
     if weight < terms.minimum_weight - WEIGHT_TOLERANCE {
         faults.push(format!(
             "{weight:.3} of the weight is in, {} is the least",
@@ -51,8 +51,13 @@
 }
 
 /// What is wrong with an answer of two steps.
-fn second_step_faults(s: &Search, terms: &QueryTerms, complete: bool, rows: usize) -> Vec<String> {
-    let Some(first) = &s.first_step else {
+fn second_step_faults(
+    search: &Search,
+    terms: &QueryTerms,
+    complete: bool,
+    rows: usize,
+) -> Vec<String> {
+    let Some(first) = &search.first_step else {
         return vec!["answered before its second step".into()];
     };
     let mut faults = Vec::new();
@@ -71,17 +76,17 @@
 
 /// What is wrong with what a second step's part says of the first step.
 fn first_step_faults(
-    s: &Search,
+    search: &Search,
     terms: &QueryTerms,
     part: &PartName,
     first: &FirstStep,
 ) -> Vec<String> {
     let mut faults = Vec::new();
     let complete = first.complete;
-    let weight = s.weight(|shard| first.shards.contains(&shard));
+    let weight = search.weight(|shard| first.shards.contains(&shard));
     let has_answered = |shard: u64| {
         let fetch = false;
-        s.values.contains_key(&PartKey { shard, fetch })
+        search.values.contains_key(&PartKey { shard, fetch })
     };
     let missing: Vec<&u64> = first
         .shards
@@ -114,31 +119,31 @@
     pub(crate) fn search_answered(
         &mut self,
         at: Seconds,
-        search: &Arc<str>,
+        name: &Arc<str>,
         complete: bool,
         rows: &[ShardValue],
     ) {
-        if self.accept_final_answer(at, search) {
-            self.check_answer(search, complete, rows);
+        if self.accept_final_answer(at, name) {
+            self.check_answer(name, complete, rows);
         }
     }
 
-    fn check_answer(&mut self, search: &Arc<str>, complete: bool, rows: &[ShardValue]) {
-        let Some(s) = self.searches.get(search) else {
+    fn check_answer(&mut self, name: &Arc<str>, complete: bool, rows: &[ShardValue]) {
+        let Some(search) = self.searches.get(name) else {
             return;
         };
-        let Some(terms) = self.terms.query_types.get(s.query_type) else {
+        let Some(terms) = self.terms.query_types.get(search.query_type) else {
             return;
         };
         let two_steps = terms.second_step_parts > 0;
-        let mut faults = row_faults(s, two_steps, rows);
+        let mut faults = row_faults(search, two_steps, rows);
         faults.extend(if two_steps {
-            second_step_faults(s, terms, complete, rows.len())
+            second_step_faults(search, terms, complete, rows.len())
         } else {
-            weight_faults(s, terms, complete, rows)
+            weight_faults(search, terms, complete, rows)
         });
         if !faults.is_empty() {
-            self.report(Rule::HonestAnswers, search, faults.join("; "));
+            self.report(Rule::HonestAnswers, name, faults.join("; "));
         }
     }
 
@@ -152,18 +157,18 @@
         if !part.fetch {
             return;
         }
-        let Some(s) = self.searches.get_mut(&part.search) else {
+        let Some(search) = self.searches.get_mut(&part.search) else {
             return;
         };
-        let Some(terms) = self.terms.query_types.get(s.query_type) else {
+        let Some(terms) = self.terms.query_types.get(search.query_type) else {
             return;
         };
         let first = FirstStep {
             shards: shards.to_vec(),
             complete: first_step_complete == Some(true),
         };
-        let faults = first_step_faults(s, terms, part, &first);
-        s.first_step = Some(first);
+        let faults = first_step_faults(search, terms, part, &first);
+        search.first_step = Some(first);
         if !faults.is_empty() {
             self.report(Rule::HonestAnswers, &part.search, faults.join("; "));
         }
--- a/crates/testing/invariants/src/rules/disconnected_clients.rs
+++ b/crates/testing/invariants/src/rules/disconnected_clients.rs
@@ -13,16 +13,24 @@
 const MIN_LATE_ATTEMPTS: usize = 3;
 
 impl Checker {
-    pub(crate) fn client_disconnected(&mut self, at: Seconds, search: &Arc<str>) {
-        if let Some(s) = self.searches.get_mut(search).filter(|s| s.is_open()) {
-            s.disconnected = Some(at);
+    pub(crate) fn client_disconnected(&mut self, at: Seconds, name: &Arc<str>) {
+        if let Some(search) = self
+            .searches
+            .get_mut(name)
+            .filter(|search| search.is_open())
+        {
+            search.disconnected = Some(at);
         }
-        self.end_search(search);
+        self.end_search(name);
     }
 
     pub(crate) fn check_client_connected(&mut self, received: &ReceivedPart<'_>) {
         let name = &received.part.search;
-        let Some(disconnected) = self.searches.get(name).and_then(|s| s.disconnected) else {
+        let Some(disconnected) = self
+            .searches
+            .get(name)
+            .and_then(|search| search.disconnected)
+        else {
             return;
         };
         let sent_at = received.first_byte_at;
--- a/crates/testing/invariants/src/rules/drains.rs
+++ b/crates/testing/invariants/src/rules/drains.rs
@@ -9,7 +9,7 @@
         let leaving = self
             .replicas
             .get(received.replica)
-            .and_then(|r| r.leaving.get(&received.node))
+            .and_then(|replica| replica.leaving.get(&received.node))
             .copied();
         let Some(listed) = leaving else { return };
         let sent_at = received.first_byte_at;
--- a/crates/testing/invariants/src/rules/lost_searches.rs
+++ b/crates/testing/invariants/src/rules/lost_searches.rs
@@ -18,7 +18,7 @@
     pub(crate) fn search_requested(&mut self, event: &Event) {
         let EventKind::Requested {
             node,
-            search,
+            search: name,
             query_type,
             parts,
             deadline,
@@ -41,79 +41,79 @@
             first_step: None,
             events: vec![event.clone()],
         };
-        self.open_search(search, state);
+        self.open_search(name, state);
     }
 
     /// The latest time for a search's answer, `due`, has passed.
-    pub(crate) fn answer_overdue(&mut self, search: &Arc<str>, due: Seconds) {
-        let Some(s) = self.searches.get(search).filter(|s| s.is_open()) else {
+    pub(crate) fn answer_overdue(&mut self, name: &Arc<str>, due: Seconds) {
+        let Some(search) = self.searches.get(name).filter(|search| search.is_open()) else {
             return;
         };
-        if !self.is_excused(s.node, s.deadline - STALL_BEFORE_DEADLINE, due) {
+        if !self.is_excused(search.node, search.deadline - STALL_BEFORE_DEADLINE, due) {
             let why = "no final answer by the end of its time".into();
-            self.report(Rule::NoSearchLost, search, why);
+            self.report(Rule::NoSearchLost, name, why);
         }
-        self.end_search(search);
+        self.end_search(name);
     }
 
     /// Whether this is the search's one answer; reports a second one and a late one.
-    pub(crate) fn accept_final_answer(&mut self, at: Seconds, search: &Arc<str>) -> bool {
-        let Some(s) = self.searches.get_mut(search) else {
+    pub(crate) fn accept_final_answer(&mut self, at: Seconds, name: &Arc<str>) -> bool {
+        let Some(search) = self.searches.get_mut(name) else {
             return false;
         };
-        if s.answered.is_some() {
-            self.report(Rule::NoSearchLost, search, "a second final answer".into());
+        if search.answered.is_some() {
+            self.report(Rule::NoSearchLost, name, "a second final answer".into());
             return false;
         }
-        if s.ended {
+        if search.ended {
             return false;
         }
-        s.answered = Some(at);
-        let (deadline, node) = (s.deadline, s.node);
+        search.answered = Some(at);
+        let (deadline, node) = (search.deadline, search.node);
         if at > self.latest_answer(deadline)
             && !self.is_excused(node, deadline - STALL_BEFORE_DEADLINE, at)
         {
             let why = "its final answer came after its time".into();
-            self.report(Rule::NoSearchLost, search, why);
+            self.report(Rule::NoSearchLost, name, why);
         }
-        self.end_search(search);
+        self.end_search(name);
         true
     }
 
-    pub(crate) fn connection_closed(&mut self, search: &Arc<str>) {
-        let Some(s) = self.searches.get(search).filter(|s| s.is_open()) else {
+    pub(crate) fn connection_closed(&mut self, name: &Arc<str>) {
+        let Some(search) = self.searches.get(name).filter(|search| search.is_open()) else {
             return;
         };
-        if !s.attempts.is_empty() {
+        if !search.attempts.is_empty() {
             let why = "its connection ended without an answer".into();
-            self.report(Rule::NoSearchLost, search, why);
+            self.report(Rule::NoSearchLost, name, why);
         }
-        self.end_search(search);
+        self.end_search(name);
     }
 
     pub(crate) fn coordinator_killed(&mut self, node: NodeId) {
-        for search in self.searches_of(node) {
-            self.end_search(&search);
+        for name in self.searches_of(node) {
+            self.end_search(&name);
         }
     }
 
     pub(crate) fn coordinator_ended(&mut self, node: NodeId) {
         let searches = self.searches_of(node);
-        for search in &searches {
-            if self.searches[search].answered.is_none() {
+        for name in &searches {
+            if self.searches[name].answered.is_none() {
                 let why = "its co-ordinator has ended by itself".into();
-                self.report(Rule::NoSearchLost, search, why);
+                self.report(Rule::NoSearchLost, name, why);
             }
         }
-        for search in &searches {
-            self.end_search(search);
+        for name in &searches {
+            self.end_search(name);
         }
     }
 
     fn searches_of(&self, node: NodeId) -> Vec<Arc<str>> {
         self.searches
             .iter()
-            .filter(|(_, s)| s.node == node && !s.ended)
+            .filter(|(_, search)| search.node == node && !search.ended)
             .map(|(name, _)| name.clone())
             .collect()
     }
@@ -121,14 +121,17 @@
     /// Whether the part was sent for a search that awaits its answer; reports it if not.
     pub(crate) fn check_search_awaits_part(&mut self, received: &ReceivedPart<'_>) -> bool {
         let name = &received.part.search;
-        let Some(s) = self.searches.get(name) else {
+        let Some(search) = self.searches.get(name) else {
             let why = format!("a part at {} that no client asked for", received.replica);
             self.report(Rule::NoSearchLost, name, why);
             return false;
         };
         // What was sent before the answer may arrive after it, by the latency of a link.
         let in_flight_for = (self.terms.max_link_latency - SHORT_LATENCY).max(0.0);
-        let Some(answered) = s.answered.filter(|a| received.at > *a + in_flight_for) else {
+        let Some(answered) = search
+            .answered
+            .filter(|answered| received.at > *answered + in_flight_for)
+        else {
             return true;
         };
         if self.was_delayed(received, answered) {
@@ -149,7 +152,7 @@
         let requested = self
             .searches
             .get(name)
-            .is_some_and(|s| s.parts.iter().any(|part| part.shard == shard));
+            .is_some_and(|search| search.parts.iter().any(|part| part.shard == shard));
         if !requested {
             let why = format!("shard {shard} was not asked for");
             self.report(Rule::NoSearchLost, name, why);
--- a/crates/testing/invariants/src/rules/parts.rs
+++ b/crates/testing/invariants/src/rules/parts.rs
@@ -49,19 +49,24 @@
     }
 
     pub(crate) fn part_rejected(&mut self, replica: &ReplicaName, part: &PartName) {
-        if let Some(s) = self.searches.get_mut(&part.search)
-            && let Some(attempt) = s
+        if let Some(search) = self.searches.get_mut(&part.search)
+            && let Some(attempt) = search
                 .attempts
                 .get_mut(&PartKey::from(part))
-                .and_then(|all| all.iter_mut().rev().find(|a| a.replica == *replica))
+                .and_then(|all| {
+                    all.iter_mut()
+                        .rev()
+                        .find(|attempt| attempt.replica == *replica)
+                })
         {
             attempt.rejected = true;
         }
     }
 
     pub(crate) fn part_completed(&mut self, at: Seconds, part: &PartName, value: &Arc<str>) {
-        if let Some(s) = self.searches.get_mut(&part.search) {
-            s.values
+        if let Some(search) = self.searches.get_mut(&part.search) {
+            search
+                .values
                 .entry(PartKey::from(part))
                 .or_default()
                 .push(value.clone());
@@ -73,6 +78,6 @@
     pub(crate) fn was_delayed(&self, received: &ReceivedPart<'_>, since: Seconds) -> bool {
         self.replicas
             .get(received.replica)
-            .is_some_and(|r| r.was_delayed(since, received.at))
+            .is_some_and(|replica| replica.was_delayed(since, received.at))
     }
 }
--- a/crates/testing/invariants/src/rules/repeats.rs
+++ b/crates/testing/invariants/src/rules/repeats.rs
@@ -10,43 +10,54 @@
 
 impl Checker {
     /// The client has read that its search was shed.
-    pub(crate) fn search_shed(&mut self, at: Seconds, search: &Arc<str>) {
-        if self.accept_final_answer(at, search) {
-            self.check_shed(search);
+    pub(crate) fn search_shed(&mut self, at: Seconds, name: &Arc<str>) {
+        if self.accept_final_answer(at, name) {
+            self.check_shed(name);
         }
     }
 
     /// Reports a search that was shed although a part of it may have run and must not run again.
-    fn check_shed(&mut self, search: &Arc<str>) {
-        let Some(s) = self.searches.get(search) else {
+    fn check_shed(&mut self, name: &Arc<str>) {
+        let Some(search) = self.searches.get(name) else {
             return;
         };
-        let repeats = self.terms.query_types.get(s.query_type).map(|t| t.repeats);
+        let repeats = self
+            .terms
+            .query_types
+            .get(search.query_type)
+            .map(|terms| terms.repeats);
         if repeats == Some(Repeats::NonIdempotent)
-            && s.attempts.values().flatten().any(|a| !a.rejected)
+            && search
+                .attempts
+                .values()
+                .flatten()
+                .any(|attempt| !attempt.rejected)
         {
             let why = "shed, though a part of it may have run".into();
-            self.report(Rule::NoEffectTwice, search, why);
+            self.report(Rule::NoEffectTwice, name, why);
         }
     }
 
     /// Records the attempt; reports it if an earlier one may have run and the part must not run again.
     pub(crate) fn check_repeat(&mut self, received: &ReceivedPart<'_>) {
         let (name, part) = (&received.part.search, received.part);
-        let Some(s) = self.searches.get(name) else {
+        let Some(search) = self.searches.get(name) else {
             return;
         };
         let repeats = self
             .terms
             .query_types
-            .get(s.query_type)
-            .map_or(Repeats::Idempotent, |t| t.repeats);
-        let attempts = s.attempts.get(&PartKey::from(part));
+            .get(search.query_type)
+            .map_or(Repeats::Idempotent, |terms| terms.repeats);
+        let attempts = search.attempts.get(&PartKey::from(part));
         let first = attempts.and_then(|all| all.first());
         let is_retry = first.is_some();
         // When a delayed attempt was written is unknown here.
-        let delayed = first.is_some_and(|a| self.was_delayed(received, a.at));
-        let may_have_run = attempts.into_iter().flatten().find(|a| !a.rejected);
+        let delayed = first.is_some_and(|attempt| self.was_delayed(received, attempt.at));
+        let may_have_run = attempts
+            .into_iter()
+            .flatten()
+            .find(|attempt| !attempt.rejected);
         let forbidden = may_have_run
             .and_then(|earlier| self.why_forbidden(repeats, earlier, received, delayed));
         self.record_attempt(received);
@@ -67,8 +78,9 @@
             at: received.at,
             rejected: false,
         };
-        if let Some(s) = self.searches.get_mut(&received.part.search) {
-            s.attempts
+        if let Some(search) = self.searches.get_mut(&received.part.search) {
+            search
+                .attempts
                 .entry(PartKey::from(received.part))
                 .or_default()
                 .push(attempt);
--- a/crates/testing/invariants/src/rules/retry_budget.rs
+++ b/crates/testing/invariants/src/rules/retry_budget.rs
@@ -37,29 +37,29 @@
 
     /// Counts the requests of a second step, from the earliest time at which it can begin.
     pub(crate) fn count_second_step(&mut self, at: Seconds, part: &PartName) {
-        let Some(s) = self
+        let Some(search) = self
             .searches
             .get_mut(&part.search)
-            .filter(|s| !s.second_step_possible)
+            .filter(|search| !search.second_step_possible)
         else {
             return;
         };
         let Some(terms) = self
             .terms
             .query_types
-            .get(s.query_type)
-            .filter(|t| t.second_step_parts > 0)
+            .get(search.query_type)
+            .filter(|terms| terms.second_step_parts > 0)
         else {
             return;
         };
-        let completed = s.weight(|shard| {
+        let completed = search.weight(|shard| {
             let fetch = false;
-            s.values.contains_key(&PartKey { shard, fetch })
+            search.values.contains_key(&PartKey { shard, fetch })
         });
         if completed >= terms.minimum_weight - WEIGHT_TOLERANCE {
-            s.second_step_possible = true;
+            search.second_step_possible = true;
             let count = terms.second_step_parts;
-            if let Some(coordinator) = self.coordinators.get_mut(&s.node) {
+            if let Some(coordinator) = self.coordinators.get_mut(&search.node) {
                 coordinator
                     .accepted
                     .push_back(AcceptedRequests { at, count });
@@ -86,12 +86,16 @@
         // A replica that was suspended reads late, so arrivals aren't in order.
         coordinator
             .retries
-            .retain(|t| t + budget.window - latency > now);
+            .retain(|at| at + budget.window - latency > now);
         // One that was read so late is judged with the next: of its own window too little is known by now.
         if now > at + slack {
             return;
         }
-        let accepted: usize = coordinator.accepted.iter().map(|a| a.count).sum();
+        let accepted: usize = coordinator
+            .accepted
+            .iter()
+            .map(|accepted| accepted.count)
+            .sum();
         let sent = coordinator.retries.len();
         let allowed = budget.min_retries + budget.ratio * accepted as f64;
         let exceeds_budget = sent as f64 > allowed + ROUNDING;
--- a/crates/testing/invariants/src/rules/slow_start.rs
+++ b/crates/testing/invariants/src/rules/slow_start.rs
@@ -16,7 +16,11 @@
 impl Replica {
     /// Requests of mean work that it received in the window.
     fn requests(&self, terms: &SlowStart, counts: impl Fn(&ReceivedWork) -> bool) -> f64 {
-        let work = self.work.iter().filter(|w| counts(w)).map(|w| w.work);
+        let work = self
+            .work
+            .iter()
+            .filter(|work| counts(work))
+            .map(|work| work.work);
         work.sum::<f64>() / terms.mean_work
     }
 }
@@ -26,46 +30,46 @@
         &mut self,
         at: Seconds,
         node: NodeId,
-        replica: &ReplicaName,
+        name: &ReplicaName,
         work: CoreSeconds,
     ) {
         let Some(terms) = self.terms.slow_start.clone() else {
             return;
         };
-        let Some(r) = self.replicas.get_mut(replica) else {
+        let Some(replica) = self.replicas.get_mut(name) else {
             return;
         };
-        let warming = r
+        let warming = replica
             .start
-            .filter(|s| at < s.at + terms.duration && !r.overloaded);
+            .filter(|start| at < start.at + terms.duration && !replica.overloaded);
         let Some(start) = warming else { return };
-        r.work.push_back(ReceivedWork {
+        replica.work.push_back(ReceivedWork {
             at,
             work,
-            sender_notified: r.notified.contains(&node),
+            sender_notified: replica.notified.contains(&node),
         });
-        while r
+        while replica
             .work
             .front()
-            .is_some_and(|w| w.at + terms.overload_window <= at)
+            .is_some_and(|work| work.at + terms.overload_window <= at)
         {
-            r.work.pop_front();
+            replica.work.pop_front();
         }
-        let received = r.requests(&terms, |_| true);
+        let received = replica.requests(&terms, |_| true);
         let budget = terms.overload_multiple * capacity(&terms, start, at) * terms.overload_window
             / terms.mean_work;
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
         if received <= allowed {
             return;
         }
-        r.overloaded = true;
-        let notified = r.requests(&terms, |w| w.sender_notified);
+        replica.overloaded = true;
+        let notified = replica.requests(&terms, |work| work.sender_notified);
         // Over two thirds of it must have come from senders that knew of the start.
         if !terms.counts_unlisted_senders && notified * 3.0 <= received * 2.0 {
             return;
         }
         let why = format!(
-            "{replica}, {:.2} s old, was sent {received:.1} requests of mean work in {} s: {budget:.1} are \
+            "{name}, {:.2} s old, was sent {received:.1} requests of mean work in {} s: {budget:.1} are \
              its budget, {allowed:.1} the most that chance brings",
             at - start.at,
             terms.overload_window
