--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -236,7 +236,9 @@
         plan: &Plan,
         executor: &mut impl PlanExecutor,
     ) {
-        plan.notes.iter().for_each(|line| executor.note(line));
+        for note in &plan.notes {
+            executor.note(&note.to_string());
+        }
         for attempt in &plan.cancel {
             executor.cancel(attempt.part, attempt.index);
         }
--- a/crates/routing/src/api/mod.rs
+++ b/crates/routing/src/api/mod.rs
@@ -17,7 +17,7 @@
 pub use ids::{
     AttemptId, CellId, PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId, ZoneId,
 };
-pub use plan::{Placement, Plan, Reply};
+pub use plan::{Note, Placement, Plan, Reply};
 pub use search::{Attempt, Ending, Outcome, Part, Search};
 pub use settings::{QueryType, Repeat, RetryBudgetConfig, Settings, SlowStartConfig};
 pub use units::{Seconds, Share, WarmReplicas};
--- a/crates/routing/src/api/plan.rs
+++ b/crates/routing/src/api/plan.rs
@@ -1,6 +1,7 @@
 //! What a caller has to carry out.
 
-use super::{AttemptId, PartId, ReplicaId, SearchId, Seconds};
+use super::{AttemptId, Change, PartId, ReplicaId, SearchId, Seconds, ZoneId};
+use std::fmt;
 
 /// The reply to a search, or to its first step.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,6 +33,42 @@
     pub begin_by: Seconds,
 }
 
+/// A change for the log, which the `Display` text words.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Note {
+    /// The health of a replica has changed.
+    Replica {
+        /// The replica.
+        replica: ReplicaId,
+        /// The change.
+        change: Change,
+    },
+    /// The health of a zone has changed, by this co-ordinator's own calls.
+    Zone {
+        /// The zone.
+        zone: ZoneId,
+        /// The change.
+        change: Change,
+    },
+    /// The fleet has become overloaded.
+    OverloadBegan,
+    /// The fleet is no longer overloaded.
+    OverloadEnded,
+}
+
+impl fmt::Display for Note {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Note::Replica { replica, change } => {
+                write!(f, "replica {} {}", replica.0, change.as_str())
+            }
+            Note::Zone { zone, change } => write!(f, "zone {} {}", zone.0, change.as_str()),
+            Note::OverloadBegan => f.write_str("overload began"),
+            Note::OverloadEnded => f.write_str("overload ended"),
+        }
+    }
+}
+
 /// What to do now, in this order: cancel, send, reply, then ask again about the searches named.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
@@ -43,6 +80,6 @@
     pub reply: Option<Reply>,
     /// Searches that may have become able to send: the caller asks for their plans next.
     pub reconsider: Vec<SearchId>,
-    /// Messages for the log.
-    pub notes: Vec<String>,
+    /// What the log has to say.
+    pub notes: Vec<Note>,
 }
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -19,7 +19,7 @@
 
 /// What is known of one replica.
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct ReplicaState {
     /// Backpressure after full or timed-out answers.
     pub(crate) hold: Hold,
     /// Latest latencies, with queues.
@@ -68,7 +68,7 @@
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: oorandom::Rand64,
-    pub(crate) fleet: Fleet<Known>,
+    pub(crate) fleet: Fleet<ReplicaState>,
     /// Recent capacity of all open replicas, in warm replicas.
     pub(crate) capacity: VecDeque<Sample>,
     /// Health of each zone.
@@ -128,9 +128,9 @@
                 self.settings.coordinator_index,
                 self.rng.rand_float(),
             );
-            Known {
+            ReplicaState {
                 warming,
-                ..Known::default()
+                ..ReplicaState::default()
             }
         });
         departed.iter().for_each(|id| self.forget(id));
@@ -166,7 +166,7 @@
         let Some(config) = &self.settings.slow_start else {
             return Vec::new();
         };
-        let demand = |(id, replica): (&ReplicaId, &Replica<Known>)| {
+        let demand = |(id, replica): (&ReplicaId, &Replica<ReplicaState>)| {
             let warming = &replica.state.warming;
             let is_warming = replica.open
                 && replica
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -1,8 +1,9 @@
 //! The health of replicas and zones, by this co-ordinator's own calls and by what the tier has agreed on.
 
-use super::{Balancer, EjectionConfig, Known, Observation, OutlierDetector};
+use super::{Balancer, EjectionConfig, Observation, OutlierDetector, ReplicaState};
 use crate::api::{
-    Ending, Outcome, ReplicaId, Seconds, Share, WarmReplicas, ZoneFailoverState, ZoneHealth, ZoneId,
+    Ending, Note, Outcome, ReplicaId, Seconds, Share, WarmReplicas, ZoneFailoverState, ZoneHealth,
+    ZoneId,
 };
 use crate::balancer::ZoneOutcome;
 use crate::fleet::{InFlight, Replica};
@@ -65,9 +66,8 @@
         let change = replica.state.health.observe(REPLICA_EJECTION, observation);
         let zone = replica.zone;
         if let Some(change) = change {
-            self.plan
-                .notes
-                .push(format!("replica {} {}", outcome.replica.0, change.as_str()));
+            let replica = outcome.replica.clone();
+            self.plan.notes.push(Note::Replica { replica, change });
         }
         if let Some(zone) = zone {
             self.record_zone_outcome(now, zone, outcome, has_answered_since);
@@ -109,9 +109,7 @@
         };
         let health = self.zones.entry(zone).or_default();
         if let Some(change) = health.observe(ZONE_EJECTION, observation) {
-            self.plan
-                .notes
-                .push(format!("zone {} {}", zone.0, change.as_str()));
+            self.plan.notes.push(Note::Zone { zone, change });
         }
     }
 
@@ -141,12 +139,12 @@
     }
 
     /// The health of the replica's zone, once something is known of it.
-    pub(super) fn zone_of(&self, replica: &Replica<Known>) -> Option<&OutlierDetector<()>> {
+    pub(super) fn zone_of(&self, replica: &Replica<ReplicaState>) -> Option<&OutlierDetector<()>> {
         replica.zone.and_then(|zone| self.zones.get(&zone))
     }
 
     /// Whether the replica's zone is ejected.
-    pub(super) fn is_zone_ejected(&self, replica: &Replica<Known>) -> bool {
+    pub(super) fn is_zone_ejected(&self, replica: &Replica<ReplicaState>) -> bool {
         self.share(replica.zone) <= 0.0
             || self
                 .zone_of(replica)
@@ -154,7 +152,7 @@
     }
 
     /// Whether the replica or its zone is ejected, for any query type.
-    pub(super) fn is_ejected(&self, replica: &Replica<Known>) -> bool {
+    pub(super) fn is_ejected(&self, replica: &Replica<ReplicaState>) -> bool {
         replica.state.health.is_ejected() || self.is_zone_ejected(replica)
     }
 
@@ -165,7 +163,7 @@
     }
 
     /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
-    pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<Known>) -> bool {
+    pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<ReplicaState>) -> bool {
         replica.unanswered(now + 1e-6, self.limits.hedge_after) > 0
     }
 
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -1,7 +1,7 @@
 //! Attempts in flight: cancelling those that hang, where hedges are not allowed, and probes of ejected replicas.
 //! Hedges themselves are picked in `placement`, and allowed in `repeats`.
 
-use super::{Balancer, Known};
+use super::{Balancer, ReplicaState};
 use crate::api::{Attempt, AttemptId, ReplicaId, Search, Seconds};
 use crate::fleet::Replica;
 
@@ -73,7 +73,7 @@
             return;
         }
         // A replica's own ejection goes first: the probes of its zone are for the others.
-        let is_due = |(id, replica): &(&ReplicaId, &Replica<Known>)| {
+        let is_due = |(id, replica): &(&ReplicaId, &Replica<ReplicaState>)| {
             let own = &replica.state.health;
             let is_probe_due = if own.is_ejected_for(class) {
                 own.probe_due(now, class)
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,6 +1,6 @@
 //! Where the parts of a search go, and when they leave.
 
-use super::{Balancer, Candidates, Known, PartBudget};
+use super::{Balancer, Candidates, PartBudget, ReplicaState};
 use crate::api::{Attempt, AttemptId, Part, Placement, ReplicaId, Search, Seconds, Share};
 use crate::balancer::QueuedPart;
 use crate::fleet::Replica;
@@ -11,7 +11,7 @@
 type PlannedParts = BTreeMap<ReplicaId, usize>;
 
 /// A replica that could be sent a part.
-type Holder<'a> = (&'a ReplicaId, &'a Replica<Known>);
+type Holder<'a> = (&'a ReplicaId, &'a Replica<ReplicaState>);
 
 /// Tolerance for rounding in the time at which a hedge is due.
 const DUE_TOLERANCE: Seconds = 1e-9;
@@ -163,7 +163,7 @@
     }
 
     /// Whether the replica is in one of the zones that are preferred for this draw.
-    fn is_near(&self, replica: &Replica<Known>, zone_draw: Share) -> bool {
+    fn is_near(&self, replica: &Replica<ReplicaState>, zone_draw: Share) -> bool {
         let near = self
             .zone_failover
             .iter()
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -1,6 +1,6 @@
 //! Whether a part may be sent once more.
 
-use super::{Balancer, Known};
+use super::{Balancer, ReplicaState};
 use crate::api::{AttemptId, Part, Repeat, ReplicaId, Search, Seconds};
 use crate::fleet::Replica;
 use crate::mutations::is_mutated;
@@ -69,7 +69,7 @@
     /// Whether every attempt in flight waits on an unresponsive or ejected replica, or was overtaken by
     /// several that were sent later. Where queues are the cause, hedges lengthen them.
     fn is_lost(&self, now: Seconds, part: &Part) -> bool {
-        let is_lost_at = |index: usize, replica: &Replica<Known>| {
+        let is_lost_at = |index: usize, replica: &Replica<ReplicaState>| {
             let part = part.id;
             let was_overtaken = replica
                 .in_flight
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::placement::{PartPick, Pick};
 use crate::api::{
-    Attempt, AttemptId, Ending, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search,
+    Attempt, AttemptId, Ending, Note, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search,
     Seconds, Share,
 };
 use crate::fleet::InFlight;
@@ -191,12 +191,11 @@
         if !self.limits.update_overload(now, &self.unloaded) {
             return;
         }
-        let change = if self.limits.overloaded {
-            "overload began"
+        self.plan.notes.push(if self.limits.overloaded {
+            Note::OverloadBegan
         } else {
-            "overload ended"
-        };
-        self.plan.notes.push(change.to_string());
+            Note::OverloadEnded
+        });
     }
 
     /// Sets the queuing deadline of a step that has just begun; false if the search is to be shed instead.
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: limits what is sent to a replica that is warming up (docs/design.md, exception 7).
 
-use super::{Balancer, Known};
+use super::{Balancer, ReplicaState};
 use crate::api::{Ending, ReplicaId, Seconds, Share, SlowStartConfig, WarmReplicas};
 use crate::fleet::Replica;
 use crate::mutations::is_mutated;
@@ -86,7 +86,11 @@
 
 impl Balancer {
     /// The present capacity of an open replica; 0 for one that isn't open.
-    pub(super) fn capacity_of(&self, now: Seconds, replica: &Replica<Known>) -> WarmReplicas {
+    pub(super) fn capacity_of(
+        &self,
+        now: Seconds,
+        replica: &Replica<ReplicaState>,
+    ) -> WarmReplicas {
         if !replica.open {
             return 0.0;
         }
@@ -124,7 +128,7 @@
     pub(super) fn exceeds_slow_start(
         &self,
         now: Seconds,
-        replica: &Replica<Known>,
+        replica: &Replica<ReplicaState>,
         planned: usize,
     ) -> bool {
         let warming = &replica.state.warming;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -53,7 +53,7 @@
     mod search_steps;
     pub(crate) mod slow_start;
 
-    use crate::balancer::Known;
+    use crate::balancer::ReplicaState;
     pub use crate::{balancer, deadline_queue, unloaded_latency};
     pub use balancer::Balancer;
     pub use candidates::Candidates;
