--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -16,6 +16,13 @@
 const RUN_WINDOW: Seconds = 6.0;
 /// How long an outcome counts otherwise.
 const OUTCOME_WINDOW: Seconds = 2.0;
+/// A slow answer counts as lost from the shortest latency target divided by this on.
+const SLOW_DIVISOR: f64 = 2.0;
+/// A part counts as overdue, and a slow answer as lost, from the shortest latency target divided by this on where its
+/// replica has answered nothing since it was sent.
+const OVERDUE_DIVISOR: f64 = 4.0;
+/// Tolerance for rounding in the time at which a hedge is due.
+const DUE_TOLERANCE: Seconds = 1e-6;
 /// Ejection of a replica.
 const REPLICA_EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
@@ -86,7 +93,11 @@
         outcome: &Outcome,
         has_answered_since: bool,
     ) {
-        let divisor = if has_answered_since { 2.0 } else { 4.0 };
+        let divisor = if has_answered_since {
+            SLOW_DIVISOR
+        } else {
+            OVERDUE_DIVISOR
+        };
         let is_slow = outcome.latency > self.shortest_target / divisor;
         let is_lost = is_slow
             || !matches!(
@@ -164,7 +175,7 @@
 
     /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
     pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<ReplicaState>) -> bool {
-        replica.unanswered(now + 1e-6, self.limits.hedge_after) > 0
+        replica.unanswered(now + DUE_TOLERANCE, self.limits.hedge_after) > 0
     }
 
     /// What is reported to the tier of each zone: the latest parts, or the run of losses up to now where there is
@@ -174,7 +185,7 @@
         for (_, replica) in self.fleet.iter() {
             let Some(zone) = replica.zone else { continue };
             let load = loads.entry(zone).or_default();
-            load.overdue += replica.unanswered(now, self.shortest_target / 4.0);
+            load.overdue += replica.unanswered(now, self.shortest_target / OVERDUE_DIVISOR);
             load.capacity += self.capacity_of(now, replica);
         }
         let health = |(zone, load): (ZoneId, ZoneLoad)| {
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -57,8 +57,8 @@
         self.shortest_target * 4.0 / 3.0
     }
 
-    /// Recent answers per second.
-    pub fn rate(&self, now: Seconds) -> f64 {
+    /// The present rate of answers.
+    pub fn answers_per_second(&self, now: Seconds) -> f64 {
         since(&self.recent, now - RATE_WINDOW).len() as f64 / RATE_WINDOW
     }
 
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -16,6 +16,13 @@
 /// Interval between two samples of the fleet's capacity.
 const CAPACITY_INTERVAL: Seconds = 0.25;
 
+/// Answers of a replica after which it may have one more attempt in flight.
+const ANSWERS_PER_ATTEMPT: usize = 4;
+/// Before any sample, the work of a part is taken for the shortest latency target divided by this.
+const INITIAL_WORK_DIVISOR: f64 = 5.0;
+/// A co-ordinator without quota has at least its even share of a warming replica divided by this.
+const MIN_EVEN_SHARE_DIVISOR: f64 = 2.0;
+
 /// What this co-ordinator knows of a replica's start.
 #[derive(Default)]
 pub(crate) struct Warming {
@@ -142,7 +149,7 @@
             return false;
         };
         let warmth = (now - started_at) / config.duration;
-        if warmth >= 1.0 || replica.in_flight.len() > replica.answers / 4 {
+        if warmth >= 1.0 || replica.in_flight.len() > replica.answers / ANSWERS_PER_ATTEMPT {
             return warmth < 1.0;
         }
         let initial = config.initial_capacity;
@@ -163,14 +170,16 @@
     /// the tier has allocated.
     fn warming_rate(&self, now: Seconds, warming: &Warming) -> f64 {
         // The mean, not the median: the work of parts is skewed, and the overload threshold sums it.
-        let work = mean(&self.unloaded.fleet()).unwrap_or(self.shortest_target / 5.0);
+        let work =
+            mean(&self.unloaded.fleet()).unwrap_or(self.shortest_target / INITIAL_WORK_DIVISOR);
         let even = 1.0 / work / self.settings.coordinators.max(1) as f64;
         let warm_replicas = self
             .capacity
             .iter()
             .map(|sample| sample.value)
             .fold(1.0, f64::max);
-        let own = (self.limits.rate(now) / warm_replicas).max(even / 2.0);
+        let own = (self.limits.answers_per_second(now) / warm_replicas)
+            .max(even / MIN_EVEN_SHARE_DIVISOR);
         warming.quota_share.map_or(own, |even_shares| {
             own * even_shares.min(1.0) + even * (even_shares - 1.0).max(0.0)
         })
--- a/crates/routing/src/samples.rs
+++ b/crates/routing/src/samples.rs
@@ -1,6 +1,6 @@
 //! Windows of samples and their quantiles: arithmetic alone, nothing is decided here.
 
-use crate::api::Seconds;
+use crate::api::{Seconds, Share};
 use std::collections::VecDeque;
 
 /// A value and the time at which it was seen.
@@ -29,50 +29,50 @@
         .collect()
 }
 
-/// Smallest sample with at least `p` of them at or under it.
-pub fn quantile(mut samples: Vec<f64>, p: f64) -> Option<f64> {
+/// The smallest sample with at least this share of them at or under it.
+pub fn quantile(mut samples: Vec<f64>, share: Share) -> Option<f64> {
     samples.sort_by(f64::total_cmp);
-    let at = (p * samples.len() as f64).ceil() as usize;
+    let at = (share * samples.len() as f64).ceil() as usize;
     samples.get(at.max(1) - 1).or(samples.last()).copied()
 }
 
 /// The share of sorted samples that are at or under this time; 0 without samples.
-fn share_at_or_under(sorted: &[f64], time: f64) -> f64 {
+fn share_at_or_under(sorted: &[Seconds], time: Seconds) -> Share {
     sorted.partition_point(|sample| *sample <= time) as f64 / sorted.len().max(1) as f64
 }
 
-/// The smallest time at which a product of shares reaches `p`: of each of `distributions` the share of its
+/// The smallest time at which a product of shares reaches `probability`: of each of `distributions` the share of its
 /// samples at or under that time, and that of `rest` to the power of `count`. `None` without samples.
 pub fn product_quantile(
-    mut distributions: Vec<Vec<f64>>,
-    mut rest: Vec<f64>,
+    mut distributions: Vec<Vec<Seconds>>,
+    mut rest: Vec<Seconds>,
     count: usize,
-    p: f64,
-) -> Option<f64> {
+    probability: Share,
+) -> Option<Seconds> {
     distributions
         .iter_mut()
         .chain([&mut rest])
         .for_each(|samples| samples.sort_by(f64::total_cmp));
-    let mut times: Vec<f64> = distributions
+    let mut times: Vec<Seconds> = distributions
         .iter()
         .chain([&rest])
         .flatten()
         .copied()
         .collect();
     times.sort_by(f64::total_cmp);
-    let product = |time: f64| {
+    let product = |time: Seconds| {
         let shares = distributions.iter();
         let shares = shares.map(|samples| share_at_or_under(samples, time));
         shares.product::<f64>() * share_at_or_under(&rest, time).powi(count as i32)
     };
     times
-        .get(times.partition_point(|time| product(*time) < p))
+        .get(times.partition_point(|time| product(*time) < probability))
         .copied()
 }
 
 /// How many groups of at most `size` these times make, where only equal ones go together.
-pub fn groups(times: impl Iterator<Item = f64>, size: usize) -> usize {
-    let mut times: Vec<f64> = times.collect();
+pub fn groups(times: impl Iterator<Item = Seconds>, size: usize) -> usize {
+    let mut times: Vec<Seconds> = times.collect();
     times.sort_by(f64::total_cmp);
     times
         .chunk_by(|a, b| a == b)
--- a/crates/routing/src/unloaded_latency.rs
+++ b/crates/routing/src/unloaded_latency.rs
@@ -1,7 +1,7 @@
 //! Unloaded latencies: those of calls that found nothing else of ours in flight at their replica. Windows and
 //! quantiles alone; `decide::part_budget` says how many samples count, and for how long.
 
-use crate::api::Seconds;
+use crate::api::{Seconds, Share};
 use crate::decide::part_budget::{FLEET_SAMPLES, LEAST_SAMPLES, OWN_SAMPLES, SAMPLE_AGE};
 use crate::samples::{Sample, product_quantile, push, quantile, since};
 use std::collections::{BTreeMap, VecDeque};
@@ -65,18 +65,23 @@
             .unwrap_or_else(|| self.fleet())
     }
 
-    /// The `p` quantile of `samples`, or the initial value.
-    pub fn quantile(&self, now: Seconds, replica: Option<&R>, p: f64) -> Seconds {
-        quantile(self.samples(now, replica), p).unwrap_or(self.initial)
+    /// The quantile of `samples` at this share, or the initial value.
+    pub fn quantile(&self, now: Seconds, replica: Option<&R>, share: Share) -> Seconds {
+        quantile(self.samples(now, replica), share).unwrap_or(self.initial)
     }
 
-    /// The smallest time by which all these replicas have answered with probability `p` or more.
-    pub fn product_quantile(&self, now: Seconds, replicas: &[Option<&R>], p: f64) -> Seconds {
+    /// The smallest time by which all these replicas have answered with this probability or more.
+    pub fn product_quantile(
+        &self,
+        now: Seconds,
+        replicas: &[Option<&R>],
+        probability: Share,
+    ) -> Seconds {
         let own: Vec<_> = replicas
             .iter()
             .filter_map(|replica| self.own(now, (*replica)?))
             .collect();
         let average = replicas.len() - own.len();
-        product_quantile(own, self.fleet(), average, p).unwrap_or(self.initial)
+        product_quantile(own, self.fleet(), average, probability).unwrap_or(self.initial)
     }
 }
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -257,7 +257,13 @@
     limits.update(&unloaded, &budget);
     assert_eq!(limits.late_after, 1.0, "2.5 medians");
     assert_eq!(limits.hedge_after, 1.25, "2.5 unloaded medians");
-    assert_eq!((limits.rate(1.5), limits.rate(3.0)), (10.0, 0.0));
+    assert_eq!(
+        (
+            limits.answers_per_second(1.5),
+            limits.answers_per_second(3.0)
+        ),
+        (10.0, 0.0)
+    );
 }
 
 /// Overload begins where the lower quartile is over 1.5 times the unloaded one, and is reported once.
