--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,5 +1,4 @@
-//! Helpers of all tests: for those of the module small settings, a list, searches; for those that start a
-//! binary stand-ins on loopback.
+//! Replicas, discovery and clients on loopback, for the tests that start a binary.
 
 #![allow(dead_code)]
 
@@ -10,117 +9,6 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
-use woadreach_routing::api::*;
-use woadreach_routing::decide::balancer::Balancer;
-
-pub(crate) fn query_type() -> QueryType {
-    QueryType {
-        latency_target: 1.0,
-        client_timeout: 3.0,
-        value: 1.0,
-        late_value: 0.0,
-        repeat: Repeat::Idempotent,
-        complete_weight: 1.0,
-        minimum_weight: 1.0,
-        second_step: 0,
-    }
-}
-
-pub(crate) fn settings() -> Settings {
-    Settings {
-        seed: 7,
-        coordinator_index: None,
-        coordinators: 2,
-        tick: 0.005,
-        query_types: vec![query_type()],
-        tenants: vec![1.0],
-        over_share_value: 0.1,
-        cells: 1,
-        span: 1,
-        parts_per_call: 1,
-        max_attempts: 4,
-        max_send_delay: 0.0,
-        cancellation_allowed: true,
-        hedging_allowed: true,
-        max_retry_after: Some(0.5),
-        slow_start: None,
-        retry_budget: None,
-    }
-}
-
-pub(crate) fn id(name: &str) -> ReplicaId {
-    ReplicaId(name.into())
-}
-
-pub(crate) fn line(name: &str, open: bool, ready_at: Option<f64>) -> Listed {
-    Listed {
-        replica: id(name),
-        open,
-        zone: ZoneId(0),
-        cell: CellId(0),
-        ready_at,
-    }
-}
-
-/// A co-ordinator that has been told of these replicas, all warm.
-pub(crate) fn balancer(set: Settings, names: &[&str]) -> Balancer {
-    let mut b = Balancer::new(set);
-    b.list(
-        true,
-        &names
-            .iter()
-            .map(|n| line(n, true, None))
-            .collect::<Vec<_>>(),
-    );
-    b
-}
-
-/// A search of `parts` equal parts, numbered from 100 times its own number.
-pub(crate) fn search(n: u64, parts: usize, now: f64, left: f64) -> Search {
-    let mut q = Search::new(SearchId(n), QueryTypeId(0), TenantId(0), now, now + left);
-    add_parts(&mut q, n * 100, parts);
-    q
-}
-
-pub(crate) fn add_parts(q: &mut Search, from: u64, parts: usize) {
-    for i in 0..parts {
-        q.parts.push(Part {
-            id: PartId(from + i as u64),
-            shard: ShardId(i as u64),
-            weight: 1.0 / parts as f64,
-            step: q.step,
-            answered: false,
-            queued_at: None,
-            attempts: Vec::new(),
-        });
-    }
-}
-
-pub(crate) fn ended(p: &Placement, attempt_index: usize, ending: Ending, latency: f64) -> Outcome {
-    Outcome {
-        part: p.part,
-        attempt_index,
-        replica: p.replica.clone(),
-        ending,
-        latency,
-    }
-}
-
-/// Plays one-part searches until the replica chosen is `name`, answering the others at once; returns the
-/// search and its placement, still out.
-pub(crate) fn stuck_at(b: &mut Balancer, name: &str, now: f64) -> (Search, Placement) {
-    for n in 1000..1500 {
-        let mut q = search(n, 1, now, 3.0);
-        let p = b.place(now, &mut q).send[0].clone();
-        if p.replica == id(name) {
-            return (q, p);
-        }
-        b.after(now, Some(&mut q), &ended(&p, 0, Ending::Answered, 0.1));
-    }
-    panic!("{name} is not chosen")
-}
-
-// ---- stand-ins on loopback, for the tests that start a binary ----
 
 /// A generous bound on anything that is waited for; no verdict depends on speed.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
@@ -204,7 +92,7 @@
         self.0.write_all(bytes.as_ref()).unwrap();
     }
 
-    /// The next frame's letter and rest; None at the end of the connection.
+    /// The next frame: its type, which is one letter, and its body. `None` at the end of the connection.
     pub(crate) fn frame(&mut self) -> Option<(char, Vec<u8>)> {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).ok()?;
