--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -87,10 +87,10 @@
 
     fn core_machines(&self) -> Vec<SocketAddr> {
         let snapshot = self.control.borrow();
-        if snapshot.core_members.is_empty() {
+        if snapshot.core_machines.is_empty() {
             self.seeds.clone()
         } else {
-            snapshot.core_members.clone()
+            snapshot.core_machines.clone()
         }
     }
 
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -181,7 +181,7 @@
             self.snapshot.replicas = Arc::clone(self.watcher.table().present());
         }
         if change.core_or_configuration {
-            self.snapshot.core_members = self.watcher.members().to_vec();
+            self.snapshot.core_machines = self.watcher.core_machines().to_vec();
         }
         if change.storage_view {
             self.publish_storage_view();
@@ -210,7 +210,7 @@
             sampler.set_disconnected(is_disconnected);
             if is_disconnected {
                 self.watcher
-                    .set_hints(sampler.core_machines().borrow().clone());
+                    .set_sampled_machines(sampler.core_machines().borrow().clone());
             }
         }
         if is_disconnected && self.settings_read_at.elapsed() >= SETTINGS_RELOAD_INTERVAL {
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -118,7 +118,7 @@
     pub registry: RegistryResponse,
 }
 
-/// Members of the core, on the wire.
+/// The core machines that the sender of an answer knows, on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct CoreView {
     /// Epoch of the view.
--- a/crates/tier/discovery/src/snapshot.rs
+++ b/crates/tier/discovery/src/snapshot.rs
@@ -20,8 +20,8 @@
     pub replicas: Arc<BTreeMap<String, ReplicaRecord>>,
     /// The newest view of the storage machines known.
     pub storage_view: Option<Arc<StorageView>>,
-    /// Internal addresses of the core's members.
-    pub core_members: Vec<SocketAddr>,
+    /// Internal addresses of the core machines that the newest core view names; empty before the first.
+    pub core_machines: Vec<SocketAddr>,
     /// Whether configuration and replicas have been received from a core machine that was in quorum and not
     /// warming up. Stays set.
     pub warmed: bool,
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -5,7 +5,8 @@
 //! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
 //! holds for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that
 //! the processes spread over the core machines. A process that has heard no machine in quorum for
-//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: members, seeds and hints.
+//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: those of the core view, the seeds, and those
+//! that peer sampling has found.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -60,7 +61,7 @@
     pub replicas: bool,
     /// The storage view.
     pub storage_view: bool,
-    /// Members of the core, the configuration, or whether the process has warmed up. Not a machine's
+    /// The core machines, the configuration, or whether the process has warmed up. Not a machine's
     /// [`Standing`](crate::messages::Standing).
     pub core_or_configuration: bool,
 }
@@ -82,9 +83,12 @@
 pub struct Watcher {
     name: String,
     seeds: Vec<SocketAddr>,
-    hints: Vec<SocketAddr>,
+    /// Addresses of core machines that peer sampling has found.
+    sampled_machines: Vec<SocketAddr>,
+    /// Epoch of the newest core view received; 0 before the first.
     view_epoch: u64,
-    members: Vec<SocketAddr>,
+    /// Core machines of that view, empty before the first.
+    core_machines: Vec<SocketAddr>,
     machines: BTreeMap<SocketAddr, PolledMachine>,
     /// Unhealthy machines that are not polled, and until when.
     unhealthy_until: BTreeMap<SocketAddr, Duration>,
@@ -110,9 +114,9 @@
         Self {
             name,
             seeds,
-            hints: Vec::new(),
+            sampled_machines: Vec::new(),
             view_epoch: 0,
-            members: Vec::new(),
+            core_machines: Vec::new(),
             machines: BTreeMap::new(),
             unhealthy_until: BTreeMap::new(),
             newest_reported_generation: 0,
@@ -136,9 +140,9 @@
         &self.table
     }
 
-    /// Members of the core, empty while unknown.
-    pub fn members(&self) -> &[SocketAddr] {
-        &self.members
+    /// Internal addresses of the core machines that the newest [`CoreView`] names, empty before the first.
+    pub fn core_machines(&self) -> &[SocketAddr] {
+        &self.core_machines
     }
 
     /// The newest storage view, versioned by its epoch.
@@ -172,9 +176,10 @@
         self.seeds = seeds;
     }
 
-    /// Replaces the addresses of core machines that peer sampling has found.
-    pub fn set_hints(&mut self, hints: Vec<SocketAddr>) {
-        self.hints = hints;
+    /// Replaces the addresses of core machines that peer sampling has found. They are polled only while this
+    /// process [is disconnected](Self::is_disconnected).
+    pub fn set_sampled_machines(&mut self, sampled_machines: Vec<SocketAddr>) {
+        self.sampled_machines = sampled_machines;
     }
 
     /// Starts all calls that are due at `now`. Returns them for the driver to execute.
@@ -355,13 +360,13 @@
             return false;
         }
         self.view_epoch = view.epoch;
-        let members: Vec<SocketAddr> = view
+        let core_machines: Vec<SocketAddr> = view
             .core_machines
             .into_iter()
             .map(SocketAddr::from)
             .collect();
-        let changed = members != self.members;
-        self.members = members;
+        let changed = core_machines != self.core_machines;
+        self.core_machines = core_machines;
         changed
     }
 
@@ -379,12 +384,12 @@
     /// The machines to poll at `now`.
     fn wanted_machines(&self, now: Duration) -> Vec<SocketAddr> {
         let is_disconnected = self.is_disconnected(now);
-        let mut known: BTreeSet<SocketAddr> = self.members.iter().copied().collect();
+        let mut known: BTreeSet<SocketAddr> = self.core_machines.iter().copied().collect();
         if known.is_empty() || is_disconnected {
             known.extend(&self.seeds);
         }
         if is_disconnected {
-            known.extend(&self.hints);
+            known.extend(&self.sampled_machines);
         }
         let mut ranked: Vec<SocketAddr> = known.into_iter().collect();
         ranked.sort_by_cached_key(|address| rank(&self.name, *address));
--- a/crates/tier/discovery/tests/distribution.rs
+++ b/crates/tier/discovery/tests/distribution.rs
@@ -409,21 +409,23 @@
         world
             .edges
             .iter()
-            .all(|edge| edge.watcher.members() == members(3..6))
+            .all(|edge| edge.watcher.core_machines() == members(3..6))
     );
 }
 
 #[test]
-fn an_observer_with_stale_seeds_finds_the_core_by_hints() {
+fn an_observer_with_stale_seeds_finds_the_core_through_peer_sampling() {
     let mut world = calm(9, 4, 2, 12);
     world.set_power(3, PowerState::Unreachable);
     world.restart_edge(0, vec![core_address(3)]);
     world.run_for(seconds(4));
     assert!(!world.edges[0].watcher.is_warmed());
-    world.edges[0].watcher.set_hints(vec![core_address(1)]);
+    world.edges[0]
+        .watcher
+        .set_sampled_machines(vec![core_address(1)]);
     world.run_for(seconds(3));
     assert!(world.edges[0].watcher.is_warmed());
-    assert_eq!(world.edges[0].watcher.members().len(), 4);
+    assert_eq!(world.edges[0].watcher.core_machines().len(), 4);
 }
 
 #[test]
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -70,7 +70,8 @@
 }
 
 #[test]
-fn an_observer_that_starts_with_partitioned_seeds_is_not_ready_and_finds_the_majority_by_hints() {
+fn an_observer_that_starts_with_partitioned_seeds_is_not_ready_and_finds_the_majority_through_peer_sampling()
+ {
     for seed in 0..10 {
         let mut world = World::new(seed, 4, 2, 12);
         world.run(seconds(8));
@@ -96,7 +97,9 @@
             world.edges[0].watcher.is_disconnected(world.now),
             "seed {seed}: it looks for other machines"
         );
-        world.edges[0].watcher.set_hints(vec![core_address(1)]);
+        world.edges[0]
+            .watcher
+            .set_sampled_machines(vec![core_address(1)]);
         world.run_for(seconds(3));
         assert!(world.edges[0].watcher.is_warmed(), "seed {seed}");
         assert_eq!(world.edges[0].configuration, 9, "seed {seed}");
