--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -24,10 +24,17 @@
 /// How often a process that knows no address of a core machine checks for new ones.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Result of a call to a core machine.
-enum Completed {
-    Poll(SocketAddr, Option<PollResponse>),
-    Configuration(Option<Configuration>),
+/// A call to a core machine that has ended.
+enum CompletedCall {
+    Poll {
+        machine: SocketAddr,
+        /// `None` if the poll has failed.
+        response: Option<PollResponse>,
+    },
+    FetchConfiguration {
+        /// `None` if it could not be fetched or parsed.
+        configuration: Option<Configuration>,
+    },
 }
 
 /// Client side of discovery.
@@ -35,7 +42,7 @@
     rpc: Client,
     started: Instant,
     watcher: Watcher,
-    calls: JoinSet<Completed>,
+    calls: JoinSet<CompletedCall>,
     snapshot: ControlSnapshot,
     publisher: watch::Sender<Arc<ControlSnapshot>>,
     settings_read_at: Instant,
@@ -118,40 +125,43 @@
                     let body = encode(&Request::Poll(request));
                     self.calls.spawn(async move {
                         let answer = rpc.call(machine, ServiceId::DISCOVERY, body, timeout).await;
-                        Completed::Poll(
-                            machine,
-                            answer
-                                .ok()
-                                .and_then(|answer| decode_answer(machine, &answer)),
-                        )
+                        let response = answer
+                            .ok()
+                            .and_then(|answer| decode_answer(machine, &answer));
+                        CompletedCall::Poll { machine, response }
                     });
                 }
                 WatchAction::FetchConfiguration { machine, timeout } => {
                     let body = encode(&Request::Configuration);
                     self.calls.spawn(async move {
                         let answer = rpc.call(machine, ServiceId::DISCOVERY, body, timeout).await;
-                        Completed::Configuration(
-                            answer
-                                .ok()
-                                .and_then(|answer| parse_configuration(machine, &answer)),
-                        )
+                        let configuration = answer
+                            .ok()
+                            .and_then(|answer| parse_configuration(machine, &answer));
+                        CompletedCall::FetchConfiguration { configuration }
                     });
                 }
             }
         }
     }
 
-    fn handle_completion(&mut self, completed: Completed) {
+    fn handle_completion(&mut self, completed: CompletedCall) {
         let now = self.now();
         let change = match completed {
-            Completed::Poll(machine, Some(response)) => {
-                self.watcher.poll_answered(now, machine, response)
-            }
-            Completed::Poll(machine, None) => {
+            CompletedCall::Poll {
+                machine,
+                response: Some(response),
+            } => self.watcher.poll_answered(now, machine, response),
+            CompletedCall::Poll {
+                machine,
+                response: None,
+            } => {
                 tracing::debug!(%machine, "poll of a core machine failed");
                 self.watcher.poll_failed(now, machine)
             }
-            Completed::Configuration(configuration) => self.apply_configuration(now, configuration),
+            CompletedCall::FetchConfiguration { configuration } => {
+                self.apply_configuration(now, configuration)
+            }
         };
         self.publish(change);
     }
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -13,6 +13,7 @@
 use crate::poll_response::{MAX_STATUSES, respond};
 use crate::registry::{HeartbeatError, HeartbeatOutcome, Registry, RegistryVersion};
 use crate::replica::Heartbeat;
+use crate::status::IdentifiedStatus;
 
 /// Most unchanged heartbeats per second that a machine out of quorum leaves unacknowledged, so that the
 /// replicas call other machines. Without the limit each replica would call every core machine at each
@@ -186,7 +187,8 @@
     /// Expires unresponsive replicas and old tombstones. The driver calls it a few times a second.
     pub fn tick(&mut self, now: Duration, view: &ViewSummary) {
         let peers = self.peers(now, view);
-        let idle_times = self.registry.replicas(now).map(|(_, idle_time)| idle_time);
+        let replicas = self.registry.replicas(now);
+        let idle_times = replicas.map(|replica| replica.idle_time);
         let tick = self.failure_detector.tick(
             now,
             view.in_quorum,
@@ -243,7 +245,7 @@
         self.inbox.record_registry(peer, response.version);
         self.has_heard_replicas |= !response.statuses.is_empty() && !response.warming;
         for entry in response.statuses {
-            let (id, status) = entry.into_status();
+            let IdentifiedStatus { id, status } = entry.into_status();
             self.registry.merge(now, &id, status);
         }
     }
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -11,7 +11,7 @@
 use crate::messages::{Batch, StatusEntry};
 use crate::registry::{RefreshResult, Registry, RegistryVersion};
 use crate::replica::ReplicaState;
-use crate::status::ReplicaStatus;
+use crate::status::{IdentifiedStatus, ReplicaStatus};
 
 /// Least time between batches that contain only heartbeats without changes.
 pub const BATCH_INTERVAL: Duration = Duration::from_millis(250);
@@ -167,7 +167,7 @@
             result.incomplete = peer.incomplete;
         }
         for entry in batch.statuses {
-            let (id, status) = entry.into_status();
+            let IdentifiedStatus { id, status } = entry.into_status();
             let urgency = if is_departing(&status) {
                 Urgency::Now
             } else {
--- a/crates/tier/discovery/src/lib.rs
+++ b/crates/tier/discovery/src/lib.rs
@@ -46,4 +46,4 @@
 pub use sampler::Sampler;
 pub use sampling::NodeRole;
 pub use snapshot::ControlSnapshot;
-pub use status::{Departure, ReplicaStatus};
+pub use status::{Departure, IdentifiedStatus, ReplicaStatus};
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -12,7 +12,7 @@
 use crate::committed::CommittedValue;
 use crate::registry::{Refresh, RegistryChanges, RegistryVersion};
 use crate::replica::{Heartbeat, ModelRecord, ReplicaRecord, ReplicaState};
-use crate::status::{Departure, ReplicaStatus};
+use crate::status::{Departure, IdentifiedStatus, ReplicaStatus};
 
 /// First byte of every message.
 pub const MESSAGE_VERSION: u8 = 1;
@@ -270,8 +270,8 @@
         Self { id, status }
     }
 
-    /// The replica's id and status.
-    pub fn into_status(self) -> (String, ReplicaStatus) {
+    /// The status with the replica's id.
+    pub fn into_status(self) -> IdentifiedStatus {
         let id = self.id;
         let status = match self.status {
             WireStatus::Departed {
@@ -286,7 +286,7 @@
                 heartbeat: record.into_heartbeat(),
             }),
         };
-        (id, status)
+        IdentifiedStatus { id, status }
     }
 }
 
@@ -303,15 +303,14 @@
     /// The wire form of a registry's changes. `warming` says that the machine may not know all replicas
     /// itself.
     pub fn new(changes: RegistryChanges, warming: bool) -> Self {
-        let statuses = changes.statuses;
+        let statuses = changes.statuses.into_iter();
         Self {
             version: changes.version,
             warming,
             restart: changes.restart,
             more: changes.more,
             statuses: statuses
-                .into_iter()
-                .map(|(id, status)| StatusEntry::new(id, &status))
+                .map(|changed| StatusEntry::new(changed.id, &changed.status))
                 .collect(),
         }
     }
--- a/crates/tier/discovery/src/registry.rs
+++ b/crates/tier/discovery/src/registry.rs
@@ -12,7 +12,7 @@
 use crate::heartbeat_check::{DepartedSnafu, StaleSnafu, check_heartbeat, check_id};
 pub use crate::heartbeat_check::{HeartbeatError, MAX_ID_BYTES, MAX_MODELS, MAX_NAME_BYTES};
 use crate::replica::{Heartbeat, ReplicaRecord, ReplicaState};
-use crate::status::{Departure, ReplicaStatus};
+use crate::status::{Departure, IdentifiedStatus, ReplicaStatus};
 
 /// How long a tombstone is retained.
 pub const TOMBSTONE_TTL: Duration = Duration::from_secs(300);
@@ -70,13 +70,25 @@
     pub restart: bool,
     /// Whether further changes have to be requested.
     pub more: bool,
-    /// Newest status of each replica that has changed, by id.
-    pub statuses: Vec<(String, ReplicaStatus)>,
+    /// Newest status of each replica that has changed, in the order of the changes.
+    pub statuses: Vec<IdentifiedStatus>,
 }
 
+/// A registered replica and how long it has been silent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RegisteredReplica<'a> {
+    /// What is known of it.
+    pub record: &'a ReplicaRecord,
+    /// Time since its last heartbeat.
+    pub idle_time: Duration,
+}
+
+/// What the registry knows of one incarnation of a replica.
 struct Entry {
     status: ReplicaStatus,
+    /// [`ReplicaRecord::content_digest`] of a registered replica, 0 for a tombstone.
     digest: u32,
+    /// Revision of the last change; its key in [`Registry::by_revision`].
     revision: u64,
     /// When its sequence number last rose, or when it became a tombstone.
     heard_at: Duration,
@@ -158,13 +170,14 @@
         self.entries.get(id).map(|entry| &entry.status)
     }
 
-    /// The registered replicas in the order of their ids, each with the time since its last heartbeat.
-    pub fn replicas(&self, now: Duration) -> impl Iterator<Item = (&ReplicaRecord, Duration)> {
+    /// The registered replicas in the order of their ids.
+    pub fn replicas(&self, now: Duration) -> impl Iterator<Item = RegisteredReplica<'_>> {
         self.entries.values().filter_map(move |entry| {
-            entry
-                .status
-                .record()
-                .map(|record| (record, now.saturating_sub(entry.heard_at)))
+            let record = entry.status.record()?;
+            Some(RegisteredReplica {
+                record,
+                idle_time: now.saturating_sub(entry.heard_at),
+            })
         })
     }
 
@@ -290,20 +303,16 @@
 
     /// Expires the replicas of which no heartbeat has arrived for longer than `timeout`. Returns their ids.
     pub fn expire(&mut self, now: Duration, timeout: Duration) -> Vec<String> {
-        let expired: Vec<(String, u64)> = self
+        let expired: Vec<String> = self
             .replicas(now)
-            .filter(|(_, idle_time)| *idle_time > timeout)
-            .map(|(record, _)| (record.id.clone(), record.heartbeat.sequence))
+            .filter(|replica| replica.idle_time > timeout)
+            .map(|replica| replica.record.id.clone())
             .collect();
-        for (id, sequence) in &expired {
-            let status = ReplicaStatus::Departed {
-                sequence: *sequence,
-                departure: Departure::Unresponsive,
-            };
-            self.replace_status(now, id, status);
+        for id in &expired {
+            self.replace_by_tombstone(now, id, Departure::Unresponsive);
         }
         self.counters.expired += expired.len() as u64;
-        expired.into_iter().map(|(id, _)| id).collect()
+        expired
     }
 
     /// Starts all time-outs anew: this machine could not receive heartbeats before `now`.
@@ -328,11 +337,12 @@
                 break;
             }
             surplus = surplus.saturating_sub(1);
-            dropped.push((*revision, id.clone()));
+            dropped.push(*revision);
         }
-        for (revision, id) in dropped {
-            self.by_revision.remove(&revision);
-            self.entries.remove(&id);
+        for revision in dropped {
+            if let Some(id) = self.by_revision.remove(&revision) {
+                self.entries.remove(&id);
+            }
             self.dropped_tombstone_revision = self.dropped_tombstone_revision.max(revision);
         }
     }
@@ -355,7 +365,10 @@
                 break;
             }
             reached = *revision;
-            statuses.push((id.clone(), self.entries[id].status.clone()));
+            statuses.push(IdentifiedStatus {
+                id: id.clone(),
+                status: self.entries[id].status.clone(),
+            });
         }
         if !more {
             reached = self.revision;
@@ -383,27 +396,32 @@
         if ids.len() < 2 {
             return;
         }
-        let superseded: Vec<(String, u64)> = ids
+        let superseded: Vec<String> = ids
             .iter()
             .filter(|other| other.as_str() != id)
             .filter_map(|other| self.entries.get(other))
             .filter(|entry| now.saturating_sub(entry.heard_at) >= self.supersede_after)
             .filter_map(|entry| entry.status.record())
-            .map(|record| (record.id.clone(), record.heartbeat.sequence))
+            .map(|record| record.id.clone())
             .collect();
-        for (other, sequence) in superseded {
+        for other in superseded {
             self.counters.superseded += 1;
-            self.replace_status(
-                now,
-                &other,
-                ReplicaStatus::Departed {
-                    sequence,
-                    departure: Departure::Superseded,
-                },
-            );
+            self.replace_by_tombstone(now, &other, Departure::Superseded);
         }
     }
 
+    /// Replaces the record of a registered replica by a tombstone, which a later heartbeat refutes.
+    fn replace_by_tombstone(&mut self, now: Duration, id: &str, departure: Departure) {
+        let Some(sequence) = self.status(id).map(ReplicaStatus::sequence) else {
+            return;
+        };
+        let tombstone = ReplicaStatus::Departed {
+            sequence,
+            departure,
+        };
+        self.replace_status(now, id, tombstone);
+    }
+
     /// Replaces the status of `id`. Every change of a status goes through this function.
     fn replace_status(&mut self, now: Duration, id: &str, status: ReplicaStatus) {
         let digest = status.record().map_or(0, ReplicaRecord::content_digest);
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -13,7 +13,7 @@
 use crate::messages::{RegistryResponse, StatusEntry};
 use crate::registry::{RegistryVersion, TOMBSTONE_TTL};
 use crate::replica::ReplicaRecord;
-use crate::status::ReplicaStatus;
+use crate::status::{IdentifiedStatus, ReplicaStatus};
 
 /// Time after which a replica that no trusted machine lists is dropped.
 pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(8);
@@ -89,14 +89,14 @@
             .into_iter()
             .map(StatusEntry::into_status)
             .collect();
-        for (id, status) in &statuses {
+        for IdentifiedStatus { id, status } in &statuses {
             match status.record() {
                 Some(_) => listing.present.insert(id.clone()),
                 None => listing.present.remove(id),
             };
         }
         let mut changed = false;
-        for (id, status) in statuses {
+        for IdentifiedStatus { id, status } in statuses {
             changed |= self.merge(now, id, status);
         }
         changed
--- a/crates/tier/discovery/src/sampler.rs
+++ b/crates/tier/discovery/src/sampler.rs
@@ -12,7 +12,7 @@
 use woadreach_settings::NodeSettings;
 
 use crate::messages::{MessageError, decode, decode_answer, encode};
-use crate::sampling::{NodeEntry, NodeRole, PartialView, Shuffle};
+use crate::sampling::{NodeEntry, NodeRole, PartialView, Shuffle, StartedShuffle};
 use crate::selection::rank;
 
 /// Time-out of a shuffle.
@@ -89,8 +89,8 @@
             let next_shuffle = self.started + self.view.lock().next_shuffle();
             tokio::time::sleep_until(next_shuffle).await;
             let started = self.view.lock().start_shuffle(self.started.elapsed());
-            if let Some((partner, shuffle)) = started {
-                let answer = self.exchange(partner, &shuffle).await;
+            if let Some(started) = started {
+                let answer = self.exchange(&started).await;
                 self.view
                     .lock()
                     .complete_shuffle(self.started.elapsed(), answer);
@@ -99,16 +99,17 @@
         }
     }
 
-    async fn exchange(&self, partner: SocketAddr, shuffle: &Shuffle) -> Option<Shuffle> {
+    async fn exchange(&self, started: &StartedShuffle) -> Option<Shuffle> {
+        let StartedShuffle { partner, shuffle } = started;
         let call = self.rpc.call(
-            partner,
+            *partner,
             ServiceId::SAMPLING,
             encode(shuffle),
             SHUFFLE_TIMEOUT,
         );
         let answer = call.await;
-        self.rpc.close(partner);
-        decode_answer(partner, &answer.ok()?)
+        self.rpc.close(*partner);
+        decode_answer(*partner, &answer.ok()?)
     }
 
     fn answer(&self, body: &Bytes) -> Result<Vec<u8>, MessageError> {
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -93,6 +93,15 @@
     }
 }
 
+/// A shuffle that has been started and is to be sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StartedShuffle {
+    /// Internal address of the process to send it to.
+    pub partner: SocketAddr,
+    /// The entries to send.
+    pub shuffle: Shuffle,
+}
+
 /// A shuffle that the partner has not answered yet.
 struct PendingShuffle {
     partner: SocketAddr,
@@ -166,8 +175,8 @@
         self.next_shuffle
     }
 
-    /// Starts a shuffle if one is due. Returns the partner and the shuffle to send.
-    pub fn start_shuffle(&mut self, now: Duration) -> Option<(SocketAddr, Shuffle)> {
+    /// Starts a shuffle if one is due, and returns what to send to whom.
+    pub fn start_shuffle(&mut self, now: Duration) -> Option<StartedShuffle> {
         if now < self.next_shuffle {
             return None;
         }
@@ -191,7 +200,8 @@
         let chosen = self.choose(partner, MAX_SHUFFLE_ENTRIES - 1);
         let sent = chosen.iter().map(ViewEntry::address).collect();
         self.pending = Some(PendingShuffle { partner, sent });
-        Some((partner, self.shuffle_of(now, &chosen)))
+        let shuffle = self.shuffle_of(now, &chosen);
+        Some(StartedShuffle { partner, shuffle })
     }
 
     /// Merges the shuffle of another process. Returns the answer.
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -21,6 +21,15 @@
     Deregistered,
 }
 
+/// A replica's status with the identifier of its incarnation.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IdentifiedStatus {
+    /// Identifier of the incarnation.
+    pub id: String,
+    /// Its newest status.
+    pub status: ReplicaStatus,
+}
+
 /// Newest status of one incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -14,7 +14,8 @@
 use woadreach_discovery::registry::{Refresh, RegistryVersion};
 use woadreach_discovery::sampling::{AgedEntry, NodeEntry, Shuffle};
 use woadreach_discovery::{
-    Departure, Heartbeat, ModelRecord, NodeRole, ReplicaRecord, ReplicaState, ReplicaStatus,
+    Departure, Heartbeat, IdentifiedStatus, ModelRecord, NodeRole, ReplicaRecord, ReplicaState,
+    ReplicaStatus,
 };
 
 fn endpoint(number: u8) -> Endpoint {
@@ -269,28 +270,26 @@
 fn statuses_of_replicas_are_decoded_completely() {
     let bytes = RecordedBytes::open("responses").bytes("registry");
     let response: RegistryResponse = decode(&bytes).expect("a recorded message");
-    let found: Vec<(String, ReplicaStatus)> = response
+    let found: Vec<IdentifiedStatus> = response
         .statuses
         .into_iter()
         .map(StatusEntry::into_status)
         .collect();
+    let identified = |id: &str, status| IdentifiedStatus {
+        id: id.to_owned(),
+        status,
+    };
     assert_eq!(
         found[0],
-        (
-            "replica-1".to_owned(),
-            ReplicaStatus::Present(model_replica())
-        )
+        identified("replica-1", ReplicaStatus::Present(model_replica()))
     );
     assert_eq!(
         found[1],
-        (
-            "replica-2".to_owned(),
-            ReplicaStatus::Present(plain_replica())
-        )
+        identified("replica-2", ReplicaStatus::Present(plain_replica()))
     );
     assert_eq!(
         found[4],
-        ("replica-5".to_owned(), ReplicaStatus::deregistered())
+        identified("replica-5", ReplicaStatus::deregistered())
     );
 }
 
--- a/crates/tier/discovery/tests/registry.rs
+++ b/crates/tier/discovery/tests/registry.rs
@@ -11,7 +11,7 @@
     HeartbeatError, HeartbeatOutcome, MIN_TOMBSTONE_LIMIT, Refresh, RefreshResult, Registry,
     RegistryVersion, TOMBSTONE_TTL,
 };
-use woadreach_discovery::{Departure, Heartbeat, ReplicaStatus};
+use woadreach_discovery::{Departure, Heartbeat, IdentifiedStatus, ReplicaStatus};
 
 const REUSE_AFTER: Duration = Duration::from_secs(2);
 
@@ -26,7 +26,7 @@
 fn present(registry: &Registry) -> Vec<String> {
     registry
         .replicas(Duration::ZERO)
-        .map(|(record, _)| record.id.clone())
+        .map(|replica| replica.record.id.clone())
         .collect()
 }
 
@@ -201,7 +201,10 @@
     let changes = registry.changes_since(version, 10);
     assert_eq!(
         changes.statuses,
-        [("r".to_owned(), registry.status("r").cloned().unwrap())]
+        [IdentifiedStatus {
+            id: "r".to_owned(),
+            status: registry.status("r").cloned().unwrap(),
+        }]
     );
     assert_eq!(registry.present(), 1);
 }
@@ -313,7 +316,7 @@
         assert_eq!(changes.restart, part == 0);
         assert_eq!(changes.more, part < 3);
         version = changes.version;
-        listed.extend(changes.statuses.into_iter().map(|(id, _)| id));
+        listed.extend(changes.statuses.into_iter().map(|changed| changed.id));
     }
     assert_eq!(listed.len(), 7);
     assert!(registry.changes_since(version, 2).statuses.is_empty());
@@ -411,12 +414,12 @@
             // A watcher that sometimes requests one status at a time.
             let changes = registry.changes_since(version, 1);
             version = changes.version;
-            follower.extend(changes.statuses);
+            follower.extend(by_id(changes.statuses));
         }
         loop {
             let changes = registry.changes_since(version, 1);
             version = changes.version;
-            follower.extend(changes.statuses);
+            follower.extend(by_id(changes.statuses));
             if !changes.more {
                 break;
             }
@@ -434,6 +437,11 @@
     }
 }
 
+fn by_id(statuses: Vec<IdentifiedStatus>) -> impl Iterator<Item = (String, ReplicaStatus)> {
+    let statuses = statuses.into_iter();
+    statuses.map(|changed| (changed.id, changed.status))
+}
+
 fn registry_of_watcher() -> BTreeMap<String, ReplicaStatus> {
     BTreeMap::new()
 }
--- a/crates/tier/discovery/tests/sampling.rs
+++ b/crates/tier/discovery/tests/sampling.rs
@@ -85,10 +85,10 @@
         if !self.running[process] {
             return;
         }
-        let Some((partner, shuffle)) = self.views[process].start_shuffle(self.now) else {
+        let Some(started) = self.views[process].start_shuffle(self.now) else {
             return;
         };
-        let partner = process_at(partner);
+        let (partner, shuffle) = (process_at(started.partner), started.shuffle);
         assert_ne!(partner, process, "a process does not ask itself");
         let answer =
             self.running[partner].then(|| self.views[partner].answer(self.now, shuffle.clone()));
@@ -217,7 +217,7 @@
             let distinct: BTreeSet<SocketAddr> = entries.iter().copied().collect();
             let started = view.start_shuffle(now);
             answer.entries.len() <= MAX_SHUFFLE_ENTRIES
-                && started.is_none_or(|(_, shuffle)| shuffle.entries.len() <= MAX_SHUFFLE_ENTRIES)
+                && started.is_none_or(|started| started.shuffle.entries.len() <= MAX_SHUFFLE_ENTRIES)
                 && entries.len() <= MAX_VIEW_ENTRIES
                 && entries.len() == distinct.len()
                 && !distinct.contains(&address(0))
