--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -113,8 +113,8 @@
     /// # Errors
     /// If the heartbeat is rejected, or other machines may not learn of it.
     pub async fn heartbeat(&self, id: &str, heartbeat: Heartbeat) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
-        self.after_change(id, ack).await
+        let outcome = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
+        self.after_change(id, outcome).await
     }
 
     /// Applies a replica's deregistration, and notifies the other core machines before it returns.
@@ -122,8 +122,8 @@
     /// # Errors
     /// If the id is invalid, or other machines may not learn of the deregistration.
     pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().deregister(self.now(), id)?;
-        self.after_change(id, ack).await
+        let outcome = self.state.lock().deregister(self.now(), id)?;
+        self.after_change(id, outcome).await
     }
 
     /// Counters of the registry since the start.
@@ -140,12 +140,16 @@
         self.started.elapsed()
     }
 
-    async fn after_change(&self, id: &str, ack: HeartbeatOutcome) -> Result<(), AcknowledgeError> {
-        let is_acknowledged = match ack {
-            HeartbeatOutcome::Unchanged => self.may_acknowledge(ack),
+    async fn after_change(
+        &self,
+        id: &str,
+        outcome: HeartbeatOutcome,
+    ) -> Result<(), AcknowledgeError> {
+        let is_acknowledged = match outcome {
+            HeartbeatOutcome::Unchanged => self.may_acknowledge(outcome),
             HeartbeatOutcome::Changed => {
                 self.flush.notify_one();
-                self.may_acknowledge(ack)
+                self.may_acknowledge(outcome)
             }
             HeartbeatOutcome::Departing => {
                 self.publish();
@@ -159,9 +163,11 @@
         }
     }
 
-    fn may_acknowledge(&self, ack: HeartbeatOutcome) -> bool {
+    fn may_acknowledge(&self, outcome: HeartbeatOutcome) -> bool {
         let view = self.committed.view();
-        self.state.lock().may_acknowledge(self.now(), ack, &view)
+        self.state
+            .lock()
+            .may_acknowledge(self.now(), outcome, &view)
     }
 
     /// Wakes the pending polls if the registry has changed, and the pull task if a peer's registry is
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -8,7 +8,7 @@
 use crate::committed::{CommittedState, ViewSummary};
 use crate::departure::DepartureNotification;
 use crate::exchange::{Inbox, Outbox, Urgency};
-use crate::failure_detector::FailureDetector;
+use crate::failure_detector::{FailureDetector, TickOutcome};
 use crate::messages::{Batch, PollRequest, PollResponse, RegistryResponse};
 use crate::poll_response::{MAX_STATUSES, respond};
 use crate::registry::{HeartbeatError, HeartbeatOutcome, Registry, RegistryVersion};
@@ -40,7 +40,9 @@
     identity: CoreIdentity,
     registry: Registry,
     failure_detector: FailureDetector,
+    /// What is to be sent to the other core machines.
     outbox: Outbox,
+    /// What has been received from them.
     inbox: Inbox,
     /// Peers whose registry has to be requested.
     incomplete: BTreeSet<SocketAddr>,
@@ -52,11 +54,14 @@
 /// Limits heartbeats that are left unacknowledged to [`MAX_REFUSALS_PER_SECOND`].
 #[derive(Default)]
 struct RefusalLimiter {
+    /// Start of the current window of one second.
     since: Duration,
+    /// Heartbeats of the window that have asked for a refusal.
     count: u32,
 }
 
 impl RefusalLimiter {
+    /// Whether one more heartbeat may be left unacknowledged at `now`.
     fn try_acquire(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.since) >= Duration::from_secs(1) {
             *self = Self {
@@ -111,15 +116,15 @@
         id: &str,
         heartbeat: Heartbeat,
     ) -> Result<HeartbeatOutcome, HeartbeatError> {
-        let ack = self.registry.heartbeat(now, id, heartbeat)?;
+        let outcome = self.registry.heartbeat(now, id, heartbeat)?;
         self.has_heard_replicas = true;
-        match ack {
+        match outcome {
             HeartbeatOutcome::Unchanged => self.outbox.record_heartbeat(id),
             HeartbeatOutcome::Changed | HeartbeatOutcome::Departing => {
                 self.outbox.record_change(id)
             }
         }
-        Ok(ack)
+        Ok(outcome)
     }
 
     /// Applies the deregistration that the replica `id` sent to this machine.
@@ -131,9 +136,9 @@
         now: Duration,
         id: &str,
     ) -> Result<HeartbeatOutcome, HeartbeatError> {
-        let ack = self.registry.deregister(now, id)?;
+        let outcome = self.registry.deregister(now, id)?;
         self.outbox.record_change(id);
-        Ok(ack)
+        Ok(outcome)
     }
 
     /// Whether an accepted heartbeat that is no departure is acknowledged. A machine out of quorum may be the
@@ -141,11 +146,11 @@
     pub fn may_acknowledge(
         &mut self,
         now: Duration,
-        ack: HeartbeatOutcome,
+        outcome: HeartbeatOutcome,
         view: &ViewSummary,
     ) -> bool {
         !view.is_out_of_quorum()
-            || (ack == HeartbeatOutcome::Unchanged && !self.refusal_limiter.try_acquire(now))
+            || (outcome == HeartbeatOutcome::Unchanged && !self.refusal_limiter.try_acquire(now))
     }
 
     /// Starts to notify the peers of a departure. `None` if this machine is out of quorum, and may not
@@ -189,28 +194,36 @@
         let peers = self.peers(now, view);
         let replicas = self.registry.replicas(now);
         let idle_times = replicas.map(|replica| replica.idle_time);
-        let tick = self.failure_detector.tick(
+        let outcome = self.failure_detector.tick(
             now,
             view.in_quorum,
             &peers,
             idle_times,
             self.has_heard_replicas,
         );
-        if tick.stalled {
-            tracing::warn!(peers = peers.len(), "process stalled, registries requested");
-            self.registry.restart_timeouts(now);
-            self.has_heard_replicas = false;
-            self.incomplete.extend(&peers);
-        }
-        if let Some(timeout) = tick.expiry {
-            for id in self.registry.expire(now, timeout) {
-                tracing::info!(replica = %id, "replica expired");
-                self.outbox.record_change(&id);
-            }
+        match outcome {
+            TickOutcome::Stalled => self.restart_after_stall(now, &peers),
+            TickOutcome::NoExpiry => {}
+            TickOutcome::Expire { timeout } => self.expire_replicas(now, timeout),
         }
         self.registry.drop_tombstones(now);
     }
 
+    /// Starts all time-outs anew, since heartbeats may have been missed, and requests the peers' registries.
+    fn restart_after_stall(&mut self, now: Duration, peers: &[SocketAddr]) {
+        tracing::warn!(peers = peers.len(), "process stalled, registries requested");
+        self.registry.restart_timeouts(now);
+        self.has_heard_replicas = false;
+        self.incomplete.extend(peers);
+    }
+
+    fn expire_replicas(&mut self, now: Duration, timeout: Duration) {
+        for id in self.registry.expire(now, timeout) {
+            tracing::info!(replica = %id, "replica expired");
+            self.outbox.record_change(&id);
+        }
+    }
+
     /// Applies a batch of another core machine. Returns how soon watchers have to be notified.
     pub fn receive(&mut self, now: Duration, batch: Batch) -> Urgency {
         let sender = SocketAddr::from(batch.sender);
--- a/crates/tier/discovery/src/failure_detector.rs
+++ b/crates/tier/discovery/src/failure_detector.rs
@@ -1,4 +1,6 @@
-//! How long a replica may be unresponsive before this core machine expires it.
+//! How long a replica may be unresponsive before this core machine expires it: the failure detector of
+//! [`CoreState`](crate::core_state::CoreState), which passes its time-out to
+//! [`Registry::expire`](crate::Registry::expire).
 //!
 //! A machine that has just started, whose process has stalled, or that does not hear its peers or most
 //! replicas cannot tell which replicas have failed. It then waits longer, or leaves the decision to the
@@ -38,20 +40,27 @@
 
 /// Observes this machine's own loop and its peers, and derives from them when replicas expire.
 pub struct FailureDetector {
+    /// Interval at which each replica sends heartbeats.
     heartbeat_interval: Duration,
     warm_up: WarmUpState,
+    /// When the machine's loop last ran.
     last_tick: Duration,
-    /// When the last batch of each peer arrived.
+    /// When the last batch of each peer arrived; peers that have been unreachable for long are removed.
     peers: BTreeMap<SocketAddr, Duration>,
 }
 
 /// What a tick of the failure detector found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TickResult {
-    /// Whether the loop has stalled. All time-outs then start anew, and the peers' registries are requested.
-    pub stalled: bool,
-    /// Time without a heartbeat after which a replica expires now; `None` if no replica may expire.
-    pub expiry: Option<Duration>,
+pub enum TickOutcome {
+    /// The loop has stalled: all time-outs start anew, and the peers' registries are requested.
+    Stalled,
+    /// No replica may expire, since this machine is warming up or out of quorum.
+    NoExpiry,
+    /// Replicas expire of which no heartbeat has arrived for longer than the time-out.
+    Expire {
+        /// The time-out.
+        timeout: Duration,
+    },
 }
 
 impl FailureDetector {
@@ -100,32 +109,36 @@
         peers: &[SocketAddr],
         idle_times: impl Iterator<Item = Duration>,
         has_heard_replicas: bool,
-    ) -> TickResult {
-        let stalled = self.has_stalled(now);
+    ) -> TickOutcome {
+        let has_stalled = self.has_stalled(now);
         self.last_tick = now;
         self.peers
             .retain(|_, heard_at| now.saturating_sub(*heard_at) <= PEER_TIMEOUT * 4);
-        if stalled {
+        if has_stalled {
             self.warm_up = WarmUpState::Warming { since: now };
+            return TickOutcome::Stalled;
         }
-        let expiry = match self.warm_up {
+        match self.warm_up {
             WarmUpState::Warming { since } => {
                 let min_warm_up = self.heartbeat_interval.mul_f64(WARMING_HEARTBEATS);
                 if has_heard_replicas && now.saturating_sub(since) >= min_warm_up {
                     self.warm_up = WarmUpState::Warm;
                 }
-                None
+                TickOutcome::NoExpiry
             }
-            WarmUpState::Warm => in_quorum.then(|| self.expiry(now, peers, idle_times)),
-        };
-        TickResult { stalled, expiry }
+            WarmUpState::Warm if in_quorum => TickOutcome::Expire {
+                timeout: self.expiry_timeout(now, peers, idle_times),
+            },
+            WarmUpState::Warm => TickOutcome::NoExpiry,
+        }
     }
 
     fn has_stalled(&self, now: Duration) -> bool {
         now.saturating_sub(self.last_tick) > PROCESS_STALL_THRESHOLD
     }
 
-    fn expiry(
+    /// Time without a heartbeat after which a replica expires.
+    fn expiry_timeout(
         &self,
         now: Duration,
         peers: &[SocketAddr],
--- a/crates/tier/discovery/src/registry.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -1,14 +1,17 @@
 //! The replicas that one core machine knows: soft state, built from heartbeats and from the other core
-//! machines.
+//! machines. [`CoreState`](crate::core_state::CoreState) owns it, and answers polls and peers from it.
 //!
 //! Every change of a replica's content is assigned the next `revision`, by which watchers and other core
 //! machines request what is new to them. Departures remain as tombstones for [`TOMBSTONE_TTL`], so that
 //! neither a delayed heartbeat nor a delayed message of a core machine restores a departed replica.
 
+mod changes;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+pub use self::changes::{Refresh, RefreshResult, RegistryChanges, RegistryVersion};
 use crate::heartbeat_check::{DepartedSnafu, StaleSnafu, check_heartbeat, check_id};
 pub use crate::heartbeat_check::{HeartbeatError, MAX_ID_BYTES, MAX_MODELS, MAX_NAME_BYTES};
 use crate::replica::{Heartbeat, ReplicaRecord, ReplicaState};
@@ -49,32 +52,7 @@
     pub superseded: u64,
 }
 
-/// A state of one machine's registry. Versions of different incarnations are not comparable.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-pub struct RegistryVersion {
-    /// Incarnation of the process; 0 for none.
-    pub incarnation: u64,
-    /// Revision within it.
-    pub revision: u64,
-    /// Highest revision at or below which a tombstone had been dropped. A receiver that has taken this
-    /// version knows no replica whose tombstone was dropped up to it.
-    pub floor: u64,
-}
-
-/// Changes of a registry since a version.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RegistryChanges {
-    /// Version that the receiver has after these changes.
-    pub version: RegistryVersion,
-    /// Whether these changes start a complete list, which replaces everything listed before.
-    pub restart: bool,
-    /// Whether further changes have to be requested.
-    pub more: bool,
-    /// Newest status of each replica that has changed, in the order of the changes.
-    pub statuses: Vec<IdentifiedStatus>,
-}
-
-/// A registered replica and how long it has been silent.
+/// A registered replica, and when it was heard last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisteredReplica<'a> {
     /// What is known of it.
@@ -90,40 +68,27 @@
     digest: u32,
     /// Revision of the last change; its key in [`Registry::by_revision`].
     revision: u64,
-    /// When its sequence number last rose, or when it became a tombstone.
+    /// When its last heartbeat was applied, or when it became a tombstone.
     heard_at: Duration,
 }
 
-/// A heartbeat without changes, as forwarded to the other core machines.
-#[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-pub struct Refresh {
-    /// Identifier of the replica's incarnation.
-    pub id: String,
-    /// Its newest sequence number.
-    pub sequence: u64,
-    /// Digest of its content, by which the receiver notices that its record has diverged.
-    pub digest: u32,
-}
-
-/// Whether a [`Refresh`] could be applied.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefreshResult {
-    /// It has been applied, or was known already.
-    Known,
-    /// The content is unknown here and has to be requested from the sender.
-    Unknown,
-}
-
 /// The replicas that one core machine knows.
 pub struct Registry {
+    /// Incarnation of this process, not 0.
     incarnation: u64,
+    /// Revision of the newest change.
     revision: u64,
     /// Revision up to which tombstones may have been dropped.
     dropped_tombstone_revision: u64,
+    /// Time without a heartbeat after which a replica is superseded by another at its address.
     supersede_after: Duration,
+    /// Registered replicas and tombstones by id.
     entries: BTreeMap<String, Entry>,
+    /// Ids of all entries by the revision of their last change.
     by_revision: BTreeMap<u64, String>,
+    /// Ids of the registered replicas by address; no set is empty.
     by_address: BTreeMap<SocketAddr, BTreeSet<String>>,
+    /// Number of registered replicas; the other entries are tombstones.
     present: usize,
     counters: RegistryCounters,
 }
@@ -197,7 +162,21 @@
             return Err(error);
         }
         let record = ReplicaRecord::new(id, heartbeat);
-        let ack = match self.entries.get(id).map(|entry| &entry.status) {
+        let outcome = self.compare_with_known(id, &record)?;
+        let address = record.heartbeat.address;
+        self.counters.accepted += 1;
+        self.replace_status(now, id, ReplicaStatus::Present(record));
+        self.supersede_others_at(now, address, id);
+        Ok(outcome)
+    }
+
+    /// How a valid heartbeat changes what is known of `id`; counts it if it is rejected.
+    fn compare_with_known(
+        &mut self,
+        id: &str,
+        record: &ReplicaRecord,
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
+        let outcome = match self.entries.get(id).map(|entry| &entry.status) {
             Some(ReplicaStatus::Departed {
                 departure: Departure::Deregistered,
                 ..
@@ -205,7 +184,7 @@
                 self.counters.departed += 1;
                 return DepartedSnafu { id }.fail();
             }
-            Some(ReplicaStatus::Present(known)) if *known == record => HeartbeatOutcome::Unchanged,
+            Some(ReplicaStatus::Present(known)) if known == record => HeartbeatOutcome::Unchanged,
             Some(known) if record.heartbeat.sequence <= known.sequence() => {
                 self.counters.stale += 1;
                 let newest = known.sequence();
@@ -216,21 +195,16 @@
                 }
                 .fail();
             }
-            Some(ReplicaStatus::Present(known)) if known.has_same_content(&record) => {
+            Some(ReplicaStatus::Present(known)) if known.has_same_content(record) => {
                 HeartbeatOutcome::Unchanged
             }
             _ => HeartbeatOutcome::Changed,
         };
-        let ack = if record.heartbeat.state == ReplicaState::Draining {
+        Ok(if record.heartbeat.state == ReplicaState::Draining {
             HeartbeatOutcome::Departing
         } else {
-            ack
-        };
-        let address = record.heartbeat.address;
-        self.counters.accepted += 1;
-        self.replace_status(now, id, ReplicaStatus::Present(record));
-        self.supersede_others_at(now, address, id);
-        Ok(ack)
+            outcome
+        })
     }
 
     /// Applies the deregistration that the replica `id` sent to this machine. An unknown id gets a tombstone
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -73,15 +73,36 @@
     }
 }
 
+/// Whether a configuration is being fetched. `attempts` counts those that have failed since one succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchState {
+    /// No fetch is in flight; the next one may start at `next_at`, if there is a newer configuration.
     Idle { next_at: Duration, attempts: u32 },
+    /// A fetch from `machine` is in flight.
     Fetching { machine: SocketAddr, attempts: u32 },
 }
 
+/// How far a process that has started has got to a complete and current state.
+///
+/// | state | event | next |
+/// | --- | --- | --- |
+/// | awaiting a list | a trusted machine has sent its complete list | listed |
+/// | listed | the newest configuration is known, and all polled machines have answered or [`WARM_UP_TIMEOUT`] has passed | warm |
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WarmUp {
+    /// No trusted machine has sent its complete list of replicas yet.
+    AwaitingList,
+    /// The first complete list of a trusted machine was received at `since`.
+    Listed { since: Duration },
+    /// The process has had a complete and current state. Final.
+    Warm,
+}
+
 /// State of the client side.
 pub struct Watcher {
+    /// Name of the process, from which the ranks of the core machines follow.
     name: String,
+    /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
     /// Addresses of core machines that peer sampling has found.
     sampled_machines: Vec<SocketAddr>,
@@ -89,22 +110,24 @@
     view_epoch: u64,
     /// Core machines of that view, empty before the first.
     core_machines: Vec<SocketAddr>,
+    /// The machines that are polled.
     machines: BTreeMap<SocketAddr, PolledMachine>,
     /// Unhealthy machines that are not polled, and until when.
     unhealthy_until: BTreeMap<SocketAddr, Duration>,
     /// Newest configuration generation that any machine has reported.
     newest_reported_generation: u64,
     table: ReplicaTable,
+    /// Generation of the newest configuration that has been fetched; 0 before the first.
     configuration_generation: u64,
+    /// The newest storage view received, versioned by its epoch.
     storage_view: Option<CommittedValue>,
     fetch: FetchState,
+    /// When a core machine last answered.
     heard_at: Option<Duration>,
     /// When a machine in quorum last answered.
     quorum_heard_at: Option<Duration>,
     started_at: Duration,
-    /// When the first complete list of a trusted machine was received.
-    trusted_since: Option<Duration>,
-    warmed: bool,
+    warm_up: WarmUp,
 }
 
 impl Watcher {
@@ -130,8 +153,7 @@
             heard_at: None,
             quorum_heard_at: None,
             started_at: now,
-            trusted_since: None,
-            warmed: false,
+            warm_up: WarmUp::AwaitingList,
         }
     }
 
@@ -162,7 +184,7 @@
 
     /// Whether configuration and replicas have been received from a trusted core machine.
     pub fn is_warmed(&self) -> bool {
-        self.warmed
+        self.warm_up == WarmUp::Warm
     }
 
     /// Whether no core machine in quorum has answered for [`QUORUM_CONTACT_TIMEOUT`].
@@ -271,10 +293,11 @@
         }
         change.replicas = self.table.apply(now, machine, trusted, response.registry);
         change.replicas |= self.table.sweep(now);
-        if trusted && self.trusted_since.is_none() && self.table.is_complete(machine) {
-            self.trusted_since = Some(now);
+        let is_listed = trusted && self.table.is_complete(machine);
+        if is_listed && self.warm_up == WarmUp::AwaitingList {
+            self.warm_up = WarmUp::Listed { since: now };
         }
-        change.core_or_configuration |= self.update_warmed(now);
+        change.core_or_configuration |= self.complete_warm_up(now);
         change
     }
 
@@ -284,7 +307,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            core_or_configuration: self.update_warmed(now),
+            core_or_configuration: self.complete_warm_up(now),
             ..WatchChange::default()
         }
     }
@@ -317,7 +340,7 @@
                 }
             }
         }
-        self.update_warmed(now);
+        self.complete_warm_up(now);
         newer.is_some()
     }
 
@@ -429,19 +452,19 @@
         }
     }
 
-    /// Updates whether the process has warmed up: it has had a complete and current state once. Returns
-    /// whether it has done so now.
-    fn update_warmed(&mut self, now: Duration) -> bool {
-        let Some(trusted_since) = self.trusted_since else {
+    /// Ends the warm-up if the state is complete and current. Returns whether it has ended now.
+    fn complete_warm_up(&mut self, now: Duration) -> bool {
+        let WarmUp::Listed { since } = self.warm_up else {
             return false;
         };
-        if self.warmed || self.configuration_generation == 0 {
-            return false;
-        }
-        let current = self.configuration_generation >= self.newest_reported_generation;
+        let generation = self.configuration_generation;
+        let is_current = generation > 0 && generation >= self.newest_reported_generation;
         let all_answered = self.machines.values().all(|machine| machine.has_answered);
-        let waited = now.saturating_sub(trusted_since) >= WARM_UP_TIMEOUT;
-        self.warmed = current && (all_answered || waited);
-        self.warmed
+        let has_waited = now.saturating_sub(since) >= WARM_UP_TIMEOUT;
+        let is_warm = is_current && (all_answered || has_waited);
+        if is_warm {
+            self.warm_up = WarmUp::Warm;
+        }
+        is_warm
     }
 }
