--- a/crates/tier/discovery/src/committed.rs
+++ b/crates/tier/discovery/src/committed.rs
@@ -1,4 +1,5 @@
-//! The core's committed state, as far as discovery distributes it.
+//! The core's committed state, as far as discovery distributes it: the interface to the control plane, which
+//! implements [`CommittedState`] on a core machine.
 
 use std::net::SocketAddr;
 
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -1,4 +1,5 @@
-//! Driver of [`Watcher`]: polls core machines and publishes the [`ControlSnapshot`].
+//! Driver of [`Watcher`] on every process that observes the core: polls core machines and publishes the
+//! [`ControlSnapshot`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,15 +38,20 @@
     },
 }
 
-/// Client side of discovery.
+/// Observer of the core machines: the client side of discovery.
 pub struct ControlWatch {
     rpc: Client,
+    /// Origin of the times that are passed to the watcher.
     started: Instant,
     watcher: Watcher,
+    /// Polls and fetches in flight.
     calls: JoinSet<CompletedCall>,
+    /// What the next publication contains.
     snapshot: ControlSnapshot,
     publisher: watch::Sender<Arc<ControlSnapshot>>,
+    /// When the settings were last read for seeds.
     settings_read_at: Instant,
+    /// Source of further addresses of core machines, if the process takes part in peer sampling.
     sampler: Option<Arc<Sampler>>,
 }
 
@@ -225,11 +231,11 @@
         }
         if is_disconnected && self.settings_read_at.elapsed() >= SETTINGS_RELOAD_INTERVAL {
             self.settings_read_at = Instant::now();
-            self.reread_seeds();
+            self.reload_seeds();
         }
     }
 
-    fn reread_seeds(&mut self) {
+    fn reload_seeds(&mut self) {
         match NodeSettings::load_from_environment() {
             Ok(settings) => {
                 let seeds = settings.seed_internal_addresses();
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -1,4 +1,5 @@
-//! Driver of [`CoreState`]: heartbeats, batches between core machines, and long-polls.
+//! Driver of [`CoreState`] on a core machine: serves heartbeats, long-polls and the requests of other core machines,
+//! and exchanges batches and registries with them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,13 +28,13 @@
 
 /// How often time-outs are checked and batches are sent.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause before a peer that did not acknowledge a departure is notified again.
+/// Time after a failed notification of a departure before the peer is notified again.
 const DEPARTURE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// Time-out of a request for another core machine's registry.
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest time that a poll is held open.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// Pause before a machine that is still warming up requests its peers' registries again.
+/// Time before a machine that is still warming up requests its peers' registries again.
 const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a replica's heartbeat or deregistration is not acknowledged.
@@ -53,7 +54,9 @@
 
 /// Discovery on a core machine.
 pub struct CoreDiscovery {
+    /// Incarnation of this process, not 0.
     incarnation: u64,
+    /// Origin of the times that are passed to the state.
     started: Instant,
     rpc: Client,
     committed: Arc<dyn CommittedState>,
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -56,7 +56,7 @@
 struct RefusalLimiter {
     /// Start of the current window of one second.
     since: Duration,
-    /// Heartbeats of the window that have asked for a refusal.
+    /// Heartbeats of the window that could have been left unacknowledged.
     count: u32,
 }
 
--- a/crates/tier/discovery/src/departure.rs
+++ b/crates/tier/discovery/src/departure.rs
@@ -1,4 +1,5 @@
-//! When a replica's departure is acknowledged.
+//! When a replica's departure is acknowledged. [`CoreState`](crate::core_state::CoreState) starts the notification, and
+//! [`CoreDiscovery`](crate::CoreDiscovery) calls the peers.
 //!
 //! The acknowledgement promises the replica that no observer sends it a new request soon after. A core
 //! machine therefore first notifies the other core machines; one that answers has answered its pending polls
@@ -42,9 +43,11 @@
 #[derive(Clone, Debug)]
 pub struct DepartureNotification {
     started_at: Duration,
+    /// Peers that have not acknowledged the notification yet.
     pending_peers: BTreeSet<SocketAddr>,
     /// Voters that know of the departure, among them this machine if it is a voter.
     notified_voters: usize,
+    /// Voters of the view, or all peers and this machine before there is a view.
     voters: BTreeSet<SocketAddr>,
 }
 
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -1,4 +1,5 @@
-//! Exchange of replicas' heartbeats between core machines.
+//! Exchange of replicas' heartbeats between core machines: the [`Outbox`] and [`Inbox`] of a
+//! [`CoreState`](crate::core_state::CoreState).
 //!
 //! Each machine sends what it received from replicas directly, never what it learned from another machine, in
 //! numbered batches. A missing batch, a new incarnation or an unknown content makes the receiver request the
@@ -23,11 +24,17 @@
 
 /// Collects what this machine has received from replicas directly.
 pub struct Outbox {
+    /// Incarnation of this process.
     incarnation: u64,
+    /// Internal address of this machine.
     sender: SocketAddr,
+    /// Number of the last numbered batch; 0 before the first.
     serial: u64,
+    /// Replicas that have sent heartbeats without changes since the last batch.
     heard: BTreeSet<String>,
+    /// Replicas that have changed since the last batch; none of them is in `heard`.
     changed: BTreeSet<String>,
+    /// When the last numbered batch was taken.
     sent_at: Option<Duration>,
 }
 
@@ -139,10 +146,14 @@
     pub incomplete: bool,
 }
 
+/// What has been received from one core machine.
 #[derive(Default)]
 struct Peer {
+    /// Incarnation of its last numbered batch; 0 before the first.
     incarnation: u64,
+    /// Number of that batch.
     serial: u64,
+    /// Version up to which its registry has been received.
     version: RegistryVersion,
     /// Whether a batch of this peer is missing, and its registry has not been received since.
     incomplete: bool,
@@ -151,6 +162,7 @@
 /// Receives the batches of the other core machines.
 #[derive(Default)]
 pub struct Inbox {
+    /// By internal address.
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
--- a/crates/tier/discovery/src/fnv.rs
+++ b/crates/tier/discovery/src/fnv.rs
@@ -1,4 +1,5 @@
-//! The hash by which core machines compare the content of their records.
+//! The hash by which core machines compare the content of their records
+//! ([`ReplicaRecord::content_digest`](crate::ReplicaRecord::content_digest)).
 
 /// FNV-1a, 32 bits (Fowler, Noll and Vo; draft-eastlake-fnv).
 pub(crate) struct Fnv32(u32);
--- a/crates/tier/discovery/src/heartbeat_check.rs
+++ b/crates/tier/discovery/src/heartbeat_check.rs
@@ -1,4 +1,4 @@
-//! Validation of heartbeats.
+//! Validation of heartbeats, before the [`Registry`](crate::Registry) applies them.
 
 use snafu::Snafu;
 
--- a/crates/tier/discovery/src/poll_response.rs
+++ b/crates/tier/discovery/src/poll_response.rs
@@ -1,4 +1,5 @@
-//! Answers to long-polls: what a core machine knows that is newer than what a poll names.
+//! Answers to long-polls: what a core machine knows that is newer than what a poll names. The counterpart of
+//! [`Watcher`](crate::watcher::Watcher), which merges them.
 
 use crate::committed::CommittedState;
 use crate::messages::{
--- a/crates/tier/discovery/src/polled_machine.rs
+++ b/crates/tier/discovery/src/polled_machine.rs
@@ -1,4 +1,5 @@
-//! What a process knows of one core machine that it polls.
+//! What a process knows of one core machine that it polls: the state of its polls, and what it last reported. The
+//! [`Watcher`](crate::watcher::Watcher) has one for each machine that it polls.
 
 use std::time::Duration;
 
@@ -24,6 +25,7 @@
 /// A core machine that is polled.
 pub(crate) struct PolledMachine {
     pub(crate) state: PollState,
+    /// Polls that have failed since the last one that was answered.
     pub(crate) consecutive_failures: u32,
     /// What the machine reported about itself in its last answer.
     pub(crate) standing: Standing,
@@ -31,6 +33,7 @@
     pub(crate) reported_generation: u64,
     /// Fetches of the configuration from this machine that failed since one from any machine succeeded.
     pub(crate) failed_fetches: u32,
+    /// Whether any poll has been answered; stays set.
     pub(crate) has_answered: bool,
 }
 
--- a/crates/tier/discovery/src/replica.rs
+++ b/crates/tier/discovery/src/replica.rs
@@ -1,4 +1,4 @@
-//! What a replica reports about itself.
+//! What a replica reports about itself: the body of a heartbeat, and the record that the registry keeps of it.
 
 use std::net::SocketAddr;
 
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -1,4 +1,5 @@
-//! The replicas as an observer of several core machines knows them.
+//! The replicas as an observer of several core machines knows them: the part of the
+//! [`Watcher`](crate::watcher::Watcher) that merges their registries.
 //!
 //! Statuses are merged by [`ReplicaStatus::is_newer_than`], so the order in which they arrive does not
 //! matter. A replica that is missing from a machine's list has not departed for that reason. A replica that
@@ -22,27 +23,40 @@
 /// Time after its last answer for which a machine's list counts.
 pub const LISTING_TTL: Duration = Duration::from_secs(3);
 
+/// The newest status of a replica.
 struct KnownStatus {
     status: ReplicaStatus,
+    /// When it was received.
     changed_at: Duration,
 }
 
+/// The list of one core machine.
 #[derive(Default)]
 struct Listing {
+    /// Version up to which its registry has been received.
     version: RegistryVersion,
+    /// Ids of the registered replicas in it.
     present: BTreeSet<String>,
+    /// Whether the machine had no further changes to send when it answered last.
     complete: bool,
+    /// Whether the machine was in quorum and not warming up when it answered last.
     trusted: bool,
+    /// When it answered last.
     answered_at: Duration,
 }
 
 /// Replicas merged from the registries of several core machines.
 #[derive(Default)]
 pub struct ReplicaTable {
+    /// Registered replicas and tombstones by id.
     known: BTreeMap<String, KnownStatus>,
+    /// Lists by internal address of the core machine.
     listings: BTreeMap<SocketAddr, Listing>,
+    /// Registered replicas that no trusted machine lists, and since when.
     unlisted_since: BTreeMap<String, Duration>,
+    /// When unlisted replicas and old tombstones are next looked for.
     next_sweep: Duration,
+    /// The registered replicas of `known`, shared with the published snapshots.
     present: Arc<BTreeMap<String, ReplicaRecord>>,
 }
 
--- a/crates/tier/discovery/src/sampler.rs
+++ b/crates/tier/discovery/src/sampler.rs
@@ -1,4 +1,4 @@
-//! Driver of [`PartialView`]: exchanges shuffles with other processes.
+//! Driver of [`PartialView`] on every process: exchanges shuffles with others, and publishes the core machines found.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,10 +22,12 @@
 
 /// Peer sampling of this process.
 pub struct Sampler {
+    /// Origin of the times that are passed to the view.
     started: Instant,
     view: Mutex<PartialView>,
     /// Client for shuffles only. Partners change, so each connection is closed after the exchange.
     rpc: Client,
+    /// Internal addresses of the known core machines, youngest entry first.
     core_machines: watch::Sender<Vec<SocketAddr>>,
 }
 
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -1,4 +1,5 @@
 //! Peer sampling with shuffled partial views, by which the processes of the tier know each other.
+//! [`Sampler`](crate::Sampler) drives it.
 //!
 //! Each process has entries of a few others, and periodically exchanges some of them with the process whose
 //! entry is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). A process that no longer
@@ -76,6 +77,7 @@
     node: NodeEntry,
     /// Age of the entry when it was received.
     age: Duration,
+    /// When it was received.
     received_at: Duration,
 }
 
@@ -111,12 +113,18 @@
 
 /// The partial view of one process.
 pub struct PartialView {
+    /// This process; no entry of the view has its address.
     own: NodeEntry,
+    /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
+    /// At most [`MAX_VIEW_ENTRIES`] after each merge, each of another address.
     entries: Vec<ViewEntry>,
     random: Rand32,
+    /// When the next shuffle is due.
     next_shuffle: Duration,
+    /// The shuffle in flight.
     pending: Option<PendingShuffle>,
+    /// Whether this process is disconnected from the core.
     is_disconnected: bool,
 }
 
--- a/crates/tier/discovery/src/selection.rs
+++ b/crates/tier/discovery/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which core machines a process polls, by rank and health.
+//! Which core machines a process polls, by rank and health; a decision of [`Watcher`](crate::watcher::Watcher).
 //!
 //! Machines are chosen in the order of their rendezvous rank for the process. Beside the healthy ones,
 //! unhealthy machines that rank before them are polled too, so that a machine that recovers is noticed.
--- a/crates/tier/discovery/src/snapshot.rs
+++ b/crates/tier/discovery/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! The control plane's state as one process knows it.
+//! The control plane's state as one process knows it: what [`ControlWatch`](crate::ControlWatch) publishes to the rest
+//! of the process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,5 +1,5 @@
-//! Decisions of the client side, without I/O: which core machines to poll when, and how to merge their
-//! answers.
+//! Decisions of an observer of the core, without I/O: which core machines to poll when, and how to merge their
+//! answers. [`ControlWatch`](crate::ControlWatch) drives them.
 //!
 //! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once.
 //! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
@@ -98,7 +98,7 @@
     Warm,
 }
 
-/// State of the client side.
+/// What one process knows of the core, and the state of its polls and fetches.
 pub struct Watcher {
     /// Name of the process, from which the ranks of the core machines follow.
     name: String,
@@ -131,7 +131,7 @@
 }
 
 impl Watcher {
-    /// The client side of the process `name`, which starts at `now` and knows the internal addresses of
+    /// The state of the process `name`, which starts at `now` and knows the internal addresses of
     /// `seeds`.
     pub fn new(now: Duration, name: String, seeds: Vec<SocketAddr>) -> Self {
         Self {
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -223,6 +223,10 @@
     assert!(state.start_departure(millis(1600), &view).is_none());
 }
 
+fn wait_until(until: Duration) -> DepartureDecision {
+    DepartureDecision::Wait { until }
+}
+
 #[test]
 fn a_departure_waits_for_a_majority_of_the_voters_and_not_of_the_members() {
     let voters: Vec<_> = (0..3).map(core_address).collect();
@@ -240,9 +244,7 @@
     notification.record_answer(core_address(0));
     assert_eq!(
         notification.decision(millis(400)),
-        DepartureDecision::Wait {
-            until: MAJORITY_TIMEOUT
-        }
+        wait_until(MAJORITY_TIMEOUT)
     );
     assert_eq!(
         notification.decision(MAJORITY_TIMEOUT),
@@ -251,9 +253,7 @@
     notification.record_answer(core_address(1));
     assert_eq!(
         notification.decision(millis(100)),
-        DepartureDecision::Wait {
-            until: ALL_PEERS_TIMEOUT
-        }
+        wait_until(ALL_PEERS_TIMEOUT)
     );
     assert_eq!(
         notification.decision(ALL_PEERS_TIMEOUT),
--- a/crates/tier/discovery/tests/replica_table.rs
+++ b/crates/tier/discovery/tests/replica_table.rs
@@ -53,15 +53,21 @@
     }
 }
 
-#[test]
-fn a_list_that_lacks_a_replica_removes_it_only_after_long() {
+/// A table that has received the complete list of one machine, with the replica at this sequence number.
+fn table_with_replica(sequence: u64) -> ReplicaTable {
     let mut table = ReplicaTable::default();
     table.apply(
         seconds(0),
         machine(1),
         true,
-        response(1, true, &[("r", ready("r", 1))]),
+        response(1, true, &[("r", ready("r", sequence))]),
     );
+    table
+}
+
+#[test]
+fn a_list_that_lacks_a_replica_removes_it_only_after_long() {
+    let mut table = table_with_replica(1);
     // The machine has restarted and has not heard of the replica.
     let empty = |incarnation| response(incarnation, true, &[]);
     table.apply(seconds(1), machine(1), true, empty(2));
@@ -75,13 +81,7 @@
 
 #[test]
 fn lists_of_machines_that_are_warming_or_out_of_quorum_remove_nothing() {
-    let mut table = ReplicaTable::default();
-    table.apply(
-        seconds(0),
-        machine(1),
-        true,
-        response(1, true, &[("r", ready("r", 1))]),
-    );
+    let mut table = table_with_replica(1);
     for second in 1..60 {
         table.apply(seconds(second), machine(1), false, response(2, true, &[]));
         assert!(!table.sweep(seconds(second)));
@@ -91,13 +91,7 @@
 
 #[test]
 fn an_expiry_removes_a_replica_and_a_later_heartbeat_restores_it() {
-    let mut table = ReplicaTable::default();
-    table.apply(
-        seconds(0),
-        machine(1),
-        true,
-        response(1, true, &[("r", ready("r", 5))]),
-    );
+    let mut table = table_with_replica(5);
     assert!(table.apply(
         seconds(1),
         machine(2),
