--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -73,7 +73,7 @@
 pub fn decode_view(stored: Option<&StoredStorageView>) -> Result<StorageView, MessageError> {
     stored.map_or_else(
         || Ok(StorageView::default()),
-        |stored| StorageView::read(&stored.bytes.0),
+        |stored| StorageView::decode(&stored.bytes.0),
     )
 }
 
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -169,7 +169,10 @@
     assert_eq!(state.taken, [taken(3), taken(7)]);
     let stored = state.storage_view.expect("a storage view");
     assert_eq!(stored.epoch, 2);
-    assert_eq!(StorageView::read(&stored.bytes.0), Ok(joint_storage_view()));
+    assert_eq!(
+        StorageView::decode(&stored.bytes.0),
+        Ok(joint_storage_view())
+    );
 }
 
 #[test]
@@ -385,5 +388,8 @@
     );
     assert_eq!(durable.state.taken, [taken(3), taken(7)]);
     let stored = durable.state.storage_view.expect("a storage view");
-    assert_eq!(StorageView::read(&stored.bytes.0), Ok(joint_storage_view()));
+    assert_eq!(
+        StorageView::decode(&stored.bytes.0),
+        Ok(joint_storage_view())
+    );
 }
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -213,7 +213,7 @@
         let Some(CommittedValue { version, bytes }) = self.watcher.storage_view() else {
             return;
         };
-        match StorageView::read(bytes) {
+        match StorageView::decode(bytes) {
             Ok(view) => self.snapshot.storage_view = Some(Arc::new(view)),
             Err(error) => tracing::error!(epoch = *version, %error, "storage view parsing failed"),
         }
--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -120,8 +120,8 @@
     is_in_quorum: impl Fn() -> bool + Send + Sync + 'static,
 ) -> impl Fn(SocketAddr, Bytes) -> Ready<Result<Vec<u8>, MessageError>> + Send + Sync + 'static {
     move |_, body| {
-        let read = codec::read::<Announcement>(&body);
-        ready(read.map(|announcement| {
+        let decoded = codec::decode::<Announcement>(&body);
+        ready(decoded.map(|announcement| {
             announcements.lock().record(Instant::now(), announcement);
             vec![u8::from(is_in_quorum())]
         }))
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -55,7 +55,7 @@
             .rpc
             .call(member.address, ServiceId::STORAGE, body, timeout)
             .await?;
-        let response: Response = decode(&reply).ok_or(CallError::Broken)?;
+        let response: Response = decode(&reply).map_err(|_| CallError::Broken)?;
         if let Answer::Stale { view } = &response.answer {
             self.set_view(Arc::new(view.clone()));
         }
--- a/crates/tier/storage/src/codec.rs
+++ b/crates/tier/storage/src/codec.rs
@@ -1,4 +1,5 @@
 //! Byte format of messages, views and journal records: one byte of version, then the value as `speedy` writes it.
+//! [`message`](crate::message) has it for other crates.
 
 use snafu::{OptionExt, Snafu, ensure};
 use speedy::{LittleEndian, Readable, Writable};
@@ -40,11 +41,11 @@
     Malformed,
 }
 
-/// Decodes a message and says why it cannot.
+/// Decodes a message.
 ///
 /// # Errors
 /// [`MessageError`] if the message is empty, truncated, malformed, of another version, or followed by other bytes.
-pub fn read<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<T, MessageError> {
+pub fn decode<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<T, MessageError> {
     let (&version, body) = bytes.split_first().context(EmptySnafu)?;
     ensure!(version == MESSAGE_VERSION, VersionSnafu { found: version });
     let (message, used) = T::read_with_length_from_buffer(body);
@@ -53,9 +54,3 @@
         .filter(|_| used == body.len())
         .context(MalformedSnafu)
 }
-
-/// Decodes a message; `None` where [`read`] fails.
-#[must_use]
-pub fn decode<'a, T: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Option<T> {
-    read(bytes).ok()
-}
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -3,7 +3,7 @@
 use speedy::{Readable, Writable};
 
 use crate::budget::Reservation;
-pub use crate::codec::{MessageError, decode, encode, read};
+pub use crate::codec::{MessageError, decode, encode};
 use crate::turn::TurnRecord;
 use crate::view::StorageView;
 
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -103,12 +103,12 @@
         let mut all = snapshot
             .into_iter()
             .chain(records.iter().map(Vec::as_slice));
-        let Record::Identity { disk } = decode(all.next()?)? else {
+        let Record::Identity { disk } = decode(all.next()?).ok()? else {
             return None;
         };
         let (mut node, _) = StorageNode::create(name, disk, tolerated);
         for bytes in all {
-            match decode::<Record>(bytes)? {
+            match decode::<Record>(bytes).ok()? {
                 Record::Identity { .. } => return None,
                 Record::View(view) => {
                     node.sealed_epoch = view.epoch;
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -19,7 +19,7 @@
 
 use self::upkeep::Upkeep;
 use crate::announce::Announcement;
-use crate::message::{MessageError, Request, Response, encode, read};
+use crate::message::{MessageError, Request, Response, decode, encode};
 use crate::node::{Pending, Step, StorageNode};
 use crate::view::{StorageMember, StorageView};
 
@@ -186,7 +186,7 @@
     }
 
     async fn answer(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
-        let request: Request = read(&body)?;
+        let request: Request = decode(&body)?;
         let now = self.now();
         let step = self.shared.node.lock().handle(now, request);
         Ok(encode(&self.finish(step).await))
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -95,7 +95,7 @@
             .rpc
             .call(source.address, ServiceId::STORAGE, body, PULL_TIMEOUT)
             .await;
-        let response: Response = decode(&reply.ok()?)?;
+        let response: Response = decode(&reply.ok()?).ok()?;
         Some(response.answer)
     }
 
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -50,13 +50,7 @@
     ///
     /// # Errors
     /// [`MessageError`] if the bytes are no view.
-    pub fn read(bytes: &[u8]) -> Result<StorageView, MessageError> {
-        codec::read(bytes)
-    }
-
-    /// Decodes the view from the control state's bytes; `None` where [`StorageView::read`] fails.
-    #[must_use]
-    pub fn decode(bytes: &[u8]) -> Option<StorageView> {
+    pub fn decode(bytes: &[u8]) -> Result<StorageView, MessageError> {
         codec::decode(bytes)
     }
 
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -12,7 +12,7 @@
 use woadreach_journal::{Journal, JournalError, JournalOptions};
 use woadreach_rpc::{CallError, Client, ClientOptions, Router, ServiceId, serve};
 use woadreach_storage::announce::{Announcements, handler};
-use woadreach_storage::message::{MessageError, encode, read};
+use woadreach_storage::message::{MessageError, decode, encode};
 use woadreach_storage::record::Record;
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 use woadreach_storage::{StorageMember, StorageView};
@@ -162,22 +162,22 @@
         ..StorageView::default()
     };
     let bytes = view.encode();
-    assert_eq!(StorageView::read(&bytes), Ok(view));
-    assert_eq!(StorageView::read(&[]), Err(MessageError::Empty));
+    assert_eq!(StorageView::decode(&bytes), Ok(view));
+    assert_eq!(StorageView::decode(&[]), Err(MessageError::Empty));
     for length in 1..bytes.len() {
         assert_eq!(
-            StorageView::read(&bytes[..length]),
+            StorageView::decode(&bytes[..length]),
             Err(MessageError::Malformed),
             "{length}"
         );
     }
     assert_eq!(
-        read::<StorageView>(&[&bytes[..], &[0]].concat()),
+        decode::<StorageView>(&[&bytes[..], &[0]].concat()),
         Err(MessageError::Malformed)
     );
     let other = [&[bytes[0] + 1], &bytes[1..]].concat();
     assert_eq!(
-        StorageView::read(&other),
+        StorageView::decode(&other),
         Err(MessageError::Version {
             found: bytes[0] + 1
         })
--- a/crates/tier/storage/tests/codecs.rs
+++ b/crates/tier/storage/tests/codecs.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use woadreach_storage::budget::Reservation;
 use woadreach_storage::message::{
-    Answer, FencingToken, Operation, ProgramDigest, ProgramRecords, Request, Response, Settlement,
-    decode, encode,
+    Answer, FencingToken, MessageError, Operation, ProgramDigest, ProgramRecords, Request,
+    Response, Settlement, decode, encode,
 };
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
 use woadreach_storage::turn::TurnRecord;
@@ -176,26 +176,26 @@
 
 quickcheck! {
     fn requests_are_read_back(request: Any<Request>) -> bool {
-        decode(&encode(&request.0)) == Some(request.0)
+        decode(&encode(&request.0)) == Ok(request.0)
     }
 
     fn responses_are_read_back(response: Any<Response>) -> bool {
-        decode(&encode(&response.0)) == Some(response.0)
+        decode(&encode(&response.0)) == Ok(response.0)
     }
 
     fn records_are_read_back(record: Any<Record>) -> bool {
-        decode(&encode(&record.0)) == Some(record.0)
+        decode(&encode(&record.0)) == Ok(record.0)
     }
 
     fn a_truncated_message_is_not_decoded(request: Any<Request>, cut: usize) -> bool {
         let bytes = encode(&request.0);
-        decode::<Request>(&bytes[..cut % bytes.len()]).is_none()
+        decode::<Request>(&bytes[..cut % bytes.len()]).is_err()
     }
 
     fn a_longer_message_is_not_read(request: Any<Request>, rest: Vec<u8>) -> bool {
         let mut bytes = encode(&request.0);
         bytes.extend_from_slice(&rest);
-        rest.is_empty() || decode::<Request>(&bytes).is_none()
+        rest.is_empty() || decode::<Request>(&bytes).is_err()
     }
 
     fn any_bytes_are_read_without_panic(bytes: Vec<u8>) -> bool {
@@ -221,8 +221,8 @@
         }
         let bytes = snapshot.finish();
         let found = snapshot_records(&bytes).unwrap();
-        let found: Vec<Option<Record>> = found.into_iter().map(decode).collect();
-        found == records.into_iter().map(|record| Some(record.0)).collect::<Vec<_>>()
+        let found: Vec<Result<Record, MessageError>> = found.into_iter().map(decode).collect();
+        found == records.into_iter().map(|record| Ok(record.0)).collect::<Vec<_>>()
     }
 
     fn turns_are_read_back(input: Vec<u8>, events: Vec<Vec<u8>>, previous: Option<String>) -> bool {
@@ -263,5 +263,5 @@
     });
     let length = bytes.len();
     bytes[length - 4..].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_eq!(decode::<Response>(&bytes), None);
+    assert_eq!(decode::<Response>(&bytes), Err(MessageError::Malformed));
 }
--- a/crates/tier/storage/tests/recorded_bytes/main.rs
+++ b/crates/tier/storage/tests/recorded_bytes/main.rs
@@ -16,7 +16,7 @@
 };
 use speedy::{LittleEndian, Readable};
 use woadreach_storage::announce::{Announcement, Announcements, handler, is_from_quorum};
-use woadreach_storage::message::{MessageError, Request, Response, encode, read};
+use woadreach_storage::message::{MessageError, Request, Response, decode, encode};
 use woadreach_storage::node::StorageNode;
 use woadreach_storage::placement::group;
 use woadreach_storage::record::{Record, SnapshotWriter, snapshot_records};
@@ -28,7 +28,7 @@
 fn every_kind_of_record_is_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("records");
     for (name, record) in records() {
-        recorded.check(name, &record, encode, |bytes| read(bytes));
+        recorded.check(name, &record, encode, |bytes| decode(bytes));
     }
     recorded.finish();
 }
@@ -44,7 +44,7 @@
     let found = snapshot_records(&written).expect("a whole snapshot");
     let found: Vec<Record> = found
         .into_iter()
-        .map(|record| read(record).expect("a record"))
+        .map(|record| decode(record).expect("a record"))
         .collect();
     assert_eq!(
         found,
@@ -59,7 +59,7 @@
 fn every_kind_of_request_is_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("requests");
     for (name, request) in requests() {
-        recorded.check(name, &request, encode, |bytes| read(bytes));
+        recorded.check(name, &request, encode, |bytes| decode(bytes));
     }
     recorded.finish();
 }
@@ -68,7 +68,7 @@
 fn every_kind_of_answer_is_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("responses");
     for (name, response) in responses() {
-        recorded.check(name, &response, encode, |bytes| read(bytes));
+        recorded.check(name, &response, encode, |bytes| decode(bytes));
     }
     recorded.finish();
 }
@@ -77,7 +77,7 @@
 fn announcements_are_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("announcements");
     for (name, announcement) in announcements() {
-        recorded.check(name, &announcement, encode, |bytes| read(bytes));
+        recorded.check(name, &announcement, encode, |bytes| decode(bytes));
     }
     recorded.finish();
 }
@@ -111,18 +111,18 @@
 #[test]
 fn views_are_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("views");
-    recorded.check("view", &view(), StorageView::encode, StorageView::read);
+    recorded.check("view", &view(), StorageView::encode, StorageView::decode);
     recorded.check(
         "joint view",
         &joint_view(),
         StorageView::encode,
-        StorageView::read,
+        StorageView::decode,
     );
     recorded.check(
         "no machines",
         &StorageView::default(),
         StorageView::encode,
-        StorageView::read,
+        StorageView::decode,
     );
     recorded.finish();
 }
@@ -161,7 +161,7 @@
 /// Every encoded message and record, and how it is read.
 fn all_bytes() -> Vec<(&'static str, Vec<u8>, Reader)> {
     fn reader<T: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Result<(), MessageError> {
-        read::<T>(bytes).map(|_| ())
+        decode::<T>(bytes).map(|_| ())
     }
     let mut all: Vec<(&'static str, Vec<u8>, Reader)> = Vec::new();
     all.extend(
@@ -238,15 +238,15 @@
         encode(&responses()[1].1),
     );
     assert_eq!(
-        outcome(read::<Record>(&with(record, 1, 3))),
+        outcome(decode::<Record>(&with(record, 1, 3))),
         "malformed message"
     );
     assert_eq!(
-        outcome(read::<Request>(&with(request, 17, 8))),
+        outcome(decode::<Request>(&with(request, 17, 8))),
         "malformed message"
     );
     assert_eq!(
-        outcome(read::<Response>(&with(response, 9, 11))),
+        outcome(decode::<Response>(&with(response, 9, 11))),
         "malformed message"
     );
 }
