--- a/crates/tier/storage/src/cache.rs
+++ b/crates/tier/storage/src/cache.rs
@@ -1,14 +1,16 @@
-//! Cache of the durable turns that a proxy has seen, so that it seldom reads from the storage machines.
+//! Cache of the durable turns that a proxy has seen, so that its [`StorageClient`](crate::StorageClient) seldom reads
+//! from the storage machines.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::turn::{Turn, TurnKey};
+use crate::turn::{Turn, TurnKey, ancestry};
 
-/// A cached turn and when it expires.
+/// Key of a cached turn, and when the turn expires.
 #[derive(Debug)]
 struct CachedKey {
+    /// Time since the client's start.
     expires: Duration,
     key: TurnKey,
 }
@@ -17,7 +19,9 @@
 #[derive(Debug)]
 pub struct TurnCache {
     turns: HashMap<TurnKey, Arc<Turn>>,
+    /// Keys of all `turns`, in the order in which they were added.
     order: VecDeque<CachedKey>,
+    /// Approximate bytes of all `turns`; at most `max_bytes` after each insertion.
     bytes: usize,
     max_bytes: usize,
 }
@@ -34,7 +38,7 @@
         }
     }
 
-    /// Adds a durable turn.
+    /// Adds a durable turn; one that is cached already keeps its place in the order.
     pub fn insert(&mut self, now: Duration, turn: Arc<Turn>) {
         self.expire(now);
         let key = turn.key();
@@ -52,19 +56,10 @@
     /// The turn and its ancestors, newest first, up to the first that is not cached.
     #[must_use]
     pub fn chain(&self, newest: &TurnKey) -> Vec<Arc<Turn>> {
-        let mut chain: Vec<Arc<Turn>> = Vec::new();
-        let mut next = self.turns.get(newest);
-        while let Some(turn) = next {
-            if chain.len() > self.turns.len() {
-                break;
-            }
-            chain.push(Arc::clone(turn));
-            next = turn
-                .previous
-                .as_ref()
-                .and_then(|previous| self.turns.get(previous));
-        }
-        chain
+        let previous = |turn: &Turn| self.turns.get(turn.previous.as_ref()?);
+        ancestry(self.turns.get(newest), self.turns.len(), previous)
+            .cloned()
+            .collect()
     }
 
     /// Approximate bytes of all turns.
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -159,10 +159,7 @@
             match answer {
                 Ok(Ok(Answer::Found { programs })) => {
                     if let Some(program) = programs.into_iter().next() {
-                        let found = TurnKey {
-                            program,
-                            request_id: key.request_id.clone(),
-                        };
+                        let found = TurnKey::new(&program, &key.request_id);
                         return self.search_group(view, &found, deadline).await;
                     }
                 }
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -205,11 +205,7 @@
         program: &str,
         request_id: &str,
     ) -> Result<Vec<Arc<Turn>>, ChainError> {
-        let key = TurnKey {
-            program: program.to_owned(),
-            request_id: request_id.to_owned(),
-        };
-        self.read_chain(key).await
+        self.read_chain(TurnKey::new(program, request_id)).await
     }
 
     /// Ancestors of `turn` from another program, to be stored in its own program's group.
@@ -217,10 +213,7 @@
         let Some(previous) = &turn.previous else {
             return Ok(Vec::new());
         };
-        let own = TurnKey {
-            program: turn.program.clone(),
-            request_id: previous.request_id.clone(),
-        };
+        let own = TurnKey::new(&turn.program, &previous.request_id);
         if !self.shared.cache.lock().chain(&own).is_empty() {
             return Ok(Vec::new());
         }
--- a/crates/tier/storage/src/store.rs
+++ b/crates/tier/storage/src/store.rs
@@ -1,4 +1,5 @@
-//! State of one storage machine in memory: turns and budgets by program.
+//! State of one storage machine in memory: turns and budgets by program. [`StorageNode`](crate::node::StorageNode)
+//! owns it and decides what is written to it.
 //!
 //! A program's turns are kept together until the retention of its newest turn has passed, so that no chain loses its
 //! ancestors; its budget is kept for longer, as the program may take further turns.
@@ -12,7 +13,7 @@
 
 use crate::budget::{Budget, Reservation};
 use crate::message::{ProgramDigest, ProgramRecords};
-use crate::turn::TurnRecord;
+use crate::turn::{TurnRecord, ancestry};
 
 /// Added to the retention, for the latency to the client and back.
 const RETENTION_MARGIN: Duration = Duration::from_secs(5);
@@ -23,8 +24,11 @@
 #[derive(Clone, Debug, Default)]
 struct Program {
     budget: Budget,
+    /// Turns by `Request-Id`.
     turns: BTreeMap<String, Arc<TurnRecord>>,
+    /// When the turns expire, all together; never decreases.
     turns_until: Duration,
+    /// When the budget expires if no turns are left; never decreases.
     budget_until: Duration,
 }
 
@@ -38,6 +42,7 @@
         }
     }
 
+    /// Hash over the turns' `Request-Id`s and the reservations, in any order.
     fn digest(&self) -> u64 {
         let turns = self
             .turns
@@ -71,9 +76,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     programs: BTreeMap<String, Program>,
-    /// Programs that have a turn with this `Request-Id`.
+    /// Names of the programs that have a turn with this `Request-Id`; no set is empty.
     programs_of: BTreeMap<String, BTreeSet<String>>,
+    /// One entry for each program, at its [`Program::next_expiry`].
     expiries: BTreeSet<Expiry>,
+    /// Approximate bytes of all turns.
     bytes: usize,
 }
 
@@ -154,19 +161,15 @@
         let Some(found) = self.programs.get(program) else {
             return chain;
         };
-        let mut next = found.turns.get(request_id);
+        let newest = found.turns.get(request_id);
+        let previous = |turn: &TurnRecord| found.turns.get(turn.previous.as_ref()?);
         let mut bytes = 0;
-        while let Some(turn) = next {
+        for turn in ancestry(newest, found.turns.len(), previous) {
             bytes += turn.size();
-            let full = bytes > max_bytes && !chain.is_empty();
-            if full || chain.len() > found.turns.len() {
+            if bytes > max_bytes && !chain.is_empty() {
                 break;
             }
             chain.push(Arc::clone(turn));
-            next = turn
-                .previous
-                .as_ref()
-                .and_then(|previous| found.turns.get(previous));
         }
         chain
     }
--- a/crates/tier/storage/src/turn.rs
+++ b/crates/tier/storage/src/turn.rs
@@ -1,5 +1,7 @@
-//! Turns of a conversation: a client's input and the events of the answer.
+//! Turns of a conversation: a client's input and the events of the answer, as clients use them ([`Turn`]) and as they
+//! are sent and stored ([`TurnRecord`]).
 
+use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
@@ -14,6 +16,17 @@
     pub request_id: String,
 }
 
+impl TurnKey {
+    /// Key of the turn that `program` took with this `Request-Id`.
+    #[must_use]
+    pub fn new(program: &str, request_id: &str) -> TurnKey {
+        TurnKey {
+            program: program.to_owned(),
+            request_id: request_id.to_owned(),
+        }
+    }
+}
+
 /// A turn with its complete answer. Turns are immutable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Turn {
@@ -37,10 +50,7 @@
     /// Key of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
-        TurnKey {
-            program: self.program.clone(),
-            request_id: self.request_id.clone(),
-        }
+        TurnKey::new(&self.program, &self.request_id)
     }
 
     /// Approximate bytes of the turn in memory.
@@ -90,10 +100,7 @@
     /// Key of the turn.
     #[must_use]
     pub fn key(&self) -> TurnKey {
-        TurnKey {
-            program: self.program.clone(),
-            request_id: self.request_id.clone(),
-        }
+        TurnKey::new(&self.program, &self.request_id)
     }
 
     /// Approximate bytes of the record in memory.
@@ -107,10 +114,9 @@
     pub fn into_turn(self) -> Option<Turn> {
         let (input, events) = decode_content(self.content.into())?;
         let program = self.program;
-        let previous = self.previous.map(|request_id| TurnKey {
-            program: program.clone(),
-            request_id,
-        });
+        let previous = self
+            .previous
+            .map(|request_id| TurnKey::new(&program, &request_id));
         Some(Turn {
             program,
             session: self.session,
@@ -123,6 +129,18 @@
     }
 }
 
+/// The turn `newest` and its ancestors, newest first, as far as `previous` finds them among the `known` turns.
+///
+/// Turns of a faulty sender may continue each other in a circle, so no more than one turn beyond `known` follow.
+pub(crate) fn ancestry<'a, T>(
+    newest: Option<&'a Arc<T>>,
+    known: usize,
+    previous: impl Fn(&T) -> Option<&'a Arc<T>>,
+) -> impl Iterator<Item = &'a Arc<T>> {
+    std::iter::successors(newest, move |turn| previous(turn)).take(known + 1)
+}
+
+/// Encodes the input and the events, each with its length (4 bytes, little endian) before it.
 fn encode_content(input: &Bytes, events: &[Bytes]) -> Vec<u8> {
     let length: usize = events.iter().map(|event| 4 + event.len()).sum();
     let mut content = BytesMut::with_capacity(4 + input.len() + length);
@@ -133,6 +151,7 @@
     content.into()
 }
 
+/// Decodes what [`encode_content`] has encoded; `None` if it is truncated or empty.
 fn decode_content(mut content: Bytes) -> Option<(Bytes, Vec<Bytes>)> {
     let mut parts = Vec::new();
     while !content.is_empty() {
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -266,6 +266,13 @@
     assert_eq!(node.store().reservations("other"), []);
 }
 
+/// The turns of a conversation that ends with `request_id`, oldest first.
+async fn conversation(client: &StorageClient, program: &str, request_id: &str) -> Vec<Turn> {
+    let chain = client.chain(program, request_id).await;
+    let chain = chain.expect("the conversation");
+    chain.iter().map(|turn| Turn::clone(turn)).collect()
+}
+
 #[test]
 fn complete_conversations_are_read_from_an_earlier_disk() {
     let folder = copied_disk();
@@ -277,29 +284,12 @@
             turn("program", "b", Some(("program", "a"))),
             turn("program", "c", Some(("program", "b"))),
         ];
-        let chain = client
-            .chain("program", "c")
-            .await
-            .expect("the conversation");
-        assert_eq!(
-            chain
-                .iter()
-                .map(|turn| Turn::clone(turn))
-                .collect::<Vec<_>>(),
-            expected
-        );
-        let chain = client.chain("other", "d").await.expect("the conversation");
+        assert_eq!(conversation(&client, "program", "c").await, expected);
         let expected = [
             turn("other", "a", None),
             turn("other", "d", Some(("other", "a"))),
         ];
-        assert_eq!(
-            chain
-                .iter()
-                .map(|turn| Turn::clone(turn))
-                .collect::<Vec<_>>(),
-            expected
-        );
+        assert_eq!(conversation(&client, "other", "d").await, expected);
     });
 }
 
@@ -317,14 +307,7 @@
     });
     in_one_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
-        assert_eq!(
-            client
-                .chain("program", "e")
-                .await
-                .expect("the conversation")
-                .len(),
-            4
-        );
+        assert_eq!(conversation(&client, "program", "e").await.len(), 4);
         let refused = client
             .reserve(&request("program", "f", 11))
             .await
