--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -51,12 +51,12 @@
 
     /// Announces until the future is dropped.
     pub(crate) async fn run(mut self) {
-        let mut pulled = self.server.pulled();
+        let mut announcement_changed = self.server.announcement_changed();
         loop {
             let pause = async {
                 tokio::select! {
                     () = sleep(ANNOUNCE_INTERVAL) => self.server.tick(),
-                    _ = pulled.changed() => {}
+                    _ = announcement_changed.changed() => {}
                 }
             };
             let (is_answered, ()) = tokio::join!(self.announce(), pause);
@@ -103,7 +103,7 @@
         }
         let now = Instant::now();
         if now.saturating_duration_since(self.last_answer) > PARTITION_TIMEOUT {
-            self.server.missed_records();
+            self.server.request_pull();
         }
         self.last_answer = now;
     }
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -1,5 +1,5 @@
-//! What is known of one incarnation of a replica, and how two statuses of it are merged. Core machines
-//! ([`Registry`](crate::Registry)) and their observers ([`ReplicaTable`](crate::replica_table::ReplicaTable)) merge alike.
+//! What is known of one incarnation of a replica, and how two statuses of it are merged: alike by core machines
+//! ([`Registry`](crate::Registry)) and their observers ([`ReplicaTable`](crate::replica_table::ReplicaTable)).
 //!
 //! Statuses are ordered by the replica's own `sequence`; at the same sequence a departure is the newer one. A
 //! merge takes the larger status. It is commutative and idempotent, so that all machines reach the same state
--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -1,4 +1,6 @@
 //! Announcements of the storage machines to the core: that they run, with which disk, and how far they have pulled.
+//! A storage machine sends [`Server::announcement`](crate::server::Server::announcement); a core machine collects them
+//! in [`Announcements`], from which it plans the next [view](crate::view).
 
 use std::collections::BTreeMap;
 use std::future::{Future, Ready, ready};
@@ -49,9 +51,11 @@
 /// Announcements that one core machine has received.
 #[derive(Debug)]
 pub struct Announcements {
+    /// By name of the machine; at most [`MAX_MACHINES`].
     observations: BTreeMap<String, MachineObservation>,
     /// Since when this observer has received announcements without a gap.
     listening_since: Instant,
+    /// When the last announcement of any machine arrived, or when this observer started.
     last_heard_any: Instant,
 }
 
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -1,4 +1,5 @@
-//! Reading a chain of turns (a turn and those before it; not the chain of core machines): from the cache, the nearest machine of the group, the others of the group, then all machines.
+//! Reading a chain of turns (a turn and those before it; not the chain of core machines): from the cache, the nearest
+//! machine of the group, the others of the group, then all machines.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one storage machine.
+//! One request to one storage machine, on which reads and writes of the client are built.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Client of the storage machines, for edges.
+//! Client of the storage machines, for edges: reserves tokens before a turn, stores the turn and settles its
+//! reservation after it, and reads the chain that a turn continues.
 
 mod chain;
 mod exchange;
@@ -84,11 +85,16 @@
 
 struct Shared {
     rpc: Client,
+    /// Zone of this process, whose machines are read from first.
     zone: String,
+    /// Number of machines that may be lost at once.
     tolerated: usize,
+    /// Origin of the times of the cache.
     started: Instant,
+    /// The newest view known; its epoch never decreases.
     view: watch::Sender<Arc<StorageView>>,
     cache: Mutex<TurnCache>,
+    /// Source of the reservations' numbers.
     random: Mutex<Rand64>,
     unresponsive: Mutex<UnresponsivePeers>,
 }
--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/peers.rs
@@ -40,6 +40,7 @@
     pub(super) epoch: u64,
     /// Disk of the machine.
     pub(super) disk: u64,
+    /// What it has answered.
     pub(super) answer: Answer,
 }
 
@@ -48,9 +49,11 @@
 
 /// One write for one machine.
 pub(super) struct Delivery {
+    /// Epoch under which it is sent.
     epoch: u64,
     request: EncodedRequest,
     answers: AnswerSender,
+    /// When the delivery began.
     since: Instant,
 }
 
@@ -67,12 +70,13 @@
 
 /// Writes that an unresponsive machine has missed, oldest first.
 #[derive(Default)]
-struct Missed {
+struct MissedWrites {
     queue: VecDeque<Delivery>,
+    /// Bytes of the requests in `queue`.
     bytes: usize,
 }
 
-impl Missed {
+impl MissedWrites {
     fn push(&mut self, delivery: Delivery) {
         self.bytes += delivery.request.len();
         self.queue.push_back(delivery);
@@ -101,7 +105,7 @@
 /// Missed writes of the machines that do not answer at present, by disk.
 #[derive(Default)]
 pub(super) struct UnresponsivePeers {
-    missed: HashMap<u64, Missed>,
+    missed: HashMap<u64, MissedWrites>,
 }
 
 /// Outcome of one attempt.
--- a/crates/tier/storage/src/client/reservation.rs
+++ b/crates/tier/storage/src/client/reservation.rs
@@ -1,4 +1,5 @@
-//! A turn's reservation in its program's budget, for as long as the turn runs.
+//! A turn's reservation in its program's budget, for as long as the turn runs: the client hands it to the edge, which
+//! counts the tokens delivered.
 
 use std::fmt::{Debug, Formatter};
 use std::time::Duration;
@@ -22,8 +23,10 @@
 pub struct ReservationGuard {
     client: StorageClient,
     program: String,
+    /// [`Reservation::id`](crate::budget::Reservation::id).
     id: u64,
     delivered_tokens: u64,
+    /// Whether a quorum has the settlement.
     settled: bool,
 }
 
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -1,4 +1,4 @@
-//! Writes to quorums of a program's groups.
+//! Writes to quorums of a program's groups: drives one [`Write`] until it is durable.
 
 use std::time::Duration;
 
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages between proxies, storage machines and each other.
+//! Messages from proxies to storage machines, and between storage machines. Those to the core are in
+//! [`announce`](crate::announce).
 
 use speedy::{Readable, Writable};
 
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -1,4 +1,5 @@
-//! One storage machine, without I/O or clock.
+//! One storage machine, without I/O or clock: what it answers to requests and writes to its journal.
+//! [`Server`](crate::server::Server) drives it.
 //!
 //! A request is either answered at once or leads to a record that must be synced first; the answer to the latter is
 //! built from the receipt of that sync.
@@ -60,12 +61,18 @@
 /// State of one storage machine.
 #[derive(Clone, Debug)]
 pub struct StorageNode {
+    /// Name of the machine.
     name: String,
+    /// Identity of its disk.
     disk: u64,
+    /// Number of machines that may be lost at once.
     tolerated: usize,
+    /// The newest view that this machine knows; its epoch is 0 before the first.
     view: StorageView,
     /// Requests of epochs before this one are refused even after a restart.
+    /// At most the epoch of `view`.
     sealed_epoch: u64,
+    /// Joint epoch for which everything has been pulled and synced; 0 if none.
     pulled_epoch: u64,
     /// Whether the disk has refused records that are in memory.
     has_unsynced_records: bool,
--- a/crates/tier/storage/src/operation.rs
+++ b/crates/tier/storage/src/operation.rs
@@ -1,4 +1,5 @@
-//! One write of a client to the quorums of a program's groups, and whether a reservation fits the budget.
+//! One write of a client to the quorums of a program's groups, and whether a reservation fits the budget. The
+//! [`client`](crate::client) sends what it decides.
 
 use crate::budget::Budget;
 use crate::message::{Answer, Operation};
@@ -17,9 +18,12 @@
 pub struct Write {
     program: String,
     operation: Operation,
+    /// Number of machines that may be lost at once.
     tolerated: usize,
+    /// Epoch of the view that `quorum` is of.
     epoch: u64,
     quorum: Quorum,
+    /// Answers under `epoch` that have counted for the quorum.
     answers: Vec<Answer>,
 }
 
@@ -85,8 +89,8 @@
         self.quorum.is_reached()
     }
 
-    /// Whether a durable reservation of `max_tokens` fits into `budget`. Of two reservations that do not fit together at
-    /// least one sees the other, since their quorums intersect.
+    /// Whether a durable reservation of `max_tokens` fits into `budget`. Of two reservations that do not fit together
+    /// at least one sees the other, since their quorums intersect.
     #[must_use]
     pub fn is_within_budget(&self, reservation: u64, max_tokens: u64, budget: u64) -> bool {
         let mut known = Budget::default();
--- a/crates/tier/storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -3,6 +3,8 @@
 //! Every machine is ranked by rendezvous hashing (Thaler & Ravishankar, 1998) of its name and the program's. Machines
 //! of zones that are not represented yet come first.
 
+use std::cmp::Reverse;
+
 use woadreach_routing::rendezvous::rank;
 
 use crate::view::StorageMember;
@@ -20,22 +22,18 @@
         .iter()
         .map(|member| (rank(program.as_bytes(), &member.node), member))
         .collect();
-    ranked.sort_by(|left, right| {
-        right
-            .0
-            .cmp(&left.0)
-            .then_with(|| left.1.node.cmp(&right.1.node))
-    });
+    ranked.sort_by_key(|&(rank, member)| (Reverse(rank), member.node.as_str()));
     let mut chosen: Vec<&StorageMember> = Vec::with_capacity(size);
+    // Each pass takes the first machine of every zone that has any left.
     while chosen.len() < size {
         let mut zones: Vec<&str> = Vec::new();
         ranked.retain(|(_, member)| {
-            let fresh = chosen.len() < size && !zones.contains(&member.zone.as_str());
-            if fresh {
+            let is_taken = chosen.len() < size && !zones.contains(&member.zone.as_str());
+            if is_taken {
                 zones.push(&member.zone);
                 chosen.push(member);
             }
-            !fresh
+            !is_taken
         });
     }
     chosen
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -1,4 +1,5 @@
-//! Copying the records that a machine should hold from other members.
+//! Copying the records that a machine should hold from other members: what to request, and when it is complete.
+//! [`Server`](crate::server::Server) drives it.
 //!
 //! A machine of `next` pulls from the members of `current`, page by page: digests first, then the records of
 //! the programs whose digests differ. A source that serves a page has sealed the epoch, so no write under an
@@ -17,9 +18,13 @@
 /// Progress of one pull from all sources of an epoch.
 #[derive(Debug, Clone)]
 pub struct Pull {
+    /// Epoch of the view under which the pull runs.
     epoch: u64,
+    /// Members that hold everything acknowledged, this machine included if it is one of them.
     sources: Vec<StorageMember>,
+    /// Disks of the sources of which everything is synced here, each once.
     finished: Vec<u64>,
+    /// The pull is complete if no more sources than these are unfinished; with distinct zones, if no more zones are.
     max_missing: usize,
     /// Whether a group has at most one machine of each zone.
     has_distinct_zones: bool,
@@ -90,8 +95,11 @@
 /// Progress through the pages of one source.
 #[derive(Debug, Clone, Default)]
 pub struct Pages {
+    /// Last program of the last page of digests; `None` before the first page.
     after: Option<String>,
+    /// Whether no page of digests follows.
     last_page: bool,
+    /// Programs whose digests differ and whose records are still to be requested.
     to_fetch: VecDeque<String>,
 }
 
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -1,5 +1,6 @@
 //! Progress of one operation over a program's group, under one view: a majority quorum or, in a joint epoch, one of
-//! each group (joint consensus, Ongaro, Consensus: Bridging Theory and Practice, §4.3).
+//! each group (joint consensus, Ongaro, Consensus: Bridging Theory and Practice, §4.3). A
+//! [`Write`](crate::operation::Write) is durable once its quorum is reached.
 
 use crate::placement::{group, read_quorum, write_quorum};
 use crate::view::{StorageMember, StorageView};
@@ -17,7 +18,9 @@
 #[derive(Debug, Clone)]
 struct GroupQuorum {
     disks: Vec<u64>,
+    /// Those of `disks` that have answered, each once.
     answered: Vec<u64>,
+    /// Number of answers that the quorum takes.
     needed: usize,
 }
 
@@ -57,7 +60,9 @@
 /// Answers of the program's present group and, in a joint epoch, of its next one.
 #[derive(Debug, Clone)]
 pub struct Quorum {
+    /// One group, or two in a joint epoch.
     groups: Vec<GroupQuorum>,
+    /// Members of all groups, each disk once.
     members: Vec<StorageMember>,
 }
 
--- a/crates/tier/storage/src/record.rs
+++ b/crates/tier/storage/src/record.rs
@@ -1,4 +1,5 @@
-//! Records that a storage machine writes to its journal.
+//! Records that a storage machine writes to its journal, and the snapshots that replace them. A
+//! [`StorageNode`](crate::node::StorageNode) is recovered from them.
 
 use speedy::{Readable, Writable};
 
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Driver of one storage machine: requests, journal, views, pulls and upkeep.
+//! Driver of one storage machine: carries out what its [`StorageNode`] decides, on the network and in the journal.
 
 mod pulling;
 mod start;
@@ -62,15 +62,20 @@
 }
 
 struct Shared {
+    /// Origin of the times that are passed to the node.
     started: Instant,
     node: Mutex<StorageNode>,
     journal: Journal,
+    /// Client for pulls from other machines.
     rpc: Client,
+    /// Address of this machine for the tier's own traffic.
     address: SocketAddr,
+    /// Zone of this machine.
     zone: String,
     /// Why a pull is due; changes with the view's epoch, and when records may have been missed.
     pull_due: watch::Sender<PullDue>,
-    pulled: watch::Sender<u64>,
+    /// Joint epoch for which everything has been pulled; notified as well when a shutdown begins.
+    pulled_epoch: watch::Sender<u64>,
     upkeep: Mutex<Upkeep>,
     /// Whether the process is shutting down.
     shutting_down: AtomicBool,
@@ -81,6 +86,7 @@
 /// Why a pull is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PullDue {
+    /// Epoch of the view that this machine knows.
     epoch: u64,
     /// Rises whenever records may have been missed: after a start, a freeze or a partition.
     missed: u64,
@@ -108,7 +114,7 @@
             address: options.address,
             zone: options.zone,
             pull_due: watch::Sender::new(PullDue { epoch, missed: 1 }),
-            pulled: watch::Sender::new(0),
+            pulled_epoch: watch::Sender::new(0),
             upkeep: Mutex::new(Upkeep::new(started, &options.node)),
             shutting_down: AtomicBool::new(false),
             disk_refuses: AtomicBool::new(false),
@@ -147,7 +153,7 @@
     /// Begins a graceful shutdown: it is announced to the core at once and with each later announcement.
     pub fn begin_shutdown(&self) {
         self.shared.shutting_down.store(true, Ordering::Relaxed);
-        self.shared.pulled.send_modify(|_| {});
+        self.shared.pulled_epoch.send_modify(|_| {});
     }
 
     /// Whether the process may exit during a graceful shutdown; see [`StorageNode::may_shut_down`].
@@ -156,10 +162,11 @@
         self.shared.node.lock().may_shut_down()
     }
 
-    /// Notified whenever the announcement should be sent at once.
+    /// Joint epoch for which everything has been pulled. Notified whenever the announcement should be sent at once:
+    /// when a pull is complete, and when a shutdown begins.
     #[must_use]
-    pub fn pulled(&self) -> watch::Receiver<u64> {
-        self.shared.pulled.subscribe()
+    pub fn announcement_changed(&self) -> watch::Receiver<u64> {
+        self.shared.pulled_epoch.subscribe()
     }
 
     /// Learns a committed view.
@@ -170,8 +177,8 @@
         }
     }
 
-    /// Pulls again from the others, because this machine may have missed records.
-    pub fn missed_records(&self) {
+    /// Requests a pull from the others, since this machine may have missed records.
+    pub fn request_pull(&self) {
         self.shared.pull_due.send_modify(|due| due.missed += 1);
     }
 
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -1,4 +1,5 @@
-//! Pulls: in joint epochs, and after this machine may have missed records.
+//! Pulls: in joint epochs, and after this machine may have missed records. Drives [`Pull`], and [`Pages`] for each
+//! source.
 
 use std::time::Duration;
 
@@ -20,6 +21,7 @@
 const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
+    /// Pulls whenever that is due; a pull is abandoned when it is due for another reason.
     pub(super) async fn pull_when_due(&self) {
         let mut due = self.shared.pull_due.subscribe();
         due.mark_changed();
@@ -64,6 +66,7 @@
         while sources.join_next().await.is_some() {}
     }
 
+    /// Syncs that the pull for `epoch` is complete, until the disk takes it, and has it announced.
     async fn end_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
@@ -73,9 +76,10 @@
             sleep(PULL_RETRY_INTERVAL).await;
         }
         tracing::info!(epoch, "storage pull completed");
-        self.shared.pulled.send_replace(epoch);
+        self.shared.pulled_epoch.send_replace(epoch);
     }
 
+    /// Calls a source under `epoch`; `None` without an answer that can be decoded.
     async fn call_source(
         &self,
         source: &StorageMember,
@@ -99,6 +103,7 @@
         Some(response.answer)
     }
 
+    /// Merges and syncs the records of one program, until the disk takes them.
     async fn store_pulled(&self, records: ProgramRecords) {
         loop {
             let step = self.shared.node.lock().merge(self.now(), records.clone());
@@ -111,6 +116,7 @@
     }
 }
 
+/// Waits until a pull is due for another reason than the known one.
 async fn next_due(due: &mut watch::Receiver<PullDue>, known: PullDue) {
     let _ = due.wait_for(|due| *due != known).await;
 }
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -1,4 +1,4 @@
-//! Expiry, compaction, and detection of a process that was frozen.
+//! Periodic work of a storage machine: expiry, compaction of the journal, and detection of a process that was frozen.
 
 use std::time::{Duration, Instant};
 
@@ -15,6 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Upkeep {
     last_tick: Instant,
+    /// Whether a snapshot is being written.
     compacting: bool,
     /// Length of the log, as a percentage of the live bytes, beyond which it is compacted. It differs between the
     /// machines, so that they do not compact at the same time.
@@ -37,7 +38,7 @@
         let now = Instant::now();
         let last_tick = std::mem::replace(&mut self.shared.upkeep.lock().last_tick, now);
         if now.saturating_duration_since(last_tick) > MAX_TICK_GAP {
-            self.missed_records();
+            self.request_pull();
         }
         self.shared.node.lock().expire(self.now());
         self.compact_if_due();
--- a/crates/tier/storage/src/view/member.rs
+++ b/crates/tier/storage/src/view/member.rs
@@ -1,4 +1,4 @@
-//! One machine of the membership.
+//! One machine of the membership, and its encoding in a [`StorageView`](crate::StorageView).
 
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! The agreed membership of the storage machines.
+//! The agreed membership of the storage machines. The core commits each [`StorageView`], as [`plan`] and [`retire`]
+//! propose it; storage machines and clients go by the newest that they know.
 
 mod member;
 mod plan;
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -1,4 +1,5 @@
-//! Decides changes of the membership from what the machines announce.
+//! Decides changes of the membership from what the machines announce. The core's head asks for a plan periodically and
+//! commits it on condition that the epoch is still the same.
 //!
 //! ```text
 //! no view       -> first view, once enough machines have announced themselves
@@ -167,8 +168,8 @@
         nodes.collect()
     }
 
-    /// Removes unresponsive machines, the longest unresponsive first, where others have replaced them or enough remain. A
-    /// machine that is unresponsive during a change of the membership is removed sooner, since it stalls the change.
+    /// Removes unresponsive machines, the longest unresponsive first, where others have replaced them or enough remain.
+    /// A machine that is unresponsive during a change of the membership is removed sooner, since it stalls the change.
     fn remove_unresponsive(&self, wanted: &mut Vec<StorageMember>) {
         let current = &self.view.current;
         let is_wanted =
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -75,10 +75,33 @@
         self.server.announcement().member
     }
 
-    fn stop(self) -> (String, SocketAddr, TempDir) {
+    fn stop(self) -> StoppedMachine {
         drop(self.stop);
         self.thread.join().unwrap();
-        (self.node, self.address, self.folder)
+        StoppedMachine {
+            node: self.node,
+            address: self.address,
+            folder: self.folder,
+        }
+    }
+}
+
+/// What remains of a machine that has been stopped.
+struct StoppedMachine {
+    node: String,
+    address: SocketAddr,
+    folder: TempDir,
+}
+
+impl StoppedMachine {
+    /// Starts it again with its disk.
+    fn restart(self) -> Machine {
+        start(&self.node, self.folder, Some(self.address))
+    }
+
+    /// Starts it again with an empty disk.
+    fn restart_wiped(self) -> Machine {
+        start(&self.node, tempfile::tempdir().unwrap(), Some(self.address))
     }
 }
 
@@ -262,10 +285,7 @@
     tokio::time::advance(Duration::from_millis(1)).await;
     tokio::time::advance(Duration::from_secs(20)).await;
     tokio::time::resume();
-    let start_again = |(node, address, folder): (String, SocketAddr, TempDir)| {
-        start(&node, folder, Some(address))
-    };
-    let _machines: Vec<Machine> = stopped.into_iter().map(start_again).collect();
+    let _machines: Vec<Machine> = stopped.into_iter().map(StoppedMachine::restart).collect();
     let _next = wait_until_granted(&two, &request("p", "b", 100, 70)).await;
 }
 
@@ -274,12 +294,12 @@
     let (mut machines, view) = machines(3);
     let writer = client(&view);
     writer.put_turn(turn("p", "a", None), None).await.unwrap();
-    let (node, address, folder) = machines.remove(0).stop();
+    let stopped = machines.remove(0).stop();
     writer
         .put_turn(turn("p", "b", Some(("p", "a"))), None)
         .await
         .unwrap();
-    let back = start(&node, folder, Some(address));
+    let back = stopped.restart();
     assert_eq!(back.member(), view.current[0]);
     machines.remove(0).stop();
     let reader = client(&view);
@@ -297,10 +317,7 @@
         .unwrap();
     let _open = one.reserve(&request("p", "b", 100, 60)).await.unwrap();
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
-    let start_again = |(node, address, folder): (String, SocketAddr, TempDir)| {
-        start(&node, folder, Some(address))
-    };
-    let _machines: Vec<Machine> = stopped.into_iter().map(start_again).collect();
+    let _machines: Vec<Machine> = stopped.into_iter().map(StoppedMachine::restart).collect();
     let two = client(&view);
     assert_eq!(
         two.reserve(&request("p", "c", 100, 11)).await.unwrap_err(),
@@ -315,12 +332,12 @@
     let (mut machines, view) = machines(3);
     let reader = client(&view);
     assert_eq!(reader.chain("p", "never").await, Err(ChainError::NotFound));
-    let (node, address, _) = machines.remove(0).stop();
+    let stopped = machines.remove(0).stop();
     assert_eq!(
         reader.chain("p", "never").await,
         Err(ChainError::Unavailable)
     );
-    let _wiped = start(&node, tempfile::tempdir().unwrap(), Some(address));
+    let _wiped = stopped.restart_wiped();
     assert_eq!(
         reader.chain("p", "never").await,
         Err(ChainError::Unavailable)
@@ -337,8 +354,8 @@
             .await
             .unwrap();
     }
-    let (node, address, _) = machines.remove(0).stop();
-    let wiped = start(&node, tempfile::tempdir().unwrap(), Some(address));
+    let stopped = machines.remove(0).stop();
+    let wiped = stopped.restart_wiped();
     assert_ne!(wiped.member().disk, view.current[0].disk);
     let mut joint = view.clone();
     joint.epoch = 2;
@@ -347,14 +364,14 @@
         view.current[1].clone(),
         view.current[2].clone(),
     ]);
-    let mut pulled = wiped.server.pulled();
+    let mut pulled_epoch = wiped.server.announcement_changed();
     wiped.server.learn_view(joint.clone()).await;
     writer.set_view(Arc::new(joint.clone()));
     writer
         .put_turn(turn("p0", "b", Some(("p0", "a"))), None)
         .await
         .unwrap();
-    pulled.wait_for(|epoch| *epoch == 2).await.unwrap();
+    pulled_epoch.wait_for(|epoch| *epoch == 2).await.unwrap();
     let after = StorageView {
         epoch: 3,
         current: joint.next.unwrap(),
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -63,6 +63,14 @@
     pub writes: u8,
 }
 
+/// A write that the proxy has begun and that is not acknowledged yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PendingWrite {
+    request_id: String,
+    /// Disks that have answered it under the epoch that the proxy knows, in ascending order.
+    answered: Vec<u64>,
+}
+
 /// A state of the tier.
 #[derive(Clone)]
 pub(crate) struct Tier {
@@ -73,8 +81,8 @@
     views: Vec<StorageView>,
     /// View that the proxy knows, as a position in `views`.
     proxy: usize,
-    /// The proxy's write, and the disks that have answered it under its epoch.
-    write: Option<(String, Vec<u64>)>,
+    /// The proxy's write in flight.
+    write: Option<PendingWrite>,
     acknowledged: Vec<String>,
     counts: Counts,
     pub violation: Option<&'static str>,
@@ -225,7 +233,10 @@
 
     /// The write under the view that the proxy knows, with the answers so far.
     fn write_in_flight(&self, world: &World) -> Option<Write> {
-        let (request_id, answered) = self.write.as_ref()?;
+        let PendingWrite {
+            request_id,
+            answered,
+        } = self.write.as_ref()?;
         let mut view = self.views[self.proxy].clone();
         if world.mutation == Mutation::NextQuorum {
             view.next = None;
@@ -263,14 +274,14 @@
         if answer != Answer::Stored {
             return;
         }
-        let Some((request_id, answered)) = &mut self.write else {
+        let Some(pending) = &mut self.write else {
             return;
         };
-        if !answered.contains(&disk) {
-            answered.push(disk);
-            answered.sort_unstable();
+        if !pending.answered.contains(&disk) {
+            pending.answered.push(disk);
+            pending.answered.sort_unstable();
         }
-        let request_id = request_id.clone();
+        let request_id = pending.request_id.clone();
         if self
             .write_in_flight(world)
             .is_some_and(|write| write.is_durable())
--- a/crates/tier/storage/tests/view_model/tier/model.rs
+++ b/crates/tier/storage/tests/view_model/tier/model.rs
@@ -7,7 +7,7 @@
 use woadreach_storage::view::retire;
 
 use super::super::machine::{Machine, storage_member};
-use super::{Action, Counts, Mutation, Tier, World};
+use super::{Action, Counts, Mutation, PendingWrite, Tier, World};
 
 impl Model for World {
     type State = Tier;
@@ -131,10 +131,13 @@
                 next.proxy = next.views.len() - 1;
                 next.write
                     .iter_mut()
-                    .for_each(|(_, answered)| answered.clear());
+                    .for_each(|pending| pending.answered.clear());
             }
             Action::Write => {
-                next.write = Some((format!("turn-{}", next.counts.writes), Vec::new()));
+                next.write = Some(PendingWrite {
+                    request_id: format!("turn-{}", next.counts.writes),
+                    answered: Vec::new(),
+                });
                 next.counts.writes += 1;
             }
             Action::Put(index) => next.put(self, index),
