--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -52,6 +52,17 @@
     OutOfQuorum,
 }
 
+/// How the request for a peer's registry has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RegistryPull {
+    /// Everything has been received from a peer that knows all replicas.
+    FromWarmPeer,
+    /// Everything has been received from a peer that is warming up itself.
+    FromWarmingPeer,
+    /// A request has failed.
+    Failed,
+}
+
 /// Discovery on a core machine.
 pub struct CoreDiscovery {
     /// Incarnation of this process, not 0.
@@ -286,7 +297,7 @@
             }
             let mut warm_peer = false;
             while let Some(pulled) = pulls.join_next().await {
-                warm_peer |= matches!(pulled, Ok(Some(false)));
+                warm_peer |= matches!(pulled, Ok(RegistryPull::FromWarmPeer));
             }
             let warming = {
                 let view = self.committed.view();
@@ -303,22 +314,28 @@
         }
     }
 
-    /// Requests and merges the registry of `peer`. Returns whether that machine is warming up itself, or
-    /// `None` if a request fails.
-    async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> Option<bool> {
+    /// Requests and merges the registry of `peer`.
+    async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> RegistryPull {
         loop {
             let known = self.state.lock().version_of_peer(peer);
             let body = encode(&Request::Registry(known));
             let answer = self
                 .rpc
                 .call(peer, ServiceId::DISCOVERY, body, REGISTRY_TIMEOUT)
-                .await
-                .ok()?;
-            let response: RegistryResponse = decode_answer(peer, &answer)?;
-            let (warming, more) = (response.warming, response.more);
+                .await;
+            let response: Option<RegistryResponse> =
+                answer.ok().and_then(|answer| decode_answer(peer, &answer));
+            let Some(response) = response else {
+                return RegistryPull::Failed;
+            };
+            let (is_warming, has_more) = (response.warming, response.more);
             self.state.lock().merge_registry(self.now(), peer, response);
-            if !more {
-                return Some(warming);
+            if !has_more {
+                return if is_warming {
+                    RegistryPull::FromWarmingPeer
+                } else {
+                    RegistryPull::FromWarmPeer
+                };
             }
         }
     }
