--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -34,7 +34,7 @@
     heard: BTreeSet<String>,
     /// Replicas that have changed since the last batch; none of them is in `heard`.
     changed: BTreeSet<String>,
-    /// When the last numbered batch was taken.
+    /// When the last numbered batch was made.
     sent_at: Option<Duration>,
 }
 
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -26,6 +26,7 @@
 
 /// Result of a search.
 enum Search {
+    /// A machine has the turn: its chain as far as it has been sent, newest first.
     Found(Vec<TurnRecord>),
     /// No machine that answered has the turn.
     NotFound {
@@ -172,10 +173,11 @@
         }
     }
 
+    /// Machines of the program's groups, each disk once, in no particular order.
     fn group_members(&self, view: &StorageView, program: &str) -> Vec<StorageMember> {
         let mut members: HashMap<u64, StorageMember> = HashMap::new();
-        for list in std::iter::once(&view.current).chain(&view.next) {
-            for member in group(list, program, self.shared.tolerated) {
+        for membership in view.memberships() {
+            for member in group(membership, program, self.shared.tolerated) {
                 members.entry(member.disk).or_insert_with(|| member.clone());
             }
         }
--- a/crates/tier/storage/src/codec.rs
+++ b/crates/tier/storage/src/codec.rs
@@ -20,7 +20,7 @@
     bytes.push(MESSAGE_VERSION);
     message
         .write_to_stream(&mut bytes)
-        .expect("memory takes any message");
+        .expect("writing to memory does not fail");
     bytes
 }
 
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -12,7 +12,7 @@
 use crate::message::{
     Answer, FencingToken, Operation, ProgramRecords, Request, Response, Settlement, decode, encode,
 };
-use crate::placement::holds;
+use crate::placement::is_in_group;
 use crate::record::{Record, SnapshotWriter, snapshot_records};
 use crate::store::{DigestPage, Store};
 use crate::turn::TurnRecord;
@@ -371,7 +371,7 @@
         if self.sealed_epoch < fencing_token.epoch {
             return self.reply(Answer::Behind);
         }
-        let wanted = |program: &str| holds(self.view.latest(), program, self.tolerated, node);
+        let wanted = |program: &str| is_in_group(self.view.latest(), program, self.tolerated, node);
         let DigestPage { digests, more } = self.store.digests(after, MAX_DIGESTS, wanted);
         self.reply(Answer::DigestPage { digests, more })
     }
--- a/crates/tier/storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -41,7 +41,7 @@
 
 /// Whether `node` belongs to the group of `program`.
 #[must_use]
-pub fn holds(members: &[StorageMember], program: &str, tolerated: usize, node: &str) -> bool {
+pub fn is_in_group(members: &[StorageMember], program: &str, tolerated: usize, node: &str) -> bool {
     group(members, program, tolerated)
         .iter()
         .any(|member| member.node == node)
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -20,7 +20,7 @@
     disks: Vec<u64>,
     /// Those of `disks` that have answered, each once.
     answered: Vec<u64>,
-    /// Number of answers that the quorum takes.
+    /// Number of answers that reach the quorum.
     needed: usize,
 }
 
@@ -72,9 +72,9 @@
     pub fn new(view: &StorageView, program: &str, tolerated: usize, kind: QuorumKind) -> Quorum {
         let mut groups = Vec::with_capacity(2);
         let mut members: Vec<StorageMember> = Vec::new();
-        for list in std::iter::once(&view.current).chain(&view.next) {
-            groups.push(GroupQuorum::new(list, program, tolerated, kind));
-            for member in group(list, program, tolerated) {
+        for membership in view.memberships() {
+            groups.push(GroupQuorum::new(membership, program, tolerated, kind));
+            for member in group(membership, program, tolerated) {
                 if !members.iter().any(|known| known.disk == member.disk) {
                     members.push(member.clone());
                 }
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -66,7 +66,7 @@
         while sources.join_next().await.is_some() {}
     }
 
-    /// Syncs that the pull for `epoch` is complete, until the disk takes it, and has it announced.
+    /// Syncs that the pull for `epoch` is complete, until the disk accepts it, and has it announced.
     async fn end_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
@@ -103,7 +103,7 @@
         Some(response.answer)
     }
 
-    /// Merges and syncs the records of one program, until the disk takes them.
+    /// Merges and syncs the records of one program, until the disk accepts them.
     async fn store_pulled(&self, records: ProgramRecords) {
         loop {
             let step = self.shared.node.lock().merge(self.now(), records.clone());
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -1,5 +1,5 @@
 //! The agreed membership of the storage machines. The core commits each [`StorageView`], as [`plan`] and [`retire`]
-//! propose it; storage machines and clients go by the newest that they know.
+//! propose it; storage machines and clients use the newest that they know.
 
 mod member;
 mod plan;
@@ -67,6 +67,13 @@
         self.next.as_deref().unwrap_or(&self.current)
     }
 
+    /// The memberships of which an operation needs a quorum each: `current` and, in a joint epoch, `next`.
+    pub fn memberships(&self) -> impl Iterator<Item = &[StorageMember]> {
+        std::iter::once(&self.current)
+            .chain(&self.next)
+            .map(Vec::as_slice)
+    }
+
     /// All machines of the view, each disk once.
     #[must_use]
     pub fn members(&self) -> Vec<&StorageMember> {
