--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -1,4 +1,5 @@
-//! Driver of [`Watcher`]: polls core machines and publishes the [`ControlSnapshot`].
+//! Driver of [`Watcher`] on every process that observes the core: polls core machines and publishes the
+//! [`ControlSnapshot`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,21 +25,33 @@
 /// How often a process that knows no address of a core machine checks for new ones.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Result of a call to a core machine.
-enum Completed {
-    Poll(SocketAddr, Option<PollResponse>),
-    Configuration(Option<Configuration>),
+/// A call to a core machine that has ended.
+enum CompletedCall {
+    Poll {
+        machine: SocketAddr,
+        /// `None` if the poll has failed.
+        response: Option<PollResponse>,
+    },
+    FetchConfiguration {
+        /// `None` if it could not be fetched or parsed.
+        configuration: Option<Configuration>,
+    },
 }
 
-/// Client side of discovery.
+/// Observer of the core machines: the client side of discovery.
 pub struct ControlWatch {
     rpc: Client,
+    /// Origin of the times that are passed to the watcher.
     started: Instant,
     watcher: Watcher,
-    calls: JoinSet<Completed>,
+    /// Polls and fetches in flight.
+    calls: JoinSet<CompletedCall>,
+    /// What the next publication contains.
     snapshot: ControlSnapshot,
     publisher: watch::Sender<Arc<ControlSnapshot>>,
+    /// When the settings were last read for seeds.
     settings_read_at: Instant,
+    /// Source of further addresses of core machines, if the process takes part in peer sampling.
     sampler: Option<Arc<Sampler>>,
 }
 
@@ -118,40 +131,43 @@
                     let body = encode(&Request::Poll(request));
                     self.calls.spawn(async move {
                         let answer = rpc.call(machine, ServiceId::DISCOVERY, body, timeout).await;
-                        Completed::Poll(
-                            machine,
-                            answer
-                                .ok()
-                                .and_then(|answer| decode_answer(machine, &answer)),
-                        )
+                        let response = answer
+                            .ok()
+                            .and_then(|answer| decode_answer(machine, &answer));
+                        CompletedCall::Poll { machine, response }
                     });
                 }
                 WatchAction::FetchConfiguration { machine, timeout } => {
                     let body = encode(&Request::Configuration);
                     self.calls.spawn(async move {
                         let answer = rpc.call(machine, ServiceId::DISCOVERY, body, timeout).await;
-                        Completed::Configuration(
-                            answer
-                                .ok()
-                                .and_then(|answer| parse_configuration(machine, &answer)),
-                        )
+                        let configuration = answer
+                            .ok()
+                            .and_then(|answer| parse_configuration(machine, &answer));
+                        CompletedCall::FetchConfiguration { configuration }
                     });
                 }
             }
         }
     }
 
-    fn handle_completion(&mut self, completed: Completed) {
+    fn handle_completion(&mut self, completed: CompletedCall) {
         let now = self.now();
         let change = match completed {
-            Completed::Poll(machine, Some(response)) => {
-                self.watcher.poll_answered(now, machine, response)
-            }
-            Completed::Poll(machine, None) => {
+            CompletedCall::Poll {
+                machine,
+                response: Some(response),
+            } => self.watcher.poll_answered(now, machine, response),
+            CompletedCall::Poll {
+                machine,
+                response: None,
+            } => {
                 tracing::debug!(%machine, "poll of a core machine failed");
                 self.watcher.poll_failed(now, machine)
             }
-            Completed::Configuration(configuration) => self.apply_configuration(now, configuration),
+            CompletedCall::FetchConfiguration { configuration } => {
+                self.apply_configuration(now, configuration)
+            }
         };
         self.publish(change);
     }
@@ -181,7 +197,7 @@
             self.snapshot.replicas = Arc::clone(self.watcher.table().present());
         }
         if change.core_or_configuration {
-            self.snapshot.core_members = self.watcher.members().to_vec();
+            self.snapshot.core_machines = self.watcher.core_machines().to_vec();
         }
         if change.storage_view {
             self.publish_storage_view();
@@ -197,7 +213,7 @@
         let Some(CommittedValue { version, bytes }) = self.watcher.storage_view() else {
             return;
         };
-        match StorageView::read(bytes) {
+        match StorageView::decode(bytes) {
             Ok(view) => self.snapshot.storage_view = Some(Arc::new(view)),
             Err(error) => tracing::error!(epoch = *version, %error, "storage view parsing failed"),
         }
@@ -210,16 +226,16 @@
             sampler.set_disconnected(is_disconnected);
             if is_disconnected {
                 self.watcher
-                    .set_hints(sampler.core_machines().borrow().clone());
+                    .set_sampled_machines(sampler.core_machines().borrow().clone());
             }
         }
         if is_disconnected && self.settings_read_at.elapsed() >= SETTINGS_RELOAD_INTERVAL {
             self.settings_read_at = Instant::now();
-            self.reread_seeds();
+            self.reload_seeds();
         }
     }
 
-    fn reread_seeds(&mut self) {
+    fn reload_seeds(&mut self) {
         match NodeSettings::load_from_environment() {
             Ok(settings) => {
                 let seeds = settings.seed_internal_addresses();
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -1,4 +1,5 @@
-//! Driver of [`CoreState`]: heartbeats, batches between core machines, and long-polls.
+//! Driver of [`CoreState`] on a core machine: serves heartbeats, long-polls and the requests of other core machines,
+//! and exchanges batches and registries with them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,13 +28,13 @@
 
 /// How often time-outs are checked and batches are sent.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause before a peer that did not acknowledge a departure is notified again.
+/// Time after a failed notification of a departure before the peer is notified again.
 const DEPARTURE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// Time-out of a request for another core machine's registry.
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Longest time that a poll is held open.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// Pause before a machine that is still warming up requests its peers' registries again.
+/// Time before a machine that is still warming up requests its peers' registries again.
 const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a replica's heartbeat or deregistration is not acknowledged.
@@ -51,9 +52,22 @@
     OutOfQuorum,
 }
 
+/// How the request for a peer's registry has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RegistryPull {
+    /// Everything has been received from a peer that knows all replicas.
+    FromWarmPeer,
+    /// Everything has been received from a peer that is warming up itself.
+    FromWarmingPeer,
+    /// A request has failed.
+    Failed,
+}
+
 /// Discovery on a core machine.
 pub struct CoreDiscovery {
+    /// Incarnation of this process, not 0.
     incarnation: u64,
+    /// Origin of the times that are passed to the state.
     started: Instant,
     rpc: Client,
     committed: Arc<dyn CommittedState>,
@@ -113,8 +127,8 @@
     /// # Errors
     /// If the heartbeat is rejected, or other machines may not learn of it.
     pub async fn heartbeat(&self, id: &str, heartbeat: Heartbeat) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
-        self.after_change(id, ack).await
+        let outcome = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
+        self.after_change(id, outcome).await
     }
 
     /// Applies a replica's deregistration, and notifies the other core machines before it returns.
@@ -122,8 +136,8 @@
     /// # Errors
     /// If the id is invalid, or other machines may not learn of the deregistration.
     pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
-        let ack = self.state.lock().deregister(self.now(), id)?;
-        self.after_change(id, ack).await
+        let outcome = self.state.lock().deregister(self.now(), id)?;
+        self.after_change(id, outcome).await
     }
 
     /// Counters of the registry since the start.
@@ -140,12 +154,16 @@
         self.started.elapsed()
     }
 
-    async fn after_change(&self, id: &str, ack: HeartbeatOutcome) -> Result<(), AcknowledgeError> {
-        let is_acknowledged = match ack {
-            HeartbeatOutcome::Unchanged => self.may_acknowledge(ack),
+    async fn after_change(
+        &self,
+        id: &str,
+        outcome: HeartbeatOutcome,
+    ) -> Result<(), AcknowledgeError> {
+        let is_acknowledged = match outcome {
+            HeartbeatOutcome::Unchanged => self.may_acknowledge(outcome),
             HeartbeatOutcome::Changed => {
                 self.flush.notify_one();
-                self.may_acknowledge(ack)
+                self.may_acknowledge(outcome)
             }
             HeartbeatOutcome::Departing => {
                 self.publish();
@@ -159,9 +177,11 @@
         }
     }
 
-    fn may_acknowledge(&self, ack: HeartbeatOutcome) -> bool {
+    fn may_acknowledge(&self, outcome: HeartbeatOutcome) -> bool {
         let view = self.committed.view();
-        self.state.lock().may_acknowledge(self.now(), ack, &view)
+        self.state
+            .lock()
+            .may_acknowledge(self.now(), outcome, &view)
     }
 
     /// Wakes the pending polls if the registry has changed, and the pull task if a peer's registry is
@@ -277,7 +297,7 @@
             }
             let mut warm_peer = false;
             while let Some(pulled) = pulls.join_next().await {
-                warm_peer |= matches!(pulled, Ok(Some(false)));
+                warm_peer |= matches!(pulled, Ok(RegistryPull::FromWarmPeer));
             }
             let warming = {
                 let view = self.committed.view();
@@ -294,22 +314,28 @@
         }
     }
 
-    /// Requests and merges the registry of `peer`. Returns whether that machine is warming up itself, or
-    /// `None` if a request fails.
-    async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> Option<bool> {
+    /// Requests and merges the registry of `peer`.
+    async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> RegistryPull {
         loop {
             let known = self.state.lock().version_of_peer(peer);
             let body = encode(&Request::Registry(known));
             let answer = self
                 .rpc
                 .call(peer, ServiceId::DISCOVERY, body, REGISTRY_TIMEOUT)
-                .await
-                .ok()?;
-            let response: RegistryResponse = decode_answer(peer, &answer)?;
-            let (warming, more) = (response.warming, response.more);
+                .await;
+            let response: Option<RegistryResponse> =
+                answer.ok().and_then(|answer| decode_answer(peer, &answer));
+            let Some(response) = response else {
+                return RegistryPull::Failed;
+            };
+            let (is_warming, has_more) = (response.warming, response.more);
             self.state.lock().merge_registry(self.now(), peer, response);
-            if !more {
-                return Some(warming);
+            if !has_more {
+                return if is_warming {
+                    RegistryPull::FromWarmingPeer
+                } else {
+                    RegistryPull::FromWarmPeer
+                };
             }
         }
     }
--- a/crates/tier/discovery/src/registry.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -1,18 +1,21 @@
 //! The replicas that one core machine knows: soft state, built from heartbeats and from the other core
-//! machines.
+//! machines. [`CoreState`](crate::core_state::CoreState) owns it, and answers polls and peers from it.
 //!
 //! Every change of a replica's content is assigned the next `revision`, by which watchers and other core
 //! machines request what is new to them. Departures remain as tombstones for [`TOMBSTONE_TTL`], so that
 //! neither a delayed heartbeat nor a delayed message of a core machine restores a departed replica.
 
+mod changes;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+pub use self::changes::{Refresh, RefreshResult, RegistryChanges, RegistryVersion};
 use crate::heartbeat_check::{DepartedSnafu, StaleSnafu, check_heartbeat, check_id};
 pub use crate::heartbeat_check::{HeartbeatError, MAX_ID_BYTES, MAX_MODELS, MAX_NAME_BYTES};
 use crate::replica::{Heartbeat, ReplicaRecord, ReplicaState};
-use crate::status::{Departure, ReplicaStatus};
+use crate::status::{Departure, IdentifiedStatus, ReplicaStatus};
 
 /// How long a tombstone is retained.
 pub const TOMBSTONE_TTL: Duration = Duration::from_secs(300);
@@ -49,69 +52,43 @@
     pub superseded: u64,
 }
 
-/// A state of one machine's registry. Versions of different incarnations are not comparable.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-pub struct RegistryVersion {
-    /// Incarnation of the process; 0 for none.
-    pub incarnation: u64,
-    /// Revision within it.
-    pub revision: u64,
-    /// Highest revision at or below which a tombstone had been dropped. A receiver that has taken this
-    /// version knows no replica whose tombstone was dropped up to it.
-    pub floor: u64,
-}
-
-/// Changes of a registry since a version.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RegistryChanges {
-    /// Version that the receiver has after these changes.
-    pub version: RegistryVersion,
-    /// Whether these changes start a complete list, which replaces everything listed before.
-    pub restart: bool,
-    /// Whether further changes have to be requested.
-    pub more: bool,
-    /// Newest status of each replica that has changed, by id.
-    pub statuses: Vec<(String, ReplicaStatus)>,
+/// A registered replica, and when it was heard last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RegisteredReplica<'a> {
+    /// What is known of it.
+    pub record: &'a ReplicaRecord,
+    /// Time since its last heartbeat.
+    pub idle_time: Duration,
 }
 
+/// What the registry knows of one incarnation of a replica.
 struct Entry {
     status: ReplicaStatus,
+    /// [`ReplicaRecord::content_digest`] of a registered replica, 0 for a tombstone.
     digest: u32,
+    /// Revision of the last change; its key in [`Registry::by_revision`].
     revision: u64,
-    /// When its sequence number last rose, or when it became a tombstone.
+    /// When its last heartbeat was applied, or when it became a tombstone.
     heard_at: Duration,
 }
 
-/// A heartbeat without changes, as forwarded to the other core machines.
-#[derive(Clone, Debug, PartialEq, Eq, speedy::Readable, speedy::Writable)]
-pub struct Refresh {
-    /// Identifier of the replica's incarnation.
-    pub id: String,
-    /// Its newest sequence number.
-    pub sequence: u64,
-    /// Digest of its content, by which the receiver notices that its record has diverged.
-    pub digest: u32,
-}
-
-/// Whether a [`Refresh`] could be applied.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefreshResult {
-    /// It has been applied, or was known already.
-    Known,
-    /// The content is unknown here and has to be requested from the sender.
-    Unknown,
-}
-
 /// The replicas that one core machine knows.
 pub struct Registry {
+    /// Incarnation of this process, not 0.
     incarnation: u64,
+    /// Revision of the newest change.
     revision: u64,
     /// Revision up to which tombstones may have been dropped.
     dropped_tombstone_revision: u64,
+    /// Time without a heartbeat after which a replica is superseded by another at its address.
     supersede_after: Duration,
+    /// Registered replicas and tombstones by id.
     entries: BTreeMap<String, Entry>,
+    /// Ids of all entries by the revision of their last change.
     by_revision: BTreeMap<u64, String>,
+    /// Ids of the registered replicas by address; no set is empty.
     by_address: BTreeMap<SocketAddr, BTreeSet<String>>,
+    /// Number of registered replicas; the other entries are tombstones.
     present: usize,
     counters: RegistryCounters,
 }
@@ -158,13 +135,14 @@
         self.entries.get(id).map(|entry| &entry.status)
     }
 
-    /// The registered replicas in the order of their ids, each with the time since its last heartbeat.
-    pub fn replicas(&self, now: Duration) -> impl Iterator<Item = (&ReplicaRecord, Duration)> {
+    /// The registered replicas in the order of their ids.
+    pub fn replicas(&self, now: Duration) -> impl Iterator<Item = RegisteredReplica<'_>> {
         self.entries.values().filter_map(move |entry| {
-            entry
-                .status
-                .record()
-                .map(|record| (record, now.saturating_sub(entry.heard_at)))
+            let record = entry.status.record()?;
+            Some(RegisteredReplica {
+                record,
+                idle_time: now.saturating_sub(entry.heard_at),
+            })
         })
     }
 
@@ -184,7 +162,21 @@
             return Err(error);
         }
         let record = ReplicaRecord::new(id, heartbeat);
-        let ack = match self.entries.get(id).map(|entry| &entry.status) {
+        let outcome = self.compare_with_known(id, &record)?;
+        let address = record.heartbeat.address;
+        self.counters.accepted += 1;
+        self.replace_status(now, id, ReplicaStatus::Present(record));
+        self.supersede_others_at(now, address, id);
+        Ok(outcome)
+    }
+
+    /// How a valid heartbeat changes what is known of `id`; counts it if it is rejected.
+    fn compare_with_known(
+        &mut self,
+        id: &str,
+        record: &ReplicaRecord,
+    ) -> Result<HeartbeatOutcome, HeartbeatError> {
+        let outcome = match self.entries.get(id).map(|entry| &entry.status) {
             Some(ReplicaStatus::Departed {
                 departure: Departure::Deregistered,
                 ..
@@ -192,7 +184,7 @@
                 self.counters.departed += 1;
                 return DepartedSnafu { id }.fail();
             }
-            Some(ReplicaStatus::Present(known)) if *known == record => HeartbeatOutcome::Unchanged,
+            Some(ReplicaStatus::Present(known)) if known == record => HeartbeatOutcome::Unchanged,
             Some(known) if record.heartbeat.sequence <= known.sequence() => {
                 self.counters.stale += 1;
                 let newest = known.sequence();
@@ -203,21 +195,16 @@
                 }
                 .fail();
             }
-            Some(ReplicaStatus::Present(known)) if known.has_same_content(&record) => {
+            Some(ReplicaStatus::Present(known)) if known.has_same_content(record) => {
                 HeartbeatOutcome::Unchanged
             }
             _ => HeartbeatOutcome::Changed,
         };
-        let ack = if record.heartbeat.state == ReplicaState::Draining {
+        Ok(if record.heartbeat.state == ReplicaState::Draining {
             HeartbeatOutcome::Departing
         } else {
-            ack
-        };
-        let address = record.heartbeat.address;
-        self.counters.accepted += 1;
-        self.replace_status(now, id, ReplicaStatus::Present(record));
-        self.supersede_others_at(now, address, id);
-        Ok(ack)
+            outcome
+        })
     }
 
     /// Applies the deregistration that the replica `id` sent to this machine. An unknown id gets a tombstone
@@ -290,20 +277,16 @@
 
     /// Expires the replicas of which no heartbeat has arrived for longer than `timeout`. Returns their ids.
     pub fn expire(&mut self, now: Duration, timeout: Duration) -> Vec<String> {
-        let expired: Vec<(String, u64)> = self
+        let expired: Vec<String> = self
             .replicas(now)
-            .filter(|(_, idle_time)| *idle_time > timeout)
-            .map(|(record, _)| (record.id.clone(), record.heartbeat.sequence))
+            .filter(|replica| replica.idle_time > timeout)
+            .map(|replica| replica.record.id.clone())
             .collect();
-        for (id, sequence) in &expired {
-            let status = ReplicaStatus::Departed {
-                sequence: *sequence,
-                departure: Departure::Unresponsive,
-            };
-            self.replace_status(now, id, status);
+        for id in &expired {
+            self.replace_by_tombstone(now, id, Departure::Unresponsive);
         }
         self.counters.expired += expired.len() as u64;
-        expired.into_iter().map(|(id, _)| id).collect()
+        expired
     }
 
     /// Starts all time-outs anew: this machine could not receive heartbeats before `now`.
@@ -328,11 +311,12 @@
                 break;
             }
             surplus = surplus.saturating_sub(1);
-            dropped.push((*revision, id.clone()));
+            dropped.push(*revision);
         }
-        for (revision, id) in dropped {
-            self.by_revision.remove(&revision);
-            self.entries.remove(&id);
+        for revision in dropped {
+            if let Some(id) = self.by_revision.remove(&revision) {
+                self.entries.remove(&id);
+            }
             self.dropped_tombstone_revision = self.dropped_tombstone_revision.max(revision);
         }
     }
@@ -355,7 +339,10 @@
                 break;
             }
             reached = *revision;
-            statuses.push((id.clone(), self.entries[id].status.clone()));
+            statuses.push(IdentifiedStatus {
+                id: id.clone(),
+                status: self.entries[id].status.clone(),
+            });
         }
         if !more {
             reached = self.revision;
@@ -383,27 +370,32 @@
         if ids.len() < 2 {
             return;
         }
-        let superseded: Vec<(String, u64)> = ids
+        let superseded: Vec<String> = ids
             .iter()
             .filter(|other| other.as_str() != id)
             .filter_map(|other| self.entries.get(other))
             .filter(|entry| now.saturating_sub(entry.heard_at) >= self.supersede_after)
             .filter_map(|entry| entry.status.record())
-            .map(|record| (record.id.clone(), record.heartbeat.sequence))
+            .map(|record| record.id.clone())
             .collect();
-        for (other, sequence) in superseded {
+        for other in superseded {
             self.counters.superseded += 1;
-            self.replace_status(
-                now,
-                &other,
-                ReplicaStatus::Departed {
-                    sequence,
-                    departure: Departure::Superseded,
-                },
-            );
+            self.replace_by_tombstone(now, &other, Departure::Superseded);
         }
     }
 
+    /// Replaces the record of a registered replica by a tombstone, which a later heartbeat refutes.
+    fn replace_by_tombstone(&mut self, now: Duration, id: &str, departure: Departure) {
+        let Some(sequence) = self.status(id).map(ReplicaStatus::sequence) else {
+            return;
+        };
+        let tombstone = ReplicaStatus::Departed {
+            sequence,
+            departure,
+        };
+        self.replace_status(now, id, tombstone);
+    }
+
     /// Replaces the status of `id`. Every change of a status goes through this function.
     fn replace_status(&mut self, now: Duration, id: &str, status: ReplicaStatus) {
         let digest = status.record().map_or(0, ReplicaRecord::content_digest);
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -1,4 +1,5 @@
 //! Peer sampling with shuffled partial views, by which the processes of the tier know each other.
+//! [`Sampler`](crate::Sampler) drives it.
 //!
 //! Each process has entries of a few others, and periodically exchanges some of them with the process whose
 //! entry is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). A process that no longer
@@ -76,6 +77,7 @@
     node: NodeEntry,
     /// Age of the entry when it was received.
     age: Duration,
+    /// When it was received.
     received_at: Duration,
 }
 
@@ -93,6 +95,15 @@
     }
 }
 
+/// A shuffle that has been started and is to be sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StartedShuffle {
+    /// Internal address of the process to send it to.
+    pub partner: SocketAddr,
+    /// The entries to send.
+    pub shuffle: Shuffle,
+}
+
 /// A shuffle that the partner has not answered yet.
 struct PendingShuffle {
     partner: SocketAddr,
@@ -102,12 +113,18 @@
 
 /// The partial view of one process.
 pub struct PartialView {
+    /// This process; no entry of the view has its address.
     own: NodeEntry,
+    /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
+    /// At most [`MAX_VIEW_ENTRIES`] after each merge, each of another address.
     entries: Vec<ViewEntry>,
     random: Rand32,
+    /// When the next shuffle is due.
     next_shuffle: Duration,
+    /// The shuffle in flight.
     pending: Option<PendingShuffle>,
+    /// Whether this process is disconnected from the core.
     is_disconnected: bool,
 }
 
@@ -166,8 +183,8 @@
         self.next_shuffle
     }
 
-    /// Starts a shuffle if one is due. Returns the partner and the shuffle to send.
-    pub fn start_shuffle(&mut self, now: Duration) -> Option<(SocketAddr, Shuffle)> {
+    /// Starts a shuffle if one is due, and returns what to send to whom.
+    pub fn start_shuffle(&mut self, now: Duration) -> Option<StartedShuffle> {
         if now < self.next_shuffle {
             return None;
         }
@@ -191,7 +208,8 @@
         let chosen = self.choose(partner, MAX_SHUFFLE_ENTRIES - 1);
         let sent = chosen.iter().map(ViewEntry::address).collect();
         self.pending = Some(PendingShuffle { partner, sent });
-        Some((partner, self.shuffle_of(now, &chosen)))
+        let shuffle = self.shuffle_of(now, &chosen);
+        Some(StartedShuffle { partner, shuffle })
     }
 
     /// Merges the shuffle of another process. Returns the answer.
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -1,4 +1,5 @@
-//! What is known of one incarnation of a replica, and how two statuses of it are merged.
+//! What is known of one incarnation of a replica, and how two statuses of it are merged: alike by core machines
+//! ([`Registry`](crate::Registry)) and their observers ([`ReplicaTable`](crate::replica_table::ReplicaTable)).
 //!
 //! Statuses are ordered by the replica's own `sequence`; at the same sequence a departure is the newer one. A
 //! merge takes the larger status. It is commutative and idempotent, so that all machines reach the same state
@@ -21,6 +22,15 @@
     Deregistered,
 }
 
+/// A replica's status with the identifier of its incarnation.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IdentifiedStatus {
+    /// Identifier of the incarnation.
+    pub id: String,
+    /// Its newest status.
+    pub status: ReplicaStatus,
+}
+
 /// Newest status of one incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,11 +1,12 @@
-//! Decisions of the client side, without I/O: which core machines to poll when, and how to merge their
-//! answers.
+//! Decisions of an observer of the core, without I/O: which core machines to poll when, and how to merge their
+//! answers. [`ControlWatch`](crate::ControlWatch) drives them.
 //!
 //! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once.
 //! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
 //! holds for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that
 //! the processes spread over the core machines. A process that has heard no machine in quorum for
-//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: members, seeds and hints.
+//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: those of the core view, the seeds, and those
+//! that peer sampling has found.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -60,7 +61,7 @@
     pub replicas: bool,
     /// The storage view.
     pub storage_view: bool,
-    /// Members of the core, the configuration, or whether the process has warmed up. Not a machine's
+    /// The core machines, the configuration, or whether the process has warmed up. Not a machine's
     /// [`Standing`](crate::messages::Standing).
     pub core_or_configuration: bool,
 }
@@ -72,47 +73,73 @@
     }
 }
 
+/// Whether a configuration is being fetched. `attempts` counts those that have failed since one succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchState {
+    /// No fetch is in flight; the next one may start at `next_at`, if there is a newer configuration.
     Idle { next_at: Duration, attempts: u32 },
+    /// A fetch from `machine` is in flight.
     Fetching { machine: SocketAddr, attempts: u32 },
 }
 
-/// State of the client side.
+/// How far a process that has started has got to a complete and current state.
+///
+/// | state | event | next |
+/// | --- | --- | --- |
+/// | awaiting a list | a trusted machine has sent its complete list | listed |
+/// | listed | the newest configuration is known, and all polled machines have answered or [`WARM_UP_TIMEOUT`] has passed | warm |
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WarmUp {
+    /// No trusted machine has sent its complete list of replicas yet.
+    AwaitingList,
+    /// The first complete list of a trusted machine was received at `since`.
+    Listed { since: Duration },
+    /// The process has had a complete and current state. Final.
+    Warm,
+}
+
+/// What one process knows of the core, and the state of its polls and fetches.
 pub struct Watcher {
+    /// Name of the process, from which the ranks of the core machines follow.
     name: String,
+    /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
-    hints: Vec<SocketAddr>,
+    /// Addresses of core machines that peer sampling has found.
+    sampled_machines: Vec<SocketAddr>,
+    /// Epoch of the newest core view received; 0 before the first.
     view_epoch: u64,
-    members: Vec<SocketAddr>,
+    /// Core machines of that view, empty before the first.
+    core_machines: Vec<SocketAddr>,
+    /// The machines that are polled.
     machines: BTreeMap<SocketAddr, PolledMachine>,
     /// Unhealthy machines that are not polled, and until when.
     unhealthy_until: BTreeMap<SocketAddr, Duration>,
     /// Newest configuration generation that any machine has reported.
     newest_reported_generation: u64,
     table: ReplicaTable,
+    /// Generation of the newest configuration that has been fetched; 0 before the first.
     configuration_generation: u64,
+    /// The newest storage view received, versioned by its epoch.
     storage_view: Option<CommittedValue>,
     fetch: FetchState,
+    /// When a core machine last answered.
     heard_at: Option<Duration>,
     /// When a machine in quorum last answered.
     quorum_heard_at: Option<Duration>,
     started_at: Duration,
-    /// When the first complete list of a trusted machine was received.
-    trusted_since: Option<Duration>,
-    warmed: bool,
+    warm_up: WarmUp,
 }
 
 impl Watcher {
-    /// The client side of the process `name`, which starts at `now` and knows the internal addresses of
+    /// The state of the process `name`, which starts at `now` and knows the internal addresses of
     /// `seeds`.
     pub fn new(now: Duration, name: String, seeds: Vec<SocketAddr>) -> Self {
         Self {
             name,
             seeds,
-            hints: Vec::new(),
+            sampled_machines: Vec::new(),
             view_epoch: 0,
-            members: Vec::new(),
+            core_machines: Vec::new(),
             machines: BTreeMap::new(),
             unhealthy_until: BTreeMap::new(),
             newest_reported_generation: 0,
@@ -126,8 +153,7 @@
             heard_at: None,
             quorum_heard_at: None,
             started_at: now,
-            trusted_since: None,
-            warmed: false,
+            warm_up: WarmUp::AwaitingList,
         }
     }
 
@@ -136,9 +162,9 @@
         &self.table
     }
 
-    /// Members of the core, empty while unknown.
-    pub fn members(&self) -> &[SocketAddr] {
-        &self.members
+    /// Internal addresses of the core machines that the newest [`CoreView`] names, empty before the first.
+    pub fn core_machines(&self) -> &[SocketAddr] {
+        &self.core_machines
     }
 
     /// The newest storage view, versioned by its epoch.
@@ -158,7 +184,7 @@
 
     /// Whether configuration and replicas have been received from a trusted core machine.
     pub fn is_warmed(&self) -> bool {
-        self.warmed
+        self.warm_up == WarmUp::Warm
     }
 
     /// Whether no core machine in quorum has answered for [`QUORUM_CONTACT_TIMEOUT`].
@@ -172,9 +198,10 @@
         self.seeds = seeds;
     }
 
-    /// Replaces the addresses of core machines that peer sampling has found.
-    pub fn set_hints(&mut self, hints: Vec<SocketAddr>) {
-        self.hints = hints;
+    /// Replaces the addresses of core machines that peer sampling has found. They are polled only while this
+    /// process [is disconnected](Self::is_disconnected).
+    pub fn set_sampled_machines(&mut self, sampled_machines: Vec<SocketAddr>) {
+        self.sampled_machines = sampled_machines;
     }
 
     /// Starts all calls that are due at `now`. Returns them for the driver to execute.
@@ -266,10 +293,11 @@
         }
         change.replicas = self.table.apply(now, machine, trusted, response.registry);
         change.replicas |= self.table.sweep(now);
-        if trusted && self.trusted_since.is_none() && self.table.is_complete(machine) {
-            self.trusted_since = Some(now);
+        let is_listed = trusted && self.table.is_complete(machine);
+        if is_listed && self.warm_up == WarmUp::AwaitingList {
+            self.warm_up = WarmUp::Listed { since: now };
         }
-        change.core_or_configuration |= self.update_warmed(now);
+        change.core_or_configuration |= self.complete_warm_up(now);
         change
     }
 
@@ -279,7 +307,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            core_or_configuration: self.update_warmed(now),
+            core_or_configuration: self.complete_warm_up(now),
             ..WatchChange::default()
         }
     }
@@ -312,7 +340,7 @@
                 }
             }
         }
-        self.update_warmed(now);
+        self.complete_warm_up(now);
         newer.is_some()
     }
 
@@ -355,13 +383,13 @@
             return false;
         }
         self.view_epoch = view.epoch;
-        let members: Vec<SocketAddr> = view
+        let core_machines: Vec<SocketAddr> = view
             .core_machines
             .into_iter()
             .map(SocketAddr::from)
             .collect();
-        let changed = members != self.members;
-        self.members = members;
+        let changed = core_machines != self.core_machines;
+        self.core_machines = core_machines;
         changed
     }
 
@@ -379,12 +407,12 @@
     /// The machines to poll at `now`.
     fn wanted_machines(&self, now: Duration) -> Vec<SocketAddr> {
         let is_disconnected = self.is_disconnected(now);
-        let mut known: BTreeSet<SocketAddr> = self.members.iter().copied().collect();
+        let mut known: BTreeSet<SocketAddr> = self.core_machines.iter().copied().collect();
         if known.is_empty() || is_disconnected {
             known.extend(&self.seeds);
         }
         if is_disconnected {
-            known.extend(&self.hints);
+            known.extend(&self.sampled_machines);
         }
         let mut ranked: Vec<SocketAddr> = known.into_iter().collect();
         ranked.sort_by_cached_key(|address| rank(&self.name, *address));
@@ -424,19 +452,19 @@
         }
     }
 
-    /// Updates whether the process has warmed up: it has had a complete and current state once. Returns
-    /// whether it has done so now.
-    fn update_warmed(&mut self, now: Duration) -> bool {
-        let Some(trusted_since) = self.trusted_since else {
+    /// Ends the warm-up if the state is complete and current. Returns whether it has ended now.
+    fn complete_warm_up(&mut self, now: Duration) -> bool {
+        let WarmUp::Listed { since } = self.warm_up else {
             return false;
         };
-        if self.warmed || self.configuration_generation == 0 {
-            return false;
-        }
-        let current = self.configuration_generation >= self.newest_reported_generation;
+        let generation = self.configuration_generation;
+        let is_current = generation > 0 && generation >= self.newest_reported_generation;
         let all_answered = self.machines.values().all(|machine| machine.has_answered);
-        let waited = now.saturating_sub(trusted_since) >= WARM_UP_TIMEOUT;
-        self.warmed = current && (all_answered || waited);
-        self.warmed
+        let has_waited = now.saturating_sub(since) >= WARM_UP_TIMEOUT;
+        let is_warm = is_current && (all_answered || has_waited);
+        if is_warm {
+            self.warm_up = WarmUp::Warm;
+        }
+        is_warm
     }
 }
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -70,7 +70,8 @@
 }
 
 #[test]
-fn an_observer_that_starts_with_partitioned_seeds_is_not_ready_and_finds_the_majority_by_hints() {
+fn an_observer_that_starts_with_partitioned_seeds_is_not_ready_and_finds_the_majority_through_peer_sampling()
+ {
     for seed in 0..10 {
         let mut world = World::new(seed, 4, 2, 12);
         world.run(seconds(8));
@@ -96,7 +97,9 @@
             world.edges[0].watcher.is_disconnected(world.now),
             "seed {seed}: it looks for other machines"
         );
-        world.edges[0].watcher.set_hints(vec![core_address(1)]);
+        world.edges[0]
+            .watcher
+            .set_sampled_machines(vec![core_address(1)]);
         world.run_for(seconds(3));
         assert!(world.edges[0].watcher.is_warmed(), "seed {seed}");
         assert_eq!(world.edges[0].configuration, 9, "seed {seed}");
@@ -220,6 +223,10 @@
     assert!(state.start_departure(millis(1600), &view).is_none());
 }
 
+fn wait_until(until: Duration) -> DepartureDecision {
+    DepartureDecision::Wait { until }
+}
+
 #[test]
 fn a_departure_waits_for_a_majority_of_the_voters_and_not_of_the_members() {
     let voters: Vec<_> = (0..3).map(core_address).collect();
@@ -237,9 +244,7 @@
     notification.record_answer(core_address(0));
     assert_eq!(
         notification.decision(millis(400)),
-        DepartureDecision::Wait {
-            until: MAJORITY_TIMEOUT
-        }
+        wait_until(MAJORITY_TIMEOUT)
     );
     assert_eq!(
         notification.decision(MAJORITY_TIMEOUT),
@@ -248,9 +253,7 @@
     notification.record_answer(core_address(1));
     assert_eq!(
         notification.decision(millis(100)),
-        DepartureDecision::Wait {
-            until: ALL_PEERS_TIMEOUT
-        }
+        wait_until(ALL_PEERS_TIMEOUT)
     );
     assert_eq!(
         notification.decision(ALL_PEERS_TIMEOUT),
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -1,4 +1,5 @@
-//! Reading a chain of turns (a turn and those before it; not the chain of core machines): from the cache, the nearest machine of the group, the others of the group, then all machines.
+//! Reading a chain of turns (a turn and those before it; not the chain of core machines): from the cache, the nearest
+//! machine of the group, the others of the group, then all machines.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,6 +26,7 @@
 
 /// Result of a search.
 enum Search {
+    /// A machine has the turn: its chain as far as it has been sent, newest first.
     Found(Vec<TurnRecord>),
     /// No machine that answered has the turn.
     NotFound {
@@ -159,10 +161,7 @@
             match answer {
                 Ok(Ok(Answer::Found { programs })) => {
                     if let Some(program) = programs.into_iter().next() {
-                        let found = TurnKey {
-                            program,
-                            request_id: key.request_id.clone(),
-                        };
+                        let found = TurnKey::new(&program, &key.request_id);
                         return self.search_group(view, &found, deadline).await;
                     }
                 }
@@ -174,10 +173,11 @@
         }
     }
 
+    /// Machines of the program's groups, each disk once, in no particular order.
     fn group_members(&self, view: &StorageView, program: &str) -> Vec<StorageMember> {
         let mut members: HashMap<u64, StorageMember> = HashMap::new();
-        for list in std::iter::once(&view.current).chain(&view.next) {
-            for member in group(list, program, self.shared.tolerated) {
+        for membership in view.memberships() {
+            for member in group(membership, program, self.shared.tolerated) {
                 members.entry(member.disk).or_insert_with(|| member.clone());
             }
         }
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Client of the storage machines, for edges.
+//! Client of the storage machines, for edges: reserves tokens before a turn, stores the turn and settles its
+//! reservation after it, and reads the chain that a turn continues.
 
 mod chain;
 mod exchange;
@@ -84,11 +85,16 @@
 
 struct Shared {
     rpc: Client,
+    /// Zone of this process, whose machines are read from first.
     zone: String,
+    /// Number of machines that may be lost at once.
     tolerated: usize,
+    /// Origin of the times of the cache.
     started: Instant,
+    /// The newest view known; its epoch never decreases.
     view: watch::Sender<Arc<StorageView>>,
     cache: Mutex<TurnCache>,
+    /// Source of the reservations' numbers.
     random: Mutex<Rand64>,
     unresponsive: Mutex<UnresponsivePeers>,
 }
@@ -205,11 +211,7 @@
         program: &str,
         request_id: &str,
     ) -> Result<Vec<Arc<Turn>>, ChainError> {
-        let key = TurnKey {
-            program: program.to_owned(),
-            request_id: request_id.to_owned(),
-        };
-        self.read_chain(key).await
+        self.read_chain(TurnKey::new(program, request_id)).await
     }
 
     /// Ancestors of `turn` from another program, to be stored in its own program's group.
@@ -217,10 +219,7 @@
         let Some(previous) = &turn.previous else {
             return Ok(Vec::new());
         };
-        let own = TurnKey {
-            program: turn.program.clone(),
-            request_id: previous.request_id.clone(),
-        };
+        let own = TurnKey::new(&turn.program, &previous.request_id);
         if !self.shared.cache.lock().chain(&own).is_empty() {
             return Ok(Vec::new());
         }
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,9 +1,10 @@
-//! Messages between proxies, storage machines and each other.
+//! Messages from proxies to storage machines, and between storage machines. Those to the core are in
+//! [`announce`](crate::announce).
 
 use speedy::{Readable, Writable};
 
 use crate::budget::Reservation;
-pub use crate::codec::{MessageError, decode, encode, read};
+pub use crate::codec::{MessageError, decode, encode};
 use crate::turn::TurnRecord;
 use crate::view::StorageView;
 
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -1,4 +1,5 @@
-//! One storage machine, without I/O or clock.
+//! One storage machine, without I/O or clock: what it answers to requests and writes to its journal.
+//! [`Server`](crate::server::Server) drives it.
 //!
 //! A request is either answered at once or leads to a record that must be synced first; the answer to the latter is
 //! built from the receipt of that sync.
@@ -11,7 +12,7 @@
 use crate::message::{
     Answer, FencingToken, Operation, ProgramRecords, Request, Response, Settlement, decode, encode,
 };
-use crate::placement::holds;
+use crate::placement::is_in_group;
 use crate::record::{Record, SnapshotWriter, snapshot_records};
 use crate::store::{DigestPage, Store};
 use crate::turn::TurnRecord;
@@ -60,12 +61,18 @@
 /// State of one storage machine.
 #[derive(Clone, Debug)]
 pub struct StorageNode {
+    /// Name of the machine.
     name: String,
+    /// Identity of its disk.
     disk: u64,
+    /// Number of machines that may be lost at once.
     tolerated: usize,
+    /// The newest view that this machine knows; its epoch is 0 before the first.
     view: StorageView,
     /// Requests of epochs before this one are refused even after a restart.
+    /// At most the epoch of `view`.
     sealed_epoch: u64,
+    /// Joint epoch for which everything has been pulled and synced; 0 if none.
     pulled_epoch: u64,
     /// Whether the disk has refused records that are in memory.
     has_unsynced_records: bool,
@@ -103,12 +110,12 @@
         let mut all = snapshot
             .into_iter()
             .chain(records.iter().map(Vec::as_slice));
-        let Record::Identity { disk } = decode(all.next()?)? else {
+        let Record::Identity { disk } = decode(all.next()?).ok()? else {
             return None;
         };
         let (mut node, _) = StorageNode::create(name, disk, tolerated);
         for bytes in all {
-            match decode::<Record>(bytes)? {
+            match decode::<Record>(bytes).ok()? {
                 Record::Identity { .. } => return None,
                 Record::View(view) => {
                     node.sealed_epoch = view.epoch;
@@ -364,7 +371,7 @@
         if self.sealed_epoch < fencing_token.epoch {
             return self.reply(Answer::Behind);
         }
-        let wanted = |program: &str| holds(self.view.latest(), program, self.tolerated, node);
+        let wanted = |program: &str| is_in_group(self.view.latest(), program, self.tolerated, node);
         let DigestPage { digests, more } = self.store.digests(after, MAX_DIGESTS, wanted);
         self.reply(Answer::DigestPage { digests, more })
     }
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -1,4 +1,5 @@
-//! The agreed membership of the storage machines.
+//! The agreed membership of the storage machines. The core commits each [`StorageView`], as [`plan`] and [`retire`]
+//! propose it; storage machines and clients use the newest that they know.
 
 mod member;
 mod plan;
@@ -50,13 +51,7 @@
     ///
     /// # Errors
     /// [`MessageError`] if the bytes are no view.
-    pub fn read(bytes: &[u8]) -> Result<StorageView, MessageError> {
-        codec::read(bytes)
-    }
-
-    /// Decodes the view from the control state's bytes; `None` where [`StorageView::read`] fails.
-    #[must_use]
-    pub fn decode(bytes: &[u8]) -> Option<StorageView> {
+    pub fn decode(bytes: &[u8]) -> Result<StorageView, MessageError> {
         codec::decode(bytes)
     }
 
@@ -72,6 +67,13 @@
         self.next.as_deref().unwrap_or(&self.current)
     }
 
+    /// The memberships of which an operation needs a quorum each: `current` and, in a joint epoch, `next`.
+    pub fn memberships(&self) -> impl Iterator<Item = &[StorageMember]> {
+        std::iter::once(&self.current)
+            .chain(&self.next)
+            .map(Vec::as_slice)
+    }
+
     /// All machines of the view, each disk once.
     #[must_use]
     pub fn members(&self) -> Vec<&StorageMember> {
