--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -1,7 +1,7 @@
 //! Agreement on the next view: single-decree Paxos, one instance for each epoch.
 //!
 //! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance
-//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it takes no more
+//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it accepts no more
 //! writes of that epoch, so the state that it reports with the promise is final.
 //!
 //! The acceptor's part is in `member/paxos.rs`; this module is the proposer's.
@@ -21,7 +21,7 @@
 
 use crate::ballot::{Accepted, Ballot};
 use crate::durable::IdleEpoch;
-use crate::state::Stamp;
+use crate::state::WritePosition;
 use crate::view::{MemberId, View};
 
 /// What an acceptor reports with its promise.
@@ -32,8 +32,8 @@
     /// The last epoch in which it was active in the chain. Its state holds every write that was committed
     /// up to and including that epoch.
     pub active_epoch: u64,
-    /// Stamp of its state, committed or not. Final, since the epoch is sealed.
-    pub stamp: Stamp,
+    /// Position of the last write in its state, committed or not. Final, since the epoch is sealed.
+    pub position: WritePosition,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
     /// Members that it has heard within the suspicion time-out, itself included.
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -7,7 +7,7 @@
 use speedy::{Endianness, Readable, Writable};
 
 use crate::ballot::{Accepted, Promise};
-use crate::state::{Command, ControlState, Stamp};
+use crate::state::{Command, ControlState, WritePosition};
 use crate::view::View;
 
 /// Version of the format of records and snapshots.
@@ -42,7 +42,7 @@
     Accept(Accepted),
     /// A decided view.
     View(View),
-    /// The member becomes active in this epoch: its state takes the epoch's writes from here on.
+    /// The member becomes active in this epoch: it appends the epoch's writes from here on.
     Activate(u64),
     /// The predecessor's state replaces the own one, and the epoch is activated.
     State {
@@ -54,7 +54,7 @@
     /// A replicated write.
     Write {
         /// Position of the write; must be above that of the state.
-        stamp: Stamp,
+        position: WritePosition,
         /// The change.
         command: Command,
     },
@@ -128,7 +128,7 @@
                 self.active_epoch = *epoch;
                 self.state = state.clone();
             }
-            Record::Write { stamp, command } => self.state.apply(*stamp, command),
+            Record::Write { position, command } => self.state.apply(*position, command),
         }
     }
 
@@ -155,7 +155,7 @@
             .filter(|promise| promise.epoch == self.view.epoch)
     }
 
-    /// Whether the current epoch is sealed: the member takes no more writes of it.
+    /// Whether the current epoch is sealed: the member accepts no more writes of it.
     pub fn is_sealed(&self) -> bool {
         self.current_promise().is_some()
     }
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -10,7 +10,7 @@
 //!   2001). A promise seals epoch `e` at the voter.
 //! - [`ControlState`]: two compare-and-set registers, the operator's configuration and the view of the
 //!   storage machines. It is replicated down the chain (`replication`; van Renesse & Schneider, Chain
-//!   Replication, 2004): the head takes commands, every member persists a write before it forwards it, and
+//!   Replication, 2004): the head accepts commands, every member persists a write before it forwards it, and
 //!   what the tail has persisted is committed.
 //! - [`Durable`]: what a member has on its disk, as the result of applying [`Record`]s in order.
 //! - `peers` is the failure detector, [`next_view`] chooses the next view, and `election` and the `proposals`
@@ -54,8 +54,8 @@
 pub use policy::{Policy, Tolerance};
 pub use requests::{Reply, Request, RequestId};
 pub use state::{
-    Command, ControlState, Digest, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, PutStorageView,
-    Rejection, Stamp, StoredConfiguration, StoredStorageView, TakenConfiguration, Undecided,
-    Verdict,
+    AppliedConfiguration, Command, ControlState, Digest, MAX_APPLIED_CONFIGURATIONS,
+    PutConfiguration, PutStorageView, Rejection, StoredConfiguration, StoredStorageView, Undecided,
+    Verdict, WritePosition,
 };
 pub use view::{MemberId, View, ViewError};
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -28,7 +28,7 @@
 pub enum Departure {
     /// It may exit: the others have the state on disk and a majority of the voters.
     Free,
-    /// Every other voter is shutting down as well, or there is none: nobody can take over.
+    /// Every other voter is shutting down as well, or there is none: no member can replace this one.
     NobodyStays,
     /// The other reachable voters are no majority.
     VoteNeeded,
@@ -151,7 +151,7 @@
     /// Answers a member that is shutting down, if the state of this epoch is on this disk.
     pub(super) fn send_active(&mut self, to: MemberId) {
         let epoch = self.durable.view.epoch;
-        if self.is_active() && self.replication.persisted_stamp(epoch).is_some() {
+        if self.is_active() && self.replication.persisted_position(epoch).is_some() {
             self.send_now(to.address, Body::Active);
         }
     }
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -5,7 +5,7 @@
 use super::{Member, Output};
 use crate::message::Write;
 use crate::requests::{Reply, Request, RequestId};
-use crate::state::{Command, Stamp, Verdict};
+use crate::state::{Command, Verdict, WritePosition};
 
 impl Member {
     /// Handles a request: answers it, or adds it to the pending ones.
@@ -22,10 +22,10 @@
             Request::ReadConfiguration | Request::Confirm => {
                 let barrier = self.replication.next_barrier(self.barrier_session);
                 let is_configuration = request == Request::ReadConfiguration;
-                let stamp = self.durable.state.stamp;
+                let position = self.durable.state.position;
                 let number = self.barrier_to_wait_for(barrier.number);
                 self.pending_requests
-                    .wait_for_read(id, is_configuration, stamp, number);
+                    .wait_for_read(id, is_configuration, position, number);
             }
         }
         self.advance_replication(now);
@@ -46,28 +46,28 @@
         number
     }
 
-    /// Judges a command on the newest state, and appends it if it is taken.
+    /// Judges a command on the newest state, and appends it if it applies.
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
-        let stamp = self.durable.state.stamp;
+        let position = self.durable.state.position;
         let verdict = self.durable.state.judge(&command);
         #[cfg(feature = "mutations")]
         let Some(verdict) = self.mutated_verdict(id, verdict) else {
             return;
         };
         match verdict {
-            Verdict::Take => {
-                let stamp = Stamp {
+            Verdict::Apply => {
+                let position = WritePosition {
                     epoch: self.durable.view.epoch,
-                    number: stamp.number + 1,
+                    number: position.number + 1,
                 };
-                self.append(Write { stamp, command });
-                self.pending_requests.wait_for_commit(id, stamp, true);
+                self.append(Write { position, command });
+                self.pending_requests.wait_for_commit(id, position, true);
             }
-            Verdict::AlreadyTaken => self.pending_requests.wait_for_commit(id, stamp, false),
+            Verdict::AlreadyApplied => self.pending_requests.wait_for_commit(id, position, false),
             Verdict::Rejected(rejection) => {
                 let barrier = self.replication.next_barrier(self.barrier_session);
                 self.pending_requests
-                    .wait_for_rejection(id, rejection, stamp, barrier.number);
+                    .wait_for_rejection(id, rejection, position, barrier.number);
             }
             // An undecided answer rests on no state, so it waits for no commit.
             Verdict::Undecided(undecided) => {
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -41,7 +41,7 @@
             leaving: self.is_leaving,
             bootstrap: self.durable.bootstrap,
             failure_domain: self.failure_domain,
-            committed: self.published.stamp,
+            committed: self.published.position,
             hears: self.peers.heard_members(now),
         })
     }
@@ -90,9 +90,9 @@
         let can_answer = self.peers.is_in_contact(now, from);
         #[cfg(feature = "mutations")]
         let can_answer =
-            can_answer || self.is_mutated(crate::mutations::Mutation::StateFromTheDeaf);
+            can_answer || self.is_mutated(crate::mutations::Mutation::StateRequestWithoutContact);
         let is_behind =
-            can_answer && heartbeat.committed > self.published.stamp && !self.is_active();
+            can_answer && heartbeat.committed > self.published.position && !self.is_active();
         if is_behind && now >= self.next_state_request {
             self.next_state_request = now + self.state_request_interval;
             self.state_request_interval =
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | in the chain, active | promises in the instance of its epoch | sealed: takes no writes of the epoch |
+//! | in the chain, active | promises in the instance of its epoch | sealed: accepts no writes of the epoch |
 //! | sealed | the next view is decided | head: active; in the chain: waits for predecessor; else outside |
 //! | waits for its predecessor | its state is the predecessor's, or was transferred | active |
 //! | outside the chain | a view adds it | waits for its predecessor |
@@ -95,7 +95,7 @@
     pub(crate) replication: Replication,
     /// Requests to this member as head; empty at every other member.
     pending_requests: PendingRequests,
-    /// The newest committed state that this member knows. Its stamp never decreases.
+    /// The newest committed state that this member knows. Its position never decreases.
     published: Arc<ControlState>,
     /// Session of this member's barriers, drawn anew with every view. Never 0.
     barrier_session: u64,
@@ -177,7 +177,7 @@
     pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
         if mutation == crate::mutations::Mutation::DigestsForgotten {
-            self.durable.state.taken.clear();
+            self.durable.state.applied.clear();
             self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         }
     }
@@ -203,7 +203,7 @@
         &self.published
     }
 
-    /// The state with every write that this member has taken, committed or not.
+    /// The state with every write that this member has appended, committed or not.
     pub fn latest(&self) -> &ControlState {
         &self.durable.state
     }
--- a/crates/tier/chain/src/member/paxos.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -50,7 +50,7 @@
         Report {
             accepted: self.durable.accepted.clone(),
             active_epoch: self.durable.active_epoch,
-            stamp: self.durable.state.stamp,
+            position: self.durable.state.position,
             can_replicate: self.can_replicate(),
             hears: self.peers.heard_members(self.last_tick),
             idle_epochs: self.durable.idle_epochs.clone(),
--- a/crates/tier/chain/src/member/propagation.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -8,11 +8,11 @@
 use super::{MIN_STATE_REQUEST_INTERVAL, Member, Output};
 use crate::durable::Record;
 use crate::message::{Barrier, Body, Write};
-use crate::state::{ControlState, Stamp};
+use crate::state::{ControlState, WritePosition};
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member takes writes of the current epoch: it is in the chain, has activated the epoch and
+    /// Whether this member accepts writes of the current epoch: it is in the chain, has activated the epoch and
     /// has not sealed it.
     pub(crate) fn is_active(&self) -> bool {
         let view = &self.durable.view;
@@ -22,7 +22,7 @@
             && !self.durable.is_sealed()
     }
 
-    /// Whether this member is the head and takes commands.
+    /// Whether this member is the head and accepts commands.
     pub(super) fn is_serving_head(&self) -> bool {
         self.durable.view.head() == Some(self.id) && self.is_active()
     }
@@ -43,7 +43,7 @@
         &mut self,
         now: Duration,
         from: MemberId,
-        after: Stamp,
+        after: WritePosition,
         writes: Vec<Write>,
         barrier: Barrier,
     ) {
@@ -52,7 +52,7 @@
         }
         let epoch = self.durable.view.epoch;
         if self.durable.active_epoch != epoch {
-            if self.durable.state.stamp != after {
+            if self.durable.state.position != after {
                 // Reported as inactive, which makes the predecessor send its complete state.
                 return self.report_to_predecessor();
             }
@@ -60,7 +60,7 @@
             self.replication.restart(record, epoch, &self.durable.state);
         }
         self.replication.record_barrier(barrier);
-        if after <= self.durable.state.stamp {
+        if after <= self.durable.state.position {
             for write in writes {
                 self.append(write);
             }
@@ -73,21 +73,21 @@
 
     /// Appends a write to the state, unless the state contains it. Writes must come without gaps.
     pub(super) fn append(&mut self, write: Write) {
-        if write.stamp <= self.durable.state.stamp {
+        if write.position <= self.durable.state.position {
             return;
         }
-        let Write { stamp, command } = write;
+        let Write { position, command } = write;
         let record = self.persist(Record::Write {
-            stamp,
+            position,
             command: command.clone(),
         });
         self.replication
-            .push(record, self.durable.view.epoch, stamp, command);
+            .push(record, self.durable.view.epoch, position, command);
     }
 
     /// Replaces the own state by the predecessor's and activates the epoch. Before the activation this is
     /// done even if the own state is newer: what it has beyond the predecessor's was never committed. After
-    /// it, only a newer state is taken.
+    /// it, only a newer state replaces the own one.
     pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
@@ -100,7 +100,7 @@
         }
         let epoch = self.durable.view.epoch;
         let must_replace =
-            self.durable.active_epoch != epoch || state.stamp > self.durable.state.stamp;
+            self.durable.active_epoch != epoch || state.position > self.durable.state.position;
         if !must_replace && !self.replication.is_syncing() {
             self.report_to_predecessor();
         }
@@ -124,11 +124,11 @@
         let Some(predecessor) = view.predecessor(self.id) else {
             return;
         };
-        let persisted = self.replication.persisted_stamp(view.epoch);
+        let persisted = self.replication.persisted_position(view.epoch);
         let report = Body::Replicated {
             active: persisted.is_some(),
             persisted: persisted.unwrap_or_default(),
-            committed: self.replication.committed_stamp(),
+            committed: self.replication.committed_position(),
             barrier: self.replication.confirmed(),
         };
         self.send_now(predecessor.address, report);
@@ -141,7 +141,7 @@
             return;
         }
         let epoch = self.durable.view.epoch;
-        let Some(persisted) = self.replication.persisted_stamp(epoch) else {
+        let Some(persisted) = self.replication.persisted_position(epoch) else {
             return;
         };
         let Some(successor) = self.successor() else {
@@ -161,10 +161,10 @@
     pub(super) fn record_chain_progress(
         &mut self,
         now: Duration,
-        committed: Option<Stamp>,
+        committed: Option<WritePosition>,
         barrier: Barrier,
     ) {
-        let is_more = committed.is_some_and(|stamp| self.replication.commit(stamp));
+        let is_more = committed.is_some_and(|position| self.replication.commit(position));
         let is_barrier = self.replication.confirm(barrier);
         if is_more && let Some(state) = self.replication.committed() {
             let state = Arc::new(state.clone());
@@ -181,7 +181,7 @@
 
     /// Publishes a committed state, unless a newer one is published.
     pub(super) fn publish(&mut self, now: Duration, state: Arc<ControlState>) {
-        if state.stamp <= self.published.stamp {
+        if state.position <= self.published.position {
             return;
         }
         self.published = Arc::clone(&state);
--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -69,7 +69,7 @@
                 .map(|&voter| self.peers.committed(voter))
                 .max()
                 .unwrap_or_default();
-            self.is_caught_up = self.published.stamp >= newest;
+            self.is_caught_up = self.published.position >= newest;
         }
     }
 }
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -13,7 +13,7 @@
     pub epoch: u64,
     /// Head of the installed view's chain.
     pub head: Option<MemberId>,
-    /// Whether this member is that head and takes commands.
+    /// Whether this member is that head and accepts commands.
     pub is_head: bool,
     /// Whether the chain contains this member.
     pub in_chain: bool,
--- a/crates/tier/chain/src/member/steps.rs
+++ b/crates/tier/chain/src/member/steps.rs
@@ -59,7 +59,7 @@
             self.proposer.canonical(),
             self.replication.canonical(self.record_number),
             self.pending_requests,
-            self.published.stamp,
+            self.published.position,
             self.barrier_session,
             self.can_replicate(),
         );
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -7,7 +7,7 @@
 use crate::agreement::Report;
 use crate::durable::IdleEpoch;
 use crate::plan::{Candidate, lowered_floor, next_view};
-use crate::state::Stamp;
+use crate::state::WritePosition;
 use crate::view::{MemberId, View};
 
 impl Member {
@@ -22,7 +22,7 @@
             } else {
                 0
             },
-            stamp: Stamp::default(),
+            position: WritePosition::default(),
             can_replicate: if member == self.id {
                 self.can_replicate()
             } else {
@@ -56,7 +56,7 @@
             .map(|member| Candidate {
                 member,
                 active_epoch: 0,
-                stamp: Stamp::default(),
+                position: WritePosition::default(),
                 can_replicate: true,
                 failure_domain: self.failure_domain_of(member),
             })
@@ -98,7 +98,7 @@
             .map(|(&member, report)| Candidate {
                 member,
                 active_epoch: report.active_epoch,
-                stamp: report.stamp,
+                position: report.position,
                 can_replicate: report.can_replicate,
                 failure_domain: self.failure_domain_of(member),
             })
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -6,7 +6,7 @@
 use crate::agreement::Report;
 use crate::ballot::{Accepted, Ballot};
 use crate::failure_domain::FailureDomain;
-use crate::state::{Command, ControlState, Stamp};
+use crate::state::{Command, ControlState, WritePosition};
 use crate::view::{MemberId, View, ViewError};
 
 /// Version of the messages' format.
@@ -70,8 +70,8 @@
     pub bootstrap: bool,
     /// Zone and region of the sender.
     pub failure_domain: FailureDomain,
-    /// Stamp of the newest committed state that the sender knows.
-    pub committed: Stamp,
+    /// Position of the newest committed state that the sender knows.
+    pub committed: WritePosition,
     /// Members that the sender has heard within the suspicion time-out, itself included.
     pub hears: Vec<MemberId>,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Write {
     /// Position of the write, assigned by the head.
-    pub stamp: Stamp,
+    pub position: WritePosition,
     /// The change itself, which the head has judged.
     pub command: Command,
 }
@@ -133,9 +133,9 @@
     RequestView,
     /// From the predecessor: consecutive writes. Without writes it is a probe.
     Replicate {
-        /// Stamp of the write before the first of `writes`.
-        after: Stamp,
-        /// Writes in ascending order of stamps.
+        /// Position of the write before the first of `writes`.
+        after: WritePosition,
+        /// Writes in ascending order of positions.
         writes: Vec<Write>,
         /// The newest barrier that the predecessor has seen.
         barrier: Barrier,
@@ -151,10 +151,10 @@
     Replicated {
         /// Whether the sender has activated the epoch on disk.
         active: bool,
-        /// Stamp of the sender's persisted state in this epoch; the default if it isn't active.
-        persisted: Stamp,
-        /// Stamp of the last write that the sender knows to be committed in this epoch.
-        committed: Option<Stamp>,
+        /// Position of the sender's persisted state in this epoch; the default if it isn't active.
+        persisted: WritePosition,
+        /// Position of the last write that the sender knows to be committed in this epoch.
+        committed: Option<WritePosition>,
         /// The newest barrier that the tail has confirmed to the sender.
         barrier: Barrier,
     },
--- a/crates/tier/chain/src/mutations.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -11,22 +11,22 @@
     AcknowledgeBeforeSync,
     /// Messages are handled whatever their epoch.
     NoEpochCheck,
-    /// A restart loses the digests of taken configurations.
+    /// A restart loses the digests of applied configurations.
     DigestsForgotten,
     /// A member that hears a majority reports that it is in quorum, even if the majority does not hear it.
     QuorumByHearing,
     /// The committed state is requested also from members that do not hear this one.
-    StateFromTheDeaf,
+    StateRequestWithoutContact,
     /// A read is answered without a barrier.
     ReadWithoutBarrier,
     /// A change on a generation that isn't in force yet is rejected.
-    RefusedFutureBase,
+    RejectedFutureBase,
     /// A change that is too old to be remembered is rejected.
-    RefusedForgotten,
+    RejectedForgotten,
     /// A rejection leaves before the state that it is based on is committed and confirmed by a barrier.
-    RefusedBeforeCommit,
+    RejectedBeforeCommit,
     /// A duplicate of a change is acknowledged before the change is committed.
-    RepeatBeforeCommit,
+    DuplicateBeforeCommit,
     /// A member that is shutting down exits at once.
     LeavesAtOnce,
     /// A member that is shutting down exits once a view without it is installed.
@@ -36,13 +36,13 @@
 impl Mutation {
     /// The verdict that replaces `verdict`. `current` is the generation in force.
     pub(crate) fn mutate_verdict(self, verdict: Verdict, current: u64) -> Verdict {
-        let refused = Verdict::Rejected(Rejection::BaseMismatch { current });
+        let rejected = Verdict::Rejected(Rejection::BaseMismatch { current });
         match (self, verdict) {
-            (Mutation::RefusedFutureBase, Verdict::Undecided(Undecided::FutureBase { .. })) => {
-                refused
+            (Mutation::RejectedFutureBase, Verdict::Undecided(Undecided::FutureBase { .. })) => {
+                rejected
             }
-            (Mutation::RefusedForgotten, Verdict::Undecided(Undecided::Forgotten { .. })) => {
-                refused
+            (Mutation::RejectedForgotten, Verdict::Undecided(Undecided::Forgotten { .. })) => {
+                rejected
             }
             _ => verdict,
         }
@@ -51,10 +51,12 @@
     /// The reply that leaves at once, although it should wait for a commit.
     pub(crate) fn premature_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
-            (Mutation::RefusedBeforeCommit, Verdict::Rejected(rejection)) => {
+            (Mutation::RejectedBeforeCommit, Verdict::Rejected(rejection)) => {
                 Some(Reply::Rejected(rejection))
             }
-            (Mutation::RepeatBeforeCommit, Verdict::AlreadyTaken) => Some(Reply::AlreadyTaken),
+            (Mutation::DuplicateBeforeCommit, Verdict::AlreadyApplied) => {
+                Some(Reply::AlreadyCommitted)
+            }
             _ => None,
         }
     }
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -9,7 +9,7 @@
 
 use crate::failure_domain::FailureDomain;
 use crate::message::{Heartbeat, HeartbeatTime};
-use crate::state::Stamp;
+use crate::state::WritePosition;
 use crate::view::MemberId;
 
 /// A member from which no message has come for this time is suspected.
@@ -42,8 +42,8 @@
     sent: HeartbeatTime,
     /// Send time of the newest heartbeat of this member that it has echoed. Never above the current time.
     echoed: Option<Duration>,
-    /// Stamp of the newest committed state that it has reported. Never decreases.
-    committed: Stamp,
+    /// Position of the newest committed state that it has reported. Never decreases.
+    committed: WritePosition,
     /// When it last listed each member as heard.
     hears: BTreeMap<MemberId, Duration>,
 }
@@ -246,8 +246,8 @@
             || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT_TIMEOUT)
     }
 
-    /// Stamp of the newest committed state that `member` has reported.
-    pub(crate) fn committed(&self, member: MemberId) -> Stamp {
+    /// Position of the newest committed state that `member` has reported.
+    pub(crate) fn committed(&self, member: MemberId) -> WritePosition {
         self.table
             .get(&member)
             .map(|peer| peer.committed)
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -10,7 +10,7 @@
 use crate::durable::IdleEpoch;
 use crate::failure_domain::FailureDomain;
 use crate::policy::Policy;
-use crate::state::Stamp;
+use crate::state::WritePosition;
 use crate::view::{MemberId, View};
 
 /// Why there is no next view.
@@ -28,8 +28,8 @@
     pub member: MemberId,
     /// The last epoch in which it was active in the chain.
     pub active_epoch: u64,
-    /// Stamp of its state, committed or not.
-    pub stamp: Stamp,
+    /// Position of the last write in its state, committed or not.
+    pub position: WritePosition,
     /// Whether it may be in a chain (neither leaving nor unable to sync).
     pub can_replicate: bool,
     /// Its zone and region.
@@ -103,7 +103,7 @@
     policy: Policy,
     are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<Vec<MemberId>, PlanError> {
-    let position = |member: MemberId| {
+    let chain_index = |member: MemberId| {
         let found = current.chain.iter().position(|&other| other == member);
         found.unwrap_or(current.chain.len())
     };
@@ -111,14 +111,14 @@
     let base = complete.max_by_key(|voter| {
         (
             voter.can_replicate,
-            voter.stamp,
-            Reverse(position(voter.member)),
+            voter.position,
+            Reverse(chain_index(voter.member)),
         )
     });
     let base = base.ok_or(PlanError::NoCompleteMember)?;
 
     let mut ordered: Vec<Candidate> = voters.to_vec();
-    ordered.sort_by_key(|voter| (position(voter.member), voter.member));
+    ordered.sort_by_key(|voter| (chain_index(voter.member), voter.member));
     ordered.extend_from_slice(learners);
 
     let mut chain = vec![*base];
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use crate::message::{Barrier, Body, Write};
-use crate::state::{Command, ControlState, Stamp};
+use crate::state::{Command, ControlState, WritePosition};
 
 /// Interval between probes of a successor that isn't up to date, and the least time before anything is sent
 /// to it a second time.
@@ -42,9 +42,9 @@
     /// It has activated the epoch and is sent writes as they come.
     Streaming {
         /// The successor has persisted every write up to this one. Must not be above `sent`.
-        persisted: Stamp,
+        persisted: WritePosition,
         /// The last write that was sent.
-        sent: Stamp,
+        sent: WritePosition,
     },
 }
 
@@ -53,10 +53,10 @@
 pub(crate) struct Progress {
     /// Whether it has activated the epoch.
     pub is_active: bool,
-    /// Stamp of its persisted state in this epoch.
-    pub persisted: Stamp,
-    /// Stamp of the last write that it knows to be committed in this epoch.
-    pub committed: Option<Stamp>,
+    /// Position of its persisted state in this epoch.
+    pub persisted: WritePosition,
+    /// Position of the last write that it knows to be committed in this epoch.
+    pub committed: Option<WritePosition>,
     /// The newest barrier that the chain behind it has confirmed.
     pub barrier: Barrier,
 }
@@ -66,8 +66,8 @@
 struct Persisted {
     /// Epoch that was active when the state was written.
     epoch: u64,
-    /// Stamp of the state.
-    stamp: Stamp,
+    /// Position of the state.
+    position: WritePosition,
 }
 
 /// A record of the chain that the disk has yet to sync.
@@ -86,7 +86,7 @@
     base: ControlState,
     /// Whether `base` is committed in this epoch.
     is_base_committed: bool,
-    /// Writes above `base`, in ascending order of stamps, that are not known to be committed.
+    /// Writes above `base`, in ascending order of positions, that are not known to be committed.
     pending: VecDeque<Write>,
     /// The state on this member's disk. Never ahead of the state in memory.
     persisted: Persisted,
@@ -119,7 +119,7 @@
             pending: VecDeque::new(),
             persisted: Persisted {
                 epoch: active_epoch,
-                stamp: state.stamp,
+                position: state.position,
             },
             unsynced: VecDeque::new(),
             link: Link::Unknown,
@@ -143,7 +143,7 @@
             number: record,
             result: Persisted {
                 epoch,
-                stamp: state.stamp,
+                position: state.position,
             },
         });
         self.link = Link::Unknown;
@@ -151,12 +151,18 @@
         self.must_resend = false;
     }
 
-    /// Adds a write, which record number `record` holds. Its stamp must be above that of every earlier write.
-    pub(crate) fn push(&mut self, record: u64, epoch: u64, stamp: Stamp, command: Command) {
-        self.pending.push_back(Write { stamp, command });
+    /// Adds a write, which record number `record` holds. Its position must be above that of every earlier write.
+    pub(crate) fn push(
+        &mut self,
+        record: u64,
+        epoch: u64,
+        position: WritePosition,
+        command: Command,
+    ) {
+        self.pending.push_back(Write { position, command });
         self.unsynced.push_back(UnsyncedRecord {
             number: record,
-            result: Persisted { epoch, stamp },
+            result: Persisted { epoch, position },
         });
     }
 
@@ -174,9 +180,9 @@
         self.persisted != before
     }
 
-    /// Stamp of the persisted state, if the disk has synced the activation of `epoch`.
-    pub(crate) fn persisted_stamp(&self, epoch: u64) -> Option<Stamp> {
-        (self.persisted.epoch == epoch).then_some(self.persisted.stamp)
+    /// Position of the persisted state, if the disk has synced the activation of `epoch`.
+    pub(crate) fn persisted_position(&self, epoch: u64) -> Option<WritePosition> {
+        (self.persisted.epoch == epoch).then_some(self.persisted.position)
     }
 
     /// Whether the disk has yet to sync a record of this chain.
@@ -189,9 +195,9 @@
         self.is_base_committed.then_some(&self.base)
     }
 
-    /// Stamp of [`committed`](Self::committed).
-    pub(crate) fn committed_stamp(&self) -> Option<Stamp> {
-        self.committed().map(|state| state.stamp)
+    /// Position of [`committed`](Self::committed).
+    pub(crate) fn committed_position(&self) -> Option<WritePosition> {
+        self.committed().map(|state| state.position)
     }
 
     /// The newest barrier that has reached the tail.
@@ -204,21 +210,21 @@
         self.barrier
     }
 
-    /// Records that the tail has persisted every write up to `stamp`. Returns whether more is committed than
+    /// Records that the tail has persisted every write up to `position`. Returns whether more is committed than
     /// before.
-    pub(crate) fn commit(&mut self, stamp: Stamp) -> bool {
-        let before = self.committed_stamp();
+    pub(crate) fn commit(&mut self, position: WritePosition) -> bool {
+        let before = self.committed_position();
         while self
             .pending
             .front()
-            .is_some_and(|write| write.stamp <= stamp)
+            .is_some_and(|write| write.position <= position)
         {
             if let Some(write) = self.pending.pop_front() {
-                self.base.apply(write.stamp, &write.command);
+                self.base.apply(write.position, &write.command);
             }
         }
-        self.is_base_committed |= self.base.stamp <= stamp;
-        self.committed_stamp() != before
+        self.is_base_committed |= self.base.position <= position;
+        self.committed_position() != before
     }
 
     /// Records a barrier that the predecessor forwarded, if it is newer than the last one.
@@ -325,7 +331,7 @@
     /// The next message to the successor, if one is due. The caller must send it, and call again until there
     /// is none.
     pub(crate) fn next_message(&mut self, now: Duration, epoch: u64) -> Option<Body> {
-        let own = self.persisted_stamp(epoch)?;
+        let own = self.persisted_position(epoch)?;
         let is_due =
             self.last_sent.is_zero() || now.saturating_sub(self.last_sent) >= RESEND_INTERVAL;
         let is_first = !self.has_content_in_flight();
@@ -346,16 +352,22 @@
 
     /// When the successor is to be probed, unless it is up to date by then.
     pub(crate) fn next_resend(&self, epoch: u64) -> Option<Duration> {
-        let own = self.persisted_stamp(epoch)?;
+        let own = self.persisted_position(epoch)?;
         let is_up_to_date = matches!(self.link, Link::Streaming { persisted, .. } if persisted == own)
             && self.confirmed == self.barrier
-            && self.committed_stamp() == Some(own);
+            && self.committed_position() == Some(own);
         (!is_up_to_date).then_some(self.last_sent + RESEND_INTERVAL)
     }
 
-    fn stream(&mut self, own: Stamp, persisted: Stamp, sent: Stamp, is_due: bool) -> Option<Body> {
+    fn stream(
+        &mut self,
+        own: WritePosition,
+        persisted: WritePosition,
+        sent: WritePosition,
+        is_due: bool,
+    ) -> Option<Body> {
         let is_up_to_date = persisted == own
-            && self.committed_stamp() == Some(own)
+            && self.committed_position() == Some(own)
             && self.confirmed == self.barrier;
         let from = if self.must_resend { persisted } else { sent };
         let has_new_barrier = self.sent_barrier != self.barrier;
@@ -367,16 +379,16 @@
             self.link = Link::Transferring;
             return Some(self.transfer(own));
         };
-        let sent = writes.last().map_or(from, |write| write.stamp);
+        let sent = writes.last().map_or(from, |write| write.position);
         self.link = Link::Streaming { persisted, sent };
         Some(self.replicate(from, writes))
     }
 
     /// The writes after `from`, up to `own` and to [`MAX_MESSAGE_BYTES`]; `None` if they are no longer
     /// retained.
-    fn writes_after(&self, from: Stamp, own: Stamp) -> Option<Vec<Write>> {
+    fn writes_after(&self, from: WritePosition, own: WritePosition) -> Option<Vec<Write>> {
         let is_retained =
-            from == self.base.stamp || self.pending.iter().any(|write| write.stamp == from);
+            from == self.base.position || self.pending.iter().any(|write| write.position == from);
         if !is_retained {
             return None;
         }
@@ -385,7 +397,7 @@
         for write in self
             .pending
             .iter()
-            .filter(|write| write.stamp > from && write.stamp <= own)
+            .filter(|write| write.position > from && write.position <= own)
         {
             bytes += command_bytes(&write.command);
             if bytes > MAX_MESSAGE_BYTES && !writes.is_empty() {
@@ -398,11 +410,11 @@
 
     /// A message without writes: the successor reports its progress, and activates the epoch if it has the
     /// same state.
-    fn probe(&self, own: Stamp) -> Body {
+    fn probe(&self, own: WritePosition) -> Body {
         self.replicate(own, Vec::new())
     }
 
-    fn replicate(&self, after: Stamp, writes: Vec<Write>) -> Body {
+    fn replicate(&self, after: WritePosition, writes: Vec<Write>) -> Body {
         Body::Replicate {
             after,
             writes,
@@ -410,10 +422,10 @@
         }
     }
 
-    fn transfer(&self, own: Stamp) -> Body {
+    fn transfer(&self, own: WritePosition) -> Body {
         let mut state = self.base.clone();
-        for write in self.pending.iter().filter(|write| write.stamp <= own) {
-            state.apply(write.stamp, &write.command);
+        for write in self.pending.iter().filter(|write| write.position <= own) {
+            state.apply(write.position, &write.command);
         }
         Body::Transfer {
             state,
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -7,7 +7,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::state::{Command, ControlState, Rejection, Stamp, StoredConfiguration, Undecided};
+use crate::state::{
+    Command, ControlState, Rejection, StoredConfiguration, Undecided, WritePosition,
+};
 
 /// Number that the driver assigns to a request. Must be unique among the pending requests of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,12 +30,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The command is committed.
-    Taken,
-    /// The same change was taken earlier, and that is committed.
-    AlreadyTaken,
-    /// The command was not taken and never will be.
+    Committed,
+    /// The same change was applied earlier, and that is committed.
+    AlreadyCommitted,
+    /// The command was not applied and never will be.
     Rejected(Rejection),
-    /// The command was not taken now. A duplicate of it may be, or may have been.
+    /// The command was not applied now. A duplicate of it may be, or may have been.
     Undecided(Undecided),
     /// The newest committed configuration, if there is one.
     Configuration(Option<StoredConfiguration>),
@@ -46,8 +48,8 @@
 /// The reply that a pending request will get.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Outcome {
-    Taken,
-    AlreadyTaken,
+    Committed,
+    AlreadyCommitted,
     Rejected(Rejection),
     Configuration,
     Confirmed,
@@ -58,7 +60,7 @@
 struct PendingRequest {
     outcome: Outcome,
     /// Write that must be committed.
-    stamp: Stamp,
+    position: WritePosition,
     /// Number of the barrier that must be confirmed; 0 for none.
     barrier: u64,
 }
@@ -70,19 +72,19 @@
 }
 
 impl PendingRequests {
-    /// Adds a request that waits for the commit of `stamp`: of its own write if `is_new`, else of the state
+    /// Adds a request that waits for the commit of `position`: of its own write if `is_new`, else of the state
     /// that contains the earlier one.
-    pub(crate) fn wait_for_commit(&mut self, id: RequestId, stamp: Stamp, is_new: bool) {
+    pub(crate) fn wait_for_commit(&mut self, id: RequestId, position: WritePosition, is_new: bool) {
         let outcome = if is_new {
-            Outcome::Taken
+            Outcome::Committed
         } else {
-            Outcome::AlreadyTaken
+            Outcome::AlreadyCommitted
         };
         self.pending.insert(
             id,
             PendingRequest {
                 outcome,
-                stamp,
+                position,
                 barrier: 0,
             },
         );
@@ -94,25 +96,25 @@
         &mut self,
         id: RequestId,
         rejection: Rejection,
-        stamp: Stamp,
+        position: WritePosition,
         barrier: u64,
     ) {
         self.pending.insert(
             id,
             PendingRequest {
                 outcome: Outcome::Rejected(rejection),
-                stamp,
+                position,
                 barrier,
             },
         );
     }
 
-    /// Adds a read, or a confirmation, that waits for the commit of `stamp` and for `barrier`.
+    /// Adds a read, or a confirmation, that waits for the commit of `position` and for `barrier`.
     pub(crate) fn wait_for_read(
         &mut self,
         id: RequestId,
         is_configuration: bool,
-        stamp: Stamp,
+        position: WritePosition,
         barrier: u64,
     ) {
         let outcome = if is_configuration {
@@ -124,7 +126,7 @@
             id,
             PendingRequest {
                 outcome,
-                stamp,
+                position,
                 barrier,
             },
         );
@@ -143,7 +145,7 @@
         confirmed_barrier: u64,
     ) -> Vec<(RequestId, Reply)> {
         let is_done = |request: &PendingRequest| {
-            request.stamp <= committed.stamp && request.barrier <= confirmed_barrier
+            request.position <= committed.position && request.barrier <= confirmed_barrier
         };
         let done: Vec<RequestId> = self
             .pending
@@ -186,8 +188,8 @@
 impl PendingRequest {
     fn reply(self, committed: &ControlState) -> Reply {
         match self.outcome {
-            Outcome::Taken => Reply::Taken,
-            Outcome::AlreadyTaken => Reply::AlreadyTaken,
+            Outcome::Committed => Reply::Committed,
+            Outcome::AlreadyCommitted => Reply::AlreadyCommitted,
             Outcome::Rejected(rejection) => Reply::Rejected(rejection),
             Outcome::Confirmed => Reply::Confirmed,
             Outcome::Configuration => Reply::Configuration(committed.configuration.clone()),
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -2,17 +2,17 @@
 //!
 //! | command | register holds | verdict |
 //! | --- | --- | --- |
-//! | `PutConfiguration` | the same content, now or earlier | `AlreadyTaken` |
+//! | `PutConfiguration` | the same content, now or earlier | `AlreadyApplied` |
 //! | `PutConfiguration`, older than all that is remembered | any | `Undecided(Forgotten)` |
 //! | `PutConfiguration` | a generation above `base` | `Rejected(BaseMismatch)` |
 //! | `PutConfiguration`, its generation not above `base` | `base` or below | `Rejected(StaleGeneration)` |
 //! | `PutConfiguration` | a generation below `base` | `Undecided(FutureBase)` |
-//! | `PutConfiguration` | `base` | `Take` |
-//! | `PutStorageView` | the same epoch and bytes | `AlreadyTaken` |
+//! | `PutConfiguration` | `base` | `Apply` |
+//! | `PutStorageView` | the same epoch and bytes | `AlreadyApplied` |
 //! | `PutStorageView` | an epoch other than `expected_epoch` | `Rejected(StorageEpochMismatch)` |
-//! | `PutStorageView` | `expected_epoch` | `Take` |
+//! | `PutStorageView` | `expected_epoch` | `Apply` |
 //!
-//! `Rejected` of a configuration is final: generations only rise, so that no later state takes it either, and
+//! `Rejected` of a configuration is final: generations only rise, so that it applies to no later state, and
 //! a duplicate of the request that arrives later can't bring it into force. Where that can't be guaranteed,
 //! the verdict is `Undecided`.
 
@@ -21,23 +21,24 @@
 
 use crate::blob::Blob;
 
-/// Upper bound of the digests of taken configurations that the state retains. Whether an older change was
-/// taken is undecided.
-pub const MAX_TAKEN_CONFIGURATIONS: usize = 8192;
+/// Upper bound of the digests of applied configurations that the state retains. Whether an older change was
+/// applied is undecided.
+pub const MAX_APPLIED_CONFIGURATIONS: usize = 8192;
 
 /// Digest of a configuration's bytes. Computed by the driver; compared here only for equality.
 pub type Digest = [u8; 16];
 
-/// Position of a write. States with the same stamp are equal, at any two members.
+/// Position of a write in the sequence of all writes, ordered by epoch, then by number (in Raft: term and
+/// index). States whose last writes have the same position are equal, at any two members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
-pub struct Stamp {
-    /// Epoch of the head that took the write.
+pub struct WritePosition {
+    /// Epoch in which the head appended the write.
     pub epoch: u64,
     /// Number of the write; rises by one from each write to the next, across epochs too.
     pub number: u64,
 }
 
-/// The operator's configuration as it was taken.
+/// The operator's configuration, as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoredConfiguration {
     /// Generation, which the operator chose above that of the one before.
@@ -59,7 +60,7 @@
 
 /// A configuration that is or was in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct TakenConfiguration {
+pub struct AppliedConfiguration {
     /// Its generation.
     pub generation: u64,
     /// Digest of its bytes.
@@ -69,7 +70,7 @@
 /// Replaces the configuration of generation `base` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutConfiguration {
-    /// Generation that must be in force for the change to be taken.
+    /// Generation that must be in force for the change to be applied.
     pub base: u64,
     /// Generation of the new configuration; must be above `base`.
     pub generation: u64,
@@ -82,7 +83,7 @@
 /// Replaces the storage view of epoch `expected_epoch` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutStorageView {
-    /// Storage epoch that must be in force for the change to be taken.
+    /// Storage epoch that must be in force for the change to be applied.
     pub expected_epoch: u64,
     /// Epoch of the new view; must be above `expected_epoch`.
     pub epoch: u64,
@@ -99,7 +100,7 @@
     PutStorageView(PutStorageView),
 }
 
-/// Why a command was not taken.
+/// Why a command is not applied, now or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Rejection {
     /// The change builds on another generation than the current one.
@@ -126,13 +127,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Undecided {
     /// The change builds on a generation above the current one, which may yet come into force; a duplicate of
-    /// the request that arrives after that would be taken.
+    /// the request that arrives after that would be applied.
     #[snafu(display("the change builds on a generation above the current one, {current}"))]
     FutureBase {
         /// Generation in force.
         current: u64,
     },
-    /// The change is older than every change that is remembered, so it may have been taken.
+    /// The change is older than every change that is remembered, so it may have been applied.
     #[snafu(display("changes below generation {oldest} are no longer remembered"))]
     Forgotten {
         /// The lowest generation that is remembered.
@@ -143,28 +144,28 @@
 /// What becomes of a command on a given state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The command is taken.
-    Take,
-    /// The same change was taken earlier.
-    AlreadyTaken,
-    /// The command is not taken, now or later.
+    /// The command applies to the state: the head appends it.
+    Apply,
+    /// The same change was applied earlier.
+    AlreadyApplied,
+    /// The command is not applied, now or later.
     Rejected(Rejection),
-    /// The command is not taken now; a duplicate of it may be, or may have been.
+    /// The command is not applied now; a duplicate of it may be, or may have been.
     Undecided(Undecided),
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ControlState {
-    /// Stamp of the last applied write.
-    pub stamp: Stamp,
+    /// Position of the last applied write. Never decreases in a member's committed states.
+    pub position: WritePosition,
     /// Configuration in force.
     pub configuration: Option<StoredConfiguration>,
     /// View of the storage machines in force.
     pub storage_view: Option<StoredStorageView>,
-    /// Configurations that were taken, in ascending order of generations, the one in force last. At most
-    /// [`MAX_TAKEN_CONFIGURATIONS`].
-    pub taken: Vec<TakenConfiguration>,
+    /// Configurations that were applied, in ascending order of generations, the one in force last. At most
+    /// [`MAX_APPLIED_CONFIGURATIONS`].
+    pub applied: Vec<AppliedConfiguration>,
 }
 
 impl ControlState {
@@ -188,9 +189,10 @@
         }
     }
 
-    /// Applies a command that the head has taken. `stamp` must be above that of the state.
-    pub fn apply(&mut self, stamp: Stamp, command: &Command) {
-        self.stamp = stamp;
+    /// Applies a command whose verdict at the head was [`Verdict::Apply`]. `position` must be above that of the
+    /// state.
+    pub fn apply(&mut self, position: WritePosition, command: &Command) {
+        self.position = position;
         match command {
             Command::PutConfiguration(put) => self.apply_configuration(put),
             Command::PutStorageView(put) => {
@@ -205,7 +207,7 @@
     fn judge_configuration(&self, put: &PutConfiguration) -> Verdict {
         let current = self.generation();
         if self.is_remembered(put) {
-            return Verdict::AlreadyTaken;
+            return Verdict::AlreadyApplied;
         }
         let oldest = self.oldest_remembered();
         if put.generation < oldest {
@@ -220,21 +222,21 @@
         if put.base > current {
             return Verdict::Undecided(Undecided::FutureBase { current });
         }
-        Verdict::Take
+        Verdict::Apply
     }
 
-    /// Whether this change was taken and is remembered. The search relies on ascending generations.
+    /// Whether this change was applied and is remembered. The search relies on ascending generations.
     fn is_remembered(&self, put: &PutConfiguration) -> bool {
         let found = self
-            .taken
-            .binary_search_by_key(&put.generation, |taken| taken.generation);
-        found.is_ok_and(|index| self.taken[index].digest == put.digest)
+            .applied
+            .binary_search_by_key(&put.generation, |applied| applied.generation);
+        found.is_ok_and(|index| self.applied[index].digest == put.digest)
     }
 
-    /// The generation from which on every taken change is remembered.
+    /// The generation from which on every applied change is remembered.
     fn oldest_remembered(&self) -> u64 {
-        let is_full = self.taken.len() >= MAX_TAKEN_CONFIGURATIONS;
-        self.taken
+        let is_full = self.applied.len() >= MAX_APPLIED_CONFIGURATIONS;
+        self.applied
             .first()
             .filter(|_| is_full)
             .map_or(0, |oldest| oldest.generation)
@@ -247,19 +249,19 @@
             bytes: put.bytes.clone(),
         };
         if self.storage_view.as_ref() == Some(&same) {
-            return Verdict::AlreadyTaken;
+            return Verdict::AlreadyApplied;
         }
         if put.expected_epoch != current || put.epoch <= current {
             return Verdict::Rejected(Rejection::StorageEpochMismatch { current });
         }
-        Verdict::Take
+        Verdict::Apply
     }
 
     fn apply_configuration(&mut self, put: &PutConfiguration) {
-        if self.taken.len() == MAX_TAKEN_CONFIGURATIONS {
-            self.taken.remove(0);
+        if self.applied.len() == MAX_APPLIED_CONFIGURATIONS {
+            self.applied.remove(0);
         }
-        self.taken.push(TakenConfiguration {
+        self.applied.push(AppliedConfiguration {
             generation: put.generation,
             digest: put.digest,
         });
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    /// The first member of the chain, which takes commands.
+    /// The first member of the chain, which accepts commands.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -12,7 +12,7 @@
 use simulation::capacity::{Capacity, state_bytes};
 use simulation::world::{InjectedBug, World};
 use woadreach_chain::{
-    Blob, Command, Input, PutConfiguration, Request, RequestId, Stamp, TakenConfiguration,
+    AppliedConfiguration, Blob, Command, Input, PutConfiguration, Request, RequestId, WritePosition,
 };
 
 /// 120 MB a second.
@@ -37,7 +37,7 @@
     interval: Duration,
     next_at: Duration,
     /// Changes that are known to be committed, oldest first.
-    acknowledged: Vec<TakenConfiguration>,
+    acknowledged: Vec<AppliedConfiguration>,
     /// The change in flight, and when it was last sent.
     sent: Option<(PutConfiguration, Duration)>,
 }
@@ -55,17 +55,19 @@
     }
 
     fn generation(&self) -> u64 {
-        self.acknowledged.last().map_or(0, |taken| taken.generation)
+        self.acknowledged
+            .last()
+            .map_or(0, |applied| applied.generation)
     }
 
     fn step(&mut self, world: &mut World) {
         if let Some((put, _)) = &self.sent {
-            let taken = TakenConfiguration {
+            let applied = AppliedConfiguration {
                 generation: put.generation,
                 digest: put.digest,
             };
             if head_has_committed(world, put.generation) {
-                self.acknowledged.push(taken);
+                self.acknowledged.push(applied);
                 self.sent = None;
             }
         }
@@ -122,11 +124,11 @@
     })
 }
 
-fn published(world: &World, node: usize) -> Stamp {
+fn published(world: &World, node: usize) -> WritePosition {
     world.nodes[node]
         .member
         .as_ref()
-        .map(|member| member.published().stamp)
+        .map(|member| member.published().position)
         .unwrap_or_default()
 }
 
@@ -323,13 +325,13 @@
     };
     write_until(world, writer, is_up_to_date).ok_or("old state at the end")?;
     for node in 0..3 {
-        let taken = &world.nodes[node]
+        let applied = &world.nodes[node]
             .member
             .as_ref()
             .expect("it runs")
             .published()
-            .taken;
-        if !taken.starts_with(&writer.acknowledged[..acknowledged as usize]) {
+            .applied;
+        if !applied.starts_with(&writer.acknowledged[..acknowledged as usize]) {
             return Err(format!("machine {node} lacks acknowledged changes"));
         }
     }
--- a/crates/tier/chain/tests/codec.rs
+++ b/crates/tier/chain/tests/codec.rs
@@ -1,11 +1,11 @@
-//! Messages and records survive their encoding, and foreign bytes are refused without a panic.
+//! Messages and records survive their encoding, and foreign bytes are rejected without a panic.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use woadreach_chain::{
-    Accepted, Ballot, Blob, Body, Command, ControlState, DecodeError, Durable, Envelope,
-    FailureDomain, Heartbeat, HeartbeatTime, MemberId, Promise, PutConfiguration, PutStorageView,
-    Record, Stamp, TakenConfiguration, View,
+    Accepted, AppliedConfiguration, Ballot, Blob, Body, Command, ControlState, DecodeError,
+    Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, MemberId, Promise,
+    PutConfiguration, PutStorageView, Record, View, WritePosition,
 };
 
 #[derive(Clone, Debug)]
@@ -27,8 +27,8 @@
     (0..count).map(|_| member(generator)).collect()
 }
 
-fn stamp(generator: &mut Gen) -> Stamp {
-    Stamp {
+fn position(generator: &mut Gen) -> WritePosition {
+    WritePosition {
         epoch: u64::arbitrary(generator),
         number: u64::arbitrary(generator),
     }
@@ -80,8 +80,8 @@
 
 fn state(generator: &mut Gen) -> ControlState {
     let mut state = ControlState::default();
-    state.apply(stamp(generator), &command(generator));
-    state.taken.push(TakenConfiguration {
+    state.apply(position(generator), &command(generator));
+    state.applied.push(AppliedConfiguration {
         generation: u64::arbitrary(generator),
         digest: digest(generator),
     });
@@ -106,7 +106,7 @@
                 state: state(generator),
             },
             _ => Record::Write {
-                stamp: stamp(generator),
+                position: position(generator),
                 command: command(generator),
             },
         })
@@ -126,7 +126,7 @@
                     zone: u32::arbitrary(generator),
                     region: u32::arbitrary(generator),
                 },
-                committed: stamp(generator),
+                committed: position(generator),
                 hears: members(generator),
             }),
             1 => Body::Prepare {
@@ -179,7 +179,7 @@
         Envelope::decode(&bytes[..length]).is_err()
     }
 
-    fn messages_of_another_version_are_refused(envelope: Generated<Envelope>, version: u8) -> bool {
+    fn messages_of_another_version_are_rejected(envelope: Generated<Envelope>, version: u8) -> bool {
         let mut bytes = envelope.0.encode();
         let own = std::mem::replace(&mut bytes[0], version);
         let decoded = Envelope::decode(&bytes);
--- a/crates/tier/chain/tests/cut_off.rs
+++ b/crates/tier/chain/tests/cut_off.rs
@@ -81,5 +81,7 @@
 #[cfg(feature = "mutations")]
 #[test]
 fn a_member_that_requests_the_state_from_members_that_do_not_hear_it_is_found() {
-    assert!(is_found(woadreach_chain::Mutation::StateFromTheDeaf));
+    assert!(is_found(
+        woadreach_chain::Mutation::StateRequestWithoutContact
+    ));
 }
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -5,7 +5,7 @@
 
 use woadreach_chain::{
     Body, Departure, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, Member,
-    MemberId, MemberOptions, Record, Stamp, Tolerance, View,
+    MemberId, MemberOptions, Record, Tolerance, View, WritePosition,
 };
 
 const EPOCH: u64 = 5;
@@ -71,7 +71,7 @@
             leaving: false,
             bootstrap: false,
             failure_domain: FailureDomain::default(),
-            committed: Stamp::default(),
+            committed: WritePosition::default(),
             hears: (1..=LEARNER).map(id).collect(),
         };
         deliver(member, now, number, EPOCH, Body::Heartbeat(heartbeat));
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -7,7 +7,7 @@
 
 use woadreach_chain::{
     Body, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, MemberId, Output,
-    RequestId, Stamp, TimedStep, View,
+    RequestId, TimedStep, View, WritePosition,
 };
 
 use super::machine::{Machine, address, first_identity, index_of};
@@ -83,7 +83,7 @@
                 durable.view,
                 durable.promise,
                 durable.active_epoch,
-                durable.state.stamp
+                durable.state.position
             )?;
         }
         for (to, bytes) in &self.messages {
@@ -159,7 +159,7 @@
             leaving: machine.is_leaving,
             bootstrap: false,
             failure_domain: FailureDomain::default(),
-            committed: Stamp::default(),
+            committed: WritePosition::default(),
             sent: HeartbeatTime::default(),
             echo: HeartbeatTime::default(),
             hears: self.machines.iter().map(|machine| machine.id()).collect(),
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use woadreach_chain::{
-    Ballot, Command, ControlState, Digest, PutConfiguration, Rejection, Reply, Request,
-    TakenConfiguration, View,
+    AppliedConfiguration, Ballot, Command, ControlState, Digest, PutConfiguration, Rejection,
+    Reply, Request, View,
 };
 
 /// A request that was handed to a head.
@@ -27,7 +27,7 @@
     commits: BTreeMap<u64, usize>,
     /// The longest history that was acknowledged.
     acknowledged: usize,
-    refused: Vec<usize>,
+    rejected: Vec<usize>,
     requests: Vec<IssuedRequest>,
     decided: BTreeMap<u64, View>,
     /// Views that a ballot has proposed.
@@ -48,8 +48,8 @@
 }
 
 fn history(state: &ControlState) -> Vec<(u64, Digest)> {
-    let pair = |taken: &TakenConfiguration| (taken.generation, taken.digest);
-    state.taken.iter().map(pair).collect()
+    let pair = |applied: &AppliedConfiguration| (applied.generation, applied.digest);
+    state.applied.iter().map(pair).collect()
 }
 
 impl Oracle {
@@ -62,7 +62,7 @@
             &self.committed,
             &self.commits,
             self.acknowledged,
-            &self.refused,
+            &self.rejected,
             &self.requests,
             &self.proposed,
         )
@@ -122,12 +122,12 @@
         if found.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
             self.fail(format!("generations do not rise: {found:?}"));
         }
-        if self.refused.iter().any(|&refused| {
+        if self.rejected.iter().any(|&rejected| {
             found
                 .iter()
-                .any(|(_, digest)| *digest == order(refused).digest)
+                .any(|(_, digest)| *digest == order(rejected).digest)
         }) {
-            self.fail("a refused order is in force");
+            self.fail("a rejected order is in force");
         }
         if self.commits.range(epoch + 1..).next().is_some() && found.len() > self.committed.len() {
             self.fail("an older epoch commits after a newer one");
@@ -178,7 +178,7 @@
         }
         self.requests[number as usize].is_answered = true;
         match (reply, issued.order) {
-            (Reply::Taken | Reply::AlreadyTaken, Some(position)) => {
+            (Reply::Committed | Reply::AlreadyCommitted, Some(position)) => {
                 self.check_acknowledgement(position)
             }
             (Reply::Rejected(rejection), Some(position)) => {
@@ -209,7 +209,7 @@
         let order = order(position);
         let is_known = |(_, digest): &(u64, Digest)| *digest == order.digest;
         if self.committed[..issued.acknowledged].iter().any(is_known) {
-            self.fail("an acknowledged order is refused when it is sent again");
+            self.fail("an acknowledged order is rejected when it is sent again");
         }
         let current = match rejection {
             Rejection::BaseMismatch { current } | Rejection::StaleGeneration { current } => current,
@@ -219,8 +219,8 @@
         };
         self.check_read(issued, current);
         if self.committed.iter().any(is_known) {
-            // The first copy of it may have been taken since; the same order is then taken, not refused.
-            self.fail("a committed order is refused");
+            // The first copy of it may have been applied since; the same order is then acknowledged, not rejected.
+            self.fail("a committed order is rejected");
         }
         let is_sent_twice = self.requests.iter().filter(|other| {
             other
@@ -228,7 +228,7 @@
                 .is_some_and(|other| self::order(other).digest == order.digest)
         });
         if is_sent_twice.count() == 1 {
-            self.refused.push(position);
+            self.rejected.push(position);
         }
     }
 
--- a/crates/tier/chain/tests/member_model/world.rs
+++ b/crates/tier/chain/tests/member_model/world.rs
@@ -195,7 +195,7 @@
                     "deliver"
                 };
                 let body = match &envelope.body {
-                    Body::Transfer { state, .. } => format!("Transfer {:?}", state.stamp),
+                    Body::Transfer { state, .. } => format!("Transfer {:?}", state.position),
                     body => format!("{body:?}"),
                 };
                 format!(
--- a/crates/tier/chain/tests/model.rs
+++ b/crates/tier/chain/tests/model.rs
@@ -2,14 +2,14 @@
 //! disk once the others have caught up; views decided at any moment by any majority; members that act on an
 //! old view.
 //!
-//! The choice of the next view is the real one ([`next_view`]). Agreement itself is taken for granted: a view
+//! The choice of the next view is the real one ([`next_view`]). Agreement itself is assumed: a view
 //! is decided in one step, which seals the majority that decides it.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use woadreach_chain::{
-    Candidate, FailureDomain, MemberId, Policy, Stamp, Tolerance, View, next_view,
+    Candidate, FailureDomain, MemberId, Policy, Tolerance, View, WritePosition, next_view,
 };
 
 const MEMBERS: usize = 3;
@@ -36,7 +36,7 @@
     epoch: u64,
     sealed: u64,
     active: u64,
-    /// Writes, each with the epoch in which it was taken.
+    /// Writes, each with the epoch in which it was appended.
     log: Vec<(u64, u8)>,
 }
 
@@ -106,7 +106,7 @@
         Candidate {
             member: id(node.identity),
             active_epoch: node.active,
-            stamp: Stamp { epoch, number },
+            position: WritePosition { epoch, number },
             can_replicate: true,
             failure_domain: FailureDomain::default(),
         }
--- a/crates/tier/chain/tests/mutations.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -6,7 +6,7 @@
 
 use simulation::faults::{Run, play, play_in, play_planned_work};
 use simulation::world::{InjectedBug, World};
-use woadreach_chain::{MAX_TAKEN_CONFIGURATIONS, Mutation};
+use woadreach_chain::{MAX_APPLIED_CONFIGURATIONS, Mutation};
 
 fn is_found_by_planned_work(mutation: Mutation, runs: u64) -> bool {
     (1..=runs).any(|seed| {
@@ -66,7 +66,7 @@
 #[test]
 fn refusing_a_change_on_a_future_base_is_found() {
     assert!(is_found(
-        InjectedBug::Member(Mutation::RefusedFutureBase),
+        InjectedBug::Member(Mutation::RejectedFutureBase),
         2000
     ));
 }
@@ -74,7 +74,7 @@
 #[test]
 fn refusing_before_the_commit_is_found() {
     assert!(is_found(
-        InjectedBug::Member(Mutation::RefusedBeforeCommit),
+        InjectedBug::Member(Mutation::RejectedBeforeCommit),
         2000
     ));
 }
@@ -82,7 +82,7 @@
 #[test]
 fn acknowledging_a_repeat_before_the_commit_is_found() {
     assert!(is_found(
-        InjectedBug::Member(Mutation::RepeatBeforeCommit),
+        InjectedBug::Member(Mutation::DuplicateBeforeCommit),
         2000
     ));
 }
@@ -91,9 +91,9 @@
 fn refusing_a_forgotten_change_is_found() {
     let length = Duration::from_secs(6);
     let is_found_by = |seed| {
-        let bug = Some(InjectedBug::Member(Mutation::RefusedForgotten));
+        let bug = Some(InjectedBug::Member(Mutation::RejectedForgotten));
         let mut world = World::new(seed, 3, 0, 1, bug);
-        world.begin_after(MAX_TAKEN_CONFIGURATIONS as u64 + 100);
+        world.begin_after(MAX_APPLIED_CONFIGURATIONS as u64 + 100);
         !play_in(world, length).violations.is_empty()
     };
     assert!((1..=20).any(is_found_by));
--- a/crates/tier/chain/tests/old_views.rs
+++ b/crates/tier/chain/tests/old_views.rs
@@ -79,7 +79,7 @@
     let states = world.nodes.iter().filter_map(|node| node.member.as_ref());
     let last = states
         .map(|member| member.published().clone())
-        .max_by_key(|state| state.stamp);
+        .max_by_key(|state| state.position);
     let last = last
         .map(|state| ControlState::clone(&state))
         .expect("a state");
--- a/crates/tier/chain/tests/orders.rs
+++ b/crates/tier/chain/tests/orders.rs
@@ -12,7 +12,7 @@
 use simulation::faults::play_in;
 use simulation::operator::{CallId, new_put};
 use simulation::world::{InjectedBug, World};
-use woadreach_chain::{Command, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, Request};
+use woadreach_chain::{Command, MAX_APPLIED_CONFIGURATIONS, PutConfiguration, Request};
 
 /// Operators whose orders these tests send; the world's own ones are the first two.
 const OWN_OPERATOR: usize = 0;
@@ -130,25 +130,25 @@
     let members = world.nodes.iter().filter_map(|node| node.member.as_ref());
     let newest = members
         .map(|member| member.published().clone())
-        .max_by_key(|state| state.stamp);
+        .max_by_key(|state| state.position);
     let newest = newest.expect("machines run");
     let violations = world.history.check(&newest);
-    if !violations.is_empty() || newest.taken.len() != 1 {
-        return Err(format!("{violations:?}, taken: {:?}", newest.taken));
+    if !violations.is_empty() || newest.applied.len() != 1 {
+        return Err(format!("{violations:?}, applied: {:?}", newest.applied));
     }
     let [one, other] = racing_orders();
-    let is_first = newest.taken[0].digest == one.digest;
+    let is_first = newest.applied[0].digest == one.digest;
     let answers = world.history.recorded_answers([one.digest, other.digest]);
-    let (acknowledged, refused) = ((true, false), (false, true));
+    let (acknowledged, rejected) = ((true, false), (false, true));
     let expected = if is_first {
-        [acknowledged, refused]
+        [acknowledged, rejected]
     } else {
-        [refused, acknowledged]
+        [rejected, acknowledged]
     };
     if answers == expected {
         Ok(is_first)
     } else {
-        Err(format!("acknowledged, refused: {answers:?}"))
+        Err(format!("acknowledged, rejected: {answers:?}"))
     }
 }
 
@@ -180,8 +180,8 @@
 #[test]
 fn hasty_answers_are_found_at_some_moment() {
     for mutation in [
-        woadreach_chain::Mutation::RefusedBeforeCommit,
-        woadreach_chain::Mutation::RepeatBeforeCommit,
+        woadreach_chain::Mutation::RejectedBeforeCommit,
+        woadreach_chain::Mutation::DuplicateBeforeCommit,
     ] {
         let found = race_at_each_moment(Some(InjectedBug::Member(mutation)));
         println!("{mutation:?}: {found:?}");
@@ -190,11 +190,11 @@
 }
 
 #[test]
-fn beyond_the_limit_nothing_that_was_taken_is_refused() {
+fn beyond_the_limit_no_applied_change_is_rejected() {
     let first = number("WOADREACH_SEED", 1);
     for seed in first..first + number("WOADREACH_RUNS", 6) {
         let mut world = World::new(seed, 3, 0, 1, None);
-        world.begin_after(MAX_TAKEN_CONFIGURATIONS as u64 + 100);
+        world.begin_after(MAX_APPLIED_CONFIGURATIONS as u64 + 100);
         let finding = play_in(world, Duration::from_secs(8));
         assert!(
             finding.violations.is_empty(),
--- a/crates/tier/chain/tests/plan.rs
+++ b/crates/tier/chain/tests/plan.rs
@@ -3,7 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use woadreach_chain::{
-    Candidate, FailureDomain, MemberId, PlanError, Policy, Stamp, Tolerance, View, next_view,
+    Candidate, FailureDomain, MemberId, PlanError, Policy, Tolerance, View, WritePosition,
+    next_view,
 };
 
 fn id(number: u8) -> MemberId {
@@ -21,7 +22,7 @@
     Candidate {
         member,
         active_epoch,
-        stamp: Stamp::default(),
+        position: WritePosition::default(),
         can_replicate: true,
         failure_domain: FailureDomain::default(),
     }
@@ -122,7 +123,7 @@
 #[test]
 fn the_chain_begins_with_the_longest_state() {
     let longer = Candidate {
-        stamp: Stamp {
+        position: WritePosition {
             epoch: 5,
             number: 9,
         },
--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -7,9 +7,10 @@
 
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
 use woadreach_chain::{
-    Accepted, Ballot, Barrier, Blob, Body, Command, ControlState, Durable, Envelope, FailureDomain,
-    Heartbeat, HeartbeatTime, IdleEpoch, MemberId, Promise, PutConfiguration, PutStorageView,
-    Record, Report, Stamp, StoredConfiguration, StoredStorageView, TakenConfiguration, View, Write,
+    Accepted, AppliedConfiguration, Ballot, Barrier, Blob, Body, Command, ControlState, Durable,
+    Envelope, FailureDomain, Heartbeat, HeartbeatTime, IdleEpoch, MemberId, Promise,
+    PutConfiguration, PutStorageView, Record, Report, StoredConfiguration, StoredStorageView, View,
+    Write, WritePosition,
 };
 
 fn member(number: u8) -> MemberId {
@@ -66,7 +67,7 @@
 
 fn state() -> ControlState {
     ControlState {
-        stamp: Stamp {
+        position: WritePosition {
             epoch: 5,
             number: 12,
         },
@@ -79,12 +80,12 @@
             epoch: 3,
             bytes: Blob::from(vec![1, 0, 255]),
         }),
-        taken: vec![
-            TakenConfiguration {
+        applied: vec![
+            AppliedConfiguration {
                 generation: 3,
                 digest: [3; 16],
             },
-            TakenConfiguration {
+            AppliedConfiguration {
                 generation: 7,
                 digest: *b"sixteen bytes...",
             },
@@ -122,14 +123,14 @@
             state: state(),
         },
         Record::Write {
-            stamp: Stamp {
+            position: WritePosition {
                 epoch: 6,
                 number: 1,
             },
             command: put_configuration(),
         },
         Record::Write {
-            stamp: Stamp {
+            position: WritePosition {
                 epoch: 6,
                 number: 2,
             },
@@ -178,7 +179,7 @@
         leaving: false,
         bootstrap: true,
         failure_domain: FailureDomain { zone: 5, region: 6 },
-        committed: Stamp {
+        committed: WritePosition {
             epoch: 5,
             number: 12,
         },
@@ -190,7 +191,7 @@
     Report {
         accepted,
         active_epoch: 5,
-        stamp: Stamp {
+        position: WritePosition {
             epoch: 5,
             number: 12,
         },
@@ -230,24 +231,24 @@
         Body::RequestActive => "request active",
         Body::Active => "active",
     };
-    let persisted = Stamp {
+    let persisted = WritePosition {
         epoch: 5,
         number: 12,
     };
-    let committed = Some(Stamp {
+    let committed = Some(WritePosition {
         epoch: 5,
         number: 11,
     });
     let writes = vec![
         Write {
-            stamp: Stamp {
+            position: WritePosition {
                 epoch: 5,
                 number: 11,
             },
             command: put_configuration(),
         },
         Write {
-            stamp: persisted,
+            position: persisted,
             command: put_storage_view(),
         },
     ];
@@ -278,7 +279,7 @@
         Body::Decided(view(6, &[1, 2, 3], &[2, 3], 4)),
         Body::RequestView,
         Body::Replicate {
-            after: Stamp {
+            after: WritePosition {
                 epoch: 5,
                 number: 10,
             },
@@ -346,7 +347,7 @@
 
 /// Snapshots of earlier programs end before the idle epochs, and promises of earlier ones before theirs.
 #[test]
-fn records_cut_at_any_byte_are_refused_but_for_the_list_that_earlier_programs_lack() {
+fn records_truncated_at_any_byte_are_rejected_but_for_the_list_that_earlier_programs_lack() {
     let recorded = RecordedBytes::open("records");
     for (name, _) in records() {
         let runs = outcomes_when_cut(&recorded.bytes(name), Record::decode);
@@ -387,7 +388,7 @@
 }
 
 #[test]
-fn messages_cut_at_any_byte_are_refused_but_for_the_list_that_earlier_programs_lack() {
+fn messages_truncated_at_any_byte_are_rejected_but_for_the_list_that_earlier_programs_lack() {
     let recorded = RecordedBytes::open("messages");
     for (name, message) in messages() {
         let bytes = recorded.bytes(name);
@@ -453,7 +454,7 @@
 
 /// Later programs may add fields at the end.
 #[test]
-fn bytes_behind_a_record_or_a_message_are_passed_over() {
+fn bytes_after_a_record_or_a_message_are_ignored() {
     let longer = |bytes: Vec<u8>| [bytes, vec![0, 1, 2]].concat();
     for (name, record) in records() {
         assert_eq!(
@@ -472,7 +473,7 @@
 }
 
 #[test]
-fn foreign_bytes_are_refused() {
+fn foreign_bytes_are_rejected() {
     let foreign: [&[u8]; 3] = [b"WOADSLOT", b"{\"generation\":7}", &[0xff; 64]];
     let record_errors = foreign.map(|bytes| outcome(Record::decode(bytes)));
     let versions = ["87", "123", "255"];
--- a/crates/tier/chain/tests/simulation/capacity.rs
+++ b/crates/tier/chain/tests/simulation/capacity.rs
@@ -99,7 +99,7 @@
         .configuration
         .as_ref()
         .map_or(0, |configuration| configuration.body.0.len());
-    SMALL_BYTES + configuration as u64 + TAKEN_BYTES * state.taken.len() as u64
+    SMALL_BYTES + configuration as u64 + TAKEN_BYTES * state.applied.len() as u64
 }
 
 fn command_bytes(command: &Command) -> u64 {
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -127,7 +127,7 @@
     let members = world.nodes.iter().filter_map(|node| node.member.as_ref());
     let last = members
         .map(|member| member.published().clone())
-        .max_by_key(|state| state.stamp);
+        .max_by_key(|state| state.position);
     let last = last.expect("machines run");
     Finding {
         violations: world.history.check(&last),
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Command, ControlState, Digest, PutConfiguration, Rejection, Reply, Request, Stamp, View,
+    Command, ControlState, Digest, PutConfiguration, Rejection, Reply, Request, View, WritePosition,
 };
 
 use super::operator::CallId;
@@ -33,11 +33,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// Two machines published different states under one stamp.
-    Diverged { stamp: Stamp },
+    Diverged { stamp: WritePosition },
     /// A machine published something older than before.
     WentBack { node: usize },
     /// A committed version has a generation that is not above the one before it.
-    GenerationFell { stamp: Stamp },
+    GenerationFell { stamp: WritePosition },
     /// Two different views have the same epoch.
     TwoViews { epoch: u64 },
     /// An acknowledged change is not among those taken at the end.
@@ -76,10 +76,10 @@
 pub(crate) struct History {
     orders: Vec<Order>,
     /// Published states: configuration's generation and digest by stamp.
-    versions: BTreeMap<Stamp, (u64, Digest)>,
+    versions: BTreeMap<WritePosition, (u64, Digest)>,
     /// When each version was first published.
-    first_published: BTreeMap<Stamp, Duration>,
-    newest: BTreeMap<usize, Stamp>,
+    first_published: BTreeMap<WritePosition, Duration>,
+    newest: BTreeMap<usize, WritePosition>,
     views: BTreeMap<u64, View>,
     violations: Vec<Violation>,
     /// Changes that were taken before the run began.
@@ -121,8 +121,8 @@
             return;
         };
         let (is_acknowledged, is_refused) = self.answers.entry(put.digest).or_default();
-        *is_acknowledged |= matches!(reply, Reply::Taken | Reply::AlreadyTaken);
-        self.newly_taken += u64::from(*reply == Reply::Taken);
+        *is_acknowledged |= matches!(reply, Reply::Committed | Reply::AlreadyCommitted);
+        self.newly_taken += u64::from(*reply == Reply::Committed);
         *is_refused |= matches!(reply, Reply::Rejected(_));
         if *is_acknowledged && *is_refused {
             self.violations.push(Violation::TwoAnswers {
@@ -154,16 +154,17 @@
             return;
         };
         let version = (configuration.generation, configuration.digest);
-        if *self.versions.entry(state.stamp).or_insert(version) != version {
-            self.violations
-                .push(Violation::Diverged { stamp: state.stamp });
+        if *self.versions.entry(state.position).or_insert(version) != version {
+            self.violations.push(Violation::Diverged {
+                stamp: state.position,
+            });
         }
-        self.first_published.entry(state.stamp).or_insert(now);
+        self.first_published.entry(state.position).or_insert(now);
         let newest = self.newest.entry(node).or_default();
-        if *newest > state.stamp {
+        if *newest > state.position {
             self.violations.push(Violation::WentBack { node });
         }
-        *newest = state.stamp;
+        *newest = state.position;
     }
 
     pub(crate) fn view_installed(&mut self, view: &View) {
@@ -248,7 +249,7 @@
     /// Whether a change was taken, in the run or before it; the state may have forgotten the latter.
     fn was_taken(&self, put: &PutConfiguration, last: &ControlState) -> bool {
         let is_same = |generation, digest| generation == put.generation && digest == put.digest;
-        last.taken
+        last.applied
             .iter()
             .any(|taken| is_same(taken.generation, taken.digest))
             || self
--- a/crates/tier/chain/tests/simulation/operator.rs
+++ b/crates/tier/chain/tests/simulation/operator.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{
-    Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, Stamp,
+    Blob, Command, ControlState, PutConfiguration, Rejection, Reply, Request, WritePosition,
 };
 
 use super::event::Event;
@@ -112,7 +112,7 @@
         .map(|generation| new_put(generation - 1, generation, generation))
         .collect();
     for put in &changes {
-        let stamp = Stamp {
+        let stamp = WritePosition {
             epoch: 0,
             number: put.generation,
         };
@@ -283,7 +283,10 @@
         return;
     };
     let outcome = match (request, reply) {
-        (Request::Submit(Command::PutConfiguration(put)), Reply::Taken | Reply::AlreadyTaken) => {
+        (
+            Request::Submit(Command::PutConfiguration(put)),
+            Reply::Committed | Reply::AlreadyCommitted,
+        ) => {
             operator.known = operator.known.max(put.generation);
             operator.taken.push(put.clone());
             Outcome::Acknowledged
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -298,7 +298,7 @@
                 self.trace(|| {
                     format!(
                         "node {node} committed {:?} generation {}",
-                        state.stamp,
+                        state.position,
                         state.generation()
                     )
                 });
--- a/crates/tier/chain/tests/state.rs
+++ b/crates/tier/chain/tests/state.rs
@@ -1,9 +1,9 @@
-//! The control state against a plain list of what was taken.
+//! The control state against a plain list of the changes that were applied.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_chain::{
-    Blob, Command, ControlState, MAX_TAKEN_CONFIGURATIONS, PutConfiguration, PutStorageView,
-    Rejection, Stamp, Undecided, Verdict,
+    Blob, Command, ControlState, MAX_APPLIED_CONFIGURATIONS, PutConfiguration, PutStorageView,
+    Rejection, Undecided, Verdict, WritePosition,
 };
 
 /// A command with small numbers, so that repeats and mismatches are common.
@@ -35,7 +35,7 @@
     }
 }
 
-/// What was taken, in order.
+/// The applied changes, in order.
 #[derive(Default)]
 struct Oracle {
     configurations: Vec<(u64, [u8; 16])>,
@@ -51,7 +51,7 @@
                     .last()
                     .map_or(0, |(generation, _)| *generation);
                 if self.configurations.contains(&(put.generation, put.digest)) {
-                    Verdict::AlreadyTaken
+                    Verdict::AlreadyApplied
                 } else if put.base < current {
                     Verdict::Rejected(Rejection::BaseMismatch { current })
                 } else if put.generation <= put.base {
@@ -59,23 +59,23 @@
                 } else if put.base > current {
                     Verdict::Undecided(Undecided::FutureBase { current })
                 } else {
-                    Verdict::Take
+                    Verdict::Apply
                 }
             }
             Command::PutStorageView(put) => {
                 let current = self.storage.as_ref().map_or(0, |(epoch, _)| *epoch);
                 if self.storage == Some((put.epoch, put.bytes.clone())) {
-                    Verdict::AlreadyTaken
+                    Verdict::AlreadyApplied
                 } else if put.expected_epoch != current || put.epoch <= current {
                     Verdict::Rejected(Rejection::StorageEpochMismatch { current })
                 } else {
-                    Verdict::Take
+                    Verdict::Apply
                 }
             }
         }
     }
 
-    fn take(&mut self, command: &Command) {
+    fn apply(&mut self, command: &Command) {
         match command {
             Command::PutConfiguration(put) => {
                 self.configurations.push((put.generation, put.digest))
@@ -92,37 +92,37 @@
         commands.into_iter().enumerate().all(|(index, SmallCommand(command))| {
             let verdict = state.judge(&command);
             let agrees = verdict == oracle.verdict(&command);
-            if verdict == Verdict::Take {
-                state.apply(Stamp { epoch: 1, number: index as u64 + 1 }, &command);
-                oracle.take(&command);
+            if verdict == Verdict::Apply {
+                state.apply(WritePosition { epoch: 1, number: index as u64 + 1 }, &command);
+                oracle.apply(&command);
             }
-            agrees && state.taken.len() == oracle.configurations.len()
+            agrees && state.applied.len() == oracle.configurations.len()
         })
     }
 
-    fn what_was_refused_is_never_taken_later(commands: Vec<SmallCommand>, copies: Vec<usize>) -> bool {
+    fn a_rejected_change_is_never_applied_later(commands: Vec<SmallCommand>, copies: Vec<usize>) -> bool {
         let mut state = ControlState::default();
-        let mut refused = Vec::new();
+        let mut rejected = Vec::new();
         let commands: Vec<Command> = commands.into_iter().map(|SmallCommand(command)| command).collect();
         let late = copies.iter().filter_map(|copy| commands.get(copy % commands.len().max(1)));
         commands.iter().chain(late).enumerate().all(|(index, command)| {
             let verdict = state.judge(command);
             if matches!(verdict, Verdict::Rejected(_)) && matches!(command, Command::PutConfiguration(_)) {
-                refused.push(command.clone());
+                rejected.push(command.clone());
             }
-            if verdict == Verdict::Take {
-                state.apply(Stamp { epoch: 1, number: index as u64 + 1 }, command);
+            if verdict == Verdict::Apply {
+                state.apply(WritePosition { epoch: 1, number: index as u64 + 1 }, command);
             }
-            verdict != Verdict::Take || !refused.contains(command)
+            verdict != Verdict::Apply || !rejected.contains(command)
         })
     }
 
-    fn a_change_that_was_taken_is_never_refused(again: Vec<u16>) -> bool {
+    fn an_applied_change_is_never_rejected(again: Vec<u16>) -> bool {
         let changes = changes_beyond_the_limit();
         let state = state_after(&changes);
         let verdicts = again.iter().map(|place| state.judge(&changes[usize::from(*place) % changes.len()]));
         verdicts.into_iter().all(|verdict| {
-            matches!(verdict, Verdict::AlreadyTaken | Verdict::Undecided(Undecided::Forgotten { .. }))
+            matches!(verdict, Verdict::AlreadyApplied | Verdict::Undecided(Undecided::Forgotten { .. }))
         })
     }
 }
@@ -139,7 +139,7 @@
             body: Blob::default(),
         })
     };
-    (0..MAX_TAKEN_CONFIGURATIONS as u64 + 300)
+    (0..MAX_APPLIED_CONFIGURATIONS as u64 + 300)
         .map(change)
         .collect()
 }
@@ -147,9 +147,9 @@
 fn state_after(changes: &[Command]) -> ControlState {
     let mut state = ControlState::default();
     for (index, change) in changes.iter().enumerate() {
-        assert_eq!(state.judge(change), Verdict::Take);
+        assert_eq!(state.judge(change), Verdict::Apply);
         state.apply(
-            Stamp {
+            WritePosition {
                 epoch: 1,
                 number: index as u64 + 1,
             },
@@ -163,9 +163,9 @@
 fn changes_are_acknowledged_again_up_to_the_limit_and_undecided_beyond() {
     let changes = changes_beyond_the_limit();
     let state = state_after(&changes);
-    let (forgotten, remembered) = changes.split_at(changes.len() - MAX_TAKEN_CONFIGURATIONS);
+    let (forgotten, remembered) = changes.split_at(changes.len() - MAX_APPLIED_CONFIGURATIONS);
     for change in remembered {
-        assert_eq!(state.judge(change), Verdict::AlreadyTaken);
+        assert_eq!(state.judge(change), Verdict::AlreadyApplied);
     }
     for change in forgotten {
         assert_eq!(
@@ -187,16 +187,16 @@
             body: Blob::default(),
         };
         state.apply(
-            Stamp {
+            WritePosition {
                 epoch: 1,
                 number: generation,
             },
             &Command::PutConfiguration(put),
         );
     }
-    assert_eq!(state.taken.len(), 8192);
+    assert_eq!(state.applied.len(), 8192);
     assert_eq!(
-        state.taken.last().map(|taken| taken.generation),
+        state.applied.last().map(|applied| applied.generation),
         Some(10_000)
     );
 }
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -184,7 +184,7 @@
         Arc::clone(self.state.lock().member.published())
     }
 
-    /// The storage view with every change that this head has taken, committed or not.
+    /// The storage view with every change that this head has appended, committed or not.
     pub fn latest_storage_view(&self) -> Option<StoredStorageView> {
         self.state.lock().member.latest().storage_view.clone()
     }
@@ -283,8 +283,8 @@
     tracing::info!(
         generation = committed.generation(),
         storage_epoch = committed.storage_epoch(),
-        epoch = committed.stamp.epoch,
-        number = committed.stamp.number,
+        epoch = committed.position.epoch,
+        number = committed.position.number,
         "control state committed"
     );
 }
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -29,7 +29,7 @@
 async fn put_configuration(driver: &MemberDriver, put: PutConfiguration) -> Option<Answer> {
     let command = Command::PutConfiguration(put);
     match driver.request(Request::Submit(command)).await {
-        Reply::Taken | Reply::AlreadyTaken => Some(Answer::Done),
+        Reply::Committed | Reply::AlreadyCommitted => Some(Answer::Done),
         Reply::Rejected(rejection) => Some(Answer::Rejected(rejection)),
         Reply::Undecided(undecided) => Some(Answer::Undecided(undecided)),
         _ => None,
@@ -95,5 +95,5 @@
     };
     let request = Request::Submit(Command::PutStorageView(put));
     let reply = driver.request(request).await;
-    matches!(reply, Reply::Taken | Reply::AlreadyTaken)
+    matches!(reply, Reply::Committed | Reply::AlreadyCommitted)
 }
--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn views_that_no_proposer_makes_or_that_do_not_follow_are_not_taken() {
+async fn views_that_no_proposer_makes_or_that_do_not_follow_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, _orders) = start_core(folder.path()).await;
     let epoch = driver.status().epoch;
@@ -139,7 +139,7 @@
             "{found}: {error}"
         );
     }
-    // An older view is sound, and comes late: it is taken for what it is.
+    // An older view is sound, and comes late: it is ignored as such.
     driver
         .receive(&envelope(epoch, Body::Decided(view(epoch, &[9], &[9]))).encode())
         .expect("a sound message");
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_without_a_number_is_refused() {
+async fn a_configuration_without_a_number_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, orders) = start_core(folder.path()).await;
     let api = operator::router(orders);
--- a/crates/tier/control/tests/durable_log.rs
+++ b/crates/tier/control/tests/durable_log.rs
@@ -1,7 +1,7 @@
 //! Recovery of a member from numbered records.
 
 use quickcheck::quickcheck;
-use woadreach_chain::{Blob, Command, Durable, PutConfiguration, Record, Stamp, View};
+use woadreach_chain::{Blob, Command, Durable, PutConfiguration, Record, View, WritePosition};
 use woadreach_control::durable_log::{encode_record, encode_snapshot, recover};
 
 fn write(number: u64) -> Record {
@@ -12,7 +12,7 @@
         body: Blob::from(vec![number as u8]),
     };
     Record::Write {
-        stamp: Stamp { epoch: 1, number },
+        position: WritePosition { epoch: 1, number },
         command: Command::PutConfiguration(put),
     }
 }
@@ -44,7 +44,7 @@
         (recovered.number, recovered.durable.state.generation()),
         (3, 3)
     );
-    assert_eq!(recovered.durable.state.taken.len(), 3);
+    assert_eq!(recovered.durable.state.applied.len(), 3);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     records.extend([3, 4].map(|number| encode_record(number, &write(number))));
     let second = recover(&encode_snapshot(0, &empty()), &records).expect("own records");
     assert_eq!((second.number, second.durable.state.generation()), (4, 4));
-    assert_eq!(second.durable.state.taken.len(), 4);
+    assert_eq!(second.durable.state.applied.len(), 4);
 }
 
 quickcheck! {
--- a/crates/tier/control/tests/journal_bounds.rs
+++ b/crates/tier/control/tests/journal_bounds.rs
@@ -6,8 +6,8 @@
 
 use oorandom::Rand64;
 use woadreach_chain::{
-    Blob, Command, FailureDomain, MemberOptions, PutConfiguration, Reply, Request,
-    TakenConfiguration, Tolerance,
+    AppliedConfiguration, Blob, Command, FailureDomain, MemberOptions, PutConfiguration, Reply,
+    Request, Tolerance,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
@@ -44,8 +44,8 @@
     }
 }
 
-fn taken(generation: u64) -> TakenConfiguration {
-    TakenConfiguration {
+fn applied(generation: u64) -> AppliedConfiguration {
+    AppliedConfiguration {
         generation,
         digest: change(generation, 0).digest,
     }
@@ -107,7 +107,7 @@
         if !order.is_finished() {
             break;
         }
-        assert_eq!(order.await.expect("no panic"), Reply::Taken);
+        assert_eq!(order.await.expect("no panic"), Reply::Committed);
         incarnation.acknowledged = generation;
         incarnation.max_used = incarnation.max_used.max(disk.used_bytes());
     }
@@ -129,15 +129,15 @@
     runtime.block_on(run_changes(disk, count, bytes, power_loss))
 }
 
-/// What a restart recovers: the generation of the configuration, and the digests of all that were taken.
-fn recovered_state(disk: &SimulatedDisk) -> (u64, Vec<TakenConfiguration>) {
+/// What a restart recovers: the generation of the configuration, and the digests of all that were applied.
+fn recovered_state(disk: &SimulatedDisk) -> (u64, Vec<AppliedConfiguration>) {
     let (_, found) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("a readable disk");
     let recovered =
         recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records");
     (
         recovered.durable.state.generation(),
-        recovered.durable.state.taken,
+        recovered.durable.state.applied,
     )
 }
 
@@ -187,7 +187,7 @@
         disk.restore_power(outcomes);
         let (generation, digests) = recovered_state(&disk);
         let is_complete =
-            generation >= acknowledged && digests.iter().copied().eq((1..=generation).map(taken));
+            generation >= acknowledged && digests.iter().copied().eq((1..=generation).map(applied));
         lost += u64::from(!is_complete);
     }
     lost
--- a/crates/tier/control/tests/journal_upkeep.rs
+++ b/crates/tier/control/tests/journal_upkeep.rs
@@ -171,7 +171,7 @@
     }
     disk.release();
     for order in orders {
-        assert_eq!(within(order).await.expect("no panic"), Reply::Taken);
+        assert_eq!(within(order).await.expect("no panic"), Reply::Committed);
     }
     assert_eq!(disk.snapshots() - before, 1);
 }
@@ -190,7 +190,7 @@
     }
     disk.release();
     for order in orders {
-        assert_eq!(within(order).await.expect("no panic"), Reply::Taken);
+        assert_eq!(within(order).await.expect("no panic"), Reply::Committed);
     }
     assert_eq!(disk.snapshots() - before, 1);
     drop(driver);
--- a/crates/tier/control/tests/operator_api.rs
+++ b/crates/tier/control/tests/operator_api.rs
@@ -319,21 +319,21 @@
         calls.spawn(async move { (put_value(&api, 0, &change).await, change.to_string()) });
     }
     let answers = calls.join_all().await;
-    let (taken, refused): (Vec<_>, Vec<_>) = answers
+    let (accepted, rejected): (Vec<_>, Vec<_>) = answers
         .into_iter()
         .partition(|(status, _)| status.is_success());
     assert_eq!(
-        (taken.len(), refused.len()),
+        (accepted.len(), rejected.len()),
         (2, 14),
         "both copies of the winner"
     );
-    assert_eq!(taken[0].1, taken[1].1);
+    assert_eq!(accepted[0].1, accepted[1].1);
     assert!(
-        refused
+        rejected
             .iter()
             .all(|(status, _)| *status == StatusCode::PRECONDITION_FAILED)
     );
-    assert_eq!(get(&api, "/config").await.1, taken[0].1.as_bytes());
+    assert_eq!(get(&api, "/config").await.1, accepted[0].1.as_bytes());
 }
 
 #[tokio::test]
@@ -395,22 +395,22 @@
     }
     let mut answers = calls.join_all().await;
     answers.sort();
-    let taken: Vec<i32> = answers
+    let accepted: Vec<i32> = answers
         .iter()
         .filter(|(_, status)| status.is_success())
         .map(|(number, _)| *number)
         .collect();
-    let refused = answers
+    let rejected = answers
         .iter()
         .filter(|(_, status)| *status == StatusCode::CONFLICT)
         .count();
     assert_eq!(
-        (taken.len(), refused),
+        (accepted.len(), rejected),
         (6, 2),
         "one machine stays: {answers:?}"
     );
     for number in 0..4 {
-        let expected = if taken.contains(&number) {
+        let expected = if accepted.contains(&number) {
             StatusCode::OK
         } else {
             StatusCode::CONFLICT
@@ -438,7 +438,7 @@
             put,
         )))
         .await;
-    assert_eq!(reply, Reply::Taken);
+    assert_eq!(reply, Reply::Committed);
     assert_eq!(
         post_retire(&api, "store-0").await,
         StatusCode::SERVICE_UNAVAILABLE
--- a/crates/tier/control/tests/recorded_bytes.rs
+++ b/crates/tier/control/tests/recorded_bytes.rs
@@ -13,8 +13,8 @@
 use support::start_core;
 use tower::ServiceExt;
 use woadreach_chain::{
-    Blob, Command, Durable, PutConfiguration, PutStorageView, Record, Rejection, Stamp, Undecided,
-    View,
+    Blob, Command, Durable, PutConfiguration, PutStorageView, Record, Rejection, Undecided, View,
+    WritePosition,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
 use woadreach_control::operator;
@@ -39,7 +39,7 @@
 fn write(number: u64) -> Record {
     let command = Command::PutConfiguration(put(number - 1, number));
     Record::Write {
-        stamp: Stamp { epoch: 1, number },
+        position: WritePosition { epoch: 1, number },
         command,
     }
 }
@@ -277,12 +277,12 @@
         epoch: 5,
         bytes: Blob::from(vec![9, 9]),
     };
-    let taken = driver
+    let reply = driver
         .request(woadreach_chain::Request::Submit(Command::PutStorageView(
             foreign,
         )))
         .await;
-    assert_eq!(taken, woadreach_chain::Reply::Taken);
+    assert_eq!(reply, woadreach_chain::Reply::Committed);
     let unreadable = "unreadable storage view";
     expect_answers(
         &orders,
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -11,7 +11,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 use woadreach_chain::{
-    Blob, Command, ControlState, PutStorageView, Stamp, StoredStorageView, Verdict,
+    Blob, Command, ControlState, PutStorageView, StoredStorageView, Verdict, WritePosition,
 };
 use woadreach_control::order::message::Answer;
 use woadreach_control::order::retire::{RetireDecision, decide_retire, decode_view, retire_state};
@@ -51,10 +51,10 @@
         node: String,
         decision: RetireDecision,
     },
-    /// Waits for the commit of a stamp.
+    /// Waits for the commit of the write at `position`.
     Submitted {
         node: String,
-        stamp: Stamp,
+        position: WritePosition,
     },
 }
 
@@ -187,19 +187,19 @@
         }
     }
 
-    /// Submits a view. Returns the stamp of the write if it is accepted.
-    fn submit(&mut self, put: PutStorageView) -> Option<Stamp> {
+    /// Submits a view. Returns the position of the write if it is accepted.
+    fn submit(&mut self, put: PutStorageView) -> Option<WritePosition> {
         let command = Command::PutStorageView(put);
         match self.latest.judge(&command) {
-            Verdict::Take => {
-                let stamp = Stamp {
+            Verdict::Apply => {
+                let position = WritePosition {
                     epoch: self.epoch,
-                    number: self.latest.stamp.number + 1,
+                    number: self.latest.position.number + 1,
                 };
-                self.latest.apply(stamp, &command);
-                Some(stamp)
+                self.latest.apply(position, &command);
+                Some(position)
             }
-            Verdict::AlreadyTaken => Some(self.latest.stamp),
+            Verdict::AlreadyApplied => Some(self.latest.position),
             _ => None,
         }
     }
@@ -238,9 +238,9 @@
                     bytes,
                 };
                 self.submit(put)
-                    .map_or(OrderSlot::Free, |stamp| OrderSlot::Submitted {
+                    .map_or(OrderSlot::Free, |position| OrderSlot::Submitted {
                         node,
-                        stamp,
+                        position,
                     })
             }
             OrderSlot::Decided { node, decision } => {
@@ -254,7 +254,7 @@
                 }
                 OrderSlot::Free
             }
-            OrderSlot::Submitted { node, stamp } if stamp <= self.committed.stamp => {
+            OrderSlot::Submitted { node, position } if position <= self.committed.position => {
                 self.record_answer(&node, &Answer::Done);
                 OrderSlot::Free
             }
@@ -269,7 +269,7 @@
             }
             Answer::UnknownNode | Answer::TooFewNodes if self.acknowledged.contains(node) => {
                 self.violations
-                    .push(format!("{node}: {answer:?} though it was taken"));
+                    .push(format!("{node}: {answer:?} though it was applied"));
             }
             _ => {}
         }
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -15,9 +15,9 @@
 use tempfile::TempDir;
 use tokio::time::Instant;
 use woadreach_chain::{
-    Accepted, Ballot, Blob, Command, ControlState, Durable, IdleEpoch, MemberId, Promise,
-    PutConfiguration, PutStorageView, Record, Rejection, Stamp, StoredConfiguration,
-    TakenConfiguration, View,
+    Accepted, AppliedConfiguration, Ballot, Blob, Command, ControlState, Durable, IdleEpoch,
+    MemberId, Promise, PutConfiguration, PutStorageView, Record, Rejection, StoredConfiguration,
+    View, WritePosition,
 };
 use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
 use woadreach_control::order::execution::submit_storage_view;
@@ -56,8 +56,8 @@
     }
 }
 
-fn taken(generation: u64) -> TakenConfiguration {
-    TakenConfiguration {
+fn applied(generation: u64) -> AppliedConfiguration {
+    AppliedConfiguration {
         generation,
         digest: [generation as u8; 16],
     }
@@ -166,7 +166,7 @@
             body
         })
     );
-    assert_eq!(state.taken, [taken(3), taken(7)]);
+    assert_eq!(state.applied, [applied(3), applied(7)]);
     let stored = state.storage_view.expect("a storage view");
     assert_eq!(stored.epoch, 2);
     assert_eq!(StorageView::read(&stored.bytes.0), Ok(joint_storage_view()));
@@ -183,7 +183,7 @@
         assert_eq!(
             execute(&orders, Order::PutConfiguration(put(0, 3))).await,
             Answer::Done,
-            "taken before"
+            "applied before"
         );
         let other = PutConfiguration {
             digest: [0; 16],
@@ -207,8 +207,8 @@
         expect_configuration(&orders, 9).await;
     });
     assert_eq!(
-        recover_disk(folder.path()).durable.state.taken,
-        [taken(3), taken(7), taken(9)]
+        recover_disk(folder.path()).durable.state.applied,
+        [applied(3), applied(7), applied(9)]
     );
 }
 
@@ -232,7 +232,7 @@
 
 fn write_of(epoch: u64, number: u64, command: Command) -> Record {
     Record::Write {
-        stamp: Stamp { epoch, number },
+        position: WritePosition { epoch, number },
         command,
     }
 }
@@ -254,7 +254,7 @@
     };
     let mut state = ControlState::default();
     state.apply(
-        Stamp {
+        WritePosition {
             epoch: 1,
             number: 1,
         },
@@ -373,8 +373,8 @@
     );
     assert_eq!(durable.idle_epochs, [IdleEpoch { epoch: 5, floor: 4 }]);
     assert_eq!(
-        durable.state.stamp,
-        Stamp {
+        durable.state.position,
+        WritePosition {
             epoch: 6,
             number: 2
         }
@@ -383,7 +383,7 @@
         (durable.state.generation(), durable.state.storage_epoch()),
         (7, 2)
     );
-    assert_eq!(durable.state.taken, [taken(3), taken(7)]);
+    assert_eq!(durable.state.applied, [applied(3), applied(7)]);
     let stored = durable.state.storage_view.expect("a storage view");
     assert_eq!(StorageView::read(&stored.bytes.0), Ok(joint_storage_view()));
 }
