--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -1,322 +1,14 @@
-//! Records, snapshots and messages of the chain as they were recorded: read and written alike for ever.
+//! Records, snapshots and messages of the chain as they were recorded: every later program must read them, and
+//! write the same bytes again.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
-
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod samples;
 
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
-use woadreach_chain::{
-    Accepted, AppliedConfiguration, Ballot, Barrier, Blob, Body, Command, ControlState, Durable,
-    Envelope, FailureDomain, Heartbeat, HeartbeatTime, IdleEpoch, MemberId, Promise,
-    PutConfiguration, PutStorageView, Record, Report, StoredConfiguration, StoredStorageView, View,
-    Write, WritePosition,
-};
-
-fn member(number: u8) -> MemberId {
-    let address = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, number), 7380);
-    MemberId {
-        address,
-        identity: 0x1122_3344_5566_7700 + u64::from(number),
-    }
-}
-
-fn members(numbers: &[u8]) -> Vec<MemberId> {
-    numbers.iter().copied().map(member).collect()
-}
-
-fn view(epoch: u64, voters: &[u8], chain: &[u8], floor: u64) -> View {
-    View {
-        epoch,
-        voters: members(voters),
-        chain: members(chain),
-        floor,
-    }
-}
-
-fn ballot(round: u64, proposer: u8) -> Ballot {
-    Ballot {
-        round,
-        proposer: member(proposer),
-    }
-}
-
-fn vote() -> Accepted {
-    Accepted {
-        ballot: ballot(9, 2),
-        view: view(6, &[1, 2, 3], &[2, 3], 4),
-    }
-}
-
-fn put_configuration() -> Command {
-    Command::PutConfiguration(PutConfiguration {
-        base: 3,
-        generation: 7,
-        digest: *b"sixteen bytes...",
-        body: Blob::from(br#"{"generation":7}"#.to_vec()),
-    })
-}
-
-fn put_storage_view() -> Command {
-    Command::PutStorageView(PutStorageView {
-        expected_epoch: 2,
-        epoch: 3,
-        bytes: Blob::from(vec![1, 0, 255]),
-    })
-}
-
-fn state() -> ControlState {
-    ControlState {
-        position: WritePosition {
-            epoch: 5,
-            number: 12,
-        },
-        configuration: Some(StoredConfiguration {
-            generation: 7,
-            digest: *b"sixteen bytes...",
-            body: Blob::from(br#"{"generation":7}"#.to_vec()),
-        }),
-        storage_view: Some(StoredStorageView {
-            epoch: 3,
-            bytes: Blob::from(vec![1, 0, 255]),
-        }),
-        applied: vec![
-            AppliedConfiguration {
-                generation: 3,
-                digest: [3; 16],
-            },
-            AppliedConfiguration {
-                generation: 7,
-                digest: *b"sixteen bytes...",
-            },
-        ],
-    }
-}
-
-/// Every kind of record, in several epochs. A kind that is added needs an entry here.
-fn records() -> Vec<(&'static str, Record)> {
-    let name = |record: &Record| match record {
-        Record::Promise(_) => "promise",
-        Record::Accept(_) => "accept",
-        Record::View(_) => "view",
-        Record::Activate(_) => "activate",
-        Record::State { .. } => "state",
-        Record::Write {
-            command: Command::PutConfiguration(_),
-            ..
-        } => "write of a configuration",
-        Record::Write {
-            command: Command::PutStorageView(_),
-            ..
-        } => "write of a storage view",
-    };
-    let records = [
-        Record::Promise(Promise {
-            epoch: 5,
-            ballot: ballot(9, 2),
-        }),
-        Record::Accept(vote()),
-        Record::View(view(6, &[1, 2, 3], &[2, 3], 4)),
-        Record::Activate(6),
-        Record::State {
-            epoch: 6,
-            state: state(),
-        },
-        Record::Write {
-            position: WritePosition {
-                epoch: 6,
-                number: 1,
-            },
-            command: put_configuration(),
-        },
-        Record::Write {
-            position: WritePosition {
-                epoch: 6,
-                number: 2,
-            },
-            command: put_storage_view(),
-        },
-    ];
-    records
-        .into_iter()
-        .map(|record| (name(&record), record))
-        .collect()
-}
-
-/// A member that has gone through epochs 5 to 8, and one that has just begun.
-fn snapshots() -> Vec<(&'static str, Durable)> {
-    let mut whole = Durable::new(member(1).identity, true, view(5, &[1, 2, 3], &[1, 2], 3));
-    whole.active_epoch = 5;
-    for (_, record) in records() {
-        whole.apply(&record);
-    }
-    whole.apply(&Record::View(view(7, &[1, 2, 3], &[1, 2, 3], 6)));
-    whole.apply(&Record::View(view(8, &[1, 2, 3], &[1, 3], 6)));
-    whole.apply(&Record::Promise(Promise {
-        epoch: 8,
-        ballot: ballot(11, 3),
-    }));
-    whole.apply(&Record::Accept(Accepted {
-        ballot: ballot(11, 3),
-        view: view(9, &[1, 2], &[1], 8),
-    }));
-    let seeds = [member(1).address, member(2).address];
-    let first = Durable::new(member(2).identity, false, View::bootstrap(&seeds));
-    vec![("several epochs", whole), ("first start", first)]
-}
-
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
-        sent: HeartbeatTime {
-            incarnation: 1,
-            micros: 2_000_000,
-        },
-        echo: HeartbeatTime {
-            incarnation: 3,
-            micros: 4_000_000,
-        },
-        can_replicate: true,
-        leaving: false,
-        bootstrap: true,
-        failure_domain: FailureDomain { zone: 5, region: 6 },
-        committed: WritePosition {
-            epoch: 5,
-            number: 12,
-        },
-        hears: members(&[2, 3]),
-    }
-}
-
-fn report(accepted: Option<Accepted>, idle_epochs: Vec<IdleEpoch>) -> Report {
-    Report {
-        accepted,
-        active_epoch: 5,
-        position: WritePosition {
-            epoch: 5,
-            number: 12,
-        },
-        can_replicate: true,
-        hears: members(&[1, 3]),
-        idle_epochs,
-    }
-}
-
-fn barrier() -> Barrier {
-    Barrier {
-        session: 77,
-        number: 8,
-    }
-}
-
-/// Every kind of message. A kind that is added needs an entry here.
-fn messages() -> Vec<(&'static str, Envelope)> {
-    let name = |body: &Body| match body {
-        Body::Heartbeat(_) => "ping",
-        Body::Prepare { .. } => "prepare",
-        Body::Promise { report, .. } if report.accepted.is_none() => "promise without a vote",
-        Body::Promise { .. } => "promise with a vote",
-        Body::Accept(_) => "accept",
-        Body::Accepted { .. } => "accepted",
-        Body::Superseded { .. } => "superseded",
-        Body::Decided(_) => "decided",
-        Body::RequestView => "request view",
-        Body::Replicate { .. } => "replicate",
-        Body::Transfer { .. } => "transfer",
-        Body::Replicated {
-            committed: None, ..
-        } => "replicated by the tail",
-        Body::Replicated { .. } => "replicated",
-        Body::RequestState => "request state",
-        Body::Committed(_) => "committed",
-        Body::RequestActive => "request active",
-        Body::Active => "active",
-    };
-    let persisted = WritePosition {
-        epoch: 5,
-        number: 12,
-    };
-    let committed = Some(WritePosition {
-        epoch: 5,
-        number: 11,
-    });
-    let writes = vec![
-        Write {
-            position: WritePosition {
-                epoch: 5,
-                number: 11,
-            },
-            command: put_configuration(),
-        },
-        Write {
-            position: persisted,
-            command: put_storage_view(),
-        },
-    ];
-    let idle = vec![
-        IdleEpoch { epoch: 4, floor: 2 },
-        IdleEpoch { epoch: 5, floor: 2 },
-    ];
-    let bodies = [
-        Body::Heartbeat(heartbeat()),
-        Body::Prepare {
-            ballot: ballot(9, 2),
-        },
-        Body::Promise {
-            ballot: ballot(9, 2),
-            report: report(None, Vec::new()),
-        },
-        Body::Promise {
-            ballot: ballot(9, 2),
-            report: report(Some(vote()), idle),
-        },
-        Body::Accept(vote()),
-        Body::Accepted {
-            ballot: ballot(9, 2),
-        },
-        Body::Superseded {
-            promised: ballot(10, 3),
-        },
-        Body::Decided(view(6, &[1, 2, 3], &[2, 3], 4)),
-        Body::RequestView,
-        Body::Replicate {
-            after: WritePosition {
-                epoch: 5,
-                number: 10,
-            },
-            writes,
-            barrier: barrier(),
-        },
-        Body::Transfer {
-            state: state(),
-            barrier: barrier(),
-        },
-        Body::Replicated {
-            active: true,
-            persisted,
-            committed,
-            barrier: barrier(),
-        },
-        Body::Replicated {
-            active: false,
-            persisted,
-            committed: None,
-            barrier: Barrier::default(),
-        },
-        Body::RequestState,
-        Body::Committed(state()),
-        Body::RequestActive,
-        Body::Active,
-    ];
-    let envelope = |body| Envelope {
-        from: member(1),
-        epoch: 5,
-        body,
-    };
-    bodies
-        .into_iter()
-        .map(|body| (name(&body), envelope(body)))
-        .collect()
-}
+use samples::messages::messages;
+use samples::records::{records, snapshots};
+use woadreach_chain::{Body, Durable, Envelope, FailureDomain, Record};
 
 #[test]
 fn every_kind_of_record_is_read_and_written_as_recorded() {
@@ -425,11 +117,11 @@
     }
 }
 
-/// The kind stands in four bytes behind the version, or behind the sender and the epoch.
+/// The kind is coded in four bytes after the version, or after the sender and the epoch.
 #[test]
 fn unknown_kinds_and_lengths_beyond_the_end_are_malformed() {
-    let with = |mut bytes: Vec<u8>, place: usize, number: u32| {
-        bytes[place..place + 4].copy_from_slice(&number.to_le_bytes());
+    let with = |mut bytes: Vec<u8>, offset: usize, number: u32| {
+        bytes[offset..offset + 4].copy_from_slice(&number.to_le_bytes());
         bytes
     };
     for kind in [6, 255, u32::MAX] {
@@ -488,14 +180,14 @@
     );
 }
 
-/// Members compare the places of others with their own, and know them as digests only.
+/// Members compare the failure domains of others with their own, and know them as digests only.
 #[test]
-fn digests_of_places_are_as_recorded() {
+fn digests_of_failure_domains_are_as_recorded() {
     let recorded = RecordedBytes::open("places");
-    let places = [("a", "north"), ("zone-2", "region-3"), ("", "")];
-    for (zone, region) in places {
-        let place = FailureDomain::named(zone, region);
-        let bytes = [place.zone.to_le_bytes(), place.region.to_le_bytes()].concat();
+    let domains = [("a", "north"), ("zone-2", "region-3"), ("", "")];
+    for (zone, region) in domains {
+        let domain = FailureDomain::named(zone, region);
+        let bytes = [domain.zone.to_le_bytes(), domain.region.to_le_bytes()].concat();
         recorded.check_bytes(&format!("zone {zone:?} of region {region:?}"), &bytes);
     }
     recorded.finish();
