--- a/crates/tier/chain/src/member/paxos.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -21,24 +21,34 @@
         view.is_voter(self.id) && (view.epoch > 0 || self.durable.bootstrap)
     }
 
+    /// The ballot that this member has promised in the instance of the current epoch, if it is above `ballot`.
+    fn promised_above(&self, ballot: Ballot) -> Option<Ballot> {
+        let promised = self.durable.current_promise()?.ballot;
+        (promised > ballot).then_some(promised)
+    }
+
+    /// Promises `ballot`, which seals the epoch, unless that or a higher ballot is promised. Returns whether the
+    /// promise is new.
+    fn promise(&mut self, ballot: Ballot) -> bool {
+        let current = self.durable.current_promise();
+        let is_new = current.is_none_or(|promise| promise.ballot < ballot);
+        if is_new {
+            let epoch = self.durable.view.epoch;
+            self.persist(Record::Promise(Promise { epoch, ballot }));
+        }
+        is_new
+    }
+
     /// Phase 1b: promises `ballot` and seals the epoch, unless a higher ballot was promised.
     pub(super) fn handle_prepare(&mut self, from: MemberId, ballot: Ballot) {
         if !self.is_eligible_voter() || !self.durable.view.is_voter(from) {
             return;
         }
         self.proposer.observe_ballot(ballot);
-        let current = self.durable.current_promise();
-        if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
-            return self.send_now(
-                from.address,
-                Body::Superseded {
-                    promised: promise.ballot,
-                },
-            );
+        if let Some(promised) = self.promised_above(ballot) {
+            return self.send_now(from.address, Body::Superseded { promised });
         }
-        if current.is_none_or(|promise| promise.ballot < ballot) {
-            let epoch = self.durable.view.epoch;
-            self.persist(Record::Promise(Promise { epoch, ballot }));
+        if self.promise(ballot) {
             self.election.cancel();
         }
         let report = self.report();
@@ -59,24 +69,15 @@
 
     /// Phase 2b: accepts a proposal, unless a higher ballot was promised.
     pub(super) fn handle_accept(&mut self, from: MemberId, accepted: Accepted) {
-        let epoch = self.durable.view.epoch;
         let ballot = accepted.ballot;
-        let is_for_next = accepted.view.epoch == epoch + 1;
+        let is_for_next = accepted.view.epoch == self.durable.view.epoch + 1;
         if !self.is_eligible_voter() || !self.durable.view.is_voter(from) || !is_for_next {
             return;
         }
-        let current = self.durable.current_promise();
-        if let Some(promise) = current.filter(|promise| promise.ballot > ballot) {
-            return self.send_now(
-                from.address,
-                Body::Superseded {
-                    promised: promise.ballot,
-                },
-            );
-        }
-        if current.is_none_or(|promise| promise.ballot < ballot) {
-            self.persist(Record::Promise(Promise { epoch, ballot }));
+        if let Some(promised) = self.promised_above(ballot) {
+            return self.send_now(from.address, Body::Superseded { promised });
         }
+        self.promise(ballot);
         if self.durable.accepted.as_ref() != Some(&accepted) {
             self.persist(Record::Accept(accepted));
         }
