--- a/crates/tier/chain/tests/ballots.rs
+++ b/crates/tier/chain/tests/ballots.rs
@@ -1,26 +1,20 @@
 //! A ballot stands for one view, through restarts too.
 
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod support;
+
 use std::time::Duration;
 
+use support::member_id;
 use woadreach_chain::{
-    Ballot, Body, Durable, FailureDomain, Input, Member, MemberId, MemberOptions, Output, Record,
-    TimedStep, Tolerance, View,
+    Ballot, Body, Durable, FailureDomain, Input, Member, MemberOptions, Output, Record, TimedStep,
+    Tolerance, View,
 };
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn id(number: u8) -> MemberId {
-    let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId {
-        address,
-        identity: u64::from(number),
-    }
-}
-
 /// The disk of the head of a view of three.
 fn disk() -> Durable {
-    let members = vec![id(1), id(2), id(3)];
+    let members = vec![member_id(1), member_id(2), member_id(3)];
     let view = View {
         epoch: 1,
         voters: members.clone(),
@@ -35,7 +29,7 @@
 
 fn head(durable: Durable) -> Member {
     let options = MemberOptions {
-        address: id(1).address,
+        address: member_id(1).address,
         seeds: Vec::new(),
         tolerance: Tolerance {
             machines: 1,
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -1,8 +1,10 @@
 //! When a machine that is being stopped, and is in no chain, may end.
 
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod support;
+
 use std::time::Duration;
 
+use support::member_id;
 use woadreach_chain::{
     Body, Departure, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, Member,
     MemberId, MemberOptions, Record, Tolerance, View, WritePosition,
@@ -12,16 +14,8 @@
 /// Number of the machine that is stopped.
 const LEARNER: u8 = 4;
 
-fn id(number: u8) -> MemberId {
-    let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId {
-        address,
-        identity: u64::from(number),
-    }
-}
-
 fn view(epoch: u64, chain: &[u8]) -> View {
-    let chain: Vec<MemberId> = chain.iter().copied().map(id).collect();
+    let chain: Vec<MemberId> = chain.iter().copied().map(member_id).collect();
     View {
         epoch,
         voters: chain.clone(),
@@ -32,11 +26,11 @@
 
 /// A machine outside the chain of machines 1 to 3.
 fn learner() -> Member {
-    let mut durable = Durable::new(id(LEARNER).identity, false, View::default());
+    let mut durable = Durable::new(member_id(LEARNER).identity, false, View::default());
     durable.apply(&Record::View(view(EPOCH, &[1, 2, 3])));
     let options = MemberOptions {
-        address: id(LEARNER).address,
-        seeds: vec![id(1).address],
+        address: member_id(LEARNER).address,
+        seeds: vec![member_id(1).address],
         tolerance: Tolerance {
             machines: 1,
             ..Tolerance::default()
@@ -51,7 +45,7 @@
     member.handle(
         now,
         Input::Message(Envelope {
-            from: id(from),
+            from: member_id(from),
             epoch,
             body,
         }),
@@ -72,7 +66,7 @@
             bootstrap: false,
             failure_domain: FailureDomain::default(),
             committed: WritePosition::default(),
-            hears: (1..=LEARNER).map(id).collect(),
+            hears: (1..=LEARNER).map(member_id).collect(),
         };
         deliver(member, now, number, EPOCH, Body::Heartbeat(heartbeat));
         deliver(member, now, number, EPOCH, Body::Active);
--- a/crates/tier/chain/tests/idle_epochs.rs
+++ b/crates/tier/chain/tests/idle_epochs.rs
@@ -1,23 +1,16 @@
 //! Epochs that ended before a member of their chain was active: nothing was committed in them.
 
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod support;
 
-use woadreach_chain::{Durable, IdleEpoch, MemberId, Record, View};
-
-fn id(number: u8) -> MemberId {
-    let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    MemberId {
-        address,
-        identity: u64::from(number),
-    }
-}
+use support::member_id;
+use woadreach_chain::{Durable, IdleEpoch, Record, View};
 
 fn view(epoch: u64, chain: &[u8]) -> View {
-    let voters = vec![id(1), id(2), id(3)];
+    let voters = vec![member_id(1), member_id(2), member_id(3)];
     View {
         epoch,
         voters,
-        chain: chain.iter().copied().map(id).collect(),
+        chain: chain.iter().copied().map(member_id).collect(),
         floor: epoch - 1,
     }
 }
--- a/crates/tier/chain/tests/mutations.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -4,6 +4,7 @@
 
 use std::time::Duration;
 
+use rstest::rstest;
 use simulation::faults::{Run, play, play_in, play_planned_work};
 use simulation::world::{InjectedBug, World};
 use woadreach_chain::{MAX_APPLIED_CONFIGURATIONS, Mutation};
@@ -42,53 +43,22 @@
     })
 }
 
-#[test]
-fn acknowledging_before_the_sync_is_found() {
-    assert!(is_found(
-        InjectedBug::Member(Mutation::AcknowledgeBeforeSync),
-        2000
-    ));
-}
-
-#[test]
-fn a_view_without_epoch_check_is_found() {
-    assert!(is_found(InjectedBug::Member(Mutation::NoEpochCheck), 2000));
-}
-
-#[test]
-fn digests_forgotten_after_a_restart_are_found() {
-    assert!(is_found(
-        InjectedBug::Member(Mutation::DigestsForgotten),
-        2000
-    ));
-}
-
-#[test]
-fn refusing_a_change_on_a_future_base_is_found() {
-    assert!(is_found(
-        InjectedBug::Member(Mutation::RejectedFutureBase),
-        2000
-    ));
+#[rstest]
+#[case::acknowledging_before_the_sync(InjectedBug::Member(Mutation::AcknowledgeBeforeSync))]
+#[case::a_view_without_epoch_check(InjectedBug::Member(Mutation::NoEpochCheck))]
+#[case::digests_forgotten_after_a_restart(InjectedBug::Member(Mutation::DigestsForgotten))]
+#[case::rejecting_a_change_on_a_future_base(InjectedBug::Member(Mutation::RejectedFutureBase))]
+#[case::rejecting_before_the_commit(InjectedBug::Member(Mutation::RejectedBeforeCommit))]
+#[case::acknowledging_a_duplicate_before_the_commit(InjectedBug::Member(
+    Mutation::DuplicateBeforeCommit
+))]
+#[case::a_wiped_member_that_votes(InjectedBug::IdentitySurvivesWipe)]
+fn a_bug_is_found_under_faults(#[case] bug: InjectedBug) {
+    assert!(is_found(bug, 2000));
 }
 
 #[test]
-fn refusing_before_the_commit_is_found() {
-    assert!(is_found(
-        InjectedBug::Member(Mutation::RejectedBeforeCommit),
-        2000
-    ));
-}
-
-#[test]
-fn acknowledging_a_repeat_before_the_commit_is_found() {
-    assert!(is_found(
-        InjectedBug::Member(Mutation::DuplicateBeforeCommit),
-        2000
-    ));
-}
-
-#[test]
-fn refusing_a_forgotten_change_is_found() {
+fn rejecting_a_forgotten_change_is_found() {
     let length = Duration::from_secs(6);
     let is_found_by = |seed| {
         let bug = Some(InjectedBug::Member(Mutation::RejectedForgotten));
@@ -99,17 +69,9 @@
     assert!((1..=20).any(is_found_by));
 }
 
-#[test]
-fn a_member_that_exits_as_soon_as_shutdown_begins_is_found() {
-    assert!(is_found_by_planned_work(Mutation::LeavesAtOnce, 200));
-}
-
-#[test]
-fn a_member_that_exits_before_the_new_chain_has_the_state_is_found() {
-    assert!(is_found_by_planned_work(Mutation::LeavesWithTheView, 200));
-}
-
-#[test]
-fn a_wiped_member_that_votes_is_found() {
-    assert!(is_found(InjectedBug::IdentitySurvivesWipe, 2000));
+#[rstest]
+#[case::a_member_that_exits_as_soon_as_shutdown_begins(Mutation::LeavesAtOnce)]
+#[case::a_member_that_exits_before_the_new_chain_has_the_state(Mutation::LeavesWithTheView)]
+fn a_bug_is_found_by_planned_work(#[case] mutation: Mutation) {
+    assert!(is_found_by_planned_work(mutation, 200));
 }
--- a/crates/tier/chain/tests/plan.rs
+++ b/crates/tier/chain/tests/plan.rs
@@ -1,20 +1,18 @@
 //! The choice of the next view, case by case.
 
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod support;
 
+use support::member_id;
 use woadreach_chain::{
     Candidate, FailureDomain, MemberId, PlanError, Policy, Tolerance, View, WritePosition,
     next_view,
 };
 
-fn id(number: u8) -> MemberId {
-    identity(number, u64::from(number))
-}
-
-fn identity(number: u8, identity: u64) -> MemberId {
+/// The member of this number on another disk.
+fn replaced_disk(number: u8, identity: u64) -> MemberId {
     MemberId {
-        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000),
         identity,
+        ..member_id(number)
     }
 }
 
@@ -30,7 +28,7 @@
 
 /// View of epoch 5 in which 1, 2 and 3 vote and replicate.
 fn current() -> View {
-    let members = vec![id(1), id(2), id(3)];
+    let members = vec![member_id(1), member_id(2), member_id(3)];
     View {
         epoch: 5,
         voters: members.clone(),
@@ -52,33 +50,33 @@
 
 #[test]
 fn an_unresponsive_member_leaves_the_chain_and_keeps_its_vote() {
-    let voters = [candidate(id(2), 5), candidate(id(3), 5)];
+    let voters = [candidate(member_id(2), 5), candidate(member_id(3), 5)];
     let view = next_view(&current(), &voters, &[], one_machine(), &everyone).expect("a view");
     assert_eq!(view.epoch, 6);
-    assert_eq!(view.chain, [id(2), id(3)]);
-    assert_eq!(view.voters, [id(1), id(2), id(3)]);
+    assert_eq!(view.chain, [member_id(2), member_id(3)]);
+    assert_eq!(view.voters, [member_id(1), member_id(2), member_id(3)]);
     assert_eq!(view.floor, 5);
 }
 
 #[test]
 fn an_unresponsive_voter_is_replaced_by_a_learner() {
-    let voters = [candidate(id(2), 5), candidate(id(3), 5)];
+    let voters = [candidate(member_id(2), 5), candidate(member_id(3), 5)];
     let view = next_view(
         &current(),
         &voters,
-        &[candidate(id(4), 0)],
+        &[candidate(member_id(4), 0)],
         one_machine(),
         &everyone,
     )
     .expect("a view");
-    assert_eq!(view.chain, [id(2), id(3), id(4)]);
-    assert_eq!(view.voters, [id(2), id(3), id(4)]);
+    assert_eq!(view.chain, [member_id(2), member_id(3), member_id(4)]);
+    assert_eq!(view.voters, [member_id(2), member_id(3), member_id(4)]);
 }
 
 #[test]
 fn a_member_that_lost_its_disk_is_dropped_for_its_new_identity() {
-    let voters = [candidate(id(1), 5), candidate(id(3), 5)];
-    let returned = identity(2, 99);
+    let voters = [candidate(member_id(1), 5), candidate(member_id(3), 5)];
+    let returned = replaced_disk(2, 99);
     let view = next_view(
         &current(),
         &voters,
@@ -87,15 +85,15 @@
         &everyone,
     )
     .expect("a view");
-    assert_eq!(view.voters, [id(1), returned, id(3)]);
-    assert!(!view.chain.contains(&id(2)));
+    assert_eq!(view.voters, [member_id(1), returned, member_id(3)]);
+    assert!(!view.chain.contains(&member_id(2)));
 }
 
 #[test]
 fn no_view_without_a_member_that_has_the_complete_state() {
-    let voters = [candidate(id(2), 3), candidate(id(3), 3)];
+    let voters = [candidate(member_id(2), 3), candidate(member_id(3), 3)];
     let mut view = current();
-    view.chain = vec![id(1)];
+    view.chain = vec![member_id(1)];
     let planned = next_view(&view, &voters, &[], one_machine(), &everyone);
     assert_eq!(planned, Err(PlanError::NoCompleteMember));
 }
@@ -103,9 +101,9 @@
 #[test]
 fn an_inactive_member_of_the_chain_proves_that_the_epoch_committed_nothing() {
     // 2 never became active in epoch 5, so that 3, active in epoch 4, holds everything.
-    let voters = [candidate(id(2), 3), candidate(id(3), 4)];
+    let voters = [candidate(member_id(2), 3), candidate(member_id(3), 4)];
     let view = next_view(&current(), &voters, &[], one_machine(), &everyone).expect("a view");
-    assert_eq!(view.chain.first(), Some(&id(3)));
+    assert_eq!(view.chain.first(), Some(&member_id(3)));
     assert_eq!(view.floor, 4);
 }
 
@@ -113,10 +111,10 @@
 fn a_chain_that_does_not_meet_every_majority_has_committed_nothing() {
     // 1 was alone in the chain and has lost its disk; the others hold what was committed up to epoch 4.
     let mut view = current();
-    view.chain = vec![id(1)];
-    let voters = [candidate(id(2), 4), candidate(id(3), 4)];
+    view.chain = vec![member_id(1)];
+    let voters = [candidate(member_id(2), 4), candidate(member_id(3), 4)];
     let next = next_view(&view, &voters, &[], one_machine(), &everyone).expect("a view");
-    assert_eq!(next.chain, [id(3), id(2)]);
+    assert_eq!(next.chain, [member_id(3), member_id(2)]);
     assert_eq!(next.floor, 4);
 }
 
@@ -127,19 +125,23 @@
             epoch: 5,
             number: 9,
         },
-        ..candidate(id(3), 5)
+        ..candidate(member_id(3), 5)
     };
-    let voters = [candidate(id(1), 5), candidate(id(2), 5), longer];
+    let voters = [
+        candidate(member_id(1), 5),
+        candidate(member_id(2), 5),
+        longer,
+    ];
     let view = next_view(&current(), &voters, &[], one_machine(), &everyone).expect("a view");
-    assert_eq!(view.chain, [id(3), id(1), id(2)]);
+    assert_eq!(view.chain, [member_id(3), member_id(1), member_id(2)]);
 }
 
 #[test]
 fn members_that_do_not_reach_each_other_are_not_in_one_chain() {
     let voters = [
-        candidate(id(1), 5),
-        candidate(id(2), 5),
-        candidate(id(3), 5),
+        candidate(member_id(1), 5),
+        candidate(member_id(2), 5),
+        candidate(member_id(3), 5),
     ];
     let are_connected = |first: MemberId, second: MemberId| {
         let pair = [
@@ -149,22 +151,26 @@
         pair != [1, 2]
     };
     let view = next_view(&current(), &voters, &[], one_machine(), &are_connected).expect("a view");
-    assert_eq!(view.chain, [id(1), id(3)]);
-    assert_eq!(view.voters, [id(1), id(2), id(3)]);
+    assert_eq!(view.chain, [member_id(1), member_id(3)]);
+    assert_eq!(view.voters, [member_id(1), member_id(2), member_id(3)]);
 }
 
 #[test]
 fn a_leaving_member_stays_while_the_chain_would_be_too_short_to_commit() {
     let leaving = Candidate {
         can_replicate: false,
-        ..candidate(id(1), 5)
+        ..candidate(member_id(1), 5)
     };
-    let three = [leaving, candidate(id(2), 5), candidate(id(3), 5)];
+    let three = [
+        leaving,
+        candidate(member_id(2), 5),
+        candidate(member_id(3), 5),
+    ];
     let view = next_view(&current(), &three, &[], one_machine(), &everyone).expect("a view");
-    assert_eq!(view.chain, [id(2), id(3)]);
-    let two = [leaving, candidate(id(2), 5)];
+    assert_eq!(view.chain, [member_id(2), member_id(3)]);
+    let two = [leaving, candidate(member_id(2), 5)];
     let view = next_view(&current(), &two, &[], one_machine(), &everyone).expect("a view");
-    assert_eq!(view.chain, [id(2), id(1)]);
+    assert_eq!(view.chain, [member_id(2), member_id(1)]);
 }
 
 #[test]
@@ -178,8 +184,18 @@
         failure_domain: FailureDomain { zone, region: 0 },
         ..candidate(member, active_epoch)
     };
-    let voters = [at(id(1), 1, 5), at(id(2), 1, 5), at(id(3), 2, 5)];
-    let view =
-        next_view(&current(), &voters, &[at(id(4), 3, 0)], policy, &everyone).expect("a view");
-    assert_eq!(view.chain, [id(1), id(3), id(4)]);
+    let voters = [
+        at(member_id(1), 1, 5),
+        at(member_id(2), 1, 5),
+        at(member_id(3), 2, 5),
+    ];
+    let view = next_view(
+        &current(),
+        &voters,
+        &[at(member_id(4), 3, 0)],
+        policy,
+        &everyone,
+    )
+    .expect("a view");
+    assert_eq!(view.chain, [member_id(1), member_id(3), member_id(4)]);
 }
