--- a/crates/tier/control/tests/journal_bounds.rs
+++ b/crates/tier/control/tests/journal_bounds.rs
@@ -1,20 +1,17 @@
 //! Thousands of changes on a core of one machine: its journal stays short, and everything acknowledged
 //! survives a loss of power at any moment, also in the middle of a snapshot.
 
-use std::net::{Ipv4Addr, SocketAddrV4};
+mod support;
+
 use std::sync::Arc;
 
 use oorandom::Rand64;
-use woadreach_chain::{
-    AppliedConfiguration, Blob, Command, FailureDomain, MemberOptions, PutConfiguration, Reply,
-    Request, Tolerance,
-};
-use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
-use woadreach_control::member_driver::{MemberDriver, new_durable};
+use support::{ADDRESS, IDENTITY, member_options, recover_found, recover_or_initialize, until};
+use woadreach_chain::{AppliedConfiguration, Blob, Command, PutConfiguration, Reply, Request};
+use woadreach_control::member_driver::MemberDriver;
 use woadreach_journal::{Journal, JournalOptions, SimulatedDisk, Survival};
 use woadreach_rpc::{Client, ClientOptions};
 
-const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 /// 80 % of a disk of 128 MB.
 const MAX_JOURNAL_BYTES: u64 = (128 << 20) / 100 * 80;
 /// Bytes of a small configuration.
@@ -22,16 +19,6 @@
 /// Bytes of a large configuration.
 const LARGE: usize = 4 << 20;
 
-fn options() -> MemberOptions {
-    MemberOptions {
-        address: ADDRESS,
-        seeds: vec![ADDRESS],
-        tolerance: Tolerance::default(),
-        failure_domain: FailureDomain::default(),
-        random_seed: 1,
-    }
-}
-
 fn change(generation: u64, bytes: usize) -> PutConfiguration {
     let mut digest = [0; 16];
     digest[..8].copy_from_slice(&generation.to_le_bytes());
@@ -73,17 +60,8 @@
     };
     let (journal, found) =
         Journal::with_disk(Box::new(disk.clone()), journal_options).expect("a readable disk");
-    let recovered = match &found.snapshot {
-        Some(snapshot) => recover(snapshot, &found.records).expect("own records"),
-        None => {
-            let durable = new_durable(true, &options(), 7);
-            let _receipt = journal
-                .replace(encode_snapshot(0, &durable))
-                .await
-                .expect("a sync");
-            RecoveredMember { durable, number: 0 }
-        }
-    };
+    let options = member_options(vec![ADDRESS]);
+    let recovered = recover_or_initialize(&journal, found, &options, IDENTITY).await;
     let mut incarnation = Incarnation {
         acknowledged: recovered.durable.state.generation(),
         max_used: 0,
@@ -93,7 +71,7 @@
     }
     let is_dead = || power_loss.is_some_and(|change| disk.changes() > change);
     let driver = MemberDriver::start(
-        options(),
+        options,
         recovered,
         journal,
         Client::new(ClientOptions::default()),
@@ -114,12 +92,6 @@
     incarnation
 }
 
-async fn until(condition: impl Fn() -> bool) {
-    while !condition() {
-        tokio::task::yield_now().await;
-    }
-}
-
 /// Runs one incarnation on a runtime of its own, with which its tasks end.
 fn run(disk: &SimulatedDisk, count: u64, bytes: usize, power_loss: Option<u64>) -> Incarnation {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -133,8 +105,7 @@
 fn recovered_state(disk: &SimulatedDisk) -> (u64, Vec<AppliedConfiguration>) {
     let (_, found) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("a readable disk");
-    let recovered =
-        recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records");
+    let recovered = recover_found(found);
     (
         recovered.durable.state.generation(),
         recovered.durable.state.applied,
--- a/crates/tier/control/tests/journal_upkeep.rs
+++ b/crates/tier/control/tests/journal_upkeep.rs
@@ -1,21 +1,21 @@
 //! The log's replacement by a snapshot, and the repair of a journal, while writes go on.
 
+mod support;
+
 use std::future::Future;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
 use parking_lot::{Condvar, Mutex};
-use tokio::task::JoinHandle;
-use woadreach_chain::{
-    Blob, Command, FailureDomain, MemberOptions, PutStorageView, Reply, Request, Tolerance,
+use support::{
+    ADDRESS, IDENTITY, member_options, recover_found, recover_or_initialize, until, until_head,
 };
-use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
-use woadreach_control::member_driver::{MemberDriver, new_durable};
+use tokio::task::JoinHandle;
+use woadreach_chain::{Blob, Command, PutStorageView, Reply, Request};
+use woadreach_control::member_driver::MemberDriver;
 use woadreach_journal::{Disk, Journal, JournalOptions, SimulatedDisk, Slot};
 use woadreach_rpc::{Client, ClientOptions};
 
-const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 /// Where a snapshot begins in a slot.
 const SNAPSHOT_OFFSET: u64 = 33;
 const VIEW_BYTES: usize = 1 << 20;
@@ -84,36 +84,19 @@
     }
 }
 
-fn options() -> MemberOptions {
-    MemberOptions {
-        address: ADDRESS,
-        seeds: vec![ADDRESS],
-        tolerance: Tolerance::default(),
-        failure_domain: FailureDomain::default(),
-        random_seed: 1,
-    }
-}
-
 /// A core of one machine, once it is the head.
 async fn start(disk: &GateDisk) -> Arc<MemberDriver> {
-    let (journal, _) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
+    let (journal, found) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("an empty disk");
-    let durable = new_durable(true, &options(), 7);
-    let _receipt = journal
-        .replace(encode_snapshot(0, &durable))
-        .await
-        .expect("a sync");
-    let recovered = RecoveredMember { durable, number: 0 };
+    let options = member_options(vec![ADDRESS]);
+    let recovered = recover_or_initialize(&journal, found, &options, IDENTITY).await;
     let driver = MemberDriver::start(
-        options(),
+        options,
         recovered,
         journal,
         Client::new(ClientOptions::default()),
     );
-    let mut changes = driver.changes();
-    while !driver.status().is_head {
-        changes.changed().await.expect("the driver runs");
-    }
+    until_head(&driver).await;
     driver
 }
 
@@ -139,12 +122,6 @@
     order
 }
 
-async fn until(condition: impl Fn() -> bool) {
-    while !condition() {
-        tokio::task::yield_now().await;
-    }
-}
-
 async fn within<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(std::time::Duration::from_secs(20), future)
         .await
@@ -196,8 +173,7 @@
     drop(driver);
     let (_, found) =
         Journal::with_disk(Box::new(disk), JournalOptions::default()).expect("a journal");
-    let recovered =
-        recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records");
+    let recovered = recover_found(found);
     assert_eq!(recovered.durable.state.storage_epoch(), 5);
 }
 
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -2,6 +2,8 @@
 //! machines at once, two copies of each at different machines, and a head that stops with orders in flight.
 //! As a negative control, the same races on three machines that are a core each must be found to be wrong.
 
+mod support;
+
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, mpsc};
@@ -13,14 +15,14 @@
 use axum::http::{Request, StatusCode};
 use serde_json::json;
 use snafu::{Snafu, ensure};
+use support::{IDENTITY, recover_or_initialize};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::oneshot;
 use tokio::task::JoinSet;
 use tower::ServiceExt;
 use woadreach_chain::{FailureDomain, MemberOptions, Tolerance};
-use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
-use woadreach_control::member_driver::{MemberDriver, new_durable};
+use woadreach_control::member_driver::MemberDriver;
 use woadreach_control::operator;
 use woadreach_control::order::service::OrderService;
 use woadreach_journal::{Journal, JournalOptions};
@@ -171,17 +173,8 @@
 /// Starts a member on the folder's disk and serves the other members.
 async fn start_process(folder: &Path, options: MemberOptions) -> (Api, Arc<MemberDriver>) {
     let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a journal");
-    let recovered = match &found.snapshot {
-        Some(snapshot) => recover(snapshot, &found.records).expect("own records"),
-        None => {
-            let durable = new_durable(true, &options, options.random_seed + 7);
-            let _receipt = journal
-                .replace(encode_snapshot(0, &durable))
-                .await
-                .expect("a sync");
-            RecoveredMember { durable, number: 0 }
-        }
-    };
+    let identity = options.random_seed + IDENTITY;
+    let recovered = recover_or_initialize(&journal, found, &options, identity).await;
     let address = SocketAddr::V4(options.address);
     let listener = TcpListener::bind(address)
         .await
--- a/crates/tier/control/tests/support/mod.rs
+++ b/crates/tier/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One core machine with a real journal.
+//! One core machine with a real driver and journal.
 
 #![allow(dead_code)]
 
@@ -10,20 +10,34 @@
 use woadreach_control::durable_log::{RecoveredMember, encode_snapshot, recover};
 use woadreach_control::member_driver::{MemberDriver, new_durable};
 use woadreach_control::order::service::OrderService;
-use woadreach_journal::{Journal, JournalOptions};
+use woadreach_journal::{Journal, JournalOptions, Recovered};
 use woadreach_rpc::{Client, ClientOptions};
 
 pub(crate) const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
+/// Identity of a new disk.
+pub(crate) const IDENTITY: u64 = 7;
 
 /// A core of one machine, once it is the head.
 pub(crate) async fn start_core(folder: &Path) -> (Arc<MemberDriver>, Arc<OrderService>) {
     let driver = start_member(folder, vec![ADDRESS]).await;
+    until_head(&driver).await;
+    let orders = Arc::new(order_service(Arc::clone(&driver)));
+    (driver, orders)
+}
+
+/// Waits until the member is the head.
+pub(crate) async fn until_head(driver: &MemberDriver) {
     let mut changes = driver.changes();
     while !driver.status().is_head {
         changes.changed().await.expect("the driver runs");
     }
-    let orders = Arc::new(order_service(Arc::clone(&driver)));
-    (driver, orders)
+}
+
+/// Lets other tasks run until the condition holds.
+pub(crate) async fn until(condition: impl Fn() -> bool) {
+    while !condition() {
+        tokio::task::yield_now().await;
+    }
 }
 
 pub(crate) fn order_service(driver: Arc<MemberDriver>) -> OrderService {
@@ -37,25 +51,9 @@
 
 /// A core machine with these seeds.
 pub(crate) async fn start_member(folder: &Path, seeds: Vec<SocketAddrV4>) -> Arc<MemberDriver> {
-    let options = MemberOptions {
-        address: ADDRESS,
-        seeds,
-        tolerance: Tolerance::default(),
-        failure_domain: FailureDomain::default(),
-        random_seed: 1,
-    };
+    let options = member_options(seeds);
     let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a journal");
-    let recovered = match &found.snapshot {
-        Some(snapshot) => recover(snapshot, &found.records).expect("own records"),
-        None => {
-            let durable = new_durable(true, &options, 7);
-            let _receipt = journal
-                .replace(encode_snapshot(0, &durable))
-                .await
-                .expect("a sync");
-            RecoveredMember { durable, number: 0 }
-        }
-    };
+    let recovered = recover_or_initialize(&journal, found, &options, IDENTITY).await;
     MemberDriver::start(
         options,
         recovered,
@@ -63,3 +61,37 @@
         Client::new(ClientOptions::default()),
     )
 }
+
+/// Options of a core machine that tolerates no loss.
+pub(crate) fn member_options(seeds: Vec<SocketAddrV4>) -> MemberOptions {
+    MemberOptions {
+        address: ADDRESS,
+        seeds,
+        tolerance: Tolerance::default(),
+        failure_domain: FailureDomain::default(),
+        random_seed: 1,
+    }
+}
+
+/// The state that was found in the journal. An empty journal gets a new member's snapshot.
+pub(crate) async fn recover_or_initialize(
+    journal: &Journal,
+    found: Recovered,
+    options: &MemberOptions,
+    identity: u64,
+) -> RecoveredMember {
+    if found.snapshot.is_some() {
+        return recover_found(found);
+    }
+    let durable = new_durable(true, options, identity);
+    let _receipt = journal
+        .replace(encode_snapshot(0, &durable))
+        .await
+        .expect("a sync");
+    RecoveredMember { durable, number: 0 }
+}
+
+/// The state that was found in a journal with a snapshot.
+pub(crate) fn recover_found(found: Recovered) -> RecoveredMember {
+    recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records")
+}
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use recorded::{copy_disk, recorded_disk};
-use support::{ADDRESS, start_core};
+use support::{ADDRESS, IDENTITY, recover_found, start_core};
 use tempfile::TempDir;
 use tokio::time::Instant;
 use woadreach_chain::{
@@ -19,15 +19,13 @@
     MemberId, Promise, PutConfiguration, PutStorageView, Record, Rejection, StoredConfiguration,
     View, WritePosition,
 };
-use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot, recover};
+use woadreach_control::durable_log::{RecoveredMember, encode_record, encode_snapshot};
 use woadreach_control::order::execution::submit_storage_view;
 use woadreach_control::order::message::{Answer, Order};
 use woadreach_control::order::service::OrderService;
 use woadreach_journal::{Journal, JournalOptions, Recovered};
 use woadreach_storage::{StorageMember, StorageView};
 
-/// Identity that the support gives a new disk.
-const IDENTITY: u64 = 7;
 const LONG: Duration = Duration::from_secs(20);
 
 /// Runs one incarnation of a process, with which all its tasks end.
@@ -105,27 +103,23 @@
     assert_eq!(execute(orders, Order::ReadConfiguration).await, expected);
 }
 
-/// Makes the disk of a core of one machine, after two incarnations.
-fn make_disk_of_one(folder: &Path) {
-    run_incarnation(async {
-        let (driver, orders) = start_core(folder).await;
-        assert_eq!(
-            execute(&orders, Order::PutConfiguration(put(0, 3))).await,
-            Answer::Done
-        );
-        assert!(submit_storage_view(&driver, 0, &first_storage_view()).await);
-    });
+/// Runs one incarnation, which commits a configuration and the storage view after that of `expected_epoch`.
+fn commit_changes(folder: &Path, put: PutConfiguration, expected_epoch: u64, view: &StorageView) {
     run_incarnation(async {
         let (driver, orders) = start_core(folder).await;
-        assert_eq!(
-            execute(&orders, Order::PutConfiguration(put(3, 7))).await,
-            Answer::Done
-        );
-        assert!(submit_storage_view(&driver, 1, &joint_storage_view()).await);
+        let answer = execute(&orders, Order::PutConfiguration(put)).await;
+        assert_eq!(answer, Answer::Done);
+        assert!(submit_storage_view(&driver, expected_epoch, view).await);
     });
 }
 
-fn copy_of(name: &str, make: impl FnOnce(&Path)) -> TempDir {
+/// Makes the disk of a core of one machine, after two incarnations.
+fn make_disk_of_one(folder: &Path) {
+    commit_changes(folder, put(0, 3), 0, &first_storage_view());
+    commit_changes(folder, put(3, 7), 1, &joint_storage_view());
+}
+
+fn recorded_copy(name: &str, make: impl FnOnce(&Path)) -> TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     copy_disk(&recorded_disk(name, make), folder.path());
     folder
@@ -138,13 +132,12 @@
 }
 
 fn recover_disk(folder: &Path) -> RecoveredMember {
-    let found = read_disk(folder);
-    recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records")
+    recover_found(read_disk(folder))
 }
 
 #[test]
 fn the_disk_of_a_core_of_one_machine_has_the_committed_state() {
-    let folder = copy_of("core-of-one", make_disk_of_one);
+    let folder = recorded_copy("core-of-one", make_disk_of_one);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!((durable.identity, durable.bootstrap), (IDENTITY, true));
     let own = MemberId {
@@ -174,7 +167,7 @@
 
 #[test]
 fn a_core_of_one_machine_continues_from_an_earlier_disk() {
-    let folder = copy_of("core-of-one", make_disk_of_one);
+    let folder = recorded_copy("core-of-one", make_disk_of_one);
     let epoch_before = recover_disk(folder.path()).durable.view.epoch;
     run_incarnation(async {
         let (driver, orders) = start_core(folder.path()).await;
@@ -326,7 +319,7 @@
 
 #[test]
 fn the_disk_of_one_of_three_core_machines_has_every_kind_of_record() {
-    let folder = copy_of("core-of-three", make_disk_of_three);
+    let folder = recorded_copy("core-of-three", make_disk_of_three);
     let found = read_disk(folder.path());
     let records = records_of_three();
     let expected: Vec<Vec<u8>> = records
@@ -348,7 +341,7 @@
 
 #[test]
 fn one_of_three_core_machines_recovers_its_view_its_promise_and_its_vote() {
-    let folder = copy_of("core-of-three", make_disk_of_three);
+    let folder = recorded_copy("core-of-three", make_disk_of_three);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!(
         (durable.identity, durable.bootstrap),
