--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -45,7 +45,7 @@
 /// What a member that is shutting down knows of the installed view's chain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    /// Since when this member has reported to the others that it is shutting down.
+    /// Since when this member has reported to the others that it is shutting down; `None` until then.
     since: Option<Duration>,
     /// Members of the chain that have reported that the state is on their disk.
     active: BTreeSet<MemberId>,
@@ -94,25 +94,19 @@
             .is_none_or(|since| now.saturating_sub(since) < MAX_DECISION_TIME)
     }
 
+    fn other_voters(&self) -> impl Iterator<Item = MemberId> + '_ {
+        let voters = self.durable.view.voters.iter().copied();
+        voters.filter(|&voter| voter != self.id)
+    }
+
     fn is_nobody_staying(&self, now: Duration) -> bool {
-        let mut others = self
-            .durable
-            .view
-            .voters
-            .iter()
-            .filter(|&&voter| voter != self.id);
-        others.all(|&voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
+        self.other_voters()
+            .all(|voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
     }
 
     fn reachable_other_voters(&self, now: Duration) -> usize {
-        let others = self
-            .durable
-            .view
-            .voters
-            .iter()
-            .filter(|&&voter| voter != self.id);
-        others
-            .filter(|&&voter| self.peers.is_reachable(now, voter))
+        self.other_voters()
+            .filter(|&voter| self.peers.is_reachable(now, voter))
             .count()
     }
 
@@ -129,6 +123,11 @@
         others.any(|member| member != self.id && self.peers.can_replicate(member))
     }
 
+    /// Whether this member is shutting down.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.leaving.since.is_some()
+    }
+
     /// Records when this member began to report that it is shutting down.
     pub(super) fn begin_leaving(&mut self, now: Duration) {
         self.leaving.since.get_or_insert(now);
--- a/crates/tier/chain/src/member/dispatch.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -67,16 +67,13 @@
                 committed,
                 barrier,
             } => {
-                if self.successor() == Some(from) && self.is_active() {
-                    let progress = Progress {
-                        is_active: active,
-                        persisted,
-                        committed,
-                        barrier,
-                    };
-                    self.replication.record_progress(now, progress);
-                    self.record_chain_progress(now, committed, barrier);
-                }
+                let progress = Progress {
+                    is_active: active,
+                    persisted,
+                    committed,
+                    barrier,
+                };
+                self.handle_replicated(now, from, progress);
             }
             Body::RequestActive => self.send_active(from),
             Body::Active => self.record_active(from),
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -4,51 +4,63 @@
 
 use super::{Member, Output};
 use crate::message::Write;
-use crate::requests::{Reply, Request, RequestId};
+use crate::requests::{Outcome, PendingRequest, Reply, Request, RequestId};
 use crate::state::{Command, Verdict, WritePosition};
 
 impl Member {
     /// Handles a request: answers it, or adds it to the pending ones.
     pub(super) fn handle_request(&mut self, now: Duration, id: RequestId, request: Request) {
         if !self.is_serving_head() {
-            self.outputs.push(Output::Reply {
-                id,
-                reply: Reply::Unavailable,
-            });
-            return;
+            return self.reply(id, Reply::Unavailable);
         }
         match request {
             Request::Submit(command) => self.submit(id, command),
-            Request::ReadConfiguration | Request::Confirm => {
-                let barrier = self.replication.next_barrier(self.barrier_session);
-                let is_configuration = request == Request::ReadConfiguration;
-                let position = self.durable.state.position;
-                let number = self.barrier_to_wait_for(barrier.number);
-                self.pending_requests
-                    .wait_for_read(id, is_configuration, position, number);
-            }
+            Request::ReadConfiguration => self.read(id, Outcome::Configuration),
+            Request::Confirm => self.read(id, Outcome::Confirmed),
         }
         self.advance_replication(now);
         self.resolve_requests();
     }
 
-    #[cfg(feature = "mutations")]
-    fn barrier_to_wait_for(&self, number: u64) -> u64 {
-        if self.is_mutated(crate::mutations::Mutation::ReadWithoutBarrier) {
-            0
-        } else {
-            number
-        }
+    /// Adds a read of the newest state, or a confirmation of it.
+    fn read(&mut self, id: RequestId, outcome: Outcome) {
+        let barrier = Some(self.begin_barrier());
+        #[cfg(feature = "mutations")]
+        let barrier =
+            barrier.filter(|_| !self.is_mutated(crate::mutations::Mutation::ReadWithoutBarrier));
+        let position = self.durable.state.position;
+        self.wait(id, outcome, position, barrier);
     }
 
-    #[cfg(not(feature = "mutations"))]
-    fn barrier_to_wait_for(&self, number: u64) -> u64 {
-        number
+    /// Begins a barrier behind every write so far. Returns its number in the head's current session.
+    fn begin_barrier(&mut self) -> u64 {
+        self.replication.next_barrier(self.barrier_session).number
+    }
+
+    /// Adds a request that is answered with `outcome` once the write at `position` is committed and `barrier`
+    /// confirmed.
+    fn wait(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        position: WritePosition,
+        barrier: Option<u64>,
+    ) {
+        let request = PendingRequest {
+            outcome,
+            position,
+            barrier,
+        };
+        self.pending_requests.add(id, request);
+    }
+
+    fn reply(&mut self, id: RequestId, reply: Reply) {
+        self.outputs.push(Output::Reply { id, reply });
     }
 
     /// Judges a command on the newest state, and appends it if it applies.
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
-        let position = self.durable.state.position;
+        let newest = self.durable.state.position;
         let verdict = self.durable.state.judge(&command);
         #[cfg(feature = "mutations")]
         let Some(verdict) = self.mutated_verdict(id, verdict) else {
@@ -58,24 +70,18 @@
             Verdict::Apply => {
                 let position = WritePosition {
                     epoch: self.durable.view.epoch,
-                    number: position.number + 1,
+                    number: newest.number + 1,
                 };
                 self.append(Write { position, command });
-                self.pending_requests.wait_for_commit(id, position, true);
+                self.wait(id, Outcome::Committed, position, None);
             }
-            Verdict::AlreadyApplied => self.pending_requests.wait_for_commit(id, position, false),
+            Verdict::AlreadyApplied => self.wait(id, Outcome::AlreadyCommitted, newest, None),
             Verdict::Rejected(rejection) => {
-                let barrier = self.replication.next_barrier(self.barrier_session);
-                self.pending_requests
-                    .wait_for_rejection(id, rejection, position, barrier.number);
+                let barrier = self.begin_barrier();
+                self.wait(id, Outcome::Rejected(rejection), newest, Some(barrier));
             }
             // An undecided answer rests on no state, so it waits for no commit.
-            Verdict::Undecided(undecided) => {
-                self.outputs.push(Output::Reply {
-                    id,
-                    reply: Reply::Undecided(undecided),
-                });
-            }
+            Verdict::Undecided(undecided) => self.reply(id, Reply::Undecided(undecided)),
         }
     }
 
@@ -86,7 +92,7 @@
             return Some(verdict);
         };
         if let Some(reply) = mutation.premature_reply(verdict) {
-            self.outputs.push(Output::Reply { id, reply });
+            self.reply(id, reply);
             return None;
         }
         Some(mutation.mutate_verdict(verdict, self.durable.state.generation()))
@@ -107,7 +113,7 @@
             0
         };
         for (id, reply) in self.pending_requests.resolve(committed, number) {
-            self.outputs.push(Output::Reply { id, reply });
+            self.reply(id, reply);
         }
     }
 }
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Heartbeats: what this member reports of itself, and what it does on those of others.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 impl Member {
     /// Whether this member may be in a chain.
     pub(crate) fn can_replicate(&self) -> bool {
-        self.is_disk_healthy && !self.is_leaving
+        self.is_disk_healthy && !self.is_leaving()
     }
 
     /// Zone and region of a member, this one included.
@@ -38,7 +39,7 @@
             sent: self.peers.heartbeat_time(now),
             echo: self.peers.echo_for(to),
             can_replicate: self.can_replicate(),
-            leaving: self.is_leaving,
+            leaving: self.is_leaving(),
             bootstrap: self.durable.bootstrap,
             failure_domain: self.failure_domain,
             committed: self.published.position,
@@ -56,9 +57,9 @@
 
     /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while
     /// this member is no voter or isn't in contact with a majority.
-    pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
+    pub(super) fn heartbeat_addresses(&self, now: Duration) -> BTreeSet<SocketAddrV4> {
         let view = &self.durable.view;
-        let mut addresses: Vec<SocketAddrV4> =
+        let mut addresses: BTreeSet<SocketAddrV4> =
             view.voters.iter().map(|voter| voter.address).collect();
         let is_in_view = view.voters.contains(&self.id);
         if is_in_view || view.epoch == 0 {
@@ -70,11 +71,9 @@
             );
         }
         if view.epoch == 0 || !self.is_in_contact_with_majority(now) || !is_in_view {
-            addresses.extend_from_slice(&self.seeds);
+            addresses.extend(&self.seeds);
         }
-        addresses.sort();
-        addresses.dedup();
-        addresses.retain(|&address| address != self.id.address);
+        addresses.remove(&self.id.address);
         addresses
     }
 
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -103,7 +103,6 @@
     /// committed then.
     is_caught_up: bool,
     pub(crate) is_disk_healthy: bool,
-    pub(crate) is_leaving: bool,
     leaving: Leaving,
     /// Number of the last record; rises by one with each.
     record_number: u64,
@@ -154,7 +153,6 @@
             barrier_session: incarnation,
             is_caught_up: false,
             is_disk_healthy: true,
-            is_leaving: false,
             leaving: Leaving::default(),
             record_number: 0,
             synced_number: 0,
@@ -277,7 +275,7 @@
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
             self.broadcast_heartbeat(now);
-            if self.is_leaving {
+            if self.is_leaving() {
                 self.request_active();
             }
         }
@@ -295,7 +293,6 @@
     }
 
     fn leave(&mut self, now: Duration) {
-        self.is_leaving = true;
         self.begin_leaving(now);
         self.broadcast_heartbeat(now);
         self.request_active();
--- a/crates/tier/chain/src/member/paxos.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -3,6 +3,7 @@
 //! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
 //! reported.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -104,20 +105,10 @@
         let Some(view) = self.proposer.record_accepted(from, ballot, &current) else {
             return;
         };
-        let mut addresses: Vec<SocketAddrV4> = self
-            .peers
-            .heard_members(now)
-            .iter()
-            .map(|peer| peer.address)
-            .collect();
-        addresses.extend(
-            view.voters
-                .iter()
-                .chain(&current.voters)
-                .map(|voter| voter.address),
-        );
-        addresses.sort();
-        addresses.dedup();
+        let heard = self.peers.heard_members(now);
+        let receivers = heard.iter().chain(&view.voters).chain(&current.voters);
+        let addresses: BTreeSet<SocketAddrV4> =
+            receivers.map(|receiver| receiver.address).collect();
         for address in addresses {
             self.send_now(address, Body::Decided(view.clone()));
         }
--- a/crates/tier/chain/src/member/propagation.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -8,6 +8,7 @@
 use super::{MIN_STATE_REQUEST_INTERVAL, Member, Output};
 use crate::durable::Record;
 use crate::message::{Barrier, Body, Write};
+use crate::replication::Progress;
 use crate::state::{ControlState, WritePosition};
 use crate::view::MemberId;
 
@@ -112,6 +113,15 @@
         self.advance_replication(now);
     }
 
+    /// Records what the successor reports of itself and of those behind it.
+    pub(super) fn handle_replicated(&mut self, now: Duration, from: MemberId, progress: Progress) {
+        if self.successor() != Some(from) || !self.is_active() {
+            return;
+        }
+        self.replication.record_progress(now, progress);
+        self.record_chain_progress(now, progress.committed, progress.barrier);
+    }
+
     /// More of the chain's records are synced: forwards them and reports that to the predecessor.
     pub(super) fn report_progress(&mut self, now: Duration) {
         self.advance_replication(now);
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -1,5 +1,6 @@
 //! What a member knows of the core, for operators and for the driver.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
     pub in_quorum: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
-    /// Internal addresses of the core machines that are known, this one included.
+    /// Internal addresses of the core machines that are known, this one included, in ascending order.
     pub core_machines: Vec<SocketAddrV4>,
 }
 
@@ -30,16 +31,10 @@
     /// What this member knows of the core at `now`.
     pub fn status(&self, now: Duration) -> Status {
         let view = &self.durable.view;
-        let mut core_machines: Vec<SocketAddrV4> = self
-            .peers
-            .heard_members(now)
-            .iter()
-            .map(|peer| peer.address)
-            .collect();
-        core_machines.extend(self.peers.heard_of(now).iter().map(|peer| peer.address));
-        core_machines.extend(view.voters.iter().map(|voter| voter.address));
-        core_machines.sort();
-        core_machines.dedup();
+        let heard = self.peers.heard_members(now);
+        let heard_of = self.peers.heard_of(now);
+        let known = heard.iter().chain(&heard_of).chain(&view.voters);
+        let core_machines: BTreeSet<SocketAddrV4> = known.map(|member| member.address).collect();
         Status {
             epoch: view.epoch,
             head: view.head(),
@@ -47,7 +42,7 @@
             in_chain: view.chain.contains(&self.id),
             in_quorum: self.is_in_quorum(now),
             voters: view.voters.iter().map(|voter| voter.address).collect(),
-            core_machines,
+            core_machines: core_machines.into_iter().collect(),
         }
     }
 }
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -45,24 +45,50 @@
     Unavailable,
 }
 
-/// The reply that a pending request will get.
+/// The reply that a pending request gets once what it waits for is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Outcome {
+pub(crate) enum Outcome {
+    /// [`Reply::Committed`].
     Committed,
+    /// [`Reply::AlreadyCommitted`].
     AlreadyCommitted,
+    /// [`Reply::Rejected`].
     Rejected(Rejection),
+    /// [`Reply::Configuration`], with the configuration that is committed by then.
     Configuration,
+    /// [`Reply::Confirmed`].
     Confirmed,
 }
 
-/// A pending request.
+/// A request that waits for the chain.
 #[derive(Clone, Debug)]
-struct PendingRequest {
-    outcome: Outcome,
-    /// Write that must be committed.
-    position: WritePosition,
-    /// Number of the barrier that must be confirmed; 0 for none.
-    barrier: u64,
+pub(crate) struct PendingRequest {
+    /// The reply that it gets.
+    pub outcome: Outcome,
+    /// Position of the last write that must be committed first.
+    pub position: WritePosition,
+    /// Number of the barrier that must be confirmed first, if the reply needs one.
+    pub barrier: Option<u64>,
+}
+
+impl PendingRequest {
+    /// Whether it waits for nothing beyond `committed` and `confirmed_barrier`.
+    fn is_resolved(&self, committed: WritePosition, confirmed_barrier: u64) -> bool {
+        self.position <= committed
+            && self
+                .barrier
+                .is_none_or(|barrier| barrier <= confirmed_barrier)
+    }
+
+    fn reply(self, committed: &ControlState) -> Reply {
+        match self.outcome {
+            Outcome::Committed => Reply::Committed,
+            Outcome::AlreadyCommitted => Reply::AlreadyCommitted,
+            Outcome::Rejected(rejection) => Reply::Rejected(rejection),
+            Outcome::Confirmed => Reply::Confirmed,
+            Outcome::Configuration => Reply::Configuration(committed.configuration.clone()),
+        }
+    }
 }
 
 /// The pending requests of a head.
@@ -72,64 +98,9 @@
 }
 
 impl PendingRequests {
-    /// Adds a request that waits for the commit of `position`: of its own write if `is_new`, else of the state
-    /// that contains the earlier one.
-    pub(crate) fn wait_for_commit(&mut self, id: RequestId, position: WritePosition, is_new: bool) {
-        let outcome = if is_new {
-            Outcome::Committed
-        } else {
-            Outcome::AlreadyCommitted
-        };
-        self.pending.insert(
-            id,
-            PendingRequest {
-                outcome,
-                position,
-                barrier: 0,
-            },
-        );
-    }
-
-    /// Adds a request that waits until the state on which `rejection` is based is committed and `barrier` is
-    /// confirmed.
-    pub(crate) fn wait_for_rejection(
-        &mut self,
-        id: RequestId,
-        rejection: Rejection,
-        position: WritePosition,
-        barrier: u64,
-    ) {
-        self.pending.insert(
-            id,
-            PendingRequest {
-                outcome: Outcome::Rejected(rejection),
-                position,
-                barrier,
-            },
-        );
-    }
-
-    /// Adds a read, or a confirmation, that waits for the commit of `position` and for `barrier`.
-    pub(crate) fn wait_for_read(
-        &mut self,
-        id: RequestId,
-        is_configuration: bool,
-        position: WritePosition,
-        barrier: u64,
-    ) {
-        let outcome = if is_configuration {
-            Outcome::Configuration
-        } else {
-            Outcome::Confirmed
-        };
-        self.pending.insert(
-            id,
-            PendingRequest {
-                outcome,
-                position,
-                barrier,
-            },
-        );
+    /// Adds a request. A rejection and a read must have a barrier that began after the request arrived.
+    pub(crate) fn add(&mut self, id: RequestId, request: PendingRequest) {
+        self.pending.insert(id, request);
     }
 
     /// Whether no request is pending.
@@ -144,34 +115,22 @@
         committed: &ControlState,
         confirmed_barrier: u64,
     ) -> Vec<(RequestId, Reply)> {
-        let is_done = |request: &PendingRequest| {
-            request.position <= committed.position && request.barrier <= confirmed_barrier
-        };
-        let done: Vec<RequestId> = self
-            .pending
-            .iter()
-            .filter(|(_, request)| is_done(request))
-            .map(|(&id, _)| id)
-            .collect();
-        done.into_iter()
-            .filter_map(|id| {
-                self.pending
-                    .remove(&id)
-                    .map(|request| (id, request.reply(committed)))
-            })
+        let resolved = self.pending.extract_if(.., |_, request| {
+            request.is_resolved(committed.position, confirmed_barrier)
+        });
+        resolved
+            .map(|(id, request)| (id, request.reply(committed)))
             .collect()
     }
 
     /// Lets every request that waits for a barrier wait for `barrier`. Must be called when the head stays
     /// head in a new epoch, since barriers of the earlier epoch prove nothing there.
     pub(crate) fn renew_barriers(&mut self, barrier: u64) {
-        for request in self
+        let awaited = self
             .pending
             .values_mut()
-            .filter(|request| request.barrier > 0)
-        {
-            request.barrier = barrier;
-        }
+            .filter_map(|request| request.barrier.as_mut());
+        awaited.for_each(|awaited| *awaited = barrier);
     }
 
     /// Removes and returns every request.
@@ -184,15 +143,3 @@
         self.pending.remove(&id);
     }
 }
-
-impl PendingRequest {
-    fn reply(self, committed: &ControlState) -> Reply {
-        match self.outcome {
-            Outcome::Committed => Reply::Committed,
-            Outcome::AlreadyCommitted => Reply::AlreadyCommitted,
-            Outcome::Rejected(rejection) => Reply::Rejected(rejection),
-            Outcome::Confirmed => Reply::Confirmed,
-            Outcome::Configuration => Reply::Configuration(committed.configuration.clone()),
-        }
-    }
-}
