--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -1,6 +1,6 @@
 //! Which view this member proposes: from what it hears now, and from the reports of a ballot.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::Member;
@@ -14,34 +14,35 @@
     /// The view that the current heartbeats call for. Never proposed itself: a ballot's reports decide.
     pub(super) fn wanted_view(&self, now: Duration) -> Option<View> {
         let view = &self.durable.view;
-        let is_present = |member: MemberId| member == self.id || self.peers.is_alive(now, member);
-        let candidate = |member: MemberId| Candidate {
-            member,
-            active_epoch: if view.chain.contains(&member) {
-                view.epoch
-            } else {
-                0
-            },
-            position: WritePosition::default(),
-            can_replicate: if member == self.id {
-                self.can_replicate()
-            } else {
-                self.peers.can_replicate(member)
-            },
-            failure_domain: self.failure_domain_of(member),
-        };
-        let voters: Vec<Candidate> = view
+        let present = view
             .voters
             .iter()
             .copied()
-            .filter(|&voter| is_present(voter))
-            .map(candidate)
-            .collect();
+            .filter(|&voter| voter == self.id || self.peers.is_alive(now, voter));
+        let voters: Vec<Candidate> = present.map(|voter| self.unreported_voter(voter)).collect();
         let learners = self.learners(now);
         let are_connected = |first, second| self.peers.are_connected(now, first, second);
         next_view(view, &voters, &learners, self.policy, &are_connected).ok()
     }
 
+    /// A voter as its heartbeats show it. A member of the chain is assumed to be active.
+    fn unreported_voter(&self, voter: MemberId) -> Candidate {
+        let view = &self.durable.view;
+        let is_in_chain = view.chain.contains(&voter);
+        let is_own = voter == self.id;
+        Candidate {
+            member: voter,
+            active_epoch: if is_in_chain { view.epoch } else { 0 },
+            position: WritePosition::default(),
+            can_replicate: if is_own {
+                self.can_replicate()
+            } else {
+                self.peers.can_replicate(voter)
+            },
+            failure_domain: self.failure_domain_of(voter),
+        }
+    }
+
     /// Members that are no voters and may be added.
     fn learners(&self, now: Duration) -> Vec<Candidate> {
         let heard = self.peers.heard_members(now).into_iter();
@@ -66,24 +67,16 @@
     /// Whether `wanted` has further members in the chain or other voters, all of them stable.
     pub(super) fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
         let view = &self.durable.view;
-        let wanted_members: BTreeSet<MemberId> = wanted
+        let mut new_in_chain = wanted
             .chain
             .iter()
-            .chain(&wanted.voters)
-            .copied()
-            .collect::<BTreeSet<_>>();
-        let current: BTreeSet<MemberId> = view.chain.iter().copied().collect();
-        let new_in_chain = wanted
-            .chain
-            .iter()
-            .filter(|member| !current.contains(member));
-        let are_stable = new_in_chain
-            .clone()
-            .all(|&member| member == self.id || self.peers.is_stable(now, member));
-        let has_more = new_in_chain.count() > 0;
-        let has_other_voters = wanted_members
-            .iter()
-            .any(|member| !view.voters.contains(member));
+            .filter(|member| !view.chain.contains(member))
+            .peekable();
+        let has_more = new_in_chain.peek().is_some();
+        let are_stable =
+            new_in_chain.all(|&member| member == self.id || self.peers.is_stable(now, member));
+        let mut wanted_members = wanted.chain.iter().chain(&wanted.voters);
+        let has_other_voters = wanted_members.any(|member| !view.voters.contains(member));
         are_stable && (has_more || has_other_voters)
     }
 
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,4 +1,4 @@
-//! Choice of the next view from what its voters report.
+//! Choice of the next view (reconfiguration) from what the voters of the current one report.
 //!
 //! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be
 //! proposed, unless one of them contains an accepted proposal, which must be proposed instead.
@@ -54,15 +54,14 @@
     policy: Policy,
     are_connected: &dyn Fn(MemberId, MemberId) -> bool,
 ) -> Result<View, PlanError> {
-    let floor = next_floor(current, voters);
-    let chain = next_chain(current, floor, voters, learners, policy, are_connected)?;
-    let voters = next_voters(current, &chain, voters, learners, policy);
-    Ok(View {
-        epoch: current.epoch + 1,
+    let reconfiguration = Reconfiguration {
+        current,
         voters,
-        chain,
-        floor,
-    })
+        learners,
+        policy,
+        are_connected,
+    };
+    reconfiguration.next_view()
 }
 
 /// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of
@@ -78,125 +77,171 @@
     floor
 }
 
-/// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every
-/// majority. If the chain doesn't, or if one of its members has sealed the epoch without having been active
-/// in it, nothing was committed in the epoch and the floor stays.
-fn next_floor(current: &View, voters: &[Candidate]) -> u64 {
-    if !current.meets_every_majority() {
-        return current.floor;
+/// What the next view is chosen from.
+struct Reconfiguration<'a> {
+    /// The view in force.
+    current: &'a View,
+    /// Its voters that have reported; must be a majority of them.
+    voters: &'a [Candidate],
+    /// Reachable members that are no voters.
+    learners: &'a [Candidate],
+    /// How many members the next view should have, and how they are spread.
+    policy: Policy,
+    /// Whether two members reach each other.
+    are_connected: &'a dyn Fn(MemberId, MemberId) -> bool,
+}
+
+impl Reconfiguration<'_> {
+    fn next_view(&self) -> Result<View, PlanError> {
+        let floor = self.next_floor();
+        let chain = self.next_chain(floor)?;
+        let voters = self.next_voters(&chain);
+        Ok(View {
+            epoch: self.current.epoch + 1,
+            voters,
+            chain,
+            floor,
+        })
     }
-    let mut chain = voters
-        .iter()
-        .filter(|voter| current.chain.contains(&voter.member));
-    if chain.any(|voter| voter.active_epoch < current.epoch) {
-        current.floor
-    } else {
-        current.epoch
+
+    /// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every
+    /// majority. If the chain doesn't, or if one of its members has sealed the epoch without having been
+    /// active in it, nothing was committed in the epoch and the floor stays.
+    fn next_floor(&self) -> u64 {
+        let View { epoch, floor, .. } = *self.current;
+        let mut chain = self
+            .voters
+            .iter()
+            .filter(|voter| self.current.chain.contains(&voter.member));
+        let may_have_committed =
+            self.current.meets_every_majority() && chain.all(|voter| voter.active_epoch >= epoch);
+        if may_have_committed { epoch } else { floor }
     }
-}
 
-fn next_chain(
-    current: &View,
-    floor: u64,
-    voters: &[Candidate],
-    learners: &[Candidate],
-    policy: Policy,
-    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
-) -> Result<Vec<MemberId>, PlanError> {
-    let chain_index = |member: MemberId| {
-        let found = current.chain.iter().position(|&other| other == member);
-        found.unwrap_or(current.chain.len())
-    };
-    let complete = voters.iter().filter(|voter| voter.active_epoch >= floor);
-    let base = complete.max_by_key(|voter| {
-        (
-            voter.can_replicate,
-            voter.position,
-            Reverse(chain_index(voter.member)),
-        )
-    });
-    let base = base.ok_or(PlanError::NoCompleteMember)?;
-
-    let mut ordered: Vec<Candidate> = voters.to_vec();
-    ordered.sort_by_key(|voter| (chain_index(voter.member), voter.member));
-    ordered.extend_from_slice(learners);
-
-    let mut chain = vec![*base];
-    let mut extend = |can_replicate: bool, length: usize| {
+    /// The chain of the next view: a voter with the complete state, then members that reach each other.
+    fn next_chain(&self, floor: u64) -> Result<Vec<MemberId>, PlanError> {
+        let head = self.next_head(floor)?;
+        let preferred = self.in_order_of_preference();
+        let mut chain = vec![head];
+        self.extend(&mut chain, &preferred, true, self.policy.replicas);
+        // A chain with a member that is shutting down or syncs slowly is better than one that commits nothing.
+        self.extend(&mut chain, &preferred, false, self.policy.minimum);
+        Ok(chain
+            .into_iter()
+            .map(|candidate| candidate.member)
+            .collect())
+    }
+
+    /// The voter that begins the next chain: of those that hold every write that may have been committed, one
+    /// that may replicate, with the newest state, as near to the current head as possible.
+    fn next_head(&self, floor: u64) -> Result<Candidate, PlanError> {
+        let complete = self
+            .voters
+            .iter()
+            .filter(|voter| voter.active_epoch >= floor);
+        let best = complete.max_by_key(|voter| {
+            let distance = self.distance_from_head(voter.member);
+            (voter.can_replicate, voter.position, Reverse(distance))
+        });
+        best.copied().ok_or(PlanError::NoCompleteMember)
+    }
+
+    /// The candidates in the order in which they are preferred: the current chain, the other voters, learners.
+    fn in_order_of_preference(&self) -> Vec<Candidate> {
+        let mut ordered = self.voters.to_vec();
+        ordered.sort_by_key(|voter| (self.distance_from_head(voter.member), voter.member));
+        ordered.extend_from_slice(self.learners);
+        ordered
+    }
+
+    /// Index of a member in the current chain; the chain's length if it is outside.
+    fn distance_from_head(&self, member: MemberId) -> usize {
+        let chain = &self.current.chain;
+        let found = chain.iter().position(|&other| other == member);
+        found.unwrap_or(chain.len())
+    }
+
+    /// Appends members that may replicate, or others, until the chain has `length` members or there are none.
+    fn extend(
+        &self,
+        chain: &mut Vec<Candidate>,
+        preferred: &[Candidate],
+        can_replicate: bool,
+        length: usize,
+    ) {
         while chain.len() < length {
-            let Some(next) = next_member(&ordered, can_replicate, &chain, policy, are_connected)
-            else {
+            let others = preferred
+                .iter()
+                .filter(|candidate| candidate.can_replicate == can_replicate);
+            let Some(next) = self.next_member(chain, others) else {
                 return;
             };
             chain.push(next);
         }
-    };
-    extend(true, policy.replicas);
-    // A chain with a member that is shutting down or syncs slowly is better than one that commits nothing.
-    extend(false, policy.minimum);
-    Ok(chain
-        .into_iter()
-        .map(|candidate| candidate.member)
-        .collect())
-}
+    }
 
-/// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of them;
-/// the first in `ordered` where several do.
-fn next_member(
-    ordered: &[Candidate],
-    can_replicate: bool,
-    chain: &[Candidate],
-    policy: Policy,
-    are_connected: &dyn Fn(MemberId, MemberId) -> bool,
-) -> Option<Candidate> {
-    let others = ordered.iter().filter(|candidate| {
-        candidate.can_replicate == can_replicate
-            && chain.iter().all(|other| other.member != candidate.member)
-    });
-    let reaching = others.filter(|candidate| {
-        chain
-            .iter()
-            .all(|other| are_connected(candidate.member, other.member))
-    });
-    reaching
-        .min_by_key(|candidate| {
+    /// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of
+    /// them; the first where several do.
+    fn next_member<'c>(
+        &self,
+        chain: &[Candidate],
+        candidates: impl Iterator<Item = &'c Candidate>,
+    ) -> Option<Candidate> {
+        let others =
+            candidates.filter(|next| chain.iter().all(|other| other.member != next.member));
+        let reaching = others.filter(|next| {
+            chain
+                .iter()
+                .all(|other| (self.are_connected)(next.member, other.member))
+        });
+        let least_crowded = reaching.min_by_key(|next| {
             let domains = chain.iter().map(|other| other.failure_domain);
-            policy.crowding(candidate.failure_domain, domains)
-        })
-        .copied()
-}
+            self.policy.crowding(next.failure_domain, domains)
+        });
+        least_crowded.copied()
+    }
 
-fn next_voters(
-    current: &View,
-    chain: &[MemberId],
-    voters: &[Candidate],
-    learners: &[Candidate],
-    policy: Policy,
-) -> Vec<MemberId> {
-    let mut next: Vec<MemberId> = chain.to_vec();
-    let mut add = |member: MemberId| {
-        if next.len() < policy.replicas && !next.contains(&member) {
-            next.push(member);
+    /// The voters of the next view: its chain; then, up to the number of the policy, voters that have reported
+    /// and may replicate, learners, and the remaining voters of the current view.
+    fn next_voters(&self, chain: &[MemberId]) -> Vec<MemberId> {
+        let may_replicate = |candidates: &[Candidate]| -> Vec<MemberId> {
+            candidates
+                .iter()
+                .filter(|candidate| candidate.can_replicate)
+                .map(|candidate| candidate.member)
+                .collect()
+        };
+        let mut next = chain.to_vec();
+        let preferred = [
+            may_replicate(self.voters),
+            may_replicate(self.learners),
+            self.remaining_voters(),
+        ];
+        for member in preferred.into_iter().flatten() {
+            if next.len() < self.policy.replicas && !next.contains(&member) {
+                next.push(member);
+            }
         }
-    };
-    let reported = voters.iter().filter(|voter| voter.can_replicate);
-    reported.for_each(|voter| add(voter.member));
-    let new = learners.iter().filter(|learner| learner.can_replicate);
-    new.for_each(|learner| add(learner.member));
-    if current.epoch > 0 {
-        let unreported = current
-            .voters
-            .iter()
-            .filter(|voter| !has_lost_its_disk(**voter, learners));
-        unreported.for_each(|&voter| add(voter));
+        next.sort();
+        next
+    }
+
+    /// The current voters, reported or not, without those that have lost their disks. None in epoch 0, whose
+    /// voters have no identities.
+    fn remaining_voters(&self) -> Vec<MemberId> {
+        if self.current.epoch == 0 {
+            return Vec::new();
+        }
+        let voters = self.current.voters.iter().copied();
+        voters
+            .filter(|&voter| !self.has_lost_its_disk(voter))
+            .collect()
     }
-    next.sort();
-    next
-}
 
-/// Whether the address of `voter` is now used by another identity.
-fn has_lost_its_disk(voter: MemberId, learners: &[Candidate]) -> bool {
-    learners.iter().any(|learner| {
-        learner.member.address == voter.address && learner.member.identity != voter.identity
-    })
+    /// Whether the address of `voter` is now used by another identity.
+    fn has_lost_its_disk(&self, voter: MemberId) -> bool {
+        self.learners.iter().any(|learner| {
+            learner.member.address == voter.address && learner.member.identity != voter.identity
+        })
+    }
 }
