--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -1,10 +1,11 @@
 //! Agreement on the next view: single-decree Paxos, one instance for each epoch.
 //!
 //! Lamport, Paxos Made Simple (2001), section 2.2. The voters of view `e` are the acceptors of the instance
-//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it accepts no more
-//! writes of that epoch, so the state that it reports with the promise is final.
+//! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it accepts no
+//! more writes of that epoch, so the state that it reports with the promise is final.
 //!
-//! The acceptor's part is in `member/paxos.rs`; this module is the proposer's.
+//! In a reconfiguration this stands between the decision to propose (`member/proposals`) and the installation
+//! of the decided view. The acceptor's part is in `member/paxos.rs`; this module is the proposer's.
 //!
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
--- a/crates/tier/chain/src/ballot.rs
+++ b/crates/tier/chain/src/ballot.rs
@@ -1,7 +1,8 @@
 //! Proposal numbers of the agreement on views, and what an acceptor records under them.
 //!
 //! Lamport, Paxos Made Simple (2001), section 2.2: a ballot is a proposal number; an acceptor keeps the
-//! highest one that it has promised and the proposal with the highest number that it has accepted.
+//! highest one that it has promised and the proposal with the highest number that it has accepted. Both are
+//! on its disk ([`Durable`](crate::Durable)) before it reports them.
 
 use speedy::{Readable, Writable};
 
--- a/crates/tier/chain/src/blob.rs
+++ b/crates/tier/chain/src/blob.rs
@@ -1,4 +1,5 @@
-//! Shared immutable bytes with a codec.
+//! Shared immutable bytes with a codec: the body of a configuration or of a storage view, which is not copied
+//! on its way through the chain.
 
 use bytes::Bytes;
 use speedy::{Context, Readable, Reader, Writable, Writer};
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -1,7 +1,8 @@
 //! The durable state of a member, and the records that change it.
 //!
-//! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and applies
-//! the records that follow it in order.
+//! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and
+//! applies the records that follow it in order. Every step that others rely on is a record here first: a
+//! promise and an acceptance before they are reported, a write before it is forwarded or committed.
 
 use snafu::{OptionExt, ResultExt, Snafu};
 use speedy::{Endianness, Readable, Writable};
--- a/crates/tier/chain/src/election.rs
+++ b/crates/tier/chain/src/election.rs
@@ -1,4 +1,5 @@
-//! Timing of a member's proposals.
+//! Timing of a member's proposals: the step of a reconfiguration between a reason to propose
+//! (`member/proposals`) and the first message of Paxos.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
--- a/crates/tier/chain/src/failure_domain.rs
+++ b/crates/tier/chain/src/failure_domain.rs
@@ -1,4 +1,5 @@
-//! Machines that may fail together.
+//! Machines that may fail together. Heartbeats report the domain of their sender, and the next view is spread
+//! over several.
 
 use speedy::{Readable, Writable};
 
--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -16,6 +16,31 @@
 //! - `peers` is the failure detector, [`next_view`] chooses the next view, and `election` and the `proposals`
 //!   of a member decide when one is proposed.
 //!
+//! # A change of the configuration, step by step
+//!
+//! 1. The driver gives the head the operator's command, as [`Request::Submit`] (`member/head`).
+//! 2. The head judges it on its newest state (`state`) and appends the write at the next [`WritePosition`].
+//! 3. The write is a [`Record`] first: it is forwarded once the driver has synced it (`durable`,
+//!    `member/dispatch`).
+//! 4. It passes down the chain, from each member to its successor (`replication`, `member/propagation`).
+//! 5. The tail has synced it: it is committed. The commit passes back up to the head, and each member
+//!    publishes the state.
+//! 6. The head answers the operator (`requests`), and members outside the chain request the state, which the
+//!    heartbeats announce (`member/heartbeats`).
+//!
+//! # A reconfiguration, step by step
+//!
+//! 1. Heartbeats stop: the failure detector suspects a member of the chain (`peers`).
+//! 2. A voter has a reason to propose a view, and its random delay has passed (`member/proposals`,
+//!    `election`).
+//! 3. Phase 1: a majority of the voters promises, seals its epoch and reports its state (`member/paxos`,
+//!    `agreement`, `ballot`).
+//! 4. The next view is chosen from the reports (`member/view_selection`, `plan`, `policy`).
+//! 5. Phase 2: a majority accepts the view, which is decided, announced and installed
+//!    (`member/installation`).
+//! 6. The head activates the epoch with its own state, and each successor with its predecessor's
+//!    (`member/propagation`). Once the tail has it, the chain commits again.
+//!
 //! Formats on the wire and on disk follow the order of fields and variants, which must not change.
 
 #[cfg(all(feature = "mutations", not(debug_assertions)))]
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: when a member may exit.
+//! Graceful shutdown: when a member may exit. Its heartbeats report that it is leaving, which is a reason for
+//! a reconfiguration without it.
 //!
 //! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others
 //! no longer need the disk, or until the driver's time-out:
--- a/crates/tier/chain/src/member/dispatch.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of messages, and the syncs that outgoing messages wait for.
+//! Dispatch of messages, and the syncs that outgoing messages wait for: every message of a change or
+//! of a reconfiguration enters and leaves a member here.
 //!
 //! A message of another epoch is not handled: the one of the two members that is behind gets the newer view.
 
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -1,4 +1,5 @@
-//! Requests to the head of the chain.
+//! Requests to the head of the chain: the first step of a change, in which the command is judged and
+//! appended, and the last, in which the reply leaves.
 
 use std::time::Duration;
 
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: what this member reports of itself, and what it does on those of others.
+//! Heartbeats: what this member reports of itself, and what it does on those of others. The last step of a
+//! change for members outside the chain, which request the state that a heartbeat announces.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
--- a/crates/tier/chain/src/member/installation.rs
+++ b/crates/tier/chain/src/member/installation.rs
@@ -1,4 +1,5 @@
-//! Installation of a decided view, and the beginning of its head.
+//! Installation of a decided view, and the beginning of its head: the reconfiguration is decided, and
+//! replication begins again in the new epoch.
 
 use std::time::Duration;
 
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -71,7 +71,9 @@
 struct DeferredMessage {
     /// Number of the record that must be synced first.
     after_record: u64,
+    /// The receiver, which may be this member.
     to: MemberId,
+    /// The content; sent with the epoch in force when it leaves, which is that in which it was deferred.
     body: Body,
 }
 
@@ -82,14 +84,21 @@
 /// any fixed origin and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// This member. Its identity is that of `durable`.
     pub(crate) id: MemberId,
+    /// Where heartbeats go while this member is no voter or out of contact. May include this machine.
     pub(crate) seeds: Vec<SocketAddrV4>,
+    /// Sizes of a view and the spread of its members; the same at all members.
     pub(crate) policy: Policy,
+    /// Zone and region of this machine.
     failure_domain: FailureDomain,
     /// The durable state with every record, synced or not.
     pub(crate) durable: Durable,
+    /// The failure detector.
     pub(crate) peers: Peers,
+    /// This member's ballot, if it has one, in the instance of the current epoch.
     pub(crate) proposer: Proposer,
+    /// When this member proposes next.
     pub(crate) election: Election,
     /// Replication in the current epoch; replaced with every view.
     pub(crate) replication: Replication,
@@ -102,7 +111,10 @@
     /// Whether this member has had, since it came into contact with a majority, every state that was
     /// committed then.
     is_caught_up: bool,
+    /// Whether the disk syncs in time, as the driver last reported. While it doesn't, this member proposes
+    /// nothing and asks to be replaced in the chain.
     pub(crate) is_disk_healthy: bool,
+    /// Whether this member is shutting down, and what it knows of the chain since.
     leaving: Leaving,
     /// Number of the last record; rises by one with each.
     record_number: u64,
@@ -114,11 +126,16 @@
     loopback: VecDeque<Envelope>,
     /// What [`handle`](Self::handle) is to return.
     outputs: Vec<Output>,
+    /// When the last [`Input::Tick`] was handled, or the last stall ended. Never decreases.
     last_tick: Duration,
+    /// When heartbeats are due.
     next_heartbeat: Duration,
     /// When the committed state may be requested again.
     next_state_request: Duration,
+    /// Time from the next request for the committed state to the one after; at least
+    /// [`MIN_STATE_REQUEST_INTERVAL`], at most [`MAX_STATE_REQUEST_INTERVAL`].
     state_request_interval: Duration,
+    /// Source of the incarnation, of the random delays and of the barriers' sessions.
     random: oorandom::Rand64,
     #[cfg(feature = "mutations")]
     mutation: Option<crate::mutations::Mutation>,
--- a/crates/tier/chain/src/member/options.rs
+++ b/crates/tier/chain/src/member/options.rs
@@ -1,4 +1,4 @@
-//! Parameters of a member.
+//! Parameters of a member, which the driver takes from the settings.
 
 use std::net::SocketAddrV4;
 
--- a/crates/tier/chain/src/member/paxos.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -1,4 +1,5 @@
-//! The acceptor's part of the agreement on views, and the messages of the proposer.
+//! The acceptor's part of the agreement on views, and the messages of the proposer: phases 1 and 2 of a
+//! reconfiguration.
 //!
 //! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
 //! reported.
@@ -22,14 +23,15 @@
         view.is_voter(self.id) && (view.epoch > 0 || self.durable.bootstrap)
     }
 
-    /// The ballot that this member has promised in the instance of the current epoch, if it is above `ballot`.
+    /// The ballot that this member has promised in the instance of the current epoch, if it is above
+    /// `ballot`.
     fn promised_above(&self, ballot: Ballot) -> Option<Ballot> {
         let promised = self.durable.current_promise()?.ballot;
         (promised > ballot).then_some(promised)
     }
 
-    /// Promises `ballot`, which seals the epoch, unless that or a higher ballot is promised. Returns whether the
-    /// promise is new.
+    /// Promises `ballot`, which seals the epoch, unless that or a higher ballot is promised. Returns
+    /// whether the promise is new.
     fn promise(&mut self, ballot: Ballot) -> bool {
         let current = self.durable.current_promise();
         let is_new = current.is_none_or(|promise| promise.ballot < ballot);
--- a/crates/tier/chain/src/member/propagation.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -1,4 +1,5 @@
-//! Replication of writes and states down the chain, and commits back up.
+//! Replication of writes and states down the chain, and commits back up: the middle of a change, and the last
+//! step of a reconfiguration, in which the chain's members activate the epoch.
 //!
 //! Van Renesse & Schneider, Chain Replication (2004), section 3.
 
@@ -13,8 +14,8 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member accepts writes of the current epoch: it is in the chain, has activated the epoch and
-    /// has not sealed it.
+    /// Whether this member accepts writes of the current epoch: it is in the chain, has activated the epoch
+    /// and has not sealed it.
     pub(crate) fn is_active(&self) -> bool {
         let view = &self.durable.view;
         view.epoch > 0
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -1,4 +1,5 @@
-//! When and why this member proposes a view. The choice of the view is in `view_selection`.
+//! When and why this member proposes a view: the step of a reconfiguration after the failure detector's. The
+//! choice of the view is in `view_selection`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -1,4 +1,5 @@
-//! Which view this member proposes: from what it hears now, and from the reports of a ballot.
+//! Which view this member proposes: from what it hears now (whether there is a reason to propose), and from
+//! the reports of a ballot (the view of phase 2). Both are planned by [`next_view`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -1,4 +1,7 @@
-//! Messages between members.
+//! Messages between members: heartbeats; the two phases of Paxos; replication from predecessor to successor
+//! and the reports back; and what a member requests that is behind or shutting down.
+//!
+//! The driver decodes and [`check`](Envelope::check)s a message before the member sees it.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use speedy::{Readable, Writable};
--- a/crates/tier/chain/src/mutations.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -1,5 +1,5 @@
-//! Safeguards that tests switch off, to show that the checkers find the faults that they prevent. Never in a
-//! release build.
+//! Safeguards that tests switch off (mutation testing), to show that the checkers find the faults that they
+//! prevent. Never in a release build.
 
 use crate::requests::Reply;
 use crate::state::{Rejection, Undecided, Verdict};
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,5 +1,8 @@
 //! Failure detector: which members are alive and reach each other, as their heartbeats show.
 //!
+//! The first step of a reconfiguration: a suspected member of the chain is a reason to propose a view without
+//! it, and a stable one that is not in the view a reason to add it.
+//!
 //! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that
 //! their sender hears, so that links between others are known too, and echo the receiver's last heartbeat,
 //! which proves both directions of a link.
@@ -57,6 +60,7 @@
     incarnation: u64,
     /// Since when this process has listened: its start, or the end of its last stall.
     started: Duration,
+    /// The other members that have sent a heartbeat; at most [`MAX_PEERS`].
     table: BTreeMap<MemberId, PeerState>,
 }
 
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -104,9 +104,9 @@
         })
     }
 
-    /// The floor of the next view. A commit needs every member of the chain, and a chain that intersects every
-    /// majority. If the chain doesn't, or if one of its members has sealed the epoch without having been
-    /// active in it, nothing was committed in the epoch and the floor stays.
+    /// The floor of the next view. A commit needs every member of the chain, and a chain that intersects
+    /// every majority. If the chain doesn't, or if one of its members has sealed the epoch without having
+    /// been active in it, nothing was committed in the epoch and the floor stays.
     fn next_floor(&self) -> u64 {
         let View { epoch, floor, .. } = *self.current;
         let mut chain = self
@@ -124,7 +124,8 @@
         let preferred = self.in_order_of_preference();
         let mut chain = vec![head];
         self.extend(&mut chain, &preferred, true, self.policy.replicas);
-        // A chain with a member that is shutting down or syncs slowly is better than one that commits nothing.
+        // A chain with a member that is shutting down or syncs slowly is better than one that commits
+        // nothing.
         self.extend(&mut chain, &preferred, false, self.policy.minimum);
         Ok(chain
             .into_iter()
@@ -146,7 +147,8 @@
         best.copied().ok_or(PlanError::NoCompleteMember)
     }
 
-    /// The candidates in the order in which they are preferred: the current chain, the other voters, learners.
+    /// The candidates in the order in which they are preferred: the current chain, the other voters,
+    /// learners.
     fn in_order_of_preference(&self) -> Vec<Candidate> {
         let mut ordered = self.voters.to_vec();
         ordered.sort_by_key(|voter| (self.distance_from_head(voter.member), voter.member));
@@ -201,8 +203,8 @@
         least_crowded.copied()
     }
 
-    /// The voters of the next view: its chain; then, up to the number of the policy, voters that have reported
-    /// and may replicate, learners, and the remaining voters of the current view.
+    /// The voters of the next view: its chain; then, up to the number of the policy, voters that have
+    /// reported and may replicate, learners, and the remaining voters of the current view.
     fn next_voters(&self, chain: &[MemberId]) -> Vec<MemberId> {
         let may_replicate = |candidates: &[Candidate]| -> Vec<MemberId> {
             candidates
--- a/crates/tier/chain/src/policy.rs
+++ b/crates/tier/chain/src/policy.rs
@@ -1,4 +1,5 @@
-//! How many members a view has, and how they are spread.
+//! How many members a view has, and how they are spread, as the settings ask for. Applied when the next view
+//! is planned (`plan`), and by the tail, which commits only in a chain that is long enough.
 
 use crate::failure_domain::FailureDomain;
 
--- a/crates/tier/chain/src/replication.rs
+++ b/crates/tier/chain/src/replication.rs
@@ -4,6 +4,9 @@
 //! 3: the head takes updates, every member passes them to its successor in order, and the tail's copy decides
 //! what is committed. Acknowledgements travel back from the tail to the head.
 //!
+//! In a change of the configuration this comes after the head has judged the command, and before the reply.
+//! The messages are sent and received by `member/propagation`.
+//!
 //! [`Replication`] is the volatile part of a member's role: which writes are persisted and committed, and how
 //! far the successor has come. The durable part, the state with every write, is [`Durable`](crate::Durable).
 //!
@@ -151,7 +154,8 @@
         self.must_resend = false;
     }
 
-    /// Adds a write, which record number `record` holds. Its position must be above that of every earlier write.
+    /// Adds a write, which record number `record` holds. Its position must be above that of every earlier
+    /// write.
     pub(crate) fn push(
         &mut self,
         record: u64,
@@ -210,8 +214,8 @@
         self.barrier
     }
 
-    /// Records that the tail has persisted every write up to `position`. Returns whether more is committed than
-    /// before.
+    /// Records that the tail has persisted every write up to `position`. Returns whether more is committed
+    /// than before.
     pub(crate) fn commit(&mut self, position: WritePosition) -> bool {
         let before = self.committed_position();
         while self
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -1,4 +1,5 @@
-//! Requests to the head that are pending until the chain has confirmed what the reply is based on.
+//! Requests to the head that are pending until the chain has confirmed what the reply is based on: the first
+//! and the last step of a change at the head.
 //!
 //! A reply leaves only when everything on which it is based is committed. A rejection and a read also wait
 //! for a barrier that began after the request arrived and has passed every member of the chain in the current
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -1,5 +1,8 @@
 //! The replicated control state: two compare-and-set registers.
 //!
+//! The head judges each command on its newest state, once; every member applies the writes that follow from
+//! it in the same order.
+//!
 //! | command | register holds | verdict |
 //! | --- | --- | --- |
 //! | `PutConfiguration` | the same content, now or earlier | `AlreadyApplied` |
@@ -189,8 +192,8 @@
         }
     }
 
-    /// Applies a command whose verdict at the head was [`Verdict::Apply`]. `position` must be above that of the
-    /// state.
+    /// Applies a command whose verdict at the head was [`Verdict::Apply`]. `position` must be above that of
+    /// the state.
     pub fn apply(&mut self, position: WritePosition, command: &Command) {
         self.position = position;
         match command {
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed membership of the core.
+//! The agreed membership of the core: what a reconfiguration decides, and what replication runs in.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -219,7 +219,8 @@
         };
         self.check_read(issued, current);
         if self.committed.iter().any(is_known) {
-            // The first copy of it may have been applied since; the same order is then acknowledged, not rejected.
+            // The first copy of it may have been applied since; the same order is then acknowledged, not
+            // rejected.
             self.fail("a committed order is rejected");
         }
         let is_sent_twice = self.requests.iter().filter(|other| {
--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Records, snapshots and messages of the chain as they were recorded: every later program must read them, and
-//! write the same bytes again.
+//! Records, snapshots and messages of the chain as they were recorded: every later program must read them,
+//! and write the same bytes again.
 
 #[path = "../../../../tests/recorded/blocks.rs"]
 mod recorded;
