--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -1,4 +1,5 @@
-//! Committed state of the core, as discovery sends it to the data plane.
+//! Committed state of the core, as discovery sends it to the data plane: the last step of a configuration
+//! change in this process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/tier/control/src/durable_log.rs
+++ b/crates/tier/control/src/durable_log.rs
@@ -1,4 +1,5 @@
-//! A member's durable state in the journal: numbered records after a snapshot.
+//! A member's durable state in the journal: numbered records after a snapshot. In a configuration change a
+//! write is a record here before any member passes it on.
 //!
 //! Records carry consecutive numbers. Where one is missing (its append failed, and later ones did not),
 //! recovery skips the records after the gap: the driver has reported none of them as synced. The incarnation
@@ -34,17 +35,39 @@
 /// # Errors
 /// [`RecordError`] if the snapshot or a record can't be decoded.
 pub fn recover(snapshot: &[u8], records: &[Vec<u8>]) -> Result<RecoveredMember, RecordError> {
-    let (mut number, body) = split_number(snapshot)?;
-    let mut durable = Durable::decode(body)?;
+    let snapshot = Numbered::read(snapshot)?;
+    let mut recovered = RecoveredMember {
+        durable: Durable::decode(snapshot.body)?,
+        number: snapshot.number,
+    };
     for bytes in records {
-        let (next, body) = split_number(bytes)?;
-        if next != number + 1 {
-            continue;
+        let record = Numbered::read(bytes)?;
+        if record.number == recovered.number + 1 {
+            recovered.durable.apply(&Record::decode(record.body)?);
+            recovered.number = record.number;
         }
-        durable.apply(&Record::decode(body)?);
-        number = next;
     }
-    Ok(RecoveredMember { durable, number })
+    Ok(recovered)
+}
+
+/// A snapshot or a record as it is in the journal.
+struct Numbered<'a> {
+    /// Number of the record, or of the last record in the snapshot.
+    number: u64,
+    /// The encoded snapshot or record.
+    body: &'a [u8],
+}
+
+impl Numbered<'_> {
+    fn read(bytes: &[u8]) -> Result<Numbered<'_>, RecordError> {
+        let (number, body) = bytes
+            .split_first_chunk::<NUMBER_BYTES>()
+            .ok_or(RecordError::Empty)?;
+        Ok(Numbered {
+            number: u64::from_le_bytes(*number),
+            body,
+        })
+    }
 }
 
 fn with_number(number: u64, body: Vec<u8>) -> Vec<u8> {
@@ -53,10 +76,3 @@
     bytes.extend_from_slice(&body);
     bytes
 }
-
-fn split_number(bytes: &[u8]) -> Result<(u64, &[u8]), RecordError> {
-    let (number, body) = bytes
-        .split_first_chunk::<NUMBER_BYTES>()
-        .ok_or(RecordError::Empty)?;
-    Ok((u64::from_le_bytes(*number), body))
-}
--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -1,4 +1,5 @@
-//! HTTP interface of the replicas' heartbeats: `PUT` and `DELETE /instances/{id}`.
+//! HTTP interface of the replicas' heartbeats: `PUT` and `DELETE /instances/{id}`. They are no changes of the
+//! configuration: discovery passes them between core machines without the chain.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/tier/control/src/journal_health.rs
+++ b/crates/tier/control/src/journal_health.rs
@@ -18,11 +18,16 @@
 /// Interval between a compaction that failed and the next one.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
+/// State of the table above.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// Records are appended.
     Healthy,
+    /// A snapshot that replaces the log is queued; records are appended behind it.
     Compacting,
+    /// An append and a repair have failed: no record is appended.
     Broken,
+    /// A snapshot that has every record is queued; records are appended behind it.
     Repairing,
 }
 
@@ -32,8 +37,8 @@
     phase: Phase,
     /// Bytes of the last snapshot.
     snapshot_bytes: u64,
-    /// Earliest time of the next compaction, on the clock of [`JournalHealth::is_due`]. Repairs don't wait
-    /// for it.
+    /// Earliest time of the next compaction, on the clock of [`JournalHealth::is_compaction_due`]. Repairs
+    /// don't wait for it.
     not_before: Duration,
 }
 
@@ -57,29 +62,29 @@
         matches!(self.phase, Phase::Healthy | Phase::Compacting)
     }
 
-    /// Whether a log of `log_bytes` bytes is to be replaced at `now`, the time since the process started.
-    pub fn is_due(&self, now: Duration, log_bytes: u64) -> bool {
+    /// Whether a log of `log_bytes` bytes is to be compacted at `now`, the time since the process started.
+    pub fn is_compaction_due(&self, now: Duration, log_bytes: u64) -> bool {
         let is_long = log_bytes > COMPACTION_BYTES.max(2 * self.snapshot_bytes);
         is_long && self.phase == Phase::Healthy && now >= self.not_before
     }
 
     /// Records that a snapshot of `snapshot_bytes` bytes is queued, to replace the log.
-    pub fn begin(&mut self, snapshot_bytes: u64) {
+    pub fn begin_compaction(&mut self, snapshot_bytes: u64) {
         self.snapshot_bytes = snapshot_bytes;
         self.phase = Phase::Compacting;
     }
 
     /// Records that the snapshot of a compaction is written, or superseded.
-    pub fn end(&mut self) {
+    pub fn end_compaction(&mut self) {
         if self.phase == Phase::Compacting {
             self.phase = Phase::Healthy;
         }
     }
 
     /// Records that the snapshot of a compaction can't be written.
-    pub fn fail(&mut self, now: Duration) {
+    pub fn fail_compaction(&mut self, now: Duration) {
         self.not_before = now + RETRY_INTERVAL;
-        self.end();
+        self.end_compaction();
     }
 
     /// Records that the snapshot of a repair can't be written.
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -14,6 +14,15 @@
 //! - [`storage_planner`] changes the view of the storage machines while this machine is the head.
 //! - [`committed`] publishes the committed state to the data plane by way of `woadreach-discovery`.
 //!
+//! # A configuration change, step by step
+//!
+//! 1. `PUT /config` reaches any core machine, which reads and validates the body ([`operator`]).
+//! 2. The order goes to the head of the chain, and to each new head until there is an answer ([`order`]).
+//! 3. The head's member judges the change and appends the write, which is synced and passes down the chain
+//!    ([`member_driver`], [`durable_log`]; `woadreach-chain` has the steps).
+//! 4. Once the tail has synced it, the change is committed, and the operator gets the response.
+//! 5. Each core machine publishes the committed state to the data plane ([`committed`]).
+//!
 //! A machine of the `storage` role ([`storage_role`]) runs [`woadreach_storage::server::Server`] and
 //! announces itself to the core. The protocol is described in `docs/control-plane.md` and `docs/storage.md`.
 
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a [`Member`] on the real clock, disk and network.
+//! Runs a [`Member`] on the real clock, disk and network: where each step of a configuration change that the
+//! member decides becomes a write to the disk, a message or a reply.
 //!
 //! [`MemberDriver::input`] gives the member an event and executes its outputs. They are executed under the
 //! lock under which they were decided, so that records reach the journal in the order of their numbers. Three
@@ -34,6 +35,7 @@
 pub struct MemberDriver {
     /// Origin of the member's clock.
     started: Instant,
+    /// Connections for short messages.
     rpc: Client,
     /// Connections for bulk messages, so that short messages don't queue behind them.
     bulk_rpc: Client,
@@ -61,6 +63,7 @@
     is_disk_healthy: bool,
     /// Requests that the member has not answered.
     replies: HashMap<RequestId, oneshot::Sender<Reply>>,
+    /// Number of the next request; rises by one with each.
     next_request: u64,
     /// When the timer's task wakes by itself.
     timer_deadline: Instant,
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -1,4 +1,5 @@
-//! Records and snapshots of the member: appended, synced, compacted, and repaired after a failed append.
+//! Records and snapshots of the member: appended, synced, compacted, and repaired after a failed append. The
+//! member passes on what depends on a record once it is reported as synced from here.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,6 +16,7 @@
 /// Interval between two attempts to repair a failed journal.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Ends once a record or a snapshot is synced.
 pub(super) type SyncFuture = Pin<Box<dyn Future<Output = Result<Synced, JournalError>> + Send>>;
 
 /// A record that is queued in the journal and not known to be synced.
@@ -47,11 +49,14 @@
     /// the member has made is appended: one appended later would be in the snapshot already.
     pub(super) fn compact(&self, state: &mut DriverState) {
         let now = self.started.elapsed();
-        if !state.journal_health.is_due(now, self.journal.log_bytes()) {
+        if !state
+            .journal_health
+            .is_compaction_due(now, self.journal.log_bytes())
+        {
             return;
         }
         let snapshot = encode_snapshot(state.last_number, state.member.durable());
-        state.journal_health.begin(snapshot.len() as u64);
+        state.journal_health.begin_compaction(snapshot.len() as u64);
         // The receiving task lives as long as this driver.
         let _ = self
             .snapshots
@@ -68,10 +73,10 @@
             let outcome = replaced.await;
             let mut state = self.state.lock();
             match outcome {
-                Ok(_) | Err(JournalError::Superseded) => state.journal_health.end(),
+                Ok(_) | Err(JournalError::Superseded) => state.journal_health.end_compaction(),
                 Err(error) => {
                     tracing::warn!(%error, "journal compaction failed");
-                    state.journal_health.fail(self.started.elapsed());
+                    state.journal_health.fail_compaction(self.started.elapsed());
                 }
             }
         }
--- a/crates/tier/control/src/operator.rs
+++ b/crates/tier/control/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's API: `PUT` and `GET /config`, `POST` and `GET /retire/NODE`.
+//! The operator's API: `PUT` and `GET /config`, `POST` and `GET /retire/NODE`. A configuration change
+//! begins here and ends with the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,14 +32,19 @@
 /// Why an order is rejected before it reaches the chain.
 #[derive(Debug, Snafu)]
 enum OrderError {
+    /// The order doesn't say which generation it replaces.
     #[snafu(display("the header `If-Match` is missing or is no generation"))]
     NoIfMatch,
+    /// The body exceeds [`MAX_CONFIGURATION_BYTES`].
     #[snafu(display("the body is longer than {MAX_CONFIGURATION_BYTES} bytes"))]
     TooLong,
+    /// The connection failed, or the body took longer than [`BODY_TIMEOUT`].
     #[snafu(display("the body did not arrive"))]
     Incomplete,
+    /// [`MAX_CONCURRENT_CONFIGURATIONS`] are being read.
     #[snafu(display("too many orders at once"))]
     TooMany,
+    /// The body is no valid configuration.
     #[snafu(display("{source}"))]
     Invalid { source: ConfigurationError },
 }
@@ -46,6 +52,7 @@
 /// State shared by the handlers.
 struct OperatorApi {
     orders: Arc<OrderService>,
+    /// Permits to read a configuration, [`MAX_CONCURRENT_CONFIGURATIONS`] in all.
     configuration_permits: Semaphore,
 }
 
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -1,4 +1,5 @@
-//! Execution of an order at the head of the chain.
+//! Execution of an order at the head of the chain: the order becomes requests to the member, and the member's
+//! replies become the answer.
 //!
 //! Each function returns `None` where the order has no answer: this machine isn't the head any more, or
 //! another change came first. The caller then tries again.
--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -1,4 +1,5 @@
-//! Orders and answers, and their encoding between core machines.
+//! Orders and answers, and their encoding between core machines: what the operator's API makes of a request,
+//! and what the head returns.
 //!
 //! A message is a version byte and the value in `speedy`'s little-endian encoding. An order is preceded by
 //! the milliseconds that its caller still waits. An empty response says that the receiver has no answer.
@@ -84,24 +85,38 @@
     },
 }
 
-/// An order that another core machine has forwarded.
+/// An order as one core machine forwards it to another. The order of the fields is that of the bytes.
+#[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct ForwardedOrder {
+    /// Milliseconds for which the sender waits for the answer.
+    timeout_ms: u32,
+    /// The order.
     pub(crate) order: Order,
-    /// How long the caller waited for the answer when it sent the order.
-    pub(crate) timeout: Duration,
 }
 
-pub(crate) fn encode_order(order: &Order, timeout: Duration) -> Vec<u8> {
-    let timeout_ms = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
-    encode(&(timeout_ms, order))
-}
+impl ForwardedOrder {
+    /// An order whose sender waits for `timeout`, counted in complete milliseconds.
+    pub(crate) fn new(order: Order, timeout: Duration) -> ForwardedOrder {
+        ForwardedOrder {
+            timeout_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
+            order,
+        }
+    }
+
+    /// How long the sender waits for the answer.
+    pub(crate) fn timeout(&self) -> Duration {
+        Duration::from_millis(u64::from(self.timeout_ms))
+    }
+
+    /// The order as bytes, with a leading version byte.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        encode(self)
+    }
 
-pub(crate) fn decode_order(bytes: &[u8]) -> Result<ForwardedOrder, MessageError> {
-    let (timeout_ms, order): (u32, Order) = decode(bytes)?;
-    Ok(ForwardedOrder {
-        order,
-        timeout: Duration::from_millis(u64::from(timeout_ms)),
-    })
+    /// Reads a forwarded order.
+    pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, MessageError> {
+        decode(bytes)
+    }
 }
 
 pub(crate) fn encode_answer(answer: &Answer) -> Vec<u8> {
--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -1,4 +1,5 @@
-//! Orders to retire a storage machine, decided without I/O on a stored view of the storage machines.
+//! Orders to retire a storage machine, decided without I/O on a stored view of the storage machines. The head
+//! decides one when it executes it (`execution`).
 //!
 //! | the machine is | `POST /retire/NODE` | `GET /retire/NODE` |
 //! | --- | --- | --- |
--- a/crates/tier/control/src/order/route.rs
+++ b/crates/tier/control/src/order/route.rs
@@ -1,4 +1,5 @@
-//! Where an order goes next, decided without I/O from what this machine knows of the core.
+//! Where an order goes next, decided without I/O from what this machine knows of the core. Asked by `service`
+//! before each attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -1,4 +1,5 @@
-//! Sends an order to the head of the chain, wherever it is, until there is an answer or time is up.
+//! Sends an order to the head of the chain, wherever it is, until there is an answer or time is up: the
+//! step of a configuration change between the operator's API and the member of the head.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +13,7 @@
 use woadreach_rpc::{CallError, Client, ServiceId};
 
 use super::execution::execute_at_head;
-use super::message::{
-    Answer, MessageError, Order, decode_answer, decode_order, encode_answer, encode_order,
-};
+use super::message::{Answer, ForwardedOrder, MessageError, Order, decode_answer, encode_answer};
 use super::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
@@ -43,6 +42,7 @@
 /// Progress of one order at this machine.
 #[derive(Default)]
 struct Progress {
+    /// Whether a head may have received the order.
     has_reached_head: bool,
     /// Since when this machine has been out of quorum, as far as this order has seen.
     out_of_quorum_since: Option<Instant>,
@@ -79,8 +79,11 @@
 /// Executes orders here if this machine is the head, and forwards them to the head otherwise.
 pub struct OrderService {
     driver: Arc<MemberDriver>,
+    /// Connections for forwarded orders, which may be as long as a configuration.
     rpc: Client,
+    /// Internal address of this machine.
     own_address: SocketAddr,
+    /// How many storage machines may be lost at once.
     tolerated_failures: usize,
 }
 
@@ -164,7 +167,8 @@
         deadline: Instant,
     ) -> Result<Bytes, CallError> {
         let timeout = deadline.saturating_duration_since(Instant::now());
-        let (rpc, body) = (self.rpc.clone(), encode_order(order, timeout));
+        let rpc = self.rpc.clone();
+        let body = ForwardedOrder::new(order.clone(), timeout).encode();
         // In a task of its own, the call is completed even if this future is dropped.
         let call =
             tokio::spawn(async move { rpc.call(head, ServiceId::FORWARD, body, timeout).await });
@@ -177,9 +181,9 @@
     /// # Errors
     /// [`MessageError`] if the order can't be read.
     pub async fn execute_forwarded(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
-        let forwarded = decode_order(&body)?;
+        let forwarded = ForwardedOrder::decode(&body)?;
         let timeout = forwarded
-            .timeout
+            .timeout()
             .min(ORDER_TIMEOUT)
             .saturating_sub(RESPONSE_MARGIN);
         let execution = execute_at_head(&self.driver, self.tolerated_failures, &forwarded.order);
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -1,4 +1,5 @@
-//! Changes of the storage view: planned by the head of the chain from what the storage machines announce.
+//! Changes of the storage view: planned by the head of the chain from what the storage machines announce, and
+//! committed like a configuration from the request to the member on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
