--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: when a member may exit.
+//! Graceful shutdown: when a member may exit. Its heartbeats report that it is leaving, which is a reason for
+//! a reconfiguration without it.
 //!
 //! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others
 //! no longer need the disk, or until the driver's time-out:
@@ -28,7 +29,7 @@
 pub enum Departure {
     /// It may exit: the others have the state on disk and a majority of the voters.
     Free,
-    /// Every other voter is shutting down as well, or there is none: nobody can take over.
+    /// Every other voter is shutting down as well, or there is none: no member can replace this one.
     NobodyStays,
     /// The other reachable voters are no majority.
     VoteNeeded,
@@ -45,7 +46,7 @@
 /// What a member that is shutting down knows of the installed view's chain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    /// Since when this member has reported to the others that it is shutting down.
+    /// Since when this member has reported to the others that it is shutting down; `None` until then.
     since: Option<Duration>,
     /// Members of the chain that have reported that the state is on their disk.
     active: BTreeSet<MemberId>,
@@ -94,25 +95,19 @@
             .is_none_or(|since| now.saturating_sub(since) < MAX_DECISION_TIME)
     }
 
+    fn other_voters(&self) -> impl Iterator<Item = MemberId> + '_ {
+        let voters = self.durable.view.voters.iter().copied();
+        voters.filter(|&voter| voter != self.id)
+    }
+
     fn is_nobody_staying(&self, now: Duration) -> bool {
-        let mut others = self
-            .durable
-            .view
-            .voters
-            .iter()
-            .filter(|&&voter| voter != self.id);
-        others.all(|&voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
+        self.other_voters()
+            .all(|voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
     }
 
     fn reachable_other_voters(&self, now: Duration) -> usize {
-        let others = self
-            .durable
-            .view
-            .voters
-            .iter()
-            .filter(|&&voter| voter != self.id);
-        others
-            .filter(|&&voter| self.peers.is_reachable(now, voter))
+        self.other_voters()
+            .filter(|&voter| self.peers.is_reachable(now, voter))
             .count()
     }
 
@@ -129,6 +124,11 @@
         others.any(|member| member != self.id && self.peers.can_replicate(member))
     }
 
+    /// Whether this member is shutting down.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.leaving.since.is_some()
+    }
+
     /// Records when this member began to report that it is shutting down.
     pub(super) fn begin_leaving(&mut self, now: Duration) {
         self.leaving.since.get_or_insert(now);
@@ -151,7 +151,7 @@
     /// Answers a member that is shutting down, if the state of this epoch is on this disk.
     pub(super) fn send_active(&mut self, to: MemberId) {
         let epoch = self.durable.view.epoch;
-        if self.is_active() && self.replication.persisted_stamp(epoch).is_some() {
+        if self.is_active() && self.replication.persisted_position(epoch).is_some() {
             self.send_now(to.address, Body::Active);
         }
     }
--- a/crates/tier/chain/src/member/dispatch.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of messages, and the syncs that outgoing messages wait for.
+//! Dispatch of messages, and the syncs that outgoing messages wait for: every message of a change or
+//! of a reconfiguration enters and leaves a member here.
 //!
 //! A message of another epoch is not handled: the one of the two members that is behind gets the newer view.
 
@@ -67,16 +68,13 @@
                 committed,
                 barrier,
             } => {
-                if self.successor() == Some(from) && self.is_active() {
-                    let progress = Progress {
-                        is_active: active,
-                        persisted,
-                        committed,
-                        barrier,
-                    };
-                    self.replication.record_progress(now, progress);
-                    self.record_chain_progress(now, committed, barrier);
-                }
+                let progress = Progress {
+                    is_active: active,
+                    persisted,
+                    committed,
+                    barrier,
+                };
+                self.handle_replicated(now, from, progress);
             }
             Body::RequestActive => self.send_active(from),
             Body::Active => self.record_active(from),
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,5 +1,7 @@
-//! Heartbeats: what this member reports of itself, and what it does on those of others.
+//! Heartbeats: what this member reports of itself, and what it does on those of others. The last step of a
+//! change for members outside the chain, which request the state that a heartbeat announces.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -11,7 +13,7 @@
 impl Member {
     /// Whether this member may be in a chain.
     pub(crate) fn can_replicate(&self) -> bool {
-        self.is_disk_healthy && !self.is_leaving
+        self.is_disk_healthy && !self.is_leaving()
     }
 
     /// Zone and region of a member, this one included.
@@ -38,10 +40,10 @@
             sent: self.peers.heartbeat_time(now),
             echo: self.peers.echo_for(to),
             can_replicate: self.can_replicate(),
-            leaving: self.is_leaving,
+            leaving: self.is_leaving(),
             bootstrap: self.durable.bootstrap,
             failure_domain: self.failure_domain,
-            committed: self.published.stamp,
+            committed: self.published.position,
             hears: self.peers.heard_members(now),
         })
     }
@@ -56,9 +58,9 @@
 
     /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while
     /// this member is no voter or isn't in contact with a majority.
-    pub(super) fn heartbeat_addresses(&self, now: Duration) -> Vec<SocketAddrV4> {
+    pub(super) fn heartbeat_addresses(&self, now: Duration) -> BTreeSet<SocketAddrV4> {
         let view = &self.durable.view;
-        let mut addresses: Vec<SocketAddrV4> =
+        let mut addresses: BTreeSet<SocketAddrV4> =
             view.voters.iter().map(|voter| voter.address).collect();
         let is_in_view = view.voters.contains(&self.id);
         if is_in_view || view.epoch == 0 {
@@ -70,11 +72,9 @@
             );
         }
         if view.epoch == 0 || !self.is_in_contact_with_majority(now) || !is_in_view {
-            addresses.extend_from_slice(&self.seeds);
+            addresses.extend(&self.seeds);
         }
-        addresses.sort();
-        addresses.dedup();
-        addresses.retain(|&address| address != self.id.address);
+        addresses.remove(&self.id.address);
         addresses
     }
 
@@ -90,9 +90,9 @@
         let can_answer = self.peers.is_in_contact(now, from);
         #[cfg(feature = "mutations")]
         let can_answer =
-            can_answer || self.is_mutated(crate::mutations::Mutation::StateFromTheDeaf);
+            can_answer || self.is_mutated(crate::mutations::Mutation::StateRequestWithoutContact);
         let is_behind =
-            can_answer && heartbeat.committed > self.published.stamp && !self.is_active();
+            can_answer && heartbeat.committed > self.published.position && !self.is_active();
         if is_behind && now >= self.next_state_request {
             self.next_state_request = now + self.state_request_interval;
             self.state_request_interval =
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | in the chain, active | promises in the instance of its epoch | sealed: takes no writes of the epoch |
+//! | in the chain, active | promises in the instance of its epoch | sealed: accepts no writes of the epoch |
 //! | sealed | the next view is decided | head: active; in the chain: waits for predecessor; else outside |
 //! | waits for its predecessor | its state is the predecessor's, or was transferred | active |
 //! | outside the chain | a view adds it | waits for its predecessor |
@@ -71,7 +71,9 @@
 struct DeferredMessage {
     /// Number of the record that must be synced first.
     after_record: u64,
+    /// The receiver, which may be this member.
     to: MemberId,
+    /// The content; sent with the epoch in force when it leaves, which is that in which it was deferred.
     body: Body,
 }
 
@@ -82,28 +84,37 @@
 /// any fixed origin and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// This member. Its identity is that of `durable`.
     pub(crate) id: MemberId,
+    /// Where heartbeats go while this member is no voter or out of contact. May include this machine.
     pub(crate) seeds: Vec<SocketAddrV4>,
+    /// Sizes of a view and the spread of its members; the same at all members.
     pub(crate) policy: Policy,
+    /// Zone and region of this machine.
     failure_domain: FailureDomain,
     /// The durable state with every record, synced or not.
     pub(crate) durable: Durable,
+    /// The failure detector.
     pub(crate) peers: Peers,
+    /// This member's ballot, if it has one, in the instance of the current epoch.
     pub(crate) proposer: Proposer,
+    /// When this member proposes next.
     pub(crate) election: Election,
     /// Replication in the current epoch; replaced with every view.
     pub(crate) replication: Replication,
     /// Requests to this member as head; empty at every other member.
     pending_requests: PendingRequests,
-    /// The newest committed state that this member knows. Its stamp never decreases.
+    /// The newest committed state that this member knows. Its position never decreases.
     published: Arc<ControlState>,
     /// Session of this member's barriers, drawn anew with every view. Never 0.
     barrier_session: u64,
     /// Whether this member has had, since it came into contact with a majority, every state that was
     /// committed then.
     is_caught_up: bool,
+    /// Whether the disk syncs in time, as the driver last reported. While it doesn't, this member proposes
+    /// nothing and asks to be replaced in the chain.
     pub(crate) is_disk_healthy: bool,
-    pub(crate) is_leaving: bool,
+    /// Whether this member is shutting down, and what it knows of the chain since.
     leaving: Leaving,
     /// Number of the last record; rises by one with each.
     record_number: u64,
@@ -115,11 +126,16 @@
     loopback: VecDeque<Envelope>,
     /// What [`handle`](Self::handle) is to return.
     outputs: Vec<Output>,
+    /// When the last [`Input::Tick`] was handled, or the last stall ended. Never decreases.
     last_tick: Duration,
+    /// When heartbeats are due.
     next_heartbeat: Duration,
     /// When the committed state may be requested again.
     next_state_request: Duration,
+    /// Time from the next request for the committed state to the one after; at least
+    /// [`MIN_STATE_REQUEST_INTERVAL`], at most [`MAX_STATE_REQUEST_INTERVAL`].
     state_request_interval: Duration,
+    /// Source of the incarnation, of the random delays and of the barriers' sessions.
     random: oorandom::Rand64,
     #[cfg(feature = "mutations")]
     mutation: Option<crate::mutations::Mutation>,
@@ -154,7 +170,6 @@
             barrier_session: incarnation,
             is_caught_up: false,
             is_disk_healthy: true,
-            is_leaving: false,
             leaving: Leaving::default(),
             record_number: 0,
             synced_number: 0,
@@ -177,7 +192,7 @@
     pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
         if mutation == crate::mutations::Mutation::DigestsForgotten {
-            self.durable.state.taken.clear();
+            self.durable.state.applied.clear();
             self.replication = Replication::new(self.durable.active_epoch, &self.durable.state);
         }
     }
@@ -203,7 +218,7 @@
         &self.published
     }
 
-    /// The state with every write that this member has taken, committed or not.
+    /// The state with every write that this member has appended, committed or not.
     pub fn latest(&self) -> &ControlState {
         &self.durable.state
     }
@@ -277,7 +292,7 @@
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
             self.broadcast_heartbeat(now);
-            if self.is_leaving {
+            if self.is_leaving() {
                 self.request_active();
             }
         }
@@ -295,7 +310,6 @@
     }
 
     fn leave(&mut self, now: Duration) {
-        self.is_leaving = true;
         self.begin_leaving(now);
         self.broadcast_heartbeat(now);
         self.request_active();
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,5 +1,8 @@
 //! Failure detector: which members are alive and reach each other, as their heartbeats show.
 //!
+//! The first step of a reconfiguration: a suspected member of the chain is a reason to propose a view without
+//! it, and a stable one that is not in the view a reason to add it.
+//!
 //! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that
 //! their sender hears, so that links between others are known too, and echo the receiver's last heartbeat,
 //! which proves both directions of a link.
@@ -9,7 +12,7 @@
 
 use crate::failure_domain::FailureDomain;
 use crate::message::{Heartbeat, HeartbeatTime};
-use crate::state::Stamp;
+use crate::state::WritePosition;
 use crate::view::MemberId;
 
 /// A member from which no message has come for this time is suspected.
@@ -42,8 +45,8 @@
     sent: HeartbeatTime,
     /// Send time of the newest heartbeat of this member that it has echoed. Never above the current time.
     echoed: Option<Duration>,
-    /// Stamp of the newest committed state that it has reported. Never decreases.
-    committed: Stamp,
+    /// Position of the newest committed state that it has reported. Never decreases.
+    committed: WritePosition,
     /// When it last listed each member as heard.
     hears: BTreeMap<MemberId, Duration>,
 }
@@ -57,6 +60,7 @@
     incarnation: u64,
     /// Since when this process has listened: its start, or the end of its last stall.
     started: Duration,
+    /// The other members that have sent a heartbeat; at most [`MAX_PEERS`].
     table: BTreeMap<MemberId, PeerState>,
 }
 
@@ -246,8 +250,8 @@
             || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT_TIMEOUT)
     }
 
-    /// Stamp of the newest committed state that `member` has reported.
-    pub(crate) fn committed(&self, member: MemberId) -> Stamp {
+    /// Position of the newest committed state that `member` has reported.
+    pub(crate) fn committed(&self, member: MemberId) -> WritePosition {
         self.table
             .get(&member)
             .map(|peer| peer.committed)
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed membership of the core.
+//! The agreed membership of the core: what a reconfiguration decides, and what replication runs in.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    /// The first member of the chain, which takes commands.
+    /// The first member of the chain, which accepts commands.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
