--- /dev/null
+++ b/crates/testing/sim-support/src/event_queue.rs
@@ -0,0 +1,90 @@
+//! The queue of scheduled events.
+
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
+
+/// An event taken from an [`EventQueue`].
+#[derive(Debug)]
+pub struct Scheduled<Time, Event> {
+    /// When the event is due.
+    pub at: Time,
+    /// What happens.
+    pub event: Event,
+    order: u64,
+}
+
+/// Events in the order of their times. Events that are due at one time come in the order in which they were
+/// scheduled, so that a run depends on nothing but its seed.
+#[derive(Debug)]
+pub struct EventQueue<Time, Event> {
+    events: BinaryHeap<Reverse<Scheduled<Time, Event>>>,
+    next_order: u64,
+}
+
+impl<Time: Ord, Event> EventQueue<Time, Event> {
+    /// A queue without events.
+    pub fn new() -> Self {
+        Self {
+            events: BinaryHeap::new(),
+            next_order: 0,
+        }
+    }
+
+    /// Adds an event that is due at `at`, after all that are already scheduled for that time.
+    pub fn schedule(&mut self, at: Time, event: Event) {
+        let order = self.next_order;
+        self.next_order += 1;
+        self.events.push(Reverse(Scheduled { at, event, order }));
+    }
+
+    /// Puts an event back for a later time. Among the events of that time it keeps the place that it got when it
+    /// was first scheduled.
+    pub fn postpone(&mut self, scheduled: Scheduled<Time, Event>, at: Time) {
+        self.events.push(Reverse(Scheduled { at, ..scheduled }));
+    }
+
+    /// When the next event is due, or `None` if there is none.
+    pub fn next_time(&self) -> Option<&Time> {
+        self.events.peek().map(|Reverse(next)| &next.at)
+    }
+
+    /// Takes the next event.
+    pub fn pop(&mut self) -> Option<Scheduled<Time, Event>> {
+        self.events.pop().map(|Reverse(next)| next)
+    }
+
+    /// Takes the next event if it is due at `until` or before.
+    pub fn pop_due(&mut self, until: &Time) -> Option<Scheduled<Time, Event>> {
+        if self.next_time()? <= until {
+            self.pop()
+        } else {
+            None
+        }
+    }
+}
+
+impl<Time: Ord, Event> Default for EventQueue<Time, Event> {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+impl<Time: Ord, Event> PartialEq for Scheduled<Time, Event> {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other).is_eq()
+    }
+}
+
+impl<Time: Ord, Event> Eq for Scheduled<Time, Event> {}
+
+impl<Time: Ord, Event> PartialOrd for Scheduled<Time, Event> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl<Time: Ord, Event> Ord for Scheduled<Time, Event> {
+    fn cmp(&self, other: &Self) -> Ordering {
+        (&self.at, self.order).cmp(&(&other.at, other.order))
+    }
+}
--- /dev/null
+++ b/crates/testing/sim-support/src/partitioned_links.rs
@@ -0,0 +1,45 @@
+//! Partitions of a simulated network.
+
+use std::collections::BTreeSet;
+
+/// Directed links, as pairs of sender and receiver, over which nothing is delivered.
+#[derive(Clone, Debug)]
+pub struct PartitionedLinks<Node> {
+    links: BTreeSet<(Node, Node)>,
+}
+
+impl<Node: Copy + Ord> PartitionedLinks<Node> {
+    /// Partitions one direction, from the first node to the second. A link that is partitioned stays so.
+    pub fn insert(&mut self, link: (Node, Node)) {
+        self.links.insert(link);
+    }
+
+    /// Partitions both directions between two nodes.
+    pub fn insert_both_ways(&mut self, one: Node, other: Node) {
+        self.links.extend([(one, other), (other, one)]);
+    }
+
+    /// Whether nothing is delivered from the first node to the second.
+    pub fn contains(&self, link: &(Node, Node)) -> bool {
+        self.links.contains(link)
+    }
+
+    /// Heals all links.
+    pub fn clear(&mut self) {
+        self.links.clear();
+    }
+}
+
+impl<Node> Default for PartitionedLinks<Node> {
+    fn default() -> Self {
+        Self {
+            links: BTreeSet::new(),
+        }
+    }
+}
+
+impl<Node: Copy + Ord> Extend<(Node, Node)> for PartitionedLinks<Node> {
+    fn extend<Links: IntoIterator<Item = (Node, Node)>>(&mut self, links: Links) {
+        self.links.extend(links);
+    }
+}
