--- a/crates/tier/chain/tests/simulation/event.rs
+++ b/crates/tier/chain/tests/simulation/event.rs
@@ -1,7 +1,4 @@
-//! Events of the simulation, in the order of their times.
-
-use std::cmp::Ordering;
-use std::time::Duration;
+//! Events of the simulation.
 
 use woadreach_chain::{Envelope, Request};
 
@@ -57,27 +54,3 @@
     Fault,
     EndFault,
 }
-
-/// An event at its time; `order` keeps events of one time in the order in which they were scheduled.
-pub(super) struct Scheduled {
-    pub at: Duration,
-    pub order: u64,
-    pub event: Event,
-}
-
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -272,11 +272,11 @@
 pub(super) fn partition(world: &mut World, affected: &[usize], one_way: bool, is_outward: bool) {
     for &node in affected {
         for other in (0..world.nodes.len()).filter(|other| !affected.contains(other)) {
-            if !one_way || is_outward {
-                world.partitioned_links.insert((node, other));
-            }
-            if !one_way || !is_outward {
-                world.partitioned_links.insert((other, node));
+            let links = &mut world.partitioned_links;
+            match (one_way, is_outward) {
+                (false, _) => links.insert_both_ways(node, other),
+                (true, true) => links.insert((node, other)),
+                (true, false) => links.insert((other, node)),
             }
         }
     }
--- a/crates/tier/chain/tests/simulation/partitions.rs
+++ b/crates/tier/chain/tests/simulation/partitions.rs
@@ -67,9 +67,10 @@
 }
 
 fn partition_link(world: &mut World, one: usize, two: usize, is_one_way: bool) {
-    world.partitioned_links.insert((one, two));
-    if !is_one_way {
-        world.partitioned_links.insert((two, one));
+    if is_one_way {
+        world.partitioned_links.insert((one, two));
+    } else {
+        world.partitioned_links.insert_both_ways(one, two);
     }
 }
 
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -1,15 +1,14 @@
 //! The clock, the network and the disks of the simulated machines.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use woadreach_chain::{Body, ControlState, Envelope, Input, Output};
+use woadreach_sim_support::{EventQueue, PartitionedLinks};
 
 use super::capacity::Capacity;
 use super::disk::SimulatedDisk;
-use super::event::{Event, Scheduled};
+use super::event::Event;
 use super::history::{History, Violation};
 use super::node::Node;
 use super::operator::Operators;
@@ -28,7 +27,7 @@
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub random: oorandom::Rand64,
-    pub partitioned_links: BTreeSet<(usize, usize)>,
+    pub partitioned_links: PartitionedLinks<usize>,
     /// Share of messages that are lost.
     pub loss: f64,
     pub history: History,
@@ -50,8 +49,7 @@
     /// No further fault strikes.
     pub are_faults_over: bool,
     is_traced: bool,
-    queue: BinaryHeap<Reverse<Scheduled>>,
-    order: u64,
+    queue: EventQueue<Duration, Event>,
 }
 
 impl World {
@@ -67,7 +65,7 @@
             now: Duration::from_secs(1),
             nodes: (0..nodes).map(Node::new).collect(),
             random: oorandom::Rand64::new(u128::from(seed)),
-            partitioned_links: BTreeSet::new(),
+            partitioned_links: PartitionedLinks::default(),
             loss: 0.0,
             history: History::default(),
             operators: Operators::new(2),
@@ -81,8 +79,7 @@
             longest_transfer: Duration::ZERO,
             are_faults_over: false,
             is_traced: std::env::var_os("WOADREACH_TRACE").is_some(),
-            queue: BinaryHeap::new(),
-            order: 0,
+            queue: EventQueue::new(),
         };
         for node in 0..nodes {
             let delay = world.random_duration(Duration::from_millis(300));
@@ -108,12 +105,7 @@
     }
 
     pub(crate) fn schedule(&mut self, delay: Duration, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse(Scheduled {
-            at: self.now + delay,
-            order: self.order,
-            event,
-        }));
+        self.queue.schedule(self.now + delay, event);
     }
 
     pub(crate) fn random_duration(&mut self, longest: Duration) -> Duration {
@@ -135,18 +127,14 @@
 
     /// Runs until `end`.
     pub(crate) fn run_until(&mut self, end: Duration) {
-        while let Some(Reverse(next)) = self.queue.peek() {
-            if next.at > end {
-                break;
-            }
-            let Reverse(Scheduled { at, event, .. }) = self.queue.pop().expect("peeked");
-            self.now = at;
-            self.take(event);
+        while let Some(due) = self.queue.pop_due(&end) {
+            self.now = due.at;
+            self.handle(due.event);
         }
         self.now = end;
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Wake { node, incarnation } => {
                 if self.nodes[node].incarnation == incarnation && self.is_running(node) {
