--- a/crates/tier/storage/tests/simulation/world/jobs.rs
+++ b/crates/tier/storage/tests/simulation/world/jobs.rs
@@ -27,7 +27,7 @@
 
 impl World {
     fn start_job(&mut self, proxy: usize, purpose: Purpose, work: Work, within: Duration) -> JobId {
-        let id = self.number();
+        let id = self.next_number();
         let deadline = self.now + within;
         let job = Job {
             purpose,
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -8,13 +8,13 @@
 mod turns;
 mod views;
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use oorandom::Rand64;
+use woadreach_sim_support::EventQueue;
 
 use self::network::Call;
 use self::turns::Program;
@@ -65,10 +65,10 @@
     pub is_membership_run: bool,
     /// Proxies hear of new views late.
     has_late_views: bool,
-    events: BinaryHeap<Reverse<(Duration, u64)>>,
-    scheduled: BTreeMap<u64, Event>,
+    events: EventQueue<Duration, Event>,
     deferred: BTreeMap<usize, Vec<Event>>,
-    next_number: u64,
+    /// Number of the latest call or job.
+    last_number: u64,
     calls: BTreeMap<u64, Call>,
     programs: Vec<Program>,
     has_commit_in_flight: bool,
@@ -107,10 +107,9 @@
             final_fault: FinalFault::Never,
             is_membership_run: random.rand_range(0..4) == 0,
             has_late_views: random.rand_range(0..3) == 0,
-            events: BinaryHeap::new(),
-            scheduled: BTreeMap::new(),
+            events: EventQueue::new(),
             deferred: BTreeMap::new(),
-            next_number: 1,
+            last_number: 0,
             calls: BTreeMap::new(),
             programs: (0..programs)
                 .map(|number| Program::draw(number, &mut random))
@@ -140,16 +139,11 @@
     /// Plays the run to its end; returns the first violation and when it was found.
     pub(crate) fn run(mut self) -> Option<FoundViolation> {
         let end = self.end_of_faults + QUIET_PERIOD + jobs::READ_TIMEOUT * 2;
-        while let Some(Reverse((time, number))) = self.events.pop() {
-            if time > end || self.violation.is_some() {
-                break;
-            }
-            self.now = time;
-            let event = self
-                .scheduled
-                .remove(&number)
-                .expect("every number has an event");
-            self.dispatch(event);
+        while self.violation.is_none()
+            && let Some(due) = self.events.pop_due(&end)
+        {
+            self.now = due.at;
+            self.dispatch(due.event);
         }
         let at = self.now;
         self.violation
@@ -165,18 +159,16 @@
     }
 
     pub(crate) fn at(&mut self, time: Duration, event: Event) {
-        let number = self.number();
-        self.events.push(Reverse((time, number)));
-        self.scheduled.insert(number, event);
+        self.events.schedule(time, event);
     }
 
     pub(crate) fn after(&mut self, delay: Duration, event: Event) {
         self.at(self.now + delay, event);
     }
 
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     fn record_check(&mut self, outcome: Result<(), Violation>) {
--- a/crates/tier/storage/tests/simulation/world/network.rs
+++ b/crates/tier/storage/tests/simulation/world/network.rs
@@ -51,7 +51,7 @@
         request: Request,
         purpose: CallFor,
     ) {
-        let call = self.number();
+        let call = self.next_number();
         let (epoch, disk) = (request.fencing_token.epoch, request.fencing_token.disk);
         self.calls.insert(
             call,
