--- a/crates/tier/discovery/tests/common/world/acknowledgement.rs
+++ b/crates/tier/discovery/tests/common/world/acknowledgement.rs
@@ -89,7 +89,7 @@
         let (replica, incarnation) = (pending.replica, self.cores[core].incarnation);
         let is_acknowledged = match pending.notification.decision(self.now) {
             DepartureDecision::Wait { until } => {
-                return self.push(
+                return self.schedule(
                     until,
                     Event::AckDeadline {
                         core,
@@ -111,6 +111,6 @@
             call,
             is_acknowledged,
         };
-        self.push(self.now + LINK_DELAY, event);
+        self.schedule(self.now + LINK_DELAY, event);
     }
 }
--- a/crates/tier/discovery/tests/common/world/core_node.rs
+++ b/crates/tier/discovery/tests/common/world/core_node.rs
@@ -153,7 +153,7 @@
                 .map(|(edge, incarnation, call, _)| (edge, incarnation, call))
                 .collect();
             for (edge, incarnation, call) in calls {
-                self.push(
+                self.schedule(
                     self.now + LINK_DELAY,
                     Event::Refused {
                         edge,
@@ -169,7 +169,7 @@
         self.cores[core].power = PowerState::Up;
         let stalled = std::mem::take(&mut self.cores[core].stalled);
         for event in stalled {
-            self.push(self.now, event);
+            self.schedule(self.now, event);
         }
     }
 
@@ -192,8 +192,8 @@
 
     pub(super) fn boot_core(&mut self, core: usize) {
         let incarnation = self.cores[core].incarnation;
-        self.push(self.now, Event::Pull { core, incarnation });
-        self.push(self.now, Event::CoreTick { core, incarnation });
+        self.schedule(self.now, Event::Pull { core, incarnation });
+        self.schedule(self.now, Event::CoreTick { core, incarnation });
     }
 
     /// Sends the batch of changes that [`CHANGE_DELAY`] has collected.
@@ -207,7 +207,7 @@
         let incarnation = self.cores[core].incarnation;
         let view = self.cores[core].committed.view();
         self.cores[core].state.tick(self.now, &view);
-        self.push(
+        self.schedule(
             self.now + TICK_INTERVAL,
             Event::CoreTick { core, incarnation },
         );
@@ -223,7 +223,7 @@
     pub(super) fn flush_soon(&mut self, core: usize) {
         if !std::mem::replace(&mut self.cores[core].is_flush_due, true) {
             let incarnation = self.cores[core].incarnation;
-            self.push(
+            self.schedule(
                 self.now + CHANGE_DELAY,
                 Event::CoreFlush { core, incarnation },
             );
@@ -234,7 +234,7 @@
         let node = &self.cores[core];
         if node.state.has_incomplete_peers() && node.pending_pulls.is_empty() {
             let (at, incarnation) = (node.pull_not_before.max(self.now), node.incarnation);
-            self.push(at, Event::Pull { core, incarnation });
+            self.schedule(at, Event::Pull { core, incarnation });
         }
     }
 
@@ -279,7 +279,7 @@
                 Node::Core(peer),
                 Message::RegistryRequest { incarnation, known },
             );
-            self.push(
+            self.schedule(
                 self.now + REGISTRY_TIMEOUT,
                 Event::PullFailed {
                     core,
@@ -457,7 +457,7 @@
             poll: call,
         };
         self.cores[core].polls.insert(call, poll);
-        self.push(self.now + wait, deadline);
+        self.schedule(self.now + wait, deadline);
         if self.cores[core].has_updates(self.now, &request) {
             self.answer_poll(core, call);
         }
--- a/crates/tier/discovery/tests/common/world/dispatch.rs
+++ b/crates/tier/discovery/tests/common/world/dispatch.rs
@@ -1,25 +1,19 @@
 //! Delivery of events and messages to the nodes.
 
-use std::cmp::Reverse;
 use std::time::Duration;
 
 use super::core_node::PowerState;
-use super::event::{Event, Message, Node, QueuedEvent};
+use super::event::{Event, Message, Node};
 use super::{LINK_DELAY, World};
 
 impl World {
-    pub(super) fn push(&mut self, at: Duration, event: Event) {
-        self.next_number += 1;
-        self.queue.push(Reverse(QueuedEvent {
-            at,
-            number: self.next_number,
-            event,
-        }));
+    pub(super) fn schedule(&mut self, at: Duration, event: Event) {
+        self.queue.schedule(at, event);
     }
 
-    pub(super) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub(super) fn next_call(&mut self) -> u64 {
+        self.last_call += 1;
+        self.last_call
     }
 
     pub(super) fn send(&mut self, from: Node, to: Node, message: Message) {
@@ -33,7 +27,7 @@
                 Node::Core(_) => self.core_bytes += bytes,
             }
         }
-        self.push(self.now + LINK_DELAY, Event::Deliver { from, to, message });
+        self.schedule(self.now + LINK_DELAY, Event::Deliver { from, to, message });
     }
 
     pub(super) fn handle(&mut self, event: Event) {
@@ -113,7 +107,7 @@
                         },
                     ..
                 },
-            ) => self.push(
+            ) => self.schedule(
                 self.now + LINK_DELAY,
                 Event::Refused {
                     edge,
@@ -122,7 +116,7 @@
                 },
             ),
             (PowerState::Down, Event::HeartbeatArrives { replica, call, .. }) => {
-                self.push(
+                self.schedule(
                     self.now + LINK_DELAY,
                     Event::Acknowledged {
                         replica,
--- a/crates/tier/discovery/tests/common/world/event.rs
+++ b/crates/tier/discovery/tests/common/world/event.rs
@@ -1,7 +1,4 @@
-//! Events and messages of the simulated world, and the queue that orders them.
-
-use std::cmp::Ordering;
-use std::time::Duration;
+//! Events and messages of the simulated world.
 
 use woadreach_discovery::Heartbeat;
 use woadreach_discovery::registry::RegistryVersion;
@@ -150,31 +147,3 @@
         }
     }
 }
-
-/// An event that is due at a time. Events that are due at the same time are handled in the order of their
-/// numbers.
-pub(super) struct QueuedEvent {
-    pub(super) at: Duration,
-    pub(super) number: u64,
-    pub(super) event: Event,
-}
-
-impl PartialEq for QueuedEvent {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
-    }
-}
-
-impl Eq for QueuedEvent {}
-
-impl PartialOrd for QueuedEvent {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for QueuedEvent {
-    fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
-    }
-}
--- a/crates/tier/discovery/tests/common/world/mod.rs
+++ b/crates/tier/discovery/tests/common/world/mod.rs
@@ -12,15 +12,16 @@
 mod observer;
 mod replica;
 
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap};
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use woadreach_sim_support::{EventQueue, PartitionedLinks};
+
 use self::core_node::CoreNode;
 pub(crate) use self::core_node::{PowerState, core_address};
+use self::event::Event;
 pub(crate) use self::event::Node;
-use self::event::{Event, QueuedEvent};
 use self::observer::EdgeNode;
 use self::replica::Replica;
 
@@ -37,13 +38,13 @@
     pub(crate) cores: Vec<CoreNode>,
     pub(crate) edges: Vec<EdgeNode>,
     pub(crate) replicas: Vec<Replica>,
-    /// Directed pairs between which no message is delivered.
-    pub(crate) partitions: BTreeSet<(Node, Node)>,
+    pub(crate) partitions: PartitionedLinks<Node>,
     /// Core machines that no replica reaches.
     pub(crate) unreachable_from_replicas: BTreeSet<usize>,
     pub(crate) core_bytes: u64,
-    queue: BinaryHeap<Reverse<QueuedEvent>>,
-    next_number: u64,
+    queue: EventQueue<Duration, Event>,
+    /// Number of the latest call of a replica or observer.
+    last_call: u64,
     random: oorandom::Rand32,
 }
 
@@ -54,11 +55,11 @@
             cores: Vec::new(),
             edges: Vec::new(),
             replicas: Vec::new(),
-            partitions: BTreeSet::new(),
+            partitions: PartitionedLinks::default(),
             unreachable_from_replicas: BTreeSet::new(),
             core_bytes: 0,
-            queue: BinaryHeap::new(),
-            next_number: 1,
+            queue: EventQueue::new(),
+            last_call: 0,
             random: oorandom::Rand32::new(seed),
         };
         let members: Vec<SocketAddr> = (0..cores).map(core_address).collect();
@@ -73,7 +74,7 @@
                 edge,
                 incarnation: 1,
             };
-            world.push(Duration::ZERO, wake);
+            world.schedule(Duration::ZERO, wake);
         }
         for replica in 0..replicas {
             world.add_replica(&format!("r{replica}"), replica);
@@ -82,22 +83,15 @@
     }
 
     pub(crate) fn partition_cores(&mut self, one: usize, two: usize) {
-        self.partitions.insert((Node::Core(one), Node::Core(two)));
-        self.partitions.insert((Node::Core(two), Node::Core(one)));
+        self.partitions
+            .insert_both_ways(Node::Core(one), Node::Core(two));
     }
 
     /// Runs until `until`, with `check` after each event.
     pub(crate) fn run_checked(&mut self, until: Duration, mut check: impl FnMut(&World)) {
-        while self
-            .queue
-            .peek()
-            .is_some_and(|Reverse(queued)| queued.at <= until)
-        {
-            let Some(Reverse(QueuedEvent { at, event, .. })) = self.queue.pop() else {
-                break;
-            };
-            self.now = at;
-            self.handle(event);
+        while let Some(due) = self.queue.pop_due(&until) {
+            self.now = due.at;
+            self.handle(due.event);
             check(self);
         }
         self.now = until;
--- a/crates/tier/discovery/tests/common/world/observer.rs
+++ b/crates/tier/discovery/tests/common/world/observer.rs
@@ -54,7 +54,7 @@
         node.configuration = 0;
         node.wake = None;
         let incarnation = node.incarnation;
-        self.push(self.now, Event::EdgeWake { edge, incarnation });
+        self.schedule(self.now, Event::EdgeWake { edge, incarnation });
     }
 
     /// Whether an observer would send new requests to the replica.
@@ -79,7 +79,7 @@
     pub(super) fn edge_act(&mut self, edge: usize) {
         let incarnation = self.edges[edge].incarnation;
         for action in self.edges[edge].watcher.start_due_calls(self.now) {
-            let call = self.number();
+            let call = self.next_call();
             let (machine, kind, body, timeout) = match action {
                 WatchAction::Poll {
                     machine,
@@ -109,7 +109,7 @@
                     body,
                 },
             );
-            self.push(
+            self.schedule(
                 self.now + timeout,
                 Event::EdgeTimeout {
                     edge,
@@ -123,7 +123,7 @@
             let next = next.max(self.now);
             if node.wake.is_none_or(|wake| wake > next) {
                 node.wake = Some(next);
-                self.push(next, Event::EdgeWake { edge, incarnation });
+                self.schedule(next, Event::EdgeWake { edge, incarnation });
             }
         }
     }
--- a/crates/tier/discovery/tests/common/world/replica.rs
+++ b/crates/tier/discovery/tests/common/world/replica.rs
@@ -48,7 +48,7 @@
             call: 0,
         });
         let first = self.now + HEARTBEAT.mul_f32(self.random.rand_float());
-        self.push(first, Event::HeartbeatDue { replica });
+        self.schedule(first, Event::HeartbeatDue { replica });
         replica
     }
 
@@ -71,7 +71,7 @@
             return;
         }
         let next = self.now + HEARTBEAT.mul_f32(0.9 + 0.2 * self.random.rand_float());
-        self.push(next, Event::HeartbeatDue { replica });
+        self.schedule(next, Event::HeartbeatDue { replica });
         if self.replicas[replica].call == 0 {
             let drawn = self.random_core();
             self.replicas[replica].core = self.replicas[replica].first_core.unwrap_or(drawn);
@@ -80,19 +80,19 @@
     }
 
     pub(super) fn send_heartbeat(&mut self, replica: usize) {
-        let call = self.number();
+        let call = self.next_call();
         let node = &mut self.replicas[replica];
         node.heartbeat.sequence += 1;
         node.call = call;
         let core = node.core;
         let heartbeat = (!node.leaving).then(|| node.heartbeat.clone());
-        self.push(
+        self.schedule(
             self.now + ACK_TIMEOUT,
             Event::HeartbeatTimeout { replica, call },
         );
         if !self.unreachable_from_replicas.contains(&core) {
             let at = self.now + LINK_DELAY;
-            self.push(
+            self.schedule(
                 at,
                 Event::HeartbeatArrives {
                     replica,
@@ -118,7 +118,7 @@
             return;
         }
         if !is_acknowledged {
-            self.push(
+            self.schedule(
                 now + Duration::from_millis(20),
                 Event::HeartbeatTimeout { replica, call },
             );
