--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -10,9 +10,13 @@
     open, seal,
 };
 use woadreach_membership::MemberId;
+use woadreach_sim_support::EventQueue;
 
 const ROLE: Role = Role::QuotaAllocator(0);
 
+/// Interval at which a datagram is offered again to a member that stalls.
+const RETRY_MICROS: u64 = 10_000;
+
 struct Node {
     leases: Leases,
     rate: f64,
@@ -29,13 +33,6 @@
     bytes: Vec<u8>,
 }
 
-/// When a datagram arrives, in true microseconds, and a number that keeps their order.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Arrival {
-    at_micros: u64,
-    number: u64,
-}
-
 /// A moment of true time in which a member could act under its lease.
 #[derive(Debug)]
 struct RecordedAction {
@@ -60,7 +57,8 @@
     loss: f64,
     partitioned: Vec<bool>,
     nodes: Vec<Node>,
-    in_flight: BTreeMap<Arrival, Datagram>,
+    /// Datagrams by the time of their arrival, in true microseconds.
+    in_flight: EventQueue<u64, Datagram>,
     sent: u64,
     actions: Vec<RecordedAction>,
     lease_events: Vec<RecordedEvent>,
@@ -86,7 +84,7 @@
             }
         });
         let nodes = nodes.collect();
-        let (in_flight, actions, lease_events) = (BTreeMap::new(), Vec::new(), Vec::new());
+        let (in_flight, actions, lease_events) = (EventQueue::new(), Vec::new(), Vec::new());
         let partitioned = vec![false; members];
         World {
             now: 0.0,
@@ -126,11 +124,9 @@
                 let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
                 self.sent += 1;
                 let bytes = seal(std::slice::from_ref(&outgoing.message));
-                let arrival = Arrival {
-                    at_micros: (at * 1e6) as u64,
-                    number: self.sent,
-                };
-                self.in_flight.insert(arrival, Datagram { from, to, bytes });
+                let arrival_micros = (at * 1e6) as u64;
+                self.in_flight
+                    .schedule(arrival_micros, Datagram { from, to, bytes });
             }
         }
     }
@@ -139,29 +135,29 @@
         self.nodes[n].alive && self.now >= self.nodes[n].stalled_until
     }
 
+    /// The next datagram that has arrived at a member which runs. Those to a member that stalls arrive later,
+    /// those to one that has crashed are lost.
+    fn take_arrived(&mut self) -> Option<Datagram> {
+        while (*self.in_flight.next_time()? as f64) / 1e6 <= self.now {
+            let arrival = self.in_flight.pop()?;
+            let to = arrival.event.to;
+            if self.runs(to) {
+                return Some(arrival.event);
+            }
+            if self.nodes[to].alive {
+                let later = arrival.at + RETRY_MICROS;
+                self.in_flight.postpone(arrival, later);
+            }
+        }
+        None
+    }
+
     fn run(&mut self, until: f64) {
         let members = self.nodes.len();
         while self.now < until {
             self.now += 0.005;
-            while let Some(entry) = self
-                .in_flight
-                .first_entry()
-                .filter(|e| e.key().at_micros as f64 / 1e6 <= self.now)
-            {
-                let (arrival, datagram) = entry.remove_entry();
+            while let Some(datagram) = self.take_arrived() {
                 let to = datagram.to;
-                if !self.runs(to) {
-                    // It is received once the member runs again.
-                    if self.nodes[to].alive {
-                        let at_micros = arrival.at_micros + 10_000;
-                        let later = Arrival {
-                            at_micros,
-                            ..arrival
-                        };
-                        self.in_flight.insert(later, datagram);
-                    }
-                    continue;
-                }
                 let clock = self.clock(to);
                 let from = MemberId(datagram.from as u16);
                 for message in open(&datagram.bytes, members).expect("it can be decoded") {
