--- a/crates/testing/simulation/src/clock.rs
+++ b/crates/testing/simulation/src/clock.rs
@@ -3,8 +3,7 @@
 //! give the same run.
 
 use std::cell::{Cell, RefCell};
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::future::Future;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::pin::Pin;
@@ -13,6 +12,8 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Wake, Waker};
 
+use woadreach_sim_support::EventQueue;
+
 /// Nanoseconds from the world's beginning.
 pub(crate) type Nanos = u64;
 
@@ -80,42 +81,15 @@
     Call(Box<dyn FnOnce()>),
 }
 
-struct Entry {
-    at: Nanos,
-    order: u64,
-    action: Scheduled,
-}
-
-impl PartialEq for Entry {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-
-impl Eq for Entry {}
-
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for Entry {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
-
 #[derive(Default)]
 struct Inner {
     now: Cell<Nanos>,
-    order: Cell<u64>,
     next_serial: Cell<u64>,
     steps: Cell<u64>,
     ready: Ready,
     slots: RefCell<Vec<Slot>>,
     free: RefCell<Vec<usize>>,
-    events: RefCell<BinaryHeap<Reverse<Entry>>>,
+    events: RefCell<EventQueue<Nanos, Scheduled>>,
     processes: RefCell<Vec<Process>>,
     panics: RefCell<Vec<(ProcessId, String)>>,
 }
@@ -239,12 +213,8 @@
 
     /// Schedules an action, after all that were scheduled for that time before.
     pub(crate) fn at(&self, at: Nanos, action: Scheduled) {
-        let order = self.0.order.replace(self.0.order.get() + 1);
-        self.0.events.borrow_mut().push(Reverse(Entry {
-            at: at.max(self.now()),
-            order,
-            action,
-        }));
+        let at = at.max(self.now());
+        self.0.events.borrow_mut().schedule(at, action);
     }
 
     /// Schedules a call.
@@ -293,16 +263,11 @@
     pub(crate) fn run_until(&self, end: Nanos) {
         loop {
             self.run_ready();
-            let next = {
-                let mut events = self.0.events.borrow_mut();
-                match events.peek() {
-                    Some(Reverse(e)) if e.at <= end => events.pop(),
-                    _ => None,
-                }
-            };
-            let Some(Reverse(entry)) = next else { break };
-            self.0.now.set(entry.at);
-            match entry.action {
+            // The queue isn't borrowed while the action runs, which may schedule others.
+            let next = self.0.events.borrow_mut().pop_due(&end);
+            let Some(due) = next else { break };
+            self.0.now.set(due.at);
+            match due.event {
                 Scheduled::Wake(waker) => {
                     if let Some(waker) = waker.take() {
                         waker.wake();
