--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -55,6 +55,15 @@
     pub finishing: bool,
 }
 
+impl Pulling {
+    /// The source whose disk this is.
+    pub(crate) fn source_mut(&mut self, disk: u64) -> Option<&mut Source> {
+        self.sources
+            .iter_mut()
+            .find(|source| source.member.disk == disk)
+    }
+}
+
 /// A running process.
 pub(crate) struct Process {
     pub node: StorageNode,
@@ -85,6 +94,11 @@
 }
 
 impl Machine {
+    /// The pull that the process makes, if it runs and makes one.
+    pub(crate) fn pulling_mut(&mut self) -> Option<&mut Pulling> {
+        self.process.as_mut()?.pulling.as_mut()
+    }
+
     pub(crate) fn announcement(&self) -> Option<Announcement> {
         let process = self.process.as_ref()?;
         let member = self.member(process.node.disk());
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -19,6 +19,7 @@
 mod world;
 
 use parking_lot::Mutex;
+use rstest::rstest;
 
 use self::mutation::Mutation;
 use self::world::{FoundViolation, World};
@@ -43,11 +44,7 @@
 }
 
 /// Plays seeds from `first` on several threads until one finds a violation.
-fn first_violation(first: u64, count: u64, mutation: Mutation) -> Option<FailedSeed> {
-    first_violation_of(first, count, |seed| violation(seed, mutation))
-}
-
-fn first_violation_of(
+fn first_violation(
     first: u64,
     count: u64,
     violation: impl Fn(u64) -> Option<FoundViolation> + Sync,
@@ -72,36 +69,29 @@
     found.into_inner()
 }
 
-#[test]
-fn nothing_acknowledged_is_lost_and_no_budget_overspent() {
-    let count = std::env::var("STORAGE_SEEDS")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS);
-    let first = std::env::var("STORAGE_FIRST_SEED")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(0);
-    if let Some(FailedSeed { seed, violation }) = first_violation(first, count, Mutation::None) {
+/// A number from an environment variable.
+fn number(variable: &str) -> Option<u64> {
+    std::env::var(variable).ok()?.parse().ok()
+}
+
+/// Plays the seeds that `STORAGE_FIRST_SEED` and `STORAGE_SEEDS` ask for; panics at the first violation.
+fn assert_none_violates(violation: impl Fn(u64) -> Option<FoundViolation> + Sync) {
+    let count = number("STORAGE_SEEDS").unwrap_or(SEEDS);
+    let first = number("STORAGE_FIRST_SEED").unwrap_or(0);
+    if let Some(FailedSeed { seed, violation }) = first_violation(first, count, violation) {
         panic!("seed {seed}: {violation}");
     }
 }
 
+#[test]
+fn nothing_acknowledged_is_lost_and_no_budget_overspent() {
+    assert_none_violates(|seed| violation(seed, Mutation::None));
+}
+
 /// All machines lose power right after an acknowledgement, and as many as may be lost lose their disks.
 #[test]
 fn a_final_fault_loses_no_turn_and_no_reservation() {
-    let count = std::env::var("STORAGE_SEEDS")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS);
-    let first = std::env::var("STORAGE_FIRST_SEED")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(0);
-    let violation = |seed| violation_with_final_fault(seed, Mutation::None);
-    if let Some(FailedSeed { seed, violation }) = first_violation_of(first, count, violation) {
-        panic!("seed {seed}: {violation}");
-    }
+    assert_none_violates(|seed| violation_with_final_fault(seed, Mutation::None));
 }
 
 #[test]
@@ -112,7 +102,7 @@
         Mutation::ReservationInMemory,
     ] {
         let violation = |seed| violation_with_final_fault(seed, mutation);
-        let found = first_violation_of(0, MUTATION_SEEDS, violation);
+        let found = first_violation(0, MUTATION_SEEDS, violation);
         assert!(
             found.is_some(),
             "{mutation:?} was not found in {MUTATION_SEEDS} runs"
@@ -120,45 +110,19 @@
     }
 }
 
-fn assert_found(mutation: Mutation, first: u64) {
-    let found = first_violation(first, MUTATION_SEEDS, mutation);
+/// Each mutation is found within [`MUTATION_SEEDS`] seeds from the given one.
+#[rstest]
+#[case::an_end_before_the_sync(Mutation::EndBeforeSync, 0)]
+#[case::one_replica_too_few(Mutation::OneReplicaTooFew, 0)]
+#[case::reservations_in_memory_only(Mutation::ReservationInMemory, 100)]
+#[case::a_joint_epoch_that_ends_too_early(Mutation::JointEpochEndsEarly, 350)]
+#[case::a_wiped_machine_that_counts_at_once(Mutation::WipedMachineCounts, 0)]
+#[case::an_unfenced_machine(Mutation::Unfenced, 500)]
+#[case::a_machine_that_exits_without_waiting_for_others(Mutation::ExitsAtOnce, 0)]
+fn an_injected_bug_is_found(#[case] mutation: Mutation, #[case] first: u64) {
+    let found = first_violation(first, MUTATION_SEEDS, |seed| violation(seed, mutation));
     assert!(
         found.is_some(),
         "{mutation:?} was not found in {MUTATION_SEEDS} runs from {first}"
     );
 }
-
-#[test]
-fn an_end_before_the_sync_is_found() {
-    assert_found(Mutation::EndBeforeSync, 0);
-}
-
-#[test]
-fn one_replica_too_few_is_found() {
-    assert_found(Mutation::OneReplicaTooFew, 0);
-}
-
-#[test]
-fn reservations_in_memory_only_are_found() {
-    assert_found(Mutation::ReservationInMemory, 100);
-}
-
-#[test]
-fn a_joint_epoch_that_ends_too_early_is_found() {
-    assert_found(Mutation::JointEpochEndsEarly, 350);
-}
-
-#[test]
-fn a_wiped_machine_that_counts_at_once_is_found() {
-    assert_found(Mutation::WipedMachineCounts, 0);
-}
-
-#[test]
-fn an_unfenced_machine_is_found() {
-    assert_found(Mutation::Unfenced, 500);
-}
-
-#[test]
-fn a_machine_that_exits_without_waiting_for_others_is_found() {
-    assert_found(Mutation::ExitsAtOnce, 0);
-}
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -200,8 +200,8 @@
         }
         match event {
             Event::Request { to, call, request } => self.on_request(to, call, request),
-            Event::Response { call, response } => self.on_response(call, response),
-            Event::CallTimeout { call } => self.on_call_timeout(call),
+            Event::Response { call, response } => self.on_call_completed(call, Some(response)),
+            Event::CallTimeout { call } => self.on_call_completed(call, None),
             Event::SyncDone {
                 machine,
                 incarnation,
--- a/crates/tier/storage/tests/simulation/world/network.rs
+++ b/crates/tier/storage/tests/simulation/world/network.rs
@@ -89,10 +89,7 @@
             }) => Some(*machine),
             _ => None,
         };
-        let partitioned = to_machine.is_some_and(|to| {
-            self.machines[from].outbound_partitioned || self.machines[to].inbound_partitioned
-        });
-        if !partitioned {
+        if to_machine.is_none_or(|to| self.reaches(Endpoint::Machine(from), to)) {
             let delay = self.latency();
             self.after(delay, Event::Response { call, response });
         }
@@ -110,7 +107,8 @@
         self.disk_work(to);
     }
 
-    pub(super) fn on_response(&mut self, call: u64, response: Response) {
+    /// A response arrived, or none within [`CALL_TIMEOUT`]. Only the first of both counts.
+    pub(super) fn on_call_completed(&mut self, call: u64, response: Option<Response>) {
         let Some(Call {
             purpose,
             epoch,
@@ -121,42 +119,17 @@
         };
         match purpose {
             CallFor::Job { proxy, job, round } => {
-                self.on_job_answer(proxy, job, SentUnder { epoch, round }, disk, Some(response));
+                self.on_job_answer(proxy, job, SentUnder { epoch, round }, disk, response);
             }
             CallFor::Pull {
                 machine,
                 incarnation,
-            } => {
-                if self.machines[machine].incarnation == incarnation {
-                    self.on_pull_answer(machine, epoch, disk, response.answer);
-                }
-            }
-        }
-    }
-
-    pub(super) fn on_call_timeout(&mut self, call: u64) {
-        let Some(Call {
-            purpose,
-            epoch,
-            disk,
-        }) = self.calls.remove(&call)
-        else {
-            return;
-        };
-        match purpose {
-            CallFor::Job { proxy, job, round } => {
-                self.on_job_answer(proxy, job, SentUnder { epoch, round }, disk, None);
-            }
-            CallFor::Pull {
-                machine,
-                incarnation,
-            } => {
-                if self.machines[machine].incarnation == incarnation
-                    && !self.machines[machine].frozen
-                {
-                    self.pull_next(machine, disk);
-                }
-            }
+            } if self.machines[machine].incarnation == incarnation => match response {
+                Some(response) => self.on_pull_answer(machine, epoch, disk, response.answer),
+                None if !self.machines[machine].frozen => self.pull_next(machine, disk),
+                None => {}
+            },
+            CallFor::Pull { .. } => {}
         }
     }
 }
--- a/crates/tier/storage/tests/simulation/world/pulls.rs
+++ b/crates/tier/storage/tests/simulation/world/pulls.rs
@@ -45,19 +45,11 @@
     pub(super) fn pull_next(&mut self, index: usize, disk: u64) {
         let machine = &mut self.machines[index];
         let (node, incarnation) = (machine.node.clone(), machine.incarnation);
-        let Some(pulling) = machine
-            .process
-            .as_mut()
-            .and_then(|process| process.pulling.as_mut())
-        else {
+        let Some(pulling) = machine.pulling_mut() else {
             return;
         };
         let epoch = pulling.progress.epoch();
-        let Some(source) = pulling
-            .sources
-            .iter_mut()
-            .find(|source| source.member.disk == disk)
-        else {
+        let Some(source) = pulling.source_mut(disk) else {
             return;
         };
         if source.unsynced > 0 || source.done {
@@ -116,11 +108,7 @@
         else {
             return;
         };
-        let Some(source) = pulling
-            .sources
-            .iter_mut()
-            .find(|source| source.member.disk == disk)
-        else {
+        let Some(source) = pulling.source_mut(disk) else {
             return;
         };
         match answer {
@@ -162,21 +150,14 @@
     }
 
     pub(super) fn on_pulled_record(&mut self, index: usize, disk: u64, response: &Response) {
-        let Some(process) = self.machines[index].process.as_mut() else {
-            return;
-        };
-        let Some(pulling) = process.pulling.as_mut() else {
+        let Some(pulling) = self.machines[index].pulling_mut() else {
             return;
         };
         if response.answer != Answer::Stored {
             // The driver tries again; here the pull begins anew.
             return self.start_pull(index);
         }
-        let Some(source) = pulling
-            .sources
-            .iter_mut()
-            .find(|source| source.member.disk == disk)
-        else {
+        let Some(source) = pulling.source_mut(disk) else {
             return;
         };
         source.unsynced = source.unsynced.saturating_sub(1);
@@ -185,14 +166,10 @@
 
     /// The machine's own record was synced or not; the end of a pull is tried again.
     pub(super) fn on_own_record(&mut self, index: usize, response: &Response) {
-        let Some(process) = self.machines[index].process.as_mut() else {
+        if response.answer != Answer::Failed {
             return;
-        };
-        if let Some(pulling) = process
-            .pulling
-            .as_mut()
-            .filter(|_| response.answer == Answer::Failed)
-        {
+        }
+        if let Some(pulling) = self.machines[index].pulling_mut() {
             pulling.finishing = false;
             self.check_pull(index);
         }
--- a/crates/tier/storage/tests/simulation/world/turns.rs
+++ b/crates/tier/storage/tests/simulation/world/turns.rs
@@ -71,34 +71,14 @@
                 program,
                 id,
                 delivered_tokens,
-            } => {
-                let name = self.programs[program].name.clone();
-                self.oracle.attempt(
-                    &name,
-                    id,
-                    Attempt::Settled {
-                        max_tokens: MAX_TOKENS,
-                        delivered_tokens,
-                        at: self.now,
-                    },
-                );
-            }
+            } => self.record_settled(program, id, delivered_tokens),
             Purpose::Put {
                 program,
                 id,
                 turn,
                 delivered_tokens,
             } => {
-                let name = self.programs[program].name.clone();
-                self.oracle.attempt(
-                    &name,
-                    id,
-                    Attempt::Settled {
-                        max_tokens: MAX_TOKENS,
-                        delivered_tokens,
-                        at: self.now,
-                    },
-                );
+                self.record_settled(program, id, delivered_tokens);
                 self.programs[program].last = Some(turn.key());
                 self.oracle.acknowledged.insert(turn.key(), turn);
                 self.maybe_fault_after_acknowledgement();
@@ -108,6 +88,25 @@
         }
     }
 
+    fn record_settled(&mut self, program: usize, id: u64, delivered_tokens: u64) {
+        let settled = Attempt::Settled {
+            max_tokens: MAX_TOKENS,
+            delivered_tokens,
+            at: self.now,
+        };
+        let name = &self.programs[program].name;
+        self.oracle.attempt(name, id, settled);
+    }
+
+    fn record_ended(&mut self, program: usize, id: u64, delivered_tokens: u64) {
+        let ended = Attempt::Ended {
+            max_tokens: MAX_TOKENS,
+            delivered_tokens,
+        };
+        let name = &self.programs[program].name;
+        self.oracle.attempt(name, id, ended);
+    }
+
     fn on_reserved(&mut self, proxy: usize, job: JobId, program: usize, id: u64) {
         let (name, budget) = (
             self.programs[program].name.clone(),
@@ -165,14 +164,7 @@
                     retention_ms: 60_000,
                     content: id.to_le_bytes().to_vec(),
                 };
-                self.oracle.attempt(
-                    &name,
-                    id,
-                    Attempt::Ended {
-                        max_tokens: MAX_TOKENS,
-                        delivered_tokens,
-                    },
-                );
+                self.record_ended(program, id, delivered_tokens);
                 let settlement = Some(Settlement {
                     reservation: id,
                     delivered_tokens,
@@ -212,14 +204,7 @@
 
     pub(super) fn settle(&mut self, proxy: usize, program: usize, id: u64, delivered_tokens: u64) {
         let name = self.programs[program].name.clone();
-        self.oracle.attempt(
-            &name,
-            id,
-            Attempt::Ended {
-                max_tokens: MAX_TOKENS,
-                delivered_tokens,
-            },
-        );
+        self.record_ended(program, id, delivered_tokens);
         let operation = Operation::Settle {
             program: name.clone(),
             settlement: Settlement {
