--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -1,6 +1,6 @@
 //! Messages between members on singleton roles: recorded bytes are decoded as before, and encoded to the same.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::{Records, inverted, unhex};
--- a/crates/router/membership/tests/recorded.rs
+++ b/crates/router/membership/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! The envelope of datagrams and the messages of the membership protocol: recorded bytes are decoded as before, and
 //! encoded to the same.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use foca::{Codec, Header, Message, PostcardCodec, State};
--- a/crates/router/sim-adapter/tests/recorded.rs
+++ b/crates/router/sim-adapter/tests/recorded.rs
@@ -1,6 +1,6 @@
 //! The bench's wire held still, through the real binary: each kind of event, and the actions that it gave.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::Records;
--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -1,7 +1,7 @@
 //! The configuration held still: a file with every key that is read gives the values that it gave, and each
 //! key that is missing, of another type or unknown does what it did.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::Records;
--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -1,6 +1,6 @@
 //! What discovery and replicas write, and what co-ordinators send each other, held still.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::Records;
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! Gossip payloads of co-ordinators: recorded bytes are decoded as before, and encoded to the same, by themselves and in
 //! a complete datagram.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::{Records, inverted, unhex};
--- a/crates/routing/tests/records.rs
+++ b/crates/routing/tests/records.rs
@@ -1,7 +1,7 @@
 //! How records are kept: read as they stand, written where they are missing and that is asked for, and never
 //! written over.
 
-#[path = "../../../tests/recorded/lines.rs"]
+#[path = "../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::{Records, hex, inverted, unhex};
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -1,6 +1,6 @@
 //! Events and breaches as lines of a record, held still: each is written as it was.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::Records;
--- a/crates/testing/process-tests/tests/unit/measurements.rs
+++ b/crates/testing/process-tests/tests/unit/measurements.rs
@@ -1,6 +1,6 @@
 //! Tests of private items of `src/measurements.rs`, which includes this file as a module.
 
-#[path = "../../../../../tests/recorded/lines.rs"]
+#[path = "../../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use super::{LogLine, Measurements, Outcome, RoleOutcome, ZoneFault};
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! Saved scripts and what runs write, held still: a script with every key reads as it did and is written
 //! again the same, as are a run's outcome and the digest of its record.
 
-#[path = "../../../../tests/recorded/lines.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::Records;
--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -1,6 +1,6 @@
 //! Records, snapshots and messages of the chain as they were recorded: read and written alike for ever.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/tier/control/tests/recorded_bytes.rs
+++ b/crates/tier/control/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Encoding of a member's records in its journal, and of orders between core machines: decoded and encoded as
 //! recorded.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 mod support;
 
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -1,7 +1,7 @@
 //! Disks of core machines as an earlier program left them: the committed state is recovered, and the machines
 //! continue from it.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 mod support;
 
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -1,11 +1,11 @@
 //! Messages of discovery as they were recorded, which every release decodes and encodes alike.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use std::net::SocketAddr;
 
-use recorded::{RecordedBytes, outcome, outcomes_when_cut};
+use recorded::{RecordedBytes, assert_other_versions_are_named, outcome, outcomes_when_cut};
 use speedy::{LittleEndian, Readable};
 use woadreach_discovery::messages::{
     Batch, BatchResponse, ConfigurationResponse, CoreView, Endpoint, MessageError, PollRequest,
@@ -375,16 +375,9 @@
 #[test]
 fn other_versions_and_foreign_bytes_name_the_version_found() {
     for (name, bytes, read) in all_bytes() {
-        for version in [0, 2, 255] {
-            let other = [&[version], &bytes[1..]].concat();
-            let expected = format!("the message has version {version}, expected 1");
-            assert_eq!(outcome(read(&other)), expected, "{name}");
-        }
-        assert_eq!(
-            outcome(read(b"WOADSLOT")),
-            "the message has version 87, expected 1",
-            "{name}"
-        );
+        assert_other_versions_are_named(name, &bytes, read, |version| {
+            format!("the message has version {version}, expected 1")
+        });
     }
 }
 
--- a/crates/tier/journal/tests/recorded_bytes.rs
+++ b/crates/tier/journal/tests/recorded_bytes.rs
@@ -1,6 +1,6 @@
 //! Encoding of slots: a header, a snapshot and the frames of its log are decoded and encoded as recorded.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use recorded::{RecordedBytes, outcome, outcomes_when_cut};
--- a/crates/tier/rpc/tests/recorded_bytes.rs
+++ b/crates/tier/rpc/tests/recorded_bytes.rs
@@ -1,6 +1,6 @@
 //! Encoding of frames: decoded and encoded as recorded, and sent so by a client and a server.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/tier/storage/tests/recorded_bytes/main.rs
+++ b/crates/tier/storage/tests/recorded_bytes/main.rs
@@ -1,6 +1,6 @@
 //! Messages and records of the storage machines are decoded and encoded as they were recorded.
 
-#[path = "../../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../../tests/recorded/mod.rs"]
 mod recorded;
 mod samples;
 
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
-use recorded::{RecordedBytes, outcome, outcomes_when_cut};
+use recorded::{RecordedBytes, assert_other_versions_are_named, outcome, outcomes_when_cut};
 use samples::{
     announcements, joint_view, member, program_records, records, requests, reservations, responses,
     turn, turns, view,
@@ -213,16 +213,9 @@
 #[test]
 fn other_versions_and_foreign_bytes_name_the_version_found() {
     for (name, bytes, read) in all_bytes() {
-        for version in [0, 2, 255] {
-            let other = [&[version], &bytes[1..]].concat();
-            let expected = format!("message version {version}, expected 1");
-            assert_eq!(outcome(read(&other)), expected, "{name}");
-        }
-        assert_eq!(
-            outcome(read(b"WOADSLOT")),
-            "message version 87, expected 1",
-            "{name}"
-        );
+        assert_other_versions_are_named(name, &bytes, read, |version| {
+            format!("message version {version}, expected 1")
+        });
     }
 }
 
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! The disk of a storage machine as an earlier version left it: its turns and budgets are read and continued.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
 use std::future::Future;
