--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -1,15 +1,17 @@
 //! Disks of core machines as an earlier program left them: the committed state is recovered, and the machines
 //! continue from it.
 
+#[path = "../../../../tests/recorded/incarnation.rs"]
+mod incarnation;
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 mod support;
 
-use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 use std::time::Duration;
 
+use incarnation::run_incarnation;
 use recorded::{copy_disk, recorded_disk};
 use support::{ADDRESS, start_core};
 use tempfile::TempDir;
@@ -30,19 +32,6 @@
 const IDENTITY: u64 = 7;
 const LONG: Duration = Duration::from_secs(20);
 
-/// Runs one incarnation of a process, with which all its tasks end.
-fn run_incarnation<F: Future>(incarnation: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    runtime.block_on(async {
-        tokio::time::timeout(LONG, incarnation)
-            .await
-            .expect("in time")
-    })
-}
-
 fn body(generation: u64) -> Vec<u8> {
     format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes()
 }
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -1,15 +1,17 @@
 //! The disk of a storage machine as an earlier version left it: its turns and budgets are read and continued.
 
+#[path = "../../../../tests/recorded/incarnation.rs"]
+mod incarnation;
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 
-use std::future::Future;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
+use incarnation::run_incarnation;
 use recorded::{copy_disk, recorded_disk};
 use tempfile::TempDir;
 use tokio::net::TcpListener;
@@ -26,23 +28,9 @@
 const NODE: &str = "storage-1";
 const DISK: u64 = 0xd15c_0001;
 const RETENTION: Duration = Duration::from_secs(3600);
-const LONG: Duration = Duration::from_secs(20);
 /// Tokens that the turns of the program may generate together.
 const BUDGET: u64 = 100;
 
-/// Runs one incarnation of a process; all its tasks are dropped at its end.
-fn in_one_incarnation<F: Future>(incarnation: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    runtime.block_on(async {
-        tokio::time::timeout(LONG, incarnation)
-            .await
-            .expect("in time")
-    })
-}
-
 fn machine(number: u8) -> StorageMember {
     StorageMember {
         node: format!("storage-{number}"),
@@ -157,7 +145,7 @@
 
 /// A disk with a snapshot of one incarnation, the log of another, and the views of three epochs.
 fn make_disk(folder: &Path) {
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (journal, _) =
             Journal::open(folder, JournalOptions::default()).expect("an empty journal");
         let _receipt = journal
@@ -165,20 +153,20 @@
             .await
             .expect("a sync");
     });
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (server, client) = start(folder, 1).await;
         server.learn_view(first_view()).await;
         take_turn(&client, turn("program", "a", None), 30).await;
         take_turn(&client, turn("program", "b", Some(("program", "a"))), 20).await;
     });
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (journal, node) = recover(folder);
         let _receipt = journal
             .replace(node.snapshot(Duration::ZERO))
             .await
             .expect("a sync");
     });
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (server, client) = start(folder, 3).await;
         server.learn_view(joint_view()).await;
         server.learn_view(last_view()).await;
@@ -269,7 +257,7 @@
 #[test]
 fn complete_conversations_are_read_from_an_earlier_disk() {
     let folder = copied_disk();
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (server, client) = start(folder.path(), 3).await;
         assert_eq!(server.announcement().member.disk, DISK);
         let expected = [
@@ -306,7 +294,7 @@
 #[test]
 fn conversations_and_budgets_continue_from_an_earlier_disk() {
     let folder = copied_disk();
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
         let refused = client
             .reserve(&request("program", "e", 26))
@@ -315,7 +303,7 @@
         assert_eq!(refused, Err(ReserveError::Spent), "75 of 100 are counted");
         take_turn(&client, turn("program", "e", Some(("program", "c"))), 15).await;
     });
-    in_one_incarnation(async {
+    run_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
         assert_eq!(
             client
