--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -21,7 +21,7 @@
     config: LeaseConfig,
     /// True seconds at which runs end, and limit on the messages in flight.
     until: u8,
-    most: usize,
+    max_in_flight: usize,
     /// How many messages may be duplicated, and how many members may restart.
     duplicates: u8,
     restarts: u8,
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// The next second: all members run but those that stall, a bit each.
+    /// The next second: all members run but those that stall, which are the bits that are set.
     Second(u8),
     Deliver(usize, bool),
     Restart(usize),
@@ -118,7 +118,7 @@
         World {
             config,
             until: 4,
-            most: 4,
+            max_in_flight: 4,
             duplicates: 0,
             restarts: 0,
             accepts_stale_tokens: false,
@@ -213,9 +213,9 @@
     fn next_state(&self, s: &State, action: Action) -> Option<State> {
         let mut s = s.clone();
         match action {
-            Action::Second(still) => {
+            Action::Second(stalled) => {
                 s.at += 1;
-                let runs = |n: &usize| still & (1 << n) == 0 && !self.dead(*n, s.at);
+                let runs = |n: &usize| stalled & (1 << n) == 0 && !self.dead(*n, s.at);
                 for n in (0..MEMBERS).filter(runs).collect::<Vec<_>>() {
                     self.run(&mut s, n);
                 }
@@ -246,7 +246,7 @@
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.at <= self.until && s.in_flight.len() <= self.most
+        s.at <= self.until && s.in_flight.len() <= self.max_in_flight
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -318,13 +318,13 @@
     #[case] until: u8,
     #[case] duplicates: u8,
     #[case] restarts: u8,
-    #[case] most: usize,
+    #[case] max_in_flight: usize,
 ) {
     let checked = check(World {
         until,
         duplicates,
         restarts,
-        most,
+        max_in_flight,
         ..World::new(config())
     });
     checked.assert_no_discovery("one holder at most");
@@ -362,7 +362,7 @@
     let fair = World {
         fair: Some((0, 3)),
         until: 10,
-        most: 12,
+        max_in_flight: 12,
         ..World::new(config())
     };
     let checked = check(fair);
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -21,7 +21,7 @@
     leases: Leases,
     rate: f64,
     offset: f64,
-    /// It does not run before.
+    /// The member does not run before this true time.
     stalled_until: f64,
     alive: bool,
 }
--- a/crates/tier/chain/tests/simulation/disk.rs
+++ b/crates/tier/chain/tests/simulation/disk.rs
@@ -24,7 +24,7 @@
     }
 
     pub(crate) fn append(&mut self, number: u64, record: Record) {
-        // The codec is part of the way to the disk.
+        // A record is encoded and decoded, as on its way to a disk and back.
         let record = Record::decode(&record.encode()).expect("own record");
         self.unsynced.push_back((number, record));
     }
--- a/crates/tier/chain/tests/simulation/event.rs
+++ b/crates/tier/chain/tests/simulation/event.rs
@@ -5,7 +5,7 @@
 use super::operator::CallId;
 use super::stops::Stop;
 
-/// What happens at a moment.
+/// An event of the simulation's queue.
 #[derive(Debug)]
 pub(crate) enum Event {
     Wake {
@@ -37,12 +37,12 @@
     Lose {
         node: usize,
     },
-    /// A process that is being stopped looks whether it may end.
+    /// A process that is being stopped checks whether it may exit.
     CheckStop {
         node: usize,
         incarnation: u64,
     },
-    /// A call of an operator reaches a machine; `hops` machines have passed it on.
+    /// A call of an operator reaches a machine; `hops` machines have forwarded it.
     Call {
         node: usize,
         call: CallId,
--- a/crates/tier/chain/tests/simulation/faults.rs
+++ b/crates/tier/chain/tests/simulation/faults.rs
@@ -67,7 +67,7 @@
     pub bug: Option<InjectedBug>,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug)]
 pub(crate) struct Finding {
     pub violations: Vec<Violation>,
@@ -107,7 +107,7 @@
     finish(world)
 }
 
-/// Ends all faults, and sees that writes go on and that nothing was lost.
+/// Ends all faults, and checks that writes go on and that nothing was lost.
 pub(super) fn finish(mut world: World) -> Finding {
     world.operators.is_stopped = true;
     world.trace(|| "healed".to_owned());
@@ -168,7 +168,7 @@
     world.run_until(back);
 }
 
-/// One more fault, if it may come now.
+/// Injects the next fault and schedules the one after it, unless faults are over.
 pub(crate) fn inject_next_fault(world: &mut World) {
     if world.are_faults_over {
         return;
@@ -253,7 +253,7 @@
         .collect()
 }
 
-/// Cuts, slow disks and losses of messages end.
+/// Ends partitions, loss of messages, and slow and stalled disks.
 pub(crate) fn end_lasting_faults(world: &mut World) {
     world.partitioned_links.clear();
     world.loss = 0.0;
@@ -268,7 +268,7 @@
     partition(world, affected, one_way, is_outward);
 }
 
-/// Cuts machines off from the others, one way or both. They may be cut off already.
+/// Partitions machines from the others, in one direction or both. They may be partitioned already.
 pub(super) fn partition(world: &mut World, affected: &[usize], one_way: bool, is_outward: bool) {
     for &node in affected {
         for other in (0..world.nodes.len()).filter(|other| !affected.contains(other)) {
--- a/crates/tier/chain/tests/simulation/node.rs
+++ b/crates/tier/chain/tests/simulation/node.rs
@@ -15,7 +15,7 @@
     pub address: SocketAddrV4,
     pub member: Option<Member>,
     pub disk: Option<SimulatedDisk>,
-    /// Counts starts, so that what belongs to an earlier life is dropped.
+    /// Counts starts, so that events of an earlier incarnation are dropped.
     pub incarnation: u64,
     pub frozen_until: Option<Duration>,
     /// How many times slower the disk is.
@@ -25,11 +25,11 @@
     pub stop: Option<(Stop, Duration)>,
     /// The machine is gone for good.
     pub is_removed: bool,
-    /// The machine was there in the very first start.
+    /// The machine took part in the first start of the core.
     pub is_founding: bool,
     pub is_syncing: bool,
     pub sync_started: Duration,
-    /// Last record that this life's disk has synced.
+    /// Last record that the disk has synced in this incarnation.
     pub last_synced: u64,
     pub woken_for: Duration,
     pub identity: u64,
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -85,7 +85,8 @@
     }
 }
 
-/// What was taken away counts for nothing, as its successor has had its time: one more disk may be lost.
+/// Loses the disk of one more machine. The machine that was removed does not count as lost: its successor has
+/// had time to catch up.
 fn lose_another(world: &mut World) {
     let present = world.present();
     let node = present[world.pick(present.len())];
@@ -97,8 +98,8 @@
     world.schedule(back, Event::Start { node });
 }
 
-/// Replaces `count` machines: the new ones come first, and have their time; then the old ones are stopped at
-/// once. Returns the time until a further fault may occur.
+/// Replaces `count` machines: the new ones start first and have time to catch up; then the old ones are stopped
+/// at once. Returns the time until a further fault may occur.
 pub(crate) fn replace(world: &mut World, count: usize) -> Duration {
     let old = draw(world, count);
     for _ in &old {
--- a/crates/tier/storage/tests/simulation/event.rs
+++ b/crates/tier/storage/tests/simulation/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen next in a run.
+//! Events of a run.
 
 use woadreach_storage::StorageView;
 use woadreach_storage::announce::Announcement;
--- a/crates/tier/storage/tests/simulation/faults.rs
+++ b/crates/tier/storage/tests/simulation/faults.rs
@@ -107,7 +107,7 @@
         let up: Vec<usize> = (0..self.machines.len())
             .filter(|index| self.machines[*index].is_up())
             .collect();
-        // Machines that are not there any more do not count; all others must be up but for the losses.
+        // Machines that were removed do not count; all others must be up but for the losses.
         let index = up
             .get(self.random.rand_range(0..up.len().max(1) as u64) as usize)
             .copied()?;
--- a/crates/tier/storage/tests/simulation/final_fault.rs
+++ b/crates/tier/storage/tests/simulation/final_fault.rs
@@ -1,4 +1,4 @@
-//! The worst fault of a day: all machines lose power at once, and as many as may be lost lose their disks.
+//! The worst fault that is tolerated: all machines lose power at once, and as many as may be lost lose their disks.
 
 use super::event::Event;
 use super::faults::{CATCH_UP, Fault};
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Whole storage tier on simulated time, with a simulated disk at every sync, against an oracle.
+//! The complete storage tier on simulated time, with a simulated disk at every sync, against an oracle.
 //!
 //! One run draws a deployment, programs that take turns through several proxies, and faults within the
 //! tolerated number: kills, losses of power, wiped disks, freezes, partitions, replaced, added and retired
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// A new machine comes, and has its time; then an old one is stopped and taken away. That is no loss: one
-    /// more disk may be lost at that moment.
+    /// Adds a machine and gives it time to pull; then an old one is stopped and removed. The old one does not
+    /// count as a loss: one more disk may be lost at that moment.
     fn replace_as_planned(&mut self) {
         if self.machines.len() >= 9 {
             return;
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -63,7 +63,7 @@
     pub final_fault: FinalFault,
     /// The run is about changes of the membership.
     pub is_membership_run: bool,
-    /// Proxies hear of new views late.
+    /// Proxies learn new views late.
     has_late_views: bool,
     events: EventQueue<Duration, Event>,
     deferred: BTreeMap<usize, Vec<Event>>,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Tells a step of the run, if `STORAGE_TRACE` is set.
+    /// Prints a step of the run if `STORAGE_TRACE` is set.
     pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.is_traced {
             eprintln!("{:?} {}", self.now, text());
--- a/crates/tier/storage/tests/simulation/world/pulls.rs
+++ b/crates/tier/storage/tests/simulation/world/pulls.rs
@@ -154,7 +154,7 @@
             return;
         };
         if response.answer != Answer::Stored {
-            // The driver tries again; here the pull begins anew.
+            // The driver retries; here the pull begins anew.
             return self.start_pull(index);
         }
         let Some(source) = pulling.source_mut(disk) else {
@@ -164,7 +164,7 @@
         self.pull_next(index, disk);
     }
 
-    /// The machine's own record was synced or not; the end of a pull is tried again.
+    /// The machine's own record was synced or not; the end of a pull is retried.
     pub(super) fn on_own_record(&mut self, index: usize, response: &Response) {
         if response.answer != Answer::Failed {
             return;
--- a/crates/tier/storage/tests/simulation/world/views.rs
+++ b/crates/tier/storage/tests/simulation/world/views.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The client tells a machine the newer view.
+    /// The client sends a machine the newer view.
     pub(super) fn send_newer_view(&mut self, proxy: usize, disk: u64, known_epoch: u64) {
         let view = Arc::clone(&self.proxies[proxy].view);
         if known_epoch < view.epoch
