--- a/crates/tier/chain/tests/recorded_bytes.rs
+++ b/crates/tier/chain/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Records, snapshots and messages of the chain as they were recorded: every later program must read them,
 //! and write the same bytes again.
 
-#[path = "../../../../tests/recorded/blocks.rs"]
+#[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
 mod samples;
 
--- a/crates/tier/chain/tests/simulation/event.rs
+++ b/crates/tier/chain/tests/simulation/event.rs
@@ -1,14 +1,11 @@
-//! Events of the simulation, in the order of their times.
-
-use std::cmp::Ordering;
-use std::time::Duration;
+//! Events of the simulation.
 
 use woadreach_chain::{Envelope, Request};
 
 use super::operator::CallId;
 use super::stops::Stop;
 
-/// What happens at a moment.
+/// An event of the simulation's queue.
 #[derive(Debug)]
 pub(crate) enum Event {
     Wake {
@@ -40,12 +37,12 @@
     Lose {
         node: usize,
     },
-    /// A process that is being stopped looks whether it may end.
+    /// A process that is being stopped checks whether it may exit.
     CheckStop {
         node: usize,
         incarnation: u64,
     },
-    /// A call of an operator reaches a machine; `hops` machines have passed it on.
+    /// A call of an operator reaches a machine; `hops` machines have forwarded it.
     Call {
         node: usize,
         call: CallId,
@@ -57,27 +54,3 @@
     Fault,
     EndFault,
 }
-
-/// An event at its time; `order` keeps events of one time in the order in which they were scheduled.
-pub(super) struct Scheduled {
-    pub at: Duration,
-    pub order: u64,
-    pub event: Event,
-}
-
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
