--- a/crates/tier/proxy/src/dispatcher.rs
+++ b/crates/tier/proxy/src/dispatcher.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use woadreach_scheduler::{
-    Action, Admission, Call, CallId, FailReason, Outcome, ReplicaSpec, ServerLoad, ServiceSpec,
+    Action, Call, CallId, FailReason, Outcome, ReplicaSpec, Scheduler, ServerLoad, ServiceSpec,
 };
 
 /// What a request's task is to do.
@@ -52,7 +52,7 @@
 }
 
 struct Inner {
-    admission: Admission,
+    scheduler: Scheduler,
     /// Senders of the requests that are registered.
     command_senders: HashMap<CallId, UnboundedSender<Command>>,
     /// The id that was given last.
@@ -71,9 +71,9 @@
 
 impl Dispatcher {
     /// A dispatcher without requests.
-    pub fn new(admission: Admission, clock: Clock) -> Self {
+    pub fn new(scheduler: Scheduler, clock: Clock) -> Self {
         let inner = Inner {
-            admission,
+            scheduler,
             command_senders: HashMap::new(),
             last_id: 0,
             armed_for: None,
@@ -102,7 +102,7 @@
 
     /// Offers a request to the scheduler.
     pub fn submit(&self, call: Call) {
-        self.apply(|admission, now| admission.arrive(now, call));
+        self.apply(|scheduler, now| scheduler.submit(now, call));
     }
 
     /// Reports how an attempt has ended, with the load that the replica sent.
@@ -113,34 +113,35 @@
         outcome: Outcome,
         load: Option<ServerLoad>,
     ) {
-        self.apply(|admission, now| admission.outcome(now, id, attempt, outcome, load));
+        self.apply(|scheduler, now| scheduler.attempt_ended(now, id, attempt, outcome, load));
     }
 
-    /// Reports the head of a stream or of another response.
-    pub fn first_event(&self, id: CallId, attempt: u32, load: Option<ServerLoad>) {
-        self.apply(|admission, now| {
-            admission.first_event(now, id, attempt, load);
+    /// Reports that the response to an attempt has started: its head has arrived, that of a stream or of another
+    /// response.
+    pub fn response_started(&self, id: CallId, attempt: u32, load: Option<ServerLoad>) {
+        self.apply(|scheduler, now| {
+            scheduler.response_started(now, id, attempt, load);
             Vec::new()
         });
     }
 
-    /// Reports that a request has ended: no attempt is wanted for it any more.
-    pub fn cancel(&self, id: CallId) {
-        self.apply(|admission, now| admission.cancelled(now, id));
+    /// Reports that a request has ended, answered or not: no attempt is wanted for it any more.
+    pub fn call_ended(&self, id: CallId) {
+        self.apply(|scheduler, now| scheduler.call_ended(now, id));
     }
 
     /// Replaces the services. `edges` share each replica's connections.
     pub fn update_services(&self, services: &[ServiceSpec], edges: usize) {
-        self.apply(|admission, now| {
-            admission.configure(now, services, edges);
+        self.apply(|scheduler, _now| {
+            scheduler.update_services(services, edges);
             Vec::new()
         });
     }
 
     /// Replaces the replicas.
     pub fn update_replicas(&self, replicas: &[ReplicaSpec]) {
-        self.apply(|admission, now| {
-            admission.replicas(now, replicas);
+        self.apply(|scheduler, now| {
+            scheduler.update_replicas(now, replicas);
             Vec::new()
         });
     }
@@ -155,7 +156,7 @@
                 Some(at) => tokio::select! {
                     () = rearmed => {}
                     () = tokio::time::sleep_until(self.clock.instant(at)) => {
-                        self.apply(|admission, now| admission.wake(now));
+                        self.apply(|scheduler, now| scheduler.wake(now));
                     }
                 },
             }
@@ -165,21 +166,21 @@
     fn arm(&self) -> Option<f64> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        inner.armed_for = inner.admission.next_wake(now);
+        inner.armed_for = inner.scheduler.next_wake(now);
         inner.armed_for
     }
 
-    fn apply(&self, decide: impl FnOnce(&mut Admission, f64) -> Vec<Action>) {
+    fn apply(&self, decide: impl FnOnce(&mut Scheduler, f64) -> Vec<Action>) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = decide(&mut inner.admission, now);
+        let actions = decide(&mut inner.scheduler, now);
         for action in actions {
             let (id, command) = command(action);
             if let Some(command_sender) = inner.command_senders.get(&id) {
                 let _ = command_sender.send(command);
             }
         }
-        let wanted = inner.admission.next_wake(now);
+        let wanted = inner.scheduler.next_wake(now);
         let earlier = match (wanted, inner.armed_for) {
             (Some(wanted), Some(armed)) => wanted < armed,
             (Some(_), None) => true,
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::watch;
 use woadreach_discovery::ControlSnapshot;
-use woadreach_scheduler::Admission;
+use woadreach_scheduler::Scheduler;
 use woadreach_storage::StorageClient;
 
 /// Bodies of requests being read together may fill the process's memory divided by this.
@@ -49,7 +49,7 @@
         let clock = Clock::start();
         Proxy {
             clock,
-            dispatcher: Dispatcher::new(Admission::new(seed, zone.to_owned()), clock),
+            dispatcher: Dispatcher::new(Scheduler::new(seed, zone.to_owned()), clock),
             pool: Arc::default(),
             turns,
             counters: Counters::default(),
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -136,7 +136,7 @@
     /// Runs the request to its end.
     pub async fn run(mut self) {
         let end = self.drive().await;
-        self.proxy.dispatcher.cancel(self.id);
+        self.proxy.dispatcher.call_ended(self.id);
         self.proxy.dispatcher.unregister(self.id);
         self.proxy.counters.count(end);
         tracing::debug!(
@@ -338,13 +338,17 @@
         match result {
             AttemptResult::Answered(response) => {
                 self.transition(|progress| progress.attempt_ended(false));
-                self.proxy.dispatcher.first_event(self.id, attempt, load);
+                self.proxy
+                    .dispatcher
+                    .response_started(self.id, attempt, load);
                 self.report_outcome(attempt, Outcome::Answered, load);
                 Some(self.forward(response, RequestEnd::Answered))
             }
             AttemptResult::Streaming(open) => {
                 self.transition(RequestProgress::stream_started);
-                self.proxy.dispatcher.first_event(self.id, attempt, load);
+                self.proxy
+                    .dispatcher
+                    .response_started(self.id, attempt, load);
                 self.stream_head.get_or_insert_with(|| open.head.clone());
                 self.stream = Some(ActiveStream {
                     attempt,
--- a/crates/tier/scheduler/src/action.rs
+++ b/crates/tier/scheduler/src/action.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the call to a replica. The driver reports one [`crate::Outcome`] of the attempt, unless the
-    /// attempt is aborted or the call cancelled before.
+    /// attempt is aborted or the call ended before.
     Send {
         /// The call to send.
         call: CallId,
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -5,13 +5,13 @@
 use woadreach_routing::decide::part_budget::PartBudget;
 
 use crate::action::{Action, FailReason};
-use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
 use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, prefill_tokens};
+use crate::scheduler::Scheduler;
 use crate::step::Step;
 use crate::timers::has_come;
 
@@ -21,7 +21,7 @@
 /// attempt.
 const INITIAL_BACKOFF: f64 = 0.03;
 
-impl Admission {
+impl Scheduler {
     /// Decides anew about a call in any state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -1,20 +1,20 @@
 //! Hedging: late attempts get a second one beside them, or are replaced if their replica has lost them.
 
 use crate::action::Action;
-use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::CallEvent;
 use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::placement::Placement;
 use crate::replica::InFlight;
+use crate::scheduler::Scheduler;
 
 /// Lower bound of the interval between two checks of a late attempt, in seconds.
 const MIN_RECHECK_INTERVAL: f64 = 0.05;
 /// An attempt is lost once its replica has begun this many attempts that were sent to it later.
 const MIN_OVERTAKEN: u32 = 2;
 
-impl Admission {
+impl Scheduler {
     /// Handles a late attempt of a call. Replicas that have lost an attempt are ejected. If the call is
     /// idempotent, a hedge is sent; a resumable stream moves away from replicas that have lost it.
     pub(crate) fn handle_late_attempt(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -1,26 +1,25 @@
 //! Decisions of the data plane about calls: placement, queueing, retries, hedging and load shedding.
 //!
-//! [`Admission`] is the state machine and the place to start reading. It does no I/O and has no clock. The
+//! [`Scheduler`] is the state machine and the place to start reading. It does no I/O and has no clock. The
 //! driver passes the time in seconds and what has happened, executes the returned [`Action`]s in order, and
-//! calls [`Admission::wake`] at [`Admission::next_wake`], which it queries after every input. The same seed
+//! calls [`Scheduler::wake`] at [`Scheduler::next_wake`], which it queries after every input. The same seed
 //! and the same inputs give the same actions.
 //!
 //! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by
-//! [`Action::Refuse`] or failed by [`Action::Fail`], or its driver gives it up ([`Admission::cancelled`]).
+//! [`Action::Refuse`] or failed by [`Action::Fail`], or its driver gives it up ([`Scheduler::call_ended`]).
 //!
 //! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent
 //! calls of one program in place of a search (docs/design.md, "Agent programs").
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `admission` | the inputs of the state machine |
+//! | `scheduler` | the inputs of the state machine |
 //! | `call_state` | states of a call |
 //! | `decisions`, `hedging`, `shedding` | what happens to a call |
 //! | `placement` | choice of a replica |
 //! | `observations`, `replica`, `routes`, `programs`, `service` | what is learned, and from what |
 
 mod action;
-mod admission;
 mod call;
 mod call_state;
 mod calls_in_flight;
@@ -36,6 +35,7 @@
 mod replica;
 mod retry_budget;
 mod routes;
+mod scheduler;
 mod service;
 mod shedding;
 mod spec;
@@ -43,7 +43,7 @@
 mod timers;
 
 pub use action::{Action, FailReason};
-pub use admission::Admission;
 pub use call::{Call, CallId, CallKind, PrefixPart, WeightedService};
 pub use outcome::{Outcome, ServerLoad};
+pub use scheduler::Scheduler;
 pub use spec::{EngineSpec, ReplicaSpec, ServiceSpec};
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -2,12 +2,12 @@
 
 use woadreach_routing::decide::outlier_detector::{EjectionConfig, Observation};
 
-use crate::admission::Admission;
 use crate::call::CallId;
 use crate::calls_in_flight::AttemptState;
 use crate::keys::AttemptKey;
 use crate::outcome::{Outcome, ServerLoad};
 use crate::replica::{Failure, FailureKind, InFlight};
+use crate::scheduler::Scheduler;
 
 /// A replica is ejected when half of its last eight outcomes, at least two, are failures (docs/design.md,
 /// exception 3).
@@ -16,7 +16,7 @@
     min_failures: 2,
 };
 
-impl Admission {
+impl Scheduler {
     /// Records the latency of an attempt whose first event or response head has arrived, and the replica's
     /// activity. For a stream it counts towards the replica's health; other responses count at their end, by
     /// their status.
--- a/crates/tier/scheduler/src/admission.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -18,7 +18,7 @@
 use crate::timers::Timers;
 
 /// The scheduler of one process; see the documentation of the crate.
-pub struct Admission {
+pub struct Scheduler {
     pub(crate) random: oorandom::Rand64,
     pub(crate) zone: String,
     pub(crate) edges: usize,
@@ -35,10 +35,10 @@
     pub(crate) displaced: BTreeSet<CallId>,
 }
 
-impl Admission {
+impl Scheduler {
     /// A scheduler without services and replicas. `zone` is the zone of this process.
     pub fn new(seed: u64, zone: String) -> Self {
-        Admission {
+        Scheduler {
             random: oorandom::Rand64::new(u128::from(seed)),
             zone,
             edges: 1,
@@ -56,7 +56,7 @@
 
     /// Applies all services of the current configuration. `edges` processes share the connections of each
     /// replica.
-    pub fn configure(&mut self, _now: f64, services: &[ServiceSpec], edges: usize) {
+    pub fn update_services(&mut self, services: &[ServiceSpec], edges: usize) {
         self.edges = edges;
         let named: BTreeSet<&str> = services.iter().map(|spec| &*spec.name).collect();
         self.services.retain(|name, _| named.contains(&**name));
@@ -74,7 +74,7 @@
 
     /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are
     /// decided on the next wake.
-    pub fn replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
+    pub fn update_replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
         for departed in self.fleet.update(now, listed) {
             self.routes.forget(departed);
         }
@@ -90,7 +90,7 @@
     }
 
     /// Accepts a call that has been received completely. Returns the actions to execute.
-    pub fn arrive(&mut self, now: f64, mut call: Call) -> Vec<Action> {
+    pub fn submit(&mut self, now: f64, mut call: Call) -> Vec<Action> {
         let id = call.id;
         call.prefix = call.known_prefix();
         let service = self.choose_service(&call);
@@ -110,7 +110,7 @@
     }
 
     /// Records the outcome of an attempt. Returns the actions to execute.
-    pub fn outcome(
+    pub fn attempt_ended(
         &mut self,
         now: f64,
         id: CallId,
@@ -148,8 +148,15 @@
         actions
     }
 
-    /// Records that the first event of a stream, or the head of any other response, has arrived.
-    pub fn first_event(&mut self, now: f64, id: CallId, attempt: u32, load: Option<ServerLoad>) {
+    /// Records that the response to an attempt has started: the first event of a stream, or the head of any other
+    /// response, has arrived.
+    pub fn response_started(
+        &mut self,
+        now: f64,
+        id: CallId,
+        attempt: u32,
+        load: Option<ServerLoad>,
+    ) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -167,9 +174,10 @@
         }
     }
 
-    /// Ends a call that the driver gives up: its client has disconnected, its deadline is reached, or its
-    /// response was cut. Does nothing if the call has ended already. No outcomes are expected of its attempts.
-    pub fn cancelled(&mut self, now: f64, id: CallId) -> Vec<Action> {
+    /// Records that the driver has ended a call. If the call has not ended here yet, its client has
+    /// disconnected, its deadline is reached, or its response was cut: its attempts are aborted, and no outcomes
+    /// are expected of them. Otherwise does nothing.
+    pub fn call_ended(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
             return actions;
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: which calls are rejected on arrival, and when their clients should retry.
 
-use crate::admission::Admission;
 use crate::call::CallId;
 use crate::placement::is_overloaded;
+use crate::scheduler::Scheduler;
 
 /// Lower bound of `Retry-After`, in seconds.
 const MIN_RETRY_AFTER: f64 = 0.05;
@@ -13,7 +13,7 @@
 /// A call of a lower priority is rejected at this share of the delay that is acceptable for the highest.
 const LOWER_PRIORITY_SHARE: f64 = 0.5;
 
-impl Admission {
+impl Scheduler {
     /// The `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
     ///
     /// Calls are rejected only while every replica of the service is full: a call of a new program if the
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use base_call::base_call;
 use woadreach_scheduler::{
-    Action, Admission, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec,
+    Action, Call, CallId, CallKind, EngineSpec, FailReason, Outcome, ReplicaSpec, Scheduler,
     ServerLoad, ServiceSpec, WeightedService,
 };
 
@@ -138,7 +138,7 @@
 /// The scheduler with its driver.
 pub(crate) struct Driver {
     pub now: f64,
-    pub admission: Admission,
+    pub scheduler: Scheduler,
     pub seen: BTreeMap<CallId, Seen>,
     pub listed: BTreeMap<Arc<str>, ReplicaSpec>,
     pub trace: Vec<Action>,
@@ -149,13 +149,13 @@
     pub(crate) fn new(seed: u64, service: ServiceSpec, replicas: &[ReplicaSpec]) -> Self {
         let mut driver = Driver {
             now: 100.0,
-            admission: Admission::new(seed, ZONE.to_string()),
+            scheduler: Scheduler::new(seed, ZONE.to_string()),
             seen: BTreeMap::new(),
             listed: BTreeMap::new(),
             trace: Vec::new(),
             misdirected: BTreeSet::new(),
         };
-        driver.admission.configure(driver.now, &[service], 1);
+        driver.scheduler.update_services(&[service], 1);
         driver.list(replicas);
         driver
     }
@@ -173,11 +173,11 @@
             .collect();
         let listed = &self.listed;
         self.misdirected.retain(|id| listed.contains_key(id));
-        self.admission.replicas(self.now, replicas);
+        self.scheduler.update_replicas(self.now, replicas);
         self.run_due();
     }
 
-    pub(crate) fn arrive(&mut self, call: Call) -> Vec<Action> {
+    pub(crate) fn submit(&mut self, call: Call) -> Vec<Action> {
         let id = call.id;
         let seen = Seen {
             call: call.clone(),
@@ -186,7 +186,7 @@
             end: None,
         };
         assert!(self.seen.insert(id, seen).is_none(), "{id:?} is used twice");
-        let actions = self.admission.arrive(self.now, call);
+        let actions = self.scheduler.submit(self.now, call);
         self.check_all(&actions);
         actions
     }
@@ -195,7 +195,7 @@
     pub(crate) fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut all = Vec::new();
-        while let Some(at) = self.admission.next_wake(self.now).filter(|at| *at <= until) {
+        while let Some(at) = self.scheduler.next_wake(self.now).filter(|at| *at <= until) {
             self.now = self.now.max(at);
             all.extend(self.run_due());
         }
@@ -203,17 +203,17 @@
         all
     }
 
-    pub(crate) fn first_event(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
-        self.admission
-            .first_event(self.now, CallId(id), attempt, load);
+    pub(crate) fn response_started(&mut self, id: u64, attempt: u32, load: Option<ServerLoad>) {
+        self.scheduler
+            .response_started(self.now, CallId(id), attempt, load);
         self.check_progress();
     }
 
-    pub(crate) fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.outcome_with_load(id, attempt, outcome, None)
+    pub(crate) fn attempt_ended(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.attempt_ended_with_load(id, attempt, outcome, None)
     }
 
-    pub(crate) fn outcome_with_load(
+    pub(crate) fn attempt_ended_with_load(
         &mut self,
         id: u64,
         attempt: u32,
@@ -232,17 +232,17 @@
             }
         }
         let actions = self
-            .admission
-            .outcome(self.now, CallId(id), attempt, outcome, load);
+            .scheduler
+            .attempt_ended(self.now, CallId(id), attempt, outcome, load);
         self.check_all(&actions);
         actions
     }
 
-    pub(crate) fn cancel(&mut self, id: u64) -> Vec<Action> {
+    pub(crate) fn call_ended(&mut self, id: u64) -> Vec<Action> {
         if let Some(seen) = self.seen.get_mut(&CallId(id)) {
             seen.end = seen.end.or(Some(End::Cancelled));
         }
-        let actions = self.admission.cancelled(self.now, CallId(id));
+        let actions = self.scheduler.call_ended(self.now, CallId(id));
         self.check_all(&actions);
         actions
     }
@@ -278,14 +278,14 @@
         let mut all = Vec::new();
         for _ in 0..1_000 {
             if self
-                .admission
+                .scheduler
                 .next_wake(self.now)
                 .is_none_or(|at| at > self.now)
             {
                 self.check_progress();
                 return all;
             }
-            let actions = self.admission.wake(self.now);
+            let actions = self.scheduler.wake(self.now);
             self.check_all(&actions);
             all.extend(actions);
         }
@@ -300,7 +300,7 @@
 
     /// Checks that each call has an attempt in flight, or a timer.
     fn check_progress(&self) {
-        let woken = self.admission.next_wake(self.now).is_some();
+        let woken = self.scheduler.next_wake(self.now).is_some();
         for (id, seen) in self.seen.iter().filter(|(_, seen)| seen.end.is_none()) {
             let out = (0..seen.attempts.len()).any(|n| seen.is_out(n));
             assert!(out || woken, "{id:?} is forgotten");
--- a/crates/tier/scheduler/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -10,7 +10,7 @@
 fn send_with_failing_replica(driver: &mut Driver, ids: std::ops::Range<u64>, fails: bool) -> usize {
     let mut is_first_at_failing = 0;
     for id in ids {
-        driver.arrive(call(driver.now, id));
+        driver.submit(call(driver.now, id));
         let is_at_failing = driver.sent_to(id) == ["bad"];
         is_first_at_failing += usize::from(is_at_failing);
         let outcome = if is_at_failing && fails {
@@ -18,9 +18,9 @@
         } else {
             Outcome::Answered
         };
-        driver.outcome(id, 0, outcome);
+        driver.attempt_ended(id, 0, outcome);
         if driver.end(id).is_none() {
-            driver.outcome(id, 1, Outcome::Answered);
+            driver.attempt_ended(id, 1, Outcome::Answered);
         }
         driver.advance(0.05);
     }
@@ -47,9 +47,9 @@
     let mut driver = Driver::new(1, service(), &replicas(&["good", "bad"]));
     send_with_failing_replica(&mut driver, 1..101, true);
     for id in 101..=150 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
         assert_eq!(driver.sent_to(id), ["good"]);
-        driver.outcome(id, 0, Outcome::Answered);
+        driver.attempt_ended(id, 0, Outcome::Answered);
         driver.advance(0.01);
     }
 }
@@ -58,9 +58,9 @@
 fn failing_replicas_are_used_where_there_is_no_other() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=30 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
         assert_eq!(driver.sent_to(id).len(), 1, "call {id}");
-        driver.outcome(id, 0, Outcome::ReplicaError);
+        driver.attempt_ended(id, 0, Outcome::ReplicaError);
         driver.advance(0.05);
     }
 }
@@ -70,20 +70,20 @@
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &replicas(&["a", "b"]));
         for id in 1..=10 {
-            driver.arrive(unsafe_call(driver.now, id));
-            driver.outcome(id, 0, Outcome::Answered);
+            driver.submit(unsafe_call(driver.now, id));
+            driver.attempt_ended(id, 0, Outcome::Answered);
         }
-        driver.arrive(unsafe_call(driver.now, 11));
+        driver.submit(unsafe_call(driver.now, 11));
         let down = driver.sent_to(11)[0].clone();
-        driver.outcome(11, 0, Outcome::Unreachable);
-        driver.outcome(11, 1, Outcome::Answered);
+        driver.attempt_ended(11, 0, Outcome::Unreachable);
+        driver.attempt_ended(11, 1, Outcome::Answered);
         for id in 12..=20 {
-            driver.arrive(unsafe_call(driver.now, id));
+            driver.submit(unsafe_call(driver.now, id));
             assert_ne!(driver.sent_to(id)[0], down);
-            driver.outcome(id, 0, Outcome::Answered);
+            driver.attempt_ended(id, 0, Outcome::Answered);
         }
         driver.advance(1.1);
-        driver.arrive(unsafe_call(driver.now, 21));
+        driver.submit(unsafe_call(driver.now, 21));
         assert_eq!(
             driver.sent_to(21)[0],
             down,
@@ -97,12 +97,12 @@
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &replicas(&["a", "b"]));
         for id in 1..=20 {
-            driver.arrive(unsafe_call(driver.now, id));
-            driver.outcome(id, 0, Outcome::Answered);
+            driver.submit(unsafe_call(driver.now, id));
+            driver.attempt_ended(id, 0, Outcome::Answered);
         }
-        driver.arrive(unsafe_call(driver.now, 21));
+        driver.submit(unsafe_call(driver.now, 21));
         let broken = driver.sent_to(21)[0].clone();
-        driver.outcome(
+        driver.attempt_ended(
             21,
             0,
             Outcome::Broken {
@@ -112,9 +112,9 @@
         );
         for id in 22..=60 {
             driver.advance(0.1);
-            driver.arrive(unsafe_call(driver.now, id));
+            driver.submit(unsafe_call(driver.now, id));
             assert_ne!(driver.sent_to(id)[0], broken);
-            driver.outcome(id, 0, Outcome::Answered);
+            driver.attempt_ended(id, 0, Outcome::Answered);
         }
     }
 }
@@ -124,22 +124,22 @@
 fn a_replica_that_lost_a_call_is_ejected() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=40 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
         driver.advance(0.1);
-        driver.outcome(id, 0, Outcome::Answered);
+        driver.attempt_ended(id, 0, Outcome::Answered);
     }
-    driver.arrive(unsafe_call(driver.now, 100));
+    driver.submit(unsafe_call(driver.now, 100));
     let lossy = driver.sent_to(100)[0].clone();
     let mut later_there = 0;
     for id in (101..=160).step_by(4) {
         driver.advance(0.01);
         for id in id..id + 4 {
-            driver.arrive(unsafe_call(driver.now, id));
+            driver.submit(unsafe_call(driver.now, id));
             later_there += usize::from(driver.sent_to(id)[0] == lossy);
         }
         driver.advance(0.1);
         for id in id..id + 4 {
-            driver.outcome(id, 0, Outcome::Answered);
+            driver.attempt_ended(id, 0, Outcome::Answered);
         }
     }
     assert!(
@@ -153,12 +153,12 @@
 fn an_unresponsive_replica_receives_no_more_calls() {
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &replicas(&["a", "b"]));
-        driver.arrive(unsafe_call(driver.now, 1));
+        driver.submit(unsafe_call(driver.now, 1));
         let unresponsive = driver.sent_to(1)[0].clone();
         driver.advance(0.3);
         // The other one has more calls in flight than the unresponsive one, and answers.
         for id in 2..=4 {
-            driver.arrive(unsafe_call(driver.now, id));
+            driver.submit(unsafe_call(driver.now, id));
             assert_ne!(driver.sent_to(id)[0], unresponsive);
         }
     }
@@ -171,14 +171,14 @@
     let round = |driver: &mut Driver, from: u64, slow: f64| {
         let ids: Vec<u64> = (from..from + 6).collect();
         for id in &ids {
-            driver.arrive(unsafe_call(driver.now, *id));
+            driver.submit(unsafe_call(driver.now, *id));
         }
         let (of_c, others): (Vec<u64>, Vec<u64>) =
             ids.iter().partition(|id| driver.sent_to(**id) == ["c"]);
         for (ids, latency) in [(&of_c, 0.1), (&others, slow)] {
             driver.advance(latency);
             for id in ids {
-                driver.outcome(*id, 0, Outcome::Answered);
+                driver.attempt_ended(*id, 0, Outcome::Answered);
             }
         }
         of_c.len()
@@ -199,20 +199,20 @@
         ..call(now, id)
     };
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(stream(driver.now, 1));
+    driver.submit(stream(driver.now, 1));
     driver.list(&replicas(&["a", "b"]));
     driver.advance(0.01);
-    driver.arrive(stream(driver.now, 2));
+    driver.submit(stream(driver.now, 2));
     for id in 3..=6 {
-        driver.arrive(stream(driver.now, id));
+        driver.submit(stream(driver.now, id));
     }
     driver.advance(0.1);
     let overtaking: Vec<u64> = (3..=6).filter(|id| driver.sent_to(*id) == ["a"]).collect();
     assert_eq!(overtaking.len(), 2);
     for id in overtaking {
-        driver.first_event(id, 0, None);
+        driver.response_started(id, 0, None);
     }
-    driver.first_event(2, 0, None);
+    driver.response_started(2, 0, None);
     let moved = driver.advance(0.3);
     let of_first = |action: &&Action| matches!(action, Action::Send { call, .. } if call.0 == 1);
     assert_eq!(moved.iter().filter(of_first).count(), 1, "{moved:?}");
@@ -226,12 +226,12 @@
         ..call(now, id)
     };
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(stream(driver.now, 1));
+    driver.submit(stream(driver.now, 1));
     driver.advance(0.01);
-    driver.arrive(stream(driver.now, 2));
+    driver.submit(stream(driver.now, 2));
     driver.list(&replicas(&["a", "b"]));
     driver.advance(0.1);
-    driver.first_event(2, 0, None);
+    driver.response_started(2, 0, None);
     driver.advance(2.0);
     assert_eq!(driver.sent_to(1), ["a"], "one that overtook it is no proof");
 }
@@ -244,7 +244,7 @@
     for round in 0..100 {
         let ids: Vec<u64> = (1 + 6 * round..7 + 6 * round).collect();
         for id in &ids {
-            driver.arrive(unsafe_call(driver.now, *id));
+            driver.submit(unsafe_call(driver.now, *id));
         }
         let (slow, sound): (Vec<u64>, Vec<u64>) =
             ids.iter().partition(|id| driver.sent_to(**id) == ["slow"]);
@@ -252,7 +252,7 @@
         for (ids, latency) in [(sound, 0.1), (slow, if round < 20 { 0.0 } else { 0.7 })] {
             driver.advance(latency);
             for id in ids {
-                driver.outcome(id, 0, Outcome::Answered);
+                driver.attempt_ended(id, 0, Outcome::Answered);
             }
         }
     }
--- a/crates/tier/scheduler/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -44,7 +44,7 @@
 /// The replica to which a process without any observations sends a program's call.
 fn home_of(seed: u64, list: &[ReplicaSpec], program: u64) -> String {
     let mut driver = Driver::new(seed, engine_service(), list);
-    driver.arrive(turn(driver.now, 1, program));
+    driver.submit(turn(driver.now, 1, program));
     driver.sent_to(1)[0].clone()
 }
 
@@ -104,10 +104,10 @@
     assert_eq!(home_of(2, &draining, 5), second);
 
     let mut driver = Driver::new(3, engine_service(), &list);
-    driver.arrive(turn(driver.now, 1, 5));
-    driver.outcome(1, 0, Outcome::Unreachable);
+    driver.submit(turn(driver.now, 1, 5));
+    driver.attempt_ended(1, 0, Outcome::Unreachable);
     assert_eq!(driver.sent_to(1), [first, second.clone()]);
-    driver.arrive(turn(driver.now, 2, 5));
+    driver.submit(turn(driver.now, 2, 5));
     assert_eq!(driver.sent_to(2), [second], "the first is ejected here");
 }
 
@@ -118,7 +118,7 @@
         // Concurrent sub-agents, each with an input of its own.
         let mut call = turn(driver.now, id, 5);
         call.prefix[1].id += id;
-        driver.arrive(call);
+        driver.submit(call);
     }
     let home = driver.sent_to(1)[0].clone();
     assert!(
@@ -136,19 +136,19 @@
 fn calls_about_an_object_go_to_its_home_while_it_is_no_busier() {
     let list = replicas(&["a", "b", "c", "d"]);
     let mut driver = Driver::new(1, service(), &list);
-    driver.arrive(about(driver.now, 1, 77));
+    driver.submit(about(driver.now, 1, 77));
     let home = driver.sent_to(1)[0].clone();
-    driver.arrive(about(driver.now, 2, 77));
+    driver.submit(about(driver.now, 2, 77));
     assert_ne!(
         driver.sent_to(2)[0],
         home,
         "it has one call more than the others"
     );
-    driver.outcome(1, 0, Outcome::Answered);
-    driver.outcome(2, 0, Outcome::Answered);
+    driver.attempt_ended(1, 0, Outcome::Answered);
+    driver.attempt_ended(2, 0, Outcome::Answered);
     for seed in 2..10 {
         let mut other = Driver::new(seed, service(), &list);
-        other.arrive(about(other.now, 1, 77));
+        other.submit(about(other.now, 1, 77));
         assert_eq!(other.sent_to(1)[0], home, "seed {seed}");
     }
 }
@@ -163,7 +163,7 @@
     let homes: BTreeSet<String> = (0..40)
         .map(|object| {
             let mut driver = Driver::new(1, service(), &list);
-            driver.arrive(about(driver.now, 1, object));
+            driver.submit(about(driver.now, 1, object));
             driver.sent_to(1)[0].clone()
         })
         .collect();
--- a/crates/tier/scheduler/tests/overload.rs
+++ b/crates/tier/scheduler/tests/overload.rs
@@ -31,20 +31,20 @@
     let answer = |driver: &mut Driver, ids: std::ops::Range<u64>, latency: f64| {
         for id in ids {
             for id in [2 * id, 2 * id + 1] {
-                driver.arrive(Call {
+                driver.submit(Call {
                     target_latency: 10.0,
                     ..unsafe_call(driver.now, id)
                 });
             }
             driver.advance(latency);
-            driver.outcome_with_load(2 * id, 0, Outcome::Answered, Some(load));
-            driver.outcome_with_load(2 * id + 1, 0, Outcome::Answered, Some(load));
+            driver.attempt_ended_with_load(2 * id, 0, Outcome::Answered, Some(load));
+            driver.attempt_ended_with_load(2 * id + 1, 0, Outcome::Answered, Some(load));
         }
     };
     answer(&mut driver, 1..40, 0.1);
     // One call stays in flight at each replica, so that no slow answer is an unloaded sample.
     for id in [1_000, 1_001] {
-        driver.arrive(Call {
+        driver.submit(Call {
             give_up_at: driver.now + 1e3,
             ..unsafe_call(driver.now, id)
         });
@@ -60,7 +60,7 @@
 #[test]
 fn a_new_program_that_would_be_late_is_refused_at_once() {
     let mut driver = loaded(FULL);
-    let refused = driver.arrive(program_call(driver.now, 5_000, 1, 0.5));
+    let refused = driver.submit(program_call(driver.now, 5_000, 1, 0.5));
     assert!(is_refused(&refused), "{refused:?}");
     let Action::Refuse { retry_after, .. } = refused[0] else {
         unreachable!()
@@ -70,7 +70,7 @@
         "when a place may be free: {retry_after}"
     );
     assert!(
-        !is_refused(&driver.arrive(program_call(driver.now, 5_001, 2, 20.0))),
+        !is_refused(&driver.submit(program_call(driver.now, 5_001, 2, 20.0))),
         "this one can wait"
     );
 }
@@ -80,10 +80,10 @@
     let mut driver = loaded(FULL);
     let mut before = program_call(driver.now, 5_000, 1, 0.5);
     before.finish_at = Some(driver.now + 50.0);
-    driver.arrive(before);
-    driver.outcome_with_load(5_000, 0, Outcome::Answered, Some(FULL));
+    driver.submit(before);
+    driver.attempt_ended_with_load(5_000, 0, Outcome::Answered, Some(FULL));
     assert!(!is_refused(
-        &driver.arrive(program_call(driver.now, 5_001, 1, 0.5))
+        &driver.submit(program_call(driver.now, 5_001, 1, 0.5))
     ));
 }
 
@@ -91,12 +91,12 @@
 fn less_urgent_calls_are_refused_before_urgent_ones() {
     let mut driver = loaded(FULL);
     let slack = 2.6; // half of the time is work: 1.3 s is slack, half of it under the delay
-    driver.arrive(Call {
+    driver.submit(Call {
         priority: 0,
         ..program_call(driver.now, 5_000, 1, slack)
     });
     assert_eq!(driver.end(5_000), None);
-    let refused = driver.arrive(Call {
+    let refused = driver.submit(Call {
         priority: 1,
         ..program_call(driver.now, 5_001, 2, slack)
     });
@@ -107,7 +107,7 @@
 fn nothing_is_refused_while_places_are_free() {
     let mut driver = loaded(HALF);
     for id in 5_000..5_020 {
-        let actions = driver.arrive(program_call(driver.now, id, id, 0.01));
+        let actions = driver.submit(program_call(driver.now, id, id, 0.01));
         assert!(matches!(actions[..], [Action::Send { .. }]), "{actions:?}");
     }
 }
@@ -117,7 +117,7 @@
     let mut driver = loaded(FULL);
     driver.advance(1.5);
     assert!(!is_refused(
-        &driver.arrive(program_call(driver.now, 5_000, 1, 0.5))
+        &driver.submit(program_call(driver.now, 5_000, 1, 0.5))
     ));
 }
 
@@ -128,14 +128,14 @@
         target_latency: 10.0,
         ..call
     };
-    driver.arrive(patient(call(driver.now, 5_000)));
+    driver.submit(patient(call(driver.now, 5_000)));
     for id in (6_000..6_200).step_by(2) {
         for id in [id, id + 1] {
-            driver.arrive(patient(unsafe_call(driver.now, id)));
+            driver.submit(patient(unsafe_call(driver.now, id)));
         }
         driver.advance(0.02);
         for id in [id, id + 1] {
-            driver.outcome_with_load(id, 0, Outcome::Answered, Some(FULL));
+            driver.attempt_ended_with_load(id, 0, Outcome::Answered, Some(FULL));
         }
     }
     assert_eq!(driver.sent_to(5_000).len(), 1);
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -47,7 +47,7 @@
 fn the_fewest_own_calls_decide() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     for id in 1..=9 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
     }
     for name in ["a", "b", "c"] {
         let there = (1..=9).filter(|id| driver.sent_to(*id) == [name]).count();
@@ -58,7 +58,7 @@
 #[test]
 fn ties_are_broken_at_random() {
     let first =
-        |seed| Driver::new(seed, service(), &replicas(&["a", "b", "c"])).arrive(call(100.0, 1));
+        |seed| Driver::new(seed, service(), &replicas(&["a", "b", "c"])).submit(call(100.0, 1));
     let mut seen: Vec<_> = (0..50).flat_map(|seed| sent_to(&first(seed))).collect();
     seen.sort();
     seen.dedup();
@@ -75,11 +75,11 @@
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &list);
         assert_eq!(
-            sent_to(&driver.arrive(unsafe_call(driver.now, 1))),
+            sent_to(&driver.submit(unsafe_call(driver.now, 1))),
             ["near"]
         );
         assert_ne!(
-            sent_to(&driver.arrive(unsafe_call(driver.now, 2))),
+            sent_to(&driver.submit(unsafe_call(driver.now, 2))),
             ["near"],
             "it has one call more"
         );
@@ -97,17 +97,17 @@
         replica("b"),
     ]);
     for id in 1..=5 {
-        assert_eq!(sent_to(&driver.arrive(unsafe_call(driver.now, id))), ["b"]);
+        assert_eq!(sent_to(&driver.submit(unsafe_call(driver.now, id))), ["b"]);
     }
 }
 
 #[test]
 fn a_misdirected_replica_is_not_used_until_its_record_changes() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(unsafe_call(driver.now, 1));
-    let refused = driver.outcome(1, 0, Outcome::Misdirected);
+    driver.submit(unsafe_call(driver.now, 1));
+    let refused = driver.attempt_ended(1, 0, Outcome::Misdirected);
     assert!(matches!(refused[..], [Action::Refuse { .. }]));
-    driver.arrive(unsafe_call(driver.now, 2));
+    driver.submit(unsafe_call(driver.now, 2));
     assert!(driver.sent_to(2).is_empty());
     driver.list(&[ReplicaSpec {
         generation: Arc::from("v2"),
@@ -120,13 +120,13 @@
 #[test]
 fn a_session_goes_where_its_prompt_is_cached() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
-    driver.arrive(turn(driver.now, 1, 5, 1_000));
+    driver.submit(turn(driver.now, 1, 5, 1_000));
     let first = driver.sent_to(1);
-    driver.outcome(1, 0, Outcome::Answered);
+    driver.attempt_ended(1, 0, Outcome::Answered);
     for id in 2..=8 {
-        driver.arrive(turn(driver.now, id, 5, 1_000 + 100 * id as u32));
+        driver.submit(turn(driver.now, id, 5, 1_000 + 100 * id as u32));
         assert_eq!(driver.sent_to(id), first, "turn {id}");
-        driver.outcome(id, 0, Outcome::Answered);
+        driver.attempt_ended(id, 0, Outcome::Answered);
     }
 }
 
@@ -139,8 +139,8 @@
         ..unsafe_call(now, id)
     };
     for id in 1..=8 {
-        driver.arrive(turn(driver.now, id, 2_000 + 500 * id as u32));
-        driver.outcome(id, 0, Outcome::Answered);
+        driver.submit(turn(driver.now, id, 2_000 + 500 * id as u32));
+        driver.attempt_ended(id, 0, Outcome::Answered);
         assert_eq!(driver.sent_to(id), driver.sent_to(1), "turn {id}");
     }
 }
@@ -149,7 +149,7 @@
 fn a_hot_prompt_spreads_when_its_replica_is_clearly_busier() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     for id in 1..=40 {
-        driver.arrive(turn(driver.now, id, id, 1_000));
+        driver.submit(turn(driver.now, id, id, 1_000));
     }
     for name in ["a", "b", "c", "d"] {
         let there = (1..=40).filter(|id| driver.sent_to(*id) == [name]).count();
@@ -160,17 +160,17 @@
 #[test]
 fn a_replica_of_a_new_generation_has_lost_its_cache() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b"]));
-    driver.arrive(turn(driver.now, 1, 5, 4_000));
+    driver.submit(turn(driver.now, 1, 5, 4_000));
     let first = driver.sent_to(1)[0].clone();
-    driver.outcome(1, 0, Outcome::Answered);
-    driver.arrive(turn(driver.now, 2, 6, 1_000));
+    driver.attempt_ended(1, 0, Outcome::Answered);
+    driver.submit(turn(driver.now, 2, 6, 1_000));
     let changed = ReplicaSpec {
         generation: Arc::from("v2"),
         ..replica(&first)
     };
     let other = if first == "a" { "b" } else { "a" };
     driver.list(&[changed, replica(other)]);
-    driver.arrive(turn(driver.now, 3, 5, 4_000));
+    driver.submit(turn(driver.now, 3, 5, 4_000));
     assert_eq!(
         driver.sent_to(3),
         [other],
@@ -181,20 +181,20 @@
 #[test]
 fn a_replica_that_reports_that_it_is_full_is_not_chosen() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(unsafe_call(driver.now, 1));
+    driver.submit(unsafe_call(driver.now, 1));
     let full = driver.sent_to(1)[0].clone();
     let load = ServerLoad {
         running: 6,
         waiting: 4,
         slots: 6,
     };
-    driver.outcome_with_load(1, 0, Outcome::Answered, Some(load));
+    driver.attempt_ended_with_load(1, 0, Outcome::Answered, Some(load));
     for id in 2..=4 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
         assert_ne!(driver.sent_to(id)[0], full, "while the report is fresh");
     }
     driver.advance(1.5);
-    driver.arrive(unsafe_call(driver.now, 5));
+    driver.submit(unsafe_call(driver.now, 5));
     assert_eq!(
         driver.sent_to(5)[0],
         full,
@@ -209,16 +209,19 @@
         ..service()
     };
     let mut driver = Driver::new(1, limited.clone(), &replicas(&["a", "b"]));
-    driver.admission.configure(driver.now, &[limited], 3);
+    driver.scheduler.update_services(&[limited], 3);
     for id in 1..=4 {
-        assert_eq!(driver.arrive(unsafe_call(driver.now, id)).len(), 1);
+        assert_eq!(driver.submit(unsafe_call(driver.now, id)).len(), 1);
     }
     assert!(
-        driver.arrive(unsafe_call(driver.now, 5)).is_empty(),
+        driver.submit(unsafe_call(driver.now, 5)).is_empty(),
         "2 calls at each of 2 replicas"
     );
     let freed = driver.sent_to(1)[0].clone();
-    assert_eq!(sent_to(&driver.outcome(1, 0, Outcome::Answered)), [freed]);
+    assert_eq!(
+        sent_to(&driver.attempt_ended(1, 0, Outcome::Answered)),
+        [freed]
+    );
 }
 
 #[test]
@@ -229,7 +232,7 @@
     };
     let mut driver = Driver::new(1, service(), &[replica("warm"), warming]);
     for id in 1..=8 {
-        driver.arrive(unsafe_call(driver.now, id));
+        driver.submit(unsafe_call(driver.now, id));
     }
     let slow_start_calls = (1..=8)
         .filter(|id| driver.sent_to(*id) == ["warming"])
--- a/crates/tier/scheduler/tests/retries.rs
+++ b/crates/tier/scheduler/tests/retries.rs
@@ -33,12 +33,12 @@
 
 fn next(kind: CallKind, max_replicas: u32, first: Outcome) -> Next {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind,
         max_replicas,
         ..call(driver.now, 1)
     });
-    match driver.outcome(1, 0, first)[..] {
+    match driver.attempt_ended(1, 0, first)[..] {
         [Action::Send { .. }] => Next::Again,
         [Action::Refuse { .. }] => Next::Refused,
         [Action::Fail { reason, .. }] => Next::Failed(reason),
@@ -85,12 +85,12 @@
 #[test]
 fn a_call_for_one_replica_goes_back_to_it_after_a_pause() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: UNSAFE,
         max_replicas: 1,
         ..call(driver.now, 1)
     });
-    assert!(driver.outcome(1, 0, FULL).is_empty());
+    assert!(driver.attempt_ended(1, 0, FULL).is_empty());
     assert!(driver.advance(0.02).is_empty());
     assert!(matches!(
         driver.advance(0.02)[..],
@@ -103,11 +103,11 @@
 #[test]
 fn what_a_replica_asks_is_heeded() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: UNSAFE,
         ..call(driver.now, 1)
     });
-    driver.outcome(
+    driver.attempt_ended(
         1,
         0,
         Outcome::NotExecuted {
@@ -122,13 +122,13 @@
 fn a_call_returns_three_times_and_is_refused_early_enough_for_another_try() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     let start = driver.now;
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: UNSAFE,
         max_replicas: 1,
         ..call(driver.now, 1)
     });
     for attempt in 0..4 {
-        driver.outcome(1, attempt, FULL);
+        driver.attempt_ended(1, attempt, FULL);
         driver.advance(0.15);
     }
     assert_eq!(driver.sent_to(1).len(), 4);
@@ -139,7 +139,7 @@
 #[test]
 fn a_call_that_no_replica_takes_is_refused_at_last_with_an_advice() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: UNSAFE,
         ..call(driver.now, 1)
     });
@@ -147,7 +147,7 @@
         if driver.end(1).is_some() {
             break;
         }
-        driver.outcome(1, attempt, FULL);
+        driver.attempt_ended(1, attempt, FULL);
         driver.advance(1.0);
     }
     assert_eq!(driver.end(1), Some(End::Refused));
@@ -160,7 +160,7 @@
 #[test]
 fn a_late_safe_call_is_hedged_once_and_the_answer_aborts_the_first_attempt() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         max_replicas: 3,
         ..call(driver.now, 1)
     });
@@ -169,7 +169,7 @@
         matches!(hedges[..], [Action::Send { attempt: 1, .. }]),
         "{hedges:?}"
     );
-    let dropped = driver.outcome(1, 1, Outcome::Answered);
+    let dropped = driver.attempt_ended(1, 1, Outcome::Answered);
     assert!(
         matches!(dropped[..], [Action::Abort { attempt: 0, .. }]),
         "{dropped:?}"
@@ -181,12 +181,12 @@
 fn no_hedge_is_sent_when_the_time_is_up() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=40 {
-        driver.arrive(call(driver.now, id));
-        driver.outcome(id, 0, Outcome::Answered); // at once: the unloaded tail is zero
+        driver.submit(call(driver.now, id));
+        driver.attempt_ended(id, 0, Outcome::Answered); // at once: the unloaded tail is zero
     }
     // A hedge would be due after an eighth of the target, 0.03125 s: at the very end.
     let give_up_at = driver.now + 0.03125;
-    driver.arrive(Call {
+    driver.submit(Call {
         give_up_at,
         ..call(driver.now, 41)
     });
@@ -197,7 +197,7 @@
 fn late_calls_that_are_not_idempotent_are_not_hedged() {
     for kind in [UNSAFE, STREAM] {
         let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-        driver.arrive(Call {
+        driver.submit(Call {
             kind,
             ..call(driver.now, 1)
         });
@@ -208,7 +208,7 @@
 #[test]
 fn a_resumable_stream_leaves_an_unresponsive_replica_but_not_one_that_works() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: RESUMABLE,
         ..call(driver.now, 1)
     });
@@ -222,11 +222,11 @@
     ));
 
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(Call {
+    driver.submit(Call {
         kind: RESUMABLE,
         ..call(driver.now, 2)
     });
-    driver.first_event(2, 0, None);
+    driver.response_started(2, 0, None);
     assert!(driver.advance(4.0).is_empty(), "its first event has come");
 }
 
@@ -234,10 +234,10 @@
 fn retries_are_a_bounded_share_of_first_attempts() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     for id in 1..=400 {
-        driver.arrive(call(driver.now, id));
+        driver.submit(call(driver.now, id));
         for attempt in 0..4 {
             if driver.end(id).is_none() {
-                driver.outcome(id, attempt, LOST);
+                driver.attempt_ended(id, attempt, LOST);
             }
         }
         driver.advance(0.01);
@@ -252,11 +252,11 @@
 #[test]
 fn a_disconnected_client_gets_no_answer() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.arrive(call(driver.now, 1));
+    driver.submit(call(driver.now, 1));
     assert!(matches!(
-        driver.cancel(1)[..],
+        driver.call_ended(1)[..],
         [Action::Abort { attempt: 0, .. }]
     ));
-    assert!(driver.outcome(1, 0, Outcome::Answered).is_empty());
+    assert!(driver.attempt_ended(1, 0, Outcome::Answered).is_empty());
     assert!(driver.advance(10.0).is_empty());
 }
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -184,7 +184,7 @@
                 max_replicas,
                 give_up_ms,
             );
-            driver.arrive(call);
+            driver.submit(call);
         }
         Input::Advance { ms } => {
             driver.advance(f64::from(ms) / 1e3);
@@ -193,7 +193,7 @@
             let out = driver.out();
             if !out.is_empty() {
                 let (id, attempt) = out[usize::from(index) % out.len()];
-                driver.first_event(id, attempt, load(of));
+                driver.response_started(id, attempt, load(of));
             }
         }
         Input::Outcome {
@@ -204,12 +204,12 @@
             let out = driver.out();
             if !out.is_empty() {
                 let (id, attempt) = out[usize::from(index) % out.len()];
-                driver.outcome_with_load(id, attempt, outcome(of), load(load_of));
+                driver.attempt_ended_with_load(id, attempt, outcome(of), load(load_of));
             }
         }
         Input::Cancel { index } => {
             if *next_id > 0 {
-                driver.cancel(1 + u64::from(index) % *next_id);
+                driver.call_ended(1 + u64::from(index) % *next_id);
             }
         }
         Input::List {
@@ -236,7 +236,7 @@
                     .call
                     .give_up_at
             {
-                driver.outcome(id, attempt, Outcome::TimedOut);
+                driver.attempt_ended(id, attempt, Outcome::TimedOut);
             }
         }
     }
@@ -247,7 +247,7 @@
         .count();
     assert_eq!(remaining, 0, "calls without an end");
     assert_eq!(
-        driver.admission.next_wake(driver.now),
+        driver.scheduler.next_wake(driver.now),
         None,
         "a timer of a call that has ended"
     );
