--- a/crates/tier/config/src/model.rs
+++ b/crates/tier/config/src/model.rs
@@ -44,7 +44,7 @@
 pub enum RouteType {
     /// Requests are idempotent: they may run more than once.
     Safe,
-    /// A request runs at most once per attempt.
+    /// A request runs at most once.
     Unsafe,
     /// The answer is a stream of events. A request runs at most once unless the route is resumable.
     Streaming,
@@ -69,8 +69,8 @@
     pub priority: u8,
     /// Services with their weights. The weights sum to more than 0.
     pub clusters: Vec<WeightedCluster>,
-    /// Upper bound of the replicas to which one attempt may be sent.
-    pub max_retries: u32,
+    /// Upper bound of the replicas to which one request may be sent (`max_retries`).
+    pub max_replicas: u32,
     /// Whether the tier stores the turns of conversations, so that a turn brings only its new input.
     pub kept: bool,
     /// How long a turn is stored.
--- a/crates/tier/config/src/parse.rs
+++ b/crates/tier/config/src/parse.rs
@@ -96,7 +96,7 @@
             .optional_unsigned("priority")?
             .map_or(0, |n| n.min(u64::from(u8::MAX)) as u8),
         clusters: clusters(object)?,
-        max_retries: object
+        max_replicas: object
             .optional_unsigned("max_retries")?
             .map_or(1, |n| n.min(u64::from(u32::MAX)) as u32),
         kept: object.boolean("kept")?,
--- a/crates/tier/config/tests/recorded_configuration/main.rs
+++ b/crates/tier/config/tests/recorded_configuration/main.rs
@@ -41,7 +41,7 @@
     assert_eq!(
         route("max_retries"),
         Route {
-            max_retries: 1,
+            max_replicas: 1,
             ..chat()
         }
     );
@@ -189,7 +189,7 @@
     assert_eq!(read(&with_value("generation", "8.0")).generation, 8);
     assert_eq!(read(&with_value("priority", "999")).routes[0].priority, 255);
     assert_eq!(
-        read(&with_value("max_retries", "4294967296")).routes[0].max_retries,
+        read(&with_value("max_retries", "4294967296")).routes[0].max_replicas,
         u32::MAX
     );
     assert_eq!(
--- a/crates/tier/proxy/src/client/headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -9,7 +9,7 @@
 use woadreach_routing::rendezvous::{FNV_OFFSET, hash64, mix};
 use woadreach_scheduler::PrefixPart;
 
-/// Identity of one attempt of a client; responses carry it back.
+/// Identity of one request of a client (its own retry has another); responses carry it back.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// How long the client waits, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("timeout-ms");
--- a/crates/tier/proxy/src/client/request.rs
+++ b/crates/tier/proxy/src/client/request.rs
@@ -76,7 +76,7 @@
             tokens_in: tokens.input,
             tokens_out: tokens.output,
             priority: self.route.priority,
-            max_replicas: self.route.max_retries.max(1),
+            max_replicas: self.route.max_replicas.max(1),
         }
     }
 
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// Identifier of one attempt of a client at this process. It is never used twice.
+/// Identifier of one request of a client at this process. It is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -53,7 +53,7 @@
     pub tokens: u32,
 }
 
-/// One attempt of a client, as it arrived. Times are seconds from any origin.
+/// One request of a client, as it arrived. Times are seconds from any origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// Identifier of the call.
