--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -29,7 +29,7 @@
     /// Pooled connections to replicas.
     pub pool: Arc<ReplicaPool>,
     /// Client of the storage machines, for turns and budgets.
-    pub turns: StorageClient,
+    pub storage: StorageClient,
     /// Counters of the state line.
     pub counters: Counters,
     /// Phase of the process, and the number of its requests in flight.
@@ -44,14 +44,14 @@
 
 impl Proxy {
     /// A data plane without configuration or replicas. `seed` feeds the scheduler's random choices.
-    pub fn new(seed: u64, zone: &str, memory_mb: u64, turns: StorageClient) -> Self {
+    pub fn new(seed: u64, zone: &str, memory_mb: u64, storage: StorageClient) -> Self {
         let max_buffered_body_bytes = memory_mb * 1024 * 1024 / BODIES_MEMORY_DIVISOR;
         let clock = Clock::start();
         Proxy {
             clock,
             dispatcher: Dispatcher::new(Scheduler::new(seed, zone.to_owned()), clock),
             pool: Arc::default(),
-            turns,
+            storage,
             counters: Counters::default(),
             lifecycle: Lifecycle::default(),
             buffered_body_bytes: AtomicUsize::new(0),
@@ -87,7 +87,7 @@
         let after = Arc::new(before.with_snapshot(snapshot));
         *self.routing_state.lock() = after.clone();
         if let Some(view) = &snapshot.storage_view {
-            self.turns.set_view(view.clone());
+            self.storage.set_view(view.clone());
         }
         if before.generation() != after.generation() {
             tracing::info!(generation = after.generation(), "configuration applied");
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -23,7 +23,7 @@
 use crate::replica::pool::ReplicaEndpoint;
 use crate::replica::response_head::has_explicit_length;
 use crate::request::state::{InvalidTransition, RequestEnd, RequestProgress, RequestState};
-use crate::turns::store::{PreparedTurn, TurnError};
+use crate::turns::request_turn::{RequestTurn, TurnError};
 use bytes::Bytes;
 use http::response::Parts;
 use http::{Response, StatusCode};
@@ -96,7 +96,7 @@
     stream_head: Option<Parts>,
     /// How much of the stream the client has.
     position: StreamPosition,
-    turn: PreparedTurn,
+    turn: RequestTurn,
     /// The last error response of a replica itself, which is forwarded if no further attempt is made.
     last_failure: Option<ReplicaResponse>,
     /// Fires when the request must be answered.
@@ -113,7 +113,7 @@
         let RegisteredCall { id, commands } = proxy.dispatcher.register();
         let progress = RequestProgress::new(client.is_idempotent());
         let deadline = Box::pin(sleep_until(client.deadline));
-        let turn = PreparedTurn::new(&client);
+        let turn = RequestTurn::new(&client);
         RequestTask {
             proxy,
             client,
@@ -181,7 +181,7 @@
             ..
         } = self;
         let prepared = tokio::select! {
-            prepared = turn.prepare(&proxy.turns, client) => prepared,
+            prepared = turn.prepare(&proxy.storage, client) => prepared,
             () = response.client_disconnected() => return Some(self.end_disconnected()),
             () = deadline => Err(TurnError::Unavailable),
         };
--- a/crates/tier/proxy/src/request/task/streaming.rs
+++ b/crates/tier/proxy/src/request/task/streaming.rs
@@ -3,7 +3,7 @@
 use super::RequestTask;
 use crate::replica::event_stream::StreamPosition;
 use crate::request::state::{RequestEnd, RequestProgress};
-use crate::turns::store::TurnError;
+use crate::turns::request_turn::TurnError;
 use bytes::Bytes;
 use woadreach_scheduler::{FailReason, Outcome};
 
@@ -48,11 +48,11 @@
             return Some(self.end_disconnected());
         }
         self.transition(RequestProgress::committing);
-        let committed = tokio::select! {
-            committed = self.turn.commit(&self.proxy.turns, &self.client) => committed,
+        let stored = tokio::select! {
+            stored = self.turn.store(&self.proxy.storage, &self.client) => stored,
             () = self.deadline.as_mut() => Err(TurnError::Unavailable),
         };
-        if committed.is_err() {
+        if stored.is_err() {
             return Some(self.abort_response());
         }
         self.response.finish().await;
--- a/crates/tier/proxy/src/turns.rs
+++ b/crates/tier/proxy/src/turns.rs
@@ -4,5 +4,5 @@
 //! after the last event, since a response may look complete only once its turn is durable.
 
 pub mod replay;
-pub mod store;
+pub mod request_turn;
 pub mod token_counter;
--- a/crates/tier/proxy/src/turns/store.rs
+++ b/crates/tier/proxy/src/turns/request_turn.rs
@@ -21,8 +21,9 @@
     Unavailable,
 }
 
-/// A request's turn: its budget reservation, the turn before it, and its events so far.
-pub struct PreparedTurn {
+/// A request's turn: its budget reservation, the turn before it, and its events so far. A request whose route
+/// stores no turns has one too, which stores nothing.
+pub struct RequestTurn {
     /// Tokens sent to the client.
     pub token_counter: TokenCounter,
     program: String,
@@ -37,11 +38,11 @@
     reservation: Option<ReservationGuard>,
 }
 
-impl PreparedTurn {
+impl RequestTurn {
     /// The turn of this request. Most requests have neither a budget nor stored turns.
     pub fn new(client: &ClientRequest) -> Self {
         let max_tokens = client.metadata.tokens.unwrap_or_default().output;
-        PreparedTurn {
+        RequestTurn {
             token_counter: TokenCounter::new(client.tokens_per_event, max_tokens),
             program: client.metadata.program.clone().unwrap_or_default(),
             request_id: client.metadata.request_id.clone(),
@@ -59,12 +60,12 @@
     /// [`TurnError`]; a reservation that was granted is released when this turn is dropped.
     pub async fn prepare(
         &mut self,
-        store: &StorageClient,
+        storage: &StorageClient,
         client: &ClientRequest,
     ) -> Result<Bytes, TurnError> {
         let chain = async {
             match (self.is_stored, &client.metadata.previous) {
-                (true, Some(previous)) => store
+                (true, Some(previous)) => storage
                     .chain(&self.program, previous)
                     .await
                     .map_err(chain_error),
@@ -80,7 +81,7 @@
                     budget,
                     max_tokens: u64::from(client.metadata.tokens.unwrap_or_default().output),
                 };
-                let reserve = async { store.reserve(&request).await.map(Some) };
+                let reserve = async { storage.reserve(&request).await.map(Some) };
                 tokio::join!(reserve, chain)
             }
         };
@@ -107,9 +108,9 @@
     /// # Errors
     ///
     /// [`TurnError::Unavailable`] if too few storage machines have acknowledged the turn.
-    pub async fn commit(
+    pub async fn store(
         &mut self,
-        store: &StorageClient,
+        storage: &StorageClient,
         client: &ClientRequest,
     ) -> Result<(), TurnError> {
         if !self.is_stored {
@@ -124,7 +125,7 @@
             events: std::mem::take(&mut self.events),
             retention: client.route.retention,
         };
-        let stored = store.put_turn(turn, self.reservation.as_mut()).await;
+        let stored = storage.put_turn(turn, self.reservation.as_mut()).await;
         stored.map_err(|_| TurnError::Unavailable)
     }
 }
