--- a/crates/tier/proxy/src/client/headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -35,8 +35,6 @@
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
 /// The version of the weights that a request is meant for.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Priority of a request in a replica's queue.
-pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_PREFIX: &str = "proxy-";
--- a/crates/tier/proxy/src/dispatcher.rs
+++ b/crates/tier/proxy/src/dispatcher.rs
@@ -23,8 +23,6 @@
         replica: Arc<str>,
         /// Time-out of the attempt in seconds.
         timeout: f64,
-        /// Priority in the replica's queue.
-        priority: Option<u8>,
     },
     /// Respond 503 with `Retry-After`.
     Refuse {
@@ -200,14 +198,12 @@
             attempt,
             replica,
             timeout,
-            priority,
         } => (
             call,
             Command::Send {
                 attempt,
                 replica,
                 timeout,
-                priority,
             },
         ),
         Action::Refuse { call, retry_after } => (call, Command::Refuse { retry_after }),
--- a/crates/tier/proxy/src/replica/attempt.rs
+++ b/crates/tier/proxy/src/replica/attempt.rs
@@ -3,9 +3,7 @@
 //! An attempt stands below the scheduler's decisions: it never sends again what may have run, and reports an
 //! [`Outcome`] instead. Only a request of which no byte was written goes to another connection here.
 
-use crate::client::headers::{
-    EXPECT_INSTANCE, EXPECT_VERSION, LAST_EVENT_ID, PRIORITY, TIMEOUT_MS,
-};
+use crate::client::headers::{EXPECT_INSTANCE, EXPECT_VERSION, LAST_EVENT_ID, TIMEOUT_MS};
 use crate::mutations::{Mutation, is_mutated};
 use crate::replica::connection::{ConnectionId, SendError};
 use crate::replica::pool::{PooledConnection, ReplicaEndpoint, ReplicaPool};
@@ -65,8 +63,6 @@
     pub max_connections: usize,
     /// When the attempt times out.
     pub deadline: Instant,
-    /// Priority in the replica's queue.
-    pub priority: Option<u8>,
     /// Id of the last event that the client has, if another replica began the stream.
     pub resume_after: Option<u64>,
 }
@@ -220,9 +216,6 @@
         TIMEOUT_MS,
         (remaining.as_millis() as u64).max(1),
     );
-    if let Some(priority) = params.priority {
-        set_number(&mut headers, PRIORITY, u64::from(priority));
-    }
     if let Some(last_event) = params.resume_after {
         set_number(&mut headers, LAST_EVENT_ID, last_event);
     }
@@ -270,11 +263,9 @@
     release_connection(pooled, &head);
     let response = ReplicaResponse { head, body };
     let result = match class {
-        ResponseClass::Success | ResponseClass::Failure(Outcome::Answered) => {
-            AttemptResult::Answered(response)
-        }
-        ResponseClass::Failure(outcome) => AttemptResult::Failed {
-            outcome,
+        ResponseClass::Success | ResponseClass::OtherStatus => AttemptResult::Answered(response),
+        ResponseClass::ReplicaError => AttemptResult::Failed {
+            outcome: Outcome::ReplicaError,
             response: Some(response),
         },
         ResponseClass::NotExecuted(outcome) => failed(outcome),
--- a/crates/tier/proxy/src/replica/response_head.rs
+++ b/crates/tier/proxy/src/replica/response_head.rs
@@ -27,8 +27,10 @@
 pub enum ResponseClass {
     /// A success, provided that its body arrives completely.
     Success,
-    /// The replica's own error response, which is forwarded unchanged if no further attempt is made.
-    Failure(Outcome),
+    /// The replica's own error, forwarded unchanged if no further attempt is made.
+    ReplicaError,
+    /// Any other status: the request's answer, forwarded at once.
+    OtherStatus,
     /// The replica has not run the request.
     NotExecuted(Outcome),
     /// The response to another request, or an invalid one: this request may have run.
@@ -63,9 +65,9 @@
         };
     }
     if head.status.is_server_error() || promises_not_executed(head.status) {
-        return ResponseClass::Failure(Outcome::ReplicaError);
+        return ResponseClass::ReplicaError;
     }
-    ResponseClass::Failure(Outcome::Answered)
+    ResponseClass::OtherStatus
 }
 
 /// Whether a status tells a client that its request has not run.
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -261,9 +261,8 @@
                 attempt,
                 replica,
                 timeout,
-                priority,
             } => {
-                self.send(attempt, replica, timeout, priority);
+                self.send(attempt, replica, timeout);
                 None
             }
             Command::Refuse { retry_after } => Some(self.refuse(retry_after)),
@@ -276,7 +275,7 @@
     }
 
     /// Starts an attempt. One that cannot be sent is reported as [`Outcome::NeverSent`].
-    fn send(&mut self, number: u32, replica: Arc<str>, timeout: f64, priority: Option<u8>) {
+    fn send(&mut self, number: u32, replica: Arc<str>, timeout: f64) {
         let routing_state = self.proxy.routing_state();
         let record = routing_state.replicas.get(&*replica);
         let (Some(record), Some(outgoing)) = (record, self.outgoing.clone()) else {
@@ -298,7 +297,6 @@
             },
             max_connections: connections_per_edge(max_conns, self.proxy.edges()),
             deadline: (Instant::now() + duration_from_seconds(timeout)).min(self.client.deadline),
-            priority,
             resume_after: self.position.resume_after(),
         };
         let handle = self
--- a/crates/tier/proxy/tests/early_responses.rs
+++ b/crates/tier/proxy/tests/early_responses.rs
@@ -62,7 +62,6 @@
         },
         max_connections: 1,
         deadline: Instant::now() + Duration::from_secs(8),
-        priority: None,
         resume_after: None,
     }
 }
--- a/crates/tier/proxy/tests/response_head.rs
+++ b/crates/tier/proxy/tests/response_head.rs
@@ -69,7 +69,7 @@
         ResponseClass::NotExecuted(Outcome::Misdirected)
     );
     for status in [408, 429, 500, 502, 503, 504] {
-        let failure = ResponseClass::Failure(Outcome::ReplicaError);
+        let failure = ResponseClass::ReplicaError;
         assert_eq!(
             judged(status, &[("response-signature", "s")]),
             failure,
@@ -77,11 +77,7 @@
         );
     }
     for status in [301, 400, 404, 409] {
-        assert_eq!(
-            judged(status, &[]),
-            ResponseClass::Failure(Outcome::Answered),
-            "{status}"
-        );
+        assert_eq!(judged(status, &[]), ResponseClass::OtherStatus, "{status}");
     }
 }
 
--- a/crates/tier/scheduler/src/action.rs
+++ b/crates/tier/scheduler/src/action.rs
@@ -29,8 +29,6 @@
         replica: Arc<str>,
         /// Time-out of the attempt in seconds.
         timeout: f64,
-        /// Value of the `Priority` header, if it has to be set.
-        priority: Option<u8>,
     },
     /// Reject the call with 503 and `Retry-After`. It has not run and never will.
     Refuse {
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -311,7 +311,6 @@
             attempt: index,
             replica: target.spec.id.clone(),
             timeout: call.request.give_up_at - now,
-            priority: None,
         });
     }
 
