--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -24,8 +24,8 @@
     //!
     //! - [`UnloadedLatency`]: `record` the latency of each answered call that was sent with nothing else of
     //!   ours in flight at its replica; `forget` one that has departed or restarted.
-    //! - [`PartBudget`]: `queuing_deadline` of the replicas chosen for a request, or for a program's `k`
-    //!   calls side by side; `tail` of one replica, and `hopeless` to leave a call unsent.
+    //! - [`PartBudget`]: `queuing_deadline` of the replicas chosen for a request (query router only; the tier's
+    //!   is in `scheduler::step`, from `part_quantile`); `tail` of one replica, and `hopeless` to leave a call unsent.
     //! - [`Hold`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
     //!   answer, `holds` before a call leaves.
     //! - [`DeadlineQueue`]: `insert` a call that is on hold or behind another (`is_behind`); after each end of a
@@ -34,10 +34,11 @@
     //!   calls in flight.
     //! - [`OutlierDetector`], one for each replica or zone: `observe` each end of a call, `prefer` those
     //!   not ejected, send a probe when `probe_due`.
-    //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
-    //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
-    //! - [`RetryBudget`]: `record_taken` for each request, `record_sent` for each call beyond a first, while it
-    //!   `allows_retry`.
+    //! - [`LatencyLimits`] (query router only; the tier's are in `scheduler::routes`): `answered` with
+    //!   each latency, then `update`; a call is late after `late_after`, due a hedge after `hedge_after`;
+    //!   `update_overload` before a request is decided on.
+    //! - [`RetryBudget`] (query router only; the tier's is in `scheduler::retry_tokens`): `record_taken` for
+    //!   each request, `record_sent` for each call beyond a first, while it `allows_retry`.
 
     mod admission;
     pub mod candidates;
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -252,7 +252,7 @@
         let affordable = self
             .services
             .get(&call.service)
-            .is_none_or(|service| service.budget.can_retry());
+            .is_none_or(|service| service.retry_tokens.can_retry());
         if self.is_hopeless(now, id, replica) || (repeats && !affordable) {
             return self.give_up(now, id, actions);
         }
@@ -294,9 +294,9 @@
                 .record(&call.request.prefix, service.cache_share(self.edges));
             service.record_sent(prefill);
             if is_retry {
-                service.budget.spend()
+                service.retry_tokens.spend()
             } else {
-                service.budget.earn()
+                service.retry_tokens.earn()
             }
         }
         let late_after = if call.may_hedge() {
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -80,7 +80,7 @@
     fn hedge_target(&mut self, now: f64, id: CallId) -> Option<ReplicaKey> {
         let call = self.calls.get(&id)?;
         let service = self.services.get(&call.service)?;
-        if !service.budget.can_retry() {
+        if !service.retry_tokens.can_retry() {
             return None;
         }
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, Some(service));
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -33,7 +33,7 @@
 mod prefix_cache;
 mod programs;
 mod replica;
-mod retry_budget;
+mod retry_tokens;
 mod routes;
 mod scheduler;
 mod service;
--- a/crates/tier/scheduler/src/retry_budget.rs
+++ b/crates/tier/scheduler/src/retry_tokens.rs
@@ -1,30 +1,30 @@
-//! Retry budget: retries and hedges are a bounded share of first attempts, so that they cannot amplify an
+//! Tokens for retries: retries and hedges are a bounded share of first attempts, so that they cannot amplify an
 //! overload.
 
 /// Tokens that first attempts earn, and retries and hedges spend.
 #[derive(Debug)]
-pub(crate) struct RetryBudget {
+pub(crate) struct RetryTokens {
     tokens: f64,
 }
 
 /// Retries that each first attempt earns.
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
-/// Limit on the tokens in the budget. Allows retries during a short fault.
+/// Limit on the tokens. Allows retries during a short fault.
 const MAX_TOKENS: f64 = 20.0;
 
-impl Default for RetryBudget {
+impl Default for RetryTokens {
     fn default() -> Self {
-        RetryBudget { tokens: MAX_TOKENS }
+        RetryTokens { tokens: MAX_TOKENS }
     }
 }
 
-impl RetryBudget {
+impl RetryTokens {
     /// Records a first attempt.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Whether the budget allows a retry or hedge.
+    /// Whether the tokens allow a retry or hedge.
     pub(crate) fn can_retry(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -1,6 +1,6 @@
 //! Configuration of one service, and what is learned of its calls.
 
-use crate::retry_budget::RetryBudget;
+use crate::retry_tokens::RetryTokens;
 use crate::spec::ServiceSpec;
 
 /// Weight of the latest call in the mean of the prefill tokens.
@@ -17,7 +17,7 @@
     pub spec: ServiceSpec,
     /// This process's share of the connections that each replica accepts.
     pub connections: usize,
-    pub budget: RetryBudget,
+    pub retry_tokens: RetryTokens,
     mean_prefill: f64,
     highest_priority: RecentPriority,
 }
@@ -38,7 +38,7 @@
         let mut service = Service {
             spec: spec.clone(),
             connections: 1,
-            budget: RetryBudget::default(),
+            retry_tokens: RetryTokens::default(),
             mean_prefill: INITIAL_MEAN_PREFILL,
             highest_priority: RecentPriority {
                 rank: u8::MAX,
