--- a/crates/tier/scheduler/src/call_state.rs
+++ b/crates/tier/scheduler/src/call_state.rs
@@ -4,9 +4,9 @@
 //! | --- | --- | --- | --- |
 //! | `Deciding` | no attempt is in flight, a decision is due | `Sent` | `Running` |
 //! | | | `Enqueued` | `Queued` |
-//! | | | `Postponed` | `Unplaced` |
+//! | | | `Postponed` | `Postponed` |
 //! | `Queued` | waits in the queue of a replica | `Released` | `Deciding` |
-//! | `Unplaced` | no replica may receive it for now | `Released` | `Deciding` |
+//! | `Postponed` | no replica may receive it for now | `Released` | `Deciding` |
 //! | `Running` | at least one attempt is in flight | `Sent` | `Running` |
 //! | | | `AttemptsEnded` | `Deciding` |
 //!
@@ -24,7 +24,7 @@
     /// Waits in the queue of `replica`, which is ordered by `deadline`.
     Queued { replica: ReplicaKey, deadline: f64 },
     /// Waits until some replica may receive it.
-    Unplaced,
+    Postponed,
     /// At least one attempt is in flight.
     Running,
 }
@@ -55,8 +55,8 @@
             (CallState::Deciding, CallEvent::Enqueued { replica, deadline }) => {
                 Ok(CallState::Queued { replica, deadline })
             }
-            (CallState::Deciding, CallEvent::Postponed) => Ok(CallState::Unplaced),
-            (CallState::Queued { .. } | CallState::Unplaced, CallEvent::Released) => {
+            (CallState::Deciding, CallEvent::Postponed) => Ok(CallState::Postponed),
+            (CallState::Queued { .. } | CallState::Postponed, CallEvent::Released) => {
                 Ok(CallState::Deciding)
             }
             (CallState::Running, CallEvent::AttemptsEnded) => Ok(CallState::Deciding),
--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/calls_in_flight.rs
@@ -22,7 +22,8 @@
     Aborted,
 }
 
-/// One send of a call.
+/// One send of a call: what the call needs of it. Its replica's part is
+/// [`AttemptAtReplica`](crate::replica::AttemptAtReplica).
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub replica: ReplicaKey,
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -29,7 +29,7 @@
         };
         match call.state() {
             CallState::Running => self.handle_late_attempt(now, id, actions),
-            CallState::Queued { .. } | CallState::Unplaced => {
+            CallState::Queued { .. } | CallState::Postponed => {
                 self.release(id);
                 self.place(now, id, actions);
             }
@@ -89,8 +89,8 @@
                 .get(id)
                 .is_some_and(|call| call.service == service)
         };
-        let waiting: Vec<CallId> = self.waiting.iter().filter(of_service).copied().collect();
-        waiting
+        let postponed: Vec<CallId> = self.postponed.iter().filter(of_service).copied().collect();
+        postponed
             .into_iter()
             .for_each(|id| self.decide(now, id, actions));
     }
@@ -171,8 +171,8 @@
         };
         match call.state() {
             CallState::Queued { replica, deadline } => self.queue.remove(&replica, deadline, id),
-            CallState::Unplaced => {
-                self.waiting.remove(&id);
+            CallState::Postponed => {
+                self.postponed.remove(&id);
             }
             CallState::Deciding | CallState::Running => return,
         }
@@ -351,7 +351,7 @@
             return;
         };
         call.apply(CallEvent::Postponed);
-        self.waiting.insert(id);
+        self.postponed.insert(id);
         let until = until.map_or(limit, |until| until.min(limit));
         self.timers.set(&mut call.timer, id, Some(until));
     }
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -6,7 +6,7 @@
 use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::placement::Placement;
-use crate::replica::InFlight;
+use crate::replica::AttemptAtReplica;
 use crate::scheduler::Scheduler;
 
 /// Lower bound of the interval between two checks of a late attempt, in seconds.
@@ -51,7 +51,8 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let late = |sent: &InFlight| now > sent.sent_at + self.routes.lost_after(sent.route);
+        let late =
+            |sent: &AttemptAtReplica| now > sent.sent_at + self.routes.lost_after(sent.route);
         let lost: Vec<AttemptKey> = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -6,7 +6,7 @@
 use crate::calls_in_flight::AttemptState;
 use crate::keys::AttemptKey;
 use crate::outcome::{Outcome, ServerLoad};
-use crate::replica::{Failure, FailureKind, InFlight};
+use crate::replica::{AttemptAtReplica, Failure, FailureKind, ResponseStart};
 use crate::scheduler::Scheduler;
 
 /// A replica is ejected when half of its last eight outcomes, at least two, are failures (docs/design.md,
@@ -28,7 +28,7 @@
     ) {
         let Some(sent) = self
             .in_flight(attempt)
-            .filter(|sent| sent.begun_late.is_none())
+            .filter(|sent| sent.start == ResponseStart::Awaited)
         else {
             return;
         };
@@ -98,7 +98,7 @@
             };
             self.observe_health(now, sent, Some(kind));
         } else if !streaming {
-            let late = sent.begun_late == Some(true);
+            let late = sent.start == ResponseStart::Late;
             self.observe_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
@@ -123,7 +123,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let late: Vec<InFlight> = (0..)
+        let late: Vec<AttemptAtReplica> = (0..)
             .zip(&call.attempts)
             .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
             .filter_map(|(index, _)| self.in_flight(AttemptKey { call: id, index }))
@@ -135,7 +135,7 @@
     }
 
     /// Counts an attempt towards the health of its replica.
-    fn observe_health(&mut self, now: f64, sent: InFlight, failure: Option<FailureKind>) {
+    fn observe_health(&mut self, now: f64, sent: AttemptAtReplica, failure: Option<FailureKind>) {
         let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
@@ -153,7 +153,7 @@
     }
 
     /// The attempt, if it is in flight and its replica has not departed.
-    fn in_flight(&self, attempt: AttemptKey) -> Option<InFlight> {
+    fn in_flight(&self, attempt: AttemptKey) -> Option<AttemptAtReplica> {
         let call = self.calls.get(&attempt.call)?;
         let replica = call.attempts.get(attempt.index as usize)?.replica;
         let sent = self.fleet.get(replica)?.in_flight.get(&attempt)?;
--- a/crates/tier/scheduler/src/outcome.rs
+++ b/crates/tier/scheduler/src/outcome.rs
@@ -25,7 +25,8 @@
     },
     /// No response within the attempt's time-out. It may have run.
     TimedOut,
-    /// The driver did not send the attempt.
+    /// The driver made no attempt: all connections are in use, the replica is no longer listed, or the request's
+    /// state forbids it.
     NeverSent,
 }
 
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -38,17 +38,28 @@
     pub kind: FailureKind,
 }
 
-/// An attempt in flight, with the replica that it was sent to.
+/// Whether the response to an attempt has started: its first event or, if it is no stream, its head has arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ResponseStart {
+    /// It has not arrived yet.
+    Awaited,
+    /// It has arrived, no later than usual.
+    InTime,
+    /// It has arrived late; see [`crate::routes`].
+    Late,
+}
+
+/// What a replica's health needs of an attempt in flight; the call's part is
+/// [`Attempt`](crate::calls_in_flight::Attempt).
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct AttemptAtReplica {
     pub replica: ReplicaKey,
     /// When it was sent, in seconds.
     pub sent_at: f64,
     pub route: RouteKey,
     /// Whether no other call of this process was in flight there when it was sent.
     pub is_only_call: bool,
-    /// Whether its first event (or response head) was late; `None` before it has arrived.
-    pub begun_late: Option<bool>,
+    pub start: ResponseStart,
     /// Number of attempts that were sent later and began before it.
     pub overtaken: u32,
     /// Whether it has been counted as lost.
@@ -67,7 +78,7 @@
 pub(crate) struct Replica {
     pub spec: ReplicaSpec,
     /// Attempts of this process in flight there.
-    pub in_flight: BTreeMap<AttemptKey, InFlight>,
+    pub in_flight: BTreeMap<AttemptKey, AttemptAtReplica>,
     /// How many attempts it may have before further calls are queued, learned from its rejections
     /// and time-outs.
     pub hold: Hold,
@@ -128,12 +139,12 @@
         replica: ReplicaKey,
         route: RouteKey,
     ) {
-        let sent = InFlight {
+        let sent = AttemptAtReplica {
             replica,
             sent_at: now,
             route,
             is_only_call: self.in_flight.is_empty(),
-            begun_late: None,
+            start: ResponseStart::Awaited,
             overtaken: 0,
             lost: false,
         };
@@ -200,8 +211,8 @@
     /// Whether it has not shown any activity since it received a call that is late by now. `late_after` is
     /// the threshold by route.
     pub(crate) fn is_unresponsive(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
-        let late = |sent: &InFlight| {
-            sent.begun_late.is_none() && now > sent.sent_at + late_after(sent.route)
+        let late = |sent: &AttemptAtReplica| {
+            sent.start == ResponseStart::Awaited && now > sent.sent_at + late_after(sent.route)
         };
         self.in_flight
             .values()
@@ -213,10 +224,17 @@
         let Some(sent) = self.in_flight.get_mut(&attempt) else {
             return;
         };
-        sent.begun_late = Some(late);
+        sent.start = if late {
+            ResponseStart::Late
+        } else {
+            ResponseStart::InTime
+        };
         let (sent_at, route) = (sent.sent_at, sent.route);
         for other in self.in_flight.values_mut() {
-            if other.begun_late.is_none() && other.route == route && other.sent_at < sent_at {
+            if other.start == ResponseStart::Awaited
+                && other.route == route
+                && other.sent_at < sent_at
+            {
                 other.overtaken += 1;
             }
         }
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -28,8 +28,8 @@
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, CallInFlight>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
-    /// Postponed calls, which no replica may receive for now.
-    pub(crate) waiting: BTreeSet<CallId>,
+    /// Calls in the state `Postponed`, which no replica may receive for now.
+    pub(crate) postponed: BTreeSet<CallId>,
     pub(crate) timers: Timers,
     /// Calls that have to be decided anew on the next wake, after replicas or services have changed.
     pub(crate) displaced: BTreeSet<CallId>,
@@ -48,7 +48,7 @@
             programs: Programs::default(),
             calls: BTreeMap::new(),
             queue: DeadlineQueue::default(),
-            waiting: BTreeSet::new(),
+            postponed: BTreeSet::new(),
             timers: Timers::default(),
             displaced: BTreeSet::new(),
         }
@@ -69,7 +69,7 @@
                 }
             }
         }
-        self.displaced.extend(self.waiting.iter());
+        self.displaced.extend(self.postponed.iter());
     }
 
     /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are
@@ -78,7 +78,7 @@
         for departed in self.fleet.update(now, listed) {
             self.routes.forget(departed);
         }
-        self.displaced.extend(self.waiting.iter());
+        self.displaced.extend(self.postponed.iter());
         for (id, call) in &self.calls {
             if call
                 .queued_at()
--- a/crates/tier/scheduler/tests/unit/call_state.rs
+++ b/crates/tier/scheduler/tests/unit/call_state.rs
@@ -28,7 +28,7 @@
     let states = [
         CallState::Deciding,
         queued,
-        CallState::Unplaced,
+        CallState::Postponed,
         CallState::Running,
     ];
     let events = [
@@ -44,11 +44,11 @@
         (
             CallState::Deciding,
             CallEvent::Postponed,
-            CallState::Unplaced,
+            CallState::Postponed,
         ),
         (queued, CallEvent::Released, CallState::Deciding),
         (
-            CallState::Unplaced,
+            CallState::Postponed,
             CallEvent::Released,
             CallState::Deciding,
         ),
