--- a/crates/tier/proxy/src/replica/attempt.rs
+++ b/crates/tier/proxy/src/replica/attempt.rs
@@ -328,6 +328,7 @@
 
 /// Connections that one of `edges` processes may have to a replica that accepts `max_conns` from all; at least two.
 pub fn connections_per_edge(max_conns: u32, edges: usize) -> usize {
+    // The pool keeps to this number, at least 2; the scheduler (`Service::configure`) to at least 1.
     (max_conns as usize / edges.max(1)).max(2)
 }
 
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -112,12 +112,9 @@
 fn service_spec(service: &Service) -> ServiceSpec {
     ServiceSpec {
         name: Arc::from(service.name.as_str()),
-        capacity_hint: service.engine.as_ref().map(|engine| engine.capacity),
         max_conns: service.max_conns,
         engine: service.engine.as_ref().map(|engine| EngineSpec {
-            capacity: engine.capacity,
             kv_tokens: engine.kv_tokens,
-            stride: engine.stride,
         }),
     }
 }
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -9,7 +9,7 @@
 const INITIAL_MEAN_PREFILL: f64 = 512.0;
 /// Lower bound of the mean of the prefill tokens: even a completely cached prompt costs an engine some work.
 const MIN_MEAN_PREFILL: f64 = 64.0;
-/// Limit on the calls of this process in flight at a replica if the configuration sets no limit.
+/// Limit on the calls of this process in flight at a replica if the configuration says 0.
 const MAX_CONNECTIONS: usize = 1_024;
 
 /// One service, and what is learned of its calls.
@@ -56,6 +56,7 @@
         } else {
             spec.max_conns as usize
         };
+        // The pool keeps to `connections_per_edge`, at least 2; the scheduler to at least 1.
         self.connections = (max_connections / edges.max(1)).max(1);
         self.spec = spec.clone();
     }
--- a/crates/tier/scheduler/src/spec.rs
+++ b/crates/tier/scheduler/src/spec.rs
@@ -7,9 +7,7 @@
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Requests that a replica processes concurrently, if configured.
-    pub capacity_hint: Option<u32>,
-    /// Connections that a replica accepts from all processes together; 0 for the default.
+    /// Connections that a replica accepts from all processes together; `u32::MAX` if not configured.
     pub max_conns: u32,
     /// How the replicas generate tokens, if they serve a model.
     pub engine: Option<EngineSpec>,
@@ -18,12 +16,8 @@
 /// How the replicas of a service generate tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests in one batch.
-    pub capacity: u32,
     /// Capacity of the KV cache for running requests and cached prefixes together, in tokens.
     pub kv_tokens: u64,
-    /// Tokens per event.
-    pub stride: u32,
 }
 
 /// A registered replica.
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -19,18 +19,13 @@
 pub(crate) fn service() -> ServiceSpec {
     ServiceSpec {
         name: Arc::from(SERVICE),
-        capacity_hint: None,
         max_conns: 0,
         engine: None,
     }
 }
 
 pub(crate) fn engine_service() -> ServiceSpec {
-    let engine = EngineSpec {
-        capacity: 32,
-        kv_tokens: 200_000,
-        stride: 3,
-    };
+    let engine = EngineSpec { kv_tokens: 200_000 };
     ServiceSpec {
         engine: Some(engine),
         ..service()
