--- a/crates/tier/proxy/src/client/rejection.rs
+++ b/crates/tier/proxy/src/client/rejection.rs
@@ -7,7 +7,7 @@
 use snafu::Snafu;
 
 /// `Retry-After` of a response while nothing can be served yet, in seconds.
-const RETRY_AFTER_SECONDS: f64 = 0.25;
+const RETRY_AFTER_NOT_READY: f64 = 0.25;
 
 /// Why a request is rejected before it is offered to the scheduler. None of these has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -66,7 +66,7 @@
     /// The response that the client gets.
     pub fn response(self) -> Response<ResponseBody> {
         let response = match self {
-            Rejection::NotReady => unavailable_response(RETRY_AFTER_SECONDS),
+            Rejection::NotReady => unavailable_response(RETRY_AFTER_NOT_READY),
             other => text_response(other.status(), other),
         };
         if self.closes_connection() {
--- a/crates/tier/proxy/src/client/service.rs
+++ b/crates/tier/proxy/src/client/service.rs
@@ -44,7 +44,7 @@
     let must_close = head.headers.contains_key(TRANSFER_ENCODING);
     let request_id = head.headers.get(REQUEST_ID).cloned();
     let mut response = match read_request(&proxy, head, body).await {
-        Ok(client) => run_request_task(&proxy, client, request_id).await,
+        Ok(request) => run_request_task(&proxy, request, request_id).await,
         Err(rejection) => {
             count_rejection(&proxy.counters, rejection);
             with_request_id(rejection.response(), request_id)
@@ -66,11 +66,11 @@
 
 async fn run_request_task(
     proxy: &Arc<Proxy>,
-    client: ClientRequest,
+    request: ClientRequest,
     request_id: Option<HeaderValue>,
 ) -> Response<ResponseBody> {
     let (sender, receiver) = oneshot::channel();
-    tokio::spawn(RequestTask::new(proxy.clone(), client, sender).run());
+    tokio::spawn(RequestTask::new(proxy.clone(), request, sender).run());
     match receiver.await {
         Ok(response) => with_request_id(response, request_id),
         Err(_) => with_connection_close(text_response(StatusCode::BAD_GATEWAY, "no answer")),
--- a/crates/tier/proxy/src/request/state.rs
+++ b/crates/tier/proxy/src/request/state.rs
@@ -64,6 +64,15 @@
     pub change: &'static str,
 }
 
+/// Whether a replica may have run an attempt that has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// It may have run, or may still run.
+    MayHaveRun,
+    /// It has not run and never will.
+    HasNotRun,
+}
+
 /// State of one request, and whether it may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProgress {
@@ -71,7 +80,7 @@
     /// Whether it may run more than once.
     idempotent: bool,
     /// Whether an attempt that has ended, or one with a stream, may have run. Must stay `true` once set.
-    may_have_run: bool,
+    ended_attempt_may_have_run: bool,
     /// Attempts that were sent and have not ended.
     attempts_in_flight: u32,
 }
@@ -82,7 +91,7 @@
         RequestProgress {
             state: RequestState::Preparing,
             idempotent,
-            may_have_run: false,
+            ended_attempt_may_have_run: false,
             attempts_in_flight: 0,
         }
     }
@@ -94,7 +103,7 @@
 
     /// Whether a replica may have run it, or may still run it.
     pub fn may_have_run(&self) -> bool {
-        self.may_have_run || self.attempts_in_flight > 0
+        self.ended_attempt_may_have_run || self.attempts_in_flight > 0
     }
 
     /// The request is prepared and may be sent.
@@ -127,12 +136,12 @@
         self.enter(next)
     }
 
-    /// An attempt has ended; `has_not_run` if the replica cannot have run it.
+    /// An attempt has ended.
     ///
     /// # Errors
     ///
     /// [`InvalidTransition`] if no attempt is in flight.
-    pub fn attempt_ended(&mut self, has_not_run: bool) -> Result<(), InvalidTransition> {
+    pub fn attempt_ended(&mut self, execution: Execution) -> Result<(), InvalidTransition> {
         let next = match self.state {
             _ if self.attempts_in_flight == 0 => return self.invalid("attempt_ended"),
             RequestState::InFlight if self.attempts_in_flight == 1 => RequestState::Waiting,
@@ -140,7 +149,7 @@
             _ => return self.invalid("attempt_ended"),
         };
         self.attempts_in_flight -= 1;
-        self.may_have_run |= !has_not_run;
+        self.ended_attempt_may_have_run |= execution == Execution::MayHaveRun;
         self.enter(next)
     }
 
@@ -152,7 +161,7 @@
     pub fn stream_started(&mut self) -> Result<(), InvalidTransition> {
         match self.state {
             RequestState::InFlight | RequestState::Streaming => {
-                self.may_have_run = true;
+                self.ended_attempt_may_have_run = true;
                 self.enter(RequestState::Streaming)
             }
             _ => self.invalid("stream_started"),
--- a/crates/tier/proxy/src/request/task.rs
+++ b/crates/tier/proxy/src/request/task.rs
@@ -8,7 +8,7 @@
 mod ending;
 mod streaming;
 
-use self::ending::RETRY_AFTER_SECONDS;
+use self::ending::RETRY_AFTER_LOCAL_REFUSAL;
 use crate::client::local_response::text_response;
 use crate::client::request::ClientRequest;
 use crate::client::response_body::ResponseBody;
@@ -22,7 +22,7 @@
 use crate::replica::event_stream::{EventReader, StreamPosition};
 use crate::replica::pool::ReplicaEndpoint;
 use crate::replica::response_head::has_explicit_length;
-use crate::request::state::{InvalidTransition, RequestEnd, RequestProgress, RequestState};
+use crate::request::state::{Execution, InvalidTransition, RequestEnd, RequestProgress};
 use crate::turns::request_turn::{RequestTurn, TurnError};
 use bytes::Bytes;
 use http::response::Parts;
@@ -79,7 +79,8 @@
 /// The task of one request.
 pub struct RequestTask {
     proxy: Arc<Proxy>,
-    client: ClientRequest,
+    /// The client's request.
+    request: ClientRequest,
     id: CallId,
     commands: UnboundedReceiver<Command>,
     response: ResponseSender,
@@ -107,16 +108,16 @@
     /// A task for a complete request. The response goes to `head`.
     pub fn new(
         proxy: Arc<Proxy>,
-        client: ClientRequest,
+        request: ClientRequest,
         head: oneshot::Sender<Response<ResponseBody>>,
     ) -> Self {
         let RegisteredCall { id, commands } = proxy.dispatcher.register();
-        let progress = RequestProgress::new(client.is_idempotent());
-        let deadline = Box::pin(sleep_until(client.deadline));
-        let turn = RequestTurn::new(&client);
+        let progress = RequestProgress::new(request.is_idempotent());
+        let deadline = Box::pin(sleep_until(request.deadline));
+        let turn = RequestTurn::new(&request);
         RequestTask {
             proxy,
-            client,
+            request,
             id,
             commands,
             response: ResponseSender::AwaitingHead(head),
@@ -140,13 +141,13 @@
         self.proxy.dispatcher.unregister(self.id);
         self.proxy.counters.count(end);
         tracing::debug!(
-            request = %self.client.metadata.request_id,
-            program = self.client.metadata.program.as_deref(),
-            session = self.client.metadata.session.as_deref(),
-            route = %self.client.route.name,
+            request = %self.request.metadata.request_id,
+            program = self.request.metadata.program.as_deref(),
+            session = self.request.metadata.session.as_deref(),
+            route = %self.request.route.name,
             ?end,
             events = self.turn.token_counter.events(),
-            elapsed_ms = self.client.arrived_at.elapsed().as_millis() as u64,
+            elapsed_ms = self.request.arrived_at.elapsed().as_millis() as u64,
             "request ended"
         );
     }
@@ -159,7 +160,7 @@
         self.transition(RequestProgress::admitted);
         let clock = self.proxy.clock;
         self.proxy.dispatcher.submit(
-            self.client
+            self.request
                 .call(self.id, |instant| clock.seconds_at(instant)),
         );
         loop {
@@ -174,20 +175,20 @@
     async fn prepare(&mut self) -> Option<RequestEnd> {
         let RequestTask {
             proxy,
-            client,
+            request,
             response,
             turn,
             deadline,
             ..
         } = self;
         let prepared = tokio::select! {
-            prepared = turn.prepare(&proxy.storage, client) => prepared,
+            prepared = turn.prepare(&proxy.storage, request) => prepared,
             () = response.client_disconnected() => return Some(self.end_disconnected()),
             () = deadline => Err(TurnError::Unavailable),
         };
         match prepared {
             Ok(body) => {
-                self.outgoing = Some(Arc::new(self.client.outgoing(body)));
+                self.outgoing = Some(Arc::new(self.request.outgoing(body)));
                 None
             }
             Err(TurnError::BudgetSpent) => {
@@ -201,7 +202,7 @@
                 let response = text_response(StatusCode::NOT_FOUND, "Previous names no turn");
                 Some(self.end_with(RequestEnd::UnknownTurn, response))
             }
-            Err(TurnError::Unavailable) => Some(self.refuse(RETRY_AFTER_SECONDS)),
+            Err(TurnError::Unavailable) => Some(self.refuse(RETRY_AFTER_LOCAL_REFUSAL)),
         }
     }
 
@@ -283,11 +284,11 @@
             return;
         };
         if let Err(error) = self.progress.sent() {
-            tracing::error!(%error, request = %self.client.metadata.request_id, "attempt refused");
+            tracing::error!(%error, request = %self.request.metadata.request_id, "attempt refused");
             self.report_outcome(number, Outcome::NeverSent, None);
             return;
         }
-        tracing::debug!(request = %self.client.metadata.request_id, attempt = number, %replica, "attempt sent");
+        tracing::debug!(request = %self.request.metadata.request_id, attempt = number, %replica, "attempt sent");
         let max_conns = routing_state.max_conns(&record.heartbeat.service);
         let params = AttemptParams {
             attempt: number,
@@ -296,7 +297,7 @@
                 address: record.heartbeat.address,
             },
             max_connections: connections_per_edge(max_conns, self.proxy.edges()),
-            deadline: (Instant::now() + duration_from_seconds(timeout)).min(self.client.deadline),
+            deadline: (Instant::now() + duration_from_seconds(timeout)).min(self.request.deadline),
             resume_after: self.position.resume_after(),
         };
         let handle = self
@@ -312,7 +313,7 @@
     fn abort(&mut self, attempt: u32) {
         if let Some(running) = self.remove_running(attempt) {
             running.handle.abort();
-            self.transition(|progress| progress.attempt_ended(false));
+            self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
         }
     }
 
@@ -330,12 +331,12 @@
             load,
         } = report;
         if let AttemptResult::Failed { outcome, .. } = &result {
-            tracing::debug!(request = %self.client.metadata.request_id, attempt, ?outcome, "attempt failed");
+            tracing::debug!(request = %self.request.metadata.request_id, attempt, ?outcome, "attempt failed");
         }
         self.remove_running(attempt)?;
         match result {
             AttemptResult::Answered(response) => {
-                self.transition(|progress| progress.attempt_ended(false));
+                self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
                 self.proxy
                     .dispatcher
                     .response_started(self.id, attempt, load);
@@ -356,7 +357,12 @@
                 None
             }
             AttemptResult::Failed { outcome, response } => {
-                self.transition(|progress| progress.attempt_ended(outcome.has_not_run()));
+                let execution = if outcome.has_not_run() {
+                    Execution::HasNotRun
+                } else {
+                    Execution::MayHaveRun
+                };
+                self.transition(|progress| progress.attempt_ended(execution));
                 self.last_failure = response.or(self.last_failure.take());
                 self.report_outcome(attempt, outcome, load);
                 None
@@ -375,12 +381,7 @@
         change: impl FnOnce(&mut RequestProgress) -> Result<(), InvalidTransition>,
     ) {
         if let Err(error) = change(&mut self.progress) {
-            tracing::error!(%error, request = %self.client.metadata.request_id, "state transition refused");
+            tracing::error!(%error, request = %self.request.metadata.request_id, "state transition refused");
         }
     }
-
-    /// State of the request.
-    pub fn state(&self) -> RequestState {
-        self.progress.state()
-    }
 }
--- a/crates/tier/proxy/src/request/task/ending.rs
+++ b/crates/tier/proxy/src/request/task/ending.rs
@@ -11,7 +11,7 @@
 use woadreach_scheduler::FailReason;
 
 /// `Retry-After` of a 503 that the scheduler did not decide, in seconds.
-pub(super) const RETRY_AFTER_SECONDS: f64 = 0.2;
+pub(super) const RETRY_AFTER_LOCAL_REFUSAL: f64 = 0.2;
 
 impl RequestTask {
     /// Forwards a replica's complete response; truncates the response if another has started.
@@ -36,7 +36,7 @@
         }
         if reason == FailReason::ReplicaError
             && let Some(response) = self.last_failure.take_if(|response| {
-                self.client.is_idempotent() || !promises_not_executed(response.head.status)
+                self.request.is_idempotent() || !promises_not_executed(response.head.status)
             })
         {
             return self.forward(response, RequestEnd::ReplicaFailure);
@@ -69,7 +69,7 @@
         let end = self.end(wanted);
         let response = match end {
             permitted if permitted == wanted => response,
-            RequestEnd::Refused => unavailable_response(RETRY_AFTER_SECONDS),
+            RequestEnd::Refused => unavailable_response(RETRY_AFTER_LOCAL_REFUSAL),
             _ => bad_gateway(),
         };
         self.response.send_response(response);
--- a/crates/tier/proxy/src/request/task/streaming.rs
+++ b/crates/tier/proxy/src/request/task/streaming.rs
@@ -2,7 +2,7 @@
 
 use super::RequestTask;
 use crate::replica::event_stream::StreamPosition;
-use crate::request::state::{RequestEnd, RequestProgress};
+use crate::request::state::{Execution, RequestEnd, RequestProgress};
 use crate::turns::request_turn::TurnError;
 use bytes::Bytes;
 use woadreach_scheduler::{FailReason, Outcome};
@@ -41,7 +41,7 @@
         let active = self.stream.take()?;
         let remainder = active.reader.into_remainder();
         active.open.release();
-        self.transition(|progress| progress.attempt_ended(false));
+        self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
         self.report_outcome(active.attempt, Outcome::Answered, None);
         let head = self.stream_head.clone()?;
         if self.response.send_chunk(&head, remainder).await.is_err() {
@@ -49,7 +49,7 @@
         }
         self.transition(RequestProgress::committing);
         let stored = tokio::select! {
-            stored = self.turn.store(&self.proxy.storage, &self.client) => stored,
+            stored = self.turn.store(&self.proxy.storage, &self.request) => stored,
             () = self.deadline.as_mut() => Err(TurnError::Unavailable),
         };
         if stored.is_err() {
@@ -63,7 +63,7 @@
     /// known.
     pub(super) fn handle_broken_stream(&mut self) -> Option<RequestEnd> {
         let active = self.stream.take()?;
-        self.transition(|progress| progress.attempt_ended(false));
+        self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
         if self.response.is_awaiting_head() {
             // No byte of this replica's body was forwarded, so its head does not belong to the response.
             self.stream_head = None;
--- a/crates/tier/proxy/src/turns/request_turn.rs
+++ b/crates/tier/proxy/src/turns/request_turn.rs
@@ -24,7 +24,7 @@
 /// A request's turn: its budget reservation, the turn before it, and its events so far. A request whose route
 /// stores no turns has one too, which stores nothing.
 pub struct RequestTurn {
-    /// Tokens sent to the client.
+    /// Tokens sent to the request.
     pub token_counter: TokenCounter,
     program: String,
     request_id: String,
@@ -40,13 +40,13 @@
 
 impl RequestTurn {
     /// The turn of this request. Most requests have neither a budget nor stored turns.
-    pub fn new(client: &ClientRequest) -> Self {
-        let max_tokens = client.metadata.tokens.unwrap_or_default().output;
+    pub fn new(request: &ClientRequest) -> Self {
+        let max_tokens = request.metadata.tokens.unwrap_or_default().output;
         RequestTurn {
-            token_counter: TokenCounter::new(client.tokens_per_event, max_tokens),
-            program: client.metadata.program.clone().unwrap_or_default(),
-            request_id: client.metadata.request_id.clone(),
-            is_stored: client.route.kept,
+            token_counter: TokenCounter::new(request.tokens_per_event, max_tokens),
+            program: request.metadata.program.clone().unwrap_or_default(),
+            request_id: request.metadata.request_id.clone(),
+            is_stored: request.route.kept,
             previous: None,
             events: Vec::new(),
             reservation: None,
@@ -61,10 +61,10 @@
     pub async fn prepare(
         &mut self,
         storage: &StorageClient,
-        client: &ClientRequest,
+        request: &ClientRequest,
     ) -> Result<Bytes, TurnError> {
         let chain = async {
-            match (self.is_stored, &client.metadata.previous) {
+            match (self.is_stored, &request.metadata.previous) {
                 (true, Some(previous)) => storage
                     .chain(&self.program, previous)
                     .await
@@ -72,26 +72,26 @@
                 _ => Ok(Vec::new()),
             }
         };
-        let (reserved, chain) = match client.metadata.budget {
+        let (reserved, chain) = match request.metadata.budget {
             None => (Ok(None), chain.await),
             Some(budget) => {
-                let request = ReserveRequest {
+                let reserve_request = ReserveRequest {
                     program: self.program.clone(),
                     request_id: self.request_id.clone(),
                     budget,
-                    max_tokens: u64::from(client.metadata.tokens.unwrap_or_default().output),
+                    max_tokens: u64::from(request.metadata.tokens.unwrap_or_default().output),
                 };
-                let reserve = async { storage.reserve(&request).await.map(Some) };
+                let reserve = async { storage.reserve(&reserve_request).await.map(Some) };
                 tokio::join!(reserve, chain)
             }
         };
         self.reservation = reserved.map_err(reserve_error)?;
         let chain = chain?;
         self.previous = chain.last().map(|turn| turn.key());
-        Ok(replay_body(&chain, &client.body))
+        Ok(replay_body(&chain, &request.body))
     }
 
-    /// Records events that have been forwarded to the client.
+    /// Records events that have been forwarded to the request.
     pub fn add_events(&mut self, events: Vec<Event>) {
         self.token_counter.add_events(events.len());
         if let Some(reservation) = &mut self.reservation {
@@ -111,19 +111,19 @@
     pub async fn store(
         &mut self,
         storage: &StorageClient,
-        client: &ClientRequest,
+        request: &ClientRequest,
     ) -> Result<(), TurnError> {
         if !self.is_stored {
             return Ok(());
         }
         let turn = Turn {
             program: self.program.clone(),
-            session: client.metadata.session.clone().unwrap_or_default(),
+            session: request.metadata.session.clone().unwrap_or_default(),
             request_id: self.request_id.clone(),
             previous: self.previous.take(),
-            input: client.body.clone(),
+            input: request.body.clone(),
             events: std::mem::take(&mut self.events),
-            retention: client.route.retention,
+            retention: request.route.retention,
         };
         let stored = storage.put_turn(turn, self.reservation.as_mut()).await;
         stored.map_err(|_| TurnError::Unavailable)
--- a/crates/tier/proxy/tests/request_state.rs
+++ b/crates/tier/proxy/tests/request_state.rs
@@ -1,7 +1,7 @@
 //! Walks the states of a request beside an oracle that remembers what may have run.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use woadreach_proxy::request::state::{RequestEnd, RequestProgress, RequestState};
+use woadreach_proxy::request::state::{Execution, RequestEnd, RequestProgress, RequestState};
 
 #[derive(Clone, Copy, Debug)]
 enum Change {
@@ -75,8 +75,8 @@
         let taken = match change {
             Change::Admitted => progress.admitted(),
             Change::Sent => progress.sent(),
-            Change::EndedNotRun => progress.attempt_ended(true),
-            Change::EndedMaybeRun => progress.attempt_ended(false),
+            Change::EndedNotRun => progress.attempt_ended(Execution::HasNotRun),
+            Change::EndedMaybeRun => progress.attempt_ended(Execution::MayHaveRun),
             Change::StreamStarted => progress.stream_started(),
             Change::Committing => progress.committing(),
             Change::End(wanted) => progress.end(wanted).map(|end| oracle.ended = Some(end)),
@@ -145,8 +145,12 @@
     let mut progress = RequestProgress::new(false);
     progress.admitted().expect("first change");
     progress.sent().expect("a first send");
-    progress.attempt_ended(true).expect("it was out");
+    progress
+        .attempt_ended(Execution::HasNotRun)
+        .expect("it was out");
     progress.sent().expect("a second send after a promise");
-    progress.attempt_ended(false).expect("it was out");
+    progress
+        .attempt_ended(Execution::MayHaveRun)
+        .expect("it was out");
     assert!(progress.sent().is_err());
 }
