--- a/crates/tier/proxy/src/client/connection.rs
+++ b/crates/tier/proxy/src/client/connection.rs
@@ -172,6 +172,12 @@
         }
     }
 
+    /// Notifies the connection's task if the connection is idle, or stalled at `now`, in seconds of the process's
+    /// clock.
+    pub fn close_if_idle(&self, now: f64) {
+        self.check_timeouts(now, &ClientLimits::default(), true);
+    }
+
     /// Returns when the connection must close.
     pub async fn timed_out(&self) -> ConnectionTimeout {
         loop {
--- a/crates/tier/proxy/src/client/listener.rs
+++ b/crates/tier/proxy/src/client/listener.rs
@@ -17,7 +17,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::MissedTickBehavior;
-use woadreach_config::ClientLimits;
 use woadreach_settings::ProcessLimits;
 
 /// How often connections are checked against their time-outs.
@@ -97,7 +96,8 @@
         }
     }
 
-    /// Checks the time-outs of clients' and replicas' connections at intervals; never returns.
+    /// Checks the time-outs of clients' connections, and of those in the replicas' pool, at intervals; never
+    /// returns.
     pub async fn sweep(self: Arc<Self>) {
         let mut interval = tokio::time::interval(SWEEP_INTERVAL);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -147,11 +147,7 @@
         let Some((_, longest_idle)) = idle.min_by(|(a, _), (b, _)| a.total_cmp(b)) else {
             return false;
         };
-        let at_once = ClientLimits {
-            idle_timeout: Duration::ZERO,
-            ..ClientLimits::default()
-        };
-        longest_idle.check_timeouts(self.proxy.clock.now(), &at_once, true);
+        longest_idle.close_if_idle(self.proxy.clock.now());
         true
     }
 }
--- a/crates/tier/proxy/src/client/local_response.rs
+++ b/crates/tier/proxy/src/client/local_response.rs
@@ -13,7 +13,7 @@
     response
 }
 
-/// 503 with `Retry-After` in seconds: the request has not run and never will.
+/// 503 with `Retry-After` in seconds: the client may send the request again, since it has not run or is idempotent.
 pub fn unavailable_response(retry_after: f64) -> Response<ResponseBody> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
     if let Ok(value) = HeaderValue::from_str(&format!("{retry_after:.3}")) {
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -38,7 +38,8 @@
     pub buffered_body_bytes: AtomicUsize,
     /// Limit of `buffered_body_bytes`; above it requests get 503.
     pub max_buffered_body_bytes: usize,
-    /// Replaced as a whole by each snapshot; requests keep the one that they have read.
+    /// Replaced as a whole by each snapshot. A request keeps its route; each of its attempts reads the newest
+    /// replicas and limits.
     routing_state: Mutex<Arc<RoutingState>>,
 }
 
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -1,7 +1,6 @@
 //! The configuration and the replicas, as the control plane has sent them.
 //!
-//! Requests read one immutable state each; a snapshot replaces it as a whole, so that no request sees half of an
-//! update.
+//! Readers get one immutable state; a snapshot replaces it as a whole, so that none sees half of an update.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
