--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -12,7 +12,7 @@
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, prefill_tokens};
 use crate::scheduler::Scheduler;
-use crate::step::Step;
+use crate::step::QueuingDeadlines;
 use crate::timers::has_come;
 
 /// Share of its latency target for which a call may be queued before it has reached any replica.
@@ -208,12 +208,7 @@
         let service = self.services.get(&call.service);
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, service);
         call.home = placement.home(call);
-        let step = Step {
-            now,
-            calls: &self.calls,
-            programs: &self.programs,
-            routes: &self.routes,
-        };
+        let deadlines = QueuingDeadlines::new(now, &self.calls, &self.programs, &self.routes);
         let Some(call) = self.calls.get(&id) else {
             return Choice::NoReplica;
         };
@@ -221,7 +216,7 @@
             self.queue.first(&replica).is_some()
                 && self
                     .queue
-                    .is_behind(&replica, step.queuing_deadline(call, replica), id)
+                    .is_behind(&replica, deadlines.of(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
     }
@@ -366,16 +361,11 @@
         if has_come(now, limit) {
             return self.send_if_worthwhile(now, id, replica, actions);
         }
-        let step = Step {
-            now,
-            calls: &self.calls,
-            programs: &self.programs,
-            routes: &self.routes,
-        };
+        let deadlines = QueuingDeadlines::new(now, &self.calls, &self.programs, &self.routes);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let deadline = step.queuing_deadline(call, replica);
+        let deadline = deadlines.of(call, replica);
         self.queue.insert(&replica, deadline, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,8 +1,9 @@
 //! Choice of a replica for one attempt of a call.
 //!
 //! The replica with the fewest calls of this process in flight is chosen, ties at random, with these
-//! exceptions in order. Replicas that must not be used are excluded. Replicas that have recently failed, are
-//! unresponsive, have reported that they are full, or are warming up are used only if no others remain. For
+//! exceptions in order. Replicas that must not be used are excluded. Replicas that the call was not sent to are
+//! preferred, then healthy ones: replicas that have recently failed, are unresponsive, have reported that they
+//! are full, or are warming up are used only if no others remain; then those at which no call has to wait. For
 //! engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the
 //! head of the prompt is chosen unless it has so many more calls that their prefill takes longer. Among
 //! equals the home of the call's program or object is preferred, and then this process's zone.
@@ -22,7 +23,7 @@
 use crate::fleet::Fleet;
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::replica::Replica;
-use crate::routes::Routes;
+use crate::routes::LatenciesByRoute;
 use crate::service::Service;
 
 /// Prompt tokens that count as one unit in the comparison. Smaller differences do not justify a longer queue.
@@ -52,7 +53,7 @@
 pub(crate) struct Placement<'a> {
     pub now: f64,
     pub fleet: &'a Fleet,
-    pub routes: &'a Routes,
+    pub routes: &'a LatenciesByRoute,
     /// Zone of this process.
     pub zone: &'a str,
     /// This process's share of the connections that a replica accepts.
@@ -66,7 +67,7 @@
     pub(crate) fn new(
         now: f64,
         fleet: &'a Fleet,
-        routes: &'a Routes,
+        routes: &'a LatenciesByRoute,
         zone: &'a str,
         service: Option<&Service>,
     ) -> Self {
@@ -232,7 +233,6 @@
         candidates.prefer(|key| self.with(*key, |replica| !replica.is_saturated(self.now)));
         candidates
             .prefer(|key| self.with(*key, |replica| replica.has_slow_start_capacity(self.now)));
-        candidates.prefer(|key| !call.was_sent_to(*key));
     }
 
     fn cheapest(
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use woadreach_routing::decide::part_budget::PartBudget;
-use woadreach_routing::decide::unloaded_latency::UnloadedLatency;
 use woadreach_routing::samples::{push, quantile};
+use woadreach_routing::unloaded_latency::UnloadedLatency;
 
 use crate::keys::{ReplicaKey, RouteKey};
 
@@ -30,7 +30,7 @@
 const INITIAL_SHARE_OF_TARGET: f64 = 0.1;
 
 /// Latencies of one route in seconds. Those of streams end with the first event.
-pub(crate) struct Route {
+pub(crate) struct RouteLatencies {
     pub unloaded: UnloadedLatency<ReplicaKey>,
     /// The route's latency target.
     target: f64,
@@ -46,9 +46,9 @@
     typical: f64,
 }
 
-impl Route {
+impl RouteLatencies {
     fn new(target: f64) -> Self {
-        Route {
+        RouteLatencies {
             unloaded: UnloadedLatency::new(target * INITIAL_SHARE_OF_TARGET),
             target,
             recent: VecDeque::new(),
@@ -91,13 +91,13 @@
 
 /// All routes of which calls have arrived.
 #[derive(Default)]
-pub(crate) struct Routes {
+pub(crate) struct LatenciesByRoute {
     keys: BTreeMap<Arc<str>, RouteKey>,
-    routes: BTreeMap<RouteKey, Route>,
-    pub budget: PartBudget,
+    routes: BTreeMap<RouteKey, RouteLatencies>,
+    pub part_budget: PartBudget,
 }
 
-impl Routes {
+impl LatenciesByRoute {
     /// The key of a route, which is assigned at its first call.
     pub(crate) fn key(&mut self, name: &Arc<str>, target: f64) -> RouteKey {
         if let Some(key) = self.keys.get(name) {
@@ -105,15 +105,15 @@
         }
         let key = RouteKey::new(self.keys.len() as u32);
         self.keys.insert(name.clone(), key);
-        self.routes.insert(key, Route::new(target));
+        self.routes.insert(key, RouteLatencies::new(target));
         key
     }
 
-    pub(crate) fn get(&self, key: RouteKey) -> Option<&Route> {
+    pub(crate) fn get(&self, key: RouteKey) -> Option<&RouteLatencies> {
         self.routes.get(&key)
     }
 
-    pub(crate) fn get_mut(&mut self, key: RouteKey) -> Option<&mut Route> {
+    pub(crate) fn get_mut(&mut self, key: RouteKey) -> Option<&mut RouteLatencies> {
         self.routes.get_mut(&key)
     }
 
@@ -121,7 +121,7 @@
     pub(crate) fn late_after(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
-            .map_or(f64::INFINITY, Route::late_after)
+            .map_or(f64::INFINITY, RouteLatencies::late_after)
     }
 
     /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later
@@ -143,7 +143,8 @@
         let Some(route) = self.routes.get(&key) else {
             return 0.0;
         };
-        self.budget.tail(now, &route.unloaded, replica.as_ref(), k)
+        self.part_budget
+            .tail(now, &route.unloaded, replica.as_ref(), k)
     }
 
     /// Median unloaded latency of this route over all replicas, in seconds.
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use woadreach_routing::decide::deadline_queue::DeadlineQueue;
+use woadreach_routing::deadline_queue::DeadlineQueue;
 
 use crate::action::Action;
 use crate::call::{Call, CallId, WeightedService};
@@ -12,7 +12,7 @@
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::outcome::{Outcome, ServerLoad};
 use crate::programs::Programs;
-use crate::routes::Routes;
+use crate::routes::LatenciesByRoute;
 use crate::service::Service;
 use crate::spec::{ReplicaSpec, ServiceSpec};
 use crate::timers::Timers;
@@ -24,7 +24,7 @@
     pub(crate) edges: usize,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
     pub(crate) fleet: Fleet,
-    pub(crate) routes: Routes,
+    pub(crate) routes: LatenciesByRoute,
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, CallInFlight>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
@@ -44,7 +44,7 @@
             edges: 1,
             services: BTreeMap::new(),
             fleet: Fleet::default(),
-            routes: Routes::default(),
+            routes: LatenciesByRoute::default(),
             programs: Programs::default(),
             calls: BTreeMap::new(),
             queue: DeadlineQueue::default(),
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -6,17 +6,31 @@
 use crate::calls_in_flight::{AttemptState, CallInFlight};
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::programs::Programs;
-use crate::routes::Routes;
+use crate::routes::LatenciesByRoute;
 
-/// State from which the queuing deadline is computed.
-pub(crate) struct Step<'a> {
-    pub now: f64,
-    pub calls: &'a BTreeMap<CallId, CallInFlight>,
-    pub programs: &'a Programs,
-    pub routes: &'a Routes,
+/// The queuing deadlines of all steps at one time, with the state from which they are computed.
+pub(crate) struct QueuingDeadlines<'a> {
+    now: f64,
+    calls: &'a BTreeMap<CallId, CallInFlight>,
+    programs: &'a Programs,
+    routes: &'a LatenciesByRoute,
 }
 
-impl Step<'_> {
+impl<'a> QueuingDeadlines<'a> {
+    pub(crate) fn new(
+        now: f64,
+        calls: &'a BTreeMap<CallId, CallInFlight>,
+        programs: &'a Programs,
+        routes: &'a LatenciesByRoute,
+    ) -> Self {
+        QueuingDeadlines {
+            now,
+            calls,
+            programs,
+            routes,
+        }
+    }
+
     /// When the calls of the step must have begun for all to be answered within the step's latency target:
     /// its arrival plus the target, less the p-quantile of the product of its replicas' unloaded histograms
     /// (DSSP paper, queuing deadline). `call` would be sent to `replica`; calls of the step without a replica
@@ -24,7 +38,7 @@
     ///
     /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the
     /// whole.
-    pub(crate) fn queuing_deadline(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
+    pub(crate) fn of(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
         let ids = self.programs.step_calls(&call.request);
         let size = ids.len();
@@ -39,7 +53,7 @@
             };
             replicas.entry(other.route).or_default().push(replica);
         }
-        let each = self.routes.budget.part_quantile(size);
+        let each = self.routes.part_budget.part_quantile(size);
         let quantiles = replicas
             .iter()
             .map(|(route, at)| self.quantile(*route, at, each));
