--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -10,7 +10,7 @@
     Listed, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search, SearchId, Settings,
     ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
 };
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
 
 /// How much before its time a timer may fire, in seconds: hosts' timers count in microseconds.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -54,15 +54,14 @@
     mod search_steps;
     pub(crate) mod slow_start;
 
+    pub use crate::balancer::Balancer;
     use crate::balancer::ReplicaState;
-    pub use crate::{balancer, deadline_queue, unloaded_latency};
-    pub use balancer::Balancer;
+    pub use crate::deadline_queue::DeadlineQueue;
+    pub use crate::unloaded_latency::UnloadedLatency;
     pub use candidates::Candidates;
-    pub use deadline_queue::DeadlineQueue;
     pub use hold::Hold;
     pub use latency_limits::LatencyLimits;
     pub use outlier_detector::{Change, EjectionConfig, Observation, OutlierDetector};
     pub use part_budget::PartBudget;
     pub use retry_budget::RetryBudget;
-    pub use unloaded_latency::UnloadedLatency;
 }
--- a/crates/routing/tests/balance/admission.rs
+++ b/crates/routing/tests/balance/admission.rs
@@ -4,7 +4,7 @@
 use crate::support::{balancer_of, new_search, outcome};
 use rstest::rstest;
 use woadreach_routing::api::{Ending, Reply, Settings};
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 /// A co-ordinator to which first attempts have come, with 1.8 s left, and twice as many retries.
 fn balancer_after_retries(settings: Settings) -> Balancer {
--- a/crates/routing/tests/balance/ejection.rs
+++ b/crates/routing/tests/balance/ejection.rs
@@ -6,7 +6,7 @@
 use woadreach_routing::api::{
     CellId, Ending, Listed, QueryTypeId, Search, ShardId, SlowStartConfig, ZoneId,
 };
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 /// Whatever makes a replica's attempts fail ejects it, until four probes in a row succeed.
 #[rstest]
--- a/crates/routing/tests/balance/hedging.rs
+++ b/crates/routing/tests/balance/hedging.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::ops::Range;
 use woadreach_routing::api::{AttemptId, Ending, Placement, Repeat};
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 /// Sends one-part searches of these numbers at 0.1 s.
 fn send_searches(balancer: &mut Balancer, numbers: Range<u64>) -> Vec<Placement> {
--- a/crates/routing/tests/balance/placement.rs
+++ b/crates/routing/tests/balance/placement.rs
@@ -6,7 +6,7 @@
 use woadreach_routing::api::{
     CellId, Ending, Listed, Placement, QueryType, QueryTypeId, SearchId, Settings, ShardId,
 };
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 #[rstest]
 #[case::spread_over_two(&["a", "b"], 4, &[2, 2])]
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -4,7 +4,7 @@
     CellId, Ending, Listed, Outcome, Part, PartId, Placement, QueryTypeId, ReplicaId, Search,
     SearchId, Settings, ShardId, TenantId, ZoneId,
 };
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 pub(crate) fn replica_id(name: &str) -> ReplicaId {
     ReplicaId(name.into())
--- a/crates/routing/tests/balance/zones.rs
+++ b/crates/routing/tests/balance/zones.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use woadreach_routing::api::{Ending, Listed, NearZones, ZoneFailoverState, ZoneId};
-use woadreach_routing::decide::balancer::Balancer;
+use woadreach_routing::balancer::Balancer;
 
 /// Two replicas in each of two zones, named by their zone's number: a0, b0, a1, b1.
 fn two_zones() -> Balancer {
--- a/crates/tier/config/src/model.rs
+++ b/crates/tier/config/src/model.rs
@@ -75,7 +75,7 @@
     pub kept: bool,
     /// How long a turn is stored.
     pub retention: Duration,
-    /// Whether requests of a session prefer one replica.
+    /// Whether requests with the same `Affinity-Key` prefer one replica.
     pub session_affinity: bool,
     /// Whether a stream may be resumed at another replica.
     pub resumable: bool,
--- a/crates/tier/proxy/src/counters.rs
+++ b/crates/tier/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of this process, for the state line of its log.
+//! Counters of this process; the state line has `ends` and `unread_hints` only.
 
 use crate::request::state::RequestEnd;
 use parking_lot::Mutex;
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -17,7 +17,8 @@
 /// Bodies of requests being read together may fill the process's memory divided by this.
 const BODIES_MEMORY_DIVISOR: u64 = 5;
 
-/// Number of edges that share each replica's connections, since the control plane does not send it.
+/// Assumed number of edges that share each replica's connections; the control plane does not send it
+/// (docs/ROADMAP.md).
 const ASSUMED_EDGE_COUNT: usize = 6;
 
 /// State and services that all requests share.
--- a/crates/tier/proxy/src/replica/event_stream.rs
+++ b/crates/tier/proxy/src/replica/event_stream.rs
@@ -10,7 +10,7 @@
 /// Largest event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// A body that is no stream of events, or one that exceeds the limit.
+/// An event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("an event is longer than {MAX_EVENT_BYTES} bytes"))]
 pub struct EventTooLong;
--- a/crates/tier/proxy/src/replica/pool.rs
+++ b/crates/tier/proxy/src/replica/pool.rs
@@ -73,7 +73,7 @@
     ///
     /// None of `excluded` is returned: the request was sent over these before, and a late or duplicate response
     /// to that send has the same id. If all idle connections are excluded and no more may be opened, the one idle
-    /// for longest is closed to make the number. `None` if all connections are in use.
+    /// for longest is closed to make room. `None` if all connections are in use.
     pub fn check_out(
         self: &Arc<Self>,
         endpoint: &ReplicaEndpoint,
--- a/crates/tier/scheduler/src/fleet.rs
+++ b/crates/tier/scheduler/src/fleet.rs
@@ -53,7 +53,7 @@
 
     /// Records that another replica answers at the address of this one, which is not used until its record
     /// changes.
-    pub(crate) fn misdirected(&mut self, id: &str) {
+    pub(crate) fn mark_misdirected(&mut self, id: &str) {
         if let Some(replica) = self
             .by_id
             .get(id)
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::Scheduler;
 
 /// A replica is ejected when half of its last eight outcomes, at least two, are failures (docs/design.md,
-/// exception 3).
+/// "Exceptions, and when each acts", 3; the tier's differences: "Exceptions to the replica rule", 2).
 const EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     min_failures: 2,
@@ -66,7 +66,7 @@
                 .get(&attempt.call)
                 .and_then(|call| call.attempts.get(attempt.index as usize))
         {
-            self.fleet.misdirected(&sent.replica_id);
+            self.fleet.mark_misdirected(&sent.replica_id);
         }
         if matches!(outcome, Outcome::Answered | Outcome::ReplicaError) {
             self.observe_begin(now, attempt, load);
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// All routes of which calls have arrived.
+/// Latencies of all routes of which calls have arrived.
 #[derive(Default)]
 pub(crate) struct LatenciesByRoute {
     keys: BTreeMap<Arc<str>, RouteKey>,
