--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -264,7 +264,7 @@
             .filter_map(|id| Some((*id, self.connections.get(id)?)))
             .filter(|(_, connection)| connection.can_take(attempts, now, &self.config))
             .min_by_key(|(_, connection)| {
-                let unheard = repeated && connection.last_heard == 0.0;
+                let unheard = repeated && connection.last_heard.is_none();
                 (!connection.connected, unheard, connection.in_flight.len())
             })
             .map(|(id, _)| id)
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -125,7 +125,8 @@
         // any more, as of a machine that is unreachable. Cost: a replica that is only slow gets a new
         // connection.
         let waited = now > attempt.sent_at + self.config.connect_timeout;
-        let unresponsive = connection.last_heard <= attempt.sent_at && waited;
+        let heard_since = connection.last_heard.is_some_and(|at| at > attempt.sent_at);
+        let unresponsive = waited && !heard_since;
         let aftermath = if unresponsive {
             Aftermath::Retire
         } else {
@@ -183,7 +184,7 @@
                 at,
             } => {
                 let connection = self.connections.get_mut(&id)?;
-                connection.last_heard = now;
+                connection.last_heard = Some(now);
                 let Some(attempt) = connection.in_flight.get(&wire_id).copied() else {
                     debug!(%wire_id, ?status, "answer to no attempt in flight received");
                     if !connection.has_finished(&wire_id) {
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -1,4 +1,9 @@
 //! The task of one connection to a replica, from its first packet to its end.
+//!
+//! It writes what the pool has put into the connection's [`WriteQueue`], and reports to the core, in this
+//! order: `Connected` at most once, an `AnswerReceived` for each answer, and `Closed` exactly once. Reading,
+//! writing and the wait for the pool to close the connection run side by side; the first that ends, ends the
+//! connection. The task never decides what an answer or an end means for an attempt: that is `attempts`.
 
 use super::write_queue::{Closing, QueuedMessage, WriteQueue};
 use crate::events::{ConnectionEvent, ConnectionId, Event, Events};
@@ -75,7 +80,7 @@
             biased;
             ended = read(&self.net, self.id, reader, self.timeout, &self.events) => ended,
             // Before the writing: a frame that is cut off must not get its last byte now.
-            ended = closed(&self.net, &self.queue, self.timeout) => ended,
+            ended = wait_until_closed(&self.net, &self.queue, self.timeout) => ended,
             ended = write(&self.net, writer, &self.queue) => ended,
         };
         if let Err(reason) = ended {
@@ -91,8 +96,12 @@
 ///
 /// Prevents that a machine which reads nothing keeps the connection's descriptor for good. Cost: messages to
 /// a slow machine are lost, all of which only cancel attempts that were given up.
-async fn closed(net: &impl Net, queue: &WriteQueue, timeout: f64) -> Result<(), ConnectionError> {
-    queue.closed().await;
+async fn wait_until_closed(
+    net: &impl Net,
+    queue: &WriteQueue,
+    timeout: f64,
+) -> Result<(), ConnectionError> {
+    queue.close_requested().await;
     if queue.closing() < Closing::Abort {
         net.sleep(timeout).await;
     }
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! What the pool knows of one connection.
+//! What the pool knows of one connection to a replica.
 
 use super::config::ConnectionConfig;
 use super::write_queue::{Closing, QueuedAttempt, WriteQueue};
@@ -11,25 +11,43 @@
 #[derive(PartialEq)]
 struct FinishedAttempt {
     wire_id: String,
-    /// Its first answer may still come; else only a second one.
+    /// Whether its first answer may still be received; else only a second one can.
     given_up: bool,
 }
 
 /// A connection of the pool.
+///
+/// `connected` and `retired` are independent: each of the four combinations occurs.
+///
+/// | `connected` | `retired` | state |
+/// | --- | --- | --- |
+/// | no | no | It is being established; attempts already wait on it. |
+/// | yes | no | It is in use. |
+/// | yes | yes | It finishes what is in flight, or was aborted. |
+/// | no | yes | Its replica drains or has started anew since it was opened. |
+///
+/// How it is to end is the [`Closing`] of its queue, which is independent of `connected`:
+///
+/// - [`Closing::Open`] occurs with `retired` as long as attempts are in flight.
+/// - [`Closing::AfterQueue`] occurs with and without `retired`, and never with an attempt in flight. One that
+///   is not retired was idle for too long, wherefore [`PooledConnection::can_take`] takes nothing on it.
+/// - [`Closing::Abort`] and [`Closing::Reset`] occur only with `retired`, and never with an attempt in flight.
 pub(super) struct PooledConnection {
     pub(super) replica: ReplicaId,
+    /// What waits to be written; its other owner is the connection's task.
     pub(super) queue: Rc<WriteQueue>,
+    /// Whether the task has reported that the connection is established. Never reset.
     pub(super) connected: bool,
-    /// It takes nothing new, and is closed once nothing is in flight on it.
+    /// Whether it takes nothing new, and is closed once nothing is in flight on it. Never reset.
     pub(super) retired: bool,
-    /// Attempts by their wire ids.
+    /// Attempts on it without an outcome, by their wire ids.
     pub(super) in_flight: BTreeMap<String, AttemptId>,
-    /// The latest attempts that are no longer in flight.
+    /// The latest attempts that are no longer in flight, oldest first.
     finished: VecDeque<FinishedAttempt>,
-    /// In Unix seconds.
+    /// When an attempt was last put on it or ended on it, in Unix seconds; at first, when it was opened.
     pub(super) last_used: f64,
-    /// When bytes of an answer were last read, in Unix seconds; 0 before.
-    pub(super) last_heard: f64,
+    /// When an answer was last received on it, in Unix seconds; `None` before the first.
+    pub(super) last_heard: Option<f64>,
 }
 
 impl PooledConnection {
@@ -42,7 +60,7 @@
             in_flight: BTreeMap::new(),
             finished: VecDeque::new(),
             last_used: now,
-            last_heard: 0.0,
+            last_heard: None,
         }
     }
 
@@ -66,6 +84,7 @@
         self.finished.iter().any(|f| f.wire_id == wire_id)
     }
 
+    /// Has a retired connection closed if nothing is in flight on it any more.
     pub(super) fn close_if_retired(&self) {
         if self.retired && self.in_flight.is_empty() {
             self.queue.close(Closing::AfterQueue);
--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -48,44 +48,66 @@
     Cancel(String),
 }
 
-/// How a connection is to end. It only ever moves down this list.
+/// How a connection is to end.
+///
+/// Each connection begins as `Open`. [`WriteQueue::close`] moves it on to a later state of this list, any of
+/// them, and never back:
+///
+/// | to | when |
+/// | --- | --- |
+/// | `AfterQueue` | nothing is in flight on it, and it was idle for too long or is retired |
+/// | `Abort` | an answer on it belongs to no attempt, or has a value that cannot be passed on |
+/// | `Reset` | an attempt was given up of which a part, but not all, has left this machine |
+///
+/// The task acts on the state once the connection is established; one that is being established ends after
+/// that, or by its time-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Closing {
     /// It stays open.
     #[default]
     Open,
-    /// It closes once its queue is written.
+    /// It closes once its queue is written, or after the time that a message may take.
     AfterQueue,
     /// It closes at once: nothing that waits is of use any more.
     Abort,
-    /// It is reset: what the other machine has not taken yet must not arrive.
+    /// It closes at once by a TCP reset, so that what the other machine has not taken yet never arrives there.
     Reset,
 }
 
+/// An attempt whose call has been handed to the writer, and not all of it to the kernel.
 struct AttemptInWriting {
     attempt: AttemptId,
     last_write: LastWrite,
 }
 
 /// The queue of a connection, shared between the pool and the connection's task.
+///
+/// Until its last byte is handed to the kernel, an attempt is in exactly one of `messages`, `writing` and
+/// `expired`.
 #[derive(Default)]
 pub(super) struct WriteQueue {
+    /// What waits, in the order in which it leaves.
     messages: RefCell<VecDeque<QueuedMessage>>,
-    /// The attempts of the call that is being written.
+    /// The attempts of the call that is being written; empty between two calls and while a cancellation is
+    /// written.
     writing: RefCell<Vec<AttemptInWriting>>,
-    /// Whether the other machine has not taken all of what was written last.
+    /// Whether the other machine has not taken all of the last message that was written, as of its last byte.
+    /// Independent of `writing`, which is about the message after it.
     unsent: Cell<bool>,
-    /// Attempts that were left out as their time was over when their turn came.
+    /// Attempts that were left out of their call, since their time was over when it was written. They stay
+    /// until they are taken back.
     expired: RefCell<BTreeSet<AttemptId>>,
     closing: Cell<Closing>,
-    wake: Notify,
-    close: Notify,
+    /// Notified when a message is pushed or `closing` changes, for the task's writing half.
+    changed: Notify,
+    /// Notified when `closing` changes, for the part of the task that bounds how long closing takes.
+    close_requested: Notify,
 }
 
 impl WriteQueue {
     pub(super) fn push(&self, message: QueuedMessage) {
         self.messages.borrow_mut().push_back(message);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
     pub(super) fn pop(&self) -> Option<QueuedMessage> {
@@ -100,11 +122,11 @@
         self.messages.borrow_mut().clear();
     }
 
-    /// Has the connection end in this way, or in the harder one that was asked for before.
+    /// Has the connection end in this way, unless an earlier call asked for a later state of [`Closing`].
     pub(super) fn close(&self, closing: Closing) {
         self.closing.set(self.closing.get().max(closing));
-        self.wake.notify_one();
-        self.close.notify_one();
+        self.changed.notify_one();
+        self.close_requested.notify_one();
     }
 
     pub(super) fn closing(&self) -> Closing {
@@ -113,12 +135,12 @@
 
     /// Waits until a message is pushed or the connection is to end.
     pub(super) async fn changed(&self) {
-        self.wake.notified().await;
+        self.changed.notified().await;
     }
 
     /// Waits until the connection is to end.
-    pub(super) async fn closed(&self) {
-        self.close.notified().await;
+    pub(super) async fn close_requested(&self) {
+        self.close_requested.notified().await;
     }
 
     /// Removes an attempt; false if it has begun to leave.
