--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -44,7 +44,7 @@
     pub disconnect_after: Option<f64>,
 }
 
-/// How a search ended for its client. `after` is in seconds from the call.
+/// How a search ended for its client. `after`: when, in seconds from the call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
     /// An answer with results.
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -60,18 +60,33 @@
     Lost,
 }
 
+/// An entry with the generation of its last change.
+struct VersionedEntry {
+    generation: u64,
+    entry: ListEntry,
+}
+
+/// A list as it is written to the co-ordinator.
+struct WrittenList {
+    json: String,
+    entries: Vec<ListEntry>,
+}
+
 struct Inner {
     node: NodeId,
     recorder: Recorder,
+    /// Ascends with each change of the list.
     generation: Cell<u64>,
-    /// Each replica with the generation of its last change.
-    lines: RefCell<BTreeMap<String, (u64, ListEntry)>>,
+    /// By the replicas' names.
+    entries: RefCell<BTreeMap<String, VersionedEntry>>,
     /// The latest generation that was written to the co-ordinator.
     written: Cell<u64>,
+    /// Whether it is unresponsive.
     silent: Cell<bool>,
     calls_while_silent: Cell<CallsWhileSilent>,
     /// The generation up to which the record has the list.
     recorded: Cell<u64>,
+    /// Notified when the list changes, or the agent becomes unresponsive or responsive.
     changed: Notify,
 }
 
@@ -96,7 +111,7 @@
             recorder: recorder.clone(),
             generation: Cell::new(1),
             written: Cell::new(0),
-            lines: RefCell::default(),
+            entries: RefCell::default(),
             silent: Cell::new(false),
             calls_while_silent: Cell::default(),
             recorded: Cell::new(0),
@@ -110,14 +125,14 @@
 
 impl Agent {
     /// Changes these entries of the list, which gets a new generation.
-    pub fn change(&self, lines: &[ListEntry]) {
+    pub fn change(&self, entries: &[ListEntry]) {
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
-        for line in lines {
-            self.0
-                .lines
-                .borrow_mut()
-                .insert(line.id.clone(), (generation, line.clone()));
+        for entry in entries {
+            let entry = entry.clone();
+            let versioned = VersionedEntry { generation, entry };
+            let id = versioned.entry.id.clone();
+            self.0.entries.borrow_mut().insert(id, versioned);
         }
         self.record_changes();
         self.0.changed.notify_waiters();
@@ -128,11 +143,11 @@
         if !self.0.silent.get() {
             let (after, generation) = (self.0.recorded.get(), self.0.generation.get());
             self.0.recorded.set(generation);
-            self.record(&self.list(after, false).1);
+            self.record(&self.list(after, false).entries);
         }
     }
 
-    /// A new process of its co-ordinator has started, to which the whole list is news.
+    /// A new process of its co-ordinator has started, which has no list yet: the record has all entries anew.
     pub fn process_started(&self) {
         self.0.recorded.set(0);
         self.record_changes();
@@ -162,37 +177,38 @@
 
     /// The JSON of the list, for a co-ordinator's configuration.
     pub fn known(&self) -> String {
-        self.list(0, true).0
+        self.list(0, true).json
     }
 
-    /// The JSON of the list, and the entries in it: those that changed after a generation. A full list is
-    /// without departed replicas.
-    fn list(&self, after: u64, full: bool) -> (String, Vec<ListEntry>) {
-        let lines = self.0.lines.borrow();
-        let wanted = lines
+    /// The entries that changed after a generation. A full list is without departed replicas.
+    fn list(&self, after: u64, full: bool) -> WrittenList {
+        let all = self.0.entries.borrow();
+        let entries: Vec<ListEntry> = all
             .values()
-            .filter(|(at, line)| *at > after && !(full && line.lifecycle == "gone"));
-        let lines: Vec<ListEntry> = wanted.map(|(_, line)| line.clone()).collect();
-        let entries: Vec<String> = lines.iter().map(ListEntry::json).collect();
+            .filter(|versioned| versioned.generation > after)
+            .map(|versioned| &versioned.entry)
+            .filter(|entry| !(full && entry.lifecycle == "gone"))
+            .cloned()
+            .collect();
+        let instances: Vec<String> = entries.iter().map(ListEntry::json).collect();
         let generation = self.0.generation.get();
-        let text = format!(
+        let json = format!(
             r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
-            entries.join(",")
+            instances.join(",")
         );
-        (text, lines)
+        WrittenList { json, entries }
     }
 
     fn record_written(&self, generation: u64) {
         self.0.written.set(self.0.written.get().max(generation));
     }
 
-    fn record(&self, lines: &[ListEntry]) {
-        for line in lines {
-            let (node, replica) = (self.0.node, line.id.as_str().into());
+    fn record(&self, entries: &[ListEntry]) {
+        for entry in entries {
             self.0.recorder.tell(EventKind::ReplicaListed {
-                node,
-                replica,
-                ready: line.lifecycle == "ready",
+                node: self.0.node,
+                replica: entry.id.as_str().into(),
+                ready: entry.lifecycle == "ready",
             });
         }
     }
@@ -204,7 +220,7 @@
     }
 }
 
-/// Reads a request's head; none if the connection closes before.
+/// Reads a request's head; `None` if the connection closes before.
 async fn read_head<S: Stream>(stream: &mut S, bytes: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -217,7 +233,7 @@
     }
 }
 
-/// The generation that a request wants the changes after; none if it wants the whole list.
+/// The generation after which a request asks for changes; `None` if it asks for the complete list.
 fn requested_index(head: &str) -> Option<u64> {
     let value = head.split("index=").nth(1)?;
     value.split([' ', '&']).next()?.parse().ok()
@@ -254,7 +270,8 @@
 }
 
 async fn serve_list<S: Stream>(agent: &Agent, mut stream: S, mut bytes: Vec<u8>) {
-    let (generation, (list, _)) = (agent.generation(), agent.list(0, true));
+    let generation = agent.generation();
+    let list = agent.known();
     let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
         list.len()
@@ -276,9 +293,9 @@
         let changed = agent.0.changed.notified();
         if !agent.0.silent.get() {
             let text = if agent.generation() > index {
-                let (list, _) = agent.list(index, false);
+                let list = agent.list(index, false);
                 index = agent.generation();
-                list
+                list.json
             } else {
                 String::new()
             };
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -1,8 +1,11 @@
 //! Scripted replicas, clients and discovery agents, over any network, for the simulation and the process tests.
 //!
-//! Each follows its script and reports what it sees to a [`Recorder`]; the test changes the script during the
-//! run. They implement the protocol independently of the co-ordinator's code, so that they don't share its
+//! Each follows its script and reports what it observes to a [`Recorder`]; the test changes the script during
+//! the run. They implement the protocol independently of the co-ordinator's code, so that they don't share its
 //! mistakes. They judge nothing: that is `woadreach-invariants`.
+//!
+//! - [`Caller`]: the clients of one co-ordinator. [`Replica`]: a replica. [`Agent`]: a discovery agent.
+//! - `wire`: the protocol as they speak it.
 
 mod client;
 mod discovery;
--- a/crates/testing/fakes/src/recorder.rs
+++ b/crates/testing/fakes/src/recorder.rs
@@ -1,4 +1,4 @@
-//! How the scripted parties report what they saw.
+//! How the fakes report what they observe.
 
 use std::rc::Rc;
 use woadreach_invariants::EventKind;
@@ -9,11 +9,11 @@
 
 impl Recorder {
     /// A recorder that hands each event to this function.
-    pub fn new(tell: impl Fn(EventKind) + 'static) -> Self {
-        Recorder(Rc::new(tell))
+    pub fn new(record: impl Fn(EventKind) + 'static) -> Self {
+        Recorder(Rc::new(record))
     }
 
-    /// Reports an event that happens now.
+    /// Records an event that happens now.
     pub fn tell(&self, event: EventKind) {
         (self.0)(event);
     }
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -13,6 +13,9 @@
 use woadreach_invariants::{EventKind, NodeId, PartName, ReplicaName};
 use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
+/// Slowest speed, as a multiple of what the parts say: a part must end some day.
+const MIN_SPEED: f64 = 1e-6;
+
 /// How a replica warms up.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
@@ -22,6 +25,14 @@
     pub duration: f64,
 }
 
+impl WarmUp {
+    /// The share of its capacity that a replica has so many seconds after its start.
+    fn capacity_at(&self, age: f64) -> f64 {
+        let progress = (age / self.duration).clamp(0.0, 1.0);
+        self.initial_share + (1.0 - self.initial_share) * progress
+    }
+}
+
 /// What a replica does with what it is sent; may change at any time. Shares are of the parts.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
@@ -76,40 +87,56 @@
     }
 }
 
+/// A part that waits for a core or runs on one.
 struct Job {
+    /// The co-ordinator that has sent it.
     node: NodeId,
     part: Part,
-    to: Rc<Outlet>,
+    /// Where its answer goes.
+    outlet: Rc<Outlet>,
 }
 
 /// What waits to be written on a connection, and which of its parts were cancelled.
 #[derive(Default)]
 struct Outlet {
-    bytes: RefCell<VecDeque<Vec<u8>>>,
+    /// Frames in the order in which they leave.
+    frames: RefCell<VecDeque<Vec<u8>>>,
+    /// Parts that were cancelled after they had left the queue: they are not answered.
     cancelled: RefCell<BTreeSet<PartName>>,
-    wake: Notify,
+    /// Notified when a frame is added or the connection is to close.
+    changed: Notify,
+    /// Whether the connection closes once its frames are written.
     closed: Cell<bool>,
 }
 
 impl Outlet {
-    fn send(&self, bytes: Vec<u8>) {
-        self.bytes.borrow_mut().push_back(bytes);
-        self.wake.notify_one();
+    fn send(&self, frame: Vec<u8>) {
+        self.frames.borrow_mut().push_back(frame);
+        self.changed.notify_one();
     }
 
-    fn end(&self) {
+    fn close(&self) {
         self.closed.set(true);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 }
 
+/// When the kernel had a frame, in Unix seconds.
+#[derive(Clone, Copy)]
+struct ReceiveTimes {
+    first_byte_at: f64,
+    last_byte_at: f64,
+}
+
 struct Inner<N: Net> {
     net: N,
     name: ReplicaName,
     behaviour: RefCell<Behaviour>,
     recorder: Recorder,
-    started: f64,
+    /// In Unix seconds.
+    started_at: f64,
     rng: RefCell<Pcg64Mcg>,
+    /// Parts that wait for a core.
     queue: RefCell<VecDeque<Job>>,
     busy_cores: Cell<usize>,
 }
@@ -123,7 +150,8 @@
     }
 }
 
-/// Starts a replica. It listens at an address of its own for each co-ordinator, which tells them apart.
+/// Starts a replica. For each co-ordinator it listens at an address of its own, so that it can record which one
+/// has sent a part.
 ///
 /// # Errors
 /// An address is in use.
@@ -144,7 +172,7 @@
         name: name.into(),
         behaviour: RefCell::new(behaviour),
         recorder: recorder.clone(),
-        started: net.now(),
+        started_at: net.now(),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         queue: RefCell::default(),
         busy_cores: Cell::new(0),
@@ -165,9 +193,9 @@
 
 async fn accept<N: Net>(inner: Rc<Inner<N>>, node: NodeId, listener: N::Listener) {
     while let Ok(stream) = listener.accept().await {
-        let late = inner.behaviour.borrow().accept_delay;
-        if late > 0.0 {
-            inner.net.sleep(late).await;
+        let delay = inner.behaviour.borrow().accept_delay;
+        if delay > 0.0 {
+            inner.net.sleep(delay).await;
         }
         drop(inner.net.spawn(connection(inner.clone(), node, stream)));
     }
@@ -175,27 +203,27 @@
 
 async fn connection<N: Net>(inner: Rc<Inner<N>>, node: NodeId, mut stream: N::Stream) {
     let outlet: Rc<Outlet> = Rc::default();
-    let (from, to) = stream.split();
+    let (reader, writer) = stream.split();
     tokio::select! {
         biased;
-        () = inner.read(node, from, &outlet) => {}
-        () = write(to, &outlet) => {}
+        () = inner.read(node, reader, &outlet) => {}
+        () = write(writer, &outlet) => {}
     }
-    // Parts that still run have nobody to answer.
+    // The answers of parts that still run are dropped.
     outlet.closed.set(true);
 }
 
-async fn write(mut to: impl Write, outlet: &Outlet) {
+async fn write(mut writer: impl Write, outlet: &Outlet) {
     loop {
-        let next = outlet.bytes.borrow_mut().pop_front();
+        let next = outlet.frames.borrow_mut().pop_front();
         match next {
-            Some(bytes) => {
-                if to.write_all(&bytes).await.is_err() {
+            Some(frame) => {
+                if writer.write_all(&frame).await.is_err() {
                     return;
                 }
             }
             None if outlet.closed.get() => return,
-            None => outlet.wake.notified().await,
+            None => outlet.changed.notified().await,
         }
     }
 }
@@ -237,34 +265,39 @@
 }
 
 impl<N: Net> Inner<N> {
-    async fn read(self: &Rc<Self>, node: NodeId, mut from: impl Read, outlet: &Rc<Outlet>) {
+    /// Reads frames until the connection ends.
+    async fn read(self: &Rc<Self>, node: NodeId, mut reader: impl Read, outlet: &Rc<Outlet>) {
         let mut bytes = Vec::new();
         loop {
-            match from.read(&mut bytes).await {
+            match reader.read(&mut bytes).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
-            let late = self.behaviour.borrow().read_delay;
-            if late > 0.0 {
-                self.net.sleep(late).await;
+            let delay = self.behaviour.borrow().read_delay;
+            if delay > 0.0 {
+                self.net.sleep(delay).await;
             }
-            while let Some((f, taken)) = parse_frame(&bytes) {
-                let begun = self.net.now() - from.receive_delay_of(bytes.len() - 1);
+            while let Some((frame, taken)) = parse_frame(&bytes) {
+                let first_byte_at = self.net.now() - reader.receive_delay_of(bytes.len() - 1);
                 bytes.drain(..taken);
-                let came = self.net.now() - from.receive_delay_of(bytes.len());
-                match f.letter {
-                    b'D' => match parse_parts(&f.rest) {
+                let last_byte_at = self.net.now() - reader.receive_delay_of(bytes.len());
+                let received = ReceiveTimes {
+                    first_byte_at,
+                    last_byte_at,
+                };
+                match frame.kind {
+                    b'D' => match parse_parts(&frame.body) {
                         Ok(parts) => {
                             for part in parts {
-                                self.sent(node, part, begun, came, outlet);
+                                self.receive_part(node, part, received, outlet);
                             }
                         }
-                        Err(why) => {
-                            self.refuse(node, &why.to_string(), outlet);
+                        Err(error) => {
+                            self.refuse(node, &error.to_string(), outlet);
                             return;
                         }
                     },
-                    b'K' => self.cancelled(node, &f.rest, outlet),
+                    b'K' => self.cancel(node, &frame.body, outlet),
                     b'I' | b'U' => {}
                     _ => return self.refuse(node, "an unknown letter", outlet),
                 }
@@ -272,46 +305,55 @@
         }
     }
 
+    /// Records that a co-ordinator broke the protocol, and closes the connection.
     fn refuse(&self, node: NodeId, why: &str, outlet: &Outlet) {
         self.recorder.tell(EventKind::Leaked {
             node,
             why: format!("a frame that {} cannot read: {why}", self.name),
         });
-        outlet.end();
+        outlet.close();
     }
 
-    fn sent(self: &Rc<Self>, node: NodeId, part: Part, begun: f64, came: f64, to: &Rc<Outlet>) {
+    /// Records a part and rejects or queues it.
+    fn receive_part(
+        self: &Rc<Self>,
+        node: NodeId,
+        part: Part,
+        received: ReceiveTimes,
+        outlet: &Rc<Outlet>,
+    ) {
         self.recorder.tell(EventKind::PartReceived {
             node,
             replica: self.name.clone(),
             part: name_of(&part),
-            begun,
-            came,
+            begun: received.first_byte_at,
+            came: received.last_byte_at,
             work: work_of(&part),
             from: part.from.clone(),
-            first_whole: part.whole,
+            first_whole: part.first_complete,
         });
-        let b = self.behaviour.borrow().clone();
-        if b.hangs {
+        let behaviour = self.behaviour.borrow().clone();
+        if behaviour.hangs {
             return;
         }
-        if b.rejects_all || self.queue.borrow().len() >= b.queue_capacity {
+        if behaviour.rejects_all || self.queue.borrow().len() >= behaviour.queue_capacity {
             self.recorder.tell(EventKind::PartRejected {
                 node,
                 replica: self.name.clone(),
                 part: name_of(&part),
             });
-            return to.send(encode_answer(&id_of(&part), PartEnd::Rejected, None, ""));
+            return outlet.send(encode_answer(&id_of(&part), PartEnd::Rejected, None, ""));
         }
         self.queue.borrow_mut().push_back(Job {
             node,
             part,
-            to: to.clone(),
+            outlet: outlet.clone(),
         });
-        self.work();
+        self.start_queued();
     }
 
-    fn cancelled(&self, node: NodeId, id: &[u8], to: &Rc<Outlet>) {
+    /// Removes the part with this id on the wire from the queue, or has it not answered.
+    fn cancel(&self, node: NodeId, id: &[u8], outlet: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
         let (rest, fetch) = id
             .strip_suffix(".fetch")
@@ -339,17 +381,17 @@
         let before = self.queue.borrow().len();
         self.queue
             .borrow_mut()
-            .retain(|job| !(Rc::ptr_eq(&job.to, to) && same(&job.part)));
+            .retain(|job| !(Rc::ptr_eq(&job.outlet, outlet) && same(&job.part)));
         if self.queue.borrow().len() == before {
-            to.cancelled.borrow_mut().insert(part);
+            outlet.cancelled.borrow_mut().insert(part);
         }
     }
 
     /// Starts queued parts while there are idle cores.
-    fn work(self: &Rc<Self>) {
+    fn start_queued(self: &Rc<Self>) {
         loop {
-            let b = self.behaviour.borrow().clone();
-            if self.busy_cores.get() >= b.cores {
+            let behaviour = self.behaviour.borrow().clone();
+            if self.busy_cores.get() >= behaviour.cores {
                 return;
             }
             let Some(job) = self.queue.borrow_mut().pop_front() else {
@@ -358,46 +400,45 @@
             self.busy_cores.set(self.busy_cores.get() + 1);
             let inner = self.clone();
             drop(self.net.spawn(async move {
-                let age = inner.net.now() - inner.started;
-                let warm = b.warm_up.map_or(1.0, |w| {
-                    let progress = (age / w.duration).clamp(0.0, 1.0);
-                    w.initial_share + (1.0 - w.initial_share) * progress
-                });
-                inner
-                    .net
-                    .sleep(work_of(&job.part) / (b.speed * warm).max(1e-6))
-                    .await;
+                let age = inner.net.now() - inner.started_at;
+                let capacity = behaviour.warm_up.map_or(1.0, |w| w.capacity_at(age));
+                let speed = (behaviour.speed * capacity).max(MIN_SPEED);
+                inner.net.sleep(work_of(&job.part) / speed).await;
                 inner.finish(&job);
                 inner.busy_cores.set(inner.busy_cores.get() - 1);
-                inner.work();
+                inner.start_queued();
             }));
         }
     }
 
+    /// Answers a part that has run, unless the script says otherwise.
     fn finish(&self, job: &Job) {
-        let (part, to) = (&job.part, &job.to);
-        let b = self.behaviour.borrow().clone();
+        let (part, outlet) = (&job.part, &job.outlet);
+        let behaviour = self.behaviour.borrow().clone();
         let happens = |share: f64| share > 0.0 && self.rng.borrow_mut().random_bool(share.min(1.0));
-        let marked = to.cancelled.borrow_mut().remove(&name_of(part));
-        if b.hangs || happens(b.drop_share) || (marked && !b.ignores_cancels) {
+        let is_cancelled = outlet.cancelled.borrow_mut().remove(&name_of(part));
+        if behaviour.hangs
+            || happens(behaviour.drop_share)
+            || (is_cancelled && !behaviour.ignores_cancels)
+        {
             return;
         }
         let id = id_of(part);
-        if happens(b.error_share) {
-            return to.send(encode_answer(&id, PartEnd::Failed, None, ""));
+        if happens(behaviour.error_share) {
+            return outlet.send(encode_answer(&id, PartEnd::Failed, None, ""));
         }
         let value: Arc<str> = format!("{id}@{}", self.name).into();
-        let made = EventKind::PartCompleted {
+        let completed = EventKind::PartCompleted {
             node: job.node,
             replica: self.name.clone(),
             part: name_of(part),
             value: value.clone(),
         };
-        self.recorder.tell(made);
-        if happens(b.break_share) {
-            return to.end();
+        self.recorder.tell(completed);
+        if happens(behaviour.break_share) {
+            return outlet.close();
         }
-        if happens(b.corrupt_share) {
+        if happens(behaviour.corrupt_share) {
             let noise: [&[u8]; 4] = [
                 b"\xff\xff\xff\x7fO",
                 b"\x05\0\0\0Qabcd",
@@ -405,12 +446,12 @@
                 b"\x0c\0\0\0Oa 299 1 -\nv",
             ];
             let which = self.rng.borrow_mut().random_range(0..noise.len());
-            return to.send(noise[which].to_vec());
+            return outlet.send(noise[which].to_vec());
         }
         let answer = encode_answer(&id, PartEnd::Completed, Some(score_of(part)), &value);
-        if happens(b.duplicate_share) {
-            to.send(answer.clone());
+        if happens(behaviour.duplicate_share) {
+            outlet.send(answer.clone());
         }
-        to.send(answer);
+        outlet.send(answer);
     }
 }
--- a/crates/testing/fakes/src/wire/frame.rs
+++ b/crates/testing/fakes/src/wire/frame.rs
@@ -1,4 +1,5 @@
-//! The frames between co-ordinators and replicas.
+//! The frames between co-ordinators and replicas: a length of four bytes, little endian, a byte for the frame's
+//! kind, which is an ASCII capital, and a body.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use std::str::Utf8Error;
@@ -6,14 +7,16 @@
 /// Bytes of a frame's length field.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame: its letter and the rest.
+/// A frame.
 pub(crate) struct Frame {
-    pub(crate) letter: u8,
-    pub(crate) rest: Vec<u8>,
+    /// `D` for a call, `K` for a cancellation, `I` or `U` for probes.
+    pub(crate) kind: u8,
+    pub(crate) body: Vec<u8>,
 }
 
 /// One part of a call.
 pub(crate) struct Part {
+    /// The client's trace id, which names the search.
     pub(crate) search: String,
     pub(crate) shard: u64,
     /// Whether it belongs to the second step.
@@ -21,7 +24,7 @@
     /// For the second step: the shards that the first step's result is from.
     pub(crate) from: Vec<u64>,
     /// For the second step: whether the first step's result is complete.
-    pub(crate) whole: Option<bool>,
+    pub(crate) first_complete: Option<bool>,
     pub(crate) text: String,
 }
 
@@ -41,7 +44,7 @@
     #[snafu(display("{source}"))]
     Encoding { source: Utf8Error },
     #[snafu(display("not four words: {line}"))]
-    WordCount { line: String },
+    FieldCount { line: String },
     #[snafu(display("not a number: {text} in {line}"))]
     NotANumber { text: String, line: String },
     #[snafu(display("a text that is cut short"))]
@@ -60,21 +63,21 @@
 pub(crate) fn parse_frame(bytes: &[u8]) -> Option<(Frame, usize)> {
     let length = u32::from_le_bytes(bytes.get(..LENGTH_BYTES)?.try_into().ok()?) as usize;
     let end = LENGTH_BYTES + length;
-    let (letter, rest) = bytes.get(LENGTH_BYTES..end)?.split_first()?;
+    let (kind, body) = bytes.get(LENGTH_BYTES..end)?.split_first()?;
     let frame = Frame {
-        letter: *letter,
-        rest: rest.to_vec(),
+        kind: *kind,
+        body: body.to_vec(),
     };
     Some((frame, end))
 }
 
 /// The parts of a call.
-pub(crate) fn parse_parts(mut rest: &[u8]) -> Result<Vec<Part>, PartsError> {
+pub(crate) fn parse_parts(mut body: &[u8]) -> Result<Vec<Part>, PartsError> {
     let mut parts = Vec::new();
-    while !rest.is_empty() {
-        let (part, taken) = parse_part(rest)?;
+    while !body.is_empty() {
+        let (part, taken) = parse_part(body)?;
         parts.push(part);
-        rest = &rest[taken..];
+        body = &body[taken..];
     }
     Ok(parts)
 }
@@ -90,9 +93,9 @@
         .position(|b| *b == b'\n')
         .context(MissingLineSnafu)?;
     let line = std::str::from_utf8(&bytes[..line_end]).context(EncodingSnafu)?;
-    let words: Vec<&str> = line.split(' ').collect();
-    let [id, shard, entries, length] = words[..] else {
-        return WordCountSnafu { line }.fail();
+    let fields: Vec<&str> = line.split(' ').collect();
+    let [id, shard, entries, length] = fields[..] else {
+        return FieldCountSnafu { line }.fail();
     };
     let shard = parse_number(shard, line)?;
     let text_start = line_end + 1;
@@ -113,20 +116,22 @@
         shard,
         fetch,
         from: entries.from,
-        whole: entries.whole,
+        first_complete: entries.first_complete,
         text: text.to_string(),
     };
     Ok((part, end))
 }
 
-/// The optional values of a part.
+/// The optional values of a part, see [`Part`].
 struct Entries {
     from: Vec<u64>,
-    whole: Option<bool>,
+    first_complete: Option<bool>,
 }
 
 fn parse_entries(entries: &str, line: &str) -> Result<Entries, PartsError> {
-    let (mut wait_ms, mut from, mut whole) = (None, Vec::new(), None);
+    let mut wait_ms = None;
+    let mut from = Vec::new();
+    let mut first_complete = None;
     for entry in entries.split(',') {
         match entry.split_once('=') {
             Some(("d", ms)) => wait_ms = Some(parse_number(ms, line)?),
@@ -135,12 +140,15 @@
                     from.push(parse_number(shard, line)?);
                 }
             }
-            Some(("whole", flag)) => whole = Some(flag == "1"),
+            Some(("whole", flag)) => first_complete = Some(flag == "1"),
             _ => return UnknownEntrySnafu { line }.fail(),
         }
     }
     ensure!(wait_ms.is_some(), MissingWaitSnafu);
-    Ok(Entries { from, whole })
+    Ok(Entries {
+        from,
+        first_complete,
+    })
 }
 
 /// A replica's answer to a part: its end, its score if it has one, and its value.
