--- a/crates/router/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Endings, and what may still be owed or arrive in that instant (docs/endings.md): each test forces one such
-//! crossing over loopback sockets, with peers that hold bytes back and then send them.
+//! What may still be owed or arrive when something ends (docs/endings.md): each test forces one such case over
+//! loopback sockets, with peers that hold bytes back and then send them.
 
 #[path = "../../../routing/tests/common/mod.rs"]
 mod common;
@@ -16,7 +16,7 @@
 /// PROTOCOL: an update counts as received so long after discovery had it and could be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 
-/// Writes a byte every so often, as long as anybody takes it.
+/// Writes a byte every 300 ms, until all are written or the connection has ended.
 fn trickle(mut wire: Wire, text: String) {
     std::thread::spawn(move || {
         for byte in text.bytes() {
@@ -35,9 +35,30 @@
     )
 }
 
+/// Asserts that an update which discovery had at `start` has been received in time.
+#[track_caller]
+fn assert_received_in_time(start: Instant) {
+    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+}
+
+/// Asserts that the next call is for the complete list, and that the answer to it, with `a` draining, is received
+/// in time.
+#[track_caller]
+fn assert_full_list_is_requested(scene: &mut Scene, lines: &[String; 2], start: Instant) {
+    let mut call = scene.discovery.accept();
+    assert!(
+        call.head().starts_with("GET /registry/instances HTTP/1.1"),
+        "not another watch"
+    );
+    let draining = scene.a.line("a", 0, "draining");
+    respond(&mut call, &list(44, true, &[draining, lines[1].clone()]));
+    scene.program.says("endpoint list received generation=44 ");
+    assert_received_in_time(start);
+}
+
 // ---- discovery: a call or a watch that ends, or never does ----
 
-/// A call whose answer comes in drops is not waited for alone.
+/// A call whose answer arrives byte by byte has another beside it.
 #[test]
 fn a_list_that_trickles_is_requested_again() {
     let s = scene();
@@ -49,7 +70,7 @@
     second.head();
     respond(&mut second, &list(42, true, &[s.a.line("a", 0, "ready")]));
     watch_from(&s.discovery, 42);
-    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+    assert_received_in_time(start);
 }
 
 /// Two calls hang: a third is still opened and answered in time, and one that is answered late counts too.
@@ -72,7 +93,7 @@
     };
     respond(answers, &list(42, true, &[s.a.line("a", 0, "ready")]));
     watch_from(&s.discovery, 42);
-    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+    assert_received_in_time(start);
 }
 
 /// Half a line does not renew a watch, however its bytes come; what it missed is requested as a full list.
@@ -85,14 +106,7 @@
     let half = list(43, false, &lines);
     open.write(format!("{:x}\r\n", half.len() + 1));
     trickle(open, half);
-    let mut call = s.discovery.accept();
-    assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"));
-    respond(
-        &mut call,
-        &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
-    );
-    s.program.says("endpoint list received generation=44 ");
-    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+    assert_full_list_is_requested(&mut s, &lines, start);
 }
 
 /// A watch may be silent from its first moment; so may the one that follows it.
@@ -102,20 +116,10 @@
     let lines = [s.a.line("a", 0, "ready"), s.b.line("b", 1, "ready")];
     let _watch = watch(&s.discovery, &lines);
     let start = Instant::now();
-    let mut call = s.discovery.accept();
-    assert!(
-        call.head().starts_with("GET /registry/instances HTTP/1.1"),
-        "not another watch"
-    );
-    respond(
-        &mut call,
-        &list(44, true, &[s.a.line("a", 0, "draining"), lines[1].clone()]),
-    );
-    s.program.says("endpoint list received generation=44 ");
-    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+    assert_full_list_is_requested(&mut s, &lines, start);
 }
 
-/// An answer may state no length: its connection's sound end is its own, and a reset is none.
+/// An answer that states no length is complete once its connection closes, unless by a reset.
 #[test]
 fn a_list_without_a_length_is_complete_on_close_and_not_on_reset() {
     let mut s = scene();
@@ -154,7 +158,7 @@
     assert!(!s.discovery.called(), "nothing was asked for anew");
 }
 
-/// What shows that something was lost has the whole list asked for at once.
+/// A line that shows that something was lost has the complete list requested at once.
 #[rstest]
 #[case::cut_in_the_middle(r#"{"generation":43,"reset":false,"instances":[{"instanceId":"a","hos"#)]
 #[case::cut_and_the_next_behind_it("{\n{\"generation\":43,\"reset\":false,\"instances\":[]}")]
@@ -168,7 +172,7 @@
     watch(&s.discovery, &lines);
 }
 
-/// SIGHUP in the middle of a call that hangs: the new place is asked at once.
+/// SIGHUP in the middle of a call that hangs: the new address is called at once.
 #[test]
 fn sighup_in_the_middle_of_a_call() {
     let s = scene();
@@ -222,7 +226,7 @@
     let mut open = watch_from(&back, 42);
     send_line(&mut open, &list(43, false, &[line(0, "draining")]));
     program.says("endpoint list received generation=43 ");
-    assert!(start.elapsed() < MAX_UPDATE_DELAY, "{:?}", start.elapsed());
+    assert_received_in_time(start);
 }
 
 /// Clients that rest fill the descriptors while discovery is down: the next client is served, and discovery
@@ -277,7 +281,7 @@
 
 // ---- clients that disconnect ----
 
-/// A client that has sent much ahead and then goes is gone: its end lies behind all of that.
+/// The disconnection of a client that has sent much ahead is noticed, though it lies behind all of that.
 #[rstest]
 #[case::as_much_as_a_head(20_000)]
 #[case::more_than_is_kept(300_000)]
@@ -289,17 +293,17 @@
     let mut a = s.a.accept();
     a.call();
     client.write(vec![b'x'; bytes]);
-    let gone = Instant::now();
+    let disconnected_at = Instant::now();
     drop(client);
     assert_eq!(a.frame(), Some(('K', b"t.0".to_vec())));
     assert!(
-        gone.elapsed() < Duration::from_secs(1),
+        disconnected_at.elapsed() < Duration::from_secs(1),
         "{:?}",
-        gone.elapsed()
+        disconnected_at.elapsed()
     );
 }
 
-/// One that stays after it has sent much gets its answer, and an end.
+/// One that stays after it has sent much ahead gets its answer, and its connection is closed.
 #[test]
 fn a_client_that_sends_much_and_stays() {
     let s = scene();
@@ -428,8 +432,8 @@
         ..
     } = scene();
     let mut slow = Wire::to(address);
-    let ask = |i| request("browse", &format!("t{i}"), &[0], "q");
-    slow.write((0..REQUESTS).map(ask).collect::<String>());
+    let search = |i| request("browse", &format!("t{i}"), &[0], "q");
+    slow.write((0..REQUESTS).map(search).collect::<String>());
     std::thread::spawn(move || {
         let mut a = a.accept();
         let value = "v".repeat(VALUE);
--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -1,5 +1,5 @@
-//! The configuration held still: a file with every key that is read gives the values that it gave, and each
-//! key that is missing, of another type or unknown does what it did.
+//! The configuration is read as recorded: an example with every key gives the recorded values, and each key that
+//! is missing, of another type or unknown has the recorded effect.
 
 #[path = "../../../../tests/recorded/lines.rs"]
 mod recorded;
@@ -13,13 +13,13 @@
 use woadreachd::config::{AddressPrecedence, Config, ConfigSource, read};
 use woadreachd::events::{EndpointList, Lifecycle};
 
-const WHOLE: &str = include_str!("recorded/config.json");
+const EXAMPLE: &str = include_str!("recorded/config.json");
 
-fn whole() -> Value {
-    serde_json::from_str(WHOLE).expect("the example is JSON")
+fn example() -> Value {
+    serde_json::from_str(EXAMPLE).expect("the example is JSON")
 }
 
-fn given(text: &str) -> ConfigSource {
+fn source(text: &str) -> ConfigSource {
     ConfigSource {
         path: "proxy.json".into(),
         text: text.into(),
@@ -28,12 +28,12 @@
     }
 }
 
-fn taken(text: &str) -> Config {
-    read(AddressPrecedence::Environment, &given(text)).unwrap_or_else(|why| panic!("{why}"))
+fn parsed(text: &str) -> Config {
+    read(AddressPrecedence::Environment, &source(text)).unwrap_or_else(|why| panic!("{why}"))
 }
 
-fn refused(text: &str) -> String {
-    read(AddressPrecedence::Environment, &given(text))
+fn error_of(text: &str) -> String {
+    read(AddressPrecedence::Environment, &source(text))
         .err()
         .expect("it is not sound")
         .to_string()
@@ -86,7 +86,7 @@
 }
 
 fn module(s: &Settings) -> Vec<(&'static str, String)> {
-    let cold = s.slow_start.as_ref().map(|c| {
+    let slow_start = s.slow_start.as_ref().map(|c| {
         [
             c.initial_capacity,
             c.duration,
@@ -121,7 +121,7 @@
         ("may cancel", s.cancellation_allowed.to_string()),
         ("may copy", s.hedging_allowed.to_string()),
         ("longest retry advice", format!("{:?}", s.max_retry_after)),
-        ("cold", format!("{cold:?}")),
+        ("cold", format!("{slow_start:?}")),
         ("budget", format!("{budget:?}")),
     ]
 }
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_file_with_every_key_gives_the_recorded_values() {
-    for (name, value) in values(&taken(WHOLE)) {
+    for (name, value) in values(&parsed(EXAMPLE)) {
         assert_eq!(
             records("config-values.txt").text(&name, &value),
             value,
@@ -210,7 +210,7 @@
 
 #[test]
 fn nothing_is_recorded_of_the_values_that_is_not_read() {
-    let names: Vec<String> = values(&taken(WHOLE)).into_keys().collect();
+    let names: Vec<String> = values(&parsed(EXAMPLE)).into_keys().collect();
     assert_eq!(records("config-values.txt").names(), names);
 }
 
@@ -237,18 +237,18 @@
 
 fn all_places() -> Vec<String> {
     let mut all = Vec::new();
-    places(&whole(), "", &mut all);
+    places(&example(), "", &mut all);
     all
 }
 
-/// What comes of a file: why it is refused, or each value that is another than the whole file's.
+/// What comes of a file: why it is refused, or each value that differs from the example's.
 fn outcome(file: &Value) -> String {
-    let before = values(&taken(WHOLE));
-    let now = match read(AddressPrecedence::Environment, &given(&file.to_string())) {
+    let before = values(&parsed(EXAMPLE));
+    let now = match read(AddressPrecedence::Environment, &source(&file.to_string())) {
         Ok(config) => values(&config),
         Err(why) => return format!("refused, {why}"),
     };
-    let gone = before
+    let removed = before
         .keys()
         .filter(|name| !now.contains_key(*name))
         .map(|name| format!("{name} gone"));
@@ -257,7 +257,7 @@
         .filter(|(name, value)| before.get(*name) != Some(value));
     let differs: Vec<String> = differs
         .map(|(name, value)| format!("{name} = {value}"))
-        .chain(gone)
+        .chain(removed)
         .collect();
     if differs.is_empty() {
         "taken, the same".into()
@@ -267,7 +267,7 @@
 }
 
 fn without(place: &str) -> Value {
-    let mut file = whole();
+    let mut file = example();
     let (parent, key) = place.rsplit_once('/').expect("a place has a slash");
     match file.pointer_mut(parent) {
         Some(Value::Object(object)) => drop(object.remove(key)),
@@ -278,7 +278,7 @@
 }
 
 fn with(place: &str, value: Value) -> Value {
-    let mut file = whole();
+    let mut file = example();
     *file
         .pointer_mut(place)
         .unwrap_or_else(|| panic!("no such place: {place}")) = value;
@@ -286,7 +286,7 @@
 }
 
 /// A value of another type than this one's.
-fn ill_typed(value: &Value) -> Value {
+fn mistyped(value: &Value) -> Value {
     if value.is_string() {
         json!(7)
     } else {
@@ -295,7 +295,7 @@
 }
 
 fn with_unknown_key(place: &str) -> Option<Value> {
-    let mut file = whole();
+    let mut file = example();
     file.pointer_mut(place)?
         .as_object_mut()?
         .insert("novel".into(), json!(true));
@@ -316,11 +316,11 @@
 
 #[test]
 fn a_file_with_a_key_of_another_type_fares_as_it_did() {
-    let whole = whole();
+    let example = example();
     for place in all_places() {
         let today = outcome(&with(
             &place,
-            ill_typed(whole.pointer(&place).expect("it is there")),
+            mistyped(example.pointer(&place).expect("it is there")),
         ));
         assert_eq!(
             records("config-ill-typed.txt").text(&place, &today),
@@ -378,7 +378,7 @@
 #[case::a_list("[]", "configuration lacks /settings")]
 #[case::twice("{} {}", "proxy.json: trailing characters at line 1 column 4")]
 fn a_text_that_is_no_configuration(#[case] text: &str, #[case] why: &str) {
-    assert_eq!(refused(text), why);
+    assert_eq!(error_of(text), why);
 }
 
 #[rstest]
@@ -401,9 +401,9 @@
 #[case::no_duties("/duties/on", json!(false), "peers duties = false")]
 #[case::a_number_for_a_name("/settings/watch/once/0", json!(1), "setting /watch/once/0 is not a name")]
 #[case::none_for_many("/settings/domain/perCall", json!(0), "replicas per call = 1")]
-fn a_value_that_is_another(#[case] place: &str, #[case] value: Value, #[case] told: &str) {
+fn a_value_that_is_another(#[case] place: &str, #[case] value: Value, #[case] expected: &str) {
     let outcome = outcome(&with(place, value));
-    assert!(outcome.contains(told), "{outcome}");
+    assert!(outcome.contains(expected), "{outcome}");
 }
 
 #[rstest]
@@ -416,12 +416,12 @@
 ) {
     let (beside_listen, beside_discovery) =
         (Some("127.0.0.1:1".into()), Some("127.0.0.1:2".into()));
-    let given = ConfigSource {
+    let source = ConfigSource {
         listen: beside_listen,
         discovery: beside_discovery,
-        ..given(WHOLE)
+        ..source(EXAMPLE)
     };
-    let config = read(precedence, &given).unwrap_or_else(|why| panic!("{why}"));
+    let config = read(precedence, &source).unwrap_or_else(|why| panic!("{why}"));
     assert_eq!(
         (
             config.listen.to_string().as_str(),
@@ -438,15 +438,15 @@
     "configuration lacks discovery, and PROXY_DISCOVERY is not set"
 )]
 fn an_address_that_stands_nowhere_is_named(#[case] place: &str, #[case] why: &str) {
-    assert_eq!(refused(&without(place).to_string()), why);
+    assert_eq!(error_of(&without(place).to_string()), why);
 }
 
-/// What a reload compares: the file but for what is of use once only.
+/// What a reload compares: the file without the keys that only a start reads.
 #[test]
-fn the_file_is_kept_but_for_what_is_of_use_once() {
-    let mut expected = whole();
+fn the_file_is_stored_without_the_keys_that_are_read_once() {
+    let mut expected = example();
     for once in ["known", "seed", "discovery"] {
         expected.as_object_mut().expect("an object").remove(once);
     }
-    assert_eq!(taken(WHOLE).file, expected);
+    assert_eq!(parsed(EXAMPLE).file, expected);
 }
--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -99,7 +99,7 @@
     );
 }
 
-/// It is left out, and those beside it are kept.
+/// It is skipped, and those beside it count.
 #[rstest]
 #[case::no_name(r#""r-1""#, r#""""#)]
 #[case::name_of_another_key("instanceId", "id")]
@@ -112,7 +112,7 @@
 #[case::unknown_lifecycle("ready", "READY")]
 #[case::zone_that_is_no_text(r#""west""#, "3")]
 #[case::start_in_text("1500", r#""1500""#)]
-fn an_entry_that_cannot_be_used_is_left_out(#[case] from: &str, #[case] to: &str) {
+fn an_entry_that_cannot_be_used_is_skipped(#[case] from: &str, #[case] to: &str) {
     let odd = ENTRY.replacen(from, to, 1);
     assert_ne!(odd, ENTRY);
     let text = format!(r#"{{"generation":1,"instances":[{odd},7,{ENTRY}]}}"#);
@@ -164,8 +164,8 @@
     #[case] letter: u8,
     #[case] body: &[u8],
 ) {
-    let kept = records("frames.hex").bytes(name, &framed(letter, body));
-    assert_eq!(kept, framed(letter, body));
+    let recorded = records("frames.hex").bytes(name, &framed(letter, body));
+    assert_eq!(recorded, framed(letter, body));
     let expected = match name {
         "answer" => frame::Frame::Answer {
             id: "ab.3",
@@ -188,9 +188,9 @@
         "refused" => frame::Frame::Refused(b"too many"),
         _ => frame::Frame::Probe,
     };
-    assert_eq!(frame::read(&kept), Ok(Some((expected, kept.len()))));
-    for end in 0..kept.len() {
-        assert_eq!(frame::read(&kept[..end]), Ok(None), "cut at {end}");
+    assert_eq!(frame::read(&recorded), Ok(Some((expected, recorded.len()))));
+    for end in 0..recorded.len() {
+        assert_eq!(frame::read(&recorded[..end]), Ok(None), "cut at {end}");
     }
 }
 
@@ -218,19 +218,20 @@
     ];
     let mut call = Vec::new();
     frame::call(&mut call, &parts.each_ref().map(Vec::as_slice));
-    let mut given_up = Vec::new();
-    frame::cancel(&mut given_up, "ab.3");
-    for (name, today) in [("call", call), ("give-up", given_up)] {
+    let mut cancel = Vec::new();
+    frame::cancel(&mut cancel, "ab.3");
+    for (name, today) in [("call", call), ("give-up", cancel)] {
         assert_eq!(records("frames.hex").bytes(name, &today), today, "{name}");
     }
 }
 
-/// A datagram with riders on zones and duties, as one co-ordinator sends it and another takes it apart.
+/// A datagram with gossip about zones and messages of roles, as one co-ordinator encodes it and another decodes
+/// it.
 #[test]
-fn a_datagram_with_all_riders_is_read_and_written_as_it_was() {
+fn a_datagram_with_all_payloads_is_read_and_written_as_it_was() {
     let (zones, roster) = (2, 6);
     let parts = [(9, 0), (12, 12)].map(|(seen, failed)| PartCounts { seen, failed });
-    let riders = GossipPayload {
+    let gossip = GossipPayload {
         verdicts: vec![ZoneVerdict::new(1, 3, 2.5, 1)],
         reports: vec![Report::new(MemberId(4), 1, 200, 40.0, &parts).with_age(0.5)],
     };
@@ -255,20 +256,21 @@
             sent_at: ClockStamp(1234),
         },
     ];
-    let (carried, duties) = (riders.seal(), woadreach_lease::seal(&messages));
+    let zone_gossip = gossip.seal();
+    let roles = woadreach_lease::seal(&messages);
     let body = Body {
         from: MemberId(4),
         swim: &[],
-        zone_gossip: &carried,
-        roles: &duties,
+        zone_gossip: &zone_gossip,
+        roles: &roles,
     };
     let today = datagram::encode(&body).expect("it is short enough");
-    let kept = records("datagrams.hex").bytes("all-riders", &today);
-    assert_eq!(today, kept);
-    let read = datagram::decode(&kept).expect("it is sound");
+    let recorded = records("datagrams.hex").bytes("all-riders", &today);
+    assert_eq!(today, recorded);
+    let read = datagram::decode(&recorded).expect("it is sound");
     assert_eq!(
         GossipPayload::open(read.zone_gossip, zones, roster),
-        Ok(riders)
+        Ok(gossip)
     );
     assert_eq!(woadreach_lease::open(read.roles, roster), Some(messages));
 }
--- a/crates/router/woadreachd/tests/scene/mod.rs
+++ b/crates/router/woadreachd/tests/scene/mod.rs
@@ -33,7 +33,7 @@
     (program, address)
 }
 
-/// Two replicas, one a cell, that a co-ordinator knows from its start; discovery is silent.
+/// A co-ordinator with two replicas, one a cell, that it knows from its start; discovery is unresponsive.
 pub(crate) struct Scene {
     pub(crate) a: StandIn,
     pub(crate) b: StandIn,
@@ -55,7 +55,7 @@
     }
 }
 
-/// So many replicas beside that each has a single connection.
+/// 300 more replicas: with these each replica has a single connection.
 pub(crate) fn others() -> Vec<String> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     (0..300)
@@ -71,13 +71,13 @@
     )
 }
 
-/// With this aim for each query type and this connect time-out, in ms. By their keys: the same digits may
-/// stand in a port.
-pub(crate) fn with_times(config: &str, aim: u32, connect: u32) -> String {
-    let aims = config.replace("\"aimMs\":3000", &format!("\"aimMs\":{aim}"));
-    let times = aims.replace(
+/// The configuration with this latency target for each query type and this connect time-out. They are replaced with
+/// their keys, since the same digits may stand in a port.
+pub(crate) fn with_times(config: &str, target_ms: u32, connect_timeout_ms: u32) -> String {
+    let targets = config.replace("\"aimMs\":3000", &format!("\"aimMs\":{target_ms}"));
+    let times = targets.replace(
         "\"connectTimeoutMs\":250",
-        &format!("\"connectTimeoutMs\":{connect}"),
+        &format!("\"connectTimeoutMs\":{connect_timeout_ms}"),
     );
     assert!(!times.contains("\"aimMs\":3000") && !times.contains("\"connectTimeoutMs\":250"));
     times
@@ -87,15 +87,11 @@
     scene_with(|c| c)
 }
 
-/// Accepts the call for the whole list, then the watch, and gives the latter.
+/// Accepts the call for the complete list, then the watch, and returns the latter.
 pub(crate) fn watch(discovery: &StandIn, lines: &[String]) -> Wire {
     let mut call = discovery.accept();
     assert!(call.head().starts_with("GET /registry/instances HTTP/1.1"));
-    let body = list(42, true, lines);
-    call.write(format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    ));
+    respond(&mut call, &list(42, true, lines));
     watch_from(discovery, 42)
 }
 
@@ -176,7 +172,7 @@
 }
 
 impl Full {
-    /// From now on there is room again.
+    /// Accepts the waiting connections: the kernel takes new ones again.
     pub(crate) fn accept(self, replica: &StandIn) {
         self.waiting.iter().for_each(|_| drop(replica.accept()));
     }
@@ -202,7 +198,7 @@
     panic!("nobody asks for a connection to {to}");
 }
 
-/// The answer of a list's source, with its length.
+/// Answers a call of discovery, with the length of the answer stated.
 pub(crate) fn respond(call: &mut Wire, body: &str) {
     call.write(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
