--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -26,7 +26,7 @@
         .iter()
         .map(|address| parse_address("peers", address))
         .collect::<Result<Vec<_>, _>>()?;
-    let Some((index, zone)) = own_position(fields, roster.len(), zones.len()) else {
+    let Some(OwnPosition { index, zone }) = own_position(fields, roster.len(), zones.len()) else {
         return Ok(None);
     };
     Ok(Some(PeerConfig {
@@ -79,13 +79,21 @@
     parsed.context(InvalidPeerAddressSnafu { key, address })
 }
 
-/// The own index in the roster and the own zone. A process that does not know them, or whose zone is not
-/// named, does not contact peers.
-fn own_position(fields: Fields<'_>, roster: usize, zones: usize) -> Option<(usize, usize)> {
+/// Which of the co-ordinators this process is.
+struct OwnPosition {
+    /// Index in the roster.
+    index: usize,
+    /// Its zone, as an index into the settings' zones.
+    zone: usize,
+}
+
+/// The own position among `roster` co-ordinators in `zones` zones. A process that does not know it, or whose
+/// zone is not named, does not contact peers.
+fn own_position(fields: Fields<'_>, roster: usize, zones: usize) -> Option<OwnPosition> {
     let number = |key: &str| Some(fields.settings.get(key)?.as_u64()? as usize);
     let (index, zone) = (number("me")?, number("zone")?);
     let known = index < roster && zone < zones;
-    (known && zones <= u8::MAX.into() && roster >= 2).then_some((index, zone))
+    (known && zones <= u8::MAX.into() && roster >= 2).then_some(OwnPosition { index, zone })
 }
 
 fn slow_start_split(fields: Fields<'_>) -> Option<SlowStartSplit> {
--- a/crates/router/woadreachd/src/config/reload.rs
+++ b/crates/router/woadreachd/src/config/reload.rs
@@ -9,8 +9,8 @@
 /// Runs for as long as the process: at each SIGHUP the file is read again. The address of discovery takes
 /// effect at once; what else differs from `current` is named in the log.
 ///
-/// A file that cannot be used changes nothing. Prevents that one which is missing or half written takes a
-/// sound process out of service. Cost: an operator must look at the log.
+/// A file that cannot be used is reported in the log and changes nothing, so that one which is missing or half
+/// written does not take a sound process out of service.
 pub(crate) async fn reload(
     mut sighup: mpsc::UnboundedReceiver<()>,
     read_source: impl Fn() -> Result<ConfigSource, ConfigError>,
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -1,9 +1,10 @@
 //! The core task: it owns the routing decisions, the searches in flight, their timers and the clock.
 //!
-//! Other tasks reach it through its event queue only; endpoint lists are applied first. Each turn of the
-//! loop in [`Core::run`] handles all events that are queued, asks the search table for plans of what is new,
-//! and after two such passes hands the attempts to their connections. It never blocks and never touches a
-//! socket. Start reading at [`Core::run`]:
+//! Other tasks reach it through its event queue only; endpoint lists are applied first. All that belongs to a
+//! search meets here, so that one task alone decides about it: the request from the front, the answers from
+//! connections, and the time. Each turn of the loop in [`Core::run`] handles all events that are queued, asks
+//! the search table for plans of what is new, and after two such passes hands the attempts to their
+//! connections. It never blocks and never touches a socket. Start reading at [`Core::run`]:
 //!
 //! - [`handlers`]: one function for each event and timer.
 //! - [`executor`]: carries out the plans of the routing decisions.
@@ -29,7 +30,7 @@
 use endpoint_updates::EndpointState;
 use executor::Executor;
 use std::collections::BTreeMap;
-use timers::Timer;
+use timers::{DueTimer, Timer};
 use tokio::sync::mpsc;
 use tracing::warn;
 use woadreach_routing::api::Settings;
@@ -43,11 +44,20 @@
 
 /// Seconds after which a process without an endpoint list reports that it is ready, and sheds all searches.
 ///
-/// Prevents that a process which starts while discovery is down never lets clients in: a shed reply states
-/// when to come back, a refused connection does not. Operators count one that is not ready after 10 s as failed; two seconds remain
-/// for their check. Cost: a client that another process could have served asks twice.
+/// A process that starts while discovery is down would otherwise never let clients in: a shed reply states
+/// when to come back, a refused connection does not. Operators count a process that is not ready after 10 s as
+/// failed; two seconds remain for their check. A client that another process could have served asks twice.
 const FIRST_LIST_TIMEOUT: f64 = 8.0;
 
+/// What ended a wait of the core task.
+enum Wake {
+    Event(Event),
+    /// A list, which has been applied, a timer, or work that the last pass has left.
+    Other,
+    /// The event queue is closed: the process ends.
+    Closed,
+}
+
 /// Receives the report of usage every few seconds.
 pub type UsageCallback = Box<dyn Fn(&Usage)>;
 
@@ -60,6 +70,8 @@
     sockets: Sockets,
     /// Whether any list has named an endpoint so far.
     knows_endpoints: bool,
+    /// Whether it was logged that no list has done so within [`FIRST_LIST_TIMEOUT`].
+    first_list_timed_out: bool,
     /// Longest wait of an event since the last usage report, in seconds.
     max_event_delay: f64,
     on_usage: UsageCallback,
@@ -84,6 +96,7 @@
             zones,
             sockets,
             knows_endpoints: false,
+            first_list_timed_out: false,
             max_event_delay: 0.0,
             on_usage,
             observation_sender: None,
@@ -115,43 +128,52 @@
         mut lists: mpsc::UnboundedReceiver<EndpointList>,
         on_ready: impl Fn(),
     ) {
-        let (start, now) = (self.executor.timers.start(), self.executor.now);
+        let now = self.executor.now;
         self.executor.timers.insert(now, Timer::IdleSweep);
         self.executor.timers.insert(now, Timer::UsageReport);
-        let mut timed_out = false;
         loop {
-            let late = self.executor.now > start + FIRST_LIST_TIMEOUT;
-            if late && !self.knows_endpoints && !std::mem::replace(&mut timed_out, true) {
-                warn!(
-                    timeout_s = FIRST_LIST_TIMEOUT,
-                    "no endpoint list received, ready without one"
-                );
-            }
-            if self.knows_endpoints || late {
+            if self.check_ready() {
                 on_ready();
             }
-            let Some(first) = self.next_input(&mut events, &mut lists).await else {
-                return;
+            let first = match self.next_input(&mut events, &mut lists).await {
+                Wake::Event(event) => Some(event),
+                Wake::Other => None,
+                Wake::Closed => return,
             };
             while let Ok(list) = lists.try_recv() {
                 self.apply_endpoint_list(list);
             }
             self.process_queued(first, &mut events);
-            // Prevents that a pass which was held up by the machine sends parts for clients that have gone
-            // meanwhile: sockets are polled once more first. Cost: a part leaves some microseconds later.
+            // If the machine has held this pass up, clients may have disconnected meanwhile: sockets are polled
+            // once more before any part is sent, which takes some microseconds.
             self.executor.net.yield_now().await;
             self.process_queued(None, &mut events);
             self.executor.replicas.flush(self.executor.now);
         }
     }
 
-    /// Waits for an event, a list, the next timer or work that is left: the event, where it was one; `None`
-    /// once the event queue is closed.
+    /// Whether the process knows of endpoints, or has waited for them for too long, which is logged once.
+    fn check_ready(&mut self) -> bool {
+        if self.knows_endpoints {
+            return true;
+        }
+        let timed_out = self.executor.now > self.executor.timers.start() + FIRST_LIST_TIMEOUT;
+        if timed_out && !self.first_list_timed_out {
+            self.first_list_timed_out = true;
+            warn!(
+                timeout_s = FIRST_LIST_TIMEOUT,
+                "no endpoint list received, ready without one"
+            );
+        }
+        timed_out
+    }
+
+    /// Waits for an event, a list, the next timer or work that is left.
     async fn next_input(
         &mut self,
         events: &mut mpsc::UnboundedReceiver<Event>,
         lists: &mut mpsc::UnboundedReceiver<EndpointList>,
-    ) -> Option<Option<Event>> {
+    ) -> Wake {
         let idle_until = self.executor.now + IDLE_SWEEP_INTERVAL;
         let due = self.executor.timers.next_due().unwrap_or(idle_until);
         let has_work =
@@ -159,11 +181,11 @@
         tokio::select! {
             biased;
             Some(list) = lists.recv() => self.apply_endpoint_list(list),
-            event = events.recv() => return event.map(Some),
+            event = events.recv() => return event.map_or(Wake::Closed, Wake::Event),
             () = self.executor.net.sleep_until(due), if !has_work => {}
             () = std::future::ready(()), if has_work => {}
         }
-        Some(None)
+        Wake::Other
     }
 
     /// One pass: second steps, outcomes, the events that are queued by now, due timers, then new searches.
@@ -183,7 +205,7 @@
             };
             self.handle_event(now, event);
         }
-        while let Some((due, timer)) = self.executor.timers.pop_due(now) {
+        while let Some(DueTimer { due, timer }) = self.executor.timers.pop_due(now) {
             self.handle_timer(now, due, timer);
         }
         for search in std::mem::take(&mut self.executor.unplaced) {
--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -82,9 +82,9 @@
 
     /// Applies what a lease holder has sent.
     ///
-    /// Prevents that stale or forged messages open an endpoint that the own list has closed, or name one
-    /// that it does not: only endpoints that it has ready are closed, and only its own word opens them
-    /// again. Cost: a false message takes a sound replica out for some seconds.
+    /// Only endpoints that the own list has as ready are closed, and only that list opens them again: a stale
+    /// or forged message cannot open an endpoint that the list has closed, nor name one that it does not. It
+    /// can take a sound replica out for some seconds.
     pub(super) fn apply_role_update(&mut self, now: f64, update: RoleUpdate) {
         let entries: Vec<Endpoint> = match update {
             RoleUpdate::QuotaShares(shares) => {
@@ -97,9 +97,9 @@
                 return;
             }
             // Departed or draining, it takes nothing new; attempts in flight may still be answered.
-            RoleUpdate::Closed(departures) => departures
+            RoleUpdate::Closed(replicas) => replicas
                 .iter()
-                .filter_map(|(replica, _)| self.endpoints.ready(replica))
+                .filter_map(|replica| self.endpoints.ready(replica))
                 .map(|endpoint| Endpoint {
                     lifecycle: Lifecycle::Draining,
                     ..endpoint
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -1,8 +1,11 @@
 //! Carries out the plans of the routing decisions: sends and cancels attempts, sets timers, gives answers.
+//!
+//! The decisions themselves have no I/O. [`Executor`] implements [`PlanExecutor`] for them, and is where a
+//! search's request is kept from its arrival to its answer.
 
 use super::config::CoreConfig;
 use super::timers::{Timer, TimerQueue};
-use crate::events::{Answer, Arrival, AttemptId};
+use crate::events::{Answer, Arrival, AttemptId, Row};
 use crate::replicas::{LastWrite, QueuedAttempt, Replicas};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -29,8 +32,11 @@
 
 /// A client's request in flight.
 pub(super) struct Request {
+    /// The client's trace id, with which the wire ids of its parts begin.
     trace: String,
+    /// What each part carries to its replica.
     text: Rc<str>,
+    /// What it counts for in [`Executor::bytes`].
     bytes: usize,
     reply: oneshot::Sender<Answer>,
     last_write: LastWrite,
@@ -56,6 +62,7 @@
 
 /// A trace id that stays reserved for a time after its search's answer.
 pub(super) struct ReservedTrace {
+    /// In Unix seconds.
     until: f64,
     trace: String,
 }
@@ -79,6 +86,7 @@
     pub(super) now: f64,
     pub(super) config: CoreConfig,
     pub(super) replicas: Replicas<N>,
+    /// Requests whose final answer has not been decided, by their searches.
     pub(super) requests: BTreeMap<SearchId, Request>,
     /// Trace ids in flight, and those that are still reserved after their answer.
     pub(super) traces: BTreeSet<String>,
@@ -87,12 +95,15 @@
     /// Bytes of the requests in flight.
     pub(super) bytes: usize,
     pub(super) timers: TimerQueue,
+    /// Number of the latest part; parts are numbered from 1.
     last_part: u64,
     /// Attempts sent since the start.
     pub(super) attempts_sent: u64,
     /// Searches to be placed in this pass.
     pub(super) unplaced: Vec<SearchId>,
+    /// Second steps that the next pass begins.
     pub(super) second_steps: Vec<SecondStep>,
+    /// Final answers that have been decided and wait for [`Timer::Answer`].
     delayed_answers: BTreeMap<SearchId, DelayedAnswer>,
 }
 
@@ -153,9 +164,9 @@
             "search finished"
         );
         let answer = final_answer(search, reply, request.answers);
-        // Prevents that a hedge which leaves as the first attempt answers is read by its replica after the
-        // client has the final answer, which comes on another connection. Cost: this delay, for the few
-        // searches that sent an attempt in their last moment.
+        // A hedge that leaves just as the first attempt answers could be read by its replica after the client
+        // has the final answer, which goes on another connection. Only the few searches that sent an attempt
+        // in their last moment wait for it.
         let due = request.last_write.get() + MAX_READ_DELAY;
         if due > self.now && !is_mutated("core-no-wait") {
             let reply = request.reply;
@@ -172,8 +183,8 @@
     }
 
     fn finished(&mut self, search: &Search) {
-        // Prevents that, where attempts can't be cancelled, one that waits for a connection leaves after the
-        // answer. It costs nothing: no byte of it has left.
+        // Where attempts cannot be cancelled, one that waits for a connection would otherwise leave after the
+        // answer.
         let unfinished = search
             .parts
             .iter()
@@ -230,8 +241,8 @@
 
     /// Keeps an answered search's trace id reserved for the longest client timeout (`max_client_timeout`).
     ///
-    /// Prevents that a request under the same trace id has its parts taken for those of the one just
-    /// answered. It costs nothing to clients that keep to the protocol: each request has a new id.
+    /// The parts of a new request under the same trace id could be taken for those of the one just answered.
+    /// Clients that keep to the protocol give each request a new id.
     fn reserve_trace(&mut self, trace: &str) {
         self.traces.insert(trace.to_string());
         self.answered.push_back(ReservedTrace {
@@ -276,7 +287,11 @@
         let parts = parts.copied().unwrap_or(0);
         self.second_steps.push(SecondStep {
             search: search.id,
-            shards: by_score.iter().take(parts).map(|c| c.1).collect(),
+            shards: by_score
+                .iter()
+                .take(parts)
+                .map(|(_, shard)| *shard)
+                .collect(),
         });
     }
 
@@ -323,7 +338,13 @@
                 .parts
                 .iter()
                 .filter(|p| p.step == search.step && p.answered)
-                .filter_map(|p| answers.remove(&p.id).map(|a| (p.shard, a.value)))
+                .filter_map(|p| {
+                    let value = answers.remove(&p.id)?.value;
+                    Some(Row {
+                        shard: p.shard,
+                        value,
+                    })
+                })
                 .collect();
             Answer::Answered { complete, rows }
         }
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -1,4 +1,8 @@
 //! One function for each event and timer of the core task.
+//!
+//! A search enters here: [`Core::search_arrived`] sheds it at a limit of this process, or adds it to the search
+//! table, from where the pass has it placed. Its replicas' answers enter here too; the routing decisions then
+//! say, through [`super::executor`], whether it is finished.
 
 use super::executor::{PartAnswer, Request};
 use super::observations::FAULT_OBSERVATION_INTERVAL;
@@ -105,7 +109,7 @@
     }
 
     fn search_arrived(&mut self, now: f64, arrival: Arrival) {
-        self.max_event_delay = self.max_event_delay.max(now - arrival.at);
+        self.max_event_delay = self.max_event_delay.max(now - arrival.received_at);
         self.executor.expire_traces(now);
         if self.executor.traces.contains(&arrival.trace) {
             debug!(trace = %arrival.trace, "search rejected, duplicate trace id");
@@ -120,13 +124,14 @@
             trace = %arrival.trace,
             query_type = arrival.query_type.0,
             parts = arrival.parts.len(),
-            time_left_s = arrival.client_deadline - arrival.at,
+            time_left_s = arrival.client_deadline - arrival.received_at,
             "search arrived"
         );
         self.take_search(arrival);
     }
 
-    /// The settings bound the searches and parts in flight; the memory bounds the bytes of them.
+    /// Whether the search is one too many: the settings bound the searches and parts in flight, the memory the
+    /// bytes of their requests.
     fn exceeds_limits(&self, arrival: &Arrival) -> bool {
         let InFlight { searches, parts } = self.search_table.in_flight();
         let open = searches + parts + 1 + arrival.parts.len();
@@ -145,14 +150,15 @@
             id,
             arrival.query_type,
             arrival.tenant,
-            arrival.at,
+            arrival.received_at,
             arrival.client_deadline,
         );
         search.repeated = arrival.repeated;
         self.search_table.insert(search);
-        for (shard, weight) in std::mem::take(&mut arrival.parts) {
+        for requested in std::mem::take(&mut arrival.parts) {
             let part = self.executor.new_part();
-            self.search_table.add_part(id, part, shard, weight);
+            self.search_table
+                .add_part(id, part, requested.shard, requested.weight);
         }
         self.executor.insert(id, Request::new(arrival));
     }
--- a/crates/router/woadreachd/src/core/timers.rs
+++ b/crates/router/woadreachd/src/core/timers.rs
@@ -16,17 +16,27 @@
     AttemptTimeout(AttemptId),
     /// An attempt that has not begun to leave by now may not leave any more.
     AttemptBegin(AttemptId),
+    /// Connections that have been idle for too long are closed.
     IdleSweep,
     /// Observations of zones are due to the peers.
     Observation,
+    /// The report of what is in memory is due.
     UsageReport,
 }
 
 /// Microseconds since the queue's start: whole numbers, so that timers have an order.
 type DueMicros = u64;
 
+/// A timer that has become due.
+pub(super) struct DueTimer {
+    /// When it was due, in Unix seconds.
+    pub(super) due: f64,
+    pub(super) timer: Timer,
+}
+
 /// Timers ordered by the time at which they are due.
 pub(super) struct TimerQueue {
+    /// In Unix seconds.
     start: f64,
     heap: BinaryHeap<Reverse<(DueMicros, Timer)>>,
 }
@@ -40,7 +50,7 @@
         }
     }
 
-    /// The time from which the queue counts.
+    /// The time from which the queue counts, in Unix seconds.
     pub(super) fn start(&self) -> f64 {
         self.start
     }
@@ -51,17 +61,18 @@
         self.heap.push(Reverse((due, timer)));
     }
 
-    /// When the earliest timer is due.
+    /// When the earliest timer is due, in Unix seconds.
     pub(super) fn next_due(&self) -> Option<f64> {
         self.heap
             .peek()
             .map(|Reverse((due, _))| self.start + *due as f64 / 1e6)
     }
 
-    /// Removes the earliest timer if it is due by `now`, with the time at which it was due.
-    pub(super) fn pop_due(&mut self, now: f64) -> Option<(f64, Timer)> {
+    /// Removes the earliest timer if it is due by `now`.
+    pub(super) fn pop_due(&mut self, now: f64) -> Option<DueTimer> {
         let due = self.next_due().filter(|due| *due <= now)?;
-        self.heap.pop().map(|Reverse((_, timer))| (due, timer))
+        let Reverse((_, timer)) = self.heap.pop()?;
+        Some(DueTimer { due, timer })
     }
 
     /// Number of timers, including those that a later one has replaced.
--- a/crates/router/woadreachd/src/discovery/agent.rs
+++ b/crates/router/woadreachd/src/discovery/agent.rs
@@ -94,9 +94,9 @@
 
     /// Applies each object of a watch until it ends, or sends nothing complete for too long.
     ///
-    /// Only a complete object, with changes or without, renews the time-out. Prevents that half a line, or
-    /// one that is received byte by byte and never ends, passes for a watch that lives. Cost: a line that
-    /// takes longer than that has the complete list requested.
+    /// Only a complete object, with changes or without, renews the time-out: half a line, or one that is
+    /// received byte by byte and never ends, does not show that the watch is alive. A line that takes longer
+    /// than the time-out has the complete list requested.
     async fn follow_watch(
         &self,
         call: &mut Call<N>,
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -28,9 +28,11 @@
 
 /// An input of the core task.
 pub(crate) enum Event {
+    /// The front has read a search.
     SearchArrived(Box<Arrival>),
     /// The client has closed its connection before its answer.
     ClientDisconnected(SearchId),
+    /// The task of a connection to a replica has something to report.
     Connection(ConnectionId, ConnectionEvent),
     /// The co-ordinators of the tier have agreed on the zones that take traffic.
     ZoneFailover(ZoneFailoverState),
@@ -43,8 +45,8 @@
     /// This process's shares of warming replicas.
     QuotaShares(Vec<QuotaFactor>),
     /// Replicas that take no new attempts, as the lease holder of their zone observes.
-    Closed(Vec<(ReplicaKey, Departure)>),
-    /// Replicas whose departure the own endpoint list has not confirmed in time: the list's word stands again.
+    Closed(Vec<ReplicaKey>),
+    /// Replicas whose departure the own endpoint list has not confirmed in time: what it says counts again.
     Expired(Vec<ReplicaKey>),
 }
 
@@ -63,6 +65,13 @@
     pub(crate) departure: Option<Departure>,
 }
 
+/// A part of a search, as the client asks for it.
+pub(crate) struct RequestedPart {
+    pub(crate) shard: ShardId,
+    /// Its weight in the answer, from 0 to 1; those of a search add up to 1.
+    pub(crate) weight: f64,
+}
+
 /// A client's search, as the front has read it.
 pub(crate) struct Arrival {
     pub(crate) search: SearchId,
@@ -71,25 +80,36 @@
     pub(crate) query_type: QueryTypeId,
     pub(crate) tenant: TenantId,
     /// When the kernel had the request, in Unix seconds.
-    pub(crate) at: f64,
-    /// Until when the client waits, in Unix seconds.
+    pub(crate) received_at: f64,
+    /// Until when the client waits, in Unix seconds; later than `received_at`.
     pub(crate) client_deadline: f64,
     /// Whether the client marks the request as a retry; `None` where clients don't mark them.
     pub(crate) repeated: Option<bool>,
-    /// Shards with their weights in the answer.
-    pub(crate) parts: Vec<(ShardId, f64)>,
+    /// One for each shard that it asks, in the client's order; never empty.
+    pub(crate) parts: Vec<RequestedPart>,
+    /// What each part carries to its replica.
     pub(crate) text: Rc<str>,
+    /// Length of the request's body: what the search counts for in the core's memory budget.
     pub(crate) bytes: usize,
+    /// Takes the final answer; dropped without one where the client has disconnected.
     pub(crate) reply: oneshot::Sender<Answer>,
 }
 
+/// What a shard contributes to an answer.
+pub(crate) struct Row {
+    pub(crate) shard: ShardId,
+    /// The value as its replica gave it.
+    pub(crate) value: String,
+}
+
 /// The final answer of a search.
 pub(crate) enum Answer {
     Answered {
+        /// Whether nothing is missing.
         complete: bool,
-        /// Shards with the values that their replicas gave.
-        rows: Vec<(ShardId, String)>,
+        rows: Vec<Row>,
     },
+    /// Rejected because of overload; no part of it has run.
     Shed {
         /// Seconds until the client may come back; 0 for no advice.
         retry_after: f64,
@@ -124,13 +144,18 @@
     pub max_event_delay: f64,
 }
 
-/// What a connection's task reports.
+/// What a connection's task reports: `Connected` at most once, then answers, and `Closed` exactly once.
 pub(crate) enum ConnectionEvent {
+    /// The connection is established.
     Connected,
+    /// A replica has answered a part.
     AnswerReceived {
+        /// The part's id on the wire. The replica chooses the bytes: it may name no attempt in flight.
         wire_id: String,
         status: PartStatus,
+        /// Orders the shards of a second step, the highest first; 0 where the replica states none.
         score: u64,
+        /// The bytes for the client, which may not be UTF-8.
         value: Vec<u8>,
         /// When the kernel had it, in Unix seconds.
         at: f64,
--- a/crates/router/woadreachd/src/frame.rs
+++ b/crates/router/woadreachd/src/frame.rs
@@ -1,6 +1,6 @@
 //! The frames that replicas and co-ordinators exchange, as pure functions over bytes: a length of four bytes,
-//! little endian, a letter, and a body. Nothing here does I/O, or allocates by a
-//! length that a frame states.
+//! little endian, a byte for the frame's kind, which is an ASCII capital, and a body. Nothing here does I/O, or
+//! allocates by a length that a frame states.
 
 use snafu::Snafu;
 use std::str::from_utf8;
@@ -34,7 +34,7 @@
 /// A frame from a replica.
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
-    /// Letter `O`: the answer to a part.
+    /// Kind `O`: the answer to a part.
     Answer {
         /// The part's wire id.
         id: &'a str,
@@ -45,9 +45,9 @@
         /// The bytes that the client receives.
         value: &'a [u8],
     },
-    /// Letter `I` or `U`: the answer to a probe. Nothing here asks for probes.
+    /// Kind `I` or `U`: the answer to a probe. Nothing here asks for probes.
     Probe,
-    /// Letter `Z`: the replica closes the connection, for the reason that the bytes state.
+    /// Kind `Z`: the replica closes the connection, for the reason that the bytes state.
     Refused(&'a [u8]),
 }
 
@@ -127,12 +127,12 @@
     body.iter().for_each(|b| out.extend(*b));
 }
 
-/// Appends a frame with letter `D`: parts that share a call.
+/// Appends a frame of kind `D`: parts that share a call.
 pub fn call(out: &mut Vec<u8>, parts: &[&[u8]]) {
     frame(out, b'D', parts);
 }
 
-/// Appends a frame with letter `K`: the part with this wire id is cancelled.
+/// Appends a frame of kind `K`: the part with this wire id is cancelled.
 pub fn cancel(out: &mut Vec<u8>, id: &str) {
     frame(out, b'K', &[id.as_bytes()]);
 }
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -64,6 +64,7 @@
     idle: IdleConnections,
     /// Whether no descriptor is left for the next client.
     exhausted: Cell<bool>,
+    /// Numbers searches, and the waits of idle connections; ascends.
     next_number: Cell<u64>,
     open_connections: Cell<usize>,
     read_ahead: ReadAheadBudget,
@@ -112,7 +113,7 @@
                 biased;
                 _ = closing => break,
                 accepted = listener.accept() => match accepted {
-                    Ok(stream) => self.begin(stream).await,
+                    Ok(stream) => self.start_connection(stream).await,
                     Err(error) => {
                         warn!(%error, "accepting a connection failed");
                         self.net.sleep(ACCEPT_RETRY_INTERVAL).await;
@@ -132,7 +133,7 @@
                 .timeout(ACCEPT_RETRY_INTERVAL, listener.accept())
                 .await
             {
-                Ok(Ok(stream)) => self.begin(stream).await,
+                Ok(Ok(stream)) => self.start_connection(stream).await,
                 Ok(Err(_)) => self.net.sleep(ACCEPT_RETRY_INTERVAL).await,
                 Err(_) if self.open_connections.get() == 0 => break,
                 Err(_) => {}
@@ -142,7 +143,7 @@
 
     /// Gives a connection its permit and its task. Until then it is the one connection that the descriptor
     /// budget allows without a permit.
-    async fn begin(self: &Rc<Self>, stream: N::Stream) {
+    async fn start_connection(self: &Rc<Self>, stream: N::Stream) {
         let permit = self.wait_for_permit().await;
         self.exhausted.set(false);
         self.open_connections.set(self.open_connections.get() + 1);
@@ -151,9 +152,9 @@
 
     /// Waits until a descriptor is free, and has idle connections closed for it.
     ///
-    /// Prevents that clients which keep unused connections shut others out; with none idle, responses end
-    /// their connections. Cost: a client whose connection closes while its request is on its way sends it
-    /// once more, or loses it if it is the first, so that connections without a request yet go last.
+    /// Clients that keep unused connections would otherwise shut others out; with none idle, responses end
+    /// their connections. A client whose connection closes while its request is on its way sends the request
+    /// once more, but loses it if it is the first: connections without a request yet go last.
     async fn wait_for_permit(&self) -> Permit {
         loop {
             if let Some(permit) = self.sockets.permit(Side::Clients) {
--- a/crates/router/woadreachd/src/front/client_connection.rs
+++ b/crates/router/woadreachd/src/front/client_connection.rs
@@ -18,10 +18,10 @@
         n
     }
 
-    /// A request's time counts from when the kernel had it.
+    /// Records when the kernel had what was read last.
     ///
-    /// Prevents that one which has waited to be accepted or read, in a flood or while the process was held
-    /// up, is worked on after its client's time.
+    /// A request's time counts from then: one that has waited to be accepted or read, in a flood or while the
+    /// process was held up, is not worked on after its client's time.
     pub(super) fn record_receipt(&mut self, net: &N) {
         self.received_at = net.now() - self.stream.receive_delay();
     }
--- a/crates/router/woadreachd/src/front/connection.rs
+++ b/crates/router/woadreachd/src/front/connection.rs
@@ -1,4 +1,7 @@
 //! The task of one client connection.
+//!
+//! It reads a request ([`super::request_reader`]), has it answered ([`super::responder`]), writes the response,
+//! and only then looks at the next request: responses leave in the order of their requests.
 
 use super::client_connection::ClientConnection;
 use super::request_reader::Received;
@@ -10,18 +13,16 @@
 use tracing::debug;
 use woadreach_runtime::{Net, Stream};
 
-/// Seconds for which a connection that is closed is read from, and the bytes that are read at most: what a
-/// sound client may have sent meanwhile. Prevents that its last answer is lost to a reset.
+/// Seconds for which a connection that is closed is still read from, see [`Front::linger`].
 const LINGER_TIMEOUT: f64 = 0.5;
-const MAX_LINGER_BYTES: usize = http::MAX_BODY;
 /// The same when the process is about to be killed.
 const LINGER_TIMEOUT_AT_END: f64 = 0.1;
+/// Most bytes that are read in that time: what a sound client may have sent meanwhile.
+const MAX_LINGER_BYTES: usize = http::MAX_BODY;
 /// Seconds after which a client that does not read its answer is given up.
 const WRITE_TIMEOUT: f64 = 5.0;
-/// Seconds between the refusal of a request and the next look at its connection.
-///
-/// Prevents that a client which sends invalid requests as fast as it can takes more time than one that is
-/// served. Cost: this delay, for a client that has made a mistake.
+/// Seconds between the refusal of a request and the next look at its connection, so that a client which sends
+/// invalid requests as fast as it can does not take more time than one that is served.
 const REFUSAL_DELAY: f64 = 0.02;
 
 /// How the requests of a connection have ended.
@@ -49,8 +50,8 @@
         self.open_connections.set(self.open_connections.get() - 1);
     }
 
-    /// Reads to the client's end. Prevents that the kernel answers what is unread with a reset, which
-    /// overtakes the last response.
+    /// Reads to the client's end: the kernel answers what is unread with a reset, which overtakes the last
+    /// response.
     async fn linger(&self, client: &mut ClientConnection<N>) {
         let _ = client.stream.shutdown().await;
         let drain = async {
--- a/crates/router/woadreachd/src/front/idle.rs
+++ b/crates/router/woadreachd/src/front/idle.rs
@@ -1,4 +1,4 @@
-//! Client connections between two requests.
+//! Client connections between two requests: those that can be closed to give their descriptor to another client.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/router/woadreachd/src/front/request_reader.rs
+++ b/crates/router/woadreachd/src/front/request_reader.rs
@@ -1,4 +1,5 @@
-//! Reading a request from a client's connection.
+//! Reading a request from a client's connection. A connection waits here between two requests: it is the one
+//! place where it may be closed without a response.
 
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
@@ -21,16 +22,19 @@
 
 /// What a client has sent next.
 pub(super) enum Received {
+    /// A complete request; what it asks for has not been looked at.
     Request {
         head: Box<Head>,
+        /// Its body.
         content: Vec<u8>,
     },
+    /// Something that is no request, or is one that takes too long: it is answered with an error.
     Refused(Refusal),
     /// The connection is to end.
     End,
 }
 
-/// Why a request has not been read.
+/// Why a request has not been read; as in [`Received`].
 enum Unread {
     Refused(Refusal),
     End,
@@ -136,8 +140,8 @@
 
     /// Reads more of a request that has begun; 0 if the connection is to end.
     ///
-    /// A request that is incomplete at the end of the process was never taken. Prevents that clients which
-    /// never finish keep the process beyond the time at which it is killed.
+    /// A request that is incomplete at the end of the process counts as never received: clients that never
+    /// finish must not keep the process beyond the time at which it is killed.
     async fn read_more(
         &self,
         client: &mut ClientConnection<N>,
@@ -156,7 +160,7 @@
     async fn read_idle(&self, client: &mut ClientConnection<N>, unused: bool) -> usize {
         let number = self.new_number();
         let close = self.idle.insert(number, unused, self.net.now());
-        // Prevents that clients which ask once and keep their connections hold memory for good.
+        // Else clients that ask once and keep their connections would hold memory for good.
         client.bytes = Vec::new();
         let (mut phase, deadline) = (self.phase.clone(), self.net.now() + IDLE_TIMEOUT);
         let mut ending = false;
@@ -170,9 +174,9 @@
                         read => break read.unwrap_or(0),
                     }
                 }
-                // Prevents that a request which is received in the moment in which its connection is to end
-                // is lost: sockets are polled once more. One that comes later still finds a closed
-                // connection, and is sent once more.
+                // A request may have been received just as its connection is to end: sockets are polled once
+                // more before it closes. A later one finds a closed connection, and the client sends it once
+                // more.
                 () = std::future::ready(()), if ending => break 0,
                 () = close.notified() => ending = true,
                 _ = phase.wait_for(|p| *p >= Phase::Closing) => ending = true,
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -1,20 +1,24 @@
 //! Responses: waiting for the core's answer to a search, and its bytes.
+//!
+//! A request is handed to the core here, and the connection's task then does nothing but wait for the answer
+//! and watch whether the client disconnects. Each search that the core has received is answered exactly once,
+//! or reported as [`Event::ClientDisconnected`].
 
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
 use super::routing::Route;
 use super::{Front, Phase};
-use crate::events::{Answer, Event};
+use crate::events::{Answer, Event, Row};
 use crate::http::{self, Head};
 use crate::json::write_string;
 use tokio::sync::oneshot;
 use tracing::debug;
-use woadreach_routing::api::{SearchId, ShardId};
+use woadreach_routing::api::SearchId;
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 
-/// Seconds between two reads of bytes that are thrown away: at up to 80 KiB each the most that two kernels
-/// hold back, some megabytes, is read well within the 0.1 s in which a client's end has to be seen.
+/// Seconds between two reads of bytes that are discarded: at up to 80 KiB each, all that two kernels buffer,
+/// some megabytes, is read well within the 0.1 s in which a client's end has to be seen.
 const DISCARD_INTERVAL: f64 = 0.001;
 
 /// What a request is answered with.
@@ -26,11 +30,11 @@
     pub(super) refused: bool,
 }
 
-/// What a client has received from the core, if anything.
-struct Waited {
+/// What came of the wait for the core's answer.
+struct WaitOutcome {
     /// `None` if the core has dropped the search.
     answer: Option<Answer>,
-    /// Whether bytes that the client has sent meanwhile were thrown away.
+    /// Whether bytes that the client has sent meanwhile were discarded.
     discarded: bool,
 }
 
@@ -88,9 +92,9 @@
 
     /// Whether the connection ends with the response at hand. `requested`: the client asks for it.
     ///
-    /// Where many connections are open, responses end theirs. Prevents that clients which pool more than they
-    /// use take up all descriptors. Cost: a new connection for the next request of such a client. After
-    /// SIGTERM no new clients come, and none that is sent away comes back, so that connections stay open.
+    /// Where many connections are open, responses end theirs, so that clients which pool more than they use
+    /// do not take up all descriptors. After SIGTERM no new clients come, and none that is sent away comes
+    /// back, so that connections stay open.
     fn closes_after_response(&self, requested: bool) -> bool {
         match *self.phase.borrow() {
             Phase::Serving => requested || self.exhausted.get() || self.sockets.has_many_clients(),
@@ -101,17 +105,20 @@
 
     /// Waits for the core's answer, and reads what the client sends ahead; `None` if it disconnects.
     ///
-    /// What is beyond the budget is read and thrown away, at a pace, and the connection ends with the answer.
-    /// Prevents that the disconnection of a client which has sent much goes unseen behind what is unread,
-    /// and its search is worked on. It costs nothing to clients that send one request at a time.
+    /// What is beyond the budget is read and discarded, at a limited rate, and the connection ends with the
+    /// answer: behind unread bytes the disconnection of a client would go unseen, and its search be worked on.
+    /// Clients that send one request at a time never exceed the budget.
     async fn wait_for_answer(
         &self,
         client: &mut ClientConnection<N>,
         search: SearchId,
         mut reply: oneshot::Receiver<Answer>,
-    ) -> Option<Waited> {
-        let (mut phase, mut ending) = (self.phase.clone(), false);
-        let (mut read_ahead, mut paused, mut discarded) = (self.read_ahead.share(), false, false);
+    ) -> Option<WaitOutcome> {
+        let mut phase = self.phase.clone();
+        let mut read_ahead = self.read_ahead.share();
+        let mut ending = false;
+        let mut paused = false;
+        let mut discarded = false;
         let answer = loop {
             tokio::select! {
                 biased;
@@ -130,13 +137,14 @@
                     if client.bytes.len() > limit {
                         client.bytes.truncate(limit);
                         client.bytes.reserve(limit);
-                        (paused, discarded) = (true, true);
+                        paused = true;
+                        discarded = true;
                     }
                 }
                 () = self.net.sleep(DISCARD_INTERVAL), if paused => paused = false,
             }
         };
-        Some(Waited { answer, discarded })
+        Some(WaitOutcome { answer, discarded })
     }
 }
 
@@ -157,12 +165,12 @@
 }
 
 /// The body of an answer, with the values as replicas gave them.
-fn answer_body(complete: bool, rows: &[(ShardId, String)]) -> Vec<u8> {
+fn answer_body(complete: bool, rows: &[Row]) -> Vec<u8> {
     let mut out = format!("{{\"exact\":{complete},\"rows\":[").into_bytes();
-    for (i, (shard, value)) in rows.iter().enumerate() {
+    for (i, row) in rows.iter().enumerate() {
         out.extend(if i > 0 { &b","[..] } else { b"" });
-        out.extend(format!("{{\"id\":{},\"data\":", shard.0).into_bytes());
-        write_string(&mut out, value);
+        out.extend(format!("{{\"id\":{},\"data\":", row.shard.0).into_bytes());
+        write_string(&mut out, &row.value);
         out.push(b'}');
     }
     out.extend(b"]}");
--- a/crates/router/woadreachd/src/front/routing.rs
+++ b/crates/router/woadreachd/src/front/routing.rs
@@ -1,4 +1,5 @@
-//! What a request asks for, by its method, path and headers.
+//! What a request asks for, by its method, path and headers. Health checks are answered in the front; only a
+//! search that is valid in every respect becomes an [`Arrival`] for the core.
 
 use super::refusal::Refusal;
 use super::search_body::{SearchBody, parse_search_body};
@@ -70,7 +71,7 @@
             trace,
             query_type: QueryTypeId(query_type),
             tenant: self.tenant(head),
-            at: received_at,
+            received_at,
             client_deadline: received_at + client_timeout,
             repeated: self
                 .names
--- a/crates/router/woadreachd/src/front/search_body.rs
+++ b/crates/router/woadreachd/src/front/search_body.rs
@@ -1,5 +1,7 @@
-//! The JSON body of a search: its parts, and the text that goes to replicas.
+//! The JSON body of a search: its parts, and the text that goes to replicas. It is checked as a whole before the
+//! core receives the search, so that the core need not refuse any.
 
+use crate::events::RequestedPart;
 use crate::json::{ParseError, Reader, invalid};
 use std::collections::BTreeMap;
 use woadreach_routing::api::ShardId;
@@ -9,8 +11,9 @@
 
 /// What a search asks for.
 pub(super) struct SearchBody {
-    /// Shards with their weights in the answer, in the client's order.
-    pub(super) parts: Vec<(ShardId, f64)>,
+    /// In the client's order; never empty.
+    pub(super) parts: Vec<RequestedPart>,
+    /// What each part carries to its replica.
     pub(super) text: String,
 }
 
@@ -22,14 +25,17 @@
 }
 
 struct Part {
+    /// Which of the body's parts it is, from 0.
     position: usize,
     weight: f64,
 }
 
 /// The parts read so far.
 struct Parts {
+    /// Number of shards that there are.
     shards: u64,
     parts: BTreeMap<ShardId, Part>,
+    /// By how much the sum of the weights may differ from 1.
     rounding: f64,
 }
 
@@ -89,7 +95,8 @@
         }
     }
 
-    fn in_order(self) -> Result<Vec<(ShardId, f64)>, ParseError> {
+    /// The parts in the client's order, if their weights add up to 1.
+    fn in_order(self) -> Result<Vec<RequestedPart>, ParseError> {
         if self.parts.is_empty() {
             return Err(invalid("no parts"));
         }
@@ -99,10 +106,11 @@
         }
         let mut parts: Vec<(ShardId, Part)> = self.parts.into_iter().collect();
         parts.sort_by_key(|(_, part)| part.position);
-        Ok(parts
-            .into_iter()
-            .map(|(shard, part)| (shard, part.weight))
-            .collect())
+        let requested = parts.into_iter().map(|(shard, part)| RequestedPart {
+            shard,
+            weight: part.weight,
+        });
+        Ok(requested.collect())
     }
 }
 
--- a/crates/router/woadreachd/src/http/head.rs
+++ b/crates/router/woadreachd/src/http/head.rs
@@ -50,7 +50,7 @@
     /// Whether the connection ends after this message.
     pub fn closes(&self) -> bool {
         self.has_token("connection", "close")
-            || (self.start_line.iter().any(|word| word == "HTTP/1.0")
+            || (self.start_line.iter().any(|part| part == "HTTP/1.0")
                 && !self.has_token("connection", "keep-alive"))
     }
 
@@ -152,12 +152,13 @@
     }))
 }
 
+/// The three components of a start line, of which the last may be empty.
 fn parse_start_line(line: &str) -> Result<[String; 3], ParseError> {
-    let mut words = line.splitn(3, ' ').map(str::to_string);
-    let (Some(first), Some(second)) = (words.next(), words.next()) else {
+    let mut components = line.splitn(3, ' ').map(str::to_string);
+    let (Some(first), Some(second)) = (components.next(), components.next()) else {
         return Err(malformed("bad first line"));
     };
-    Ok([first, second, words.next().unwrap_or_default()])
+    Ok([first, second, components.next().unwrap_or_default()])
 }
 
 fn parse_header(line: &str) -> Result<(String, String), ParseError> {
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -2,10 +2,15 @@
 //!
 //! [`serve`] starts the tasks that do the work, and ends them at SIGTERM. A search passes through them thus:
 //!
-//! 1. `front` reads a client's request (with [`http`] and [`json`]) and sends it to the core.
-//! 2. `core` has the routing decisions place its parts, and owns all timers.
-//! 3. `replicas` sends the parts as [`frame`]s and reports how each attempt ends.
-//! 4. The core sends the final answer back to the front.
+//! 1. `front::connection`, a task for each client, has `front::request_reader` read a request with [`http`] and
+//!    `front::routing` check it with [`json`]; `front::responder` sends it to the core as an `Arrival`.
+//! 2. `core` is one task. `core::handlers` adds the search to the search table, the routing decisions place its
+//!    parts, and `core::executor` carries out their plan: it sends attempts and sets timers.
+//! 3. `replicas`, the pool of connections, is a part of the core task. It puts each attempt on the write queue of
+//!    a connection; `replicas::connection`, a task for each, writes it as a [`frame`] and reads the answers.
+//! 4. Answers return to `core::handlers` as events. `replicas::attempts` pairs them with their attempts, and
+//!    the routing decisions are told how each attempt has ended: they plan retries, or finish the search.
+//! 5. `core::executor` gives the final answer to `front::responder`, which waits for it and encodes it.
 //!
 //! `discovery` keeps the endpoint list, `peers` speaks with the other co-ordinators, [`config`] reads the
 //! settings, `sockets` is the budget of descriptors that all share, and [`events`] are the messages between
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -66,11 +66,12 @@
 
 /// Seconds between the log lines that report the state of membership and leases.
 const STATUS_INTERVAL: f64 = 5.0;
-/// Shortest and longest slow start of a zone that is back, in seconds.
+/// Shortest slow start of a zone that is back, in seconds.
 const MIN_ZONE_SLOW_START: f64 = 1.5;
+/// Longest slow start of a zone that is back, in seconds.
 const MAX_ZONE_SLOW_START: f64 = 8.0;
-/// A zone that is back has all of its traffic after the time in which a replica warms up divided by this, so that
-/// its slow start is over before that of its replicas.
+/// A zone that is back has all of its traffic after the time in which a replica warms up, divided by this: its
+/// slow start is over before that of its replicas.
 const ZONE_SLOW_START_DIVISOR: f64 = 3.0;
 /// Seconds to wait after an error of the socket, which is temporary.
 const RECEIVE_RETRY_INTERVAL: f64 = 0.1;
@@ -181,8 +182,8 @@
         let now = self.net.now();
         let actions = self.roles.as_mut().map(|roles| roles.tick(now));
         self.perform_role_actions(actions.unwrap_or_default());
-        let out = self.peer.tick(now);
-        self.perform(out);
+        let actions = self.peer.tick(now);
+        self.perform(actions);
         if now >= self.next_status {
             self.next_status = now + STATUS_INTERVAL;
             self.log_membership();
@@ -190,13 +191,13 @@
         }
     }
 
-    /// Gives leases back and tells the peers that this process ends.
+    /// Releases leases and notifies the peers that this process ends.
     fn leave(mut self) {
         let now = self.net.now();
         let actions = self.roles.as_mut().map(|roles| roles.leave(now));
         self.perform_role_actions(actions.unwrap_or_default());
-        let out = self.peer.leave(now);
-        self.perform(out);
+        let actions = self.peer.leave(now);
+        self.perform(actions);
     }
 
     fn observe(&mut self, observed: &ZoneObservations) {
@@ -204,15 +205,15 @@
         self.attempt_rate.record(now, observed.attempts_sent);
         self.update_roles(now, observed);
         let demand = self.attempt_rate.per_second;
-        let out = self.peer.update(now, &observed.zones, demand);
-        self.perform(out);
+        let actions = self.peer.update(now, &observed.zones, demand);
+        self.perform(actions);
         self.publish_zone_failover(now);
     }
 
     fn datagram_received(&mut self, bytes: &[u8], from: SocketAddr) {
         let from = self.by_address.get(&from).copied();
-        let out = self.peer.receive(self.net.now(), from, bytes);
-        self.perform(out);
+        let actions = self.peer.receive(self.net.now(), from, bytes);
+        self.perform(actions);
     }
 
     /// Carries out what membership and verdicts ask for.
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -89,7 +89,7 @@
         }
         if !actions.closed.is_empty() {
             let closed = actions.closed.iter();
-            let closed = closed.map(|c| (c.replica, c.departure)).collect();
+            let closed = closed.map(|c| c.replica).collect();
             self.send_role_update(RoleUpdate::Closed(closed));
         }
         if !actions.expired.is_empty() {
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -1,11 +1,18 @@
 //! The pool of connections to replicas, and the attempts on each.
 //!
 //! [`Replicas`] owns every attempt from the send that the routing decisions asked for until its outcome is in
-//! [`Replicas::outcomes`], whence the core takes it, exactly once. It never chooses a replica, nor sends an
-//! attempt again.
+//! [`Replicas::outcomes`], from where the core takes it, exactly once. It never chooses a replica, nor sends an
+//! attempt again. An attempt passes through it thus:
+//!
+//! 1. [`Replicas::send`] adds it to the batch of the pass, and [`Replicas::flush`] puts the batch on
+//!    connections, which it opens where needed.
+//! 2. It waits in the connection's write queue, and can be taken back, until the connection's task writes it.
+//! 3. [`Replicas::handle_event`] pairs an answer with it by the wire id, or it ends without one:
+//!    [`Replicas::time_out`], [`Replicas::cancel`], [`Replicas::withdraw`], or with its connection.
 //!
 //! - This file: the endpoints, and which connection an attempt goes to.
 //! - [`attempts`]: how attempts end.
+//! - [`pooled_connection`]: what the pool knows of one connection.
 //! - [`connection`]: the task of one connection.
 //! - [`write_queue`]: what waits to be written on a connection.
 
@@ -124,8 +131,8 @@
             started_at,
             connections: BTreeSet::new(),
         });
-        // Prevents that attempts are written to connections of a former incarnation, which a machine that was
-        // unreachable leaves open, and are lost. Cost: a new connection.
+        // A machine that was unreachable leaves the connections of a former incarnation open, and what is
+        // written to them is lost.
         let stale = (endpoint.address, endpoint.started_at) != (address, started_at);
         (endpoint.address, endpoint.started_at) = (address, started_at);
         if stale {
@@ -136,8 +143,8 @@
 
     /// Takes back all attempts to a replica that have not begun to leave, and retires its connections.
     ///
-    /// Prevents that an attempt which waits for a connection leaves after the grace of a drain. It costs
-    /// nothing: the attempts are placed anew.
+    /// An attempt that waits for a connection could otherwise leave after the grace of a drain. Those taken
+    /// back are placed anew.
     fn drain(&mut self, now: f64, replica: &ReplicaId) {
         let connections = self
             .endpoints
@@ -186,8 +193,8 @@
 
     /// Hands the attempts of this pass to connections; those to one replica share calls.
     ///
-    /// Attempts that were given up since are dropped. Prevents that those of a search which has ended in the
-    /// same pass leave after its answer. It costs nothing: no byte of them has left.
+    /// Attempts that were given up in the same pass are dropped, so that those of a search which has ended in
+    /// it do not leave after its answer.
     pub(crate) fn flush(&mut self, now: f64) {
         for (replica, mut attempts) in std::mem::take(&mut self.batch) {
             attempts.retain(|a| self.attempts.contains_key(&a.attempt));
@@ -234,8 +241,8 @@
     /// Whether a replica may have another connection while one is free for its attempts.
     ///
     /// Attempts to one replica are spread over as many connections as its share of the descriptors reserved
-    /// for replicas allows; the attempt at hand does not wait for the new one. Prevents that a connection
-    /// which breaks takes all attempts to a replica with it. Cost: a few more connections.
+    /// for replicas allows, so that a connection which breaks does not take all of them with it. The attempt
+    /// at hand does not wait for the new connection.
     fn may_spread(&self, replica: &ReplicaId) -> bool {
         let connections = self
             .endpoints
@@ -247,9 +254,8 @@
     /// The connection with the fewest attempts in flight that can take these: one that is connected, else one
     /// that is connecting.
     ///
-    /// A second attempt of a part goes where the replica has been heard, if it can. Prevents that it lies
-    /// unread at a machine that accepts late while the answer to the first overtakes it. It costs nothing:
-    /// the other connections are left to first attempts.
+    /// A later attempt of a part goes to a connection on which the replica has answered before, if it can. On
+    /// another it could lie unread at a machine that accepts late, while the answer to the first overtakes it.
     fn best_connection(
         &self,
         now: f64,
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -121,9 +121,8 @@
         if self.config.cancellation_allowed {
             queue.push(QueuedMessage::Cancel(attempt.wire_id.clone()));
         }
-        // Prevents that each new attempt waits its whole time on a connection on which nothing is received
-        // any more, as of a machine that is unreachable. Cost: a replica that is only slow gets a new
-        // connection.
+        // On a connection to a machine that has become unreachable, each new attempt would wait its whole
+        // time. A replica that is only slow gets a new connection, too.
         let waited = now > attempt.sent_at + self.config.connect_timeout;
         let heard_since = connection.last_heard.is_some_and(|at| at > attempt.sent_at);
         let unresponsive = waited && !heard_since;
@@ -137,8 +136,8 @@
 
     /// Resets a connection on which part of a message has left.
     ///
-    /// Prevents that an attempt which is given up arrives afterwards, where the other machine has stopped
-    /// reading: its last byte never leaves. Cost: what else is in flight on it is retried, where it may be.
+    /// Its last byte then never leaves: otherwise an attempt that was given up would arrive once a machine
+    /// that has stopped reading goes on. What else is in flight on the connection is retried, where it may be.
     fn reset(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get(&id) {
             connection.queue.close(Closing::Reset);
@@ -219,8 +218,8 @@
 
     /// Closes a connection at once.
     ///
-    /// Prevents that attempts wait in vain on a connection whose bytes mean nothing any more, after an answer
-    /// that belongs to no attempt. Cost: the other attempts on it are retried, where they may be.
+    /// After an answer that belongs to no attempt, the bytes on a connection mean nothing any more, and the
+    /// attempts on it would wait in vain. They are retried, where they may be.
     fn abort(&mut self, now: f64, id: ConnectionId) {
         self.finish_all(now, id);
         if let Some(connection) = self.connections.get_mut(&id) {
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -16,9 +16,9 @@
 use tracing::debug;
 use woadreach_runtime::{Net, Read, Stream, Write};
 
-/// Capacity for the bytes of an ordinary answer; what a longer one took is given back.
+/// Capacity for an ordinary answer, in bytes; what a longer one took is given back.
 const READ_CAPACITY: usize = 2048;
-/// Seconds after which a connection that could not be written to has kept its attempts waiting.
+/// Seconds after which a connection that was not writable counts as having kept its attempts waiting.
 const MAX_WRITE_DELAY: f64 = 0.001;
 
 /// Why a connection ended.
@@ -30,8 +30,10 @@
     IncompleteFrame,
     #[snafu(display("{source}"))]
     InvalidFrame { source: frame::ParseError },
+    /// The replica says that it closes the connection, and why.
     #[snafu(display("refused: {reason}"))]
     Refused { reason: String },
+    /// The pool had it closed before all that waited was written.
     #[snafu(display("what waited was not written"))]
     NotWritten,
     #[snafu(display("{source}"))]
@@ -43,10 +45,11 @@
     pub(super) net: N,
     pub(super) id: ConnectionId,
     pub(super) address: SocketAddr,
-    /// Seconds that the connection, or a message on it, may take.
+    /// Most seconds that the connection may take to be established, or a message on it to be transmitted.
     pub(super) timeout: f64,
     pub(super) queue: Rc<WriteQueue>,
     pub(super) events: Events,
+    /// Given back once the socket is closed.
     pub(super) permit: Permit,
 }
 
@@ -94,8 +97,8 @@
 
 /// Waits until the connection is to end, and then for as long as what waits on it may take to be written.
 ///
-/// Prevents that a machine which reads nothing keeps the connection's descriptor for good. Cost: messages to
-/// a slow machine are lost, all of which only cancel attempts that were given up.
+/// A machine that reads nothing would otherwise keep the connection's descriptor for good. The messages to a
+/// slow machine that are lost by this only cancel attempts that were given up.
 async fn wait_until_closed(
     net: &impl Net,
     queue: &WriteQueue,
@@ -110,9 +113,9 @@
 
 /// Reads frames and sends their answers to the core, until the connection ends.
 ///
-/// A frame that has begun must be complete within `timeout` seconds. Prevents that one whose stated length
-/// is too large leaves the connection open, so that every later attempt on it waits in vain. It costs
-/// nothing: a sound replica writes a frame at one time.
+/// A frame that has begun must be complete within `timeout` seconds; a sound replica writes a frame at one
+/// time. If one states too great a length, the connection would otherwise stay open, and every later attempt
+/// on it wait in vain.
 pub(super) async fn read(
     net: &impl Net,
     id: ConnectionId,
@@ -134,7 +137,7 @@
         if read.context(IoSnafu)? == 0 {
             return ClosedByReplicaSnafu.fail();
         }
-        // An answer counts from when the kernel had it. Prevents that sound replicas look slow after a moment
+        // An answer counts from when the kernel had it, so that sound replicas do not look slow after a moment
         // in which this process stood still.
         let received_at = net.now() - reader.receive_delay();
         let taken = take_frames(&bytes, id, received_at, events)?;
@@ -182,12 +185,13 @@
     Ok(offset)
 }
 
+/// Writes what waits in the queue, until that is written and the connection is to end.
 async fn write(
     net: &impl Net,
     mut writer: impl Write,
     queue: &WriteQueue,
 ) -> Result<(), ConnectionError> {
-    let mut first = true;
+    let mut is_first = true;
     loop {
         if queue.is_empty() {
             if queue.closing() > Closing::Open {
@@ -197,12 +201,13 @@
             continue;
         }
         // A message is taken only once it can begin to leave: until then a drain may take it back.
-        let since = net.now();
+        let waiting_since = net.now();
         writer.writable().await.context(IoSnafu)?;
-        // Prevents that an attempt which has waited for its connection leaves for a client that has
-        // disconnected, or after a drain, where the news lies unread behind this connection's beginning: all
-        // sockets are polled, then the core. Cost: such an attempt leaves some microseconds later.
-        if std::mem::take(&mut first) || net.now() > since + MAX_WRITE_DELAY {
+        // While an attempt waited for its connection, its client may have disconnected, or its replica been
+        // drained, and this process not have read it yet. So all sockets are polled first, then the core,
+        // which takes the attempt back. This takes some microseconds.
+        let has_waited = net.now() > waiting_since + MAX_WRITE_DELAY;
+        if std::mem::take(&mut is_first) || has_waited {
             net.yield_now().await;
             net.yield_now().await;
         }
--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -19,12 +19,14 @@
     /// The part's id on the wire, the same for each of its attempts.
     pub(crate) wire_id: String,
     pub(crate) shard: u64,
-    /// The fields that it carries beside its time.
+    /// The fields that it carries after its time, each with a comma before it; empty but for a second step.
     pub(crate) fields: String,
+    /// What its shard is asked, in the client's words.
     pub(crate) text: Rc<str>,
     /// Until when its answer is waited for, in Unix seconds.
     pub(crate) deadline: f64,
-    /// It begins to leave before this time or not at all: a retry of a tokened part, within its window.
+    /// It begins to leave before this time, in Unix seconds, or not at all: a retry of a tokened part, within
+    /// the window in which replicas recognize it.
     pub(crate) begin_by: f64,
     pub(crate) last_write: LastWrite,
 }
@@ -162,8 +164,8 @@
 
     /// Encodes a call at the time at which it leaves; `None` if no attempt of it is in time.
     ///
-    /// Prevents that a process which was held up, or whose replica is slow to read, writes attempts after
-    /// their time. It costs nothing: they were given up.
+    /// Where the process was held up, or the replica is slow to read, the time of an attempt may be over: it
+    /// has been given up, and is left out.
     pub(super) fn begin_call(&self, attempts: Vec<QueuedAttempt>, now: f64) -> Option<Vec<u8>> {
         let (attempts, expired): (Vec<_>, Vec<_>) =
             attempts.into_iter().partition(|a| a.is_in_time(now));
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -83,8 +83,8 @@
         result = &mut tasks.core => return CoreEndedSnafu { result }.fail(),
         () = shutdown.run(&net, &phase) => {}
     }
-    // Prevents that peers take seconds to find out that a process without searches in flight has ended: it
-    // notifies them, and waits for no response.
+    // Peers would take seconds to find out that a process without searches in flight has ended: it notifies
+    // them, and waits for no response.
     let _ = phase.send(Phase::Ending);
     if let Some(peers) = tasks.peers {
         drop(peers.await);
--- a/crates/router/woadreachd/src/shutdown.rs
+++ b/crates/router/woadreachd/src/shutdown.rs
@@ -5,9 +5,10 @@
 use tokio::sync::watch;
 use woadreach_runtime::Net;
 
-/// PROTOCOL: SIGKILL follows SIGTERM no sooner than after the longest client time-out, of which 3 s count at
-/// most, and 0.7 s more. Until then clients use the connections that they have.
+/// PROTOCOL: SIGKILL follows SIGTERM no sooner than after the longest client time-out, and these seconds more.
+/// Until then clients use the connections that they have.
 const KILL_GRACE: f64 = 0.7;
+/// PROTOCOL: of the longest client time-out these seconds count at most.
 const MAX_COUNTED_CLIENT_TIMEOUT: f64 = 3.0;
 /// Seconds in which the last answers are written, by a process that may be held up.
 const LAST_ANSWERS_TIME: f64 = 0.3;
@@ -32,9 +33,8 @@
 
     /// Enters the phases after `Draining`, each in its time; never returns.
     ///
-    /// A process serves for as long as what it takes can be answered. Prevents that, in a restart of all
-    /// processes one after the other, clients are spread only over those that are back, which may be none.
-    /// Cost: a restart by hand takes that long.
+    /// A process serves for as long as what it takes can be answered. Otherwise, in a restart of all processes
+    /// one after the other, clients would be spread only over those that are back, which may be none.
     pub(crate) async fn run(&self, net: &impl Net, phase: &watch::Sender<Phase>) {
         let start = net.now();
         net.sleep_until(start + self.closing).await;
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -9,10 +9,10 @@
 /// that is read at a SIGHUP, and a client connection that is accepted before it has its permit; one in
 /// reserve.
 const OTHER_DESCRIPTORS: usize = 14;
-/// Descriptors of discovery: a call, and another beside it.
+/// Descriptors that only discovery has: for a call, and another beside it.
 ///
-/// Prevents that idle clients and connections to replicas hold every descriptor, so that the call which would
-/// report a drain has none. Cost: two descriptors fewer for others.
+/// If idle clients and connections to replicas could hold every descriptor, the call that would report a drain
+/// had none.
 const DISCOVERY_DESCRIPTORS: usize = 2;
 /// Fewest descriptors for clients and replicas, however low the limit.
 const MIN_SHARED_DESCRIPTORS: usize = 4;
@@ -70,9 +70,9 @@
 
     /// A permit for one socket, if one is left.
     ///
-    /// Clients have at most three quarters; replicas may use what is left. Prevents that a flood of clients,
-    /// or clients that never close, leave no descriptor to ask a replica with. Cost: the last quarter may lie
-    /// idle while clients wait to be accepted.
+    /// Clients have at most three quarters, so that a flood of clients, or clients that never close, leave
+    /// descriptors to ask replicas with. Replicas may use all that is left. The last quarter may lie idle
+    /// while clients wait to be accepted.
     pub(crate) fn permit(&self, side: Side) -> Option<Permit> {
         let budget = &self.0;
         let free = budget.clients.get() + budget.replicas.get() < budget.limit;
@@ -97,10 +97,10 @@
         self.0.limit - self.0.client_limit()
     }
 
-    /// Whether clients have so many descriptors that responses should end their connections.
+    /// Whether clients have enough descriptors for responses to end their connections.
     ///
-    /// By the protocol clients hold, for requests, at most a third of the descriptors, and stop asking there. From a
-    /// quarter on their connections are better ended with their answers.
+    /// By the protocol clients hold, for requests, at most a third of the descriptors, and stop asking there.
+    /// From a quarter on their connections are better ended with their answers.
     pub(crate) fn has_many_clients(&self) -> bool {
         self.0.clients.get() >= self.0.limit / 4
     }
