--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -41,7 +41,7 @@
     /// Address of discovery.
     pub discovery: String,
     /// Seconds between calls of discovery while none is answered.
-    pub discovery_interval: f64,
+    pub discovery_interval_s: f64,
     /// Most descriptors.
     pub sockets: usize,
     /// The replicas that are known at the start.
@@ -126,7 +126,7 @@
             .ok()
             .context(InvalidListenAddressSnafu { address: listen })?,
         discovery: address("discovery", "PROXY_DISCOVERY", &source.discovery)?,
-        discovery_interval: schedule::call_interval(
+        discovery_interval_s: schedule::call_interval(
             fields
                 .seconds("/guarantees/drainGraceMs")
                 .unwrap_or(DEFAULT_DRAIN_GRACE),
@@ -181,8 +181,8 @@
     Ok(CoreConfig {
         max_open: max_open.map_or(usize::MAX, |n| n as usize),
         max_bytes: (memory * REQUEST_MEMORY_RATIO) as usize,
-        max_client_timeout: fields.max_seconds("/requestClasses", "giveUpMs"),
-        max_latency_target: fields.max_seconds("/requestClasses", "aimMs"),
+        max_client_timeout_s: fields.max_seconds("/requestClasses", "giveUpMs"),
+        max_latency_target_s: fields.max_seconds("/requestClasses", "aimMs"),
         zones: texts(fields.settings, "/localities"),
         second_step_parts: rows(fields.settings, "/domain/classFetch")
             .map(|n| n.as_u64().unwrap_or(0) as usize)
@@ -195,8 +195,8 @@
     Ok(ConnectionConfig {
         max_attempts: fields.required_number("/limits/streamsPerConn")? as usize,
         max_parts_per_call: parts_per_call.map_or(1, |n| (n as usize).max(1)),
-        idle_timeout: fields.required_seconds("/limits/idleCloseMs")?,
-        connect_timeout: fields.required_seconds("/limits/connectTimeoutMs")?,
+        idle_timeout_s: fields.required_seconds("/limits/idleCloseMs")?,
+        connect_timeout_s: fields.required_seconds("/limits/connectTimeoutMs")?,
         cancellation_allowed: fields.flag("/limits/cancelling"),
     })
 }
--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -38,7 +38,7 @@
         regions,
         forced_out,
         prefer_near: fields.file_flag("/failover/near"),
-        warm_up: fields.seconds("/guarantees/coldMs").unwrap_or(0.0),
+        warm_up_s: fields.seconds("/guarantees/coldMs").unwrap_or(0.0),
         roles: fields.file_flag_unless_off("/duties/on"),
         quota_allocator: fields.file_flag("/duties/warden"),
         log_role_actions: fields.file_flag("/duties/records"),
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -73,7 +73,7 @@
     /// Whether it was logged that no list has done so within [`FIRST_LIST_TIMEOUT`].
     first_list_timed_out: bool,
     /// Longest wait of an event since the last usage report, in seconds.
-    max_event_delay: f64,
+    max_event_delay_s: f64,
     on_usage: UsageCallback,
     observation_sender: Option<ObservationSender>,
     endpoints: EndpointState,
@@ -97,7 +97,7 @@
             sockets,
             knows_endpoints: false,
             first_list_timed_out: false,
-            max_event_delay: 0.0,
+            max_event_delay_s: 0.0,
             on_usage,
             observation_sender: None,
             endpoints: EndpointState::default(),
--- a/crates/router/woadreachd/src/core/config.rs
+++ b/crates/router/woadreachd/src/core/config.rs
@@ -11,7 +11,7 @@
     /// Number of parts in a second step, by query type.
     pub second_step_parts: Vec<usize>,
     /// Longest client time-out of any query type, in seconds.
-    pub max_client_timeout: f64,
+    pub max_client_timeout_s: f64,
     /// Longest latency target of any query type, in seconds.
-    pub max_latency_target: f64,
+    pub max_latency_target_s: f64,
 }
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -239,14 +239,14 @@
         Some(request)
     }
 
-    /// Keeps an answered search's trace id reserved for the longest client timeout (`max_client_timeout`).
+    /// Keeps an answered search's trace id reserved for the longest client timeout (`max_client_timeout_s`).
     ///
     /// The parts of a new request under the same trace id could be taken for those of the one just answered.
     /// Clients that keep to the protocol give each request a new id.
     fn reserve_trace(&mut self, trace: &str) {
         self.traces.insert(trace.to_string());
         self.answered.push_back(ReservedTrace {
-            until: self.now + self.config.max_client_timeout,
+            until: self.now + self.config.max_client_timeout_s,
             trace: trace.to_string(),
         });
     }
@@ -348,7 +348,9 @@
                 .collect();
             Answer::Answered { complete, rows }
         }
-        Reply::Shed { retry_after } => Answer::Shed { retry_after },
+        Reply::Shed { retry_after } => Answer::Shed {
+            retry_after_s: retry_after,
+        },
         Reply::Errored => Answer::Errored,
     }
 }
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -90,7 +90,7 @@
 
     fn handle_connection_event(&mut self, now: f64, id: ConnectionId, event: ConnectionEvent) {
         if let ConnectionEvent::AnswerReceived { at, .. } = event {
-            self.max_event_delay = self.max_event_delay.max(now - at);
+            self.max_event_delay_s = self.max_event_delay_s.max(now - at);
         }
         if let Some(answered) = self.executor.replicas.handle_event(now, id, event)
             && let Some(search) = self.search_table.search_of(answered.attempt.part)
@@ -109,7 +109,7 @@
     }
 
     fn search_arrived(&mut self, now: f64, arrival: Arrival) {
-        self.max_event_delay = self.max_event_delay.max(now - arrival.received_at);
+        self.max_event_delay_s = self.max_event_delay_s.max(now - arrival.received_at);
         self.executor.expire_traces(now);
         if self.executor.traces.contains(&arrival.trace) {
             debug!(trace = %arrival.trace, "search rejected, duplicate trace id");
@@ -117,7 +117,7 @@
             return;
         }
         if self.exceeds_limits(&arrival) {
-            let _ = arrival.reply.send(Answer::Shed { retry_after: 0.0 });
+            let _ = arrival.reply.send(Answer::Shed { retry_after_s: 0.0 });
             return;
         }
         debug!(
--- a/crates/router/woadreachd/src/core/usage_report.rs
+++ b/crates/router/woadreachd/src/core/usage_report.rs
@@ -13,7 +13,7 @@
 impl<N: Net> Core<N> {
     /// Reports usage, and sets the timer for the next report. `due`: when this one was due.
     pub(super) fn report_usage(&mut self, now: f64, due: f64) {
-        self.max_event_delay = self.max_event_delay.max(now - due);
+        self.max_event_delay_s = self.max_event_delay_s.max(now - due);
         let usage = self.usage();
         log_usage(&usage);
         if let Some(counters) = self.search_table.watch_counters() {
@@ -25,7 +25,7 @@
             );
         }
         (self.on_usage)(&usage);
-        self.max_event_delay = 0.0;
+        self.max_event_delay_s = 0.0;
         self.executor
             .timers
             .insert(now + USAGE_REPORT_INTERVAL, Timer::UsageReport);
@@ -45,7 +45,7 @@
             client_sockets: sockets.clients,
             own_sockets: sockets.own,
             request_bytes: self.executor.bytes,
-            max_event_delay: self.max_event_delay,
+            max_event_delay_s: self.max_event_delay_s,
         }
     }
 }
@@ -61,7 +61,7 @@
         client_sockets = usage.client_sockets,
         own_sockets = usage.own_sockets,
         request_bytes = usage.request_bytes,
-        max_event_delay_ms = usage.max_event_delay * 1000.0,
+        max_event_delay_ms = usage.max_event_delay_s * 1000.0,
         "usage reported"
     );
 }
--- a/crates/router/woadreachd/src/discovery.rs
+++ b/crates/router/woadreachd/src/discovery.rs
@@ -42,7 +42,7 @@
     /// Version of the list that the core has from the start, if any.
     pub(crate) known_generation: Option<u64>,
     /// Seconds between calls while none is answered, see [`schedule::call_interval`].
-    pub(crate) call_interval: f64,
+    pub(crate) call_interval_s: f64,
 }
 
 /// Runs for as long as the process: the complete list once, then changes after the last version. A new
@@ -70,7 +70,7 @@
                 last_error.clear();
                 continue;
             }
-            ended = agent.update(&mut state, config.call_interval) => ended,
+            ended = agent.update(&mut state, config.call_interval_s) => ended,
         };
         let Err(error) = ended else {
             // The complete list has been received: changes next.
@@ -86,7 +86,7 @@
             last_error = error;
         }
         // Cut short by a new address, which is looked at first.
-        let retry = schedule::RETRY_INTERVAL.min(config.call_interval);
+        let retry = schedule::RETRY_INTERVAL.min(config.call_interval_s);
         let _ = net
             .timeout(retry, addresses.wait_for(|a| *a != address))
             .await;
--- a/crates/router/woadreachd/src/discovery/agent.rs
+++ b/crates/router/woadreachd/src/discovery/agent.rs
@@ -35,9 +35,9 @@
     pub(super) async fn update(
         &self,
         state: &mut ListState,
-        interval: f64,
+        interval_s: f64,
     ) -> Result<(), DiscoveryError> {
-        match self.answer(state, interval).await? {
+        match self.answer(state, interval_s).await? {
             Answer::List(text) => state.apply(&text, true),
             Answer::Watch { mut call, first } => {
                 let ended = self.follow_watch(&mut call, first, state).await;
@@ -51,14 +51,18 @@
     }
 
     /// Opens calls as the schedule says until one has a complete answer; then all others are closed.
-    async fn answer(&self, state: &ListState, interval: f64) -> Result<Answer<N>, DiscoveryError> {
+    async fn answer(
+        &self,
+        state: &ListState,
+        interval_s: f64,
+    ) -> Result<Answer<N>, DiscoveryError> {
         let generation = state.generation();
         let need = if generation.is_none() {
             Need::FullList
         } else {
             state.need
         };
-        let mut schedule = Schedule::new(self.net.now(), need, interval);
+        let mut schedule = Schedule::new(self.net.now(), need, interval_s);
         let mut calls: CallsInFlight<'_, N> = Default::default();
         loop {
             let until = match schedule.next(self.net.now()) {
--- a/crates/router/woadreachd/src/discovery/schedule.rs
+++ b/crates/router/woadreachd/src/discovery/schedule.rs
@@ -81,34 +81,37 @@
 #[derive(Clone, Copy)]
 struct Call {
     request: Request,
-    /// Seconds that it may stay open before a new one takes its place; `None`: to the end of the turn.
-    lifetime: Option<f64>,
+    /// How long it may stay open before a new one takes its place; `None`: to the end of the turn.
+    lifetime_s: Option<f64>,
+    /// Whether it waits for its answer.
     open: bool,
-    /// When it is next opened.
+    /// When it is next opened; infinite if it is not opened anew in this turn.
     due: f64,
 }
 
 /// The calls of one turn: from the first call to the first complete answer.
 pub(super) struct Schedule {
     calls: [Option<Call>; 4],
+    /// When the turn ends without an answer.
     deadline: f64,
-    retry: f64,
+    /// Seconds after which a call that has failed is made anew.
+    retry_s: f64,
 }
 
 /// How often a new call is made while none is answered, in seconds.
-pub(crate) fn call_interval(drain_grace: f64) -> f64 {
-    (drain_grace / 2.0).clamp(MIN_INTERVAL, HUNG_CALL_TIMEOUT)
+pub(crate) fn call_interval(drain_grace_s: f64) -> f64 {
+    (drain_grace_s / 2.0).clamp(MIN_INTERVAL, HUNG_CALL_TIMEOUT)
 }
 
 impl Schedule {
-    /// The calls of a turn that begins `now`; `interval` as [`call_interval`] gives it.
-    pub(super) fn new(now: f64, need: Need, interval: f64) -> Self {
-        let call = |request, lifetime, after: f64| {
+    /// The calls of a turn that begins `now`; `interval_s` as [`call_interval`] gives it.
+    pub(super) fn new(now: f64, need: Need, interval_s: f64) -> Self {
+        let call = |request, lifetime_s, intervals: f64| {
             Some(Call {
                 request,
-                lifetime,
+                lifetime_s,
                 open: false,
-                due: now + after * interval,
+                due: now + intervals * interval_s,
             })
         };
         let first = if need == Need::Changes {
@@ -123,11 +126,11 @@
             calls: [
                 call(first, None, 0.0),
                 call(Request::FullList, Some(HUNG_CALL_TIMEOUT), 1.0),
-                call(Request::FullList, Some(interval), 2.0),
+                call(Request::FullList, Some(interval_s), 2.0),
                 resume,
             ],
             deadline: now + TURN_TIMEOUT,
-            retry: RETRY_INTERVAL.min(interval),
+            retry_s: RETRY_INTERVAL.min(interval_s),
         }
     }
 
@@ -140,8 +143,8 @@
             if let Some(call) = call.as_mut().filter(|call| call.due <= now) {
                 call.open = true;
                 call.due = call
-                    .lifetime
-                    .map_or(f64::INFINITY, |lifetime| now + lifetime);
+                    .lifetime_s
+                    .map_or(f64::INFINITY, |lifetime_s| now + lifetime_s);
                 return Action::Open(slot, call.request);
             }
         }
@@ -153,7 +156,7 @@
     pub(super) fn failed(&mut self, now: f64, slot: Slot) -> bool {
         if let Some(call) = &mut self.calls[slot as usize] {
             call.open = false;
-            call.due = now + self.retry;
+            call.due = now + self.retry_s;
         }
         self.calls.iter().flatten().any(|call| call.open)
     }
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -112,7 +112,7 @@
     /// Rejected because of overload; no part of it has run.
     Shed {
         /// Seconds until the client may come back; 0 for no advice.
-        retry_after: f64,
+        retry_after_s: f64,
     },
     Errored,
     /// Another search under the same trace id is in flight or has just been answered.
@@ -141,7 +141,7 @@
     /// Bytes of requests in flight.
     pub request_bytes: usize,
     /// Longest wait of an event for the core task since the last report, in seconds.
-    pub max_event_delay: f64,
+    pub max_event_delay_s: f64,
 }
 
 /// What a connection's task reports: `Connected` at most once, then answers, and `Closed` exactly once.
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -154,8 +154,8 @@
             let json = ("Content-Type", "application/json".to_string());
             http::response(200, &[json], &answer_body(complete, &rows), close)
         }
-        Some(Answer::Shed { retry_after }) if retry_after > 0.0 => {
-            let header = ("Retry-After", format!("{retry_after:.3}"));
+        Some(Answer::Shed { retry_after_s }) if retry_after_s > 0.0 => {
+            let header = ("Retry-After", format!("{retry_after_s:.3}"));
             http::response(503, &[header], b"", close)
         }
         Some(Answer::Shed { .. }) => http::response(503, &[], b"", close),
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -308,8 +308,8 @@
         config.seed,
         now,
     );
-    let ramp_duration = if config.warm_up > 0.0 {
-        (config.warm_up / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
+    let ramp_duration = if config.warm_up_s > 0.0 {
+        (config.warm_up_s / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
     } else {
         MIN_ZONE_SLOW_START
     };
--- a/crates/router/woadreachd/src/peers/config.rs
+++ b/crates/router/woadreachd/src/peers/config.rs
@@ -25,7 +25,7 @@
     /// fifth of the score.
     pub prefer_near: bool,
     /// Seconds for which a replica that has started warms up; 0 if it does not.
-    pub warm_up: f64,
+    pub warm_up_s: f64,
     /// Whether singleton roles are held by one co-ordinator for all; if not, each acts for itself.
     pub roles: bool,
     /// Whether a quota allocator grants shares of warming replicas. Off unless an operator asks for it: on
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -291,7 +291,7 @@
             net: self.net.clone(),
             id,
             address,
-            timeout: self.config.connect_timeout,
+            timeout_s: self.config.connect_timeout_s,
             queue: queue.clone(),
             events: self.events.clone(),
             permit,
@@ -305,9 +305,9 @@
 
     /// Closes connections that have been idle for nearly as long as a replica keeps them open.
     pub(crate) fn close_idle(&mut self, now: f64) {
-        let max_idle = self.config.max_idle();
+        let max_idle_s = self.config.max_idle_s();
         for connection in self.connections.values() {
-            if connection.in_flight.is_empty() && now - connection.last_used >= max_idle {
+            if connection.in_flight.is_empty() && now - connection.last_used >= max_idle_s {
                 connection.queue.close(Closing::AfterQueue);
             }
         }
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -123,7 +123,7 @@
         }
         // On a connection to a machine that has become unreachable, each new attempt would wait its whole
         // time. A replica that is only slow gets a new connection, too.
-        let waited = now > attempt.sent_at + self.config.connect_timeout;
+        let waited = now > attempt.sent_at + self.config.connect_timeout_s;
         let heard_since = connection.last_heard.is_some_and(|at| at > attempt.sent_at);
         let unresponsive = waited && !heard_since;
         let aftermath = if unresponsive {
--- a/crates/router/woadreachd/src/replicas/config.rs
+++ b/crates/router/woadreachd/src/replicas/config.rs
@@ -7,9 +7,9 @@
     /// Most parts in one call.
     pub max_parts_per_call: usize,
     /// Seconds after which a replica closes a connection without traffic.
-    pub idle_timeout: f64,
+    pub idle_timeout_s: f64,
     /// Seconds that a connection may take to come up; also the longest that a message may be on its way.
-    pub connect_timeout: f64,
+    pub connect_timeout_s: f64,
     /// Whether attempts in flight may be cancelled.
     pub cancellation_allowed: bool,
 }
@@ -19,7 +19,7 @@
     ///
     /// PROTOCOL: what is written after the replica's idle time-out is lost. One connect time-out, the longest
     /// that a message may be on its way, keeps clear of it.
-    pub(super) fn max_idle(&self) -> f64 {
-        self.idle_timeout - self.connect_timeout
+    pub(super) fn max_idle_s(&self) -> f64 {
+        self.idle_timeout_s - self.connect_timeout_s
     }
 }
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -46,7 +46,7 @@
     pub(super) id: ConnectionId,
     pub(super) address: SocketAddr,
     /// Most seconds that the connection may take to be established, or a message on it to be transmitted.
-    pub(super) timeout: f64,
+    pub(super) timeout_s: f64,
     pub(super) queue: Rc<WriteQueue>,
     pub(super) events: Events,
     /// Given back once the socket is closed.
@@ -60,7 +60,7 @@
         let (id, address) = (self.id.0, self.address);
         match self
             .net
-            .timeout(self.timeout, self.net.connect(address))
+            .timeout(self.timeout_s, self.net.connect(address))
             .await
         {
             Ok(Ok(stream)) => self.serve(stream).await,
@@ -81,9 +81,9 @@
         let (reader, writer) = stream.split();
         let ended = tokio::select! {
             biased;
-            ended = read(&self.net, self.id, reader, self.timeout, &self.events) => ended,
+            ended = read(&self.net, self.id, reader, self.timeout_s, &self.events) => ended,
             // Before the writing: a frame that is cut off must not get its last byte now.
-            ended = wait_until_closed(&self.net, &self.queue, self.timeout) => ended,
+            ended = wait_until_closed(&self.net, &self.queue, self.timeout_s) => ended,
             ended = write(&self.net, writer, &self.queue) => ended,
         };
         if let Err(reason) = ended {
@@ -102,25 +102,25 @@
 async fn wait_until_closed(
     net: &impl Net,
     queue: &WriteQueue,
-    timeout: f64,
+    timeout_s: f64,
 ) -> Result<(), ConnectionError> {
     queue.close_requested().await;
     if queue.closing() < Closing::Abort {
-        net.sleep(timeout).await;
+        net.sleep(timeout_s).await;
     }
     NotWrittenSnafu.fail()
 }
 
 /// Reads frames and sends their answers to the core, until the connection ends.
 ///
-/// A frame that has begun must be complete within `timeout` seconds; a sound replica writes a frame at one
+/// A frame that has begun must be complete within `timeout_s` seconds; a sound replica writes a frame at one
 /// time. If one states too great a length, the connection would otherwise stay open, and every later attempt
 /// on it wait in vain.
 pub(super) async fn read(
     net: &impl Net,
     id: ConnectionId,
     mut reader: impl Read,
-    timeout: f64,
+    timeout_s: f64,
     events: &Events,
 ) -> Result<(), ConnectionError> {
     let mut bytes = Vec::with_capacity(READ_CAPACITY);
@@ -143,7 +143,7 @@
         let taken = take_frames(&bytes, id, received_at, events)?;
         bytes.drain(..taken);
         if begins || taken > 0 {
-            deadline = net.now() + timeout;
+            deadline = net.now() + timeout_s;
             bytes.shrink_to(READ_CAPACITY);
         }
     }
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -98,7 +98,7 @@
         now: f64,
         config: &ConnectionConfig,
     ) -> bool {
-        let idle = self.in_flight.is_empty() && now - self.last_used >= config.max_idle();
+        let idle = self.in_flight.is_empty() && now - self.last_used >= config.max_idle_s();
         let capacity = config.max_attempts.max(attempts.len());
         !self.retired
             && !idle
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -64,8 +64,8 @@
     let listener = net.listen(address).context(ListenSnafu { address })?;
     let address = listener.local_addr().context(LocalAddressSnafu)?;
     let shutdown = ShutdownSchedule::new(
-        config.core.max_client_timeout,
-        config.core.max_latency_target,
+        config.core.max_client_timeout_s,
+        config.core.max_latency_target_s,
     );
     let (phase, phases) = watch::channel(Phase::Serving);
     let (mut tasks, mut sigterm) = start(&net, config, environment, listener, phases)?;
@@ -138,7 +138,7 @@
     let (address, addresses) = watch::channel(config.discovery);
     let discovery = DiscoveryConfig {
         known_generation,
-        call_interval: config.discovery_interval,
+        call_interval_s: config.discovery_interval_s,
     };
     shared.start_discovery(addresses, discovery, lists);
     let (sighup, read_source) = (environment.sighup, environment.read_source);
--- a/crates/router/woadreachd/src/shutdown.rs
+++ b/crates/router/woadreachd/src/shutdown.rs
@@ -15,19 +15,19 @@
 
 /// When the phases after SIGTERM begin, in seconds after it.
 pub(crate) struct ShutdownSchedule {
-    closing: f64,
-    ending: f64,
+    closing_after_s: f64,
+    ending_after_s: f64,
 }
 
 impl ShutdownSchedule {
     /// The schedule for these longest times of any query type, in seconds.
-    pub(crate) fn new(max_client_timeout: f64, max_latency_target: f64) -> Self {
-        let killed = KILL_GRACE + max_client_timeout.min(MAX_COUNTED_CLIENT_TIMEOUT);
+    pub(crate) fn new(max_client_timeout_s: f64, max_latency_target_s: f64) -> Self {
+        let killed_after_s = KILL_GRACE + max_client_timeout_s.min(MAX_COUNTED_CLIENT_TIMEOUT);
         // What arrives until then is answered in time, or not at all.
-        let closing = killed - max_latency_target - LAST_ANSWERS_TIME;
+        let closing_after_s = killed_after_s - max_latency_target_s - LAST_ANSWERS_TIME;
         ShutdownSchedule {
-            closing: closing.max(KILL_GRACE),
-            ending: killed - LAST_ANSWERS_TIME,
+            closing_after_s: closing_after_s.max(KILL_GRACE),
+            ending_after_s: killed_after_s - LAST_ANSWERS_TIME,
         }
     }
 
@@ -37,9 +37,9 @@
     /// one after the other, clients would be spread only over those that are back, which may be none.
     pub(crate) async fn run(&self, net: &impl Net, phase: &watch::Sender<Phase>) {
         let start = net.now();
-        net.sleep_until(start + self.closing).await;
+        net.sleep_until(start + self.closing_after_s).await;
         let _ = phase.send(Phase::Closing);
-        net.sleep_until(start + self.ending).await;
+        net.sleep_until(start + self.ending_after_s).await;
         let _ = phase.send(Phase::Ending);
         pending::<()>().await;
     }
--- a/crates/router/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -12,8 +12,8 @@
     ConnectionConfig {
         max_attempts: 1,
         max_parts_per_call: 1,
-        idle_timeout: 30.0,
-        connect_timeout: 0.25,
+        idle_timeout_s: 30.0,
+        connect_timeout_s: 0.25,
         cancellation_allowed: true,
     }
 }
