--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Whether the process knows of endpoints, or has waited for them for too long, which is logged once.
+    /// Whether the process knows of endpoints, or has waited for them for [`FIRST_LIST_TIMEOUT`], which is logged
+    /// once.
     fn check_ready(&mut self) -> bool {
         if self.knows_endpoints {
             return true;
--- a/crates/router/woadreachd/src/discovery/schedule.rs
+++ b/crates/router/woadreachd/src/discovery/schedule.rs
@@ -7,12 +7,12 @@
 //! return, or never, and nothing shows which. What the agent has then counts as received at once, so that
 //! within the drain grace of its return it must be received, by a watch that has waited or by a call made
 //! after the return. Up to four calls are open, the first complete answer counts, and then all others are
-//! closed:
+//! closed. A turn without an answer ends after `TURN_TIMEOUT`.
 //!
-//! | slot | request | opened after | replaced after | answers an agent that |
+//! | slot | request | opened after | replaced after | serves with an agent that |
 //! | --- | --- | --- | --- | --- |
-//! | `First` | list, or watch | 0 | never: the turn ends after `TURN_TIMEOUT` | needs long, or answers first calls only |
-//! | `Second` | list | one interval | `HUNG_CALL_TIMEOUT` | needs up to `HUNG_CALL_TIMEOUT` and has lost the first call |
+//! | `First` | list, or watch | 0 | never | needs long, or answers first calls only |
+//! | `Second` | list | one interval | `HUNG_CALL_TIMEOUT` | needs up to that long and has lost the first call |
 //! | `Latest` | list | two intervals | one interval | has lost all calls made before its return |
 //! | `Resume` | watch | two intervals | never | keeps waiting watches and pushes at its return |
 //!
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -46,7 +46,7 @@
     QuotaShares(Vec<QuotaFactor>),
     /// Replicas that take no new attempts, as the lease holder of their zone observes.
     Closed(Vec<ReplicaKey>),
-    /// Replicas whose departure the own endpoint list has not confirmed in time: what it says counts again.
+    /// Replicas whose departure the own endpoint list has not confirmed in time: its entries apply again.
     Expired(Vec<ReplicaKey>),
 }
 
@@ -68,7 +68,7 @@
 /// A part of a search, as the client asks for it.
 pub(crate) struct RequestedPart {
     pub(crate) shard: ShardId,
-    /// Its weight in the answer, from 0 to 1; those of a search add up to 1.
+    /// Its weight in the answer, from 0 to 1; those of a search add up to 1 but for rounding.
     pub(crate) weight: f64,
 }
 
@@ -109,7 +109,7 @@
         complete: bool,
         rows: Vec<Row>,
     },
-    /// Rejected because of overload; no part of it has run.
+    /// Rejected: asking again is harmless.
     Shed {
         /// Seconds until the client may come back; 0 for no advice.
         retry_after_s: f64,
--- a/crates/router/woadreachd/src/front/idle.rs
+++ b/crates/router/woadreachd/src/front/idle.rs
@@ -5,13 +5,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Seconds in which a client that has a request should have sent it: one that has sent nothing by then may
-/// never send any.
+/// Seconds after its acceptance within which a connection's first request should have been received. One without
+/// may never send any.
 const FIRST_REQUEST_TIMEOUT: f64 = 0.25;
 
 struct IdleConnection {
-    /// In Unix seconds.
+    /// When it became idle, in Unix seconds.
     since: f64,
+    /// Notified when the connection is to close.
     close: Rc<Notify>,
 }
 
--- a/crates/router/woadreachd/src/front/read_ahead.rs
+++ b/crates/router/woadreachd/src/front/read_ahead.rs
@@ -1,4 +1,5 @@
-//! The budget of bytes that clients send ahead while they wait for an answer.
+//! The budget of bytes that clients send ahead while they wait for an answer. The core counts requests in flight;
+//! what lies behind them in a client's connection is bounded here.
 
 use crate::http::{MAX_BODY, MAX_HEAD};
 use std::cell::Cell;
--- a/crates/router/woadreachd/src/front/request_reader.rs
+++ b/crates/router/woadreachd/src/front/request_reader.rs
@@ -1,5 +1,5 @@
-//! Reading a request from a client's connection. A connection waits here between two requests: it is the one
-//! place where it may be closed without a response.
+//! Reading a request from a client's connection. Between two requests the connection waits here, where it may be
+//! closed, since no response is owed.
 
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -1,8 +1,8 @@
 //! Responses: waiting for the core's answer to a search, and its bytes.
 //!
 //! A request is handed to the core here, and the connection's task then does nothing but wait for the answer
-//! and watch whether the client disconnects. Each search that the core has received is answered exactly once,
-//! or reported as [`Event::ClientDisconnected`].
+//! and watch whether the client disconnects, which it reports by [`Event::ClientDisconnected`]. Where the client
+//! stays, each request has exactly one response.
 
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -9,7 +9,7 @@
 //! 3. `replicas`, the pool of connections, is a part of the core task. It puts each attempt on the write queue of
 //!    a connection; `replicas::connection`, a task for each, writes it as a [`frame`] and reads the answers.
 //! 4. Answers return to `core::handlers` as events. `replicas::attempts` pairs them with their attempts, and
-//!    the routing decisions are told how each attempt has ended: they plan retries, or finish the search.
+//!    the routing decisions receive each attempt's outcome: they plan retries, or finish the search.
 //! 5. `core::executor` gives the final answer to `front::responder`, which waits for it and encodes it.
 //!
 //! `discovery` keeps the endpoint list, `peers` speaks with the other co-ordinators, [`config`] reads the
--- a/crates/router/woadreachd/src/peers/zone_failover.rs
+++ b/crates/router/woadreachd/src/peers/zone_failover.rs
@@ -1,4 +1,5 @@
-//! The zones that take traffic: what the tier has agreed on, as the core reads it.
+//! The zones that take traffic: what the tier has agreed on, as the core reads it. The core places searches by it,
+//! so that a zone that was ejected gets none from any co-ordinator.
 
 use super::PeerTask;
 use crate::events::Event;
@@ -7,13 +8,12 @@
 use woadreach_routing::api::{ZoneFailoverState, ZoneId};
 use woadreach_runtime::Net;
 
-/// The share of traffic that stays near is published in such steps, so that the core is not sent every small
-/// change.
+/// Step to which the share of traffic that stays near is rounded, so that the core is not sent every small change.
 const NEAR_SHARE_STEP: f64 = 0.05;
 /// Weight of a new count in the smoothed rate of attempts. With a half of it the share that stays near swung
 /// between 0.4 and 1 on a calm day.
 const RATE_SMOOTHING: f64 = 0.1;
-/// Seconds between two counts at least, so that the parts of one search make no rate.
+/// Shortest time between two counts, in seconds, so that the parts of one search make no rate.
 const MIN_RATE_WINDOW: f64 = 0.5;
 
 /// The smoothed rate of attempts that this process sends.
@@ -21,9 +21,10 @@
     /// Attempts since the start, as of the last count.
     last_total: u64,
     /// When that was, in Unix seconds.
-    last_counted: f64,
-    /// Number of counts so far.
+    last_counted_at: f64,
+    /// Number of counts so far; a whole number.
     counts: f64,
+    /// Attempts in a second; 0 before the first count.
     pub(super) per_second: f64,
 }
 
@@ -31,7 +32,7 @@
     pub(super) fn new(now: f64) -> Self {
         AttemptRate {
             last_total: 0,
-            last_counted: now,
+            last_counted_at: now,
             counts: 0.0,
             per_second: 0.0,
         }
@@ -39,7 +40,7 @@
 
     /// Records how many attempts were sent since the start.
     pub(super) fn record(&mut self, now: f64, total: u64) {
-        let window = now - self.last_counted;
+        let window = now - self.last_counted_at;
         if window < MIN_RATE_WINDOW {
             return;
         }
@@ -48,7 +49,8 @@
         self.counts += 1.0;
         let weight = RATE_SMOOTHING.max(1.0 / self.counts);
         self.per_second += weight * (rate - self.per_second);
-        (self.last_total, self.last_counted) = (total, now);
+        self.last_total = total;
+        self.last_counted_at = now;
     }
 }
 
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -1,4 +1,7 @@
 //! How attempts end: by an answer, a time-out, a cancellation, or with their connection.
+//!
+//! Each ending says whether the attempt can have run at its replica, by how much of it had left: the routing
+//! decisions retry by that. All endings pass through [`Replicas::finish`], so that each is reported once.
 
 use super::write_queue::{Closing, QueuedMessage};
 use super::{Replicas, write_queue::WriteQueue};
@@ -30,11 +33,31 @@
 /// What becomes of a connection after an attempt on it was given up.
 #[derive(Clone, Copy, PartialEq)]
 enum Aftermath {
+    /// It goes on.
     Keep,
+    /// It takes no more attempts: nothing has been received on it for too long.
     Retire,
+    /// It is reset: a part of the attempt has left on it.
     Reset,
 }
 
+/// What came of taking an attempt off its connection.
+struct Removal {
+    /// How the attempt has ended, as far as this process knows.
+    ending: Ending,
+    aftermath: Aftermath,
+}
+
+impl Removal {
+    /// The attempt has ended in this way, and its connection goes on.
+    fn keeping_connection(ending: Ending) -> Self {
+        Removal {
+            ending,
+            aftermath: Aftermath::Keep,
+        }
+    }
+}
+
 impl<N: Net> Replicas<N> {
     /// Records the outcome of an attempt, for the core to take.
     pub(super) fn finish(&mut self, id: AttemptId, ending: Ending, at: f64) {
@@ -68,12 +91,12 @@
         });
     }
 
-    /// The routing decisions give the attempt up.
+    /// Ends an attempt that the routing decisions give up: it was cancelled, whatever is known of it.
     pub(crate) fn cancel(&mut self, now: f64, id: AttemptId) {
         self.give_up(now, id, Some(Ending::Cancelled));
     }
 
-    /// The attempt's time is over.
+    /// Ends an attempt whose time is over, by what is known of it.
     pub(crate) fn time_out(&mut self, now: f64, id: AttemptId) {
         self.give_up(now, id, None);
     }
@@ -84,9 +107,9 @@
             return;
         };
         let connection = attempt.connection;
-        let (observed, aftermath) = self.take_from_connection(now, id);
-        self.finish(id, ending.unwrap_or(observed), now);
-        match (aftermath, connection) {
+        let removal = self.take_from_connection(now, id);
+        self.finish(id, ending.unwrap_or(removal.ending), now);
+        match (removal.aftermath, connection) {
             (Aftermath::Reset, Some(connection)) => self.reset(now, connection),
             (Aftermath::Retire, Some(connection)) => self.retire(connection),
             _ => {}
@@ -94,29 +117,32 @@
     }
 
     /// Takes an attempt off its connection as far as it has not left, or has it cancelled.
-    fn take_from_connection(&mut self, now: f64, id: AttemptId) -> (Ending, Aftermath) {
-        // What has not left says nothing of the replica's work.
-        let unsent = (Ending::NeverSent, Aftermath::Keep);
+    fn take_from_connection(&mut self, now: f64, id: AttemptId) -> Removal {
         let Some(attempt) = self.attempts.get(&id) else {
-            return unsent;
+            return Removal::keeping_connection(Ending::NeverSent);
         };
         let connection = attempt.connection.and_then(|c| self.connections.get(&c));
         let Some(connection) = connection else {
-            return unsent;
+            return Removal::keeping_connection(Ending::NeverSent);
         };
         let queue = &connection.queue;
         if is_mutated("replicas-cancelled-stays") {
-            return (Ending::TimedOut, Aftermath::Keep);
+            return Removal::keeping_connection(Ending::TimedOut);
         }
         if queue.take_back(id) {
-            return if connection.connected {
-                unsent
+            // What has not left says nothing of the replica's work, only whether it could be reached.
+            let ending = if connection.connected {
+                Ending::NeverSent
             } else {
-                (Ending::Unreachable, Aftermath::Keep)
+                Ending::Unreachable
             };
+            return Removal::keeping_connection(ending);
         }
         if queue.is_partly_sent(id) {
-            return (queue.partly_sent_ending(id), Aftermath::Reset);
+            return Removal {
+                ending: queue.partly_sent_ending(id),
+                aftermath: Aftermath::Reset,
+            };
         }
         if self.config.cancellation_allowed {
             queue.push(QueuedMessage::Cancel(attempt.wire_id.clone()));
@@ -131,7 +157,10 @@
         } else {
             Aftermath::Keep
         };
-        (Ending::TimedOut, aftermath)
+        Removal {
+            ending: Ending::TimedOut,
+            aftermath,
+        }
     }
 
     /// Resets a connection on which part of a message has left.
@@ -145,7 +174,8 @@
         self.abort(now, id);
     }
 
-    /// The attempt's search is over: it does not leave any more, if it has not begun to.
+    /// Ends an attempt that must not begin to leave any more: its search is finished, or its retry window over.
+    /// One that has left goes on.
     pub(crate) fn withdraw(&mut self, now: f64, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -24,21 +24,21 @@
 /// | no | no | It is being established; attempts already wait on it. |
 /// | yes | no | It is in use. |
 /// | yes | yes | It finishes what is in flight, or was aborted. |
-/// | no | yes | Its replica drains or has started anew since it was opened. |
+/// | no | yes | Its replica drains, has departed, or has a new address or incarnation. |
 ///
 /// How it is to end is the [`Closing`] of its queue, which is independent of `connected`:
 ///
 /// - [`Closing::Open`] occurs with `retired` as long as attempts are in flight.
 /// - [`Closing::AfterQueue`] occurs with and without `retired`, and never with an attempt in flight. One that
-///   is not retired was idle for too long, wherefore [`PooledConnection::can_take`] takes nothing on it.
+///   is not retired was idle for too long; for the same reason [`PooledConnection::can_take`] is false.
 /// - [`Closing::Abort`] and [`Closing::Reset`] occur only with `retired`, and never with an attempt in flight.
 pub(super) struct PooledConnection {
     pub(super) replica: ReplicaId,
     /// What waits to be written; its other owner is the connection's task.
     pub(super) queue: Rc<WriteQueue>,
-    /// Whether the task has reported that the connection is established. Never reset.
+    /// Whether the task has reported that the connection is established. Never becomes false again.
     pub(super) connected: bool,
-    /// Whether it takes nothing new, and is closed once nothing is in flight on it. Never reset.
+    /// Whether it takes nothing new, and is closed once nothing is in flight on it. Never becomes false again.
     pub(super) retired: bool,
     /// Attempts on it without an outcome, by their wire ids.
     pub(super) in_flight: BTreeMap<String, AttemptId>,
--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -84,8 +84,8 @@
 
 /// The queue of a connection, shared between the pool and the connection's task.
 ///
-/// Until its last byte is handed to the kernel, an attempt is in exactly one of `messages`, `writing` and
-/// `expired`.
+/// An attempt that was pushed, and not taken back, is in exactly one of `messages`, `writing` and `expired` until
+/// its last byte is handed to the kernel. Only [`WriteQueue::clear`], after which the connection ends, drops some.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     /// What waits, in the order in which it leaves.
@@ -93,8 +93,8 @@
     /// The attempts of the call that is being written; empty between two calls and while a cancellation is
     /// written.
     writing: RefCell<Vec<AttemptInWriting>>,
-    /// Whether the other machine has not taken all of the last message that was written, as of its last byte.
-    /// Independent of `writing`, which is about the message after it.
+    /// Whether a part of the last message that was written had not been taken by the other machine when its last
+    /// byte was handed to the kernel. Independent of `writing`, which is about the message after it.
     unsent: Cell<bool>,
     /// Attempts that were left out of their call, since their time was over when it was written. They stay
     /// until they are taken back.
--- a/crates/router/woadreachd/src/sockets.rs
+++ b/crates/router/woadreachd/src/sockets.rs
@@ -97,10 +97,9 @@
         self.0.limit - self.0.client_limit()
     }
 
-    /// Whether clients have enough descriptors for responses to end their connections.
+    /// Whether clients have a quarter of the descriptors or more, so that responses should end their connections.
     ///
     /// By the protocol clients hold, for requests, at most a third of the descriptors, and stop asking there.
-    /// From a quarter on their connections are better ended with their answers.
     pub(crate) fn has_many_clients(&self) -> bool {
         self.0.clients.get() >= self.0.limit / 4
     }
--- a/crates/router/woadreachd/tests/parsers.rs
+++ b/crates/router/woadreachd/tests/parsers.rs
@@ -6,10 +6,20 @@
 use woadreachd::{frame, http, json};
 
 const LENGTH: &str = "POST /a/b?c HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\n\r\nhello";
-const CHUNKS: &str = "POST /a/b?c HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nT: u\r\n\r\n";
+const CHUNKS: &str = "POST /a/b?c HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n\
+                      2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nT: u\r\n\r\n";
 
-/// Reads a request that is received in two pieces: method and path, content, and the bytes that it takes.
-fn in_two(text: &[u8], split: usize) -> Result<(String, Vec<u8>, usize), ParseError> {
+/// What is read of a request.
+#[derive(Debug, PartialEq)]
+struct ReadRequest {
+    method_and_path: String,
+    content: Vec<u8>,
+    /// Number of bytes that it takes.
+    length: usize,
+}
+
+/// Reads a request that is received in two pieces, the first of `split` bytes.
+fn in_two(text: &[u8], split: usize) -> Result<ReadRequest, ParseError> {
     let mut bytes = &text[..split];
     let mut head = http::parse_request(bytes)?;
     if head.is_none() {
@@ -17,15 +27,22 @@
         head = http::parse_request(bytes)?;
     }
     let head = head.expect("all of the head is there");
-    let (mut body, mut content) = (Body::new(head.framing()?), Vec::new());
+    let mut body = Body::new(head.framing()?);
+    let mut content = Vec::new();
     let first = body.take(&bytes[head.length..], &mut content, http::MAX_BODY)?;
-    let (mut at, mut complete) = (head.length + first.bytes, first.complete);
+    let mut length = head.length + first.bytes;
+    let mut complete = first.complete;
     if !complete {
-        let second = body.take(&text[at..], &mut content, http::MAX_BODY)?;
-        (at, complete) = (at + second.bytes, second.complete);
+        let second = body.take(&text[length..], &mut content, http::MAX_BODY)?;
+        length += second.bytes;
+        complete = second.complete;
     }
     assert!(complete);
-    Ok((format!("{} {}", head.method(), head.path()), content, at))
+    Ok(ReadRequest {
+        method_and_path: format!("{} {}", head.method(), head.path()),
+        content,
+        length,
+    })
 }
 
 #[rstest]
@@ -37,7 +54,11 @@
         let read = in_two(two.as_bytes(), split).unwrap();
         assert_eq!(
             read,
-            ("POST /a/b".into(), b"hello".to_vec(), text.len()),
+            ReadRequest {
+                method_and_path: "POST /a/b".into(),
+                content: b"hello".to_vec(),
+                length: text.len(),
+            },
             "split at {split}"
         );
     }
--- a/crates/router/woadreachd/tests/unit/schedule.rs
+++ b/crates/router/woadreachd/tests/unit/schedule.rs
@@ -5,13 +5,27 @@
 
 const GRACE: f64 = 0.5;
 
-/// Plays a turn in which nothing is answered; the calls that are opened up to `until`, with their times.
-fn played(need: Need, drain_grace: f64, until: f64) -> Vec<(f64, Slot, Request)> {
+/// A call that was opened.
+#[derive(Debug, PartialEq)]
+struct OpenedCall {
+    /// Seconds after the turn began.
+    at: f64,
+    slot: Slot,
+    request: Request,
+}
+
+/// Plays a turn in which nothing is answered; the calls that are opened up to `until`.
+fn played(need: Need, drain_grace: f64, until: f64) -> Vec<OpenedCall> {
     let mut schedule = Schedule::new(0.0, need, call_interval(drain_grace));
-    let (mut now, mut calls) = (0.0, Vec::new());
+    let mut now = 0.0;
+    let mut calls = Vec::new();
     while now <= until {
         match schedule.next(now) {
-            Action::Open(slot, request) => calls.push((now, slot, request)),
+            Action::Open(slot, request) => calls.push(OpenedCall {
+                at: now,
+                slot,
+                request,
+            }),
             Action::WaitUntil(time) => {
                 assert!(time > now, "it goes on");
                 now = time;
@@ -34,8 +48,8 @@
     let calls = played(need, drain_grace, 9.9);
     let mut lists: Vec<f64> = calls
         .iter()
-        .filter(|c| c.2 == Request::FullList)
-        .map(|(at, ..)| *at)
+        .filter(|call| call.request == Request::FullList)
+        .map(|call| call.at)
         .collect();
     lists.insert(0, 0.0);
     for pair in lists.windows(2) {
@@ -54,8 +68,8 @@
 fn a_watch_waits_through_the_turn(#[case] need: Need, #[case] expected: Option<(f64, Slot)>) {
     let watches: Vec<(f64, Slot)> = played(need, GRACE, 20.0)
         .into_iter()
-        .filter(|c| c.2 == Request::Watch)
-        .map(|(at, slot, _)| (at, slot))
+        .filter(|call| call.request == Request::Watch)
+        .map(|call| (call.at, call.slot))
         .collect();
     assert_eq!(
         watches,
@@ -69,7 +83,11 @@
 fn the_first_call_after_a_timeout_is_for_a_list() {
     assert_eq!(
         played(Need::Resume, GRACE, 0.0),
-        [(0.0, Slot::First, Request::FullList)]
+        [OpenedCall {
+            at: 0.0,
+            slot: Slot::First,
+            request: Request::FullList
+        }]
     );
 }
 
@@ -79,8 +97,8 @@
     let opened = |wanted| -> Vec<f64> {
         played(Need::Resume, GRACE, 9.9)
             .into_iter()
-            .filter(|c| c.1 == wanted)
-            .map(|c| c.0)
+            .filter(|call| call.slot == wanted)
+            .map(|call| call.at)
             .collect()
     };
     assert_eq!(opened(Slot::First), [0.0]);
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -26,9 +26,9 @@
 }
 
 impl WarmUp {
-    /// The share of its capacity that a replica has so many seconds after its start.
-    fn capacity_at(&self, age: f64) -> f64 {
-        let progress = (age / self.duration).clamp(0.0, 1.0);
+    /// The share of its capacity that a replica has `age_s` seconds after its start.
+    fn capacity_at(&self, age_s: f64) -> f64 {
+        let progress = (age_s / self.duration).clamp(0.0, 1.0);
         self.initial_share + (1.0 - self.initial_share) * progress
     }
 }
@@ -400,8 +400,8 @@
             self.busy_cores.set(self.busy_cores.get() + 1);
             let inner = self.clone();
             drop(self.net.spawn(async move {
-                let age = inner.net.now() - inner.started_at;
-                let capacity = behaviour.warm_up.map_or(1.0, |w| w.capacity_at(age));
+                let age_s = inner.net.now() - inner.started_at;
+                let capacity = behaviour.warm_up.map_or(1.0, |w| w.capacity_at(age_s));
                 let speed = (behaviour.speed * capacity).max(MIN_SPEED);
                 inner.net.sleep(work_of(&job.part) / speed).await;
                 inner.finish(&job);
