--- a/crates/router/woadreachd/src/discovery.rs
+++ b/crates/router/woadreachd/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The client of discovery: receives endpoint lists and their changes, and sends them to the core in order.
 //!
-//! It has its own connections, two and two optional ones at most. It never decides what a list means, nor
-//! drops one while discovery is silent. Start reading at [`follow`]:
+//! It has its own connections: two at most, and two more where a descriptor is free. It never decides what a
+//! list means, and the one in force stays so while discovery is unresponsive. Start reading at [`follow`]:
 //!
 //! - [`schedule`]: when calls are made; [`version`]: which lists are accepted.
 //! - [`agent`]: calls until one is answered, and watches; [`call`]: one call.
@@ -29,9 +29,9 @@
 
 /// Seconds without a complete line after which a watch counts as dead.
 ///
-/// PROTOCOL: as long as nothing changes, an empty line is sent every 2 s, and news count as received 6 s after
-/// a watch fell silent, or after discovery had them and could be reached. This allows half a second for lines
-/// that are late, and leaves time for two more calls one after the other.
+/// PROTOCOL: as long as nothing changes, an empty line is sent every 2 s, and updates count as received 6 s after
+/// a watch became unresponsive, or after discovery had them and could be reached. This allows half a second for
+/// lines that are late, and leaves time for two more calls one after the other.
 const WATCH_TIMEOUT: f64 = 2.5;
 /// Longest line or list that is accepted, in bytes: 500 for each of 16,000 entries. Bounds the memory that a
 /// broken agent can take.
--- a/crates/router/woadreachd/src/discovery/error.rs
+++ b/crates/router/woadreachd/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a call or a watch ended that brought no usable list.
+//! Why a call or a watch ended without a usable list.
 
 use crate::{http, json};
 use snafu::Snafu;
--- a/crates/router/woadreachd/src/discovery/schedule.rs
+++ b/crates/router/woadreachd/src/discovery/schedule.rs
@@ -74,7 +74,7 @@
     Open(Slot, Request),
     /// Nothing before this time.
     WaitUntil(f64),
-    /// The agent is silent: all calls are closed.
+    /// The agent is unresponsive: all calls are closed.
     GiveUp,
 }
 
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -59,7 +59,7 @@
     sockets: Sockets,
     events: Events,
     phase: watch::Receiver<Phase>,
-    /// Whether the core knows of endpoints.
+    /// Whether the core has reported that it is ready. Never becomes false again.
     ready: Cell<bool>,
     idle: IdleConnections,
     /// Whether no descriptor is left for the next client.
