--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -19,12 +19,14 @@
     /// The part's id on the wire, the same for each of its attempts.
     pub(crate) wire_id: String,
     pub(crate) shard: u64,
-    /// The fields that it carries beside its time.
+    /// The fields that it carries after its time, each with a comma before it; empty but for a second step.
     pub(crate) fields: String,
+    /// What its shard is asked, in the client's words.
     pub(crate) text: Rc<str>,
     /// Until when its answer is waited for, in Unix seconds.
     pub(crate) deadline: f64,
-    /// It begins to leave before this time or not at all: a retry of a tokened part, within its window.
+    /// It begins to leave before this time, in Unix seconds, or not at all: a retry of a tokened part, within
+    /// the window in which replicas recognize it.
     pub(crate) begin_by: f64,
     pub(crate) last_write: LastWrite,
 }
@@ -48,44 +50,66 @@
     Cancel(String),
 }
 
-/// How a connection is to end. It only ever moves down this list.
+/// How a connection is to end.
+///
+/// Each connection begins as `Open`. [`WriteQueue::close`] moves it on to a later state of this list, any of
+/// them, and never back:
+///
+/// | to | when |
+/// | --- | --- |
+/// | `AfterQueue` | nothing is in flight on it, and it was idle for too long or is retired |
+/// | `Abort` | an answer on it belongs to no attempt, or has a value that cannot be passed on |
+/// | `Reset` | an attempt was given up of which a part, but not all, has left this machine |
+///
+/// The task acts on the state once the connection is established; one that is being established ends after
+/// that, or by its time-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Closing {
     /// It stays open.
     #[default]
     Open,
-    /// It closes once its queue is written.
+    /// It closes once its queue is written, or after the time that a message may take.
     AfterQueue,
     /// It closes at once: nothing that waits is of use any more.
     Abort,
-    /// It is reset: what the other machine has not taken yet must not arrive.
+    /// It closes at once by a TCP reset, so that what the other machine has not taken yet never arrives there.
     Reset,
 }
 
+/// An attempt whose call has been handed to the writer, and not all of it to the kernel.
 struct AttemptInWriting {
     attempt: AttemptId,
     last_write: LastWrite,
 }
 
 /// The queue of a connection, shared between the pool and the connection's task.
+///
+/// An attempt that was pushed, and not taken back, is in exactly one of `messages`, `writing` and `expired` until
+/// its last byte is handed to the kernel. Only [`WriteQueue::clear`], after which the connection ends, drops some.
 #[derive(Default)]
 pub(super) struct WriteQueue {
+    /// What waits, in the order in which it leaves.
     messages: RefCell<VecDeque<QueuedMessage>>,
-    /// The attempts of the call that is being written.
+    /// The attempts of the call that is being written; empty between two calls and while a cancellation is
+    /// written.
     writing: RefCell<Vec<AttemptInWriting>>,
-    /// Whether the other machine has not taken all of what was written last.
+    /// Whether a part of the last message that was written had not been taken by the other machine when its last
+    /// byte was handed to the kernel. Independent of `writing`, which is about the message after it.
     unsent: Cell<bool>,
-    /// Attempts that were left out as their time was over when their turn came.
+    /// Attempts that were left out of their call, since their time was over when it was written. They stay
+    /// until they are taken back.
     expired: RefCell<BTreeSet<AttemptId>>,
     closing: Cell<Closing>,
-    wake: Notify,
-    close: Notify,
+    /// Notified when a message is pushed or `closing` changes, for the task's writing half.
+    changed: Notify,
+    /// Notified when `closing` changes, for the part of the task that bounds how long closing takes.
+    close_requested: Notify,
 }
 
 impl WriteQueue {
     pub(super) fn push(&self, message: QueuedMessage) {
         self.messages.borrow_mut().push_back(message);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
     pub(super) fn pop(&self) -> Option<QueuedMessage> {
@@ -100,11 +124,11 @@
         self.messages.borrow_mut().clear();
     }
 
-    /// Has the connection end in this way, or in the harder one that was asked for before.
+    /// Has the connection end in this way, unless an earlier call asked for a later state of [`Closing`].
     pub(super) fn close(&self, closing: Closing) {
         self.closing.set(self.closing.get().max(closing));
-        self.wake.notify_one();
-        self.close.notify_one();
+        self.changed.notify_one();
+        self.close_requested.notify_one();
     }
 
     pub(super) fn closing(&self) -> Closing {
@@ -113,12 +137,12 @@
 
     /// Waits until a message is pushed or the connection is to end.
     pub(super) async fn changed(&self) {
-        self.wake.notified().await;
+        self.changed.notified().await;
     }
 
     /// Waits until the connection is to end.
-    pub(super) async fn closed(&self) {
-        self.close.notified().await;
+    pub(super) async fn close_requested(&self) {
+        self.close_requested.notified().await;
     }
 
     /// Removes an attempt; false if it has begun to leave.
@@ -140,8 +164,8 @@
 
     /// Encodes a call at the time at which it leaves; `None` if no attempt of it is in time.
     ///
-    /// Prevents that a process which was held up, or whose replica is slow to read, writes attempts after
-    /// their time. It costs nothing: they were given up.
+    /// Where the process was held up, or the replica is slow to read, the time of an attempt may be over: it
+    /// has been given up, and is left out.
     pub(super) fn begin_call(&self, attempts: Vec<QueuedAttempt>, now: f64) -> Option<Vec<u8>> {
         let (attempts, expired): (Vec<_>, Vec<_>) =
             attempts.into_iter().partition(|a| a.is_in_time(now));
