--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -48,16 +48,14 @@
     PlayScenario {
         source: woadreach_process_tests::PlayError,
     },
-    /// The libraries reject what they are given, or fail.
-    #[snafu(display("{message}"))]
-    Failed { message: String },
-}
-
-impl CommandError {
-    /// An error of a library that plays, as it describes itself.
-    pub(crate) fn failed(error: impl ToString) -> CommandError {
-        CommandError::Failed {
-            message: error.to_string(),
-        }
-    }
+    /// The text of a script is invalid; the source names its file and the place.
+    #[snafu(display("{source}"))]
+    InvalidScript {
+        source: woadreach_simulation::ScriptError,
+    },
+    /// A script can't be played on loopback sockets.
+    #[snafu(display("{source}"))]
+    PlayOnSockets {
+        source: woadreach_simulation::SocketsError,
+    },
 }
--- a/crates/cli/src/faults/compare.rs
+++ b/crates/cli/src/faults/compare.rs
@@ -2,10 +2,11 @@
 
 use super::script::script;
 use crate::Verdict;
-use crate::error::CommandError;
+use crate::error::{CommandError, PlayOnSocketsSnafu};
 use crate::output::{Format, json};
 use clap::Args;
 use serde::Serialize;
+use snafu::ResultExt;
 use woadreach_simulation::{Options, Outcome, Script, on_sockets, play};
 
 /// Most that the shares answered in time may differ: the virtual clock must not be kinder than sockets.
@@ -37,7 +38,7 @@
         faults: Vec::new(),
         ..script(&arguments.script, false)?
     };
-    let real = on_sockets(&script).map_err(CommandError::failed)?;
+    let real = on_sockets(&script).context(PlayOnSocketsSnafu)?;
     let simulated = play(&script, Options::default());
     let comparison = Comparison {
         sockets: share_in_time(&real),
--- a/crates/cli/src/faults/script.rs
+++ b/crates/cli/src/faults/script.rs
@@ -1,6 +1,6 @@
 //! Which script is meant: a seed's or a file's; and the parsers of arguments that name seeds and faults.
 
-use crate::error::{CommandError, ReadScriptSnafu, WriteSnafu};
+use crate::error::{CommandError, InvalidScriptSnafu, ReadScriptSnafu, WriteSnafu};
 use snafu::ResultExt;
 use std::ops::Range;
 use std::path::Path;
@@ -58,7 +58,7 @@
     }
     let text =
         std::fs::read_to_string(seed_or_file).context(ReadScriptSnafu { path: seed_or_file })?;
-    Script::read(seed_or_file, &text).map_err(CommandError::failed)
+    Script::read(seed_or_file, &text).context(InvalidScriptSnafu)
 }
 
 /// Writes a file, in place of one that is there.
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -32,5 +32,5 @@
 };
 pub use settings::{CoordinatorAddresses, configuration, terms};
 pub use shrink::{Shrunk, shrink};
-pub use sockets::on_sockets;
+pub use sockets::{SocketsError, on_sockets};
 pub use world::{Options, play};
