--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -27,8 +27,8 @@
 pub use record::{Record, SearchOutcome};
 pub use recovery::Recovery;
 pub use script::{
-    Budget, Cold, Fault, FaultKind, Fleet, InvalidScript, Load, Peers, Position, QueryType,
-    Repeats, Script, ScriptError, Settings, SilentCalls,
+    Budget, CallsWhileUnresponsive, Fault, FaultKind, Fleet, InvalidScript, Load, Peers, Position,
+    QueryType, Repeats, Script, ScriptError, Settings, SlowStart,
 };
 pub use settings::{CoordinatorAddresses, configuration, terms};
 pub use shrink::{Shrunk, shrink};
--- a/crates/testing/simulation/src/network/config.rs
+++ b/crates/testing/simulation/src/network/config.rs
@@ -2,12 +2,12 @@
 
 use crate::clock::Nanos;
 
-/// A range of latencies, in nanoseconds.
+/// The latencies that a transmission may have: from `min` to `min + jitter`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyRange {
-    /// The shortest.
+    /// The lowest, in nanoseconds.
     pub min: Nanos,
-    /// How much longer it may be; each transmission draws its own.
+    /// How much higher it may be, in nanoseconds; each transmission draws its own.
     pub jitter: Nanos,
 }
 
@@ -26,7 +26,7 @@
     pub send_buffer: usize,
     /// Connections that wait to be accepted.
     pub backlog: usize,
-    /// Share of the chunks that arrive in two pieces.
+    /// Share of the chunks that are split in two on the way.
     pub split_ratio: f64,
     /// Share of the datagrams that are lost.
     pub datagram_loss: f64,
--- a/crates/testing/simulation/src/network/connect.rs
+++ b/crates/testing/simulation/src/network/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection: requests that are answered, refused, or sent again when nobody answers.
+//! Opening a connection, as TCP does it: a SYN is accepted or refused, or retransmitted while it stays unanswered.
 
 use super::Network;
 use super::address::process_at;
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// TCP sends a SYN again after one second, then after twice as long each time.
+/// Time to the first retransmission of an unanswered SYN; it doubles with each further one.
 const INITIAL_SYN_TIMEOUT: Nanos = 1000 * MILLISECOND;
-/// How often a SYN that nobody answers is sent again.
+/// Retransmissions of an unanswered SYN, after which the connect stays pending.
 const MAX_SYN_RETRIES: u32 = 6;
 
 /// The outcome of a connect, once there is one.
@@ -148,7 +148,7 @@
         });
     }
 
-    /// The machine of an address at which nobody listens.
+    /// The machine that has an address, whether or not a listener is bound to it.
     fn machine_at(&self, address: SocketAddr) -> Option<ProcessId> {
         let process = process_at(address)?;
         self.0
--- a/crates/testing/simulation/src/network/datagram.rs
+++ b/crates/testing/simulation/src/network/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: lost, duplicated, delayed and reordered by chance.
+//! Datagrams between processes, which the network loses, duplicates, delays and reorders at random.
 
 use super::Network;
 use crate::clock::ProcessId;
@@ -11,7 +11,7 @@
 use std::task::{Poll, Waker};
 use woadreach_runtime::Datagrams;
 
-/// Datagrams that wait unread at one address; further ones are lost.
+/// Datagrams that one address queues unread; further ones are dropped, as by a full socket buffer.
 const MAX_UNREAD_DATAGRAMS: usize = 256;
 
 /// How many datagrams were sent, and their bytes.
@@ -129,12 +129,12 @@
         if !self.is_reachable(process, inbox.process) || self.happens(config.datagram_loss) {
             return;
         }
-        let copies = if self.happens(config.datagram_duplication) {
+        let deliveries = if self.happens(config.datagram_duplication) {
             2
         } else {
             1
         };
-        for _ in 0..copies {
+        for _ in 0..deliveries {
             let delay = self.latency(process, inbox.process) + self.draw(config.max_datagram_delay);
             let inbox = inbox.clone();
             let datagram = Datagram {
--- a/crates/testing/simulation/src/network/mod.rs
+++ b/crates/testing/simulation/src/network/mod.rs
@@ -90,7 +90,7 @@
         }))
     }
 
-    /// Starts a process on a machine of its own, whose clock is ahead by so many seconds.
+    /// Starts a process on a machine of its own, whose clock is ahead by `clock_offset` seconds.
     pub(crate) fn add_machine(&self, zone: Zone, clock_offset: f64) -> SimNet {
         let process = self.0.clock.add_process();
         let machine = Machine {
--- a/crates/testing/simulation/src/network/pipe.rs
+++ b/crates/testing/simulation/src/network/pipe.rs
@@ -119,7 +119,8 @@
         });
     }
 
-    /// Takes in what has arrived by now. Returns whether the sender is owed a reset, because nobody reads.
+    /// Receives the chunks that have arrived by `now`. Returns whether to answer with a reset, because the receiver has
+    /// dropped its end.
     fn receive(&mut self, now: Nanos) -> bool {
         let mut unwanted = false;
         while self.in_flight.front().is_some_and(|f| f.arrives_at <= now)
--- a/crates/testing/simulation/src/script/check.rs
+++ b/crates/testing/simulation/src/script/check.rs
@@ -29,7 +29,7 @@
         /// The largest allowed value.
         max: f64,
     },
-    /// A query type's name has other characters than lower-case letters and dashes.
+    /// The name of a query type is empty, or has characters other than lower-case letters and dashes.
     #[snafu(display("{query_type}: the name is expected in small letters and dashes"))]
     QueryTypeName {
         /// The query type's number and name.
--- a/crates/testing/simulation/src/script/draw.rs
+++ b/crates/testing/simulation/src/script/draw.rs
@@ -3,7 +3,7 @@
 use super::fault::Fault;
 use super::query_type::{QueryType, Repeats};
 use super::random::Choices;
-use super::{Budget, Cold, Fleet, Load, Peers, Script, Settings, SilentCalls};
+use super::{Budget, CallsWhileUnresponsive, Fleet, Load, Peers, Script, Settings, SlowStart};
 
 const QUERY_TYPE_NAMES: [&str; 3] = ["browse", "check", "picks"];
 /// Most parts of a drawn query type's searches.
@@ -29,10 +29,10 @@
         max_latency: choices.pick(&[0.001, 0.001, 0.001, 0.02]),
         buffers: choices.pick(&[131_072, 131_072, 131_072, 512]),
         // From a source of its own, so that older seeds keep everything else.
-        calls_while_silent: Choices::new(seed, "calls while silent").pick(&[
-            SilentCalls::Kept,
-            SilentCalls::ListsLost,
-            SilentCalls::Lost,
+        calls_while_unresponsive: Choices::new(seed, "calls while silent").pick(&[
+            CallsWhileUnresponsive::Delayed,
+            CallsWhileUnresponsive::ListsLost,
+            CallsWhileUnresponsive::Lost,
         ]),
     }
 }
@@ -55,7 +55,7 @@
             share: 0.1,
             window: 10.0,
         }),
-        cold: choices.one_in(2).then(|| Cold {
+        cold: choices.one_in(2).then(|| SlowStart {
             from: choices.pick(&[0.25, 0.15]),
             time: 8.0,
             multiple: 2.0,
--- a/crates/testing/simulation/src/script/draw_faults.rs
+++ b/crates/testing/simulation/src/script/draw_faults.rs
@@ -48,7 +48,7 @@
     fn co_ordinator_fault(&mut self, kind: u32, script: &Script) -> FaultKind {
         let co_ordinators = self.some_co_ordinators(script);
         match kind {
-            14 => FaultKind::DiscoverySilent { co_ordinators },
+            14 => FaultKind::DiscoveryUnresponsive { co_ordinators },
             15 => FaultKind::StallCoordinators { co_ordinators },
             17 => FaultKind::KillCoordinators { co_ordinators },
             18 => FaultKind::RestartCoordinators { co_ordinators },
@@ -147,7 +147,11 @@
         };
         let co_ordinators = self.some_co_ordinators(script);
         vec![
-            Fault::new(at, duration, FaultKind::DiscoverySilent { co_ordinators }),
+            Fault::new(
+                at,
+                duration,
+                FaultKind::DiscoveryUnresponsive { co_ordinators },
+            ),
             Fault::new(at + 0.2, duration, partition),
         ]
     }
@@ -162,7 +166,11 @@
         let co_ordinators = self.some_co_ordinators(script);
         let replicas = self.some_replicas(script, 0.3);
         vec![
-            Fault::new(at, duration, FaultKind::DiscoverySilent { co_ordinators }),
+            Fault::new(
+                at,
+                duration,
+                FaultKind::DiscoveryUnresponsive { co_ordinators },
+            ),
             Fault::new(at + 0.1, duration + 2.0, FaultKind::Drain { replicas }),
         ]
     }
--- a/crates/testing/simulation/src/script/draw_tier.rs
+++ b/crates/testing/simulation/src/script/draw_tier.rs
@@ -4,7 +4,7 @@
 use super::fault::{Fault, FaultKind};
 use super::query_type::QueryType;
 use super::random::Choices;
-use super::{Cold, Fleet, Script, Settings};
+use super::{Fleet, Script, Settings, SlowStart};
 
 /// Length of the run, in seconds.
 const SECONDS: f64 = 24.0;
@@ -20,7 +20,7 @@
 
 fn draw_settings(settings: &mut Settings, choices: &mut Choices) {
     let (from, multiple) = choices.pick(&[(0.15, 2.0), (0.25, 2.0), (0.25, 2.5), (0.4, 3.0)]);
-    settings.cold = Some(Cold {
+    settings.cold = Some(SlowStart {
         from,
         time: choices.pick(&[6.0, 12.0]),
         multiple,
@@ -30,7 +30,7 @@
     settings.attempts = 3;
 }
 
-/// Several replicas start together: all at once, or so many that the others don't suffice.
+/// Several replicas start together: up to four in five of them, so that the capacity of the others may not suffice.
 fn draw_start(script: &Script, choices: &mut Choices) -> Fault {
     let replicas = choices.subset(script.replicas(), 0.8);
     let at = choices.pick(&[5.0, 6.5]);
@@ -57,7 +57,7 @@
     Fault::new(at, 0.3, FaultKind::KillCoordinators { co_ordinators })
 }
 
-/// Rejections and errors, after which further attempts look for another replica.
+/// Rejections or errors, after which retries go to other replicas.
 fn draw_failures(script: &Script, started: f64, choices: &mut Choices) -> Fault {
     let share = choices.pick(&[0.1, 0.5]);
     let replicas = choices.subset(script.replicas(), 0.5);
@@ -80,8 +80,8 @@
     if choices.one_in(3) {
         let co_ordinators = choices.each_one_in(3, co_ordinators);
         let duration = choices.pick(&[1.0, 3.0]);
-        let silent = FaultKind::DiscoverySilent { co_ordinators };
-        faults.push(Fault::new(started - 0.4, duration, silent));
+        let unresponsive = FaultKind::DiscoveryUnresponsive { co_ordinators };
+        faults.push(Fault::new(started - 0.4, duration, unresponsive));
     }
     if choices.one_in(2) {
         faults.push(draw_failures(script, started, choices));
--- a/crates/testing/simulation/src/script/fault.rs
+++ b/crates/testing/simulation/src/script/fault.rs
@@ -130,7 +130,8 @@
         both: bool,
     },
     /// The discovery agents of co-ordinators are unresponsive.
-    DiscoverySilent {
+    #[serde(rename = "discovery_silent")]
+    DiscoveryUnresponsive {
         /// The co-ordinators, by their numbers.
         co_ordinators: Vec<usize>,
     },
@@ -201,7 +202,7 @@
             FaultKind::IgnoreCancels { .. } => "heedless",
             FaultKind::SlowReads { .. } => "late",
             FaultKind::Partition { .. } => "cut",
-            FaultKind::DiscoverySilent { .. } => "discovery_silent",
+            FaultKind::DiscoveryUnresponsive { .. } => "discovery_silent",
             FaultKind::StallCoordinators { .. } => "stall",
             FaultKind::StallReplicas { .. } => "stall_replicas",
             FaultKind::KillCoordinators { .. } => "kill",
@@ -264,7 +265,7 @@
     /// The co-ordinators that it affects.
     pub(super) fn co_ordinators(&self) -> &[usize] {
         match self {
-            FaultKind::DiscoverySilent { co_ordinators }
+            FaultKind::DiscoveryUnresponsive { co_ordinators }
             | FaultKind::StallCoordinators { co_ordinators }
             | FaultKind::KillCoordinators { co_ordinators }
             | FaultKind::RestartCoordinators { co_ordinators }
--- a/crates/testing/simulation/src/script/mod.rs
+++ b/crates/testing/simulation/src/script/mod.rs
@@ -18,7 +18,7 @@
 
 pub use check::InvalidScript;
 pub use fault::{Fault, FaultKind};
-pub use model::{Budget, Cold, Fleet, Load, Peers, Settings, SilentCalls};
+pub use model::{Budget, CallsWhileUnresponsive, Fleet, Load, Peers, Settings, SlowStart};
 pub(crate) use query_type::{HEAVY_SHARE, HEAVY_WORK_FACTOR};
 pub use query_type::{QueryType, Repeats};
 pub use read::{Position, ScriptError};
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -32,19 +32,20 @@
     /// Bytes that a connection holds unread at one end, and unsent at the other.
     pub buffers: usize,
     /// What becomes of calls to discovery while it is unresponsive.
-    #[serde(default)]
-    pub calls_while_silent: SilentCalls,
+    #[serde(rename = "calls_while_silent", default)]
+    pub calls_while_unresponsive: CallsWhileUnresponsive,
 }
 
 /// What becomes of calls to discovery while it is unresponsive. Corresponds to
 /// [`woadreach_fakes::CallsWhileSilent`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SilentCalls {
+pub enum CallsWhileUnresponsive {
     /// All are answered when it responds again.
     #[default]
-    Kept,
-    /// Watches are answered then, calls for the whole list never.
+    #[serde(rename = "kept")]
+    Delayed,
+    /// Watches are answered then, calls for the complete list never.
     ListsLost,
     /// None is ever answered.
     Lost,
@@ -82,7 +83,7 @@
     pub budget: Option<Budget>,
     /// How replicas warm up, if they do.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub cold: Option<Cold>,
+    pub cold: Option<SlowStart>,
 }
 
 /// The retry budget: attempts beyond each part's first that may be sent in any window.
@@ -97,13 +98,13 @@
     pub window: f64,
 }
 
-/// How a replica warms up.
+/// How a replica warms up (slow start).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
-    /// Share of its capacity that a replica has when it starts.
+pub struct SlowStart {
+    /// Share of its capacity that a replica has when it starts, from 0 to 1.
     pub from: f64,
-    /// Seconds until it has all of it.
+    /// Time from its start until it has its full capacity, in seconds.
     pub time: f64,
     /// Overload threshold as a multiple of the replica's current capacity.
     pub multiple: f64,
--- a/crates/testing/simulation/src/script/query_type.rs
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryType {
-    /// Lower-case letters and dashes; the path of its requests.
+    /// The path of its requests: lower-case letters and dashes.
     pub name: String,
     /// Share of all searches, relative to the other query types.
     pub share: f64,
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{QueryType, Repeats, Script, Settings};
 use std::net::SocketAddr;
-use woadreach_invariants::{Budget, Cold, QueryTerms, Terms};
+use woadreach_invariants::{Budget, QueryTerms, Terms};
 
 /// Milliseconds in a second.
 const MILLISECONDS: f64 = 1000.0;
@@ -10,7 +10,7 @@
 const ANSWER_GRACE: f64 = 0.05;
 /// The checker's tolerance of time limits, in seconds.
 const SLACK: f64 = 0.05;
-/// From so many co-ordinators on, an overload counts only if most senders knew of the start.
+/// Number of co-ordinators from which on an overload counts only if most senders knew of the start.
 const LARGE_TIER: usize = 10;
 
 /// The numbers of the rules for the checker.
@@ -34,15 +34,19 @@
         query_types: query_types.collect(),
         answer_grace: ANSWER_GRACE,
         drain_grace: s.drain_grace,
-        cold: s.cold.as_ref().map(|c| Cold {
-            from: c.from,
-            time: c.time,
-            multiple: c.multiple,
-            window: c.window,
-            work: script.mean_work(),
-            // In a large tier each sends one part before it can know, which the protocol does not count.
-            untold_too: script.fleet.co_ordinators < LARGE_TIER,
-        }),
+        cold: s
+            .cold
+            .as_ref()
+            .map(|slow_start| woadreach_invariants::Cold {
+                from: slow_start.from,
+                time: slow_start.time,
+                multiple: slow_start.multiple,
+                window: slow_start.window,
+                work: script.mean_work(),
+                // In a large tier each co-ordinator sends one part before it can know of the start, which the protocol
+                // does not count.
+                untold_too: script.fleet.co_ordinators < LARGE_TIER,
+            }),
         budget: s.budget.as_ref().map(|b| Budget {
             free: b.free,
             share: b.share,
@@ -82,13 +86,13 @@
 
 /// The guarantees, as the members of a JSON object.
 fn guarantees_json(settings: &Settings) -> String {
-    let cold = settings.cold.as_ref().map_or(String::new(), |c| {
+    let slow_start = settings.cold.as_ref().map_or(String::new(), |s| {
         format!(
             r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
-            c.multiple,
-            c.window * MILLISECONDS,
-            c.from,
-            c.time * MILLISECONDS
+            s.multiple,
+            s.window * MILLISECONDS,
+            s.from,
+            s.time * MILLISECONDS
         )
     });
     let budget = settings.budget.as_ref().map_or(String::new(), |b| {
@@ -100,7 +104,7 @@
         )
     });
     let drain_grace = settings.drain_grace * MILLISECONDS;
-    format!(r#""drainGraceMs":{drain_grace}{cold}{budget}"#)
+    format!(r#""drainGraceMs":{drain_grace}{slow_start}{budget}"#)
 }
 
 /// The limits, as the members of a JSON object.
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -16,9 +16,10 @@
 use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
 use woadreachd::events::Usage;
 
-/// PROTOCOL: SIGKILL comes no sooner than so many seconds after SIGTERM and the longest client timeout, of
-/// which at most `MAX_SHUTDOWN_TIMEOUT` counts.
+/// Seconds from the end of the shutdown timeout until SIGKILL. By the protocol the shutdown timeout is the longest
+/// client timeout, but at most [`MAX_SHUTDOWN_TIMEOUT`].
 const KILL_DELAY: f64 = 0.7;
+/// Longest shutdown timeout, in seconds.
 const MAX_SHUTDOWN_TIMEOUT: f64 = 3.0;
 
 impl World {
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -7,7 +7,7 @@
 use woadreach_invariants::{EventKind, NodeId};
 
 impl World {
-    /// Begins a fault that lasts so many seconds.
+    /// Begins a fault that lasts for `duration`, in seconds.
     pub(super) fn inject(self: &Rc<Self>, kind: &FaultKind, duration: f64) {
         match kind {
             FaultKind::Crash {
@@ -17,8 +17,8 @@
             FaultKind::Isolate { replicas } => self.isolate(replicas),
             FaultKind::Drain { replicas } => self.drain_replicas(replicas),
             FaultKind::Partition { from, to, both } => self.partition(*from, *to, *both),
-            FaultKind::DiscoverySilent { co_ordinators } => {
-                self.set_discovery_silent(co_ordinators, true);
+            FaultKind::DiscoveryUnresponsive { co_ordinators } => {
+                self.set_discovery_unresponsive(co_ordinators, true);
             }
             FaultKind::StallCoordinators { co_ordinators } => {
                 self.stall_coordinators(co_ordinators, duration);
@@ -51,8 +51,8 @@
             FaultKind::Isolate { replicas } => self.reconnect(replicas),
             FaultKind::Drain { replicas } => self.replace_replicas(replicas),
             FaultKind::Partition { from, to, .. } => self.heal(*from, *to),
-            FaultKind::DiscoverySilent { co_ordinators } => {
-                self.set_discovery_silent(co_ordinators, false);
+            FaultKind::DiscoveryUnresponsive { co_ordinators } => {
+                self.set_discovery_unresponsive(co_ordinators, false);
             }
             FaultKind::StallCoordinators { co_ordinators } => {
                 co_ordinators
@@ -141,9 +141,9 @@
         self.report_links_of(&[from, to], false);
     }
 
-    fn set_discovery_silent(&self, co_ordinators: &[usize], silent: bool) {
+    fn set_discovery_unresponsive(&self, co_ordinators: &[usize], unresponsive: bool) {
         for n in co_ordinators {
-            self.coordinators[*n].agent.silence(silent);
+            self.coordinators[*n].agent.silence(unresponsive);
         }
     }
 
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -1,4 +1,4 @@
-//! Panics, and what co-ordinators and clients still hold when all is quiet.
+//! Panics, and leaks: what co-ordinators and clients still have in memory when no search is in flight any more.
 
 use super::World;
 use woadreach_invariants::{EventKind, NodeId};
@@ -10,7 +10,7 @@
             let node = self
                 .coordinators
                 .iter()
-                .position(|n| n.process.get() == Some(process));
+                .position(|coordinator| coordinator.process.get() == Some(process));
             let why = if node.is_none() {
                 format!("process {}: {why}", process.0)
             } else {
@@ -23,22 +23,22 @@
         }
     }
 
-    /// Records what is still held, when nothing should be.
+    /// Records what is still in memory at the end of a run.
     pub(super) fn report_leaks(&self) {
         for (n, coordinator) in self.coordinators.iter().enumerate() {
             if coordinator.process.get().is_none() {
                 continue;
             }
-            let u = coordinator.usage.get();
-            let held = [
-                u.searches,
-                u.parts,
-                u.attempts,
-                u.client_sockets,
-                u.request_bytes,
+            let usage = coordinator.usage.get();
+            let counts = [
+                usage.searches,
+                usage.parts,
+                usage.attempts,
+                usage.client_sockets,
+                usage.request_bytes,
             ];
-            if held.iter().any(|count| *count > 0) {
-                self.report_leak(n, format!("all is quiet, and it holds {u:?}"));
+            if counts.iter().any(|count| *count > 0) {
+                self.report_leak(n, format!("all is quiet, and it holds {usage:?}"));
             }
         }
         let owed = self.record.borrow().owed();
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -29,13 +29,13 @@
         slot.process.set(net.process());
         slot.alive.set(true);
         let start = slot.starts.replace(slot.starts.get() + 1);
-        let cold = self.script.settings.cold.as_ref().filter(|_| warming_up);
+        let slow_start = self.script.settings.cold.as_ref().filter(|_| warming_up);
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
             queue_capacity: self.script.fleet.queue_capacity,
-            warm_up: cold.map(|c| WarmUp {
-                initial_share: c.from,
-                duration: c.time,
+            warm_up: slow_start.map(|slow_start| WarmUp {
+                initial_share: slow_start.from,
+                duration: slow_start.time,
             }),
             ..Behaviour::default()
         };
@@ -141,16 +141,18 @@
     }
 
     /// Records that what a replica is sent may be delayed from now on, or no longer is.
-    pub(super) fn report_link(&self, r: usize, held: bool) {
-        let replica = self.replicas[r].name.borrow().as_str().into();
-        self.recorder.tell(EventKind::LinkBlocked { replica, held });
+    pub(super) fn report_link(&self, r: usize, is_blocked: bool) {
+        self.recorder.tell(EventKind::LinkBlocked {
+            replica: self.replicas[r].name.borrow().as_str().into(),
+            held: is_blocked,
+        });
     }
 
     /// Records the same for all replicas of these zones.
-    pub(super) fn report_links_of(&self, zones: &[usize], held: bool) {
+    pub(super) fn report_links_of(&self, zones: &[usize], is_blocked: bool) {
         for (r, slot) in self.replicas.iter().enumerate() {
             if zones.contains(&slot.zone) {
-                self.report_link(r, held);
+                self.report_link(r, is_blocked);
             }
         }
     }
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::network::{BEGIN, LatencyRange, Network, NetworkConfig, SimNet, Zone, address, seed_of};
 use crate::record::Record;
-use crate::script::{Script, SilentCalls};
+use crate::script::{CallsWhileUnresponsive, Script};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -12,12 +12,12 @@
 use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder};
 use woadreach_invariants::NodeId;
 
-impl From<SilentCalls> for CallsWhileSilent {
-    fn from(calls: SilentCalls) -> Self {
+impl From<CallsWhileUnresponsive> for CallsWhileSilent {
+    fn from(calls: CallsWhileUnresponsive) -> Self {
         match calls {
-            SilentCalls::Kept => CallsWhileSilent::Kept,
-            SilentCalls::ListsLost => CallsWhileSilent::ListsLost,
-            SilentCalls::Lost => CallsWhileSilent::Lost,
+            CallsWhileUnresponsive::Delayed => CallsWhileSilent::Kept,
+            CallsWhileUnresponsive::ListsLost => CallsWhileSilent::ListsLost,
+            CallsWhileUnresponsive::Lost => CallsWhileSilent::Lost,
         }
     }
 }
@@ -45,7 +45,7 @@
     let agent = woadreach_fakes::discovery(net, NodeId(n), place, None, recorder);
     // Nobody listens on a new machine yet.
     let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
-    agent.calls_while_silent(script.fleet.calls_while_silent.into());
+    agent.calls_while_silent(script.fleet.calls_while_unresponsive.into());
     agent
 }
 
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -5,7 +5,9 @@
 
 use rstest::rstest;
 use support::{play_without_breach, read_script, read_world};
-use woadreach_simulation::{Fault, FaultKind, Options, Outcome, Script, SilentCalls, play};
+use woadreach_simulation::{
+    CallsWhileUnresponsive, Fault, FaultKind, Options, Outcome, Script, play,
+};
 
 /// Three co-ordinators and two shard groups of three replicas in two zones, without faults. The searches of one
 /// query type may be repeated, those of the other may not.
@@ -94,7 +96,7 @@
     Fault { at: 4.0, duration: 6.0, kind: FaultKind::LoadBurst { factor: 2.0 } },
 ])]
 #[case::a_drain_that_one_co_ordinator_learns_of_late(&[
-    Fault { at: 4.0, duration: 3.0, kind: FaultKind::DiscoverySilent { co_ordinators: vec![1] } },
+    Fault { at: 4.0, duration: 3.0, kind: FaultKind::DiscoveryUnresponsive { co_ordinators: vec![1] } },
     Fault { at: 4.2, duration: 4.0, kind: FaultKind::Drain { replicas: vec![0, 4] } },
 ])]
 #[case::a_restart_within_a_reload(&[
@@ -114,7 +116,7 @@
     Fault { at: 4.0, duration: 3.0, kind: FaultKind::LoadBurst { factor: 3.0 } },
 ])]
 #[case::a_zone_partitioned_while_discovery_is_stale(&[
-    Fault { at: 4.0, duration: 4.0, kind: FaultKind::DiscoverySilent { co_ordinators: vec![0, 1, 2] } },
+    Fault { at: 4.0, duration: 4.0, kind: FaultKind::DiscoveryUnresponsive { co_ordinators: vec![0, 1, 2] } },
     Fault { at: 4.2, duration: 3.0, kind: FaultKind::Partition { from: 0, to: 1, both: true } },
 ])]
 #[case::corrupt_answers_beside_valid_ones(&[
@@ -151,7 +153,7 @@
     Fault {
         at: 4.0,
         duration: end - 4.0,
-        kind: FaultKind::DiscoverySilent {
+        kind: FaultKind::DiscoveryUnresponsive {
             co_ordinators: vec![0, 1, 2],
         },
     }
@@ -173,7 +175,12 @@
 /// of the meantime, only watches, or none, and at whatever moment between two calls it responds again.
 #[rstest]
 fn a_drain_when_discovery_responds_again(
-    #[values(SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost)] calls: SilentCalls,
+    #[values(
+        CallsWhileUnresponsive::Delayed,
+        CallsWhileUnresponsive::ListsLost,
+        CallsWhileUnresponsive::Lost
+    )]
+    calls: CallsWhileUnresponsive,
     #[values(9.7, 9.9, 10.1, 10.3, 10.5, 10.7, 10.9)] responds_at: f64,
     #[values(-0.5, 0.0, 0.05)] drain_delay: f64,
 ) {
@@ -181,14 +188,19 @@
         unresponsive_discovery_until(responds_at),
         drain_at(responds_at + drain_delay),
     ]);
-    script.fleet.calls_while_silent = calls;
+    script.fleet.calls_while_unresponsive = calls;
     play_without_breach(&script);
 }
 
 /// The same for processes that start while discovery is unresponsive, with the endpoint list known before.
 #[rstest]
 fn a_process_that_starts_while_discovery_is_down(
-    #[values(SilentCalls::Kept, SilentCalls::ListsLost, SilentCalls::Lost)] calls: SilentCalls,
+    #[values(
+        CallsWhileUnresponsive::Delayed,
+        CallsWhileUnresponsive::ListsLost,
+        CallsWhileUnresponsive::Lost
+    )]
+    calls: CallsWhileUnresponsive,
     #[values(9.7, 10.0, 10.3, 10.6, 10.9)] responds_at: f64,
 ) {
     let kill = Fault {
@@ -203,7 +215,7 @@
         kill,
         drain_at(responds_at),
     ]);
-    script.fleet.calls_while_silent = calls;
+    script.fleet.calls_while_unresponsive = calls;
     play_without_breach(&script);
 }
 
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use woadreach_invariants::{Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, Terms};
 use woadreach_simulation::{
-    FaultKind, Outcome, Record, Recovery, Repeats, Script, SilentCalls, VerdictAdoption, digest,
+    CallsWhileUnresponsive, FaultKind, Outcome, Record, Recovery, Repeats, Script, VerdictAdoption,
+    digest,
 };
 
 const EVERY_KEY: &str = include_str!("recorded/every-key.toml");
@@ -45,8 +46,12 @@
         (2, 4, 16, 131_072)
     );
     assert_eq!(
-        (f.max_clock_offset, f.max_latency, f.calls_while_silent),
-        (0.01, 0.001, SilentCalls::ListsLost)
+        (
+            f.max_clock_offset,
+            f.max_latency,
+            f.calls_while_unresponsive
+        ),
+        (0.01, 0.001, CallsWhileUnresponsive::ListsLost)
     );
     assert_eq!(
         (s.per_call, s.attempts, s.streams, s.descriptors),
@@ -157,7 +162,7 @@
     );
     assert_eq!(
         faults[14].kind,
-        FaultKind::DiscoverySilent {
+        FaultKind::DiscoveryUnresponsive {
             co_ordinators: vec![0, 2]
         }
     );
@@ -165,13 +170,13 @@
 }
 
 #[rstest]
-#[case::kept("kept", SilentCalls::Kept)]
-#[case::lists_lost("lists_lost", SilentCalls::ListsLost)]
-#[case::lost("lost", SilentCalls::Lost)]
-fn calls_to_an_unresponsive_discovery(#[case] name: &str, #[case] calls: SilentCalls) {
+#[case::kept("kept", CallsWhileUnresponsive::Delayed)]
+#[case::lists_lost("lists_lost", CallsWhileUnresponsive::ListsLost)]
+#[case::lost("lost", CallsWhileUnresponsive::Lost)]
+fn calls_to_an_unresponsive_discovery(#[case] name: &str, #[case] calls: CallsWhileUnresponsive) {
     let text = EVERY_KEY.replace("\"lists_lost\"", &format!("{name:?}"));
     let script = Script::read("x", &text).unwrap_or_else(|bad| panic!("{bad}"));
-    assert_eq!(script.fleet.calls_while_silent, calls);
+    assert_eq!(script.fleet.calls_while_unresponsive, calls);
     assert_eq!(script.text(), text);
 }
 
