--- a/crates/cli/src/faults/compare.rs
+++ b/crates/cli/src/faults/compare.rs
@@ -28,7 +28,8 @@
     /// Share of the searches answered in time.
     virtual_clock: f64,
     searches: [u64; 2],
-    sub_requests: [u64; 2],
+    #[serde(rename = "sub_requests")]
+    attempts: [u64; 2],
     breaches: [usize; 2],
 }
 
@@ -44,7 +45,7 @@
         sockets: share_in_time(&real),
         virtual_clock: share_in_time(&simulated),
         searches: [real.searches, simulated.searches],
-        sub_requests: [real.sub_requests, simulated.sub_requests],
+        attempts: [real.attempts, simulated.attempts],
         breaches: [real.breaches.len(), simulated.breaches.len()],
     };
     match arguments.format {
@@ -65,7 +66,7 @@
 }
 
 fn share_in_time(outcome: &Outcome) -> f64 {
-    outcome.good as f64 / outcome.searches.max(1) as f64
+    outcome.answered_in_time as f64 / outcome.searches.max(1) as f64
 }
 
 fn print(name: &str, outcome: &Outcome) {
@@ -73,7 +74,7 @@
         "{name:<14}{:.4} in time, {} searches, {} sub-requests, {} breaches",
         share_in_time(outcome),
         outcome.searches,
-        outcome.sub_requests,
+        outcome.attempts,
         outcome.breaches.len()
     );
 }
--- a/crates/cli/src/faults/replay.rs
+++ b/crates/cli/src/faults/replay.rs
@@ -64,20 +64,24 @@
     println!("digest {}", outcome.digest);
     println!(
         "{:.1} simulated s, {} searches, {} in time, {} sub-requests, {} steps",
-        outcome.seconds, outcome.searches, outcome.good, outcome.sub_requests, outcome.steps
+        outcome.seconds,
+        outcome.searches,
+        outcome.answered_in_time,
+        outcome.attempts,
+        outcome.steps
     );
     for recovery in &outcome.recoveries {
-        let back = recovery.back_after.map_or("not back".into(), |seconds| {
+        let back = recovery.back_after_s.map_or("not back".into(), |seconds| {
             format!("back after {seconds:.2} s")
         });
         println!(
             "{:>7.2} s {} for {} s: {:.3} before, {:.3} meanwhile, {back}, {:.1} lost",
-            recovery.at,
+            recovery.started_at_s,
             recovery.kind,
-            recovery.lasts,
-            recovery.before,
-            recovery.during,
-            recovery.lost
+            recovery.duration_s,
+            recovery.share_before,
+            recovery.share_during,
+            recovery.lost_searches
         );
     }
     outcome.breaches.iter().for_each(print_proof);
--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -59,7 +59,10 @@
 impl KindRecovery {
     fn new(recoveries: &[&Recovery]) -> KindRecovery {
         let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_RECOVERY_MS, 3).ok();
-        for after in recoveries.iter().filter_map(|recovery| recovery.back_after) {
+        for after in recoveries
+            .iter()
+            .filter_map(|recovery| recovery.back_after_s)
+        {
             if let Some(histogram) = &mut histogram {
                 histogram.saturating_record((after * 1000.0).max(1.0) as u64);
             }
@@ -70,11 +73,14 @@
             })
         };
         let count = recoveries.len() as f64;
-        let is_never = |recovery: &&&Recovery| recovery.back_after.is_none();
-        let lost: f64 = recoveries.iter().map(|recovery| recovery.lost).sum();
+        let is_never = |recovery: &&&Recovery| recovery.back_after_s.is_none();
+        let lost: f64 = recoveries
+            .iter()
+            .map(|recovery| recovery.lost_searches)
+            .sum();
         let sub_requests: f64 = recoveries
             .iter()
-            .map(|recovery| recovery.sub_requests)
+            .map(|recovery| recovery.attempts_per_search)
             .sum();
         KindRecovery {
             faults: recoveries.len() as u64,
@@ -105,8 +111,8 @@
             steps: sum(&|outcome| outcome.steps),
             events: sum(&|outcome| outcome.events),
             searches: sum(&|outcome| outcome.searches),
-            good: sum(&|outcome| outcome.good),
-            sub_requests: sum(&|outcome| outcome.sub_requests),
+            good: sum(&|outcome| outcome.answered_in_time),
+            sub_requests: sum(&|outcome| outcome.attempts),
             digest: woadreach_simulation::digest(&digests),
             kinds: recoveries
                 .into_iter()
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -77,7 +77,7 @@
         let is_idempotent = query_type.repeats == Repeats::Idempotent;
         let retry = Retry {
             times: self.script.load.retries,
-            pause: self.script.load.retry_delay,
+            pause: self.script.load.retry_delay_s,
             heeds: self.script.load.honors_retry_after,
         };
         let (client, search_count) = (self.client.clone(), self.search_count.clone());
--- a/crates/testing/process-tests/src/cluster/mod.rs
+++ b/crates/testing/process-tests/src/cluster/mod.rs
@@ -135,7 +135,7 @@
     ) -> io::Result<Cluster> {
         let net = Tokio::new();
         let query_types = script.query_types.iter();
-        let targets = query_types.map(|t| t.latency_target).collect();
+        let targets = query_types.map(|t| t.latency_target_s).collect();
         let record = Rc::new(RefCell::new(Record::new(terms(&script), targets, false)));
         let takes_clients = (0..config.co_ordinators).map(|_| Cell::new(false));
         let mut cluster = Cluster {
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -61,8 +61,8 @@
             warm_up: slow_start
                 .filter(|_| is_warming_up)
                 .map(|slow_start| WarmUp {
-                    initial_share: slow_start.from,
-                    duration: slow_start.time,
+                    initial_share: slow_start.initial_share,
+                    duration: slow_start.duration_s,
                 }),
             ..Behaviour::default()
         };
--- a/crates/testing/process-tests/src/cluster/run.rs
+++ b/crates/testing/process-tests/src/cluster/run.rs
@@ -62,7 +62,7 @@
 
     fn longest_client_timeout(&self) -> f64 {
         let query_types = self.script.query_types.iter();
-        query_types.map(|t| t.client_timeout).fold(0.0, f64::max)
+        query_types.map(|t| t.client_timeout_s).fold(0.0, f64::max)
     }
 
     /// Sends SIGTERM to all processes; each has to end with success.
@@ -97,8 +97,12 @@
 
     fn outcome(&self, seconds: f64) -> Outcome {
         let record = self.record.borrow();
-        let completed: Vec<_> = record.fared.iter().filter(|search| !search.left).collect();
-        let in_time = completed.iter().filter(|search| search.good).count();
+        let completed: Vec<_> = record
+            .outcomes
+            .iter()
+            .filter(|search| !search.client_disconnected)
+            .collect();
+        let in_time = completed.iter().filter(|search| search.in_time).count();
         let breaches = record.breaches.iter().take(MAX_DESCRIBED_BREACHES);
         let mut outcome = Outcome {
             scenario: self.config.scenario.name(),
--- a/crates/testing/simulation/src/load.rs
+++ b/crates/testing/simulation/src/load.rs
@@ -50,9 +50,9 @@
     } else {
         1.0
     };
-    let work = t.work * heavy * work_factor * (0.5 + rng.random::<f64>());
+    let work = t.work_s * heavy * work_factor * (0.5 + rng.random::<f64>());
     let leaves = rng.random_bool(script.load.disconnect_share);
-    let disconnect_after = leaves.then(|| rng.random::<f64>() * t.client_timeout);
+    let disconnect_after = leaves.then(|| rng.random::<f64>() * t.client_timeout_s);
     SearchRequest {
         search,
         query_type,
@@ -60,7 +60,7 @@
         tenant: "acme".into(),
         parts: shards.into_iter().map(|s| (s, 1.0 / n as f64)).collect(),
         text: format!("{work:.6} q"),
-        timeout: t.client_timeout,
+        timeout: t.client_timeout_s,
         is_retry: false,
         disconnect_after,
     }
--- a/crates/testing/simulation/src/outcome.rs
+++ b/crates/testing/simulation/src/outcome.rs
@@ -23,9 +23,11 @@
     /// Searches whose client didn't disconnect.
     pub searches: u64,
     /// Searches that were answered within their latency target.
-    pub good: u64,
+    #[serde(rename = "good")]
+    pub answered_in_time: u64,
     /// Attempts that replicas received.
-    pub sub_requests: u64,
+    #[serde(rename = "sub_requests")]
+    pub attempts: u64,
     /// Datagrams between co-ordinators.
     pub datagrams: u64,
     /// Their bytes.
@@ -42,8 +44,9 @@
 /// A co-ordinator adopts a new verdict on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct VerdictAdoption {
-    /// Seconds from the run's beginning.
-    pub at: f64,
+    /// When, in seconds from the run's beginning.
+    #[serde(rename = "at")]
+    pub at_s: f64,
     /// The co-ordinator.
     pub node: NodeId,
     /// The zone, by its number.
@@ -64,8 +67,8 @@
             steps: 0,
             events: record.events,
             searches: served.len() as u64,
-            good: served.iter().filter(|search| search.good).count() as u64,
-            sub_requests: record.sent.len() as u64,
+            answered_in_time: served.iter().filter(|search| search.in_time).count() as u64,
+            attempts: record.attempts_received_at.len() as u64,
             datagrams: 0,
             datagram_bytes: 0,
             verdicts: Vec::new(),
--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -15,17 +15,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SearchOutcome {
     /// When the request arrived, in Unix seconds.
-    pub asked: f64,
-    /// Answered within its latency target.
-    pub good: bool,
-    /// The client disconnected, so the search says nothing of the service.
-    pub left: bool,
+    #[serde(rename = "asked")]
+    pub requested_at: f64,
+    /// It was answered within its latency target.
+    #[serde(rename = "good")]
+    pub in_time: bool,
+    /// The client disconnected, so the search doesn't count for the service.
+    #[serde(rename = "left")]
+    pub client_disconnected: bool,
 }
 
 /// A search that awaits its answer.
 struct OpenSearch {
+    /// In Unix seconds.
     requested_at: f64,
-    latency_target: f64,
+    latency_target_s: f64,
 }
 
 /// The record of a run.
@@ -40,10 +44,10 @@
     pub breaches: Vec<Breach>,
     /// How many events there were.
     pub events: u64,
-    /// When each attempt was received, in Unix seconds.
-    pub sent: Vec<f64>,
+    /// When replicas received each attempt, in Unix seconds.
+    pub attempts_received_at: Vec<f64>,
     /// The searches that have ended, in the order of their ends.
-    pub fared: Vec<SearchOutcome>,
+    pub outcomes: Vec<SearchOutcome>,
     open: BTreeMap<Arc<str>, OpenSearch>,
 }
 
@@ -58,8 +62,8 @@
             trace: trace.then(Vec::new),
             breaches: Vec::new(),
             events: 0,
-            sent: Vec::new(),
-            fared: Vec::new(),
+            attempts_received_at: Vec::new(),
+            outcomes: Vec::new(),
             open: BTreeMap::new(),
         }
     }
@@ -88,9 +92,9 @@
 
     /// The searches whose client didn't disconnect.
     pub(crate) fn served(&self) -> Vec<SearchOutcome> {
-        self.fared
+        self.outcomes
             .iter()
-            .filter(|search| !search.left)
+            .filter(|search| !search.client_disconnected)
             .copied()
             .collect()
     }
@@ -124,27 +128,27 @@
                 let target = self.latency_targets.get(*query_type).copied();
                 let open = OpenSearch {
                     requested_at: at,
-                    latency_target: target.unwrap_or(0.0),
+                    latency_target_s: target.unwrap_or(0.0),
                 };
                 self.open.insert(search.clone(), open);
             }
-            EventKind::PartReceived { .. } => self.sent.push(at),
+            EventKind::PartReceived { .. } => self.attempts_received_at.push(at),
             EventKind::Answered { search, .. } => self.close(search, |open| SearchOutcome {
-                asked: open.requested_at,
-                good: at - open.requested_at <= open.latency_target,
-                left: false,
+                requested_at: open.requested_at,
+                in_time: at - open.requested_at <= open.latency_target_s,
+                client_disconnected: false,
             }),
             EventKind::Shed { search }
             | EventKind::Failed { search }
             | EventKind::ConnectionClosed { search } => self.close(search, |open| SearchOutcome {
-                asked: open.requested_at,
-                good: false,
-                left: false,
+                requested_at: open.requested_at,
+                in_time: false,
+                client_disconnected: false,
             }),
             EventKind::ClientDisconnected { search } => self.close(search, |open| SearchOutcome {
-                asked: open.requested_at,
-                good: false,
-                left: true,
+                requested_at: open.requested_at,
+                in_time: false,
+                client_disconnected: true,
             }),
             _ => {}
         }
@@ -152,7 +156,7 @@
 
     fn close(&mut self, search: &Arc<str>, outcome: impl Fn(OpenSearch) -> SearchOutcome) {
         if let Some(open) = self.open.remove(search) {
-            self.fared.push(outcome(open));
+            self.outcomes.push(outcome(open));
         }
     }
 }
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -22,27 +22,34 @@
     /// The fault's kind.
     pub kind: &'static str,
     /// When the fault began, in seconds from the run's beginning.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub started_at_s: f64,
     /// How long it lasted, in seconds.
-    pub lasts: f64,
+    #[serde(rename = "lasts")]
+    pub duration_s: f64,
     /// Share of the searches before it that were answered within their latency target.
-    pub before: f64,
+    #[serde(rename = "before")]
+    pub share_before: f64,
     /// The same share from its begin to its end.
-    pub during: f64,
+    #[serde(rename = "during")]
+    pub share_during: f64,
     /// Seconds from its end until the service was back; none if the run ended first.
-    pub back_after: Option<f64>,
+    #[serde(rename = "back_after")]
+    pub back_after_s: Option<f64>,
     /// Searches that missed their latency target until then, beyond the earlier share.
-    pub lost: f64,
+    #[serde(rename = "lost")]
+    pub lost_searches: f64,
     /// Attempts per search, from its begin until the service was back.
-    pub sub_requests: f64,
+    #[serde(rename = "sub_requests")]
+    pub attempts_per_search: f64,
 }
 
 /// The share of the searches from this time to that which were answered within their latency target.
 fn level(searches: &[SearchOutcome], from: f64, to: f64) -> Option<f64> {
     let is_good: Vec<bool> = searches
         .iter()
-        .filter(|s| s.asked >= from && s.asked < to)
-        .map(|s| s.good)
+        .filter(|s| s.requested_at >= from && s.requested_at < to)
+        .map(|s| s.in_time)
         .collect();
     let good = is_good.iter().filter(|good| **good).count();
     (!is_good.is_empty()).then(|| good as f64 / is_good.len() as f64)
@@ -67,19 +74,19 @@
     let until = back.unwrap_or(run_end).max(begin);
     let affected: Vec<&SearchOutcome> = searches
         .iter()
-        .filter(|s| s.asked >= begin && s.asked < until)
+        .filter(|s| s.requested_at >= begin && s.requested_at < until)
         .collect();
-    let missed = affected.iter().filter(|s| !s.good).count() as f64;
+    let missed = affected.iter().filter(|s| !s.in_time).count() as f64;
     let attempts = sent.iter().filter(|t| **t >= begin && **t < until).count() as f64;
     Recovery {
         kind: fault.kind.name(),
-        at: fault.at,
-        lasts: fault.duration,
-        before,
-        during: level(searches, begin, end).unwrap_or(before),
-        back_after: back.map(|b| b - end),
-        lost: (missed - (1.0 - before) * affected.len() as f64).max(0.0),
-        sub_requests: attempts / affected.len().max(1) as f64,
+        started_at_s: fault.at,
+        duration_s: fault.duration,
+        share_before: before,
+        share_during: level(searches, begin, end).unwrap_or(before),
+        back_after_s: back.map(|b| b - end),
+        lost_searches: (missed - (1.0 - before) * affected.len() as f64).max(0.0),
+        attempts_per_search: attempts / affected.len().max(1) as f64,
     }
 }
 
@@ -90,7 +97,7 @@
     sent: &[f64],
 ) -> Vec<Recovery> {
     let mut searches = searches.to_vec();
-    searches.sort_by(|a, b| a.asked.total_cmp(&b.asked));
+    searches.sort_by(|a, b| a.requested_at.total_cmp(&b.requested_at));
     let run_end = BEGIN + script.seconds;
     script
         .faults
--- a/crates/testing/simulation/src/script/check.rs
+++ b/crates/testing/simulation/src/script/check.rs
@@ -88,33 +88,38 @@
     if let Some(p) = peers {
         within("peers.lost", p.loss, 0.0, 1.0)?;
         within("peers.doubled", p.duplication, 0.0, 1.0)?;
-        within("peers.late", p.max_delay, 0.0, 10.0)?;
+        within("peers.late", p.max_delay_s, 0.0, 10.0)?;
     }
     within("load.leaves", load.disconnect_share, 0.0, 1.0)
 }
 
 fn check_settings(s: &Settings) -> Check {
-    let connect_timeout = s.connect_timeout;
+    let connect_timeout_s = s.connect_timeout_s;
     within("settings.streams", s.streams as f64, 1.0, 1e6)?;
-    within("settings.connect_timeout", connect_timeout, 0.001, 30.0)?;
-    within("settings.idle_close", s.idle_close, connect_timeout, 3600.0)?;
+    within("settings.connect_timeout", connect_timeout_s, 0.001, 30.0)?;
+    within(
+        "settings.idle_close",
+        s.idle_timeout_s,
+        connect_timeout_s,
+        3600.0,
+    )?;
     within("settings.descriptors", s.descriptors as f64, 64.0, 1e6)
 }
 
 fn check_query_type(number: usize, t: &QueryType, shards: usize) -> Check {
     let query_type = format!("query_type {number} ({})", t.name);
     let field = |key: &str| format!("{query_type}: {key}");
-    within(field("client_timeout"), t.client_timeout, 0.05, 60.0)?;
+    within(field("client_timeout"), t.client_timeout_s, 0.05, 60.0)?;
     within(
         field("latency_target"),
-        t.latency_target,
+        t.latency_target_s,
         0.01,
-        t.client_timeout,
+        t.client_timeout_s,
     )?;
     count_within(field("least_parts"), t.min_parts, 1, shards)?;
     count_within(field("most_parts"), t.max_parts, t.min_parts, shards)?;
     within(field("floor"), t.floor, 0.0, t.need.min(1.0))?;
-    within(field("work"), t.work, 1e-6, 10.0)?;
+    within(field("work"), t.work_s, 1e-6, 10.0)?;
     let is_plain = t.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-');
     ensure!(
         !t.name.is_empty() && is_plain,
--- a/crates/testing/simulation/src/script/draw.rs
+++ b/crates/testing/simulation/src/script/draw.rs
@@ -47,19 +47,19 @@
         descriptors: choices.pick(&[128, 256, 1024]),
         retry_after: !choices.one_in(3),
         marks_repeats: choices.one_in(3),
-        drain_grace: choices.pick(&[0.1, 0.5]),
-        connect_timeout: choices.pick(&[0.25, 0.25, 2.0]),
-        idle_close: choices.pick(&[30.0, 30.0, 2.5]),
+        drain_grace_s: choices.pick(&[0.1, 0.5]),
+        connect_timeout_s: choices.pick(&[0.25, 0.25, 2.0]),
+        idle_timeout_s: choices.pick(&[30.0, 30.0, 2.5]),
         budget: choices.one_in(3).then_some(Budget {
             free: 3.0,
             share: 0.1,
-            window: 10.0,
+            window_s: 10.0,
         }),
         cold: choices.one_in(2).then(|| SlowStart {
-            from: choices.pick(&[0.25, 0.15]),
-            time: 8.0,
-            multiple: 2.0,
-            window: 2.0,
+            initial_share: choices.pick(&[0.25, 0.15]),
+            duration_s: 8.0,
+            overload_multiple: 2.0,
+            overload_window_s: 2.0,
         }),
     }
 }
@@ -68,20 +68,20 @@
 pub(super) fn draw_query_type(index: usize, fleet: &Fleet, choices: &mut Choices) -> QueryType {
     let max_parts = (fleet.shards as usize).min(MAX_PARTS);
     let min_parts = 1 + choices.below(max_parts);
-    let latency_target = choices.pick(&[0.3, 0.6, 1.0, 1.5]);
+    let latency_target_s = choices.pick(&[0.3, 0.6, 1.0, 1.5]);
     let may_be_partial = choices.one_in(2);
     QueryType {
         name: QUERY_TYPE_NAMES[index % QUERY_TYPE_NAMES.len()].to_string(),
         share: choices.pick(&[1.0, 2.0, 3.0]),
-        latency_target,
-        client_timeout: latency_target * choices.pick(&[2.0, 3.0]),
+        latency_target_s,
+        client_timeout_s: latency_target_s * choices.pick(&[2.0, 3.0]),
         repeats: choices.pick(&[
             Repeats::Idempotent,
             Repeats::Idempotent,
             Repeats::Tokened,
             Repeats::NonIdempotent,
         ]),
-        window: choices.pick(&[0.5, 2.0]),
+        token_window_s: choices.pick(&[0.5, 2.0]),
         any_holder: choices.one_in(2),
         need: 1.0,
         floor: if may_be_partial {
@@ -96,7 +96,7 @@
         },
         min_parts,
         max_parts: (min_parts + choices.within(0..=2)).min(max_parts),
-        work: choices.pick(&[0.01, 0.03, 0.06, 0.1]),
+        work_s: choices.pick(&[0.01, 0.03, 0.06, 0.1]),
     }
 }
 
@@ -105,7 +105,7 @@
     let share: f64 = query_types.iter().map(|t| t.share).sum();
     let work: f64 = query_types
         .iter()
-        .map(|t| t.share / share * t.work * t.mean_parts())
+        .map(|t| t.share / share * t.work_s * t.mean_parts())
         .sum();
     let cores = (fleet.cells as usize * fleet.replicas * fleet.cores) as f64;
     cores * utilization / work / fleet.co_ordinators as f64
@@ -117,7 +117,7 @@
         rate: rate_for(utilization, fleet, query_types).clamp(1.0, 5.0),
         skew: 0.0,
         retries: choices.pick(&[0, 1, 2, 3]),
-        retry_delay: choices.pick(&[0.05, 0.2]),
+        retry_delay_s: choices.pick(&[0.05, 0.2]),
         honors_retry_after: choices.one_in(2),
         disconnect_share: choices.pick(&[0.0, 0.02, 0.1]),
     }
@@ -129,7 +129,7 @@
     choices.one_in(2).then(|| Peers {
         loss: choices.pick(&[0.0, 0.1, 0.3]),
         duplication: choices.pick(&[0.0, 0.02]),
-        max_delay: choices.pick(&[0.0, 0.01, 1.0]),
+        max_delay_s: choices.pick(&[0.0, 0.01, 1.0]),
     })
 }
 
--- a/crates/testing/simulation/src/script/draw_faults.rs
+++ b/crates/testing/simulation/src/script/draw_faults.rs
@@ -67,7 +67,7 @@
         match kind {
             0 => FaultKind::Crash {
                 replicas,
-                listed_after: self.pick(&[0.1, 1.0, 4.0]),
+                listed_after_s: self.pick(&[0.1, 1.0, 4.0]),
             },
             1 => FaultKind::Isolate { replicas },
             2 => FaultKind::Drain { replicas },
@@ -80,8 +80,8 @@
             11 => FaultKind::IgnoreCancels { replicas },
             12 => FaultKind::SlowReads {
                 replicas,
-                accepts: self.pick(&[0.0, 0.01, 0.1]),
-                reads: self.pick(&[0.0, 0.0005, 0.001]),
+                accept_delay_s: self.pick(&[0.0, 0.01, 0.1]),
+                read_delay_s: self.pick(&[0.0, 0.0005, 0.001]),
             },
             16 => FaultKind::StallReplicas { replicas },
             _ => self.answer_fault(kind, replicas),
@@ -130,10 +130,10 @@
         replicas.extend(self.some_replicas(script, 0.3));
         replicas.sort_unstable();
         replicas.dedup();
-        let listed_after = self.pick(&[0.1, 1.0, 4.0]);
+        let listed_after_s = self.pick(&[0.1, 1.0, 4.0]);
         let crash = FaultKind::Crash {
             replicas,
-            listed_after,
+            listed_after_s,
         };
         vec![Fault::new(at, duration, crash)]
     }
--- a/crates/testing/simulation/src/script/draw_tier.rs
+++ b/crates/testing/simulation/src/script/draw_tier.rs
@@ -19,12 +19,13 @@
 }
 
 fn draw_settings(settings: &mut Settings, choices: &mut Choices) {
-    let (from, multiple) = choices.pick(&[(0.15, 2.0), (0.25, 2.0), (0.25, 2.5), (0.4, 3.0)]);
+    let (initial_share, overload_multiple) =
+        choices.pick(&[(0.15, 2.0), (0.25, 2.0), (0.25, 2.5), (0.4, 3.0)]);
     settings.cold = Some(SlowStart {
-        from,
-        time: choices.pick(&[6.0, 12.0]),
-        multiple,
-        window: choices.pick(&[1.0, 2.0]),
+        initial_share,
+        duration_s: choices.pick(&[6.0, 12.0]),
+        overload_multiple,
+        overload_window_s: choices.pick(&[1.0, 2.0]),
     });
     settings.hedging = !choices.one_in(3);
     settings.attempts = 3;
@@ -40,7 +41,7 @@
     } else {
         FaultKind::Crash {
             replicas,
-            listed_after: choices.pick(&[0.1, 1.0, 4.0]),
+            listed_after_s: choices.pick(&[0.1, 1.0, 4.0]),
         }
     };
     Fault::new(at, duration, kind)
--- a/crates/testing/simulation/src/script/fault.rs
+++ b/crates/testing/simulation/src/script/fault.rs
@@ -31,8 +31,9 @@
     Crash {
         /// The replicas, by their numbers.
         replicas: Vec<usize>,
-        /// Seconds until the endpoint list says so.
-        listed_after: f64,
+        /// Time until the endpoint list says so, in seconds.
+        #[serde(rename = "listed_after")]
+        listed_after_s: f64,
     },
     /// The machines of replicas neither send nor receive anything.
     #[serde(rename = "vanish")]
@@ -115,9 +116,11 @@
         /// The replicas, by their numbers.
         replicas: Vec<usize>,
         /// Delay of accepts, in seconds.
-        accepts: f64,
+        #[serde(rename = "accepts")]
+        accept_delay_s: f64,
         /// Delay of reads, in seconds.
-        reads: f64,
+        #[serde(rename = "reads")]
+        read_delay_s: f64,
     },
     /// The link between two zones is partitioned.
     #[serde(rename = "cut")]
--- a/crates/testing/simulation/src/script/mod.rs
+++ b/crates/testing/simulation/src/script/mod.rs
@@ -61,7 +61,10 @@
 
     /// The latency target of each query type, in seconds.
     pub(crate) fn latency_targets(&self) -> Vec<f64> {
-        self.query_types.iter().map(|t| t.latency_target).collect()
+        self.query_types
+            .iter()
+            .map(|t| t.latency_target_s)
+            .collect()
     }
 
     /// When the last fault has ended and the last search's client has given up, in seconds.
@@ -74,7 +77,7 @@
     pub(crate) fn max_client_timeout(&self) -> f64 {
         self.query_types
             .iter()
-            .map(|t| t.client_timeout)
+            .map(|t| t.client_timeout_s)
             .fold(0.0, f64::max)
     }
 
@@ -82,7 +85,7 @@
     pub fn mean_work(&self) -> f64 {
         let parts = |t: &QueryType| t.share * t.mean_parts();
         let all: f64 = self.query_types.iter().map(parts).sum();
-        let work = self.query_types.iter().map(|t| parts(t) * t.work);
+        let work = self.query_types.iter().map(|t| parts(t) * t.work_s);
         work.sum::<f64>() / all * query_type::MEAN_WORK_FACTOR
     }
 }
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -72,12 +72,15 @@
     pub retry_after: bool,
     /// Whether clients mark their retries.
     pub marks_repeats: bool,
-    /// Seconds in which a draining replica may still be sent parts.
-    pub drain_grace: f64,
-    /// Seconds until a connect is given up.
-    pub connect_timeout: f64,
-    /// Seconds after which an idle connection isn't used again.
-    pub idle_close: f64,
+    /// How long a draining replica may still be sent parts, in seconds.
+    #[serde(rename = "drain_grace")]
+    pub drain_grace_s: f64,
+    /// Time-out of a connect, in seconds.
+    #[serde(rename = "connect_timeout")]
+    pub connect_timeout_s: f64,
+    /// Time after which an idle connection isn't used again, in seconds; no shorter than the connect time-out.
+    #[serde(rename = "idle_close")]
+    pub idle_timeout_s: f64,
     /// The retry budget, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget: Option<Budget>,
@@ -95,7 +98,8 @@
     /// Further attempts, as a share of the accepted requests.
     pub share: f64,
     /// The window, in seconds.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub window_s: f64,
 }
 
 /// How a replica warms up (slow start).
@@ -103,13 +107,17 @@
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
     /// Share of its capacity that a replica has when it starts, from 0 to 1.
-    pub from: f64,
+    #[serde(rename = "from")]
+    pub initial_share: f64,
     /// Time from its start until it has its full capacity, in seconds.
-    pub time: f64,
+    #[serde(rename = "time")]
+    pub duration_s: f64,
     /// Overload threshold as a multiple of the replica's current capacity.
-    pub multiple: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     /// Window over which requests are counted against the threshold, in seconds.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub overload_window_s: f64,
 }
 
 /// What clients send.
@@ -124,9 +132,9 @@
     pub skew: f64,
     /// Most retries of a client.
     pub retries: usize,
-    /// Seconds between a client's attempts.
+    /// Time between two attempts of a client, in seconds.
     #[serde(rename = "pause")]
-    pub retry_delay: f64,
+    pub retry_delay_s: f64,
     /// Whether clients wait as long as `Retry-After` says.
     #[serde(rename = "heeds")]
     pub honors_retry_after: bool,
@@ -151,5 +159,5 @@
     pub duplication: f64,
     /// Longest additional delay, in seconds.
     #[serde(rename = "late")]
-    pub max_delay: f64,
+    pub max_delay_s: f64,
 }
--- a/crates/testing/simulation/src/script/query_type.rs
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -29,14 +29,17 @@
     pub name: String,
     /// Share of all searches, relative to the other query types.
     pub share: f64,
-    /// Seconds within which an answer counts in full.
-    pub latency_target: f64,
-    /// Seconds after which clients give up.
-    pub client_timeout: f64,
+    /// Time within which an answer counts in full, in seconds; no longer than the client's time-out.
+    #[serde(rename = "latency_target")]
+    pub latency_target_s: f64,
+    /// Time after which clients give up, in seconds.
+    #[serde(rename = "client_timeout")]
+    pub client_timeout_s: f64,
     /// Whether its parts may run again.
     pub repeats: Repeats,
-    /// Seconds in which repeats of a tokened part are recognised.
-    pub window: f64,
+    /// Time in which repeats of a tokened part are recognised, in seconds.
+    #[serde(rename = "window")]
+    pub token_window_s: f64,
     /// Whether every replica of the shard recognises them, or only the one that ran the part.
     pub any_holder: bool,
     /// Share of the weight from which an answer is complete.
@@ -51,8 +54,9 @@
     /// Most parts of a search.
     #[serde(rename = "most_parts")]
     pub max_parts: usize,
-    /// Mean work of a part, in seconds of one core.
-    pub work: f64,
+    /// Work of a part that isn't heavy, as a mean, in seconds of one core.
+    #[serde(rename = "work")]
+    pub work_s: f64,
 }
 
 impl QueryType {
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -21,7 +21,7 @@
         repeats: match t.repeats {
             Repeats::Idempotent => woadreach_invariants::Repeats::Idempotent,
             Repeats::Tokened => woadreach_invariants::Repeats::Tokened {
-                window: t.window,
+                window: t.token_window_s,
                 any_holder: t.any_holder,
             },
             Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
@@ -33,15 +33,15 @@
     Terms {
         query_types: query_types.collect(),
         answer_grace: ANSWER_GRACE,
-        drain_grace: s.drain_grace,
+        drain_grace: s.drain_grace_s,
         cold: s
             .cold
             .as_ref()
             .map(|slow_start| woadreach_invariants::Cold {
-                from: slow_start.from,
-                time: slow_start.time,
-                multiple: slow_start.multiple,
-                window: slow_start.window,
+                from: slow_start.initial_share,
+                time: slow_start.duration_s,
+                multiple: slow_start.overload_multiple,
+                window: slow_start.overload_window_s,
                 work: script.mean_work(),
                 // In a large tier each co-ordinator sends one part before it can know of the start, which the protocol
                 // does not count.
@@ -50,7 +50,7 @@
         budget: s.budget.as_ref().map(|b| Budget {
             free: b.free,
             share: b.share,
-            window: b.window,
+            window: b.window_s,
         }),
         slack: SLACK,
         way: script.fleet.max_latency,
@@ -76,10 +76,10 @@
             r#""memorySpanMs":{},"group":"{}"}}"#
         ),
         t.name,
-        t.latency_target * MILLISECONDS,
-        t.client_timeout * MILLISECONDS,
+        t.latency_target_s * MILLISECONDS,
+        t.client_timeout_s * MILLISECONDS,
         repeat,
-        t.window * MILLISECONDS,
+        t.token_window_s * MILLISECONDS,
         group
     )
 }
@@ -89,22 +89,22 @@
     let slow_start = settings.cold.as_ref().map_or(String::new(), |s| {
         format!(
             r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
-            s.multiple,
-            s.window * MILLISECONDS,
-            s.from,
-            s.time * MILLISECONDS
+            s.overload_multiple,
+            s.overload_window_s * MILLISECONDS,
+            s.initial_share,
+            s.duration_s * MILLISECONDS
         )
     });
     let budget = settings.budget.as_ref().map_or(String::new(), |b| {
         format!(
             r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#,
             b.share,
-            b.window * MILLISECONDS,
+            b.window_s * MILLISECONDS,
             b.free
         )
     });
-    let drain_grace = settings.drain_grace * MILLISECONDS;
-    format!(r#""drainGraceMs":{drain_grace}{slow_start}{budget}"#)
+    let drain_grace_ms = settings.drain_grace_s * MILLISECONDS;
+    format!(r#""drainGraceMs":{drain_grace_ms}{slow_start}{budget}"#)
 }
 
 /// The limits, as the members of a JSON object.
@@ -118,8 +118,8 @@
         s.cancelling,
         s.hedging,
         s.streams,
-        s.idle_close * MILLISECONDS,
-        s.connect_timeout * MILLISECONDS,
+        s.idle_timeout_s * MILLISECONDS,
+        s.connect_timeout_s * MILLISECONDS,
         s.retry_after,
         script.peers.is_some(),
     )
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -208,7 +208,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
     let retry = Retry {
         times: script.load.retries,
-        pause: script.load.retry_delay,
+        pause: script.load.retry_delay_s,
         heeds: script.load.honors_retry_after,
     };
     while net.now() < end {
--- a/crates/testing/simulation/src/world/clients.rs
+++ b/crates/testing/simulation/src/world/clients.rs
@@ -50,7 +50,7 @@
         let load = &self.script.load;
         let retry = Retry {
             times: load.retries,
-            pause: load.retry_delay,
+            pause: load.retry_delay_s,
             heeds: load.honors_retry_after,
         };
         let idempotent = self.script.query_types[request.query_type].repeats == Repeats::Idempotent;
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -92,7 +92,7 @@
 
     fn adopt_verdict(&self, n: usize, change: &VerdictChange) {
         self.verdicts.borrow_mut().push(VerdictAdoption {
-            at: self.clock.now() as f64 / SECOND,
+            at_s: self.clock.now() as f64 / SECOND,
             node: NodeId(n),
             zone: usize::from(change.zone),
             epoch: change.verdict.epoch,
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -12,8 +12,8 @@
         match kind {
             FaultKind::Crash {
                 replicas,
-                listed_after,
-            } => self.crash_replicas(replicas, *listed_after),
+                listed_after_s,
+            } => self.crash_replicas(replicas, *listed_after_s),
             FaultKind::Isolate { replicas } => self.isolate(replicas),
             FaultKind::Drain { replicas } => self.drain_replicas(replicas),
             FaultKind::Partition { from, to, both } => self.partition(*from, *to, *both),
@@ -88,8 +88,12 @@
             FaultKind::DuplicateAnswers { share, .. } => b.duplicate_share = *share,
             FaultKind::BreakConnections { share, .. } => b.break_share = *share,
             FaultKind::IgnoreCancels { .. } => b.ignores_cancels = true,
-            FaultKind::SlowReads { accepts, reads, .. } => {
-                (b.accept_delay, b.read_delay) = (*accepts, *reads);
+            FaultKind::SlowReads {
+                accept_delay_s,
+                read_delay_s,
+                ..
+            } => {
+                (b.accept_delay, b.read_delay) = (*accept_delay_s, *read_delay_s);
             }
             _ => {}
         });
--- a/crates/testing/simulation/src/world/mod.rs
+++ b/crates/testing/simulation/src/world/mod.rs
@@ -121,7 +121,7 @@
         datagrams: datagrams.count,
         datagram_bytes: datagrams.bytes,
         verdicts: world.verdicts.take(),
-        recoveries: recoveries(script, &record.served(), &record.sent),
+        recoveries: recoveries(script, &record.served(), &record.attempts_received_at),
         trace: record.trace.take().unwrap_or_default(),
         ..Outcome::of_record(script.seed, ended_at as f64 / SECOND, &record)
     }
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -34,8 +34,8 @@
             cores: self.script.fleet.cores,
             queue_capacity: self.script.fleet.queue_capacity,
             warm_up: slow_start.map(|slow_start| WarmUp {
-                initial_share: slow_start.from,
-                duration: slow_start.time,
+                initial_share: slow_start.initial_share,
+                duration: slow_start.duration_s,
             }),
             ..Behaviour::default()
         };
@@ -56,14 +56,14 @@
             handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
     }
 
-    /// Kills replicas, and lists them as departed after a delay in seconds.
-    pub(super) fn crash_replicas(self: &Rc<Self>, replicas: &[usize], listed_after: f64) {
+    /// Kills replicas, and lists them as departed after a delay.
+    pub(super) fn crash_replicas(self: &Rc<Self>, replicas: &[usize], listed_after_s: f64) {
         for r in self.with_liveness(replicas, true) {
             let slot = &self.replicas[r];
             slot.alive.set(false);
             self.network.kill(slot.process.get());
             let (world, start) = (self.clone(), slot.starts.get());
-            let listed_at = self.clock.now() + nanos(listed_after);
+            let listed_at = self.clock.now() + nanos(listed_after_s);
             self.clock.call_at(listed_at, move || {
                 let slot = &world.replicas[r];
                 if !slot.alive.get() && slot.starts.get() == start {
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -28,7 +28,7 @@
     NetworkConfig {
         datagram_loss: peers.map_or(0.0, |p| p.loss),
         datagram_duplication: peers.map_or(0.0, |p| p.duplication),
-        max_datagram_delay: peers.map_or(0, |p| nanos(p.max_delay)),
+        max_datagram_delay: peers.map_or(0, |p| nanos(p.max_delay_s)),
         between_zones: LatencyRange {
             min: latency * 2 / 5,
             jitter: latency * 3 / 5,
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -75,7 +75,7 @@
 
 /// The share of the searches that were answered within their latency target.
 fn share_in_time(outcome: &Outcome) -> f64 {
-    outcome.good as f64 / outcome.searches.max(1) as f64
+    outcome.answered_in_time as f64 / outcome.searches.max(1) as f64
 }
 
 #[test]
@@ -84,7 +84,7 @@
     assert!(
         outcome.searches > 300 && share_in_time(&outcome) > 0.97,
         "{} of {}",
-        outcome.good,
+        outcome.answered_in_time,
         outcome.searches
     );
 }
@@ -92,7 +92,7 @@
 /// Under several faults at once every rule holds, and most searches are still answered in time.
 #[rstest]
 #[case::crashes_and_slow_starts_under_full_load(&[
-    Fault { at: 4.0, duration: 3.0, kind: FaultKind::Crash { replicas: vec![0, 3], listed_after: 1.0 } },
+    Fault { at: 4.0, duration: 3.0, kind: FaultKind::Crash { replicas: vec![0, 3], listed_after_s: 1.0 } },
     Fault { at: 4.0, duration: 6.0, kind: FaultKind::LoadBurst { factor: 2.0 } },
 ])]
 #[case::a_drain_that_one_co_ordinator_learns_of_late(&[
@@ -129,7 +129,7 @@
     Fault { at: 5.0, duration: 1.0, kind: FaultKind::RestartCoordinators { co_ordinators: vec![0] } },
 ])]
 #[case::replicas_that_accept_and_read_late(&[
-    Fault { at: 3.0, duration: 8.0, kind: FaultKind::SlowReads { replicas: vec![0, 1, 3], accepts: 0.1, reads: 0.001 } },
+    Fault { at: 3.0, duration: 8.0, kind: FaultKind::SlowReads { replicas: vec![0, 1, 3], accept_delay_s: 0.1, read_delay_s: 0.001 } },
     Fault { at: 4.0, duration: 4.0, kind: FaultKind::Slow { replicas: vec![0, 3], factor: 10.0 } },
 ])]
 fn combined_faults_break_no_rule(
@@ -142,7 +142,7 @@
     assert!(
         outcome.searches > 200 && share_in_time(&outcome) > 0.5,
         "{} of {}",
-        outcome.good,
+        outcome.answered_in_time,
         outcome.searches
     );
     assert_eq!(outcome.recoveries.len(), faults.len());
--- a/crates/testing/simulation/tests/peers.rs
+++ b/crates/testing/simulation/tests/peers.rs
@@ -67,7 +67,7 @@
 struct Ejection {
     node: NodeId,
     /// Seconds from the zone's fault to the verdict.
-    delay: f64,
+    delay_s: f64,
 }
 
 /// The first ejection of a zone by each co-ordinator, after a fault that began at `since`, in seconds.
@@ -77,11 +77,11 @@
         .verdicts
         .iter()
         .filter(|verdict| verdict.zone == zone && is_ejected(verdict.epoch));
-    for verdict in of_zone.filter(|verdict| verdict.at > since) {
+    for verdict in of_zone.filter(|verdict| verdict.at_s > since) {
         if !first.iter().any(|known| known.node == verdict.node) {
             first.push(Ejection {
                 node: verdict.node,
-                delay: verdict.at - since,
+                delay_s: verdict.at_s - since,
             });
         }
     }
@@ -98,7 +98,7 @@
 /// and less than 1 s at the rates of `woadreach cluster play`.
 #[rstest]
 #[case::isolated(FaultKind::Isolate { replicas: replicas_of_zone(1) })]
-#[case::crashed_and_warming_up(FaultKind::Crash { replicas: replicas_of_zone(1), listed_after: 4.0 })]
+#[case::crashed_and_warming_up(FaultKind::Crash { replicas: replicas_of_zone(1), listed_after_s: 4.0 })]
 #[case::slow(FaultKind::Slow { replicas: replicas_of_zone(1), factor: 30.0 })]
 #[case::answers_errors(FaultKind::AnswerErrors { replicas: replicas_of_zone(1), share: 1.0 })]
 fn a_failed_zone_is_ejected_by_all_and_restored(#[case] kind: FaultKind) {
@@ -111,7 +111,7 @@
     let ejections = ejections(&outcome, 1, 8.0);
     assert_eq!(ejections.len(), 6, "{:?}", outcome.verdicts);
     assert!(
-        ejections.iter().all(|ejection| ejection.delay < 3.0),
+        ejections.iter().all(|ejection| ejection.delay_s < 3.0),
         "{ejections:?}"
     );
     assert!(
@@ -180,7 +180,7 @@
             peers: Some(Peers {
                 loss,
                 duplication: 0.02,
-                max_delay: 0.05,
+                max_delay_s: 0.05,
             }),
             ..tier_with_faults(faults)
         });
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -62,27 +62,31 @@
         (true, false, true, true)
     );
     assert_eq!(
-        (s.drain_grace, s.connect_timeout, s.idle_close),
+        (s.drain_grace_s, s.connect_timeout_s, s.idle_timeout_s),
         (0.5, 2.0, 30.0)
     );
-    let budget = s.budget.as_ref().map(|b| (b.free, b.share, b.window));
-    let cold = s
-        .cold
-        .as_ref()
-        .map(|c| (c.from, c.time, c.multiple, c.window));
+    let budget = s.budget.as_ref().map(|b| (b.free, b.share, b.window_s));
+    let cold = s.cold.as_ref().map(|c| {
+        (
+            c.initial_share,
+            c.duration_s,
+            c.overload_multiple,
+            c.overload_window_s,
+        )
+    });
     assert_eq!(
         (budget, cold),
         (Some((10.0, 0.2, 5.0)), Some((0.25, 12.0, 2.0, 1.0)))
     );
     assert_eq!(
-        (l.rate, l.skew, l.retries, l.retry_delay),
+        (l.rate, l.skew, l.retries, l.retry_delay_s),
         (1.1965811965811965, 3.0, 3, 0.2)
     );
     assert_eq!((l.honors_retry_after, l.disconnect_share), (true, 0.05));
     let peers = script
         .peers
         .as_ref()
-        .map(|p| (p.loss, p.duplication, p.max_delay));
+        .map(|p| (p.loss, p.duplication, p.max_delay_s));
     assert_eq!(peers, Some((0.3, 0.02, 1.0)));
 }
 
@@ -110,16 +114,20 @@
         ]
     );
     assert_eq!(
-        (browse.share, browse.latency_target, browse.client_timeout),
+        (
+            browse.share,
+            browse.latency_target_s,
+            browse.client_timeout_s
+        ),
         (3.0, 0.6, 1.7999999999999998)
     );
     assert_eq!(
-        (browse.window, browse.any_holder, check.any_holder),
+        (browse.token_window_s, browse.any_holder, check.any_holder),
         (2.0, false, true)
     );
     assert_eq!((browse.need, browse.floor, browse.fetch), (1.0, 0.5, 2));
     assert_eq!(
-        (browse.min_parts, browse.max_parts, browse.work),
+        (browse.min_parts, browse.max_parts, browse.work_s),
         (2, 4, 0.1)
     );
 }
@@ -134,7 +142,7 @@
         faults[0].kind,
         FaultKind::Crash {
             replicas: vec![0, 3],
-            listed_after: 0.25
+            listed_after_s: 0.25
         }
     );
     assert_eq!(
@@ -148,8 +156,8 @@
         faults[12].kind,
         FaultKind::SlowReads {
             replicas: vec![1],
-            accepts: 0.5,
-            reads: 0.25
+            accept_delay_s: 0.5,
+            read_delay_s: 0.25
         }
     );
     assert_eq!(
@@ -403,19 +411,18 @@
 #[test]
 fn an_outcome_is_written_as_it_was() {
     let kind = FaultKind::LoadBurst { factor: 2.0 }.name();
-    let (before, during, back_after, lost, sub_requests) = (1.0, 0.5, Some(2.25), 3.5, 1.25);
     let recovery = Recovery {
         kind,
-        at: 5.0,
-        lasts: 1.5,
-        before,
-        during,
-        back_after,
-        lost,
-        sub_requests,
+        started_at_s: 5.0,
+        duration_s: 1.5,
+        share_before: 1.0,
+        share_during: 0.5,
+        back_after_s: Some(2.25),
+        lost_searches: 3.5,
+        attempts_per_search: 1.25,
     };
     let never = Recovery {
-        back_after: None,
+        back_after_s: None,
         ..recovery.clone()
     };
     let breach = Breach {
@@ -433,12 +440,12 @@
         steps: 1,
         events: 2,
         searches: 3,
-        good: 4,
-        sub_requests: 5,
+        answered_in_time: 4,
+        attempts: 5,
         datagrams: 6,
         datagram_bytes: 8,
         verdicts: vec![VerdictAdoption {
-            at: 1.5,
+            at_s: 1.5,
             node: NodeId(2),
             zone: 1,
             epoch: 3,
