--- a/crates/cli/src/faults/compare.rs
+++ b/crates/cli/src/faults/compare.rs
@@ -9,7 +9,8 @@
 use snafu::ResultExt;
 use woadreach_simulation::{Options, Outcome, Script, on_sockets, play};
 
-/// Most that the shares answered in time may differ: the virtual clock must not be kinder than sockets.
+/// Largest difference of the shares answered in time: on the virtual clock the service must not look better than on
+/// sockets.
 const MAX_DIFFERENCE: f64 = 0.02;
 
 #[derive(Args)]
@@ -20,17 +21,31 @@
     format: Format,
 }
 
-/// Both runs side by side; of the pairs, sockets come first.
+/// A figure of both runs; in JSON an array with that of the sockets first.
+#[derive(Clone, Copy, PartialEq, Serialize)]
+#[serde(into = "[T; 2]")]
+struct BothRuns<T: Copy + Serialize> {
+    sockets: T,
+    virtual_clock: T,
+}
+
+impl<T: Copy + Serialize> From<BothRuns<T>> for [T; 2] {
+    fn from(figure: BothRuns<T>) -> [T; 2] {
+        [figure.sockets, figure.virtual_clock]
+    }
+}
+
+/// Both runs side by side.
 #[derive(Serialize)]
 struct Comparison {
     /// Share of the searches answered in time.
     sockets: f64,
     /// Share of the searches answered in time.
     virtual_clock: f64,
-    searches: [u64; 2],
+    searches: BothRuns<u64>,
     #[serde(rename = "sub_requests")]
-    attempts: [u64; 2],
-    breaches: [usize; 2],
+    attempts: BothRuns<u64>,
+    breaches: BothRuns<usize>,
 }
 
 /// Plays both and prints them side by side.
@@ -39,30 +54,57 @@
         faults: Vec::new(),
         ..script(&arguments.script, false)?
     };
-    let real = on_sockets(&script).context(PlayOnSocketsSnafu)?;
-    let simulated = play(&script, Options::default());
-    let comparison = Comparison {
-        sockets: share_in_time(&real),
-        virtual_clock: share_in_time(&simulated),
-        searches: [real.searches, simulated.searches],
-        attempts: [real.attempts, simulated.attempts],
-        breaches: [real.breaches.len(), simulated.breaches.len()],
+    let outcomes = Outcomes {
+        sockets: on_sockets(&script).context(PlayOnSocketsSnafu)?,
+        virtual_clock: play(&script, Options::default()),
     };
+    let comparison = outcomes.compare();
     match arguments.format {
         Format::Json => println!("{}", json(&comparison)),
         Format::Text => {
-            print("sockets", &real);
-            print("virtual clock", &simulated);
+            print("sockets", &outcomes.sockets);
+            print("virtual clock", &outcomes.virtual_clock);
         }
     }
-    let difference = (comparison.sockets - comparison.virtual_clock).abs();
-    Ok(
-        if difference <= MAX_DIFFERENCE && comparison.breaches == [0, 0] {
-            Verdict::Good
-        } else {
-            Verdict::Found
-        },
-    )
+    Ok(if comparison.is_good() {
+        Verdict::Good
+    } else {
+        Verdict::Found
+    })
+}
+
+/// What both runs have shown.
+struct Outcomes {
+    sockets: Outcome,
+    virtual_clock: Outcome,
+}
+
+impl Outcomes {
+    fn compare(&self) -> Comparison {
+        Comparison {
+            sockets: share_in_time(&self.sockets),
+            virtual_clock: share_in_time(&self.virtual_clock),
+            searches: self.figure(|outcome| outcome.searches),
+            attempts: self.figure(|outcome| outcome.attempts),
+            breaches: self.figure(|outcome| outcome.breaches.len()),
+        }
+    }
+
+    fn figure<T: Copy + Serialize>(&self, of: impl Fn(&Outcome) -> T) -> BothRuns<T> {
+        BothRuns {
+            sockets: of(&self.sockets),
+            virtual_clock: of(&self.virtual_clock),
+        }
+    }
+}
+
+impl Comparison {
+    /// Whether no rule broke and the shares answered in time are close to each other.
+    fn is_good(&self) -> bool {
+        let difference = (self.sockets - self.virtual_clock).abs();
+        let has_breaches = self.breaches.sockets > 0 || self.breaches.virtual_clock > 0;
+        difference <= MAX_DIFFERENCE && !has_breaches
+    }
 }
 
 fn share_in_time(outcome: &Outcome) -> f64 {
--- a/crates/cli/src/faults/replay.rs
+++ b/crates/cli/src/faults/replay.rs
@@ -1,6 +1,6 @@
 //! `woadreach faults replay`: plays one seed or script again.
 
-use super::script::{script, write};
+use super::script::{ScriptArguments, write};
 use crate::Verdict;
 use crate::error::CommandError;
 use crate::output::{Format, json, print_proof};
@@ -10,11 +10,8 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// A seed, or the file of a script
-    script: String,
-    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
-    #[arg(long)]
-    tier: bool,
+    #[command(flatten)]
+    script: ScriptArguments,
     /// Writes every event there, one JSON object a line
     #[arg(long, value_name = "FILE")]
     trace: Option<PathBuf>,
@@ -27,7 +24,7 @@
 
 /// Plays the script and prints its outcome.
 pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
-    let script = script(&arguments.script, arguments.tier)?;
+    let script = arguments.script.script()?;
     if arguments.log {
         log_to_standard_error();
     }
--- a/crates/cli/src/faults/script.rs
+++ b/crates/cli/src/faults/script.rs
@@ -1,11 +1,29 @@
-//! Which script is meant: a seed's or a file's; and the parsers of arguments that name seeds and faults.
+//! The arguments that name seeds, scripts and kinds of faults, and the scripts that they stand for.
 
 use crate::error::{CommandError, InvalidScriptSnafu, ReadScriptSnafu, WriteSnafu};
+use clap::Args;
 use snafu::ResultExt;
 use std::ops::Range;
 use std::path::Path;
 use woadreach_simulation::{FaultKind, Script};
 
+// Without a doc comment: clap would print it as the description of the subcommand.
+#[derive(Args)]
+pub(super) struct ScriptArguments {
+    /// A seed, or the file of a script
+    script: String,
+    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
+    #[arg(long)]
+    tier: bool,
+}
+
+impl ScriptArguments {
+    /// The script of the seed, or the one in the file.
+    pub(super) fn script(&self) -> Result<Script, CommandError> {
+        script(&self.script, self.tier)
+    }
+}
+
 /// Reads a range of seeds, `A..B`.
 pub(super) fn seeds(text: &str) -> Result<Range<u64>, InvalidArgument> {
     let expected = || {
--- a/crates/cli/src/faults/shrink.rs
+++ b/crates/cli/src/faults/shrink.rs
@@ -1,6 +1,6 @@
 //! `woadreach faults shrink`: cuts a script down to the smallest that still breaks the same rule.
 
-use super::script::{script, write};
+use super::script::{ScriptArguments, write};
 use crate::Verdict;
 use crate::error::CommandError;
 use crate::output::{Format, json, print_proof};
@@ -11,11 +11,8 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// A seed, or the file of a script
-    script: String,
-    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
-    #[arg(long)]
-    tier: bool,
+    #[command(flatten)]
+    script: ScriptArguments,
     /// Where the small script goes
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
@@ -25,7 +22,7 @@
 
 /// Shrinks the script and writes what is left of it.
 pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
-    let script = script(&arguments.script, arguments.tier)?;
+    let script = arguments.script.script()?;
     let progress = |tried: usize, kept: usize| {
         if std::io::stderr().is_terminal() {
             eprint!("\r{tried} tried, {kept} kept ");
--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -1,4 +1,4 @@
-//! What came of many seeds.
+//! The summary of many seeds: totals, recovery by kind of fault, and the seeds that break a rule.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -10,29 +10,49 @@
 /// The longest recovery that a histogram holds, in milliseconds: an hour.
 const MAX_RECOVERY_MS: u64 = 3_600_000;
 
-/// A seed that breaks a rule.
+/// A seed that breaks a rule, with its first breach.
 #[derive(Serialize)]
 pub(super) struct BrokenSeed {
     seed: u64,
     rule: String,
-    /// Seconds from the start of load.
-    at: f64,
+    /// When, in seconds from the run's beginning.
+    #[serde(rename = "at")]
+    at_s: f64,
     why: String,
+    /// Number of all its breaches.
     breaches: usize,
 }
 
+/// Times until service was back, in seconds; in JSON an array in the order of the fields.
+#[derive(Clone, Copy, Serialize)]
+#[serde(into = "[f64; 3]")]
+struct RecoveryTimes {
+    median_s: f64,
+    /// The 0.9 quantile.
+    p90_s: f64,
+    longest_s: f64,
+}
+
+impl From<RecoveryTimes> for [f64; 3] {
+    fn from(times: RecoveryTimes) -> [f64; 3] {
+        [times.median_s, times.p90_s, times.longest_s]
+    }
+}
+
 /// Recovery from all faults of one kind.
 #[derive(Serialize)]
 struct KindRecovery {
     faults: u64,
-    /// Seconds until service was back, where it was: the median, the 0.9 quantile, the longest.
-    back_after: [f64; 3],
+    /// Of the faults after which service was back in the run.
+    back_after: RecoveryTimes,
     /// Faults after which service was not back in the run.
     never: u64,
-    /// Mean of the searches lost to a fault.
-    lost: f64,
-    /// Mean of the attempts of a search meanwhile.
-    sub_requests: f64,
+    /// Searches lost to a fault, as a mean.
+    #[serde(rename = "lost")]
+    lost_searches: f64,
+    /// Attempts per search from the fault until service was back, as a mean.
+    #[serde(rename = "sub_requests")]
+    attempts_per_search: f64,
 }
 
 /// All seeds together.
@@ -41,14 +61,16 @@
     seeds: u64,
     /// Simulated seconds.
     seconds: f64,
-    /// Seconds that it took.
-    wall: f64,
+    /// How long the seeds took to play, in seconds.
+    #[serde(rename = "wall")]
+    wall_s: f64,
     steps: u64,
     events: u64,
     searches: u64,
-    /// Searches answered in time.
-    good: u64,
-    sub_requests: u64,
+    #[serde(rename = "good")]
+    answered_in_time: u64,
+    #[serde(rename = "sub_requests")]
+    attempts: u64,
     /// Digest of the digests of all seeds, in their order.
     digest: String,
     kinds: BTreeMap<&'static str, KindRecovery>,
@@ -74,27 +96,31 @@
         };
         let count = recoveries.len() as f64;
         let is_never = |recovery: &&&Recovery| recovery.back_after_s.is_none();
-        let lost: f64 = recoveries
+        let lost_searches: f64 = recoveries
             .iter()
             .map(|recovery| recovery.lost_searches)
             .sum();
-        let sub_requests: f64 = recoveries
+        let attempts_per_search: f64 = recoveries
             .iter()
             .map(|recovery| recovery.attempts_per_search)
             .sum();
         KindRecovery {
             faults: recoveries.len() as u64,
-            back_after: [quantile(0.5), quantile(0.9), quantile(1.0)],
+            back_after: RecoveryTimes {
+                median_s: quantile(0.5),
+                p90_s: quantile(0.9),
+                longest_s: quantile(1.0),
+            },
             never: recoveries.iter().filter(is_never).count() as u64,
-            lost: lost / count,
-            sub_requests: sub_requests / count,
+            lost_searches: lost_searches / count,
+            attempts_per_search: attempts_per_search / count,
         }
     }
 }
 
 impl Summary {
-    /// Sums up the outcomes of seeds that took `wall` seconds to play.
-    pub(super) fn new(outcomes: &BTreeMap<u64, Outcome>, wall: f64) -> Summary {
+    /// Sums up the outcomes of seeds that took `wall_s` seconds to play.
+    pub(super) fn new(outcomes: &BTreeMap<u64, Outcome>, wall_s: f64) -> Summary {
         let sum = |count: &dyn Fn(&Outcome) -> u64| outcomes.values().map(count).sum();
         let mut recoveries: BTreeMap<&'static str, Vec<&Recovery>> = BTreeMap::new();
         for recovery in outcomes.values().flat_map(|outcome| &outcome.recoveries) {
@@ -107,12 +133,12 @@
         Summary {
             seeds: outcomes.len() as u64,
             seconds: outcomes.values().map(|outcome| outcome.seconds).sum(),
-            wall,
+            wall_s,
             steps: sum(&|outcome| outcome.steps),
             events: sum(&|outcome| outcome.events),
             searches: sum(&|outcome| outcome.searches),
-            good: sum(&|outcome| outcome.answered_in_time),
-            sub_requests: sum(&|outcome| outcome.attempts),
+            answered_in_time: sum(&|outcome| outcome.answered_in_time),
+            attempts: sum(&|outcome| outcome.attempts),
             digest: woadreach_simulation::digest(&digests),
             kinds: recoveries
                 .into_iter()
@@ -129,9 +155,9 @@
     pub(super) fn print(&self) {
         println!(
             "{} seeds, {:.0} simulated s, {:.1} s of wall time",
-            self.seeds, self.seconds, self.wall
+            self.seeds, self.seconds, self.wall_s
         );
-        let rate = |count: u64| count as f64 / self.wall.max(1e-9);
+        let rate = |count: u64| count as f64 / self.wall_s.max(1e-9);
         println!(
             "{:.0} seeds a second, {:.0} searches a second, {:.0} steps a second",
             rate(self.seeds),
@@ -140,14 +166,14 @@
         );
         println!(
             "{} searches, {} in time, {} sub-requests, {} events",
-            self.searches, self.good, self.sub_requests, self.events
+            self.searches, self.answered_in_time, self.attempts, self.events
         );
         println!("digest {}", self.digest);
         self.print_kinds();
         for broken in self.broken.iter().take(MAX_PRINTED) {
             println!(
                 "seed {}: {}, at {:.3} s: {}",
-                broken.seed, broken.rule, broken.at, broken.why
+                broken.seed, broken.rule, broken.at_s, broken.why
             );
         }
         match self.broken.len() {
@@ -162,10 +188,17 @@
             "kind", "faults", "back p50", "p90", "most", "never", "lost", "sub-requests"
         );
         for (kind, recovery) in &self.kinds {
-            let [median, high, longest] = recovery.back_after;
+            let RecoveryTimes {
+                median_s,
+                p90_s,
+                longest_s,
+            } = recovery.back_after;
             println!(
-                "{kind:<18}{:>7}{median:>9.2}{high:>9.2}{longest:>9.2}{:>7}{:>8.1}{:>12.2}",
-                recovery.faults, recovery.never, recovery.lost, recovery.sub_requests
+                "{kind:<18}{:>7}{median_s:>9.2}{p90_s:>9.2}{longest_s:>9.2}{:>7}{:>8.1}{:>12.2}",
+                recovery.faults,
+                recovery.never,
+                recovery.lost_searches,
+                recovery.attempts_per_search
             );
         }
     }
@@ -176,7 +209,7 @@
     Some(BrokenSeed {
         seed,
         rule: first.rule.to_string(),
-        at: first.at - woadreach_simulation::BEGIN,
+        at_s: first.at - woadreach_simulation::BEGIN,
         why: first.why.clone(),
         breaches: outcome.breaches.len(),
     })
