--- a/crates/testing/process-tests/src/cluster/actions.rs
+++ b/crates/testing/process-tests/src/cluster/actions.rs
@@ -28,9 +28,9 @@
                 self.change_replicas(*zone, |behaviour| behaviour.hangs = *is_hanging);
             }
             Action::DrainReplicas { zone, is_draining } => self.drain(*zone, *is_draining),
-            Action::SilenceDiscovery(is_silent) => {
+            Action::SuspendDiscovery(is_suspended) => {
                 for co_ordinator in &self.co_ordinators {
-                    co_ordinator.agent.silence(*is_silent);
+                    co_ordinator.agent.silence(*is_suspended);
                 }
             }
             Action::AbandonSearches(abandon) => self.clients_abandon.set(*abandon),
--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -22,9 +22,24 @@
 /// Seconds from the first connection until clients send searches.
 const ADMISSION_DELAY: f64 = 0.2;
 
-/// The relay's sockets by the sending and the receiving co-ordinator, where these are in different zones. Each
-/// is in the sender's zone.
-type RelaySockets = BTreeMap<(usize, usize), Rc<UdpSocket>>;
+/// Whose datagrams one of the relay's sockets passes on, and to whom.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PeerLink {
+    sender: usize,
+    receiver: usize,
+}
+
+impl PeerLink {
+    fn reversed(self) -> PeerLink {
+        PeerLink {
+            sender: self.receiver,
+            receiver: self.sender,
+        }
+    }
+}
+
+/// The relay's sockets, for co-ordinators in different zones. Each is in the sender's zone.
+type RelaySockets = BTreeMap<PeerLink, Rc<UdpSocket>>;
 
 impl Cluster {
     pub(super) async fn place_co_ordinators(&mut self) -> io::Result<()> {
@@ -44,7 +59,7 @@
                 let zone = self.zone_of_co_ordinator(sender);
                 if zone != self.zone_of_co_ordinator(receiver) {
                     let socket = UdpSocket::bind(self.addresses.relay(zone)).await?;
-                    sockets.insert((sender, receiver), Rc::new(socket));
+                    sockets.insert(PeerLink { sender, receiver }, Rc::new(socket));
                 }
             }
         }
@@ -52,16 +67,16 @@
     }
 
     fn relay_peer_datagrams(&self, sockets: &RelaySockets) {
-        for ((sender, receiver), socket) in sockets {
+        for (link, socket) in sockets {
             // The receiver sees the address by which it reaches the sender.
-            let Some(reverse) = sockets.get(&(*receiver, *sender)) else {
+            let Some(reverse) = sockets.get(&link.reversed()) else {
                 continue;
             };
             let zones = ZonePair {
-                from: self.zone_of_co_ordinator(*sender),
-                to: self.zone_of_co_ordinator(*receiver),
+                from: self.zone_of_co_ordinator(link.sender),
+                to: self.zone_of_co_ordinator(link.receiver),
             };
-            let to = self.addresses.peer_listen(*receiver);
+            let to = self.addresses.peer_listen(link.receiver);
             self.relay
                 .relay_datagrams(socket.clone(), reverse.clone(), to, zones);
         }
@@ -74,7 +89,11 @@
         let agent = woadreach_fakes::discovery(&self.net, id, discovery, None, &self.recorder)?;
         let mut peers = Vec::new();
         for peer in 0..self.config.co_ordinators {
-            peers.push(match sockets.get(&(node, peer)) {
+            let link = PeerLink {
+                sender: node,
+                receiver: peer,
+            };
+            peers.push(match sockets.get(&link) {
                 Some(socket) => socket.local_addr()?,
                 None => self.addresses.peer_listen(peer),
             });
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -42,7 +42,7 @@
     }
 
     /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
-    /// there from the beginning isn't recorded: it has long been warm.
+    /// there from the beginning isn't recorded: it has warmed up long before.
     pub(super) fn recorder_of_replica(&self, replica: usize, is_warming_up: bool) -> Recorder {
         let recorder = self.recorder.clone();
         let (measurements, net) = (self.measurements.clone(), self.net);
--- a/crates/testing/process-tests/src/cluster/mod.rs
+++ b/crates/testing/process-tests/src/cluster/mod.rs
@@ -58,7 +58,7 @@
     host: Killable,
     /// None while it is killed.
     handle: Option<Replica<Killable>>,
-    /// 0 if it was there from the beginning.
+    /// When its process started, in Unix seconds; 0 if it was there from the beginning.
     started_at: f64,
 }
 
@@ -83,6 +83,7 @@
 
 /// A change that the endpoint list is to show from a time on.
 struct ListChange {
+    /// In Unix seconds.
     due: f64,
     replica: usize,
     lifecycle: Lifecycle,
@@ -90,12 +91,13 @@
 
 /// A co-ordinator that has to have read a generation of the endpoint list by a time.
 struct ListRead {
+    /// In Unix seconds.
     due: f64,
     node: usize,
     generation: u64,
 }
 
-/// The cluster and what is known of its state. Times are those of `net`.
+/// The cluster and what is known of its state. Times are those of `net`, in Unix seconds.
 pub(crate) struct Cluster {
     config: PlayConfig,
     script: Script,
@@ -115,7 +117,7 @@
     log: mpsc::UnboundedSender<LogLine>,
     list_changes: Vec<ListChange>,
     list_reads: Vec<ListRead>,
-    /// Co-ordinators that have got SIGTERM, and when SIGKILL would follow.
+    /// Co-ordinators that have got SIGTERM, and when SIGKILL would follow, in Unix seconds.
     terminating: BTreeMap<usize, f64>,
     /// The lease holder that the last fault was injected into.
     disturbed_holder: Option<usize>,
--- a/crates/testing/process-tests/src/cluster/run.rs
+++ b/crates/testing/process-tests/src/cluster/run.rs
@@ -2,7 +2,7 @@
 
 use super::Cluster;
 use crate::error::{NotAcceptingSnafu, PlayError};
-use crate::outcome::{Outcome, RoleOutcome};
+use crate::outcome::Outcome;
 use crate::process::{LogLine, ProcessExit};
 use crate::schedule::TimedAction;
 use snafu::ensure;
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use woadreach_runtime::Net;
 
-/// Seconds from one look at the cluster to the next.
+/// Seconds between two checks of the cluster.
 const WATCH_INTERVAL: f64 = 0.02;
 /// Seconds within which a process has to accept connections after its start.
 const START_TIMEOUT: f64 = 15.0;
@@ -38,7 +38,7 @@
         let end = started_at + seconds + self.longest_client_timeout() + FINAL_GRACE;
         while self.net.now() < end {
             let elapsed = self.net.now() - started_at;
-            while let Some(next) = actions.pop_front_if(|next| next.at <= elapsed) {
+            while let Some(next) = actions.pop_front_if(|next| next.at_s <= elapsed) {
                 self.perform(&next.action)?;
             }
             self.watch(log_lines);
@@ -114,19 +114,11 @@
             broken_invariants: record.breaches.len(),
             breaches: breaches.map(|b| format!("{}: {}", b.rule, b.why)).collect(),
             crashes: self.crashes,
-            agree_s_p50: None,
-            agree_s_p99: None,
-            expected: 0,
-            agreed: 0,
-            false_failovers: 0,
-            flaps: 0,
-            near_share_safe: None,
             near_share_even: 1.0 / self.config.zones as f64,
-            datagrams_per_s_per_member: 0.0,
-            bytes_per_s_per_member: 0.0,
-            roles: RoleOutcome::default(),
             searches: completed.len(),
             served_share: in_time as f64 / completed.len().max(1) as f64,
+            // The rest is measured.
+            ..Outcome::default()
         };
         let measurements = self.measurements.borrow();
         measurements.complete(self.co_ordinators.len(), &mut outcome);
--- a/crates/testing/process-tests/src/cluster/watch.rs
+++ b/crates/testing/process-tests/src/cluster/watch.rs
@@ -1,5 +1,5 @@
-//! What is looked at all the time while a scenario is played: logs, invariants, processes that have ended and
-//! endpoint lists that are due to be read.
+//! The checks that are repeated while a scenario is played: logs, invariants, processes that have ended, and endpoint
+//! lists that are due to be read.
 
 use super::{Cluster, LIST_READ_TIMEOUT};
 use crate::process::{LogLine, Process, ProcessExit};
--- a/crates/testing/process-tests/src/error.rs
+++ b/crates/testing/process-tests/src/error.rs
@@ -3,6 +3,7 @@
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
+use woadreach_simulation::ScriptError;
 
 /// A name that no scenario has.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -31,10 +32,10 @@
         source: io::Error,
     },
     /// The description of the fleet and its load is rejected by the simulation's parser.
-    #[snafu(display("{message}"))]
+    #[snafu(display("{source}"))]
     InvalidScript {
         /// The parser's error, with its position.
-        message: String,
+        source: ScriptError,
     },
     /// Sockets or folders can't be set up.
     #[snafu(display("{source}"))]
--- a/crates/testing/process-tests/src/measurements.rs
+++ b/crates/testing/process-tests/src/measurements.rs
@@ -16,15 +16,23 @@
 /// The role whose lease holder faults are injected into, as the log names it.
 const ROLE_UNDER_TEST: &str = "QuotaAllocator(0)";
 
-/// One run of a co-ordinator's process: the co-ordinator and how many times it has been started.
-type ProcessRun = (usize, usize);
+/// One run of a co-ordinator's process.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ProcessRun {
+    node: usize,
+    /// How many times the co-ordinator has been started, this run included.
+    start_count: usize,
+}
 
 /// A verdict on a zone that a co-ordinator has adopted.
 #[derive(Clone, Copy)]
 struct AdoptedVerdict {
-    at: f64,
+    /// When its log line was read, in seconds from the start of the load.
+    at_s: f64,
     node: usize,
+    /// None if the log names a zone that isn't one of the test's.
     zone: Option<usize>,
+    /// Odd while the zone is out of service.
     epoch: u64,
 }
 
@@ -38,16 +46,34 @@
 /// An action of a singleton role.
 #[derive(Clone)]
 struct PerformedAction {
-    at: f64,
+    /// When it was logged, in seconds from the start of the load.
+    at_s: f64,
     node: usize,
     role: String,
+    /// The epoch of the lease that it was done under.
     epoch: u64,
 }
 
 /// A fault that was injected into a lease holder.
 #[derive(Clone, Copy)]
 struct InjectedHolderFault {
-    at: f64,
+    /// In seconds from the start of the load.
+    at_s: f64,
+    /// The lease holder.
+    node: usize,
+}
+
+/// A failover: the ejection of a zone under one epoch. Each co-ordinator adopts it for itself.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Failover {
+    zone: Option<usize>,
+    epoch: u64,
+}
+
+/// Who acted in a role, and under which epoch of its lease.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct LeaseHolder {
+    epoch: u64,
     node: usize,
 }
 
@@ -59,12 +85,13 @@
     near: usize,
 }
 
-/// Collects what is measured. Times come by the test program's clock and are kept as seconds from the start of
-/// the load.
+/// Collects what is measured. Times are given in Unix seconds and kept as seconds from the start of the load.
 #[derive(Default)]
 pub(crate) struct Measurements {
+    /// In Unix seconds; 0 before the load has started.
     load_started_at: f64,
     faults: Vec<ZoneFault>,
+    /// Number of zones.
     zones: usize,
     verdicts: Vec<AdoptedVerdict>,
     /// The last report of each run, which counts from the run's start.
@@ -97,16 +124,16 @@
 
     /// Records a line of a log that was read at this time.
     pub(crate) fn record_log_line(&mut self, read_at: f64, line: &LogLine) {
-        let at = read_at - self.load_started_at;
+        let at_s = read_at - self.load_started_at;
         let node = line.node;
         match LogEvent::parse(&line.fields) {
             Some(LogEvent::ZoneVerdict(verdict)) => self.verdicts.push(AdoptedVerdict {
-                at,
+                at_s,
                 node,
                 zone: verdict.zone,
                 epoch: verdict.epoch,
             }),
-            Some(LogEvent::RoleAction(action)) => self.record_action(at, node, action),
+            Some(LogEvent::RoleAction(action)) => self.record_action(at_s, node, action),
             Some(LogEvent::RolesReport(report)) => {
                 let run = self.current_run(node);
                 self.stale_actions.insert(run, report.stale);
@@ -119,11 +146,12 @@
         }
     }
 
-    fn record_action(&mut self, read_at: f64, node: usize, action: RoleAction) {
+    /// Records an action whose log line was read at `read_at_s`, in seconds from the start of the load.
+    fn record_action(&mut self, read_at_s: f64, node: usize, action: RoleAction) {
         // Lines are read some moments after they were written.
-        let logged_at = action.logged_at.map(|time| time - self.load_started_at);
+        let logged_at_s = action.logged_at.map(|time| time - self.load_started_at);
         self.actions.push(PerformedAction {
-            at: logged_at.unwrap_or(read_at),
+            at_s: logged_at_s.unwrap_or(read_at_s),
             node,
             role: action.role,
             epoch: action.epoch,
@@ -131,7 +159,10 @@
     }
 
     fn current_run(&self, node: usize) -> ProcessRun {
-        (node, self.starts.get(&node).copied().unwrap_or(0))
+        ProcessRun {
+            node,
+            start_count: self.starts.get(&node).copied().unwrap_or(0),
+        }
     }
 
     /// Who was last seen to act as the lease holder of the role under test.
@@ -145,21 +176,22 @@
     /// Records a fault that is injected into a lease holder. A verdict against one of the zones that it
     /// partitions from the others is right.
     pub(crate) fn record_holder_fault(&mut self, at: f64, node: usize, partitioned: &[usize]) {
-        let at = at - self.load_started_at;
-        self.holder_faults.push(InjectedHolderFault { at, node });
+        let at_s = at - self.load_started_at;
+        self.holder_faults.push(InjectedHolderFault { at_s, node });
         self.faults.extend(partitioned.iter().map(|zone| ZoneFault {
             zone: *zone,
-            from: at,
-            until: at + HOLDER_FAULT_SECONDS,
+            from_s: at_s,
+            until_s: at_s + HOLDER_FAULT_SECONDS,
         }));
     }
 
     /// Records that a replica received a part, from a co-ordinator of its own zone if `is_near`.
     pub(crate) fn record_received_part(&mut self, at: f64, is_near: bool) {
-        let at = at - self.load_started_at;
-        let is_settling =
-            |fault: &ZoneFault| at >= fault.from && at < fault.until + FAULT_SETTLING_SECONDS;
-        let is_loaded = self.load_started_at > 0.0 && at > START_SETTLING_SECONDS;
+        let at_s = at - self.load_started_at;
+        let is_settling = |fault: &ZoneFault| {
+            at_s >= fault.from_s && at_s < fault.until_s + FAULT_SETTLING_SECONDS
+        };
+        let is_loaded = self.load_started_at > 0.0 && at_s > START_SETTLING_SECONDS;
         if is_loaded && !self.faults.iter().any(is_settling) {
             self.parts.total += 1;
             self.parts.near += usize::from(is_near);
@@ -185,43 +217,54 @@
     }
 
     fn complete_failovers(&self, outcome: &mut Outcome) {
-        // By zone and epoch, when the first co-ordinator adopted it.
-        let mut failovers: BTreeMap<(Option<usize>, u64), f64> = BTreeMap::new();
-        for verdict in self.ejections() {
-            failovers
-                .entry((verdict.zone, verdict.epoch))
-                .and_modify(|first| *first = first.min(verdict.at))
-                .or_insert(verdict.at);
-        }
+        let failovers = self.failovers();
         outcome.false_failovers = failovers
             .iter()
-            .filter(|((zone, _), at)| !self.is_at_fault(*zone, **at))
+            .filter(|(failover, at_s)| !self.is_at_fault(failover.zone, **at_s))
             .count();
         for zone in 0..self.zones {
-            let of_zone = failovers.keys().filter(|key| key.0 == Some(zone)).count();
+            let of_zone = failovers.keys().filter(|f| f.zone == Some(zone)).count();
             let faults = self.faults.iter().filter(|f| f.zone == zone).count();
             outcome.flaps += of_zone.saturating_sub(faults);
         }
     }
 
-    fn is_at_fault(&self, zone: Option<usize>, at: f64) -> bool {
+    /// All failovers, each with the time at which the first co-ordinator adopted it, in seconds from the start of the
+    /// load.
+    fn failovers(&self) -> BTreeMap<Failover, f64> {
+        let mut failovers = BTreeMap::new();
+        for verdict in self.ejections() {
+            let failover = Failover {
+                zone: verdict.zone,
+                epoch: verdict.epoch,
+            };
+            failovers
+                .entry(failover)
+                .and_modify(|first: &mut f64| *first = first.min(verdict.at_s))
+                .or_insert(verdict.at_s);
+        }
+        failovers
+    }
+
+    fn is_at_fault(&self, zone: Option<usize>, at_s: f64) -> bool {
         self.faults.iter().any(|fault| {
-            zone == Some(fault.zone) && at >= fault.from && at < fault.until + FAULT_NOTICE_SECONDS
+            let noticed_until_s = fault.until_s + FAULT_NOTICE_SECONDS;
+            zone == Some(fault.zone) && at_s >= fault.from_s && at_s < noticed_until_s
         })
     }
 
     fn complete_agreement(&self, nodes: usize, outcome: &mut Outcome) {
         let latest_first = self.faults.iter().rev();
-        let first_faults: BTreeMap<usize, f64> = latest_first.map(|f| (f.zone, f.from)).collect();
+        let first_faults: BTreeMap<usize, f64> = latest_first.map(|f| (f.zone, f.from_s)).collect();
         let zones_at_fault: BTreeSet<usize> = first_faults.keys().copied().collect();
         let mut delays = Vec::new();
-        for (zone, from) in &first_faults {
+        for (zone, from_s) in &first_faults {
             for node in (0..nodes).filter(|n| !zones_at_fault.contains(&(n % self.zones))) {
                 outcome.expected += 1;
                 let adopted = self
                     .ejections()
-                    .find(|v| v.node == node && v.zone == Some(*zone) && v.at >= *from);
-                delays.extend(adopted.map(|v| v.at - from));
+                    .find(|v| v.node == node && v.zone == Some(*zone) && v.at_s >= *from_s);
+                delays.extend(adopted.map(|v| v.at_s - from_s));
             }
         }
         delays.sort_by(f64::total_cmp);
@@ -232,7 +275,7 @@
 
     fn role_outcome(&self) -> RoleOutcome {
         let mut actions = self.actions.clone();
-        actions.sort_by(|a, b| a.at.total_cmp(&b.at));
+        actions.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         let mut delays: Vec<f64> = self
             .holder_faults
             .iter()
@@ -255,15 +298,19 @@
 /// Actions, in order of time, that are older by epoch than one before them, or share its epoch with another
 /// holder.
 fn count_second_holders(actions: &[PerformedAction]) -> usize {
-    let mut latest: BTreeMap<&str, (u64, usize)> = BTreeMap::new();
+    let mut latest: BTreeMap<&str, LeaseHolder> = BTreeMap::new();
     let mut count = 0;
     for action in actions {
-        let this = (action.epoch, action.node);
-        let last = latest.entry(&action.role).or_insert(this);
-        if this.0 < last.0 || (this.0 == last.0 && this.1 != last.1) {
+        let holder = LeaseHolder {
+            epoch: action.epoch,
+            node: action.node,
+        };
+        let last = latest.entry(&action.role).or_insert(holder);
+        let shares_epoch = holder.epoch == last.epoch && holder.node != last.node;
+        if holder.epoch < last.epoch || shares_epoch {
             count += 1;
         } else {
-            *last = this;
+            *last = holder;
         }
     }
     count
@@ -271,13 +318,17 @@
 
 /// Seconds from a holder's fault until another co-ordinator acts in the role under test.
 fn handover_seconds(actions: &[PerformedAction], fault: InjectedHolderFault) -> Option<f64> {
-    let is_next =
-        |a: &&PerformedAction| a.role == ROLE_UNDER_TEST && a.at > fault.at && a.node != fault.node;
-    actions.iter().find(is_next).map(|a| a.at - fault.at)
+    let is_next = |action: &&PerformedAction| {
+        action.role == ROLE_UNDER_TEST && action.at_s > fault.at_s && action.node != fault.node
+    };
+    actions
+        .iter()
+        .find(is_next)
+        .map(|action| action.at_s - fault.at_s)
 }
 
-/// The smallest value that at least this share of the values doesn't exceed; of a handful the 0.99 quantile is
-/// the largest.
+/// The smallest value that at least this share of the values doesn't exceed. Of fewer than a hundred values the 0.99
+/// quantile is the largest. None without values.
 fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
     let rank = ((share * sorted.len() as f64).ceil() as usize).max(1);
     sorted.get(rank - 1).copied()
--- a/crates/testing/process-tests/src/outcome.rs
+++ b/crates/testing/process-tests/src/outcome.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 /// The result of one play.
-#[derive(Clone, Debug, Serialize)]
+#[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
     /// The scenario's name.
     pub scenario: &'static str,
--- a/crates/testing/process-tests/src/scenario.rs
+++ b/crates/testing/process-tests/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios that can be played, by the names that the command line takes. What each of them does and when
+//! The scenarios that can be played; each is named as on the command line. What each of them does and when
 //! stands in `schedule.rs`.
 
 use crate::error::UnknownScenario;
--- a/crates/testing/process-tests/src/schedule.rs
+++ b/crates/testing/process-tests/src/schedule.rs
@@ -43,8 +43,8 @@
         /// False lists them as ready.
         is_draining: bool,
     },
-    /// Has all discovery agents stop answering (true), or answer again.
-    SilenceDiscovery(bool),
+    /// Makes all discovery agents unresponsive (true), or responsive again.
+    SuspendDiscovery(bool),
     /// Has clients send three times as many searches and abandon them (true), or behave as before.
     AbandonSearches(bool),
     /// Sends SIGKILL to these co-ordinators.
@@ -102,8 +102,8 @@
 /// An action and when it is done.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TimedAction {
-    /// Seconds from the start of the load.
-    pub(crate) at: f64,
+    /// When, in seconds from the start of the load.
+    pub(crate) at_s: f64,
     /// What is done.
     pub(crate) action: Action,
 }
@@ -113,10 +113,10 @@
 pub(crate) struct ZoneFault {
     /// The zone at fault.
     pub(crate) zone: usize,
-    /// Seconds from the start of the load.
-    pub(crate) from: f64,
-    /// Seconds from the start of the load.
-    pub(crate) until: f64,
+    /// When the fault begins, in seconds from the start of the load.
+    pub(crate) from_s: f64,
+    /// When it ends, in seconds from the start of the load.
+    pub(crate) until_s: f64,
 }
 
 /// What a scenario does.
@@ -130,6 +130,7 @@
 
 /// Seconds from the start of the load to the first fault: members know each other and latency samples are in.
 const FAULT_START: f64 = 6.0;
+/// Seconds from the start of the load to the end of that fault.
 const FAULT_END: f64 = FAULT_START + 5.0;
 /// Seconds from the start of the load by which somebody holds the lease: a lease's time-out and a proposal.
 const HOLDER_FAULT_START: f64 = 8.0;
@@ -139,11 +140,13 @@
 const RESTART_DELAY: f64 = 3.0;
 /// How many seconds the fault of a lease holder lasts: longer than a lease and a proposal.
 pub(crate) const HOLDER_FAULT_SECONDS: f64 = 6.0;
+/// How often a flapping zone is partitioned.
 const FLAP_COUNT: u32 = 6;
-/// Seconds from one partition of a flapping zone to the next, and how many of them it lasts.
+/// Seconds from the start of one partition of a flapping zone to the start of the next.
 const FLAP_INTERVAL: f64 = 4.0;
+/// How many seconds each of them lasts.
 const FLAP_SECONDS: f64 = 2.0;
-/// Share of datagrams that the scenarios with lossy links lose.
+/// Share of the datagrams that lossy links lose.
 const LOSS: f64 = 0.3;
 
 impl Schedule {
@@ -164,7 +167,7 @@
         };
         planner.plan(scenario);
         let mut schedule = planner.schedule;
-        schedule.actions.sort_by(|a, b| a.at.total_cmp(&b.at));
+        schedule.actions.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         schedule
     }
 }
@@ -173,7 +176,7 @@
 struct Planner<'a> {
     co_ordinators: usize,
     regions: &'a [usize],
-    /// The zone that is hit, where a scenario hits one.
+    /// The zone at fault, in scenarios that have one.
     zone: usize,
     random: Pcg64Mcg,
     schedule: Schedule,
@@ -204,18 +207,22 @@
                 self.disturb_holder(HolderFault::Kill, HolderFault::Start);
             }
             Scenario::RollHang => self.restart_while_replicas_hang(),
-            Scenario::DiscoveryDown => self.silence_discovery(),
+            Scenario::DiscoveryDown => self.suspend_discovery(),
             Scenario::LeaveBurst => self.abandon_searches(),
-            Scenario::MassKill => self.kill_most(),
+            Scenario::MassKill => self.kill_seven_in_ten(),
         }
     }
 
-    fn add(&mut self, at: f64, action: Action) {
-        self.schedule.actions.push(TimedAction { at, action });
+    fn add(&mut self, at_s: f64, action: Action) {
+        self.schedule.actions.push(TimedAction { at_s, action });
     }
 
-    fn add_fault(&mut self, zone: usize, from: f64, until: f64) {
-        self.schedule.faults.push(ZoneFault { zone, from, until });
+    fn add_fault(&mut self, zone: usize, from_s: f64, until_s: f64) {
+        self.schedule.faults.push(ZoneFault {
+            zone,
+            from_s,
+            until_s,
+        });
     }
 
     fn zones(&self) -> usize {
@@ -228,14 +235,14 @@
             .collect()
     }
 
-    /// All zones but the one that is hit.
+    /// All zones but the one at fault.
     fn other_zones(&self) -> Vec<usize> {
         (0..self.zones())
             .filter(|zone| *zone != self.zone)
             .collect()
     }
 
-    /// The zones of the region of the one that is hit.
+    /// The zones of the region of the zone at fault.
     fn zones_of_region(&self) -> Vec<usize> {
         (0..self.zones())
             .filter(|zone| self.regions[*zone] == self.regions[self.zone])
@@ -279,9 +286,9 @@
         }
     }
 
-    fn partition_zone(&mut self, from: f64, until: f64) {
-        self.add_fault(self.zone, from, until);
-        for (at, is_partitioned) in [(from, true), (until, false)] {
+    fn partition_zone(&mut self, from_s: f64, until_s: f64) {
+        self.add_fault(self.zone, from_s, until_s);
+        for (at, is_partitioned) in [(from_s, true), (until_s, false)] {
             for other in self.other_zones() {
                 self.partition(at, self.zone, other, is_partitioned);
                 self.partition(at, other, self.zone, is_partitioned);
@@ -331,10 +338,10 @@
         self.hang_replicas(FAULT_START + 2.0 * self.co_ordinators as f64, false);
     }
 
-    fn silence_discovery(&mut self) {
+    fn suspend_discovery(&mut self) {
         let zone = self.zone;
-        self.add(FAULT_START, Action::SilenceDiscovery(true));
-        self.add(FAULT_END, Action::SilenceDiscovery(false));
+        self.add(FAULT_START, Action::SuspendDiscovery(true));
+        self.add(FAULT_END, Action::SuspendDiscovery(false));
         for (delay, is_draining) in [(0.3, true), (8.0, false)] {
             self.add(
                 FAULT_END + delay,
@@ -353,7 +360,7 @@
         self.add(FAULT_END, Action::AbandonSearches(false));
     }
 
-    fn kill_most(&mut self) {
+    fn kill_seven_in_ten(&mut self) {
         let mut nodes: Vec<usize> = (0..self.co_ordinators).collect();
         for index in 0..nodes.len() {
             let other = self.random.random_range(index..nodes.len());
--- a/crates/testing/process-tests/src/script.rs
+++ b/crates/testing/process-tests/src/script.rs
@@ -2,16 +2,20 @@
 
 use crate::config::PlayConfig;
 use crate::error::{InvalidScriptSnafu, PlayError};
+use snafu::ResultExt;
 use woadreach_simulation::Script;
 
 /// Replicas of each of two shard groups in each zone.
 const REPLICAS_PER_ZONE: usize = 3;
 
-/// A query type of the load.
+/// A query type of the load; the script has the other figures, which are the same for all.
 struct QueryType {
     name: &'static str,
+    /// Share of all searches, relative to the other query types.
     share: f64,
+    /// Whether its parts may run again, as scripts name it.
     repeats: &'static str,
+    /// Least share of the weight that an answer may have.
     floor: f64,
 }
 
@@ -34,10 +38,7 @@
 
 /// The script of a play.
 pub(crate) fn of(config: &PlayConfig) -> Result<Script, PlayError> {
-    Script::read("cluster", &text(config)).map_err(|error| {
-        let message = error.to_string();
-        InvalidScriptSnafu { message }.build()
-    })
+    Script::read("cluster", &text(config)).context(InvalidScriptSnafu)
 }
 
 fn text(config: &PlayConfig) -> String {
--- a/crates/testing/process-tests/tests/unit/measurements.rs
+++ b/crates/testing/process-tests/tests/unit/measurements.rs
@@ -3,7 +3,7 @@
 #[path = "../../../../../tests/recorded/lines.rs"]
 mod recorded;
 
-use super::{LogLine, Measurements, Outcome, RoleOutcome, ZoneFault};
+use super::{LogLine, Measurements, Outcome, ZoneFault};
 use crate::scenario::Scenario;
 use recorded::Records;
 
@@ -20,6 +20,7 @@
 /// 2026-03-01T00:00:00Z.
 const LOAD_STARTED_AT: f64 = 1_772_323_200.0;
 
+/// An outcome in which nothing of the log has been measured yet.
 fn outcome() -> Outcome {
     Outcome {
         scenario: Scenario::ZoneCut.name(),
@@ -30,20 +31,10 @@
         seconds: 10.0,
         broken_invariants: 1,
         breaches: vec!["why".into()],
-        crashes: 0,
-        agree_s_p50: None,
-        agree_s_p99: None,
-        expected: 0,
-        agreed: 0,
-        false_failovers: 0,
-        flaps: 0,
-        near_share_safe: None,
         near_share_even: 0.5,
-        datagrams_per_s_per_member: 0.0,
-        bytes_per_s_per_member: 0.0,
-        roles: RoleOutcome::default(),
         searches: 100,
         served_share: 0.75,
+        ..Outcome::default()
     }
 }
 
@@ -53,8 +44,8 @@
         2,
         vec![ZoneFault {
             zone: 1,
-            from: 3.0,
-            until: 8.0,
+            from_s: 3.0,
+            until_s: 8.0,
         }],
     );
     measurements.record_load_start(LOAD_STARTED_AT);
