--- a/crates/testing/local-tier/src/client.rs
+++ b/crates/testing/local-tier/src/client.rs
@@ -8,32 +8,32 @@
 /// One turn of a program.
 #[derive(Clone, Debug)]
 pub struct TurnRequest {
-    /// Host and path.
+    /// The host of its route.
     pub host: String,
-    /// The path.
+    /// The path of its route.
     pub path: String,
-    /// Its own id.
+    /// The turn's id.
     pub request_id: String,
-    /// The program.
+    /// The program's id.
     pub program: String,
-    /// The turn it goes on from.
+    /// The id of the turn that it continues.
     pub previous: Option<String>,
-    /// What the program's turns may generate together.
+    /// Tokens that all turns of the program may generate together.
     pub budget: Option<u64>,
-    /// The most that this turn generates.
-    pub most: u64,
-    /// The new input.
+    /// Tokens that this turn generates at most.
+    pub max_tokens: u64,
+    /// The input that is new in this turn.
     pub input: String,
 }
 
-/// What came back.
+/// The answer to a request.
 #[derive(Clone, Debug)]
 pub struct TurnAnswer {
     /// The status.
     pub status: u16,
-    /// The replica's stamp, if there is one.
+    /// The header `Response-Signature`, by which a replica signs its answers; none in answers of the edge's own.
     pub signature: Option<String>,
-    /// The body, or nothing where it broke off.
+    /// The body; none if it is incomplete.
     pub body: Option<String>,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends a turn and reads the whole answer.
+    /// Sends a turn and reads the complete answer.
     pub async fn turn(&self, turn: &TurnRequest) -> Result<TurnAnswer, TierError> {
         let mut call = self
             .client
@@ -67,7 +67,10 @@
             .header("model", "m")
             .header("timeout-ms", "5000")
             .header("finish-ms", "20000");
-        call = call.header("token-usage", format!("{},{}", turn.input.len(), turn.most));
+        call = call.header(
+            "token-usage",
+            format!("{},{}", turn.input.len(), turn.max_tokens),
+        );
         if let Some(previous) = &turn.previous {
             call = call.header("previous", previous);
         }
@@ -77,7 +80,7 @@
         answer(call.body(turn.input.clone())).await
     }
 
-    /// Sends a plain request and reads the whole answer.
+    /// Sends a plain request and reads the complete answer.
     pub async fn get(
         &self,
         host: &str,
@@ -93,7 +96,7 @@
         .await
     }
 
-    /// Sends a request that may not be repeated and reads the whole answer.
+    /// Sends a request that may not be repeated and reads the complete answer.
     pub async fn post(
         &self,
         host: &str,
--- a/crates/testing/local-tier/src/error.rs
+++ b/crates/testing/local-tier/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a tier on loopback.
+//! Errors of a tier on loopback.
 
 use snafu::Snafu;
 use std::path::PathBuf;
@@ -13,17 +13,17 @@
         /// Where it was looked for.
         path: PathBuf,
     },
-    /// A file or a process could not be made.
+    /// A file could not be written, or a process not started or signalled.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was tried.
+        /// What was attempted.
         what: String,
-        /// What the system said.
+        /// What the system reported.
         source: std::io::Error,
     },
-    /// Something did not come about in time.
+    /// A condition was not met in time.
     #[snafu(display("{what} did not come about within {seconds} s"))]
-    TooLate {
+    TimedOut {
         /// What was waited for.
         what: String,
         /// How long, in seconds.
@@ -32,15 +32,15 @@
     /// A request failed.
     #[snafu(display("{what}: {source}"))]
     Request {
-        /// What was asked.
+        /// The request.
         what: String,
         /// How it failed.
         source: reqwest::Error,
     },
-    /// A request had another answer than expected.
+    /// A request was answered with an error.
     #[snafu(display("{what}: answered {status}"))]
-    Answered {
-        /// What was asked.
+    ErrorStatus {
+        /// The request.
         what: String,
         /// The status of the answer.
         status: u16,
--- a/crates/testing/local-tier/src/example.rs
+++ b/crates/testing/local-tier/src/example.rs
@@ -1,4 +1,4 @@
-//! A small deployment: one model service, one plain service, a conversation that is kept.
+//! A small deployment: a model service with a conversation whose turns are stored, and a plain service.
 
 use crate::client::{Client, TurnAnswer, TurnRequest};
 use crate::error::TierError;
@@ -10,8 +10,8 @@
 
 /// Host of the example's routes.
 pub const HOST: &str = "shop.example";
-/// How long the tier may take to take a configuration or to become ready.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long the tier may take to accept a configuration or to become ready.
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Events in an answer of the example's model replicas.
 pub const EVENTS: usize = 5;
 
@@ -58,9 +58,9 @@
 pub async fn bring_up(tier: &Tier) -> Result<Vec<StandInReplica>, TierError> {
     let replicas = replicas(&tier.control()).await?;
     Operator::new(tier.control())
-        .put(0, &configuration(1), PATIENCE)
+        .put(0, &configuration(1), TIMEOUT)
         .await?;
-    tier.wait_until_ready(PATIENCE).await?;
+    tier.wait_until_ready(TIMEOUT).await?;
     Ok(replicas)
 }
 
@@ -73,7 +73,7 @@
         program: program.to_owned(),
         previous: previous.map(|number| turn_id(program, number)),
         budget: None,
-        most: 3 * EVENTS as u64,
+        max_tokens: 3 * EVENTS as u64,
         input: format!("input {number}\n"),
     }
 }
@@ -82,7 +82,7 @@
     format!("{program}-turn-{number}")
 }
 
-/// What a replica has to get for a turn that goes on from `earlier` turns, oldest first.
+/// The body that a replica has to receive for a turn that continues `earlier` turns, oldest first.
 pub fn expected_body(earlier: &[usize], number: usize) -> String {
     let answered: String = (1..=EVENTS)
         .map(|event| format!("word-{event}\n"))
--- a/crates/testing/local-tier/src/operator.rs
+++ b/crates/testing/local-tier/src/operator.rs
@@ -1,6 +1,6 @@
-//! The operator: sends configurations until one is taken, and reads back what is in force.
+//! The operator: sends a configuration until it is accepted or rejected, and reads the one in force.
 
-use crate::error::{AnsweredSnafu, RequestSnafu, TierError, TooLateSnafu};
+use crate::error::{ErrorStatusSnafu, RequestSnafu, TierError, TimedOutSnafu};
 use reqwest::StatusCode;
 use snafu::ResultExt;
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 use tokio::time::{Instant, sleep};
 
 /// How long one call may take.
-const CALL: Duration = Duration::from_secs(1);
-/// Pause before the next machine is asked.
-const PAUSE: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before the next attempt, which goes to the next machine.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// An operator that knows the control addresses of the core machines.
 pub struct Operator {
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Sends a configuration built on version `base` until it has a final answer, and gives up after `patience`.
+    /// Sends a configuration built on version `base` until it gets a final answer, or for as long as `timeout`.
     pub async fn put(
         &self,
         base: u64,
         body: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<StatusCode, TierError> {
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         for control in self.control.iter().cycle() {
             let call = self
                 .client
@@ -43,7 +43,7 @@
             let call = call
                 .header("content-type", "application/json")
                 .body(body.to_owned());
-            if let Ok(response) = call.timeout(CALL).send().await
+            if let Ok(response) = call.timeout(CALL_TIMEOUT).send().await
                 && (response.status().is_success() || is_final(response.status()))
             {
                 return Ok(response.status());
@@ -51,29 +51,29 @@
             if Instant::now() > end {
                 break;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
-        TooLateSnafu {
+        TimedOutSnafu {
             what: "an answer to a configuration",
-            seconds: patience.as_secs(),
+            seconds: timeout.as_secs(),
         }
         .fail()
     }
 
-    /// The configuration in force, as one of the core machines reports it.
+    /// The configuration in force, as the core machine at this address reports it.
     pub async fn get(&self, control: SocketAddr) -> Result<String, TierError> {
         let what = || format!("GET /config of {control}");
         let call = self
             .client
             .get(format!("http://{control}/config"))
-            .timeout(CALL);
+            .timeout(CALL_TIMEOUT);
         let response = call
             .send()
             .await
             .with_context(|_| RequestSnafu { what: what() })?;
         let status = response.status();
         if !status.is_success() {
-            return AnsweredSnafu {
+            return ErrorStatusSnafu {
                 what: what(),
                 status: status.as_u16(),
             }
--- a/crates/testing/local-tier/src/process.rs
+++ b/crates/testing/local-tier/src/process.rs
@@ -9,7 +9,7 @@
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 
-/// A machine of the tier and its process, which ends with this value.
+/// A machine of the tier and its process, which is killed when this is dropped.
 pub struct NodeProcess {
     /// The machine.
     pub spec: NodeSpec,
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Ends the process as a crash does, and waits until it has gone.
+    /// Sends SIGKILL to the process, and waits until it has ended.
     pub async fn kill(&mut self) -> Result<(), TierError> {
         if let Some(mut child) = self.child.take() {
             child.kill().await.context(SystemSnafu {
@@ -90,12 +90,12 @@
         Ok(())
     }
 
-    /// Stops the process where it stands, as SIGSTOP does; it keeps its sockets.
+    /// Suspends the process by SIGSTOP; its sockets stay open.
     pub fn suspend(&self) -> Result<(), TierError> {
         self.signal("-STOP")
     }
 
-    /// Lets a suspended process go on.
+    /// Resumes a suspended process by SIGCONT.
     pub fn resume(&self) -> Result<(), TierError> {
         self.signal("-CONT")
     }
--- a/crates/testing/local-tier/src/programs.rs
+++ b/crates/testing/local-tier/src/programs.rs
@@ -1,4 +1,4 @@
-//! Where the built programs stand.
+//! Where the built programs are.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/testing/local-tier/src/replica.rs
+++ b/crates/testing/local-tier/src/replica.rs
@@ -1,4 +1,5 @@
-//! A replica as the tier meets it: it tells of itself by heartbeats and answers requests.
+//! A replica as the tier sees it: it sends heartbeats to the core and answers requests by a script, so that a test
+//! knows what the answer to each request has to be.
 
 use crate::error::{SystemSnafu, TierError};
 use crate::settings::HEARTBEAT_MS;
@@ -20,15 +21,15 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The longest request that a stand-in takes, in bytes.
+/// The longest request body that a stand-in accepts, in bytes.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
-/// Header that tells that a request has not run.
+/// Header of an answer to a request that has not run.
 const NOT_EXECUTED: &str = "not-executed";
 
 /// What a replica answers with.
 #[derive(Clone, Copy, Debug)]
 pub enum ReplicaKind {
-    /// So many events, a pause between each two.
+    /// A stream of events.
     Model {
         /// Number of events.
         events: usize,
@@ -57,6 +58,14 @@
     format!("{request_id} {number}\n")
 }
 
+/// The socket of a stand-in, and where others reach it.
+pub struct ReplicaSocket {
+    /// Accepts the connections.
+    pub listener: TcpListener,
+    /// The address in its heartbeats: that of `listener`, or of a relay in front of it.
+    pub announced: SocketAddr,
+}
+
 /// A request that a stand-in has run.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
@@ -72,7 +81,7 @@
 pub struct StandInReplica {
     /// Its id.
     pub id: String,
-    /// Where it serves.
+    /// Where others reach it.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
@@ -100,26 +109,25 @@
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .with_context(|_| SystemSnafu { what: what() })?;
-        let address = listener
+        let announced = listener
             .local_addr()
             .with_context(|_| SystemSnafu { what: what() })?;
-        Ok(Self::start_at(
-            id,
-            service,
-            kind,
-            control,
-            (listener, address),
-        ))
+        let socket = ReplicaSocket {
+            listener,
+            announced,
+        };
+        Ok(Self::start_at(id, service, kind, control, socket))
     }
 
-    /// Like [`Self::start`], on this listener, under the address at which others are to call it.
+    /// Like [`Self::start`], on a socket of the caller's.
     pub fn start_at(
         id: &str,
         service: &str,
         kind: ReplicaKind,
         control: Vec<SocketAddr>,
-        (listener, address): (TcpListener, SocketAddr),
+        socket: ReplicaSocket,
     ) -> Self {
+        let address = socket.announced;
         let shared = Arc::new(Shared {
             id: id.to_owned(),
             service: service.to_owned(),
@@ -131,14 +139,14 @@
         });
         let app = Router::new().fallback(answer).with_state(shared.clone());
         let serving = tokio::spawn(async move {
-            let _ = axum::serve(listener, app).await;
+            let _ = axum::serve(socket.listener, app).await;
         });
-        let beating = tokio::spawn(send_heartbeats(shared.clone()));
+        let sending_heartbeats = tokio::spawn(send_heartbeats(shared.clone()));
         StandInReplica {
             id: id.to_owned(),
             address,
             shared,
-            tasks: vec![serving, beating],
+            tasks: vec![serving, sending_heartbeats],
         }
     }
 
--- a/crates/testing/local-tier/src/tier.rs
+++ b/crates/testing/local-tier/src/tier.rs
@@ -1,6 +1,6 @@
 //! A tier of processes, started together as on a first start.
 
-use crate::error::{SystemSnafu, TierError, TooLateSnafu};
+use crate::error::{SystemSnafu, TierError, TimedOutSnafu};
 use crate::process::NodeProcess;
 use crate::settings::{CONTROL_PORT, FRONT_PORT, HEARTBEAT_MS, MachineClass, NodeSpec, READY_PORT};
 use snafu::ResultExt;
@@ -10,8 +10,8 @@
 use tempfile::TempDir;
 use tokio::time::{Instant, sleep};
 
-/// Pause between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How many machines of each class.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
     pub storage: u8,
 }
 
-/// A running tier; its processes and files go with this value.
+/// A running tier. Its processes are killed and its files removed when this is dropped.
 pub struct Tier {
     /// The machines, edges first.
     pub nodes: Vec<NodeProcess>,
@@ -34,7 +34,7 @@
 }
 
 impl Tier {
-    /// Starts all processes, in an order that suits none of them: edges before what they need.
+    /// Starts all processes, the edges first: before the machines that they depend on.
     pub fn start(programs: &Path, network: u8, size: TierSize) -> Result<Self, TierError> {
         let folder = tempfile::tempdir().context(SystemSnafu {
             what: "a folder for the tier",
@@ -93,10 +93,10 @@
             .collect()
     }
 
-    /// Waits until every edge says that it is ready.
-    pub async fn wait_until_ready(&self, patience: Duration) -> Result<(), TierError> {
+    /// Waits until every edge reports that it is ready.
+    pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), TierError> {
         let client = reqwest::Client::new();
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         for ready in self.addresses(MachineClass::Edge, READY_PORT) {
             loop {
                 let call = client
@@ -111,13 +111,13 @@
                 }
                 if Instant::now() > end {
                     let what = format!("readiness of {ready}");
-                    return TooLateSnafu {
+                    return TimedOutSnafu {
                         what,
-                        seconds: patience.as_secs(),
+                        seconds: timeout.as_secs(),
                     }
                     .fail();
                 }
-                sleep(LOOK_AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
--- a/crates/testing/local-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -1,5 +1,5 @@
-//! Core and storage machines as real processes that are stopped, killed and brought back with an empty disk:
-//! what was acknowledged holds, and nothing is judged on old state.
+//! Core and storage machines as real processes that are suspended, killed, and restarted with an empty disk: what was
+//! acknowledged is not lost, and no order is decided on old state.
 
 mod support;
 
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 use woadreach_local_tier::{Client, MachineClass, Operator, Tier, example};
 
-/// How long the head stands still, at least: longer than any lease or failure detection of the core.
-const STOPPED: Duration = Duration::from_secs(4);
+/// How long the head is suspended at least: longer than any lease or failure detection of the core.
+const SUSPENSION: Duration = Duration::from_secs(4);
 
 /// Index of the core machine with this last byte of its address.
 fn core_index(tier: &mut Tier, last_byte: u8) -> u8 {
@@ -26,69 +26,89 @@
 }
 
 /// Index of the head of the newest view that any core machine has installed.
-async fn head(tier: &mut Tier) -> u8 {
+async fn head_index(tier: &mut Tier) -> u8 {
     let views = (1..=3).filter_map(|index| last_view(&log_of(tier, MachineClass::Core, index)));
-    let (_, chain) = views.max_by_key(|(epoch, _)| *epoch).expect("a view");
-    core_index(tier, chain[0])
+    let newest = views.max_by_key(|view| view.epoch).expect("a view");
+    core_index(tier, newest.chain[0])
 }
 
-/// Sends an order or a question to one machine and waits long: the machine stands still.
-fn send(
-    control: SocketAddr,
-    order: Option<(u64, String)>,
-) -> JoinHandle<Option<(StatusCode, String)>> {
+/// A call of an operator.
+enum Call {
+    /// Sends a configuration that is built on version `base`.
+    Put { base: u64, body: String },
+    /// Reads the configuration in force.
+    Get,
+}
+
+struct Answer {
+    status: StatusCode,
+    body: String,
+}
+
+/// Sends a call to one machine, which may be suspended. The answer is none if the call fails or times out.
+fn send(control: SocketAddr, call: Call) -> JoinHandle<Option<Answer>> {
     let url = format!("http://{control}/config");
-    let call = match order {
-        Some((base, body)) => reqwest::Client::new()
+    let request = match call {
+        Call::Put { base, body } => reqwest::Client::new()
             .put(url)
             .header("if-match", base.to_string())
             .body(body),
-        None => reqwest::Client::new().get(url),
+        Call::Get => reqwest::Client::new().get(url),
     };
     tokio::spawn(async move {
-        let response = call.timeout(PATIENCE).send().await.ok()?;
-        let status = response.status();
-        Some((status, response.text().await.ok()?))
+        let response = request.timeout(TIMEOUT).send().await.ok()?;
+        Some(Answer {
+            status: response.status(),
+            body: response.text().await.ok()?,
+        })
     })
 }
 
-/// The head is stopped for some seconds while orders go to the others: when it goes on it has orders in its
-/// sockets, and is not the head any more without knowing it.
+/// The head is suspended for some seconds while the other machines get orders. When it is resumed, orders wait in its
+/// sockets, and it is no longer the head without knowing it.
 #[tokio::test]
-async fn a_head_that_stood_still_judges_nothing_on_old_state() {
+async fn a_resumed_head_decides_nothing_on_old_state() {
     let mut tier = start(21);
     let _replicas = example::bring_up(&tier)
         .await
         .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
-    let stopped = head(&mut tier).await;
+    let head = head_index(&mut tier).await;
     let control = tier.control();
-    let frozen = control[usize::from(stopped) - 1];
+    let suspended = control[usize::from(head) - 1];
     let others: Vec<SocketAddr> = control
         .iter()
         .copied()
-        .filter(|address| *address != frozen)
+        .filter(|address| *address != suspended)
         .collect();
     let operator = Operator::new(others);
 
-    tier.node(MachineClass::Core, stopped)
+    tier.node(MachineClass::Core, head)
         .unwrap()
         .suspend()
         .unwrap();
     let since = Instant::now();
     let mut newest = 1;
-    while since.elapsed() < STOPPED {
+    while since.elapsed() < SUSPENSION {
         let status = operator
-            .put(newest, &configuration(newest + 1), PATIENCE)
+            .put(newest, &configuration(newest + 1), TIMEOUT)
             .await;
         assert_eq!(status.ok(), Some(StatusCode::OK), "{}", logs(&tier));
         newest += 1;
     }
     wait_until_in_force(&tier, newest).await;
 
-    let lost_race = send(frozen, Some((1, configuration(newest + 5))));
-    let sent_again = send(frozen, Some((newest - 1, configuration(newest))));
-    let read = send(frozen, None);
-    tier.node(MachineClass::Core, stopped)
+    let on_old_version = Call::Put {
+        base: 1,
+        body: configuration(newest + 5),
+    };
+    let already_accepted = Call::Put {
+        base: newest - 1,
+        body: configuration(newest),
+    };
+    let lost_race = send(suspended, on_old_version);
+    let sent_again = send(suspended, already_accepted);
+    let read = send(suspended, Call::Get);
+    tier.node(MachineClass::Core, head)
         .unwrap()
         .resume()
         .unwrap();
@@ -98,21 +118,21 @@
         read.await.unwrap(),
     );
     let unclear = StatusCode::SERVICE_UNAVAILABLE;
-    if let Some((status, _)) = lost_race {
+    if let Some(Answer { status, .. }) = lost_race {
         assert!(
             [StatusCode::PRECONDITION_FAILED, unclear].contains(&status),
             "{status}\n{}",
             logs(&tier)
         );
     }
-    if let Some((status, _)) = sent_again {
+    if let Some(Answer { status, .. }) = sent_again {
         assert!(
             [StatusCode::OK, unclear].contains(&status),
-            "taken before: {status}\n{}",
+            "accepted before: {status}\n{}",
             logs(&tier)
         );
     }
-    if let Some((status, body)) = read {
+    if let Some(Answer { status, body }) = read {
         assert!(
             status == unclear || body == configuration(newest),
             "{status} {body}\n{}",
@@ -120,8 +140,8 @@
         );
     }
 
-    let caught_up = Operator::new(vec![frozen]);
-    let end = Instant::now() + PATIENCE;
+    let caught_up = Operator::new(vec![suspended]);
+    let end = Instant::now() + TIMEOUT;
     loop {
         for front in tier.fronts() {
             let answer = Client::new(front)
@@ -134,19 +154,19 @@
                 logs(&tier)
             );
         }
-        match caught_up.get(frozen).await {
+        match caught_up.get(suspended).await {
             Ok(body) => break assert_eq!(body, configuration(newest)),
             Err(error) => assert!(Instant::now() < end, "{error}\n{}", logs(&tier)),
         }
     }
     let status = caught_up
-        .put(newest, &configuration(newest + 1), PATIENCE)
+        .put(newest, &configuration(newest + 1), TIMEOUT)
         .await;
     assert_eq!(status.ok(), Some(StatusCode::OK), "{}", logs(&tier));
     wait_until_in_force(&tier, newest + 1).await;
 }
 
-/// Waits until a core machine that was restarted after epoch `before` is in a whole chain again.
+/// Waits until a core machine that was restarted after epoch `before` is in a complete chain again.
 async fn wait_until_in_chain(tier: &mut Tier, index: u8, before: u64) {
     let own = tier
         .node(MachineClass::Core, index)
@@ -155,19 +175,16 @@
         .ip(0)
         .octets()[3];
     let tier = &*tier;
-    wait_for(
-        tier,
-        "a whole chain with the machine that came back",
-        || {
-            let (epoch, chain) = last_view(&log_of(tier, MachineClass::Core, index))?;
-            (epoch > before && chain.len() == 3 && chain.contains(&own)).then_some(())
-        },
-    )
+    wait_for(tier, "a complete chain with the restarted machine", || {
+        let view = last_view(&log_of(tier, MachineClass::Core, index))?;
+        let is_complete = view.chain.len() == 3 && view.chain.contains(&own);
+        (view.epoch > before && is_complete).then_some(())
+    })
     .await;
 }
 
-/// One core machine after the other loses its disk; each next one is lost as soon as the chain holds the one
-/// before again. At the end no disk is left that took the first order.
+/// One core machine after the other loses its disk, each as soon as the one before is in the chain again. At the end
+/// no disk is left that was there when the first order was accepted.
 #[tokio::test]
 async fn a_core_machine_is_lost_as_soon_as_another_is_back_with_an_empty_disk() {
     let mut tier = start(22);
@@ -179,14 +196,14 @@
     for lost in [1, 2, 3, 1] {
         let views =
             (1..=3).filter_map(|index| last_view(&log_of(&tier, MachineClass::Core, index)));
-        let before = views.map(|(epoch, _)| epoch).max().expect("a view");
+        let before = views.map(|view| view.epoch).max().expect("a view");
         tier.node(MachineClass::Core, lost)
             .unwrap()
             .kill()
             .await
             .unwrap();
         let remaining = tier.control()[usize::from(lost) % 3];
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         let read = loop {
             match operator.get(remaining).await {
                 Ok(body) => break body,
@@ -203,7 +220,7 @@
             "what was acknowledged before core-{lost} was lost"
         );
         let status = operator
-            .put(newest, &configuration(newest + 1), PATIENCE)
+            .put(newest, &configuration(newest + 1), TIMEOUT)
             .await;
         assert_eq!(status.ok(), Some(StatusCode::OK), "{}", logs(&tier));
         newest += 1;
@@ -213,15 +230,15 @@
     wait_until_in_force(&tier, newest).await;
 }
 
-/// Waits until a storage machine whose disk was emptied has pulled its share, and the core has committed a
-/// view in which it counts. `pulls` is how often it had pulled before.
+/// Waits until a storage machine whose disk was wiped has pulled its data, and the core has committed a view in which
+/// it counts. `pulls` is the number of its pulls before.
 async fn wait_until_refilled(tier: &Tier, index: u8, pulls: usize) {
     let pulled = |log: &str| {
         log.lines()
             .filter(|line| line.contains("storage pull completed"))
             .count()
     };
-    let epoch = wait_for(tier, "a pull by the storage machine that came back", || {
+    let epoch = wait_for(tier, "a pull by the restarted storage machine", || {
         let log = log_of(tier, MachineClass::Storage, index);
         if pulled(&log) > pulls {
             number_after(&log, "completed epoch=")
@@ -238,7 +255,7 @@
     .await;
 }
 
-/// The same for the machines that keep turns: at the end no disk is left that took the first turn.
+/// The same for storage machines: at the end no disk is left that was there when the first turn was stored.
 #[tokio::test]
 async fn a_storage_machine_is_lost_as_soon_as_another_is_back_with_an_empty_disk() {
     let mut tier = start(23);
@@ -259,7 +276,7 @@
             .await
             .unwrap();
         let (turn, front) = (2 + number, fronts[number % fronts.len()]);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let answer = Client::new(front)
                 .turn(&example::turn("p23", turn, Some(turn - 1)))
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -1,4 +1,4 @@
-//! The way from the edges to replicas is cut, stalled and reset in the middle of answers to requests that may
+//! The links between the edges and replicas are partitioned and reset in the middle of answers to requests that may
 //! not be repeated: none runs twice, and no answer reaches the caller of another request.
 
 mod support;
@@ -10,13 +10,25 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
 use woadreach_local_tier::{
-    Client, Operator, ReplicaKind, StandInReplica, Tier, TierError, TurnAnswer, chunks_of, example,
+    Client, Operator, ReplicaKind, ReplicaSocket, StandInReplica, Tier, TierError, TurnAnswer,
+    chunks_of, example,
 };
 use woadreach_process_tests::{Relay, ZonePair};
 
-/// Zone of the edges and zone of the replicas, between which the relay stands.
+/// Zone of the edges. The relay is between it and the zone of the replicas.
 const EDGES: usize = 0;
+/// Zone of the replicas.
 const REPLICAS: usize = 1;
+/// The link that requests take.
+const REQUESTS: ZonePair = ZonePair {
+    from: EDGES,
+    to: REPLICAS,
+};
+/// The link that answers take.
+const ANSWERS: ZonePair = ZonePair {
+    from: REPLICAS,
+    to: EDGES,
+};
 const CHUNKS: usize = 6;
 const KIND: ReplicaKind = ReplicaKind::Chunks {
     chunks: CHUNKS,
@@ -44,9 +56,9 @@
     fn begin(self, relay: &Relay) {
         match self {
             Failure::AnswersStall | Failure::StallThenReset => {
-                set_partition(relay, (REPLICAS, EDGES), true)
+                set_partitioned(relay, ANSWERS, true);
             }
-            Failure::RequestsStall => set_partition(relay, (EDGES, REPLICAS), true),
+            Failure::RequestsStall => set_partitioned(relay, REQUESTS, true),
             Failure::Reset => relay.reset(EDGES, REPLICAS),
         }
     }
@@ -55,33 +67,43 @@
         if matches!(self, Failure::StallThenReset) {
             relay.reset(EDGES, REPLICAS);
         }
-        set_partition(relay, (REPLICAS, EDGES), false);
-        set_partition(relay, (EDGES, REPLICAS), false);
+        set_partitioned(relay, ANSWERS, false);
+        set_partitioned(relay, REQUESTS, false);
     }
 }
 
-fn set_partition(relay: &Relay, (from, to): (usize, usize), is_partitioned: bool) {
-    relay.change(from, to, |link| link.is_partitioned = is_partitioned);
+fn set_partitioned(relay: &Relay, link: ZonePair, is_partitioned: bool) {
+    relay.change(link.from, link.to, |condition| {
+        condition.is_partitioned = is_partitioned;
+    });
 }
 
-type Call = (String, JoinHandle<Result<TurnAnswer, TierError>>);
+/// A request in flight.
+struct Call {
+    request_id: String,
+    answer: JoinHandle<Result<TurnAnswer, TierError>>,
+}
+
+/// A request that has been answered or has failed.
+struct EndedCall {
+    request_id: String,
+    answer: Result<TurnAnswer, TierError>,
+}
 
-/// Sends requests that may not be repeated, each under an id of its own, by turns to all edges.
+/// Sends requests that may not be repeated, each under an id of its own, to all edges in turn.
 fn send(fronts: &[SocketAddr], round: usize, part: &str) -> Vec<Call> {
-    let one = |number: usize| {
-        let (id, front) = (
-            format!("order-{round}-{part}-{number}"),
-            fronts[number % fronts.len()],
-        );
-        let sent = id.clone();
-        let call = tokio::spawn(async move {
+    let send_one = |number: usize| {
+        let request_id = format!("order-{round}-{part}-{number}");
+        let front = fronts[number % fronts.len()];
+        let id = request_id.clone();
+        let answer = tokio::spawn(async move {
             Client::new(front)
-                .post(example::HOST, "/order/x", &sent)
+                .post(example::HOST, "/order/x", &id)
                 .await
         });
-        (id, call)
+        Call { request_id, answer }
     };
-    (0..AT_ONCE).map(one).collect()
+    (0..AT_ONCE).map(send_one).collect()
 }
 
 /// How often each request has run, over all replicas.
@@ -93,7 +115,7 @@
     runs
 }
 
-/// What a caller may see: its own answer and nothing of another's; a refusal only if nothing has run.
+/// A caller may get its own answer and nothing of another's, and a rejection only if its request has not run.
 fn check(id: &str, answer: &TurnAnswer, runs: usize) {
     let complete = chunks_of(id, CHUNKS);
     let body = answer.body.as_deref();
@@ -113,7 +135,7 @@
         );
     }
     if [408, 421, 429, 503].contains(&answer.status) {
-        assert_eq!(runs, 0, "{id} was refused and has run");
+        assert_eq!(runs, 0, "{id} was rejected and has run");
     }
 }
 
@@ -136,18 +158,17 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let own = listener.local_addr().unwrap();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let zones = ZonePair {
-            from: EDGES,
-            to: REPLICAS,
-        };
-        let announced = relay.relay_connections(any, own, zones).await.unwrap();
+        let announced = relay.relay_connections(any, own, REQUESTS).await.unwrap();
         let id = format!("i-orders-{index}");
         replicas.push(StandInReplica::start_at(
             &id,
             "orders",
             KIND,
             tier.control(),
-            (listener, announced),
+            ReplicaSocket {
+                listener,
+                announced,
+            },
         ));
     }
     replicas
@@ -155,7 +176,7 @@
 
 /// Waits until every edge serves the route again.
 async fn wait_until_served(tier: &Tier, round: usize) {
-    let end = tokio::time::Instant::now() + PATIENCE;
+    let end = tokio::time::Instant::now() + TIMEOUT;
     for (number, front) in tier.fronts().into_iter().enumerate() {
         for attempt in 0.. {
             let id = format!("order-ready-{round}-{number}-{attempt}");
@@ -189,7 +210,7 @@
     let relay = Relay::new(2, 1);
     let replicas = replicas_behind(&relay, &tier).await;
     let status = Operator::new(tier.control())
-        .put(1, &configuration(), PATIENCE)
+        .put(1, &configuration(), TIMEOUT)
         .await;
     assert_eq!(
         status.map(|status| status.as_u16()).ok(),
@@ -205,7 +226,7 @@
         Failure::StallThenReset,
         Failure::Reset,
     ];
-    let mut answers = Vec::new();
+    let mut all_calls = Vec::new();
     for (round, failure) in failures.into_iter().enumerate() {
         wait_until_served(&tier, round).await;
         let before = runs(&replicas).len();
@@ -217,11 +238,14 @@
         failure.begin(&relay);
         calls.extend(send(&tier.fronts(), round, "after"));
         let mut ended = Vec::new();
-        for (id, call) in calls {
-            ended.push((id, call.await.unwrap()));
+        for Call { request_id, answer } in calls {
+            ended.push(EndedCall {
+                request_id,
+                answer: answer.await.unwrap(),
+            });
         }
         failure.end(&relay);
-        // What was held back comes now, on connections that later requests may use.
+        // What the links held back arrives now, on connections that later requests may use.
         wait_until_served(&tier, round + failures.len()).await;
         let broken = check_all(&ended, &runs(&replicas));
         println!(
@@ -229,23 +253,23 @@
             2 * AT_ONCE
         );
         assert!(broken > 0, "{failure:?} broke no answer off");
-        answers.extend(ended);
+        all_calls.extend(ended);
     }
-    check_all(&answers, &runs(&replicas));
+    check_all(&all_calls, &runs(&replicas));
 }
 
-/// Checks all answers; gives how many requests have run without a complete answer to their caller.
-fn check_all(
-    answers: &[(String, Result<TurnAnswer, TierError>)],
-    runs: &BTreeMap<String, usize>,
-) -> usize {
+/// Checks all answers. Returns how many requests have run without a complete answer to their caller.
+fn check_all(calls: &[EndedCall], runs: &BTreeMap<String, usize>) -> usize {
     let twice: Vec<_> = runs.iter().filter(|(_, runs)| **runs > 1).collect();
     assert!(twice.is_empty(), "ran more than once: {twice:?}");
-    let is_broken = |(id, answer): &&(String, Result<TurnAnswer, TierError>)| {
+    let is_incomplete = |call: &&EndedCall| {
+        let id = &call.request_id;
         let ran = runs.get(id).copied().unwrap_or(0);
-        let Ok(answer) = answer else { return ran > 0 };
+        let Ok(answer) = &call.answer else {
+            return ran > 0;
+        };
         check(id, answer, ran);
         ran > 0 && answer.body != Some(chunks_of(id, CHUNKS))
     };
-    answers.iter().filter(is_broken).count()
+    calls.iter().filter(is_incomplete).count()
 }
--- a/crates/testing/local-tier/tests/support/mod.rs
+++ b/crates/testing/local-tier/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of losses share: a tier of real processes, conditions read from logs, configurations that
-//! can be told apart by their routes.
+//! What the tests of lost machines share: a tier of real processes, conditions that are read from logs, and
+//! configurations that differ in their routes.
 
 #![allow(dead_code)]
 
@@ -8,10 +8,10 @@
 use tokio::time::{Instant, sleep};
 use woadreach_local_tier::{Client, MachineClass, Tier, TierSize, built_programs, example};
 
-/// A generous bound on anything that is waited for; no verdict depends on speed.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(40);
-/// Pause between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Time-out of everything that a test waits for; long enough that no result depends on the machine's speed.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(40);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub(crate) const SMALL: TierSize = TierSize {
     edges: 2,
     core: 3,
@@ -38,13 +38,13 @@
     node.map(|node| node.log()).unwrap_or_default()
 }
 
-/// Waits until `condition` gives something.
+/// Waits until `condition` returns something.
 pub(crate) async fn wait_for<T>(
     tier: &Tier,
     what: &str,
     mut condition: impl FnMut() -> Option<T>,
 ) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
         if let Some(found) = condition() {
             return found;
@@ -54,7 +54,7 @@
             "{what} did not come about\n{}",
             logs(tier)
         );
-        sleep(LOOK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -78,7 +78,7 @@
 
 /// Waits until every edge serves the route that only this generation has.
 pub(crate) async fn wait_until_in_force(tier: &Tier, generation: u64) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     for front in tier.fronts() {
         let client = Client::new(front);
         while client
@@ -93,13 +93,20 @@
                 "{front} does not serve generation {generation}\n{}",
                 logs(tier)
             );
-            sleep(LOOK_AGAIN).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// The epoch and chain of the last view in a log: the last bytes of the members' addresses, head first.
-pub(crate) fn last_view(log: &str) -> Option<(u64, Vec<u8>)> {
+/// A view of the core, as a machine logs that it has installed it.
+pub(crate) struct View {
+    pub(crate) epoch: u64,
+    /// The last bytes of the members' addresses, head first.
+    pub(crate) chain: Vec<u8>,
+}
+
+/// The last view in a log.
+pub(crate) fn last_view(log: &str) -> Option<View> {
     let line = log
         .lines()
         .rev()
@@ -120,10 +127,10 @@
         .split(',')
         .map(member)
         .collect::<Option<Vec<u8>>>()
-        .map(|chain| (epoch, chain))
+        .map(|chain| View { epoch, chain })
 }
 
-/// The number behind the last `key` in a text.
+/// The number that follows the last `key` in a text.
 pub(crate) fn number_after(text: &str, key: &str) -> Option<u64> {
     let (_, rest) = text.rsplit_once(key)?;
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
--- a/crates/testing/local-tier/tests/tier.rs
+++ b/crates/testing/local-tier/tests/tier.rs
@@ -1,11 +1,11 @@
-//! The whole path over loopback: real processes, stand-in replicas, one operator, clients.
+//! The complete path over loopback: real processes, stand-in replicas, an operator and clients.
 
 use std::time::Duration;
 use woadreach_local_tier::{
     Client, MachineClass, Operator, Tier, TierSize, built_programs, example,
 };
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const SMALL: TierSize = TierSize {
     edges: 2,
     core: 3,
@@ -34,7 +34,7 @@
     for answer in &answers {
         assert_eq!(answer.status, 200, "{}", logs(&tier));
         assert!(answer.signature.is_some());
-        let body = answer.body.as_ref().expect("a whole body");
+        let body = answer.body.as_ref().expect("a complete body");
         assert_eq!(body.matches("data: word-").count(), example::EVENTS);
     }
     let received: Vec<_> = replicas
@@ -73,7 +73,7 @@
         .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let client = Client::new(tier.fronts()[0]);
     let mut first = example::turn("p2", 0, None);
-    first.budget = Some(first.most + 1);
+    first.budget = Some(first.max_tokens + 1);
     assert_eq!(client.turn(&first).await.unwrap().status, 200);
     let mut second = example::turn("p2", 1, Some(0));
     second.budget = first.budget;
@@ -108,7 +108,7 @@
     tier.restart(MachineClass::Core, 1, true).await.unwrap();
     tier.restart(MachineClass::Storage, 1, true).await.unwrap();
     let operator = Operator::new(tier.control());
-    let status = operator.put(1, &example::configuration(5), PATIENCE).await;
+    let status = operator.put(1, &example::configuration(5), TIMEOUT).await;
     assert_eq!(
         status.map(|s| s.as_u16()).ok(),
         Some(200),
@@ -116,7 +116,7 @@
         logs(&tier)
     );
     let again = operator
-        .put(1, &example::configuration(5), PATIENCE)
+        .put(1, &example::configuration(5), TIMEOUT)
         .await
         .unwrap();
     assert_eq!(
@@ -125,7 +125,7 @@
         "the same order again is acknowledged again"
     );
     let other = operator
-        .put(1, &example::configuration(6), PATIENCE)
+        .put(1, &example::configuration(6), TIMEOUT)
         .await
         .unwrap();
     assert_eq!(
@@ -161,7 +161,7 @@
             tier.restart(class, index, false).await.unwrap();
         }
     }
-    tier.wait_until_ready(PATIENCE)
+    tier.wait_until_ready(TIMEOUT)
         .await
         .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
     let read = Operator::new(tier.control())
