--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -18,6 +18,7 @@
 mod settings;
 mod shrink;
 mod sockets;
+mod time;
 mod world;
 
 pub use digest::digest;
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -31,13 +31,13 @@
 
 /// The names of all mutations.
 pub fn names() -> Vec<&'static str> {
-    MUTATIONS.iter().map(|p| p.0).collect()
+    MUTATIONS.iter().map(|(name, _)| *name).collect()
 }
 
 /// Plays seeds with one defence off until a rule breaks; shrinks the script if `smaller`. None if there is no
 /// such mutation.
 pub fn hunt(name: &str, seeds: Range<u64>, smaller: bool) -> Option<Hunted> {
-    let (name, defence) = *MUTATIONS.iter().find(|p| p.0 == name)?;
+    let (name, defence) = *MUTATIONS.iter().find(|(known, _)| *known == name)?;
     let mut hunted = Hunted {
         mutation: name,
         defence,
@@ -48,8 +48,7 @@
     };
     mutate(Some(name));
     for seed in seeds.clone() {
-        let tier = TIER_MUTATIONS.contains(&name);
-        let script = if tier {
+        let script = if TIER_MUTATIONS.contains(&name) {
             Script::draw_tier(seed)
         } else {
             Script::draw(seed, &[], None)
@@ -62,7 +61,8 @@
             },
         );
         if let Some(breach) = outcome.breaches.first() {
-            (hunted.seed, hunted.after) = (Some(seed), seed - seeds.start + 1);
+            hunted.seed = Some(seed);
+            hunted.after = seed - seeds.start + 1;
             hunted.rule = Some(breach.rule.to_string());
             hunted.small = if smaller {
                 shrink(&script, |_, _| {})
--- a/crates/testing/simulation/src/network/connect.rs
+++ b/crates/testing/simulation/src/network/connect.rs
@@ -32,10 +32,10 @@
 }
 
 fn complete(connecting: &SharedConnecting, result: io::Result<SimStream>) {
-    let mut c = connecting.borrow_mut();
-    c.result = Some(result);
-    let waker = c.waker.take();
-    drop(c);
+    let mut state = connecting.borrow_mut();
+    state.result = Some(result);
+    let waker = state.waker.take();
+    drop(state);
     if let Some(waker) = waker {
         waker.wake();
     }
@@ -51,11 +51,11 @@
         let connecting = SharedConnecting::default();
         self.send_syn(from, to, &connecting, 0);
         poll_fn(|cx| {
-            let mut c = connecting.borrow_mut();
-            match c.result.take() {
+            let mut state = connecting.borrow_mut();
+            match state.result.take() {
                 Some(result) => Poll::Ready(result),
                 None => {
-                    c.waker = Some(cx.waker().clone());
+                    state.waker = Some(cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -63,6 +63,7 @@
         .await
     }
 
+    /// Sends a SYN after this number of retransmissions.
     fn send_syn(
         &self,
         from: ProcessId,
@@ -92,7 +93,8 @@
             }
             return;
         };
-        let (there, back) = (self.latency(from, machine), self.latency(machine, from));
+        let there = self.latency(from, machine);
+        let back = self.latency(machine, from);
         match queue {
             Some(queue) if !queue.is_full(self.0.config.backlog) => {
                 self.establish(from, queue, connecting.clone(), there, back);
@@ -116,7 +118,8 @@
         connecting: &SharedConnecting,
         retries: u32,
     ) {
-        let (network, connecting) = (self.clone(), connecting.clone());
+        let network = self.clone();
+        let connecting = connecting.clone();
         self.0.clock.call_at(self.now() + after, move || {
             network.send_syn(from, to, &connecting, retries + 1);
         });
@@ -132,7 +135,8 @@
         there: Nanos,
         back: Nanos,
     ) {
-        let (network, sent_at) = (self.clone(), self.now());
+        let network = self.clone();
+        let sent_at = self.now();
         self.0.clock.call_at(sent_at + there, move || {
             if !network.0.clock.alive(queue.process) {
                 return refuse(&connecting);
--- a/crates/testing/simulation/src/network/link.rs
+++ b/crates/testing/simulation/src/network/link.rs
@@ -1,10 +1,10 @@
-//! Links between machines: latency, isolation and partitions.
+//! Links between machines: their latency, the isolation of a machine, and partitions between zones.
 
 use super::{Network, Partition, Zone};
 use crate::clock::{MILLISECOND, Nanos, ProcessId};
 use rand::RngExt;
 
-/// How long after a partition ends what was lost in it is sent again.
+/// Time from the end of a partition until what was lost in it is retransmitted.
 const RETRANSMIT_TIMEOUT: Nanos = 50 * MILLISECOND;
 
 impl Network {
@@ -35,7 +35,7 @@
         self.retransmit();
     }
 
-    /// Sends again what could not be delivered.
+    /// Retransmits what could not be delivered.
     fn retransmit(&self) {
         let pipes = std::mem::take(&mut *self.0.blocked_pipes.borrow_mut());
         for pipe in pipes {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A number below `bound`; 0 if that is 0.
+    /// A random number below `bound`; 0 if that is 0.
     pub(super) fn draw(&self, bound: u64) -> u64 {
         if bound == 0 {
             0
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether something happens that happens in this share of the cases.
+    /// Draws whether something happens that has this probability.
     pub(super) fn happens(&self, share: f64) -> bool {
         share > 0.0 && self.0.rng.borrow_mut().random_bool(share.min(1.0))
     }
--- a/crates/testing/simulation/src/network/pipe.rs
+++ b/crates/testing/simulation/src/network/pipe.rs
@@ -3,6 +3,7 @@
 
 use super::Network;
 use crate::clock::{Nanos, ProcessId};
+use crate::time::NANOS_PER_SECOND;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
@@ -10,17 +11,17 @@
 
 /// Chunks whose arrival times a connection remembers.
 const MAX_ARRIVALS: usize = 64;
-/// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
 
 /// What is transmitted at once.
 enum Chunk {
     Bytes(Vec<u8>),
+    /// The end of the stream, as TCP's FIN.
     End,
+    /// As TCP's RST.
     Reset,
 }
 
-/// A chunk on its way.
+/// A chunk in flight.
 struct InFlight {
     arrives_at: Nanos,
     chunk: Chunk,
@@ -42,23 +43,28 @@
     opposite: RefCell<Weak<Pipe>>,
 }
 
+/// The state of one direction, at both of its ends.
 #[derive(Default)]
 pub(super) struct PipeState {
-    /// Written and not yet transmitted.
+    /// Written and not yet transmitted; bounded by the configured send buffer.
     pub(super) outgoing: VecDeque<u8>,
+    /// Transmitted and not yet received, in the order of arrival.
     in_flight: VecDeque<InFlight>,
+    /// Bytes of `in_flight`. Together with `received` they never exceed the configured receive buffer.
     bytes_in_flight: usize,
+    /// When the chunk that was transmitted last arrives; no later one arrives before it.
     last_arrival: Nanos,
     /// Received and not yet read.
     pub(super) received: Vec<u8>,
+    /// When the last bytes were received, or the connection was opened.
     pub(super) last_data_at: Nanos,
-    /// The arrivals of the last chunks.
+    /// The arrivals of the last chunks, oldest first.
     pub(super) arrivals: VecDeque<Arrival>,
     /// The receiver has got the end of the stream.
     pub(super) ended: bool,
     /// The receiver has got a reset.
     pub(super) reset: bool,
-    /// The writer has closed the stream.
+    /// The writer has closed the stream; its end is sent after the last outgoing byte.
     pub(super) close_requested: bool,
     end_sent: bool,
     reset_sent: bool,
@@ -66,7 +72,9 @@
     pub(super) broken: bool,
     /// The receiver has dropped its end.
     pub(super) reader_dropped: bool,
+    /// Woken when there is something to read.
     pub(super) reader: Option<Waker>,
+    /// Woken when the send buffer has capacity again, or writes fail.
     pub(super) writer: Option<Waker>,
 }
 
@@ -94,7 +102,7 @@
         self.opposite.borrow().upgrade()
     }
 
-    /// Makes writes fail and wakes who waits to write.
+    /// Makes all writes fail, those that wait included.
     fn break_writes(&self) {
         let mut p = self.state.borrow_mut();
         p.broken = true;
@@ -122,7 +130,7 @@
     /// Receives the chunks that have arrived by `now`. Returns whether to answer with a reset, because the receiver has
     /// dropped its end.
     fn receive(&mut self, now: Nanos) -> bool {
-        let mut unwanted = false;
+        let mut needs_reset = false;
         while self.in_flight.front().is_some_and(|f| f.arrives_at <= now)
             && let Some(arrived) = self.in_flight.pop_front()
         {
@@ -131,7 +139,7 @@
                     self.bytes_in_flight -= bytes.len();
                     self.record_arrival(bytes.len(), now);
                     if self.reader_dropped {
-                        unwanted = true;
+                        needs_reset = true;
                     } else if !self.reset {
                         self.received.extend(bytes);
                     }
@@ -140,7 +148,7 @@
                 Chunk::Reset => self.reset = true,
             }
         }
-        unwanted
+        needs_reset
     }
 }
 
@@ -183,12 +191,13 @@
         } else {
             0
         };
-        let transmission = (size as f64 / self.0.config.bandwidth * SECOND) as Nanos;
+        let transmission = (size as f64 / self.0.config.bandwidth * NANOS_PER_SECOND) as Nanos;
         let arrives_at =
             (self.now() + self.latency(pipe.from, pipe.to) + transmission).max(p.last_arrival);
         p.last_arrival = arrives_at;
         p.in_flight.push_back(InFlight { arrives_at, chunk });
-        let (network, pipe) = (self.clone(), pipe.clone());
+        let network = self.clone();
+        let pipe = pipe.clone();
         self.0
             .clock
             .call_at(arrives_at, move || network.deliver(&pipe));
@@ -206,8 +215,9 @@
             self.0.blocked_pipes.borrow_mut().push(pipe.clone());
             return;
         }
-        let unwanted = p.receive(now);
-        let (reader, reset) = (p.reader.take(), p.reset);
+        let needs_reset = p.receive(now);
+        let reader = p.reader.take();
+        let reset = p.reset;
         drop(p);
         if let Some(waker) = reader {
             waker.wake();
@@ -215,7 +225,7 @@
         if reset && let Some(opposite) = pipe.opposite() {
             opposite.break_writes();
         }
-        if unwanted && let Some(opposite) = pipe.opposite() {
+        if needs_reset && let Some(opposite) = pipe.opposite() {
             self.send_reset(&opposite);
         }
     }
--- a/crates/testing/simulation/src/network/process.rs
+++ b/crates/testing/simulation/src/network/process.rs
@@ -1,10 +1,11 @@
-//! The network, the clock and the tasks of one simulated process.
+//! What a simulated process sees of its machine: the network, the clock and its tasks.
 
 use super::Network;
 use super::datagram::SimDatagrams;
 use super::listener::SimListener;
 use super::stream::SimStream;
 use crate::clock::{MILLISECOND, Nanos, ProcessId, Sleep};
+use crate::time::{NANOS_PER_SECOND, seconds};
 use std::future::{Future, poll_fn};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -18,8 +19,6 @@
 /// tokio's timers have a resolution of a millisecond and never fire early; those of a simulated process do
 /// likewise.
 const TIMER_RESOLUTION: Nanos = MILLISECOND;
-/// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
 
 /// The [`Net`] of a simulated process.
 #[derive(Clone)]
@@ -70,13 +69,13 @@
     type TaskHandle = SimTaskHandle;
 
     fn now(&self) -> f64 {
-        BEGIN + self.clock_offset() + self.network.now() as f64 / SECOND
+        BEGIN + self.clock_offset() + seconds(self.network.now())
     }
 
     async fn sleep_until(&self, time: f64) {
         let clock = &self.network.0.clock;
         while self.now() < time {
-            let wait = ((time - self.now()) * SECOND).ceil() as Nanos;
+            let wait = ((time - self.now()) * NANOS_PER_SECOND).ceil() as Nanos;
             let due = (clock.now() + wait).div_ceil(TIMER_RESOLUTION) * TIMER_RESOLUTION;
             Sleep::new(clock, due.max(clock.now() + 1)).await;
         }
@@ -92,9 +91,9 @@
     }
 
     async fn yield_now(&self) {
-        let mut turned = false;
+        let mut has_yielded = false;
         poll_fn(|cx| {
-            if std::mem::replace(&mut turned, true) {
+            if std::mem::replace(&mut has_yielded, true) {
                 return Poll::Ready(());
             }
             cx.waker().wake_by_ref();
--- a/crates/testing/simulation/src/network/stream.rs
+++ b/crates/testing/simulation/src/network/stream.rs
@@ -1,8 +1,9 @@
-//! The ends of a connection.
+//! The two ends of a connection: each reads from one pipe and writes to the other.
 
 use super::Network;
 use super::pipe::Pipe;
 use crate::clock::ProcessId;
+use crate::time::seconds;
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::io::{self, ErrorKind};
@@ -10,15 +11,14 @@
 use std::task::{Context, Poll};
 use woadreach_runtime::{Read, Stream, Write};
 
-/// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
-
 /// One end of a connection, which a stream shares with its halves.
 struct Connection {
     network: Network,
+    /// The process that has this end.
     process: ProcessId,
     input: Rc<Pipe>,
     output: Rc<Pipe>,
+    /// Whether dropping it resets the connection, rather than closing it after what was written.
     reset_on_drop: Cell<bool>,
 }
 
@@ -91,7 +91,7 @@
     /// Seconds since the last byte arrived.
     fn since_last_data(&self) -> f64 {
         let last = self.input.state.borrow().last_data_at;
-        (self.network.now() - last) as f64 / SECOND
+        seconds(self.network.now() - last)
     }
 }
 
@@ -197,7 +197,7 @@
             .iter()
             .find(|a| a.total_bytes + behind as u64 >= read)
             .map_or(p.last_data_at, |a| a.at);
-        (self.0.network.now() - since) as f64 / SECOND
+        seconds(self.0.network.now() - since)
     }
 }
 
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -11,7 +11,7 @@
 const WINDOW: f64 = 3.0;
 /// Seconds before the fault over which the earlier level is measured.
 const BASELINE_WINDOW: f64 = 5.0;
-/// The service is back when its level is at most so much lower than before.
+/// The service is back when its level is lower than before by at most this share.
 const TOLERANCE: f64 = 0.05;
 /// Seconds between two windows.
 const STEP: f64 = 0.25;
@@ -68,7 +68,8 @@
 }
 
 fn recovery(fault: &Fault, run_end: f64, searches: &[SearchOutcome], sent: &[f64]) -> Recovery {
-    let (begin, end) = (BEGIN + fault.at, BEGIN + fault.at + fault.duration);
+    let begin = BEGIN + fault.at;
+    let end = BEGIN + fault.at + fault.duration;
     let before = level(searches, begin - BASELINE_WINDOW, begin).unwrap_or(1.0);
     let back = back_at(searches, before, end, run_end);
     let until = back.unwrap_or(run_end).max(begin);
--- a/crates/testing/simulation/src/script/check.rs
+++ b/crates/testing/simulation/src/script/check.rs
@@ -7,7 +7,9 @@
 
 const MAX_CO_ORDINATORS: usize = 400;
 const MAX_REPLICAS: usize = 200;
+/// Longest time under load, and longest fault, in seconds.
 const MAX_SECONDS: f64 = 600.0;
+/// Most searches per second at each co-ordinator, as a mean.
 const MAX_RATE: f64 = 500.0;
 const MAX_FAULTS: usize = 64;
 const MAX_QUERY_TYPES: usize = 16;
@@ -135,7 +137,8 @@
         check_fleet(&self.fleet, self.replicas())?;
         check_load(&self.load, self.peers.as_ref())?;
         check_settings(&self.settings)?;
-        let (query_types, faults) = (self.query_types.len(), self.faults.len());
+        let query_types = self.query_types.len();
+        let faults = self.faults.len();
         count_within("the number of query types", query_types, 1, MAX_QUERY_TYPES)?;
         count_within("the number of faults", faults, 0, MAX_FAULTS)?;
         for (i, query_type) in self.query_types.iter().enumerate() {
--- a/crates/testing/simulation/src/script/draw_faults.rs
+++ b/crates/testing/simulation/src/script/draw_faults.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A fifth of the replicas crash together and warm up together.
+    /// Replicas crash together and warm up together.
     fn crash_together(&mut self, script: &Script, at: f64, duration: f64) -> Vec<Fault> {
         let mut replicas = self.some_replicas(script, 0.3);
         replicas.extend(self.some_replicas(script, 0.3));
@@ -156,7 +156,7 @@
         ]
     }
 
-    /// Co-ordinators have different lists.
+    /// Replicas drain while the endpoint lists of some co-ordinators are stale.
     fn drain_with_unresponsive_discovery(
         &mut self,
         script: &Script,
@@ -175,7 +175,7 @@
         ]
     }
 
-    /// What was written before the drain waits to be read.
+    /// Replicas drain while they are suspended, with parts that they have not read yet.
     fn drain_while_stalled(&mut self, script: &Script, at: f64, duration: f64) -> Vec<Fault> {
         let replicas = self.some_replicas(script, 0.3);
         let stall = FaultKind::StallReplicas {
@@ -225,7 +225,8 @@
     ) -> Vec<Fault> {
         let replicas = self.some_replicas(script, 1.0);
         let ignoring = FaultKind::IgnoreCancels { replicas };
-        let (replicas, factor) = (self.some_replicas(script, 0.5), 8.0);
+        let replicas = self.some_replicas(script, 0.5);
+        let factor = 8.0;
         vec![
             Fault::new(at, duration + 4.0, ignoring),
             Fault::new(at, duration, FaultKind::Slow { replicas, factor }),
@@ -260,7 +261,8 @@
     }
 
     fn overload_with_errors(&mut self, script: &Script, at: f64, duration: f64) -> Vec<Fault> {
-        let (replicas, share) = (self.some_replicas(script, 0.4), 0.3);
+        let replicas = self.some_replicas(script, 0.4);
+        let share = 0.3;
         let expensive = FaultKind::ExpensiveSearches { factor: 4.0 };
         vec![
             Fault::new(at, duration, expensive),
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -126,18 +126,18 @@
 }
 
 /// The settings of a co-ordinator, in the JSON of its configuration.
-fn settings_json(script: &Script, n: usize) -> String {
+fn settings_json(script: &Script, index: usize) -> String {
     let (s, f) = (&script.settings, &script.fleet);
     let zones: Vec<String> = (0..f.zones).map(|z| format!(r#""z{z}""#)).collect();
     format!(
-        r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{n},"zone":{},
+        r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{index},"zone":{},
 "domain":{{"sets":{},"span":{},"slices":{},"perCall":{},
 "classNeed":[{}],"classFloor":[{}],"classFetch":[{}]}},"limits":{{{}}},"clients":{{"marksRetry":{}}},
 "guarantees":{{{}}},
 "tenants":[{{"name":"acme","share":1.0}}],"requestClasses":[{}]}}"#,
         f.co_ordinators,
         zones.join(","),
-        n % f.zones,
+        index % f.zones,
         f.cells,
         f.span,
         f.shards,
@@ -168,7 +168,7 @@
 /// that it knows from the start.
 pub fn configuration(
     script: &Script,
-    n: usize,
+    index: usize,
     at: &CoordinatorAddresses,
     seed: u64,
     known: &str,
@@ -178,12 +178,12 @@
         .peer_listen
         .map_or(String::new(), |l| format!(r#""peer_listen":"{l}","#));
     format!(
-        r#"{{"name":"n{n}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
+        r#"{{"name":"n{index}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"known":{known},"settings":{}}}"#,
         at.listen,
         at.discovery,
         peers.join(","),
         script.settings.descriptors,
-        settings_json(script, n)
+        settings_json(script, index)
     )
 }
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -77,16 +77,17 @@
     let record = Rc::new(RefCell::new(record));
     let recorder = Record::recorder(&record, move || net.now());
     let replicas = (0..script.replicas())
-        .map(|r| start_replica(net, script, r, &recorder))
+        .map(|index| start_replica(net, script, index, &recorder))
         .collect::<io::Result<Vec<_>>>()?;
     let clients = (0..script.fleet.co_ordinators)
-        .map(|n| start_coordinator(net, script, n, &replicas, &recorder))
+        .map(|node| start_coordinator(net, script, node, &replicas, &recorder))
         .collect::<io::Result<Vec<_>>>()?;
     net.sleep(STARTUP_TIME).await;
-    let (names, end) = (Rc::new(Cell::new(0u64)), net.now() + script.seconds);
-    for (n, caller) in clients.iter().enumerate() {
+    let names = Rc::new(Cell::new(0u64));
+    let end = net.now() + script.seconds;
+    for (node, caller) in clients.iter().enumerate() {
         let (script, caller) = (script.clone(), caller.clone());
-        drop(net.spawn(load(net, script, caller, n, end, names.clone())));
+        drop(net.spawn(load(net, script, caller, node, end, names.clone())));
     }
     while net.now() < end + script.max_client_timeout() + QUIET_TIME {
         net.sleep(CHECK_INTERVAL).await;
@@ -99,13 +100,13 @@
 fn start_replica(
     net: Tokio,
     script: &Script,
-    r: usize,
+    index: usize,
     recorder: &Recorder,
 ) -> io::Result<RunningReplica> {
     let addresses = (0..script.fleet.co_ordinators)
-        .map(|n| Ok((NodeId(n), free_address()?)))
+        .map(|node| Ok((NodeId(node), free_address()?)))
         .collect::<io::Result<Vec<_>>>()?;
-    let name = format!("r{r}");
+    let name = format!("r{index}");
     let behaviour = Behaviour {
         cores: script.fleet.cores,
         queue_capacity: script.fleet.queue_capacity,
@@ -120,21 +121,21 @@
 fn start_agent(
     net: Tokio,
     script: &Script,
-    n: usize,
+    node: usize,
     address: SocketAddr,
     replicas: &[RunningReplica],
     recorder: &Recorder,
 ) -> io::Result<Agent> {
     let f = &script.fleet;
-    let agent = woadreach_fakes::discovery(&net, NodeId(n), address, None, recorder)?;
+    let agent = woadreach_fakes::discovery(&net, NodeId(node), address, None, recorder)?;
     let entries: Vec<ListEntry> = replicas
         .iter()
         .enumerate()
-        .map(|(r, replica)| ListEntry {
-            id: format!("r{r}"),
-            address: replica.addresses[n].1,
-            zone: format!("z{}", r % f.replicas % f.zones),
-            cell: (r / f.replicas) as u64,
+        .map(|(index, replica)| ListEntry {
+            id: format!("r{index}"),
+            address: replica.addresses[node].1,
+            zone: format!("z{}", index % f.replicas % f.zones),
+            cell: (index / f.replicas) as u64,
             lifecycle: "ready",
             started_at: 0.0,
         })
@@ -147,13 +148,14 @@
 fn start_coordinator(
     net: Tokio,
     script: &Script,
-    n: usize,
+    node: usize,
     replicas: &[RunningReplica],
     recorder: &Recorder,
 ) -> io::Result<Caller<Tokio>> {
-    let (discovery, listen) = (free_address()?, free_address()?);
-    let agent = start_agent(net, script, n, discovery, replicas, recorder)?;
-    let seed = seed_of(script.seed, &format!("node {n} 0"));
+    let discovery = free_address()?;
+    let listen = free_address()?;
+    let agent = start_agent(net, script, node, discovery, replicas, recorder)?;
+    let seed = seed_of(script.seed, &format!("node {node} 0"));
     // Its peers aren't started: `woadreach cluster` plays the network between zones.
     let addresses = CoordinatorAddresses {
         listen,
@@ -162,8 +164,8 @@
         peers: Vec::new(),
     };
     let source = ConfigSource {
-        path: format!("n{n}"),
-        text: configuration(script, n, &addresses, seed, &agent.known()),
+        path: format!("n{node}"),
+        text: configuration(script, node, &addresses, seed, &agent.known()),
         listen: None,
         discovery: None,
     };
@@ -182,7 +184,7 @@
         on_usage: Box::new(|_: &_| {}),
         on_verdict: Box::new(|_: &_| {}),
     };
-    let node = NodeId(n);
+    let node = NodeId(node);
     recorder.tell(EventKind::NodeStarted { node });
     let events = recorder.clone();
     drop(net.spawn(async move {
@@ -200,12 +202,12 @@
     net: Tokio,
     script: Script,
     caller: Caller<Tokio>,
-    n: usize,
+    node: usize,
     end: f64,
     names: Rc<Cell<u64>>,
 ) {
     let name = move || -> Arc<str> { format!("q{}", names.replace(names.get() + 1)).into() };
-    let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {n}")));
+    let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {node}")));
     let retry = Retry {
         times: script.load.retries,
         pause: script.load.retry_delay_s,
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -24,18 +24,22 @@
                 self.stall_coordinators(co_ordinators, duration);
             }
             FaultKind::StallReplicas { replicas } => {
-                for r in replicas {
-                    self.clock.stall(self.replicas[*r].process.get());
+                for index in replicas {
+                    self.clock.stall(self.replicas[*index].process.get());
                 }
             }
             FaultKind::KillCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.kill_coordinator(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.kill_coordinator(*index));
             }
             FaultKind::RestartCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.shut_down(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.shut_down(*index));
             }
             FaultKind::ReloadCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.reload(*n));
+                co_ordinators.iter().for_each(|index| self.reload(*index));
             }
             FaultKind::LoadBurst { factor } => self.load_factor.set(*factor),
             FaultKind::ExpensiveSearches { factor } => self.work_factor.set(*factor),
@@ -57,17 +61,19 @@
             FaultKind::StallCoordinators { co_ordinators } => {
                 co_ordinators
                     .iter()
-                    .filter_map(|n| self.coordinators[*n].process.get())
+                    .filter_map(|index| self.coordinators[*index].process.get())
                     .for_each(|process| self.clock.resume(process));
             }
             FaultKind::StallReplicas { replicas } => {
-                for r in replicas {
-                    self.clock.resume(self.replicas[*r].process.get());
+                for index in replicas {
+                    self.clock.resume(self.replicas[*index].process.get());
                 }
             }
             FaultKind::KillCoordinators { co_ordinators }
             | FaultKind::RestartCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.start_again(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.start_again(*index));
             }
             FaultKind::ReloadCoordinators { .. } => {}
             FaultKind::LoadBurst { .. } => self.load_factor.set(1.0),
@@ -116,18 +122,18 @@
     }
 
     fn isolate(&self, replicas: &[usize]) {
-        for r in replicas {
-            self.report_link(*r, true);
-            let process = self.replicas[*r].process.get();
+        for index in replicas {
+            self.report_link(*index, true);
+            let process = self.replicas[*index].process.get();
             self.network.set_isolated(process, true);
         }
     }
 
     fn reconnect(&self, replicas: &[usize]) {
-        for r in replicas {
-            let process = self.replicas[*r].process.get();
+        for index in replicas {
+            let process = self.replicas[*index].process.get();
             self.network.set_isolated(process, false);
-            self.report_link(*r, false);
+            self.report_link(*index, false);
         }
     }
 
@@ -146,15 +152,15 @@
     }
 
     fn set_discovery_unresponsive(&self, co_ordinators: &[usize], unresponsive: bool) {
-        for n in co_ordinators {
-            self.coordinators[*n].agent.silence(unresponsive);
+        for index in co_ordinators {
+            self.coordinators[*index].agent.silence(unresponsive);
         }
     }
 
     fn stall_coordinators(&self, co_ordinators: &[usize], seconds: f64) {
-        for n in co_ordinators {
-            if let Some(process) = self.coordinators[*n].process.get() {
-                let node = NodeId(*n);
+        for index in co_ordinators {
+            if let Some(process) = self.coordinators[*index].process.get() {
+                let node = NodeId(*index);
                 self.recorder.tell(EventKind::Stalled { node, seconds });
                 self.clock.stall(process);
             }
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -25,7 +25,7 @@
 
     /// Records what is still in memory at the end of a run.
     pub(super) fn report_leaks(&self) {
-        for (n, coordinator) in self.coordinators.iter().enumerate() {
+        for (index, coordinator) in self.coordinators.iter().enumerate() {
             if coordinator.process.get().is_none() {
                 continue;
             }
@@ -38,7 +38,7 @@
                 usage.request_bytes,
             ];
             if counts.iter().any(|count| *count > 0) {
-                self.report_leak(n, format!("all is quiet, and it holds {usage:?}"));
+                self.report_leak(index, format!("all is quiet, and it holds {usage:?}"));
             }
         }
         let owed = self.record.borrow().owed();
--- a/crates/testing/simulation/src/world/malformed_clients.rs
+++ b/crates/testing/simulation/src/world/malformed_clients.rs
@@ -29,14 +29,14 @@
 
 impl World {
     /// Starts the clients that send malformed requests to a co-ordinator while a fault says so.
-    pub(super) fn start_malformed_clients(self: &Rc<Self>, n: usize) {
-        let net = self.coordinators[n].clients_net();
-        drop(net.spawn(self.clone().send_malformed_requests(n)));
+    pub(super) fn start_malformed_clients(self: &Rc<Self>, index: usize) {
+        let net = self.coordinators[index].clients_net();
+        drop(net.spawn(self.clone().send_malformed_requests(index)));
     }
 
-    async fn send_malformed_requests(self: Rc<Self>, n: usize) {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed_of(self.script.seed, &format!("rude {n}")));
-        let net = self.coordinators[n].clients_net().clone();
+    async fn send_malformed_requests(self: Rc<Self>, index: usize) {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed_of(self.script.seed, &format!("rude {index}")));
+        let net = self.coordinators[index].clients_net().clone();
         while self.clients_active.get() {
             let rate = self.malformed_rate.get();
             let pause = if rate > 0.0 {
@@ -45,17 +45,24 @@
                 IDLE_INTERVAL
             };
             net.sleep(pause).await;
-            if rate > 0.0 && self.coordinators[n].in_rotation.get() {
+            if rate > 0.0 && self.coordinators[index].in_rotation.get() {
                 let request = REQUESTS[rng.random_range(0..REQUESTS.len())];
-                let client = self.clone().run_malformed_client(net.clone(), n, request);
+                let client = self
+                    .clone()
+                    .run_malformed_client(net.clone(), index, request);
                 drop(net.spawn(client));
             }
         }
     }
 
     /// Sends one malformed request, and reports a co-ordinator that serves it or doesn't end it.
-    async fn run_malformed_client(self: Rc<Self>, net: SimNet, n: usize, request: &'static [u8]) {
-        let coordinator = &self.coordinators[n];
+    async fn run_malformed_client(
+        self: Rc<Self>,
+        net: SimNet,
+        index: usize,
+        request: &'static [u8],
+    ) {
+        let coordinator = &self.coordinators[index];
         let connect = net.connect(coordinator.address);
         let Ok(Ok(mut stream)) = net.timeout(CONNECT_TIMEOUT, connect).await else {
             return;
@@ -83,7 +90,7 @@
         };
         let shown = &request[..request.len().min(MAX_REPORTED_BYTES)];
         let shown = String::from_utf8_lossy(shown);
-        self.report_leak(n, format!("a client that sent {shown:?} {reason}"));
+        self.report_leak(index, format!("a client that sent {shown:?} {reason}"));
     }
 
     /// Whether the script suspends co-ordinators, which excuses late responses.
--- a/crates/testing/simulation/src/world/mod.rs
+++ b/crates/testing/simulation/src/world/mod.rs
@@ -1,8 +1,13 @@
 //! A world: co-ordinators, replicas, clients and discovery on one virtual clock, driven by a script.
 //!
-//! [`play`] builds it (`setup`), schedules the script (`schedule`) and runs the clock until all is quiet.
-//! `faults` says what each fault does; `coordinators`, `replicas` and `clients` are the parties; `leaks` looks
-//! for what is left at the end.
+//! [`play`] builds it (`setup`), schedules the script (`schedule`) and runs the clock until no search is in flight and
+//! idle connections are closed. The co-ordinators run the code of `woadreachd`; everything else is simulated:
+//!
+//! - `coordinators`: their processes, and the load balancer's view of them;
+//! - `replicas`: scripted processes, and their entries in the endpoint lists;
+//! - `clients` and `malformed_clients`: the searches of the load, and requests that no client should send;
+//! - `faults`: what each fault changes, and what its end restores;
+//! - `leaks`: panics, and what is still in memory at the end.
 
 use crate::clock::{Clock, MILLISECOND, Nanos, ProcessId};
 use crate::network::{BEGIN, Network, SimNet};
@@ -11,6 +16,7 @@
 use crate::recovery::recoveries;
 use crate::script::Script;
 use crate::settings::terms;
+use crate::time::{nanos, seconds};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,12 +38,11 @@
 const REPLICAS_PORT: u16 = 9000;
 const DISCOVERY_PORT: u16 = 8500;
 const PEERS_PORT: u16 = 7946;
-/// How often the rules are checked for what is overdue, beside every event.
+/// Time between two checks of what is overdue. Rules are checked at every event as well.
 const CHECK_INTERVAL: Nanos = 100 * MILLISECOND;
-/// Seconds after the last search's deadline: two reports of a co-ordinator, and what it closes when idle.
+/// Seconds from the last search's deadline to the end of the run: time for two usage reports of a co-ordinator, and for
+/// it to close idle connections.
 const QUIET_TIME: f64 = 11.0;
-/// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
 
 /// How a script is played.
 #[derive(Clone, Copy, Debug, Default)]
@@ -48,36 +53,49 @@
     pub stop_at_breach: bool,
 }
 
-/// A co-ordinator, over all of its processes.
+/// A co-ordinator, which may have several processes one after the other.
 struct Coordinator {
+    /// Its running process.
     process: Cell<Option<ProcessId>>,
+    /// Where it accepts clients.
     address: SocketAddr,
     clients: Caller<SimNet>,
     /// Whether the load balancer in front of it sends it clients.
     in_rotation: Cell<bool>,
+    /// Its discovery agent.
     agent: Agent,
+    /// The process in which the agent listens now.
     agent_process: Cell<ProcessId>,
+    /// Deliver signals to the running process.
     sighup: RefCell<Option<mpsc::UnboundedSender<()>>>,
     sigterm: RefCell<Option<mpsc::UnboundedSender<()>>>,
+    /// What it last reported to have in memory.
     usage: Rc<Cell<Usage>>,
+    /// How many processes it has had.
     starts: Cell<u64>,
 }
 
-/// A place in the fleet for a replica, over all of its processes.
+/// A replica's position in the fleet, which may have several processes one after the other.
 struct ReplicaSlot {
+    /// The replica's identifier; a replacement has another one.
     name: RefCell<String>,
     zone: usize,
+    /// The shard group, by its number.
     cell: u64,
+    /// Its last process, which runs if `alive`.
     process: Cell<ProcessId>,
     /// Where each co-ordinator reaches it.
     addresses: RefCell<Vec<(NodeId, SocketAddr)>>,
+    /// Changes the behaviour of the process.
     handle: RefCell<Replica<SimNet>>,
     alive: Cell<bool>,
-    /// Unix seconds; 0 if it was there before the run.
+    /// When the process started, in Unix seconds; 0 if it was there before the run.
     started_at: Cell<f64>,
+    /// How many processes it has had.
     starts: Cell<u64>,
 }
 
+/// All parties of a run and the state of its faults.
 struct World {
     script: Script,
     clock: Clock,
@@ -86,22 +104,21 @@
     recorder: Recorder,
     coordinators: Vec<Coordinator>,
     replicas: Vec<ReplicaSlot>,
-    /// How many times as many searches arrive now.
+    /// The present rate of searches as a multiple of the script's.
     load_factor: Cell<f64>,
-    /// How many times as much a search costs now.
+    /// The present work of a search as a multiple of the script's.
     work_factor: Cell<f64>,
-    /// Malformed requests per second at each co-ordinator now.
+    /// The present number of malformed requests per second at each co-ordinator.
     malformed_rate: Cell<f64>,
+    /// How many searches have been named, retries included.
     searches: Cell<u64>,
+    /// Whether clients still send searches.
     clients_active: Cell<bool>,
+    /// The verdicts on zones that co-ordinators have adopted.
     verdicts: RefCell<Vec<VerdictAdoption>>,
 }
 
-fn nanos(seconds: f64) -> Nanos {
-    (seconds.max(0.0) * SECOND).round() as Nanos
-}
-
-/// Plays a script from its beginning until all is quiet.
+/// Plays a script from its beginning until no search is in flight.
 pub fn play(script: &Script, options: Options) -> Outcome {
     let record = Record::new(terms(script), script.latency_targets(), options.trace);
     let record = Rc::new(RefCell::new(record));
@@ -123,21 +140,21 @@
         verdicts: world.verdicts.take(),
         recoveries: recoveries(script, &record.served(), &record.attempts_received_at),
         trace: record.trace.take().unwrap_or_default(),
-        ..Outcome::of_record(script.seed, ended_at as f64 / SECOND, &record)
+        ..Outcome::of_record(script.seed, seconds(ended_at), &record)
     }
 }
 
 impl World {
-    /// Runs the clock until all is quiet after `last`, in seconds, or until the first breach, if wanted.
-    /// Returns when it ended.
-    fn run(&self, last: f64, stop_at_breach: bool) -> Nanos {
-        let end = nanos(last + QUIET_TIME);
+    /// Runs the clock until [`QUIET_TIME`] after the last deadline, in seconds, or with `stop_at_breach` until the first
+    /// breach. Returns when it ended.
+    fn run(&self, last_deadline: f64, stop_at_breach: bool) -> Nanos {
+        let end = nanos(last_deadline + QUIET_TIME);
         let mut at = 0;
         let stopped = || stop_at_breach && !self.record.borrow().breaches.is_empty();
         while at < end && !stopped() {
             at += CHECK_INTERVAL;
             self.clock.run_until(at);
-            self.record.borrow_mut().tick(BEGIN + at as f64 / SECOND);
+            self.record.borrow_mut().tick(BEGIN + seconds(at));
             self.report_panics();
         }
         if at >= end {
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -1,8 +1,9 @@
 //! The replicas of a world: their processes, their entries in endpoint lists, and their behaviour.
 
-use super::{World, nanos};
+use super::World;
 use crate::clock::MILLISECOND;
 use crate::network::{Zone, address, seed_of};
+use crate::time::nanos;
 use std::rc::Rc;
 use woadreach_fakes::{Behaviour, ListEntry, Recorder, WarmUp};
 use woadreach_invariants::EventKind;
@@ -17,13 +18,13 @@
         replicas
             .iter()
             .copied()
-            .filter(|r| self.replicas[*r].alive.get() == alive)
+            .filter(|index| self.replicas[*index].alive.get() == alive)
             .collect()
     }
 
     /// Starts a replica's process at the addresses that it had. It warms up, if the settings say how.
-    pub(super) fn start_replica(&self, r: usize, warming_up: bool) {
-        let slot = &self.replicas[r];
+    pub(super) fn start_replica(&self, index: usize, warming_up: bool) {
+        let slot = &self.replicas[index];
         self.network.kill(slot.process.get());
         let net = self.network.add_machine(Zone(slot.zone), 0.0);
         slot.process.set(net.process());
@@ -58,16 +59,17 @@
 
     /// Kills replicas, and lists them as departed after a delay.
     pub(super) fn crash_replicas(self: &Rc<Self>, replicas: &[usize], listed_after_s: f64) {
-        for r in self.with_liveness(replicas, true) {
-            let slot = &self.replicas[r];
+        for index in self.with_liveness(replicas, true) {
+            let slot = &self.replicas[index];
             slot.alive.set(false);
             self.network.kill(slot.process.get());
-            let (world, start) = (self.clone(), slot.starts.get());
+            let world = self.clone();
+            let start = slot.starts.get();
             let listed_at = self.clock.now() + nanos(listed_after_s);
             self.clock.call_at(listed_at, move || {
-                let slot = &world.replicas[r];
+                let slot = &world.replicas[index];
                 if !slot.alive.get() && slot.starts.get() == start {
-                    world.list(&[r], "gone");
+                    world.list(&[index], "gone");
                 }
             });
         }
@@ -75,12 +77,12 @@
 
     /// Starts crashed replicas again, and lists them as ready a little later.
     pub(super) fn restart_replicas(self: &Rc<Self>, replicas: &[usize]) {
-        for r in self.with_liveness(replicas, false) {
-            self.start_replica(r, true);
+        for index in self.with_liveness(replicas, false) {
+            self.start_replica(index, true);
             let world = self.clone();
             let listed_at = self.clock.now() + nanos(LISTING_DELAY);
             self.clock
-                .call_at(listed_at, move || world.list(&[r], "ready"));
+                .call_at(listed_at, move || world.list(&[index], "ready"));
         }
     }
 
@@ -91,18 +93,18 @@
 
     /// Replaces drained replicas by processes on other machines under other names.
     pub(super) fn replace_replicas(&self, replicas: &[usize]) {
-        for r in self.with_liveness(replicas, true) {
-            let slot = &self.replicas[r];
+        for index in self.with_liveness(replicas, true) {
+            let slot = &self.replicas[index];
             let old = slot.process.get();
-            self.list(&[r], "gone");
-            *slot.name.borrow_mut() = format!("r{r}.{}", slot.starts.get());
+            self.list(&[index], "gone");
+            *slot.name.borrow_mut() = format!("r{index}.{}", slot.starts.get());
             let net = self.network.add_machine(Zone(slot.zone), 0.0);
             for (_, replica_address) in slot.addresses.borrow_mut().iter_mut() {
                 *replica_address = address(net.process(), replica_address.port());
             }
             slot.process.set(net.process());
-            self.start_replica(r, true);
-            self.list(&[r], "ready");
+            self.start_replica(index, true);
+            self.list(&[index], "ready");
             let network = self.network.clone();
             let killed_at = self.clock.now() + 1000 * MILLISECOND;
             self.clock.call_at(killed_at, move || network.kill(old));
@@ -110,11 +112,11 @@
     }
 
     /// A replica's entry in a co-ordinator's endpoint list.
-    fn list_entry(&self, r: usize, n: usize, lifecycle: &'static str) -> ListEntry {
-        let slot = &self.replicas[r];
+    fn list_entry(&self, index: usize, node: usize, lifecycle: &'static str) -> ListEntry {
+        let slot = &self.replicas[index];
         ListEntry {
             id: slot.name.borrow().clone(),
-            address: slot.addresses.borrow()[n].1,
+            address: slot.addresses.borrow()[node].1,
             zone: format!("z{}", slot.zone),
             cell: slot.cell,
             lifecycle,
@@ -124,10 +126,10 @@
 
     /// Lists replicas in this state for every co-ordinator.
     pub(super) fn list(&self, replicas: &[usize], lifecycle: &'static str) {
-        for (n, coordinator) in self.coordinators.iter().enumerate() {
+        for (node, coordinator) in self.coordinators.iter().enumerate() {
             let entries: Vec<ListEntry> = replicas
                 .iter()
-                .map(|r| self.list_entry(*r, n, lifecycle))
+                .map(|index| self.list_entry(*index, node, lifecycle))
                 .collect();
             coordinator.agent.change(&entries);
         }
@@ -135,24 +137,25 @@
 
     /// Changes the behaviour of replicas.
     pub(super) fn change_behaviour(&self, replicas: &[usize], change: impl Fn(&mut Behaviour)) {
-        for r in replicas {
-            self.replicas[*r].handle.borrow().change(&change);
+        for index in replicas {
+            self.replicas[*index].handle.borrow().change(&change);
         }
     }
 
     /// Records that what a replica is sent may be delayed from now on, or no longer is.
-    pub(super) fn report_link(&self, r: usize, is_blocked: bool) {
+    pub(super) fn report_link(&self, index: usize, is_blocked: bool) {
+        let replica = self.replicas[index].name.borrow().as_str().into();
         self.recorder.tell(EventKind::LinkBlocked {
-            replica: self.replicas[r].name.borrow().as_str().into(),
+            replica,
             held: is_blocked,
         });
     }
 
     /// Records the same for all replicas of these zones.
     pub(super) fn report_links_of(&self, zones: &[usize], is_blocked: bool) {
-        for (r, slot) in self.replicas.iter().enumerate() {
+        for (index, slot) in self.replicas.iter().enumerate() {
             if zones.contains(&slot.zone) {
-                self.report_link(r, is_blocked);
+                self.report_link(index, is_blocked);
             }
         }
     }
--- a/crates/testing/simulation/src/world/schedule.rs
+++ b/crates/testing/simulation/src/world/schedule.rs
@@ -1,6 +1,7 @@
-//! What happens when in a run.
+//! The schedule of a run: its parties start, faults begin and end, and the load ends.
 
-use super::{World, nanos};
+use super::World;
+use crate::time::nanos;
 use std::rc::Rc;
 
 impl World {
@@ -8,10 +9,10 @@
     pub(super) fn schedule(self: &Rc<Self>) {
         let all: Vec<usize> = (0..self.replicas.len()).collect();
         self.list(&all, "ready");
-        for n in 0..self.coordinators.len() {
-            self.start_coordinator(n);
-            self.start_clients(n);
-            self.start_malformed_clients(n);
+        for index in 0..self.coordinators.len() {
+            self.start_coordinator(index);
+            self.start_clients(index);
+            self.start_malformed_clients(index);
         }
         self.schedule_faults();
         let world = self.clone();
@@ -28,19 +29,21 @@
 
     fn schedule_faults(self: &Rc<Self>) {
         for fault in self.script.faults.clone() {
-            let (world, kind) = (self.clone(), fault.kind.clone());
+            let world = self.clone();
+            let kind = fault.kind.clone();
             self.clock.call_at(nanos(fault.at), move || {
                 world.inject(&kind, fault.duration);
             });
-            let (world, kind) = (self.clone(), fault.kind);
+            let world = self.clone();
+            let lifted_at = nanos(fault.at + fault.duration);
             self.clock
-                .call_at(nanos(fault.at + fault.duration), move || world.lift(&kind));
+                .call_at(lifted_at, move || world.lift(&fault.kind));
         }
     }
 
     fn close_idle_connections(&self) {
         self.coordinators
             .iter()
-            .for_each(|n| n.clients.close_idle());
+            .for_each(|coordinator| coordinator.clients.close_idle());
     }
 }
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -1,10 +1,11 @@
-//! Building a world.
+//! Building a world: its machines, agents and replicas. The co-ordinators are started by the schedule.
 
-use super::{CLIENTS_PORT, Coordinator, DISCOVERY_PORT, REPLICAS_PORT, ReplicaSlot, World, nanos};
+use super::{CLIENTS_PORT, Coordinator, DISCOVERY_PORT, REPLICAS_PORT, ReplicaSlot, World};
 use crate::clock::Clock;
 use crate::network::{BEGIN, LatencyRange, Network, NetworkConfig, SimNet, Zone, address, seed_of};
 use crate::record::Record;
 use crate::script::{CallsWhileUnresponsive, Script};
+use crate::time::{nanos, seconds};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -40,9 +41,9 @@
 }
 
 /// Starts the discovery agent of a co-ordinator on its own machine.
-fn start_agent(script: &Script, n: usize, net: &SimNet, recorder: &Recorder) -> Agent {
+fn start_agent(script: &Script, index: usize, net: &SimNet, recorder: &Recorder) -> Agent {
     let place = address(net.process(), DISCOVERY_PORT);
-    let agent = woadreach_fakes::discovery(net, NodeId(n), place, None, recorder);
+    let agent = woadreach_fakes::discovery(net, NodeId(index), place, None, recorder);
     // Nobody listens on a new machine yet.
     let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
     agent.calls_while_silent(script.fleet.calls_while_unresponsive.into());
@@ -52,12 +53,12 @@
 /// The machines of a co-ordinator, its clients and its discovery agent.
 fn add_coordinator(
     script: &Script,
-    n: usize,
+    index: usize,
     clock_offset: f64,
     network: &Network,
     recorder: &Recorder,
 ) -> Coordinator {
-    let zone = Zone(n % script.fleet.zones);
+    let zone = Zone(index % script.fleet.zones);
     let first = network.add_machine(zone, clock_offset);
     let clients = network.add_machine(zone, 0.0);
     let agent = network.add_machine(zone, 0.0);
@@ -65,9 +66,9 @@
     Coordinator {
         process: Cell::new(Some(first.process())),
         address: listen,
-        clients: Caller::new(&clients, NodeId(n), listen, recorder),
+        clients: Caller::new(&clients, NodeId(index), listen, recorder),
         in_rotation: Cell::new(false),
-        agent: start_agent(script, n, &agent, recorder),
+        agent: start_agent(script, index, &agent, recorder),
         agent_process: Cell::new(agent.process()),
         sighup: RefCell::default(),
         sigterm: RefCell::default(),
@@ -77,17 +78,17 @@
 }
 
 /// A replica's place, with a process that [`World::start_replica`] replaces.
-fn add_replica(script: &Script, r: usize, network: &Network) -> ReplicaSlot {
+fn add_replica(script: &Script, index: usize, network: &Network) -> ReplicaSlot {
     let f = &script.fleet;
-    let zone = r % f.replicas % f.zones;
+    let zone = index % f.replicas % f.zones;
     let net = network.add_machine(Zone(zone), 0.0);
     let addresses: Vec<_> = (0..f.co_ordinators)
-        .map(|n| {
-            let port = REPLICAS_PORT + n as u16;
-            (NodeId(n), address(net.process(), port))
+        .map(|node| {
+            let port = REPLICAS_PORT + node as u16;
+            (NodeId(node), address(net.process(), port))
         })
         .collect();
-    let name = format!("r{r}");
+    let name = format!("r{index}");
     let behaviour = Behaviour {
         cores: f.cores,
         queue_capacity: f.queue_capacity,
@@ -99,7 +100,7 @@
     ReplicaSlot {
         name: RefCell::new(name),
         zone,
-        cell: (r / f.replicas) as u64,
+        cell: (index / f.replicas) as u64,
         process: Cell::new(net.process()),
         addresses: RefCell::new(addresses),
         handle: RefCell::new(handle.unwrap_or_else(|e| panic!("an address is taken: {e}"))),
@@ -116,17 +117,17 @@
         let seed = seed_of(script.seed, "network");
         let network = Network::new(&clock, seed, network_config(&script));
         let time = clock.clone();
-        let recorder = Record::recorder(&record, move || BEGIN + time.now() as f64 / super::SECOND);
+        let recorder = Record::recorder(&record, move || BEGIN + seconds(time.now()));
         let mut offsets = Pcg64Mcg::seed_from_u64(seed_of(script.seed, "clocks"));
         let coordinators = (0..script.fleet.co_ordinators)
-            .map(|n| {
+            .map(|index| {
                 let share = 2.0 * offsets.random::<f64>() - 1.0;
                 let offset = script.fleet.max_clock_offset * share;
-                add_coordinator(&script, n, offset, &network, &recorder)
+                add_coordinator(&script, index, offset, &network, &recorder)
             })
             .collect();
         let replicas = (0..script.replicas())
-            .map(|r| add_replica(&script, r, &network))
+            .map(|index| add_replica(&script, index, &network))
             .collect();
         let world = Rc::new(World {
             script,
@@ -144,8 +145,8 @@
             verdicts: RefCell::default(),
         });
         // Started again with the record, as replicas that had warmed up before the run.
-        for r in 0..world.replicas.len() {
-            world.start_replica(r, false);
+        for index in 0..world.replicas.len() {
+            world.start_replica(index, false);
         }
         world
     }
