--- a/crates/cli/src/faults/mutations.rs
+++ b/crates/cli/src/faults/mutations.rs
@@ -1,8 +1,6 @@
 //! `woadreach faults mutations`: switches known defences off, and says after how many seeds each is missed.
 
 use super::script::seeds;
-use crate::Verdict;
-use crate::error::CommandError;
 use crate::output::Format;
 use clap::Args;
 use std::ops::Range;
@@ -26,14 +24,22 @@
     format: Format,
 }
 
-/// There are no mutations in this build.
-#[cfg(not(feature = "mutations"))]
-pub(super) fn execute(_: &Arguments) -> Result<Verdict, CommandError> {
-    Err(CommandError::NoMutations)
-}
-
 #[cfg(feature = "mutations")]
 pub(super) use hunting::execute;
+#[cfg(not(feature = "mutations"))]
+pub(super) use without_mutations::execute;
+
+#[cfg(not(feature = "mutations"))]
+mod without_mutations {
+    use super::Arguments;
+    use crate::Verdict;
+    use crate::error::CommandError;
+
+    /// Fails, since this build has no mutations.
+    pub(crate) fn execute(_: &Arguments) -> Result<Verdict, CommandError> {
+        Err(CommandError::NoMutations)
+    }
+}
 
 #[cfg(feature = "mutations")]
 mod hunting {
--- a/crates/cli/src/faults/run.rs
+++ b/crates/cli/src/faults/run.rs
@@ -9,10 +9,13 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
-use std::ops::Range;
+use std::ops::{Range, RangeInclusive};
 use std::time::Instant;
 use woadreach_simulation::{Options, Outcome, play};
 
+/// The lengths of a run that `--until` accepts, in seconds.
+const UNTIL_SECONDS: RangeInclusive<f64> = 1.0..=600.0;
+
 #[derive(Args)]
 pub(crate) struct Arguments {
     /// From the first to before the last
@@ -38,7 +41,7 @@
     fn check(&self) -> Result<(), CommandError> {
         if self
             .until
-            .is_some_and(|seconds| !(1.0..=600.0).contains(&seconds))
+            .is_some_and(|seconds| !UNTIL_SECONDS.contains(&seconds))
         {
             return Err(CommandError::Usage {
                 option: "--until",
