--- a/crates/testing/local-tier/src/client.rs
+++ b/crates/testing/local-tier/src/client.rs
@@ -5,6 +5,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// How long a client waits for a complete answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+
 /// One turn of a program.
 #[derive(Clone, Debug)]
 pub struct TurnRequest {
@@ -54,23 +57,18 @@
 
     /// Sends a turn and reads the complete answer.
     pub async fn turn(&self, turn: &TurnRequest) -> Result<TurnAnswer, TierError> {
+        let tokens = format!("{},{}", turn.input.len(), turn.max_tokens);
         let mut call = self
             .client
-            .post(format!("http://{}{}", self.front, turn.path));
-        call = call
+            .post(format!("http://{}{}", self.front, turn.path))
             .header("host", &turn.host)
-            .header("request-id", &turn.request_id);
-        call = call
+            .header("request-id", &turn.request_id)
             .header("program", &turn.program)
-            .header("session", &turn.program);
-        call = call
+            .header("session", &turn.program)
             .header("model", "m")
             .header("timeout-ms", "5000")
-            .header("finish-ms", "20000");
-        call = call.header(
-            "token-usage",
-            format!("{},{}", turn.input.len(), turn.max_tokens),
-        );
+            .header("finish-ms", "20000")
+            .header("token-usage", tokens);
         if let Some(previous) = &turn.previous {
             call = call.header("previous", previous);
         }
@@ -87,13 +85,13 @@
         path: &str,
         request_id: &str,
     ) -> Result<TurnAnswer, TierError> {
-        let call = self.client.get(format!("http://{}{path}", self.front));
-        answer(
-            call.header("host", host)
-                .header("request-id", request_id)
-                .header("timeout-ms", "2000"),
-        )
-        .await
+        let call = self
+            .client
+            .get(format!("http://{}{path}", self.front))
+            .header("host", host)
+            .header("request-id", request_id)
+            .header("timeout-ms", "2000");
+        answer(call).await
     }
 
     /// Sends a request that may not be repeated and reads the complete answer.
@@ -106,22 +104,26 @@
         let call = self
             .client
             .post(format!("http://{}{path}", self.front))
-            .header("host", host);
-        let call = call
+            .header("host", host)
             .header("request-id", request_id)
             .header("timeout-ms", "3000");
         answer(call.body(request_id.to_owned())).await
     }
 }
 
+/// Sends a request and reads its answer.
 async fn answer(call: reqwest::RequestBuilder) -> Result<TurnAnswer, TierError> {
-    let response = call.timeout(Duration::from_secs(10)).send().await;
-    let response = response.context(RequestSnafu {
-        what: "a request to the tier",
-    })?;
+    let response = call
+        .timeout(ANSWER_TIMEOUT)
+        .send()
+        .await
+        .context(RequestSnafu {
+            what: "a request to the tier",
+        })?;
     let status = response.status().as_u16();
-    let signature = response.headers().get("response-signature");
-    let signature = signature
+    let signature = response
+        .headers()
+        .get("response-signature")
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
     Ok(TurnAnswer {
--- a/crates/testing/local-tier/src/example.rs
+++ b/crates/testing/local-tier/src/example.rs
@@ -3,7 +3,7 @@
 use crate::client::{Client, TurnAnswer, TurnRequest};
 use crate::error::TierError;
 use crate::operator::Operator;
-use crate::replica::{ReplicaKind, StandInReplica};
+use crate::replica::{FakeReplica, ReplicaKind};
 use crate::tier::Tier;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 }
 
 /// The replicas of both services.
-pub async fn replicas(control: &[SocketAddr]) -> Result<Vec<StandInReplica>, TierError> {
+pub async fn replicas(control: &[SocketAddr]) -> Result<Vec<FakeReplica>, TierError> {
     let model = ReplicaKind::Model {
         events: EVENTS,
         pause_ms: 5,
@@ -46,16 +46,16 @@
     let mut replicas = Vec::new();
     for index in 0..2 {
         let id = format!("i-model-{index}");
-        replicas.push(StandInReplica::start(&id, "model", model, control.to_vec()).await?);
+        replicas.push(FakeReplica::start(&id, "model", model, control.to_vec()).await?);
     }
     let plain =
-        StandInReplica::start("i-plain-0", "plain", ReplicaKind::Plain, control.to_vec()).await?;
+        FakeReplica::start("i-plain-0", "plain", ReplicaKind::Plain, control.to_vec()).await?;
     replicas.push(plain);
     Ok(replicas)
 }
 
 /// Sends the first configuration and waits until the edges are ready.
-pub async fn bring_up(tier: &Tier) -> Result<Vec<StandInReplica>, TierError> {
+pub async fn bring_up(tier: &Tier) -> Result<Vec<FakeReplica>, TierError> {
     let replicas = replicas(&tier.control()).await?;
     Operator::new(tier.control())
         .put(0, &configuration(1), TIMEOUT)
--- a/crates/testing/local-tier/src/lib.rs
+++ b/crates/testing/local-tier/src/lib.rs
@@ -1,4 +1,4 @@
-//! A complete serving tier on loopback, with stand-in replicas, an operator and clients.
+//! A complete serving tier on loopback, with fake replicas, an operator and clients.
 //!
 //! Every process of the tier is the built program with a settings file of its own and a loopback address of
 //! its own (127.77.x.y), so that ports are the same on all machines, as in production. Used by tests and by
@@ -27,6 +27,6 @@
 pub use operator::Operator;
 pub use process::NodeProcess;
 pub use programs::built_programs;
-pub use replica::{ReceivedRequest, ReplicaKind, ReplicaSocket, StandInReplica, chunks_of};
+pub use replica::{FakeReplica, ReceivedRequest, ReplicaKind, ReplicaSocket, chunks_of};
 pub use settings::{MachineClass, NodeSpec};
 pub use tier::{Tier, TierSize};
--- a/crates/testing/local-tier/src/operator.rs
+++ b/crates/testing/local-tier/src/operator.rs
@@ -39,11 +39,11 @@
             let call = self
                 .client
                 .put(format!("http://{control}/config"))
-                .header("if-match", base.to_string());
-            let call = call
+                .header("if-match", base.to_string())
                 .header("content-type", "application/json")
-                .body(body.to_owned());
-            if let Ok(response) = call.timeout(CALL_TIMEOUT).send().await
+                .body(body.to_owned())
+                .timeout(CALL_TIMEOUT);
+            if let Ok(response) = call.send().await
                 && (response.status().is_success() || is_final(response.status()))
             {
                 return Ok(response.status());
@@ -86,6 +86,7 @@
     }
 }
 
+/// Whether a rejection is final: another attempt would get the same answer.
 fn is_final(status: StatusCode) -> bool {
     matches!(status.as_u16(), 400 | 409 | 412 | 413 | 422)
 }
--- a/crates/testing/local-tier/src/replica.rs
+++ b/crates/testing/local-tier/src/replica.rs
@@ -21,8 +21,10 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The longest request body that a stand-in accepts, in bytes.
+/// The longest request body that a fake replica accepts, in bytes.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
+/// How long a heartbeat waits for its acknowledgement.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Header of an answer to a request that has not run.
 const NOT_EXECUTED: &str = "not-executed";
 
@@ -58,7 +60,7 @@
     format!("{request_id} {number}\n")
 }
 
-/// The socket of a stand-in, and where others reach it.
+/// The socket of a fake replica, and where others reach it.
 pub struct ReplicaSocket {
     /// Accepts the connections.
     pub listener: TcpListener,
@@ -66,7 +68,7 @@
     pub announced: SocketAddr,
 }
 
-/// A request that a stand-in has run.
+/// A request that a fake replica has run.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Method and path with query.
@@ -78,7 +80,7 @@
 }
 
 /// A replica on loopback, which ends with this value.
-pub struct StandInReplica {
+pub struct FakeReplica {
     /// Its id.
     pub id: String,
     /// Where others reach it.
@@ -97,7 +99,7 @@
     received: Mutex<Vec<ReceivedRequest>>,
 }
 
-impl StandInReplica {
+impl FakeReplica {
     /// Starts to serve and to send heartbeats to the first of `control` that acknowledges them.
     pub async fn start(
         id: &str,
@@ -142,7 +144,7 @@
             let _ = axum::serve(socket.listener, app).await;
         });
         let sending_heartbeats = tokio::spawn(send_heartbeats(shared.clone()));
-        StandInReplica {
+        FakeReplica {
             id: id.to_owned(),
             address,
             shared,
@@ -156,7 +158,7 @@
     }
 }
 
-impl Drop for StandInReplica {
+impl Drop for FakeReplica {
     fn drop(&mut self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
@@ -178,7 +180,7 @@
             let call = client
                 .put(url)
                 .json(&heartbeat)
-                .timeout(Duration::from_secs(1))
+                .timeout(HEARTBEAT_TIMEOUT)
                 .send()
                 .await;
             if call.is_ok_and(|response| response.status().is_success()) {
--- a/crates/testing/local-tier/src/settings.rs
+++ b/crates/testing/local-tier/src/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files of the processes.
+//! The settings files of the processes: their ports, addresses and limits.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Port of the clients' side of an edge.
+/// Port at which an edge accepts clients.
 pub(crate) const FRONT_PORT: u16 = 18149;
-/// Port of an edge's readiness.
+/// Port at which an edge reports whether it is ready.
 pub(crate) const READY_PORT: u16 = 18141;
 /// Port of the control interface of a core machine.
 pub(crate) const CONTROL_PORT: u16 = 18144;
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
 use woadreach_local_tier::{
-    Client, Operator, ReplicaKind, ReplicaSocket, StandInReplica, Tier, TierError, TurnAnswer,
+    Client, FakeReplica, Operator, ReplicaKind, ReplicaSocket, Tier, TierError, TurnAnswer,
     chunks_of, example,
 };
 use woadreach_process_tests::{Relay, ZonePair};
@@ -107,9 +107,9 @@
 }
 
 /// How often each request has run, over all replicas.
-fn runs(replicas: &[StandInReplica]) -> BTreeMap<String, usize> {
+fn runs(replicas: &[FakeReplica]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
-    for request in replicas.iter().flat_map(StandInReplica::received) {
+    for request in replicas.iter().flat_map(FakeReplica::received) {
         *runs.entry(request.request_id).or_default() += 1;
     }
     runs
@@ -152,7 +152,7 @@
 }
 
 /// Replicas that can be reached through the relay alone.
-async fn replicas_behind(relay: &Relay, tier: &Tier) -> Vec<StandInReplica> {
+async fn replicas_behind(relay: &Relay, tier: &Tier) -> Vec<FakeReplica> {
     let mut replicas = Vec::new();
     for index in 0..2 {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -160,7 +160,7 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let announced = relay.relay_connections(any, own, REQUESTS).await.unwrap();
         let id = format!("i-orders-{index}");
-        replicas.push(StandInReplica::start_at(
+        replicas.push(FakeReplica::start_at(
             &id,
             "orders",
             KIND,
--- a/crates/testing/local-tier/tests/tier.rs
+++ b/crates/testing/local-tier/tests/tier.rs
@@ -1,4 +1,4 @@
-//! The complete path over loopback: real processes, stand-in replicas, an operator and clients.
+//! The complete path over loopback: real processes, fake replicas, an operator and clients.
 
 use std::time::Duration;
 use woadreach_local_tier::{
