--- a/crates/testing/simulation/src/script/draw_faults.rs
+++ b/crates/testing/simulation/src/script/draw_faults.rs
@@ -1,12 +1,13 @@
-//! Drawing faults: single ones, and groups that hurt most together.
+//! Drawing faults: single ones, and groups of faults that are hard to survive together.
 
 use super::Script;
 use super::fault::{Fault, FaultKind};
 use super::random::Choices;
 
 impl Choices {
-    fn some_replicas(&mut self, script: &Script, share: f64) -> Vec<usize> {
-        self.subset(script.replicas(), share)
+    /// At least one replica, up to this share of all.
+    fn some_replicas(&mut self, script: &Script, max_share: f64) -> Vec<usize> {
+        self.subset(script.replicas(), max_share)
     }
 
     /// All co-ordinators, or one.
@@ -19,88 +20,94 @@
         }
     }
 
-    /// A single fault of any kind.
+    /// A single fault of any kind. Kinds are drawn by their position in [`FaultKind::NAMES`], so that its order is part
+    /// of what a seed stands for. In place of a kind that the script can't have there is a burst.
     pub(super) fn fault_kind(&mut self, script: &Script) -> FaultKind {
-        let zones = script.fleet.zones;
-        match self.small_below(23) {
-            kind @ (0..=12 | 16) => self.replica_fault(kind, script),
-            13 if zones > 1 => {
-                let from = self.below(zones);
-                FaultKind::Partition {
-                    from,
-                    to: (from + 1) % zones,
-                    both: self.one_in(2),
-                }
-            }
-            kind @ (14 | 15 | 17..=19) => self.co_ordinator_fault(kind, script),
-            21 if script.settings.cold.is_none() => FaultKind::ExpensiveSearches {
+        let index = self.small_below(FaultKind::NAMES.len() as u32);
+        match FaultKind::NAMES[index as usize] {
+            "cut" if script.fleet.zones > 1 => self.partition(script),
+            "costly" if script.settings.cold.is_none() => FaultKind::ExpensiveSearches {
                 factor: self.pick(&[2.0, 5.0]),
             },
-            13 | 20 | 21 => FaultKind::LoadBurst {
+            "cut" | "costly" | "burst" => FaultKind::LoadBurst {
                 factor: self.pick(&[2.0, 4.0]),
             },
-            _ => FaultKind::MalformedRequests {
+            "rude" => FaultKind::MalformedRequests {
                 rate: self.pick(&[2.0, 10.0]),
             },
+            name @ ("discovery_silent" | "stall" | "kill" | "restart" | "reload") => {
+                self.co_ordinator_fault(name, script)
+            }
+            name => self.replica_fault(name, script),
+        }
+    }
+
+    fn partition(&mut self, script: &Script) -> FaultKind {
+        let zones = script.fleet.zones;
+        let from = self.below(zones);
+        FaultKind::Partition {
+            from,
+            to: (from + 1) % zones,
+            both: self.one_in(2),
         }
     }
 
-    fn co_ordinator_fault(&mut self, kind: u32, script: &Script) -> FaultKind {
+    fn co_ordinator_fault(&mut self, name: &str, script: &Script) -> FaultKind {
         let co_ordinators = self.some_co_ordinators(script);
-        match kind {
-            14 => FaultKind::DiscoveryUnresponsive { co_ordinators },
-            15 => FaultKind::StallCoordinators { co_ordinators },
-            17 => FaultKind::KillCoordinators { co_ordinators },
-            18 => FaultKind::RestartCoordinators { co_ordinators },
+        match name {
+            "discovery_silent" => FaultKind::DiscoveryUnresponsive { co_ordinators },
+            "stall" => FaultKind::StallCoordinators { co_ordinators },
+            "kill" => FaultKind::KillCoordinators { co_ordinators },
+            "restart" => FaultKind::RestartCoordinators { co_ordinators },
             _ => FaultKind::ReloadCoordinators { co_ordinators },
         }
     }
 
-    fn replica_fault(&mut self, kind: u32, script: &Script) -> FaultKind {
-        let affected = match kind {
-            0..=3 => 0.3,
-            4..=6 | 8 | 10 | 16 => 0.4,
-            11 => 1.0,
+    fn replica_fault(&mut self, name: &str, script: &Script) -> FaultKind {
+        let max_share = match name {
+            "die" | "vanish" | "drain" | "hang" => 0.3,
+            "slow" | "full" | "swallow" | "spoil" | "break" | "stall_replicas" => 0.4,
+            "heedless" => 1.0,
             _ => 0.5,
         };
-        let replicas = self.some_replicas(script, affected);
-        match kind {
-            0 => FaultKind::Crash {
+        let replicas = self.some_replicas(script, max_share);
+        match name {
+            "die" => FaultKind::Crash {
                 replicas,
                 listed_after_s: self.pick(&[0.1, 1.0, 4.0]),
             },
-            1 => FaultKind::Isolate { replicas },
-            2 => FaultKind::Drain { replicas },
-            3 => FaultKind::Hang { replicas },
-            4 => FaultKind::Slow {
+            "vanish" => FaultKind::Isolate { replicas },
+            "drain" => FaultKind::Drain { replicas },
+            "hang" => FaultKind::Hang { replicas },
+            "slow" => FaultKind::Slow {
                 replicas,
                 factor: self.pick(&[2.0, 5.0, 20.0]),
             },
-            5 => FaultKind::RejectParts { replicas },
-            11 => FaultKind::IgnoreCancels { replicas },
-            12 => FaultKind::SlowReads {
+            "full" => FaultKind::RejectParts { replicas },
+            "heedless" => FaultKind::IgnoreCancels { replicas },
+            "late" => FaultKind::SlowReads {
                 replicas,
                 accept_delay_s: self.pick(&[0.0, 0.01, 0.1]),
                 read_delay_s: self.pick(&[0.0, 0.0005, 0.001]),
             },
-            16 => FaultKind::StallReplicas { replicas },
-            _ => self.answer_fault(kind, replicas),
+            "stall_replicas" => FaultKind::StallReplicas { replicas },
+            _ => self.answer_fault(name, replicas),
         }
     }
 
-    /// A fault that a share of a replica's answers have.
-    fn answer_fault(&mut self, kind: u32, replicas: Vec<usize>) -> FaultKind {
-        let shares: &[f64] = match kind {
-            6 | 7 => &[0.1, 0.5, 1.0],
-            9 => &[0.2, 1.0],
+    /// A fault that a share of the answers of these replicas has.
+    fn answer_fault(&mut self, name: &str, replicas: Vec<usize>) -> FaultKind {
+        let shares: &[f64] = match name {
+            "swallow" | "errors" => &[0.1, 0.5, 1.0],
+            "double" => &[0.2, 1.0],
             _ => &[0.05, 0.3],
         };
         let share = self.pick(shares);
-        match kind {
-            6 => FaultKind::DropAnswers { replicas, share },
-            7 => FaultKind::AnswerErrors { replicas, share },
-            8 => FaultKind::CorruptAnswers { replicas, share },
-            9 => FaultKind::DuplicateAnswers { replicas, share },
+        match name {
+            "swallow" => FaultKind::DropAnswers { replicas, share },
+            "errors" => FaultKind::AnswerErrors { replicas, share },
+            "spoil" => FaultKind::CorruptAnswers { replicas, share },
+            "double" => FaultKind::DuplicateAnswers { replicas, share },
             _ => FaultKind::BreakConnections { replicas, share },
         }
     }
--- a/crates/testing/simulation/src/script/fault.rs
+++ b/crates/testing/simulation/src/script/fault.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The names of all kinds.
+    /// The names of all kinds. Seeds draw kinds by their position here.
     pub const NAMES: [&str; 23] = [
         "die",
         "vanish",
