--- a/crates/testing/local-tier/src/client.rs
+++ b/crates/testing/local-tier/src/client.rs
@@ -1,6 +1,7 @@
 //! A client of the tier: plain requests and turns of programs.
 
 use crate::error::{RequestSnafu, TierError};
+use reqwest::{Method, RequestBuilder};
 use snafu::ResultExt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -85,13 +86,7 @@
         path: &str,
         request_id: &str,
     ) -> Result<TurnAnswer, TierError> {
-        let call = self
-            .client
-            .get(format!("http://{}{path}", self.front))
-            .header("host", host)
-            .header("request-id", request_id)
-            .header("timeout-ms", "2000");
-        answer(call).await
+        answer(self.request(Method::GET, host, path, request_id, "2000")).await
     }
 
     /// Sends a request that may not be repeated and reads the complete answer.
@@ -101,18 +96,28 @@
         path: &str,
         request_id: &str,
     ) -> Result<TurnAnswer, TierError> {
-        let call = self
-            .client
-            .post(format!("http://{}{path}", self.front))
+        let call = self.request(Method::POST, host, path, request_id, "3000");
+        answer(call.body(request_id.to_owned())).await
+    }
+
+    fn request(
+        &self,
+        method: Method,
+        host: &str,
+        path: &str,
+        request_id: &str,
+        timeout_ms: &str,
+    ) -> RequestBuilder {
+        self.client
+            .request(method, format!("http://{}{path}", self.front))
             .header("host", host)
             .header("request-id", request_id)
-            .header("timeout-ms", "3000");
-        answer(call.body(request_id.to_owned())).await
+            .header("timeout-ms", timeout_ms)
     }
 }
 
 /// Sends a request and reads its answer.
-async fn answer(call: reqwest::RequestBuilder) -> Result<TurnAnswer, TierError> {
+async fn answer(call: RequestBuilder) -> Result<TurnAnswer, TierError> {
     let response = call
         .timeout(ANSWER_TIMEOUT)
         .send()
--- a/crates/testing/local-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -6,7 +6,10 @@
 use reqwest::StatusCode;
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::*;
+use support::{
+    TIMEOUT, bring_up, configuration, last_view, log_of, logs, newest_path, number_after, start,
+    wait_for, wait_until_in_force,
+};
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use woadreach_local_tier::{Client, MachineClass, Operator, Tier, example};
@@ -69,9 +72,7 @@
 #[tokio::test]
 async fn a_resumed_head_decides_nothing_on_old_state() {
     let mut tier = start(21);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let head = head_index(&mut tier).await;
     let control = tier.control();
     let suspended = control[usize::from(head) - 1];
@@ -188,9 +189,7 @@
 #[tokio::test]
 async fn a_core_machine_is_lost_as_soon_as_another_is_back_with_an_empty_disk() {
     let mut tier = start(22);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let operator = Operator::new(tier.control());
     let mut newest = 1;
     for lost in [1, 2, 3, 1] {
@@ -259,9 +258,7 @@
 #[tokio::test]
 async fn a_storage_machine_is_lost_as_soon_as_another_is_back_with_an_empty_disk() {
     let mut tier = start(23);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let fronts = tier.fronts();
     example::converse(&fronts, "p23", 2).await.unwrap();
     for (number, lost) in [1, 2, 3].into_iter().enumerate() {
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use support::*;
+use support::{TIMEOUT, bring_up, logs, start, wait_for};
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
 use woadreach_local_tier::{
@@ -204,9 +204,7 @@
 
 async fn play() {
     let tier = start(24);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let relay = Relay::new(2, 1);
     let replicas = replicas_behind(&relay, &tier).await;
     let status = Operator::new(tier.control())
--- a/crates/testing/local-tier/tests/support/mod.rs
+++ b/crates/testing/local-tier/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of lost machines share: a tier of real processes, conditions that are read from logs, and
+//! What the tests share: a tier of real processes, conditions that are read from logs, and
 //! configurations that differ in their routes.
 
 #![allow(dead_code)]
@@ -6,13 +6,15 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use woadreach_local_tier::{Client, MachineClass, Tier, TierSize, built_programs, example};
+use woadreach_local_tier::{
+    Client, FakeReplica, MachineClass, Tier, TierSize, built_programs, example,
+};
 
-/// Time-out of everything that a test waits for; long enough that no result depends on the machine's speed.
+/// Time-out of what a test waits for after it has lost a machine or a link; long enough that no result depends on the machine's speed.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(40);
 /// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-pub(crate) const SMALL: TierSize = TierSize {
+const SMALL: TierSize = TierSize {
     edges: 2,
     core: 3,
     storage: 3,
@@ -22,6 +24,13 @@
     Tier::start(&built_programs(), network, SMALL).unwrap()
 }
 
+/// Sends the example's first configuration and waits until the edges are ready. Returns the example's replicas.
+pub(crate) async fn bring_up(tier: &Tier) -> Vec<FakeReplica> {
+    example::bring_up(tier)
+        .await
+        .unwrap_or_else(|error| panic!("{error}\n{}", logs(tier)))
+}
+
 /// The logs of all processes, shown where a test fails.
 pub(crate) fn logs(tier: &Tier) -> String {
     tier.nodes
--- a/crates/testing/local-tier/tests/tier.rs
+++ b/crates/testing/local-tier/tests/tier.rs
@@ -1,35 +1,18 @@
 //! The complete path over loopback: real processes, fake replicas, an operator and clients.
 
+mod support;
+
 use std::time::Duration;
-use woadreach_local_tier::{
-    Client, MachineClass, Operator, Tier, TierSize, built_programs, example,
-};
+use support::{bring_up, logs, start};
+use woadreach_local_tier::{Client, MachineClass, Operator, example};
 
+/// How long the tier may take to become ready or to answer an order.
 const TIMEOUT: Duration = Duration::from_secs(20);
-const SMALL: TierSize = TierSize {
-    edges: 2,
-    core: 3,
-    storage: 3,
-};
-
-fn start(network: u8) -> Tier {
-    Tier::start(&built_programs(), network, SMALL).unwrap()
-}
-
-/// The logs of all processes, shown where a test fails.
-fn logs(tier: &Tier) -> String {
-    tier.nodes
-        .iter()
-        .map(|node| format!("== {}\n{}", node.spec.name(), node.log()))
-        .collect()
-}
 
 #[tokio::test]
 async fn a_conversation_is_served_through_changing_edges() {
     let tier = start(1);
-    let replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let replicas = bring_up(&tier).await;
     let answers = example::converse(&tier.fronts(), "p1", 4).await.unwrap();
     for answer in &answers {
         assert_eq!(answer.status, 200, "{}", logs(&tier));
@@ -68,9 +51,7 @@
 #[tokio::test]
 async fn a_spent_budget_and_an_unknown_turn_are_refused_without_a_run() {
     let tier = start(2);
-    let replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let replicas = bring_up(&tier).await;
     let client = Client::new(tier.fronts()[0]);
     let mut first = example::turn("p2", 0, None);
     first.budget = Some(first.max_tokens + 1);
@@ -100,9 +81,7 @@
 #[tokio::test]
 async fn what_was_acknowledged_survives_a_lost_disk_of_each_class() {
     let mut tier = start(3);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let fronts = tier.fronts();
     example::converse(&fronts, "p3", 2).await.unwrap();
     tier.restart(MachineClass::Core, 1, true).await.unwrap();
@@ -144,9 +123,7 @@
 #[tokio::test]
 async fn every_machine_killed_at_once_comes_back_with_what_was_acknowledged() {
     let mut tier = start(4);
-    let _replicas = example::bring_up(&tier)
-        .await
-        .unwrap_or_else(|error| panic!("{error}\n{}", logs(&tier)));
+    let _replicas = bring_up(&tier).await;
     let fronts = tier.fronts();
     example::converse(&fronts, "p4", 2).await.unwrap();
     for node in &mut tier.nodes {
