--- a/crates/testing/process-tests/src/addresses.rs
+++ b/crates/testing/process-tests/src/addresses.rs
@@ -1,16 +1,20 @@
-//! Addresses on loopback: 127.N.Z.H, where N tells clusters that run side by side apart, Z is the zone and H the
+//! Addresses on loopback: 127.N.Z.H, where N differs between clusters that run side by side, Z is the zone and H the
 //! host.
 
 use crate::config::PlayConfig;
 use std::net::SocketAddr;
 use woadreach_simulation::seed_of;
 
-/// Ports lie below those that the kernel deals out, so that no other program takes them in between.
+/// The first port of replicas. All ports are below the range from which the kernel assigns ports, so that no other
+/// program gets one of them between two starts of a process.
 const REPLICA_PORT: usize = 20_000;
 /// Ports of a replica, one for each co-ordinator.
 const PORTS_PER_REPLICA: usize = 16;
+/// The port at which the first co-ordinator accepts clients; the next ones have the ports after it.
 const CLIENT_PORT: usize = 18_000;
+/// The port of the first co-ordinator's discovery agent.
 const DISCOVERY_PORT: usize = 18_100;
+/// The port at which the first co-ordinator receives datagrams of its peers.
 const PEER_PORT: usize = 18_200;
 /// The host of all replicas of a zone.
 const REPLICA_HOST: u8 = 100;
@@ -19,7 +23,7 @@
 /// The host of a zone's first co-ordinator.
 const FIRST_CO_ORDINATOR_HOST: u8 = 10;
 
-/// Deals out the addresses of a cluster.
+/// Assigns the addresses of a cluster.
 #[derive(Clone, Copy)]
 pub(crate) struct Addresses {
     network: u8,
--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -133,14 +133,14 @@
         let co_ordinator = &self.co_ordinators[node];
         let start = format!("node {node} {}", co_ordinator.start_count);
         let seed = seed_of(self.config.seed, &start);
-        let places = CoordinatorAddresses {
+        let addresses = CoordinatorAddresses {
             listen: co_ordinator.client_listen,
             discovery: co_ordinator.discovery,
             peer_listen: self.config.has_peers.then_some(co_ordinator.peer_listen),
             peers: co_ordinator.peers.clone(),
         };
         let known = co_ordinator.agent.known();
-        let text = configuration(&self.script, node, &places, seed, &known);
+        let text = configuration(&self.script, node, &addresses, seed, &known);
         let mut configuration: Value =
             serde_json::from_str(&text).context(InvalidConfigurationSnafu)?;
         configuration["failover"] = json!({ "near": self.config.prefers_near });
@@ -170,7 +170,8 @@
     }
 
     fn take_clients_once_accepting(&self, node: usize) {
-        let (net, takes_clients) = (self.net, self.takes_clients.clone());
+        let net = self.net;
+        let takes_clients = self.takes_clients.clone();
         let listen = self.co_ordinators[node].client_listen;
         drop(net.spawn(async move {
             while net.connect(listen).await.is_err() {
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -45,8 +45,10 @@
     /// there from the beginning isn't recorded: it has warmed up long before.
     pub(super) fn recorder_of_replica(&self, replica: usize, is_warming_up: bool) -> Recorder {
         let recorder = self.recorder.clone();
-        let (measurements, net) = (self.measurements.clone(), self.net);
-        let (zone, zones) = (self.replicas[replica].zone, self.config.zones);
+        let measurements = self.measurements.clone();
+        let net = self.net;
+        let zone = self.replicas[replica].zone;
+        let zones = self.config.zones;
         Recorder::new(move |event| {
             if let EventKind::PartReceived { node, .. } = &event {
                 let is_near = node.0 % zones == zone;
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -1,4 +1,4 @@
-//! Clients: each co-ordinator is sent searches at random intervals.
+//! The clients. They send searches to each co-ordinator at random intervals, whether or not earlier ones are answered.
 
 use super::Cluster;
 use rand::{RngExt, SeedableRng};
@@ -80,7 +80,8 @@
             pause: self.script.load.retry_delay_s,
             heeds: self.script.load.honors_retry_after,
         };
-        let (client, search_count) = (self.client.clone(), self.search_count.clone());
+        let client = self.client.clone();
+        let search_count = self.search_count.clone();
         drop(self.net.spawn(async move {
             let name = move || next_name(&search_count);
             drop(
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -87,15 +87,15 @@
     /// Has all discovery agents list these replicas with this state.
     pub(super) fn list_replicas(&self, replicas: &[usize], lifecycle: Lifecycle) {
         for (node, co_ordinator) in self.co_ordinators.iter().enumerate() {
-            let lines: Vec<ListEntry> = replicas
+            let entries: Vec<ListEntry> = replicas
                 .iter()
-                .map(|replica| self.list_line(*replica, node, lifecycle))
+                .map(|replica| self.list_entry(*replica, node, lifecycle))
                 .collect();
-            co_ordinator.agent.change(&lines);
+            co_ordinator.agent.change(&entries);
         }
     }
 
-    fn list_line(&self, replica: usize, node: usize, lifecycle: Lifecycle) -> ListEntry {
+    fn list_entry(&self, replica: usize, node: usize, lifecycle: Lifecycle) -> ListEntry {
         let slot = &self.replicas[replica];
         ListEntry {
             id: slot.name.clone(),
--- a/crates/testing/process-tests/src/config.rs
+++ b/crates/testing/process-tests/src/config.rs
@@ -6,7 +6,9 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
+/// Numbers of processes that fit the addresses of a cluster.
 const CO_ORDINATORS: RangeInclusive<usize> = 2..=16;
+/// Numbers of zones that can be played.
 const ZONES: RangeInclusive<usize> = 2..=8;
 
 /// What is to be played.
--- a/crates/testing/process-tests/src/scenario.rs
+++ b/crates/testing/process-tests/src/scenario.rs
@@ -1,5 +1,5 @@
 //! The scenarios that can be played; each is named as on the command line. What each of them does and when
-//! stands in `schedule.rs`.
+//! is in `schedule.rs`.
 
 use crate::error::UnknownScenario;
 use std::fmt;
--- a/crates/testing/process-tests/src/schedule.rs
+++ b/crates/testing/process-tests/src/schedule.rs
@@ -146,6 +146,21 @@
 const FLAP_INTERVAL: f64 = 4.0;
 /// How many seconds each of them lasts.
 const FLAP_SECONDS: f64 = 2.0;
+/// How many times slower the replicas of a slow zone are: beyond any latency target.
+const SLOW_FACTOR: f64 = 300.0;
+/// How many times slower all replicas are while clients abandon their searches.
+const ABANDON_SLOW_FACTOR: f64 = 30.0;
+/// Seconds by which replicas are slow before clients abandon their searches.
+const ABANDON_LEAD: f64 = 0.5;
+/// Seconds by which replicas hang before the first co-ordinator is restarted.
+const HANG_LEAD: f64 = 0.2;
+/// Seconds between the restarts of two co-ordinators.
+const RESTART_INTERVAL: f64 = 2.0;
+/// Seconds from discovery's return until a zone's replicas are listed as draining, and as ready again.
+const DRAIN_DELAY: f64 = 0.3;
+const READY_DELAY: f64 = 8.0;
+/// Seconds from the kill of many co-ordinators until they are started again.
+const MASS_KILL_SECONDS: f64 = 3.0;
 /// Share of the datagrams that lossy links lose.
 const LOSS: f64 = 0.3;
 
@@ -263,7 +278,7 @@
     fn slow_zone(&mut self) {
         let zone = self.zone;
         self.add_fault(zone, FAULT_START, FAULT_END);
-        for (at, factor) in [(FAULT_START, 300.0), (FAULT_END, 1.0)] {
+        for (at, factor) in [(FAULT_START, SLOW_FACTOR), (FAULT_END, 1.0)] {
             self.add(at, Action::SlowReplicas { zone, factor });
         }
     }
@@ -329,20 +344,21 @@
     }
 
     fn restart_while_replicas_hang(&mut self) {
-        self.hang_replicas(FAULT_START - 0.2, true);
+        self.hang_replicas(FAULT_START - HANG_LEAD, true);
         for node in 0..self.co_ordinators {
-            let at = FAULT_START + 2.0 * node as f64;
+            let at = FAULT_START + RESTART_INTERVAL * node as f64;
             self.add(at, Action::Terminate(vec![node]));
             self.add(at + RESTART_DELAY, Action::Start(vec![node]));
         }
-        self.hang_replicas(FAULT_START + 2.0 * self.co_ordinators as f64, false);
+        let end = FAULT_START + RESTART_INTERVAL * self.co_ordinators as f64;
+        self.hang_replicas(end, false);
     }
 
     fn suspend_discovery(&mut self) {
         let zone = self.zone;
         self.add(FAULT_START, Action::SuspendDiscovery(true));
         self.add(FAULT_END, Action::SuspendDiscovery(false));
-        for (delay, is_draining) in [(0.3, true), (8.0, false)] {
+        for (delay, is_draining) in [(DRAIN_DELAY, true), (READY_DELAY, false)] {
             self.add(
                 FAULT_END + delay,
                 Action::DrainReplicas { zone, is_draining },
@@ -352,7 +368,10 @@
 
     fn abandon_searches(&mut self) {
         for zone in 0..self.zones() {
-            for (at, factor) in [(FAULT_START - 0.5, 30.0), (FAULT_END, 1.0)] {
+            for (at, factor) in [
+                (FAULT_START - ABANDON_LEAD, ABANDON_SLOW_FACTOR),
+                (FAULT_END, 1.0),
+            ] {
                 self.add(at, Action::SlowReplicas { zone, factor });
             }
         }
@@ -368,6 +387,6 @@
         }
         nodes.truncate((self.co_ordinators * 7).div_ceil(10));
         self.add(FAULT_START, Action::Kill(nodes.clone()));
-        self.add(FAULT_START + 3.0, Action::Start(nodes));
+        self.add(FAULT_START + MASS_KILL_SECONDS, Action::Start(nodes));
     }
 }
