--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a run: every event in its order, judged as it arrives, with a digest of all of them.
+//! The record of a run. Every event is checked against the rules as it arrives, counted, and added to the digest.
 
 use serde::Serialize;
 use std::cell::RefCell;
@@ -35,12 +35,15 @@
 /// The record of a run.
 pub struct Record {
     checker: Checker,
+    /// Of each query type, in seconds.
     latency_targets: Vec<f64>,
+    /// Of the events so far, each as a line of JSON.
     hash: blake3::Hasher,
+    /// The buffer for such a line.
     line: Vec<u8>,
     /// Every event, if they are kept.
     pub trace: Option<Vec<Event>>,
-    /// The first breaches.
+    /// The first breaches; further ones are not kept.
     pub breaches: Vec<Breach>,
     /// How many events there were.
     pub events: u64,
@@ -48,6 +51,7 @@
     pub attempts_received_at: Vec<f64>,
     /// The searches that have ended, in the order of their ends.
     pub outcomes: Vec<SearchOutcome>,
+    /// The searches that have not ended, by name.
     open: BTreeMap<Arc<str>, OpenSearch>,
 }
 
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -1,4 +1,4 @@
-//! The parts of a script.
+//! The tables of a script but its query types and faults. `check` has the limits of their values.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,24 +12,24 @@
     pub zones: usize,
     /// Number of shard groups.
     pub cells: u64,
-    /// Shard groups that hold each shard.
+    /// Shard groups that hold each shard; no more than there are.
     pub span: u64,
     /// Number of shards.
     pub shards: u64,
-    /// Replicas of each shard group.
+    /// Replicas of each shard group, dealt out among the zones.
     pub replicas: usize,
     /// Cores of each replica.
     pub cores: usize,
     /// Parts that wait at a replica before it rejects further ones.
     #[serde(rename = "room")]
     pub queue_capacity: usize,
-    /// Largest offset of a co-ordinator's clock, in seconds.
+    /// Largest offset of a co-ordinator's clock, ahead or behind, in seconds.
     #[serde(rename = "clocks_apart")]
     pub max_clock_offset: f64,
     /// Longest one-way latency between two zones, in seconds.
     #[serde(rename = "way")]
     pub max_latency: f64,
-    /// Bytes that a connection holds unread at one end, and unsent at the other.
+    /// Size of a connection's receive buffer at one end and of its send buffer at the other, in bytes.
     pub buffers: usize,
     /// What becomes of calls to discovery while it is unresponsive.
     #[serde(rename = "calls_while_silent", default)]
@@ -55,14 +55,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Parts that one call to a replica holds.
+    /// Most parts that one call to a replica carries.
     pub per_call: usize,
     /// Whether replicas understand cancellations.
     pub cancelling: bool,
     /// Whether parts may be hedged.
     #[serde(rename = "copies")]
     pub hedging: bool,
-    /// Most attempts of a part.
+    /// Most attempts of a part, the first included.
     pub attempts: usize,
     /// Most calls in flight on one connection.
     pub streams: usize,
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Attempts that are always allowed.
+    /// Number of attempts that are always allowed.
     pub free: f64,
     /// Further attempts, as a share of the accepted requests.
     pub share: f64,
@@ -112,7 +112,7 @@
     /// Time from its start until it has its full capacity, in seconds.
     #[serde(rename = "time")]
     pub duration_s: f64,
-    /// Overload threshold as a multiple of the replica's current capacity.
+    /// Overload threshold as a multiple of the capacity that the replica has at that time.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
     /// Window over which requests are counted against the threshold, in seconds.
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Searches per second at each co-ordinator, as a mean over them.
+    /// Searches per second at a co-ordinator, as a mean over all.
     pub rate: f64,
     /// Standard deviation of the logarithm of a co-ordinator's rate. At 0 all get the same; at 3 one of
     /// thirty may get half of all searches.
@@ -138,7 +138,7 @@
     /// Whether clients wait as long as `Retry-After` says.
     #[serde(rename = "heeds")]
     pub honors_retry_after: bool,
-    /// Share of the searches whose client disconnects before its timeout.
+    /// Share of the searches whose client disconnects before its time-out, from 0 to 1.
     #[serde(rename = "leaves")]
     pub disconnect_share: f64,
 }
@@ -151,10 +151,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Share of the datagrams that are lost.
+    /// Share of the datagrams that are lost, from 0 to 1.
     #[serde(rename = "lost")]
     pub loss: f64,
-    /// Share of the datagrams that arrive twice.
+    /// Share of the datagrams that arrive twice, from 0 to 1.
     #[serde(rename = "doubled")]
     pub duplication: f64,
     /// Longest additional delay, in seconds.
--- a/crates/testing/simulation/src/script/query_type.rs
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -44,14 +44,14 @@
     pub any_holder: bool,
     /// Share of the weight from which an answer is complete.
     pub need: f64,
-    /// Least share of the weight that an answer may have.
+    /// Least share of the weight that an answer may have; no larger than `need`.
     pub floor: f64,
-    /// Parts of the second step; 0 without one.
+    /// Parts of a search's second step; 0 without one.
     pub fetch: usize,
-    /// Fewest parts of a search.
+    /// Fewest parts of a search's first step; at least 1.
     #[serde(rename = "least_parts")]
     pub min_parts: usize,
-    /// Most parts of a search.
+    /// Most parts of a search's first step; no more than there are shards.
     #[serde(rename = "most_parts")]
     pub max_parts: usize,
     /// Work of a part that isn't heavy, as a mean, in seconds of one core.
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -1,5 +1,6 @@
-//! The same co-ordinators, replicas, clients and load on loopback sockets in real time, without faults: what
-//! the simulated network is compared with. Its figures depend on what else the machine does.
+//! Plays the fleet and load of a script on loopback sockets in real time, without its faults. The simulated network is
+//! compared with it, so that service there doesn't look better than on real sockets. The figures depend on what else the
+//! machine does.
 
 use crate::load::{draw_gap, draw_request};
 use crate::network::seed_of;
@@ -25,9 +26,9 @@
 
 /// Seconds before the first search, for co-ordinators to listen and get their endpoint lists.
 const STARTUP_TIME: f64 = 0.5;
-/// Seconds between two checks of what is overdue, beside every event.
+/// Seconds between two checks of what is overdue. Rules are checked at every event as well.
 const CHECK_INTERVAL: f64 = 0.1;
-/// Seconds after the last search's deadline.
+/// Seconds from the last search's deadline to the end of the run.
 const QUIET_TIME: f64 = 1.0;
 
 /// Why a script can't be played on sockets.
