--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -42,11 +42,13 @@
     }
 
     /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
-    /// there from the beginning isn't recorded: it has long been warm.
+    /// there from the beginning isn't recorded: it has warmed up long before.
     pub(super) fn recorder_of_replica(&self, replica: usize, is_warming_up: bool) -> Recorder {
         let recorder = self.recorder.clone();
-        let (measurements, net) = (self.measurements.clone(), self.net);
-        let (zone, zones) = (self.replicas[replica].zone, self.config.zones);
+        let measurements = self.measurements.clone();
+        let net = self.net;
+        let zone = self.replicas[replica].zone;
+        let zones = self.config.zones;
         Recorder::new(move |event| {
             if let EventKind::PartReceived { node, .. } = &event {
                 let is_near = node.0 % zones == zone;
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -18,6 +18,7 @@
 mod settings;
 mod shrink;
 mod sockets;
+mod time;
 mod world;
 
 pub use digest::digest;
@@ -27,10 +28,10 @@
 pub use record::{Record, SearchOutcome};
 pub use recovery::Recovery;
 pub use script::{
-    Budget, Cold, Fault, FaultKind, Fleet, InvalidScript, Load, Peers, Position, QueryType,
-    Repeats, Script, ScriptError, Settings, SilentCalls,
+    Budget, CallsWhileUnresponsive, Fault, FaultKind, Fleet, InvalidScript, Load, Peers, Position,
+    QueryType, Repeats, Script, ScriptError, Settings, SlowStart,
 };
 pub use settings::{CoordinatorAddresses, configuration, terms};
 pub use shrink::{Shrunk, shrink};
-pub use sockets::on_sockets;
+pub use sockets::{SocketsError, on_sockets};
 pub use world::{Options, play};
--- a/crates/testing/simulation/src/script/check.rs
+++ b/crates/testing/simulation/src/script/check.rs
@@ -7,7 +7,9 @@
 
 const MAX_CO_ORDINATORS: usize = 400;
 const MAX_REPLICAS: usize = 200;
+/// Longest time under load, and longest fault, in seconds.
 const MAX_SECONDS: f64 = 600.0;
+/// Most searches per second at each co-ordinator, as a mean.
 const MAX_RATE: f64 = 500.0;
 const MAX_FAULTS: usize = 64;
 const MAX_QUERY_TYPES: usize = 16;
@@ -29,7 +31,7 @@
         /// The largest allowed value.
         max: f64,
     },
-    /// A query type's name has other characters than lower-case letters and dashes.
+    /// The name of a query type is empty, or has characters other than lower-case letters and dashes.
     #[snafu(display("{query_type}: the name is expected in small letters and dashes"))]
     QueryTypeName {
         /// The query type's number and name.
@@ -88,33 +90,38 @@
     if let Some(p) = peers {
         within("peers.lost", p.loss, 0.0, 1.0)?;
         within("peers.doubled", p.duplication, 0.0, 1.0)?;
-        within("peers.late", p.max_delay, 0.0, 10.0)?;
+        within("peers.late", p.max_delay_s, 0.0, 10.0)?;
     }
     within("load.leaves", load.disconnect_share, 0.0, 1.0)
 }
 
 fn check_settings(s: &Settings) -> Check {
-    let connect_timeout = s.connect_timeout;
+    let connect_timeout_s = s.connect_timeout_s;
     within("settings.streams", s.streams as f64, 1.0, 1e6)?;
-    within("settings.connect_timeout", connect_timeout, 0.001, 30.0)?;
-    within("settings.idle_close", s.idle_close, connect_timeout, 3600.0)?;
+    within("settings.connect_timeout", connect_timeout_s, 0.001, 30.0)?;
+    within(
+        "settings.idle_close",
+        s.idle_timeout_s,
+        connect_timeout_s,
+        3600.0,
+    )?;
     within("settings.descriptors", s.descriptors as f64, 64.0, 1e6)
 }
 
 fn check_query_type(number: usize, t: &QueryType, shards: usize) -> Check {
     let query_type = format!("query_type {number} ({})", t.name);
     let field = |key: &str| format!("{query_type}: {key}");
-    within(field("client_timeout"), t.client_timeout, 0.05, 60.0)?;
+    within(field("client_timeout"), t.client_timeout_s, 0.05, 60.0)?;
     within(
         field("latency_target"),
-        t.latency_target,
+        t.latency_target_s,
         0.01,
-        t.client_timeout,
+        t.client_timeout_s,
     )?;
     count_within(field("least_parts"), t.min_parts, 1, shards)?;
     count_within(field("most_parts"), t.max_parts, t.min_parts, shards)?;
     within(field("floor"), t.floor, 0.0, t.need.min(1.0))?;
-    within(field("work"), t.work, 1e-6, 10.0)?;
+    within(field("work"), t.work_s, 1e-6, 10.0)?;
     let is_plain = t.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-');
     ensure!(
         !t.name.is_empty() && is_plain,
@@ -130,7 +137,8 @@
         check_fleet(&self.fleet, self.replicas())?;
         check_load(&self.load, self.peers.as_ref())?;
         check_settings(&self.settings)?;
-        let (query_types, faults) = (self.query_types.len(), self.faults.len());
+        let query_types = self.query_types.len();
+        let faults = self.faults.len();
         count_within("the number of query types", query_types, 1, MAX_QUERY_TYPES)?;
         count_within("the number of faults", faults, 0, MAX_FAULTS)?;
         for (i, query_type) in self.query_types.iter().enumerate() {
--- a/crates/testing/simulation/src/script/query_type.rs
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -25,34 +25,38 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryType {
-    /// Lower-case letters and dashes; the path of its requests.
+    /// The path of its requests: lower-case letters and dashes.
     pub name: String,
     /// Share of all searches, relative to the other query types.
     pub share: f64,
-    /// Seconds within which an answer counts in full.
-    pub latency_target: f64,
-    /// Seconds after which clients give up.
-    pub client_timeout: f64,
+    /// Time within which an answer counts in full, in seconds; no longer than the client's time-out.
+    #[serde(rename = "latency_target")]
+    pub latency_target_s: f64,
+    /// Time after which clients give up, in seconds.
+    #[serde(rename = "client_timeout")]
+    pub client_timeout_s: f64,
     /// Whether its parts may run again.
     pub repeats: Repeats,
-    /// Seconds in which repeats of a tokened part are recognised.
-    pub window: f64,
+    /// Time in which repeats of a tokened part are recognised, in seconds.
+    #[serde(rename = "window")]
+    pub token_window_s: f64,
     /// Whether every replica of the shard recognises them, or only the one that ran the part.
     pub any_holder: bool,
     /// Share of the weight from which an answer is complete.
     pub need: f64,
-    /// Least share of the weight that an answer may have.
+    /// Least share of the weight that an answer may have; no larger than `need`.
     pub floor: f64,
-    /// Parts of the second step; 0 without one.
+    /// Parts of a search's second step; 0 without one.
     pub fetch: usize,
-    /// Fewest parts of a search.
+    /// Fewest parts of a search's first step; at least 1.
     #[serde(rename = "least_parts")]
     pub min_parts: usize,
-    /// Most parts of a search.
+    /// Most parts of a search's first step; no more than there are shards.
     #[serde(rename = "most_parts")]
     pub max_parts: usize,
-    /// Mean work of a part, in seconds of one core.
-    pub work: f64,
+    /// Work of a part that isn't heavy, as a mean, in seconds of one core.
+    #[serde(rename = "work")]
+    pub work_s: f64,
 }
 
 impl QueryType {
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -10,7 +10,7 @@
 const ANSWER_GRACE: f64 = 0.05;
 /// The checker's tolerance of time limits, in seconds.
 const SLACK: f64 = 0.05;
-/// From so many co-ordinators on, an overload counts only if most senders knew of the start.
+/// Number of co-ordinators from which on an overload counts only if most senders knew of the start.
 const LARGE_TIER: usize = 10;
 
 /// The numbers of the rules for the checker.
@@ -21,7 +21,7 @@
         repeats: match t.repeats {
             Repeats::Idempotent => woadreach_invariants::Repeats::Idempotent,
             Repeats::Tokened => woadreach_invariants::Repeats::Tokened {
-                window: t.window,
+                window: t.token_window_s,
                 any_holder: t.any_holder,
             },
             Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
@@ -33,20 +33,21 @@
     Terms {
         query_types: query_types.collect(),
         answer_grace: ANSWER_GRACE,
-        drain_grace: s.drain_grace,
-        slow_start: s.cold.as_ref().map(|c| SlowStart {
-            initial_capacity: c.from,
-            duration: c.time,
-            overload_multiple: c.multiple,
-            overload_window: c.window,
+        drain_grace: s.drain_grace_s,
+        slow_start: s.cold.as_ref().map(|slow_start| SlowStart {
+            initial_capacity: slow_start.initial_share,
+            duration: slow_start.duration_s,
+            overload_multiple: slow_start.overload_multiple,
+            overload_window: slow_start.overload_window_s,
             mean_work: script.mean_work(),
-            // In a large tier each sends one part before it can know, which the protocol does not count.
+            // In a large tier each co-ordinator sends one part before it can know of the start, which the protocol
+            // does not count.
             counts_unlisted_senders: script.fleet.co_ordinators < LARGE_TIER,
         }),
-        retry_budget: s.budget.as_ref().map(|b| RetryBudget {
-            min_retries: b.free,
-            ratio: b.share,
-            window: b.window,
+        retry_budget: s.budget.as_ref().map(|budget| RetryBudget {
+            min_retries: budget.free,
+            ratio: budget.share,
+            window: budget.window_s,
         }),
         slack: SLACK,
         max_link_latency: script.fleet.max_latency,
@@ -72,35 +73,35 @@
             r#""memorySpanMs":{},"group":"{}"}}"#
         ),
         t.name,
-        t.latency_target * MILLISECONDS,
-        t.client_timeout * MILLISECONDS,
+        t.latency_target_s * MILLISECONDS,
+        t.client_timeout_s * MILLISECONDS,
         repeat,
-        t.window * MILLISECONDS,
+        t.token_window_s * MILLISECONDS,
         group
     )
 }
 
 /// The guarantees, as the members of a JSON object.
 fn guarantees_json(settings: &Settings) -> String {
-    let cold = settings.cold.as_ref().map_or(String::new(), |c| {
+    let slow_start = settings.cold.as_ref().map_or(String::new(), |s| {
         format!(
             r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
-            c.multiple,
-            c.window * MILLISECONDS,
-            c.from,
-            c.time * MILLISECONDS
+            s.overload_multiple,
+            s.overload_window_s * MILLISECONDS,
+            s.initial_share,
+            s.duration_s * MILLISECONDS
         )
     });
     let budget = settings.budget.as_ref().map_or(String::new(), |b| {
         format!(
             r#","repeatRatio":{},"countedOverMs":{},"budgetFree":{}"#,
             b.share,
-            b.window * MILLISECONDS,
+            b.window_s * MILLISECONDS,
             b.free
         )
     });
-    let drain_grace = settings.drain_grace * MILLISECONDS;
-    format!(r#""drainGraceMs":{drain_grace}{cold}{budget}"#)
+    let drain_grace_ms = settings.drain_grace_s * MILLISECONDS;
+    format!(r#""drainGraceMs":{drain_grace_ms}{slow_start}{budget}"#)
 }
 
 /// The limits, as the members of a JSON object.
@@ -114,26 +115,26 @@
         s.cancelling,
         s.hedging,
         s.streams,
-        s.idle_close * MILLISECONDS,
-        s.connect_timeout * MILLISECONDS,
+        s.idle_timeout_s * MILLISECONDS,
+        s.connect_timeout_s * MILLISECONDS,
         s.retry_after,
         script.peers.is_some(),
     )
 }
 
 /// The settings of a co-ordinator, in the JSON of its configuration.
-fn settings_json(script: &Script, n: usize) -> String {
+fn settings_json(script: &Script, index: usize) -> String {
     let (s, f) = (&script.settings, &script.fleet);
     let zones: Vec<String> = (0..f.zones).map(|z| format!(r#""z{z}""#)).collect();
     format!(
-        r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{n},"zone":{},
+        r#"{{"tickMs":5.0,"siblings":{},"localities":[{}],"me":{index},"zone":{},
 "domain":{{"sets":{},"span":{},"slices":{},"perCall":{},
 "classNeed":[{}],"classFloor":[{}],"classFetch":[{}]}},"limits":{{{}}},"clients":{{"marksRetry":{}}},
 "guarantees":{{{}}},
 "tenants":[{{"name":"acme","share":1.0}}],"requestClasses":[{}]}}"#,
         f.co_ordinators,
         zones.join(","),
-        n % f.zones,
+        index % f.zones,
         f.cells,
         f.span,
         f.shards,
@@ -164,7 +165,7 @@
 /// that it knows from the start.
 pub fn configuration(
     script: &Script,
-    n: usize,
+    index: usize,
     at: &CoordinatorAddresses,
     seed: u64,
     known: &str,
@@ -174,12 +175,12 @@
         .peer_listen
         .map_or(String::new(), |l| format!(r#""peer_listen":"{l}","#));
     format!(
-        r#"{{"name":"n{n}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
+        r#"{{"name":"n{index}","listen":"{}","discovery":"{}","seed":"{seed:x}",{listen}"peers":[{}],
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{}}},"known":{known},"settings":{}}}"#,
         at.listen,
         at.discovery,
         peers.join(","),
         script.settings.descriptors,
-        settings_json(script, n)
+        settings_json(script, index)
     )
 }
