--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Schedules a proposal while there is a reason for one, and begins it at its time.
     fn consider_proposal(&mut self, now: Duration) {
         let Some(reason) = self.proposal_reason(now) else {
             self.election.cancel();
@@ -49,31 +50,26 @@
         self.random_delay(2 * MAX_PROPOSAL_DELAY)
     }
 
+    /// Delay of the proposal that `reason` calls for.
     fn delay_before(&mut self, reason: ProposalReason) -> Duration {
         match reason {
             ProposalReason::Improvement => Duration::ZERO,
             ProposalReason::ChainBroken => self.random_delay(MAX_PROPOSAL_DELAY),
-            ProposalReason::EpochSealed => {
+            ProposalReason::Bootstrap if self.has_lowest_address() => Duration::ZERO,
+            ProposalReason::Bootstrap | ProposalReason::EpochSealed => {
                 SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
             }
-            ProposalReason::Bootstrap => {
-                let first = self
-                    .durable
-                    .view
-                    .voters
-                    .iter()
-                    .map(|voter| voter.address)
-                    .min();
-                let is_first = first == Some(self.id.address);
-                if is_first {
-                    Duration::ZERO
-                } else {
-                    SEALED_EPOCH_DELAY + self.random_delay(2 * MAX_PROPOSAL_DELAY)
-                }
-            }
         }
     }
 
+    /// Whether this member has the lowest address of the voters: in the first start it proposes first.
+    fn has_lowest_address(&self) -> bool {
+        let voters = self.durable.view.voters.iter();
+        let lowest = voters.map(|voter| voter.address).min();
+        lowest == Some(self.id.address)
+    }
+
+    /// Why this member should propose a view now, if there is a reason and it is able to.
     fn proposal_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if view.epoch == 0 {
@@ -101,6 +97,7 @@
         (is_head && self.is_improvement(now, &wanted)).then_some(ProposalReason::Improvement)
     }
 
+    /// The reason in epoch 0: all seeds are there, or a majority of them after a time.
     fn bootstrap_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if !self.durable.bootstrap || !view.is_voter(self.id) {
@@ -166,6 +163,7 @@
         }
     }
 
+    /// Whether a voter's report has arrived. The voters of epoch 0 are known by address only.
     fn has_reported(&self, reports: &BTreeMap<MemberId, Report>, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return reports.keys().any(|member| member.address == voter.address);
@@ -173,6 +171,7 @@
         reports.contains_key(&voter)
     }
 
+    /// Whether a voter that has not reported is heard, so that its report may still arrive.
     fn is_expected(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.peers.is_bootstrapping(now, voter.address);
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -107,7 +107,7 @@
             None => self.peers.hears(now, first, second),
         };
         let are_connected = |first, second| {
-            // In the first start nobody has heard the others for long enough to tell.
+            // In the first start no member has heard the others for long enough to tell.
             let is_first_start = self.durable.view.epoch == 0;
             is_first_start || (hears(first, second) && hears(second, first))
         };
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -51,6 +51,50 @@
     hears: BTreeMap<MemberId, Duration>,
 }
 
+impl PeerState {
+    /// The state of a member whose first heartbeat arrives at `now`.
+    fn new(now: Duration, heartbeat: &Heartbeat) -> PeerState {
+        PeerState {
+            last_heard: now,
+            alive_since: now,
+            can_replicate: heartbeat.can_replicate,
+            leaving: heartbeat.leaving,
+            bootstrap: heartbeat.bootstrap,
+            failure_domain: heartbeat.failure_domain,
+            sent: heartbeat.sent,
+            echoed: None,
+            committed: heartbeat.committed,
+            hears: BTreeMap::new(),
+        }
+    }
+
+    /// Records what the member reports of itself.
+    fn record_status(&mut self, heartbeat: &Heartbeat) {
+        self.can_replicate = heartbeat.can_replicate;
+        self.leaving = heartbeat.leaving;
+        self.bootstrap = heartbeat.bootstrap;
+        self.failure_domain = heartbeat.failure_domain;
+        self.sent = heartbeat.sent;
+        self.committed = self.committed.max(heartbeat.committed);
+    }
+
+    /// Records the echo of a heartbeat of this process, unless its send time is in the future.
+    fn record_echo(&mut self, now: Duration, echo: HeartbeatTime) {
+        let echoed = Duration::from_micros(echo.micros);
+        if echoed <= now {
+            self.echoed = self.echoed.max(Some(echoed));
+        }
+    }
+
+    /// Records the members that it lists as heard, and drops those that it has ceased to list.
+    fn record_hears(&mut self, now: Duration, hears: &[MemberId]) {
+        for &member in hears.iter().take(MAX_PEERS) {
+            self.hears.insert(member, now);
+        }
+        self.hears.retain(|_, heard| is_recent(now, *heard));
+    }
+}
+
 /// What is known of the other members.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
@@ -95,33 +139,15 @@
         if !self.table.contains_key(&from) && self.table.len() >= MAX_PEERS {
             return;
         }
-        let peer = self.table.entry(from).or_insert_with(|| PeerState {
-            last_heard: now,
-            alive_since: now,
-            can_replicate: true,
-            leaving: false,
-            bootstrap: false,
-            failure_domain: heartbeat.failure_domain,
-            sent: heartbeat.sent,
-            echoed: None,
-            committed: heartbeat.committed,
-            hears: BTreeMap::new(),
-        });
-        peer.can_replicate = heartbeat.can_replicate;
-        peer.leaving = heartbeat.leaving;
-        peer.bootstrap = heartbeat.bootstrap;
-        peer.failure_domain = heartbeat.failure_domain;
-        peer.sent = heartbeat.sent;
-        peer.committed = peer.committed.max(heartbeat.committed);
-        let echoed = Duration::from_micros(heartbeat.echo.micros);
-        if heartbeat.echo.incarnation == self.incarnation && echoed <= now {
-            peer.echoed = peer.echoed.max(Some(echoed));
-        }
-        for &member in heartbeat.hears.iter().take(MAX_PEERS) {
-            peer.hears.insert(member, now);
+        let peer = self
+            .table
+            .entry(from)
+            .or_insert_with(|| PeerState::new(now, heartbeat));
+        peer.record_status(heartbeat);
+        if heartbeat.echo.incarnation == self.incarnation {
+            peer.record_echo(now, heartbeat.echo);
         }
-        peer.hears
-            .retain(|_, heard| now.saturating_sub(*heard) <= SUSPICION_TIMEOUT);
+        peer.record_hears(now, &heartbeat.hears);
         self.record_message(now, from);
     }
 
@@ -137,22 +163,24 @@
     pub(crate) fn expire(&mut self, now: Duration) {
         self.table
             .retain(|_, peer| now.saturating_sub(peer.last_heard) <= PEER_EXPIRY);
-        let table = &self.table;
-        let replaced: Vec<MemberId> = table
-            .iter()
-            .filter(|(member, peer)| {
-                table.iter().any(|(other, newer)| {
-                    other.address == member.address
-                        && newer.last_heard > peer.last_heard + SUSPICION_TIMEOUT
-                })
-            })
-            .map(|(&member, _)| member)
-            .collect();
+        let members = self.table.keys().copied();
+        let replaced: Vec<MemberId> = members.filter(|&member| self.is_replaced(member)).collect();
         for member in replaced {
             self.table.remove(&member);
         }
     }
 
+    /// Whether another identity at the member's address was heard after the member was suspected.
+    fn is_replaced(&self, member: MemberId) -> bool {
+        let Some(peer) = self.table.get(&member) else {
+            return false;
+        };
+        self.table.iter().any(|(other, newer)| {
+            other.address == member.address
+                && newer.last_heard > peer.last_heard + SUSPICION_TIMEOUT
+        })
+    }
+
     /// Restarts the time-outs of members that were alive at `last_tick`: this process was stalled from then
     /// to `now` and could not receive their messages.
     pub(crate) fn excuse_stall(&mut self, now: Duration, last_tick: Duration) {
@@ -306,6 +334,7 @@
     }
 }
 
+/// Whether `then` is no longer ago than [`SUSPICION_TIMEOUT`].
 fn is_recent(now: Duration, then: Duration) -> bool {
     now.saturating_sub(then) <= SUSPICION_TIMEOUT
 }
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -1,4 +1,4 @@
-//! When a machine that is being stopped, and is in no chain, may end.
+//! When a machine that is shutting down, and is in no chain, may exit.
 
 mod support;
 
--- a/crates/tier/chain/tests/state.rs
+++ b/crates/tier/chain/tests/state.rs
@@ -2,8 +2,9 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use woadreach_chain::{
-    Blob, Command, ControlState, MAX_APPLIED_CONFIGURATIONS, PutConfiguration, PutStorageView,
-    Rejection, Undecided, Verdict, WritePosition,
+    AppliedConfiguration, Blob, Command, ControlState, MAX_APPLIED_CONFIGURATIONS,
+    PutConfiguration, PutStorageView, Rejection, StoredStorageView, Undecided, Verdict,
+    WritePosition,
 };
 
 /// A command with small numbers, so that repeats and mismatches are common.
@@ -35,11 +36,25 @@
     }
 }
 
+fn applied(put: &PutConfiguration) -> AppliedConfiguration {
+    AppliedConfiguration {
+        generation: put.generation,
+        digest: put.digest,
+    }
+}
+
+fn stored(put: &PutStorageView) -> StoredStorageView {
+    StoredStorageView {
+        epoch: put.epoch,
+        bytes: put.bytes.clone(),
+    }
+}
+
 /// The applied changes, in order.
 #[derive(Default)]
 struct Oracle {
-    configurations: Vec<(u64, [u8; 16])>,
-    storage: Option<(u64, Blob)>,
+    configurations: Vec<AppliedConfiguration>,
+    storage: Option<StoredStorageView>,
 }
 
 impl Oracle {
@@ -49,8 +64,8 @@
                 let current = self
                     .configurations
                     .last()
-                    .map_or(0, |(generation, _)| *generation);
-                if self.configurations.contains(&(put.generation, put.digest)) {
+                    .map_or(0, |applied| applied.generation);
+                if self.configurations.contains(&applied(put)) {
                     Verdict::AlreadyApplied
                 } else if put.base < current {
                     Verdict::Rejected(Rejection::BaseMismatch { current })
@@ -63,8 +78,8 @@
                 }
             }
             Command::PutStorageView(put) => {
-                let current = self.storage.as_ref().map_or(0, |(epoch, _)| *epoch);
-                if self.storage == Some((put.epoch, put.bytes.clone())) {
+                let current = self.storage.as_ref().map_or(0, |stored| stored.epoch);
+                if self.storage == Some(stored(put)) {
                     Verdict::AlreadyApplied
                 } else if put.expected_epoch != current || put.epoch <= current {
                     Verdict::Rejected(Rejection::StorageEpochMismatch { current })
@@ -78,9 +93,9 @@
     fn apply(&mut self, command: &Command) {
         match command {
             Command::PutConfiguration(put) => {
-                self.configurations.push((put.generation, put.digest))
+                self.configurations.push(applied(put));
             }
-            Command::PutStorageView(put) => self.storage = Some((put.epoch, put.bytes.clone())),
+            Command::PutStorageView(put) => self.storage = Some(stored(put)),
         }
     }
 }
@@ -100,11 +115,11 @@
         })
     }
 
-    fn a_rejected_change_is_never_applied_later(commands: Vec<SmallCommand>, copies: Vec<usize>) -> bool {
+    fn a_rejected_change_is_never_applied_later(commands: Vec<SmallCommand>, duplicates: Vec<usize>) -> bool {
         let mut state = ControlState::default();
         let mut rejected = Vec::new();
         let commands: Vec<Command> = commands.into_iter().map(|SmallCommand(command)| command).collect();
-        let late = copies.iter().filter_map(|copy| commands.get(copy % commands.len().max(1)));
+        let late = duplicates.iter().filter_map(|index| commands.get(index % commands.len().max(1)));
         commands.iter().chain(late).enumerate().all(|(index, command)| {
             let verdict = state.judge(command);
             if matches!(verdict, Verdict::Rejected(_)) && matches!(command, Command::PutConfiguration(_)) {
