--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -7,11 +7,11 @@
 
 use woadreach_chain::{
     Body, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, MemberId, Output,
-    RequestId, TimedStep, View, WritePosition,
+    TimedStep, View, WritePosition,
 };
 
 use super::machine::{Machine, address, first_identity, index_of};
-use super::oracle::Oracle;
+use super::oracle::{NumberedRequest, Oracle};
 use super::world::World;
 
 /// Epoch of the first view.
@@ -239,7 +239,7 @@
             Output::Send { to, envelope } => self.send(index_of(to), &envelope),
             Output::Reply { id, reply } => {
                 let published = Arc::clone(self.machines[index].member.published());
-                self.oracle.record_reply(id.0, &reply, &published);
+                self.oracle.record_reply(id, &reply, &published);
             }
             Output::Committed(state) => {
                 let view = &self.machines[index].member.durable().view;
@@ -308,13 +308,9 @@
         self.exchange_heartbeats(world);
     }
 
-    pub(crate) fn submit(
-        &mut self,
-        world: &World,
-        index: usize,
-        (number, request): (u64, woadreach_chain::Request),
-    ) {
-        self.input(world, index, Input::Request(RequestId(number), request));
+    pub(crate) fn submit(&mut self, world: &World, index: usize, numbered: NumberedRequest) {
+        let NumberedRequest { id, request } = numbered;
+        self.input(world, index, Input::Request(id, request));
     }
 
     /// Delivers every message, in their order, until none is left.
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use woadreach_chain::{
-    AppliedConfiguration, Ballot, Command, ControlState, Digest, PutConfiguration, Rejection,
-    Reply, Request, View,
+    AppliedConfiguration, Ballot, Command, ControlState, PutConfiguration, Rejection, Reply,
+    Request, RequestId, View,
 };
 
 /// A request that was handed to a head.
@@ -17,18 +17,29 @@
     is_answered: bool,
 }
 
+/// A request with the number that it was issued under.
+#[derive(Clone, Debug)]
+pub(crate) struct NumberedRequest {
+    pub id: RequestId,
+    pub request: Request,
+}
+
 /// Everything that was said so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
+    /// The first violation that was found.
     pub violation: Option<String>,
     /// The longest history that a tail has committed.
-    committed: Vec<(u64, Digest)>,
+    committed: Vec<AppliedConfiguration>,
     /// Epochs in which something was committed, with the length of the history.
     commits: BTreeMap<u64, usize>,
     /// The longest history that was acknowledged.
     acknowledged: usize,
+    /// Orders that were rejected and sent only once; none may ever be committed.
     rejected: Vec<usize>,
+    /// Every request, by its number.
     requests: Vec<IssuedRequest>,
+    /// The view of each epoch.
     decided: BTreeMap<u64, View>,
     /// Views that a ballot has proposed.
     proposed: BTreeMap<(u64, Ballot), View>,
@@ -47,11 +58,6 @@
     }
 }
 
-fn history(state: &ControlState) -> Vec<(u64, Digest)> {
-    let pair = |applied: &AppliedConfiguration| (applied.generation, applied.digest);
-    state.applied.iter().map(pair).collect()
-}
-
 impl Oracle {
     fn fail(&mut self, what: impl Into<String>) {
         self.violation.get_or_insert(what.into());
@@ -107,25 +113,28 @@
             .map(|(_, length)| *length)
             .max()
             .unwrap_or(0);
-        if !history(state).starts_with(&self.committed[..before]) {
+        if !state.applied.starts_with(&self.committed[..before]) {
             self.fail(format!("the head of {view:?} lacks what was committed"));
         }
     }
 
     /// A tail has committed `state` in `epoch`.
     pub(crate) fn record_commit(&mut self, epoch: u64, state: &ControlState) {
-        let found = history(state);
+        let found = &state.applied;
         let common = found.len().min(self.committed.len());
         if found[..common] != self.committed[..common] {
             self.fail(format!("two histories: {found:?} and {:?}", self.committed));
         }
-        if found.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
+        if found
+            .windows(2)
+            .any(|pair| pair[0].generation >= pair[1].generation)
+        {
             self.fail(format!("generations do not rise: {found:?}"));
         }
         if self.rejected.iter().any(|&rejected| {
             found
                 .iter()
-                .any(|(_, digest)| *digest == order(rejected).digest)
+                .any(|applied| applied.digest == order(rejected).digest)
         }) {
             self.fail("a rejected order is in force");
         }
@@ -135,48 +144,48 @@
         let length = self.commits.entry(epoch).or_default();
         *length = found.len().max(*length);
         if found.len() > self.committed.len() {
-            self.committed = found;
+            self.committed.clone_from(found);
         }
     }
 
-    /// The request that is handed over next, with its number.
-    pub(crate) fn issue_order(&mut self, position: usize) -> (u64, Request) {
-        let number = self.record_request(Some(position));
-        (
-            number,
-            Request::Submit(Command::PutConfiguration(order(position))),
-        )
+    /// Issues the order at `position` in the list of orders.
+    pub(crate) fn issue_order(&mut self, position: usize) -> NumberedRequest {
+        let command = Command::PutConfiguration(order(position));
+        self.issue(Some(position), Request::Submit(command))
     }
 
-    pub(crate) fn issue_read(&mut self) -> (u64, Request) {
-        (self.record_request(None), Request::ReadConfiguration)
+    /// Issues a read of the configuration.
+    pub(crate) fn issue_read(&mut self) -> NumberedRequest {
+        self.issue(None, Request::ReadConfiguration)
     }
 
-    pub(crate) fn issue_confirmation(&mut self) -> (u64, Request) {
-        (self.record_request(None), Request::Confirm)
+    /// Issues a confirmation of the published state.
+    pub(crate) fn issue_confirmation(&mut self) -> NumberedRequest {
+        self.issue(None, Request::Confirm)
     }
 
-    fn record_request(&mut self, order: Option<usize>) -> u64 {
+    fn issue(&mut self, order: Option<usize>, request: Request) -> NumberedRequest {
+        let id = RequestId(self.requests.len() as u64);
         self.requests.push(IssuedRequest {
             order,
             acknowledged: self.acknowledged,
             is_answered: false,
         });
-        self.requests.len() as u64 - 1
+        NumberedRequest { id, request }
     }
 
-    /// Whether request `number` has a clear answer.
-    pub(crate) fn is_answered(&self, number: u64) -> bool {
-        self.requests[number as usize].is_answered
+    /// Whether the request has a clear answer.
+    pub(crate) fn is_answered(&self, id: RequestId) -> bool {
+        self.requests[id.0 as usize].is_answered
     }
 
     /// A head answers; `published` is the state that it has published.
-    pub(crate) fn record_reply(&mut self, number: u64, reply: &Reply, published: &ControlState) {
-        let issued = self.requests[number as usize].clone();
+    pub(crate) fn record_reply(&mut self, id: RequestId, reply: &Reply, published: &ControlState) {
+        let issued = self.requests[id.0 as usize].clone();
         if matches!(reply, Reply::Unavailable | Reply::Undecided(_)) {
             return;
         }
-        self.requests[number as usize].is_answered = true;
+        self.requests[id.0 as usize].is_answered = true;
         match (reply, issued.order) {
             (Reply::Committed | Reply::AlreadyCommitted, Some(position)) => {
                 self.check_acknowledgement(position)
@@ -198,16 +207,16 @@
         match self
             .committed
             .iter()
-            .position(|(_, digest)| *digest == order.digest)
+            .position(|applied| applied.digest == order.digest)
         {
-            Some(place) => self.acknowledged = self.acknowledged.max(place + 1),
+            Some(index) => self.acknowledged = self.acknowledged.max(index + 1),
             None => self.fail("acknowledged and not committed"),
         }
     }
 
     fn check_rejection(&mut self, position: usize, issued: &IssuedRequest, rejection: Rejection) {
         let order = order(position);
-        let is_known = |(_, digest): &(u64, Digest)| *digest == order.digest;
+        let is_known = |applied: &AppliedConfiguration| applied.digest == order.digest;
         if self.committed[..issued.acknowledged].iter().any(is_known) {
             self.fail("an acknowledged order is rejected when it is sent again");
         }
@@ -237,19 +246,19 @@
     fn check_read(&mut self, issued: &IssuedRequest, generation: u64) {
         let newest = self.committed[..issued.acknowledged]
             .last()
-            .map_or(0, |(generation, _)| *generation);
+            .map_or(0, |applied| applied.generation);
         if generation < newest {
             self.fail(format!(
-                "generation {generation} is told when {newest} was acknowledged"
+                "generation {generation} was read after {newest} was acknowledged"
             ));
         }
         let is_committed = self
             .committed
             .iter()
-            .any(|(committed, _)| *committed == generation);
+            .any(|applied| applied.generation == generation);
         if generation > 0 && !is_committed {
             self.fail(format!(
-                "generation {generation} is told and is not committed"
+                "generation {generation} was read and is not committed"
             ));
         }
     }
--- a/crates/tier/chain/tests/member_model/recovery.rs
+++ b/crates/tier/chain/tests/member_model/recovery.rs
@@ -68,9 +68,9 @@
             return false;
         };
         let request = self.oracle.issue_confirmation();
-        let number = request.0;
+        let id = request.id;
         self.submit(world, head, request);
         self.deliver_and_resend(world);
-        self.oracle.is_answered(number)
+        self.oracle.is_answered(id)
     }
 }
