--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -185,18 +185,18 @@
         }
         self.snapshot.configuration = configuration.map(Arc::new);
         WatchChange {
-            core_or_configuration: true,
+            configuration: true,
             ..WatchChange::default()
         }
     }
 
     fn publish(&mut self, change: WatchChange) {
         self.snapshot.last_heard = self.watcher.heard_at().map(|at| self.started + at);
-        self.snapshot.warmed = self.watcher.is_warmed();
+        self.snapshot.has_current_state = self.watcher.has_reached_current_state();
         if change.replicas {
             self.snapshot.replicas = Arc::clone(self.watcher.table().present());
         }
-        if change.core_or_configuration {
+        if change.core_machines {
             self.snapshot.core_machines = self.watcher.core_machines().to_vec();
         }
         if change.storage_view {
--- a/crates/tier/discovery/src/polled_machine.rs
+++ b/crates/tier/discovery/src/polled_machine.rs
@@ -29,7 +29,7 @@
     pub(crate) consecutive_failures: u32,
     /// What the machine reported about itself in its last answer.
     pub(crate) standing: Standing,
-    /// Newest configuration generation that the machine has reported.
+    /// Configuration generation in the machine's last answer; 0 before the first.
     pub(crate) reported_generation: u64,
     /// Fetches of the configuration from this machine that failed since one from any machine succeeded.
     pub(crate) failed_fetches: u32,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether its list of replicas and its configuration are authoritative.
+    /// Whether its list of replicas is authoritative.
     pub(crate) fn is_trusted(&self) -> bool {
         self.has_answered
             && self.consecutive_failures == 0
--- a/crates/tier/discovery/src/snapshot.rs
+++ b/crates/tier/discovery/src/snapshot.rs
@@ -23,9 +23,9 @@
     pub storage_view: Option<Arc<StorageView>>,
     /// Internal addresses of the core machines that the newest core view names; empty before the first.
     pub core_machines: Vec<SocketAddr>,
-    /// Whether configuration and replicas have been received from a core machine that was in quorum and not
-    /// warming up. Stays set.
-    pub warmed: bool,
+    /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
+    /// configuration that any machine had reported. Stays set.
+    pub has_current_state: bool,
     /// When a core machine last answered.
     pub last_heard: Option<Instant>,
 }
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -61,15 +61,23 @@
     pub replicas: bool,
     /// The storage view.
     pub storage_view: bool,
-    /// The core machines, the configuration, or whether the process has warmed up. Not a machine's
-    /// [`Standing`](crate::messages::Standing).
-    pub core_or_configuration: bool,
+    /// The addresses of the core machines. Not a machine's [`Standing`](crate::messages::Standing).
+    pub core_machines: bool,
+    /// The configuration.
+    pub configuration: bool,
+    /// Whether the process [has reached a current state](Watcher::has_reached_current_state). Where a fetched
+    /// configuration completes that state only `configuration` is set.
+    pub has_current_state: bool,
 }
 
 impl WatchChange {
     /// Whether anything has changed.
     pub fn any(self) -> bool {
-        self.replicas || self.storage_view || self.core_or_configuration
+        self.replicas
+            || self.storage_view
+            || self.core_machines
+            || self.configuration
+            || self.has_current_state
     }
 }
 
@@ -182,8 +190,9 @@
         self.heard_at
     }
 
-    /// Whether configuration and replicas have been received from a trusted core machine.
-    pub fn is_warmed(&self) -> bool {
+    /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
+    /// configuration that any machine had reported.
+    pub fn has_reached_current_state(&self) -> bool {
         self.warm_up == WarmUp::Warm
     }
 
@@ -286,7 +295,7 @@
         let trusted = entry.is_trusted();
         let mut change = WatchChange::default();
         if let Some(view) = response.view {
-            change.core_or_configuration |= self.merge_view(view);
+            change.core_machines = self.merge_view(view);
         }
         if let Some(storage_view) = response.storage_view {
             change.storage_view = self.merge_storage_view(storage_view);
@@ -297,7 +306,7 @@
         if is_listed && self.warm_up == WarmUp::AwaitingList {
             self.warm_up = WarmUp::Listed { since: now };
         }
-        change.core_or_configuration |= self.complete_warm_up(now);
+        change.has_current_state = self.complete_warm_up(now);
         change
     }
 
@@ -307,7 +316,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            core_or_configuration: self.complete_warm_up(now),
+            has_current_state: self.complete_warm_up(now),
             ..WatchChange::default()
         }
     }
--- a/crates/tier/discovery/tests/control_traffic.rs
+++ b/crates/tier/discovery/tests/control_traffic.rs
@@ -48,7 +48,12 @@
 fn measure_tier(cores: usize, edges: usize, replicas: usize) {
     let mut world = World::new(11, cores, edges, replicas);
     world.run(seconds(10));
-    assert!(world.edges.iter().all(|edge| edge.watcher.is_warmed()));
+    assert!(
+        world
+            .edges
+            .iter()
+            .all(|edge| edge.watcher.has_reached_current_state())
+    );
     world
         .edges
         .iter_mut()
--- a/crates/tier/discovery/tests/distribution.rs
+++ b/crates/tier/discovery/tests/distribution.rs
@@ -25,7 +25,7 @@
     let mut world = World::new(seed, cores, edges, replicas);
     world.run(seconds(8));
     for edge in 0..edges {
-        assert!(world.edges[edge].watcher.is_warmed());
+        assert!(world.edges[edge].watcher.has_reached_current_state());
         assert_eq!(world.edges[edge].watcher.table().present().len(), replicas);
         assert_eq!(world.edges[edge].configuration, 1);
     }
@@ -241,12 +241,15 @@
             let is_complete =
                 watcher.table().present().len() == 12 && world.edges[0].configuration == 1;
             assert!(
-                !watcher.is_warmed() || is_complete,
+                !watcher.has_reached_current_state() || is_complete,
                 "seed {seed} at {:?}",
                 world.now
             );
         });
-        assert!(world.edges[0].watcher.is_warmed(), "seed {seed}");
+        assert!(
+            world.edges[0].watcher.has_reached_current_state(),
+            "seed {seed}"
+        );
     }
 }
 
@@ -294,16 +297,19 @@
         world.thaw_core(2);
         let until = world.now + millis(700);
         world.run_checked(until, |world| {
-            let is_warmed = world.edges[0].watcher.is_warmed();
+            let has_current_state = world.edges[0].watcher.has_reached_current_state();
             assert!(
-                !(is_warmed && world.is_used(0, 0)),
+                !(has_current_state && world.is_used(0, 0)),
                 "seed {seed} at {:?}",
                 world.now
             );
         });
         world.partitions.clear();
         world.run_for(seconds(4));
-        assert!(world.edges[0].watcher.is_warmed(), "seed {seed}");
+        assert!(
+            world.edges[0].watcher.has_reached_current_state(),
+            "seed {seed}"
+        );
         assert_eq!(world.edges_using(0), 0, "seed {seed}");
     }
 }
@@ -419,12 +425,12 @@
     world.set_power(3, PowerState::Unreachable);
     world.restart_edge(0, vec![core_address(3)]);
     world.run_for(seconds(4));
-    assert!(!world.edges[0].watcher.is_warmed());
+    assert!(!world.edges[0].watcher.has_reached_current_state());
     world.edges[0]
         .watcher
         .set_sampled_machines(vec![core_address(1)]);
     world.run_for(seconds(3));
-    assert!(world.edges[0].watcher.is_warmed());
+    assert!(world.edges[0].watcher.has_reached_current_state());
     assert_eq!(world.edges[0].watcher.core_machines().len(), 4);
 }
 
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -90,7 +90,7 @@
         world.restart_edge(0, vec![core_address(3)]);
         world.run_for(seconds(4));
         assert!(
-            !world.edges[0].watcher.is_warmed(),
+            !world.edges[0].watcher.has_reached_current_state(),
             "seed {seed}: ready with an old configuration"
         );
         assert!(
@@ -101,7 +101,10 @@
             .watcher
             .set_sampled_machines(vec![core_address(1)]);
         world.run_for(seconds(3));
-        assert!(world.edges[0].watcher.is_warmed(), "seed {seed}");
+        assert!(
+            world.edges[0].watcher.has_reached_current_state(),
+            "seed {seed}"
+        );
         assert_eq!(world.edges[0].configuration, 9, "seed {seed}");
     }
 }
--- a/crates/tier/proxy/src/client/service.rs
+++ b/crates/tier/proxy/src/client/service.rs
@@ -128,7 +128,7 @@
     path: &str,
 ) -> Result<Arc<Route>, Rejection> {
     // What a process that has just started knows may be old: a route that is not there may have been added.
-    let no_route = if routing_state.warmed {
+    let no_route = if routing_state.has_current_state {
         Rejection::NoRoute
     } else {
         Rejection::NotReady
--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -102,7 +102,7 @@
     /// Whether configuration, replicas and storage view are complete enough to serve requests.
     pub fn is_ready(&self) -> bool {
         let routing_state = self.routing_state();
-        routing_state.warmed
+        routing_state.has_current_state
             && routing_state.configuration.is_some()
             && routing_state.has_storage_view
     }
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -21,8 +21,9 @@
     pub routes: Arc<RouteTable>,
     /// Replicas by id.
     pub replicas: Arc<BTreeMap<String, ReplicaRecord>>,
-    /// Whether configuration and replicas have come from a core machine in quorum. Stays true.
-    pub warmed: bool,
+    /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
+    /// configuration that any machine had reported. Stays true.
+    pub has_current_state: bool,
     /// Whether the view of the storage machines has been received. Stays true.
     pub has_storage_view: bool,
 }
@@ -39,7 +40,7 @@
             configuration,
             routes,
             replicas: snapshot.replicas.clone(),
-            warmed: self.warmed || snapshot.warmed,
+            has_current_state: self.has_current_state || snapshot.has_current_state,
             has_storage_view: self.has_storage_view || snapshot.storage_view.is_some(),
         }
     }
--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -109,7 +109,7 @@
             Configuration::parse(configuration.as_bytes()).expect("valid"),
         )),
         replicas: Arc::new(records),
-        warmed: true,
+        has_current_state: true,
         ..ControlSnapshot::default()
     }
 }
