--- a/crates/tier/rpc/src/server.rs
+++ b/crates/tier/rpc/src/server.rs
@@ -125,7 +125,8 @@
         let responses = responses.clone();
         let handler = router.handlers.get(&frame.service).cloned();
         // On the single-threaded runtime tasks start in the order in which they are spawned. Senders of
-        // notifications rely on it: chain replication takes a probe that passes a write for a lost write.
+        // notifications rely on this order: in chain replication, a probe that overtakes a write makes that write
+        // look lost.
         tokio::spawn(async move {
             if let Some(response) = handle(frame, peer, handler).await {
                 let _ = responses.send(response).await;
--- a/crates/tier/storage/src/budget.rs
+++ b/crates/tier/storage/src/budget.rs
@@ -1,5 +1,5 @@
 //! A program's budget: a set of reservations that only grows, at each storage machine and in a client's
-//! [`Write`](crate::operation::Write).
+//! [`Write`](crate::write::Write).
 //!
 //! A reservation is made for the tokens that a turn may generate at most, and settled once at the tokens delivered.
 //! Both are joins of a semilattice (`open < settled`), so replicas can be merged in any order.
--- a/crates/tier/storage/src/cache.rs
+++ b/crates/tier/storage/src/cache.rs
@@ -1,4 +1,4 @@
-//! Cache of the durable turns that a proxy has seen, so that its [`StorageClient`](crate::StorageClient) seldom reads
+//! Cache of the durable turns that an edge has seen, so that its [`StorageClient`](crate::StorageClient) seldom reads
 //! from the storage machines.
 
 use std::collections::{HashMap, VecDeque};
--- a/crates/tier/storage/src/client/peers.rs
+++ b/crates/tier/storage/src/client/delivery.rs
@@ -5,8 +5,8 @@
 //!
 //! ```text
 //! responsive   -> unresponsive  an attempt fails; the write is queued and a probe starts
-//! unresponsive -> responsive    the probe succeeds; the queued writes are sent
-//! unresponsive -> responsive    all queued writes have expired
+//! unresponsive -> unresponsive  the probe succeeds; the queued writes are sent
+//! unresponsive -> responsive    every queued write has been answered, has expired or was dropped at the queue's bound
 //! ```
 
 use std::collections::{HashMap, VecDeque};
@@ -104,8 +104,8 @@
 
 /// Missed writes of the machines that do not answer at present, by disk.
 #[derive(Default)]
-pub(super) struct UnresponsivePeers {
-    missed: HashMap<u64, MissedWrites>,
+pub(super) struct MissedWritesByDisk {
+    by_disk: HashMap<u64, MissedWrites>,
 }
 
 /// Outcome of one attempt.
@@ -119,12 +119,12 @@
 impl StorageClient {
     /// Delivers a write to one machine in the background.
     pub(super) fn deliver(&self, member: &StorageMember, delivery: Delivery) {
-        let mut unresponsive = self.shared.unresponsive.lock();
-        if let Some(missed) = unresponsive.missed.get_mut(&member.disk) {
+        let mut missed_writes = self.shared.missed_writes.lock();
+        if let Some(missed) = missed_writes.by_disk.get_mut(&member.disk) {
             missed.push(delivery);
             return;
         }
-        drop(unresponsive);
+        drop(missed_writes);
         let (client, member) = (self.clone(), member.clone());
         tokio::spawn(async move {
             if let AttemptOutcome::Retry(delivery) =
@@ -154,10 +154,10 @@
     }
 
     fn queue_for_retry(&self, member: StorageMember, delivery: Delivery) {
-        let mut unresponsive = self.shared.unresponsive.lock();
-        let probed = unresponsive.missed.contains_key(&member.disk);
-        unresponsive
-            .missed
+        let mut missed_writes = self.shared.missed_writes.lock();
+        let probed = missed_writes.by_disk.contains_key(&member.disk);
+        missed_writes
+            .by_disk
             .entry(member.disk)
             .or_default()
             .push(delivery);
@@ -206,21 +206,21 @@
 
     /// Takes the oldest missed writes; without any the machine counts as responsive again.
     fn take_oldest_missed(&self, disk: u64, limit: usize) -> Vec<Delivery> {
-        let mut unresponsive = self.shared.unresponsive.lock();
-        let Some(missed) = unresponsive.missed.get_mut(&disk) else {
+        let mut missed_writes = self.shared.missed_writes.lock();
+        let Some(missed) = missed_writes.by_disk.get_mut(&disk) else {
             return Vec::new();
         };
         missed.remove_expired();
         let deliveries: Vec<Delivery> = std::iter::from_fn(|| missed.pop()).take(limit).collect();
         if deliveries.is_empty() {
-            unresponsive.missed.remove(&disk);
+            missed_writes.by_disk.remove(&disk);
         }
         deliveries
     }
 
     fn requeue(&self, disk: u64, delivery: Delivery) {
-        let mut unresponsive = self.shared.unresponsive.lock();
-        let missed = unresponsive.missed.entry(disk).or_default();
+        let mut missed_writes = self.shared.missed_writes.lock();
+        let missed = missed_writes.by_disk.entry(disk).or_default();
         missed.bytes += delivery.request.len();
         missed.queue.push_front(delivery);
     }
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -2,8 +2,8 @@
 //! reservation after it, and reads the chain that a turn continues.
 
 mod chain;
+mod delivery;
 mod exchange;
-mod peers;
 mod reservation;
 mod write;
 
@@ -23,7 +23,7 @@
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::StorageView;
 
-use self::peers::UnresponsivePeers;
+use self::delivery::MissedWritesByDisk;
 pub use self::reservation::ReservationGuard;
 
 /// Upper bound of the cache of turns.
@@ -96,7 +96,7 @@
     cache: Mutex<TurnCache>,
     /// Source of the reservations' numbers.
     random: Mutex<Rand64>,
-    unresponsive: Mutex<UnresponsivePeers>,
+    missed_writes: Mutex<MissedWritesByDisk>,
 }
 
 impl StorageClient {
@@ -114,7 +114,7 @@
             view,
             cache: Mutex::new(TurnCache::new(CACHE_BYTES)),
             random: Mutex::new(Rand64::new(seed)),
-            unresponsive: Mutex::default(),
+            missed_writes: Mutex::default(),
         };
         StorageClient {
             shared: Arc::new(shared),
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -5,11 +5,11 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::{Instant, timeout_at};
 
+use super::delivery::{AnswerSender, Delivery};
 use super::exchange::EncodedRequest;
-use super::peers::{AnswerSender, Delivery};
 use super::{StorageClient, Unavailable};
 use crate::message::Operation;
-use crate::operation::Write;
+use crate::write::Write;
 
 impl StorageClient {
     /// Sends a write to all machines of the groups at once and waits for a quorum. The others are retried in the
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`placement`] and [`quorum`]: which machines hold a program, and how many of them must answer;
 //! - [`view`]: the agreed membership, and the next one to propose;
 //! - [`node`]: one storage machine, with its [`store`] and the [`budget`] of each program;
-//! - [`operation`]: one write of a client; [`pull`]: copying from other machines in a joint epoch.
+//! - [`mod@write`]: one write of a client; [`pull`]: copying from other machines in a joint epoch.
 //!
 //! Drivers: [`client`] for edges, [`server`] for storage machines, [`announce`] for both ends of the membership.
 //! Formats: [`message`] on the wire, [`record`] on disk, both in the byte format of [`message::encode`].
@@ -27,7 +27,6 @@
 mod codec;
 pub mod message;
 pub mod node;
-pub mod operation;
 pub mod placement;
 pub mod pull;
 pub mod quorum;
@@ -36,6 +35,7 @@
 pub mod store;
 pub mod turn;
 pub mod view;
+pub mod write;
 
 pub use client::{
     ChainError, ReservationGuard, ReserveError, ReserveRequest, StorageClient, Unavailable,
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages from proxies to storage machines, and between storage machines. Those to the core are in
+//! Messages from edges to storage machines, and between storage machines. Those to the core are in
 //! [`announce`](crate::announce).
 
 use speedy::{Readable, Writable};
@@ -162,7 +162,7 @@
     Behind,
     /// The machine at this address runs on another disk than the one addressed.
     WrongDisk,
-    /// The disk refused the record, so nothing is stored.
+    /// The disk did not accept the record. It is in memory, but not durable; the sender repeats the request.
     Failed,
     /// The request could not be read.
     Malformed,
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -1,6 +1,6 @@
 //! Progress of one operation over a program's group, under one view: a majority quorum or, in a joint epoch, one of
 //! each group (joint consensus, Ongaro, Consensus: Bridging Theory and Practice, §4.3). A
-//! [`Write`](crate::operation::Write) is durable once its quorum is reached.
+//! [`Write`](crate::write::Write) is durable once its quorum is reached.
 
 use crate::placement::{group, read_quorum, write_quorum};
 use crate::view::{StorageMember, StorageView};
@@ -10,7 +10,9 @@
 pub enum QuorumKind {
     /// Enough that the write survives the tolerated losses and intersects every later read.
     Write,
-    /// Enough to intersect every earlier write.
+    /// Enough to intersect every earlier write. Only the client of the storage simulation uses it;
+    /// [`StorageClient`](crate::StorageClient) reads from the first machine that has the turn, and takes it as not
+    /// found only once all machines have answered.
     Read,
 }
 
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use woadreach_storage::message::{Answer, FencingToken, Operation, Request};
-use woadreach_storage::operation::Write;
 use woadreach_storage::quorum::{Quorum, QuorumKind};
 use woadreach_storage::turn::TurnRecord;
+use woadreach_storage::write::Write;
 use woadreach_storage::{StorageMember, StorageView, TurnKey};
 
 /// Number of a job of a proxy.
--- a/crates/tier/storage/tests/simulation/world/jobs.rs
+++ b/crates/tier/storage/tests/simulation/world/jobs.rs
@@ -6,7 +6,7 @@
 
 use woadreach_storage::TurnKey;
 use woadreach_storage::message::{Operation, Response};
-use woadreach_storage::operation::Write;
+use woadreach_storage::write::Write;
 
 use super::super::event::{Endpoint, Event};
 use super::super::mutation::Mutation;
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -8,11 +8,11 @@
 
 use woadreach_storage::announce::{Announcement, Announcements};
 use woadreach_storage::message::{Answer, Operation};
-use woadreach_storage::operation::Write;
 use woadreach_storage::placement::group;
 use woadreach_storage::pull::Pages;
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::view::plan;
+use woadreach_storage::write::Write;
 use woadreach_storage::{StorageMember, StorageView};
 
 use super::machine::Machine;
