--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -22,6 +22,8 @@
 const MAX_ANSWER_BYTES: usize = 512 << 10;
 /// Upper bound of the digests in one answer.
 const MAX_DIGESTS: usize = 4_000;
+/// Bytes of a reservation in a message: 8 of its id, 8 of its tokens, 1 of whether it is settled.
+const RESERVATION_BYTES: usize = 17;
 
 /// What the driver does with a request.
 #[derive(Debug)]
@@ -36,8 +38,9 @@
         /// The answer that waits for the sync.
         pending: Pending,
     },
-    /// Replace the journal's snapshot, then build the answer from the receipt.
-    Compact {
+    /// Replace the journal's snapshot, which makes every record in memory durable, then build the answer from the
+    /// receipt.
+    PersistSnapshot {
         /// Snapshot of the whole state.
         snapshot: Vec<u8>,
         /// The answer that waits for the sync.
@@ -201,7 +204,7 @@
         let pending = Pending::Pulled(epoch);
         if self.has_unsynced_records {
             self.has_unsynced_records = false;
-            return Step::Compact {
+            return Step::PersistSnapshot {
                 snapshot: self.snapshot(now),
                 pending,
             };
@@ -386,7 +389,7 @@
             let expired = || Store::records(name.clone(), Vec::new(), Vec::new());
             let records = self.store.program(now, name).unwrap_or_else(expired);
             bytes += records.turns.iter().map(TurnRecord::size).sum::<usize>()
-                + records.reservations.len() * 17;
+                + records.reservations.len() * RESERVATION_BYTES;
             programs.push(records);
         }
         self.reply(Answer::Records { programs })
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! Driver of one storage machine: carries out what its [`StorageNode`] decides, on the network and in the journal.
 
 mod pulling;
-mod start;
+mod recovery;
 mod upkeep;
 
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
     zone: String,
     /// Why a pull is due; changes with the view's epoch, and when records may have been missed.
     pull_due: watch::Sender<PullDue>,
-    /// Joint epoch for which everything has been pulled; notified as well when a shutdown begins.
+    /// Joint epoch for which everything has been pulled, 0 before the first. See [`Server::announcement_changed`].
     pulled_epoch: watch::Sender<u64>,
     upkeep: Mutex<Upkeep>,
     /// Whether the process is shutting down.
@@ -104,7 +104,7 @@
         options: ServerOptions,
     ) -> Result<Server, ServerError> {
         let started = Instant::now();
-        let (journal, node) = start::start(folder, &options).await?;
+        let (journal, node) = recovery::recover_or_create(folder, &options).await?;
         let epoch = node.view().epoch;
         let shared = Shared {
             started,
@@ -162,8 +162,9 @@
         self.shared.node.lock().may_shut_down()
     }
 
-    /// Joint epoch for which everything has been pulled. Notified whenever the announcement should be sent at once:
-    /// when a pull is complete, and when a shutdown begins.
+    /// Notified whenever the announcement should be sent at once: when a pull is complete, and when a shutdown begins.
+    /// The value is the joint epoch for which everything has been pulled, 0 before the first; a shutdown notifies
+    /// without changing it.
     #[must_use]
     pub fn announcement_changed(&self) -> watch::Receiver<u64> {
         self.shared.pulled_epoch.subscribe()
@@ -208,7 +209,7 @@
                 let synced = self.shared.journal.append(record).await;
                 self.complete(pending, synced)
             }
-            Step::Compact { snapshot, pending } => {
+            Step::PersistSnapshot { snapshot, pending } => {
                 let synced = self.shared.journal.replace(snapshot).await;
                 self.complete(pending, synced)
             }
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -60,14 +60,14 @@
             progress.record_finished(source);
         }
         if joins {
-            self.end_pull(view.epoch).await;
+            self.finish_pull(view.epoch).await;
         }
         // The other sources are not needed for a quorum, but may hold records that few others have.
         while sources.join_next().await.is_some() {}
     }
 
     /// Syncs that the pull for `epoch` is complete, until the disk accepts it, and has it announced.
-    async fn end_pull(&self, epoch: u64) {
+    async fn finish_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
             if self.finish(step).await.answer == Answer::Stored {
--- a/crates/tier/storage/src/server/start.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -17,7 +17,7 @@
 ///
 /// The state of another version of the program is an error instead: replacing it would destroy acknowledged records, on
 /// every machine in turn while a version is rolled back.
-pub(super) async fn start(
+pub(super) async fn recover_or_create(
     folder: &Path,
     options: &ServerOptions,
 ) -> Result<(Journal, StorageNode), ServerError> {
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -217,7 +217,7 @@
         let (record, pending) = match step {
             Step::Reply(response) => return Some(response),
             Step::Persist { record, pending } => (Record::Append(record), pending),
-            Step::Compact { snapshot, pending } => (Record::Replace(snapshot), pending),
+            Step::PersistSnapshot { snapshot, pending } => (Record::Replace(snapshot), pending),
         };
         process.queue.push_back(Waiting {
             record,
--- a/crates/tier/storage/tests/state.rs
+++ b/crates/tier/storage/tests/state.rs
@@ -204,7 +204,7 @@
         Step::Persist { .. }
     ));
     let _ = node.persist_failed();
-    let Step::Compact { pending, .. } = node.finish_pull(Duration::ZERO, 10) else {
+    let Step::PersistSnapshot { pending, .. } = node.finish_pull(Duration::ZERO, 10) else {
         panic!("no snapshot")
     };
     assert_eq!(node.pulled_epoch(), 0);
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -98,7 +98,7 @@
                 self.records.push(record);
                 self.node.complete(pending, &receipt())
             }
-            Step::Compact { .. } => unreachable!("no disk fails here"),
+            Step::PersistSnapshot { .. } => unreachable!("no disk fails here"),
         }
     }
 
