--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -74,7 +74,7 @@
         service: wire.service,
         address: wire.address,
         zone: wire.zone,
-        generation: wire.generation,
+        software_version: wire.generation,
         capacity: wire.capacity,
         state: match wire.state {
             WireState::Ready => ReplicaState::Ready,
--- a/crates/tier/discovery/src/heartbeat_check.rs
+++ b/crates/tier/discovery/src/heartbeat_check.rs
@@ -6,7 +6,7 @@
 
 /// Longest id of a replica in bytes.
 pub const MAX_ID_BYTES: usize = 128;
-/// Longest name of a service, zone, generation, stage or model in bytes.
+/// Longest name of a service, zone, software version, stage or model in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 /// Most models of one replica, and adapters of one model.
 pub const MAX_MODELS: usize = 64;
@@ -65,7 +65,7 @@
     check_id(id)?;
     check_name(id, "service", &heartbeat.service)?;
     check_name(id, "zone", &heartbeat.zone)?;
-    if heartbeat.generation.len() > MAX_NAME_BYTES {
+    if heartbeat.software_version.len() > MAX_NAME_BYTES {
         return InvalidFieldSnafu {
             id,
             field: "generation",
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -64,7 +64,7 @@
 /// Request to a core machine over `ServiceId::DISCOVERY`.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Request {
-    /// Long-poll of a proxy or storage machine. Answered by [`PollResponse`].
+    /// Long-poll of an edge or storage machine. Answered by [`PollResponse`].
     Poll(PollRequest),
     /// Requests the newest committed configuration. Answered by [`ConfigurationResponse`].
     Configuration,
@@ -211,7 +211,7 @@
     service: String,
     address: Endpoint,
     zone: String,
-    generation: String,
+    software_version: String,
     capacity: u32,
     state: ReplicaState,
     cold_remaining_ms: u64,
@@ -226,7 +226,7 @@
             service: heartbeat.service.clone(),
             address: heartbeat.address.into(),
             zone: heartbeat.zone.clone(),
-            generation: heartbeat.generation.clone(),
+            software_version: heartbeat.software_version.clone(),
             capacity: heartbeat.capacity,
             state: heartbeat.state,
             cold_remaining_ms: heartbeat.cold_remaining_ms,
@@ -241,7 +241,7 @@
             service: self.service,
             address: self.address.into(),
             zone: self.zone,
-            generation: self.generation,
+            software_version: self.software_version,
             capacity: self.capacity,
             state: self.state,
             cold_remaining_ms: self.cold_remaining_ms,
--- a/crates/tier/discovery/src/replica.rs
+++ b/crates/tier/discovery/src/replica.rs
@@ -38,8 +38,8 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Version of its software.
-    pub generation: String,
+    /// Version of its software; `generation` in the JSON of a heartbeat.
+    pub software_version: String,
     /// Number of requests that it processes concurrently.
     pub capacity: u32,
     /// Whether it accepts new requests.
@@ -65,7 +65,7 @@
         self.service == other.service
             && self.address == other.address
             && self.zone == other.zone
-            && self.generation == other.generation
+            && self.software_version == other.software_version
             && self.capacity == other.capacity
             && self.state == other.state
             && self.stage == other.stage
@@ -105,7 +105,7 @@
         hash.add_text(&self.id);
         hash.add_text(&heartbeat.service);
         hash.add_text(&heartbeat.zone);
-        hash.add_text(&heartbeat.generation);
+        hash.add_text(&heartbeat.software_version);
         hash.add_text(&heartbeat.address.to_string());
         hash.add_number(u64::from(heartbeat.capacity));
         hash.add_number(heartbeat.state as u64);
--- a/crates/tier/discovery/tests/common/mod.rs
+++ b/crates/tier/discovery/tests/common/mod.rs
@@ -17,7 +17,7 @@
         service: "svc".into(),
         address: SocketAddr::from(([10, 128, 0, 9], port)),
         zone: "a".into(),
-        generation: "v1".into(),
+        software_version: "v1".into(),
         capacity: 32,
         state: ReplicaState::Ready,
         cold_remaining_ms: 0,
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -38,7 +38,7 @@
             service: "model".into(),
             address: SocketAddr::from(([10, 128, 0, 9], 8000)),
             zone: "a".into(),
-            generation: "v1".into(),
+            software_version: "v1".into(),
             capacity: 32,
             state: ReplicaState::Draining,
             cold_remaining_ms: 1500,
--- a/crates/tier/discovery/tests/selection.rs
+++ b/crates/tier/discovery/tests/selection.rs
@@ -28,7 +28,7 @@
         service: "svc".into(),
         address: SocketAddr::from(([10, 128, 0, 9], 8080)),
         zone: "a".into(),
-        generation: "v1".into(),
+        software_version: "v1".into(),
         capacity: 32,
         state: ReplicaState::Draining,
         cold_remaining_ms: 5,
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -131,6 +131,6 @@
         capacity: record.heartbeat.capacity,
         ready: record.heartbeat.state == ReplicaState::Ready,
         cold_remaining: record.heartbeat.cold_remaining_ms as f64 / 1000.0,
-        generation: Arc::from(record.heartbeat.generation.as_str()),
+        generation: Arc::from(record.heartbeat.software_version.as_str()),
     }
 }
--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -119,7 +119,7 @@
         service: "s".to_owned(),
         address,
         zone: "a".to_owned(),
-        generation: "v1".to_owned(),
+        software_version: "v1".to_owned(),
         capacity: 8,
         state: ReplicaState::Ready,
         cold_remaining_ms: 0,
