--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -236,7 +236,7 @@
         } else {
             &self.rpc
         };
-        client.send(SocketAddr::V4(to), ServiceId::CHAIN, envelope.encode());
+        client.notify(SocketAddr::V4(to), ServiceId::CHAIN, envelope.encode());
     }
 
     /// Wakes the member whenever its next time-out is due, and reports changes of the disk's health and of
--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -72,7 +72,7 @@
         for (index, address) in core.iter().enumerate() {
             if index != responder {
                 self.rpc
-                    .send(*address, ServiceId::ANNOUNCE, announcement.clone());
+                    .notify(*address, ServiceId::ANNOUNCE, announcement.clone());
             }
         }
         let Some(address) = core.get(responder) else {
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -81,7 +81,7 @@
             .iter()
             .any(|member| SocketAddr::V4(*member).ip() == peer.ip());
         if !status.is_head && !is_from_core && !self.seeds.contains(&head) {
-            self.rpc.send(head, ServiceId::ANNOUNCE, body.to_vec());
+            self.rpc.notify(head, ServiceId::ANNOUNCE, body.to_vec());
         }
     }
 
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -220,7 +220,7 @@
             None => {
                 peers
                     .into_iter()
-                    .for_each(|peer| self.rpc.send(peer, ServiceId::DISCOVERY, body.clone()));
+                    .for_each(|peer| self.rpc.notify(peer, ServiceId::DISCOVERY, body.clone()));
                 false
             }
         }
@@ -283,7 +283,7 @@
         };
         let body = encode(&Request::Batch(batch));
         for peer in peers {
-            self.rpc.send(peer, ServiceId::DISCOVERY, body.clone());
+            self.rpc.notify(peer, ServiceId::DISCOVERY, body.clone());
         }
     }
 
--- a/crates/tier/journal/src/journal/disk_thread.rs
+++ b/crates/tier/journal/src/journal/disk_thread.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 
-use super::queue::{Progress, Reply, Request};
+use super::queue::{QueueState, Reply, Request};
 use crate::engine::Engine;
 use crate::error::JournalError;
 use crate::synced::Synced;
@@ -43,7 +43,7 @@
 }
 
 /// Executes requests until their senders are dropped and nothing remains to be done.
-pub(super) fn run(mut engine: Engine, queue: &Receiver<Request>, progress: &Mutex<Progress>) {
+pub(super) fn run(mut engine: Engine, queue: &Receiver<Request>, queue_state: &Mutex<QueueState>) {
     let mut replacing: Option<Reply> = None;
     loop {
         let first = if replacing.is_some() {
@@ -57,7 +57,7 @@
         let started = Instant::now();
         let work = collect_work(first, queue);
         let appended_bytes = work.batch.bytes;
-        write_batch(&mut engine, work.batch, started, progress);
+        write_batch(&mut engine, work.batch, started, queue_state);
         if let Some(queued) = work.snapshot {
             // The newer snapshot holds everything that the one under way does.
             if let Some(superseded) = replacing.take() {
@@ -65,8 +65,9 @@
             }
             replacing = begin_replacement(&mut engine, queued);
         }
-        replacing = replacing
-            .and_then(|reply| continue_replacement(&mut engine, reply, appended_bytes, progress));
+        replacing = replacing.and_then(|reply| {
+            continue_replacement(&mut engine, reply, appended_bytes, queue_state)
+        });
     }
 }
 
@@ -91,15 +92,20 @@
     work
 }
 
-fn write_batch(engine: &mut Engine, batch: Batch, started: Instant, progress: &Mutex<Progress>) {
+fn write_batch(
+    engine: &mut Engine,
+    batch: Batch,
+    started: Instant,
+    queue_state: &Mutex<QueueState>,
+) {
     if batch.records.is_empty() {
         return;
     }
     let outcome = engine.append_batch(&batch.records);
     {
-        let mut progress = progress.lock();
-        progress.record_batch(batch.records.len(), batch.bytes, started);
-        progress.log_bytes = engine.log_bytes();
+        let mut queue_state = queue_state.lock();
+        queue_state.record_batch(batch.records.len(), batch.bytes, started);
+        queue_state.log_bytes = engine.log_bytes();
     }
     for reply in batch.replies {
         let receipt = match &outcome {
@@ -127,15 +133,15 @@
     engine: &mut Engine,
     reply: Reply,
     appended_bytes: usize,
-    progress: &Mutex<Progress>,
+    queue_state: &Mutex<QueueState>,
 ) -> Option<Reply> {
     let mut written = 0;
     loop {
-        progress.lock().chunk_started = Some(Instant::now());
+        queue_state.lock().chunk_started = Some(Instant::now());
         let outcome = engine.continue_replacement();
-        progress.lock().chunk_started = None;
+        queue_state.lock().chunk_started = None;
         if let Some(outcome) = outcome {
-            progress.lock().log_bytes = engine.log_bytes();
+            queue_state.lock().log_bytes = engine.log_bytes();
             let _ = reply.send(outcome);
             return None;
         }
--- a/crates/tier/journal/src/journal/mod.rs
+++ b/crates/tier/journal/src/journal/mod.rs
@@ -19,7 +19,7 @@
 use crate::slot::Slot;
 use crate::synced::Synced;
 
-use queue::{Progress, Reply, Request};
+use queue::{QueueState, Reply, Request};
 
 /// Stack of the journal's thread in bytes.
 const STACK_BYTES: usize = 256 << 10;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Journal {
     requests: Sender<Request>,
-    progress: Arc<Mutex<Progress>>,
+    queue_state: Arc<Mutex<QueueState>>,
     max_queued_bytes: usize,
 }
 
@@ -72,10 +72,10 @@
         options: JournalOptions,
     ) -> Result<(Journal, Recovered), JournalError> {
         let (engine, recovered) = Engine::open(disk, options.max_bytes)?;
-        let progress = Arc::new(Mutex::new(Progress::default()));
-        progress.lock().log_bytes = engine.log_bytes();
+        let queue_state = Arc::new(Mutex::new(QueueState::default()));
+        queue_state.lock().log_bytes = engine.log_bytes();
         let (requests, queue) = channel();
-        let shared = Arc::clone(&progress);
+        let shared = Arc::clone(&queue_state);
         std::thread::Builder::new()
             .name("journal".to_owned())
             .stack_size(STACK_BYTES)
@@ -88,7 +88,7 @@
         Ok((
             Journal {
                 requests,
-                progress,
+                queue_state,
                 max_queued_bytes,
             },
             recovered,
@@ -146,22 +146,22 @@
     /// Bytes of the log since the last snapshot, by which callers decide when to replace it.
     #[must_use]
     pub fn log_bytes(&self) -> u64 {
-        self.progress.lock().log_bytes
+        self.queue_state.lock().log_bytes
     }
 
     /// How long the oldest unsynced record has waited, or the disk has been busy with one chunk of a snapshot
     /// if that is longer; zero if there is neither.
     #[must_use]
     pub fn stalled_for(&self) -> Duration {
-        self.progress
+        self.queue_state
             .lock()
             .busy_since()
             .map_or(Duration::ZERO, |since| since.elapsed())
     }
 
     fn enqueue(&self, record: Vec<u8>, reply: Reply) -> Result<(), JournalError> {
-        let mut progress = self.progress.lock();
-        progress.record_append(record.len(), self.max_queued_bytes, Instant::now())?;
+        let mut queue_state = self.queue_state.lock();
+        queue_state.record_append(record.len(), self.max_queued_bytes, Instant::now())?;
         // Under the lock, so that records are queued in the order in which they were counted.
         self.requests
             .send(Request::Append { record, reply })
--- a/crates/tier/journal/src/journal/queue.rs
+++ b/crates/tier/journal/src/journal/queue.rs
@@ -17,7 +17,7 @@
 
 /// State of the queue and of the disk.
 #[derive(Debug, Default)]
-pub(super) struct Progress {
+pub(super) struct QueueState {
     /// Records that are not synced.
     queued_records: usize,
     /// Bytes of those records.
@@ -30,7 +30,7 @@
     pub(super) log_bytes: u64,
 }
 
-impl Progress {
+impl QueueState {
     /// Counts a record of `bytes` bytes that is queued at `now`.
     ///
     /// # Errors
--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -179,7 +179,7 @@
 
     /// Sends a notification, which has no response. It is dropped if the body is longer than
     /// [`MAX_BODY_BYTES`] or the queue of the connection is full, and may be lost with the connection.
-    pub fn send(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
+    pub fn notify(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
         if body.len() <= MAX_BODY_BYTES {
             let frame = Frame {
                 kind: FrameKind::Notification,
--- a/crates/tier/rpc/tests/calls.rs
+++ b/crates/tier/rpc/tests/calls.rs
@@ -55,7 +55,7 @@
         async { Vec::new() }
     });
     tokio::spawn(serve(listener, router));
-    client().send(address, ECHO, vec![1]);
+    client().notify(address, ECHO, vec![1]);
     tokio::time::timeout(LONG, arrived.notified())
         .await
         .unwrap();
--- a/crates/tier/rpc/tests/recorded_bytes.rs
+++ b/crates/tier/rpc/tests/recorded_bytes.rs
@@ -160,7 +160,7 @@
         call.await.expect("the call ends"),
         Ok(Bytes::from_static(b"answer"))
     );
-    client.send(address, ServiceId::ANNOUNCE, b"here".to_vec());
+    client.notify(address, ServiceId::ANNOUNCE, b"here".to_vec());
     let notification = RecordedBytes::open("frames").bytes("one-way announcement");
     assert_eq!(
         read_exactly(&mut stream, notification.len()).await,
--- a/crates/tier/rpc/tests/rejected.rs
+++ b/crates/tier/rpc/tests/rejected.rs
@@ -86,7 +86,7 @@
         client.call(address, PICKY, vec![1, 2], LONG).await,
         Ok(Bytes::from_static(&[1, 2]))
     );
-    client.send(address, PICKY, vec![1, 2, 3]);
+    client.notify(address, PICKY, vec![1, 2, 3]);
     assert_eq!(
         client.call(address, PICKY, vec![1], LONG).await,
         Err(CallError::Refused)
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -80,7 +80,7 @@
             });
             self.shared
                 .rpc
-                .send(member.address, ServiceId::STORAGE, body);
+                .notify(member.address, ServiceId::STORAGE, body);
         }
     }
 }
