--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -109,7 +109,7 @@
             Configuration::parse(configuration.as_bytes()).expect("valid"),
         )),
         replicas: Arc::new(records),
-        warmed: true,
+        has_current_state: true,
         ..ControlSnapshot::default()
     }
 }
@@ -119,7 +119,7 @@
         service: "s".to_owned(),
         address,
         zone: "a".to_owned(),
-        generation: "v1".to_owned(),
+        software_version: "v1".to_owned(),
         capacity: 8,
         state: ReplicaState::Ready,
         cold_remaining_ms: 0,
