--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -26,13 +26,14 @@
 
     /// Whether a majority of the voters has echoed a recent heartbeat of this member.
     pub(super) fn is_in_contact_with_majority(&self, now: Duration) -> bool {
+        self.is_majority(|voter| self.is_in_contact_with_voter(now, voter))
+    }
+
+    /// Whether `holds` is true of a majority of the voters. False without voters.
+    fn is_majority(&self, holds: impl Fn(MemberId) -> bool) -> bool {
         let view = &self.durable.view;
-        let reached = view
-            .voters
-            .iter()
-            .filter(|&&voter| self.is_in_contact_with_voter(now, voter))
-            .count();
-        !view.voters.is_empty() && reached >= view.majority()
+        let count = view.voters.iter().filter(|&&voter| holds(voter)).count();
+        !view.voters.is_empty() && count >= view.majority()
     }
 
     /// Whether a voter has echoed a recent heartbeat. The voters of epoch 0 have no identities; being heard
@@ -44,15 +45,10 @@
         self.peers.is_in_contact(now, voter)
     }
 
+    /// Whether a majority of the voters is heard, whether or not it hears this member.
     #[cfg(feature = "mutations")]
     fn hears_majority(&self, now: Duration) -> bool {
-        let view = &self.durable.view;
-        let heard = view
-            .voters
-            .iter()
-            .filter(|&&voter| self.hears_voter(now, voter))
-            .count();
-        !view.voters.is_empty() && heard >= view.majority()
+        self.is_majority(|voter| self.hears_voter(now, voter))
     }
 
     /// Updates the state of the table above. Must be called before and after each input.
--- a/crates/tier/chain/tests/mutations.rs
+++ b/crates/tier/chain/tests/mutations.rs
@@ -9,17 +9,22 @@
 use simulation::world::{InjectedBug, World};
 use woadreach_chain::{MAX_APPLIED_CONFIGURATIONS, Mutation};
 
+/// A run of three machines of which one may be lost.
+fn run_of_three(seed: u64, length: Duration, bug: InjectedBug) -> Run {
+    Run {
+        seed,
+        nodes: 3,
+        zones: 0,
+        fault_tolerance: 1,
+        length,
+        bug: Some(bug),
+    }
+}
+
 fn is_found_by_planned_work(mutation: Mutation, runs: u64) -> bool {
     (1..=runs).any(|seed| {
-        let (length, bug) = (Duration::from_secs(30), Some(InjectedBug::Member(mutation)));
-        let run = Run {
-            seed,
-            nodes: 3,
-            zones: 0,
-            fault_tolerance: 1,
-            length,
-            bug,
-        };
+        let length = Duration::from_secs(30);
+        let run = run_of_three(seed, length, InjectedBug::Member(mutation));
         !play_planned_work(run).violations.is_empty()
     })
 }
@@ -27,15 +32,7 @@
 fn is_found(bug: InjectedBug, runs: u64) -> bool {
     (1..=runs).any(|seed| {
         let length = Duration::from_secs(12);
-        let run = Run {
-            seed,
-            nodes: 3,
-            zones: 0,
-            fault_tolerance: 1,
-            length,
-            bug: Some(bug),
-        };
-        let violations = play(run).violations;
+        let violations = play(run_of_three(seed, length, bug)).violations;
         if !violations.is_empty() {
             println!("seed {seed}: {violations:?}");
         }
