--- a/crates/cli/src/faults/replay.rs
+++ b/crates/cli/src/faults/replay.rs
@@ -1,6 +1,6 @@
 //! `woadreach faults replay`: plays one seed or script again.
 
-use super::script::{script, write};
+use super::script::{ScriptArguments, write};
 use crate::Verdict;
 use crate::error::CommandError;
 use crate::output::{Format, json, print_proof};
@@ -10,11 +10,8 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// A seed, or the file of a script
-    script: String,
-    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
-    #[arg(long)]
-    tier: bool,
+    #[command(flatten)]
+    script: ScriptArguments,
     /// Writes every event there, one JSON object a line
     #[arg(long, value_name = "FILE")]
     trace: Option<PathBuf>,
@@ -27,7 +24,7 @@
 
 /// Plays the script and prints its outcome.
 pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
-    let script = script(&arguments.script, arguments.tier)?;
+    let script = arguments.script.script()?;
     if arguments.log {
         log_to_standard_error();
     }
@@ -64,20 +61,24 @@
     println!("digest {}", outcome.digest);
     println!(
         "{:.1} simulated s, {} searches, {} in time, {} sub-requests, {} steps",
-        outcome.seconds, outcome.searches, outcome.good, outcome.sub_requests, outcome.steps
+        outcome.seconds,
+        outcome.searches,
+        outcome.answered_in_time,
+        outcome.attempts,
+        outcome.steps
     );
     for recovery in &outcome.recoveries {
-        let back = recovery.back_after.map_or("not back".into(), |seconds| {
+        let back = recovery.back_after_s.map_or("not back".into(), |seconds| {
             format!("back after {seconds:.2} s")
         });
         println!(
             "{:>7.2} s {} for {} s: {:.3} before, {:.3} meanwhile, {back}, {:.1} lost",
-            recovery.at,
+            recovery.started_at_s,
             recovery.kind,
-            recovery.lasts,
-            recovery.before,
-            recovery.during,
-            recovery.lost
+            recovery.duration_s,
+            recovery.share_before,
+            recovery.share_during,
+            recovery.lost_searches
         );
     }
     outcome.breaches.iter().for_each(print_proof);
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -1,4 +1,8 @@
 //! One function for each event and timer of the core task.
+//!
+//! A search enters here: [`Core::search_arrived`] sheds it at a limit of this process, or adds it to the search
+//! table, from where the pass has it placed. Its replicas' answers enter here too; the routing decisions then
+//! say, through [`super::executor`], whether it is finished.
 
 use super::executor::{PartAnswer, Request};
 use super::observations::FAULT_OBSERVATION_INTERVAL;
@@ -86,7 +90,7 @@
 
     fn handle_connection_event(&mut self, now: f64, id: ConnectionId, event: ConnectionEvent) {
         if let ConnectionEvent::AnswerReceived { at, .. } = event {
-            self.max_event_delay = self.max_event_delay.max(now - at);
+            self.max_event_delay_s = self.max_event_delay_s.max(now - at);
         }
         if let Some(answered) = self.executor.replicas.handle_event(now, id, event)
             && let Some(search) = self.search_table.search_of(answered.attempt.part)
@@ -105,7 +109,7 @@
     }
 
     fn search_arrived(&mut self, now: f64, arrival: Arrival) {
-        self.max_event_delay = self.max_event_delay.max(now - arrival.at);
+        self.max_event_delay_s = self.max_event_delay_s.max(now - arrival.received_at);
         self.executor.expire_traces(now);
         if self.executor.traces.contains(&arrival.trace) {
             debug!(trace = %arrival.trace, "search rejected, duplicate trace id");
@@ -113,20 +117,21 @@
             return;
         }
         if self.exceeds_limits(&arrival) {
-            let _ = arrival.reply.send(Answer::Shed { retry_after: 0.0 });
+            let _ = arrival.reply.send(Answer::Shed { retry_after_s: 0.0 });
             return;
         }
         debug!(
             trace = %arrival.trace,
             query_type = arrival.query_type.0,
             parts = arrival.parts.len(),
-            time_left_s = arrival.client_deadline - arrival.at,
+            time_left_s = arrival.client_deadline - arrival.received_at,
             "search arrived"
         );
         self.take_search(arrival);
     }
 
-    /// The settings bound the searches and parts in flight; the memory bounds the bytes of them.
+    /// Whether the search is one too many: the settings bound the searches and parts in flight, the memory the
+    /// bytes of their requests.
     fn exceeds_limits(&self, arrival: &Arrival) -> bool {
         let InFlight { searches, parts } = self.search_table.in_flight();
         let open = searches + parts + 1 + arrival.parts.len();
@@ -145,14 +150,15 @@
             id,
             arrival.query_type,
             arrival.tenant,
-            arrival.at,
+            arrival.received_at,
             arrival.client_deadline,
         );
         search.repeated = arrival.repeated;
         self.search_table.insert(search);
-        for (shard, weight) in std::mem::take(&mut arrival.parts) {
+        for requested in std::mem::take(&mut arrival.parts) {
             let part = self.executor.new_part();
-            self.search_table.add_part(id, part, shard, weight);
+            self.search_table
+                .add_part(id, part, requested.shard, requested.weight);
         }
         self.executor.insert(id, Request::new(arrival));
     }
--- a/crates/router/woadreachd/src/discovery/schedule.rs
+++ b/crates/router/woadreachd/src/discovery/schedule.rs
@@ -7,12 +7,12 @@
 //! return, or never, and nothing shows which. What the agent has then counts as received at once, so that
 //! within the drain grace of its return it must be received, by a watch that has waited or by a call made
 //! after the return. Up to four calls are open, the first complete answer counts, and then all others are
-//! closed:
+//! closed. A turn without an answer ends after `TURN_TIMEOUT`.
 //!
-//! | slot | request | opened after | replaced after | answers an agent that |
+//! | slot | request | opened after | replaced after | serves with an agent that |
 //! | --- | --- | --- | --- | --- |
-//! | `First` | list, or watch | 0 | never: the turn ends after `TURN_TIMEOUT` | needs long, or answers first calls only |
-//! | `Second` | list | one interval | `HUNG_CALL_TIMEOUT` | needs up to `HUNG_CALL_TIMEOUT` and has lost the first call |
+//! | `First` | list, or watch | 0 | never | needs long, or answers first calls only |
+//! | `Second` | list | one interval | `HUNG_CALL_TIMEOUT` | needs up to that long and has lost the first call |
 //! | `Latest` | list | two intervals | one interval | has lost all calls made before its return |
 //! | `Resume` | watch | two intervals | never | keeps waiting watches and pushes at its return |
 //!
@@ -74,41 +74,44 @@
     Open(Slot, Request),
     /// Nothing before this time.
     WaitUntil(f64),
-    /// The agent is silent: all calls are closed.
+    /// The agent is unresponsive: all calls are closed.
     GiveUp,
 }
 
 #[derive(Clone, Copy)]
 struct Call {
     request: Request,
-    /// Seconds that it may stay open before a new one takes its place; `None`: to the end of the turn.
-    lifetime: Option<f64>,
+    /// How long it may stay open before a new one takes its place; `None`: to the end of the turn.
+    lifetime_s: Option<f64>,
+    /// Whether it waits for its answer.
     open: bool,
-    /// When it is next opened.
+    /// When it is next opened; infinite if it is not opened anew in this turn.
     due: f64,
 }
 
 /// The calls of one turn: from the first call to the first complete answer.
 pub(super) struct Schedule {
     calls: [Option<Call>; 4],
+    /// When the turn ends without an answer.
     deadline: f64,
-    retry: f64,
+    /// Seconds after which a call that has failed is made anew.
+    retry_s: f64,
 }
 
 /// How often a new call is made while none is answered, in seconds.
-pub(crate) fn call_interval(drain_grace: f64) -> f64 {
-    (drain_grace / 2.0).clamp(MIN_INTERVAL, HUNG_CALL_TIMEOUT)
+pub(crate) fn call_interval(drain_grace_s: f64) -> f64 {
+    (drain_grace_s / 2.0).clamp(MIN_INTERVAL, HUNG_CALL_TIMEOUT)
 }
 
 impl Schedule {
-    /// The calls of a turn that begins `now`; `interval` as [`call_interval`] gives it.
-    pub(super) fn new(now: f64, need: Need, interval: f64) -> Self {
-        let call = |request, lifetime, after: f64| {
+    /// The calls of a turn that begins `now`; `interval_s` as [`call_interval`] gives it.
+    pub(super) fn new(now: f64, need: Need, interval_s: f64) -> Self {
+        let call = |request, lifetime_s, intervals: f64| {
             Some(Call {
                 request,
-                lifetime,
+                lifetime_s,
                 open: false,
-                due: now + after * interval,
+                due: now + intervals * interval_s,
             })
         };
         let first = if need == Need::Changes {
@@ -123,11 +126,11 @@
             calls: [
                 call(first, None, 0.0),
                 call(Request::FullList, Some(HUNG_CALL_TIMEOUT), 1.0),
-                call(Request::FullList, Some(interval), 2.0),
+                call(Request::FullList, Some(interval_s), 2.0),
                 resume,
             ],
             deadline: now + TURN_TIMEOUT,
-            retry: RETRY_INTERVAL.min(interval),
+            retry_s: RETRY_INTERVAL.min(interval_s),
         }
     }
 
@@ -140,8 +143,8 @@
             if let Some(call) = call.as_mut().filter(|call| call.due <= now) {
                 call.open = true;
                 call.due = call
-                    .lifetime
-                    .map_or(f64::INFINITY, |lifetime| now + lifetime);
+                    .lifetime_s
+                    .map_or(f64::INFINITY, |lifetime_s| now + lifetime_s);
                 return Action::Open(slot, call.request);
             }
         }
@@ -153,7 +156,7 @@
     pub(super) fn failed(&mut self, now: f64, slot: Slot) -> bool {
         if let Some(call) = &mut self.calls[slot as usize] {
             call.open = false;
-            call.due = now + self.retry;
+            call.due = now + self.retry_s;
         }
         self.calls.iter().flatten().any(|call| call.open)
     }
--- a/crates/testing/process-tests/src/scenario.rs
+++ b/crates/testing/process-tests/src/scenario.rs
@@ -1,5 +1,5 @@
-//! The scenarios that can be played, by the names that the command line takes. What each of them does and when
-//! stands in `schedule.rs`.
+//! The scenarios that can be played; each is named as on the command line. What each of them does and when
+//! is in `schedule.rs`.
 
 use crate::error::UnknownScenario;
 use std::fmt;
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -48,8 +48,7 @@
     };
     mutate(Some(name));
     for seed in seeds.clone() {
-        let tier = TIER_MUTATIONS.contains(&name);
-        let script = if tier {
+        let script = if TIER_MUTATIONS.contains(&name) {
             Script::draw_tier(seed)
         } else {
             Script::draw(seed, &[], None)
@@ -62,7 +61,8 @@
             },
         );
         if let Some(breach) = outcome.breaches.first() {
-            (hunted.seed, hunted.after) = (Some(seed), seed - seeds.start + 1);
+            hunted.seed = Some(seed);
+            hunted.after = seed - seeds.start + 1;
             hunted.rule = Some(breach.rule.to_string());
             hunted.small = if smaller {
                 shrink(&script, |_, _| {})
--- a/crates/testing/simulation/src/network/connect.rs
+++ b/crates/testing/simulation/src/network/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection: requests that are answered, refused, or sent again when nobody answers.
+//! Opening a connection, as TCP does it: a SYN is accepted or refused, or retransmitted while it stays unanswered.
 
 use super::Network;
 use super::address::process_at;
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// TCP sends a SYN again after one second, then after twice as long each time.
+/// Time to the first retransmission of an unanswered SYN; it doubles with each further one.
 const INITIAL_SYN_TIMEOUT: Nanos = 1000 * MILLISECOND;
-/// How often a SYN that nobody answers is sent again.
+/// Retransmissions of an unanswered SYN, after which the connect stays pending.
 const MAX_SYN_RETRIES: u32 = 6;
 
 /// The outcome of a connect, once there is one.
@@ -32,10 +32,10 @@
 }
 
 fn complete(connecting: &SharedConnecting, result: io::Result<SimStream>) {
-    let mut c = connecting.borrow_mut();
-    c.result = Some(result);
-    let waker = c.waker.take();
-    drop(c);
+    let mut state = connecting.borrow_mut();
+    state.result = Some(result);
+    let waker = state.waker.take();
+    drop(state);
     if let Some(waker) = waker {
         waker.wake();
     }
@@ -51,11 +51,11 @@
         let connecting = SharedConnecting::default();
         self.send_syn(from, to, &connecting, 0);
         poll_fn(|cx| {
-            let mut c = connecting.borrow_mut();
-            match c.result.take() {
+            let mut state = connecting.borrow_mut();
+            match state.result.take() {
                 Some(result) => Poll::Ready(result),
                 None => {
-                    c.waker = Some(cx.waker().clone());
+                    state.waker = Some(cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -63,6 +63,7 @@
         .await
     }
 
+    /// Sends a SYN after this number of retransmissions.
     fn send_syn(
         &self,
         from: ProcessId,
@@ -92,7 +93,8 @@
             }
             return;
         };
-        let (there, back) = (self.latency(from, machine), self.latency(machine, from));
+        let there = self.latency(from, machine);
+        let back = self.latency(machine, from);
         match queue {
             Some(queue) if !queue.is_full(self.0.config.backlog) => {
                 self.establish(from, queue, connecting.clone(), there, back);
@@ -116,7 +118,8 @@
         connecting: &SharedConnecting,
         retries: u32,
     ) {
-        let (network, connecting) = (self.clone(), connecting.clone());
+        let network = self.clone();
+        let connecting = connecting.clone();
         self.0.clock.call_at(self.now() + after, move || {
             network.send_syn(from, to, &connecting, retries + 1);
         });
@@ -132,7 +135,8 @@
         there: Nanos,
         back: Nanos,
     ) {
-        let (network, sent_at) = (self.clone(), self.now());
+        let network = self.clone();
+        let sent_at = self.now();
         self.0.clock.call_at(sent_at + there, move || {
             if !network.0.clock.alive(queue.process) {
                 return refuse(&connecting);
@@ -148,7 +152,7 @@
         });
     }
 
-    /// The machine of an address at which nobody listens.
+    /// The machine that has an address, whether or not a listener is bound to it.
     fn machine_at(&self, address: SocketAddr) -> Option<ProcessId> {
         let process = process_at(address)?;
         self.0
--- a/crates/testing/simulation/src/script/fault.rs
+++ b/crates/testing/simulation/src/script/fault.rs
@@ -31,8 +31,9 @@
     Crash {
         /// The replicas, by their numbers.
         replicas: Vec<usize>,
-        /// Seconds until the endpoint list says so.
-        listed_after: f64,
+        /// Time until the endpoint list says so, in seconds.
+        #[serde(rename = "listed_after")]
+        listed_after_s: f64,
     },
     /// The machines of replicas neither send nor receive anything.
     #[serde(rename = "vanish")]
@@ -115,9 +116,11 @@
         /// The replicas, by their numbers.
         replicas: Vec<usize>,
         /// Delay of accepts, in seconds.
-        accepts: f64,
+        #[serde(rename = "accepts")]
+        accept_delay_s: f64,
         /// Delay of reads, in seconds.
-        reads: f64,
+        #[serde(rename = "reads")]
+        read_delay_s: f64,
     },
     /// The link between two zones is partitioned.
     #[serde(rename = "cut")]
@@ -130,7 +133,8 @@
         both: bool,
     },
     /// The discovery agents of co-ordinators are unresponsive.
-    DiscoverySilent {
+    #[serde(rename = "discovery_silent")]
+    DiscoveryUnresponsive {
         /// The co-ordinators, by their numbers.
         co_ordinators: Vec<usize>,
     },
@@ -201,7 +205,7 @@
             FaultKind::IgnoreCancels { .. } => "heedless",
             FaultKind::SlowReads { .. } => "late",
             FaultKind::Partition { .. } => "cut",
-            FaultKind::DiscoverySilent { .. } => "discovery_silent",
+            FaultKind::DiscoveryUnresponsive { .. } => "discovery_silent",
             FaultKind::StallCoordinators { .. } => "stall",
             FaultKind::StallReplicas { .. } => "stall_replicas",
             FaultKind::KillCoordinators { .. } => "kill",
@@ -213,7 +217,7 @@
         }
     }
 
-    /// The names of all kinds.
+    /// The names of all kinds. Seeds draw kinds by their position here.
     pub const NAMES: [&str; 23] = [
         "die",
         "vanish",
@@ -264,7 +268,7 @@
     /// The co-ordinators that it affects.
     pub(super) fn co_ordinators(&self) -> &[usize] {
         match self {
-            FaultKind::DiscoverySilent { co_ordinators }
+            FaultKind::DiscoveryUnresponsive { co_ordinators }
             | FaultKind::StallCoordinators { co_ordinators }
             | FaultKind::KillCoordinators { co_ordinators }
             | FaultKind::RestartCoordinators { co_ordinators }
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -1,4 +1,4 @@
-//! The parts of a script.
+//! The tables of a script but its query types and faults. `check` has the limits of their values.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,39 +12,40 @@
     pub zones: usize,
     /// Number of shard groups.
     pub cells: u64,
-    /// Shard groups that hold each shard.
+    /// Shard groups that hold each shard; no more than there are.
     pub span: u64,
     /// Number of shards.
     pub shards: u64,
-    /// Replicas of each shard group.
+    /// Replicas of each shard group, dealt out among the zones.
     pub replicas: usize,
     /// Cores of each replica.
     pub cores: usize,
     /// Parts that wait at a replica before it rejects further ones.
     #[serde(rename = "room")]
     pub queue_capacity: usize,
-    /// Largest offset of a co-ordinator's clock, in seconds.
+    /// Largest offset of a co-ordinator's clock, ahead or behind, in seconds.
     #[serde(rename = "clocks_apart")]
     pub max_clock_offset: f64,
     /// Longest one-way latency between two zones, in seconds.
     #[serde(rename = "way")]
     pub max_latency: f64,
-    /// Bytes that a connection holds unread at one end, and unsent at the other.
+    /// Size of a connection's receive buffer at one end and of its send buffer at the other, in bytes.
     pub buffers: usize,
     /// What becomes of calls to discovery while it is unresponsive.
-    #[serde(default)]
-    pub calls_while_silent: SilentCalls,
+    #[serde(rename = "calls_while_silent", default)]
+    pub calls_while_unresponsive: CallsWhileUnresponsive,
 }
 
 /// What becomes of calls to discovery while it is unresponsive. Corresponds to
 /// [`woadreach_fakes::CallsWhileSilent`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SilentCalls {
+pub enum CallsWhileUnresponsive {
     /// All are answered when it responds again.
     #[default]
-    Kept,
-    /// Watches are answered then, calls for the whole list never.
+    #[serde(rename = "kept")]
+    Delayed,
+    /// Watches are answered then, calls for the complete list never.
     ListsLost,
     /// None is ever answered.
     Lost,
@@ -54,14 +55,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Parts that one call to a replica holds.
+    /// Most parts that one call to a replica carries.
     pub per_call: usize,
     /// Whether replicas understand cancellations.
     pub cancelling: bool,
     /// Whether parts may be hedged.
     #[serde(rename = "copies")]
     pub hedging: bool,
-    /// Most attempts of a part.
+    /// Most attempts of a part, the first included.
     pub attempts: usize,
     /// Most calls in flight on one connection.
     pub streams: usize,
@@ -71,51 +72,59 @@
     pub retry_after: bool,
     /// Whether clients mark their retries.
     pub marks_repeats: bool,
-    /// Seconds in which a draining replica may still be sent parts.
-    pub drain_grace: f64,
-    /// Seconds until a connect is given up.
-    pub connect_timeout: f64,
-    /// Seconds after which an idle connection isn't used again.
-    pub idle_close: f64,
+    /// How long a draining replica may still be sent parts, in seconds.
+    #[serde(rename = "drain_grace")]
+    pub drain_grace_s: f64,
+    /// Time-out of a connect, in seconds.
+    #[serde(rename = "connect_timeout")]
+    pub connect_timeout_s: f64,
+    /// Time after which an idle connection isn't used again, in seconds; no shorter than the connect time-out.
+    #[serde(rename = "idle_close")]
+    pub idle_timeout_s: f64,
     /// The retry budget, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget: Option<Budget>,
     /// How replicas warm up, if they do.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub cold: Option<Cold>,
+    pub cold: Option<SlowStart>,
 }
 
 /// The retry budget: attempts beyond each part's first that may be sent in any window.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Attempts that are always allowed.
+    /// Number of attempts that are always allowed.
     pub free: f64,
     /// Further attempts, as a share of the accepted requests.
     pub share: f64,
     /// The window, in seconds.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub window_s: f64,
 }
 
-/// How a replica warms up.
+/// How a replica warms up (slow start).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
-    /// Share of its capacity that a replica has when it starts.
-    pub from: f64,
-    /// Seconds until it has all of it.
-    pub time: f64,
-    /// Overload threshold as a multiple of the replica's current capacity.
-    pub multiple: f64,
+pub struct SlowStart {
+    /// Share of its capacity that a replica has when it starts, from 0 to 1.
+    #[serde(rename = "from")]
+    pub initial_share: f64,
+    /// Time from its start until it has its full capacity, in seconds.
+    #[serde(rename = "time")]
+    pub duration_s: f64,
+    /// Overload threshold as a multiple of the capacity that the replica has at that time.
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     /// Window over which requests are counted against the threshold, in seconds.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub overload_window_s: f64,
 }
 
 /// What clients send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Searches per second at each co-ordinator, as a mean over them.
+    /// Searches per second at a co-ordinator, as a mean over all.
     pub rate: f64,
     /// Standard deviation of the logarithm of a co-ordinator's rate. At 0 all get the same; at 3 one of
     /// thirty may get half of all searches.
@@ -123,13 +132,13 @@
     pub skew: f64,
     /// Most retries of a client.
     pub retries: usize,
-    /// Seconds between a client's attempts.
+    /// Time between two attempts of a client, in seconds.
     #[serde(rename = "pause")]
-    pub retry_delay: f64,
+    pub retry_delay_s: f64,
     /// Whether clients wait as long as `Retry-After` says.
     #[serde(rename = "heeds")]
     pub honors_retry_after: bool,
-    /// Share of the searches whose client disconnects before its timeout.
+    /// Share of the searches whose client disconnects before its time-out, from 0 to 1.
     #[serde(rename = "leaves")]
     pub disconnect_share: f64,
 }
@@ -142,13 +151,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Share of the datagrams that are lost.
+    /// Share of the datagrams that are lost, from 0 to 1.
     #[serde(rename = "lost")]
     pub loss: f64,
-    /// Share of the datagrams that arrive twice.
+    /// Share of the datagrams that arrive twice, from 0 to 1.
     #[serde(rename = "doubled")]
     pub duplication: f64,
     /// Longest additional delay, in seconds.
     #[serde(rename = "late")]
-    pub max_delay: f64,
+    pub max_delay_s: f64,
 }
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -7,35 +7,39 @@
 use woadreach_invariants::{EventKind, NodeId};
 
 impl World {
-    /// Begins a fault that lasts so many seconds.
+    /// Begins a fault that lasts for `duration`, in seconds.
     pub(super) fn inject(self: &Rc<Self>, kind: &FaultKind, duration: f64) {
         match kind {
             FaultKind::Crash {
                 replicas,
-                listed_after,
-            } => self.crash_replicas(replicas, *listed_after),
+                listed_after_s,
+            } => self.crash_replicas(replicas, *listed_after_s),
             FaultKind::Isolate { replicas } => self.isolate(replicas),
             FaultKind::Drain { replicas } => self.drain_replicas(replicas),
             FaultKind::Partition { from, to, both } => self.partition(*from, *to, *both),
-            FaultKind::DiscoverySilent { co_ordinators } => {
-                self.set_discovery_silent(co_ordinators, true);
+            FaultKind::DiscoveryUnresponsive { co_ordinators } => {
+                self.set_discovery_unresponsive(co_ordinators, true);
             }
             FaultKind::StallCoordinators { co_ordinators } => {
                 self.stall_coordinators(co_ordinators, duration);
             }
             FaultKind::StallReplicas { replicas } => {
-                for r in replicas {
-                    self.clock.stall(self.replicas[*r].process.get());
+                for index in replicas {
+                    self.clock.stall(self.replicas[*index].process.get());
                 }
             }
             FaultKind::KillCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.kill_coordinator(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.kill_coordinator(*index));
             }
             FaultKind::RestartCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.shut_down(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.shut_down(*index));
             }
             FaultKind::ReloadCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.reload(*n));
+                co_ordinators.iter().for_each(|index| self.reload(*index));
             }
             FaultKind::LoadBurst { factor } => self.load_factor.set(*factor),
             FaultKind::ExpensiveSearches { factor } => self.work_factor.set(*factor),
@@ -51,23 +55,25 @@
             FaultKind::Isolate { replicas } => self.reconnect(replicas),
             FaultKind::Drain { replicas } => self.replace_replicas(replicas),
             FaultKind::Partition { from, to, .. } => self.heal(*from, *to),
-            FaultKind::DiscoverySilent { co_ordinators } => {
-                self.set_discovery_silent(co_ordinators, false);
+            FaultKind::DiscoveryUnresponsive { co_ordinators } => {
+                self.set_discovery_unresponsive(co_ordinators, false);
             }
             FaultKind::StallCoordinators { co_ordinators } => {
                 co_ordinators
                     .iter()
-                    .filter_map(|n| self.coordinators[*n].process.get())
+                    .filter_map(|index| self.coordinators[*index].process.get())
                     .for_each(|process| self.clock.resume(process));
             }
             FaultKind::StallReplicas { replicas } => {
-                for r in replicas {
-                    self.clock.resume(self.replicas[*r].process.get());
+                for index in replicas {
+                    self.clock.resume(self.replicas[*index].process.get());
                 }
             }
             FaultKind::KillCoordinators { co_ordinators }
             | FaultKind::RestartCoordinators { co_ordinators } => {
-                co_ordinators.iter().for_each(|n| self.start_again(*n));
+                co_ordinators
+                    .iter()
+                    .for_each(|index| self.start_again(*index));
             }
             FaultKind::ReloadCoordinators { .. } => {}
             FaultKind::LoadBurst { .. } => self.load_factor.set(1.0),
@@ -88,8 +94,12 @@
             FaultKind::DuplicateAnswers { share, .. } => b.duplicate_share = *share,
             FaultKind::BreakConnections { share, .. } => b.break_share = *share,
             FaultKind::IgnoreCancels { .. } => b.ignores_cancels = true,
-            FaultKind::SlowReads { accepts, reads, .. } => {
-                (b.accept_delay, b.read_delay) = (*accepts, *reads);
+            FaultKind::SlowReads {
+                accept_delay_s,
+                read_delay_s,
+                ..
+            } => {
+                (b.accept_delay, b.read_delay) = (*accept_delay_s, *read_delay_s);
             }
             _ => {}
         });
@@ -112,18 +122,18 @@
     }
 
     fn isolate(&self, replicas: &[usize]) {
-        for r in replicas {
-            self.report_link(*r, true);
-            let process = self.replicas[*r].process.get();
+        for index in replicas {
+            self.report_link(*index, true);
+            let process = self.replicas[*index].process.get();
             self.network.set_isolated(process, true);
         }
     }
 
     fn reconnect(&self, replicas: &[usize]) {
-        for r in replicas {
-            let process = self.replicas[*r].process.get();
+        for index in replicas {
+            let process = self.replicas[*index].process.get();
             self.network.set_isolated(process, false);
-            self.report_link(*r, false);
+            self.report_link(*index, false);
         }
     }
 
@@ -141,16 +151,16 @@
         self.report_links_of(&[from, to], false);
     }
 
-    fn set_discovery_silent(&self, co_ordinators: &[usize], silent: bool) {
-        for n in co_ordinators {
-            self.coordinators[*n].agent.silence(silent);
+    fn set_discovery_unresponsive(&self, co_ordinators: &[usize], unresponsive: bool) {
+        for index in co_ordinators {
+            self.coordinators[*index].agent.silence(unresponsive);
         }
     }
 
     fn stall_coordinators(&self, co_ordinators: &[usize], seconds: f64) {
-        for n in co_ordinators {
-            if let Some(process) = self.coordinators[*n].process.get() {
-                let node = NodeId(*n);
+        for index in co_ordinators {
+            if let Some(process) = self.coordinators[*index].process.get() {
+                let node = NodeId(*index);
                 self.recorder.tell(EventKind::Stalled { node, seconds });
                 self.clock.stall(process);
             }
