--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -14,12 +14,13 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `scheduler` | the inputs of the state machine |
+//! | `call`, `outcome`, `spec`, `action` | what the driver passes in and gets back |
 //! | `call_state` | states of a call |
 //! | `decisions`, `hedging`, `shedding` | what happens to a call |
 //! | `placement` | choice of a replica |
 //! | `step` | the queuing deadline of a program's step |
 //! | `observations`, `replica`, `routes`, `programs`, `service` | what is learned, and from what |
-//! | `calls_in_flight`, `fleet`, `prefix_cache`, `retry_tokens`, `timers` | state |
+//! | `calls_in_flight`, `fleet`, `prefix_cache`, `keys`, `retry_tokens`, `timers` | state |
 
 mod action;
 mod call;
