--- a/crates/tier/proxy/src/proxy.rs
+++ b/crates/tier/proxy/src/proxy.rs
@@ -11,13 +11,14 @@
 use std::sync::atomic::AtomicUsize;
 use tokio::sync::watch;
 use woadreach_discovery::ControlSnapshot;
-use woadreach_scheduler::Admission;
+use woadreach_scheduler::Scheduler;
 use woadreach_storage::StorageClient;
 
 /// Bodies of requests being read together may fill the process's memory divided by this.
 const BODIES_MEMORY_DIVISOR: u64 = 5;
 
-/// Number of edges that share each replica's connections, since the control plane does not send it.
+/// Assumed number of edges that share each replica's connections; the control plane does not send it
+/// (docs/ROADMAP.md).
 const ASSUMED_EDGE_COUNT: usize = 6;
 
 /// State and services that all requests share.
@@ -29,7 +30,7 @@
     /// Pooled connections to replicas.
     pub pool: Arc<ReplicaPool>,
     /// Client of the storage machines, for turns and budgets.
-    pub turns: StorageClient,
+    pub storage: StorageClient,
     /// Counters of the state line.
     pub counters: Counters,
     /// Phase of the process, and the number of its requests in flight.
@@ -38,20 +39,21 @@
     pub buffered_body_bytes: AtomicUsize,
     /// Limit of `buffered_body_bytes`; above it requests get 503.
     pub max_buffered_body_bytes: usize,
-    /// Replaced as a whole by each snapshot; requests keep the one that they have read.
+    /// Replaced as a whole by each snapshot. A request keeps its route; each of its attempts reads the newest
+    /// replicas and limits.
     routing_state: Mutex<Arc<RoutingState>>,
 }
 
 impl Proxy {
     /// A data plane without configuration or replicas. `seed` feeds the scheduler's random choices.
-    pub fn new(seed: u64, zone: &str, memory_mb: u64, turns: StorageClient) -> Self {
+    pub fn new(seed: u64, zone: &str, memory_mb: u64, storage: StorageClient) -> Self {
         let max_buffered_body_bytes = memory_mb * 1024 * 1024 / BODIES_MEMORY_DIVISOR;
         let clock = Clock::start();
         Proxy {
             clock,
-            dispatcher: Dispatcher::new(Admission::new(seed, zone.to_owned()), clock),
+            dispatcher: Dispatcher::new(Scheduler::new(seed, zone.to_owned()), clock),
             pool: Arc::default(),
-            turns,
+            storage,
             counters: Counters::default(),
             lifecycle: Lifecycle::default(),
             buffered_body_bytes: AtomicUsize::new(0),
@@ -87,7 +89,7 @@
         let after = Arc::new(before.with_snapshot(snapshot));
         *self.routing_state.lock() = after.clone();
         if let Some(view) = &snapshot.storage_view {
-            self.turns.set_view(view.clone());
+            self.storage.set_view(view.clone());
         }
         if before.generation() != after.generation() {
             tracing::info!(generation = after.generation(), "configuration applied");
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -1,7 +1,6 @@
 //! The configuration and the replicas, as the control plane has sent them.
 //!
-//! Requests read one immutable state each; a snapshot replaces it as a whole, so that no request sees half of an
-//! update.
+//! Readers get one immutable state; a snapshot replaces it as a whole, so that none sees half of an update.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -113,12 +112,9 @@
 fn service_spec(service: &Service) -> ServiceSpec {
     ServiceSpec {
         name: Arc::from(service.name.as_str()),
-        capacity_hint: service.engine.as_ref().map(|engine| engine.capacity),
         max_conns: service.max_conns,
         engine: service.engine.as_ref().map(|engine| EngineSpec {
-            capacity: engine.capacity,
             kv_tokens: engine.kv_tokens,
-            stride: engine.stride,
         }),
     }
 }
--- a/crates/tier/scheduler/src/action.rs
+++ b/crates/tier/scheduler/src/action.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the call to a replica. The driver reports one [`crate::Outcome`] of the attempt, unless the
-    /// attempt is aborted or the call cancelled before.
+    /// attempt is aborted or the call ended before.
     Send {
         /// The call to send.
         call: CallId,
@@ -29,8 +29,6 @@
         replica: Arc<str>,
         /// Time-out of the attempt in seconds.
         timeout: f64,
-        /// Value of the `Priority` header, if it has to be set.
-        priority: Option<u8>,
     },
     /// Reject the call with 503 and `Retry-After`. It has not run and never will.
     Refuse {
