--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -74,7 +74,7 @@
 
 /// All singleton roles of one co-ordinator.
 ///
-/// The driver calls [`update`](Self::update) about ten times a second, [`tick`](Self::tick) when
+/// The driver calls [`update`](Self::update) five to ten times a second, [`tick`](Self::tick) when
 /// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each payload, and adds
 /// [`gossip`](Self::gossip) to datagrams that it sends anyway. It executes the [`RoleActions`] that they return.
 pub struct SingletonRoles {
@@ -161,8 +161,8 @@
             .map_or(1.0, |share| share.multiple_of_even_share(now_s, replica))
     }
 
-    /// Does what is due, with the current members and the demand for all warming replicas. To be called about ten times
-    /// a second.
+    /// Does what is due, with the current members and the demand for all warming replicas. To be called five to ten
+    /// times a second.
     pub fn update(&mut self, now_s: f64, view: &View, demands: &[LocalDemand]) -> RoleActions {
         let mut actions = RoleActions::default();
         let lease_actions = self.leases.set_candidates(now_s, &self.candidates(view));
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/peer.rs
@@ -29,7 +29,7 @@
 
 /// One co-ordinator among its peers.
 ///
-/// The driver calls [`update`](Self::update) about ten times a second, [`tick`](Self::tick) when
+/// The driver calls [`update`](Self::update) five to ten times a second, [`tick`](Self::tick) when
 /// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each datagram, and executes the returned
 /// [`PeerActions`].
 pub struct Peer {
@@ -127,8 +127,8 @@
     }
 
     /// Records what this co-ordinator sees of each zone and how many parts per second it sends, computes the verdicts,
-    /// and pushes reports. To be called about ten times a second. Verdicts are computed here and not for each datagram:
-    /// at 300 members that took more of a small co-ordinator's processor than its searches.
+    /// and pushes reports. To be called five to ten times a second. Verdicts are computed here and not for each
+    /// datagram: at 300 members that took more of a small co-ordinator's processor than its searches.
     pub fn update(
         &mut self,
         now_s: f64,
