--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -35,7 +35,7 @@
 
     /// The verdict that follows for an ejected zone, if it is to be restored: parts tried there succeed after the
     /// dwell, or nothing was seen of it since `last_observed_s` for long.
-    pub(crate) fn restored(
+    pub(crate) fn next_if_restored(
         self,
         now_s: f64,
         evidence: &Evidence,
@@ -61,7 +61,7 @@
 
     /// The verdict that follows for a zone that serves, if it is to be ejected. `others_can_serve` is whether enough
     /// zones remain.
-    pub(crate) fn ejected(
+    pub(crate) fn next_if_ejected(
         self,
         now_s: f64,
         evidence: &Evidence,
--- a/crates/router/zone-failover/src/zones/mod.rs
+++ b/crates/router/zone-failover/src/zones/mod.rs
@@ -190,11 +190,11 @@
     fn update_verdict(&mut self, now_s: f64, zone: usize, evidence: &Evidence) {
         let verdict = self.verdicts[zone];
         let next = if verdict.is_ejected() {
-            verdict.restored(now_s, evidence, self.last_observed_s[zone], &self.config)
+            verdict.next_if_restored(now_s, evidence, self.last_observed_s[zone], &self.config)
         } else {
             let ejected = self.verdicts.iter().filter(|v| v.is_ejected()).count();
             let others_can_serve = (ejected + 1) * 2 <= self.verdicts.len();
-            verdict.ejected(now_s, evidence, others_can_serve, &self.config)
+            verdict.next_if_ejected(now_s, evidence, others_can_serve, &self.config)
         };
         if let Some(next) = next {
             self.verdicts[zone] = next;
