--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -1,6 +1,6 @@
 //! The task that speaks with the other co-ordinators of the tier.
 //!
-//! It owns the socket for their datagrams and drives the state machines behind [`Peer`] (membership, verdicts
+//! It owns the socket for their datagrams and drives the state machines behind [`LocalPeer`] (membership, verdicts
 //! on zones) and [`SingletonRoles`] (leases). They decide; this task carries out what they ask for and sends
 //! the core what the tier has agreed on. Nothing is sent unless the settings allow it. Start reading at
 //! [`run`]:
@@ -28,7 +28,7 @@
 use woadreach_routing::api::ZoneFailoverState;
 use woadreach_runtime::{Datagrams, Net};
 use woadreach_zone_failover::{
-    Peer, PeerActions, VerdictChange, ZoneFailoverConfig, ZoneObservation, Zones,
+    LocalPeer, PeerActions, VerdictChange, ZoneFailoverConfig, ZoneObservation, Zones,
 };
 use zone_failover::AttemptRate;
 
@@ -83,7 +83,7 @@
     config: PeerConfig,
     socket: N::Datagrams,
     by_address: BTreeMap<SocketAddr, MemberId>,
-    peer: Peer,
+    peer: LocalPeer,
     roles: Option<SingletonRoles>,
     /// By warming replica, as of the last observation.
     warming: BTreeMap<ReplicaKey, WarmingShare>,
@@ -292,7 +292,7 @@
     }
 }
 
-fn new_peer(config: &PeerConfig, now: f64) -> Peer {
+fn new_peer(config: &PeerConfig, now: f64) -> LocalPeer {
     let id = MemberId(config.index as u16);
     let zone = config.zone as u8;
     let roster = config.roster.len();
@@ -319,7 +319,7 @@
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
     zones.ejected_by_operator = config.forced_out.iter().map(|z| *z as u8).collect();
-    Peer::new(id, members, zones)
+    LocalPeer::new(id, members, zones)
 }
 
 fn new_roles(config: &PeerConfig, now: f64) -> SingletonRoles {
--- a/crates/router/zone-failover/src/lib.rs
+++ b/crates/router/zone-failover/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which zones take traffic, decided in common by the co-ordinators of a tier.
 //!
-//! Start with [`Peer`]: it is one co-ordinator among its peers, datagrams in and datagrams out. It joins
+//! Start with [`LocalPeer`]: it is one co-ordinator among its peers, datagrams in and datagrams out. It joins
 //! [`Members`](woadreach_membership::Members) with [`Zones`], which decides:
 //!
 //! - Each co-ordinator sees a few parts of every zone ([`ZoneObservation`]). Members exchange them as [`Report`]s of a
@@ -16,8 +16,8 @@
 mod config;
 mod evidence;
 mod gossip;
+mod local_peer;
 mod part_counts;
-mod peer;
 mod peer_actions;
 mod report_table;
 mod reporters;
@@ -26,8 +26,8 @@
 
 pub use config::ZoneFailoverConfig;
 pub use gossip::{GossipPayload, InvalidPayload, Report, ZoneVerdict};
+pub use local_peer::LocalPeer;
 pub use part_counts::{PartCounts, ZoneObservation};
-pub use peer::Peer;
 pub use peer_actions::{OutgoingDatagram, PeerActions, PeerCounters, RolePayload};
 pub use verdict::{Verdict, VerdictChange};
 pub use zones::{SpillGroup, Zones};
--- a/crates/router/zone-failover/src/peer.rs
+++ b/crates/router/zone-failover/src/local_peer.rs
@@ -32,7 +32,7 @@
 /// The driver calls [`update`](Self::update) five to ten times a second, [`tick`](Self::tick) when
 /// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each datagram, and executes the returned
 /// [`PeerActions`].
-pub struct Peer {
+pub struct LocalPeer {
     id: MemberId,
     /// Which members are alive.
     pub members: Members,
@@ -46,10 +46,10 @@
     counters: PeerCounters,
 }
 
-impl Peer {
+impl LocalPeer {
     /// The co-ordinator `id`. `members` and `zones` must be of the same member.
-    pub fn new(id: MemberId, members: Members, zones: Zones) -> Peer {
-        Peer {
+    pub fn new(id: MemberId, members: Members, zones: Zones) -> LocalPeer {
+        LocalPeer {
             id,
             members,
             zones,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// When [`Peer::tick`] is due.
+    /// When [`LocalPeer::tick`] is due.
     pub fn next_due_s(&self) -> f64 {
         self.members.next_due_s()
     }
--- a/crates/router/zone-failover/src/peer_actions.rs
+++ b/crates/router/zone-failover/src/peer_actions.rs
@@ -1,4 +1,4 @@
-//! What [`Peer`](crate::Peer) asks of its driver, and its counters.
+//! What [`LocalPeer`](crate::LocalPeer) asks of its driver, and its counters.
 
 use crate::verdict::VerdictChange;
 use std::collections::BTreeMap;
--- a/crates/router/zone-failover/tests/common/mod.rs
+++ b/crates/router/zone-failover/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use woadreach_membership::{Member, MemberId, Members, MembershipConfig};
 use woadreach_zone_failover::{
-    OutgoingDatagram, Peer, PeerActions, ZoneFailoverConfig, ZoneObservation, Zones,
+    LocalPeer, OutgoingDatagram, PeerActions, ZoneFailoverConfig, ZoneObservation, Zones,
 };
 
 /// The share of parts that fails, by time and by the zones of the co-ordinator and of the replica.
@@ -48,7 +48,7 @@
     pub(crate) failed_share: FailedShare,
     /// Whether datagrams between two zones are lost, by time.
     pub(crate) is_partitioned: Box<dyn Fn(f64, usize, usize) -> bool>,
-    pub(crate) peers: BTreeMap<MemberId, Peer>,
+    pub(crate) peers: BTreeMap<MemberId, LocalPeer>,
     /// What each member has lately seen of each zone.
     seen: BTreeMap<MemberId, Vec<VecDeque<EndedPart>>>,
     in_flight: BTreeMap<Arrival, Datagram>,
@@ -60,7 +60,7 @@
     usize::from(id.0) % zones
 }
 
-fn new_peer(n: usize, members: usize, zones: usize, seed: u64) -> Peer {
+fn new_peer(n: usize, members: usize, zones: usize, seed: u64) -> LocalPeer {
     let id = MemberId(n as u16);
     let zone = zone_of(id, zones) as u8;
     let me = Member {
@@ -83,7 +83,7 @@
         ZoneFailoverConfig::default(),
         0.0,
     );
-    Peer::new(id, membership, verdicts)
+    LocalPeer::new(id, membership, verdicts)
 }
 
 /// What a member with these latest parts of a zone observes, as the routing decisions do: the run of failed parts up to
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -10,7 +10,7 @@
 use woadreach_membership::datagram::{Body, Rejection, decode, encode};
 use woadreach_membership::{Member, MemberId, Members};
 use woadreach_zone_failover::{
-    GossipPayload, InvalidPayload, OutgoingDatagram, PartCounts, Peer, Report, RolePayload,
+    GossipPayload, InvalidPayload, LocalPeer, OutgoingDatagram, PartCounts, Report, RolePayload,
     ZoneFailoverConfig, ZoneVerdict, Zones,
 };
 
@@ -183,7 +183,7 @@
     assert_eq!(GossipPayload::open(&bytes, ZONES, ROSTER).is_ok(), is_valid);
 }
 
-fn peer() -> Peer {
+fn peer() -> LocalPeer {
     let me = Member {
         id: MemberId(0),
         zone: 0,
@@ -196,7 +196,7 @@
         7,
         0.0,
     );
-    Peer::new(
+    LocalPeer::new(
         MemberId(0),
         members,
         Zones::new(
