--- a/crates/router/lease/src/lib.rs
+++ b/crates/router/lease/src/lib.rs
@@ -1,6 +1,6 @@
 //! Singleton roles of a tier of co-ordinators, each held by one member at a time under a lease.
 //!
-//! Start with [`SingletonRoles`]: it is the state machine that a co-ordinator's driver feeds with times, datagrams
+//! Start with [`SingletonRoles`]: it is the state machine that a co-ordinator's driver feeds with times, payloads
 //! and demands, and whose [`RoleActions`] it executes. The crate has no clock, no socket and no thread. Inside it:
 //!
 //! - [`Leases`] decides who holds a [`Role`]. It asks a fixed set of acceptors for a lease, and answers such requests
@@ -37,5 +37,5 @@
 pub use replica_key::ReplicaKey;
 pub use role::Role;
 pub use roles::{
-    LeaseAction, LocalMember, OutgoingDatagram, RoleActions, SingletonRoles, SlowStartSplit,
+    LeaseAction, LocalMember, OutgoingPayload, RoleActions, SingletonRoles, SlowStartSplit,
 };
--- a/crates/router/lease/src/roles/actions.rs
+++ b/crates/router/lease/src/roles/actions.rs
@@ -7,9 +7,9 @@
 use crate::role::Role;
 use woadreach_membership::MemberId;
 
-/// An encoded payload for another member.
+/// An encoded payload for another member. The driver puts it into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutgoingDatagram {
+pub struct OutgoingPayload {
     /// The receiver.
     pub to: MemberId,
     /// The payload, for [`open`](crate::open).
@@ -28,8 +28,8 @@
 /// What the driver has to do.
 #[derive(Clone, Debug, Default)]
 pub struct RoleActions {
-    /// Datagrams to send. Losing them is safe.
-    pub datagrams: Vec<OutgoingDatagram>,
+    /// Payloads to send, each in a datagram of its own. Losing them is safe.
+    pub payloads: Vec<OutgoingPayload>,
     /// Leases acquired and lost, for the log.
     pub events: Vec<LeaseEvent>,
     /// Actions done under a lease, for the log.
@@ -42,7 +42,7 @@
 
 impl RoleActions {
     pub(super) fn send(&mut self, to: MemberId, message: &Message) {
-        self.datagrams.push(OutgoingDatagram {
+        self.payloads.push(OutgoingPayload {
             to,
             bytes: seal(std::slice::from_ref(message)),
         });
@@ -54,10 +54,10 @@
         message: &Message,
     ) {
         let bytes = seal(std::slice::from_ref(message));
-        let datagrams = receivers.into_iter().map(|to| OutgoingDatagram {
+        let payloads = receivers.into_iter().map(|to| OutgoingPayload {
             to,
             bytes: bytes.clone(),
         });
-        self.datagrams.extend(datagrams);
+        self.payloads.extend(payloads);
     }
 }
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -13,7 +13,7 @@
 mod quota_exchange;
 mod receive;
 
-pub use actions::{LeaseAction, OutgoingDatagram, RoleActions};
+pub use actions::{LeaseAction, OutgoingPayload, RoleActions};
 
 use crate::clock_stamp::ClockStamp;
 use crate::endpoint_update::Departure;
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -105,8 +105,8 @@
             replica: update.replica,
             departure: update.departure,
         }));
-        for datagram in actions.datagrams {
-            self.send(from, usize::from(datagram.to.0), datagram.bytes);
+        for payload in actions.payloads {
+            self.send(from, usize::from(payload.to.0), payload.bytes);
         }
     }
 
@@ -287,7 +287,7 @@
     let mut roles = SingletonRoles::new(local_member(0, 3), LeaseConfig::default(), 1, 0.0);
     let actions = roles.receive(1.0, MemberId(1), bytes);
     assert!(
-        actions.datagrams.is_empty() && actions.closed.is_empty(),
+        actions.payloads.is_empty() && actions.closed.is_empty(),
         "{actions:?}"
     );
     assert_eq!(roles.rejected(), 1);
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -72,8 +72,8 @@
 
     /// Carries out what the roles ask for.
     pub(super) fn perform_role_actions(&mut self, actions: RoleActions) {
-        for datagram in &actions.datagrams {
-            let out = self.peer.send_roles(datagram.to, &datagram.bytes);
+        for payload in &actions.payloads {
+            let out = self.peer.send_roles(payload.to, &payload.bytes);
             self.perform(out);
         }
         for event in &actions.events {
