--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -18,7 +18,7 @@
 
 /// A grant that this acceptor has given, in Paxos a promise.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Promise {
+pub(super) struct GivenGrant {
     pub(super) token: FencingToken,
     /// When it expires, by this acceptor's clock. A renewal never brings it forward.
     pub(super) until_s: f64,
@@ -26,64 +26,64 @@
     to_holder: bool,
 }
 
-/// An acceptor's promises. It keeps them in memory only: after a start, and after its clock has jumped, it is silent
-/// for as long as a promise that it may have forgotten could be valid.
+/// An acceptor's grants. It keeps them in memory only: after a start, and after its clock has jumped, it is silent
+/// for as long as a grant that it may have forgotten could be valid.
 #[derive(Clone, Debug)]
 pub(super) struct Acceptor {
     /// No request is answered before.
     silent_until_s: f64,
-    /// Promises in force; at most one a role.
-    promises: BTreeMap<Role, Promise>,
-    /// The latest token promised for each role. Its epoch never decreases. It is kept apart from the tokens under which
+    /// Grants in force; at most one a role.
+    grants: BTreeMap<Role, GivenGrant>,
+    /// The latest token granted for each role. Its epoch never decreases. It is kept apart from the tokens under which
     /// holders were seen to act: else a failed candidate, whose epoch is higher, would make acceptors reject the
     /// actions of the true holder.
-    latest_promised: BTreeMap<Role, FencingToken>,
+    latest_granted: BTreeMap<Role, FencingToken>,
 }
 
 impl Acceptor {
-    /// An acceptor that has forgotten its promises at `now_s`.
+    /// An acceptor that has forgotten its grants at `now_s`.
     pub(super) fn new(now_s: f64, config: &LeaseConfig) -> Acceptor {
         Acceptor {
             silent_until_s: config.silent_until_s(now_s),
-            promises: BTreeMap::new(),
-            latest_promised: BTreeMap::new(),
+            grants: BTreeMap::new(),
+            latest_granted: BTreeMap::new(),
         }
     }
 
-    /// Drops all promises and stays silent until they could no longer be valid. Required once the clock has jumped.
+    /// Drops all grants and stays silent until they could no longer be valid. Required once the clock has jumped.
     pub(super) fn reset(&mut self, now_s: f64, config: &LeaseConfig) {
         self.silent_until_s = config.silent_until_s(now_s);
-        self.promises.clear();
+        self.grants.clear();
     }
 
     pub(super) fn remove_expired(&mut self, now_s: f64) {
-        self.promises.retain(|_, promise| promise.until_s > now_s);
+        self.grants.retain(|_, grant| grant.until_s > now_s);
     }
 
-    pub(super) fn has_promises(&self) -> bool {
-        !self.promises.is_empty()
+    pub(super) fn has_grants(&self) -> bool {
+        !self.grants.is_empty()
     }
 
-    /// The highest epoch promised for a role; 0 if there is none.
+    /// The highest epoch granted for a role; 0 if there is none.
     pub(super) fn highest_epoch(&self, role: Role) -> u32 {
-        self.latest_promised
+        self.latest_granted
             .get(&role)
             .map_or(0, |token| token.epoch)
     }
 
-    /// Withdraws the promise to this token, if it is in force.
+    /// Withdraws the grant to this token, if it is in force.
     pub(super) fn release(&mut self, role: Role, token: FencingToken) {
         if self
-            .promises
+            .grants
             .get(&role)
-            .is_some_and(|promise| promise.token == token)
+            .is_some_and(|grant| grant.token == token)
         {
-            self.promises.remove(&role);
+            self.grants.remove(&role);
         }
     }
 
     /// Answers a request; `None` while silent. `highest_epoch` is the highest that this member knows of, by its
-    /// promises and by the actions of holders.
+    /// grants and by the actions of holders.
     pub(super) fn answer(
         &mut self,
         now_s: f64,
@@ -98,27 +98,25 @@
         Some(denial.unwrap_or_else(|| self.grant(now_s, request, config)))
     }
 
-    fn promise_in_force(&self, now_s: f64, role: Role) -> Option<&Promise> {
-        self.promises
-            .get(&role)
-            .filter(|promise| promise.until_s > now_s)
+    fn grant_in_force(&self, now_s: f64, role: Role) -> Option<&GivenGrant> {
+        self.grants.get(&role).filter(|grant| grant.until_s > now_s)
     }
 
-    /// Denies a request while the role is promised to another token, and one whose token is outdated. `None` if it may
+    /// Denies a request while the role is granted to another token, and one whose token is outdated. `None` if it may
     /// be granted.
     fn denial(&self, now_s: f64, request: &LeaseRequest, highest_epoch: u32) -> Option<Message> {
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.promise_in_force(now_s, role);
-        let is_renewal = current.is_some_and(|promise| promise.token == token);
-        let other = current.filter(|promise| promise.token != token);
+        let current = self.grant_in_force(now_s, role);
+        let is_renewal = current.is_some_and(|grant| grant.token == token);
+        let other = current.filter(|grant| grant.token != token);
         let is_latest =
-            token.epoch == highest_epoch && self.latest_promised.get(&role) == Some(&token);
+            token.epoch == highest_epoch && self.latest_granted.get(&role) == Some(&token);
         let is_new = token.epoch > highest_epoch || is_latest;
         if other.is_none() && (is_renewal || is_new) {
             return None;
         }
         let wait_s = match other {
-            Some(promise) if promise.to_holder => promise.until_s - now_s,
+            Some(grant) if grant.to_holder => grant.until_s - now_s,
             _ => 0.0,
         };
         Some(Message::Denied {
@@ -130,22 +128,22 @@
         })
     }
 
-    /// Promises the role to the token of a request, which must not be denied.
+    /// Grants the role to the token of a request, which must not be denied.
     fn grant(&mut self, now_s: f64, request: &LeaseRequest, config: &LeaseConfig) -> Message {
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.promise_in_force(now_s, role);
-        // Never shorter than the promise in force.
+        let current = self.grant_in_force(now_s, role);
+        // Never shorter than the grant in force.
         let until_s = current
-            .map_or(now_s, |promise| promise.until_s)
+            .map_or(now_s, |grant| grant.until_s)
             .max(now_s + config.grant_duration_s(request.is_holder));
-        let to_holder = request.is_holder || current.is_some_and(|promise| promise.to_holder);
-        let promise = Promise {
+        let to_holder = request.is_holder || current.is_some_and(|grant| grant.to_holder);
+        let grant = GivenGrant {
             token,
             until_s,
             to_holder,
         };
-        self.promises.insert(role, promise);
-        self.latest_promised.insert(role, token);
+        self.grants.insert(role, grant);
+        self.latest_granted.insert(role, token);
         Message::Granted {
             role,
             epoch: token.epoch,
@@ -158,11 +156,11 @@
         self.silent_until_s
     }
 
-    pub(super) fn promises(&self) -> &BTreeMap<Role, Promise> {
-        &self.promises
+    pub(super) fn grants(&self) -> &BTreeMap<Role, GivenGrant> {
+        &self.grants
     }
 
-    pub(super) fn latest_promised(&self) -> &BTreeMap<Role, FencingToken> {
-        &self.latest_promised
+    pub(super) fn latest_granted(&self) -> &BTreeMap<Role, FencingToken> {
+        &self.latest_granted
     }
 }
--- a/crates/router/lease/src/leases/candidacy.rs
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -19,7 +19,7 @@
     pub(super) answered: BTreeSet<MemberId>,
 }
 
-/// A grant by an acceptor.
+/// A grant as a candidate receives it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Grant {
     pub(super) by: MemberId,
@@ -27,7 +27,7 @@
     pub(super) epoch: u32,
 }
 
-/// A denial by an acceptor.
+/// A denial as a candidate receives it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Denial {
     pub(super) by: MemberId,
@@ -210,7 +210,7 @@
         };
         self.highest_denied_epoch = self.highest_denied_epoch.max(denial.highest_epoch);
         let is_for_long = denial.wait_s >= config.proposal_timeout_s;
-        // An acceptor whose promise ends soon counts as one that has not answered: it receives the request again.
+        // An acceptor whose grant ends soon counts as one that has not answered: it receives the request again.
         if denial.highest_epoch < self.epoch && !is_for_long {
             return false;
         }
--- a/crates/router/lease/src/leases/canonical_state.rs
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -7,12 +7,12 @@
 use crate::role::Role;
 
 /// Separate the parts of the state, so that no two states have one form.
-const PROMISE: i64 = -1;
+const GIVEN_GRANT: i64 = -1;
 const KNOWN_HOLDER: i64 = -2;
 const CANDIDACY: i64 = -3;
 const PROPOSAL: i64 = -4;
 const ANSWERED: i64 = -5;
-const LATEST_PROMISED: i64 = -6;
+const LATEST_GRANTED: i64 = -6;
 
 /// A time in milliseconds from now, at most 100 s away.
 fn relative_ms(time_s: f64, now_s: f64) -> i64 {
@@ -30,12 +30,12 @@
 }
 
 fn append_acceptor(state: &mut Vec<i64>, acceptor: &Acceptor, now_s: f64) {
-    for (role, promise) in acceptor.promises() {
-        append_token(state, PROMISE, *role, promise.token);
-        state.push(relative_ms(promise.until_s, now_s));
+    for (role, grant) in acceptor.grants() {
+        append_token(state, GIVEN_GRANT, *role, grant.token);
+        state.push(relative_ms(grant.until_s, now_s));
     }
-    for (role, token) in acceptor.latest_promised() {
-        append_token(state, LATEST_PROMISED, *role, *token);
+    for (role, token) in acceptor.latest_granted() {
+        append_token(state, LATEST_GRANTED, *role, *token);
     }
 }
 
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -175,7 +175,7 @@
         let first = candidacies
             .map(Candidacy::next_due_s)
             .fold(f64::INFINITY, f64::min);
-        if self.acceptor.has_promises() {
+        if self.acceptor.has_grants() {
             // Often enough to detect a clock that jumps.
             first.min(self.last_call_s + self.config.lease_duration_s / 4.0)
         } else {
@@ -209,8 +209,8 @@
 
     /// The highest epoch that this member knows of, as acceptor or from a holder's actions.
     fn highest_epoch(&self, role: Role) -> u32 {
-        let promised = self.acceptor.highest_epoch(role);
-        self.holders.epoch(role).max(promised)
+        let granted = self.acceptor.highest_epoch(role);
+        self.holders.epoch(role).max(granted)
     }
 
     /// Becomes a candidate, or updates its rank among the candidates.
@@ -264,7 +264,7 @@
     fn check_clock(&mut self, now_s: f64, actions: &mut Actions) {
         let went_back = now_s < self.last_call_s;
         let max_step_s = self.config.lease_duration_s * MAX_CLOCK_STEP;
-        let jumped_ahead = self.acceptor.has_promises() && now_s > self.last_call_s + max_step_s;
+        let jumped_ahead = self.acceptor.has_grants() && now_s > self.last_call_s + max_step_s;
         if went_back || jumped_ahead {
             self.counters.clock_jumps += 1;
             self.acceptor.reset(now_s, &self.config);
@@ -297,7 +297,7 @@
         let token = self.own_token(epoch);
         self.acceptor.release(role, token);
         let acceptors = self.acceptors(role);
-        // Each message goes twice: if it is lost, the acceptor is blocked until its promise expires.
+        // Each message goes twice: if it is lost, the acceptor is blocked until its grant expires.
         for to in acceptors.iter().chain(&acceptors) {
             if *to != self.id {
                 let message = Message::Release {
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -434,7 +434,7 @@
     assert_eq!(leases.counters().stale_tokens, 3);
 }
 
-/// An acceptor is silent while it may have forgotten a promise: after a start, and after its clock has jumped.
+/// An acceptor is silent while it may have forgotten a grant: after a start, and after its clock has jumped.
 #[rstest]
 #[case::started(0.0, 1.0, false)]
 #[case::long_started(0.0, 4.0, true)]
