--- a/crates/router/woadreachd/src/config/peers.rs
+++ b/crates/router/woadreachd/src/config/peers.rs
@@ -15,7 +15,7 @@
 pub(super) fn read_peers(fields: Fields<'_>, seed: u64) -> Result<Option<PeerConfig>, ConfigError> {
     let zones = texts(fields.settings, "/localities");
     let regions = read_regions(fields, &zones)?;
-    let forced_out = texts(fields.file, "/failover/out")
+    let ejected_by_operator = texts(fields.file, "/failover/out")
         .iter()
         .map(|zone| zone_index(&zones, "failover.out", zone))
         .collect::<Result<Vec<_>, _>>()?;
@@ -36,7 +36,7 @@
         zone,
         zones,
         regions,
-        forced_out,
+        ejected_by_operator,
         prefer_near: fields.file_flag("/failover/near"),
         warm_up_s: fields.seconds("/guarantees/coldMs").unwrap_or(0.0),
         roles: fields.file_flag_unless_off("/duties/on"),
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -308,17 +308,21 @@
         config.seed,
         now,
     );
-    let ramp_duration_s = if config.warm_up_s > 0.0 {
+    let slow_start_duration_s = if config.warm_up_s > 0.0 {
         (config.warm_up_s / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
     } else {
         MIN_ZONE_SLOW_START
     };
     let failover = ZoneFailoverConfig {
-        ramp_duration_s,
+        slow_start_duration_s,
         ..ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
-    zones.ejected_by_operator = config.forced_out.iter().map(|z| *z as u8).collect();
+    zones.ejected_by_operator = config
+        .ejected_by_operator
+        .iter()
+        .map(|z| *z as u8)
+        .collect();
     LocalPeer::new(id, members, zones)
 }
 
--- a/crates/router/woadreachd/src/peers/config.rs
+++ b/crates/router/woadreachd/src/peers/config.rs
@@ -18,8 +18,8 @@
     pub zones: Vec<String>,
     /// Each zone's region, by number.
     pub regions: Vec<u8>,
-    /// Zones that an operator has taken out, at this co-ordinator alone.
-    pub forced_out: Vec<usize>,
+    /// Zones that an operator has ejected at this co-ordinator alone.
+    pub ejected_by_operator: Vec<usize>,
     /// Whether ties between replicas go to the nearer one. Off unless an operator asks for it: where clients
     /// are unevenly spread over zones it crowds the busy ones, and on the fleet bench's calm day it cost a
     /// fifth of the score.
--- a/crates/router/woadreachd/tests/recorded_config.rs
+++ b/crates/router/woadreachd/tests/recorded_config.rs
@@ -173,7 +173,7 @@
         ("peers zone", p.zone.to_string()),
         ("peers zones", format!("{:?}", p.zones)),
         ("peers regions", format!("{:?}", p.regions)),
-        ("peers out", format!("{:?}", p.forced_out)),
+        ("peers out", format!("{:?}", p.ejected_by_operator)),
         ("peers near", p.prefer_near.to_string()),
         ("peers warm", p.warm_up_s.to_string()),
         ("peers duties", p.roles.to_string()),
--- a/crates/router/zone-failover/src/config.rs
+++ b/crates/router/zone-failover/src/config.rs
@@ -21,7 +21,7 @@
     /// It prevents that an overload everywhere is made worse, and that a partitioned zone ejects the others. The
     /// cost: when two of three zones fail at once, none is ejected.
     pub max_failed_share_of_sound_zone: f64,
-    /// A zone is restored only if at least this number of its parts was seen. Trials are few.
+    /// A zone is restored only if at least this number of its parts was seen. Probes are few.
     pub min_parts_to_restore: u32,
     /// A zone is restored only if at most this share of the parts seen has failed.
     pub max_failed_share_to_restore: f64,
@@ -31,12 +31,11 @@
     pub max_consecutive_failovers: u8,
     /// A zone that is ejected again within this time after its return has one more consecutive failover, in seconds.
     pub stable_after_s: f64,
-    /// An ejected zone of which nothing was seen for this number of dwells is restored on trial: without hedged
-    /// requests there is no trial traffic, and no evidence for it would ever come. Must exceed the time between trials
-    /// (4 s).
+    /// An ejected zone of which nothing was seen for this number of dwells is restored without evidence: without hedged
+    /// requests no probes are sent, and no evidence for it would ever come. Must exceed the time between probes (4 s).
     pub unobserved_dwells: f64,
     /// Time from a zone's return until it has all of its traffic, in seconds.
-    pub ramp_duration_s: f64,
+    pub slow_start_duration_s: f64,
     /// The share of its traffic with which a zone returns.
     pub initial_share: f64,
     /// Envoy's overprovisioning factor: traffic stays near while the healthy share, multiplied by it, covers the
@@ -62,7 +61,7 @@
             max_consecutive_failovers: 5,
             stable_after_s: 20.0,
             unobserved_dwells: 6.0,
-            ramp_duration_s: 3.0,
+            slow_start_duration_s: 3.0,
             initial_share: 0.1,
             overprovisioning_factor: 1.4,
             max_crowding: 1.2,
--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -33,7 +33,7 @@
         self.epoch % 2 == 1
     }
 
-    /// The verdict that follows for an ejected zone, if it is to be restored: parts tried there succeed after the
+    /// The verdict that follows for an ejected zone, if it is to be restored: probes of it succeed after the
     /// dwell, or nothing was seen of it since `last_observed_s` for long.
     pub(crate) fn next_if_restored(
         self,
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -37,7 +37,7 @@
                 1.0
             } else {
                 let age_s = now_s - verdict.since_s;
-                let growth = (1.0 - config.initial_share) * age_s / config.ramp_duration_s;
+                let growth = (1.0 - config.initial_share) * age_s / config.slow_start_duration_s;
                 (config.initial_share + growth).clamp(0.0, 1.0)
             }
         };
