--- a/crates/router/membership/src/datagram.rs
+++ b/crates/router/membership/src/datagram.rs
@@ -4,7 +4,7 @@
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Limit on the length of a datagram in bytes. The platform voids a run in which one is longer.
+/// Limit on the length of a datagram in bytes. The bench voids a play in which one is longer.
 pub const MAX_BYTES: usize = 256;
 /// The version of the envelope and of all payloads; datagrams of other versions are rejected. It must be raised when
 /// the meaning of either changes.
--- a/crates/router/membership/src/members.rs
+++ b/crates/router/membership/src/members.rs
@@ -144,7 +144,7 @@
         self.absorb_stall(now_s);
         while let Some(timer) = self.state.take_due_timer(now_s) {
             let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
-            self.state.start_probe();
+            self.state.clear_probe_failure();
             let result = self.foca.handle_timer(timer, &mut self.state);
             self.unusable_messages += u64::from(result.is_err());
             if is_probe {
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -85,8 +85,8 @@
         self.local_health = (self.local_health + 2).min(MAX_LOCAL_HEALTH);
     }
 
-    /// To be called before a timer is handled.
-    pub(crate) fn start_probe(&mut self) {
+    /// Clears the outcome of the last probe. To be called before a timer is handled.
+    pub(crate) fn clear_probe_failure(&mut self) {
         self.probe_failed = false;
     }
 
