--- a/crates/router/lease/src/rendezvous.rs
+++ b/crates/router/lease/src/rendezvous.rs
@@ -2,15 +2,12 @@
 //! 1998).
 
 use crate::role::Role;
-use woadreach_membership::MemberId;
+use woadreach_membership::{MemberId, splitmix64};
 
-/// A member's position for a role; lower comes first. It is a SplitMix64 hash.
+/// A member's position for a role; lower comes first.
 pub(crate) fn weight(role: Role, member: MemberId) -> u64 {
     let input = u64::from(role.number()) << 16 | u64::from(member.0);
-    let mut hash = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    hash ^ (hash >> 31)
+    splitmix64(input)
 }
 
 /// The first `limit` of these members for a role.
--- a/crates/router/membership/src/lib.rs
+++ b/crates/router/membership/src/lib.rs
@@ -10,7 +10,7 @@
 //!   ([`View::is_partitioned`]), instead of declaring all others down.
 //!
 //! [`datagram`] is the envelope of everything that co-ordinators send each other. It also carries payloads of
-//! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read.
+//! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read. Both order members by [`splitmix64`].
 //!
 //! Design, alternatives and the operators' page: `docs/failover.md`.
 
@@ -20,10 +20,12 @@
 mod member;
 mod members;
 mod protocol_state;
+mod splitmix64;
 mod view;
 
 pub use actions::{Actions, MembershipEvent, OutgoingMessage};
 pub use config::MembershipConfig;
 pub use member::{Member, MemberId};
 pub use members::Members;
+pub use splitmix64::splitmix64;
 pub use view::View;
--- /dev/null
+++ b/crates/router/membership/tests/splitmix64.rs
@@ -0,0 +1,25 @@
+//! The hash agrees with published outputs of SplitMix64, so that members of other versions have the same order.
+
+use woadreach_membership::splitmix64;
+
+/// By how much the generator's state grows with each output.
+const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The first outputs of the published generator with this seed.
+const SEED: u64 = 1_234_567;
+const OUTPUTS: [u64; 5] = [
+    6_457_827_717_110_365_317,
+    3_203_168_211_198_807_973,
+    9_817_491_932_198_370_423,
+    4_593_380_528_125_082_431,
+    16_408_922_859_458_223_821,
+];
+
+#[test]
+fn outputs_are_those_of_the_published_generator() {
+    let mut state = SEED;
+    for output in OUTPUTS {
+        assert_eq!(splitmix64(state), output);
+        state = state.wrapping_add(STATE_INCREMENT);
+    }
+}
--- a/crates/router/zone-failover/src/reporters.rs
+++ b/crates/router/zone-failover/src/reporters.rs
@@ -1,14 +1,11 @@
 //! Which members' reports decide.
 
 use std::collections::BTreeMap;
-use woadreach_membership::{MemberId, View};
+use woadreach_membership::{MemberId, View, splitmix64};
 
-/// A member's position among all members: the same at each of them, and different for any two. It is a SplitMix64 hash.
+/// A member's position among all members: the same at each of them, and different for any two.
 pub(crate) fn rank(member: MemberId) -> u64 {
-    let mut hash = u64::from(member.0).wrapping_add(0x9e37_79b9_7f4a_7c15);
-    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    hash ^ (hash >> 31)
+    splitmix64(u64::from(member.0))
 }
 
 /// The live members whose reports decide, the first by their rank.
