--- a/crates/router/lease/src/quota/share.rs
+++ b/crates/router/lease/src/quota/share.rs
@@ -6,7 +6,8 @@
 use crate::replica_key::ReplicaKey;
 use std::collections::BTreeMap;
 
-/// Limit on the replicas of one report. Further ones are in the next.
+/// Limit on the replicas of one report, which are taken in the order of their keys. Further ones are in the next, unless
+/// idle replicas fill it, which are in every report.
 const MAX_DEMANDS_PER_REPORT: usize = 32;
 
 /// A member's share of one replica.
