--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -16,9 +16,9 @@
     pub(super) is_holder: bool,
 }
 
-/// A grant that this acceptor has given, in Paxos a promise.
+/// A grant that this acceptor has issued, in Paxos a promise.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct GivenGrant {
+pub(super) struct IssuedGrant {
     pub(super) token: FencingToken,
     /// When it expires, by this acceptor's clock. A renewal never brings it forward.
     pub(super) until_s: f64,
@@ -33,7 +33,7 @@
     /// No request is answered before.
     silent_until_s: f64,
     /// Grants in force; at most one a role.
-    grants: BTreeMap<Role, GivenGrant>,
+    grants: BTreeMap<Role, IssuedGrant>,
     /// The latest token granted for each role. Its epoch never decreases. It is kept apart from the tokens under which
     /// holders were seen to act: else a failed candidate, whose epoch is higher, would make acceptors reject the
     /// actions of the true holder.
@@ -98,7 +98,7 @@
         Some(denial.unwrap_or_else(|| self.grant(now_s, request, config)))
     }
 
-    fn grant_in_force(&self, now_s: f64, role: Role) -> Option<&GivenGrant> {
+    fn grant_in_force(&self, now_s: f64, role: Role) -> Option<&IssuedGrant> {
         self.grants.get(&role).filter(|grant| grant.until_s > now_s)
     }
 
@@ -137,7 +137,7 @@
             .map_or(now_s, |grant| grant.until_s)
             .max(now_s + config.grant_duration_s(request.is_holder));
         let to_holder = request.is_holder || current.is_some_and(|grant| grant.to_holder);
-        let grant = GivenGrant {
+        let grant = IssuedGrant {
             token,
             until_s,
             to_holder,
@@ -156,7 +156,7 @@
         self.silent_until_s
     }
 
-    pub(super) fn grants(&self) -> &BTreeMap<Role, GivenGrant> {
+    pub(super) fn grants(&self) -> &BTreeMap<Role, IssuedGrant> {
         &self.grants
     }
 
--- a/crates/router/lease/src/leases/canonical_state.rs
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -7,7 +7,7 @@
 use crate::role::Role;
 
 /// Separate the parts of the state, so that no two states have one form.
-const GIVEN_GRANT: i64 = -1;
+const ISSUED_GRANT: i64 = -1;
 const KNOWN_HOLDER: i64 = -2;
 const CANDIDACY: i64 = -3;
 const PROPOSAL: i64 = -4;
@@ -31,7 +31,7 @@
 
 fn append_acceptor(state: &mut Vec<i64>, acceptor: &Acceptor, now_s: f64) {
     for (role, grant) in acceptor.grants() {
-        append_token(state, GIVEN_GRANT, *role, grant.token);
+        append_token(state, ISSUED_GRANT, *role, grant.token);
         state.push(relative_ms(grant.until_s, now_s));
     }
     for (role, token) in acceptor.latest_granted() {
