--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -80,7 +80,7 @@
         self.apply(&list);
     }
 
-    /// Applies what a lease holder has sent.
+    /// Applies what singleton roles change: by a lease holder's message, or by its expiry.
     ///
     /// Only endpoints that the own list has as ready are closed, and only that list opens them again: a stale
     /// or forged message cannot open an endpoint that the list has closed, nor name one that it does not. It
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -21,7 +21,7 @@
     pub(super) fn handle_event(&mut self, now: f64, event: Event) {
         match event {
             Event::SearchArrived(arrival) => self.search_arrived(now, *arrival),
-            Event::ClientDisconnected(search) => {
+            Event::AnswerNotOwed(search) => {
                 self.search_table
                     .client_disconnected(now, search, &mut self.executor);
                 self.executor.send_delayed_answer(search);
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -30,17 +30,18 @@
 pub(crate) enum Event {
     /// The front has read a search.
     SearchArrived(Box<Arrival>),
-    /// The client has closed its connection before its answer.
-    ClientDisconnected(SearchId),
+    /// Nobody waits for the search's answer any more: its client has disconnected, or the process ends and the
+    /// front answers it as errored.
+    AnswerNotOwed(SearchId),
     /// The task of a connection to a replica has something to report.
     Connection(ConnectionId, ConnectionEvent),
     /// The co-ordinators of the tier have agreed on the zones that take traffic.
     ZoneFailover(ZoneFailoverState),
-    /// The holder of a singleton role has sent a message.
+    /// Singleton roles change something for this process: by a holder's message, or by its expiry.
     Role(RoleUpdate),
 }
 
-/// What the holders of singleton roles decide for this process.
+/// What singleton roles change for this process.
 pub(crate) enum RoleUpdate {
     /// This process's shares of warming replicas.
     QuotaShares(Vec<QuotaFactor>),
@@ -91,7 +92,7 @@
     pub(crate) text: Rc<str>,
     /// Length of the request's body: what the search counts for in the core's memory budget.
     pub(crate) bytes: usize,
-    /// Takes the final answer; dropped without one where the client has disconnected.
+    /// Takes the final answer; dropped without one once it is not owed any more.
     pub(crate) reply: oneshot::Sender<Answer>,
 }
 
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -1,8 +1,8 @@
 //! Responses: waiting for the core's answer to a search, and its bytes.
 //!
 //! A request is handed to the core here, and the connection's task then does nothing but wait for the answer
-//! and watch whether the client disconnects, which it reports by [`Event::ClientDisconnected`]. Where the client
-//! stays, each request has exactly one response.
+//! and watch whether the client disconnects or the process ends, both of which it reports by
+//! [`Event::AnswerNotOwed`]. Where the client stays, each request has exactly one response.
 
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
@@ -126,11 +126,11 @@
                 // The core drops the search, and so the channel, before anything is answered.
                 _ = phase.wait_for(|p| *p == Phase::Ending), if !ending => {
                     ending = true;
-                    let _ = self.events.send(Event::ClientDisconnected(search));
+                    let _ = self.events.send(Event::AnswerNotOwed(search));
                 }
                 n = client.read(&self.net), if !paused => {
                     if matches!(n, Ok(0) | Err(_)) {
-                        let _ = self.events.send(Event::ClientDisconnected(search));
+                        let _ = self.events.send(Event::AnswerNotOwed(search));
                         return None;
                     }
                     let limit = read_ahead.reserve(client.bytes.len());
