--- a/crates/router/search-driver/src/watch.rs
+++ b/crates/router/search-driver/src/comparison.rs
@@ -23,7 +23,7 @@
 
 /// Steps that the other deployment would not have allowed, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct WatchCounters {
+pub struct ComparisonCounters {
     /// Searches shed with a time to come back.
     pub retry_after: u64,
     /// Attempts sent while another of their part was in flight.
@@ -96,7 +96,7 @@
         part: &Part,
         attempt_index: usize,
         once: bool,
-        counters: &mut WatchCounters,
+        counters: &mut ComparisonCounters,
     ) {
         let earlier = &part.attempts[..attempt_index.min(part.attempts.len())];
         if self.hedging_allowed == Some(false) && earlier.iter().any(|a| a.ending.is_none()) {
@@ -108,7 +108,7 @@
     }
 
     /// Counts a reply to a search.
-    pub fn count_reply(&self, reply: Reply, counters: &mut WatchCounters) {
+    pub fn count_reply(&self, reply: Reply, counters: &mut ComparisonCounters) {
         if matches!(reply, Reply::Shed { retry_after } if retry_after > 0.0)
             && self.retry_after == Some(false)
         {
@@ -118,5 +118,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/watch.rs"]
+#[path = "../tests/unit/comparison.rs"]
 mod tests;
--- a/crates/router/search-driver/src/lib.rs
+++ b/crates/router/search-driver/src/lib.rs
@@ -2,14 +2,14 @@
 //! the order in which a plan is carried out. It has neither clock nor sockets nor a wire format, and decides
 //! nothing.
 //!
-//! A host implements [`PlanExecutor`] and drives a [`SearchTable`]. [`watch`] compares decisions with the
+//! A host implements [`PlanExecutor`] and drives a [`SearchTable`]. [`comparison`] compares decisions with the
 //! settings of another deployment.
 
+pub mod comparison;
 mod search_table;
 mod settings;
 mod settings_error;
-pub mod watch;
 
-pub use search_table::{InFlight, PlanExecutor, SearchTable};
+pub use search_table::{InFlightCounts, PlanExecutor, SearchTable};
 pub use settings::parse_settings;
 pub use settings_error::SettingsError;
--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -4,11 +4,11 @@
 //! decisions want to be asked about it next. What a plan asks for goes, in its order, to a [`PlanExecutor`].
 //! The caller keeps the clock.
 
-use crate::watch::{ProposedLimits, WatchCounters};
+use crate::comparison::{ComparisonCounters, ProposedLimits};
 use std::collections::{BTreeMap, VecDeque};
 use woadreach_routing::api::{
-    Listed, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search, SearchId, Settings,
-    ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
+    AttemptId, Listed, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search, SearchId,
+    Settings, ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
 };
 use woadreach_routing::decide::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
@@ -21,7 +21,7 @@
     /// Logs a line.
     fn log(&mut self, line: &str);
     /// Cancels an attempt.
-    fn cancel(&mut self, part: PartId, attempt_index: usize);
+    fn cancel(&mut self, attempt: AttemptId);
     /// Sends an attempt.
     fn send(&mut self, search: &Search, placement: &Placement, attempt_index: usize);
     /// Replies to a search, or begins its second step where it is not finished.
@@ -44,7 +44,7 @@
     limits: ProposedLimits,
     /// Whether parts of the query type may not run twice there, by query type.
     once: Vec<bool>,
-    counters: WatchCounters,
+    counters: ComparisonCounters,
 }
 
 impl Comparison {
@@ -60,9 +60,9 @@
     }
 }
 
-/// What is in flight.
+/// How much is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InFlight {
+pub struct InFlightCounts {
     /// Number of searches.
     pub searches: usize,
     /// Number of their parts.
@@ -98,12 +98,12 @@
         self.comparison = Some(Comparison {
             limits,
             once,
-            counters: WatchCounters::default(),
+            counters: ComparisonCounters::default(),
         });
     }
 
     /// The counts of a comparison, if there is one.
-    pub fn watch_counters(&self) -> Option<WatchCounters> {
+    pub fn comparison_counters(&self) -> Option<ComparisonCounters> {
         self.comparison.as_ref().map(|c| c.counters)
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// Numbers of searches and parts in flight.
-    pub fn in_flight(&self) -> InFlight {
-        InFlight {
+    pub fn in_flight(&self) -> InFlightCounts {
+        InFlightCounts {
             searches: self.searches.len(),
             parts: self.by_part.len(),
         }
@@ -257,7 +257,7 @@
             executor.log(&note.to_string());
         }
         for attempt in &plan.cancel {
-            executor.cancel(attempt.part, attempt.index);
+            executor.cancel(*attempt);
         }
         let Some(id) = search else {
             return;
--- a/crates/router/search-driver/tests/unit/watch.rs
+++ b/crates/router/search-driver/tests/unit/comparison.rs
@@ -1,4 +1,4 @@
-//! Tests of what `src/watch.rs` keeps to itself; that file takes them in as its own module.
+//! Tests of what `src/comparison.rs` keeps to itself; that file takes them in as its own module.
 
 use super::*;
 use serde_json::json;
@@ -50,7 +50,7 @@
         hedging_allowed: Some(false),
         once: vec![],
     };
-    let mut counters = WatchCounters::default();
+    let mut counters = ComparisonCounters::default();
     // A hedge; a retry after a lost answer; a retry after no connection.
     strict.count_attempt(&part(&[None, None]), 1, true, &mut counters);
     strict.count_attempt(
@@ -70,14 +70,14 @@
     strict.count_reply(Reply::Shed { retry_after: 0.0 }, &mut counters);
     assert_eq!(
         counters,
-        WatchCounters {
+        ComparisonCounters {
             retry_after: 1,
             hedges: 1,
             retries_of_once: 2
         }
     );
-    let mut none = WatchCounters::default();
+    let mut none = ComparisonCounters::default();
     ProposedLimits::default().count_attempt(&part(&[None, None]), 1, false, &mut none);
     ProposedLimits::default().count_reply(Reply::Shed { retry_after: 0.5 }, &mut none);
-    assert_eq!(none, WatchCounters::default());
+    assert_eq!(none, ComparisonCounters::default());
 }
--- a/crates/router/sim-adapter/src/actions.rs
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use woadreach_routing::api::{PartId, Placement, Reply, Search, SearchId, Seconds};
+use woadreach_routing::api::{AttemptId, Placement, Reply, Search, SearchId, Seconds};
 use woadreach_search_driver::PlanExecutor;
 
 /// The wire has times in milliseconds, the decisions in seconds.
@@ -20,8 +20,9 @@
         self.out.push(json!(["remark", line]));
     }
 
-    fn cancel(&mut self, part: PartId, attempt_index: usize) {
-        self.out.push(json!(["undoSend", part.0, attempt_index]));
+    fn cancel(&mut self, attempt: AttemptId) {
+        self.out
+            .push(json!(["undoSend", attempt.part.0, attempt.index]));
     }
 
     fn send(&mut self, _: &Search, placement: &Placement, _: usize) {
--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -23,7 +23,7 @@
 use snafu::{OptionExt, ResultExt};
 use std::net::SocketAddr;
 use woadreach_routing::api::Settings;
-use woadreach_search_driver::watch::{ProposedLimits, parse_proposed_limits};
+use woadreach_search_driver::comparison::{ProposedLimits, parse_proposed_limits};
 
 /// Grace of a drain in seconds where the settings state none.
 const DEFAULT_DRAIN_GRACE: f64 = 0.5;
--- a/crates/router/woadreachd/src/core.rs
+++ b/crates/router/woadreachd/src/core.rs
@@ -36,7 +36,7 @@
 use woadreach_routing::api::Settings;
 use woadreach_runtime::Net;
 use woadreach_search_driver::SearchTable;
-use woadreach_search_driver::watch::ProposedLimits;
+use woadreach_search_driver::comparison::ProposedLimits;
 
 /// How often idle connections to replicas are looked for, in seconds. A finer interval gains nothing, since
 /// idle connections are not used either.
@@ -105,7 +105,7 @@
     }
 
     /// Counts from now on where the settings of another deployment would have decided otherwise.
-    pub(crate) fn watch(&mut self, limits: ProposedLimits, query_types: &[String]) {
+    pub(crate) fn compare_with(&mut self, limits: ProposedLimits, query_types: &[String]) {
         self.search_table.compare_with(limits, query_types);
     }
 
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -5,14 +5,16 @@
 
 use super::config::CoreConfig;
 use super::timers::{Timer, TimerQueue};
-use crate::events::{Answer, Arrival, AttemptId, Row};
+use crate::events::{Answer, Arrival, Row};
 use crate::replicas::{LastWrite, QueuedAttempt, Replicas};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::{debug, info};
-use woadreach_routing::api::{Part, PartId, Placement, Reply, Search, SearchId, ShardId};
+use woadreach_routing::api::{
+    AttemptId, Part, PartId, Placement, Reply, Search, SearchId, ShardId,
+};
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 use woadreach_search_driver::PlanExecutor;
@@ -112,11 +114,7 @@
         info!("{line}");
     }
 
-    fn cancel(&mut self, part: PartId, attempt_index: usize) {
-        let attempt = AttemptId {
-            part,
-            index: attempt_index,
-        };
+    fn cancel(&mut self, attempt: AttemptId) {
         self.replicas.cancel(self.now, attempt);
     }
 
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -12,7 +12,7 @@
 use tracing::debug;
 use woadreach_routing::api::{Ending, Search};
 use woadreach_runtime::Net;
-use woadreach_search_driver::InFlight;
+use woadreach_search_driver::InFlightCounts;
 
 /// How much before its time a timer may fire, in seconds: timers count in microseconds.
 const TIMER_PRECISION: f64 = 1e-5;
@@ -133,7 +133,7 @@
     /// Whether the search is one too many: the settings bound the searches and parts in flight, the memory the
     /// bytes of their requests.
     fn exceeds_limits(&self, arrival: &Arrival) -> bool {
-        let InFlight { searches, parts } = self.search_table.in_flight();
+        let InFlightCounts { searches, parts } = self.search_table.in_flight();
         let open = searches + parts + 1 + arrival.parts.len();
         let bytes = self.executor.bytes + arrival.bytes;
         let config = &self.executor.config;
--- a/crates/router/woadreachd/src/core/timers.rs
+++ b/crates/router/woadreachd/src/core/timers.rs
@@ -1,9 +1,8 @@
 //! Timers of the core task, earliest first.
 
-use crate::events::AttemptId;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use woadreach_routing::api::SearchId;
+use woadreach_routing::api::{AttemptId, SearchId};
 
 /// What is due at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/router/woadreachd/src/core/usage_report.rs
+++ b/crates/router/woadreachd/src/core/usage_report.rs
@@ -5,7 +5,7 @@
 use crate::events::Usage;
 use tracing::info;
 use woadreach_runtime::Net;
-use woadreach_search_driver::InFlight;
+use woadreach_search_driver::InFlightCounts;
 
 /// Seconds between reports.
 const USAGE_REPORT_INTERVAL: f64 = 5.0;
@@ -16,7 +16,7 @@
         self.max_event_delay_s = self.max_event_delay_s.max(now - due);
         let usage = self.usage();
         log_usage(&usage);
-        if let Some(counters) = self.search_table.watch_counters() {
+        if let Some(counters) = self.search_table.comparison_counters() {
             info!(
                 retry_after = counters.retry_after,
                 hedges = counters.hedges,
@@ -32,7 +32,7 @@
     }
 
     fn usage(&self) -> Usage {
-        let InFlight { searches, parts } = self.search_table.in_flight();
+        let InFlightCounts { searches, parts } = self.search_table.in_flight();
         let replicas = &self.executor.replicas;
         let sockets = self.sockets.usage();
         Usage {
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 use woadreach_lease::{Departure, ReplicaKey};
-use woadreach_routing::api::{PartId, QueryTypeId, SearchId, ShardId, TenantId, ZoneFailoverState};
+use woadreach_routing::api::{QueryTypeId, SearchId, ShardId, TenantId, ZoneFailoverState};
 
 /// The core task's event queue.
 pub(crate) type Events = mpsc::UnboundedSender<Event>;
@@ -18,14 +18,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// One send of a part.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct AttemptId {
-    pub(crate) part: PartId,
-    /// Which of the part's attempts, from 0.
-    pub(crate) index: usize,
-}
-
 /// An input of the core task.
 pub(crate) enum Event {
     /// The front has read a search.
--- a/crates/router/woadreachd/src/replicas.rs
+++ b/crates/router/woadreachd/src/replicas.rs
@@ -25,7 +25,7 @@
 pub use config::ConnectionConfig;
 pub(crate) use write_queue::{LastWrite, QueuedAttempt};
 
-use crate::events::{AttemptId, ConnectionId, Endpoint, EndpointList, Events, Lifecycle};
+use crate::events::{ConnectionId, Endpoint, EndpointList, Events, Lifecycle};
 use crate::sockets::{Side, Sockets};
 use attempts::AttemptInFlight;
 use connection::ConnectionTask;
@@ -34,7 +34,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tracing::{debug, warn};
-use woadreach_routing::api::{Ending, Outcome, ReplicaId};
+use woadreach_routing::api::{AttemptId, Ending, Outcome, ReplicaId};
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 use write_queue::{Closing, QueuedMessage, WriteQueue};
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -5,11 +5,11 @@
 
 use super::write_queue::{Closing, QueuedMessage};
 use super::{Replicas, write_queue::WriteQueue};
-use crate::events::{AttemptId, ConnectionEvent, ConnectionId};
+use crate::events::{ConnectionEvent, ConnectionId};
 use crate::frame::PartStatus;
 use std::rc::Rc;
 use tracing::debug;
-use woadreach_routing::api::{Ending, Outcome, ReplicaId};
+use woadreach_routing::api::{AttemptId, Ending, Outcome, ReplicaId};
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -2,10 +2,9 @@
 
 use super::config::ConnectionConfig;
 use super::write_queue::{Closing, QueuedAttempt, WriteQueue};
-use crate::events::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
-use woadreach_routing::api::{Ending, ReplicaId};
+use woadreach_routing::api::{AttemptId, Ending, ReplicaId};
 
 /// An attempt that is no longer in flight, to whose wire id an answer may still come.
 #[derive(PartialEq)]
--- a/crates/router/woadreachd/src/replicas/write_queue.rs
+++ b/crates/router/woadreachd/src/replicas/write_queue.rs
@@ -1,13 +1,12 @@
 //! What waits to be written on a connection. The pool fills the queue, and the connection's task takes from
 //! its front.
 
-use crate::events::AttemptId;
 use crate::frame;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::Notify;
-use woadreach_routing::api::Ending;
+use woadreach_routing::api::{AttemptId, Ending};
 
 /// When the last byte of a search's latest attempt was handed to the kernel, in Unix seconds; 0 before. The
 /// search and its attempts share it.
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -119,7 +119,7 @@
         environment.on_usage,
     );
     if let Some(limits) = config.watch {
-        core.watch(limits, &config.names.query_types);
+        core.compare_with(limits, &config.names.query_types);
     }
     let peers = config
         .peers
