--- a/crates/router/woadreachd/src/config.rs
+++ b/crates/router/woadreachd/src/config.rs
@@ -176,11 +176,11 @@
 }
 
 fn read_core(fields: Fields<'_>) -> Result<CoreConfig, ConfigError> {
-    let max_open = fields.number("/limits/maxOpen");
+    let max_in_flight = fields.number("/limits/maxOpen");
     let memory = limit(fields.file, "memory_mb")? * BYTES_PER_MB;
     Ok(CoreConfig {
-        max_open: max_open.map_or(usize::MAX, |n| n as usize),
-        max_bytes: (memory * REQUEST_MEMORY_RATIO) as usize,
+        max_in_flight: max_in_flight.map_or(usize::MAX, |n| n as usize),
+        max_request_bytes: (memory * REQUEST_MEMORY_RATIO) as usize,
         max_client_timeout_s: fields.max_seconds("/requestClasses", "giveUpMs"),
         max_latency_target_s: fields.max_seconds("/requestClasses", "aimMs"),
         zones: texts(fields.settings, "/localities"),
@@ -193,7 +193,7 @@
 fn read_connections(fields: Fields<'_>) -> Result<ConnectionConfig, ConfigError> {
     let parts_per_call = fields.number("/domain/perCall");
     Ok(ConnectionConfig {
-        max_attempts: fields.required_number("/limits/streamsPerConn")? as usize,
+        max_attempts_in_flight: fields.required_number("/limits/streamsPerConn")? as usize,
         max_parts_per_call: parts_per_call.map_or(1, |n| (n as usize).max(1)),
         idle_timeout_s: fields.required_seconds("/limits/idleCloseMs")?,
         connect_timeout_s: fields.required_seconds("/limits/connectTimeoutMs")?,
--- a/crates/router/woadreachd/src/core/config.rs
+++ b/crates/router/woadreachd/src/core/config.rs
@@ -3,9 +3,9 @@
 /// Limits of what the core task takes in, and the names that it needs from the settings.
 pub struct CoreConfig {
     /// Most searches and parts in flight, taken together.
-    pub max_open: usize,
+    pub max_in_flight: usize,
     /// Most bytes of requests in memory.
-    pub max_bytes: usize,
+    pub max_request_bytes: usize,
     /// Names of the zones, in the settings' order.
     pub zones: Vec<String>,
     /// Number of parts in a second step, by query type.
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -38,7 +38,7 @@
     trace: String,
     /// What each part carries to its replica.
     text: Rc<str>,
-    /// What it counts for in [`Executor::bytes`].
+    /// What it counts for in [`Executor::request_bytes`].
     bytes: usize,
     reply: oneshot::Sender<Answer>,
     last_write: LastWrite,
@@ -95,7 +95,7 @@
     /// Trace ids of answered searches, in the order in which they are released.
     answered: VecDeque<ReservedTrace>,
     /// Bytes of the requests in flight.
-    pub(super) bytes: usize,
+    pub(super) request_bytes: usize,
     pub(super) timers: TimerQueue,
     /// Number of the latest part; parts are numbered from 1.
     last_part: u64,
@@ -209,7 +209,7 @@
             requests: BTreeMap::new(),
             traces: BTreeSet::new(),
             answered: VecDeque::new(),
-            bytes: 0,
+            request_bytes: 0,
             timers: TimerQueue::new(now),
             last_part: 0,
             attempts_sent: 0,
@@ -222,7 +222,7 @@
     /// Takes a request into the table until its search is released.
     pub(super) fn insert(&mut self, search: SearchId, request: Request) {
         self.traces.insert(request.trace.clone());
-        self.bytes += request.bytes;
+        self.request_bytes += request.bytes;
         self.requests.insert(search, request);
         self.unplaced.push(search);
     }
@@ -232,7 +232,7 @@
         let request = self.requests.remove(&search)?;
         self.traces.remove(&request.trace);
         if !is_mutated("core-keeps-bytes") {
-            self.bytes -= request.bytes;
+            self.request_bytes -= request.bytes;
         }
         Some(request)
     }
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -134,10 +134,10 @@
     /// bytes of their requests.
     fn exceeds_limits(&self, arrival: &Arrival) -> bool {
         let InFlightCounts { searches, parts } = self.search_table.in_flight();
-        let open = searches + parts + 1 + arrival.parts.len();
-        let bytes = self.executor.bytes + arrival.bytes;
+        let in_flight = searches + parts + 1 + arrival.parts.len();
+        let request_bytes = self.executor.request_bytes + arrival.bytes;
         let config = &self.executor.config;
-        let exceeds = open > config.max_open || bytes > config.max_bytes;
+        let exceeds = in_flight > config.max_in_flight || request_bytes > config.max_request_bytes;
         if exceeds {
             debug!(trace = %arrival.trace, searches, parts, "search shed, too much in flight");
         }
--- a/crates/router/woadreachd/src/core/usage_report.rs
+++ b/crates/router/woadreachd/src/core/usage_report.rs
@@ -44,7 +44,7 @@
             timers: self.executor.timers.len(),
             client_sockets: sockets.clients,
             own_sockets: sockets.own,
-            request_bytes: self.executor.bytes,
+            request_bytes: self.executor.request_bytes,
             max_event_delay_s: self.max_event_delay_s,
         }
     }
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -68,7 +68,7 @@
             .connection
             .and_then(|c| self.connections.get_mut(&c));
         if let Some(connection) = connection {
-            let max_finished = self.config.max_attempts;
+            let max_finished = self.config.max_attempts_in_flight;
             connection.attempt_finished(&attempt.wire_id, ending, max_finished);
             connection.last_used = self.net.now();
             connection.close_if_retired();
--- a/crates/router/woadreachd/src/replicas/config.rs
+++ b/crates/router/woadreachd/src/replicas/config.rs
@@ -3,7 +3,7 @@
 /// Limits of connections to replicas, from the settings.
 pub struct ConnectionConfig {
     /// Most attempts in flight on one connection.
-    pub max_attempts: usize,
+    pub max_attempts_in_flight: usize,
     /// Most parts in one call.
     pub max_parts_per_call: usize,
     /// Seconds after which a replica closes a connection without traffic.
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -98,7 +98,7 @@
         config: &ConnectionConfig,
     ) -> bool {
         let idle = self.in_flight.is_empty() && now - self.last_used >= config.max_idle_s();
-        let capacity = config.max_attempts.max(attempts.len());
+        let capacity = config.max_attempts_in_flight.max(attempts.len());
         !self.retired
             && !idle
             && self.in_flight.len() + attempts.len() <= capacity
--- a/crates/router/woadreachd/tests/unit/replicas.rs
+++ b/crates/router/woadreachd/tests/unit/replicas.rs
@@ -10,7 +10,7 @@
 
 fn config() -> ConnectionConfig {
     ConnectionConfig {
-        max_attempts: 1,
+        max_attempts_in_flight: 1,
         max_parts_per_call: 1,
         idle_timeout_s: 30.0,
         connect_timeout_s: 0.25,
