--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -127,9 +127,9 @@
         self.balancer.slow_start_demands(now)
     }
 
-    /// Sets this co-ordinator's share of a warming replica, as a multiple of an even share.
-    pub fn set_quota_share(&mut self, replica: &ReplicaId, factor: f64) {
-        self.balancer.set_quota_share(replica, factor);
+    /// Sets this co-ordinator's share of a warming replica, in even shares.
+    pub fn set_quota_share(&mut self, replica: &ReplicaId, even_shares: f64) {
+        self.balancer.set_quota_share(replica, even_shares);
     }
 
     /// Numbers of searches and parts in flight.
--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -91,7 +91,8 @@
                 for share in shares {
                     if let Some(endpoint) = self.endpoints.get(&share.replica) {
                         let replica = ReplicaId(endpoint.id.as_str().into());
-                        self.search_table.set_quota_share(&replica, share.factor);
+                        self.search_table
+                            .set_quota_share(&replica, share.even_shares);
                     }
                 }
                 return;
--- a/crates/router/woadreachd/src/core/observations.rs
+++ b/crates/router/woadreachd/src/core/observations.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::timers::Timer;
-use crate::peers::{WarmingDemand, ZoneObservations};
+use crate::peers::{CoreObservations, WarmingDemand};
 use std::collections::BTreeMap;
 use tokio::sync::watch;
 use woadreach_routing::api::{ReplicaId, SlowStartDemand};
@@ -21,14 +21,14 @@
 /// Where observations go, and when the next are due.
 pub(crate) struct ObservationSender {
     zones: usize,
-    sender: watch::Sender<ZoneObservations>,
+    sender: watch::Sender<CoreObservations>,
     /// Earlier timers than the one for this time are void.
     pub(super) next_due: f64,
 }
 
 impl ObservationSender {
     /// Sends observations of the first `zones` zones, in the settings' order.
-    pub(crate) fn new(zones: usize, sender: watch::Sender<ZoneObservations>) -> Self {
+    pub(crate) fn new(zones: usize, sender: watch::Sender<CoreObservations>) -> Self {
         ObservationSender {
             zones,
             sender,
@@ -54,7 +54,7 @@
         };
         sender.next_due = f64::INFINITY;
         let zones = sender.zones;
-        let observations = ZoneObservations {
+        let observations = CoreObservations {
             zones: self.observe_zones(now, zones),
             attempts_sent: self.executor.attempts_sent,
             warming: self.warming_demands(now),
@@ -106,7 +106,7 @@
                 let demand = demands.get(&ReplicaId(endpoint.id.as_str().into()))?;
                 Some(WarmingDemand {
                     replica: *replica,
-                    total: demand.suppressed,
+                    suppressed: demand.suppressed,
                     sent: demand.sent,
                 })
             })
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -36,19 +36,19 @@
 /// What singleton roles change for this process.
 pub(crate) enum RoleUpdate {
     /// This process's shares of warming replicas.
-    QuotaShares(Vec<QuotaFactor>),
+    QuotaShares(Vec<EvenShares>),
     /// Replicas that take no new attempts, as the lease holder of their zone observes.
     Closed(Vec<ReplicaKey>),
     /// Replicas whose departure the own endpoint list has not confirmed in time: its entries apply again.
     Expired(Vec<ReplicaKey>),
 }
 
-/// The share of a warming replica that this process may use.
+/// The share of a warming replica that this process may use, in even shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct QuotaFactor {
+pub(crate) struct EvenShares {
     pub(crate) replica: ReplicaKey,
-    /// As a multiple of an even share.
-    pub(crate) factor: f64,
+    /// 1 is what each co-ordinator would have if the replica were shared out evenly.
+    pub(crate) even_shares: f64,
 }
 
 /// What the own endpoint list says of a replica.
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -16,7 +16,7 @@
 
 use crate::events::{EndpointReport, Events};
 use crate::front::Phase;
-use roles::WarmingShare;
+use roles::WarmingState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
@@ -32,9 +32,9 @@
 };
 use zone_failover::AttemptRate;
 
-/// What the core observes of zones and of warming replicas.
+/// What the core has observed: the health of zones, the attempts sent and the demand for warming replicas.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ZoneObservations {
+pub(crate) struct CoreObservations {
     /// In the settings' order.
     pub(crate) zones: Vec<ZoneObservation>,
     /// Attempts sent since the start.
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WarmingDemand {
     pub(crate) replica: ReplicaKey,
-    /// Attempts that it was wanted for since the start.
-    pub(crate) total: u64,
-    /// Whether it was sent any lately.
+    /// Parts that slow start has kept from it since the start.
+    pub(crate) suppressed: u64,
+    /// Whether it was sent any part lately.
     pub(crate) sent: bool,
 }
 
@@ -57,7 +57,7 @@
 
 /// The task's inputs from other tasks, and where its results go.
 pub(crate) struct PeerChannels {
-    pub(crate) observations: watch::Receiver<ZoneObservations>,
+    pub(crate) observations: watch::Receiver<CoreObservations>,
     pub(crate) endpoint_reports: mpsc::UnboundedReceiver<EndpointReport>,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) events: Events,
@@ -86,7 +86,7 @@
     peer: Peer,
     roles: Option<SingletonRoles>,
     /// By warming replica, as of the last observation.
-    warming: BTreeMap<ReplicaKey, WarmingShare>,
+    warming: BTreeMap<ReplicaKey, WarmingState>,
     events: Events,
     on_verdict: VerdictCallback,
     /// What the core was last sent.
@@ -200,7 +200,7 @@
         self.perform(actions);
     }
 
-    fn observe(&mut self, observed: &ZoneObservations) {
+    fn observe(&mut self, observed: &CoreObservations) {
         let now = self.net.now();
         self.attempt_rate.record(now, observed.attempts_sent);
         self.update_roles(now, observed);
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -1,29 +1,29 @@
 //! Singleton roles: what this process does for others, and what their holders decide for it.
 
-use super::{PeerTask, WarmingDemand, ZoneObservations};
-use crate::events::{EndpointReport, Event, QuotaFactor, RoleUpdate};
+use super::{CoreObservations, PeerTask, WarmingDemand};
+use crate::events::{EndpointReport, EvenShares, Event, RoleUpdate};
 use std::collections::BTreeMap;
 use tracing::info;
 use woadreach_lease::{LeaseEvent, LocalDemand, ReplicaKey, RoleActions};
 use woadreach_runtime::Net;
 
-/// Smallest change of a quota share of which the core is notified.
-const MIN_FACTOR_CHANGE: f64 = 1e-9;
+/// Smallest change of a quota share of which the core is notified, in even shares.
+const MIN_SHARE_CHANGE: f64 = 1e-9;
 
 /// What was last known of a warming replica.
 #[derive(Clone, Copy)]
-pub(super) struct WarmingShare {
-    /// Attempts that it was wanted for since the start.
-    demand: u64,
-    /// The quota share that the core was notified of, as a multiple of an even share.
-    factor: f64,
+pub(super) struct WarmingState {
+    /// Parts that slow start had kept from it since the start.
+    suppressed: u64,
+    /// The quota share that the core was notified of, in even shares.
+    even_shares: f64,
 }
 
-impl Default for WarmingShare {
+impl Default for WarmingState {
     fn default() -> Self {
-        WarmingShare {
-            demand: 0,
-            factor: 1.0,
+        WarmingState {
+            suppressed: 0,
+            even_shares: 1.0,
         }
     }
 }
@@ -37,7 +37,7 @@
     }
 
     /// Hands observations to the roles, and new quota shares to the core.
-    pub(super) fn update_roles(&mut self, now: f64, observed: &ZoneObservations) {
+    pub(super) fn update_roles(&mut self, now: f64, observed: &CoreObservations) {
         let Some(roles) = &mut self.roles else {
             return;
         };
@@ -52,15 +52,18 @@
         let mut warming = BTreeMap::new();
         for demand in &observed.warming {
             let replica = demand.replica;
-            let factor = roles.multiple_of_even_share(now, replica);
-            if (factor - last(&replica).factor).abs() > MIN_FACTOR_CHANGE {
-                shares.push(QuotaFactor { replica, factor });
+            let even_shares = roles.multiple_of_even_share(now, replica);
+            if (even_shares - last(&replica).even_shares).abs() > MIN_SHARE_CHANGE {
+                shares.push(EvenShares {
+                    replica,
+                    even_shares,
+                });
             }
-            let share = WarmingShare {
-                demand: demand.total,
-                factor,
+            let state = WarmingState {
+                suppressed: demand.suppressed,
+                even_shares,
             };
-            warming.insert(replica, share);
+            warming.insert(replica, state);
         }
         self.warming = warming;
         self.peer.role_gossip = roles.gossip(now);
@@ -121,8 +124,8 @@
 }
 
 /// The demand since the last observation.
-fn local_demand(demand: &WarmingDemand, last: WarmingShare) -> LocalDemand {
-    let new = demand.total.saturating_sub(last.demand);
+fn local_demand(demand: &WarmingDemand, last: WarmingState) -> LocalDemand {
+    let new = demand.suppressed.saturating_sub(last.suppressed);
     LocalDemand {
         replica: demand.replica,
         parts: new.min(u64::from(u32::MAX)) as u32,
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -6,7 +6,7 @@
 use crate::error::{CoreEndedSnafu, FrontSnafu, ListenSnafu, LocalAddressSnafu, ServeError};
 use crate::events::{EndpointList, EndpointLists, Events};
 use crate::front::{Front, Phase, RequestNames};
-use crate::peers::{self, PeerChannels, PeerConfig, VerdictCallback, ZoneObservations};
+use crate::peers::{self, CoreObservations, PeerChannels, PeerConfig, VerdictCallback};
 use crate::replicas::{ConnectionConfig, Replicas};
 use crate::shutdown::ShutdownSchedule;
 use crate::sockets::Sockets;
@@ -186,7 +186,7 @@
         let address = config.listen;
         let socket = self.net.datagrams(address);
         let socket = socket.context(ListenSnafu { address })?;
-        let (sender, observations) = watch::channel(ZoneObservations::default());
+        let (sender, observations) = watch::channel(CoreObservations::default());
         let (reports, endpoint_reports) = mpsc::unbounded_channel();
         core.report_to_peers(ObservationSender::new(config.zones.len(), sender), reports);
         let channels = PeerChannels {
