--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -93,7 +93,7 @@
     /// Trace ids in flight, and those that are still reserved after their answer.
     pub(super) traces: BTreeSet<String>,
     /// Trace ids of answered searches, in the order in which they are released.
-    answered: VecDeque<ReservedTrace>,
+    reserved_traces: VecDeque<ReservedTrace>,
     /// Bytes of the requests in flight.
     pub(super) request_bytes: usize,
     pub(super) timers: TimerQueue,
@@ -193,7 +193,7 @@
                 self.replicas.withdraw(self.now, AttemptId { part, index });
             }
         }
-        // Still in the table if the client has disconnected.
+        // Still in `requests` if its answer was not owed any more.
         self.release(search.id);
     }
 }
@@ -208,7 +208,7 @@
             replicas,
             requests: BTreeMap::new(),
             traces: BTreeSet::new(),
-            answered: VecDeque::new(),
+            reserved_traces: VecDeque::new(),
             request_bytes: 0,
             timers: TimerQueue::new(now),
             last_part: 0,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Takes a request into the table until its search is released.
+    /// Keeps a request until its search is released.
     pub(super) fn insert(&mut self, search: SearchId, request: Request) {
         self.traces.insert(request.trace.clone());
         self.request_bytes += request.bytes;
@@ -243,7 +243,7 @@
     /// Clients that keep to the protocol give each request a new id.
     fn reserve_trace(&mut self, trace: &str) {
         self.traces.insert(trace.to_string());
-        self.answered.push_back(ReservedTrace {
+        self.reserved_traces.push_back(ReservedTrace {
             until: self.now + self.config.max_client_timeout_s,
             trace: trace.to_string(),
         });
@@ -251,7 +251,7 @@
 
     /// Releases the trace ids whose time is over.
     pub(super) fn expire_traces(&mut self, now: f64) {
-        while let Some(reserved) = self.answered.pop_front_if(|r| r.until <= now) {
+        while let Some(reserved) = self.reserved_traces.pop_front_if(|r| r.until <= now) {
             self.traces.remove(&reserved.trace);
         }
     }
--- a/crates/router/woadreachd/src/front.rs
+++ b/crates/router/woadreachd/src/front.rs
@@ -8,7 +8,7 @@
 //! - This file: accepting connections within the descriptor budget.
 //! - [`connection`]: the requests of one connection, one after the other.
 //! - [`request_reader`]: reading a request.
-//! - [`routing`]: what a request asks for; [`search_body`]: the body of a search.
+//! - [`request_target`]: what a request asks for; [`search_body`]: the body of a search.
 //! - [`responder`]: waiting for the core's answer, and writing it.
 //! - [`read_ahead`], [`idle`]: budgets of what clients have in memory.
 //!
@@ -17,17 +17,15 @@
 mod client_connection;
 mod connection;
 mod idle;
-mod phase;
 mod read_ahead;
 mod refusal;
 mod request_reader;
+mod request_target;
 mod responder;
-mod routing;
 mod search_body;
 
-pub(crate) use phase::Phase;
-
 use crate::events::Events;
+use crate::phase::Phase;
 use crate::sockets::{Permit, Side, Sockets};
 use idle::IdleConnections;
 use read_ahead::ReadAheadBudget;
--- a/crates/router/woadreachd/src/front/connection.rs
+++ b/crates/router/woadreachd/src/front/connection.rs
@@ -3,11 +3,12 @@
 //! It reads a request ([`super::request_reader`]), has it answered ([`super::responder`]), writes the response,
 //! and only then looks at the next request: responses leave in the order of their requests.
 
+use super::Front;
 use super::client_connection::ClientConnection;
 use super::request_reader::Received;
 use super::responder::Response;
-use super::{Front, Phase};
 use crate::http;
+use crate::phase::Phase;
 use crate::sockets::Permit;
 use std::rc::Rc;
 use tracing::debug;
@@ -28,10 +29,10 @@
 /// How the requests of a connection have ended.
 #[derive(PartialEq)]
 enum Ended {
-    /// Nothing is owed and nothing is unread.
-    Idle,
-    /// The client may still be reading the last response.
-    AfterResponse,
+    /// The connection closes at once: nothing is owed, or the client is not there to read it.
+    CloseAtOnce,
+    /// The client may still be reading the last response: see [`Front::linger`].
+    Linger,
 }
 
 impl<N: Net> Front<N> {
@@ -42,7 +43,7 @@
             bytes: Vec::new(),
             received_at: self.net.now(),
         };
-        if self.requests(&mut client).await == Ended::AfterResponse {
+        if self.requests(&mut client).await == Ended::Linger {
             self.linger(&mut client).await;
         }
         drop(client);
@@ -78,7 +79,7 @@
         let mut accepted_at = Some(self.net.now());
         loop {
             let response = match self.next_request(client, accepted_at.take()).await {
-                Received::End => return Ended::Idle,
+                Received::End => return Ended::CloseAtOnce,
                 Received::Refused(refusal) => {
                     debug!(
                         status = refusal.status,
@@ -97,15 +98,15 @@
                     let close = head.closes() || head.method() == "HEAD";
                     match self.respond(client, &head, content, close).await {
                         Some(response) => response,
-                        None => return Ended::Idle,
+                        None => return Ended::CloseAtOnce,
                     }
                 }
             };
             let written = client.stream.write_all(&response.bytes);
             match self.net.timeout(WRITE_TIMEOUT, written).await {
                 Ok(Ok(())) if !response.close => {}
-                Ok(Ok(())) => return Ended::AfterResponse,
-                _ => return Ended::Idle,
+                Ok(Ok(())) => return Ended::Linger,
+                _ => return Ended::CloseAtOnce,
             }
             if response.refused {
                 self.net.sleep(REFUSAL_DELAY).await;
--- a/crates/router/woadreachd/src/front/request_reader.rs
+++ b/crates/router/woadreachd/src/front/request_reader.rs
@@ -1,10 +1,11 @@
 //! Reading a request from a client's connection. Between two requests the connection waits here, where it may be
 //! closed, since no response is owed.
 
+use super::Front;
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
-use super::{Front, Phase};
 use crate::http::{self, Body, Framing, Head, ParseError};
+use crate::phase::Phase;
 use std::io::ErrorKind;
 use woadreach_runtime::{Elapsed, Net, Stream};
 
--- a/crates/router/woadreachd/src/front/routing.rs
+++ b/crates/router/woadreachd/src/front/request_target.rs
@@ -1,11 +1,12 @@
 //! What a request asks for, by its method, path and headers. Health checks are answered in the front; only a
 //! search that is valid in every respect becomes an [`Arrival`] for the core.
 
+use super::Front;
 use super::refusal::Refusal;
 use super::search_body::{SearchBody, parse_search_body};
-use super::{Front, Phase};
 use crate::events::{Answer, Arrival};
 use crate::http::Head;
+use crate::phase::Phase;
 use tokio::sync::oneshot;
 use woadreach_routing::api::{QueryTypeId, SearchId, TenantId};
 use woadreach_runtime::Net;
@@ -16,7 +17,7 @@
 const MAX_CLIENT_TIMEOUT: f64 = 86_400.0;
 
 /// What a request asks for.
-pub(super) enum Route {
+pub(super) enum RequestTarget {
     /// The health of a process that is healthy.
     Healthy,
     Search {
@@ -27,18 +28,18 @@
 
 impl<N: Net> Front<N> {
     /// What a request asks for; `received_at`: when the kernel had it, in Unix seconds.
-    pub(super) fn route(
+    pub(super) fn request_target(
         &self,
         head: &Head,
         content: &[u8],
         received_at: f64,
-    ) -> Result<Route, Refusal> {
+    ) -> Result<RequestTarget, Refusal> {
         match head.path() {
-            "/health/live" => check_method(head, "GET").map(|()| Route::Healthy),
+            "/health/live" => check_method(head, "GET").map(|()| RequestTarget::Healthy),
             "/health/ready" => {
                 check_method(head, "GET")?;
                 if self.ready.get() && *self.phase.borrow() == Phase::Serving {
-                    Ok(Route::Healthy)
+                    Ok(RequestTarget::Healthy)
                 } else {
                     Err(Refusal::new(503, "not ready"))
                 }
@@ -53,7 +54,7 @@
         head: &Head,
         content: &[u8],
         received_at: f64,
-    ) -> Result<Route, Refusal> {
+    ) -> Result<RequestTarget, Refusal> {
         let name = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let query_type = self.names.query_types.iter().position(|n| n == name);
         let query_type = query_type.ok_or_else(|| Refusal::new(404, "unknown path"))?;
@@ -82,7 +83,7 @@
             bytes: content.len(),
             reply: sender,
         });
-        Ok(Route::Search { arrival, reply })
+        Ok(RequestTarget::Search { arrival, reply })
     }
 
     /// The tenant that the request names. One that the settings do not name has no share; where they name
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -4,13 +4,14 @@
 //! and watch whether the client disconnects or the process ends, both of which it reports by
 //! [`Event::AnswerNotOwed`]. Where the client stays, each request has exactly one response.
 
+use super::Front;
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
-use super::routing::Route;
-use super::{Front, Phase};
+use super::request_target::RequestTarget;
 use crate::events::{Answer, Event, Row};
 use crate::http::{self, Head};
 use crate::json::write_string;
+use crate::phase::Phase;
 use tokio::sync::oneshot;
 use tracing::debug;
 use woadreach_routing::api::SearchId;
@@ -47,7 +48,7 @@
         content: Vec<u8>,
         close: bool,
     ) -> Option<Response> {
-        let (search, reply) = match self.route(head, &content, client.received_at) {
+        let (search, reply) = match self.request_target(head, &content, client.received_at) {
             Err(refusal) => {
                 debug!(
                     status = refusal.status,
@@ -61,7 +62,7 @@
                     refused: true,
                 });
             }
-            Ok(Route::Healthy) => {
+            Ok(RequestTarget::Healthy) => {
                 let close = self.closes_after_response(close);
                 return Some(Response {
                     bytes: http::response(200, &[], b"", close),
@@ -69,7 +70,7 @@
                     refused: false,
                 });
             }
-            Ok(Route::Search { arrival, reply }) => {
+            Ok(RequestTarget::Search { arrival, reply }) => {
                 let search = arrival.search;
                 let _ = self.events.send(Event::SearchArrived(arrival));
                 (search, reply)
--- a/crates/router/woadreachd/src/lib.rs
+++ b/crates/router/woadreachd/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`serve`] starts the tasks that do the work, and ends them at SIGTERM. A search passes through them thus:
 //!
 //! 1. `front::connection`, a task for each client, has `front::request_reader` read a request with [`http`] and
-//!    `front::routing` check it with [`json`]; `front::responder` sends it to the core as an `Arrival`.
+//!    `front::request_target` check it with [`json`]; `front::responder` sends it to the core as an `Arrival`.
 //! 2. `core` is one task. `core::handlers` adds the search to the search table, the routing decisions place its
 //!    parts, and `core::executor` carries out their plan: it sends attempts and sets timers.
 //! 3. `replicas`, the pool of connections, is a part of the core task. It puts each attempt on the write queue of
@@ -13,8 +13,8 @@
 //! 5. `core::executor` gives the final answer to `front::responder`, which waits for it and encodes it.
 //!
 //! `discovery` keeps the endpoint list, `peers` speaks with the other co-ordinators, [`config`] reads the
-//! settings, `sockets` is the budget of descriptors that all share, and [`events`] are the messages between
-//! tasks.
+//! settings, `sockets` is the budget of descriptors that all share, `phase` says what the process serves, and
+//! [`events`] are the messages between tasks.
 
 pub mod config;
 mod core;
@@ -26,6 +26,7 @@
 pub mod http;
 pub mod json;
 mod peers;
+mod phase;
 mod replicas;
 mod server;
 mod shutdown;
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -15,7 +15,7 @@
 pub use config::PeerConfig;
 
 use crate::events::{EndpointReport, Events};
-use crate::front::Phase;
+use crate::phase::Phase;
 use roles::WarmingState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/router/woadreachd/src/shutdown.rs
+++ b/crates/router/woadreachd/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The phases after SIGTERM, and their times.
 
-use crate::front::Phase;
+use crate::phase::Phase;
 use std::future::pending;
 use tokio::sync::watch;
 use woadreach_runtime::Net;
