--- a/crates/router/search-driver/src/lib.rs
+++ b/crates/router/search-driver/src/lib.rs
@@ -10,6 +10,6 @@
 mod settings;
 mod settings_error;
 
-pub use search_table::{InFlightCounts, PlanExecutor, SearchTable};
+pub use search_table::{InFlightCounts, PlanExecutor, SearchTable, TIMER_PRECISION};
 pub use settings::parse_settings;
 pub use settings_error::SettingsError;
--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -14,7 +14,7 @@
 use woadreach_routing::mutations::is_mutated;
 
 /// How much before its time a timer may fire, in seconds: hosts' timers count in microseconds.
-const TIMER_PRECISION: f64 = 1e-5;
+pub const TIMER_PRECISION: f64 = 1e-5;
 
 /// Carries out the steps of a plan. `attempt_index` numbers the attempts of a part from 0.
 pub trait PlanExecutor {
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -143,7 +143,7 @@
         self.timers.insert(deadline, Timer::AttemptTimeout(attempt));
         if placement.begin_by < deadline {
             self.timers
-                .insert(placement.begin_by, Timer::AttemptBegin(attempt));
+                .insert(placement.begin_by, Timer::AttemptBeginBy(attempt));
         }
     }
 
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -12,10 +12,7 @@
 use tracing::debug;
 use woadreach_routing::api::{Ending, Search};
 use woadreach_runtime::Net;
-use woadreach_search_driver::InFlightCounts;
-
-/// How much before its time a timer may fire, in seconds: timers count in microseconds.
-const TIMER_PRECISION: f64 = 1e-5;
+use woadreach_search_driver::{InFlightCounts, TIMER_PRECISION};
 
 impl<N: Net> Core<N> {
     pub(super) fn handle_event(&mut self, now: f64, event: Event) {
@@ -42,7 +39,7 @@
                 self.executor.replicas.time_out(now, attempt);
                 self.process_outcomes(now);
             }
-            Timer::AttemptBegin(attempt) => {
+            Timer::AttemptBeginBy(attempt) => {
                 self.executor.replicas.withdraw(now, attempt);
                 self.process_outcomes(now);
             }
--- a/crates/router/woadreachd/src/core/timers.rs
+++ b/crates/router/woadreachd/src/core/timers.rs
@@ -14,7 +14,7 @@
     /// An attempt's time is over.
     AttemptTimeout(AttemptId),
     /// An attempt that has not begun to leave by now may not leave any more.
-    AttemptBegin(AttemptId),
+    AttemptBeginBy(AttemptId),
     /// Connections that have been idle for too long are closed.
     IdleSweep,
     /// Observations of zones are due to the peers.
--- a/crates/router/woadreachd/src/frame.rs
+++ b/crates/router/woadreachd/src/frame.rs
@@ -46,7 +46,7 @@
         value: &'a [u8],
     },
     /// Kind `I` or `U`: the answer to a probe. Nothing here asks for probes.
-    Probe,
+    ProbeAnswer,
     /// Kind `Z`: the replica closes the connection, for the reason that the bytes state.
     Refused(&'a [u8]),
 }
@@ -75,7 +75,7 @@
     let frame = match kind {
         Some(b'O') => answer(body)?,
         Some(b'Z') => Frame::Refused(body),
-        _ => Frame::Probe,
+        _ => Frame::ProbeAnswer,
     };
     Ok(Some((frame, 4 + length)))
 }
--- a/crates/router/woadreachd/src/front/connection.rs
+++ b/crates/router/woadreachd/src/front/connection.rs
@@ -86,11 +86,7 @@
                         reason = refusal.reason,
                         "request refused"
                     );
-                    Response {
-                        bytes: refusal.response(true),
-                        close: true,
-                        refused: true,
-                    }
+                    Response::refused(&refusal, true)
                 }
                 Received::Request { head, content } => {
                     // The response to a HEAD has no body: the method is not supported, and ends the
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -31,6 +31,19 @@
     pub(super) refused: bool,
 }
 
+impl Response {
+    /// The response to a request that is refused. `close`: whether the connection ends even where the refusal
+    /// does not end it.
+    pub(super) fn refused(refusal: &Refusal, close: bool) -> Self {
+        let close = close || refusal.close;
+        Response {
+            bytes: refusal.response(close),
+            close,
+            refused: true,
+        }
+    }
+}
+
 /// What came of the wait for the core's answer.
 struct WaitOutcome {
     /// `None` if the core has dropped the search.
@@ -56,11 +69,7 @@
                     "request refused"
                 );
                 let close = self.closes_after_response(close);
-                return Some(Response {
-                    bytes: refusal.response(close),
-                    close,
-                    refused: true,
-                });
+                return Some(Response::refused(&refusal, close));
             }
             Ok(RequestTarget::Healthy) => {
                 let close = self.closes_after_response(close);
--- a/crates/router/woadreachd/src/replicas/attempts.rs
+++ b/crates/router/woadreachd/src/replicas/attempts.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Handles what a connection's task reports; the attempt that was answered, if one was.
+    /// Handles what a connection's task reports. Returns the attempt that was answered, if one was.
     pub(crate) fn handle_event(
         &mut self,
         now: f64,
@@ -221,7 +221,7 @@
                     }
                     return None;
                 };
-                let (ending, value) = outcome_of(status, value);
+                let (ending, value) = ending_and_value(status, value);
                 self.finish(attempt, ending, at);
                 if ending == Ending::Broken {
                     self.abort(now, id);
@@ -279,7 +279,7 @@
 }
 
 /// How an answered attempt ends, and its value.
-fn outcome_of(status: PartStatus, value: Vec<u8>) -> (Ending, Option<String>) {
+fn ending_and_value(status: PartStatus, value: Vec<u8>) -> (Ending, Option<String>) {
     match (status, String::from_utf8(value)) {
         (PartStatus::Ok, Ok(value)) => (Ending::Answered, Some(value)),
         (PartStatus::Full, _) => (Ending::Full, None),
--- a/crates/router/woadreachd/src/replicas/connection.rs
+++ b/crates/router/woadreachd/src/replicas/connection.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Sends the answers of all complete frames to the core; the number of bytes that these frames take.
+/// Sends the answers of all complete frames to the core. Returns how many bytes these frames take.
 fn take_frames(
     bytes: &[u8],
     connection: ConnectionId,
@@ -175,7 +175,7 @@
                 };
                 let _ = events.send(Event::Connection(connection, event));
             }
-            Frame::Probe => {}
+            Frame::ProbeAnswer => {}
             Frame::Refused(reason) => {
                 let reason = String::from_utf8_lossy(reason);
                 return RefusedSnafu { reason }.fail();
--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -186,7 +186,7 @@
             value: b"",
         },
         "refused" => frame::Frame::Refused(b"too many"),
-        _ => frame::Frame::Probe,
+        _ => frame::Frame::ProbeAnswer,
     };
     assert_eq!(frame::read(&recorded), Ok(Some((expected, recorded.len()))));
     for end in 0..recorded.len() {
