--- a/crates/router/sim-adapter/src/instance.rs
+++ b/crates/router/sim-adapter/src/instance.rs
@@ -159,7 +159,7 @@
         let id = arrival.search;
         let client_deadline = now + arrival.client_timeout;
         let mut search = Search::new(id, arrival.query_type, arrival.tenant, now, client_deadline);
-        search.repeated = self.marks_retries.then_some(arrival.is_retry);
+        search.marked_as_retry = self.marks_retries.then_some(arrival.is_retry);
         self.search_table.insert(search);
         self.by_query.insert(arrival.query, id);
         self.unplaced.push(id);
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -150,7 +150,7 @@
             arrival.received_at,
             arrival.client_deadline,
         );
-        search.repeated = arrival.repeated;
+        search.marked_as_retry = arrival.marked_as_retry;
         self.search_table.insert(search);
         for requested in std::mem::take(&mut arrival.parts) {
             let part = self.executor.new_part();
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -77,7 +77,7 @@
     /// Until when the client waits, in Unix seconds; later than `received_at`.
     pub(crate) client_deadline: f64,
     /// Whether the client marks the request as a retry; `None` where clients don't mark them.
-    pub(crate) repeated: Option<bool>,
+    pub(crate) marked_as_retry: Option<bool>,
     /// One for each shard that it asks, in the client's order; never empty.
     pub(crate) parts: Vec<RequestedPart>,
     /// What each part carries to its replica.
--- a/crates/router/woadreachd/src/front/request_target.rs
+++ b/crates/router/woadreachd/src/front/request_target.rs
@@ -74,7 +74,7 @@
             tenant: self.tenant(head),
             received_at,
             client_deadline: received_at + client_timeout,
-            repeated: self
+            marked_as_retry: self
                 .names
                 .marks_retries
                 .then(|| head.header("x-second-try") == Some("1")),
--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -120,7 +120,7 @@
     /// Whether the first step was complete.
     pub first_step_complete: bool,
     /// Whether the client says that this is a retry of its own; absent where clients don't mark retries.
-    pub repeated: Option<bool>,
+    pub marked_as_retry: Option<bool>,
     /// When the client sent its first attempt, as estimated by the decisions.
     pub first_requested_at: Option<Seconds>,
     /// Queuing deadline of the present step; set by the decisions.
@@ -147,7 +147,7 @@
             parts: Vec::new(),
             step: 1,
             first_step_complete: false,
-            repeated: None,
+            marked_as_retry: None,
             first_requested_at: None,
             queuing_deadline: None,
             finished: false,
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -39,7 +39,7 @@
     pub(super) fn record_arrival(&mut self, search: &mut Search, query_type: &QueryType) {
         let remaining = search.client_deadline - search.arrived;
         let seen = &mut self.times_remaining[search.query_type.0];
-        if search.repeated != Some(true) {
+        if search.marked_as_retry != Some(true) {
             push(seen, remaining, REMEMBERED_TIMES);
         }
         let is_alike = |a: &f64, b: &f64| (b - a).abs() < ALIKE_WITHIN;
@@ -57,7 +57,7 @@
             .count();
         let recurs = (remaining < query_type.latency_target && recent > 1)
             || 4 * count_alike(&remaining) >= count_alike(&most_common);
-        let is_retry = search.repeated != Some(false)
+        let is_retry = search.marked_as_retry != Some(false)
             && !recurs
             && (remaining - most_common).abs() > RETRY_DIFFERENCE;
         let age = if is_retry {
--- a/crates/routing/tests/balance/admission.rs
+++ b/crates/routing/tests/balance/admission.rs
@@ -85,12 +85,12 @@
 #[case::marked_first_but_short(1.5, Some(false), false)]
 fn stale_retries_are_shed(
     #[case] time_remaining: f64,
-    #[case] repeated: Option<bool>,
+    #[case] marked_as_retry: Option<bool>,
     #[case] shed: bool,
 ) {
     let mut balancer = balancer_after_retries(settings());
     let mut search = new_search(50, 1, 0.5, time_remaining);
-    search.repeated = repeated;
+    search.marked_as_retry = marked_as_retry;
     assert_eq!(
         matches!(
             balancer.place(0.5, &mut search).reply,
