--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -77,7 +77,7 @@
 
     /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
     fn record(&mut self, now: Seconds, outcome: &Outcome) -> Option<InFlight> {
-        self.watch_capacity(now);
+        self.sample_capacity(now);
         let late = outcome.latency > self.limits.late_after;
         let ejected = self.with_own_samples(&outcome.replica).is_none();
         let replica = self.fleet.get_mut(&outcome.replica)?;
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -110,7 +110,7 @@
     }
 
     /// Samples the fleet's capacity, for as long as answers count for a replica's share.
-    pub(super) fn watch_capacity(&mut self, now: Seconds) {
+    pub(super) fn sample_capacity(&mut self, now: Seconds) {
         if self
             .capacity
             .back()
