--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -5,14 +5,16 @@
 
 use super::config::CoreConfig;
 use super::timers::{Timer, TimerQueue};
-use crate::events::{Answer, Arrival, AttemptId, Row};
+use crate::events::{Answer, Arrival, Row};
 use crate::replicas::{LastWrite, QueuedAttempt, Replicas};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::{debug, info};
-use woadreach_routing::api::{Part, PartId, Placement, Reply, Search, SearchId, ShardId};
+use woadreach_routing::api::{
+    AttemptId, Part, PartId, Placement, Reply, Search, SearchId, ShardId,
+};
 use woadreach_routing::mutations::is_mutated;
 use woadreach_runtime::Net;
 use woadreach_search_driver::PlanExecutor;
@@ -36,7 +38,7 @@
     trace: String,
     /// What each part carries to its replica.
     text: Rc<str>,
-    /// What it counts for in [`Executor::bytes`].
+    /// What it counts for in [`Executor::request_bytes`].
     bytes: usize,
     reply: oneshot::Sender<Answer>,
     last_write: LastWrite,
@@ -91,9 +93,9 @@
     /// Trace ids in flight, and those that are still reserved after their answer.
     pub(super) traces: BTreeSet<String>,
     /// Trace ids of answered searches, in the order in which they are released.
-    answered: VecDeque<ReservedTrace>,
+    reserved_traces: VecDeque<ReservedTrace>,
     /// Bytes of the requests in flight.
-    pub(super) bytes: usize,
+    pub(super) request_bytes: usize,
     pub(super) timers: TimerQueue,
     /// Number of the latest part; parts are numbered from 1.
     last_part: u64,
@@ -112,11 +114,7 @@
         info!("{line}");
     }
 
-    fn cancel(&mut self, part: PartId, attempt_index: usize) {
-        let attempt = AttemptId {
-            part,
-            index: attempt_index,
-        };
+    fn cancel(&mut self, attempt: AttemptId) {
         self.replicas.cancel(self.now, attempt);
     }
 
@@ -145,7 +143,7 @@
         self.timers.insert(deadline, Timer::AttemptTimeout(attempt));
         if placement.begin_by < deadline {
             self.timers
-                .insert(placement.begin_by, Timer::AttemptBegin(attempt));
+                .insert(placement.begin_by, Timer::AttemptBeginBy(attempt));
         }
     }
 
@@ -195,7 +193,7 @@
                 self.replicas.withdraw(self.now, AttemptId { part, index });
             }
         }
-        // Still in the table if the client has disconnected.
+        // Still in `requests` if its answer was not owed any more.
         self.release(search.id);
     }
 }
@@ -210,8 +208,8 @@
             replicas,
             requests: BTreeMap::new(),
             traces: BTreeSet::new(),
-            answered: VecDeque::new(),
-            bytes: 0,
+            reserved_traces: VecDeque::new(),
+            request_bytes: 0,
             timers: TimerQueue::new(now),
             last_part: 0,
             attempts_sent: 0,
@@ -221,10 +219,10 @@
         }
     }
 
-    /// Takes a request into the table until its search is released.
+    /// Keeps a request until its search is released.
     pub(super) fn insert(&mut self, search: SearchId, request: Request) {
         self.traces.insert(request.trace.clone());
-        self.bytes += request.bytes;
+        self.request_bytes += request.bytes;
         self.requests.insert(search, request);
         self.unplaced.push(search);
     }
@@ -234,7 +232,7 @@
         let request = self.requests.remove(&search)?;
         self.traces.remove(&request.trace);
         if !is_mutated("core-keeps-bytes") {
-            self.bytes -= request.bytes;
+            self.request_bytes -= request.bytes;
         }
         Some(request)
     }
@@ -245,7 +243,7 @@
     /// Clients that keep to the protocol give each request a new id.
     fn reserve_trace(&mut self, trace: &str) {
         self.traces.insert(trace.to_string());
-        self.answered.push_back(ReservedTrace {
+        self.reserved_traces.push_back(ReservedTrace {
             until: self.now + self.config.max_client_timeout_s,
             trace: trace.to_string(),
         });
@@ -253,7 +251,7 @@
 
     /// Releases the trace ids whose time is over.
     pub(super) fn expire_traces(&mut self, now: f64) {
-        while let Some(reserved) = self.answered.pop_front_if(|r| r.until <= now) {
+        while let Some(reserved) = self.reserved_traces.pop_front_if(|r| r.until <= now) {
             self.traces.remove(&reserved.trace);
         }
     }
--- a/crates/router/woadreachd/src/events.rs
+++ b/crates/router/woadreachd/src/events.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 use woadreach_lease::{Departure, ReplicaKey};
-use woadreach_routing::api::{PartId, QueryTypeId, SearchId, ShardId, TenantId, ZoneFailoverState};
+use woadreach_routing::api::{QueryTypeId, SearchId, ShardId, TenantId, ZoneFailoverState};
 
 /// The core task's event queue.
 pub(crate) type Events = mpsc::UnboundedSender<Event>;
@@ -18,44 +18,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// One send of a part.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct AttemptId {
-    pub(crate) part: PartId,
-    /// Which of the part's attempts, from 0.
-    pub(crate) index: usize,
-}
-
 /// An input of the core task.
 pub(crate) enum Event {
     /// The front has read a search.
     SearchArrived(Box<Arrival>),
-    /// The client has closed its connection before its answer.
-    ClientDisconnected(SearchId),
+    /// Nobody waits for the search's answer any more: its client has disconnected, or the process ends and the
+    /// front answers it as errored.
+    AnswerNotOwed(SearchId),
     /// The task of a connection to a replica has something to report.
     Connection(ConnectionId, ConnectionEvent),
     /// The co-ordinators of the tier have agreed on the zones that take traffic.
     ZoneFailover(ZoneFailoverState),
-    /// The holder of a singleton role has sent a message.
+    /// Singleton roles change something for this process: by a holder's message, or by its expiry.
     Role(RoleUpdate),
 }
 
-/// What the holders of singleton roles decide for this process.
+/// What singleton roles change for this process.
 pub(crate) enum RoleUpdate {
     /// This process's shares of warming replicas.
-    QuotaShares(Vec<QuotaFactor>),
+    QuotaShares(Vec<EvenShares>),
     /// Replicas that take no new attempts, as the lease holder of their zone observes.
     Closed(Vec<ReplicaKey>),
     /// Replicas whose departure the own endpoint list has not confirmed in time: its entries apply again.
     Expired(Vec<ReplicaKey>),
 }
 
-/// The share of a warming replica that this process may use.
+/// The share of a warming replica that this process may use, in even shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct QuotaFactor {
+pub(crate) struct EvenShares {
     pub(crate) replica: ReplicaKey,
-    /// As a multiple of an even share.
-    pub(crate) factor: f64,
+    /// 1 is what each co-ordinator would have if the replica were shared out evenly.
+    pub(crate) even_shares: f64,
 }
 
 /// What the own endpoint list says of a replica.
@@ -84,14 +77,14 @@
     /// Until when the client waits, in Unix seconds; later than `received_at`.
     pub(crate) client_deadline: f64,
     /// Whether the client marks the request as a retry; `None` where clients don't mark them.
-    pub(crate) repeated: Option<bool>,
+    pub(crate) marked_as_retry: Option<bool>,
     /// One for each shard that it asks, in the client's order; never empty.
     pub(crate) parts: Vec<RequestedPart>,
     /// What each part carries to its replica.
     pub(crate) text: Rc<str>,
     /// Length of the request's body: what the search counts for in the core's memory budget.
     pub(crate) bytes: usize,
-    /// Takes the final answer; dropped without one where the client has disconnected.
+    /// Takes the final answer; dropped without one once it is not owed any more.
     pub(crate) reply: oneshot::Sender<Answer>,
 }
 
--- a/crates/router/woadreachd/src/front/responder.rs
+++ b/crates/router/woadreachd/src/front/responder.rs
@@ -1,16 +1,17 @@
 //! Responses: waiting for the core's answer to a search, and its bytes.
 //!
 //! A request is handed to the core here, and the connection's task then does nothing but wait for the answer
-//! and watch whether the client disconnects, which it reports by [`Event::ClientDisconnected`]. Where the client
-//! stays, each request has exactly one response.
+//! and watch whether the client disconnects or the process ends, both of which it reports by
+//! [`Event::AnswerNotOwed`]. Where the client stays, each request has exactly one response.
 
+use super::Front;
 use super::client_connection::ClientConnection;
 use super::refusal::Refusal;
-use super::routing::Route;
-use super::{Front, Phase};
+use super::request_target::RequestTarget;
 use crate::events::{Answer, Event, Row};
 use crate::http::{self, Head};
 use crate::json::write_string;
+use crate::phase::Phase;
 use tokio::sync::oneshot;
 use tracing::debug;
 use woadreach_routing::api::SearchId;
@@ -30,6 +31,19 @@
     pub(super) refused: bool,
 }
 
+impl Response {
+    /// The response to a request that is refused. `close`: whether the connection ends even where the refusal
+    /// does not end it.
+    pub(super) fn refused(refusal: &Refusal, close: bool) -> Self {
+        let close = close || refusal.close;
+        Response {
+            bytes: refusal.response(close),
+            close,
+            refused: true,
+        }
+    }
+}
+
 /// What came of the wait for the core's answer.
 struct WaitOutcome {
     /// `None` if the core has dropped the search.
@@ -47,7 +61,7 @@
         content: Vec<u8>,
         close: bool,
     ) -> Option<Response> {
-        let (search, reply) = match self.route(head, &content, client.received_at) {
+        let (search, reply) = match self.request_target(head, &content, client.received_at) {
             Err(refusal) => {
                 debug!(
                     status = refusal.status,
@@ -55,13 +69,9 @@
                     "request refused"
                 );
                 let close = self.closes_after_response(close);
-                return Some(Response {
-                    bytes: refusal.response(close),
-                    close,
-                    refused: true,
-                });
+                return Some(Response::refused(&refusal, close));
             }
-            Ok(Route::Healthy) => {
+            Ok(RequestTarget::Healthy) => {
                 let close = self.closes_after_response(close);
                 return Some(Response {
                     bytes: http::response(200, &[], b"", close),
@@ -69,7 +79,7 @@
                     refused: false,
                 });
             }
-            Ok(Route::Search { arrival, reply }) => {
+            Ok(RequestTarget::Search { arrival, reply }) => {
                 let search = arrival.search;
                 let _ = self.events.send(Event::SearchArrived(arrival));
                 (search, reply)
@@ -126,11 +136,11 @@
                 // The core drops the search, and so the channel, before anything is answered.
                 _ = phase.wait_for(|p| *p == Phase::Ending), if !ending => {
                     ending = true;
-                    let _ = self.events.send(Event::ClientDisconnected(search));
+                    let _ = self.events.send(Event::AnswerNotOwed(search));
                 }
                 n = client.read(&self.net), if !paused => {
                     if matches!(n, Ok(0) | Err(_)) {
-                        let _ = self.events.send(Event::ClientDisconnected(search));
+                        let _ = self.events.send(Event::AnswerNotOwed(search));
                         return None;
                     }
                     let limit = read_ahead.reserve(client.bytes.len());
