--- a/crates/routing/src/api/plan.rs
+++ b/crates/routing/src/api/plan.rs
@@ -11,7 +11,7 @@
         /// Whether no part that counts is missing.
         complete: bool,
     },
-    /// Rejected before anything ran: asking again is harmless.
+    /// Rejected: asking again is harmless, since nothing has run or what ran may run again.
     Shed {
         /// Advised wait before the next attempt; 0 for no advice.
         retry_after: Seconds,
--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -13,13 +13,13 @@
     Full,
     /// Without an answer before its timeout.
     TimedOut,
-    /// No connection was established.
+    /// No connection was established, or it ended before the attempt was completely written.
     Unreachable,
-    /// The connection broke after the attempt was sent.
+    /// The connection broke after the attempt was sent, or the answer on it cannot be used.
     Broken,
     /// Cancelled by this co-ordinator.
     Cancelled,
-    /// It was never sent.
+    /// It was never completely sent: taken back, or cut off before its last byte.
     NeverSent,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Attempt {
-    /// Whether it provably never ran: it was rejected, had no connection, or was never sent.
+    /// Whether it provably never ran: it was rejected, had no connection, or was never completely sent.
     pub fn proven_unrun(&self) -> bool {
         matches!(
             self.ending,
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -21,8 +21,9 @@
 /// A part counts as overdue, and a slow answer as lost, from the shortest latency target divided by this on where its
 /// replica has answered nothing since it was sent.
 const OVERDUE_DIVISOR: f64 = 4.0;
-/// Tolerance for rounding in the time at which a hedge is due.
-const DUE_TOLERANCE: Seconds = 1e-6;
+/// Tolerance for rounding beyond which a replica has left a part unanswered for the hedge delay: greater than that of
+/// `placement`, so that the replica of every part that is due a hedge counts.
+const UNRESPONSIVE_TOLERANCE: Seconds = 1e-6;
 /// Ejection of a replica.
 const REPLICA_EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
@@ -131,7 +132,8 @@
             let was_ejected = self.share(Some(*zone)) <= 0.0;
             let health = self.zones.entry(*zone).or_default();
             if *share <= 0.0 {
-                health.eject(now, None); // with probes, as by its own judgement
+                // It is still sent probes, as if ejected by this co-ordinator's own calls.
+                health.eject(now, None);
             } else if was_ejected {
                 *health = OutlierDetector::default();
             }
@@ -175,7 +177,7 @@
 
     /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
     pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<ReplicaState>) -> bool {
-        replica.unanswered(now + DUE_TOLERANCE, self.limits.hedge_after) > 0
+        replica.unanswered(now + UNRESPONSIVE_TOLERANCE, self.limits.hedge_after) > 0
     }
 
     /// What is reported to the tier of each zone: the latest parts, or the run of losses up to now where there is
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -30,7 +30,7 @@
 pub struct LatencyLimits {
     /// A call of longer latency counts as a failure of its replica.
     pub late_after: Seconds,
-    /// A call that is in flight for longer gets a hedge.
+    /// A call that is in flight for longer is due a hedge, which it gets if `repeats` finds its part lost.
     pub hedge_after: Seconds,
     /// Whether answers take far longer than unloaded ones.
     pub overloaded: bool,
