--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -254,7 +254,9 @@
 
     fn record_leak(&self, why: String) {
         let node = self.0.node;
-        self.0.recorder.tell(EventKind::Leaked { node, why });
+        self.0
+            .recorder
+            .tell(EventKind::CoordinatorUnsound { node, why });
     }
 
     fn record_response(&self, search: Arc<str>, response: &Response, after: f64) -> CallOutcome {
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -307,7 +307,7 @@
 
     /// Records that a co-ordinator broke the protocol, and closes the connection.
     fn refuse(&self, node: NodeId, why: &str, outlet: &Outlet) {
-        self.recorder.tell(EventKind::Leaked {
+        self.recorder.tell(EventKind::CoordinatorUnsound {
             node,
             why: format!("a frame that {} cannot read: {why}", self.name),
         });
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -136,7 +136,7 @@
             EventKind::Panicked { node, why } => {
                 self.report_coordinator(Rule::Sound, *node, format!("a panic: {why}"));
             }
-            EventKind::Leaked { node, why } => {
+            EventKind::CoordinatorUnsound { node, why } => {
                 self.report_coordinator(Rule::Sound, *node, why.clone());
             }
             _ => self.apply_to_search(event),
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -65,7 +65,8 @@
     pub kind: EventKind,
 }
 
-/// What happened. The names in the record are older than those of the variants and fields.
+/// What happened. The names in the record are older than those of the variants and fields; `docs/faults.md` has them
+/// side by side.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
@@ -228,19 +229,20 @@
         /// For how long.
         seconds: Seconds,
     },
-    /// A task of the co-ordinator has panicked.
+    /// A task of the co-ordinator has panicked, or its process has ended with an error.
     Panicked {
         /// The co-ordinator.
         node: NodeId,
-        /// The panic's message.
+        /// The message of the panic or of the error.
         why: String,
     },
-    /// The co-ordinator holds a resource that nothing accounts for.
+    /// Something of the co-ordinator is left that should have ended (memory, a search, its process), or it wrote what
+    /// nobody can read.
     #[serde(rename = "kept")]
-    Leaked {
+    CoordinatorUnsound {
         /// The co-ordinator.
         node: NodeId,
-        /// The resource.
+        /// What is left, or cannot be read.
         why: String,
     },
 }
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -122,7 +122,7 @@
             node: NODE,
             why: "why".into(),
         },
-        EventKind::Leaked {
+        EventKind::CoordinatorUnsound {
             node: NODE,
             why: "why".into(),
         },
@@ -150,7 +150,7 @@
         EventKind::LinkBlocked { .. } => "way",
         EventKind::Stalled { .. } => "stalled",
         EventKind::Panicked { .. } => "panicked",
-        EventKind::Leaked { .. } => "kept",
+        EventKind::CoordinatorUnsound { .. } => "kept",
     }
 }
 
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -38,7 +38,8 @@
     /// A co-ordinator that is still running, or has still not read the endpoint list, breaks an invariant.
     pub(super) fn record_overdue(&self, node: usize, why: String) {
         let node = NodeId(node);
-        self.recorder.tell(EventKind::Leaked { node, why });
+        self.recorder
+            .tell(EventKind::CoordinatorUnsound { node, why });
     }
 
     /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -51,6 +51,7 @@
     /// Records a leak of a co-ordinator.
     pub(super) fn report_leak(&self, node: usize, why: String) {
         let node = NodeId(node);
-        self.recorder.tell(EventKind::Leaked { node, why });
+        self.recorder
+            .tell(EventKind::CoordinatorUnsound { node, why });
     }
 }
