--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -19,7 +19,7 @@
     #[serde(rename = "at")]
     at_s: f64,
     why: String,
-    /// Number of all its breaches.
+    /// Number of its breaches, 20 at most.
     breaches: usize,
 }
 
--- a/crates/testing/invariants/src/breach.rs
+++ b/crates/testing/invariants/src/breach.rs
@@ -24,7 +24,8 @@
     HonestAnswers,
     /// Retries and hedges stay within the retry budget.
     Budget,
-    /// No task panics and nothing leaks. Not one of the six rules, but expected by every user.
+    /// No task panics, nothing leaks, and nothing is sent for a client that has disconnected. Not one of the six
+    /// rules, but expected by every user.
     Sound,
 }
 
--- a/crates/testing/invariants/src/rules/mod.rs
+++ b/crates/testing/invariants/src/rules/mod.rs
@@ -1,4 +1,5 @@
-//! One file for each guarantee. Every file adds the methods of [`Checker`](crate::Checker) that judge it.
+//! One file for each guarantee, and `parts`, which hands each part to them, and `disconnected_clients`, which judges
+//! [`Rule::Sound`](crate::Rule::Sound). Every file adds the methods of [`Checker`](crate::Checker) that do so.
 
 use crate::units::Share;
 
--- a/crates/testing/simulation/src/outcome.rs
+++ b/crates/testing/simulation/src/outcome.rs
@@ -12,7 +12,7 @@
     pub seed: u64,
     /// Digest of all events and the clock's steps: the same for two runs of one script.
     pub digest: String,
-    /// The broken rules.
+    /// The first breaches, 20 at most.
     pub breaches: Vec<Breach>,
     /// Simulated seconds.
     pub seconds: f64,
--- a/crates/testing/simulation/src/shrink.rs
+++ b/crates/testing/simulation/src/shrink.rs
@@ -14,7 +14,7 @@
 pub struct Shrunk {
     /// The smallest script that was found.
     pub script: Script,
-    /// The rule that it breaks.
+    /// Its first breach of the rule that the original script breaks first.
     pub breach: Breach,
     /// How many scripts were played.
     pub tried: usize,
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -139,7 +139,7 @@
         }
         let process = net.process();
         let world = self.clone();
-        // Not from within the process itself.
+        // Later, since a process cannot be killed from one of its own tasks.
         self.clock.call_at(self.clock.now(), move || {
             world.network.kill(process);
             let coordinator = &world.coordinators[index];
