--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -80,12 +80,12 @@
 
 impl Part {
     /// Whether one of its attempts is in flight.
-    pub fn in_flight(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.ending.is_none())
     }
 
     /// Its attempts in flight, with their indices.
-    pub fn waiting(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
             .enumerate()
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -121,7 +121,7 @@
     /// open gets nothing new from this call on. A new process is warming up, and nothing that was known of the
     /// old one counts for it.
     pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
-        let departed = self.fleet.apply_endpoint_list(full, lines, |line| {
+        let unused = self.fleet.apply_endpoint_list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
             let warming = Warming::new(
                 &line.replica,
@@ -133,20 +133,20 @@
                 ..ReplicaState::default()
             }
         });
-        departed.iter().for_each(|id| self.forget(id));
+        unused.iter().for_each(|id| self.forget(id));
     }
 
     /// Forgets a replica that is not open and has nothing in flight any more.
-    pub(crate) fn forget_if_departed(&mut self, id: &ReplicaId) {
-        if self.fleet.forget(id) {
+    pub(crate) fn forget_if_unused(&mut self, id: &ReplicaId) {
+        if self.fleet.forget_if_unused(id) {
             self.forget(id);
         }
     }
 
-    /// Nothing of a departed replica counts if it comes back.
-    fn forget(&mut self, departed: &ReplicaId) {
-        self.queue.forget(departed);
-        self.unloaded.forget(departed);
+    /// Nothing of an unused replica counts if it comes back.
+    fn forget(&mut self, unused: &ReplicaId) {
+        self.queue.forget(unused);
+        self.unloaded.forget(unused);
     }
 
     /// Where to send this search. Called when it or its second step arrives, and whenever `wait` is over.
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -136,7 +136,7 @@
         else {
             return 0.0;
         };
-        let samples = self.unloaded.samples(now, self.with_own_samples(id));
+        let samples = self.unloaded.samples(now, self.if_own_samples_count(id));
         if samples.is_empty() {
             return 1.0;
         }
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -6,7 +6,7 @@
     ZoneId,
 };
 use crate::balancer::ZoneOutcome;
-use crate::fleet::{InFlight, Replica};
+use crate::fleet::{Replica, SentAttempt};
 use crate::samples::push;
 use std::collections::BTreeMap;
 
@@ -56,7 +56,7 @@
         &mut self,
         now: Seconds,
         outcome: &Outcome,
-        call: &InFlight,
+        call: &SentAttempt,
         failed: bool,
     ) {
         let Some(replica) = self.fleet.get_mut(&outcome.replica) else {
@@ -129,7 +129,7 @@
     /// co-ordinator observes too little of a zone that is lost.
     pub fn set_zone_failover(&mut self, now: Seconds, agreed: Option<ZoneFailoverState>) {
         for (zone, share) in agreed.iter().flat_map(|state| &state.shares) {
-            let was_ejected = self.share(Some(*zone)) <= 0.0;
+            let was_ejected = self.zone_share(Some(*zone)) <= 0.0;
             let health = self.zones.entry(*zone).or_default();
             if *share <= 0.0 {
                 // It is still sent probes, as if ejected by this co-ordinator's own calls.
@@ -142,7 +142,7 @@
     }
 
     /// The share of its traffic that a zone may have.
-    pub(super) fn share(&self, zone: Option<ZoneId>) -> Share {
+    pub(super) fn zone_share(&self, zone: Option<ZoneId>) -> Share {
         self.zone_failover
             .as_ref()
             .zip(zone)
@@ -151,16 +151,19 @@
             .unwrap_or(1.0)
     }
 
-    /// The health of the replica's zone, once something is known of it.
-    pub(super) fn zone_of(&self, replica: &Replica<ReplicaState>) -> Option<&OutlierDetector<()>> {
+    /// The outlier detector of the replica's zone, once something is known of the zone.
+    pub(super) fn zone_detector(
+        &self,
+        replica: &Replica<ReplicaState>,
+    ) -> Option<&OutlierDetector<()>> {
         replica.zone.and_then(|zone| self.zones.get(&zone))
     }
 
     /// Whether the replica's zone is ejected.
     pub(super) fn is_zone_ejected(&self, replica: &Replica<ReplicaState>) -> bool {
-        self.share(replica.zone) <= 0.0
+        self.zone_share(replica.zone) <= 0.0
             || self
-                .zone_of(replica)
+                .zone_detector(replica)
                 .is_some_and(OutlierDetector::is_ejected)
     }
 
@@ -170,7 +173,7 @@
     }
 
     /// The replica, if its own latency samples count. One that is ejected or forgotten counts as average.
-    pub(super) fn with_own_samples<'a>(&self, id: &'a ReplicaId) -> Option<&'a ReplicaId> {
+    pub(super) fn if_own_samples_count<'a>(&self, id: &'a ReplicaId) -> Option<&'a ReplicaId> {
         let replica = self.fleet.get(id)?;
         (!self.is_ejected(replica)).then_some(id)
     }
--- a/crates/routing/src/decide/hedging.rs
+++ b/crates/routing/src/decide/hedging.rs
@@ -40,10 +40,14 @@
             .holders(part.shard)
             .find(|(id, _)| !part.tried(id));
         let other_fits = other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
-        if !other_fits || !part.waiting().all(|(_, attempt)| is_hung(attempt)) {
+        if !other_fits
+            || !part
+                .attempts_in_flight()
+                .all(|(_, attempt)| is_hung(attempt))
+        {
             return;
         }
-        for (index, attempt) in part.waiting() {
+        for (index, attempt) in part.attempts_in_flight() {
             let part = part.id;
             let id = AttemptId { part, index };
             let call = self
@@ -78,7 +82,7 @@
             let is_probe_due = if own.is_ejected_for(class) {
                 own.probe_due(now, class)
             } else {
-                self.zone_of(replica)
+                self.zone_detector(replica)
                     .is_some_and(|zone| zone.probe_due(now, ()))
             };
             is_probe_due
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -58,7 +58,10 @@
         let hedge_after = self.limits.hedge_after;
         for (part_index, part) in search.step_parts().filter(|(_, part)| !part.answered) {
             let is_due = |attempt: &Attempt| now >= attempt.sent_at + hedge_after - DUE_TOLERANCE;
-            if part.waiting().any(|(_, attempt)| !is_due(attempt)) {
+            if part
+                .attempts_in_flight()
+                .any(|(_, attempt)| !is_due(attempt))
+            {
                 continue;
             }
             let pick = self.pick(now, until, search, part, &planned);
@@ -122,7 +125,7 @@
         let load = calls(&chosen, 0);
         let is_hopeless = PartBudget::hopeless(until - now, self.tail(now, search, chosen.0));
         // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
-        if is_hopeless || (part.in_flight() && load > 0) {
+        if is_hopeless || (part.is_in_flight() && load > 0) {
             return Pick::Never;
         }
         self.go_or_queue(search, part, chosen, load)
@@ -156,7 +159,7 @@
             !replica.state.health.is_ejected_for(search.query_type)
                 && !self.is_unresponsive(now, replica)
         });
-        candidates.prefer(|(_, replica)| self.share(replica.zone) > zone_draw);
+        candidates.prefer(|(_, replica)| self.zone_share(replica.zone) > zone_draw);
         candidates.prefer(|(_, replica)| {
             self.limits.overloaded || !replica.state.health.failed_last(now)
         });
@@ -178,7 +181,7 @@
         self.budget.tail(
             now,
             &self.unloaded,
-            self.with_own_samples(id),
+            self.if_own_samples_count(id),
             search.step_parts().count(),
         )
     }
@@ -198,7 +201,7 @@
             Pick::Go(_) if !part.attempts.is_empty() && !self.retries.allows_retry(now) => {}
             Pick::Go(id) => self.send(now, until, search, part_index, id),
             // A queued hedge is pointless: its part is in flight already.
-            Pick::Queue(id) if !part.in_flight() => {
+            Pick::Queue(id) if !part.is_in_flight() => {
                 let queued = QueuedPart::of(search, part);
                 self.queue.insert(&id, search.queuing_deadline(), queued);
                 search.parts[part_index].queued_at = Some(id);
@@ -224,7 +227,7 @@
             return;
         };
         if !part.attempts.is_empty() {
-            self.retries.record_sent(now);
+            self.retries.record_repeat_sent(now);
         }
         let attempt = AttemptId {
             part: part.id,
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -62,7 +62,7 @@
         let attempts = part.attempts.len();
         let is_spent = attempts > MAX_WORTHWHILE_REPEATS || attempts >= self.settings.max_attempts;
         let is_barred =
-            part.in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
+            part.is_in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
         !self.limits.overloaded && !is_spent && !is_barred && self.retries.allows_retry(now)
     }
 
@@ -77,7 +77,7 @@
                 .is_some_and(|call| call.overtaken_by >= MIN_OVERTAKERS);
             was_overtaken || self.is_ejected(replica) || self.is_unresponsive(now, replica)
         };
-        part.waiting().all(|(index, attempt)| {
+        part.attempts_in_flight().all(|(index, attempt)| {
             self.fleet
                 .get(&attempt.replica)
                 .is_none_or(|replica| is_lost_at(index, replica))
@@ -86,7 +86,7 @@
 
     /// Whether a second attempt is harmless beside one in flight.
     pub(super) fn may_hedge(&self, now: Seconds, search: &Search, part: &Part) -> bool {
-        part.in_flight()
+        part.is_in_flight()
             && self
                 .may_repeat(now, search, part)
                 .is_some_and(|repeat| repeat.only.is_none())
--- a/crates/routing/src/decide/retry_budget.rs
+++ b/crates/routing/src/decide/retry_budget.rs
@@ -8,7 +8,7 @@
 /// Number of entries of work taken that are remembered, the latest.
 const REMEMBERED_ENTRIES: usize = 4096;
 
-/// Counts work taken and retries sent against the configured limit; without a limit every retry is allowed.
+/// Counts work taken, and retries and hedges sent, against the configured limit; without a limit every retry is allowed.
 pub struct RetryBudget {
     config: Option<RetryBudgetConfig>,
     /// How long after the decision a call may still leave. By then the window has less work in it than was
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Counts work taken.
+    /// Counts what the ratio is of: for searches one, and one for each part of a step.
     pub fn record_taken(&mut self, at: Seconds, count: usize) {
         push(
             &mut self.taken,
@@ -41,8 +41,8 @@
         );
     }
 
-    /// Counts a retry that is sent.
-    pub fn record_sent(&mut self, now: Seconds) {
+    /// Counts a retry or hedge that is sent.
+    pub fn record_repeat_sent(&mut self, now: Seconds) {
         self.retries.extend(self.config.is_some().then_some(now));
     }
 
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -6,7 +6,7 @@
     Attempt, AttemptId, Ending, Note, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search,
     Seconds, Share,
 };
-use crate::fleet::InFlight;
+use crate::fleet::SentAttempt;
 use crate::mutations::is_mutated;
 use crate::samples::{Sample, push};
 
@@ -52,7 +52,7 @@
         if !call.is_some_and(|call| call.cancelled_as_hung) {
             self.reconsider_next(&outcome.replica);
         }
-        self.forget_if_departed(&outcome.replica);
+        self.forget_if_unused(&outcome.replica);
         std::mem::take(&mut self.plan)
     }
 
@@ -66,7 +66,7 @@
         };
         for (_, part) in search.step_parts().filter(|(_, part)| !part.answered) {
             let hedge_due = part
-                .waiting()
+                .attempts_in_flight()
                 .last()
                 .map(|(_, attempt)| attempt.sent_at + self.limits.hedge_after)
                 .filter(|at| *at > now);
@@ -76,10 +76,10 @@
     }
 
     /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
-    fn record(&mut self, now: Seconds, outcome: &Outcome) -> Option<InFlight> {
+    fn record(&mut self, now: Seconds, outcome: &Outcome) -> Option<SentAttempt> {
         self.watch_capacity(now);
         let late = outcome.latency > self.limits.late_after;
-        let ejected = self.with_own_samples(&outcome.replica).is_none();
+        let ejected = self.if_own_samples_count(&outcome.replica).is_none();
         let replica = self.fleet.get_mut(&outcome.replica)?;
         let answered = outcome.ending == Ending::Answered;
         let id = AttemptId {
@@ -217,7 +217,10 @@
             .iter()
             .filter_map(|part| part.pick.replica().cloned())
             .collect();
-        let sampled: Vec<_> = chosen.iter().map(|id| self.with_own_samples(id)).collect();
+        let sampled: Vec<_> = chosen
+            .iter()
+            .map(|id| self.if_own_samples_count(id))
+            .collect();
         let deadline = self
             .budget
             .queuing_deadline(now, target, &self.unloaded, &sampled);
@@ -269,7 +272,7 @@
             self.dequeue(search, part_index);
             let part = &search.parts[part_index];
             let in_flight = part
-                .waiting()
+                .attempts_in_flight()
                 .filter(|_| self.settings.cancellation_allowed)
                 .map(|(index, _)| AttemptId {
                     part: part.id,
@@ -320,7 +323,7 @@
     let weights: Vec<f64> = search
         .step_parts()
         .filter(|(_, part)| !part.answered)
-        .filter(|(index, part)| !is_hopeless(*index) || part.in_flight())
+        .filter(|(index, part)| !is_hopeless(*index) || part.is_in_flight())
         .map(|(_, part)| part.weight)
         .collect();
     let answered = search.answered_weight();
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -4,9 +4,9 @@
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt in flight.
+/// An attempt that was sent, until it ends.
 #[derive(Clone, Copy, Debug)]
-pub struct InFlight {
+pub struct SentAttempt {
     /// When it was sent.
     pub sent_at: Seconds,
     /// Whether nothing else of this co-ordinator was in flight at its replica when it was sent.
@@ -30,7 +30,7 @@
     /// When its process started, if that was recent.
     pub ready_at: Option<Seconds>,
     /// Attempts in flight.
-    pub in_flight: BTreeMap<AttemptId, InFlight>,
+    pub in_flight: BTreeMap<AttemptId, SentAttempt>,
     /// Number of answers since the start of its process.
     pub answers: usize,
     /// When the last of them came.
@@ -43,7 +43,7 @@
     /// Records that an attempt leaves for it.
     pub fn attempt_sent(&mut self, now: Seconds, id: AttemptId, query_type: QueryTypeId) {
         let alone = self.in_flight.is_empty();
-        let call = InFlight {
+        let call = SentAttempt {
             sent_at: now,
             alone,
             query_type,
@@ -59,7 +59,7 @@
         now: Seconds,
         id: AttemptId,
         answered: bool,
-    ) -> Option<InFlight> {
+    ) -> Option<SentAttempt> {
         let call = self.in_flight.remove(&id)?;
         if answered {
             self.in_flight
@@ -83,7 +83,7 @@
     /// The number of attempts in flight for longer than `age` with nothing answered since they were sent.
     pub fn unanswered(&self, now: Seconds, age: Seconds) -> usize {
         let overdue =
-            |call: &&InFlight| call.sent_at + age < now && self.answered_at < call.sent_at;
+            |call: &&SentAttempt| call.sent_at + age < now && self.answered_at < call.sent_at;
         self.in_flight.values().filter(overdue).count()
     }
 }
@@ -110,7 +110,7 @@
     }
 
     /// Takes in lines of the endpoint list; a `full` list names all replicas. `started` makes the state of a new
-    /// process. Returns the replicas that have departed.
+    /// process. Returns the replicas that were forgotten: not open, nothing in flight.
     pub fn apply_endpoint_list(
         &mut self,
         full: bool,
@@ -150,20 +150,22 @@
         } else {
             named.collect()
         };
-        ids.into_iter().filter(|id| self.forget(id)).collect()
+        ids.into_iter()
+            .filter(|id| self.forget_if_unused(id))
+            .collect()
     }
 
     /// Forgets a replica that is not open and has nothing in flight, and returns whether it did. Otherwise every
     /// replica that there ever was would be remembered.
-    pub fn forget(&mut self, id: &ReplicaId) -> bool {
-        let Some(departed) = self
+    pub fn forget_if_unused(&mut self, id: &ReplicaId) -> bool {
+        let Some(unused) = self
             .replicas
             .get(id)
             .filter(|replica| !replica.open && replica.in_flight.is_empty())
         else {
             return false;
         };
-        self.cells.entry(departed.cell).or_default().remove(id);
+        self.cells.entry(unused.cell).or_default().remove(id);
         self.replicas.remove(id);
         true
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -36,8 +36,8 @@
     //!   not ejected, send a probe when `probe_due`.
     //! - [`LatencyLimits`]: `answered` with each latency, then `update`; a call is late after `late_after`,
     //!   due a hedge after `hedge_after`; `update_overload` before a request is decided on.
-    //! - [`RetryBudget`]: `record_taken` for each request, `record_sent` for each call beyond a first, while it
-    //!   `allows_retry`.
+    //! - [`RetryBudget`]: `record_taken` with what the ratio is of, such as one for each request; `record_repeat_sent`
+    //!   for each call beyond a first, while it `allows_retry`.
 
     mod admission;
     pub mod candidates;
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -306,7 +306,7 @@
         .take_while(|_| {
             retries
                 .allows_retry(1.0)
-                .then(|| retries.record_sent(1.0))
+                .then(|| retries.record_repeat_sent(1.0))
                 .is_some()
         })
         .count();
