--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -18,9 +18,9 @@
 
 pub mod decide {
     //! Every decision, by concern. Nothing here does I/O or reads a clock: time (seconds, from any origin)
-    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`, `hedging`,
-    //! `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The others know nothing of
-    //! searches and serve any proxy, generic over its replica identifier `R`:
+    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`,
+    //! `hung_attempts`, `probes`, `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The
+    //! others know nothing of searches and serve any proxy, generic over its replica identifier `R`:
     //!
     //! - [`UnloadedLatency`]: `record` the latency of each answered call that was sent with nothing else of
     //!   ours in flight at its replica; `forget` one that has departed or restarted.
@@ -42,12 +42,13 @@
     mod admission;
     pub mod candidates;
     mod health;
-    mod hedging;
     pub mod hold;
+    mod hung_attempts;
     pub mod latency_limits;
     pub mod outlier_detector;
     pub mod part_budget;
     mod placement;
+    mod probes;
     mod repeats;
     pub mod retry_budget;
     mod search_steps;
