--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
-use woadreach_invariants::{EventKind, NodeId, ShardValue, ShardWeight};
+use woadreach_invariants::{CoordinatorId, EventKind, ShardValue, ShardWeight};
 use woadreach_runtime::{Net, Stream};
 
 /// Seconds in which a close can have crossed a request on a used connection: the request is sent again on a
@@ -93,7 +93,7 @@
 
 struct Inner<N: Net> {
     net: N,
-    node: NodeId,
+    node: CoordinatorId,
     address: SocketAddr,
     recorder: Recorder,
     idle: RefCell<Vec<Connection<N::Stream>>>,
@@ -118,7 +118,7 @@
 
 impl<N: Net> Caller<N> {
     /// Clients of the co-ordinator at this address.
-    pub fn new(net: &N, node: NodeId, address: SocketAddr, recorder: &Recorder) -> Self {
+    pub fn new(net: &N, node: CoordinatorId, address: SocketAddr, recorder: &Recorder) -> Self {
         Caller(Rc::new(Inner {
             net: net.clone(),
             node,
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::{Listener, Net, Stream};
 
 /// PROTOCOL: seconds between two heartbeats, which are empty lines.
@@ -73,7 +73,7 @@
 }
 
 struct Inner {
-    node: NodeId,
+    node: CoordinatorId,
     recorder: Recorder,
     /// Ascends with each change of the list.
     generation: Cell<u64>,
@@ -100,7 +100,7 @@
 /// The address is in use.
 pub fn discovery<N: Net>(
     net: &N,
-    node: NodeId,
+    node: CoordinatorId,
     address: SocketAddr,
     agent: Option<&Agent>,
     recorder: &Recorder,
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::Notify;
-use woadreach_invariants::{EventKind, NodeId, PartName, ReplicaName};
+use woadreach_invariants::{CoordinatorId, EventKind, PartName, ReplicaName};
 use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
 /// Slowest speed, as a multiple of what the parts say: a part must end some day.
@@ -90,7 +90,7 @@
 /// A part that waits for a core or runs on one.
 struct Job {
     /// The co-ordinator that has sent it.
-    node: NodeId,
+    node: CoordinatorId,
     part: Part,
     /// Where its answer goes.
     outlet: Rc<Outlet>,
@@ -159,7 +159,7 @@
     net: &N,
     name: &str,
     behaviour: Behaviour,
-    addresses: &[(NodeId, SocketAddr)],
+    addresses: &[(CoordinatorId, SocketAddr)],
     seed: u64,
     recorder: &Recorder,
 ) -> std::io::Result<Replica<N>> {
@@ -191,7 +191,7 @@
     }
 }
 
-async fn accept<N: Net>(inner: Rc<Inner<N>>, node: NodeId, listener: N::Listener) {
+async fn accept<N: Net>(inner: Rc<Inner<N>>, node: CoordinatorId, listener: N::Listener) {
     while let Ok(stream) = listener.accept().await {
         let delay = inner.behaviour.borrow().accept_delay;
         if delay > 0.0 {
@@ -201,7 +201,7 @@
     }
 }
 
-async fn connection<N: Net>(inner: Rc<Inner<N>>, node: NodeId, mut stream: N::Stream) {
+async fn connection<N: Net>(inner: Rc<Inner<N>>, node: CoordinatorId, mut stream: N::Stream) {
     let outlet: Rc<Outlet> = Rc::default();
     let (reader, writer) = stream.split();
     tokio::select! {
@@ -266,7 +266,12 @@
 
 impl<N: Net> Inner<N> {
     /// Reads frames until the connection ends.
-    async fn read(self: &Rc<Self>, node: NodeId, mut reader: impl Read, outlet: &Rc<Outlet>) {
+    async fn read(
+        self: &Rc<Self>,
+        node: CoordinatorId,
+        mut reader: impl Read,
+        outlet: &Rc<Outlet>,
+    ) {
         let mut bytes = Vec::new();
         loop {
             match reader.read(&mut bytes).await {
@@ -306,7 +311,7 @@
     }
 
     /// Records that a co-ordinator broke the protocol, and closes the connection.
-    fn refuse(&self, node: NodeId, why: &str, outlet: &Outlet) {
+    fn refuse(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
         self.recorder.tell(EventKind::CoordinatorUnsound {
             node,
             why: format!("a frame that {} cannot read: {why}", self.name),
@@ -317,7 +322,7 @@
     /// Records a part and rejects or queues it.
     fn receive_part(
         self: &Rc<Self>,
-        node: NodeId,
+        node: CoordinatorId,
         part: Part,
         received: ReceiveTimes,
         outlet: &Rc<Outlet>,
@@ -353,7 +358,7 @@
     }
 
     /// Removes the part with this id on the wire from the queue, or has it not answered.
-    fn cancel(&self, node: NodeId, id: &[u8], outlet: &Rc<Outlet>) {
+    fn cancel(&self, node: CoordinatorId, id: &[u8], outlet: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
         let (rest, fetch) = id
             .strip_suffix(".fetch")
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -1,7 +1,7 @@
 //! Takes the events in their order and hands each to the rules that it concerns.
 
 use crate::breach::{Breach, Rule};
-use crate::event::{Event, EventKind, NodeId, ReplicaName};
+use crate::event::{CoordinatorId, Event, EventKind, ReplicaName};
 use crate::state::{Coordinator, Period, Replica, ReplicaStart, Search};
 use crate::terms::Terms;
 use crate::units::Seconds;
@@ -34,7 +34,7 @@
     /// Searches that have ended, in the order of their ends.
     ended: VecDeque<EndedSearch>,
     pub(crate) replicas: BTreeMap<ReplicaName, Replica>,
-    pub(crate) coordinators: BTreeMap<NodeId, Coordinator>,
+    pub(crate) coordinators: BTreeMap<CoordinatorId, Coordinator>,
     breaches: Vec<Breach>,
     /// Attempts that began too long after their client had disconnected.
     pub(crate) late_attempts: usize,
@@ -118,9 +118,9 @@
     fn apply(&mut self, event: &Event) {
         let at = event.at;
         match &event.kind {
-            EventKind::NodeStarted { node } => self.coordinator_started(at, *node),
-            EventKind::NodeKilled { node } => self.coordinator_killed(*node),
-            EventKind::NodeEnded { node } => self.coordinator_ended(*node),
+            EventKind::CoordinatorStarted { node } => self.coordinator_started(at, *node),
+            EventKind::CoordinatorKilled { node } => self.coordinator_killed(*node),
+            EventKind::CoordinatorEnded { node } => self.coordinator_ended(*node),
             EventKind::ReplicaListed {
                 node,
                 replica,
@@ -165,7 +165,7 @@
         }
     }
 
-    fn coordinator_started(&mut self, at: Seconds, node: NodeId) {
+    fn coordinator_started(&mut self, at: Seconds, node: CoordinatorId) {
         let coordinator = Coordinator {
             started: at,
             ..Coordinator::default()
@@ -177,14 +177,20 @@
         }
     }
 
-    fn coordinator_stalled(&mut self, at: Seconds, node: NodeId, seconds: Seconds) {
+    fn coordinator_stalled(&mut self, at: Seconds, node: CoordinatorId, seconds: Seconds) {
         self.coordinators.entry(node).or_default().stalled = Some(Period {
             since: at,
             until: at + seconds,
         });
     }
 
-    fn replica_listed(&mut self, at: Seconds, node: NodeId, name: &ReplicaName, ready: bool) {
+    fn replica_listed(
+        &mut self,
+        at: Seconds,
+        node: CoordinatorId,
+        name: &ReplicaName,
+        ready: bool,
+    ) {
         let replica = self.replicas.entry(name.clone()).or_default();
         if ready {
             replica.leaving.remove(&node);
@@ -224,7 +230,7 @@
     }
 
     /// Whether the co-ordinator is excused for what it did or left undone between these times.
-    pub(crate) fn is_excused(&self, node: NodeId, from: Seconds, to: Seconds) -> bool {
+    pub(crate) fn is_excused(&self, node: CoordinatorId, from: Seconds, to: Seconds) -> bool {
         self.coordinators
             .get(&node)
             .is_some_and(|coordinator| coordinator.is_excused(from, to))
@@ -277,7 +283,7 @@
     }
 
     /// Reports a breach of a co-ordinator as a whole.
-    pub(crate) fn report_coordinator(&mut self, rule: Rule, node: NodeId, why: String) {
+    pub(crate) fn report_coordinator(&mut self, rule: Rule, node: CoordinatorId, why: String) {
         self.breaches.push(Breach {
             rule,
             at: self.now,
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -6,7 +6,7 @@
 
 /// A co-ordinator by its number, which it keeps over restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct NodeId(
+pub struct CoordinatorId(
     /// Counted from 0.
     pub usize,
 );
@@ -71,26 +71,29 @@
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
     /// A co-ordinator's process starts, without any search.
-    NodeStarted {
+    #[serde(rename = "node_started")]
+    CoordinatorStarted {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
     /// A co-ordinator was killed, so its searches are excused.
-    NodeKilled {
+    #[serde(rename = "node_killed")]
+    CoordinatorKilled {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
     /// A co-ordinator has ended by itself, for example after a graceful shutdown.
-    NodeEnded {
+    #[serde(rename = "node_ended")]
+    CoordinatorEnded {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
 
     /// The last byte of a search's request has arrived at the co-ordinator's machine.
     #[serde(rename = "asked")]
     Requested {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// The search's identifier.
         search: Arc<str>,
         /// Index into [`Terms::query_types`](crate::Terms::query_types).
@@ -140,7 +143,7 @@
     #[serde(rename = "sent")]
     PartReceived {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -164,7 +167,7 @@
     #[serde(rename = "turned_away")]
     PartRejected {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -174,7 +177,7 @@
     #[serde(rename = "made")]
     PartCompleted {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -186,7 +189,7 @@
     #[serde(rename = "given_up")]
     PartCancelled {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -198,7 +201,7 @@
     #[serde(rename = "told")]
     ReplicaListed {
         /// The co-ordinator whose agent it is.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// Ready; otherwise draining or departed.
@@ -225,14 +228,14 @@
     /// The co-ordinator's process is suspended from now on, and can't answer meanwhile.
     Stalled {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// For how long.
         seconds: Seconds,
     },
     /// A task of the co-ordinator has panicked, or its process has ended with an error.
     Panicked {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// The message of the panic or of the error.
         why: String,
     },
@@ -241,7 +244,7 @@
     #[serde(rename = "kept")]
     CoordinatorUnsound {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// What is left, or cannot be read.
         why: String,
     },
--- a/crates/testing/invariants/src/lib.rs
+++ b/crates/testing/invariants/src/lib.rs
@@ -18,6 +18,6 @@
 
 pub use breach::{Breach, Rule};
 pub use checker::Checker;
-pub use event::{Event, EventKind, NodeId, PartName, ReplicaName, ShardValue, ShardWeight};
+pub use event::{CoordinatorId, Event, EventKind, PartName, ReplicaName, ShardValue, ShardWeight};
 pub use terms::{QueryTerms, Repeats, RetryBudget, SlowStart, Terms};
 pub use units::{CoreSeconds, Seconds, Share};
--- a/crates/testing/invariants/src/rules/lost_searches.rs
+++ b/crates/testing/invariants/src/rules/lost_searches.rs
@@ -2,7 +2,7 @@
 
 use crate::breach::Rule;
 use crate::checker::Checker;
-use crate::event::{Event, EventKind, NodeId};
+use crate::event::{CoordinatorId, Event, EventKind};
 use crate::rules::parts::ReceivedPart;
 use crate::state::Search;
 use crate::units::Seconds;
@@ -91,13 +91,13 @@
         self.end_search(name);
     }
 
-    pub(crate) fn coordinator_killed(&mut self, node: NodeId) {
+    pub(crate) fn coordinator_killed(&mut self, node: CoordinatorId) {
         for name in self.searches_of(node) {
             self.end_search(&name);
         }
     }
 
-    pub(crate) fn coordinator_ended(&mut self, node: NodeId) {
+    pub(crate) fn coordinator_ended(&mut self, node: CoordinatorId) {
         let searches = self.searches_of(node);
         for name in &searches {
             if self.searches[name].answered.is_none() {
@@ -110,7 +110,7 @@
         }
     }
 
-    fn searches_of(&self, node: NodeId) -> Vec<Arc<str>> {
+    fn searches_of(&self, node: CoordinatorId) -> Vec<Arc<str>> {
         self.searches
             .iter()
             .filter(|(_, search)| search.node == node && !search.ended)
--- a/crates/testing/invariants/src/rules/parts.rs
+++ b/crates/testing/invariants/src/rules/parts.rs
@@ -1,7 +1,7 @@
 //! What happens to a part at a replica, handed to the rules that judge it.
 
 use crate::checker::Checker;
-use crate::event::{Event, EventKind, NodeId, PartName, ReplicaName};
+use crate::event::{CoordinatorId, Event, EventKind, PartName, ReplicaName};
 use crate::state::PartKey;
 use crate::units::Seconds;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     pub(crate) at: Seconds,
     /// When its first byte arrived.
     pub(crate) first_byte_at: Seconds,
-    pub(crate) node: NodeId,
+    pub(crate) node: CoordinatorId,
     pub(crate) replica: &'a ReplicaName,
     pub(crate) part: &'a PartName,
 }
--- a/crates/testing/invariants/src/rules/retry_budget.rs
+++ b/crates/testing/invariants/src/rules/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use crate::breach::Rule;
 use crate::checker::Checker;
-use crate::event::{NodeId, PartName};
+use crate::event::{CoordinatorId, PartName};
 use crate::rules::WEIGHT_TOLERANCE;
 use crate::state::{AcceptedRequests, Coordinator, PartKey};
 use crate::units::Seconds;
@@ -23,7 +23,7 @@
 
 impl Checker {
     /// Counts the requests of a search that a co-ordinator has accepted.
-    pub(crate) fn count_accepted(&mut self, at: Seconds, node: NodeId, count: usize) {
+    pub(crate) fn count_accepted(&mut self, at: Seconds, node: CoordinatorId, count: usize) {
         let Some(budget) = &self.terms.retry_budget else {
             return;
         };
@@ -71,7 +71,7 @@
     ///
     /// An attempt may arrive later than the co-ordinator counted it, by up to the latency of a link: the
     /// window is shorter by that much for attempts, and longer for accepted requests.
-    pub(crate) fn check_retry_budget(&mut self, at: Seconds, node: NodeId) {
+    pub(crate) fn check_retry_budget(&mut self, at: Seconds, node: CoordinatorId) {
         let Some(budget) = self.terms.retry_budget.clone() else {
             return;
         };
--- a/crates/testing/invariants/src/rules/slow_start.rs
+++ b/crates/testing/invariants/src/rules/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::breach::Rule;
 use crate::checker::Checker;
-use crate::event::{NodeId, ReplicaName};
+use crate::event::{CoordinatorId, ReplicaName};
 use crate::state::{ReceivedWork, Replica, ReplicaStart};
 use crate::terms::SlowStart;
 use crate::units::{CoreSeconds, Seconds};
@@ -29,7 +29,7 @@
     pub(crate) fn check_slow_start(
         &mut self,
         at: Seconds,
-        node: NodeId,
+        node: CoordinatorId,
         name: &ReplicaName,
         work: CoreSeconds,
     ) {
--- a/crates/testing/invariants/src/state.rs
+++ b/crates/testing/invariants/src/state.rs
@@ -1,6 +1,6 @@
 //! What a checker remembers of each search, replica and co-ordinator.
 
-use crate::event::{Event, NodeId, PartName, ReplicaName, ShardWeight};
+use crate::event::{CoordinatorId, Event, PartName, ReplicaName, ShardWeight};
 use crate::units::{CoreSeconds, Seconds, Share};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 
 /// A search, until well after it has ended.
 pub(crate) struct Search {
-    pub(crate) node: NodeId,
+    pub(crate) node: CoordinatorId,
     pub(crate) query_type: usize,
     pub(crate) parts: Arc<[ShardWeight]>,
     pub(crate) deadline: Seconds,
@@ -112,12 +112,12 @@
 #[derive(Default)]
 pub(crate) struct Replica {
     /// Whose agents list it as draining or departed, and since when.
-    pub(crate) leaving: BTreeMap<NodeId, Seconds>,
+    pub(crate) leaving: BTreeMap<CoordinatorId, Seconds>,
     pub(crate) start: Option<ReplicaStart>,
     /// What it received in the last window while warming up.
     pub(crate) work: VecDeque<ReceivedWork>,
     /// Whose agents have listed its start.
-    pub(crate) notified: BTreeSet<NodeId>,
+    pub(crate) notified: BTreeSet<CoordinatorId>,
     pub(crate) overloaded: bool,
     /// How many causes delay what is sent to it now.
     pub(crate) delays: usize,
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::sync::Arc;
 use woadreach_invariants::{
-    Breach, Event, EventKind, NodeId, PartName, ReplicaName, Rule, ShardValue, ShardWeight,
+    Breach, CoordinatorId, Event, EventKind, PartName, ReplicaName, Rule, ShardValue, ShardWeight,
 };
 
 fn records(file: &str) -> Records {
@@ -17,7 +17,7 @@
     ))
 }
 
-const NODE: NodeId = NodeId(3);
+const NODE: CoordinatorId = CoordinatorId(3);
 
 fn search() -> Arc<str> {
     "5be2a07c19f04d63".into()
@@ -64,9 +64,9 @@
     };
     let parts = [(0, 0.5), (7, 0.5)].map(|(shard, weight)| ShardWeight { shard, weight });
     vec![
-        EventKind::NodeStarted { node: NODE },
-        EventKind::NodeKilled { node: NODE },
-        EventKind::NodeEnded { node: NODE },
+        EventKind::CoordinatorStarted { node: NODE },
+        EventKind::CoordinatorKilled { node: NODE },
+        EventKind::CoordinatorEnded { node: NODE },
         EventKind::Requested {
             node: NODE,
             search: search.clone(),
@@ -132,9 +132,9 @@
 /// The kind as the record names it; a further kind needs a record.
 fn name(kind: &EventKind) -> &'static str {
     match kind {
-        EventKind::NodeStarted { .. } => "node_started",
-        EventKind::NodeKilled { .. } => "node_killed",
-        EventKind::NodeEnded { .. } => "node_ended",
+        EventKind::CoordinatorStarted { .. } => "node_started",
+        EventKind::CoordinatorKilled { .. } => "node_killed",
+        EventKind::CoordinatorEnded { .. } => "node_ended",
         EventKind::Requested { .. } => "asked",
         EventKind::Answered { .. } => "answered",
         EventKind::Shed { .. } => "shed",
@@ -205,7 +205,7 @@
 fn breach(rule: Rule, search: Option<Arc<str>>) -> String {
     let proof = vec![Event {
         at: 1.0,
-        kind: EventKind::NodeStarted { node: NODE },
+        kind: EventKind::CoordinatorStarted { node: NODE },
     }];
     let breach = Breach {
         rule,
--- a/crates/testing/invariants/tests/rules/drains.rs
+++ b/crates/testing/invariants/tests/rules/drains.rs
@@ -22,7 +22,7 @@
 #[case::ready_again(vec![(0.0, listed(false)), (0.4, listed(true)), (0.6, sent_at(0, "a", 0.6))], &[])]
 #[case::another(vec![(0.0, listed(false)), (0.6, sent_at(0, "b", 0.6))], &[])]
 #[case::started_anew(
-    vec![(0.0, listed(false)), (0.1, EventKind::NodeStarted { node: NODE }), (0.6, sent_at(0, "a", 0.6))],
+    vec![(0.0, listed(false)), (0.1, EventKind::CoordinatorStarted { node: NODE }), (0.6, sent_at(0, "a", 0.6))],
     &[]
 )]
 fn drains(#[case] events: Vec<(f64, EventKind)>, #[case] expected: &[Rule]) {
--- a/crates/testing/invariants/tests/rules/retry_budget.rs
+++ b/crates/testing/invariants/tests/rules/retry_budget.rs
@@ -20,7 +20,7 @@
 #[test]
 fn budget_of_a_process_begins_with_it() {
     let late = [(0, 0.1), (0, 0.2), (0, 0.3)].map(|(shard, came)| (0.6, sent_at(shard, "a", came)));
-    let started = (0.5, EventKind::NodeStarted { node: NODE });
+    let started = (0.5, EventKind::CoordinatorStarted { node: NODE });
     let now = (0.7, sent_at(0, "a", 0.7));
     let events = [(0.0, requested(0)), started]
         .into_iter()
--- a/crates/testing/invariants/tests/rules/slow_start.rs
+++ b/crates/testing/invariants/tests/rules/slow_start.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use std::sync::Arc;
 use woadreach_invariants::{
-    Breach, Checker, Event, EventKind, NodeId, PartName, Rule, ShardWeight, SlowStart, Terms,
+    Breach, Checker, CoordinatorId, Event, EventKind, PartName, Rule, ShardWeight, SlowStart, Terms,
 };
 
 /// Starts replica `a`, of one core, at 0 s. Returns what it breaks.
@@ -19,7 +19,7 @@
 }
 
 /// A search of one part, requested and received by replica `a` at once. Returns what it breaks.
-fn play_search(checker: &mut Checker, node: NodeId, number: u64, at: f64) -> Vec<Breach> {
+fn play_search(checker: &mut Checker, node: CoordinatorId, number: u64, at: f64) -> Vec<Breach> {
     let search: Arc<str> = format!("s{number}").into();
     let part = PartName {
         search: search.clone(),
@@ -80,7 +80,7 @@
         ..terms()
     });
     let mut all = start_replica(&mut checker);
-    for node in (0..notified).map(NodeId) {
+    for node in (0..notified).map(CoordinatorId) {
         let kind = EventKind::ReplicaListed {
             node,
             replica: "a".into(),
@@ -89,7 +89,7 @@
         all.extend(checker.take(&Event { at: 0.05, kind }));
     }
     for n in 0..20 {
-        let (at, node) = (0.1 + n as f64 * 0.001, NodeId(n % 2));
+        let (at, node) = (0.1 + n as f64 * 0.001, CoordinatorId(n % 2));
         all.extend(play_search(&mut checker, node, n as u64, at));
     }
     assert_eq!(rules_of(&all), expected);
--- a/crates/testing/invariants/tests/rules/support.rs
+++ b/crates/testing/invariants/tests/rules/support.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 use woadreach_invariants::{
-    Breach, Checker, Event, EventKind, NodeId, PartName, QueryTerms, Repeats, RetryBudget, Rule,
-    ShardValue, ShardWeight, SlowStart, Terms,
+    Breach, Checker, CoordinatorId, Event, EventKind, PartName, QueryTerms, Repeats, RetryBudget,
+    Rule, ShardValue, ShardWeight, SlowStart, Terms,
 };
 
-pub(crate) const NODE: NodeId = NodeId(0);
+pub(crate) const NODE: CoordinatorId = CoordinatorId(0);
 
 /// What the replicas of both shards compute in the first step.
 pub(crate) const COMPLETE: [(u64, &str); 2] = [(0, "v0false"), (1, "v1false")];
@@ -76,7 +76,7 @@
 }
 
 /// A part of the first step that the replica has received from `node`.
-pub(crate) fn received(node: NodeId, part: PartName, replica: &str, at: f64) -> EventKind {
+pub(crate) fn received(node: CoordinatorId, part: PartName, replica: &str, at: f64) -> EventKind {
     EventKind::PartReceived {
         node,
         replica: replica.into(),
--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 use woadreach_fakes::Caller;
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 use woadreach_runtime::Net;
 use woadreach_simulation::{CoordinatorAddresses, configuration, seed_of};
 
@@ -85,7 +85,7 @@
     fn co_ordinator(&self, node: usize, sockets: &RelaySockets) -> io::Result<CoOrdinator> {
         let client_listen = self.addresses.client_listen(node);
         let discovery = self.addresses.discovery(node);
-        let id = NodeId(node);
+        let id = CoordinatorId(node);
         let agent = woadreach_fakes::discovery(&self.net, id, discovery, None, &self.recorder)?;
         let mut peers = Vec::new();
         for peer in 0..self.config.co_ordinators {
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -2,28 +2,31 @@
 
 use super::Cluster;
 use woadreach_fakes::Recorder;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::Net;
 
 impl Cluster {
     pub(super) fn record_process_start(&self, node: usize) {
-        self.recorder
-            .tell(EventKind::NodeStarted { node: NodeId(node) });
+        self.recorder.tell(EventKind::CoordinatorStarted {
+            node: CoordinatorId(node),
+        });
     }
 
     pub(super) fn record_process_kill(&self, node: usize) {
-        self.recorder
-            .tell(EventKind::NodeKilled { node: NodeId(node) });
+        self.recorder.tell(EventKind::CoordinatorKilled {
+            node: CoordinatorId(node),
+        });
     }
 
     pub(super) fn record_process_end(&self, node: usize) {
-        self.recorder
-            .tell(EventKind::NodeEnded { node: NodeId(node) });
+        self.recorder.tell(EventKind::CoordinatorEnded {
+            node: CoordinatorId(node),
+        });
     }
 
     /// What a paused process owes is late and excused.
     pub(super) fn record_process_pause(&self, node: usize, seconds: f64) {
-        let node = NodeId(node);
+        let node = CoordinatorId(node);
         self.recorder.tell(EventKind::Stalled { node, seconds });
     }
 
@@ -37,7 +40,7 @@
 
     /// A co-ordinator that is still running, or has still not read the endpoint list, breaks an invariant.
     pub(super) fn record_overdue(&self, node: usize, why: String) {
-        let node = NodeId(node);
+        let node = CoordinatorId(node);
         self.recorder
             .tell(EventKind::CoordinatorUnsound { node, why });
     }
--- a/crates/testing/process-tests/src/cluster/mod.rs
+++ b/crates/testing/process-tests/src/cluster/mod.rs
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use woadreach_fakes::{Agent, Caller, Recorder, Replica};
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 use woadreach_runtime::{Net, Tokio};
 use woadreach_simulation::{Record, Script, terms};
 
@@ -52,7 +52,7 @@
     zone: usize,
     shard_group: u64,
     /// Where it listens for each co-ordinator.
-    listens: Vec<(NodeId, SocketAddr)>,
+    listens: Vec<(CoordinatorId, SocketAddr)>,
     /// The address that each co-ordinator's endpoint list has: the same, or the relay's for it.
     listed: Vec<SocketAddr>,
     host: Killable,
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 use woadreach_fakes::{Behaviour, ListEntry, WarmUp};
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 use woadreach_runtime::Net;
 use woadreach_simulation::seed_of;
 
@@ -19,7 +19,7 @@
             let mut listed = Vec::new();
             for node in 0..self.config.co_ordinators {
                 let address = self.addresses.replica(zone, replica, node);
-                listens.push((NodeId(node), address));
+                listens.push((CoordinatorId(node), address));
                 listed.push(self.address_from(node, zone, address).await?);
             }
             self.replicas.push(ReplicaSlot {
--- a/crates/testing/simulation/src/outcome.rs
+++ b/crates/testing/simulation/src/outcome.rs
@@ -3,7 +3,7 @@
 use crate::record::{Record, SearchOutcome};
 use crate::recovery::Recovery;
 use serde::Serialize;
-use woadreach_invariants::{Breach, Event, NodeId};
+use woadreach_invariants::{Breach, CoordinatorId, Event};
 
 /// What a run has shown.
 #[derive(Clone, Debug, Serialize)]
@@ -48,7 +48,7 @@
     #[serde(rename = "at")]
     pub at_s: f64,
     /// The co-ordinator.
-    pub node: NodeId,
+    pub node: CoordinatorId,
     /// The zone, by its number.
     pub zone: usize,
     /// The verdict's epoch, which is odd while the zone is out.
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 use woadreach_fakes::{Agent, Behaviour, Caller, ListEntry, Recorder, Retry, SearchRequest};
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::{Net, Tokio};
 use woadreachd::Environment;
 use woadreachd::config::{self, AddressPrecedence, ConfigError, ConfigSource};
@@ -50,7 +50,7 @@
 
 /// A replica, and where each co-ordinator reaches it.
 struct RunningReplica {
-    addresses: Vec<(NodeId, SocketAddr)>,
+    addresses: Vec<(CoordinatorId, SocketAddr)>,
 }
 
 /// An address on loopback that was free a moment ago.
@@ -105,7 +105,7 @@
     recorder: &Recorder,
 ) -> io::Result<RunningReplica> {
     let addresses = (0..script.fleet.co_ordinators)
-        .map(|node| Ok((NodeId(node), free_address()?)))
+        .map(|node| Ok((CoordinatorId(node), free_address()?)))
         .collect::<io::Result<Vec<_>>>()?;
     let name = format!("r{index}");
     let behaviour = Behaviour {
@@ -128,7 +128,7 @@
     recorder: &Recorder,
 ) -> io::Result<Agent> {
     let f = &script.fleet;
-    let agent = woadreach_fakes::discovery(&net, NodeId(node), address, None, recorder)?;
+    let agent = woadreach_fakes::discovery(&net, CoordinatorId(node), address, None, recorder)?;
     let entries: Vec<ListEntry> = replicas
         .iter()
         .enumerate()
@@ -185,8 +185,8 @@
         on_usage: Box::new(|_: &_| {}),
         on_verdict: Box::new(|_: &_| {}),
     };
-    let node = NodeId(node);
-    recorder.tell(EventKind::NodeStarted { node });
+    let node = CoordinatorId(node);
+    recorder.tell(EventKind::CoordinatorStarted { node });
     let events = recorder.clone();
     drop(net.spawn(async move {
         let _signals = (sighup_sender, sigterm_sender);
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::Net;
 use woadreach_zone_failover::VerdictChange;
 use woadreachd::Environment;
@@ -30,8 +30,8 @@
         let start = coordinator.starts.replace(coordinator.starts.get() + 1);
         let net = self.coordinator_machine(index, start);
         coordinator.process.set(Some(net.process()));
-        let node = NodeId(index);
-        self.recorder.tell(EventKind::NodeStarted { node });
+        let node = CoordinatorId(index);
+        self.recorder.tell(EventKind::CoordinatorStarted { node });
         coordinator.agent.process_started();
         let seed = seed_of(self.script.seed, &format!("node {index} {start}"));
         let environment = self.environment(index, seed);
@@ -98,7 +98,7 @@
     fn adopt_verdict(&self, index: usize, change: &VerdictChange) {
         self.verdicts.borrow_mut().push(VerdictAdoption {
             at_s: seconds(self.clock.now()),
-            node: NodeId(index),
+            node: CoordinatorId(index),
             zone: usize::from(change.zone),
             epoch: change.verdict.epoch,
         });
@@ -108,7 +108,7 @@
     fn report_known_replicas(&self, index: usize) {
         for slot in self.replicas.iter().filter(|slot| slot.alive.get()) {
             self.recorder.tell(EventKind::ReplicaListed {
-                node: NodeId(index),
+                node: CoordinatorId(index),
                 replica: slot.name.borrow().as_str().into(),
                 ready: true,
             });
@@ -132,9 +132,9 @@
                 .map_err(|error| error.to_string()),
             Err(error) => Err(error.to_string()),
         };
-        let node = NodeId(index);
+        let node = CoordinatorId(index);
         match ended {
-            Ok(()) => self.recorder.tell(EventKind::NodeEnded { node }),
+            Ok(()) => self.recorder.tell(EventKind::CoordinatorEnded { node }),
             Err(why) => self.recorder.tell(EventKind::Panicked { node, why }),
         }
         let process = net.process();
@@ -176,8 +176,8 @@
         let Some(process) = self.coordinators[index].process.take() else {
             return;
         };
-        let node = NodeId(index);
-        self.recorder.tell(EventKind::NodeKilled { node });
+        let node = CoordinatorId(index);
+        self.recorder.tell(EventKind::CoordinatorKilled { node });
         self.network.kill(process);
         let world = self.clone();
         let noticed_at = self.clock.now() + 1000 * MILLISECOND;
@@ -248,7 +248,8 @@
         let net = self.network.add_machine(zone, 0.0);
         let place = address(net.process(), DISCOVERY_PORT);
         let agent = Some(&coordinator.agent);
-        let moved = woadreach_fakes::discovery(&net, NodeId(index), place, agent, &self.recorder);
+        let moved =
+            woadreach_fakes::discovery(&net, CoordinatorId(index), place, agent, &self.recorder);
         moved.unwrap_or_else(|e| panic!("a new machine's address is taken: {e}"));
         let old = coordinator.agent_process.replace(net.process());
         let network = self.network.clone();
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -4,7 +4,7 @@
 use crate::network::Zone;
 use crate::script::FaultKind;
 use std::rc::Rc;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 
 impl World {
     /// Begins a fault that lasts for `duration`, in seconds.
@@ -160,7 +160,7 @@
     fn stall_coordinators(&self, co_ordinators: &[usize], seconds: f64) {
         for index in co_ordinators {
             if let Some(process) = self.coordinators[*index].process.get() {
-                let node = NodeId(*index);
+                let node = CoordinatorId(*index);
                 self.recorder.tell(EventKind::Stalled { node, seconds });
                 self.clock.stall(process);
             }
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -1,7 +1,7 @@
 //! Panics, and leaks: what co-ordinators and clients still have in memory when no search is in flight any more.
 
 use super::World;
-use woadreach_invariants::{EventKind, NodeId};
+use woadreach_invariants::{CoordinatorId, EventKind};
 
 impl World {
     /// Records the panics since the last call.
@@ -17,7 +17,7 @@
                 why
             };
             self.recorder.tell(EventKind::Panicked {
-                node: NodeId(node.unwrap_or(0)),
+                node: CoordinatorId(node.unwrap_or(0)),
                 why,
             });
         }
@@ -50,7 +50,7 @@
 
     /// Records a leak of a co-ordinator.
     pub(super) fn report_leak(&self, node: usize, why: String) {
-        let node = NodeId(node);
+        let node = CoordinatorId(node);
         self.recorder
             .tell(EventKind::CoordinatorUnsound { node, why });
     }
--- a/crates/testing/simulation/src/world/mod.rs
+++ b/crates/testing/simulation/src/world/mod.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use woadreach_fakes::{Agent, Caller, Recorder, Replica};
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 use woadreachd::events::Usage;
 
 mod clients;
@@ -85,7 +85,7 @@
     /// Its last process, which runs if `alive`.
     process: Cell<ProcessId>,
     /// Where each co-ordinator reaches it.
-    addresses: RefCell<Vec<(NodeId, SocketAddr)>>,
+    addresses: RefCell<Vec<(CoordinatorId, SocketAddr)>>,
     /// Changes the behaviour of the process.
     handle: RefCell<Replica<SimNet>>,
     alive: Cell<bool>,
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -11,7 +11,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder};
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 
 impl From<CallsWhileUnresponsive> for CallsWhileSilent {
     fn from(calls: CallsWhileUnresponsive) -> Self {
@@ -43,7 +43,7 @@
 /// Starts the discovery agent of a co-ordinator on its own machine.
 fn start_agent(script: &Script, index: usize, net: &SimNet, recorder: &Recorder) -> Agent {
     let place = address(net.process(), DISCOVERY_PORT);
-    let agent = woadreach_fakes::discovery(net, NodeId(index), place, None, recorder);
+    let agent = woadreach_fakes::discovery(net, CoordinatorId(index), place, None, recorder);
     // Nobody listens on a new machine yet.
     let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
     agent.calls_while_silent(script.fleet.calls_while_unresponsive.into());
@@ -66,7 +66,7 @@
     Coordinator {
         process: Cell::new(Some(first.process())),
         address: listen,
-        clients: Caller::new(&clients, NodeId(index), listen, recorder),
+        clients: Caller::new(&clients, CoordinatorId(index), listen, recorder),
         in_rotation: Cell::new(false),
         agent: start_agent(script, index, &agent, recorder),
         agent_process: Cell::new(agent.process()),
@@ -85,7 +85,7 @@
     let addresses: Vec<_> = (0..f.co_ordinators)
         .map(|node| {
             let port = REPLICAS_PORT + node as u16;
-            (NodeId(node), address(net.process(), port))
+            (CoordinatorId(node), address(net.process(), port))
         })
         .collect();
     let name = format!("r{index}");
--- a/crates/testing/simulation/tests/peers.rs
+++ b/crates/testing/simulation/tests/peers.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use support::{play_without_breach, read_world};
-use woadreach_invariants::NodeId;
+use woadreach_invariants::CoordinatorId;
 use woadreach_simulation::{Fault, FaultKind, Outcome, Peers, Script};
 
 /// Six co-ordinators and two shard groups of six replicas, in three zones.
@@ -65,7 +65,7 @@
 /// A co-ordinator's first verdict that a zone is out of service.
 #[derive(Debug)]
 struct Ejection {
-    node: NodeId,
+    node: CoordinatorId,
     /// Seconds from the zone's fault to the verdict.
     delay_s: f64,
 }
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -9,7 +9,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use woadreach_invariants::{
-    Breach, Event, EventKind, NodeId, PartName, QueryTerms, Rule, ShardValue, ShardWeight, Terms,
+    Breach, CoordinatorId, Event, EventKind, PartName, QueryTerms, Rule, ShardValue, ShardWeight,
+    Terms,
 };
 use woadreach_simulation::{
     CallsWhileUnresponsive, FaultKind, Outcome, Record, Recovery, Repeats, Script, VerdictAdoption,
@@ -344,7 +345,7 @@
 
 /// The record of one search: asked, sent, made and answered.
 fn record() -> Rc<RefCell<Record>> {
-    let (node, search) = (NodeId(0), std::sync::Arc::from("s"));
+    let (node, search) = (CoordinatorId(0), std::sync::Arc::from("s"));
     let part = PartName {
         search: std::sync::Arc::clone(&search),
         shard: 0,
@@ -354,7 +355,7 @@
     let record = Rc::new(RefCell::new(Record::new(terms(), vec![0.5], true)));
     let recorder = Record::recorder(&record, || 10.0);
     let (first_byte_at, last_byte_at, work) = (10.0, 10.0, 0.1);
-    recorder.tell(EventKind::NodeStarted { node });
+    recorder.tell(EventKind::CoordinatorStarted { node });
     let parts = std::sync::Arc::from([ShardWeight {
         shard: 0,
         weight: 1.0,
@@ -454,14 +455,16 @@
         datagram_bytes: 8,
         verdicts: vec![VerdictAdoption {
             at_s: 1.5,
-            node: NodeId(2),
+            node: CoordinatorId(2),
             zone: 1,
             epoch: 3,
         }],
         recoveries: vec![recovery, never],
         trace: vec![Event {
             at: 0.0,
-            kind: EventKind::NodeStarted { node: NodeId(0) },
+            kind: EventKind::CoordinatorStarted {
+                node: CoordinatorId(0),
+            },
         }],
     };
     let today = serde_json::to_string(&outcome).expect("it is JSON");
