--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -50,10 +50,10 @@
 /// What becomes of calls that are made while discovery is unresponsive. The protocol leaves it open, so a
 /// co-ordinator has to work with each of these.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum CallsWhileSilent {
+pub enum CallsWhileUnresponsive {
     /// All are answered when it responds again.
     #[default]
-    Kept,
+    Delayed,
     /// Watches are answered then, calls for the whole list never.
     ListsLost,
     /// None is ever answered.
@@ -82,8 +82,8 @@
     /// The latest generation that was written to the co-ordinator.
     written: Cell<u64>,
     /// Whether it is unresponsive.
-    silent: Cell<bool>,
-    calls_while_silent: Cell<CallsWhileSilent>,
+    unresponsive: Cell<bool>,
+    calls_while_unresponsive: Cell<CallsWhileUnresponsive>,
     /// The generation up to which the record has the list.
     recorded: Cell<u64>,
     /// Notified when the list changes, or the agent becomes unresponsive or responsive.
@@ -112,8 +112,8 @@
             generation: Cell::new(1),
             written: Cell::new(0),
             entries: RefCell::default(),
-            silent: Cell::new(false),
-            calls_while_silent: Cell::default(),
+            unresponsive: Cell::new(false),
+            calls_while_unresponsive: Cell::default(),
             recorded: Cell::new(0),
             changed: Notify::new(),
         }))
@@ -140,7 +140,7 @@
 
     /// Records what the list has, unless the agent is unresponsive.
     fn record_changes(&self) {
-        if !self.0.silent.get() {
+        if !self.0.unresponsive.get() {
             let (after, generation) = (self.0.recorded.get(), self.0.generation.get());
             self.0.recorded.set(generation);
             self.record(&self.list(after, false).entries);
@@ -154,8 +154,8 @@
     }
 
     /// Sets what becomes of calls while it is unresponsive.
-    pub fn calls_while_silent(&self, calls: CallsWhileSilent) {
-        self.0.calls_while_silent.set(calls);
+    pub fn set_calls_while_unresponsive(&self, calls: CallsWhileUnresponsive) {
+        self.0.calls_while_unresponsive.set(calls);
     }
 
     /// The generation of its list.
@@ -169,8 +169,8 @@
     }
 
     /// Makes it unresponsive, or responsive again.
-    pub fn silence(&self, silent: bool) {
-        self.0.silent.set(silent);
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.0.unresponsive.set(unresponsive);
         self.record_changes();
         self.0.changed.notify_waiters();
     }
@@ -245,16 +245,16 @@
         return;
     };
     let index = requested_index(&head);
-    let lost = match agent.0.calls_while_silent.get() {
-        CallsWhileSilent::Kept => false,
-        CallsWhileSilent::ListsLost => index.is_none(),
-        CallsWhileSilent::Lost => true,
+    let lost = match agent.0.calls_while_unresponsive.get() {
+        CallsWhileUnresponsive::Delayed => false,
+        CallsWhileUnresponsive::ListsLost => index.is_none(),
+        CallsWhileUnresponsive::Lost => true,
     };
-    if lost && agent.0.silent.get() {
+    if lost && agent.0.unresponsive.get() {
         while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
         return;
     }
-    while agent.0.silent.get() {
+    while agent.0.unresponsive.get() {
         tokio::select! {
             biased;
             ended = stream.read(&mut bytes) => if !matches!(ended, Ok(1..)) {
@@ -291,7 +291,7 @@
     }
     loop {
         let changed = agent.0.changed.notified();
-        if !agent.0.silent.get() {
+        if !agent.0.unresponsive.get() {
             let text = if agent.generation() > index {
                 let list = agent.list(index, false);
                 index = agent.generation();
--- a/crates/testing/process-tests/src/cluster/actions.rs
+++ b/crates/testing/process-tests/src/cluster/actions.rs
@@ -30,7 +30,7 @@
             Action::DrainReplicas { zone, is_draining } => self.drain(*zone, *is_draining),
             Action::SuspendDiscovery(is_suspended) => {
                 for co_ordinator in &self.co_ordinators {
-                    co_ordinator.agent.silence(*is_suspended);
+                    co_ordinator.agent.set_unresponsive(*is_suspended);
                 }
             }
             Action::AbandonSearches(abandon) => self.clients_abandon.set(*abandon),
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -37,7 +37,7 @@
 }
 
 /// What becomes of calls to discovery while it is unresponsive. Corresponds to
-/// [`woadreach_fakes::CallsWhileSilent`].
+/// [`woadreach_fakes::CallsWhileUnresponsive`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallsWhileUnresponsive {
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -153,7 +153,9 @@
 
     fn set_discovery_unresponsive(&self, co_ordinators: &[usize], unresponsive: bool) {
         for index in co_ordinators {
-            self.coordinators[*index].agent.silence(unresponsive);
+            self.coordinators[*index]
+                .agent
+                .set_unresponsive(unresponsive);
         }
     }
 
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -10,15 +10,15 @@
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use woadreach_fakes::{Agent, Behaviour, Caller, CallsWhileSilent, Recorder};
+use woadreach_fakes::{Agent, Behaviour, Caller, Recorder};
 use woadreach_invariants::CoordinatorId;
 
-impl From<CallsWhileUnresponsive> for CallsWhileSilent {
+impl From<CallsWhileUnresponsive> for woadreach_fakes::CallsWhileUnresponsive {
     fn from(calls: CallsWhileUnresponsive) -> Self {
         match calls {
-            CallsWhileUnresponsive::Delayed => CallsWhileSilent::Kept,
-            CallsWhileUnresponsive::ListsLost => CallsWhileSilent::ListsLost,
-            CallsWhileUnresponsive::Lost => CallsWhileSilent::Lost,
+            CallsWhileUnresponsive::Delayed => Self::Delayed,
+            CallsWhileUnresponsive::ListsLost => Self::ListsLost,
+            CallsWhileUnresponsive::Lost => Self::Lost,
         }
     }
 }
@@ -46,7 +46,7 @@
     let agent = woadreach_fakes::discovery(net, CoordinatorId(index), place, None, recorder);
     // Nobody listens on a new machine yet.
     let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
-    agent.calls_while_silent(script.fleet.calls_while_unresponsive.into());
+    agent.set_calls_while_unresponsive(script.fleet.calls_while_unresponsive.into());
     agent
 }
 
