--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,6 +1,6 @@
 //! `woadreach cluster`: real processes of the program on loopback, under faults between them.
 
-use crate::Verdict;
+use crate::Finding;
 use crate::error::{CommandError, JsonSnafu, OwnPathSnafu, PlayScenarioSnafu};
 use crate::output::Format;
 use clap::{Args, Subcommand};
@@ -54,14 +54,14 @@
 }
 
 /// Runs a subcommand of `woadreach cluster`.
-pub(crate) fn execute(action: Action) -> Result<Verdict, CommandError> {
+pub(crate) fn execute(action: Action) -> Result<Finding, CommandError> {
     match action {
         Action::Play(arguments) => play_scenario(&arguments),
         Action::Scenarios => {
             Scenario::ALL
                 .iter()
                 .for_each(|scenario| println!("{scenario}"));
-            Ok(Verdict::Good)
+            Ok(Finding::Nothing)
         }
     }
 }
@@ -77,7 +77,7 @@
     }
 }
 
-fn play_scenario(arguments: &Play) -> Result<Verdict, CommandError> {
+fn play_scenario(arguments: &Play) -> Result<Finding, CommandError> {
     let binary = arguments.binary.clone().map_or_else(default_binary, Ok)?;
     let config = PlayConfig {
         scenario: arguments.scenario,
@@ -99,9 +99,9 @@
     let has_failed =
         outcome.broken_invariants > 0 || outcome.crashes > 0 || outcome.roles.two_holders > 0;
     Ok(if has_failed {
-        Verdict::Found
+        Finding::Something
     } else {
-        Verdict::Good
+        Finding::Nothing
     })
 }
 
--- a/crates/cli/src/faults/compare.rs
+++ b/crates/cli/src/faults/compare.rs
@@ -1,7 +1,7 @@
 //! `woadreach faults compare`: plays a script without its faults on loopback sockets and on the virtual clock.
 
 use super::script::script;
-use crate::Verdict;
+use crate::Finding;
 use crate::error::{CommandError, PlayOnSocketsSnafu};
 use crate::output::{Format, json};
 use clap::Args;
@@ -49,7 +49,7 @@
 }
 
 /// Plays both and prints them side by side.
-pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
     let script = Script {
         faults: Vec::new(),
         ..script(&arguments.script, false)?
@@ -67,9 +67,9 @@
         }
     }
     Ok(if comparison.is_good() {
-        Verdict::Good
+        Finding::Nothing
     } else {
-        Verdict::Found
+        Finding::Something
     })
 }
 
--- a/crates/cli/src/faults/draw.rs
+++ b/crates/cli/src/faults/draw.rs
@@ -1,7 +1,7 @@
 //! `woadreach faults draw`: prints the script of a seed.
 
 use super::script::{drawn, kind};
-use crate::Verdict;
+use crate::Finding;
 use crate::output::{Format, json};
 use clap::Args;
 
@@ -19,11 +19,11 @@
 }
 
 /// Prints the script.
-pub(super) fn execute(arguments: &Arguments) -> Verdict {
+pub(super) fn execute(arguments: &Arguments) -> Finding {
     let script = drawn(arguments.seed, arguments.tier, &arguments.only, None);
     match arguments.format {
         Format::Json => println!("{}", json(&script)),
         Format::Text => print!("{}", script.text()),
     }
-    Verdict::Good
+    Finding::Nothing
 }
--- a/crates/cli/src/faults/mod.rs
+++ b/crates/cli/src/faults/mod.rs
@@ -10,7 +10,7 @@
 mod shrink;
 mod summary;
 
-use crate::Verdict;
+use crate::Finding;
 use crate::error::CommandError;
 use clap::Subcommand;
 
@@ -39,7 +39,7 @@
 }
 
 /// Runs a subcommand of `woadreach faults`.
-pub(crate) fn execute(action: Action) -> Result<Verdict, CommandError> {
+pub(crate) fn execute(action: Action) -> Result<Finding, CommandError> {
     match action {
         Action::Run(arguments) => run::execute(&arguments),
         Action::Replay(arguments) => replay::execute(&arguments),
--- a/crates/cli/src/faults/mutations.rs
+++ b/crates/cli/src/faults/mutations.rs
@@ -32,11 +32,11 @@
 #[cfg(not(feature = "mutations"))]
 mod without_mutations {
     use super::Arguments;
-    use crate::Verdict;
+    use crate::Finding;
     use crate::error::CommandError;
 
     /// Fails, since this build has no mutations.
-    pub(crate) fn execute(_: &Arguments) -> Result<Verdict, CommandError> {
+    pub(crate) fn execute(_: &Arguments) -> Result<Finding, CommandError> {
         Err(CommandError::NoMutations)
     }
 }
@@ -46,7 +46,7 @@
     use super::super::parallel::play_all;
     use super::super::script::write;
     use super::Arguments;
-    use crate::Verdict;
+    use crate::Finding;
     use crate::error::{CommandError, UnknownMutationSnafu, WriteSnafu};
     use crate::output::{Format, json};
     use snafu::{ResultExt, ensure};
@@ -55,7 +55,7 @@
     use woadreach_simulation::mutations::{Hunted, hunt, names};
 
     /// Hunts each mutation and prints which seed has found it.
-    pub(crate) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+    pub(crate) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
         let names = chosen_names(&arguments.only)?;
         let found = play_all(0..names.len() as u64, arguments.jobs, |index| {
             let name = names.get(index as usize)?;
@@ -73,9 +73,9 @@
             Format::Text => found.values().for_each(print),
         }
         Ok(if found.values().all(|hunted| hunted.seed.is_some()) {
-            Verdict::Good
+            Finding::Nothing
         } else {
-            Verdict::Found
+            Finding::Something
         })
     }
 
--- a/crates/cli/src/faults/replay.rs
+++ b/crates/cli/src/faults/replay.rs
@@ -1,7 +1,7 @@
 //! `woadreach faults replay`: plays one seed or script again.
 
 use super::script::{ScriptArguments, write};
-use crate::Verdict;
+use crate::Finding;
 use crate::error::CommandError;
 use crate::output::{Format, json, print_proof};
 use clap::Args;
@@ -23,7 +23,7 @@
 }
 
 /// Plays the script and prints its outcome.
-pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
     let script = arguments.script.script()?;
     if arguments.log {
         log_to_standard_error();
@@ -42,9 +42,9 @@
         Format::Text => print(&outcome),
     }
     Ok(if outcome.breaches.is_empty() {
-        Verdict::Good
+        Finding::Nothing
     } else {
-        Verdict::Found
+        Finding::Something
     })
 }
 
@@ -78,7 +78,7 @@
             recovery.duration_s,
             recovery.share_before,
             recovery.share_during,
-            recovery.lost_searches
+            recovery.missed_searches
         );
     }
     outcome.breaches.iter().for_each(print_proof);
--- a/crates/cli/src/faults/run.rs
+++ b/crates/cli/src/faults/run.rs
@@ -3,7 +3,7 @@
 use super::parallel::play_all;
 use super::script::{drawn, kind, seeds};
 use super::summary::Summary;
-use crate::Verdict;
+use crate::Finding;
 use crate::error::CommandError;
 use crate::output::{Format, describe, json};
 use clap::Args;
@@ -59,7 +59,7 @@
 }
 
 /// Plays the seeds and prints a summary.
-pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
     arguments.check()?;
     let progress = progress_bar(arguments.seeds.end - arguments.seeds.start);
     let started = Instant::now();
@@ -73,9 +73,9 @@
         Format::Text => summary.print(),
     }
     Ok(if summary.broken.is_empty() {
-        Verdict::Good
+        Finding::Nothing
     } else {
-        Verdict::Found
+        Finding::Something
     })
 }
 
--- a/crates/cli/src/faults/shrink.rs
+++ b/crates/cli/src/faults/shrink.rs
@@ -1,7 +1,7 @@
 //! `woadreach faults shrink`: cuts a script down to the smallest that still breaks the same rule.
 
 use super::script::{ScriptArguments, write};
-use crate::Verdict;
+use crate::Finding;
 use crate::error::CommandError;
 use crate::output::{Format, json, print_proof};
 use clap::Args;
@@ -21,7 +21,7 @@
 }
 
 /// Shrinks the script and writes what is left of it.
-pub(super) fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
     let script = arguments.script.script()?;
     let progress = |tried: usize, kept: usize| {
         if std::io::stderr().is_terminal() {
@@ -30,7 +30,7 @@
     };
     let Some(small) = shrink(&script, progress) else {
         println!("it breaks no rule");
-        return Ok(Verdict::Good);
+        return Ok(Finding::Nothing);
     };
     write(&arguments.out, &small.script.text())?;
     match arguments.format {
@@ -48,5 +48,5 @@
             print_proof(&small.breach);
         }
     }
-    Ok(Verdict::Found)
+    Ok(Finding::Something)
 }
--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -47,9 +47,9 @@
     back_after: RecoveryTimes,
     /// Faults after which service was not back in the run.
     never: u64,
-    /// Searches lost to a fault, as a mean.
+    /// Searches that missed their latency target through a fault, as a mean.
     #[serde(rename = "lost")]
-    lost_searches: f64,
+    missed_searches: f64,
     /// Attempts per search from the fault until service was back, as a mean.
     #[serde(rename = "sub_requests")]
     attempts_per_search: f64,
@@ -96,9 +96,9 @@
         };
         let count = recoveries.len() as f64;
         let is_never = |recovery: &&&Recovery| recovery.back_after_s.is_none();
-        let lost_searches: f64 = recoveries
+        let missed_searches: f64 = recoveries
             .iter()
-            .map(|recovery| recovery.lost_searches)
+            .map(|recovery| recovery.missed_searches)
             .sum();
         let attempts_per_search: f64 = recoveries
             .iter()
@@ -112,7 +112,7 @@
                 longest_s: quantile(1.0),
             },
             never: recoveries.iter().filter(is_never).count() as u64,
-            lost_searches: lost_searches / count,
+            missed_searches: missed_searches / count,
             attempts_per_search: attempts_per_search / count,
         }
     }
@@ -197,7 +197,7 @@
                 "{kind:<18}{:>7}{median_s:>9.2}{p90_s:>9.2}{longest_s:>9.2}{:>7}{:>8.1}{:>12.2}",
                 recovery.faults,
                 recovery.never,
-                recovery.lost_searches,
+                recovery.missed_searches,
                 recovery.attempts_per_search
             );
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -40,11 +40,11 @@
 
 /// What a command has found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// All is well.
-    Good,
-    /// Something wrong was found, and printed.
-    Found,
+pub(crate) enum Finding {
+    /// Nothing wrong.
+    Nothing,
+    /// Something wrong, which is printed.
+    Something,
 }
 
 fn main() -> ExitCode {
@@ -55,10 +55,10 @@
     exit_code(result)
 }
 
-fn exit_code(result: Result<Verdict, CommandError>) -> ExitCode {
+fn exit_code(result: Result<Finding, CommandError>) -> ExitCode {
     match result {
-        Ok(Verdict::Good) => ExitCode::SUCCESS,
-        Ok(Verdict::Found) => ExitCode::from(1),
+        Ok(Finding::Nothing) => ExitCode::SUCCESS,
+        Ok(Finding::Something) => ExitCode::from(1),
         Err(error) => {
             eprintln!("woadreach: {error}");
             ExitCode::from(2)
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -232,7 +232,7 @@
     PartName {
         search: part.search.as_str().into(),
         shard: part.shard,
-        fetch: part.fetch,
+        second_step: part.second_step,
     }
 }
 
@@ -241,7 +241,7 @@
         "{}.{}{}",
         part.search,
         part.shard,
-        if part.fetch { ".fetch" } else { "" }
+        if part.second_step { ".fetch" } else { "" }
     )
 }
 
@@ -360,7 +360,7 @@
     /// Removes the part with this id on the wire from the queue, or has it not answered.
     fn cancel(&self, node: CoordinatorId, id: &[u8], outlet: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
-        let (rest, fetch) = id
+        let (rest, second_step) = id
             .strip_suffix(".fetch")
             .map_or((id.as_str(), false), |r| (r, true));
         let Some((search, shard)) = rest.rsplit_once('.') else {
@@ -372,7 +372,7 @@
         let part = PartName {
             search: search.into(),
             shard,
-            fetch,
+            second_step,
         };
         self.recorder.tell(EventKind::PartCancelled {
             node,
@@ -382,7 +382,8 @@
         if self.behaviour.borrow().ignores_cancels {
             return;
         }
-        let same = |p: &Part| p.search == search && p.shard == shard && p.fetch == fetch;
+        let same =
+            |p: &Part| p.search == search && p.shard == shard && p.second_step == second_step;
         let before = self.queue.borrow().len();
         self.queue
             .borrow_mut()
--- a/crates/testing/fakes/src/wire/frame.rs
+++ b/crates/testing/fakes/src/wire/frame.rs
@@ -20,7 +20,7 @@
     pub(crate) search: String,
     pub(crate) shard: u64,
     /// Whether it belongs to the second step.
-    pub(crate) fetch: bool,
+    pub(crate) second_step: bool,
     /// For the second step: the shards that the first step's result is from.
     pub(crate) from: Vec<u64>,
     /// For the second step: whether the first step's result is complete.
@@ -101,7 +101,7 @@
     let text_start = line_end + 1;
     let end = text_start + parse_number(length, line)? as usize;
     let text = bytes.get(text_start..end).context(TruncatedTextSnafu)?;
-    let (id, fetch) = id
+    let (id, second_step) = id
         .strip_suffix(".fetch")
         .map_or((id, false), |id| (id, true));
     let (search, named) = id.rsplit_once('.').context(MissingShardSnafu { id })?;
@@ -114,7 +114,7 @@
     let part = Part {
         search: search.to_string(),
         shard,
-        fetch,
+        second_step,
         from: entries.from,
         first_complete: entries.first_complete,
         text: text.to_string(),
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -22,7 +22,8 @@
     /// The shard that the part queries.
     pub shard: u64,
     /// Whether the part belongs to the second step.
-    pub fetch: bool,
+    #[serde(rename = "fetch")]
+    pub second_step: bool,
 }
 
 /// A queried shard and how much it counts; `[shard, weight]` in the record.
--- a/crates/testing/invariants/src/rules/answers.rs
+++ b/crates/testing/invariants/src/rules/answers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// What is wrong with the rows themselves.
-fn row_faults(search: &Search, fetch: bool, rows: &[ShardValue]) -> Vec<String> {
+fn row_faults(search: &Search, second_step: bool, rows: &[ShardValue]) -> Vec<String> {
     let mut faults = Vec::new();
     let mut seen = Vec::new();
     for row in rows {
@@ -20,7 +20,7 @@
             faults.push(format!("shard {shard} stands in it twice"));
         }
         seen.push(shard);
-        let key = PartKey { shard, fetch };
+        let key = PartKey { shard, second_step };
         let mut values = search.values.get(&key).into_iter().flatten();
         if !values.any(|value| **value == *row.value) {
             faults.push(format!("no replica made the value of shard {shard} for it"));
@@ -85,8 +85,8 @@
     let complete = first.complete;
     let weight = search.weight(|shard| first.shards.contains(&shard));
     let has_answered = |shard: u64| {
-        let fetch = false;
-        search.values.contains_key(&PartKey { shard, fetch })
+        let second_step = false;
+        search.values.contains_key(&PartKey { shard, second_step })
     };
     let missing: Vec<&u64> = first
         .shards
@@ -154,7 +154,7 @@
         shards: &[u64],
         first_step_complete: Option<bool>,
     ) {
-        if !part.fetch {
+        if !part.second_step {
             return;
         }
         let Some(search) = self.searches.get_mut(&part.search) else {
--- a/crates/testing/invariants/src/rules/retry_budget.rs
+++ b/crates/testing/invariants/src/rules/retry_budget.rs
@@ -53,8 +53,8 @@
             return;
         };
         let completed = search.weight(|shard| {
-            let fetch = false;
-            search.values.contains_key(&PartKey { shard, fetch })
+            let second_step = false;
+            search.values.contains_key(&PartKey { shard, second_step })
         });
         if completed >= terms.minimum_weight - WEIGHT_TOLERANCE {
             search.second_step_possible = true;
--- a/crates/testing/invariants/src/state.rs
+++ b/crates/testing/invariants/src/state.rs
@@ -24,14 +24,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PartKey {
     pub(crate) shard: u64,
-    pub(crate) fetch: bool,
+    pub(crate) second_step: bool,
 }
 
 impl From<&PartName> for PartKey {
     fn from(part: &PartName) -> Self {
         PartKey {
             shard: part.shard,
-            fetch: part.fetch,
+            second_step: part.second_step,
         }
     }
 }
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -27,11 +27,11 @@
     "r-1 \"é\"".into()
 }
 
-fn part(fetch: bool) -> PartName {
+fn part(second_step: bool) -> PartName {
     PartName {
         search: search(),
         shard: 7,
-        fetch,
+        second_step,
     }
 }
 
--- a/crates/testing/invariants/tests/rules/answers.rs
+++ b/crates/testing/invariants/tests/rules/answers.rs
@@ -18,12 +18,12 @@
     }
 }
 
-fn completed(shard: u64, fetch: bool) -> EventKind {
+fn completed(shard: u64, second_step: bool) -> EventKind {
     EventKind::PartCompleted {
         node: NODE,
         replica: "a".into(),
-        part: part(shard, fetch),
-        value: format!("v{shard}{fetch}").into(),
+        part: part(shard, second_step),
+        value: format!("v{shard}{second_step}").into(),
     }
 }
 
--- a/crates/testing/invariants/tests/rules/slow_start.rs
+++ b/crates/testing/invariants/tests/rules/slow_start.rs
@@ -24,7 +24,7 @@
     let part = PartName {
         search: search.clone(),
         shard: 0,
-        fetch: false,
+        second_step: false,
     };
     let requested = EventKind::Requested {
         node,
--- a/crates/testing/invariants/tests/rules/support.rs
+++ b/crates/testing/invariants/tests/rules/support.rs
@@ -55,11 +55,11 @@
     }
 }
 
-pub(crate) fn part(shard: u64, fetch: bool) -> PartName {
+pub(crate) fn part(shard: u64, second_step: bool) -> PartName {
     PartName {
         search: "s".into(),
         shard,
-        fetch,
+        second_step,
     }
 }
 
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn start_replica(&mut self, replica: usize, is_warming_up: bool) -> io::Result<()> {
-        let slow_start = self.script.settings.cold.as_ref();
+        let slow_start = self.script.settings.slow_start.as_ref();
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
             queue_capacity: self.script.fleet.queue_capacity,
--- a/crates/testing/simulation/src/recovery.rs
+++ b/crates/testing/simulation/src/recovery.rs
@@ -38,7 +38,7 @@
     pub back_after_s: Option<f64>,
     /// Searches that missed their latency target until then, beyond the earlier share.
     #[serde(rename = "lost")]
-    pub lost_searches: f64,
+    pub missed_searches: f64,
     /// Attempts per search, from its begin until the service was back.
     #[serde(rename = "sub_requests")]
     pub attempts_per_search: f64,
@@ -86,7 +86,7 @@
         share_before: before,
         share_during: level(searches, begin, end).unwrap_or(before),
         back_after_s: back.map(|b| b - end),
-        lost_searches: (missed - (1.0 - before) * affected.len() as f64).max(0.0),
+        missed_searches: (missed - (1.0 - before) * affected.len() as f64).max(0.0),
         attempts_per_search: attempts / affected.len().max(1) as f64,
     }
 }
--- a/crates/testing/simulation/src/script/check.rs
+++ b/crates/testing/simulation/src/script/check.rs
@@ -120,7 +120,12 @@
     )?;
     count_within(field("least_parts"), t.min_parts, 1, shards)?;
     count_within(field("most_parts"), t.max_parts, t.min_parts, shards)?;
-    within(field("floor"), t.floor, 0.0, t.need.min(1.0))?;
+    within(
+        field("floor"),
+        t.minimum_weight,
+        0.0,
+        t.complete_weight.min(1.0),
+    )?;
     within(field("work"), t.work_s, 1e-6, 10.0)?;
     let is_plain = t.name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-');
     ensure!(
--- a/crates/testing/simulation/src/script/draw.rs
+++ b/crates/testing/simulation/src/script/draw.rs
@@ -55,7 +55,7 @@
             share: 0.1,
             window_s: 10.0,
         }),
-        cold: choices.one_in(2).then(|| SlowStart {
+        slow_start: choices.one_in(2).then(|| SlowStart {
             initial_share: choices.pick(&[0.25, 0.15]),
             duration_s: 8.0,
             overload_multiple: 2.0,
@@ -83,13 +83,13 @@
         ]),
         token_window_s: choices.pick(&[0.5, 2.0]),
         any_holder: choices.one_in(2),
-        need: 1.0,
-        floor: if may_be_partial {
+        complete_weight: 1.0,
+        minimum_weight: if may_be_partial {
             choices.pick(&[0.5, 0.8])
         } else {
             1.0
         },
-        fetch: if choices.one_in(3) {
+        second_step_parts: if choices.one_in(3) {
             choices.pick(&[1, 2])
         } else {
             0
--- a/crates/testing/simulation/src/script/draw_faults.rs
+++ b/crates/testing/simulation/src/script/draw_faults.rs
@@ -26,7 +26,7 @@
         let index = self.small_below(FaultKind::NAMES.len() as u32);
         match FaultKind::NAMES[index as usize] {
             "cut" if script.fleet.zones > 1 => self.partition(script),
-            "costly" if script.settings.cold.is_none() => FaultKind::ExpensiveSearches {
+            "costly" if script.settings.slow_start.is_none() => FaultKind::ExpensiveSearches {
                 factor: self.pick(&[2.0, 5.0]),
             },
             "cut" | "costly" | "burst" => FaultKind::LoadBurst {
@@ -125,7 +125,9 @@
             7 => self.stall_with_burst(script, at, duration),
             8 => self.isolation_with_replacement(script, at, duration),
             // Not while replicas may be warming up: see the open points of `docs/faults.md`.
-            9 if script.settings.cold.is_none() => self.overload_with_errors(script, at, duration),
+            9 if script.settings.slow_start.is_none() => {
+                self.overload_with_errors(script, at, duration)
+            }
             10 => self.drain_while_stalled(script, at, duration),
             _ => self.one_or_two_faults(script, at, duration),
         }
--- a/crates/testing/simulation/src/script/draw_tier.rs
+++ b/crates/testing/simulation/src/script/draw_tier.rs
@@ -21,7 +21,7 @@
 fn draw_settings(settings: &mut Settings, choices: &mut Choices) {
     let (initial_share, overload_multiple) =
         choices.pick(&[(0.15, 2.0), (0.25, 2.0), (0.25, 2.5), (0.4, 3.0)]);
-    settings.cold = Some(SlowStart {
+    settings.slow_start = Some(SlowStart {
         initial_share,
         duration_s: choices.pick(&[6.0, 12.0]),
         overload_multiple,
--- a/crates/testing/simulation/src/script/model.rs
+++ b/crates/testing/simulation/src/script/model.rs
@@ -85,8 +85,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget: Option<Budget>,
     /// How replicas warm up, if they do.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub cold: Option<SlowStart>,
+    #[serde(rename = "cold", skip_serializing_if = "Option::is_none")]
+    pub slow_start: Option<SlowStart>,
 }
 
 /// The retry budget: attempts beyond each part's first that may be sent in any window.
--- a/crates/testing/simulation/src/script/query_type.rs
+++ b/crates/testing/simulation/src/script/query_type.rs
@@ -43,11 +43,14 @@
     /// Whether every replica of the shard recognises them, or only the one that ran the part.
     pub any_holder: bool,
     /// Share of the weight from which an answer is complete.
-    pub need: f64,
-    /// Least share of the weight that an answer may have; no larger than `need`.
-    pub floor: f64,
+    #[serde(rename = "need")]
+    pub complete_weight: f64,
+    /// Least share of the weight that an answer may have; no larger than `complete_weight`.
+    #[serde(rename = "floor")]
+    pub minimum_weight: f64,
     /// Parts of a search's second step; 0 without one.
-    pub fetch: usize,
+    #[serde(rename = "fetch")]
+    pub second_step_parts: usize,
     /// Fewest parts of a search's first step; at least 1.
     #[serde(rename = "least_parts")]
     pub min_parts: usize,
@@ -62,6 +65,6 @@
 impl QueryType {
     /// Mean number of parts of a search, in both steps.
     pub(super) fn mean_parts(&self) -> f64 {
-        (self.min_parts + self.max_parts) as f64 / 2.0 + self.fetch as f64
+        (self.min_parts + self.max_parts) as f64 / 2.0 + self.second_step_parts as f64
     }
 }
--- a/crates/testing/simulation/src/settings.rs
+++ b/crates/testing/simulation/src/settings.rs
@@ -26,15 +26,15 @@
             },
             Repeats::NonIdempotent => woadreach_invariants::Repeats::NonIdempotent,
         },
-        complete_weight: t.need,
-        minimum_weight: t.floor,
-        second_step_parts: t.fetch,
+        complete_weight: t.complete_weight,
+        minimum_weight: t.minimum_weight,
+        second_step_parts: t.second_step_parts,
     });
     Terms {
         query_types: query_types.collect(),
         answer_grace: ANSWER_GRACE,
         drain_grace: s.drain_grace_s,
-        slow_start: s.cold.as_ref().map(|slow_start| SlowStart {
+        slow_start: s.slow_start.as_ref().map(|slow_start| SlowStart {
             initial_capacity: slow_start.initial_share,
             duration: slow_start.duration_s,
             overload_multiple: slow_start.overload_multiple,
@@ -83,7 +83,7 @@
 
 /// The guarantees, as the members of a JSON object.
 fn guarantees_json(settings: &Settings) -> String {
-    let slow_start = settings.cold.as_ref().map_or(String::new(), |s| {
+    let slow_start = settings.slow_start.as_ref().map_or(String::new(), |s| {
         format!(
             r#","tipMultiple":{},"tipAfterMs":{},"coldFrom":{},"coldMs":{}"#,
             s.overload_multiple,
@@ -139,9 +139,9 @@
         f.span,
         f.shards,
         s.per_call,
-        of_query_types(script, |t| t.need.to_string()),
-        of_query_types(script, |t| t.floor.to_string()),
-        of_query_types(script, |t| t.fetch.to_string()),
+        of_query_types(script, |t| t.complete_weight.to_string()),
+        of_query_types(script, |t| t.minimum_weight.to_string()),
+        of_query_types(script, |t| t.second_step_parts.to_string()),
         limits_json(script),
         s.marks_repeats,
         guarantees_json(s),
--- a/crates/testing/simulation/src/shrink.rs
+++ b/crates/testing/simulation/src/shrink.rs
@@ -69,9 +69,9 @@
     with(&|s| s.load.disconnect_share = 0.0);
     with(&|s| s.fleet.max_clock_offset = 0.0);
     with(&|s| s.settings.budget = None);
-    with(&|s| s.settings.cold = None);
+    with(&|s| s.settings.slow_start = None);
     for i in 0..script.query_types.len() {
-        with(&|s| s.query_types[i].fetch = 0);
+        with(&|s| s.query_types[i].second_step_parts = 0);
         with(&|s| s.query_types[i].max_parts = s.query_types[i].min_parts);
         with(&|s| {
             s.query_types[i].min_parts = 1;
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -30,7 +30,12 @@
         slot.process.set(net.process());
         slot.alive.set(true);
         let start = slot.starts.replace(slot.starts.get() + 1);
-        let slow_start = self.script.settings.cold.as_ref().filter(|_| warming_up);
+        let slow_start = self
+            .script
+            .settings
+            .slow_start
+            .as_ref()
+            .filter(|_| warming_up);
         let behaviour = Behaviour {
             cores: self.script.fleet.cores,
             queue_capacity: self.script.fleet.queue_capacity,
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -69,7 +69,7 @@
         (0.5, 2.0, 30.0)
     );
     let budget = s.budget.as_ref().map(|b| (b.free, b.share, b.window_s));
-    let cold = s.cold.as_ref().map(|c| {
+    let slow_start = s.slow_start.as_ref().map(|c| {
         (
             c.initial_share,
             c.duration_s,
@@ -78,7 +78,7 @@
         )
     });
     assert_eq!(
-        (budget, cold),
+        (budget, slow_start),
         (Some((10.0, 0.2, 5.0)), Some((0.25, 12.0, 2.0, 1.0)))
     );
     assert_eq!(
@@ -128,7 +128,14 @@
         (browse.token_window_s, browse.any_holder, check.any_holder),
         (2.0, false, true)
     );
-    assert_eq!((browse.need, browse.floor, browse.fetch), (1.0, 0.5, 2));
+    assert_eq!(
+        (
+            browse.complete_weight,
+            browse.minimum_weight,
+            browse.second_step_parts
+        ),
+        (1.0, 0.5, 2)
+    );
     assert_eq!(
         (browse.min_parts, browse.max_parts, browse.work_s),
         (2, 4, 0.1)
@@ -349,7 +356,7 @@
     let part = PartName {
         search: std::sync::Arc::clone(&search),
         shard: 0,
-        fetch: false,
+        second_step: false,
     };
     let (replica, value): (std::sync::Arc<str>, _) = ("r-1".into(), "v".into());
     let record = Rc::new(RefCell::new(Record::new(terms(), vec![0.5], true)));
@@ -427,7 +434,7 @@
         share_before: 1.0,
         share_during: 0.5,
         back_after_s: Some(2.25),
-        lost_searches: 3.5,
+        missed_searches: 3.5,
         attempts_per_search: 1.25,
     };
     let never = Recovery {
