--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -282,7 +282,7 @@
         };
         if in_flight.search.finished {
             let parts = in_flight.search.parts.iter();
-            for part in parts.filter(|_| !is_mutated("hand-keeps-parts")) {
+            for part in parts.filter(|_| !is_mutated("search-table-keeps-parts")) {
                 self.by_part.remove(&part.id);
             }
             executor.finished(&in_flight.search);
@@ -292,7 +292,7 @@
         let wait = self.balancer.wait(now, &in_flight.search);
         if now + wait < in_flight.due {
             in_flight.due = now + wait;
-            if !is_mutated("hand-no-timer") {
+            if !is_mutated("search-table-no-timer") {
                 executor.timer(id, wait);
             }
         }
--- a/crates/router/search-driver/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -82,7 +82,7 @@
 /// Number of co-ordinators that share the load, this one included.
 fn parse_coordinators(fields: Fields<'_>) -> usize {
     (fields.number_or("/siblings", 1.0) as usize)
-        .saturating_sub(usize::from(is_mutated("host-siblings")))
+        .saturating_sub(usize::from(is_mutated("settings-siblings")))
         .max(1)
 }
 
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -40,8 +40,8 @@
             return Some(AllowedRepeat::ANYWHERE);
         };
         match self.settings.query_types[search.query_type.0].repeat {
-            Repeat::NonIdempotent if is_mutated("module-once") => Some(AllowedRepeat::ANYWHERE),
-            Repeat::Tokened { .. } if is_mutated("module-token-window") => {
+            Repeat::NonIdempotent if is_mutated("routing-once") => Some(AllowedRepeat::ANYWHERE),
+            Repeat::Tokened { .. } if is_mutated("routing-token-window") => {
                 Some(AllowedRepeat::ANYWHERE)
             }
             Repeat::Idempotent => Some(AllowedRepeat::ANYWHERE),
--- a/crates/routing/src/decide/retry_budget.rs
+++ b/crates/routing/src/decide/retry_budget.rs
@@ -51,11 +51,11 @@
         let Some(config) = self
             .config
             .as_ref()
-            .filter(|_| !is_mutated("module-budget"))
+            .filter(|_| !is_mutated("routing-budget"))
         else {
             return true;
         };
-        let forgotten = if is_mutated("module-budget-window") {
+        let forgotten = if is_mutated("routing-budget-window") {
             0.1 * config.window
         } else {
             0.0
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -238,15 +238,15 @@
                 .parts
                 .iter()
                 .all(|part| part.attempts.iter().all(Attempt::proven_unrun))
-            || is_mutated("module-harmless");
-        let minimum = if is_mutated("module-floor") {
+            || is_mutated("routing-harmless");
+        let minimum = if is_mutated("routing-floor") {
             0.0
         } else {
             query_type.minimum_weight
         };
         let reply = if answered > 0.0 && answered >= minimum - ROUNDING {
             Reply::Answered {
-                complete: is_mutated("module-whole"),
+                complete: is_mutated("routing-whole"),
             }
         } else if is_harmless {
             // The client should retry after half of the time that remains for queuing, if that can still be in time;
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -143,7 +143,7 @@
             .settings
             .slow_start
             .as_ref()
-            .filter(|_| !is_mutated("module-cold-cap"));
+            .filter(|_| !is_mutated("routing-cold-cap"));
         let (Some(config), Some(started_at)) = (config, warming.started_at(now, replica.ready_at))
         else {
             return false;
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -131,7 +131,7 @@
                 replica.answered_at = 0.0;
                 replica.state = started(line);
             }
-            replica.open = line.open || is_mutated("module-drain");
+            replica.open = line.open || is_mutated("routing-drain");
             replica.zone = Some(line.zone);
             let cell = line.cell.0 % self.cell_count;
             self.cells
--- a/crates/routing/src/mutations.rs
+++ b/crates/routing/src/mutations.rs
@@ -17,30 +17,33 @@
 
 /// Every mutation.
 pub const MUTATIONS: [Mutation; 20] = [
-    mutation("module-cold-cap", "the cap on what a cold replica is sent"),
-    mutation("module-budget", "the budget of further sub-requests"),
     mutation(
-        "module-budget-window",
+        "routing-cold-cap",
+        "the cap on what a warming replica is sent",
+    ),
+    mutation("routing-budget", "the budget of further attempts"),
+    mutation(
+        "routing-budget-window",
         "a tenth of the budget's window: further ones are forgotten early",
     ),
-    mutation("module-once", "the bar on repeats of non-idempotent parts"),
+    mutation("routing-once", "the bar on repeats of non-idempotent parts"),
     mutation(
-        "module-token-window",
+        "routing-token-window",
         "the time in which repeats of tokened parts are told apart",
     ),
     mutation(
-        "module-harmless",
+        "routing-harmless",
         "the proof that a shed search has not run",
     ),
-    mutation("module-floor", "the least share of parts"),
-    mutation("module-whole", "the mark of an answer that is not whole"),
-    mutation("module-drain", "the heed of a list that says draining"),
+    mutation("routing-floor", "the least share of parts"),
+    mutation("routing-whole", "the mark of an answer that is not whole"),
+    mutation("routing-drain", "the heed of a list that says draining"),
     mutation(
-        "host-siblings",
-        "one co-ordinator of the tier, in what each counts as its share of a cold replica",
+        "settings-siblings",
+        "one co-ordinator of the tier, in what each counts as its share of a warming replica",
     ),
-    mutation("hand-keeps-parts", "the return of a search's parts"),
-    mutation("hand-no-timer", "the timers of searches"),
+    mutation("search-table-keeps-parts", "the return of a search's parts"),
+    mutation("search-table-no-timer", "the timers of searches"),
     mutation(
         "core-no-wait",
         "the moment between a part's leaving and its search's answer",
--- a/crates/testing/simulation/src/mutations.rs
+++ b/crates/testing/simulation/src/mutations.rs
@@ -27,7 +27,7 @@
 }
 
 /// Mutations that show only in runs of a whole tier.
-const TIER_MUTATIONS: [&str; 2] = ["module-cold-cap", "host-siblings"];
+const TIER_MUTATIONS: [&str; 2] = ["routing-cold-cap", "settings-siblings"];
 
 /// The names of all mutations.
 pub fn names() -> Vec<&'static str> {
--- a/crates/testing/simulation/tests/days.rs
+++ b/crates/testing/simulation/tests/days.rs
@@ -280,7 +280,7 @@
 #[rstest]
 #[case::no_wait("core-no-wait", woadreach_invariants::Rule::NoSearchLost)]
 #[case::drains_unread("discovery-no-drains", woadreach_invariants::Rule::DrainRespected)]
-#[case::floor("module-floor", woadreach_invariants::Rule::HonestAnswers)]
+#[case::floor("routing-floor", woadreach_invariants::Rule::HonestAnswers)]
 fn an_injected_bug_is_found(#[case] mutation: &str, #[case] rule: woadreach_invariants::Rule) {
     let hunted = woadreach_simulation::mutations::hunt(mutation, 0..200, false).unwrap();
     assert_eq!(hunted.rule, Some(rule.to_string()));
