--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -18,9 +18,9 @@
 
 pub mod decide {
     //! Every decision, by concern. Nothing here does I/O or reads a clock: time (seconds, from any origin)
-    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`, `hedging`,
-    //! `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The others know nothing of
-    //! searches and serve any proxy, generic over its replica identifier `R`:
+    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`,
+    //! `hung_attempts`, `probes`, `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The
+    //! others know nothing of searches and serve any proxy, generic over its replica identifier `R`:
     //!
     //! - [`UnloadedLatency`]: `record` the latency of each answered call that was sent with nothing else of
     //!   ours in flight at its replica; `forget` one that has departed or restarted.
@@ -37,18 +37,20 @@
     //! - [`LatencyLimits`] (query router only; the tier's are in `scheduler::routes`): `answered` with
     //!   each latency, then `update`; a call is late after `late_after`, due a hedge after `hedge_after`;
     //!   `update_overload` before a request is decided on.
-    //! - [`RetryBudget`] (query router only; the tier's is in `scheduler::retry_tokens`): `record_taken` for
-    //!   each request, `record_sent` for each call beyond a first, while it `allows_retry`.
+    //! - [`RetryBudget`] (query router only; the tier's is in `scheduler::retry_tokens`): `record_taken` with
+    //!   what the ratio is of, such as one for each request; `record_repeat_sent` for each call beyond a first,
+    //!   while it `allows_retry`.
 
     mod admission;
     pub mod candidates;
     mod health;
-    mod hedging;
     pub mod hold;
+    mod hung_attempts;
     pub mod latency_limits;
     pub mod outlier_detector;
     pub mod part_budget;
     mod placement;
+    mod probes;
     mod repeats;
     pub mod retry_budget;
     mod search_steps;
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -6,7 +6,7 @@
 
 /// A co-ordinator by its number, which it keeps over restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct NodeId(
+pub struct CoordinatorId(
     /// Counted from 0.
     pub usize,
 );
@@ -22,7 +22,8 @@
     /// The shard that the part queries.
     pub shard: u64,
     /// Whether the part belongs to the second step.
-    pub fetch: bool,
+    #[serde(rename = "fetch")]
+    pub second_step: bool,
 }
 
 /// A queried shard and how much it counts; `[shard, weight]` in the record.
@@ -65,31 +66,35 @@
     pub kind: EventKind,
 }
 
-/// What happened. The names in the record are older than those of the variants and fields.
+/// What happened. The names in the record are older than those of the variants and fields; `docs/faults.md` has them
+/// side by side.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
     /// A co-ordinator's process starts, without any search.
-    NodeStarted {
+    #[serde(rename = "node_started")]
+    CoordinatorStarted {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
     /// A co-ordinator was killed, so its searches are excused.
-    NodeKilled {
+    #[serde(rename = "node_killed")]
+    CoordinatorKilled {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
     /// A co-ordinator has ended by itself, for example after a graceful shutdown.
-    NodeEnded {
+    #[serde(rename = "node_ended")]
+    CoordinatorEnded {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
     },
 
     /// The last byte of a search's request has arrived at the co-ordinator's machine.
     #[serde(rename = "asked")]
     Requested {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// The search's identifier.
         search: Arc<str>,
         /// Index into [`Terms::query_types`](crate::Terms::query_types).
@@ -139,7 +144,7 @@
     #[serde(rename = "sent")]
     PartReceived {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -163,7 +168,7 @@
     #[serde(rename = "turned_away")]
     PartRejected {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -173,7 +178,7 @@
     #[serde(rename = "made")]
     PartCompleted {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -185,7 +190,7 @@
     #[serde(rename = "given_up")]
     PartCancelled {
         /// The co-ordinator that sent it.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// The part.
@@ -197,7 +202,7 @@
     #[serde(rename = "told")]
     ReplicaListed {
         /// The co-ordinator whose agent it is.
-        node: NodeId,
+        node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
         /// Ready; otherwise draining or departed.
@@ -224,23 +229,24 @@
     /// The co-ordinator's process is suspended from now on, and can't answer meanwhile.
     Stalled {
         /// The co-ordinator.
-        node: NodeId,
+        node: CoordinatorId,
         /// For how long.
         seconds: Seconds,
     },
-    /// A task of the co-ordinator has panicked.
+    /// A task of the co-ordinator has panicked, or its process has ended with an error.
     Panicked {
         /// The co-ordinator.
-        node: NodeId,
-        /// The panic's message.
+        node: CoordinatorId,
+        /// The message of the panic or of the error.
         why: String,
     },
-    /// The co-ordinator holds a resource that nothing accounts for.
+    /// Something of the co-ordinator is left that should have ended (memory, a search, its process), or it wrote what
+    /// nobody can read.
     #[serde(rename = "kept")]
-    Leaked {
+    CoordinatorUnsound {
         /// The co-ordinator.
-        node: NodeId,
-        /// The resource.
+        node: CoordinatorId,
+        /// What is left, or cannot be read.
         why: String,
     },
 }
