--- a/crates/router/woadreachd/tests/daemon/main.rs
+++ b/crates/router/woadreachd/tests/daemon/main.rs
@@ -1,6 +1,6 @@
 //! The built program, spoken to over sockets: clients, replicas and discovery are fakes on loopback.
 
-#[path = "../../../../routing/tests/common/mod.rs"]
+#[path = "../common/mod.rs"]
 mod common;
 #[path = "../scene/mod.rs"]
 mod scene;
--- a/crates/router/woadreachd/tests/endings.rs
+++ b/crates/router/woadreachd/tests/endings.rs
@@ -1,7 +1,6 @@
 //! What may still be owed or arrive when something ends (docs/endings.md): each test forces one such case over
 //! loopback sockets, with peers that hold bytes back and then send them.
 
-#[path = "../../../routing/tests/common/mod.rs"]
 mod common;
 mod scene;
 use common::{StandIn, Wire, list, parts, request};
