--- a/crates/testing/local-tier/tests/losses.rs
+++ b/crates/testing/local-tier/tests/losses.rs
@@ -240,7 +240,7 @@
     let epoch = wait_for(tier, "a pull by the restarted storage machine", || {
         let log = log_of(tier, MachineClass::Storage, index);
         if pulled(&log) > pulls {
-            number_after(&log, "completed epoch=")
+            number_after(&log, "completed storage_epoch=")
         } else {
             None
         }
--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -79,8 +79,10 @@
 }
 
 fn decode_or_log(stored: Option<&StoredStorageView>) -> Option<StorageView> {
-    let epoch = stored.map(|stored| stored.epoch);
+    let storage_epoch = stored.map(|stored| stored.epoch);
     decode_view(stored)
-        .inspect_err(|error| tracing::error!(epoch, %error, "stored storage view not decoded"))
+        .inspect_err(
+            |error| tracing::error!(storage_epoch, %error, "stored storage view not decoded"),
+        )
         .ok()
 }
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -102,9 +102,13 @@
     }
 
     /// Logs, once an epoch, that no plan is made on a view that can't be decoded.
-    fn log_unreadable(&self, epoch: u64, error: MessageError) {
-        if self.unreadable_epoch.swap(epoch, Ordering::Relaxed) != epoch {
-            tracing::error!(epoch, %error, "storage view planning skipped, stored view not decoded");
+    fn log_unreadable(&self, storage_epoch: u64, error: MessageError) {
+        if self.unreadable_epoch.swap(storage_epoch, Ordering::Relaxed) != storage_epoch {
+            tracing::error!(
+                storage_epoch,
+                %error,
+                "storage view planning skipped, stored view not decoded"
+            );
         }
     }
 
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -215,7 +215,9 @@
         };
         match StorageView::decode(bytes) {
             Ok(view) => self.snapshot.storage_view = Some(Arc::new(view)),
-            Err(error) => tracing::error!(epoch = *version, %error, "storage view parsing failed"),
+            Err(error) => {
+                tracing::error!(storage_epoch = *version, %error, "storage view parsing failed");
+            }
         }
     }
 
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -75,7 +75,7 @@
             }
             sleep(PULL_RETRY_INTERVAL).await;
         }
-        tracing::info!(epoch, "storage pull completed");
+        tracing::info!(storage_epoch = epoch, "storage pull completed");
         self.shared.pulled_epoch.send_replace(epoch);
     }
 
