--- a/crates/tier/control/src/core_role/recovery.rs
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -68,7 +68,7 @@
     };
     let (opened, is_intact) = match Journal::open(path, options) {
         Err(error @ JournalError::Corrupt { .. }) => {
-            tracing::error!(%error, "journal corrupted, starting as a new member");
+            tracing::error!(%error, "journal corrupted, starting with a new disk identity");
             Journal::discard(path).context(JournalSnafu { path })?;
             (Journal::open(path, options), false)
         }
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -225,7 +225,7 @@
             }
             Err(error) => {
                 if !self.shared.disk_refuses.swap(true, Ordering::Relaxed) {
-                    tracing::warn!(%error, "disk write failed");
+                    tracing::warn!(%error, "journal append failed");
                 }
                 node.persist_failed()
             }
--- a/crates/tier/storage/src/server/recovery.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -44,7 +44,7 @@
             ensure!(is_new, UnreadableSnafu { path: folder });
         }
         Err(error @ JournalError::Corrupt { .. }) => {
-            tracing::error!(%error, "corrupt disk discarded");
+            tracing::error!(%error, "journal corrupted, starting with a new disk identity");
         }
         Err(source) => return Err(ServerError::Disk { source }),
     }
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -58,7 +58,7 @@
         let server = self.clone();
         tokio::spawn(async move {
             if let Err(error) = replaced.await {
-                tracing::warn!(%error, "log compaction failed");
+                tracing::warn!(%error, "journal compaction failed");
             }
             server.shared.upkeep.lock().compacting = false;
         });
