--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -17,7 +17,7 @@
 
 /// Interval between two announcements of a machine.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Without any announcement for longer than this, the observer itself was frozen or partitioned.
+/// Without any announcement for longer than this, the observer itself was stalled or partitioned.
 const MAX_OBSERVER_GAP: Duration = Duration::from_secs(1);
 /// Upper bound of the machines that an observer remembers.
 const MAX_MACHINES: usize = 4_096;
@@ -103,7 +103,7 @@
     }
 
     /// How long a machine has not announced itself while this observer was listening. It is zero for an observer
-    /// that has just started, was frozen or is partitioned: that observer knows of no unresponsive machine.
+    /// that has just started, was stalled or is partitioned: that observer knows of no unresponsive machine.
     #[must_use]
     pub fn unresponsive_for(&self, now: Instant, node: &str) -> Duration {
         if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -88,7 +88,7 @@
 struct PullDue {
     /// Epoch of the view that this machine knows.
     epoch: u64,
-    /// Rises whenever records may have been missed: after a start, a freeze or a partition.
+    /// Rises whenever records may have been missed: after a start, a stall or a partition.
     missed: u64,
 }
 
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -1,4 +1,4 @@
-//! Periodic work of a storage machine: expiry, compaction of the journal, and detection of a process that was frozen.
+//! Periodic work of a storage machine: expiry, compaction of the journal, and detection of a process that has stalled.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 
 use super::Server;
 
-/// A longer gap between two ticks means that the process was frozen.
-const MAX_TICK_GAP: Duration = Duration::from_millis(1_200);
+/// A longer gap between two ticks means that the process was stalled.
+const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 /// Shorter logs are never compacted.
 const MIN_LOG_BYTES: u64 = 8 << 20;
 
@@ -37,7 +37,7 @@
     pub(super) fn upkeep(&self) {
         let now = Instant::now();
         let last_tick = std::mem::replace(&mut self.shared.upkeep.lock().last_tick, now);
-        if now.saturating_duration_since(last_tick) > MAX_TICK_GAP {
+        if now.saturating_duration_since(last_tick) > PROCESS_STALL_THRESHOLD {
             self.request_pull();
         }
         self.shared.node.lock().expire(self.now());
