--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -90,19 +90,19 @@
     rpc: Client,
     listener: TcpListener,
 ) -> Services {
-    let tolerated_failures = settings.fault_tolerance.tolerated_group_losses();
+    let tolerated_losses = settings.fault_tolerance.tolerated_losses();
     // An order may be as long as a configuration; heartbeats between members must not queue behind it.
     let order_rpc = Client::new(ClientOptions::default());
     let orders = Arc::new(OrderService::new(
         Arc::clone(driver),
         order_rpc,
         settings.internal_address(),
-        tolerated_failures,
+        tolerated_losses,
     ));
     let committed = Arc::new(MemberCommittedState::new(Arc::clone(driver)));
     let discovery = CoreDiscovery::new(settings, random_number() | 1, rpc.clone(), committed);
     let seeds = settings.seed_internal_addresses();
-    let planner = StoragePlanner::new(Arc::clone(driver), rpc, seeds, tolerated_failures);
+    let planner = StoragePlanner::new(Arc::clone(driver), rpc, seeds, tolerated_losses);
     let sampler = Sampler::new(settings, NodeRole::Core, random_number());
 
     let handlers = discovery.handlers(planner.handlers(internal_handlers(driver, &orders)));
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -13,16 +13,16 @@
 use super::retire::{RetireDecision, decide_retire, retire_state};
 use crate::member_driver::MemberDriver;
 
-/// Executes an order. `tolerated_failures` is how many storage machines may be lost at once.
+/// Executes an order. `tolerated_losses` is how many storage machines may be lost at once.
 pub(crate) async fn execute_at_head(
     driver: &MemberDriver,
-    tolerated_failures: usize,
+    tolerated_losses: usize,
     order: &Order,
 ) -> Option<Answer> {
     match order {
         Order::PutConfiguration(put) => put_configuration(driver, put.clone()).await,
         Order::ReadConfiguration => read_configuration(driver).await,
-        Order::Retire { node } => retire_node(driver, node, tolerated_failures).await,
+        Order::Retire { node } => retire_node(driver, node, tolerated_losses).await,
         Order::RetireState { node } => read_retire_state(driver, node).await,
     }
 }
@@ -48,14 +48,9 @@
     }
 }
 
-async fn retire_node(
-    driver: &MemberDriver,
-    node: &str,
-    tolerated_failures: usize,
-) -> Option<Answer> {
-    let decide = |stored: Option<StoredStorageView>| {
-        decide_retire(stored.as_ref(), node, tolerated_failures)
-    };
+async fn retire_node(driver: &MemberDriver, node: &str, tolerated_losses: usize) -> Option<Answer> {
+    let decide =
+        |stored: Option<StoredStorageView>| decide_retire(stored.as_ref(), node, tolerated_losses);
     let answer = match decide(driver.latest_storage_view()) {
         RetireDecision::ReplaceView {
             expected_epoch,
--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -30,18 +30,18 @@
     Answer(Answer),
 }
 
-/// Decides an order to retire `node` on the stored view. `tolerated_failures` is how many storage machines
+/// Decides an order to retire `node` on the stored view. `tolerated_losses` is how many storage machines
 /// may be lost at once.
 #[must_use]
 pub fn decide_retire(
     stored: Option<&StoredStorageView>,
     node: &str,
-    tolerated_failures: usize,
+    tolerated_losses: usize,
 ) -> RetireDecision {
     let Some(view) = decode_or_log(stored) else {
         return RetireDecision::Answer(Answer::UnreadableStorageView);
     };
-    match retire(&view, node, tolerated_failures) {
+    match retire(&view, node, tolerated_losses) {
         Ok(changed) if changed.epoch != view.epoch => RetireDecision::ReplaceView {
             expected_epoch: stored.map_or(0, |stored| stored.epoch),
             view: changed,
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -84,23 +84,23 @@
     /// Internal address of this machine.
     own_address: SocketAddr,
     /// How many storage machines may be lost at once.
-    tolerated_failures: usize,
+    tolerated_losses: usize,
 }
 
 impl OrderService {
-    /// Creates the service of the machine with the internal address `own_address`. `tolerated_failures` is
+    /// Creates the service of the machine with the internal address `own_address`. `tolerated_losses` is
     /// how many storage machines may be lost at once.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
         own_address: SocketAddr,
-        tolerated_failures: usize,
+        tolerated_losses: usize,
     ) -> OrderService {
         OrderService {
             driver,
             rpc,
             own_address,
-            tolerated_failures,
+            tolerated_losses,
         }
     }
 
@@ -146,7 +146,7 @@
             Step::Wait => Ok(None),
             Step::Execute => {
                 progress.has_reached_head = true;
-                let answer = execute_at_head(&self.driver, self.tolerated_failures, order);
+                let answer = execute_at_head(&self.driver, self.tolerated_losses, order);
                 Ok(timeout_at(until, answer).await.ok().flatten())
             }
             Step::Forward(head) => {
@@ -186,7 +186,7 @@
             .timeout()
             .min(ORDER_TIMEOUT)
             .saturating_sub(RESPONSE_MARGIN);
-        let execution = execute_at_head(&self.driver, self.tolerated_failures, &forwarded.order);
+        let execution = execute_at_head(&self.driver, self.tolerated_losses, &forwarded.order);
         let answer = tokio::time::timeout(timeout, execution).await;
         Ok(answer
             .ok()
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -31,19 +31,19 @@
     announcements: Arc<Mutex<Announcements>>,
     seeds: Vec<SocketAddr>,
     /// How many storage machines may be lost at once.
-    tolerated_failures: usize,
+    tolerated_losses: usize,
     /// Epoch of the last storage view that could not be read.
     unreadable_epoch: AtomicU64,
 }
 
 impl StoragePlanner {
     /// Creates the planner of this core machine. `seeds` are the core machines that storage machines announce
-    /// themselves to; `tolerated_failures` is how many storage machines may be lost at once.
+    /// themselves to; `tolerated_losses` is how many storage machines may be lost at once.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
         seeds: Vec<SocketAddr>,
-        tolerated_failures: usize,
+        tolerated_losses: usize,
     ) -> Arc<StoragePlanner> {
         let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
         let unreadable_epoch = AtomicU64::new(0);
@@ -52,7 +52,7 @@
             rpc,
             announcements,
             seeds,
-            tolerated_failures,
+            tolerated_losses,
             unreadable_epoch,
         })
     }
@@ -124,7 +124,7 @@
             Instant::now(),
             &view,
             &self.announcements.lock(),
-            self.tolerated_failures,
+            self.tolerated_losses,
         );
         let Some(next) = planned else { return };
         tracing::info!(
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -72,7 +72,7 @@
         node: settings.node.clone(),
         address,
         zone: settings.zone.clone(),
-        tolerated: settings.fault_tolerance.tolerated_group_losses(),
+        tolerated_losses: settings.fault_tolerance.tolerated_losses(),
         disk_bytes: settings.limits.disk_mb * MEGABYTE,
     };
     let server = Server::open(&folder, rpc.clone(), options)
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -24,7 +24,7 @@
 /// Machines that announce themselves from the start.
 const INITIAL_MACHINES: u8 = 4;
 /// Storage machines that may be lost at once.
-const TOLERATED_FAILURES: usize = 1;
+const TOLERATED_LOSSES: usize = 1;
 /// Limit on the orders in flight at once.
 const MAX_ORDERS: usize = 8;
 const TICK: Duration = Duration::from_millis(100);
@@ -167,7 +167,7 @@
             Planner::Idle => {
                 let latest = self.latest.storage_view.as_ref();
                 let view = decode(latest);
-                if let Some(next) = plan(self.now, &view, &self.announcements, TOLERATED_FAILURES) {
+                if let Some(next) = plan(self.now, &view, &self.announcements, TOLERATED_LOSSES) {
                     let expected_epoch = latest.map_or(0, |stored| stored.epoch);
                     let bytes = Blob::from(next.encode());
                     self.planner = Planner::Planned(PutStorageView {
@@ -214,7 +214,7 @@
         };
         let node = format!("store-{}", choice % usize::from(MACHINES + 1));
         let stored = self.latest.storage_view.as_ref();
-        let decision = decide_retire(stored, &node, TOLERATED_FAILURES);
+        let decision = decide_retire(stored, &node, TOLERATED_LOSSES);
         self.orders[slot] = OrderSlot::Decided { node, decision };
     }
 
@@ -247,7 +247,7 @@
                 // The barrier: the state that was decided on is committed first.
                 self.commit();
                 let committed = self.committed.storage_view.as_ref();
-                let is_confirmed = decide_retire(committed, &node, TOLERATED_FAILURES) == decision
+                let is_confirmed = decide_retire(committed, &node, TOLERATED_LOSSES) == decision
                     || self.mutation == Some(Mutation::AnswersUnconfirmed);
                 if is_confirmed && let RetireDecision::Answer(answer) = decision {
                     self.record_answer(&node, &answer);
--- a/crates/tier/proxy/src/run.rs
+++ b/crates/tier/proxy/src/run.rs
@@ -66,8 +66,8 @@
     let signals = Signals::new().context(SignalsSnafu)?;
 
     let rpc = Client::new(ClientOptions::default());
-    let tolerated = settings.fault_tolerance.tolerated_group_losses();
-    let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated);
+    let tolerated_losses = settings.fault_tolerance.tolerated_losses();
+    let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated_losses);
     let seed = RandomState::new().hash_one(&settings.node);
     let proxy = Arc::new(Proxy::new(
         seed,
--- a/crates/tier/proxy/tests/support/storage.rs
+++ b/crates/tier/proxy/tests/support/storage.rs
@@ -42,7 +42,7 @@
             node: "store-1".to_owned(),
             address: listener.local_addr().expect("an address"),
             zone: "a".to_owned(),
-            tolerated: 0,
+            tolerated_losses: 0,
             disk_bytes: 50 << 20,
         };
         let rpc = Client::new(ClientOptions::default());
--- a/crates/tier/settings/src/settings.rs
+++ b/crates/tier/settings/src/settings.rs
@@ -100,7 +100,7 @@
 impl FaultTolerance {
     /// Number of members of a replication group that may be lost at once. The members are in different zones and
     /// regions, so the loss of a zone or region is the loss of one member.
-    pub fn tolerated_group_losses(&self) -> usize {
+    pub fn tolerated_losses(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 }
--- a/crates/tier/settings/tests/settings.rs
+++ b/crates/tier/settings/tests/settings.rs
@@ -129,8 +129,8 @@
         zones,
         regions,
     };
-    assert_eq!(tolerance(1, 0, 0).tolerated_group_losses(), 1);
-    assert_eq!(tolerance(0, 1, 0).tolerated_group_losses(), 1);
-    assert_eq!(tolerance(1, 2, 1).tolerated_group_losses(), 2);
-    assert_eq!(tolerance(0, 0, 1).tolerated_group_losses(), 1);
+    assert_eq!(tolerance(1, 0, 0).tolerated_losses(), 1);
+    assert_eq!(tolerance(0, 1, 0).tolerated_losses(), 1);
+    assert_eq!(tolerance(1, 2, 1).tolerated_losses(), 2);
+    assert_eq!(tolerance(0, 0, 1).tolerated_losses(), 1);
 }
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -177,7 +177,7 @@
     fn group_members(&self, view: &StorageView, program: &str) -> Vec<StorageMember> {
         let mut members: HashMap<u64, StorageMember> = HashMap::new();
         for membership in view.memberships() {
-            for member in group(membership, program, self.shared.tolerated) {
+            for member in group(membership, program, self.shared.tolerated_losses) {
                 members.entry(member.disk).or_insert_with(|| member.clone());
             }
         }
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -88,7 +88,7 @@
     /// Zone of this process, whose machines are read from first.
     zone: String,
     /// Number of machines that may be lost at once.
-    tolerated: usize,
+    tolerated_losses: usize,
     /// Origin of the times of the cache.
     started: Instant,
     /// The newest view known; its epoch never decreases.
@@ -100,16 +100,16 @@
 }
 
 impl StorageClient {
-    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated` machines may be lost at
-    /// once.
+    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated_losses` machines
+    /// may be lost at once.
     #[must_use]
-    pub fn new(rpc: Client, own_zone: String, tolerated: usize) -> StorageClient {
+    pub fn new(rpc: Client, own_zone: String, tolerated_losses: usize) -> StorageClient {
         let (view, _) = watch::channel(Arc::new(StorageView::default()));
         let seed = u128::from(random_number(&own_zone)) << 64 | u128::from(random_number("client"));
         let shared = Shared {
             rpc,
             zone: own_zone,
-            tolerated,
+            tolerated_losses,
             started: Instant::now(),
             view,
             cache: Mutex::new(TurnCache::new(CACHE_BYTES)),
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -23,7 +23,12 @@
         let deadline = Instant::now() + timeout;
         let mut views = self.shared.view.subscribe();
         let view = views.borrow_and_update().clone();
-        let mut write = Write::new(&view, program.to_owned(), operation, self.shared.tolerated);
+        let mut write = Write::new(
+            &view,
+            program.to_owned(),
+            operation,
+            self.shared.tolerated_losses,
+        );
         let (sender, mut answers) = unbounded_channel();
         self.send_to_all(&write, &sender);
         while !write.is_durable() {
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -69,7 +69,7 @@
     /// Identity of its disk.
     disk: u64,
     /// Number of machines that may be lost at once.
-    tolerated: usize,
+    tolerated_losses: usize,
     /// The newest view that this machine knows; its epoch is 0 before the first.
     view: StorageView,
     /// Requests of epochs before this one are refused even after a restart.
@@ -85,11 +85,11 @@
 impl StorageNode {
     /// The state of a machine with a new disk, and the record that gives the disk its identity.
     #[must_use]
-    pub fn create(name: String, disk: u64, tolerated: usize) -> (StorageNode, Vec<u8>) {
+    pub fn create(name: String, disk: u64, tolerated_losses: usize) -> (StorageNode, Vec<u8>) {
         let node = StorageNode {
             name,
             disk,
-            tolerated,
+            tolerated_losses,
             view: StorageView::default(),
             sealed_epoch: 0,
             pulled_epoch: 0,
@@ -105,7 +105,7 @@
     pub fn recover(
         now: Duration,
         name: String,
-        tolerated: usize,
+        tolerated_losses: usize,
         snapshot: Option<&[u8]>,
         records: &[Vec<u8>],
     ) -> Option<StorageNode> {
@@ -116,7 +116,7 @@
         let Record::Identity { disk } = decode(all.next()?).ok()? else {
             return None;
         };
-        let (mut node, _) = StorageNode::create(name, disk, tolerated);
+        let (mut node, _) = StorageNode::create(name, disk, tolerated_losses);
         for bytes in all {
             match decode::<Record>(bytes).ok()? {
                 Record::Identity { .. } => return None,
@@ -170,8 +170,8 @@
 
     /// Number of machines that may be lost at once.
     #[must_use]
-    pub fn tolerated(&self) -> usize {
-        self.tolerated
+    pub fn tolerated_losses(&self) -> usize {
+        self.tolerated_losses
     }
 
     /// Joint epoch for which everything has been pulled.
@@ -195,7 +195,7 @@
             .iter()
             .filter(|member| member.node != self.name)
             .count();
-        !is_being_replaced && others <= 2 * self.tolerated
+        !is_being_replaced && others <= 2 * self.tolerated_losses
     }
 
     /// Ends the pull for `epoch`, of which everything is in memory. Earlier records may still wait for a sync, so the
@@ -374,7 +374,8 @@
         if self.sealed_epoch < fencing_token.epoch {
             return self.reply(Answer::Behind);
         }
-        let wanted = |program: &str| is_in_group(self.view.latest(), program, self.tolerated, node);
+        let wanted =
+            |program: &str| is_in_group(self.view.latest(), program, self.tolerated_losses, node);
         let DigestPage { digests, more } = self.store.digests(after, MAX_DIGESTS, wanted);
         self.reply(Answer::DigestPage { digests, more })
     }
--- a/crates/tier/storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -15,9 +15,9 @@
 pub fn group<'a>(
     members: &'a [StorageMember],
     program: &str,
-    tolerated: usize,
+    tolerated_losses: usize,
 ) -> Vec<&'a StorageMember> {
-    let size = group_size(members.len(), tolerated);
+    let size = group_size(members.len(), tolerated_losses);
     let mut ranked: Vec<_> = members
         .iter()
         .map(|member| (rank(program.as_bytes(), &member.node), member))
@@ -41,28 +41,33 @@
 
 /// Whether `node` belongs to the group of `program`.
 #[must_use]
-pub fn is_in_group(members: &[StorageMember], program: &str, tolerated: usize, node: &str) -> bool {
-    group(members, program, tolerated)
+pub fn is_in_group(
+    members: &[StorageMember],
+    program: &str,
+    tolerated_losses: usize,
+    node: &str,
+) -> bool {
+    group(members, program, tolerated_losses)
         .iter()
         .any(|member| member.node == node)
 }
 
 /// Size of a group out of `members` machines.
 #[must_use]
-pub fn group_size(members: usize, tolerated: usize) -> usize {
-    members.min(2 * tolerated + 1)
+pub fn group_size(members: usize, tolerated_losses: usize) -> usize {
+    members.min(2 * tolerated_losses + 1)
 }
 
 /// Number of machines of a group that must have synced a write.
 #[must_use]
-pub fn write_quorum(group: usize, tolerated: usize) -> usize {
-    (tolerated + 1).max(group / 2 + 1)
+pub fn write_quorum(group: usize, tolerated_losses: usize) -> usize {
+    (tolerated_losses + 1).max(group / 2 + 1)
 }
 
 /// Number of machines of a group that must answer a read, so that it intersects every write.
 #[must_use]
-pub fn read_quorum(group: usize, tolerated: usize) -> usize {
+pub fn read_quorum(group: usize, tolerated_losses: usize) -> usize {
     (group + 1)
-        .saturating_sub(write_quorum(group, tolerated))
+        .saturating_sub(write_quorum(group, tolerated_losses))
         .max(1)
 }
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -33,9 +33,11 @@
 impl Pull {
     /// A pull for the joint epoch of `view` by the machine with disk `own`.
     #[must_use]
-    pub fn new(view: &StorageView, own: u64, tolerated: usize) -> Pull {
-        let size = group_size(view.current.len(), tolerated);
-        let max_missing = write_quorum(size, tolerated).min(size).saturating_sub(1);
+    pub fn new(view: &StorageView, own: u64, tolerated_losses: usize) -> Pull {
+        let size = group_size(view.current.len(), tolerated_losses);
+        let max_missing = write_quorum(size, tolerated_losses)
+            .min(size)
+            .saturating_sub(1);
         let finished = if view.is_current(own) {
             vec![own]
         } else {
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -30,16 +30,16 @@
     fn new(
         members: &[StorageMember],
         program: &str,
-        tolerated: usize,
+        tolerated_losses: usize,
         kind: QuorumKind,
     ) -> GroupQuorum {
-        let disks: Vec<u64> = group(members, program, tolerated)
+        let disks: Vec<u64> = group(members, program, tolerated_losses)
             .iter()
             .map(|member| member.disk)
             .collect();
         let needed = match kind {
-            QuorumKind::Write => write_quorum(disks.len(), tolerated),
-            QuorumKind::Read => read_quorum(disks.len(), tolerated),
+            QuorumKind::Write => write_quorum(disks.len(), tolerated_losses),
+            QuorumKind::Read => read_quorum(disks.len(), tolerated_losses),
         };
         GroupQuorum {
             disks,
@@ -71,12 +71,22 @@
 impl Quorum {
     /// A quorum for an operation on `program` under `view`, without answers yet.
     #[must_use]
-    pub fn new(view: &StorageView, program: &str, tolerated: usize, kind: QuorumKind) -> Quorum {
+    pub fn new(
+        view: &StorageView,
+        program: &str,
+        tolerated_losses: usize,
+        kind: QuorumKind,
+    ) -> Quorum {
         let mut groups = Vec::with_capacity(2);
         let mut members: Vec<StorageMember> = Vec::new();
         for membership in view.memberships() {
-            groups.push(GroupQuorum::new(membership, program, tolerated, kind));
-            for member in group(membership, program, tolerated) {
+            groups.push(GroupQuorum::new(
+                membership,
+                program,
+                tolerated_losses,
+                kind,
+            ));
+            for member in group(membership, program, tolerated_losses) {
                 if !members.iter().any(|known| known.disk == member.disk) {
                     members.push(member.clone());
                 }
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -50,7 +50,7 @@
     /// Zone of the machine.
     pub zone: String,
     /// Number of machines that may be lost at once.
-    pub tolerated: usize,
+    pub tolerated_losses: usize,
     /// Space for data files, in bytes.
     pub disk_bytes: u64,
 }
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -47,8 +47,8 @@
         if !joins && !view.is_current(disk) {
             return;
         }
-        let tolerated = self.shared.node.lock().tolerated();
-        let mut progress = Pull::new(&view, disk, tolerated);
+        let tolerated_losses = self.shared.node.lock().tolerated_losses();
+        let mut progress = Pull::new(&view, disk, tolerated_losses);
         let mut sources = JoinSet::new();
         for source in view.current.iter().filter(|source| source.disk != disk) {
             sources.spawn(pull_from(self.clone(), view.clone(), source.clone()));
--- a/crates/tier/storage/src/server/recovery.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -32,7 +32,7 @@
             let recovered = StorageNode::recover(
                 Duration::ZERO,
                 name,
-                options.tolerated,
+                options.tolerated_losses,
                 snapshot,
                 &found.records,
             );
@@ -62,7 +62,7 @@
     Journal::discard(folder)?;
     let (journal, _) = Journal::open(folder, bounds)?;
     let disk = random_number(&options.node);
-    let (node, record) = StorageNode::create(options.node.clone(), disk, options.tolerated);
+    let (node, record) = StorageNode::create(options.node.clone(), disk, options.tolerated_losses);
     let _synced = journal.append(record).await?;
     Ok((journal, node))
 }
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -91,11 +91,11 @@
 ///
 /// # Errors
 /// [`RetireError::Unknown`] if no view names the machine, [`RetireError::TooFew`] if fewer than
-/// `tolerated + 1` machines would remain.
+/// `tolerated_losses + 1` machines would remain.
 pub fn retire(
     view: &StorageView,
     node: &str,
-    tolerated: usize,
+    tolerated_losses: usize,
 ) -> Result<StorageView, RetireError> {
     if view.retiring.contains(node) || view.retired.contains(node) {
         return Ok(view.clone());
@@ -105,7 +105,7 @@
     }
     let stays =
         |member: &&StorageMember| member.node != node && !view.retiring.contains(&member.node);
-    if view.latest().iter().filter(stays).count() < tolerated + 1 {
+    if view.latest().iter().filter(stays).count() < tolerated_losses + 1 {
         return Err(RetireError::TooFew);
     }
     let mut changed = view.clone();
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -28,19 +28,19 @@
 /// A machine joins only if its latest announcement is not older than this.
 const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_millis(1_200);
 
-/// The view that should follow `view`; `None` if it should stay. `tolerated` machines may be lost at once.
+/// The view that should follow `view`; `None` if it should stay. `tolerated_losses` machines may be lost at once.
 #[must_use]
 pub fn plan(
     now: Instant,
     view: &StorageView,
     announcements: &Announcements,
-    tolerated: usize,
+    tolerated_losses: usize,
 ) -> Option<StorageView> {
     let planner = Planner {
         now,
         view,
         announcements,
-        tolerated,
+        tolerated_losses,
     };
     planner.next_view()
 }
@@ -50,7 +50,7 @@
     now: Instant,
     view: &'a StorageView,
     announcements: &'a Announcements,
-    tolerated: usize,
+    tolerated_losses: usize,
 }
 
 /// A machine and the time for which it has not announced itself; ordered by that time.
@@ -86,9 +86,9 @@
         let observations = self.announcements.observations();
         let first = observations.map(|seen| seen.first_heard).min()?;
         let waited = self.now.saturating_duration_since(first);
-        let is_full_group = members.len() > 2 * self.tolerated;
+        let is_full_group = members.len() > 2 * self.tolerated_losses;
         let is_ready = (is_full_group && waited >= FIRST_VIEW_WAIT)
-            || (members.len() > self.tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
+            || (members.len() > self.tolerated_losses && waited >= SMALL_FIRST_VIEW_WAIT);
         is_ready.then(|| StorageView {
             epoch: self.view.epoch + 1,
             current: members,
@@ -114,7 +114,7 @@
         let mut departing = self.unneeded_in_shutdown();
         departing.extend(self.view.retired.iter().cloned());
         // An order to empty a machine waits while too few others are there to take over.
-        if self.responsive_and_staying() > self.tolerated {
+        if self.responsive_and_staying() > self.tolerated_losses {
             departing.extend(self.view.retiring.iter().cloned());
         }
         departing
@@ -161,7 +161,7 @@
             .iter()
             .filter(|node| !view.retiring.contains(**node))
             .count();
-        if present.len() <= 2 * self.tolerated || remaining <= self.tolerated {
+        if present.len() <= 2 * self.tolerated_losses || remaining <= self.tolerated_losses {
             return BTreeSet::new();
         }
         let nodes = shutting_down.iter().map(|seen| seen.member.node.clone());
@@ -186,9 +186,9 @@
         for machine in unresponsive.into_iter().rev() {
             let time = machine.unresponsive_for;
             let is_replaced = wanted.len() > members_to_keep;
-            let is_redundant = time >= removal_timeout && responsive > 2 * self.tolerated;
+            let is_redundant = time >= removal_timeout && responsive > 2 * self.tolerated_losses;
             let stalls_change =
-                is_changing && time >= STALLED_CHANGE_TIMEOUT && responsive > self.tolerated;
+                is_changing && time >= STALLED_CHANGE_TIMEOUT && responsive > self.tolerated_losses;
             if is_replaced || is_redundant || stalls_change {
                 wanted.retain(|member| member.node != machine.node);
             }
--- a/crates/tier/storage/src/write.rs
+++ b/crates/tier/storage/src/write.rs
@@ -19,7 +19,7 @@
     program: String,
     operation: Operation,
     /// Number of machines that may be lost at once.
-    tolerated: usize,
+    tolerated_losses: usize,
     /// Epoch of the view that `quorum` is of.
     epoch: u64,
     quorum: Quorum,
@@ -34,13 +34,13 @@
         view: &StorageView,
         program: String,
         operation: Operation,
-        tolerated: usize,
+        tolerated_losses: usize,
     ) -> Write {
-        let quorum = Quorum::new(view, &program, tolerated, QuorumKind::Write);
+        let quorum = Quorum::new(view, &program, tolerated_losses, QuorumKind::Write);
         Write {
             program,
             operation,
-            tolerated,
+            tolerated_losses,
             epoch: view.epoch,
             quorum,
             answers: Vec::new(),
@@ -51,7 +51,12 @@
     pub fn restart(&mut self, view: &StorageView) {
         if view.epoch > self.epoch {
             self.epoch = view.epoch;
-            self.quorum = Quorum::new(view, &self.program, self.tolerated, QuorumKind::Write);
+            self.quorum = Quorum::new(
+                view,
+                &self.program,
+                self.tolerated_losses,
+                QuorumKind::Write,
+            );
             self.answers.clear();
         }
     }
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -26,7 +26,7 @@
         node,
         address,
         zone,
-        tolerated: 1,
+        tolerated_losses: 1,
         disk_bytes: 50 << 20,
     }
 }
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -19,7 +19,7 @@
     StorageView, Turn, TurnKey, Unavailable,
 };
 
-const TOLERATED: usize = 1;
+const TOLERATED_LOSSES: usize = 1;
 
 /// A machine on a thread and runtime of its own, so that stopping it ends all its connections.
 struct Machine {
@@ -45,7 +45,7 @@
                 zone: format!("zone-of-{name}"),
                 node: name,
                 address,
-                tolerated: TOLERATED,
+                tolerated_losses: TOLERATED_LOSSES,
                 disk_bytes: 50 << 20,
             };
             let rpc = Client::new(ClientOptions::default());
@@ -129,7 +129,7 @@
     let client = StorageClient::new(
         Client::new(ClientOptions::default()),
         "zone-of-store-0".into(),
-        TOLERATED,
+        TOLERATED_LOSSES,
     );
     client.set_view(Arc::new(view.clone()));
     client
--- a/crates/tier/storage/tests/placement.rs
+++ b/crates/tier/storage/tests/placement.rs
@@ -14,8 +14,8 @@
     (0..count).map(member).collect()
 }
 
-fn names(members: &[StorageMember], program: &str, tolerated: usize) -> Vec<String> {
-    group(members, program, tolerated)
+fn names(members: &[StorageMember], program: &str, tolerated_losses: usize) -> Vec<String> {
+    group(members, program, tolerated_losses)
         .iter()
         .map(|member| member.node.clone())
         .collect()
@@ -60,18 +60,18 @@
 
 #[test]
 fn every_read_intersects_every_write_and_a_write_survives_the_tolerated_losses() {
-    for tolerated in 0..4 {
-        for members in tolerated + 1..12 {
-            let group = group_size(members, tolerated);
+    for tolerated_losses in 0..4 {
+        for members in tolerated_losses + 1..12 {
+            let group = group_size(members, tolerated_losses);
             let (write, read) = (
-                write_quorum(group, tolerated),
-                read_quorum(group, tolerated),
+                write_quorum(group, tolerated_losses),
+                read_quorum(group, tolerated_losses),
             );
-            assert!(write > tolerated && write <= group);
+            assert!(write > tolerated_losses && write <= group);
             assert!(write + read > group);
             assert!(write * 2 > group, "two writes meet");
             assert!(
-                members <= 2 * tolerated || group - tolerated >= write,
+                members <= 2 * tolerated_losses || group - tolerated_losses >= write,
                 "losses leave a write quorum"
             );
         }
--- a/crates/tier/storage/tests/plan.rs
+++ b/crates/tier/storage/tests/plan.rs
@@ -27,11 +27,11 @@
     machines: Vec<(StorageMember, bool)>,
     /// Machines whose processes are shutting down.
     shutting_down: BTreeSet<String>,
-    tolerated: usize,
+    tolerated_losses: usize,
 }
 
 impl Tier {
-    fn new(count: u8, tolerated: usize) -> Tier {
+    fn new(count: u8, tolerated_losses: usize) -> Tier {
         let now = Instant::now();
         let machines = (0..count)
             .map(|number| (member(number, u64::from(number) + 1), true))
@@ -43,7 +43,7 @@
             announcements,
             machines,
             shutting_down: BTreeSet::new(),
-            tolerated,
+            tolerated_losses,
         };
         tier.pass(Duration::from_millis(1_500));
         tier
@@ -61,7 +61,12 @@
                 };
                 self.announcements.record(self.now, announcement);
             }
-            if let Some(view) = plan(self.now, &self.view, &self.announcements, self.tolerated) {
+            if let Some(view) = plan(
+                self.now,
+                &self.view,
+                &self.announcements,
+                self.tolerated_losses,
+            ) {
                 assert_eq!(view.epoch, self.view.epoch + 1);
                 self.view = view;
             }
--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -34,7 +34,7 @@
     pub(crate) fn plan(
         &mut self,
         now: Duration,
-        tolerated: usize,
+        tolerated_losses: usize,
         mutation: Mutation,
     ) -> Option<StorageView> {
         if mutation == Mutation::JointEpochEndsEarly
@@ -51,13 +51,13 @@
             self.base + now,
             &self.committed,
             &self.announcements,
-            tolerated,
+            tolerated_losses,
         )
     }
 
     /// The view that an order to empty a machine leads to; `None` if the order is refused or repeated.
-    pub(crate) fn retire(&mut self, node: &str, tolerated: usize) -> Option<StorageView> {
-        retire(&self.committed, node, tolerated)
+    pub(crate) fn retire(&mut self, node: &str, tolerated_losses: usize) -> Option<StorageView> {
+        retire(&self.committed, node, tolerated_losses)
             .ok()
             .filter(|view| *view != self.committed)
     }
--- a/crates/tier/storage/tests/simulation/faults.rs
+++ b/crates/tier/storage/tests/simulation/faults.rs
@@ -215,7 +215,7 @@
         }
         let index = self.random.rand_range(0..self.machines.len() as u64) as usize;
         let node = self.machines[index].node.clone();
-        if let Some(view) = self.core.retire(&node, self.tolerated) {
+        if let Some(view) = self.core.retire(&node, self.tolerated_losses) {
             self.propose(view);
         }
     }
--- a/crates/tier/storage/tests/simulation/final_fault.rs
+++ b/crates/tier/storage/tests/simulation/final_fault.rs
@@ -47,7 +47,7 @@
         for index in 0..self.machines.len() {
             self.kill_machine(index, true);
         }
-        for _ in lost..self.tolerated {
+        for _ in lost..self.tolerated_losses {
             if !up.is_empty() {
                 let index = up.swap_remove(self.random.rand_range(0..up.len() as u64) as usize);
                 self.machines[index].disk.wipe();
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -126,7 +126,7 @@
     pub(crate) fn start(
         &mut self,
         now: Duration,
-        tolerated: usize,
+        tolerated_losses: usize,
         random: &mut Rand64,
         mutation: Mutation,
     ) {
@@ -145,13 +145,19 @@
             Err(error) => panic!("{error}"),
         };
         let snapshot = found.snapshot.as_deref();
-        let recovered =
-            StorageNode::recover(now, self.node.clone(), tolerated, snapshot, &found.records);
+        let recovered = StorageNode::recover(
+            now,
+            self.node.clone(),
+            tolerated_losses,
+            snapshot,
+            &found.records,
+        );
         let node = recovered.unwrap_or_else(|| {
             if mutation != Mutation::WipedMachineCounts || self.identity == 0 {
                 self.identity = random.rand_u64();
             }
-            let (node, record) = StorageNode::create(self.node.clone(), self.identity, tolerated);
+            let (node, record) =
+                StorageNode::create(self.node.clone(), self.identity, tolerated_losses);
             let _ = engine.append_batch(&[record]).unwrap();
             node
         });
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -88,10 +88,15 @@
     }
 
     /// Requests of the present phase.
-    fn requests(&mut self, view: &StorageView, tolerated: usize) -> Vec<(StorageMember, Request)> {
+    fn requests(
+        &mut self,
+        view: &StorageView,
+        tolerated_losses: usize,
+    ) -> Vec<(StorageMember, Request)> {
         let (members, operation) = match self.phase {
             ReadPhase::Group => {
-                let quorum = Quorum::new(view, &self.next.program, tolerated, QuorumKind::Read);
+                let quorum =
+                    Quorum::new(view, &self.next.program, tolerated_losses, QuorumKind::Read);
                 let (program, request_id) =
                     (self.next.program.clone(), self.next.request_id.clone());
                 (
@@ -186,7 +191,7 @@
     pub(crate) fn requests(
         &mut self,
         job: JobId,
-        tolerated: usize,
+        tolerated_losses: usize,
     ) -> Vec<(StorageMember, Request)> {
         let view = Arc::clone(&self.view);
         let Some(job) = self.jobs.get_mut(&job) else {
@@ -217,7 +222,7 @@
                 };
                 waiting.map(request).collect()
             }
-            Work::Read(read) => read.requests(&view, tolerated),
+            Work::Read(read) => read.requests(&view, tolerated_losses),
         }
     }
 
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -97,7 +97,7 @@
             .iter()
             .filter(|member| stays(&member.node))
             .count();
-        others > 2 * self.tolerated
+        others > 2 * self.tolerated_losses
     }
 
     /// Ends a process that may exit, or that has waited as long as it may.
--- a/crates/tier/storage/tests/simulation/world/final_reads.rs
+++ b/crates/tier/storage/tests/simulation/world/final_reads.rs
@@ -21,7 +21,7 @@
         let keys: Vec<TurnKey> = self.oracle.acknowledged.keys().cloned().collect();
         for key in keys {
             let replicas = self.replica_count(&key);
-            if replicas <= self.tolerated {
+            if replicas <= self.tolerated_losses {
                 let key = key.clone();
                 self.record_check(TooFewReplicasSnafu { key, replicas }.fail());
             }
--- a/crates/tier/storage/tests/simulation/world/jobs.rs
+++ b/crates/tier/storage/tests/simulation/world/jobs.rs
@@ -50,17 +50,17 @@
         operation: Operation,
     ) {
         let view = Arc::clone(&self.proxies[proxy].view);
-        let tolerated = if self.mutation == Mutation::OneReplicaTooFew {
-            self.tolerated - 1
+        let tolerated_losses = if self.mutation == Mutation::OneReplicaTooFew {
+            self.tolerated_losses - 1
         } else {
-            self.tolerated
+            self.tolerated_losses
         };
         let within = match purpose {
             Purpose::Reserve { .. } => RESERVE_TIMEOUT,
             Purpose::Put { .. } => PUT_TIMEOUT,
             _ => RETRY_TIMEOUT,
         };
-        let write = Write::new(&view, program.to_owned(), operation, tolerated);
+        let write = Write::new(&view, program.to_owned(), operation, tolerated_losses);
         self.start_job(proxy, purpose, Work::Write(write), within);
     }
 
@@ -70,7 +70,7 @@
     }
 
     pub(super) fn send_job(&mut self, proxy: usize, job: JobId) {
-        let requests = self.proxies[proxy].requests(job, self.tolerated);
+        let requests = self.proxies[proxy].requests(job, self.tolerated_losses);
         let is_write = self.proxies[proxy]
             .jobs
             .get(&job)
--- a/crates/tier/storage/tests/simulation/world/machines.rs
+++ b/crates/tier/storage/tests/simulation/world/machines.rs
@@ -35,7 +35,12 @@
         if self.machines[index].removed || self.machines[index].process.is_some() {
             return;
         }
-        self.machines[index].start(self.now, self.tolerated, &mut self.random, self.mutation);
+        self.machines[index].start(
+            self.now,
+            self.tolerated_losses,
+            &mut self.random,
+            self.mutation,
+        );
         let incarnation = self.machines[index].incarnation;
         self.after(
             Duration::from_millis(1),
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -51,7 +51,7 @@
     pub now: Duration,
     pub random: Rand64,
     pub mutation: Mutation,
-    pub tolerated: usize,
+    pub tolerated_losses: usize,
     pub machines: Vec<Machine>,
     pub core: Core,
     pub proxies: Vec<Proxy>,
@@ -79,15 +79,15 @@
 impl World {
     pub(crate) fn new(seed: u64, mutation: Mutation) -> World {
         let mut random = Rand64::new(u128::from(seed));
-        let tolerated = if random.rand_range(0..5) == 0 { 2 } else { 1 };
-        let machines = 2 * tolerated + 1 + random.rand_range(0..2) as usize;
+        let tolerated_losses = if random.rand_range(0..5) == 0 { 2 } else { 1 };
+        let machines = 2 * tolerated_losses + 1 + random.rand_range(0..2) as usize;
         let proxies = random.rand_range(2..4) as usize;
         let programs = random.rand_range(2..6);
         let traffic = Duration::from_millis(random.rand_range(4_000..14_000));
         let mut world = World {
             now: Duration::ZERO,
             mutation,
-            tolerated,
+            tolerated_losses,
             machines: Vec::new(),
             core: Core::new(Instant::now()),
             proxies: (0..proxies)
@@ -97,7 +97,7 @@
                 })
                 .collect(),
             oracle: Oracle::default(),
-            losses: vec![Duration::ZERO; tolerated],
+            losses: vec![Duration::ZERO; tolerated_losses],
             end_of_faults: START_OF_TRAFFIC + traffic,
             acknowledgements_per_fault: if random.rand_range(0..2) == 0 {
                 0
--- a/crates/tier/storage/tests/simulation/world/pulls.rs
+++ b/crates/tier/storage/tests/simulation/world/pulls.rs
@@ -27,7 +27,7 @@
             unsynced: 0,
             done: false,
         };
-        let progress = Pull::new(&view, own, self.tolerated);
+        let progress = Pull::new(&view, own, self.tolerated_losses);
         let sources: Vec<Source> = sources.map(source).collect();
         let disks: Vec<u64> = sources.iter().map(|source| source.member.disk).collect();
         process.pulling = Some(Pulling {
--- a/crates/tier/storage/tests/simulation/world/views.rs
+++ b/crates/tier/storage/tests/simulation/world/views.rs
@@ -58,7 +58,10 @@
         if self.has_commit_in_flight || self.core.frozen {
             return;
         }
-        if let Some(view) = self.core.plan(self.now, self.tolerated, self.mutation) {
+        if let Some(view) = self
+            .core
+            .plan(self.now, self.tolerated_losses, self.mutation)
+        {
             self.propose(view);
         }
     }
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -105,7 +105,7 @@
         node: NODE.into(),
         address,
         zone: "a".into(),
-        tolerated: 0,
+        tolerated_losses: 0,
         disk_bytes: 50 << 20,
     };
     let rpc = Client::new(ClientOptions::default());
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -59,8 +59,8 @@
 }
 
 impl Machine {
-    pub(crate) fn create(index: u8, disk: u64, tolerated: usize) -> Machine {
-        let (node, record) = StorageNode::create(format!("store-{index}"), disk, tolerated);
+    pub(crate) fn create(index: u8, disk: u64, tolerated_losses: usize) -> Machine {
+        let (node, record) = StorageNode::create(format!("store-{index}"), disk, tolerated_losses);
         Machine {
             index,
             node,
@@ -71,9 +71,9 @@
     }
 
     /// The process starts again with what its disk has.
-    pub(crate) fn restart(&mut self, tolerated: usize) {
+    pub(crate) fn restart(&mut self, tolerated_losses: usize) {
         let node = self.node.name().to_owned();
-        self.node = StorageNode::recover(NOW, node, tolerated, None, &self.records)
+        self.node = StorageNode::recover(NOW, node, tolerated_losses, None, &self.records)
             .expect("its own records");
         self.pull = None;
         self.digest = None;
@@ -126,10 +126,10 @@
         }
     }
 
-    pub(crate) fn learn(&mut self, view: &StorageView, tolerated: usize) {
+    pub(crate) fn learn(&mut self, view: &StorageView, tolerated_losses: usize) {
         if let Some(step) = self.node.learn_view(view.clone()) {
             let _ = self.finish(step);
-            self.pull = Some(Pull::new(view, self.node.disk(), tolerated));
+            self.pull = Some(Pull::new(view, self.node.disk(), tolerated_losses));
         }
         self.digest = None;
     }
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -25,7 +25,7 @@
     World {
         current: 3,
         machines: 3,
-        tolerated: 1,
+        tolerated_losses: 1,
         mutation: Mutation::None,
         is_coarse: true,
         max_counts,
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -43,7 +43,7 @@
     /// Number of machines of the first view; those beyond it wait to join.
     pub current: u8,
     pub machines: u8,
-    pub tolerated: usize,
+    pub tolerated_losses: usize,
     pub mutation: Mutation,
     /// Whether the core hears each announcement at once, and a machine pulls from all sources that answer at
     /// once.
@@ -228,7 +228,7 @@
 
     fn planned(&self, world: &World) -> Option<StorageView> {
         let (now, announcements) = self.announcements(world);
-        plan(now, self.view(), &announcements, world.tolerated)
+        plan(now, self.view(), &announcements, world.tolerated_losses)
     }
 
     /// The write under the view that the proxy knows, with the answers so far.
@@ -242,7 +242,7 @@
             view.next = None;
         }
         let operation = put_operation(request_id);
-        let mut write = Write::new(&view, PROGRAM.to_owned(), operation, world.tolerated);
+        let mut write = Write::new(&view, PROGRAM.to_owned(), operation, world.tolerated_losses);
         for disk in answered {
             write.record_answer(view.epoch, *disk, Answer::Stored);
         }
@@ -335,20 +335,20 @@
             .iter()
             .any(|member| **member == identity);
         is_there
-            && self.lost(&current) < world.tolerated
-            && self.lost(&self.view().members()) < world.tolerated
+            && self.lost(&current) < world.tolerated_losses
+            && self.lost(&self.view().members()) < world.tolerated_losses
     }
 
     fn check(&mut self, world: &World) {
         let view = self.view();
-        let current = group(&view.current, PROGRAM, world.tolerated);
+        let current = group(&view.current, PROGRAM, world.tolerated_losses);
         let lost = self.lost(&current);
         for request_id in &self.acknowledged {
             let holders = current
                 .iter()
                 .filter(|member| self.has_turn(member, request_id))
                 .count();
-            if holders + lost <= world.tolerated {
+            if holders + lost <= world.tolerated_losses {
                 self.violation = Some("an acknowledged turn is on too few disks");
                 return;
             }
--- a/crates/tier/storage/tests/view_model/tier/model.rs
+++ b/crates/tier/storage/tests/view_model/tier/model.rs
@@ -23,9 +23,9 @@
             ..StorageView::default()
         };
         let machine = |index: u8| {
-            let mut machine = Machine::create(index, u64::from(index) + 1, self.tolerated);
+            let mut machine = Machine::create(index, u64::from(index) + 1, self.tolerated_losses);
             if index < self.current {
-                machine.learn(&view, self.tolerated);
+                machine.learn(&view, self.tolerated_losses);
             }
             Arc::new(machine)
         };
@@ -112,14 +112,14 @@
             }
             Action::Retire(index) => {
                 let node = next.machines[usize::from(index)].identity().node;
-                let view = retire(next.view(), &node, self.tolerated).ok()?;
+                let view = retire(next.view(), &node, self.tolerated_losses).ok()?;
                 next.counts.retirements += 1;
                 next.views.push(view);
             }
             Action::Learn(index) => {
                 let view = next.view().clone();
-                let tolerated = self.tolerated;
-                next.machine(index).learn(&view, tolerated);
+                let tolerated_losses = self.tolerated_losses;
+                next.machine(index).learn(&view, tolerated_losses);
                 next.machine(index).finish_pull_if_complete();
                 if self.mutation == Mutation::Pull {
                     let disk = next.machines[usize::from(index)].node.disk();
@@ -151,8 +151,8 @@
             }
             Action::Restart(index) => {
                 next.counts.restarts += 1;
-                let tolerated = self.tolerated;
-                next.machine(index).restart(tolerated);
+                let tolerated_losses = self.tolerated_losses;
+                next.machine(index).restart(tolerated_losses);
             }
             Action::Wipe(index) => {
                 next.counts.wipes += 1;
@@ -164,7 +164,7 @@
                     fresh
                 };
                 next.machines[usize::from(index)] =
-                    Arc::new(Machine::create(index, disk, self.tolerated));
+                    Arc::new(Machine::create(index, disk, self.tolerated_losses));
             }
         }
         if self.is_coarse {
