--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -12,7 +12,8 @@
 //! - [`placement`] and [`quorum`]: which machines hold a program, and how many of them must answer;
 //! - [`view`]: the agreed membership, and the next one to propose;
 //! - [`node`]: one storage machine, with its [`store`] and the [`budget`] of each program;
-//! - [`mod@write`]: one write of a client; [`pull`]: copying from other machines in a joint epoch.
+//! - [`mod@write`]: one write of a client; [`pull`]: copying from other machines, in a joint epoch or after records may
+//!   have been missed.
 //!
 //! Drivers: [`client`] for edges, [`server`] for storage machines, [`announce`] for both ends of the membership.
 //! Formats: [`message`] on the wire, [`record`] on disk, both in the byte format of [`message::encode`].
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -1,9 +1,9 @@
 //! Copying the records that a machine should hold from other members: what to request, and when it is complete.
 //! [`Server`](crate::server::Server) drives it.
 //!
-//! A machine of `next` pulls from the members of `current`, page by page: digests first, then the records of
-//! the programs whose digests differ. A source that serves a page has sealed the epoch, so no write under an
-//! earlier one can be acknowledged without being in some source's pages.
+//! A machine of `next`, or a current one that may have missed records, pulls from the members of `current`, page by
+//! page: digests first, then the records of the programs whose digests differ. A source that serves a page has sealed
+//! the epoch, so no write under an earlier one can be acknowledged without being in some source's pages.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -31,7 +31,7 @@
 }
 
 impl Pull {
-    /// A pull for the joint epoch of `view` by the machine with disk `own`.
+    /// A pull under `view` by the machine with disk `own`.
     #[must_use]
     pub fn new(view: &StorageView, own: u64, tolerated_losses: usize) -> Pull {
         let size = group_size(view.current.len(), tolerated_losses);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Joint epoch of the pull.
+    /// Epoch of the view under which the pull runs.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
