--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -55,7 +55,7 @@
         loop {
             let pause = async {
                 tokio::select! {
-                    () = sleep(ANNOUNCE_INTERVAL) => self.server.tick(),
+                    () = sleep(ANNOUNCE_INTERVAL) => self.server.upkeep(),
                     _ = announcement_changed.changed() => {}
                 }
             };
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -97,7 +97,7 @@
     let service = async {
         tokio::join!(
             serve(listener, router),
-            server.run(),
+            server.run_pulls(),
             sampler.run(),
             follow_views(&server, control.clone()),
             StorageAnnouncer::new(&server, &rpc, seeds, control).run(),
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -183,16 +183,6 @@
         self.shared.pull_due.send_modify(|due| due.missed += 1);
     }
 
-    /// Runs pulls whenever they are due, for as long as the future is polled.
-    pub async fn run(&self) {
-        self.pull_when_due().await;
-    }
-
-    /// Expires records and compacts the journal; to be called every [`crate::announce::ANNOUNCE_INTERVAL`].
-    pub fn tick(&self) {
-        self.upkeep();
-    }
-
     async fn answer(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
         let request: Request = decode(&body)?;
         let now = self.now();
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -21,8 +21,9 @@
 const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
-    /// Pulls whenever that is due; a pull is abandoned when it is due for another reason.
-    pub(super) async fn pull_when_due(&self) {
+    /// Runs pulls whenever they are due, for as long as the future is polled. A pull is abandoned when one is due for
+    /// another reason.
+    pub async fn run_pulls(&self) {
         let mut due = self.shared.pull_due.subscribe();
         due.mark_changed();
         while due.changed().await.is_ok() {
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -6,15 +6,15 @@
 
 use super::Server;
 
-/// A longer gap between two ticks means that the process was stalled.
+/// A longer gap between two calls of [`Server::upkeep`] means that the process was stalled.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 /// Shorter logs are never compacted.
 const MIN_LOG_BYTES: u64 = 8 << 20;
 
-/// State between ticks.
+/// State between two calls of [`Server::upkeep`].
 #[derive(Debug)]
 pub(super) struct Upkeep {
-    last_tick: Instant,
+    last_run: Instant,
     /// Whether a snapshot is being written.
     compacting: bool,
     /// Length of the log, as a percentage of the live bytes, beyond which it is compacted. It differs between the
@@ -26,7 +26,7 @@
     pub(super) fn new(now: Instant, node: &str) -> Upkeep {
         let log_percent = 100 + mix(hash64(node.as_bytes(), 3)) % 100;
         Upkeep {
-            last_tick: now,
+            last_run: now,
             compacting: false,
             log_percent,
         }
@@ -34,10 +34,12 @@
 }
 
 impl Server {
-    pub(super) fn upkeep(&self) {
+    /// Expires records, compacts the journal if that is due, and requests a pull if the process was stalled since the
+    /// last call. Must be called every [`ANNOUNCE_INTERVAL`](crate::announce::ANNOUNCE_INTERVAL).
+    pub fn upkeep(&self) {
         let now = Instant::now();
-        let last_tick = std::mem::replace(&mut self.shared.upkeep.lock().last_tick, now);
-        if now.saturating_duration_since(last_tick) > PROCESS_STALL_THRESHOLD {
+        let last_run = std::mem::replace(&mut self.shared.upkeep.lock().last_run, now);
+        if now.saturating_duration_since(last_run) > PROCESS_STALL_THRESHOLD {
             self.request_pull();
         }
         self.shared.node.lock().expire(self.now());
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -54,7 +54,7 @@
             started.send((address, server.clone())).unwrap();
             tokio::select! {
                 () = serve(listener, router) => {}
-                () = server.run() => {}
+                () = server.run_pulls() => {}
                 _ = stopped => {}
             }
         });
