--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -174,7 +174,7 @@
     pub async fn learn_view(&self, view: StorageView) {
         let step = self.shared.node.lock().learn_view(view);
         if let Some(step) = step {
-            let _ = self.finish(step).await;
+            let _ = self.execute_step(step).await;
         }
     }
 
@@ -187,12 +187,12 @@
         let request: Request = decode(&body)?;
         let now = self.now();
         let step = self.shared.node.lock().handle(now, request);
-        Ok(encode(&self.finish(step).await))
+        Ok(encode(&self.execute_step(step).await))
     }
 
-    /// Carries out a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
+    /// Executes a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
     /// both without yielding in between.
-    async fn finish(&self, step: Step) -> Response {
+    async fn execute_step(&self, step: Step) -> Response {
         match step {
             Step::Reply(response) => response,
             Step::Persist { record, pending } => {
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -71,7 +71,7 @@
     async fn finish_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
-            if self.finish(step).await.answer == Answer::Stored {
+            if self.execute_step(step).await.answer == Answer::Stored {
                 break;
             }
             sleep(PULL_RETRY_INTERVAL).await;
@@ -109,7 +109,7 @@
         loop {
             let step = self.shared.node.lock().merge(self.now(), records.clone());
             let Some(step) = step else { return };
-            if self.finish(step).await.answer == Answer::Stored {
+            if self.execute_step(step).await.answer == Answer::Stored {
                 return;
             }
             sleep(PULL_RETRY_INTERVAL).await;
