--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -1,12 +1,15 @@
 //! Decides changes of the membership from what the machines announce. The core's head asks for a plan periodically and
 //! commits it on condition that the epoch is still the same.
 //!
-//! ```text
-//! no view       -> first view, once enough machines have announced themselves
-//! no joint epoch-> joint epoch, if the wanted membership differs from the present one
-//! joint epoch   -> another next, if the wanted membership has changed meanwhile
-//! joint epoch   -> next is current, once every machine of it has pulled its part
-//! ```
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | no view | enough machines have announced themselves | first view |
+//! | no joint epoch | the wanted membership differs from `current` | joint epoch |
+//! | joint epoch | the wanted membership differs from `next` | joint epoch with another `next` |
+//! | joint epoch | every machine of `next` has pulled its part | no joint epoch, `next` is `current` |
+//! | joint epoch | `next` is `current` again and no order to empty a machine is open | no joint epoch, without pulls |
+//!
+//! The first row that applies counts, in the order of the table.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -141,7 +144,7 @@
         };
         let members = self.view.latest().iter();
         members
-            .filter(|member| !self.is_emptied(&member.node))
+            .filter(|member| !self.is_retiring_or_retired(&member.node))
             .filter(is_responsive)
             .count()
     }
@@ -213,7 +216,7 @@
         self.now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE
     }
 
-    fn is_emptied(&self, node: &str) -> bool {
+    fn is_retiring_or_retired(&self, node: &str) -> bool {
         self.view.retiring.contains(node) || self.view.retired.contains(node)
     }
 
