--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -86,7 +86,7 @@
         NodeRole::Storage,
         std::hash::RandomState::new().build_hasher().finish(),
     );
-    let router = sampler.handlers(server.routes(Router::new()));
+    let router = sampler.handlers(server.handlers(Router::new()));
     let control = ControlWatch::spawn_with_sampler(&settings, rpc.clone(), Arc::clone(&sampler));
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     // The parts that need the changed settings reload them. Without a handler the signal would kill the
--- a/crates/tier/proxy/tests/support/storage.rs
+++ b/crates/tier/proxy/tests/support/storage.rs
@@ -50,7 +50,7 @@
             .await
             .expect("a disk");
         let mut member = server.announcement().member;
-        let router = server.routes(Router::new());
+        let router = server.handlers(Router::new());
         tokio::spawn(async move { tokio::join!(serve(listener, router), server.run_pulls()) });
         let (address, dropped, answered) = relay(member.address, Arc::new(is_dropped)).await;
         member.address = address;
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -126,7 +126,7 @@
 
     /// Adds the handler of storage requests to `router`.
     #[must_use]
-    pub fn routes(&self, router: Router) -> Router {
+    pub fn handlers(&self, router: Router) -> Router {
         let server = self.clone();
         router.route_checked(ServiceId::STORAGE, move |_, body| {
             let server = server.clone();
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -118,7 +118,7 @@
     let server = open(folder.path()).await.unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let router = server.routes(Router::new());
+    let router = server.handlers(Router::new());
     let rejected = router.rejected();
     tokio::spawn(serve(listener, router));
     let invalid: [&[u8]; 5] = [&[], &[0, 1, 2], &[2, 1, 2], &[1], &[1, 0, 0, 0]];
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -50,7 +50,7 @@
             };
             let rpc = Client::new(ClientOptions::default());
             let server = Server::open(&path, rpc, options).await.unwrap();
-            let router = server.routes(Router::new());
+            let router = server.handlers(Router::new());
             started.send((address, server.clone())).unwrap();
             tokio::select! {
                 () = serve(listener, router) => {}
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -112,7 +112,7 @@
     let server = Server::open(folder, rpc.clone(), options)
         .await
         .expect("a whole disk");
-    tokio::spawn(serve(listener, server.routes(Router::new())));
+    tokio::spawn(serve(listener, server.handlers(Router::new())));
     let client = StorageClient::new(rpc, "a".into(), 0);
     let current = vec![server.announcement().member];
     client.set_view(Arc::new(StorageView {
