--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -3,7 +3,6 @@
 mod recovery;
 mod shutdown;
 
-use std::hash::{BuildHasher, Hasher};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,6 +20,7 @@
 use crate::error::{ListenSnafu, MissingFieldSnafu, RoleError, SignalSnafu, UnusableFieldSnafu};
 use crate::member_driver::MemberDriver;
 use crate::order::service::OrderService;
+use crate::random::random_number;
 use crate::storage_planner::StoragePlanner;
 use crate::{http_server, instances, operator};
 
@@ -173,8 +173,3 @@
         .fail(),
     }
 }
-
-/// A number that differs between processes, from the standard library's random keys.
-fn random_number() -> u64 {
-    std::hash::RandomState::new().build_hasher().finish()
-}
--- a/crates/tier/control/src/core_role/recovery.rs
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -7,10 +7,10 @@
 use woadreach_journal::{Journal, JournalError, JournalOptions, Recovered};
 use woadreach_settings::NodeSettings;
 
-use super::random_number;
 use crate::durable_log::{RecoveredMember, encode_snapshot, recover};
 use crate::error::{JournalSnafu, MissingFieldSnafu, RoleError, UnreadableSnafu};
 use crate::member_driver::new_durable;
+use crate::random::random_number;
 
 /// Percentage of the disk that the journal may use.
 const MAX_DISK_PERCENT: u64 = 80;
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -38,6 +38,7 @@
 pub mod member_driver;
 pub mod operator;
 pub mod order;
+mod random;
 mod storage_announcer;
 pub mod storage_planner;
 pub mod storage_role;
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -1,6 +1,5 @@
 //! The `storage` role: stores conversations and programs' budgets.
 
-use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,6 +15,7 @@
 use woadreach_storage::StorageView;
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 
+use crate::random::random_number;
 use crate::storage_announcer::StorageAnnouncer;
 
 /// Bytes of a megabyte in the settings.
@@ -81,11 +81,7 @@
     let listener = TcpListener::bind(address)
         .await
         .context(ListenSnafu { address })?;
-    let sampler = Sampler::new(
-        &settings,
-        NodeRole::Storage,
-        std::hash::RandomState::new().build_hasher().finish(),
-    );
+    let sampler = Sampler::new(&settings, NodeRole::Storage, random_number());
     let router = sampler.handlers(server.handlers(Router::new()));
     let control = ControlWatch::spawn_with_sampler(&settings, rpc.clone(), Arc::clone(&sampler));
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -7,8 +7,6 @@
 mod reservation;
 mod write;
 
-use std::collections::hash_map::RandomState;
-use std::hash::{BuildHasher, Hasher};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -20,6 +18,7 @@
 
 use crate::cache::TurnCache;
 use crate::message::{Operation, Settlement};
+use crate::random::random_number;
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::StorageView;
 
@@ -246,14 +245,3 @@
         settlement,
     }
 }
-
-/// A random number that no other process draws, from the standard library's randomness, the clock and `salt`.
-#[must_use]
-pub fn random_number(salt: &str) -> u64 {
-    let mut hasher = RandomState::new().build_hasher();
-    hasher.write(salt.as_bytes());
-    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    hasher.write_u128(since_epoch.map_or(0, |time| time.as_nanos()));
-    hasher.write_u32(std::process::id());
-    hasher.finish()
-}
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -31,6 +31,7 @@
 pub mod placement;
 pub mod pull;
 pub mod quorum;
+mod random;
 pub mod record;
 pub mod server;
 pub mod store;
--- /dev/null
+++ b/crates/tier/storage/src/random.rs
@@ -0,0 +1,14 @@
+//! Random numbers for identities and seeds.
+
+use std::hash::{BuildHasher, Hasher, RandomState};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// A random number that no other process draws, from the standard library's randomness, the clock and `salt`.
+pub(crate) fn random_number(salt: &str) -> u64 {
+    let mut hasher = RandomState::new().build_hasher();
+    hasher.write(salt.as_bytes());
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    hasher.write_u128(since_epoch.map_or(0, |time| time.as_nanos()));
+    hasher.write_u32(std::process::id());
+    hasher.finish()
+}
--- a/crates/tier/storage/src/server/recovery.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -7,8 +7,8 @@
 use woadreach_journal::{Journal, JournalError, JournalOptions};
 
 use super::{DiskSnafu, ServerError, ServerOptions, UnreadableSnafu};
-use crate::client::random_number;
 use crate::node::StorageNode;
+use crate::random::random_number;
 
 /// Upper bound of the bytes that wait for the disk; further requests are refused.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
