--- a/crates/tier/control/src/core_role/shutdown.rs
+++ b/crates/tier/control/src/core_role/shutdown.rs
@@ -10,6 +10,7 @@
 use woadreach_settings::NodeSettings;
 
 use super::member_options;
+use crate::DEPARTURE_POLL_INTERVAL;
 use crate::error::RoleError;
 use crate::member_driver::MemberDriver;
 
@@ -17,8 +18,6 @@
 const STOP_MARGIN: Duration = Duration::from_millis(2500);
 /// Limit on the time for the departure when no member stays that could take over.
 const LAST_MEMBER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Interval at which the progress of the departure is checked.
-const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which the settings are reloaded while this machine is out of quorum.
 const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(3);
 
--- a/crates/tier/control/src/lib.rs
+++ b/crates/tier/control/src/lib.rs
@@ -26,6 +26,8 @@
 //! A machine of the `storage` role ([`storage_role`]) runs [`woadreach_storage::server::Server`] and
 //! announces itself to the core. The protocol is described in `docs/control-plane.md` and `docs/storage.md`.
 
+use std::time::Duration;
+
 pub mod command_line;
 pub mod committed;
 pub mod core_role;
@@ -42,3 +44,6 @@
 mod storage_announcer;
 pub mod storage_planner;
 pub mod storage_role;
+
+/// Interval at which a role that is shutting down checks the progress of its departure.
+const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -15,6 +15,7 @@
 use woadreach_storage::StorageView;
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 
+use crate::DEPARTURE_POLL_INTERVAL;
 use crate::random::random_number;
 use crate::storage_announcer::StorageAnnouncer;
 
@@ -22,8 +23,6 @@
 const MEGABYTE: u64 = 1_000_000;
 /// Part of the grace period that is reserved for stopping after the departure.
 const STOP_MARGIN: Duration = Duration::from_millis(2_000);
-/// Interval at which the progress of the departure is checked.
-const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the role cannot run.
 #[derive(Debug, Snafu)]
