--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -17,9 +17,9 @@
 
 /// Interval between two announcements of a machine.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Without any announcement for longer than this, the observer itself was stalled or partitioned.
-const MAX_OBSERVER_GAP: Duration = Duration::from_secs(1);
-/// Upper bound of the machines that an observer remembers.
+/// Without any announcement for longer than this, the core machine that listens was stalled or partitioned itself.
+const MAX_ANNOUNCEMENT_GAP: Duration = Duration::from_secs(1);
+/// Upper bound of the machines that a core machine remembers.
 const MAX_MACHINES: usize = 4_096;
 
 /// What a storage machine announces.
@@ -53,14 +53,14 @@
 pub struct Announcements {
     /// By name of the machine; at most [`MAX_MACHINES`].
     observations: BTreeMap<String, MachineObservation>,
-    /// Since when this observer has received announcements without a gap.
+    /// Since when this core machine has received announcements without a gap.
     listening_since: Instant,
-    /// When the last announcement of any machine arrived, or when this observer started.
+    /// When the last announcement of any machine arrived, or when this core machine started.
     last_heard_any: Instant,
 }
 
 impl Announcements {
-    /// An observer that starts to listen at `now`.
+    /// The announcements of a core machine that starts to listen at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Announcements {
         Announcements {
@@ -72,7 +72,7 @@
 
     /// Records an announcement that arrived at `now`.
     pub fn record(&mut self, now: Instant, announcement: Announcement) {
-        if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
+        if now.saturating_duration_since(self.last_heard_any) > MAX_ANNOUNCEMENT_GAP {
             self.listening_since = now;
         }
         self.last_heard_any = now;
@@ -102,11 +102,11 @@
         self.observations.values()
     }
 
-    /// How long a machine has not announced itself while this observer was listening. It is zero for an observer
-    /// that has just started, was stalled or is partitioned: that observer knows of no unresponsive machine.
+    /// How long a machine has not announced itself while this core machine was listening. It is zero if
+    /// the core machine has just started, was stalled or is partitioned: then it knows of no unresponsive machine.
     #[must_use]
     pub fn unresponsive_for(&self, now: Instant, node: &str) -> Duration {
-        if now.saturating_duration_since(self.last_heard_any) > MAX_OBSERVER_GAP {
+        if now.saturating_duration_since(self.last_heard_any) > MAX_ANNOUNCEMENT_GAP {
             return Duration::ZERO;
         }
         let last = self
--- a/crates/tier/storage/tests/plan.rs
+++ b/crates/tier/storage/tests/plan.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_observer_that_was_stalled_removes_no_machine() {
+fn a_core_machine_that_was_stalled_removes_no_machine() {
     let mut tier = Tier::new(4, 1);
     tier.now += Duration::from_secs(30);
     tier.stop(0);
