--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -1,6 +1,5 @@
 //! The `storage` role: stores conversations and programs' budgets.
 
-use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +15,14 @@
 use woadreach_storage::StorageView;
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 
+use crate::DEPARTURE_POLL_INTERVAL;
+use crate::random::random_number;
 use crate::storage_announcer::StorageAnnouncer;
 
 /// Bytes of a megabyte in the settings.
 const MEGABYTE: u64 = 1_000_000;
 /// Part of the grace period that is reserved for stopping after the departure.
 const STOP_MARGIN: Duration = Duration::from_millis(2_000);
-/// Interval at which the progress of the departure is checked.
-const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the role cannot run.
 #[derive(Debug, Snafu)]
@@ -72,7 +71,7 @@
         node: settings.node.clone(),
         address,
         zone: settings.zone.clone(),
-        tolerated: settings.fault_tolerance.tolerated_group_losses(),
+        tolerated_losses: settings.fault_tolerance.tolerated_losses(),
         disk_bytes: settings.limits.disk_mb * MEGABYTE,
     };
     let server = Server::open(&folder, rpc.clone(), options)
@@ -81,12 +80,8 @@
     let listener = TcpListener::bind(address)
         .await
         .context(ListenSnafu { address })?;
-    let sampler = Sampler::new(
-        &settings,
-        NodeRole::Storage,
-        std::hash::RandomState::new().build_hasher().finish(),
-    );
-    let router = sampler.handlers(server.routes(Router::new()));
+    let sampler = Sampler::new(&settings, NodeRole::Storage, random_number());
+    let router = sampler.handlers(server.handlers(Router::new()));
     let control = ControlWatch::spawn_with_sampler(&settings, rpc.clone(), Arc::clone(&sampler));
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     // The parts that need the changed settings reload them. Without a handler the signal would kill the
@@ -97,7 +92,7 @@
     let service = async {
         tokio::join!(
             serve(listener, router),
-            server.run(),
+            server.run_pulls(),
             sampler.run(),
             follow_views(&server, control.clone()),
             StorageAnnouncer::new(&server, &rpc, seeds, control).run(),
--- a/crates/tier/proxy/src/run.rs
+++ b/crates/tier/proxy/src/run.rs
@@ -66,8 +66,8 @@
     let signals = Signals::new().context(SignalsSnafu)?;
 
     let rpc = Client::new(ClientOptions::default());
-    let tolerated = settings.fault_tolerance.tolerated_group_losses();
-    let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated);
+    let tolerated_losses = settings.fault_tolerance.tolerated_losses();
+    let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated_losses);
     let seed = RandomState::new().hash_one(&settings.node);
     let proxy = Arc::new(Proxy::new(
         seed,
@@ -157,7 +157,7 @@
                 _ = self.interrupt.recv() => return,
                 _ = self.hangup.recv() => match NodeSettings::load_from_environment() {
                     Ok(_) => tracing::info!("settings reloaded"),
-                    Err(error) => tracing::warn!(%error, "settings not reloaded"),
+                    Err(error) => tracing::warn!(%error, "settings reload failed"),
                 },
             }
         }
--- a/crates/tier/storage/src/server/recovery.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -7,8 +7,8 @@
 use woadreach_journal::{Journal, JournalError, JournalOptions};
 
 use super::{DiskSnafu, ServerError, ServerOptions, UnreadableSnafu};
-use crate::client::random_number;
 use crate::node::StorageNode;
+use crate::random::random_number;
 
 /// Upper bound of the bytes that wait for the disk; further requests are refused.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
@@ -32,7 +32,7 @@
             let recovered = StorageNode::recover(
                 Duration::ZERO,
                 name,
-                options.tolerated,
+                options.tolerated_losses,
                 snapshot,
                 &found.records,
             );
@@ -44,7 +44,7 @@
             ensure!(is_new, UnreadableSnafu { path: folder });
         }
         Err(error @ JournalError::Corrupt { .. }) => {
-            tracing::error!(%error, "corrupt disk discarded");
+            tracing::error!(%error, "journal corrupted, starting with a new disk identity");
         }
         Err(source) => return Err(ServerError::Disk { source }),
     }
@@ -62,7 +62,7 @@
     Journal::discard(folder)?;
     let (journal, _) = Journal::open(folder, bounds)?;
     let disk = random_number(&options.node);
-    let (node, record) = StorageNode::create(options.node.clone(), disk, options.tolerated);
+    let (node, record) = StorageNode::create(options.node.clone(), disk, options.tolerated_losses);
     let _synced = journal.append(record).await?;
     Ok((journal, node))
 }
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -1,12 +1,15 @@
 //! Decides changes of the membership from what the machines announce. The core's head asks for a plan periodically and
 //! commits it on condition that the epoch is still the same.
 //!
-//! ```text
-//! no view       -> first view, once enough machines have announced themselves
-//! no joint epoch-> joint epoch, if the wanted membership differs from the present one
-//! joint epoch   -> another next, if the wanted membership has changed meanwhile
-//! joint epoch   -> next is current, once every machine of it has pulled its part
-//! ```
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | no view | enough machines have announced themselves | first view |
+//! | no joint epoch | the wanted membership differs from `current` | joint epoch |
+//! | joint epoch | the wanted membership differs from `next` | joint epoch with another `next` |
+//! | joint epoch | every machine of `next` has pulled its part | no joint epoch, `next` is `current` |
+//! | joint epoch | `next` is `current` again and no order to empty a machine is open | no joint epoch, without pulls |
+//!
+//! The first row that applies counts, in the order of the table.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -28,19 +31,19 @@
 /// A machine joins only if its latest announcement is not older than this.
 const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_millis(1_200);
 
-/// The view that should follow `view`; `None` if it should stay. `tolerated` machines may be lost at once.
+/// The view that should follow `view`; `None` if it should stay. `tolerated_losses` machines may be lost at once.
 #[must_use]
 pub fn plan(
     now: Instant,
     view: &StorageView,
     announcements: &Announcements,
-    tolerated: usize,
+    tolerated_losses: usize,
 ) -> Option<StorageView> {
     let planner = Planner {
         now,
         view,
         announcements,
-        tolerated,
+        tolerated_losses,
     };
     planner.next_view()
 }
@@ -50,7 +53,7 @@
     now: Instant,
     view: &'a StorageView,
     announcements: &'a Announcements,
-    tolerated: usize,
+    tolerated_losses: usize,
 }
 
 /// A machine and the time for which it has not announced itself; ordered by that time.
@@ -86,9 +89,9 @@
         let observations = self.announcements.observations();
         let first = observations.map(|seen| seen.first_heard).min()?;
         let waited = self.now.saturating_duration_since(first);
-        let is_full_group = members.len() > 2 * self.tolerated;
+        let is_full_group = members.len() > 2 * self.tolerated_losses;
         let is_ready = (is_full_group && waited >= FIRST_VIEW_WAIT)
-            || (members.len() > self.tolerated && waited >= SMALL_FIRST_VIEW_WAIT);
+            || (members.len() > self.tolerated_losses && waited >= SMALL_FIRST_VIEW_WAIT);
         is_ready.then(|| StorageView {
             epoch: self.view.epoch + 1,
             current: members,
@@ -114,7 +117,7 @@
         let mut departing = self.unneeded_in_shutdown();
         departing.extend(self.view.retired.iter().cloned());
         // An order to empty a machine waits while too few others are there to take over.
-        if self.responsive_and_staying() > self.tolerated {
+        if self.responsive_and_staying() > self.tolerated_losses {
             departing.extend(self.view.retiring.iter().cloned());
         }
         departing
@@ -141,7 +144,7 @@
         };
         let members = self.view.latest().iter();
         members
-            .filter(|member| !self.is_emptied(&member.node))
+            .filter(|member| !self.is_retiring_or_retired(&member.node))
             .filter(is_responsive)
             .count()
     }
@@ -161,7 +164,7 @@
             .iter()
             .filter(|node| !view.retiring.contains(**node))
             .count();
-        if present.len() <= 2 * self.tolerated || remaining <= self.tolerated {
+        if present.len() <= 2 * self.tolerated_losses || remaining <= self.tolerated_losses {
             return BTreeSet::new();
         }
         let nodes = shutting_down.iter().map(|seen| seen.member.node.clone());
@@ -186,9 +189,9 @@
         for machine in unresponsive.into_iter().rev() {
             let time = machine.unresponsive_for;
             let is_replaced = wanted.len() > members_to_keep;
-            let is_redundant = time >= removal_timeout && responsive > 2 * self.tolerated;
+            let is_redundant = time >= removal_timeout && responsive > 2 * self.tolerated_losses;
             let stalls_change =
-                is_changing && time >= STALLED_CHANGE_TIMEOUT && responsive > self.tolerated;
+                is_changing && time >= STALLED_CHANGE_TIMEOUT && responsive > self.tolerated_losses;
             if is_replaced || is_redundant || stalls_change {
                 wanted.retain(|member| member.node != machine.node);
             }
@@ -213,7 +216,7 @@
         self.now.saturating_duration_since(seen.last_heard) < MAX_ANNOUNCEMENT_AGE
     }
 
-    fn is_emptied(&self, node: &str) -> bool {
+    fn is_retiring_or_retired(&self, node: &str) -> bool {
         self.view.retiring.contains(node) || self.view.retired.contains(node)
     }
 
