--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -79,7 +79,7 @@
         if self.reachable_other_voters(now) < view.majority() {
             return Departure::VoteNeeded;
         }
-        if self.reachable_active_members(now) < self.policy.minimum {
+        if self.reachable_active_members(now) < self.policy.min_chain_length {
             return Departure::ChainWithoutState;
         }
         if view.voters.contains(&self.id) && self.is_replacement_reachable(now) {
--- a/crates/tier/chain/src/member/propagation.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -158,7 +158,7 @@
         let Some(successor) = self.successor() else {
             let barrier = self.replication.barrier();
             let view = &self.durable.view;
-            if view.chain.len() >= self.policy.minimum && view.meets_every_majority() {
+            if view.chain.len() >= self.policy.min_chain_length && view.meets_every_majority() {
                 self.record_chain_progress(now, Some(persisted), barrier);
             }
             return;
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -123,10 +123,10 @@
         let head = self.next_head(floor)?;
         let preferred = self.in_order_of_preference();
         let mut chain = vec![head];
-        self.extend(&mut chain, &preferred, true, self.policy.replicas);
+        self.extend(&mut chain, &preferred, true, self.policy.target_members);
         // A chain with a member that is shutting down or syncs slowly is better than one that commits
         // nothing.
-        self.extend(&mut chain, &preferred, false, self.policy.minimum);
+        self.extend(&mut chain, &preferred, false, self.policy.min_chain_length);
         Ok(chain
             .into_iter()
             .map(|candidate| candidate.member)
@@ -220,7 +220,7 @@
             self.remaining_voters(),
         ];
         for member in preferred.into_iter().flatten() {
-            if next.len() < self.policy.replicas && !next.contains(&member) {
+            if next.len() < self.policy.target_members && !next.contains(&member) {
                 next.push(member);
             }
         }
--- a/crates/tier/chain/src/policy.rs
+++ b/crates/tier/chain/src/policy.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Target number of voters, and of members of the chain: `2f + 1`.
-    pub replicas: usize,
+    pub target_members: usize,
     /// Length of the chain below which it commits nothing: `f + 1`.
-    pub minimum: usize,
+    pub min_chain_length: usize,
     /// Whether members should be in different zones.
     pub spread_zones: bool,
     /// Whether members should be in different regions.
@@ -45,8 +45,8 @@
             .max(tolerance.zones)
             .max(tolerance.regions);
         Policy {
-            replicas: 2 * faults + 1,
-            minimum: faults + 1,
+            target_members: 2 * faults + 1,
+            min_chain_length: faults + 1,
             spread_zones: tolerance.zones > 0,
             spread_regions: tolerance.regions > 0,
         }
