--- a/crates/tier/chain/src/lib.rs
+++ b/crates/tier/chain/src/lib.rs
@@ -71,7 +71,7 @@
 pub use failure_domain::FailureDomain;
 #[doc(hidden)]
 pub use member::TimedStep;
-pub use member::{Departure, Input, Member, MemberOptions, Output, Status};
+pub use member::{ExitReadiness, Input, Member, MemberOptions, Output, Status};
 pub use message::{Barrier, Body, DecodeError, Envelope, Heartbeat, HeartbeatTime, Write};
 #[cfg(feature = "mutations")]
 pub use mutations::Mutation;
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -26,7 +26,7 @@
 
 /// Whether a member that is shutting down may exit, or why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Departure {
+pub enum ExitReadiness {
     /// It may exit: the others have the state on disk and a majority of the voters.
     Free,
     /// Every other voter is shutting down as well, or there is none: no member can replace this one.
@@ -54,38 +54,38 @@
 
 impl Member {
     /// Whether this member may exit. Only meaningful after [`Input::Leave`](super::Input::Leave).
-    pub fn departure(&self, now: Duration) -> Departure {
+    pub fn exit_readiness(&self, now: Duration) -> ExitReadiness {
         #[cfg(feature = "mutations")]
         if self.is_mutated(crate::mutations::Mutation::LeavesAtOnce) {
-            return Departure::Free;
+            return ExitReadiness::Free;
         }
         let view = &self.durable.view;
         if view.epoch == 0 {
-            return Departure::Free;
+            return ExitReadiness::Free;
         }
         if self.is_nobody_staying(now) {
-            return Departure::NobodyStays;
+            return ExitReadiness::NobodyStays;
         }
         if view.chain.contains(&self.id) {
-            return Departure::InChain;
+            return ExitReadiness::InChain;
         }
         #[cfg(feature = "mutations")]
         if self.is_mutated(crate::mutations::Mutation::LeavesWithTheView) {
-            return Departure::Free;
+            return ExitReadiness::Free;
         }
         if self.is_view_pending(now) {
-            return Departure::ViewPending;
+            return ExitReadiness::ViewPending;
         }
         if self.reachable_other_voters(now) < view.majority() {
-            return Departure::VoteNeeded;
+            return ExitReadiness::VoteNeeded;
         }
         if self.reachable_active_members(now) < self.policy.min_chain_length {
-            return Departure::ChainWithoutState;
+            return ExitReadiness::ChainWithoutState;
         }
         if view.voters.contains(&self.id) && self.is_replacement_reachable(now) {
-            return Departure::ReplacementWithoutVote;
+            return ExitReadiness::ReplacementWithoutVote;
         }
-        Departure::Free
+        ExitReadiness::Free
     }
 
     /// Whether a view may be pending whose proposer didn't know that this member is shutting down.
--- a/crates/tier/chain/src/member/io.rs
+++ b/crates/tier/chain/src/member/io.rs
@@ -29,7 +29,7 @@
     },
     /// The settings name other seeds.
     Seeds(Vec<SocketAddrV4>),
-    /// The process is shutting down; see [`Departure`](super::Departure).
+    /// The process is shutting down; see [`ExitReadiness`](super::ExitReadiness).
     Leave,
 }
 
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -53,7 +53,7 @@
 use crate::state::ControlState;
 use crate::view::MemberId;
 
-pub use departure::Departure;
+pub use departure::ExitReadiness;
 use departure::Leaving;
 
 /// Interval between heartbeats to the same member.
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -6,7 +6,7 @@
 
 use support::member_id;
 use woadreach_chain::{
-    Body, Departure, Durable, Envelope, FailureDomain, Heartbeat, HeartbeatTime, Input, Member,
+    Body, Durable, Envelope, ExitReadiness, FailureDomain, Heartbeat, HeartbeatTime, Input, Member,
     MemberId, MemberOptions, Record, Tolerance, View, WritePosition,
 };
 
@@ -83,14 +83,14 @@
         let now = stopped_at + Duration::from_millis(passed);
         hear_the_chain(&mut member, now);
         assert_eq!(
-            member.departure(now),
-            Departure::ViewPending,
+            member.exit_readiness(now),
+            ExitReadiness::ViewPending,
             "{passed} ms after shutdown began"
         );
     }
     let now = stopped_at + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
-    assert_eq!(member.departure(now), Departure::Free);
+    assert_eq!(member.exit_readiness(now), ExitReadiness::Free);
 }
 
 #[test]
@@ -109,5 +109,5 @@
     );
     let now = stopped_at + Duration::from_millis(1000);
     hear_the_chain(&mut member, now);
-    assert_eq!(member.departure(now), Departure::InChain);
+    assert_eq!(member.exit_readiness(now), ExitReadiness::InChain);
 }
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use woadreach_chain::{Departure, Input};
+use woadreach_chain::{ExitReadiness, Input};
 
 use super::event::Event;
 use super::faults::CATCH_UP;
@@ -58,9 +58,9 @@
         .member
         .as_ref()
         .filter(|_| world.is_running(node));
-    let may_end = match member.map(|member| member.departure(now)) {
-        Some(Departure::Free) => true,
-        Some(Departure::NobodyStays) => waited >= ALONE_TIMEOUT,
+    let may_end = match member.map(|member| member.exit_readiness(now)) {
+        Some(ExitReadiness::Free) => true,
+        Some(ExitReadiness::NobodyStays) => waited >= ALONE_TIMEOUT,
         Some(_) => waited >= LEAVE_TIMEOUT,
         None => waited >= GRACE_PERIOD,
     };
--- a/crates/tier/control/src/core_role/shutdown.rs
+++ b/crates/tier/control/src/core_role/shutdown.rs
@@ -5,7 +5,7 @@
 
 use tokio::signal::unix::Signal;
 use tokio::time::Instant;
-use woadreach_chain::{Departure, Input};
+use woadreach_chain::{ExitReadiness, Input};
 use woadreach_discovery::Sampler;
 use woadreach_settings::NodeSettings;
 
@@ -75,10 +75,10 @@
     let started = Instant::now();
     let max_wait = grace_period.saturating_sub(STOP_MARGIN);
     loop {
-        let departure = driver.departure();
+        let departure = driver.exit_readiness();
         let timeout = match departure {
-            Departure::Free => Duration::ZERO,
-            Departure::NobodyStays => LAST_MEMBER_TIMEOUT.min(max_wait),
+            ExitReadiness::Free => Duration::ZERO,
+            ExitReadiness::NobodyStays => LAST_MEMBER_TIMEOUT.min(max_wait),
             _ => max_wait,
         };
         if started.elapsed() >= timeout {
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::Instant;
 use woadreach_chain::{
-    ControlState, DecodeError, Departure, Durable, Envelope, Input, Member, MemberOptions, Output,
-    Reply, Request, RequestId, Status, StoredStorageView, View,
+    ControlState, DecodeError, Durable, Envelope, ExitReadiness, Input, Member, MemberOptions,
+    Output, Reply, Request, RequestId, Status, StoredStorageView, View,
 };
 use woadreach_journal::Journal;
 use woadreach_rpc::{Client, ClientOptions, ServiceId};
@@ -177,9 +177,9 @@
     }
 
     /// Whether the process of a member that is leaving may stop.
-    pub fn departure(&self) -> Departure {
+    pub fn exit_readiness(&self) -> ExitReadiness {
         let now = self.started.elapsed();
-        self.state.lock().member.departure(now)
+        self.state.lock().member.exit_readiness(now)
     }
 
     /// The newest committed state that this member knows.
--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -67,7 +67,7 @@
 
 /// An order or an answer of another core machine that can't be read.
 #[derive(Debug, Snafu)]
-pub enum MessageError {
+pub enum OrderDecodeError {
     /// The message has no bytes.
     #[snafu(display("the order is empty"))]
     Empty,
@@ -114,7 +114,7 @@
     }
 
     /// Reads a forwarded order.
-    pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, MessageError> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, OrderDecodeError> {
         decode(bytes)
     }
 }
@@ -142,7 +142,7 @@
     bytes
 }
 
-fn decode<'a, T: Readable<'a, Endianness>>(bytes: &'a [u8]) -> Result<T, MessageError> {
+fn decode<'a, T: Readable<'a, Endianness>>(bytes: &'a [u8]) -> Result<T, OrderDecodeError> {
     let (&version, rest) = bytes.split_first().context(EmptySnafu)?;
     ensure!(version == ORDER_VERSION, VersionSnafu { found: version });
     T::read_from_buffer_with_ctx(Endianness::LittleEndian, rest).context(MalformedSnafu)
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -13,7 +13,9 @@
 use woadreach_rpc::{CallError, Client, ServiceId};
 
 use super::execution::execute_at_head;
-use super::message::{Answer, ForwardedOrder, MessageError, Order, decode_answer, encode_answer};
+use super::message::{
+    Answer, ForwardedOrder, Order, OrderDecodeError, decode_answer, encode_answer,
+};
 use super::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
@@ -179,8 +181,8 @@
     /// is none.
     ///
     /// # Errors
-    /// [`MessageError`] if the order can't be read.
-    pub async fn execute_forwarded(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
+    /// [`OrderDecodeError`] if the order can't be read.
+    pub async fn execute_forwarded(&self, body: Bytes) -> Result<Vec<u8>, OrderDecodeError> {
         let forwarded = ForwardedOrder::decode(&body)?;
         let timeout = forwarded
             .timeout()
--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -10,7 +10,7 @@
 use tower::ServiceExt;
 use woadreach_chain::{Accepted, Ballot, Body, DecodeError, Envelope, MemberId, View, ViewError};
 use woadreach_control::operator;
-use woadreach_control::order::message::MessageError;
+use woadreach_control::order::message::OrderDecodeError;
 
 fn stranger(number: u8) -> MemberId {
     MemberId {
@@ -154,14 +154,14 @@
         .execute_forwarded(Bytes::new())
         .await
         .expect_err("empty");
-    assert!(matches!(error, MessageError::Empty), "{error}");
+    assert!(matches!(error, OrderDecodeError::Empty), "{error}");
     for version in [0, 2, 255] {
         let error = orders
             .execute_forwarded(Bytes::from(vec![version, 0, 0]))
             .await
             .expect_err("version");
         assert!(
-            matches!(error, MessageError::Version { found } if found == version),
+            matches!(error, OrderDecodeError::Version { found } if found == version),
             "{error}"
         );
     }
@@ -169,7 +169,10 @@
         .execute_forwarded(Bytes::from_static(&[1, 0, 0]))
         .await
         .expect_err("truncated");
-    assert!(matches!(error, MessageError::Malformed { .. }), "{error}");
+    assert!(
+        matches!(error, OrderDecodeError::Malformed { .. }),
+        "{error}"
+    );
 }
 
 async fn status_of(api: &axum::Router, request: HttpRequest<HttpBody>) -> StatusCode {
