--- a/crates/tier/chain/src/member/dispatch.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -144,8 +144,8 @@
         self.record_number
     }
 
-    /// Sends what waited for the records up to `through`, which are synced.
-    pub(super) fn synced(&mut self, now: Duration, through: u64) {
+    /// Records that every record up to number `through` is synced, and sends what waited for it.
+    pub(super) fn record_synced(&mut self, now: Duration, through: u64) {
         self.synced_number = self.synced_number.max(through);
         while self
             .deferred
@@ -156,7 +156,7 @@
                 self.send_now(message.to.address, message.body);
             }
         }
-        if self.replication.synced(through) {
+        if self.replication.record_synced(through) {
             self.report_progress(now);
         }
     }
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -248,14 +248,14 @@
     /// Handles an input. Returns what the driver must do, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.recover_from_stall(now);
-        self.update_contact(now);
+        self.update_caught_up(now);
         match input {
             Input::Tick => self.tick(now),
             Input::Message(envelope) => self.receive(now, envelope),
             Input::Request(id, request) => self.handle_request(now, id, request),
             Input::Cancel(id) => self.pending_requests.cancel(id),
-            Input::Synced(through) => self.synced(now, through),
-            Input::DiskHealth { is_healthy } => self.disk_health(now, is_healthy),
+            Input::Synced(through) => self.record_synced(now, through),
+            Input::DiskHealth { is_healthy } => self.record_disk_health(now, is_healthy),
             Input::Seeds(seeds) => self.seeds = seeds,
             Input::Leave => self.leave(now),
         }
@@ -267,10 +267,10 @@
         while let Some(envelope) = self.loopback.pop_front() {
             self.receive(now, envelope);
         }
-        self.update_contact(now);
+        self.update_caught_up(now);
         #[cfg(feature = "mutations")]
         if self.is_mutated(crate::mutations::Mutation::AcknowledgeBeforeSync) {
-            self.synced(now, self.record_number);
+            self.record_synced(now, self.record_number);
             while let Some(envelope) = self.loopback.pop_front() {
                 self.receive(now, envelope);
             }
@@ -300,8 +300,9 @@
         self.advance_replication(now);
     }
 
-    /// Reports a stalled disk to the others at once, since this member can't propose without it.
-    fn disk_health(&mut self, now: Duration, is_healthy: bool) {
+    /// Records the health of the disk. A change is reported to the others at once, since this member can't
+    /// propose without its disk.
+    fn record_disk_health(&mut self, now: Duration, is_healthy: bool) {
         let has_changed = self.is_disk_healthy != is_healthy;
         self.is_disk_healthy = is_healthy;
         if has_changed {
--- a/crates/tier/chain/src/member/quorum_contact.rs
+++ b/crates/tier/chain/src/member/quorum_contact.rs
@@ -51,8 +51,9 @@
         self.is_majority(|voter| self.hears_voter(now, voter))
     }
 
-    /// Updates the state of the table above. Must be called before and after each input.
-    pub(super) fn update_contact(&mut self, now: Duration) {
+    /// Updates whether this member has caught up since it came into contact: the state of the table above. Must
+    /// be called before and after each input.
+    pub(super) fn update_caught_up(&mut self, now: Duration) {
         if !self.is_in_contact_with_majority(now) {
             self.is_caught_up = false;
         } else if !self.is_caught_up {
--- a/crates/tier/chain/src/replication/mod.rs
+++ b/crates/tier/chain/src/replication/mod.rs
@@ -115,7 +115,7 @@
 
     /// Records that every record up to number `through` is synced. Returns whether the persisted state
     /// changed.
-    pub(crate) fn synced(&mut self, through: u64) -> bool {
+    pub(crate) fn record_synced(&mut self, through: u64) -> bool {
         let before = self.persisted;
         while let Some(record) = self
             .unsynced
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -24,7 +24,7 @@
 use crate::storage_planner::StoragePlanner;
 use crate::{http_server, instances, operator};
 
-use recovery::open_member;
+use recovery::recover_or_initialize;
 use shutdown::{leave, serve_signals};
 
 /// Limit on the time for answering requests in flight when the process is stopped.
@@ -52,7 +52,7 @@
     let control_listener = listen(control_address).await?;
 
     let options = member_options(&settings)?;
-    let (journal, recovered) = open_member(&settings, &options).await?;
+    let (journal, recovered) = recover_or_initialize(&settings, &options).await?;
     let rpc = Client::new(ClientOptions::default());
     let driver = MemberDriver::start(options, recovered, journal, rpc.clone());
     let services = start_services(&settings, &driver, rpc, internal_listener);
--- a/crates/tier/control/src/core_role/recovery.rs
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -17,8 +17,9 @@
 /// Limit in bytes on the records that wait for the disk.
 const MAX_QUEUED_BYTES: usize = 64 << 20;
 
-/// Opens the journal. On an empty disk, a new identity is created and synced.
-pub(super) async fn open_member(
+/// Opens the journal and recovers the state of the member. On an empty disk, a new identity is created and
+/// synced.
+pub(super) async fn recover_or_initialize(
     settings: &NodeSettings,
     options: &MemberOptions,
 ) -> Result<(Journal, RecoveredMember), RoleError> {
--- a/crates/tier/control/src/core_role/shutdown.rs
+++ b/crates/tier/control/src/core_role/shutdown.rs
@@ -61,7 +61,7 @@
                     _ => {}
                 }
             }
-            driver.input(Input::Seeds(seeds));
+            driver.handle(Input::Seeds(seeds));
         }
         Err(error) => tracing::warn!(%error, "settings reload failed"),
     }
@@ -71,7 +71,7 @@
 /// come back, or until the grace period is over but for [`STOP_MARGIN`].
 pub(super) async fn leave(driver: &MemberDriver, grace_period: Duration) {
     tracing::info!("departure from the chain requested");
-    driver.input(Input::Leave);
+    driver.handle(Input::Leave);
     let started = Instant::now();
     let max_wait = grace_period.saturating_sub(STOP_MARGIN);
     loop {
--- a/crates/tier/control/src/journal_health.rs
+++ b/crates/tier/control/src/journal_health.rs
@@ -4,7 +4,7 @@
 //! | --- | --- | --- |
 //! | `Healthy` | the log is long | `Compacting`: appends go on |
 //! | `Compacting` | the snapshot is written, or superseded by a newer one | `Healthy` |
-//! | `Compacting` | the snapshot can't be written | `Healthy`, and none is begun for [`RETRY_INTERVAL`] |
+//! | `Compacting` | the snapshot can't be written | `Healthy`, and none is begun for [`COMPACTION_RETRY_INTERVAL`] |
 //! | `Healthy`, `Compacting` | an append fails, a snapshot is queued | `Repairing`: appends queue behind it |
 //! | `Repairing` | the snapshot is written | `Healthy` |
 //! | `Repairing` | the snapshot can't be written | `Broken`: nothing is appended |
@@ -16,7 +16,7 @@
 /// too.
 pub const COMPACTION_BYTES: u64 = 8 << 20;
 /// Interval between a compaction that failed and the next one.
-pub const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+pub const COMPACTION_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// State of the table above.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 
     /// Records that the snapshot of a compaction can't be written.
     pub fn fail_compaction(&mut self, now: Duration) {
-        self.not_before = now + RETRY_INTERVAL;
+        self.not_before = now + COMPACTION_RETRY_INTERVAL;
         self.end_compaction();
     }
 
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a [`Member`] on the real clock, disk and network: where each step of a configuration change that the
 //! member decides becomes a write to the disk, a message or a reply.
 //!
-//! [`MemberDriver::input`] gives the member an event and executes its outputs. They are executed under the
+//! [`MemberDriver::handle`] gives the member an event and executes its outputs. They are executed under the
 //! lock under which they were decided, so that records reach the journal in the order of their numbers. Three
 //! tasks run beside the callers: one awaits syncs of records, one awaits snapshots (both in `persistence`),
 //! and one wakes the member when its next time-out is due.
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         let is_waiting = self.driver.state.lock().replies.remove(&self.id).is_some();
         if is_waiting {
-            self.driver.input(Input::Cancel(self.id));
+            self.driver.handle(Input::Cancel(self.id));
         }
     }
 }
@@ -131,16 +131,16 @@
     pub fn receive(&self, body: &[u8]) -> Result<(), DecodeError> {
         let envelope = Envelope::decode(body)?;
         envelope.check()?;
-        self.input(Input::Message(envelope));
+        self.handle(Input::Message(envelope));
         Ok(())
     }
 
     /// Gives the member an input and executes its outputs.
-    pub fn input(&self, input: Input) {
+    pub fn handle(&self, input: Input) {
         let mut state = self.state.lock();
         let outputs = state.member.handle(self.started.elapsed(), input);
         let is_changed = self.execute(&mut state, outputs);
-        self.compact(&mut state);
+        self.compact_if_due(&mut state);
         let wake = self.started + state.member.next_wake();
         let must_wake = wake < state.timer_deadline;
         drop(state);
@@ -164,7 +164,7 @@
             id
         };
         let guard = RequestGuard { driver: self, id };
-        self.input(Input::Request(id, request));
+        self.handle(Input::Request(id, request));
         let reply = receiver.await.unwrap_or(Reply::Unavailable);
         drop(guard);
         reply
@@ -255,7 +255,7 @@
                 () = self.timer.notified() => {}
             }
             self.check_disk();
-            self.input(Input::Tick);
+            self.handle(Input::Tick);
             let in_quorum = self.status().in_quorum;
             if in_quorum != was_in_quorum {
                 was_in_quorum = in_quorum;
@@ -278,7 +278,7 @@
             is_healthy
         };
         tracing::warn!(is_healthy, "disk health changed");
-        self.input(Input::DiskHealth { is_healthy });
+        self.handle(Input::DiskHealth { is_healthy });
     }
 }
 
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -14,7 +14,7 @@
 use crate::durable_log::{encode_record, encode_snapshot};
 
 /// Interval between two attempts to repair a failed journal.
-const REPAIR_INTERVAL: Duration = Duration::from_millis(500);
+const REPAIR_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Ends once a record or a snapshot is synced.
 pub(super) type SyncFuture = Pin<Box<dyn Future<Output = Result<Synced, JournalError>> + Send>>;
@@ -45,9 +45,9 @@
         let _ = self.syncs.send(pending);
     }
 
-    /// Replaces a long log by a snapshot, while records are appended. Must be called when every record that
-    /// the member has made is appended: one appended later would be in the snapshot already.
-    pub(super) fn compact(&self, state: &mut DriverState) {
+    /// Replaces the log by a snapshot if it is long, while records are appended. Must be called when every
+    /// record that the member has made is appended: one appended later would be in the snapshot already.
+    pub(super) fn compact_if_due(&self, state: &mut DriverState) {
         let now = self.started.elapsed();
         if !state
             .journal_health
@@ -101,7 +101,7 @@
     /// Notifies the member that all records up to `number` are synced, of which `_receipt` is the proof.
     fn report_synced(&self, number: u64, _receipt: Synced) {
         let recovered_number = self.state.lock().recovered_number;
-        self.input(Input::Synced(number - recovered_number));
+        self.handle(Input::Synced(number - recovered_number));
     }
 
     /// Replaces the journal by a snapshot, again and again until that succeeds. The snapshot has every record
@@ -118,7 +118,7 @@
                 Err(error) => {
                     tracing::warn!(%error, "journal repair failed");
                     self.state.lock().journal_health.fail_repair();
-                    tokio::time::sleep(REPAIR_INTERVAL).await;
+                    tokio::time::sleep(REPAIR_RETRY_INTERVAL).await;
                 }
             }
         }
--- a/crates/tier/control/src/order/route.rs
+++ b/crates/tier/control/src/order/route.rs
@@ -7,7 +7,7 @@
 use woadreach_chain::{MemberId, Status};
 
 /// How long an order waits at a machine that is out of quorum, before its caller is sent to another one.
-pub const QUORUM_TIMEOUT: Duration = Duration::from_millis(400);
+pub const OUT_OF_QUORUM_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Next step of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 /// Next step of an order at the machine with the address `own_address`, which has been out of quorum for
 /// `out_of_quorum_for` (zero if it is in quorum now).
 pub fn next_step(status: &Status, own_address: SocketAddr, out_of_quorum_for: Duration) -> Step {
-    if !status.in_quorum && out_of_quorum_for >= QUORUM_TIMEOUT {
+    if !status.in_quorum && out_of_quorum_for >= OUT_OF_QUORUM_TIMEOUT {
         return Step::GiveUp;
     }
     match status.head.map(|head| SocketAddr::V4(head.address)) {
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -16,7 +16,7 @@
 use super::message::{
     Answer, ForwardedOrder, Order, OrderDecodeError, decode_answer, encode_answer,
 };
-use super::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
+use super::route::{OUT_OF_QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
 /// Callers move on to another machine after a second; before that, an order that takes longer than this gets
@@ -59,7 +59,7 @@
             self.out_of_quorum_since = None;
             return now + ORDER_TIMEOUT;
         }
-        *self.out_of_quorum_since.get_or_insert(now) + QUORUM_TIMEOUT
+        *self.out_of_quorum_since.get_or_insert(now) + OUT_OF_QUORUM_TIMEOUT
     }
 
     fn out_of_quorum_for(&self) -> Duration {
--- a/crates/tier/control/tests/order_route.rs
+++ b/crates/tier/control/tests/order_route.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use woadreach_chain::{MemberId, Status};
-use woadreach_control::order::route::{QUORUM_TIMEOUT, Step, is_superseded, next_step};
+use woadreach_control::order::route::{OUT_OF_QUORUM_TIMEOUT, Step, is_superseded, next_step};
 
 fn address(host: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 7000)
@@ -56,14 +56,17 @@
 
 #[test]
 fn out_of_quorum_an_order_waits_a_little_and_is_abandoned_also_at_a_former_head() {
-    let short = QUORUM_TIMEOUT - Duration::from_millis(1);
+    let short = OUT_OF_QUORUM_TIMEOUT - Duration::from_millis(1);
     assert_eq!(step(Some(1), true, false, short), Step::Execute);
     assert_eq!(
         step(Some(2), false, false, short),
         Step::Forward(SocketAddr::V4(address(2)))
     );
     for (head, is_head) in [(Some(1), true), (Some(2), false), (None, false)] {
-        assert_eq!(step(head, is_head, false, QUORUM_TIMEOUT), Step::GiveUp);
+        assert_eq!(
+            step(head, is_head, false, OUT_OF_QUORUM_TIMEOUT),
+            Step::GiveUp
+        );
     }
 }
 
