--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -171,7 +171,8 @@
         reports.contains_key(&voter)
     }
 
-    /// Whether a voter that has not reported is heard, so that its report may still arrive.
+    /// Whether a voter that has not reported is heard, so that its report may still arrive. Unlike
+    /// [`hears_voter`](Self::hears_voter), this is false of this member itself in epoch 0.
     fn is_expected(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.peers.is_bootstrapping(now, voter.address);
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -6,6 +6,15 @@
 //! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that
 //! their sender hears, so that links between others are known too, and echo the receiver's last heartbeat,
 //! which proves both directions of a link.
+//!
+//! | a member is | if |
+//! | --- | --- |
+//! | heard | a message of it has arrived within [`SUSPICION_TIMEOUT`] |
+//! | alive | it is heard, or this process has listened for less than [`SUSPICION_TIMEOUT`] |
+//! | stable | its messages have come for [`STABLE_TIME`] without a gap of more than [`SUSPICION_TIMEOUT`] before the last one |
+//! | reachable | it is heard, and has listed this member as heard within [`SUSPICION_TIMEOUT`] |
+//! | in contact | it has echoed a heartbeat that this process sent within [`CONTACT_TIMEOUT`] |
+//! | connected to another | each of the two hears the other, as far as this process has listened for long enough to tell |
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -112,7 +112,7 @@
         /// Generation in force.
         current: u64,
     },
-    /// The new generation is not above the current one.
+    /// The new generation is not above the one that the change builds on.
     #[snafu(display("the generation must exceed the current one, {current}"))]
     StaleGeneration {
         /// Generation in force.
