--- /dev/null
+++ b/crates/tier/control/src/core_role/departure.rs
@@ -0,0 +1,37 @@
+//! Departure of a core machine from the chain after SIGTERM.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+use woadreach_chain::{ExitReadiness, Input};
+
+use crate::member_driver::MemberDriver;
+
+/// Part of the grace period that is reserved for answering requests in flight after the departure.
+const STOP_MARGIN: Duration = Duration::from_millis(2500);
+/// Limit on the time for the departure when no member stays that could take over.
+const LAST_MEMBER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interval at which the progress of the departure is checked.
+const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Asks to be removed from the chain, and waits until no data depends on this machine's disk, which may never
+/// come back, or until the grace period is over but for [`STOP_MARGIN`].
+pub(super) async fn leave(driver: &MemberDriver, grace_period: Duration) {
+    tracing::info!("departure from the chain requested");
+    driver.handle(Input::Leave);
+    let started = Instant::now();
+    let max_wait = grace_period.saturating_sub(STOP_MARGIN);
+    loop {
+        let departure = driver.exit_readiness();
+        let timeout = match departure {
+            ExitReadiness::Free => Duration::ZERO,
+            ExitReadiness::NobodyStays => LAST_MEMBER_TIMEOUT.min(max_wait),
+            _ => max_wait,
+        };
+        if started.elapsed() >= timeout {
+            tracing::info!(?departure, "left the chain");
+            return;
+        }
+        tokio::time::sleep(DEPARTURE_POLL_INTERVAL).await;
+    }
+}
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -1,7 +1,8 @@
 //! The `core` role: starts the services of a core machine, and stops them on SIGTERM.
 
+mod departure;
 mod recovery;
-mod shutdown;
+mod signals;
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -24,8 +25,9 @@
 use crate::storage_planner::StoragePlanner;
 use crate::{http_server, instances, operator};
 
+use departure::leave;
 use recovery::recover_or_initialize;
-use shutdown::{leave, serve_signals};
+use signals::run_until_sigterm;
 
 /// Limit on the time for answering requests in flight when the process is stopped.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -67,7 +69,7 @@
     let server = tokio::spawn(server);
     tracing::info!(node = settings.node, address = %settings.internal_address(), "core machine started");
 
-    serve_signals(&driver, &services.sampler, &mut terminate, &mut hangup).await;
+    run_until_sigterm(&driver, &services.sampler, &mut terminate, &mut hangup).await;
     leave(&driver, settings.bounds.grace_period).await;
     stop.send_replace(true);
     // A server task that has panicked has no requests in flight.
