--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -34,7 +34,7 @@
 }
 
 /// Answer to an order. [`Answer::Undecided`] and [`Answer::UnreadableStorageView`] leave open whether the
-/// order takes effect; all others are final.
+/// order takes effect, and [`Answer::RetireState`] is its progress; all others are final.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Answer {
     /// The order is committed, now or by an earlier copy of it.
@@ -50,7 +50,8 @@
     },
     /// No configuration has been committed yet.
     NoConfiguration,
-    /// No storage machine has the name.
+    /// The view has no storage machine of this name. To [`Order::RetireState`]: no order to retire it was
+    /// given.
     UnknownNode,
     /// Fewer storage machines would remain than the fault tolerance requires.
     TooFewNodes,
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -19,8 +19,8 @@
 use super::route::{OUT_OF_QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
-/// Callers move on to another machine after a second; before that, an order that takes longer than this gets
-/// [`Unanswered::Late`], or [`Unanswered::NoHead`] if it never reached a head.
+/// Limit on the time for an order, below the second after which callers move on to another machine. After it
+/// the order gets [`Unanswered::Late`], or [`Unanswered::NoHead`] if it never reached a head.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(780);
 /// Longest wait for another view before the head is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
@@ -51,15 +51,19 @@
 }
 
 impl Progress {
-    /// Records whether the machine is in quorum. Returns when an attempt is to end so that the status is read
-    /// again.
-    fn record_status(&mut self, status: &Status) -> Instant {
-        let now = Instant::now();
+    /// Records whether the machine is in quorum.
+    fn record_status(&mut self, now: Instant, status: &Status) {
         if status.in_quorum {
             self.out_of_quorum_since = None;
-            return now + ORDER_TIMEOUT;
+        } else {
+            self.out_of_quorum_since.get_or_insert(now);
         }
-        *self.out_of_quorum_since.get_or_insert(now) + OUT_OF_QUORUM_TIMEOUT
+    }
+
+    /// When an attempt that begins `now` is to end, so that the status is read again.
+    fn attempt_deadline(&self, now: Instant) -> Instant {
+        self.out_of_quorum_since
+            .map_or(now + ORDER_TIMEOUT, |since| since + OUT_OF_QUORUM_TIMEOUT)
     }
 
     fn out_of_quorum_for(&self) -> Duration {
@@ -117,7 +121,9 @@
         loop {
             changes.borrow_and_update();
             let status = self.driver.status();
-            let until = deadline.min(progress.record_status(&status));
+            let now = Instant::now();
+            progress.record_status(now, &status);
+            let until = deadline.min(progress.attempt_deadline(now));
             let superseded = head_changed(&self.driver, self.driver.changes(), status.head);
             tokio::select! {
                 answer = self.attempt(&order, &status, until, &mut progress) => match answer? {
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -65,13 +65,14 @@
             driver.status().in_quorum
         });
         router.route_checked(ServiceId::ANNOUNCE, move |peer, body: Bytes| {
-            planner.relay(peer, &body);
+            planner.forward_to_head(peer, &body);
             receive(peer, body)
         })
     }
 
-    /// Forwards an announcement to the head if that isn't a seed. Storage machines may know the seeds only.
-    fn relay(&self, peer: SocketAddr, body: &Bytes) {
+    /// Forwards an announcement to the head if the head is no seed, since storage machines may know the seeds
+    /// only. One that another core machine has forwarded is not forwarded again.
+    fn forward_to_head(&self, peer: SocketAddr, body: &Bytes) {
         let status = self.driver.status();
         let Some(head) = status.head.map(|head| SocketAddr::V4(head.address)) else {
             return;
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -1,4 +1,5 @@
-//! The `storage` role: stores conversations and programs' budgets.
+//! The `storage` role: starts the services of a storage machine, announces it to the core, and stops it on
+//! SIGTERM.
 
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
