--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -80,7 +80,7 @@
         self.apply(&list);
     }
 
-    /// Applies what a lease holder has sent.
+    /// Applies what singleton roles change: by a lease holder's message, or by its expiry.
     ///
     /// Only endpoints that the own list has as ready are closed, and only that list opens them again: a stale
     /// or forged message cannot open an endpoint that the list has closed, nor name one that it does not. It
@@ -91,7 +91,8 @@
                 for share in shares {
                     if let Some(endpoint) = self.endpoints.get(&share.replica) {
                         let replica = ReplicaId(endpoint.id.as_str().into());
-                        self.search_table.set_quota_share(&replica, share.factor);
+                        self.search_table
+                            .set_quota_share(&replica, share.even_shares);
                     }
                 }
                 return;
--- a/crates/router/woadreachd/src/core/handlers.rs
+++ b/crates/router/woadreachd/src/core/handlers.rs
@@ -12,16 +12,13 @@
 use tracing::debug;
 use woadreach_routing::api::{Ending, Search};
 use woadreach_runtime::Net;
-use woadreach_search_driver::InFlight;
-
-/// How much before its time a timer may fire, in seconds: timers count in microseconds.
-const TIMER_PRECISION: f64 = 1e-5;
+use woadreach_search_driver::{InFlightCounts, TIMER_PRECISION};
 
 impl<N: Net> Core<N> {
     pub(super) fn handle_event(&mut self, now: f64, event: Event) {
         match event {
             Event::SearchArrived(arrival) => self.search_arrived(now, *arrival),
-            Event::ClientDisconnected(search) => {
+            Event::AnswerNotOwed(search) => {
                 self.search_table
                     .client_disconnected(now, search, &mut self.executor);
                 self.executor.send_delayed_answer(search);
@@ -42,7 +39,7 @@
                 self.executor.replicas.time_out(now, attempt);
                 self.process_outcomes(now);
             }
-            Timer::AttemptBegin(attempt) => {
+            Timer::AttemptBeginBy(attempt) => {
                 self.executor.replicas.withdraw(now, attempt);
                 self.process_outcomes(now);
             }
@@ -133,11 +130,11 @@
     /// Whether the search is one too many: the settings bound the searches and parts in flight, the memory the
     /// bytes of their requests.
     fn exceeds_limits(&self, arrival: &Arrival) -> bool {
-        let InFlight { searches, parts } = self.search_table.in_flight();
-        let open = searches + parts + 1 + arrival.parts.len();
-        let bytes = self.executor.bytes + arrival.bytes;
+        let InFlightCounts { searches, parts } = self.search_table.in_flight();
+        let in_flight = searches + parts + 1 + arrival.parts.len();
+        let request_bytes = self.executor.request_bytes + arrival.bytes;
         let config = &self.executor.config;
-        let exceeds = open > config.max_open || bytes > config.max_bytes;
+        let exceeds = in_flight > config.max_in_flight || request_bytes > config.max_request_bytes;
         if exceeds {
             debug!(trace = %arrival.trace, searches, parts, "search shed, too much in flight");
         }
@@ -153,7 +150,7 @@
             arrival.received_at,
             arrival.client_deadline,
         );
-        search.repeated = arrival.repeated;
+        search.marked_as_retry = arrival.marked_as_retry;
         self.search_table.insert(search);
         for requested in std::mem::take(&mut arrival.parts) {
             let part = self.executor.new_part();
--- a/crates/router/woadreachd/src/core/timers.rs
+++ b/crates/router/woadreachd/src/core/timers.rs
@@ -1,9 +1,8 @@
 //! Timers of the core task, earliest first.
 
-use crate::events::AttemptId;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use woadreach_routing::api::SearchId;
+use woadreach_routing::api::{AttemptId, SearchId};
 
 /// What is due at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -15,7 +14,7 @@
     /// An attempt's time is over.
     AttemptTimeout(AttemptId),
     /// An attempt that has not begun to leave by now may not leave any more.
-    AttemptBegin(AttemptId),
+    AttemptBeginBy(AttemptId),
     /// Connections that have been idle for too long are closed.
     IdleSweep,
     /// Observations of zones are due to the peers.
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -1,6 +1,6 @@
 //! The task that speaks with the other co-ordinators of the tier.
 //!
-//! It owns the socket for their datagrams and drives the state machines behind [`Peer`] (membership, verdicts
+//! It owns the socket for their datagrams and drives the state machines behind [`LocalPeer`] (membership, verdicts
 //! on zones) and [`SingletonRoles`] (leases). They decide; this task carries out what they ask for and sends
 //! the core what the tier has agreed on. Nothing is sent unless the settings allow it. Start reading at
 //! [`run`]:
@@ -15,8 +15,8 @@
 pub use config::PeerConfig;
 
 use crate::events::{EndpointReport, Events};
-use crate::front::Phase;
-use roles::WarmingShare;
+use crate::phase::Phase;
+use roles::WarmingState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
@@ -28,13 +28,13 @@
 use woadreach_routing::api::ZoneFailoverState;
 use woadreach_runtime::{Datagrams, Net};
 use woadreach_zone_failover::{
-    Peer, PeerActions, VerdictChange, ZoneFailoverConfig, ZoneObservation, Zones,
+    LocalPeer, PeerActions, VerdictChange, ZoneFailoverConfig, ZoneObservation, Zones,
 };
 use zone_failover::AttemptRate;
 
-/// What the core observes of zones and of warming replicas.
+/// What the core has observed: the health of zones, the attempts sent and the demand for warming replicas.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ZoneObservations {
+pub(crate) struct CoreObservations {
     /// In the settings' order.
     pub(crate) zones: Vec<ZoneObservation>,
     /// Attempts sent since the start.
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct WarmingDemand {
     pub(crate) replica: ReplicaKey,
-    /// Attempts that it was wanted for since the start.
-    pub(crate) total: u64,
-    /// Whether it was sent any lately.
+    /// Parts that slow start has kept from it since the start.
+    pub(crate) suppressed: u64,
+    /// Whether it was sent any part lately.
     pub(crate) sent: bool,
 }
 
@@ -57,7 +57,7 @@
 
 /// The task's inputs from other tasks, and where its results go.
 pub(crate) struct PeerChannels {
-    pub(crate) observations: watch::Receiver<ZoneObservations>,
+    pub(crate) observations: watch::Receiver<CoreObservations>,
     pub(crate) endpoint_reports: mpsc::UnboundedReceiver<EndpointReport>,
     pub(crate) phase: watch::Receiver<Phase>,
     pub(crate) events: Events,
@@ -83,10 +83,10 @@
     config: PeerConfig,
     socket: N::Datagrams,
     by_address: BTreeMap<SocketAddr, MemberId>,
-    peer: Peer,
+    peer: LocalPeer,
     roles: Option<SingletonRoles>,
     /// By warming replica, as of the last observation.
-    warming: BTreeMap<ReplicaKey, WarmingShare>,
+    warming: BTreeMap<ReplicaKey, WarmingState>,
     events: Events,
     on_verdict: VerdictCallback,
     /// What the core was last sent.
@@ -200,7 +200,7 @@
         self.perform(actions);
     }
 
-    fn observe(&mut self, observed: &ZoneObservations) {
+    fn observe(&mut self, observed: &CoreObservations) {
         let now = self.net.now();
         self.attempt_rate.record(now, observed.attempts_sent);
         self.update_roles(now, observed);
@@ -292,7 +292,7 @@
     }
 }
 
-fn new_peer(config: &PeerConfig, now: f64) -> Peer {
+fn new_peer(config: &PeerConfig, now: f64) -> LocalPeer {
     let id = MemberId(config.index as u16);
     let zone = config.zone as u8;
     let roster = config.roster.len();
@@ -308,18 +308,22 @@
         config.seed,
         now,
     );
-    let ramp_duration_s = if config.warm_up_s > 0.0 {
+    let slow_start_duration_s = if config.warm_up_s > 0.0 {
         (config.warm_up_s / ZONE_SLOW_START_DIVISOR).clamp(MIN_ZONE_SLOW_START, MAX_ZONE_SLOW_START)
     } else {
         MIN_ZONE_SLOW_START
     };
     let failover = ZoneFailoverConfig {
-        ramp_duration_s,
+        slow_start_duration_s,
         ..ZoneFailoverConfig::default()
     };
     let mut zones = Zones::new(id, zone, config.regions.clone(), roster, failover, now);
-    zones.ejected_by_operator = config.forced_out.iter().map(|z| *z as u8).collect();
-    Peer::new(id, members, zones)
+    zones.ejected_by_operator = config
+        .ejected_by_operator
+        .iter()
+        .map(|z| *z as u8)
+        .collect();
+    LocalPeer::new(id, members, zones)
 }
 
 fn new_roles(config: &PeerConfig, now: f64) -> SingletonRoles {
--- a/crates/router/woadreachd/src/replicas/pooled_connection.rs
+++ b/crates/router/woadreachd/src/replicas/pooled_connection.rs
@@ -2,10 +2,9 @@
 
 use super::config::ConnectionConfig;
 use super::write_queue::{Closing, QueuedAttempt, WriteQueue};
-use crate::events::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
-use woadreach_routing::api::{Ending, ReplicaId};
+use woadreach_routing::api::{AttemptId, Ending, ReplicaId};
 
 /// An attempt that is no longer in flight, to whose wire id an answer may still come.
 #[derive(PartialEq)]
@@ -99,7 +98,7 @@
         config: &ConnectionConfig,
     ) -> bool {
         let idle = self.in_flight.is_empty() && now - self.last_used >= config.max_idle_s();
-        let capacity = config.max_attempts.max(attempts.len());
+        let capacity = config.max_attempts_in_flight.max(attempts.len());
         !self.retired
             && !idle
             && self.in_flight.len() + attempts.len() <= capacity
--- a/crates/router/woadreachd/src/server.rs
+++ b/crates/router/woadreachd/src/server.rs
@@ -5,8 +5,9 @@
 use crate::discovery::{self, DiscoveryConfig};
 use crate::error::{CoreEndedSnafu, FrontSnafu, ListenSnafu, LocalAddressSnafu, ServeError};
 use crate::events::{EndpointList, EndpointLists, Events};
-use crate::front::{Front, Phase, RequestNames};
-use crate::peers::{self, PeerChannels, PeerConfig, VerdictCallback, ZoneObservations};
+use crate::front::{Front, RequestNames};
+use crate::peers::{self, CoreObservations, PeerChannels, PeerConfig, VerdictCallback};
+use crate::phase::Phase;
 use crate::replicas::{ConnectionConfig, Replicas};
 use crate::shutdown::ShutdownSchedule;
 use crate::sockets::Sockets;
@@ -119,7 +120,7 @@
         environment.on_usage,
     );
     if let Some(limits) = config.watch {
-        core.watch(limits, &config.names.query_types);
+        core.compare_with(limits, &config.names.query_types);
     }
     let peers = config
         .peers
@@ -186,7 +187,7 @@
         let address = config.listen;
         let socket = self.net.datagrams(address);
         let socket = socket.context(ListenSnafu { address })?;
-        let (sender, observations) = watch::channel(ZoneObservations::default());
+        let (sender, observations) = watch::channel(CoreObservations::default());
         let (reports, endpoint_reports) = mpsc::unbounded_channel();
         core.report_to_peers(ObservationSender::new(config.zones.len(), sender), reports);
         let channels = PeerChannels {
--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -13,13 +13,13 @@
     Full,
     /// Without an answer before its timeout.
     TimedOut,
-    /// No connection was established.
+    /// No connection was established, or it ended before the attempt was completely written.
     Unreachable,
-    /// The connection broke after the attempt was sent.
+    /// The connection broke after the attempt was sent, or the answer on it cannot be used.
     Broken,
     /// Cancelled by this co-ordinator.
     Cancelled,
-    /// It was never sent.
+    /// It was never completely sent: taken back, or cut off before its last byte.
     NeverSent,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Attempt {
-    /// Whether it provably never ran: it was rejected, had no connection, or was never sent.
+    /// Whether it provably never ran: it was rejected, had no connection, or was never completely sent.
     pub fn proven_unrun(&self) -> bool {
         matches!(
             self.ending,
@@ -80,12 +80,12 @@
 
 impl Part {
     /// Whether one of its attempts is in flight.
-    pub fn in_flight(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.ending.is_none())
     }
 
     /// Its attempts in flight, with their indices.
-    pub fn waiting(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
             .enumerate()
@@ -120,7 +120,7 @@
     /// Whether the first step was complete.
     pub first_step_complete: bool,
     /// Whether the client says that this is a retry of its own; absent where clients don't mark retries.
-    pub repeated: Option<bool>,
+    pub marked_as_retry: Option<bool>,
     /// When the client sent its first attempt, as estimated by the decisions.
     pub first_requested_at: Option<Seconds>,
     /// Queuing deadline of the present step; set by the decisions.
@@ -147,7 +147,7 @@
             parts: Vec::new(),
             step: 1,
             first_step_complete: false,
-            repeated: None,
+            marked_as_retry: None,
             first_requested_at: None,
             queuing_deadline: None,
             finished: false,
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -110,7 +110,7 @@
     }
 
     /// Samples the fleet's capacity, for as long as answers count for a replica's share.
-    pub(super) fn watch_capacity(&mut self, now: Seconds) {
+    pub(super) fn sample_capacity(&mut self, now: Seconds) {
         if self
             .capacity
             .back()
@@ -143,7 +143,7 @@
             .settings
             .slow_start
             .as_ref()
-            .filter(|_| !is_mutated("module-cold-cap"));
+            .filter(|_| !is_mutated("routing-cold-cap"));
         let (Some(config), Some(started_at)) = (config, warming.started_at(now, replica.ready_at))
         else {
             return false;
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::Notify;
-use woadreach_invariants::{EventKind, NodeId, PartName, ReplicaName};
+use woadreach_invariants::{CoordinatorId, EventKind, PartName, ReplicaName};
 use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
 /// Slowest speed, as a multiple of what the parts say: a part must end some day.
@@ -90,7 +90,7 @@
 /// A part that waits for a core or runs on one.
 struct Job {
     /// The co-ordinator that has sent it.
-    node: NodeId,
+    node: CoordinatorId,
     part: Part,
     /// Where its answer goes.
     outlet: Rc<Outlet>,
@@ -159,7 +159,7 @@
     net: &N,
     name: &str,
     behaviour: Behaviour,
-    addresses: &[(NodeId, SocketAddr)],
+    addresses: &[(CoordinatorId, SocketAddr)],
     seed: u64,
     recorder: &Recorder,
 ) -> std::io::Result<Replica<N>> {
@@ -191,7 +191,7 @@
     }
 }
 
-async fn accept<N: Net>(inner: Rc<Inner<N>>, node: NodeId, listener: N::Listener) {
+async fn accept<N: Net>(inner: Rc<Inner<N>>, node: CoordinatorId, listener: N::Listener) {
     while let Ok(stream) = listener.accept().await {
         let delay = inner.behaviour.borrow().accept_delay;
         if delay > 0.0 {
@@ -201,7 +201,7 @@
     }
 }
 
-async fn connection<N: Net>(inner: Rc<Inner<N>>, node: NodeId, mut stream: N::Stream) {
+async fn connection<N: Net>(inner: Rc<Inner<N>>, node: CoordinatorId, mut stream: N::Stream) {
     let outlet: Rc<Outlet> = Rc::default();
     let (reader, writer) = stream.split();
     tokio::select! {
@@ -232,7 +232,7 @@
     PartName {
         search: part.search.as_str().into(),
         shard: part.shard,
-        fetch: part.fetch,
+        second_step: part.second_step,
     }
 }
 
@@ -241,7 +241,7 @@
         "{}.{}{}",
         part.search,
         part.shard,
-        if part.fetch { ".fetch" } else { "" }
+        if part.second_step { ".fetch" } else { "" }
     )
 }
 
@@ -266,7 +266,12 @@
 
 impl<N: Net> Inner<N> {
     /// Reads frames until the connection ends.
-    async fn read(self: &Rc<Self>, node: NodeId, mut reader: impl Read, outlet: &Rc<Outlet>) {
+    async fn read(
+        self: &Rc<Self>,
+        node: CoordinatorId,
+        mut reader: impl Read,
+        outlet: &Rc<Outlet>,
+    ) {
         let mut bytes = Vec::new();
         loop {
             match reader.read(&mut bytes).await {
@@ -306,8 +311,8 @@
     }
 
     /// Records that a co-ordinator broke the protocol, and closes the connection.
-    fn refuse(&self, node: NodeId, why: &str, outlet: &Outlet) {
-        self.recorder.tell(EventKind::Leaked {
+    fn refuse(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
+        self.recorder.tell(EventKind::CoordinatorUnsound {
             node,
             why: format!("a frame that {} cannot read: {why}", self.name),
         });
@@ -317,7 +322,7 @@
     /// Records a part and rejects or queues it.
     fn receive_part(
         self: &Rc<Self>,
-        node: NodeId,
+        node: CoordinatorId,
         part: Part,
         received: ReceiveTimes,
         outlet: &Rc<Outlet>,
@@ -353,9 +358,9 @@
     }
 
     /// Removes the part with this id on the wire from the queue, or has it not answered.
-    fn cancel(&self, node: NodeId, id: &[u8], outlet: &Rc<Outlet>) {
+    fn cancel(&self, node: CoordinatorId, id: &[u8], outlet: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
-        let (rest, fetch) = id
+        let (rest, second_step) = id
             .strip_suffix(".fetch")
             .map_or((id.as_str(), false), |r| (r, true));
         let Some((search, shard)) = rest.rsplit_once('.') else {
@@ -367,7 +372,7 @@
         let part = PartName {
             search: search.into(),
             shard,
-            fetch,
+            second_step,
         };
         self.recorder.tell(EventKind::PartCancelled {
             node,
@@ -377,7 +382,8 @@
         if self.behaviour.borrow().ignores_cancels {
             return;
         }
-        let same = |p: &Part| p.search == search && p.shard == shard && p.fetch == fetch;
+        let same =
+            |p: &Part| p.search == search && p.shard == shard && p.second_step == second_step;
         let before = self.queue.borrow().len();
         self.queue
             .borrow_mut()
--- a/crates/tier/proxy/src/client/headers.rs
+++ b/crates/tier/proxy/src/client/headers.rs
@@ -9,7 +9,7 @@
 use woadreach_routing::rendezvous::{FNV_OFFSET, hash64, mix};
 use woadreach_scheduler::PrefixPart;
 
-/// Identity of one attempt of a client; responses carry it back.
+/// Identity of one request of a client (its own retry has another); responses carry it back.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// How long the client waits, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("timeout-ms");
@@ -35,8 +35,6 @@
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
 /// The version of the weights that a request is meant for.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Priority of a request in a replica's queue.
-pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_PREFIX: &str = "proxy-";
--- a/crates/tier/proxy/src/request/task/streaming.rs
+++ b/crates/tier/proxy/src/request/task/streaming.rs
@@ -2,8 +2,8 @@
 
 use super::RequestTask;
 use crate::replica::event_stream::StreamPosition;
-use crate::request::state::{RequestEnd, RequestProgress};
-use crate::turns::store::TurnError;
+use crate::request::state::{Execution, RequestEnd, RequestProgress};
+use crate::turns::request_turn::TurnError;
 use bytes::Bytes;
 use woadreach_scheduler::{FailReason, Outcome};
 
@@ -41,18 +41,18 @@
         let active = self.stream.take()?;
         let remainder = active.reader.into_remainder();
         active.open.release();
-        self.transition(|progress| progress.attempt_ended(false));
+        self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
         self.report_outcome(active.attempt, Outcome::Answered, None);
         let head = self.stream_head.clone()?;
         if self.response.send_chunk(&head, remainder).await.is_err() {
             return Some(self.end_disconnected());
         }
         self.transition(RequestProgress::committing);
-        let committed = tokio::select! {
-            committed = self.turn.commit(&self.proxy.turns, &self.client) => committed,
+        let stored = tokio::select! {
+            stored = self.turn.store(&self.proxy.storage, &self.request) => stored,
             () = self.deadline.as_mut() => Err(TurnError::Unavailable),
         };
-        if committed.is_err() {
+        if stored.is_err() {
             return Some(self.abort_response());
         }
         self.response.finish().await;
@@ -63,7 +63,7 @@
     /// known.
     pub(super) fn handle_broken_stream(&mut self) -> Option<RequestEnd> {
         let active = self.stream.take()?;
-        self.transition(|progress| progress.attempt_ended(false));
+        self.transition(|progress| progress.attempt_ended(Execution::MayHaveRun));
         if self.response.is_awaiting_head() {
             // No byte of this replica's body was forwarded, so its head does not belong to the response.
             self.stream_head = None;
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -5,14 +5,14 @@
 use woadreach_routing::decide::part_budget::PartBudget;
 
 use crate::action::{Action, FailReason};
-use crate::admission::Admission;
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
 use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::outcome::Outcome;
 use crate::placement::{Choice, Placement, prefill_tokens};
-use crate::step::Step;
+use crate::scheduler::Scheduler;
+use crate::step::QueuingDeadlines;
 use crate::timers::has_come;
 
 /// Share of its latency target for which a call may be queued before it has reached any replica.
@@ -21,7 +21,7 @@
 /// attempt.
 const INITIAL_BACKOFF: f64 = 0.03;
 
-impl Admission {
+impl Scheduler {
     /// Decides anew about a call in any state.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
@@ -29,7 +29,7 @@
         };
         match call.state() {
             CallState::Running => self.handle_late_attempt(now, id, actions),
-            CallState::Queued { .. } | CallState::Unplaced => {
+            CallState::Queued { .. } | CallState::Postponed => {
                 self.release(id);
                 self.place(now, id, actions);
             }
@@ -89,8 +89,8 @@
                 .get(id)
                 .is_some_and(|call| call.service == service)
         };
-        let waiting: Vec<CallId> = self.waiting.iter().filter(of_service).copied().collect();
-        waiting
+        let postponed: Vec<CallId> = self.postponed.iter().filter(of_service).copied().collect();
+        postponed
             .into_iter()
             .for_each(|id| self.decide(now, id, actions));
     }
@@ -171,8 +171,8 @@
         };
         match call.state() {
             CallState::Queued { replica, deadline } => self.queue.remove(&replica, deadline, id),
-            CallState::Unplaced => {
-                self.waiting.remove(&id);
+            CallState::Postponed => {
+                self.postponed.remove(&id);
             }
             CallState::Deciding | CallState::Running => return,
         }
@@ -208,12 +208,7 @@
         let service = self.services.get(&call.service);
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, service);
         call.home = placement.home(call);
-        let step = Step {
-            now,
-            calls: &self.calls,
-            programs: &self.programs,
-            routes: &self.routes,
-        };
+        let deadlines = QueuingDeadlines::new(now, &self.calls, &self.programs, &self.routes);
         let Some(call) = self.calls.get(&id) else {
             return Choice::NoReplica;
         };
@@ -221,7 +216,7 @@
             self.queue.first(&replica).is_some()
                 && self
                     .queue
-                    .is_behind(&replica, step.queuing_deadline(call, replica), id)
+                    .is_behind(&replica, deadlines.of(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
     }
@@ -252,7 +247,7 @@
         let affordable = self
             .services
             .get(&call.service)
-            .is_none_or(|service| service.budget.can_retry());
+            .is_none_or(|service| service.retry_tokens.can_retry());
         if self.is_hopeless(now, id, replica) || (repeats && !affordable) {
             return self.give_up(now, id, actions);
         }
@@ -294,9 +289,9 @@
                 .record(&call.request.prefix, service.cache_share(self.edges));
             service.record_sent(prefill);
             if is_retry {
-                service.budget.spend()
+                service.retry_tokens.spend()
             } else {
-                service.budget.earn()
+                service.retry_tokens.earn()
             }
         }
         let late_after = if call.may_hedge() {
@@ -311,7 +306,6 @@
             attempt: index,
             replica: target.spec.id.clone(),
             timeout: call.request.give_up_at - now,
-            priority: None,
         });
     }
 
@@ -352,7 +346,7 @@
             return;
         };
         call.apply(CallEvent::Postponed);
-        self.waiting.insert(id);
+        self.postponed.insert(id);
         let until = until.map_or(limit, |until| until.min(limit));
         self.timers.set(&mut call.timer, id, Some(until));
     }
@@ -367,16 +361,11 @@
         if has_come(now, limit) {
             return self.send_if_worthwhile(now, id, replica, actions);
         }
-        let step = Step {
-            now,
-            calls: &self.calls,
-            programs: &self.programs,
-            routes: &self.routes,
-        };
+        let deadlines = QueuingDeadlines::new(now, &self.calls, &self.programs, &self.routes);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let deadline = step.queuing_deadline(call, replica);
+        let deadline = deadlines.of(call, replica);
         self.queue.insert(&replica, deadline, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -1,6 +1,6 @@
 //! Configuration of one service, and what is learned of its calls.
 
-use crate::retry_budget::RetryBudget;
+use crate::retry_tokens::RetryTokens;
 use crate::spec::ServiceSpec;
 
 /// Weight of the latest call in the mean of the prefill tokens.
@@ -9,7 +9,7 @@
 const INITIAL_MEAN_PREFILL: f64 = 512.0;
 /// Lower bound of the mean of the prefill tokens: even a completely cached prompt costs an engine some work.
 const MIN_MEAN_PREFILL: f64 = 64.0;
-/// Limit on the calls of this process in flight at a replica if the configuration sets no limit.
+/// Limit on the calls of this process in flight at a replica if the configuration says 0.
 const MAX_CONNECTIONS: usize = 1_024;
 
 /// One service, and what is learned of its calls.
@@ -17,7 +17,7 @@
     pub spec: ServiceSpec,
     /// This process's share of the connections that each replica accepts.
     pub connections: usize,
-    pub budget: RetryBudget,
+    pub retry_tokens: RetryTokens,
     mean_prefill: f64,
     highest_priority: RecentPriority,
 }
@@ -38,7 +38,7 @@
         let mut service = Service {
             spec: spec.clone(),
             connections: 1,
-            budget: RetryBudget::default(),
+            retry_tokens: RetryTokens::default(),
             mean_prefill: INITIAL_MEAN_PREFILL,
             highest_priority: RecentPriority {
                 rank: u8::MAX,
@@ -56,6 +56,7 @@
         } else {
             spec.max_conns as usize
         };
+        // The pool keeps to `connections_per_edge`, at least 2; the scheduler to at least 1.
         self.connections = (max_connections / edges.max(1)).max(1);
         self.spec = spec.clone();
     }
