--- a/crates/tier/control/src/core_role/departure.rs
+++ b/crates/tier/control/src/core_role/departure.rs
@@ -5,14 +5,13 @@
 use tokio::time::Instant;
 use woadreach_chain::{ExitReadiness, Input};
 
+use crate::DEPARTURE_POLL_INTERVAL;
 use crate::member_driver::MemberDriver;
 
 /// Part of the grace period that is reserved for answering requests in flight after the departure.
 const STOP_MARGIN: Duration = Duration::from_millis(2500);
 /// Limit on the time for the departure when no member stays that could take over.
 const LAST_MEMBER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Interval at which the progress of the departure is checked.
-const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Asks to be removed from the chain, and waits until no data depends on this machine's disk, which may never
 /// come back, or until the grace period is over but for [`STOP_MARGIN`].
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -4,7 +4,6 @@
 mod recovery;
 mod signals;
 
-use std::hash::{BuildHasher, Hasher};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,6 +21,7 @@
 use crate::error::{ListenSnafu, MissingFieldSnafu, RoleError, SignalSnafu, UnusableFieldSnafu};
 use crate::member_driver::MemberDriver;
 use crate::order::service::OrderService;
+use crate::random::random_number;
 use crate::storage_planner::StoragePlanner;
 use crate::{http_server, instances, operator};
 
@@ -92,19 +92,19 @@
     rpc: Client,
     listener: TcpListener,
 ) -> Services {
-    let tolerated_failures = settings.fault_tolerance.tolerated_group_losses();
+    let tolerated_losses = settings.fault_tolerance.tolerated_losses();
     // An order may be as long as a configuration; heartbeats between members must not queue behind it.
     let order_rpc = Client::new(ClientOptions::default());
     let orders = Arc::new(OrderService::new(
         Arc::clone(driver),
         order_rpc,
         settings.internal_address(),
-        tolerated_failures,
+        tolerated_losses,
     ));
     let committed = Arc::new(MemberCommittedState::new(Arc::clone(driver)));
     let discovery = CoreDiscovery::new(settings, random_number() | 1, rpc.clone(), committed);
     let seeds = settings.seed_internal_addresses();
-    let planner = StoragePlanner::new(Arc::clone(driver), rpc, seeds, tolerated_failures);
+    let planner = StoragePlanner::new(Arc::clone(driver), rpc, seeds, tolerated_losses);
     let sampler = Sampler::new(settings, NodeRole::Core, random_number());
 
     let handlers = discovery.handlers(planner.handlers(internal_handlers(driver, &orders)));
@@ -175,8 +175,3 @@
         .fail(),
     }
 }
-
-/// A number that differs between processes, from the standard library's random keys.
-fn random_number() -> u64 {
-    std::hash::RandomState::new().build_hasher().finish()
-}
--- a/crates/tier/control/src/core_role/recovery.rs
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -7,10 +7,10 @@
 use woadreach_journal::{Journal, JournalError, JournalOptions, Recovered};
 use woadreach_settings::NodeSettings;
 
-use super::random_number;
 use crate::durable_log::{RecoveredMember, encode_snapshot, recover};
 use crate::error::{JournalSnafu, MissingFieldSnafu, RoleError, UnreadableSnafu};
 use crate::member_driver::new_durable;
+use crate::random::random_number;
 
 /// Percentage of the disk that the journal may use.
 const MAX_DISK_PERCENT: u64 = 80;
@@ -69,7 +69,7 @@
     };
     let (opened, is_intact) = match Journal::open(path, options) {
         Err(error @ JournalError::Corrupt { .. }) => {
-            tracing::error!(%error, "journal corrupted, starting as a new member");
+            tracing::error!(%error, "journal corrupted, starting with a new disk identity");
             Journal::discard(path).context(JournalSnafu { path })?;
             (Journal::open(path, options), false)
         }
--- a/crates/tier/proxy/tests/support/storage.rs
+++ b/crates/tier/proxy/tests/support/storage.rs
@@ -42,7 +42,7 @@
             node: "store-1".to_owned(),
             address: listener.local_addr().expect("an address"),
             zone: "a".to_owned(),
-            tolerated: 0,
+            tolerated_losses: 0,
             disk_bytes: 50 << 20,
         };
         let rpc = Client::new(ClientOptions::default());
@@ -50,8 +50,8 @@
             .await
             .expect("a disk");
         let mut member = server.announcement().member;
-        let router = server.routes(Router::new());
-        tokio::spawn(async move { tokio::join!(serve(listener, router), server.run()) });
+        let router = server.handlers(Router::new());
+        tokio::spawn(async move { tokio::join!(serve(listener, router), server.run_pulls()) });
         let (address, dropped, answered) = relay(member.address, Arc::new(is_dropped)).await;
         member.address = address;
         let view = StorageView {
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -7,8 +7,6 @@
 mod reservation;
 mod write;
 
-use std::collections::hash_map::RandomState;
-use std::hash::{BuildHasher, Hasher};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -20,6 +18,7 @@
 
 use crate::cache::TurnCache;
 use crate::message::{Operation, Settlement};
+use crate::random::random_number;
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::StorageView;
 
@@ -88,7 +87,7 @@
     /// Zone of this process, whose machines are read from first.
     zone: String,
     /// Number of machines that may be lost at once.
-    tolerated: usize,
+    tolerated_losses: usize,
     /// Origin of the times of the cache.
     started: Instant,
     /// The newest view known; its epoch never decreases.
@@ -100,16 +99,16 @@
 }
 
 impl StorageClient {
-    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated` machines may be lost at
-    /// once.
+    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated_losses` machines
+    /// may be lost at once.
     #[must_use]
-    pub fn new(rpc: Client, own_zone: String, tolerated: usize) -> StorageClient {
+    pub fn new(rpc: Client, own_zone: String, tolerated_losses: usize) -> StorageClient {
         let (view, _) = watch::channel(Arc::new(StorageView::default()));
         let seed = u128::from(random_number(&own_zone)) << 64 | u128::from(random_number("client"));
         let shared = Shared {
             rpc,
             zone: own_zone,
-            tolerated,
+            tolerated_losses,
             started: Instant::now(),
             view,
             cache: Mutex::new(TurnCache::new(CACHE_BYTES)),
@@ -246,14 +245,3 @@
         settlement,
     }
 }
-
-/// A random number that no other process draws, from the standard library's randomness, the clock and `salt`.
-#[must_use]
-pub fn random_number(salt: &str) -> u64 {
-    let mut hasher = RandomState::new().build_hasher();
-    hasher.write(salt.as_bytes());
-    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    hasher.write_u128(since_epoch.map_or(0, |time| time.as_nanos()));
-    hasher.write_u32(std::process::id());
-    hasher.finish()
-}
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -50,7 +50,7 @@
     /// Zone of the machine.
     pub zone: String,
     /// Number of machines that may be lost at once.
-    pub tolerated: usize,
+    pub tolerated_losses: usize,
     /// Space for data files, in bytes.
     pub disk_bytes: u64,
 }
@@ -88,7 +88,7 @@
 struct PullDue {
     /// Epoch of the view that this machine knows.
     epoch: u64,
-    /// Rises whenever records may have been missed: after a start, a freeze or a partition.
+    /// Rises whenever records may have been missed: after a start, a stall or a partition.
     missed: u64,
 }
 
@@ -126,7 +126,7 @@
 
     /// Adds the handler of storage requests to `router`.
     #[must_use]
-    pub fn routes(&self, router: Router) -> Router {
+    pub fn handlers(&self, router: Router) -> Router {
         let server = self.clone();
         router.route_checked(ServiceId::STORAGE, move |_, body| {
             let server = server.clone();
@@ -174,7 +174,7 @@
     pub async fn learn_view(&self, view: StorageView) {
         let step = self.shared.node.lock().learn_view(view);
         if let Some(step) = step {
-            let _ = self.finish(step).await;
+            let _ = self.execute_step(step).await;
         }
     }
 
@@ -183,26 +183,16 @@
         self.shared.pull_due.send_modify(|due| due.missed += 1);
     }
 
-    /// Runs pulls whenever they are due, for as long as the future is polled.
-    pub async fn run(&self) {
-        self.pull_when_due().await;
-    }
-
-    /// Expires records and compacts the journal; to be called every [`crate::announce::ANNOUNCE_INTERVAL`].
-    pub fn tick(&self) {
-        self.upkeep();
-    }
-
     async fn answer(&self, body: Bytes) -> Result<Vec<u8>, MessageError> {
         let request: Request = decode(&body)?;
         let now = self.now();
         let step = self.shared.node.lock().handle(now, request);
-        Ok(encode(&self.finish(step).await))
+        Ok(encode(&self.execute_step(step).await))
     }
 
-    /// Carries out a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
+    /// Executes a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
     /// both without yielding in between.
-    async fn finish(&self, step: Step) -> Response {
+    async fn execute_step(&self, step: Step) -> Response {
         match step {
             Step::Reply(response) => response,
             Step::Persist { record, pending } => {
@@ -225,7 +215,7 @@
             }
             Err(error) => {
                 if !self.shared.disk_refuses.swap(true, Ordering::Relaxed) {
-                    tracing::warn!(%error, "disk write failed");
+                    tracing::warn!(%error, "journal append failed");
                 }
                 node.persist_failed()
             }
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -21,8 +21,9 @@
 const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
-    /// Pulls whenever that is due; a pull is abandoned when it is due for another reason.
-    pub(super) async fn pull_when_due(&self) {
+    /// Runs pulls whenever they are due, for as long as the future is polled. A pull is abandoned when one is due for
+    /// another reason.
+    pub async fn run_pulls(&self) {
         let mut due = self.shared.pull_due.subscribe();
         due.mark_changed();
         while due.changed().await.is_ok() {
@@ -47,8 +48,8 @@
         if !joins && !view.is_current(disk) {
             return;
         }
-        let tolerated = self.shared.node.lock().tolerated();
-        let mut progress = Pull::new(&view, disk, tolerated);
+        let tolerated_losses = self.shared.node.lock().tolerated_losses();
+        let mut progress = Pull::new(&view, disk, tolerated_losses);
         let mut sources = JoinSet::new();
         for source in view.current.iter().filter(|source| source.disk != disk) {
             sources.spawn(pull_from(self.clone(), view.clone(), source.clone()));
@@ -70,12 +71,12 @@
     async fn finish_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
-            if self.finish(step).await.answer == Answer::Stored {
+            if self.execute_step(step).await.answer == Answer::Stored {
                 break;
             }
             sleep(PULL_RETRY_INTERVAL).await;
         }
-        tracing::info!(epoch, "storage pull completed");
+        tracing::info!(storage_epoch = epoch, "storage pull completed");
         self.shared.pulled_epoch.send_replace(epoch);
     }
 
@@ -108,7 +109,7 @@
         loop {
             let step = self.shared.node.lock().merge(self.now(), records.clone());
             let Some(step) = step else { return };
-            if self.finish(step).await.answer == Answer::Stored {
+            if self.execute_step(step).await.answer == Answer::Stored {
                 return;
             }
             sleep(PULL_RETRY_INTERVAL).await;
