--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -34,7 +34,7 @@
 }
 
 /// Answer to an order. [`Answer::Undecided`] and [`Answer::UnreadableStorageView`] leave open whether the
-/// order takes effect; all others are final.
+/// order takes effect, and [`Answer::RetireState`] is its progress; all others are final.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Answer {
     /// The order is committed, now or by an earlier copy of it.
@@ -50,7 +50,8 @@
     },
     /// No configuration has been committed yet.
     NoConfiguration,
-    /// No storage machine has the name.
+    /// The view has no storage machine of this name. To [`Order::RetireState`]: no order to retire it was
+    /// given.
     UnknownNode,
     /// Fewer storage machines would remain than the fault tolerance requires.
     TooFewNodes,
@@ -67,7 +68,7 @@
 
 /// An order or an answer of another core machine that can't be read.
 #[derive(Debug, Snafu)]
-pub enum MessageError {
+pub enum OrderDecodeError {
     /// The message has no bytes.
     #[snafu(display("the order is empty"))]
     Empty,
@@ -114,7 +115,7 @@
     }
 
     /// Reads a forwarded order.
-    pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, MessageError> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, OrderDecodeError> {
         decode(bytes)
     }
 }
@@ -142,7 +143,7 @@
     bytes
 }
 
-fn decode<'a, T: Readable<'a, Endianness>>(bytes: &'a [u8]) -> Result<T, MessageError> {
+fn decode<'a, T: Readable<'a, Endianness>>(bytes: &'a [u8]) -> Result<T, OrderDecodeError> {
     let (&version, rest) = bytes.split_first().context(EmptySnafu)?;
     ensure!(version == ORDER_VERSION, VersionSnafu { found: version });
     T::read_from_buffer_with_ctx(Endianness::LittleEndian, rest).context(MalformedSnafu)
