--- a/crates/woadreach-lease/src/duties.rs
+++ b/crates/woadreach-lease/src/duties.rs
@@ -71,7 +71,13 @@
 impl Duties {
     pub fn new(place: Place, figures: Figures, seed: u64, now: f64) -> Duties {
         let ration = place.cold.map(|(members, window)| {
-            Ration::new(members, RationFigures { window, ..RationFigures::default() })
+            Ration::new(
+                members,
+                RationFigures {
+                    window,
+                    ..RationFigures::default()
+                },
+            )
         });
         Duties {
             leases: Leases::new(place.me, place.roster, figures, seed, now),
@@ -81,7 +87,10 @@
             beacons: BTreeMap::new(),
             told: f64::NEG_INFINITY,
             refused: 0,
-            buckets: place.roster.div_ceil(MEMBERS_A_WARDEN).clamp(1, MOST_WARDENS) as u8,
+            buckets: place
+                .roster
+                .div_ceil(MEMBERS_A_WARDEN)
+                .clamp(1, MOST_WARDENS) as u8,
             place,
         }
     }
@@ -112,12 +121,24 @@
             return wanted;
         }
         let zone = self.place.zone;
-        let near = view.live.iter().filter(|m| *m.1 == zone).map(|m| *m.0).collect();
-        wanted.insert(Duty::List(zone), self.leases.first(Duty::List(zone), near, BIDDERS));
+        let near = view
+            .live
+            .iter()
+            .filter(|m| *m.1 == zone)
+            .map(|m| *m.0)
+            .collect();
+        wanted.insert(
+            Duty::List(zone),
+            self.leases.first(Duty::List(zone), near, BIDDERS),
+        );
         if self.ration.is_some() {
             for bucket in 0..self.buckets {
                 let duty = Duty::Warden(bucket);
-                wanted.insert(duty, self.leases.first(duty, view.live.keys().copied().collect(), BIDDERS));
+                wanted.insert(
+                    duty,
+                    self.leases
+                        .first(duty, view.live.keys().copied().collect(), BIDDERS),
+                );
             }
         }
         wanted
@@ -158,13 +179,21 @@
         if let Some(fence) = self.leases.holds(now, list) {
             let facts = self.facts.due(now);
             if tells || !facts.is_empty() {
-                let all = view.live.iter().filter(|m| *m.1 == self.place.zone && *m.0 != self.place.me);
+                let all = view
+                    .live
+                    .iter()
+                    .filter(|m| *m.1 == self.place.zone && *m.0 != self.place.me);
                 let all: Vec<MemberId> = all.map(|m| *m.0).collect();
                 // That it lives concerns those who might bid.
                 let bidders = self.leases.first(list, all.clone(), BIDDERS);
                 let to = if facts.is_empty() { bidders } else { all };
-                let bytes = seal(&[Message::Facts { duty: list, fence, facts }]);
-                done.send.extend(to.into_iter().map(|to| (to, bytes.clone())));
+                let bytes = seal(&[Message::Facts {
+                    duty: list,
+                    fence,
+                    facts,
+                }]);
+                done.send
+                    .extend(to.into_iter().map(|to| (to, bytes.clone())));
                 done.acts.push((list, fence.epoch));
             }
         } else {
@@ -172,10 +201,18 @@
         }
         for bucket in 0..self.buckets {
             let duty = Duty::Warden(bucket);
-            let Some(fence) = self.leases.holds(now, duty) else { continue };
+            let Some(fence) = self.leases.holds(now, duty) else {
+                continue;
+            };
             if tells {
-                let beacon = Message::Beacon { duty, fence, stamp: stamp(now) };
-                let to = self.leases.first(duty, view.live.keys().copied().collect(), BIDDERS);
+                let beacon = Message::Beacon {
+                    duty,
+                    fence,
+                    stamp: stamp(now),
+                };
+                let to = self
+                    .leases
+                    .first(duty, view.live.keys().copied().collect(), BIDDERS);
                 let bytes = seal(std::slice::from_ref(&beacon));
                 let others = to.into_iter().filter(|to| *to != self.place.me);
                 done.send.extend(others.map(|to| (to, bytes.clone())));
@@ -190,18 +227,33 @@
 
     /// As one who sends to cold replicas.
     fn speak(&mut self, now: f64, done: &mut Done) {
-        let Some(ration) = &mut self.ration else { return };
+        let Some(ration) = &mut self.ration else {
+            return;
+        };
         if !ration.speaks(now) {
             return;
         }
         let mut own_word = Vec::new();
         for (bucket, (beacon, heard)) in &self.beacons {
-            let Message::Beacon { duty, fence, stamp: its } = beacon else { continue };
+            let Message::Beacon {
+                duty,
+                fence,
+                stamp: its,
+            } = beacon
+            else {
+                continue;
+            };
             let offers = ration.offers(now, *bucket, self.buckets, now - heard);
             for some in offers.chunks(24) {
                 let own = stamp(now);
                 let offers = some.to_vec();
-                let message = Message::Offers { duty: *duty, fence: *fence, stamp: *its, own, offers };
+                let message = Message::Offers {
+                    duty: *duty,
+                    fence: *fence,
+                    stamp: *its,
+                    own,
+                    offers,
+                };
                 if fence.holder == self.place.me {
                     own_word.push(message);
                 } else {
@@ -219,9 +271,16 @@
         if self.ration.as_ref().is_none_or(Ration::is_idle) && self.wardens.is_empty() {
             return Vec::new();
         }
-        let fresh = self.beacons.values().filter(|b| now - b.1 < RationFigures::default().beacon);
+        let fresh = self
+            .beacons
+            .values()
+            .filter(|b| now - b.1 < RationFigures::default().beacon);
         let bytes = seal(&fresh.map(|b| b.0.clone()).collect::<Vec<_>>());
-        if bytes.len() > RIDES { Vec::new() } else { bytes }
+        if bytes.len() > RIDES {
+            Vec::new()
+        } else {
+            bytes
+        }
     }
 
     /// What a datagram said of duties.
@@ -252,7 +311,11 @@
                     done.closed.extend(new.map(|f| (f.replica, f.what)));
                 }
             }
-            Message::Beacon { duty: Duty::Warden(bucket), fence, stamp } if bucket < self.buckets => {
+            Message::Beacon {
+                duty: Duty::Warden(bucket),
+                fence,
+                stamp,
+            } if bucket < self.buckets => {
                 let known = self.beacons.get(&bucket).is_some_and(|(b, _)| {
                     matches!(b, Message::Beacon { fence: f, stamp: s, .. }
                         if *f == fence && s.wrapping_sub(stamp) < 0x8000)
@@ -263,13 +326,26 @@
                 }
                 let duty = Duty::Warden(bucket);
                 if self.leases.accept(now, duty, fence) {
-                    self.beacons.insert(bucket, (Message::Beacon { duty, fence, stamp }, now));
+                    self.beacons
+                        .insert(bucket, (Message::Beacon { duty, fence, stamp }, now));
                 }
             }
-            Message::Offers { duty: Duty::Warden(bucket), fence, stamp: its, own, offers } => {
+            Message::Offers {
+                duty: Duty::Warden(bucket),
+                fence,
+                stamp: its,
+                own,
+                offers,
+            } => {
                 self.offered(now, from, bucket, fence, (its, own), &offers, done);
             }
-            Message::Shares { duty: duty @ Duty::Warden(_), fence, own, lasts, shares } => {
+            Message::Shares {
+                duty: duty @ Duty::Warden(_),
+                fence,
+                own,
+                lasts,
+                shares,
+            } => {
                 let until = unstamp(now, own) + f64::from(lasts) / 100.0;
                 if fence.holder != from || !self.leases.accept(now, duty, fence) {
                     return;
@@ -280,7 +356,10 @@
                     }
                 }
             }
-            Message::Ask { .. } | Message::Grant { .. } | Message::Deny { .. } | Message::Release { .. } => {
+            Message::Ask { .. }
+            | Message::Grant { .. }
+            | Message::Deny { .. }
+            | Message::Release { .. } => {
                 let acts = self.leases.heard(now, from, &message);
                 self.take(now, acts, done);
             }
@@ -301,8 +380,12 @@
     ) {
         let duty = Duty::Warden(bucket);
         // Offers made to another epoch of this one are not to it.
-        let Some(mine) = self.leases.holds(now, duty).filter(|f| *f == fence) else { return };
-        let Some(warden) = self.wardens.get_mut(&bucket) else { return };
+        let Some(mine) = self.leases.holds(now, duty).filter(|f| *f == fence) else {
+            return;
+        };
+        let Some(warden) = self.wardens.get_mut(&bucket) else {
+            return;
+        };
         let (shares, ends) = warden.offer(now, from, unstamp(now, its), offers);
         let lasts = ((ends - now).max(0.0) * 100.0) as u16;
         if shares.is_empty() || lasts == 0 {
@@ -320,7 +403,13 @@
         }
         let answer: &[Share] = &shares;
         for some in answer.chunks(ROOM / 8) {
-            let message = Message::Shares { duty, fence: mine, own, lasts, shares: some.to_vec() };
+            let message = Message::Shares {
+                duty,
+                fence: mine,
+                own,
+                lasts,
+                shares: some.to_vec(),
+            };
             done.send.push((from, seal(&[message])));
         }
     }
@@ -336,8 +425,12 @@
         for change in &acts.changes {
             match (*change, self.place.cold) {
                 (Change::Held(Duty::Warden(bucket), _), Some((members, window))) => {
-                    let figures = RationFigures { window, ..RationFigures::default() };
-                    self.wardens.insert(bucket, Warden::new(members, figures, now));
+                    let figures = RationFigures {
+                        window,
+                        ..RationFigures::default()
+                    };
+                    self.wardens
+                        .insert(bucket, Warden::new(members, figures, now));
                 }
                 (Change::Lost(Duty::Warden(bucket), _), _) => {
                     self.wardens.remove(&bucket);
@@ -347,6 +440,10 @@
             }
         }
         done.changes.extend(acts.changes);
-        done.send.extend(acts.send.into_iter().map(|(to, message)| (to, seal(&[message]))));
+        done.send.extend(
+            acts.send
+                .into_iter()
+                .map(|(to, message)| (to, seal(&[message]))),
+        );
     }
 }
--- a/crates/woadreach-lease/src/facts.rs
+++ b/crates/woadreach-lease/src/facts.rs
@@ -59,7 +59,10 @@
         for (replica, (what, left, next)) in &mut self.telling {
             if *next <= now && due.len() < IN_ONE {
                 (*left, *next) = (*left - 1, now + APART);
-                due.push(Fact { replica: *replica, what: *what });
+                due.push(Fact {
+                    replica: *replica,
+                    what: *what,
+                });
             }
         }
         self.telling.retain(|_, t| t.1 > 0);
@@ -86,7 +89,12 @@
 
     /// Those that were heard and that the own list has not borne out in time: its word stands again.
     pub fn lapsed(&mut self, now: f64) -> Vec<Replica> {
-        let gone: Vec<_> = self.heard.iter().filter(|h| h.1.1 <= now).map(|h| *h.0).collect();
+        let gone: Vec<_> = self
+            .heard
+            .iter()
+            .filter(|h| h.1.1 <= now)
+            .map(|h| *h.0)
+            .collect();
         self.heard.retain(|_, h| h.1 > now);
         gone
     }
--- a/crates/woadreach-lease/src/message.rs
+++ b/crates/woadreach-lease/src/message.rs
@@ -108,7 +108,11 @@
 /// None if there is nothing to say.
 pub fn seal(messages: &[Message]) -> Vec<u8> {
     // Writing to memory cannot fail.
-    if messages.is_empty() { Vec::new() } else { postcard::to_stdvec(messages).unwrap_or_default() }
+    if messages.is_empty() {
+        Vec::new()
+    } else {
+        postcard::to_stdvec(messages).unwrap_or_default()
+    }
 }
 
 /// Danger: any process may send anything here. What does not read to its last byte, or names a duty, a
--- a/crates/woadreach-lease/src/warden.rs
+++ b/crates/woadreach-lease/src/warden.rs
@@ -22,7 +22,9 @@
     pub fn named(name: &str, started_at: f64) -> Replica {
         let start = (started_at * 1000.0).round() as i64;
         let bytes = name.bytes().chain(start.to_le_bytes());
-        Replica(bytes.fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193)))
+        Replica(bytes.fold(0x811c_9dc5, |h: u32, b| {
+            (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+        }))
     }
 
     /// Which warden has it.
@@ -118,7 +120,12 @@
 impl Ration {
     /// `members`: over how many the rule is split, by the settings.
     pub fn new(members: usize, figures: Figures) -> Ration {
-        Ration { figures, members: members.max(1), own: BTreeMap::new(), spoke: f64::NEG_INFINITY }
+        Ration {
+            figures,
+            members: members.max(1),
+            own: BTreeMap::new(),
+            spoke: f64::NEG_INFINITY,
+        }
     }
 
     /// What the host has counted of the cold replicas that its list names; others are forgotten, but not what
@@ -128,7 +135,10 @@
             if self.own.len() >= self.figures.most && !self.own.contains_key(&want.replica) {
                 continue;
             }
-            let own = self.own.entry(want.replica).or_insert_with(|| Own { busy: now, ..Own::default() });
+            let own = self.own.entry(want.replica).or_insert_with(|| Own {
+                busy: now,
+                ..Own::default()
+            });
             own.wants = own.wants.saturating_add(want.wants);
             if want.wants > 0 || want.sent {
                 own.busy = now;
@@ -146,7 +156,11 @@
         }
         let (cede, window) = (self.figures.cede + self.figures.window, self.figures.window);
         let mut offers = Vec::new();
-        for (replica, own) in self.own.iter_mut().filter(|(r, _)| r.bucket(buckets) == bucket) {
+        for (replica, own) in self
+            .own
+            .iter_mut()
+            .filter(|(r, _)| r.bucket(buckets) == bucket)
+        {
             // Danger: a share that is ceded is used by another within the window in which this one has used
             // it. Only who has sent nothing for a window cedes. Covers parts on their way. Harm: none to who
             // sends.
@@ -155,7 +169,10 @@
                 own.ceded_until = now + cede;
             }
             if idle || own.wants > 0 {
-                offers.push(Offer { replica: *replica, wants: own.wants.min(255) as u8 });
+                offers.push(Offer {
+                    replica: *replica,
+                    wants: own.wants.min(255) as u8,
+                });
                 own.wants = 0;
             }
             if offers.len() == crate::message::MOST {
@@ -189,9 +206,15 @@
 
     /// How many times the even share this member may send to the replica; 1 where nothing was said.
     pub fn times(&self, now: f64, replica: Replica) -> f64 {
-        let Some(own) = self.own.get(&replica) else { return 1.0 };
+        let Some(own) = self.own.get(&replica) else {
+            return 1.0;
+        };
         let even = if own.ceded_until > now { 0.0 } else { 1.0 };
-        let given = if own.given.1 > now { f64::from(own.given.0) / WHOLE } else { 0.0 };
+        let given = if own.given.1 > now {
+            f64::from(own.given.0) / WHOLE
+        } else {
+            0.0
+        };
         even + given * self.members as f64
     }
 }
@@ -216,7 +239,12 @@
 
 impl Warden {
     pub fn new(members: usize, figures: Figures, now: f64) -> Warden {
-        Warden { figures, members: members.max(1), began: now, accounts: BTreeMap::new() }
+        Warden {
+            figures,
+            members: members.max(1),
+            began: now,
+            accounts: BTreeMap::new(),
+        }
     }
 
     /// A member speaks; it had heard this warden's beacon of `beacon`, so that it cedes from then on at the
@@ -227,7 +255,13 @@
     /// counts as given for a window longer than it may be used. Covers late, lost and doubled datagrams, and
     /// a former warden's gifts, which have run out. Harm: a share lies idle for a window between two that
     /// use it.
-    pub fn offer(&mut self, now: f64, from: MemberId, beacon: f64, offers: &[Offer]) -> (Vec<Share>, f64) {
+    pub fn offer(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        beacon: f64,
+        offers: &[Offer],
+    ) -> (Vec<Share>, f64) {
         let f = &self.figures;
         let even = (WHOLE / self.members as f64) as u16;
         let ceded = beacon + (f.cede + f.window) * 0.98 - f.margin;
@@ -250,9 +284,18 @@
                 continue;
             }
             // Ceded until the gift would have run out, and a window more.
-            let lasting = account.ceded.values().filter(|until| **until >= ends + f.window).count();
+            let lasting = account
+                .ceded
+                .values()
+                .filter(|until| **until >= ends + f.window)
+                .count();
             let pool = u32::from(even) * lasting as u32;
-            let others = account.given.iter().filter(|g| *g.0 != from).map(|g| u32::from(g.1.0)).sum::<u32>();
+            let others = account
+                .given
+                .iter()
+                .filter(|g| *g.0 != from)
+                .map(|g| u32::from(g.1.0))
+                .sum::<u32>();
             let had = account.given.get(&from).map_or(0, |g| g.0);
             let most = pool.saturating_sub(others).min(u32::from(u16::MAX)) as u16;
             // In steps of a part's worth it would be fairer; first come is enough, as it is renewed while
@@ -264,7 +307,10 @@
             };
             if of > 0 && most >= had && ends > now {
                 account.given.insert(from, (of, ends + f.window));
-                shares.push(Share { replica: offer.replica, of });
+                shares.push(Share {
+                    replica: offer.replica,
+                    of,
+                });
             }
         }
         (shares, ends)
@@ -276,6 +322,7 @@
             account.ceded.retain(|_, until| *until > now);
             account.given.retain(|_, (_, until)| *until > now);
         }
-        self.accounts.retain(|_, a| !a.ceded.is_empty() || !a.given.is_empty());
+        self.accounts
+            .retain(|_, a| !a.ceded.is_empty() || !a.given.is_empty());
     }
 }
--- a/crates/woadreach-members/src/datagram.rs
+++ b/crates/woadreach-members/src/datagram.rs
@@ -51,7 +51,9 @@
     if bytes.len() > MOST_BYTES {
         return Err(Refused::Oversize);
     }
-    let Some((version, rest)) = bytes.split_first() else { return Err(Refused::Garbled) };
+    let Some((version, rest)) = bytes.split_first() else {
+        return Err(Refused::Garbled);
+    };
     if *version != VERSION {
         return Err(Refused::Version);
     }
--- a/crates/woadreach-members/src/decide.rs
+++ b/crates/woadreach-members/src/decide.rs
@@ -2,7 +2,9 @@
 //! known of each member; must never send, wait or read a clock.
 
 use crate::member::{Member, MemberId};
-use foca::{Config, Foca, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer};
+use foca::{
+    Config, Foca, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -192,7 +194,12 @@
             }),
         };
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let foca = Foca::new(me.clone(), config, Pcg64Mcg::seed_from_u64(chance.random()), PostcardCodec);
+        let foca = Foca::new(
+            me.clone(),
+            config,
+            Pcg64Mcg::seed_from_u64(chance.random()),
+            PostcardCodec,
+        );
         // Apart, so that members that start together do not ask in step.
         let next_join = now + chance.random::<f64>() * figures.join_every;
         let desk = Desk {
@@ -202,9 +209,22 @@
             health: 0,
             failed: false,
             acts: Acts::default(),
-            view: View { live: BTreeMap::from([(me.id, me.zone)]), roster, cut_off: roster > 1, version: 1 },
+            view: View {
+                live: BTreeMap::from([(me.id, me.zone)]),
+                roster,
+                cut_off: roster > 1,
+                version: 1,
+            },
         };
-        Members { me, figures, foca, desk, chance, next_join, unusable: 0 }
+        Members {
+            me,
+            figures,
+            foca,
+            desk,
+            chance,
+            next_join,
+            unusable: 0,
+        }
     }
 
     pub fn view(&self) -> &View {
@@ -218,7 +238,14 @@
 
     /// Members, itself left out, to which something may be told, in no order.
     pub fn some(&mut self, most: usize) -> Vec<MemberId> {
-        let mut others: Vec<_> = self.desk.view.live.keys().copied().filter(|id| *id != self.me.id).collect();
+        let mut others: Vec<_> = self
+            .desk
+            .view
+            .live
+            .keys()
+            .copied()
+            .filter(|id| *id != self.me.id)
+            .collect();
         let n = most.min(others.len());
         for i in 0..n {
             let j = self.chance.random_range(i..others.len());
@@ -229,7 +256,11 @@
     }
 
     pub fn next_due(&self) -> f64 {
-        let timer = self.desk.timers.first_key_value().map(|(k, _)| k.0 as f64 / 1e6);
+        let timer = self
+            .desk
+            .timers
+            .first_key_value()
+            .map(|(k, _)| k.0 as f64 / 1e6);
         timer.map_or(self.next_join, |t| t.min(self.next_join))
     }
 
@@ -247,7 +278,12 @@
     pub fn tick(&mut self, now: f64) -> Acts {
         self.desk.now = now;
         self.unstall(now);
-        while let Some(entry) = self.desk.timers.first_entry().filter(|e| e.key().0 <= micros(now)) {
+        while let Some(entry) = self
+            .desk
+            .timers
+            .first_entry()
+            .filter(|e| e.key().0 <= micros(now))
+        {
             let timer = entry.remove();
             let probing = matches!(timer, Timer::ProbeRandomMember(_));
             self.desk.failed = false;
@@ -256,14 +292,22 @@
             }
             if probing {
                 let health = self.desk.health;
-                let next = if self.desk.failed { health + 1 } else { health.saturating_sub(1) };
+                let next = if self.desk.failed {
+                    health + 1
+                } else {
+                    health.saturating_sub(1)
+                };
                 self.desk.health = next.min(WORST_HEALTH);
             }
         }
         if now >= self.next_join {
             self.ask_to_join();
             let known = self.desk.view.live.len() * 2 > self.desk.view.roster;
-            let every = if known { self.figures.rejoin_every } else { self.figures.join_every };
+            let every = if known {
+                self.figures.rejoin_every
+            } else {
+                self.figures.join_every
+            };
             self.next_join = now + every * (0.5 + self.chance.random::<f64>());
         }
         self.acts()
@@ -273,13 +317,21 @@
     /// whose answers lie unread. All its timers are put off by as long as it stood, and it trusts itself less
     /// for a while. Covers a stopped process and a machine that slept. Harm: none but that wait.
     fn unstall(&mut self, now: f64) {
-        let Some(late) = self.desk.timers.first_key_value().map(|(k, _)| now - k.0 as f64 / 1e6) else {
+        let Some(late) = self
+            .desk
+            .timers
+            .first_key_value()
+            .map(|(k, _)| now - k.0 as f64 / 1e6)
+        else {
             return;
         };
         if late > STALLED {
             let put_off = micros(late);
             let timers = std::mem::take(&mut self.desk.timers);
-            self.desk.timers = timers.into_iter().map(|((at, n), t)| ((at + put_off, n), t)).collect();
+            self.desk.timers = timers
+                .into_iter()
+                .map(|((at, n), t)| ((at + put_off, n), t))
+                .collect();
             self.desk.health = (self.desk.health + 2).min(WORST_HEALTH);
         }
     }
@@ -296,7 +348,18 @@
         }
         let id = missing[self.chance.random_range(0..missing.len())];
         // Whoever has this name takes it, whatever zone and turn it is by now.
-        if self.foca.announce(Member { id, zone: 0, turn: 0 }, &mut self.desk).is_err() {
+        if self
+            .foca
+            .announce(
+                Member {
+                    id,
+                    zone: 0,
+                    turn: 0,
+                },
+                &mut self.desk,
+            )
+            .is_err()
+        {
             self.unusable += 1;
         }
     }
@@ -311,7 +374,8 @@
     }
 
     fn acts(&mut self) -> Acts {
-        let cut_off = self.desk.view.live.len() * 2 <= self.desk.view.roster || self.desk.health >= ALONE;
+        let cut_off =
+            self.desk.view.live.len() * 2 <= self.desk.view.roster || self.desk.health >= ALONE;
         if cut_off != self.desk.view.cut_off {
             self.desk.view.cut_off = cut_off;
             self.desk.acts.changes.push(Change::CutOff(cut_off));
--- a/crates/woadreach-members/src/member.rs
+++ b/crates/woadreach-members/src/member.rs
@@ -21,7 +21,10 @@
     type Addr = MemberId;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { turn: self.turn.wrapping_add(1), ..self.clone() })
+        Some(Member {
+            turn: self.turn.wrapping_add(1),
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> MemberId {
@@ -31,6 +34,10 @@
     fn win_addr_conflict(&self, other: &Self) -> bool {
         // Turns wrap: the one that is less than half the circle ahead is the later.
         let ahead = self.turn.wrapping_sub(other.turn);
-        if ahead == 0 { self.zone > other.zone } else { ahead < u16::MAX / 2 }
+        if ahead == 0 {
+            self.zone > other.zone
+        } else {
+            ahead < u16::MAX / 2
+        }
     }
 }
--- a/crates/woadreach-net/src/lib.rs
+++ b/crates/woadreach-net/src/lib.rs
@@ -55,7 +55,11 @@
     }
 
     /// What comes at the same moment as the end of the wait has come in time.
-    fn timeout_at<F: Future>(&self, until: f64, what: F) -> impl Future<Output = Result<F::Output, Elapsed>> {
+    fn timeout_at<F: Future>(
+        &self,
+        until: f64,
+        what: F,
+    ) -> impl Future<Output = Result<F::Output, Elapsed>> {
         async move {
             let (mut what, mut over) = (pin!(what), pin!(self.sleep_until(until)));
             std::future::poll_fn(|cx| {
@@ -68,7 +72,11 @@
         }
     }
 
-    fn timeout<F: Future>(&self, seconds: f64, what: F) -> impl Future<Output = Result<F::Output, Elapsed>> {
+    fn timeout<F: Future>(
+        &self,
+        seconds: f64,
+        what: F,
+    ) -> impl Future<Output = Result<F::Output, Elapsed>> {
         self.timeout_at(self.now() + seconds, what)
     }
 }
--- a/crates/woadreach-net/src/tokio_net.rs
+++ b/crates/woadreach-net/src/tokio_net.rs
@@ -28,15 +28,26 @@
 
 impl Tokio {
     pub fn new() -> Self {
-        let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Tokio { start, since: Instant::now(), rate: 1.0 }
+        let start = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64();
+        Tokio {
+            start,
+            since: Instant::now(),
+            rate: 1.0,
+        }
     }
 
     /// A clock that runs so much faster or slower, and is so many seconds ahead: for rigs that try what
     /// happens where machines' clocks differ.
     pub fn skewed(rate: f64, ahead: f64) -> Self {
         let true_one = Self::new();
-        Tokio { start: true_one.start + ahead, rate, ..true_one }
+        Tokio {
+            start: true_one.start + ahead,
+            rate,
+            ..true_one
+        }
     }
 }
 
@@ -68,7 +79,8 @@
     }
 
     fn sleep_until(&self, time: f64) -> impl Future<Output = ()> {
-        let ahead = Duration::try_from_secs_f64((time - self.start) / self.rate).unwrap_or_default();
+        let ahead =
+            Duration::try_from_secs_f64((time - self.start) / self.rate).unwrap_or_default();
         tokio::time::sleep_until((self.since + ahead).into())
     }
 
@@ -86,7 +98,10 @@
             return Ok(address);
         }
         let unknown = || io::Error::new(io::ErrorKind::NotFound, format!("no address for {name}"));
-        tokio::net::lookup_host(name).await?.next().ok_or_else(unknown)
+        tokio::net::lookup_host(name)
+            .await?
+            .next()
+            .ok_or_else(unknown)
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<TokioStream> {
@@ -94,7 +109,11 @@
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<TokioListener> {
-        let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+        let socket = if at.is_ipv4() {
+            TcpSocket::new_v4()?
+        } else {
+            TcpSocket::new_v6()?
+        };
         // A restart takes the address of a process that has just died.
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
@@ -126,7 +145,10 @@
     type Stream = TokioStream;
 
     async fn accept(&self) -> io::Result<TokioStream> {
-        self.0.accept().await.map(|(stream, _)| TokioStream::new(stream))
+        self.0
+            .accept()
+            .await
+            .map(|(stream, _)| TokioStream::new(stream))
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -211,7 +233,11 @@
         let fd = self.0.as_ref().as_raw_fd();
         // SAFETY: the call writes one number to the place that is given, and nothing else.
         let told = unsafe { libc::ioctl(fd, SIOCOUTQNSD, &raw mut bytes) };
-        if told == 0 { usize::try_from(bytes).unwrap_or(0) } else { 0 }
+        if told == 0 {
+            usize::try_from(bytes).unwrap_or(0)
+        } else {
+            0
+        }
     }
 }
 
@@ -226,7 +252,18 @@
     let (mut info, mut length) = (unsafe { std::mem::zeroed::<libc::tcp_info>() }, 0);
     length += size_of::<libc::tcp_info>() as libc::socklen_t;
     let to = (&raw mut info).cast();
-    let told =
-        unsafe { libc::getsockopt(socket.as_raw_fd(), libc::IPPROTO_TCP, libc::TCP_INFO, to, &mut length) };
-    if told == 0 { f64::from(info.tcpi_last_data_recv) / 1000.0 } else { 0.0 }
+    let told = unsafe {
+        libc::getsockopt(
+            socket.as_raw_fd(),
+            libc::IPPROTO_TCP,
+            libc::TCP_INFO,
+            to,
+            &mut length,
+        )
+    };
+    if told == 0 {
+        f64::from(info.tcpi_last_data_recv) / 1000.0
+    } else {
+        0.0
+    }
 }
--- a/crates/woadreach-proxy/src/answer_body.rs
+++ b/crates/woadreach-proxy/src/answer_body.rs
@@ -39,7 +39,9 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            AnswerBody::Whole(bytes) => {
+                Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
+            }
             AnswerBody::Stream(pieces) => match ready!(pieces.poll_recv(context)) {
                 Some(Piece::Data(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 Some(Piece::End) => Poll::Ready(None),
@@ -57,7 +59,9 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            AnswerBody::Whole(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
             AnswerBody::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/woadreach-proxy/src/client_connection.rs
+++ b/crates/woadreach-proxy/src/client_connection.rs
@@ -69,7 +69,11 @@
             told_to_close: None,
             overdue: None,
         };
-        ConnectionTrack { track: Mutex::new(track), notify: Notify::new(), clock }
+        ConnectionTrack {
+            track: Mutex::new(track),
+            notify: Notify::new(),
+            clock,
+        }
     }
 
     /// What it is doing, and since when in seconds.
@@ -116,17 +120,24 @@
     pub fn sweep(&self, now: f64, limits: &ClientLimits, closing: bool) {
         let mut track = self.track.lock();
         let age = now - track.since;
-        let over =
-            |since: Option<f64>, limit: Duration| since.is_some_and(|at| now - at > limit.as_secs_f64());
+        let over = |since: Option<f64>, limit: Duration| {
+            since.is_some_and(|at| now - at > limit.as_secs_f64())
+        };
         let overdue = if over(track.blocked_since, WRITE_STALL_LIMIT)
             || over(track.told_to_close, CLOSE_LIMIT)
         {
             Some(Overdue::Stalled)
         } else {
             match track.activity {
-                Activity::Idle if closing || age > limits.idle_timeout.as_secs_f64() => Some(Overdue::Idle),
+                Activity::Idle if closing || age > limits.idle_timeout.as_secs_f64() => {
+                    Some(Overdue::Idle)
+                }
                 Activity::ReadingHead if age > limits.header_timeout.as_secs_f64() => {
-                    Some(if track.blocked_since.is_some() { Overdue::Stalled } else { Overdue::SlowHead })
+                    Some(if track.blocked_since.is_some() {
+                        Overdue::Stalled
+                    } else {
+                        Overdue::SlowHead
+                    })
                 }
                 _ => None,
             }
@@ -160,7 +171,10 @@
 impl TrackedSocket {
     /// Wraps an accepted socket.
     pub fn new(socket: TcpStream, track: Arc<ConnectionTrack>) -> Self {
-        TrackedSocket { socket: TokioIo::new(socket), track }
+        TrackedSocket {
+            socket: TokioIo::new(socket),
+            track,
+        }
     }
 
     /// Writes a short last message, if there is room for it.
--- a/crates/woadreach-proxy/src/client_request.rs
+++ b/crates/woadreach-proxy/src/client_request.rs
@@ -39,7 +39,9 @@
         match self.route.route_type {
             RouteType::Safe => CallKind::Safe,
             RouteType::Unsafe => CallKind::Unsafe,
-            RouteType::Streaming => CallKind::Streaming { resumable: self.route.resumable },
+            RouteType::Streaming => CallKind::Streaming {
+                resumable: self.route.resumable,
+            },
         }
     }
 
@@ -60,7 +62,10 @@
             arrived,
             give_up_at: seconds_at(self.give_up),
             target_latency: self.route.target_latency.as_secs_f64(),
-            finish_at: self.facts.finish.map(|finish| arrived + finish.as_secs_f64()),
+            finish_at: self
+                .facts
+                .finish
+                .map(|finish| arrived + finish.as_secs_f64()),
             program: self.facts.program.as_deref().map(identity_number),
             session: self.facts.session.as_deref().map(identity_number),
             affinity: self.facts.affinity.filter(|_| self.route.session_affinity),
@@ -74,7 +79,9 @@
 
     fn clusters(&self) -> Vec<(Arc<str>, u32)> {
         let clusters = self.route.clusters.iter();
-        clusters.map(|cluster| (Arc::from(cluster.service.as_str()), cluster.weight)).collect()
+        clusters
+            .map(|cluster| (Arc::from(cluster.service.as_str()), cluster.weight))
+            .collect()
     }
 
     /// The request as it goes to replicas, with this body.
--- a/crates/woadreach-proxy/src/client_side.rs
+++ b/crates/woadreach-proxy/src/client_side.rs
@@ -58,9 +58,10 @@
             }
         }
         match self {
-            ClientSide::Streaming(body) if !bytes.is_empty() => {
-                body.send(Piece::Data(bytes)).await.map_err(|_| ClientHasGone)
-            }
+            ClientSide::Streaming(body) if !bytes.is_empty() => body
+                .send(Piece::Data(bytes))
+                .await
+                .map_err(|_| ClientHasGone),
             ClientSide::Streaming(_) => Ok(()),
             ClientSide::Unanswered(_) | ClientSide::Ended => Err(ClientHasGone),
         }
--- a/crates/woadreach-proxy/src/command_line.rs
+++ b/crates/woadreach-proxy/src/command_line.rs
@@ -56,6 +56,13 @@
 {
     let matches = command().try_get_matches_from(arguments)?;
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
-    let log_format = if text("log-format") == "json" { LogFormat::Json } else { LogFormat::Text };
-    Ok(Arguments { log_format, log_filter: text("log-filter") })
+    let log_format = if text("log-format") == "json" {
+        LogFormat::Json
+    } else {
+        LogFormat::Text
+    };
+    Ok(Arguments {
+        log_format,
+        log_filter: text("log-filter"),
+    })
 }
--- a/crates/woadreach-proxy/src/deadline.rs
+++ b/crates/woadreach-proxy/src/deadline.rs
@@ -13,7 +13,9 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     /// Seconds until `instant`.
@@ -28,7 +30,8 @@
 
     /// The instant that lies so many seconds after the start.
     pub fn instant(&self, seconds: f64) -> Instant {
-        self.start + Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::from_secs(86_400))
+        self.start
+            + Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::from_secs(86_400))
     }
 }
 
--- a/crates/woadreach-proxy/src/dispatcher.rs
+++ b/crates/woadreach-proxy/src/dispatcher.rs
@@ -58,8 +58,17 @@
 impl Dispatcher {
     /// A dispatcher around fresh decisions.
     pub fn new(admission: Admission, clock: Clock) -> Self {
-        let inner = Inner { admission, mailboxes: HashMap::new(), next_id: 0, armed: None };
-        Dispatcher { inner: Mutex::new(inner), rearm: Notify::new(), clock }
+        let inner = Inner {
+            admission,
+            mailboxes: HashMap::new(),
+            next_id: 0,
+            armed: None,
+        };
+        Dispatcher {
+            inner: Mutex::new(inner),
+            rearm: Notify::new(),
+            clock,
+        }
     }
 
     /// A new request's identity and mailbox.
@@ -165,9 +174,21 @@
 
 fn command(action: Action) -> (CallId, Command) {
     match action {
-        Action::Send { call, attempt, replica, timeout, priority } => {
-            (call, Command::Send { attempt, replica, timeout, priority })
-        }
+        Action::Send {
+            call,
+            attempt,
+            replica,
+            timeout,
+            priority,
+        } => (
+            call,
+            Command::Send {
+                attempt,
+                replica,
+                timeout,
+                priority,
+            },
+        ),
         Action::Refuse { call, retry_after } => (call, Command::Refuse { retry_after }),
         Action::Fail { call, reason } => (call, Command::Fail { reason }),
         Action::Abort { call, attempt } => (call, Command::Abort { attempt }),
--- a/crates/woadreach-proxy/src/event_stream.rs
+++ b/crates/woadreach-proxy/src/event_stream.rs
@@ -39,7 +39,11 @@
     /// Drops the events up to and including this id; what comes before the first one that stays is dropped
     /// too.
     pub fn skip_through(&mut self, last_id: u64) {
-        let skipped = self.events.iter().take_while(|event| event.id.is_some_and(|id| id <= last_id)).count();
+        let skipped = self
+            .events
+            .iter()
+            .take_while(|event| event.id.is_some_and(|id| id <= last_id))
+            .count();
         if skipped == 0 {
             return;
         }
@@ -114,7 +118,10 @@
         let rest = &bytes[complete..];
         ensure!(rest.len() <= LONGEST_EVENT, EventTooLongSnafu);
         self.partial.extend_from_slice(rest);
-        Ok(EventBatch { bytes: bytes.slice(..complete), events })
+        Ok(EventBatch {
+            bytes: bytes.slice(..complete),
+            events,
+        })
     }
 
     /// Whether the body would end in the middle of an event if it ended here.
@@ -155,7 +162,9 @@
         if let Some(value) = field_value(&line, b"data") {
             self.data.push(value);
         } else if let Some(value) = field_value(&line, b"id") {
-            self.id = std::str::from_utf8(&value).ok().and_then(|text| text.trim().parse().ok());
+            self.id = std::str::from_utf8(&value)
+                .ok()
+                .and_then(|text| text.trim().parse().ok());
         }
     }
 
@@ -165,7 +174,11 @@
             1 => self.data.remove(0),
             _ => Bytes::from(self.data.join(&b'\n')),
         };
-        Some(Event { id: self.id, data, end })
+        Some(Event {
+            id: self.id,
+            data,
+            end,
+        })
     }
 }
 
--- a/crates/woadreach-proxy/src/front.rs
+++ b/crates/woadreach-proxy/src/front.rs
@@ -43,7 +43,10 @@
 
 /// How many connections of clients a process may hold.
 pub fn most_connections(limits: &ProcessLimits) -> usize {
-    let by_descriptors = limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(limits.max_fds / 4);
+    let by_descriptors = limits
+        .max_fds
+        .saturating_sub(OTHER_DESCRIPTORS)
+        .max(limits.max_fds / 4);
     let by_memory = limits.memory_mb * 1024 * 1024 / CONNECTIONS_SHARE_OF_MEMORY / CONNECTION_BYTES;
     by_descriptors.min(by_memory).max(FEWEST_CONNECTIONS) as usize
 }
@@ -52,7 +55,11 @@
     /// A front for this proxy.
     pub fn new(proxy: Arc<Proxy>, limits: &ProcessLimits) -> Arc<Self> {
         let connections = Mutex::default();
-        Arc::new(Front { proxy, connections, most_connections: most_connections(limits) })
+        Arc::new(Front {
+            proxy,
+            connections,
+            most_connections: most_connections(limits),
+        })
     }
 
     /// Connections that are open.
@@ -63,7 +70,9 @@
     /// Whether the head of a request is arriving on any connection.
     pub fn is_reading(&self) -> bool {
         let connections = self.connections.lock();
-        connections.values().any(|track| track.activity().0 == Activity::ReadingHead)
+        connections
+            .values()
+            .any(|track| track.activity().0 == Activity::ReadingHead)
     }
 
     /// Accepts connections; never returns.
@@ -127,12 +136,19 @@
     /// Makes room by ending the connection that has been idle for longest.
     fn drop_longest_idle(&self) -> bool {
         let connections = self.connections.lock();
-        let idle = connections.values().filter_map(|track| match track.activity() {
-            (Activity::Idle, since) => Some((since, track)),
-            _ => None,
-        });
-        let Some((_, longest)) = idle.min_by(|a, b| a.0.total_cmp(&b.0)) else { return false };
-        let at_once = ClientLimits { idle_timeout: Duration::ZERO, ..ClientLimits::default() };
+        let idle = connections
+            .values()
+            .filter_map(|track| match track.activity() {
+                (Activity::Idle, since) => Some((since, track)),
+                _ => None,
+            });
+        let Some((_, longest)) = idle.min_by(|a, b| a.0.total_cmp(&b.0)) else {
+            return false;
+        };
+        let at_once = ClientLimits {
+            idle_timeout: Duration::ZERO,
+            ..ClientLimits::default()
+        };
         longest.sweep(self.proxy.clock.now(), &at_once, true);
         true
     }
--- a/crates/woadreach-proxy/src/kept_turns.rs
+++ b/crates/woadreach-proxy/src/kept_turns.rs
@@ -16,8 +16,14 @@
     if chain.is_empty() {
         return input.clone();
     }
-    let turn_length =
-        |turn: &T| turn.input().len() + turn.events().iter().map(|data| data.len() + 1).sum::<usize>();
+    let turn_length = |turn: &T| {
+        turn.input().len()
+            + turn
+                .events()
+                .iter()
+                .map(|data| data.len() + 1)
+                .sum::<usize>()
+    };
     let length = chain.iter().map(turn_length).sum::<usize>() + input.len();
     let mut body = BytesMut::with_capacity(length);
     for turn in chain {
--- a/crates/woadreach-proxy/src/knowledge.rs
+++ b/crates/woadreach-proxy/src/knowledge.rs
@@ -28,7 +28,9 @@
     /// Knowledge after this snapshot; the route table is built anew for a new configuration only.
     pub fn after(&self, snapshot: &ControlSnapshot) -> Self {
         let same = match (&self.configuration, &snapshot.configuration) {
-            (Some(known), Some(told)) => Arc::ptr_eq(known, told) || known.generation >= told.generation,
+            (Some(known), Some(told)) => {
+                Arc::ptr_eq(known, told) || known.generation >= told.generation
+            }
             (None, None) => true,
             (Some(_), None) => true,
             (None, Some(_)) => false,
@@ -48,7 +50,10 @@
 
     /// What clients may send.
     pub fn limits(&self) -> ClientLimits {
-        self.configuration.as_ref().map(|configuration| configuration.limits.clone()).unwrap_or_default()
+        self.configuration
+            .as_ref()
+            .map(|configuration| configuration.limits.clone())
+            .unwrap_or_default()
     }
 
     /// Connections that a replica of this service takes from all callers together.
@@ -61,14 +66,25 @@
 
     /// Tokens in each event of a route's answers.
     pub fn stride(&self, route: &Route) -> u32 {
-        let Some(configuration) = &self.configuration else { return 1 };
-        let services = route.clusters.iter().filter_map(|cluster| configuration.service(&cluster.service));
-        services.filter_map(|service| service.engine.as_ref()).map(|engine| engine.stride).max().unwrap_or(1)
+        let Some(configuration) = &self.configuration else {
+            return 1;
+        };
+        let services = route
+            .clusters
+            .iter()
+            .filter_map(|cluster| configuration.service(&cluster.service));
+        services
+            .filter_map(|service| service.engine.as_ref())
+            .map(|engine| engine.stride)
+            .max()
+            .unwrap_or(1)
     }
 
     /// Services as the decisions want them.
     pub fn service_specs(&self) -> Vec<ServiceSpec> {
-        let Some(configuration) = &self.configuration else { return Vec::new() };
+        let Some(configuration) = &self.configuration else {
+            return Vec::new();
+        };
         let spec = |service: &woadreach_config::Service| ServiceSpec {
             name: Arc::from(service.name.as_str()),
             capacity_hint: service.engine.as_ref().map(|engine| engine.capacity),
--- a/crates/woadreach-proxy/src/main.rs
+++ b/crates/woadreach-proxy/src/main.rs
@@ -22,7 +22,10 @@
         Ok(settings) => settings,
         Err(error) => return fail(&error, BAD_SETTINGS),
     };
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(error) => return fail(&error, FAILURE),
     };
@@ -34,8 +37,11 @@
 }
 
 fn start_logs(arguments: &Arguments) {
-    let filter = EnvFilter::try_new(&arguments.log_filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let filter =
+        EnvFilter::try_new(&arguments.log_filter).unwrap_or_else(|_| EnvFilter::new("info"));
+    let builder = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     match arguments.log_format {
         LogFormat::Text => builder.with_ansi(false).init(),
         LogFormat::Json => builder.json().init(),
--- a/crates/woadreach-proxy/src/own_answer.rs
+++ b/crates/woadreach-proxy/src/own_answer.rs
@@ -24,6 +24,8 @@
 
 /// Asks the client to close the connection after this answer.
 pub fn closing(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/woadreach-proxy/src/proxy.rs
+++ b/crates/woadreach-proxy/src/proxy.rs
@@ -88,11 +88,16 @@
         if let Some(view) = &snapshot.storage_view {
             self.turns.set_view(view.clone());
         }
-        let generation =
-            |knowledge: &Knowledge| knowledge.configuration.as_ref().map(|known| known.generation);
+        let generation = |knowledge: &Knowledge| {
+            knowledge
+                .configuration
+                .as_ref()
+                .map(|known| known.generation)
+        };
         if generation(&before) != generation(&after) {
             tracing::info!(generation = generation(&after), "configuration in force");
-            self.dispatcher.configure(&after.service_specs(), self.edges());
+            self.dispatcher
+                .configure(&after.service_specs(), self.edges());
         }
         if !Arc::ptr_eq(&before.replicas, &after.replicas) {
             self.dispatcher.replicas(&after.replica_specs());
--- a/crates/woadreach-proxy/src/replica_answer.rs
+++ b/crates/woadreach-proxy/src/replica_answer.rs
@@ -3,7 +3,8 @@
 use crate::plants::{Plant, planted};
 use crate::request_headers::REQUEST_ID;
 use http::header::{
-    CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, RETRY_AFTER, TRANSFER_ENCODING,
+    CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderName, RETRY_AFTER,
+    TRANSFER_ENCODING,
 };
 use http::response::Parts;
 use http::{StatusCode, Version};
@@ -33,7 +34,10 @@
 
 /// Judges the head of an answer to the request `request_id`.
 pub fn judge(head: &Parts, request_id: &str) -> HeadVerdict {
-    let answers = head.headers.get(&REQUEST_ID).is_some_and(|id| id.as_bytes() == request_id.as_bytes());
+    let answers = head
+        .headers
+        .get(&REQUEST_ID)
+        .is_some_and(|id| id.as_bytes() == request_id.as_bytes());
     let answers = answers || planted(Plant::AnyId);
     if !answers || head.status.is_informational() {
         return HeadVerdict::Foreign;
@@ -42,12 +46,18 @@
         return HeadVerdict::NotRun(Outcome::Misdirected);
     }
     if head.headers.contains_key(&NOT_EXECUTED) && !head.status.is_success() {
-        return HeadVerdict::NotRun(Outcome::NotExecuted { retry_after: retry_after(&head.headers) });
+        return HeadVerdict::NotRun(Outcome::NotExecuted {
+            retry_after: retry_after(&head.headers),
+        });
     }
     if head.status.is_success() {
         let stamped = head.headers.contains_key(&RESPONSE_SIGNATURE);
         let plain = !head.headers.contains_key(CONTENT_ENCODING);
-        return if stamped && plain { HeadVerdict::Success } else { HeadVerdict::Foreign };
+        return if stamped && plain {
+            HeadVerdict::Success
+        } else {
+            HeadVerdict::Foreign
+        };
     }
     if head.status.is_server_error() || is_promise(head.status) {
         return HeadVerdict::Failure(Outcome::ReplicaError);
@@ -68,16 +78,28 @@
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<f64> {
-    let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
+    let seconds: f64 = headers
+        .get(RETRY_AFTER)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some(seconds)
 }
 
 /// Reads `Server-Load`.
 pub fn server_load(headers: &HeaderMap) -> Option<ServerLoad> {
     let text = headers.get(&SERVER_LOAD)?.to_str().ok()?;
-    let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>().ok());
+    let mut numbers = text
+        .split(',')
+        .map(|number| number.trim().parse::<u32>().ok());
     let mut next = || numbers.next().flatten();
-    Some(ServerLoad { running: next()?, waiting: next()?, slots: next()? })
+    Some(ServerLoad {
+        running: next()?,
+        waiting: next()?,
+        slots: next()?,
+    })
 }
 
 /// Whether the end of an answer's body is told by its framing, and not by the end of its connection.
@@ -99,8 +121,16 @@
 
 /// Reads `Connection` and `Keep-Alive` of an answer.
 pub fn connection_reuse(head: &Parts) -> ConnectionReuse {
-    let closes = |value: &str| value.split(',').any(|token| token.trim().eq_ignore_ascii_case("close"));
-    let mut tokens = head.headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    let closes = |value: &str| {
+        value
+            .split(',')
+            .any(|token| token.trim().eq_ignore_ascii_case("close"))
+    };
+    let mut tokens = head
+        .headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
     if head.version != Version::HTTP_11 || tokens.any(closes) {
         return ConnectionReuse::Close;
     }
--- a/crates/woadreach-proxy/src/replica_connection.rs
+++ b/crates/woadreach-proxy/src/replica_connection.rs
@@ -96,12 +96,19 @@
     /// Connects.
     pub async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
         let connected = within(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let stream =
-            connected.ok_or(ConnectError::TimedOut { address })?.context(RefusedSnafu { address })?;
+        let stream = connected
+            .ok_or(ConnectError::TimedOut { address })?
+            .context(RefusedSnafu { address })?;
         set_options(&stream).context(RefusedSnafu { address })?;
         let written = Arc::new(AtomicU64::new(0));
-        let socket = CountingSocket { socket: TokioIo::new(stream), written: written.clone() };
-        let handshake = Builder::new().max_buf_size(READ_BUFFER).writev(false).handshake(socket);
+        let socket = CountingSocket {
+            socket: TokioIo::new(stream),
+            written: written.clone(),
+        };
+        let handshake = Builder::new()
+            .max_buf_size(READ_BUFFER)
+            .writev(false)
+            .handshake(socket);
         let (sender, connection) = handshake.await.context(HandshakeSnafu { address })?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
@@ -210,11 +217,17 @@
         result
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_flush(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.socket).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_shutdown(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.socket).poll_shutdown(context)
     }
 }
@@ -226,7 +239,9 @@
     // A connection that is given up is reset: bytes that a cut holds up would else come through seconds
     // later.
     socket.set_linger(Some(Duration::ZERO))?;
-    let keepalive =
-        TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(PROBES);
+    let keepalive = TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/woadreach-proxy/src/replica_pool.rs
+++ b/crates/woadreach-proxy/src/replica_pool.rs
@@ -82,7 +82,11 @@
             entry.make_room(most)?;
             entry.open += 1;
         }
-        Some(PooledConnection { pool: self.clone(), replica: key, connection })
+        Some(PooledConnection {
+            pool: self.clone(),
+            replica: key,
+            connection,
+        })
     }
 
     /// Closes connections that have rested too long, and forgets replicas without any.
@@ -90,7 +94,8 @@
         let now = Instant::now();
         self.entries.lock().retain(|_, entry| {
             entry.keep(|connection| {
-                connection.is_usable(now) && now.duration_since(connection.idle_since()) < LONGEST_REST
+                connection.is_usable(now)
+                    && now.duration_since(connection.idle_since()) < LONGEST_REST
             });
             entry.open > 0
         });
@@ -120,9 +125,14 @@
 
     /// Gives the connection back for the next request.
     pub fn give_back(mut self, keep_alive: Option<Duration>) {
-        let Some(mut connection) = self.connection.take() else { return };
+        let Some(mut connection) = self.connection.take() else {
+            return;
+        };
         let now = Instant::now();
-        connection.set_idle(now, keep_alive.map(|time| time.saturating_sub(KEEP_ALIVE_MARGIN)));
+        connection.set_idle(
+            now,
+            keep_alive.map(|time| time.saturating_sub(KEEP_ALIVE_MARGIN)),
+        );
         let mut entries = self.pool.entries.lock();
         let entry = entries.entry(self.replica.clone()).or_default();
         if connection.is_usable(now) && connection.has_written_body() {
--- a/crates/woadreach-proxy/src/request_headers.rs
+++ b/crates/woadreach-proxy/src/request_headers.rs
@@ -1,8 +1,8 @@
 //! What the headers of a client's request say, and which of them are passed on.
 
 use http::header::{
-    CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, TE, TRAILER, TRANSFER_ENCODING,
-    UPGRADE,
+    CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, TE, TRAILER,
+    TRANSFER_ENCODING, UPGRADE,
 };
 use snafu::Snafu;
 use std::time::Duration;
@@ -121,11 +121,18 @@
             prefix: prefix.unwrap_or_default(),
             affinity,
             unread_hints,
-            last_event_id: headers.get(&LAST_EVENT_ID).and_then(|value| text(value)?.parse().ok()),
+            last_event_id: headers
+                .get(&LAST_EVENT_ID)
+                .and_then(|value| text(value)?.parse().ok()),
         };
         if facts.budget.is_some() {
-            facts.program.as_ref().ok_or(HeaderError::Missing { name: "Program" })?;
-            facts.tokens.ok_or(HeaderError::Missing { name: "Token-Usage" })?;
+            facts
+                .program
+                .as_ref()
+                .ok_or(HeaderError::Missing { name: "Program" })?;
+            facts.tokens.ok_or(HeaderError::Missing {
+                name: "Token-Usage",
+            })?;
         }
         Ok(facts)
     }
@@ -142,7 +149,9 @@
     malformed: HeaderError,
 ) -> Result<Option<&'a str>, HeaderError> {
     let mut values = headers.get_all(name).iter();
-    let Some(value) = values.next() else { return Ok(None) };
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
     if values.next().is_some() {
         return Err(malformed);
     }
@@ -154,10 +163,19 @@
     name: &HeaderName,
     shown: &'static str,
 ) -> Result<Option<String>, HeaderError> {
-    let malformed = HeaderError::Malformed { name: shown, expected: "an id" };
-    let Some(value) = single(headers, name, malformed)? else { return Ok(None) };
+    let malformed = HeaderError::Malformed {
+        name: shown,
+        expected: "an id",
+    };
+    let Some(value) = single(headers, name, malformed)? else {
+        return Ok(None);
+    };
     let proper = !value.is_empty() && value.len() <= LONGEST_ID && value.bytes().all(is_id_byte);
-    if proper { Ok(Some(value.to_owned())) } else { Err(malformed) }
+    if proper {
+        Ok(Some(value.to_owned()))
+    } else {
+        Err(malformed)
+    }
 }
 
 fn is_id_byte(byte: u8) -> bool {
@@ -169,26 +187,50 @@
     name: &HeaderName,
     shown: &'static str,
 ) -> Result<Option<Duration>, HeaderError> {
-    let malformed = HeaderError::Malformed { name: shown, expected: "milliseconds" };
-    let Some(value) = single(headers, name, malformed)? else { return Ok(None) };
+    let malformed = HeaderError::Malformed {
+        name: shown,
+        expected: "milliseconds",
+    };
+    let Some(value) = single(headers, name, malformed)? else {
+        return Ok(None);
+    };
     let number: f64 = value.parse().map_err(|_| malformed)?;
     // The time until an aim is under zero once the aim has passed.
-    let number = if *name == FINISH_MS && number < 0.0 { 0.0 } else { number };
-    Duration::try_from_secs_f64(number / 1000.0).map(Some).map_err(|_| malformed)
+    let number = if *name == FINISH_MS && number < 0.0 {
+        0.0
+    } else {
+        number
+    };
+    Duration::try_from_secs_f64(number / 1000.0)
+        .map(Some)
+        .map_err(|_| malformed)
 }
 
 fn budget(headers: &HeaderMap) -> Result<Option<u64>, HeaderError> {
-    let malformed = HeaderError::Malformed { name: "Budget", expected: "a number of tokens" };
-    let Some(value) = single(headers, &BUDGET, malformed)? else { return Ok(None) };
+    let malformed = HeaderError::Malformed {
+        name: "Budget",
+        expected: "a number of tokens",
+    };
+    let Some(value) = single(headers, &BUDGET, malformed)? else {
+        return Ok(None);
+    };
     value.parse().map(Some).map_err(|_| malformed)
 }
 
 fn token_usage(headers: &HeaderMap) -> Result<Option<TokenUsage>, HeaderError> {
-    let malformed = HeaderError::Malformed { name: "Token-Usage", expected: "IN,OUT" };
-    let Some(value) = single(headers, &TOKEN_USAGE, malformed)? else { return Ok(None) };
+    let malformed = HeaderError::Malformed {
+        name: "Token-Usage",
+        expected: "IN,OUT",
+    };
+    let Some(value) = single(headers, &TOKEN_USAGE, malformed)? else {
+        return Ok(None);
+    };
     let (input, output) = value.split_once(',').ok_or(malformed)?;
     let number = |part: &str| part.trim().parse::<u32>().map_err(|_| malformed);
-    Ok(Some(TokenUsage { input: number(input)?, output: number(output)? }))
+    Ok(Some(TokenUsage {
+        input: number(input)?,
+        output: number(output)?,
+    }))
 }
 
 /// A header without which a request is served as well, if more slowly: what it says, and whether it is there and
@@ -199,8 +241,14 @@
     parse: impl Fn(&HeaderValue) -> Option<T>,
 ) -> (Option<T>, bool) {
     let mut values = headers.get_all(name).iter();
-    let Some(value) = values.next() else { return (None, false) };
-    let said = if values.next().is_some() { None } else { parse(value) };
+    let Some(value) = values.next() else {
+        return (None, false);
+    };
+    let said = if values.next().is_some() {
+        None
+    } else {
+        parse(value)
+    };
     let unread = said.is_none();
     (said, unread)
 }
@@ -216,7 +264,10 @@
     let parts = text(value)?.split(',').take(MOST_PREFIX_PARTS);
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
-        Some(PrefixPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+        Some(PrefixPart {
+            id: u64::from_str_radix(id, 16).ok()?,
+            tokens: tokens.parse().ok()?,
+        })
     };
     parts.map(part).collect()
 }
@@ -244,6 +295,16 @@
 }
 
 fn is_hop_by_hop(name: &HeaderName) -> bool {
-    [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, CONTENT_LENGTH, EXPECT, KEEP_ALIVE].contains(name)
+    [
+        CONNECTION,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+        CONTENT_LENGTH,
+        EXPECT,
+        KEEP_ALIVE,
+    ]
+    .contains(name)
         || name.as_str().starts_with(PROXY_PREFIX)
 }
--- a/crates/woadreach-proxy/src/request_service.rs
+++ b/crates/woadreach-proxy/src/request_service.rs
@@ -66,7 +66,9 @@
 impl Rejection {
     fn status(self) -> StatusCode {
         match self {
-            Rejection::Header { .. } | Rejection::Target | Rejection::Body => StatusCode::BAD_REQUEST,
+            Rejection::Header { .. } | Rejection::Target | Rejection::Body => {
+                StatusCode::BAD_REQUEST
+            }
             Rejection::NoRoute => StatusCode::NOT_FOUND,
             Rejection::SlowBody => StatusCode::REQUEST_TIMEOUT,
             Rejection::LongBody => StatusCode::PAYLOAD_TOO_LARGE,
@@ -77,7 +79,10 @@
 
     /// Whether the rest of the connection cannot be read any more.
     fn ends_connection(self) -> bool {
-        matches!(self, Rejection::Body | Rejection::SlowBody | Rejection::LongBody | Rejection::Target)
+        matches!(
+            self,
+            Rejection::Body | Rejection::SlowBody | Rejection::LongBody | Rejection::Target
+        )
     }
 
     fn answer(self) -> Response<AnswerBody> {
@@ -85,7 +90,11 @@
             Rejection::NotReady => refusal(RETRY_SOON),
             other => plain(other.status(), other),
         };
-        if self.ends_connection() { closing(answer) } else { answer }
+        if self.ends_connection() {
+            closing(answer)
+        } else {
+            answer
+        }
     }
 }
 
@@ -105,14 +114,21 @@
         Err(rejection) => {
             let unrouted = rejection == Rejection::NoRoute;
             let counters = &proxy.counters;
-            Counters::add(if unrouted { &counters.unrouted } else { &counters.rejected });
+            Counters::add(if unrouted {
+                &counters.unrouted
+            } else {
+                &counters.rejected
+            });
             with_request_id(rejection.answer(), request_id)
         }
     };
     if must_close || proxy.lifecycle.phase() > Phase::Serving {
         response = closing(response);
     }
-    Ok(response.map(|body| GuardedBody { body, _guard: guard }))
+    Ok(response.map(|body| GuardedBody {
+        body,
+        _guard: guard,
+    }))
 }
 
 async fn answer_of_task(
@@ -138,7 +154,11 @@
     response
 }
 
-async fn read_request(proxy: &Proxy, head: Parts, body: Incoming) -> Result<ClientRequest, Rejection> {
+async fn read_request(
+    proxy: &Proxy,
+    head: Parts,
+    body: Incoming,
+) -> Result<ClientRequest, Rejection> {
     let arrived = Instant::now();
     let knowledge = proxy.knowledge();
     if knowledge.configuration.is_none() {
@@ -147,15 +167,32 @@
     let target = path_and_query(&head)?;
     let host = host(&head)?;
     // What a process that has just started knows may be old: a route that is not there may have been added.
-    let no_route = if knowledge.warmed { Rejection::NoRoute } else { Rejection::NotReady };
-    let route = knowledge.routes.find(&host, target.path()).ok_or(no_route)?.clone();
+    let no_route = if knowledge.warmed {
+        Rejection::NoRoute
+    } else {
+        Rejection::NotReady
+    };
+    let route = knowledge
+        .routes
+        .find(&host, target.path())
+        .ok_or(no_route)?
+        .clone();
     if route.route_type == RouteType::Streaming && head.version < Version::HTTP_11 {
         return Err(Rejection::OldVersion);
     }
-    let mut facts = RequestFacts::read(&head.headers).map_err(|source| Rejection::Header { source })?;
-    proxy.counters.unread_hints.fetch_add(facts.unread_hints, Ordering::Relaxed);
+    let mut facts =
+        RequestFacts::read(&head.headers).map_err(|source| Rejection::Header { source })?;
+    proxy
+        .counters
+        .unread_hints
+        .fetch_add(facts.unread_hints, Ordering::Relaxed);
     if route.kept && facts.program.is_none() {
-        facts.program = Some(facts.session.clone().unwrap_or_else(|| facts.request_id.clone()));
+        facts.program = Some(
+            facts
+                .session
+                .clone()
+                .unwrap_or_else(|| facts.request_id.clone()),
+        );
     }
     let give_up = give_up_at(arrived, facts.timeout, route.timeout);
     if !proxy.lifecycle.takes_request(give_up) {
@@ -179,13 +216,23 @@
 fn path_and_query(head: &Parts) -> Result<PathAndQuery, Rejection> {
     let target = head.uri.path_and_query().ok_or(Rejection::Target)?;
     let proper = head.method != Method::CONNECT && target.path().starts_with('/');
-    if proper { Ok(target.clone()) } else { Err(Rejection::Target) }
+    if proper {
+        Ok(target.clone())
+    } else {
+        Err(Rejection::Target)
+    }
 }
 
 fn host(head: &Parts) -> Result<String, Rejection> {
-    let missing = Rejection::Header { source: HeaderError::Missing { name: "Host" } };
-    let malformed =
-        Rejection::Header { source: HeaderError::Malformed { name: "Host", expected: "one host" } };
+    let missing = Rejection::Header {
+        source: HeaderError::Missing { name: "Host" },
+    };
+    let malformed = Rejection::Header {
+        source: HeaderError::Malformed {
+            name: "Host",
+            expected: "one host",
+        },
+    };
     let mut values = head.headers.get_all(HOST).iter();
     let value = values.next();
     if values.next().is_some() {
@@ -208,17 +255,27 @@
     fn grow(&mut self, bytes: usize) -> Result<(), Rejection> {
         self.bytes += bytes;
         let all = self.proxy.body_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        if all > self.proxy.most_body_bytes { Err(Rejection::NotReady) } else { Ok(()) }
+        if all > self.proxy.most_body_bytes {
+            Err(Rejection::NotReady)
+        } else {
+            Ok(())
+        }
     }
 }
 
 impl Drop for BodyRoom<'_> {
     fn drop(&mut self) {
-        self.proxy.body_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.proxy
+            .body_bytes
+            .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-async fn read_body(proxy: &Proxy, mut body: Incoming, limits: &ClientLimits) -> Result<Bytes, Rejection> {
+async fn read_body(
+    proxy: &Proxy,
+    mut body: Incoming,
+    limits: &ClientLimits,
+) -> Result<Bytes, Rejection> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
@@ -229,7 +286,9 @@
     let mut whole = BytesMut::new();
     let mut single: Option<Bytes> = None;
     while let Some(frame) = next_frame(&mut body, limits.header_timeout).await? {
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         room.grow(data.len())?;
         if room.bytes > limits.max_body_bytes {
             return Err(Rejection::LongBody);
@@ -246,7 +305,10 @@
     Ok(single.unwrap_or_else(|| whole.freeze()))
 }
 
-async fn next_frame(body: &mut Incoming, stall: Duration) -> Result<Option<Frame<Bytes>>, Rejection> {
+async fn next_frame(
+    body: &mut Incoming,
+    stall: Duration,
+) -> Result<Option<Frame<Bytes>>, Rejection> {
     match tokio::time::timeout(stall, body.frame()).await {
         Err(_) => Err(Rejection::SlowBody),
         Ok(None) => Ok(None),
--- a/crates/woadreach-proxy/src/request_state.rs
+++ b/crates/woadreach-proxy/src/request_state.rs
@@ -76,7 +76,12 @@
 impl RequestProgress {
     /// A request that has been read whole; `repeatable` if it may run more than once.
     pub fn new(repeatable: bool) -> Self {
-        RequestProgress { state: RequestState::Preparing, repeatable, may_have_run: false, out: 0 }
+        RequestProgress {
+            state: RequestState::Preparing,
+            repeatable,
+            may_have_run: false,
+            out: 0,
+        }
     }
 
     /// Where it is.
@@ -146,7 +151,10 @@
     /// It ends. A promise that cannot be kept becomes an end without one.
     pub fn end(&mut self, wanted: RequestEnd) -> Result<RequestEnd, StateError> {
         if matches!(self.state, RequestState::Ended(_)) {
-            return Err(StateError { state: self.state, change: "end" });
+            return Err(StateError {
+                state: self.state,
+                change: "end",
+            });
         }
         let ran = self.may_have_run();
         let end = match wanted {
@@ -165,6 +173,9 @@
     }
 
     fn refuse(&self, change: &'static str) -> Result<(), StateError> {
-        Err(StateError { state: self.state, change })
+        Err(StateError {
+            state: self.state,
+            change,
+        })
     }
 }
--- a/crates/woadreach-proxy/src/request_task.rs
+++ b/crates/woadreach-proxy/src/request_task.rs
@@ -131,7 +131,10 @@
         }
         self.change(RequestProgress::admitted);
         let clock = self.proxy.clock;
-        self.proxy.dispatcher.arrive(self.client.call(self.id, |instant| clock.seconds_at(instant)));
+        self.proxy.dispatcher.arrive(
+            self.client
+                .call(self.id, |instant| clock.seconds_at(instant)),
+        );
         loop {
             let event = self.next_event().await;
             if let Some(end) = self.handle(event).await {
@@ -142,7 +145,14 @@
 
     /// Looks up the chain and reserves the budget; an end if the request stops here.
     async fn prepare(&mut self) -> Option<RequestEnd> {
-        let RequestTask { proxy, client, side, turn, deadline, .. } = self;
+        let RequestTask {
+            proxy,
+            client,
+            side,
+            turn,
+            deadline,
+            ..
+        } = self;
         let prepared = tokio::select! {
             prepared = turn.prepare(&proxy.turns, client) => prepared,
             () = side.closed() => return Some(self.end_without_client()),
@@ -154,7 +164,10 @@
                 None
             }
             Err(TurnError::BudgetSpent) => {
-                let answer = plain(StatusCode::PAYMENT_REQUIRED, "the program's budget is spent");
+                let answer = plain(
+                    StatusCode::PAYMENT_REQUIRED,
+                    "the program's budget is spent",
+                );
                 Some(self.end_with(RequestEnd::BudgetSpent, answer))
             }
             Err(TurnError::UnknownTurn) => {
@@ -166,7 +179,14 @@
     }
 
     async fn next_event(&mut self) -> TaskEvent {
-        let RequestTask { commands, attempts, stream, side, deadline, .. } = self;
+        let RequestTask {
+            commands,
+            attempts,
+            stream,
+            side,
+            deadline,
+            ..
+        } = self;
         loop {
             let frame = async {
                 match stream.as_mut() {
@@ -208,7 +228,12 @@
 
     fn obey(&mut self, command: Command) -> Option<RequestEnd> {
         match command {
-            Command::Send { attempt, replica, timeout, priority } => {
+            Command::Send {
+                attempt,
+                replica,
+                timeout,
+                priority,
+            } => {
                 self.send(attempt, replica, timeout, priority);
                 None
             }
@@ -225,12 +250,16 @@
         let knowledge = self.proxy.knowledge();
         let record = knowledge.replicas.get(&*replica);
         let (Some(record), Some(outgoing)) = (record, self.outgoing.clone()) else {
-            self.proxy.dispatcher.outcome(self.id, number, Outcome::NeverSent, None);
+            self.proxy
+                .dispatcher
+                .outcome(self.id, number, Outcome::NeverSent, None);
             return;
         };
         if let Err(error) = self.progress.sent() {
             tracing::error!(%error, "a request may not be sent again");
-            self.proxy.dispatcher.outcome(self.id, number, Outcome::NeverSent, None);
+            self.proxy
+                .dispatcher
+                .outcome(self.id, number, Outcome::NeverSent, None);
             return;
         }
         tracing::debug!(request = %self.client.facts.request_id, attempt = number, %replica, "attempt sent");
@@ -244,42 +273,65 @@
             priority,
             resume_after: self.position.resume_after(),
         };
-        let handle = self.attempts.spawn(attempt(self.proxy.pool.clone(), outgoing, order));
+        let handle = self
+            .attempts
+            .spawn(attempt(self.proxy.pool.clone(), outgoing, order));
         self.running.push((number, handle));
     }
 
     fn abort(&mut self, number: u32) {
-        let Some(index) = self.running.iter().position(|(running, _)| *running == number) else { return };
+        let Some(index) = self
+            .running
+            .iter()
+            .position(|(running, _)| *running == number)
+        else {
+            return;
+        };
         let (_, handle) = self.running.swap_remove(index);
         handle.abort();
         self.change(|progress| progress.attempt_ended(false));
     }
 
     fn take_report(&mut self, report: AttemptReport) -> Option<RequestEnd> {
-        let AttemptReport { attempt, result, load } = report;
+        let AttemptReport {
+            attempt,
+            result,
+            load,
+        } = report;
         if let AttemptResult::Failed { outcome, .. } = &result {
             tracing::debug!(request = %self.client.facts.request_id, attempt, ?outcome, "attempt failed");
         }
-        let index = self.running.iter().position(|(running, _)| *running == attempt)?;
+        let index = self
+            .running
+            .iter()
+            .position(|(running, _)| *running == attempt)?;
         self.running.swap_remove(index);
         match result {
             AttemptResult::Answered(answer) => {
                 self.change(|progress| progress.attempt_ended(false));
                 self.proxy.dispatcher.first_event(self.id, attempt, load);
-                self.proxy.dispatcher.outcome(self.id, attempt, Outcome::Answered, load);
+                self.proxy
+                    .dispatcher
+                    .outcome(self.id, attempt, Outcome::Answered, load);
                 Some(self.pass_on(answer, RequestEnd::Answered))
             }
             AttemptResult::Streaming(open) => {
                 self.change(RequestProgress::stream_began);
                 self.proxy.dispatcher.first_event(self.id, attempt, load);
                 self.stream_head.get_or_insert_with(|| open.head.clone());
-                self.stream = Some(ActiveStream { attempt, open, reader: EventReader::default() });
+                self.stream = Some(ActiveStream {
+                    attempt,
+                    open,
+                    reader: EventReader::default(),
+                });
                 None
             }
             AttemptResult::Failed { outcome, answer } => {
                 self.change(|progress| progress.attempt_ended(outcome.has_not_run()));
                 self.last_failure = answer.or(self.last_failure.take());
-                self.proxy.dispatcher.outcome(self.id, attempt, outcome, load);
+                self.proxy
+                    .dispatcher
+                    .outcome(self.id, attempt, outcome, load);
                 None
             }
         }
--- a/crates/woadreach-proxy/src/request_task/ending.rs
+++ b/crates/woadreach-proxy/src/request_task/ending.rs
@@ -19,7 +19,10 @@
             self.side.cut();
             return self.end(RequestEnd::Aborted);
         }
-        self.side.answer(passed_on(&answer.head, AnswerBody::Whole(Some(answer.body))));
+        self.side.answer(passed_on(
+            &answer.head,
+            AnswerBody::Whole(Some(answer.body)),
+        ));
         self.end(end)
     }
 
@@ -56,7 +59,11 @@
     }
 
     /// Ends with an answer of our own, or with the one that the request's state permits instead.
-    pub(super) fn end_with(&mut self, wanted: RequestEnd, answer: Response<AnswerBody>) -> RequestEnd {
+    pub(super) fn end_with(
+        &mut self,
+        wanted: RequestEnd,
+        answer: Response<AnswerBody>,
+    ) -> RequestEnd {
         if !self.side.is_unanswered() {
             self.side.cut();
             return self.end(RequestEnd::Aborted);
--- a/crates/woadreach-proxy/src/request_task/streaming.rs
+++ b/crates/woadreach-proxy/src/request_task/streaming.rs
@@ -43,7 +43,9 @@
         let rest = active.reader.into_rest();
         active.open.release();
         self.change(|progress| progress.attempt_ended(false));
-        self.proxy.dispatcher.outcome(self.id, attempt, Outcome::Answered, None);
+        self.proxy
+            .dispatcher
+            .outcome(self.id, attempt, Outcome::Answered, None);
         let head = self.stream_head.clone()?;
         if self.side.stream(&head, rest).await.is_err() {
             return Some(self.end_without_client());
@@ -69,8 +71,13 @@
             // Nothing of this replica's was passed on: its head belongs to no part of the answer.
             self.stream_head = None;
         }
-        let outcome = Outcome::Broken { sent: true, events: self.turn.ledger.events() };
-        self.proxy.dispatcher.outcome(self.id, active.attempt, outcome, None);
+        let outcome = Outcome::Broken {
+            sent: true,
+            events: self.turn.ledger.events(),
+        };
+        self.proxy
+            .dispatcher
+            .outcome(self.id, active.attempt, outcome, None);
         (self.position == StreamPosition::Unknown).then(|| self.fail(FailReason::MayHaveRun))
     }
 }
--- a/crates/woadreach-proxy/src/run.rs
+++ b/crates/woadreach-proxy/src/run.rs
@@ -47,8 +47,14 @@
 
 /// Serves until the process is told to end.
 pub async fn run(settings: NodeSettings) -> Result<(), RunError> {
-    let front_address = settings.listen.front.context(NoAddressSnafu { field: "front" })?;
-    let ready_address = settings.listen.ready.context(NoAddressSnafu { field: "ready" })?;
+    let front_address = settings
+        .listen
+        .front
+        .context(NoAddressSnafu { field: "front" })?;
+    let ready_address = settings
+        .listen
+        .ready
+        .context(NoAddressSnafu { field: "ready" })?;
     let front_listener = listen(front_address).await?;
     let ready_listener = listen(ready_address).await?;
     let internal_listener = listen(settings.internal_address()).await?;
@@ -58,9 +64,17 @@
     let tolerated = settings.fault_tolerance.members_of_a_group();
     let turns = StorageClient::new(rpc.clone(), settings.zone.clone(), tolerated);
     let seed = RandomState::new().hash_one(&settings.node);
-    let proxy = Arc::new(Proxy::new(seed, &settings.zone, settings.limits.memory_mb, turns));
+    let proxy = Arc::new(Proxy::new(
+        seed,
+        &settings.zone,
+        settings.limits.memory_mb,
+        turns,
+    ));
     let sampler = Sampler::new(&settings, NodeRole::Proxy, seed);
-    tokio::spawn(woadreach_rpc::serve(internal_listener, sampler.handlers(Router::new())));
+    tokio::spawn(woadreach_rpc::serve(
+        internal_listener,
+        sampler.handlers(Router::new()),
+    ));
     tokio::spawn(sampler.clone().run());
     let snapshots = ControlWatch::spawn_with_sampler(&settings, rpc, sampler);
     let front = Front::new(proxy.clone(), &settings.limits);
@@ -74,7 +88,9 @@
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
-    TcpListener::bind(address).await.context(ListenSnafu { address })
+    TcpListener::bind(address)
+        .await
+        .context(ListenSnafu { address })
 }
 
 fn spawn_service(
--- a/crates/woadreach-proxy/src/token_ledger.rs
+++ b/crates/woadreach-proxy/src/token_ledger.rs
@@ -11,7 +11,11 @@
 impl TokenLedger {
     /// A turn that generates `most` tokens at most, `stride` in each event.
     pub fn new(stride: u32, most: u32) -> Self {
-        TokenLedger { stride: u64::from(stride.max(1)), most: u64::from(most), events: 0 }
+        TokenLedger {
+            stride: u64::from(stride.max(1)),
+            most: u64::from(most),
+            events: 0,
+        }
     }
 
     /// Notes events that were passed on to the client.
--- a/crates/woadreach-proxy/src/turn_store.rs
+++ b/crates/woadreach-proxy/src/turn_store.rs
@@ -57,7 +57,10 @@
     ) -> Result<Bytes, TurnError> {
         let chain = async {
             match (self.kept, &client.facts.previous) {
-                (true, Some(previous)) => store.chain(&self.program, previous).await.map_err(chain_error),
+                (true, Some(previous)) => store
+                    .chain(&self.program, previous)
+                    .await
+                    .map_err(chain_error),
                 _ => Ok(Vec::new()),
             }
         };
@@ -87,12 +90,17 @@
             reservation.set_given(self.ledger.given());
         }
         if self.kept {
-            self.events.extend(events.into_iter().map(|event| event.data));
+            self.events
+                .extend(events.into_iter().map(|event| event.data));
         }
     }
 
     /// Makes a kept turn durable. Until this returns well, the answer must not look complete.
-    pub async fn commit(&mut self, store: &StorageClient, client: &ClientRequest) -> Result<(), TurnError> {
+    pub async fn commit(
+        &mut self,
+        store: &StorageClient,
+        client: &ClientRequest,
+    ) -> Result<(), TurnError> {
         if !self.kept {
             return Ok(());
         }
