--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,12 +1,12 @@
 //! `woadreach cluster`: real processes of the program on loopback, under faults between them.
 
 use crate::Verdict;
-use crate::error::{CommandError, JsonSnafu, OwnPathSnafu};
+use crate::error::{CommandError, JsonSnafu, OwnPathSnafu, PlayScenarioSnafu};
 use crate::output::Format;
 use clap::{Args, Subcommand};
 use snafu::ResultExt;
 use std::path::PathBuf;
-use woadreach_process_tests::{Outcome, PlayConfig, Scenario, play};
+use woadreach_process_tests::{Outcome, PlayConfig, RoleOutcome, Scenario, play};
 
 /// What to do with processes.
 #[derive(Subcommand)]
@@ -91,29 +91,28 @@
         has_roles: !arguments.no_duties,
         searches_per_second: arguments.rate,
     };
-    let outcome = play(&config).map_err(CommandError::failed)?;
+    let outcome = play(&config).context(PlayScenarioSnafu)?;
     match arguments.format {
         Format::Json => println!("{}", serde_json::to_string(&outcome).context(JsonSnafu)?),
-        Format::Text => print(&outcome),
+        Format::Text => print_outcome(&outcome),
     }
-    let is_bad =
+    let has_failed =
         outcome.broken_invariants > 0 || outcome.crashes > 0 || outcome.roles.two_holders > 0;
-    Ok(if is_bad {
+    Ok(if has_failed {
         Verdict::Found
     } else {
         Verdict::Good
     })
 }
 
-fn print(outcome: &Outcome) {
+fn print_outcome(outcome: &Outcome) {
     println!(
         "{}, seed {}: {} co-ordinators in {} zones, {} s",
         outcome.scenario, outcome.seed, outcome.coordinators, outcome.zones, outcome.seconds
     );
-    outcome
-        .breaches
-        .iter()
-        .for_each(|why| println!("broken: {why}"));
+    for breach in &outcome.breaches {
+        println!("broken: {breach}");
+    }
     println!(
         "rules broken {}, crashes {}",
         outcome.broken_invariants, outcome.crashes
@@ -122,6 +121,15 @@
         "served in time {:.3} of {} searches",
         outcome.served_share, outcome.searches
     );
+    print_failovers(outcome);
+    print_roles(&outcome.roles);
+    println!(
+        "a second a member: {:.1} datagrams, {:.0} bytes",
+        outcome.datagrams_per_s_per_member, outcome.bytes_per_s_per_member
+    );
+}
+
+fn print_failovers(outcome: &Outcome) {
     if outcome.expected > 0 {
         let seconds = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
         println!(
@@ -142,19 +150,17 @@
             outcome.near_share_even
         );
     }
-    let roles = &outcome.roles;
+}
+
+fn print_roles(roles: &RoleOutcome) {
     println!(
         "acts under a lease {}, of two holders {}, refused as stale {}",
         roles.actions, roles.two_holders, roles.stale_actions_rejected
     );
-    if let (Some(half), Some(most)) = (roles.handover_s_p50, roles.handover_s_p99) {
+    if let (Some(median), Some(highest)) = (roles.handover_s_p50, roles.handover_s_p99) {
         println!(
-            "handed on {} of {} times, after {half:.2} s (half), {most:.2} s (0.99), with leases of {} s",
+            "handed on {} of {} times, after {median:.2} s (half), {highest:.2} s (0.99), with leases of {} s",
             roles.handovers, roles.holder_faults, roles.lease_s
         );
     }
-    println!(
-        "a second a member: {:.1} datagrams, {:.0} bytes",
-        outcome.datagrams_per_s_per_member, outcome.bytes_per_s_per_member
-    );
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -43,6 +43,11 @@
     /// A result can't be printed as JSON.
     #[snafu(display("{source}"))]
     Json { source: serde_json::Error },
+    /// A scenario can't be played with real processes.
+    #[snafu(display("{source}"))]
+    PlayScenario {
+        source: woadreach_process_tests::PlayError,
+    },
     /// The libraries reject what they are given, or fail.
     #[snafu(display("{message}"))]
     Failed { message: String },
--- a/scripts/paired-plays.py
+++ b/scripts/paired-plays.py
@@ -32,7 +32,7 @@
 
 
 class ReportError(Exception):
-    """A report that is missing or does not hold what it should."""
+    """A report that is missing or lacks a figure."""
 
 
 def figures(report):
--- a/scripts/worst-days.py
+++ b/scripts/worst-days.py
@@ -1,19 +1,19 @@
 #!/usr/bin/env python3
-"""Days of trouble for the serving tier's bench: variants of a site that are harder than the site itself.
+"""Days of faults for the serving tier's bench: variants of a site that are harder than the site itself.
 
     scripts/worst-days.py list SITE.toml > VARIANT.toml
-        The site with a list of troubles that holds every kind which the bench knows, with the strengths and
-        variants that hurt the control side most; `fleetbench hunt` draws its mixed days from that list.
+        The site with a list of faults that has every kind of fault which the bench knows, in the strengths and
+        variants that harm the control plane most; `fleetbench hunt` draws its mixed days from that list.
 
     scripts/worst-days.py days SITE.toml --seed 7 --count 20 [--theme cut] > VARIANT.toml
-        The site with generated days in the place of its own, for `fleetbench score`. A theme draws faults of
-        one kind with orders beside them; `any` draws from every kind; without a theme they take turns. The
+        The site with generated days in place of its own, for `fleetbench score`. A theme draws faults of
+        one kind with operators' orders at the same time; `any` draws from every kind; without a theme they take turns. The
         same arguments give the same days.
 
     scripts/worst-days.py day SITE.toml --seed 7 --theme cut > day.toml
         A single day, for `fleetbench run SITE day.toml`.
 
-Traffic is that of the site's first day of trouble. A variant stands beside the `wire.json` of its site.
+The traffic is that of the site's first day of faults. Put a variant into the folder of its site's `wire.json`.
 """
 
 import argparse
@@ -30,6 +30,7 @@
 
 
 def words(*parts):
+    """The parts that aren't empty, with blanks between them."""
     return " ".join(part for part in parts if part)
 
 
@@ -43,6 +44,7 @@
 
 
 def cut(draw):
+    """Partitions of the control machines, and their acknowledgements lost."""
     start = draw.uniform(3, 7)
     how = words(draw.choice(TARGETS), draw.choice(CUT_VARIANTS), draw.choice(AFTERWARDS))
     long_cut = {"at": start, "kind": "core_cut", "count": 1, "for_s": draw.uniform(16, 21), "how": how}
@@ -66,6 +68,7 @@
 
 
 def race(draw):
+    """Orders that race each other while machines are killed after they acknowledged."""
     plan = [{"at": 1.5, "kind": "config_race", "count": 14, "gap_s": draw.uniform(0.4, 1.8)},
             {"at": 3.0, "kind": "bad_config", "count": 6, "gap_s": 1.3, "how": draw.choice(INVALID)},
             {"at": 12.0, "kind": "bad_config", "count": 6, "gap_s": 1.3, "how": draw.choice(INVALID)},
@@ -90,6 +93,7 @@
 
 
 def loss(draw):
+    """Machines and their disks are lost, one soon after another."""
     on = draw.choice(["core", "store"])
     start = draw.uniform(4, 7)
     second = start + draw.uniform(1.0, 7.0)
@@ -120,6 +124,7 @@
 
 
 def catch_up(draw):
+    """Machines are killed and have to catch up with many changes of the configuration."""
     plan = steady_changes(draw, 1.5, 31.0, draw.uniform(0.12, 0.3))
     for entry in plan:
         entry["how"] = "idle"
@@ -145,6 +150,7 @@
 
 
 def connections(draw):
+    """Faults of connections, replicas and edges."""
     pool = [
         {"kind": "answer_lost", "share": 0.7, "x": 0.06, "for_s": 8.0, "how": draw.choice(["", "reset"])},
         {"kind": "garble", "share": 0.7, "x": 0.06, "for_s": 8.0,
@@ -173,6 +179,7 @@
 
 
 def mixed(draw):
+    """Parts of two of the other themes."""
     plan, faults = [], []
     for theme in draw.sample([cut, race, loss, catch_up, connections], 2):
         some_plan, some_faults = theme(draw)
@@ -187,8 +194,8 @@
 REPLACEMENTS = ["", "planned", "oldest", "planned oldest"]
 
 
-def control_troubles(tolerated):
-    """Trouble on the machines whose loss is counted, and orders beside it."""
+def control_faults(tolerated):
+    """Faults of the machines that the tier tolerates the loss of only some of, and faults of their network."""
     for how in CORE_CUTS:
         yield {"kind": "core_cut", "count": 1, "for_s": 19.0, "how": how}
         yield {"kind": "core_cut", "count": tolerated, "for_s": 5.0, "how": how}
@@ -221,7 +228,7 @@
 
 
 def orders(_tolerated):
-    """What operators and the platform do."""
+    """Orders of operators and of the platform."""
     for how in ["route", "weights", "timeout", "idle"]:
         yield {"kind": "config_change", "how": how}
     yield {"kind": "config_race", "count": 10, "gap_s": 0.7}
@@ -243,8 +250,8 @@
     yield {"kind": "scale_in", "share": 0.2, "how": "spot", "x": 2.0}
 
 
-def data_troubles(_tolerated):
-    """Trouble on edges, replicas and the ways between them."""
+def data_faults(_tolerated):
+    """Faults of edges, replicas and the network between them."""
     for how in ["", "reset"]:
         yield {"kind": "answer_lost", "share": 0.7, "x": 0.06, "for_s": 6.0, "how": how}
     for how in ["", "extra", "extra late", "unframed", "early", "extra early late"]:
@@ -269,11 +276,11 @@
 
 
 def any_kind(draw, tolerated):
-    """Ten or more disruptions of any kind, at any moment, some more than once."""
+    """Ten or more faults and orders of any kind at random times, one of them twice."""
     plan = draw_entries(draw, list(orders(tolerated)), draw.randint(4, 8))
-    troubles = list(control_troubles(tolerated))
-    faults = draw_entries(draw, troubles, draw.randint(4, 7))
-    faults += draw_entries(draw, list(data_troubles(tolerated)), draw.randint(1, 4))
+    pool = list(control_faults(tolerated))
+    faults = draw_entries(draw, pool, draw.randint(4, 7))
+    faults += draw_entries(draw, list(data_faults(tolerated)), draw.randint(1, 4))
     again = dict(draw.choice(faults))
     again["at"] += draw.uniform(0.5, 6.0)
     faults.append(again)
@@ -282,6 +289,7 @@
 
 
 def draw_entries(draw, entries, count):
+    """`count` of the entries, each at a random time."""
     return [{"at": draw.uniform(1.5, 29.0), **entry} for entry in draw.sample(entries, count)]
 
 
@@ -289,16 +297,14 @@
           "mixed": mixed}
 ANY = "any"
 
-
 CLOSINGS = [None, {"kind": "kill_all", "down_s": 0.8}, {"kind": "power_off_all", "down_s": 1.2, "how": "all taken"},
             {"kind": "power_off_all", "down_s": 0.9}, {"kind": "wipe_after_ack", "down_s": 0.9, "how": "all"},
             {"kind": "wipe_after_ack", "down_s": 0.9, "how": "oldest"},
             {"kind": "wipe_after_ack", "down_s": 0.7, "how": "timed"}]
 
 
-
-
 def literal(value):
+    """A value as TOML has it."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{key} = {literal(item)}" for key, item in value.items()) + " }"
     if isinstance(value, float):
@@ -309,6 +315,7 @@
 
 
 def rows(name, entries):
+    """A TOML array of tables in the order of their times, one a line."""
     ordered = sorted(entries, key=lambda entry: entry.get("at", 0))
     return "\n".join([f"{name} = [", *[f"  {literal(entry)}," for entry in ordered], "]"])
 
@@ -332,15 +339,15 @@
 
 
 def with_list(text, site):
-    """The site with the longest list of troubles."""
+    """The site with the longest list of faults."""
     tolerated = site["tolerate"]["machines"]
-    entries = [*control_troubles(tolerated), *orders(tolerated), *data_troubles(tolerated)]
+    entries = [*control_faults(tolerated), *orders(tolerated), *data_faults(tolerated)]
     return re.sub(r"^troubles = \[\n.*?^\]\n", lambda _: rows("troubles", entries) + "\n", text, count=1,
                   flags=re.M | re.S)
 
 
 def with_days(text, site, theme, seed, count):
-    """The site with generated days in the place of its own."""
+    """The site with generated days in place of its own."""
     themes = [theme] if theme else [*THEMES, ANY]
     days = [day(site, themes[number % len(themes)], seed + number // len(themes)) for number in range(count)]
     return text[: text.index("[[day]]")] + "\n\n".join(days)
@@ -365,4 +372,5 @@
         print(day(site, options.theme or ANY, options.seed))
 
 
-main()
+if __name__ == "__main__":
+    main()
