--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -7,8 +7,8 @@
 use crate::comparison::{ComparisonCounters, ProposedLimits};
 use std::collections::{BTreeMap, VecDeque};
 use woadreach_routing::api::{
-    AttemptId, Listed, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search, SearchId,
-    Settings, ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
+    AttemptId, ListedReplica, Outcome, Part, PartId, Placement, Plan, ReplicaId, Reply, Search,
+    SearchId, Settings, ShardId, SlowStartDemand, ZoneFailoverState, ZoneHealth,
 };
 use woadreach_routing::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
@@ -28,9 +28,9 @@
     fn reply(&mut self, search: &Search, reply: Reply);
     /// Calls [`SearchTable::timer_fired`] for this search after `wait` seconds; earlier timers of it may still
     /// fire.
-    fn timer(&mut self, search: SearchId, wait: f64);
+    fn set_timer(&mut self, search: SearchId, wait: f64);
     /// The search is over, answered or not, and is not in the table any more.
-    fn finished(&mut self, search: &Search);
+    fn search_finished(&mut self, search: &Search);
 }
 
 struct SearchInFlight {
@@ -108,7 +108,7 @@
     }
 
     /// Applies an endpoint list: a complete one, or changes.
-    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
+    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[ListedReplica]) {
         self.balancer.apply_endpoint_list(full, lines);
     }
 
@@ -285,7 +285,7 @@
             for part in parts.filter(|_| !is_mutated("search-table-keeps-parts")) {
                 self.by_part.remove(&part.id);
             }
-            executor.finished(&in_flight.search);
+            executor.search_finished(&in_flight.search);
             self.searches.remove(&id);
             return;
         }
@@ -293,7 +293,7 @@
         if now + wait < in_flight.due {
             in_flight.due = now + wait;
             if !is_mutated("search-table-no-timer") {
-                executor.timer(id, wait);
+                executor.set_timer(id, wait);
             }
         }
     }
--- a/crates/router/sim-adapter/src/actions.rs
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -41,12 +41,12 @@
         });
     }
 
-    fn timer(&mut self, search: SearchId, wait: Seconds) {
+    fn set_timer(&mut self, search: SearchId, wait: Seconds) {
         let (wait_ms, name) = (wait * MS_PER_SECOND, search.0.to_string());
         self.out.push(json!(["setTimer", wait_ms, name]));
     }
 
-    fn finished(&mut self, search: &Search) {
+    fn search_finished(&mut self, search: &Search) {
         self.by_query.retain(|_, id| *id != search.id);
     }
 }
--- a/crates/router/sim-adapter/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -3,8 +3,8 @@
 use crate::actions::MS_PER_SECOND;
 use serde_json::Value;
 use woadreach_routing::api::{
-    CellId, Ending, Listed, Outcome, PartId, QueryTypeId, ReplicaId, SearchId, Seconds, ShardId,
-    Share, TenantId, ZoneId,
+    CellId, Ending, ListedReplica, Outcome, PartId, QueryTypeId, ReplicaId, SearchId, Seconds,
+    ShardId, Share, TenantId, ZoneId,
 };
 
 /// The bit of a request's options that marks it as a retry.
@@ -20,8 +20,8 @@
 }
 
 /// A line of an endpoint list.
-pub(crate) fn listed(value: &Value) -> Option<Listed> {
-    Some(Listed {
+pub(crate) fn listed(value: &Value) -> Option<ListedReplica> {
+    Some(ListedReplica {
         open: value.get(0)?.as_str()? == "U",
         zone: ZoneId(value.get(2)?.as_u64()?),
         cell: CellId(value.get(3)?.as_u64()?),
--- a/crates/router/sim-adapter/src/instance.rs
+++ b/crates/router/sim-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::decode::{self, Arrival, PartArrival, SearchArrival};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use woadreach_routing::api::{Listed, Search, SearchId, Seconds};
+use woadreach_routing::api::{ListedReplica, Search, SearchId, Seconds};
 use woadreach_search_driver::{SearchTable, SettingsError, parse_settings};
 
 /// The name of the timer after which a refused watch is requested again; timers of searches have numbers.
@@ -24,7 +24,7 @@
 const REFUSAL_STEP: f64 = 0.381_966;
 
 /// Endpoint lists by their numbers on the wire.
-pub(crate) type Lists = BTreeMap<u64, Vec<Listed>>;
+pub(crate) type Lists = BTreeMap<u64, Vec<ListedReplica>>;
 
 /// How long until a watch is requested again after `refused` refusals in a row.
 ///
--- a/crates/router/woadreachd/src/core/endpoint_updates.rs
+++ b/crates/router/woadreachd/src/core/endpoint_updates.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::debug;
 use woadreach_lease::{Departure, ReplicaKey};
-use woadreach_routing::api::{CellId, Listed, ReplicaId, ZoneId};
+use woadreach_routing::api::{CellId, ListedReplica, ReplicaId, ZoneId};
 use woadreach_runtime::Net;
 
 /// The endpoints that this process's own list names, recorded where they are reported to peers.
@@ -125,7 +125,7 @@
 
     fn apply(&mut self, list: &EndpointList) {
         self.knows_endpoints |= !list.entries.is_empty();
-        let lines: Vec<Listed> = list.entries.iter().map(|e| self.listed(e)).collect();
+        let lines: Vec<ListedReplica> = list.entries.iter().map(|e| self.listed(e)).collect();
         self.search_table.apply_endpoint_list(list.full, &lines);
         self.executor
             .replicas
@@ -133,10 +133,10 @@
     }
 
     /// An entry as the routing decisions read it. A zone that the settings do not name gets a number.
-    fn listed(&mut self, endpoint: &Endpoint) -> Listed {
+    fn listed(&mut self, endpoint: &Endpoint) -> ListedReplica {
         let next = self.zones.len() as u64;
         let zone = self.zones.entry(endpoint.zone.clone()).or_insert(next);
-        Listed {
+        ListedReplica {
             replica: ReplicaId(endpoint.id.as_str().into()),
             open: endpoint.lifecycle == Lifecycle::Ready,
             zone: ZoneId(*zone),
--- a/crates/router/woadreachd/src/core/executor.rs
+++ b/crates/router/woadreachd/src/core/executor.rs
@@ -176,11 +176,11 @@
         let _ = request.reply.send(answer);
     }
 
-    fn timer(&mut self, search: SearchId, wait: f64) {
+    fn set_timer(&mut self, search: SearchId, wait: f64) {
         self.timers.insert(self.now + wait, Timer::Search(search));
     }
 
-    fn finished(&mut self, search: &Search) {
+    fn search_finished(&mut self, search: &Search) {
         // Where attempts cannot be cancelled, one that waits for a connection would otherwise leave after the
         // answer.
         let unfinished = search
--- a/crates/routing/src/api/endpoints.rs
+++ b/crates/routing/src/api/endpoints.rs
@@ -5,7 +5,7 @@
 
 /// A replica in the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedReplica {
     /// Its name.
     pub replica: ReplicaId,
     /// Whether it may be sent new work; false while it drains and once it has departed.
--- a/crates/routing/src/api/mod.rs
+++ b/crates/routing/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! Plain types between callers and the routing decisions. Nothing here decides.
 //!
 //! Times and durations are [`Seconds`], since the decisions run on simulated clocks too. A caller starts with
-//! [`Settings`], reports [`Listed`] replicas and the [`Outcome`] of each [`Attempt`], and carries out the [`Plan`]
+//! [`Settings`], reports [`ListedReplica`] replicas and the [`Outcome`] of each [`Attempt`], and carries out the [`Plan`]
 //! that it gets for a [`Search`].
 
 mod endpoints;
@@ -12,7 +12,7 @@
 mod settings;
 mod units;
 
-pub use endpoints::{Listed, NearZones, SlowStartDemand, ZoneFailoverState, ZoneHealth};
+pub use endpoints::{ListedReplica, NearZones, SlowStartDemand, ZoneFailoverState, ZoneHealth};
 pub use health::{Change, EjectionConfig, Observation};
 pub use ids::{
     AttemptId, CellId, PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId, ZoneId,
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -5,13 +5,13 @@
 //! cancel, send and reply, and which queued searches to ask about next, in that order.
 
 use crate::api::{
-    Listed, Part, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Seconds, Settings,
+    ListedReplica, Part, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Seconds, Settings,
     SlowStartDemand, TenantId, ZoneFailoverState, ZoneId,
 };
 use crate::deadline_queue::DeadlineQueue;
 use crate::decide::part_budget::START_DIVISOR;
 use crate::decide::slow_start::Warming;
-use crate::decide::{Hold, LatencyLimits, OutlierDetector, PartBudget, RetryBudget};
+use crate::decide::{Backpressure, LatencyLimits, OutlierDetector, PartBudget, RetryBudget};
 use crate::fleet::{Fleet, Replica};
 use crate::samples::Sample;
 use crate::unloaded_latency::UnloadedLatency;
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(crate) struct ReplicaState {
     /// Backpressure after full or timed-out answers.
-    pub(crate) hold: Hold,
+    pub(crate) backpressure: Backpressure,
     /// Latest latencies, with queues.
     pub(crate) loaded: VecDeque<Sample>,
     /// Outlier ejection.
@@ -120,7 +120,7 @@
     /// Takes in the endpoint list, or changes of it. A `full` list names all replicas. A replica that isn't
     /// open gets nothing new from this call on. A new process is warming up, and nothing that was known of the
     /// old one counts for it.
-    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[Listed]) {
+    pub fn apply_endpoint_list(&mut self, full: bool, lines: &[ListedReplica]) {
         let unused = self.fleet.apply_endpoint_list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
             let warming = Warming::new(
--- a/crates/routing/src/decide/hold.rs
+++ b/crates/routing/src/decide/hold.rs
@@ -1,42 +1,47 @@
-//! Backpressure: a replica that answered full, or not in time, gets no more than it had in flight at that answer.
+//! Backpressure on a replica that rejected a call or let it time out: until its queue has drained, it is sent no
+//! more calls than were in flight when that call ended.
 
-/// Whether new calls to one replica wait, by this co-ordinator's calls in flight there.
+/// Limit on this co-ordinator's calls in flight at one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Hold {
-    /// Calls may leave.
+pub enum Backpressure {
+    /// Calls are sent at once.
     #[default]
-    Open,
-    /// Calls wait for the replica's queue to turn over.
-    Holding {
-        /// Calls wait while more than this number are in flight.
-        above: usize,
-        /// Number of answers that have to come before the hold ends.
+    Unlimited,
+    /// Calls are queued until the replica has answered what was in flight.
+    Limited {
+        /// A call is queued while more than this number of other calls are in flight.
+        blocked_above: usize,
+        /// Number of answers until the limit is lifted; at least 1.
         answers: usize,
     },
 }
 
-impl Hold {
-    /// A call ended full or timed out, with `in_flight` others still out.
+impl Backpressure {
+    /// Starts or restarts the limit after a call was rejected or timed out. `in_flight`: number of the calls that are
+    /// still in flight there.
     pub fn begin(&mut self, in_flight: usize) {
-        *self = Hold::Holding {
-            above: in_flight,
+        *self = Backpressure::Limited {
+            blocked_above: in_flight,
             answers: in_flight.max(1),
         };
     }
 
-    /// A call was answered.
-    pub fn answered(&mut self) {
+    /// Counts an answer of the replica; the last one that was required lifts the limit.
+    pub fn record_answer(&mut self) {
         *self = match *self {
-            Hold::Holding { above, answers } if answers > 1 => Hold::Holding {
-                above,
+            Backpressure::Limited {
+                blocked_above,
+                answers,
+            } if answers > 1 => Backpressure::Limited {
+                blocked_above,
                 answers: answers - 1,
             },
-            _ => Hold::Open,
+            _ => Backpressure::Unlimited,
         }
     }
 
-    /// Whether another call has to wait.
-    pub fn holds(&self, in_flight: usize) -> bool {
-        matches!(self, Hold::Holding { above, .. } if in_flight > *above)
+    /// Whether the next call has to be queued, with `in_flight` calls in flight at the replica.
+    pub fn blocks(&self, in_flight: usize) -> bool {
+        matches!(self, Backpressure::Limited { blocked_above, .. } if in_flight > *blocked_above)
     }
 }
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records the latency of an answer.
-    pub fn answered(&mut self, now: Seconds, latency: Seconds) {
+    pub fn record_answer(&mut self, now: Seconds, latency: Seconds) {
         push(
             &mut self.recent,
             Sample {
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether the last call failed where traffic is sparse: two failures take long to see there.
-    pub fn failed_last(&self, now: Seconds) -> bool {
+    pub fn failed_last_in_sparse_traffic(&self, now: Seconds) -> bool {
         let mut recent = self
             .seen
             .iter()
--- a/crates/routing/src/decide/part_budget.rs
+++ b/crates/routing/src/decide/part_budget.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether a part is not worth sending: the time that remains is shorter than the unloaded tail.
-    pub fn hopeless(remaining: Seconds, tail: Seconds) -> bool {
+    pub fn cannot_finish_in_time(remaining: Seconds, tail: Seconds) -> bool {
         remaining < tail
     }
 }
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -123,7 +123,8 @@
             return unless_chosen;
         };
         let load = calls(&chosen, 0);
-        let is_hopeless = PartBudget::hopeless(until - now, self.tail(now, search, chosen.0));
+        let is_hopeless =
+            PartBudget::cannot_finish_in_time(until - now, self.tail(now, search, chosen.0));
         // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
         if is_hopeless || (part.is_in_flight() && load > 0) {
             return Pick::Never;
@@ -137,7 +138,7 @@
         let deadline = search.queuing_deadline();
         let queued = QueuedPart::of(search, part);
         let is_behind = self.queue.is_behind(id, deadline, queued);
-        if is_behind || replica.state.hold.holds(load) {
+        if is_behind || replica.state.backpressure.blocks(load) {
             Pick::Queue(id.clone())
         } else {
             Pick::Go(id.clone())
@@ -161,7 +162,7 @@
         });
         candidates.prefer(|(_, replica)| self.zone_share(replica.zone) > zone_draw);
         candidates.prefer(|(_, replica)| {
-            self.limits.overloaded || !replica.state.health.failed_last(now)
+            self.limits.overloaded || !replica.state.health.failed_last_in_sparse_traffic(now)
         });
     }
 
@@ -265,7 +266,7 @@
         if self
             .fleet
             .get(id)
-            .is_some_and(|replica| !replica.state.hold.holds(replica.in_flight.len()))
+            .is_some_and(|replica| !replica.state.backpressure.blocks(replica.in_flight.len()))
         {
             self.plan
                 .reconsider
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -89,8 +89,8 @@
         let call = replica.attempt_finished(now, id, answered)?;
         let known = &mut replica.state;
         if answered {
-            known.hold.answered();
-            self.limits.answered(now, outcome.latency);
+            known.backpressure.record_answer();
+            self.limits.record_answer(now, outcome.latency);
             if call.alone {
                 self.unloaded
                     .record(now, &outcome.replica, outcome.latency, ejected);
@@ -108,7 +108,7 @@
             );
         }
         if matches!(outcome.ending, Ending::Full | Ending::TimedOut) {
-            known.hold.begin(replica.in_flight.len());
+            known.backpressure.begin(replica.in_flight.len());
         }
         // One given up says something of health only if it is late.
         if outcome.ending == Ending::NeverSent || (outcome.ending == Ending::Cancelled && !late) {
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The replicas that the endpoint list names, by cell, with this co-ordinator's attempts in flight at each.
 
-use crate::api::{AttemptId, Listed, QueryTypeId, ReplicaId, Seconds, ShardId, ZoneId};
+use crate::api::{AttemptId, ListedReplica, QueryTypeId, ReplicaId, Seconds, ShardId, ZoneId};
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -114,8 +114,8 @@
     pub fn apply_endpoint_list(
         &mut self,
         full: bool,
-        lines: &[Listed],
-        mut started: impl FnMut(&Listed) -> S,
+        lines: &[ListedReplica],
+        mut started: impl FnMut(&ListedReplica) -> S,
     ) -> Vec<ReplicaId> {
         if full {
             self.replicas
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -26,7 +26,7 @@
     //!   ours in flight at its replica; `forget` one that has departed or restarted.
     //! - [`PartBudget`]: `queuing_deadline` of the replicas chosen for a request (query router only; the tier's
     //!   is in `scheduler::step`, from `part_quantile`); `tail` of one replica, and `hopeless` to leave a call unsent.
-    //! - [`Hold`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
+    //! - [`Backpressure`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
     //!   answer, `holds` before a call leaves.
     //! - [`DeadlineQueue`]: `insert` a call that is on hold or behind another (`is_behind`); after each end of a
     //!   call, once the hold is over, `first` names who goes next.
@@ -61,7 +61,7 @@
     pub use crate::deadline_queue::DeadlineQueue;
     pub use crate::unloaded_latency::UnloadedLatency;
     pub use candidates::Candidates;
-    pub use hold::Hold;
+    pub use hold::Backpressure;
     pub use latency_limits::LatencyLimits;
     pub use outlier_detector::{Change, EjectionConfig, Observation, OutlierDetector};
     pub use part_budget::PartBudget;
--- a/crates/routing/tests/balance/ejection.rs
+++ b/crates/routing/tests/balance/ejection.rs
@@ -4,7 +4,7 @@
 use crate::support::{balancer_of, listed, new_search, outcome, replica_id, search_in_flight_at};
 use rstest::rstest;
 use woadreach_routing::api::{
-    CellId, Ending, Listed, QueryTypeId, Search, ShardId, SlowStartConfig, ZoneId,
+    CellId, Ending, ListedReplica, QueryTypeId, Search, ShardId, SlowStartConfig, ZoneId,
 };
 use woadreach_routing::balancer::Balancer;
 
@@ -143,13 +143,13 @@
     let mut settings = settings();
     (settings.cells, settings.max_attempts) = (9, 1);
     let mut balancer = balancer_of(settings, &[]);
-    let at = |name: &str, cell, zone| Listed {
+    let at = |name: &str, cell, zone| ListedReplica {
         zone: ZoneId(zone),
         cell: CellId(cell),
         ..listed(name, true, None)
     };
     let names: Vec<String> = (0..8).map(|n| format!("x{n}")).collect();
-    let mut lines: Vec<Listed> = names
+    let mut lines: Vec<ListedReplica> = names
         .iter()
         .zip(0..)
         .map(|(n, cell)| at(n, cell, 1))
--- a/crates/routing/tests/balance/placement.rs
+++ b/crates/routing/tests/balance/placement.rs
@@ -4,7 +4,7 @@
 use crate::support::{balancer_of, listed, new_search, outcome, replica_id, search_in_flight_at};
 use rstest::rstest;
 use woadreach_routing::api::{
-    CellId, Ending, Listed, Placement, QueryType, QueryTypeId, SearchId, Settings, ShardId,
+    CellId, Ending, ListedReplica, Placement, QueryType, QueryTypeId, SearchId, Settings, ShardId,
 };
 use woadreach_routing::balancer::Balancer;
 
@@ -55,7 +55,7 @@
         ..settings()
     };
     let mut balancer = balancer_of(settings, &[]);
-    let before = Listed {
+    let before = ListedReplica {
         cell: CellId(1),
         ..listed("a", true, Some(1.0))
     };
@@ -124,7 +124,7 @@
 #[rstest]
 #[case::draining(false, vec![listed("a", false, None)])]
 #[case::absent_from_full(true, vec![listed("b", true, None)])]
-fn draining_replicas_get_nothing_new(#[case] full: bool, #[case] lines: Vec<Listed>) {
+fn draining_replicas_get_nothing_new(#[case] full: bool, #[case] lines: Vec<ListedReplica>) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     balancer.apply_endpoint_list(full, &lines);
     for n in 0..20 {
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -1,8 +1,8 @@
 //! A co-ordinator's decisions, searches and outcomes for the tests.
 
 use woadreach_routing::api::{
-    CellId, Ending, Listed, Outcome, Part, PartId, Placement, QueryTypeId, ReplicaId, Search,
-    SearchId, Settings, ShardId, TenantId, ZoneId,
+    CellId, Ending, ListedReplica, Outcome, Part, PartId, Placement, QueryTypeId, ReplicaId,
+    Search, SearchId, Settings, ShardId, TenantId, ZoneId,
 };
 use woadreach_routing::balancer::Balancer;
 
@@ -10,8 +10,8 @@
     ReplicaId(name.into())
 }
 
-pub(crate) fn listed(name: &str, open: bool, ready_at: Option<f64>) -> Listed {
-    Listed {
+pub(crate) fn listed(name: &str, open: bool, ready_at: Option<f64>) -> ListedReplica {
+    ListedReplica {
         replica: replica_id(name),
         open,
         zone: ZoneId(0),
@@ -23,7 +23,7 @@
 /// A co-ordinator whose endpoint list has these replicas, all warm.
 pub(crate) fn balancer_of(settings: Settings, names: &[&str]) -> Balancer {
     let mut balancer = Balancer::new(settings);
-    let lines: Vec<Listed> = names.iter().map(|name| listed(name, true, None)).collect();
+    let lines: Vec<ListedReplica> = names.iter().map(|name| listed(name, true, None)).collect();
     balancer.apply_endpoint_list(true, &lines);
     balancer
 }
--- a/crates/routing/tests/balance/zones.rs
+++ b/crates/routing/tests/balance/zones.rs
@@ -4,7 +4,7 @@
 use crate::support::{listed, new_search, outcome, search_in_flight_at};
 use rstest::rstest;
 use std::collections::BTreeSet;
-use woadreach_routing::api::{Ending, Listed, NearZones, ZoneFailoverState, ZoneId};
+use woadreach_routing::api::{Ending, ListedReplica, NearZones, ZoneFailoverState, ZoneId};
 use woadreach_routing::balancer::Balancer;
 
 /// Two replicas in each of two zones, named by their zone's number: a0, b0, a1, b1.
@@ -12,7 +12,7 @@
     let mut balancer = Balancer::new(settings());
     let lines = ["a0", "b0", "a1", "b1"].map(|n| {
         let zone = ZoneId(u64::from(n.ends_with('1')));
-        Listed {
+        ListedReplica {
             zone,
             ..listed(n, true, None)
         }
@@ -88,7 +88,7 @@
     );
     balancer.set_zone_failover(1.1, zone_failover([0.0, 1.0], Some(1.0)));
     balancer.set_zone_failover(1.2, zone_failover([1.0, 1.0], Some(1.0)));
-    let draining = Listed {
+    let draining = ListedReplica {
         zone: ZoneId(0),
         ..listed("b0", false, None)
     };
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
-    Candidates, Change, DeadlineQueue, EjectionConfig, Hold, LatencyLimits, Observation,
+    Backpressure, Candidates, Change, DeadlineQueue, EjectionConfig, LatencyLimits, Observation,
     OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
@@ -103,7 +103,10 @@
         4.95
     );
     let tail = budget.tail(0.0, &all, Some(&"a"), 1);
-    assert!(PartBudget::hopeless(tail - 0.01, tail) && !PartBudget::hopeless(tail, tail));
+    assert!(
+        PartBudget::cannot_finish_in_time(tail - 0.01, tail)
+            && !PartBudget::cannot_finish_in_time(tail, tail)
+    );
 }
 
 /// Held only while more are in flight than at the full answer, and until as many answers have come.
@@ -111,14 +114,14 @@
 #[case::none_in_flight(0, 0, 1)]
 #[case::two_in_flight(2, 2, 2)]
 fn hold_and_release(#[case] in_flight: usize, #[case] may: usize, #[case] answers: usize) {
-    let mut hold = Hold::default();
-    assert!(!hold.holds(100));
-    hold.begin(in_flight);
-    assert!(!hold.holds(may) && hold.holds(may + 1));
-    (1..answers).for_each(|_| hold.answered());
-    assert!(hold.holds(may + 1));
-    hold.answered();
-    assert!(!hold.holds(100));
+    let mut backpressure = Backpressure::default();
+    assert!(!backpressure.blocks(100));
+    backpressure.begin(in_flight);
+    assert!(!backpressure.blocks(may) && backpressure.blocks(may + 1));
+    (1..answers).for_each(|_| backpressure.record_answer());
+    assert!(backpressure.blocks(may + 1));
+    backpressure.record_answer();
+    assert!(!backpressure.blocks(100));
 }
 
 #[test]
@@ -233,13 +236,16 @@
 fn health_of_sparse_and_of_dead_ones() {
     let mut detector = OutlierDetector::default();
     detector.observe(RULE, call(1.0, 0, true));
-    assert!(detector.failed_last(10.9) && !detector.failed_last(11.0));
+    assert!(
+        detector.failed_last_in_sparse_traffic(10.9)
+            && !detector.failed_last_in_sparse_traffic(11.0)
+    );
     detector.observe(RULE, call(2.0, 0, true));
     assert!(!detector.all_failed(0.0));
     detector.observe(RULE, call(3.0, 0, true));
     assert!(detector.all_failed(0.0) && !detector.all_failed(1.0));
     detector.observe(RULE, call(4.0, 0, false));
-    assert!(!detector.all_failed(0.0) && !detector.failed_last(4.0));
+    assert!(!detector.all_failed(0.0) && !detector.failed_last_in_sparse_traffic(4.0));
 }
 
 #[test]
@@ -250,10 +256,10 @@
         (limits.late_after, limits.hedge_after, limits.overloaded),
         (1.0, 1.0, false)
     );
-    (0..19).for_each(|_| limits.answered(1.0, 0.4));
+    (0..19).for_each(|_| limits.record_answer(1.0, 0.4));
     limits.update(&unloaded, &budget);
     assert_eq!(limits.late_after, 1.0, "too few answers to tell");
-    limits.answered(1.0, 0.4);
+    limits.record_answer(1.0, 0.4);
     limits.update(&unloaded, &budget);
     assert_eq!(limits.late_after, 1.0, "2.5 medians");
     assert_eq!(limits.hedge_after, 1.25, "2.5 unloaded medians");
@@ -274,7 +280,7 @@
 fn overload(#[case] latency: f64, #[case] overloaded: bool) {
     let unloaded = latencies(&[("a", 10)]);
     let mut limits = LatencyLimits::new(3.0);
-    (0..4).for_each(|_| limits.answered(1.0, latency));
+    (0..4).for_each(|_| limits.record_answer(1.0, latency));
     assert_eq!(limits.update_overload(1.0, &unloaded), overloaded);
     assert_eq!(
         (limits.overloaded, limits.update_overload(1.0, &unloaded)),
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -233,7 +233,8 @@
             let k = self.programs.step_size(&call.request);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
             let remaining = call.request.give_up_at - now;
-            let is_skipped = is_on(Mechanism::Skip) && PartBudget::hopeless(remaining, tail);
+            let is_skipped =
+                is_on(Mechanism::Skip) && PartBudget::cannot_finish_in_time(remaining, tail);
             has_come(now, call.request.give_up_at) || is_skipped
         })
     }
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use woadreach_routing::decide::hold::Hold;
+use woadreach_routing::decide::hold::Backpressure;
 use woadreach_routing::decide::outlier_detector::OutlierDetector;
 
 use crate::keys::{AttemptKey, ReplicaKey, RouteKey};
@@ -82,7 +82,7 @@
     pub in_flight: BTreeMap<AttemptKey, AttemptAtReplica>,
     /// How many attempts it may have before further calls are queued, learned from its rejections
     /// and time-outs.
-    pub hold: Hold,
+    pub hold: Backpressure,
     pub health: OutlierDetector<RouteKey>,
     pub last_failure: Option<Failure>,
     pub cache: PrefixCache,
@@ -103,7 +103,7 @@
             warming_until: now + spec.cold_remaining,
             spec,
             in_flight: BTreeMap::new(),
-            hold: Hold::default(),
+            hold: Backpressure::default(),
             health: OutlierDetector::default(),
             last_failure: None,
             cache: PrefixCache::default(),
@@ -168,7 +168,7 @@
     /// Records a complete response.
     pub(crate) fn record_answer(&mut self) {
         self.answers += 1;
-        self.hold.answered();
+        self.hold.record_answer();
     }
 
     /// Whether it is ejected for calls of this route.
@@ -178,7 +178,7 @@
 
     /// Whether further calls of this process are to be queued before they are sent there.
     pub(crate) fn holds(&self) -> bool {
-        is_on(Mechanism::Hold) && self.hold.holds(self.in_flight.len())
+        is_on(Mechanism::Hold) && self.hold.blocks(self.in_flight.len())
     }
 
     /// Whether it has recently reported that all slots are taken.
@@ -199,7 +199,7 @@
     /// failures take long to observe there.
     pub(crate) fn has_failed_recently(&self, now: f64) -> bool {
         is_on(Mechanism::RecentFailureAvoidance)
-            && self.health.failed_last(now)
+            && self.health.failed_last_in_sparse_traffic(now)
             && self
                 .last_failure
                 .is_some_and(|last| now < last.at + FAILURE_AVOIDANCE_WINDOW)
