--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -45,7 +45,7 @@
 impl EndpointUpdates {
     /// This member's own endpoint list has reported a replica: `None` means that it serves. The list supersedes what
     /// was received.
-    pub fn record_list_report(
+    pub fn record_endpoint_state(
         &mut self,
         now_s: f64,
         replica: ReplicaKey,
--- a/crates/router/lease/src/lib.rs
+++ b/crates/router/lease/src/lib.rs
@@ -9,7 +9,7 @@
 //!   grant stays silent for as long as that grant could be valid.
 //! - [`QuotaShare`] and [`QuotaAllocator`] share out the request quota of replicas that are warming up.
 //! - [`EndpointUpdates`] passes on that a replica drains or has departed.
-//! - [`Message`] is what members send each other, with [`seal`] and [`open`] as its codec.
+//! - [`Message`] is what members send each other, with [`encode_messages`] and [`decode_messages`] as its codec.
 //!
 //! Design, alternatives and the operators' page: `docs/leases.md`.
 
@@ -30,7 +30,7 @@
 pub use endpoint_updates::EndpointUpdates;
 pub use fencing_token::{FencingToken, Incarnation};
 pub use leases::{Actions, LeaseConfig, LeaseCounters, LeaseEvent, Leases, OutgoingMessage};
-pub use message::{MAX_MESSAGES, Message, open, seal};
+pub use message::{MAX_MESSAGES, Message, decode_messages, encode_messages};
 pub use quota::{
     Allocation, LocalDemand, QuotaAllocator, QuotaConfig, QuotaGrant, QuotaShare, ReplicaDemand,
 };
--- a/crates/router/lease/src/message.rs
+++ b/crates/router/lease/src/message.rs
@@ -122,7 +122,7 @@
 pub const MAX_MESSAGES: usize = 32;
 
 /// Encodes messages as one payload; it is empty if there are none.
-pub fn seal(messages: &[Message]) -> Vec<u8> {
+pub fn encode_messages(messages: &[Message]) -> Vec<u8> {
     if messages.is_empty() {
         Vec::new()
     } else {
@@ -133,7 +133,7 @@
 
 /// Decodes a payload from any process. `None` if it is malformed, has bytes left over, has more than [`MAX_MESSAGES`]
 /// messages, or names a holder outside a roster of `roster_size` members; all of it is rejected then.
-pub fn open(bytes: &[u8], roster_size: usize) -> Option<Vec<Message>> {
+pub fn decode_messages(bytes: &[u8], roster_size: usize) -> Option<Vec<Message>> {
     if bytes.is_empty() {
         return Some(Vec::new());
     }
--- a/crates/router/lease/src/roles/actions.rs
+++ b/crates/router/lease/src/roles/actions.rs
@@ -2,7 +2,7 @@
 
 use crate::endpoint_update::EndpointUpdate;
 use crate::leases::LeaseEvent;
-use crate::message::{Message, seal};
+use crate::message::{Message, encode_messages};
 use crate::replica_key::ReplicaKey;
 use crate::role::Role;
 use woadreach_membership::MemberId;
@@ -12,7 +12,7 @@
 pub struct OutgoingPayload {
     /// The receiver.
     pub to: MemberId,
-    /// The payload, for [`open`](crate::open).
+    /// The payload, for [`decode_messages`](crate::decode_messages).
     pub bytes: Vec<u8>,
 }
 
@@ -35,16 +35,16 @@
     /// Actions done under a lease, for the log.
     pub lease_actions: Vec<LeaseAction>,
     /// Replicas to be sent nothing new, as a lease holder reported.
-    pub closed: Vec<EndpointUpdate>,
+    pub closed_replicas: Vec<EndpointUpdate>,
     /// Replicas whose closing has expired: the member's own endpoint list decides on them again.
-    pub expired: Vec<ReplicaKey>,
+    pub expired_closures: Vec<ReplicaKey>,
 }
 
 impl RoleActions {
     pub(super) fn send(&mut self, to: MemberId, message: &Message) {
         self.payloads.push(OutgoingPayload {
             to,
-            bytes: seal(std::slice::from_ref(message)),
+            bytes: encode_messages(std::slice::from_ref(message)),
         });
     }
 
@@ -53,7 +53,7 @@
         receivers: impl IntoIterator<Item = MemberId>,
         message: &Message,
     ) {
-        let bytes = seal(std::slice::from_ref(message));
+        let bytes = encode_messages(std::slice::from_ref(message));
         let payloads = receivers.into_iter().map(|to| OutgoingPayload {
             to,
             bytes: bytes.clone(),
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -20,7 +20,7 @@
 use crate::endpoint_updates::EndpointUpdates;
 use crate::fencing_token::FencingToken;
 use crate::leases::{Actions, LeaseConfig, LeaseCounters, LeaseEvent, Leases};
-use crate::message::{Message, seal};
+use crate::message::{Message, encode_messages};
 use crate::quota::{LocalDemand, QuotaAllocator, QuotaConfig, QuotaShare};
 use crate::replica_key::ReplicaKey;
 use crate::role::Role;
@@ -144,14 +144,14 @@
     }
 
     /// This member's own endpoint list has reported a replica; `None`: it serves.
-    pub fn record_list_report(
+    pub fn record_endpoint_state(
         &mut self,
         now_s: f64,
         replica: ReplicaKey,
         departure: Option<Departure>,
     ) {
         self.endpoint_updates
-            .record_list_report(now_s, replica, departure);
+            .record_endpoint_state(now_s, replica, departure);
     }
 
     /// How many times its even share this member may send to a warming replica; 1 where nothing is allocated.
@@ -172,7 +172,7 @@
         }
         self.announce(now_s, view, &mut actions);
         self.report_demand(now_s, &mut actions);
-        actions.expired = self.endpoint_updates.take_expired(now_s);
+        actions.expired_closures = self.endpoint_updates.take_expired(now_s);
         actions
     }
 
@@ -215,7 +215,7 @@
                 sent_at: beacon.sent_at,
             })
             .collect();
-        let bytes = seal(&beacons);
+        let bytes = encode_messages(&beacons);
         if bytes.len() > MAX_GOSSIP_BYTES {
             Vec::new()
         } else {
--- a/crates/router/lease/src/roles/receive.rs
+++ b/crates/router/lease/src/roles/receive.rs
@@ -6,7 +6,7 @@
 use crate::clock_stamp::{CENTIS_PER_SECOND, ClockStamp};
 use crate::endpoint_update::EndpointUpdate;
 use crate::fencing_token::FencingToken;
-use crate::message::{MAX_MESSAGES, Message, open};
+use crate::message::{MAX_MESSAGES, Message, decode_messages};
 use crate::role::Role;
 use woadreach_membership::MemberId;
 
@@ -15,7 +15,7 @@
     /// lease than the latest known are rejected.
     pub fn receive(&mut self, now_s: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
         let mut actions = RoleActions::default();
-        let Some(messages) = open(bytes, self.member.roster_size) else {
+        let Some(messages) = decode_messages(bytes, self.member.roster_size) else {
             self.rejected += 1;
             return actions;
         };
@@ -114,7 +114,7 @@
             let new_updates = updates
                 .into_iter()
                 .filter(|update| self.endpoint_updates.receive(now_s, *update));
-            actions.closed.extend(new_updates);
+            actions.closed_replicas.extend(new_updates);
         }
     }
 
--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use woadreach_lease::{
-    Actions, ClockStamp, LeaseConfig, Leases, Message, OutgoingMessage, Role, seal,
+    Actions, ClockStamp, LeaseConfig, Leases, Message, OutgoingMessage, Role, encode_messages,
 };
 use woadreach_membership::MemberId;
 
@@ -78,7 +78,7 @@
         }
         let mut in_flight: Vec<Vec<i64>> = Vec::new();
         for (from, to, message) in &self.in_flight {
-            let bytes = seal(std::slice::from_ref(message))
+            let bytes = encode_messages(std::slice::from_ref(message))
                 .into_iter()
                 .map(i64::from);
             in_flight.push(
--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use woadreach_lease::{
     ClockStamp, Departure, EndpointUpdate, FencingToken, Incarnation, MAX_MESSAGES, Message,
-    QuotaGrant, ReplicaDemand, ReplicaKey, Role, open, seal,
+    QuotaGrant, ReplicaDemand, ReplicaKey, Role, decode_messages, encode_messages,
 };
 use woadreach_membership::MemberId;
 
@@ -154,9 +154,13 @@
 #[test]
 fn recorded_messages_read_and_are_written_the_same() {
     for (name, messages) in samples() {
-        let today = seal(&messages);
+        let today = encode_messages(&messages);
         let recorded_bytes = datagrams().bytes(name, &today);
-        assert_eq!(open(&recorded_bytes, ROSTER), Some(messages), "{name}");
+        assert_eq!(
+            decode_messages(&recorded_bytes, ROSTER),
+            Some(messages),
+            "{name}"
+        );
         assert_eq!(today, recorded_bytes, "{name}");
     }
 }
@@ -171,12 +175,20 @@
 #[test]
 fn messages_that_are_truncated_or_too_long_are_rejected() {
     for (name, messages) in samples() {
-        let mut bytes = datagrams().bytes(name, &seal(&messages));
+        let mut bytes = datagrams().bytes(name, &encode_messages(&messages));
         for end in 1..bytes.len() {
-            assert_eq!(open(&bytes[..end], ROSTER), None, "{name}, cut at {end}");
+            assert_eq!(
+                decode_messages(&bytes[..end], ROSTER),
+                None,
+                "{name}, cut at {end}"
+            );
         }
         bytes.push(0);
-        assert_eq!(open(&bytes, ROSTER), None, "{name}, with a further byte");
+        assert_eq!(
+            decode_messages(&bytes, ROSTER),
+            None,
+            "{name}, with a further byte"
+        );
     }
 }
 
@@ -189,8 +201,8 @@
     ));
     for message in messages() {
         let name = name(&message);
-        let bytes = datagrams().bytes(name, &seal(&[message]));
-        let today = inverted(&bytes, |bytes| open(bytes, ROSTER).is_some());
+        let bytes = datagrams().bytes(name, &encode_messages(&[message]));
+        let today = inverted(&bytes, |bytes| decode_messages(bytes, ROSTER).is_some());
         assert_eq!(outcomes.text(name, &today), today, "{name}");
     }
 }
@@ -214,7 +226,7 @@
 fn foreign_bytes(#[case] hex: &str, #[case] messages: Option<usize>) {
     let bytes = unhex(&hex.replace(' ', ""));
     assert_eq!(
-        open(&bytes, ROSTER).map(|messages| messages.len()),
+        decode_messages(&bytes, ROSTER).map(|messages| messages.len()),
         messages
     );
 }
@@ -223,7 +235,7 @@
 fn too_many_messages_are_rejected() {
     let (_, mut messages) = samples().pop().expect("there are samples");
     messages.push(messages[0].clone());
-    assert_eq!(open(&seal(&messages), ROSTER), None);
+    assert_eq!(decode_messages(&encode_messages(&messages), ROSTER), None);
 }
 
 /// Members know a replica by the same number whatever they run.
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -99,7 +99,7 @@
     }
 
     fn execute(&mut self, from: usize, actions: RoleActions) {
-        let closed = actions.closed.iter();
+        let closed = actions.closed_replicas.iter();
         self.closed.extend(closed.map(|update| ClosedReplica {
             member: from,
             replica: update.replica,
@@ -252,7 +252,7 @@
         // Each member's own list reports the draining replica; only the holder's reports the departed one.
         let clock = t.clock(n);
         if let Some(m) = &mut t.members[n] {
-            m.record_list_report(clock, draining, Some(Departure::Draining));
+            m.record_endpoint_state(clock, draining, Some(Departure::Draining));
         }
     }
     let clocks: Vec<f64> = (0..5).map(|n| t.clock(n)).collect();
@@ -267,7 +267,7 @@
     t.members[holder]
         .as_mut()
         .expect("it lives")
-        .record_list_report(clock, departed, Some(Departure::Departed));
+        .record_endpoint_state(clock, departed, Some(Departure::Departed));
     t.run(t.now + 2.0);
     let closed_at = t.closed.iter().filter(|closed| closed.replica == departed);
     assert_eq!(closed_at.count(), 4, "{:?}", t.closed);
@@ -287,7 +287,7 @@
     let mut roles = SingletonRoles::new(local_member(0, 3), LeaseConfig::default(), 1, 0.0);
     let actions = roles.receive(1.0, MemberId(1), bytes);
     assert!(
-        actions.payloads.is_empty() && actions.closed.is_empty(),
+        actions.payloads.is_empty() && actions.closed_replicas.is_empty(),
         "{actions:?}"
     );
     assert_eq!(roles.rejected(), 1);
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use woadreach_lease::{
     Actions, ClockStamp, FencingToken, Incarnation, LeaseConfig, LeaseEvent, Leases, Message, Role,
-    open, seal,
+    decode_messages, encode_messages,
 };
 use woadreach_membership::MemberId;
 use woadreach_sim_support::EventQueue;
@@ -123,7 +123,7 @@
             for _ in 0..if self.random.random_bool(0.05) { 2 } else { 1 } {
                 let at = self.now + 0.001 + self.max_latency * self.random.random::<f64>();
                 self.sent += 1;
-                let bytes = seal(std::slice::from_ref(&outgoing.message));
+                let bytes = encode_messages(std::slice::from_ref(&outgoing.message));
                 let arrival_micros = (at * 1e6) as u64;
                 self.in_flight
                     .schedule(arrival_micros, Datagram { from, to, bytes });
@@ -160,7 +160,8 @@
                 let to = datagram.to;
                 let clock = self.clock(to);
                 let from = MemberId(datagram.from as u16);
-                for message in open(&datagram.bytes, members).expect("it can be decoded") {
+                for message in decode_messages(&datagram.bytes, members).expect("it can be decoded")
+                {
                     let actions = self.nodes[to].leases.receive(clock, from, &message);
                     self.execute(to, actions);
                 }
@@ -461,8 +462,8 @@
 #[rstest]
 #[case::nothing(&[], true)]
 #[case::garbled(&[0xff, 0x03, 0x17], false)]
-#[case::a_holder_outside_the_roster(&seal(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
+#[case::a_holder_outside_the_roster(&encode_messages(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
     holder: MemberId(9), incarnation: Incarnation(1) } }]), false)]
 fn payloads_that_cannot_be_decoded_are_rejected(#[case] bytes: &[u8], #[case] is_valid: bool) {
-    assert_eq!(open(bytes, 3).is_some(), is_valid);
+    assert_eq!(decode_messages(bytes, 3).is_some(), is_valid);
 }
--- a/crates/router/woadreachd/src/peers.rs
+++ b/crates/router/woadreachd/src/peers.rs
@@ -232,7 +232,7 @@
             (self.on_verdict)(change);
             self.log_verdict(change);
         }
-        if let (Some(received), Some(roles)) = (&actions.roles, &mut self.roles) {
+        if let (Some(received), Some(roles)) = (&actions.role_payload, &mut self.roles) {
             let actions = roles.receive(self.net.now(), received.from, &received.bytes);
             self.perform_role_actions(actions);
         }
--- a/crates/router/woadreachd/src/peers/roles.rs
+++ b/crates/router/woadreachd/src/peers/roles.rs
@@ -32,7 +32,7 @@
     pub(super) fn endpoint_reported(&mut self, report: EndpointReport) {
         let now = self.net.now();
         if let Some(roles) = &mut self.roles {
-            roles.record_list_report(now, report.replica, report.departure);
+            roles.record_endpoint_state(now, report.replica, report.departure);
         }
     }
 
@@ -76,7 +76,7 @@
     /// Carries out what the roles ask for.
     pub(super) fn perform_role_actions(&mut self, actions: RoleActions) {
         for payload in &actions.payloads {
-            let out = self.peer.send_roles(payload.to, &payload.bytes);
+            let out = self.peer.send_role_payload(payload.to, &payload.bytes);
             self.perform(out);
         }
         for event in &actions.events {
@@ -90,13 +90,13 @@
                 info!(role = ?action.role, epoch = action.epoch, "role action performed");
             }
         }
-        if !actions.closed.is_empty() {
-            let closed = actions.closed.iter();
+        if !actions.closed_replicas.is_empty() {
+            let closed = actions.closed_replicas.iter();
             let closed = closed.map(|c| c.replica).collect();
             self.send_role_update(RoleUpdate::Closed(closed));
         }
-        if !actions.expired.is_empty() {
-            self.send_role_update(RoleUpdate::Expired(actions.expired));
+        if !actions.expired_closures.is_empty() {
+            self.send_role_update(RoleUpdate::Expired(actions.expired_closures));
         }
     }
 
--- a/crates/router/woadreachd/tests/recorded_wire.rs
+++ b/crates/router/woadreachd/tests/recorded_wire.rs
@@ -256,8 +256,8 @@
             sent_at: ClockStamp(1234),
         },
     ];
-    let zone_gossip = gossip.seal();
-    let roles = woadreach_lease::seal(&messages);
+    let zone_gossip = gossip.encode();
+    let roles = woadreach_lease::encode_messages(&messages);
     let body = Body {
         from: MemberId(4),
         swim: &[],
@@ -269,8 +269,11 @@
     assert_eq!(today, recorded);
     let read = datagram::decode(&recorded).expect("it is sound");
     assert_eq!(
-        GossipPayload::open(read.zone_gossip, zones, roster),
+        GossipPayload::decode(read.zone_gossip, zones, roster),
         Ok(gossip)
     );
-    assert_eq!(woadreach_lease::open(read.roles, roster), Some(messages));
+    assert_eq!(
+        woadreach_lease::decode_messages(read.roles, roster),
+        Some(messages)
+    );
 }
--- a/crates/router/zone-failover/src/gossip/payload.rs
+++ b/crates/router/zone-failover/src/gossip/payload.rs
@@ -44,7 +44,7 @@
 
 impl GossipPayload {
     /// Encodes the payload.
-    pub fn seal(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Writing to memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// If any part of it is malformed or belongs to a deployment with other zones or members, all of it is rejected.
-    pub fn open(
+    pub fn decode(
         bytes: &[u8],
         zone_count: usize,
         roster_size: usize,
--- a/crates/router/zone-failover/src/local_peer.rs
+++ b/crates/router/zone-failover/src/local_peer.rs
@@ -103,12 +103,12 @@
             let membership = self.members.receive(now_s, body.swim);
             actions = self.execute(now_s, membership);
         }
-        actions.roles = roles;
+        actions.role_payload = roles;
         actions
     }
 
     /// A datagram with only a payload on singleton roles.
-    pub fn send_roles(&mut self, to: MemberId, roles: &[u8]) -> PeerActions {
+    pub fn send_role_payload(&mut self, to: MemberId, roles: &[u8]) -> PeerActions {
         let mut actions = PeerActions::default();
         let body = Body {
             from: self.id,
--- a/crates/router/zone-failover/src/peer_actions.rs
+++ b/crates/router/zone-failover/src/peer_actions.rs
@@ -33,7 +33,7 @@
     /// Verdicts that have changed.
     pub verdict_changes: Vec<VerdictChange>,
     /// A payload on singleton roles that was received.
-    pub roles: Option<RolePayload>,
+    pub role_payload: Option<RolePayload>,
 }
 
 /// Counters of datagrams since the start.
--- a/crates/router/zone-failover/src/zones/piggyback.rs
+++ b/crates/router/zone-failover/src/zones/piggyback.rs
@@ -23,7 +23,7 @@
     ///
     /// The payload is malformed or of another deployment. It is counted, and nothing of it is used.
     pub fn receive(&mut self, now_s: f64, bytes: &[u8]) -> Result<(), InvalidPayload> {
-        let payload = GossipPayload::open(bytes, self.verdicts.len(), self.roster_size)
+        let payload = GossipPayload::decode(bytes, self.verdicts.len(), self.roster_size)
             .inspect_err(|_| self.rejected += 1)?;
         for verdict in &payload.verdicts {
             self.adopt(now_s, verdict);
@@ -90,7 +90,7 @@
             .reports
             .take_for_gossip(now_s, report_bytes, max_sends, &self.reporters);
         let payload = GossipPayload { verdicts, reports };
-        let bytes = payload.seal();
+        let bytes = payload.encode();
         if payload == GossipPayload::default() || bytes.len() > capacity {
             Vec::new()
         } else {
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -60,7 +60,7 @@
 }
 
 fn recorded_payload(name: &str, zone_gossip: &GossipPayload) -> Vec<u8> {
-    records("riders.hex").bytes(name, &zone_gossip.seal())
+    records("riders.hex").bytes(name, &zone_gossip.encode())
 }
 
 #[test]
@@ -68,11 +68,11 @@
     for (name, payload) in samples() {
         let recorded_bytes = recorded_payload(name, &payload);
         assert_eq!(
-            GossipPayload::open(&recorded_bytes, ZONES, ROSTER).as_ref(),
+            GossipPayload::decode(&recorded_bytes, ZONES, ROSTER).as_ref(),
             Ok(&payload),
             "{name}"
         );
-        assert_eq!(payload.seal(), recorded_bytes, "{name}");
+        assert_eq!(payload.encode(), recorded_bytes, "{name}");
     }
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn recorded_payloads_have_their_values() {
     let (_, payload) = samples().pop().expect("there are samples");
-    let read = GossipPayload::open(&recorded_payload("both", &payload), ZONES, ROSTER)
+    let read = GossipPayload::decode(&recorded_payload("both", &payload), ZONES, ROSTER)
         .expect("they are sound");
     let verdicts: Vec<_> = read
         .verdicts
@@ -137,20 +137,20 @@
         let mut bytes = recorded_payload(name, &payload);
         for end in 1..bytes.len() {
             assert_eq!(
-                GossipPayload::open(&bytes[..end], ZONES, ROSTER),
+                GossipPayload::decode(&bytes[..end], ZONES, ROSTER),
                 Err(InvalidPayload::Malformed),
                 "{name}, cut at {end}"
             );
         }
         bytes.push(0);
         assert_eq!(
-            GossipPayload::open(&bytes, ZONES, ROSTER),
+            GossipPayload::decode(&bytes, ZONES, ROSTER),
             Err(InvalidPayload::Malformed),
             "{name}, with a further byte"
         );
     }
     assert_eq!(
-        GossipPayload::open(&[], ZONES, ROSTER),
+        GossipPayload::decode(&[], ZONES, ROSTER),
         Ok(GossipPayload::default())
     );
 }
@@ -159,7 +159,7 @@
 fn inverted_bytes_fare_as_they_did() {
     for (name, payload) in samples() {
         let today = inverted(&recorded_payload(name, &payload), |bytes| {
-            GossipPayload::open(bytes, ZONES, ROSTER).is_ok()
+            GossipPayload::decode(bytes, ZONES, ROSTER).is_ok()
         });
         assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
     }
@@ -180,7 +180,10 @@
 #[case::text("68656c6c6f", false)]
 fn foreign_bytes(#[case] hex: &str, #[case] is_valid: bool) {
     let bytes = unhex(&hex.replace(' ', ""));
-    assert_eq!(GossipPayload::open(&bytes, ZONES, ROSTER).is_ok(), is_valid);
+    assert_eq!(
+        GossipPayload::decode(&bytes, ZONES, ROSTER).is_ok(),
+        is_valid
+    );
 }
 
 fn peer() -> LocalPeer {
@@ -223,7 +226,7 @@
 fn datagram() -> Vec<u8> {
     let announce = unhex("0101020600000006");
     let (_, payload) = samples().swap_remove(1);
-    let payload = payload.seal();
+    let payload = payload.encode();
     let body = Body {
         from: MemberId(1),
         swim: &announce,
@@ -241,7 +244,7 @@
     let bytes = datagram();
     let mut peer = peer();
     let actions = peer.receive(1.0, Some(MemberId(1)), &bytes);
-    assert_eq!(actions.roles, Some(role_payload()));
+    assert_eq!(actions.role_payload, Some(role_payload()));
     assert_eq!(
         peer.view().live,
         BTreeMap::from([(MemberId(0), 0), (MemberId(1), 1)])
@@ -259,7 +262,7 @@
 
 #[test]
 fn a_datagram_on_roles_has_its_recorded_bytes() {
-    let actions = peer().send_roles(MemberId(1), ROLE_MESSAGES);
+    let actions = peer().send_role_payload(MemberId(1), ROLE_MESSAGES);
     let [OutgoingDatagram { to, bytes: today }] = &actions.datagrams[..] else {
         panic!("one datagram: {actions:?}")
     };
@@ -291,7 +294,10 @@
     bytes[0] ^= changed;
     let mut peer = peer();
     let actions = peer.receive(1.0, from.map(MemberId), &bytes);
-    assert_eq!((actions.roles, actions.datagrams), (None, Vec::new()));
+    assert_eq!(
+        (actions.role_payload, actions.datagrams),
+        (None, Vec::new())
+    );
     assert_eq!(peer.counters().rejected, BTreeMap::from([(why, 1)]));
     assert_eq!(peer.counters().accepted, 0);
 }
@@ -310,7 +316,7 @@
         Some(MemberId(1)),
         &encode(&body).expect("it is short enough"),
     );
-    assert_eq!(actions.roles, Some(role_payload()));
+    assert_eq!(actions.role_payload, Some(role_payload()));
     let counters = peer.counters();
     assert_eq!(
         (
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -190,7 +190,7 @@
         ZoneFailoverConfig::default(),
         0.0,
     );
-    assert!(zones.receive(1.0, &gossip.seal()).is_err());
+    assert!(zones.receive(1.0, &gossip.encode()).is_err());
     assert_eq!(zones.rejected(), 1);
     assert!(zones.verdicts().iter().all(|v| v.epoch == 0));
 }
@@ -210,7 +210,7 @@
             verdicts: vec![ZoneVerdict::new(1, epoch, age, 0)],
             reports: vec![],
         }
-        .seal()
+        .encode()
     };
     zones.receive(10.0, &gossip(3, 1.0)).expect("it is valid");
     assert_eq!(
@@ -258,7 +258,7 @@
         ZoneFailoverConfig::default(),
         0.0,
     );
-    zones.receive(10.0, &gossip.seal()).expect("it is valid");
+    zones.receive(10.0, &gossip.encode()).expect("it is valid");
     let changes = zones.decide(10.0, &view);
     assert!(changes.is_empty(), "{changes:?}");
 }
