--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -62,7 +62,7 @@
     /// Judges a command on the newest state, and appends it if it applies.
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
         let newest = self.durable.state.position;
-        let verdict = self.durable.state.judge(&command);
+        let verdict = self.durable.state.evaluate(&command);
         #[cfg(feature = "mutations")]
         let Some(verdict) = self.mutated_verdict(id, verdict) else {
             return;
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -33,10 +33,10 @@
         /// Error of the decoder.
         source: speedy::Error,
     },
-    /// The message carries a view that no proposer makes.
-    #[snafu(display("unsound view: {source}"))]
-    UnsoundView {
-        /// What is wrong with the view.
+    /// The message contains a view that violates an invariant; see [`View::check`].
+    #[snafu(display("invalid view: {source}"))]
+    InvalidView {
+        /// Invariant that the view violates.
         source: ViewError,
     },
     /// The proposed view is not the one after the sender's.
@@ -209,7 +209,7 @@
     /// # Errors
     ///
     /// [`DecodeError::ViewDoesNotFollow`] if a proposed view is not the one after the sender's;
-    /// [`DecodeError::UnsoundView`] if [`View::check`] rejects a view.
+    /// [`DecodeError::InvalidView`] if [`View::check`] rejects a view.
     pub fn check(&self) -> Result<(), DecodeError> {
         let voted = match &self.body {
             Body::Accept(accepted) => Some(&accepted.view),
@@ -230,7 +230,7 @@
         };
         decided
             .or(voted)
-            .map_or(Ok(()), |view| view.check().context(UnsoundViewSnafu))
+            .map_or(Ok(()), |view| view.check().context(InvalidViewSnafu))
     }
 
     /// Reads a message. The caller must [`check`](Self::check) it before handing it to a member.
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -187,10 +187,10 @@
     }
 
     /// What becomes of `command` on this state.
-    pub fn judge(&self, command: &Command) -> Verdict {
+    pub fn evaluate(&self, command: &Command) -> Verdict {
         match command {
-            Command::PutConfiguration(put) => self.judge_configuration(put),
-            Command::PutStorageView(put) => self.judge_storage_view(put),
+            Command::PutConfiguration(put) => self.evaluate_configuration(put),
+            Command::PutStorageView(put) => self.evaluate_storage_view(put),
         }
     }
 
@@ -209,7 +209,7 @@
         }
     }
 
-    fn judge_configuration(&self, put: &PutConfiguration) -> Verdict {
+    fn evaluate_configuration(&self, put: &PutConfiguration) -> Verdict {
         let current = self.generation();
         if self.is_remembered(put) {
             return Verdict::AlreadyApplied;
@@ -247,7 +247,7 @@
             .map_or(0, |oldest| oldest.generation)
     }
 
-    fn judge_storage_view(&self, put: &PutStorageView) -> Verdict {
+    fn evaluate_storage_view(&self, put: &PutStorageView) -> Verdict {
         let current = self.storage_epoch();
         let same = StoredStorageView {
             epoch: put.epoch,
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -72,8 +72,8 @@
         epoch: u64,
     },
     /// The voters or the chain contain a member twice.
-    #[snafu(display("the view of epoch {epoch} names a member twice"))]
-    NamedTwice {
+    #[snafu(display("the view of epoch {epoch} contains a member twice"))]
+    DuplicateMember {
         /// Epoch of the view.
         epoch: u64,
     },
@@ -140,7 +140,7 @@
             (1..members.len()).any(|index| members[..index].contains(&members[index]))
         };
         let is_twice = is_named_twice(&self.voters) || is_named_twice(&self.chain);
-        ensure!(!is_twice, NamedTwiceSnafu { epoch: self.epoch });
+        ensure!(!is_twice, DuplicateMemberSnafu { epoch: self.epoch });
         let without_vote = self
             .chain
             .iter()
--- a/crates/tier/chain/tests/simulation/history.rs
+++ b/crates/tier/chain/tests/simulation/history.rs
@@ -57,7 +57,7 @@
     /// A read returned bytes that nobody submitted under that generation.
     ForeignRead { generation: u64 },
     /// A member sent a view that other members reject.
-    UnsoundView { node: usize },
+    InvalidView { node: usize },
     /// A machine that said that it was in quorum had an older configuration than one acknowledged long
     /// before.
     StaleInQuorum {
--- a/crates/tier/chain/tests/simulation/world.rs
+++ b/crates/tier/chain/tests/simulation/world.rs
@@ -333,7 +333,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddrV4, envelope: Envelope) {
         if envelope.check().is_err() {
-            self.history.report(Violation::UnsoundView { node: from });
+            self.history.report(Violation::InvalidView { node: from });
         }
         let Some(to) = self.nodes.iter().position(|node| node.address == to) else {
             return;
--- a/crates/tier/chain/tests/state.rs
+++ b/crates/tier/chain/tests/state.rs
@@ -105,7 +105,7 @@
         let mut state = ControlState::default();
         let mut oracle = Oracle::default();
         commands.into_iter().enumerate().all(|(index, SmallCommand(command))| {
-            let verdict = state.judge(&command);
+            let verdict = state.evaluate(&command);
             let agrees = verdict == oracle.verdict(&command);
             if verdict == Verdict::Apply {
                 state.apply(WritePosition { epoch: 1, number: index as u64 + 1 }, &command);
@@ -121,7 +121,7 @@
         let commands: Vec<Command> = commands.into_iter().map(|SmallCommand(command)| command).collect();
         let late = duplicates.iter().filter_map(|index| commands.get(index % commands.len().max(1)));
         commands.iter().chain(late).enumerate().all(|(index, command)| {
-            let verdict = state.judge(command);
+            let verdict = state.evaluate(command);
             if matches!(verdict, Verdict::Rejected(_)) && matches!(command, Command::PutConfiguration(_)) {
                 rejected.push(command.clone());
             }
@@ -135,7 +135,7 @@
     fn an_applied_change_is_never_rejected(again: Vec<u16>) -> bool {
         let changes = changes_beyond_the_limit();
         let state = state_after(&changes);
-        let verdicts = again.iter().map(|place| state.judge(&changes[usize::from(*place) % changes.len()]));
+        let verdicts = again.iter().map(|place| state.evaluate(&changes[usize::from(*place) % changes.len()]));
         verdicts.into_iter().all(|verdict| {
             matches!(verdict, Verdict::AlreadyApplied | Verdict::Undecided(Undecided::Forgotten { .. }))
         })
@@ -162,7 +162,7 @@
 fn state_after(changes: &[Command]) -> ControlState {
     let mut state = ControlState::default();
     for (index, change) in changes.iter().enumerate() {
-        assert_eq!(state.judge(change), Verdict::Apply);
+        assert_eq!(state.evaluate(change), Verdict::Apply);
         state.apply(
             WritePosition {
                 epoch: 1,
@@ -180,11 +180,11 @@
     let state = state_after(&changes);
     let (forgotten, remembered) = changes.split_at(changes.len() - MAX_APPLIED_CONFIGURATIONS);
     for change in remembered {
-        assert_eq!(state.judge(change), Verdict::AlreadyApplied);
+        assert_eq!(state.evaluate(change), Verdict::AlreadyApplied);
     }
     for change in forgotten {
         assert_eq!(
-            state.judge(change),
+            state.evaluate(change),
             Verdict::Undecided(Undecided::Forgotten { oldest: 601 })
         );
     }
--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -83,11 +83,11 @@
         ),
         (
             view(epoch + 1, &[1, 2, 1], &[1]),
-            ViewError::NamedTwice { epoch: epoch + 1 },
+            ViewError::DuplicateMember { epoch: epoch + 1 },
         ),
         (
             view(epoch + 1, &[1, 2], &[1, 1]),
-            ViewError::NamedTwice { epoch: epoch + 1 },
+            ViewError::DuplicateMember { epoch: epoch + 1 },
         ),
         (
             view(epoch + 1, &[1, 2], &[3]),
@@ -121,7 +121,7 @@
                 .receive(&envelope(epoch, body).encode())
                 .expect_err("unsound");
             assert!(
-                matches!(error, DecodeError::UnsoundView { source } if source == expected),
+                matches!(error, DecodeError::InvalidView { source } if source == expected),
                 "{error}"
             );
         }
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -190,7 +190,7 @@
     /// Submits a view. Returns the position of the write if it is accepted.
     fn submit(&mut self, put: PutStorageView) -> Option<WritePosition> {
         let command = Command::PutStorageView(put);
-        match self.latest.judge(&command) {
+        match self.latest.evaluate(&command) {
             Verdict::Apply => {
                 let position = WritePosition {
                     epoch: self.epoch,
