--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -115,7 +115,7 @@
     match read_heartbeat(&body) {
         Ok(heartbeat) => respond(discovery.heartbeat(&id, heartbeat).await),
         Err(error) => {
-            discovery.count_unreadable();
+            discovery.count_undecodable_heartbeat();
             reject(StatusCode::BAD_REQUEST, "unreadable", &error.to_string())
         }
     }
@@ -139,7 +139,7 @@
     };
     let (status, name) = match &error {
         AcknowledgeError::OutOfQuorum => (StatusCode::SERVICE_UNAVAILABLE, "out_of_quorum"),
-        AcknowledgeError::Refused { source } => match source {
+        AcknowledgeError::Rejected { source } => match source {
             HeartbeatError::InvalidId { .. } => (StatusCode::BAD_REQUEST, "invalid_id"),
             HeartbeatError::InvalidField { .. } => (StatusCode::BAD_REQUEST, "invalid_field"),
             HeartbeatError::Stale { .. } => (StatusCode::CONFLICT, "stale_sequence"),
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -196,8 +196,8 @@
     }
 
     fn publish(&mut self, change: WatchChange) {
-        self.snapshot.last_heard = self.watcher.heard_at().map(|at| self.started + at);
-        self.snapshot.has_current_state = self.watcher.has_reached_current_state();
+        self.snapshot.last_answer_at = self.watcher.heard_at().map(|at| self.started + at);
+        self.snapshot.has_reached_current_state = self.watcher.has_reached_current_state();
         if change.replicas {
             self.snapshot.replicas = Arc::clone(self.watcher.table().present());
         }
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -42,7 +42,7 @@
 pub enum AcknowledgeError {
     /// The heartbeat is rejected.
     #[snafu(transparent)]
-    Refused {
+    Rejected {
         /// Why it is rejected.
         source: HeartbeatError,
     },
@@ -167,8 +167,8 @@
     }
 
     /// Counts a heartbeat that could not be decoded.
-    pub fn count_unreadable(&self) {
-        self.state.lock().count_unreadable();
+    pub fn count_undecodable_heartbeat(&self) {
+        self.state.lock().count_undecodable_heartbeat();
     }
 
     fn now(&self) -> Duration {
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -97,8 +97,8 @@
     }
 
     /// Counts a heartbeat whose body could not be decoded.
-    pub fn count_unreadable(&mut self) {
-        self.registry.count_unreadable();
+    pub fn count_undecodable_heartbeat(&mut self) {
+        self.registry.count_undecodable_heartbeat();
     }
 
     /// Whether this machine may not know all replicas.
--- a/crates/tier/discovery/src/registry/mod.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Counts a heartbeat whose body could not be decoded.
-    pub fn count_unreadable(&mut self) {
+    pub fn count_undecodable_heartbeat(&mut self) {
         self.counters.invalid += 1;
     }
 
--- a/crates/tier/discovery/src/snapshot.rs
+++ b/crates/tier/discovery/src/snapshot.rs
@@ -25,7 +25,7 @@
     pub core_machines: Vec<SocketAddr>,
     /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
     /// configuration that any machine had reported. Stays set.
-    pub has_current_state: bool,
+    pub has_reached_current_state: bool,
     /// When a core machine last answered.
-    pub last_heard: Option<Instant>,
+    pub last_answer_at: Option<Instant>,
 }
--- a/crates/tier/discovery/tests/bad_input.rs
+++ b/crates/tier/discovery/tests/bad_input.rs
@@ -83,5 +83,5 @@
         .expect("it is requests again");
     let snapshot = snapshots.borrow().clone();
     assert!(snapshot.configuration.is_none() && snapshot.storage_view.is_none());
-    assert!(snapshot.last_heard.is_none() && snapshot.replicas.is_empty());
+    assert!(snapshot.last_answer_at.is_none() && snapshot.replicas.is_empty());
 }
--- a/crates/tier/discovery/tests/loopback.rs
+++ b/crates/tier/discovery/tests/loopback.rs
@@ -97,7 +97,10 @@
             .is_some_and(|configuration| configuration.generation == 7)
     };
     wait_for(&mut snapshots, has_seven).await;
-    wait_for(&mut snapshots, |snapshot| snapshot.has_current_state).await;
+    wait_for(&mut snapshots, |snapshot| {
+        snapshot.has_reached_current_state
+    })
+    .await;
 
     // The machine that acknowledges dies at once: the others have been notified before.
     cores[0]
--- a/crates/tier/proxy/src/metrics.rs
+++ b/crates/tier/proxy/src/metrics.rs
@@ -146,11 +146,11 @@
         "Epoch of the storage view in force; 0 before the first",
         storage_view.map_or(0.0, |view| view.epoch as f64),
     );
-    if let Some(last_heard) = snapshot.last_heard {
+    if let Some(last_answer_at) = snapshot.last_answer_at {
         page.gauge(
             "woadreach_core_silence_seconds",
             "Time since a core machine last answered",
-            last_heard.elapsed().as_secs_f64(),
+            last_answer_at.elapsed().as_secs_f64(),
         );
     }
     let mut replicas: BTreeMap<&str, f64> = BTreeMap::from([("ready", 0.0), ("draining", 0.0)]);
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -39,7 +39,7 @@
             configuration,
             routes,
             replicas: snapshot.replicas.clone(),
-            has_current_state: self.has_current_state || snapshot.has_current_state,
+            has_current_state: self.has_current_state || snapshot.has_reached_current_state,
             has_storage_view: self.has_storage_view || snapshot.storage_view.is_some(),
         }
     }
--- a/crates/tier/proxy/tests/draining.rs
+++ b/crates/tier/proxy/tests/draining.rs
@@ -44,7 +44,7 @@
         let replica = Replica::start(|_, request| vec![success(request, "ok")]).await;
         let known = configured(&[("i-1", &replica)], CONFIGURATION);
         let tier = Tier::start_knowing(&ControlSnapshot {
-            has_current_state: false,
+            has_reached_current_state: false,
             ..known.clone()
         })
         .await;
--- a/crates/tier/proxy/tests/support/tier.rs
+++ b/crates/tier/proxy/tests/support/tier.rs
@@ -109,7 +109,7 @@
             Configuration::parse(configuration.as_bytes()).expect("valid"),
         )),
         replicas: Arc::new(records),
-        has_current_state: true,
+        has_reached_current_state: true,
         ..ControlSnapshot::default()
     }
 }
