--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -196,10 +196,10 @@
     }
 
     fn publish(&mut self, change: WatchChange) {
-        self.snapshot.last_answer_at = self.watcher.heard_at().map(|at| self.started + at);
+        self.snapshot.last_answer_at = self.watcher.last_answer_at().map(|at| self.started + at);
         self.snapshot.has_reached_current_state = self.watcher.has_reached_current_state();
         if change.replicas {
-            self.snapshot.replicas = Arc::clone(self.watcher.table().present());
+            self.snapshot.replicas = Arc::clone(self.watcher.table().replicas());
         }
         if change.core_machines {
             self.snapshot.core_machines = self.watcher.core_machines().to_vec();
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -139,7 +139,7 @@
     /// If the heartbeat is rejected, or other machines may not learn of it.
     pub async fn heartbeat(&self, id: &str, heartbeat: Heartbeat) -> Result<(), AcknowledgeError> {
         let outcome = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
-        self.after_change(id, outcome).await
+        self.notify_and_acknowledge(id, outcome).await
     }
 
     /// Applies a replica's deregistration, and notifies the other core machines before it returns.
@@ -148,7 +148,7 @@
     /// If the id is invalid, or other machines may not learn of the deregistration.
     pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
         let outcome = self.state.lock().deregister(self.now(), id)?;
-        self.after_change(id, outcome).await
+        self.notify_and_acknowledge(id, outcome).await
     }
 
     /// Counters of the registry since the start.
@@ -160,7 +160,7 @@
     pub fn report(&self) -> RegistryReport {
         let state = self.state.lock();
         RegistryReport {
-            replicas: state.registry().present(),
+            replicas: state.registry().registered_count(),
             is_warming: state.is_warming(self.now()),
             counters: state.registry().counters(),
         }
@@ -175,7 +175,7 @@
         self.started.elapsed()
     }
 
-    async fn after_change(
+    async fn notify_and_acknowledge(
         &self,
         id: &str,
         outcome: HeartbeatOutcome,
@@ -209,7 +209,7 @@
     /// incomplete.
     fn publish(&self) {
         let revision = self.state.lock().registry().version().revision;
-        self.wake_puller();
+        self.wake_pull_task();
         self.revision.send_if_modified(|published| {
             let modified = *published != revision;
             *published = revision;
@@ -217,7 +217,7 @@
         });
     }
 
-    fn wake_puller(&self) {
+    fn wake_pull_task(&self) {
         if self.state.lock().has_incomplete_peers() {
             self.pull.notify_one();
         }
@@ -316,15 +316,15 @@
             for peer in peers {
                 pulls.spawn(Arc::clone(&self).pull_registry(peer));
             }
-            let mut warm_peer = false;
+            let mut has_warm_peer = false;
             while let Some(pulled) = pulls.join_next().await {
-                warm_peer |= matches!(pulled, Ok(RegistryPull::FromWarmPeer));
+                has_warm_peer |= matches!(pulled, Ok(RegistryPull::FromWarmPeer));
             }
             let warming = {
                 let view = self.committed.view();
                 self.state
                     .lock()
-                    .complete_registry_pull(self.now(), &view, warm_peer)
+                    .complete_registry_pull(self.now(), &view, has_warm_peer)
             };
             self.publish();
             if warming {
@@ -349,7 +349,7 @@
             let Some(response) = response else {
                 return RegistryPull::Failed;
             };
-            let (is_warming, has_more) = (response.warming, response.more);
+            let (is_warming, has_more) = (response.warming, response.has_more);
             self.state.lock().merge_registry(self.now(), peer, response);
             if !has_more {
                 return if is_warming {
@@ -373,7 +373,7 @@
             Request::Batch(batch) | Request::Urgent(batch) => {
                 let urgency = self.state.lock().receive(self.now(), batch);
                 match urgency {
-                    Urgency::Unchanged => self.wake_puller(),
+                    Urgency::Unchanged => self.wake_pull_task(),
                     Urgency::Soon => self.flush.notify_one(),
                     Urgency::Now => self.publish(),
                 }
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -45,9 +45,9 @@
     /// What has been received from them.
     inbox: Inbox,
     /// Peers whose registry has to be requested.
-    incomplete: BTreeSet<SocketAddr>,
+    incomplete_peers: BTreeSet<SocketAddr>,
     /// Whether heartbeats have arrived since this machine began to warm up.
-    has_heard_replicas: bool,
+    has_received_heartbeats: bool,
     refusal_limiter: RefusalLimiter,
 }
 
@@ -77,15 +77,15 @@
 impl CoreState {
     /// The state of a process that starts at `now`.
     pub fn new(now: Duration, identity: CoreIdentity) -> Self {
-        let mut incomplete: BTreeSet<SocketAddr> = identity.seeds.iter().copied().collect();
-        incomplete.remove(&identity.address);
+        let mut incomplete_peers: BTreeSet<SocketAddr> = identity.seeds.iter().copied().collect();
+        incomplete_peers.remove(&identity.address);
         Self {
             registry: Registry::new(identity.incarnation, identity.reuse_after),
             failure_detector: FailureDetector::new(now, identity.heartbeat_interval),
             outbox: Outbox::new(identity.incarnation, identity.address),
             inbox: Inbox::default(),
-            incomplete,
-            has_heard_replicas: false,
+            incomplete_peers,
+            has_received_heartbeats: false,
             refusal_limiter: RefusalLimiter::default(),
             identity,
         }
@@ -117,7 +117,7 @@
         heartbeat: Heartbeat,
     ) -> Result<HeartbeatOutcome, HeartbeatError> {
         let outcome = self.registry.heartbeat(now, id, heartbeat)?;
-        self.has_heard_replicas = true;
+        self.has_received_heartbeats = true;
         match outcome {
             HeartbeatOutcome::Unchanged => self.outbox.record_heartbeat(id),
             HeartbeatOutcome::Changed | HeartbeatOutcome::Departing => {
@@ -199,7 +199,7 @@
             view.in_quorum,
             &peers,
             idle_times,
-            self.has_heard_replicas,
+            self.has_received_heartbeats,
         );
         match outcome {
             TickOutcome::Stalled => self.restart_after_stall(now, &peers),
@@ -213,8 +213,8 @@
     fn restart_after_stall(&mut self, now: Duration, peers: &[SocketAddr]) {
         tracing::warn!(peers = peers.len(), "process stalled, registries requested");
         self.registry.restart_timeouts(now);
-        self.has_heard_replicas = false;
-        self.incomplete.extend(peers);
+        self.has_received_heartbeats = false;
+        self.incomplete_peers.extend(peers);
     }
 
     fn expire_replicas(&mut self, now: Duration, timeout: Duration) {
@@ -230,22 +230,22 @@
         if batch.serial > 0 {
             self.failure_detector.record_peer_batch(now, sender);
         }
-        self.has_heard_replicas |= !batch.refreshes.is_empty();
+        self.has_received_heartbeats |= !batch.refreshes.is_empty();
         let result = self.inbox.receive(now, batch, &mut self.registry);
         if result.incomplete {
-            self.incomplete.insert(sender);
+            self.incomplete_peers.insert(sender);
         }
         result.urgency
     }
 
     /// Whether the registry of some peer has to be requested.
     pub fn has_incomplete_peers(&self) -> bool {
-        !self.incomplete.is_empty()
+        !self.incomplete_peers.is_empty()
     }
 
     /// Removes and returns the peers whose registries have to be requested now.
     pub fn take_incomplete_peers(&mut self) -> BTreeSet<SocketAddr> {
-        std::mem::take(&mut self.incomplete)
+        std::mem::take(&mut self.incomplete_peers)
     }
 
     /// Version up to which the registry of `peer` has been received.
@@ -256,27 +256,27 @@
     /// Merges one response of the registry of `peer`.
     pub fn merge_registry(&mut self, now: Duration, peer: SocketAddr, response: RegistryResponse) {
         self.inbox.record_registry(peer, response.version);
-        self.has_heard_replicas |= !response.statuses.is_empty() && !response.warming;
+        self.has_received_heartbeats |= !response.statuses.is_empty() && !response.warming;
         for entry in response.statuses {
             let IdentifiedStatus { id, status } = entry.into_status();
             self.registry.merge(now, &id, status);
         }
     }
 
-    /// Records that all reachable peers have been asked for their registries. `warm_peer` says whether one
+    /// Records that all reachable peers have been asked for their registries. `has_warm_peer` says whether one
     /// that is not warming up has answered. Returns whether this machine is still warming up, and has to ask
     /// all of them again.
     pub fn complete_registry_pull(
         &mut self,
         now: Duration,
         view: &ViewSummary,
-        warm_peer: bool,
+        has_warm_peer: bool,
     ) -> bool {
-        if warm_peer && self.incomplete.is_empty() {
+        if has_warm_peer && self.incomplete_peers.is_empty() {
             self.failure_detector.complete_warm_up();
         }
         if self.is_warming(now) {
-            self.incomplete.extend(self.peers(now, view));
+            self.incomplete_peers.extend(self.peers(now, view));
         }
         self.is_warming(now)
     }
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -31,8 +31,8 @@
     /// Number of the last numbered batch; 0 before the first.
     serial: u64,
     /// Replicas that have sent heartbeats without changes since the last batch.
-    heard: BTreeSet<String>,
-    /// Replicas that have changed since the last batch; none of them is in `heard`.
+    refreshed: BTreeSet<String>,
+    /// Replicas that have changed since the last batch; none of them is in `refreshed`.
     changed: BTreeSet<String>,
     /// When the last numbered batch was made.
     sent_at: Option<Duration>,
@@ -45,7 +45,7 @@
             incarnation,
             sender,
             serial: 0,
-            heard: BTreeSet::new(),
+            refreshed: BTreeSet::new(),
             changed: BTreeSet::new(),
             sent_at: None,
         }
@@ -54,13 +54,13 @@
     /// Records a heartbeat of `id` without changes.
     pub fn record_heartbeat(&mut self, id: &str) {
         if !self.changed.contains(id) {
-            self.heard.insert(id.to_owned());
+            self.refreshed.insert(id.to_owned());
         }
     }
 
     /// Records that the status of `id` has changed.
     pub fn record_change(&mut self, id: &str) {
-        self.heard.remove(id);
+        self.refreshed.remove(id);
         self.changed.insert(id.to_owned());
     }
 
@@ -75,21 +75,21 @@
             .sent_at
             .map_or(KEEPALIVE_INTERVAL, |sent_at| now.saturating_sub(sent_at));
         let due = !self.changed.is_empty()
-            || (!self.heard.is_empty() && waited >= BATCH_INTERVAL)
+            || (!self.refreshed.is_empty() && waited >= BATCH_INTERVAL)
             || waited >= KEEPALIVE_INTERVAL;
         if !due {
             return None;
         }
         self.sent_at = Some(now);
         self.serial += 1;
-        let heard = std::mem::take(&mut self.heard);
+        let refreshed = std::mem::take(&mut self.refreshed);
         let changed = std::mem::take(&mut self.changed);
         Some(Batch {
             incarnation: self.incarnation,
             sender: self.sender.into(),
             serial: self.serial,
             warming,
-            refreshes: heard
+            refreshes: refreshed
                 .iter()
                 .filter_map(|id| registry.refresh_for(id))
                 .collect(),
--- a/crates/tier/discovery/src/failure_detector.rs
+++ b/crates/tier/discovery/src/failure_detector.rs
@@ -90,7 +90,7 @@
     pub fn reachable_peers(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         self.peers
             .iter()
-            .filter(move |(_, heard_at)| now.saturating_sub(**heard_at) <= PEER_TIMEOUT)
+            .filter(move |(_, received_at)| now.saturating_sub(**received_at) <= PEER_TIMEOUT)
             .map(|(peer, _)| *peer)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// One iteration of the machine's loop. `idle_times` are the times since the last heartbeat of each
-    /// replica; `has_heard_replicas` says whether any heartbeat has arrived since the machine began to warm
+    /// replica; `has_received_heartbeats` says whether any heartbeat has arrived since the machine began to warm
     /// up.
     pub fn tick(
         &mut self,
@@ -108,12 +108,12 @@
         in_quorum: bool,
         peers: &[SocketAddr],
         idle_times: impl Iterator<Item = Duration>,
-        has_heard_replicas: bool,
+        has_received_heartbeats: bool,
     ) -> TickOutcome {
         let has_stalled = self.has_stalled(now);
         self.last_tick = now;
         self.peers
-            .retain(|_, heard_at| now.saturating_sub(*heard_at) <= PEER_TIMEOUT * 4);
+            .retain(|_, received_at| now.saturating_sub(*received_at) <= PEER_TIMEOUT * 4);
         if has_stalled {
             self.warm_up = WarmUpState::Warming { since: now };
             return TickOutcome::Stalled;
@@ -121,7 +121,7 @@
         match self.warm_up {
             WarmUpState::Warming { since } => {
                 let min_warm_up = self.heartbeat_interval.mul_f64(WARMING_HEARTBEATS);
-                if has_heard_replicas && now.saturating_sub(since) >= min_warm_up {
+                if has_received_heartbeats && now.saturating_sub(since) >= min_warm_up {
                     self.warm_up = WarmUpState::Warm;
                 }
                 TickOutcome::NoExpiry
@@ -168,7 +168,7 @@
         peers.iter().all(|peer| {
             self.peers
                 .get(peer)
-                .is_some_and(|heard_at| now.saturating_sub(*heard_at) <= PEER_TIMEOUT)
+                .is_some_and(|received_at| now.saturating_sub(*received_at) <= PEER_TIMEOUT)
         })
     }
 }
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -88,15 +88,15 @@
     pub storage_epoch: u64,
     /// Version of this machine's registry that it has.
     pub registry: RegistryVersion,
-    /// The standing that this machine reported last.
-    pub standing: Standing,
+    /// The core_status that this machine reported last.
+    pub core_status: CoreStatus,
     /// How long to wait for an update, in milliseconds.
     pub wait_ms: u32,
 }
 
 /// What a core machine reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
-pub struct Standing {
+pub struct CoreStatus {
     /// It is in contact with a majority of the view.
     pub in_quorum: bool,
     /// It has started or stalled recently and may not know all replicas.
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PollResponse {
     /// What the machine reports about itself.
-    pub standing: Standing,
+    pub core_status: CoreStatus,
     /// Newest committed configuration generation; 0 for none.
     pub configuration_generation: u64,
     /// The core view, if newer.
@@ -151,9 +151,9 @@
     /// The machine may not know all replicas itself.
     pub warming: bool,
     /// Whether these changes start a complete list, which replaces everything listed before.
-    pub restart: bool,
+    pub reset: bool,
     /// Whether further changes have to be requested.
-    pub more: bool,
+    pub has_more: bool,
     /// Newest status of each replica that has changed.
     pub statuses: Vec<StatusEntry>,
 }
@@ -195,7 +195,7 @@
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum WireStatus {
     /// It is registered.
-    Present(WireRecord),
+    Registered(WireRecord),
     /// It has departed.
     Departed {
         /// Last sequence number that the departure covers.
@@ -263,8 +263,8 @@
                 sequence: *sequence,
                 departure: *departure,
             },
-            ReplicaStatus::Present(record) => {
-                WireStatus::Present(WireRecord::new(&record.heartbeat))
+            ReplicaStatus::Registered(record) => {
+                WireStatus::Registered(WireRecord::new(&record.heartbeat))
             }
         };
         Self { id, status }
@@ -281,7 +281,7 @@
                 sequence,
                 departure,
             },
-            WireStatus::Present(record) => ReplicaStatus::Present(ReplicaRecord {
+            WireStatus::Registered(record) => ReplicaStatus::Registered(ReplicaRecord {
                 id: id.clone(),
                 heartbeat: record.into_heartbeat(),
             }),
@@ -307,8 +307,8 @@
         Self {
             version: changes.version,
             warming,
-            restart: changes.restart,
-            more: changes.more,
+            reset: changes.reset,
+            has_more: changes.has_more,
             statuses: statuses
                 .map(|changed| StatusEntry::new(changed.id, &changed.status))
                 .collect(),
--- a/crates/tier/discovery/src/poll_response.rs
+++ b/crates/tier/discovery/src/poll_response.rs
@@ -3,7 +3,7 @@
 
 use crate::committed::CommittedState;
 use crate::messages::{
-    CoreView, PollRequest, PollResponse, RegistryResponse, Standing, VersionedBytes,
+    CoreStatus, CoreView, PollRequest, PollResponse, RegistryResponse, VersionedBytes,
 };
 use crate::registry::Registry;
 
@@ -23,7 +23,7 @@
         .storage_view()
         .filter(|stored| stored.version > request.storage_epoch);
     PollResponse {
-        standing: Standing {
+        core_status: CoreStatus {
             in_quorum: view.in_quorum,
             warming,
         },
@@ -54,7 +54,7 @@
     response.view.is_some()
         || response.storage_view.is_some()
         || response.configuration_generation > request.configuration_generation
-        || response.standing != request.standing
-        || response.registry.restart
+        || response.core_status != request.core_status
+        || response.registry.reset
         || !response.registry.statuses.is_empty()
 }
--- a/crates/tier/discovery/src/polled_machine.rs
+++ b/crates/tier/discovery/src/polled_machine.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::messages::Standing;
+use crate::messages::CoreStatus;
 use crate::selection::MachineHealth;
 
 /// Least time between the starts of two polls of one machine.
@@ -35,7 +35,7 @@
     /// Polls that have failed since the last one that was answered.
     pub(crate) consecutive_failures: u32,
     /// What the machine reported about itself in its last answer.
-    pub(crate) standing: Standing,
+    pub(crate) core_status: CoreStatus,
     /// Configuration generation in the machine's last answer; 0 before the first.
     pub(crate) reported_generation: u64,
     /// Fetches of the configuration from this machine that failed since one from any machine succeeded.
@@ -50,7 +50,7 @@
         Self {
             state: PollState::Idle { next_at: now },
             consecutive_failures: 0,
-            standing: Standing::default(),
+            core_status: CoreStatus::default(),
             reported_generation: 0,
             failed_fetches: 0,
             has_answered: false,
@@ -61,15 +61,15 @@
     pub(crate) fn is_trusted(&self) -> bool {
         self.has_answered
             && self.consecutive_failures == 0
-            && self.standing.in_quorum
-            && !self.standing.warming
+            && self.core_status.in_quorum
+            && !self.core_status.warming
     }
 
     /// Its health as far as its polls show.
     pub(crate) fn health(&self) -> MachineHealth {
         match (self.consecutive_failures, self.has_answered) {
             (0, false) => MachineHealth::Unknown,
-            (0, true) if self.standing.in_quorum => MachineHealth::Healthy,
+            (0, true) if self.core_status.in_quorum => MachineHealth::Healthy,
             _ => MachineHealth::Unhealthy,
         }
     }
@@ -78,7 +78,7 @@
     pub(crate) fn record_answer(
         &mut self,
         now: Duration,
-        standing: Standing,
+        core_status: CoreStatus,
         reported_generation: u64,
     ) {
         let since = match self.state {
@@ -90,7 +90,7 @@
         };
         self.consecutive_failures = 0;
         self.has_answered = true;
-        self.standing = standing;
+        self.core_status = core_status;
         self.reported_generation = reported_generation;
     }
 
--- a/crates/tier/discovery/src/registry/changes.rs
+++ b/crates/tier/discovery/src/registry/changes.rs
@@ -14,7 +14,7 @@
     pub revision: u64,
     /// Highest revision at or below which a tombstone had been dropped. A receiver that has taken this
     /// version knows no replica whose tombstone was dropped up to it.
-    pub floor: u64,
+    pub dropped_tombstone_revision: u64,
 }
 
 /// Changes of a registry since a version.
@@ -23,9 +23,9 @@
     /// Version that the receiver has after these changes.
     pub version: RegistryVersion,
     /// Whether these changes start a complete list, which replaces everything listed before.
-    pub restart: bool,
+    pub reset: bool,
     /// Whether further changes have to be requested.
-    pub more: bool,
+    pub has_more: bool,
     /// Newest status of each replica that has changed, in the order of the changes.
     pub statuses: Vec<IdentifiedStatus>,
 }
--- a/crates/tier/discovery/src/registry/mod.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -69,7 +69,7 @@
     /// Revision of the last change; its key in [`Registry::by_revision`].
     revision: u64,
     /// When its last heartbeat was applied, or when it became a tombstone.
-    heard_at: Duration,
+    updated_at: Duration,
 }
 
 /// The replicas that one core machine knows.
@@ -89,7 +89,7 @@
     /// Ids of the registered replicas by address; no set is empty.
     by_address: BTreeMap<SocketAddr, BTreeSet<String>>,
     /// Number of registered replicas; the other entries are tombstones.
-    present: usize,
+    registered_count: usize,
     counters: RegistryCounters,
 }
 
@@ -105,7 +105,7 @@
             entries: BTreeMap::new(),
             by_revision: BTreeMap::new(),
             by_address: BTreeMap::new(),
-            present: 0,
+            registered_count: 0,
             counters: RegistryCounters::default(),
         }
     }
@@ -126,8 +126,8 @@
     }
 
     /// Number of registered replicas.
-    pub fn present(&self) -> usize {
-        self.present
+    pub fn registered_count(&self) -> usize {
+        self.registered_count
     }
 
     /// The newest status of the replica `id`, unless it is unknown.
@@ -141,7 +141,7 @@
             let record = entry.status.record()?;
             Some(RegisteredReplica {
                 record,
-                idle_time: now.saturating_sub(entry.heard_at),
+                idle_time: now.saturating_sub(entry.updated_at),
             })
         })
     }
@@ -165,7 +165,7 @@
         let outcome = self.compare_with_known(id, &record)?;
         let address = record.heartbeat.address;
         self.counters.accepted += 1;
-        self.replace_status(now, id, ReplicaStatus::Present(record));
+        self.replace_status(now, id, ReplicaStatus::Registered(record));
         self.supersede_others_at(now, address, id);
         Ok(outcome)
     }
@@ -184,7 +184,9 @@
                 self.counters.departed += 1;
                 return DepartedSnafu { id }.fail();
             }
-            Some(ReplicaStatus::Present(known)) if known == record => HeartbeatOutcome::Unchanged,
+            Some(ReplicaStatus::Registered(known)) if known == record => {
+                HeartbeatOutcome::Unchanged
+            }
             Some(known) if record.heartbeat.sequence <= known.sequence() => {
                 self.counters.stale += 1;
                 let newest = known.sequence();
@@ -195,7 +197,7 @@
                 }
                 .fail();
             }
-            Some(ReplicaStatus::Present(known)) if known.has_same_content(record) => {
+            Some(ReplicaStatus::Registered(known)) if known.has_same_content(record) => {
                 HeartbeatOutcome::Unchanged
             }
             _ => HeartbeatOutcome::Changed,
@@ -255,9 +257,9 @@
             return RefreshResult::Known;
         }
         match &mut entry.status {
-            ReplicaStatus::Present(record) if entry.digest == refresh.digest => {
+            ReplicaStatus::Registered(record) if entry.digest == refresh.digest => {
                 record.heartbeat.sequence = refresh.sequence;
-                entry.heard_at = now;
+                entry.updated_at = now;
                 RefreshResult::Known
             }
             _ => RefreshResult::Unknown,
@@ -292,22 +294,22 @@
     /// Starts all time-outs anew: this machine could not receive heartbeats before `now`.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut() {
-            entry.heard_at = now;
+            entry.updated_at = now;
         }
     }
 
     /// Drops tombstones that are older than [`TOMBSTONE_TTL`], and the oldest beyond the limit of
     /// [`MIN_TOMBSTONE_LIMIT`].
     pub fn drop_tombstones(&mut self, now: Duration) {
-        let limit = MIN_TOMBSTONE_LIMIT + self.present;
-        let mut surplus = (self.entries.len() - self.present).saturating_sub(limit);
+        let limit = MIN_TOMBSTONE_LIMIT + self.registered_count;
+        let mut surplus = (self.entries.len() - self.registered_count).saturating_sub(limit);
         let mut dropped = Vec::new();
         for (revision, id) in &self.by_revision {
             let entry = &self.entries[id];
             if entry.status.record().is_some() {
                 continue;
             }
-            if surplus == 0 && now.saturating_sub(entry.heard_at) <= TOMBSTONE_TTL {
+            if surplus == 0 && now.saturating_sub(entry.updated_at) <= TOMBSTONE_TTL {
                 break;
             }
             surplus = surplus.saturating_sub(1);
@@ -327,15 +329,16 @@
     /// complete list, which starts with changes that have `restart` set.
     pub fn changes_since(&self, known: RegistryVersion, limit: usize) -> RegistryChanges {
         let comparable = known.incarnation == self.incarnation
-            && known.revision.max(known.floor) >= self.dropped_tombstone_revision
+            && known.revision.max(known.dropped_tombstone_revision)
+                >= self.dropped_tombstone_revision
             && known.revision <= self.revision;
         let after = if comparable { known.revision } else { 0 };
         let mut statuses = Vec::new();
         let mut reached = self.revision;
-        let mut more = false;
+        let mut has_more = false;
         for (revision, id) in self.by_revision.range(after + 1..) {
             if statuses.len() == limit {
-                more = true;
+                has_more = true;
                 break;
             }
             reached = *revision;
@@ -344,13 +347,13 @@
                 status: self.entries[id].status.clone(),
             });
         }
-        if !more {
+        if !has_more {
             reached = self.revision;
         }
         RegistryChanges {
             version: self.version_at(reached),
-            restart: !comparable,
-            more,
+            reset: !comparable,
+            has_more,
             statuses,
         }
     }
@@ -359,7 +362,7 @@
         RegistryVersion {
             incarnation: self.incarnation,
             revision,
-            floor: self.dropped_tombstone_revision,
+            dropped_tombstone_revision: self.dropped_tombstone_revision,
         }
     }
 
@@ -374,7 +377,7 @@
             .iter()
             .filter(|other| other.as_str() != id)
             .filter_map(|other| self.entries.get(other))
-            .filter(|entry| now.saturating_sub(entry.heard_at) >= self.supersede_after)
+            .filter(|entry| now.saturating_sub(entry.updated_at) >= self.supersede_after)
             .filter_map(|entry| entry.status.record())
             .map(|record| record.id.clone())
             .collect();
@@ -404,19 +407,19 @@
             (None, _) => false,
             (
                 Some(Entry {
-                    status: ReplicaStatus::Present(one),
+                    status: ReplicaStatus::Registered(one),
                     ..
                 }),
-                ReplicaStatus::Present(two),
+                ReplicaStatus::Registered(two),
             ) => one.has_same_content(two),
             (Some(entry), status) => entry.status == *status,
         };
         if let Some(record) = former.as_ref().and_then(|entry| entry.status.record()) {
-            self.present -= 1;
+            self.registered_count -= 1;
             self.remove_address(record.heartbeat.address, id);
         }
         if let Some(record) = status.record() {
-            self.present += 1;
+            self.registered_count += 1;
             self.by_address
                 .entry(record.heartbeat.address)
                 .or_default()
@@ -429,7 +432,7 @@
                 status,
                 digest,
                 revision,
-                heard_at: now,
+                updated_at: now,
             },
         );
         if !is_same {
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -57,13 +57,13 @@
     /// When unlisted replicas and old tombstones are next looked for.
     next_sweep: Duration,
     /// The registered replicas of `known`, shared with the published snapshots.
-    present: Arc<BTreeMap<String, ReplicaRecord>>,
+    replicas: Arc<BTreeMap<String, ReplicaRecord>>,
 }
 
 impl ReplicaTable {
     /// The registered replicas by id.
-    pub fn present(&self) -> &Arc<BTreeMap<String, ReplicaRecord>> {
-        &self.present
+    pub fn replicas(&self) -> &Arc<BTreeMap<String, ReplicaRecord>> {
+        &self.replicas
     }
 
     /// Version up to which the registry of `machine` has been received.
@@ -91,11 +91,11 @@
         response: RegistryResponse,
     ) -> bool {
         let listing = self.listings.entry(machine).or_default();
-        if response.restart {
+        if response.reset {
             listing.present.clear();
         }
         listing.version = response.version;
-        listing.complete = !response.more;
+        listing.complete = !response.has_more;
         listing.trusted = trusted;
         listing.answered_at = now;
         let statuses: Vec<_> = response
@@ -117,7 +117,7 @@
     }
 
     /// Forgets the list of `machine`, which is no longer polled.
-    pub fn forget_machine(&mut self, machine: SocketAddr) {
+    pub fn remove_machine(&mut self, machine: SocketAddr) {
         self.listings.remove(&machine);
     }
 
@@ -141,7 +141,7 @@
         for id in &dropped {
             self.known.remove(id);
             self.unlisted_since.remove(id);
-            Arc::make_mut(&mut self.present).remove(id);
+            Arc::make_mut(&mut self.replicas).remove(id);
         }
         !dropped.is_empty()
     }
@@ -156,7 +156,7 @@
             .filter(|listing| now.saturating_sub(listing.answered_at) <= LISTING_TTL)
             .collect();
         // Every listed replica is known, so a list with as many replicas as are known contains them all.
-        let is_complete_listing = |listing: &&Listing| listing.present.len() == self.present.len();
+        let is_complete_listing = |listing: &&Listing| listing.present.len() == self.replicas.len();
         if trusted.is_empty()
             || trusted.iter().any(is_complete_listing) && self.unlisted_since.is_empty()
         {
@@ -164,7 +164,8 @@
             return;
         }
         let is_listed = |id: &String| trusted.iter().any(|listing| listing.present.contains(id));
-        let unlisted: BTreeSet<&String> = self.present.keys().filter(|id| !is_listed(id)).collect();
+        let unlisted: BTreeSet<&String> =
+            self.replicas.keys().filter(|id| !is_listed(id)).collect();
         self.unlisted_since.retain(|id, _| unlisted.contains(id));
         for id in unlisted {
             self.unlisted_since.entry(id.clone()).or_insert(now);
@@ -184,10 +185,10 @@
             _ => true,
         };
         if changed {
-            let present = Arc::make_mut(&mut self.present);
+            let replicas = Arc::make_mut(&mut self.replicas);
             match status.record() {
-                Some(record) => present.insert(id.clone(), record.clone()),
-                None => present.remove(&id),
+                Some(record) => replicas.insert(id.clone(), record.clone()),
+                None => replicas.remove(&id),
             };
         }
         self.known.insert(
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -196,7 +196,7 @@
         };
         // Jitter: processes that started together must not keep shuffling at the same time.
         self.next_shuffle = now + interval.mul_f32(0.75 + 0.5 * self.random.rand_float());
-        self.drop_old(now);
+        self.evict_expired(now);
         if self.entries.is_empty() {
             self.add_seeds(now);
         }
@@ -205,7 +205,7 @@
             .iter()
             .max_by_key(|entry| entry.age(now))?
             .address();
-        let chosen = self.choose(partner, MAX_SHUFFLE_ENTRIES - 1);
+        let chosen = self.choose_entries(partner, MAX_SHUFFLE_ENTRIES - 1);
         let sent = chosen.iter().map(ViewEntry::address).collect();
         self.pending = Some(PendingShuffle { partner, sent });
         let shuffle = self.shuffle_of(now, &chosen);
@@ -214,11 +214,11 @@
 
     /// Merges the shuffle of another process. Returns the answer.
     pub fn answer(&mut self, now: Duration, shuffle: Shuffle) -> Shuffle {
-        let asker = shuffle
+        let sender = shuffle
             .entries
             .first()
             .map_or(self.own.address, |first| first.entry.address);
-        let chosen = self.choose(asker.into(), MAX_SHUFFLE_ENTRIES - 1);
+        let chosen = self.choose_entries(sender.into(), MAX_SHUFFLE_ENTRIES - 1);
         let sent: Vec<SocketAddr> = chosen.iter().map(ViewEntry::address).collect();
         let answer = self.shuffle_of(now, &chosen);
         self.merge(now, shuffle, &sent);
@@ -254,13 +254,13 @@
         }
     }
 
-    fn drop_old(&mut self, now: Duration) {
+    fn evict_expired(&mut self, now: Duration) {
         self.entries.retain(|entry| entry.age(now) <= MAX_ENTRY_AGE);
     }
 
     /// Up to `count` random entries except that of `partner`. One of a core machine is among them if the view
     /// has any.
-    fn choose(&mut self, partner: SocketAddr, count: usize) -> Vec<ViewEntry> {
+    fn choose_entries(&mut self, partner: SocketAddr, count: usize) -> Vec<ViewEntry> {
         let mut candidates: Vec<ViewEntry> = self
             .entries
             .iter()
@@ -302,7 +302,7 @@
             }
         }
         while self.entries.len() > MAX_VIEW_ENTRIES {
-            let surplus = self.surplus_entry(now, sent);
+            let surplus = self.entry_to_evict(now, sent);
             self.entries.remove(surplus);
         }
     }
@@ -328,7 +328,7 @@
 
     /// Index of the entry to drop: one that was sent to the partner if there is any, else the oldest. Entries
     /// of core machines are dropped only beyond [`RESERVED_CORE_ENTRIES`].
-    fn surplus_entry(&self, now: Duration, sent: &[SocketAddr]) -> usize {
+    fn entry_to_evict(&self, now: Duration, sent: &[SocketAddr]) -> usize {
         let keep_core =
             self.entries.iter().filter(|entry| entry.is_core()).count() <= RESERVED_CORE_ENTRIES;
         let candidates = self
--- a/crates/tier/discovery/src/selection.rs
+++ b/crates/tier/discovery/src/selection.rs
@@ -68,11 +68,11 @@
         hash = hash64(&address.ip().octets(), hash);
         hash = hash64(&address.port().to_be_bytes(), hash);
     }
-    spread(hash)
+    mix_bits(hash)
 }
 
 /// Spreads the last bytes of an address, which differ most between machines, over all bits.
-fn spread(mut hash: u64) -> u64 {
+fn mix_bits(mut hash: u64) -> u64 {
     hash ^= hash >> 32;
     hash = hash.wrapping_mul(0xd6e8_feb8_6659_fd93);
     hash ^ (hash >> 32)
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
     /// It is registered.
-    Present(ReplicaRecord),
+    Registered(ReplicaRecord),
     /// It has departed: a tombstone.
     Departed {
         /// Last sequence number that this departure covers; `u64::MAX` if it is final.
@@ -57,7 +57,7 @@
     /// The replica's sequence number that this status covers.
     pub fn sequence(&self) -> u64 {
         match self {
-            Self::Present(record) => record.heartbeat.sequence,
+            Self::Registered(record) => record.heartbeat.sequence,
             Self::Departed { sequence, .. } => *sequence,
         }
     }
@@ -65,7 +65,7 @@
     /// The record, if the replica is registered.
     pub fn record(&self) -> Option<&ReplicaRecord> {
         match self {
-            Self::Present(record) => Some(record),
+            Self::Registered(record) => Some(record),
             Self::Departed { .. } => None,
         }
     }
@@ -80,9 +80,9 @@
         self.sequence()
             .cmp(&other.sequence())
             .then_with(|| match (self, other) {
-                (Self::Present(_), Self::Departed { .. }) => Ordering::Less,
-                (Self::Departed { .. }, Self::Present(_)) => Ordering::Greater,
-                (Self::Present(one), Self::Present(two)) => one.cmp(two),
+                (Self::Registered(_), Self::Departed { .. }) => Ordering::Less,
+                (Self::Departed { .. }, Self::Registered(_)) => Ordering::Greater,
+                (Self::Registered(one), Self::Registered(two)) => one.cmp(two),
                 (Self::Departed { departure: one, .. }, Self::Departed { departure: two, .. }) => {
                     one.cmp(two)
                 }
--- a/crates/tier/discovery/src/watch_change.rs
+++ b/crates/tier/discovery/src/watch_change.rs
@@ -8,7 +8,7 @@
     pub replicas: bool,
     /// The storage view.
     pub storage_view: bool,
-    /// The addresses of the core machines. Not a machine's [`Standing`](crate::messages::Standing).
+    /// The addresses of the core machines. Not a machine's [`CoreStatus`](crate::messages::CoreStatus).
     pub core_machines: bool,
     /// The configuration.
     pub configuration: bool,
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -105,9 +105,9 @@
     storage_view: Option<CommittedValue>,
     fetch: FetchState,
     /// When a core machine last answered.
-    heard_at: Option<Duration>,
+    last_answer_at: Option<Duration>,
     /// When a machine in quorum last answered.
-    quorum_heard_at: Option<Duration>,
+    last_quorum_answer_at: Option<Duration>,
     started_at: Duration,
     warm_up: WarmUp,
 }
@@ -132,8 +132,8 @@
                 next_at: now,
                 attempts: 0,
             },
-            heard_at: None,
-            quorum_heard_at: None,
+            last_answer_at: None,
+            last_quorum_answer_at: None,
             started_at: now,
             warm_up: WarmUp::AwaitingList,
         }
@@ -160,8 +160,8 @@
     }
 
     /// When a core machine last answered.
-    pub fn heard_at(&self) -> Option<Duration> {
-        self.heard_at
+    pub fn last_answer_at(&self) -> Option<Duration> {
+        self.last_answer_at
     }
 
     /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
@@ -172,7 +172,7 @@
 
     /// Whether no core machine in quorum has answered for [`QUORUM_CONTACT_TIMEOUT`].
     pub fn is_disconnected(&self, now: Duration) -> bool {
-        now.saturating_sub(self.quorum_heard_at.unwrap_or(self.started_at))
+        now.saturating_sub(self.last_quorum_answer_at.unwrap_or(self.started_at))
             >= QUORUM_CONTACT_TIMEOUT
     }
 
@@ -189,9 +189,9 @@
 
     /// Starts all calls that are due at `now`. Returns them for the driver to execute.
     pub fn start_due_calls(&mut self, now: Duration) -> Vec<WatchAction> {
-        let wanted = self.wanted_machines(now);
-        self.drop_unwanted(now, &wanted);
-        let mut actions: Vec<WatchAction> = wanted
+        let machines_to_poll = self.machines_to_poll(now);
+        self.stop_polling_others(now, &machines_to_poll);
+        let mut actions: Vec<WatchAction> = machines_to_poll
             .into_iter()
             .filter_map(|address| self.start_poll(now, address))
             .collect();
@@ -218,7 +218,7 @@
             view_epoch: self.view_epoch,
             storage_epoch,
             registry: self.table.version(address),
-            standing: machine.standing,
+            core_status: machine.core_status,
             wait_ms: POLL_WAIT.as_millis() as u32,
         };
         Some(WatchAction::Poll {
@@ -255,15 +255,15 @@
         machine: SocketAddr,
         response: PollResponse,
     ) -> WatchChange {
-        self.heard_at = Some(now);
+        self.last_answer_at = Some(now);
         let Some(entry) = self.machines.get_mut(&machine) else {
             return WatchChange::default();
         };
-        entry.record_answer(now, response.standing, response.configuration_generation);
+        entry.record_answer(now, response.core_status, response.configuration_generation);
         let trusted = entry.is_trusted();
         self.record_reported_generation(now, response.configuration_generation);
-        if response.standing.in_quorum {
-            self.quorum_heard_at = Some(now);
+        if response.core_status.in_quorum {
+            self.last_quorum_answer_at = Some(now);
         }
         let mut change = WatchChange::default();
         if let Some(view) = response.view {
@@ -278,7 +278,7 @@
         if is_listed && self.warm_up == WarmUp::AwaitingList {
             self.warm_up = WarmUp::Listed { since: now };
         }
-        change.has_current_state = self.complete_warm_up(now);
+        change.has_current_state = self.try_complete_warm_up(now);
         change
     }
 
@@ -288,7 +288,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            has_current_state: self.complete_warm_up(now),
+            has_current_state: self.try_complete_warm_up(now),
             ..WatchChange::default()
         }
     }
@@ -321,7 +321,7 @@
                 };
             }
         }
-        self.complete_warm_up(now);
+        self.try_complete_warm_up(now);
         newer.is_some()
     }
 
@@ -412,7 +412,7 @@
     }
 
     /// The machines to poll at `now`.
-    fn wanted_machines(&self, now: Duration) -> Vec<SocketAddr> {
+    fn machines_to_poll(&self, now: Duration) -> Vec<SocketAddr> {
         let is_disconnected = self.is_disconnected(now);
         let mut known: BTreeSet<SocketAddr> = self.core_machines.iter().copied().collect();
         if known.is_empty() || is_disconnected {
@@ -441,12 +441,12 @@
         }
     }
 
-    fn drop_unwanted(&mut self, now: Duration, wanted: &[SocketAddr]) {
+    fn stop_polling_others(&mut self, now: Duration, machines_to_poll: &[SocketAddr]) {
         self.unhealthy_until.retain(|_, until| *until > now);
         let dropped: Vec<SocketAddr> = self
             .machines
             .keys()
-            .filter(|address| !wanted.contains(address))
+            .filter(|address| !machines_to_poll.contains(address))
             .copied()
             .collect();
         for address in dropped {
@@ -455,12 +455,12 @@
                     .insert(address, now + UNHEALTHY_RETRY_INTERVAL);
             }
             self.machines.remove(&address);
-            self.table.forget_machine(address);
+            self.table.remove_machine(address);
         }
     }
 
     /// Ends the warm-up if the state is complete and current. Returns whether it has ended now.
-    fn complete_warm_up(&mut self, now: Duration) -> bool {
+    fn try_complete_warm_up(&mut self, now: Duration) -> bool {
         let WarmUp::Listed { since } = self.warm_up else {
             return false;
         };
--- a/crates/tier/discovery/tests/catch_up.rs
+++ b/crates/tier/discovery/tests/catch_up.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use woadreach_discovery::messages::{PollRequest, PollResponse, RegistryResponse, Standing};
+use woadreach_discovery::messages::{CoreStatus, PollRequest, PollResponse, RegistryResponse};
 use woadreach_discovery::watcher::{WatchAction, Watcher};
 
 const STEP: Duration = Duration::from_millis(1);
@@ -206,12 +206,12 @@
         let registry = RegistryResponse {
             version: Default::default(),
             warming: false,
-            restart: false,
-            more: false,
+            reset: false,
+            has_more: false,
             statuses: Vec::new(),
         };
         let response = PollResponse {
-            standing: Standing {
+            core_status: CoreStatus {
                 in_quorum: true,
                 warming: false,
             },
--- a/crates/tier/discovery/tests/common/world/core_node.rs
+++ b/crates/tier/discovery/tests/common/world/core_node.rs
@@ -408,7 +408,7 @@
             Message::Registry { incarnation, body } if incarnation == own_incarnation => {
                 let Node::Core(peer) = from else { return };
                 let response: RegistryResponse = decode(&body).expect("a registry");
-                assert!(!response.more, "the world's registries fit one message");
+                assert!(!response.has_more, "the world's registries fit one message");
                 self.pull_done(core, peer, Some(response));
             }
             _ => {}
--- a/crates/tier/discovery/tests/common/world/observer.rs
+++ b/crates/tier/discovery/tests/common/world/observer.rs
@@ -59,7 +59,7 @@
 
     /// Whether an observer would send new requests to the replica.
     pub(crate) fn is_used(&self, edge: usize, replica: usize) -> bool {
-        let present = self.edges[edge].watcher.table().present();
+        let present = self.edges[edge].watcher.table().replicas();
         present
             .get(&self.replicas[replica].id)
             .is_some_and(|record| record.heartbeat.state == ReplicaState::Ready)
--- a/crates/tier/discovery/tests/cpu_quota.rs
+++ b/crates/tier/discovery/tests/cpu_quota.rs
@@ -30,7 +30,7 @@
 /// Edges that lack a replica, or that no core machine in quorum answers.
 fn edges_without_something(world: &World) -> usize {
     let lacks = |edge: &&common::world::EdgeNode| {
-        edge.watcher.table().present().len() < REPLICAS || edge.watcher.is_disconnected(world.now)
+        edge.watcher.table().replicas().len() < REPLICAS || edge.watcher.is_disconnected(world.now)
     };
     world.edges.iter().filter(lacks).count()
 }
--- a/crates/tier/discovery/tests/distribution.rs
+++ b/crates/tier/discovery/tests/distribution.rs
@@ -26,7 +26,7 @@
     world.run(seconds(8));
     for edge in 0..edges {
         assert!(world.edges[edge].watcher.has_reached_current_state());
-        assert_eq!(world.edges[edge].watcher.table().present().len(), replicas);
+        assert_eq!(world.edges[edge].watcher.table().replicas().len(), replicas);
         assert_eq!(world.edges[edge].configuration, 1);
     }
     world
@@ -48,14 +48,14 @@
             world
                 .edges
                 .iter()
-                .all(|edge| !edge.watcher.table().present().contains_key("r0"))
+                .all(|edge| !edge.watcher.table().replicas().contains_key("r0"))
         );
         world.run_for(seconds(20));
         assert!(
             world
                 .edges
                 .iter()
-                .all(|edge| edge.watcher.table().present().len() == 11),
+                .all(|edge| edge.watcher.table().replicas().len() == 11),
             "seed {seed}"
         );
     }
@@ -176,7 +176,7 @@
     world.run_for(EXPIRY - millis(3500) + HEARTBEAT);
     assert_eq!(world.edges_using(4), 0);
     assert_eq!(
-        world.edges[0].watcher.table().present().len(),
+        world.edges[0].watcher.table().replicas().len(),
         11,
         "and no other"
     );
@@ -193,7 +193,7 @@
         world.run_checked(until, |world| {
             for edge in &world.edges {
                 assert_eq!(
-                    edge.watcher.table().present().len(),
+                    edge.watcher.table().replicas().len(),
                     12,
                     "seed {seed} at {:?}",
                     world.now
@@ -204,7 +204,7 @@
             world
                 .cores
                 .iter()
-                .all(|core| core.state.registry().present() == 12)
+                .all(|core| core.state.registry().registered_count() == 12)
         );
         assert!(
             world
@@ -224,7 +224,7 @@
     (0..3).for_each(|core| world.restart_core(core));
     world.run_for(seconds(16));
     assert_eq!(world.edges_using(5), 0);
-    assert_eq!(world.edges[0].watcher.table().present().len(), 11);
+    assert_eq!(world.edges[0].watcher.table().replicas().len(), 11);
 }
 
 #[test]
@@ -239,7 +239,7 @@
         world.run_checked(until, |world| {
             let watcher = &world.edges[0].watcher;
             let is_complete =
-                watcher.table().present().len() == 12 && world.edges[0].configuration == 1;
+                watcher.table().replicas().len() == 12 && world.edges[0].configuration == 1;
             assert!(
                 !watcher.has_reached_current_state() || is_complete,
                 "seed {seed} at {:?}",
@@ -265,7 +265,7 @@
             world.run_checked(until, |world| {
                 for edge in &world.edges {
                     assert_eq!(
-                        edge.watcher.table().present().len(),
+                        edge.watcher.table().replicas().len(),
                         12,
                         "seed {seed}, {frozen} frozen"
                     );
@@ -325,7 +325,7 @@
     world.thaw_core(2);
     let until = world.now + seconds(8);
     world.run_checked(until, |world| assert_eq!(world.edges_using(0), 0));
-    assert_eq!(world.cores[2].state.registry().present(), 11);
+    assert_eq!(world.cores[2].state.registry().registered_count(), 11);
 }
 
 #[test]
@@ -333,10 +333,10 @@
     let mut world = calm(5, 3, 6, 12);
     world.unreachable_from_replicas = (0..3).collect();
     world.run_for(seconds(20));
-    assert_eq!(world.edges[0].watcher.table().present().len(), 12);
+    assert_eq!(world.edges[0].watcher.table().replicas().len(), 12);
     world.unreachable_from_replicas.clear();
     world.run_for(seconds(5));
-    assert_eq!(world.edges[0].watcher.table().present().len(), 12);
+    assert_eq!(world.edges[0].watcher.table().replicas().len(), 12);
 }
 
 #[test]
@@ -349,7 +349,7 @@
     world.set_view(0, view(1, false, members));
     world.unreachable_from_replicas = [1, 2].into();
     world.run_for(seconds(8));
-    assert_eq!(world.edges[0].watcher.table().present().len(), 12);
+    assert_eq!(world.edges[0].watcher.table().replicas().len(), 12);
 }
 
 #[test]
@@ -363,7 +363,7 @@
     assert_eq!(world.edges_using(3), 0);
     assert_eq!(world.edges_using(reuser), 6);
     assert_eq!(
-        world.edges[0].watcher.table().present()["reuser"]
+        world.edges[0].watcher.table().replicas()["reuser"]
             .heartbeat
             .service,
         "other"
--- a/crates/tier/discovery/tests/fetch_backoff.rs
+++ b/crates/tier/discovery/tests/fetch_backoff.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use woadreach_discovery::messages::{PollResponse, RegistryResponse, Standing};
+use woadreach_discovery::messages::{CoreStatus, PollResponse, RegistryResponse};
 use woadreach_discovery::watcher::{WatchAction, Watcher};
 
 const STEP: Duration = Duration::from_millis(1);
-const STANDING: Standing = Standing {
+const CORE_STATUS: CoreStatus = CoreStatus {
     in_quorum: true,
     warming: false,
 };
@@ -52,15 +52,15 @@
 
     fn answer_poll(&mut self, machine: SocketAddr) {
         let response = PollResponse {
-            standing: STANDING,
+            core_status: CORE_STATUS,
             configuration_generation: self.generation,
             view: None,
             storage_view: None,
             registry: RegistryResponse {
                 version: Default::default(),
                 warming: false,
-                restart: false,
-                more: false,
+                reset: false,
+                has_more: false,
                 statuses: Vec::new(),
             },
         };
--- a/crates/tier/discovery/tests/messages.rs
+++ b/crates/tier/discovery/tests/messages.rs
@@ -5,7 +5,7 @@
 use common::{draining, heartbeat};
 use quickcheck::quickcheck;
 use woadreach_discovery::messages::{
-    Batch, MESSAGE_VERSION, MessageError, PollResponse, RegistryResponse, Request, Standing,
+    Batch, CoreStatus, MESSAGE_VERSION, MessageError, PollResponse, RegistryResponse, Request,
     StatusEntry, VersionedBytes, decode, encode,
 };
 use woadreach_discovery::registry::{Refresh, RegistryVersion};
@@ -25,7 +25,7 @@
         let status = if place % 3 == 2 {
             ReplicaStatus::deregistered()
         } else {
-            ReplicaStatus::Present(record)
+            ReplicaStatus::Registered(record)
         };
         StatusEntry::new(id.clone(), &status)
     });
@@ -65,8 +65,8 @@
     let response = RegistryResponse {
         version: RegistryVersion::default(),
         warming: false,
-        restart: true,
-        more: false,
+        reset: true,
+        has_more: false,
         statuses: Vec::new(),
     };
     let mut bytes = encode(&response);
@@ -103,15 +103,15 @@
 
     fn answers_come_back_as_they_were(generation: u64, bytes: Vec<u8>, in_quorum: bool) -> bool {
         let response = PollResponse {
-            standing: Standing { in_quorum, warming: !in_quorum },
+            core_status: CoreStatus { in_quorum, warming: !in_quorum },
             configuration_generation: generation,
             view: None,
             storage_view: Some(VersionedBytes { version: generation, bytes }),
             registry: RegistryResponse {
-                version: RegistryVersion { incarnation: generation, revision: 2, floor: 1 },
+                version: RegistryVersion { incarnation: generation, revision: 2, dropped_tombstone_revision: 1 },
                 warming: in_quorum,
-                restart: true,
-                more: false,
+                reset: true,
+                has_more: false,
                 statuses: Vec::new(),
             },
         };
--- a/crates/tier/discovery/tests/partitions.rs
+++ b/crates/tier/discovery/tests/partitions.rs
@@ -192,7 +192,7 @@
         let until = world.now + seconds(20);
         world.run_checked(until, |world| {
             for edge in 1..6 {
-                let present = world.edges[edge].watcher.table().present().len();
+                let present = world.edges[edge].watcher.table().replicas().len();
                 assert_eq!(present, 12, "seed {seed} at {:?}", world.now);
             }
         });
--- a/crates/tier/discovery/tests/recorded_bytes.rs
+++ b/crates/tier/discovery/tests/recorded_bytes.rs
@@ -8,8 +8,9 @@
 use recorded::{RecordedBytes, assert_other_versions_are_named, outcome, outcomes_when_cut};
 use speedy::{LittleEndian, Readable};
 use woadreach_discovery::messages::{
-    Batch, BatchResponse, ConfigurationResponse, CoreView, Endpoint, MessageError, PollRequest,
-    PollResponse, RegistryResponse, Request, Standing, StatusEntry, VersionedBytes, decode, encode,
+    Batch, BatchResponse, ConfigurationResponse, CoreStatus, CoreView, Endpoint, MessageError,
+    PollRequest, PollResponse, RegistryResponse, Request, StatusEntry, VersionedBytes, decode,
+    encode,
 };
 use woadreach_discovery::registry::{Refresh, RegistryVersion};
 use woadreach_discovery::sampling::{AgedEntry, NodeEntry, Shuffle};
@@ -26,7 +27,7 @@
     RegistryVersion {
         incarnation: 11,
         revision: 22,
-        floor: 3,
+        dropped_tombstone_revision: 3,
     }
 }
 
@@ -73,8 +74,8 @@
         departure,
     };
     let statuses = [
-        ("replica-1", ReplicaStatus::Present(model_replica())),
-        ("replica-2", ReplicaStatus::Present(plain_replica())),
+        ("replica-1", ReplicaStatus::Registered(model_replica())),
+        ("replica-2", ReplicaStatus::Registered(plain_replica())),
         ("replica-3", departed(5, Departure::Unresponsive)),
         ("replica-4", departed(6, Departure::Superseded)),
         ("replica-5", ReplicaStatus::deregistered()),
@@ -114,7 +115,7 @@
         view_epoch: 5,
         storage_epoch: 3,
         registry: version(),
-        standing: Standing {
+        core_status: CoreStatus {
             in_quorum: true,
             warming: false,
         },
@@ -137,15 +138,15 @@
     RegistryResponse {
         version: version(),
         warming: false,
-        restart: true,
-        more: false,
+        reset: true,
+        has_more: false,
         statuses: statuses(),
     }
 }
 
 fn poll_responses() -> Vec<(&'static str, PollResponse)> {
     let updates = PollResponse {
-        standing: Standing {
+        core_status: CoreStatus {
             in_quorum: true,
             warming: true,
         },
@@ -161,13 +162,13 @@
         registry: registry_response(),
     };
     let no_updates = PollResponse {
-        standing: Standing::default(),
+        core_status: CoreStatus::default(),
         configuration_generation: 0,
         view: None,
         storage_view: None,
         registry: RegistryResponse {
-            restart: false,
-            more: true,
+            reset: false,
+            has_more: true,
             warming: true,
             statuses: Vec::new(),
             ..registry_response()
@@ -281,11 +282,11 @@
     };
     assert_eq!(
         found[0],
-        identified("replica-1", ReplicaStatus::Present(model_replica()))
+        identified("replica-1", ReplicaStatus::Registered(model_replica()))
     );
     assert_eq!(
         found[1],
-        identified("replica-2", ReplicaStatus::Present(plain_replica()))
+        identified("replica-2", ReplicaStatus::Registered(plain_replica()))
     );
     assert_eq!(
         found[4],
--- a/crates/tier/discovery/tests/registry.rs
+++ b/crates/tier/discovery/tests/registry.rs
@@ -113,7 +113,7 @@
         "that number stands for final departures"
     );
     assert_eq!(registry.counters().invalid, 3);
-    assert_eq!(registry.present(), 0);
+    assert_eq!(registry.registered_count(), 0);
 }
 
 #[test]
@@ -142,7 +142,7 @@
         registry.refresh(seconds(1.3), &refresh),
         RefreshResult::Known
     );
-    assert_eq!(registry.present(), 0);
+    assert_eq!(registry.registered_count(), 0);
     assert_eq!(
         registry.deregister(seconds(1.4), "r"),
         Ok(HeartbeatOutcome::Departing),
@@ -157,7 +157,7 @@
     let mut registry = registry();
     registry.deregister(seconds(0.0), "r").unwrap();
     registry.merge(seconds(0.1), "r", other.status("r").cloned().unwrap());
-    assert_eq!(registry.present(), 0);
+    assert_eq!(registry.registered_count(), 0);
 }
 
 #[test]
@@ -183,7 +183,7 @@
         registry.heartbeat(seconds(5.0), "r", heartbeat(1, 4)),
         Ok(HeartbeatOutcome::Changed)
     );
-    assert_eq!(registry.present(), 1);
+    assert_eq!(registry.registered_count(), 1);
 }
 
 #[test]
@@ -206,7 +206,7 @@
             status: registry.status("r").cloned().unwrap(),
         }]
     );
-    assert_eq!(registry.present(), 1);
+    assert_eq!(registry.registered_count(), 1);
 }
 
 #[test]
@@ -281,7 +281,7 @@
     registry.drop_tombstones(TOMBSTONE_TTL + seconds(1.0));
     assert!(registry.status("r").is_none());
     assert!(
-        !registry.changes_since(before, 10).restart,
+        !registry.changes_since(before, 10).reset,
         "that receiver has had the tombstone"
     );
 
@@ -313,8 +313,8 @@
     let mut listed = Vec::new();
     for part in 0..4 {
         let changes = registry.changes_since(version, 2);
-        assert_eq!(changes.restart, part == 0);
-        assert_eq!(changes.more, part < 3);
+        assert_eq!(changes.reset, part == 0);
+        assert_eq!(changes.has_more, part < 3);
         version = changes.version;
         listed.extend(changes.statuses.into_iter().map(|changed| changed.id));
     }
@@ -331,10 +331,10 @@
     let foreign = RegistryVersion {
         incarnation: 9,
         revision: 900,
-        floor: 0,
+        dropped_tombstone_revision: 0,
     };
     let changes = registry.changes_since(foreign, 10);
-    assert!(changes.restart && changes.statuses.len() == 1);
+    assert!(changes.reset && changes.statuses.len() == 1);
 }
 
 /// One step in the lifetime of a replica, applied to a registry.
@@ -420,7 +420,7 @@
             let changes = registry.changes_since(version, 1);
             version = changes.version;
             follower.extend(by_id(changes.statuses));
-            if !changes.more {
+            if !changes.has_more {
                 break;
             }
         }
@@ -428,7 +428,7 @@
             let status = registry.status(&replica.to_string());
             let watched = follower.get(&replica.to_string());
             let same = match (status, watched) {
-                (Some(ReplicaStatus::Present(one)), Some(ReplicaStatus::Present(two))) => one.has_same_content(two),
+                (Some(ReplicaStatus::Registered(one)), Some(ReplicaStatus::Registered(two))) => one.has_same_content(two),
                 (one, two) => one == two,
             };
             let record = status.and_then(ReplicaStatus::record);
--- a/crates/tier/discovery/tests/replica_table.rs
+++ b/crates/tier/discovery/tests/replica_table.rs
@@ -21,20 +21,16 @@
     Duration::from_secs(seconds)
 }
 
-fn response(
-    incarnation: u64,
-    restart: bool,
-    statuses: &[(&str, ReplicaStatus)],
-) -> RegistryResponse {
+fn response(incarnation: u64, reset: bool, statuses: &[(&str, ReplicaStatus)]) -> RegistryResponse {
     RegistryResponse {
         version: RegistryVersion {
             incarnation,
             revision: 1,
-            floor: 0,
+            dropped_tombstone_revision: 0,
         },
         warming: false,
-        restart,
-        more: false,
+        reset,
+        has_more: false,
         statuses: statuses
             .iter()
             .map(|(id, status)| StatusEntry::new((*id).to_owned(), status))
@@ -43,7 +39,7 @@
 }
 
 fn ready(id: &str, sequence: u64) -> ReplicaStatus {
-    ReplicaStatus::Present(ReplicaRecord::new(id, heartbeat(1, sequence)))
+    ReplicaStatus::Registered(ReplicaRecord::new(id, heartbeat(1, sequence)))
 }
 
 fn unresponsive(sequence: u64) -> ReplicaStatus {
@@ -76,7 +72,7 @@
     table.apply(almost, machine(1), true, empty(2));
     assert!(!table.sweep(almost));
     assert!(table.sweep(almost + seconds(1)));
-    assert!(table.present().is_empty());
+    assert!(table.replicas().is_empty());
 }
 
 #[test]
@@ -86,7 +82,7 @@
         table.apply(seconds(second), machine(1), false, response(2, true, &[]));
         assert!(!table.sweep(seconds(second)));
     }
-    assert_eq!(table.present().len(), 1);
+    assert_eq!(table.replicas().len(), 1);
 }
 
 #[test]
@@ -98,7 +94,7 @@
         true,
         response(1, true, &[("r", unresponsive(6))])
     ));
-    assert!(table.present().is_empty());
+    assert!(table.replicas().is_empty());
     assert!(!table.apply(
         seconds(2),
         machine(3),
@@ -111,7 +107,7 @@
         true,
         response(1, false, &[("r", ready("r", 7))])
     ));
-    assert_eq!(table.present()["r"].heartbeat.sequence, 7);
+    assert_eq!(table.replicas()["r"].heartbeat.sequence, 7);
 }
 
 #[test]
@@ -153,7 +149,7 @@
                 departure: Departure::Superseded,
             },
             _ if sequence % 3 == 2 => {
-                ReplicaStatus::Present(ReplicaRecord::new(&id, draining(1, sequence)))
+                ReplicaStatus::Registered(ReplicaRecord::new(&id, draining(1, sequence)))
             }
             _ => ready(&id, sequence),
         };
@@ -200,8 +196,8 @@
             }
         }
         [table_of(accounts.iter()), table_of(again.into_iter())].iter().all(|table| {
-            table.present().len() == expected.len()
-                && table.present().iter().all(|(id, record)| expected[id].has_same_content(record))
+            table.replicas().len() == expected.len()
+                && table.replicas().iter().all(|(id, record)| expected[id].has_same_content(record))
         })
     }
 }
