--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -168,7 +168,7 @@
             weight,
             step,
             answered: false,
-            queued_at: None,
+            queued_for: None,
             attempts: Vec::new(),
         });
         self.by_part.insert(id, search);
@@ -253,8 +253,8 @@
         plan: &Plan,
         executor: &mut impl PlanExecutor,
     ) {
-        for note in &plan.notes {
-            executor.log(&note.to_string());
+        for event in &plan.log_events {
+            executor.log(&event.to_string());
         }
         for attempt in &plan.cancel {
             executor.cancel(*attempt);
--- a/crates/router/search-driver/tests/unit/comparison.rs
+++ b/crates/router/search-driver/tests/unit/comparison.rs
@@ -16,7 +16,7 @@
         weight: 1.0,
         step: 1,
         answered: false,
-        queued_at: None,
+        queued_for: None,
         attempts: endings.iter().map(attempt).collect(),
     }
 }
--- a/crates/routing/src/api/endpoints.rs
+++ b/crates/routing/src/api/endpoints.rs
@@ -1,62 +1,62 @@
-//! Replicas and zones, as discovery lists them and as the tier agrees on them.
+//! Replicas of the endpoint list, and the state of zones that the tier agrees on.
 
 use super::{CellId, ReplicaId, Seconds, Share, WarmReplicas, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica in the endpoint list.
+/// A replica in the endpoint list, as discovery reports it.
 #[derive(Clone, Debug)]
 pub struct ListedReplica {
-    /// Its name.
+    /// Name of the replica.
     pub replica: ReplicaId,
-    /// Whether it may be sent new work; false while it drains and once it has departed.
+    /// Whether the replica may be sent new work; false while it drains and after it has departed.
     pub open: bool,
-    /// Its failure domain.
+    /// Zone of the replica.
     pub zone: ZoneId,
-    /// The cell whose shards it holds.
+    /// Cell whose shards the replica holds.
     pub cell: CellId,
-    /// When its process started, if that was recent; absent for a process that has long been warm.
+    /// Start time of the replica's process; `None` if the process has long been warm.
     pub ready_at: Option<Seconds>,
 }
 
-/// A group of zones to be preferred.
+/// A group of zones that is preferred for a share of the parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NearZones {
-    /// The zones.
+    /// Zones of the group.
     pub zones: BTreeSet<ZoneId>,
-    /// Share of all parts that may go to this group or to a nearer one.
+    /// Share of all parts that may be sent to this group and all nearer ones together.
     pub cumulative_share: Share,
 }
 
-/// What the co-ordinators of the tier have agreed on about zones.
+/// Traffic restrictions and preferences by zone, agreed on by the co-ordinators of the tier.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneFailoverState {
-    /// Share of its traffic that each zone may have: 0 while it is ejected, 1 while it serves, between them
-    /// while it is being restored; 1 for a zone that isn't named.
+    /// Share of its normal traffic that each zone may be sent: 0 while the zone is ejected, a value between 0 and 1
+    /// while it is being restored, and 1 otherwise. Zones that are not listed have 1.
     pub shares: BTreeMap<ZoneId, Share>,
-    /// Groups of zones to be preferred, nearest first.
+    /// Preferred groups of zones, nearest first.
     pub near: Vec<NearZones>,
 }
 
-/// This co-ordinator's latest observations of a zone.
+/// One co-ordinator's recent observations of a zone, reported to the tier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneHealth {
-    /// The zone.
+    /// Observed zone.
     pub zone: ZoneId,
     /// Number of recent outcomes and overdue parts.
     pub seen: usize,
-    /// How many of them were failed, late or overdue.
+    /// Number of failed, late and overdue parts among them.
     pub failed: usize,
-    /// Capacity of its open replicas.
+    /// Total capacity of the zone's open replicas.
     pub capacity: WarmReplicas,
 }
 
-/// This co-ordinator's demand on a replica that is warming up.
+/// One co-ordinator's demand on a replica that is warming up, reported to the tier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartDemand {
-    /// The replica.
+    /// Replica that is warming up.
     pub replica: ReplicaId,
-    /// Number of parts that slow start has kept from it so far.
+    /// Number of times that slow start has prevented sending a part to the replica, since its process was listed.
     pub suppressed: u64,
-    /// Whether it was sent any part within the overload window.
+    /// Whether the replica was sent a part within the last overload window.
     pub sent: bool,
 }
--- a/crates/routing/src/api/health.rs
+++ b/crates/routing/src/api/health.rs
@@ -5,40 +5,42 @@
 /// Parameters of outlier ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
-    /// Number of calls that count: the latest ones.
+    /// Number of latest calls that are considered.
     pub window: usize,
-    /// Least number of failures among them that ejects; they must also be half of the calls.
+    /// Number of failures among these calls from which a replica or zone is ejected, if at least half of the calls
+    /// failed.
     pub min_failures: usize,
 }
 
-/// The end of a call, as far as it says something about health. `C` is a class of calls, such as the query type.
+/// Outcome of a call, as evidence of the health of its replica or zone. `C` is a class of calls, such as the query
+/// type.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<C> {
-    /// When it ended.
+    /// Time at which the call ended.
     pub at: Seconds,
-    /// When it was sent.
+    /// Time at which the call was sent.
     pub sent_at: Seconds,
-    /// Its class.
+    /// Class of the call.
     pub class: C,
-    /// Whether it failed, or took far longer than usual.
+    /// Whether the call failed or was late.
     pub failed: bool,
 }
 
 /// A change in the health of a replica or zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It gets no more traffic but probes.
+pub enum HealthChange {
+    /// The replica or zone is sent no traffic except probes.
     Ejected,
-    /// It gets traffic again.
+    /// The replica or zone is sent normal traffic again.
     Restored,
 }
 
-impl Change {
-    /// The change as log lines name it.
+impl HealthChange {
+    /// Name of the change in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            Change::Ejected => "ejected",
-            Change::Restored => "restored",
+            HealthChange::Ejected => "ejected",
+            HealthChange::Restored => "restored",
         }
     }
 }
--- a/crates/routing/src/api/mod.rs
+++ b/crates/routing/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! Plain types between callers and the routing decisions. Nothing here decides.
+//! Plain types that callers exchange with the routing decisions.
 //!
-//! Times and durations are [`Seconds`], since the decisions run on simulated clocks too. A caller starts with
-//! [`Settings`], reports [`ListedReplica`] replicas and the [`Outcome`] of each [`Attempt`], and carries out the [`Plan`]
-//! that it gets for a [`Search`].
+//! Times and durations are [`Seconds`], since the decisions also run on simulated clocks. A caller starts with
+//! [`Settings`], reports each [`ListedReplica`] and the [`Outcome`] of each [`Attempt`], and carries out the [`Plan`]
+//! that is returned for a [`Search`].
 
 mod endpoints;
 mod health;
@@ -13,11 +13,11 @@
 mod units;
 
 pub use endpoints::{ListedReplica, NearZones, SlowStartDemand, ZoneFailoverState, ZoneHealth};
-pub use health::{Change, EjectionConfig, Observation};
+pub use health::{EjectionConfig, HealthChange, Observation};
 pub use ids::{
     AttemptId, CellId, PartId, QueryTypeId, ReplicaId, SearchId, ShardId, TenantId, ZoneId,
 };
-pub use plan::{Note, Placement, Plan, Reply};
+pub use plan::{LogEvent, Placement, Plan, Reply};
 pub use search::{Attempt, Ending, Outcome, Part, Search};
 pub use settings::{QueryType, Repeat, RetryBudgetConfig, Settings, SlowStartConfig};
 pub use units::{Seconds, Share, WarmReplicas};
--- a/crates/routing/src/api/plan.rs
+++ b/crates/routing/src/api/plan.rs
@@ -1,54 +1,54 @@
-//! What a caller has to carry out.
+//! The actions that a caller has to carry out.
 
-use super::{AttemptId, Change, PartId, ReplicaId, SearchId, Seconds, ZoneId};
+use super::{AttemptId, HealthChange, PartId, ReplicaId, SearchId, Seconds, ZoneId};
 use std::fmt;
 
-/// The reply to a search, or to its first step.
+/// Reply to a search, or result of its first step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// An answer from the parts that have come.
+    /// An answer from the parts that were answered.
     Answered {
-        /// Whether no part that counts is missing.
+        /// Whether the answered parts make the answer complete; false after an incomplete first step.
         complete: bool,
     },
-    /// Rejected: asking again is harmless, since nothing has run or what ran may run again.
+    /// The search was rejected, and the client may retry it: nothing has run, or what ran may run again.
     Shed {
-        /// Advised wait before the next attempt; 0 for no advice.
+        /// Advised wait before the client's retry; 0 for no advice.
         retry_after: Seconds,
     },
-    /// Neither an answer nor proof that asking again is harmless.
+    /// The search failed, and a retry by the client might take effect twice.
     Errored,
 }
 
-/// An attempt to be made.
+/// An attempt to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The part.
+    /// Part to be sent.
     pub part: PartId,
-    /// The replica that it is sent to.
+    /// Replica that the part is sent to.
     pub replica: ReplicaId,
-    /// How long it may run.
+    /// Timeout of the attempt, from now.
     pub timeout: Seconds,
-    /// Latest time at which it may begin to leave; infinite if there is none.
+    /// Latest time at which sending may start; infinite if there is no limit.
     pub begin_by: Seconds,
 }
 
-/// A change for the log, which the `Display` text words.
+/// An event to be logged, with its `Display` text as the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEvent {
     /// The health of a replica has changed.
     Replica {
-        /// The replica.
+        /// Replica whose health has changed.
         replica: ReplicaId,
-        /// The change.
-        change: Change,
+        /// Kind of change.
+        change: HealthChange,
     },
-    /// The health of a zone has changed, by this co-ordinator's own calls.
+    /// The health of a zone, as judged by this co-ordinator's own calls, has changed.
     Zone {
-        /// The zone.
+        /// Zone whose health has changed.
         zone: ZoneId,
-        /// The change.
-        change: Change,
+        /// Kind of change.
+        change: HealthChange,
     },
     /// The fleet has become overloaded.
     OverloadBegan,
@@ -56,32 +56,33 @@
     OverloadEnded,
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Replica { replica, change } => {
+            LogEvent::Replica { replica, change } => {
                 write!(f, "replica {} {}", replica.0, change.as_str())
             }
-            Note::Zone { zone, change } => {
+            LogEvent::Zone { zone, change } => {
                 write!(f, "zone {} {} by own calls", zone.0, change.as_str())
             }
-            Note::OverloadBegan => f.write_str("overload began"),
-            Note::OverloadEnded => f.write_str("overload ended"),
+            LogEvent::OverloadBegan => f.write_str("overload began"),
+            LogEvent::OverloadEnded => f.write_str("overload ended"),
         }
     }
 }
 
-/// What to do now, in this order: cancel, send, reply, then ask again about the searches named.
+/// Actions to be carried out now, in this order: cancel, send, reply, then call `Balancer::place` for each search in
+/// `reconsider`.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Attempts to be cancelled.
     pub cancel: Vec<AttemptId>,
-    /// Attempts to be made.
+    /// Attempts to be sent.
     pub send: Vec<Placement>,
-    /// The reply, if it is due.
+    /// Reply to the search; `None` if it is not due yet.
     pub reply: Option<Reply>,
-    /// Searches that may have become able to send: the caller asks for their plans next.
+    /// Searches with queued parts that can perhaps be sent now.
     pub reconsider: Vec<SearchId>,
-    /// What the log has to say.
-    pub notes: Vec<Note>,
+    /// Events to be logged.
+    pub log_events: Vec<LogEvent>,
 }
--- a/crates/routing/src/api/search.rs
+++ b/crates/routing/src/api/search.rs
@@ -5,52 +5,52 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With an answer.
+    /// The replica answered.
     Answered,
-    /// With an error of the replica.
+    /// The replica returned an error.
     Errored,
-    /// Rejected by the replica, which did not run it.
+    /// The replica was full and rejected the attempt without running it.
     Full,
-    /// Without an answer before its timeout.
+    /// No answer was received before the timeout.
     TimedOut,
     /// No connection was established, or it ended before the attempt was completely written.
     Unreachable,
     /// The connection broke after the attempt was sent, or the answer on it cannot be used.
     Broken,
-    /// Cancelled by this co-ordinator.
+    /// This co-ordinator cancelled the attempt.
     Cancelled,
-    /// It was never completely sent: taken back, or cut off before its last byte.
+    /// The attempt was never completely sent: it was removed from the queue, or aborted before its last byte.
     NeverSent,
 }
 
-/// The end of an attempt.
+/// Report of the end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Its part.
+    /// Part that the attempt belongs to.
     pub part: PartId,
-    /// Its index among the attempts of the part.
+    /// Index of the attempt among those of the part, from 0.
     pub attempt_index: usize,
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Time since it was sent.
+    /// Time from sending the attempt until its end.
     pub latency: Seconds,
 }
 
-/// One send of a part to a replica.
+/// One attempt of a part: its sending to a replica.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The replica that it was sent to.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time at which the decision to send was made.
     pub sent_at: Seconds,
-    /// How it ended; absent while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub ending: Option<Ending>,
 }
 
 impl Attempt {
-    /// Whether it provably never ran: it was rejected, had no connection, or was never completely sent.
+    /// Whether the attempt provably never ran: it was rejected, had no connection, or was never completely sent.
     pub fn proven_unrun(&self) -> bool {
         matches!(
             self.ending,
@@ -59,32 +59,32 @@
     }
 }
 
-/// What a search asks of one shard.
+/// A part of a search: its query to one shard.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its identifier.
+    /// Identifier of the part.
     pub id: PartId,
-    /// The shard that it queries.
+    /// Shard that the part queries.
     pub shard: ShardId,
-    /// Its share of the complete answer.
+    /// Share of the part in the complete answer.
     pub weight: Share,
-    /// The step of its search, 1 or 2.
+    /// Step of the search that the part belongs to, 1 or 2.
     pub step: usize,
-    /// Whether an answer has come.
+    /// Whether an attempt of the part was answered.
     pub answered: bool,
-    /// The replica in whose queue it waits, if it is queued.
-    pub queued_at: Option<ReplicaId>,
-    /// Its attempts, in the order of their sends.
+    /// Replica for which the part is queued; `None` if it is not queued. Set by the decisions.
+    pub queued_for: Option<ReplicaId>,
+    /// Attempts of the part, in the order of sending.
     pub attempts: Vec<Attempt>,
 }
 
 impl Part {
-    /// Whether one of its attempts is in flight.
+    /// Whether an attempt of the part is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.ending.is_none())
     }
 
-    /// Its attempts in flight, with their indices.
+    /// Attempts in flight, with their indices among all attempts of the part.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
@@ -92,7 +92,7 @@
             .filter(|(_, attempt)| attempt.ending.is_none())
     }
 
-    /// Whether it was ever sent to this replica.
+    /// Whether the part was ever sent to this replica.
     pub fn tried(&self, replica: &ReplicaId) -> bool {
         self.attempts
             .iter()
@@ -100,32 +100,33 @@
     }
 }
 
-/// A search in flight. The caller keeps it; the decisions read and update it.
+/// A search in flight. The caller owns it; the decisions read and update it.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// Its identifier.
+    /// Identifier of the search.
     pub id: SearchId,
-    /// Its query type.
+    /// Query type of the search.
     pub query_type: QueryTypeId,
-    /// The tenant that asks.
+    /// Tenant of the client.
     pub tenant: TenantId,
-    /// When it arrived.
+    /// Time of the search's arrival.
     pub arrived: Seconds,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub client_deadline: Seconds,
-    /// Its parts, those of a second step last.
+    /// Parts of the search, those of the second step last.
     pub parts: Vec<Part>,
-    /// The step that is being executed, 1 or 2.
+    /// Step in progress, 1 or 2.
     pub step: usize,
-    /// Whether the first step was complete.
+    /// Whether the first step was complete; false before its end.
     pub first_step_complete: bool,
-    /// Whether the client says that this is a retry of its own; absent where clients don't mark retries.
+    /// Whether the client has marked this search as a retry; `None` where clients do not mark retries.
     pub marked_as_retry: Option<bool>,
-    /// When the client sent its first attempt, as estimated by the decisions.
+    /// Time at which the client sent its first attempt, as estimated by the decisions; `None` before the first
+    /// decision.
     pub first_requested_at: Option<Seconds>,
-    /// Queuing deadline of the present step; set by the decisions.
+    /// Queuing deadline of the step in progress, set by the decisions; `None` before the first decision on the step.
     pub queuing_deadline: Option<Seconds>,
-    /// Whether the final answer has been given.
+    /// Whether the search has ended: with its final reply, or because the client has disconnected.
     pub finished: bool,
 }
 
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The parts of the present step, with their indices in `parts`.
+    /// Parts of the step in progress, with their indices in `parts`.
     pub fn step_parts(&self) -> impl Iterator<Item = (usize, &Part)> {
         self.parts
             .iter()
@@ -162,7 +163,7 @@
             .filter(|(_, part)| part.step == self.step)
     }
 
-    /// The weight of the parts of the present step that are answered.
+    /// Total weight of the answered parts of the step in progress.
     pub fn answered_weight(&self) -> Share {
         self.step_parts()
             .filter(|(_, part)| part.answered)
@@ -170,7 +171,7 @@
             .sum()
     }
 
-    /// Records how an attempt of one of its parts ended; one that isn't known is ignored.
+    /// Records the end of an attempt. The outcome of an unknown part or attempt is ignored.
     pub fn record_outcome(&mut self, outcome: &Outcome) {
         let Some(part) = self.parts.iter_mut().find(|part| part.id == outcome.part) else {
             return;
@@ -182,7 +183,8 @@
         part.answered |= outcome.ending == Ending::Answered;
     }
 
-    /// The queuing deadline of the present step; before it is set, the arrival, which goes before all others.
+    /// Queuing deadline of the step in progress; before it is set, the time of arrival, which is earlier than any
+    /// deadline of a queued part.
     pub fn queuing_deadline(&self) -> Seconds {
         self.queuing_deadline.unwrap_or(self.arrived)
     }
--- a/crates/routing/src/api/units.rs
+++ b/crates/routing/src/api/units.rs
@@ -1,11 +1,11 @@
-//! Units of the bare numbers in the interface. The decisions run on simulated clocks too, so that times are numbers
-//! and not instants.
+//! Units of the plain numbers in the interface. Times are numbers and not `Instant`s, since the decisions also run on
+//! simulated clocks.
 
-/// A time from any origin that the caller chooses, or a duration, in seconds.
+/// A point in time or a duration, in seconds. The caller chooses the origin of points in time.
 pub type Seconds = f64;
 
 /// A share of a whole, from 0 to 1.
 pub type Share = f64;
 
-/// Capacity as a multiple of what one warm replica can take.
+/// Capacity in units of the capacity of one warm replica.
 pub type WarmReplicas = f64;
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,15 +1,15 @@
-//! The state of all decisions on searches, which the files of `decide` read and update; it decides nothing.
+//! State of one co-ordinator that the decisions on searches (the modules of `decide`) read and update.
 //!
-//! A caller keeps the clock, the timers and the searches in flight. It reports events, and asks [`Balancer::place`],
-//! [`Balancer::attempt_finished`] and [`Balancer::wait`] (`decide::search_steps`) what to do. A [`Plan`] says what to
-//! cancel, send and reply, and which queued searches to ask about next, in that order.
+//! The caller owns the clock, the timers and the searches in flight. It reports events with [`Balancer::place`] and
+//! [`Balancer::attempt_finished`], and carries out the [`Plan`] that they return. [`Balancer::wait`] returns when to
+//! call `place` again without an event.
 
 use crate::api::{
     ListedReplica, Part, PartId, Plan, QueryTypeId, ReplicaId, Search, SearchId, Seconds, Settings,
     SlowStartDemand, TenantId, ZoneFailoverState, ZoneId,
 };
 use crate::deadline_queue::DeadlineQueue;
-use crate::decide::part_budget::START_DIVISOR;
+use crate::decide::part_budget::INITIAL_LATENCY_DIVISOR;
 use crate::decide::slow_start::Warming;
 use crate::decide::{Backpressure, LatencyLimits, OutlierDetector, PartBudget, RetryBudget};
 use crate::fleet::{Fleet, Replica};
@@ -17,20 +17,20 @@
 use crate::unloaded_latency::UnloadedLatency;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is known of one replica.
+/// Decision state of one replica.
 #[derive(Default)]
 pub(crate) struct ReplicaState {
-    /// Backpressure after full or timed-out answers.
+    /// Limit on calls in flight after one was rejected or timed out.
     pub(crate) backpressure: Backpressure,
-    /// Latest latencies, with queues.
+    /// Latest latencies, queuing included.
     pub(crate) loaded: VecDeque<Sample>,
     /// Outlier ejection.
     pub(crate) health: OutlierDetector<QueryTypeId>,
-    /// Slow start.
+    /// Slow start after the replica's last start.
     pub(crate) warming: Warming,
 }
 
-/// A part that waits for its replica.
+/// A part in the queue of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedPart {
     pub(crate) search: SearchId,
@@ -46,55 +46,54 @@
     }
 }
 
-/// How a part at a zone ended.
+/// Outcome of a part that was sent to a zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneOutcome {
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub(crate) at: Seconds,
-    /// Whether it was lost: without an answer, or far too late.
+    /// Whether the part was lost: it was not answered, or far too late.
     pub(crate) is_lost: bool,
 }
 
-/// What is remembered of a search that has arrived.
+/// Record of a search that has arrived, for the admission of later ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ArrivalRecord {
-    /// Its value, divided by the number of its parts.
+    /// Value of the search, divided by the number of its parts.
     pub(crate) value_per_part: f64,
-    /// Its tenant.
     pub(crate) tenant: TenantId,
 }
 
-/// What one co-ordinator has to decide by.
+/// Routing state and settings of one co-ordinator.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: oorandom::Rand64,
     pub(crate) fleet: Fleet<ReplicaState>,
-    /// Recent capacity of all open replicas, in warm replicas.
+    /// Recent samples of the total capacity of all open replicas, in warm replicas.
     pub(crate) capacity: VecDeque<Sample>,
-    /// Health of each zone.
+    /// Outlier ejection of each zone.
     pub(crate) zones: BTreeMap<ZoneId, OutlierDetector<()>>,
-    /// What the tier has agreed on about zones, while this co-ordinator is connected to it.
+    /// Zone failover state that the tier has agreed on; `None` while this co-ordinator is not connected to the tier.
     pub(crate) zone_failover: Option<ZoneFailoverState>,
-    /// The latest outcomes of each zone, oldest first.
+    /// Latest outcomes of each zone, oldest first.
     pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<ZoneOutcome>>,
-    /// Parts that wait for their replica.
+    /// Parts that are queued for their replicas.
     pub(crate) queue: DeadlineQueue<ReplicaId, QueuedPart>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
     pub(crate) budget: PartBudget,
-    /// The shortest latency target of all query types.
+    /// Shortest latency target of all query types.
     pub(crate) shortest_target: Seconds,
     pub(crate) limits: LatencyLimits,
     pub(crate) retries: RetryBudget,
-    /// The latest searches.
+    /// Latest searches, oldest first.
     pub(crate) arrivals: VecDeque<ArrivalRecord>,
-    /// The plan that is being made.
+    /// Plan in progress, which the next public call returns and clears.
     pub(crate) plan: Plan,
-    /// Time that remained to the clients of the latest searches of each query type at their arrival.
+    /// Time left to the client at the arrival of the latest searches, for each query type.
     pub(crate) times_remaining: Vec<VecDeque<Seconds>>,
 }
 
 impl Balancer {
-    /// A co-ordinator that knows no replica yet.
+    /// State of a co-ordinator without replicas. [`Balancer::apply_endpoint_list`] adds them.
     pub fn new(settings: Settings) -> Self {
         let shortest_target = settings.shortest_target();
         Balancer {
@@ -105,7 +104,7 @@
             zone_failover: None,
             zone_outcomes: BTreeMap::new(),
             queue: DeadlineQueue::default(),
-            unloaded: UnloadedLatency::new(shortest_target / START_DIVISOR),
+            unloaded: UnloadedLatency::new(shortest_target / INITIAL_LATENCY_DIVISOR),
             budget: PartBudget::default(),
             shortest_target,
             limits: LatencyLimits::new(shortest_target),
@@ -117,9 +116,8 @@
         }
     }
 
-    /// Takes in the endpoint list, or changes of it. A `full` list names all replicas. A replica that isn't
-    /// open gets nothing new from this call on. A new process is warming up, and nothing that was known of the
-    /// old one counts for it.
+    /// Applies the endpoint list if `full`, and otherwise changes of it. A replica that is not open is sent no new work
+    /// from now on. A replica with a new process starts to warm up, and the state of the old process is dropped.
     pub fn apply_endpoint_list(&mut self, full: bool, lines: &[ListedReplica]) {
         let unused = self.fleet.apply_endpoint_list(full, lines, |line| {
             self.unloaded.forget(&line.replica);
@@ -136,32 +134,33 @@
         unused.iter().for_each(|id| self.forget(id));
     }
 
-    /// Forgets a replica that is not open and has nothing in flight any more.
-    pub(crate) fn forget_if_unused(&mut self, id: &ReplicaId) {
-        if self.fleet.forget_if_unused(id) {
+    /// Removes a replica that is not open and has nothing in flight, with its state.
+    pub(crate) fn remove_if_unused(&mut self, id: &ReplicaId) {
+        if self.fleet.remove_if_unused(id) {
             self.forget(id);
         }
     }
 
-    /// Nothing of an unused replica counts if it comes back.
+    /// Drops the queue and latencies of a removed replica, so that they do not count if it is listed again.
     fn forget(&mut self, unused: &ReplicaId) {
         self.queue.forget(unused);
         self.unloaded.forget(unused);
     }
 
-    /// Where to send this search. Called when it or its second step arrives, and whenever `wait` is over.
+    /// Decides on a search. To be called when the search arrives, when the parts of its second step have been added,
+    /// when the time returned by [`Balancer::wait`] has passed, and when a plan names the search in `reconsider`.
     pub fn place(&mut self, now: Seconds, search: &mut Search) -> Plan {
         self.decide(now, search);
         std::mem::take(&mut self.plan)
     }
 
-    /// The client has disconnected: nothing more is owed to it.
+    /// Ends a search without a reply, since its client has disconnected.
     pub fn client_disconnected(&mut self, search: &mut Search) -> Plan {
         self.close(search, None);
         std::mem::take(&mut self.plan)
     }
 
-    /// The demand on each replica that is warming up.
+    /// This co-ordinator's demand on each open replica that is warming up.
     pub fn slow_start_demands(&self, now: Seconds) -> Vec<SlowStartDemand> {
         let Some(config) = &self.settings.slow_start else {
             return Vec::new();
@@ -184,7 +183,8 @@
         self.fleet.iter().filter_map(demand).collect()
     }
 
-    /// Sets what the tier has allocated to this co-ordinator of a warming replica, in even shares.
+    /// Sets the share of a warming replica that the tier has allocated to this co-ordinator, as a multiple of the even
+    /// share.
     pub fn set_quota_share(&mut self, replica: &ReplicaId, even_shares: f64) {
         if let Some(replica) = self.fleet.get_mut(replica) {
             replica.state.warming.quota_share = Some(even_shares);
--- a/crates/routing/src/deadline_queue.rs
+++ b/crates/routing/src/deadline_queue.rs
@@ -1,13 +1,12 @@
-//! The calls that are queued for their replicas, earliest deadline first. A data structure that decides nothing:
-//! [`crate::decide::hold`] says when a call may leave.
+//! Calls queued for each replica, earliest deadline first. [`crate::decide::hold`] decides when the next call may be
+//! sent.
 
 use crate::api::Seconds;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds in a second.
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// A call in a queue, ordered by its deadline in whole microseconds: these have a total order.
+/// A queued call, ordered by its deadline. Whole microseconds have a total order, unlike floating-point seconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedCall<C> {
     deadline_us: i64,
@@ -17,13 +16,13 @@
 impl<C> QueuedCall<C> {
     fn new(deadline: Seconds, call: C) -> Self {
         QueuedCall {
-            deadline_us: (deadline * MICROSECONDS) as i64,
+            deadline_us: (deadline * MICROSECONDS_PER_SECOND) as i64,
             call,
         }
     }
 }
 
-/// A queue of calls `C` for each replica `R`, earliest deadline first, also if that has passed.
+/// A queue of calls `C` for each replica `R`, earliest deadline first. Calls whose deadline has passed stay queued.
 pub struct DeadlineQueue<R, C> {
     calls: BTreeMap<R, BTreeSet<QueuedCall<C>>>,
 }
@@ -37,7 +36,7 @@
 }
 
 impl<R: Ord + Clone, C: Ord + Copy> DeadlineQueue<R, C> {
-    /// Queues a call until `first` names it.
+    /// Queues a call for a replica. The caller removes it with [`DeadlineQueue::remove`].
     pub fn insert(&mut self, replica: &R, deadline: Seconds, call: C) {
         self.calls
             .entry(replica.clone())
@@ -45,14 +44,14 @@
             .insert(QueuedCall::new(deadline, call));
     }
 
-    /// Removes a call that leaves, goes elsewhere or is given up.
+    /// Removes a call that is sent, moved to another replica or abandoned. `deadline` must be that of its insertion.
     pub fn remove(&mut self, replica: &R, deadline: Seconds, call: C) {
         self.calls
             .get_mut(replica)
             .map(|queue| queue.remove(&QueuedCall::new(deadline, call)));
     }
 
-    /// The call that leaves next, once the replica's hold allows one.
+    /// The call with the earliest deadline, which is sent next when backpressure allows it.
     pub fn first(&self, replica: &R) -> Option<C> {
         self.calls
             .get(replica)
@@ -60,13 +59,13 @@
             .map(|first| first.call)
     }
 
-    /// Whether another call goes before this one.
+    /// Whether a call that comes earlier in the order is queued for the replica. `call` itself need not be queued.
     pub fn is_behind(&self, replica: &R, deadline: Seconds, call: C) -> bool {
         let first = self.calls.get(replica).and_then(|queue| queue.first());
         first.is_some_and(|first| *first < QueuedCall::new(deadline, call))
     }
 
-    /// Forgets a replica that has departed.
+    /// Removes all calls queued for a replica that has departed.
     pub fn forget(&mut self, replica: &R) {
         self.calls.remove(replica);
     }
--- a/crates/routing/src/decide/admission.rs
+++ b/crates/routing/src/decide/admission.rs
@@ -1,65 +1,65 @@
-//! Admission of a search on its arrival: whether it is a client's retry, and whether to shed it.
+//! Admission control: estimates whether a new search is a client's retry, and decides whether to shed it.
 
 use super::Balancer;
 use crate::api::{QueryType, ReplicaId, Search, Seconds, Share};
 use crate::balancer::ArrivalRecord;
 use crate::samples::{push, quantile};
 
-/// Number of searches of each query type whose remaining time is remembered, the latest: some seconds of traffic, in
-/// which retries scatter.
+/// Number of recent searches of each query type whose remaining time is stored. They cover some seconds of traffic,
+/// over which the remaining times of retries are scattered.
 const REMEMBERED_TIMES: usize = 64;
-/// Number of searches whose value and tenant are remembered, the latest.
+/// Number of recent searches whose value and tenant are stored.
 const REMEMBERED_ARRIVALS: usize = 64;
-/// Two remaining times are alike if they differ by less: what jitter on the network does to them.
-const ALIKE_WITHIN: Seconds = 0.01;
-/// Number of searches, the latest, among which a remaining time has to recur. With client timeouts of seconds, two
-/// retries that are alike are rare in this number of searches.
+/// Two remaining times are similar if they differ by less than this, which network jitter explains.
+const SIMILAR_WITHIN: Seconds = 0.01;
+/// Number of recent searches among which a remaining time has to recur. With client timeouts of seconds, two retries
+/// with similar remaining times are rare among so few searches.
 const RECURRENCE_WINDOW: usize = 16;
-/// A retry's remaining time differs from that of first attempts by more: more than clocks and links differ by, less
-/// than any client's pause before a retry.
-const RETRY_DIFFERENCE: Seconds = 0.05;
-/// A tenant exceeds its share beyond this multiple of it.
+/// Least difference between the remaining time of a retry and that of first attempts. It is larger than the
+/// differences due to clocks and links, and smaller than any client's pause before a retry.
+const MIN_RETRY_DIFFERENCE: Seconds = 0.05;
+/// Multiple of a tenant's share above which the tenant exceeds it.
 const EXCEEDED_SHARE_MULTIPLE: f64 = 1.5;
-/// A search of average value is admitted with this chance: below it, it costs others more than it is likely to
-/// bring.
-const ADMISSION_CHANCE: Share = 0.5;
-/// The least value of a search, as a multiple of the average, by which the chance is divided.
+/// Least chance of meeting the target with which a search of average value is admitted. With a smaller chance, its
+/// expected value is less than what its load costs other searches.
+const MIN_ADMISSION_CHANCE: Share = 0.5;
+/// Lower bound on a search's value per part, as a multiple of the average, in the division of the required chance.
 const MIN_RELATIVE_VALUE: f64 = 0.6;
-/// The greatest such value.
+/// Upper bound on that value.
 const MAX_RELATIVE_VALUE: f64 = 2.0;
-/// Number of a replica's latencies, the latest, that show its queue.
+/// Number of a replica's recent latencies from which its queuing delay is estimated.
 const QUEUE_SAMPLES: usize = 4;
-/// The queue that the latest answers show, times this, is the present one: it grows while the answers are in flight.
+/// Ratio of the present queuing delay to the one that the latest answers had: the queue grows while they are in flight.
 const QUEUE_GROWTH: f64 = 1.5;
 
 impl Balancer {
-    /// Records a new search, and estimates when its client sent its first attempt (docs/design.md, exception 2). First
-    /// attempts have the most common remaining time, or one a quarter as common, or one that is under the latency
-    /// target and has recurred recently.
+    /// Records a new search, and estimates when its client sent its first attempt (docs/design.md, exception 2). A
+    /// search counts as a first attempt if its remaining time is the most common one, at least a quarter as common, or
+    /// below the latency target and seen more than once recently.
     pub(super) fn record_arrival(&mut self, search: &mut Search, query_type: &QueryType) {
         let remaining = search.client_deadline - search.arrived;
-        let seen = &mut self.times_remaining[search.query_type.0];
+        let times = &mut self.times_remaining[search.query_type.0];
         if search.marked_as_retry != Some(true) {
-            push(seen, remaining, REMEMBERED_TIMES);
+            push(times, remaining, REMEMBERED_TIMES);
         }
-        let is_alike = |a: &f64, b: &f64| (b - a).abs() < ALIKE_WITHIN;
-        let count_alike = |x: &f64| seen.iter().filter(|y| is_alike(x, y)).count();
-        let most_common = seen
+        let is_similar = |a: &f64, b: &f64| (b - a).abs() < SIMILAR_WITHIN;
+        let count_similar = |x: &f64| times.iter().filter(|y| is_similar(x, y)).count();
+        let most_common = times
             .iter()
             .copied()
-            .max_by_key(count_alike)
+            .max_by_key(count_similar)
             .unwrap_or(remaining);
-        let recent = seen
+        let recent = times
             .iter()
             .rev()
             .take(RECURRENCE_WINDOW)
-            .filter(|y| is_alike(&remaining, y))
+            .filter(|y| is_similar(&remaining, y))
             .count();
         let recurs = (remaining < query_type.latency_target && recent > 1)
-            || 4 * count_alike(&remaining) >= count_alike(&most_common);
+            || 4 * count_similar(&remaining) >= count_similar(&most_common);
         let is_retry = search.marked_as_retry != Some(false)
             && !recurs
-            && (remaining - most_common).abs() > RETRY_DIFFERENCE;
+            && (remaining - most_common).abs() > MIN_RETRY_DIFFERENCE;
         let age = if is_retry {
             (query_type.client_timeout - remaining).max(0.0)
         } else {
@@ -71,13 +71,13 @@
             tenant: search.tenant,
         };
         push(&mut self.arrivals, arrival, REMEMBERED_ARRIVALS);
-        self.retries.record_taken(search.arrived, 1);
+        self.retries.record_work(search.arrived, 1);
     }
 
-    /// Whether a search has too little chance to meet its target at the replicas chosen for its parts
-    /// (docs/design.md, exception 4). A smaller chance is enough for a search of more than the average value
-    /// per part; a tenant that exceeds its share needs a greater one.
-    pub(super) fn sheds(
+    /// Whether to shed a search because its chance of meeting the target at the replicas chosen for its parts is too
+    /// small (docs/design.md, exception 4). The required chance is smaller for a search of more than average value per
+    /// part, and larger for a tenant that exceeds its share.
+    pub(super) fn should_shed(
         &mut self,
         now: Seconds,
         target: Seconds,
@@ -90,17 +90,19 @@
         } else {
             2
         };
-        let part_chance = |id| 1.0 - (1.0 - self.chance(now, id, target - now)).powi(attempts);
+        let part_chance =
+            |id| 1.0 - (1.0 - self.in_time_chance(now, id, target - now)).powi(attempts);
         let mut chances: Vec<f64> = chosen.iter().map(part_chance).collect();
         chances.sort_by(|a, b| b.total_cmp(a));
         let needed = (query_type.minimum_weight * chances.len() as f64).ceil() as usize;
         let chance: f64 = chances.iter().take(needed).product();
         let value = self.relative_value(search, query_type);
         let value_per_part = value / search.parts.len().max(1) as f64;
-        chance < ADMISSION_CHANCE / value_per_part.clamp(MIN_RELATIVE_VALUE, MAX_RELATIVE_VALUE)
+        chance < MIN_ADMISSION_CHANCE / value_per_part.clamp(MIN_RELATIVE_VALUE, MAX_RELATIVE_VALUE)
     }
 
-    /// The value of a search as a multiple of the average value per part of the latest ones.
+    /// Value of a search as a multiple of the average value per part of recent searches, reduced for a tenant that
+    /// exceeds its share.
     fn relative_value(&self, search: &Search, query_type: &QueryType) -> f64 {
         let count = self.arrivals.len() as f64;
         let total: f64 = self
@@ -124,11 +126,11 @@
         multiple * query_type.value / mean.max(1e-9)
     }
 
-    /// The chance that a part that is sent now is answered within the time that remains: unloaded samples,
-    /// delayed by the replica's queue. Answers show a queue only once it has passed, so that what is in flight
-    /// counts by its age.
-    fn chance(&self, now: Seconds, id: &ReplicaId, remaining: Seconds) -> Share {
-        let since = now - self.limits.memory();
+    /// Chance that a part sent now is answered within `remaining`: the share of unloaded latencies that fit, each plus
+    /// the replica's queuing delay. Answered calls reveal a queue only after the fact, so the age of the oldest call in
+    /// flight counts as well.
+    fn in_time_chance(&self, now: Seconds, id: &ReplicaId, remaining: Seconds) -> Share {
+        let since = now - self.limits.queue_turnover();
         let Some(replica) = self
             .fleet
             .get(id)
@@ -149,13 +151,14 @@
             .filter(|sample| sample.at > since)
             .map(|sample| sample.value)
             .collect();
-        let seen = quantile(recent, 0.5)
+        let loaded = quantile(recent, 0.5)
             .unwrap_or(0.0)
-            .max(replica.oldest(now));
-        let queue = QUEUE_GROWTH * (seen - quantile(samples.clone(), 0.5).unwrap_or(0.0)).max(0.0);
+            .max(replica.oldest_age(now));
+        let queuing_delay =
+            QUEUE_GROWTH * (loaded - quantile(samples.clone(), 0.5).unwrap_or(0.0)).max(0.0);
         let in_time = samples
             .iter()
-            .filter(|sample| **sample + queue <= remaining)
+            .filter(|sample| **sample + queuing_delay <= remaining)
             .count();
         in_time as f64 / samples.len() as f64
     }
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -1,57 +1,59 @@
-//! The health of replicas and zones, by this co-ordinator's own calls and by what the tier has agreed on.
+//! Health of replicas and zones, from this co-ordinator's own calls and from the zone failover state that the tier has
+//! agreed on.
 
 use super::{Balancer, EjectionConfig, Observation, OutlierDetector, ReplicaState};
 use crate::api::{
-    Ending, Note, Outcome, ReplicaId, Seconds, Share, WarmReplicas, ZoneFailoverState, ZoneHealth,
-    ZoneId,
+    Ending, LogEvent, Outcome, ReplicaId, Seconds, Share, WarmReplicas, ZoneFailoverState,
+    ZoneHealth, ZoneId,
 };
 use crate::balancer::ZoneOutcome;
 use crate::fleet::{Replica, SentAttempt};
 use crate::samples::push;
 use std::collections::BTreeMap;
 
-/// Number of outcomes of each zone that are kept, the latest, and the greatest number that is reported.
+/// Number of recent outcomes that are stored for each zone, and the largest number of lost parts in a row that is
+/// reported.
 const ZONE_OUTCOMES: usize = 6;
-/// How long an outcome can be part of a zone's run of losses.
+/// Age up to which an outcome can belong to a zone's uninterrupted sequence of lost parts.
 const RUN_WINDOW: Seconds = 6.0;
-/// How long an outcome counts otherwise.
+/// Age up to which an outcome counts where there is no such sequence.
 const OUTCOME_WINDOW: Seconds = 2.0;
-/// A slow answer counts as lost from the shortest latency target divided by this on.
+/// Divisor of the shortest latency target that gives the latency above which a part counts as lost.
 const SLOW_DIVISOR: f64 = 2.0;
-/// A part counts as overdue, and a slow answer as lost, from the shortest latency target divided by this on where its
-/// replica has answered nothing since it was sent.
+/// Divisor of the shortest latency target that gives the age above which a part in flight counts as overdue, and the
+/// latency above which a part counts as lost, if its replica has answered nothing since the part was sent.
 const OVERDUE_DIVISOR: f64 = 4.0;
-/// Tolerance for rounding beyond which a replica has left a part unanswered for the hedge delay: greater than that of
-/// `placement`, so that the replica of every part that is due a hedge counts.
+/// Tolerance for rounding in the age from which a part in flight shows its replica to be unresponsive. It is larger
+/// than the tolerance in `placement`, so that it covers the replica of every part that is due a hedge.
 const UNRESPONSIVE_TOLERANCE: Seconds = 1e-6;
-/// Ejection of a replica.
 const REPLICA_EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     min_failures: 2,
 };
-/// Ejection of a zone.
 const ZONE_EJECTION: EjectionConfig = EjectionConfig {
     window: 32,
     min_failures: 8,
 };
 
-/// What is in flight at a zone for too long, and what the zone can take.
+/// Load and capacity of a zone.
 #[derive(Default)]
 struct ZoneLoad {
+    /// Number of overdue parts in flight.
     overdue: usize,
+    /// Capacity of the zone's open replicas.
     capacity: WarmReplicas,
 }
 
-/// How many parts count of a zone, and how many of them were lost.
+/// Numbers of recent outcomes of a zone, overdue parts included.
 struct OutcomeCounts {
-    seen: usize,
+    total: usize,
     lost: usize,
 }
 
 impl Balancer {
-    /// Records the end of a call at its replica and at its zone. A zone that is cut off, or whose links lose
-    /// much, makes all of its replicas fail while each is known by too few outcomes; so the outcomes of
-    /// replicas that are not ejected themselves count for their zone.
+    /// Records the end of a call for the health of its replica and zone. If a zone is partitioned, or its links lose
+    /// many packets, all its replicas fail, but each of them may have too few outcomes to be ejected. Outcomes of
+    /// replicas that are not ejected themselves therefore count for their zone as well.
     pub(super) fn observe(
         &mut self,
         now: Seconds,
@@ -75,7 +77,9 @@
         let zone = replica.zone;
         if let Some(change) = change {
             let replica = outcome.replica.clone();
-            self.plan.notes.push(Note::Replica { replica, change });
+            self.plan
+                .log_events
+                .push(LogEvent::Replica { replica, change });
         }
         if let Some(zone) = zone {
             self.record_zone_outcome(now, zone, outcome, has_answered_since);
@@ -85,8 +89,9 @@
         }
     }
 
-    /// Records whether a part was lost in a zone. A busy zone must not seem lost, so that a slow answer counts
-    /// only from half of the latency target on, or from a quarter where nothing has come since it was sent.
+    /// Records whether a part was lost in a zone. So that a busy zone does not appear to have failed, a slow answer
+    /// counts as lost only above half of the shortest latency target, or above a quarter if its replica has answered
+    /// nothing since the part was sent.
     fn record_zone_outcome(
         &mut self,
         now: Seconds,
@@ -111,7 +116,7 @@
         }
     }
 
-    /// Records a call's end for the outlier ejection of its zone.
+    /// Records the end of a call for the outlier ejection of its zone.
     fn observe_zone(&mut self, zone: ZoneId, now: Seconds, sent_at: Seconds, failed: bool) {
         let observation = Observation {
             at: now,
@@ -121,18 +126,18 @@
         };
         let health = self.zones.entry(zone).or_default();
         if let Some(change) = health.observe(ZONE_EJECTION, observation) {
-            self.plan.notes.push(Note::Zone { zone, change });
+            self.plan.log_events.push(LogEvent::Zone { zone, change });
         }
     }
 
-    /// Takes over what the tier has agreed on about zones, if this co-ordinator is connected to it. A single
-    /// co-ordinator observes too little of a zone that is lost.
+    /// Applies the zone failover state that the tier has agreed on; `None` if this co-ordinator is not connected to the
+    /// tier. A single co-ordinator has too few outcomes to detect the failure of a zone.
     pub fn set_zone_failover(&mut self, now: Seconds, agreed: Option<ZoneFailoverState>) {
         for (zone, share) in agreed.iter().flat_map(|state| &state.shares) {
             let was_ejected = self.zone_share(Some(*zone)) <= 0.0;
             let health = self.zones.entry(*zone).or_default();
             if *share <= 0.0 {
-                // It is still sent probes, as if ejected by this co-ordinator's own calls.
+                // The zone is still sent probes, as if this co-ordinator had ejected it for its own calls.
                 health.eject(now, None);
             } else if was_ejected {
                 *health = OutlierDetector::default();
@@ -141,7 +146,7 @@
         self.zone_failover = agreed;
     }
 
-    /// The share of its traffic that a zone may have.
+    /// Share of its normal traffic that a zone may be sent; 1 if the tier has not restricted it.
     pub(super) fn zone_share(&self, zone: Option<ZoneId>) -> Share {
         self.zone_failover
             .as_ref()
@@ -151,7 +156,7 @@
             .unwrap_or(1.0)
     }
 
-    /// The outlier detector of the replica's zone, once something is known of the zone.
+    /// Outlier detector of the replica's zone; `None` before the zone's first outcome.
     pub(super) fn zone_detector(
         &self,
         replica: &Replica<ReplicaState>,
@@ -172,32 +177,34 @@
         replica.state.health.is_ejected() || self.is_zone_ejected(replica)
     }
 
-    /// The replica, if its own latency samples count. One that is ejected or forgotten counts as average.
+    /// The replica if its own latency samples may be used; `None`, for the fleet's average, if it is ejected or
+    /// unknown.
     pub(super) fn if_own_samples_count<'a>(&self, id: &'a ReplicaId) -> Option<&'a ReplicaId> {
         let replica = self.fleet.get(id)?;
         (!self.is_ejected(replica)).then_some(id)
     }
 
-    /// Whether the replica has answered nothing since it was sent a part that is due a hedge by now.
+    /// Whether a part in flight at the replica is due a hedge, and the replica has answered nothing since that part was
+    /// sent.
     pub(super) fn is_unresponsive(&self, now: Seconds, replica: &Replica<ReplicaState>) -> bool {
-        replica.unanswered(now + UNRESPONSIVE_TOLERANCE, self.limits.hedge_after) > 0
+        replica.unanswered_count(now + UNRESPONSIVE_TOLERANCE, self.limits.hedge_after) > 0
     }
 
-    /// What is reported to the tier of each zone: the latest parts, or the run of losses up to now where there is
-    /// one, as the answers before it say nothing of a zone that has just been lost.
+    /// Report to the tier on each zone. It counts the latest parts, or, if the latest two or more were all lost, only
+    /// that sequence of lost parts: answers before it say nothing about a zone that has just failed.
     pub fn zone_health(&self, now: Seconds) -> Vec<ZoneHealth> {
         let mut loads: BTreeMap<ZoneId, ZoneLoad> = BTreeMap::new();
         for (_, replica) in self.fleet.iter() {
             let Some(zone) = replica.zone else { continue };
             let load = loads.entry(zone).or_default();
-            load.overdue += replica.unanswered(now, self.shortest_target / OVERDUE_DIVISOR);
+            load.overdue += replica.unanswered_count(now, self.shortest_target / OVERDUE_DIVISOR);
             load.capacity += self.capacity_of(now, replica);
         }
         let health = |(zone, load): (ZoneId, ZoneLoad)| {
             let counts = self.recent_outcomes(now, zone, load.overdue);
             ZoneHealth {
                 zone,
-                seen: counts.seen,
+                seen: counts.total,
                 failed: counts.lost,
                 capacity: load.capacity,
             }
@@ -205,7 +212,7 @@
         loads.into_iter().map(health).collect()
     }
 
-    /// Counts the recent outcomes of a zone, with `overdue` parts in flight.
+    /// Counts the recent outcomes of a zone that has `overdue` parts in flight. The overdue parts count as lost.
     fn recent_outcomes(&self, now: Seconds, zone: ZoneId, overdue: usize) -> OutcomeCounts {
         let outcomes = self.zone_outcomes.get(&zone).into_iter().flatten().rev();
         let recent = || {
@@ -217,14 +224,14 @@
         let run = run.min(ZONE_OUTCOMES);
         if run > 1 {
             return OutcomeCounts {
-                seen: run,
+                total: run,
                 lost: run,
             };
         }
         let fresh = || recent().take_while(|outcome| outcome.at > now - OUTCOME_WINDOW);
         let lost = fresh().filter(|outcome| outcome.is_lost).count();
         OutcomeCounts {
-            seen: overdue + fresh().count(),
+            total: overdue + fresh().count(),
             lost: overdue + lost,
         }
     }
--- a/crates/routing/src/decide/hold.rs
+++ b/crates/routing/src/decide/hold.rs
@@ -1,5 +1,5 @@
-//! Backpressure on a replica that rejected a call or let it time out: until its queue has drained, it is sent no
-//! more calls than were in flight when that call ended.
+//! Backpressure on a replica that rejected a call or let it time out. While its queue drains, the number of calls in
+//! flight there is limited to the number when that call ended.
 
 /// Limit on this co-ordinator's calls in flight at one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -7,7 +7,7 @@
     /// Calls are sent at once.
     #[default]
     Unlimited,
-    /// Calls are queued until the replica has answered what was in flight.
+    /// Calls are queued until the replica has given as many answers as calls were in flight.
     Limited {
         /// A call is queued while more than this number of other calls are in flight.
         blocked_above: usize,
--- a/crates/routing/src/decide/hung_attempts.rs
+++ b/crates/routing/src/decide/hung_attempts.rs
@@ -1,14 +1,14 @@
-//! Hung attempts: cancelled where hedges are not allowed, so that their parts can go elsewhere.
+//! Cancellation of hung attempts where hedges are not allowed, so that their parts can be sent to another replica.
 
 use super::Balancer;
 use crate::api::{Attempt, AttemptId, Search, Seconds};
 
-/// An attempt is taken for hung after this multiple of the time after which it is late.
+/// Age from which an attempt counts as hung, as a multiple of the age from which it is late.
 const HUNG_AFTER: f64 = 1.5;
 
 impl Balancer {
-    /// Where hedges are not allowed, cancels the attempts of a part that wait on a hung replica, if another
-    /// replica can still meet the target: the part goes there once the outcome is in.
+    /// Where hedges are not allowed, cancels a part's attempts at hung replicas if another replica can still meet the
+    /// target. The part is sent there after the cancelled attempt has been reported as finished.
     pub(super) fn cancel_hung(
         &mut self,
         now: Seconds,
@@ -17,10 +17,10 @@
         part_index: usize,
     ) {
         let part = &search.parts[part_index];
-        let is_spent = part.attempts.len() >= self.settings.max_attempts;
+        let has_no_attempt_left = part.attempts.len() >= self.settings.max_attempts;
         if self.settings.hedging_allowed
             || !self.settings.cancellation_allowed
-            || is_spent
+            || has_no_attempt_left
             || !self.may_hedge(now, search, part)
         {
             return;
@@ -37,8 +37,9 @@
             .fleet
             .holders(part.shard)
             .find(|(id, _)| !part.tried(id));
-        let other_fits = other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
-        if !other_fits
+        let other_is_in_time =
+            other.is_some_and(|(id, _)| target - now > self.tail(now, search, id));
+        if !other_is_in_time
             || !part
                 .attempts_in_flight()
                 .all(|(_, attempt)| is_hung(attempt))
--- a/crates/routing/src/decide/outlier_detector.rs
+++ b/crates/routing/src/decide/outlier_detector.rs
@@ -1,25 +1,27 @@
-//! Outlier ejection: a replica or zone whose latest calls failed gets no traffic until probes succeed.
+//! Outlier ejection: a replica or zone whose recent calls failed gets no traffic except probes until these succeed.
 
 use crate::api::Seconds;
-pub use crate::api::{Change, EjectionConfig, Observation};
+pub use crate::api::{EjectionConfig, HealthChange, Observation};
 use crate::samples::push;
 use std::collections::VecDeque;
 
-/// How long an observation counts: longer than sparse traffic needs for two calls, shorter than most faults.
+/// Age up to which an observation counts. It is longer than the interval between two calls of sparse traffic, and
+/// shorter than most faults.
 const OBSERVATION_WINDOW: Seconds = 10.0;
-/// Failed calls of one class that eject it alone, and calls of other classes that show them to be healthy.
+/// Number of failed calls that ejects one class alone, and number of calls that shows the other classes to be healthy.
+/// Also the least number of calls from which [`OutlierDetector::all_failed`] concludes anything.
 const MIN_CLASS_CALLS: usize = 3;
-/// Successful probes in a row that end an ejection.
+/// Number of consecutive successful probes that ends an ejection.
 const SUCCESSES_TO_RESTORE: usize = 4;
-/// First interval between probes; it doubles with each failure.
-const PROBE_INTERVAL: Seconds = 1.0;
+/// Initial interval between probes; it doubles with each failed probe.
+const INITIAL_PROBE_INTERVAL: Seconds = 1.0;
 /// Longest interval between probes.
 const MAX_PROBE_INTERVAL: Seconds = 4.0;
-/// Traffic with fewer recent calls than this is sparse.
+/// Number of recent calls below which traffic counts as sparse.
 const SPARSE_CALLS: usize = 4;
 
 struct Ejection<C> {
-    /// The only class that is ejected; all if there is none.
+    /// The ejected class; `None` if all classes are ejected.
     only: Option<C>,
     since: Seconds,
     next_probe: Seconds,
@@ -28,7 +30,7 @@
 }
 
 impl<C> Ejection<C> {
-    /// Records how a probe ended.
+    /// Records the end of a probe. After a success the next probe is due at once.
     fn record_probe(&mut self, probe: &Observation<C>) {
         if probe.failed {
             self.successes = 0;
@@ -40,7 +42,6 @@
     }
 }
 
-/// The number of calls that failed.
 fn failures<C>(calls: &[&Observation<C>]) -> usize {
     calls.iter().filter(|call| call.failed).count()
 }
@@ -50,32 +51,38 @@
     failures(calls) >= min_failures && failures(calls) * 2 >= calls.len()
 }
 
-/// The latest calls to one replica or zone, and whether it is ejected for their failures.
+/// Outcomes of the latest calls to one replica or zone, and its ejection if they failed. `C` is the class of a call,
+/// such as the query type.
 pub struct OutlierDetector<C> {
-    seen: VecDeque<Observation<C>>,
+    calls: VecDeque<Observation<C>>,
     ejection: Option<Ejection<C>>,
 }
 
 impl<C> Default for OutlierDetector<C> {
     fn default() -> Self {
         OutlierDetector {
-            seen: VecDeque::new(),
+            calls: VecDeque::new(),
             ejection: None,
         }
     }
 }
 
 impl<C: Copy + PartialEq> OutlierDetector<C> {
-    /// Records the end of a call, and returns the change of health that follows from it. Where calls of other
-    /// classes succeed, only the failing class is ejected, by three failures of its own: a replica that fails
-    /// one class would otherwise be ejected for all, or for none.
-    pub fn observe(&mut self, config: EjectionConfig, call: Observation<C>) -> Option<Change> {
-        push(&mut self.seen, call, config.window);
+    /// Records the end of a call, and returns the change of health that it causes. If calls of other classes succeed,
+    /// only the failing class is ejected, after three failures. Without classes, a replica that fails one kind of call
+    /// would be ejected for all kinds or for none.
+    pub fn observe(
+        &mut self,
+        config: EjectionConfig,
+        call: Observation<C>,
+    ) -> Option<HealthChange> {
+        push(&mut self.calls, call, config.window);
         let recent = self
-            .seen
+            .calls
             .iter()
-            .filter(|seen| seen.at > call.at - OBSERVATION_WINDOW);
-        let (own, others): (Vec<_>, Vec<_>) = recent.partition(|seen| seen.class == call.class);
+            .filter(|earlier| earlier.at > call.at - OBSERVATION_WINDOW);
+        let (own, others): (Vec<_>, Vec<_>) =
+            recent.partition(|earlier| earlier.class == call.class);
         let Some(ejection) = &mut self.ejection else {
             let only_class = others.len() >= MIN_CLASS_CALLS && failures(&others) == 0;
             let is_failing = if only_class {
@@ -87,10 +94,10 @@
                 return None;
             }
             self.eject(call.at, only_class.then_some(call.class));
-            return Some(Change::Ejected);
+            return Some(HealthChange::Ejected);
         };
-        // What it was sent before the ejection may be answered. Where another class fails as well, the ejection
-        // is for all of them.
+        // Calls of another class, and calls sent before the ejection, are no probes. If a second class fails as well,
+        // the ejection is extended to all classes.
         if let Some(only) = ejection
             .only
             .filter(|only| *only != call.class || call.sent_at < ejection.since)
@@ -105,56 +112,57 @@
             return None;
         }
         self.ejection = None;
-        self.seen.retain(|seen| !seen.failed);
-        Some(Change::Restored)
+        self.calls.retain(|call| !call.failed);
+        Some(HealthChange::Restored)
     }
 
-    /// Ejects it for one class, or for all; nothing if it is ejected already.
+    /// Ejects the replica or zone for one class, or for all if `only` is `None`. Has no effect on an existing ejection.
     pub fn eject(&mut self, now: Seconds, only: Option<C>) {
         let ejection = Ejection {
             only,
             since: now,
-            next_probe: now + PROBE_INTERVAL,
-            probe_interval: PROBE_INTERVAL,
+            next_probe: now + INITIAL_PROBE_INTERVAL,
+            probe_interval: INITIAL_PROBE_INTERVAL,
             successes: 0,
         };
         self.ejection.get_or_insert(ejection);
     }
 
-    /// Whether it is ejected for at least one class.
+    /// Whether the replica or zone is ejected for at least one class.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Whether it is ejected for calls of this class.
+    /// Whether the replica or zone is ejected for calls of this class.
     pub fn is_ejected_for(&self, class: C) -> bool {
         self.ejection
             .as_ref()
             .is_some_and(|e| e.only.is_none_or(|only| only == class))
     }
 
-    /// Whether a probe of this class may be sent to the ejected replica or zone.
+    /// Whether the replica or zone is ejected for this class and the next probe is due.
     pub fn probe_due(&self, now: Seconds, class: C) -> bool {
         self.is_ejected_for(class) && self.ejection.as_ref().is_some_and(|e| now >= e.next_probe)
     }
 
-    /// Records that a probe was sent: the next one is due an interval later, or at once if this one succeeds.
+    /// Records that a probe was sent. The next one is due after the probe interval, or at once if this one succeeds.
     pub fn probe_sent(&mut self, now: Seconds) {
         if let Some(ejection) = &mut self.ejection {
             ejection.next_probe = now + ejection.probe_interval;
         }
     }
 
-    /// Whether all calls since then failed, three at least.
+    /// Whether all calls that ended after `since` failed, and there were at least three.
     pub fn all_failed(&self, since: Seconds) -> bool {
-        let mut recent = self.seen.iter().filter(|call| call.at > since);
+        let mut recent = self.calls.iter().filter(|call| call.at > since);
         recent.clone().count() >= MIN_CLASS_CALLS && recent.all(|call| call.failed)
     }
 
-    /// Whether the last call failed where traffic is sparse: two failures take long to see there.
+    /// Whether the last call failed and fewer than four calls ended recently. In sparse traffic it takes too long to
+    /// observe the failures that an ejection requires.
     pub fn failed_last_in_sparse_traffic(&self, now: Seconds) -> bool {
         let mut recent = self
-            .seen
+            .calls
             .iter()
             .rev()
             .take_while(|call| call.at > now - OBSERVATION_WINDOW);
--- a/crates/routing/src/decide/part_budget.rs
+++ b/crates/routing/src/decide/part_budget.rs
@@ -1,30 +1,31 @@
-//! The latency budget of one part of a request, and the queuing deadline of the whole (docs/design.md, Kept).
+//! Latency budget of one part of a request, and queuing deadline of the whole request (docs/design.md, Kept).
 
 use super::UnloadedLatency;
 use crate::api::{Seconds, Share};
 
-/// How long an unloaded latency counts.
+/// Age up to which a replica's unloaded latencies are used.
 pub(crate) const SAMPLE_AGE: Seconds = 20.0;
-/// Number of samples of one replica: they are replaced in seconds, and have a 0.97 quantile.
+/// Number of samples that are stored for each replica. So many are replaced within seconds, and allow a 0.97 quantile.
 pub(crate) const OWN_SAMPLES: usize = 32;
-/// Number of samples of the fleet.
+/// Number of samples that are stored for the fleet.
 pub(crate) const FLEET_SAMPLES: usize = 256;
-/// Before any sample, the unloaded latency is taken for the shortest latency target divided by this, which
-/// restricts nothing.
-pub(crate) const START_DIVISOR: f64 = 10.0;
-/// A replica with fewer samples of its own counts as average. A quantile of so few says nothing, and inflated
-/// samples push queuing deadlines below zero, so that such calls overtake every queue.
-pub(crate) const LEAST_SAMPLES: usize = 8;
+/// Divisor of the shortest latency target that gives the unloaded latency before any sample. The result is small enough
+/// to restrict nothing.
+pub(crate) const INITIAL_LATENCY_DIVISOR: f64 = 10.0;
+/// Number of own samples below which a replica counts as average. A quantile of fewer samples is unreliable, and
+/// inflated samples make queuing deadlines negative, so that such calls overtake all others in every queue.
+pub(crate) const MIN_OWN_SAMPLES: usize = 8;
 
-/// The probability with which all parts of a request are to be in time. Samples contain other co-ordinators' queues,
-/// so that with 0.95 a replica's tail is the worst of them and healthy replicas are skipped; with 0.5 hopeless parts
-/// still leave.
+/// Probability with which all parts of a request are to be in time. Samples include queuing behind other
+/// co-ordinators' calls: with 0.95, a replica's tail is the worst of these samples, and healthy replicas are skipped.
+/// With 0.5, parts are sent that cannot be answered in time.
 const IN_TIME_PROBABILITY: Share = 0.7;
-/// The highest quantile of a replica's latencies that is used: 32 samples allow no finer one. Beyond 1 - 1/16 one
-/// outlier has parts of wide requests skipped.
+/// Highest quantile of a replica's latencies that is used. 32 samples allow no finer one: above 1 - 1/16, a single
+/// outlier causes parts of requests with many parts to be skipped.
 const MAX_QUANTILE: Share = 1.0 - 1.0 / 16.0;
 
-/// Splits a target over `k` parts side by side: in time with probability p asks for p^(1/k) of each part.
+/// Splits a latency target over `k` concurrent parts: for all to be in time with probability p, each has to be in time
+/// with probability p^(1/k).
 pub struct PartBudget {
     probability: Share,
     max_quantile: Share,
@@ -40,14 +41,16 @@
 }
 
 impl PartBudget {
-    /// The quantile of a replica's unloaded latencies that a part of `k` must make: p^(1/k).
+    /// Probability with which each of `k` parts has to be in time, p^(1/k), as a quantile of its replica's unloaded
+    /// latencies. 0 parts count as 1.
     pub fn part_quantile(&self, k: usize) -> Share {
         self.probability
             .powf(1.0 / k.max(1) as f64)
             .min(self.max_quantile)
     }
 
-    /// When parts at these replicas must begin for the whole to end by `end`; `None` counts as average.
+    /// Latest time at which parts can start at these replicas so that the whole request finishes by `end`. A `None`
+    /// stands for a replica with the fleet's average latencies.
     pub fn queuing_deadline<R: Ord>(
         &self,
         now: Seconds,
@@ -58,7 +61,8 @@
         end - latencies.product_quantile(now, replicas, self.probability)
     }
 
-    /// The unloaded tail of a replica for one of `k` parts.
+    /// Tail of a replica's unloaded latencies, at the quantile that one of `k` parts has to reach; of the fleet's for
+    /// `None`.
     pub fn tail<R: Ord>(
         &self,
         now: Seconds,
@@ -69,7 +73,7 @@
         latencies.quantile(now, replica, self.part_quantile(k))
     }
 
-    /// Whether a part is not worth sending: the time that remains is shorter than the unloaded tail.
+    /// Whether a part is not worth sending because the remaining time is shorter than the unloaded tail latency.
     pub fn cannot_finish_in_time(remaining: Seconds, tail: Seconds) -> bool {
         remaining < tail
     }
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -1,43 +1,44 @@
-//! Where the parts of a search go, and when they leave.
+//! Choice of a replica for each part of a search, and of sending the part at once or queuing it.
 
 use super::{Balancer, Candidates, PartBudget, ReplicaState};
 use crate::api::{Attempt, AttemptId, Part, Placement, ReplicaId, Search, Seconds, Share};
 use crate::balancer::QueuedPart;
 use crate::fleet::Replica;
-use crate::samples::groups;
+use crate::samples::call_count;
 use std::collections::BTreeMap;
 
-/// Number of parts that are about to leave for each replica.
+/// Number of parts of the present plan that are to be sent to each replica.
 type PlannedParts = BTreeMap<ReplicaId, usize>;
 
-/// A replica that could be sent a part.
+/// A replica that holds the shard of a part.
 type Holder<'a> = (&'a ReplicaId, &'a Replica<ReplicaState>);
 
 /// Tolerance for rounding in the time at which a hedge is due.
 const DUE_TOLERANCE: Seconds = 1e-9;
 
-/// What to do with a part.
+/// Decision on a part.
 pub(super) enum Pick {
-    /// Send it now.
-    Go(ReplicaId),
-    /// Queue it: its replica is on hold, or earlier parts wait there.
+    /// Send the part to this replica now.
+    Send(ReplicaId),
+    /// Queue the part: this replica is under backpressure, or parts with earlier deadlines are queued there.
     Queue(ReplicaId),
-    /// Slow start keeps every replica that holds the shard closed for now.
+    /// Try again later: at present slow start admits no part to any replica that holds the shard.
     Later,
-    /// There is no replica at all, or the part can no longer be answered in time.
+    /// Send no further attempt: no replica holds the shard, the part can't be answered in time, or a repeat is not
+    /// allowed.
     Never,
 }
 
-/// A part of a search, by its index, and what to do with it.
+/// Decision on the part at `part_index` of a search.
 pub(super) struct PartPick {
     pub(super) part_index: usize,
     pub(super) pick: Pick,
 }
 
 impl Pick {
-    /// The replica that was chosen, if any.
+    /// The chosen replica; `None` for [`Pick::Later`] and [`Pick::Never`].
     pub(super) fn replica(&self) -> Option<&ReplicaId> {
-        if let Pick::Go(id) | Pick::Queue(id) = self {
+        if let Pick::Send(id) | Pick::Queue(id) = self {
             Some(id)
         } else {
             None
@@ -46,7 +47,8 @@
 }
 
 impl Balancer {
-    /// A pick for each part of the step that has no answer, and nothing in flight that is not due a hedge.
+    /// Decides on each unanswered part of the present step. Parts with an attempt in flight that is not yet due a hedge
+    /// are left out.
     pub(super) fn pick_all(
         &mut self,
         now: Seconds,
@@ -65,7 +67,7 @@
                 continue;
             }
             let pick = self.pick(now, until, search, part, &planned);
-            if let Pick::Go(id) = &pick {
+            if let Pick::Send(id) = &pick {
                 *planned.entry(id.clone()).or_default() += 1;
             }
             picks.push(PartPick { part_index, pick });
@@ -73,6 +75,7 @@
         picks
     }
 
+    /// Decides on one part. `planned` has the parts of the same plan that have been decided on before.
     fn pick(
         &mut self,
         now: Seconds,
@@ -99,41 +102,43 @@
             .holders(part.shard)
             .filter(|(id, _)| only.as_ref().is_none_or(|only| only == *id));
         let mut candidates = Candidates::new(holders);
-        let unless_chosen = if candidates.is_empty() {
+        let pick_if_none_chosen = if candidates.is_empty() {
             Pick::Never
         } else {
             Pick::Later
         };
         candidates.require(|(id, replica)| !self.exceeds_slow_start(now, replica, planned(id)));
         self.prefer_healthy(now, search, part, zone_draw, &mut candidates);
-        // Parts that are sent at one time share calls.
+        // Parts that are sent to a replica at the same time share calls.
         let parts_per_call = self.settings.parts_per_call;
         let calls = |(id, replica): &Holder<'_>, more: usize| {
             let in_flight = replica.in_flight.values().map(|call| call.sent_at);
-            let about_to_leave = std::iter::repeat_n(now, planned(id) + more);
-            groups(in_flight.chain(about_to_leave), parts_per_call)
+            let to_be_sent = std::iter::repeat_n(now, planned(id) + more);
+            call_count(in_flight.chain(to_be_sent), parts_per_call)
         };
         let Some(fewest) = candidates.least(|holder| calls(holder, 0)) else {
-            return unless_chosen;
+            return pick_if_none_chosen;
         };
-        // Ties go to the nearest zones, for as much as these can take; a part that shares a call adds none.
+        // Ties are broken in favour of near zones, up to the share of parts that these may be sent. A part that
+        // shares a call adds no load.
         candidates
             .prefer(|holder| self.is_near(holder.1, zone_draw) && calls(holder, 1) <= fewest + 1);
         let Some(chosen) = candidates.choose(|holder| calls(holder, 0), &mut self.rng) else {
-            return unless_chosen;
+            return pick_if_none_chosen;
         };
         let load = calls(&chosen, 0);
-        let is_hopeless =
+        let is_too_late =
             PartBudget::cannot_finish_in_time(until - now, self.tail(now, search, chosen.0));
-        // A hedge goes only where nothing of ours is in flight: it must not lengthen a queue.
-        if is_hopeless || (part.is_in_flight() && load > 0) {
+        // A hedge is sent only to a replica with none of this co-ordinator's calls in flight: it must not lengthen a
+        // queue.
+        if is_too_late || (part.is_in_flight() && load > 0) {
             return Pick::Never;
         }
-        self.go_or_queue(search, part, chosen, load)
+        self.send_or_queue(search, part, chosen, load)
     }
 
-    /// Queues the part if its replica is on hold, or others go before it there.
-    fn go_or_queue(&self, search: &Search, part: &Part, chosen: Holder<'_>, load: usize) -> Pick {
+    /// Queues the part if its replica is under backpressure, or if parts with earlier deadlines are queued there.
+    fn send_or_queue(&self, search: &Search, part: &Part, chosen: Holder<'_>, load: usize) -> Pick {
         let (id, replica) = chosen;
         let deadline = search.queuing_deadline();
         let queued = QueuedPart::of(search, part);
@@ -141,11 +146,11 @@
         if is_behind || replica.state.backpressure.blocks(load) {
             Pick::Queue(id.clone())
         } else {
-            Pick::Go(id.clone())
+            Pick::Send(id.clone())
         }
     }
 
-    /// Prefers replicas that haven't had the part, and among them those that are expected to answer.
+    /// Prefers replicas that the part was not sent to before, and among them those that are expected to answer.
     fn prefer_healthy(
         &self,
         now: Seconds,
@@ -166,7 +171,8 @@
         });
     }
 
-    /// Whether the replica is in one of the zones that are preferred for this draw.
+    /// Whether the replica is in a near zone. `zone_draw`, a random number from 0 to 1, selects the group of near zones
+    /// by their cumulative shares.
     fn is_near(&self, replica: &Replica<ReplicaState>, zone_draw: Share) -> bool {
         let near = self
             .zone_failover
@@ -177,7 +183,7 @@
             .is_some_and(|(near, zone)| near.zones.contains(&zone))
     }
 
-    /// The replica's unloaded tail for a part of the present step.
+    /// Tail of the replica's unloaded latencies for a part of the present step.
     pub(super) fn tail(&self, now: Seconds, search: &Search, id: &ReplicaId) -> Seconds {
         self.budget.tail(
             now,
@@ -187,8 +193,8 @@
         )
     }
 
-    /// Carries out a pick: sends the part, or queues it.
-    pub(super) fn act(
+    /// Carries out the decision on a part: sends or queues it.
+    pub(super) fn execute(
         &mut self,
         now: Seconds,
         until: Seconds,
@@ -199,19 +205,19 @@
         self.dequeue(search, part_index);
         let part = &search.parts[part_index];
         match pick {
-            Pick::Go(_) if !part.attempts.is_empty() && !self.retries.allows_retry(now) => {}
-            Pick::Go(id) => self.send(now, until, search, part_index, id),
-            // A queued hedge is pointless: its part is in flight already.
+            Pick::Send(_) if !part.attempts.is_empty() && !self.retries.allows_retry(now) => {}
+            Pick::Send(id) => self.send(now, until, search, part_index, id),
+            // A hedge is never queued, since its part already has an attempt in flight.
             Pick::Queue(id) if !part.is_in_flight() => {
                 let queued = QueuedPart::of(search, part);
                 self.queue.insert(&id, search.queuing_deadline(), queued);
-                search.parts[part_index].queued_at = Some(id);
+                search.parts[part_index].queued_for = Some(id);
             }
             _ => {}
         }
     }
 
-    /// Sends an attempt of a part to a replica that is still known.
+    /// Sends an attempt of a part to a replica; does nothing if the replica is unknown.
     pub(super) fn send(
         &mut self,
         now: Seconds,
@@ -228,7 +234,7 @@
             return;
         };
         if !part.attempts.is_empty() {
-            self.retries.record_repeat_sent(now);
+            self.retries.record_retry_sent(now);
         }
         let attempt = AttemptId {
             part: part.id,
@@ -252,16 +258,17 @@
         });
     }
 
-    /// Takes a part out of the queue of its replica, if it waits in one.
+    /// Removes a part from its replica's queue, if it is queued.
     pub(super) fn dequeue(&mut self, search: &mut Search, part_index: usize) {
-        if let Some(id) = search.parts[part_index].queued_at.take() {
+        if let Some(id) = search.parts[part_index].queued_for.take() {
             let queued = QueuedPart::of(search, &search.parts[part_index]);
             self.queue.remove(&id, search.queuing_deadline(), queued);
             self.reconsider_next(&id);
         }
     }
 
-    /// Has the first queued part of a replica reconsidered as soon as it may leave.
+    /// Adds the search of the replica's first queued part to the plan's `reconsider` list, unless backpressure blocks
+    /// the replica.
     pub(super) fn reconsider_next(&mut self, id: &ReplicaId) {
         if self
             .fleet
--- a/crates/routing/src/decide/probes.rs
+++ b/crates/routing/src/decide/probes.rs
@@ -1,13 +1,12 @@
-//! Probes of ejected replicas: hedges on which no search waits. `placement` picks the other hedges, `repeats` allows
-//! them.
+//! Probes of ejected replicas. A probe is a hedge that no search depends on; all other hedges are chosen in `placement`
+//! and allowed or not in `repeats`.
 
 use super::{Balancer, ReplicaState};
 use crate::api::{ReplicaId, Search, Seconds};
 use crate::fleet::Replica;
 
 impl Balancer {
-    /// Sends a second attempt of a part in flight to an ejected replica with nothing in flight, as a probe on
-    /// which no search waits.
+    /// Sends a further attempt of a part in flight, as a probe, to an ejected replica that has nothing in flight.
     pub(super) fn send_probe(
         &mut self,
         now: Seconds,
@@ -22,7 +21,7 @@
         {
             return;
         }
-        // A replica's own ejection goes first: the probes of its zone are for the others.
+        // A replica that is ejected itself follows its own probe interval. The zone's probes are sent to the others.
         let is_due = |(id, replica): &(&ReplicaId, &Replica<ReplicaState>)| {
             let own = &replica.state.health;
             let is_probe_due = if own.is_ejected_for(class) {
--- a/crates/routing/src/decide/repeats.rs
+++ b/crates/routing/src/decide/repeats.rs
@@ -1,27 +1,27 @@
-//! Whether a part may be sent once more.
+//! Whether a part may be sent again, as a retry or a hedge.
 
 use super::{Balancer, ReplicaState};
 use crate::api::{AttemptId, Part, Repeat, ReplicaId, Search, Seconds};
 use crate::fleet::Replica;
 use crate::mutations::is_mutated;
 
-/// Retries and hedges of one part beyond which no more are worth their cost.
+/// Number of retries and hedges of one part above which no more are worth their cost.
 const MAX_WORTHWHILE_REPEATS: usize = 2;
-/// An attempt is lost that was overtaken by this number of later ones: as many as a replica of few cores executes at a
-/// time.
+/// Number of later attempts, answered by the same replica, after which an earlier attempt counts as lost: the number
+/// that a replica of few cores executes at a time.
 const MIN_OVERTAKERS: usize = 4;
 
-/// How a part may be sent once more without taking effect twice.
+/// Conditions under which a part may be sent again without taking effect twice.
 #[derive(Clone, Debug)]
 pub(super) struct AllowedRepeat {
-    /// The only replica that it may go to, if not any.
+    /// The only replica that the part may be sent to; any replica if `None`.
     pub(super) only: Option<ReplicaId>,
-    /// Time before which it has to begin to leave, however long it waits for a connection.
+    /// Time before which sending has to start, the wait for a connection included; infinite if there is no limit.
     pub(super) begin_by: Seconds,
 }
 
 impl AllowedRepeat {
-    /// To any replica, at any time.
+    /// The part may be sent to any replica at any time.
     const ANYWHERE: AllowedRepeat = AllowedRepeat {
         only: None,
         begin_by: f64::INFINITY,
@@ -29,7 +29,7 @@
 }
 
 impl Balancer {
-    /// How the part may be sent once more; `None` if it might take effect twice.
+    /// Conditions under which the part may be sent again; `None` if it might take effect twice.
     pub(super) fn may_repeat(
         &self,
         now: Seconds,
@@ -56,18 +56,22 @@
         }
     }
 
-    /// Whether another attempt is worth its cost: never under overload, at most two beyond the first, and a
-    /// hedge only of a part that is lost.
+    /// Whether another attempt is worth its cost. None is during overload; otherwise at most two beyond the first
+    /// are, and a hedge only for a lost part.
     pub(super) fn is_repeat_worthwhile(&mut self, now: Seconds, part: &Part) -> bool {
         let attempts = part.attempts.len();
-        let is_spent = attempts > MAX_WORTHWHILE_REPEATS || attempts >= self.settings.max_attempts;
-        let is_barred =
+        let has_no_attempt_left =
+            attempts > MAX_WORTHWHILE_REPEATS || attempts >= self.settings.max_attempts;
+        let is_unwanted_hedge =
             part.is_in_flight() && !(self.settings.hedging_allowed && self.is_lost(now, part));
-        !self.limits.overloaded && !is_spent && !is_barred && self.retries.allows_retry(now)
+        !self.limits.overloaded
+            && !has_no_attempt_left
+            && !is_unwanted_hedge
+            && self.retries.allows_retry(now)
     }
 
-    /// Whether every attempt in flight waits on an unresponsive or ejected replica, or was overtaken by
-    /// several that were sent later. Where queues are the cause, hedges lengthen them.
+    /// Whether every attempt in flight is at an unresponsive, ejected or unknown replica, or was overtaken by several
+    /// later attempts. An attempt that is only queued at its replica does not count: hedges would lengthen the queues.
     fn is_lost(&self, now: Seconds, part: &Part) -> bool {
         let is_lost_at = |index: usize, replica: &Replica<ReplicaState>| {
             let part = part.id;
@@ -84,7 +88,7 @@
         })
     }
 
-    /// Whether a second attempt is harmless beside one in flight.
+    /// Whether the part has an attempt in flight and may be sent to any other replica without taking effect twice.
     pub(super) fn may_hedge(&self, now: Seconds, search: &Search, part: &Part) -> bool {
         part.is_in_flight()
             && self
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -1,62 +1,64 @@
-//! One search from its arrival to its reply.
+//! The steps of a search from its arrival to its reply.
 
 use super::Balancer;
 use super::placement::{PartPick, Pick};
 use crate::api::{
-    Attempt, AttemptId, Ending, Note, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply, Search,
-    Seconds, Share,
+    Attempt, AttemptId, Ending, LogEvent, Outcome, Plan, QueryType, Repeat, ReplicaId, Reply,
+    Search, Seconds, Share,
 };
 use crate::fleet::SentAttempt;
 use crate::mutations::is_mutated;
 use crate::samples::{Sample, push};
 
-/// Sums of weights may fall this short.
-const ROUNDING: Share = 1e-4;
-/// Latencies that are remembered of each replica, with its queue.
+/// Tolerance for rounding errors in sums of weights.
+const WEIGHT_TOLERANCE: Share = 1e-4;
+/// Number of recent latencies, queuing included, that are stored for each replica.
 const LOADED_SAMPLES: usize = 8;
-/// How soon a part without an attempt that is due a hedge is looked at again: slow start and the retry budget open with
-/// time alone.
+/// Interval after which an unanswered part is reconsidered, unless a hedge of it becomes due at a known time. Slow
+/// start and the retry budget may admit an attempt without any event.
 const RECONSIDER_INTERVAL: Seconds = 0.1;
-/// Ticks that an answer takes beyond its last part: one until it is handled, one until it leaves, and its way to the
-/// client.
+/// Number of ticks from the answer to the last part until the reply has reached the client: one until the answer is
+/// handled, one until the reply is sent, and the rest for the network.
 const REPLY_TICKS: f64 = 4.0;
-/// A late answer is waited for only if it keeps more than this share of its value: it costs as much as one in time.
+/// Share of its value that a late answer must exceed to be worth waiting for, since it costs as much as a timely one.
 const MIN_LATE_VALUE: Share = 0.5;
-/// Unloaded tails of the second step that the first step leaves of the target: with one of them the second step's parts
-/// would be skipped on arrival.
+/// Time that the first step reserves for the second, as a multiple of the second step's unloaded tail latency. With
+/// only one such latency, the parts of the second step would be skipped on arrival.
 const SECOND_STEP_TAILS: f64 = 2.0;
 
-/// By when the present step of a search is to be answered.
+/// Deadlines of the present step of a search.
 pub(super) struct StepTimes {
-    /// The time by which it has to be answered to meet the latency target.
+    /// Latest time of the step's answer that meets the latency target.
     pub(super) target: Seconds,
-    /// The last time at which an answer still has value.
+    /// Latest time at which an answer is still worth waiting for.
     pub(super) until: Seconds,
 }
 
 impl Balancer {
-    /// What to do after this outcome; the search is absent if the caller no longer holds it.
+    /// Handles the end of an attempt, and returns what to do next. `search` is the search of the attempt; `None` if
+    /// it has ended.
     pub fn attempt_finished(
         &mut self,
         now: Seconds,
         search: Option<&mut Search>,
         outcome: &Outcome,
     ) -> Plan {
-        let call = self.record(now, outcome);
+        let call = self.record_replica_outcome(now, outcome);
         self.limits.update(&self.unloaded, &self.budget);
         if let Some(search) = search {
             search.record_outcome(outcome);
             self.decide(now, search);
         }
-        // An attempt that was cancelled as hung frees no capacity: its replica answers nothing.
+        // An attempt that was cancelled as hung frees no capacity, since its replica does not respond.
         if !call.is_some_and(|call| call.cancelled_as_hung) {
             self.reconsider_next(&outcome.replica);
         }
-        self.forget_if_unused(&outcome.replica);
+        self.remove_if_unused(&outcome.replica);
         std::mem::take(&mut self.plan)
     }
 
-    /// How long until the search should be asked about again, if no outcome comes before.
+    /// Time until [`Balancer::place`] is to be called again for the search, if no outcome is received before; at
+    /// least one tick.
     pub fn wait(&self, now: Seconds, search: &Search) -> Seconds {
         let StepTimes { target, until } = self.step_times(search);
         let mut due = if target > now {
@@ -75,8 +77,9 @@
         (due - now).max(self.settings.tick)
     }
 
-    /// Takes in what an outcome says of its replica; `None` if nothing was in flight.
-    fn record(&mut self, now: Seconds, outcome: &Outcome) -> Option<SentAttempt> {
+    /// Updates the state of the replica after an outcome. Returns the attempt that has ended; `None` if it was not in
+    /// flight.
+    fn record_replica_outcome(&mut self, now: Seconds, outcome: &Outcome) -> Option<SentAttempt> {
         self.sample_capacity(now);
         let late = outcome.latency > self.limits.late_after;
         let ejected = self.if_own_samples_count(&outcome.replica).is_none();
@@ -87,11 +90,11 @@
             index: outcome.attempt_index,
         };
         let call = replica.attempt_finished(now, id, answered)?;
-        let known = &mut replica.state;
+        let state = &mut replica.state;
         if answered {
-            known.backpressure.record_answer();
+            state.backpressure.record_answer();
             self.limits.record_answer(now, outcome.latency);
-            if call.alone {
+            if call.sent_to_idle {
                 self.unloaded
                     .record(now, &outcome.replica, outcome.latency, ejected);
             }
@@ -99,7 +102,7 @@
         let was_given_up = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
         if answered || (was_given_up && outcome.latency > 0.0) {
             push(
-                &mut known.loaded,
+                &mut state.loaded,
                 Sample {
                     at: now,
                     value: outcome.latency,
@@ -108,18 +111,19 @@
             );
         }
         if matches!(outcome.ending, Ending::Full | Ending::TimedOut) {
-            known.backpressure.begin(replica.in_flight.len());
+            state.backpressure.begin(replica.in_flight.len());
         }
-        // One given up says something of health only if it is late.
+        // A cancelled attempt is evidence of bad health only if it was late.
         if outcome.ending == Ending::NeverSent || (outcome.ending == Ending::Cancelled && !late) {
             return Some(call);
         }
-        known.warming.attempt_finished(outcome.ending);
+        state.warming.attempt_finished(outcome.ending);
         self.observe(now, outcome, &call, !answered || late);
         Some(call)
     }
 
-    /// By when the present step is to be answered.
+    /// Deadlines of the present step. They leave time for the reply, and the first of two steps leaves time for the
+    /// second.
     pub(super) fn step_times(&self, search: &Search) -> StepTimes {
         let margin = REPLY_TICKS * self.settings.tick;
         let query_type = &self.settings.query_types[search.query_type.0];
@@ -145,7 +149,8 @@
         }
     }
 
-    /// Sends, queues or ends what is due of a search.
+    /// Decides on a search: completes the step, gives the search up, or sends and queues its parts. Adds the actions
+    /// to the plan.
     pub(crate) fn decide(&mut self, now: Seconds, search: &mut Search) {
         if search.finished {
             return;
@@ -179,26 +184,26 @@
         }
         for PartPick { part_index, pick } in picks {
             self.cancel_hung(now, target, search, part_index);
-            self.act(now, until, search, part_index, pick);
+            self.execute(now, until, search, part_index, pick);
             if is_new_step {
                 self.send_probe(now, until, search, part_index);
             }
         }
     }
 
-    /// Updates the overload state, and logs when it changes.
+    /// Updates the overload state, and logs each change.
     fn record_overload(&mut self, now: Seconds) {
         if !self.limits.update_overload(now, &self.unloaded) {
             return;
         }
-        self.plan.notes.push(if self.limits.overloaded {
-            Note::OverloadBegan
+        self.plan.log_events.push(if self.limits.overloaded {
+            LogEvent::OverloadBegan
         } else {
-            Note::OverloadEnded
+            LogEvent::OverloadEnded
         });
     }
 
-    /// Sets the queuing deadline of a step that has just begun; false if the search is to be shed instead.
+    /// Sets the queuing deadline of a step that has just begun. Returns false if the search is to be shed.
     fn admit_step(
         &mut self,
         now: Seconds,
@@ -212,7 +217,7 @@
             now
         };
         self.retries
-            .record_taken(step_started_at, search.step_parts().count());
+            .record_work(step_started_at, search.step_parts().count());
         let chosen: Vec<ReplicaId> = picks
             .iter()
             .filter_map(|part| part.pick.replica().cloned())
@@ -225,15 +230,15 @@
             .budget
             .queuing_deadline(now, target, &self.unloaded, &sampled);
         search.queuing_deadline = Some(deadline);
-        !(search.step == 1 && self.sheds(now, target, search, &chosen))
+        !(search.step == 1 && self.should_shed(now, target, search, &chosen))
     }
 
-    /// Replies with the parts that are answered if they suffice, with a rejection where another attempt is proven
-    /// harmless, or else with an error.
+    /// Ends a search before all parts are answered. Replies with the parts that are answered if they suffice, sheds the
+    /// search if a retry provably does no harm, and otherwise reports an error.
     fn give_up(&mut self, now: Seconds, search: &mut Search) {
         let query_type = &self.settings.query_types[search.query_type.0];
         let answered = search.answered_weight();
-        let is_harmless = query_type.repeat == Repeat::Idempotent
+        let is_retry_harmless = query_type.repeat == Repeat::Idempotent
             || search
                 .parts
                 .iter()
@@ -244,13 +249,13 @@
         } else {
             query_type.minimum_weight
         };
-        let reply = if answered > 0.0 && answered >= minimum - ROUNDING {
+        let reply = if answered > 0.0 && answered >= minimum - WEIGHT_TOLERANCE {
             Reply::Answered {
                 complete: is_mutated("routing-whole"),
             }
-        } else if is_harmless {
-            // The client should retry after half of the time that remains for queuing, if that can still be in time;
-            // otherwise as late as allowed, which relieves the replicas.
+        } else if is_retry_harmless {
+            // If a retry can still be in time, it should follow after half of the time that remains for queuing.
+            // Otherwise it should follow as late as allowed, which relieves the replicas.
             let longest = self.settings.max_retry_after.unwrap_or(0.0);
             let remaining = search.queuing_deadline.unwrap_or(now) - now;
             Reply::Shed {
@@ -266,7 +271,8 @@
         self.close(search, Some(reply));
     }
 
-    /// Ends the present step, or the search: what is queued or in flight is given up.
+    /// Ends the present step, or the search if no step follows. Its queued parts are removed, and its attempts in
+    /// flight are cancelled if the settings allow it. `reply` is `None` if the client has disconnected.
     pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
         for part_index in 0..search.parts.len() {
             self.dequeue(search, part_index);
@@ -295,27 +301,27 @@
     }
 }
 
-/// Whether the answers that have come make the present step complete.
+/// Whether the answers received so far make the present step complete.
 fn is_step_complete(query_type: &QueryType, search: &Search) -> bool {
     if search.step == 1 {
-        search.answered_weight() >= query_type.complete_weight - ROUNDING
+        search.answered_weight() >= query_type.complete_weight - WEIGHT_TOLERANCE
     } else {
-        search.answered_weight() >= 1.0 - ROUNDING
+        search.answered_weight() >= 1.0 - WEIGHT_TOLERANCE
             && search.step_parts().all(|(_, part)| part.answered)
     }
 }
 
-/// Whether the answers that have come may be given as a partial answer.
+/// Whether the answers received so far may be returned as a partial answer.
 fn may_answer_partially(query_type: &QueryType, search: &Search) -> bool {
     let answered = search.answered_weight();
-    answered >= query_type.minimum_weight - ROUNDING
+    answered >= query_type.minimum_weight - WEIGHT_TOLERANCE
         && answered > 0.0
         && query_type.minimum_weight < query_type.complete_weight
 }
 
-/// Whether the parts that can still be answered suffice for the least answer.
+/// Whether the search can still reach the minimum weight with the parts that are answered or can still be answered.
 fn can_reach_minimum(query_type: &QueryType, search: &Search, picks: &[PartPick]) -> bool {
-    let is_hopeless = |part_index: usize| {
+    let is_abandoned = |part_index: usize| {
         picks
             .iter()
             .any(|part| part.part_index == part_index && matches!(part.pick, Pick::Never))
@@ -323,10 +329,10 @@
     let weights: Vec<f64> = search
         .step_parts()
         .filter(|(_, part)| !part.answered)
-        .filter(|(index, part)| !is_hopeless(*index) || part.is_in_flight())
+        .filter(|(index, part)| !is_abandoned(*index) || part.is_in_flight())
         .map(|(_, part)| part.weight)
         .collect();
     let answered = search.answered_weight();
     !weights.is_empty()
-        && answered + weights.iter().sum::<f64>() >= query_type.minimum_weight - ROUNDING
+        && answered + weights.iter().sum::<f64>() >= query_type.minimum_weight - WEIGHT_TOLERANCE
 }
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: limits what is sent to a replica that is warming up (docs/design.md, exception 7).
+//! Slow start: limits the rate of parts to a replica that is warming up (docs/design.md, exception 7).
 
 use super::{Balancer, ReplicaState};
 use crate::api::{Ending, ReplicaId, Seconds, Share, SlowStartConfig, WarmReplicas};
@@ -8,62 +8,64 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// The golden ratio's fraction. Steps of it spread the co-ordinators' turns evenly: in any window as many have
-/// theirs as their shares add up to.
-const GOLDEN: f64 = 0.618_033_988_75;
-/// Number of samples of the fleet's capacity that are kept, the latest.
+/// Fractional part of the golden ratio. Multiples of it are spread evenly over [0, 1), so that in each window the
+/// number of co-ordinators with a time slot matches the sum of their shares.
+const GOLDEN_FRACTION: f64 = 0.618_033_988_75;
+/// Number of recent samples of the fleet's capacity that are stored.
 const CAPACITY_SAMPLES: usize = 9;
-/// Interval between two samples of the fleet's capacity.
 const CAPACITY_INTERVAL: Seconds = 0.25;
 
-/// Answers of a replica after which it may have one more attempt in flight.
+/// Number of answers of a replica that raise its limit of attempts in flight by one.
 const ANSWERS_PER_ATTEMPT: usize = 4;
-/// Before any sample, the work of a part is taken for the shortest latency target divided by this.
+/// Divisor of the shortest latency target that gives the execution time of a part before any sample.
 const INITIAL_WORK_DIVISOR: f64 = 5.0;
-/// A co-ordinator without quota has at least its even share of a warming replica divided by this.
+/// Divisor of the even share of a warming replica that gives the least rate of a co-ordinator, before any quota.
 const MIN_EVEN_SHARE_DIVISOR: f64 = 2.0;
 
-/// What this co-ordinator knows of a replica's start.
+/// Warm-up state of a replica, as far as this co-ordinator knows it.
 #[derive(Default)]
 pub(crate) struct Warming {
-    /// Where this co-ordinator's turns begin.
+    /// Offset of this co-ordinator's sequence of time slots.
     phase: Share,
-    /// What the tier has allocated to this co-ordinator, in even shares.
+    /// Share of the replica that the tier has allocated to this co-ordinator, as a multiple of the even share; `None`
+    /// without an allocation.
     pub(crate) quota_share: Option<f64>,
-    /// Times of the attempts sent within the overload window.
+    /// Times of the attempts sent within the overload window, oldest first.
     pub(crate) sends: VecDeque<Seconds>,
-    /// Number of parts that slow start has kept from the replica.
+    /// Number of times that slow start has prevented sending a part to the replica.
     pub(crate) suppressed: Cell<u64>,
-    /// Whether its connections were reset since it last answered.
+    /// Whether a connection to the replica broke since its last answer.
     reset: bool,
-    /// Whether it is taken for a new process that isn't listed yet.
+    /// Whether the replica has probably restarted, and was sent nothing since.
     restarted: bool,
-    /// When such a process was first sent a part.
+    /// Time at which a replica that has probably restarted was first sent a part.
     restarted_at: Option<Seconds>,
 }
 
 impl Warming {
-    /// A process that has just been listed. The turns of different replicas and co-ordinators begin apart.
+    /// State of a replica whose process has just been listed. The offset of the time slots differs by replica and
+    /// co-ordinator; `random` replaces a missing `coordinator_index`.
     pub(crate) fn new(replica: &ReplicaId, coordinator_index: Option<u64>, random: Share) -> Self {
         let offset = replica
             .0
             .bytes()
             .fold(0, |hash, byte| (hash * 31 + u64::from(byte)) % 997);
         Warming {
-            phase: coordinator_index.map_or(random, |index| (index + offset) as f64 * GOLDEN),
+            phase: coordinator_index
+                .map_or(random, |index| (index + offset) as f64 * GOLDEN_FRACTION),
             ..Warming::default()
         }
     }
 
-    /// Records how an attempt ended. A replica that resets connections and then refuses a new one has died:
-    /// what answers next is a new process, which is listed only seconds later. A replica that can't be reached
-    /// becomes unresponsive instead.
+    /// Records the end of an attempt. A replica that resets a connection and then refuses a new one has crashed. The
+    /// next answer is from a new process, which appears in the endpoint list only seconds later. A partitioned
+    /// replica becomes unresponsive instead.
     pub(crate) fn attempt_finished(&mut self, ending: Ending) {
         self.restarted |= self.reset && ending == Ending::Unreachable;
         self.reset = ending == Ending::Broken || (self.reset && ending != Ending::Answered);
     }
 
-    /// Records that a part leaves for the replica.
+    /// Records that a part is sent to the replica.
     pub(crate) fn attempt_sent(&mut self, now: Seconds, config: Option<&SlowStartConfig>) {
         if std::mem::take(&mut self.restarted) {
             self.restarted_at = Some(now);
@@ -75,7 +77,8 @@
         }
     }
 
-    /// When its process started, as far as this co-ordinator knows; `ready_at` is what the list says.
+    /// Start time of the replica's process, as far as this co-ordinator knows. `ready_at` is the start time in the
+    /// endpoint list.
     fn started_at(&self, now: Seconds, ready_at: Option<Seconds>) -> Option<Seconds> {
         let restarted = if self.restarted {
             Some(now)
@@ -85,14 +88,13 @@
         ready_at.into_iter().chain(restarted).max_by(f64::total_cmp)
     }
 
-    /// Number of attempts sent within the last `window`.
     fn sent_within(&self, now: Seconds, window: Seconds) -> usize {
         self.sends.iter().filter(|at| **at > now - window).count()
     }
 }
 
 impl Balancer {
-    /// The present capacity of an open replica; 0 for one that isn't open.
+    /// Present capacity of a replica; 0 if it is not open.
     pub(super) fn capacity_of(
         &self,
         now: Seconds,
@@ -109,7 +111,8 @@
         (initial + (1.0 - initial) * (now - started_at) / config.duration).min(1.0)
     }
 
-    /// Samples the fleet's capacity, for as long as answers count for a replica's share.
+    /// Samples the fleet's capacity at intervals. The samples cover about the window over which the rate of answers is
+    /// measured.
     pub(super) fn sample_capacity(&mut self, now: Seconds) {
         if self
             .capacity
@@ -129,9 +132,10 @@
         }
     }
 
-    /// Whether one more part would exceed this co-ordinator's share of a warming replica. The replica is
-    /// overloaded if all co-ordinators together send it more than a multiple of its capacity. A share of less
-    /// than one part goes by turns, one overload window each.
+    /// Whether another part would exceed this co-ordinator's share of a warming replica. The replica is overloaded if
+    /// all co-ordinators together send it more than a multiple of its capacity within an overload window. Fractions
+    /// of a part are granted in time slots, each one overload window long. `planned`: number of parts of the present
+    /// plan for it.
     pub(super) fn exceeds_slow_start(
         &self,
         now: Seconds,
@@ -158,18 +162,19 @@
         let share = config.overload_multiple * capacity * config.overload_window * rate;
         let sent = warming.sent_within(now, config.overload_window) + planned;
         let windows = ((now - started_at) / config.overload_window).floor();
-        let turn = (warming.phase + windows * GOLDEN).rem_euclid(1.0);
-        let is_closed = rate <= 0.0 || sent as f64 + 1.0 > share + turn;
-        let suppressed = warming.suppressed.get() + u64::from(is_closed);
+        let slot = (warming.phase + windows * GOLDEN_FRACTION).rem_euclid(1.0);
+        let exceeds = rate <= 0.0 || sent as f64 + 1.0 > share + slot;
+        let suppressed = warming.suppressed.get() + u64::from(exceeds);
         warming.suppressed.set(suppressed);
-        is_closed
+        exceeds
     }
 
-    /// Parts per second that this co-ordinator may send to a replica that is warm: what a warm one answers it on
-    /// average, or half of its even share at the mean unloaded latency on one core; adjusted by the share that
-    /// the tier has allocated.
+    /// Parts per second that this co-ordinator could send to the replica once it is warm. This is the larger of its
+    /// average rate of answers from a warm replica and half of its even share of one core at the mean unloaded latency,
+    /// adjusted by the share that the tier has allocated.
     fn warming_rate(&self, now: Seconds, warming: &Warming) -> f64 {
-        // The mean, not the median: the work of parts is skewed, and the overload threshold sums it.
+        // The mean and not the median: execution times of parts are skewed, and the overload threshold applies to their
+        // sum.
         let work =
             mean(&self.unloaded.fleet()).unwrap_or(self.shortest_target / INITIAL_WORK_DIVISOR);
         let even = 1.0 / work / self.settings.coordinators.max(1) as f64;
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,51 +1,51 @@
-//! The replicas that the endpoint list names, by cell, with this co-ordinator's attempts in flight at each.
+//! Replicas in the endpoint list, indexed by cell, with this co-ordinator's attempts in flight at each.
 
 use crate::api::{AttemptId, ListedReplica, QueryTypeId, ReplicaId, Seconds, ShardId, ZoneId};
 use crate::mutations::is_mutated;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt that was sent, until it ends.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAttempt {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Seconds,
-    /// Whether nothing else of this co-ordinator was in flight at its replica when it was sent.
-    pub alone: bool,
-    /// The query type of its search.
+    /// Whether this co-ordinator had nothing else in flight at the replica when the attempt was sent.
+    pub sent_to_idle: bool,
+    /// Query type of the attempt's search.
     pub query_type: QueryTypeId,
-    /// Number of attempts that were sent there later and answered before it.
+    /// Number of attempts that were sent to the same replica later and have been answered.
     pub overtaken_by: usize,
-    /// Whether it was cancelled because its replica hangs, so that its part can go elsewhere.
+    /// Whether the attempt was cancelled because its replica hangs, so that its part can be sent to another one.
     pub cancelled_as_hung: bool,
 }
 
-/// A replica, and the `state` in which the decisions keep what they know of it.
+/// A replica in the endpoint list, or one that still has attempts in flight after its removal.
 #[derive(Debug, Default)]
 pub struct Replica<S> {
-    /// Whether it may be sent new work.
+    /// Whether the replica may be sent new work.
     pub open: bool,
-    /// Its zone, once listed.
+    /// Zone of the replica; `None` only before its first line of the endpoint list has been applied.
     pub zone: Option<ZoneId>,
     cell: u64,
-    /// When its process started, if that was recent.
+    /// Start time of the replica's process; `None` if the process has long been warm.
     pub ready_at: Option<Seconds>,
-    /// Attempts in flight.
+    /// Attempts of this co-ordinator in flight.
     pub in_flight: BTreeMap<AttemptId, SentAttempt>,
-    /// Number of answers since the start of its process.
+    /// Number of answers to this co-ordinator since the start of the process.
     pub answers: usize,
-    /// When the last of them came.
+    /// Time of the last of these answers; 0 before the first.
     pub answered_at: Seconds,
-    /// What the decisions know of it.
+    /// State that belongs to the routing decisions.
     pub state: S,
 }
 
 impl<S> Replica<S> {
-    /// Records that an attempt leaves for it.
+    /// Records that an attempt is sent to the replica.
     pub fn attempt_sent(&mut self, now: Seconds, id: AttemptId, query_type: QueryTypeId) {
-        let alone = self.in_flight.is_empty();
+        let sent_to_idle = self.in_flight.is_empty();
         let call = SentAttempt {
             sent_at: now,
-            alone,
+            sent_to_idle,
             query_type,
             overtaken_by: 0,
             cancelled_as_hung: false,
@@ -53,7 +53,7 @@
         self.in_flight.insert(id, call);
     }
 
-    /// Records the end of an attempt; `None` if it was not in flight.
+    /// Records the end of an attempt, and returns the attempt; `None` if it was not in flight.
     pub fn attempt_finished(
         &mut self,
         now: Seconds,
@@ -72,24 +72,24 @@
         Some(call)
     }
 
-    /// The age of the oldest attempt in flight, or 0.
-    pub fn oldest(&self, now: Seconds) -> Seconds {
+    /// Age of the oldest attempt in flight; 0 if there is none.
+    pub fn oldest_age(&self, now: Seconds) -> Seconds {
         self.in_flight
             .values()
             .map(|call| now - call.sent_at)
             .fold(0.0, f64::max)
     }
 
-    /// The number of attempts in flight for longer than `age` with nothing answered since they were sent.
-    pub fn unanswered(&self, now: Seconds, age: Seconds) -> usize {
+    /// Number of attempts that are in flight for longer than `age` and were sent after the replica's last answer.
+    pub fn unanswered_count(&self, now: Seconds, age: Seconds) -> usize {
         let overdue =
             |call: &&SentAttempt| call.sent_at + age < now && self.answered_at < call.sent_at;
         self.in_flight.values().filter(overdue).count()
     }
 }
 
-/// All replicas. They are indexed by cell, so that the cost of an event grows with the replicas that hold its
-/// shards and not with the fleet.
+/// All known replicas, with decision state `S` for each. The index by cell makes the cost of an event depend on the
+/// number of replicas that hold its shards, and not on the size of the fleet.
 #[derive(Debug)]
 pub struct Fleet<S> {
     replicas: BTreeMap<ReplicaId, Replica<S>>,
@@ -99,7 +99,7 @@
 }
 
 impl<S: Default> Fleet<S> {
-    /// A fleet of which nothing is known; a shard is held by `span` cells of `cells` from its own on.
+    /// An empty fleet of `cells` cells. Each shard is stored in `span` consecutive cells, starting with its own.
     pub fn new(cells: u64, span: u64) -> Self {
         Fleet {
             replicas: BTreeMap::new(),
@@ -109,13 +109,14 @@
         }
     }
 
-    /// Takes in lines of the endpoint list; a `full` list names all replicas. `started` makes the state of a new
-    /// process. Returns the replicas that were forgotten: not open, nothing in flight.
+    /// Applies lines of the endpoint list. A `full` list replaces the previous one; other lines are changes.
+    /// `new_state` creates the state for a new process. Returns the replicas that were removed because they are not
+    /// open and have nothing in flight.
     pub fn apply_endpoint_list(
         &mut self,
         full: bool,
         lines: &[ListedReplica],
-        mut started: impl FnMut(&ListedReplica) -> S,
+        mut new_state: impl FnMut(&ListedReplica) -> S,
     ) -> Vec<ReplicaId> {
         if full {
             self.replicas
@@ -125,11 +126,11 @@
         for line in lines {
             let replica = self.replicas.entry(line.replica.clone()).or_default();
             if line.open && replica.ready_at != line.ready_at {
-                // A new process, perhaps of a machine that comes back under its identifier.
+                // A new process, perhaps on a restarted machine with the same identifier.
                 replica.ready_at = line.ready_at;
                 replica.answers = 0;
                 replica.answered_at = 0.0;
-                replica.state = started(line);
+                replica.state = new_state(line);
             }
             replica.open = line.open || is_mutated("routing-drain");
             replica.zone = Some(line.zone);
@@ -151,13 +152,13 @@
             named.collect()
         };
         ids.into_iter()
-            .filter(|id| self.forget_if_unused(id))
+            .filter(|id| self.remove_if_unused(id))
             .collect()
     }
 
-    /// Forgets a replica that is not open and has nothing in flight, and returns whether it did. Otherwise every
-    /// replica that there ever was would be remembered.
-    pub fn forget_if_unused(&mut self, id: &ReplicaId) -> bool {
+    /// Removes a replica that is not open and has nothing in flight, so that memory does not grow with every replica
+    /// that ever existed. Returns whether the replica was removed.
+    pub fn remove_if_unused(&mut self, id: &ReplicaId) -> bool {
         let Some(unused) = self
             .replicas
             .get(id)
@@ -170,22 +171,22 @@
         true
     }
 
-    /// A replica that is known.
+    /// The replica of this identifier; `None` if it is unknown.
     pub fn get(&self, id: &ReplicaId) -> Option<&Replica<S>> {
         self.replicas.get(id)
     }
 
-    /// A replica that is known, to be changed.
+    /// Mutable access to the replica of this identifier; `None` if it is unknown.
     pub fn get_mut(&mut self, id: &ReplicaId) -> Option<&mut Replica<S>> {
         self.replicas.get_mut(id)
     }
 
-    /// All replicas, by id.
+    /// All known replicas, in the order of their identifiers.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Replica<S>)> {
         self.replicas.iter()
     }
 
-    /// The open replicas that hold a shard.
+    /// Open replicas that hold a shard.
     pub fn holders(&self, shard: ShardId) -> impl Iterator<Item = (&ReplicaId, &Replica<S>)> {
         let cells = (0..self.span.min(self.cell_count))
             .map(move |offset| (shard.0 % self.cell_count + offset) % self.cell_count);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,11 +1,12 @@
-//! Routing decisions shared by the query router and the serving tier: where the parts of a search go, when they
-//! leave, and when the search is answered.
+//! Routing decisions shared by the query router and the serving tier: which replica each part of a search is sent to,
+//! when it is sent, and when the search is answered.
 //!
-//! Start with [`decide`]: every decision is there, one concern a module. [`balancer`] is the state that the
-//! decisions on searches read and update, [`api`] the plain types that callers pass in and get back. [`fleet`],
-//! [`samples`], [`unloaded_latency`] and [`deadline_queue`] are data structures that decide nothing.
-//! [`rendezvous`] is the hashing by which processes agree without a message. [`mutations`] names the defences
-//! that tests can switch off, in builds of their own.
+//! - [`decide`]: all decisions, one module for each concern. Start here.
+//! - [`balancer`]: the state that the decisions on searches read and update.
+//! - [`api`]: the plain types that callers pass in and receive.
+//! - [`fleet`], [`samples`], [`unloaded_latency`] and [`deadline_queue`]: data structures without decisions.
+//! - [`rendezvous`]: hashing with which processes choose the same candidate without exchanging messages.
+//! - [`mutations`]: defences that tests can switch off, in separate builds.
 
 pub mod api;
 pub mod balancer;
@@ -17,29 +18,34 @@
 pub mod unloaded_latency;
 
 pub mod decide {
-    //! Every decision, by concern. Nothing here does I/O or reads a clock: time (seconds, from any origin)
-    //! and events come in, plain values come out. `search_steps`, `placement`, `repeats`,
-    //! `hung_attempts`, `probes`, `admission`, `health` and `slow_start` decide on searches ([`Balancer`]). The
-    //! others know nothing of searches and serve any proxy, generic over its replica identifier `R`:
+    //! All routing decisions, one module for each concern.
     //!
-    //! - [`UnloadedLatency`]: `record` the latency of each answered call that was sent with nothing else of
-    //!   ours in flight at its replica; `forget` one that has departed or restarted.
-    //! - [`PartBudget`]: `queuing_deadline` of the replicas chosen for a request (query router only; the tier's
-    //!   is in `scheduler::step`, from `part_quantile`); `tail` of one replica, and `hopeless` to leave a call unsent.
-    //! - [`Backpressure`], one for each replica: `begin` after a full or timed-out answer, `answered` after each
-    //!   answer, `holds` before a call leaves.
-    //! - [`DeadlineQueue`]: `insert` a call that is on hold or behind another (`is_behind`); after each end of a
-    //!   call, once the hold is over, `first` names who goes next.
-    //! - [`Candidates`]: all replicas that could serve; `require` and `prefer` in order, then `choose` by
-    //!   calls in flight.
-    //! - [`OutlierDetector`], one for each replica or zone: `observe` each end of a call, `prefer` those
-    //!   not ejected, send a probe when `probe_due`.
-    //! - [`LatencyLimits`] (query router only; the tier's are in `scheduler::routes`): `answered` with
-    //!   each latency, then `update`; a call is late after `late_after`, due a hedge after `hedge_after`;
-    //!   `update_overload` before a request is decided on.
-    //! - [`RetryBudget`] (query router only; the tier's is in `scheduler::retry_tokens`): `record_taken` with
-    //!   what the ratio is of, such as one for each request; `record_repeat_sent` for each call beyond a first,
-    //!   while it `allows_retry`.
+    //! Nothing here does I/O or reads a clock. Times are in seconds from any origin; times and events are parameters,
+    //! and the results are plain values.
+    //!
+    //! `search_steps`, `placement`, `repeats`, `hung_attempts`, `probes`, `admission`, `health` and `slow_start` decide
+    //! on searches ([`Balancer`]). The other modules do not depend on searches, and can be used by any proxy. They are
+    //! generic over the replica identifier where they need one:
+    //!
+    //! - [`UnloadedLatency`]: call `record` with the latency of each answered call that was sent while this process had
+    //!   nothing else in flight at the replica, and `forget` when a replica has departed or restarted.
+    //! - [`PartBudget`]: `queuing_deadline` for the replicas chosen for a request (query router only; the tier's is
+    //!   in `scheduler::step`, from `part_quantile`). `tail` is for one replica; a call that `cannot_finish_in_time`
+    //!   is not sent.
+    //! - [`Backpressure`], one for each replica: call `begin` after a call was rejected or timed out, `record_answer`
+    //!   after each answer, and `blocks` before sending a call.
+    //! - [`DeadlineQueue`]: `insert` a call that is blocked by backpressure or has an earlier call before it
+    //!   (`is_behind`). After each end of a call, and once backpressure allows it, send the `first` call.
+    //! - [`Candidates`]: start with all replicas that can serve the call, apply `require` and `prefer`, then `choose`
+    //!   by calls in flight.
+    //! - [`OutlierDetector`], one for each replica or zone: `observe` each end of a call, `prefer` replicas that are
+    //!   not ejected, and send a probe when `probe_due`.
+    //! - [`LatencyLimits`] (query router only; the tier's are in `scheduler::routes`): call `record_answer` with each
+    //!   latency, then `update`. A call is late after `late_after`, and due a hedge after `hedge_after`. Call
+    //!   `update_overload` before each decision on a request.
+    //! - [`RetryBudget`] (query router only; the tier's is in `scheduler::retry_tokens`): call `record_work` with the
+    //!   work that the ratio refers to, such as one for each request. Call `allows_retry` before each call beyond the
+    //!   first, and `record_retry_sent` after sending it.
 
     mod admission;
     pub mod candidates;
@@ -63,7 +69,7 @@
     pub use candidates::Candidates;
     pub use hold::Backpressure;
     pub use latency_limits::LatencyLimits;
-    pub use outlier_detector::{Change, EjectionConfig, Observation, OutlierDetector};
+    pub use outlier_detector::{EjectionConfig, HealthChange, Observation, OutlierDetector};
     pub use part_budget::PartBudget;
     pub use retry_budget::RetryBudget;
 }
--- a/crates/routing/src/mutations.rs
+++ b/crates/routing/src/mutations.rs
@@ -1,13 +1,13 @@
-//! Mutations: one defence switched off, by name, so that the tests can show that they would find such a bug.
-//! Without the feature `mutations`, which no release build has, nothing can be switched off and nothing of this is
-//! in the program.
+//! Mutations: injected bugs that switch off one defence each, by name, so that tests can show that they would find such
+//! a bug. Without the feature `mutations`, which no release build has, no defence can be switched off and the checks
+//! compile to nothing.
 
 /// A defence that can be switched off.
 #[derive(Clone, Copy, Debug)]
 pub struct Mutation {
-    /// The name by which it is switched off.
+    /// Name of the mutation, unique among all.
     pub name: &'static str,
-    /// The defence, for a person to read.
+    /// Description of the defence for reports.
     pub defence: &'static str,
 }
 
@@ -15,60 +15,72 @@
     Mutation { name, defence }
 }
 
-/// Every mutation.
+/// All mutations.
 pub const MUTATIONS: [Mutation; 20] = [
     mutation(
         "routing-cold-cap",
         "the cap on what a warming replica is sent",
     ),
-    mutation("routing-budget", "the budget of further attempts"),
+    mutation("routing-budget", "the budget of retries and hedges"),
     mutation(
         "routing-budget-window",
-        "a tenth of the budget's window: further ones are forgotten early",
+        "a tenth of the retry budget's window: retries are dropped from it early",
     ),
     mutation("routing-once", "the bar on repeats of non-idempotent parts"),
     mutation(
         "routing-token-window",
-        "the time in which repeats of tokened parts are told apart",
+        "the time limit on repeats of parts with a token",
     ),
     mutation(
         "routing-harmless",
-        "the proof that a shed search has not run",
+        "the check that a shed search has provably not run",
+    ),
+    mutation("routing-floor", "the minimum weight of an answer"),
+    mutation("routing-whole", "the mark of an incomplete answer"),
+    mutation(
+        "routing-drain",
+        "the stop of new work to a replica that is listed as draining",
     ),
-    mutation("routing-floor", "the least share of parts"),
-    mutation("routing-whole", "the mark of an answer that is not whole"),
-    mutation("routing-drain", "the heed of a list that says draining"),
     mutation(
         "settings-siblings",
-        "one co-ordinator of the tier, in what each counts as its share of a warming replica",
+        "the number of co-ordinators that share a warming replica: one is left out",
+    ),
+    mutation(
+        "search-table-keeps-parts",
+        "the removal of a finished search's parts",
     ),
-    mutation("search-table-keeps-parts", "the return of a search's parts"),
     mutation("search-table-no-timer", "the timers of searches"),
     mutation(
         "core-no-wait",
-        "the moment between a part's leaving and its search's answer",
+        "the delay between the sending of a part and the answer to its search",
     ),
     mutation(
         "core-names-all",
-        "the list of shards that a second step's parts name",
+        "the restriction of the shards that a second step's parts name to those that answered",
+    ),
+    mutation(
+        "core-keeps-bytes",
+        "the release of a finished request's bytes",
     ),
-    mutation("core-keeps-bytes", "the return of a request's bytes"),
     mutation(
         "replicas-no-take-back",
-        "the take-back of what waits on a drain",
+        "the removal of queued attempts when their replica drains",
     ),
     mutation(
         "replicas-cancelled-stays",
-        "the take-back of a part that is cancelled",
+        "the removal of a cancelled attempt from the queue",
     ),
     mutation(
         "replicas-never-ran",
-        "the memory that a broken connection's parts may have run",
+        "the record that the parts on a broken connection may have run",
+    ),
+    mutation(
+        "discovery-no-drains",
+        "the processing of draining replicas in a watch",
     ),
-    mutation("discovery-no-drains", "the reading of draining in a watch"),
     mutation(
         "front-no-answer-at-end",
-        "the answers owed when the process is told to end",
+        "the pending answers when the process is shut down",
     ),
 ];
 
@@ -80,12 +92,12 @@
         static ACTIVE: Cell<Option<&'static str>> = const { Cell::new(None) };
     }
 
-    /// Switches a mutation on for this thread, and the one before off.
+    /// Activates a mutation on this thread, in place of the active one; `None` deactivates it.
     pub fn mutate(name: Option<&'static str>) {
         ACTIVE.set(name);
     }
 
-    /// Whether this defence is switched off on this thread.
+    /// Whether the mutation of this name is active on this thread.
     pub fn is_mutated(name: &str) -> bool {
         ACTIVE.get() == Some(name)
     }
@@ -94,7 +106,7 @@
 #[cfg(feature = "mutations")]
 pub use on::{is_mutated, mutate};
 
-/// Whether this defence is switched off: never, in this build.
+/// Whether the mutation of this name is active: never in this build.
 #[cfg(not(feature = "mutations"))]
 #[inline(always)]
 pub const fn is_mutated(_: &str) -> bool {
--- a/crates/routing/src/samples.rs
+++ b/crates/routing/src/samples.rs
@@ -1,18 +1,18 @@
-//! Windows of samples and their quantiles: arithmetic alone, nothing is decided here.
+//! Sliding windows of samples, and statistics of them.
 
 use crate::api::{Seconds, Share};
 use std::collections::VecDeque;
 
-/// A value and the time at which it was seen.
+/// A value and the time at which it was observed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// When it was seen.
+    /// Time of the observation.
     pub at: Seconds,
-    /// What was seen, such as a latency in seconds or a number of parts.
+    /// Observed value, such as a latency in seconds or a number of parts.
     pub value: f64,
 }
 
-/// Appends to a window that keeps the last `size`.
+/// Appends an item to a window, and removes the oldest one where the window already has `size` items.
 pub fn push<T>(window: &mut VecDeque<T>, item: T, size: usize) {
     if window.len() == size {
         window.pop_front();
@@ -20,7 +20,7 @@
     window.push_back(item);
 }
 
-/// The values seen after this time, oldest first.
+/// The values observed after `after`, oldest first.
 pub fn since(window: &VecDeque<Sample>, after: Seconds) -> Vec<f64> {
     window
         .iter()
@@ -29,20 +29,22 @@
         .collect()
 }
 
-/// The smallest sample with at least this share of them at or under it.
+/// The smallest sample such that at least this share of all samples is less than or equal to it; `None` without
+/// samples.
 pub fn quantile(mut samples: Vec<f64>, share: Share) -> Option<f64> {
     samples.sort_by(f64::total_cmp);
     let at = (share * samples.len() as f64).ceil() as usize;
     samples.get(at.max(1) - 1).or(samples.last()).copied()
 }
 
-/// The share of sorted samples that are at or under this time; 0 without samples.
-fn share_at_or_under(sorted: &[Seconds], time: Seconds) -> Share {
+/// Share of the sorted samples that are at most `time`; 0 without samples.
+fn share_at_most(sorted: &[Seconds], time: Seconds) -> Share {
     sorted.partition_point(|sample| *sample <= time) as f64 / sorted.len().max(1) as f64
 }
 
-/// The smallest time at which a product of shares reaches `probability`: of each of `distributions` the share of its
-/// samples at or under that time, and that of `rest` to the power of `count`. `None` without samples.
+/// Time by which independent events have all happened with `probability`. Each of `distributions` has the samples of
+/// one event; `rest` has the samples that `count` further events share. The result is the smallest sample at which
+/// the product of all empirical distribution functions reaches `probability`; `None` if no sample does.
 pub fn product_quantile(
     mut distributions: Vec<Vec<Seconds>>,
     mut rest: Vec<Seconds>,
@@ -62,16 +64,17 @@
     times.sort_by(f64::total_cmp);
     let product = |time: Seconds| {
         let shares = distributions.iter();
-        let shares = shares.map(|samples| share_at_or_under(samples, time));
-        shares.product::<f64>() * share_at_or_under(&rest, time).powi(count as i32)
+        let shares = shares.map(|samples| share_at_most(samples, time));
+        shares.product::<f64>() * share_at_most(&rest, time).powi(count as i32)
     };
     times
         .get(times.partition_point(|time| product(*time) < probability))
         .copied()
 }
 
-/// How many groups of at most `size` these times make, where only equal ones go together.
-pub fn groups(times: impl Iterator<Item = Seconds>, size: usize) -> usize {
+/// Number of calls that carry parts sent at these times. Only parts sent at the same time share a call, at most `size`
+/// of them; a size of 0 counts as 1.
+pub fn call_count(times: impl Iterator<Item = Seconds>, size: usize) -> usize {
     let mut times: Vec<Seconds> = times.collect();
     times.sort_by(f64::total_cmp);
     times
@@ -80,7 +83,7 @@
         .sum()
 }
 
-/// The mean of the samples, if there are any.
+/// Mean of the samples; `None` without samples.
 pub fn mean(samples: &[f64]) -> Option<f64> {
     (!samples.is_empty()).then(|| samples.iter().sum::<f64>() / samples.len() as f64)
 }
--- a/crates/routing/src/unloaded_latency.rs
+++ b/crates/routing/src/unloaded_latency.rs
@@ -1,12 +1,12 @@
-//! Unloaded latencies: those of calls that found nothing else of ours in flight at their replica. Windows and
-//! quantiles alone; `decide::part_budget` says how many samples count, and for how long.
+//! Unloaded latencies: those of calls that were sent while this process had nothing else in flight at the replica.
+//! `decide::part_budget` has the number and the maximum age of the samples that are used.
 
 use crate::api::{Seconds, Share};
-use crate::decide::part_budget::{FLEET_SAMPLES, LEAST_SAMPLES, OWN_SAMPLES, SAMPLE_AGE};
+use crate::decide::part_budget::{FLEET_SAMPLES, MIN_OWN_SAMPLES, OWN_SAMPLES, SAMPLE_AGE};
 use crate::samples::{Sample, product_quantile, push, quantile, since};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A moving window of unloaded latencies for each replica, and one of the fleet.
+/// Sliding windows of unloaded latencies: one for each replica, and one for the fleet.
 pub struct UnloadedLatency<R> {
     replicas: BTreeMap<R, VecDeque<Sample>>,
     fleet: VecDeque<Seconds>,
@@ -14,7 +14,7 @@
 }
 
 impl<R: Ord> UnloadedLatency<R> {
-    /// `initial`: the quantile that stands in before the first sample.
+    /// `initial`: the latency that is returned for any quantile before the first sample.
     pub fn new(initial: Seconds) -> Self {
         UnloadedLatency {
             replicas: BTreeMap::new(),
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Replaces the quantile that stands in before the first sample.
+    /// Replaces the latency that is returned for any quantile before the first sample.
     pub fn set_initial(&mut self, initial: Seconds) {
         self.initial = initial;
     }
 
-    /// Records the latency of an answered call; that of an ejected replica is kept out of the fleet's.
+    /// Records the latency of an answered call. Latencies of an `ejected` replica are not added to the fleet's samples.
     pub fn record(&mut self, now: Seconds, replica: &R, latency: Seconds, ejected: bool)
     where
         R: Clone,
@@ -47,35 +47,37 @@
         }
     }
 
-    /// Forgets the samples of a replica that has departed or restarted.
+    /// Removes the samples of a replica that has departed or restarted.
     pub fn forget(&mut self, replica: &R) {
         self.replicas.remove(replica);
     }
 
-    /// The fleet's latest samples, oldest first.
+    /// Latest samples of the fleet, oldest first.
     pub fn fleet(&self) -> Vec<Seconds> {
         self.fleet.iter().copied().collect()
     }
 
-    /// A replica's own samples; none if it counts as average.
+    /// Recent samples of a replica; `None` if there are too few, so that the replica counts as average.
     pub fn own(&self, now: Seconds, replica: &R) -> Option<Vec<Seconds>> {
         let own = since(self.replicas.get(replica)?, now - SAMPLE_AGE);
-        (own.len() >= LEAST_SAMPLES).then_some(own)
+        (own.len() >= MIN_OWN_SAMPLES).then_some(own)
     }
 
-    /// Samples to judge a replica by; `None` for one that counts as average, such as an ejected one.
+    /// Samples of a replica, or of the fleet if the replica has too few or `replica` is `None`. Callers pass `None`
+    /// for a replica that counts as average, such as an ejected one.
     pub fn samples(&self, now: Seconds, replica: Option<&R>) -> Vec<Seconds> {
         replica
             .and_then(|replica| self.own(now, replica))
             .unwrap_or_else(|| self.fleet())
     }
 
-    /// The quantile of `samples` at this share, or the initial value.
+    /// Quantile of [`UnloadedLatency::samples`] at this share; the initial value without samples.
     pub fn quantile(&self, now: Seconds, replica: Option<&R>, share: Share) -> Seconds {
         quantile(self.samples(now, replica), share).unwrap_or(self.initial)
     }
 
-    /// The smallest time by which all these replicas have answered with this probability or more.
+    /// Smallest time within which all these replicas answer with at least this probability. A `None` stands for a
+    /// replica that counts as average.
     pub fn product_quantile(
         &self,
         now: Seconds,
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -49,7 +49,7 @@
             weight: 1.0 / parts as f64,
             step: search.step,
             answered: false,
-            queued_at: None,
+            queued_for: None,
             attempts: Vec::new(),
         });
     }
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use woadreach_routing::api::{RetryBudgetConfig, Settings};
 use woadreach_routing::decide::{
-    Backpressure, Candidates, Change, DeadlineQueue, EjectionConfig, LatencyLimits, Observation,
-    OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
+    Backpressure, Candidates, DeadlineQueue, EjectionConfig, HealthChange, LatencyLimits,
+    Observation, OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
 const RULE: EjectionConfig = EjectionConfig {
@@ -183,7 +183,7 @@
     });
     assert_eq!(
         (detector.is_ejected(), change),
-        (ejected, ejected.then_some(Change::Ejected))
+        (ejected, ejected.then_some(HealthChange::Ejected))
     );
 }
 
@@ -212,7 +212,7 @@
     }
     assert_eq!(
         detector.observe(RULE, call(19.0, 0, false)),
-        Some(Change::Restored)
+        Some(HealthChange::Restored)
     );
     assert!(!detector.is_ejected());
 }
@@ -225,7 +225,7 @@
     (0..2).for_each(|_| assert_eq!(detector.observe(RULE, call(0.0, 1, true)), None));
     assert_eq!(
         detector.observe(RULE, call(0.0, 1, true)),
-        Some(Change::Ejected)
+        Some(HealthChange::Ejected)
     );
     assert!(detector.is_ejected_for(1) && !detector.is_ejected_for(0));
     (0..3).for_each(|_| assert_eq!(detector.observe(RULE, call(0.5, 0, true)), None));
@@ -307,12 +307,12 @@
         retry_budget: budget,
         ..settings::settings()
     });
-    retries.record_taken(0.0, 8);
+    retries.record_work(0.0, 8);
     let may = (0..100)
         .take_while(|_| {
             retries
                 .allows_retry(1.0)
-                .then(|| retries.record_repeat_sent(1.0))
+                .then(|| retries.record_retry_sent(1.0))
                 .is_some()
         })
         .count();
