--- a/crates/routing/tests/balance/admission.rs
+++ b/crates/routing/tests/balance/admission.rs
@@ -1,4 +1,4 @@
-//! Searches that are shed on arrival: clients' retries, and those that cannot be answered in time.
+//! Admission: shedding of clients' stale retries and of searches that cannot be answered in time.
 
 use crate::settings::settings;
 use crate::support::{balancer_of, new_search, outcome};
@@ -6,7 +6,7 @@
 use woadreach_routing::api::{Ending, Reply, Settings};
 use woadreach_routing::balancer::Balancer;
 
-/// A co-ordinator to which first attempts have come, with 1.8 s left, and twice as many retries.
+/// A co-ordinator that has received first attempts, with 1.8 s left, and twice as many retries.
 fn balancer_after_retries(settings: Settings) -> Balancer {
     let mut balancer = balancer_of(settings, &["a", "b"]);
     for n in 1..=10 {
@@ -17,19 +17,19 @@
     balancer
 }
 
-/// Answers slower than unloaded ones by a small part of the latency target are no overload, in which a lost
-/// part is not sent again.
+/// Answers that are slower than unloaded ones by only a small share of the latency target are no overload. During
+/// overload a failed part is not sent again.
 #[rstest]
-#[case::small(0.03, 1)]
-#[case::not_small(0.2, 0)]
-fn overload_is_judged_by_the_target_too(#[case] latency: f64, #[case] again: usize) {
+#[case::small_share_of_target(0.03, 1)]
+#[case::large_share_of_target(0.2, 0)]
+fn overload_depends_on_the_latency_target(#[case] latency: f64, #[case] retries: usize) {
     let mut balancer = balancer_of(settings(), &["a"]);
     for n in 0..120 {
         let placement = balancer
             .place(0.0, &mut new_search(n + 1, 1, 0.0, 3.0))
             .send[0]
             .clone();
-        // The twentieth stays out, so that those after it are not alone.
+        // Search 20 stays in flight, so that those after it are not sent to an idle replica.
         if n != 20 {
             let latency = if n < 20 { 0.005 } else { latency };
             let answer = outcome(&placement, 0, Ending::Answered, latency);
@@ -47,15 +47,16 @@
             )
             .send
             .len(),
-        again
+        retries
     );
 }
 
-/// Where the only holder answers nothing, searches are shed unsent, but sent again after a while.
+/// While the only holder of a shard answers nothing, searches are shed without being sent. After a while they are sent
+/// again.
 #[rstest]
 #[case::at_once(0.1, false)]
 #[case::after_a_while(1.5, true)]
-fn hopeless_shards_cost_no_work(#[case] later: f64, #[case] sent: bool) {
+fn searches_of_a_failed_shard_are_shed_unsent(#[case] later: f64, #[case] sent: bool) {
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut search = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut search).send[0].clone();
@@ -65,8 +66,8 @@
         &outcome(&placement, 0, Ending::Answered, 0.1),
     );
     for n in 0..3 {
-        let mut set_back = new_search(10 + n, 1, 5.0, 3.0);
-        let placement = balancer.place(5.0, &mut set_back).send[0].clone();
+        let mut rejected = new_search(10 + n, 1, 5.0, 3.0);
+        let placement = balancer.place(5.0, &mut rejected).send[0].clone();
         balancer.attempt_finished(5.0, None, &outcome(&placement, 0, Ending::Full, 0.005));
     }
     let plan = balancer.place(5.0 + later, &mut new_search(50, 1, 5.0 + later, 3.0));
@@ -74,15 +75,15 @@
     assert_eq!(plan.reply.is_some(), !sent);
 }
 
-/// A client's retry is known by its time left, shorter or longer than that of first attempts, or by its mark: when
-/// the client first asked so long ago that no answer earns value, it is shed at once. First attempts are not, also
-/// while most searches are retries.
+/// A client's retry is recognized by its mark, or by a remaining time that is shorter or longer than that of first
+/// attempts. It is shed at once if the client's first attempt was so long ago that an answer has no value. First
+/// attempts are not shed, even if most searches are retries.
 #[rstest]
-#[case::first(1.8, None, false)]
-#[case::shorter(1.5, None, true)]
-#[case::last_try(1.9, None, true)]
-#[case::marked_shorter(1.5, Some(true), true)]
-#[case::marked_first_but_short(1.5, Some(false), false)]
+#[case::first_attempt(1.8, None, false)]
+#[case::shorter_time(1.5, None, true)]
+#[case::longer_time(1.9, None, true)]
+#[case::marked_as_retry(1.5, Some(true), true)]
+#[case::marked_as_first_attempt(1.5, Some(false), false)]
 fn stale_retries_are_shed(
     #[case] time_remaining: f64,
     #[case] marked_as_retry: Option<bool>,
@@ -100,13 +101,14 @@
     );
 }
 
-/// Clients that ask again early show one time left again and again, under the latency target.
+/// First attempts of clients with a short timeout are not taken for retries: their remaining time is below the latency
+/// target and recurs.
 #[rstest]
-#[case::recurs_under_target(0.6, 3, false)]
-#[case::scattered_under_target(0.6, 0, true)]
-#[case::recurs_over_target(1.5, 3, true)]
-#[case::outnumbers_first_tries(0.6, 40, false)]
-fn impatient_clients_are_not_stale(
+#[case::recurs_below_target(0.6, 3, false)]
+#[case::single_below_target(0.6, 0, true)]
+#[case::recurs_above_target(1.5, 3, true)]
+#[case::outnumbers_first_attempts(0.6, 40, false)]
+fn short_timeouts_are_not_taken_for_retries(
     #[case] time_remaining: f64,
     #[case] before: u64,
     #[case] shed: bool,
@@ -131,11 +133,11 @@
     );
 }
 
-/// Admission sees a queue by what is in flight for long, also when no answer comes any more.
+/// Admission infers a replica's queue from the age of its attempts in flight, even if it answers nothing any more.
 #[rstest]
-#[case::idle(0.0, false)]
-#[case::out_for_long(1.2, true)]
-fn queues_are_seen_before_answers_come(#[case] age: f64, #[case] shed: bool) {
+#[case::just_sent(0.0, false)]
+#[case::long_in_flight(1.2, true)]
+fn queues_are_detected_before_answers_are_received(#[case] age: f64, #[case] shed: bool) {
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut search = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut search).send[0].clone();
@@ -149,12 +151,13 @@
     assert_eq!(balancer.place(1.0 + age, &mut late).reply.is_some(), shed);
 }
 
-/// An answer counts however quick it was: after one that the clock cannot tell from its send, the part that
-/// was given up before it is not all that is known of its replica's queue.
+/// An answer with a latency of 0, below the resolution of the clock, counts as a sample. Without it, the latency of
+/// the attempt that was cancelled before would be the only sample of the replica's queue, and the next search would
+/// be shed.
 #[rstest]
-#[case::told_by_the_clock(0.0005)]
-#[case::within_the_clocks_grain(0.0)]
-fn an_answer_counts_however_quick(#[case] latency: f64) {
+#[case::measurable_latency(0.0005)]
+#[case::zero_latency(0.0)]
+fn an_answer_without_latency_counts(#[case] latency: f64) {
     let mut balancer = balancer_of(settings(), &["a"]);
     let mut first = new_search(1, 1, 0.0, 3.0);
     let placement = balancer.place(0.0, &mut first).send[0].clone();
@@ -177,14 +180,14 @@
     );
 }
 
-/// A search that is shed is answered in the same plan that gives it up, and says when to come back only
-/// where the settings allow it (`allow.retry_after`), never later than the longest that clients honour.
+/// The plan that gives a search up has the reply already. The reply advises a retry time only if the settings allow it
+/// (`allow.retry_after`), and never more than the allowed maximum.
 #[rstest]
 #[case::allowed(Some(0.5))]
 #[case::not_allowed(None)]
-fn shed_at_once_with_retry_after_only_where_allowed(#[case] advice: Option<f64>) {
+fn shed_at_once_with_retry_after_only_if_allowed(#[case] max_retry_after: Option<f64>) {
     let mut settings = settings();
-    settings.max_retry_after = advice;
+    settings.max_retry_after = max_retry_after;
     let mut balancer = balancer_after_retries(settings);
     let mut search = new_search(50, 1, 0.5, 1.5);
     let plan = balancer.place(0.5, &mut search);
@@ -192,7 +195,7 @@
         panic!("not shed at once: {:?}", plan.reply)
     };
     assert!(plan.send.is_empty());
-    match advice {
+    match max_retry_after {
         Some(most) => assert!(retry_after > 0.0 && retry_after <= most, "{retry_after}"),
         None => assert_eq!(retry_after, 0.0),
     }
--- a/crates/routing/tests/balance/ejection.rs
+++ b/crates/routing/tests/balance/ejection.rs
@@ -1,4 +1,4 @@
-//! Replicas and zones that fail are ejected and probed, by this co-ordinator's own calls.
+//! Ejection and probing of failing replicas and zones, from one co-ordinator's own calls.
 
 use crate::settings::{query_type, settings};
 use crate::support::{balancer_of, listed, new_search, outcome, replica_id, search_in_flight_at};
@@ -8,19 +8,19 @@
 };
 use woadreach_routing::balancer::Balancer;
 
-/// Whatever makes a replica's attempts fail ejects it, until four probes in a row succeed.
+/// A replica is ejected for failures of any kind, until four consecutive probes succeed. Probes are sent one at a time.
 #[rstest]
 #[case::errors(Ending::Errored, 0.01)]
-#[case::time_outs(Ending::TimedOut, 0.4)]
+#[case::timeouts(Ending::TimedOut, 0.4)]
 #[case::unreachable(Ending::Unreachable, 0.25)]
-#[case::resets(Ending::Broken, 0.1)]
-#[case::refusing_at_once(Ending::Full, 0.005)]
-#[case::far_slower(Ending::Answered, 0.9)]
+#[case::broken_connections(Ending::Broken, 0.1)]
+#[case::rejections(Ending::Full, 0.005)]
+#[case::late_answers(Ending::Answered, 0.9)]
 fn failing_replicas_are_ejected_and_probed(#[case] ending: Ending, #[case] latency: f64) {
     let mut settings = settings();
     settings.max_attempts = 1;
     let mut balancer = balancer_of(settings, &["a", "b"]);
-    // Three answers first, or the last failure alone would decide.
+    // Three answers first: in sparse traffic, the last failure alone would be decisive.
     for n in 0..6 {
         let now = f64::from(n) * 0.01;
         let (_, placement) = search_in_flight_at(&mut balancer, "a", now);
@@ -52,11 +52,15 @@
     assert_eq!(sends(&mut balancer, 20.0), 1, "one probe at a time");
 }
 
-/// Answers far slower than others, but a small part of the latency target, do not eject their replica.
+/// A replica whose answers are far slower than others, but take only a small share of the latency target, is not
+/// ejected.
 #[rstest]
-#[case::small(0.1, true)]
-#[case::not_small(0.2, false)]
-fn slow_replicas_are_judged_by_the_target_too(#[case] latency: f64, #[case] healthy: bool) {
+#[case::small_share_of_target(0.1, true)]
+#[case::large_share_of_target(0.2, false)]
+fn ejection_for_late_answers_depends_on_the_latency_target(
+    #[case] latency: f64,
+    #[case] healthy: bool,
+) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     for n in 0..130 {
         let placement = balancer
@@ -80,13 +84,17 @@
     );
 }
 
-/// A replica that fails one query type, and only part of it, is ejected for that one alone. What was sent before
-/// that is no probe.
+/// A replica that fails part of the searches of one query type is ejected for this type alone. Attempts sent before the
+/// ejection do not count as probes.
 #[rstest]
 #[case::one_type(false, 0, [false, true])]
-#[case::both(true, 0, [false, false])]
-#[case::the_other_later(false, 2, [false, false])]
-fn one_query_type_may_fail(#[case] both: bool, #[case] later: u64, #[case] used: [bool; 2]) {
+#[case::both_types(true, 0, [false, false])]
+#[case::other_type_fails_later(false, 2, [false, false])]
+fn a_replica_is_ejected_for_the_failing_query_type(
+    #[case] both: bool,
+    #[case] later: u64,
+    #[case] used: [bool; 2],
+) {
     let mut settings = settings();
     settings.query_types.push(query_type());
     settings.hedging_allowed = false;
@@ -95,7 +103,7 @@
         query_type: QueryTypeId(t),
         ..new_search(n, 1, 0.0, 3.0)
     };
-    // All are in flight, by turns at either, before the first ends; those that come last are answered.
+    // All are in flight, alternating between the replicas, before the first one ends. The last ones are answered.
     let types = [1; 8]
         .into_iter()
         .chain((0..16).map(|n| n / 2 % 2))
@@ -134,12 +142,12 @@
     }
 }
 
-/// Replicas of one zone, each known by a single outcome, all failed: the others of the zone get nothing while there
-/// is a holder in another zone, and serve where there is none.
+/// A zone is ejected if many of its replicas fail, even if each has only one outcome. Its other replicas are then used
+/// only for shards without a holder in another zone.
 #[rstest]
-#[case::other_zone_has_it(true, "z")]
+#[case::holder_in_other_zone(true, "z")]
 #[case::no_other_holder(false, "y")]
-fn a_failing_link_ejects_its_zone(#[case] other: bool, #[case] chosen: &str) {
+fn failures_of_many_replicas_eject_their_zone(#[case] other: bool, #[case] chosen: &str) {
     let mut settings = settings();
     (settings.cells, settings.max_attempts) = (9, 1);
     let mut balancer = balancer_of(settings, &[]);
@@ -171,12 +179,13 @@
     }
 }
 
-/// Where traffic is sparse one failure keeps a replica out until it is old; elsewhere one means nothing.
+/// In sparse traffic a replica is avoided after a single failure, for as long as the failure is recent. In dense
+/// traffic a single failure has no effect.
 #[rstest]
 #[case::sparse(0, 1.0, false)]
 #[case::sparse_but_old(0, 11.0, true)]
 #[case::dense(4, 1.0, true)]
-fn the_last_outcome_decides_in_sparse_traffic(
+fn a_single_failure_counts_in_sparse_traffic(
     #[case] good: u64,
     #[case] later: f64,
     #[case] used: bool,
@@ -198,11 +207,14 @@
     assert_eq!(at_a, used);
 }
 
-/// An ejected warm replica serves where slow start keeps the others closed.
+/// An ejected warm replica is used while slow start admits nothing to the other replicas.
 #[rstest]
-#[case::cold_open(0, "b")]
-#[case::cold_closed(1, "a")]
-fn an_ejected_replica_is_better_than_none(#[case] out_at_cold: u64, #[case] chosen: &str) {
+#[case::slow_start_admits(0, "b")]
+#[case::slow_start_blocks(1, "a")]
+fn an_ejected_replica_is_used_if_no_other_is_available(
+    #[case] in_flight_at_warming: u64,
+    #[case] chosen: &str,
+) {
     let mut settings = settings();
     settings.slow_start = Some(SlowStartConfig {
         initial_capacity: 0.2,
@@ -218,7 +230,7 @@
         balancer.attempt_finished(now, None, &outcome(&placement, 0, Ending::Errored, 0.01));
     }
     balancer.apply_endpoint_list(false, &[listed("b", true, Some(9.0))]);
-    for n in 0..out_at_cold {
+    for n in 0..in_flight_at_warming {
         balancer.place(10.0, &mut new_search(n + 10, 1, 10.0, 3.0));
     }
     assert_eq!(
@@ -230,9 +242,9 @@
     );
 }
 
-/// A replica that fails still serves where it is the only holder.
+/// A failing replica is still used for a shard of which it is the only holder.
 #[rstest]
-fn never_all_holders() {
+fn the_only_holder_is_used_despite_failures() {
     let mut balancer = balancer_of(settings(), &["a"]);
     for n in 0..12 {
         let mut search = new_search(n + 1, 1, n as f64, 3.0);
--- a/crates/routing/tests/balance/hedging.rs
+++ b/crates/routing/tests/balance/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedges of parts that are lost, and the cancelling of those that hang where hedges are not allowed.
+//! Hedges of lost parts, and cancellation of hung attempts where hedges are not allowed.
 
 use crate::settings::settings;
 use crate::support::{balancer_of, new_search, outcome, replica_id, search_in_flight_at};
@@ -7,7 +7,7 @@
 use woadreach_routing::api::{AttemptId, Ending, Placement, Repeat};
 use woadreach_routing::balancer::Balancer;
 
-/// Sends one-part searches of these numbers at 0.1 s.
+/// Sends one-part searches with these identifiers at 0.1 s.
 fn send_searches(balancer: &mut Balancer, numbers: Range<u64>) -> Vec<Placement> {
     let mut send = |n| {
         balancer
@@ -18,11 +18,11 @@
     numbers.map(&mut send).collect()
 }
 
-/// A part that is late while four sent later at the same replica have been answered is lost: it gets a hedge.
+/// A late part gets a hedge if four parts that were sent to the same replica later have been answered.
 #[rstest]
 #[case::by_three(3, 0)]
 #[case::by_four(4, 1)]
-fn overtaken_parts_get_a_hedge(#[case] later: u64, #[case] hedges: usize) {
+fn overtaken_parts_are_hedged(#[case] later: u64, #[case] hedges: usize) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     let (mut search, _) = search_in_flight_at(&mut balancer, "a", 0.0);
     let sent = send_searches(&mut balancer, 2000..2002 + 2 * later);
@@ -39,16 +39,16 @@
     assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
 }
 
-/// A part at an unresponsive replica gets a hedge while that still has its tail left.
+/// A part at an unresponsive replica gets a hedge early enough for the hedge's tail latency to fit before the target.
 #[rstest]
-#[case::not_yet(0.7, 0)]
-#[case::last_call(0.85, 1)]
-fn hedges_leave_in_time(#[case] age: f64, #[case] hedges: usize) {
+#[case::not_due(0.7, 0)]
+#[case::due(0.85, 1)]
+fn hedges_are_sent_in_time(#[case] age: f64, #[case] hedges: usize) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     for n in 1..=50 {
         let mut search = new_search(n, 1, 0.0, 3.0);
         let placement = balancer.place(0.0, &mut search).send[0].clone();
-        // Six in a hundred at 0.9 s: the 0.95 quantile, but not the tail, which is 0.1 s.
+        // 6 % of the latencies are 0.9 s: they raise the 0.95 quantile, but not the tail, which is 0.1 s.
         let latency = if n % 20 == 0 || n == 50 { 0.9 } else { 0.1 };
         balancer.attempt_finished(
             1.0,
@@ -61,10 +61,10 @@
     assert_eq!(balancer.place(2.0 + age, &mut search).send.len(), hedges);
 }
 
-/// Where hedges are not allowed (`second_copies = false`), a lost part gets none, however it was overtaken.
+/// Where hedges are not allowed (`second_copies = false`), a part gets none, however often it was overtaken.
 #[rstest]
-#[case::copies_allowed(true, 1)]
-#[case::copies_barred(false, 0)]
+#[case::hedging_allowed(true, 1)]
+#[case::hedging_not_allowed(false, 0)]
 fn no_hedge_where_hedging_is_not_allowed(#[case] hedging_allowed: bool, #[case] hedges: usize) {
     let mut settings = settings();
     settings.hedging_allowed = hedging_allowed;
@@ -77,14 +77,14 @@
     assert_eq!(balancer.place(0.6, &mut search).send.len(), hedges);
 }
 
-/// Where hedges are not allowed, a part at a replica that has answered nothing since it was sent is cancelled
-/// once it is long overdue, and goes to the other holder when the outcome is in; never where a hedge may go
-/// instead, never a part that may not run twice, and never before it is overdue.
+/// Where hedges are not allowed, a long overdue attempt is cancelled if its replica has answered nothing since it was
+/// sent. The part is sent to the other holder after the outcome has been received. An attempt is not cancelled where
+/// hedges are allowed, if its part may not run twice, or before it is overdue.
 #[rstest]
-#[case::barred(false, Repeat::Idempotent, 0.6, true)]
-#[case::not_yet_overdue(false, Repeat::Idempotent, 0.12, false)]
-#[case::copies_allowed(true, Repeat::Idempotent, 0.6, false)]
-#[case::once(false, Repeat::NonIdempotent, 0.6, false)]
+#[case::overdue(false, Repeat::Idempotent, 0.6, true)]
+#[case::not_overdue(false, Repeat::Idempotent, 0.12, false)]
+#[case::hedging_allowed(true, Repeat::Idempotent, 0.6, false)]
+#[case::non_idempotent(false, Repeat::NonIdempotent, 0.6, false)]
 fn an_attempt_at_an_unresponsive_replica_is_cancelled(
     #[case] hedging_allowed: bool,
     #[case] repeat: Repeat,
@@ -104,10 +104,13 @@
     };
     assert_eq!(plan.cancel.contains(&first), cancelled, "{:?}", plan.cancel);
     if cancelled {
-        assert!(plan.send.is_empty(), "never two in flight at once");
+        assert!(
+            plan.send.is_empty(),
+            "a second attempt was sent before the first one ended"
+        );
         assert!(
             balancer.place(later + 0.01, &mut search).cancel.is_empty(),
-            "cancelled once"
+            "cancelled a second time"
         );
         let resent = balancer.attempt_finished(
             later + 0.02,
--- a/crates/routing/tests/balance/main.rs
+++ b/crates/routing/tests/balance/main.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the decisions on searches, by concern.
+//! Table-driven tests of the decisions on searches, one module for each concern.
 
 #[path = "../settings/mod.rs"]
 mod settings;
--- a/crates/routing/tests/balance/placement.rs
+++ b/crates/routing/tests/balance/placement.rs
@@ -1,4 +1,4 @@
-//! Where parts go, by load, shard and queue.
+//! Choice of replicas for parts, by load, shard and queue.
 
 use crate::settings::{query_type, settings};
 use crate::support::{balancer_of, listed, new_search, outcome, replica_id, search_in_flight_at};
@@ -11,7 +11,11 @@
 #[rstest]
 #[case::spread_over_two(&["a", "b"], 4, &[2, 2])]
 #[case::spread_over_three(&["a", "b", "c"], 6, &[2, 2, 2])]
-fn fewest_own_parts_out(#[case] names: &[&str], #[case] parts: usize, #[case] each: &[usize]) {
+fn parts_are_sent_to_the_least_loaded_replicas(
+    #[case] names: &[&str],
+    #[case] parts: usize,
+    #[case] each: &[usize],
+) {
     let mut balancer = balancer_of(settings(), names);
     let plan = balancer.place(0.0, &mut new_search(1, parts, 0.0, 3.0));
     let counts: Vec<usize> = names
@@ -24,11 +28,12 @@
     assert_eq!(counts, each);
 }
 
-/// Where parts share calls, a replica's load is its calls in flight: three parts in one call tie with one part.
+/// If parts share calls, the load of a replica is its number of calls in flight: a call with three parts counts as much
+/// as a call with one part.
 #[rstest]
-#[case::one_part_a_call(1, false)]
-#[case::four_parts_a_call(4, true)]
-fn load_counts_calls(#[case] parts_per_call: usize, #[case] ties: bool) {
+#[case::one_part_per_call(1, false)]
+#[case::four_parts_per_call(4, true)]
+fn load_is_the_number_of_calls(#[case] parts_per_call: usize, #[case] ties: bool) {
     let chosen = |seed: u64| {
         let mut balancer = balancer_of(
             Settings {
@@ -48,7 +53,7 @@
     assert_eq!((0..20).any(|seed| chosen(seed) == replica_id("a")), ties);
 }
 
-/// A replica that was listed in cell 1, and after its restart in cell 0.
+/// A co-ordinator with a replica that was listed in cell 1, and after its restart in cell 0.
 fn restarted_in_another_cell() -> Balancer {
     let settings = Settings {
         cells: 2,
@@ -64,9 +69,9 @@
     balancer
 }
 
-/// A replica that restarts and takes another cell's shards leaves its old cell.
+/// A replica that restarts with another cell's shards is removed from its old cell.
 #[test]
-fn a_restart_in_another_cell_leaves_the_old_one() {
+fn a_replica_restarted_in_another_cell_is_removed_from_the_old_one() {
     let mut balancer = restarted_in_another_cell();
     let of_the_old_cell = |balancer: &mut Balancer, n| {
         let mut search = new_search(n, 1, 9.0, 3.0);
@@ -86,28 +91,29 @@
     assert_eq!(of_the_old_cell(&mut departed, 3), []);
 }
 
-/// Full with two own parts in flight: a third waits; an answer lets the search with the earliest deadline go.
+/// After a rejection or timeout, parts beyond the limit on calls in flight are queued. The next answer admits the
+/// search with the earliest deadline.
 #[rstest]
-#[case::after_full(Ending::Full)]
-#[case::after_time_out(Ending::TimedOut)]
-fn queued_parts_leave_by_deadline(#[case] trigger: Ending) {
+#[case::after_rejection(Ending::Full)]
+#[case::after_timeout(Ending::TimedOut)]
+fn queued_parts_are_sent_by_deadline(#[case] trigger: Ending) {
     let mut settings = settings();
     settings.query_types.push(QueryType {
         latency_target: 0.5,
         ..query_type()
     });
-    // Admission must not shed the queued ones: no replica has answered late.
+    // No replica has answered late, so that admission does not shed the queued searches.
     let mut balancer = balancer_of(settings, &["a"]);
     let mut first = new_search(1, 3, 0.0, 3.0);
     let sent = balancer.place(0.0, &mut first).send;
     balancer.attempt_finished(0.1, None, &outcome(&sent[2], 0, trigger, 0.1));
     let (mut slow, mut fast) = (new_search(2, 1, 0.1, 3.0), new_search(3, 1, 0.12, 3.0));
     fast.query_type = QueryTypeId(1);
-    let let_in = balancer.place(0.1, &mut slow);
+    let admitted = balancer.place(0.1, &mut slow);
     assert_eq!(
-        let_in.send.len(),
+        admitted.send.len(),
         1,
-        "two are in flight, as at the answer: one more may go"
+        "two are in flight, as many as at the outcome: one more is allowed"
     );
     let mut later = new_search(4, 1, 0.1, 3.0);
     assert!(
@@ -120,11 +126,11 @@
     assert_eq!(balancer.place(0.2, &mut fast).send.len(), 1);
 }
 
-/// Nothing new to a replica that drains or has departed, from the moment the list says so.
+/// A replica is sent no new parts once the endpoint list has it as draining, or no longer has it.
 #[rstest]
 #[case::draining(false, vec![listed("a", false, None)])]
-#[case::absent_from_full(true, vec![listed("b", true, None)])]
-fn draining_replicas_get_nothing_new(#[case] full: bool, #[case] lines: Vec<ListedReplica>) {
+#[case::absent_from_full_list(true, vec![listed("b", true, None)])]
+fn draining_replicas_are_sent_no_new_parts(#[case] full: bool, #[case] lines: Vec<ListedReplica>) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     balancer.apply_endpoint_list(full, &lines);
     for n in 0..20 {
@@ -137,11 +143,11 @@
     }
 }
 
-/// What is known of a replica goes with it, at once or with its last part.
+/// The state of a departed replica is removed: at once, or when its last part ends.
 #[rstest]
 #[case::idle(false)]
-#[case::with_a_part_out(true)]
-fn a_departed_replica_is_forgotten(#[case] in_flight: bool) {
+#[case::with_a_part_in_flight(true)]
+fn state_of_a_departed_replica_is_removed(#[case] in_flight: bool) {
     let mut balancer = balancer_of(settings(), &["a", "b"]);
     for n in 0..5 {
         let (_, placement) = search_in_flight_at(&mut balancer, "a", 0.0);
--- a/crates/routing/tests/balance/repeats.rs
+++ b/crates/routing/tests/balance/repeats.rs
@@ -1,4 +1,4 @@
-//! Which parts may run again, and how many of them.
+//! Repeats of parts: which parts may run again, and the retry budget.
 
 use crate::settings::settings;
 use crate::support::{balancer_of, new_search, outcome};
@@ -6,22 +6,23 @@
 use woadreach_routing::api::{Ending, Repeat, Reply, RetryBudgetConfig, Settings};
 
 /// Endings of attempts that may have run.
-const MAYBE_RUN: [Ending; 4] = [
+const MAY_HAVE_RUN: [Ending; 4] = [
     Ending::Errored,
     Ending::TimedOut,
     Ending::Broken,
     Ending::Cancelled,
 ];
 
-/// Which types may be sent again after an outcome, and whether their search may be shed.
+/// No part takes effect twice. After an attempt that may have run, the repeat setting decides whether the part is sent
+/// again, and whether its search may be shed.
 #[rstest]
 #[case::idempotent(Repeat::Idempotent, true, true)]
-#[case::tokened(Repeat::Tokened { window: 2.0, any_holder: true }, true, false)]
-#[case::tokened_too_late(Repeat::Tokened { window: 0.05, any_holder: true }, false, false)]
-#[case::tokened_elsewhere(Repeat::Tokened { window: 2.0, any_holder: false }, true, false)]
+#[case::token_valid(Repeat::Tokened { window: 2.0, any_holder: true }, true, false)]
+#[case::token_expired(Repeat::Tokened { window: 0.05, any_holder: true }, false, false)]
+#[case::token_at_one_replica(Repeat::Tokened { window: 2.0, any_holder: false }, true, false)]
 #[case::non_idempotent(Repeat::NonIdempotent, false, false)]
 fn no_effect_twice(#[case] repeat: Repeat, #[case] again: bool, #[case] shed: bool) {
-    for ending in MAYBE_RUN {
+    for ending in MAY_HAVE_RUN {
         let mut settings = settings();
         settings.query_types[0].repeat = repeat;
         let mut balancer = balancer_of(settings, &["a", "b", "c"]);
@@ -57,7 +58,7 @@
 #[case::full(Ending::Full)]
 #[case::unreachable(Ending::Unreachable)]
 #[case::never_sent(Ending::NeverSent)]
-fn proven_unrun_may_go_again(#[case] ending: Ending) {
+fn an_attempt_that_never_ran_is_repeated(#[case] ending: Ending) {
     let mut settings = settings();
     settings.query_types[0].repeat = Repeat::NonIdempotent;
     let mut balancer = balancer_of(settings, &["a", "b"]);
@@ -72,15 +73,19 @@
     );
 }
 
-/// Retries where every attempt fails: never more than `free` + `share` x (searches and parts taken).
+/// If every attempt fails, there are at most `min_retries` + `ratio` x (number of searches and parts) retries.
 #[rstest]
-#[case::free_only(2.0, 0.0, 2)]
-#[case::share_only(0.0, 0.25, 5)]
-fn the_retry_budget_is_respected(#[case] free: f64, #[case] share: f64, #[case] most: usize) {
+#[case::min_retries_only(2.0, 0.0, 2)]
+#[case::ratio_only(0.0, 0.25, 5)]
+fn the_retry_budget_is_respected(
+    #[case] min_retries: f64,
+    #[case] ratio: f64,
+    #[case] max_retries: usize,
+) {
     let mut settings = settings();
     settings.retry_budget = Some(RetryBudgetConfig {
-        min_retries: free,
-        ratio: share,
+        min_retries,
+        ratio,
         window: 10.0,
     });
     let mut balancer = balancer_of(settings, &["a", "b", "c"]);
@@ -98,15 +103,15 @@
                 .len();
         }
     }
-    assert!(retries <= most, "{retries}");
+    assert!(retries <= max_retries, "{retries}");
     assert!(retries > 0);
 }
 
-/// A search counts for the budget from when it came, also if the process stood still before it was placed.
+/// A search counts for the retry budget from its arrival, even if the process stalls before it is placed.
 #[rstest]
-#[case::came_in_the_window(6.0, 0.0, true)]
-#[case::came_before_it(10.5, 0.0, false)]
-#[case::out_of_it_when_it_may_leave(9.0, 2.0, false)]
+#[case::arrived_in_the_window(6.0, 0.0, true)]
+#[case::arrived_before_the_window(10.5, 0.0, false)]
+#[case::outside_the_window_when_sent(9.0, 2.0, false)]
 fn the_budget_counts_from_the_arrival(
     #[case] failed_at: f64,
     #[case] max_send_delay: f64,
--- a/crates/routing/tests/balance/replies.rs
+++ b/crates/routing/tests/balance/replies.rs
@@ -1,16 +1,16 @@
-//! The reply to a search: when it is due, and what it has.
+//! The reply to a search: its time and its content.
 
 use crate::settings::settings;
 use crate::support::{add_parts, balancer_of, new_search, outcome, replica_id};
 use rstest::rstest;
 use woadreach_routing::api::{Ending, Outcome, PartId, Reply, Settings};
 
-/// The final answer comes before the client's time is up, whatever stands in the way.
+/// Every search gets exactly one final reply, and gets it before the client's deadline.
 #[rstest]
 #[case::no_holder(&[], 3.0)]
-#[case::nearly_over(&["a"], 0.001)]
-#[case::already_over(&["a"], 0.0)]
-#[case::silence(&["a", "b"], 2.0)]
+#[case::deadline_close(&["a"], 0.001)]
+#[case::deadline_passed(&["a"], 0.0)]
+#[case::unresponsive_replicas(&["a", "b"], 2.0)]
 fn no_search_is_lost(#[case] names: &[&str], #[case] time_remaining: f64) {
     let mut balancer = balancer_of(settings(), names);
     let mut search = new_search(1, 2, 5.0, time_remaining);
@@ -30,18 +30,18 @@
     );
     assert!(
         balancer.place(now, &mut search).reply.is_none(),
-        "one final answer only"
+        "a second final reply"
     );
 }
 
-/// What is answered, from how much, and marked how.
+/// The answered weight decides whether a search is answered, and whether the answer is marked as complete.
 #[rstest]
-#[case::all(1.0, 0.5, 4, Some(Reply::Answered { complete: true }))]
-#[case::need_under_one(0.75, 0.75, 3, Some(Reply::Answered { complete: true }))]
-#[case::over_floor(1.0, 0.5, 2, Some(Reply::Answered { complete: false }))]
-#[case::under_floor(1.0, 0.5, 1, Some(Reply::Shed { retry_after: 0.5 }))]
-#[case::no_floor(1.0, 1.0, 3, Some(Reply::Shed { retry_after: 0.5 }))]
-fn answers_are_honest(
+#[case::all_parts(1.0, 0.5, 4, Some(Reply::Answered { complete: true }))]
+#[case::complete_weight_reached(0.75, 0.75, 3, Some(Reply::Answered { complete: true }))]
+#[case::minimum_weight_reached(1.0, 0.5, 2, Some(Reply::Answered { complete: false }))]
+#[case::below_minimum_weight(1.0, 0.5, 1, Some(Reply::Shed { retry_after: 0.5 }))]
+#[case::no_partial_answers(1.0, 1.0, 3, Some(Reply::Shed { retry_after: 0.5 }))]
+fn incomplete_answers_are_marked(
     #[case] complete_weight: f64,
     #[case] minimum_weight: f64,
     #[case] answered: usize,
@@ -64,7 +64,7 @@
                 &outcome(placement, 0, Ending::Answered, 0.1),
             )
             .reply;
-        // A part counts once.
+        // A second answer to the same part has no effect.
         balancer.attempt_finished(
             0.1,
             Some(&mut search),
@@ -77,12 +77,17 @@
     );
 }
 
-/// The second step is complete only if the first was and all its parts are answered.
+/// The answer of the second step is complete only if the first step was complete and all parts of the second are
+/// answered.
 #[rstest]
-#[case::both_whole(4, 2, true)]
+#[case::both_complete(4, 2, true)]
 #[case::first_partial(3, 2, false)]
 #[case::second_partial(4, 1, false)]
-fn two_steps(#[case] first: usize, #[case] second: usize, #[case] complete: bool) {
+fn both_steps_have_to_be_complete(
+    #[case] first: usize,
+    #[case] second: usize,
+    #[case] complete: bool,
+) {
     let mut settings = settings();
     (
         settings.query_types[0].minimum_weight,
@@ -117,9 +122,9 @@
     assert!(search.finished);
 }
 
-/// Odd input does no harm: outcomes of unknown replicas and parts, zero weights, unknown cells.
+/// Invalid input has no effect: outcomes of unknown replicas and parts, weights of zero, no cells.
 #[rstest]
-fn odd_input_is_harmless() {
+fn invalid_input_is_ignored() {
     let mut balancer = balancer_of(
         Settings {
             cells: 0,
@@ -139,7 +144,7 @@
     search.parts.iter_mut().for_each(|part| part.weight = 0.0);
     assert!(
         balancer.place(0.0, &mut search).reply.is_some(),
-        "no weight can meet a floor"
+        "parts without weight cannot reach the minimum weight"
     );
     let mut search = new_search(2, 1, 0.0, 3.0);
     let sent = balancer.place(0.0, &mut search).send;
--- a/crates/routing/tests/balance/slow_start.rs
+++ b/crates/routing/tests/balance/slow_start.rs
@@ -1,15 +1,16 @@
-//! What a replica that is warming up is sent.
+//! Slow start: the load on a replica that is warming up.
 
 use crate::settings::settings;
 use crate::support::{balancer_of, listed, new_search, outcome};
 use rstest::rstest;
 use woadreach_routing::api::{Ending, Settings, SlowStartConfig};
 
-/// A replica that is warming up, alone: what leaves in any window stays under this co-ordinator's share of the limit.
+/// The parts sent to a warming replica within an overload window stay below this co-ordinator's share of the overload
+/// threshold, even if there is no other replica.
 #[rstest]
 #[case::just_started(0.0, Ending::Answered)]
 #[case::half_warm(5.0, Ending::Answered)]
-#[case::refusing(0.0, Ending::Full)]
+#[case::rejecting(0.0, Ending::Full)]
 fn a_warming_replica_is_not_overloaded(#[case] age: f64, #[case] ending: Ending) {
     let mut settings = settings();
     settings.slow_start = Some(SlowStartConfig {
@@ -33,7 +34,8 @@
             );
         }
     }
-    // Unloaded answers of 5 ms or, without any, a fifth of the target: 200 parts or 5 a second, by half.
+    // One part takes 5 ms, or a fifth of the target if there are no answers: 200 or 5 parts per second. Two
+    // co-ordinators share this rate.
     let warmth = 0.2 + 0.8 * (age + 1.0) / 10.0;
     let work = if ending == Ending::Answered {
         0.005
@@ -46,8 +48,8 @@
     );
 }
 
-/// Many co-ordinators, each of them alone, one part each in every window: together under the limit from the
-/// first window on, and not so tight that the replica gets nothing.
+/// Many co-ordinators that do not communicate, each with one part per window, together stay below the overload
+/// threshold from the first window on. The replica is still sent some parts.
 #[rstest]
 #[case::three(3)]
 #[case::many(150)]
@@ -83,7 +85,8 @@
             }
         }
     }
-    // Without samples a part counts as a fifth of the target, later as its 0.05 s: 2.5 and 10 parts at first.
+    // Without samples a part is taken to need a fifth of the target, later its 0.05 s. In the first windows this allows
+    // 2.5 and 10 parts.
     assert!(
         sent[0] <= 2 && sent[1..].iter().all(|n| *n <= 17),
         "{sent:?}"
@@ -91,11 +94,11 @@
     assert!(sent.iter().sum::<usize>() >= 8, "{sent:?}");
 }
 
-/// Thirty co-ordinators whose shares add up to 1.25 parts a window: their turns do, in each window, and are
-/// not left to chance. It is half an even share of 2.5 times what one core does at a fifth of its capacity,
-/// in parts of a fifth of a second.
+/// The time slots of thirty co-ordinators add up to their total share of 1.25 parts in each window, and are not
+/// random. The share is half of an even share of 2.5 times the work of one core at a fifth of its capacity, with
+/// parts of a fifth of a second.
 #[test]
-fn turns_of_a_tier_add_up() {
+fn time_slots_of_a_tier_add_up() {
     let slow_start = Some(SlowStartConfig {
         initial_capacity: 0.2,
         duration: 1e6,
@@ -130,11 +133,11 @@
     );
 }
 
-/// Fresh replicas start with one in flight, more as they answer.
+/// A replica that has just started has at most one attempt in flight; the limit grows with its answers.
 #[rstest]
-#[case::none_yet(0, 1)]
+#[case::no_answers(0, 1)]
 #[case::four_answers(4, 2)]
-fn in_flight_cap_grows(#[case] answers: u64, #[case] cap: usize) {
+fn the_limit_on_attempts_in_flight_grows(#[case] answers: u64, #[case] limit: usize) {
     let mut settings = settings();
     settings.slow_start = Some(SlowStartConfig {
         initial_capacity: 1.0,
@@ -161,5 +164,5 @@
                 .len()
         })
         .sum();
-    assert_eq!(sent, cap);
+    assert_eq!(sent, limit);
 }
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -1,4 +1,4 @@
-//! A co-ordinator's decisions, searches and outcomes for the tests.
+//! Builders of co-ordinators, searches and outcomes for the tests.
 
 use woadreach_routing::api::{
     CellId, Ending, ListedReplica, Outcome, Part, PartId, Placement, QueryTypeId, ReplicaId,
@@ -20,7 +20,7 @@
     }
 }
 
-/// A co-ordinator whose endpoint list has these replicas, all warm.
+/// A co-ordinator with these replicas, all of them open and warm.
 pub(crate) fn balancer_of(settings: Settings, names: &[&str]) -> Balancer {
     let mut balancer = Balancer::new(settings);
     let lines: Vec<ListedReplica> = names.iter().map(|name| listed(name, true, None)).collect();
@@ -28,7 +28,7 @@
     balancer
 }
 
-/// A search of `parts` equal parts, numbered from 100 times its own number.
+/// A search of `parts` parts of equal weight, with identifiers from 100 times that of the search.
 pub(crate) fn new_search(n: u64, parts: usize, now: f64, time_remaining: f64) -> Search {
     let mut search = Search::new(
         SearchId(n),
@@ -70,8 +70,8 @@
     }
 }
 
-/// Plays one-part searches until the replica chosen is `name`, answering the others at once; returns the search and
-/// its placement, which is still in flight.
+/// Places one-part searches until one is sent to the replica `name`, and answers the others at once. Returns the search
+/// and its placement, which is still in flight.
 pub(crate) fn search_in_flight_at(
     balancer: &mut Balancer,
     name: &str,
@@ -89,5 +89,5 @@
             &outcome(&placement, 0, Ending::Answered, 0.1),
         );
     }
-    panic!("{name} is not chosen")
+    panic!("none of 500 searches was sent to replica {name}")
 }
--- a/crates/routing/tests/balance/zones.rs
+++ b/crates/routing/tests/balance/zones.rs
@@ -1,4 +1,4 @@
-//! What the tier has agreed on about zones.
+//! Routing by the zone failover state that the tier has agreed on, and reports on zones.
 
 use crate::settings::settings;
 use crate::support::{listed, new_search, outcome, search_in_flight_at};
@@ -37,7 +37,7 @@
     })
 }
 
-/// How many of 200 one-part searches go to zone 0, each answered at once, a millisecond apart.
+/// Sends 200 one-part searches, a millisecond apart and each answered at once. Returns the number sent to zone 0.
 fn searches_to_zone_0(balancer: &mut Balancer, from: f64) -> usize {
     let mut searches = 0;
     for i in 0..200 {
@@ -57,15 +57,15 @@
 }
 
 #[rstest]
-#[case::alone(None, 70..130)]
-#[case::all_serve(zone_failover([1.0, 1.0], None), 70..130)]
-#[case::one_is_out(zone_failover([0.0, 1.0], None), 0..1)]
-#[case::one_is_on_its_way_back(zone_failover([0.2, 1.0], None), 10..40)]
-#[case::near(zone_failover([1.0, 1.0], Some(1.0)), 200..201)]
-#[case::near_for_a_part_of_it(zone_failover([1.0, 1.0], Some(0.6)), 140..185)]
-#[case::near_is_out(zone_failover([0.0, 1.0], Some(0.0)), 0..1)]
-#[case::both_are_out_and_there_is_no_other(zone_failover([0.0, 0.0], None), 70..130)]
-fn parts_go_where_the_tier_says(
+#[case::not_connected(None, 70..130)]
+#[case::both_zones_serve(zone_failover([1.0, 1.0], None), 70..130)]
+#[case::one_zone_ejected(zone_failover([0.0, 1.0], None), 0..1)]
+#[case::one_zone_being_restored(zone_failover([0.2, 1.0], None), 10..40)]
+#[case::near_zone(zone_failover([1.0, 1.0], Some(1.0)), 200..201)]
+#[case::near_zone_for_a_share(zone_failover([1.0, 1.0], Some(0.6)), 140..185)]
+#[case::near_zone_ejected(zone_failover([0.0, 1.0], Some(0.0)), 0..1)]
+#[case::both_zones_ejected(zone_failover([0.0, 0.0], None), 70..130)]
+fn parts_follow_the_zone_failover_state(
     #[case] agreed: Option<ZoneFailoverState>,
     #[case] expected: std::ops::Range<usize>,
 ) {
@@ -75,10 +75,10 @@
     assert!(expected.contains(&searches), "{searches} of 200");
 }
 
-/// What this co-ordinator has seen of a replica counts although the tier has agreed that its zone serves, and so
-/// does the endpoint list.
+/// The tier's agreement that a zone serves does not override this co-ordinator's own observations of a replica in it,
+/// nor the endpoint list.
 #[test]
-fn the_tier_overrules_no_judgement_of_a_replica() {
+fn zone_failover_does_not_override_the_health_of_a_replica() {
     let mut balancer = two_zones();
     let (mut search, placement) = search_in_flight_at(&mut balancer, "a0", 1.0);
     balancer.attempt_finished(
@@ -106,9 +106,9 @@
     }
 }
 
-/// A zone that the tier restores is restored here at once; sparse probes would take seconds.
+/// A zone that the tier restores is restored at this co-ordinator at once. Its own sparse probes would take seconds.
 #[test]
-fn a_zone_that_is_back_in_common_is_back_here() {
+fn a_zone_restored_by_the_tier_is_restored_at_once() {
     let mut balancer = two_zones();
     balancer.set_zone_failover(1.0, zone_failover([0.0, 1.0], None));
     assert_eq!(searches_to_zone_0(&mut balancer, 1.1), 0);
@@ -116,10 +116,10 @@
     assert!(searches_to_zone_0(&mut balancer, 2.1) > 50);
 }
 
-/// The last six parts of a zone within 2 s, or the run of failures up to now; a part in flight that is overdue
-/// counts before it ends.
+/// The report on a zone counts its last six parts within 2 s, or the uninterrupted sequence of failures up to now. An
+/// overdue part in flight counts before it ends.
 #[test]
-fn what_is_seen_of_zones_counts_what_is_overdue() {
+fn zone_health_counts_overdue_parts() {
     let mut balancer = two_zones();
     searches_to_zone_0(&mut balancer, 1.0);
     let health = |balancer: &Balancer, now: f64| {
--- a/crates/routing/tests/parts.rs
+++ b/crates/routing/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parts of `decide` that know nothing of searches, as a second proxy uses them.
+//! Table-driven tests of the modules of `decide` that do not depend on searches, and that any proxy can use.
 
 mod settings;
 
@@ -9,12 +9,12 @@
     Observation, OutlierDetector, PartBudget, RetryBudget, UnloadedLatency,
 };
 
-const RULE: EjectionConfig = EjectionConfig {
+const EJECTION: EjectionConfig = EjectionConfig {
     window: 8,
     min_failures: 2,
 };
 
-/// Samples of 0.1, 0.2, ... seconds of each replica named, taken at one time.
+/// Latencies of these replicas: for each the given number of samples, 0.1 s, 0.2 s and so on, all recorded at time 0.
 fn latencies(replicas: &[(&'static str, usize)]) -> UnloadedLatency<&'static str> {
     let mut all = UnloadedLatency::new(0.05);
     for (replica, count) in replicas {
@@ -24,27 +24,27 @@
 }
 
 #[rstest]
-#[case::nothing_known(&[], 0.0, Some("a"), 0.05)]
+#[case::no_samples(&[], 0.0, Some("a"), 0.05)]
 #[case::own_samples(&[("a", 10)], 0.0, Some("a"), 0.5)]
-#[case::too_few_of_its_own(&[("a", 7), ("b", 10)], 0.0, Some("a"), 0.5)]
-#[case::unheard(&[("b", 10)], 0.0, Some("a"), 0.5)]
-#[case::counts_as_average(&[("a", 10), ("b", 30)], 0.0, None, 1.0)]
-#[case::own_too_old(&[("a", 8), ("b", 2)], 20.0, Some("a"), 0.3)]
-#[case::own_just_fresh_enough(&[("a", 8), ("b", 2)], 19.9, Some("a"), 0.4)]
+#[case::too_few_own_samples(&[("a", 7), ("b", 10)], 0.0, Some("a"), 0.5)]
+#[case::no_own_samples(&[("b", 10)], 0.0, Some("a"), 0.5)]
+#[case::average_requested(&[("a", 10), ("b", 30)], 0.0, None, 1.0)]
+#[case::own_samples_expired(&[("a", 8), ("b", 2)], 20.0, Some("a"), 0.3)]
+#[case::own_samples_almost_expired(&[("a", 8), ("b", 2)], 19.9, Some("a"), 0.4)]
 fn unloaded_quantile(
-    #[case] heard: &[(&'static str, usize)],
+    #[case] sample_counts: &[(&'static str, usize)],
     #[case] now: f64,
     #[case] replica: Option<&'static str>,
     #[case] median: f64,
 ) {
     assert_eq!(
-        latencies(heard).quantile(now, replica.as_ref(), 0.5),
+        latencies(sample_counts).quantile(now, replica.as_ref(), 0.5),
         median
     );
 }
 
 #[test]
-fn a_replica_keeps_its_latest_samples_and_an_ejected_one_leaves_the_fleet_alone() {
+fn own_samples_are_the_latest_and_those_of_ejected_replicas_are_not_the_fleets() {
     let mut all = UnloadedLatency::new(0.05);
     (0..40).for_each(|n| all.record(0.0, &"a", f64::from(n), true));
     assert_eq!(all.own(0.0, &"a"), Some((8..40).map(f64::from).collect()));
@@ -53,13 +53,14 @@
     assert_eq!(all.own(0.0, &"a"), None);
 }
 
-/// By the definition: the smallest sample at which the product of the shares at or under it reaches p.
+/// Checks the result against its definition: the smallest sample at which the product of the shares of samples up to it
+/// reaches `p`.
 #[rstest]
 #[case::one(&["a"], 0.7, 0.7)]
-#[case::two_alike(&["a", "b"], 0.48, 0.7)]
-#[case::two_alike_and_high(&["a", "b"], 0.7, 0.9)]
+#[case::two_equal(&["a", "b"], 0.48, 0.7)]
+#[case::two_equal_high_probability(&["a", "b"], 0.7, 0.9)]
 #[case::slow_and_fast(&["a", "c"], 0.7, 1.4)]
-#[case::twice_the_same_as_average(&["x", "x"], 0.25, 1.1)]
+#[case::two_average(&["x", "x"], 0.25, 1.1)]
 fn product_of_distributions(#[case] replicas: &[&'static str], #[case] p: f64, #[case] time: f64) {
     let all = latencies(&[("a", 10), ("b", 10), ("c", 20)]);
     let replicas: Vec<_> = replicas.iter().map(Some).collect();
@@ -86,16 +87,16 @@
 }
 
 #[rstest]
-#[case::one_call(1, 0.7)]
-#[case::two_side_by_side(2, 0.7_f64.sqrt())]
-#[case::no_finer_than_the_samples(40, 1.0 - 1.0 / 16.0)]
-#[case::none_counts_as_one(0, 0.7)]
+#[case::one_part(1, 0.7)]
+#[case::two_parts(2, 0.7_f64.sqrt())]
+#[case::limited_by_the_number_of_samples(40, 1.0 - 1.0 / 16.0)]
+#[case::no_parts_count_as_one(0, 0.7)]
 fn part_quantile_is_the_kth_root(#[case] k: usize, #[case] quantile: f64) {
     assert!((PartBudget::default().part_quantile(k) - quantile).abs() < 1e-12);
 }
 
 #[test]
-fn queuing_deadline_leaves_the_unloaded_time_before_the_target() {
+fn queuing_deadline_is_the_target_less_the_unloaded_latency() {
     let (budget, all) = (PartBudget::default(), latencies(&[("a", 10)]));
     assert!((budget.queuing_deadline(0.0, 5.0, &all, &[Some(&"a")]) - 4.3).abs() < 1e-9);
     assert_eq!(
@@ -109,23 +110,28 @@
     );
 }
 
-/// Held only while more are in flight than at the full answer, and until as many answers have come.
+/// Calls are blocked only while more are in flight than when backpressure began, and only until as many answers have
+/// been received.
 #[rstest]
 #[case::none_in_flight(0, 0, 1)]
 #[case::two_in_flight(2, 2, 2)]
-fn hold_and_release(#[case] in_flight: usize, #[case] may: usize, #[case] answers: usize) {
+fn backpressure_begins_and_ends(
+    #[case] in_flight: usize,
+    #[case] allowed: usize,
+    #[case] answers: usize,
+) {
     let mut backpressure = Backpressure::default();
     assert!(!backpressure.blocks(100));
     backpressure.begin(in_flight);
-    assert!(!backpressure.blocks(may) && backpressure.blocks(may + 1));
+    assert!(!backpressure.blocks(allowed) && backpressure.blocks(allowed + 1));
     (1..answers).for_each(|_| backpressure.record_answer());
-    assert!(backpressure.blocks(may + 1));
+    assert!(backpressure.blocks(allowed + 1));
     backpressure.record_answer();
     assert!(!backpressure.blocks(100));
 }
 
 #[test]
-fn earliest_deadline_leaves_first_late_ones_too() {
+fn the_earliest_deadline_is_first_even_if_it_has_passed() {
     let mut queue = DeadlineQueue::default();
     for (deadline, call) in [(3.0, 1), (-1.0, 2), (2.0, 3)] {
         queue.insert(&"a", deadline, call);
@@ -147,12 +153,12 @@
 }
 
 #[test]
-fn fewest_in_flight_with_ties_at_random() {
+fn the_least_load_is_chosen_with_ties_at_random() {
     let mut rng = oorandom::Rand64::new(1);
     let mut counts = [0; 4];
     for _ in 0..300 {
         let mut candidates = Candidates::new(0..4);
-        candidates.prefer(|r| *r > 9); // none: all stay
+        candidates.prefer(|r| *r > 9); // prefers none, so that all are kept
         candidates.require(|r| *r != 3);
         counts[candidates.choose(|r| [1, 0, 0, 0][*r], &mut rng).unwrap()] += 1;
     }
@@ -175,11 +181,11 @@
 #[case::two_failures(&[true, true], true)]
 #[case::one_failure(&[true], false)]
 #[case::half(&[false, false, true, true], true)]
-#[case::under_half(&[false, false, false, true, true], false)]
-fn ejected_by_half_of_the_calls(#[case] calls: &[bool], #[case] ejected: bool) {
+#[case::below_half(&[false, false, false, true, true], false)]
+fn ejected_if_half_of_the_calls_fail(#[case] calls: &[bool], #[case] ejected: bool) {
     let mut detector = OutlierDetector::default();
     let change = calls.iter().fold(None, |_, failed| {
-        detector.observe(RULE, call(0.0, 0, *failed))
+        detector.observe(EJECTION, call(0.0, 0, *failed))
     });
     assert_eq!(
         (detector.is_ejected(), change),
@@ -190,66 +196,67 @@
 #[test]
 fn old_failures_do_not_count() {
     let mut detector = OutlierDetector::default();
-    detector.observe(RULE, call(0.0, 0, true));
-    assert_eq!(detector.observe(RULE, call(10.0, 0, true)), None);
+    detector.observe(EJECTION, call(0.0, 0, true));
+    assert_eq!(detector.observe(EJECTION, call(10.0, 0, true)), None);
 }
 
 #[test]
-fn four_successful_probes_restore_and_failed_ones_make_them_rarer() {
+fn four_successful_probes_restore_and_failed_probes_double_the_interval() {
     let mut detector = OutlierDetector::default();
     detector.eject(0.0, None);
     assert!(!detector.probe_due(0.9, 0) && detector.probe_due(1.0, 0));
     detector.probe_sent(1.0);
     assert!(!detector.probe_due(1.9, 0) && detector.probe_due(2.0, 0));
     for at in [2.0, 4.0, 8.0, 12.0] {
-        detector.observe(RULE, call(at, 0, true));
+        detector.observe(EJECTION, call(at, 0, true));
         detector.probe_sent(at);
     }
     assert!(!detector.probe_due(15.9, 0) && detector.probe_due(16.0, 0));
     for at in [16.0, 17.0, 18.0] {
-        assert_eq!(detector.observe(RULE, call(at, 0, false)), None);
+        assert_eq!(detector.observe(EJECTION, call(at, 0, false)), None);
         assert!(detector.probe_due(at, 0));
     }
     assert_eq!(
-        detector.observe(RULE, call(19.0, 0, false)),
+        detector.observe(EJECTION, call(19.0, 0, false)),
         Some(HealthChange::Restored)
     );
     assert!(!detector.is_ejected());
 }
 
-/// Where the other classes fare well, only the failing one is ejected; later all, if another fares as badly.
+/// If the calls of other classes succeed, only the failing class is ejected. The ejection is extended to all classes
+/// when another class fails.
 #[test]
-fn one_class_alone() {
+fn a_single_class_is_ejected() {
     let mut detector = OutlierDetector::default();
-    (0..3).for_each(|_| assert_eq!(detector.observe(RULE, call(0.0, 0, false)), None));
-    (0..2).for_each(|_| assert_eq!(detector.observe(RULE, call(0.0, 1, true)), None));
+    (0..3).for_each(|_| assert_eq!(detector.observe(EJECTION, call(0.0, 0, false)), None));
+    (0..2).for_each(|_| assert_eq!(detector.observe(EJECTION, call(0.0, 1, true)), None));
     assert_eq!(
-        detector.observe(RULE, call(0.0, 1, true)),
+        detector.observe(EJECTION, call(0.0, 1, true)),
         Some(HealthChange::Ejected)
     );
     assert!(detector.is_ejected_for(1) && !detector.is_ejected_for(0));
-    (0..3).for_each(|_| assert_eq!(detector.observe(RULE, call(0.5, 0, true)), None));
+    (0..3).for_each(|_| assert_eq!(detector.observe(EJECTION, call(0.5, 0, true)), None));
     assert!(detector.is_ejected_for(0));
 }
 
 #[test]
-fn health_of_sparse_and_of_dead_ones() {
+fn recent_failures_in_sparse_traffic_and_failures_of_all_calls() {
     let mut detector = OutlierDetector::default();
-    detector.observe(RULE, call(1.0, 0, true));
+    detector.observe(EJECTION, call(1.0, 0, true));
     assert!(
         detector.failed_last_in_sparse_traffic(10.9)
             && !detector.failed_last_in_sparse_traffic(11.0)
     );
-    detector.observe(RULE, call(2.0, 0, true));
+    detector.observe(EJECTION, call(2.0, 0, true));
     assert!(!detector.all_failed(0.0));
-    detector.observe(RULE, call(3.0, 0, true));
+    detector.observe(EJECTION, call(3.0, 0, true));
     assert!(detector.all_failed(0.0) && !detector.all_failed(1.0));
-    detector.observe(RULE, call(4.0, 0, false));
+    detector.observe(EJECTION, call(4.0, 0, false));
     assert!(!detector.all_failed(0.0) && !detector.failed_last_in_sparse_traffic(4.0));
 }
 
 #[test]
-fn limits_follow_the_answers() {
+fn latency_limits_are_derived_from_answers() {
     let (unloaded, budget) = (latencies(&[("a", 10)]), PartBudget::default());
     let mut limits = LatencyLimits::new(3.0);
     assert_eq!(
@@ -258,7 +265,7 @@
     );
     (0..19).for_each(|_| limits.record_answer(1.0, 0.4));
     limits.update(&unloaded, &budget);
-    assert_eq!(limits.late_after, 1.0, "too few answers to tell");
+    assert_eq!(limits.late_after, 1.0, "initial limit: too few answers");
     limits.record_answer(1.0, 0.4);
     limits.update(&unloaded, &budget);
     assert_eq!(limits.late_after, 1.0, "2.5 medians");
@@ -272,12 +279,13 @@
     );
 }
 
-/// Overload begins where the lower quartile is over 1.5 times the unloaded one, and is reported once.
+/// Overload begins when the lower quartile of latencies exceeds 1.5 times the unloaded one. The change is reported
+/// once.
 #[rstest]
-#[case::just_as_unloaded(0.3, false)]
-#[case::half_as_much_again(0.449, false)]
-#[case::more(0.46, true)]
-fn overload(#[case] latency: f64, #[case] overloaded: bool) {
+#[case::equal_to_unloaded(0.3, false)]
+#[case::below_the_threshold(0.449, false)]
+#[case::above_the_threshold(0.46, true)]
+fn overload_begins_and_ends(#[case] latency: f64, #[case] overloaded: bool) {
     let unloaded = latencies(&[("a", 10)]);
     let mut limits = LatencyLimits::new(3.0);
     (0..4).for_each(|_| limits.record_answer(1.0, latency));
@@ -289,18 +297,18 @@
     assert_eq!(
         limits.update_overload(5.1, &unloaded),
         overloaded,
-        "ended: its answers are too old"
+        "overload ends when its answers are too old"
     );
 }
 
 #[rstest]
-#[case::no_rule(None, 100)]
-#[case::free_ones_only(Some((2.0, 0.0)), 2)]
-#[case::free_ones_and_a_share(Some((1.0, 0.25)), 3)]
-fn retry_budget(#[case] rule: Option<(f64, f64)>, #[case] sent: usize) {
-    let budget = rule.map(|(free, share)| RetryBudgetConfig {
-        min_retries: free,
-        ratio: share,
+#[case::no_limit(None, 100)]
+#[case::min_retries_only(Some((2.0, 0.0)), 2)]
+#[case::min_retries_and_ratio(Some((1.0, 0.25)), 3)]
+fn retry_budget(#[case] limit: Option<(f64, f64)>, #[case] sent: usize) {
+    let budget = limit.map(|(min_retries, ratio)| RetryBudgetConfig {
+        min_retries,
+        ratio,
         window: 10.0,
     });
     let mut retries = RetryBudget::new(&Settings {
@@ -308,7 +316,7 @@
         ..settings::settings()
     });
     retries.record_work(0.0, 8);
-    let may = (0..100)
+    let allowed = (0..100)
         .take_while(|_| {
             retries
                 .allows_retry(1.0)
@@ -316,12 +324,12 @@
                 .is_some()
         })
         .count();
-    assert_eq!(may, sent);
+    assert_eq!(allowed, sent);
     let again = retries.allows_retry(10.9);
     assert_eq!(
         again,
-        rule.is_none(),
-        "still in the window, and what was taken is not"
+        limit.is_none(),
+        "the retries are still in the window, the work is not"
     );
     assert!(retries.allows_retry(11.1));
 }
--- a/crates/routing/tests/rendezvous.rs
+++ b/crates/routing/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: agreement, spread, and how little a change of the candidates moves.
+//! Rendezvous hashing: agreement on a candidate, even distribution of keys, and stability when a candidate is removed.
 
 use woadreach_routing::rendezvous::rank;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn keys_spread_evenly() {
+fn keys_are_distributed_evenly() {
     let list = candidates(50);
     let wins = |candidate: &String| {
         (0..2_000)
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_candidate_that_leaves_moves_only_its_keys() {
+fn removing_a_candidate_moves_only_its_keys() {
     let list = candidates(20);
     for key in 0..500 {
         let before = winner(key, &list);
--- a/crates/routing/tests/settings/mod.rs
+++ b/crates/routing/tests/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Small settings for the tests of the decisions.
+//! Default settings for the tests of the decisions.
 
 use woadreach_routing::api::{QueryType, Repeat, Settings};
 
