--- a/crates/router/search-driver/src/comparison.rs
+++ b/crates/router/search-driver/src/comparison.rs
@@ -1,6 +1,5 @@
-//! Comparison before a move to another deployment: the co-ordinator decides as its settings say, and counts,
-//! by kind, the steps that the settings of the other deployment would not have allowed. The host reports the
-//! counts.
+//! Comparison of decisions with the limits of another deployment, before a move to it. The co-ordinator decides by its
+//! own settings, and counts the steps that the other deployment would not have allowed. The host reports the counts.
 
 use crate::settings_error::{SettingsError, UnknownSnafu, WrongTypeSnafu};
 use serde_json::{Map, Value};
@@ -9,11 +8,11 @@
 
 const KNOWN_KEYS: [&str; 3] = ["retryAfter", "mayDuplicate", "once"];
 
-/// What the other deployment would allow. Read from the settings' `watch` object, each key optional: an absent
-/// one allows what the settings in force allow, so that nothing is counted for it.
+/// Limits of the other deployment, from the settings' `watch` object. Each key is optional; for an absent key the limit
+/// is that of the co-ordinator's own settings, so that nothing is counted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProposedLimits {
-    /// `watch.retryAfter`: whether a shed reply may state when to come back.
+    /// `watch.retryAfter`: whether the reply to a shed search may advise a time for the retry.
     pub retry_after: Option<bool>,
     /// `watch.mayDuplicate`: whether a part may have two attempts in flight.
     pub hedging_allowed: Option<bool>,
@@ -21,22 +20,22 @@
     pub once: Vec<String>,
 }
 
-/// Steps that the other deployment would not have allowed, by kind.
+/// Numbers of steps that the other deployment would not have allowed, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ComparisonCounters {
-    /// Searches shed with a time to come back.
+    /// Number of searches shed with an advised time for the retry.
     pub retry_after: u64,
-    /// Attempts sent while another of their part was in flight.
+    /// Number of attempts sent while another attempt of the same part was in flight.
     pub hedges: u64,
-    /// Attempts after one that may have run, of a query type in [`ProposedLimits::once`].
+    /// Number of attempts sent after one that may have run, for query types in [`ProposedLimits::once`].
     pub retries_of_once: u64,
 }
 
-/// The `watch` object of the settings; `None` where there is none.
+/// Limits in the `watch` object of the settings; `None` if the settings have no such object.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] where a key is unknown or has another type.
+/// [`SettingsError`] if a key is unknown or its value has the wrong type.
 pub fn parse_proposed_limits(settings: &Value) -> Result<Option<ProposedLimits>, SettingsError> {
     let Some(watch) = settings.get("watch") else {
         return Ok(None);
@@ -90,7 +89,8 @@
 }
 
 impl ProposedLimits {
-    /// Counts a sent attempt of a part. `once`: its query type is named in [`ProposedLimits::once`].
+    /// Counts an attempt of a part if it would not have been allowed. `once`: whether the query type of the part is in
+    /// [`ProposedLimits::once`].
     pub fn count_attempt(
         &self,
         part: &Part,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Counts a reply to a search.
+    /// Counts a reply to a search if it would not have been allowed.
     pub fn count_reply(&self, reply: Reply, counters: &mut ComparisonCounters) {
         if matches!(reply, Reply::Shed { retry_after } if retry_after > 0.0)
             && self.retry_after == Some(false)
--- a/crates/router/search-driver/src/lib.rs
+++ b/crates/router/search-driver/src/lib.rs
@@ -1,9 +1,8 @@
-//! What every host of the routing decisions needs: the settings read from JSON, the searches in flight, and
-//! the order in which a plan is carried out. It has neither clock nor sockets nor a wire format, and decides
-//! nothing.
+//! Parts that all hosts of the routing decisions share: parsing of the settings, the table of searches in flight, and
+//! the execution of plans in the right order. It has no clock, no sockets and no wire format, and makes no decisions.
 //!
-//! A host implements [`PlanExecutor`] and drives a [`SearchTable`]. [`comparison`] compares decisions with the
-//! settings of another deployment.
+//! A host implements [`PlanExecutor`] and calls the methods of a [`SearchTable`]. [`comparison`] compares decisions
+//! with the limits of another deployment.
 
 pub mod comparison;
 mod search_table;
--- a/crates/router/search-driver/src/search_table.rs
+++ b/crates/router/search-driver/src/search_table.rs
@@ -1,8 +1,7 @@
-//! The searches in flight of one co-ordinator, beside the routing decisions.
+//! Table of the searches in flight at one co-ordinator, with its routing decisions.
 //!
-//! [`SearchTable`] owns each search from [`SearchTable::insert`] until it is over, and knows when the
-//! decisions want to be asked about it next. What a plan asks for goes, in its order, to a [`PlanExecutor`].
-//! The caller keeps the clock.
+//! [`SearchTable`] owns each search from [`SearchTable::insert`] until its end, and tracks when the decisions have to
+//! reconsider it. A [`PlanExecutor`] carries out the actions of each plan in their order. The caller owns the clock.
 
 use crate::comparison::{ComparisonCounters, ProposedLimits};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,36 +12,36 @@
 use woadreach_routing::balancer::Balancer;
 use woadreach_routing::mutations::is_mutated;
 
-/// How much before its time a timer may fire, in seconds: hosts' timers count in microseconds.
+/// Time by which a timer may fire early, in seconds. Hosts have timers with a resolution of microseconds.
 pub const TIMER_PRECISION: f64 = 1e-5;
 
-/// Carries out the steps of a plan. `attempt_index` numbers the attempts of a part from 0.
+/// Carries out the actions of a plan. `attempt_index` is the index of an attempt among those of its part, from 0.
 pub trait PlanExecutor {
-    /// Logs a line.
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
-    /// Cancels an attempt.
+    /// Cancels an attempt in flight. Its end is reported with [`SearchTable::attempt_finished`].
     fn cancel(&mut self, attempt: AttemptId);
-    /// Sends an attempt.
+    /// Sends an attempt. Its end is reported with [`SearchTable::attempt_finished`].
     fn send(&mut self, search: &Search, placement: &Placement, attempt_index: usize);
-    /// Replies to a search, or begins its second step where it is not finished.
+    /// Replies to a search, or begins its second step if the search is not finished.
     fn reply(&mut self, search: &Search, reply: Reply);
-    /// Calls [`SearchTable::timer_fired`] for this search after `wait` seconds; earlier timers of it may still
-    /// fire.
+    /// Sets a timer that calls [`SearchTable::timer_fired`] for this search after `wait` seconds. Earlier timers of the
+    /// search need not be removed.
     fn set_timer(&mut self, search: SearchId, wait: f64);
-    /// The search is over, answered or not, and is not in the table any more.
+    /// Reports that a search has ended, with or without an answer, and is being removed from the table.
     fn search_finished(&mut self, search: &Search);
 }
 
 struct SearchInFlight {
     search: Search,
-    /// When its next timer fires; infinite if none is set. Only an earlier timer replaces it.
+    /// Time of the search's next timer; infinite if no timer is set. Only an earlier timer replaces it.
     due: f64,
 }
 
-/// A comparison with the settings of another deployment.
+/// Comparison with the limits of another deployment.
 struct Comparison {
     limits: ProposedLimits,
-    /// Whether parts of the query type may not run twice there, by query type.
+    /// For each query type, whether its parts may run only once in the other deployment.
     once: Vec<bool>,
     counters: ComparisonCounters,
 }
@@ -60,26 +59,26 @@
     }
 }
 
-/// How much is in flight.
+/// Numbers of searches and parts in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightCounts {
     /// Number of searches.
     pub searches: usize,
-    /// Number of their parts.
+    /// Number of parts of these searches, answered ones included.
     pub parts: usize,
 }
 
-/// The searches in flight. See the module's documentation.
+/// Searches in flight at one co-ordinator, with its routing decisions.
 pub struct SearchTable {
     balancer: Balancer,
     searches: BTreeMap<SearchId, SearchInFlight>,
-    /// The search of each part in flight.
+    /// Search of each part, for all searches in the table.
     by_part: BTreeMap<PartId, SearchId>,
     comparison: Option<Comparison>,
 }
 
 impl SearchTable {
-    /// A table without searches.
+    /// An empty table of a co-ordinator with these settings.
     pub fn new(settings: Settings) -> Self {
         SearchTable {
             balancer: Balancer::new(settings),
@@ -89,7 +88,8 @@
         }
     }
 
-    /// Counts from now on where `limits` would not have allowed a step. `query_types`: their names.
+    /// Starts to count the steps that `limits` would not have allowed. `query_types`: the names of the query types,
+    /// in the order of the settings.
     pub fn compare_with(&mut self, limits: ProposedLimits, query_types: &[String]) {
         let once = query_types
             .iter()
@@ -102,32 +102,33 @@
         });
     }
 
-    /// The counts of a comparison, if there is one.
+    /// Counters of the comparison; `None` if [`SearchTable::compare_with`] was not called.
     pub fn comparison_counters(&self) -> Option<ComparisonCounters> {
         self.comparison.as_ref().map(|c| c.counters)
     }
 
-    /// Applies an endpoint list: a complete one, or changes.
+    /// Applies a complete endpoint list if `full`, and otherwise changes of the list.
     pub fn apply_endpoint_list(&mut self, full: bool, lines: &[ListedReplica]) {
         self.balancer.apply_endpoint_list(full, lines);
     }
 
-    /// Applies what the tier has agreed on; `None`: this co-ordinator has no peers.
+    /// Applies the zone failover state that the tier has agreed on; `None` if this co-ordinator is not connected to
+    /// peers.
     pub fn set_zone_failover(&mut self, now: f64, state: Option<ZoneFailoverState>) {
         self.balancer.set_zone_failover(now, state);
     }
 
-    /// What this co-ordinator's latest parts say of each zone.
+    /// Health of each zone, from this co-ordinator's latest parts.
     pub fn zone_health(&self, now: f64) -> Vec<ZoneHealth> {
         self.balancer.zone_health(now)
     }
 
-    /// Demand for each warming replica.
+    /// This co-ordinator's demand on each replica that is warming up.
     pub fn slow_start_demands(&self, now: f64) -> Vec<SlowStartDemand> {
         self.balancer.slow_start_demands(now)
     }
 
-    /// Sets this co-ordinator's share of a warming replica, in even shares.
+    /// Sets this co-ordinator's share of a warming replica, as a multiple of the even share.
     pub fn set_quota_share(&mut self, replica: &ReplicaId, even_shares: f64) {
         self.balancer.set_quota_share(replica, even_shares);
     }
@@ -140,12 +141,12 @@
         }
     }
 
-    /// The search that a part belongs to.
+    /// Search that a part belongs to; `None` if the search has ended or the part is unknown.
     pub fn search_of(&self, part: PartId) -> Option<SearchId> {
         self.by_part.get(&part).copied()
     }
 
-    /// Adds a search; [`SearchTable::place`] follows once its parts are added.
+    /// Adds a search with its parts. Call [`SearchTable::place`] once all parts have been added.
     pub fn insert(&mut self, search: Search) {
         let parts = search.parts.iter().map(|p| (p.id, search.id));
         self.by_part.extend(parts);
@@ -156,7 +157,7 @@
         self.searches.insert(in_flight.search.id, in_flight);
     }
 
-    /// Adds a part to a search's step in progress; false if the search is not in flight any more.
+    /// Adds a part to the step in progress of a search. Returns false if the search is no longer in flight.
     pub fn add_part(&mut self, search: SearchId, id: PartId, shard: ShardId, weight: f64) -> bool {
         let Some(in_flight) = self.searches.get_mut(&search) else {
             return false;
@@ -175,7 +176,7 @@
         true
     }
 
-    /// Asks the decisions about a search, and carries out their plan.
+    /// Makes the decisions on a search, and carries out the resulting plan.
     pub fn place(&mut self, now: f64, search: SearchId, executor: &mut impl PlanExecutor) {
         if let Some(in_flight) = self.searches.get_mut(&search) {
             let plan = self.balancer.place(now, &mut in_flight.search);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_finished(
         &mut self,
         now: f64,
@@ -198,7 +199,7 @@
         self.execute(now, id, plan, executor);
     }
 
-    /// A timer of this search has fired. One that an earlier one replaced is ignored.
+    /// Handles a timer of a search. A timer that was replaced by an earlier one is ignored.
     pub fn timer_fired(&mut self, now: f64, search: SearchId, executor: &mut impl PlanExecutor) {
         let Some(in_flight) = self
             .searches
@@ -211,7 +212,7 @@
         self.place(now, search, executor);
     }
 
-    /// The client has disconnected before its answer.
+    /// Handles the disconnection of a client before the reply to its search.
     pub fn client_disconnected(
         &mut self,
         now: f64,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Carries out a plan, and the plans of the searches that it has reconsidered.
+    /// Carries out a plan, and then the plans of the searches to be reconsidered.
     fn execute(
         &mut self,
         now: f64,
@@ -233,8 +234,8 @@
         executor: &mut impl PlanExecutor,
     ) {
         self.execute_one(now, search, &plan, executor);
-        // A search is asked about when its turn comes, not when it is queued: a plan made earlier could be
-        // carried out after its search was over, and its sends would be lost.
+        // The plan of a reconsidered search is made immediately before it is carried out. If it were made earlier, its
+        // search could end in between, and its attempts would never be sent.
         let mut queue = VecDeque::from(plan.reconsider);
         while let Some(id) = queue.pop_front() {
             let Some(in_flight) = self.searches.get_mut(&id) else {
@@ -275,7 +276,7 @@
         self.finish_or_set_timer(now, id, executor);
     }
 
-    /// Removes a search that is over, or has its next timer set.
+    /// Removes a search that has ended; otherwise sets its next timer.
     fn finish_or_set_timer(&mut self, now: f64, id: SearchId, executor: &mut impl PlanExecutor) {
         let Some(in_flight) = self.searches.get_mut(&id) else {
             return;
@@ -299,7 +300,7 @@
     }
 }
 
-/// Sends a plan's attempts, and counts them in a comparison.
+/// Sends the attempts of a plan, and counts them in the comparison.
 fn execute_sends(
     search: &Search,
     plan: &Plan,
@@ -308,7 +309,8 @@
 ) {
     for (position, placement) in plan.send.iter().enumerate() {
         let part = search.parts.iter().find(|p| p.id == placement.part);
-        // The decisions have recorded all attempts by now: this one stands before those that follow it.
+        // The decisions have already recorded all attempts of the plan in the part. The index of this one is the
+        // number of recorded attempts, less this one and those that follow it in the plan.
         let recorded = part.map_or(0, |p| p.attempts.len());
         let this_and_later = plan.send[position..]
             .iter()
--- a/crates/router/search-driver/src/settings.rs
+++ b/crates/router/search-driver/src/settings.rs
@@ -1,5 +1,4 @@
-//! The settings' JSON as the plain types of the routing decisions. The values here are those that an absent
-//! setting means.
+//! Parsing of the JSON settings into the types of the routing decisions, with the defaults of absent settings.
 
 use crate::settings_error::{MissingSnafu, SettingsError, WrongTypeSnafu};
 use serde_json::Value;
@@ -9,7 +8,7 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Access to the settings by JSON pointers.
+/// Access to settings by JSON pointer.
 #[derive(Clone, Copy)]
 struct Fields<'a>(&'a Value);
 
@@ -26,7 +25,7 @@
         self.number(pointer).unwrap_or(default)
     }
 
-    /// A time, which the settings state in milliseconds.
+    /// A duration in seconds. The settings have it in milliseconds.
     fn seconds(self, pointer: &str) -> Option<f64> {
         self.number(pointer).map(|ms| ms / MS_PER_SECOND)
     }
@@ -46,11 +45,11 @@
     }
 }
 
-/// The settings of a co-ordinator, with the seed of its random choices.
+/// Parses the settings of a co-ordinator. `seed` is the seed of all its random choices.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] where a required key is missing or has another type.
+/// [`SettingsError`] if a required key is missing or its value has the wrong type.
 pub fn parse_settings(seed: u64, settings: &Value) -> Result<Settings, SettingsError> {
     let fields = Fields(settings);
     let query_types = parse_query_types(fields)?;
@@ -79,7 +78,7 @@
     })
 }
 
-/// Number of co-ordinators that share the load, this one included.
+/// Number of co-ordinators that share the load, this one included; at least 1.
 fn parse_coordinators(fields: Fields<'_>) -> usize {
     (fields.number_or("/siblings", 1.0) as usize)
         .saturating_sub(usize::from(is_mutated("settings-siblings")))
@@ -120,7 +119,7 @@
     })
 }
 
-/// Each tenant's share.
+/// Share of each tenant; 1 where a tenant has none.
 fn parse_tenants(settings: &Value) -> Vec<f64> {
     let tenants = settings.pointer("/tenants").and_then(Value::as_array);
     let share = |tenant: &Value| tenant.get("share").and_then(Value::as_f64).unwrap_or(1.0);
--- a/crates/router/search-driver/src/settings_error.rs
+++ b/crates/router/search-driver/src/settings_error.rs
@@ -1,29 +1,29 @@
-//! Why settings cannot be used.
+//! Errors of settings.
 
 use snafu::Snafu;
 
-/// Why settings cannot be used; the texts name the key as a JSON pointer.
+/// An error in the settings. The error text has the key as a JSON pointer.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
     /// A required key is missing.
     #[snafu(display("settings lack {pointer}"))]
     Missing {
-        /// The key.
+        /// Missing key, as a JSON pointer.
         pointer: String,
     },
-    /// A value has another type than its key asks for.
+    /// The value of a key has the wrong type.
     #[snafu(display("setting {pointer} is not {expected}"))]
     WrongType {
-        /// The key.
+        /// Key of the value, as a JSON pointer.
         pointer: String,
-        /// What was expected.
+        /// Expected type, with its article.
         expected: &'static str,
     },
-    /// A key has no meaning.
+    /// A key is not defined.
     #[snafu(display("setting {pointer} is unknown"))]
     Unknown {
-        /// The key.
+        /// Undefined key, as a JSON pointer.
         pointer: String,
     },
 }
--- a/crates/router/search-driver/tests/unit/comparison.rs
+++ b/crates/router/search-driver/tests/unit/comparison.rs
@@ -1,4 +1,4 @@
-//! Tests of what `src/comparison.rs` keeps to itself; that file takes them in as its own module.
+//! Unit tests of `src/comparison.rs`, which includes this file as a module.
 
 use super::*;
 use serde_json::json;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn invalid_settings_name_their_key() {
+fn errors_of_invalid_settings_have_the_key() {
     assert_eq!(parse_proposed_limits(&json!({})), Ok(None));
     let invalid = [
         (json!({"watch": 3}), "/watch"),
@@ -44,30 +44,30 @@
 }
 
 #[test]
-fn counts_steps_that_proposed_limits_would_not_allow() {
-    let strict = ProposedLimits {
+fn steps_that_proposed_limits_would_not_allow_are_counted() {
+    let limits = ProposedLimits {
         retry_after: Some(false),
         hedging_allowed: Some(false),
         once: vec![],
     };
     let mut counters = ComparisonCounters::default();
-    // A hedge; a retry after a lost answer; a retry after no connection.
-    strict.count_attempt(&part(&[None, None]), 1, true, &mut counters);
-    strict.count_attempt(
+    // A hedge; a retry after an attempt that timed out; a retry after an attempt without a connection; a first attempt.
+    limits.count_attempt(&part(&[None, None]), 1, true, &mut counters);
+    limits.count_attempt(
         &part(&[Some(Ending::TimedOut), None]),
         1,
         true,
         &mut counters,
     );
-    strict.count_attempt(
+    limits.count_attempt(
         &part(&[Some(Ending::Unreachable), None]),
         1,
         true,
         &mut counters,
     );
-    strict.count_attempt(&part(&[None]), 0, true, &mut counters);
-    strict.count_reply(Reply::Shed { retry_after: 0.5 }, &mut counters);
-    strict.count_reply(Reply::Shed { retry_after: 0.0 }, &mut counters);
+    limits.count_attempt(&part(&[None]), 0, true, &mut counters);
+    limits.count_reply(Reply::Shed { retry_after: 0.5 }, &mut counters);
+    limits.count_reply(Reply::Shed { retry_after: 0.0 }, &mut counters);
     assert_eq!(
         counters,
         ComparisonCounters {
@@ -76,8 +76,8 @@
             retries_of_once: 2
         }
     );
-    let mut none = ComparisonCounters::default();
-    ProposedLimits::default().count_attempt(&part(&[None, None]), 1, false, &mut none);
-    ProposedLimits::default().count_reply(Reply::Shed { retry_after: 0.5 }, &mut none);
-    assert_eq!(none, ComparisonCounters::default());
+    let mut unrestricted = ComparisonCounters::default();
+    ProposedLimits::default().count_attempt(&part(&[None, None]), 1, false, &mut unrestricted);
+    ProposedLimits::default().count_reply(Reply::Shed { retry_after: 0.5 }, &mut unrestricted);
+    assert_eq!(unrestricted, ComparisonCounters::default());
 }
