--- a/crates/router/search-driver/tests/unit/comparison.rs
+++ b/crates/router/search-driver/tests/unit/comparison.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn errors_of_invalid_settings_have_the_key() {
+fn errors_name_the_invalid_key() {
     assert_eq!(parse_proposed_limits(&json!({})), Ok(None));
     let invalid = [
         (json!({"watch": 3}), "/watch"),
--- a/crates/router/sim-adapter/src/actions.rs
+++ b/crates/router/sim-adapter/src/actions.rs
@@ -1,17 +1,17 @@
-//! The steps of a plan as actions on the wire.
+//! Conversion of plans into actions of the simulator's protocol.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use woadreach_routing::api::{AttemptId, Placement, Reply, Search, SearchId, Seconds};
 use woadreach_search_driver::PlanExecutor;
 
-/// The wire has times in milliseconds, the decisions in seconds.
+/// The protocol has times in milliseconds, the routing decisions in seconds.
 pub(crate) const MS_PER_SECOND: f64 = 1000.0;
 
-/// Appends actions to a co-ordinator's output.
+/// Plan executor that appends actions to the output of a co-ordinator.
 pub(crate) struct Actions<'a> {
     pub(crate) out: &'a mut Vec<Value>,
-    /// Searches in flight by the simulator's number of the query.
+    /// Searches in flight, by the simulator's query number.
     pub(crate) by_query: &'a mut BTreeMap<u64, SearchId>,
 }
 
--- a/crates/router/sim-adapter/src/decode.rs
+++ b/crates/router/sim-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Values of the wire as the plain types of the routing decisions. `None` for a value that is malformed.
+//! Decoding of the simulator's events into the types of the routing decisions. Malformed values decode to `None`.
 
 use crate::actions::MS_PER_SECOND;
 use serde_json::Value;
@@ -7,10 +7,10 @@
     ShardId, Share, TenantId, ZoneId,
 };
 
-/// The bit of a request's options that marks it as a retry.
+/// Bit in the options of a request that marks it as a retry.
 const OPTION_RETRY: u64 = 2;
 
-/// A time, which the wire has in milliseconds.
+/// A time in seconds. The protocol has it in milliseconds.
 pub(crate) fn seconds(value: &Value) -> Option<Seconds> {
     value.as_f64().map(|ms| ms / MS_PER_SECOND)
 }
@@ -19,7 +19,7 @@
     value.as_str().map(|name| ReplicaId(name.into()))
 }
 
-/// A line of an endpoint list.
+/// A line of an endpoint list: `[state, _, zone, cell, replica, ready_at, ...]`. A replica is open in state `"U"`.
 pub(crate) fn listed(value: &Value) -> Option<ListedReplica> {
     Some(ListedReplica {
         open: value.get(0)?.as_str()? == "U",
@@ -44,7 +44,7 @@
     })
 }
 
-/// `["closedAttempt", part, attempt_index, replica, disposition, rtt, ...]`
+/// Outcome of an attempt: `["closedAttempt", part, attempt_index, replica, disposition, rtt, ...]`.
 pub(crate) fn outcome(event: &Value) -> Option<Outcome> {
     Some(Outcome {
         part: PartId(event.get(1)?.as_u64()?),
@@ -55,34 +55,35 @@
     })
 }
 
-/// What a `newRequest` event brings.
+/// Content of a `newRequest` event.
 pub(crate) enum Arrival {
     Search(SearchArrival),
     Part(PartArrival),
 }
 
-/// A search, before its parts.
+/// A new search. Its parts arrive in later events.
 pub(crate) struct SearchArrival {
     pub(crate) search: SearchId,
-    /// The simulator's number of the query, by which parts name it.
+    /// Simulator's number of the query, by which the parts refer to their search.
     pub(crate) query: u64,
     pub(crate) query_type: QueryTypeId,
     pub(crate) tenant: TenantId,
-    /// How long the client waits.
+    /// Time that remains until the client's deadline.
     pub(crate) client_timeout: Seconds,
     pub(crate) is_retry: bool,
 }
 
-/// A part of a search.
+/// A new part of a search.
 pub(crate) struct PartArrival {
     pub(crate) part: PartId,
+    /// Query number of the part's search.
     pub(crate) query: u64,
     pub(crate) shard: ShardId,
     pub(crate) weight: Share,
 }
 
-/// `["newRequest", id, class, tenant, key, left, hint, query, segment, amount, options]`. A negative segment
-/// means a search, any other a part of it.
+/// New search or part: `["newRequest", id, class, tenant, key, left, hint, query, segment, amount, options]`. The
+/// segment is negative for a search, and the shard for a part.
 pub(crate) fn arrival(event: &Value) -> Option<Arrival> {
     let id = event.get(1)?.as_u64()?;
     let query = event.get(7)?.as_u64()?;
--- a/crates/router/sim-adapter/src/instance.rs
+++ b/crates/router/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One co-ordinator.
+//! A single co-ordinator: handling of its events, and of its watch of the endpoint list.
 
 use crate::actions::{Actions, MS_PER_SECOND};
 use crate::decode::{self, Arrival, PartArrival, SearchArrival};
@@ -7,52 +7,54 @@
 use woadreach_routing::api::{ListedReplica, Search, SearchId, Seconds};
 use woadreach_search_driver::{SearchTable, SettingsError, parse_settings};
 
-/// The name of the timer after which a refused watch is requested again; timers of searches have numbers.
+/// Name of the timer after which a refused watch is requested again. Timers of searches are named by search numbers.
 pub(crate) const WATCH_TIMER: &str = "watch";
 
-/// Wait after the first refusal.
+/// Wait after the first refusal, before it is spread by instance.
 const MIN_WATCH_WAIT: Seconds = 0.25;
-/// Number of refusals after which the wait doubles no more.
+/// Maximum number of times that the wait doubles.
 const MAX_DOUBLINGS: u32 = 4;
-/// Least multiple of the wait that an instance waits.
+/// Smallest factor by which an instance multiplies the wait.
 const MIN_SPREAD: f64 = 0.75;
-/// Width of the range of these multiples.
+/// Width of the range of these factors.
 const SPREAD_WIDTH: f64 = 0.5;
-/// Steps of the golden ratio's fraction spread instances evenly over the range.
+/// Step from one instance to the next: the fractional part of the golden ratio, whose multiples are spread evenly over
+/// the range.
 const INSTANCE_STEP: f64 = 0.618_034;
-/// What the golden ratio's fraction leaves of 1: the step from one refusal to the next.
+/// Step from one refusal to the next: 1 less the fractional part of the golden ratio.
 const REFUSAL_STEP: f64 = 0.381_966;
 
-/// Endpoint lists by their numbers on the wire.
+/// Endpoint lists by their numbers in the simulator's protocol.
 pub(crate) type Lists = BTreeMap<u64, Vec<ListedReplica>>;
 
-/// How long until a watch is requested again after `refused` refusals in a row.
+/// Wait until a watch is requested again, after `refused` consecutive refusals before this one.
 ///
-/// The wait doubles from a quarter second to 4 s, spread by instance to between 0.75 and 1.25 times that: well
-/// within the four times `askWithinMs` that a failed call allows. Otherwise the calls of all co-ordinators would
-/// keep the list's source too busy to answer any (on one simulated day it granted 14 watches to 92,759 calls).
-/// The list is late by as much.
+/// The wait doubles from 0.25 s to 4 s, and is spread by instance to between 0.75 and 1.25 times that. This is well
+/// within the limit of four times `askWithinMs` after a failed call. Without the wait, the calls of all co-ordinators
+/// overload the source of the list: on one simulated day it granted 14 watches out of 92,759 calls. The cost is that
+/// the list is out of date for longer, by the wait.
 fn watch_wait(refused: u32, instance: i64) -> Seconds {
     let wait = MIN_WATCH_WAIT * 2f64.powi(refused.min(MAX_DOUBLINGS) as i32);
     let steps = instance as f64 * INSTANCE_STEP + refused as f64 * REFUSAL_STEP;
     wait * (MIN_SPREAD + SPREAD_WIDTH * steps.rem_euclid(1.0))
 }
 
-/// One co-ordinator, from its start to its end.
+/// One co-ordinator, from its start until it is destroyed or restarted.
 pub(crate) struct Instance {
     id: i64,
     search_table: SearchTable,
-    /// Searches in flight by the simulator's number of the query.
+    /// Searches in flight, by the simulator's query number.
     by_query: BTreeMap<u64, SearchId>,
     query_type_count: usize,
     /// Whether clients mark retries.
     marks_retries: bool,
-    /// Whether the list is sent only on request (`discovery = "subscribe"`): a watch is kept open, and
-    /// requested anew when it is refused or breaks.
+    /// Whether the endpoint list is sent only on request (`discovery = "subscribe"`). The co-ordinator then keeps a
+    /// watch open, and requests a new one after a refusal or a broken connection.
     subscribes: bool,
-    /// Watches refused in a row.
+    /// Number of consecutive refused watches.
     refused_watches: u32,
-    /// Searches that arrived in this batch, or gained parts: placed once all their parts are there.
+    /// Searches that arrived in this batch, or got parts in it. They are placed at the end of the batch, when all their
+    /// parts have arrived.
     unplaced: Vec<SearchId>,
 }
 
@@ -75,15 +77,15 @@
         })
     }
 
-    /// The co-ordinator's first actions.
+    /// Appends the co-ordinator's first actions to `out`.
     pub(crate) fn start(&self, out: &mut Vec<Value>) {
         if self.subscribes {
             out.push(json!(["observe", true]));
         }
     }
 
-    /// Handles an event by its name; `None` for one that is malformed or about something that is not in
-    /// flight any more.
+    /// Handles an event by its name. Returns `None` if the event is malformed, or refers to a list, search or part
+    /// that is unknown or no longer in flight.
     pub(crate) fn handle_event(
         &mut self,
         now: Seconds,
@@ -133,11 +135,11 @@
         }
     }
 
-    /// `["sync", list, form, ...]`
+    /// Applies an endpoint list or the refusal of one: `["sync", list, form, ...]`.
     fn list_synced(&mut self, event: &Value, lists: &Lists, out: &mut Vec<Value>) -> Option<()> {
         let form = event.get(2)?.as_str()?;
         if form == "refused" && self.subscribes {
-            // A failed call or a broken watch: the old list is still in force, and a new watch is allowed.
+            // A call has failed or a watch is broken. The current list stays valid, and a new watch may be requested.
             let wait_ms = watch_wait(self.refused_watches, self.id) * MS_PER_SECOND;
             self.refused_watches += 1;
             out.push(json!(["setTimer", wait_ms, WATCH_TIMER]));
--- a/crates/router/sim-adapter/src/instances.rs
+++ b/crates/router/sim-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! All co-ordinators of a process: batches of events in, actions out.
+//! All co-ordinators of the process. Each batch of events is answered with a batch of actions.
 
 use crate::decode;
 use crate::error::{AdapterError, MissingGroupKeySnafu, MissingKeySnafu, NotJsonSnafu};
@@ -10,7 +10,7 @@
 
 const COORDINATOR_ID: &str = "co-ordinatorId";
 
-/// The co-ordinators by their numbers, and the lists that were declared.
+/// Co-ordinators by their numbers, and the endpoint lists that were declared in `sheet` events.
 #[derive(Default)]
 pub(crate) struct Instances {
     instances: BTreeMap<i64, Instance>,
@@ -18,14 +18,15 @@
 }
 
 impl Instances {
-    /// Handles one line: the events of a moment, in groups by co-ordinator. Returns the actions, in such groups.
+    /// Handles one line of input: the events at one simulated time, in groups by co-ordinator. Returns the actions,
+    /// grouped in the same way.
     pub(crate) fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_str(line).context(NotJsonSnafu)?;
         let now = batch.get("simTimeMs").and_then(decode::seconds);
         let now = now.context(MissingKeySnafu { key: "simTimeMs" })?;
         let groups = batch.get("groups").and_then(Value::as_array);
         let groups = groups.context(MissingKeySnafu { key: "groups" })?;
-        // A co-ordinator may have several groups; a restart in a later one voids the actions of an earlier.
+        // A co-ordinator may have several groups. A restart in a later group discards the actions of earlier ones.
         let mut actions: BTreeMap<i64, Vec<Value>> = BTreeMap::new();
         for group in groups {
             let key = COORDINATOR_ID;
@@ -51,8 +52,8 @@
         Ok(json!({"groups": replies}))
     }
 
-    /// Handles an event. One that is unknown, malformed or about something that is not in flight any more is
-    /// skipped.
+    /// Handles an event. Events that are unknown, malformed, or refer to something that is not in flight have no
+    /// effect.
     fn handle_event(
         &mut self,
         now: Seconds,
@@ -62,7 +63,7 @@
     ) -> Option<()> {
         match event.get(0)?.as_str()? {
             "newInstance" => {
-                // What the instance before it asked for is void: actions run after the complete batch.
+                // Actions are carried out after the complete batch, so those of the previous instance are discarded.
                 self.remove(id, out);
                 self.start(id, event.get(1)?.as_u64()?, event.get(2)?, out);
             }
@@ -85,7 +86,7 @@
         self.instances.remove(&id);
     }
 
-    /// Starts a co-ordinator, or has it end where its settings cannot be used.
+    /// Starts a co-ordinator. If its settings are invalid, logs the error and requests its end.
     fn start(&mut self, id: i64, seed: u64, settings: &Value, out: &mut Vec<Value>) {
         match Instance::new(id, seed, settings) {
             Ok(instance) => {
@@ -93,7 +94,7 @@
                 self.instances.insert(id, instance);
             }
             Err(error) => {
-                eprintln!("co-ordinator {id}: {error}");
+                eprintln!("co-ordinator {id} not started: {error}");
                 out.push(json!(["die", error.to_string()]));
             }
         }
--- a/crates/router/sim-adapter/src/main.rs
+++ b/crates/router/sim-adapter/src/main.rs
@@ -1,9 +1,10 @@
-//! Hosts co-ordinators on the wire of the bench's simulator: JSON lines with events on standard input, JSON
-//! lines with actions on standard output. It decides nothing; [`woadreach_search_driver`] does.
+//! Host of co-ordinators in the bench's simulator. It reads events as JSON lines from standard input, and writes
+//! actions as JSON lines to standard output. All decisions are made through [`woadreach_search_driver`].
 //!
-//! - [`instances`]: all co-ordinators of a process, and the events for each batch.
-//! - [`instance`]: one co-ordinator; [`actions`]: the steps of its plans as actions.
-//! - [`decode`]: values of the wire as the plain types of the routing decisions.
+//! - [`instances`]: all co-ordinators of the process, and the handling of batches.
+//! - [`instance`]: one co-ordinator, and the handling of its events.
+//! - [`actions`]: conversion of plans into actions.
+//! - [`decode`]: decoding of events into the types of the routing decisions.
 
 mod actions;
 mod decode;
@@ -17,7 +18,7 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Handles one line of the input, and writes one line of output.
+/// Handles one line of input, and writes one line of output.
 fn answer_line(
     instances: &mut Instances,
     line: std::io::Result<String>,
@@ -35,7 +36,7 @@
     for (index, line) in std::io::stdin().lock().lines().enumerate() {
         match answer_line(&mut instances, line, &mut output) {
             Ok(()) => {}
-            // The simulator has ended.
+            // The simulator has closed the pipe, and no longer reads actions.
             Err(AdapterError::Output { .. }) => return ExitCode::FAILURE,
             Err(error) => {
                 eprintln!("line {}: {error}", index + 1);
--- a/crates/router/sim-adapter/tests/recorded.rs
+++ b/crates/router/sim-adapter/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The bench's wire held still, through the real binary: each kind of event, and the actions that it gave.
+//! The simulator's protocol must not change: for each kind of event, the binary writes the recorded actions.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -18,11 +18,11 @@
 const START: &str = r#"["newInstance",7,SETTINGS],["sheet",0,[["U",1,0,0,"a:1",null,0],["U",1,0,0,"a:2",null,0],
 ["D",1,0,0,"a:3",null,0],["U",1,0,0,"a:4",900.0,0]]],["sync",0,"all",1]"#;
 
-/// A search of two parts at one shard each, sent at 1 s.
+/// A search of two parts, both for shard 0.
 const REQUEST: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0],
 ["newRequest",2,0,0,"k",900.0,null,1,0,0.5,0],["newRequest",3,0,0,"k",900.0,null,1,0,0.5,2]"#;
 
-/// As [`REQUEST`], of one part that may run once only.
+/// A search like [`REQUEST`], with one part that may run only once.
 const REQUEST_ONCE: &str = r#"["newRequest",1,1,0,"k",900.0,null,1,-1,1.0,0],
 ["newRequest",2,1,0,"k",900.0,null,1,0,1.0,0]"#;
 
@@ -37,13 +37,15 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it starts");
-    let mut stdin = child.stdin.take().expect("it reads");
-    stdin.write_all(input.as_bytes()).expect("it takes all");
+        .expect("woadreach-simhost starts");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
+    stdin
+        .write_all(input.as_bytes())
+        .expect("woadreach-simhost reads all input");
     drop(stdin);
-    let out = child.wait_with_output().expect("it ends");
+    let out = child.wait_with_output().expect("woadreach-simhost ends");
     assert!(out.status.success());
-    String::from_utf8(out.stdout).expect("it writes text")
+    String::from_utf8(out.stdout).expect("the output is UTF-8")
 }
 
 fn records() -> Records {
@@ -53,36 +55,32 @@
     ))
 }
 
-/// A search that comes without any of its parts.
+/// A search without parts.
 const REQUEST_WITHOUT_PARTS: &str = r#"["newRequest",1,0,0,"k",900.0,null,1,-1,1.0,0]"#;
 
 /// An endpoint list that changes one replica, and one that names other replicas.
 const CHANGES: &str = r#"["sheet",1,[["D",1,0,0,"a:1",null,0]]],["sync",1,"changes",2]"#;
 const OTHERS: &str = r#"["sheet",1,[["U",1,0,0,"b:1",null,0]]],["sync",1,"all",2]"#;
 
-/// One line of output for the start, one for the search and one for what comes 50 ms later.
+/// The output has three lines: for the start, for the first events at 1 s, and for the events 50 ms later.
 #[rstest]
-#[case::nothing_later("sent", REQUEST, "")]
-#[case::whole("whole", REQUEST, r#"["closedAttempt",2,0,"a:1","served",50.0,true,null],
+#[case::sent("sent", REQUEST, "")]
+#[case::answered("whole", REQUEST, r#"["closedAttempt",2,0,"a:1","served",50.0,true,null],
     ["closedAttempt",3,0,"a:1","served",50.0,true,null],["closedAttempt",2,0,"a:2","served",50.0,true,null],
     ["closedAttempt",3,0,"a:2","served",50.0,true,null],["closedAttempt",2,0,"a:4","served",50.0,true,null],
     ["closedAttempt",3,0,"a:4","served",50.0,true,null]"#)]
-#[case::withdrawn("withdrawn", REQUEST, r#"["withdrawn",1]"#)]
-#[case::timer("timer", REQUEST, r#"["timer","1"]"#)]
+#[case::client_disconnected("withdrawn", REQUEST, r#"["withdrawn",1]"#)]
+#[case::search_timer("timer", REQUEST, r#"["timer","1"]"#)]
 #[case::restarted("restarted", REQUEST, r#"["destroy"],["newInstance",7,SETTINGS]"#)]
-#[case::remembered("remembered", REQUEST, r#"["sync",0,"remembered",2]"#)]
-#[case::changes("changes", REQUEST, CHANGES)]
-#[case::asked_after_changes("asked-after-changes", CHANGES, REQUEST)]
-#[case::asked_after_another_list("asked-after-another-list", OTHERS, REQUEST)]
+#[case::remembered_list("remembered", REQUEST, r#"["sync",0,"remembered",2]"#)]
+#[case::changed_list("changes", REQUEST, CHANGES)]
+#[case::request_after_changes("asked-after-changes", CHANGES, REQUEST)]
+#[case::request_after_another_list("asked-after-another-list", OTHERS, REQUEST)]
 #[case::no_parts("no-parts", REQUEST_WITHOUT_PARTS, "")]
-#[case::refused("refused", REQUEST, r#"["sync",0,"refused",2]"#)]
-#[case::watch("watch", REQUEST, r#"["timer","watch"]"#)]
-#[case::unsound_start("unsound-start", REQUEST, r#"["newInstance",7,{}]"#)]
-fn actions_are_written_as_they_were(
-    #[case] name: &str,
-    #[case] request: &str,
-    #[case] later: &str,
-) {
+#[case::refused_list("refused", REQUEST, r#"["sync",0,"refused",2]"#)]
+#[case::watch_timer("watch", REQUEST, r#"["timer","watch"]"#)]
+#[case::invalid_settings("unsound-start", REQUEST, r#"["newInstance",7,{}]"#)]
+fn actions_match_the_records(#[case] name: &str, #[case] request: &str, #[case] later: &str) {
     let input = [
         batch(900.0, START),
         batch(1000.0, request),
@@ -92,9 +90,9 @@
     check(name, &run(&input));
 }
 
-/// Each ending of an attempt, at whichever replica the part was sent to.
+/// Actions after each ending of an attempt, for a part that may run again and for one that may not.
 #[rstest]
-fn endings_of_attempts_are_taken_as_they_were(
+fn actions_after_endings_of_attempts_match_the_records(
     #[values(
         "served",
         "server_error",
@@ -114,18 +112,18 @@
         let requested = [batch(900.0, START), batch(1000.0, request)].concat();
         let sent = run(&requested);
         let mut replicas = ["a:1", "a:2", "a:4"].into_iter();
-        let to = replicas.find(|r| sent.contains(&format!(r#"["place",2,"{r}""#)));
-        let later = batch(1050.0, &ended(to.expect("the part was sent")));
+        let replica = replicas.find(|r| sent.contains(&format!(r#"["place",2,"{r}""#)));
+        let later = batch(1050.0, &ended(replica.expect("the part was sent")));
         check(&format!("{ending} {kind}"), &run(&(requested + &later)));
     }
 }
 
 fn check(name: &str, output: &str) {
-    let today = output.trim_end().replace('\n', " / ");
-    assert_eq!(records().text(name, &today), today, "{name}");
+    let actual = output.trim_end().replace('\n', " / ");
+    assert_eq!(records().text(name, &actual), actual, "{name}");
 }
 
-/// The kinds of actions that the records hold between them.
+/// The records cover all kinds of actions.
 #[test]
 fn each_kind_of_action_is_recorded() {
     let text: String = records()
--- a/crates/router/sim-adapter/tests/unit/instances.rs
+++ b/crates/router/sim-adapter/tests/unit/instances.rs
@@ -1,4 +1,4 @@
-//! Tests of what `src/instances.rs` keeps to itself; that file includes them as its own module.
+//! Unit tests of `src/instances.rs`, which includes this file as a module.
 
 use super::*;
 use crate::instance::WATCH_TIMER;
@@ -22,10 +22,10 @@
     actions.iter().filter(|a| a[0] == name).collect()
 }
 
-/// Where the list comes only when asked, a watch is asked for at the start; a refused one is asked for
-/// again only after a wait that grows, never at once.
+/// If the list is sent only on request, a watch is requested at the start. After a refusal it is requested again only
+/// after a wait, which grows with each refusal.
 #[test]
-fn a_subscribed_list_is_watched_and_requested_again_after_a_wait() {
+fn a_refused_watch_is_requested_again_after_a_wait() {
     let mut instances = Instances::default();
     let start = out(
         &mut instances,
@@ -40,7 +40,10 @@
             10.0 + n as f64,
             json!([["sync", 0, "refused", 0]]),
         );
-        assert!(named(&refused, "observe").is_empty(), "asked again at once");
+        assert!(
+            named(&refused, "observe").is_empty(),
+            "requested again at once"
+        );
         let timer = named(&refused, "setTimer");
         assert_eq!(timer.len(), 1);
         assert_eq!(timer[0][2], WATCH_TIMER);
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn a_list_that_is_sent_by_itself_is_not_requested() {
+fn a_list_that_is_sent_automatically_is_not_requested() {
     let mut instances = Instances::default();
     let start = out(
         &mut instances,
