--- a/crates/router/sim-adapter/tests/recorded.rs
+++ b/crates/router/sim-adapter/tests/recorded.rs
@@ -45,7 +45,7 @@
     drop(stdin);
     let out = child.wait_with_output().expect("woadreach-simhost ends");
     assert!(out.status.success());
-    String::from_utf8(out.stdout).expect("the output is UTF-8")
+    String::from_utf8(out.stdout).expect("the output is text")
 }
 
 fn records() -> Records {
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -86,7 +86,7 @@
     pub(crate) retries: RetryBudget,
     /// Latest searches, oldest first.
     pub(crate) arrivals: VecDeque<ArrivalRecord>,
-    /// Plan in progress, which the next public call returns and clears.
+    /// Plan under construction. The public method that fills it returns it, and leaves an empty one.
     pub(crate) plan: Plan,
     /// Time left to the client at the arrival of the latest searches, for each query type.
     pub(crate) times_remaining: Vec<VecDeque<Seconds>>,
--- a/crates/routing/src/decide/health.rs
+++ b/crates/routing/src/decide/health.rs
@@ -18,9 +18,9 @@
 const RUN_WINDOW: Seconds = 6.0;
 /// Age up to which an outcome counts where there is no such sequence.
 const OUTCOME_WINDOW: Seconds = 2.0;
-/// Divisor of the shortest latency target that gives the latency above which a part counts as lost.
+/// Divisor of the shortest latency target for the latency above which a part counts as lost.
 const SLOW_DIVISOR: f64 = 2.0;
-/// Divisor of the shortest latency target that gives the age above which a part in flight counts as overdue, and the
+/// Divisor of the shortest latency target for the age above which a part in flight counts as overdue, and the
 /// latency above which a part counts as lost, if its replica has answered nothing since the part was sent.
 const OVERDUE_DIVISOR: f64 = 4.0;
 /// Tolerance for rounding in the age from which a part in flight shows its replica to be unresponsive. It is larger
--- a/crates/routing/src/decide/latency_limits.rs
+++ b/crates/routing/src/decide/latency_limits.rs
@@ -14,9 +14,9 @@
 const LATE_QUANTILE: f64 = 0.95;
 /// Lower bound on the limits for late calls and hedges, as a multiple of the median latency.
 const MEDIAN_MULTIPLE: f64 = 2.5;
-/// Divisor of the shortest latency target that gives the lower bound on the limit for late calls.
+/// Divisor of the shortest latency target for the lower bound on the limit for late calls.
 const LATE_DIVISOR: f64 = 8.0;
-/// Divisor of the shortest latency target that gives the limit for late calls before there are enough answers.
+/// Divisor of the shortest latency target for the limit for late calls before there are enough answers.
 const INITIAL_LATE_DIVISOR: f64 = 3.0;
 /// Share of the shortest latency target within which a hedge to an unloaded replica is to be answered.
 const HEDGE_TARGET_SHARE: Share = 0.9;
@@ -24,7 +24,7 @@
 const RATE_WINDOW: Seconds = 2.0;
 /// Multiple of the unloaded latency above which the fleet is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 1.5;
-/// Divisor of the shortest latency target that gives the least excess over the unloaded latency in an overload.
+/// Divisor of the shortest latency target for the least excess over the unloaded latency in an overload.
 const OVERLOAD_DIVISOR: f64 = 30.0;
 
 /// Latency limits, in seconds, derived from the latencies of recent answers.
--- a/crates/routing/src/decide/part_budget.rs
+++ b/crates/routing/src/decide/part_budget.rs
@@ -9,7 +9,7 @@
 pub(crate) const OWN_SAMPLES: usize = 32;
 /// Number of samples that are stored for the fleet.
 pub(crate) const FLEET_SAMPLES: usize = 256;
-/// Divisor of the shortest latency target that gives the unloaded latency before any sample. The result is small enough
+/// Divisor of the shortest latency target for the unloaded latency before any sample. The result is small enough
 /// to restrict nothing.
 pub(crate) const INITIAL_LATENCY_DIVISOR: f64 = 10.0;
 /// Number of own samples below which a replica counts as average. A quantile of fewer samples is unreliable, and
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -24,8 +24,8 @@
     Queue(ReplicaId),
     /// Try again later: at present slow start admits no part to any replica that holds the shard.
     Later,
-    /// Send no further attempt: no replica holds the shard, the part can't be answered in time, or a repeat is not
-    /// allowed.
+    /// Send no attempt: no replica holds the shard, the part can't be answered in time, or a further attempt is not
+    /// allowed or not worthwhile.
     Never,
 }
 
--- a/crates/routing/src/decide/search_steps.rs
+++ b/crates/routing/src/decide/search_steps.rs
@@ -99,8 +99,8 @@
                     .record(now, &outcome.replica, outcome.latency, ejected);
             }
         }
-        let was_given_up = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
-        if answered || (was_given_up && outcome.latency > 0.0) {
+        let was_abandoned = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
+        if answered || (was_abandoned && outcome.latency > 0.0) {
             push(
                 &mut state.loaded,
                 Sample {
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Decides on a search: completes the step, gives the search up, or sends and queues its parts. Adds the actions
-    /// to the plan.
+    /// Decides on a search: completes the step, abandons the search, or sends and queues its parts. Adds the actions to
+    /// the plan.
     pub(crate) fn decide(&mut self, now: Seconds, search: &mut Search) {
         if search.finished {
             return;
@@ -163,7 +163,7 @@
         let StepTimes { target, until } = self.step_times(search);
         if search.step_parts().next().is_none() {
             if search.step == 1 || now >= until {
-                self.give_up(now, search);
+                self.abandon(now, search);
             }
             return;
         }
@@ -172,15 +172,15 @@
             return self.close(search, Some(Reply::Answered { complete }));
         }
         if now >= until || (now >= target && may_answer_partially(&query_type, search)) {
-            return self.give_up(now, search);
+            return self.abandon(now, search);
         }
         let is_new_step = search.queuing_deadline.is_none();
         let picks = self.pick_all(now, until, search);
         if is_new_step && !self.admit_step(now, target, search, &picks) {
-            return self.give_up(now, search);
+            return self.abandon(now, search);
         }
         if !can_reach_minimum(&query_type, search, &picks) {
-            return self.give_up(now, search);
+            return self.abandon(now, search);
         }
         for PartPick { part_index, pick } in picks {
             self.cancel_hung(now, target, search, part_index);
@@ -235,7 +235,7 @@
 
     /// Ends a search before all parts are answered. Replies with the parts that are answered if they suffice, sheds the
     /// search if a retry provably does no harm, and otherwise reports an error.
-    fn give_up(&mut self, now: Seconds, search: &mut Search) {
+    fn abandon(&mut self, now: Seconds, search: &mut Search) {
         let query_type = &self.settings.query_types[search.query_type.0];
         let answered = search.answered_weight();
         let is_retry_harmless = query_type.repeat == Repeat::Idempotent
@@ -271,8 +271,9 @@
         self.close(search, Some(reply));
     }
 
-    /// Ends the present step, or the search if no step follows. Its queued parts are removed, and its attempts in
-    /// flight are cancelled if the settings allow it. `reply` is `None` if the client has disconnected.
+    /// Ends the present step if it was answered and a second step follows, and otherwise the search. Queued parts are
+    /// removed, and attempts in flight are cancelled if the settings allow it. `reply` is `None` if the client has
+    /// disconnected.
     pub(crate) fn close(&mut self, search: &mut Search, reply: Option<Reply>) {
         for part_index in 0..search.parts.len() {
             self.dequeue(search, part_index);
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -17,9 +17,9 @@
 
 /// Number of answers of a replica that raise its limit of attempts in flight by one.
 const ANSWERS_PER_ATTEMPT: usize = 4;
-/// Divisor of the shortest latency target that gives the execution time of a part before any sample.
+/// Divisor of the shortest latency target for the execution time of a part before any sample.
 const INITIAL_WORK_DIVISOR: f64 = 5.0;
-/// Divisor of the even share of a warming replica that gives the least rate of a co-ordinator, before any quota.
+/// Divisor of the even share of a warming replica for the least rate of a co-ordinator, before any quota.
 const MIN_EVEN_SHARE_DIVISOR: f64 = 2.0;
 
 /// Warm-up state of a replica, as far as this co-ordinator knows it.
--- a/crates/routing/tests/balance/admission.rs
+++ b/crates/routing/tests/balance/admission.rs
@@ -180,7 +180,7 @@
     );
 }
 
-/// The plan that gives a search up has the reply already. The reply advises a retry time only if the settings allow it
+/// The plan that abandons a search contains the reply. The reply advises a retry time only if the settings allow it
 /// (`allow.retry_after`), and never more than the allowed maximum.
 #[rstest]
 #[case::allowed(Some(0.5))]
--- a/crates/routing/tests/balance/support.rs
+++ b/crates/routing/tests/balance/support.rs
@@ -89,5 +89,5 @@
             &outcome(&placement, 0, Ending::Answered, 0.1),
         );
     }
-    panic!("none of 500 searches was sent to replica {name}")
+    panic!("no search was sent to replica {name}")
 }
