--- a/crates/tier/proxy/src/client/request.rs
+++ b/crates/tier/proxy/src/client/request.rs
@@ -37,8 +37,8 @@
     /// How often the request may run, by the type of its route.
     pub fn kind(&self) -> CallKind {
         match self.route.route_type {
-            RouteType::Safe => CallKind::Safe,
-            RouteType::Unsafe => CallKind::Unsafe,
+            RouteType::Safe => CallKind::Idempotent,
+            RouteType::Unsafe => CallKind::NonIdempotent,
             RouteType::Streaming => CallKind::Streaming {
                 resumable: self.route.resumable,
             },
@@ -58,11 +58,11 @@
             id,
             route: Arc::from(self.route.name.as_str()),
             kind: self.kind(),
-            clusters: self.clusters(),
-            arrived,
-            give_up_at: seconds_at(self.deadline),
+            services: self.clusters(),
+            arrived_at: arrived,
+            deadline: seconds_at(self.deadline),
             target_latency: self.route.target_latency.as_secs_f64(),
-            finish_at: self
+            program_deadline: self
                 .metadata
                 .finish
                 .map(|finish| arrived + finish.as_secs_f64()),
@@ -73,8 +73,8 @@
                 .affinity
                 .filter(|_| self.route.session_affinity),
             prefix: self.metadata.prefix.clone(),
-            tokens_in: tokens.input,
-            tokens_out: tokens.output,
+            prompt_tokens: tokens.input,
+            max_output_tokens: tokens.output,
             priority: self.route.priority,
             max_replicas: self.route.max_replicas.max(1),
         }
--- a/crates/tier/proxy/src/command_line.rs
+++ b/crates/tier/proxy/src/command_line.rs
@@ -97,5 +97,7 @@
 fn without(matches: &ArgMatches) -> Vec<Mechanism> {
     let names = matches.try_get_many::<String>("without");
     let names = names.ok().flatten().into_iter().flatten();
-    names.filter_map(|name| Mechanism::named(name)).collect()
+    names
+        .filter_map(|name| Mechanism::from_name(name))
+        .collect()
 }
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// Idempotent: may run more than once.
-    Safe,
+    Idempotent,
     /// Not idempotent: runs once at most.
-    Unsafe,
+    NonIdempotent,
     /// The response is a stream of events.
     Streaming {
         /// Whether the stream may be resumed at another replica, and the call may run more than once.
@@ -25,7 +25,7 @@
     pub fn may_run_again(self) -> bool {
         matches!(
             self,
-            CallKind::Safe | CallKind::Streaming { resumable: true }
+            CallKind::Idempotent | CallKind::Streaming { resumable: true }
         )
     }
 
@@ -63,16 +63,16 @@
     /// Whether it is idempotent or a stream.
     pub kind: CallKind,
     /// Services that may run it; one is drawn by weight.
-    pub clusters: Vec<WeightedService>,
+    pub services: Vec<WeightedService>,
     /// When it arrived.
-    pub arrived: f64,
+    pub arrived_at: f64,
     /// The earliest of the client's deadline and the route's timeout.
-    pub give_up_at: f64,
+    pub deadline: f64,
     /// Latency target: seconds from arrival within which a response (a stream's first event) has its full
     /// value.
     pub target_latency: f64,
     /// When the program should end (`Finish-Ms`).
-    pub finish_at: Option<f64>,
+    pub program_deadline: Option<f64>,
     /// Hash of the program's identifier.
     pub program: Option<u64>,
     /// Hash of the identifier of a conversation within the program.
@@ -83,9 +83,9 @@
     /// Parts of the prompt in order; empty if unknown.
     pub prefix: Vec<PrefixPart>,
     /// Tokens of the prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Limit on the tokens that it may generate.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
     /// Limit on the replicas that bytes of the call may reach.
@@ -98,7 +98,7 @@
         match self.session {
             Some(id) if self.prefix.is_empty() => vec![PrefixPart {
                 id,
-                tokens: self.tokens_in,
+                tokens: self.prompt_tokens,
             }],
             _ => self.prefix.clone(),
         }
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -161,7 +161,7 @@
         let reason = match call.last_executed_outcome() {
             Some(Outcome::ReplicaError) => FailReason::ReplicaError,
             Some(Outcome::TimedOut) => FailReason::TimedOut,
-            _ if now >= call.request.give_up_at => FailReason::TimedOut,
+            _ if now >= call.request.deadline => FailReason::TimedOut,
             _ => FailReason::MayHaveRun,
         };
         actions.push(Action::Fail { call: id, reason });
@@ -188,7 +188,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        if !call.may_send() || has_come(now, call.request.give_up_at) {
+        if !call.may_send() || has_come(now, call.request.deadline) {
             return self.give_up(now, id, Decision::OutOfTimeOrAttempts, actions);
         }
         match self.choose(now, id) {
@@ -232,9 +232,9 @@
         self.calls.get(&id).is_none_or(|call| {
             let k = self.programs.step_size(&call.request);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
-            let remaining = call.request.give_up_at - now;
+            let remaining = call.request.deadline - now;
             let is_skipped = is_on(Mechanism::Skip) && PartBudget::hopeless(remaining, tail);
-            has_come(now, call.request.give_up_at) || is_skipped
+            has_come(now, call.request.deadline) || is_skipped
         })
     }
 
@@ -313,13 +313,13 @@
         } else {
             self.routes.lost_after(call.route)
         };
-        let late_at = Some(now + late_after).filter(|at| *at < call.request.give_up_at);
+        let late_at = Some(now + late_after).filter(|at| *at < call.request.deadline);
         self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
             attempt: index,
             replica: target.spec.id.clone(),
-            timeout: call.request.give_up_at - now,
+            timeout: call.request.deadline - now,
         });
     }
 
@@ -344,9 +344,9 @@
         };
         if call.has_reached_replica() {
             let k = self.programs.step_size(&call.request);
-            call.request.give_up_at - self.routes.tail(now, call.route, None, k)
+            call.request.deadline - self.routes.tail(now, call.route, None, k)
         } else {
-            call.request.arrived + UNOFFERED_QUEUE_SHARE * call.request.target_latency
+            call.request.arrived_at + UNOFFERED_QUEUE_SHARE * call.request.target_latency
         }
     }
 
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -43,7 +43,7 @@
         };
         let has_begun = call.attempts.iter().any(|attempt| attempt.has_begun);
         let again = now + (self.routes.late_after(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
-        let again = Some(again).filter(|at| !has_begun && *at < call.request.give_up_at);
+        let again = Some(again).filter(|at| !has_begun && *at < call.request.deadline);
         self.timers.set(&mut call.timer, id, again);
     }
 
--- a/crates/tier/scheduler/src/mechanisms.rs
+++ b/crates/tier/scheduler/src/mechanisms.rs
@@ -71,7 +71,7 @@
     }
 
     /// The mechanism of this name; `None` if there is none.
-    pub fn named(name: &str) -> Option<Mechanism> {
+    pub fn from_name(name: &str) -> Option<Mechanism> {
         let mut all = Mechanism::ALL.into_iter();
         all.find(|mechanism| mechanism.as_str() == name)
     }
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -187,7 +187,8 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        let tokens = u64::from(call.request.tokens_in) + u64::from(call.request.tokens_out);
+        let tokens =
+            u64::from(call.request.prompt_tokens) + u64::from(call.request.max_output_tokens);
         self.services
             .get(&call.service)
             .is_some_and(|service| service.is_too_large(tokens))
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -291,7 +291,7 @@
 /// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
 /// call's home, sent by other processes.
 pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
-    let tokens = call.request.tokens_in;
+    let tokens = call.request.prompt_tokens;
     let sent_by_others = if call.home == Some(key) {
         f64::from(tokens) * CACHED_SHARE_AT_HOME
     } else {
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -69,9 +69,9 @@
         });
         program.time = program
             .time
-            .or(call.finish_at.map(|at| at - program.started));
+            .or(call.program_deadline.map(|at| at - program.started));
         if program.in_flight.is_empty() {
-            program.step_started = call.arrived;
+            program.step_started = call.arrived_at;
             program.step_unloaded = 0.0;
         }
         program.in_flight.insert(call.id);
@@ -113,7 +113,7 @@
         let program = call.program.and_then(|id| self.programs.get(&id));
         program
             .filter(|program| !program.in_flight.is_empty())
-            .map_or(call.arrived, |p| p.step_started)
+            .map_or(call.arrived_at, |p| p.step_started)
     }
 
     /// Whether a call of the program has been answered at this process.
@@ -130,11 +130,11 @@
             return call.target_latency;
         }
         let known = call.program.and_then(|id| self.programs.get(&id));
-        let Some((program, finish_at)) = known.zip(call.finish_at) else {
+        let Some((program, program_deadline)) = known.zip(call.program_deadline) else {
             return call.target_latency;
         };
         let started = self.step_started(call);
-        let remaining = finish_at - started;
+        let remaining = program_deadline - started;
         let expected = self.expected_work(program, started).max(unloaded);
         (remaining * unloaded / expected).max(0.0)
     }
@@ -142,7 +142,7 @@
     /// Seconds that a program may lose and still end in time; negative once it is late.
     pub(crate) fn slack(&self, now: f64, call: &Call) -> Option<f64> {
         let program = self.programs.get(&call.program?)?;
-        Some(call.finish_at? - now - self.expected_work(program, now))
+        Some(call.program_deadline? - now - self.expected_work(program, now))
     }
 
     fn expected_work(&self, program: &Program, now: f64) -> f64 {
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -242,7 +242,7 @@
     /// Draws one of the call's services by weight.
     fn choose_service(&mut self, call: &Call) -> Arc<str> {
         let total: u64 = call
-            .clusters
+            .services
             .iter()
             .map(|cluster| u64::from(cluster.weight))
             .sum();
@@ -251,13 +251,13 @@
         } else {
             0
         };
-        for WeightedService { service, weight } in &call.clusters {
+        for WeightedService { service, weight } in &call.services {
             if drawn < u64::from(*weight) {
                 return service.clone();
             }
             drawn -= u64::from(*weight);
         }
-        call.clusters
+        call.services
             .first()
             .map(|cluster| cluster.service.clone())
             .unwrap_or_else(|| Arc::from(""))
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -29,7 +29,7 @@
         let k = self.programs.step_size(&call.request);
         let tail = self.routes.tail(now, call.route, None, k);
         let delay = (route.typical() - tail).max(0.0);
-        let max_delay = call.request.give_up_at - now - tail;
+        let max_delay = call.request.deadline - now - tail;
         let acceptable = if self.programs.is_in_progress(&call.request) {
             max_delay
         } else {
@@ -57,7 +57,7 @@
         let Some(call) = self.calls.get(&id) else {
             return RETRY_AFTER_WITHOUT_REPLICA;
         };
-        let longest = (call.request.give_up_at - now).max(0.0) * RETRY_AFTER_SHARE;
+        let longest = (call.request.deadline - now).max(0.0) * RETRY_AFTER_SHARE;
         let typical = self
             .routes
             .get(call.route)
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -41,7 +41,7 @@
     /// whole.
     pub(crate) fn of(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
         if !is_on(Mechanism::DeadlineOrder) {
-            return call.request.arrived;
+            return call.request.arrived_at;
         }
         let mut replicas: BTreeMap<RouteKey, Vec<Option<ReplicaKey>>> = BTreeMap::new();
         let ids = self.programs.step_calls(&call.request);
--- a/crates/tier/scheduler/tests/ablation.rs
+++ b/crates/tier/scheduler/tests/ablation.rs
@@ -31,9 +31,9 @@
 #[test]
 fn each_mechanism_has_a_name_of_its_own() {
     for mechanism in Mechanism::ALL {
-        assert_eq!(Mechanism::named(mechanism.as_str()), Some(mechanism));
+        assert_eq!(Mechanism::from_name(mechanism.as_str()), Some(mechanism));
     }
-    assert_eq!(Mechanism::named("gravity"), None);
+    assert_eq!(Mechanism::from_name("gravity"), None);
 }
 
 /// Calls that a run has in flight before the oldest of them is answered.
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -51,7 +51,7 @@
 /// A safe call that arrives at `now` and may be sent to two replicas.
 pub(crate) fn call(now: f64, id: u64) -> Call {
     Call {
-        clusters: vec![WeightedService {
+        services: vec![WeightedService {
             service: Arc::from(SERVICE),
             weight: 1,
         }],
@@ -62,7 +62,7 @@
 
 pub(crate) fn unsafe_call(now: f64, id: u64) -> Call {
     Call {
-        kind: CallKind::Unsafe,
+        kind: CallKind::NonIdempotent,
         ..call(now, id)
     }
 }
@@ -105,7 +105,7 @@
     fn may_run_again(&self) -> bool {
         matches!(
             self.call.kind,
-            CallKind::Safe | CallKind::Streaming { resumable: true }
+            CallKind::Idempotent | CallKind::Streaming { resumable: true }
         )
     }
 
@@ -361,10 +361,10 @@
             seen.may_run_again() || seen.has_not_run(),
             "{id:?} may run twice"
         );
-        assert!(timeout > 0.0 && now + timeout <= seen.call.give_up_at + 1e-9);
+        assert!(timeout > 0.0 && now + timeout <= seen.call.deadline + 1e-9);
         let out = (0..seen.attempts.len()).filter(|n| seen.is_out(*n)).count();
         assert!(
-            out == 0 || (seen.call.kind == CallKind::Safe && out == 1),
+            out == 0 || (seen.call.kind == CallKind::Idempotent && out == 1),
             "{id:?} has {out} out"
         );
         seen.attempts.push((replica.clone(), None));
--- a/crates/tier/scheduler/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -23,7 +23,7 @@
     Call {
         program: Some(program),
         prefix,
-        tokens_in: 4_000,
+        prompt_tokens: 4_000,
         ..unsafe_call(now, id)
     }
 }
--- a/crates/tier/scheduler/tests/overload.rs
+++ b/crates/tier/scheduler/tests/overload.rs
@@ -20,7 +20,7 @@
 fn program_call(now: f64, id: u64, program: u64, time: f64) -> Call {
     Call {
         program: Some(program),
-        finish_at: Some(now + time),
+        program_deadline: Some(now + time),
         ..unsafe_call(now, id)
     }
 }
@@ -45,7 +45,7 @@
     // One call stays in flight at each replica, so that no slow answer is an unloaded sample.
     for id in [1_000, 1_001] {
         driver.submit(Call {
-            give_up_at: driver.now + 1e3,
+            deadline: driver.now + 1e3,
             ..unsafe_call(driver.now, id)
         });
     }
@@ -79,7 +79,7 @@
 fn a_program_in_progress_goes_before_new_ones() {
     let mut driver = loaded(FULL);
     let mut before = program_call(driver.now, 5_000, 1, 0.5);
-    before.finish_at = Some(driver.now + 50.0);
+    before.program_deadline = Some(driver.now + 50.0);
     driver.submit(before);
     driver.attempt_ended_with_load(5_000, 0, Outcome::Answered, Some(FULL));
     assert!(!is_refused(
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -31,7 +31,7 @@
     ];
     Call {
         prefix,
-        tokens_in: 2_560 + tokens,
+        prompt_tokens: 2_560 + tokens,
         ..unsafe_call(now, id)
     }
 }
@@ -134,9 +134,9 @@
 #[test]
 fn a_session_stays_without_known_parts_of_its_prompt() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
-    let turn = |now, id, tokens_in| Call {
+    let turn = |now, id, prompt_tokens| Call {
         session: Some(9),
-        tokens_in,
+        prompt_tokens,
         ..unsafe_call(now, id)
     };
     for id in 1..=8 {
--- a/crates/tier/scheduler/tests/queueing.rs
+++ b/crates/tier/scheduler/tests/queueing.rs
@@ -95,7 +95,7 @@
     let start = driver.now;
     let of_program = |now: f64, id: u64, program: u64, time: f64| Call {
         program: Some(program),
-        finish_at: Some(start + time),
+        program_deadline: Some(start + time),
         ..unsafe_call(now, id)
     };
     let times = [(1, 4.0), (2, 4.0), (3, 1.0)];
@@ -177,19 +177,19 @@
         driver.advance(0.2);
         driver.attempt_ended(id, 0, Outcome::Answered);
     }
-    let give_up_at = driver.now + 0.15;
+    let deadline = driver.now + 0.15;
     let refused = driver.submit(Call {
-        give_up_at,
+        deadline,
         ..unsafe_call(driver.now, 21)
     });
     assert!(
         matches!(refused[..], [Action::Refuse { .. }]),
         "{refused:?}"
     );
-    let give_up_at = driver.now + 0.25;
+    let deadline = driver.now + 0.25;
     assert_eq!(
         sent(&driver.submit(Call {
-            give_up_at,
+            deadline,
             ..unsafe_call(driver.now, 22)
         })),
         [22]
@@ -232,7 +232,7 @@
         tokens: 300_000,
     }];
     driver.submit(Call {
-        tokens_in: 300_000,
+        prompt_tokens: 300_000,
         prefix,
         ..unsafe_call(driver.now, 3)
     });
--- a/crates/tier/scheduler/tests/retries.rs
+++ b/crates/tier/scheduler/tests/retries.rs
@@ -5,8 +5,8 @@
 use common::{Driver, End, call, replicas, service};
 use woadreach_scheduler::{Action, Call, CallKind, FailReason, Outcome};
 
-const SAFE: CallKind = CallKind::Safe;
-const UNSAFE: CallKind = CallKind::Unsafe;
+const SAFE: CallKind = CallKind::Idempotent;
+const UNSAFE: CallKind = CallKind::NonIdempotent;
 const STREAM: CallKind = CallKind::Streaming { resumable: false };
 const RESUMABLE: CallKind = CallKind::Streaming { resumable: true };
 
@@ -185,9 +185,9 @@
         driver.attempt_ended(id, 0, Outcome::Answered); // at once: the unloaded tail is zero
     }
     // A hedge would be due after an eighth of the target, 0.03125 s: at the very end.
-    let give_up_at = driver.now + 0.03125;
+    let deadline = driver.now + 0.03125;
     driver.submit(Call {
-        give_up_at,
+        deadline,
         ..call(driver.now, 41)
     });
     assert!(driver.advance(1.0).is_empty());
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -77,8 +77,8 @@
 
 fn kind(of: u8) -> CallKind {
     match of % 4 {
-        0 => CallKind::Safe,
-        1 => CallKind::Unsafe,
+        0 => CallKind::Idempotent,
+        1 => CallKind::NonIdempotent,
         2 => CallKind::Streaming { resumable: false },
         _ => CallKind::Streaming { resumable: true },
     }
@@ -137,7 +137,7 @@
     Call {
         kind: kind(kind_of),
         route: Arc::from(format!("route-{}", kind_of % 4)),
-        clusters: vec![
+        services: vec![
             WeightedService {
                 service: Arc::from(SERVICE),
                 weight: 3,
@@ -147,8 +147,8 @@
                 weight: u32::from(kind_of == 255),
             },
         ],
-        give_up_at: now + f64::from(give_up_ms % 4_000) / 1e3,
-        finish_at: program.map(|program| now + program as f64),
+        deadline: now + f64::from(give_up_ms % 4_000) / 1e3,
+        program_deadline: program.map(|program| now + program as f64),
         program,
         session: program,
         prefix: vec![
@@ -161,7 +161,7 @@
                 tokens: 300,
             },
         ],
-        tokens_in: 1_300,
+        prompt_tokens: 1_300,
         max_replicas: u32::from(max_replicas % 4),
         ..call(now, id)
     }
@@ -231,11 +231,7 @@
     for _ in 0..100 {
         driver.advance(0.1);
         for (id, attempt) in driver.out() {
-            if driver.now
-                >= driver.seen[&woadreach_scheduler::CallId(id)]
-                    .call
-                    .give_up_at
-            {
+            if driver.now >= driver.seen[&woadreach_scheduler::CallId(id)].call.deadline {
                 driver.attempt_ended(id, attempt, Outcome::TimedOut);
             }
         }
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -10,11 +10,11 @@
 
 const UNLOADED: f64 = 0.1;
 
-fn call(now: f64, id: u64, program: u64, finish_at: f64) -> Call {
+fn call(now: f64, id: u64, program: u64, program_deadline: f64) -> Call {
     Call {
         route: Arc::from("turns"),
-        kind: CallKind::Unsafe,
-        finish_at: Some(finish_at),
+        kind: CallKind::NonIdempotent,
+        program_deadline: Some(program_deadline),
         program: Some(program),
         ..base_call(now, id)
     }
@@ -29,7 +29,7 @@
     let programs = Programs::default();
     let alone = Call {
         program: None,
-        finish_at: None,
+        program_deadline: None,
         ..call(0.0, 1, 1, 0.0)
     };
     assert!(is_near(programs.latency_target(&alone, UNLOADED), 0.25));
@@ -101,7 +101,7 @@
         .collect();
     calls
         .iter()
-        .for_each(|call| programs.record_arrival(call.arrived, call));
+        .for_each(|call| programs.record_arrival(call.arrived_at, call));
     assert_eq!(programs.step_size(&calls[2]), 3);
     assert!(is_near(programs.step_started(&calls[2]), 0.1));
     calls
--- a/crates/tier/scheduler/tests/urgency.rs
+++ b/crates/tier/scheduler/tests/urgency.rs
@@ -145,7 +145,7 @@
                     let actions = self.driver.submit(Call {
                         route: Arc::from(if is_urgent(id) { "urgent" } else { "other" }),
                         priority: u8::from(!is_urgent(id)),
-                        give_up_at: now + PATIENCE,
+                        deadline: now + PATIENCE,
                         ..call(now, id)
                     });
                     self.execute(actions);
--- a/crates/tier/scheduler/tests/weights.rs
+++ b/crates/tier/scheduler/tests/weights.rs
@@ -45,7 +45,7 @@
     let mut at_new = 0;
     for id in 1..=CALLS {
         let call = Call {
-            clusters: vec![part("old", 100 - weight), part("new", weight)],
+            services: vec![part("old", 100 - weight), part("new", weight)],
             ..make(&driver, id)
         };
         driver.submit(call);
