--- a/crates/tier/scheduler/src/calls_in_flight.rs
+++ b/crates/tier/scheduler/src/active_call.rs
@@ -1,4 +1,4 @@
-//! A call that has not ended, and its attempts.
+//! An unfinished call and its attempts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,39 +8,40 @@
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::outcome::Outcome;
 
-/// Limit on how often a call is sent again to a replica that did not run it.
+/// Limit on the number of times a call is sent again to a replica that did not run it.
 const MAX_RESENDS: usize = 3;
 
 /// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
-    /// Its outcome is unknown yet.
+    /// Sent, with no outcome yet.
     InFlight,
-    /// It has ended with this outcome.
+    /// Finished with this outcome.
     Ended(Outcome),
-    /// This process has aborted it. It may have run.
+    /// Aborted by this process. The attempt may have run.
     Aborted,
 }
 
-/// One send of a call: what the call needs of it. Its replica's part is
-/// [`AttemptAtReplica`](crate::replica::AttemptAtReplica).
+/// One attempt, as recorded with its call. While it is in flight, its replica records it as
+/// [`InFlightAttempt`](crate::replica::InFlightAttempt).
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub replica: ReplicaKey,
-    /// Identifier of the replica, which is valid even after the replica has departed.
+    /// Identifier of the replica, kept after the replica has departed.
     pub replica_id: Arc<str>,
     pub state: AttemptState,
-    /// Whether its first event (or response head) has arrived.
-    pub has_begun: bool,
+    /// Whether the first event of a stream, or the head of any other response, has been received.
+    pub response_started: bool,
 }
 
 impl Attempt {
-    /// Whether it is known not to have run, and never to run.
+    /// Whether the attempt is known not to have run and never to run later.
     fn has_not_run(&self) -> bool {
         matches!(self.state, AttemptState::Ended(outcome) if outcome.has_not_run())
     }
 
-    /// Whether bytes of the call reached the replica, so that it counts towards the limit of replicas.
+    /// Whether the replica may have received bytes of the call, so that it counts towards
+    /// [`Call::max_replicas`].
     fn reached_replica(&self) -> bool {
         !matches!(
             self.state,
@@ -54,26 +55,26 @@
     }
 }
 
-/// A call from its arrival to its end.
+/// A call that has been received and has not finished.
 #[derive(Debug)]
-pub(crate) struct CallInFlight {
+pub(crate) struct ActiveCall {
     pub request: Call,
     pub route: RouteKey,
     pub service: Arc<str>,
     pub attempts: Vec<Attempt>,
-    /// When to reconsider the call, in microseconds.
+    /// Time of the next decision about the call, in microseconds; `None` if no timer is set.
     pub timer: Option<i64>,
-    /// Home of the call's program or object; see [`crate::placement`].
+    /// Home of the call's program or object, updated at each placement; see [`crate::placement`].
     pub home: Option<ReplicaKey>,
-    /// Earliest time of the next attempt at a replica that the call was sent to before, in seconds: from a backoff
-    /// or the replica's `Retry-After`.
+    /// Earliest time in seconds at which the call may be sent again to the same replica, from the backoff or the
+    /// replica's `Retry-After`.
     pub not_before: f64,
     state: CallState,
 }
 
-impl CallInFlight {
+impl ActiveCall {
     pub(crate) fn new(call: Call, route: RouteKey, service: Arc<str>) -> Self {
-        CallInFlight {
+        ActiveCall {
             request: call,
             route,
             service,
@@ -89,8 +90,9 @@
         self.state
     }
 
-    /// Changes the state. An event that the table does not allow is a fault of this crate, and never of its
-    /// input.
+    /// Changes the state.
+    ///
+    /// Panics if the table does not allow `event`: no input can cause this, only a bug in this crate.
     pub(crate) fn apply(&mut self, event: CallEvent) {
         match self.state.after(event) {
             Ok(state) => self.state = state,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The replica in whose queue the call waits.
+    /// The replica at which the call is queued.
     pub(crate) fn queued_at(&self) -> Option<ReplicaKey> {
         match self.state {
             CallState::Queued { replica, .. } => Some(replica),
@@ -106,24 +108,24 @@
         }
     }
 
-    /// Whether an attempt is in flight.
-    pub(crate) fn is_in_flight(&self) -> bool {
+    /// Whether at least one attempt is in flight.
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether it is proven that no attempt ran or will run.
+    /// Whether every attempt is known not to have run and never to run later.
     pub(crate) fn has_not_run(&self) -> bool {
         self.attempts.iter().all(Attempt::has_not_run)
     }
 
-    /// Whether the call may be sent (again) without running twice by mistake.
+    /// Whether the call may be sent, or sent again, without the risk that a call that is not idempotent runs twice.
     pub(crate) fn may_send(&self) -> bool {
         self.request.kind.may_run_again() || self.has_not_run()
     }
 
-    /// The replicas that count towards [`Call::max_replicas`].
+    /// Replicas that count towards [`Call::max_replicas`].
     pub(crate) fn replicas_reached(&self) -> BTreeSet<ReplicaKey> {
         self.attempts
             .iter()
@@ -138,10 +140,10 @@
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether the call may be sent to `replica` (again): not where it may have run, nor where another
-    /// replica answered.
+    /// Whether the call may be sent to `replica`, perhaps not for the first time. It may not if an earlier attempt
+    /// there may have run or reached a different replica.
     ///
-    /// After [`MAX_RESENDS`] a rejection serves the client better, since its retry may reach another process.
+    /// After [`MAX_RESENDS`] the call is rejected instead, since the client's retry may reach another process.
     pub(crate) fn may_resend_to(&self, replica: ReplicaKey) -> bool {
         if self.sends_to(replica) > MAX_RESENDS {
             return false;
@@ -154,20 +156,22 @@
         earlier_attempts.all(|attempt| attempt.has_not_run() && attempt.state != misdirected)
     }
 
-    /// Whether a hedge may be sent beside the attempt in flight: one at a time, before a response has begun,
-    /// within the limit of replicas.
+    /// Whether a hedge may be sent: the call may run again, exactly one attempt is in flight, its response has not
+    /// started, and the limit of replicas is not reached.
     pub(crate) fn may_hedge(&self) -> bool {
         let mut in_flight = self
             .attempts
             .iter()
             .filter(|attempt| attempt.state == AttemptState::InFlight);
-        let is_single = in_flight.next().is_some_and(|attempt| !attempt.has_begun)
+        let is_single = in_flight
+            .next()
+            .is_some_and(|attempt| !attempt.response_started)
             && in_flight.next().is_none();
         let within_bounds = self.replicas_reached().len() < self.request.max_replicas as usize;
         is_single && within_bounds && self.request.kind.may_run_again()
     }
 
-    /// How often the call was sent to a replica.
+    /// Number of times the call was sent to `replica`.
     pub(crate) fn sends_to(&self, replica: ReplicaKey) -> usize {
         self.attempts
             .iter()
@@ -175,12 +179,12 @@
             .count()
     }
 
-    /// Whether bytes of the call have reached any replica.
+    /// Whether any replica may have received bytes of the call.
     pub(crate) fn has_reached_replica(&self) -> bool {
         self.attempts.iter().any(Attempt::reached_replica)
     }
 
-    /// Outcome of the last attempt that may have run.
+    /// Outcome of the latest finished attempt that may have run.
     pub(crate) fn last_executed_outcome(&self) -> Option<Outcome> {
         self.attempts
             .iter()
--- a/crates/tier/scheduler/src/call.rs
+++ b/crates/tier/scheduler/src/call.rs
@@ -2,26 +2,26 @@
 
 use std::sync::Arc;
 
-/// Identifier of one request of a client at this process. It is never used twice.
+/// Identifier of one client request within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// Whether a call is idempotent, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Idempotent: may run more than once.
+    /// The call may run more than once.
     Idempotent,
-    /// Not idempotent: runs once at most.
+    /// The call may run at most once.
     NonIdempotent,
     /// The response is a stream of events.
     Streaming {
-        /// Whether the stream may be resumed at another replica, and the call may run more than once.
+        /// Whether another replica may resume the stream. If so, the call may run more than once.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether the call may be sent again after an attempt that may have run.
+    /// Whether the call may be sent again although an earlier attempt may have run.
     pub fn may_run_again(self) -> bool {
         matches!(
             self,
@@ -29,7 +29,7 @@
         )
     }
 
-    /// Whether the response is a stream of events of a model.
+    /// Whether the response is a stream of events.
     pub fn is_streaming(self) -> bool {
         matches!(self, CallKind::Streaming { .. })
     }
@@ -40,60 +40,59 @@
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the services of the call. If all weights are 0, the first service is chosen.
+    /// Weight of the service among those of the call. If all weights are 0, the first service is chosen.
     pub weight: u32,
 }
 
 /// A part of a prompt that other requests may share (`Prefix-Hash`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
-    /// Hash that identifies the part and everything before it.
+    /// Hash of the prompt up to and including this part.
     pub id: u64,
-    /// Tokens of the part.
+    /// Number of tokens in the part.
     pub tokens: u32,
 }
 
-/// One request of a client, as it arrived. Times are seconds from any origin.
+/// One client request as received. Times are seconds on the driver's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// Identifier of the call.
     pub id: CallId,
-    /// Name of the route that it matched.
+    /// Name of the route that the request matched.
     pub route: Arc<str>,
-    /// Whether it is idempotent or a stream.
+    /// Whether the call is idempotent, and whether its response is a stream.
     pub kind: CallKind,
-    /// Services that may run it; one is drawn by weight.
+    /// Services that may run the call; one is drawn at random by weight.
     pub services: Vec<WeightedService>,
-    /// When it arrived.
+    /// Time at which the request was received.
     pub arrived_at: f64,
-    /// The earliest of the client's deadline and the route's timeout.
+    /// Earlier of the client's deadline and the end of the route's time-out.
     pub deadline: f64,
-    /// Latency target: seconds from arrival within which a response (a stream's first event) has its full
-    /// value.
+    /// Latency target of the response, or of a stream's first event, in seconds from arrival.
     pub target_latency: f64,
-    /// When the program should end (`Finish-Ms`).
+    /// Time at which the program should end (`Finish-Ms`); `None` if the client did not report it.
     pub program_deadline: Option<f64>,
-    /// Hash of the program's identifier.
+    /// Hash of the program's identifier; `None` if the call belongs to no program.
     pub program: Option<u64>,
-    /// Hash of the identifier of a conversation within the program.
+    /// Hash of the identifier of the conversation; `None` if the call belongs to none.
     pub session: Option<u64>,
-    /// Hash of the object that the request is about, if replicas are faster on objects that they have seen
-    /// lately.
+    /// Hash of the object that the request is about, if replicas respond faster for recently used objects.
     pub affinity: Option<u64>,
     /// Parts of the prompt in order; empty if unknown.
     pub prefix: Vec<PrefixPart>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Limit on the tokens that it may generate.
+    /// Limit on the number of generated tokens.
     pub max_output_tokens: u32,
     /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// Limit on the replicas that bytes of the call may reach.
+    /// Limit on the number of replicas that may receive bytes of the call; 0 counts as 1.
     pub max_replicas: u32,
 }
 
 impl Call {
-    /// The parts of the prompt. If they are unknown, the prompt of a session counts as one part that grows.
+    /// Parts of the prompt. If they are unknown, the whole prompt of a session counts as one part, which grows with
+    /// each call.
     pub(crate) fn known_prefix(&self) -> Vec<PrefixPart> {
         match self.session {
             Some(id) if self.prefix.is_empty() => vec![PrefixPart {
--- a/crates/tier/scheduler/src/call_state.rs
+++ b/crates/tier/scheduler/src/call_state.rs
@@ -1,16 +1,16 @@
-//! States of a call in flight, and the only function that changes them.
+//! States of a call, and the function that computes each transition.
 //!
 //! | state | meaning | event | next |
 //! | --- | --- | --- | --- |
-//! | `Deciding` | no attempt is in flight, a decision is due | `Sent` | `Running` |
+//! | `Deciding` | no attempt is in flight; a decision is due | `Sent` | `Running` |
 //! | | | `Enqueued` | `Queued` |
 //! | | | `Postponed` | `Postponed` |
-//! | `Queued` | waits in the queue of a replica | `Released` | `Deciding` |
-//! | `Postponed` | no replica may receive it for now | `Released` | `Deciding` |
+//! | `Queued` | in the queue of a replica | `Released` | `Deciding` |
+//! | `Postponed` | no replica may receive the call at present | `Released` | `Deciding` |
 //! | `Running` | at least one attempt is in flight | `Sent` | `Running` |
 //! | | | `AttemptsEnded` | `Deciding` |
 //!
-//! A call may end in any state except `Queued`, from which it is released first.
+//! A call is released from `Queued` or `Postponed` before it ends. It may end in either of the other states.
 
 use snafu::Snafu;
 
@@ -21,9 +21,9 @@
 pub(crate) enum CallState {
     /// No attempt is in flight, and a decision is due.
     Deciding,
-    /// Waits in the queue of `replica`, which is ordered by `deadline`.
+    /// In the queue of `replica`, which is ordered by `deadline`.
     Queued { replica: ReplicaKey, deadline: f64 },
-    /// Waits until some replica may receive it.
+    /// No replica may receive the call at present.
     Postponed,
     /// At least one attempt is in flight.
     Running,
@@ -39,16 +39,16 @@
     AttemptsEnded,
 }
 
-/// An event that the table does not allow in a state.
+/// Error: the transition table has no entry for this event in this state.
 #[derive(Debug, PartialEq, Snafu)]
-#[snafu(display("a call in state {state:?} can't take the event {event:?}"))]
+#[snafu(display("no transition of a call from state {state:?} on event {event:?}"))]
 pub(crate) struct UnexpectedEvent {
     state: CallState,
     event: CallEvent,
 }
 
 impl CallState {
-    /// The state after `event`.
+    /// Returns the state after `event`.
     pub(crate) fn after(self, event: CallEvent) -> Result<CallState, UnexpectedEvent> {
         match (self, event) {
             (CallState::Deciding | CallState::Running, CallEvent::Sent) => Ok(CallState::Running),
--- a/crates/tier/scheduler/src/decision_counts.rs
+++ b/crates/tier/scheduler/src/decision_counts.rs
@@ -1,34 +1,35 @@
-//! What the scheduler has decided since it started, by reason: for operators, who ask why a call went or didn't go
-//! somewhere. Nothing is decided by these counts.
+//! Number of decisions by kind and reason since the start of the scheduler. Exported for operators; the scheduler does
+//! not read these counts.
 
-/// A decision and its reason.
+/// Kind of a decision, with its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Decision {
     /// A call was sent to its first replica.
     Sent,
-    /// A call that no replica had run, or that may run again, was sent once more after an attempt had ended.
+    /// A call that had not run, or that may run again, was sent again after an attempt had ended.
     SentAgain,
-    /// A late call was sent to a second replica beside or in place of the first.
+    /// A late call was sent to another replica, in addition to or in place of the one with an attempt in flight.
     Hedged,
-    /// A call was sent to an ejected replica as a probe; it counts under one of the three above, too.
+    /// A call was sent to an ejected replica as a probe. The send also counts as one of the three decisions above.
     Probed,
-    /// A call was queued at a replica that holds back what exceeds its share.
+    /// A call was queued at a replica under backpressure, or behind calls that are queued there.
     Queued,
-    /// A call was put off, since no replica could take it.
+    /// A call was postponed: no replica could receive it, or its backoff had not elapsed.
     Postponed,
     /// A replica was ejected.
     Ejected,
-    /// A call was refused on arrival: all replicas were full and it would have been late.
+    /// A call was rejected on arrival: all replicas were full and the call would have been late.
     ShedOnArrival,
-    /// A call was given up because its remaining time is below the replica's unloaded tail latency.
+    /// A call was rejected or failed because its remaining time was below the replica's unloaded tail latency.
     SkippedAsHopeless,
-    /// A call was given up because its deadline had come, or it had been sent as often as it may be.
+    /// A call was rejected or failed because its deadline had passed, or because it may have run and must not run
+    /// again.
     OutOfTimeOrAttempts,
-    /// A call was given up because the service's retry budget was spent.
+    /// A call was rejected or failed because the service's retry budget was spent.
     RetryBudgetSpent,
-    /// A call was given up because no replica was left for it.
+    /// A call was rejected or failed because no replica was left that may receive it.
     NoReplicaLeft,
-    /// A call was given up because it had waited for a replica as long as it may.
+    /// A call was rejected or failed because its time limit for being postponed had passed.
     WaitedTooLong,
 }
 
@@ -50,7 +51,7 @@
         Decision::WaitedTooLong,
     ];
 
-    /// The decision as metrics name it.
+    /// Value of the metric label for this decision.
     pub fn as_str(self) -> &'static str {
         match self {
             Decision::Sent => "sent",
@@ -70,19 +71,19 @@
     }
 }
 
-/// How often each decision was made.
+/// Number of decisions of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounts {
     counts: [u64; Decision::ALL.len()],
 }
 
 impl DecisionCounts {
-    /// How often this decision was made.
+    /// Number of decisions of this kind.
     pub fn of(&self, decision: Decision) -> u64 {
         self.counts[decision as usize]
     }
 
-    /// Each decision with its count.
+    /// Iterates over all kinds of decisions with their counts.
     pub fn iter(&self) -> impl Iterator<Item = (Decision, u64)> + '_ {
         Decision::ALL.into_iter().zip(self.counts)
     }
@@ -92,14 +93,14 @@
     }
 }
 
-/// What the scheduler holds at a moment.
+/// Number of calls and ejected replicas at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerLoad {
-    /// Calls that have not ended.
+    /// Unfinished calls.
     pub calls: usize,
-    /// Those of `calls` that are queued at a replica.
+    /// Unfinished calls that are queued at a replica.
     pub queued: usize,
-    /// Those of `calls` that are put off, since no replica can take them.
+    /// Unfinished calls that are postponed, since no replica may receive them at present.
     pub postponed: usize,
     /// Replicas that are ejected for at least one route.
     pub ejected_replicas: usize,
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -1,13 +1,13 @@
-//! Decisions about one call: whether it is sent, queued, postponed or ended.
+//! Decisions about one call: send, queue, postpone, reject or fail it.
 
 use std::collections::BTreeSet;
 
 use woadreach_routing::decide::part_budget::PartBudget;
 
 use crate::action::{Action, FailReason};
+use crate::active_call::{Attempt, AttemptState};
 use crate::call::CallId;
 use crate::call_state::{CallEvent, CallState};
-use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::decision_counts::Decision;
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::mechanisms::{Mechanism, is_on};
@@ -15,16 +15,17 @@
 use crate::placement::{Choice, Placement, prefill_tokens};
 use crate::scheduler::Scheduler;
 use crate::step::QueuingDeadlines;
-use crate::timers::has_come;
+use crate::timers::is_due;
 
-/// Share of its latency target for which a call may be queued before it has reached any replica.
-const UNOFFERED_QUEUE_SHARE: f64 = 0.25;
-/// Backoff in seconds before a call is sent again to a replica that did not run it. Doubles with each
-/// attempt.
+/// Maximum time that a call may be queued or postponed before it has reached any replica, as a share of its latency
+/// target.
+const MAX_INITIAL_QUEUE_SHARE: f64 = 0.25;
+/// First backoff in seconds before a call is sent again to the same replica. The backoff doubles with each attempt
+/// of the call.
 const INITIAL_BACKOFF: f64 = 0.03;
 
 impl Scheduler {
-    /// Decides anew about a call in any state.
+    /// Makes the decision that is due for a call, in any of its states.
     pub(crate) fn decide(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Decides about a call of which an attempt has ended without an answer.
+    /// Decides about a call after an attempt that was not answered, unless another attempt is still in flight.
     pub(crate) fn decide_after_failure(
         &mut self,
         now: f64,
@@ -47,22 +48,27 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_in_flight()) else {
+        let Some(call) = self
+            .calls
+            .get_mut(&id)
+            .filter(|call| !call.has_attempt_in_flight())
+        else {
             return;
         };
         call.apply(CallEvent::AttemptsEnded);
-        let doubled = INITIAL_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
+        let backoff = INITIAL_BACKOFF * 2_f64.powi(call.attempts.len() as i32 - 1);
         call.not_before = match outcome {
             Outcome::NotExecuted {
                 retry_after: Some(requested),
-            } => now + requested.max(doubled),
-            _ => now + doubled,
+            } => now + requested.max(backoff),
+            _ => now + backoff,
         };
         self.place(now, id, actions);
     }
 
-    /// Releases queued calls by earliest queuing deadline, and then postponed calls in the order of their
-    /// arrival, as far as `replica`, which has just got capacity, allows.
+    /// Decides about calls that `replica` may now receive, after one of its attempts has ended: first the calls
+    /// queued there, earliest queuing deadline first and until the replica is under backpressure, then all postponed
+    /// calls of its service in order of arrival.
     pub(crate) fn release_queued(
         &mut self,
         now: f64,
@@ -78,7 +84,7 @@
             let Some(at) = self.fleet.get(replica) else {
                 break;
             };
-            if at.holds() {
+            if at.is_under_backpressure() {
                 break;
             }
             self.decide(now, first, actions);
@@ -97,7 +103,7 @@
             .for_each(|id| self.decide(now, id, actions));
     }
 
-    /// Aborts all attempts in flight. Returns their replicas.
+    /// Aborts all attempts of a call that are in flight. Returns their replicas.
     pub(crate) fn abort_all(&mut self, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
@@ -119,20 +125,20 @@
         freed
     }
 
-    /// Removes a call that has ended.
+    /// Removes a call that has ended. `answered` tells whether it ended with [`Outcome::Answered`].
     pub(crate) fn end(&mut self, now: f64, id: CallId, answered: bool) {
         self.release(id);
         let Some(mut call) = self.calls.remove(&id) else {
             return;
         };
         self.timers.set(&mut call.timer, id, None);
-        self.displaced.remove(&id);
+        self.needs_decision.remove(&id);
         let unloaded = self.routes.unloaded_median(now, call.route);
         self.programs
             .record_end(now, &call.request, answered, unloaded);
     }
 
-    /// Rejects a call that has not run and never will.
+    /// Rejects a call that has not run. `retry_after` is in seconds.
     pub(crate) fn refuse(
         &mut self,
         now: f64,
@@ -147,9 +153,14 @@
         self.end(now, id, false);
     }
 
-    /// Ends a call that cannot be sent again, for this reason: rejects it if it has not run, otherwise reports why it
-    /// failed.
-    fn give_up(&mut self, now: f64, id: CallId, reason: Decision, actions: &mut Vec<Action>) {
+    /// Ends a call that cannot be sent again: rejects it if it has not run, otherwise fails it. `reason` is counted.
+    fn reject_or_fail(
+        &mut self,
+        now: f64,
+        id: CallId,
+        reason: Decision,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -168,7 +179,7 @@
         self.end(now, id, false);
     }
 
-    /// Removes a call from the queue in which it waits.
+    /// Takes a queued or postponed call out of that state. Calls in other states stay unchanged.
     fn release(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -188,11 +199,11 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        if !call.may_send() || has_come(now, call.request.deadline) {
-            return self.give_up(now, id, Decision::OutOfTimeOrAttempts, actions);
+        if !call.may_send() || is_due(now, call.request.deadline) {
+            return self.reject_or_fail(now, id, Decision::OutOfTimeOrAttempts, actions);
         }
         match self.choose(now, id) {
-            Choice::NoReplica => self.handle_missing_replica(now, id, actions),
+            Choice::NoReplica => self.handle_no_replica(now, id, actions),
             Choice::Postpone => self.postpone(now, id, None, actions),
             Choice::Enqueue(replica) => self.enqueue(now, id, replica, actions),
             Choice::SendProbe(replica) => {
@@ -202,7 +213,7 @@
                 self.counts.count(Decision::Probed);
                 self.send(now, id, replica, actions);
             }
-            Choice::Send(replica) => self.send_if_worthwhile(now, id, replica, actions),
+            Choice::Send(replica) => self.try_send(now, id, replica, actions),
         }
     }
 
@@ -226,47 +237,42 @@
         placement.choose(call, is_behind, &mut self.random)
     }
 
-    /// Whether the call's remaining time is below the unloaded tail latency of `replica`, so that sending it
-    /// would be useless (DSSP paper, part skipping).
-    pub(crate) fn is_hopeless(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
+    /// Whether the call's deadline has passed, or its remaining time is below the unloaded tail latency of `replica`
+    /// (DSSP paper, part skipping).
+    pub(crate) fn would_miss_deadline(&self, now: f64, id: CallId, replica: ReplicaKey) -> bool {
         self.calls.get(&id).is_none_or(|call| {
             let k = self.programs.step_size(&call.request);
             let tail = self.routes.tail(now, call.route, Some(replica), k);
             let remaining = call.request.deadline - now;
             let is_skipped = is_on(Mechanism::Skip) && PartBudget::hopeless(remaining, tail);
-            has_come(now, call.request.deadline) || is_skipped
+            is_due(now, call.request.deadline) || is_skipped
         })
     }
 
-    fn send_if_worthwhile(
-        &mut self,
-        now: f64,
-        id: CallId,
-        replica: ReplicaKey,
-        actions: &mut Vec<Action>,
-    ) {
+    fn try_send(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (returns, not_before) = (call.was_sent_to(replica), call.not_before);
-        let repeats = call.has_reached_replica();
-        let affordable = self
+        let (was_sent_before, not_before) = (call.was_sent_to(replica), call.not_before);
+        let is_retry = call.has_reached_replica();
+        let has_retry_tokens = self
             .services
             .get(&call.service)
             .is_none_or(|service| service.retry_tokens.can_retry());
-        if self.is_hopeless(now, id, replica) {
-            return self.give_up(now, id, Decision::SkippedAsHopeless, actions);
+        if self.would_miss_deadline(now, id, replica) {
+            return self.reject_or_fail(now, id, Decision::SkippedAsHopeless, actions);
         }
-        if repeats && !affordable {
-            return self.give_up(now, id, Decision::RetryBudgetSpent, actions);
+        if is_retry && !has_retry_tokens {
+            return self.reject_or_fail(now, id, Decision::RetryBudgetSpent, actions);
         }
-        if returns && !has_come(now, not_before) {
+        if was_sent_before && !is_due(now, not_before) {
             return self.postpone(now, id, Some(not_before), actions);
         }
         self.send(now, id, replica, actions);
     }
 
-    /// Sends a call to `replica`, and sets the timer after which the attempt is late.
+    /// Sends a call to `replica`, and sets the timer for the check whether the attempt is late or, if the call cannot
+    /// be hedged, lost.
     pub(crate) fn send(
         &mut self,
         now: f64,
@@ -291,7 +297,7 @@
             replica,
             replica_id: target.spec.id.clone(),
             state: AttemptState::InFlight,
-            has_begun: false,
+            response_started: false,
         });
         call.apply(CallEvent::Sent);
         let attempt = AttemptKey { call: id, index };
@@ -308,12 +314,12 @@
                 service.retry_tokens.earn()
             }
         }
-        let late_after = if call.may_hedge() {
-            self.routes.late_after(call.route)
+        let late_threshold = if call.may_hedge() {
+            self.routes.late_threshold(call.route)
         } else {
-            self.routes.lost_after(call.route)
+            self.routes.lost_threshold(call.route)
         };
-        let late_at = Some(now + late_after).filter(|at| *at < call.request.deadline);
+        let late_at = Some(now + late_threshold).filter(|at| *at < call.request.deadline);
         self.timers.set(&mut call.timer, id, late_at);
         actions.push(Action::Send {
             call: id,
@@ -323,22 +329,22 @@
         });
     }
 
-    /// Handles a call for which no replica remains. It waits only if the service has no replica at all and
-    /// the call has not been sent.
-    fn handle_missing_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
+    /// Handles a call for which no replica remains. The call is postponed only if the service has no usable replica
+    /// and the call has not been sent.
+    fn handle_no_replica(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         if call.attempts.is_empty() && self.fleet.usable(&call.service).next().is_none() {
             self.postpone(now, id, None, actions);
         } else {
-            self.give_up(now, id, Decision::NoReplicaLeft, actions);
+            self.reject_or_fail(now, id, Decision::NoReplicaLeft, actions);
         }
     }
 
-    /// Until when a call may be queued: for a share of its latency target before it has reached a replica,
-    /// afterwards as long as a replica can still answer it in time.
-    fn max_queued_until(&self, now: f64, id: CallId) -> f64 {
+    /// Time until which a call may be queued or postponed. Before it has reached a replica the limit is a share of its
+    /// latency target; afterwards, its deadline less the unloaded tail latency.
+    fn queue_time_limit(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
             return now;
         };
@@ -346,15 +352,16 @@
             let k = self.programs.step_size(&call.request);
             call.request.deadline - self.routes.tail(now, call.route, None, k)
         } else {
-            call.request.arrived_at + UNOFFERED_QUEUE_SHARE * call.request.target_latency
+            call.request.arrived_at + MAX_INITIAL_QUEUE_SHARE * call.request.target_latency
         }
     }
 
-    /// Postpones a call that no replica may receive now, until `until` at the latest.
+    /// Postpones a call that no replica may receive at present. Sets its timer to `until` or to the limit of
+    /// [`queue_time_limit`](Self::queue_time_limit), whichever is earlier.
     fn postpone(&mut self, now: f64, id: CallId, until: Option<f64>, actions: &mut Vec<Action>) {
-        let limit = self.max_queued_until(now, id);
-        if has_come(now, limit) {
-            return self.give_up(now, id, Decision::WaitedTooLong, actions);
+        let limit = self.queue_time_limit(now, id);
+        if is_due(now, limit) {
+            return self.reject_or_fail(now, id, Decision::WaitedTooLong, actions);
         }
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -366,15 +373,15 @@
         self.timers.set(&mut call.timer, id, Some(until));
     }
 
-    /// Queues a call at its replica, ordered by the queuing deadline of its step. A call that may not be
-    /// queued any longer is sent instead.
+    /// Queues a call at `replica` by the queuing deadline of its step. A call that has reached the limit of
+    /// [`queue_time_limit`](Self::queue_time_limit) is sent instead.
     fn enqueue(&mut self, now: f64, id: CallId, replica: ReplicaKey, actions: &mut Vec<Action>) {
-        let limit = self.max_queued_until(now, id);
-        if self.is_hopeless(now, id, replica) {
-            return self.give_up(now, id, Decision::SkippedAsHopeless, actions);
+        let limit = self.queue_time_limit(now, id);
+        if self.would_miss_deadline(now, id, replica) {
+            return self.reject_or_fail(now, id, Decision::SkippedAsHopeless, actions);
         }
-        if has_come(now, limit) {
-            return self.send_if_worthwhile(now, id, replica, actions);
+        if is_due(now, limit) {
+            return self.try_send(now, id, replica, actions);
         }
         let deadlines = QueuingDeadlines::new(now, &self.calls, &self.programs, &self.routes);
         let Some(call) = self.calls.get(&id) else {
--- a/crates/tier/scheduler/src/fleet.rs
+++ b/crates/tier/scheduler/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::replica::Replica;
 use crate::spec::ReplicaSpec;
 
-/// The replicas and their keys.
+/// Registered replicas with indices by identifier and by service.
 #[derive(Default)]
 pub(crate) struct Fleet {
     replicas: BTreeMap<ReplicaKey, Replica>,
@@ -17,7 +17,7 @@
 }
 
 impl Fleet {
-    /// Applies the complete list of replicas. Returns those that have departed.
+    /// Applies the complete list of replicas. Returns the keys of those that are no longer listed.
     pub(crate) fn update(&mut self, now: f64, listed: &[ReplicaSpec]) -> Vec<ReplicaKey> {
         for spec in listed {
             match self
@@ -51,7 +51,7 @@
         self.replicas.get_mut(&key)
     }
 
-    /// Records that another replica answers at the address of this one, which is not used until its record
+    /// Records that another replica answers at the address of this one. The replica is not used until its record
     /// changes.
     pub(crate) fn mark_misdirected(&mut self, id: &str) {
         if let Some(replica) = self
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The replicas of a service that may receive new calls.
+    /// Replicas of a service that may receive new calls.
     pub(crate) fn usable(&self, service: &str) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.replicas.get(key)?)))
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -1,34 +1,37 @@
-//! Hedging: late attempts get a second one beside them, or are replaced if their replica has lost them.
+//! Hedging of late attempts, and detection of attempts that a replica has lost.
+//!
+//! A late idempotent call gets a second, concurrent attempt. A resumable stream is sent to another replica once its
+//! attempts are lost, and these are aborted.
 
 use crate::action::Action;
+use crate::active_call::{Attempt, AttemptState};
 use crate::call::CallId;
 use crate::call_state::CallEvent;
-use crate::calls_in_flight::{Attempt, AttemptState};
 use crate::keys::{AttemptKey, ReplicaKey};
 use crate::mechanisms::{Mechanism, is_on};
 use crate::placement::Placement;
-use crate::replica::AttemptAtReplica;
+use crate::replica::InFlightAttempt;
 use crate::scheduler::Scheduler;
 
 /// Lower bound of the interval between two checks of a late attempt, in seconds.
 const MIN_RECHECK_INTERVAL: f64 = 0.05;
-/// An attempt is lost once its replica has begun this many attempts that were sent to it later.
-const MIN_OVERTAKEN: u32 = 2;
+/// Number of attempts sent later to the same replica whose responses must have started before an attempt is lost.
+const MIN_OVERTAKING_ATTEMPTS: u32 = 2;
 
 impl Scheduler {
-    /// Handles a late attempt of a call. Replicas that have lost an attempt are ejected. If the call is
-    /// idempotent, a hedge is sent; a resumable stream moves away from replicas that have lost it.
+    /// Handles a call whose timer has expired while attempts are in flight. Ejects replicas that have lost one of
+    /// them. Sends a hedge if the call is idempotent; a resumable stream is sent to another replica only if all its
+    /// attempts are lost. Otherwise sets the timer for the next check.
     pub(crate) fn handle_late_attempt(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) {
-        self.observe_lost_attempts(now, id);
+        self.detect_lost_attempts(now, id);
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let streaming = call.request.kind.is_streaming();
-        let is_wanted =
-            call.may_hedge() && (!streaming || self.have_all_attempts_been_lost(now, id));
+        let is_wanted = call.may_hedge() && (!streaming || self.are_all_attempts_lost(now, id));
         if let Some(replica) = self.hedge_target(now, id).filter(|_| is_wanted) {
             let freed = if streaming {
-                self.abort_lost(now, id, actions)
+                self.abort_lost_attempts(now, id, actions)
             } else {
                 Vec::new()
             };
@@ -41,22 +44,26 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let has_begun = call.attempts.iter().any(|attempt| attempt.has_begun);
-        let again = now + (self.routes.late_after(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
-        let again = Some(again).filter(|at| !has_begun && *at < call.request.deadline);
-        self.timers.set(&mut call.timer, id, again);
+        let has_started = call.attempts.iter().any(|attempt| attempt.response_started);
+        let recheck_at =
+            now + (self.routes.late_threshold(call.route) / 2.0).max(MIN_RECHECK_INTERVAL);
+        let recheck_at = Some(recheck_at).filter(|at| !has_started && *at < call.request.deadline);
+        self.timers.set(&mut call.timer, id, recheck_at);
     }
 
-    /// Ejects replicas that have lost an attempt of the call, which no outcome would reveal for a long time.
-    fn observe_lost_attempts(&mut self, now: f64, id: CallId) {
+    /// Ejects replicas that have lost an attempt of the call. Without this check the loss would be observed only at
+    /// the attempt's time-out.
+    fn detect_lost_attempts(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let late =
-            |sent: &AttemptAtReplica| now > sent.sent_at + self.routes.lost_after(sent.route);
+            |sent: &InFlightAttempt| now > sent.sent_at + self.routes.lost_threshold(sent.route);
         let lost: Vec<AttemptKey> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
+            .filter(|(_, attempt)| {
+                attempt.state == AttemptState::InFlight && !attempt.response_started
+            })
             .map(|(index, attempt)| (AttemptKey { call: id, index }, attempt))
             .filter(|(key, attempt)| {
                 let replica = self.fleet.get(attempt.replica);
@@ -66,12 +73,17 @@
             .map(|(key, _)| key)
             .collect();
         for attempt in lost {
-            self.observe_lost_attempt(now, attempt);
+            self.record_lost_attempt(now, attempt);
         }
     }
 
-    fn abort_lost(&mut self, now: f64, id: CallId, actions: &mut Vec<Action>) -> Vec<ReplicaKey> {
-        self.observe_late_attempts(now, id);
+    fn abort_lost_attempts(
+        &mut self,
+        now: f64,
+        id: CallId,
+        actions: &mut Vec<Action>,
+    ) -> Vec<ReplicaKey> {
+        self.record_late_attempts(now, id);
         let freed = self.abort_all(id, actions);
         if let Some(call) = self.calls.get_mut(&id) {
             call.apply(CallEvent::AttemptsEnded);
@@ -87,11 +99,11 @@
         }
         let placement = Placement::new(now, &self.fleet, &self.routes, &self.zone, Some(service));
         let replica = placement.choose_hedge(call, &mut self.random)?;
-        (!self.is_hopeless(now, id, replica)).then_some(replica)
+        (!self.would_miss_deadline(now, id, replica)).then_some(replica)
     }
 
-    /// Whether every replica with an attempt of the call in flight has lost it.
-    fn have_all_attempts_been_lost(&self, now: f64, id: CallId) -> bool {
+    /// Whether all attempts of the call that are in flight are lost.
+    fn are_all_attempts_lost(&self, now: f64, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
@@ -103,8 +115,8 @@
         })
     }
 
-    /// Whether the replica of a late attempt has departed, is unresponsive, or began attempts that were sent
-    /// later.
+    /// Whether a late attempt is lost: its replica has departed or is unresponsive, or has started the responses to
+    /// [`MIN_OVERTAKING_ATTEMPTS`] attempts sent later.
     fn has_lost_attempt(&self, now: f64, key: AttemptKey, attempt: &Attempt) -> bool {
         let Some(replica) = self.fleet.get(attempt.replica) else {
             return true;
@@ -112,7 +124,7 @@
         let overtaken = replica
             .in_flight
             .get(&key)
-            .is_none_or(|sent| sent.overtaken >= MIN_OVERTAKEN);
-        overtaken || replica.is_unresponsive(now, |route| self.routes.late_after(route))
+            .is_none_or(|sent| sent.overtaken_by >= MIN_OVERTAKING_ATTEMPTS);
+        overtaken || replica.is_unresponsive(now, |route| self.routes.late_threshold(route))
     }
 }
--- a/crates/tier/scheduler/src/keys.rs
+++ b/crates/tier/scheduler/src/keys.rs
@@ -1,19 +1,18 @@
-//! Keys by which this process refers to replicas, routes and attempts.
+//! Process-local keys of replicas, routes and attempts.
 
 use crate::call::CallId;
 
-/// Number of a replica in this process. It is never used twice.
+/// Number of a replica within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaKey(u32);
 
 impl ReplicaKey {
-    /// The key with this number.
     pub(crate) fn new(number: u32) -> Self {
         Self(number)
     }
 }
 
-/// An attempt of a call.
+/// Key of one attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub call: CallId,
@@ -21,7 +20,7 @@
     pub index: u32,
 }
 
-/// Number of a route in this process.
+/// Number of a route within this process; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RouteKey(u32);
 
--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -1,33 +1,33 @@
 //! Decisions of the data plane about calls: placement, queueing, retries, hedging and load shedding.
 //!
 //! [`Scheduler`] is the state machine and the place to start reading. It does no I/O and has no clock. The
-//! driver passes the time in seconds and what has happened, executes the returned [`Action`]s in order, and
-//! calls [`Scheduler::wake`] at [`Scheduler::next_wake`], which it queries after every input. The same seed
-//! and the same inputs give the same actions.
+//! driver passes the time in seconds and the events that have occurred, and executes the returned [`Action`]s in
+//! order. After every input it queries [`Scheduler::next_wake`], and calls [`Scheduler::wake`] at that time. The
+//! same seed and the same inputs give the same actions.
 //!
 //! A call ends in exactly one way: an attempt is [`Outcome::Answered`], the call is rejected by
-//! [`Action::Refuse`] or failed by [`Action::Fail`], or its driver gives it up ([`Scheduler::call_ended`]).
+//! [`Action::Refuse`] or failed by [`Action::Fail`], or the driver ends the call ([`Scheduler::call_ended`]).
 //!
-//! The mechanism is that of `woadreach_routing::decide`, with a call in place of a part, and the concurrent
-//! calls of one program in place of a search (docs/design.md, "Agent programs").
+//! The algorithms are those of `woadreach_routing::decide`: a call corresponds to a part there, and the concurrent
+//! calls of one program to a search (docs/design.md, "Agent programs").
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `scheduler` | the inputs of the state machine |
-//! | `call`, `outcome`, `spec`, `action` | what the driver passes in and gets back |
+//! | `call`, `outcome`, `spec`, `action` | inputs from the driver and actions for it |
 //! | `call_state` | states of a call |
-//! | `decisions`, `hedging`, `shedding` | what happens to a call |
+//! | `decisions`, `hedging`, `shedding` | sending, queueing, retrying, hedging and rejecting calls |
 //! | `placement` | choice of a replica |
 //! | `step` | the queuing deadline of a program's step |
-//! | `observations`, `replica`, `routes`, `programs`, `service` | what is learned, and from what |
-//! | `decision_counts` | how often each decision was made, for operators |
-//! | `mechanisms` | what a measurement can switch off, in a build with the feature `ablation` |
-//! | `calls_in_flight`, `fleet`, `prefix_cache`, `keys`, `retry_tokens`, `timers` | state |
+//! | `observations`, `replica`, `routes`, `programs`, `service` | observed latencies, health and load, and the estimates derived from them |
+//! | `decision_counts` | number of decisions by kind, for operators |
+//! | `mechanisms` | mechanisms that a build with the feature `ablation` can disable |
+//! | `active_call`, `fleet`, `prefix_cache`, `keys`, `retry_tokens`, `timers` | data structures of the state |
 
 mod action;
+mod active_call;
 mod call;
 mod call_state;
-mod calls_in_flight;
 mod decision_counts;
 mod decisions;
 mod fleet;
--- a/crates/tier/scheduler/src/mechanisms.rs
+++ b/crates/tier/scheduler/src/mechanisms.rs
@@ -1,35 +1,36 @@
-//! The mechanisms of the scheduler that a measurement can switch off, to tell what each is worth (ablation).
+//! Mechanisms of the scheduler that can be disabled in a measurement of their effect (ablation).
 //!
-//! Without the feature `ablation`, which no release build has, none can be switched off, and the checks cost nothing.
+//! Without the feature `ablation`, which no release build enables, all mechanisms are enabled and the checks compile to
+//! constants.
 
-/// A mechanism that a measurement can switch off.
+/// A mechanism that can be disabled in a build with the feature `ablation`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// What this process's own calls have left in a replica's prompt cache counts.
+    /// Placement considers the prompt parts that this process's own calls have left in a replica's cache.
     OwnPromptKnowledge,
-    /// Programs and objects have homes.
+    /// Calls of a program or about an object prefer its home replica.
     Homes,
-    /// Late calls that may run again are hedged.
+    /// Late idempotent calls are hedged, and resumable streams move away from replicas that have lost them.
     Hedging,
-    /// Calls are refused on arrival while all replicas are full and they would be late.
+    /// Calls that would be late are rejected on arrival while all replicas are full.
     SheddingOnArrival,
-    /// The latency target of a step follows from its program's remaining time.
+    /// The latency target of a step is derived from the remaining time of its program.
     ProgramPace,
-    /// After a full or timed-out answer a replica's queue holds back what exceeds its share.
+    /// A replica is under backpressure after a rejection or a time-out: calls beyond its concurrency limit are queued.
     Hold,
-    /// Queued calls leave by queuing deadline; without it in the order of arrival.
+    /// Queued calls are sent in order of queuing deadline; if disabled, in order of arrival.
     DeadlineOrder,
-    /// A call whose remaining time is below the replica's unloaded tail latency is not sent.
+    /// A call is not sent if its remaining time is below the replica's unloaded tail latency.
     Skip,
-    /// Failing and slow replicas are ejected, and probed.
+    /// Failing and slow replicas are ejected, and probed until they are restored.
     OutlierEjection,
-    /// Replicas that show no activity are passed over.
+    /// Unresponsive replicas are avoided while others remain.
     UnresponsiveAvoidance,
-    /// A replica whose last outcome was a failure is passed over for a while.
+    /// A replica whose last outcome was a recent failure is avoided while others remain.
     RecentFailureAvoidance,
-    /// Retries and hedges are a bounded share of first attempts.
+    /// The number of retries and hedges is limited to a share of the first attempts.
     RetryBudget,
-    /// Among equals the own zone is preferred.
+    /// Among equally suitable replicas, those in the local zone are preferred.
     NearAmongEquals,
 }
 
@@ -51,7 +52,7 @@
         Mechanism::NearAmongEquals,
     ];
 
-    /// The mechanism as command lines name it.
+    /// Name of the mechanism on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Mechanism::OwnPromptKnowledge => "own-prompt-knowledge",
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The mechanism of this name; `None` if there is none.
+    /// The mechanism with this command-line name; `None` if the name is unknown.
     pub fn from_name(name: &str) -> Option<Mechanism> {
         let mut all = Mechanism::ALL.into_iter();
         all.find(|mechanism| mechanism.as_str() == name)
@@ -82,20 +83,20 @@
     use super::Mechanism;
     use std::sync::atomic::{AtomicU32, Ordering};
 
-    /// A bit for each mechanism that is switched off.
+    /// Bit set of the disabled mechanisms, by their position in the declaration.
     static SWITCHED_OFF: AtomicU32 = AtomicU32::new(0);
 
-    /// Switches this mechanism off in all schedulers of the process.
+    /// Disables this mechanism for all schedulers of the process.
     pub fn switch_off(mechanism: Mechanism) {
         SWITCHED_OFF.fetch_or(1 << mechanism as u32, Ordering::Relaxed);
     }
 
-    /// Switches all mechanisms on again.
+    /// Enables all mechanisms for all schedulers of the process.
     pub fn switch_all_on() {
         SWITCHED_OFF.store(0, Ordering::Relaxed);
     }
 
-    /// Whether the mechanism acts.
+    /// Whether the mechanism is enabled.
     pub(crate) fn is_on(mechanism: Mechanism) -> bool {
         SWITCHED_OFF.load(Ordering::Relaxed) & (1 << mechanism as u32) == 0
     }
@@ -106,7 +107,7 @@
 #[cfg(feature = "ablation")]
 pub use switches::{switch_all_on, switch_off};
 
-/// Whether the mechanism acts: always, in this build.
+/// Whether the mechanism is enabled; always true without the feature `ablation`.
 #[cfg(not(feature = "ablation"))]
 #[inline(always)]
 pub(crate) const fn is_on(_: Mechanism) -> bool {
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -1,13 +1,13 @@
-//! What the scheduler learns from the outcomes of attempts.
+//! Updates of latencies, replica health and load from the responses and outcomes of attempts.
 
 use woadreach_routing::decide::outlier_detector::{EjectionConfig, Observation};
 
+use crate::active_call::AttemptState;
 use crate::call::CallId;
-use crate::calls_in_flight::AttemptState;
 use crate::decision_counts::{Decision, DecisionCounts};
 use crate::keys::AttemptKey;
 use crate::outcome::{Outcome, ServerLoad};
-use crate::replica::{AttemptAtReplica, Failure, FailureKind, Replica, ResponseStart};
+use crate::replica::{Failure, FailureKind, InFlightAttempt, Replica, ResponseStart};
 use crate::scheduler::Scheduler;
 
 /// A replica is ejected when half of its last eight outcomes, at least two, are failures (docs/design.md,
@@ -17,7 +17,7 @@
     min_failures: 2,
 };
 
-/// Ejects a replica at once.
+/// Ejects a replica without regard to its earlier outcomes.
 fn eject(now: f64, replica: &mut Replica, counts: &mut DecisionCounts) {
     if !replica.health.is_ejected() {
         counts.count(Decision::Ejected);
@@ -26,10 +26,10 @@
 }
 
 impl Scheduler {
-    /// Records the latency of an attempt whose first event or response head has arrived, and the replica's
-    /// activity. For a stream it counts towards the replica's health; other responses count at their end, by
-    /// their status.
-    pub(crate) fn observe_begin(
+    /// Records the latency of an attempt whose first event or response head has been received, and the activity of
+    /// its replica. A stream counts towards the replica's health now; any other response counts at its end, by its
+    /// status. Does nothing if the start of the response has been recorded before.
+    pub(crate) fn observe_response_start(
         &mut self,
         now: f64,
         attempt: AttemptKey,
@@ -37,7 +37,7 @@
     ) {
         let Some(sent) = self
             .in_flight(attempt)
-            .filter(|sent| sent.start == ResponseStart::Awaited)
+            .filter(|sent| sent.start == ResponseStart::Pending)
         else {
             return;
         };
@@ -49,20 +49,20 @@
         let Some(route) = self.routes.get_mut(sent.route) else {
             return;
         };
-        let late = latency > route.late_after();
+        let late = latency > route.late_threshold();
         route.record(latency);
-        if sent.is_only_call {
+        if sent.replica_was_idle {
             route.unloaded.record(now, &sent.replica, latency, ejected);
         }
         replica.record_activity(now, load);
-        replica.record_begin(attempt, late);
+        replica.record_response_start(attempt, late);
         if self.is_streaming(attempt.call) {
-            self.observe_health(now, sent, late.then_some(FailureKind::Late));
+            self.record_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
 
-    /// Records what the end of an attempt implies for the replica's queue, health and load.
-    pub(crate) fn observe_end(
+    /// Updates the backpressure, health and load of a replica at the end of an attempt.
+    pub(crate) fn observe_attempt_end(
         &mut self,
         now: f64,
         attempt: AttemptKey,
@@ -78,7 +78,7 @@
             self.fleet.mark_misdirected(&sent.replica_id);
         }
         if matches!(outcome, Outcome::Answered | Outcome::ReplicaError) {
-            self.observe_begin(now, attempt, load);
+            self.observe_response_start(now, attempt, load);
         }
         let too_large = self.is_too_large(attempt.call);
         let streaming = self.is_streaming(attempt.call);
@@ -94,7 +94,7 @@
             Outcome::Answered | Outcome::ReplicaError => replica.record_answer(),
             Outcome::NotExecuted { .. } if too_large => return,
             Outcome::NotExecuted { .. } | Outcome::TimedOut => {
-                replica.hold.begin(replica.in_flight.len())
+                replica.backpressure.begin(replica.in_flight.len())
             }
             Outcome::Unreachable | Outcome::Broken { .. } => {
                 eject(now, replica, &mut self.counts);
@@ -107,15 +107,15 @@
             } else {
                 FailureKind::MayHaveRun
             };
-            self.observe_health(now, sent, Some(kind));
+            self.record_health(now, sent, Some(kind));
         } else if !streaming {
             let late = sent.start == ResponseStart::Late;
-            self.observe_health(now, sent, late.then_some(FailureKind::Late));
+            self.record_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
 
-    /// Ejects a replica that has lost an attempt, once for each attempt.
-    pub(crate) fn observe_lost_attempt(&mut self, now: f64, attempt: AttemptKey) {
+    /// Ejects the replica of a lost attempt. Does nothing if the attempt has been counted as lost before.
+    pub(crate) fn record_lost_attempt(&mut self, now: f64, attempt: AttemptKey) {
         let Some(sent) = self.in_flight(attempt).filter(|sent| !sent.lost) else {
             return;
         };
@@ -126,27 +126,30 @@
             sent.lost = true;
         }
         eject(now, replica, &mut self.counts);
-        self.observe_health(now, sent, Some(FailureKind::MayHaveRun));
+        self.record_health(now, sent, Some(FailureKind::MayHaveRun));
     }
 
-    /// Records a failure of each replica with a late attempt of a call whose attempts are about to be aborted.
-    pub(crate) fn observe_late_attempts(&mut self, now: f64, id: CallId) {
+    /// Records a failure of each replica whose attempt of this call is late. Called before the attempts are aborted,
+    /// after which no outcome of them is reported.
+    pub(crate) fn record_late_attempts(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let late: Vec<AttemptAtReplica> = (0..)
+        let late: Vec<InFlightAttempt> = (0..)
             .zip(&call.attempts)
-            .filter(|(_, attempt)| attempt.state == AttemptState::InFlight && !attempt.has_begun)
+            .filter(|(_, attempt)| {
+                attempt.state == AttemptState::InFlight && !attempt.response_started
+            })
             .filter_map(|(index, _)| self.in_flight(AttemptKey { call: id, index }))
-            .filter(|sent| now > sent.sent_at + self.routes.late_after(sent.route))
+            .filter(|sent| now > sent.sent_at + self.routes.late_threshold(sent.route))
             .collect();
         for sent in late {
-            self.observe_health(now, sent, Some(FailureKind::MayHaveRun));
+            self.record_health(now, sent, Some(FailureKind::MayHaveRun));
         }
     }
 
-    /// Counts an attempt towards the health of its replica.
-    fn observe_health(&mut self, now: f64, sent: AttemptAtReplica, failure: Option<FailureKind>) {
+    /// Counts an attempt towards the health of its replica; `None` is a success.
+    fn record_health(&mut self, now: f64, sent: InFlightAttempt, failure: Option<FailureKind>) {
         let Some(replica) = self.fleet.get_mut(sent.replica) else {
             return;
         };
@@ -167,8 +170,8 @@
         }
     }
 
-    /// The attempt, if it is in flight and its replica has not departed.
-    fn in_flight(&self, attempt: AttemptKey) -> Option<AttemptAtReplica> {
+    /// The attempt as its replica records it; `None` if it is not in flight or the replica has departed.
+    fn in_flight(&self, attempt: AttemptKey) -> Option<InFlightAttempt> {
         let call = self.calls.get(&attempt.call)?;
         let replica = call.attempts.get(attempt.index as usize)?.replica;
         let sent = self.fleet.get(replica)?.in_flight.get(&attempt)?;
@@ -181,8 +184,8 @@
             .is_some_and(|call| call.request.kind.is_streaming())
     }
 
-    /// Whether the call is larger than a replica's KV cache, so that all replicas reject it as though they
-    /// were full.
+    /// Whether the tokens of the call exceed a replica's KV cache. All replicas reject such a call as if they were
+    /// full.
     fn is_too_large(&self, id: CallId) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
--- a/crates/tier/scheduler/src/outcome.rs
+++ b/crates/tier/scheduler/src/outcome.rs
@@ -1,18 +1,18 @@
-//! Outcome of one attempt.
+//! Outcome of one attempt, and the load reported with it.
 
-/// How the attempt of a call at one replica ended.
+/// Outcome of one attempt of a call at one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The complete response arrived, with any status except a replica's own error.
+    /// A complete response was received, with any status except a 5xx of the replica.
     Answered,
-    /// The replica answered 5xx itself: it has run the call.
+    /// The replica itself answered with a 5xx status. The call has run.
     ReplicaError,
-    /// The replica reported that it has not run the call (`Not-Executed`).
+    /// The replica rejected the call and reported that it has not run it (`Not-Executed`).
     NotExecuted {
-        /// Its `Retry-After` in seconds, if it sent one.
+        /// `Retry-After` of the response in seconds; `None` if the response has none.
         retry_after: Option<f64>,
     },
-    /// 421: another replica has this address. The call has not run.
+    /// The response status was 421: a different replica has this address. The call has not run.
     Misdirected,
     /// No connection could be established, or no byte of the request was sent.
     Unreachable,
@@ -20,18 +20,18 @@
     Broken {
         /// Whether any byte of the request was sent.
         sent: bool,
-        /// Number of events that had arrived.
+        /// Number of events that had been received.
         events: u32,
     },
-    /// No response within the attempt's time-out. It may have run.
+    /// No response was received within the attempt's time-out. The call may have run.
     TimedOut,
-    /// The driver made no attempt: all connections are in use, the replica is no longer listed, or the request's
-    /// state forbids it.
+    /// The driver did not send the attempt: all connections were in use, the replica was no longer listed, or the
+    /// state of the request did not allow it.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run, and never to run later.
+    /// Whether the attempt is known not to have run and never to run later. If false, it may have run.
     pub fn has_not_run(self) -> bool {
         match self {
             Outcome::NotExecuted { .. } | Outcome::Misdirected => true,
@@ -42,13 +42,13 @@
     }
 }
 
-/// Load that a replica reports with a response (`Server-Load`).
+/// Load of a replica, as reported with a response (`Server-Load`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it is processing.
+    /// Number of requests that the replica is processing.
     pub running: u32,
-    /// Requests in its queue.
+    /// Number of requests in the replica's queue.
     pub waiting: u32,
-    /// Requests that it can process concurrently.
+    /// Number of requests that the replica can process concurrently.
     pub slots: u32,
 }
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -19,7 +19,7 @@
 use woadreach_routing::decide::candidates::Candidates;
 use woadreach_routing::rendezvous::rank;
 
-use crate::calls_in_flight::CallInFlight;
+use crate::active_call::ActiveCall;
 use crate::fleet::Fleet;
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::mechanisms::{Mechanism, is_on};
@@ -86,7 +86,7 @@
     /// queued at a replica.
     pub(crate) fn choose(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         is_behind: impl Fn(ReplicaKey) -> bool,
         random: &mut oorandom::Rand64,
     ) -> Choice {
@@ -103,8 +103,9 @@
             return Choice::SendProbe(probe);
         }
         self.prefer_healthy(call, &mut candidates);
-        let is_queueing =
-            |key: &ReplicaKey| is_behind(*key) || self.with(*key, |replica| replica.holds());
+        let is_queueing = |key: &ReplicaKey| {
+            is_behind(*key) || self.with(*key, |replica| replica.is_under_backpressure())
+        };
         candidates.prefer(|key| !is_queueing(key));
         match self.cheapest(call, &mut candidates, random) {
             Some(key) if is_queueing(&key) => Choice::Enqueue(key),
@@ -115,7 +116,7 @@
 
     /// The home of the call's program or object. That of a program is in this process's zone, where most of
     /// its calls arrive, unless too few replicas are there.
-    pub(crate) fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
+    pub(crate) fn home(&self, call: &ActiveCall) -> Option<ReplicaKey> {
         if !is_on(Mechanism::Homes) {
             return None;
         }
@@ -134,10 +135,10 @@
             .usable(&call.service)
             .filter(is_healthy)
             .collect();
-        let stays_near = is_engine && self.own_zone_can_serve(&healthy);
+        let prefers_local_zone = is_engine && self.can_local_zone_serve(&healthy);
         let preference = |replica: &Replica| {
-            let is_near = stays_near && self.is_near(replica);
-            (is_near, rank(&key, &replica.spec.id))
+            let is_in_local_zone = prefers_local_zone && self.is_in_local_zone(replica);
+            (is_in_local_zone, rank(&key, &replica.spec.id))
         };
         healthy
             .into_iter()
@@ -147,19 +148,19 @@
 
     /// Whether this process's zone has at least half as many of these replicas as zones have on average. With
     /// fewer, the programs that arrive here would overload them.
-    fn own_zone_can_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
+    fn can_local_zone_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
             .map(|(_, replica)| &*replica.spec.zone)
             .collect();
         let near = replicas
             .iter()
-            .filter(|(_, replica)| self.is_near(replica))
+            .filter(|(_, replica)| self.is_in_local_zone(replica))
             .count();
         2 * near * zones.len() >= replicas.len()
     }
 
-    fn is_near(&self, replica: &Replica) -> bool {
+    fn is_in_local_zone(&self, replica: &Replica) -> bool {
         &*replica.spec.zone == self.zone
     }
 
@@ -167,7 +168,7 @@
     /// busier than any other.
     pub(crate) fn choose_hedge(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
         let mut candidates = self.allowed(call);
@@ -177,7 +178,7 @@
                 replica.in_flight.len() < self.connections
                     && !replica.is_ejected_for(call.route)
                     && !replica.is_saturated(self.now)
-                    && !replica.holds()
+                    && !replica.is_under_backpressure()
                     && !self.is_unresponsive(replica)
             })
         });
@@ -186,7 +187,7 @@
 
     /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and
     /// attempts.
-    fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
+    fn allowed(&self, call: &ActiveCall) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
         let is_limit_reached = reached.len() >= call.request.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
@@ -200,11 +201,7 @@
 
     /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or
     /// the replica allows probes with any call.
-    fn probe(
-        &self,
-        call: &CallInFlight,
-        candidates: &Candidates<ReplicaKey>,
-    ) -> Option<ReplicaKey> {
+    fn probe(&self, call: &ActiveCall, candidates: &Candidates<ReplicaKey>) -> Option<ReplicaKey> {
         let others_exist =
             candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
         if !call.attempts.is_empty() || !others_exist {
@@ -223,11 +220,11 @@
 
     /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others
     /// remain.
-    fn prefer_healthy(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
+    fn prefer_healthy(&self, call: &ActiveCall, candidates: &mut Candidates<ReplicaKey>) {
         // If most are ejected for being slow, the load is the cause, and excluding them would increase it.
         let is_load_the_cause = self.is_majority_ejected(call);
         candidates.prefer(|key| {
-            let is_excused = is_load_the_cause && self.with(*key, Replica::is_merely_slow);
+            let is_excused = is_load_the_cause && self.with(*key, Replica::was_last_failure_late);
             is_excused || !self.is_ejected(*key, call.route)
         });
         candidates.prefer(|key| self.with(*key, |replica| !self.is_unresponsive(replica)));
@@ -239,7 +236,7 @@
 
     fn cheapest(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         candidates: &mut Candidates<ReplicaKey>,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
@@ -247,14 +244,14 @@
         candidates.prefer(|key| self.cost(*key, call) == least);
         candidates.prefer(|key| call.home == Some(*key));
         if is_on(Mechanism::NearAmongEquals) {
-            candidates.prefer(|key| self.with(*key, |replica| self.is_near(replica)));
+            candidates.prefer(|key| self.with(*key, |replica| self.is_in_local_zone(replica)));
         }
         candidates.choose(|_| 0, random)
     }
 
     /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in
     /// units of [`TOKENS_PER_UNIT`].
-    fn cost(&self, key: ReplicaKey, call: &CallInFlight) -> usize {
+    fn cost(&self, key: ReplicaKey, call: &ActiveCall) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
         };
@@ -270,7 +267,7 @@
         self.with(key, |replica| replica.is_ejected_for(route))
     }
 
-    fn is_majority_ejected(&self, call: &CallInFlight) -> bool {
+    fn is_majority_ejected(&self, call: &ActiveCall) -> bool {
         let usable = || self.fleet.usable(&call.service);
         let ejected = usable()
             .filter(|(_, replica)| replica.is_ejected_for(call.route))
@@ -280,7 +277,7 @@
 
     fn is_unresponsive(&self, replica: &Replica) -> bool {
         is_on(Mechanism::UnresponsiveAvoidance)
-            && replica.is_unresponsive(self.now, |route| self.routes.late_after(route))
+            && replica.is_unresponsive(self.now, |route| self.routes.late_threshold(route))
     }
 
     fn with(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
@@ -290,7 +287,7 @@
 
 /// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
 /// call's home, sent by other processes.
-pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
+pub(crate) fn prefill_tokens(call: &ActiveCall, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.request.prompt_tokens;
     let sent_by_others = if call.home == Some(key) {
         f64::from(tokens) * CACHED_SHARE_AT_HOME
@@ -308,6 +305,6 @@
 /// Whether all usable replicas of a service are full, by their reported load or by a queue at this process.
 pub(crate) fn is_overloaded(now: f64, fleet: &Fleet, service: &Arc<str>) -> bool {
     let mut usable = fleet.usable(service).peekable();
-    let full = |replica: &Replica| replica.is_saturated(now) || replica.holds();
+    let full = |replica: &Replica| replica.is_saturated(now) || replica.is_under_backpressure();
     usable.peek().is_some() && usable.all(|(_, replica)| full(replica))
 }
--- a/crates/tier/scheduler/src/prefix_cache.rs
+++ b/crates/tier/scheduler/src/prefix_cache.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     parts: BTreeMap<u64, CachedPart>,
-    by_use: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     tokens: u64,
     uses: u64,
 }
@@ -42,10 +42,10 @@
     /// Records that the prompt was sent to the replica. Evicts the oldest parts beyond `max_tokens`.
     pub(crate) fn record(&mut self, prefix: &[PrefixPart], max_tokens: u64) {
         for part in prefix.iter().rev() {
-            self.touch(*part);
+            self.record_use(*part);
         }
         while self.tokens > max_tokens {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 break;
             };
             if let Some(evicted) = self.parts.remove(&oldest) {
@@ -59,17 +59,17 @@
         *self = PrefixCache::default();
     }
 
-    fn touch(&mut self, part: PrefixPart) {
+    fn record_use(&mut self, part: PrefixPart) {
         self.uses += 1;
         let newest = CachedPart {
             tokens: part.tokens,
             last_use: self.uses,
         };
         if let Some(known) = self.parts.insert(part.id, newest) {
-            self.by_use.remove(&known.last_use);
+            self.by_last_use.remove(&known.last_use);
             self.tokens -= u64::from(known.tokens);
         }
-        self.by_use.insert(self.uses, part.id);
+        self.by_last_use.insert(self.uses, part.id);
         self.tokens += u64::from(part.tokens);
     }
 }
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -39,7 +39,7 @@
     /// Unloaded latency of the longest call of the current step.
     step_unloaded: f64,
     /// Time that steps have taken beyond their unloaded latency.
-    lost_time: f64,
+    delay: f64,
 }
 
 /// All programs that have calls at this process, and the learned share of work by kind.
@@ -54,7 +54,7 @@
 impl Programs {
     /// Records the arrival of a call.
     pub(crate) fn record_arrival(&mut self, now: f64, call: &Call) {
-        self.remove_ended(now);
+        self.expire_idle(now);
         let Some(id) = call.program else { return };
         let program = self.programs.entry(id).or_insert_with(|| Program {
             kind: call.route.clone(),
@@ -65,7 +65,7 @@
             in_flight: BTreeSet::new(),
             step_started: now,
             step_unloaded: 0.0,
-            lost_time: 0.0,
+            delay: 0.0,
         });
         program.time = program
             .time
@@ -87,7 +87,7 @@
         program.answers += u32::from(answered);
         program.step_unloaded = program.step_unloaded.max(unloaded);
         if program.in_flight.is_empty() {
-            program.lost_time += (now - program.step_started - program.step_unloaded).max(0.0);
+            program.delay += (now - program.step_started - program.step_unloaded).max(0.0);
         }
     }
 
@@ -153,13 +153,13 @@
             .unwrap_or(INITIAL_WORK_SHARE);
         let Some(time) = program.time else { return 0.0 };
         let elapsed = now - program.started;
-        let done = (elapsed - program.lost_time).max(0.0);
+        let done = (elapsed - program.delay).max(0.0);
         (time * share - done)
             .max((time - elapsed) * MIN_REMAINING_WORK_SHARE)
             .max(0.0)
     }
 
-    fn remove_ended(&mut self, now: f64) {
+    fn expire_idle(&mut self, now: f64) {
         for _ in 0..MAX_PROGRAMS_CHECKED {
             let next = self.programs.range(self.cursor.wrapping_add(1)..).next();
             let Some((id, program)) = next.or(self.programs.iter().next()) else {
@@ -182,7 +182,7 @@
         else {
             return;
         };
-        let worked = (program.last_end - program.started - program.lost_time) / time;
+        let worked = (program.last_end - program.started - program.delay) / time;
         let share = self
             .work_share
             .entry(program.kind.clone())
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -43,26 +43,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseStart {
     /// It has not arrived yet.
-    Awaited,
+    Pending,
     /// It has arrived, no later than usual.
-    InTime,
+    OnTime,
     /// It has arrived late; see [`crate::routes`].
     Late,
 }
 
 /// What a replica's health needs of an attempt in flight; the call's part is
-/// [`Attempt`](crate::calls_in_flight::Attempt).
+/// [`Attempt`](crate::active_call::Attempt).
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptAtReplica {
+pub(crate) struct InFlightAttempt {
     pub replica: ReplicaKey,
     /// When it was sent, in seconds.
     pub sent_at: f64,
     pub route: RouteKey,
     /// Whether no other call of this process was in flight there when it was sent.
-    pub is_only_call: bool,
+    pub replica_was_idle: bool,
     pub start: ResponseStart,
     /// Number of attempts that were sent later and began before it.
-    pub overtaken: u32,
+    pub overtaken_by: u32,
     /// Whether it has been counted as lost.
     pub lost: bool,
 }
@@ -79,10 +79,10 @@
 pub(crate) struct Replica {
     pub spec: ReplicaSpec,
     /// Attempts of this process in flight there.
-    pub in_flight: BTreeMap<AttemptKey, AttemptAtReplica>,
+    pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
     /// How many attempts it may have before further calls are queued, learned from its rejections
     /// and time-outs.
-    pub hold: Hold,
+    pub backpressure: Hold,
     pub health: OutlierDetector<RouteKey>,
     pub last_failure: Option<Failure>,
     pub cache: PrefixCache,
@@ -103,7 +103,7 @@
             warming_until: now + spec.cold_remaining,
             spec,
             in_flight: BTreeMap::new(),
-            hold: Hold::default(),
+            backpressure: Hold::default(),
             health: OutlierDetector::default(),
             last_failure: None,
             cache: PrefixCache::default(),
@@ -140,13 +140,13 @@
         replica: ReplicaKey,
         route: RouteKey,
     ) {
-        let sent = AttemptAtReplica {
+        let sent = InFlightAttempt {
             replica,
             sent_at: now,
             route,
-            is_only_call: self.in_flight.is_empty(),
-            start: ResponseStart::Awaited,
-            overtaken: 0,
+            replica_was_idle: self.in_flight.is_empty(),
+            start: ResponseStart::Pending,
+            overtaken_by: 0,
             lost: false,
         };
         self.in_flight.insert(attempt, sent);
@@ -168,7 +168,7 @@
     /// Records a complete response.
     pub(crate) fn record_answer(&mut self) {
         self.answers += 1;
-        self.hold.answered();
+        self.backpressure.answered();
     }
 
     /// Whether it is ejected for calls of this route.
@@ -177,8 +177,8 @@
     }
 
     /// Whether further calls of this process are to be queued before they are sent there.
-    pub(crate) fn holds(&self) -> bool {
-        is_on(Mechanism::Hold) && self.hold.holds(self.in_flight.len())
+    pub(crate) fn is_under_backpressure(&self) -> bool {
+        is_on(Mechanism::Hold) && self.backpressure.holds(self.in_flight.len())
     }
 
     /// Whether it has recently reported that all slots are taken.
@@ -190,7 +190,7 @@
     }
 
     /// Whether its last failure was only a late response.
-    pub(crate) fn is_merely_slow(&self) -> bool {
+    pub(crate) fn was_last_failure_late(&self) -> bool {
         self.last_failure
             .is_some_and(|last| last.kind == FailureKind::Late)
     }
@@ -220,11 +220,15 @@
             || self.in_flight.len() < 1 + self.answers / ANSWERS_PER_SLOW_START_CALL
     }
 
-    /// Whether it has not shown any activity since it received a call that is late by now. `late_after` is
+    /// Whether it has not shown any activity since it received a call that is late by now. `late_threshold` is
     /// the threshold by route.
-    pub(crate) fn is_unresponsive(&self, now: f64, late_after: impl Fn(RouteKey) -> f64) -> bool {
-        let late = |sent: &AttemptAtReplica| {
-            sent.start == ResponseStart::Awaited && now > sent.sent_at + late_after(sent.route)
+    pub(crate) fn is_unresponsive(
+        &self,
+        now: f64,
+        late_threshold: impl Fn(RouteKey) -> f64,
+    ) -> bool {
+        let late = |sent: &InFlightAttempt| {
+            sent.start == ResponseStart::Pending && now > sent.sent_at + late_threshold(sent.route)
         };
         self.in_flight
             .values()
@@ -232,22 +236,22 @@
     }
 
     /// Records that an attempt has begun, and has overtaken those that were sent before it and have not.
-    pub(crate) fn record_begin(&mut self, attempt: AttemptKey, late: bool) {
+    pub(crate) fn record_response_start(&mut self, attempt: AttemptKey, late: bool) {
         let Some(sent) = self.in_flight.get_mut(&attempt) else {
             return;
         };
         sent.start = if late {
             ResponseStart::Late
         } else {
-            ResponseStart::InTime
+            ResponseStart::OnTime
         };
         let (sent_at, route) = (sent.sent_at, sent.route);
         for other in self.in_flight.values_mut() {
-            if other.start == ResponseStart::Awaited
+            if other.start == ResponseStart::Pending
                 && other.route == route
                 && other.sent_at < sent_at
             {
-                other.overtaken += 1;
+                other.overtaken_by += 1;
             }
         }
     }
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -23,11 +23,11 @@
 const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
 /// Lower bound of the threshold from which an attempt is late, as a share of the latency target. A short stall
 /// of this process must not eject a replica.
-const LATE_SHARE_OF_TARGET: f64 = 0.125;
+const MIN_LATE_SHARE_OF_TARGET: f64 = 0.125;
 /// An attempt at a working replica is lost beyond this multiple of the longest recent latency.
 const LOST_LONGEST_MULTIPLE: f64 = 1.5;
 /// Assumed unloaded latency before the first sample, as a share of the latency target.
-const INITIAL_SHARE_OF_TARGET: f64 = 0.1;
+const INITIAL_LATENCY_SHARE_OF_TARGET: f64 = 0.1;
 
 /// Latencies of one route in seconds. Those of streams end with the first event.
 pub(crate) struct RouteLatencies {
@@ -39,23 +39,23 @@
     /// Number of latencies recorded so far.
     answers: usize,
     /// Latency from which an attempt is late.
-    late_after: f64,
-    /// Latency from which an attempt may be lost; at least `late_after`.
-    lost_after: f64,
+    late_threshold: f64,
+    /// Latency from which an attempt may be lost; at least `late_threshold`.
+    lost_threshold: f64,
     /// Median of `recent`.
-    typical: f64,
+    recent_median: f64,
 }
 
 impl RouteLatencies {
     fn new(target: f64) -> Self {
         RouteLatencies {
-            unloaded: UnloadedLatency::new(target * INITIAL_SHARE_OF_TARGET),
+            unloaded: UnloadedLatency::new(target * INITIAL_LATENCY_SHARE_OF_TARGET),
             target,
             recent: VecDeque::new(),
             answers: 0,
-            late_after: target,
-            lost_after: target * LOST_LONGEST_MULTIPLE,
-            typical: target * INITIAL_SHARE_OF_TARGET,
+            late_threshold: target,
+            lost_threshold: target * LOST_LONGEST_MULTIPLE,
+            recent_median: target * INITIAL_LATENCY_SHARE_OF_TARGET,
         }
     }
 
@@ -65,13 +65,14 @@
             return;
         }
         self.target = target;
-        self.unloaded.set_initial(target * INITIAL_SHARE_OF_TARGET);
+        self.unloaded
+            .set_initial(target * INITIAL_LATENCY_SHARE_OF_TARGET);
         if self.recent.len() >= MIN_SAMPLES {
             self.update_thresholds();
         } else {
-            self.late_after = target;
-            self.lost_after = target * LOST_LONGEST_MULTIPLE;
-            self.typical = target * INITIAL_SHARE_OF_TARGET;
+            self.late_threshold = target;
+            self.lost_threshold = target * LOST_LONGEST_MULTIPLE;
+            self.recent_median = target * INITIAL_LATENCY_SHARE_OF_TARGET;
         }
     }
 
@@ -85,23 +86,24 @@
     }
 
     /// Seconds from which an attempt counts as late.
-    pub(crate) fn late_after(&self) -> f64 {
-        self.late_after
+    pub(crate) fn late_threshold(&self) -> f64 {
+        self.late_threshold
     }
 
     /// Median of the recent latencies, loaded or not.
-    pub(crate) fn typical(&self) -> f64 {
-        self.typical
+    pub(crate) fn recent_median(&self) -> f64 {
+        self.recent_median
     }
 
     fn update_thresholds(&mut self) {
         let recent: Vec<f64> = self.recent.iter().copied().collect();
         let high = quantile(recent.clone(), LATE_QUANTILE).unwrap_or(self.target);
-        self.typical = quantile(recent, 0.5).unwrap_or(self.typical);
-        let floor = (self.typical * LATE_MEDIAN_MULTIPLE).max(self.target * LATE_SHARE_OF_TARGET);
-        self.late_after = high.max(floor);
+        self.recent_median = quantile(recent, 0.5).unwrap_or(self.recent_median);
+        let floor =
+            (self.recent_median * LATE_MEDIAN_MULTIPLE).max(self.target * MIN_LATE_SHARE_OF_TARGET);
+        self.late_threshold = high.max(floor);
         let longest = self.recent.iter().copied().fold(0.0, f64::max);
-        self.lost_after = self.late_after.max(longest * LOST_LONGEST_MULTIPLE);
+        self.lost_threshold = self.late_threshold.max(longest * LOST_LONGEST_MULTIPLE);
     }
 }
 
@@ -148,18 +150,18 @@
     }
 
     /// Seconds from which an attempt of this route counts as late.
-    pub(crate) fn late_after(&self, key: RouteKey) -> f64 {
+    pub(crate) fn late_threshold(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
-            .map_or(f64::INFINITY, RouteLatencies::late_after)
+            .map_or(f64::INFINITY, RouteLatencies::late_threshold)
     }
 
     /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later
     /// attempts.
-    pub(crate) fn lost_after(&self, key: RouteKey) -> f64 {
+    pub(crate) fn lost_threshold(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
-            .map_or(f64::INFINITY, |route| route.lost_after)
+            .map_or(f64::INFINITY, |route| route.lost_threshold)
     }
 
     /// The unloaded tail latency of a replica for one of `k` concurrent calls, in seconds.
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -6,8 +6,8 @@
 use woadreach_routing::deadline_queue::DeadlineQueue;
 
 use crate::action::Action;
+use crate::active_call::{ActiveCall, AttemptState};
 use crate::call::{Call, CallId, WeightedService};
-use crate::calls_in_flight::{AttemptState, CallInFlight};
 use crate::decision_counts::{Decision, DecisionCounts, SchedulerLoad};
 use crate::fleet::Fleet;
 use crate::keys::{AttemptKey, ReplicaKey};
@@ -27,13 +27,13 @@
     pub(crate) fleet: Fleet,
     pub(crate) routes: LatenciesByRoute,
     pub(crate) programs: Programs,
-    pub(crate) calls: BTreeMap<CallId, CallInFlight>,
+    pub(crate) calls: BTreeMap<CallId, ActiveCall>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
     /// Calls in the state `Postponed`, which no replica may receive for now.
     pub(crate) postponed: BTreeSet<CallId>,
     pub(crate) timers: Timers,
     /// Calls that have to be decided anew on the next wake, after replicas or services have changed.
-    pub(crate) displaced: BTreeSet<CallId>,
+    pub(crate) needs_decision: BTreeSet<CallId>,
     pub(crate) counts: DecisionCounts,
 }
 
@@ -52,7 +52,7 @@
             queue: DeadlineQueue::default(),
             postponed: BTreeSet::new(),
             timers: Timers::default(),
-            displaced: BTreeSet::new(),
+            needs_decision: BTreeSet::new(),
             counts: DecisionCounts::default(),
         }
     }
@@ -72,7 +72,7 @@
                 }
             }
         }
-        self.displaced.extend(self.postponed.iter());
+        self.needs_decision.extend(self.postponed.iter());
     }
 
     /// Applies the names of all routes of the current configuration. What was learned of other routes is forgotten
@@ -88,13 +88,13 @@
         for departed in self.fleet.update(now, listed) {
             self.routes.forget(departed);
         }
-        self.displaced.extend(self.postponed.iter());
+        self.needs_decision.extend(self.postponed.iter());
         for (id, call) in &self.calls {
             if call
                 .queued_at()
                 .is_some_and(|replica| !self.fleet.get(replica).is_some_and(|r| r.is_usable()))
             {
-                self.displaced.insert(*id);
+                self.needs_decision.insert(*id);
             }
         }
     }
@@ -109,8 +109,7 @@
         if let Some(service) = self.services.get_mut(&service) {
             service.record_arrival(now, call.priority);
         }
-        self.calls
-            .insert(id, CallInFlight::new(call, route, service));
+        self.calls.insert(id, ActiveCall::new(call, route, service));
         let mut actions = Vec::new();
         match self.rejection_on_arrival(now, id) {
             Some(retry_after) => {
@@ -147,7 +146,7 @@
             call: id,
             index: attempt,
         };
-        self.observe_end(now, attempt, outcome, load);
+        self.observe_attempt_end(now, attempt, outcome, load);
         if outcome == Outcome::Answered {
             let freed = self.abort_all(id, &mut actions);
             self.end(now, id, true);
@@ -176,14 +175,14 @@
         let Some(sent) = call.attempts.get_mut(attempt as usize) else {
             return;
         };
-        if sent.state == AttemptState::InFlight && !sent.has_begun {
-            sent.has_begun = true;
+        if sent.state == AttemptState::InFlight && !sent.response_started {
+            sent.response_started = true;
             self.timers.set(&mut call.timer, id, None);
             let attempt = AttemptKey {
                 call: id,
                 index: attempt,
             };
-            self.observe_begin(now, attempt, load);
+            self.observe_response_start(now, attempt, load);
         }
     }
 
@@ -195,7 +194,7 @@
         if !self.calls.contains_key(&id) {
             return actions;
         }
-        self.observe_late_attempts(now, id);
+        self.record_late_attempts(now, id);
         let released = self.abort_all(id, &mut actions);
         self.end(now, id, false);
         for replica in released {
@@ -207,8 +206,8 @@
     /// Makes the decisions that are due at `now`. Returns the actions to execute.
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
-        let displaced = std::mem::take(&mut self.displaced);
-        for id in displaced.into_iter().chain(self.timers.due(now)) {
+        let needs_decision = std::mem::take(&mut self.needs_decision);
+        for id in needs_decision.into_iter().chain(self.timers.due(now)) {
             self.decide(now, id, &mut actions);
         }
         actions
@@ -216,7 +215,7 @@
 
     /// When [`wake`](Self::wake) has to be called if no input arrives before; `None` if nothing is scheduled.
     pub fn next_wake(&self, now: f64) -> Option<f64> {
-        if self.displaced.is_empty() {
+        if self.needs_decision.is_empty() {
             self.timers.next()
         } else {
             Some(now)
@@ -230,7 +229,7 @@
 
     /// What the scheduler holds now.
     pub fn load(&self) -> SchedulerLoad {
-        let is_queued = |call: &&CallInFlight| call.queued_at().is_some();
+        let is_queued = |call: &&ActiveCall| call.queued_at().is_some();
         SchedulerLoad {
             calls: self.calls.len(),
             queued: self.calls.values().filter(is_queued).count(),
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -41,7 +41,7 @@
 }
 
 /// Seconds for which a call of a higher priority ranks others below it.
-const URGENCY_WINDOW: f64 = 2.0;
+const PRIORITY_WINDOW: f64 = 2.0;
 
 impl Service {
     pub(crate) fn new(spec: &ServiceSpec, edges: usize) -> Self {
@@ -78,7 +78,7 @@
     /// Whether no call of a higher priority has arrived recently.
     pub(crate) fn is_highest_priority(&self, now: f64, priority: u8) -> bool {
         let highest = &self.highest_priority;
-        priority <= highest.rank || now > highest.seen_at + URGENCY_WINDOW
+        priority <= highest.rank || now > highest.seen_at + PRIORITY_WINDOW
     }
 
     /// Records a sent call, of which the replica has to prefill `prefill_tokens` tokens.
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -28,7 +28,7 @@
         let route = self.routes.get(call.route)?;
         let k = self.programs.step_size(&call.request);
         let tail = self.routes.tail(now, call.route, None, k);
-        let delay = (route.typical() - tail).max(0.0);
+        let delay = (route.recent_median() - tail).max(0.0);
         let max_delay = call.request.deadline - now - tail;
         let acceptable = if self.programs.is_in_progress(&call.request) {
             max_delay
@@ -58,14 +58,14 @@
             return RETRY_AFTER_WITHOUT_REPLICA;
         };
         let longest = (call.request.deadline - now).max(0.0) * RETRY_AFTER_SHARE;
-        let typical = self
+        let recent_median = self
             .routes
             .get(call.route)
-            .map_or(0.0, |route| route.typical());
+            .map_or(0.0, |route| route.recent_median());
         let backoff = (call.not_before - now).max(0.0);
         let reachable = self.fleet.usable(&call.service).next().is_some();
         let expected = if reachable {
-            typical.max(backoff)
+            recent_median.max(backoff)
         } else {
             RETRY_AFTER_WITHOUT_REPLICA
         };
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::active_call::{ActiveCall, AttemptState};
 use crate::call::CallId;
-use crate::calls_in_flight::{AttemptState, CallInFlight};
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::mechanisms::{Mechanism, is_on};
 use crate::programs::Programs;
@@ -12,7 +12,7 @@
 /// The queuing deadlines of all steps at one time, with the state from which they are computed.
 pub(crate) struct QueuingDeadlines<'a> {
     now: f64,
-    calls: &'a BTreeMap<CallId, CallInFlight>,
+    calls: &'a BTreeMap<CallId, ActiveCall>,
     programs: &'a Programs,
     routes: &'a LatenciesByRoute,
 }
@@ -20,7 +20,7 @@
 impl<'a> QueuingDeadlines<'a> {
     pub(crate) fn new(
         now: f64,
-        calls: &'a BTreeMap<CallId, CallInFlight>,
+        calls: &'a BTreeMap<CallId, ActiveCall>,
         programs: &'a Programs,
         routes: &'a LatenciesByRoute,
     ) -> Self {
@@ -39,7 +39,7 @@
     ///
     /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the
     /// whole.
-    pub(crate) fn of(&self, call: &CallInFlight, replica: ReplicaKey) -> f64 {
+    pub(crate) fn of(&self, call: &ActiveCall, replica: ReplicaKey) -> f64 {
         if !is_on(Mechanism::DeadlineOrder) {
             return call.request.arrived_at;
         }
@@ -77,7 +77,7 @@
 }
 
 /// The replica at which a call is in flight or queued.
-fn replica_of(call: &CallInFlight) -> Option<ReplicaKey> {
+fn replica_of(call: &ActiveCall) -> Option<ReplicaKey> {
     let in_flight = call
         .attempts
         .iter()
--- a/crates/tier/scheduler/src/timers.rs
+++ b/crates/tier/scheduler/src/timers.rs
@@ -11,7 +11,7 @@
 const MICROSECONDS: f64 = 1e6;
 
 /// Whether the time `at` in seconds has been reached, within the resolution of the timers.
-pub(crate) fn has_come(now: f64, at: f64) -> bool {
+pub(crate) fn is_due(now: f64, at: f64) -> bool {
     now >= at - 1.0 / MICROSECONDS
 }
 
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn calls_in_flight_are_one_step() {
+fn active_call_are_one_step() {
     let mut programs = Programs::default();
     let calls: Vec<Call> = (1..=3)
         .map(|id| call(0.1 * id as f64, id, 1, 4.0))
--- a/crates/tier/scheduler/tests/unit/routes.rs
+++ b/crates/tier/scheduler/tests/unit/routes.rs
@@ -13,12 +13,15 @@
     let mut routes = LatenciesByRoute::default();
     let key = routes.key(&name(), 0.2);
     assert_eq!(
-        (routes.late_after(key), routes.lost_after(key)),
+        (routes.late_threshold(key), routes.lost_threshold(key)),
         (0.2, 0.2 * 1.5)
     );
     assert_eq!(routes.key(&name(), 2.0), key);
-    assert_eq!((routes.late_after(key), routes.lost_after(key)), (2.0, 3.0));
-    assert_eq!(routes.get(key).unwrap().typical(), 0.2);
+    assert_eq!(
+        (routes.late_threshold(key), routes.lost_threshold(key)),
+        (2.0, 3.0)
+    );
+    assert_eq!(routes.get(key).unwrap().recent_median(), 0.2);
     assert_eq!(routes.unloaded_median(0.0, key), 0.2);
 }
 
@@ -29,9 +32,9 @@
     for _ in 0..MIN_SAMPLES {
         routes.get_mut(key).unwrap().record(0.001);
     }
-    assert_eq!(routes.late_after(key), 0.8 * LATE_SHARE_OF_TARGET);
+    assert_eq!(routes.late_threshold(key), 0.8 * MIN_LATE_SHARE_OF_TARGET);
     routes.key(&name(), 1.6);
-    assert_eq!(routes.late_after(key), 1.6 * LATE_SHARE_OF_TARGET);
+    assert_eq!(routes.late_threshold(key), 1.6 * MIN_LATE_SHARE_OF_TARGET);
 }
 
 #[test]
