--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -232,7 +232,7 @@
             self.queue.first(&replica).is_some()
                 && self
                     .queue
-                    .is_behind(&replica, deadlines.of(call, replica), id)
+                    .is_behind(&replica, deadlines.deadline_for(call, replica), id)
         };
         placement.choose(call, is_behind, &mut self.random)
     }
@@ -387,7 +387,7 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let deadline = deadlines.of(call, replica);
+        let deadline = deadlines.deadline_for(call, replica);
         self.queue.insert(&replica, deadline, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/tier/scheduler/src/observations.rs
+++ b/crates/tier/scheduler/src/observations.rs
@@ -37,7 +37,7 @@
     ) {
         let Some(sent) = self
             .in_flight(attempt)
-            .filter(|sent| sent.start == ResponseStart::Pending)
+            .filter(|sent| sent.response_start == ResponseStart::Pending)
         else {
             return;
         };
@@ -109,7 +109,7 @@
             };
             self.record_health(now, sent, Some(kind));
         } else if !streaming {
-            let late = sent.start == ResponseStart::Late;
+            let late = sent.response_start == ResponseStart::Late;
             self.record_health(now, sent, late.then_some(FailureKind::Late));
         }
     }
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,17 +1,22 @@
 //! Choice of a replica for one attempt of a call.
 //!
-//! The replica with the fewest calls of this process in flight is chosen, ties at random, with these
-//! exceptions in order. Replicas that must not be used are excluded. Replicas that the call was not sent to are
-//! preferred, then healthy ones: replicas that have recently failed, are unresponsive, have reported that they
-//! are full, or are warming up are used only if no others remain; then those at which no call has to wait. For
-//! engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the
-//! head of the prompt is chosen unless it has so many more calls that their prefill takes longer. Among
-//! equals the home of the call's program or object is preferred, and then this process's zone.
+//! The replica with the fewest calls of this process in flight is chosen, ties at random. These filters apply before,
+//! in this order:
 //!
-//! The *home* is the replica to which all processes of a zone send the calls of one program, and all
-//! processes the calls about one object (affinity by rendezvous hashing): the usable and healthy replica of
-//! the highest rank, for a program within the zone. Most of the prompt that it has cached was sent by other
-//! processes, which this process knows without any message.
+//! 1. Replicas that must not be used are excluded.
+//! 2. Replicas that the call was not sent to are preferred.
+//! 3. Healthy replicas are preferred. Replicas that have recently failed, are unresponsive, have reported that they
+//!    are full, or are warming up are used only if no others remain.
+//! 4. Replicas at which the call is not queued are preferred.
+//!
+//! For engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the head of
+//! the prompt is chosen unless it has so many more calls that their prefill takes longer. Among equals the home of the
+//! call's program or object is preferred, and then the zone of this process (the local zone).
+//!
+//! The *home* is the replica to which all processes of a zone send the calls of one program, and all processes of all
+//! zones the calls about one object (affinity by rendezvous hashing). It is the usable and healthy replica of the
+//! highest rank; for a program, the highest rank within the local zone. Processes agree on the home without messages.
+//! Each process assumes that the other processes have sent most of the program's prompt to the home.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,44 +32,45 @@
 use crate::routes::LatenciesByRoute;
 use crate::service::Service;
 
-/// Prompt tokens that count as one unit in the comparison. Smaller differences do not justify a longer queue.
+/// Number of prompt tokens in one unit of cost. Smaller differences do not justify a longer queue.
 const TOKENS_PER_UNIT: usize = 256;
-/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input,
-/// which is about a quarter after a few turns. Underestimates the cache of long programs.
+/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input, which is
+/// about a quarter of the prompt after a few turns. Underestimates the cached share for long programs.
 const CACHED_SHARE_AT_HOME: f64 = 0.75;
-/// Limit on the attempts of a call on any route, including those that never reached a replica.
+/// Limit on the number of attempts of a call on any route, including those that never reached a replica.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Decision on the next attempt of a call.
+/// Result of the choice for the next attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Choice {
-    /// Send it to this replica.
+    /// Send the call to this replica.
     Send(ReplicaKey),
-    /// Send it to this ejected replica as a probe.
+    /// Send the call to this ejected replica as a probe.
     SendProbe(ReplicaKey),
-    /// Queue it at this replica, which has no capacity or has earlier calls in its queue.
+    /// Queue the call at this replica, which is under backpressure or has calls with earlier deadlines in its queue.
     Enqueue(ReplicaKey),
-    /// Replicas exist, but none may receive it now.
+    /// Replicas exist, but none may receive the call at present.
     Postpone,
-    /// No replica may run it.
+    /// No replica is left that may run the call.
     NoReplica,
 }
 
-/// State from which a replica is chosen.
+/// Inputs of the choice of a replica.
 pub(crate) struct Placement<'a> {
     pub now: f64,
     pub fleet: &'a Fleet,
     pub routes: &'a LatenciesByRoute,
     /// Zone of this process.
     pub zone: &'a str,
-    /// This process's share of the connections that a replica accepts.
+    /// Limit on the calls of this process in flight at one replica: its share of the connections that a replica
+    /// accepts.
     pub connections: usize,
-    /// Mean of the prefill tokens of a call of the service; 0 if it serves no model.
+    /// Mean number of prefill tokens of a call of the service; 0 if the service has no engine.
     pub mean_prefill: usize,
 }
 
 impl<'a> Placement<'a> {
-    /// The state for calls of `service`. A service that is not configured sets no limits.
+    /// The inputs for calls of `service`; `None`, for a service that is not configured, sets no limits.
     pub(crate) fn new(
         now: f64,
         fleet: &'a Fleet,
@@ -82,8 +88,8 @@
         }
     }
 
-    /// Decides on the next attempt of `call`. `is_behind` says whether calls with earlier deadlines are
-    /// queued at a replica.
+    /// Chooses the replica for the next attempt of `call`. `is_behind` returns whether calls with earlier deadlines
+    /// are queued at a replica.
     pub(crate) fn choose(
         &self,
         call: &ActiveCall,
@@ -114,8 +120,8 @@
         }
     }
 
-    /// The home of the call's program or object. That of a program is in this process's zone, where most of
-    /// its calls arrive, unless too few replicas are there.
+    /// The home of the call's program or object; `None` if it has neither, or no replica is healthy. The home of a
+    /// program is in the local zone, where most of its calls arrive, unless the zone has too few replicas.
     pub(crate) fn home(&self, call: &ActiveCall) -> Option<ReplicaKey> {
         if !is_on(Mechanism::Homes) {
             return None;
@@ -146,8 +152,8 @@
             .map(|(key, _)| key)
     }
 
-    /// Whether this process's zone has at least half as many of these replicas as zones have on average. With
-    /// fewer, the programs that arrive here would overload them.
+    /// Whether the local zone has at least half as many of these replicas as the average zone. With fewer, the
+    /// programs that arrive in this zone would overload them.
     fn can_local_zone_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
@@ -164,8 +170,8 @@
         &*replica.spec.zone == self.zone
     }
 
-    /// Chooses a replica for a hedge: only a healthy one that the call has not been sent to, and that is no
-    /// busier than any other.
+    /// Chooses a replica for a hedge: the cheapest one that the call has not been sent to, has a free connection, and
+    /// is neither ejected, saturated, under backpressure nor unresponsive.
     pub(crate) fn choose_hedge(
         &self,
         call: &ActiveCall,
@@ -185,8 +191,8 @@
         self.cheapest(call, &mut candidates, random)
     }
 
-    /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and
-    /// attempts.
+    /// Replicas that may receive the call: the usable replicas of its service, within the limits on replicas,
+    /// attempts and resends. Those that the call was not sent to are preferred.
     fn allowed(&self, call: &ActiveCall) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
         let is_limit_reached = reached.len() >= call.request.max_replicas.max(1) as usize;
@@ -199,8 +205,9 @@
         candidates
     }
 
-    /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or
-    /// the replica allows probes with any call.
+    /// An ejected replica that is due for a probe, if this first attempt of the call may serve as one: another
+    /// candidate is not ejected, and either the call may run again elsewhere or the replica accepts any call as a
+    /// probe.
     fn probe(&self, call: &ActiveCall, candidates: &Candidates<ReplicaKey>) -> Option<ReplicaKey> {
         let others_exist =
             candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
@@ -218,10 +225,11 @@
             .map(|(key, _)| key)
     }
 
-    /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others
-    /// remain.
+    /// Excludes replicas that are ejected, unresponsive, have failed recently, are full or are warming up, as long as
+    /// others remain.
     fn prefer_healthy(&self, call: &ActiveCall, candidates: &mut Candidates<ReplicaKey>) {
-        // If most are ejected for being slow, the load is the cause, and excluding them would increase it.
+        // If most replicas are ejected for being slow, overload is the cause. Excluding them would increase the load
+        // on the others.
         let is_load_the_cause = self.is_majority_ejected(call);
         candidates.prefer(|key| {
             let is_excused = is_load_the_cause && self.with(*key, Replica::was_last_failure_late);
@@ -249,8 +257,8 @@
         candidates.choose(|_| 0, random)
     }
 
-    /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in
-    /// units of [`TOKENS_PER_UNIT`].
+    /// Number of calls of this process in flight at a replica. For engines, the prefill tokens of these calls and of
+    /// `call`, in units of [`TOKENS_PER_UNIT`].
     fn cost(&self, key: ReplicaKey, call: &ActiveCall) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
@@ -285,8 +293,8 @@
     }
 }
 
-/// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
-/// call's home, sent by other processes.
+/// Number of prompt tokens that the replica has to prefill: those that this process has not sent there before and, at
+/// the call's home, other processes have not sent either.
 pub(crate) fn prefill_tokens(call: &ActiveCall, key: ReplicaKey, replica: &Replica) -> u32 {
     let tokens = call.request.prompt_tokens;
     let sent_by_others = if call.home == Some(key) {
@@ -302,7 +310,7 @@
     tokens.saturating_sub(sent_by_this_process.max(sent_by_others as u32))
 }
 
-/// Whether all usable replicas of a service are full, by their reported load or by a queue at this process.
+/// Whether all usable replicas of a service are saturated or under backpressure. False if none is usable.
 pub(crate) fn is_overloaded(now: f64, fleet: &Fleet, service: &Arc<str>) -> bool {
     let mut usable = fleet.usable(service).peekable();
     let full = |replica: &Replica| replica.is_saturated(now) || replica.is_under_backpressure();
--- a/crates/tier/scheduler/src/prefix_cache.rs
+++ b/crates/tier/scheduler/src/prefix_cache.rs
@@ -1,17 +1,20 @@
-//! Estimate of the prefixes in a replica's KV cache, from the prompts that this process has sent there.
+//! Estimate of the prompt prefixes in a replica's KV cache, from the prompts that this process has sent to it.
 
 use std::collections::BTreeMap;
 
 use crate::call::PrefixPart;
 
-/// Parts of prompts in the cache of one replica, evicted in the order of their last use.
+/// Estimated prompt parts in the cache of one replica, with eviction of the least recently used part.
 ///
-/// Other processes use the same cache, so this process relies on its share of the capacity only.
+/// Other processes use the same cache, so this process assumes only its share of the capacity.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     parts: BTreeMap<u64, CachedPart>,
+    /// Identifiers of the parts by their last use.
     by_last_use: BTreeMap<u64, u64>,
+    /// Tokens of all parts.
     tokens: u64,
+    /// Number of uses so far; the logical time of the last use.
     uses: u64,
 }
 
@@ -22,8 +25,8 @@
 }
 
 impl PrefixCache {
-    /// Tokens at the head of the prompt that are cached. A part counts only if all parts before it are cached
-    /// completely.
+    /// Number of tokens at the head of the prompt that are cached. A part counts only if all parts before it are
+    /// completely cached.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let mut cached: u32 = 0;
         for part in prefix {
@@ -39,7 +42,7 @@
         cached
     }
 
-    /// Records that the prompt was sent to the replica. Evicts the oldest parts beyond `max_tokens`.
+    /// Records that the prompt was sent to the replica. Evicts the least recently used parts beyond `max_tokens`.
     pub(crate) fn record(&mut self, prefix: &[PrefixPart], max_tokens: u64) {
         for part in prefix.iter().rev() {
             self.record_use(*part);
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Empties the estimate, as after a restart of the replica.
+    /// Removes all parts, for a replica that has restarted with an empty cache.
     pub(crate) fn clear(&mut self) {
         *self = PrefixCache::default();
     }
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -1,10 +1,11 @@
-//! Latency targets of programs' steps, learned from the programs of the same kind.
+//! Latency targets of the steps of programs, derived from earlier programs of the same kind.
 //!
-//! A program reports only when it should end. The work of programs of one kind, which are those whose first
-//! call matched the same route, takes a typical share of the time that they start with. The remaining work is
-//! that share less the work already done. A step may use the same share of the remaining time as it has of
-//! the remaining work. The slack is thus spread over all steps in proportion, and a program that has lost
-//! time gets shorter targets (docs/design.md, "Agent programs").
+//! A *step* is the set of concurrent calls of a program. Programs are of one kind if their first calls matched the same
+//! route. The client reports only when a program should end. *Work* is the time that a program needs without load; it
+//! is assumed to be the same share of the initially available time for all programs of a kind, and this share is
+//! learned. The remaining work is the expected work less the work already done. A step may use the same share of the
+//! remaining time as it has of the remaining work. The slack is thus distributed over all steps in proportion, and a
+//! delayed program gets shorter targets (docs/design.md, "Agent programs").
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,54 +13,56 @@
 use crate::call::{Call, CallId};
 use crate::mechanisms::{Mechanism, is_on};
 
-/// Seconds without a call in flight after which a program has ended.
+/// Seconds without an unfinished call after which a program is considered ended.
 const IDLE_TIMEOUT: f64 = 3.0;
-/// Weight of the latest program in the learned share of work.
+/// Weight of the latest ended program in the moving average of the share of work.
 const LEARNING_RATE: f64 = 0.1;
-/// Assumed share of work in a program's time before any program of its kind has ended.
+/// Assumed share of work in the available time of a program before any program of its kind has ended.
 const INITIAL_WORK_SHARE: f64 = 0.5;
-/// Lower bound of the remaining work, as a share of the remaining time. A program that has done more work than is
-/// typical of its kind may still continue.
+/// Lower bound of the remaining work, as a share of the remaining time. A program that has already done more work than
+/// is typical of its kind may still continue.
 const MIN_REMAINING_WORK_SHARE: f64 = 0.25;
-/// Programs checked for their end at each arrival, which bounds the cost of an arrival.
+/// Number of programs checked for their end at each arrival; bounds the cost of an arrival.
 const MAX_PROGRAMS_CHECKED: usize = 2;
 
-/// A program with calls at this process. Times are seconds.
+/// A program whose calls this process has received. Times are seconds.
 #[derive(Debug)]
 struct Program {
+    /// Kind of the program: name of the route of its first call.
     kind: Arc<str>,
     started: f64,
-    /// Time from its start to when it should end, if any call has reported it.
-    time: Option<f64>,
+    /// Time from the start of the program to its deadline; `None` until a call has reported the deadline.
+    available_time: Option<f64>,
     last_end: f64,
+    /// Number of answered calls.
     answers: u32,
-    /// Calls in flight, which form its current step.
+    /// Unfinished calls, which form the current step.
     in_flight: BTreeSet<CallId>,
     step_started: f64,
-    /// Unloaded latency of the longest call of the current step.
+    /// Largest unloaded latency among the finished calls of the current step.
     step_unloaded: f64,
-    /// Time that steps have taken beyond their unloaded latency.
+    /// Total time that the finished steps took beyond their unloaded latencies.
     delay: f64,
 }
 
-/// All programs that have calls at this process, and the learned share of work by kind.
+/// All programs whose calls this process has received, and the learned share of work by kind.
 #[derive(Debug, Default)]
 pub(crate) struct Programs {
     programs: BTreeMap<u64, Program>,
     work_share: BTreeMap<Arc<str>, f64>,
-    /// The program that was last checked for its end.
+    /// Identifier of the program that was last checked for its end.
     cursor: u64,
 }
 
 impl Programs {
-    /// Records the arrival of a call.
+    /// Records the arrival of a call. Removes some of the ended programs.
     pub(crate) fn record_arrival(&mut self, now: f64, call: &Call) {
         self.expire_idle(now);
         let Some(id) = call.program else { return };
         let program = self.programs.entry(id).or_insert_with(|| Program {
             kind: call.route.clone(),
             started: now,
-            time: None,
+            available_time: None,
             last_end: now,
             answers: 0,
             in_flight: BTreeSet::new(),
@@ -67,8 +70,8 @@
             step_unloaded: 0.0,
             delay: 0.0,
         });
-        program.time = program
-            .time
+        program.available_time = program
+            .available_time
             .or(call.program_deadline.map(|at| at - program.started));
         if program.in_flight.is_empty() {
             program.step_started = call.arrived_at;
@@ -77,7 +80,7 @@
         program.in_flight.insert(call.id);
     }
 
-    /// Records the end of a call, of which the unloaded latency is `unloaded` seconds.
+    /// Records the end of a call. `unloaded` is the median unloaded latency of its route in seconds.
     pub(crate) fn record_end(&mut self, now: f64, call: &Call, answered: bool, unloaded: f64) {
         let Some(program) = call.program.and_then(|id| self.programs.get_mut(&id)) else {
             return;
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The calls of the current step of the call's program, including the call.
+    /// Calls of the current step of the call's program, including the call itself.
     pub(crate) fn step_calls(&self, call: &Call) -> Vec<CallId> {
         match call.program.and_then(|id| self.programs.get(&id)) {
             Some(program) if !program.in_flight.is_empty() => {
@@ -101,14 +104,14 @@
         }
     }
 
-    /// Number of concurrent calls of the call's program, including the call.
+    /// Number of calls in the current step of the call's program, including the call itself.
     pub(crate) fn step_size(&self, call: &Call) -> usize {
         call.program
             .and_then(|id| self.programs.get(&id))
             .map_or(1, |program| program.in_flight.len().max(1))
     }
 
-    /// When the current step of the call's program started.
+    /// Start of the current step of the call's program; arrival of the call if it belongs to no program.
     pub(crate) fn step_started(&self, call: &Call) -> f64 {
         let program = call.program.and_then(|id| self.programs.get(&id));
         program
@@ -123,8 +126,8 @@
             .is_some_and(|program| program.answers > 0)
     }
 
-    /// Latency target of the current step in seconds, if its unloaded latency is `unloaded` seconds. That of
-    /// the route if the end of the program is unknown.
+    /// Latency target in seconds of the current step, whose unloaded latency is `unloaded` seconds. The route's target
+    /// if the deadline of the program is unknown.
     pub(crate) fn latency_target(&self, call: &Call, unloaded: f64) -> f64 {
         if !is_on(Mechanism::ProgramPace) {
             return call.target_latency;
@@ -139,19 +142,23 @@
         (remaining * unloaded / expected).max(0.0)
     }
 
-    /// Seconds that a program may lose and still end in time; negative once it is late.
+    /// Seconds by which a program may be delayed and still end in time; negative once it cannot. `None` without a
+    /// program or its deadline.
     pub(crate) fn slack(&self, now: f64, call: &Call) -> Option<f64> {
         let program = self.programs.get(&call.program?)?;
         Some(call.program_deadline? - now - self.expected_work(program, now))
     }
 
+    /// Expected remaining work of a program, in seconds.
     fn expected_work(&self, program: &Program, now: f64) -> f64 {
         let share = self
             .work_share
             .get(&program.kind)
             .copied()
             .unwrap_or(INITIAL_WORK_SHARE);
-        let Some(time) = program.time else { return 0.0 };
+        let Some(time) = program.available_time else {
+            return 0.0;
+        };
         let elapsed = now - program.started;
         let done = (elapsed - program.delay).max(0.0);
         (time * share - done)
@@ -159,6 +166,7 @@
             .max(0.0)
     }
 
+    /// Removes the ended ones of the next [`MAX_PROGRAMS_CHECKED`] programs.
     fn expire_idle(&mut self, now: f64) {
         for _ in 0..MAX_PROGRAMS_CHECKED {
             let next = self.programs.range(self.cursor.wrapping_add(1)..).next();
@@ -173,11 +181,11 @@
         }
     }
 
-    /// Updates the share of work of the program's kind. Programs with a single answer are ignored, as they
-    /// may have been abandoned.
+    /// Updates the share of work for the program's kind. Programs with fewer than two answered calls are ignored, as
+    /// their clients may have abandoned them.
     fn learn(&mut self, program: &Program) {
         let Some(time) = program
-            .time
+            .available_time
             .filter(|time| *time > 0.0 && program.answers > 1)
         else {
             return;
--- a/crates/tier/scheduler/src/routes.rs
+++ b/crates/tier/scheduler/src/routes.rs
@@ -1,4 +1,4 @@
-//! Latencies by route: unloaded latency, and thresholds from which an attempt is late or lost.
+//! Latencies by route: unloaded latency, and the thresholds for late and lost attempts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -9,40 +9,40 @@
 
 use crate::keys::{ReplicaKey, RouteKey};
 
-/// Number of recent latencies from which the thresholds are derived.
+/// Number of recent latencies from which the thresholds are computed.
 const MAX_RECENT_LATENCIES: usize = 64;
-/// Number of answers between two updates of the thresholds.
+/// Number of recorded latencies between two updates of the thresholds.
 const ANSWERS_PER_UPDATE: usize = 8;
-/// With fewer samples an attempt is late beyond the route's latency target.
+/// With fewer recent latencies, the threshold for late attempts is the route's latency target.
 const MIN_SAMPLES: usize = 16;
-/// An attempt is late beyond this quantile of the recent latencies, which a sixth of the replicas cannot
-/// raise by being slow, and beyond [`LATE_MEDIAN_MULTIPLE`] times their median. Of exponentially distributed
-/// latencies 6 in 100 are late, so half of eight in a row hardly ever are.
+/// An attempt is late if its latency exceeds both this quantile of the recent latencies and [`LATE_MEDIAN_MULTIPLE`]
+/// times their median. Slow responses of a sixth of the replicas do not raise the quantile. Of exponentially
+/// distributed latencies 6 in 100 are late, so four late ones among eight in a row are rare.
 const LATE_QUANTILE: f64 = 0.8;
-/// See [`LATE_QUANTILE`].
+/// Multiple of the median of the recent latencies; see [`LATE_QUANTILE`].
 const LATE_MEDIAN_MULTIPLE: f64 = 4.0;
-/// Lower bound of the threshold from which an attempt is late, as a share of the latency target. A short stall
-/// of this process must not eject a replica.
+/// Lower bound of the threshold for late attempts, as a share of the latency target, so that a short stall of this
+/// process does not eject a replica.
 const MIN_LATE_SHARE_OF_TARGET: f64 = 0.125;
-/// An attempt at a working replica is lost beyond this multiple of the longest recent latency.
+/// Lower bound of the threshold for lost attempts, as a multiple of the longest recent latency.
 const LOST_LONGEST_MULTIPLE: f64 = 1.5;
 /// Assumed unloaded latency before the first sample, as a share of the latency target.
 const INITIAL_LATENCY_SHARE_OF_TARGET: f64 = 0.1;
 
-/// Latencies of one route in seconds. Those of streams end with the first event.
+/// Latencies of one route in seconds, measured to the first event of a stream or the head of any other response.
 pub(crate) struct RouteLatencies {
     pub unloaded: UnloadedLatency<ReplicaKey>,
-    /// The route's latency target.
+    /// Latency target of the route.
     target: f64,
-    /// The last [`MAX_RECENT_LATENCIES`] latencies, loaded or not.
+    /// Latest [`MAX_RECENT_LATENCIES`] latencies, under any load.
     recent: VecDeque<f64>,
     /// Number of latencies recorded so far.
-    answers: usize,
-    /// Latency from which an attempt is late.
+    recorded: usize,
+    /// Latency beyond which an attempt is late.
     late_threshold: f64,
-    /// Latency from which an attempt may be lost; at least `late_threshold`.
+    /// Latency beyond which an attempt may be lost; at least `late_threshold`.
     lost_threshold: f64,
-    /// Median of `recent`.
+    /// Median of `recent`; an assumed value until there are [`MIN_SAMPLES`] latencies.
     recent_median: f64,
 }
 
@@ -52,14 +52,14 @@
             unloaded: UnloadedLatency::new(target * INITIAL_LATENCY_SHARE_OF_TARGET),
             target,
             recent: VecDeque::new(),
-            answers: 0,
+            recorded: 0,
             late_threshold: target,
             lost_threshold: target * LOST_LONGEST_MULTIPLE,
             recent_median: target * INITIAL_LATENCY_SHARE_OF_TARGET,
         }
     }
 
-    /// Applies the route's latency target, which a new configuration may have changed.
+    /// Applies the route's latency target. Does nothing if it has not changed.
     fn set_target(&mut self, target: f64) {
         if self.target == target {
             return;
@@ -76,21 +76,21 @@
         }
     }
 
-    /// Records the latency of an attempt that has begun (streams) or was answered.
+    /// Records the latency of an attempt whose response has started.
     pub(crate) fn record(&mut self, latency: f64) {
         push(&mut self.recent, latency, MAX_RECENT_LATENCIES);
-        self.answers += 1;
-        if self.recent.len() >= MIN_SAMPLES && self.answers.is_multiple_of(ANSWERS_PER_UPDATE) {
+        self.recorded += 1;
+        if self.recent.len() >= MIN_SAMPLES && self.recorded.is_multiple_of(ANSWERS_PER_UPDATE) {
             self.update_thresholds();
         }
     }
 
-    /// Seconds from which an attempt counts as late.
+    /// Seconds after which an attempt is late.
     pub(crate) fn late_threshold(&self) -> f64 {
         self.late_threshold
     }
 
-    /// Median of the recent latencies, loaded or not.
+    /// Median of the recent latencies, under any load, in seconds.
     pub(crate) fn recent_median(&self) -> f64 {
         self.recent_median
     }
@@ -107,18 +107,19 @@
     }
 }
 
-/// Latencies of all configured routes of which calls have arrived.
+/// Latencies of all configured routes for which calls have arrived.
 #[derive(Default)]
 pub(crate) struct LatenciesByRoute {
     keys: BTreeMap<Arc<str>, RouteKey>,
-    /// Number of keys assigned so far; a key is never used again.
-    assigned: u32,
+    /// Number of the next key; keys are never reused.
+    next_key: u32,
     routes: BTreeMap<RouteKey, RouteLatencies>,
     pub part_budget: PartBudget,
 }
 
 impl LatenciesByRoute {
-    /// The key of a route, which is assigned at its first call. Its latency target is `target` from now on.
+    /// Returns the key of a route, and sets its latency target in seconds. Assigns the key at the first call of the
+    /// route.
     pub(crate) fn key(&mut self, name: &Arc<str>, target: f64) -> RouteKey {
         if let Some(key) = self.keys.get(name) {
             if let Some(route) = self.routes.get_mut(key) {
@@ -126,14 +127,14 @@
             }
             return *key;
         }
-        let key = RouteKey::new(self.assigned);
-        self.assigned += 1;
+        let key = RouteKey::new(self.next_key);
+        self.next_key += 1;
         self.keys.insert(name.clone(), key);
         self.routes.insert(key, RouteLatencies::new(target));
         key
     }
 
-    /// Forgets the routes that are neither `configured` nor those of calls `in_flight`.
+    /// Removes the routes that are neither `configured` nor have unfinished calls (`in_flight`).
     pub(crate) fn retain(&mut self, configured: &BTreeSet<&str>, in_flight: &BTreeSet<RouteKey>) {
         self.keys
             .retain(|name, key| configured.contains(&**name) || in_flight.contains(key));
@@ -149,22 +150,23 @@
         self.routes.get_mut(&key)
     }
 
-    /// Seconds from which an attempt of this route counts as late.
+    /// Seconds after which an attempt of this route is late; infinite if the route is unknown.
     pub(crate) fn late_threshold(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(f64::INFINITY, RouteLatencies::late_threshold)
     }
 
-    /// Seconds from which an attempt counts as lost, if its replica is unresponsive or has begun later
-    /// attempts.
+    /// Seconds after which an attempt of this route is lost if its replica is unresponsive or has started the responses
+    /// to later attempts; infinite if the route is unknown.
     pub(crate) fn lost_threshold(&self, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(f64::INFINITY, |route| route.lost_threshold)
     }
 
-    /// The unloaded tail latency of a replica for one of `k` concurrent calls, in seconds.
+    /// Unloaded tail latency of a replica for one of `k` concurrent calls, in seconds; of the average replica if
+    /// `replica` is `None`.
     pub(crate) fn tail(
         &self,
         now: f64,
@@ -179,15 +181,15 @@
             .tail(now, &route.unloaded, replica.as_ref(), k)
     }
 
-    /// Median unloaded latency of this route over all replicas, in seconds.
+    /// Median unloaded latency of this route over all replicas, in seconds; 0 if the route is unknown.
     pub(crate) fn unloaded_median(&self, now: f64, key: RouteKey) -> f64 {
         self.routes
             .get(&key)
             .map_or(0.0, |route| route.unloaded.quantile(now, None, 0.5))
     }
 
-    /// Drops the latencies of a replica that has departed.
-    pub(crate) fn forget(&mut self, replica: ReplicaKey) {
+    /// Removes the latencies of a replica that has departed.
+    pub(crate) fn remove_replica(&mut self, replica: ReplicaKey) {
         self.routes
             .values_mut()
             .for_each(|route| route.unloaded.forget(&replica));
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Inputs of the scheduler, each in one function.
+//! The state of the scheduler, and one function for each of its inputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,10 +18,12 @@
 use crate::spec::{ReplicaSpec, ServiceSpec};
 use crate::timers::Timers;
 
-/// The scheduler of one process; see the documentation of the crate.
+/// The scheduler of one process; see the crate documentation.
 pub struct Scheduler {
     pub(crate) random: oorandom::Rand64,
+    /// Zone of this process.
     pub(crate) zone: String,
+    /// Number of edge processes that share the connections and caches of the replicas, including this one.
     pub(crate) edges: usize,
     pub(crate) services: BTreeMap<Arc<str>, Service>,
     pub(crate) fleet: Fleet,
@@ -29,16 +31,18 @@
     pub(crate) programs: Programs,
     pub(crate) calls: BTreeMap<CallId, ActiveCall>,
     pub(crate) queue: DeadlineQueue<ReplicaKey, CallId>,
-    /// Calls in the state `Postponed`, which no replica may receive for now.
+    /// Calls in the state `Postponed`.
     pub(crate) postponed: BTreeSet<CallId>,
     pub(crate) timers: Timers,
-    /// Calls that have to be decided anew on the next wake, after replicas or services have changed.
+    /// Queued and postponed calls that may be affected by a change of replicas or services, and are decided again on
+    /// the next wake.
     pub(crate) needs_decision: BTreeSet<CallId>,
     pub(crate) counts: DecisionCounts,
 }
 
 impl Scheduler {
-    /// A scheduler without services and replicas. `zone` is the zone of this process.
+    /// Creates a scheduler without services and replicas. `seed` determines its random choices; `zone` is the zone of
+    /// this process.
     pub fn new(seed: u64, zone: String) -> Self {
         Scheduler {
             random: oorandom::Rand64::new(u128::from(seed)),
@@ -57,8 +61,8 @@
         }
     }
 
-    /// Applies all services of the current configuration. `edges` processes share the connections of each
-    /// replica.
+    /// Applies the complete list of configured services. `edges` is the number of edge processes that share the
+    /// connections of each replica, including this one.
     pub fn update_services(&mut self, services: &[ServiceSpec], edges: usize) {
         self.edges = edges;
         let named: BTreeSet<&str> = services.iter().map(|spec| &*spec.name).collect();
@@ -75,18 +79,17 @@
         self.needs_decision.extend(self.postponed.iter());
     }
 
-    /// Applies the names of all routes of the current configuration. What was learned of other routes is forgotten
-    /// once none of their calls is in flight.
+    /// Applies the names of all configured routes. Removes the latencies of other routes that have no unfinished calls.
     pub fn update_routes(&mut self, configured: &BTreeSet<&str>) {
         let in_flight = self.calls.values().map(|call| call.route).collect();
         self.routes.retain(configured, &in_flight);
     }
 
-    /// Applies the complete list of replicas; one that is missing has departed. Calls that this affects are
-    /// decided on the next wake.
+    /// Applies the complete list of registered replicas; a replica that is not in the list has departed. Affected calls
+    /// are decided on the next wake.
     pub fn update_replicas(&mut self, now: f64, listed: &[ReplicaSpec]) {
         for departed in self.fleet.update(now, listed) {
-            self.routes.forget(departed);
+            self.routes.remove_replica(departed);
         }
         self.needs_decision.extend(self.postponed.iter());
         for (id, call) in &self.calls {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Accepts a call that has been received completely. Returns the actions to execute.
+    /// Accepts a call whose request has been received completely. Returns the actions to execute.
     pub fn submit(&mut self, now: f64, mut call: Call) -> Vec<Action> {
         let id = call.id;
         call.prefix = call.known_prefix();
@@ -121,7 +124,7 @@
         actions
     }
 
-    /// Records the outcome of an attempt. Returns the actions to execute.
+    /// Records the outcome of an attempt. Returns the actions to execute; none if the call or attempt has ended before.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -161,7 +164,7 @@
     }
 
     /// Records that the response to an attempt has started: the first event of a stream, or the head of any other
-    /// response, has arrived.
+    /// response, was received.
     pub fn response_started(
         &mut self,
         now: f64,
@@ -186,9 +189,9 @@
         }
     }
 
-    /// Records that the driver has ended a call. If the call has not ended here yet, its client has
-    /// disconnected, its deadline is reached, or its response was cut: its attempts are aborted, and no outcomes
-    /// are expected of them. Otherwise does nothing.
+    /// Records that the driver has ended a call: its client has disconnected, its deadline has passed, or its response
+    /// was truncated. Returns the actions that abort its attempts, for which the driver reports no outcomes. Does nothing
+    /// if the scheduler has ended the call before.
     pub fn call_ended(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
@@ -203,7 +206,7 @@
         actions
     }
 
-    /// Makes the decisions that are due at `now`. Returns the actions to execute.
+    /// Makes the decisions that are due at `now`, in seconds. Returns the actions to execute.
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         let needs_decision = std::mem::take(&mut self.needs_decision);
@@ -213,7 +216,8 @@
         actions
     }
 
-    /// When [`wake`](Self::wake) has to be called if no input arrives before; `None` if nothing is scheduled.
+    /// Time in seconds at which [`wake`](Self::wake) has to be called unless another input comes first; `None` if no
+    /// decision is scheduled.
     pub fn next_wake(&self, now: f64) -> Option<f64> {
         if self.needs_decision.is_empty() {
             self.timers.next()
@@ -222,12 +226,12 @@
         }
     }
 
-    /// How often each decision was made since the scheduler was created.
+    /// Number of decisions by kind since the scheduler was created.
     pub fn decision_counts(&self) -> DecisionCounts {
         self.counts
     }
 
-    /// What the scheduler holds now.
+    /// Current numbers of calls and ejected replicas.
     pub fn load(&self) -> SchedulerLoad {
         let is_queued = |call: &&ActiveCall| call.queued_at().is_some();
         SchedulerLoad {
@@ -238,12 +242,12 @@
         }
     }
 
-    /// Draws one of the call's services by weight.
+    /// Draws one of the call's services at random by weight; an empty name if the call has none.
     fn choose_service(&mut self, call: &Call) -> Arc<str> {
         let total: u64 = call
             .services
             .iter()
-            .map(|cluster| u64::from(cluster.weight))
+            .map(|weighted| u64::from(weighted.weight))
             .sum();
         let mut drawn = if total > 0 {
             self.random.rand_range(0..total)
@@ -258,7 +262,7 @@
         }
         call.services
             .first()
-            .map(|cluster| cluster.service.clone())
+            .map(|weighted| weighted.service.clone())
             .unwrap_or_else(|| Arc::from(""))
     }
 }
--- a/crates/tier/scheduler/src/service.rs
+++ b/crates/tier/scheduler/src/service.rs
@@ -1,19 +1,20 @@
-//! Configuration of one service, and what is learned of its calls.
+//! Configuration of one service, and estimates from its calls.
 
 use crate::retry_tokens::RetryTokens;
 use crate::spec::ServiceSpec;
 
-/// Weight of the latest call in the mean of the prefill tokens.
+/// Weight of the latest call in the moving average of the prefill tokens.
 const LEARNING_RATE: f64 = 0.05;
-/// Assumed mean of the prefill tokens before the first call.
+/// Assumed mean number of prefill tokens before the first call.
 const INITIAL_MEAN_PREFILL: f64 = 512.0;
-/// Lower bound of the mean of the prefill tokens: even a completely cached prompt costs an engine some work.
+/// Lower bound of the mean number of prefill tokens: an engine does some work even for a completely cached prompt.
 const MIN_MEAN_PREFILL: f64 = 64.0;
-/// Connections that a replica is assumed to accept from all processes together if the configuration says 0.
+/// Number of connections that a replica accepts from all processes together if the configured limit is 0.
 const DEFAULT_MAX_CONNECTIONS: usize = 1_024;
 
-/// Connections that one of `processes` may have to a replica that accepts `max_conns` from all of them; at least one.
-/// The limit of its calls in flight there, too, since a connection carries one call at a time.
+/// Number of connections that one of `processes` may open to a replica that accepts `max_conns` from all of them; at
+/// least one. 0 for `max_conns` stands for 1,024. The result also limits the process's calls in flight at the replica,
+/// since a connection carries one call at a time.
 pub fn connections_per_process(max_conns: u32, processes: usize) -> usize {
     let max_connections = match max_conns {
         0 => DEFAULT_MAX_CONNECTIONS,
@@ -22,7 +23,7 @@
     (max_connections / processes.max(1)).max(1)
 }
 
-/// One service, and what is learned of its calls.
+/// One service, with estimates from its calls.
 pub(crate) struct Service {
     pub spec: ServiceSpec,
     /// This process's share of the connections that each replica accepts.
@@ -32,15 +33,15 @@
     highest_priority: RecentPriority,
 }
 
-/// The highest priority among recent calls.
+/// Highest priority among recent calls.
 struct RecentPriority {
-    /// Rank of the priority; 0 is the highest.
+    /// Priority as configured; 0 is the highest.
     rank: u8,
-    /// When a call of this priority last arrived.
+    /// Time at which a call of this priority last arrived, in seconds.
     seen_at: f64,
 }
 
-/// Seconds for which a call of a higher priority ranks others below it.
+/// Seconds after the arrival of a call of the highest priority during which calls of lower priorities rank below it.
 const PRIORITY_WINDOW: f64 = 2.0;
 
 impl Service {
@@ -59,7 +60,7 @@
         service
     }
 
-    /// Applies its configuration. `edges` processes share the connections.
+    /// Applies the configuration of the service. `edges` processes share the connections of its replicas.
     pub(crate) fn configure(&mut self, spec: &ServiceSpec, edges: usize) {
         self.connections = connections_per_process(spec.max_conns, edges);
         self.spec = spec.clone();
@@ -75,18 +76,18 @@
         }
     }
 
-    /// Whether no call of a higher priority has arrived recently.
+    /// Whether no call of a higher priority has arrived within [`PRIORITY_WINDOW`].
     pub(crate) fn is_highest_priority(&self, now: f64, priority: u8) -> bool {
         let highest = &self.highest_priority;
         priority <= highest.rank || now > highest.seen_at + PRIORITY_WINDOW
     }
 
-    /// Records a sent call, of which the replica has to prefill `prefill_tokens` tokens.
+    /// Records that a call was sent for which the replica has to prefill `prefill_tokens` tokens.
     pub(crate) fn record_sent(&mut self, prefill_tokens: u32) {
         self.mean_prefill += LEARNING_RATE * (f64::from(prefill_tokens) - self.mean_prefill);
     }
 
-    /// Mean of the prefill tokens of a call; 0 if the service serves no model.
+    /// Mean number of prefill tokens of a call; 0 if the service has no engine.
     pub(crate) fn mean_prefill(&self) -> usize {
         if self.spec.engine.is_some() {
             self.mean_prefill.max(MIN_MEAN_PREFILL) as usize
@@ -95,14 +96,15 @@
         }
     }
 
-    /// This process's share of a replica's KV cache, in tokens.
+    /// Share of one of `edges` processes in a replica's KV cache, in tokens; 0 if the service has no engine.
     pub(crate) fn cache_share(&self, edges: usize) -> u64 {
         self.spec
             .engine
             .map_or(0, |engine| engine.kv_tokens / edges.max(1) as u64)
     }
 
-    /// Whether a prompt and its response exceed a replica's KV cache, so that all replicas reject it.
+    /// Whether the `tokens` of a prompt and its response exceed a replica's KV cache, so that all replicas reject the
+    /// call. False if the capacity is 0.
     pub(crate) fn is_too_large(&self, tokens: u64) -> bool {
         self.spec
             .engine
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which calls are rejected on arrival, and when their clients should retry.
+//! Load shedding: rejection of calls on arrival, and the `Retry-After` of rejected calls.
 
 use crate::call::CallId;
 use crate::mechanisms::{Mechanism, is_on};
@@ -9,17 +9,17 @@
 const MIN_RETRY_AFTER: f64 = 0.05;
 /// `Retry-After` in seconds while no replica is usable.
 const RETRY_AFTER_WITHOUT_REPLICA: f64 = 0.25;
-/// Largest `Retry-After` as a share of the client's remaining time. Clients ignore a longer one.
+/// Upper bound of `Retry-After`, as a share of the client's remaining time. Clients ignore a longer one.
 const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
-/// A call of a lower priority is rejected at this share of the delay that is acceptable for the highest.
+/// Acceptable delay of a call of a lower priority, as a share of the one for the highest priority.
 const LOWER_PRIORITY_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// The `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
+    /// Returns the `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
     ///
-    /// Calls are rejected only while every replica of the service is full: a call of a new program if the
-    /// program would not end in time at the present delay, and a call of a program in progress if its client
-    /// would give up before the response.
+    /// Calls are rejected only while every usable replica of the service is full. A call of a new program is rejected if
+    /// the program would not end in time at the current delay, and a call of a program in progress if the response would
+    /// miss the call's deadline.
     pub(crate) fn rejection_on_arrival(&self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         if !is_on(Mechanism::SheddingOnArrival) || !is_overloaded(now, &self.fleet, &call.service) {
@@ -51,7 +51,7 @@
         (delay > acceptable).then(|| self.retry_after_for(now, id))
     }
 
-    /// The `Retry-After` in seconds of a rejected call: when a replica probably has capacity, within
+    /// `Retry-After` in seconds of a rejected call: the estimated time until a replica has capacity, limited to
     /// [`RETRY_AFTER_SHARE`] of the client's remaining time.
     pub(crate) fn retry_after_for(&self, now: f64, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else {
--- a/crates/tier/scheduler/src/spec.rs
+++ b/crates/tier/scheduler/src/spec.rs
@@ -1,41 +1,41 @@
-//! Configured services and registered replicas, as the driver passes them.
+//! Configured services and registered replicas, as passed by the driver.
 
 use std::sync::Arc;
 
-/// A service of the operator's configuration.
+/// A configured service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that a replica accepts from all processes together; see
-    /// [`connections_per_process`](crate::connections_per_process) for 0.
+    /// Number of connections that a replica accepts from all processes together; for 0 see
+    /// [`connections_per_process`](crate::connections_per_process).
     pub max_conns: u32,
-    /// How the replicas generate tokens, if they serve a model.
+    /// Engine of the replicas; `None` if they serve no model.
     pub engine: Option<EngineSpec>,
 }
 
-/// How the replicas of a service generate tokens.
+/// Engine with which the replicas of a service generate tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Capacity of the KV cache for running requests and cached prefixes together, in tokens.
+    /// Capacity of a replica's KV cache for running requests and cached prefixes together, in tokens; 0 if not configured.
     pub kv_tokens: u64,
 }
 
 /// A registered replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaSpec {
-    /// Identifier of the replica's incarnation.
+    /// Identifier of this incarnation of the replica.
     pub id: Arc<str>,
-    /// Service that it belongs to.
+    /// Name of the service that the replica belongs to.
     pub service: Arc<str>,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: Arc<str>,
-    /// Requests that it processes concurrently.
+    /// Number of requests that the replica processes concurrently.
     pub capacity: u32,
-    /// Whether it accepts new requests; false while it is draining.
+    /// Whether the replica accepts new requests; false while it is draining.
     pub ready: bool,
-    /// Seconds until it has warmed up.
+    /// Seconds until the replica has warmed up; 0 if it is warm.
     pub cold_remaining: f64,
-    /// Version of its software.
+    /// Version of the replica's software. A change implies that its cache is empty.
     pub generation: Arc<str>,
 }
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -1,4 +1,4 @@
-//! The queuing deadline that the calls of one step of a program share.
+//! Queuing deadlines, which the calls of one step of a program share.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::programs::Programs;
 use crate::routes::LatenciesByRoute;
 
-/// The queuing deadlines of all steps at one time, with the state from which they are computed.
+/// Computes queuing deadlines from the state of the scheduler at one time.
 pub(crate) struct QueuingDeadlines<'a> {
     now: f64,
     calls: &'a BTreeMap<CallId, ActiveCall>,
@@ -32,14 +32,16 @@
         }
     }
 
-    /// When the calls of the step must have begun for all to be answered within the step's latency target:
-    /// its arrival plus the target, less the p-quantile of the product of its replicas' unloaded histograms
-    /// (DSSP paper, queuing deadline). `call` would be sent to `replica`; calls of the step without a replica
-    /// count as average.
+    /// The queuing deadline, in seconds, of `call` at `replica`: the time at which the calls of its step must start for
+    /// all to be answered within the latency target of the step.
     ///
-    /// Calls of different routes have separate histograms: the k' calls of one route get p^(k'/k) of the
-    /// whole.
-    pub(crate) fn of(&self, call: &ActiveCall, replica: ReplicaKey) -> f64 {
+    /// The deadline is the start of the step plus its latency target, less the p-quantile of the product of the unloaded
+    /// latency distributions of the replicas of its calls (DSSP paper, queuing deadline). Calls of the step without a
+    /// replica count with the average replica.
+    ///
+    /// Calls of different routes have separate distributions: for the k' calls of one route among k, the quantile is
+    /// p^(k'/k).
+    pub(crate) fn deadline_for(&self, call: &ActiveCall, replica: ReplicaKey) -> f64 {
         if !is_on(Mechanism::DeadlineOrder) {
             return call.request.arrived_at;
         }
@@ -76,7 +78,7 @@
     }
 }
 
-/// The replica at which a call is in flight or queued.
+/// The replica at which a call is in flight or queued; the latest one if a hedge is in flight.
 fn replica_of(call: &ActiveCall) -> Option<ReplicaKey> {
     let in_flight = call
         .attempts
