--- a/crates/tier/scheduler/src/lib.rs
+++ b/crates/tier/scheduler/src/lib.rs
@@ -16,10 +16,10 @@
 //! | `scheduler` | the inputs of the state machine |
 //! | `call`, `outcome`, `spec`, `action` | inputs from the driver and actions for it |
 //! | `call_state` | states of a call |
-//! | `decisions`, `hedging`, `shedding` | sending, queueing, retrying, hedging and rejecting calls |
+//! | `decisions`, `hedging`, `shedding` | sending, queueing, retries, hedges and rejections |
 //! | `placement` | choice of a replica |
 //! | `step` | the queuing deadline of a program's step |
-//! | `observations`, `replica`, `routes`, `programs`, `service` | observed latencies, health and load, and the estimates derived from them |
+//! | `observations`, `replica`, `routes`, `programs`, `service` | observed latencies, health and load, and estimates |
 //! | `decision_counts` | number of decisions by kind, for operators |
 //! | `mechanisms` | mechanisms that a build with the feature `ablation` can disable |
 //! | `active_call`, `fleet`, `prefix_cache`, `keys`, `retry_tokens`, `timers` | data structures of the state |
--- a/crates/tier/scheduler/src/shedding.rs
+++ b/crates/tier/scheduler/src/shedding.rs
@@ -17,9 +17,9 @@
 impl Scheduler {
     /// Returns the `Retry-After` in seconds if the call is rejected on arrival, or `None` if it is accepted.
     ///
-    /// Calls are rejected only while every usable replica of the service is full. A call of a new program is rejected if
-    /// the program would not end in time at the current delay, and a call of a program in progress if the response would
-    /// miss the call's deadline.
+    /// Calls are rejected only while every usable replica of the service is full. A call of a new program is
+    /// rejected if the program would not end in time at the current delay, and a call of a program in progress if the
+    /// response would miss the call's deadline.
     pub(crate) fn rejection_on_arrival(&self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         if !is_on(Mechanism::SheddingOnArrival) || !is_overloaded(now, &self.fleet, &call.service) {
--- a/crates/tier/scheduler/src/spec.rs
+++ b/crates/tier/scheduler/src/spec.rs
@@ -17,7 +17,8 @@
 /// Engine with which the replicas of a service generate tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Capacity of a replica's KV cache for running requests and cached prefixes together, in tokens; 0 if not configured.
+    /// Capacity of a replica's KV cache for running requests and cached prefixes together, in tokens; 0 if not
+    /// configured.
     pub kv_tokens: u64,
 }
 
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -35,9 +35,9 @@
     /// The queuing deadline, in seconds, of `call` at `replica`: the time at which the calls of its step must start for
     /// all to be answered within the latency target of the step.
     ///
-    /// The deadline is the start of the step plus its latency target, less the p-quantile of the product of the unloaded
-    /// latency distributions of the replicas of its calls (DSSP paper, queuing deadline). Calls of the step without a
-    /// replica count with the average replica.
+    /// The deadline is the start of the step plus its latency target, less the p-quantile of the product of the
+    /// unloaded latency distributions of the replicas of its calls (DSSP paper, queuing deadline). Calls of the step
+    /// without a replica count with the average replica.
     ///
     /// Calls of different routes have separate distributions: for the k' calls of one route among k, the quantile is
     /// p^(k'/k).
--- a/crates/tier/scheduler/src/timers.rs
+++ b/crates/tier/scheduler/src/timers.rs
@@ -16,8 +16,8 @@
 }
 
 impl Timers {
-    /// Replaces the timer of a call by one at `at`, in seconds; `None` only removes it. `timer` is the call's copy of its
-    /// timer, and is updated.
+    /// Replaces the timer of a call by one at `at`, in seconds; `None` only removes it. `timer` is the call's copy of
+    /// its timer, and is updated.
     pub(crate) fn set(&mut self, timer: &mut Option<i64>, id: CallId, at: Option<f64>) {
         if let Some(old) = timer.take() {
             self.0.remove(&(old, id));
--- a/crates/tier/scheduler/tests/ablation.rs
+++ b/crates/tier/scheduler/tests/ablation.rs
@@ -1,16 +1,17 @@
-//! Mechanisms that are switched off: each by its name alone, and no rule of a call breaks without it.
+//! Mechanisms that are disabled for a measurement. A disabled mechanism must have no effect, no other mechanism may be
+//! disabled with it, and no rule of a call may depend on it.
 
 mod common;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use common::{Driver, call, replicas, service, unsafe_call};
+use common::{Driver, call, non_idempotent_call, replicas, service};
 use woadreach_scheduler::{Mechanism, Outcome, switch_all_on, switch_off};
 
-/// The switches belong to the whole process, so that only one test may use them at a time.
+/// Lock of the switches, which are global to the process: only one test may use them at a time.
 static SWITCHES: Mutex<()> = Mutex::new(());
 
-/// Switches that are on again at the end.
+/// Guard of disabled mechanisms, which enables all mechanisms on drop.
 struct Switches(#[expect(dead_code, reason = "held until the test ends")] MutexGuard<'static, ()>);
 
 impl Switches {
@@ -29,28 +30,32 @@
 }
 
 #[test]
-fn each_mechanism_has_a_name_of_its_own() {
+fn names_of_mechanisms_are_unique() {
     for mechanism in Mechanism::ALL {
         assert_eq!(Mechanism::from_name(mechanism.as_str()), Some(mechanism));
     }
     assert_eq!(Mechanism::from_name("gravity"), None);
 }
 
-/// Calls that a run has in flight before the oldest of them is answered.
+/// Number of later calls after which an attempt gets its outcome.
 const IN_FLIGHT: u64 = 12;
 
-/// Calls of a run with a replica that fails, one that never answers and one that refuses, 100 a second; the driver checks
-/// every action against the rules. Returns what became of all calls, to tell runs apart.
-fn play(seed: u64) -> String {
-    let mut driver = Driver::new(seed, service(), &replicas(&["good", "bad", "mute", "full"]));
+/// Submits 100 calls a second to four replicas: one answers, one fails, one never responds and one rejects. The driver
+/// checks every action against the rules. Returns the trace of all actions, to compare runs.
+fn run_trace(seed: u64) -> String {
+    let mut driver = Driver::new(
+        seed,
+        service(),
+        &replicas(&["good", "bad", "unresponsive", "full"]),
+    );
     for newest in 1..=250 {
         if newest % 3 == 0 {
-            driver.submit(unsafe_call(driver.now, newest));
+            driver.submit(non_idempotent_call(driver.now, newest));
         } else {
             driver.submit(call(driver.now, newest));
         }
         driver.advance(0.01);
-        for (id, attempt) in driver.out() {
+        for (id, attempt) in driver.attempts_in_flight() {
             if id + IN_FLIGHT > newest {
                 continue;
             }
@@ -69,29 +74,30 @@
 }
 
 #[test]
-fn no_rule_of_a_call_breaks_without_any_one_mechanism() {
+fn rules_hold_with_any_one_mechanism_disabled() {
     for mechanism in Mechanism::ALL {
         let _switches = Switches::without(&[mechanism]);
         for seed in 0..4 {
-            play(seed);
+            run_trace(seed);
         }
     }
 }
 
 #[test]
-fn no_rule_of_a_call_breaks_without_all_of_them() {
+fn rules_hold_with_all_mechanisms_disabled() {
     let _switches = Switches::without(&Mechanism::ALL);
     for seed in 0..4 {
-        play(seed);
+        run_trace(seed);
     }
 }
 
-/// Those mechanisms that act in this run change it when they are off; the others act on programs and engines only.
+/// A mechanism that stays active when disabled would leave the trace unchanged. Mechanisms that have no effect in this
+/// run, such as those for programs and engines, are not listed.
 #[test]
-fn a_mechanism_that_is_off_does_not_act() {
-    let with_all = {
+fn disabling_a_mechanism_changes_the_actions() {
+    let all_enabled = {
         let _switches = Switches::without(&[]);
-        play(1)
+        run_trace(1)
     };
     let acting = [
         Mechanism::Hedging,
@@ -101,30 +107,30 @@
     ];
     for mechanism in acting {
         let _switches = Switches::without(&[mechanism]);
-        assert!(play(1) != with_all, "{mechanism:?}");
+        assert!(run_trace(1) != all_enabled, "{mechanism:?}");
     }
     let _switches = Switches::without(&[]);
-    assert!(play(1) == with_all, "switched on again");
+    assert!(run_trace(1) == all_enabled, "all mechanisms enabled again");
 }
 
-/// How many of three calls are sent after one of three before them has been turned away by the only replica.
-fn sends_after_a_full_answer() -> usize {
+/// Number of sends of three calls, after the only replica has rejected one of the three calls before them.
+fn sends_after_a_rejection() -> usize {
     let mut driver = Driver::new(1, service(), &replicas(&["only"]));
     for id in 1..=3 {
-        driver.submit(unsafe_call(driver.now, id));
+        driver.submit(non_idempotent_call(driver.now, id));
     }
     let full = Outcome::NotExecuted { retry_after: None };
     driver.attempt_ended(3, 0, full);
     for id in 4..=6 {
-        driver.submit(unsafe_call(driver.now, id));
+        driver.submit(non_idempotent_call(driver.now, id));
     }
     (4..=6).map(|id| driver.sent_to(id).len()).sum()
 }
 
 #[test]
-fn without_hold_nothing_is_queued_behind_a_full_replica() {
+fn with_hold_disabled_a_rejection_causes_no_queueing() {
     let _switches = Switches::without(&[]);
-    assert!(sends_after_a_full_answer() < 3, "the rest is queued");
+    assert!(sends_after_a_rejection() < 3, "the others are queued");
     switch_off(Mechanism::Hold);
-    assert_eq!(sends_after_a_full_answer(), 3);
+    assert_eq!(sends_after_a_rejection(), 3);
 }
--- a/crates/tier/scheduler/tests/common/base_call.rs
+++ b/crates/tier/scheduler/tests/common/base_call.rs
@@ -1,10 +1,10 @@
-//! The call that other calls of tests are derived from. The unit tests include this file too.
+//! Default call from which tests derive their calls. Integration and unit tests include this file.
 
 use std::sync::Arc;
 
 use super::{Call, CallId, CallKind};
 
-/// A safe call of no program and no service, which arrives at `now`.
+/// An idempotent call without a program or service, which arrives at `now`.
 pub(crate) fn base_call(now: f64, id: u64) -> Call {
     Call {
         id: CallId(id),
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A driver for tests, which has the state of a real driver and checks every action against the rules.
+//! Test driver, which tracks the state of all calls and checks every action of the scheduler against the rules of a
+//! call.
 
 #![allow(dead_code)]
 
@@ -48,7 +49,7 @@
     ids.iter().map(|id| replica(id)).collect()
 }
 
-/// A safe call that arrives at `now` and may be sent to two replicas.
+/// An idempotent call that arrives at `now` and may be sent to two replicas.
 pub(crate) fn call(now: f64, id: u64) -> Call {
     Call {
         services: vec![WeightedService {
@@ -60,7 +61,7 @@
     }
 }
 
-pub(crate) fn unsafe_call(now: f64, id: u64) -> Call {
+pub(crate) fn non_idempotent_call(now: f64, id: u64) -> Call {
     Call {
         kind: CallKind::NonIdempotent,
         ..call(now, id)
@@ -76,23 +77,23 @@
     Cancelled,
 }
 
-/// A call as the driver sees it.
-pub(crate) struct Seen {
+/// State of a call at the driver.
+pub(crate) struct TrackedCall {
     pub call: Call,
-    /// Replica and outcome of each attempt; `None` while it is in flight, and for aborted ones.
+    /// Replica and outcome of each attempt. The outcome is `None` for attempts in flight and aborted attempts.
     pub attempts: Vec<(Arc<str>, Option<Outcome>)>,
     pub aborted: BTreeSet<u32>,
     pub end: Option<End>,
 }
 
-impl Seen {
-    fn is_out(&self, attempt: usize) -> bool {
+impl TrackedCall {
+    fn is_in_flight(&self, attempt: usize) -> bool {
         self.end.is_none()
             && self.attempts[attempt].1.is_none()
             && !self.aborted.contains(&(attempt as u32))
     }
 
-    /// Whether the outcomes prove that the call has not run, independently of the scheduler's own state.
+    /// Whether the outcomes prove that the call has not run. Computed independently of the scheduler.
     fn has_not_run(&self) -> bool {
         self.attempts.iter().all(|(_, outcome)| match outcome {
             Some(Outcome::NotExecuted { .. } | Outcome::Misdirected | Outcome::Unreachable) => true,
@@ -109,7 +110,7 @@
         )
     }
 
-    /// Replicas that bytes of the call reached.
+    /// Replicas that may have received bytes of the call.
     fn reached(&self) -> BTreeSet<Arc<str>> {
         let reached = |outcome: &Option<Outcome>| {
             !matches!(
@@ -130,11 +131,11 @@
     }
 }
 
-/// The scheduler with its driver.
+/// The scheduler and the state of its driver.
 pub(crate) struct Driver {
     pub now: f64,
     pub scheduler: Scheduler,
-    pub seen: BTreeMap<CallId, Seen>,
+    pub calls: BTreeMap<CallId, TrackedCall>,
     pub listed: BTreeMap<Arc<str>, ReplicaSpec>,
     pub trace: Vec<Action>,
     misdirected: BTreeSet<Arc<str>>,
@@ -145,17 +146,17 @@
         let mut driver = Driver {
             now: 100.0,
             scheduler: Scheduler::new(seed, ZONE.to_string()),
-            seen: BTreeMap::new(),
+            calls: BTreeMap::new(),
             listed: BTreeMap::new(),
             trace: Vec::new(),
             misdirected: BTreeSet::new(),
         };
         driver.scheduler.update_services(&[service], 1);
-        driver.list(replicas);
+        driver.update_replicas(replicas);
         driver
     }
 
-    pub(crate) fn list(&mut self, replicas: &[ReplicaSpec]) {
+    pub(crate) fn update_replicas(&mut self, replicas: &[ReplicaSpec]) {
         for spec in replicas {
             let changed = self.listed.get(&spec.id).is_some_and(|known| known != spec);
             if changed || !self.listed.contains_key(&spec.id) {
@@ -174,19 +175,22 @@
 
     pub(crate) fn submit(&mut self, call: Call) -> Vec<Action> {
         let id = call.id;
-        let seen = Seen {
+        let tracked = TrackedCall {
             call: call.clone(),
             attempts: Vec::new(),
             aborted: BTreeSet::new(),
             end: None,
         };
-        assert!(self.seen.insert(id, seen).is_none(), "{id:?} is used twice");
+        assert!(
+            self.calls.insert(id, tracked).is_none(),
+            "{id:?} is used twice"
+        );
         let actions = self.scheduler.submit(self.now, call);
         self.check_all(&actions);
         actions
     }
 
-    /// Advances the time, with every wake that is due meanwhile.
+    /// Advances the time by `seconds`, and makes every wake that becomes due.
     pub(crate) fn advance(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut all = Vec::new();
@@ -215,15 +219,18 @@
         outcome: Outcome,
         load: Option<ServerLoad>,
     ) -> Vec<Action> {
-        let seen = self.seen.get_mut(&CallId(id)).expect("a call that arrived");
-        if seen.is_out(attempt as usize) {
-            seen.attempts[attempt as usize].1 = Some(outcome);
+        let tracked = self
+            .calls
+            .get_mut(&CallId(id))
+            .expect("a call that arrived");
+        if tracked.is_in_flight(attempt as usize) {
+            tracked.attempts[attempt as usize].1 = Some(outcome);
             if outcome == Outcome::Misdirected {
                 self.misdirected
-                    .insert(seen.attempts[attempt as usize].0.clone());
+                    .insert(tracked.attempts[attempt as usize].0.clone());
             }
             if outcome == Outcome::Answered {
-                seen.end = Some(End::Answered);
+                tracked.end = Some(End::Answered);
             }
         }
         let actions = self
@@ -234,41 +241,42 @@
     }
 
     pub(crate) fn call_ended(&mut self, id: u64) -> Vec<Action> {
-        if let Some(seen) = self.seen.get_mut(&CallId(id)) {
-            seen.end = seen.end.or(Some(End::Cancelled));
+        if let Some(tracked) = self.calls.get_mut(&CallId(id)) {
+            tracked.end = tracked.end.or(Some(End::Cancelled));
         }
         let actions = self.scheduler.call_ended(self.now, CallId(id));
         self.check_all(&actions);
         actions
     }
 
-    /// Attempts in flight, as (call, attempt).
-    pub(crate) fn out(&self) -> Vec<(u64, u32)> {
-        let each = |(id, seen): (&CallId, &Seen)| {
-            let out: Vec<_> = (0..seen.attempts.len())
-                .filter(|n| seen.is_out(*n))
+    /// Attempts in flight, as pairs of call and index of the attempt.
+    pub(crate) fn attempts_in_flight(&self) -> Vec<(u64, u32)> {
+        let each = |(id, tracked): (&CallId, &TrackedCall)| {
+            let in_flight: Vec<_> = (0..tracked.attempts.len())
+                .filter(|n| tracked.is_in_flight(*n))
                 .collect();
-            out.into_iter()
+            in_flight
+                .into_iter()
                 .map(move |n| (id.0, n as u32))
                 .collect::<Vec<_>>()
         };
-        self.seen.iter().flat_map(each).collect()
+        self.calls.iter().flat_map(each).collect()
     }
 
     pub(crate) fn end(&self, id: u64) -> Option<End> {
-        self.seen[&CallId(id)].end
+        self.calls[&CallId(id)].end
     }
 
-    /// The replicas that a call was sent to, in order.
+    /// Replicas that a call was sent to, in the order of its attempts.
     pub(crate) fn sent_to(&self, id: u64) -> Vec<String> {
-        self.seen[&CallId(id)]
+        self.calls[&CallId(id)]
             .attempts
             .iter()
             .map(|(replica, _)| replica.to_string())
             .collect()
     }
 
-    /// Runs every wake that is due now.
+    /// Makes every wake that is due now.
     pub(crate) fn run_due(&mut self) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..1_000 {
@@ -284,7 +292,7 @@
             self.check_all(&actions);
             all.extend(actions);
         }
-        panic!("next_wake stays due at {}", self.now);
+        panic!("next_wake is still due at {} s after 1,000 wakes", self.now);
     }
 
     fn check_all(&mut self, actions: &[Action]) {
@@ -293,12 +301,19 @@
         self.check_progress();
     }
 
-    /// Checks that each call has an attempt in flight, or a timer.
+    /// Checks that each unfinished call has an attempt in flight, or the scheduler a timer.
     fn check_progress(&self) {
         let woken = self.scheduler.next_wake(self.now).is_some();
-        for (id, seen) in self.seen.iter().filter(|(_, seen)| seen.end.is_none()) {
-            let out = (0..seen.attempts.len()).any(|n| seen.is_out(n));
-            assert!(out || woken, "{id:?} is forgotten");
+        for (id, tracked) in self
+            .calls
+            .iter()
+            .filter(|(_, tracked)| tracked.end.is_none())
+        {
+            let in_flight = (0..tracked.attempts.len()).any(|n| tracked.is_in_flight(n));
+            assert!(
+                in_flight || woken,
+                "{id:?} has neither an attempt in flight nor a timer"
+            );
         }
     }
 
@@ -314,63 +329,66 @@
                 self.check_send(*call, *attempt, replica, *timeout);
             }
             Action::Refuse { call, retry_after } => {
-                let seen = self.in_flight(*call);
+                let tracked = self.in_flight(*call);
                 assert!(
-                    seen.has_not_run(),
-                    "{call:?} is refused though it may have run"
+                    tracked.has_not_run(),
+                    "{call:?} is rejected although it may have run"
                 );
                 assert!(*retry_after > 0.0 && retry_after.is_finite());
-                seen.end = Some(End::Refused);
+                tracked.end = Some(End::Refused);
             }
             Action::Fail { call, reason } => {
-                let seen = self.in_flight(*call);
+                let tracked = self.in_flight(*call);
                 assert!(
-                    !seen.has_not_run(),
-                    "{call:?} fails though it is proven not to have run"
+                    !tracked.has_not_run(),
+                    "{call:?} fails although it is known not to have run"
                 );
-                seen.end = Some(End::Failed(*reason));
+                tracked.end = Some(End::Failed(*reason));
             }
             Action::Abort { call, attempt } => {
-                let seen = self.seen.get_mut(call).expect("a call that arrived");
-                let is_new = seen.aborted.insert(*attempt);
+                let tracked = self.calls.get_mut(call).expect("a call that arrived");
+                let is_new = tracked.aborted.insert(*attempt);
                 assert!(
-                    is_new && seen.attempts[*attempt as usize].1.is_none(),
-                    "{call:?} is aborted twice"
+                    is_new && tracked.attempts[*attempt as usize].1.is_none(),
+                    "{call:?} has attempt {attempt} aborted twice or after its outcome"
                 );
             }
         }
     }
 
-    fn in_flight(&mut self, id: CallId) -> &mut Seen {
-        let seen = self.seen.get_mut(&id).expect("a call that arrived");
-        assert_eq!(seen.end, None, "{id:?} ends twice or goes on after its end");
-        seen
+    fn in_flight(&mut self, id: CallId) -> &mut TrackedCall {
+        let tracked = self.calls.get_mut(&id).expect("a call that arrived");
+        assert_eq!(tracked.end, None, "{id:?} has an action after its end");
+        tracked
     }
 
     fn check_send(&mut self, id: CallId, attempt: u32, replica: &Arc<str>, timeout: f64) {
         let now = self.now;
-        let spec = self.listed.get(replica).expect("a replica that is listed");
-        assert!(spec.ready, "{id:?} is sent to {replica}, which drains");
+        let spec = self.listed.get(replica).expect("a registered replica");
+        assert!(spec.ready, "{id:?} is sent to {replica}, which is draining");
         assert!(
             !self.misdirected.contains(replica),
-            "{replica} is not at its address"
+            "{id:?} is sent to {replica}, which was misdirected and has no new record"
         );
-        let seen = self.in_flight(id);
-        assert_eq!(attempt as usize, seen.attempts.len());
+        let tracked = self.in_flight(id);
+        assert_eq!(attempt as usize, tracked.attempts.len());
         assert!(
-            seen.may_run_again() || seen.has_not_run(),
-            "{id:?} may run twice"
+            tracked.may_run_again() || tracked.has_not_run(),
+            "{id:?} is not idempotent, may have run, and is sent again"
         );
-        assert!(timeout > 0.0 && now + timeout <= seen.call.deadline + 1e-9);
-        let out = (0..seen.attempts.len()).filter(|n| seen.is_out(*n)).count();
+        assert!(timeout > 0.0 && now + timeout <= tracked.call.deadline + 1e-9);
+        let in_flight = (0..tracked.attempts.len())
+            .filter(|n| tracked.is_in_flight(*n))
+            .count();
         assert!(
-            out == 0 || (seen.call.kind == CallKind::Idempotent && out == 1),
-            "{id:?} has {out} out"
+            in_flight == 0 || (tracked.call.kind == CallKind::Idempotent && in_flight == 1),
+            "{id:?} is sent while {in_flight} attempts are in flight"
         );
-        seen.attempts.push((replica.clone(), None));
+        tracked.attempts.push((replica.clone(), None));
         assert!(
-            seen.reached().len() <= seen.call.max_replicas.max(1) as usize,
-            "{id:?} goes too far"
+            tracked.reached().len() <= tracked.call.max_replicas.max(1) as usize,
+            "{id:?} reached more than {} replicas",
+            tracked.call.max_replicas
         );
     }
 }
--- a/crates/tier/scheduler/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -1,14 +1,14 @@
-//! The home of a program's or an object's calls, on which processes agree without a message.
+//! Homes of programs and objects, on which processes agree without messages.
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::{Driver, engine_service, replica, replicas, service, unsafe_call};
+use common::{Driver, engine_service, non_idempotent_call, replica, replicas, service};
 use woadreach_scheduler::{Call, Outcome, PrefixPart, ReplicaSpec};
 
-/// A call of a program, of which no process knows the prompt yet.
+/// A call of `program`, whose prompt no process has sent before.
 fn turn(now: f64, id: u64, program: u64) -> Call {
     let prefix = vec![
         PrefixPart {
@@ -24,14 +24,14 @@
         program: Some(program),
         prefix,
         prompt_tokens: 4_000,
-        ..unsafe_call(now, id)
+        ..non_idempotent_call(now, id)
     }
 }
 
 fn about(now: f64, id: u64, object: u64) -> Call {
     Call {
         affinity: Some(object),
-        ..unsafe_call(now, id)
+        ..non_idempotent_call(now, id)
     }
 }
 
@@ -41,7 +41,7 @@
         .collect()
 }
 
-/// The replica to which a process without any observations sends a program's call.
+/// Replica to which a process without any observations sends a call of `program`.
 fn home_of(seed: u64, list: &[ReplicaSpec], program: u64) -> String {
     let mut driver = Driver::new(seed, engine_service(), list);
     driver.submit(turn(driver.now, 1, program));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn processes_that_never_spoke_agree() {
+fn processes_agree_on_homes_without_communication() {
     for size in [2, 7, 56, 300] {
         let list = fleet(size);
         for program in 0..20 {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_replica_that_leaves_moves_only_its_own_programs() {
+fn departure_of_a_replica_moves_only_its_own_programs() {
     let before = fleet(12);
     let after = &before[1..];
     for program in 0..100 {
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_home_with_many_more_own_calls_is_not_chosen() {
+fn a_home_with_many_more_calls_in_flight_is_not_chosen() {
     let mut driver = Driver::new(1, engine_service(), &fleet(6));
     for id in 1..=30 {
-        // Concurrent sub-agents, each with an input of its own.
+        // Concurrent sub-agents, each with a different second part of the prompt.
         let mut call = turn(driver.now, id, 5);
         call.prefix[1].id += id;
         driver.submit(call);
@@ -123,7 +123,7 @@
     let home = driver.sent_to(1)[0].clone();
     assert!(
         (1..=3).all(|id| driver.sent_to(id)[0] == home),
-        "a few more calls are cheaper than reading"
+        "a few more calls at the home cost less than a prefill elsewhere"
     );
     let at_home = (1..=30).filter(|id| driver.sent_to(*id)[0] == home).count();
     assert!(
@@ -142,7 +142,7 @@
     assert_ne!(
         driver.sent_to(2)[0],
         home,
-        "it has one call more than the others"
+        "the home has one call more than the others"
     );
     driver.attempt_ended(1, 0, Outcome::Answered);
     driver.attempt_ended(2, 0, Outcome::Answered);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_object_has_a_home_in_another_zone_too() {
+fn homes_of_objects_are_in_any_zone() {
     let far = |id: &str| ReplicaSpec {
         zone: Arc::from("zone-b"),
         ..replica(id)
@@ -170,7 +170,7 @@
     assert_eq!(homes.len(), 4);
 }
 
-/// Replicas by zone, as many as given for each.
+/// Replicas in the given zones, with the number of replicas for each.
 fn zones(counts: &[(&str, usize)]) -> Vec<ReplicaSpec> {
     let of_zone = |(zone, count): &(&str, usize)| {
         let zone: Arc<str> = Arc::from(*zone);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn programs_have_their_home_in_the_own_zone() {
+fn programs_have_their_home_in_the_local_zone() {
     let list = zones(&[(common::ZONE, 3), ("zone-b", 4), ("zone-c", 3)]);
     for program in 0..50 {
         assert!(
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_zone_with_few_replicas_keeps_its_programs_only_by_chance() {
+fn homes_are_local_only_if_the_zone_has_enough_replicas() {
     let cases: [(&[(&str, usize)], bool); 4] = [
         (&[(common::ZONE, 1), ("zone-b", 10), ("zone-c", 10)], false),
         (&[(common::ZONE, 4), ("zone-b", 10), ("zone-c", 10)], true),
@@ -207,13 +207,20 @@
         let near = (0..60)
             .filter(|program| home_of(1, &list, *program).starts_with(common::ZONE))
             .count();
-        assert_eq!(near == 60, all_stay, "{counts:?}: {near} of 60 stay");
-        assert!(all_stay || near < 30, "{counts:?}: {near} of 60 stay");
+        assert_eq!(
+            near == 60,
+            all_stay,
+            "{counts:?}: {near} of 60 in the local zone"
+        );
+        assert!(
+            all_stay || near < 30,
+            "{counts:?}: {near} of 60 in the local zone"
+        );
     }
 }
 
 #[test]
-fn a_zone_without_replicas_shares_the_homes_of_the_others() {
+fn programs_of_a_zone_without_replicas_have_homes_in_all_other_zones() {
     let list = zones(&[("zone-b", 3), ("zone-c", 3)]);
     let homes: BTreeSet<String> = (0..40).map(|program| home_of(1, &list, program)).collect();
     assert_eq!(homes.len(), 6);
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -1,10 +1,10 @@
-//! Choice of the replica for an attempt.
+//! Choice of a replica for an attempt.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{Driver, call, engine_service, replica, replicas, service, unsafe_call};
+use common::{Driver, call, engine_service, non_idempotent_call, replica, replicas, service};
 use woadreach_scheduler::{
     Action, Call, Outcome, PrefixPart, ReplicaSpec, ServerLoad, ServiceSpec,
     connections_per_process,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A call whose prompt consists of a shared part and one of its session.
+/// A call whose prompt consists of a part shared by all sessions and a part of its own session.
 fn turn(now: f64, id: u64, session: u64, tokens: u32) -> Call {
     let prefix = vec![
         PrefixPart {
@@ -32,7 +32,7 @@
     Call {
         prefix,
         prompt_tokens: 2_560 + tokens,
-        ..unsafe_call(now, id)
+        ..non_idempotent_call(now, id)
     }
 }
 
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn the_fewest_own_calls_decide() {
+fn the_replica_with_the_fewest_calls_in_flight_is_chosen() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     for id in 1..=9 {
-        driver.submit(unsafe_call(driver.now, id));
+        driver.submit(non_idempotent_call(driver.now, id));
     }
     for name in ["a", "b", "c"] {
         let there = (1..=9).filter(|id| driver.sent_to(*id) == [name]).count();
@@ -60,14 +60,14 @@
 fn ties_are_broken_at_random() {
     let first =
         |seed| Driver::new(seed, service(), &replicas(&["a", "b", "c"])).submit(call(100.0, 1));
-    let mut seen: Vec<_> = (0..50).flat_map(|seed| sent_to(&first(seed))).collect();
-    seen.sort();
-    seen.dedup();
-    assert_eq!(seen, ["a", "b", "c"]);
+    let mut chosen: Vec<_> = (0..50).flat_map(|seed| sent_to(&first(seed))).collect();
+    chosen.sort();
+    chosen.dedup();
+    assert_eq!(chosen, ["a", "b", "c"]);
 }
 
 #[test]
-fn among_equals_the_own_zone_wins() {
+fn the_local_zone_is_preferred_among_equals() {
     let list = [
         in_zone("far", "zone-b"),
         in_zone("near", common::ZONE),
@@ -76,21 +76,21 @@
     for seed in 0..20 {
         let mut driver = Driver::new(seed, service(), &list);
         assert_eq!(
-            sent_to(&driver.submit(unsafe_call(driver.now, 1))),
+            sent_to(&driver.submit(non_idempotent_call(driver.now, 1))),
             ["near"]
         );
         assert_ne!(
-            sent_to(&driver.submit(unsafe_call(driver.now, 2))),
+            sent_to(&driver.submit(non_idempotent_call(driver.now, 2))),
             ["near"],
-            "it has one call more"
+            "the local replica has one call more"
         );
     }
 }
 
 #[test]
-fn draining_replicas_get_nothing() {
+fn draining_replicas_receive_no_calls() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.list(&[
+    driver.update_replicas(&[
         ReplicaSpec {
             ready: false,
             ..replica("a")
@@ -98,19 +98,22 @@
         replica("b"),
     ]);
     for id in 1..=5 {
-        assert_eq!(sent_to(&driver.submit(unsafe_call(driver.now, id))), ["b"]);
+        assert_eq!(
+            sent_to(&driver.submit(non_idempotent_call(driver.now, id))),
+            ["b"]
+        );
     }
 }
 
 #[test]
 fn a_misdirected_replica_is_not_used_until_its_record_changes() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
-    driver.submit(unsafe_call(driver.now, 1));
+    driver.submit(non_idempotent_call(driver.now, 1));
     let refused = driver.attempt_ended(1, 0, Outcome::Misdirected);
     assert!(matches!(refused[..], [Action::Refuse { .. }]));
-    driver.submit(unsafe_call(driver.now, 2));
+    driver.submit(non_idempotent_call(driver.now, 2));
     assert!(driver.sent_to(2).is_empty());
-    driver.list(&[ReplicaSpec {
+    driver.update_replicas(&[ReplicaSpec {
         generation: Arc::from("v2"),
         ..replica("a")
     }]);
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn a_session_goes_where_its_prompt_is_cached() {
+fn calls_of_a_session_are_sent_to_the_replica_that_cached_its_prompt() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     driver.submit(turn(driver.now, 1, 5, 1_000));
     let first = driver.sent_to(1);
@@ -132,12 +135,12 @@
 }
 
 #[test]
-fn a_session_stays_without_known_parts_of_its_prompt() {
+fn a_session_without_prompt_parts_stays_at_its_replica() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     let turn = |now, id, prompt_tokens| Call {
         session: Some(9),
         prompt_tokens,
-        ..unsafe_call(now, id)
+        ..non_idempotent_call(now, id)
     };
     for id in 1..=8 {
         driver.submit(turn(driver.now, id, 2_000 + 500 * id as u32));
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn a_hot_prompt_spreads_when_its_replica_is_clearly_busier() {
+fn calls_with_a_shared_prompt_are_spread_over_all_replicas() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     for id in 1..=40 {
         driver.submit(turn(driver.now, id, id, 1_000));
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn a_replica_of_a_new_generation_has_lost_its_cache() {
+fn a_replica_of_a_new_generation_has_an_empty_cache() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b"]));
     driver.submit(turn(driver.now, 1, 5, 4_000));
     let first = driver.sent_to(1)[0].clone();
@@ -170,19 +173,19 @@
         ..replica(&first)
     };
     let other = if first == "a" { "b" } else { "a" };
-    driver.list(&[changed, replica(other)]);
+    driver.update_replicas(&[changed, replica(other)]);
     driver.submit(turn(driver.now, 3, 5, 4_000));
     assert_eq!(
         driver.sent_to(3),
         [other],
-        "where the other call is not in flight"
+        "the replica without a call in flight"
     );
 }
 
 #[test]
-fn a_replica_that_reports_that_it_is_full_is_not_chosen() {
+fn a_replica_that_reports_full_slots_is_not_chosen() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
-    driver.submit(unsafe_call(driver.now, 1));
+    driver.submit(non_idempotent_call(driver.now, 1));
     let full = driver.sent_to(1)[0].clone();
     let load = ServerLoad {
         running: 6,
@@ -191,20 +194,20 @@
     };
     driver.attempt_ended_with_load(1, 0, Outcome::Answered, Some(load));
     for id in 2..=4 {
-        driver.submit(unsafe_call(driver.now, id));
-        assert_ne!(driver.sent_to(id)[0], full, "while the report is fresh");
+        driver.submit(non_idempotent_call(driver.now, id));
+        assert_ne!(driver.sent_to(id)[0], full, "the report has not expired");
     }
     driver.advance(1.5);
-    driver.submit(unsafe_call(driver.now, 5));
+    driver.submit(non_idempotent_call(driver.now, 5));
     assert_eq!(
         driver.sent_to(5)[0],
         full,
-        "it has the fewest own calls again"
+        "the report has expired, and the replica has the fewest calls in flight"
     );
 }
 
 #[test]
-fn own_calls_at_a_replica_stay_within_the_share_of_its_connections() {
+fn calls_in_flight_at_a_replica_are_limited_to_the_share_of_its_connections() {
     let limited = ServiceSpec {
         max_conns: 6,
         ..service()
@@ -212,11 +215,11 @@
     let mut driver = Driver::new(1, limited.clone(), &replicas(&["a", "b"]));
     driver.scheduler.update_services(&[limited], 3);
     for id in 1..=4 {
-        assert_eq!(driver.submit(unsafe_call(driver.now, id)).len(), 1);
+        assert_eq!(driver.submit(non_idempotent_call(driver.now, id)).len(), 1);
     }
     assert!(
-        driver.submit(unsafe_call(driver.now, 5)).is_empty(),
-        "2 calls at each of 2 replicas"
+        driver.submit(non_idempotent_call(driver.now, 5)).is_empty(),
+        "the limit is 2 calls at each of 2 replicas"
     );
     let freed = driver.sent_to(1)[0].clone();
     assert_eq!(
@@ -233,20 +236,20 @@
     assert_eq!(
         connections_per_process(0, 4),
         256,
-        "not limited by the configuration"
+        "1,024 connections if none are configured"
     );
     assert_eq!(connections_per_process(4, 0), 4);
 }
 
 #[test]
-fn a_replica_in_slow_start_receives_calls_as_it_answers() {
+fn a_replica_in_slow_start_has_one_call_in_flight_before_its_first_answers() {
     let warming = ReplicaSpec {
         cold_remaining: 10.0,
         ..replica("warming")
     };
     let mut driver = Driver::new(1, service(), &[replica("warm"), warming]);
     for id in 1..=8 {
-        driver.submit(unsafe_call(driver.now, id));
+        driver.submit(non_idempotent_call(driver.now, id));
     }
     let slow_start_calls = (1..=8)
         .filter(|id| driver.sent_to(*id) == ["warming"])
--- a/crates/tier/scheduler/tests/retries.rs
+++ b/crates/tier/scheduler/tests/retries.rs
@@ -1,12 +1,12 @@
-//! Retries and hedges, and how a call ends that is not retried.
+//! Retries and hedges, and the ends of calls that are not retried.
 
 mod common;
 
 use common::{Driver, End, call, replicas, service};
 use woadreach_scheduler::{Action, Call, CallKind, FailReason, Outcome};
 
-const SAFE: CallKind = CallKind::Idempotent;
-const UNSAFE: CallKind = CallKind::NonIdempotent;
+const IDEMPOTENT: CallKind = CallKind::Idempotent;
+const NON_IDEMPOTENT: CallKind = CallKind::NonIdempotent;
 const STREAM: CallKind = CallKind::Streaming { resumable: false };
 const RESUMABLE: CallKind = CallKind::Streaming { resumable: true };
 
@@ -47,27 +47,37 @@
 }
 
 #[test]
-fn what_follows_a_first_attempt() {
+fn outcome_of_the_first_attempt_decides_on_a_retry() {
     use FailReason::{MayHaveRun, ReplicaError, TimedOut};
     let cases = [
-        (SAFE, 2, FULL, Next::Again),
-        (SAFE, 2, Outcome::ReplicaError, Next::Again),
-        (SAFE, 2, LOST, Next::Again),
-        (SAFE, 1, LOST, Next::Failed(MayHaveRun)),
-        (SAFE, 1, Outcome::ReplicaError, Next::Failed(ReplicaError)),
-        (SAFE, 1, Outcome::TimedOut, Next::Failed(TimedOut)),
-        (SAFE, 1, BROKEN_UNSENT, Next::Again),
+        (IDEMPOTENT, 2, FULL, Next::Again),
+        (IDEMPOTENT, 2, Outcome::ReplicaError, Next::Again),
+        (IDEMPOTENT, 2, LOST, Next::Again),
+        (IDEMPOTENT, 1, LOST, Next::Failed(MayHaveRun)),
+        (
+            IDEMPOTENT,
+            1,
+            Outcome::ReplicaError,
+            Next::Failed(ReplicaError),
+        ),
+        (IDEMPOTENT, 1, Outcome::TimedOut, Next::Failed(TimedOut)),
+        (IDEMPOTENT, 1, BROKEN_UNSENT, Next::Again),
         (RESUMABLE, 2, BROKEN_MIDWAY, Next::Again),
         (RESUMABLE, 1, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
-        (UNSAFE, 2, FULL, Next::Again),
-        (UNSAFE, 2, Outcome::Misdirected, Next::Again),
-        (UNSAFE, 1, Outcome::Misdirected, Next::Again),
-        (UNSAFE, 1, Outcome::Unreachable, Next::Again),
-        (UNSAFE, 1, Outcome::NeverSent, Next::Again),
-        (UNSAFE, 1, BROKEN_UNSENT, Next::Again),
-        (UNSAFE, 2, LOST, Next::Failed(MayHaveRun)),
-        (UNSAFE, 2, Outcome::TimedOut, Next::Failed(TimedOut)),
-        (UNSAFE, 2, Outcome::ReplicaError, Next::Failed(ReplicaError)),
+        (NON_IDEMPOTENT, 2, FULL, Next::Again),
+        (NON_IDEMPOTENT, 2, Outcome::Misdirected, Next::Again),
+        (NON_IDEMPOTENT, 1, Outcome::Misdirected, Next::Again),
+        (NON_IDEMPOTENT, 1, Outcome::Unreachable, Next::Again),
+        (NON_IDEMPOTENT, 1, Outcome::NeverSent, Next::Again),
+        (NON_IDEMPOTENT, 1, BROKEN_UNSENT, Next::Again),
+        (NON_IDEMPOTENT, 2, LOST, Next::Failed(MayHaveRun)),
+        (NON_IDEMPOTENT, 2, Outcome::TimedOut, Next::Failed(TimedOut)),
+        (
+            NON_IDEMPOTENT,
+            2,
+            Outcome::ReplicaError,
+            Next::Failed(ReplicaError),
+        ),
         (STREAM, 2, FULL, Next::Again),
         (STREAM, 2, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
         (STREAM, 2, LOST, Next::Failed(MayHaveRun)),
@@ -77,16 +87,16 @@
         assert_eq!(
             next(kind, max_replicas, first),
             expected,
-            "{kind:?}, {max_replicas}, {first:?}"
+            "{kind:?}, max_replicas {max_replicas}, {first:?}"
         );
     }
 }
 
 #[test]
-fn a_call_for_one_replica_goes_back_to_it_after_a_pause() {
+fn a_call_limited_to_one_replica_is_sent_there_again_after_a_backoff() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.submit(Call {
-        kind: UNSAFE,
+        kind: NON_IDEMPOTENT,
         max_replicas: 1,
         ..call(driver.now, 1)
     });
@@ -101,10 +111,10 @@
 }
 
 #[test]
-fn what_a_replica_asks_is_heeded() {
+fn retry_after_of_a_replica_delays_the_next_attempt() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     driver.submit(Call {
-        kind: UNSAFE,
+        kind: NON_IDEMPOTENT,
         ..call(driver.now, 1)
     });
     driver.attempt_ended(
@@ -119,11 +129,11 @@
 }
 
 #[test]
-fn a_call_returns_three_times_and_is_refused_early_enough_for_another_try() {
+fn a_call_is_resent_three_times_and_then_rejected_in_time_for_a_client_retry() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     let start = driver.now;
     driver.submit(Call {
-        kind: UNSAFE,
+        kind: NON_IDEMPOTENT,
         max_replicas: 1,
         ..call(driver.now, 1)
     });
@@ -137,10 +147,10 @@
 }
 
 #[test]
-fn a_call_that_no_replica_takes_is_refused_at_last_with_an_advice() {
+fn a_call_that_the_replica_always_rejects_is_rejected_with_retry_after() {
     let mut driver = Driver::new(1, service(), &replicas(&["a"]));
     driver.submit(Call {
-        kind: UNSAFE,
+        kind: NON_IDEMPOTENT,
         ..call(driver.now, 1)
     });
     for attempt in 0..20 {
@@ -152,13 +162,13 @@
     }
     assert_eq!(driver.end(1), Some(End::Refused));
     let Some(Action::Refuse { retry_after, .. }) = driver.trace.last() else {
-        panic!("not refused")
+        panic!("the last action is not a rejection")
     };
     assert!((0.05..=5.0 / 3.0).contains(retry_after), "{retry_after}");
 }
 
 #[test]
-fn a_late_safe_call_is_hedged_once_and_the_answer_aborts_the_first_attempt() {
+fn a_late_idempotent_call_is_hedged_once_and_the_answer_aborts_the_first_attempt() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c"]));
     driver.submit(Call {
         max_replicas: 3,
@@ -169,22 +179,22 @@
         matches!(hedges[..], [Action::Send { attempt: 1, .. }]),
         "{hedges:?}"
     );
-    let dropped = driver.attempt_ended(1, 1, Outcome::Answered);
+    let aborted = driver.attempt_ended(1, 1, Outcome::Answered);
     assert!(
-        matches!(dropped[..], [Action::Abort { attempt: 0, .. }]),
-        "{dropped:?}"
+        matches!(aborted[..], [Action::Abort { attempt: 0, .. }]),
+        "{aborted:?}"
     );
     assert_eq!(driver.end(1), Some(End::Answered));
 }
 
 #[test]
-fn no_hedge_is_sent_when_the_time_is_up() {
+fn no_hedge_is_sent_at_the_deadline() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     for id in 1..=40 {
         driver.submit(call(driver.now, id));
-        driver.attempt_ended(id, 0, Outcome::Answered); // at once: the unloaded tail is zero
+        driver.attempt_ended(id, 0, Outcome::Answered); // without delay, so that the unloaded tail is 0
     }
-    // A hedge would be due after an eighth of the target, 0.03125 s: at the very end.
+    // A hedge would be due after an eighth of the target, 0.03125 s, which is the deadline.
     let deadline = driver.now + 0.03125;
     driver.submit(Call {
         deadline,
@@ -194,8 +204,8 @@
 }
 
 #[test]
-fn late_calls_that_are_not_idempotent_are_not_hedged() {
-    for kind in [UNSAFE, STREAM] {
+fn late_non_idempotent_calls_are_not_hedged() {
+    for kind in [NON_IDEMPOTENT, STREAM] {
         let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
         driver.submit(Call {
             kind,
@@ -206,7 +216,7 @@
 }
 
 #[test]
-fn a_resumable_stream_leaves_an_unresponsive_replica_but_not_one_that_works() {
+fn a_resumable_stream_is_moved_from_an_unresponsive_replica_only() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.submit(Call {
         kind: RESUMABLE,
@@ -227,7 +237,10 @@
         ..call(driver.now, 2)
     });
     driver.response_started(2, 0, None);
-    assert!(driver.advance(4.0).is_empty(), "its first event has come");
+    assert!(
+        driver.advance(4.0).is_empty(),
+        "the first event was received"
+    );
 }
 
 #[test]
@@ -245,12 +258,12 @@
     let attempts: usize = (1..=400).map(|id| driver.sent_to(id).len()).sum();
     assert!(
         (400 + 80..=400 + 101).contains(&attempts),
-        "a fifth and 20 more: {attempts}"
+        "a fifth of 400, and a burst of 20: {attempts}"
     );
 }
 
 #[test]
-fn a_disconnected_client_gets_no_answer() {
+fn a_disconnected_client_causes_an_abort_and_no_further_actions() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.submit(call(driver.now, 1));
     assert!(matches!(
--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Random histories against the rules that the driver of `common` checks: a call that is not idempotent is
-//! never sent again or rejected once it may have run, each call ends exactly once, and the same inputs give
-//! the same actions.
+//! Random sequences of inputs, checked against the rules in the driver of `common`: a call that is not idempotent is
+//! never sent again or rejected once it may have run, and each call ends exactly once. The same inputs must give the
+//! same actions.
 
 mod common;
 
@@ -12,7 +12,7 @@
     Action, Call, CallKind, Outcome, PrefixPart, ReplicaSpec, ServerLoad, WeightedService,
 };
 
-/// One input of a history. Indices select among the calls and replicas of that moment.
+/// One input of a sequence. An index selects, modulo their number, among the attempts in flight or the calls so far.
 #[derive(Clone, Debug)]
 enum Input {
     Arrive {
@@ -75,8 +75,8 @@
 
 const REPLICAS: [&str; 5] = ["r0", "r1", "r2", "r3", "r4"];
 
-fn kind(of: u8) -> CallKind {
-    match of % 4 {
+fn kind(byte: u8) -> CallKind {
+    match byte % 4 {
         0 => CallKind::Idempotent,
         1 => CallKind::NonIdempotent,
         2 => CallKind::Streaming { resumable: false },
@@ -84,32 +84,32 @@
     }
 }
 
-fn outcome(of: u8) -> Outcome {
-    match of % 12 {
+fn outcome(byte: u8) -> Outcome {
+    match byte % 12 {
         0..=2 => Outcome::Answered,
         3 => Outcome::ReplicaError,
         4..=5 => Outcome::NotExecuted { retry_after: None },
         6 => Outcome::NotExecuted {
-            retry_after: Some(f64::from(of) / 100.0),
+            retry_after: Some(f64::from(byte) / 100.0),
         },
         7 => Outcome::Misdirected,
         8 => Outcome::Unreachable,
         9 => Outcome::Broken {
-            sent: of >= 128,
-            events: u32::from(of % 3),
+            sent: byte >= 128,
+            events: u32::from(byte % 3),
         },
         10 => Outcome::TimedOut,
         _ => Outcome::NeverSent,
     }
 }
 
-fn load(of: u8) -> Option<ServerLoad> {
+fn load(byte: u8) -> Option<ServerLoad> {
     let load = ServerLoad {
-        running: u32::from(of % 8),
-        waiting: u32::from(of % 3),
+        running: u32::from(byte % 8),
+        waiting: u32::from(byte % 3),
         slots: 6,
     };
-    (!of.is_multiple_of(4)).then_some(load)
+    (!byte.is_multiple_of(4)).then_some(load)
 }
 
 fn list(present: u8, ready: u8, generation: u8) -> Vec<ReplicaSpec> {
@@ -128,15 +128,15 @@
 fn random_call(
     now: f64,
     id: u64,
-    kind_of: u8,
+    kind_byte: u8,
     program: u8,
     max_replicas: u8,
     give_up_ms: u16,
 ) -> Call {
     let program = (!program.is_multiple_of(3)).then_some(u64::from(program % 8));
     Call {
-        kind: kind(kind_of),
-        route: Arc::from(format!("route-{}", kind_of % 4)),
+        kind: kind(kind_byte),
+        route: Arc::from(format!("route-{}", kind_byte % 4)),
         services: vec![
             WeightedService {
                 service: Arc::from(SERVICE),
@@ -144,7 +144,7 @@
             },
             WeightedService {
                 service: Arc::from("gone"),
-                weight: u32::from(kind_of == 255),
+                weight: u32::from(kind_byte == 255),
             },
         ],
         deadline: now + f64::from(give_up_ms % 4_000) / 1e3,
@@ -189,22 +189,25 @@
         Input::Advance { ms } => {
             driver.advance(f64::from(ms) / 1e3);
         }
-        Input::FirstEvent { index, load: of } => {
-            let out = driver.out();
-            if !out.is_empty() {
-                let (id, attempt) = out[usize::from(index) % out.len()];
-                driver.response_started(id, attempt, load(of));
+        Input::FirstEvent {
+            index,
+            load: load_byte,
+        } => {
+            let in_flight = driver.attempts_in_flight();
+            if !in_flight.is_empty() {
+                let (id, attempt) = in_flight[usize::from(index) % in_flight.len()];
+                driver.response_started(id, attempt, load(load_byte));
             }
         }
         Input::Outcome {
             index,
-            outcome: of,
-            load: load_of,
+            outcome: outcome_byte,
+            load: load_byte,
         } => {
-            let out = driver.out();
-            if !out.is_empty() {
-                let (id, attempt) = out[usize::from(index) % out.len()];
-                driver.attempt_ended_with_load(id, attempt, outcome(of), load(load_of));
+            let in_flight = driver.attempts_in_flight();
+            if !in_flight.is_empty() {
+                let (id, attempt) = in_flight[usize::from(index) % in_flight.len()];
+                driver.attempt_ended_with_load(id, attempt, outcome(outcome_byte), load(load_byte));
             }
         }
         Input::Cancel { index } => {
@@ -216,12 +219,13 @@
             present,
             ready,
             generation,
-        } => driver.list(&list(present, ready, generation)),
+        } => driver.update_replicas(&list(present, ready, generation)),
     }
 }
 
-/// Runs a history, and then times out every attempt in flight until all calls have ended.
-fn play(seed: u64, engine: bool, inputs: &[Input]) -> Vec<Action> {
+/// Applies the inputs, and then lets every attempt time out at the deadline of its call. All calls must have ended
+/// after that. Returns the trace of all actions.
+fn run_trace(seed: u64, engine: bool, inputs: &[Input]) -> Vec<Action> {
     let service = if engine { engine_service() } else { service() };
     let mut driver = Driver::new(seed, service, &list(31, 31, 0));
     let mut next_id = 0;
@@ -230,45 +234,45 @@
         .for_each(|input| apply(&mut driver, &mut next_id, input));
     for _ in 0..100 {
         driver.advance(0.1);
-        for (id, attempt) in driver.out() {
-            if driver.now >= driver.seen[&woadreach_scheduler::CallId(id)].call.deadline {
+        for (id, attempt) in driver.attempts_in_flight() {
+            if driver.now >= driver.calls[&woadreach_scheduler::CallId(id)].call.deadline {
                 driver.attempt_ended(id, attempt, Outcome::TimedOut);
             }
         }
     }
     let remaining = driver
-        .seen
+        .calls
         .values()
         .filter(|seen| seen.end.is_none())
         .count();
-    assert_eq!(remaining, 0, "calls without an end");
+    assert_eq!(remaining, 0, "unfinished calls");
     assert_eq!(
         driver.scheduler.next_wake(driver.now),
         None,
-        "a timer of a call that has ended"
+        "a timer is set after all calls have ended"
     );
     driver.trace
 }
 
 #[test]
-fn random_histories_keep_the_rules() {
-    fn holds(seed: u64, engine: bool, inputs: Vec<Input>) -> bool {
-        play(seed, engine, &inputs);
+fn rules_hold_for_random_inputs() {
+    fn rules_hold(seed: u64, engine: bool, inputs: Vec<Input>) -> bool {
+        run_trace(seed, engine, &inputs);
         true
     }
     QuickCheck::new()
         .rng(Gen::new(200))
         .tests(500)
-        .quickcheck(holds as fn(u64, bool, Vec<Input>) -> bool);
+        .quickcheck(rules_hold as fn(u64, bool, Vec<Input>) -> bool);
 }
 
 #[test]
-fn the_same_input_gives_the_same_actions() {
-    fn holds(seed: u64, engine: bool, inputs: Vec<Input>) -> bool {
-        play(seed, engine, &inputs) == play(seed, engine, &inputs)
+fn the_same_inputs_give_the_same_actions() {
+    fn actions_are_equal(seed: u64, engine: bool, inputs: Vec<Input>) -> bool {
+        run_trace(seed, engine, &inputs) == run_trace(seed, engine, &inputs)
     }
     QuickCheck::new()
         .rng(Gen::new(200))
         .tests(100)
-        .quickcheck(holds as fn(u64, bool, Vec<Input>) -> bool);
+        .quickcheck(actions_are_equal as fn(u64, bool, Vec<Input>) -> bool);
 }
--- a/crates/tier/scheduler/tests/unit/call_state.rs
+++ b/crates/tier/scheduler/tests/unit/call_state.rs
@@ -1,11 +1,11 @@
-//! Every state and event against the table of the module.
+//! Transitions of every state on every event, compared with the table in the documentation of the module.
 
 use super::*;
 use crate::fleet::Fleet;
 use crate::spec::ReplicaSpec;
 use std::sync::Arc;
 
-fn some_replica() -> ReplicaKey {
+fn replica_key() -> ReplicaKey {
     let spec = ReplicaSpec {
         id: Arc::from("a"),
         service: Arc::from("s"),
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn the_table_of_transitions_is_exhaustive() {
-    let (replica, deadline) = (some_replica(), 1.0);
+fn only_the_transitions_of_the_table_are_allowed() {
+    let (replica, deadline) = (replica_key(), 1.0);
     let queued = CallState::Queued { replica, deadline };
     let enqueued = CallEvent::Enqueued { replica, deadline };
     let states = [
@@ -61,12 +61,12 @@
     ];
     for state in states {
         for event in events {
-            let named = table
+            let transition = table
                 .iter()
                 .find(|(from, on, _)| *from == state && *on == event);
             assert_eq!(
                 state.after(event).ok(),
-                named.map(|(_, _, to)| *to),
+                transition.map(|(_, _, to)| *to),
                 "{state:?} {event:?}"
             );
         }
--- a/crates/tier/scheduler/tests/unit/prefix_cache.rs
+++ b/crates/tier/scheduler/tests/unit/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Cases of the estimate of cached prompt parts.
+//! Estimate of cached prompt parts: cached heads, eviction and overflow.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn only_an_unbroken_head_counts() {
+fn parts_after_the_first_uncached_part_do_not_count() {
     let mut cache = PrefixCache::default();
     cache.record(&[part(1, 100), part(2, 50), part(3, 25)], 1_000);
     let cases: [(&[PrefixPart], u32); 5] = [
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn parts_beyond_any_number_of_tokens_saturate() {
+fn the_number_of_cached_tokens_saturates() {
     let mut cache = PrefixCache::default();
     let huge: Vec<PrefixPart> = (0..64).map(|id| part(id, u32::MAX)).collect();
     cache.record(&huge, u64::MAX);
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -1,4 +1,4 @@
-//! Cases of a step's latency target.
+//! Latency targets and membership of steps, slack, and the learned share of work.
 
 #[path = "../common/base_call.rs"]
 mod base_call;
@@ -25,30 +25,33 @@
 }
 
 #[test]
-fn without_a_program_or_an_end_the_target_is_that_of_the_route() {
+fn a_call_without_a_program_has_the_target_of_its_route() {
     let programs = Programs::default();
-    let alone = Call {
+    let without_program = Call {
         program: None,
         program_deadline: None,
         ..call(0.0, 1, 1, 0.0)
     };
-    assert!(is_near(programs.latency_target(&alone, UNLOADED), 0.25));
+    assert!(is_near(
+        programs.latency_target(&without_program, UNLOADED),
+        0.25
+    ));
 }
 
 #[test]
-fn slack_is_spread_in_proportion_to_the_work() {
+fn slack_is_distributed_in_proportion_to_work() {
     let mut programs = Programs::default();
     let first = call(0.0, 1, 1, 4.0);
     programs.record_arrival(0.0, &first);
     assert!(
         is_near(programs.latency_target(&first, UNLOADED), 0.2),
-        "half of the time is work: twice its own"
+        "half of the time is work, so the target is twice the unloaded latency"
     );
     assert!(is_near(programs.slack(0.0, &first).unwrap(), 2.0));
 }
 
 #[test]
-fn a_program_that_lost_time_hurries() {
+fn a_delayed_program_has_a_shorter_target() {
     let mut programs = Programs::default();
     let latency_target_after = |programs: &mut Programs, program: u64, answered_at: f64| {
         let first = call(0.0, program, program, 4.0);
@@ -59,12 +62,12 @@
         programs.latency_target(&second, UNLOADED)
     };
     let on_time = latency_target_after(&mut programs, 1, UNLOADED);
-    let lost = latency_target_after(&mut programs, 2, 0.6);
-    assert!(lost < on_time, "{lost} < {on_time}");
+    let delayed = latency_target_after(&mut programs, 2, 0.6);
+    assert!(delayed < on_time, "{delayed} < {on_time}");
 }
 
 #[test]
-fn a_late_program_has_no_time_for_a_step() {
+fn a_program_past_its_deadline_has_a_target_of_zero() {
     let mut programs = Programs::default();
     let late = call(5.0, 1, 1, 4.0);
     programs.record_arrival(5.0, &late);
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn the_share_of_work_is_learned_from_programs_that_ended() {
+fn the_share_of_work_is_learned_from_ended_programs() {
     let mut programs = Programs::default();
     let mut id = 0;
     for program in 0..200 {
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn active_call_are_one_step() {
+fn concurrent_calls_form_one_step() {
     let mut programs = Programs::default();
     let calls: Vec<Call> = (1..=3)
         .map(|id| call(0.1 * id as f64, id, 1, 4.0))
--- a/crates/tier/scheduler/tests/unit/routes.rs
+++ b/crates/tier/scheduler/tests/unit/routes.rs
@@ -1,4 +1,4 @@
-//! Targets that a new configuration changes, and routes that it drops.
+//! Effects of a new configuration: changed latency targets and removed routes.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_changed_target_moves_the_thresholds_of_a_route_without_samples() {
+fn a_changed_target_changes_the_thresholds_of_a_route_without_samples() {
     let mut routes = LatenciesByRoute::default();
     let key = routes.key(&name(), 0.2);
     assert_eq!(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_changed_target_moves_the_least_threshold_of_a_route_with_samples() {
+fn a_changed_target_changes_the_lower_bound_of_the_late_threshold() {
     let mut routes = LatenciesByRoute::default();
     let key = routes.key(&name(), 0.8);
     for _ in 0..MIN_SAMPLES {
@@ -38,16 +38,16 @@
 }
 
 #[test]
-fn a_dropped_route_is_forgotten_once_none_of_its_calls_is_in_flight() {
+fn a_removed_route_is_kept_until_its_calls_have_ended() {
     let mut routes = LatenciesByRoute::default();
     let key = routes.key(&name(), 0.2);
     routes.get_mut(key).unwrap().record(5.0);
     routes.retain(&BTreeSet::from(["other"]), &BTreeSet::from([key]));
     assert!(routes.get(key).is_some(), "a call is in flight");
     routes.retain(&BTreeSet::from([NAME]), &BTreeSet::new());
-    assert!(routes.get(key).is_some(), "it is configured");
+    assert!(routes.get(key).is_some(), "the route is configured");
     routes.retain(&BTreeSet::from(["other"]), &BTreeSet::new());
     assert!(routes.get(key).is_none());
     assert!(routes.keys.is_empty() && routes.routes.is_empty());
-    assert_ne!(routes.key(&name(), 0.2), key, "keys are not used again");
+    assert_ne!(routes.key(&name(), 0.2), key, "keys are never reused");
 }
--- a/crates/tier/scheduler/tests/urgency.rs
+++ b/crates/tier/scheduler/tests/urgency.rs
@@ -1,4 +1,5 @@
-//! An overloaded service with an urgent route and one that is not: the urgent one is served no less often.
+//! An overloaded service with two routes of different priority. The route of the higher priority must not be served
+//! less often than the other.
 
 mod common;
 
@@ -10,26 +11,26 @@
 use woadreach_scheduler::{Action, Call, CallId, Outcome, ServerLoad};
 
 const SECONDS: f64 = 8.0;
-/// Calls that arrive before this time, in seconds, are not counted: nothing is known of the load yet.
+/// Seconds before which arrivals are not counted, since the scheduler has not observed the load yet.
 const WARM_UP: f64 = 2.0;
-/// Work of a call at a free replica, in seconds.
-const WORK: f64 = 0.1;
+/// Seconds for which a call occupies a slot of its replica.
+const SERVICE_TIME: f64 = 0.1;
 const REPLICAS: [&str; 4] = ["a", "b", "c", "d"];
 const SLOTS: usize = 6;
-/// Calls that a replica queues beyond its slots.
-const QUEUE: usize = 6;
-/// Clients give up after this time, in seconds.
-const PATIENCE: f64 = 1.2;
+/// Number of calls that a replica queues beyond its slots.
+const QUEUE_CAPACITY: usize = 6;
+/// Seconds after which clients cancel their calls.
+const CLIENT_TIMEOUT: f64 = 1.2;
 
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum Event {
     Arrival(u64),
     Finished {
         replica: usize,
         call: u64,
         attempt: u32,
     },
-    GivenUp(u64),
+    Cancelled(u64),
 }
 
 #[derive(Default)]
@@ -48,33 +49,33 @@
     }
 }
 
-/// Whether a call belongs to the urgent route.
+/// Whether a call belongs to the route of the higher priority.
 fn is_urgent(id: u64) -> bool {
     id.is_multiple_of(2)
 }
 
-/// One edge, four replicas, and clients of two routes that arrive in turns.
-struct Scene {
+/// One edge process, four replicas, and clients whose calls alternate between the two routes.
+struct OverloadSimulation {
     driver: Driver,
     replicas: [SimulatedReplica; 4],
-    due: BTreeMap<(u128, u64), Due>,
+    events: BTreeMap<(u128, u64), Event>,
     scheduled: u64,
 }
 
-impl Scene {
-    fn new(seed: u64) -> Scene {
-        Scene {
+impl OverloadSimulation {
+    fn new(seed: u64) -> OverloadSimulation {
+        OverloadSimulation {
             driver: Driver::new(seed, service(), &replicas(&REPLICAS)),
             replicas: Default::default(),
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             scheduled: 0,
         }
     }
 
-    fn schedule(&mut self, at: f64, due: Due) {
+    fn schedule(&mut self, at: f64, event: Event) {
         self.scheduled += 1;
         let nanoseconds = Duration::from_secs_f64(at).as_nanos();
-        self.due.insert((nanoseconds, self.scheduled), due);
+        self.events.insert((nanoseconds, self.scheduled), event);
     }
 
     fn execute(&mut self, actions: Vec<Action>) {
@@ -96,13 +97,13 @@
         let at = &mut self.replicas[replica];
         if at.running < SLOTS {
             at.running += 1;
-            let finished = Due::Finished {
+            let finished = Event::Finished {
                 replica,
                 call,
                 attempt,
             };
-            self.schedule(self.driver.now + WORK, finished);
-        } else if at.waiting.len() < QUEUE {
+            self.schedule(self.driver.now + SERVICE_TIME, finished);
+        } else if at.waiting.len() < QUEUE_CAPACITY {
             at.waiting.push_back((call, attempt));
         } else {
             let load = at.load();
@@ -127,35 +128,35 @@
         self.execute(actions);
     }
 
-    /// Runs with `rate` calls a second; returns the served shares of the urgent route and of the other.
+    /// Runs with `rate` calls a second. Returns the answered shares of the calls of the urgent route and of the other.
     fn served_shares(mut self, rate: f64) -> (f64, f64) {
         let start = self.driver.now;
         let count = (rate * SECONDS) as u64;
         for id in 1..=count {
-            self.schedule(start + id as f64 / rate, Due::Arrival(id));
+            self.schedule(start + id as f64 / rate, Event::Arrival(id));
         }
-        while let Some(((nanoseconds, _), due)) = self.due.pop_first() {
+        while let Some(((nanoseconds, _), event)) = self.events.pop_first() {
             let at = Duration::from_nanos(nanoseconds as u64).as_secs_f64();
             let woken = self.driver.advance((at - self.driver.now).max(0.0));
             self.execute(woken);
-            match due {
-                Due::Arrival(id) => {
+            match event {
+                Event::Arrival(id) => {
                     let now = self.driver.now;
-                    self.schedule(now + PATIENCE, Due::GivenUp(id));
+                    self.schedule(now + CLIENT_TIMEOUT, Event::Cancelled(id));
                     let actions = self.driver.submit(Call {
                         route: Arc::from(if is_urgent(id) { "urgent" } else { "other" }),
                         priority: u8::from(!is_urgent(id)),
-                        deadline: now + PATIENCE,
+                        deadline: now + CLIENT_TIMEOUT,
                         ..call(now, id)
                     });
                     self.execute(actions);
                 }
-                Due::Finished {
+                Event::Finished {
                     replica,
                     call,
                     attempt,
                 } => self.finish(replica, call, attempt),
-                Due::GivenUp(id) => {
+                Event::Cancelled(id) => {
                     let actions = self.driver.call_ended(id);
                     self.execute(actions);
                 }
@@ -175,14 +176,14 @@
     }
 }
 
-/// What the replicas can do, in calls a second.
-const CAPACITY: f64 = REPLICAS.len() as f64 * SLOTS as f64 / WORK;
+/// Throughput of all replicas together, in calls a second.
+const CAPACITY: f64 = REPLICAS.len() as f64 * SLOTS as f64 / SERVICE_TIME;
 
 #[test]
-fn an_urgent_route_is_refused_less_often_than_one_that_is_not() {
+fn an_urgent_route_is_served_at_least_as_often_under_overload() {
     for seed in 0..2 {
         for load in [1.2, 1.6, 2.4] {
-            let (urgent, other) = Scene::new(seed).served_shares(CAPACITY * load);
+            let (urgent, other) = OverloadSimulation::new(seed).served_shares(CAPACITY * load);
             println!(
                 "seed {seed}, load {load}: {urgent:.3} of the urgent, {other:.3} of the other"
             );
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn below_capacity_both_are_served() {
-    let (urgent, other) = Scene::new(1).served_shares(CAPACITY * 0.8);
+fn both_routes_are_served_below_capacity() {
+    let (urgent, other) = OverloadSimulation::new(1).served_shares(CAPACITY * 0.8);
     assert!(urgent > 0.99 && other > 0.99, "{urgent}, {other}");
 }
--- a/crates/tier/scheduler/tests/weights.rs
+++ b/crates/tier/scheduler/tests/weights.rs
@@ -1,4 +1,5 @@
-//! The services of a route with weights: each gets its share of the calls, also of programs, which have a home in each.
+//! Weighted services of a route: each receives its share of the calls, including the calls of programs, which have a
+//! home in each service.
 
 mod common;
 
@@ -7,19 +8,19 @@
 use common::{Driver, call, replica, service};
 use woadreach_scheduler::{Call, Outcome, ReplicaSpec, ServiceSpec, WeightedService};
 
-/// Calls of a run, as few as a judgement of the shares may take.
+/// Number of calls of a run.
 const CALLS: u64 = 200;
-/// Largest deviation of a share.
+/// Maximum deviation of a measured share from the configured one.
 const TOLERANCE: f64 = 0.2;
 
-fn part(name: &str, weight: u32) -> WeightedService {
+fn weighted(name: &str, weight: u32) -> WeightedService {
     WeightedService {
         service: Arc::from(name),
         weight,
     }
 }
 
-/// A driver with the services `old` and `new` of three replicas each.
+/// A driver with the services `old` and `new`, which have three replicas each.
 fn driver(seed: u64) -> Driver {
     let named = |name: &str| ServiceSpec {
         name: Arc::from(name),
@@ -39,13 +40,13 @@
     driver
 }
 
-/// The share of `new` among calls that `make` makes, with weights of 100 together.
+/// Share of calls sent to the service `new`, whose weight is `weight` of 100. `make` creates the calls.
 fn share_of_new(seed: u64, weight: u32, make: impl Fn(&Driver, u64) -> Call) -> f64 {
     let mut driver = driver(seed);
     let mut at_new = 0;
     for id in 1..=CALLS {
         let call = Call {
-            services: vec![part("old", 100 - weight), part("new", weight)],
+            services: vec![weighted("old", 100 - weight), weighted("new", weight)],
             ..make(&driver, id)
         };
         driver.submit(call);
@@ -63,23 +64,27 @@
             let expected = f64::from(weight) / 100.0;
             assert!(
                 (share - expected).abs() < TOLERANCE,
-                "seed {seed}: {share} of {expected}"
+                "seed {seed}: share is {share}, expected {expected}"
             );
         }
     }
     for seed in 0..5 {
-        assert_eq!(share_of_new(seed, 0, &make), 0.0, "no weight, no call");
+        assert_eq!(
+            share_of_new(seed, 0, &make),
+            0.0,
+            "a service of weight 0 receives no calls"
+        );
         assert_eq!(share_of_new(seed, 100, &make), 1.0);
     }
 }
 
 #[test]
-fn each_part_of_a_route_has_its_share_of_the_calls() {
+fn each_service_receives_its_share_of_the_calls() {
     assert_shares(|driver, id| call(driver.now, id));
 }
 
 #[test]
-fn programs_with_homes_keep_to_the_shares() {
+fn each_service_receives_its_share_of_the_calls_of_programs() {
     assert_shares(|driver, id| Call {
         program: Some(id % 40),
         ..call(driver.now, id)
