--- a/crates/tier/scheduler/src/active_call.rs
+++ b/crates/tier/scheduler/src/active_call.rs
@@ -140,8 +140,8 @@
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether the call may be sent to `replica`, perhaps not for the first time. It may not if an earlier attempt
-    /// there may have run or reached a different replica.
+    /// Whether the call may be sent to `replica` with regard to its earlier attempts there. False if one of them may
+    /// have run, reached a different replica, or was the last of [`MAX_RESENDS`].
     ///
     /// After [`MAX_RESENDS`] the call is rejected instead, since the client's retry may reach another process.
     pub(crate) fn may_resend_to(&self, replica: ReplicaKey) -> bool {
--- a/crates/tier/scheduler/src/decisions.rs
+++ b/crates/tier/scheduler/src/decisions.rs
@@ -125,7 +125,7 @@
         freed
     }
 
-    /// Removes a call that has ended. `answered` tells whether it ended with [`Outcome::Answered`].
+    /// Removes a call that has ended. `answered` is true if it ended with [`Outcome::Answered`].
     pub(crate) fn end(&mut self, now: f64, id: CallId, answered: bool) {
         self.release(id);
         let Some(mut call) = self.calls.remove(&id) else {
@@ -179,7 +179,7 @@
         self.end(now, id, false);
     }
 
-    /// Takes a queued or postponed call out of that state. Calls in other states stay unchanged.
+    /// Removes a call from its queue or from the postponed calls. Does nothing in other states.
     fn release(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/tier/scheduler/src/hedging.rs
+++ b/crates/tier/scheduler/src/hedging.rs
@@ -91,6 +91,8 @@
         freed
     }
 
+    /// Replica for a hedge; `None` if the retry budget is spent, no replica is suitable, or the hedge would miss the
+    /// deadline.
     fn hedge_target(&mut self, now: f64, id: CallId) -> Option<ReplicaKey> {
         let call = self.calls.get(&id)?;
         let service = self.services.get(&call.service)?;
--- a/crates/tier/scheduler/src/mechanisms.rs
+++ b/crates/tier/scheduler/src/mechanisms.rs
@@ -6,7 +6,7 @@
 /// A mechanism that can be disabled in a build with the feature `ablation`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Placement considers the prompt parts that this process's own calls have left in a replica's cache.
+    /// Placement considers the prompt parts that this process has sent to a replica as cached there.
     OwnPromptKnowledge,
     /// Calls of a program or about an object prefer its home replica.
     Homes,
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -100,8 +100,9 @@
         if candidates.is_empty() {
             return Choice::NoReplica;
         }
-        candidates
-            .require(|key| self.with(*key, |replica| replica.in_flight.len() < self.connections));
+        candidates.require(|key| {
+            self.satisfies(*key, |replica| replica.in_flight.len() < self.connections)
+        });
         if candidates.is_empty() {
             return Choice::Postpone;
         }
@@ -110,7 +111,7 @@
         }
         self.prefer_healthy(call, &mut candidates);
         let is_queueing = |key: &ReplicaKey| {
-            is_behind(*key) || self.with(*key, |replica| replica.is_under_backpressure())
+            is_behind(*key) || self.satisfies(*key, |replica| replica.is_under_backpressure())
         };
         candidates.prefer(|key| !is_queueing(key));
         match self.cheapest(call, &mut candidates, random) {
@@ -141,7 +142,7 @@
             .usable(&call.service)
             .filter(is_healthy)
             .collect();
-        let prefers_local_zone = is_engine && self.can_local_zone_serve(&healthy);
+        let prefers_local_zone = is_engine && self.has_local_zone_enough_replicas(&healthy);
         let preference = |replica: &Replica| {
             let is_in_local_zone = prefers_local_zone && self.is_in_local_zone(replica);
             (is_in_local_zone, rank(&key, &replica.spec.id))
@@ -154,16 +155,16 @@
 
     /// Whether the local zone has at least half as many of these replicas as the average zone. With fewer, the
     /// programs that arrive in this zone would overload them.
-    fn can_local_zone_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
+    fn has_local_zone_enough_replicas(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
             .map(|(_, replica)| &*replica.spec.zone)
             .collect();
-        let near = replicas
+        let local = replicas
             .iter()
             .filter(|(_, replica)| self.is_in_local_zone(replica))
             .count();
-        2 * near * zones.len() >= replicas.len()
+        2 * local * zones.len() >= replicas.len()
     }
 
     fn is_in_local_zone(&self, replica: &Replica) -> bool {
@@ -180,7 +181,7 @@
         let mut candidates = self.allowed(call);
         candidates.require(|key| !call.was_sent_to(*key));
         candidates.require(|key| {
-            self.with(*key, |replica| {
+            self.satisfies(*key, |replica| {
                 replica.in_flight.len() < self.connections
                     && !replica.is_ejected_for(call.route)
                     && !replica.is_saturated(self.now)
@@ -230,16 +231,19 @@
     fn prefer_healthy(&self, call: &ActiveCall, candidates: &mut Candidates<ReplicaKey>) {
         // If most replicas are ejected for being slow, overload is the cause. Excluding them would increase the load
         // on the others.
-        let is_load_the_cause = self.is_majority_ejected(call);
+        let is_overload_likely = self.is_majority_ejected(call);
         candidates.prefer(|key| {
-            let is_excused = is_load_the_cause && self.with(*key, Replica::was_last_failure_late);
-            is_excused || !self.is_ejected(*key, call.route)
+            let is_tolerated =
+                is_overload_likely && self.satisfies(*key, Replica::was_last_failure_late);
+            is_tolerated || !self.is_ejected(*key, call.route)
         });
-        candidates.prefer(|key| self.with(*key, |replica| !self.is_unresponsive(replica)));
-        candidates.prefer(|key| self.with(*key, |replica| !replica.has_failed_recently(self.now)));
-        candidates.prefer(|key| self.with(*key, |replica| !replica.is_saturated(self.now)));
+        candidates.prefer(|key| self.satisfies(*key, |replica| !self.is_unresponsive(replica)));
         candidates
-            .prefer(|key| self.with(*key, |replica| replica.has_slow_start_capacity(self.now)));
+            .prefer(|key| self.satisfies(*key, |replica| !replica.has_failed_recently(self.now)));
+        candidates.prefer(|key| self.satisfies(*key, |replica| !replica.is_saturated(self.now)));
+        candidates.prefer(|key| {
+            self.satisfies(*key, |replica| replica.has_slow_start_capacity(self.now))
+        });
     }
 
     fn cheapest(
@@ -252,7 +256,7 @@
         candidates.prefer(|key| self.cost(*key, call) == least);
         candidates.prefer(|key| call.home == Some(*key));
         if is_on(Mechanism::NearAmongEquals) {
-            candidates.prefer(|key| self.with(*key, |replica| self.is_in_local_zone(replica)));
+            candidates.prefer(|key| self.satisfies(*key, |replica| self.is_in_local_zone(replica)));
         }
         candidates.choose(|_| 0, random)
     }
@@ -272,7 +276,7 @@
     }
 
     fn is_ejected(&self, key: ReplicaKey, route: RouteKey) -> bool {
-        self.with(key, |replica| replica.is_ejected_for(route))
+        self.satisfies(key, |replica| replica.is_ejected_for(route))
     }
 
     fn is_majority_ejected(&self, call: &ActiveCall) -> bool {
@@ -288,7 +292,7 @@
             && replica.is_unresponsive(self.now, |route| self.routes.late_threshold(route))
     }
 
-    fn with(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
+    fn satisfies(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
         self.fleet.get(key).is_some_and(test)
     }
 }
--- a/crates/tier/scheduler/src/programs.rs
+++ b/crates/tier/scheduler/src/programs.rs
@@ -41,7 +41,7 @@
     step_started: f64,
     /// Largest unloaded latency among the finished calls of the current step.
     step_unloaded: f64,
-    /// Total time that the finished steps took beyond their unloaded latencies.
+    /// Total duration of the finished steps beyond their unloaded latencies.
     delay: f64,
 }
 
--- a/crates/tier/scheduler/src/replica.rs
+++ b/crates/tier/scheduler/src/replica.rs
@@ -157,7 +157,7 @@
         self.record_load(now, load);
     }
 
-    /// Records the load reported with a response. `None` keeps the previous report.
+    /// Records the load reported with a response. `None` does not replace the previous report.
     pub(crate) fn record_load(&mut self, now: f64, load: Option<ServerLoad>) {
         self.load = load
             .map(|load| ReportedLoad { at: now, load })
@@ -194,8 +194,8 @@
             .is_some_and(|last| last.kind == FailureKind::Late)
     }
 
-    /// Whether the last outcome was a failure within [`FAILURE_AVOIDANCE_WINDOW`], while traffic is sparse. Sparse
-    /// traffic takes long to show the two failures that eject a replica.
+    /// Whether the last outcome was a failure within [`FAILURE_AVOIDANCE_WINDOW`], while traffic is sparse. With
+    /// sparse traffic the two failures that eject a replica are far apart.
     pub(crate) fn has_failed_recently(&self, now: f64) -> bool {
         is_on(Mechanism::RecentFailureAvoidance)
             && self.health.failed_last(now)
--- a/crates/tier/scheduler/src/retry_tokens.rs
+++ b/crates/tier/scheduler/src/retry_tokens.rs
@@ -2,7 +2,7 @@
 
 use crate::mechanisms::{Mechanism, is_on};
 
-/// Token bucket that first attempts fill, and from which each retry or hedge takes one token.
+/// Token bucket. First attempts add tokens; each retry or hedge removes one.
 #[derive(Debug)]
 pub(crate) struct RetryTokens {
     tokens: f64,
@@ -30,7 +30,7 @@
         !is_on(Mechanism::RetryBudget) || self.tokens >= 1.0
     }
 
-    /// Takes the token of a retry or hedge.
+    /// Removes the token of a retry or hedge.
     pub(crate) fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
--- a/crates/tier/scheduler/src/step.rs
+++ b/crates/tier/scheduler/src/step.rs
@@ -59,22 +59,31 @@
             };
             replicas.entry(other.route).or_default().push(replica);
         }
-        let each = self.routes.part_budget.part_quantile(size);
+        let call_quantile = self.routes.part_budget.part_quantile(size);
         let quantiles = replicas
             .iter()
-            .map(|(route, at)| self.quantile(*route, at, each));
+            .map(|(route, at)| self.quantile(*route, at, call_quantile));
         let unloaded = quantiles.fold(0.0, f64::max);
         self.programs.step_started(&call.request)
             + self.programs.latency_target(&call.request, unloaded)
             - unloaded
     }
 
-    fn quantile(&self, route: RouteKey, replicas: &[Option<ReplicaKey>], each: f64) -> f64 {
+    fn quantile(
+        &self,
+        route: RouteKey,
+        replicas: &[Option<ReplicaKey>],
+        call_quantile: f64,
+    ) -> f64 {
         let Some(latencies) = self.routes.get(route).map(|route| &route.unloaded) else {
             return 0.0;
         };
         let replicas: Vec<Option<&ReplicaKey>> = replicas.iter().map(Option::as_ref).collect();
-        latencies.product_quantile(self.now, &replicas, each.powi(replicas.len() as i32))
+        latencies.product_quantile(
+            self.now,
+            &replicas,
+            call_quantile.powi(replicas.len() as i32),
+        )
     }
 }
 
--- a/crates/tier/scheduler/tests/common/mod.rs
+++ b/crates/tier/scheduler/tests/common/mod.rs
@@ -292,7 +292,10 @@
             self.check_all(&actions);
             all.extend(actions);
         }
-        panic!("next_wake is still due at {} s after 1,000 wakes", self.now);
+        panic!(
+            "next_wake is still due at {} s after the maximum number of wakes",
+            self.now
+        );
     }
 
     fn check_all(&mut self, actions: &[Action]) {
--- a/crates/tier/scheduler/tests/failures.rs
+++ b/crates/tier/scheduler/tests/failures.rs
@@ -244,7 +244,7 @@
     );
 }
 
-/// One of six replicas becomes eight times as slow. Its responses are too few to raise the threshold for late attempts.
+/// One of six replicas becomes eight times as slow. Its responses are too few to raise the late threshold.
 #[test]
 fn a_slow_replica_is_ejected() {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b", "c", "d", "e", "slow"]));
--- a/crates/tier/scheduler/tests/home.rs
+++ b/crates/tier/scheduler/tests/home.rs
@@ -9,7 +9,7 @@
 use woadreach_scheduler::{Call, Outcome, PrefixPart, ReplicaSpec};
 
 /// A call of `program`, whose prompt no process has sent before.
-fn turn(now: f64, id: u64, program: u64) -> Call {
+fn program_call(now: f64, id: u64, program: u64) -> Call {
     let prefix = vec![
         PrefixPart {
             id: 1,
@@ -28,7 +28,7 @@
     }
 }
 
-fn about(now: f64, id: u64, object: u64) -> Call {
+fn object_call(now: f64, id: u64, object: u64) -> Call {
     Call {
         affinity: Some(object),
         ..non_idempotent_call(now, id)
@@ -44,7 +44,7 @@
 /// Replica to which a process without any observations sends a call of `program`.
 fn home_of(seed: u64, list: &[ReplicaSpec], program: u64) -> String {
     let mut driver = Driver::new(seed, engine_service(), list);
-    driver.submit(turn(driver.now, 1, program));
+    driver.submit(program_call(driver.now, 1, program));
     driver.sent_to(1)[0].clone()
 }
 
@@ -104,10 +104,10 @@
     assert_eq!(home_of(2, &draining, 5), second);
 
     let mut driver = Driver::new(3, engine_service(), &list);
-    driver.submit(turn(driver.now, 1, 5));
+    driver.submit(program_call(driver.now, 1, 5));
     driver.attempt_ended(1, 0, Outcome::Unreachable);
     assert_eq!(driver.sent_to(1), [first, second.clone()]);
-    driver.submit(turn(driver.now, 2, 5));
+    driver.submit(program_call(driver.now, 2, 5));
     assert_eq!(driver.sent_to(2), [second], "the first is ejected here");
 }
 
@@ -116,7 +116,7 @@
     let mut driver = Driver::new(1, engine_service(), &fleet(6));
     for id in 1..=30 {
         // Concurrent sub-agents, each with a different second part of the prompt.
-        let mut call = turn(driver.now, id, 5);
+        let mut call = program_call(driver.now, id, 5);
         call.prefix[1].id += id;
         driver.submit(call);
     }
@@ -136,9 +136,9 @@
 fn calls_about_an_object_go_to_its_home_while_it_is_no_busier() {
     let list = replicas(&["a", "b", "c", "d"]);
     let mut driver = Driver::new(1, service(), &list);
-    driver.submit(about(driver.now, 1, 77));
+    driver.submit(object_call(driver.now, 1, 77));
     let home = driver.sent_to(1)[0].clone();
-    driver.submit(about(driver.now, 2, 77));
+    driver.submit(object_call(driver.now, 2, 77));
     assert_ne!(
         driver.sent_to(2)[0],
         home,
@@ -148,22 +148,27 @@
     driver.attempt_ended(2, 0, Outcome::Answered);
     for seed in 2..10 {
         let mut other = Driver::new(seed, service(), &list);
-        other.submit(about(other.now, 1, 77));
+        other.submit(object_call(other.now, 1, 77));
         assert_eq!(other.sent_to(1)[0], home, "seed {seed}");
     }
 }
 
 #[test]
 fn homes_of_objects_are_in_any_zone() {
-    let far = |id: &str| ReplicaSpec {
+    let in_other_zone = |id: &str| ReplicaSpec {
         zone: Arc::from("zone-b"),
         ..replica(id)
     };
-    let list = [replica("near"), far("far-1"), far("far-2"), far("far-3")];
+    let list = [
+        replica("near"),
+        in_other_zone("far-1"),
+        in_other_zone("far-2"),
+        in_other_zone("far-3"),
+    ];
     let homes: BTreeSet<String> = (0..40)
         .map(|object| {
             let mut driver = Driver::new(1, service(), &list);
-            driver.submit(about(driver.now, 1, object));
+            driver.submit(object_call(driver.now, 1, object));
             driver.sent_to(1)[0].clone()
         })
         .collect();
@@ -204,17 +209,17 @@
     ];
     for (counts, all_stay) in cases {
         let list = zones(counts);
-        let near = (0..60)
+        let local = (0..60)
             .filter(|program| home_of(1, &list, *program).starts_with(common::ZONE))
             .count();
         assert_eq!(
-            near == 60,
+            local == 60,
             all_stay,
-            "{counts:?}: {near} of 60 in the local zone"
+            "{counts:?}: {local} of 60 in the local zone"
         );
         assert!(
-            all_stay || near < 30,
-            "{counts:?}: {near} of 60 in the local zone"
+            all_stay || local < 30,
+            "{counts:?}: {local} of 60 in the local zone"
         );
     }
 }
--- a/crates/tier/scheduler/tests/placement.rs
+++ b/crates/tier/scheduler/tests/placement.rs
@@ -18,7 +18,7 @@
 }
 
 /// A call whose prompt consists of a part shared by all sessions and a part of its own session.
-fn turn(now: f64, id: u64, session: u64, tokens: u32) -> Call {
+fn session_call(now: f64, id: u64, session: u64, tokens: u32) -> Call {
     let prefix = vec![
         PrefixPart {
             id: 1,
@@ -51,8 +51,8 @@
         driver.submit(non_idempotent_call(driver.now, id));
     }
     for name in ["a", "b", "c"] {
-        let there = (1..=9).filter(|id| driver.sent_to(*id) == [name]).count();
-        assert_eq!(there, 3, "{name}");
+        let count = (1..=9).filter(|id| driver.sent_to(*id) == [name]).count();
+        assert_eq!(count, 3, "{name}");
     }
 }
 
@@ -124,11 +124,11 @@
 #[test]
 fn calls_of_a_session_are_sent_to_the_replica_that_cached_its_prompt() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
-    driver.submit(turn(driver.now, 1, 5, 1_000));
+    driver.submit(session_call(driver.now, 1, 5, 1_000));
     let first = driver.sent_to(1);
     driver.attempt_ended(1, 0, Outcome::Answered);
     for id in 2..=8 {
-        driver.submit(turn(driver.now, id, 5, 1_000 + 100 * id as u32));
+        driver.submit(session_call(driver.now, id, 5, 1_000 + 100 * id as u32));
         assert_eq!(driver.sent_to(id), first, "turn {id}");
         driver.attempt_ended(id, 0, Outcome::Answered);
     }
@@ -137,13 +137,13 @@
 #[test]
 fn a_session_without_prompt_parts_stays_at_its_replica() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
-    let turn = |now, id, prompt_tokens| Call {
+    let session_call = |now, id, prompt_tokens| Call {
         session: Some(9),
         prompt_tokens,
         ..non_idempotent_call(now, id)
     };
     for id in 1..=8 {
-        driver.submit(turn(driver.now, id, 2_000 + 500 * id as u32));
+        driver.submit(session_call(driver.now, id, 2_000 + 500 * id as u32));
         driver.attempt_ended(id, 0, Outcome::Answered);
         assert_eq!(driver.sent_to(id), driver.sent_to(1), "turn {id}");
     }
@@ -153,28 +153,28 @@
 fn calls_with_a_shared_prompt_are_spread_over_all_replicas() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b", "c", "d"]));
     for id in 1..=40 {
-        driver.submit(turn(driver.now, id, id, 1_000));
+        driver.submit(session_call(driver.now, id, id, 1_000));
     }
     for name in ["a", "b", "c", "d"] {
-        let there = (1..=40).filter(|id| driver.sent_to(*id) == [name]).count();
-        assert!((7..=13).contains(&there), "{name} has {there}");
+        let count = (1..=40).filter(|id| driver.sent_to(*id) == [name]).count();
+        assert!((7..=13).contains(&count), "{name} has {count}");
     }
 }
 
 #[test]
 fn a_replica_of_a_new_generation_has_an_empty_cache() {
     let mut driver = Driver::new(3, engine_service(), &replicas(&["a", "b"]));
-    driver.submit(turn(driver.now, 1, 5, 4_000));
+    driver.submit(session_call(driver.now, 1, 5, 4_000));
     let first = driver.sent_to(1)[0].clone();
     driver.attempt_ended(1, 0, Outcome::Answered);
-    driver.submit(turn(driver.now, 2, 6, 1_000));
+    driver.submit(session_call(driver.now, 2, 6, 1_000));
     let changed = ReplicaSpec {
         generation: Arc::from("v2"),
         ..replica(&first)
     };
     let other = if first == "a" { "b" } else { "a" };
     driver.update_replicas(&[changed, replica(other)]);
-    driver.submit(turn(driver.now, 3, 5, 4_000));
+    driver.submit(session_call(driver.now, 3, 5, 4_000));
     assert_eq!(
         driver.sent_to(3),
         [other],
@@ -236,7 +236,7 @@
     assert_eq!(
         connections_per_process(0, 4),
         256,
-        "1,024 connections if none are configured"
+        "the default if no limit is configured"
     );
     assert_eq!(connections_per_process(4, 0), 4);
 }
--- a/crates/tier/scheduler/tests/retries.rs
+++ b/crates/tier/scheduler/tests/retries.rs
@@ -11,7 +11,7 @@
 const RESUMABLE: CallKind = CallKind::Streaming { resumable: true };
 
 const FULL: Outcome = Outcome::NotExecuted { retry_after: None };
-const LOST: Outcome = Outcome::Broken {
+const BROKEN_UNANSWERED: Outcome = Outcome::Broken {
     sent: true,
     events: 0,
 };
@@ -24,14 +24,15 @@
     events: 0,
 };
 
+/// Action after the outcome of the first attempt.
 #[derive(Debug, PartialEq)]
-enum Next {
-    Again,
-    Refused,
-    Failed(FailReason),
+enum NextAction {
+    Retry,
+    Reject,
+    Fail(FailReason),
 }
 
-fn next(kind: CallKind, max_replicas: u32, first: Outcome) -> Next {
+fn next_action(kind: CallKind, max_replicas: u32, first: Outcome) -> NextAction {
     let mut driver = Driver::new(1, service(), &replicas(&["a", "b"]));
     driver.submit(Call {
         kind,
@@ -39,9 +40,9 @@
         ..call(driver.now, 1)
     });
     match driver.attempt_ended(1, 0, first)[..] {
-        [Action::Send { .. }] => Next::Again,
-        [Action::Refuse { .. }] => Next::Refused,
-        [Action::Fail { reason, .. }] => Next::Failed(reason),
+        [Action::Send { .. }] => NextAction::Retry,
+        [Action::Refuse { .. }] => NextAction::Reject,
+        [Action::Fail { reason, .. }] => NextAction::Fail(reason),
         ref other => panic!("{other:?}"),
     }
 }
@@ -49,43 +50,34 @@
 #[test]
 fn outcome_of_the_first_attempt_decides_on_a_retry() {
     use FailReason::{MayHaveRun, ReplicaError, TimedOut};
+    use NextAction::{Fail, Retry};
     let cases = [
-        (IDEMPOTENT, 2, FULL, Next::Again),
-        (IDEMPOTENT, 2, Outcome::ReplicaError, Next::Again),
-        (IDEMPOTENT, 2, LOST, Next::Again),
-        (IDEMPOTENT, 1, LOST, Next::Failed(MayHaveRun)),
-        (
-            IDEMPOTENT,
-            1,
-            Outcome::ReplicaError,
-            Next::Failed(ReplicaError),
-        ),
-        (IDEMPOTENT, 1, Outcome::TimedOut, Next::Failed(TimedOut)),
-        (IDEMPOTENT, 1, BROKEN_UNSENT, Next::Again),
-        (RESUMABLE, 2, BROKEN_MIDWAY, Next::Again),
-        (RESUMABLE, 1, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
-        (NON_IDEMPOTENT, 2, FULL, Next::Again),
-        (NON_IDEMPOTENT, 2, Outcome::Misdirected, Next::Again),
-        (NON_IDEMPOTENT, 1, Outcome::Misdirected, Next::Again),
-        (NON_IDEMPOTENT, 1, Outcome::Unreachable, Next::Again),
-        (NON_IDEMPOTENT, 1, Outcome::NeverSent, Next::Again),
-        (NON_IDEMPOTENT, 1, BROKEN_UNSENT, Next::Again),
-        (NON_IDEMPOTENT, 2, LOST, Next::Failed(MayHaveRun)),
-        (NON_IDEMPOTENT, 2, Outcome::TimedOut, Next::Failed(TimedOut)),
-        (
-            NON_IDEMPOTENT,
-            2,
-            Outcome::ReplicaError,
-            Next::Failed(ReplicaError),
-        ),
-        (STREAM, 2, FULL, Next::Again),
-        (STREAM, 2, BROKEN_MIDWAY, Next::Failed(MayHaveRun)),
-        (STREAM, 2, LOST, Next::Failed(MayHaveRun)),
-        (STREAM, 2, BROKEN_UNSENT, Next::Again),
+        (IDEMPOTENT, 2, FULL, Retry),
+        (IDEMPOTENT, 2, Outcome::ReplicaError, Retry),
+        (IDEMPOTENT, 2, BROKEN_UNANSWERED, Retry),
+        (IDEMPOTENT, 1, BROKEN_UNANSWERED, Fail(MayHaveRun)),
+        (IDEMPOTENT, 1, Outcome::ReplicaError, Fail(ReplicaError)),
+        (IDEMPOTENT, 1, Outcome::TimedOut, Fail(TimedOut)),
+        (IDEMPOTENT, 1, BROKEN_UNSENT, Retry),
+        (RESUMABLE, 2, BROKEN_MIDWAY, Retry),
+        (RESUMABLE, 1, BROKEN_MIDWAY, Fail(MayHaveRun)),
+        (NON_IDEMPOTENT, 2, FULL, Retry),
+        (NON_IDEMPOTENT, 2, Outcome::Misdirected, Retry),
+        (NON_IDEMPOTENT, 1, Outcome::Misdirected, Retry),
+        (NON_IDEMPOTENT, 1, Outcome::Unreachable, Retry),
+        (NON_IDEMPOTENT, 1, Outcome::NeverSent, Retry),
+        (NON_IDEMPOTENT, 1, BROKEN_UNSENT, Retry),
+        (NON_IDEMPOTENT, 2, BROKEN_UNANSWERED, Fail(MayHaveRun)),
+        (NON_IDEMPOTENT, 2, Outcome::TimedOut, Fail(TimedOut)),
+        (NON_IDEMPOTENT, 2, Outcome::ReplicaError, Fail(ReplicaError)),
+        (STREAM, 2, FULL, Retry),
+        (STREAM, 2, BROKEN_MIDWAY, Fail(MayHaveRun)),
+        (STREAM, 2, BROKEN_UNANSWERED, Fail(MayHaveRun)),
+        (STREAM, 2, BROKEN_UNSENT, Retry),
     ];
     for (kind, max_replicas, first, expected) in cases {
         assert_eq!(
-            next(kind, max_replicas, first),
+            next_action(kind, max_replicas, first),
             expected,
             "{kind:?}, max_replicas {max_replicas}, {first:?}"
         );
@@ -106,8 +98,8 @@
         driver.advance(0.02)[..],
         [Action::Send { attempt: 1, .. }]
     ));
-    let there = driver.sent_to(1);
-    assert_eq!(there[0], there[1]);
+    let sent_to = driver.sent_to(1);
+    assert_eq!(sent_to[0], sent_to[1]);
 }
 
 #[test]
@@ -250,7 +242,7 @@
         driver.submit(call(driver.now, id));
         for attempt in 0..4 {
             if driver.end(id).is_none() {
-                driver.attempt_ended(id, attempt, LOST);
+                driver.attempt_ended(id, attempt, BROKEN_UNANSWERED);
             }
         }
         driver.advance(0.01);
@@ -258,7 +250,7 @@
     let attempts: usize = (1..=400).map(|id| driver.sent_to(id).len()).sum();
     assert!(
         (400 + 80..=400 + 101).contains(&attempts),
-        "a fifth of 400, and a burst of 20: {attempts}"
+        "a fifth of the first attempts, and a burst of 20: {attempts}"
     );
 }
 
--- a/crates/tier/scheduler/tests/unit/programs.rs
+++ b/crates/tier/scheduler/tests/unit/programs.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn is_near(a: f64, b: f64) -> bool {
+fn is_close(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-9
 }
 
@@ -32,7 +32,7 @@
         program_deadline: None,
         ..call(0.0, 1, 1, 0.0)
     };
-    assert!(is_near(
+    assert!(is_close(
         programs.latency_target(&without_program, UNLOADED),
         0.25
     ));
@@ -44,10 +44,10 @@
     let first = call(0.0, 1, 1, 4.0);
     programs.record_arrival(0.0, &first);
     assert!(
-        is_near(programs.latency_target(&first, UNLOADED), 0.2),
+        is_close(programs.latency_target(&first, UNLOADED), 0.2),
         "half of the time is work, so the target is twice the unloaded latency"
     );
-    assert!(is_near(programs.slack(0.0, &first).unwrap(), 2.0));
+    assert!(is_close(programs.slack(0.0, &first).unwrap(), 2.0));
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let mut programs = Programs::default();
     let late = call(5.0, 1, 1, 4.0);
     programs.record_arrival(5.0, &late);
-    assert!(is_near(programs.latency_target(&late, UNLOADED), 0.0));
+    assert!(is_close(programs.latency_target(&late, UNLOADED), 0.0));
 }
 
 #[test]
@@ -106,12 +106,12 @@
         .iter()
         .for_each(|call| programs.record_arrival(call.arrived_at, call));
     assert_eq!(programs.step_size(&calls[2]), 3);
-    assert!(is_near(programs.step_started(&calls[2]), 0.1));
+    assert!(is_close(programs.step_started(&calls[2]), 0.1));
     calls
         .iter()
         .for_each(|call| programs.record_end(1.0, call, true, UNLOADED));
     let next = call(2.0, 4, 1, 4.0);
     programs.record_arrival(2.0, &next);
     assert_eq!(programs.step_size(&next), 1);
-    assert!(is_near(programs.step_started(&next), 2.0));
+    assert!(is_close(programs.step_started(&next), 2.0));
 }
--- a/crates/tier/scheduler/tests/weights.rs
+++ b/crates/tier/scheduler/tests/weights.rs
@@ -72,7 +72,7 @@
         assert_eq!(
             share_of_new(seed, 0, &make),
             0.0,
-            "a service of weight 0 receives no calls"
+            "a service without weight receives no calls"
         );
         assert_eq!(share_of_new(seed, 100, &make), 1.0);
     }
