--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,7 +1,7 @@
 //! Choice of a replica for one attempt of a call.
 //!
-//! The replica with the fewest calls of this process in flight is chosen, ties at random. These filters apply before,
-//! in this order:
+//! The replica with the fewest calls of this process in flight is chosen, ties at random. These filters apply first, in
+//! this order:
 //!
 //! 1. Replicas that must not be used are excluded.
 //! 2. Replicas that the call was not sent to are preferred.
--- a/crates/tier/scheduler/src/scheduler.rs
+++ b/crates/tier/scheduler/src/scheduler.rs
@@ -190,8 +190,8 @@
     }
 
     /// Records that the driver has ended a call: its client has disconnected, its deadline has passed, or its response
-    /// was truncated. Returns the actions that abort its attempts, for which the driver reports no outcomes. Does
-    /// nothing if the scheduler has ended the call before.
+    /// was truncated. Aborts its attempts, for which the driver reports no outcomes. Returns the actions to execute;
+    /// none if the scheduler has ended the call before.
     pub fn call_ended(&mut self, now: f64, id: CallId) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.calls.contains_key(&id) {
