--- a/crates/tier/scheduler/tests/rules.rs
+++ b/crates/tier/scheduler/tests/rules.rs
@@ -19,7 +19,7 @@
         kind: u8,
         program: u8,
         max_replicas: u8,
-        give_up_ms: u16,
+        timeout_ms: u16,
     },
     Advance {
         ms: u8,
@@ -51,7 +51,7 @@
                 kind: any(g),
                 program: any(g),
                 max_replicas: any(g),
-                give_up_ms: u16::arbitrary(g),
+                timeout_ms: u16::arbitrary(g),
             },
             5..=7 => Input::Advance { ms: any(g) },
             8..=9 => Input::FirstEvent {
@@ -131,7 +131,7 @@
     kind_byte: u8,
     program: u8,
     max_replicas: u8,
-    give_up_ms: u16,
+    timeout_ms: u16,
 ) -> Call {
     let program = (!program.is_multiple_of(3)).then_some(u64::from(program % 8));
     Call {
@@ -147,7 +147,7 @@
                 weight: u32::from(kind_byte == 255),
             },
         ],
-        deadline: now + f64::from(give_up_ms % 4_000) / 1e3,
+        deadline: now + f64::from(timeout_ms % 4_000) / 1e3,
         program_deadline: program.map(|program| now + program as f64),
         program,
         session: program,
@@ -173,7 +173,7 @@
             kind,
             program,
             max_replicas,
-            give_up_ms,
+            timeout_ms,
         } => {
             *next_id += 1;
             let call = random_call(
@@ -182,7 +182,7 @@
                 kind,
                 program,
                 max_replicas,
-                give_up_ms,
+                timeout_ms,
             );
             driver.submit(call);
         }
