--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -1,17 +1,22 @@
 //! Choice of a replica for one attempt of a call.
 //!
-//! The replica with the fewest calls of this process in flight is chosen, ties at random, with these
-//! exceptions in order. Replicas that must not be used are excluded. Replicas that the call was not sent to are
-//! preferred, then healthy ones: replicas that have recently failed, are unresponsive, have reported that they
-//! are full, or are warming up are used only if no others remain; then those at which no call has to wait. For
-//! engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the
-//! head of the prompt is chosen unless it has so many more calls that their prefill takes longer. Among
-//! equals the home of the call's program or object is preferred, and then this process's zone.
+//! The replica with the fewest calls of this process in flight is chosen, ties at random. These filters apply first, in
+//! this order:
 //!
-//! The *home* is the replica to which all processes of a zone send the calls of one program, and all
-//! processes the calls about one object (affinity by rendezvous hashing): the usable and healthy replica of
-//! the highest rank, for a program within the zone. Most of the prompt that it has cached was sent by other
-//! processes, which this process knows without any message.
+//! 1. Replicas that must not be used are excluded.
+//! 2. Replicas that the call was not sent to are preferred.
+//! 3. Healthy replicas are preferred. Replicas that have recently failed, are unresponsive, have reported that they
+//!    are full, or are warming up are used only if no others remain.
+//! 4. Replicas at which the call is not queued are preferred.
+//!
+//! For engines, calls are weighed by the prompt tokens that have to be prefilled: a replica that has cached the head of
+//! the prompt is chosen unless it has so many more calls that their prefill takes longer. Among equals the home of the
+//! call's program or object is preferred, and then the zone of this process (the local zone).
+//!
+//! The *home* is the replica to which all processes of a zone send the calls of one program, and all processes of all
+//! zones the calls about one object (affinity by rendezvous hashing). It is the usable and healthy replica of the
+//! highest rank; for a program, the highest rank within the local zone. Processes agree on the home without messages.
+//! Each process assumes that the other processes have sent most of the program's prompt to the home.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,7 +24,7 @@
 use woadreach_routing::decide::candidates::Candidates;
 use woadreach_routing::rendezvous::rank;
 
-use crate::calls_in_flight::CallInFlight;
+use crate::active_call::ActiveCall;
 use crate::fleet::Fleet;
 use crate::keys::{ReplicaKey, RouteKey};
 use crate::mechanisms::{Mechanism, is_on};
@@ -27,44 +32,45 @@
 use crate::routes::LatenciesByRoute;
 use crate::service::Service;
 
-/// Prompt tokens that count as one unit in the comparison. Smaller differences do not justify a longer queue.
+/// Number of prompt tokens in one unit of cost. Smaller differences do not justify a longer queue.
 const TOKENS_PER_UNIT: usize = 256;
-/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input,
-/// which is about a quarter after a few turns. Underestimates the cache of long programs.
+/// Share of a prompt that is assumed to be cached at the home of its program: all except the newest input, which is
+/// about a quarter of the prompt after a few turns. Underestimates the cached share for long programs.
 const CACHED_SHARE_AT_HOME: f64 = 0.75;
-/// Limit on the attempts of a call on any route, including those that never reached a replica.
+/// Limit on the number of attempts of a call on any route, including those that never reached a replica.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Decision on the next attempt of a call.
+/// Result of the choice for the next attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Choice {
-    /// Send it to this replica.
+    /// Send the call to this replica.
     Send(ReplicaKey),
-    /// Send it to this ejected replica as a probe.
+    /// Send the call to this ejected replica as a probe.
     SendProbe(ReplicaKey),
-    /// Queue it at this replica, which has no capacity or has earlier calls in its queue.
+    /// Queue the call at this replica, which is under backpressure or has calls with earlier deadlines in its queue.
     Enqueue(ReplicaKey),
-    /// Replicas exist, but none may receive it now.
+    /// Replicas exist, but none may receive the call at present.
     Postpone,
-    /// No replica may run it.
+    /// No replica is left that may run the call.
     NoReplica,
 }
 
-/// State from which a replica is chosen.
+/// Inputs of the choice of a replica.
 pub(crate) struct Placement<'a> {
     pub now: f64,
     pub fleet: &'a Fleet,
     pub routes: &'a LatenciesByRoute,
     /// Zone of this process.
     pub zone: &'a str,
-    /// This process's share of the connections that a replica accepts.
+    /// Limit on the calls of this process in flight at one replica: its share of the connections that a replica
+    /// accepts.
     pub connections: usize,
-    /// Mean of the prefill tokens of a call of the service; 0 if it serves no model.
+    /// Mean number of prefill tokens of a call of the service; 0 if the service has no engine.
     pub mean_prefill: usize,
 }
 
 impl<'a> Placement<'a> {
-    /// The state for calls of `service`. A service that is not configured sets no limits.
+    /// The inputs for calls of `service`; `None`, for a service that is not configured, sets no limits.
     pub(crate) fn new(
         now: f64,
         fleet: &'a Fleet,
@@ -82,11 +88,11 @@
         }
     }
 
-    /// Decides on the next attempt of `call`. `is_behind` says whether calls with earlier deadlines are
-    /// queued at a replica.
+    /// Chooses the replica for the next attempt of `call`. `is_behind` returns whether calls with earlier deadlines
+    /// are queued at a replica.
     pub(crate) fn choose(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         is_behind: impl Fn(ReplicaKey) -> bool,
         random: &mut oorandom::Rand64,
     ) -> Choice {
@@ -94,8 +100,9 @@
         if candidates.is_empty() {
             return Choice::NoReplica;
         }
-        candidates
-            .require(|key| self.with(*key, |replica| replica.in_flight.len() < self.connections));
+        candidates.require(|key| {
+            self.satisfies(*key, |replica| replica.in_flight.len() < self.connections)
+        });
         if candidates.is_empty() {
             return Choice::Postpone;
         }
@@ -103,8 +110,9 @@
             return Choice::SendProbe(probe);
         }
         self.prefer_healthy(call, &mut candidates);
-        let is_queueing =
-            |key: &ReplicaKey| is_behind(*key) || self.with(*key, |replica| replica.holds());
+        let is_queueing = |key: &ReplicaKey| {
+            is_behind(*key) || self.satisfies(*key, |replica| replica.is_under_backpressure())
+        };
         candidates.prefer(|key| !is_queueing(key));
         match self.cheapest(call, &mut candidates, random) {
             Some(key) if is_queueing(&key) => Choice::Enqueue(key),
@@ -113,9 +121,9 @@
         }
     }
 
-    /// The home of the call's program or object. That of a program is in this process's zone, where most of
-    /// its calls arrive, unless too few replicas are there.
-    pub(crate) fn home(&self, call: &CallInFlight) -> Option<ReplicaKey> {
+    /// The home of the call's program or object; `None` if it has neither, or no replica is healthy. The home of a
+    /// program is in the local zone, where most of its calls arrive, unless the zone has too few replicas.
+    pub(crate) fn home(&self, call: &ActiveCall) -> Option<ReplicaKey> {
         if !is_on(Mechanism::Homes) {
             return None;
         }
@@ -134,10 +142,10 @@
             .usable(&call.service)
             .filter(is_healthy)
             .collect();
-        let stays_near = is_engine && self.own_zone_can_serve(&healthy);
+        let prefers_local_zone = is_engine && self.has_local_zone_enough_replicas(&healthy);
         let preference = |replica: &Replica| {
-            let is_near = stays_near && self.is_near(replica);
-            (is_near, rank(&key, &replica.spec.id))
+            let is_in_local_zone = prefers_local_zone && self.is_in_local_zone(replica);
+            (is_in_local_zone, rank(&key, &replica.spec.id))
         };
         healthy
             .into_iter()
@@ -145,48 +153,48 @@
             .map(|(key, _)| key)
     }
 
-    /// Whether this process's zone has at least half as many of these replicas as zones have on average. With
-    /// fewer, the programs that arrive here would overload them.
-    fn own_zone_can_serve(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
+    /// Whether the local zone has at least half as many of these replicas as the average zone. With fewer, the
+    /// programs that arrive in this zone would overload them.
+    fn has_local_zone_enough_replicas(&self, replicas: &[(ReplicaKey, &Replica)]) -> bool {
         let zones: BTreeSet<&str> = replicas
             .iter()
             .map(|(_, replica)| &*replica.spec.zone)
             .collect();
-        let near = replicas
+        let local = replicas
             .iter()
-            .filter(|(_, replica)| self.is_near(replica))
+            .filter(|(_, replica)| self.is_in_local_zone(replica))
             .count();
-        2 * near * zones.len() >= replicas.len()
+        2 * local * zones.len() >= replicas.len()
     }
 
-    fn is_near(&self, replica: &Replica) -> bool {
+    fn is_in_local_zone(&self, replica: &Replica) -> bool {
         &*replica.spec.zone == self.zone
     }
 
-    /// Chooses a replica for a hedge: only a healthy one that the call has not been sent to, and that is no
-    /// busier than any other.
+    /// Chooses a replica for a hedge: the cheapest one that the call has not been sent to, has a free connection, and
+    /// is neither ejected, saturated, under backpressure nor unresponsive.
     pub(crate) fn choose_hedge(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
         let mut candidates = self.allowed(call);
         candidates.require(|key| !call.was_sent_to(*key));
         candidates.require(|key| {
-            self.with(*key, |replica| {
+            self.satisfies(*key, |replica| {
                 replica.in_flight.len() < self.connections
                     && !replica.is_ejected_for(call.route)
                     && !replica.is_saturated(self.now)
-                    && !replica.holds()
+                    && !replica.is_under_backpressure()
                     && !self.is_unresponsive(replica)
             })
         });
         self.cheapest(call, &mut candidates, random)
     }
 
-    /// Replicas that may receive the call: usable ones of the service, within the limits of replicas and
-    /// attempts.
-    fn allowed(&self, call: &CallInFlight) -> Candidates<ReplicaKey> {
+    /// Replicas that may receive the call: the usable replicas of its service, within the limits on replicas,
+    /// attempts and resends. Those that the call was not sent to are preferred.
+    fn allowed(&self, call: &ActiveCall) -> Candidates<ReplicaKey> {
         let reached = call.replicas_reached();
         let is_limit_reached = reached.len() >= call.request.max_replicas.max(1) as usize;
         let mut candidates = Candidates::new(self.fleet.usable(&call.service).map(|(key, _)| key));
@@ -198,13 +206,10 @@
         candidates
     }
 
-    /// An ejected replica that is due for a probe, if this call may be used: it may run again elsewhere, or
-    /// the replica allows probes with any call.
-    fn probe(
-        &self,
-        call: &CallInFlight,
-        candidates: &Candidates<ReplicaKey>,
-    ) -> Option<ReplicaKey> {
+    /// An ejected replica that is due for a probe, if this first attempt of the call may serve as one: another
+    /// candidate is not ejected, and either the call may run again elsewhere or the replica accepts any call as a
+    /// probe.
+    fn probe(&self, call: &ActiveCall, candidates: &Candidates<ReplicaKey>) -> Option<ReplicaKey> {
         let others_exist =
             candidates.least(|key| usize::from(self.is_ejected(*key, call.route))) == Some(0);
         if !call.attempts.is_empty() || !others_exist {
@@ -221,25 +226,29 @@
             .map(|(key, _)| key)
     }
 
-    /// Excludes replicas that have failed recently or are unresponsive, full or warming up, as long as others
-    /// remain.
-    fn prefer_healthy(&self, call: &CallInFlight, candidates: &mut Candidates<ReplicaKey>) {
-        // If most are ejected for being slow, the load is the cause, and excluding them would increase it.
-        let is_load_the_cause = self.is_majority_ejected(call);
+    /// Excludes replicas that are ejected, unresponsive, have failed recently, are full or are warming up, as long as
+    /// others remain.
+    fn prefer_healthy(&self, call: &ActiveCall, candidates: &mut Candidates<ReplicaKey>) {
+        // If most replicas are ejected for being slow, overload is the cause. Excluding them would increase the load
+        // on the others.
+        let is_overload_likely = self.is_majority_ejected(call);
         candidates.prefer(|key| {
-            let is_excused = is_load_the_cause && self.with(*key, Replica::is_merely_slow);
-            is_excused || !self.is_ejected(*key, call.route)
+            let is_tolerated =
+                is_overload_likely && self.satisfies(*key, Replica::was_last_failure_late);
+            is_tolerated || !self.is_ejected(*key, call.route)
         });
-        candidates.prefer(|key| self.with(*key, |replica| !self.is_unresponsive(replica)));
-        candidates.prefer(|key| self.with(*key, |replica| !replica.has_failed_recently(self.now)));
-        candidates.prefer(|key| self.with(*key, |replica| !replica.is_saturated(self.now)));
+        candidates.prefer(|key| self.satisfies(*key, |replica| !self.is_unresponsive(replica)));
         candidates
-            .prefer(|key| self.with(*key, |replica| replica.has_slow_start_capacity(self.now)));
+            .prefer(|key| self.satisfies(*key, |replica| !replica.has_failed_recently(self.now)));
+        candidates.prefer(|key| self.satisfies(*key, |replica| !replica.is_saturated(self.now)));
+        candidates.prefer(|key| {
+            self.satisfies(*key, |replica| replica.has_slow_start_capacity(self.now))
+        });
     }
 
     fn cheapest(
         &self,
-        call: &CallInFlight,
+        call: &ActiveCall,
         candidates: &mut Candidates<ReplicaKey>,
         random: &mut oorandom::Rand64,
     ) -> Option<ReplicaKey> {
@@ -247,14 +256,14 @@
         candidates.prefer(|key| self.cost(*key, call) == least);
         candidates.prefer(|key| call.home == Some(*key));
         if is_on(Mechanism::NearAmongEquals) {
-            candidates.prefer(|key| self.with(*key, |replica| self.is_near(replica)));
+            candidates.prefer(|key| self.satisfies(*key, |replica| self.is_in_local_zone(replica)));
         }
         candidates.choose(|_| 0, random)
     }
 
-    /// Calls of this process in flight at a replica. For engines, the prefill of these calls and of `call` in
-    /// units of [`TOKENS_PER_UNIT`].
-    fn cost(&self, key: ReplicaKey, call: &CallInFlight) -> usize {
+    /// Number of calls of this process in flight at a replica. For engines, the prefill tokens of these calls and of
+    /// `call`, in units of [`TOKENS_PER_UNIT`].
+    fn cost(&self, key: ReplicaKey, call: &ActiveCall) -> usize {
         let Some(replica) = self.fleet.get(key) else {
             return usize::MAX;
         };
@@ -267,10 +276,10 @@
     }
 
     fn is_ejected(&self, key: ReplicaKey, route: RouteKey) -> bool {
-        self.with(key, |replica| replica.is_ejected_for(route))
+        self.satisfies(key, |replica| replica.is_ejected_for(route))
     }
 
-    fn is_majority_ejected(&self, call: &CallInFlight) -> bool {
+    fn is_majority_ejected(&self, call: &ActiveCall) -> bool {
         let usable = || self.fleet.usable(&call.service);
         let ejected = usable()
             .filter(|(_, replica)| replica.is_ejected_for(call.route))
@@ -280,18 +289,18 @@
 
     fn is_unresponsive(&self, replica: &Replica) -> bool {
         is_on(Mechanism::UnresponsiveAvoidance)
-            && replica.is_unresponsive(self.now, |route| self.routes.late_after(route))
+            && replica.is_unresponsive(self.now, |route| self.routes.late_threshold(route))
     }
 
-    fn with(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
+    fn satisfies(&self, key: ReplicaKey, test: impl Fn(&Replica) -> bool) -> bool {
         self.fleet.get(key).is_some_and(test)
     }
 }
 
-/// Prompt tokens that the replica has to prefill: those that are neither known to be cached there nor, at the
-/// call's home, sent by other processes.
-pub(crate) fn prefill_tokens(call: &CallInFlight, key: ReplicaKey, replica: &Replica) -> u32 {
-    let tokens = call.request.tokens_in;
+/// Number of prompt tokens that the replica has to prefill: those that this process has not sent there before and, at
+/// the call's home, other processes have not sent either.
+pub(crate) fn prefill_tokens(call: &ActiveCall, key: ReplicaKey, replica: &Replica) -> u32 {
+    let tokens = call.request.prompt_tokens;
     let sent_by_others = if call.home == Some(key) {
         f64::from(tokens) * CACHED_SHARE_AT_HOME
     } else {
@@ -305,9 +314,9 @@
     tokens.saturating_sub(sent_by_this_process.max(sent_by_others as u32))
 }
 
-/// Whether all usable replicas of a service are full, by their reported load or by a queue at this process.
+/// Whether all usable replicas of a service are saturated or under backpressure. False if none is usable.
 pub(crate) fn is_overloaded(now: f64, fleet: &Fleet, service: &Arc<str>) -> bool {
     let mut usable = fleet.usable(service).peekable();
-    let full = |replica: &Replica| replica.is_saturated(now) || replica.holds();
+    let full = |replica: &Replica| replica.is_saturated(now) || replica.is_under_backpressure();
     usable.peek().is_some() && usable.all(|(_, replica)| full(replica))
 }
--- a/crates/tier/scheduler/src/prefix_cache.rs
+++ b/crates/tier/scheduler/src/prefix_cache.rs
@@ -1,17 +1,20 @@
-//! Estimate of the prefixes in a replica's KV cache, from the prompts that this process has sent there.
+//! Estimate of the prompt prefixes in a replica's KV cache, from the prompts that this process has sent to it.
 
 use std::collections::BTreeMap;
 
 use crate::call::PrefixPart;
 
-/// Parts of prompts in the cache of one replica, evicted in the order of their last use.
+/// Estimated prompt parts in the cache of one replica, with eviction of the least recently used part.
 ///
-/// Other processes use the same cache, so this process relies on its share of the capacity only.
+/// Other processes use the same cache, so this process assumes only its share of the capacity.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     parts: BTreeMap<u64, CachedPart>,
-    by_use: BTreeMap<u64, u64>,
+    /// Identifiers of the parts by their last use.
+    by_last_use: BTreeMap<u64, u64>,
+    /// Tokens of all parts.
     tokens: u64,
+    /// Number of uses so far; the logical time of the last use.
     uses: u64,
 }
 
@@ -22,8 +25,8 @@
 }
 
 impl PrefixCache {
-    /// Tokens at the head of the prompt that are cached. A part counts only if all parts before it are cached
-    /// completely.
+    /// Number of tokens at the head of the prompt that are cached. A part counts only if all parts before it are
+    /// completely cached.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let mut cached: u32 = 0;
         for part in prefix {
@@ -39,13 +42,13 @@
         cached
     }
 
-    /// Records that the prompt was sent to the replica. Evicts the oldest parts beyond `max_tokens`.
+    /// Records that the prompt was sent to the replica. Evicts the least recently used parts beyond `max_tokens`.
     pub(crate) fn record(&mut self, prefix: &[PrefixPart], max_tokens: u64) {
         for part in prefix.iter().rev() {
-            self.touch(*part);
+            self.record_use(*part);
         }
         while self.tokens > max_tokens {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 break;
             };
             if let Some(evicted) = self.parts.remove(&oldest) {
@@ -54,22 +57,22 @@
         }
     }
 
-    /// Empties the estimate, as after a restart of the replica.
+    /// Removes all parts, for a replica that has restarted with an empty cache.
     pub(crate) fn clear(&mut self) {
         *self = PrefixCache::default();
     }
 
-    fn touch(&mut self, part: PrefixPart) {
+    fn record_use(&mut self, part: PrefixPart) {
         self.uses += 1;
         let newest = CachedPart {
             tokens: part.tokens,
             last_use: self.uses,
         };
         if let Some(known) = self.parts.insert(part.id, newest) {
-            self.by_use.remove(&known.last_use);
+            self.by_last_use.remove(&known.last_use);
             self.tokens -= u64::from(known.tokens);
         }
-        self.by_use.insert(self.uses, part.id);
+        self.by_last_use.insert(self.uses, part.id);
         self.tokens += u64::from(part.tokens);
     }
 }
--- a/crates/tier/scheduler/tests/common/base_call.rs
+++ b/crates/tier/scheduler/tests/common/base_call.rs
@@ -1,26 +1,26 @@
-//! The call that other calls of tests are derived from. The unit tests include this file too.
+//! Default call from which tests derive their calls. Integration and unit tests include this file.
 
 use std::sync::Arc;
 
 use super::{Call, CallId, CallKind};
 
-/// A safe call of no program and no service, which arrives at `now`.
+/// An idempotent call without a program or service, which arrives at `now`.
 pub(crate) fn base_call(now: f64, id: u64) -> Call {
     Call {
         id: CallId(id),
         route: Arc::from("route"),
-        kind: CallKind::Safe,
-        clusters: Vec::new(),
-        arrived: now,
-        give_up_at: now + 5.0,
+        kind: CallKind::Idempotent,
+        services: Vec::new(),
+        arrived_at: now,
+        deadline: now + 5.0,
         target_latency: 0.25,
-        finish_at: None,
+        program_deadline: None,
         program: None,
         session: None,
         affinity: None,
         prefix: Vec::new(),
-        tokens_in: 0,
-        tokens_out: 0,
+        prompt_tokens: 0,
+        max_output_tokens: 0,
         priority: 1,
         max_replicas: 1,
     }
