--- a/crates/tier/chain/src/agreement.rs
+++ b/crates/tier/chain/src/agreement.rs
@@ -4,13 +4,13 @@
 //! of epoch `e`, which decides view `e + 1`. A promise also seals epoch `e` at the acceptor: it accepts no
 //! more writes of that epoch, so the state that it reports with the promise is final.
 //!
-//! In a reconfiguration this stands between the decision to propose (`member/proposals`) and the installation
-//! of the decided view. The acceptor's part is in `member/paxos.rs`; this module is the proposer's.
+//! In a reconfiguration, the agreement follows the decision to propose (`member/proposals`) and precedes the
+//! installation of the decided view. This module contains the proposer; the acceptor is in `member/paxos.rs`.
 //!
 //! | proposer's phase | event | next |
 //! | --- | --- | --- |
 //! | `Idle` | [`Proposer::start`] | `Preparing` |
-//! | `Preparing` | [`Proposer::record_promise`], a majority | stays, until [`Proposer::propose`] |
+//! | `Preparing` | [`Proposer::record_promise`], a majority | `Preparing`, [`Proposer::propose`] may be called |
 //! | `Preparing` | [`Proposer::propose`] | `Accepting` |
 //! | `Accepting` | [`Proposer::record_accepted`], a majority | `Idle`, the view is decided |
 //! | any | [`Proposer::abandon`] | `Idle` |
@@ -25,22 +25,23 @@
 use crate::state::WritePosition;
 use crate::view::{MemberId, View};
 
-/// What an acceptor reports with its promise.
+/// State of an acceptor, sent with its promise.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Report {
-    /// The proposal with the highest ballot that it has accepted in this instance.
+    /// The proposal with the highest ballot that the acceptor has accepted in this instance; `None` if it has
+    /// accepted none.
     pub accepted: Option<Accepted>,
-    /// The last epoch in which it was active in the chain. Its state holds every write that was committed
-    /// up to and including that epoch.
+    /// The last epoch in which the acceptor was active in the chain. Its state includes every write that was
+    /// committed up to and including that epoch.
     pub active_epoch: u64,
-    /// Position of the last write in its state, committed or not. Final, since the epoch is sealed.
+    /// Position of the last write in the acceptor's state, committed or not. Final, since the epoch is sealed.
     pub position: WritePosition,
-    /// Whether it may be in a chain (neither leaving nor unable to sync).
+    /// Whether the acceptor may be in a chain: it is not shutting down, and its disk syncs in time.
     pub can_replicate: bool,
-    /// Members that it has heard within the suspicion time-out, itself included.
-    pub hears: Vec<MemberId>,
-    /// Epochs in which it knows that nothing was committed. Must stay the last field: earlier messages end
-    /// before it.
+    /// Members from which the acceptor has received a message within the suspicion time-out, itself included.
+    pub heard_members: Vec<MemberId>,
+    /// Epochs in which nothing was committed, as the acceptor knows. Must remain the last field: messages of
+    /// earlier versions end before it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
@@ -51,7 +52,7 @@
     /// No proposal.
     #[default]
     Idle,
-    /// Phase 1: promises are collected.
+    /// Phase 1: the proposer collects promises.
     Preparing {
         /// Ballot of the proposal.
         ballot: Ballot,
@@ -60,7 +61,7 @@
         /// Reports of the acceptors that have promised.
         reports: BTreeMap<MemberId, Report>,
     },
-    /// Phase 2: acceptances are collected.
+    /// Phase 2: the proposer collects acceptances.
     Accepting {
         /// Ballot of the proposal.
         ballot: Ballot,
@@ -68,12 +69,12 @@
         since: Duration,
         /// The proposed view. Must never change under one ballot.
         view: View,
-        /// Acceptors that have accepted it, each at most once.
+        /// Acceptors that have accepted the view, each at most once.
         accepted_by: Vec<MemberId>,
     },
 }
 
-/// The proposing side of one instance.
+/// The proposer of one instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposer {
     phase: Phase,
@@ -87,7 +88,7 @@
         &self.phase
     }
 
-    /// Everything here that decisions depend on, without times: for exhaustive searches.
+    /// The part of the state on which decisions depend, without times. Exhaustive searches compare states by it.
     pub(crate) fn canonical(&self) -> impl std::fmt::Debug + '_ {
         let phase = match &self.phase {
             Phase::Idle => None,
@@ -104,7 +105,7 @@
         (phase, self.highest_round)
     }
 
-    /// Ballot of the current proposal.
+    /// Ballot of the current proposal; `None` if there is none.
     pub(crate) fn ballot(&self) -> Option<Ballot> {
         match self.phase {
             Phase::Idle => None,
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Begins phase 1 with a ballot above every one seen so far. The caller must put its own promise of the
-    /// ballot on disk before it sends the ballot to anyone.
-    pub(crate) fn start(&mut self, now: Duration, own: MemberId) -> Ballot {
+    /// Begins phase 1 with a ballot above every ballot observed so far. The caller must have synced its own
+    /// promise of the ballot before it sends the ballot to any member.
+    pub(crate) fn start(&mut self, now: Duration, proposer: MemberId) -> Ballot {
         self.highest_round += 1;
         let ballot = Ballot {
             round: self.highest_round,
-            proposer: own,
+            proposer,
         };
         self.phase = Phase::Preparing {
             ballot,
@@ -128,7 +129,7 @@
         ballot
     }
 
-    /// Records another proposer's ballot, so that the next own one is above it.
+    /// Records the ballot of another proposer, so that the next ballot of this one is above it.
     pub(crate) fn observe_ballot(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
     }
@@ -136,30 +137,30 @@
     /// Records a promise, unless it belongs to another ballot. `from` must be a voter of the current view.
     pub(crate) fn record_promise(&mut self, from: MemberId, ballot: Ballot, report: Report) {
         if let Phase::Preparing {
-            ballot: own,
+            ballot: own_ballot,
             reports,
             ..
         } = &mut self.phase
-            && *own == ballot
+            && *own_ballot == ballot
         {
             reports.insert(from, report);
         }
     }
 
-    /// The view that must be proposed because it may already have been decided: that of the accepted proposal
-    /// with the highest ballot (Paxos Made Simple, property P2c).
+    /// The view of the accepted proposal with the highest ballot. It must be proposed, because it may already
+    /// have been decided (Paxos Made Simple, property P2c). `None` if no report contains an accepted proposal.
     pub(crate) fn highest_accepted_view(reports: &BTreeMap<MemberId, Report>) -> Option<View> {
-        let votes = reports
+        let proposals = reports
             .values()
             .filter_map(|report| report.accepted.as_ref());
-        votes
-            .max_by_key(|vote| vote.ballot)
-            .map(|vote| vote.view.clone())
+        proposals
+            .max_by_key(|accepted| accepted.ballot)
+            .map(|accepted| accepted.view.clone())
     }
 
-    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. The caller must have the
-    /// reports of a majority, and `view` must be [`highest_accepted_view`](Self::highest_accepted_view) of
-    /// them if there is one.
+    /// Begins phase 2 with `view` and returns its ballot; `None` outside phase 1. A majority must have reported,
+    /// and `view` must be the [`highest_accepted_view`](Self::highest_accepted_view) of the reports if there is
+    /// one.
     pub(crate) fn propose(&mut self, now: Duration, view: View) -> Option<Ballot> {
         let Phase::Preparing { ballot, .. } = self.phase else {
             return None;
@@ -173,12 +174,12 @@
         Some(ballot)
     }
 
-    /// Records an acceptance. Returns the view, now decided, once a majority of the voters of `current` has
-    /// accepted it.
+    /// Records an acceptance. Returns the view once a majority of the voters of `current` has accepted it, which
+    /// decides it.
     pub(crate) fn record_accepted(
         &mut self,
         from: MemberId,
-        voted: Ballot,
+        accepted_ballot: Ballot,
         current: &View,
     ) -> Option<View> {
         let Phase::Accepting {
@@ -190,7 +191,7 @@
         else {
             return None;
         };
-        if *ballot != voted || !current.is_voter(from) || accepted_by.contains(&from) {
+        if *ballot != accepted_ballot || !current.is_voter(from) || accepted_by.contains(&from) {
             return None;
         }
         accepted_by.push(from);
--- a/crates/tier/chain/src/blob.rs
+++ b/crates/tier/chain/src/blob.rs
@@ -1,10 +1,10 @@
-//! Shared immutable bytes with a codec: the body of a configuration or of a storage view, which is not copied
-//! on its way through the chain.
+//! Shared immutable bytes with a codec, for the body of a configuration or of a storage view. A member keeps
+//! and forwards the body without copying it.
 
 use bytes::Bytes;
 use speedy::{Context, Readable, Reader, Writable, Writer};
 
-/// Bytes that are cheap to clone, encoded as a length and the bytes themselves.
+/// Bytes that are cheap to clone, encoded as their length and the bytes themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blob(pub Bytes);
 
@@ -28,7 +28,7 @@
 impl<'a, C: Context> Readable<'a, C> for Blob {
     fn read_from<R: Reader<'a, C>>(reader: &mut R) -> Result<Self, C::Error> {
         let length = reader.read_u32()? as usize;
-        // `read_vec` checks that `length` bytes are there before it allocates.
+        // `read_vec` checks that `length` bytes are available before it allocates.
         let bytes: Vec<u8> = reader.read_vec(length)?;
         Ok(Blob(Bytes::from(bytes)))
     }
--- a/crates/tier/chain/src/durable.rs
+++ b/crates/tier/chain/src/durable.rs
@@ -1,7 +1,7 @@
 //! The durable state of a member, and the records that change it.
 //!
 //! The driver appends each [`Record`] to a log and syncs it. A restart decodes the last snapshot and
-//! applies the records that follow it in order. Every step that others rely on is a record here first: a
+//! applies the records that follow it in order. Every step on which other members rely is persisted first: a
 //! promise and an acceptance before they are reported, a write before it is forwarded or committed.
 
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -17,7 +17,7 @@
 /// Why a record or a snapshot can't be read.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// There is not even a version byte.
+    /// There are no bytes, so the version byte is missing.
     #[snafu(display("the record is empty"))]
     Empty,
     /// Another version of the format.
@@ -26,7 +26,7 @@
         /// Version that was found.
         found: u8,
     },
-    /// The bytes are no record or snapshot of this version.
+    /// The bytes after the version are not a record or snapshot of this version.
     #[snafu(display("malformed record"))]
     Malformed {
         /// Error of the decoder.
@@ -34,7 +34,7 @@
     },
 }
 
-/// One change of [`Durable`]. Variants are coded by position: new ones go to the end.
+/// One change of [`Durable`]. Variants are encoded by position: add new ones at the end.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Record {
     /// A promise in the instance of `promise.epoch`; seals that epoch.
@@ -43,9 +43,9 @@
     Accept(Accepted),
     /// A decided view.
     View(View),
-    /// The member becomes active in this epoch: it appends the epoch's writes from here on.
+    /// The member becomes active in this epoch and appends its writes from this record on.
     Activate(u64),
-    /// The predecessor's state replaces the own one, and the epoch is activated.
+    /// The predecessor's state replaces the member's, and the epoch is activated.
     State {
         /// Epoch that becomes active.
         epoch: u64,
@@ -61,17 +61,17 @@
     },
 }
 
-/// An epoch in which nothing was committed, since a member of its chain was never active in it.
+/// An epoch in which nothing was committed, because a member of its chain was never active in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct IdleEpoch {
     /// The epoch.
     pub epoch: u64,
-    /// Floor of its view. A member that was active in this epoch or later holds every write committed up to
-    /// `epoch`.
+    /// Floor of the epoch's view. A member that was active in the floor or in a later epoch has every write
+    /// committed up to and including `epoch`.
     pub floor: u64,
 }
 
-/// Upper bound of the idle epochs that a member remembers; the oldest is dropped first.
+/// Maximum number of idle epochs that a member records; the oldest is dropped first.
 const MAX_IDLE_EPOCHS: usize = 8;
 
 /// The durable state of a member: the result of applying its records in order.
@@ -79,11 +79,12 @@
 pub struct Durable {
     /// Identity of the disk, drawn when it is first used. Never changes.
     pub identity: u64,
-    /// Whether the disk was first used in the very first start of the system.
+    /// Whether the disk was first used in the first start of the whole system. Only then may the member vote in
+    /// epoch 0.
     pub bootstrap: bool,
     /// The newest decided view that the member knows. Its epoch never decreases.
     pub view: View,
-    /// The last promise. Binds only if its epoch is that of `view`; see
+    /// The last promise. Binding only if its epoch is that of `view`; see
     /// [`current_promise`](Self::current_promise).
     pub promise: Option<Promise>,
     /// The accepted proposal with the highest ballot for the view after `view`. Cleared by every new view.
@@ -92,8 +93,8 @@
     pub active_epoch: u64,
     /// The state with every write, committed or not.
     pub state: ControlState,
-    /// Epochs known to have committed nothing, oldest first. Must stay the last field: earlier snapshots end
-    /// before it.
+    /// Epochs known to have committed nothing, oldest first. Must remain the last field: snapshots of earlier
+    /// versions end before it.
     #[speedy(default_on_eof)]
     pub idle_epochs: Vec<IdleEpoch>,
 }
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Applies one record. Records must come in the order in which the member made them.
+    /// Applies one record. Records must be applied in the order in which the member wrote them.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Promise(promise) => self.promise = Some(*promise),
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Records the current epoch, which ends now, as idle if this member was in its chain and never active in
-    /// it.
+    /// Records the current epoch, which is about to end, as idle if this member is in its chain and was never
+    /// active in it.
     fn record_idle_epoch(&mut self) {
         let View { epoch, floor, .. } = self.view;
         let is_in_chain = self
@@ -156,7 +157,7 @@
             .filter(|promise| promise.epoch == self.view.epoch)
     }
 
-    /// Whether the current epoch is sealed: the member accepts no more writes of it.
+    /// Whether the current epoch is sealed, so that the member accepts no more writes of it.
     pub fn is_sealed(&self) -> bool {
         self.current_promise().is_some()
     }
@@ -166,11 +167,11 @@
         encode_versioned(self)
     }
 
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if the bytes are empty, of another version or no snapshot.
+    /// [`RecordError`] if the bytes are empty, of another version, or not a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Durable, RecordError> {
         decode_versioned(bytes)
     }
@@ -182,11 +183,11 @@
         encode_versioned(self)
     }
 
-    /// Reads a record of the log.
+    /// Decodes a record of the log.
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if the bytes are empty, of another version or no record.
+    /// [`RecordError`] if the bytes are empty, of another version, or not a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         decode_versioned(bytes)
     }
@@ -195,7 +196,7 @@
 /// A version byte, followed by the value.
 fn encode_versioned<T: Writable<Endianness>>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT_VERSION];
-    // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
+    // Writing to a vector fails only if a length exceeds 32 bits, which the bounds on the values exclude.
     value
         .write_to_stream_with_ctx(Endianness::LittleEndian, &mut bytes)
         .expect("lengths within 32 bits");
--- a/crates/tier/chain/src/election.rs
+++ b/crates/tier/chain/src/election.rs
@@ -1,56 +1,57 @@
-//! Timing of a member's proposals: the step of a reconfiguration between a reason to propose
-//! (`member/proposals`) and the first message of Paxos.
+//! Timing of a member's proposals. A member that has a reason to propose a view (`member/proposals`) waits for
+//! a delay before it sends the first Paxos message.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
 //! | idle | there is a [`ProposalReason`] | scheduled, after a delay that is partly random |
-//! | scheduled | the reason has disappeared, or another view is in force | idle |
+//! | scheduled | the reason no longer exists, or another view is installed | idle |
 //! | scheduled | the delay has passed | proposing |
-//! | proposing | a view is decided, here or elsewhere | idle |
+//! | proposing | a view is decided, by this proposer or another one | idle |
 //! | proposing | no majority within [`PHASE_TIMEOUT`] | scheduled, after a random delay |
 //!
-//! Random delays keep two proposers from superseding each other's ballots for ever (Lamport, Paxos Made
-//! Simple, section 2.4, asks for a distinguished proposer; the delays stand in for one).
+//! Random delays prevent two proposers from superseding each other's ballots forever. They replace the
+//! distinguished proposer of Lamport, Paxos Made Simple, section 2.4.
 
 use std::time::Duration;
 
 use crate::agreement::{Phase, Proposer};
 
-/// How long a proposer with a majority of the reports waits for the remaining voters' reports.
+/// How long a proposer that has reports of a majority waits for those of the remaining voters.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 /// A phase that has no majority after this time is abandoned.
 pub(crate) const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Upper bound of the random delay before a proposal.
+/// Longest random delay before a proposal for a broken chain. Delays after a failed ballot, after a sealed
+/// epoch and in the first start are up to twice as long.
 pub(crate) const MAX_PROPOSAL_DELAY: Duration = Duration::from_millis(120);
-/// How long the member that has sealed an epoch is given to finish before another one proposes.
+/// How long other voters wait for the proposer that has sealed an epoch, before one of them proposes.
 pub(crate) const SEALED_EPOCH_DELAY: Duration = Duration::from_millis(150);
-/// In the first start of a system, how long all seeds are waited for; after that a majority suffices.
+/// In the first start of a system, how long a member waits for all seeds; after that, a majority suffices.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Why a view is to be proposed.
+/// Why a member proposes a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalReason {
     /// The system starts for the first time.
     Bootstrap,
     /// The epoch is sealed and no view has been decided since.
     EpochSealed,
-    /// A member of the chain is suspected, unable to replicate or disconnected from another one.
+    /// A member of the chain is suspected, unable to replicate or disconnected from another member of it.
     ChainBroken,
     /// Members can be added to the chain, or suspected voters replaced.
     Improvement,
 }
 
-/// When this member proposes next.
+/// Schedule of this member's next proposal.
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
-    /// When the process started.
+    /// Start time of the process.
     started: Duration,
-    /// When the next proposal begins, if one is scheduled.
+    /// Time at which the next proposal begins; `None` if none is scheduled.
     scheduled: Option<Duration>,
 }
 
 impl Election {
-    /// The election of a process that starts at `now`: nothing is scheduled.
+    /// The schedule of a process that starts at `now`, without a proposal.
     pub(crate) fn new(now: Duration) -> Election {
         Election {
             started: now,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// When the next proposal begins, if one is scheduled.
+    /// Time at which the next proposal begins; `None` if none is scheduled.
     pub(crate) fn scheduled(&self) -> Option<Duration> {
         self.scheduled
     }
@@ -68,18 +69,19 @@
         self.scheduled = Some(at);
     }
 
-    /// Drops the scheduled proposal: a view was installed, another member proposes, or this process was
-    /// stalled and its reason is out of date.
+    /// Cancels the scheduled proposal. Called when a view was installed, another member proposes, or this
+    /// process was stalled, so that the reason may be out of date.
     pub(crate) fn cancel(&mut self) {
         self.scheduled = None;
     }
 
-    /// Whether a majority of the seeds now suffices in the first start.
-    pub(crate) fn is_bootstrap_overdue(&self, now: Duration) -> bool {
+    /// Whether [`BOOTSTRAP_TIMEOUT`] has passed, so that a majority of the seeds suffices in the first start.
+    pub(crate) fn has_bootstrap_timed_out(&self, now: Duration) -> bool {
         now.saturating_sub(self.started) >= BOOTSTRAP_TIMEOUT
     }
 
-    /// When the election next needs a tick. `majority` is the number of reports that make one.
+    /// Time of the next tick that the schedule or the current proposal needs, if any. `majority` is the number
+    /// of voters in a majority.
     pub(crate) fn next_wake(&self, proposer: &Proposer, majority: usize) -> Option<Duration> {
         match proposer.phase() {
             Phase::Idle => self.scheduled,
--- a/crates/tier/chain/src/failure_domain.rs
+++ b/crates/tier/chain/src/failure_domain.rs
@@ -1,12 +1,12 @@
-//! Machines that may fail together. Heartbeats report the domain of their sender, and the next view is spread
-//! over several.
+//! Failure domains: zones and regions, whose machines may fail together. Heartbeats report the domain of their
+//! sender, and the members of a view are spread over several domains.
 
 use speedy::{Readable, Writable};
 
 /// Zone and region of a machine, as digests of their names.
 ///
-/// Machines of one zone or region may be lost together; a view is spread over as many as the
-/// [`Policy`](crate::Policy) asks for.
+/// Machines of one zone or region may fail together. The [`Policy`](crate::Policy) determines whether the
+/// members of a view are spread over zones or regions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct FailureDomain {
     /// Digest of the zone's name.
@@ -16,7 +16,7 @@
 }
 
 impl FailureDomain {
-    /// The failure domain of a machine in the zone and region of these names.
+    /// The failure domain of a machine in the zone and the region with these names.
     pub fn named(zone: &str, region: &str) -> FailureDomain {
         FailureDomain {
             zone: digest(zone),
--- a/crates/tier/chain/src/member/departure.rs
+++ b/crates/tier/chain/src/member/departure.rs
@@ -1,17 +1,18 @@
-//! Graceful shutdown: when a member may exit. Its heartbeats report that it is leaving, which is a reason for
-//! a reconfiguration without it.
+//! Graceful shutdown: conditions under which a member may exit. Its heartbeats report that it is leaving, which
+//! is a reason for a reconfiguration without it.
 //!
-//! A process that is shutting down doesn't know whether its disk will come back. So it stays until the others
-//! no longer need the disk, or until the driver's time-out:
+//! A process that is shutting down doesn't know whether its disk will be used again. So it runs until the other
+//! members no longer need the disk, or until the driver's time-out:
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | member | [`Input::Leave`](super::Input::Leave) | leaving: reports it in each heartbeat |
-//! | leaving, in the chain | a view without it is installed | leaving, outside; requests who is active |
+//! | running | [`Input::Leave`](super::Input::Leave) | leaving: each heartbeat reports it |
+//! | leaving, in the chain | a view without it is installed | leaving, outside the chain: asks which members are active |
 //! | leaving, outside the chain | a view that was proposed earlier adds it | leaving, in the chain |
-//! | leaving, outside the chain | no such view is possible, and it isn't needed | may exit |
+//! | leaving, outside the chain | no such view can be pending, and the disk is not needed | may exit |
 //!
-//! It isn't needed once `f + 1` members are active and the other voters are a majority.
+//! The disk is not needed once `f + 1` members are active, the other voters are a majority, and no reachable
+//! machine outside the voters could replace this member as voter.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,18 +21,18 @@
 use crate::message::Body;
 use crate::view::MemberId;
 
-/// Longest time for which a view that was proposed before others knew of the shutdown may still be decided:
-/// twice [`PHASE_TIMEOUT`](crate::election::PHASE_TIMEOUT) and the delay of messages.
+/// Longest time until a view is decided that was proposed before the other members knew of the shutdown: twice
+/// [`PHASE_TIMEOUT`](crate::election::PHASE_TIMEOUT) and the delay of messages.
 const MAX_DECISION_TIME: Duration = Duration::from_millis(1000);
 
-/// Whether a member that is shutting down may exit, or why not.
+/// Whether a member that is shutting down may exit, or the reason why it may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReadiness {
-    /// It may exit: the others have the state on disk and a majority of the voters.
+    /// The member may exit: the other members have the state on disk and are a majority of the voters.
     Free,
-    /// Every other voter is shutting down as well, or there is none: no member can replace this one.
+    /// Every other voter is shutting down as well, or there is none, so no member can replace this one.
     NobodyStays,
-    /// The other reachable voters are no majority.
+    /// The other reachable voters are not a majority.
     VoteNeeded,
     /// The chain contains this member.
     InChain,
@@ -39,21 +40,21 @@
     ViewPending,
     /// Fewer than `f + 1` reachable members of the chain have reported that the state is on their disk.
     ChainWithoutState,
-    /// A reachable machine that could replace this member as voter hasn't done so yet.
+    /// A reachable machine that could replace this member as voter is not a voter yet.
     ReplacementWithoutVote,
 }
 
-/// What a member that is shutting down knows of the installed view's chain.
+/// State of the shutdown of a member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leaving {
-    /// Since when this member has reported to the others that it is shutting down; `None` until then.
+    /// Time since which this member's heartbeats report the shutdown; `None` before.
     since: Option<Duration>,
-    /// Members of the chain that have reported that the state is on their disk.
+    /// Members of the installed view's chain that have reported that the state is on their disk.
     active: BTreeSet<MemberId>,
 }
 
 impl Member {
-    /// Whether this member may exit. Only meaningful after [`Input::Leave`](super::Input::Leave).
+    /// Whether this member may exit at `now`. Only meaningful after [`Input::Leave`](super::Input::Leave).
     pub fn exit_readiness(&self, now: Duration) -> ExitReadiness {
         #[cfg(feature = "mutations")]
         if self.is_mutated(crate::mutations::Mutation::LeavesAtOnce) {
@@ -63,7 +64,7 @@
         if view.epoch == 0 {
             return ExitReadiness::Free;
         }
-        if self.is_nobody_staying(now) {
+        if self.are_other_voters_leaving(now) {
             return ExitReadiness::NobodyStays;
         }
         if view.chain.contains(&self.id) {
@@ -100,7 +101,7 @@
         voters.filter(|&voter| voter != self.id)
     }
 
-    fn is_nobody_staying(&self, now: Duration) -> bool {
+    fn are_other_voters_leaving(&self, now: Duration) -> bool {
         self.other_voters()
             .all(|voter| self.peers.is_heard(now, voter) && self.peers.is_leaving(voter))
     }
@@ -129,17 +130,17 @@
         self.leaving.since.is_some()
     }
 
-    /// Records when this member began to report that it is shutting down.
+    /// Records that this member's heartbeats report the shutdown from `now` on.
     pub(super) fn begin_leaving(&mut self, now: Duration) {
         self.leaving.since.get_or_insert(now);
     }
 
-    /// Must be called when a view is installed: nothing is known of its chain.
+    /// Must be called when a view is installed: no member of its chain has reported yet.
     pub(super) fn clear_active_members(&mut self) {
         self.leaving.active.clear();
     }
 
-    /// Requests from the other members of the chain whether they have the state on disk.
+    /// Asks the other members of the chain whether they have the state on disk.
     pub(super) fn request_active(&mut self) {
         for member in self.durable.view.chain.clone() {
             if member != self.id {
--- a/crates/tier/chain/src/member/dispatch.rs
+++ b/crates/tier/chain/src/member/dispatch.rs
@@ -1,7 +1,8 @@
-//! Dispatch of messages, and the syncs that outgoing messages wait for: every message of a change or
-//! of a reconfiguration enters and leaves a member here.
+//! Dispatch of received messages, and outgoing messages that are deferred until a sync. Every message is received
+//! and sent here.
 //!
-//! A message of another epoch is not handled: the one of the two members that is behind gets the newer view.
+//! A message of another epoch is not handled, except for heartbeats and messages that are valid in every epoch.
+//! Instead, the newer view is sent to the member that is behind.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -37,7 +38,7 @@
         {
             return self.handle_in_epoch(now, from, body);
         }
-        // A heartbeat of another epoch gets here too: by it a machine that returns is sent the view.
+        // This also applies to heartbeats of another epoch, so that a restarted machine is sent the newest view.
         let own_epoch = self.durable.view.epoch;
         if epoch > own_epoch {
             return self.send_now(from.address, Body::RequestView);
@@ -100,7 +101,7 @@
         self.send_now(to.address, Body::Committed(state));
     }
 
-    /// `body` with this member as sender and the current epoch.
+    /// A message with content `body`, with this member as sender and the current epoch.
     pub(super) fn envelope(&self, body: Body) -> Envelope {
         Envelope {
             from: self.id,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Sends a message that promises nothing durable. One to this member itself is handled before the input's
-    /// outputs are returned.
+    /// Sends a message that does not depend on unsynced records. A message to this member itself is handled
+    /// before the outputs of the current input are returned.
     pub(crate) fn send_now(&mut self, to: SocketAddrV4, body: Body) {
         let envelope = self.envelope(body);
         if to == self.id.address {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Sends a message once every record so far is synced, unless a view is installed before that.
+    /// Sends a message after every record so far is synced. It is dropped if a view is installed before that.
     pub(super) fn send_after_sync(&mut self, to: MemberId, body: Body) {
         if self.synced_number == self.record_number {
             self.send_now(to.address, body);
@@ -144,7 +145,7 @@
         self.record_number
     }
 
-    /// Records that every record up to number `through` is synced, and sends what waited for it.
+    /// Records that every record up to number `through` is synced, and sends the messages deferred until then.
     pub(super) fn record_synced(&mut self, now: Duration, through: u64) {
         self.synced_number = self.synced_number.max(through);
         while self
--- a/crates/tier/chain/src/member/head.rs
+++ b/crates/tier/chain/src/member/head.rs
@@ -1,5 +1,5 @@
-//! Requests to the head of the chain: the first step of a change, in which the command is judged and
-//! appended, and the last, in which the reply leaves.
+//! Requests to the head of the chain: evaluates and appends commands, and replies once the chain has confirmed
+//! the state on which the reply is based.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 use crate::state::{Command, Verdict, WritePosition};
 
 impl Member {
-    /// Handles a request: answers it, or adds it to the pending ones.
+    /// Handles a request: answers it, or adds it to the pending requests.
     pub(super) fn handle_request(&mut self, now: Duration, id: RequestId, request: Request) {
         if !self.is_serving_head() {
             return self.reply(id, Reply::Unavailable);
         }
         match request {
             Request::Submit(command) => self.submit(id, command),
-            Request::ReadConfiguration => self.read(id, Outcome::Configuration),
-            Request::Confirm => self.read(id, Outcome::Confirmed),
+            Request::ReadConfiguration => self.add_read(id, Outcome::Configuration),
+            Request::Confirm => self.add_read(id, Outcome::Confirmed),
         }
         self.advance_replication(now);
         self.resolve_requests();
     }
 
-    /// Adds a read of the newest state, or a confirmation of it.
-    fn read(&mut self, id: RequestId, outcome: Outcome) {
+    /// Adds a pending read or confirmation of the newest state.
+    fn add_read(&mut self, id: RequestId, outcome: Outcome) {
         let barrier = Some(self.begin_barrier());
         #[cfg(feature = "mutations")]
         let barrier =
             barrier.filter(|_| !self.is_mutated(crate::mutations::Mutation::ReadWithoutBarrier));
         let position = self.durable.state.position;
-        self.wait(id, outcome, position, barrier);
+        self.add_pending(id, outcome, position, barrier);
     }
 
-    /// Begins a barrier behind every write so far. Returns its number in the head's current session.
+    /// Begins a barrier after every write so far. Returns its number in the head's current session.
     fn begin_barrier(&mut self) -> u64 {
         self.replication.next_barrier(self.barrier_session).number
     }
 
-    /// Adds a request that is answered with `outcome` once the write at `position` is committed and `barrier`
+    /// Adds a request that is answered with `outcome` once the write at `position` is committed and `barrier` is
     /// confirmed.
-    fn wait(
+    fn add_pending(
         &mut self,
         id: RequestId,
         outcome: Outcome,
@@ -59,7 +59,7 @@
         self.outputs.push(Output::Reply { id, reply });
     }
 
-    /// Judges a command on the newest state, and appends it if it applies.
+    /// Evaluates a command against the newest state, and appends it if it applies.
     pub(super) fn submit(&mut self, id: RequestId, command: Command) {
         let newest = self.durable.state.position;
         let verdict = self.durable.state.evaluate(&command);
@@ -74,19 +74,21 @@
                     number: newest.number + 1,
                 };
                 self.append(Write { position, command });
-                self.wait(id, Outcome::Committed, position, None);
+                self.add_pending(id, Outcome::Committed, position, None);
+            }
+            Verdict::AlreadyApplied => {
+                self.add_pending(id, Outcome::AlreadyCommitted, newest, None)
             }
-            Verdict::AlreadyApplied => self.wait(id, Outcome::AlreadyCommitted, newest, None),
             Verdict::Rejected(rejection) => {
                 let barrier = self.begin_barrier();
-                self.wait(id, Outcome::Rejected(rejection), newest, Some(barrier));
+                self.add_pending(id, Outcome::Rejected(rejection), newest, Some(barrier));
             }
-            // An undecided answer rests on no state, so it waits for no commit.
+            // An undecided answer asserts nothing about the state, so it requires no commit.
             Verdict::Undecided(undecided) => self.reply(id, Reply::Undecided(undecided)),
         }
     }
 
-    /// The verdict under the mutation; `None` if the mutation has answered already.
+    /// The verdict under the mutation; `None` if the mutation has already answered the request.
     #[cfg(feature = "mutations")]
     fn mutated_verdict(&mut self, id: RequestId, verdict: Verdict) -> Option<Verdict> {
         let Some(mutation) = self.mutation else {
--- a/crates/tier/chain/src/member/heartbeats.rs
+++ b/crates/tier/chain/src/member/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: what this member reports of itself, and what it does on those of others. The last step of a
-//! change for members outside the chain, which request the state that a heartbeat announces.
+//! Heartbeats: the status that this member reports, and the handling of received heartbeats. Members outside the
+//! chain request the newer committed state that a heartbeat announces.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -11,7 +11,7 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Whether this member may be in a chain.
+    /// Whether this member may be in a chain: its disk syncs in time, and it is not shutting down.
     pub(crate) fn can_replicate(&self) -> bool {
         self.is_disk_healthy && !self.is_leaving()
     }
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Whether a voter is heard. The voters of epoch 0 are known by address only.
-    pub(super) fn hears_voter(&self, now: Duration, voter: MemberId) -> bool {
+    /// Whether a voter is heard. The voters of epoch 0 are compared by address only.
+    pub(super) fn is_voter_heard(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return voter.address == self.id.address
                 || self.peers.is_bootstrapping(now, voter.address);
@@ -44,11 +44,11 @@
             bootstrap: self.durable.bootstrap,
             failure_domain: self.failure_domain,
             committed: self.published.position,
-            hears: self.peers.heard_members(now),
+            heard_members: self.peers.heard_members(now),
         })
     }
 
-    /// Sends a heartbeat to every member that should hear from this one.
+    /// Sends a heartbeat to each of the [`heartbeat_addresses`](Self::heartbeat_addresses).
     pub(super) fn broadcast_heartbeat(&mut self, now: Duration) {
         for address in self.heartbeat_addresses(now) {
             let heartbeat = self.heartbeat(now, address);
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Receivers of heartbeats: the voters; from a voter also every member that it hears; and the seeds while
-    /// this member is no voter or isn't in contact with a majority.
+    /// Receivers of this member's heartbeats: the voters; also every heard member if this member is a voter; and
+    /// the seeds while this member is not a voter or not in contact with a majority. In epoch 0: all of these.
     pub(super) fn heartbeat_addresses(&self, now: Duration) -> BTreeSet<SocketAddrV4> {
         let view = &self.durable.view;
         let mut addresses: BTreeSet<SocketAddrV4> =
@@ -86,7 +86,8 @@
         heartbeat: &Heartbeat,
     ) {
         self.peers.record_heartbeat(now, from, heartbeat);
-        // A member that doesn't hear this one can't answer, and a request to it would delay the next one.
+        // A member that does not receive this member's messages can't answer, and a request to it would delay
+        // the next request.
         let can_answer = self.peers.is_in_contact(now, from);
         #[cfg(feature = "mutations")]
         let can_answer =
--- a/crates/tier/chain/src/member/installation.rs
+++ b/crates/tier/chain/src/member/installation.rs
@@ -1,5 +1,4 @@
-//! Installation of a decided view, and the beginning of its head: the reconfiguration is decided, and
-//! replication begins again in the new epoch.
+//! Installation of a decided view, and the start of its head. Replication restarts in the new epoch.
 
 use std::time::Duration;
 
@@ -10,9 +9,9 @@
 use crate::view::View;
 
 impl Member {
-    /// Installs a decided view, unless a newer one is installed. Messages, proposals and replication of the
-    /// earlier epoch are dropped. Pending requests are kept only if this member is the new head; it waits for
-    /// new barriers for them.
+    /// Installs a decided view, unless it is older than the installed one or the same. Deferred messages, the
+    /// proposal and the replication state of the earlier epoch are dropped. Pending requests remain only if this
+    /// member is the new head; those that need a barrier then need a new one.
     pub(super) fn install_view(&mut self, now: Duration, view: View) {
         if view.epoch <= self.durable.view.epoch {
             return;
@@ -33,7 +32,7 @@
         self.next_heartbeat = now;
     }
 
-    /// Begins to serve as head of the installed view, with this member's own state.
+    /// Starts this member as head of the installed view, with its own state.
     pub(super) fn become_head(&mut self, now: Duration) {
         let epoch = self.durable.view.epoch;
         let record = self.persist(Record::Activate(epoch));
--- a/crates/tier/chain/src/member/io.rs
+++ b/crates/tier/chain/src/member/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a member and what comes out of it.
+//! Inputs and outputs of a member.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use crate::state::ControlState;
 use crate::view::View;
 
-/// What happens to a member.
+/// An event that the driver passes to a member.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed; see [`Member::next_wake`](super::Member::next_wake).
     Tick,
-    /// A message arrived that [`Envelope::check`] accepts.
+    /// A message was received, which [`Envelope::check`] accepts.
     Message(Envelope),
-    /// A request arrived. The member answers it with [`Output::Reply`] unless it is cancelled.
+    /// A request was received. The member answers it with [`Output::Reply`] unless it is cancelled.
     Request(RequestId, Request),
     /// The caller of a request has disconnected.
     Cancel(RequestId),
@@ -28,23 +28,23 @@
         /// Whether the disk syncs in time.
         is_healthy: bool,
     },
-    /// The settings name other seeds.
+    /// The seeds in the settings have changed.
     Seeds(Vec<SocketAddrV4>),
     /// The process is shutting down; see [`ExitReadiness`](super::ExitReadiness).
     Leave,
 }
 
-/// What the driver must do, in the order in which outputs are returned.
+/// An action that the driver must execute, in the order in which outputs are returned.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Append the record and sync; then report [`Input::Synced`] with its number.
+    /// Append the record to the log and sync it, then report [`Input::Synced`] with its number.
     Persist {
-        /// Number of the record, one above that of the record before.
+        /// Number of the record, one above that of the previous record.
         number: u64,
         /// The record.
         record: Record,
     },
-    /// Send a message. It may be lost, delayed or delivered twice.
+    /// Send a message. The network may lose, delay or duplicate it.
     Send {
         /// Internal address of the receiver.
         to: SocketAddrV4,
@@ -53,20 +53,20 @@
     },
     /// Answer a request.
     Reply {
-        /// The request.
+        /// Number of the request.
         id: RequestId,
-        /// Its answer.
+        /// Answer to the request.
         reply: Reply,
     },
     /// A newer state is committed.
     Committed(Arc<ControlState>),
     /// Another view is installed.
     ViewInstalled(View),
-    /// This member has begun to propose a view to follow that of `epoch`. For the log; nothing depends on it.
+    /// This member has begun to propose the view after that of `epoch`. Only for the log.
     ProposalStarted {
         /// Epoch of the installed view.
         epoch: u64,
-        /// Why another view is to follow.
+        /// Reason for the proposal.
         reason: ProposalReason,
     },
 }
--- a/crates/tier/chain/src/member/mod.rs
+++ b/crates/tier/chain/src/member/mod.rs
@@ -2,19 +2,20 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | in the chain, active | promises in the instance of its epoch | sealed: accepts no writes of the epoch |
-//! | sealed | the next view is decided | head: active; in the chain: waits for predecessor; else outside |
-//! | waits for its predecessor | its state is the predecessor's, or was transferred | active |
-//! | outside the chain | a view adds it | waits for its predecessor |
+//! | active in the chain | promises in the instance of its epoch | sealed: accepts no writes of the epoch |
+//! | sealed | the next view is installed | active if head, inactive if elsewhere in the chain, else outside |
+//! | inactive in the chain | its state equals the predecessor's, or was transferred from it | active |
+//! | outside the chain | a view that adds it is installed | active if head, else inactive in the chain |
 //!
-//! A message that promises something durable leaves only once every record before it is synced.
+//! A message that reports durable state is sent only after every record before it is synced.
 //!
-//! [`Member`] is one state machine whose methods are spread over the files of this folder by concern: `paxos`
+//! [`Member`] is one state machine. Its methods are divided by concern over the files of this folder: `paxos`
 //! is the acceptor and sends the proposer's messages, `proposals` and `view_selection` decide when to propose
-//! and which view, `installation` installs a decided view, `propagation` and `head` replicate, `heartbeats`
-//! and `quorum_contact` watch the others, `departure` says when a process that is shutting down may exit,
-//! `dispatch` dispatches messages and defers those that wait for a sync, `steps` is for exhaustive searches.
-//! `options`, `io` and `status` have the types of the member's settings, inputs, outputs and status.
+//! a view and which one, `installation` installs a decided view, `propagation` and `head` replicate,
+//! `heartbeats` and `quorum_contact` track the other members, `departure` decides when a process that is
+//! shutting down may exit, `dispatch` dispatches received messages and defers outgoing ones until a sync, and
+//! `steps` supports exhaustive searches. `options`, `io` and `status` define the types of the member's options,
+//! inputs, outputs and status.
 
 mod departure;
 mod dispatch;
@@ -58,37 +59,39 @@
 
 /// Interval between heartbeats to the same member.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A gap between two ticks that is longer than this shows that the process was stalled.
+/// A longer gap between two ticks shows that the process was stalled.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(450);
-/// First interval between requests for the committed state. It doubles while no state arrives, up to
-/// [`MAX_STATE_REQUEST_INTERVAL`], since a state may be in flight for long.
+/// First interval between requests for the committed state. It doubles while no state is received, up to
+/// [`MAX_STATE_REQUEST_INTERVAL`], since a state may be in flight for a long time.
 const MIN_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 /// Longest interval between requests for the committed state.
 const MAX_STATE_REQUEST_INTERVAL: Duration = Duration::from_millis(2400);
 
-/// A message that waits until a record is synced.
+/// A message that must not be sent before a record is synced.
 #[derive(Clone, Debug)]
 struct DeferredMessage {
     /// Number of the record that must be synced first.
     after_record: u64,
     /// The receiver, which may be this member.
     to: MemberId,
-    /// The content; sent with the epoch in force when it leaves, which is that in which it was deferred.
+    /// Content of the message. It is sent in the epoch in which it was deferred, since the installation of a
+    /// view drops deferred messages.
     body: Body,
 }
 
 /// One core machine, without I/O and without a clock.
 ///
-/// The driver calls [`handle`](Self::handle) for every [`Input`] and at the latest at
-/// [`next_wake`](Self::next_wake), and must carry out every [`Output`] in order. Times are durations since
-/// any fixed origin and must never decrease.
+/// The driver calls [`handle`](Self::handle) for every [`Input`], at the latest with a tick at
+/// [`next_wake`](Self::next_wake), and must execute every [`Output`] in order. Times are durations since a
+/// fixed origin, which the driver chooses, and must never decrease.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// This member. Its identity is that of `durable`.
     pub(crate) id: MemberId,
-    /// Where heartbeats go while this member is no voter or out of contact. May include this machine.
+    /// Additional receivers of heartbeats while this member is not a voter or not in contact with a majority.
+    /// May include this machine.
     pub(crate) seeds: Vec<SocketAddrV4>,
-    /// Sizes of a view and the spread of its members; the same at all members.
+    /// Size of a view and spread of its members; must be the same at all members.
     pub(crate) policy: Policy,
     /// Zone and region of this machine.
     failure_domain: FailureDomain,
@@ -96,9 +99,9 @@
     pub(crate) durable: Durable,
     /// The failure detector.
     pub(crate) peers: Peers,
-    /// This member's ballot, if it has one, in the instance of the current epoch.
+    /// This member's proposer in the instance of the current epoch.
     pub(crate) proposer: Proposer,
-    /// When this member proposes next.
+    /// Schedule of this member's next proposal.
     pub(crate) election: Election,
     /// Replication in the current epoch; replaced with every view.
     pub(crate) replication: Replication,
@@ -106,50 +109,50 @@
     pending_requests: PendingRequests,
     /// The newest committed state that this member knows. Its position never decreases.
     published: Arc<ControlState>,
-    /// Session of this member's barriers, drawn anew with every view. Never 0.
+    /// Session of this member's barriers, drawn again with every installed view. Never 0.
     barrier_session: u64,
-    /// Whether this member has had, since it came into contact with a majority, every state that was
-    /// committed then.
+    /// Whether this member, since it came into contact with a majority, has had a published state at least as
+    /// new as every committed state that the voters in contact had reported.
     is_caught_up: bool,
-    /// Whether the disk syncs in time, as the driver last reported. While it doesn't, this member proposes
-    /// nothing and asks to be replaced in the chain.
+    /// Whether the disk syncs in time, as the driver last reported. While it does not, this member proposes no
+    /// view and asks to be replaced in the chain.
     pub(crate) is_disk_healthy: bool,
-    /// Whether this member is shutting down, and what it knows of the chain since.
+    /// State of the shutdown: its begin, and the active members of the chain.
     leaving: Leaving,
-    /// Number of the last record; rises by one with each.
+    /// Number of the last record; each record's number is one above that of the previous record.
     record_number: u64,
     /// Every record up to this number is synced. Never above `record_number`.
     synced_number: u64,
-    /// Messages that wait for the sync of a record, in ascending order of record numbers.
+    /// Messages to be sent after the sync of a record, in ascending order of record numbers.
     deferred: VecDeque<DeferredMessage>,
     /// Messages of this member to itself, handled before [`handle`](Self::handle) returns.
     loopback: VecDeque<Envelope>,
-    /// What [`handle`](Self::handle) is to return.
+    /// Outputs that [`handle`](Self::handle) will return.
     outputs: Vec<Output>,
-    /// When the last [`Input::Tick`] was handled, or the last stall ended. Never decreases.
+    /// Time at which the last [`Input::Tick`] was handled or the last stall ended. Never decreases.
     last_tick: Duration,
-    /// When heartbeats are due.
+    /// Time at which the next heartbeats are due.
     next_heartbeat: Duration,
-    /// When the committed state may be requested again.
+    /// Earliest time of the next request for the committed state.
     next_state_request: Duration,
-    /// Time from the next request for the committed state to the one after; at least
-    /// [`MIN_STATE_REQUEST_INTERVAL`], at most [`MAX_STATE_REQUEST_INTERVAL`].
+    /// Minimum time between the next request for the committed state and the one after it; between
+    /// [`MIN_STATE_REQUEST_INTERVAL`] and [`MAX_STATE_REQUEST_INTERVAL`].
     state_request_interval: Duration,
-    /// Source of the incarnation, of the random delays and of the barriers' sessions.
+    /// Source of the incarnation, the random delays and the sessions of the barriers.
     random: oorandom::Rand64,
     #[cfg(feature = "mutations")]
     mutation: Option<crate::mutations::Mutation>,
 }
 
 impl Member {
-    /// A member whose disk holds `durable`, all of it synced. Its first tick is due at once.
+    /// A member with the synced disk content `durable`. Its first tick is due at once.
     pub fn new(now: Duration, options: MemberOptions, durable: Durable) -> Member {
         let id = MemberId {
             address: options.address,
             identity: durable.identity,
         };
         let mut random = oorandom::Rand64::new(u128::from(options.random_seed));
-        // The incarnation in heartbeats, and the session of the first barriers.
+        // Used as the incarnation in heartbeats and as the session of the first barriers.
         let incarnation = random.rand_u64() | 1;
         let replication = Replication::new(durable.active_epoch, &durable.state);
         let mut proposer = Proposer::default();
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Switches a safeguard off. Must be called before the first input.
+    /// Disables a safeguard. Must be called before the first input.
     #[cfg(feature = "mutations")]
     pub fn set_mutation(&mut self, mutation: crate::mutations::Mutation) {
         self.mutation = Some(mutation);
@@ -207,7 +210,7 @@
         self.id
     }
 
-    /// What the disk holds once every record is synced. A snapshot of it may replace the log up to the last
+    /// The state on the disk once every record is synced. A snapshot of it may replace the log up to the last
     /// record.
     pub fn durable(&self) -> &Durable {
         &self.durable
@@ -223,7 +226,7 @@
         &self.durable.state
     }
 
-    /// When [`Input::Tick`] must be handled next. Changes with every input.
+    /// Time at which the next [`Input::Tick`] is due. May change with every input.
     pub fn next_wake(&self) -> Duration {
         let mut wake = self.next_heartbeat;
         let majority = self.durable.view.majority();
@@ -245,7 +248,7 @@
         wake
     }
 
-    /// Handles an input. Returns what the driver must do, in order.
+    /// Handles an input at the time `now`. Returns the outputs that the driver must execute, in order.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.recover_from_stall(now);
         self.update_caught_up(now);
@@ -280,7 +283,7 @@
 
     fn recover_from_stall(&mut self, now: Duration) {
         if now.saturating_sub(self.last_tick) > PROCESS_STALL_THRESHOLD {
-            self.peers.excuse_stall(now, self.last_tick);
+            self.peers.restart_timeouts_after_stall(now, self.last_tick);
             self.election.cancel();
             self.last_tick = now;
         }
@@ -300,8 +303,8 @@
         self.advance_replication(now);
     }
 
-    /// Records the health of the disk. A change is reported to the others at once, since this member can't
-    /// propose without its disk.
+    /// Records the health of the disk. A change is reported to the other members at once, since this member
+    /// can't propose a view without its disk.
     fn record_disk_health(&mut self, now: Duration, is_healthy: bool) {
         let has_changed = self.is_disk_healthy != is_healthy;
         self.is_disk_healthy = is_healthy;
--- a/crates/tier/chain/src/member/options.rs
+++ b/crates/tier/chain/src/member/options.rs
@@ -1,11 +1,11 @@
-//! Parameters of a member, which the driver takes from the settings.
+//! Parameters of a member, which the driver reads from the settings.
 
 use std::net::SocketAddrV4;
 
 use crate::failure_domain::FailureDomain;
 use crate::policy::Tolerance;
 
-/// Parameters of a member, fixed for the process but for the seeds.
+/// Parameters of a member. All except the seeds are constant while the process runs.
 #[derive(Clone, Debug)]
 pub struct MemberOptions {
     /// Internal address of this machine; must be reachable by the other members.
@@ -13,10 +13,10 @@
     /// Internal addresses of the seeds, which may include this machine. Replaced by
     /// [`Input::Seeds`](super::Input::Seeds).
     pub seeds: Vec<SocketAddrV4>,
-    /// Losses that the core must survive. Must be the same at all members.
+    /// Failures that the core must survive. Must be the same at all members.
     pub tolerance: Tolerance,
     /// Zone and region of this machine.
     pub failure_domain: FailureDomain,
-    /// Seed of the random delays. Must differ between members.
+    /// Seed of the random number generator. Must differ between members, so that their random delays do.
     pub random_seed: u64,
 }
--- a/crates/tier/chain/src/member/paxos.rs
+++ b/crates/tier/chain/src/member/paxos.rs
@@ -1,8 +1,8 @@
-//! The acceptor's part of the agreement on views, and the messages of the proposer: phases 1 and 2 of a
+//! The acceptor of the agreement on views, and the messages of the proposer: phases 1 and 2 of a
 //! reconfiguration.
 //!
-//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are on disk before they are
-//! reported.
+//! Lamport, Paxos Made Simple (2001), section 2.2: a promise and an acceptance are synced to disk before they
+//! are reported.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -30,7 +30,7 @@
         (promised > ballot).then_some(promised)
     }
 
-    /// Promises `ballot`, which seals the epoch, unless that or a higher ballot is promised. Returns
+    /// Promises `ballot`, which seals the epoch, unless this or a higher ballot is promised already. Returns
     /// whether the promise is new.
     fn promise(&mut self, ballot: Ballot) -> bool {
         let current = self.durable.current_promise();
@@ -58,14 +58,14 @@
         self.send_after_sync(from, Body::Promise { ballot, report });
     }
 
-    /// What this member reports with a promise. Must be called after the promise is recorded.
+    /// The report that this member sends with a promise. Must be called after the promise is recorded.
     pub(super) fn report(&self) -> Report {
         Report {
             accepted: self.durable.accepted.clone(),
             active_epoch: self.durable.active_epoch,
             position: self.durable.state.position,
             can_replicate: self.can_replicate(),
-            hears: self.peers.heard_members(self.last_tick),
+            heard_members: self.peers.heard_members(self.last_tick),
             idle_epochs: self.durable.idle_epochs.clone(),
         }
     }
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Phase 1a: begins a proposal. The own promise is on disk before the ballot is sent, so that a restart
-    /// can't use the same ballot for another view.
+    /// Phase 1a: begins a proposal. This member's own promise is synced before the ballot is sent, so that it
+    /// can't use the same ballot for another view after a restart.
     pub(crate) fn start_proposal(&mut self, now: Duration) {
         if let Some(promise) = self.durable.current_promise() {
             self.proposer.observe_ballot(promise.ballot);
--- a/crates/tier/chain/src/member/propagation.rs
+++ b/crates/tier/chain/src/member/propagation.rs
@@ -1,5 +1,5 @@
-//! Replication of writes and states down the chain, and commits back up: the middle of a change, and the last
-//! step of a reconfiguration, in which the chain's members activate the epoch.
+//! Replication of writes and states from head to tail, and of commits from tail to head. In the last step of a
+//! reconfiguration, it also activates the epoch at the members of the chain.
 //!
 //! Van Renesse & Schneider, Chain Replication (2004), section 3.
 
@@ -34,13 +34,13 @@
         self.durable.view.successor(self.id)
     }
 
-    /// Whether a message of the chain comes from the predecessor and the epoch isn't sealed.
+    /// Whether `from` is the predecessor in the chain and the epoch is not sealed.
     pub(super) fn is_from_predecessor(&self, from: MemberId) -> bool {
         !self.durable.is_sealed() && self.durable.view.predecessor(self.id) == Some(from)
     }
 
-    /// Activates the epoch if this member's state is the predecessor's at `after`, then appends the writes
-    /// that follow it.
+    /// Appends the predecessor's writes. If the epoch isn't active yet, activates it first, provided that the
+    /// position of this member's state is `after`.
     pub(super) fn handle_replicate(
         &mut self,
         now: Duration,
@@ -55,7 +55,7 @@
         let epoch = self.durable.view.epoch;
         if self.durable.active_epoch != epoch {
             if self.durable.state.position != after {
-                // Reported as inactive, which makes the predecessor send its complete state.
+                // The report as inactive makes the predecessor send its complete state.
                 return self.report_to_predecessor();
             }
             let record = self.persist(Record::Activate(epoch));
@@ -73,7 +73,7 @@
         self.advance_replication(now);
     }
 
-    /// Appends a write to the state, unless the state contains it. Writes must come without gaps.
+    /// Appends a write to the state, unless the state already contains it. Writes must be appended without gaps.
     pub(super) fn append(&mut self, write: Write) {
         if write.position <= self.durable.state.position {
             return;
@@ -87,9 +87,9 @@
             .push(record, self.durable.view.epoch, position, command);
     }
 
-    /// Replaces the own state by the predecessor's and activates the epoch. Before the activation this is
-    /// done even if the own state is newer: what it has beyond the predecessor's was never committed. After
-    /// it, only a newer state replaces the own one.
+    /// Replaces this member's state by the predecessor's and activates the epoch. Before the activation, this
+    /// happens even if this member's state is newer: its additional writes were never committed. After the
+    /// activation, only a newer state replaces it.
     pub(super) fn handle_transfer(
         &mut self,
         now: Duration,
@@ -114,7 +114,7 @@
         self.advance_replication(now);
     }
 
-    /// Records what the successor reports of itself and of those behind it.
+    /// Records a progress report of the successor.
     pub(super) fn handle_replicated(&mut self, now: Duration, from: MemberId, progress: Progress) {
         if self.successor() != Some(from) || !self.is_active() {
             return;
@@ -123,13 +123,13 @@
         self.record_chain_progress(now, progress.committed, progress.barrier);
     }
 
-    /// More of the chain's records are synced: forwards them and reports that to the predecessor.
+    /// Forwards newly synced records to the successor and reports the progress to the predecessor.
     pub(super) fn report_progress(&mut self, now: Duration) {
         self.advance_replication(now);
         self.report_to_predecessor();
     }
 
-    /// Reports the progress of this member and of those behind it to the predecessor.
+    /// Reports the progress of this member and of the chain after it to the predecessor, if there is one.
     pub(super) fn report_to_predecessor(&mut self) {
         let view = &self.durable.view;
         let Some(predecessor) = view.predecessor(self.id) else {
@@ -145,8 +145,8 @@
         self.send_now(predecessor.address, report);
     }
 
-    /// Forwards what the successor lacks. The tail commits what it has persisted, if the chain is long
-    /// enough.
+    /// Sends the successor the content that it lacks. The tail instead commits every write that it has persisted,
+    /// if the chain is long enough and intersects every majority.
     pub(crate) fn advance_replication(&mut self, now: Duration) {
         if !self.is_active() {
             return;
@@ -158,7 +158,8 @@
         let Some(successor) = self.successor() else {
             let barrier = self.replication.barrier();
             let view = &self.durable.view;
-            if view.chain.len() >= self.policy.min_chain_length && view.meets_every_majority() {
+            if view.chain.len() >= self.policy.min_chain_length && view.intersects_every_majority()
+            {
                 self.record_chain_progress(now, Some(persisted), barrier);
             }
             return;
@@ -168,20 +169,20 @@
         }
     }
 
-    /// Records that the tail has committed everything up to `committed` and that `barrier` has reached it.
+    /// Records that every write up to `committed` is committed and that the tail has confirmed `barrier`.
     pub(super) fn record_chain_progress(
         &mut self,
         now: Duration,
         committed: Option<WritePosition>,
         barrier: Barrier,
     ) {
-        let is_more = committed.is_some_and(|position| self.replication.commit(position));
-        let is_barrier = self.replication.confirm(barrier);
-        if is_more && let Some(state) = self.replication.committed() {
+        let has_new_commits = committed.is_some_and(|position| self.replication.commit(position));
+        let has_new_barrier = self.replication.confirm(barrier);
+        if has_new_commits && let Some(state) = self.replication.committed() {
             let state = Arc::new(state.clone());
             self.publish(now, state);
         }
-        if is_more || is_barrier {
+        if has_new_commits || has_new_barrier {
             self.report_to_predecessor();
             self.resolve_requests();
         }
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Publishes a committed state, unless a newer one is published.
+    /// Publishes a committed state, unless the same or a newer one is published already.
     pub(super) fn publish(&mut self, now: Duration, state: Arc<ControlState>) {
         if state.position <= self.published.position {
             return;
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Announces the new state to the members outside the chain at once, by a heartbeat.
+    /// Announces the new committed state to the members outside the chain with an immediate heartbeat.
     pub(super) fn send_heartbeats_outside_chain(&mut self, now: Duration) {
         let chain = self.durable.view.chain.clone();
         for peer in self.peers.heard_members(now) {
--- a/crates/tier/chain/src/member/proposals.rs
+++ b/crates/tier/chain/src/member/proposals.rs
@@ -1,5 +1,4 @@
-//! When and why this member proposes a view: the step of a reconfiguration after the failure detector's. The
-//! choice of the view is in `view_selection`.
+//! When and why this member proposes a view, based on the failure detector. `view_selection` chooses the view.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +11,7 @@
 use crate::view::MemberId;
 
 impl Member {
-    /// Advances the current proposal, or begins one if there is a reason and its delay has passed.
+    /// Advances the current proposal, or begins one if there is a reason for it and the delay has passed.
     pub(crate) fn run_election(&mut self, now: Duration) {
         match self.proposal_phase() {
             Phase::Preparing { since, .. } | Phase::Accepting { since, .. }
@@ -28,7 +27,8 @@
         }
     }
 
-    /// Schedules a proposal while there is a reason for one, and begins it at its time.
+    /// Schedules a proposal if there is a reason for one, begins it when it is due, and cancels it if the reason
+    /// no longer exists.
     fn consider_proposal(&mut self, now: Duration) {
         let Some(reason) = self.proposal_reason(now) else {
             self.election.cancel();
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Random delay before the proposal after a failed one.
+    /// Random delay between a failed proposal and the next one.
     pub(crate) fn delay_after_failure(&mut self) -> Duration {
         self.random_delay(2 * MAX_PROPOSAL_DELAY)
     }
 
-    /// Delay of the proposal that `reason` calls for.
+    /// Delay before a proposal for this reason.
     fn delay_before(&mut self, reason: ProposalReason) -> Duration {
         match reason {
             ProposalReason::Improvement => Duration::ZERO,
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Whether this member has the lowest address of the voters: in the first start it proposes first.
+    /// Whether this member has the lowest address of the voters. In the first start, that voter proposes first.
     fn has_lowest_address(&self) -> bool {
         let voters = self.durable.view.voters.iter();
         let lowest = voters.map(|voter| voter.address).min();
         lowest == Some(self.id.address)
     }
 
-    /// Why this member should propose a view now, if there is a reason and it is able to.
+    /// The reason for this member to propose a view now; `None` if there is none or this member is not able to.
     fn proposal_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if view.epoch == 0 {
@@ -81,25 +81,25 @@
             return None;
         }
         if !self.is_disk_healthy {
-            // A proposal begins with a promise on this member's disk.
+            // A proposal begins with a promise that must be synced to this member's disk.
             return None;
         }
         if self.durable.is_sealed() {
             return Some(ProposalReason::EpochSealed);
         }
-        let wanted = self.wanted_view(now)?;
+        let desired = self.desired_view(now)?;
         let is_broken = view
             .chain
             .iter()
-            .any(|member| !wanted.chain.contains(member));
+            .any(|member| !desired.chain.contains(member));
         if is_broken {
             return Some(ProposalReason::ChainBroken);
         }
         let is_head = view.head() == Some(self.id);
-        (is_head && self.is_improvement(now, &wanted)).then_some(ProposalReason::Improvement)
+        (is_head && self.is_improvement(now, &desired)).then_some(ProposalReason::Improvement)
     }
 
-    /// The reason in epoch 0: all seeds are there, or a majority of them after a time.
+    /// The reason in epoch 0: all seeds are heard, or a majority of them after the time-out of the first start.
     fn bootstrap_reason(&self, now: Duration) -> Option<ProposalReason> {
         let view = &self.durable.view;
         if !self.durable.bootstrap || !view.is_voter(self.id) {
@@ -112,13 +112,14 @@
         let present = 1 + others
             .filter(|voter| self.peers.is_bootstrapping(now, voter.address))
             .count();
-        let has_waited = self.election.is_bootstrap_overdue(now);
-        let is_ready = present == view.voters.len() || (has_waited && present >= view.majority());
+        let has_timed_out = self.election.has_bootstrap_timed_out(now);
+        let is_ready =
+            present == view.voters.len() || (has_timed_out && present >= view.majority());
         is_ready.then_some(ProposalReason::Bootstrap)
     }
 
-    /// Voters that this member hears and that list it as heard. Weaker than quorum contact: a member that has
-    /// not caught up may propose.
+    /// Number of voters that are heard and list this member as heard. Weaker than quorum contact: a member that
+    /// has not caught up may propose a view.
     fn reachable_voters(&self, now: Duration) -> usize {
         let voters = self.durable.view.voters.iter();
         voters
@@ -149,7 +150,7 @@
         self.propose_from_reports(now);
     }
 
-    /// Begins phase 2 with the reports so far, if they are of a majority.
+    /// Begins phase 2 with the reports received so far, if a majority has reported.
     pub(crate) fn propose_from_reports(&mut self, now: Duration) {
         let Phase::Preparing { reports, .. } = self.proposal_phase() else {
             return;
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Whether a voter's report has arrived. The voters of epoch 0 are known by address only.
+    /// Whether a voter's report was received. The voters of epoch 0 are compared by address only.
     fn has_reported(&self, reports: &BTreeMap<MemberId, Report>, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return reports.keys().any(|member| member.address == voter.address);
@@ -173,8 +174,8 @@
         reports.contains_key(&voter)
     }
 
-    /// Whether a voter that has not reported is heard, so that its report may still arrive. Unlike
-    /// [`hears_voter`](Self::hears_voter), this is false of this member itself in epoch 0.
+    /// Whether a voter that has not reported is heard, so that its report may still be received. Unlike
+    /// [`is_voter_heard`](Self::is_voter_heard), this is false for this member itself in epoch 0.
     fn is_expected(&self, now: Duration, voter: MemberId) -> bool {
         if self.durable.view.epoch == 0 {
             return self.peers.is_bootstrapping(now, voter.address);
--- a/crates/tier/chain/src/member/status.rs
+++ b/crates/tier/chain/src/member/status.rs
@@ -1,4 +1,4 @@
-//! What a member knows of the core, for operators and for the driver.
+//! Status of the core as known to one member, for operators and for the driver.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,30 +7,30 @@
 use super::Member;
 use crate::view::MemberId;
 
-/// What a member knows of the core.
+/// Status of the core as known to one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// Epoch of the installed view.
     pub epoch: u64,
-    /// Head of the installed view's chain.
+    /// Head of the installed view's chain; `None` before the first view is decided.
     pub head: Option<MemberId>,
     /// Whether this member is that head and accepts commands.
     pub is_head: bool,
     /// Whether the chain contains this member.
     pub in_chain: bool,
-    /// Whether this member is in contact with a majority of the voters and has caught up with every state
-    /// that one of them had reported as committed by then.
+    /// Whether this member is in contact with a majority of the voters and, since then, has had a published
+    /// state at least as new as every committed state that they had reported.
     pub in_quorum: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddrV4>,
     /// Internal addresses of the voters that the failure detector suspects.
     pub suspected_voters: Vec<SocketAddrV4>,
-    /// Internal addresses of the core machines that are known, this one included, in ascending order.
+    /// Internal addresses of the known core machines, this one included, in ascending order.
     pub core_machines: Vec<SocketAddrV4>,
 }
 
 impl Member {
-    /// Addresses of the voters that this member suspects. None in the first start, in which they are not known yet.
+    /// Addresses of the voters that this member suspects. Empty in epoch 0, whose voters have no identities.
     fn suspected_voters(&self, now: Duration) -> Vec<SocketAddrV4> {
         let view = &self.durable.view;
         if view.epoch == 0 {
@@ -43,12 +43,12 @@
             .collect()
     }
 
-    /// What this member knows of the core at `now`.
+    /// Status of the core at `now`, as known to this member.
     pub fn status(&self, now: Duration) -> Status {
         let view = &self.durable.view;
         let heard = self.peers.heard_members(now);
-        let heard_of = self.peers.heard_of(now);
-        let known = heard.iter().chain(&heard_of).chain(&view.voters);
+        let listed = self.peers.listed_members(now);
+        let known = heard.iter().chain(&listed).chain(&view.voters);
         let core_machines: BTreeSet<SocketAddrV4> = known.map(|member| member.address).collect();
         Status {
             epoch: view.epoch,
--- a/crates/tier/chain/src/member/steps.rs
+++ b/crates/tier/chain/src/member/steps.rs
@@ -1,5 +1,5 @@
-//! The steps that [`Input::Tick`](super::Input::Tick) takes when they are due, one at a time: for exhaustive
-//! searches, which have no clock.
+//! Single steps of [`Input::Tick`](super::Input::Tick), for exhaustive searches, which have no clock and choose
+//! the time of each step.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -7,27 +7,27 @@
 use super::{Member, Output};
 use crate::agreement::Phase;
 
-/// A step that [`Input::Tick`](super::Input::Tick) takes at its time.
+/// A step that [`Input::Tick`](super::Input::Tick) takes when its time has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
 pub enum TimedStep {
-    /// Nothing but the time has passed.
-    Nothing,
-    /// The wait before a proposal is over.
+    /// Only advances the clock and drops expired peers.
+    AdvanceClock,
+    /// The delay before a proposal has passed.
     Propose,
-    /// The wait for reports beyond a majority is over.
+    /// The time-out for reports beyond a majority has passed.
     EndReportWait,
-    /// The successor has made no progress for long enough.
+    /// The resend interval has passed without progress of the successor.
     Resend,
 }
 
 impl Member {
-    /// Takes one timed step, whether or not it is due.
+    /// Executes one timed step, whether or not it is due.
     #[doc(hidden)]
     pub fn take_step(&mut self, now: Duration, step: TimedStep) -> Vec<Output> {
         self.last_tick = now;
         match step {
-            TimedStep::Nothing => self.peers.expire(now),
+            TimedStep::AdvanceClock => self.peers.expire(now),
             TimedStep::Propose if self.is_eligible_voter() => self.start_proposal(now),
             TimedStep::Propose => {}
             TimedStep::EndReportWait => self.propose_from_reports(now),
@@ -39,7 +39,7 @@
         self.finish(now)
     }
 
-    /// Whether this member may go on with a proposal once it waits for no more reports.
+    /// Whether this member is in phase 1 and a majority of the voters has reported.
     #[doc(hidden)]
     pub fn has_majority_of_reports(&self) -> bool {
         let Phase::Preparing { reports, .. } = self.proposer.phase() else {
@@ -48,8 +48,8 @@
         reports.len() >= self.durable.view.majority()
     }
 
-    /// Appends everything on which decisions depend to `text`, without times and without what the failure
-    /// detector knows.
+    /// Appends the state on which decisions depend to `text`, without times and without the failure detector.
+    /// Exhaustive searches compare members by it.
     #[doc(hidden)]
     pub fn write_canonical(&self, text: &mut String) {
         let written = write!(
--- a/crates/tier/chain/src/member/view_selection.rs
+++ b/crates/tier/chain/src/member/view_selection.rs
@@ -1,5 +1,5 @@
-//! Which view this member proposes: from what it hears now (whether there is a reason to propose), and from
-//! the reports of a ballot (the view of phase 2). Both are planned by [`next_view`].
+//! Selection of views by [`next_view`]: from the current heartbeats, to find whether there is a reason to propose
+//! a view, and from the reports of a ballot, for the view that is proposed in phase 2.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,22 +12,25 @@
 use crate::view::{MemberId, View};
 
 impl Member {
-    /// The view that the current heartbeats call for. Never proposed itself: a ballot's reports decide.
-    pub(super) fn wanted_view(&self, now: Duration) -> Option<View> {
+    /// The next view according to the current heartbeats; `None` if there can be none. It only shows whether
+    /// there is a reason to propose a view; the proposed one follows from the reports of the ballot.
+    pub(super) fn desired_view(&self, now: Duration) -> Option<View> {
         let view = &self.durable.view;
         let present = view
             .voters
             .iter()
             .copied()
             .filter(|&voter| voter == self.id || self.peers.is_alive(now, voter));
-        let voters: Vec<Candidate> = present.map(|voter| self.unreported_voter(voter)).collect();
+        let voters: Vec<Candidate> = present
+            .map(|voter| self.candidate_from_heartbeats(voter))
+            .collect();
         let learners = self.learners(now);
         let are_connected = |first, second| self.peers.are_connected(now, first, second);
         next_view(view, &voters, &learners, self.policy, &are_connected).ok()
     }
 
-    /// A voter as its heartbeats show it. A member of the chain is assumed to be active.
-    fn unreported_voter(&self, voter: MemberId) -> Candidate {
+    /// A voter as a candidate, according to its heartbeats. A member of the chain is assumed to be active.
+    fn candidate_from_heartbeats(&self, voter: MemberId) -> Candidate {
         let view = &self.durable.view;
         let is_in_chain = view.chain.contains(&voter);
         let is_own = voter == self.id;
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Members that are no voters and may be added.
+    /// Members that are not voters and may be added.
     fn learners(&self, now: Duration) -> Vec<Candidate> {
         let heard = self.peers.heard_members(now).into_iter();
         let others =
@@ -65,10 +68,11 @@
             .collect()
     }
 
-    /// Whether `wanted` has further members in the chain or other voters, all of them stable.
-    pub(super) fn is_improvement(&self, now: Duration, wanted: &View) -> bool {
+    /// Whether `desired` has additional members in its chain or members that are not voters yet, and all
+    /// additional members of the chain are stable.
+    pub(super) fn is_improvement(&self, now: Duration, desired: &View) -> bool {
         let view = &self.durable.view;
-        let mut new_in_chain = wanted
+        let mut new_in_chain = desired
             .chain
             .iter()
             .filter(|member| !view.chain.contains(member))
@@ -76,12 +80,12 @@
         let has_more = new_in_chain.peek().is_some();
         let are_stable =
             new_in_chain.all(|&member| member == self.id || self.peers.is_stable(now, member));
-        let mut wanted_members = wanted.chain.iter().chain(&wanted.voters);
-        let has_other_voters = wanted_members.any(|member| !view.voters.contains(member));
+        let mut desired_members = desired.chain.iter().chain(&desired.voters);
+        let has_other_voters = desired_members.any(|member| !view.voters.contains(member));
         are_stable && (has_more || has_other_voters)
     }
 
-    /// The next view by the reports of a ballot; `None` if there can be none.
+    /// The next view according to the reports of a ballot; `None` if there can be none.
     pub(super) fn planned_view(
         &self,
         now: Duration,
@@ -102,17 +106,17 @@
             .into_iter()
             .filter(|learner| !reports.contains_key(&learner.member))
             .collect();
-        let hears = |first: MemberId, second: MemberId| match reports.get(&first) {
-            Some(report) => report.hears.contains(&second),
-            None => self.peers.hears(now, first, second),
+        let has_heard = |first: MemberId, second: MemberId| match reports.get(&first) {
+            Some(report) => report.heard_members.contains(&second),
+            None => self.peers.has_heard(now, first, second),
         };
         let are_connected = |first, second| {
-            // In the first start no member has heard the others for long enough to tell.
+            // In the first start, no member has run for long enough to list all connected members.
             let is_first_start = self.durable.view.epoch == 0;
-            is_first_start || (hears(first, second) && hears(second, first))
+            is_first_start || (has_heard(first, second) && has_heard(second, first))
         };
         next_view(
-            &self.view_with_known_floor(reports),
+            &self.view_with_lowered_floor(reports),
             &voters,
             &learners,
             self.policy,
@@ -121,8 +125,8 @@
         .ok()
     }
 
-    /// The current view, with its floor lowered past the epochs that are reported as idle.
-    fn view_with_known_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
+    /// The current view, with its floor lowered according to the idle epochs in the reports.
+    fn view_with_lowered_floor(&self, reports: &BTreeMap<MemberId, Report>) -> View {
         let idle_epochs: Vec<IdleEpoch> = reports
             .values()
             .flat_map(|report| report.idle_epochs.iter().copied())
--- a/crates/tier/chain/src/message.rs
+++ b/crates/tier/chain/src/message.rs
@@ -1,7 +1,7 @@
-//! Messages between members: heartbeats; the two phases of Paxos; replication from predecessor to successor
-//! and the reports back; and what a member requests that is behind or shutting down.
+//! Messages between members: heartbeats, both phases of Paxos, replication from predecessor to successor with
+//! progress reports in the other direction, and requests of members that are behind or shutting down.
 //!
-//! The driver decodes and [`check`](Envelope::check)s a message before the member sees it.
+//! The driver decodes and [`check`](Envelope::check)s a message before it passes it to the member.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use speedy::{Readable, Writable};
@@ -12,13 +12,13 @@
 use crate::state::{Command, ControlState, WritePosition};
 use crate::view::{MemberId, View, ViewError};
 
-/// Version of the messages' format.
+/// Version of the message format, the first byte of each message.
 const MESSAGE_VERSION: u8 = 2;
 
 /// Why a message is rejected.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
-    /// There is not even a version byte.
+    /// The message has no bytes, so the version byte is missing.
     #[snafu(display("the message is empty"))]
     EmptyMessage,
     /// The sender uses another version of the format.
@@ -27,7 +27,7 @@
         /// Version of the message.
         found: u8,
     },
-    /// The bytes are no message of this version.
+    /// The bytes after the version are not a message of this version.
     #[snafu(display("malformed message"))]
     MalformedMessage {
         /// Error of the decoder.
@@ -40,7 +40,7 @@
         source: ViewError,
     },
     /// The proposed view is not the one after the sender's.
-    #[snafu(display("a vote in epoch {epoch} on the view of epoch {found}"))]
+    #[snafu(display("proposed view has epoch {found}, expected the epoch after {epoch}"))]
     ViewDoesNotFollow {
         /// Epoch of the sender.
         epoch: u64,
@@ -49,25 +49,25 @@
     },
 }
 
-/// When a member sent a heartbeat, by its own clock.
+/// Send time of a heartbeat, by the sender's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct HeartbeatTime {
-    /// Incarnation of the process, drawn at its start; 0 means that there was no heartbeat.
+    /// Incarnation of the sending process, drawn at its start; 0 if there was no heartbeat.
     pub incarnation: u64,
     /// Microseconds since the origin of the sender's clock.
     pub micros: u64,
 }
 
-/// A heartbeat: what a member reports of itself at every heartbeat interval.
+/// A heartbeat: the status that a member reports at every heartbeat interval.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Heartbeat {
-    /// When it was sent.
+    /// Send time of this heartbeat.
     pub sent: HeartbeatTime,
     /// Send time of the newest heartbeat that the sender has received from the receiver.
     pub echo: HeartbeatTime,
-    /// Whether the sender may be in a chain (neither leaving nor unable to sync).
+    /// Whether the sender may be in a chain: it is not shutting down, and its disk syncs in time.
     pub can_replicate: bool,
-    /// Whether the sender is stopping and wants to be replaced.
+    /// Whether the sender is shutting down and asks to be replaced.
     pub leaving: bool,
     /// Whether the sender may vote in epoch 0.
     pub bootstrap: bool,
@@ -75,19 +75,19 @@
     pub failure_domain: FailureDomain,
     /// Position of the newest committed state that the sender knows.
     pub committed: WritePosition,
-    /// Members that the sender has heard within the suspicion time-out, itself included.
-    pub hears: Vec<MemberId>,
+    /// Members from which the sender has received a message within the suspicion time-out, itself included.
+    pub heard_members: Vec<MemberId>,
 }
 
-/// Number of a barrier.
+/// A barrier: a marker that is forwarded down the chain after every earlier write.
 ///
-/// A barrier is a mark that passes down the chain behind every earlier write. Once the tail has confirmed it,
-/// every member of the chain was still in the epoch when the barrier passed it.
+/// Once the tail has confirmed it, every member of the chain was still in the epoch when it forwarded the
+/// barrier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Barrier {
-    /// Drawn when the head installed its view, so that barriers of different views differ.
+    /// Random number, drawn when the head installed its view, so that barriers of different views differ.
     pub session: u64,
-    /// Counts the barriers of a session from 1; 0 stands for none.
+    /// Number of the barrier within its session, from 1; 0 means no barrier.
     pub number: u64,
 }
 
@@ -96,7 +96,7 @@
 pub struct Write {
     /// Position of the write, assigned by the head.
     pub position: WritePosition,
-    /// The change itself, which the head has judged.
+    /// The change, for which the head's verdict was `Apply`.
     pub command: Command,
 }
 
@@ -110,8 +110,7 @@
         /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// Phase 1b: the sender has promised, which also seals its epoch. Leaves only after the promise is
-    /// synced.
+    /// Phase 1b: the sender has promised, which also seals its epoch. Sent only after the promise is synced.
     Promise {
         /// Ballot that was promised.
         ballot: Ballot,
@@ -120,7 +119,7 @@
     },
     /// Phase 2a: asks to accept a view.
     Accept(Accepted),
-    /// Phase 2b: the sender has accepted. Leaves only after the acceptance is synced.
+    /// Phase 2b: the sender has accepted. Sent only after the acceptance is synced.
     Accepted {
         /// Ballot of the accepted proposal.
         ballot: Ballot,
@@ -134,27 +133,27 @@
     Decided(View),
     /// Requests the newest decided view.
     RequestView,
-    /// From the predecessor: consecutive writes. Without writes it is a probe.
+    /// From the predecessor: consecutive writes. Without writes, a probe that requests a progress report.
     Replicate {
         /// Position of the write before the first of `writes`.
         after: WritePosition,
         /// Writes in ascending order of positions.
         writes: Vec<Write>,
-        /// The newest barrier that the predecessor has seen.
+        /// The newest barrier that the predecessor has begun or received.
         barrier: Barrier,
     },
     /// From the predecessor: its complete persisted state.
     Transfer {
         /// The state, which replaces the receiver's.
         state: ControlState,
-        /// The newest barrier that the predecessor has seen.
+        /// The newest barrier that the predecessor has begun or received.
         barrier: Barrier,
     },
-    /// From the successor: the progress of the chain behind the receiver.
+    /// From the successor: its progress and that of the chain after it.
     Replicated {
         /// Whether the sender has activated the epoch on disk.
         active: bool,
-        /// Position of the sender's persisted state in this epoch; the default if it isn't active.
+        /// Position of the sender's persisted state in this epoch; the default if `active` is false.
         persisted: WritePosition,
         /// Position of the last write that the sender knows to be committed in this epoch.
         committed: Option<WritePosition>,
@@ -178,14 +177,14 @@
     pub from: MemberId,
     /// Epoch of the view that the sender has installed.
     pub epoch: u64,
-    /// The content.
+    /// Content of the message.
     pub body: Body,
 }
 
 impl Body {
-    /// Whether the message may carry a configuration, which may take long to transmit. The driver must send
-    /// such messages in order over a connection of their own, so that heartbeats and Paxos messages don't
-    /// queue behind them.
+    /// Whether the message may contain a configuration, which may take long to transmit. The driver must send
+    /// such messages in order over a separate connection, so that heartbeats and Paxos messages are not queued
+    /// behind them.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
@@ -198,25 +197,25 @@
     /// The message as bytes, with a leading version byte.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![MESSAGE_VERSION];
-        // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
+        // Writing to a vector fails only if a length exceeds 32 bits, which the bounds on the values exclude.
         self.write_to_stream(&mut bytes)
             .expect("lengths within 32 bits");
         bytes
     }
 
-    /// Checks the views that the message carries.
+    /// Checks the views in the message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError::ViewDoesNotFollow`] if a proposed view is not the one after the sender's;
+    /// [`DecodeError::ViewDoesNotFollow`] if the epoch of a proposed view is not the one after the sender's;
     /// [`DecodeError::InvalidView`] if [`View::check`] rejects a view.
     pub fn check(&self) -> Result<(), DecodeError> {
-        let voted = match &self.body {
+        let proposed = match &self.body {
             Body::Accept(accepted) => Some(&accepted.view),
             Body::Promise { report, .. } => report.accepted.as_ref().map(|accepted| &accepted.view),
             _ => None,
         };
-        if let Some(view) = voted {
+        if let Some(view) = proposed {
             let (epoch, found) = (self.epoch, view.epoch);
             ensure!(
                 epoch.checked_add(1) == Some(found),
@@ -229,15 +228,15 @@
             None
         };
         decided
-            .or(voted)
+            .or(proposed)
             .map_or(Ok(()), |view| view.check().context(InvalidViewSnafu))
     }
 
-    /// Reads a message. The caller must [`check`](Self::check) it before handing it to a member.
+    /// Decodes a message. The caller must [`check`](Self::check) it before passing it to a member.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are empty, of another version or no message.
+    /// [`DecodeError`] if the bytes are empty, of another version, or not a message.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, DecodeError> {
         let (&version, rest) = bytes.split_first().context(EmptyMessageSnafu)?;
         if version != MESSAGE_VERSION {
--- a/crates/tier/chain/src/mutations.rs
+++ b/crates/tier/chain/src/mutations.rs
@@ -1,29 +1,30 @@
-//! Safeguards that tests switch off (mutation testing), to show that the checkers find the faults that they
-//! prevent. Never in a release build.
+//! Mutation testing: tests disable one safeguard at a time, to show that the checkers detect the resulting
+//! fault. Not available in release builds.
 
 use crate::requests::Reply;
 use crate::state::{Rejection, Undecided, Verdict};
 
-/// A safeguard that is switched off, described by the resulting behaviour.
+/// A disabled safeguard, described by the resulting behaviour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Messages that must wait for a sync are sent at once.
+    /// Messages that must be sent only after a sync are sent at once.
     AcknowledgeBeforeSync,
-    /// Messages are handled whatever their epoch.
+    /// Messages of any epoch are handled.
     NoEpochCheck,
     /// A restart loses the digests of applied configurations.
     DigestsForgotten,
-    /// A member that hears a majority reports that it is in quorum, even if the majority does not hear it.
+    /// A member that receives messages from a majority reports that it is in quorum, even if the majority does
+    /// not receive its messages.
     QuorumByHearing,
-    /// The committed state is requested also from members that do not hear this one.
+    /// The committed state is also requested from members that do not receive this member's messages.
     StateRequestWithoutContact,
     /// A read is answered without a barrier.
     ReadWithoutBarrier,
-    /// A change on a generation that isn't in force yet is rejected.
+    /// A change whose base is above the current generation is rejected instead of left undecided.
     RejectedFutureBase,
-    /// A change that is too old to be remembered is rejected.
+    /// A change that is older than every retained digest is rejected instead of left undecided.
     RejectedForgotten,
-    /// A rejection leaves before the state that it is based on is committed and confirmed by a barrier.
+    /// A rejection is sent before the state on which it is based is committed and confirmed by a barrier.
     RejectedBeforeCommit,
     /// A duplicate of a change is acknowledged before the change is committed.
     DuplicateBeforeCommit,
@@ -34,7 +35,7 @@
 }
 
 impl Mutation {
-    /// The verdict that replaces `verdict`. `current` is the generation in force.
+    /// The verdict that replaces `verdict`. `current` is the generation of the current configuration.
     pub(crate) fn mutate_verdict(self, verdict: Verdict, current: u64) -> Verdict {
         let rejected = Verdict::Rejected(Rejection::BaseMismatch { current });
         match (self, verdict) {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The reply that leaves at once, although it should wait for a commit.
+    /// The reply that is sent at once although it requires a commit; `None` if the mutation does not concern
+    /// `verdict`.
     pub(crate) fn premature_reply(self, verdict: Verdict) -> Option<Reply> {
         match (self, verdict) {
             (Mutation::RejectedBeforeCommit, Verdict::Rejected(rejection)) => {
--- a/crates/tier/chain/src/peers.rs
+++ b/crates/tier/chain/src/peers.rs
@@ -1,20 +1,20 @@
-//! Failure detector: which members are alive and reach each other, as their heartbeats show.
+//! Failure detector: which members are alive, and which receive each other's messages.
 //!
-//! The first step of a reconfiguration: a suspected member of the chain is a reason to propose a view without
-//! it, and a stable one that is not in the view a reason to add it.
+//! A suspected member of the chain is a reason to propose a view without it, and a stable member outside the
+//! view is a reason to add it.
 //!
-//! A member is suspected after [`SUSPICION_TIMEOUT`] without a message. Heartbeats list the members that
-//! their sender hears, so that links between others are known too, and echo the receiver's last heartbeat,
-//! which proves both directions of a link.
+//! A member is suspected if no message of it was received for [`SUSPICION_TIMEOUT`]. A heartbeat lists the
+//! members that its sender has heard, so links between other members are known too. It also echoes the receiver's
+//! last heartbeat, which proves that both directions of the link work.
 //!
 //! | a member is | if |
 //! | --- | --- |
-//! | heard | a message of it has arrived within [`SUSPICION_TIMEOUT`] |
-//! | alive | it is heard, or this process has listened for less than [`SUSPICION_TIMEOUT`] |
-//! | stable | its messages have come for [`STABLE_TIME`] without a gap of more than [`SUSPICION_TIMEOUT`] before the last one |
+//! | heard | this process has received a message of it within [`SUSPICION_TIMEOUT`] |
+//! | alive | it is heard, or this process has been receiving for less than [`SUSPICION_TIMEOUT`] |
+//! | stable | its first message, or the first after a gap of more than [`SUSPICION_TIMEOUT`], was received at least [`STABLE_TIME`] ago |
 //! | reachable | it is heard, and has listed this member as heard within [`SUSPICION_TIMEOUT`] |
 //! | in contact | it has echoed a heartbeat that this process sent within [`CONTACT_TIMEOUT`] |
-//! | connected to another | each of the two hears the other, as far as this process has listened for long enough to tell |
+//! | connected to another | each of the two has heard the other; assumed where this process has not been receiving for long enough to know |
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,44 +24,44 @@
 use crate::state::WritePosition;
 use crate::view::MemberId;
 
-/// A member from which no message has come for this time is suspected.
+/// A member is suspected if no message of it was received for this time.
 pub(crate) const SUSPICION_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a new or returned member must have been alive before it is added to a view.
+/// How long a new or restarted member must have been alive before it is added to a view.
 pub(crate) const STABLE_TIME: Duration = Duration::from_millis(800);
-/// Greatest age of an echoed heartbeat that still counts as contact.
+/// Maximum age of an echoed heartbeat that still counts as contact.
 pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a member is remembered after its last message.
+/// Time after its last message at which a member is dropped from the table.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
-/// Upper bound of the members that are remembered, and of those that a heartbeat may list.
+/// Maximum number of members in the table, and of listed members that are read from one heartbeat.
 const MAX_PEERS: usize = 128;
 
-/// What is known of another member.
+/// State of another member (the peer), as known from its messages.
 #[derive(Clone, Debug)]
 struct PeerState {
-    /// When its last message arrived.
+    /// Time at which the peer's last message was received.
     last_heard: Duration,
-    /// Since when it has been alive without being suspected in between.
+    /// Start of the period in which the peer was alive without being suspected.
     alive_since: Duration,
-    /// Whether it may be in a chain, as it last reported.
+    /// Whether the peer may be in a chain, as it last reported.
     can_replicate: bool,
-    /// Whether it is shutting down, as it last reported.
+    /// Whether the peer is shutting down, as it last reported.
     leaving: bool,
-    /// Whether it may vote in epoch 0.
+    /// Whether the peer may vote in epoch 0.
     bootstrap: bool,
-    /// Its zone and region.
+    /// Zone and region of the peer.
     failure_domain: FailureDomain,
-    /// Send time of its newest heartbeat, by its own clock, to be echoed.
+    /// Send time of the peer's newest heartbeat, by the peer's clock; this member's heartbeats echo it.
     sent: HeartbeatTime,
-    /// Send time of the newest heartbeat of this member that it has echoed. Never above the current time.
+    /// Send time of this process's newest heartbeat that the peer has echoed. Never above the current time.
     echoed: Option<Duration>,
-    /// Position of the newest committed state that it has reported. Never decreases.
+    /// Position of the newest committed state that the peer has reported. Never decreases.
     committed: WritePosition,
-    /// When it last listed each member as heard.
-    hears: BTreeMap<MemberId, Duration>,
+    /// For each member that the peer lists as heard, the time at which a heartbeat last listed it.
+    listed_at: BTreeMap<MemberId, Duration>,
 }
 
 impl PeerState {
-    /// The state of a member whose first heartbeat arrives at `now`.
+    /// The state of a peer whose first heartbeat is received at `now`.
     fn new(now: Duration, heartbeat: &Heartbeat) -> PeerState {
         PeerState {
             last_heard: now,
@@ -73,11 +73,11 @@
             sent: heartbeat.sent,
             echoed: None,
             committed: heartbeat.committed,
-            hears: BTreeMap::new(),
+            listed_at: BTreeMap::new(),
         }
     }
 
-    /// Records what the member reports of itself.
+    /// Records the status that the peer reports of itself.
     fn record_status(&mut self, heartbeat: &Heartbeat) {
         self.can_replicate = heartbeat.can_replicate;
         self.leaving = heartbeat.leaving;
@@ -95,40 +95,42 @@
         }
     }
 
-    /// Records the members that it lists as heard, and drops those that it has ceased to list.
-    fn record_hears(&mut self, now: Duration, hears: &[MemberId]) {
-        for &member in hears.iter().take(MAX_PEERS) {
-            self.hears.insert(member, now);
+    /// Records the members that the peer lists as heard, and drops those that it has not listed for
+    /// [`SUSPICION_TIMEOUT`].
+    fn record_heard_members(&mut self, now: Duration, heard_members: &[MemberId]) {
+        for &member in heard_members.iter().take(MAX_PEERS) {
+            self.listed_at.insert(member, now);
         }
-        self.hears.retain(|_, heard| is_recent(now, *heard));
+        self.listed_at
+            .retain(|_, listed_at| is_recent(now, *listed_at));
     }
 }
 
-/// What is known of the other members.
+/// The failure detector: the state of the other members.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     /// This member.
     own: MemberId,
     /// Incarnation of this process, never 0. Echoes of other incarnations are ignored.
     incarnation: u64,
-    /// Since when this process has listened: its start, or the end of its last stall.
-    started: Duration,
+    /// Time since which this process has been receiving messages: its start, or the end of its last stall.
+    receiving_since: Duration,
     /// The other members that have sent a heartbeat; at most [`MAX_PEERS`].
     table: BTreeMap<MemberId, PeerState>,
 }
 
 impl Peers {
-    /// The peers of a process that starts at `now`, none of which it has heard.
+    /// The failure detector of a process that starts at `now` and has received no message.
     pub(crate) fn new(own: MemberId, incarnation: u64, now: Duration) -> Peers {
         Peers {
             own,
             incarnation,
-            started: now,
+            receiving_since: now,
             table: BTreeMap::new(),
         }
     }
 
-    /// Records that a message of `from` arrived. Members that have sent no heartbeat yet are ignored.
+    /// Records that a message of `from` was received. Members that have sent no heartbeat yet are ignored.
     pub(crate) fn record_message(&mut self, now: Duration, from: MemberId) {
         if let Some(peer) = self.table.get_mut(&from) {
             if now.saturating_sub(peer.last_heard) > SUSPICION_TIMEOUT {
@@ -156,11 +158,12 @@
         if heartbeat.echo.incarnation == self.incarnation {
             peer.record_echo(now, heartbeat.echo);
         }
-        peer.record_hears(now, &heartbeat.hears);
+        peer.record_heard_members(now, &heartbeat.heard_members);
         self.record_message(now, from);
     }
 
-    /// When the next of `members` becomes suspected, if no message arrives after `now`.
+    /// Time at which the next of `members` becomes suspected if no message is received after `now`; `None` if
+    /// each of them is already suspected or unknown.
     pub(crate) fn next_suspicion(&self, now: Duration, members: &[MemberId]) -> Option<Duration> {
         let heard = members.iter().filter_map(|member| self.table.get(member));
         let suspected_at =
@@ -168,7 +171,8 @@
         suspected_at.filter(|&at| at > now).min()
     }
 
-    /// Drops members that have sent nothing for [`PEER_EXPIRY`], and earlier identities of addresses in use.
+    /// Drops members that have sent nothing for [`PEER_EXPIRY`], and members whose address is now used by another
+    /// identity.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.table
             .retain(|_, peer| now.saturating_sub(peer.last_heard) <= PEER_EXPIRY);
@@ -190,19 +194,21 @@
         })
     }
 
-    /// Restarts the time-outs of members that were alive at `last_tick`: this process was stalled from then
-    /// to `now` and could not receive their messages.
-    pub(crate) fn excuse_stall(&mut self, now: Duration, last_tick: Duration) {
-        self.started = now;
+    /// Restarts the time-outs of members that were not suspected at `last_tick`: this process was stalled from
+    /// then until `now` and could not receive their messages.
+    pub(crate) fn restart_timeouts_after_stall(&mut self, now: Duration, last_tick: Duration) {
+        self.receiving_since = now;
         for peer in self.table.values_mut() {
             if last_tick.saturating_sub(peer.last_heard) <= SUSPICION_TIMEOUT {
                 peer.last_heard = now;
             }
-            peer.hears.values_mut().for_each(|heard| *heard = now);
+            peer.listed_at
+                .values_mut()
+                .for_each(|listed_at| *listed_at = now);
         }
     }
 
-    /// Whether a message of `member` arrived within [`SUSPICION_TIMEOUT`].
+    /// Whether a message of `member` was received within [`SUSPICION_TIMEOUT`]. Always true for this member.
     pub(crate) fn is_heard(&self, now: Duration, member: MemberId) -> bool {
         member == self.own
             || self
@@ -211,10 +217,10 @@
                 .is_some_and(|peer| is_recent(now, peer.last_heard))
     }
 
-    /// Whether `member` isn't suspected: it is heard, or this process has listened for less than
+    /// Whether `member` is not suspected: it is heard, or this process has been receiving for less than
     /// [`SUSPICION_TIMEOUT`].
     pub(crate) fn is_alive(&self, now: Duration, member: MemberId) -> bool {
-        is_recent(now, self.started) || self.is_heard(now, member)
+        is_recent(now, self.receiving_since) || self.is_heard(now, member)
     }
 
     /// Whether `member` has been alive without interruption for [`STABLE_TIME`].
@@ -224,41 +230,43 @@
             .is_some_and(|peer| now.saturating_sub(peer.alive_since) >= STABLE_TIME)
     }
 
-    /// Whether `first` hears `second`. Assumed where `first` has not been heard for long enough to tell.
-    pub(crate) fn hears(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
+    /// Whether `first` has received a message of `second` within the suspicion time-out, as listed in its
+    /// heartbeats. Assumed to be true while `first` has not been alive for long enough to list `second`.
+    pub(crate) fn has_heard(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
         if first == self.own {
             return self.is_alive(now, second);
         }
         let Some(peer) = self.table.get(&first) else {
-            return is_recent(now, self.started);
+            return is_recent(now, self.receiving_since);
         };
         let is_listed = peer
-            .hears
+            .listed_at
             .get(&second)
-            .is_some_and(|&heard| is_recent(now, heard));
+            .is_some_and(|&listed_at| is_recent(now, listed_at));
         is_listed || is_recent(now, peer.alive_since)
     }
 
-    /// Whether the two hear each other.
+    /// Whether each of the two members has heard the other.
     pub(crate) fn are_connected(&self, now: Duration, first: MemberId, second: MemberId) -> bool {
-        self.hears(now, first, second) && self.hears(now, second, first)
+        self.has_heard(now, first, second) && self.has_heard(now, second, first)
     }
 
-    /// Whether `member` is heard and is known to hear this one.
+    /// Whether `member` is heard and has listed this member as heard within [`SUSPICION_TIMEOUT`]. Always true
+    /// for this member.
     pub(crate) fn is_reachable(&self, now: Duration, member: MemberId) -> bool {
         if member == self.own {
             return true;
         }
         self.table.get(&member).is_some_and(|peer| {
-            let is_heard_by = peer
-                .hears
+            let lists_own = peer
+                .listed_at
                 .get(&self.own)
-                .is_some_and(|&heard| is_recent(now, heard));
-            is_recent(now, peer.last_heard) && is_heard_by
+                .is_some_and(|&listed_at| is_recent(now, listed_at));
+            is_recent(now, peer.last_heard) && lists_own
         })
     }
 
-    /// The send time of a heartbeat that leaves now.
+    /// The send time of a heartbeat that is sent now.
     pub(crate) fn heartbeat_time(&self, now: Duration) -> HeartbeatTime {
         HeartbeatTime {
             incarnation: self.incarnation,
@@ -266,7 +274,8 @@
         }
     }
 
-    /// The echo in a heartbeat to `address`: the send time of the newest heartbeat from there.
+    /// The echo in a heartbeat to `address`: the send time of the newest heartbeat from that address; the default
+    /// if there was none.
     pub(crate) fn echo_for(&self, address: std::net::SocketAddrV4) -> HeartbeatTime {
         let at_address = self
             .table
@@ -279,15 +288,15 @@
     }
 
     /// Whether `member` has echoed a heartbeat that this process sent within [`CONTACT_TIMEOUT`]. Unlike
-    /// [`is_reachable`](Self::is_reachable) this counts from the send time, so it ends when either direction
-    /// of the link fails and while this process is stalled.
+    /// [`is_reachable`](Self::is_reachable), this is measured from the send time, so contact also ends when
+    /// either direction of the link fails and while this process is stalled. Always true for this member.
     pub(crate) fn is_in_contact(&self, now: Duration, member: MemberId) -> bool {
         let echoed = || self.table.get(&member).and_then(|peer| peer.echoed);
         member == self.own
             || echoed().is_some_and(|sent| now.saturating_sub(sent) <= CONTACT_TIMEOUT)
     }
 
-    /// Position of the newest committed state that `member` has reported.
+    /// Position of the newest committed state that `member` has reported; the default if it has reported none.
     pub(crate) fn committed(&self, member: MemberId) -> WritePosition {
         self.table
             .get(&member)
@@ -295,7 +304,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether `member` may be in a chain. Assumed of members that have reported nothing yet.
+    /// Whether `member` may be in a chain. Assumed for members that have sent no heartbeat yet.
     pub(crate) fn can_replicate(&self, member: MemberId) -> bool {
         self.table
             .get(&member)
@@ -307,7 +316,7 @@
         self.table.get(&member).is_some_and(|peer| peer.leaving)
     }
 
-    /// Zone and region of `member`; the default if it has reported nothing yet.
+    /// Zone and region of `member`; the default if it has sent no heartbeat yet.
     pub(crate) fn failure_domain(&self, member: MemberId) -> FailureDomain {
         self.table
             .get(&member)
@@ -315,7 +324,7 @@
             .unwrap_or_default()
     }
 
-    /// The members that are heard, this one first.
+    /// The members that are heard, this member first.
     pub(crate) fn heard_members(&self, now: Duration) -> Vec<MemberId> {
         let others = self
             .table
@@ -333,17 +342,19 @@
         })
     }
 
-    /// The members that are listed by those that are heard. May contain a member several times.
-    pub(crate) fn heard_of(&self, now: Duration) -> Vec<MemberId> {
+    /// The members that heard members list in their heartbeats. May contain a member several times.
+    pub(crate) fn listed_members(&self, now: Duration) -> Vec<MemberId> {
         let recent = self
             .table
             .values()
             .filter(|peer| is_recent(now, peer.last_heard));
-        recent.flat_map(|peer| peer.hears.keys().copied()).collect()
+        recent
+            .flat_map(|peer| peer.listed_at.keys().copied())
+            .collect()
     }
 }
 
-/// Whether `then` is no longer ago than [`SUSPICION_TIMEOUT`].
+/// Whether `then` is at most [`SUSPICION_TIMEOUT`] before `now`.
 fn is_recent(now: Duration, then: Duration) -> bool {
     now.saturating_sub(then) <= SUSPICION_TIMEOUT
 }
--- a/crates/tier/chain/src/plan.rs
+++ b/crates/tier/chain/src/plan.rs
@@ -1,7 +1,7 @@
-//! Choice of the next view (reconfiguration) from what the voters of the current one report.
+//! Choice of the next view in a reconfiguration, from the reports of the current voters.
 //!
-//! [`next_view`] is a pure function of the reports. What it returns for the reports of a majority may be
-//! proposed, unless one of them contains an accepted proposal, which must be proposed instead.
+//! [`next_view`] is a pure function. The view that it returns for the reports of a majority may be proposed,
+//! unless one of the reports contains an accepted proposal, which must be proposed instead.
 
 use std::cmp::Reverse;
 
@@ -16,8 +16,8 @@
 /// Why there is no next view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PlanError {
-    /// No reporting voter is known to hold every write that may have been committed.
-    #[snafu(display("no member in reach holds the complete state"))]
+    /// No voter that has reported is known to have every write that may have been committed.
+    #[snafu(display("no reachable member has the complete state"))]
     NoCompleteMember,
 }
 
@@ -26,27 +26,27 @@
 pub struct Candidate {
     /// The member.
     pub member: MemberId,
-    /// The last epoch in which it was active in the chain.
+    /// The last epoch in which the member was active in the chain; 0 if none is known.
     pub active_epoch: u64,
-    /// Position of the last write in its state, committed or not.
+    /// Position of the last write in the member's state, committed or not.
     pub position: WritePosition,
-    /// Whether it may be in a chain (neither leaving nor unable to sync).
+    /// Whether the member may be in a chain: it is not shutting down, and its disk syncs in time.
     pub can_replicate: bool,
-    /// Its zone and region.
+    /// Zone and region of the member.
     pub failure_domain: FailureDomain,
 }
 
 /// The view after `current`.
 ///
-/// `voters` are the voters of `current` that have reported, and must be a majority of them; `learners` are
-/// the other reachable members. The chain begins with a voter that holds every write that may have been
-/// committed, and contains only members of which each two reach each other (`are_connected`). Voters that
-/// have not reported are replaced by learners as far as there are any. A voter whose address is now used by
-/// another identity has lost its disk and is dropped.
+/// `voters` are the voters of `current` that have reported; they must be a majority. `learners` are reachable
+/// members that are not voters. The chain begins with a voter that has every write that may have been
+/// committed, and any two of its members are connected (`are_connected`). Voters that have not reported are
+/// replaced by learners where learners are available. A voter whose address is now used by another identity
+/// has lost its disk and is dropped.
 ///
 /// # Errors
 ///
-/// [`PlanError::NoCompleteMember`] if no voter has been active in the floor or later.
+/// [`PlanError::NoCompleteMember`] if no voter was active in the floor or in a later epoch.
 pub fn next_view(
     current: &View,
     voters: &[Candidate],
@@ -64,8 +64,9 @@
     reconfiguration.next_view()
 }
 
-/// `floor`, lowered past the epochs in which nothing was committed. A member that was active in the floor of
-/// such an epoch holds every write committed before the epoch, and so every write committed up to its end.
+/// The lowest floor that follows from `floor` and the epochs in which nothing was committed. A member that was
+/// active in the floor of an idle epoch has every write committed before the epoch, and therefore every write
+/// committed up to its end.
 pub(crate) fn lowered_floor(floor: u64, idle_epochs: &[IdleEpoch]) -> u64 {
     let mut floor = floor;
     while let Some(idle) = idle_epochs
@@ -77,17 +78,16 @@
     floor
 }
 
-/// What the next view is chosen from.
+/// Arguments of [`next_view`].
 struct Reconfiguration<'a> {
-    /// The view in force.
+    /// The current view.
     current: &'a View,
-    /// Its voters that have reported; must be a majority of them.
+    /// Voters of `current` that have reported; must be a majority.
     voters: &'a [Candidate],
-    /// Reachable members that are no voters.
+    /// Reachable members that are not voters of `current`.
     learners: &'a [Candidate],
-    /// How many members the next view should have, and how they are spread.
     policy: Policy,
-    /// Whether two members reach each other.
+    /// Whether two members receive each other's messages.
     are_connected: &'a dyn Fn(MemberId, MemberId) -> bool,
 }
 
@@ -104,37 +104,38 @@
         })
     }
 
-    /// The floor of the next view. A commit needs every member of the chain, and a chain that intersects
-    /// every majority. If the chain doesn't, or if one of its members has sealed the epoch without having
-    /// been active in it, nothing was committed in the epoch and the floor stays.
+    /// The floor of the next view: the current epoch, or the current floor if nothing was committed in the
+    /// epoch. A commit requires that every member of the chain is active and that the chain intersects every
+    /// majority. So nothing was committed if the chain does not, or if one of its members has sealed the epoch
+    /// without having been active in it.
     fn next_floor(&self) -> u64 {
         let View { epoch, floor, .. } = *self.current;
         let mut chain = self
             .voters
             .iter()
             .filter(|voter| self.current.chain.contains(&voter.member));
-        let may_have_committed =
-            self.current.meets_every_majority() && chain.all(|voter| voter.active_epoch >= epoch);
+        let may_have_committed = self.current.intersects_every_majority()
+            && chain.all(|voter| voter.active_epoch >= epoch);
         if may_have_committed { epoch } else { floor }
     }
 
-    /// The chain of the next view: a voter with the complete state, then members that reach each other.
+    /// The chain of the next view: a voter with the complete state, then members that are all connected.
     fn next_chain(&self, floor: u64) -> Result<Vec<MemberId>, PlanError> {
         let head = self.next_head(floor)?;
-        let preferred = self.in_order_of_preference();
+        let preferred = self.candidates_by_preference();
         let mut chain = vec![head];
-        self.extend(&mut chain, &preferred, true, self.policy.target_members);
-        // A chain with a member that is shutting down or syncs slowly is better than one that commits
-        // nothing.
-        self.extend(&mut chain, &preferred, false, self.policy.min_chain_length);
+        self.extend_chain(&mut chain, &preferred, true, self.policy.target_members);
+        // A chain with a member that is shutting down or syncs slowly is better than one that is too short to
+        // commit.
+        self.extend_chain(&mut chain, &preferred, false, self.policy.min_chain_length);
         Ok(chain
             .into_iter()
             .map(|candidate| candidate.member)
             .collect())
     }
 
-    /// The voter that begins the next chain: of those that hold every write that may have been committed, one
-    /// that may replicate, with the newest state, as near to the current head as possible.
+    /// The head of the next chain. Of the voters that have every write that may have been committed, prefers
+    /// those that may replicate, then the newest state, then the shortest distance from the current head.
     fn next_head(&self, floor: u64) -> Result<Candidate, PlanError> {
         let complete = self
             .voters
@@ -147,24 +148,24 @@
         best.copied().ok_or(PlanError::NoCompleteMember)
     }
 
-    /// The candidates in the order in which they are preferred: the current chain, the other voters,
-    /// learners.
-    fn in_order_of_preference(&self) -> Vec<Candidate> {
+    /// The candidates in order of preference: members of the current chain, the other voters, learners.
+    fn candidates_by_preference(&self) -> Vec<Candidate> {
         let mut ordered = self.voters.to_vec();
         ordered.sort_by_key(|voter| (self.distance_from_head(voter.member), voter.member));
         ordered.extend_from_slice(self.learners);
         ordered
     }
 
-    /// Index of a member in the current chain; the chain's length if it is outside.
+    /// Index of a member in the current chain; the chain's length if the member is not in the chain.
     fn distance_from_head(&self, member: MemberId) -> usize {
         let chain = &self.current.chain;
         let found = chain.iter().position(|&other| other == member);
         found.unwrap_or(chain.len())
     }
 
-    /// Appends members that may replicate, or others, until the chain has `length` members or there are none.
-    fn extend(
+    /// Appends candidates with this value of `can_replicate` until the chain has `length` members or no further
+    /// candidate is suitable.
+    fn extend_chain(
         &self,
         chain: &mut Vec<Candidate>,
         preferred: &[Candidate],
@@ -182,8 +183,8 @@
         }
     }
 
-    /// The candidate that reaches every member of `chain` and shares its failure domain with the fewest of
-    /// them; the first where several do.
+    /// The candidate that is connected to every member of `chain` and shares its failure domain with the fewest
+    /// of them; the first of equal ones.
     fn next_member<'c>(
         &self,
         chain: &[Candidate],
@@ -191,20 +192,20 @@
     ) -> Option<Candidate> {
         let others =
             candidates.filter(|next| chain.iter().all(|other| other.member != next.member));
-        let reaching = others.filter(|next| {
+        let connected = others.filter(|next| {
             chain
                 .iter()
                 .all(|other| (self.are_connected)(next.member, other.member))
         });
-        let least_crowded = reaching.min_by_key(|next| {
+        let least_overlapping = connected.min_by_key(|next| {
             let domains = chain.iter().map(|other| other.failure_domain);
-            self.policy.crowding(next.failure_domain, domains)
+            self.policy.domain_overlap(next.failure_domain, domains)
         });
-        least_crowded.copied()
+        least_overlapping.copied()
     }
 
-    /// The voters of the next view: its chain; then, up to the number of the policy, voters that have
-    /// reported and may replicate, learners, and the remaining voters of the current view.
+    /// The voters of the next view: its chain, then, up to [`Policy::target_members`], voters that have reported
+    /// and may replicate, learners, and the remaining voters of the current view.
     fn next_voters(&self, chain: &[MemberId]) -> Vec<MemberId> {
         let may_replicate = |candidates: &[Candidate]| -> Vec<MemberId> {
             candidates
@@ -228,8 +229,8 @@
         next
     }
 
-    /// The current voters, reported or not, without those that have lost their disks. None in epoch 0, whose
-    /// voters have no identities.
+    /// The current voters, whether or not they have reported, without those that have lost their disks. Empty
+    /// in epoch 0, whose voters have no identities.
     fn remaining_voters(&self) -> Vec<MemberId> {
         if self.current.epoch == 0 {
             return Vec::new();
--- a/crates/tier/chain/src/policy.rs
+++ b/crates/tier/chain/src/policy.rs
@@ -1,20 +1,22 @@
-//! How many members a view has, and how they are spread, as the settings ask for. Applied when the next view
-//! is planned (`plan`), and by the tail, which commits only in a chain that is long enough.
+//! Policy of views: how many members a view should have, and over which failure domains they are spread. It
+//! follows from the settings, is applied when the next view is planned (`plan`), and sets the length of the
+//! chain below which the tail commits nothing.
 
 use crate::failure_domain::FailureDomain;
 
-/// Largest losses that the core must survive, each counted as if it came alone.
+/// Failures that the core must survive. The three numbers don't add up: each states which failures of its kind
+/// are survived if no other failure occurs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Number of machines that may be lost at once.
+    /// Number of machines that may fail at once.
     pub machines: usize,
-    /// Number of zones that may be lost at once.
+    /// Number of zones that may fail at once.
     pub zones: usize,
-    /// Number of regions that may be lost at once.
+    /// Number of regions that may fail at once.
     pub regions: usize,
 }
 
-/// Sizes of a view and the spread of its members, derived from a [`Tolerance`] of `f` losses.
+/// Size of a view and spread of its members, derived from a [`Tolerance`]. `f` is the largest of its numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Target number of voters, and of members of the chain: `2f + 1`.
@@ -27,18 +29,18 @@
     pub spread_regions: bool,
 }
 
-/// How many of the chosen members share a failure domain with a candidate. Compared region first.
+/// How many of the chosen members share a failure domain with a candidate. Compared by region, then by zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Crowding {
-    /// Members in the same region; 0 where regions don't matter.
+pub(crate) struct DomainOverlap {
+    /// Number of members in the same region; 0 if members need not be spread over regions.
     region: usize,
-    /// Members in the same zone of the same region; 0 where zones don't matter.
+    /// Number of members in the same zone of the same region; 0 if members need not be spread over zones.
     zone: usize,
 }
 
 impl Policy {
-    /// The policy that survives these losses. If zones or regions may be lost, members are spread over them,
-    /// so that losing one of them costs no more than the tolerated number of members.
+    /// The policy that survives the failures of `tolerance`. If zones or regions may fail, members are spread
+    /// over them, so that such a failure affects no more members than the policy tolerates.
     pub fn tolerating(tolerance: Tolerance) -> Policy {
         let faults = tolerance
             .machines
@@ -52,19 +54,18 @@
         }
     }
 
-    /// How crowded the domain of a candidate already is by the members whose domains are `chosen`; lower is
-    /// better.
-    pub(crate) fn crowding(
+    /// How many of the members whose domains are `chosen` share a domain with the candidate; lower is better.
+    pub(crate) fn domain_overlap(
         &self,
         candidate: FailureDomain,
         chosen: impl Iterator<Item = FailureDomain> + Clone,
-    ) -> Crowding {
+    ) -> DomainOverlap {
         let in_region = chosen
             .clone()
             .filter(|other| other.region == candidate.region)
             .count();
         let in_zone = chosen.filter(|other| *other == candidate).count();
-        Crowding {
+        DomainOverlap {
             region: if self.spread_regions { in_region } else { 0 },
             zone: if self.spread_zones { in_zone } else { 0 },
         }
--- a/crates/tier/chain/src/replication/mod.rs
+++ b/crates/tier/chain/src/replication/mod.rs
@@ -1,16 +1,16 @@
 //! Replication down the chain, in one epoch.
 //!
 //! Van Renesse & Schneider, Chain Replication for Supporting High Throughput and Availability (2004), section
-//! 3: the head takes updates, every member passes them to its successor in order, and the tail's copy decides
-//! what is committed. Acknowledgements travel back from the tail to the head.
+//! 3: the head accepts updates, every member forwards them to its successor in order, and an update is committed
+//! once the tail has persisted it. Acknowledgements travel from the tail to the head.
 //!
-//! In a change of the configuration this comes after the head has judged the command, and before the reply.
-//! The messages are sent and received by `member/propagation`.
+//! In a configuration change, replication follows the evaluation of the command at the head and precedes the
+//! reply. `member/propagation` sends and receives the messages.
 //!
-//! [`Replication`] is the volatile part of a member's role: which writes are persisted and committed, and how
-//! far the successor has come. The durable part, the state with every write, is [`Durable`](crate::Durable).
+//! [`Replication`] is the volatile state of a member of the chain: which writes are persisted and committed, and
+//! the progress of the successor. The durable state, with every write, is [`Durable`](crate::Durable).
 //!
-//! `successor` has what is known of the successor, and `messages` what is sent to it.
+//! `successor` tracks the successor's progress, and `messages` chooses the messages to it.
 
 mod messages;
 mod successor;
@@ -24,7 +24,7 @@
 pub(crate) use successor::Progress;
 use successor::Successor;
 
-/// The state that this member's disk holds.
+/// Identifies the state on this member's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Persisted {
     /// Epoch that was active when the state was written.
@@ -33,38 +33,39 @@
     position: WritePosition,
 }
 
-/// A record of the chain that the disk has yet to sync.
+/// A record of replication that the disk has not synced yet.
 #[derive(Clone, Copy, Debug)]
 struct UnsyncedRecord {
     /// Number of the record.
     number: u64,
-    /// What the disk holds once the record is synced.
+    /// State on the disk once the record is synced.
     result: Persisted,
 }
 
 /// A member's replication state in the chain of one epoch.
 #[derive(Clone, Debug)]
 pub(crate) struct Replication {
-    /// The state without the writes in `pending`.
+    /// The member's state without the writes in `pending`.
     base: ControlState,
     /// Whether `base` is committed in this epoch.
     is_base_committed: bool,
-    /// Writes above `base`, in ascending order of positions, that are not known to be committed.
+    /// Writes after `base` that are not known to be committed, in ascending order of positions.
     pending: VecDeque<Write>,
-    /// The state on this member's disk. Never ahead of the state in memory.
+    /// The state on this member's disk. Never newer than the state in memory.
     persisted: Persisted,
-    /// Records that the disk has yet to sync, in ascending order of numbers.
+    /// Records that the disk has not synced yet, in ascending order of numbers.
     unsynced: VecDeque<UnsyncedRecord>,
-    /// What is known of the successor; unused at the tail.
+    /// Progress of the successor; unused at the tail.
     successor: Successor,
-    /// The newest barrier received from the predecessor, or begun at the head.
+    /// The newest barrier received from the predecessor; at the head, the newest that it has begun.
     barrier: Barrier,
-    /// The newest barrier that has reached the tail. Never above `barrier` within a session.
+    /// The newest barrier that the tail has confirmed. Never above `barrier` within a session.
     confirmed: Barrier,
 }
 
 impl Replication {
-    /// The state of a member whose disk holds `state`, last written in `active_epoch`.
+    /// Replication of a member whose disk has `state`, last written in `active_epoch`. Nothing is known to be
+    /// committed yet.
     pub(crate) fn new(active_epoch: u64, state: &ControlState) -> Replication {
         Replication {
             base: state.clone(),
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Begins again from `state`, which record number `record` replaced or activated in `epoch`. Nothing of
-    /// the state is known to be committed in this epoch.
+    /// Restarts replication with `state`, which record number `record` has installed or activated in `epoch`.
+    /// No part of the state is known to be committed in this epoch.
     pub(crate) fn restart(&mut self, record: u64, epoch: u64, state: &ControlState) {
         self.base = state.clone();
         self.is_base_committed = false;
@@ -97,7 +98,7 @@
         self.successor.restart();
     }
 
-    /// Adds a write, which record number `record` holds. Its position must be above that of every earlier
+    /// Adds a write, which record number `record` contains. Its position must be above that of every earlier
     /// write.
     pub(crate) fn push(
         &mut self,
@@ -126,17 +127,17 @@
         self.persisted != before
     }
 
-    /// Position of the persisted state, if the disk has synced the activation of `epoch`.
+    /// Position of the persisted state; `None` until the disk has synced the activation of `epoch`.
     pub(crate) fn persisted_position(&self, epoch: u64) -> Option<WritePosition> {
         (self.persisted.epoch == epoch).then_some(self.persisted.position)
     }
 
-    /// Whether the disk has yet to sync a record of this chain.
+    /// Whether a record of replication is not synced yet.
     pub(crate) fn is_syncing(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
-    /// The newest state that is known to be committed in this epoch.
+    /// The newest state that is known to be committed in this epoch; `None` if there is none yet.
     pub(crate) fn committed(&self) -> Option<&ControlState> {
         self.is_base_committed.then_some(&self.base)
     }
@@ -146,18 +147,18 @@
         self.committed().map(|state| state.position)
     }
 
-    /// The newest barrier that has reached the tail.
+    /// The newest barrier that the tail has confirmed.
     pub(crate) fn confirmed(&self) -> Barrier {
         self.confirmed
     }
 
-    /// The newest barrier that this member has seen.
+    /// The newest barrier that this member has begun or received.
     pub(crate) fn barrier(&self) -> Barrier {
         self.barrier
     }
 
-    /// Records that the tail has persisted every write up to `position`. Returns whether more is committed
-    /// than before.
+    /// Records that the tail has persisted every write up to `position`. Returns whether the committed state has
+    /// advanced.
     pub(crate) fn commit(&mut self, position: WritePosition) -> bool {
         let before = self.committed_position();
         while let Some(write) = self
@@ -190,7 +191,7 @@
         self.barrier
     }
 
-    /// Records that `barrier` has reached the tail. Returns whether it is newer than the last one that has.
+    /// Records that the tail has confirmed `barrier`. Returns whether it is newer than the last confirmed one.
     pub(crate) fn confirm(&mut self, barrier: Barrier) -> bool {
         let is_newer = barrier.session == self.barrier.session
             && barrier.number <= self.barrier.number
@@ -203,8 +204,8 @@
         is_newer
     }
 
-    /// Everything here that decisions depend on, without times: for exhaustive searches. Numbers of records
-    /// are counted back from `newest`, so that equal states compare equal.
+    /// The part of the state on which decisions depend, without times. Exhaustive searches compare states by it.
+    /// Numbers of records are relative to `newest`, so that states which differ only in them compare equal.
     pub(crate) fn canonical(&self, newest: u64) -> impl std::fmt::Debug + '_ {
         let unsynced: Vec<_> = self
             .unsynced
@@ -222,12 +223,12 @@
         (state, successor, self.barrier, self.confirmed)
     }
 
-    /// Records the successor's report, which must be of the current epoch.
+    /// Records a report of the successor, which must be of the current epoch.
     pub(crate) fn record_progress(&mut self, now: Duration, report: Progress) {
         self.successor.record_progress(now, report);
     }
 
-    /// Makes the next message to the successor due now, as if the interval between probes had passed.
+    /// Makes the next message to the successor due now, as if the resend interval had passed.
     pub(crate) fn resend(&mut self) {
         self.successor.resend();
     }
--- a/crates/tier/chain/src/replication/successor.rs
+++ b/crates/tier/chain/src/replication/successor.rs
@@ -1,16 +1,16 @@
-//! What a member knows of its successor in the chain.
+//! Progress of a member's successor in the chain.
 //!
-//! | state of the link to the successor | event | next |
+//! | state of the successor | event | next |
 //! | --- | --- | --- |
 //! | `Unknown` | probe sent, answered "inactive" | `Transferring` |
 //! | `Unknown`, `Transferring` | answered "active" | `Streaming` |
-//! | `Streaming` | answered "inactive" (a report that arrived late) | `Transferring` |
-//! | any | not up to date, nothing sent for [`RESEND_INTERVAL`] | the same, and a probe is sent |
-//! | any | the same report again, with content in flight and no progress for [`RESEND_INTERVAL`] | the same, and what the successor lacks is sent again |
+//! | `Streaming` | answered "inactive" (a delayed report) | `Transferring` |
+//! | any | not up to date, nothing sent for [`RESEND_INTERVAL`] | unchanged, and a probe is sent |
+//! | any | the same report again, with content in flight and no progress for [`RESEND_INTERVAL`] | unchanged, and the missing content is sent again |
 //!
-//! A state or a write may be in flight for long, on a slow link or to a slow disk. A probe follows it on the
-//! same connection and is answered once everything before it has arrived and is synced. So an answer without
-//! progress shows that a message was lost, while a missing answer shows nothing: it never causes a large
+//! A state or a write may be in flight for a long time, on a slow link or to a slow disk. A probe follows it on
+//! the same connection and is answered once everything before it was received and synced. So an answer without
+//! progress shows that a message was lost. A missing answer shows nothing, and therefore never causes a large
 //! message to be sent again.
 
 use std::time::Duration;
@@ -18,76 +18,76 @@
 use crate::message::{Barrier, Body};
 use crate::state::WritePosition;
 
-/// Interval between probes of a successor that isn't up to date, and the least time before anything is sent
-/// to it a second time.
+/// Interval between probes of a successor that is not up to date, and the minimum time before content is sent to
+/// it again.
 pub(super) const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Replication state of the successor in this epoch, as far as this member knows.
+/// Replication state of the successor in this epoch, as known from its reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Link {
-    /// It has not said whether it has the state.
+pub(super) enum SuccessorState {
+    /// The successor has sent no report.
     #[default]
     Unknown,
-    /// It lacks the state, which is being sent.
+    /// The successor lacks the state, which is being sent.
     Transferring,
-    /// It has activated the epoch and is sent writes as they come.
+    /// The successor has activated the epoch and is sent new writes.
     Streaming {
-        /// The successor has persisted every write up to this one. Must not be above `sent`.
+        /// Position of the last write that the successor has persisted. Must not be above `sent`.
         persisted: WritePosition,
-        /// The last write that was sent.
+        /// Position of the last write that was sent.
         sent: WritePosition,
     },
 }
 
-/// Progress that the successor reports.
+/// A progress report of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Progress {
-    /// Whether it has activated the epoch.
+    /// Whether the successor has activated the epoch.
     pub is_active: bool,
-    /// Position of its persisted state in this epoch.
+    /// Position of the successor's persisted state in this epoch; the default if `is_active` is false.
     pub persisted: WritePosition,
-    /// Position of the last write that it knows to be committed in this epoch.
+    /// Position of the last write that the successor knows to be committed in this epoch, if any.
     pub committed: Option<WritePosition>,
-    /// The newest barrier that the chain behind it has confirmed.
+    /// The newest barrier that the tail has confirmed to the successor.
     pub barrier: Barrier,
 }
 
-/// The successor's progress, and which messages to it are in flight.
+/// The successor's progress, and the messages to it that are in flight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Successor {
-    /// How far it has come.
-    pub link: Link,
-    /// When the last message left for it; `None` if one is due at once.
+    /// Replication state of the successor.
+    pub state: SuccessorState,
+    /// Time at which the last message was sent to the successor; `None` if a message is due at once.
     last_sent: Option<Duration>,
-    /// Since when a state or writes have been in flight without progress.
+    /// Time since which a state or writes have been in flight without progress.
     in_flight_since: Duration,
-    /// Its last report in this epoch.
+    /// The successor's last report in this epoch.
     last_report: Option<Progress>,
-    /// Whether what is in flight was lost and must be sent again.
+    /// Whether the content in flight was lost and must be sent again.
     pub must_resend: bool,
-    /// The newest barrier that was sent to it.
+    /// The newest barrier that was sent to the successor.
     pub sent_barrier: Barrier,
 }
 
 impl Successor {
-    /// Forgets its progress. The time of the last message and the barrier that was sent are kept.
+    /// Resets the successor's progress, but not the time of the last message and the last barrier sent.
     pub(super) fn restart(&mut self) {
-        self.link = Link::Unknown;
+        self.state = SuccessorState::Unknown;
         self.last_report = None;
         self.must_resend = false;
     }
 
-    /// Records the successor's report, which must be of the current epoch.
+    /// Records a report of the successor, which must be of the current epoch.
     pub(super) fn record_progress(&mut self, now: Duration, report: Progress) {
         let has_changed = self.last_report.replace(report) != Some(report);
-        self.link = match (self.link, report.is_active) {
-            (Link::Transferring, false) => Link::Transferring,
+        self.state = match (self.state, report.is_active) {
+            (SuccessorState::Transferring, false) => SuccessorState::Transferring,
             (_, false) => {
                 self.must_resend = true;
-                Link::Transferring
+                SuccessorState::Transferring
             }
             (
-                Link::Streaming {
+                SuccessorState::Streaming {
                     persisted: earlier,
                     sent,
                 },
@@ -97,12 +97,12 @@
                 if persisted > earlier {
                     self.in_flight_since = now;
                 }
-                Link::Streaming {
+                SuccessorState::Streaming {
                     persisted,
                     sent: sent.max(persisted),
                 }
             }
-            (_, true) => Link::Streaming {
+            (_, true) => SuccessorState::Streaming {
                 persisted: report.persisted,
                 sent: report.persisted,
             },
@@ -111,29 +111,29 @@
         self.must_resend |= !has_changed && is_overdue && self.has_content_in_flight();
     }
 
-    /// Everything here that decisions depend on, without times.
+    /// The part of the state on which decisions depend, without times.
     pub(super) fn canonical(&self) -> impl std::fmt::Debug + use<> {
         let is_due_at_once = self.last_sent.is_none();
         (
-            self.link,
+            self.state,
             is_due_at_once,
             self.must_resend,
             self.sent_barrier,
         )
     }
 
-    /// Whether nothing was sent to it for [`RESEND_INTERVAL`].
+    /// Whether nothing was sent to the successor for [`RESEND_INTERVAL`].
     pub(super) fn is_due(&self, now: Duration) -> bool {
         self.last_sent
             .is_none_or(|sent| now.saturating_sub(sent) >= RESEND_INTERVAL)
     }
 
-    /// When it is to be probed if nothing is sent before.
+    /// Time of the next probe if nothing is sent before.
     pub(super) fn next_probe(&self) -> Duration {
         self.last_sent.unwrap_or_default() + RESEND_INTERVAL
     }
 
-    /// Records that `body` leaves now with `barrier`. `is_first` says that nothing was in flight before.
+    /// Records that `body` is sent now with `barrier`. `is_first` is true if no content was in flight before.
     pub(super) fn record_sent(
         &mut self,
         now: Duration,
@@ -155,17 +155,17 @@
         self.must_resend |= self.has_content_in_flight();
     }
 
-    /// Whether the successor has yet to acknowledge a state or a write.
+    /// Whether the successor has not yet acknowledged a state or a write.
     pub(super) fn has_content_in_flight(&self) -> bool {
-        match self.link {
-            Link::Unknown => false,
-            Link::Transferring => true,
-            Link::Streaming { persisted, sent } => persisted < sent,
+        match self.state {
+            SuccessorState::Unknown => false,
+            SuccessorState::Transferring => true,
+            SuccessorState::Streaming { persisted, sent } => persisted < sent,
         }
     }
 }
 
-/// Whether a message carries a state or writes.
+/// Whether a message contains a state or writes.
 fn has_content(body: &Body) -> bool {
     !matches!(body, Body::Replicate { writes, .. } if writes.is_empty())
 }
--- a/crates/tier/chain/src/requests.rs
+++ b/crates/tier/chain/src/requests.rs
@@ -1,10 +1,11 @@
-//! Requests to the head that are pending until the chain has confirmed what the reply is based on: the first
-//! and the last step of a change at the head.
+//! Pending requests at the head. A request is pending until the chain has confirmed the state on which its
+//! reply is based.
 //!
-//! A reply leaves only when everything on which it is based is committed. A rejection and a read also wait
-//! for a barrier that began after the request arrived and has passed every member of the chain in the current
-//! epoch. Before another epoch can commit anything, a member of this chain must seal this epoch. So when that
-//! member forwarded the barrier, this head's state was still the newest.
+//! A reply is sent only once every write on which it is based is committed. A rejection and a read also need a
+//! barrier that began after the request was received and that every member of the chain has forwarded in the
+//! current epoch. Before a later epoch can commit anything, a member of this chain must seal this epoch, and a
+//! member that has sealed the epoch forwards no barrier of it. So the head's state was still the newest when
+//! that member forwarded the barrier.
 
 use std::collections::BTreeMap;
 
@@ -36,17 +37,18 @@
     AlreadyCommitted,
     /// The command was not applied and never will be.
     Rejected(Rejection),
-    /// The command was not applied now. A duplicate of it may be, or may have been.
+    /// The command was not applied now. A duplicate of it may be applied later or may have been applied earlier.
     Undecided(Undecided),
     /// The newest committed configuration, if there is one.
     Configuration(Option<StoredConfiguration>),
-    /// The published state was the newest at a moment after the request arrived.
+    /// The published state was the newest at some time after the request was received.
     Confirmed,
-    /// This member isn't the head, or has lost the role. Whether the command takes effect is unknown.
+    /// This member is not the head, or it stopped being the head before it could answer. The command may or
+    /// may not be applied.
     Unavailable,
 }
 
-/// The reply that a pending request gets once what it waits for is confirmed.
+/// The reply to a pending request, sent once the state on which it is based is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     /// [`Reply::Committed`].
@@ -55,25 +57,26 @@
     AlreadyCommitted,
     /// [`Reply::Rejected`].
     Rejected(Rejection),
-    /// [`Reply::Configuration`], with the configuration that is committed by then.
+    /// [`Reply::Configuration`], with the configuration that is committed when the reply is sent.
     Configuration,
     /// [`Reply::Confirmed`].
     Confirmed,
 }
 
-/// A request that waits for the chain.
+/// A request whose reply depends on a commit or a barrier.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
-    /// The reply that it gets.
+    /// The reply to send.
     pub outcome: Outcome,
-    /// Position of the last write that must be committed first.
+    /// Position of the last write that must be committed before the reply is sent.
     pub position: WritePosition,
-    /// Number of the barrier that must be confirmed first, if the reply needs one.
+    /// Number of the barrier that must be confirmed before the reply is sent; `None` if it needs none.
     pub barrier: Option<u64>,
 }
 
 impl PendingRequest {
-    /// Whether it waits for nothing beyond `committed` and `confirmed_barrier`.
+    /// Whether the reply can be sent once every write up to `committed` is committed and every barrier up to
+    /// `confirmed_barrier` is confirmed.
     fn is_resolved(&self, committed: WritePosition, confirmed_barrier: u64) -> bool {
         self.position <= committed
             && self
@@ -99,7 +102,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request. A rejection and a read must have a barrier that began after the request arrived.
+    /// Adds a request. A rejection and a read must have a barrier that began after the request was received.
     pub(crate) fn add(&mut self, id: RequestId, request: PendingRequest) {
         self.pending.insert(id, request);
     }
@@ -109,8 +112,9 @@
         self.pending.is_empty()
     }
 
-    /// Removes and returns the requests that wait for nothing beyond `committed` and `confirmed_barrier`,
-    /// with their replies. `confirmed_barrier` must be of the head's current session, else 0.
+    /// Removes the requests that can be answered, and returns them with their replies. `committed` is the
+    /// newest committed state; `confirmed_barrier` is the newest confirmed barrier of the head's current
+    /// session, or 0 if that session has none.
     pub(crate) fn resolve(
         &mut self,
         committed: &ControlState,
@@ -124,8 +128,8 @@
             .collect()
     }
 
-    /// Lets every request that waits for a barrier wait for `barrier`. Must be called when the head stays
-    /// head in a new epoch, since barriers of the earlier epoch prove nothing there.
+    /// Replaces the barrier of every request that needs one by `barrier`. Must be called when the head remains
+    /// head in a new epoch, since barriers of the earlier epoch prove nothing about the new one.
     pub(crate) fn renew_barriers(&mut self, barrier: u64) {
         let awaited = self
             .pending
--- a/crates/tier/chain/src/state.rs
+++ b/crates/tier/chain/src/state.rs
@@ -1,12 +1,12 @@
 //! The replicated control state: two compare-and-set registers.
 //!
-//! The head judges each command on its newest state, once; every member applies the writes that follow from
-//! it in the same order.
+//! The head evaluates each command once, against its newest state. Every member applies the resulting writes
+//! in the same order.
 //!
-//! | command | register holds | verdict |
+//! | command | value of the register | verdict |
 //! | --- | --- | --- |
 //! | `PutConfiguration` | the same content, now or earlier | `AlreadyApplied` |
-//! | `PutConfiguration`, older than all that is remembered | any | `Undecided(Forgotten)` |
+//! | `PutConfiguration`, below every retained generation | any | `Undecided(Forgotten)` |
 //! | `PutConfiguration` | a generation above `base` | `Rejected(BaseMismatch)` |
 //! | `PutConfiguration`, its generation not above `base` | `base` or below | `Rejected(StaleGeneration)` |
 //! | `PutConfiguration` | a generation below `base` | `Undecided(FutureBase)` |
@@ -15,36 +15,36 @@
 //! | `PutStorageView` | an epoch other than `expected_epoch` | `Rejected(StorageEpochMismatch)` |
 //! | `PutStorageView` | `expected_epoch` | `Apply` |
 //!
-//! `Rejected` of a configuration is final: generations only rise, so that it applies to no later state, and
-//! a duplicate of the request that arrives later can't bring it into force. Where that can't be guaranteed,
-//! the verdict is `Undecided`.
+//! `Rejected` is final for a configuration: generations only increase, so the change applies to no later
+//! state, and a duplicate of the request that is received later is rejected too. Where that can't be
+//! guaranteed, the verdict is `Undecided`.
 
 use snafu::Snafu;
 use speedy::{Readable, Writable};
 
 use crate::blob::Blob;
 
-/// Upper bound of the digests of applied configurations that the state retains. Whether an older change was
-/// applied is undecided.
+/// Maximum number of digests of applied configurations that the state retains. For an older change, the state
+/// can't show whether it was applied.
 pub const MAX_APPLIED_CONFIGURATIONS: usize = 8192;
 
-/// Digest of a configuration's bytes. Computed by the driver; compared here only for equality.
+/// Digest of a configuration's bytes. Computed by the driver; this crate only compares digests for equality.
 pub type Digest = [u8; 16];
 
 /// Position of a write in the sequence of all writes, ordered by epoch, then by number (in Raft: term and
-/// index). States whose last writes have the same position are equal, at any two members.
+/// index). Two members whose last writes have the same position have equal states.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct WritePosition {
     /// Epoch in which the head appended the write.
     pub epoch: u64,
-    /// Number of the write; rises by one from each write to the next, across epochs too.
+    /// Number of the write, one above that of the previous write, also across epochs.
     pub number: u64,
 }
 
-/// The operator's configuration, as it was submitted.
+/// The operator's configuration as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct StoredConfiguration {
-    /// Generation, which the operator chose above that of the one before.
+    /// Generation, chosen by the operator above that of the previous configuration.
     pub generation: u64,
     /// Digest of `body`.
     pub digest: Digest,
@@ -61,19 +61,19 @@
     pub bytes: Blob,
 }
 
-/// A configuration that is or was in force.
+/// Generation and digest of a configuration that was applied, whether or not it has been replaced since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AppliedConfiguration {
-    /// Its generation.
+    /// Generation of the configuration.
     pub generation: u64,
-    /// Digest of its bytes.
+    /// Digest of the configuration's bytes.
     pub digest: Digest,
 }
 
 /// Replaces the configuration of generation `base` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutConfiguration {
-    /// Generation that must be in force for the change to be applied.
+    /// Generation that must be current for the change to be applied.
     pub base: u64,
     /// Generation of the new configuration; must be above `base`.
     pub generation: u64,
@@ -86,7 +86,7 @@
 /// Replaces the storage view of epoch `expected_epoch` (0: none yet).
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PutStorageView {
-    /// Storage epoch that must be in force for the change to be applied.
+    /// Storage epoch that must be current for the change to be applied.
     pub expected_epoch: u64,
     /// Epoch of the new view; must be above `expected_epoch`.
     pub epoch: u64,
@@ -106,47 +106,47 @@
 /// Why a command is not applied, now or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Rejection {
-    /// The change builds on another generation than the current one.
+    /// The base of the change is below the current generation.
     #[snafu(display("the current generation is {current}"))]
     BaseMismatch {
-        /// Generation in force.
+        /// Current generation.
         current: u64,
     },
-    /// The new generation is not above the one that the change builds on.
+    /// The new generation is not above the base of the change.
     #[snafu(display(
         "the generation must exceed the one that the change builds on; the current one is {current}"
     ))]
     StaleGeneration {
-        /// Generation in force.
+        /// Current generation.
         current: u64,
     },
-    /// The storage view builds on another epoch than the current one.
+    /// The expected storage epoch is not the current one, or the new epoch is not above it.
     #[snafu(display("the current storage epoch is {current}"))]
     StorageEpochMismatch {
-        /// Storage epoch in force.
+        /// Current storage epoch.
         current: u64,
     },
 }
 
-/// Why it is undecided whether a command takes effect.
+/// Why it is undecided whether a command was or will be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu, Readable, Writable)]
 pub enum Undecided {
-    /// The change builds on a generation above the current one, which may yet come into force; a duplicate of
-    /// the request that arrives after that would be applied.
+    /// The base of the change is above the current generation. That generation may still be applied, and a
+    /// duplicate of the request that is received afterwards would then be applied too.
     #[snafu(display("the change builds on a generation above the current one, {current}"))]
     FutureBase {
-        /// Generation in force.
+        /// Current generation.
         current: u64,
     },
-    /// The change is older than every change that is remembered, so it may have been applied.
+    /// The generation is below every retained one, so the change may have been applied earlier.
     #[snafu(display("changes below generation {oldest} are no longer remembered"))]
     Forgotten {
-        /// The lowest generation that is remembered.
+        /// The lowest generation whose digest is retained.
         oldest: u64,
     },
 }
 
-/// What becomes of a command on a given state.
+/// Result of evaluating a command against a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The command applies to the state: the head appends it.
@@ -155,7 +155,7 @@
     AlreadyApplied,
     /// The command is not applied, now or later.
     Rejected(Rejection),
-    /// The command is not applied now; a duplicate of it may be, or may have been.
+    /// The command is not applied now. A duplicate of it may be applied later or may have been applied earlier.
     Undecided(Undecided),
 }
 
@@ -164,12 +164,12 @@
 pub struct ControlState {
     /// Position of the last applied write. Never decreases in a member's committed states.
     pub position: WritePosition,
-    /// Configuration in force.
+    /// Current configuration; `None` before the first.
     pub configuration: Option<StoredConfiguration>,
-    /// View of the storage machines in force.
+    /// Current view of the storage machines; `None` before the first.
     pub storage_view: Option<StoredStorageView>,
-    /// Configurations that were applied, in ascending order of generations, the one in force last. At most
-    /// [`MAX_APPLIED_CONFIGURATIONS`].
+    /// The newest configurations that were applied, in ascending order of generations, the current one last.
+    /// At most [`MAX_APPLIED_CONFIGURATIONS`].
     pub applied: Vec<AppliedConfiguration>,
 }
 
@@ -186,7 +186,7 @@
         self.storage_view.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// What becomes of `command` on this state.
+    /// Evaluates `command` against this state, without applying it.
     pub fn evaluate(&self, command: &Command) -> Verdict {
         match command {
             Command::PutConfiguration(put) => self.evaluate_configuration(put),
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Applies a command whose verdict at the head was [`Verdict::Apply`]. `position` must be above that of
-    /// the state.
+    /// Applies a command for which the head's verdict was [`Verdict::Apply`]. `position` must be above the
+    /// state's position.
     pub fn apply(&mut self, position: WritePosition, command: &Command) {
         self.position = position;
         match command {
@@ -211,10 +211,10 @@
 
     fn evaluate_configuration(&self, put: &PutConfiguration) -> Verdict {
         let current = self.generation();
-        if self.is_remembered(put) {
+        if self.is_retained(put) {
             return Verdict::AlreadyApplied;
         }
-        let oldest = self.oldest_remembered();
+        let oldest = self.oldest_retained();
         if put.generation < oldest {
             return Verdict::Undecided(Undecided::Forgotten { oldest });
         }
@@ -230,16 +230,17 @@
         Verdict::Apply
     }
 
-    /// Whether this change was applied and is remembered. The search relies on ascending generations.
-    fn is_remembered(&self, put: &PutConfiguration) -> bool {
+    /// Whether this change was applied and its digest is retained. The binary search relies on ascending
+    /// generations.
+    fn is_retained(&self, put: &PutConfiguration) -> bool {
         let found = self
             .applied
             .binary_search_by_key(&put.generation, |applied| applied.generation);
         found.is_ok_and(|index| self.applied[index].digest == put.digest)
     }
 
-    /// The generation from which on every applied change is remembered.
-    fn oldest_remembered(&self) -> u64 {
+    /// The lowest retained generation if earlier ones may have been dropped, otherwise 0.
+    fn oldest_retained(&self) -> u64 {
         let is_full = self.applied.len() >= MAX_APPLIED_CONFIGURATIONS;
         self.applied
             .first()
--- a/crates/tier/chain/src/view.rs
+++ b/crates/tier/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed membership of the core: what a reconfiguration decides, and what replication runs in.
+//! Views: the agreed membership of the core. A reconfiguration decides a view, and replication runs within one.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,13 +8,13 @@
 
 /// A core machine together with its disk.
 ///
-/// The identity is drawn when an empty disk is first used. A machine that has lost its disk has lost its
-/// promises with it, and must not vote as the member that it was.
+/// The identity is drawn when an empty disk is first used. A machine whose disk was lost or replaced has lost
+/// its Paxos promises, so it is a new member and must not vote under its earlier identity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
     /// Internal address of the machine.
     pub address: SocketAddrV4,
-    /// Identity of the disk; 0 if unknown, as of the voters of epoch 0.
+    /// Identity of the disk; 0 if unknown, as for the voters of epoch 0.
     pub identity: u64,
 }
 
@@ -51,21 +51,21 @@
 /// A view: the members that vote on the next one and those that replicate the control state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct View {
-    /// Number of the view; 0 for the one before the first that is decided.
+    /// Number of the view, one above that of the previous view; 0 before the first view is decided.
     pub epoch: u64,
     /// Members whose majority decides the next view.
     pub voters: Vec<MemberId>,
     /// Members that replicate the state, from head to tail. Each must be a voter.
     pub chain: Vec<MemberId>,
-    /// A member that has been active in this epoch or a later one holds every write that was committed before
-    /// the view's epoch. Must not be above `epoch`.
+    /// An epoch with this guarantee: a member that was active in it or in a later one has every write that was
+    /// committed before the view's epoch. Must not be above `epoch`.
     pub floor: u64,
 }
 
-/// Why a view is not one that a proposer makes.
+/// Invariant that a view violates; see [`View::check`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ViewError {
-    /// Nobody could decide the view after it.
+    /// The view has no voters, so the next view could never be decided.
     #[snafu(display("the view of epoch {epoch} has no voters"))]
     NoVoters {
         /// Epoch of the view.
@@ -77,26 +77,27 @@
         /// Epoch of the view.
         epoch: u64,
     },
-    /// A member of the chain is no voter.
-    #[snafu(display("the chain of epoch {epoch} has {member:?}, who does not vote"))]
+    /// A member of the chain is not a voter.
+    #[snafu(display("the chain of epoch {epoch} contains {member:?}, which is not a voter"))]
     ChainMemberWithoutVote {
         /// Epoch of the view.
         epoch: u64,
-        /// The member of the chain that is no voter.
+        /// The member of the chain that is not a voter.
         member: MemberId,
     },
     /// The floor is above the epoch.
-    #[snafu(display("the view of epoch {epoch} has a floor above it, {floor}"))]
+    #[snafu(display("the view of epoch {epoch} has the floor {floor}, which is above its epoch"))]
     Floor {
         /// Epoch of the view.
         epoch: u64,
-        /// Its floor.
+        /// Floor of the view.
         floor: u64,
     },
 }
 
 impl View {
-    /// The view of epoch 0, from which a system starts: the seeds are voters, known by address only.
+    /// The view of epoch 0, used in the first start of a system. Its voters are the seeds, which are known by
+    /// address only, and its chain is empty.
     pub fn bootstrap(seeds: &[SocketAddrV4]) -> View {
         let voters = seeds
             .iter()
@@ -113,12 +114,12 @@
         }
     }
 
-    /// Number of voters that make a majority.
+    /// Number of voters in the smallest majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `member` votes on the view after this one.
+    /// Whether `member` votes on the view after this one. Voters of epoch 0 are compared by address only.
     pub fn is_voter(&self, member: MemberId) -> bool {
         if self.epoch == 0 {
             return self
@@ -129,23 +130,24 @@
         self.voters.contains(&member)
     }
 
-    /// Checks the invariants of every view that a proposer makes.
+    /// Checks the invariants of a view: it has voters, no member occurs twice, each member of the chain is a
+    /// voter, and the floor is not above the epoch.
     ///
     /// # Errors
     ///
-    /// [`ViewError`] names the first invariant that is violated.
+    /// [`ViewError`] for the first invariant that is violated.
     pub fn check(&self) -> Result<(), ViewError> {
         ensure!(!self.voters.is_empty(), NoVotersSnafu { epoch: self.epoch });
-        let is_named_twice = |members: &[MemberId]| {
+        let has_duplicate = |members: &[MemberId]| {
             (1..members.len()).any(|index| members[..index].contains(&members[index]))
         };
-        let is_twice = is_named_twice(&self.voters) || is_named_twice(&self.chain);
-        ensure!(!is_twice, DuplicateMemberSnafu { epoch: self.epoch });
-        let without_vote = self
+        let is_duplicate = has_duplicate(&self.voters) || has_duplicate(&self.chain);
+        ensure!(!is_duplicate, DuplicateMemberSnafu { epoch: self.epoch });
+        let non_voter = self
             .chain
             .iter()
             .find(|member| !self.voters.contains(member));
-        if let Some(&member) = without_vote {
+        if let Some(&member) = non_voter {
             return ChainMemberWithoutVoteSnafu {
                 epoch: self.epoch,
                 member,
@@ -162,14 +164,14 @@
         Ok(())
     }
 
-    /// The first member of the chain, which accepts commands.
+    /// The first member of the chain, which accepts commands; `None` if the chain is empty.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
-    /// Whether every majority of the voters contains a member of the chain. A chain of which that isn't true
-    /// must commit nothing, since its epoch could be sealed without its knowledge.
-    pub fn meets_every_majority(&self) -> bool {
+    /// Whether every majority of the voters contains a member of the chain. Otherwise a majority could seal
+    /// the epoch and decide the next view without any member of the chain, so the chain must commit nothing.
+    pub fn intersects_every_majority(&self) -> bool {
         let in_chain = self
             .voters
             .iter()
@@ -178,18 +180,18 @@
         in_chain + self.majority() > self.voters.len()
     }
 
-    /// Whether `member` is the last of the chain, whose persisted state is committed.
+    /// Whether `member` is the last member of the chain. Writes that the tail has persisted are committed.
     pub fn is_tail(&self, member: MemberId) -> bool {
         self.chain.last() == Some(&member)
     }
 
-    /// The member before `member` in the chain.
+    /// The member before `member` in the chain; `None` at the head and outside the chain.
     pub fn predecessor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|&other| other == member)?;
         position.checked_sub(1).map(|previous| self.chain[previous])
     }
 
-    /// The member after `member` in the chain.
+    /// The member after `member` in the chain; `None` at the tail and outside the chain.
     pub fn successor(&self, member: MemberId) -> Option<MemberId> {
         let position = self.chain.iter().position(|&other| other == member)?;
         self.chain.get(position + 1).copied()
--- a/crates/tier/chain/tests/codec.rs
+++ b/crates/tier/chain/tests/codec.rs
@@ -127,7 +127,7 @@
                     region: u32::arbitrary(generator),
                 },
                 committed: position(generator),
-                hears: members(generator),
+                heard_members: members(generator),
             }),
             1 => Body::Prepare {
                 ballot: ballot(generator),
--- a/crates/tier/chain/tests/departure.rs
+++ b/crates/tier/chain/tests/departure.rs
@@ -66,7 +66,7 @@
             bootstrap: false,
             failure_domain: FailureDomain::default(),
             committed: WritePosition::default(),
-            hears: (1..=LEARNER).map(member_id).collect(),
+            heard_members: (1..=LEARNER).map(member_id).collect(),
         };
         deliver(member, now, number, EPOCH, Body::Heartbeat(heartbeat));
         deliver(member, now, number, EPOCH, Body::Active);
--- a/crates/tier/chain/tests/member_model/core.rs
+++ b/crates/tier/chain/tests/member_model/core.rs
@@ -162,7 +162,7 @@
             committed: WritePosition::default(),
             sent: HeartbeatTime::default(),
             echo: HeartbeatTime::default(),
-            hears: self.machines.iter().map(|machine| machine.id()).collect(),
+            heard_members: self.machines.iter().map(|machine| machine.id()).collect(),
         };
         Envelope {
             from: machine.id(),
@@ -192,7 +192,7 @@
         for _ in 0..HEARTBEATS_UNTIL_STABLE {
             self.now += HEARTBEAT_INTERVAL;
             for index in 0..self.machines.len() {
-                self.step(world, index, TimedStep::Nothing);
+                self.step(world, index, TimedStep::AdvanceClock);
             }
             self.exchange_heartbeats(world);
         }
--- a/crates/tier/chain/tests/samples/messages.rs
+++ b/crates/tier/chain/tests/samples/messages.rs
@@ -25,7 +25,7 @@
             epoch: 5,
             number: 12,
         },
-        hears: members(&[2, 3]),
+        heard_members: members(&[2, 3]),
     }
 }
 
@@ -38,7 +38,7 @@
             number: 12,
         },
         can_replicate: true,
-        hears: members(&[1, 3]),
+        heard_members: members(&[1, 3]),
         idle_epochs,
     }
 }
