--- a/crates/tier/chain/tests/samples/messages.rs
+++ b/crates/tier/chain/tests/samples/messages.rs
@@ -25,7 +25,7 @@
             epoch: 5,
             number: 12,
         },
-        hears: members(&[2, 3]),
+        heard_members: members(&[2, 3]),
     }
 }
 
@@ -38,7 +38,7 @@
             number: 12,
         },
         can_replicate: true,
-        hears: members(&[1, 3]),
+        heard_members: members(&[1, 3]),
         idle_epochs,
     }
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Every kind of message. A kind that is added needs an entry here.
+/// Every variant of [`Body`]. A new variant needs an entry here.
 pub(crate) fn messages() -> Vec<(&'static str, Envelope)> {
     let name = |body: &Body| match body {
         Body::Heartbeat(_) => "ping",
