--- a/crates/tier/discovery/src/committed.rs
+++ b/crates/tier/discovery/src/committed.rs
@@ -1,33 +1,32 @@
-//! The core's committed state, as far as discovery distributes it: the interface to the control plane, which
-//! implements [`CommittedState`] on a core machine.
+//! Interface through which discovery reads the core's committed state. The control plane implements
+//! [`CommittedState`] on each core machine.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use tokio::sync::watch;
 
-/// The core's membership view as one core machine knows it.
+/// Membership view of the core as known to one core machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViewSummary {
     /// Epoch of the view; 0 before the first.
     pub epoch: u64,
-    /// Whether this machine is in contact with a majority of the voters, and has caught up since.
+    /// Whether this machine is in contact with a majority of the voters and has caught up since then.
     pub in_quorum: bool,
     /// Internal addresses of the view's voters.
     pub voters: Vec<SocketAddr>,
-    /// Internal addresses of the core machines that this machine knows, in the view or not.
+    /// Internal addresses of all core machines known to this machine, including those outside the view.
     pub core_machines: Vec<SocketAddr>,
 }
 
 impl ViewSummary {
-    /// Whether there is a view of which this machine does not reach a majority. Before the first view no
-    /// machine is out of quorum.
+    /// Whether this machine has a view and is not in quorum. Always false before the first view.
     pub fn is_out_of_quorum(&self) -> bool {
         self.epoch > 0 && !self.in_quorum
     }
 }
 
-/// Encoded value that the core has committed.
+/// Encoded value committed by the core, with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedValue {
     /// Generation of a configuration, or epoch of a storage view.
@@ -36,7 +35,7 @@
     pub bytes: Bytes,
 }
 
-/// Committed state of the core, as one core machine knows it.
+/// Committed state of the core as known to one core machine.
 pub trait CommittedState: Send + Sync {
     /// The membership view.
     fn view(&self) -> ViewSummary;
@@ -44,6 +43,6 @@
     fn configuration(&self) -> Option<CommittedValue>;
     /// The newest committed view of the storage machines, versioned by its epoch.
     fn storage_view(&self) -> Option<CommittedValue>;
-    /// A counter that changes whenever one of the above does.
+    /// Watches a counter that changes whenever the view, the configuration or the storage view changes.
     fn changed(&self) -> watch::Receiver<u64>;
 }
--- a/crates/tier/discovery/src/control_watch.rs
+++ b/crates/tier/discovery/src/control_watch.rs
@@ -1,5 +1,5 @@
-//! Driver of [`Watcher`] on every process that observes the core: polls core machines and publishes the
-//! [`ControlSnapshot`].
+//! Driver of [`Watcher`] on every process that observes the core: polls core machines and publishes
+//! [`ControlSnapshot`]s.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,21 +20,21 @@
 use crate::watch_change::WatchChange;
 use crate::watcher::{WatchAction, Watcher};
 
-/// How often a process that is disconnected from the core reloads the seeds from its settings.
+/// Interval at which a process that is disconnected from the core reloads the seeds from its settings.
 const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often a process that knows no address of a core machine checks for new ones.
+/// Interval at which a process that has no call to make, because it knows no core machine, checks for new addresses.
 const IDLE_WAKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A call to a core machine that has ended.
+/// Result of a call to a core machine.
 enum CompletedCall {
     Poll {
         machine: SocketAddr,
-        /// `None` if the poll has failed.
+        /// `None` if the poll failed.
         response: Option<PollResponse>,
     },
     FetchConfiguration {
-        /// `None` if it could not be fetched or parsed.
+        /// `None` if the configuration could not be fetched or parsed.
         configuration: Option<Configuration>,
     },
 }
@@ -47,14 +47,14 @@
     watcher: Watcher,
     /// Polls and fetches in flight.
     calls: JoinSet<CompletedCall>,
-    /// What the next publication contains.
+    /// Snapshot to publish next.
     snapshot: ControlSnapshot,
     publisher: watch::Sender<Arc<ControlSnapshot>>,
-    /// When the settings were last read for seeds.
+    /// Time at which the settings were last read for seeds.
     settings_read_at: Instant,
-    /// Source of further addresses of core machines, if the process takes part in peer sampling.
+    /// Additional source of core machines' addresses; `None` if the process does not use peer sampling.
     sampler: Option<Arc<Sampler>>,
-    /// The sampler's seeds, which change when the settings are reloaded.
+    /// Seeds of the sampler, which change when the settings are reloaded. `None` without a sampler.
     seeds: Option<watch::Receiver<Vec<SocketAddr>>>,
 }
 
@@ -64,7 +64,7 @@
         Self::start(settings, rpc, None)
     }
 
-    /// Like [`spawn`](Self::spawn), and finds core machines through peer sampling as well.
+    /// Like [`spawn`](Self::spawn), but also finds core machines through peer sampling.
     pub fn spawn_with_sampler(
         settings: &NodeSettings,
         rpc: Client,
@@ -226,7 +226,8 @@
         }
     }
 
-    /// While no core machine in quorum answers, looks for addresses in the settings and in peer sampling.
+    /// While this process is disconnected from the core, takes further addresses from peer sampling and from the
+    /// reloaded settings.
     fn discover_core_machines(&mut self) {
         let is_disconnected = self.watcher.is_disconnected(self.now());
         if let Some(sampler) = &self.sampler {
@@ -254,7 +255,7 @@
     }
 }
 
-/// The seeds when they change next; never returns without a receiver, or once the sampler is gone.
+/// Waits for the next change of the seeds. Never returns if there is no receiver or the sampler has been dropped.
 async fn changed_seeds(seeds: Option<&mut watch::Receiver<Vec<SocketAddr>>>) -> Vec<SocketAddr> {
     if let Some(seeds) = seeds
         && seeds.changed().await.is_ok()
--- a/crates/tier/discovery/src/core_discovery.rs
+++ b/crates/tier/discovery/src/core_discovery.rs
@@ -1,5 +1,5 @@
-//! Driver of [`CoreState`] on a core machine: serves heartbeats, long-polls and the requests of other core machines,
-//! and exchanges batches and registries with them.
+//! Driver of [`CoreState`] on a core machine: handles heartbeats, long-polls and requests of other core machines, and
+//! exchanges batches and registries with those machines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,15 +26,15 @@
 use crate::registry::{HeartbeatError, HeartbeatOutcome, RegistryCounters};
 use crate::replica::Heartbeat;
 
-/// How often time-outs are checked and batches are sent.
+/// Interval at which time-outs are checked and batches are sent.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after a failed notification of a departure before the peer is notified again.
+/// Delay before a failed notification of a departure is retried at the same peer.
 const DEPARTURE_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// Time-out of a request for another core machine's registry.
 const REGISTRY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest time that a poll is held open.
+/// Upper limit on the wait time that a poll requests.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// Time before a machine that is still warming up requests its peers' registries again.
+/// Interval at which a machine that is warming up requests its peers' registries.
 const REGISTRY_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a replica's heartbeat or deregistration is not acknowledged.
@@ -43,57 +43,57 @@
     /// The heartbeat is rejected.
     #[snafu(transparent)]
     Rejected {
-        /// Why it is rejected.
+        /// Reason for the rejection.
         source: HeartbeatError,
     },
-    /// The heartbeat is applied here, but other machines may not learn of it. The replica has to call another
-    /// core machine.
-    #[snafu(display("taken, but this machine may be cut off from the core's majority"))]
+    /// The heartbeat is applied on this machine, but may not reach the other core machines. The replica has to call
+    /// another core machine.
+    #[snafu(display("applied, but this machine may be partitioned from the core's majority"))]
     OutOfQuorum,
 }
 
-/// How the request for a peer's registry has ended.
+/// Result of pulling a peer's registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RegistryPull {
-    /// Everything has been received from a peer that knows all replicas.
+    /// The complete registry of a peer that is not warming up has been received.
     FromWarmPeer,
-    /// Everything has been received from a peer that is warming up itself.
+    /// The complete registry of a peer that is itself warming up has been received.
     FromWarmingPeer,
-    /// A request has failed.
+    /// A request failed or its response could not be decoded.
     Failed,
 }
 
-/// What a core machine knows of the replicas, at one moment.
+/// Summary of a core machine's registry, for metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryReport {
-    /// Replicas that are registered.
+    /// Number of registered replicas.
     pub replicas: usize,
     /// Whether the machine may not know all of them.
     pub is_warming: bool,
-    /// Counters since the start.
+    /// Counters since the start of the process.
     pub counters: RegistryCounters,
 }
 
 /// Discovery on a core machine.
 pub struct CoreDiscovery {
-    /// Incarnation of this process, not 0.
+    /// Incarnation of this process; never 0.
     incarnation: u64,
     /// Origin of the times that are passed to the state.
     started: Instant,
     rpc: Client,
     committed: Arc<dyn CommittedState>,
     state: Mutex<CoreState>,
-    /// Newest revision of the registry of which polls have been notified.
+    /// Registry revision that was last published to the pending polls.
     revision: watch::Sender<u64>,
-    /// Asks the exchange task to send a batch soon.
+    /// Wakes the exchange task, which sends a batch after [`CHANGE_DELAY`].
     flush: Notify,
-    /// Asks the pull task to request incomplete registries.
+    /// Wakes the pull task, which requests incomplete registries.
     pull: Notify,
 }
 
 impl CoreDiscovery {
-    /// Discovery of the process that `settings` describe. `incarnation` differs between starts and is not 0.
-    /// The caller spawns [`run`](Self::run) and serves [`handlers`](Self::handlers).
+    /// Creates the discovery of the process that `settings` describe. `incarnation` must differ between starts of
+    /// the process and must not be 0. The caller spawns [`run`](Self::run) and serves [`handlers`](Self::handlers).
     pub fn new(
         settings: &NodeSettings,
         incarnation: u64,
@@ -132,11 +132,11 @@
         tokio::join!(self.exchange_batches(), Arc::clone(&self).pull_registries());
     }
 
-    /// Applies a replica's heartbeat. Returns when it is acknowledged: a draining replica's after the other
-    /// core machines have been notified.
+    /// Applies a replica's heartbeat. For a draining replica, first notifies the other core machines and returns
+    /// once enough of them have answered.
     ///
     /// # Errors
-    /// If the heartbeat is rejected, or other machines may not learn of it.
+    /// If the heartbeat is rejected, or may not reach the other core machines.
     pub async fn heartbeat(&self, id: &str, heartbeat: Heartbeat) -> Result<(), AcknowledgeError> {
         let outcome = self.state.lock().heartbeat(self.now(), id, heartbeat)?;
         self.notify_and_acknowledge(id, outcome).await
@@ -145,18 +145,18 @@
     /// Applies a replica's deregistration, and notifies the other core machines before it returns.
     ///
     /// # Errors
-    /// If the id is invalid, or other machines may not learn of the deregistration.
+    /// If the id is invalid, or the deregistration may not reach the other core machines.
     pub async fn deregister(&self, id: &str) -> Result<(), AcknowledgeError> {
         let outcome = self.state.lock().deregister(self.now(), id)?;
         self.notify_and_acknowledge(id, outcome).await
     }
 
-    /// Counters of the registry since the start.
+    /// Counters of the registry since the start of the process.
     pub fn counters(&self) -> RegistryCounters {
         self.state.lock().registry().counters()
     }
 
-    /// What this machine knows of the replicas.
+    /// Summary of this machine's registry.
     pub fn report(&self) -> RegistryReport {
         let state = self.state.lock();
         RegistryReport {
@@ -175,6 +175,7 @@
         self.started.elapsed()
     }
 
+    /// Propagates the change of the replica `id`. Returns `Ok` if the heartbeat may be acknowledged.
     async fn notify_and_acknowledge(
         &self,
         id: &str,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Notifies the peers of a departure. Returns whether it may be acknowledged.
+    /// Notifies the peers that the replica `id` departs. Returns whether the departure may be acknowledged.
     async fn notify_peers(&self, id: &str) -> bool {
         let now = self.now();
         let view = self.committed.view();
@@ -247,6 +248,7 @@
         }
     }
 
+    /// Notifies `peers` and waits until the departure is decided. Returns whether it may be acknowledged.
     async fn await_peers(
         &self,
         mut notification: DepartureNotification,
@@ -270,7 +272,7 @@
                 Ok(None) => sleep_until(until).await,
             }
         };
-        // The remaining peers are still notified until the deadline.
+        // The calls to the remaining peers continue in the background until the deadline.
         calls.detach_all();
         is_acknowledged
     }
@@ -308,7 +310,7 @@
         }
     }
 
-    /// Requests the registries of peers of which updates are missing.
+    /// Requests the registries of the peers whose updates are incomplete, whenever there are any.
     async fn pull_registries(self: Arc<Self>) {
         loop {
             let peers = self.state.lock().take_incomplete_peers();
@@ -335,7 +337,7 @@
         }
     }
 
-    /// Requests and merges the registry of `peer`.
+    /// Requests the registry of `peer`, in several responses if necessary, and merges it.
     async fn pull_registry(self: Arc<Self>, peer: SocketAddr) -> RegistryPull {
         loop {
             let known = self.state.lock().version_of_peer(peer);
@@ -411,8 +413,7 @@
     }
 }
 
-/// Notifies `peer` of a departure, with retries until `deadline`. Returns the peer once it has acknowledged
-/// it.
+/// Notifies `peer` of a departure, with retries until `deadline`. Returns the peer if it has answered.
 async fn notify_peer(
     rpc: Client,
     peer: SocketAddr,
--- a/crates/tier/discovery/src/core_state.rs
+++ b/crates/tier/discovery/src/core_state.rs
@@ -1,5 +1,6 @@
-//! Decisions of discovery on a core machine, without I/O: what it knows of the replicas, what it sends to the
-//! other core machines and what it requests from them. [`CoreDiscovery`](crate::CoreDiscovery) drives them.
+//! State machine of discovery on a core machine, without I/O: its registry of replicas, the batches that it sends to
+//! the other core machines, and the registries that it requests from them. Driven by
+//! [`CoreDiscovery`](crate::CoreDiscovery).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,9 +16,9 @@
 use crate::replica::Heartbeat;
 use crate::status::IdentifiedStatus;
 
-/// Most unchanged heartbeats per second that a machine out of quorum leaves unacknowledged, so that the
-/// replicas call other machines. Without the limit each replica would call every core machine at each
-/// heartbeat while no machine is in quorum.
+/// Maximum number of unchanged heartbeats per second that a machine out of quorum leaves unacknowledged. A replica
+/// whose heartbeat is not acknowledged calls another machine. Without the limit, each replica would call every core
+/// machine at each heartbeat while no machine is in quorum.
 const MAX_REFUSALS_PER_SECOND: u32 = 200;
 
 /// Identity and parameters of a core machine.
@@ -25,13 +26,13 @@
 pub struct CoreIdentity {
     /// Incarnation of the process: differs between starts and is not 0.
     pub incarnation: u64,
-    /// Its internal address.
+    /// Internal address of the machine.
     pub address: SocketAddr,
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
     /// Interval at which replicas send heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time after which the address of an ended replica may be used by another.
+    /// Time after the end of a replica before another replica may use its address.
     pub reuse_after: Duration,
 }
 
@@ -40,28 +41,28 @@
     identity: CoreIdentity,
     registry: Registry,
     failure_detector: FailureDetector,
-    /// What is to be sent to the other core machines.
+    /// Heartbeats and changes to send to the other core machines.
     outbox: Outbox,
-    /// What has been received from them.
+    /// State of the exchange with each of the other core machines.
     inbox: Inbox,
-    /// Peers whose registry has to be requested.
+    /// Peers whose registries have to be requested.
     incomplete_peers: BTreeSet<SocketAddr>,
-    /// Whether heartbeats have arrived since this machine began to warm up.
+    /// Whether any heartbeat was received, directly or from a peer, since this machine began to warm up.
     has_received_heartbeats: bool,
     refusal_limiter: RefusalLimiter,
 }
 
-/// Limits heartbeats that are left unacknowledged to [`MAX_REFUSALS_PER_SECOND`].
+/// Limits the rate of unacknowledged heartbeats to [`MAX_REFUSALS_PER_SECOND`].
 #[derive(Default)]
 struct RefusalLimiter {
     /// Start of the current window of one second.
     since: Duration,
-    /// Heartbeats of the window that could have been left unacknowledged.
+    /// Requests for a permit in the current window, granted or not.
     count: u32,
 }
 
 impl RefusalLimiter {
-    /// Whether one more heartbeat may be left unacknowledged at `now`.
+    /// Returns whether one more heartbeat may be left unacknowledged at `now`, and counts it.
     fn try_acquire(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.since) >= Duration::from_secs(1) {
             *self = Self {
@@ -75,7 +76,7 @@
 }
 
 impl CoreState {
-    /// The state of a process that starts at `now`.
+    /// Creates the state of a process that starts at `now`.
     pub fn new(now: Duration, identity: CoreIdentity) -> Self {
         let mut incomplete_peers: BTreeSet<SocketAddr> = identity.seeds.iter().copied().collect();
         incomplete_peers.remove(&identity.address);
@@ -141,8 +142,8 @@
         Ok(outcome)
     }
 
-    /// Whether an accepted heartbeat that is no departure is acknowledged. A machine out of quorum may be the
-    /// only one that knows of the heartbeat, so the replica has to call another.
+    /// Whether to acknowledge an accepted heartbeat that is not a departure. If this machine is out of quorum, the
+    /// heartbeat may not reach the other core machines, so the replica has to call another machine.
     pub fn may_acknowledge(
         &mut self,
         now: Duration,
@@ -153,7 +154,7 @@
             || (outcome == HeartbeatOutcome::Unchanged && !self.refusal_limiter.try_acquire(now))
     }
 
-    /// Starts to notify the peers of a departure. `None` if this machine is out of quorum, and may not
+    /// Starts the notification of the peers of a departure. `None` if this machine is out of quorum: it must not
     /// acknowledge departures.
     pub fn start_departure(
         &self,
@@ -165,8 +166,8 @@
             .then(|| DepartureNotification::new(now, self.identity.address, &peers, view))
     }
 
-    /// The other core machines: members of the view and machines that send batches. Before the first view,
-    /// the seeds take the place of the members.
+    /// Addresses of the other core machines: the members of the view (before the first view, the seeds) and all
+    /// machines that send batches to this one.
     pub fn peers(&self, now: Duration, view: &ViewSummary) -> Vec<SocketAddr> {
         let mut peers: BTreeSet<SocketAddr> = view.core_machines.iter().copied().collect();
         if peers.is_empty() {
@@ -177,13 +178,13 @@
         peers.into_iter().collect()
     }
 
-    /// The batch that notifies peers of the departure of `id` before it is acknowledged.
+    /// Unnumbered batch that notifies the peers of the departure of `id`.
     pub fn urgent_batch(&self, now: Duration, id: &str) -> Batch {
         self.outbox
             .urgent_batch(id, &self.registry, self.is_warming(now))
     }
 
-    /// The next numbered batch for the peers, if one is due.
+    /// Next numbered batch for the peers; `None` if no batch is due.
     pub fn next_batch(&mut self, now: Duration) -> Option<Batch> {
         let warming = self.is_warming(now);
         self.outbox.next_batch(now, &self.registry, warming)
@@ -209,7 +210,8 @@
         self.registry.drop_tombstones(now);
     }
 
-    /// Starts all time-outs anew, since heartbeats may have been missed, and requests the peers' registries.
+    /// Resets the time-outs of all replicas, because heartbeats may have been missed during the stall, and marks all
+    /// peers' registries to be requested.
     fn restart_after_stall(&mut self, now: Duration, peers: &[SocketAddr]) {
         tracing::warn!(peers = peers.len(), "process stalled, registries requested");
         self.registry.restart_timeouts(now);
@@ -238,7 +240,7 @@
         result.urgency
     }
 
-    /// Whether the registry of some peer has to be requested.
+    /// Whether any peer's registry has to be requested.
     pub fn has_incomplete_peers(&self) -> bool {
         !self.incomplete_peers.is_empty()
     }
@@ -253,7 +255,7 @@
         self.inbox.version(peer)
     }
 
-    /// Merges one response of the registry of `peer`.
+    /// Merges one response to a request for the registry of `peer`.
     pub fn merge_registry(&mut self, now: Duration, peer: SocketAddr, response: RegistryResponse) {
         self.inbox.record_registry(peer, response.version);
         self.has_received_heartbeats |= !response.statuses.is_empty() && !response.warming;
@@ -263,9 +265,9 @@
         }
     }
 
-    /// Records that all reachable peers have been asked for their registries. `has_warm_peer` says whether one
-    /// that is not warming up has answered. Returns whether this machine is still warming up, and has to ask
-    /// all of them again.
+    /// Records that the requests for the peers' registries have finished. `has_warm_peer` is set if the complete
+    /// registry of a peer that is not warming up was received. Returns whether this machine is still warming up; it
+    /// then has to request the registries of all peers again.
     pub fn complete_registry_pull(
         &mut self,
         now: Duration,
@@ -281,7 +283,7 @@
         self.is_warming(now)
     }
 
-    /// Changes of this registry since `known`.
+    /// Changes of this machine's registry since the version `known`, in one response.
     pub fn registry_since(&self, now: Duration, known: RegistryVersion) -> RegistryResponse {
         RegistryResponse::new(
             self.registry.changes_since(known, MAX_STATUSES),
@@ -289,7 +291,7 @@
         )
     }
 
-    /// The answer to a poll, whether or not it contains updates.
+    /// Answer to a poll, which may contain no updates.
     pub fn respond(
         &self,
         now: Duration,
--- a/crates/tier/discovery/src/departure.rs
+++ b/crates/tier/discovery/src/departure.rs
@@ -1,9 +1,9 @@
-//! When a replica's departure is acknowledged. [`CoreState`](crate::core_state::CoreState) starts the notification, and
-//! [`CoreDiscovery`](crate::CoreDiscovery) calls the peers.
+//! Decides when a replica's departure is acknowledged. [`CoreState`](crate::core_state::CoreState) starts the
+//! notification, and [`CoreDiscovery`](crate::CoreDiscovery) calls the peers.
 //!
-//! The acknowledgement promises the replica that no observer sends it a new request soon after. A core
-//! machine therefore first notifies the other core machines; one that answers has answered its pending polls
-//! too:
+//! After the acknowledgement, observers must soon stop sending new requests to the replica. A core machine therefore
+//! notifies the other core machines first. A peer publishes the departure to its pending polls before it answers the
+//! notification.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
@@ -11,8 +11,8 @@
 //! | notifying, [`ALL_PEERS_TIMEOUT`] has passed | a majority of the voters has answered | acknowledged |
 //! | notifying | [`MAJORITY_TIMEOUT`] has passed | unconfirmed: the replica has to call another machine |
 //!
-//! Without a majority this machine may be partitioned from the others, whose observers would not learn of the
-//! departure.
+//! Without the answers of a majority, this machine may be partitioned from the others, and the departure may not reach
+//! the observers of those machines.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,40 +20,41 @@
 
 use crate::committed::ViewSummary;
 
-/// How long to wait for all peers. After that a majority of the voters suffices.
+/// Time to wait for the answers of all peers. After it, a majority of the voters suffices.
 pub const ALL_PEERS_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long to wait for a majority. Shorter than the second after which a replica calls another machine.
+/// Time to wait for a majority of the voters. Must be shorter than one second, the time-out after which a replica calls
+/// another machine.
 pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Whether a departure may be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DepartureDecision {
-    /// Wait for further answers.
+    /// Wait for more answers.
     Wait {
-        /// When to decide anew if no answer comes before.
+        /// When to call [`DepartureNotification::decision`] again if no answer is received before.
         until: Duration,
     },
     /// Acknowledge the departure.
     Acknowledged,
-    /// Answer that observers may not learn of the departure.
+    /// Do not acknowledge: the departure may not reach all observers.
     Unconfirmed,
 }
 
-/// A departure of which the other core machines are being notified.
+/// Progress of notifying the other core machines of one departure.
 #[derive(Clone, Debug)]
 pub struct DepartureNotification {
     started_at: Duration,
-    /// Peers that have not acknowledged the notification yet.
+    /// Peers that have not answered yet.
     pending_peers: BTreeSet<SocketAddr>,
-    /// Voters that know of the departure, among them this machine if it is a voter.
+    /// Number of voters that have applied the departure, including this machine if it is a voter.
     notified_voters: usize,
-    /// Voters of the view, or all peers and this machine before there is a view.
+    /// Voters of the view; all peers and this machine before the first view.
     voters: BTreeSet<SocketAddr>,
 }
 
 impl DepartureNotification {
-    /// Starts at `now` on the machine with the address `own`. All peers count as voters before there is a
-    /// view.
+    /// Starts a notification at `now` on the machine with the address `own`. Before the first view, this machine and
+    /// all peers count as voters.
     pub fn new(now: Duration, own: SocketAddr, peers: &[SocketAddr], view: &ViewSummary) -> Self {
         let mut voters: BTreeSet<SocketAddr> = view.voters.iter().copied().collect();
         if voters.is_empty() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Records that `peer` has acknowledged the notification.
+    /// Records the answer of `peer`.
     pub fn record_answer(&mut self, peer: SocketAddr) {
         if self.pending_peers.remove(&peer) && self.voters.contains(&peer) {
             self.notified_voters += 1;
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -1,9 +1,9 @@
 //! Exchange of replicas' heartbeats between core machines: the [`Outbox`] and [`Inbox`] of a
 //! [`CoreState`](crate::core_state::CoreState).
 //!
-//! Each machine sends what it received from replicas directly, never what it learned from another machine, in
-//! numbered batches. A missing batch, a new incarnation or an unknown content makes the receiver request the
-//! sender's registry.
+//! Each machine sends, in numbered batches, only the heartbeats that it received from replicas directly; it does not
+//! forward those received from other core machines. The receiver requests the sender's registry after a missing batch,
+//! a new incarnation of the sender, or a heartbeat whose content it does not know.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use crate::replica::ReplicaState;
 use crate::status::{IdentifiedStatus, ReplicaStatus};
 
-/// Least time between batches that contain only heartbeats without changes.
+/// Minimum interval between batches that contain only heartbeats without changes.
 pub const BATCH_INTERVAL: Duration = Duration::from_millis(250);
-/// How long changes other than departures are delayed, so that one batch carries several.
+/// Delay of changes other than departures, so that one batch can contain several of them.
 pub const CHANGE_DELAY: Duration = Duration::from_millis(25);
-/// Longest time between batches. An empty batch is sent after it, so that peers know that this machine is
+/// Maximum interval between batches. If there is nothing to send, an empty batch shows the peers that this machine is
 /// reachable.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Collects what this machine has received from replicas directly.
+/// Collects the heartbeats and changes that this machine received from replicas directly, for the next batch.
 pub struct Outbox {
     /// Incarnation of this process.
     incarnation: u64,
@@ -30,16 +30,16 @@
     sender: SocketAddr,
     /// Number of the last numbered batch; 0 before the first.
     serial: u64,
-    /// Replicas that have sent heartbeats without changes since the last batch.
+    /// Ids of the replicas that have sent heartbeats without changes since the last batch.
     refreshed: BTreeSet<String>,
-    /// Replicas that have changed since the last batch; none of them is in `refreshed`.
+    /// Ids of the replicas that have changed since the last batch. Disjoint from `refreshed`.
     changed: BTreeSet<String>,
-    /// When the last numbered batch was made.
+    /// When the last numbered batch was created; `None` before the first.
     sent_at: Option<Duration>,
 }
 
 impl Outbox {
-    /// The outbox of a process with this incarnation and internal address.
+    /// Creates the empty outbox of a process; `sender` is its internal address.
     pub fn new(incarnation: u64, sender: SocketAddr) -> Self {
         Self {
             incarnation,
@@ -64,7 +64,7 @@
         self.changed.insert(id.to_owned());
     }
 
-    /// The next batch, if one is due.
+    /// Next numbered batch; `None` if no batch is due. `warming` is set if this machine may not know all replicas.
     pub fn next_batch(
         &mut self,
         now: Duration,
@@ -125,7 +125,7 @@
         .is_none_or(|record| record.heartbeat.state == ReplicaState::Draining)
 }
 
-/// How soon watchers have to be notified of a change.
+/// How soon pending polls have to be answered after a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// Nothing has changed.
@@ -137,32 +137,32 @@
     Now,
 }
 
-/// What has to be done after a batch was received.
+/// Actions required after a batch was received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BatchResult {
-    /// How soon the registry's watchers have to be notified.
+    /// How soon pending polls have to be answered.
     pub urgency: Urgency,
-    /// Whether updates of the sender are missing, so that its registry has to be requested.
+    /// Whether the sender's registry has to be requested because updates are missing.
     pub incomplete: bool,
 }
 
-/// What has been received from one core machine.
+/// State of the exchange with one core machine.
 #[derive(Default)]
 struct Peer {
-    /// Incarnation of its last numbered batch; 0 before the first.
+    /// Incarnation in the last numbered batch; 0 before the first.
     incarnation: u64,
-    /// Number of that batch.
+    /// Number of the last numbered batch; 0 before the first.
     serial: u64,
     /// Version up to which its registry has been received.
     version: RegistryVersion,
-    /// Whether a batch of this peer is missing, and its registry has not been received since.
+    /// Whether a batch was missed and the peer's registry has not been received since.
     incomplete: bool,
 }
 
 /// Receives the batches of the other core machines.
 #[derive(Default)]
 pub struct Inbox {
-    /// By internal address.
+    /// State of each peer by its internal address.
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
--- a/crates/tier/discovery/src/failure_detector.rs
+++ b/crates/tier/discovery/src/failure_detector.rs
@@ -1,70 +1,70 @@
-//! How long a replica may be unresponsive before this core machine expires it: the failure detector of
-//! [`CoreState`](crate::core_state::CoreState), which passes its time-out to
-//! [`Registry::expire`](crate::Registry::expire).
+//! Failure detector of [`CoreState`](crate::core_state::CoreState). It determines the time-out after which this core
+//! machine expires an unresponsive replica through [`Registry::expire`](crate::Registry::expire).
 //!
-//! A machine that has just started, whose process has stalled, or that does not hear its peers or most
-//! replicas cannot tell which replicas have failed. It then waits longer, or leaves the decision to the
-//! others.
+//! A machine cannot tell which replicas have failed if it has just started, if its process has stalled, or if it
+//! receives nothing from its peers or from most replicas. It then uses a longer time-out, or expires no replicas and
+//! leaves the decision to the other core machines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A loop that runs later than this has stalled.
+/// Time since the last tick after which the process counts as stalled.
 pub const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(1500);
-/// A peer whose last batch is older than this is unreachable.
+/// Time without a batch after which a peer counts as unreachable.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time without a heartbeat after which a replica expires, in heartbeat intervals.
 pub const EXPIRY_HEARTBEATS: f64 = 3.5;
-/// The same while a peer of the view is unreachable, which may be receiving the replica's heartbeats.
+/// As [`EXPIRY_HEARTBEATS`], while a peer of the view is unreachable. That peer may be receiving the replica's
+/// heartbeats.
 pub const EXPIRY_HEARTBEATS_PEER_UNREACHABLE: f64 = 8.0;
-/// The same while most replicas are unresponsive, so that the fault is probably on this side.
+/// As [`EXPIRY_HEARTBEATS`], while most replicas are unresponsive. The fault is then probably on this machine's side.
 pub const EXPIRY_HEARTBEATS_MAJORITY_UNRESPONSIVE: f64 = 25.0;
-/// Heartbeat intervals without a heartbeat from which a replica counts as unresponsive when the machine
-/// judges whether most replicas are.
+/// Time without a heartbeat, in heartbeat intervals, after which a replica counts as unresponsive in the test whether
+/// most replicas are.
 pub const SUSPECT_HEARTBEATS: f64 = 2.0;
-/// How long a machine that has not received a peer's registry warms up, in heartbeat intervals.
+/// Minimum warm-up time, in heartbeat intervals, of a machine that has not received its peers' registries.
 pub const WARMING_HEARTBEATS: f64 = 1.5;
 
-/// How complete this machine's knowledge of the replicas is.
+/// Whether this machine's registry is complete enough to expire replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmUpState {
-    /// The machine knows too little since it started or stalled.
+    /// The machine has started or stalled recently and may not know all replicas.
     Warming {
-        /// When it started, or found that it had stalled.
+        /// Time of the start, or of the tick that detected the stall.
         since: Duration,
     },
-    /// The machine has received its peers' registries, or has listened for long enough.
+    /// The machine has received its peers' registries, or has received heartbeats for long enough.
     Warm,
 }
 
-/// Observes this machine's own loop and its peers, and derives from them when replicas expire.
+/// Monitors this machine's ticks and the batches of its peers, and derives the expiry time-out of replicas.
 pub struct FailureDetector {
     /// Interval at which each replica sends heartbeats.
     heartbeat_interval: Duration,
     warm_up: WarmUpState,
-    /// When the machine's loop last ran.
+    /// Time of the last tick.
     last_tick: Duration,
-    /// When the last batch of each peer arrived; peers that have been unreachable for long are removed.
+    /// Receipt time of each peer's last batch. Peers without a batch for four times [`PEER_TIMEOUT`] are removed.
     peers: BTreeMap<SocketAddr, Duration>,
 }
 
-/// What a tick of the failure detector found.
+/// Result of a tick of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TickOutcome {
-    /// The loop has stalled: all time-outs start anew, and the peers' registries are requested.
+    /// The process has stalled. The caller resets all replicas' time-outs and requests the peers' registries.
     Stalled,
-    /// No replica may expire, since this machine is warming up or out of quorum.
+    /// No replica may expire, because this machine is warming up or out of quorum.
     NoExpiry,
-    /// Replicas expire of which no heartbeat has arrived for longer than the time-out.
+    /// Replicas without a heartbeat for longer than the time-out expire.
     Expire {
-        /// The time-out.
+        /// Time without a heartbeat after which a replica expires.
         timeout: Duration,
     },
 }
 
 impl FailureDetector {
-    /// The failure detector of a process that starts at `now`. Replicas send a heartbeat every
+    /// Creates the failure detector of a process that starts at `now`. Replicas send a heartbeat every
     /// `heartbeat_interval`.
     pub fn new(now: Duration, heartbeat_interval: Duration) -> Self {
         Self {
@@ -75,18 +75,17 @@
         }
     }
 
-    /// Whether this machine may not know all replicas. True as well while its loop has stalled and no tick
-    /// has noticed it yet.
+    /// Whether this machine may not know all replicas. Also true during a stall that no tick has detected yet.
     pub fn is_warming(&self, now: Duration) -> bool {
         self.warm_up != WarmUpState::Warm || self.has_stalled(now)
     }
 
-    /// Records that a batch of `peer` has arrived.
+    /// Records that a batch of `peer` was received.
     pub fn record_peer_batch(&mut self, now: Duration, peer: SocketAddr) {
         self.peers.insert(peer, now);
     }
 
-    /// Peers of which a batch has arrived within [`PEER_TIMEOUT`].
+    /// Peers whose last batch was received within [`PEER_TIMEOUT`].
     pub fn reachable_peers(&self, now: Duration) -> impl Iterator<Item = SocketAddr> {
         self.peers
             .iter()
@@ -99,9 +98,8 @@
         self.warm_up = WarmUpState::Warm;
     }
 
-    /// One iteration of the machine's loop. `idle_times` are the times since the last heartbeat of each
-    /// replica; `has_received_heartbeats` says whether any heartbeat has arrived since the machine began to warm
-    /// up.
+    /// Runs one tick. `idle_times` are the times since the last heartbeat of each replica. `has_received_heartbeats` is
+    /// set if any heartbeat was received since the machine began to warm up.
     pub fn tick(
         &mut self,
         now: Duration,
--- a/crates/tier/discovery/src/fnv.rs
+++ b/crates/tier/discovery/src/fnv.rs
@@ -1,4 +1,4 @@
-//! The hash by which core machines compare the content of their records
+//! Hash function of the digests by which core machines compare the content of replica records
 //! ([`ReplicaRecord::content_digest`](crate::ReplicaRecord::content_digest)).
 
 /// FNV-1a, 32 bits (Fowler, Noll and Vo; draft-eastlake-fnv).
@@ -8,7 +8,7 @@
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
 
-    /// A hash of nothing yet.
+    /// Starts a hash of empty input.
     pub(crate) fn new() -> Self {
         Self(Self::OFFSET)
     }
@@ -30,7 +30,7 @@
         self.add_bytes(&number.to_le_bytes());
     }
 
-    /// The hash of what has been added.
+    /// Returns the hash of the added values.
     pub(crate) fn finish(self) -> u32 {
         self.0
     }
--- a/crates/tier/discovery/src/heartbeat_check.rs
+++ b/crates/tier/discovery/src/heartbeat_check.rs
@@ -1,55 +1,55 @@
-//! Validation of heartbeats, before the [`Registry`](crate::Registry) applies them.
+//! Validation of heartbeats before the [`Registry`](crate::Registry) applies them.
 
 use snafu::Snafu;
 
 use crate::replica::Heartbeat;
 
-/// Longest id of a replica in bytes.
+/// Maximum length of a replica's id in bytes.
 pub const MAX_ID_BYTES: usize = 128;
-/// Longest name of a service, zone, software version, stage or model in bytes.
+/// Maximum length in bytes of the name of a service, zone, software version, stage, model or adapter.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Most models of one replica, and adapters of one model.
+/// Maximum number of models per replica, and of adapters per model.
 pub const MAX_MODELS: usize = 64;
 
-/// Why a heartbeat is rejected. The registry is unchanged.
+/// Why a heartbeat is rejected. A rejected heartbeat leaves the registry's entries unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HeartbeatError {
     /// The id is empty or longer than [`MAX_ID_BYTES`].
-    #[snafu(display("the replica's id must have 1 to {MAX_ID_BYTES} bytes, it has {length}"))]
+    #[snafu(display("replica id has {length} bytes, expected 1 to {MAX_ID_BYTES}"))]
     InvalidId {
         /// Length of the id in bytes.
         length: usize,
     },
-    /// A field is empty or too long.
-    #[snafu(display("replica {id}: field {field} is empty or too long"))]
+    /// A field is empty, too long or out of range.
+    #[snafu(display("replica {id}: field {field} is empty, too long or out of range"))]
     InvalidField {
         /// Identifier of the replica's incarnation.
         id: String,
         /// Name of the field.
         field: &'static str,
     },
-    /// A newer heartbeat has been accepted before.
+    /// A heartbeat with the same or a newer sequence number was accepted before.
     #[snafu(display(
-        "replica {id}: sequence {sequence} is not above {newest}, which was taken before"
+        "replica {id}: stale sequence {sequence}, expected more than the last accepted {newest}"
     ))]
     Stale {
         /// Identifier of the replica's incarnation.
         id: String,
         /// Sequence number of this heartbeat.
         sequence: u64,
-        /// Newest sequence number that was accepted.
+        /// Newest accepted sequence number of the replica.
         newest: u64,
     },
     /// The replica has deregistered. A restarted replica needs a new id.
-    #[snafu(display("replica {id} has left; a new start has a new id"))]
+    #[snafu(display("replica {id} has deregistered; a restarted replica needs a new id"))]
     Departed {
         /// Identifier of the replica's incarnation.
         id: String,
     },
 }
 
-/// Whether the id may be a replica's.
+/// Checks the length of a replica's id.
 pub(crate) fn check_id(id: &str) -> Result<(), HeartbeatError> {
     if id.is_empty() || id.len() > MAX_ID_BYTES {
         return InvalidIdSnafu { length: id.len() }.fail();
@@ -60,7 +60,7 @@
 /// Checks that the id and every field of the heartbeat are within their bounds.
 ///
 /// # Errors
-/// Names the first field that is not.
+/// Names the first field that is out of bounds.
 pub(crate) fn check_heartbeat(id: &str, heartbeat: &Heartbeat) -> Result<(), HeartbeatError> {
     check_id(id)?;
     check_name(id, "service", &heartbeat.service)?;
--- a/crates/tier/discovery/src/lib.rs
+++ b/crates/tier/discovery/src/lib.rs
@@ -1,19 +1,23 @@
-//! Discovery of replicas and nodes, and distribution of the control plane's state to the data plane.
+//! Discovery of replicas and nodes, and distribution of the control plane's state to its observers.
 //!
-//! Replicas register themselves by heartbeats at any core machine. What a core machine has received is soft
-//! state in its [`Registry`], shared with the other core machines by [`exchange`] and rebuilt from heartbeats
-//! after a restart. Every data-plane process long-polls three core machines ([`messages::PollRequest`]). A
-//! core machine answers as soon as it knows something newer than the poll names ([`poll_response`]).
+//! Replicas register by sending heartbeats to any core machine. Each core machine keeps the registered replicas in its
+//! [`Registry`] as soft state: it exchanges changes with the other core machines ([`exchange`]) and rebuilds the
+//! registry from heartbeats after a restart. Every observing process long-polls three core machines
+//! ([`messages::PollRequest`]). A core machine answers as soon as its state is newer than the versions in the poll
+//! ([`poll_response`]).
 //!
-//! Decisions are state machines without clock and I/O: `now` is the time since the process started, and
-//! results are plain values. Each has a driver beside it, which is the place to start reading:
+//! The logic is in state machines without clock and I/O: the caller passes `now`, the time since the process started,
+//! and results are plain values. Each state machine has a driver, which is the place to start reading:
 //!
 //! | driver | state machine | concern |
 //! | --- | --- | --- |
-//! | [`CoreDiscovery`] | [`core_state::CoreState`] with [`registry`], [`exchange`], [`failure_detector`], [`departure`] | a core machine |
-//! | [`ControlWatch`] | [`watcher::Watcher`] with [`selection`], [`replica_table`] | an observer of the core |
+//! | [`CoreDiscovery`] | [`core_state::CoreState`] | a core machine |
+//! | [`ControlWatch`] | [`watcher::Watcher`] | an observer of the core |
 //! | [`Sampler`] | [`sampling::PartialView`] | peer sampling, on every process |
 //!
+//! `CoreState` uses [`registry`], [`exchange`], [`failure_detector`] and [`departure`]; `Watcher` uses [`selection`]
+//! and [`replica_table`].
+//!
 //! The protocol is described in `docs/discovery.md`.
 
 pub mod committed;
--- a/crates/tier/discovery/src/messages.rs
+++ b/crates/tier/discovery/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages of discovery between processes, and their codec.
 //!
-//! A message is a version byte followed by its `speedy` encoding. Decoding never allocates more than the
-//! message's own length allows, and returns a typed error for whatever is not a message. Fields and variants
-//! are encoded by their order, which must not change within a [`MESSAGE_VERSION`].
+//! A message is a version byte followed by the `speedy` encoding. Decoding allocates no more memory than the length of
+//! the message justifies, and returns a typed error for bytes that are not a message. Fields and variants are encoded
+//! by position, so their order must not change within a [`MESSAGE_VERSION`].
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -17,16 +17,16 @@
 /// First byte of every message.
 pub const MESSAGE_VERSION: u8 = 1;
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum MessageError {
-    /// There is no version byte.
+    /// The version byte is missing.
     #[snafu(display("the message is empty"))]
     Empty,
-    /// The message is of another version of the protocol.
+    /// The version byte is not [`MESSAGE_VERSION`].
     #[snafu(display("the message has version {version}, expected {MESSAGE_VERSION}"))]
     Version {
-        /// The message's version byte.
+        /// Version byte of the message.
         version: u8,
     },
     /// The body is not the encoding of the expected message.
@@ -42,7 +42,7 @@
 }
 
 impl From<SocketAddr> for Endpoint {
-    /// An address that is not IPv4 becomes 0.0.0.0: the tier speaks IPv4 only.
+    /// An IPv6 address is encoded as 0.0.0.0, because the tier supports IPv4 only.
     fn from(address: SocketAddr) -> Self {
         let ip = match address {
             SocketAddr::V4(address) => u32::from(*address.ip()),
@@ -64,66 +64,66 @@
 /// Request to a core machine over `ServiceId::DISCOVERY`.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Request {
-    /// Long-poll of an edge or storage machine. Answered by [`PollResponse`].
+    /// Long-poll of an observer, which is an edge or storage machine. Answered by [`PollResponse`].
     Poll(PollRequest),
     /// Requests the newest committed configuration. Answered by [`ConfigurationResponse`].
     Configuration,
-    /// What a core machine has received from replicas since its last batch. Not answered.
+    /// Numbered batch of a core machine. The sender does not wait for the answer.
     Batch(Batch),
-    /// A departure that a core machine acknowledges only after the others know it. Answered by
-    /// [`BatchResponse`].
+    /// Departure that a core machine acknowledges only after the other core machines have answered this request.
+    /// Answered by [`BatchResponse`].
     Urgent(Batch),
-    /// A core machine requests another's registry from a version on. Answered by [`RegistryResponse`].
+    /// Requests the changes of a core machine's registry since a version. Answered by [`RegistryResponse`].
     Registry(RegistryVersion),
 }
 
-/// The state that an observer of the core has.
+/// Long-poll: states the versions that an observer has, and waits for newer ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct PollRequest {
-    /// Newest configuration generation that it has, or that a machine has reported to it.
+    /// Newest configuration generation that the observer has, or that the polled machine has reported to it.
     pub configuration_generation: u64,
-    /// Epoch of its core view.
+    /// Epoch of the observer's core view; 0 for none.
     pub view_epoch: u64,
-    /// Epoch of its storage view.
+    /// Epoch of the observer's storage view; 0 for none.
     pub storage_epoch: u64,
-    /// Version of this machine's registry that it has.
+    /// Version up to which the observer has received the polled machine's registry.
     pub registry: RegistryVersion,
-    /// The core_status that this machine reported last.
+    /// Status that the polled machine last reported to the observer.
     pub core_status: CoreStatus,
-    /// How long to wait for an update, in milliseconds.
+    /// Time to wait for an update, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What a core machine reports about itself.
+/// Status that a core machine reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct CoreStatus {
-    /// It is in contact with a majority of the view.
+    /// Whether the machine is in contact with a majority of the view.
     pub in_quorum: bool,
-    /// It has started or stalled recently and may not know all replicas.
+    /// Whether the machine may not know all replicas, because it has recently started or stalled.
     pub warming: bool,
 }
 
-/// Answer to a [`PollRequest`]: what is newer than the state that the request names.
+/// Answer to a [`PollRequest`]: the state that is newer than the versions in the request.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct PollResponse {
-    /// What the machine reports about itself.
+    /// Status of the answering machine.
     pub core_status: CoreStatus,
     /// Newest committed configuration generation; 0 for none.
     pub configuration_generation: u64,
-    /// The core view, if newer.
+    /// Core view, if its epoch is newer than in the request.
     pub view: Option<CoreView>,
-    /// The storage view, if newer.
+    /// Storage view, if its epoch is newer than in the request.
     pub storage_view: Option<VersionedBytes>,
-    /// Changes of the registry.
+    /// Changes of the answering machine's registry since the version in the request.
     pub registry: RegistryResponse,
 }
 
-/// The core machines that the sender of an answer knows, on the wire.
+/// Epoch of a core view and the core machines that the sender knows, on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct CoreView {
     /// Epoch of the view.
     pub epoch: u64,
-    /// Internal addresses of the core machines that the sender knows. Sent again only with a newer epoch.
+    /// Internal addresses of the core machines that the sender knows. Resent only with a newer epoch.
     pub core_machines: Vec<Endpoint>,
 }
 
@@ -148,26 +148,26 @@
 pub struct RegistryResponse {
     /// Version that the receiver has after these changes.
     pub version: RegistryVersion,
-    /// The machine may not know all replicas itself.
+    /// Whether the sender may not know all replicas.
     pub warming: bool,
-    /// Whether these changes start a complete list, which replaces everything listed before.
+    /// Whether these changes start a complete list. The receiver then discards the sender's previous list.
     pub reset: bool,
-    /// Whether further changes have to be requested.
+    /// Whether the sender has more changes, which have to be requested.
     pub has_more: bool,
-    /// Newest status of each replica that has changed.
+    /// Newest status of each changed replica.
     pub statuses: Vec<StatusEntry>,
 }
 
-/// What a core machine has received from replicas since its last batch.
+/// Heartbeats and changes that a core machine received from replicas directly since its last batch.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Batch {
     /// Incarnation of the sending process.
     pub incarnation: u64,
     /// Internal address of the sender.
     pub sender: Endpoint,
-    /// Rises by one with each batch of the incarnation. Urgent batches are not numbered and have 0.
+    /// Number of the batch; increases by one with each numbered batch of an incarnation. 0 in urgent batches.
     pub serial: u64,
-    /// The sender may not know all replicas itself.
+    /// Whether the sender may not know all replicas.
     pub warming: bool,
     /// Heartbeats without changes.
     pub refreshes: Vec<Refresh>,
@@ -178,7 +178,7 @@
 /// Answer to [`Request::Urgent`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct BatchResponse {
-    /// Incarnation of the machine that has received the batch.
+    /// Incarnation of the process that received the batch.
     pub incarnation: u64,
 }
 
@@ -187,20 +187,20 @@
 pub struct StatusEntry {
     /// Identifier of the replica's incarnation.
     pub id: String,
-    /// Its status.
+    /// Newest status of the replica.
     pub status: WireStatus,
 }
 
 /// [`ReplicaStatus`] on the wire.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum WireStatus {
-    /// It is registered.
+    /// The replica is registered.
     Registered(WireRecord),
-    /// It has departed.
+    /// The replica has departed.
     Departed {
         /// Last sequence number that the departure covers.
         sequence: u64,
-        /// Why it has departed.
+        /// Reason of the departure.
         departure: Departure,
     },
 }
@@ -253,7 +253,7 @@
 }
 
 impl StatusEntry {
-    /// The wire form of the status of the replica `id`.
+    /// Creates the wire form of the status of the replica `id`.
     pub fn new(id: String, status: &ReplicaStatus) -> Self {
         let status = match status {
             ReplicaStatus::Departed {
@@ -270,7 +270,7 @@
         Self { id, status }
     }
 
-    /// The status with the replica's id.
+    /// Converts the wire form to a status.
     pub fn into_status(self) -> IdentifiedStatus {
         let id = self.id;
         let status = match self.status {
@@ -300,8 +300,7 @@
 }
 
 impl RegistryResponse {
-    /// The wire form of a registry's changes. `warming` says that the machine may not know all replicas
-    /// itself.
+    /// Creates the wire form of a registry's changes. `warming` is set if the sender may not know all replicas.
     pub fn new(changes: RegistryChanges, warming: bool) -> Self {
         let statuses = changes.statuses.into_iter();
         Self {
@@ -319,14 +318,14 @@
 /// Encodes a message with its version byte.
 pub fn encode<M: Writable<LittleEndian>>(message: &M) -> Vec<u8> {
     let mut bytes = vec![MESSAGE_VERSION];
-    // Writing to a vector fails only if a length does not fit 32 bits, which the registry's bounds rule out.
+    // Writing to a vector fails only if a length exceeds 32 bits. The bounds of the registry exclude this.
     if message.write_to_stream(&mut bytes).is_err() {
         bytes.truncate(1);
     }
     bytes
 }
 
-/// Decodes the answer of the process `peer`. Logs an answer that cannot be decoded and returns `None`.
+/// Decodes an answer received from `peer`. If it cannot be decoded, logs the error and returns `None`.
 pub fn decode_answer<'a, M: Readable<'a, LittleEndian>>(
     peer: SocketAddr,
     answer: &'a [u8],
@@ -339,7 +338,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// If the bytes are empty, of another version, or not the encoding of an `M`.
+/// If the bytes are empty, have another version, or are not the encoding of an `M`.
 pub fn decode<'a, M: Readable<'a, LittleEndian>>(bytes: &'a [u8]) -> Result<M, MessageError> {
     let (version, body) = bytes.split_first().ok_or(MessageError::Empty)?;
     if *version != MESSAGE_VERSION {
--- a/crates/tier/discovery/src/poll_response.rs
+++ b/crates/tier/discovery/src/poll_response.rs
@@ -1,5 +1,5 @@
-//! Answers to long-polls: what a core machine knows that is newer than what a poll names. The counterpart of
-//! [`Watcher`](crate::watcher::Watcher), which merges them.
+//! Creates the answers to long-polls: the state of a core machine that is newer than the versions in the poll. A
+//! [`Watcher`](crate::watcher::Watcher) merges the answers.
 
 use crate::committed::CommittedState;
 use crate::messages::{
@@ -7,11 +7,11 @@
 };
 use crate::registry::Registry;
 
-/// Most statuses of replicas in one answer.
+/// Maximum number of replica statuses in one answer.
 pub const MAX_STATUSES: usize = 2000;
 
-/// The answer to `request`, whether or not it contains updates. `warming` says that this machine may not know
-/// all replicas.
+/// Creates the answer to `request`, which may contain no updates. `warming` is set if this machine may not know all
+/// replicas.
 pub fn respond(
     request: &PollRequest,
     registry: &Registry,
@@ -30,9 +30,9 @@
         configuration_generation: committed
             .configuration()
             .map_or(0, |configuration| configuration.version),
-        // Machines that are heard of after a view was installed are sent with the next view only: until then its
-        // members answer every poll, and a process that reaches none of them has the seeds and those that peer
-        // sampling has found.
+        // A core machine that becomes known after the view was installed is sent only with the next view. Until then,
+        // the members of the view answer all polls. A process that reaches no member still has the addresses of the
+        // seeds and those found by peer sampling.
         view: (view.epoch > request.view_epoch).then(|| CoreView {
             epoch: view.epoch,
             core_machines: view
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether `response` contains anything that `request` did not name.
+/// Whether `response` contains any state that is newer than the versions in `request`.
 pub fn has_updates(request: &PollRequest, response: &PollResponse) -> bool {
     response.view.is_some()
         || response.storage_view.is_some()
--- a/crates/tier/discovery/src/polled_machine.rs
+++ b/crates/tier/discovery/src/polled_machine.rs
@@ -1,19 +1,19 @@
-//! What a process knows of one core machine that it polls: the state of its polls, and what it last reported. The
-//! [`Watcher`](crate::watcher::Watcher) has one for each machine that it polls.
+//! State of one polled core machine: poll in flight, backoff, and the contents of its last answer. A
+//! [`Watcher`](crate::watcher::Watcher) keeps one [`PolledMachine`] per machine that it polls.
 
 use std::time::Duration;
 
 use crate::messages::CoreStatus;
 use crate::selection::MachineHealth;
 
-/// Least time between the starts of two polls of one machine.
+/// Minimum interval between the starts of two polls of one machine.
 pub(crate) const MIN_POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Backoff after the first failed call. It doubles with each further failure up to [`MAX_BACKOFF`].
 pub(crate) const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Longest backoff after failed calls.
 pub(crate) const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Time before the next call after one has failed, when `earlier_failures` in a row had failed before it.
+/// Backoff after a failed call that was preceded by `earlier_failures` consecutive failures.
 pub(crate) fn backoff_after(earlier_failures: u32) -> Duration {
     MIN_BACKOFF
         .saturating_mul(1 << earlier_failures.min(8))
@@ -23,29 +23,29 @@
 /// Whether a poll is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollState {
-    /// No poll is in flight; the next one is due at `next_at`.
+    /// No poll is in flight; the next poll is due at `next_at`.
     Idle { next_at: Duration },
     /// A poll has been in flight since `since`.
     Polling { since: Duration },
 }
 
-/// A core machine that is polled.
 pub(crate) struct PolledMachine {
     pub(crate) state: PollState,
-    /// Polls that have failed since the last one that was answered.
+    /// Failed polls since the last answered poll.
     pub(crate) consecutive_failures: u32,
-    /// What the machine reported about itself in its last answer.
+    /// Status that the machine reported in its last answer; the default before the first.
     pub(crate) core_status: CoreStatus,
     /// Configuration generation in the machine's last answer; 0 before the first.
     pub(crate) reported_generation: u64,
-    /// Fetches of the configuration from this machine that failed since one from any machine succeeded.
+    /// Failed configuration fetches from this machine since the last fetch, from any machine, that returned a newer
+    /// configuration.
     pub(crate) failed_fetches: u32,
-    /// Whether any poll has been answered; stays set.
+    /// Whether the machine has ever answered a poll.
     pub(crate) has_answered: bool,
 }
 
 impl PolledMachine {
-    /// A machine whose first poll is due at `now`.
+    /// Creates the state of a machine whose first poll is due at `now`.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             state: PollState::Idle { next_at: now },
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Whether its list of replicas is authoritative.
+    /// Whether the machine's list of replicas is authoritative: the machine answers, is in quorum and is not warming
+    /// up.
     pub(crate) fn is_trusted(&self) -> bool {
         self.has_answered
             && self.consecutive_failures == 0
@@ -65,7 +66,7 @@
             && !self.core_status.warming
     }
 
-    /// Its health as far as its polls show.
+    /// Health of the machine, derived from its polls.
     pub(crate) fn health(&self) -> MachineHealth {
         match (self.consecutive_failures, self.has_answered) {
             (0, false) => MachineHealth::Unknown,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Records the answer to a poll.
+    /// Records the answer to a poll and schedules the next poll.
     pub(crate) fn record_answer(
         &mut self,
         now: Duration,
--- a/crates/tier/discovery/src/registry/mod.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -1,9 +1,9 @@
-//! The replicas that one core machine knows: soft state, built from heartbeats and from the other core
-//! machines. [`CoreState`](crate::core_state::CoreState) owns it, and answers polls and peers from it.
+//! Registry of the replicas known to one core machine: soft state, built from heartbeats and from the registries of the
+//! other core machines. [`CoreState`](crate::core_state::CoreState) owns it and answers polls and peers from it.
 //!
-//! Every change of a replica's content is assigned the next `revision`, by which watchers and other core
-//! machines request what is new to them. Departures remain as tombstones for [`TOMBSTONE_TTL`], so that
-//! neither a delayed heartbeat nor a delayed message of a core machine restores a departed replica.
+//! Every change of a replica's content is assigned the next `revision`. Observers and other core machines request the
+//! changes since the last revision that they have received. Departures remain as tombstones for [`TOMBSTONE_TTL`], so
+//! that neither a delayed heartbeat nor a delayed message of a core machine restores a departed replica.
 
 mod changes;
 
@@ -17,21 +17,21 @@
 use crate::replica::{Heartbeat, ReplicaRecord, ReplicaState};
 use crate::status::{Departure, IdentifiedStatus, ReplicaStatus};
 
-/// How long a tombstone is retained.
+/// Time for which a tombstone is retained.
 pub const TOMBSTONE_TTL: Duration = Duration::from_secs(300);
-/// Number of tombstones that a registry without replicas retains; each registered replica adds one. The
-/// oldest are dropped first.
+/// Limit on the number of tombstones in a registry without replicas. Each registered replica raises the limit by one.
+/// The oldest tombstones are dropped first.
 pub const MIN_TOMBSTONE_LIMIT: usize = 4096;
 
-/// How an accepted heartbeat or deregistration changes what others have to know.
+/// Effect of an accepted heartbeat or deregistration, which determines how it is propagated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// The content is the same as before. The other core machines learn of it with the next batch.
+    /// The content is the same as before. The heartbeat is sent to the other core machines in the next batch.
     Unchanged,
-    /// The replica is new or its content has changed. The others are notified without waiting for a batch.
+    /// The replica is new or its content has changed. The change triggers a batch to the other core machines.
     Changed,
-    /// The replica drains or deregisters, which is acknowledged only after the other core machines have been
-    /// notified.
+    /// The replica is draining or has deregistered. The departure is acknowledged only after the other core machines
+    /// have been notified.
     Departing,
 }
 
@@ -40,7 +40,7 @@
 pub struct RegistryCounters {
     /// Heartbeats accepted.
     pub accepted: u64,
-    /// Heartbeats rejected because a newer sequence number was known.
+    /// Heartbeats rejected because the same or a newer sequence number was known.
     pub stale: u64,
     /// Heartbeats rejected because the replica had deregistered.
     pub departed: u64,
@@ -52,35 +52,35 @@
     pub superseded: u64,
 }
 
-/// A registered replica, and when it was heard last.
+/// Registered replica and the time since its last heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisteredReplica<'a> {
-    /// What is known of it.
+    /// Record of the replica.
     pub record: &'a ReplicaRecord,
-    /// Time since its last heartbeat.
+    /// Time since the last heartbeat was applied.
     pub idle_time: Duration,
 }
 
-/// What the registry knows of one incarnation of a replica.
+/// Registry entry of one incarnation of a replica.
 struct Entry {
     status: ReplicaStatus,
     /// [`ReplicaRecord::content_digest`] of a registered replica, 0 for a tombstone.
     digest: u32,
-    /// Revision of the last change; its key in [`Registry::by_revision`].
+    /// Revision of the last change; key of the entry in [`Registry::by_revision`].
     revision: u64,
-    /// When its last heartbeat was applied, or when it became a tombstone.
+    /// Time at which the last heartbeat was applied, or at which the entry became a tombstone.
     updated_at: Duration,
 }
 
-/// The replicas that one core machine knows.
+/// Registry of the replicas known to one core machine.
 pub struct Registry {
-    /// Incarnation of this process, not 0.
+    /// Incarnation of this process; never 0.
     incarnation: u64,
     /// Revision of the newest change.
     revision: u64,
-    /// Revision up to which tombstones may have been dropped.
+    /// Highest revision of a dropped tombstone; 0 if none was dropped.
     dropped_tombstone_revision: u64,
-    /// Time without a heartbeat after which a replica is superseded by another at its address.
+    /// Time without a heartbeat after which a replica can be superseded by another at the same address.
     supersede_after: Duration,
     /// Registered replicas and tombstones by id.
     entries: BTreeMap<String, Entry>,
@@ -94,8 +94,8 @@
 }
 
 impl Registry {
-    /// An empty registry of the process `incarnation`, which is never 0. A replica is superseded by another
-    /// at its address once it has been unresponsive for half of `reuse_after`.
+    /// Creates an empty registry. `incarnation` identifies the process and must not be 0. A replica can be superseded
+    /// by another at the same address once it has sent no heartbeat for half of `reuse_after`.
     pub fn new(incarnation: u64, reuse_after: Duration) -> Self {
         Self {
             incarnation,
@@ -115,7 +115,7 @@
         self.version_at(self.revision)
     }
 
-    /// Counters since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> RegistryCounters {
         self.counters
     }
@@ -130,12 +130,12 @@
         self.registered_count
     }
 
-    /// The newest status of the replica `id`, unless it is unknown.
+    /// Newest status of the replica `id`; `None` if the id is unknown.
     pub fn status(&self, id: &str) -> Option<&ReplicaStatus> {
         self.entries.get(id).map(|entry| &entry.status)
     }
 
-    /// The registered replicas in the order of their ids.
+    /// Registered replicas, ordered by id.
     pub fn replicas(&self, now: Duration) -> impl Iterator<Item = RegisteredReplica<'_>> {
         self.entries.values().filter_map(move |entry| {
             let record = entry.status.record()?;
@@ -149,8 +149,7 @@
     /// Applies a heartbeat that the replica `id` sent to this machine.
     ///
     /// # Errors
-    /// If a field is invalid, a newer heartbeat is known, or the replica has deregistered. Nothing changes
-    /// then.
+    /// If a field is invalid, the heartbeat is stale, or the replica has deregistered. Only the counters change then.
     pub fn heartbeat(
         &mut self,
         now: Duration,
@@ -170,7 +169,7 @@
         Ok(outcome)
     }
 
-    /// How a valid heartbeat changes what is known of `id`; counts it if it is rejected.
+    /// Determines the effect of a valid heartbeat on the entry of `id`. Counts the heartbeat if it is rejected.
     fn compare_with_known(
         &mut self,
         id: &str,
@@ -209,8 +208,8 @@
         })
     }
 
-    /// Applies the deregistration that the replica `id` sent to this machine. An unknown id gets a tombstone
-    /// too, so that a delayed heartbeat does not register it.
+    /// Applies the deregistration that the replica `id` sent to this machine. Adds a tombstone for an unknown id too,
+    /// so that a delayed heartbeat does not register the replica.
     ///
     /// # Errors
     /// If the id is invalid.
@@ -224,10 +223,10 @@
         Ok(HeartbeatOutcome::Departing)
     }
 
-    /// Merges another core machine's status of `id`. Returns whether watchers have to be notified.
+    /// Merges another core machine's status of `id`. Returns whether observers have to be notified.
     ///
-    /// A departure that a newer heartbeat refutes assigns a new revision to the replica, so that watchers
-    /// that have taken the departure from the other machine receive the newer status.
+    /// If `status` is a departure that this registry refutes by a newer heartbeat, the replica is assigned a new
+    /// revision. Observers that received the departure from the other machine then receive the newer status.
     pub fn merge(&mut self, now: Duration, id: &str, status: ReplicaStatus) -> bool {
         if check_id(id).is_err() {
             return false;
@@ -248,7 +247,7 @@
         is_refuted
     }
 
-    /// Applies a heartbeat without changes that another core machine has received.
+    /// Applies a heartbeat without changes that another core machine received.
     pub fn refresh(&mut self, now: Duration, refresh: &Refresh) -> RefreshResult {
         let Some(entry) = self.entries.get_mut(&refresh.id) else {
             return RefreshResult::Unknown;
@@ -266,7 +265,8 @@
         }
     }
 
-    /// What is forwarded to the other core machines when `id` has sent a heartbeat without changes.
+    /// Refresh to forward to the other core machines after `id` sent a heartbeat without changes. `None` unless `id` is
+    /// registered.
     pub fn refresh_for(&self, id: &str) -> Option<Refresh> {
         let entry = self.entries.get(id)?;
         let record = entry.status.record()?;
@@ -277,7 +277,7 @@
         })
     }
 
-    /// Expires the replicas of which no heartbeat has arrived for longer than `timeout`. Returns their ids.
+    /// Expires the replicas without a heartbeat for longer than `timeout`. Returns their ids.
     pub fn expire(&mut self, now: Duration, timeout: Duration) -> Vec<String> {
         let expired: Vec<String> = self
             .replicas(now)
@@ -291,7 +291,7 @@
         expired
     }
 
-    /// Starts all time-outs anew: this machine could not receive heartbeats before `now`.
+    /// Resets the time-outs of all entries, because this machine could not receive heartbeats before `now`.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut() {
             entry.updated_at = now;
@@ -325,8 +325,8 @@
 
     /// Changes since the version `known`, at most `limit` statuses.
     ///
-    /// A receiver that knows another incarnation, or a version from before tombstones were dropped, gets the
-    /// complete list, which starts with changes that have `restart` set.
+    /// If `known` belongs to another incarnation, or is older than a dropped tombstone, returns the complete list. Its
+    /// first part has `reset` set.
     pub fn changes_since(&self, known: RegistryVersion, limit: usize) -> RegistryChanges {
         let comparable = known.incarnation == self.incarnation
             && known.revision.max(known.dropped_tombstone_revision)
@@ -366,6 +366,7 @@
         }
     }
 
+    /// Replaces all other replicas at `address` that have sent no heartbeat for `supersede_after` by tombstones.
     fn supersede_others_at(&mut self, now: Duration, address: SocketAddr, id: &str) {
         let Some(ids) = self.by_address.get(&address) else {
             return;
@@ -387,7 +388,7 @@
         }
     }
 
-    /// Replaces the record of a registered replica by a tombstone, which a later heartbeat refutes.
+    /// Replaces the record of a registered replica by a tombstone. A later heartbeat registers the replica again.
     fn replace_by_tombstone(&mut self, now: Duration, id: &str, departure: Departure) {
         let Some(sequence) = self.status(id).map(ReplicaStatus::sequence) else {
             return;
@@ -399,7 +400,7 @@
         self.replace_status(now, id, tombstone);
     }
 
-    /// Replaces the status of `id`. Every change of a status goes through this function.
+    /// Replaces the status of `id`, and assigns a new revision if the content has changed. Updates all indexes.
     fn replace_status(&mut self, now: Duration, id: &str, status: ReplicaStatus) {
         let digest = status.record().map_or(0, ReplicaRecord::content_digest);
         let former = self.entries.remove(id);
--- a/crates/tier/discovery/src/replica.rs
+++ b/crates/tier/discovery/src/replica.rs
@@ -1,4 +1,4 @@
-//! What a replica reports about itself: the body of a heartbeat, and the record that the registry keeps of it.
+//! The body of a replica's heartbeat, and the record of a replica in the registry.
 
 use std::net::SocketAddr;
 
@@ -9,48 +9,49 @@
 /// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub enum ReplicaState {
-    /// Accepts new requests.
+    /// The replica accepts new requests.
     Ready,
-    /// Is shutting down gracefully: finishes what it has and accepts nothing new.
+    /// The replica is shutting down gracefully: it finishes the requests in flight and accepts no new ones.
     Draining,
 }
 
-/// A model that a replica has loaded.
+/// Model loaded by a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct ModelRecord {
     /// Name of the model.
     pub name: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub generation: u64,
-    /// Adapters loaded with it.
+    /// Names of the adapters loaded with the model.
     pub adapters: Vec<String>,
 }
 
-/// Body of a heartbeat: the replica's description of itself.
+/// Body of a heartbeat.
 ///
-/// The order of the fields is part of the order in which statuses replace each other, see
-/// [`ReplicaStatus::compare`](crate::ReplicaStatus::compare).
+/// The derived order, which depends on the order of the fields, decides between two statuses with the same sequence
+/// number: see [`ReplicaStatus::compare`](crate::ReplicaStatus::compare).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Heartbeat {
-    /// Service that the replica belongs to.
+    /// Name of the service that the replica belongs to.
     pub service: String,
-    /// Address at which it accepts requests.
+    /// Address at which the replica accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: String,
-    /// Version of its software; `generation` in the JSON of a heartbeat.
+    /// Version of the replica's software; may be empty. Named `generation` in the JSON of a heartbeat.
     pub software_version: String,
-    /// Number of requests that it processes concurrently.
+    /// Number of requests that the replica processes concurrently.
     pub capacity: u32,
-    /// Whether it accepts new requests.
+    /// Whether the replica accepts new requests.
     pub state: ReplicaState,
-    /// Time until it has warmed up, in milliseconds after the heartbeat was received; 0 if it has.
+    /// Remaining warm-up time in milliseconds, counted from the receipt of the heartbeat; 0 once warm.
     pub cold_remaining_ms: u64,
-    /// Stage of model serving, such as prefill or decode, if it serves only one.
+    /// Stage of model serving, such as prefill or decode, if the replica serves only one; `None` if the replica reports
+    /// none.
     pub stage: Option<String>,
-    /// Models that it has loaded.
+    /// Models loaded by the replica.
     pub models: Vec<ModelRecord>,
-    /// Rises with each heartbeat of one incarnation.
+    /// Sequence number, which increases with each heartbeat of one incarnation. Less than `u64::MAX`.
     pub sequence: u64,
 }
 
@@ -60,7 +61,7 @@
         self.cold_remaining_ms > 0
     }
 
-    /// Whether both describe the replica alike, apart from what changes with every heartbeat.
+    /// Whether both are equal, ignoring `sequence` and the exact value of `cold_remaining_ms`.
     fn has_same_content(&self, other: &Self) -> bool {
         self.service == other.service
             && self.address == other.address
@@ -74,17 +75,17 @@
     }
 }
 
-/// One incarnation of a replica, as the registry knows it.
+/// Registry record of one incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaRecord {
-    /// Identifier of this incarnation.
+    /// Identifier of the replica's incarnation.
     pub id: String,
-    /// Its newest heartbeat.
+    /// Newest heartbeat of the incarnation.
     pub heartbeat: Heartbeat,
 }
 
 impl ReplicaRecord {
-    /// The record of the replica `id` after `heartbeat`.
+    /// Creates the record of the replica `id` from `heartbeat`.
     pub fn new(id: &str, heartbeat: Heartbeat) -> Self {
         Self {
             id: id.to_owned(),
@@ -92,13 +93,13 @@
         }
     }
 
-    /// Whether both describe the same replica alike, apart from what changes with every heartbeat.
+    /// Whether both have the same id and content, ignoring the sequence number and the exact remaining warm-up time.
     pub fn has_same_content(&self, other: &Self) -> bool {
         self.id == other.id && self.heartbeat.has_same_content(&other.heartbeat)
     }
 
-    /// Digest of what [`has_same_content`](Self::has_same_content) compares. Core machines of different
-    /// releases compare digests, so the hash and the order of its fields must not change.
+    /// Digest of the fields that [`has_same_content`](Self::has_same_content) compares. Core machines of different
+    /// releases compare digests, so the hash function and the order of the fields must not change.
     pub fn content_digest(&self) -> u32 {
         let heartbeat = &self.heartbeat;
         let mut hash = Fnv32::new();
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -1,10 +1,9 @@
-//! The replicas as an observer of several core machines knows them: the part of the
-//! [`Watcher`](crate::watcher::Watcher) that merges their registries.
+//! Table of the replicas known to an observer: the part of a [`Watcher`](crate::watcher::Watcher) that merges the
+//! registries of several core machines.
 //!
-//! Statuses are merged by [`ReplicaStatus::is_newer_than`], so the order in which they arrive does not
-//! matter. A replica that is missing from a machine's list has not departed for that reason. A replica that
-//! no trusted machine lists, because all core machines have restarted since it ended, is dropped after
-//! [`UNLISTED_TIMEOUT`].
+//! Statuses are merged by [`ReplicaStatus::is_newer_than`], so the order in which they are received does not matter. A
+//! replica that is missing from one machine's list is not treated as departed. A replica that no trusted machine lists
+//! is dropped after [`UNLISTED_TIMEOUT`]; this happens if all core machines have restarted since the replica ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,30 +17,30 @@
 
 /// Time after which a replica that no trusted machine lists is dropped.
 pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(8);
-/// Least time between two sweeps for unlisted replicas and old tombstones.
+/// Minimum interval between two sweeps for unlisted replicas and old tombstones.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after its last answer for which a machine's list counts.
+/// Time after a machine's last answer for which its list is considered.
 pub const LISTING_TTL: Duration = Duration::from_secs(3);
 
-/// The newest status of a replica.
+/// Newest status of a replica.
 struct KnownStatus {
     status: ReplicaStatus,
-    /// When it was received.
+    /// Time at which the status was received.
     changed_at: Duration,
 }
 
-/// The list of one core machine.
+/// List of replicas received from one core machine.
 #[derive(Default)]
 struct Listing {
     /// Version up to which its registry has been received.
     version: RegistryVersion,
-    /// Ids of the registered replicas in it.
+    /// Ids of the registered replicas in the list.
     present: BTreeSet<String>,
-    /// Whether the machine had no further changes to send when it answered last.
+    /// Whether the machine's last answer left no further changes to request.
     complete: bool,
-    /// Whether the machine was in quorum and not warming up when it answered last.
+    /// Whether the machine was in quorum and not warming up at its last answer.
     trusted: bool,
-    /// When it answered last.
+    /// Time of the machine's last answer.
     answered_at: Duration,
 }
 
@@ -50,13 +49,13 @@
 pub struct ReplicaTable {
     /// Registered replicas and tombstones by id.
     known: BTreeMap<String, KnownStatus>,
-    /// Lists by internal address of the core machine.
+    /// Lists by the internal address of the core machine.
     listings: BTreeMap<SocketAddr, Listing>,
-    /// Registered replicas that no trusted machine lists, and since when.
+    /// Registered replicas that no trusted machine lists, with the time since which none does.
     unlisted_since: BTreeMap<String, Duration>,
-    /// When unlisted replicas and old tombstones are next looked for.
+    /// Earliest time of the next sweep.
     next_sweep: Duration,
-    /// The registered replicas of `known`, shared with the published snapshots.
+    /// Registered replicas of `known` by id, shared with the published snapshots.
     replicas: Arc<BTreeMap<String, ReplicaRecord>>,
 }
 
@@ -81,7 +80,7 @@
             .is_some_and(|listing| listing.complete)
     }
 
-    /// Merges a response of `machine`. `trusted` says that the machine is in quorum and not warming up.
+    /// Merges a response of `machine`. `trusted` is set if the machine answers, is in quorum and is not warming up.
     /// Returns whether the registered replicas have changed.
     pub fn apply(
         &mut self,
@@ -116,7 +115,7 @@
         changed
     }
 
-    /// Forgets the list of `machine`, which is no longer polled.
+    /// Removes the list of `machine`, which is no longer polled.
     pub fn remove_machine(&mut self, machine: SocketAddr) {
         self.listings.remove(&machine);
     }
@@ -146,8 +145,7 @@
         !dropped.is_empty()
     }
 
-    /// Updates since when each replica has been listed by no trusted machine. No replica counts as unlisted
-    /// while there is no trusted machine.
+    /// Updates `unlisted_since`. While there is no trusted machine, no replica counts as unlisted.
     fn update_unlisted(&mut self, now: Duration) {
         let trusted: Vec<&Listing> = self
             .listings
@@ -155,7 +153,7 @@
             .filter(|listing| listing.trusted && listing.complete)
             .filter(|listing| now.saturating_sub(listing.answered_at) <= LISTING_TTL)
             .collect();
-        // Every listed replica is known, so a list with as many replicas as are known contains them all.
+        // Listed replicas are normally in the table, so a list as long as the table is taken to contain all of it.
         let is_complete_listing = |listing: &&Listing| listing.present.len() == self.replicas.len();
         if trusted.is_empty()
             || trusted.iter().any(is_complete_listing) && self.unlisted_since.is_empty()
--- a/crates/tier/discovery/src/sampler.rs
+++ b/crates/tier/discovery/src/sampler.rs
@@ -1,4 +1,5 @@
-//! Driver of [`PartialView`] on every process: exchanges shuffles with others, and publishes the core machines found.
+//! Driver of [`PartialView`] on every process: exchanges shuffles with other processes, and publishes the addresses of
+//! core machines in the view.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +26,7 @@
     /// Origin of the times that are passed to the view.
     started: Instant,
     view: Mutex<PartialView>,
-    /// Client for shuffles only. Partners change, so each connection is closed after the exchange.
+    /// Client for shuffles only. The partner changes between shuffles, so each connection is closed after the exchange.
     rpc: Client,
     /// Internal addresses of the known core machines, youngest entry first.
     core_machines: watch::Sender<Vec<SocketAddr>>,
@@ -34,8 +35,8 @@
 }
 
 impl Sampler {
-    /// Peer sampling of the process that `settings` describe. The caller spawns [`run`](Self::run) and serves
-    /// [`handlers`](Self::handlers).
+    /// Creates the peer sampling of the process that `settings` describe. The caller spawns [`run`](Self::run) and
+    /// serves [`handlers`](Self::handlers).
     pub fn new(settings: &NodeSettings, role: NodeRole, random_seed: u64) -> Arc<Self> {
         let own = NodeEntry {
             node: settings.node.clone(),
@@ -44,7 +45,7 @@
             control: settings.listen.control.map(Into::into),
         };
         let seeds = settings.seed_internal_addresses();
-        // Processes with the same random seed must not shuffle alike.
+        // Processes that were given the same random seed must not make the same random choices.
         let random_seed = random_seed ^ rank(&settings.node, settings.internal_address());
         Arc::new(Self {
             started: Instant::now(),
@@ -71,17 +72,17 @@
         })
     }
 
-    /// Internal addresses of the known core machines, as they change.
+    /// Watches the internal addresses of the known core machines, youngest entry first.
     pub fn core_machines(&self) -> watch::Receiver<Vec<SocketAddr>> {
         self.core_machines.subscribe()
     }
 
-    /// All known processes, for logs and the operator.
+    /// All processes in the view, youngest entry first.
     pub fn entries(&self) -> Vec<NodeEntry> {
         self.view.lock().entries(self.started.elapsed())
     }
 
-    /// Sets whether this process is disconnected from the core, and shuffles more often.
+    /// Sets whether this process is disconnected from the core. While it is, it shuffles more often.
     pub fn set_disconnected(&self, is_disconnected: bool) {
         self.view
             .lock()
@@ -98,16 +99,16 @@
         });
     }
 
-    /// The seeds, as they change.
+    /// Watches the internal addresses of the seeds.
     pub fn seeds(&self) -> watch::Receiver<Vec<SocketAddr>> {
         self.seeds.subscribe()
     }
 
-    /// Replaces the seeds by those of the settings file, which may have changed. Other settings keep their values until
-    /// the process starts anew.
+    /// Reloads the settings file and replaces the seeds. Changes of other settings take effect only when the process
+    /// restarts.
     ///
     /// # Errors
-    /// [`SettingsError`] if the file cannot be read or is invalid; the seeds stay as they were.
+    /// [`SettingsError`] if the file cannot be read or is invalid. The seeds are then unchanged.
     pub fn reload_seeds(&self) -> Result<(), SettingsError> {
         let settings = NodeSettings::load_from_environment()?;
         self.set_seeds(settings.seed_internal_addresses());
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -1,10 +1,11 @@
-//! Peer sampling with shuffled partial views, by which the processes of the tier know each other.
-//! [`Sampler`](crate::Sampler) drives it.
+//! Peer sampling with shuffled partial views, by which the processes of the tier discover each other. Driven by
+//! [`Sampler`](crate::Sampler).
 //!
-//! Each process has entries of a few others, and periodically exchanges some of them with the process whose
-//! entry is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). A process that no longer
-//! answers drops out of the views; one that has restarted is found by those that still have its entry. Some
-//! entries are reserved for core machines, so that every process knows a few of them in a tier of any size.
+//! Each process has a view with the entries of a few other processes. It periodically exchanges some of them with the
+//! process whose entry is the oldest (S. Voulgaris, D. Gavidia, M. van Steen: CYCLON, 2005). The entries of a process
+//! that no longer answers disappear from the views. A restarted process is contacted by the processes that still have
+//! its entry. Some entries are reserved for core machines, so that every process knows a few of them in a tier of any
+//! size.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,24 +15,24 @@
 
 use crate::messages::Endpoint;
 
-/// Most entries in a view.
+/// Maximum number of entries in a view.
 pub const MAX_VIEW_ENTRIES: usize = 8;
-/// Most entries in a shuffle, including the sender's own.
+/// Maximum number of entries in a shuffle, including the sender's own.
 pub const MAX_SHUFFLE_ENTRIES: usize = 4;
-/// Entries of core machines, up to this number, are not dropped in favour of others.
+/// Number of entries of core machines that are not evicted in favour of other entries.
 pub const RESERVED_CORE_ENTRIES: usize = 3;
-/// A view with fewer entries is not stable.
+/// Minimum number of entries with which a view counts as stable, so that shuffles are less frequent.
 pub const MIN_STABLE_ENTRIES: usize = 4;
-/// Mean time between shuffles while the view has few entries or the process is disconnected from the core.
+/// Mean interval between shuffles while the view is not stable or the process is disconnected from the core.
 pub const SHUFFLE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Mean time between shuffles otherwise.
+/// Mean interval between shuffles while the view is stable.
 pub const STABLE_SHUFFLE_INTERVAL: Duration = Duration::from_millis(2000);
-/// Age after which an entry is dropped.
+/// Maximum age of an entry.
 pub const MAX_ENTRY_AGE: Duration = Duration::from_secs(120);
-/// Longest name of a node in bytes.
+/// Maximum length of a node's name in bytes.
 pub const MAX_NODE_BYTES: usize = 128;
 
-/// Role of a process. On the wire by the order of the variants.
+/// Role of a process. Encoded by position, so the order of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub enum NodeRole {
     /// Data plane.
@@ -42,42 +43,41 @@
     Storage,
 }
 
-/// A process of the tier, as it describes itself.
+/// Description of a process of the tier, issued by the process itself.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct NodeEntry {
-    /// Name of its machine; empty for a seed that has not answered yet.
+    /// Name of the process's machine; empty for a seed that has not answered yet.
     pub node: String,
-    /// Its role.
+    /// Role of the process.
     pub role: NodeRole,
-    /// Its internal address.
+    /// Internal address of the process.
     pub address: Endpoint,
-    /// Address for replicas and operators, if it serves them.
+    /// Address for replicas and operators; `None` if the process does not serve them.
     pub control: Option<Endpoint>,
 }
 
-/// An entry and the time since the process issued it.
+/// Entry with its age, on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct AgedEntry {
-    /// The process.
+    /// Description of the process.
     pub entry: NodeEntry,
-    /// Milliseconds since it issued the entry.
+    /// Time since the process issued the entry, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Entries that one process sends to another, which answers with as many.
+/// Entries that one process sends to another. The answer is a shuffle too.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Shuffle {
-    /// The entries. The sender's own is the first.
+    /// Entries, of which the first is the sender's own.
     pub entries: Vec<AgedEntry>,
 }
 
-/// An entry of a view.
 #[derive(Clone)]
 struct ViewEntry {
     node: NodeEntry,
-    /// Age of the entry when it was received.
+    /// Age of the entry at its receipt.
     age: Duration,
-    /// When it was received.
+    /// Time of the receipt.
     received_at: Duration,
 }
 
@@ -95,41 +95,41 @@
     }
 }
 
-/// A shuffle that has been started and is to be sent.
+/// Shuffle that the driver has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedShuffle {
-    /// Internal address of the process to send it to.
+    /// Internal address of the process to send the shuffle to.
     pub partner: SocketAddr,
     /// The entries to send.
     pub shuffle: Shuffle,
 }
 
-/// A shuffle that the partner has not answered yet.
+/// Shuffle in flight.
 struct PendingShuffle {
     partner: SocketAddr,
-    /// Addresses of the entries that were sent, the sender's own excepted.
+    /// Addresses of the sent entries, without the sender's own.
     sent: Vec<SocketAddr>,
 }
 
-/// The partial view of one process.
+/// Partial view of one process.
 pub struct PartialView {
-    /// This process; no entry of the view has its address.
+    /// Entry of this process. No entry of the view has the same address.
     own: NodeEntry,
     /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
-    /// At most [`MAX_VIEW_ENTRIES`] after each merge, each of another address.
+    /// Entries with distinct addresses; at most [`MAX_VIEW_ENTRIES`] after each merge.
     entries: Vec<ViewEntry>,
     random: Rand32,
     /// When the next shuffle is due.
     next_shuffle: Duration,
-    /// The shuffle in flight.
+    /// Shuffle in flight; `None` if there is none.
     pending: Option<PendingShuffle>,
     /// Whether this process is disconnected from the core.
     is_disconnected: bool,
 }
 
 impl PartialView {
-    /// The view of the process `own`, which starts at `now` and knows the internal addresses of `seeds`.
+    /// Creates the view of the process `own`, which starts at `now`. `seeds` are internal addresses.
     pub fn new(now: Duration, own: NodeEntry, seeds: Vec<SocketAddr>, random_seed: u64) -> Self {
         let mut random = Rand32::new(random_seed);
         let next_shuffle = now + SHUFFLE_INTERVAL.mul_f32(random.rand_float());
@@ -151,7 +151,7 @@
         self.seeds = seeds;
     }
 
-    /// Sets whether the process is disconnected from the core, and shuffles more often.
+    /// Sets whether the process is disconnected from the core. While it is, it shuffles more often.
     pub fn set_disconnected(&mut self, now: Duration, is_disconnected: bool) {
         if is_disconnected && !self.is_disconnected {
             self.next_shuffle = self.next_shuffle.min(now + SHUFFLE_INTERVAL);
@@ -159,7 +159,7 @@
         self.is_disconnected = is_disconnected;
     }
 
-    /// The known processes, youngest entry first.
+    /// All entries of the view, youngest first.
     pub fn entries(&self, now: Duration) -> Vec<NodeEntry> {
         let mut entries: Vec<&ViewEntry> = self.entries.iter().collect();
         entries.sort_by_key(|entry| entry.age(now));
@@ -169,7 +169,7 @@
             .collect()
     }
 
-    /// Internal addresses of the known core machines, youngest entry first.
+    /// Internal addresses of the core machines in the view, youngest entry first.
     pub fn core_machines(&self, now: Duration) -> Vec<SocketAddr> {
         let entries = self.entries(now).into_iter();
         entries
@@ -183,7 +183,7 @@
         self.next_shuffle
     }
 
-    /// Starts a shuffle if one is due, and returns what to send to whom.
+    /// Starts a shuffle if one is due, and returns it for the driver to send.
     pub fn start_shuffle(&mut self, now: Duration) -> Option<StartedShuffle> {
         if now < self.next_shuffle {
             return None;
@@ -194,7 +194,7 @@
         } else {
             SHUFFLE_INTERVAL
         };
-        // Jitter: processes that started together must not keep shuffling at the same time.
+        // Jitter prevents processes that started together from shuffling at the same time.
         self.next_shuffle = now + interval.mul_f32(0.75 + 0.5 * self.random.rand_float());
         self.evict_expired(now);
         if self.entries.is_empty() {
@@ -212,7 +212,7 @@
         Some(StartedShuffle { partner, shuffle })
     }
 
-    /// Merges the shuffle of another process. Returns the answer.
+    /// Merges the shuffle received from another process. Returns the answer.
     pub fn answer(&mut self, now: Duration, shuffle: Shuffle) -> Shuffle {
         let sender = shuffle
             .entries
@@ -225,8 +225,8 @@
         answer
     }
 
-    /// Ends the shuffle in flight with the partner's answer. The partner's entry is dropped; an answer
-    /// contains a fresh one. `answer` is `None` if the partner has not answered.
+    /// Finishes the shuffle in flight. Removes the partner's entry; the partner's answer contains a new one. `answer`
+    /// is `None` if the partner has not answered.
     pub fn complete_shuffle(&mut self, now: Duration, answer: Option<Shuffle>) {
         let Some(PendingShuffle { partner, sent }) = self.pending.take() else {
             return;
@@ -258,8 +258,8 @@
         self.entries.retain(|entry| entry.age(now) <= MAX_ENTRY_AGE);
     }
 
-    /// Up to `count` random entries except that of `partner`. One of a core machine is among them if the view
-    /// has any.
+    /// Chooses up to `count` random entries other than that of `partner`. Includes an entry of a core machine if the
+    /// view has one.
     fn choose_entries(&mut self, partner: SocketAddr, count: usize) -> Vec<ViewEntry> {
         let mut candidates: Vec<ViewEntry> = self
             .entries
@@ -307,7 +307,8 @@
         }
     }
 
-    /// Adds an entry, or replaces that of the same address if the new one is younger.
+    /// Adds an entry. If the view has an entry with the same address, replaces it if the new entry is younger, or if
+    /// the present one is that of a seed that has not answered yet.
     fn insert(&mut self, new: ViewEntry) {
         if new.node.address == self.own.address {
             return;
@@ -326,8 +327,8 @@
         }
     }
 
-    /// Index of the entry to drop: one that was sent to the partner if there is any, else the oldest. Entries
-    /// of core machines are dropped only beyond [`RESERVED_CORE_ENTRIES`].
+    /// Index of the entry to evict: the oldest of those that were sent to the partner, or else the oldest of all.
+    /// Entries of core machines are candidates only if there are more than [`RESERVED_CORE_ENTRIES`].
     fn entry_to_evict(&self, now: Duration, sent: &[SocketAddr]) -> usize {
         let keep_core =
             self.entries.iter().filter(|entry| entry.is_core()).count() <= RESERVED_CORE_ENTRIES;
--- a/crates/tier/discovery/src/selection.rs
+++ b/crates/tier/discovery/src/selection.rs
@@ -1,30 +1,30 @@
-//! Which core machines a process polls, by rank and health; a decision of [`Watcher`](crate::watcher::Watcher).
+//! Selects the core machines that a process polls, by rank and health. Used by [`Watcher`](crate::watcher::Watcher).
 //!
-//! Machines are chosen in the order of their rendezvous rank for the process. Beside the healthy ones,
-//! unhealthy machines that rank before them are polled too, so that a machine that recovers is noticed.
+//! Machines are selected in the order of their rendezvous rank for the process. Unhealthy machines that rank before the
+//! last selected machine are polled too, so that their recovery is detected.
 
 use std::net::SocketAddr;
 
 use woadreach_routing::rendezvous::{FNV_OFFSET, hash64};
 
-/// Number of healthy core machines that a process polls at once.
+/// Number of healthy core machines that a process polls concurrently.
 pub const TARGET_POLLED_MACHINES: usize = 3;
-/// Most core machines polled at once while some or all are unhealthy.
+/// Maximum number of core machines polled concurrently, including unhealthy ones.
 pub const MAX_POLLED_MACHINES: usize = 8;
 
-/// Health of a core machine as far as its polls show.
+/// Health of a core machine, derived from its polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineHealth {
-    /// It answers and is in quorum.
+    /// The machine answers and is in quorum.
     Healthy,
-    /// It has not been polled, or has not answered yet.
+    /// The machine has not been polled, or its first poll has not finished.
     Unknown,
-    /// It does not answer, or is out of quorum.
+    /// The machine does not answer, or is out of quorum.
     Unhealthy,
 }
 
-/// The machines to poll, chosen from `ranked`, which is ordered from the best rank on. A process that is
-/// disconnected from the core polls as many as [`MAX_POLLED_MACHINES`].
+/// Selects the machines to poll from `ranked`, which is sorted with the preferred machine first. A process that is
+/// disconnected from the core polls up to [`MAX_POLLED_MACHINES`] machines that are not unhealthy.
 pub fn select(
     ranked: &[SocketAddr],
     is_disconnected: bool,
@@ -46,7 +46,7 @@
     };
     let mut selected: Vec<SocketAddr> = candidates.iter().map(|&index| ranked[index]).collect();
     let is_healthy = |address: &SocketAddr| health_of(address) == MachineHealth::Healthy;
-    // Machines of unknown health must not displace every healthy one.
+    // If only machines of unknown health were selected, add a healthy one.
     if !selected.iter().any(is_healthy) {
         selected.extend(ranked.iter().copied().find(is_healthy));
     }
@@ -58,10 +58,11 @@
     selected
 }
 
-/// Rendezvous rank of the core machine at `address` for the process `name`: the lowest is polled first.
+/// Rendezvous rank of the core machine at `address` for the process `name`. The machine with the lowest rank is
+/// preferred.
 ///
-/// The same in every release, so that processes spread alike over the machines. The name and an IPv4 address
-/// are hashed by FNV-1a; other addresses count as empty.
+/// Ranks must not change between releases, so that all releases distribute the processes over the machines alike. The
+/// rank is an FNV-1a hash of the name and the IPv4 address; an IPv6 address is not hashed.
 pub fn rank(name: &str, address: SocketAddr) -> u64 {
     let mut hash = hash64(name.as_bytes(), FNV_OFFSET);
     if let SocketAddr::V4(address) = address {
@@ -71,7 +72,7 @@
     mix_bits(hash)
 }
 
-/// Spreads the last bytes of an address, which differ most between machines, over all bits.
+/// Mixes the bits of `hash`, so that the last bytes of an address, which differ most between machines, affect all bits.
 fn mix_bits(mut hash: u64) -> u64 {
     hash ^= hash >> 32;
     hash = hash.wrapping_mul(0xd6e8_feb8_6659_fd93);
--- a/crates/tier/discovery/src/snapshot.rs
+++ b/crates/tier/discovery/src/snapshot.rs
@@ -1,5 +1,4 @@
-//! The control plane's state as one process knows it: what [`ControlWatch`](crate::ControlWatch) publishes to the rest
-//! of the process.
+//! State of the control plane that [`ControlWatch`](crate::ControlWatch) publishes to the rest of its process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,21 +10,20 @@
 
 use crate::replica::ReplicaRecord;
 
-/// The control plane's state as one process knows it. Versions never decrease within one incarnation of the
-/// process.
+/// State of the control plane as known to one process. Versions never decrease within one incarnation of the process.
 #[derive(Clone, Debug, Default)]
 pub struct ControlSnapshot {
-    /// The newest configuration known.
+    /// Newest configuration received; `None` before the first.
     pub configuration: Option<Arc<Configuration>>,
     /// Registered replicas by id.
     pub replicas: Arc<BTreeMap<String, ReplicaRecord>>,
-    /// The newest view of the storage machines known.
+    /// Newest storage view received; `None` before the first.
     pub storage_view: Option<Arc<StorageView>>,
-    /// Internal addresses of the core machines that the newest core view names; empty before the first.
+    /// Internal addresses of the core machines in the newest core view; empty before the first.
     pub core_machines: Vec<SocketAddr>,
-    /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
-    /// configuration that any machine had reported. Stays set.
+    /// Whether the process has, at any time since its start, had both a complete list of replicas from a trusted
+    /// machine and the newest configuration that any machine had reported. Never reset.
     pub has_reached_current_state: bool,
-    /// When a core machine last answered.
+    /// Time of the last answer of any core machine; `None` before the first.
     pub last_answer_at: Option<Instant>,
 }
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -1,52 +1,54 @@
-//! What is known of one incarnation of a replica, and how two statuses of it are merged: alike by core machines
-//! ([`Registry`](crate::Registry)) and their observers ([`ReplicaTable`](crate::replica_table::ReplicaTable)).
+//! Status of one incarnation of a replica, and the order by which two statuses are merged. Core machines
+//! ([`Registry`](crate::Registry)) and observers ([`ReplicaTable`](crate::replica_table::ReplicaTable)) use the same
+//! order.
 //!
-//! Statuses are ordered by the replica's own `sequence`; at the same sequence a departure is the newer one. A
-//! merge takes the larger status. It is commutative and idempotent, so that all machines reach the same state
-//! in whatever order messages arrive, and however often.
+//! Statuses are ordered by the replica's own `sequence`; with equal sequence numbers, a departure is newer. A merge
+//! selects the newer status. It is commutative, associative and idempotent, so all machines reach the same state
+//! regardless of the order and repetition of messages.
 
 use std::cmp::Ordering;
 
 use crate::replica::ReplicaRecord;
 
-/// Why a replica has departed. On the wire by the order of the variants.
+/// Why a replica has departed. Encoded by position, so the order of the variants must not change.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, speedy::Readable, speedy::Writable,
 )]
 pub enum Departure {
-    /// No core machine has received a heartbeat within the time-out. A later heartbeat restores it.
+    /// A core machine expired the replica, because it received no heartbeat within the time-out. A later heartbeat
+    /// registers the replica again.
     Unresponsive,
-    /// Another incarnation serves at its address. A later heartbeat restores it.
+    /// Another incarnation registered at the same address. A later heartbeat registers the replica again.
     Superseded,
     /// The replica deregistered itself. Final.
     Deregistered,
 }
 
-/// A replica's status with the identifier of its incarnation.
+/// Status of a replica with the identifier of its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdentifiedStatus {
-    /// Identifier of the incarnation.
+    /// Identifier of the replica's incarnation.
     pub id: String,
-    /// Its newest status.
+    /// Newest status of the incarnation.
     pub status: ReplicaStatus,
 }
 
 /// Newest status of one incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
-    /// It is registered.
+    /// The replica is registered.
     Registered(ReplicaRecord),
-    /// It has departed: a tombstone.
+    /// Tombstone: the replica has departed.
     Departed {
-        /// Last sequence number that this departure covers; `u64::MAX` if it is final.
+        /// Last sequence number that the departure covers; `u64::MAX` if the departure is final.
         sequence: u64,
-        /// Why it has departed.
+        /// Reason of the departure.
         departure: Departure,
     },
 }
 
 impl ReplicaStatus {
-    /// The final tombstone of a replica that has deregistered itself.
+    /// Final tombstone of a replica that has deregistered.
     pub fn deregistered() -> Self {
         Self::Departed {
             sequence: u64::MAX,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The replica's sequence number that this status covers.
+    /// Sequence number up to which this status covers the replica's heartbeats.
     pub fn sequence(&self) -> u64 {
         match self {
             Self::Registered(record) => record.heartbeat.sequence,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The record, if the replica is registered.
+    /// Record of the replica; `None` if it has departed.
     pub fn record(&self) -> Option<&ReplicaRecord> {
         match self {
             Self::Registered(record) => Some(record),
--- a/crates/tier/discovery/src/watch_change.rs
+++ b/crates/tier/discovery/src/watch_change.rs
@@ -1,19 +1,19 @@
-//! What an answer of a core machine has changed at an observer: the result of most steps of
-//! [`Watcher`](crate::watcher::Watcher).
+//! Result of applying an answer of a core machine to a [`Watcher`](crate::watcher::Watcher).
 
 /// Which parts of the [`ControlSnapshot`](crate::ControlSnapshot) have changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchChange {
-    /// The registered replicas.
+    /// Whether the registered replicas have changed.
     pub replicas: bool,
-    /// The storage view.
+    /// Whether the storage view has changed.
     pub storage_view: bool,
-    /// The addresses of the core machines. Not a machine's [`CoreStatus`](crate::messages::CoreStatus).
+    /// Whether the addresses of the core machines have changed. Not set for a change of a machine's
+    /// [`CoreStatus`](crate::messages::CoreStatus).
     pub core_machines: bool,
-    /// The configuration.
+    /// Whether the configuration has changed.
     pub configuration: bool,
-    /// Whether the process [has reached a current state](crate::watcher::Watcher::has_reached_current_state). Where a fetched
-    /// configuration completes that state only `configuration` is set.
+    /// Whether the process [reached a current state](crate::watcher::Watcher::has_reached_current_state) in this step.
+    /// Not set if a fetched configuration completed that state; then only `configuration` is set.
     pub has_current_state: bool,
 }
 
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -1,12 +1,12 @@
-//! Decisions of an observer of the core, without I/O: which core machines to poll when, and how to merge their
-//! answers. [`ControlWatch`](crate::ControlWatch) drives them.
+//! State machine of an observer of the core, without I/O: decides which core machines to poll and when, and merges
+//! their answers. Driven by [`ControlWatch`](crate::ControlWatch).
 //!
-//! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled at once.
-//! A machine that does not answer is retried with backoff, and the next by rank is polled beside it; the same
-//! holds for a machine that answers but is out of quorum. Ranks follow from the process's own name, so that
-//! the processes spread over the core machines. A process that has heard no machine in quorum for
-//! [`QUORUM_CONTACT_TIMEOUT`] polls every address that it knows: those of the core view, the seeds, and those
-//! that peer sampling has found.
+//! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled concurrently.
+//! A machine that does not answer, or is out of quorum, is polled further (with backoff if it does not answer), and the
+//! next machine by rank is polled in addition. Ranks depend on the name of the process, which distributes the processes
+//! over the core machines. A process that has received no answer from a machine in quorum for
+//! [`QUORUM_CONTACT_TIMEOUT`] chooses from all addresses that it knows: the core view, the seeds, and the core machines
+//! found by peer sampling.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,22 +19,23 @@
 use crate::selection::{MachineHealth, rank, select};
 use crate::watch_change::WatchChange;
 
-/// Time after which an unhealthy machine that is no longer polled may be polled again.
+/// Time for which an unhealthy machine that is no longer polled still counts as unhealthy.
 pub const UNHEALTHY_RETRY_INTERVAL: Duration = Duration::from_millis(4000);
-/// How long a core machine may hold a poll open without updates.
+/// Time for which a core machine may delay its answer to a poll while there are no updates.
 pub const POLL_WAIT: Duration = Duration::from_millis(1000);
 /// Time beyond [`POLL_WAIT`] after which an unanswered poll has failed.
 pub const POLL_GRACE_PERIOD: Duration = Duration::from_millis(700);
-/// Time without an answer of a machine in quorum after which all known addresses are polled.
+/// Time without an answer of a machine in quorum after which the process counts as disconnected from the core.
 pub const QUORUM_CONTACT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time-out of the first attempt to fetch a configuration. Each further attempt has as much more.
+/// Time-out of the first attempt to fetch a configuration. Each failed attempt extends the time-out by this value, up
+/// to [`MAX_FETCH_TIMEOUT`].
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time-out of an attempt to fetch a configuration.
+/// Maximum time-out of an attempt to fetch a configuration.
 pub const MAX_FETCH_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long a process that has its first complete list waits for the answers of the other machines.
+/// Time that a starting process waits, after its first complete list, for the other polled machines to answer.
 pub const WARM_UP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What the driver has to do.
+/// Call that the driver has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchAction {
     /// Poll a core machine.
@@ -55,66 +56,67 @@
     },
 }
 
-/// Whether a configuration is being fetched. `attempts` counts those that have failed since one succeeded.
+/// Whether a configuration fetch is in flight. `attempts` counts the failed fetches since the last that returned a
+/// newer configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchState {
-    /// No fetch is in flight; the next one may start at `next_at`, if there is a newer configuration.
+    /// No fetch is in flight. The next may start at `next_at` if a newer configuration has been reported.
     Idle { next_at: Duration, attempts: u32 },
     /// A fetch from `machine` is in flight.
     Fetching { machine: SocketAddr, attempts: u32 },
 }
 
-/// How far a process that has started has got to a complete and current state.
+/// Progress of a starting process towards a complete and current state.
 ///
 /// | state | event | next |
 /// | --- | --- | --- |
 /// | awaiting a list | a trusted machine has sent its complete list | listed |
-/// | listed | the newest configuration is known, and all polled machines have answered or [`WARM_UP_TIMEOUT`] has passed | warm |
+/// | listed | the newest configuration is known, and all polled machines have answered | warm |
+/// | listed | the newest configuration is known, and [`WARM_UP_TIMEOUT`] has passed | warm |
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WarmUp {
     /// No trusted machine has sent its complete list of replicas yet.
     AwaitingList,
     /// The first complete list of a trusted machine was received at `since`.
     Listed { since: Duration },
-    /// The process has had a complete and current state. Final.
+    /// The process has reached a complete and current state. Final.
     Warm,
 }
 
-/// What one process knows of the core, and the state of its polls and fetches.
+/// State of the core as known to one process, and state of the process's polls and fetches.
 pub struct Watcher {
-    /// Name of the process, from which the ranks of the core machines follow.
+    /// Name of the process, which determines the ranks of the core machines.
     name: String,
     /// Internal addresses of the core machines in the settings.
     seeds: Vec<SocketAddr>,
-    /// Addresses of core machines that peer sampling has found.
+    /// Internal addresses of the core machines found by peer sampling.
     sampled_machines: Vec<SocketAddr>,
     /// Epoch of the newest core view received; 0 before the first.
     view_epoch: u64,
-    /// Core machines of that view, empty before the first.
+    /// Internal addresses of the core machines in the newest core view; empty before the first.
     core_machines: Vec<SocketAddr>,
-    /// The machines that are polled.
+    /// Polled machines by internal address.
     machines: BTreeMap<SocketAddr, PolledMachine>,
-    /// Unhealthy machines that are not polled, and until when.
+    /// Unhealthy machines that are no longer polled, and the time until which they count as unhealthy.
     unhealthy_until: BTreeMap<SocketAddr, Duration>,
-    /// Newest configuration generation that any machine has reported.
+    /// Newest configuration generation reported by any machine.
     newest_reported_generation: u64,
     table: ReplicaTable,
-    /// Generation of the newest configuration that has been fetched; 0 before the first.
+    /// Generation of the newest fetched configuration; 0 before the first.
     configuration_generation: u64,
-    /// The newest storage view received, versioned by its epoch.
+    /// Newest storage view received, with its epoch as the version; `None` before the first.
     storage_view: Option<CommittedValue>,
     fetch: FetchState,
-    /// When a core machine last answered.
+    /// Time of the last answer of any core machine; `None` before the first.
     last_answer_at: Option<Duration>,
-    /// When a machine in quorum last answered.
+    /// Time of the last answer of a machine in quorum; `None` before the first.
     last_quorum_answer_at: Option<Duration>,
     started_at: Duration,
     warm_up: WarmUp,
 }
 
 impl Watcher {
-    /// The state of the process `name`, which starts at `now` and knows the internal addresses of
-    /// `seeds`.
+    /// Creates the state of the process `name`, which starts at `now`. `seeds` are internal addresses.
     pub fn new(now: Duration, name: String, seeds: Vec<SocketAddr>) -> Self {
         Self {
             name,
@@ -139,33 +141,33 @@
         }
     }
 
-    /// The known replicas.
+    /// Merged table of the known replicas.
     pub fn table(&self) -> &ReplicaTable {
         &self.table
     }
 
-    /// Internal addresses of the core machines that the newest [`CoreView`] names, empty before the first.
+    /// Internal addresses of the core machines in the newest [`CoreView`]; empty before the first.
     pub fn core_machines(&self) -> &[SocketAddr] {
         &self.core_machines
     }
 
-    /// The newest storage view, versioned by its epoch.
+    /// Newest storage view, with its epoch as the version; `None` before the first.
     pub fn storage_view(&self) -> Option<&CommittedValue> {
         self.storage_view.as_ref()
     }
 
-    /// Generation of the newest configuration that has been fetched; 0 before the first.
+    /// Generation of the newest fetched configuration; 0 before the first.
     pub fn configuration_generation(&self) -> u64 {
         self.configuration_generation
     }
 
-    /// When a core machine last answered.
+    /// Time of the last answer of any core machine; `None` before the first.
     pub fn last_answer_at(&self) -> Option<Duration> {
         self.last_answer_at
     }
 
-    /// Whether the process has once had a complete list of replicas from a trusted machine and the newest
-    /// configuration that any machine had reported.
+    /// Whether the process has, at any time since its start, had both a complete list of replicas from a trusted
+    /// machine and the newest configuration that any machine had reported. Never reset.
     pub fn has_reached_current_state(&self) -> bool {
         self.warm_up == WarmUp::Warm
     }
@@ -181,13 +183,13 @@
         self.seeds = seeds;
     }
 
-    /// Replaces the addresses of core machines that peer sampling has found. They are polled only while this
+    /// Replaces the internal addresses of the core machines found by peer sampling. They are polled only while this
     /// process [is disconnected](Self::is_disconnected).
     pub fn set_sampled_machines(&mut self, sampled_machines: Vec<SocketAddr>) {
         self.sampled_machines = sampled_machines;
     }
 
-    /// Starts all calls that are due at `now`. Returns them for the driver to execute.
+    /// Starts all calls that are due at `now`, and returns them for the driver to send.
     pub fn start_due_calls(&mut self, now: Duration) -> Vec<WatchAction> {
         let machines_to_poll = self.machines_to_poll(now);
         self.stop_polling_others(now, &machines_to_poll);
@@ -199,7 +201,7 @@
         actions
     }
 
-    /// Starts the poll of the machine at `address` if it is due.
+    /// Starts a poll of the machine at `address` if it is due.
     fn start_poll(&mut self, now: Duration, address: SocketAddr) -> Option<WatchAction> {
         let storage_epoch = self.storage_epoch();
         let machine = self
@@ -232,7 +234,7 @@
         self.storage_view.as_ref().map_or(0, |view| view.version)
     }
 
-    /// When the next call is due if no answer arrives before; `None` if no call is scheduled.
+    /// Time at which the next call is due if no answer is received before; `None` if no call is scheduled.
     pub fn next_wake(&self) -> Option<Duration> {
         let polls = self
             .machines
@@ -248,7 +250,7 @@
         polls.chain(fetch).min()
     }
 
-    /// Merges the answer of `machine` to a poll. Returns what has changed.
+    /// Merges the answer of `machine` to a poll. Returns which parts of the state have changed.
     pub fn poll_answered(
         &mut self,
         now: Duration,
@@ -282,7 +284,7 @@
         change
     }
 
-    /// Records that the poll of `machine` has failed. Returns what has changed.
+    /// Records that the poll of `machine` has failed. Returns which parts of the state have changed.
     pub fn poll_failed(&mut self, now: Duration, machine: SocketAddr) -> WatchChange {
         if let Some(entry) = self.machines.get_mut(&machine) {
             entry.record_failure(now);
@@ -293,8 +295,8 @@
         }
     }
 
-    /// Records the end of a fetch. `generation` is `None` if the configuration could not be fetched or
-    /// parsed. Returns whether the configuration is newer than the last one, and takes effect.
+    /// Records the result of the fetch in flight. `generation` is `None` if the configuration could not be fetched or
+    /// parsed. Returns whether the configuration is newer than the previous one and has to be applied.
     pub fn configuration_fetched(&mut self, now: Duration, generation: Option<u64>) -> bool {
         let FetchState::Fetching { machine, attempts } = self.fetch else {
             return false;
@@ -325,9 +327,9 @@
         newer.is_some()
     }
 
-    /// Records the generation that a machine has reported. One that no machine had reported before is fetched at
-    /// once: the backoff was for an older configuration. The time-out stays as long as the attempts have made it, since
-    /// on a slow link a newer configuration takes no less time.
+    /// Records a configuration generation reported by a machine. A generation newer than all reported before is fetched
+    /// at once, because the backoff applied to an older configuration. The time-out of the fetch is not reset: on a
+    /// slow link, the newer configuration takes no less time than the older one.
     fn record_reported_generation(&mut self, now: Duration, generation: u64) {
         if generation <= self.newest_reported_generation {
             return;
@@ -338,9 +340,9 @@
         }
     }
 
-    /// Time before the next fetch after a failed one: short while there is a source that has not failed, and twice as
-    /// long with each round in which all of them have. A configuration that this program cannot parse is the same at
-    /// every source.
+    /// Backoff after a failed fetch. It doubles only after a fetch from every source has failed once more, so each
+    /// source is tried before the backoff grows. It has to grow because a configuration that this program cannot parse
+    /// is the same at every source.
     fn fetch_backoff(&self) -> Duration {
         let known = self.configuration_generation;
         let sources = self
@@ -351,7 +353,7 @@
         backoff_after(rounds.unwrap_or(0))
     }
 
-    /// Whether a polled machine has reported a newer configuration than the last one fetched.
+    /// Whether any polled machine has reported a newer configuration than the newest fetched one.
     fn has_newer_configuration(&self) -> bool {
         self.machines
             .values()
@@ -411,7 +413,7 @@
         is_newer
     }
 
-    /// The machines to poll at `now`.
+    /// Internal addresses of the machines to poll at `now`.
     fn machines_to_poll(&self, now: Duration) -> Vec<SocketAddr> {
         let is_disconnected = self.is_disconnected(now);
         let mut known: BTreeSet<SocketAddr> = self.core_machines.iter().copied().collect();
@@ -459,7 +461,7 @@
         }
     }
 
-    /// Ends the warm-up if the state is complete and current. Returns whether it has ended now.
+    /// Ends the warm-up if the state is complete and current. Returns whether this call ended it.
     fn try_complete_warm_up(&mut self, now: Duration) -> bool {
         let WarmUp::Listed { since } = self.warm_up else {
             return false;
--- a/crates/tier/discovery/tests/cpu_quota.rs
+++ b/crates/tier/discovery/tests/cpu_quota.rs
@@ -1,5 +1,5 @@
-//! Core machines and edges whose share of a core is a quota: each stands still at the end of every tenth of a second. No
-//! replica expires for that, no edge loses the core, and configurations and departures are in force soon.
+//! Core machines and edges whose share of a core is a quota: each stands still at the end of every tenth of a second.
+//! No replica expires for that, no edge loses the core, and configurations and departures are in force soon.
 
 mod common;
 
