--- a/crates/tier/discovery/src/departure.rs
+++ b/crates/tier/discovery/src/departure.rs
@@ -7,9 +7,12 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | notifying | every peer has answered | acknowledged |
-//! | notifying, [`ALL_PEERS_TIMEOUT`] has passed | a majority of the voters has answered | acknowledged |
-//! | notifying | [`MAJORITY_TIMEOUT`] has passed | unconfirmed: the replica has to call another machine |
+//! | notifying | every peer has answered, and a majority of the voters is notified | acknowledged |
+//! | notifying, [`ALL_PEERS_TIMEOUT`] has passed | a majority of the voters is notified | acknowledged |
+//! | notifying | [`MAJORITY_TIMEOUT`] has passed without a majority | unconfirmed |
+//! | notifying | every peer has answered, without a majority | unconfirmed |
+//!
+//! If the departure is unconfirmed, the replica has to call another machine.
 //!
 //! Without the answers of a majority, this machine may be partitioned from the others, and the departure may not reach
 //! the observers of those machines.
--- a/crates/tier/discovery/src/exchange.rs
+++ b/crates/tier/discovery/src/exchange.rs
@@ -71,12 +71,12 @@
         registry: &Registry,
         warming: bool,
     ) -> Option<Batch> {
-        let waited = self
+        let since_last_batch = self
             .sent_at
             .map_or(KEEPALIVE_INTERVAL, |sent_at| now.saturating_sub(sent_at));
         let due = !self.changed.is_empty()
-            || (!self.refreshed.is_empty() && waited >= BATCH_INTERVAL)
-            || waited >= KEEPALIVE_INTERVAL;
+            || (!self.refreshed.is_empty() && since_last_batch >= BATCH_INTERVAL)
+            || since_last_batch >= KEEPALIVE_INTERVAL;
         if !due {
             return None;
         }
--- a/crates/tier/discovery/src/heartbeat_check.rs
+++ b/crates/tier/discovery/src/heartbeat_check.rs
@@ -68,6 +68,7 @@
     if heartbeat.software_version.len() > MAX_NAME_BYTES {
         return InvalidFieldSnafu {
             id,
+            // Name of `software_version` in the JSON of a heartbeat.
             field: "generation",
         }
         .fail();
--- a/crates/tier/discovery/src/registry/mod.rs
+++ b/crates/tier/discovery/src/registry/mod.rs
@@ -403,19 +403,19 @@
     /// Replaces the status of `id`, and assigns a new revision if the content has changed. Updates all indexes.
     fn replace_status(&mut self, now: Duration, id: &str, status: ReplicaStatus) {
         let digest = status.record().map_or(0, ReplicaRecord::content_digest);
-        let former = self.entries.remove(id);
-        let is_same = match (&former, &status) {
+        let previous = self.entries.remove(id);
+        let is_same = match (&previous, &status) {
             (None, _) => false,
             (
                 Some(Entry {
-                    status: ReplicaStatus::Registered(one),
+                    status: ReplicaStatus::Registered(old),
                     ..
                 }),
-                ReplicaStatus::Registered(two),
-            ) => one.has_same_content(two),
+                ReplicaStatus::Registered(new),
+            ) => old.has_same_content(new),
             (Some(entry), status) => entry.status == *status,
         };
-        if let Some(record) = former.as_ref().and_then(|entry| entry.status.record()) {
+        if let Some(record) = previous.as_ref().and_then(|entry| entry.status.record()) {
             self.registered_count -= 1;
             self.remove_address(record.heartbeat.address, id);
         }
@@ -426,7 +426,7 @@
                 .or_default()
                 .insert(id.to_owned());
         }
-        let revision = former.map_or(0, |entry| entry.revision);
+        let revision = previous.map_or(0, |entry| entry.revision);
         self.entries.insert(
             id.to_owned(),
             Entry {
--- a/crates/tier/discovery/src/replica_table.rs
+++ b/crates/tier/discovery/src/replica_table.rs
@@ -26,7 +26,7 @@
 struct KnownStatus {
     status: ReplicaStatus,
     /// Time at which the status was received.
-    changed_at: Duration,
+    received_at: Duration,
 }
 
 /// List of replicas received from one core machine.
@@ -35,7 +35,7 @@
     /// Version up to which its registry has been received.
     version: RegistryVersion,
     /// Ids of the registered replicas in the list.
-    present: BTreeSet<String>,
+    registered: BTreeSet<String>,
     /// Whether the machine's last answer left no further changes to request.
     complete: bool,
     /// Whether the machine was in quorum and not warming up at its last answer.
@@ -91,7 +91,7 @@
     ) -> bool {
         let listing = self.listings.entry(machine).or_default();
         if response.reset {
-            listing.present.clear();
+            listing.registered.clear();
         }
         listing.version = response.version;
         listing.complete = !response.has_more;
@@ -104,8 +104,8 @@
             .collect();
         for IdentifiedStatus { id, status } in &statuses {
             match status.record() {
-                Some(_) => listing.present.insert(id.clone()),
-                None => listing.present.remove(id),
+                Some(_) => listing.registered.insert(id.clone()),
+                None => listing.registered.remove(id),
             };
         }
         let mut changed = false;
@@ -128,7 +128,8 @@
         }
         self.next_sweep = now + SWEEP_INTERVAL;
         self.known.retain(|_, known| {
-            known.status.record().is_some() || now.saturating_sub(known.changed_at) <= TOMBSTONE_TTL
+            known.status.record().is_some()
+                || now.saturating_sub(known.received_at) <= TOMBSTONE_TTL
         });
         self.update_unlisted(now);
         let dropped: Vec<String> = self
@@ -154,14 +155,19 @@
             .filter(|listing| now.saturating_sub(listing.answered_at) <= LISTING_TTL)
             .collect();
         // Listed replicas are normally in the table, so a list as long as the table is taken to contain all of it.
-        let is_complete_listing = |listing: &&Listing| listing.present.len() == self.replicas.len();
+        let is_complete_listing =
+            |listing: &&Listing| listing.registered.len() == self.replicas.len();
         if trusted.is_empty()
             || trusted.iter().any(is_complete_listing) && self.unlisted_since.is_empty()
         {
             self.unlisted_since.clear();
             return;
         }
-        let is_listed = |id: &String| trusted.iter().any(|listing| listing.present.contains(id));
+        let is_listed = |id: &String| {
+            trusted
+                .iter()
+                .any(|listing| listing.registered.contains(id))
+        };
         let unlisted: BTreeSet<&String> =
             self.replicas.keys().filter(|id| !is_listed(id)).collect();
         self.unlisted_since.retain(|id, _| unlisted.contains(id));
@@ -176,9 +182,9 @@
         if current.is_some_and(|current| !status.is_newer_than(current)) {
             return false;
         }
-        let former = current.and_then(ReplicaStatus::record);
-        let changed = match (former, status.record()) {
-            (Some(one), Some(two)) => !one.has_same_content(two),
+        let previous = current.and_then(ReplicaStatus::record);
+        let changed = match (previous, status.record()) {
+            (Some(old), Some(new)) => !old.has_same_content(new),
             (None, None) => false,
             _ => true,
         };
@@ -193,7 +199,7 @@
             id,
             KnownStatus {
                 status,
-                changed_at: now,
+                received_at: now,
             },
         );
         changed
--- a/crates/tier/discovery/src/sampling.rs
+++ b/crates/tier/discovery/src/sampling.rs
@@ -74,7 +74,7 @@
 
 #[derive(Clone)]
 struct ViewEntry {
-    node: NodeEntry,
+    description: NodeEntry,
     /// Age of the entry at its receipt.
     age: Duration,
     /// Time of the receipt.
@@ -87,11 +87,11 @@
     }
 
     fn address(&self) -> SocketAddr {
-        self.node.address.into()
+        self.description.address.into()
     }
 
     fn is_core(&self) -> bool {
-        self.node.role == NodeRole::Core
+        self.description.role == NodeRole::Core
     }
 }
 
@@ -165,7 +165,7 @@
         entries.sort_by_key(|entry| entry.age(now));
         entries
             .into_iter()
-            .map(|entry| entry.node.clone())
+            .map(|entry| entry.description.clone())
             .collect()
     }
 
@@ -247,7 +247,7 @@
                 control: None,
             };
             self.insert(ViewEntry {
-                node: entry,
+                description: entry,
                 age: Duration::ZERO,
                 received_at: now,
             });
@@ -284,7 +284,7 @@
             age_ms: 0,
         }];
         entries.extend(chosen.iter().map(|entry| AgedEntry {
-            entry: entry.node.clone(),
+            entry: entry.description.clone(),
             age_ms: u32::try_from(entry.age(now).as_millis()).unwrap_or(u32::MAX),
         }));
         Shuffle { entries }
@@ -295,31 +295,31 @@
             let age = Duration::from_millis(u64::from(aged.age_ms));
             if aged.entry.node.len() <= MAX_NODE_BYTES && age <= MAX_ENTRY_AGE {
                 self.insert(ViewEntry {
-                    node: aged.entry,
+                    description: aged.entry,
                     age,
                     received_at: now,
                 });
             }
         }
         while self.entries.len() > MAX_VIEW_ENTRIES {
-            let surplus = self.entry_to_evict(now, sent);
-            self.entries.remove(surplus);
+            let evicted = self.entry_to_evict(now, sent);
+            self.entries.remove(evicted);
         }
     }
 
     /// Adds an entry. If the view has an entry with the same address, replaces it if the new entry is younger, or if
     /// the present one is that of a seed that has not answered yet.
     fn insert(&mut self, new: ViewEntry) {
-        if new.node.address == self.own.address {
+        if new.description.address == self.own.address {
             return;
         }
         let now = new.received_at;
         match self
             .entries
             .iter_mut()
-            .find(|entry| entry.node.address == new.node.address)
+            .find(|entry| entry.description.address == new.description.address)
         {
-            Some(entry) if entry.node.node.is_empty() || new.age(now) < entry.age(now) => {
+            Some(entry) if entry.description.node.is_empty() || new.age(now) < entry.age(now) => {
                 *entry = new
             }
             Some(_) => {}
--- a/crates/tier/discovery/src/status.rs
+++ b/crates/tier/discovery/src/status.rs
@@ -84,10 +84,15 @@
             .then_with(|| match (self, other) {
                 (Self::Registered(_), Self::Departed { .. }) => Ordering::Less,
                 (Self::Departed { .. }, Self::Registered(_)) => Ordering::Greater,
-                (Self::Registered(one), Self::Registered(two)) => one.cmp(two),
-                (Self::Departed { departure: one, .. }, Self::Departed { departure: two, .. }) => {
-                    one.cmp(two)
-                }
+                (Self::Registered(left), Self::Registered(right)) => left.cmp(right),
+                (
+                    Self::Departed {
+                        departure: left, ..
+                    },
+                    Self::Departed {
+                        departure: right, ..
+                    },
+                ) => left.cmp(right),
             })
     }
 }
--- a/crates/tier/discovery/src/watch_change.rs
+++ b/crates/tier/discovery/src/watch_change.rs
@@ -14,7 +14,7 @@
     pub configuration: bool,
     /// Whether the process [reached a current state](crate::watcher::Watcher::has_reached_current_state) in this step.
     /// Not set if a fetched configuration completed that state; then only `configuration` is set.
-    pub has_current_state: bool,
+    pub reached_current_state: bool,
 }
 
 impl WatchChange {
@@ -24,6 +24,6 @@
             || self.storage_view
             || self.core_machines
             || self.configuration
-            || self.has_current_state
+            || self.reached_current_state
     }
 }
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -280,7 +280,7 @@
         if is_listed && self.warm_up == WarmUp::AwaitingList {
             self.warm_up = WarmUp::Listed { since: now };
         }
-        change.has_current_state = self.try_complete_warm_up(now);
+        change.reached_current_state = self.try_complete_warm_up(now);
         change
     }
 
@@ -290,7 +290,7 @@
             entry.record_failure(now);
         }
         WatchChange {
-            has_current_state: self.try_complete_warm_up(now),
+            reached_current_state: self.try_complete_warm_up(now),
             ..WatchChange::default()
         }
     }
