--- a/crates/router/lease/src/endpoint_update.rs
+++ b/crates/router/lease/src/endpoint_update.rs
@@ -1,22 +1,22 @@
-//! Updates of endpoints as they are sent.
+//! The message format of endpoint updates.
 
 use crate::replica_key::ReplicaKey;
 use serde::{Deserialize, Serialize};
 
-/// Why a replica takes no new requests. The order is that of time: a draining replica departs later.
+/// Why a replica accepts no new requests. The variants are in order of time: a draining replica departs later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Departure {
-    /// It finishes what it has and takes nothing new.
+    /// The replica finishes its current requests and accepts no new ones.
     Draining,
-    /// The endpoint list no longer names it.
+    /// The replica is no longer in the endpoint list.
     Departed,
 }
 
-/// States that one run of a replica takes no new requests.
+/// Reports that one run of a replica accepts no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// The replica and its run.
+    /// Key of the replica and its run.
     pub replica: ReplicaKey,
-    /// Why it takes nothing new.
+    /// Reason why the replica accepts no new requests.
     pub departure: Departure,
 }
--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -1,24 +1,24 @@
-//! Endpoint updates that a lease holder has to send, and those that other members have received.
+//! Endpoint updates: those that a lease holder sends, and those that other members receive.
 //!
-//! A received update only ever closes a replica that the member's own endpoint list has open, and only for a limited
-//! time: the endpoint list stays the source of truth.
+//! A received update can only close a replica that is open in the member's own endpoint list, and only for a limited
+//! time. The endpoint list remains the source of truth.
 
 use crate::endpoint_update::{Departure, EndpointUpdate};
 use crate::replica_key::ReplicaKey;
 use std::collections::BTreeMap;
 
-/// How often an update is sent. At 30 % loss, one member in 37 receives none of three.
+/// Number of times that an update is sent. At 30 % packet loss, one member in 37 receives none of three.
 const SENDS_PER_UPDATE: u8 = 3;
-/// Time between two sends of an update, in seconds.
+/// Interval between two transmissions of an update, in seconds.
 const SEND_INTERVAL_S: f64 = 0.3;
-/// How long a received update is valid, in seconds. Discovery has reported the change 6 s after it at the latest.
+/// Validity of a received update, in seconds. Discovery reports a change within 6 s.
 const UPDATE_TIMEOUT_S: f64 = 8.0;
-/// Limit on the updates of one datagram.
+/// Limit on the number of updates in one datagram.
 const MAX_UPDATES_PER_MESSAGE: usize = 24;
-/// Limit on the updates to send, and on those received. Further ones are dropped.
+/// Limit on the number of outgoing updates, and on that of received updates. Further ones are dropped.
 const MAX_UPDATES: usize = 1024;
 
-/// An update that is still to be sent.
+/// An update that has not yet been sent [`SENDS_PER_UPDATE`] times.
 #[derive(Clone, Debug)]
 struct OutgoingUpdate {
     departure: Departure,
@@ -26,25 +26,25 @@
     next_send_s: f64,
 }
 
-/// An update that a lease holder has sent.
+/// An update received from a lease holder.
 #[derive(Clone, Debug)]
 struct ReceivedUpdate {
     departure: Departure,
     expires_at_s: f64,
 }
 
-/// Endpoint updates to send and received.
+/// The outgoing and the received endpoint updates of one member.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdates {
     outgoing: BTreeMap<ReplicaKey, OutgoingUpdate>,
     received: BTreeMap<ReplicaKey, ReceivedUpdate>,
-    /// How many updates were received before this member's own endpoint list reported the change.
+    /// Number of updates that were received before this member's own endpoint list contained the change.
     pub ahead_of_list: u64,
 }
 
 impl EndpointUpdates {
-    /// This member's own endpoint list has reported a replica: `None` means that it serves. The list supersedes what
-    /// was received.
+    /// Records the state of a replica in this member's own endpoint list. `departure` is `None` while the replica
+    /// serves. A received update on the replica is discarded, since the list supersedes it.
     pub fn record_endpoint_state(
         &mut self,
         now_s: f64,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The updates that a lease holder has to send now. They count as sent once.
+    /// Returns the updates that a lease holder has to send now, and counts one transmission of each.
     pub fn take_due(&mut self, now_s: f64) -> Vec<EndpointUpdate> {
         let mut due = Vec::new();
         for (replica, update) in &mut self.outgoing {
@@ -85,13 +85,13 @@
         due
     }
 
-    /// Drops what is to be sent. For members that don't hold the role: sending it is the holder's task.
+    /// Discards the outgoing updates. Called on members that are not the lease holder, as only the holder sends updates.
     pub fn clear_outgoing(&mut self) {
         self.outgoing.clear();
     }
 
-    /// Records an update from the lease holder. Returns whether it is new, in which case the replica has to be closed.
-    /// Of two departures the later in [`Departure`]'s order is kept.
+    /// Records an update from the lease holder. Returns `true` if the update is new, and the replica must be closed. Of
+    /// two departures of one replica, the later in the order of [`Departure`] is kept.
     pub fn receive(&mut self, now_s: f64, update: EndpointUpdate) -> bool {
         let known = self.received.get(&update.replica).map(|r| r.departure);
         if self.received.len() >= MAX_UPDATES && known.is_none() {
@@ -107,8 +107,8 @@
         known != Some(departure)
     }
 
-    /// Removes the received updates that this member's own endpoint list has not confirmed in time, and returns their
-    /// replicas, which the list decides on again.
+    /// Removes the received updates that this member's own endpoint list has not confirmed in time. Returns their
+    /// replicas, whose state is again that of the list.
     pub fn take_expired(&mut self, now_s: f64) -> Vec<ReplicaKey> {
         let expired = self
             .received
--- a/crates/router/lease/src/fencing_token.rs
+++ b/crates/router/lease/src/fencing_token.rs
@@ -1,20 +1,22 @@
-//! Which lease an action was done under.
+//! Fencing tokens, which identify the lease under which an action was performed.
 
 use serde::{Deserialize, Serialize};
 use woadreach_membership::MemberId;
 
-/// One run of a process, by a number drawn at its start. Messages for an earlier run are ignored (SWIM, section 4.2).
+/// Identifies one run of a process by a random number drawn at its start. Messages for an earlier run are ignored
+/// (SWIM, section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u16);
 
-/// Identifies the lease under which an action was done, as Chubby's sequencer does (section 2.4). A token with a higher
-/// epoch supersedes one with a lower; of two that differ but share an epoch, the first that a member has seen is valid.
+/// Identifies the lease under which an action was performed, as Chubby's sequencer does (section 2.4). A token with a
+/// higher epoch supersedes one with a lower epoch. Of two different tokens with the same epoch, a member accepts the
+/// one that it received first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// Higher than every epoch that the holder knew of when it requested the lease.
+    /// Epoch of the lease. It is higher than every epoch that the holder knew of when it requested the lease.
     pub epoch: u32,
-    /// The member that holds, or requests, the lease.
+    /// Member that has or requests the lease.
     pub holder: MemberId,
-    /// The holder's run. It is part of the token since a restarted member may reuse an epoch.
+    /// Run of the holder. It is part of the token because a restarted member may reuse an epoch.
     pub incarnation: Incarnation,
 }
--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side of a lease: it grants a role to one member at a time.
+//! The acceptor side of the lease protocol: an acceptor grants each role to one member at a time.
 
 use super::config::LeaseConfig;
 use crate::clock_stamp::CENTIS_PER_SECOND;
@@ -7,7 +7,7 @@
 use crate::role::Role;
 use std::collections::BTreeMap;
 
-/// A request for a lease.
+/// A request for a lease or for its renewal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseRequest {
     pub(super) role: Role,
@@ -16,43 +16,43 @@
     pub(super) is_holder: bool,
 }
 
-/// A grant that this acceptor has issued, in Paxos a promise.
+/// A grant that this acceptor has issued. It corresponds to a promise in Paxos.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct IssuedGrant {
     pub(super) token: FencingToken,
-    /// When it expires, by this acceptor's clock. A renewal never brings it forward.
+    /// Expiry by this acceptor's clock. A renewal never makes it earlier.
     pub(super) until_s: f64,
-    /// Whether it was given to a holder. A candidate may give it up at any moment.
-    to_holder: bool,
+    /// Whether the grant was issued to a holder. A grant to a candidate may be released at any moment.
+    is_to_holder: bool,
 }
 
-/// An acceptor's grants. It keeps them in memory only: after a start, and after its clock has jumped, it is silent
-/// for as long as a grant that it may have forgotten could be valid.
+/// The grants of one acceptor, which are stored in memory only. After a start, and after a jump of its clock, an acceptor
+/// recovers: it answers no requests for as long as a grant that it may have lost could be valid.
 #[derive(Clone, Debug)]
 pub(super) struct Acceptor {
-    /// No request is answered before.
-    silent_until_s: f64,
-    /// Grants in force; at most one a role.
+    /// End of recovery. Requests are not answered before.
+    recovering_until_s: f64,
+    /// Grants that have not expired or been released; at most one for each role.
     grants: BTreeMap<Role, IssuedGrant>,
-    /// The latest token granted for each role. Its epoch never decreases. It is kept apart from the tokens under which
-    /// holders were seen to act: else a failed candidate, whose epoch is higher, would make acceptors reject the
-    /// actions of the true holder.
+    /// The latest token granted for each role. Its epoch never decreases. It is stored separately from the tokens of
+    /// observed actions: otherwise a failed candidate, whose epoch is higher, would make acceptors reject the actions
+    /// of the actual holder.
     latest_granted: BTreeMap<Role, FencingToken>,
 }
 
 impl Acceptor {
-    /// An acceptor that has forgotten its grants at `now_s`.
+    /// Creates an acceptor that may have lost its grants at `now_s` and recovers from then on.
     pub(super) fn new(now_s: f64, config: &LeaseConfig) -> Acceptor {
         Acceptor {
-            silent_until_s: config.silent_until_s(now_s),
+            recovering_until_s: config.recovery_end_s(now_s),
             grants: BTreeMap::new(),
             latest_granted: BTreeMap::new(),
         }
     }
 
-    /// Drops all grants and stays silent until they could no longer be valid. Required once the clock has jumped.
+    /// Discards all grants and starts recovery. Required after a jump of the clock.
     pub(super) fn reset(&mut self, now_s: f64, config: &LeaseConfig) {
-        self.silent_until_s = config.silent_until_s(now_s);
+        self.recovering_until_s = config.recovery_end_s(now_s);
         self.grants.clear();
     }
 
@@ -64,14 +64,14 @@
         !self.grants.is_empty()
     }
 
-    /// The highest epoch granted for a role; 0 if there is none.
+    /// Returns the highest epoch granted for a role; 0 if there is none.
     pub(super) fn highest_epoch(&self, role: Role) -> u32 {
         self.latest_granted
             .get(&role)
             .map_or(0, |token| token.epoch)
     }
 
-    /// Withdraws the grant to this token, if it is in force.
+    /// Removes the grant to this token, if there is one.
     pub(super) fn release(&mut self, role: Role, token: FencingToken) {
         if self
             .grants
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Answers a request; `None` while silent. `highest_epoch` is the highest that this member knows of, by its
-    /// grants and by the actions of holders.
+    /// Answers a request; returns `None` during recovery. `highest_epoch` is the highest epoch that this member knows of
+    /// from its grants and from the actions of holders.
     pub(super) fn answer(
         &mut self,
         now_s: f64,
@@ -91,22 +91,22 @@
         highest_epoch: u32,
         config: &LeaseConfig,
     ) -> Option<Message> {
-        if now_s < self.silent_until_s {
+        if now_s < self.recovering_until_s {
             return None;
         }
         let denial = self.denial(now_s, request, highest_epoch);
         Some(denial.unwrap_or_else(|| self.grant(now_s, request, config)))
     }
 
-    fn grant_in_force(&self, now_s: f64, role: Role) -> Option<&IssuedGrant> {
+    fn active_grant(&self, now_s: f64, role: Role) -> Option<&IssuedGrant> {
         self.grants.get(&role).filter(|grant| grant.until_s > now_s)
     }
 
-    /// Denies a request while the role is granted to another token, and one whose token is outdated. `None` if it may
-    /// be granted.
+    /// Returns the denial of a request if the role is granted to another token or if the token of the request is
+    /// outdated; `None` if the request may be granted.
     fn denial(&self, now_s: f64, request: &LeaseRequest, highest_epoch: u32) -> Option<Message> {
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.grant_in_force(now_s, role);
+        let current = self.active_grant(now_s, role);
         let is_renewal = current.is_some_and(|grant| grant.token == token);
         let other = current.filter(|grant| grant.token != token);
         let is_latest =
@@ -116,7 +116,7 @@
             return None;
         }
         let wait_s = match other {
-            Some(grant) if grant.to_holder => grant.until_s - now_s,
+            Some(grant) if grant.is_to_holder => grant.until_s - now_s,
             _ => 0.0,
         };
         Some(Message::Denied {
@@ -128,19 +128,19 @@
         })
     }
 
-    /// Grants the role to the token of a request, which must not be denied.
+    /// Grants the role to the token of a request. The caller must have checked that there is no [`Self::denial`].
     fn grant(&mut self, now_s: f64, request: &LeaseRequest, config: &LeaseConfig) -> Message {
         let LeaseRequest { role, token, .. } = *request;
-        let current = self.grant_in_force(now_s, role);
-        // Never shorter than the grant in force.
+        let current = self.active_grant(now_s, role);
+        // A renewal never shortens the active grant.
         let until_s = current
             .map_or(now_s, |grant| grant.until_s)
             .max(now_s + config.grant_duration_s(request.is_holder));
-        let to_holder = request.is_holder || current.is_some_and(|grant| grant.to_holder);
+        let is_to_holder = request.is_holder || current.is_some_and(|grant| grant.is_to_holder);
         let grant = IssuedGrant {
             token,
             until_s,
-            to_holder,
+            is_to_holder,
         };
         self.grants.insert(role, grant);
         self.latest_granted.insert(role, token);
@@ -152,8 +152,8 @@
         }
     }
 
-    pub(super) fn silent_until_s(&self) -> f64 {
-        self.silent_until_s
+    pub(super) fn recovering_until_s(&self) -> f64 {
+        self.recovering_until_s
     }
 
     pub(super) fn grants(&self) -> &BTreeMap<Role, IssuedGrant> {
--- a/crates/router/lease/src/leases/actions.rs
+++ b/crates/router/lease/src/leases/actions.rs
@@ -1,24 +1,24 @@
-//! What [`Leases`](super::Leases) asks of its driver.
+//! The output of [`Leases`](super::Leases), which its driver executes.
 
 use crate::message::Message;
 use crate::role::Role;
 use woadreach_membership::MemberId;
 
-/// A change of what this member holds.
+/// A lease of this member was acquired or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// This member holds the role from now on.
+    /// This member has acquired the lease on the role.
     Acquired {
-        /// The role.
+        /// Role of the lease.
         role: Role,
-        /// The epoch of its lease.
+        /// Epoch of the lease.
         epoch: u32,
     },
-    /// This member no longer holds the role: its lease has expired or was released.
+    /// The lease of this member on the role has expired or was released.
     Lost {
-        /// The role.
+        /// Role of the lease.
         role: Role,
-        /// The epoch of the lease that ended.
+        /// Epoch of the lease that ended.
         epoch: u32,
     },
 }
@@ -26,18 +26,18 @@
 /// A message to another member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// Receiver of the message.
     pub to: MemberId,
-    /// The message.
+    /// Contents, for [`Leases::receive`](super::Leases::receive) of the receiver.
     pub message: Message,
 }
 
-/// Messages to send and events to handle, both in their order.
+/// Messages to send and events to handle, each in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
-    /// Messages to send. Losing them is safe.
+    /// Messages to send. Loss of any of them is safe.
     pub messages: Vec<OutgoingMessage>,
-    /// What has changed.
+    /// Leases that were acquired or have ended.
     pub events: Vec<LeaseEvent>,
 }
 
--- a/crates/router/lease/src/leases/candidacy.rs
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -1,25 +1,26 @@
-//! The proposer's side of a lease: what a member does to acquire and keep one role.
+//! The proposer side of the lease protocol: how a member acquires and renews the lease on one role.
 
 use super::config::LeaseConfig;
 use std::collections::BTreeSet;
 use woadreach_membership::MemberId;
 
-/// A request to all acceptors, and who has answered it.
+/// A request to all acceptors, with the acceptors that have answered it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Proposal {
     pub(super) request_id: u16,
-    /// For how long the acceptors' grants are valid, in seconds.
+    /// Validity of the grants that are requested, in seconds.
     grant_duration_s: f64,
-    /// When it was first sent. A lease from it runs from here, which is before any acceptor has granted it.
+    /// Time of the first transmission. A lease based on this proposal starts here, which is before any acceptor has
+    /// granted it.
     pub(super) started_at_s: f64,
-    /// When acceptors that have not answered receive the request again.
+    /// Time of the next transmission to acceptors that have not answered.
     pub(super) resend_at_s: f64,
     pub(super) granted: BTreeSet<MemberId>,
-    /// Those that have granted or denied it. Contains all of `granted`.
+    /// Acceptors that have granted or denied the request, so a superset of `granted`.
     pub(super) answered: BTreeSet<MemberId>,
 }
 
-/// A grant as a candidate receives it.
+/// A grant that a candidate has received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Grant {
     pub(super) by: MemberId,
@@ -27,25 +28,25 @@
     pub(super) epoch: u32,
 }
 
-/// A denial as a candidate receives it.
+/// A denial that a candidate has received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Denial {
     pub(super) by: MemberId,
     pub(super) request_id: u16,
-    /// The highest epoch that the acceptor knows of.
+    /// Highest epoch that the acceptor knows of.
     pub(super) highest_epoch: u32,
-    /// After how many seconds a new request may be granted.
+    /// Time until a new request may be granted, in seconds.
     pub(super) wait_s: f64,
 }
 
-/// What a candidacy needs next.
+/// The next step of a candidacy, which the caller executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     /// Nothing is due.
     Wait,
     /// The lease has expired.
     Expire,
-    /// The current proposal goes again to those that have not answered.
+    /// The current proposal must be sent again to acceptors that have not answered.
     Resend,
     /// The current proposal has failed.
     Abandon,
@@ -56,18 +57,20 @@
 /// This member's candidacy for a role, or its lease on it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Candidacy {
-    /// This member's position among the candidates; 0 comes first.
+    /// Position of this member among the candidates; 0 is the preferred one.
     pub(super) rank: usize,
-    /// The epoch of the current proposal or lease.
+    /// Epoch of the current proposal or lease.
     pub(super) epoch: u32,
-    /// The highest epoch that a denial named.
+    /// Highest epoch in the denials received.
     pub(super) highest_denied_epoch: u32,
-    /// Failed proposals since this member last held the role or learnt of a holder.
+    /// Consecutive failed proposals. Reset once this member acquires the lease or learns from a denial that there is a
+    /// holder.
     pub(super) failed_proposals: u32,
     pub(super) proposal: Option<Proposal>,
-    /// The lease, if this member has one, ends then. It must be before every grant of its majority ends.
+    /// Expiry of the lease; `None` if this member has none. It must be earlier than the expiry of every grant in the
+    /// majority.
     pub(super) held_until_s: Option<f64>,
-    /// When the next proposal, or renewal, is due.
+    /// Time at which the next proposal or renewal is due.
     pub(super) next_proposal_s: f64,
 }
 
@@ -88,7 +91,7 @@
         self.held_until_s.is_some()
     }
 
-    /// When [`Candidacy::next_step`] is due.
+    /// Returns the time at which [`Candidacy::next_step`] is due.
     pub(super) fn next_due_s(&self) -> f64 {
         let due = self
             .proposal
@@ -97,7 +100,7 @@
         self.held_until_s.map_or(due, |until_s| due.min(until_s))
     }
 
-    /// What is due now. The caller must carry it out.
+    /// Returns the step that is due now. The caller must execute it.
     pub(super) fn next_step(&mut self, now_s: f64, config: &LeaseConfig) -> Step {
         if self.held_until_s.is_some_and(|until_s| now_s >= until_s) {
             return Step::Expire;
@@ -120,7 +123,7 @@
             if !is_holder {
                 return Step::Abandon;
             }
-            // A holder whose renewal fails starts a new one, so that a later majority extends the lease.
+            // A holder whose renewal timed out starts another, so that a later majority still extends the lease.
             self.proposal = None;
         }
         if now_s < self.next_proposal_s {
@@ -130,7 +133,8 @@
         }
     }
 
-    /// Starts a proposal. A candidate's epoch exceeds `highest_epoch`, the highest that this member knows of.
+    /// Starts a proposal. The epoch of a candidate exceeds `highest_epoch`, the highest epoch that this member knows of;
+    /// a renewal has the epoch of the lease.
     pub(super) fn propose(
         &mut self,
         now_s: f64,
@@ -152,7 +156,7 @@
         });
     }
 
-    /// Records a grant. Returns whether the lease was acquired by it; a renewal is none.
+    /// Records a grant. Returns `true` if the lease was acquired by this grant, and `false` for a renewal.
     pub(super) fn record_grant(
         &mut self,
         now_s: f64,
@@ -172,9 +176,9 @@
         if proposal.granted.len() < quorum {
             return false;
         }
-        // The lease runs from before the request was sent, and ends a margin before the grants do.
+        // The lease starts before the request was sent and ends `clock_margin_s` before the grants expire.
         let until_s = proposal.started_at_s + proposal.grant_duration_s - config.clock_margin_s;
-        // An initial lease is extended to the whole duration at once.
+        // A first lease is based on short grants, so it is renewed immediately for the full duration.
         let next_proposal_s = if proposal.grant_duration_s < config.lease_duration_s {
             now_s
         } else {
@@ -192,7 +196,7 @@
         previous.is_none()
     }
 
-    /// Records a denial. Returns whether the proposal has failed by it, so that the caller must abandon it.
+    /// Records a denial. Returns `true` if a majority is no longer possible, and the caller must abandon the proposal.
     pub(super) fn record_denial(
         &mut self,
         now_s: f64,
@@ -209,28 +213,28 @@
             return false;
         };
         self.highest_denied_epoch = self.highest_denied_epoch.max(denial.highest_epoch);
-        let is_for_long = denial.wait_s >= config.proposal_timeout_s;
-        // An acceptor whose grant ends soon counts as one that has not answered: it receives the request again.
-        if denial.highest_epoch < self.epoch && !is_for_long {
+        let is_long_wait = denial.wait_s >= config.proposal_timeout_s;
+        // An acceptor whose grant expires soon counts as not having answered, so that the request is sent to it again.
+        if denial.highest_epoch < self.epoch && !is_long_wait {
             return false;
         }
         proposal.answered.insert(denial.by);
         let denied = proposal.answered.len() - proposal.granted.len();
         let majority_is_possible = (acceptor_count - denied) * 2 > acceptor_count;
-        // A holder keeps its lease until it expires, whoever denies the renewal.
+        // A denied renewal does not end the lease of a holder before its expiry.
         if is_holder || majority_is_possible {
             return false;
         }
         self.next_proposal_s = now_s + denial.wait_s.min(config.lease_duration_s);
-        if is_for_long {
-            // There is a holder: it was no other candidate that stood in the way.
+        if is_long_wait {
+            // The proposal failed because there is a holder, not because another candidate competed.
             self.failed_proposals = 0;
         }
         true
     }
 
-    /// Delays the next proposal after one that has failed. `random` is in 0..1. The delay grows with the rank and with
-    /// the failures, so that two candidates that have disturbed each other don't do so again.
+    /// Delays the next proposal after a failed one. `random` is in 0..1. The delay increases with the rank and with the
+    /// number of failures, so that two competing candidates don't collide again.
     pub(super) fn back_off(&mut self, random: f64, config: &LeaseConfig) {
         let delay_s = (self.rank as f64 + random) * config.backoff_s;
         let factor = f64::from(1u32 << self.failed_proposals.min(2));
--- a/crates/router/lease/src/leases/canonical_state.rs
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -1,4 +1,4 @@
-//! The state of leases in a form that model checkers can compare.
+//! A canonical form of the state of leases, for comparison by model checkers.
 
 use super::Leases;
 use super::acceptor::Acceptor;
@@ -6,7 +6,7 @@
 use crate::fencing_token::FencingToken;
 use crate::role::Role;
 
-/// Separate the parts of the state, so that no two states have one form.
+/// Markers that separate the sections of the canonical state, so that different states have different forms.
 const ISSUED_GRANT: i64 = -1;
 const KNOWN_HOLDER: i64 = -2;
 const CANDIDACY: i64 = -3;
@@ -14,7 +14,7 @@
 const ANSWERED: i64 = -5;
 const LATEST_GRANTED: i64 = -6;
 
-/// A time in milliseconds from now, at most 100 s away.
+/// Converts a time to milliseconds relative to now, limited to ±100 s.
 fn relative_ms(time_s: f64, now_s: f64) -> i64 {
     ((time_s - now_s).clamp(-100.0, 100.0) * 1000.0).round() as i64
 }
@@ -64,10 +64,11 @@
 }
 
 impl Leases {
-    /// What determines this member's further behaviour, with times relative to `now_s`. For model checkers.
+    /// Returns the state that determines the further behaviour of this member, with times relative to `now_s`. For model
+    /// checkers.
     pub fn canonical_state(&self, now_s: f64) -> Vec<i64> {
         let mut state = vec![
-            relative_ms(self.acceptor.silent_until_s(), now_s).max(0),
+            relative_ms(self.acceptor.recovering_until_s(), now_s).max(0),
             relative_ms(self.last_call_s, now_s),
             i64::from(self.last_request_id),
         ];
--- a/crates/router/lease/src/leases/known_holders.rs
+++ b/crates/router/lease/src/leases/known_holders.rs
@@ -1,18 +1,18 @@
-//! The lease holders that a member has seen act.
+//! The lease holders that a member knows from their actions.
 
 use crate::fencing_token::FencingToken;
 use crate::role::Role;
 use std::collections::BTreeMap;
 
-/// The latest action of a holder.
+/// The latest accepted action of a holder.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatestAction {
     pub(super) token: FencingToken,
-    /// When this member received it, by its own clock.
+    /// Time of receipt, by this member's clock.
     pub(super) at_s: f64,
 }
 
-/// The latest action that was accepted for each role.
+/// The latest accepted action for each role.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownHolders {
     /// The epoch of a role never decreases.
@@ -20,7 +20,7 @@
 }
 
 impl KnownHolders {
-    /// Whether a later token, or another one of the same epoch, has been seen.
+    /// Whether this token is outdated: a token with a higher epoch, or another token with the same epoch, has been seen.
     pub(super) fn supersedes(&self, role: Role, token: FencingToken) -> bool {
         self.latest.get(&role).is_some_and(|latest| {
             let seen = latest.token;
@@ -28,25 +28,25 @@
         })
     }
 
-    /// Records an action under a token, which must not be superseded.
+    /// Records an action. Its token must not be superseded.
     pub(super) fn record(&mut self, now_s: f64, role: Role, token: FencingToken) {
         self.latest
             .insert(role, LatestAction { token, at_s: now_s });
     }
 
-    /// The highest epoch seen; 0 if there is none.
+    /// Returns the highest epoch seen for a role; 0 if there is none.
     pub(super) fn epoch(&self, role: Role) -> u32 {
         self.latest
             .get(&role)
             .map_or(0, |latest| latest.token.epoch)
     }
 
-    /// The latest action for a role.
+    /// Returns the latest action for a role; `None` if no action was seen.
     pub(super) fn latest(&self, role: Role) -> Option<LatestAction> {
         self.latest.get(&role).copied()
     }
 
-    /// The latest token of each role.
+    /// Returns the latest token of each role.
     pub(super) fn tokens(&self) -> impl Iterator<Item = (Role, FencingToken)> {
         self.latest
             .iter()
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -1,12 +1,14 @@
-//! Who holds a role: both sides of a lease, from times and messages alone.
+//! The lease protocol: both the acceptor and the proposer side, as a function of times and messages only.
 //!
-//! A lease is a majority of grants. A grant is valid from when the acceptor gave it, by the acceptor's clock; the lease
-//! from before its holder requested it, by the holder's clock, and it ends a margin sooner. So each grant outlasts the
-//! lease that it is part of, whatever the latency, as long as two clocks' rates don't differ by more than the margin.
-//! The protocol is that of PaxosLease (Trencseni and others, 2012) in one phase instead of two: the only thing to agree
-//! on is who requested first, and a candidate that fails gives back what it was granted.
+//! A member has a lease once a majority of acceptors has granted it. A grant is valid from the time at which the acceptor
+//! issued it, by the acceptor's clock. The lease is valid from the time at which its holder first requested it, by the
+//! holder's clock, and ends [`LeaseConfig::clock_margin_s`] earlier. So each grant outlasts its lease at any network
+//! latency, as long as the drift between two clocks doesn't exceed the margin.
 //!
-//! [`Acceptor`] grants, a [`Candidacy`] for each role requests, and [`Leases`] joins them.
+//! The protocol is PaxosLease (Trencseni and others, 2012) with one phase instead of two: members only have to agree on
+//! which request was first, and a candidate that fails releases its grants.
+//!
+//! An [`Acceptor`] grants leases, a [`Candidacy`] requests the lease on one role, and [`Leases`] combines them.
 
 mod acceptor;
 mod actions;
@@ -33,12 +35,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use woadreach_membership::MemberId;
 
-/// A clock that advances by more than this part of a lease between two calls has jumped.
+/// Maximum advance of the clock between two calls, as a fraction of the lease duration. A larger one counts as a jump.
 const MAX_CLOCK_STEP: f64 = 0.75;
 
-/// The leases of one member, as acceptor and as candidate or holder.
+/// The leases of one member, both as an acceptor and as a candidate or holder.
 ///
-/// All times are in seconds of the member's own clock, whose origin doesn't matter.
+/// All times are in seconds of the member's own clock, which may have any origin.
 #[derive(Clone, Debug)]
 pub struct Leases {
     id: MemberId,
@@ -46,27 +48,27 @@
     roster_size: usize,
     config: LeaseConfig,
     random: Pcg64Mcg,
-    /// The time of the latest call. A call with an earlier one means that the clock went back.
+    /// Time of the latest call. A call with an earlier time means that the clock was set back.
     last_call_s: f64,
     acceptor: Acceptor,
     holders: KnownHolders,
-    /// The roles of which this member is a candidate or the holder.
+    /// Roles for which this member is a candidate or the holder.
     candidacies: BTreeMap<Role, Candidacy>,
-    /// Of the latest proposal. It wraps: an answer to a proposal that is not the current one has another id.
+    /// Id of the latest proposal. It identifies answers to earlier proposals, which are ignored. It wraps.
     last_request_id: u16,
     counters: LeaseCounters,
 }
 
-/// Counts and reports that a lease has ended.
+/// Counts the end of a lease and adds the event.
 fn record_loss(role: Role, epoch: u32, counters: &mut LeaseCounters, actions: &mut Actions) {
     counters.lost += 1;
     actions.events.push(LeaseEvent::Lost { role, epoch });
 }
 
 impl Leases {
-    /// The leases of the member `id`, of `roster_size` members in all; both must be the same at all members. A new
-    /// acceptor may have forgotten grants of its last run, so it is silent at first: after all members have started at
-    /// once, no role has a holder for the duration of a lease.
+    /// Creates the leases of the member `id`. All members must have the same roster, of `roster_size` members. A new
+    /// acceptor may have lost grants of its previous run, so it answers no requests at first: after a simultaneous start
+    /// of all members, no role has a holder for the duration of a lease.
     pub fn new(
         id: MemberId,
         roster_size: usize,
@@ -91,42 +93,42 @@
         }
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start of this member.
     pub fn counters(&self) -> &LeaseCounters {
         &self.counters
     }
 
-    /// Sets the roles that are to be held, each with the live members that are candidates for it, and does what is due.
-    /// Roles that are not named, or for which this member is no candidate, are released.
+    /// Sets the live members that are candidates for each role, and performs all due steps. Roles that are not in
+    /// `candidates`, or for which this member is not a candidate, are released.
     pub fn set_candidates(
         &mut self,
         now_s: f64,
         candidates: &BTreeMap<Role, Vec<MemberId>>,
     ) -> Actions {
         let mut actions = self.tick(now_s);
-        let unnamed: Vec<Role> = self
+        let removed: Vec<Role> = self
             .candidacies
             .keys()
             .filter(|role| !candidates.contains_key(role))
             .copied()
             .collect();
-        for role in unnamed {
-            self.withdraw(now_s, role, &mut actions);
+        for role in removed {
+            self.end_candidacy(now_s, role, &mut actions);
         }
         for (role, members) in candidates {
             if members.contains(&self.id) {
-                self.stand(now_s, *role, members);
+                self.update_candidacy(now_s, *role, members);
             } else {
-                self.withdraw(now_s, *role, &mut actions);
+                self.end_candidacy(now_s, *role, &mut actions);
             }
         }
         actions
     }
 
-    /// The token to act under, if this member holds the role at this moment.
+    /// Returns the token for actions in this role; `None` if this member doesn't have the lease at `now_s`.
     pub fn token(&self, now_s: f64, role: Role) -> Option<FencingToken> {
         let candidacy = self.candidacies.get(&role)?;
-        // Once the clock has gone back, the lease may have expired without this member noticing.
+        // After the clock was set back, the lease may have expired undetected.
         let clock_is_valid = now_s >= self.last_call_s;
         let is_held = candidacy
             .held_until_s
@@ -134,7 +136,7 @@
         (clock_is_valid && is_held).then_some(self.own_token(candidacy.epoch))
     }
 
-    /// The roles that this member holds at this moment.
+    /// Returns the roles on which this member has the lease at `now_s`.
     pub fn held_roles(&self, now_s: f64) -> Vec<Role> {
         self.candidacies
             .keys()
@@ -143,18 +145,18 @@
             .collect()
     }
 
-    /// Whether an action under this token is valid; if so, its holder counts as alive.
+    /// Checks the token of an action. Returns whether the action is valid; if so, records that its holder is alive.
     ///
-    /// A holder that resumes after a stall may act under a lease that has passed to another: its action is rejected by
-    /// every member that has seen a later token. The cost: after most acceptors have restarted at once, a new holder's
-    /// epoch may be low, and it is rejected until it has learnt of the higher one.
+    /// A holder that resumes after a stall may act under a lease that another member has acquired since. Every member
+    /// that has seen a later token rejects such an action. The drawback: after a simultaneous restart of most acceptors,
+    /// the epoch of a new holder may be too low, and its actions are rejected until it has learnt of the higher epoch.
     pub fn accept_token(&mut self, now_s: f64, role: Role, token: FencingToken) -> bool {
         if self.holders.supersedes(role, token) {
             self.counters.stale_tokens += 1;
             return false;
         }
         self.holders.record(now_s, role, token);
-        // While there is a holder, a proposal would only be denied.
+        // A proposal would be denied while there is a holder, so it is postponed.
         let waiting_rank = self
             .candidacies
             .get(&role)
@@ -169,21 +171,21 @@
         true
     }
 
-    /// When [`Leases::tick`] is due. Calls of other methods may bring it forward.
+    /// Returns the time at which [`Leases::tick`] is due. Calls of other methods may make it earlier.
     pub fn next_due_s(&self) -> f64 {
         let candidacies = self.candidacies.values();
         let first = candidacies
             .map(Candidacy::next_due_s)
             .fold(f64::INFINITY, f64::min);
         if self.acceptor.has_grants() {
-            // Often enough to detect a clock that jumps.
+            // Jumps of the clock are detected only if calls are more frequent than the maximum step.
             first.min(self.last_call_s + self.config.lease_duration_s / 4.0)
         } else {
             first
         }
     }
 
-    /// Does what is due.
+    /// Performs all due steps: expiry, renewals, proposals and retries.
     pub fn tick(&mut self, now_s: f64) -> Actions {
         let mut actions = Actions::default();
         self.check_clock(now_s, &mut actions);
@@ -207,17 +209,17 @@
         rendezvous::acceptors(role, self.roster_size, self.config.max_acceptors)
     }
 
-    /// The highest epoch that this member knows of, as acceptor or from a holder's actions.
+    /// Returns the highest epoch that this member knows of, from its grants and from the actions of holders.
     fn highest_epoch(&self, role: Role) -> u32 {
         let granted = self.acceptor.highest_epoch(role);
         self.holders.epoch(role).max(granted)
     }
 
-    /// Becomes a candidate, or updates its rank among the candidates.
-    fn stand(&mut self, now_s: f64, role: Role, candidates: &[MemberId]) {
+    /// Makes this member a candidate for a role, or updates its rank among the candidates.
+    fn update_candidacy(&mut self, now_s: f64, role: Role, candidates: &[MemberId]) {
         let own_weight = rendezvous::weight(role, self.id);
-        let is_before = |member: &&MemberId| rendezvous::weight(role, **member) < own_weight;
-        let rank = candidates.iter().filter(is_before).count();
+        let is_preferred = |member: &&MemberId| rendezvous::weight(role, **member) < own_weight;
+        let rank = candidates.iter().filter(is_preferred).count();
         if let Some(candidacy) = self.candidacies.get_mut(&role) {
             candidacy.rank = rank;
         } else {
@@ -227,8 +229,8 @@
         }
     }
 
-    /// Releases a role and is no candidate any more.
-    fn withdraw(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
+    /// Ends this member's candidacy for a role, and releases its lease or its grants.
+    fn end_candidacy(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
@@ -237,7 +239,7 @@
             .take()
             .is_some_and(|until_s| now_s < until_s);
         if was_held {
-            // The lease ends here, before any acceptor is notified.
+            // The lease ends locally before any acceptor is notified.
             record_loss(role, candidacy.epoch, &mut self.counters, actions);
         }
         if was_held || candidacy.proposal.is_some() {
@@ -246,7 +248,8 @@
         self.candidacies.remove(&role);
     }
 
-    /// When to propose first: not while another member is known to hold the role, and later the higher the rank.
+    /// Returns the time of the first proposal: after the lease of another known holder, with a random delay that
+    /// increases with the rank.
     fn first_proposal_s(&mut self, now_s: f64, role: Role, rank: usize) -> f64 {
         let lease_duration_s = self.config.lease_duration_s;
         let other_lease_end_s = self
@@ -258,9 +261,9 @@
         other_lease_end_s.map_or(now_s, |end| end.max(now_s)) + delay_s.min(lease_duration_s)
     }
 
-    /// Detects a clock that has jumped, and treats it like a restart: a clock that jumps ahead ends grants that are
-    /// still valid, one that goes back extends leases. A stall of the process looks like a jump ahead. The cost: a
-    /// process that has stalled grants nothing for the duration of a lease.
+    /// Detects a jump of the clock and handles it like a restart: a forward jump would expire grants that are still
+    /// valid, a backward one would extend leases. A stall of the process looks like a forward jump. The drawback: after
+    /// a stall, a process issues no grants for the duration of a lease.
     fn check_clock(&mut self, now_s: f64, actions: &mut Actions) {
         let went_back = now_s < self.last_call_s;
         let max_step_s = self.config.lease_duration_s * MAX_CLOCK_STEP;
@@ -279,7 +282,7 @@
         self.last_call_s = now_s;
     }
 
-    /// Gives up a proposal that has failed and backs off.
+    /// Abandons a failed proposal and backs off.
     fn abandon_proposal(&mut self, role: Role, actions: &mut Actions) {
         if let Some(candidacy) = self.candidacies.get_mut(&role) {
             candidacy.back_off(self.random.random(), &self.config);
@@ -287,7 +290,7 @@
         self.release(role, actions);
     }
 
-    /// Gives back to the acceptors what a proposal or a lease was granted.
+    /// Releases the grants of a proposal or of a lease at all acceptors.
     fn release(&mut self, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
@@ -297,7 +300,7 @@
         let token = self.own_token(epoch);
         self.acceptor.release(role, token);
         let acceptors = self.acceptors(role);
-        // Each message goes twice: if it is lost, the acceptor is blocked until its grant expires.
+        // Each message is sent twice: if it is lost, the grant blocks the acceptor until it expires.
         for to in acceptors.iter().chain(&acceptors) {
             if *to != self.id {
                 let message = Message::Release {
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Does what is due for a role.
+    /// Executes the step that is due for a role.
     fn advance(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
@@ -324,7 +327,7 @@
         }
     }
 
-    /// Ends a lease that has expired, and backs off.
+    /// Ends an expired lease and backs off.
     fn expire(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
@@ -337,7 +340,7 @@
         self.release(role, actions);
     }
 
-    /// Starts a proposal, or a renewal.
+    /// Starts a proposal or a renewal.
     fn propose(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let highest_epoch = self.highest_epoch(role);
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
@@ -348,7 +351,8 @@
         self.request_grants(now_s, role, actions);
     }
 
-    /// Sends the current proposal to every acceptor that has not answered it; this member answers itself directly.
+    /// Sends the current proposal to every acceptor that has not answered it. If this member is an acceptor as well, it
+    /// answers without a message.
     fn request_grants(&mut self, now_s: f64, role: Role, actions: &mut Actions) {
         let Some(candidacy) = self.candidacies.get(&role) else {
             return;
--- a/crates/router/lease/src/leases/receive.rs
+++ b/crates/router/lease/src/leases/receive.rs
@@ -1,4 +1,4 @@
-//! Requests, answers and releases of other members.
+//! Handling of requests, answers and releases from other members.
 
 use super::Leases;
 use super::acceptor::LeaseRequest;
@@ -12,7 +12,7 @@
 use woadreach_membership::MemberId;
 
 impl Leases {
-    /// Handles a message of another member. Messages that are not about leases are ignored.
+    /// Handles a message from another member. Messages that are not part of the lease protocol are ignored.
     pub fn receive(&mut self, now_s: f64, from: MemberId, message: &Message) -> Actions {
         let mut actions = Actions::default();
         self.check_clock(now_s, &mut actions);
@@ -35,7 +35,7 @@
                     request_id,
                     is_holder,
                 };
-                self.yield_to(now_s, role, from, &mut actions);
+                self.yield_to_preferred(now_s, role, from, &mut actions);
                 if let Some(answer) = self.answer(now_s, &request) {
                     actions.send(from, answer);
                 }
@@ -62,21 +62,27 @@
         actions
     }
 
-    /// Abandons an own proposal in favour of a candidate that comes before this one, since two that propose at once may
-    /// each get some of the acceptors and neither a majority. The cost: where the other can't succeed either, a moment
-    /// is lost.
-    fn yield_to(&mut self, now_s: f64, role: Role, candidate: MemberId, actions: &mut Actions) {
-        let is_before = rendezvous::weight(role, candidate) < rendezvous::weight(role, self.id);
+    /// Abandons this member's proposal in favour of a preferred candidate, because concurrent proposals may split the
+    /// acceptors so that neither has a majority. The drawback: if the other candidate fails as well, the lease is
+    /// acquired later.
+    fn yield_to_preferred(
+        &mut self,
+        now_s: f64,
+        role: Role,
+        candidate: MemberId,
+        actions: &mut Actions,
+    ) {
+        let is_preferred = rendezvous::weight(role, candidate) < rendezvous::weight(role, self.id);
         let Some(candidacy) = self.candidacies.get_mut(&role) else {
             return;
         };
-        if is_before && !candidacy.is_holder() && candidacy.proposal.is_some() {
+        if is_preferred && !candidacy.is_holder() && candidacy.proposal.is_some() {
             candidacy.next_proposal_s = now_s + self.config.proposal_timeout_s;
             self.abandon_proposal(role, actions);
         }
     }
 
-    /// As an acceptor; `None` if this member is no acceptor of the role, or silent.
+    /// Answers a request as an acceptor. Returns `None` if this member is not an acceptor of the role, or is recovering.
     pub(super) fn answer(&mut self, now_s: f64, request: &LeaseRequest) -> Option<Message> {
         if !self.acceptors(request.role).contains(&self.id) {
             return None;
@@ -86,7 +92,7 @@
             .answer(now_s, request, highest_epoch, &self.config)
     }
 
-    /// Records an acceptor's answer to a request of this member's current run.
+    /// Records the answer of the acceptor `by` to a request of this member's current run.
     pub(super) fn record_answer(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/src/lib.rs
+++ b/crates/router/lease/src/lib.rs
@@ -1,15 +1,15 @@
-//! Singleton roles of a tier of co-ordinators, each held by one member at a time under a lease.
+//! Singleton roles in a tier of co-ordinators, each assigned to one member at a time by a lease.
 //!
-//! Start with [`SingletonRoles`]: it is the state machine that a co-ordinator's driver feeds with times, payloads
-//! and demands, and whose [`RoleActions`] it executes. The crate has no clock, no socket and no thread. Inside it:
+//! Start with [`SingletonRoles`], a state machine without a clock, a socket or a thread. The driver of a co-ordinator
+//! calls it with times, payloads and demands, and executes the returned [`RoleActions`]. Its parts:
 //!
-//! - [`Leases`] decides who holds a [`Role`]. It asks a fixed set of acceptors for a lease, and answers such requests
-//!   as an acceptor itself. A majority of grants is a lease. Every action of a holder carries a [`FencingToken`], and a
-//!   member that has seen a later token rejects it. Nothing is written to disk: an acceptor that may have forgotten a
-//!   grant stays silent for as long as that grant could be valid.
-//! - [`QuotaShare`] and [`QuotaAllocator`] share out the request quota of replicas that are warming up.
-//! - [`EndpointUpdates`] passes on that a replica drains or has departed.
-//! - [`Message`] is what members send each other, with [`encode_messages`] and [`decode_messages`] as its codec.
+//! - [`Leases`] determines the holder of each [`Role`]. A candidate requests a lease from a fixed set of acceptors, and
+//!   has acquired it once a majority has granted it. Every member answers such requests as an acceptor. Every action of
+//!   a holder contains a [`FencingToken`], and a member that has seen a later token rejects the action. Leases are not
+//!   persisted: an acceptor that may have lost a grant answers no request for as long as that grant could be valid.
+//! - [`QuotaShare`] and [`QuotaAllocator`] distribute the request quota of replicas that are warming up.
+//! - [`EndpointUpdates`] distributes the news that a replica is draining or has departed.
+//! - [`Message`] is a message between members, with [`encode_messages`] and [`decode_messages`] as its codec.
 //!
 //! Design, alternatives and the operators' page: `docs/leases.md`.
 
--- a/crates/router/lease/src/message.rs
+++ b/crates/router/lease/src/message.rs
@@ -1,6 +1,6 @@
-//! Messages between members on singleton roles, and their encoding.
+//! Messages between members about singleton roles, and their codec.
 //!
-//! The encoding is postcard: variants and fields are identified by their order, so neither may be reordered.
+//! The encoding is postcard. It identifies variants and fields by their order, so neither may be reordered.
 
 use crate::clock_stamp::ClockStamp;
 use crate::endpoint_update::EndpointUpdate;
@@ -13,100 +13,100 @@
 /// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To an acceptor: the sender requests a lease, or its renewal.
+    /// Sent to an acceptor: requests a lease or its renewal.
     Request {
-        /// The role whose lease is requested.
+        /// Role whose lease is requested.
         role: Role,
-        /// The epoch of the lease.
+        /// Epoch of the requested lease.
         epoch: u32,
-        /// The sender's run.
+        /// Current run of the sender.
         incarnation: Incarnation,
-        /// Tells this request from others of the same sender.
+        /// Distinguishes the proposals of one sender. Retries of a proposal have the same id, and ids wrap.
         request_id: u16,
-        /// Whether the sender holds the lease, and requests a grant for its whole duration.
+        /// Whether the sender has the lease and requests a grant of the full lease duration.
         is_holder: bool,
     },
-    /// An acceptor grants a request.
+    /// Sent by an acceptor: the request is granted.
     Granted {
-        /// The role that was requested.
+        /// Role of the request.
         role: Role,
-        /// The epoch that was requested.
+        /// Epoch of the request.
         epoch: u32,
-        /// The incarnation that requested it.
+        /// Run of the member that sent the request.
         incarnation: Incarnation,
-        /// The request that is answered.
+        /// `request_id` of the request.
         request_id: u16,
     },
-    /// An acceptor denies a request.
+    /// Sent by an acceptor: the request is denied.
     Denied {
-        /// The role that was requested.
+        /// Role of the request.
         role: Role,
-        /// The highest epoch that the acceptor knows of.
+        /// Highest epoch that the acceptor knows of.
         epoch: u32,
-        /// The incarnation that requested it.
+        /// Run of the member that sent the request.
         incarnation: Incarnation,
-        /// The request that is answered.
+        /// `request_id` of the request.
         request_id: u16,
-        /// After how many hundredths of a second a new request may be granted.
+        /// Time until a new request may be granted, in hundredths of a second.
         wait_centis: u16,
     },
-    /// To an acceptor: the sender gives up a lease, or a request that found no majority.
+    /// Sent to an acceptor: releases a lease, or the grants of a proposal that was abandoned.
     Release {
-        /// The role whose lease is given up.
+        /// Role whose lease is released.
         role: Role,
-        /// The epoch of the lease.
+        /// Epoch of the lease.
         epoch: u32,
-        /// The sender's run.
+        /// Current run of the sender.
         incarnation: Incarnation,
     },
-    /// From the holder of [`Role::EndpointWatch`]: it is alive, and these replicas take nothing new.
+    /// Sent by the holder of [`Role::EndpointWatch`]: the holder is alive, and these replicas accept no new requests.
     EndpointUpdates {
-        /// The sender's role.
+        /// Role of the sender.
         role: Role,
-        /// The sender's lease.
+        /// Token of the sender's lease.
         token: FencingToken,
-        /// Replicas that drain or have departed.
+        /// Replicas that are draining or have departed. May be empty.
         updates: Vec<EndpointUpdate>,
     },
-    /// From the holder of [`Role::QuotaAllocator`]: it is alive. Other members pass it on.
+    /// Sent by the holder of [`Role::QuotaAllocator`]: the holder is alive. Other members forward it.
     Beacon {
-        /// The allocator's role.
+        /// Role of the allocator.
         role: Role,
-        /// The allocator's lease.
+        /// Token of the allocator's lease.
         token: FencingToken,
-        /// When the allocator sent it, by its own clock.
+        /// Time of sending, by the clock of the allocator.
         sent_at: ClockStamp,
     },
-    /// To a quota allocator: what the sender would send to warming replicas, and which shares it releases.
+    /// Sent to a quota allocator: the sender's demand for warming replicas, and the shares that it releases.
     Demands {
-        /// The allocator's role.
+        /// Role of the allocator.
         role: Role,
-        /// The allocator's lease, by its latest beacon.
+        /// Token of the allocator's lease, from its latest beacon.
         token: FencingToken,
         /// `sent_at` of that beacon.
         beacon_sent_at: ClockStamp,
-        /// When this message was sent, by the sender's clock.
+        /// Time of sending, by the clock of the sender.
         sent_at: ClockStamp,
-        /// One for each replica.
+        /// One entry for each replica.
         demands: Vec<ReplicaDemand>,
     },
-    /// From a quota allocator: quota beyond the receiver's even share.
+    /// Sent by a quota allocator: quota in addition to the receiver's even share.
     QuotaGrants {
-        /// The allocator's role.
+        /// Role of the allocator.
         role: Role,
-        /// The allocator's lease.
+        /// Token of the allocator's lease.
         token: FencingToken,
-        /// `sent_at` of the demands that are answered.
+        /// `sent_at` of the [`Message::Demands`] that this message answers.
         demands_sent_at: ClockStamp,
-        /// For how many hundredths of a second after `demands_sent_at` the grants are valid.
+        /// Validity of the grants after `demands_sent_at`, in hundredths of a second.
         valid_for_centis: u16,
-        /// One for each replica.
+        /// One entry for each replica.
         grants: Vec<QuotaGrant>,
     },
 }
 
 impl Message {
-    /// The fencing token, in messages that carry one.
+    /// Returns the fencing token; `None` for lease requests, their answers and releases.
     fn token(&self) -> Option<&FencingToken> {
         match self {
             Message::EndpointUpdates { token, .. }
@@ -118,10 +118,10 @@
     }
 }
 
-/// Limit on the messages of one datagram, beside the limit on its bytes.
+/// Limit on the number of messages in one datagram, in addition to the limit on its bytes.
 pub const MAX_MESSAGES: usize = 32;
 
-/// Encodes messages as one payload; it is empty if there are none.
+/// Encodes messages as one payload. Without messages the payload is empty.
 pub fn encode_messages(messages: &[Message]) -> Vec<u8> {
     if messages.is_empty() {
         Vec::new()
@@ -131,8 +131,9 @@
     }
 }
 
-/// Decodes a payload from any process. `None` if it is malformed, has bytes left over, has more than [`MAX_MESSAGES`]
-/// messages, or names a holder outside a roster of `roster_size` members; all of it is rejected then.
+/// Decodes an untrusted payload. Returns `None` if the payload is malformed, has trailing bytes, has more than
+/// [`MAX_MESSAGES`] messages, or names a lease holder outside a roster of `roster_size` members. Such a payload is
+/// rejected as a whole.
 pub fn decode_messages(bytes: &[u8], roster_size: usize) -> Option<Vec<Message>> {
     if bytes.is_empty() {
         return Some(Vec::new());
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -1,4 +1,4 @@
-//! The lease holder's table of released and granted shares.
+//! The allocator side of quota allocation, which runs at the lease holder.
 
 use super::FULL_QUOTA;
 use super::config::QuotaConfig;
@@ -7,25 +7,25 @@
 use std::collections::BTreeMap;
 use woadreach_membership::MemberId;
 
-/// Part of its true length that a duration has at least by a clock of another rate.
+/// Tolerance for clocks of different rates: a duration is at least this fraction of its length by another clock.
 const CLOCK_RATE_TOLERANCE: f64 = 0.98;
 
-/// A grant that may still be in use.
+/// A grant that a member may still use, or has used within the last slow-start window.
 #[derive(Clone, Copy, Debug)]
 struct ActiveGrant {
-    /// In 65,535ths of the replica's complete quota.
+    /// Granted quota in 65,535ths of the replica's total quota.
     fraction: u16,
-    /// When it no longer counts as used. That is a slow-start window after it expires, since the replica counts what
-    /// was sent under it for that long.
+    /// Time from which the grant no longer counts as used. It is one slow-start window after expiry, because requests sent
+    /// under the grant count against the replica's quota for that long.
     counts_until_s: f64,
 }
 
 /// Released and granted shares of one replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaQuota {
-    /// Until when, at the least and by the allocator's clock, each member has released its share.
+    /// Earliest end of each member's release, by the allocator's clock.
     released_until_s: BTreeMap<MemberId, f64>,
-    /// Each was given out of shares that are released until its `counts_until_s` at the least.
+    /// Grants by member. Each is backed by shares that are released until its `counts_until_s` or later.
     grants: BTreeMap<MemberId, ActiveGrant>,
 }
 
@@ -44,8 +44,8 @@
         *released_until_s = released_until_s.max(until_s);
     }
 
-    /// The fraction for a member that demands `parts`, from shares released until `counts_until_s` at least. `None` if
-    /// nothing can be granted, or less than the member already has.
+    /// Returns the fraction that can be granted to a member that demands `parts`, from shares that are released until
+    /// `counts_until_s` or later. Returns `None` if nothing can be granted, or less than the member's active grant.
     fn grantable(
         &self,
         member: MemberId,
@@ -71,37 +71,38 @@
         if limit < current {
             return None;
         }
-        // First come, first served suffices: a grant is renewed only while there is demand.
+        // First come, first served is sufficient, as a grant is renewed only while there is demand.
         let demanded = even_share.saturating_mul(u16::from(parts));
         let fraction = limit.min(current.max(demanded));
         (fraction > 0).then_some(fraction)
     }
 }
 
-/// The times that apply to all demands of one report, by the allocator's clock.
+/// The terms for all grants that answer one report. Times are by the allocator's clock.
 #[derive(Clone, Copy, Debug)]
 struct GrantTerms {
-    /// Until when the member has released the shares that it reports as released, at the least.
+    /// Earliest end of the releases in the report.
     released_until_s: f64,
-    /// When grants to the member expire.
+    /// Expiry of the grants.
     valid_until_s: f64,
-    /// When such grants no longer count as used; see [`ActiveGrant`].
+    /// Time from which the grants no longer count as used; see [`ActiveGrant`].
     counts_until_s: f64,
-    /// Whether anything may be granted now.
+    /// Whether grants are permitted now.
     may_grant: bool,
 }
 
 /// The grants that answer one report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Allocation {
-    /// One for each replica of which something is granted.
+    /// One entry for each replica whose quota was granted.
     pub grants: Vec<QuotaGrant>,
-    /// Until when the grants are valid, by the allocator's clock.
+    /// Expiry of the grants, by the allocator's clock.
     pub valid_until_s: f64,
 }
 
-/// The lease holder's table of released and granted shares. It is void once the lease ends. A new allocator starts with
-/// an empty table and grants nothing until every earlier allocator's grants have expired.
+/// The state of a quota allocator: which shares members have released, and which were granted to others. It must be
+/// discarded once the lease ends. A new allocator starts empty, and grants nothing until the grants of all earlier
+/// allocators have expired.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     config: QuotaConfig,
@@ -111,8 +112,8 @@
 }
 
 impl QuotaAllocator {
-    /// An allocator whose lease was acquired at `now_s`. `member_count` is the number of members among which the quota
-    /// is split by the settings.
+    /// Creates an allocator whose lease was acquired at `now_s`. `member_count` is the number of members among which the
+    /// settings split the quota.
     pub fn new(member_count: usize, config: QuotaConfig, now_s: f64) -> QuotaAllocator {
         QuotaAllocator {
             config,
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Records a member's report and answers it with grants.
+    /// Records a member's report and returns the grants that answer it.
     ///
-    /// `beacon_sent_at_s` is when the beacon was sent that the member had received, by the allocator's clock: what the
-    /// member releases, it has released since then at the earliest. A grant ends a window before the release that it
-    /// rests on, and counts as used for a window after it ends. So no share is used twice, even if datagrams are late,
-    /// lost or duplicated. The cost is that a share is idle for a window between two members that use it.
+    /// `beacon_sent_at_s` is the time, by the allocator's clock, at which it sent the latest beacon that the member had
+    /// received; the member's releases start no earlier. A grant ends one window before the releases that back it, and
+    /// counts as used for one window after its end. So no share is used twice, even if datagrams are delayed, lost or
+    /// duplicated. The drawback is that a share is idle for one window when it passes from one member to another.
     pub fn allocate(
         &mut self,
         now_s: f64,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The terms for a member that has received the beacon of `beacon_sent_at_s`.
+    /// Returns the terms for a member whose latest beacon was sent at `beacon_sent_at_s`.
     fn grant_terms(&self, now_s: f64, beacon_sent_at_s: f64) -> GrantTerms {
         let config = &self.config;
         let released_until_s = beacon_sent_at_s
@@ -155,7 +156,7 @@
         let valid_until_s = (beacon_sent_at_s + config.release_duration_s * CLOCK_RATE_TOLERANCE
             - config.clock_margin_s)
             .min(now_s + config.grant_duration_s);
-        // Until then, grants of an earlier allocator may be in use.
+        // Grants of an earlier allocator may be in use until then.
         let starts_granting_at_s = self.started_at_s + config.release_duration_s + config.window_s;
         GrantTerms {
             released_until_s,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Records a member's release of a replica, or grants what it demands of it as far as it can.
+    /// Records a member's release of its share in a replica, or grants as much of its demand as possible.
     fn answer_demand(
         &mut self,
         now_s: f64,
@@ -200,7 +201,7 @@
         })
     }
 
-    /// Forgets replicas without releases and grants.
+    /// Removes expired releases and grants, and replicas that have neither.
     pub fn remove_expired(&mut self, now_s: f64) {
         for quota in self.replicas.values_mut() {
             quota.remove_expired(now_s);
--- a/crates/router/lease/src/quota/config.rs
+++ b/crates/router/lease/src/quota/config.rs
@@ -3,24 +3,25 @@
 /// Timing and limits of quota allocation. Times are in seconds of the member's own clock.
 #[derive(Clone, Debug)]
 pub struct QuotaConfig {
-    /// For how long a share is released, beyond `window_s`, in seconds.
+    /// Duration of a release, in addition to `window_s`, in seconds.
     pub release_duration_s: f64,
-    /// A member that has neither demanded nor sent anything for this time, in seconds, releases its share. Why it
-    /// exceeds `window_s`: `docs/leases.md#what-would-change-our-mind`.
+    /// Time without demand or sent parts after which a member releases its share, in seconds. For the reason why it
+    /// exceeds `window_s`, see `docs/leases.md#what-would-change-our-mind`.
     pub idle_timeout_s: f64,
-    /// For how long a grant is valid, in seconds. It must be at least three of `report_interval_s`, so that a grant is
+    /// Maximum validity of a grant, in seconds. It must be at least three times `report_interval_s`, so that a grant is
     /// renewed in time, and shorter than `release_duration_s` by the age of a beacon.
     /// Measurements: `docs/leases.md#grant-duration`.
     pub grant_duration_s: f64,
-    /// Time between two reports of a member to the allocators, in seconds.
+    /// Interval between two reports of a member to the allocators, in seconds.
     pub report_interval_s: f64,
-    /// For how long an allocator's beacon is valid, in seconds.
+    /// Validity of an allocator's beacon, in seconds.
     pub beacon_timeout_s: f64,
-    /// Window of the slow-start rule, in seconds: how long a sent part counts against the replica's quota.
+    /// Window of the slow-start rule, in seconds: a part counts against the replica's quota for this time after it was
+    /// sent.
     pub window_s: f64,
-    /// How much sooner than a release a grant of it ends, in seconds, for clocks whose rates differ.
+    /// Time by which grants end before the releases that back them, in seconds, to tolerate clocks of different rates.
     pub clock_margin_s: f64,
-    /// Limit on the replicas in the state table. Further ones have their even shares.
+    /// Limit on the number of replicas in the state table. For further replicas, members keep their even shares.
     pub max_replicas: usize,
 }
 
--- a/crates/router/lease/src/quota/demand.rs
+++ b/crates/router/lease/src/quota/demand.rs
@@ -1,33 +1,33 @@
-//! Demand for the quota of warming replicas, and grants of it.
+//! Demand for the quota of warming replicas, and grants that answer it.
 
 use crate::replica_key::ReplicaKey;
 use serde::{Deserialize, Serialize};
 
-/// What one member reports to the allocator about a warming replica.
+/// One member's demand for a warming replica, as reported to the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaDemand {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Parts that the member would have sent to it since its last report; 0 if it releases its share.
+    /// Number of parts that the member would have sent to the replica since its last report; 0 if it releases its share.
     pub parts: u8,
 }
 
-/// Quota of a replica beyond a member's even share.
+/// Quota of a replica in addition to a member's even share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// In 65,535ths of the replica's complete quota.
+    /// Granted quota in 65,535ths of the replica's total quota.
     pub fraction: u16,
 }
 
-/// What this member would send to a warming replica, as counted by its driver.
+/// This member's demand for a warming replica, as counted by its driver.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalDemand {
-    /// The replica.
+    /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Parts that it would have sent there since the last update.
+    /// Number of parts that this member would have sent to the replica since the last update.
     pub parts: u32,
-    /// Whether it has sent any within the slow-start window.
+    /// Whether this member has sent the replica any part within the slow-start window.
     pub sent_recently: bool,
 }
--- a/crates/router/lease/src/quota/mod.rs
+++ b/crates/router/lease/src/quota/mod.rs
@@ -1,12 +1,13 @@
-//! How the request quota of a warming replica is shared out among the members that send to it.
+//! Allocation of the request quota of a warming replica to the members that send to it.
 //!
-//! Without messages each member may send its even share: the quota divided by the number of members. With many members
-//! that is less than one part, and most of it belongs to members that have no part to send. A member that has sent a
-//! warming replica nothing lately may therefore *release* its share for some seconds, by its own clock and whether or
-//! not anybody receives its message. The allocator grants what was released, and nothing else, to members that demand
-//! it. So the shares in use never add up to more than the quota, and a member that receives nothing has its even share.
+//! By default each member may use its even share: the quota divided by the number of members. With many members an even
+//! share is less than one part, and most shares belong to members that have no part to send. A member that has recently
+//! sent nothing to a warming replica therefore *releases* its share for some seconds. The release is valid by the
+//! member's own clock, even if its message is lost. The allocator grants released shares, and only these, to members that
+//! demand them. So the sum of the shares in use never exceeds the quota, and a member that receives no message has its
+//! even share.
 //!
-//! [`QuotaShare`] is each member's side, [`QuotaAllocator`] that of the lease holder.
+//! [`QuotaShare`] is the state of each member, [`QuotaAllocator`] that of the lease holder.
 
 mod allocator;
 mod config;
@@ -18,5 +19,5 @@
 pub use demand::{LocalDemand, QuotaGrant, ReplicaDemand};
 pub use share::QuotaShare;
 
-/// The complete quota of a replica, in the unit of [`QuotaGrant::fraction`].
+/// The total quota of a replica, in the unit of [`QuotaGrant::fraction`].
 const FULL_QUOTA: f64 = 65_535.0;
--- a/crates/router/lease/src/quota/share.rs
+++ b/crates/router/lease/src/quota/share.rs
@@ -1,4 +1,4 @@
-//! A member's own share of each warming replica's quota.
+//! The member side of quota allocation.
 
 use super::FULL_QUOTA;
 use super::config::QuotaConfig;
@@ -6,38 +6,39 @@
 use crate::replica_key::ReplicaKey;
 use std::collections::BTreeMap;
 
-/// Limit on the replicas of one report. They are taken in the order of their keys, from the one after the last that the
-/// report before had: each has its turn, also where idle replicas, of which every report may tell, are more than this.
+/// Limit on the number of replicas in one report. Reports select replicas round-robin in the order of their keys, so that
+/// every replica is reported eventually, even if more replicas than this are idle and thus part of every report.
 const MAX_DEMANDS_PER_REPORT: usize = 32;
 
 /// A member's share of one replica.
 #[derive(Clone, Debug, Default)]
 struct ReplicaShare {
-    /// Until when the even share is released.
+    /// End of the release of the even share.
     released_until_s: f64,
-    /// The latest grant, in 65,535ths of the quota.
+    /// Latest grant, in 65,535ths of the total quota.
     granted_fraction: u16,
-    /// When the latest grant expires.
+    /// Expiry of the latest grant.
     granted_until_s: f64,
-    /// Parts demanded since the last report.
+    /// Number of parts demanded since the last report.
     unreported_parts: u32,
-    /// When anything was last demanded or sent.
+    /// Time of the latest demand or sent part.
     last_active_s: f64,
 }
 
-/// A member's own share of the quota of each warming replica.
+/// This member's share of the quota of each warming replica.
 #[derive(Clone, Debug)]
 pub struct QuotaShare {
     config: QuotaConfig,
     member_count: usize,
     replicas: BTreeMap<ReplicaKey, ReplicaShare>,
     last_report_s: f64,
-    /// The last replica of the latest report on each bucket.
+    /// Last replica in the latest report on each bucket.
     last_reported: BTreeMap<u8, ReplicaKey>,
 }
 
 impl QuotaShare {
-    /// `member_count` is the number of members among which the quota is split by the settings.
+    /// Creates the state without any replicas. `member_count` is the number of members among which the settings split the
+    /// quota.
     pub fn new(member_count: usize, config: QuotaConfig) -> QuotaShare {
         QuotaShare {
             config,
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Records the demand for all warming replicas that the endpoint list names. Other replicas are forgotten, unless
-    /// their shares are released.
+    /// Records the demand for all warming replicas in the endpoint list. Other replicas are removed, unless their shares
+    /// are released.
     pub fn record_demand(&mut self, now_s: f64, demands: &[LocalDemand]) {
         for demand in demands {
             let is_full = self.replicas.len() >= self.config.max_replicas;
@@ -73,7 +74,7 @@
             .retain(|replica, share| is_named(replica) || share.released_until_s > now_s);
     }
 
-    /// Whether a report to the allocators is due. If so, the next is due an interval later.
+    /// Returns whether a report to the allocators is due. If so, the next report is due after `report_interval_s`.
     pub fn start_report_if_due(&mut self, now_s: f64) -> bool {
         let is_due = now_s >= self.last_report_s + self.config.report_interval_s;
         if is_due {
@@ -82,8 +83,8 @@
         is_due
     }
 
-    /// The report to the allocator of a bucket whose latest beacon is `beacon_age_s` seconds old. It is empty if the
-    /// beacon has expired. Releases the shares of idle replicas, and counts demands as reported.
+    /// Returns the report to the allocator of a bucket whose latest beacon is `beacon_age_s` seconds old; it is empty if
+    /// the beacon has expired. Releases the shares of idle replicas, and resets the demands that are reported.
     pub fn take_report(
         &mut self,
         now_s: f64,
@@ -101,8 +102,8 @@
             let Some(share) = self.replicas.get_mut(&replica) else {
                 continue;
             };
-            // Only a member that has sent nothing for a window releases its share: otherwise another could use the
-            // share within the same window.
+            // A share is released only if nothing was sent for a window. Otherwise another member could use the share
+            // within the same window.
             let is_idle = now_s - share.last_active_s > window_s.max(self.config.idle_timeout_s);
             if is_idle {
                 share.released_until_s = released_until_s;
@@ -124,7 +125,7 @@
         report
     }
 
-    /// The replicas of a bucket, from the one after the last that was reported.
+    /// Returns the replicas of a bucket, starting after the last reported one.
     fn report_order(&self, bucket: u8, bucket_count: u8) -> Vec<ReplicaKey> {
         let in_bucket = |replica: &ReplicaKey| replica.bucket(bucket_count) == bucket;
         let all = self.replicas.keys().copied().filter(in_bucket);
@@ -137,7 +138,8 @@
         order
     }
 
-    /// Records a grant that is valid until `until_s` by this member's clock, counted from when it reported its demand.
+    /// Records a grant that expires at `until_s` by this member's clock. The grant is valid from the time at which this
+    /// member reported its demand.
     pub fn record_grant(&mut self, now_s: f64, grant: QuotaGrant, until_s: f64) {
         if until_s <= now_s {
             return;
@@ -149,13 +151,13 @@
         }
     }
 
-    /// Whether it has no warming replica in its state table.
+    /// Whether there is no warming replica in the state table.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// How many times its even share this member may send to the replica. It is 1 where nothing was released or
-    /// granted.
+    /// Returns the quota that this member may use of a replica, as a multiple of its even share. It is 1 if the share
+    /// isn't released and nothing was granted.
     pub fn multiple_of_even_share(&self, now_s: f64, replica: ReplicaKey) -> f64 {
         let Some(share) = self.replicas.get(&replica) else {
             return 1.0;
--- a/crates/router/lease/src/rendezvous.rs
+++ b/crates/router/lease/src/rendezvous.rs
@@ -1,28 +1,28 @@
-//! Rendezvous hashing: an order of members for each role that is the same at every member (Thaler and Ravishankar,
-//! 1998).
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): each role has its own order of members, and all members compute
+//! the same one.
 
 use crate::role::Role;
 use woadreach_membership::{MemberId, splitmix64};
 
-/// A member's position for a role; lower comes first.
+/// Returns the sort key of a member in the order for a role. Members with lower keys are preferred.
 pub(crate) fn weight(role: Role, member: MemberId) -> u64 {
     let input = u64::from(role.number()) << 16 | u64::from(member.0);
     splitmix64(input)
 }
 
-/// The first `limit` of these members for a role.
-pub(crate) fn first(role: Role, mut members: Vec<MemberId>, limit: usize) -> Vec<MemberId> {
+/// Returns the first `limit` of these members in the order for a role.
+pub(crate) fn select(role: Role, mut members: Vec<MemberId>, limit: usize) -> Vec<MemberId> {
     members.sort_unstable_by_key(|member| weight(role, *member));
     members.truncate(limit);
     members
 }
 
-/// The acceptors of a role. They are chosen from the complete roster and never from its live members only: of two sides
-/// of a partition each may have a majority of the members that it sees.
+/// Returns the acceptors of a role. They are selected from the complete roster and never from the live members only:
+/// each side of a partition may have a majority of the members that it considers alive.
 pub(crate) fn acceptors(role: Role, roster_size: usize, limit: usize) -> Vec<MemberId> {
     let roster: Vec<MemberId> = (0..roster_size as u16).map(MemberId).collect();
     if roster.len() > limit {
-        first(role, roster, limit)
+        select(role, roster, limit)
     } else {
         roster
     }
--- a/crates/router/lease/src/replica_key.rs
+++ b/crates/router/lease/src/replica_key.rs
@@ -1,14 +1,14 @@
-//! How messages name replicas.
+//! Identifiers of replicas in messages.
 
 use serde::{Deserialize, Serialize};
 
-/// One run of a replica, as a hash of its name and start time. Replicas whose hashes collide share one quota.
+/// Identifies one run of a replica by a hash of its name and start time. Replicas whose hashes collide share one quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaKey(pub u32);
 
 impl ReplicaKey {
-    /// The key of the replica `name` that started at `started_at_s`, in seconds since the epoch. It is a 32-bit FNV-1a
-    /// hash, so that all members compute the same.
+    /// Returns the key of the replica `name` that started at `started_at_s`, in seconds since the Unix epoch. The key is
+    /// a 32-bit FNV-1a hash, so that all members compute the same value.
     pub fn named(name: &str, started_at_s: f64) -> ReplicaKey {
         let started_at_ms = (started_at_s * 1000.0).round() as i64;
         let bytes = name.bytes().chain(started_at_ms.to_le_bytes());
@@ -17,7 +17,7 @@
         }))
     }
 
-    /// The quota allocator's bucket, of `bucket_count`, to which this replica belongs.
+    /// Returns the bucket of this replica, less than `bucket_count`. Each bucket has its own quota allocator.
     pub fn bucket(self, bucket_count: u8) -> u8 {
         (self.0.wrapping_mul(0x9e37_79b9) >> 16) as u8 % bucket_count.max(1)
     }
--- a/crates/router/lease/src/role.rs
+++ b/crates/router/lease/src/role.rs
@@ -1,18 +1,19 @@
-//! The roles of which a tier or a zone has one each.
+//! The singleton roles: a tier or a zone has one holder of each.
 
 use serde::{Deserialize, Serialize};
 
-/// Work that one member does on behalf of others. Its `Debug` text is the `role` field of log events.
+/// A task that one member performs for all others. Its `Debug` text is the `role` field of log events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Passes on to the members of this zone which replicas drain or have departed by its own endpoint list.
+    /// Notifies the members of this zone of the replicas that are draining or have departed, as reported by the endpoint
+    /// list of the holder.
     EndpointWatch(u8),
-    /// Allocates the request quota of warming replicas whose keys fall into this bucket.
+    /// Allocates the request quota of the warming replicas in this bucket.
     QuotaAllocator(u8),
 }
 
 impl Role {
-    /// A number that is unique among roles.
+    /// Returns a number that is unique among roles.
     pub(crate) fn number(self) -> u32 {
         match self {
             Role::EndpointWatch(zone) => u32::from(zone),
--- a/crates/router/lease/src/roles/actions.rs
+++ b/crates/router/lease/src/roles/actions.rs
@@ -1,4 +1,4 @@
-//! What [`SingletonRoles`](super::SingletonRoles) asks of its driver.
+//! The output of [`SingletonRoles`](super::SingletonRoles), which its driver executes.
 
 use crate::endpoint_update::EndpointUpdate;
 use crate::leases::LeaseEvent;
@@ -7,36 +7,36 @@
 use crate::role::Role;
 use woadreach_membership::MemberId;
 
-/// An encoded payload for another member. The driver puts it into a datagram.
+/// An encoded payload for another member. The driver sends it in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingPayload {
-    /// The receiver.
+    /// Receiver of the payload.
     pub to: MemberId,
-    /// The payload, for [`decode_messages`](crate::decode_messages).
+    /// Encoded messages, for [`decode_messages`](crate::decode_messages).
     pub bytes: Vec<u8>,
 }
 
-/// An action that this member has done as a lease holder.
+/// An action that this member has performed as a lease holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseAction {
-    /// The role that the action belongs to.
+    /// Role in which the action was performed.
     pub role: Role,
-    /// The epoch of the lease.
+    /// Epoch of the lease.
     pub epoch: u32,
 }
 
-/// What the driver has to do.
+/// The actions that the driver must execute.
 #[derive(Clone, Debug, Default)]
 pub struct RoleActions {
-    /// Payloads to send, each in a datagram of its own. Losing them is safe.
+    /// Payloads to send, each in a separate datagram. Loss of any of them is safe.
     pub payloads: Vec<OutgoingPayload>,
-    /// Leases acquired and lost, for the log.
+    /// Leases that were acquired or have ended, for the log.
     pub events: Vec<LeaseEvent>,
-    /// Actions done under a lease, for the log.
+    /// Actions performed under a lease, for the log.
     pub lease_actions: Vec<LeaseAction>,
-    /// Replicas to be sent nothing new, as a lease holder reported.
+    /// Replicas that must receive no new requests, as reported by a lease holder.
     pub closed_replicas: Vec<EndpointUpdate>,
-    /// Replicas whose closing has expired: the member's own endpoint list decides on them again.
+    /// Replicas whose closure has expired. Their state is again that of the member's own endpoint list.
     pub expired_closures: Vec<ReplicaKey>,
 }
 
--- a/crates/router/lease/src/roles/holder.rs
+++ b/crates/router/lease/src/roles/holder.rs
@@ -1,4 +1,4 @@
-//! What a lease holder announces, each time with its token and only while it holds the role.
+//! The announcements of a lease holder. Each contains its token, and is sent only while it has the lease.
 
 use super::actions::{LeaseAction, RoleActions};
 use super::candidates::{MAX_CANDIDATES, allocator_candidates, members_in_zone};
@@ -10,11 +10,11 @@
 use crate::role::Role;
 use woadreach_membership::{MemberId, View};
 
-/// Time between two announcements of a holder that it is alive, in seconds.
+/// Interval between two announcements of a holder, which show that it is alive, in seconds.
 const ANNOUNCEMENT_INTERVAL_S: f64 = 0.5;
 
 impl SingletonRoles {
-    /// Sends endpoint updates and beacons for the roles that this member holds.
+    /// Sends endpoint updates and beacons for the roles of which this member is the holder.
     pub(super) fn announce(&mut self, now_s: f64, view: &View, actions: &mut RoleActions) {
         let is_due = now_s >= self.last_announcement_s + ANNOUNCEMENT_INTERVAL_S;
         if is_due {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Sends due endpoint updates to all members of the zone. Without updates, and if an announcement is due, it goes
-    /// to the other candidates only, as they alone act on the holder being alive.
+    /// Sends due endpoint updates to all members of the zone. An announcement without updates is sent to the other
+    /// candidates only, as only they need to know that the holder is alive.
     fn announce_endpoint_updates(
         &mut self,
         now_s: f64,
@@ -55,7 +55,7 @@
         let mut receivers = members_in_zone(view, self.member.zone);
         receivers.retain(|member| *member != self.member.id);
         if updates.is_empty() {
-            receivers = rendezvous::first(role, receivers, MAX_CANDIDATES);
+            receivers = rendezvous::select(role, receivers, MAX_CANDIDATES);
         }
         let message = Message::EndpointUpdates {
             role,
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Sends a quota allocator's beacon to the other candidates. All other members receive it by gossip.
+    /// Sends the beacon of a quota allocator to the other candidates. All other members receive it by gossip.
     fn announce_allocator(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -1,11 +1,11 @@
-//! All singleton roles of one co-ordinator: their leases, what their holders do, and what other members make of it.
+//! All singleton roles of one co-ordinator: their leases, the actions of their holders, and how other members handle them.
 //!
-//! - `candidates.rs`: which members are candidates for which role.
-//! - `holder.rs`: what a holder announces.
+//! - `candidates.rs`: selection of the candidates for each role.
+//! - `holder.rs`: announcements of a holder.
 //! - `quota_exchange.rs`: reports of demand to quota allocators, and their grants.
-//! - `receive.rs`: messages of other members.
+//! - `receive.rs`: messages from other members.
 //!
-//! Replicas are named by their [`ReplicaKey`] only.
+//! Replicas are identified by their [`ReplicaKey`] only.
 
 mod actions;
 mod candidates;
@@ -27,32 +27,32 @@
 use std::collections::BTreeMap;
 use woadreach_membership::{MemberId, View};
 
-/// Members per quota allocator. It limits the reports that one allocator receives.
+/// Members per quota allocator. This limits the reports that one allocator receives.
 const MEMBERS_PER_ALLOCATOR: usize = 64;
-/// Limit on the quota allocators of a tier: each costs it some eight datagrams a second.
+/// Limit on the number of quota allocators in a tier. Each of them costs the tier some eight datagrams per second.
 const MAX_ALLOCATORS: usize = 4;
-/// Limit on the bytes that [`SingletonRoles::gossip`] adds to a datagram.
+/// Limit on the length of the payload of [`SingletonRoles::gossip`], in bytes.
 const MAX_GOSSIP_BYTES: usize = 80;
 
-/// How the quota of a warming replica is split by the settings.
+/// The split of a warming replica's quota among members, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSplit {
-    /// The number of members with an even share each.
+    /// Number of members, each of which has an even share.
     pub member_count: usize,
-    /// Window over which the slow-start rule counts, in seconds.
+    /// Window of the slow-start rule, in seconds.
     pub window_s: f64,
 }
 
-/// What this co-ordinator is by its settings.
+/// The identity of this co-ordinator, from the settings.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
-    /// Its position in the roster.
+    /// Position of this co-ordinator in the roster.
     pub id: MemberId,
-    /// Its zone.
+    /// Zone of this co-ordinator, as a position in the settings' list of zones.
     pub zone: u8,
-    /// The number of members in the roster, the same at all of them.
+    /// Number of members in the roster. Must be the same at all members.
     pub roster_size: usize,
-    /// The split of warming replicas' quota, if it is to be allocated.
+    /// Split of the quota of warming replicas; `None` if quota is not allocated.
     pub slow_start: Option<SlowStartSplit>,
 }
 
@@ -61,11 +61,11 @@
 struct Beacon {
     token: FencingToken,
     sent_at: ClockStamp,
-    /// When it was received first, by this member's clock.
+    /// Time of the first receipt, by this member's clock.
     received_at_s: f64,
 }
 
-/// When a message was received, by this member's clock, and from whom.
+/// The time of receipt of a message, by this member's clock, and its sender.
 #[derive(Clone, Copy, Debug)]
 struct Reception {
     now_s: f64,
@@ -74,23 +74,23 @@
 
 /// All singleton roles of one co-ordinator.
 ///
-/// The driver calls [`update`](Self::update) five to ten times a second, [`tick`](Self::tick) when
-/// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each payload, and adds
-/// [`gossip`](Self::gossip) to datagrams that it sends anyway. It executes the [`RoleActions`] that they return.
+/// The driver calls [`update`](Self::update) five to ten times per second, [`tick`](Self::tick) at the time of
+/// [`next_due_s`](Self::next_due_s), and [`receive`](Self::receive) for each payload. It executes the returned
+/// [`RoleActions`], and piggybacks [`gossip`](Self::gossip) on other datagrams.
 pub struct SingletonRoles {
     member: LocalMember,
-    /// Quota allocators in the tier; each has a bucket of the replicas.
+    /// Number of quota allocators in the tier. Each is responsible for one bucket of replicas.
     bucket_count: u8,
     leases: Leases,
     endpoint_updates: EndpointUpdates,
-    /// `None` where quota is not allocated.
+    /// `None` if quota is not allocated.
     quota_share: Option<QuotaShare>,
-    /// The allocators of buckets whose leases this member holds.
+    /// Allocators that run at this member, by bucket: those whose leases it has.
     allocators: BTreeMap<u8, QuotaAllocator>,
-    /// The latest beacon of each bucket's allocator.
+    /// Latest beacon of the allocator of each bucket.
     beacons: BTreeMap<u8, Beacon>,
     last_announcement_s: f64,
-    /// Payloads and messages, see [`SingletonRoles::rejected`].
+    /// Number of payloads and messages; see [`SingletonRoles::rejected`].
     rejected: u64,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl SingletonRoles {
-    /// The roles of a co-ordinator that starts at `now_s`.
+    /// Creates the roles of a co-ordinator that starts at `now_s`. `seed` determines its random numbers.
     pub fn new(member: LocalMember, config: LeaseConfig, seed: u64, now_s: f64) -> SingletonRoles {
         let bucket_count = member
             .roster_size
@@ -123,27 +123,28 @@
         }
     }
 
-    /// The leases of this member.
+    /// Returns the leases of this member.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Counters of its leases.
+    /// Returns the counters of its leases.
     pub fn counters(&self) -> &LeaseCounters {
         self.leases.counters()
     }
 
-    /// Payloads that could not be decoded, and messages that were not valid from their sender.
+    /// Returns the number of payloads that could not be decoded, plus that of messages that were not valid from their
+    /// sender.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// How many replicas were closed before this member's own endpoint list reported the change.
+    /// Returns the number of replicas that were closed before this member's own endpoint list contained the change.
     pub fn updates_ahead_of_list(&self) -> u64 {
         self.endpoint_updates.ahead_of_list
     }
 
-    /// This member's own endpoint list has reported a replica; `None`: it serves.
+    /// Records the state of a replica in this member's own endpoint list. `departure` is `None` while the replica serves.
     pub fn record_endpoint_state(
         &mut self,
         now_s: f64,
@@ -154,15 +155,16 @@
             .record_endpoint_state(now_s, replica, departure);
     }
 
-    /// How many times its even share this member may send to a warming replica; 1 where nothing is allocated.
+    /// Returns the quota that this member may use of a warming replica, as a multiple of its even share; 1 if quota is
+    /// not allocated.
     pub fn multiple_of_even_share(&self, now_s: f64, replica: ReplicaKey) -> f64 {
         self.quota_share
             .as_ref()
             .map_or(1.0, |share| share.multiple_of_even_share(now_s, replica))
     }
 
-    /// Does what is due, with the current members and the demand for all warming replicas. To be called five to ten
-    /// times a second.
+    /// Performs all due work, with the current members and the demand for all warming replicas. Must be called five to ten
+    /// times per second.
     pub fn update(&mut self, now_s: f64, view: &View, demands: &[LocalDemand]) -> RoleActions {
         let mut actions = RoleActions::default();
         let lease_actions = self.leases.set_candidates(now_s, &self.candidates(view));
@@ -176,12 +178,12 @@
         actions
     }
 
-    /// When [`SingletonRoles::tick`] is due.
+    /// Returns the time at which [`SingletonRoles::tick`] is due.
     pub fn next_due_s(&self) -> f64 {
         self.leases.next_due_s()
     }
 
-    /// Renews leases and sends requests again.
+    /// Renews leases and retries requests that are due.
     pub fn tick(&mut self, now_s: f64) -> RoleActions {
         let mut actions = RoleActions::default();
         let lease_actions = self.leases.tick(now_s);
@@ -189,7 +191,7 @@
         actions
     }
 
-    /// Releases all leases before the co-ordinator ends.
+    /// Releases all leases. Must be called before the co-ordinator terminates.
     pub fn leave(&mut self, now_s: f64) -> RoleActions {
         let mut actions = RoleActions::default();
         let lease_actions = self.leases.set_candidates(now_s, &BTreeMap::new());
@@ -197,8 +199,9 @@
         actions
     }
 
-    /// The payload to piggyback on other datagrams: the latest beacons, so that they reach all members within a few
-    /// rounds. Empty if there are none, or if this member has no use for them.
+    /// Returns the payload to piggyback on other datagrams: the latest beacons, so that they reach all members within a
+    /// few gossip rounds. It is empty if there are no beacons or they exceed the length limit, and if this member neither
+    /// has warming replicas nor runs an allocator.
     pub fn gossip(&self, now_s: f64) -> Vec<u8> {
         let has_no_demand = self.quota_share.as_ref().is_none_or(QuotaShare::is_empty);
         if has_no_demand && self.allocators.is_empty() {
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Executes what the leases ask for: starts and ends allocators, and passes on messages and events.
+    /// Executes the output of the leases: starts and stops allocators, and forwards messages and events.
     fn execute(&mut self, now_s: f64, lease_actions: Actions, actions: &mut RoleActions) {
         for event in &lease_actions.events {
             match *event {
--- a/crates/router/lease/src/roles/quota_exchange.rs
+++ b/crates/router/lease/src/roles/quota_exchange.rs
@@ -1,4 +1,4 @@
-//! Reports of demand to quota allocators, and the grants that answer them.
+//! Reports of demand to quota allocators, and their answers.
 
 use super::actions::{LeaseAction, RoleActions};
 use super::{Reception, SingletonRoles};
@@ -9,11 +9,11 @@
 use crate::role::Role;
 use woadreach_membership::MemberId;
 
-/// Limits on the replicas of one message, so that it fits a datagram.
+/// Limits on the number of replicas in one message, so that it fits into a datagram.
 const MAX_DEMANDS_PER_MESSAGE: usize = 24;
 const MAX_GRANTS_PER_MESSAGE: usize = 25;
 
-/// A member's report as its allocator receives it.
+/// A member's report, as received by an allocator.
 pub(super) struct DemandReport<'a> {
     pub(super) from: MemberId,
     pub(super) bucket: u8,
@@ -24,8 +24,8 @@
 }
 
 impl SingletonRoles {
-    /// Reports demand and releases to the allocators, if it is time to. A report to this member itself is answered
-    /// after all others are sent.
+    /// Sends reports of demand and releases to the allocators, if reports are due. A report to an allocator at this member
+    /// is answered locally after all other reports are sent.
     pub(super) fn report_demand(&mut self, now_s: f64, actions: &mut RoleActions) {
         let Some(quota_share) = &mut self.quota_share else {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// As an allocator: answers a report with grants.
+    /// Answers a report with grants, as the allocator of its bucket.
     pub(super) fn answer_report(
         &mut self,
         now_s: f64,
@@ -70,7 +70,7 @@
         actions: &mut RoleActions,
     ) {
         let role = Role::QuotaAllocator(report.bucket);
-        // A report to another lease of this member is not for the current allocator.
+        // A report under another lease of this member is not intended for the current allocator.
         let Some(token) = self
             .leases
             .token(now_s, role)
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records grants that are valid until `valid_until_s` by this member's clock.
+    /// Records grants to this member that expire at `valid_until_s` by its clock.
     pub(super) fn record_grants(&mut self, now_s: f64, grants: &[QuotaGrant], valid_until_s: f64) {
         if let Some(quota_share) = &mut self.quota_share {
             for grant in grants {
--- a/crates/router/lease/src/roles/receive.rs
+++ b/crates/router/lease/src/roles/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other members.
+//! Handling of messages from other members.
 
 use super::actions::RoleActions;
 use super::quota_exchange::DemandReport;
@@ -11,8 +11,8 @@
 use woadreach_membership::MemberId;
 
 impl SingletonRoles {
-    /// Handles a payload of another member. One that can't be decoded is counted and dropped; messages under an older
-    /// lease than the latest known are rejected.
+    /// Handles a payload from another member. A payload that can't be decoded is counted and dropped. Messages under an
+    /// older lease than the latest known one are rejected.
     pub fn receive(&mut self, now_s: f64, from: MemberId, bytes: &[u8]) -> RoleActions {
         let mut actions = RoleActions::default();
         let Some(messages) = decode_messages(bytes, self.member.roster_size) else {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A message from a quota allocator, or to one.
+    /// Handles a message from or to a quota allocator.
     fn receive_allocator_message(
         &mut self,
         Reception { now_s, from }: Reception,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Updates of the holder of this zone's endpoint watch. Others are rejected.
+    /// Handles updates from the holder of this zone's endpoint watch. Updates from other members are rejected.
     fn receive_endpoint_updates(
         &mut self,
         Reception { now_s, from }: Reception,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// A beacon, from its allocator or passed on by any member. One that is known already is no stale action, so it
-    /// doesn't count as one.
+    /// Handles a beacon that was sent by its allocator or forwarded by any member. A beacon that is already known is
+    /// ignored and doesn't count as a stale action.
     fn receive_beacon(&mut self, now_s: f64, bucket: u8, token: FencingToken, sent_at: ClockStamp) {
         let is_known = self
             .beacons
