--- a/crates/router/lease/src/endpoint_updates.rs
+++ b/crates/router/lease/src/endpoint_updates.rs
@@ -85,7 +85,8 @@
         due
     }
 
-    /// Discards the outgoing updates. Called on members that are not the lease holder, as only the holder sends updates.
+    /// Discards the outgoing updates. Called on members that are not the lease holder, as only the holder sends
+    /// updates.
     pub fn clear_outgoing(&mut self) {
         self.outgoing.clear();
     }
--- a/crates/router/lease/src/leases/acceptor.rs
+++ b/crates/router/lease/src/leases/acceptor.rs
@@ -26,8 +26,8 @@
     is_to_holder: bool,
 }
 
-/// The grants of one acceptor, which are stored in memory only. After a start, and after a jump of its clock, an acceptor
-/// recovers: it answers no requests for as long as a grant that it may have lost could be valid.
+/// The grants of one acceptor, which are stored in memory only. After a start, and after a jump of its clock, an
+/// acceptor recovers: it answers no requests for as long as a grant that it may have lost could be valid.
 #[derive(Clone, Debug)]
 pub(super) struct Acceptor {
     /// End of recovery. Requests are not answered before.
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Answers a request; returns `None` during recovery. `highest_epoch` is the highest epoch that this member knows of
-    /// from its grants and from the actions of holders.
+    /// Answers a request; returns `None` during recovery. `highest_epoch` is the highest epoch that this member knows
+    /// of from its grants and from the actions of holders.
     pub(super) fn answer(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/src/leases/candidacy.rs
+++ b/crates/router/lease/src/leases/candidacy.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Starts a proposal. The epoch of a candidate exceeds `highest_epoch`, the highest epoch that this member knows of;
-    /// a renewal has the epoch of the lease.
+    /// Starts a proposal. The epoch of a candidate exceeds `highest_epoch`, the highest epoch that this member knows
+    /// of; a renewal has the epoch of the lease.
     pub(super) fn propose(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/src/leases/canonical_state.rs
+++ b/crates/router/lease/src/leases/canonical_state.rs
@@ -64,8 +64,8 @@
 }
 
 impl Leases {
-    /// Returns the state that determines the further behaviour of this member, with times relative to `now_s`. For model
-    /// checkers.
+    /// Returns the state that determines the further behaviour of this member, with times relative to `now_s`. For
+    /// model checkers.
     pub fn canonical_state(&self, now_s: f64) -> Vec<i64> {
         let mut state = vec![
             relative_ms(self.acceptor.recovering_until_s(), now_s).max(0),
--- a/crates/router/lease/src/leases/config.rs
+++ b/crates/router/lease/src/leases/config.rs
@@ -3,8 +3,8 @@
 /// Timing of leases, and the limit on acceptors. Times are in seconds of the member's own clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseConfig {
-    /// Validity of an acceptor's grant to a lease holder, in seconds. It bounds the time without a holder after a holder
-    /// fails. Measured failover times: `docs/leases.md#lease-duration`.
+    /// Validity of an acceptor's grant to a lease holder, in seconds. It bounds the time without a holder after a
+    /// holder fails. Measured failover times: `docs/leases.md#lease-duration`.
     pub lease_duration_s: f64,
     /// Validity of an acceptor's grant to a candidate, in seconds. It bounds how long a failed candidate whose release
     /// message is lost blocks an acceptor. Must exceed `proposal_timeout_s` by `clock_margin_s` and a round trip.
@@ -23,8 +23,8 @@
     /// Base of a candidate's random backoff, in seconds. The backoff increases with the rank of the candidate, and
     /// doubles with each failed proposal up to four times.
     pub backoff_s: f64,
-    /// Limit on the number of acceptors of a role. Larger tiers select them by a hash of role and member. As in a Chubby
-    /// cell (section 2.1), two of five may be down, and the cost of a lease doesn't grow with the tier.
+    /// Limit on the number of acceptors of a role. Larger tiers select them by a hash of role and member. As in a
+    /// Chubby cell (section 2.1), two of five may be down, and the cost of a lease doesn't grow with the tier.
     pub max_acceptors: usize,
 }
 
--- a/crates/router/lease/src/leases/known_holders.rs
+++ b/crates/router/lease/src/leases/known_holders.rs
@@ -20,7 +20,8 @@
 }
 
 impl KnownHolders {
-    /// Whether this token is outdated: a token with a higher epoch, or another token with the same epoch, has been seen.
+    /// Whether this token is outdated: a token with a higher epoch, or another token with the same epoch, has been
+    /// seen.
     pub(super) fn supersedes(&self, role: Role, token: FencingToken) -> bool {
         self.latest.get(&role).is_some_and(|latest| {
             let seen = latest.token;
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -1,9 +1,9 @@
 //! The lease protocol: both the acceptor and the proposer side, as a function of times and messages only.
 //!
-//! A member has a lease once a majority of acceptors has granted it. A grant is valid from the time at which the acceptor
-//! issued it, by the acceptor's clock. The lease is valid from the time at which its holder first requested it, by the
-//! holder's clock, and ends [`LeaseConfig::clock_margin_s`] earlier. So each grant outlasts its lease at any network
-//! latency, as long as the drift between two clocks doesn't exceed the margin.
+//! A member has a lease once a majority of acceptors has granted it. A grant is valid from the time at which the
+//! acceptor issued it, by the acceptor's clock. The lease is valid from the time at which its holder first requested
+//! it, by the holder's clock, and ends [`LeaseConfig::clock_margin_s`] earlier. So each grant outlasts its lease at any
+//! network latency, as long as the drift between two clocks doesn't exceed the margin.
 //!
 //! The protocol is PaxosLease (Trencseni and others, 2012) with one phase instead of two: members only have to agree on
 //! which request was first, and a candidate that fails releases its grants.
@@ -67,8 +67,8 @@
 
 impl Leases {
     /// Creates the leases of the member `id`. All members must have the same roster, of `roster_size` members. A new
-    /// acceptor may have lost grants of its previous run, so it answers no requests at first: after a simultaneous start
-    /// of all members, no role has a holder for the duration of a lease.
+    /// acceptor may have lost grants of its previous run, so it answers no requests at first: after a simultaneous
+    /// start of all members, no role has a holder for the duration of a lease.
     pub fn new(
         id: MemberId,
         roster_size: usize,
@@ -148,8 +148,9 @@
     /// Checks the token of an action. Returns whether the action is valid; if so, records that its holder is alive.
     ///
     /// A holder that resumes after a stall may act under a lease that another member has acquired since. Every member
-    /// that has seen a later token rejects such an action. The drawback: after a simultaneous restart of most acceptors,
-    /// the epoch of a new holder may be too low, and its actions are rejected until it has learnt of the higher epoch.
+    /// that has seen a later token rejects such an action. The drawback: after a simultaneous restart of most
+    /// acceptors, the epoch of a new holder may be too low, and its actions are rejected until it has learnt of the
+    /// higher epoch.
     pub fn accept_token(&mut self, now_s: f64, role: Role, token: FencingToken) -> bool {
         if self.holders.supersedes(role, token) {
             self.counters.stale_tokens += 1;
--- a/crates/router/lease/src/leases/receive.rs
+++ b/crates/router/lease/src/leases/receive.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Answers a request as an acceptor. Returns `None` if this member is not an acceptor of the role, or is recovering.
+    /// Answers a request as an acceptor. Returns `None` if this member is not an acceptor of the role, or is
+    /// recovering.
     pub(super) fn answer(&mut self, now_s: f64, request: &LeaseRequest) -> Option<Message> {
         if !self.acceptors(request.role).contains(&self.id) {
             return None;
--- a/crates/router/lease/src/quota/allocator.rs
+++ b/crates/router/lease/src/quota/allocator.rs
@@ -15,8 +15,8 @@
 struct ActiveGrant {
     /// Granted quota in 65,535ths of the replica's total quota.
     fraction: u16,
-    /// Time from which the grant no longer counts as used. It is one slow-start window after expiry, because requests sent
-    /// under the grant count against the replica's quota for that long.
+    /// Time from which the grant no longer counts as used. It is one slow-start window after expiry, because requests
+    /// sent under the grant count against the replica's quota for that long.
     counts_until_s: f64,
 }
 
@@ -112,8 +112,8 @@
 }
 
 impl QuotaAllocator {
-    /// Creates an allocator whose lease was acquired at `now_s`. `member_count` is the number of members among which the
-    /// settings split the quota.
+    /// Creates an allocator whose lease was acquired at `now_s`. `member_count` is the number of members among which
+    /// the settings split the quota.
     pub fn new(member_count: usize, config: QuotaConfig, now_s: f64) -> QuotaAllocator {
         QuotaAllocator {
             config,
--- a/crates/router/lease/src/quota/demand.rs
+++ b/crates/router/lease/src/quota/demand.rs
@@ -8,7 +8,8 @@
 pub struct ReplicaDemand {
     /// Key of the replica.
     pub replica: ReplicaKey,
-    /// Number of parts that the member would have sent to the replica since its last report; 0 if it releases its share.
+    /// Number of parts that the member would have sent to the replica since its last report; 0 if it releases its
+    /// share.
     pub parts: u8,
 }
 
--- a/crates/router/lease/src/quota/share.rs
+++ b/crates/router/lease/src/quota/share.rs
@@ -6,8 +6,8 @@
 use crate::replica_key::ReplicaKey;
 use std::collections::BTreeMap;
 
-/// Limit on the number of replicas in one report. Reports select replicas round-robin in the order of their keys, so that
-/// every replica is reported eventually, even if more replicas than this are idle and thus part of every report.
+/// Limit on the number of replicas in one report. Reports select replicas round-robin in the order of their keys, so
+/// that every replica is reported eventually, even if more replicas than this are idle and thus part of every report.
 const MAX_DEMANDS_PER_REPORT: usize = 32;
 
 /// A member's share of one replica.
@@ -37,8 +37,8 @@
 }
 
 impl QuotaShare {
-    /// Creates the state without any replicas. `member_count` is the number of members among which the settings split the
-    /// quota.
+    /// Creates the state without any replicas. `member_count` is the number of members among which the settings split
+    /// the quota.
     pub fn new(member_count: usize, config: QuotaConfig) -> QuotaShare {
         QuotaShare {
             config,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records the demand for all warming replicas in the endpoint list. Other replicas are removed, unless their shares
-    /// are released.
+    /// Records the demand for all warming replicas in the endpoint list. Other replicas are removed, unless their
+    /// shares are released.
     pub fn record_demand(&mut self, now_s: f64, demands: &[LocalDemand]) {
         for demand in demands {
             let is_full = self.replicas.len() >= self.config.max_replicas;
@@ -83,8 +83,8 @@
         is_due
     }
 
-    /// Returns the report to the allocator of a bucket whose latest beacon is `beacon_age_s` seconds old; it is empty if
-    /// the beacon has expired. Releases the shares of idle replicas, and resets the demands that are reported.
+    /// Returns the report to the allocator of a bucket whose latest beacon is `beacon_age_s` seconds old; it is empty
+    /// if the beacon has expired. Releases the shares of idle replicas, and resets the demands that are reported.
     pub fn take_report(
         &mut self,
         now_s: f64,
--- a/crates/router/lease/src/replica_key.rs
+++ b/crates/router/lease/src/replica_key.rs
@@ -7,8 +7,8 @@
 pub struct ReplicaKey(pub u32);
 
 impl ReplicaKey {
-    /// Returns the key of the replica `name` that started at `started_at_s`, in seconds since the Unix epoch. The key is
-    /// a 32-bit FNV-1a hash, so that all members compute the same value.
+    /// Returns the key of the replica `name` that started at `started_at_s`, in seconds since the Unix epoch. The key
+    /// is a 32-bit FNV-1a hash, so that all members compute the same value.
     pub fn named(name: &str, started_at_s: f64) -> ReplicaKey {
         let started_at_ms = (started_at_s * 1000.0).round() as i64;
         let bytes = name.bytes().chain(started_at_ms.to_le_bytes());
--- a/crates/router/lease/src/role.rs
+++ b/crates/router/lease/src/role.rs
@@ -5,8 +5,8 @@
 /// A task that one member performs for all others. Its `Debug` text is the `role` field of log events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Notifies the members of this zone of the replicas that are draining or have departed, as reported by the endpoint
-    /// list of the holder.
+    /// Notifies the members of this zone of the replicas that are draining or have departed, as reported by the
+    /// endpoint list of the holder.
     EndpointWatch(u8),
     /// Allocates the request quota of the warming replicas in this bucket.
     QuotaAllocator(u8),
--- a/crates/router/lease/src/roles/candidates.rs
+++ b/crates/router/lease/src/roles/candidates.rs
@@ -11,8 +11,8 @@
 pub(super) const MAX_CANDIDATES: usize = 3;
 
 impl SingletonRoles {
-    /// Returns the candidates for each role. There are none while this member is partitioned, since it could not renew a
-    /// lease.
+    /// Returns the candidates for each role. There are none while this member is partitioned, since it could not renew
+    /// a lease.
     pub(super) fn candidates(&self, view: &View) -> BTreeMap<Role, Vec<MemberId>> {
         let mut candidates = BTreeMap::new();
         if view.is_partitioned {
--- a/crates/router/lease/src/roles/mod.rs
+++ b/crates/router/lease/src/roles/mod.rs
@@ -1,4 +1,5 @@
-//! All singleton roles of one co-ordinator: their leases, the actions of their holders, and how other members handle them.
+//! All singleton roles of one co-ordinator: their leases, the actions of their holders, and how other members handle
+//! them.
 //!
 //! - `candidates.rs`: selection of the candidates for each role.
 //! - `holder.rs`: announcements of a holder.
@@ -144,7 +145,8 @@
         self.endpoint_updates.ahead_of_list
     }
 
-    /// Records the state of a replica in this member's own endpoint list. `departure` is `None` while the replica serves.
+    /// Records the state of a replica in this member's own endpoint list. `departure` is `None` while the replica
+    /// serves.
     pub fn record_endpoint_state(
         &mut self,
         now_s: f64,
@@ -163,8 +165,8 @@
             .map_or(1.0, |share| share.multiple_of_even_share(now_s, replica))
     }
 
-    /// Performs all due work, with the current members and the demand for all warming replicas. Must be called five to ten
-    /// times per second.
+    /// Performs all due work, with the current members and the demand for all warming replicas. Must be called five to
+    /// ten times per second.
     pub fn update(&mut self, now_s: f64, view: &View, demands: &[LocalDemand]) -> RoleActions {
         let mut actions = RoleActions::default();
         let lease_actions = self.leases.set_candidates(now_s, &self.candidates(view));
@@ -200,8 +202,8 @@
     }
 
     /// Returns the payload to piggyback on other datagrams: the latest beacons, so that they reach all members within a
-    /// few gossip rounds. It is empty if there are no beacons or they exceed the length limit, and if this member neither
-    /// has warming replicas nor runs an allocator.
+    /// few gossip rounds. It is empty if there are no beacons or they exceed the length limit, and if this member
+    /// neither has warming replicas nor runs an allocator.
     pub fn gossip(&self, now_s: f64) -> Vec<u8> {
         let has_no_demand = self.quota_share.as_ref().is_none_or(QuotaShare::is_empty);
         if has_no_demand && self.allocators.is_empty() {
--- a/crates/router/lease/src/roles/quota_exchange.rs
+++ b/crates/router/lease/src/roles/quota_exchange.rs
@@ -24,8 +24,8 @@
 }
 
 impl SingletonRoles {
-    /// Sends reports of demand and releases to the allocators, if reports are due. A report to an allocator at this member
-    /// is answered locally after all other reports are sent.
+    /// Sends reports of demand and releases to the allocators, if reports are due. A report to an allocator at this
+    /// member is answered locally after all other reports are sent.
     pub(super) fn report_demand(&mut self, now_s: f64, actions: &mut RoleActions) {
         let Some(quota_share) = &mut self.quota_share else {
             return;
--- a/crates/router/membership/src/lib.rs
+++ b/crates/router/membership/src/lib.rs
@@ -10,7 +10,8 @@
 //!   ([`View::is_partitioned`]), instead of declaring all others down.
 //!
 //! [`datagram`] is the envelope of everything that co-ordinators send each other. It also carries payloads of
-//! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read. Both order members by [`splitmix64`].
+//! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read. Both order members by
+//! [`splitmix64`].
 //!
 //! Design, alternatives and the operators' page: `docs/failover.md`.
 
--- a/crates/router/zone-failover/src/evidence.rs
+++ b/crates/router/zone-failover/src/evidence.rs
@@ -1,34 +1,35 @@
-//! What all reports together say of a zone.
+//! Evidence on a zone: the pooled reports of all members.
 
 use crate::config::ZoneFailoverConfig;
 use crate::gossip::Report;
 use crate::part_counts::PartCounts;
 use crate::reporters::Reporters;
 
-/// What all reports together say of a zone.
+/// The evidence on a zone, pooled from the reports of all members.
 ///
-/// It pools the reports of members outside the zone, and of those inside that see other zones as sound, for whom it is
-/// not their own network that has failed. The latter are needed since members outside see next to nothing of a zone
-/// while traffic stays near; `docs/failover.md#verdict-thresholds` has the measured times. A quorum of the members
-/// outside is required all the same, and what they see counts against those inside.
+/// It includes the reports of reporters outside the zone. It also includes failure reports from inside, if the reporter
+/// observes another zone as healthy, because then its own network has not failed. Reports from inside are needed
+/// because members outside send few parts to a zone while traffic remains local; `docs/failover.md#verdict-thresholds`
+/// has the measured times. A quorum of the reporters outside is always required, and their observations are weighed
+/// together with those from inside.
 #[derive(Debug, Default)]
 pub(crate) struct Evidence {
-    /// Reporters outside the zone.
-    outside: usize,
-    /// Those of `outside` whose reports are valid.
-    heard: usize,
-    /// Pooled parts of the zone.
+    /// Number of reporters outside the zone.
+    outside_reporters: usize,
+    /// Number of `outside_reporters` with a valid report.
+    outside_reports: usize,
+    /// Pooled counts of the zone.
     pub(crate) parts: PartCounts,
-    /// Reporters that have seen any part of the zone.
+    /// Number of pooled reports with any part of the zone.
     observers: usize,
-    /// Those of `observers` that have seen at least half of their parts fail.
-    against: usize,
-    /// Whether more than half of the other zones that serve are sound.
-    pub(crate) others_are_sound: bool,
+    /// Number of `observers` with at least half of their parts failed.
+    observers_of_failure: usize,
+    /// Whether more than half of the other serving zones are healthy.
+    pub(crate) others_are_healthy: bool,
 }
 
 impl Evidence {
-    /// Pools the valid reports on a zone. `serving` are the other zones that serve.
+    /// Pools the valid reports on a zone. `serving` contains the other zones that serve.
     pub(crate) fn collect<'a>(
         zone: usize,
         zone_count: usize,
@@ -37,11 +38,11 @@
         reporters: &Reporters,
         config: &ZoneFailoverConfig,
     ) -> Evidence {
-        let is_sound = |parts: PartCounts| {
-            parts.failed_share_is_at_most(config.max_failed_share_of_sound_zone)
+        let is_healthy = |parts: PartCounts| {
+            parts.failed_share_is_at_most(config.max_failed_share_of_healthy_zone)
         };
         let mut evidence = Evidence {
-            outside: reporters.count_outside(zone),
+            outside_reporters: reporters.count_outside(zone),
             ..Evidence::default()
         };
         let mut totals = vec![PartCounts::default(); zone_count];
@@ -50,39 +51,40 @@
                 continue;
             };
             let is_outside = reporter_zone != zone;
-            evidence.heard += usize::from(is_outside);
+            evidence.outside_reports += usize::from(is_outside);
             let parts = report.parts(zone);
-            let sees_sound_zone = serving.iter().any(|other| {
+            let sees_healthy_zone = serving.iter().any(|other| {
                 let parts = report.parts(*other);
-                parts.seen > 0 && is_sound(parts)
+                parts.seen > 0 && is_healthy(parts)
             });
-            // Success inside the zone is no evidence: it says nothing of the network to the zone.
-            let counts = is_outside || sees_sound_zone && parts.half_failed();
-            if !counts {
+            // Success inside the zone is not counted: it is no evidence on the network to the zone.
+            let is_counted = is_outside || sees_healthy_zone && parts.half_failed();
+            if !is_counted {
                 continue;
             }
             evidence.parts.add(parts);
             evidence.observers += usize::from(parts.seen > 0);
-            evidence.against += usize::from(parts.half_failed());
+            evidence.observers_of_failure += usize::from(parts.half_failed());
             for (other, total) in totals.iter_mut().enumerate() {
                 total.add(report.parts(other));
             }
         }
-        let sound_zones = serving.iter().filter(|other| is_sound(totals[**other]));
-        evidence.others_are_sound = sound_zones.count() * 2 > serving.len();
+        let healthy_zones = serving.iter().filter(|other| is_healthy(totals[**other]));
+        evidence.others_are_healthy = healthy_zones.count() * 2 > serving.len();
         evidence
     }
 
     /// Whether reports of more than half of the reporters outside the zone are valid.
     pub(crate) fn has_quorum(&self) -> bool {
-        self.heard * 2 > self.outside && self.outside >= 2
+        self.outside_reports * 2 > self.outside_reporters && self.outside_reporters >= 2
     }
 
-    /// Whether more than two thirds of the observers are against the zone, and at least two, where reporters outside
-    /// that were not heard count for it. So neither one member ejects a zone, nor a group that alone is partitioned
-    /// from it, nor one unlucky member where the others are evenly divided.
-    pub(crate) fn has_majority_against(&self) -> bool {
-        let observers_and_unheard = self.observers + self.outside - self.heard;
-        self.against >= 2 && self.against * 3 > 2 * observers_and_unheard
+    /// Whether at least two observers, and more than two thirds of all observers, report the zone as failed. Outside
+    /// reporters without a valid report count as observers of a healthy zone. So a zone is not ejected by one member,
+    /// by a group that alone is partitioned from it, or by one member's chance failures if the others are evenly
+    /// divided.
+    pub(crate) fn has_failure_majority(&self) -> bool {
+        let observers_and_missing = self.observers + self.outside_reporters - self.outside_reports;
+        self.observers_of_failure >= 2 && self.observers_of_failure * 3 > 2 * observers_and_missing
     }
 }
--- a/crates/router/zone-failover/src/gossip/mod.rs
+++ b/crates/router/zone-failover/src/gossip/mod.rs
@@ -1,6 +1,6 @@
-//! What members piggyback on membership datagrams: verdicts, and the reports of some members.
+//! The payload that members piggyback on membership datagrams: verdicts, and reports of some members.
 //!
-//! The encoding is postcard: fields are identified by their order, so they must not be reordered.
+//! The encoding is postcard. It identifies fields by their order, so they must not be reordered.
 
 mod payload;
 mod report;
--- a/crates/router/zone-failover/src/gossip/payload.rs
+++ b/crates/router/zone-failover/src/gossip/payload.rs
@@ -1,4 +1,4 @@
-//! The payload and its codec.
+//! The gossip payload and its codec.
 
 use super::report::Report;
 use super::zone_verdict::ZoneVerdict;
@@ -6,38 +6,38 @@
 use snafu::{Snafu, ensure};
 use woadreach_membership::MemberId;
 
-/// What a member piggybacks on a datagram.
+/// The payload that a member piggybacks on a datagram.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GossipPayload {
-    /// The verdicts of zones that were ever ejected.
+    /// Verdicts on the zones that were ever ejected.
     pub verdicts: Vec<ZoneVerdict>,
     /// Reports of some members.
     pub reports: Vec<Report>,
 }
 
-/// Why a payload was rejected.
+/// The reason why a payload was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum InvalidPayload {
-    /// It can't be decoded, or bytes are left over.
+    /// The payload can't be decoded or has trailing bytes.
     #[snafu(display("malformed gossip payload"))]
     Malformed,
-    /// It names a zone that the settings don't have.
+    /// The payload refers to a zone that is not in the settings.
     #[snafu(display("gossip payload names the unknown zone {zone}"))]
     UnknownZone {
-        /// The zone's position.
+        /// Position of the zone.
         zone: u8,
     },
-    /// It has a report of a member outside the roster.
+    /// The payload contains a report from a member outside the roster.
     #[snafu(display("gossip payload names the unknown member {}", member.0))]
     UnknownMember {
-        /// The member.
+        /// Member that the report is from.
         member: MemberId,
     },
-    /// It has a report on another number of zones than the settings have.
+    /// The payload contains a report on a different number of zones than the settings have.
     #[snafu(display("gossip payload reports on {zone_count} zones"))]
     ZoneCount {
-        /// The number of zones in the report.
+        /// Number of zones in the report.
         zone_count: usize,
     },
 }
@@ -49,11 +49,12 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a payload from any process. No bytes are an empty payload.
+    /// Decodes an untrusted payload. Zero bytes decode to an empty payload.
     ///
     /// # Errors
     ///
-    /// If any part of it is malformed or belongs to a deployment with other zones or members, all of it is rejected.
+    /// The payload is rejected as a whole if any part of it is malformed or is from a deployment with other zones or
+    /// members.
     pub fn decode(
         bytes: &[u8],
         zone_count: usize,
--- a/crates/router/zone-failover/src/gossip/report.rs
+++ b/crates/router/zone-failover/src/gossip/report.rs
@@ -1,30 +1,31 @@
-//! What one member sees of all zones, as it is sent.
+//! The report of one member on all zones, and its encoding.
 
 use crate::part_counts::PartCounts;
 use serde::{Deserialize, Serialize};
 use woadreach_membership::MemberId;
 
-/// Limit on the parts of an encoded count, which has four bits. Larger counts are scaled down.
+/// Maximum of an encoded count, which has four bits. Larger counts are scaled down.
 const MAX_ENCODED_PARTS: u32 = 15;
 /// Unit of an encoded age, in seconds.
 const AGE_UNIT_S: f64 = 0.05;
-/// Steps of the encoded rate for each doubling: it is a logarithm to the base of two.
+/// Steps of the encoded rate per doubling. The encoding is a binary logarithm.
 const RATE_STEPS: f64 = 8.0;
 
-/// What one member sees of all zones.
+/// The observations of one member on all zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The member that made the report.
+    /// Member that created the report.
     pub member: MemberId,
-    /// The zone of that member.
+    /// Zone of that member at the time of the report.
     pub zone: u8,
-    /// Increases with each report of the member. It wraps: one less than half of the range ahead is newer.
+    /// Sequence number of the member's reports. It wraps: a number that is ahead by less than half of the range is
+    /// newer.
     pub sequence: u8,
-    /// In units of [`AGE_UNIT_S`].
+    /// Age of the report when it was sent, in units of [`AGE_UNIT_S`].
     age: u8,
-    /// Parts per second, in [`RATE_STEPS`] on a logarithmic scale.
+    /// Rate on a logarithmic scale: [`RATE_STEPS`] times the binary logarithm of one plus the parts per second.
     rate: u8,
-    /// A byte for each zone: parts seen in the upper four bits, those that failed in the lower.
+    /// One byte for each zone: the number of parts seen in the upper four bits, and of failed parts in the lower four.
     counts: Vec<u8>,
 }
 
@@ -32,7 +33,7 @@
     let seen = parts.seen.min(MAX_ENCODED_PARTS);
     let failed = parts.failed.min(parts.seen);
     let scaled_failed = if parts.seen > MAX_ENCODED_PARTS {
-        // Rounded to the nearest, so that large counts are not biased.
+        // Rounded to nearest, so that scaling has no bias.
         (failed * MAX_ENCODED_PARTS + parts.seen / 2) / parts.seen
     } else {
         failed
@@ -41,8 +42,8 @@
 }
 
 impl Report {
-    /// A report made now. `parts_per_second` is the rate at which the member sends parts; `parts` has
-    /// one entry for each zone.
+    /// Creates a report with age zero. `parts_per_second` is the rate at which the member sends parts; `parts` has one
+    /// entry for each zone.
     pub fn new(
         member: MemberId,
         zone: u8,
@@ -60,12 +61,12 @@
         }
     }
 
-    /// How old it was when it was sent, in seconds.
+    /// Returns the age of the report when it was sent, in seconds.
     pub fn age_s(&self) -> f64 {
         f64::from(self.age) * AGE_UNIT_S
     }
 
-    /// The same report with another age, in seconds.
+    /// Returns the report with this age, in seconds.
     #[must_use]
     pub fn with_age(&self, age_s: f64) -> Report {
         Report {
@@ -74,12 +75,12 @@
         }
     }
 
-    /// The rate at which the member sends parts, within a tenth.
+    /// Returns the rate at which the member sends parts, with an error of up to a tenth.
     pub fn parts_per_second(&self) -> f64 {
         (f64::from(self.rate) / RATE_STEPS).exp2() - 1.0
     }
 
-    /// Parts seen of a zone; none for an unknown zone.
+    /// Returns the counts of a zone; zero for an unknown zone.
     pub fn parts(&self, zone: usize) -> PartCounts {
         let encoded = self.counts.get(zone).copied().unwrap_or(0);
         let seen = u32::from(encoded >> 4);
@@ -89,12 +90,12 @@
         }
     }
 
-    /// The number of zones that it reports on.
+    /// Returns the number of zones in the report.
     pub fn zone_count(&self) -> usize {
         self.counts.len()
     }
 
-    /// Limit on its encoded length in bytes.
+    /// Returns an upper bound on the encoded length, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         3 + 1 + 1 + 1 + 1 + 1 + self.counts.len()
     }
--- a/crates/router/zone-failover/src/gossip/zone_verdict.rs
+++ b/crates/router/zone-failover/src/gossip/zone_verdict.rs
@@ -1,25 +1,25 @@
-//! A zone's verdict as it is sent.
+//! The encoding of a verdict on a zone.
 
 use serde::{Deserialize, Serialize};
 
 /// Unit of an encoded age, in seconds.
 const AGE_UNIT_S: f64 = 0.01;
 
-/// A zone's verdict as it is sent. It has an age instead of a time, so that clocks needn't agree.
+/// The encoding of a verdict on a zone. It contains an age instead of a time, so that clocks needn't be synchronised.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneVerdict {
-    /// The zone, as a position in the settings' list of zones.
+    /// Zone, as a position in the settings' list of zones.
     pub zone: u8,
-    /// The verdict's epoch: odd if the zone is ejected.
+    /// Epoch of the verdict. The zone is ejected if it is odd.
     pub epoch: u32,
-    /// In units of [`AGE_UNIT_S`].
+    /// Age of the verdict when it was sent, in units of [`AGE_UNIT_S`].
     age: u32,
-    /// How often in succession the zone was ejected soon after its return.
+    /// Number of consecutive ejections that each came soon after the previous restoration.
     pub consecutive_failovers: u8,
 }
 
 impl ZoneVerdict {
-    /// A verdict that has been in force for `age_s` seconds.
+    /// Encodes a verdict that started `age_s` seconds ago.
     pub fn new(zone: u8, epoch: u32, age_s: f64, consecutive_failovers: u8) -> ZoneVerdict {
         ZoneVerdict {
             zone,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// How long it had been in force when it was sent, in seconds, rounded down to hundredths.
+    /// Returns the age of the verdict when it was sent, in seconds, rounded down to hundredths.
     pub fn age_s(&self) -> f64 {
         f64::from(self.age) * AGE_UNIT_S
     }
--- a/crates/router/zone-failover/src/lib.rs
+++ b/crates/router/zone-failover/src/lib.rs
@@ -1,17 +1,19 @@
-//! Which zones take traffic, decided in common by the co-ordinators of a tier.
+//! Failover between zones: the co-ordinators of a tier agree on the zones that receive traffic.
 //!
-//! Start with [`LocalPeer`]: it is one co-ordinator among its peers, datagrams in and datagrams out. It joins
-//! [`Members`](woadreach_membership::Members) with [`Zones`], which decides:
+//! Start with [`LocalPeer`], which handles the datagrams of one co-ordinator. It combines
+//! [`Members`](woadreach_membership::Members) with [`Zones`], which works in three steps:
 //!
-//! - Each co-ordinator sees a few parts of every zone ([`ZoneObservation`]). Members exchange them as [`Report`]s of a
-//!   few bytes, piggybacked on membership datagrams ([`GossipPayload`]).
-//! - From the reports and the members that are alive ([`View`](woadreach_membership::View)) each member computes a
-//!   [`Verdict`] for each zone. It is a deterministic function of them, and the verdict with the highest epoch is
-//!   valid, so that all members agree in the end.
-//! - Verdicts give the share of its traffic that each zone may have, and how much traffic stays near.
+//! - Each co-ordinator observes the outcome of the few parts that it sends to every zone ([`ZoneObservation`]). Members
+//!   exchange their observations in [`Report`]s of a few bytes, piggybacked on membership datagrams
+//!   ([`GossipPayload`]).
+//! - From the reports and the live members ([`View`](woadreach_membership::View)), each member computes a [`Verdict`]
+//!   for each zone. The computation is deterministic, and the verdict with the highest epoch is valid, so that the
+//!   verdicts of all members converge.
+//! - The verdicts determine the fraction of its normal traffic that each zone receives, and the fraction of traffic
+//!   that remains in the local zone.
 //!
-//! The crate has no clock and no socket, and names no replica: what a verdict does to one search is decided in
-//! `woadreach-routing`. Design, alternatives and the operators' page: `docs/failover.md`.
+//! The crate has no clock and no socket, and doesn't handle individual replicas: `woadreach-routing` applies the
+//! verdicts to searches. Design, alternatives and the operators' page: `docs/failover.md`.
 
 mod config;
 mod evidence;
--- a/crates/router/zone-failover/src/local_peer.rs
+++ b/crates/router/zone-failover/src/local_peer.rs
@@ -1,4 +1,4 @@
-//! One co-ordinator among its peers: membership and verdicts, datagrams in and datagrams out.
+//! The state machine of one co-ordinator for the datagrams of its peers. It combines membership and verdicts.
 
 use crate::part_counts::ZoneObservation;
 use crate::peer_actions::{OutgoingDatagram, PeerActions, PeerCounters, RolePayload};
@@ -6,48 +6,49 @@
 use woadreach_membership::datagram::{self, Body, Rejection};
 use woadreach_membership::{Actions, MemberId, Members, View};
 
-/// To how many members reports are pushed at each update while a verdict may be about to change, beside the datagrams
-/// of membership. Measurements: `docs/failover.md#reports-and-pushes`.
+/// Number of members to which reports are pushed at each update while a verdict may be about to change, in addition to
+/// membership datagrams. Measurements: `docs/failover.md#reports-and-pushes`.
 const URGENT_FANOUT: usize = 3;
-/// How long reports are pushed at each update, in seconds; by then all members have them.
+/// Duration of pushes at each update, in seconds. All members have the reports by its end.
 const URGENT_DURATION_S: f64 = 1.5;
-/// To how many members reports are pushed after that.
+/// Number of members to which reports are pushed after [`URGENT_DURATION_S`].
 const SUSTAINED_FANOUT: usize = 1;
-/// Time between two pushes after that, in seconds. Under an overload a verdict may be about to change all the time.
+/// Interval between two pushes after [`URGENT_DURATION_S`], in seconds. Pushes are limited because a verdict may be
+/// about to change continuously during an overload.
 const SUSTAINED_PUSH_INTERVAL_S: f64 = 0.5;
-/// After so long without urgency, in seconds, the next counts as new.
+/// Time without urgency after which the next urgency counts as a new one, in seconds.
 const URGENCY_GAP_S: f64 = 3.0;
 
-/// A time in which a verdict may be about to change.
+/// A period during which a verdict may be about to change.
 #[derive(Clone, Copy, Debug)]
 struct Urgency {
-    /// When it began, or the latest change of a verdict if that was later.
+    /// Start of the period, or the latest change of a verdict if that is later.
     since_s: f64,
-    /// When reports were last pushed for it.
+    /// Time of the latest push in the period.
     last_s: f64,
 }
 
-/// One co-ordinator among its peers.
+/// The state machine of one co-ordinator for the datagrams of its peers.
 ///
-/// The driver calls [`update`](Self::update) five to ten times a second, [`tick`](Self::tick) when
-/// [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for each datagram, and executes the returned
+/// The driver calls [`update`](Self::update) five to ten times per second, [`tick`](Self::tick) at the time of
+/// [`next_due_s`](Self::next_due_s), and [`receive`](Self::receive) for each datagram. It executes the returned
 /// [`PeerActions`].
 pub struct LocalPeer {
     id: MemberId,
-    /// Which members are alive.
+    /// Membership protocol of this member.
     pub members: Members,
-    /// The verdicts on zones.
+    /// Verdicts on zones, as computed by this member.
     pub zones: Zones,
-    /// A payload on singleton roles to piggyback on every datagram. This crate doesn't read it.
+    /// Payload about singleton roles to piggyback on every datagram, set by the driver. This crate doesn't decode it.
     pub role_gossip: Vec<u8>,
     next_push_s: f64,
-    /// The latest urgency, for [`URGENCY_GAP_S`] after its end.
+    /// Latest period of urgency; `None` from [`URGENCY_GAP_S`] after its end.
     urgency: Option<Urgency>,
     counters: PeerCounters,
 }
 
 impl LocalPeer {
-    /// The co-ordinator `id`. `members` and `zones` must be of the same member.
+    /// Creates the state machine of the co-ordinator `id`. `members` and `zones` must belong to the same member.
     pub fn new(id: MemberId, members: Members, zones: Zones) -> LocalPeer {
         LocalPeer {
             id,
@@ -60,12 +61,12 @@
         }
     }
 
-    /// Which members are alive.
+    /// Returns the live members, as seen by this member.
     pub fn view(&self) -> &View {
         self.members.view()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start of this member.
     pub fn counters(&self) -> PeerCounters {
         PeerCounters {
             unusable: self.members.unusable_messages() + self.zones.rejected(),
@@ -73,16 +74,17 @@
         }
     }
 
-    /// When [`LocalPeer::tick`] is due.
+    /// Returns the time at which [`LocalPeer::tick`] is due.
     pub fn next_due_s(&self) -> f64 {
         self.members.next_due_s()
     }
 
-    /// Handles a datagram. `from` is the member whose address in the roster it came from, if any.
+    /// Handles a datagram. `from` is the member whose roster address matches the source address; `None` if there is
+    /// none.
     ///
-    /// A datagram whose sender isn't the member with its address is rejected, so that two co-ordinators that are
-    /// configured alike don't speak for each other. Forged addresses are not detected. The cost: a member that has
-    /// moved is unheard until the roster has its new address.
+    /// A datagram whose sender id doesn't match its source address is rejected, so that two co-ordinators that are
+    /// configured with the same id don't send in each other's name. Forged addresses are not detected. The drawback:
+    /// datagrams of a member whose address has changed are rejected until the roster has its new address.
     pub fn receive(&mut self, now_s: f64, from: Option<MemberId>, bytes: &[u8]) -> PeerActions {
         let body = match self.decode(from, bytes) {
             Ok(body) => body,
@@ -92,7 +94,7 @@
             }
         };
         self.counters.accepted += 1;
-        // `Zones` counts a payload that it rejects. The rest of the datagram is valid all the same.
+        // `Zones` counts a payload that it rejects. The rest of the datagram is still valid.
         let _ = self.zones.receive(now_s, body.zone_gossip);
         let roles = (!body.roles.is_empty()).then(|| RolePayload {
             from: body.from,
@@ -107,7 +109,7 @@
         actions
     }
 
-    /// A datagram with only a payload on singleton roles.
+    /// Sends a datagram that contains only a payload about singleton roles.
     pub fn send_role_payload(&mut self, to: MemberId, roles: &[u8]) -> PeerActions {
         let mut actions = PeerActions::default();
         let body = Body {
@@ -120,15 +122,16 @@
         actions
     }
 
-    /// Does what is due of membership.
+    /// Performs all due steps of the membership protocol.
     pub fn tick(&mut self, now_s: f64) -> PeerActions {
         let membership = self.members.tick(now_s);
         self.execute(now_s, membership)
     }
 
-    /// Records what this co-ordinator sees of each zone and how many parts per second it sends, computes the verdicts,
-    /// and pushes reports. To be called five to ten times a second. Verdicts are computed here and not for each
-    /// datagram: at 300 members that took more of a small co-ordinator's processor than its searches.
+    /// Records this co-ordinator's observation of each zone and the rate at which it sends parts, computes the
+    /// verdicts, and pushes reports. Must be called five to ten times per second. Verdicts are computed here and not
+    /// for each datagram, because with 300 members that used more processor time of a small co-ordinator than its
+    /// searches.
     pub fn update(
         &mut self,
         now_s: f64,
@@ -147,7 +150,7 @@
         actions
     }
 
-    /// Notifies the others that this co-ordinator leaves.
+    /// Notifies other members that this co-ordinator leaves the tier.
     pub fn leave(&mut self, now_s: f64) -> PeerActions {
         let membership = self.members.leave(now_s);
         self.execute(now_s, membership)
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Sends reports to a few members while a verdict may be about to change.
+    /// Pushes reports to a few members while a verdict may be about to change.
     fn push(&mut self, now_s: f64, actions: &mut PeerActions) {
         self.next_push_s = now_s;
         if !self.zones.is_urgent(now_s) {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Sends membership's messages with gossip piggybacked.
+    /// Sends the messages of the membership protocol with gossip piggybacked.
     fn execute(&mut self, now_s: f64, membership: Actions) -> PeerActions {
         let mut actions = PeerActions {
             membership_events: membership.events,
@@ -201,7 +204,7 @@
         actions
     }
 
-    /// The payload on zones for a datagram with a membership message of `swim_bytes`.
+    /// Returns the zone payload for a datagram with a membership message of `swim_bytes` bytes.
     fn zone_gossip(&mut self, now_s: f64, swim_bytes: usize) -> Vec<u8> {
         let capacity = datagram::capacity_beside(swim_bytes + self.role_gossip.len());
         self.zones.gossip(now_s, capacity, self.members.view())
@@ -224,7 +227,7 @@
     }
 }
 
-/// Encodes and counts a datagram. One that is too long is dropped; callers keep to the capacity.
+/// Encodes and counts a datagram. A datagram that is too long is dropped; callers must respect its capacity.
 fn send(counters: &mut PeerCounters, to: MemberId, body: &Body<'_>, actions: &mut PeerActions) {
     if let Some(bytes) = datagram::encode(body) {
         counters.sent += 1;
--- a/crates/router/zone-failover/src/part_counts.rs
+++ b/crates/router/zone-failover/src/part_counts.rs
@@ -1,11 +1,11 @@
-//! What was seen of a zone.
+//! Counts of the parts that were sent to a zone, and of their failures.
 
-/// Parts of searches that were sent to a zone.
+/// Counts of the parts of searches that were sent to a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PartCounts {
-    /// Parts that have ended or are overdue.
+    /// Number of parts that have finished or are overdue.
     pub seen: u32,
-    /// Those of `seen` that were late, failed or unanswered.
+    /// Number of parts among `seen` that were late, failed or unanswered.
     pub failed: u32,
 }
 
@@ -15,31 +15,31 @@
         self.failed += other.failed;
     }
 
-    /// Whether at least half of the parts have failed. Of no parts none has.
+    /// Whether at least half of the parts have failed; `false` without any parts.
     pub(crate) fn half_failed(self) -> bool {
         self.seen > 0 && self.failed * 2 >= self.seen
     }
 
-    /// Whether at most this share of the parts has failed.
+    /// Whether the fraction of failed parts is at most `share`.
     pub(crate) fn failed_share_is_at_most(self, share: f64) -> bool {
         f64::from(self.failed) <= share * f64::from(self.seen)
     }
 
-    /// Whether at least this share of the parts has failed.
+    /// Whether the fraction of failed parts is at least `share`.
     pub(crate) fn failed_share_is_at_least(self, share: f64) -> bool {
         f64::from(self.failed) >= share * f64::from(self.seen)
     }
 }
 
-/// What this co-ordinator itself has lately seen of one zone.
+/// This co-ordinator's own recent observations of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
-    /// Parts that have ended or are overdue.
+    /// Number of parts that have finished or are overdue.
     pub seen: u32,
-    /// Those of `seen` that were late, failed or unanswered.
+    /// Number of parts among `seen` that were late, failed or unanswered.
     pub failed: u32,
-    /// Capacity of the zone's replicas that are open by the endpoint list, in replicas. Those that are warming up count
-    /// for less than one.
+    /// Total capacity of the zone's replicas that are open in the endpoint list, in replicas. A replica that is warming
+    /// up counts for less than one.
     pub capacity: f64,
 }
 
--- a/crates/router/zone-failover/src/peer_actions.rs
+++ b/crates/router/zone-failover/src/peer_actions.rs
@@ -1,4 +1,4 @@
-//! What [`LocalPeer`](crate::LocalPeer) asks of its driver, and its counters.
+//! The output of [`LocalPeer`](crate::LocalPeer), which its driver executes, and its counters.
 
 use crate::verdict::VerdictChange;
 use std::collections::BTreeMap;
@@ -8,45 +8,45 @@
 /// A datagram for another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The receiver.
+    /// Receiver of the datagram.
     pub to: MemberId,
-    /// The complete datagram.
+    /// Encoded datagram with its envelope.
     pub bytes: Vec<u8>,
 }
 
-/// A payload on singleton roles, which this crate doesn't read.
+/// A payload about singleton roles. This crate doesn't decode it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolePayload {
-    /// The sender.
+    /// Sender of the datagram.
     pub from: MemberId,
-    /// The payload, for `woadreach-lease`.
+    /// Encoded payload, to be decoded by `woadreach-lease`.
     pub bytes: Vec<u8>,
 }
 
-/// What the driver has to do, and what it may want to log.
+/// Datagrams to send, and events to log or handle.
 #[derive(Debug, Default)]
 pub struct PeerActions {
-    /// Datagrams to send. Losing them is safe.
+    /// Datagrams to send. Loss of any of them is safe.
     pub datagrams: Vec<OutgoingDatagram>,
-    /// Changes of the members that are alive.
+    /// Changes of membership.
     pub membership_events: Vec<MembershipEvent>,
     /// Verdicts that have changed.
     pub verdict_changes: Vec<VerdictChange>,
-    /// A payload on singleton roles that was received.
+    /// Payload about singleton roles in the received datagram; `None` if there is none.
     pub role_payload: Option<RolePayload>,
 }
 
-/// Counters of datagrams since the start.
+/// Counters of datagrams since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerCounters {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Total length of the datagrams sent, in bytes.
     pub sent_bytes: u64,
-    /// Datagrams received and accepted.
+    /// Number of datagrams received and accepted.
     pub accepted: u64,
-    /// Datagrams rejected, by the reason.
+    /// Number of datagrams rejected, by reason.
     pub rejected: BTreeMap<Rejection, u64>,
-    /// Payloads and membership messages in accepted datagrams that could not be used.
+    /// Number of membership messages, zone payloads and verdicts in accepted datagrams that were rejected.
     pub unusable: u64,
 }
--- a/crates/router/zone-failover/src/report_table.rs
+++ b/crates/router/zone-failover/src/report_table.rs
@@ -8,15 +8,15 @@
 /// A report in the table.
 struct StoredReport {
     report: Report,
-    /// When its member made it, by this member's clock.
-    made_at_s: f64,
-    /// How often this member has passed it on.
+    /// Time at which the report was created, by this member's clock.
+    created_at_s: f64,
+    /// Number of times that this member has sent the report to others.
     sends: u32,
 }
 
 /// The latest report of each member.
 pub(crate) struct ReportTable {
-    /// How long a report is valid, in seconds.
+    /// Validity of a report, in seconds.
     timeout_s: f64,
     reports: BTreeMap<MemberId, StoredReport>,
 }
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Replaces a member's report by one that was made at `made_at_s`.
-    pub(crate) fn insert(&mut self, report: Report, made_at_s: f64) {
+    /// Replaces a member's report by one that was created at `created_at_s`.
+    pub(crate) fn insert(&mut self, report: Report, created_at_s: f64) {
         let stored = StoredReport {
-            made_at_s,
+            created_at_s,
             sends: 0,
             report,
         };
@@ -41,37 +41,39 @@
 
     /// Inserts a report from another member, unless it has expired or the table has a newer one.
     pub(crate) fn insert_if_newer(&mut self, now_s: f64, report: Report) {
-        let made_at_s = now_s - report.age_s();
+        let created_at_s = now_s - report.age_s();
         let oldest = now_s - self.timeout_s;
         let known = self.reports.get(&report.member);
         let is_outdated = known
-            .filter(|known| known.made_at_s > oldest)
+            .filter(|known| known.created_at_s > oldest)
             .is_some_and(|known| {
                 // Sequence numbers wrap.
                 let ahead = report.sequence.wrapping_sub(known.report.sequence);
                 ahead.wrapping_sub(1) >= 127
             });
-        if made_at_s > oldest && !is_outdated {
-            self.insert(report, made_at_s);
+        if created_at_s > oldest && !is_outdated {
+            self.insert(report, created_at_s);
         }
     }
 
     pub(crate) fn remove_expired(&mut self, now_s: f64) {
         let oldest = now_s - self.timeout_s;
-        self.reports.retain(|_, stored| stored.made_at_s > oldest);
+        self.reports
+            .retain(|_, stored| stored.created_at_s > oldest);
     }
 
-    /// The reports that are valid.
+    /// Returns the reports that have not expired.
     pub(crate) fn valid(&self, now_s: f64) -> impl Iterator<Item = &Report> {
         let oldest = now_s - self.timeout_s;
         self.reports
             .values()
-            .filter(move |stored| stored.made_at_s > oldest)
+            .filter(move |stored| stored.created_at_s > oldest)
             .map(|stored| &stored.report)
     }
 
-    /// The reporters' valid reports that fit into `capacity` bytes, those that were passed on least often first, and of
-    /// these the newest. They count as passed on. None is passed on more than `max_sends` times.
+    /// Returns valid reports of reporters that fit into `capacity` bytes, and counts each as sent once more. Reports
+    /// that were sent least often come first, and the newest among these. No report is sent more than `max_sends`
+    /// times.
     pub(crate) fn take_for_gossip(
         &mut self,
         now_s: f64,
@@ -83,12 +85,12 @@
         let mut due: Vec<&mut StoredReport> = self
             .reports
             .values_mut()
-            .filter(|stored| stored.made_at_s > oldest && stored.sends < max_sends)
+            .filter(|stored| stored.created_at_s > oldest && stored.sends < max_sends)
             .filter(|stored| reporters.contains(stored.report.member))
             .collect();
         due.sort_by(|a, b| {
             let by_sends = a.sends.cmp(&b.sends);
-            by_sends.then(b.made_at_s.total_cmp(&a.made_at_s))
+            by_sends.then(b.created_at_s.total_cmp(&a.created_at_s))
         });
         let mut reports = Vec::new();
         let mut size = 0;
@@ -98,7 +100,7 @@
                 break;
             }
             stored.sends += 1;
-            reports.push(stored.report.with_age(now_s - stored.made_at_s));
+            reports.push(stored.report.with_age(now_s - stored.created_at_s));
         }
         reports
     }
--- a/crates/router/zone-failover/src/reporters.rs
+++ b/crates/router/zone-failover/src/reporters.rs
@@ -1,24 +1,25 @@
-//! Which members' reports decide.
+//! Selection of the members whose reports count for verdicts.
 
 use std::collections::BTreeMap;
 use woadreach_membership::{MemberId, View, splitmix64};
 
-/// A member's position among all members: the same at each of them, and different for any two.
+/// Returns the sort key of a member for the selection of reporters. It is unique, and the same at all members.
 pub(crate) fn rank(member: MemberId) -> u64 {
     splitmix64(u64::from(member.0))
 }
 
-/// The live members whose reports decide, the first by their rank.
+/// The reporters: the live members whose reports count for verdicts. They are the first in the order of [`rank`].
 #[derive(Debug, Default)]
 pub(crate) struct Reporters {
-    /// The version of the view that they were chosen from.
+    /// Version of the view from which the reporters were selected.
     view_version: u64,
-    /// The zone of each.
+    /// Zone of each reporter, from the view.
     zones: BTreeMap<MemberId, u8>,
 }
 
 impl Reporters {
-    /// Chooses them anew if the view has changed: 300 members are too many to sort for each datagram.
+    /// Selects the reporters again if the view has changed. The result is cached, as sorting 300 members for each
+    /// datagram is too expensive.
     pub(crate) fn update(&mut self, view: &View, limit: usize) {
         if self.view_version == view.version {
             return;
@@ -37,13 +38,13 @@
         self.zones.contains_key(&member)
     }
 
-    /// The zone of a member by the membership; `None` if its reports don't decide. What a report says of its member's
-    /// zone may be of another time.
+    /// Returns the zone of a member by membership; `None` if it is not a reporter. The zone in the report itself may be
+    /// outdated.
     pub(crate) fn zone_of(&self, member: MemberId) -> Option<usize> {
         self.zones.get(&member).map(|zone| usize::from(*zone))
     }
 
-    /// How many of them are outside a zone.
+    /// Returns the number of reporters outside a zone.
     pub(crate) fn count_outside(&self, zone: usize) -> usize {
         let zones = self.zones.values();
         zones.filter(|other| usize::from(**other) != zone).count()
--- a/crates/router/zone-failover/src/verdict.rs
+++ b/crates/router/zone-failover/src/verdict.rs
@@ -1,29 +1,30 @@
-//! Verdicts on zones, and the rules by which they change.
+//! Verdicts on zones, and the rules for ejecting and restoring a zone.
 
 use crate::config::ZoneFailoverConfig;
 use crate::evidence::Evidence;
 
-/// Whether a zone takes traffic. The verdict with the highest epoch is valid at all members.
+/// Whether a zone receives traffic. Members adopt the verdict with the highest epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Increases by one with each change. Even: the zone serves; odd: it is ejected.
+    /// Number of changes of the verdict. The zone serves if it is even, and is ejected if it is odd.
     pub epoch: u32,
-    /// When the verdict came into force, by this member's clock. Members that found it at once take the earliest.
+    /// Start of the verdict, by this member's clock. If several members reached the verdict concurrently, the earliest
+    /// of their times is used.
     pub since_s: f64,
-    /// How often in succession the zone was ejected soon after its return.
+    /// Number of consecutive ejections that each came soon after the previous restoration.
     pub consecutive_failovers: u8,
 }
 
-/// A verdict that has changed, by this member's own evidence or by another member's message.
+/// A change of a verdict, either from this member's own evidence or from another member's message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VerdictChange {
-    /// The zone, as a position in the settings' list of zones.
+    /// Zone, as a position in the settings' list of zones.
     pub zone: u8,
-    /// Its new verdict.
+    /// New verdict on the zone.
     pub verdict: Verdict,
-    /// Parts of the zone in the reports that this member has.
+    /// Number of parts of the zone in the valid reports that were pooled.
     pub seen: u32,
-    /// Those of `seen` that have failed.
+    /// Number of failed parts among `seen`.
     pub failed: u32,
 }
 
@@ -33,8 +34,9 @@
         self.epoch % 2 == 1
     }
 
-    /// The verdict that follows for an ejected zone, if it is to be restored: probes of it succeed after the
-    /// dwell, or nothing was seen of it since `last_observed_s` for long.
+    /// Returns the next verdict on an ejected zone if the zone must be restored, otherwise `None`. It is restored if
+    /// its probes succeed after the dwell time, or if no part of it was observed for
+    /// [`ZoneFailoverConfig::unobserved_dwells`]. `last_observed_s` is the time of the latest observation.
     pub(crate) fn next_if_restored(
         self,
         now_s: f64,
@@ -47,20 +49,20 @@
             .consecutive_failovers
             .min(config.max_consecutive_failovers);
         let dwell_s = config.dwell_s * f64::from(1u32 << exponent);
-        let is_sound = parts.seen >= config.min_parts_to_restore
+        let is_healthy = parts.seen >= config.min_parts_to_restore
             && parts.failed_share_is_at_most(config.max_failed_share_to_restore);
         let unobserved_for_s = now_s - self.since_s.max(last_observed_s);
-        let is_unobserved = unobserved_for_s >= config.unobserved_dwells * dwell_s;
-        let may_return = is_sound && now_s - self.since_s >= dwell_s;
-        (may_return || is_unobserved).then_some(Verdict {
+        let is_unobserved_for_long = unobserved_for_s >= config.unobserved_dwells * dwell_s;
+        let has_recovered = is_healthy && now_s - self.since_s >= dwell_s;
+        (has_recovered || is_unobserved_for_long).then_some(Verdict {
             epoch: self.epoch + 1,
             since_s: now_s,
             consecutive_failovers: self.consecutive_failovers,
         })
     }
 
-    /// The verdict that follows for a zone that serves, if it is to be ejected. `others_can_serve` is whether enough
-    /// zones remain.
+    /// Returns the next verdict on a serving zone if the zone must be ejected, otherwise `None`. `others_can_serve` is
+    /// whether enough zones remain.
     pub(crate) fn next_if_ejected(
         self,
         now_s: f64,
@@ -75,8 +77,8 @@
         let was_ejected_before = self.epoch > 0;
         let dwell_has_passed = !was_ejected_before || age_s >= config.dwell_s;
         let must_eject = has_failed
-            && evidence.has_majority_against()
-            && evidence.others_are_sound
+            && evidence.has_failure_majority()
+            && evidence.others_are_healthy
             && others_can_serve
             && dwell_has_passed;
         let consecutive_failovers = if was_ejected_before && age_s < config.stable_after_s {
--- a/crates/router/zone-failover/src/zones/mod.rs
+++ b/crates/router/zone-failover/src/zones/mod.rs
@@ -1,11 +1,11 @@
-//! The verdicts of one member: a deterministic function of reports, the members that are alive, and earlier verdicts.
+//! The verdicts of one member, as a deterministic function of reports, live members and earlier verdicts.
 //!
-//! Members that receive the same reach the same verdicts. Messages contain epochs and ages and never times, so that
-//! clocks needn't agree.
+//! Members with the same input reach the same verdicts. Messages contain epochs and ages but no times, so that clocks
+//! needn't be synchronised.
 //!
-//! - `piggyback.rs`: what is sent to other members, and what is received from them.
+//! - `piggyback.rs`: the payloads that are sent to and received from other members.
 //! - `urgency.rs`: whether a verdict may be about to change.
-//! - `traffic.rs`: the share of its traffic that each zone may have, and how much stays near.
+//! - `traffic.rs`: the fraction of its normal traffic that each zone receives, and the fraction that remains local.
 
 mod piggyback;
 mod traffic;
@@ -23,41 +23,41 @@
 use std::collections::BTreeSet;
 use woadreach_membership::{MemberId, View};
 
-/// Tolerance of the comparison of times, in seconds.
+/// Tolerance in comparisons of times, in seconds.
 const TIME_EPSILON_S: f64 = 1e-9;
 
-/// The verdicts of one member. All times are in seconds of one clock, whose origin doesn't matter.
+/// The verdicts of one member. All times are in seconds of one clock, which may have any origin.
 pub struct Zones {
     id: MemberId,
-    /// This member's own zone.
+    /// Zone of this member.
     zone: u8,
     config: ZoneFailoverConfig,
     roster_size: usize,
-    /// By zone; so are all other vectors.
+    /// Verdict on each zone. All vectors of this type are indexed by zone.
     verdicts: Vec<Verdict>,
-    /// The epochs whose changes [`Zones::decide`] has returned.
+    /// Epoch of the verdict on each zone that [`Zones::decide`] last returned.
     returned_epochs: Vec<u32>,
-    /// The latest report of each member, this one included.
+    /// Latest report of each member, including this one.
     reports: ReportTable,
     reporters: Reporters,
-    /// When a valid report last had parts of the zone.
+    /// Time at which a valid report last had any part of the zone.
     last_observed_s: Vec<f64>,
-    /// What this member has lately seen.
+    /// Latest observations of this member.
     observations: Vec<ZoneObservation>,
-    /// Of this member's latest report. It wraps.
+    /// Sequence number of this member's latest report. It wraps.
     last_sequence: u8,
-    /// When this member made its latest report.
+    /// Time of this member's latest report.
     last_report_s: f64,
-    /// Zones that an operator has ejected at this member alone.
+    /// Zones that an operator has ejected. Valid at this member only; not sent to others.
     pub ejected_by_operator: BTreeSet<u8>,
-    /// The region of each zone.
+    /// Region of each zone.
     regions: Vec<u8>,
     rejected: u64,
 }
 
 impl Zones {
-    /// The verdicts of the member `id` in `zone`. `regions` has the region of each zone, and so the number of zones;
-    /// `roster_size` is the number of members, alive or not.
+    /// Creates the verdicts of the member `id` in `zone`; all zones serve. `regions` contains the region of each zone,
+    /// and thus determines the number of zones. `roster_size` is the number of members, alive or not.
     pub fn new(
         id: MemberId,
         zone: u8,
@@ -82,7 +82,7 @@
             reporters: Reporters::default(),
             last_observed_s: vec![now_s; zone_count],
             observations: vec![ZoneObservation::default(); zone_count],
-            // Different at each member, and the same in each run.
+            // Differs between members, but is reproducible in each run.
             last_sequence: (rank(id) >> 16) as u8,
             last_report_s: f64::NEG_INFINITY,
             ejected_by_operator: BTreeSet::new(),
@@ -91,17 +91,17 @@
         }
     }
 
-    /// The verdict on each zone.
+    /// Returns the verdict on each zone.
     pub fn verdicts(&self) -> &[Verdict] {
         &self.verdicts
     }
 
-    /// Payloads and verdicts of other members that were rejected.
+    /// Returns the number of payloads and verdicts of other members that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// When a verdict last changed; negative infinity if none ever did.
+    /// Returns the time of the latest change of a verdict; negative infinity if none has changed.
     pub fn last_change_s(&self) -> f64 {
         let changed = self.verdicts.iter().filter(|verdict| verdict.epoch > 0);
         changed
@@ -109,8 +109,8 @@
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Records what this member sees of each zone now, and how many parts per second it sends. They go into its report
-    /// when that is due.
+    /// Records this member's current observation of each zone and the rate at which it sends parts. Creates a report
+    /// from them if one is due.
     pub fn record_observations(
         &mut self,
         now_s: f64,
@@ -142,8 +142,8 @@
         self.reports.insert(report, now_s);
     }
 
-    /// Computes the verdicts, and returns those that have changed since the last call, by this member's own evidence or
-    /// by a message.
+    /// Computes the verdicts. Returns those that have changed since the last call, from this member's own evidence or
+    /// from a message.
     pub fn decide(&mut self, now_s: f64, view: &View) -> Vec<VerdictChange> {
         self.reports.remove_expired(now_s);
         self.reporters.update(view, self.config.max_reporters);
@@ -153,7 +153,7 @@
             if evidence.parts.seen > 0 {
                 self.last_observed_s[zone] = now_s;
             }
-            // The minority side of a partition keeps the last verdict in common.
+            // The minority side of a partition keeps the last common verdict.
             if !view.is_partitioned && evidence.has_quorum() {
                 self.update_verdict(now_s, zone, &evidence);
             }
--- a/crates/router/zone-failover/src/zones/piggyback.rs
+++ b/crates/router/zone-failover/src/zones/piggyback.rs
@@ -1,27 +1,27 @@
-//! What is sent to other members with their datagrams, and what is received from them.
+//! Gossip payloads: those that are piggybacked on datagrams to other members, and those that are received.
 
 use super::Zones;
 use crate::gossip::{GossipPayload, InvalidPayload, ZoneVerdict};
 use crate::verdict::Verdict;
 use woadreach_membership::View;
 
-/// How much further a received epoch may be ahead than this member's, unless this member knows of none.
+/// Maximum distance by which a received epoch may be ahead of this member's epoch, unless that is 0.
 const MAX_EPOCH_GAP: u32 = 64;
-/// Limit on the bytes of reports in a datagram while nothing is urgent: three reports of three zones.
-const CALM_REPORT_BYTES: usize = 36;
-/// How often each report is passed on, as a multiple of the natural logarithm of the number of members (SWIM, section
-/// 4.1).
+/// Limit on the bytes of reports in a datagram while no verdict is about to change: three reports of three zones.
+const NON_URGENT_REPORT_BYTES: usize = 36;
+/// Number of times that a member sends each report, as a multiple of the natural logarithm of the number of members
+/// (SWIM, section 4.1).
 const TRANSMISSION_FACTOR: f64 = 4.0;
-/// Limits on the encoded bytes of the payload's lists beside their entries, and of a verdict.
+/// Upper bounds on the encoded length of the payload's lists without their entries, and of a verdict, in bytes.
 const LIST_BYTES: usize = 4;
 const VERDICT_BYTES: usize = 12;
 
 impl Zones {
-    /// Handles a payload of another member.
+    /// Handles a payload from another member.
     ///
     /// # Errors
     ///
-    /// The payload is malformed or of another deployment. It is counted, and nothing of it is used.
+    /// The payload is malformed or from another deployment. It is counted and rejected as a whole.
     pub fn receive(&mut self, now_s: f64, bytes: &[u8]) -> Result<(), InvalidPayload> {
         let payload = GossipPayload::decode(bytes, self.verdicts.len(), self.roster_size)
             .inspect_err(|_| self.rejected += 1)?;
@@ -36,9 +36,9 @@
         Ok(())
     }
 
-    /// Adopts a received verdict if its epoch is higher. One that is further ahead than a member can have missed is
-    /// rejected, since a corrupted epoch would be valid for ever. The cost: a member that was partitioned for longer
-    /// than that number of changes has to be restarted.
+    /// Adopts a received verdict if its epoch is higher. A verdict that is ahead by more than [`MAX_EPOCH_GAP`] is
+    /// rejected, since a corrupted epoch would otherwise be valid forever. The drawback: a member that has missed more
+    /// changes than that during a partition must be restarted.
     fn adopt(&mut self, now_s: f64, received: &ZoneVerdict) {
         let max_consecutive_failovers = self.config.max_consecutive_failovers;
         let verdict = &mut self.verdicts[usize::from(received.zone)];
@@ -56,14 +56,14 @@
                     .min(max_consecutive_failovers),
             };
         } else if received.epoch == verdict.epoch && received.epoch > 0 {
-            // Two members may have reached it at once: the earlier time is valid, so that the slow starts of a restored
-            // zone agree.
+            // Two members may have reached the verdict concurrently. Both use the earlier time, so that their slow
+            // starts of a restored zone agree.
             verdict.since_s = verdict.since_s.min(since_s);
         }
     }
 
-    /// The payload for a datagram that has `capacity` bytes for it: all verdicts, then the reports that were passed on
-    /// least often. Empty if there is nothing to send, or if it doesn't fit.
+    /// Returns the payload for a datagram with `capacity` bytes left: all verdicts, then the reports that were sent
+    /// least often. The payload is empty if there is nothing to send or if it doesn't fit.
     pub fn gossip(&mut self, now_s: f64, capacity: usize, view: &View) -> Vec<u8> {
         let verdicts: Vec<ZoneVerdict> = self
             .verdicts
@@ -81,7 +81,7 @@
         let capacity = if self.is_urgent(now_s) {
             capacity
         } else {
-            capacity.min(base_bytes + CALM_REPORT_BYTES)
+            capacity.min(base_bytes + NON_URGENT_REPORT_BYTES)
         };
         let members = self.roster_size as f64 + 1.0;
         let max_sends = (TRANSMISSION_FACTOR * members.ln()).ceil() as u32;
--- a/crates/router/zone-failover/src/zones/traffic.rs
+++ b/crates/router/zone-failover/src/zones/traffic.rs
@@ -1,32 +1,32 @@
-//! The share of its traffic that each zone may have, and how much of the traffic stays near.
+//! The fraction of its normal traffic that each zone receives, and the fraction of traffic that remains local.
 
 use super::Zones;
 use crate::part_counts::PartCounts;
 use std::collections::BTreeSet;
 use woadreach_membership::View;
 
-/// A group of zones that is preferred to those further away.
+/// A group of zones that is preferred to more distant zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpillGroup {
-    /// The zones of the group.
+    /// Zones in the group.
     pub zones: BTreeSet<u8>,
-    /// The share of all parts for which a zone of this group, or of a nearer one, is preferred.
+    /// Fraction of all parts for which a zone of this group, or of a nearer group, is preferred, in 0..=1.
     pub share: f64,
 }
 
-/// What the reports say of the traffic that one zone's co-ordinators cause.
+/// The traffic of one zone's co-ordinators, from their reports.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedRate {
     /// Sum of the reported parts per second.
     total: f64,
-    /// The number of reports.
+    /// Number of reports.
     reports: usize,
 }
 
 impl Zones {
-    /// The share of its traffic that each zone may have: 0 if it is ejected, 1 if it serves, between them on its
-    /// return. It depends on the age of the verdict only, so that all co-ordinators turn to the zone's idle replicas at
-    /// one pace.
+    /// Returns the fraction of its normal traffic that each zone receives: 0 if it is ejected, 1 if it serves, and
+    /// between them during slow start after a restoration. The fraction depends on the age of the verdict only, so that
+    /// all co-ordinators increase the zone's traffic at the same rate.
     pub fn traffic_shares(&self, now_s: f64) -> Vec<f64> {
         let config = &self.config;
         let share = |zone: usize| {
@@ -44,9 +44,12 @@
         (0..self.verdicts.len()).map(share).collect()
     }
 
-    /// The groups of zones that are preferred, nearest first: the own zone, then the own region. Parts beyond the last
-    /// group's share have no preference. A group keeps its traffic while its health, by all reports, covers it, and
-    /// while its own co-ordinators don't crowd it.
+    /// Returns the preferred groups of zones, nearest first: the local zone, then the local region. Parts beyond the
+    /// share of the last group have no preference. Traffic remains in a group while the healthy fraction of its parts,
+    /// by all reports, is sufficient, and while its own co-ordinators don't exceed
+    /// [`ZoneFailoverConfig::max_local_load`].
+    ///
+    /// [`ZoneFailoverConfig::max_local_load`]: crate::ZoneFailoverConfig::max_local_load
     pub fn spill_order(&self, now_s: f64, view: &View) -> Vec<SpillGroup> {
         let own_region = self.regions.get(usize::from(self.zone));
         let region: BTreeSet<u8> = (0..self.regions.len() as u8)
@@ -59,27 +62,27 @@
         let mut spilled = 1.0;
         let mut order = Vec::new();
         for zones in groups {
-            spilled *= 1.0 - self.share_that_stays(now_s, view, &zones);
+            spilled *= 1.0 - self.local_share(now_s, view, &zones);
             let share = 1.0 - spilled;
             order.push(SpillGroup { zones, share });
         }
         order
     }
 
-    /// The share of a group's traffic that may stay in it.
-    fn share_that_stays(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+    /// Returns the fraction of a group's traffic that may remain in the group.
+    fn local_share(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
         let traffic_shares = self.traffic_shares(now_s);
         let traffic_share = group
             .iter()
             .map(|zone| traffic_shares[usize::from(*zone)])
             .fold(0.0, f64::max);
         (self.config.overprovisioning_factor * self.healthy_share(now_s, group))
-            .min(self.uncrowded_share(now_s, view, group))
+            .min(self.share_within_load_limit(now_s, view, group))
             .min(1.0)
             * traffic_share
     }
 
-    /// The share of a group's parts that has not failed, by all reports.
+    /// Returns the fraction of a group's parts that have not failed, by all reports.
     fn healthy_share(&self, now_s: f64, group: &BTreeSet<u8>) -> f64 {
         let mut parts = PartCounts::default();
         for report in self.reports.valid(now_s) {
@@ -90,22 +93,22 @@
         1.0 - f64::from(parts.failed) / f64::from(parts.seen.max(1))
     }
 
-    /// The share of the traffic of a group's own co-ordinators that its replicas take without being crowded; it may
-    /// exceed 1.
-    fn uncrowded_share(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
+    /// Returns the fraction of the traffic of a group's own co-ordinators that its replicas can serve within
+    /// `max_local_load`; it may exceed 1.
+    fn share_within_load_limit(&self, now_s: f64, view: &View, group: &BTreeSet<u8>) -> f64 {
         let rates = self.estimate_rates(now_s, view);
         let capacity: Vec<f64> = self.observations.iter().map(|o| o.capacity).collect();
         let rate_share = share_of(group, &rates);
         let capacity_share = share_of(group, &capacity);
         if rate_share > 0.0 {
-            self.config.max_crowding * capacity_share / rate_share
+            self.config.max_local_load * capacity_share / rate_share
         } else {
             1.0
         }
     }
 
-    /// The parts per second that each zone's co-ordinators cause, estimated by the mean of their reports and the number
-    /// of live members. A zone without reports is taken to cause as much per member as the others.
+    /// Estimates the parts per second of each zone's co-ordinators from the mean of their reports and the number of
+    /// live members. For a zone without reports, the mean of all reports is used.
     fn estimate_rates(&self, now_s: f64, view: &View) -> Vec<f64> {
         let mut reported = vec![ReportedRate::default(); self.verdicts.len()];
         for report in self.reports.valid(now_s) {
@@ -129,7 +132,7 @@
     }
 }
 
-/// The share of a group in the sum of a value over all zones; 0 if the sum is.
+/// Returns the fraction of a group in the sum of `values` over all zones; 0 if the sum is 0.
 fn share_of(group: &BTreeSet<u8>, values: &[f64]) -> f64 {
     let in_group: f64 = group.iter().map(|zone| values[usize::from(*zone)]).sum();
     let total: f64 = values.iter().copied().sum();
