--- a/crates/router/membership/src/actions.rs
+++ b/crates/router/membership/src/actions.rs
@@ -1,36 +1,37 @@
-//! What [`Members`](crate::Members) asks of its driver.
+//! The output of [`Members`](crate::Members), which its driver executes.
 
 use crate::member::MemberId;
 
-/// A change of the members that are alive.
+/// A change of membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// The member has joined.
     Up(MemberId),
-    /// The member has left, or was suspected for the suspicion time-out without refuting it (SWIM, section 4.2).
+    /// The member has left, or has not refuted a suspicion within the suspicion timeout (SWIM, section 4.2).
     Down(MemberId),
-    /// Others had declared this member down; it has joined again under a new generation.
+    /// Other members had declared this member down, and it has joined again with a new generation.
     Rejoined,
-    /// This member seems partitioned from the majority, see [`View::is_partitioned`](crate::View::is_partitioned).
+    /// This member is probably partitioned from the majority; see
+    /// [`View::is_partitioned`](crate::View::is_partitioned).
     Partitioned,
-    /// This member hears the majority again.
+    /// This member is connected to the majority again.
     Reconnected,
 }
 
 /// A message of the membership protocol for another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// Receiver of the message.
     pub to: MemberId,
-    /// The encoded message, for [`Body::swim`](crate::datagram::Body::swim).
+    /// Encoded message, for [`Body::swim`](crate::datagram::Body::swim).
     pub bytes: Vec<u8>,
 }
 
-/// Messages to send and events to handle, both in their order.
+/// Messages to send and events to handle, each in order.
 #[derive(Debug, Default)]
 pub struct Actions {
-    /// Messages to send. Losing them is safe.
+    /// Messages to send. Loss of any of them is safe.
     pub messages: Vec<OutgoingMessage>,
-    /// What has changed.
+    /// Changes of membership and of this member's connection.
     pub events: Vec<MembershipEvent>,
 }
--- a/crates/router/membership/src/config.rs
+++ b/crates/router/membership/src/config.rs
@@ -2,30 +2,30 @@
 
 use std::time::Duration;
 
-/// Timing and limits of the membership protocol. The reasons and measurements: `docs/failover.md#membership-timing`.
+/// Timing and limits of the membership protocol. Reasons and measurements: `docs/failover.md#membership-timing`.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Time between two probes by a member (SWIM's protocol period).
+    /// Interval between two probes by a member (SWIM's protocol period).
     pub probe_interval: Duration,
-    /// How long a probe waits for a direct answer before other members are asked to probe. Must exceed the longest
-    /// round trip.
+    /// Time that a probe waits for a direct answer before it sends indirect probes. Must exceed the maximum round-trip
+    /// time.
     pub probe_timeout: Duration,
-    /// How long a member is suspected before it is declared down (SWIM, section 4.2).
+    /// Time from the suspicion of a member until it is declared down (SWIM, section 4.2).
     pub suspicion_timeout: Duration,
-    /// How many other members are asked to probe a member that has not answered (SWIM's ping-req, section 3.1).
+    /// Number of other members that are asked to probe a member which has not answered (SWIM's ping-req, section 3.1).
     pub indirect_probes: usize,
-    /// Time between two gossip messages while there are updates to spread. They go beside those that are piggybacked on
-    /// probes (SWIM, section 4.1).
+    /// Interval between two gossip messages while there are updates to spread. They are sent in addition to the updates
+    /// that are piggybacked on probes (SWIM, section 4.1).
     pub gossip_interval: Duration,
-    /// To how many members each gossip message goes.
+    /// Number of members to which each gossip message is sent.
     pub gossip_fanout: usize,
-    /// Mean time between two announcements to missing members, while at most half of the roster is alive.
+    /// Mean interval between two announcements to missing members while at most half of the roster is alive.
     pub join_interval: Duration,
-    /// The same while more than half of the roster is alive.
+    /// Mean interval between two announcements to missing members while more than half of the roster is alive.
     pub rejoin_interval: Duration,
-    /// How long a member that is down is remembered, so that old updates can't make it alive again.
+    /// Time that a member which is down is remembered, so that outdated updates can't mark it as alive.
     pub down_memory: Duration,
-    /// Limit on the bytes of a membership message. The rest of a datagram is for other payloads.
+    /// Limit on the length of a membership message, in bytes. The rest of a datagram is available for other payloads.
     pub max_message_bytes: usize,
 }
 
--- a/crates/router/membership/src/datagram.rs
+++ b/crates/router/membership/src/datagram.rs
@@ -1,63 +1,66 @@
-//! The envelope of every datagram between co-ordinators: a version byte, then a postcard [`Body`] with the sender, a
-//! message of the membership protocol, and payloads on zones and on singleton roles. Each of these may be empty.
+//! The envelope of every datagram between co-ordinators: a version byte, then a [`Body`] in postcard encoding. The body
+//! contains the sender, a message of the membership protocol, and payloads about zones and singleton roles. The message
+//! and each payload may be empty.
 
 use crate::member::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Limit on the length of a datagram in bytes. The bench voids a play in which one is longer.
+/// Limit on the length of a datagram, in bytes. The benchmark invalidates a run in which a datagram is longer.
 pub const MAX_BYTES: usize = 256;
-/// The version of the envelope and of all payloads; datagrams of other versions are rejected. It must be raised when
-/// the meaning of either changes.
+/// Version of the envelope and of all payloads. Datagrams of other versions are rejected. It must be increased when the
+/// meaning of the envelope or of a payload changes.
 pub const VERSION: u8 = 2;
-/// Bytes of a datagram beside its payloads: the version, the sender and the payloads' lengths at their longest.
+/// Maximum length of a datagram without its payloads, in bytes: the version, the sender and the lengths of the
+/// payloads.
 const FRAMING_BYTES: usize = 1 + 3 + 2 + 2 + 2;
 
 /// The contents of a datagram.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Body<'a> {
-    /// The sender. Must match the address that the datagram came from.
+    /// Sender of the datagram. Must match the source address.
     pub from: MemberId,
-    /// A message of the membership protocol, for [`Members::receive`](crate::Members::receive).
+    /// Message of the membership protocol, for [`Members::receive`](crate::Members::receive).
     #[serde(borrow)]
     pub swim: &'a [u8],
-    /// A payload of `woadreach-zone-failover`.
+    /// Payload of `woadreach-zone-failover`.
     #[serde(borrow)]
     pub zone_gossip: &'a [u8],
-    /// A payload of `woadreach-lease`.
+    /// Payload of `woadreach-lease`.
     #[serde(borrow)]
     pub roles: &'a [u8],
 }
 
-/// Why a datagram was rejected.
+/// The reason why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// It is longer than [`MAX_BYTES`].
+    /// The datagram is longer than [`MAX_BYTES`].
     Oversize,
-    /// It has a version other than [`VERSION`].
+    /// The version is not [`VERSION`].
     UnknownVersion,
-    /// It can't be decoded, or bytes are left over.
+    /// The datagram can't be decoded or has trailing bytes.
     Malformed,
-    /// It was sent from another address than the roster has for its sender, or names the receiver as its sender.
+    /// The source address differs from the sender's address in the roster, or the sender is the receiving member
+    /// itself.
     WrongSender,
 }
 
-/// How many bytes of further payloads fit into a datagram beside payloads of `payload_bytes` in all.
+/// Returns the capacity for further payloads, in bytes, of a datagram with payloads of `payload_bytes` in total.
 pub fn capacity_beside(payload_bytes: usize) -> usize {
     MAX_BYTES.saturating_sub(FRAMING_BYTES + payload_bytes)
 }
 
-/// Encodes a datagram; `None` if it would exceed [`MAX_BYTES`], which callers avoid by [`capacity_beside`].
+/// Encodes a datagram. Returns `None` if it would exceed [`MAX_BYTES`]; callers avoid this with [`capacity_beside`].
 pub fn encode(body: &Body<'_>) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(body, vec![VERSION]).ok()?;
     (bytes.len() <= MAX_BYTES).then_some(bytes)
 }
 
-/// Decodes a datagram from any process.
+/// Decodes an untrusted datagram.
 ///
 /// # Errors
 ///
-/// [`Rejection::Oversize`], [`Rejection::UnknownVersion`] or [`Rejection::Malformed`]; no part of the datagram may be
-/// used then.
+/// [`Rejection::Oversize`], [`Rejection::UnknownVersion`] or [`Rejection::Malformed`]. The datagram is rejected as a
+/// whole.
 pub fn decode(bytes: &[u8]) -> Result<Body<'_>, Rejection> {
     if bytes.len() > MAX_BYTES {
         return Err(Rejection::Oversize);
--- a/crates/router/membership/src/lib.rs
+++ b/crates/router/membership/src/lib.rs
@@ -1,15 +1,15 @@
-//! Which co-ordinators of a tier are alive, as each learns it from the others in small datagrams.
+//! Membership of a tier of co-ordinators: which of them are alive. Co-ordinators exchange this in small datagrams.
 //!
-//! Start with [`Members`], the state machine: it takes times and messages and returns [`Actions`]; it has no socket and
-//! reads no clock. The protocol is SWIM (Das and others, 2002) as the `foca` crate implements it. Three things are
-//! added:
+//! Start with [`Members`], a state machine without a socket or a clock: its input is times and messages, its output
+//! [`Actions`]. The protocol is SWIM (Das and others, 2002), as implemented by the `foca` crate, with three additions:
 //!
-//! - the roster: only the configured members can join, and the others announce themselves to those that are missing;
-//! - local health awareness (Lifeguard, Dadgar and others, 2018): a member whose own probes fail is slower to suspect;
-//! - partition detection: a member that hears at most half of the roster reports itself as partitioned
+//! - the roster: only the configured members can join, and live members announce themselves to missing ones;
+//! - local health awareness (Lifeguard, Dadgar and others, 2018): a member whose own probes fail is slower to suspect
+//!   others;
+//! - partition detection: a member for which at most half of the roster is alive reports itself as partitioned
 //!   ([`View::is_partitioned`]), instead of declaring all others down.
 //!
-//! [`datagram`] is the envelope of everything that co-ordinators send each other. It also carries payloads of
+//! [`datagram`] is the envelope of all messages between co-ordinators. It also contains payloads of
 //! `woadreach-zone-failover` and `woadreach-lease`, which this crate doesn't read. Both order members by
 //! [`splitmix64`].
 //!
--- a/crates/router/membership/src/member.rs
+++ b/crates/router/membership/src/member.rs
@@ -1,21 +1,21 @@
-//! How members are identified in messages. Addresses are not: each co-ordinator has its own table of them.
+//! Identifiers of members in messages. Messages contain no addresses: each co-ordinator has its own address table.
 
 use serde::{Deserialize, Serialize};
 
-/// A co-ordinator's position in the roster, which is the list of configured `peers` in its order.
+/// A co-ordinator's position in the roster, which is the configured list of `peers`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A member's identity in the protocol; four bytes in most datagrams.
+/// A member's identity in the membership protocol. It usually takes four bytes in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its position in the roster.
+    /// Position of the member in the roster.
     pub id: MemberId,
-    /// Its own zone, as a position in the settings' list of zones.
+    /// Zone of the member, as a position in the settings' list of zones.
     pub zone: u8,
-    /// Increases each time the member joins again after it was declared down. Of two identities with one `id` the later
-    /// generation is valid. It wraps. It is not SWIM's incarnation number, by which a live member refutes a suspicion:
-    /// that one is kept by `foca`.
+    /// Number that increases each time the member rejoins after it was declared down. It wraps. Of two identities with
+    /// the same `id`, that with the later generation is valid. It differs from SWIM's incarnation number, with which a
+    /// live member refutes a suspicion and which `foca` manages.
     pub generation: u16,
 }
 
@@ -34,7 +34,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        // Generations wrap: the one that is less than half of the range ahead is the later.
+        // Generations wrap: the later one is ahead by less than half of the range.
         let ahead = self.generation.wrapping_sub(other.generation);
         if ahead == 0 {
             self.zone > other.zone
--- a/crates/router/membership/src/members.rs
+++ b/crates/router/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The membership protocol of one member: what it does next, from times and messages alone.
+//! The membership protocol of one member, as a function of times and messages only.
 
 use crate::actions::Actions;
 use crate::config::MembershipConfig;
@@ -11,25 +11,27 @@
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
 
-/// A timer that comes so late shows that the process has stalled, in seconds. Must exceed the time of a probe.
+/// Lateness of a timer from which the process counts as having stalled, in seconds. Must exceed the duration of a
+/// probe.
 const STALL_THRESHOLD_S: f64 = 0.5;
-/// How often each update is sent, as a multiple of the natural logarithm of the number of members (SWIM, section 4.1).
+/// Number of times that each update is sent, as a multiple of the natural logarithm of the number of members (SWIM,
+/// section 4.1).
 const TRANSMISSION_FACTOR: f64 = 3.0;
 
 /// The membership protocol of one member.
 ///
-/// The driver calls [`tick`](Self::tick) when [`next_due_s`](Self::next_due_s) says so, [`receive`](Self::receive) for
-/// each message, and executes the returned [`Actions`]. All times are in seconds of one clock, whose origin doesn't
-/// matter.
+/// The driver calls [`tick`](Self::tick) at the time of [`next_due_s`](Self::next_due_s) and
+/// [`receive`](Self::receive) for each message. It executes the returned [`Actions`]. All times are in seconds of one
+/// clock, which may have any origin.
 pub struct Members {
     id: MemberId,
     config: MembershipConfig,
     foca: Foca<Member, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     state: ProtocolState,
     random: Pcg64Mcg,
-    /// When this member next announces itself to a missing one.
+    /// Time of the next announcement to a missing member.
     next_join_s: f64,
-    /// Calls of `foca` that returned an error.
+    /// Number of calls of `foca` that returned an error.
     unusable_messages: u64,
 }
 
@@ -49,7 +51,7 @@
         remove_down_after: Some(config.down_memory),
         max_packet_size: at_least_one(config.max_message_bytes),
         notify_down_members: true,
-        // `Members` announces itself to missing members of the roster instead.
+        // `Members` sends announcements to missing members of the roster instead.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         periodic_gossip: Some(PeriodicParams {
@@ -60,7 +62,7 @@
 }
 
 impl Members {
-    /// The protocol of the member `me`, of `roster_size` members in all.
+    /// Creates the state of the member `me` in a roster of `roster_size` members. `seed` determines its random numbers.
     pub fn new(
         me: Member,
         roster_size: usize,
@@ -82,7 +84,7 @@
             Pcg64Mcg::seed_from_u64(random.random()),
             PostcardCodec,
         );
-        // At random, so that members that start together don't announce themselves at the same times.
+        // Random, so that members that start simultaneously don't send their announcements simultaneously.
         let next_join_s = now_s + random.random::<f64>() * config.join_interval.as_secs_f64();
         Members {
             id,
@@ -95,22 +97,22 @@
         }
     }
 
-    /// Which members are alive.
+    /// Returns the live members, as seen by this member.
     pub fn view(&self) -> &View {
         &self.state.view
     }
 
-    /// Lifeguard's local health score, from 0 (healthy) to 8: how slow or badly connected this member itself seems.
+    /// Returns Lifeguard's local health score of this member, from 0 (healthy) to 8 (very slow or badly connected).
     pub fn local_health(&self) -> u8 {
         self.state.local_health()
     }
 
-    /// Messages that the protocol could not use.
+    /// Returns the number of messages and timers for which the protocol returned an error.
     pub fn unusable_messages(&self) -> u64 {
         self.unusable_messages
     }
 
-    /// Up to `limit` live members other than this one, chosen at random.
+    /// Returns up to `limit` random live members other than this one.
     pub fn random_peers(&mut self, limit: usize) -> Vec<MemberId> {
         let live = self.state.view.live.keys().copied();
         let mut peers: Vec<MemberId> = live.filter(|peer| *peer != self.id).collect();
@@ -124,13 +126,13 @@
         peers
     }
 
-    /// When [`Members::tick`] is due.
+    /// Returns the time at which [`Members::tick`] is due.
     pub fn next_due_s(&self) -> f64 {
         let timer = self.state.next_timer_s();
         timer.map_or(self.next_join_s, |timer| timer.min(self.next_join_s))
     }
 
-    /// Handles a message of the membership protocol. One that is malformed is counted.
+    /// Handles a message of the membership protocol. A malformed message is counted and ignored.
     pub fn receive(&mut self, now_s: f64, message: &[u8]) -> Actions {
         self.state.now_s = now_s;
         let result = self.foca.handle_data(message, &mut self.state);
@@ -138,7 +140,7 @@
         self.state.take_actions()
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due, and announces this member to a missing one if that is due.
     pub fn tick(&mut self, now_s: f64) -> Actions {
         self.state.now_s = now_s;
         self.absorb_stall(now_s);
@@ -158,7 +160,7 @@
         self.state.take_actions()
     }
 
-    /// Notifies the others that this member leaves, so that they needn't detect it.
+    /// Notifies other members that this member leaves, so that they don't have to detect it.
     pub fn leave(&mut self, now_s: f64) -> Actions {
         self.state.now_s = now_s;
         let result = self.foca.leave_cluster(&mut self.state);
@@ -166,8 +168,8 @@
         self.state.take_actions()
     }
 
-    /// Delays all timers by the length of a stall. Without it a process that was stopped, or a machine that slept,
-    /// would declare down whomever it was probing, though the answers are waiting in its socket.
+    /// Delays all timers by the duration of a stall. Otherwise a process that was stopped, or whose machine was
+    /// suspended, would declare the members that it was probing down, although their answers are in its socket buffer.
     fn absorb_stall(&mut self, now_s: f64) {
         if let Some(first) = self.state.next_timer_s() {
             let lateness_s = now_s - first;
@@ -187,8 +189,8 @@
         self.next_join_s = now_s + interval.as_secs_f64() * jitter;
     }
 
-    /// Announces this member to a random one of the roster that is missing, which makes it join. After a partition, in
-    /// which each side has declared the other down, this is how they find each other again.
+    /// Announces this member to a random missing member of the roster, which makes this member join. After a partition
+    /// in which both sides have declared each other down, they reconnect by these announcements.
     fn announce_to_missing_member(&mut self) {
         let view = &self.state.view;
         let missing: Vec<MemberId> = (0..view.roster_size as u16)
@@ -199,7 +201,7 @@
             return;
         }
         let id = missing[self.random.random_range(0..missing.len())];
-        // The member with this id accepts it, whatever its zone and generation are.
+        // The member with this id accepts the announcement regardless of its zone and generation.
         let member = Member {
             id,
             zone: 0,
--- a/crates/router/membership/src/protocol_state.rs
+++ b/crates/router/membership/src/protocol_state.rs
@@ -1,4 +1,4 @@
-//! What the `foca` crate calls back: timers, messages to send, and notifications of members that come and go.
+//! Callbacks of the `foca` crate: timers, messages to send, and notifications of members that join or go down.
 
 use crate::actions::{Actions, MembershipEvent, OutgoingMessage};
 use crate::member::Member;
@@ -9,37 +9,37 @@
 
 /// Limit on the local health score (Lifeguard, "Local Health Multiplier").
 const MAX_LOCAL_HEALTH: u8 = 8;
-/// By which part of itself a timeout grows with each step of the local health score. Lifeguard's is 1; with it a side
-/// of a partition took over 10 s to detect it.
+/// Increase of a timeout with each step of the local health score, as a fraction of the timeout. Lifeguard uses 1, with
+/// which one side of a partition took over 10 s to detect it.
 const HEALTH_STEP: f64 = 1.0 / 4.0;
-/// The local health score from which a member reports itself as partitioned. It is the number of its probes that have
-/// failed beyond those that succeeded, indirect ones included. At 30 % loss one probe in five fails.
+/// Local health score from which a member reports itself as partitioned. The score increases with each probe that fails
+/// both directly and indirectly, and decreases with each successful one. At 30 % packet loss, one probe in five fails.
 const PARTITIONED_HEALTH: u8 = 4;
 
-/// A time in microseconds, rounded up.
+/// Converts a time to microseconds, rounded up.
 fn micros(time_s: f64) -> u64 {
     (time_s.max(0.0) * 1e6).ceil() as u64
 }
 
-/// When a timer is due, and a number that keeps timers of one time in the order in which they were set.
+/// The due time of a timer, and a sequence number that orders timers with the same due time by when they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_micros: u64,
     number: u64,
 }
 
-/// The state that `foca` changes by callbacks.
+/// The state that is changed by callbacks of `foca`.
 pub(crate) struct ProtocolState {
-    /// The time of the current call, in seconds.
+    /// Time of the current call, in seconds.
     pub(crate) now_s: f64,
     timers: BTreeMap<TimerKey, Timer<Member>>,
-    /// How many timers were set so far, for [`TimerKey::number`].
+    /// Number of timers that were set so far, for [`TimerKey::number`].
     timers_set: u64,
-    /// Lifeguard's local health score: how slow or badly connected this member itself seems. 0 is healthy.
+    /// Lifeguard's local health score of this member, from 0 (healthy) to [`MAX_LOCAL_HEALTH`].
     local_health: u8,
-    /// Whether the current probe has made a member suspected.
+    /// Whether the current probe has failed, so that a member is suspected.
     probe_failed: bool,
-    /// Since the last [`ProtocolState::take_actions`].
+    /// Actions since the last call of [`ProtocolState::take_actions`].
     actions: Actions,
     pub(crate) view: View,
 }
@@ -61,19 +61,19 @@
         self.local_health
     }
 
-    /// When the next timer is due, in seconds.
+    /// Returns the time at which the next timer is due, in seconds; `None` if no timer is set.
     pub(crate) fn next_timer_s(&self) -> Option<f64> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due_micros as f64 / 1e6)
     }
 
-    /// Removes the first timer that is due by `now_s`.
+    /// Removes and returns the first timer that is due at `now_s`.
     pub(crate) fn take_due_timer(&mut self, now_s: f64) -> Option<Timer<Member>> {
         let first = self.timers.first_entry()?;
         (first.key().due_micros <= micros(now_s)).then(|| first.remove())
     }
 
-    /// Delays all timers, and trusts this member less for a while.
+    /// Delays all timers, and raises the local health score because this member has stalled.
     pub(crate) fn delay_timers(&mut self, delay_s: f64) {
         let delay_micros = micros(delay_s);
         let timers = std::mem::take(&mut self.timers);
@@ -85,12 +85,12 @@
         self.local_health = (self.local_health + 2).min(MAX_LOCAL_HEALTH);
     }
 
-    /// Clears the outcome of the last probe. To be called before a timer is handled.
+    /// Clears the outcome of the last probe. Must be called before a timer is handled.
     pub(crate) fn clear_probe_failure(&mut self) {
         self.probe_failed = false;
     }
 
-    /// Adjusts the local health score by the outcome of the last probe.
+    /// Updates the local health score with the outcome of the last probe.
     pub(crate) fn record_probe_outcome(&mut self) {
         let health = if self.probe_failed {
             self.local_health + 1
@@ -100,7 +100,7 @@
         self.local_health = health.min(MAX_LOCAL_HEALTH);
     }
 
-    /// Updates whether this member seems partitioned, and returns the actions since the last call.
+    /// Updates [`View::is_partitioned`], and returns the actions since the last call.
     pub(crate) fn take_actions(&mut self) -> Actions {
         let is_partitioned = !self.view.has_majority() || self.local_health >= PARTITIONED_HEALTH;
         if is_partitioned != self.view.is_partitioned {
@@ -147,8 +147,8 @@
     }
 
     fn submit_after(&mut self, timer: Timer<Member>, after: Duration) {
-        // A member that is itself slow or badly connected would take others for dead, so its probes wait longer. The
-        // cost: true crashes are detected later by it, though not by others.
+        // Probes of a member that is itself slow or badly connected wait longer, as it would otherwise suspect live
+        // members. The drawback: it detects actual crashes later, though other members don't.
         let slowdown = match &timer {
             Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
                 1.0 + f64::from(self.local_health) * HEALTH_STEP
--- a/crates/router/membership/src/view.rs
+++ b/crates/router/membership/src/view.rs
@@ -1,21 +1,21 @@
-//! Which members are alive, as one member sees it.
+//! The live members, as seen by one member.
 
 use crate::member::MemberId;
 use std::collections::BTreeMap;
 
-/// Which members are alive, as one member sees it. It counts itself.
+/// The live members, as seen by one member, which is included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// The live members, each with its zone.
+    /// Zone of each live member, as a position in the settings' list of zones.
     pub live: BTreeMap<MemberId, u8>,
-    /// The number of members in the roster, alive or not.
+    /// Number of members in the roster, alive or not.
     pub roster_size: usize,
-    /// Whether this member seems to be on the minority side of a partition: at most half of the roster is in `live`, or
-    /// this member's own probes fail in succession. Members that are not in `live` may then be alive, and nothing must
-    /// be decided on their behalf. The cost: a crash of half of the tier looks the same, so nothing is decided in
-    /// common until more than half of the members are back.
+    /// Whether this member is probably on the minority side of a partition: at most half of the roster is in `live`, or
+    /// several of this member's own probes have failed. Members that are not in `live` may then be alive, so no
+    /// decision may be made for them. The drawback: a crash of half of the tier looks the same, so no common decisions
+    /// are made until more than half of the members are alive again.
     pub is_partitioned: bool,
-    /// Increases with each change of `live`, so that what is derived from it can be cached.
+    /// Number that increases with each change of `live`, so that values derived from it can be cached.
     pub version: u64,
 }
 
