--- a/crates/router/lease/tests/model.rs
+++ b/crates/router/lease/tests/model.rs
@@ -1,5 +1,6 @@
-//! Every run of a small tier, by `stateright`: three members, two of them candidates; clocks 1 % fast and slow; messages
-//! lost, late, duplicated and in any order; a member that stalls for any time, and one that restarts.
+//! Model check of leases with `stateright`: all runs of a small tier. It has three members, of which two are
+//! candidates, and clocks that are 1 % fast and slow. Messages are lost, delayed, duplicated and reordered; members
+//! stall for any time, and one restarts.
 
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -19,23 +20,26 @@
 #[derive(Clone, Debug)]
 struct World {
     config: LeaseConfig,
-    /// True seconds at which runs end, and limit on the messages in flight.
+    /// True time at which runs end, in seconds.
     until: u8,
+    /// Limit on the number of messages in flight.
     max_in_flight: usize,
-    /// How many messages may be duplicated, and how many members may restart.
+    /// Number of messages that may be duplicated.
     duplicates: u8,
+    /// Number of restarts that may occur.
     restarts: u8,
-    /// Mutation: the receiver accepts every action.
+    /// Injected bug: the receiver accepts every action.
     accepts_stale_tokens: bool,
-    /// If set, the only fault is this crash: each message is delivered within its second, and no member stalls.
+    /// If set, this crash is the only fault: each message is delivered within the second in which it was sent, and no
+    /// member stalls.
     only_fault: Option<Crash>,
 }
 
-/// A member stops for good.
+/// A permanent crash of a member.
 #[derive(Clone, Copy, Debug)]
 struct Crash {
     member: usize,
-    /// The true second from which it no longer runs.
+    /// True time of the crash, in seconds.
     at: u8,
 }
 
@@ -46,15 +50,15 @@
     in_flight: Vec<(usize, usize, Message)>,
     duplicates: u8,
     restarts: u8,
-    /// The highest epoch under which an action was accepted, and whether one under a lower epoch was accepted
-    /// after it.
+    /// Highest epoch of an accepted action.
     accepted_epoch: u32,
+    /// Whether an action was accepted after one with a higher epoch.
     regressed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// The next second: all members run but those that stall, which are the bits that are set.
+    /// Advances time by one second. Members whose bit is set stall; all others run.
     Second(u8),
     Deliver(usize, bool),
     Restart(usize),
@@ -101,7 +105,7 @@
     fn send(&mut self, from: usize, actions: Actions) {
         for OutgoingMessage { to, message } in actions.messages {
             let sent = (from, usize::from(to.0), message);
-            // Equal messages in flight are one: duplication is an action of its own.
+            // Equal messages in flight are stored once, as duplication is a separate action.
             if !self.in_flight.contains(&sent) {
                 self.in_flight.push(sent);
             }
@@ -134,7 +138,7 @@
         }
     }
 
-    fn dead(&self, n: usize, at: u8) -> bool {
+    fn has_crashed(&self, n: usize, at: u8) -> bool {
         self.only_fault
             .is_some_and(|crash| crash.member == n && at >= crash.at)
     }
@@ -143,7 +147,7 @@
         let now = clock(n, s.at);
         let actions = s.nodes[n].set_candidates(now, &self.candidates());
         s.send(n, actions);
-        // An action, sent to the member that is no candidate.
+        // The holder sends an action to the member that is not a candidate.
         if let Some(token) = s.nodes[n].token(now, ROLE) {
             let action = (
                 n,
@@ -160,7 +164,7 @@
         }
     }
 
-    fn take(&self, s: &mut State, message: &Message) {
+    fn accept_action(&self, s: &mut State, message: &Message) {
         if let Message::Beacon { token, .. } = message
             && (s.nodes[2].accept_token(clock(2, s.at), ROLE, *token) || self.accepts_stale_tokens)
         {
@@ -179,7 +183,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // Started long ago, so that no acceptor is silent; the clocks agree at the beginning.
+        // All members have started long ago, so that no acceptor is recovering. Their clocks agree at the beginning.
         let node = |n| {
             Leases::new(
                 MemberId(n as u16),
@@ -224,7 +228,7 @@
         match action {
             Action::Second(stalled) => {
                 s.at += 1;
-                let runs = |n: &usize| stalled & (1 << n) == 0 && !self.dead(*n, s.at);
+                let runs = |n: &usize| stalled & (1 << n) == 0 && !self.has_crashed(*n, s.at);
                 for n in (0..MEMBERS).filter(runs).collect::<Vec<_>>() {
                     self.run(&mut s, n);
                 }
@@ -236,8 +240,8 @@
                 } else {
                     s.in_flight.remove(i);
                 }
-                if !self.dead(to, s.at) {
-                    self.take(&mut s, &message);
+                if !self.has_crashed(to, s.at) {
+                    self.accept_action(&mut s, &message);
                     let actions =
                         s.nodes[to].receive(clock(to, s.at), MemberId(from as u16), &message);
                     s.send(to, actions);
@@ -247,7 +251,7 @@
                 s.restarts -= 1;
                 let (id, now) = (MemberId(n as u16), clock(n, s.at));
                 s.nodes[n] = Leases::new(id, MEMBERS, self.config.clone(), 77, now);
-                // What it accepted before is forgotten with its run.
+                // The restarted member has lost the epochs that it accepted.
                 s.accepted_epoch = 0;
             }
         }
@@ -260,46 +264,51 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder at most", |_, s: &State| s.holders() <= 1),
-            Property::always("no lower epoch after a higher one", |_, s: &State| {
-                !s.regressed
-            }),
-            Property::sometimes("somebody holds it", |_, s: &State| s.holders() == 1),
-            Property::sometimes("it passes to another", |_, s: &State| {
+            Property::always("at most one holder", |_, s: &State| s.holders() <= 1),
+            Property::always(
+                "epochs of accepted actions never decrease",
+                |_, s: &State| !s.regressed,
+            ),
+            Property::sometimes("a member has the lease", |_, s: &State| s.holders() == 1),
+            Property::sometimes("the lease passes to another member", |_, s: &State| {
                 s.holders() == 1
                     && s.nodes[1]
                         .token(clock(1, s.at), ROLE)
                         .is_some_and(|f| f.epoch > 1)
             }),
-            Property::always("a majority has a holder in time", |w: &World, s: &State| {
-                // A lease and two rounds, of a second each here, after the crash; checked at the next second.
-                let late = w
-                    .only_fault
-                    .is_some_and(|crash| f64::from(s.at - crash.at.min(s.at)) > 3.0 + 2.0);
-                !(late && s.in_flight.is_empty()) || s.holders() == 1
-            }),
+            Property::always(
+                "a majority elects a holder in time",
+                |w: &World, s: &State| {
+                    // The time is a lease and two rounds, of one second each in this model, after the crash.
+                    let late = w
+                        .only_fault
+                        .is_some_and(|crash| f64::from(s.at - crash.at.min(s.at)) > 3.0 + 2.0);
+                    !(late && s.in_flight.is_empty()) || s.holders() == 1
+                },
+            ),
         ]
     }
 }
 
-/// A round trip takes one second here. There is no randomness: each order is tried.
+/// The configuration of leases in the model: a round trip takes one second, and there is no random backoff, because the
+/// checker tries every order.
 fn config() -> LeaseConfig {
-    let real = LeaseConfig::default();
-    let rounds = LeaseConfig {
+    let default = LeaseConfig::default();
+    let timing = LeaseConfig {
         renew_interval_s: 1.0,
         retry_interval_s: 1.0,
         proposal_timeout_s: 1.0,
         backoff_s: 0.0,
         initial_grant_duration_s: 2.0,
-        ..real
+        ..default
     };
     LeaseConfig {
         max_acceptors: MEMBERS,
-        ..rounds
+        ..timing
     }
 }
 
-/// Checks all runs, or until a property fails.
+/// Checks all runs, and stops early once a property fails.
 fn check(world: World) -> impl Checker<World> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = world
@@ -317,8 +326,8 @@
 
 #[rstest]
 #[case::duplicates(4, 1, 0, 3)]
-#[case::an_acceptor_restarts(4, 0, 1, 3)]
-#[case::longer(5, 0, 0, 3)]
+#[case::acceptor_restart(4, 0, 1, 3)]
+#[case::longer_run(5, 0, 0, 3)]
 #[cfg_attr(
     debug_assertions,
     ignore = "takes minutes without optimisation; .ci/run runs it in release"
@@ -336,18 +345,18 @@
         max_in_flight,
         ..World::new(config())
     });
-    checked.assert_no_discovery("one holder at most");
-    checked.assert_no_discovery("no lower epoch after a higher one");
-    checked.assert_any_discovery("somebody holds it");
+    checked.assert_no_discovery("at most one holder");
+    checked.assert_no_discovery("epochs of accepted actions never decrease");
+    checked.assert_any_discovery("a member has the lease");
     if until > 4 {
-        checked.assert_any_discovery("it passes to another");
+        checked.assert_any_discovery("the lease passes to another member");
     }
 }
 
 #[rstest]
-#[case::a_holder_without_clock_margin("one holder at most", World::new(LeaseConfig { clock_margin_s: 0.0, ..config() }))]
-#[case::a_receiver_that_accepts_a_stale_epoch(
-    "no lower epoch after a higher one",
+#[case::no_clock_margin("at most one holder", World::new(LeaseConfig { clock_margin_s: 0.0, ..config() }))]
+#[case::stale_epoch_accepted(
+    "epochs of accepted actions never decrease",
     World { until: 6, accepts_stale_tokens: true, ..World::new(config()) }
 )]
 #[cfg_attr(
@@ -355,7 +364,7 @@
     ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn an_injected_bug_is_detected(#[case] property: &'static str, #[case] world: World) {
-    // Depth first: injected bugs show at the end of long runs.
+    // Depth first, because injected bugs take effect at the end of long runs.
     let failures = HasDiscoveries::AnyFailures;
     let checked = world
         .checker()
@@ -367,7 +376,7 @@
 }
 
 #[test]
-fn a_majority_has_a_holder_in_time() {
+fn a_majority_elects_a_holder_in_time() {
     let one_crash = World {
         only_fault: Some(Crash { member: 0, at: 3 }),
         until: 10,
@@ -375,6 +384,6 @@
         ..World::new(config())
     };
     let checked = check(one_crash);
-    checked.assert_no_discovery("a majority has a holder in time");
-    checked.assert_any_discovery("somebody holds it");
+    checked.assert_no_discovery("a majority elects a holder in time");
+    checked.assert_any_discovery("a member has the lease");
 }
--- a/crates/router/lease/tests/quota_reports.rs
+++ b/crates/router/lease/tests/quota_reports.rs
@@ -1,11 +1,11 @@
-//! Which replicas the reports of one member name, where they are more than one report has room for.
+//! Selection of the replicas in a member's quota reports when there are more than fit into one report.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use woadreach_lease::{LocalDemand, QuotaConfig, QuotaShare, ReplicaDemand, ReplicaKey};
 
 const REPLICAS: u32 = 80;
-/// Replicas that a report has room for.
+/// Limit on the number of replicas in one report.
 const REPORT_SIZE: usize = 32;
 
 fn demands(parts_of: impl Fn(u32) -> u32) -> Vec<LocalDemand> {
@@ -19,12 +19,13 @@
 }
 
 fn report(share: &mut QuotaShare, now: f64) -> Vec<ReplicaDemand> {
-    // All replicas are in the only bucket, whose allocator has just been heard.
+    // All replicas are in the only bucket, and the beacon of its allocator has just been received.
     share.take_report(now, 0, 1, 0.0)
 }
 
+/// Guards against reports that always select the same idle replicas, so that the others are never released.
 #[test]
-fn each_of_many_idle_replicas_has_its_turn() {
+fn idle_replicas_are_reported_round_robin() {
     let mut share = QuotaShare::new(4, QuotaConfig::default());
     share.record_demand(0.0, &demands(|_| 0));
     let mut reported = BTreeSet::new();
@@ -38,8 +39,9 @@
     assert_eq!(reported.len(), REPLICAS as usize);
 }
 
+/// Guards against demand that is never reported, or only in part, because idle replicas fill each report.
 #[test]
-fn demand_behind_many_idle_replicas_is_reported_whole() {
+fn demand_after_many_idle_replicas_is_reported_completely() {
     let mut share = QuotaShare::new(4, QuotaConfig::default());
     share.record_demand(0.0, &demands(|_| 0));
     share.record_demand(
--- a/crates/router/lease/tests/recorded.rs
+++ b/crates/router/lease/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Messages between members on singleton roles: recorded bytes are decoded as before, and encoded to the same.
+//! Compatibility of messages about singleton roles with recorded bytes: they must be decoded to the same messages, and
+//! the messages encoded to the same bytes.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -28,7 +29,7 @@
     }
 }
 
-/// A message of each kind, with numbers of one byte on the wire and of several.
+/// One message of each kind, with numbers whose encoding has one byte and several bytes.
 fn messages() -> Vec<Message> {
     let (watch, allocator, token) = (Role::EndpointWatch(2), Role::QuotaAllocator(200), token());
     let (small, large) = (ReplicaKey(1), ReplicaKey(u32::MAX));
@@ -112,7 +113,7 @@
     ]
 }
 
-/// The name under which a message of its kind is recorded.
+/// The name of the record for this kind of message.
 fn name(message: &Message) -> &'static str {
     match message {
         Message::Request { .. } => "ask",
@@ -126,7 +127,7 @@
     }
 }
 
-/// Each message by itself, and what else a datagram may hold.
+/// Each message by itself, and other combinations that a datagram may contain.
 fn samples() -> Vec<(&'static str, Vec<Message>)> {
     let holder = Message::Request {
         role: Role::QuotaAllocator(3),
@@ -135,7 +136,7 @@
         request_id: 7,
         is_holder: true,
     };
-    let nothing = Message::EndpointUpdates {
+    let no_updates = Message::EndpointUpdates {
         role: Role::EndpointWatch(0),
         token: token(),
         updates: Vec::new(),
@@ -145,28 +146,28 @@
         .map(|m| (name(&m), vec![m]))
         .collect();
     samples.push(("ask-of-a-holder", vec![holder.clone()]));
-    samples.push(("facts-of-nothing", vec![nothing]));
+    samples.push(("facts-of-nothing", vec![no_updates]));
     samples.push(("one-of-each", messages()));
     samples.push(("as-many-as-may-be", vec![holder; MAX_MESSAGES]));
     samples
 }
 
 #[test]
-fn recorded_messages_read_and_are_written_the_same() {
+fn recorded_messages_are_decoded_and_encoded_the_same() {
     for (name, messages) in samples() {
-        let today = encode_messages(&messages);
-        let recorded_bytes = datagrams().bytes(name, &today);
+        let actual = encode_messages(&messages);
+        let recorded_bytes = datagrams().bytes(name, &actual);
         assert_eq!(
             decode_messages(&recorded_bytes, ROSTER),
             Some(messages),
             "{name}"
         );
-        assert_eq!(today, recorded_bytes, "{name}");
+        assert_eq!(actual, recorded_bytes, "{name}");
     }
 }
 
 #[test]
-fn nothing_is_recorded_that_is_not_read() {
+fn every_record_is_used() {
     let mut names: Vec<&str> = samples().into_iter().map(|sample| sample.0).collect();
     names.sort_unstable();
     assert_eq!(datagrams().names(), names);
@@ -180,21 +181,22 @@
             assert_eq!(
                 decode_messages(&bytes[..end], ROSTER),
                 None,
-                "{name}, cut at {end}"
+                "{name}, truncated to {end} bytes"
             );
         }
         bytes.push(0);
         assert_eq!(
             decode_messages(&bytes, ROSTER),
             None,
-            "{name}, with a further byte"
+            "{name}, with a trailing byte"
         );
     }
 }
 
-/// Changed numbers can't be detected; changes of the form are.
+/// For each byte, the record has whether a message with that byte inverted is accepted (`t`) or rejected (`r`). A
+/// changed number can't be detected, but a malformed message must be rejected.
 #[test]
-fn inverted_bytes_fare_as_they_did() {
+fn inverted_bytes_have_their_recorded_outcome() {
     let outcomes = Records::at(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/tests/recorded/inverted.txt"
@@ -202,28 +204,28 @@
     for message in messages() {
         let name = name(&message);
         let bytes = datagrams().bytes(name, &encode_messages(&[message]));
-        let today = inverted(&bytes, |bytes| decode_messages(bytes, ROSTER).is_some());
-        assert_eq!(outcomes.text(name, &today), today, "{name}");
+        let actual = inverted(&bytes, |bytes| decode_messages(bytes, ROSTER).is_some());
+        assert_eq!(outcomes.text(name, &actual), actual, "{name}");
     }
 }
 
 #[rstest]
-#[case::nothing("", Some(0))]
+#[case::empty("", Some(0))]
 #[case::no_messages("00", Some(0))]
-#[case::more_claimed_than_come("02 0300010203", None)]
-#[case::ninth_kind("01 0800010203", None)]
-#[case::third_role("01 0302010203", None)]
+#[case::count_exceeds_messages("02 0300010203", None)]
+#[case::unknown_kind("01 0800010203", None)]
+#[case::unknown_role("01 0302010203", None)]
 #[case::release("01 0300010203", Some(1))]
-#[case::epoch_beyond_its_bits("01 030001ffffffff1f03", None)]
-#[case::incarnation_beyond_its_bits("01 03000102ffff07", None)]
-#[case::number_that_never_ends("01 030001ffffffffffffffff", None)]
-#[case::is_holder_that_is_no_truth_value("01 000001010203 02", None)]
-#[case::third_departure("01 0400010101010101 02", None)]
-#[case::holder_of_the_roster("01 050001 01ab0201 01", Some(1))]
-#[case::holder_beyond_the_roster("01 050001 01ac0201 01", None)]
+#[case::epoch_overflow("01 030001ffffffff1f03", None)]
+#[case::incarnation_overflow("01 03000102ffff07", None)]
+#[case::unterminated_number("01 030001ffffffffffffffff", None)]
+#[case::is_holder_not_a_bool("01 000001010203 02", None)]
+#[case::unknown_departure("01 0400010101010101 02", None)]
+#[case::holder_last_in_roster("01 050001 01ab0201 01", Some(1))]
+#[case::holder_outside_roster("01 050001 01ac0201 01", None)]
 #[case::text("68656c6c6f", None)]
-#[case::ones("ffffffffffffffff", None)]
-fn foreign_bytes(#[case] hex: &str, #[case] messages: Option<usize>) {
+#[case::all_ones("ffffffffffffffff", None)]
+fn arbitrary_bytes(#[case] hex: &str, #[case] messages: Option<usize>) {
     let bytes = unhex(&hex.replace(' ', ""));
     assert_eq!(
         decode_messages(&bytes, ROSTER).map(|messages| messages.len()),
@@ -238,28 +240,28 @@
     assert_eq!(decode_messages(&encode_messages(&messages), ROSTER), None);
 }
 
-/// Members know a replica by the same number whatever they run.
+/// Guards against members of different versions that compute different keys for a replica.
 #[rstest]
-#[case::listed("10.0.0.7:8443", 1_700_000_000.125)]
-#[case::long_ago("10.0.0.7:8443", 0.0)]
-#[case::no_name("", -1.0)]
-#[case::not_ascii("répl-1", 0.0005)]
-fn replicas_keep_their_numbers(#[case] name: &str, #[case] started_at: f64) {
-    let numbers = Records::at(concat!(
+#[case::recent_start("10.0.0.7:8443", 1_700_000_000.125)]
+#[case::start_at_unix_epoch("10.0.0.7:8443", 0.0)]
+#[case::empty_name("", -1.0)]
+#[case::non_ascii_name("répl-1", 0.0005)]
+fn replica_keys_have_their_recorded_values(#[case] name: &str, #[case] started_at: f64) {
+    let records = Records::at(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/tests/recorded/replicas.txt"
     ));
     let replica = ReplicaKey::named(name, started_at);
-    let today = format!("{} {} {}", replica.0, replica.bucket(4), replica.bucket(0));
+    let actual = format!("{} {} {}", replica.0, replica.bucket(4), replica.bucket(0));
     assert_eq!(
-        numbers.text(&format!("{name} started {started_at}"), &today),
-        today
+        records.text(&format!("{name} started {started_at}"), &actual),
+        actual
     );
 }
 
-/// Test programs that read logs depend on these names.
+/// Test programs that parse logs depend on these names.
 #[test]
-fn roles_have_their_recorded_names_in_logs() {
+fn roles_have_stable_names_in_logs() {
     assert_eq!(
         [Role::EndpointWatch(2), Role::QuotaAllocator(0)].map(|role| format!("{role:?}")),
         ["EndpointWatch(2)", "QuotaAllocator(0)"]
--- a/crates/router/lease/tests/singleton_roles.rs
+++ b/crates/router/lease/tests/singleton_roles.rs
@@ -1,5 +1,5 @@
-//! What holders do: the shares of a warming replica never add up to more than its quota, whatever is lost or late,
-//! and endpoint updates only ever close replicas.
+//! Actions of role holders on a simulated network. The shares of a warming replica in use must never exceed its quota,
+//! even if messages are lost or delayed, and endpoint updates must only close replicas.
 
 #[path = "../../membership/tests/common/arrival.rs"]
 mod arrival;
@@ -32,13 +32,13 @@
     departure: Departure,
 }
 
-/// What a member could use of its quota at a time, as a multiple of an even share.
-struct Usable {
+/// The quota that a member could use at one time, as a multiple of an even share.
+struct UsableQuota {
     at: f64,
     multiple: f64,
 }
 
-/// Members that all see each other, on a network that loses and delays; some of them demand a warming replica.
+/// Members that all consider each other alive, on a network that loses and delays datagrams.
 struct Tier {
     now: f64,
     random: Pcg64Mcg,
@@ -49,6 +49,7 @@
     in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
     closed: Vec<ClosedReplica>,
+    /// Parts per update that each member demands of the warming replica.
     demands: Vec<u32>,
 }
 
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Updates a member, and returns how many even shares it may use; `None` if it has crashed.
+    /// Updates a member. Returns the quota that it uses, in even shares; `None` if it has crashed.
     fn update(&mut self, n: usize, view: &View) -> Option<f64> {
         let clock = self.clock(n);
         let parts = self.demands[n];
@@ -157,7 +158,7 @@
         };
         let actions = member.update(clock, view, &[demand]);
         let gossip = member.gossip(clock);
-        // A member sends only while it has demand.
+        // A member uses its quota only while it has demand.
         let multiple = if parts > 0 {
             member.multiple_of_even_share(clock, WARMING)
         } else {
@@ -171,24 +172,25 @@
         Some(multiple)
     }
 
-    /// The greatest sum, in even shares of the whole, that is in use within any window.
+    /// Runs until this time. Returns the maximum quota that all members together used within any window, in even
+    /// shares.
     fn run(&mut self, until: f64) -> f64 {
         let view = self.view();
         let mut max_in_use = 0.0f64;
-        // By member, within the last window.
-        let mut usable: Vec<Vec<Usable>> = self.members.iter().map(|_| Vec::new()).collect();
+        // By member, within the latest window.
+        let mut usable: Vec<Vec<UsableQuota>> = self.members.iter().map(|_| Vec::new()).collect();
         while self.now < until {
             self.now += 0.02;
             self.deliver_arrived();
             for (n, usable) in usable.iter_mut().enumerate() {
                 if let Some(multiple) = self.update(n, &view) {
                     let at = self.now;
-                    usable.push(Usable { at, multiple });
-                    usable.retain(|moment| moment.at > at - WINDOW);
+                    usable.push(UsableQuota { at, multiple });
+                    usable.retain(|sample| sample.at > at - WINDOW);
                 }
             }
-            let max_of = |moments: &Vec<Usable>| {
-                let multiples = moments.iter().map(|moment| moment.multiple);
+            let max_of = |samples: &Vec<UsableQuota>| {
+                let multiples = samples.iter().map(|sample| sample.multiple);
                 multiples.fold(0.0, f64::max)
             };
             let sum: f64 = usable.iter().map(max_of).sum();
@@ -198,20 +200,21 @@
     }
 }
 
-/// One of ten members demands a warming replica, and comes to have most of its quota. The sum never exceeds the quota,
-/// also as others begin to demand it, allocators crash and messages are lost.
+/// Guards against a share that two members use within one window. One of ten members demands a warming replica and is
+/// granted most of its quota. Then other members begin to demand it, the allocator crashes, and messages are lost and
+/// delayed. The quota in use by all members must never exceed the total.
 #[rstest]
 fn shares_never_exceed_the_quota(
     #[values(0.0, 0.3)] loss: f64,
     #[values(0.01, 0.4)] max_latency: f64,
 ) {
-    let mut best = 0.0f64;
+    let mut max_multiple = 0.0f64;
     for seed in 0..12 {
         let mut t = Tier::new(10, seed, loss, max_latency);
         t.demands[3] = 5;
         let mut max_in_use = t.run(20.0);
         let clock = t.clock(3);
-        best = best.max(
+        max_multiple = max_multiple.max(
             t.members[3]
                 .as_ref()
                 .map_or(0.0, |m| m.multiple_of_even_share(clock, WARMING)),
@@ -221,7 +224,7 @@
             t.demands[n] = 3;
         }
         max_in_use = max_in_use.max(t.run(t.now + 4.0));
-        // The holder crashes, and another acquires the lease.
+        // The holder crashes, and another member acquires the lease.
         let clocks: Vec<f64> = (0..10).map(|n| t.clock(n)).collect();
         let holds = |n: &usize| {
             t.members[*n]
@@ -238,11 +241,13 @@
         );
     }
     assert!(
-        best > 5.0 || max_latency > 0.1,
-        "it came to have {best} even shares of 10"
+        max_multiple > 5.0 || max_latency > 0.1,
+        "the member was granted at most {max_multiple} even shares of 10"
     );
 }
 
+/// Guards against updates from members that are not the holder, and against a departed replica that other members keep
+/// open.
 #[test]
 fn only_the_holder_sends_endpoint_updates() {
     let mut t = Tier::new(5, 1, 0.1, 0.02);
@@ -262,11 +267,11 @@
             .as_ref()
             .is_some_and(|m| m.leases().token(clocks[*n], watch).is_some())
     };
-    let holder = (0..5).find(holds).expect("somebody holds it");
+    let holder = (0..5).find(holds).expect("a member has the lease");
     let clock = t.clock(holder);
     t.members[holder]
         .as_mut()
-        .expect("it lives")
+        .expect("the holder is alive")
         .record_endpoint_state(clock, departed, Some(Departure::Departed));
     t.run(t.now + 2.0);
     let closed_at = t.closed.iter().filter(|closed| closed.replica == departed);
@@ -279,9 +284,9 @@
     );
 }
 
-/// Malformed payloads are counted and have no other effect.
+/// Guards against malformed payloads that cause any action.
 #[rstest]
-#[case::garbled(&[0x07, 0xff, 0xff, 0xff, 0xff])]
+#[case::malformed(&[0x07, 0xff, 0xff, 0xff, 0xff])]
 #[case::too_long(&[0x00; 300])]
 fn payloads_that_cannot_be_decoded_are_counted(#[case] bytes: &[u8]) {
     let mut roles = SingletonRoles::new(local_member(0, 3), LeaseConfig::default(), 1, 0.0);
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -1,5 +1,5 @@
-//! Members that lease a role from each other on a lossy network, with clocks of different rates, stalls, partitions,
-//! crashes and restarts. Each run is determined by its seed.
+//! Leases on a simulated lossy network: members with clocks of different rates, stalls, partitions, crashes and
+//! restarts. Each run is determined by its seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,14 +14,14 @@
 
 const ROLE: Role = Role::QuotaAllocator(0);
 
-/// Interval at which a datagram is offered again to a member that stalls.
+/// Interval at which delivery of a datagram to a stalled member is retried.
 const RETRY_MICROS: u64 = 10_000;
 
 struct Node {
     leases: Leases,
     rate: f64,
     offset: f64,
-    /// The member does not run before this true time.
+    /// True time at which the member's stall ends.
     stalled_until: f64,
     alive: bool,
 }
@@ -33,7 +33,7 @@
     bytes: Vec<u8>,
 }
 
-/// A moment of true time in which a member could act under its lease.
+/// A step of the simulation in which a member could act under its lease, in true time.
 #[derive(Debug)]
 struct RecordedAction {
     at: f64,
@@ -57,12 +57,12 @@
     loss: f64,
     partitioned: Vec<bool>,
     nodes: Vec<Node>,
-    /// Datagrams by the time of their arrival, in true microseconds.
+    /// Datagrams by arrival in true time, in microseconds.
     in_flight: EventQueue<u64, Datagram>,
     sent: u64,
     actions: Vec<RecordedAction>,
     lease_events: Vec<RecordedEvent>,
-    /// Moments with two holders.
+    /// Number of steps with two holders.
     two_holders: usize,
     max_latency: f64,
 }
@@ -135,8 +135,8 @@
         self.nodes[n].alive && self.now >= self.nodes[n].stalled_until
     }
 
-    /// The next datagram that has arrived at a member which runs. Those to a member that stalls arrive later,
-    /// those to one that has crashed are lost.
+    /// Removes the next datagram that has arrived at a running member. Datagrams to a stalled member are delayed, and
+    /// those to a crashed one are lost.
     fn take_arrived(&mut self) -> Option<Datagram> {
         while (*self.in_flight.next_time()? as f64) / 1e6 <= self.now {
             let arrival = self.in_flight.pop()?;
@@ -160,7 +160,8 @@
                 let to = datagram.to;
                 let clock = self.clock(to);
                 let from = MemberId(datagram.from as u16);
-                for message in decode_messages(&datagram.bytes, members).expect("it can be decoded")
+                for message in
+                    decode_messages(&datagram.bytes, members).expect("the datagram can be decoded")
                 {
                     let actions = self.nodes[to].leases.receive(clock, from, &message);
                     self.execute(to, actions);
@@ -180,7 +181,7 @@
                     });
                 }
             }
-            // By the true clock, whether or not they run just now.
+            // Members that are stalled count as well, by their clocks at this true time.
             let holders = (0..members).filter(|n| self.nodes[*n].alive);
             let holders = holders
                 .filter(|n| self.nodes[*n].leases.token(self.clock(*n), ROLE).is_some())
@@ -201,7 +202,7 @@
         })
     }
 
-    /// Seconds from `since` until a member other than `old` acts.
+    /// Returns the seconds from `since` until a member other than `old` acts; `None` if none has acted.
     fn failover_time(&self, since: f64, old: usize) -> Option<f64> {
         self.actions
             .iter()
@@ -210,6 +211,7 @@
     }
 }
 
+/// Guards against leases that change holders without a fault.
 #[test]
 fn one_member_acquires_the_lease_and_keeps_it() {
     for seed in 0..20 {
@@ -233,19 +235,20 @@
     }
 }
 
-/// A holder crashes, stalls, or is partitioned: another has the role a lease and a second later at most.
+/// A holder crashes, stalls or is partitioned. Another member must acquire the lease within the lease duration plus one
+/// second, and the old holder must not act under its expired lease.
 #[rstest]
-#[case::killed(0)]
-#[case::stalled_until(1)]
+#[case::crashed(0)]
+#[case::stalled(1)]
 #[case::partitioned(2)]
-#[case::killed_under_loss(3)]
+#[case::crashed_under_loss(3)]
 fn a_failed_holder_is_replaced(#[case] fault: u8) {
     for seed in 0..40 {
         let mut w = World::new(6, seed, LeaseConfig::default());
         w.loss = if fault == 3 { 0.3 } else { 0.02 };
         w.run(12.0);
         let Some(old) = w.holder() else {
-            panic!("seed {seed}: nobody holds the lease: {:?}", w.lease_events)
+            panic!("seed {seed}: no member has the lease: {:?}", w.lease_events)
         };
         let since = w.now;
         match fault {
@@ -260,7 +263,7 @@
             "seed {seed}: {after:?} {:?}",
             w.lease_events
         );
-        // A member that stalled or was partitioned does not act under what it had.
+        // A member that stalled or was partitioned must not act under its expired lease.
         w.partitioned[old] = false;
         w.run(w.now + 6.0);
         let newer = w
@@ -281,17 +284,17 @@
     }
 }
 
-/// What several seeds have shown.
+/// The results of several seeds.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Moments with two holders.
+    /// Number of steps with two holders.
     two_holders: usize,
-    /// Seeds in which anybody held the lease.
+    /// Number of seeds in which any member acquired the lease.
     seeds_with_holder: usize,
 }
 
-/// Plays random loss, latency, stalls, partitions, crashes and restarts.
-fn play_seeds(seeds: std::ops::Range<u64>, config: &LeaseConfig) -> Outcome {
+/// Runs seeds with random loss, latency, stalls, partitions, crashes and restarts.
+fn run_seeds(seeds: std::ops::Range<u64>, config: &LeaseConfig) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
         let mut w = World::new(3 + (seed % 5) as usize, seed, config.clone());
@@ -316,9 +319,10 @@
     outcome
 }
 
+/// Guards against two simultaneous holders under random faults.
 #[test]
 fn never_two_holders() {
-    let outcome = play_seeds(0..150, &LeaseConfig::default());
+    let outcome = run_seeds(0..150, &LeaseConfig::default());
     assert_eq!(outcome.two_holders, 0);
     assert!(
         outcome.seeds_with_holder > 60,
@@ -326,18 +330,17 @@
     );
 }
 
-/// The same simulation detects a holder that ignores its margin.
+/// Shows that the simulation can detect two holders: with a negative clock margin, leases outlast their grants.
 #[test]
 fn a_holder_without_clock_margin_is_detected() {
     let config = LeaseConfig {
         clock_margin_s: -0.3,
         ..LeaseConfig::default()
     };
-    assert!(play_seeds(0..150, &config).two_holders > 0);
+    assert!(run_seeds(0..150, &config).two_holders > 0);
 }
 
-/// Not a check of CI, but a measurement: `cargo test --release -p woadreach-lease -- --ignored
-/// --nocapture`.
+/// A measurement that CI does not run: `cargo test --release -p woadreach-lease -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement of minutes"]
 fn ten_thousand_seeds() {
@@ -345,23 +348,23 @@
     let all: Vec<_> = (0..threads)
         .map(|t| {
             let (from, to) = (10_000 * t / threads, 10_000 * (t + 1) / threads);
-            std::thread::spawn(move || play_seeds(from..to, &LeaseConfig::default()))
+            std::thread::spawn(move || run_seeds(from..to, &LeaseConfig::default()))
         })
         .collect();
     let mut total = Outcome::default();
     for thread in all {
-        let outcome = thread.join().expect("played");
+        let outcome = thread.join().expect("the thread has not panicked");
         total.two_holders += outcome.two_holders;
         total.seeds_with_holder += outcome.seeds_with_holder;
     }
     println!(
-        "two holders: {} moments in 10000 seeds, of which {} had a holder",
+        "two holders: {} steps in 10000 seeds, of which {} had a holder",
         total.two_holders, total.seeds_with_holder
     );
     assert_eq!(total.two_holders, 0);
 }
 
-/// Likewise: how soon a role is handed over, by the duration of a lease and by loss.
+/// A measurement that CI does not run: time to failover by lease duration and by packet loss.
 #[test]
 #[ignore = "a measurement"]
 fn measure_failover_time() {
@@ -392,13 +395,13 @@
                 after.extend(w.failover_time(since, old));
             }
             after.sort_by(f64::total_cmp);
-            let of = |p: f64| after[((after.len() - 1) as f64 * p) as usize];
+            let quantile = |p: f64| after[((after.len() - 1) as f64 * p) as usize];
             println!(
-                "lease {lease}, loss {loss}: handed on after {:.2} s, 0.99 {:.2}, most {:.2} of {}; \
-                 lost {lost} in 4000 s; {:.1} datagrams a second",
-                of(0.5),
-                of(0.99),
-                of(1.0),
+                "lease {lease}, loss {loss}: failover after {:.2} s, 0.99 {:.2}, maximum {:.2} of {}; \
+                 lost {lost} in 4000 s; {:.1} datagrams per second",
+                quantile(0.5),
+                quantile(0.99),
+                quantile(1.0),
                 after.len(),
                 sent as f64 / 4000.0
             );
@@ -417,30 +420,31 @@
     assert!(leases.accept_token(1.0, ROLE, token(4, 1, 9)));
     assert!(
         leases.accept_token(1.1, ROLE, token(4, 1, 9)),
-        "the same holder goes on"
+        "another action of the same holder"
     );
     assert!(
         !leases.accept_token(1.2, ROLE, token(3, 2, 9)),
-        "an older epoch"
+        "an action under a lower epoch"
     );
     assert!(
         !leases.accept_token(1.3, ROLE, token(4, 2, 9)),
-        "another under the same"
+        "another holder with the same epoch"
     );
     assert!(
         !leases.accept_token(1.4, ROLE, token(4, 1, 8)),
-        "an earlier run of the same"
+        "another run of the holder with the same epoch"
     );
     assert!(leases.accept_token(1.5, ROLE, token(5, 2, 9)));
     assert_eq!(leases.counters().stale_tokens, 3);
 }
 
-/// An acceptor is silent while it may have forgotten a grant: after a start, and after its clock has jumped.
+/// Guards against a second grant by an acceptor that has lost its first one. An acceptor must answer no requests after
+/// a start, and after a jump of its clock, for as long as a lost grant could be valid.
 #[rstest]
-#[case::started(0.0, 1.0, false)]
-#[case::long_started(0.0, 4.0, true)]
-#[case::clock_went_back(10.0, 3.5, false)]
-fn an_acceptor_that_may_have_forgotten_is_silent(
+#[case::just_started(0.0, 1.0, false)]
+#[case::started_long_ago(0.0, 4.0, true)]
+#[case::clock_set_back(10.0, 3.5, false)]
+fn an_acceptor_that_may_have_lost_grants_does_not_answer(
     #[case] before: f64,
     #[case] now: f64,
     #[case] answers: bool,
@@ -460,9 +464,9 @@
 }
 
 #[rstest]
-#[case::nothing(&[], true)]
-#[case::garbled(&[0xff, 0x03, 0x17], false)]
-#[case::a_holder_outside_the_roster(&encode_messages(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
+#[case::empty(&[], true)]
+#[case::malformed(&[0xff, 0x03, 0x17], false)]
+#[case::holder_outside_roster(&encode_messages(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
     holder: MemberId(9), incarnation: Incarnation(1) } }]), false)]
 fn payloads_that_cannot_be_decoded_are_rejected(#[case] bytes: &[u8], #[case] is_valid: bool) {
     assert_eq!(decode_messages(bytes, 3).is_some(), is_valid);
