--- a/crates/router/zone-failover/tests/common/mod.rs
+++ b/crates/router/zone-failover/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated tier: co-ordinators on a lossy network, and zones that fail.
+//! A simulated tier: co-ordinators on a lossy network in simulated time, and zones that fail.
 
 #[path = "../../../membership/tests/common/arrival.rs"]
 mod arrival;
@@ -12,7 +12,7 @@
     LocalPeer, OutgoingDatagram, PeerActions, ZoneFailoverConfig, ZoneObservation, Zones,
 };
 
-/// The share of parts that fails, by time and by the zones of the co-ordinator and of the replica.
+/// The fraction of parts that fail, as a function of time, the zone of the co-ordinator and the zone of the replica.
 pub(crate) type FailedShare = Box<dyn Fn(f64, usize, usize) -> f64>;
 
 /// A datagram in flight.
@@ -22,9 +22,9 @@
     bytes: Vec<u8>,
 }
 
-/// A part of a search that has ended.
+/// A part of a search that has finished.
 #[derive(Clone, Copy)]
-struct EndedPart {
+struct FinishedPart {
     at: f64,
     has_failed: bool,
 }
@@ -43,14 +43,14 @@
     random: Pcg64Mcg,
     zones: usize,
     loss: f64,
-    /// Parts per second that each member sends to each zone while it serves; a tenth of it when ejected.
+    /// Parts per second that each member sends to each serving zone. An ejected zone receives a tenth of it.
     pub(crate) rate: f64,
     pub(crate) failed_share: FailedShare,
-    /// Whether datagrams between two zones are lost, by time.
+    /// Whether datagrams between two zones are lost, as a function of time and of both zones.
     pub(crate) is_partitioned: Box<dyn Fn(f64, usize, usize) -> bool>,
     pub(crate) peers: BTreeMap<MemberId, LocalPeer>,
-    /// What each member has lately seen of each zone.
-    seen: BTreeMap<MemberId, Vec<VecDeque<EndedPart>>>,
+    /// Recent parts of each member, by zone.
+    recent_parts: BTreeMap<MemberId, Vec<VecDeque<FinishedPart>>>,
     in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
     pub(crate) verdict_changes: Vec<RecordedChange>,
@@ -86,24 +86,24 @@
     LocalPeer::new(id, membership, verdicts)
 }
 
-/// What a member with these latest parts of a zone observes, as the routing decisions do: the run of failed parts up to
-/// now, where there is one.
-fn observation(parts: &VecDeque<EndedPart>, now: f64) -> ZoneObservation {
+/// Returns a member's observation of a zone from its recent parts, in the same way as the routing decisions: the latest
+/// run of consecutive failures if there are several, otherwise all parts of the last two seconds.
+fn observation(parts: &VecDeque<FinishedPart>, now: f64) -> ZoneObservation {
     let run = parts
         .iter()
         .rev()
         .take_while(|part| part.has_failed)
         .count() as u32;
-    let fresh = parts.iter().filter(|part| part.at > now - 2.0);
+    let recent = parts.iter().filter(|part| part.at > now - 2.0);
     let seen = if run > 1 {
         run
     } else {
-        fresh.clone().count() as u32
+        recent.clone().count() as u32
     };
     let failed = if run > 1 {
         run
     } else {
-        fresh.filter(|part| part.has_failed).count() as u32
+        recent.filter(|part| part.has_failed).count() as u32
     };
     ZoneObservation {
         seen,
@@ -124,7 +124,7 @@
             failed_share: Box::new(|_, _, _| 0.0),
             is_partitioned: Box::new(|_, _, _| false),
             peers: peers.collect(),
-            seen: (0..members)
+            recent_parts: (0..members)
                 .map(|n| (MemberId(n as u16), vec![VecDeque::new(); zones]))
                 .collect(),
             in_flight: BTreeMap::new(),
@@ -181,20 +181,20 @@
         }
     }
 
-    /// Plays a tenth of a second of all members' parts.
+    /// Simulates the parts of all members for a tenth of a second, and updates all members.
     fn observe(&mut self) {
         let mut all_actions = Vec::new();
         for (id, peer) in &mut self.peers {
-            let Some(seen) = self.seen.get_mut(id) else {
+            let Some(recent_parts) = self.recent_parts.get_mut(id) else {
                 continue;
             };
             let shares = peer.zones.traffic_shares(self.now);
             let mut observations = Vec::new();
-            for (zone, parts) in seen.iter_mut().enumerate() {
+            for (zone, parts) in recent_parts.iter_mut().enumerate() {
                 let sent = self.rate * 0.1 * shares[zone].max(0.1);
                 if self.random.random_bool(sent.min(1.0)) {
                     let share = (self.failed_share)(self.now, zone_of(*id, self.zones), zone);
-                    parts.push_back(EndedPart {
+                    parts.push_back(FinishedPart {
                         at: self.now,
                         has_failed: self.random.random_bool(share.max(0.03)),
                     });
@@ -215,15 +215,16 @@
         }
     }
 
-    /// Seconds from `since` until the last of `who` ejected the zone.
+    /// Returns the seconds from `since` until the last of the members selected by `is_included` ejected the zone;
+    /// `None` if one of them hasn't.
     pub(crate) fn time_to_ejection(
         &self,
         since: f64,
         zone: u8,
-        who: impl Fn(MemberId) -> bool,
+        is_included: impl Fn(MemberId) -> bool,
     ) -> Option<f64> {
         let mut worst = 0.0f64;
-        for id in self.peers.keys().filter(|id| who(**id)) {
+        for id in self.peers.keys().filter(|id| is_included(**id)) {
             let first = self.verdict_changes.iter().find(|change| {
                 change.member == *id
                     && change.zone == zone
--- a/crates/router/zone-failover/tests/recorded.rs
+++ b/crates/router/zone-failover/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Gossip payloads of co-ordinators: recorded bytes are decoded as before, and encoded to the same, by themselves and
-//! in a complete datagram.
+//! Compatibility of gossip payloads with recorded bytes, both by themselves and in a complete datagram: they must be
+//! decoded to the same payloads, and the payloads encoded to the same bytes.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -77,18 +77,19 @@
 }
 
 #[test]
-fn nothing_is_recorded_that_is_not_read() {
+fn every_record_is_used() {
     let mut names: Vec<&str> = samples().into_iter().map(|sample| sample.0).collect();
     names.sort_unstable();
     assert_eq!(records("riders.hex").names(), names);
 }
 
-/// The scales of ages and rates, and the rounding of counts, as the receiver has them.
+/// Guards against changes in the scale of ages and rates and in the rounding of counts, which the encoding doesn't
+/// show.
 #[test]
 fn recorded_payloads_have_their_values() {
     let (_, payload) = samples().pop().expect("there are samples");
     let read = GossipPayload::decode(&recorded_payload("both", &payload), ZONES, ROSTER)
-        .expect("they are sound");
+        .expect("the payload is valid");
     let verdicts: Vec<_> = read
         .verdicts
         .iter()
@@ -139,14 +140,14 @@
             assert_eq!(
                 GossipPayload::decode(&bytes[..end], ZONES, ROSTER),
                 Err(InvalidPayload::Malformed),
-                "{name}, cut at {end}"
+                "{name}, truncated to {end} bytes"
             );
         }
         bytes.push(0);
         assert_eq!(
             GossipPayload::decode(&bytes, ZONES, ROSTER),
             Err(InvalidPayload::Malformed),
-            "{name}, with a further byte"
+            "{name}, with a trailing byte"
         );
     }
     assert_eq!(
@@ -156,29 +157,33 @@
 }
 
 #[test]
-fn inverted_bytes_fare_as_they_did() {
+fn inverted_bytes_have_their_recorded_outcome() {
     for (name, payload) in samples() {
-        let today = inverted(&recorded_payload(name, &payload), |bytes| {
+        let actual = inverted(&recorded_payload(name, &payload), |bytes| {
             GossipPayload::decode(bytes, ZONES, ROSTER).is_ok()
         });
-        assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
+        assert_eq!(
+            records("inverted.txt").text(name, &actual),
+            actual,
+            "{name}"
+        );
     }
 }
 
 #[rstest]
-#[case::verdict_of_the_last_zone("01 02000000 00", true)]
-#[case::verdict_beyond_the_zones("01 03000000 00", false)]
-#[case::report_of_the_last_member("00 01 ab02 00 00 00 00 03000000", true)]
-#[case::report_beyond_the_roster("00 01 ac02 00 00 00 00 03000000", false)]
-#[case::report_from_beyond_the_zones("00 01 00 03 00 00 00 03000000", false)]
+#[case::verdict_on_last_zone("01 02000000 00", true)]
+#[case::verdict_on_unknown_zone("01 03000000 00", false)]
+#[case::report_from_last_member("00 01 ab02 00 00 00 00 03000000", true)]
+#[case::report_from_outside_roster("00 01 ac02 00 00 00 00 03000000", false)]
+#[case::report_from_unknown_zone("00 01 00 03 00 00 00 03000000", false)]
 #[case::too_few_zones("00 01 00 00 00 00 00 020000", false)]
 #[case::too_many_zones("00 01 00 00 00 00 00 0400000000", false)]
 #[case::more_failed_than_seen("00 01 00 00 00 00 00 030f0000", true)]
-#[case::more_claimed_than_come("02 02000000 00", false)]
-#[case::epoch_beyond_its_bits("01 02 ffffffff1f 00 00 00", false)]
-#[case::number_that_never_ends("ffffffffffffffffffff", false)]
+#[case::count_exceeds_verdicts("02 02000000 00", false)]
+#[case::epoch_overflow("01 02 ffffffff1f 00 00 00", false)]
+#[case::unterminated_number("ffffffffffffffffffff", false)]
 #[case::text("68656c6c6f", false)]
-fn foreign_bytes(#[case] hex: &str, #[case] is_valid: bool) {
+fn arbitrary_bytes(#[case] hex: &str, #[case] is_valid: bool) {
     let bytes = unhex(&hex.replace(' ', ""));
     assert_eq!(
         GossipPayload::decode(&bytes, ZONES, ROSTER).is_ok(),
@@ -222,7 +227,7 @@
     }
 }
 
-/// A member asks another to join; both payloads are with it.
+/// Returns the recorded datagram: an announcement of the membership protocol with both payloads.
 fn datagram() -> Vec<u8> {
     let announce = unhex("0101020600000006");
     let (_, payload) = samples().swap_remove(1);
@@ -235,7 +240,7 @@
     };
     records("datagrams.hex").bytes(
         "announce-with-riders",
-        &encode(&body).expect("it is short enough"),
+        &encode(&body).expect("the datagram is within its limit"),
     )
 }
 
@@ -261,15 +266,15 @@
 }
 
 #[test]
-fn a_datagram_on_roles_has_its_recorded_bytes() {
+fn a_datagram_with_a_role_payload_has_its_recorded_bytes() {
     let actions = peer().send_role_payload(MemberId(1), ROLE_MESSAGES);
-    let [OutgoingDatagram { to, bytes: today }] = &actions.datagrams[..] else {
-        panic!("one datagram: {actions:?}")
+    let [OutgoingDatagram { to, bytes: actual }] = &actions.datagrams[..] else {
+        panic!("expected one datagram, got {actions:?}")
     };
     assert_eq!(*to, MemberId(1));
-    let recorded_bytes = records("datagrams.hex").bytes("duties-alone", today);
-    assert_eq!(*today, recorded_bytes);
-    let body = decode(&recorded_bytes).expect("it is sound");
+    let recorded_bytes = records("datagrams.hex").bytes("duties-alone", actual);
+    assert_eq!(*actual, recorded_bytes);
+    let body = decode(&recorded_bytes).expect("the datagram is valid");
     assert_eq!(
         body,
         Body {
@@ -282,28 +287,28 @@
 }
 
 #[rstest]
-#[case::from_another_address(Some(2), 0, Rejection::WrongSender)]
-#[case::from_nowhere(None, 0, Rejection::WrongSender)]
-#[case::of_another_version(Some(1), 1, Rejection::UnknownVersion)]
+#[case::other_address(Some(2), 0, Rejection::WrongSender)]
+#[case::unknown_address(None, 0, Rejection::WrongSender)]
+#[case::unknown_version(Some(1), 1, Rejection::UnknownVersion)]
 fn a_datagram_is_rejected_and_counted(
     #[case] from: Option<u16>,
-    #[case] changed: u8,
-    #[case] why: Rejection,
+    #[case] version_bits: u8,
+    #[case] rejection: Rejection,
 ) {
     let mut bytes = datagram();
-    bytes[0] ^= changed;
+    bytes[0] ^= version_bits;
     let mut peer = peer();
     let actions = peer.receive(1.0, from.map(MemberId), &bytes);
     assert_eq!(
         (actions.role_payload, actions.datagrams),
         (None, Vec::new())
     );
-    assert_eq!(peer.counters().rejected, BTreeMap::from([(why, 1)]));
+    assert_eq!(peer.counters().rejected, BTreeMap::from([(rejection, 1)]));
     assert_eq!(peer.counters().accepted, 0);
 }
 
 #[test]
-fn a_datagram_with_a_foreign_payload_is_accepted_but_for_it() {
+fn an_invalid_zone_payload_is_rejected_without_the_rest_of_its_datagram() {
     let body = Body {
         from: MemberId(1),
         swim: &[],
@@ -314,7 +319,7 @@
     let actions = peer.receive(
         1.0,
         Some(MemberId(1)),
-        &encode(&body).expect("it is short enough"),
+        &encode(&body).expect("the datagram is within its limit"),
     );
     assert_eq!(actions.role_payload, Some(role_payload()));
     let counters = peer.counters();
--- a/crates/router/zone-failover/tests/zones.rs
+++ b/crates/router/zone-failover/tests/zones.rs
@@ -1,5 +1,4 @@
-//! Co-ordinators of a tier on a lossy network in simulated time, with zones that fail. Each run is determined by its
-//! seed.
+//! Verdicts of the co-ordinators of a simulated tier whose zones fail. Each run is determined by its seed.
 
 mod common;
 
@@ -11,11 +10,12 @@
     GossipPayload, PartCounts, Report, ZoneFailoverConfig, ZoneObservation, ZoneVerdict, Zones,
 };
 
+/// A zone fails for five seconds. All members must eject it in time, and restore it with a common start of slow start.
 #[rstest]
 #[case(6, 0.0, 2.0, 1.0)]
 #[case(6, 0.3, 2.0, 1.5)]
 #[case(60, 0.1, 1.0, 2.0)]
-fn a_failed_zone_is_ejected_by_all_and_returns_on_one_ramp(
+fn a_failed_zone_is_ejected_and_restored_by_all(
     #[case] n: usize,
     #[case] loss: f64,
     #[case] rate: f64,
@@ -35,7 +35,7 @@
     w.run(14.9);
     let agreed = w
         .time_to_ejection(10.0, 1, |_| true)
-        .expect("all have ejected it");
+        .expect("all members have ejected the zone");
     assert!(agreed < within, "{agreed}");
     w.run(30.0);
     let mut lowest = f64::INFINITY;
@@ -43,7 +43,7 @@
         assert!(!peer.zones.verdicts()[1].is_ejected());
         lowest = lowest.min(peer.zones.verdicts()[1].since_s);
     }
-    // One ramp: all count it from the same moment, but for the latency of the gossip.
+    // All members count the slow start from the same time, except for the latency of gossip.
     let last = w
         .peers
         .values()
@@ -59,11 +59,12 @@
         w.verdict_changes
             .iter()
             .all(|change| change.zone == 1 && change.epoch <= 2),
-        "no other zone, no flap"
+        "no other zone is ejected, and the failed zone is ejected once"
     );
 }
 
-/// A partitioned zone sees all others fail. Its own members eject none; the others eject it.
+/// All other zones fail as seen from a partitioned zone. Its members must not eject them, and the other members must
+/// eject the partitioned zone.
 #[test]
 fn a_partitioned_zone_does_not_eject_the_others() {
     let mut w = World::new(6, 3, 0.0, 2);
@@ -90,7 +91,7 @@
     assert!(view.is_partitioned);
 }
 
-/// Only one zone can't reach another: the third has no reason to eject either.
+/// Two zones can't reach each other, but the third reaches both. Neither of the two must be ejected.
 #[test]
 fn a_partition_between_two_zones_ejects_neither() {
     let mut w = World::new(9, 3, 0.0, 3);
@@ -101,6 +102,7 @@
     assert!(w.verdict_changes.is_empty(), "{:?}", w.verdict_changes);
 }
 
+/// Guards against ejections that increase the load on the remaining zones when most zones fail.
 #[rstest]
 #[case::faults_everywhere(|_: usize| 1.0)]
 #[case::two_of_three(|to: usize| if to == 0 { 0.0 } else { 1.0 })]
@@ -109,18 +111,19 @@
     w.rate = 8.0;
     w.failed_share = Box::new(move |at, _, to| if at > 10.0 { share(to) } else { 0.0 });
     w.run(25.0);
-    let out: BTreeSet<u8> = w
+    let ejected: BTreeSet<u8> = w
         .verdict_changes
         .iter()
         .filter(|change| change.epoch % 2 == 1)
         .map(|change| change.zone)
         .collect();
-    assert!(out.is_empty(), "{:?}", w.verdict_changes);
+    assert!(ejected.is_empty(), "{:?}", w.verdict_changes);
 }
 
-/// Two of three zones have failed with their co-ordinators: the third can't tell that from being partitioned itself.
+/// Two of three zones fail together with their co-ordinators. To the third zone this looks like its own partition, so
+/// that its members must not change any verdict.
 #[test]
-fn without_a_quorum_the_last_verdict_stands() {
+fn without_a_quorum_verdicts_do_not_change() {
     let mut w = World::new(6, 3, 0.0, 5);
     w.rate = 8.0;
     w.failed_share = Box::new(|at, _, to| f64::from(u8::from(at > 10.0 && to > 0)));
@@ -136,7 +139,7 @@
     assert!(w.peers.values().all(|p| p.view().is_partitioned));
 }
 
-/// A zone that fails and recovers every two seconds is ejected for longer each time.
+/// Guards against frequent changes of verdict on a zone that fails and recovers every two seconds.
 #[test]
 fn a_flapping_zone_is_ejected_for_longer_each_time() {
     let mut w = World::new(6, 3, 0.0, 6);
@@ -144,19 +147,20 @@
     w.failed_share =
         Box::new(|at, _, to| f64::from(u8::from(to == 1 && at > 10.0 && (at as u64 / 2) % 2 == 1)));
     w.run(70.0);
-    let of_one = w
+    let changes = w
         .verdict_changes
         .iter()
         .filter(|change| change.member == MemberId(0))
         .count();
     assert!(
-        (2..=12).contains(&of_one),
-        "{of_one} verdict_changes in 60 s, 30 of the zone's own"
+        (2..=12).contains(&changes),
+        "{changes} verdict changes in 60 s, while the zone itself changed 30 times"
     );
 }
 
+/// Guards against ejections that are caused by lost reports only.
 #[test]
-fn loss_of_datagrams_alone_ejects_nothing() {
+fn datagram_loss_alone_ejects_no_zone() {
     for seed in 0..12 {
         let mut w = World::new(6, 3, 0.3, seed);
         w.rate = 8.0;
@@ -180,7 +184,7 @@
 #[rstest]
 #[case::unknown_zone(GossipPayload { verdicts: vec![ZoneVerdict::new(7, 1, 0.0, 0)], reports: vec![] })]
 #[case::unknown_member(report(60, 3))]
-#[case::other_zones(report(1, 4))]
+#[case::different_zone_count(report(1, 4))]
 fn gossip_of_another_deployment_is_rejected(#[case] gossip: GossipPayload) {
     let mut zones = Zones::new(
         MemberId(0),
@@ -195,8 +199,9 @@
     assert!(zones.verdicts().iter().all(|v| v.epoch == 0));
 }
 
+/// Guards against a corrupted epoch, which would be valid forever, and against outdated verdicts.
 #[test]
-fn an_epoch_far_ahead_is_rejected_and_an_old_one_changes_nothing() {
+fn an_epoch_far_ahead_is_rejected_and_an_older_one_ignored() {
     let mut zones = Zones::new(
         MemberId(0),
         0,
@@ -212,32 +217,38 @@
         }
         .encode()
     };
-    zones.receive(10.0, &gossip(3, 1.0)).expect("it is valid");
+    zones
+        .receive(10.0, &gossip(3, 1.0))
+        .expect("the payload is valid");
     assert_eq!(
         (zones.verdicts()[1].epoch, zones.verdicts()[1].since_s),
         (3, 9.0)
     );
-    zones.receive(11.0, &gossip(2, 0.0)).expect("it is valid");
+    zones
+        .receive(11.0, &gossip(2, 0.0))
+        .expect("the payload is valid");
     zones
         .receive(11.0, &gossip(3_000_000, 0.0))
-        .expect("it is valid");
+        .expect("the payload is valid");
     assert_eq!((zones.verdicts()[1].epoch, zones.rejected()), (3, 1));
 }
 
-/// Six members in three zones, by their numbers modulo 3. Members 1 and 4 of zone 1 report zone 0 as theirs, as after a
-/// move that the membership has not heard of, and have sent no parts to zone 1. Two of the four members outside are
-/// against it, one is not, and one, which decides here, has made no report: no majority.
+/// Guards against reports that are counted as outside a zone because they contain an outdated zone of their member.
+/// There are six members; the zone of each is its number modulo 3. Members 1 and 4 of zone 1 report zone 0 as their
+/// own, as after a move that membership doesn't know of yet, and have sent no parts to zone 1. Of the four members
+/// outside zone 1, two report it as failed, one as healthy, and the one under test has no report, so there is no
+/// majority.
 #[test]
-fn a_member_counts_in_the_zone_of_the_membership_and_not_in_that_of_its_report() {
+fn a_report_counts_for_the_zone_of_its_member_by_membership() {
     let view = woadreach_membership::View {
         live: (0..6).map(|n| (MemberId(n), (n % 3) as u8)).collect(),
         roster_size: 6,
         is_partitioned: false,
         version: 1,
     };
-    let sound = PartCounts { seen: 8, failed: 0 };
+    let healthy = PartCounts { seen: 8, failed: 0 };
     let report = |member: u16, zone: u8, seen: u32, failed: u32| {
-        let parts = [sound, PartCounts { seen, failed }, sound];
+        let parts = [healthy, PartCounts { seen, failed }, healthy];
         Report::new(MemberId(member), zone, 1, 1.0, &parts)
     };
     let gossip = GossipPayload {
@@ -258,16 +269,21 @@
         ZoneFailoverConfig::default(),
         0.0,
     );
-    zones.receive(10.0, &gossip.encode()).expect("it is valid");
+    zones
+        .receive(10.0, &gossip.encode())
+        .expect("the payload is valid");
     let changes = zones.decide(10.0, &view);
     assert!(changes.is_empty(), "{changes:?}");
 }
 
 #[rstest]
-#[case::sound((8, 0), 1.0)]
+#[case::healthy((8, 0), 1.0)]
 #[case::within_headroom((10, 2), 1.0)]
-#[case::spills_in_proportion((10, 5), 0.7)]
-fn traffic_stays_near_while_its_zone_is_sound(#[case] near: (u32, u32), #[case] stays: f64) {
+#[case::partly_failed((10, 5), 0.7)]
+fn traffic_remains_local_while_its_zone_is_healthy(
+    #[case] local: (u32, u32),
+    #[case] local_share: f64,
+) {
     let mut zones = Zones::new(
         MemberId(0),
         0,
@@ -283,7 +299,7 @@
     };
     zones.record_observations(
         1.0,
-        &[observation(near), observation((8, 0)), observation((8, 0))],
+        &[observation(local), observation((8, 0)), observation((8, 0))],
         10.0,
     );
     let view = woadreach_membership::View {
@@ -294,7 +310,7 @@
     };
     let order = zones.spill_order(1.0, &view);
     assert_eq!(order[0].zones, BTreeSet::from([0]));
-    assert!((order[0].share - stays).abs() < 0.02, "{order:?}");
+    assert!((order[0].share - local_share).abs() < 0.02, "{order:?}");
     assert_eq!(order[1].zones, BTreeSet::from([0, 1]));
     assert!(order[1].share >= order[0].share);
     zones.ejected_by_operator.insert(0);
@@ -307,8 +323,8 @@
     );
 }
 
-/// Not a check of CI, but a measurement: `cargo test --release -p woadreach-zone-failover -- --ignored
-/// --nocapture`.
+/// A measurement that CI does not run: `cargo test --release -p woadreach-zone-failover -- --ignored --nocapture`. It
+/// prints the time until all members agree on an ejection, and the datagrams sent.
 #[test]
 #[ignore = "a measurement of a minute"]
 fn measure_how_soon_three_hundred_agree() {
@@ -332,18 +348,18 @@
                     .map(|p| p.counters())
                     .fold((0, 0), |a, c| (a.0 + c.sent, a.1 + c.sent_bytes))
             };
-            let calm = counts(&w);
+            let before_fault = counts(&w);
             w.run(25.0);
-            let faulty = counts(&w);
-            let each = |n: u64, s: f64| n as f64 / s / 300.0;
+            let after_fault = counts(&w);
+            let per_member = |n: u64, s: f64| n as f64 / s / 300.0;
             println!(
-                "{rate} parts a second to each zone, seed {seed}: agreed {:?} s; a second a member, \
-                 calm {:.1} datagrams {:.0} bytes, during the fault {:.1} and {:.0}",
+                "{rate} parts per second to each zone, seed {seed}: agreed {:?} s; per second and member, \
+                 before the fault {:.1} datagrams {:.0} bytes, during the fault {:.1} and {:.0}",
                 w.time_to_ejection(20.0, 1, |_| true),
-                each(calm.0, 20.0),
-                each(calm.1, 20.0),
-                each(faulty.0 - calm.0, 5.0),
-                each(faulty.1 - calm.1, 5.0)
+                per_member(before_fault.0, 20.0),
+                per_member(before_fault.1, 20.0),
+                per_member(after_fault.0 - before_fault.0, 5.0),
+                per_member(after_fault.1 - before_fault.1, 5.0)
             );
             worst.extend(w.time_to_ejection(20.0, 1, |_| true));
         }
@@ -356,7 +372,7 @@
     }
 }
 
-/// Likewise: seeds with loss of datagrams and no fault of any zone.
+/// A measurement that CI does not run: false ejections under datagram loss without any zone fault.
 #[test]
 #[ignore = "a measurement of minutes"]
 fn ten_thousand_seeds_with_loss_alone() {
@@ -382,7 +398,7 @@
         .collect();
     let total: usize = false_ejections
         .into_iter()
-        .map(|thread| thread.join().expect("played"))
+        .map(|thread| thread.join().expect("the thread has not panicked"))
         .sum();
     println!("false ejections: {total} of 10000 seeds");
     assert_eq!(total, 0);
