--- a/crates/router/membership/tests/members.rs
+++ b/crates/router/membership/tests/members.rs
@@ -1,4 +1,5 @@
-//! Members on a lossy network in simulated time. Each run is determined by its seed.
+//! The membership protocol on a lossy network in simulated time, and the datagram codec. Each run is determined by its
+//! seed.
 
 #[path = "common/arrival.rs"]
 mod arrival;
@@ -21,7 +22,7 @@
     bytes: Vec<u8>,
 }
 
-/// An event that some member has reported.
+/// A membership event that was returned by any member.
 struct RecordedEvent {
     at: f64,
     event: MembershipEvent,
@@ -32,9 +33,9 @@
     random: Pcg64Mcg,
     loss: f64,
     members: BTreeMap<MemberId, Members>,
-    /// Stalled members: what is sent to them is lost.
+    /// Stalled members. Datagrams to them are lost.
     stalled: BTreeSet<MemberId>,
-    /// The side of a partition on which each member is.
+    /// Side of a partition for each member; empty without a partition.
     side: BTreeMap<MemberId, u8>,
     in_flight: BTreeMap<Arrival, Datagram>,
     sent: u64,
@@ -84,13 +85,13 @@
                 zone_gossip: &[],
                 roles: &[],
             })
-            .expect("it fits");
+            .expect("the datagram is within its limit");
             self.sent += 1;
             self.bytes += body.len() as u64;
             if self.random.random_bool(self.loss) || self.side.get(&from) != self.side.get(&to) {
                 continue;
             }
-            // One in fifty is duplicated, with a latency of its own, so that messages overtake each other.
+            // One datagram in fifty is duplicated. Each copy has a random latency, so that datagrams are reordered.
             let copies = if self.random.random_bool(0.02) { 2 } else { 1 };
             for _ in 0..copies {
                 let at = self.now + 0.001 + 0.02 * self.random.random::<f64>();
@@ -109,7 +110,7 @@
                 if self.stalled.contains(&to) {
                     continue;
                 }
-                let body = decode(&bytes).expect("it can be decoded");
+                let body = decode(&bytes).expect("the datagram can be decoded");
                 if let Some(m) = self.members.get_mut(&to) {
                     let actions = m.receive(self.now, body.swim);
                     self.execute(to, actions);
@@ -133,12 +134,12 @@
         }
     }
 
-    /// Whether every member sees this number of live members.
+    /// Whether the view of every member has this number of live members.
     fn all_see(&self, live: usize) -> bool {
         self.members.values().all(|m| m.view().live.len() == live)
     }
 
-    /// How often a member was declared down.
+    /// Returns the number of times that any member was declared down.
     fn down_events(&self) -> usize {
         self.events
             .iter()
@@ -147,11 +148,13 @@
     }
 }
 
+/// Members that start simultaneously must all join, and packet loss alone must not make any of them down. The datagrams
+/// per member are bounded.
 #[rstest]
 #[case(3, 0.0)]
 #[case(6, 0.3)]
 #[case(100, 0.1)]
-fn members_that_start_together_find_each_other_and_stay(#[case] n: usize, #[case] loss: f64) {
+fn members_that_start_simultaneously_join_and_stay_alive(#[case] n: usize, #[case] loss: f64) {
     let mut net = Net::new(n, loss, 1);
     net.run(10.0);
     assert!(
@@ -167,18 +170,22 @@
     assert_eq!(zones, (0..n).map(|i| (i % 3) as u8).collect::<Vec<_>>());
     let (sent, bytes, downs) = (net.sent, net.bytes, net.down_events());
     net.run(40.0);
-    assert_eq!(net.down_events(), downs, "loss alone makes nobody down");
-    // SWIM: a probe and an answer each period, and what loss adds.
+    assert_eq!(
+        net.down_events(),
+        downs,
+        "packet loss alone must not make a member down"
+    );
+    // SWIM sends a probe and an answer per period, and further datagrams because of loss.
     let rate = (net.sent - sent) as f64 / 30.0 / n as f64;
     println!(
-        "{n} members, loss {loss}: {rate:.1} datagrams, {:.0} bytes a second a member",
+        "{n} members, loss {loss}: {rate:.1} datagrams, {:.0} bytes per second and member",
         (net.bytes - bytes) as f64 / 30.0 / n as f64
     );
-    assert!(rate < 9.0, "{rate} datagrams a second a member");
+    assert!(rate < 9.0, "{rate} datagrams per second and member");
 }
 
 #[test]
-fn a_crashed_member_is_down_for_all_and_rejoins() {
+fn a_crashed_member_is_declared_down_by_all_and_rejoins() {
     let mut net = Net::new(6, 0.1, 2);
     net.run(10.0);
     net.members.remove(&id(5));
@@ -191,21 +198,25 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_down_at_once() {
+fn a_member_that_leaves_is_declared_down_immediately() {
     let mut net = Net::new(6, 0.0, 3);
     net.run(10.0);
     let now = net.now;
-    let actions = net.members.get_mut(&id(5)).expect("there").leave(now);
+    let actions = net
+        .members
+        .get_mut(&id(5))
+        .expect("the member is running")
+        .leave(now);
     net.execute(id(5), actions);
     net.members.remove(&id(5));
     net.run(now + 1.0);
     assert!(net.all_see(5));
 }
 
-/// After both sides have declared each other down they find each other again; the minority reports throughout that it
-/// is partitioned.
+/// Both sides of a partition declare each other down, and must reconnect after its end. Only members on the minority
+/// side must report themselves as partitioned.
 #[test]
-fn a_partition_heals_and_only_the_minority_is_partitioned() {
+fn a_partition_heals_and_only_the_minority_reports_it() {
     let mut net = Net::new(5, 0.0, 4);
     net.run(10.0);
     net.side = (0..5).map(|i| (id(i), u8::from(i < 2))).collect();
@@ -219,28 +230,30 @@
     assert!(net.members.values().all(|m| !m.view().is_partitioned));
 }
 
-/// A member that has stalled for longer than the suspicion time-out declares nobody down when it resumes, and rejoins.
+/// Guards against a member that declares others down because its timers expired during its own stall. The stall is
+/// longer than the suspicion timeout. The member must rejoin afterwards.
 #[test]
-fn a_stalled_member_declares_nobody_down() {
+fn a_stalled_member_declares_no_other_member_down() {
     let mut net = Net::new(6, 0.0, 5);
     net.run(10.0);
     net.stalled.insert(id(2));
     net.run(16.0);
     net.stalled.clear();
-    let woken = net.now;
+    let resumed_at = net.now;
     net.run(30.0);
-    let wrong = net.events.iter().filter(|recorded| {
-        recorded.at > woken
+    let false_downs = net.events.iter().filter(|recorded| {
+        recorded.at > resumed_at
             && matches!(recorded.event, MembershipEvent::Down(member) if member != id(2))
     });
-    assert_eq!(wrong.count(), 0);
+    assert_eq!(false_downs.count(), 0);
     assert!(net.all_see(6));
 }
 
+/// Guards against members that aren't configured: an id outside the roster must not become a member.
 #[test]
-fn an_id_outside_the_roster_is_no_member() {
+fn an_id_outside_the_roster_does_not_join() {
     let mut net = Net::new(3, 0.0, 6);
-    // It is configured with a larger roster, of which it is the last.
+    // The additional member is configured with a larger roster, in which it is the last.
     net.members.insert(id(9), member(9, 10, 0.0));
     net.run(10.0);
     assert!((0..3).all(|i| net.members[&id(i)].view().live.len() == 3));
@@ -257,20 +270,20 @@
         zone_gossip: &zone_gossip,
         roles: &roles,
     };
-    let bytes = encode(&body).expect("it has the capacity");
+    let bytes = encode(&body).expect("the datagram is within its limit");
     assert!(bytes.len() <= MAX_BYTES && bytes.len() + 5 > MAX_BYTES);
     assert_eq!(decode(&bytes), Ok(body));
 }
 
 #[rstest]
-#[case::nothing(vec![], Rejection::Malformed)]
-#[case::version(vec![VERSION + 1, 0, 0, 0], Rejection::UnknownVersion)]
-#[case::cut(vec![VERSION, 1, 5, 1, 2], Rejection::Malformed)]
-#[case::longer_than_it_says(vec![VERSION, 1, 0, 0, 0, 0], Rejection::Malformed)]
-#[case::a_length_beyond_reason(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Rejection::Malformed)]
+#[case::empty(vec![], Rejection::Malformed)]
+#[case::unknown_version(vec![VERSION + 1, 0, 0, 0], Rejection::UnknownVersion)]
+#[case::truncated(vec![VERSION, 1, 5, 1, 2], Rejection::Malformed)]
+#[case::trailing_byte(vec![VERSION, 1, 0, 0, 0, 0], Rejection::Malformed)]
+#[case::length_exceeds_datagram(vec![VERSION, 1, 0xff, 0xff, 0xff, 0xff, 0x0f], Rejection::Malformed)]
 #[case::oversize(vec![VERSION; MAX_BYTES + 1], Rejection::Oversize)]
-fn malformed_datagrams_are_rejected(#[case] bytes: Vec<u8>, #[case] why: Rejection) {
-    assert_eq!(decode(&bytes), Err(why));
+fn malformed_datagrams_are_rejected(#[case] bytes: Vec<u8>, #[case] rejection: Rejection) {
+    assert_eq!(decode(&bytes), Err(rejection));
 }
 
 #[test]
--- a/crates/router/membership/tests/recorded.rs
+++ b/crates/router/membership/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! The envelope of datagrams and the messages of the membership protocol: recorded bytes are decoded as before, and
-//! encoded to the same.
+//! Compatibility of the datagram envelope and of the messages of the membership protocol with recorded bytes: they must
+//! be decoded to the same values, and the values encoded to the same bytes.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -24,7 +24,7 @@
     records("datagrams.hex")
 }
 
-/// Bodies with each of their contents absent and present.
+/// Bodies in which each payload is absent and present.
 fn bodies() -> Vec<(&'static str, Body<'static>)> {
     const LONG: &[u8] = &[7; 130];
     let body = |from, swim, zone_gossip, roles| Body {
@@ -47,41 +47,51 @@
 }
 
 #[test]
-fn recorded_datagrams_read_and_are_written_the_same() {
+fn recorded_datagrams_are_decoded_and_encoded_the_same() {
     for (name, body) in bodies() {
-        let today = encode(&body).expect("it is short enough");
-        let recorded_bytes = envelopes().bytes(name, &today);
+        let actual = encode(&body).expect("the datagram is within its limit");
+        let recorded_bytes = envelopes().bytes(name, &actual);
         assert_eq!(decode(&recorded_bytes), Ok(body), "{name}");
-        assert_eq!(today, recorded_bytes, "{name}");
+        assert_eq!(actual, recorded_bytes, "{name}");
     }
 }
 
 #[test]
 fn datagrams_that_are_truncated_or_too_long_are_malformed() {
     for (name, body) in bodies() {
-        let mut bytes = envelopes().bytes(name, &encode(&body).expect("it is short enough"));
+        let mut bytes = envelopes().bytes(
+            name,
+            &encode(&body).expect("the datagram is within its limit"),
+        );
         for end in 0..bytes.len() {
             assert_eq!(
                 decode(&bytes[..end]),
                 Err(Rejection::Malformed),
-                "{name}, cut at {end}"
+                "{name}, truncated to {end} bytes"
             );
         }
         bytes.push(0);
         assert_eq!(
             decode(&bytes),
             Err(Rejection::Malformed),
-            "{name}, with a further byte"
+            "{name}, with a trailing byte"
         );
     }
 }
 
 #[test]
-fn datagrams_with_an_inverted_byte_fare_as_they_did() {
+fn datagrams_with_an_inverted_byte_have_their_recorded_outcome() {
     for (name, body) in bodies() {
-        let bytes = envelopes().bytes(name, &encode(&body).expect("it is short enough"));
-        let today = inverted(&bytes, |bytes| decode(bytes).is_ok());
-        assert_eq!(records("inverted.txt").text(name, &today), today, "{name}");
+        let bytes = envelopes().bytes(
+            name,
+            &encode(&body).expect("the datagram is within its limit"),
+        );
+        let actual = inverted(&bytes, |bytes| decode(bytes).is_ok());
+        assert_eq!(
+            records("inverted.txt").text(name, &actual),
+            actual,
+            "{name}"
+        );
     }
 }
 
@@ -89,16 +99,16 @@
 #[case::first_version("0100000000", Rejection::UnknownVersion)]
 #[case::next_version("0300000000", Rejection::UnknownVersion)]
 #[case::version_alone("02", Rejection::Malformed)]
-#[case::sender_beyond_its_bits("02ffff0f000000", Rejection::Malformed)]
-#[case::sender_that_never_ends("02ffffffffffff", Rejection::Malformed)]
-#[case::contents_longer_than_all("02000500000000", Rejection::Malformed)]
+#[case::sender_overflow("02ffff0f000000", Rejection::Malformed)]
+#[case::unterminated_sender("02ffffffffffff", Rejection::Malformed)]
+#[case::payload_exceeds_datagram("02000500000000", Rejection::Malformed)]
 #[case::text("68656c6c6f", Rejection::UnknownVersion)]
-fn foreign_datagrams(#[case] hex: &str, #[case] why: Rejection) {
-    assert_eq!(decode(&unhex(hex)), Err(why));
+fn arbitrary_datagrams(#[case] hex: &str, #[case] rejection: Rejection) {
+    assert_eq!(decode(&unhex(hex)), Err(rejection));
 }
 
 #[test]
-fn datagrams_are_as_long_as_they_might_be() {
+fn length_limit_and_capacity_are_exact() {
     assert_eq!(
         (
             MAX_BYTES,
@@ -128,7 +138,7 @@
     }
 }
 
-/// Updates of members, one in each state.
+/// Updates about members, one for each state.
 fn updates() -> Vec<foca::Member<Member>> {
     vec![
         foca::Member::new(member(3, 2, 0), 0, State::Alive),
@@ -137,7 +147,7 @@
     ]
 }
 
-/// A message of each kind.
+/// One message of each kind.
 fn kinds() -> Vec<Message<Member>> {
     let (target, origin, probe_number) = (member(130, 1, 4), member(130, 1, 4), 200);
     vec![
@@ -167,7 +177,7 @@
     ]
 }
 
-/// The name under which a message of its kind is recorded.
+/// The name of the record for this kind of message.
 fn name(message: &Message<Member>) -> &'static str {
     match message {
         Message::Ping(_) => "ping",
@@ -184,10 +194,11 @@
     }
 }
 
-/// A message's header and the updates that are piggybacked on it: none at all, or their number in two bytes and each.
+/// The header of a message and the updates that are piggybacked on it. Updates are encoded as their number in two
+/// bytes, followed by each update; `None` if the message ends after the header.
 type Swim = (Header<Member>, Option<Vec<foca::Member<Member>>>);
 
-fn swims() -> Vec<(String, Swim)> {
+fn swim_messages() -> Vec<(String, Swim)> {
     let header = |message| Header {
         src: member(1, 1, 2),
         src_incarnation: 6,
@@ -207,23 +218,23 @@
     plain.chain(with_updates).collect()
 }
 
-fn write(swim: &Swim) -> Vec<u8> {
+fn encode_swim(swim: &Swim) -> Vec<u8> {
     let mut bytes = Vec::new();
     PostcardCodec
         .encode_header(&swim.0, &mut bytes)
-        .expect("memory holds it");
+        .expect("encoding to memory succeeds");
     if let Some(updates) = &swim.1 {
         bytes.extend((updates.len() as u16).to_be_bytes());
         for member in updates {
             PostcardCodec
                 .encode_member(member, &mut bytes)
-                .expect("memory holds it");
+                .expect("encoding to memory succeeds");
         }
     }
     bytes
 }
 
-fn read(mut bytes: &[u8]) -> Swim {
+fn decode_swim(mut bytes: &[u8]) -> Swim {
     let header = PostcardCodec.decode_header(&mut bytes).expect("a header");
     let Some((count, mut rest)) = bytes.split_first_chunk::<2>() else {
         assert!(bytes.is_empty());
@@ -248,17 +259,17 @@
 }
 
 #[test]
-fn recorded_messages_read_and_are_written_the_same() {
-    for (name, swim) in swims() {
-        let today = write(&swim);
-        let recorded_bytes = records("membership.hex").bytes(&name, &today);
-        assert_eq!(read(&recorded_bytes), swim, "{name}");
-        assert_eq!(today, recorded_bytes, "{name}");
+fn recorded_messages_are_decoded_and_encoded_the_same() {
+    for (name, swim) in swim_messages() {
+        let actual = encode_swim(&swim);
+        let recorded_bytes = records("membership.hex").bytes(&name, &actual);
+        assert_eq!(decode_swim(&recorded_bytes), swim, "{name}");
+        assert_eq!(actual, recorded_bytes, "{name}");
     }
 }
 
 #[test]
-fn nothing_is_recorded_that_is_not_read() {
+fn every_record_is_used() {
     let sorted = |mut names: Vec<String>| {
         names.sort();
         names
@@ -268,27 +279,30 @@
         .map(|body| body.0.to_string())
         .collect();
     assert_eq!(envelopes().names(), sorted(names));
-    let names = swims().into_iter().map(|swim| swim.0).collect();
+    let names = swim_messages().into_iter().map(|swim| swim.0).collect();
     assert_eq!(records("membership.hex").names(), sorted(names));
 }
 
-/// Each can be used by a member that receives it first of all, and makes its sender known.
+/// A member must accept each recorded message as its first one, and add the sender to its live members.
 #[test]
 fn members_accept_recorded_messages() {
-    for (name, swim) in swims() {
+    for (name, swim) in swim_messages() {
         let mut receiver = members(0);
-        receiver.receive(0.0, &records("membership.hex").bytes(&name, &write(&swim)));
+        receiver.receive(
+            0.0,
+            &records("membership.hex").bytes(&name, &encode_swim(&swim)),
+        );
         let live: Vec<u16> = receiver.view().live.keys().map(|id| id.0).collect();
-        let today = format!("{} unusable, live {live:?}", receiver.unusable_messages());
-        assert_eq!(records("taken.txt").text(&name, &today), today, "{name}");
+        let actual = format!("{} unusable, live {live:?}", receiver.unusable_messages());
+        assert_eq!(records("taken.txt").text(&name, &actual), actual, "{name}");
     }
 }
 
-/// Truncated at each byte: a letter for each length, `u` where it is unusable, `t` where it is accepted.
+/// For each length of a truncated message, the record has `u` if the message is unusable, and `t` if it is accepted.
 #[test]
-fn truncated_messages_fare_as_they_did() {
-    for (name, swim) in swims() {
-        let bytes = records("membership.hex").bytes(&name, &write(&swim));
+fn truncated_messages_have_their_recorded_outcome() {
+    for (name, swim) in swim_messages() {
+        let bytes = records("membership.hex").bytes(&name, &encode_swim(&swim));
         let outcome = |end: usize| {
             let mut receiver = members(0);
             receiver.receive(0.0, &bytes[..end]);
@@ -298,12 +312,12 @@
                 't'
             }
         };
-        let today: String = (0..bytes.len()).map(outcome).collect();
-        assert_eq!(records("cut.txt").text(&name, &today), today, "{name}");
+        let actual: String = (0..bytes.len()).map(outcome).collect();
+        assert_eq!(records("cut.txt").text(&name, &actual), actual, "{name}");
     }
 }
 
-/// Messages of two members have these forms, and are the same after decoding and encoding.
+/// Messages that two members exchange must be unchanged after decoding and encoding, and include the main kinds.
 #[test]
 fn messages_of_members_are_decoded_and_encoded_the_same() {
     let mut both = [members(0), members(1)];
@@ -312,9 +326,9 @@
     for step in 0..100 {
         let now = f64::from(step) * 0.05;
         for OutgoingMessage { to, bytes } in std::mem::take(&mut in_flight) {
-            let swim = read(&bytes);
+            let swim = decode_swim(&bytes);
             kinds.insert(name(&swim.0.message));
-            assert_eq!(write(&swim), bytes);
+            assert_eq!(encode_swim(&swim), bytes);
             if let Some(receiver) = both.get_mut(usize::from(to.0)) {
                 in_flight.extend(receiver.receive(now, &bytes).messages);
             }
--- a/crates/router/membership/tests/splitmix64.rs
+++ b/crates/router/membership/tests/splitmix64.rs
@@ -1,12 +1,14 @@
-//! The hash agrees with published outputs of SplitMix64, so that members of other versions have the same order.
+//! Comparison of the hash with published outputs of SplitMix64. With a different hash, members of different versions
+//! would compute different orders.
 
 use woadreach_membership::splitmix64;
 
-/// By how much the generator's state grows with each output.
+/// Increment of the generator's state for each output.
 const STATE_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The first outputs of the published generator with this seed.
+/// Seed of the published outputs.
 const SEED: u64 = 1_234_567;
+/// First outputs of the published generator with [`SEED`].
 const OUTPUTS: [u64; 5] = [
     6_457_827_717_110_365_317,
     3_203_168_211_198_807_973,
