--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A member has a lease once a majority of acceptors has granted it. A grant is valid from the time at which the
 //! acceptor issued it, by the acceptor's clock. The lease is valid from the time at which its holder first requested
-//! it, by the holder's clock, and ends [`LeaseConfig::clock_margin_s`] earlier. So each grant outlasts its lease at any
-//! network latency, as long as the drift between two clocks doesn't exceed the margin.
+//! it, by the holder's clock, and is shorter than the grants by [`LeaseConfig::clock_margin_s`]. So each grant outlasts
+//! its lease at any network latency, as long as the drift between two clocks doesn't exceed the margin.
 //!
 //! The protocol is PaxosLease (Trencseni and others, 2012) with one phase instead of two: members only have to agree on
 //! which request was first, and a candidate that fails releases its grants.
--- a/crates/router/lease/tests/world.rs
+++ b/crates/router/lease/tests/world.rs
@@ -466,8 +466,8 @@
 #[rstest]
 #[case::empty(&[], true)]
 #[case::malformed(&[0xff, 0x03, 0x17], false)]
-#[case::holder_outside_roster(&encode_messages(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1), token: FencingToken { epoch: 1,
-    holder: MemberId(9), incarnation: Incarnation(1) } }]), false)]
+#[case::holder_outside_roster(&encode_messages(&[Message::Beacon { role: ROLE, sent_at: ClockStamp(1),
+    token: FencingToken { epoch: 1, holder: MemberId(9), incarnation: Incarnation(1) } }]), false)]
 fn payloads_that_cannot_be_decoded_are_rejected(#[case] bytes: &[u8], #[case] is_valid: bool) {
     assert_eq!(decode_messages(bytes, 3).is_some(), is_valid);
 }
