--- a/crates/tier/journal/src/disk.rs
+++ b/crates/tier/journal/src/disk.rs
@@ -1,4 +1,4 @@
-//! Storage of a journal: the operations that it needs, and their implementation on files.
+//! Storage interface of the journal and its implementation on files.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -12,45 +12,45 @@
 
 /// Two files that can be read, written at an offset, truncated and synced.
 ///
-/// After a loss of power, each write and truncation since the last successful [`Disk::sync`] of that slot may
-/// be present, missing or torn.
+/// After a power loss, each write and truncation since the last successful [`Disk::sync`] of that slot may be
+/// present, missing or torn.
 pub trait Disk: Send {
-    /// Reads all of a slot. A slot that was never written is empty.
+    /// Reads the whole content of a slot. A slot that was never written is empty.
     ///
     /// # Errors
-    /// Any failure of the file system.
+    /// Any file system error.
     fn read(&mut self, slot: Slot) -> io::Result<Vec<u8>>;
 
-    /// Writes all of `bytes` at `offset`. When this fails, any part of `bytes` may have been written.
+    /// Writes all of `bytes` at byte `offset`. After an error, any part of `bytes` may have been written.
     ///
     /// # Errors
-    /// [`io::ErrorKind::StorageFull`] or any other failure of the file system.
+    /// [`io::ErrorKind::StorageFull`] or any other file system error.
     fn write(&mut self, slot: Slot, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
     /// Sets the length of a slot to `length` bytes.
     ///
     /// # Errors
-    /// Any failure of the file system.
+    /// Any file system error.
     fn truncate(&mut self, slot: Slot, length: u64) -> io::Result<()>;
 
     /// Makes all earlier writes and truncations of a slot durable.
     ///
     /// # Errors
-    /// Any failure of the file system. Whether the changes since the last sync are durable is then unknown.
+    /// Any file system error. It is then unknown whether the changes since the last sync are durable.
     fn sync(&mut self, slot: Slot) -> io::Result<()>;
 }
 
-/// The two files in a folder of a file system.
+/// The two slots as files in one folder, named by [`Slot::file_name`].
 #[derive(Debug)]
 pub struct FileDisk {
     files: [File; 2],
 }
 
 impl FileDisk {
-    /// Opens the two files in `folder`, and creates what does not exist.
+    /// Opens the two files in `folder`. Creates the folder and the files if they do not exist.
     ///
     /// # Errors
-    /// [`JournalError::Open`].
+    /// [`JournalError::Open`] if the folder cannot be created or a file cannot be opened.
     pub fn open(folder: &Path) -> Result<FileDisk, JournalError> {
         let failed = |path: &Path, error: &io::Error| JournalError::Open {
             path: path.to_path_buf(),
--- a/crates/tier/journal/src/engine/mod.rs
+++ b/crates/tier/journal/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A journal on a disk, synchronous and without threads or clock.
+//! Synchronous journal on a [`Disk`]. It uses no threads and reads no clock.
 
 mod replacement;
 
@@ -13,30 +13,31 @@
 
 use replacement::Replacement;
 
-/// Bytes of a snapshot that are written and synced at once.
+/// Bytes of a snapshot per chunk. Each chunk is one write and one sync.
 const CHUNK_BYTES: usize = 256 << 10;
 
-/// A journal on a [`Disk`].
+/// Synchronous journal on a [`Disk`].
 pub struct Engine {
     disk: Box<dyn Disk>,
-    /// Slot in use and the end of its log. Everything before the end is synced.
+    /// Current slot and the end of its log. All bytes before the end are synced.
     position: LogPosition,
-    /// Limit on the bytes of both slots together.
+    /// Limit on the total bytes of both slots.
     max_bytes: u64,
-    /// A replacement failed while its header was written, so recovery might choose its slot as the newer one.
-    /// That slot must be emptied, and this be `false`, before anything else is appended.
+    /// A replacement failed while its header was written or synced, so recovery might choose its slot as the
+    /// newer one. That slot must be emptied before the next append, which resets this to `false`.
     is_replacement_uncertain: bool,
-    /// The replacement under way.
+    /// Replacement in progress, if any.
     replacement: Option<Replacement>,
+    /// Bytes of a snapshot per chunk, at least 1.
     chunk_bytes: usize,
 }
 
 impl Engine {
-    /// Recovers the journal on `disk`. The two slots together never exceed `max_bytes`.
+    /// Recovers the journal on `disk`. A write that would make the two slots together exceed `max_bytes` fails.
     ///
     /// # Errors
-    /// [`JournalError::Corrupt`] if acknowledged data is corrupt, [`JournalError::Version`] if it has another
-    /// format, [`JournalError::Io`] if the disk fails.
+    /// [`JournalError::Corrupt`] if data that may have been acknowledged is corrupt, [`JournalError::Version`]
+    /// if a slot has another format version, [`JournalError::Io`] if the disk fails.
     pub fn open(
         mut disk: Box<dyn Disk>,
         max_bytes: u64,
@@ -46,7 +47,7 @@
             read_slot(disk.as_mut(), Slot::B)?,
         ];
         let Some(found) = newest_slot(&contents)? else {
-            let engine = Engine::with_position(disk, LogPosition::of_empty_disk(), max_bytes);
+            let engine = Engine::with_position(disk, LogPosition::for_empty_disk(), max_bytes);
             return Ok((
                 engine,
                 Recovered {
@@ -75,23 +76,22 @@
         }
     }
 
-    /// Sets how many bytes of a snapshot are written and synced at once; at least 1.
+    /// Sets the bytes of a snapshot per chunk (one write and one sync each). 0 is raised to 1.
     #[must_use]
     pub fn with_chunk_bytes(mut self, bytes: usize) -> Engine {
         self.chunk_bytes = bytes.max(1);
         self
     }
 
-    /// How many bytes of a snapshot are written and synced at once.
     pub(crate) fn chunk_bytes(&self) -> usize {
         self.chunk_bytes
     }
 
-    /// Appends `records` in one frame and syncs it.
+    /// Appends `records` to the log as one frame and syncs it.
     ///
     /// # Errors
-    /// [`JournalError::Full`] or [`JournalError::Io`]. None of the records is acknowledged then; after the
-    /// latter they may be recovered after a restart all the same.
+    /// [`JournalError::Full`] or [`JournalError::Io`]. No record is acknowledged then. After
+    /// [`JournalError::Io`], a restart may still recover the records.
     pub fn append_batch(&mut self, records: &[Vec<u8>]) -> Result<Synced, JournalError> {
         self.initialize()?;
         self.discard_uncertain_replacement()?;
@@ -107,12 +107,12 @@
         self.sync(slot)?;
         self.position.advance(frame.bytes.len(), frame.checksum);
         if let Some(replacement) = &mut self.replacement {
-            replacement.tail.push(records.to_vec());
+            replacement.appended_batches.push(records.to_vec());
         }
         Ok(Synced::receipt())
     }
 
-    /// Header of the slot that follows the one in use.
+    /// Header for the next generation, with `snapshot` as its snapshot.
     fn next_header(&self, snapshot: &[u8]) -> Header {
         Header {
             generation: self.position.generation + 1,
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Bytes of the log since the last snapshot.
+    /// Bytes of the frames appended since the last snapshot.
     #[must_use]
     pub fn log_bytes(&self) -> u64 {
         self.position.end - self.position.log_start
     }
 
-    /// Writes the header of the first slot on an empty disk.
+    /// On an empty disk, writes and syncs the header of the first slot. Otherwise does nothing.
     fn initialize(&mut self) -> Result<(), JournalError> {
         if self.position.generation > 0 {
             return Ok(());
@@ -141,9 +141,9 @@
         Ok(())
     }
 
-    /// Empties a slot that has been replaced, so that corruption of the newer one cannot bring it back, or in
-    /// which a replacement has failed, so that it uses no space. A failure is logged only: the slot in use is
-    /// durable, and recovery prefers it by its generation.
+    /// Empties the unused slot. After a successful replacement, this prevents recovery from falling back to
+    /// the old slot if the new one becomes corrupt. After a failed replacement, it frees the space. An error
+    /// is only logged, because the current slot is durable and recovery prefers it by its generation.
     fn empty_slot(&mut self, slot: Slot) {
         let emptied = self
             .disk
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Truncates what follows the last complete frame, and syncs the frames: a process that was killed may
-    /// have written them without a sync.
+    /// Truncates the bytes after the last complete frame and syncs the slot. The sync is needed because a
+    /// process that was killed may have written its last frame without a sync.
     fn truncate_torn_tail(&mut self, content_length: u64) -> Result<(), JournalError> {
         let (slot, end) = (self.position.slot, self.position.end);
         if content_length > end {
@@ -164,12 +164,13 @@
         self.sync(slot)
     }
 
-    /// Writes to a slot within the limit of both slots together. The space of a replacement counts as used.
+    /// Writes to a slot if both slots together stay within `max_bytes`. Bytes that a replacement in progress
+    /// has written count as used.
     fn write(&mut self, slot: Slot, offset: u64, bytes: &[u8]) -> Result<(), JournalError> {
         let wanted = bytes.len() as u64;
         let other_end = match &self.replacement {
             _ if slot != self.position.slot => self.position.end,
-            Some(replacement) => (HEADER_BYTES + replacement.written) as u64,
+            Some(replacement) => (HEADER_BYTES + replacement.written_bytes) as u64,
             None => 0,
         };
         if offset + wanted + other_end > self.max_bytes {
--- a/crates/tier/journal/src/engine/replacement.rs
+++ b/crates/tier/journal/src/engine/replacement.rs
@@ -1,4 +1,4 @@
-//! Replacement of the log by a snapshot in the other slot, while appends go on.
+//! Replacement of the log by a snapshot in the unused slot, concurrent with appends.
 
 use super::Engine;
 use crate::error::JournalError;
@@ -6,28 +6,29 @@
 use crate::recovery::LogPosition;
 use crate::synced::Synced;
 
-/// A snapshot that is being written into the slot that is not in use.
+/// A snapshot that is being written to the unused slot.
 pub(super) struct Replacement {
     snapshot: Vec<u8>,
-    /// Bytes of the snapshot that are written and synced.
-    pub(super) written: usize,
-    /// Batches that were committed to the slot in use since the replacement began. The snapshot lacks them.
-    pub(super) tail: Vec<Vec<Vec<u8>>>,
+    /// Bytes of the snapshot that are already written and synced.
+    pub(super) written_bytes: usize,
+    /// Batches that were synced to the current slot after the replacement began, in order. The snapshot does
+    /// not include them.
+    pub(super) appended_batches: Vec<Vec<Vec<u8>>>,
 }
 
-/// The log of a slot that a replacement finishes.
+/// Initial log of the slot that a replacement writes.
 struct EncodedLog {
     bytes: Vec<u8>,
-    /// Position behind `bytes`.
+    /// Position after the last frame in `bytes`.
     position: LogPosition,
 }
 
 impl Engine {
-    /// Writes `snapshot` into the other slot, syncs it and starts an empty log there. The snapshot must hold
-    /// everything that was appended before.
+    /// Writes `snapshot` to the unused slot, syncs it and starts an empty log there. The snapshot must include
+    /// all records that were appended before this call.
     ///
     /// # Errors
-    /// [`JournalError::Full`] or [`JournalError::Io`]; the journal then continues in the present slot.
+    /// [`JournalError::Full`] or [`JournalError::Io`]. The journal then continues in the current slot.
     pub fn replace(&mut self, snapshot: &[u8]) -> Result<Synced, JournalError> {
         self.begin_replacement(snapshot.to_vec())?;
         loop {
@@ -37,9 +38,10 @@
         }
     }
 
-    /// Begins to write `snapshot` into the other slot, chunk by chunk, so that appends wait for one chunk at
-    /// most. The snapshot must hold everything that was appended before; what is appended meanwhile is added
-    /// to the new slot's log. A replacement that is under way is abandoned.
+    /// Starts a replacement of the log by `snapshot`. [`Engine::continue_replacement`] writes it to the unused
+    /// slot in chunks, so that an append is delayed by one chunk at most. The snapshot must include all
+    /// records that were appended before this call. Records appended during the replacement are written to
+    /// the new slot's log. A replacement already in progress is abandoned.
     ///
     /// # Errors
     /// As for [`Engine::replace`].
@@ -48,24 +50,24 @@
         self.discard_uncertain_replacement()?;
         self.replacement = Some(Replacement {
             snapshot,
-            written: 0,
-            tail: Vec::new(),
+            written_bytes: 0,
+            appended_batches: Vec::new(),
         });
         Ok(())
     }
 
-    /// Whether a replacement is under way.
+    /// Whether a replacement is in progress.
     #[must_use]
     pub fn is_replacing(&self) -> bool {
         self.replacement.is_some()
     }
 
-    /// Writes the next chunk of a replacement. Returns the outcome once there is one, and `None` while chunks
-    /// remain or if no replacement is under way.
+    /// Writes and syncs the next chunk of the replacement in progress. Returns its outcome after the last chunk
+    /// or an error, and `None` if chunks remain or no replacement is in progress.
     pub fn continue_replacement(&mut self) -> Option<Result<Synced, JournalError>> {
         let mut replacement = self.replacement.take()?;
         let slot = self.position.slot.other();
-        let start = replacement.written;
+        let start = replacement.written_bytes;
         let end = replacement.snapshot.len().min(start + self.chunk_bytes);
         if end < replacement.snapshot.len() {
             let written = self.write(
@@ -77,7 +79,7 @@
                 self.empty_slot(slot);
                 return Some(Err(error));
             }
-            replacement.written = end;
+            replacement.written_bytes = end;
             self.replacement = Some(replacement);
             return None;
         }
@@ -88,15 +90,15 @@
         Some(outcome)
     }
 
-    /// Writes the last chunk, the records appended meanwhile, and then the header, and switches to the new
-    /// slot.
+    /// Writes the last chunk and the records appended during the replacement, syncs them, then writes and
+    /// syncs the header and switches to the new slot.
     ///
-    /// The header makes the slot the newer one, so it must be written only once everything else is synced: if
-    /// it were durable before the appended records, recovery after a loss of power would choose a slot
+    /// The header makes recovery choose this slot, so it is written only after all other bytes are synced. If
+    /// the header became durable before the appended records, recovery after a power loss would choose a slot
     /// without them.
     fn finish_replacement(&mut self, replacement: &Replacement) -> Result<Synced, JournalError> {
         let previous = self.position.slot;
-        let start = replacement.written;
+        let start = replacement.written_bytes;
         let log = self.encode_log(replacement);
         let position = log.position;
         self.write(
@@ -117,12 +119,12 @@
         Ok(Synced::receipt())
     }
 
-    /// Encodes the batches that were committed during a replacement as the log of the new slot.
+    /// Encodes the batches that were appended during the replacement as the log of the new slot.
     fn encode_log(&self, replacement: &Replacement) -> EncodedLog {
         let header = self.next_header(&replacement.snapshot);
         let mut position = LogPosition::after_snapshot(self.position.slot.other(), &header);
         let mut bytes = Vec::new();
-        for records in &replacement.tail {
+        for records in &replacement.appended_batches {
             let frame = encode_frame(
                 position.generation,
                 position.sequence,
@@ -135,8 +137,8 @@
         EncodedLog { bytes, position }
     }
 
-    /// Empties the slot of a replacement that failed while its header was written, so that recovery can't
-    /// choose it over records that are appended from here on.
+    /// Empties the unused slot if a replacement failed while its header was written or synced. Otherwise
+    /// recovery might choose that slot, which lacks the records that are appended to the current slot later.
     pub(super) fn discard_uncertain_replacement(&mut self) -> Result<(), JournalError> {
         if self.is_replacement_uncertain {
             let slot = self.position.slot.other();
--- a/crates/tier/journal/src/error.rs
+++ b/crates/tier/journal/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the journal.
+//! Errors of the journal.
 
 use std::fmt;
 use std::io;
@@ -8,18 +8,18 @@
 
 use crate::slot::Slot;
 
-/// An operation of the journal on a slot.
+/// Operation on a slot that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Reading a slot at recovery.
+    /// Reading a slot during recovery.
     Read,
-    /// Writing bytes.
+    /// Writing bytes to a slot.
     Write,
-    /// Setting the length.
+    /// Setting the length of a slot.
     Truncate,
-    /// Making changes durable.
+    /// Making the changes of a slot durable (`fdatasync`).
     Sync,
-    /// Emptying a corrupt slot.
+    /// Emptying a slot in [`crate::Journal::discard`].
     Discard,
 }
 
@@ -35,70 +35,71 @@
     }
 }
 
-/// Why something could not be made durable or recovered.
+/// Error of opening, recovering or writing a journal.
 ///
-/// One failure answers all records that shared a sync, so the type is `Clone`, and has the class of an
-/// [`io::Error`] in place of the error.
+/// The type is `Clone` because one failed sync is reported to every record that shared it. It therefore has the
+/// [`io::ErrorKind`] in place of the [`io::Error`], which is not `Clone`.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum JournalError {
-    /// The disk is full, or the journal has reached [`crate::JournalOptions::max_bytes`]. The record is not
-    /// appended.
+    /// The disk is full, or the write would exceed [`crate::JournalOptions::max_bytes`]. The record or
+    /// snapshot is not stored.
     #[snafu(display(
-        "no room on disk for {wanted} more bytes in {slot}: compact, or raise disk_mb"
+        "no space to write {wanted} bytes to {slot}: compact the journal, or raise disk_mb"
     ))]
     Full {
-        /// Slot that was to grow.
+        /// Slot that the write was for.
         slot: Slot,
-        /// Bytes that were to be written.
+        /// Length of the write in bytes.
         wanted: u64,
     },
-    /// The disk failed. A record that was being appended may or may not be recovered after a restart.
+    /// A disk operation failed. A record that was being appended may or may not be recovered after a restart.
     #[snafu(display("{operation} of {slot} failed: {kind}"))]
     Io {
-        /// Slot concerned.
+        /// Slot of the failed operation.
         slot: Slot,
         /// Operation that failed.
         operation: DiskOperation,
-        /// The operating system's class of failure.
+        /// Kind of the operating system's error.
         kind: io::ErrorKind,
     },
-    /// The folder or a file in it cannot be opened.
+    /// The folder or a file in it cannot be opened, or the journal's thread cannot be started.
     #[snafu(display("cannot open {}: {kind}", path.display()))]
     Open {
-        /// Folder or file.
+        /// Folder or file; `journal thread` if the thread could not be started.
         path: PathBuf,
-        /// The operating system's class of failure.
+        /// Kind of the operating system's error.
         kind: io::ErrorKind,
     },
-    /// Data that was acknowledged is corrupt. After [`crate::Journal::discard`], the state can be had from
-    /// replicas.
+    /// Data that may have been acknowledged is corrupt. [`crate::Journal::discard`] empties the journal, after
+    /// which the state can be fetched from replicas.
     #[snafu(display("{slot} is damaged at byte {offset}"))]
     Corrupt {
         /// Slot that is corrupt.
         slot: Slot,
-        /// Offset of the first byte whose checksum doesn't match.
+        /// Offset in bytes of the header, snapshot or frame that failed its check.
         offset: u64,
     },
-    /// A slot was written in another version of the format.
+    /// A slot was written in another version of the format. Its content is not decoded.
     #[snafu(display("{slot} has format version {version}, this program reads {supported}"))]
     Version {
-        /// Slot concerned.
+        /// Slot of the other version.
         slot: Slot,
-        /// Version found.
+        /// Version in the slot's header.
         version: u8,
-        /// Version that this program reads.
+        /// The one version that this program reads.
         supported: u8,
     },
-    /// Records of [`crate::JournalOptions::max_queued_bytes`] wait for the disk already. The record is not
-    /// appended.
-    #[snafu(display("{queued} bytes wait for the disk already"))]
+    /// The record would raise the unsynced bytes above [`crate::JournalOptions::max_queued_bytes`]. The record
+    /// is not appended.
+    #[snafu(display("journal queue is full: {queued} bytes of records are not synced yet"))]
     Overloaded {
-        /// Bytes that wait.
+        /// Bytes of the records that are queued and not yet synced, without the rejected one.
         queued: usize,
     },
-    /// Another snapshot was queued before this one was written. It holds everything that this one does.
-    #[snafu(display("a newer snapshot takes this one's place"))]
+    /// A newer snapshot was queued before this one was completely written. The newer one includes all records
+    /// of this one.
+    #[snafu(display("snapshot superseded by a newer one before it was completely written"))]
     Superseded,
     /// The journal's thread has ended.
     #[snafu(display("the journal is closed"))]
--- a/crates/tier/journal/src/journal/disk_thread.rs
+++ b/crates/tier/journal/src/journal/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes: group commit of records, and replacement of the log between the batches.
+//! Disk thread of the journal: group commit of records, and log replacement in chunks between batches.
 
 use std::sync::mpsc::Receiver;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use crate::error::JournalError;
 use crate::synced::Synced;
 
-/// Bytes of records from which a batch takes no further record.
+/// No record is added to a batch once its records total this many bytes.
 const MAX_BATCH_BYTES: usize = 4 << 20;
 
 /// Records that share one sync.
@@ -29,29 +29,30 @@
     }
 }
 
-/// A snapshot that is to replace the log.
+/// A snapshot that is queued to replace the log.
 struct QueuedSnapshot {
     snapshot: Vec<u8>,
     reply: Reply,
 }
 
-/// Requests that are executed in one go: the batch first, and then the snapshot.
+/// Requests of one iteration of the disk thread. The batch is written before the snapshot is started.
 #[derive(Default)]
 struct Work {
     batch: Batch,
     snapshot: Option<QueuedSnapshot>,
 }
 
-/// Executes requests until their senders are dropped and nothing remains to be done.
+/// Executes requests until all senders are dropped and the queue and any replacement are finished.
 pub(super) fn run(mut engine: Engine, queue: &Receiver<Request>, queue_state: &Mutex<QueueState>) {
-    let mut replacing: Option<Reply> = None;
+    // Reply of the replacement in progress.
+    let mut replacement_reply: Option<Reply> = None;
     loop {
-        let first = if replacing.is_some() {
+        let first = if replacement_reply.is_some() {
             queue.try_recv().ok()
         } else {
             queue.recv().ok()
         };
-        if first.is_none() && replacing.is_none() {
+        if first.is_none() && replacement_reply.is_none() {
             return;
         }
         let started = Instant::now();
@@ -59,19 +60,19 @@
         let appended_bytes = work.batch.bytes;
         write_batch(&mut engine, work.batch, started, queue_state);
         if let Some(queued) = work.snapshot {
-            // The newer snapshot holds everything that the one under way does.
-            if let Some(superseded) = replacing.take() {
+            // The newer snapshot includes all records of the one in progress.
+            if let Some(superseded) = replacement_reply.take() {
                 let _ = superseded.send(Err(JournalError::Superseded));
             }
-            replacing = begin_replacement(&mut engine, queued);
+            replacement_reply = begin_replacement(&mut engine, queued);
         }
-        replacing = replacing.and_then(|reply| {
+        replacement_reply = replacement_reply.and_then(|reply| {
             continue_replacement(&mut engine, reply, appended_bytes, queue_state)
         });
     }
 }
 
-/// Collects the requests that wait, up to the size of a batch or to a snapshot.
+/// Collects queued requests without blocking, until the batch is full or a snapshot was taken from the queue.
 fn collect_work(first: Option<Request>, queue: &Receiver<Request>) -> Work {
     let mut work = Work::default();
     let mut next = first;
@@ -116,7 +117,8 @@
     }
 }
 
-/// Returns the reply that is due at the end, unless the replacement can't begin.
+/// Returns the reply to send when the replacement finishes. `None` if it failed to start, which is reported at
+/// once.
 fn begin_replacement(engine: &mut Engine, queued: QueuedSnapshot) -> Option<Reply> {
     match engine.begin_replacement(queued.snapshot) {
         Ok(()) => Some(queued.reply),
@@ -127,8 +129,9 @@
     }
 }
 
-/// Writes at least one chunk, and at least as many bytes as were just appended. So no more is appended during
-/// a replacement than the snapshot's length and one batch. Returns `reply` while chunks remain.
+/// Writes chunks of the snapshot: at least one, and at least as many bytes as the last batch appended. This
+/// limits the records appended during a replacement to the snapshot's length plus one batch. Returns `reply`
+/// while chunks remain.
 fn continue_replacement(
     engine: &mut Engine,
     reply: Reply,
--- a/crates/tier/journal/src/journal/mod.rs
+++ b/crates/tier/journal/src/journal/mod.rs
@@ -1,4 +1,4 @@
-//! A journal for callers that must not block on the disk: the engine on a thread of its own.
+//! Asynchronous journal, which runs the engine on a separate thread so that callers do not block on the disk.
 
 mod disk_thread;
 mod queue;
@@ -21,16 +21,17 @@
 
 use queue::{QueueState, Reply, Request};
 
-/// Stack of the journal's thread in bytes.
+/// Stack size of the journal's thread in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
 /// Limits of a journal.
 #[derive(Debug, Clone, Copy)]
 pub struct JournalOptions {
-    /// Limit on the bytes of both slots together. Default: 100 MiB.
+    /// Limit on the total bytes of both slots. Default: 100 MiB.
     pub max_bytes: u64,
-    /// Limit on the bytes of records that wait for the disk; further appends fail with
-    /// [`JournalError::Overloaded`]. Default: 16 MiB.
+    /// Limit on the bytes of queued, unsynced records. Appends that exceed it fail with
+    /// [`JournalError::Overloaded`], except that one record of any size is accepted while no bytes are queued.
+    /// Default: 16 MiB.
     pub max_queued_bytes: usize,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// Durable state of one process. When it is dropped, its thread writes what is queued and ends.
+/// Durable state of one process. After it is dropped, its thread executes the queued requests and exits.
 #[derive(Debug)]
 pub struct Journal {
     requests: Sender<Request>,
@@ -52,10 +53,11 @@
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and recovers its state. Blocks on the disk.
+    /// Opens the journal in `folder` and recovers its state. Blocks on disk I/O.
     ///
     /// # Errors
-    /// See [`JournalError`]. After [`JournalError::Corrupt`], [`Journal::discard`] makes the journal empty.
+    /// See [`JournalError`]. After [`JournalError::Corrupt`], [`Journal::discard`] empties the journal so that it
+    /// can be opened again.
     pub fn open(
         folder: &Path,
         options: JournalOptions,
@@ -63,7 +65,7 @@
         Journal::with_disk(Box::new(FileDisk::open(folder)?), options)
     }
 
-    /// Opens the journal on `disk` and recovers its state. Blocks on the disk.
+    /// Opens the journal on `disk` and recovers its state. Blocks on disk I/O.
     ///
     /// # Errors
     /// See [`JournalError`].
@@ -95,7 +97,7 @@
         ))
     }
 
-    /// Empties the journal in `folder`, whose content is corrupt. Blocks on the disk.
+    /// Deletes all state of the journal in `folder`, for use after [`JournalError::Corrupt`]. Blocks on disk I/O.
     ///
     /// # Errors
     /// [`JournalError::Open`] or [`JournalError::Io`].
@@ -113,44 +115,45 @@
     }
 
     /// Queues `record` before this function returns, in the order of calls. The future completes when the
-    /// record is synced; it need not be polled for that. All records that wait at the same time share one
-    /// sync.
+    /// record is synced. The record is written even if the future is never polled. Records that are queued at
+    /// the same time share one sync, up to the size of a batch.
     ///
     /// # Errors
-    /// [`JournalError::Full`] and [`JournalError::Io`] (after the latter the record may be recovered after a
-    /// restart all the same), [`JournalError::Overloaded`], [`JournalError::Closed`].
+    /// [`JournalError::Full`], [`JournalError::Io`], [`JournalError::Overloaded`] or [`JournalError::Closed`].
+    /// After [`JournalError::Io`], a restart may still recover the record.
     pub fn append(
         &self,
         record: Vec<u8>,
     ) -> impl Future<Output = Result<Synced, JournalError>> + Send + use<> {
         let (reply, outcome) = oneshot::channel();
         let queued = self.enqueue(record, reply);
-        wait(queued, outcome)
+        await_reply(queued, outcome)
     }
 
-    /// Queues a snapshot, which must hold everything appended before this call. The future completes when the
-    /// snapshot is synced and the log has only the records that were appended since this call.
+    /// Queues a snapshot, which must include all records appended before this call. The future completes when
+    /// the snapshot is synced and the log has only the records that were appended after this call.
     ///
     /// # Errors
-    /// As for [`Journal::append`], and [`JournalError::Superseded`]. The journal continues with its old
-    /// snapshot and log.
+    /// [`JournalError::Full`], [`JournalError::Io`], [`JournalError::Superseded`] or [`JournalError::Closed`].
+    /// The journal continues with its previous snapshot and log.
     pub fn replace(
         &self,
         snapshot: Vec<u8>,
     ) -> impl Future<Output = Result<Synced, JournalError>> + Send + use<> {
         let (reply, outcome) = oneshot::channel();
         let queued = self.requests.send(Request::Replace { snapshot, reply });
-        wait(queued.map_err(|_| JournalError::Closed), outcome)
+        await_reply(queued.map_err(|_| JournalError::Closed), outcome)
     }
 
-    /// Bytes of the log since the last snapshot, by which callers decide when to replace it.
+    /// Bytes of the log since the last snapshot. Callers use it to decide when to call [`Journal::replace`].
     #[must_use]
     pub fn log_bytes(&self) -> u64 {
         self.queue_state.lock().log_bytes
     }
 
-    /// How long the oldest unsynced record has waited, or the disk has been busy with one chunk of a snapshot
-    /// if that is longer; zero if there is neither.
+    /// Time since the oldest unsynced record was queued, or since the disk began to write the current chunk of a
+    /// snapshot, whichever is longer. Zero if there is no unsynced record and no chunk is being written. The
+    /// time of a record may be overstated by the duration of one batch.
     #[must_use]
     pub fn stalled_for(&self) -> Duration {
         self.queue_state
@@ -162,14 +165,14 @@
     fn enqueue(&self, record: Vec<u8>, reply: Reply) -> Result<(), JournalError> {
         let mut queue_state = self.queue_state.lock();
         queue_state.record_append(record.len(), self.max_queued_bytes, Instant::now())?;
-        // Under the lock, so that records are queued in the order in which they were counted.
+        // Sent under the lock, so that records are queued in the order in which they were counted.
         self.requests
             .send(Request::Append { record, reply })
             .map_err(|_| JournalError::Closed)
     }
 }
 
-async fn wait(
+async fn await_reply(
     queued: Result<(), JournalError>,
     outcome: oneshot::Receiver<Result<Synced, JournalError>>,
 ) -> Result<Synced, JournalError> {
--- a/crates/tier/journal/src/journal/queue.rs
+++ b/crates/tier/journal/src/journal/queue.rs
@@ -1,4 +1,4 @@
-//! What callers and the disk thread share: requests, and the state of the queue.
+//! Requests and queue state that callers share with the disk thread.
 
 use std::time::Instant;
 
@@ -18,24 +18,25 @@
 /// State of the queue and of the disk.
 #[derive(Debug, Default)]
 pub(super) struct QueueState {
-    /// Records that are not synced.
+    /// Number of records that are queued and not yet synced.
     queued_records: usize,
-    /// Bytes of those records.
+    /// Bytes of the records that are queued and not yet synced.
     queued_bytes: usize,
-    /// A time not after the one at which the oldest of those records was queued; `None` if there are none.
-    oldest: Option<Instant>,
-    /// When the disk began to write the present chunk of a snapshot.
+    /// Lower bound on the time at which the oldest unsynced record was queued. `None` if all are synced.
+    oldest_queued_at: Option<Instant>,
+    /// When the disk began to write the current chunk of a snapshot. `None` between chunks.
     pub(super) chunk_started: Option<Instant>,
-    /// Bytes of the log since the last snapshot.
+    /// Bytes of the log since the last snapshot, updated by the disk thread.
     pub(super) log_bytes: u64,
 }
 
 impl QueueState {
-    /// Counts a record of `bytes` bytes that is queued at `now`.
+    /// Counts a record of `bytes` bytes that is queued at `now`. A record of any size is accepted while no bytes
+    /// are queued.
     ///
     /// # Errors
-    /// [`JournalError::Overloaded`] if others wait already, and more than `max_queued_bytes` would wait with
-    /// it.
+    /// [`JournalError::Overloaded`] if bytes are queued already and the record would raise them above
+    /// `max_queued_bytes`.
     pub(super) fn record_append(
         &mut self,
         bytes: usize,
@@ -49,19 +50,22 @@
         }
         self.queued_records += 1;
         self.queued_bytes += bytes;
-        self.oldest.get_or_insert(now);
+        self.oldest_queued_at.get_or_insert(now);
         Ok(())
     }
 
-    /// Counts a batch as done. All records that still wait must have been queued after `batch_started`.
+    /// Removes a finished batch from the counts. Records that remain were queued after `batch_started`.
     pub(super) fn record_batch(&mut self, records: usize, bytes: usize, batch_started: Instant) {
         self.queued_records -= records;
         self.queued_bytes -= bytes;
-        self.oldest = (self.queued_records > 0).then_some(batch_started);
+        self.oldest_queued_at = (self.queued_records > 0).then_some(batch_started);
     }
 
-    /// Since when a record has waited, or the disk has been busy with a chunk.
+    /// The earlier of the oldest unsynced record's time and the start of the current chunk.
     pub(super) fn busy_since(&self) -> Option<Instant> {
-        self.oldest.into_iter().chain(self.chunk_started).min()
+        self.oldest_queued_at
+            .into_iter()
+            .chain(self.chunk_started)
+            .min()
     }
 }
--- a/crates/tier/journal/src/recovery.rs
+++ b/crates/tier/journal/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: which of the two slots is the newest, and where its log ends.
+//! Recovery: finds the newest of the two slots and the end of its log.
 
 use std::io;
 
@@ -13,27 +13,29 @@
 /// State that was recovered from a disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The newest snapshot; `None` if none was ever written.
+    /// The newest snapshot; `None` if no snapshot was written yet.
     pub snapshot: Option<Vec<u8>>,
-    /// Records that were appended after the snapshot, in order. All acknowledged ones are among them.
+    /// Records that were appended after the snapshot, in order. They include all acknowledged ones, and may include
+    /// a batch that was not acknowledged.
     pub records: Vec<Vec<u8>>,
-    /// Whether the disk was empty: first start, or a lost disk.
+    /// Whether the disk was empty: on the first start, or after the disk was replaced or discarded.
     pub was_empty: bool,
 }
 
-/// The slot in use and the end of its log, where the next frame goes.
+/// Current slot and the end of its log, where the next frame is written.
 #[derive(Debug)]
 pub(crate) struct LogPosition {
     pub(crate) slot: Slot,
-    /// Generation of the slot; 0 on an empty disk.
+    /// Generation of the slot, counted from 1; 0 on an empty disk.
     pub(crate) generation: u64,
-    /// Offset of the first frame.
+    /// Offset of the first frame in bytes.
     pub(crate) log_start: u64,
-    /// Offset behind the last frame. Must not be less than `log_start`.
+    /// Offset of the end of the last frame in bytes, not less than `log_start`.
     pub(crate) end: u64,
-    /// Sequence number of the next frame, which is the number of frames before it.
+    /// Sequence number of the next frame, equal to the number of frames in the log.
     pub(crate) sequence: u64,
-    /// Checksum of the last frame, from which that of the next one continues.
+    /// Checksum of the last frame, or of the slot's header if the log is empty. The next frame's checksum
+    /// continues from it.
     pub(crate) checksum: u32,
 }
 
@@ -41,14 +43,14 @@
 pub(crate) struct IntactSlot {
     pub(crate) position: LogPosition,
     pub(crate) recovered: Recovered,
-    /// Bytes of the file, of which those behind `position.end` are a torn tail.
+    /// Length of the file in bytes. Bytes from `position.end` on are a torn tail.
     pub(crate) content_length: u64,
 }
 
 impl LogPosition {
-    /// Position before the first slot is written. It names slot B, so that the first write goes to the other
-    /// one, `slot-a`.
-    pub(crate) fn of_empty_disk() -> LogPosition {
+    /// Position on a disk without any slot. The current slot is B, so that the first header is written to the
+    /// other one, `slot-a`.
+    pub(crate) fn for_empty_disk() -> LogPosition {
         LogPosition {
             slot: Slot::B,
             generation: 0,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Position of the first frame in a slot with this header.
+    /// Position of the first frame in a slot with `header`.
     pub(crate) fn after_snapshot(slot: Slot, header: &Header) -> LogPosition {
         let log_start = HEADER_BYTES as u64 + header.snapshot_length;
         LogPosition {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Moves behind a frame of `frame_bytes` bytes with the checksum `checksum`.
+    /// Moves past a frame of `frame_bytes` bytes, header included, with checksum `checksum`.
     pub(crate) fn advance(&mut self, frame_bytes: usize, checksum: u32) {
         self.end += frame_bytes as u64;
         self.sequence += 1;
@@ -80,7 +82,6 @@
     }
 }
 
-/// Reads all of a slot.
 pub(crate) fn read_slot(disk: &mut dyn Disk, slot: Slot) -> Result<Vec<u8>, JournalError> {
     let failed = |error: io::Error| JournalError::Io {
         slot,
@@ -90,11 +91,11 @@
     disk.read(slot).map_err(failed)
 }
 
-/// The intact slot of the highest generation; `None` if nothing was ever acknowledged.
+/// Returns the intact slot of the highest generation; `None` if both slots are empty.
 ///
 /// # Errors
 /// [`JournalError::Corrupt`] if a slot is corrupt and may be the newest, [`JournalError::Version`] if one has
-/// another format.
+/// another format version.
 pub(crate) fn newest_slot(contents: &[Vec<u8>; 2]) -> Result<Option<IntactSlot>, JournalError> {
     let mut newest: Option<IntactSlot> = None;
     let mut corrupt: Option<CorruptSlot> = None;
@@ -132,19 +133,19 @@
 }
 
 struct CorruptSlot {
-    /// Generation that is known to have been acknowledged; 0 if none is.
+    /// Generation of the slot if it is known to have been acknowledged, else 0.
     acknowledged_generation: u64,
     error: JournalError,
 }
 
-/// State of a slot, as its bytes show.
+/// State of a slot, derived from its content.
 enum SlotState {
     Empty,
-    /// Corrupt from `offset` on: a replacement that was never acknowledged, an older slot that is being
-    /// replaced, or a slot that was damaged.
+    /// The header, snapshot or frame at `offset` is incomplete or fails its check. Either a replacement
+    /// that overwrote this slot was interrupted before it was acknowledged, or acknowledged data was damaged.
     Corrupt {
         offset: u64,
-        /// Generation of the slot, if frames behind the corruption prove that it was acknowledged.
+        /// Generation of the slot, if frames after the corruption prove that it was acknowledged.
         acknowledged_generation: Option<u64>,
     },
     Intact(Box<IntactSlot>),
@@ -191,7 +192,7 @@
     })))
 }
 
-/// Corruption of a slot of which nothing proves that it was acknowledged.
+/// State of a corrupt slot whose generation is not known to have been acknowledged.
 fn corrupt_from(offset: u64) -> SlotState {
     SlotState::Corrupt {
         offset,
@@ -199,8 +200,8 @@
     }
 }
 
-/// Reads the records of all frames before the torn tail and moves `position` behind them; `None` if
-/// acknowledged frames follow the first one that is incomplete.
+/// Reads the records of all frames before the torn tail and moves `position` past them. `None` if a later frame
+/// proves that the first invalid one was acknowledged.
 fn read_frames(content: &[u8], position: &mut LogPosition) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     loop {
--- a/crates/tier/journal/src/simulated.rs
+++ b/crates/tier/journal/src/simulated.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses, tears and fails writes on command.
+//! In-memory disk for tests that injects lost, torn and failed writes.
 
 use std::io;
 use std::sync::Arc;
@@ -9,37 +9,37 @@
 use crate::disk::Disk;
 use crate::slot::Slot;
 
-/// A fault of a [`SimulatedDisk`].
+/// Fault of a [`SimulatedDisk`], in effect until [`SimulatedDisk::set_fault`] sets another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DiskFault {
     /// No fault.
     #[default]
     Healthy,
-    /// Writes fail with [`io::ErrorKind::StorageFull`] after the first half of their bytes.
+    /// Writes store the first half of their bytes and fail with [`io::ErrorKind::StorageFull`].
     Full,
-    /// Writes fail after the first half of their bytes, and syncs fail.
+    /// Writes store the first half of their bytes and fail, and syncs fail.
     Failing,
     /// Writes succeed and syncs fail.
     FailingSync,
-    /// Syncs report success and do nothing. Tests use it to show that they detect lost data.
+    /// Syncs report success and do nothing. Tests use this fault to show that they detect lost data.
     IgnoresSync,
 }
 
-/// What a loss of power leaves of one unsynced change.
+/// Part of one unsynced change that survives a power loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Survival {
-    /// The complete change.
+    /// The change survives completely.
     Present,
-    /// Nothing of the change.
+    /// No part of the change survives.
     Missing,
-    /// The first half of a write's bytes; nothing of a truncation.
+    /// The first half of a write's bytes survives. A truncation does not survive.
     FirstHalf,
-    /// The second half of a write's bytes; nothing of a truncation.
+    /// The second half of a write's bytes survives. A truncation does not survive.
     LastHalf,
 }
 
 impl Survival {
-    /// Every outcome.
+    /// All values.
     pub const ALL: [Survival; 4] = [
         Survival::Present,
         Survival::Missing,
@@ -48,7 +48,7 @@
     ];
 }
 
-/// Counts of operations on a [`SimulatedDisk`].
+/// Numbers of operations on a [`SimulatedDisk`], failed ones included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OperationCounts {
     /// Calls of [`Disk::write`].
@@ -74,32 +74,36 @@
     files: [SimulatedFile; 2],
     fault: DiskFault,
     operations: OperationCounts,
-    /// Number of writes, truncations and syncs so far.
+    /// Number of writes, truncations and syncs so far, which is also the number of the next one.
     changes: u64,
-    /// The change of this number fails.
+    /// Number of the single change that fails, counted from 0. `None` if none is to fail.
     failing_change: Option<u64>,
-    /// Power is lost during the change of this number, and all later ones fail.
-    last_change: Option<u64>,
+    /// Number of the change during which power is lost. All later changes fail. `None` while power stays on.
+    power_loss_change: Option<u64>,
 }
 
-/// Outcome of a change.
+/// Outcome of a write, truncation or sync.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChangeOutcome {
     Succeeds,
-    /// The change is made, unsynced, and an error is reported.
+    /// A write or truncation is applied, unsynced, and an error is returned. A sync is not carried out.
     FailsAfterChange,
     Fails,
 }
 
 impl State {
-    /// Counts a change and returns its outcome.
+    /// Counts a write, truncation or sync and returns its outcome.
     fn next_outcome(&mut self) -> ChangeOutcome {
         let number = self.changes;
         self.changes += 1;
-        if self.last_change.is_some_and(|last| number > last) {
+        if self
+            .power_loss_change
+            .is_some_and(|power_loss| number > power_loss)
+        {
             return ChangeOutcome::Fails;
         }
-        let is_failing = self.last_change == Some(number) || self.failing_change == Some(number);
+        let is_failing =
+            self.power_loss_change == Some(number) || self.failing_change == Some(number);
         if is_failing {
             ChangeOutcome::FailsAfterChange
         } else {
@@ -108,20 +112,20 @@
     }
 }
 
-/// Handle of a simulated disk. Clones share its content, as the successive processes of a machine share its
-/// disk.
+/// Handle of a simulated disk. Clones share one disk, so that a test can open it again as a restarted process
+/// would.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
 }
 
 impl SimulatedDisk {
-    /// Sets the fault from now on.
+    /// Sets the fault of all later operations.
     pub fn set_fault(&self, fault: DiskFault) {
         self.state.lock().fault = fault;
     }
 
-    /// Writes and syncs so far.
+    /// Numbers of writes and syncs so far.
     #[must_use]
     pub fn operations(&self) -> OperationCounts {
         self.state.lock().operations
@@ -133,16 +137,16 @@
         self.state.lock().changes
     }
 
-    /// Lets the change of this number (see [`SimulatedDisk::changes`]) fail, and no other. A write or a
-    /// truncation is made all the same, a sync isn't.
+    /// Makes one change fail: the one numbered `number`, counted from 0 as in [`SimulatedDisk::changes`]. A
+    /// write or truncation is applied despite the error, a sync is not.
     pub fn fail_change(&self, number: u64) {
         self.state.lock().failing_change = Some(number);
     }
 
-    /// Loses power during the change of this number: this and all later changes fail until
-    /// [`SimulatedDisk::restore_power`]. A write or a truncation of this very number may survive.
+    /// Loses power during change `number`. This change and all later ones fail until
+    /// [`SimulatedDisk::restore_power`]. If change `number` is a write or truncation, it may survive.
     pub fn lose_power_at(&self, number: u64) {
-        self.state.lock().last_change = Some(number);
+        self.state.lock().power_loss_change = Some(number);
     }
 
     /// Number of unsynced writes and truncations of both files.
@@ -156,12 +160,12 @@
             .sum()
     }
 
-    /// Restores power. `survivals` says, in the order of the files, what is left of each unsynced change;
-    /// changes without a value are missing.
+    /// Restores power. `survivals` has one value for each unsynced change: first those of slot A, then those of
+    /// slot B, each in the order in which they were made. Changes without a value are missing.
     pub fn restore_power(&self, survivals: impl IntoIterator<Item = Survival>) {
         let mut state = self.state.lock();
         state.failing_change = None;
-        state.last_change = None;
+        state.power_loss_change = None;
         let mut survivals = survivals.into_iter();
         for file in &mut state.files {
             for change in std::mem::take(&mut file.unsynced) {
@@ -171,7 +175,7 @@
         }
     }
 
-    /// A disk with the same content and without faults that shares nothing with this one.
+    /// Copies the content, unsynced changes included, to a new disk without faults and with counts of 0.
     #[must_use]
     pub fn fork(&self) -> SimulatedDisk {
         let state = self.state.lock();
@@ -184,8 +188,8 @@
         }
     }
 
-    /// Loses power and restores it. Each unsynced change is present, missing or torn at random; one time in
-    /// four all of a file are missing.
+    /// Loses power and restores it. Each unsynced change is present, missing or torn at random. With probability
+    /// 1/4 per file, all unsynced changes of the file are missing.
     pub fn lose_power(&self, random: &mut Rand64) {
         let mut state = self.state.lock();
         for file in &mut state.files {
@@ -198,12 +202,12 @@
         }
     }
 
-    /// Replaces the disk by an empty one.
+    /// Deletes the content and the unsynced changes of both files.
     pub fn wipe(&self) {
         self.state.lock().files = Default::default();
     }
 
-    /// Flips one bit of a slot's synced content. Returns `false` if there is none.
+    /// Flips one random bit of a slot's synced content. Returns `false` if that content is empty.
     pub fn flip_bit(&self, slot: Slot, random: &mut Rand64) -> bool {
         let mut state = self.state.lock();
         let content = &mut state.files[slot.index()].durable;
@@ -215,7 +219,7 @@
         true
     }
 
-    /// Bytes of both files, synced or not.
+    /// Total bytes of both files, with unsynced changes applied.
     #[must_use]
     pub fn used_bytes(&self) -> usize {
         let state = self.state.lock();
@@ -316,21 +320,22 @@
     }
 }
 
-/// Applies what survives of a change.
+/// Applies the part of a change that survives.
 fn apply_survival(content: &mut Vec<u8>, change: &Change, survival: Survival) {
     match (survival, change) {
         (Survival::Present, _) => apply(content, change),
         (Survival::Missing, _) | (_, Change::Truncate { .. }) => {}
         (Survival::FirstHalf, Change::Write { offset, bytes }) => {
-            apply(content, &write_before(*offset, bytes, bytes.len() / 2));
+            apply(content, &write_prefix(*offset, bytes, bytes.len() / 2));
         }
         (Survival::LastHalf, Change::Write { offset, bytes }) => {
-            apply(content, &write_behind(*offset, bytes, bytes.len() / 2));
+            apply(content, &write_suffix(*offset, bytes, bytes.len() / 2));
         }
     }
 }
 
-/// Applies all of a change, nothing of it, or (of a write) the bytes before or behind a random index.
+/// Applies, with equal probability, all of a change, nothing of it, or a part. The part of a write is its bytes
+/// before or from a random index on; the part of a truncation is nothing.
 fn apply_random_survival(content: &mut Vec<u8>, change: &Change, random: &mut Rand64) {
     match random.rand_range(0..3) {
         0 => apply(content, change),
@@ -340,9 +345,9 @@
                 let index = random.rand_range(0..bytes.len() as u64 + 1);
                 let index = usize::try_from(index).expect("an index");
                 let survivor = if random.rand_range(0..2) == 0 {
-                    write_before(*offset, bytes, index)
+                    write_prefix(*offset, bytes, index)
                 } else {
-                    write_behind(*offset, bytes, index)
+                    write_suffix(*offset, bytes, index)
                 };
                 apply(content, &survivor);
             }
@@ -350,16 +355,16 @@
     }
 }
 
-/// The part of a write before `index` of its bytes.
-fn write_before(offset: u64, bytes: &[u8], index: usize) -> Change {
+/// The first `index` bytes of a write.
+fn write_prefix(offset: u64, bytes: &[u8], index: usize) -> Change {
     Change::Write {
         offset,
         bytes: bytes[..index].to_vec(),
     }
 }
 
-/// The part of a write from `index` of its bytes on.
-fn write_behind(offset: u64, bytes: &[u8], index: usize) -> Change {
+/// The bytes of a write from `index` on.
+fn write_suffix(offset: u64, bytes: &[u8], index: usize) -> Change {
     Change::Write {
         offset: offset + index as u64,
         bytes: bytes[index..].to_vec(),
--- a/crates/tier/journal/src/slot.rs
+++ b/crates/tier/journal/src/slot.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// One of the two files of a journal. The files are never renamed: a rename would have to be made durable
-/// too.
+/// One of the two files of a journal. The files are never renamed, because a rename would have to be
+/// made durable as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
     /// File `slot-a`.
@@ -13,10 +13,10 @@
 }
 
 impl Slot {
-    /// Both slots.
+    /// Both slots, A first.
     pub const ALL: [Slot; 2] = [Slot::A, Slot::B];
 
-    /// The other slot.
+    /// The other one of the two slots.
     #[must_use]
     pub fn other(self) -> Slot {
         match self {
