--- a/crates/tier/journal/tests/engine.rs
+++ b/crates/tier/journal/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine against an oracle: everything acknowledged is recovered, in order, after any loss of power.
+//! Randomized and exhaustive tests of the engine on a simulated disk. After any disk error, restart or power loss,
+//! recovery must return all acknowledged records in order.
 
 use oorandom::Rand64;
 use quickcheck::{TestResult, quickcheck};
@@ -8,82 +9,83 @@
 
 const MAX_BYTES: u64 = 1 << 20;
 
-/// Content that was acknowledged, and content that may be recovered all the same.
+/// Model of the journal: acknowledged content, and unacknowledged content that recovery may also return.
 #[derive(Default)]
 struct Oracle {
     snapshot: Option<Vec<u8>>,
     records: Vec<Vec<u8>>,
-    /// Batches that failed since the last acknowledged one.
+    /// Batches that failed after the last acknowledged one. Recovery may return one of them.
     uncertain_batches: Vec<Vec<Vec<u8>>>,
-    /// Snapshot and later records of a replacement that failed at its end.
+    /// Snapshot of a failed replacement and the records appended during it. Recovery may return them.
     uncertain_replacement: Option<(Vec<u8>, Vec<Vec<u8>>)>,
-    /// Records committed since a replacement began.
-    tail: Vec<Vec<u8>>,
+    /// Records acknowledged after the last replacement began.
+    appended_during_replacement: Vec<Vec<u8>>,
 }
 
 impl Oracle {
-    /// Records the outcome of a chunk of a replacement.
+    /// Updates the model with the outcome of one chunk of a replacement, `None` if chunks remain.
     fn record_replacement(
         &mut self,
         outcome: Option<Result<Synced, JournalError>>,
         snapshot: Vec<u8>,
     ) {
-        let tail = self.tail.clone();
+        let appended = self.appended_during_replacement.clone();
         match outcome {
             None => {}
             Some(Ok(_)) => {
                 *self = Oracle {
                     snapshot: Some(snapshot),
-                    records: tail,
+                    records: appended,
                     ..Oracle::default()
                 };
             }
-            Some(Err(_)) => self.uncertain_replacement = Some((snapshot, tail)),
+            Some(Err(_)) => self.uncertain_replacement = Some((snapshot, appended)),
         }
     }
 
-    fn check(&self, found: &Recovered) {
-        let found_snapshot = found.snapshot.clone().unwrap_or_default();
+    /// Panics if `recovered` is neither the acknowledged content nor one of the uncertain alternatives.
+    fn check(&self, recovered: &Recovered) {
+        let recovered_snapshot = recovered.snapshot.clone().unwrap_or_default();
         let acknowledged = self.snapshot.clone().unwrap_or_default();
-        let accepts = |snapshot: &Vec<u8>, records: &[Vec<u8>]| {
-            found_snapshot == *snapshot && found.records == records
+        let matches_recovered = |snapshot: &Vec<u8>, records: &[Vec<u8>]| {
+            recovered_snapshot == *snapshot && recovered.records == records
         };
-        let mut allowed = accepts(&acknowledged, &self.records);
+        let mut allowed = matches_recovered(&acknowledged, &self.records);
         for batch in &self.uncertain_batches {
-            allowed |= accepts(
+            allowed |= matches_recovered(
                 &acknowledged,
                 &[self.records.clone(), batch.clone()].concat(),
             );
         }
-        if let Some((snapshot, tail)) = &self.uncertain_replacement {
-            allowed |= accepts(snapshot, tail);
+        if let Some((snapshot, appended)) = &self.uncertain_replacement {
+            allowed |= matches_recovered(snapshot, appended);
         }
         assert!(
             allowed,
-            "found {found:?}, acknowledged {acknowledged:?} and {:?}",
+            "recovered {recovered:?}, expected snapshot {acknowledged:?} and records {:?} or an uncertain alternative",
             self.records
         );
     }
 }
 
-fn record(random: &mut Rand64) -> Vec<u8> {
+fn random_record(random: &mut Rand64) -> Vec<u8> {
     let length = random.rand_range(0..40);
     (0..length)
         .map(|_| u8::try_from(random.rand_range(0..256)).unwrap())
         .collect()
 }
 
-/// One run: appends, replacements, failing disk and losses of power, all from `seed`.
-fn run(seed: u64) {
+/// Appends, replaces the log, injects disk errors and loses power in an order that `seed` determines.
+fn run_random_operations(seed: u64) {
     let mut random = Rand64::new(u128::from(seed));
     let disk = SimulatedDisk::default();
     let mut oracle = Oracle::default();
     for _ in 0..6 {
         disk.set_fault(DiskFault::Healthy);
         let opened = Engine::open(Box::new(disk.clone()), MAX_BYTES);
-        let (engine, found) = match opened {
+        let (engine, recovered) = match opened {
             Ok(opened) => opened,
-            // The very first slot was torn before anything was acknowledged.
+            // The header of the first slot was torn before anything was acknowledged.
             Err(JournalError::Corrupt { .. })
                 if oracle.snapshot.is_none() && oracle.records.is_empty() =>
             {
@@ -93,10 +95,10 @@
             Err(error) => panic!("seed {seed}: {error}"),
         };
         let mut engine = engine.with_chunk_bytes(7);
-        oracle.check(&found);
+        oracle.check(&recovered);
         oracle = Oracle {
-            snapshot: found.snapshot,
-            records: found.records,
+            snapshot: recovered.snapshot,
+            records: recovered.records,
             ..Oracle::default()
         };
         let mut snapshot = None;
@@ -107,23 +109,23 @@
             } else {
                 disk.set_fault(DiskFault::Healthy);
             }
-            let replacing = snapshot.is_some() && engine.is_replacing();
-            if replacing && random.rand_range(0..2) == 0 {
+            let is_replacing = snapshot.is_some() && engine.is_replacing();
+            if is_replacing && random.rand_range(0..2) == 0 {
                 oracle.record_replacement(engine.continue_replacement(), snapshot.clone().unwrap());
-            } else if !replacing && random.rand_range(0..4) == 0 {
-                let next = record(&mut random);
+            } else if !is_replacing && random.rand_range(0..4) == 0 {
+                let next = random_record(&mut random);
                 if engine.begin_replacement(next.clone()).is_ok() {
-                    oracle.tail.clear();
+                    oracle.appended_during_replacement.clear();
                     snapshot = Some(next);
                 }
             } else {
                 let batch: Vec<_> = (0..random.rand_range(1..4))
-                    .map(|_| record(&mut random))
+                    .map(|_| random_record(&mut random))
                     .collect();
                 match engine.append_batch(&batch) {
                     Ok(_) => {
                         oracle.records.extend(batch.clone());
-                        oracle.tail.extend(batch);
+                        oracle.appended_during_replacement.extend(batch);
                         oracle.uncertain_batches.clear();
                         oracle.uncertain_replacement = None;
                     }
@@ -138,14 +140,14 @@
 }
 
 #[test]
-fn acknowledged_records_survive_power_loss_over_seeds() {
+fn acknowledged_records_survive_power_loss_with_random_seeds() {
     for seed in 0..10_000 {
-        run(seed);
+        run_random_operations(seed);
     }
 }
 
 #[test]
-fn a_disk_that_ignores_syncs_is_noticed() {
+fn data_loss_on_a_disk_that_ignores_syncs_is_detected() {
     let mut lost = 0;
     for seed in 0..50 {
         let mut random = Rand64::new(seed);
@@ -155,13 +157,17 @@
         let _ = engine.append_batch(&[vec![1]]).unwrap();
         disk.lose_power(&mut random);
         let recovered = Engine::open(Box::new(disk.clone()), MAX_BYTES);
-        lost += u32::from(!matches!(recovered, Ok((_, found)) if found.records == [vec![1]]));
+        lost +=
+            u32::from(!matches!(recovered, Ok((_, recovered)) if recovered.records == [vec![1]]));
     }
-    assert!(lost > 10, "only {lost} of 50 runs noticed the mutation");
+    assert!(
+        lost > 10,
+        "data loss was detected in only {lost} of 50 runs"
+    );
 }
 
 quickcheck! {
-    fn a_flipped_bit_is_never_served(records: Vec<Vec<u8>>, snapshot: Vec<u8>, seed: u64) -> TestResult {
+    fn a_flipped_bit_is_never_recovered_as_data(records: Vec<Vec<u8>>, snapshot: Vec<u8>, seed: u64) -> TestResult {
         let disk = SimulatedDisk::default();
         let mut random = Rand64::new(u128::from(seed));
         let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
@@ -177,11 +183,11 @@
         match Engine::open(Box::new(disk.clone()), MAX_BYTES) {
             Err(JournalError::Corrupt { .. } | JournalError::Version { .. }) => TestResult::passed(),
             Err(error) => TestResult::error(error.to_string()),
-            // Corruption of the last frame looks like a tail that was never acknowledged.
-            Ok((_, found)) => TestResult::from_bool(
-                found.snapshot.as_deref().unwrap_or_default() == snapshot
-                    && records.starts_with(&found.records)
-                    && found.records.len() + 1 == records.len(),
+            // Corruption of the last frame cannot be distinguished from a torn tail, which recovery truncates.
+            Ok((_, recovered)) => TestResult::from_bool(
+                recovered.snapshot.as_deref().unwrap_or_default() == snapshot
+                    && records.starts_with(&recovered.records)
+                    && recovered.records.len() + 1 == records.len(),
             ),
         }
     }
@@ -202,13 +208,14 @@
         Err(JournalError::Full { .. })
     ));
     let _ = engine.replace(&[5; 100]).unwrap();
-    let (_, found) = Engine::open(Box::new(disk), 1_000).unwrap();
-    assert_eq!(found.snapshot, Some(vec![5; 100]));
+    let (_, recovered) = Engine::open(Box::new(disk), 1_000).unwrap();
+    assert_eq!(recovered.snapshot, Some(vec![5; 100]));
 }
 
-/// After a disk error at any step of a snapshot, the log continues, and the snapshot uses no space.
+/// A replacement fails on a full disk, before its first chunk or after one to three chunks. Its partly written
+/// slot must be emptied, and appends must continue in the current slot.
 #[test]
-fn a_snapshot_that_fails_frees_its_space() {
+fn a_failed_replacement_frees_its_space() {
     for chunks in 0..4 {
         let disk = SimulatedDisk::default();
         let (engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
@@ -227,26 +234,26 @@
         disk.set_fault(DiskFault::Healthy);
         assert_eq!(disk.used_bytes(), before, "after {chunks} chunks");
         let _ = engine.append_batch(&[vec![3; 10]]).unwrap();
-        let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
-        assert_eq!(found.records, [vec![1; 10], vec![3; 10]]);
+        let (_, recovered) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
+        assert_eq!(recovered.records, [vec![1; 10], vec![3; 10]]);
     }
 }
 
 #[test]
-fn records_continue_after_those_of_an_earlier_incarnation() {
+fn records_are_appended_after_those_of_an_earlier_process() {
     let disk = SimulatedDisk::default();
-    let (mut engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
-    assert!(found.was_empty);
+    let (mut engine, recovered) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
+    assert!(recovered.was_empty);
     let _ = engine.append_batch(&[vec![1; 10], vec![2; 10]]).unwrap();
-    let (mut engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
-    assert!(!found.was_empty);
-    assert_eq!(found.records.len(), 2);
+    let (mut engine, recovered) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
+    assert!(!recovered.was_empty);
+    assert_eq!(recovered.records.len(), 2);
     let _ = engine.append_batch(&[vec![3; 10]]).unwrap();
-    let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
-    assert_eq!(found.records, [vec![1; 10], vec![2; 10], vec![3; 10]]);
+    let (_, recovered) = Engine::open(Box::new(disk), MAX_BYTES).unwrap();
+    assert_eq!(recovered.records, [vec![1; 10], vec![2; 10], vec![3; 10]]);
 }
 
-/// A slot that holds this snapshot and no log, and its content.
+/// Returns the slot that has `snapshot` and an empty log, and its content.
 fn slot_with_snapshot(snapshot: &[u8]) -> (Slot, Vec<u8>) {
     let disk = SimulatedDisk::default();
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).unwrap();
@@ -266,7 +273,8 @@
     Engine::open(Box::new(disk), MAX_BYTES).map(|(_, recovered)| recovered)
 }
 
-/// Nothing of a snapshot that is truncated or has a wrong checksum is recovered, wherever the corruption is.
+/// A slot truncated at any length, or with a changed bit in any byte, must give an error. No part of its snapshot
+/// is recovered.
 #[test]
 fn a_snapshot_truncated_or_changed_at_any_byte_is_an_error_that_names_the_slot() {
     let (slot, content) = slot_with_snapshot(b"the state of everything");
@@ -292,10 +300,10 @@
     }
 }
 
-/// A header with a valid checksum and another version is of another program: it is neither decoded nor
-/// reported as corruption, after which a core machine would empty its disk.
+/// A header with a valid checksum and another version was written by another release. It must not be decoded, and
+/// must not be reported as corruption, because a core machine empties its disk after corruption.
 #[test]
-fn a_slot_of_an_older_or_newer_format_is_an_error_of_its_own() {
+fn a_slot_of_an_older_or_newer_format_is_a_version_error() {
     let (slot, content) = slot_with_snapshot(b"state");
     for version in [0, 2, 255] {
         let mut other = content.clone();
--- a/crates/tier/journal/tests/journal.rs
+++ b/crates/tier/journal/tests/journal.rs
@@ -1,12 +1,12 @@
-//! The journal's thread on real files.
+//! [`Journal`] with its disk thread, on real files and on a simulated disk.
 
 use woadreach_journal::{DiskFault, Journal, JournalError, JournalOptions, SimulatedDisk};
 
 #[tokio::test(flavor = "current_thread")]
-async fn records_and_snapshots_come_back_from_real_files() {
+async fn records_and_snapshots_are_recovered_from_files() {
     let folder = tempfile::tempdir().unwrap();
-    let (journal, found) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
-    assert!(found.was_empty);
+    let (journal, recovered) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
+    assert!(recovered.was_empty);
     let _ = journal
         .append(b"lost in the snapshot".to_vec())
         .await
@@ -20,9 +20,9 @@
     assert!(journal.log_bytes() > 0);
     assert!(journal.stalled_for().is_zero());
     drop(journal);
-    let (_, found) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
-    assert_eq!(found.snapshot.as_deref(), Some(&b"snapshot"[..]));
-    assert_eq!(found.records, [b"one".to_vec(), b"two".to_vec()]);
+    let (_, recovered) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
+    assert_eq!(recovered.snapshot.as_deref(), Some(&b"snapshot"[..]));
+    assert_eq!(recovered.records, [b"one".to_vec(), b"two".to_vec()]);
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -32,12 +32,12 @@
     let _ = journal.append(b"one".to_vec()).await.unwrap();
     drop(journal);
     Journal::discard(folder.path()).unwrap();
-    let (_, found) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
-    assert!(found.was_empty);
+    let (_, recovered) = Journal::open(folder.path(), JournalOptions::default()).unwrap();
+    assert!(recovered.was_empty);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_full_disk_rejects_records_and_recovers() {
+async fn a_full_disk_rejects_records_until_it_has_space() {
     let disk = SimulatedDisk::default();
     let (journal, _) =
         Journal::with_disk(Box::new(disk.clone()), JournalOptions::default()).unwrap();
@@ -50,6 +50,6 @@
     disk.set_fault(DiskFault::Healthy);
     let _ = journal.append(vec![3]).await.unwrap();
     drop(journal);
-    let (_, found) = Journal::with_disk(Box::new(disk), JournalOptions::default()).unwrap();
-    assert_eq!(found.records, [vec![1], vec![3]]);
+    let (_, recovered) = Journal::with_disk(Box::new(disk), JournalOptions::default()).unwrap();
+    assert_eq!(recovered.records, [vec![1], vec![3]]);
 }
--- a/crates/tier/journal/tests/power_losses.rs
+++ b/crates/tier/journal/tests/power_losses.rs
@@ -1,27 +1,27 @@
-//! Loss of power at every operation on the disk, with every outcome of unsynced changes: everything
-//! acknowledged is recovered, including records that were appended while a snapshot was being written.
+//! Power loss at every disk operation, with every outcome of the first six unsynced changes. All
+//! acknowledged records must be recovered, including those appended while a snapshot was being written.
 //!
-//! The state is a list of consecutive numbers: a snapshot has the numbers so far, a record the next one.
+//! The state is a list of consecutive numbers from 0. A snapshot has all numbers so far, a record the next one.
 
 use woadreach_journal::{DiskFault, Engine, JournalError, SimulatedDisk, Survival};
 
 const MAX_BYTES: u64 = 1 << 20;
-/// Bytes of a snapshot that are written at once; few, so that appends come between the chunks.
+/// Bytes of a snapshot per chunk. Small, so that the test can append between the chunks.
 const CHUNK_BYTES: usize = 3;
 
-/// What one incarnation of the process knows of its numbers.
+/// Numbers that the process has appended, by whether the journal acknowledged them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Acknowledgements {
-    /// Count of the numbers that were acknowledged.
+    /// Count of acknowledged numbers.
     acknowledged: u8,
-    /// Numbers that were appended, in one batch, and not acknowledged.
+    /// Size of the largest batch that was appended and not acknowledged since the last acknowledged one.
     in_flight: u8,
 }
 
-/// One step of an incarnation.
+/// One operation of a process on its journal.
 type Step = fn(&mut Process) -> Result<(), JournalError>;
 
-/// A process that appends numbers and replaces its log by snapshots.
+/// A process that appends numbers to its journal and replaces the log by snapshots.
 struct Process {
     engine: Engine,
     acknowledgements: Acknowledgements,
@@ -29,9 +29,9 @@
 
 impl Process {
     fn open(disk: &SimulatedDisk) -> Result<(Process, Vec<u8>), JournalError> {
-        let (engine, found) = Engine::open(Box::new(disk.clone()), MAX_BYTES)?;
-        let mut numbers = found.snapshot.unwrap_or_default();
-        numbers.extend(found.records.into_iter().flatten());
+        let (engine, recovered) = Engine::open(Box::new(disk.clone()), MAX_BYTES)?;
+        let mut numbers = recovered.snapshot.unwrap_or_default();
+        numbers.extend(recovered.records.into_iter().flatten());
         let acknowledgements = Acknowledgements {
             acknowledged: numbers.len() as u8,
             in_flight: 0,
@@ -68,7 +68,7 @@
             .map_or(Ok(()), |outcome| outcome.map(|_receipt| ()))
     }
 
-    /// Writes two snapshots, with appends before them, between the chunks and after them.
+    /// Writes two snapshots, with appends before each, between its chunks and after it.
     fn run_steps(&mut self) {
         let mut steps: Vec<Step> = Vec::new();
         for _ in 0..2 {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Adds a step that writes the chunks that remain.
+/// Adds a step that writes all remaining chunks.
 fn push_remaining_chunks(steps: &mut Vec<Step>) {
     steps.push(|process| {
         while process.engine.is_replacing() {
@@ -100,14 +100,15 @@
     });
 }
 
-fn is_complete(numbers: &[u8], known: Acknowledgements) -> bool {
+/// Whether `numbers` are all acknowledged numbers in order, possibly followed by numbers in flight.
+fn is_complete(numbers: &[u8], expected: Acknowledgements) -> bool {
     let count = numbers.len() as u8;
-    let is_count_allowed = count == known.acknowledged
-        || (count > known.acknowledged && count <= known.acknowledged + known.in_flight);
+    let is_count_allowed = count == expected.acknowledged
+        || (count > expected.acknowledged && count <= expected.acknowledged + expected.in_flight);
     is_count_allowed && numbers.iter().copied().eq(0..count)
 }
 
-/// Every outcome for `count` changes.
+/// All combinations of outcomes of `count` unsynced changes.
 fn outcomes(count: usize) -> impl Iterator<Item = Vec<Survival>> {
     let choices = Survival::ALL.len();
     (0..choices.pow(count as u32)).map(move |number| {
@@ -117,32 +118,34 @@
     })
 }
 
-/// Why recovery after a loss of power is wrong, if it is.
-fn recovery_violation(disk: &SimulatedDisk, known: Acknowledgements) -> Option<String> {
+/// Describes the first fault of recovery after a power loss; `None` if recovery is correct.
+fn recovery_violation(disk: &SimulatedDisk, expected: Acknowledgements) -> Option<String> {
     let (mut process, numbers) = match Process::open(disk) {
         Ok(opened) => opened,
-        // The very first header was torn before anything was acknowledged.
-        Err(JournalError::Corrupt { .. }) if known.acknowledged == 0 => return None,
-        Err(error) => return Some(format!("{error}, known {known:?}")),
+        // The header of the first slot was torn before anything was acknowledged.
+        Err(JournalError::Corrupt { .. }) if expected.acknowledged == 0 => return None,
+        Err(error) => return Some(format!("recovery failed: {error}; expected {expected:?}")),
     };
-    if !is_complete(&numbers, known) {
-        return Some(format!("found {numbers:?}, known {known:?}"));
+    if !is_complete(&numbers, expected) {
+        return Some(format!("recovered {numbers:?}, expected {expected:?}"));
     }
     process.append(2).expect("a healthy disk");
     let (_, later) = Process::open(disk).expect("a healthy disk");
     let is_continued = later.len() == numbers.len() + 2 && later.starts_with(&numbers);
-    (!is_continued).then(|| format!("{later:?} after {numbers:?} and two more"))
+    (!is_continued)
+        .then(|| format!("recovered {later:?}, expected {numbers:?} and two appended numbers"))
 }
 
-/// Outcome of losing power at every operation.
+/// Result of losing power at every operation.
 #[derive(Default)]
 struct PowerLosses {
+    /// Count of combinations of an operation and outcomes of its unsynced changes.
     cases: usize,
     violations: Vec<String>,
 }
 
-/// Loses power at every operation of an incarnation, each on a disk of its own that `prepare` has changed.
-fn lose_power_everywhere(prepare: impl Fn(&SimulatedDisk)) -> PowerLosses {
+/// Loses power at every write, truncation and sync of a process, each time on a new disk that `prepare` has set up.
+fn lose_power_at_each_operation(prepare: impl Fn(&SimulatedDisk)) -> PowerLosses {
     let uninterrupted = SimulatedDisk::default();
     prepare(&uninterrupted);
     Process::open(&uninterrupted)
@@ -161,9 +164,9 @@
         let changes = disk.unsynced_changes().min(6);
         for outcome in outcomes(changes) {
             losses.cases += 1;
-            let found = disk.fork();
-            found.restore_power(outcome.iter().copied());
-            if let Some(violation) = recovery_violation(&found, process.acknowledgements) {
+            let restored = disk.fork();
+            restored.restore_power(outcome.iter().copied());
+            if let Some(violation) = recovery_violation(&restored, process.acknowledgements) {
                 losses
                     .violations
                     .push(format!("change {change}, {outcome:?}: {violation}"));
@@ -175,11 +178,11 @@
 
 #[test]
 fn a_power_loss_at_any_operation_loses_nothing_acknowledged() {
-    let PowerLosses { cases, violations } = lose_power_everywhere(|_| {});
+    let PowerLosses { cases, violations } = lose_power_at_each_operation(|_| {});
     println!("{cases} cases");
     assert!(
         violations.is_empty(),
-        "{} of {cases} cases, first: {}",
+        "recovery failed in {} of {cases} cases; first: {}",
         violations.len(),
         violations[0]
     );
@@ -194,11 +197,11 @@
         .run_steps();
     let mut cases = 0;
     for failing in 0..uninterrupted.changes() {
-        let losses = lose_power_everywhere(|disk| disk.fail_change(failing));
+        let losses = lose_power_at_each_operation(|disk| disk.fail_change(failing));
         cases += losses.cases;
         assert!(
             losses.violations.is_empty(),
-            "operation {failing} failed, then {}",
+            "after a disk error at operation {failing}, power loss at {}",
             losses.violations[0]
         );
     }
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn a_disk_that_ignores_syncs_is_found() {
-    let losses = lose_power_everywhere(|disk| disk.set_fault(DiskFault::IgnoresSync));
+fn data_loss_on_a_disk_that_ignores_syncs_is_detected() {
+    let losses = lose_power_at_each_operation(|disk| disk.set_fault(DiskFault::IgnoresSync));
     assert!(!losses.violations.is_empty());
 }
--- a/crates/tier/journal/tests/recorded_bytes.rs
+++ b/crates/tier/journal/tests/recorded_bytes.rs
@@ -1,4 +1,5 @@
-//! Encoding of slots: a header, a snapshot and the frames of its log are decoded and encoded as recorded.
+//! Compatibility of the slot format: header, snapshot and frames must be encoded to, and decoded from, the bytes
+//! recorded in `tests/recorded/slots.txt`.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -7,29 +8,34 @@
 use woadreach_journal::{Disk, Engine, FileDisk, JournalError, Recovered, SimulatedDisk, Slot};
 
 const MAX_BYTES: u64 = 1 << 20;
-/// Bytes of a slot's header.
+/// Length of a slot's header in bytes.
 const HEADER_BYTES: usize = 33;
-/// Bytes of a frame before its payload.
+/// Length of a frame's header in bytes.
 const FRAME_HEADER_BYTES: usize = 28;
 
-/// What a process does to an empty journal, the slot that it leaves, and what a later one recovers.
+/// Operations on an empty journal and their expected result.
 struct Scenario {
+    /// Name of the recorded bytes in `slots.txt`.
     name: &'static str,
+    /// The only slot that is not empty after `run`.
     slot: Slot,
     run: fn(&mut Engine),
-    found: Recovered,
+    /// State that a later process recovers.
+    recovered: Recovered,
 }
 
 fn commit(engine: &mut Engine, records: &[&[u8]]) {
     let records: Vec<Vec<u8>> = records.iter().map(|record| record.to_vec()).collect();
-    let _receipt = engine.append_batch(&records).expect("the disk works");
+    let _receipt = engine
+        .append_batch(&records)
+        .expect("the disk has no fault");
 }
 
 fn replace(engine: &mut Engine, snapshot: &[u8]) {
-    let _receipt = engine.replace(snapshot).expect("the disk works");
+    let _receipt = engine.replace(snapshot).expect("the disk has no fault");
 }
 
-fn found(snapshot: Option<&[u8]>, records: &[&[u8]]) -> Recovered {
+fn recovered(snapshot: Option<&[u8]>, records: &[&[u8]]) -> Recovered {
     Recovered {
         snapshot: snapshot.map(<[u8]>::to_vec),
         records: records.iter().map(|record| record.to_vec()).collect(),
@@ -43,7 +49,7 @@
             name: "one record",
             slot: Slot::A,
             run: |engine| commit(engine, &[b"one"]),
-            found: found(None, &[b"one"]),
+            recovered: recovered(None, &[b"one"]),
         },
         Scenario {
             name: "several frames of several records",
@@ -53,13 +59,13 @@
                 commit(engine, &[b"four"]);
                 commit(engine, &[&[0xff; 40], b"six"]);
             },
-            found: found(None, &[b"one", b"", b"three", b"four", &[0xff; 40], b"six"]),
+            recovered: recovered(None, &[b"one", b"", b"three", b"four", &[0xff; 40], b"six"]),
         },
         Scenario {
             name: "snapshot alone",
             slot: Slot::B,
             run: |engine| replace(engine, b"all so far"),
-            found: found(Some(b"all so far"), &[]),
+            recovered: recovered(Some(b"all so far"), &[]),
         },
         Scenario {
             name: "third generation with a log",
@@ -72,7 +78,7 @@
                 commit(engine, &[b"three"]);
                 commit(engine, &[b"four", b"five"]);
             },
-            found: found(Some(b"all up to two"), &[b"three", b"four", b"five"]),
+            recovered: recovered(Some(b"all up to two"), &[b"three", b"four", b"five"]),
         },
         Scenario {
             name: "records of the time of a replacement",
@@ -81,16 +87,16 @@
                 commit(engine, &[b"one"]);
                 engine
                     .begin_replacement(b"all up to one".to_vec())
-                    .expect("the disk works");
+                    .expect("the disk has no fault");
                 commit(engine, &[b"two"]);
                 commit(engine, &[b"three", b"four"]);
                 let _receipt = engine
                     .continue_replacement()
                     .expect("one chunk")
-                    .expect("the disk works");
+                    .expect("the disk has no fault");
                 commit(engine, &[b"five"]);
             },
-            found: found(
+            recovered: recovered(
                 Some(b"all up to one"),
                 &[b"two", b"three", b"four", b"five"],
             ),
@@ -98,7 +104,7 @@
     ]
 }
 
-/// Content of the slot after the scenario; the other one must be empty.
+/// Runs the scenario and returns the content of its slot. Panics if the other slot is not empty.
 fn written_slot(scenario: &Scenario) -> Vec<u8> {
     let mut disk = SimulatedDisk::default();
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).expect("an empty disk");
@@ -112,12 +118,12 @@
     disk.read(scenario.slot).expect("a slot")
 }
 
-/// Recovers the journal in which `slot` has `content`.
+/// Opens a journal in which `slot` has `content` and the other slot is empty.
 fn recover(slot: Slot, content: &[u8]) -> Result<Recovered, JournalError> {
     let mut disk = SimulatedDisk::default();
-    disk.write(slot, 0, content).expect("the disk works");
-    disk.sync(slot).expect("the disk works");
-    Engine::open(Box::new(disk), MAX_BYTES).map(|(_, found)| found)
+    disk.write(slot, 0, content).expect("the disk has no fault");
+    disk.sync(slot).expect("the disk has no fault");
+    Engine::open(Box::new(disk), MAX_BYTES).map(|(_, recovered)| recovered)
 }
 
 fn recorded_slot(name: &str) -> Vec<u8> {
@@ -130,19 +136,19 @@
     for scenario in scenarios() {
         recorded.check_bytes(scenario.name, &written_slot(&scenario));
         let content = recorded_slot(scenario.name);
-        let found = recover(scenario.slot, &content).expect("a recorded slot is intact");
-        assert_eq!(found, scenario.found, "{}", scenario.name);
+        let recovered = recover(scenario.slot, &content).expect("a recorded slot is intact");
+        assert_eq!(recovered, scenario.recovered, "{}", scenario.name);
     }
     recorded.finish();
 }
 
-/// Records are appended to a recorded slot as to one that this program has written.
+/// Appends and replacements must work on a recorded slot as on one that this program wrote.
 #[test]
-fn a_recorded_log_is_continued() {
+fn records_are_appended_to_a_recorded_log() {
     let mut disk = SimulatedDisk::default();
     disk.write(Slot::A, 0, &recorded_slot("one record"))
-        .expect("the disk works");
-    disk.sync(Slot::A).expect("the disk works");
+        .expect("the disk has no fault");
+    disk.sync(Slot::A).expect("the disk has no fault");
     let (mut engine, _) = Engine::open(Box::new(disk.clone()), MAX_BYTES).expect("a recorded slot");
     commit(&mut engine, &[b"two"]);
     let content = disk.read(Slot::A).expect("a slot");
@@ -154,7 +160,7 @@
     let content = disk.read(Slot::B).expect("a slot");
     assert_eq!(
         recover(Slot::B, &content).expect("an intact slot"),
-        found(Some(b"all so far"), &[])
+        recovered(Some(b"all so far"), &[])
     );
 }
 
@@ -173,8 +179,9 @@
             .iter()
             .rposition(|end| *end <= length)
             .expect("the header is complete");
-        let found = recover(Slot::A, &content[..length]).expect("a torn tail is no corruption");
-        assert_eq!(found.records.len(), counts[complete], "{length}");
+        let recovered =
+            recover(Slot::A, &content[..length]).expect("a torn tail is not corruption");
+        assert_eq!(recovered.records.len(), counts[complete], "{length}");
     }
 }
 
@@ -193,8 +200,8 @@
     );
 }
 
-/// Corruption of the last frame looks like a tail that was torn by a loss of power, unless its sequence
-/// number shows that a frame before it is missing.
+/// Corruption of the last frame cannot be distinguished from a tail torn by a power loss, unless it raises the
+/// frame's sequence number: that suggests that an acknowledged frame before it is missing.
 #[test]
 fn a_changed_byte_is_corruption_unless_it_is_in_the_last_frame() {
     let content = recorded_slot("third generation with a log");
@@ -218,7 +225,7 @@
 }
 
 #[test]
-fn a_slot_of_another_format_names_both_formats() {
+fn the_error_for_another_format_names_both_versions() {
     let mut content = recorded_slot("one record");
     for version in [0, 2, 255] {
         content[8] = version;
@@ -233,7 +240,7 @@
 }
 
 #[test]
-fn foreign_files_are_corrupt_and_zeros_are_an_empty_slot() {
+fn files_of_other_formats_are_corrupt_and_zeros_are_an_empty_slot() {
     let foreign: [&[u8]; 3] = [b"generation: 1", &[0xff; 100], b"WOADSLOT"];
     for content in foreign {
         assert_eq!(
@@ -250,7 +257,7 @@
 }
 
 #[test]
-fn a_journal_is_two_files_of_recorded_names() {
+fn a_journal_is_stored_in_files_slot_a_and_slot_b() {
     let folder = tempfile::tempdir().expect("a folder");
     for (file, name) in [
         ("slot-a", "third generation with a log"),
@@ -259,15 +266,15 @@
         let path = folder.path().join(file);
         std::fs::write(&path, recorded_slot(name)).expect("a file");
         let disk = FileDisk::open(folder.path()).expect("a journal's folder");
-        let (_, found) = Engine::open(Box::new(disk), MAX_BYTES).expect("a recorded slot");
+        let (_, recovered) = Engine::open(Box::new(disk), MAX_BYTES).expect("a recorded slot");
         let expected = scenarios()
             .into_iter()
             .find(|scenario| scenario.name == name);
         assert_eq!(
-            Some(found),
-            expected.map(|scenario| scenario.found),
+            Some(recovered),
+            expected.map(|scenario| scenario.recovered),
             "{file}"
         );
-        std::fs::remove_file(&path).expect("the file is gone");
+        std::fs::remove_file(&path).expect("the file can be removed");
     }
 }
