--- a/crates/tier/metrics/src/lib.rs
+++ b/crates/tier/metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! The metrics page of a process, in the OpenMetrics text format.
 //!
-//! A role fills a [`Page`] with the figures of the moment when it is read; nothing is counted for the page's sake
-//! between two reads, so that it costs nothing while nobody reads it. [`bind_and_serve`] serves the page at `/metrics`.
+//! A role builds a [`Page`] from its current values on each request for it. No work is done for metrics between two
+//! requests, so that the page has no cost while it is not requested. [`bind_and_serve`] serves the page at `/metrics`.
 
 mod page;
 mod server;
--- a/crates/tier/metrics/src/page.rs
+++ b/crates/tier/metrics/src/page.rs
@@ -1,4 +1,4 @@
-//! Samples of a process at one moment, and their text form.
+//! Snapshot of a process's metrics, and its rendering in the OpenMetrics text format.
 
 use std::fmt;
 
@@ -9,45 +9,45 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-/// The samples of a process. Names are those of the OpenMetrics format: `snake_case` with the unit at the end; the
-/// text form adds `_total` to the names of counters.
+/// Snapshot of the metrics of a process. Metric names follow OpenMetrics: `snake_case` with the unit as the suffix.
+/// Rendering appends `_total` to the names of counters.
 #[derive(Debug, Default)]
 pub struct Page {
     families: Vec<Family>,
 }
 
-/// What several samples of one name differ in, and their values.
+/// Samples of one metric that are distinguished by a label.
 #[derive(Clone, Debug)]
 pub struct Samples {
-    /// Name of the label.
+    /// Name of the label, shared by all samples.
     pub label: &'static str,
-    /// Value of the label and of the sample.
+    /// Pairs of the value of the label and the value of the sample.
     pub values: Vec<(String, f64)>,
 }
 
 impl Samples {
-    /// Samples that differ in `label`.
-    pub fn by<Name: ToString>(
+    /// Creates samples from pairs of the value of `label` and the value of the sample.
+    pub fn by<LabelValue: ToString>(
         label: &'static str,
-        values: impl IntoIterator<Item = (Name, f64)>,
+        values: impl IntoIterator<Item = (LabelValue, f64)>,
     ) -> Samples {
-        let named = |(name, value): (Name, f64)| (name.to_string(), value);
+        let to_sample = |(label_value, value): (LabelValue, f64)| (label_value.to_string(), value);
         Samples {
             label,
-            values: values.into_iter().map(named).collect(),
+            values: values.into_iter().map(to_sample).collect(),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// A figure that rises and falls.
+    /// Value that can increase and decrease.
     Gauge,
-    /// A figure that only rises while the process runs.
+    /// Total that only increases while the process runs.
     Counter,
 }
 
-/// The samples of one name.
+/// A metric with its description and samples.
 #[derive(Debug)]
 struct Family {
     name: &'static str,
@@ -58,32 +58,37 @@
 
 #[derive(Debug)]
 enum FamilySamples {
-    One(f64),
+    Unlabelled(f64),
     Labelled(Samples),
 }
 
 impl Page {
-    /// Adds a figure that rises and falls.
+    /// Adds a gauge without labels.
     pub fn gauge(&mut self, name: &'static str, help: &'static str, value: f64) {
-        self.push(name, help, Kind::Gauge, FamilySamples::One(value));
+        self.push(name, help, Kind::Gauge, FamilySamples::Unlabelled(value));
     }
 
-    /// Adds figures that rise and fall.
+    /// Adds a gauge with one sample per value of a label.
     pub fn gauges(&mut self, name: &'static str, help: &'static str, samples: Samples) {
         self.push(name, help, Kind::Gauge, FamilySamples::Labelled(samples));
     }
 
-    /// Adds 1 for true and 0 for false.
+    /// Adds a gauge that is 1 for `true` and 0 for `false`.
     pub fn flag(&mut self, name: &'static str, help: &'static str, value: bool) {
         self.gauge(name, help, f64::from(u8::from(value)));
     }
 
-    /// Adds a count since the process started.
+    /// Adds a counter without labels. `value` is the total since the process started.
     pub fn counter(&mut self, name: &'static str, help: &'static str, value: u64) {
-        self.push(name, help, Kind::Counter, FamilySamples::One(value as f64));
+        self.push(
+            name,
+            help,
+            Kind::Counter,
+            FamilySamples::Unlabelled(value as f64),
+        );
     }
 
-    /// Adds counts since the process started.
+    /// Adds a counter with one sample per value of a label. The values are totals since the process started.
     pub fn counters(&mut self, name: &'static str, help: &'static str, samples: Samples) {
         self.push(name, help, Kind::Counter, FamilySamples::Labelled(samples));
     }
@@ -97,10 +102,10 @@
         });
     }
 
-    /// The text form.
+    /// Renders the page in the OpenMetrics text format.
     ///
     /// # Errors
-    /// [`fmt::Error`] if the encoder refuses a sample.
+    /// [`fmt::Error`] if the encoder fails to write a sample.
     pub fn render(self) -> Result<String, fmt::Error> {
         let mut registry = Registry::default();
         registry.register_collector(Box::new(self));
@@ -127,10 +132,10 @@
 impl Family {
     fn encode(&self, mut metric: MetricEncoder<'_>) -> Result<(), fmt::Error> {
         match &self.samples {
-            FamilySamples::One(value) => self.encode_value(*value, metric),
+            FamilySamples::Unlabelled(value) => self.encode_value(*value, metric),
             FamilySamples::Labelled(samples) => {
-                for (name, value) in &samples.values {
-                    let labels = [(samples.label, name.as_str())];
+                for (label_value, value) in &samples.values {
+                    let labels = [(samples.label, label_value.as_str())];
                     self.encode_value(*value, metric.encode_family(&labels)?)?;
                 }
                 Ok(())
--- a/crates/tier/metrics/src/server.rs
+++ b/crates/tier/metrics/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves a process's page at `/metrics`.
+//! HTTP server for the metrics page of a process.
 
 use std::future::IntoFuture;
 use std::net::SocketAddr;
@@ -14,37 +14,38 @@
 
 use crate::page::Page;
 
-/// The content type of the page.
+/// Content type of the page: OpenMetrics 1.0.0 text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Makes the page of the moment.
+/// Builds the page from current values. Called once per request for the page.
 pub type PageSource = Arc<dyn Fn() -> Page + Send + Sync>;
 
-/// Why a process has no metrics page.
+/// Reason why the metrics page can't be served.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// The address can't be listened on.
+    /// Binding a listener to the address failed.
     #[snafu(display("cannot serve metrics on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// The operating system's failure.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Listens for readers of the page.
+/// Binds the listener on which the page is to be served.
 ///
 /// # Errors
-/// [`MetricsError::Listen`] if the address is taken or isn't this machine's.
+/// [`MetricsError::Listen`] if the address can't be bound, for example because it is in use or is not an address of
+/// this machine.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, MetricsError> {
     TcpListener::bind(address)
         .await
         .context(ListenSnafu { address })
 }
 
-/// Serves the page at `address` in a task of its own. Without an address, or if it can't be listened on, the process
-/// runs without the page; the latter is logged.
+/// Serves the page at `address` in a background task. If `address` is `None`, no page is served. If binding the
+/// address fails, the error is logged as a warning and the process runs without the page.
 pub async fn bind_and_serve(address: Option<SocketAddr>, source: PageSource) {
     let Some(address) = address else {
         return;
@@ -57,7 +58,7 @@
     }
 }
 
-/// The page at `/metrics`.
+/// Returns a router that serves the page at `/metrics`.
 pub fn router(source: PageSource) -> Router {
     Router::new()
         .route("/metrics", get(respond))
--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes, over one connection for each address.
+//! Client side of calls: one connection per address, shared by all calls to it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 /// Parameters of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// Limit on the time for a connection to be established. Default: 500 ms.
+    /// Maximum time to establish a TCP connection. Default: 500 ms.
     pub connect_timeout: Duration,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Calls other processes. Clones share their connections.
+/// Sends requests and notifications to other processes. Clones share their connections.
 #[derive(Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -42,43 +42,46 @@
 struct Shared {
     options: ClientOptions,
     connections: Mutex<BTreeMap<SocketAddr, Arc<Connection>>>,
-    /// Id of the next request. Unique among all connections, so that no response can match another call.
+    /// Id of the next request. Request ids are unique across all connections, so that a response can't match the
+    /// call of another connection.
     next_request_id: AtomicU64,
     #[cfg(feature = "mutations")]
     mutation: Mutex<Option<Mutation>>,
 }
 
-/// A request and where it goes.
+/// A request that has not been sent yet, with its destination.
 #[cfg_attr(feature = "mutations", derive(Clone))]
 struct OutgoingRequest {
     address: SocketAddr,
     service: ServiceId,
     body: Bytes,
-    /// Limit on the time until the response, which includes connecting.
+    /// Maximum time until the response is received, including the time to connect.
     timeout: Duration,
 }
 
-/// Calls of one connection that have no response yet.
+/// Calls of one connection whose response has not been received.
 #[derive(Default)]
 struct PendingCalls {
     by_request_id: BTreeMap<u64, oneshot::Sender<Result<Bytes, CallError>>>,
-    /// Whether the connection has ended. Must stay `true` once set, with no calls pending.
+    /// Whether the connection has ended. Never reset to `false`; once set, `by_request_id` stays empty.
     has_ended: bool,
 }
 
 struct Connection {
     queue: mpsc::Sender<Frame>,
     pending: Mutex<PendingCalls>,
-    /// Number of frames received, which distinguishes a failed connection from a slow handler.
+    /// Number of frames received. If it doesn't change while a call times out, the connection is presumed failed;
+    /// otherwise only the handler of that call is slow.
     received: AtomicU64,
-    /// Set when a call timed out and nothing was received meanwhile. Later calls use a new connection.
+    /// Set when a call times out and no frame was received on the connection since the call started. Later calls use
+    /// a new connection.
     abandoned: AtomicBool,
     #[cfg(feature = "mutations")]
     accepts_any_request_id: bool,
 }
 
-/// A call that is pending until this is dropped, be it that the response has arrived or the caller has
-/// stopped waiting.
+/// Registration of a call in [`PendingCalls`]. Dropping it removes the call, whether the call has finished or was
+/// cancelled by its caller.
 struct PendingCall<'a> {
     connection: &'a Connection,
     request_id: u64,
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Switches a defence off.
+    /// Injects a bug into this client and its clones. Replaces an earlier one. A connection that is already open is
+    /// not affected by [`Mutation::AcceptsAnyRequestId`].
     #[cfg(feature = "mutations")]
     pub fn set_mutation(&self, mutation: Mutation) {
         *self.shared.mutation.lock() = Some(mutation);
@@ -118,8 +122,8 @@
         *self.shared.mutation.lock() == Some(mutation)
     }
 
-    /// Sends a request and waits for its response, for `timeout` at most. The request is never sent more than
-    /// once.
+    /// Sends a request and waits up to `timeout` for its response. The request is never sent more than once, since
+    /// the peer may have handled it even if the call fails.
     ///
     /// # Errors
     /// See [`CallError`].
@@ -140,11 +144,11 @@
             timeout,
         };
         #[cfg(feature = "mutations")]
-        let again = request.clone();
+        let retry = request.clone();
         let result = self.call_once(request).await;
         #[cfg(feature = "mutations")]
         if result == Err(CallError::Broken) && self.has_mutation(Mutation::RetriesBrokenCalls) {
-            return self.call_once(again).await;
+            return self.call_once(retry).await;
         }
         result
     }
@@ -177,8 +181,8 @@
         }
     }
 
-    /// Sends a notification, which has no response. It is dropped if the body is longer than
-    /// [`MAX_BODY_BYTES`] or the queue of the connection is full, and may be lost with the connection.
+    /// Queues a notification, which has no response. The notification is dropped without an error if its body is
+    /// longer than [`MAX_BODY_BYTES`], if the queue of the connection is full, or if the connection fails.
     pub fn notify(&self, address: SocketAddr, service: ServiceId, body: Vec<u8>) {
         if body.len() <= MAX_BODY_BYTES {
             let frame = Frame {
@@ -191,11 +195,12 @@
         }
     }
 
-    /// Closes the connection to an address, after the calls that are pending on it.
+    /// Closes the connection to an address once its pending calls have finished. Later calls open a new connection.
     pub fn close(&self, address: SocketAddr) {
         self.shared.connections.lock().remove(&address);
     }
 
+    /// Returns the usable connection to an address, or opens a new one in the background.
     fn connection(&self, address: SocketAddr) -> Arc<Connection> {
         let mut connections = self.shared.connections.lock();
         if let Some(found) = connections
@@ -214,7 +219,7 @@
             accepts_any_request_id: self.has_mutation(Mutation::AcceptsAnyRequestId),
         });
         connections.insert(address, connection.clone());
-        tokio::spawn(run(
+        tokio::spawn(run_connection(
             address,
             self.shared.options.clone(),
             Arc::downgrade(&connection),
@@ -245,7 +250,8 @@
         })
     }
 
-    /// Gives a response or a refusal to its call; drops it if no call is pending with its request id.
+    /// Completes the call that a response or refusal belongs to. Frames of other kinds or with the request id of no
+    /// pending call are ignored.
     fn complete_call(&self, frame: Frame) {
         self.received.fetch_add(1, Ordering::Relaxed);
         let result = match frame.kind {
@@ -267,7 +273,7 @@
         }
     }
 
-    /// Marks the connection as ended and fails the calls that are pending.
+    /// Marks the connection as ended and fails its pending calls with `error`.
     fn end(&self, error: CallError) {
         let calls = {
             let mut pending = self.pending.lock();
@@ -280,9 +286,9 @@
     }
 }
 
-/// Connects, and sends and receives frames until the connection ends or is dropped by the client and all
-/// calls.
-async fn run(
+/// Connects to `address`, then sends and receives frames until the connection fails or until neither the client nor
+/// a call refers to it any more.
+async fn run_connection(
     address: SocketAddr,
     options: ClientOptions,
     connection: Weak<Connection>,
--- a/crates/tier/rpc/src/connection.rs
+++ b/crates/tier/rpc/src/connection.rs
@@ -1,4 +1,4 @@
-//! Frames on one TCP connection: socket options, reading and writing.
+//! Reads and writes frames on one TCP connection, and sets its socket options.
 
 use std::io;
 use std::time::Duration;
@@ -12,22 +12,23 @@
 
 use crate::frame::Frame;
 
-/// Limit on the frames that wait to be written on one connection.
+/// Maximum number of frames queued for writing on one connection.
 pub(crate) const QUEUE_CAPACITY: usize = 1024;
-/// Bytes from which a write takes no further frame.
+/// Size in bytes of a write buffer from which no further queued frame is added to the same write.
 const MAX_WRITE_BYTES: usize = 256 * 1024;
-/// Capacity in bytes from which an empty buffer is freed, so that one long frame doesn't cost memory for
-/// good.
+/// Capacity in bytes above which an empty buffer is freed, so that one long frame doesn't occupy memory for the rest
+/// of the connection's lifetime.
 const MAX_IDLE_BUFFER_BYTES: usize = 64 * 1024;
-/// Time within which the peer's kernel must acknowledge sent data (RFC 5482); after it the connection is
-/// closed.
+/// Time without acknowledgement of sent data after which the kernel closes the connection (`TCP_USER_TIMEOUT`,
+/// RFC 5482).
 const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle time after which keep-alive probes are sent, to detect a peer that has failed.
+/// Idle time after which keep-alive probes are sent, to detect a failed peer.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(5);
 /// Interval between keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sets the socket options of every connection of the tier: no delay, and detection of a failed peer.
+/// Sets the options that every connection between processes of the tier uses: `TCP_NODELAY`, and time-outs and
+/// keep-alive probes to detect a failed peer.
 pub(crate) fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -38,7 +39,7 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Writes the frames of the queue until it is closed or the connection fails.
+/// Writes queued frames, several per write if possible, until the queue is closed and empty or the connection fails.
 pub(crate) async fn write_frames(mut queue: mpsc::Receiver<Frame>, mut stream: OwnedWriteHalf) {
     let mut buffer = BytesMut::new();
     while let Some(frame) = queue.recv().await {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The next frame; `None` when the connection has ended, or has sent bytes that are not a frame, which is
-    /// logged.
+    /// Reads the next frame. Returns `None` when the connection has ended, or when the received bytes are not a valid
+    /// frame; the latter is logged.
     pub(crate) async fn next(&mut self) -> Option<Frame> {
         loop {
             match Frame::decode(&mut self.buffer) {
--- a/crates/tier/rpc/src/frame.rs
+++ b/crates/tier/rpc/src/frame.rs
@@ -1,50 +1,50 @@
-//! Encoding of a frame, which carries one message.
+//! Encoding of frames. A frame contains one message. Sizes of its parts, in bytes:
 //!
 //! ```text
 //! length 4 | version 1 | kind 1 | service 1 | request id 8 | body
 //! ```
 //!
-//! Numbers are little-endian. The length counts the bytes behind it.
+//! Numbers are little-endian. The length is the number of bytes that follow it: header and body.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use snafu::{Snafu, ensure};
 
-/// Version of the format of frames.
+/// Version of the frame format. Frames of any other version are an error.
 const VERSION: u8 = 1;
-/// Bytes of the length.
+/// Size of the length prefix.
 const LENGTH_BYTES: usize = 4;
-/// Bytes between the length and the body.
+/// Size of the header between the length prefix and the body: version, kind, service and request id.
 const HEADER_BYTES: usize = 1 + 1 + 1 + 8;
-/// Limit on the body of a frame, in bytes.
+/// Maximum length of the body of a frame, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Identifier of a service, by which a router finds the handler of a request.
+/// Identifier of a service. A [`crate::Router`] selects the handler of a request by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u8);
 
 impl ServiceId {
-    /// Agreement on views and replication among core machines.
+    /// View agreement and chain replication among core machines.
     pub const CHAIN: ServiceId = ServiceId(1);
-    /// The registry of replicas, and long polls for its changes.
+    /// Replica registry, and long polls for its changes.
     pub const DISCOVERY: ServiceId = ServiceId(2);
-    /// Conversations and programs' budgets.
+    /// Storage of conversations and of the budgets of programs.
     pub const STORAGE: ServiceId = ServiceId(3);
     /// Announcements of storage machines.
     pub const ANNOUNCE: ServiceId = ServiceId(4);
-    /// Orders of the operator that are forwarded to the head of the chain.
+    /// Orders of the operator, forwarded to the head of the chain.
     pub const FORWARD: ServiceId = ServiceId(5);
-    /// Peer sampling: exchanges of partial views.
+    /// Peer sampling: exchange of partial views between machines.
     pub const SAMPLING: ServiceId = ServiceId(6);
 }
 
 /// Kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Is answered by a response or a refusal with the same request id.
+    /// Asks for a response or a refusal with the same request id.
     Request,
-    /// Answers the request with the same request id.
+    /// Contains the result of the request with the same request id.
     Response,
-    /// Is not answered.
+    /// Has no response.
     Notification,
     /// Reports that the request with the same request id was not handled.
     Refusal,
@@ -76,44 +76,45 @@
 pub struct Frame {
     /// Kind of the frame.
     pub kind: FrameKind,
-    /// Service that the message is for.
+    /// Service whose handler receives the message; in responses and refusals, the service of the request.
     pub service: ServiceId,
-    /// Pairs a response with its request. 0 in notifications.
+    /// Matches a response or refusal to its request. 0 in notifications.
     pub request_id: u64,
-    /// The message, in the encoding of the service.
+    /// Message, in the encoding that the service defines.
     pub body: Bytes,
 }
 
-/// Why bytes are not a frame. The connection that they came from can't be used any more.
+/// Reason why bytes are not a valid frame. The connection on which they were received must not be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FrameError {
-    /// The length is out of bounds.
+    /// The length prefix is less than the size of a header or more than `max_length`.
     #[snafu(display(
         "a frame of {length} bytes; at most {max_length} and at least {HEADER_BYTES} are allowed"
     ))]
     InvalidLength {
-        /// The length that the frame begins with.
+        /// Value of the length prefix, in bytes.
         length: usize,
-        /// The greatest valid length.
+        /// Maximum valid value of the length prefix, in bytes.
         max_length: usize,
     },
-    /// The frame has another version of the format.
+    /// The frame has a version of the format that this build can't decode.
     #[snafu(display("frame version {version}; expected {VERSION}"))]
     UnsupportedVersion {
-        /// Version of the frame.
+        /// Version number in the frame.
         version: u8,
     },
-    /// The kind of the frame is unknown.
+    /// The code of the frame's kind is unknown.
     #[snafu(display("unknown kind of frame {code}"))]
     UnknownKind {
-        /// Code of the kind.
+        /// Code in the frame.
         code: u8,
     },
 }
 
 impl Frame {
-    /// Appends the encoded frame to `buffer`. The body must not be longer than [`MAX_BODY_BYTES`].
+    /// Appends the encoded frame to `buffer`. The caller must ensure that the body is not longer than
+    /// [`MAX_BODY_BYTES`], which is not checked here.
     pub fn encode(&self, buffer: &mut BytesMut) {
         buffer.reserve(LENGTH_BYTES + HEADER_BYTES + self.body.len());
         buffer.put_u32_le((HEADER_BYTES + self.body.len()) as u32);
--- a/crates/tier/rpc/src/lib.rs
+++ b/crates/tier/rpc/src/lib.rs
@@ -1,15 +1,16 @@
 //! Framed requests and responses between the processes of the tier.
 //!
-//! Start reading at [`Client::call`] on the one side, and [`Router`] and [`serve`] on the other.
+//! The entry points are [`Client::call`] on the client side, and [`Router`] and [`serve`] on the server side.
 //!
-//! One TCP connection carries many calls at once, whose responses may come in any order: each frame has a
-//! bounded length, a version, the service that it is for, and a request id that pairs a response with its
-//! request. A client uses each request id once, on whatever connection. A [`Client`] has one connection to
-//! each address that it calls, and a new one for the next call after a failure; it never sends a request
-//! twice. A server is a [`Router`] of handlers that is given to [`serve`].
+//! One TCP connection carries many concurrent calls, whose responses may be received in any order. Each frame has a
+//! bounded length, a version, the id of a service, and a request id that matches a response to its request.
 //!
-//! [`Frame`] is the encoding, without I/O; `connection` reads and writes frames on a socket;
-//! [`RejectedRequests`] counts what handlers rejected.
+//! A [`Client`] has one connection per address and opens a new one for the next call after a failure. It uses each
+//! request id only once across all its connections, and never sends a request twice. A server is a [`Router`] with a
+//! handler per service, run by [`serve`].
+//!
+//! [`Frame`] encodes and decodes frames without I/O. The module `connection` reads and writes frames on a socket.
+//! [`RejectedRequests`] counts the requests that handlers reject.
 
 mod client;
 mod connection;
--- a/crates/tier/rpc/src/mutations.rs
+++ b/crates/tier/rpc/src/mutations.rs
@@ -1,11 +1,11 @@
-//! Defences that tests switch off, to show that the oracle of the calls detects what they prevent. Never in a
-//! release build.
+//! Injected bugs: each disables one safeguard of calls, so that tests can show that their oracle detects the resulting
+//! fault. Never part of a release build.
 
-/// A defence that is switched off.
+/// An injected bug of a [`crate::Client`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A response whose request id no call has is given to another call of its connection.
+    /// A response with an unknown request id completes another pending call of its connection.
     AcceptsAnyRequestId,
-    /// A call whose connection broke is sent once more.
+    /// A call that fails with [`crate::CallError::Broken`] is sent a second time.
     RetriesBrokenCalls,
 }
--- a/crates/tier/rpc/src/rejected.rs
+++ b/crates/tier/rpc/src/rejected.rs
@@ -1,4 +1,4 @@
-//! Requests that handlers rejected: counted, and logged with their sender and the reason.
+//! Counts the requests that handlers reject, and logs them with their sender and the reason.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -9,8 +9,8 @@
 
 use crate::frame::ServiceId;
 
-/// Limit on the pairs of service and sender that are counted apart, which bounds the memory. Rejected
-/// requests of further senders are counted by service only.
+/// Maximum number of pairs of service and sender that have their own count, which bounds the memory. Rejected requests
+/// of further senders are counted by service only.
 const MAX_COUNTED_SENDERS: usize = 4096;
 
 #[derive(Default)]
@@ -19,14 +19,17 @@
     by_sender: BTreeMap<(ServiceId, IpAddr), u64>,
 }
 
-/// Counts of rejected requests. Clones share the counts.
+/// Number of rejected requests per service. Clones share the counts.
+///
+/// A rejected request is logged if it is the sender's first, second, fourth, eighth and so on. A sender without its own
+/// count is logged by the count of the service.
 #[derive(Clone, Default)]
 pub struct RejectedRequests {
     counts: Arc<Mutex<Counts>>,
 }
 
 impl RejectedRequests {
-    /// Number of requests to a service that were rejected since the router was created.
+    /// Returns the number of requests to a service that were rejected since the router was created.
     pub fn count(&self, service: ServiceId) -> u64 {
         self.counts
             .lock()
@@ -36,8 +39,8 @@
             .unwrap_or(0)
     }
 
-    /// Records a request of `peer`. It is logged if it is the sender's first, second, fourth and so on, so
-    /// that a peer of another version does not fill the log.
+    /// Counts a rejected request of `peer`. It is logged only if the new count is a power of two, so that a peer of
+    /// another version does not flood the log.
     pub(crate) fn record(&self, service: ServiceId, peer: SocketAddr, reason: &dyn Error) {
         let count = self.increment(service, peer.ip());
         if count.is_power_of_two() {
@@ -45,7 +48,8 @@
         }
     }
 
-    /// Counts a request. Returns the sender's count, or the service's where the sender isn't counted apart.
+    /// Counts a request. Returns the new count of the sender, or that of the service if the sender has no count of
+    /// its own.
     fn increment(&self, service: ServiceId, sender: IpAddr) -> u64 {
         let mut counts = self.counts.lock();
         let service_count = counts.by_service.entry(service).or_default();
--- a/crates/tier/rpc/src/server.rs
+++ b/crates/tier/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! Handlers of requests, and the connections that requests arrive on.
+//! Server side of calls: accepts connections and dispatches their requests to handlers.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -16,19 +16,19 @@
 use crate::frame::{Frame, FrameKind, ServiceId};
 use crate::rejected::RejectedRequests;
 
-/// Limit on the connections that a process accepts from others of the tier; further ones are closed at once.
+/// Maximum number of open connections of a listener. Further connections are closed as soon as they are accepted.
 const MAX_CONNECTIONS: usize = 2048;
-/// Limit on the requests of one connection that are handled at once; further ones wait in the kernel's
-/// buffers.
+/// Maximum number of requests of one connection that are handled concurrently. While it is reached, the connection is
+/// not read, and further requests remain in the kernel's receive buffer.
 const MAX_REQUESTS_IN_FLIGHT: usize = 1024;
-/// Interval between a failed `accept`, as when descriptors have run out, and the next attempt.
+/// Delay after a failed `accept` before the next one, for example when no file descriptors are available.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The response to a request; `None` if the request was rejected.
+/// Body of the response, or `None` if the handler rejected the request.
 type ResponseFuture = Pin<Box<dyn Future<Output = Option<Vec<u8>>> + Send>>;
 type Handler = Arc<dyn Fn(SocketAddr, Bytes) -> ResponseFuture + Send + Sync>;
 
-/// Handlers of requests by service.
+/// Maps each service to the handler of its requests.
 #[derive(Clone, Default)]
 pub struct Router {
     handlers: BTreeMap<ServiceId, Handler>,
@@ -36,13 +36,13 @@
 }
 
 impl Router {
-    /// A router without handlers.
+    /// Creates a router without handlers. Requests are refused until handlers are added.
     pub fn new() -> Self {
         Router::default()
     }
 
-    /// Adds the handler of a service. It gets the sender's address and the body of the request, and returns
-    /// the body of the response, which is dropped if the message was a notification.
+    /// Sets the handler of a service. The handler is called with the address of the sender and the body of the
+    /// request. It returns the body of the response, which is discarded if the message is a notification.
     pub fn route<H, F>(mut self, service: ServiceId, handler: H) -> Self
     where
         H: Fn(SocketAddr, Bytes) -> F + Send + Sync + 'static,
@@ -56,9 +56,9 @@
         self
     }
 
-    /// Adds the handler of a service that may reject a request. A handler that returns an error must not have
-    /// acted on the request: the request is counted and logged with its sender and the error, and the caller
-    /// gets [`crate::CallError::Refused`].
+    /// Sets the handler of a service that may reject a request by returning an error. The handler must not have
+    /// acted on a request that it rejects, because the caller receives [`crate::CallError::Refused`]. Rejected
+    /// requests are counted; see [`RejectedRequests`] for how they are logged.
     pub fn route_checked<H, F, E>(mut self, service: ServiceId, handler: H) -> Self
     where
         H: Fn(SocketAddr, Bytes) -> F + Send + Sync + 'static,
@@ -79,13 +79,14 @@
         self
     }
 
-    /// Counts of the requests that handlers have rejected.
+    /// Returns the counts of requests that handlers have rejected. They stay up to date while the router is served.
     pub fn rejected(&self) -> RejectedRequests {
         self.rejected.clone()
     }
 }
 
-/// Accepts connections and handles their requests. Never returns; dropping the future stops accepting.
+/// Accepts connections and handles their requests. Never returns. Dropping the future stops accepting connections;
+/// open ones are still served.
 pub async fn serve(listener: TcpListener, router: Router) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -108,7 +109,7 @@
     }
 }
 
-/// Handles the requests of one connection until it ends.
+/// Handles the requests of one connection until the connection ends. Responses that are not sent by then are dropped.
 async fn handle_connection(stream: TcpStream, peer: SocketAddr, router: Router) {
     if set_socket_options(&stream).is_err() {
         return;
@@ -124,9 +125,9 @@
         };
         let responses = responses.clone();
         let handler = router.handlers.get(&frame.service).cloned();
-        // On the single-threaded runtime tasks start in the order in which they are spawned. Senders of
-        // notifications rely on this order: in chain replication, a probe that overtakes a write makes that write
-        // look lost.
+        // On the single-threaded runtime, tasks start in the order in which they are spawned. Senders of
+        // notifications rely on this order. In chain replication, for example, a write appears to be missing if a
+        // probe that was sent after it is handled first.
         tokio::spawn(async move {
             if let Some(response) = handle(frame, peer, handler).await {
                 let _ = responses.send(response).await;
@@ -137,7 +138,7 @@
     writer.abort();
 }
 
-/// Handles one frame. Returns the frame to send back, if any.
+/// Handles one frame. Returns the response or refusal to send, or `None` if the frame is not a request.
 async fn handle(frame: Frame, peer: SocketAddr, handler: Option<Handler>) -> Option<Frame> {
     let (service, request_id) = (frame.service, frame.request_id);
     let refusal = Frame {
--- a/crates/tier/rpc/tests/call_faults.rs
+++ b/crates/tier/rpc/tests/call_faults.rs
@@ -1,5 +1,5 @@
-//! Calls under faults: every response goes to its call, and no request is sent twice. `CALL_SEEDS` sets the
-//! number of seeds.
+//! Calls to a faulty server: each response completes its own call, and no request is sent twice. The environment
+//! variable `CALL_SEEDS` sets the number of seeds.
 
 mod faulty_server;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn no_response_goes_astray_and_no_call_is_sent_twice() {
+fn responses_match_their_calls_and_no_request_is_sent_twice() {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..seeds() {
         let outcome = faulty_server::run_seed(seed, |_| {});
@@ -27,11 +27,11 @@
         outcome
             .counts
             .into_iter()
-            .for_each(|(what, count)| *counts.entry(what).or_default() += count);
+            .for_each(|(event, count)| *counts.entry(event).or_default() += count);
     }
     println!("{counts:#?}");
     assert!(
         counts.contains_key("call: answered"),
-        "a run in which nothing is answered shows nothing"
+        "no call was answered in any seed, so that no response was checked"
     );
 }
--- a/crates/tier/rpc/tests/call_mutations.rs
+++ b/crates/tier/rpc/tests/call_mutations.rs
@@ -1,4 +1,4 @@
-//! Each defence of the calls is switched off, which the oracle must detect within a bounded number of seeds.
+//! Checks the oracle itself: each injected bug must be detected within a bounded number of seeds.
 
 mod faulty_server;
 
@@ -6,25 +6,31 @@
 
 const SEEDS: u64 = 100;
 
-fn assert_found(mutation: Mutation, rule: &str) {
-    let found = (0..SEEDS).find(|seed| {
+fn assert_detected(mutation: Mutation, rule: &str) {
+    let detected_at = (0..SEEDS).find(|seed| {
         let outcome = faulty_server::run_seed(*seed, |client| client.set_mutation(mutation));
-        assert!(!outcome.counts.is_empty(), "nothing was called");
+        assert!(
+            !outcome.counts.is_empty(),
+            "seed {seed}: no event was counted"
+        );
         outcome
             .violations
             .iter()
             .any(|violation| violation.starts_with(rule))
     });
-    println!("{mutation:?}: {rule} at seed {found:?}");
-    assert!(found.is_some(), "{mutation:?} was not found");
+    println!("{mutation:?}: {rule} at seed {detected_at:?}");
+    assert!(
+        detected_at.is_some(),
+        "{mutation:?}: no violation of {rule} in {SEEDS} seeds"
+    );
 }
 
 #[test]
-fn a_response_with_any_request_id_is_found() {
-    assert_found(Mutation::AcceptsAnyRequestId, "MIXED");
+fn accepting_any_request_id_is_detected() {
+    assert_detected(Mutation::AcceptsAnyRequestId, "WRONG_RESPONSE");
 }
 
 #[test]
-fn a_call_sent_again_after_its_connection_broke_is_found() {
-    assert_found(Mutation::RetriesBrokenCalls, "TWICE");
+fn retrying_a_broken_call_is_detected() {
+    assert_detected(Mutation::RetriesBrokenCalls, "DUPLICATE_REQUEST");
 }
--- a/crates/tier/rpc/tests/calls.rs
+++ b/crates/tier/rpc/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback: responses find their requests, failures are distinguished, nothing is sent twice.
+//! Calls over loopback: each response completes its own call, and each failure has the expected [`CallError`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,8 +11,10 @@
 use woadreach_rpc::{CallError, Client, ClientOptions, Router, ServiceId, serve};
 
 const ECHO: ServiceId = ServiceId(40);
-const NEVER: ServiceId = ServiceId(41);
-const LONG: Duration = Duration::from_secs(10);
+/// Service whose handler never responds.
+const UNANSWERED: ServiceId = ServiceId(41);
+/// Time-out of calls that are expected to finish before it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -25,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn many_calls_at_once_get_their_own_responses() {
+async fn concurrent_calls_receive_their_own_responses() {
     let (listener, address) = listener().await;
     let router = Router::new().route(ECHO, |_, body: Bytes| async move { body.to_vec() });
     tokio::spawn(serve(listener, router));
@@ -34,7 +36,7 @@
         let client = client.clone();
         tokio::spawn(async move {
             let response = client
-                .call(address, ECHO, n.to_le_bytes().to_vec(), LONG)
+                .call(address, ECHO, n.to_le_bytes().to_vec(), TEST_TIMEOUT)
                 .await
                 .unwrap();
             assert_eq!(response[..], n.to_le_bytes());
@@ -48,36 +50,36 @@
 #[tokio::test]
 async fn notifications_are_handled() {
     let (listener, address) = listener().await;
-    let arrived = Arc::new(Notify::new());
-    let notify = arrived.clone();
+    let handled = Arc::new(Notify::new());
+    let notify = handled.clone();
     let router = Router::new().route(ECHO, move |_, _| {
         notify.notify_one();
         async { Vec::new() }
     });
     tokio::spawn(serve(listener, router));
     client().notify(address, ECHO, vec![1]);
-    tokio::time::timeout(LONG, arrived.notified())
+    tokio::time::timeout(TEST_TIMEOUT, handled.notified())
         .await
         .unwrap();
 }
 
 #[tokio::test]
-async fn a_service_without_handler_is_refused() {
+async fn a_request_without_handler_is_refused() {
     let (listener, address) = listener().await;
     tokio::spawn(serve(listener, Router::new()));
     assert_eq!(
-        client().call(address, ECHO, vec![], LONG).await,
+        client().call(address, ECHO, vec![], TEST_TIMEOUT).await,
         Err(CallError::Refused)
     );
 }
 
 #[tokio::test]
-async fn a_port_without_listener_is_unreachable_and_later_calls_try_anew() {
+async fn a_port_without_listener_is_unreachable_and_later_calls_connect_again() {
     let (listener, address) = listener().await;
     drop(listener);
     let client = client();
     assert_eq!(
-        client.call(address, ECHO, vec![], LONG).await,
+        client.call(address, ECHO, vec![], TEST_TIMEOUT).await,
         Err(CallError::Unreachable)
     );
     let listener = TcpListener::bind(address).await.unwrap();
@@ -86,18 +88,19 @@
         Router::new().route(ECHO, |_, body: Bytes| async move { body.to_vec() }),
     ));
     assert_eq!(
-        client.call(address, ECHO, vec![7], LONG).await,
+        client.call(address, ECHO, vec![7], TEST_TIMEOUT).await,
         Ok(Bytes::from_static(&[7]))
     );
 }
 
+/// The peer may have handled the request before it closed the connection, so the call must fail without a retry.
 #[tokio::test]
-async fn a_connection_that_closes_breaks_its_calls_and_nothing_is_sent_again() {
+async fn a_call_whose_connection_closes_fails_as_broken_without_a_retry() {
     let (listener, address) = listener().await;
     let client = client();
     let call = tokio::spawn({
         let client = client.clone();
-        async move { client.call(address, ECHO, vec![1], LONG).await }
+        async move { client.call(address, ECHO, vec![1], TEST_TIMEOUT).await }
     });
     let (stream, _) = listener.accept().await.unwrap();
     stream.readable().await.unwrap();
@@ -106,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn an_unresponsive_connection_is_abandoned_after_a_time_out() {
+async fn a_connection_without_received_frames_is_abandoned_after_a_time_out() {
     let (listener, address) = listener().await;
     let accepted = Arc::new(AtomicUsize::new(0));
     let count = accepted.clone();
@@ -130,21 +133,23 @@
     assert_eq!(third, Err(CallError::TimedOut));
     assert!(
         accepted.load(Ordering::SeqCst) >= 2,
-        "each call after a time-out without a response uses a new connection"
+        "a call after a time-out must use a new connection if no frame was received on the old one"
     );
 }
 
+/// Guards against a time-out of one call that ends or abandons the connection although its peer responds to other
+/// calls.
 #[tokio::test]
-async fn a_slow_handler_does_not_cost_the_connection_of_others() {
+async fn a_call_that_times_out_does_not_fail_other_calls_of_its_connection() {
     let (listener, address) = listener().await;
     let router = Router::new()
         .route(ECHO, |_, body: Bytes| async move { body.to_vec() })
-        .route(NEVER, |_, _| std::future::pending());
+        .route(UNANSWERED, |_, _| std::future::pending());
     tokio::spawn(serve(listener, router));
     let client = client();
-    let slow = client.call(address, NEVER, vec![], Duration::from_millis(50));
-    let quick = client.call(address, ECHO, vec![3], LONG);
-    let (slow, quick) = tokio::join!(slow, quick);
-    assert_eq!(slow, Err(CallError::TimedOut));
-    assert_eq!(quick, Ok(Bytes::from_static(&[3])));
+    let unanswered = client.call(address, UNANSWERED, vec![], Duration::from_millis(50));
+    let answered = client.call(address, ECHO, vec![3], TEST_TIMEOUT);
+    let (unanswered, answered) = tokio::join!(unanswered, answered);
+    assert_eq!(unanswered, Err(CallError::TimedOut));
+    assert_eq!(answered, Ok(Bytes::from_static(&[3])));
 }
--- a/crates/tier/rpc/tests/faulty_server/mod.rs
+++ b/crates/tier/rpc/tests/faulty_server/mod.rs
@@ -1,6 +1,6 @@
-//! Calls to a server that answers late, twice, truncated, in another order, with unknown request ids or not
-//! at all, and that restarts at its address. An oracle knows which response belongs to which call and how
-//! often a request may arrive.
+//! Random calls to a faulty server. Its responses may be delayed, duplicated, truncated, reordered, missing, or have
+//! unknown request ids, and it may restart at the same address. An oracle checks that each call receives its own
+//! response and that each request is received at most once.
 
 mod oracle;
 mod server;
@@ -19,46 +19,48 @@
 const SERVICE: ServiceId = ServiceId(40);
 const CALLERS: usize = 6;
 const CALLS_PER_CALLER: usize = 30;
-/// One in this many calls is cancelled by its caller before its time-out.
+/// On average one in this many calls is cancelled by its caller before it finishes.
 const CANCELLED_ONE_IN: u64 = 12;
-/// One in this many calls is made even while the server doesn't listen.
-const UNCHECKED_ONE_IN: u64 = 8;
+/// On average one in this many calls is made without waiting until the server listens.
+const UNSYNCHRONIZED_ONE_IN: u64 = 8;
+/// Time-out of each call.
 const TIMEOUT: Duration = Duration::from_millis(60);
-/// Limit on the time of a run.
+/// Maximum duration of the run of one seed.
 const RUN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Source of randomness and the oracle, shared by all parts of one run.
+/// Random generator and oracle of one run, shared by the callers and the server.
 struct Shared {
     random: Mutex<Rand64>,
     oracle: Mutex<Oracle>,
 }
 
 impl Shared {
+    /// Returns a random number less than `bound`.
     fn below(&self, bound: u64) -> u64 {
         self.random.lock().rand_range(0..bound)
     }
 }
 
-/// Outcome of a run.
+/// Outcome of the run of one seed.
 pub(crate) struct Outcome {
-    /// Violations of the guarantees of calls.
+    /// Violated guarantees. Each text begins with the name of the violated rule.
     pub(crate) violations: Vec<String>,
-    /// Counts of the server's behaviours and of the outcomes of calls.
+    /// Number of requests by the server's behaviour, and of calls by their outcome.
     pub(crate) counts: BTreeMap<String, usize>,
 }
 
-/// Runs one seed; `prepare` may change the client.
+/// Runs one seed. `prepare` is called on the client before its first call, for example to inject a bug.
 pub(crate) fn run_seed(seed: u64, prepare: impl FnOnce(&Client)) -> Outcome {
     let client = Client::new(ClientOptions::default());
     prepare(&client);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("build a runtime");
     let run = async {
         tokio::time::timeout(RUN_TIMEOUT, run(seed, client))
             .await
-            .expect("the end of a run")
+            .expect("run not finished within RUN_TIMEOUT")
     };
     runtime.block_on(run)
 }
@@ -74,7 +76,7 @@
         let (client, server, shared) = (client.clone(), server.clone(), shared.clone());
         tokio::spawn(async move {
             for number in 0..CALLS_PER_CALLER {
-                if shared.below(UNCHECKED_ONE_IN) > 0 {
+                if shared.below(UNSYNCHRONIZED_ONE_IN) > 0 {
                     server.wait_until_listening().await;
                 }
                 call(&client, &server, &shared, format!("c{caller}-{number}")).await;
@@ -82,9 +84,9 @@
         })
     });
     for caller in callers.collect::<Vec<_>>() {
-        caller.await.expect("a caller that does not panic");
+        caller.await.expect("task of a caller panicked");
     }
-    server.wait_until_read().await;
+    server.yield_until_read().await;
     std::mem::take(&mut *shared.oracle.lock()).finish()
 }
 
--- a/crates/tier/rpc/tests/faulty_server/server.rs
+++ b/crates/tier/rpc/tests/faulty_server/server.rs
@@ -1,4 +1,4 @@
-//! A server that chooses at random how it answers each request.
+//! A server that randomly selects its behaviour for each request.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,35 +15,36 @@
 use super::oracle::response_to;
 use super::{SERVICE, Shared};
 
-/// Behaviour of the server at a request.
+/// Behaviour of the server for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     Answer,
     AnswerTwice,
-    /// Delays the answer until another request arrives, and answers that first.
+    /// Delays the answer until another request of the connection has been answered. If that request is to be answered
+    /// late as well, it takes over the delay.
     AnswerLater,
-    /// Repeats an answer of this connection, then answers.
+    /// Sends the last answer of this connection again, then answers.
     EarlierAnswerFirst,
-    /// Repeats answers of earlier connections, then answers.
+    /// Sends the answers of ended connections again, then answers.
     AnswerOfAnotherConnection,
-    /// Answers with a request id that no call has, then answers.
+    /// Sends a response with a request id that no call uses, then answers.
     UnknownRequestId,
-    /// Sends frames of other kinds with the request id, then answers.
+    /// Sends a notification and a request with the request id of the call, then answers.
     OtherKind,
     Refuse,
-    /// Sends a part of the answer and closes the connection.
+    /// Sends the first part of the answer and closes the connection.
     TruncateAndClose,
-    /// Sends a part of the answer and resets the connection.
+    /// Sends the first part of the answer and resets the connection.
     TruncateAndReset,
-    /// Sends bytes that are not a frame.
+    /// Sends a frame with an unsupported version, then answers.
     Garbage,
     Reset,
-    /// Doesn't answer.
     NoAnswer,
-    /// Closes all connections and stops listening for a moment.
+    /// Closes all connections, stops listening for a short random time and listens again.
     Restart,
 }
 
+/// Behaviours to select from. A behaviour that is listed several times is selected more often.
 const BEHAVIOURS: [Behaviour; 17] = [
     Behaviour::Answer,
     Behaviour::Answer,
@@ -66,9 +67,10 @@
 
 struct State {
     shared: Arc<Shared>,
+    /// Number of restarts. A change ends all connections.
     incarnation: watch::Sender<usize>,
     listening: watch::Sender<bool>,
-    /// Answers that were sent on connections that have ended.
+    /// Answers that were sent on ended connections.
     earlier_answers: Mutex<Vec<Frame>>,
 }
 
@@ -86,8 +88,8 @@
 
 impl FaultyServer {
     pub(crate) fn start(shared: Arc<Shared>) -> Self {
-        let listener = listen((Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = listen((Ipv4Addr::LOCALHOST, 0).into()).expect("bind a free port");
+        let address = listener.local_addr().expect("address of the listener");
         let incarnation = watch::Sender::new(0);
         let listening = watch::Sender::new(true);
         let state = Arc::new(State {
@@ -106,11 +108,11 @@
         listening
             .wait_for(|listening| *listening)
             .await
-            .expect("open");
+            .expect("server state was dropped");
     }
 
-    /// Waits until the server has read what was sent.
-    pub(crate) async fn wait_until_read(&self) {
+    /// Yields often enough for the server's tasks to read the requests that have been sent.
+    pub(crate) async fn yield_until_read(&self) {
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
@@ -118,7 +120,7 @@
 }
 
 impl State {
-    /// Listens in one incarnation after the other.
+    /// Accepts connections, and closes and reopens the listener at each restart.
     async fn run(self: Arc<Self>, first: TcpListener, address: SocketAddr) {
         let mut incarnation = self.incarnation.subscribe();
         let mut listener = Some(first);
@@ -140,7 +142,7 @@
             }
             drop(open);
             self.listening.send_replace(false);
-            // The server stays away for a moment.
+            // The address has no listener for a random number of yields.
             for _ in 0..self.shared.below(30) {
                 tokio::task::yield_now().await;
             }
@@ -178,7 +180,7 @@
 }
 
 impl Connection {
-    /// Serves requests until the connection ends or is to be closed, which `None` says.
+    /// Serves requests. Returns `None` when the connection has ended or must be closed.
     async fn run(&mut self) -> Option<()> {
         loop {
             let request = self.next().await?;
@@ -188,22 +190,23 @@
             {
                 let mut oracle = shared.oracle.lock();
                 oracle.count(format!("server: {behaviour:?}"));
-                oracle.record_arrival(&body, behaviour != Behaviour::Refuse);
+                oracle.record_request(&body, behaviour != Behaviour::Refuse);
             }
             let answer = frame(FrameKind::Response, request.request_id, response_to(&body));
             self.execute(behaviour, answer).await?;
         }
     }
 
+    /// Applies a behaviour. Returns `None` when the connection has ended or must be closed.
     async fn execute(&mut self, behaviour: Behaviour, answer: Frame) -> Option<()> {
         let request_id = answer.request_id;
         match behaviour {
             Behaviour::Answer => {}
             Behaviour::AnswerTwice => self.write(&answer).await?,
             Behaviour::AnswerLater => {
-                let earlier = self.delayed.replace(answer);
-                return match earlier {
-                    Some(earlier) => self.send(earlier).await,
+                let delayed = self.delayed.replace(answer);
+                return match delayed {
+                    Some(delayed) => self.send(delayed).await,
                     None => Some(()),
                 };
             }
@@ -218,7 +221,7 @@
                 self.write(&frame(
                     FrameKind::Response,
                     request_id + 1_000_000,
-                    "of nobody".to_owned(),
+                    "unknown request id".to_owned(),
                 ))
                 .await?;
             }
@@ -226,15 +229,11 @@
                 self.write(&frame(
                     FrameKind::Notification,
                     request_id,
-                    "one way".to_owned(),
-                ))
-                .await?;
-                self.write(&frame(
-                    FrameKind::Request,
-                    request_id,
-                    "a request".to_owned(),
+                    "notification".to_owned(),
                 ))
                 .await?;
+                self.write(&frame(FrameKind::Request, request_id, "request".to_owned()))
+                    .await?;
             }
             Behaviour::Refuse => {
                 return self
@@ -264,6 +263,7 @@
         self.send_if_any(delayed).await
     }
 
+    /// Sends an answer and records it in `sent`.
     async fn send(&mut self, answer: Frame) -> Option<()> {
         self.write(&answer).await?;
         self.sent.push(answer);
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Writes a part of the answer, which may be empty, and ends the connection.
+    /// Writes the first part of the answer, which may be empty, and ends the connection.
     async fn truncate(&mut self, answer: &Frame, behaviour: Behaviour) -> Option<()> {
         let mut bytes = BytesMut::new();
         answer.encode(&mut bytes);
@@ -299,7 +299,9 @@
 
     async fn next(&mut self) -> Option<Frame> {
         loop {
-            if let Some(frame) = Frame::decode(&mut self.unread).expect("the client sends frames") {
+            if let Some(frame) = Frame::decode(&mut self.unread)
+                .expect("client sent bytes that are not a valid frame")
+            {
                 return Some(frame);
             }
             if self.stream.read_buf(&mut self.unread).await.ok()? == 0 {
--- a/crates/tier/rpc/tests/frames.rs
+++ b/crates/tier/rpc/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames are decoded however their bytes are split; bytes that are not a frame are an error.
+//! Frames are decoded from chunks of any size, and bytes that are not a valid frame are an error.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::quickcheck;
@@ -34,7 +34,7 @@
         found == frames && buffer.is_empty()
     }
 
-    fn any_bytes_are_decoded_or_an_error_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = Frame::decode(&mut buffer) {}
         true
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn bytes_that_are_not_a_frame_are_an_error() {
+fn invalid_length_version_and_kind_are_errors() {
     let mut wire = BytesMut::new();
     frame(0, 1, 2, vec![1, 2, 3]).encode(&mut wire);
     let decode_changed = |index: usize, byte: u8| {
--- a/crates/tier/rpc/tests/recorded_bytes.rs
+++ b/crates/tier/rpc/tests/recorded_bytes.rs
@@ -1,4 +1,5 @@
-//! Encoding of frames: decoded and encoded as recorded, and sent so by a client and a server.
+//! Compatibility of the frame encoding: frames are encoded and decoded as recorded in `recorded/frames.txt`, and a
+//! client and a server send the recorded bytes.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -15,7 +16,8 @@
     CallError, Client, ClientOptions, Frame, FrameError, FrameKind, Router, ServiceId, serve,
 };
 
-const LONG: Duration = Duration::from_secs(10);
+/// Time-out of operations that are expected to finish before it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn frame(kind: FrameKind, service: ServiceId, request_id: u64, body: &'static [u8]) -> Frame {
     Frame {
@@ -37,6 +39,7 @@
     Frame::decode(&mut BytesMut::from(bytes))
 }
 
+/// Frames by their names in the recorded file.
 fn frames() -> Vec<(&'static str, Frame)> {
     vec![
         (
@@ -67,21 +70,21 @@
 }
 
 #[test]
-fn every_kind_of_frame_is_read_and_written_as_recorded() {
+fn frames_are_decoded_and_encoded_as_recorded() {
     let recorded = RecordedBytes::open("frames");
     for (name, frame) in frames() {
         let frame = Some(frame);
         recorded.check(
             name,
             &frame,
-            |frame| encode(frame.as_ref().expect("a frame")),
+            |frame| encode(frame.as_ref().expect("frame to encode")),
             decode,
         );
     }
     recorded.finish();
 }
 
-/// A frame that may yet be completed is no error.
+/// The remaining bytes of a truncated frame may still be received, so that decoding it is not an error.
 #[test]
 fn a_frame_truncated_at_any_byte_is_incomplete() {
     for (name, frame) in frames() {
@@ -98,9 +101,9 @@
 }
 
 #[test]
-fn bytes_that_are_not_a_frame_are_an_error_with_the_reason() {
+fn errors_of_invalid_frames_state_the_reason() {
     let complete = encode(&frames()[0].1);
-    let with = |index: usize, bytes: &[u8]| {
+    let decode_changed = |index: usize, bytes: &[u8]| {
         let mut changed = complete.clone();
         changed[index..index + bytes.len()].copy_from_slice(bytes);
         outcome(decode(&changed))
@@ -110,37 +113,44 @@
         format!("a frame of {length} bytes; at most {max_length} and at least 11 are allowed")
     };
     for length in [0, 10, max_length + 1, u32::MAX] {
-        assert_eq!(with(0, &length.to_le_bytes()), invalid_length(length));
+        assert_eq!(
+            decode_changed(0, &length.to_le_bytes()),
+            invalid_length(length)
+        );
     }
     for version in [0, 2, 255] {
         assert_eq!(
-            with(4, &[version]),
+            decode_changed(4, &[version]),
             format!("frame version {version}; expected 1")
         );
     }
     for code in [0, 5, 255] {
-        assert_eq!(with(5, &[code]), format!("unknown kind of frame {code}"));
+        assert_eq!(
+            decode_changed(5, &[code]),
+            format!("unknown kind of frame {code}")
+        );
     }
-    let foreign = outcome(decode(b"GET / HTTP/1.1\r\n\r\n"));
-    assert_eq!(foreign, invalid_length(u32::from_le_bytes(*b"GET ")));
+    let http_request = outcome(decode(b"GET / HTTP/1.1\r\n\r\n"));
+    assert_eq!(http_request, invalid_length(u32::from_le_bytes(*b"GET ")));
 }
 
 async fn read_exactly(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
-    let read = tokio::time::timeout(LONG, stream.read_exact(&mut bytes)).await;
-    read.expect("in time").expect("the connection is open");
+    let read = tokio::time::timeout(TEST_TIMEOUT, stream.read_exact(&mut bytes)).await;
+    read.expect("bytes not received within TEST_TIMEOUT")
+        .expect("connection ended before all bytes were received");
     bytes
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
-        .expect("a port");
-    let address = listener.local_addr().expect("an address");
+        .expect("bind a free port");
+    let address = listener.local_addr().expect("address of the listener");
     (listener, address)
 }
 
-/// The connection carries nothing but frames, and request ids begin at 1.
+/// A client sends no bytes other than frames, and its first request id is 1.
 #[tokio::test]
 async fn a_client_sends_the_recorded_frames() {
     let (listener, address) = listen().await;
@@ -148,16 +158,16 @@
     let caller = client.clone();
     let call = tokio::spawn(async move {
         caller
-            .call(address, ServiceId::CHAIN, b"body".to_vec(), LONG)
+            .call(address, ServiceId::CHAIN, b"body".to_vec(), TEST_TIMEOUT)
             .await
     });
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("open a connection");
     let request = RecordedBytes::open("frames").bytes("request to the chain");
     assert_eq!(read_exactly(&mut stream, request.len()).await, request);
     let answer = encode(&frame(FrameKind::Response, ServiceId::CHAIN, 1, b"answer"));
-    stream.write_all(&answer).await.expect("the answer is sent");
+    stream.write_all(&answer).await.expect("send the answer");
     assert_eq!(
-        call.await.expect("the call ends"),
+        call.await.expect("task of the call panicked"),
         Ok(Bytes::from_static(b"answer"))
     );
     client.notify(address, ServiceId::ANNOUNCE, b"here".to_vec());
@@ -169,21 +179,23 @@
 }
 
 #[derive(Debug, Snafu)]
-#[snafu(display("not taken"))]
-struct NotTaken;
+#[snafu(display("empty body"))]
+struct EmptyBody;
 
 #[tokio::test]
-async fn a_server_answers_and_refuses_in_the_recorded_frames() {
+async fn a_server_sends_the_recorded_frames() {
     let (listener, address) = listen().await;
     let router = Router::new().route_checked(ServiceId::DISCOVERY, |_, body: Bytes| async move {
         if body.is_empty() {
-            Err(NotTaken)
+            Err(EmptyBody)
         } else {
             Ok(b"answer".to_vec())
         }
     });
     tokio::spawn(serve(listener, router));
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("open a connection");
     let answered = RecordedBytes::open("frames").bytes("response of discovery");
     let refused = RecordedBytes::open("frames").bytes("refusal of storage");
     let exchanges = [
@@ -196,7 +208,7 @@
                 FrameKind::Request,
                 ServiceId::STORAGE,
                 u64::MAX,
-                b"nobody is there",
+                b"no handler",
             ),
             refused,
         ),
@@ -209,7 +221,7 @@
         stream
             .write_all(&encode(&request))
             .await
-            .expect("the request is sent");
+            .expect("send the request");
         assert_eq!(
             read_exactly(&mut stream, response.len()).await,
             response,
@@ -219,19 +231,19 @@
 }
 
 #[tokio::test]
-async fn a_refusal_tells_the_caller_that_nothing_was_handled() {
+async fn a_call_whose_request_is_refused_fails_as_refused() {
     let (listener, address) = listen().await;
     let client = Client::new(ClientOptions::default());
     let call = tokio::spawn(async move {
         client
-            .call(address, ServiceId::STORAGE, b"body".to_vec(), LONG)
+            .call(address, ServiceId::STORAGE, b"body".to_vec(), TEST_TIMEOUT)
             .await
     });
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("open a connection");
     let refusal = encode(&frame(FrameKind::Refusal, ServiceId::STORAGE, 1, b""));
-    stream
-        .write_all(&refusal)
-        .await
-        .expect("the refusal is sent");
-    assert_eq!(call.await.expect("the call ends"), Err(CallError::Refused));
+    stream.write_all(&refusal).await.expect("send the refusal");
+    assert_eq!(
+        call.await.expect("task of the call panicked"),
+        Err(CallError::Refused)
+    );
 }
--- a/crates/tier/rpc/tests/rejected.rs
+++ b/crates/tier/rpc/tests/rejected.rs
@@ -1,5 +1,5 @@
-//! Requests that a handler rejects: the caller gets an error, and they are counted and logged with their
-//! sender and the reason.
+//! Rejected requests: the caller receives an error, and the server counts and logs them with their sender and the
+//! reason.
 
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
@@ -15,19 +15,22 @@
 use tracing::{Event, Metadata, Subscriber};
 use woadreach_rpc::{CallError, Client, ClientOptions, RejectedRequests, Router, ServiceId, serve};
 
-const PICKY: ServiceId = ServiceId(42);
-const LONG: Duration = Duration::from_secs(10);
+/// Service whose handler rejects requests of odd length.
+const EVEN_LENGTH: ServiceId = ServiceId(42);
+/// Time-out of calls that are expected to finish before it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Snafu)]
-#[snafu(display("{length} bytes are odd"))]
-struct Odd {
+#[snafu(display("{length} bytes; expected an even length"))]
+struct OddLength {
     length: usize,
 }
 
-/// The fields of every event, as text.
+/// Subscriber that records the fields of each event as text, one entry per event.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<Vec<String>>>);
 
+/// Fields of one event as `name=value`.
 struct Fields(String);
 
 impl Visit for Fields {
@@ -61,12 +64,12 @@
 async fn start() -> (SocketAddr, RejectedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let router = Router::new().route_checked(PICKY, |_, body: Bytes| async move {
+    let router = Router::new().route_checked(EVEN_LENGTH, |_, body: Bytes| async move {
         let length = body.len();
         if length.is_multiple_of(2) {
             Ok(body.to_vec())
         } else {
-            Err(Odd { length })
+            Err(OddLength { length })
         }
     });
     let rejected = router.rejected();
@@ -75,42 +78,54 @@
 }
 
 #[tokio::test]
-async fn a_rejected_request_is_refused_and_counted_and_the_connection_goes_on() {
+async fn a_rejected_request_is_refused_and_counted_and_the_connection_stays_usable() {
     let (address, rejected) = start().await;
     let client = Client::new(ClientOptions::default());
     assert_eq!(
-        client.call(address, PICKY, vec![1], LONG).await,
+        client
+            .call(address, EVEN_LENGTH, vec![1], TEST_TIMEOUT)
+            .await,
         Err(CallError::Refused)
     );
     assert_eq!(
-        client.call(address, PICKY, vec![1, 2], LONG).await,
+        client
+            .call(address, EVEN_LENGTH, vec![1, 2], TEST_TIMEOUT)
+            .await,
         Ok(Bytes::from_static(&[1, 2]))
     );
-    client.notify(address, PICKY, vec![1, 2, 3]);
+    client.notify(address, EVEN_LENGTH, vec![1, 2, 3]);
     assert_eq!(
-        client.call(address, PICKY, vec![1], LONG).await,
+        client
+            .call(address, EVEN_LENGTH, vec![1], TEST_TIMEOUT)
+            .await,
         Err(CallError::Refused)
     );
     assert_eq!(
-        (rejected.count(PICKY), rejected.count(ServiceId::CHAIN)),
+        (
+            rejected.count(EVEN_LENGTH),
+            rejected.count(ServiceId::CHAIN)
+        ),
         (3, 0)
     );
 }
 
 #[tokio::test]
-async fn the_log_names_the_sender_and_the_reason_and_is_not_flooded() {
+async fn rejections_are_logged_with_sender_and_reason_at_powers_of_two() {
     let log = Log::default();
-    // For the whole process: a callsite that another thread meets first is looked up for all.
+    // Must be the global subscriber: the interest of a callsite is cached for the whole process by the first thread
+    // that reaches it, which may be the thread of another test.
     tracing::subscriber::set_global_default(log.clone()).unwrap();
     let (address, rejected) = start().await;
     let client = Client::new(ClientOptions::default());
     for _ in 0..100 {
         assert_eq!(
-            client.call(address, PICKY, vec![0; 5], LONG).await,
+            client
+                .call(address, EVEN_LENGTH, vec![0; 5], TEST_TIMEOUT)
+                .await,
             Err(CallError::Refused)
         );
     }
-    assert_eq!(rejected.count(PICKY), 100);
+    assert_eq!(rejected.count(EVEN_LENGTH), 100);
     let lines: Vec<String> = log
         .0
         .lock()
@@ -121,12 +136,12 @@
     assert_eq!(
         lines.len(),
         7,
-        "the first, second, fourth to sixty-fourth: {lines:?}"
+        "expected a line for each power of two up to the sixty-fourth request: {lines:?}"
     );
     for expected in [
         "service=42",
         "peer=127.0.0.1:",
-        "reason=5 bytes are odd",
+        "reason=5 bytes; expected an even length",
         "count=64",
     ] {
         assert!(lines[6].contains(expected), "{expected}: {}", lines[6]);
