--- a/crates/tier/config/src/lib.rs
+++ b/crates/tier/config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operator's configuration: parsing, validation and the route table.
 //!
-//! Start with [`Configuration::parse`]. A configuration arrives as one JSON document, which is read as a tree of values
-//! and validated by hand-written rules, so that each way in which it can be invalid has a [`ConfigurationError`] of its
-//! own. In an accepted configuration every route leads to defined services, and no two routes have the same host and
-//! path prefix. [`RouteTable`] finds the route of a request.
+//! Start with [`Configuration::parse`]. A configuration is one JSON document. It is parsed into a tree of values and
+//! validated by hand-written rules, so that each kind of invalid configuration has a separate variant of
+//! [`ConfigurationError`]. In an accepted configuration every route refers to defined services, and no two routes have
+//! the same host and path prefix. [`RouteTable`] finds the route of a request.
 
 #![warn(missing_docs)]
 
--- a/crates/tier/config/src/parse.rs
+++ b/crates/tier/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing and validation of a configuration from the bytes of a request's body.
+//! Parsing and validation of a configuration from the body of an HTTP request.
 
 use crate::error::{
     ConfigurationError, DuplicateRouteSnafu, DuplicateServiceSnafu, InvalidFieldSnafu,
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Retention of turns on a route that does not configure one.
+/// Retention of turns on a route without `retention_s`.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(60);
 
 impl Configuration {
-    /// Parses and validates a configuration from a JSON document.
+    /// Parses and validates a configuration from a JSON document. Unknown fields are ignored.
     ///
     /// # Errors
     /// See [`ConfigurationError`].
@@ -99,13 +99,13 @@
         max_replicas: object
             .optional_unsigned("max_retries")?
             .map_or(1, |n| n.min(u64::from(u32::MAX)) as u32),
-        kept: object.boolean("kept")?,
+        stores_turns: object.boolean("kept")?,
         retention: object
             .optional_seconds("retention_s")?
             .unwrap_or(DEFAULT_RETENTION),
         session_affinity: object.boolean("session_affinity")?,
         resumable: object.boolean("resumable")?,
-        gap_target: object.optional_milliseconds("gap_aim_ms")?,
+        event_gap_target: object.optional_milliseconds("gap_aim_ms")?,
     })
 }
 
@@ -124,7 +124,7 @@
     })
 }
 
-/// A route names one service, or several with weights.
+/// Parses the services of a route: either one `service`, or `weighted_clusters`, which takes precedence.
 fn clusters(object: &Object<'_>) -> Result<Vec<WeightedCluster>, ConfigurationError> {
     if object.get("weighted_clusters").is_none() {
         return Ok(vec![WeightedCluster {
@@ -167,6 +167,7 @@
     })
 }
 
+/// Checks the rules that involve several fields or objects.
 fn validate(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let mut services = BTreeSet::new();
     for service in &configuration.services {
@@ -180,7 +181,7 @@
     let mut routes_by_location = BTreeMap::new();
     for route in &configuration.routes {
         validate_route(route, &services)?;
-        // Hosts are compared without regard to case, as requests are.
+        // Host names are case-insensitive, as in `RouteTable::find`.
         let location = (
             route.domain.to_ascii_lowercase(),
             route.path_prefix.as_str(),
--- a/crates/tier/config/src/table.rs
+++ b/crates/tier/config/src/table.rs
@@ -1,17 +1,19 @@
-//! Routes by host and path prefix.
+//! Lookup of routes by host and path prefix.
 
 use crate::model::{Configuration, Route};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Finds the route of a request, in time that grows with the segments of its path, not with the number of routes.
+/// Finds the route of a request. A lookup takes one map access for each slash in the request's path, so that its time
+/// depends on the path rather than on the number of routes.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
+    /// Routes by host name in lower case, then by path prefix.
     hosts: BTreeMap<String, BTreeMap<String, Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of the configuration's routes.
+    /// Creates the table of the configuration's routes.
     pub fn new(configuration: &Configuration) -> Self {
         let mut hosts: BTreeMap<String, BTreeMap<String, Arc<Route>>> = BTreeMap::new();
         for route in &configuration.routes {
@@ -21,8 +23,8 @@
         RouteTable { hosts }
     }
 
-    /// The route of this host with the longest prefix of the path. A port in `host` and a query in `path` are ignored,
-    /// and so is the case of `host`.
+    /// Returns the route of `host` with the longest prefix of `path`. The port and the case of `host` are ignored, as
+    /// are the query and the fragment of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let prefixes = match self.hosts.get(name) {
--- a/crates/tier/config/src/value.rs
+++ b/crates/tier/config/src/value.rs
@@ -1,4 +1,4 @@
-//! Typed access to the fields of JSON objects, with errors that name the field.
+//! Typed access to the fields of JSON objects. Errors contain the path of the object and the name of the field.
 
 use crate::error::{ConfigurationError, InvalidFieldSnafu};
 use simd_json::OwnedValue;
@@ -6,26 +6,27 @@
 use snafu::OptionExt;
 use std::time::Duration;
 
-/// Upper bound of a time in a field, in milliseconds: one year.
-const MAX_TIME_MS: f64 = 365.0 * 24.0 * 3600.0 * 1000.0;
+/// Upper bound of a duration in a field, in milliseconds: one year.
+const MAX_DURATION_MS: f64 = 365.0 * 24.0 * 3600.0 * 1000.0;
 
-/// An object of the document and its path.
+/// JSON object with its path in the document, such as `routes[3]`.
 pub(crate) struct Object<'a> {
     location: String,
     value: &'a OwnedValue,
 }
 
 impl<'a> Object<'a> {
-    /// The object at `location`. A value of another type has no fields.
+    /// Creates the object at `location`. If `value` is not a JSON object, all its fields are absent.
     pub(crate) fn new(location: String, value: &'a OwnedValue) -> Self {
         Object { location, value }
     }
 
-    /// The value of a field, unless it is absent or null.
+    /// Returns the value of a field; `None` if it is absent or null.
     pub(crate) fn get(&self, field: &str) -> Option<&'a OwnedValue> {
         self.value.get(field).filter(|value| !value.is_null())
     }
 
+    /// Converts a required field with `read`; fails if the field is absent or null, or `read` returns `None`.
     fn required<T>(
         &self,
         field: &'static str,
@@ -40,6 +41,7 @@
         })
     }
 
+    /// Converts an optional field with `read`; `None` if the field is absent or null.
     fn optional<T>(
         &self,
         field: &'static str,
@@ -53,33 +55,34 @@
     }
 
     pub(crate) fn string(&self, field: &'static str) -> Result<String, ConfigurationError> {
-        self.required(field, "a text", |value| value.as_str().map(str::to_owned))
+        self.required(field, "a string", |value| value.as_str().map(str::to_owned))
     }
 
     pub(crate) fn optional_string(
         &self,
         field: &'static str,
     ) -> Result<Option<String>, ConfigurationError> {
-        self.optional(field, "a text", |value| value.as_str().map(str::to_owned))
+        self.optional(field, "a string", |value| value.as_str().map(str::to_owned))
     }
 
     pub(crate) fn unsigned(&self, field: &'static str) -> Result<u64, ConfigurationError> {
-        self.required(field, "a whole number", unsigned_integer)
+        self.required(field, "a non-negative integer", unsigned_integer)
     }
 
     pub(crate) fn optional_unsigned(
         &self,
         field: &'static str,
     ) -> Result<Option<u64>, ConfigurationError> {
-        self.optional(field, "a whole number", unsigned_integer)
+        self.optional(field, "a non-negative integer", unsigned_integer)
     }
 
     pub(crate) fn unsigned_32(&self, field: &'static str) -> Result<u32, ConfigurationError> {
-        self.required(field, "a whole number below 2^32", |value| {
+        self.required(field, "a non-negative integer below 2^32", |value| {
             unsigned_integer(value)?.try_into().ok()
         })
     }
 
+    /// Returns a boolean field; `false` if it is absent or null.
     pub(crate) fn boolean(&self, field: &'static str) -> Result<bool, ConfigurationError> {
         Ok(self
             .optional(field, "true or false", |value| value.as_bool())?
@@ -87,30 +90,36 @@
     }
 
     pub(crate) fn milliseconds(&self, field: &'static str) -> Result<Duration, ConfigurationError> {
-        self.required(field, "a time in ms", |value| {
-            milliseconds(value.cast_f64()?)
-        })
+        self.required(
+            field,
+            "a non-negative duration in milliseconds, at most one year",
+            |value| milliseconds(value.cast_f64()?),
+        )
     }
 
     pub(crate) fn optional_milliseconds(
         &self,
         field: &'static str,
     ) -> Result<Option<Duration>, ConfigurationError> {
-        self.optional(field, "a time in ms", |value| {
-            milliseconds(value.cast_f64()?)
-        })
+        self.optional(
+            field,
+            "a non-negative duration in milliseconds, at most one year",
+            |value| milliseconds(value.cast_f64()?),
+        )
     }
 
     pub(crate) fn optional_seconds(
         &self,
         field: &'static str,
     ) -> Result<Option<Duration>, ConfigurationError> {
-        self.optional(field, "a time in seconds", |value| {
-            milliseconds(value.cast_f64()? * 1000.0)
-        })
+        self.optional(
+            field,
+            "a non-negative duration in seconds, at most one year",
+            |value| milliseconds(value.cast_f64()? * 1000.0),
+        )
     }
 
-    /// The objects of an array, each with its path.
+    /// Returns the elements of a required array, each with its path.
     pub(crate) fn objects(
         &self,
         field: &'static str,
@@ -130,9 +139,10 @@
     }
 }
 
-/// Location of the whole document.
+/// Location of the document's top-level object in error messages.
 pub(crate) const ROOT: &str = "the configuration";
 
+/// Converts a JSON number to an integer. Numbers such as `8.0` are accepted.
 fn unsigned_integer(value: &OwnedValue) -> Option<u64> {
     value.as_u64().or_else(|| {
         let number = value.as_f64()?;
@@ -141,8 +151,9 @@
     })
 }
 
+/// Converts a number of milliseconds; `None` if it is negative or above [`MAX_DURATION_MS`].
 fn milliseconds(number: f64) -> Option<Duration> {
-    (0.0..=MAX_TIME_MS)
+    (0.0..=MAX_DURATION_MS)
         .contains(&number)
         .then(|| Duration::from_secs_f64(number / 1000.0))
 }
--- a/crates/tier/config/tests/configuration.rs
+++ b/crates/tier/config/tests/configuration.rs
@@ -1,10 +1,10 @@
-//! Accepted configurations, each way of being invalid, and the route table against an oracle.
+//! Valid configurations, each kind of invalid configuration, and the route table compared with a linear search.
 
 use quickcheck::quickcheck;
 use std::time::Duration;
 use woadreach_config::{Configuration, ConfigurationError, RouteTable, RouteType};
 
-/// Whether an error is the expected one.
+/// Returns whether an error is the expected one.
 type ErrorPredicate = fn(&ConfigurationError) -> bool;
 
 const COMPLETE: &str = r#"{"generation":7,"routes":[
@@ -29,8 +29,8 @@
     let chat = &configuration.routes[0];
     assert_eq!(chat.route_type, RouteType::Streaming);
     assert_eq!(chat.target_latency, Duration::from_millis(250));
-    assert_eq!(chat.gap_target, Some(Duration::from_millis(400)));
-    assert!(chat.kept && chat.session_affinity && !chat.resumable);
+    assert_eq!(chat.event_gap_target, Some(Duration::from_millis(400)));
+    assert!(chat.stores_turns && chat.session_affinity && !chat.resumable);
     assert_eq!(configuration.routes[1].clusters.len(), 2);
     assert_eq!(
         configuration
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_kind_of_invalid_configuration_has_its_error() {
+fn each_kind_of_invalid_configuration_has_a_separate_error() {
     let cases: Vec<(String, ErrorPredicate)> = vec![
         (COMPLETE[..COMPLETE.len() - 40].to_owned(), |e| {
             matches!(e, ConfigurationError::MalformedJson { .. })
@@ -154,10 +154,10 @@
 }
 
 #[test]
-fn a_generation_has_to_rise() {
+fn a_configuration_with_a_stale_generation_is_rejected() {
     let configuration = parse(COMPLETE).unwrap();
-    assert!(configuration.check_follows(6).is_ok());
-    let error = configuration.check_follows(7).unwrap_err();
+    assert!(configuration.check_newer_than(6).is_ok());
+    let error = configuration.check_newer_than(7).unwrap_err();
     assert_eq!(
         error,
         ConfigurationError::StaleGeneration {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_route_with_the_longest_matching_prefix_is_found() {
     let table = RouteTable::new(&parse(COMPLETE).unwrap());
     let name = |host, path| table.find(host, path).map(|route| route.name.clone());
     assert_eq!(name("shop.example", "/chat/2f").as_deref(), Some("chat"));
@@ -184,7 +184,7 @@
 }
 
 quickcheck! {
-    fn a_document_truncated_or_corrupted_anywhere_never_panics(at: usize, byte: u8) -> bool {
+    fn a_truncated_or_corrupted_document_does_not_cause_a_panic(at: usize, byte: u8) -> bool {
         let mut bytes = COMPLETE.as_bytes().to_vec();
         let at = at % bytes.len();
         let _ = Configuration::parse(&bytes[..at]);
@@ -193,11 +193,11 @@
         true
     }
 
-    fn the_table_agrees_with_a_search_through_all_routes(segments: Vec<u8>) -> bool {
+    fn the_table_agrees_with_a_linear_search(segments: Vec<u8>) -> bool {
         let path: String = segments.iter().map(|n| ["/", "chat", "new", "/chat/", "x"][*n as usize % 5]).collect();
         let configuration = parse(COMPLETE).unwrap();
-        let fits = configuration.routes.iter().filter(|route| path.starts_with(&route.path_prefix));
-        let longest = fits.max_by_key(|route| route.path_prefix.len()).map(|route| route.name.clone());
+        let matching = configuration.routes.iter().filter(|route| path.starts_with(&route.path_prefix));
+        let longest = matching.max_by_key(|route| route.path_prefix.len()).map(|route| route.name.clone());
         RouteTable::new(&configuration).find("shop.example", &path).map(|route| route.name.clone()) == longest
     }
 }
--- a/crates/tier/config/tests/recorded_configuration/errors.rs
+++ b/crates/tier/config/tests/recorded_configuration/errors.rs
@@ -1,13 +1,13 @@
-//! Error texts of configurations with a missing, ill-typed or inconsistent key.
+//! Error texts of configurations with missing, ill-typed or inconsistent keys.
 
-use super::samples::{RECORDED, changed, error_of, read, with_value, without};
+use super::samples::{RECORDED, changed, error_of, parse, with_value, without};
 
 #[test]
-fn a_missing_required_key_is_named() {
+fn the_error_names_a_missing_required_key() {
     let cases = [
         (
             "generation",
-            "the configuration: field `generation` is not a whole number",
+            "the configuration: field `generation` is not a non-negative integer",
         ),
         (
             "routes",
@@ -17,54 +17,53 @@
             "services",
             "the configuration: field `services` is not an array",
         ),
-        ("name", "routes[0]: field `name` is not a text"),
-        ("domain", "routes[0]: field `domain` is not a text"),
+        ("name", "routes[0]: field `name` is not a string"),
+        ("domain", "routes[0]: field `domain` is not a string"),
         (
             "path_prefix",
-            "routes[0]: field `path_prefix` is not a text",
+            "routes[0]: field `path_prefix` is not a string",
+        ),
+        (
+            "route_type",
+            "routes[0]: field `route_type` is not a string",
         ),
-        ("route_type", "routes[0]: field `route_type` is not a text"),
         (
             "timeout_ms",
-            "routes[0]: field `timeout_ms` is not a time in ms",
+            "routes[0]: field `timeout_ms` is not a non-negative duration in milliseconds, at most one year",
         ),
-        ("service", "routes[0]: field `service` is not a text"),
+        ("service", "routes[0]: field `service` is not a string"),
         (
             "weighted_clusters",
-            "routes[1]: field `service` is not a text",
+            "routes[1]: field `service` is not a string",
         ),
         (
             "weight",
-            "routes[1].weighted_clusters[0]: field `weight` is not a whole number below 2^32",
+            "routes[1].weighted_clusters[0]: field `weight` is not a non-negative integer below 2^32",
         ),
         (
             "capacity",
-            "engine: field `capacity` is not a whole number below 2^32",
+            "engine: field `capacity` is not a non-negative integer below 2^32",
         ),
     ];
     for (key, expected) in cases {
         assert_eq!(error_of(&without(key)), expected, "without {key}");
-        assert_eq!(
-            error_of(&with_value(key, "null")),
-            expected,
-            "{key} of null"
-        );
+        assert_eq!(error_of(&with_value(key, "null")), expected, "{key}: null");
     }
-    let unnamed = changed("{\"name\": \"plain\"}", "{}");
+    let without_name = changed("{\"name\": \"plain\"}", "{}");
     assert_eq!(
-        error_of(&unnamed),
-        "services[1]: field `name` is not a text"
+        error_of(&without_name),
+        "services[1]: field `name` is not a string"
     );
-    let unnamed = changed("[{\"name\": \"m\"}", "[{}");
+    let without_name = changed("[{\"name\": \"m\"}", "[{}");
     assert_eq!(
-        error_of(&unnamed),
-        "engine.models[0]: field `name` is not a text"
+        error_of(&without_name),
+        "engine.models[0]: field `name` is not a string"
     );
 }
 
 #[test]
-fn a_key_of_another_type_is_named() {
-    let number = "is not a whole number";
+fn the_error_names_a_key_of_the_wrong_type() {
+    let number = "is not a non-negative integer";
     let flag = "is not true or false";
     let cases = [
         (
@@ -92,21 +91,21 @@
             "\"model\"",
             "the configuration: field `services` is not an array".into(),
         ),
-        ("name", "1", "routes[0]: field `name` is not a text".into()),
+        ("name", "1", "routes[0]: field `name` is not a string".into()),
         (
             "domain",
             "[]",
-            "routes[0]: field `domain` is not a text".into(),
+            "routes[0]: field `domain` is not a string".into(),
         ),
         (
             "path_prefix",
             "true",
-            "routes[0]: field `path_prefix` is not a text".into(),
+            "routes[0]: field `path_prefix` is not a string".into(),
         ),
         (
             "route_type",
             "1",
-            "routes[0]: field `route_type` is not a text".into(),
+            "routes[0]: field `route_type` is not a string".into(),
         ),
         (
             "route_type",
@@ -116,17 +115,17 @@
         (
             "timeout_ms",
             "\"5000\"",
-            "routes[0]: field `timeout_ms` is not a time in ms".into(),
+            "routes[0]: field `timeout_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
         (
             "timeout_ms",
             "-1",
-            "routes[0]: field `timeout_ms` is not a time in ms".into(),
+            "routes[0]: field `timeout_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
         (
             "target_latency_ms",
             "[]",
-            "routes[0]: field `target_latency_ms` is not a time in ms".into(),
+            "routes[0]: field `target_latency_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
         (
             "priority",
@@ -136,7 +135,7 @@
         (
             "service",
             "1",
-            "routes[0]: field `service` is not a text".into(),
+            "routes[0]: field `service` is not a string".into(),
         ),
         (
             "max_retries",
@@ -147,7 +146,7 @@
         (
             "retention_s",
             "\"60\"",
-            "routes[0]: field `retention_s` is not a time in seconds".into(),
+            "routes[0]: field `retention_s` is not a non-negative duration in seconds, at most one year".into(),
         ),
         (
             "session_affinity",
@@ -162,7 +161,7 @@
         (
             "gap_aim_ms",
             "true",
-            "routes[0]: field `gap_aim_ms` is not a time in ms".into(),
+            "routes[0]: field `gap_aim_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
         (
             "weighted_clusters",
@@ -172,13 +171,13 @@
         (
             "weight",
             "4294967296",
-            "routes[1].weighted_clusters[0]: field `weight` is not a whole number below 2^32"
+            "routes[1].weighted_clusters[0]: field `weight` is not a non-negative integer below 2^32"
                 .into(),
         ),
         (
             "health_check",
             "1",
-            "services[0]: field `health_check` is not a text".into(),
+            "services[0]: field `health_check` is not a string".into(),
         ),
         (
             "max_conns",
@@ -188,12 +187,12 @@
         (
             "engine",
             "[]",
-            "engine: field `capacity` is not a whole number below 2^32".into(),
+            "engine: field `capacity` is not a non-negative integer below 2^32".into(),
         ),
         (
             "capacity",
             "-1",
-            "engine: field `capacity` is not a whole number below 2^32".into(),
+            "engine: field `capacity` is not a non-negative integer below 2^32".into(),
         ),
         (
             "kv_tokens",
@@ -223,29 +222,29 @@
         (
             "header_timeout_ms",
             "-1",
-            "limits: field `header_timeout_ms` is not a time in ms".into(),
+            "limits: field `header_timeout_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
         (
             "idle_timeout_ms",
             "\"\"",
-            "limits: field `idle_timeout_ms` is not a time in ms".into(),
+            "limits: field `idle_timeout_ms` is not a non-negative duration in milliseconds, at most one year".into(),
         ),
     ];
     for (key, value, expected) in cases {
         assert_eq!(
             error_of(&with_value(key, value)),
             expected,
-            "{key} of {value}"
+            "{key}: {value}"
         );
     }
 }
 
 #[test]
-fn an_inconsistent_configuration_is_rejected_with_the_reason() {
+fn an_inconsistent_configuration_is_rejected() {
     let cases = [
         (
             changed("\"service\": \"model\"", "\"service\": \"gone\""),
-            "route `chat` names the unknown service `gone`",
+            "route `chat` refers to the undefined service `gone`",
         ),
         (
             changed("\"name\": \"plain\"}", "\"name\": \"model\"}"),
@@ -267,16 +266,16 @@
     for (text, expected) in cases {
         assert_eq!(error_of(&text), expected);
     }
-    let current = read(RECORDED)
-        .check_follows(7)
-        .expect_err("no later one")
+    let current = parse(RECORDED)
+        .check_newer_than(7)
+        .expect_err("a stale generation")
         .to_string();
     assert_eq!(current, "generation 7 is not above the current one, 7");
 }
 
-/// Only the beginning of the message is fixed; the rest comes from the parser.
+/// Compares only the beginning of the message; the rest is the text of the JSON parser.
 #[test]
-fn a_body_that_is_not_a_complete_document_is_rejected() {
+fn a_body_that_is_not_one_json_object_is_rejected() {
     let complete = RECORDED.trim_end();
     for body in [
         "",
@@ -287,14 +286,14 @@
     ] {
         let error = error_of(body);
         assert!(
-            error.starts_with("the body is no whole JSON document: "),
+            error.starts_with("the body is not a complete JSON document: "),
             "{error}"
         );
     }
     for body in ["[]", "7", "null"] {
         assert_eq!(
             error_of(body),
-            "the configuration: field `generation` is not a whole number"
+            "the configuration: field `generation` is not a non-negative integer"
         );
     }
 }
--- a/crates/tier/config/tests/recorded_configuration/main.rs
+++ b/crates/tier/config/tests/recorded_configuration/main.rs
@@ -1,4 +1,4 @@
-//! A configuration with every key as it was recorded: what each key is parsed to, and its default.
+//! Parses a recorded configuration that contains every key, and checks each key's value and default.
 
 mod errors;
 mod samples;
@@ -7,10 +7,10 @@
 
 use woadreach_config::{ClientLimits, Configuration, Engine, Route, Service};
 
-use self::samples::{RECORDED, chat, limits, plain, read, services, split, with_value, without};
+use self::samples::{RECORDED, chat, limits, parse, plain, services, split, with_value, without};
 
 #[test]
-fn every_key_is_read_as_recorded() {
+fn every_key_of_the_recorded_configuration_is_parsed() {
     let routes = vec![chat(), split(), plain()];
     let expected = Configuration {
         generation: 7,
@@ -18,12 +18,12 @@
         services: services(),
         limits: limits(),
     };
-    assert_eq!(read(RECORDED), expected);
+    assert_eq!(parse(RECORDED), expected);
 }
 
 #[test]
 fn missing_optional_keys_of_a_route_have_their_defaults() {
-    let route = |key: &str| read(&without(key)).routes.swap_remove(0);
+    let route = |key: &str| parse(&without(key)).routes.swap_remove(0);
     assert_eq!(
         route("target_latency_ms"),
         Route {
@@ -48,7 +48,7 @@
     assert_eq!(
         route("kept"),
         Route {
-            kept: false,
+            stores_turns: false,
             ..chat()
         }
     );
@@ -76,7 +76,7 @@
     assert_eq!(
         route("gap_aim_ms"),
         Route {
-            gap_target: None,
+            event_gap_target: None,
             ..chat()
         }
     );
@@ -84,7 +84,7 @@
 
 #[test]
 fn missing_optional_keys_of_a_service_have_their_defaults() {
-    let service = |key: &str| read(&without(key)).services.swap_remove(0);
+    let service = |key: &str| parse(&without(key)).services.swap_remove(0);
     let complete = || services().swap_remove(0);
     let engine = || complete().engine.expect("an engine");
     assert_eq!(
@@ -137,7 +137,7 @@
 
 #[test]
 fn missing_limits_have_their_defaults() {
-    let found = |key: &str| read(&without(key)).limits;
+    let found = |key: &str| parse(&without(key)).limits;
     let defaults = ClientLimits {
         max_header_bytes: 16_384,
         max_body_bytes: 4_194_304,
@@ -181,23 +181,26 @@
 fn unknown_keys_are_ignored_at_every_level() {
     let text = RECORDED.replace('{', "{\"later_key\": [1, {}],");
     assert!(text.matches("later_key").count() >= 12);
-    assert_eq!(read(&text), read(RECORDED));
+    assert_eq!(parse(&text), parse(RECORDED));
 }
 
 #[test]
-fn numbers_beyond_a_bound_are_clamped() {
-    assert_eq!(read(&with_value("generation", "8.0")).generation, 8);
-    assert_eq!(read(&with_value("priority", "999")).routes[0].priority, 255);
+fn out_of_range_numbers_are_clamped() {
+    assert_eq!(parse(&with_value("generation", "8.0")).generation, 8);
     assert_eq!(
-        read(&with_value("max_retries", "4294967296")).routes[0].max_replicas,
+        parse(&with_value("priority", "999")).routes[0].priority,
+        255
+    );
+    assert_eq!(
+        parse(&with_value("max_retries", "4294967296")).routes[0].max_replicas,
         u32::MAX
     );
     assert_eq!(
-        read(&with_value("max_conns", "4294967296")).services[0].max_conns,
+        parse(&with_value("max_conns", "4294967296")).services[0].max_conns,
         u32::MAX
     );
     let engine = |text: &str| {
-        read(text)
+        parse(text)
             .services
             .swap_remove(0)
             .engine
@@ -205,7 +208,7 @@
     };
     assert_eq!(engine(&with_value("stride", "0")).stride, 1);
     assert_eq!(
-        read(&with_value("max_body_bytes", "1e15"))
+        parse(&with_value("max_body_bytes", "1e15"))
             .limits
             .max_body_bytes,
         1 << 40
--- a/crates/tier/config/tests/recorded_configuration/samples.rs
+++ b/crates/tier/config/tests/recorded_configuration/samples.rs
@@ -1,4 +1,4 @@
-//! The recorded configuration, changes of it, and the values that it is parsed to.
+//! The recorded configuration, functions that modify it, and the values to which it is parsed.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 pub(super) const RECORDED: &str = include_str!("../recorded/configuration.json");
 
-pub(super) fn read(text: &str) -> Configuration {
+pub(super) fn parse(text: &str) -> Configuration {
     Configuration::parse(text.as_bytes()).expect("a valid configuration")
 }
 
@@ -18,7 +18,7 @@
         .to_string()
 }
 
-/// The recorded configuration with the first `from` replaced by `to`.
+/// Returns the recorded configuration with the first occurrence of `from` replaced by `to`.
 pub(super) fn changed(from: &str, to: &str) -> String {
     assert!(
         RECORDED.contains(from),
@@ -27,12 +27,13 @@
     RECORDED.replacen(from, to, 1)
 }
 
-/// The recorded configuration with the first `key` renamed, so that it is missing.
+/// Returns the recorded configuration without the first `key`, which is renamed to an unknown key.
 pub(super) fn without(key: &str) -> String {
     changed(&format!("\"{key}\":"), "\"renamed\":")
 }
 
-/// The recorded configuration, in which the first `key` has another value. `null` is the same as a missing key.
+/// Returns the recorded configuration with the value of the first `key` replaced by `value`. The parser treats `null` as
+/// a missing key.
 pub(super) fn with_value(key: &str, value: &str) -> String {
     changed(
         &format!("\"{key}\":"),
@@ -58,15 +59,15 @@
         priority: 3,
         clusters: vec![cluster("model", 1)],
         max_replicas: 2,
-        kept: true,
+        stores_turns: true,
         retention: Duration::from_millis(90_500),
         session_affinity: true,
         resumable: true,
-        gap_target: Some(Duration::from_millis(400)),
+        event_gap_target: Some(Duration::from_millis(400)),
     }
 }
 
-/// A route with the required keys alone.
+/// Route that has only the required keys.
 pub(super) fn plain() -> Route {
     Route {
         name: "plain".into(),
@@ -78,11 +79,11 @@
         priority: 0,
         clusters: vec![cluster("plain", 1)],
         max_replicas: 1,
-        kept: false,
+        stores_turns: false,
         retention: Duration::from_secs(60),
         session_affinity: false,
         resumable: false,
-        gap_target: None,
+        event_gap_target: None,
     }
 }
 
--- a/crates/tier/proxy/src/client/service.rs
+++ b/crates/tier/proxy/src/client/service.rs
@@ -145,7 +145,7 @@
         .counters
         .unread_hints
         .fetch_add(metadata.unread_hints, Ordering::Relaxed);
-    if route.kept && metadata.program.is_none() {
+    if route.stores_turns && metadata.program.is_none() {
         let session = metadata.session.clone();
         metadata.program = Some(session.unwrap_or_else(|| metadata.request_id.clone()));
     }
--- a/crates/tier/proxy/src/routing_state.rs
+++ b/crates/tier/proxy/src/routing_state.rs
@@ -51,7 +51,7 @@
         let received = snapshot.configuration.as_ref()?;
         match &self.configuration {
             Some(current) if Arc::ptr_eq(current, received) => None,
-            Some(current) if received.check_follows(current.generation).is_err() => None,
+            Some(current) if received.check_newer_than(current.generation).is_err() => None,
             _ => Some(received),
         }
     }
--- a/crates/tier/proxy/src/turns/request_turn.rs
+++ b/crates/tier/proxy/src/turns/request_turn.rs
@@ -46,7 +46,7 @@
             token_counter: TokenCounter::new(request.tokens_per_event, max_tokens),
             program: request.metadata.program.clone().unwrap_or_default(),
             request_id: request.metadata.request_id.clone(),
-            is_stored: request.route.kept,
+            is_stored: request.route.stores_turns,
             previous: None,
             events: Vec::new(),
             reservation: None,
