--- a/crates/tier/config/tests/recorded_configuration/samples.rs
+++ b/crates/tier/config/tests/recorded_configuration/samples.rs
@@ -32,8 +32,8 @@
     changed(&format!("\"{key}\":"), "\"renamed\":")
 }
 
-/// Returns the recorded configuration with the value of the first `key` replaced by `value`. The parser treats `null` as
-/// a missing key.
+/// Returns the recorded configuration with the value of the first `key` replaced by `value`. The parser treats `null`
+/// as a missing key.
 pub(super) fn with_value(key: &str, value: &str) -> String {
     changed(
         &format!("\"{key}\":"),
--- a/crates/tier/settings/src/error.rs
+++ b/crates/tier/settings/src/error.rs
@@ -3,7 +3,7 @@
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why a settings file cannot be used.
+/// Reason why the settings cannot be loaded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
@@ -23,20 +23,20 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not YAML, or a field is missing or of another type. The message names the field.
+    /// The file is not valid YAML, or a field is missing or has the wrong type. The message names the field.
     #[snafu(display("settings: {source}"))]
     Malformed {
-        /// Error of the parser, with field, line and column.
+        /// Error of the YAML parser, with field, line and column where known.
         source: serde_norway::Error,
     },
-    /// A field has a value outside its range.
+    /// The value of a field is out of range.
     #[snafu(display("settings: field `{field}` is {found}; expected {expected}"))]
     InvalidValue {
-        /// Path of the field, with dots between the levels.
+        /// Path of the field, such as `limits.memory_mb`.
         field: &'static str,
-        /// Value of the field.
+        /// Value found in the file.
         found: String,
-        /// Description of the values that are accepted.
+        /// Description of the accepted values.
         expected: &'static str,
     },
 }
--- a/crates/tier/settings/src/file.rs
+++ b/crates/tier/settings/src/file.rs
@@ -1,10 +1,10 @@
-//! The fields as the YAML file has them, before validation. Their names are those of the operators' pages.
+//! Fields of the YAML file before validation. Their names are those in the operators' documentation.
 
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// The whole file; see [`NodeSettings`](crate::NodeSettings) for the meaning of the fields.
+/// Top level of the file. The fields are documented at [`NodeSettings`](crate::NodeSettings).
 #[derive(Deserialize)]
 pub(crate) struct SettingsFile {
     pub node: String,
@@ -73,7 +73,8 @@
     pub regions: usize,
 }
 
-/// Time bounds. Each may be absent; the defaults are those of the smallest deployment.
+/// Time bounds, documented at [`Bounds`](crate::Bounds). Each may be absent; the defaults are those of the
+/// smallest deployment.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct BoundsFile {
--- a/crates/tier/settings/src/settings.rs
+++ b/crates/tier/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Validated settings, as the programs use them.
+//! Validated settings of a process.
 
 use crate::SETTINGS_VARIABLE;
 use crate::error::{
@@ -10,61 +10,61 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The settings of one process.
+/// Settings of one process. The fields have the names of the file unless their comment names another key.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Name of the machine, unique in the tier.
     pub node: String,
-    /// Name of the role in the deploy file.
+    /// Name of the role in the deploy file; empty if the settings file has none.
     pub role: String,
-    /// Class of the machine: `edge`, `core` or `storage`.
+    /// Class of the machine: `edge`, `core` or `storage`; empty if the file has none.
     pub machine_class: String,
-    /// Callers of this role from outside the tier.
+    /// Kinds of callers from outside the tier that this role serves, such as `edge` or `control`.
     pub serves: Vec<String>,
-    /// The machine's address.
+    /// IP address of the machine.
     pub ip: Ipv4Addr,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The zone's region.
+    /// Region of the zone; empty if the file has none.
     pub region: String,
-    /// Addresses for callers from outside the tier.
+    /// Addresses on which the process listens for callers from outside the tier.
     pub listen: Listen,
-    /// Ports for traffic between the processes of the tier, the same on all machines.
+    /// Ports for traffic between the processes of the tier; the same on all machines.
     pub port_range: PortRange,
-    /// Control addresses of a few core machines at the time when the file was written.
+    /// Control addresses of some core machines, as of the time when the platform wrote the file.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the very first start of the whole system.
+    /// Whether the tier as a whole is started for the very first time.
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts against the fault tolerance.
+    /// Whether a failure of this machine counts towards the limits in `fault_tolerance`.
     pub counts_for_quorum: bool,
     /// Resources that the process may use.
     pub limits: ProcessLimits,
-    /// Folder for durable state; `None` on a machine without a disk.
+    /// Directory for durable state; `None` on a machine without a disk.
     pub data_dir: Option<PathBuf>,
-    /// Interval between two heartbeats of a replica.
+    /// Interval between two heartbeats of a replica (`heartbeat_ms`); 1200 ms by default.
     pub heartbeat: Duration,
-    /// Losses that may happen at once.
+    /// Numbers of simultaneous failures that the tier must tolerate.
     pub fault_tolerance: FaultTolerance,
-    /// Time bounds of the rules.
+    /// Time bounds of the guarantees.
     pub bounds: Bounds,
 }
 
 /// Addresses on which a process listens for callers from outside the tier.
 #[derive(Clone, Debug, Default)]
 pub struct Listen {
-    /// Clients, on an `edge` machine.
+    /// Address for clients, on an `edge` machine.
     pub front: Option<SocketAddr>,
-    /// The platform's readiness calls, on an `edge` machine.
+    /// Address for the platform's readiness checks, on an `edge` machine.
     pub ready: Option<SocketAddr>,
-    /// Replicas and the operator, on a machine that serves `control`.
+    /// Address for replicas and the operator, on a machine that serves `control`.
     pub control: Option<SocketAddr>,
 }
 
-/// Ports of a process, both ends included.
+/// Inclusive range of the ports of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// First port; above 0. Calls from other processes of the tier arrive here, and readers of the metrics page at the
-    /// next.
+    /// First port; above 0. The process accepts calls from other processes of the tier on this port, and serves the
+    /// metrics page on the next one.
     pub first: u16,
     /// Last port; not below `first`.
     pub last: u16,
@@ -73,85 +73,86 @@
 /// Resources that a process may use.
 #[derive(Clone, Debug)]
 pub struct ProcessLimits {
-    /// Share of one core, 0 to 1.
+    /// Share of one core; above 0 and normally at most 1.
     pub cpu_share: f64,
-    /// Speed of a core, as a multiple of the reference core.
+    /// Speed of a core as a multiple of the reference core's speed; 1 by default.
     pub cores: f64,
-    /// Memory in MB; a process above it is killed.
+    /// Memory limit in MB; above 0. A process that exceeds it is killed.
     pub memory_mb: u64,
     /// Upper bound of open file descriptors.
     pub max_fds: u64,
     /// Bandwidth of the machine's link, in Mbit/s; 0 if the file has none.
     pub link_mbps: f64,
-    /// Space on the disk in MB, of 10^6 bytes; 0 without a disk. See [`ProcessLimits::disk_bytes`].
+    /// Disk space in MB of 10^6 bytes; 0 without a disk. See [`ProcessLimits::disk_bytes`].
     pub disk_mb: u64,
 }
 
 impl ProcessLimits {
-    /// Space on the disk in bytes. A megabyte of the file may also be 2^20 bytes; the smaller reading is safe for both.
+    /// Returns the disk space in bytes. The file may also mean megabytes of 2^20 bytes; 10^6 bytes is the smaller unit
+    /// and so never exceeds the space.
     pub fn disk_bytes(&self) -> u64 {
         self.disk_mb.saturating_mul(1_000_000)
     }
 }
 
-/// Number of losses at once that every guarantee survives.
+/// Numbers of simultaneous failures under which every guarantee still applies.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultTolerance {
-    /// Lost machines that count for a quorum.
+    /// Number of failed machines, among those with `counts_for_quorum`.
     pub machines: usize,
-    /// Lost zones.
+    /// Number of failed zones; 0 by default.
     pub zones: usize,
-    /// Lost regions.
+    /// Number of failed regions; 0 by default.
     pub regions: usize,
 }
 
 impl FaultTolerance {
-    /// Number of members of a replication group that may be lost at once. The members are in different zones and
-    /// regions, so the loss of a zone or region is the loss of one member.
+    /// Returns the number of members of a replication group that may fail at the same time. The members are in
+    /// different zones and regions, so the failure of a zone or region is the failure of one member.
     pub fn tolerated_losses(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 }
 
-/// Time bounds of the guarantees, under the names of the operators' pages.
+/// Time bounds of the guarantees. The comment of each field gives its key in the file, under `bounds`.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Lag of the operators' list of control machines.
+    /// Lag of the operators' list of control machines (`seed_lag_s`).
     pub seed_lag: Duration,
-    /// Time after which the address of an ended replica may be reused by another.
+    /// Time after which another replica may reuse the address of a replica that has ended (`reuse_after_s`).
     pub reuse_after: Duration,
-    /// Time without faults after which a machine counts as in touch with the others.
-    pub touch: Duration,
-    /// Time within which an order of the operator is acknowledged.
-    pub ack: Duration,
-    /// Time after which a returned or new machine has caught up.
+    /// Time without faults after which a machine counts as connected to the others (`touch_ms`).
+    pub fault_free_period: Duration,
+    /// Time within which an order of the operator is acknowledged (`ack_ms`).
+    pub order_acknowledgement: Duration,
+    /// Time after which a machine that is new or has returned has caught up (`catch_up_s`).
     pub catch_up: Duration,
-    /// Time within which a drain takes effect.
+    /// Time within which a drain takes effect (`drain_timeout_ms`).
     pub drain_timeout: Duration,
-    /// Time between SIGTERM and SIGKILL.
+    /// Time between SIGTERM and SIGKILL (`grace_period_s`).
     pub grace_period: Duration,
-    /// Time within which a read request that is closed without an answer is excused.
-    pub lost: Duration,
-    /// Time within which a configuration is active.
-    pub config: Duration,
-    /// Time during which two versions may be observed out of order on one machine.
-    pub back: Duration,
-    /// Time that an unstable core may add to [`Bounds::config`].
-    pub outer: Duration,
-    /// Time within which service resumes after a disaster.
-    pub recover: Duration,
-    /// Time within which an event of a stream is forwarded.
-    pub pass: Duration,
-    /// Time within which a request may be repeated.
-    pub again: Duration,
-    /// Time for which programs run on after the end of traffic.
-    pub finish: Duration,
-    /// Time within which the tokens of an ended turn are settled in its budget.
-    pub settle: Duration,
+    /// Time within which closing a read request without a response is not counted as an error (`lost_ms`).
+    pub unanswered_read: Duration,
+    /// Time within which an accepted configuration is active (`config_ms`).
+    pub config_activation: Duration,
+    /// Time during which two versions may be observed out of order on one machine (`back_ms`).
+    pub version_regression: Duration,
+    /// Time that an unstable core may add to [`Bounds::config_activation`] (`outer_ms`).
+    pub unstable_core_delay: Duration,
+    /// Time within which service resumes after a disaster (`recover_s`).
+    pub disaster_recovery: Duration,
+    /// Time within which an event of a stream is forwarded (`pass_ms`).
+    pub event_forwarding: Duration,
+    /// Time within which a request may be repeated (`again_s`).
+    pub request_repetition: Duration,
+    /// Time for which the processes continue to run after the end of traffic (`finish_s`).
+    pub post_traffic_runtime: Duration,
+    /// Time within which the tokens of a finished turn are settled in its budget (`settle_ms`).
+    pub budget_settlement: Duration,
 }
 
 impl NodeSettings {
-    /// Reads and validates the file that the environment variable [`SETTINGS_VARIABLE`] names.
+    /// Reads and validates the file whose path is in the environment variable [`SETTINGS_VARIABLE`].
     ///
     /// # Errors
     /// See [`SettingsError`].
@@ -218,18 +219,19 @@
         })
     }
 
-    /// Address at which the other processes of the tier reach this one.
+    /// Returns the address on which this process accepts calls from the other processes of the tier.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port_range.first))
     }
 
-    /// Address of the metrics page: the port after that for the tier's own traffic. `None` if the range has only one.
+    /// Returns the address of the metrics page, on the second port of the range. `None` if the range has only one port.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         let PortRange { first, last } = self.port_range;
         (last > first).then(|| SocketAddr::from((self.ip, first + 1)))
     }
 
-    /// Addresses at which the processes of the tier reach the seeds. Ports are the same on all machines.
+    /// Returns the addresses of the seeds for calls within the tier. The port range is the same on all machines, so the
+    /// first port of this process is also that of the seeds.
     pub fn seed_internal_addresses(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
@@ -244,7 +246,7 @@
         InvalidValueSnafu {
             field: "node",
             found: "empty",
-            expected: "the machine's name"
+            expected: "the name of the machine"
         }
     );
     let ports = &file.port_range;
@@ -290,26 +292,26 @@
             .context(InvalidValueSnafu {
                 field,
                 found: value.to_string(),
-                expected: "a length of time",
+                expected: "a non-negative duration",
             })
     };
     let milliseconds = |field, value: f64| seconds(field, value / 1000.0);
     Ok(Bounds {
         seed_lag: seconds("bounds.seed_lag_s", file.seed_lag_s)?,
         reuse_after: seconds("bounds.reuse_after_s", file.reuse_after_s)?,
-        touch: milliseconds("bounds.touch_ms", file.touch_ms)?,
-        ack: milliseconds("bounds.ack_ms", file.ack_ms)?,
+        fault_free_period: milliseconds("bounds.touch_ms", file.touch_ms)?,
+        order_acknowledgement: milliseconds("bounds.ack_ms", file.ack_ms)?,
         catch_up: seconds("bounds.catch_up_s", file.catch_up_s)?,
         drain_timeout: milliseconds("bounds.drain_timeout_ms", file.drain_timeout_ms)?,
         grace_period: seconds("bounds.grace_period_s", file.grace_period_s)?,
-        lost: milliseconds("bounds.lost_ms", file.lost_ms)?,
-        config: milliseconds("bounds.config_ms", file.config_ms)?,
-        back: milliseconds("bounds.back_ms", file.back_ms)?,
-        outer: milliseconds("bounds.outer_ms", file.outer_ms)?,
-        recover: seconds("bounds.recover_s", file.recover_s)?,
-        pass: milliseconds("bounds.pass_ms", file.pass_ms)?,
-        again: seconds("bounds.again_s", file.again_s)?,
-        finish: seconds("bounds.finish_s", file.finish_s)?,
-        settle: milliseconds("bounds.settle_ms", file.settle_ms)?,
+        unanswered_read: milliseconds("bounds.lost_ms", file.lost_ms)?,
+        config_activation: milliseconds("bounds.config_ms", file.config_ms)?,
+        version_regression: milliseconds("bounds.back_ms", file.back_ms)?,
+        unstable_core_delay: milliseconds("bounds.outer_ms", file.outer_ms)?,
+        disaster_recovery: seconds("bounds.recover_s", file.recover_s)?,
+        event_forwarding: milliseconds("bounds.pass_ms", file.pass_ms)?,
+        request_repetition: seconds("bounds.again_s", file.again_s)?,
+        post_traffic_runtime: seconds("bounds.finish_s", file.finish_s)?,
+        budget_settlement: milliseconds("bounds.settle_ms", file.settle_ms)?,
     })
 }
--- a/crates/tier/settings/tests/recorded_settings.rs
+++ b/crates/tier/settings/tests/recorded_settings.rs
@@ -1,5 +1,5 @@
-//! A settings file with every key as it was recorded, and what is said where a key is missing, unknown or
-//! ill-typed.
+//! Parses a recorded settings file that contains every key, and checks the defaults and error texts where a key is
+//! missing, unknown or ill-typed.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 const RECORDED: &str = include_str!("recorded/settings.yaml");
 
-fn read(text: &str) -> NodeSettings {
-    NodeSettings::parse(text).expect("settings that are read")
+fn parse(text: &str) -> NodeSettings {
+    NodeSettings::parse(text).expect("valid settings")
 }
 
-/// The recorded file without the keys of this name, and whatever stands below them. `limits.cores` is the key
-/// `cores` of the block `limits`.
+/// Returns the recorded file without `key` and the lines nested below it. `limits.cores` is the key `cores` of the
+/// block `limits`.
 fn without(key: &str) -> String {
-    changed(key, |_| String::new())
+    with_line_replaced(key, |_| String::new())
 }
 
-/// The recorded file with `value` in the place of what `key` has.
+/// Returns the recorded file with the value of `key` replaced by `value`.
 fn with_value(key: &str, value: &str) -> String {
-    changed(key, |line| {
+    with_line_replaced(key, |line| {
         format!("{}: {value}\n", line.split(':').next().expect("a key"))
     })
 }
 
-/// The recorded file with another line in the place of a key's own and those below it.
-fn changed(key: &str, replace: impl Fn(&str) -> String) -> String {
+/// Returns the recorded file with the line of `key` passed through `replace`, without the lines nested below it.
+fn with_line_replaced(key: &str, replace: impl Fn(&str) -> String) -> String {
     let (mut text, mut block, mut is_below, mut count) = (String::new(), "", false, 0);
     for line in RECORDED.lines() {
         let is_inner = line.starts_with(' ');
@@ -50,15 +50,15 @@
             text.push('\n');
         }
     }
-    assert_eq!(count, 1, "{key} stands once in the recorded file");
+    assert_eq!(count, 1, "{key} occurs once in the recorded file");
     text
 }
 
-/// The text of the refusal. Names of the program's types, which some texts end in, are not part of what is
-/// held.
+/// Returns the text of the error without the names of Rust types that some texts contain, so that renaming a type does
+/// not fail the tests.
 fn error_of(text: &str) -> String {
     let error = NodeSettings::parse(text)
-        .expect_err("settings that are refused")
+        .expect_err("invalid settings")
         .to_string();
     let Some((before, after)) = error.split_once("expected struct ") else {
         return error;
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn every_key_but_bounds_is_read_as_recorded() {
-    let settings = read(RECORDED);
+fn every_key_outside_bounds_is_parsed() {
+    let settings = parse(RECORDED);
     assert_eq!(settings.node, "core-1");
     assert_eq!(settings.role, "control");
     assert_eq!(settings.machine_class, "core");
@@ -134,46 +134,46 @@
     );
 }
 
-/// Bounds in the order of the file.
+/// Returns all bounds in milliseconds, in the order of the file.
 fn bounds(settings: &NodeSettings) -> [u128; 16] {
     let bounds = &settings.bounds;
     let all = [
         bounds.seed_lag,
         bounds.reuse_after,
-        bounds.touch,
-        bounds.ack,
+        bounds.fault_free_period,
+        bounds.order_acknowledgement,
         bounds.catch_up,
         bounds.drain_timeout,
         bounds.grace_period,
-        bounds.lost,
-        bounds.config,
-        bounds.back,
-        bounds.outer,
-        bounds.recover,
-        bounds.pass,
-        bounds.again,
-        bounds.finish,
-        bounds.settle,
+        bounds.unanswered_read,
+        bounds.config_activation,
+        bounds.version_regression,
+        bounds.unstable_core_delay,
+        bounds.disaster_recovery,
+        bounds.event_forwarding,
+        bounds.request_repetition,
+        bounds.post_traffic_runtime,
+        bounds.budget_settlement,
     ];
     all.map(|bound| bound.as_millis())
 }
 
 #[test]
-fn every_bound_is_read_as_recorded() {
+fn every_bound_is_parsed() {
     let expected = [
         1500, 2500, 3500, 4500, 5500, 6500, 7500, 850, 950, 1050, 1150, 12500, 135, 14500, 15500,
         1650,
     ];
-    assert_eq!(bounds(&read(RECORDED)), expected);
+    assert_eq!(bounds(&parse(RECORDED)), expected);
 }
 
 #[test]
-fn absent_bounds_have_their_defaults() {
+fn missing_bounds_have_their_defaults() {
     let expected = [
         3000, 2000, 3000, 4000, 4000, 2000, 8000, 200, 2000, 250, 5000, 12000, 120, 0, 10000, 1000,
     ];
-    assert_eq!(bounds(&read(&without("bounds"))), expected);
-    let without_one = read(&without("bounds.settle_ms"));
+    assert_eq!(bounds(&parse(&without("bounds"))), expected);
+    let without_one = parse(&without("bounds.settle_ms"));
     assert_eq!(
         (bounds(&without_one)[15], bounds(&without_one)[0]),
         (1000, 1500)
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_missing_key_that_is_needed_is_named() {
+fn the_error_names_a_missing_required_key() {
     let cases = [
         ("node", "settings: missing field `node`"),
         ("ip", "settings: missing field `ip`"),
@@ -216,35 +216,35 @@
 }
 
 #[test]
-fn other_missing_keys_have_their_defaults() {
-    assert_eq!(read(&without("role")).role, "");
-    assert_eq!(read(&without("machine_class")).machine_class, "");
-    assert!(read(&without("serves")).serves.is_empty());
-    assert_eq!(read(&without("region")).region, "");
-    let listen = read(&without("listen")).listen;
+fn missing_optional_keys_have_their_defaults() {
+    assert_eq!(parse(&without("role")).role, "");
+    assert_eq!(parse(&without("machine_class")).machine_class, "");
+    assert!(parse(&without("serves")).serves.is_empty());
+    assert_eq!(parse(&without("region")).region, "");
+    let listen = parse(&without("listen")).listen;
     assert_eq!([listen.front, listen.ready, listen.control], [None; 3]);
-    assert_eq!(read(&without("listen.front")).listen.front, None);
-    assert_eq!(read(&without("listen.ready")).listen.ready, None);
-    assert_eq!(read(&without("listen.control")).listen.control, None);
-    assert!(!read(&without("bootstrap")).bootstrap);
-    assert!(!read(&without("counts_for_quorum")).counts_for_quorum);
-    assert_eq!(read(&without("limits.cores")).limits.cores, 1.0);
-    assert_eq!(read(&without("limits.link_mbps")).limits.link_mbps, 0.0);
-    assert_eq!(read(&without("limits.disk_mb")).limits.disk_mb, 0);
-    assert_eq!(read(&without("data_dir")).data_dir, None);
-    assert_eq!(read(&with_value("data_dir", "null")).data_dir, None);
+    assert_eq!(parse(&without("listen.front")).listen.front, None);
+    assert_eq!(parse(&without("listen.ready")).listen.ready, None);
+    assert_eq!(parse(&without("listen.control")).listen.control, None);
+    assert!(!parse(&without("bootstrap")).bootstrap);
+    assert!(!parse(&without("counts_for_quorum")).counts_for_quorum);
+    assert_eq!(parse(&without("limits.cores")).limits.cores, 1.0);
+    assert_eq!(parse(&without("limits.link_mbps")).limits.link_mbps, 0.0);
+    assert_eq!(parse(&without("limits.disk_mb")).limits.disk_mb, 0);
+    assert_eq!(parse(&without("data_dir")).data_dir, None);
+    assert_eq!(parse(&with_value("data_dir", "null")).data_dir, None);
     assert_eq!(
-        read(&without("heartbeat_ms")).heartbeat,
+        parse(&without("heartbeat_ms")).heartbeat,
         Duration::from_millis(1200)
     );
     assert_eq!(
-        read(&without("fault_tolerance.zones"))
+        parse(&without("fault_tolerance.zones"))
             .fault_tolerance
             .zones,
         0
     );
     assert_eq!(
-        read(&without("fault_tolerance.regions"))
+        parse(&without("fault_tolerance.regions"))
             .fault_tolerance
             .regions,
         0
@@ -261,7 +261,7 @@
         );
     }
     assert_eq!(text.matches("later_key").count(), 5);
-    let settings = read(&text);
+    let settings = parse(&text);
     assert_eq!(
         (settings.node, settings.limits.disk_mb),
         ("core-1".to_owned(), 4000)
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_key_of_another_type_is_named() {
+fn the_error_names_a_key_of_the_wrong_type() {
     let cases = [
         (
             "node",
@@ -378,12 +378,12 @@
 }
 
 #[test]
-fn a_value_that_no_process_can_work_with_is_named() {
+fn the_error_names_a_key_whose_value_is_out_of_range() {
     let cases = [
         (
             "node",
             "\"\"",
-            "settings: field `node` is empty; expected the machine's name",
+            "settings: field `node` is empty; expected the name of the machine",
         ),
         (
             "port_range",
@@ -408,12 +408,12 @@
         (
             "bounds.again_s",
             "-1",
-            "settings: field `bounds.again_s` is -1; expected a length of time",
+            "settings: field `bounds.again_s` is -1; expected a non-negative duration",
         ),
         (
             "bounds.touch_ms",
             "-5",
-            "settings: field `bounds.touch_ms` is -0.005; expected a length of time",
+            "settings: field `bounds.touch_ms` is -0.005; expected a non-negative duration",
         ),
     ];
     for (key, value, expected) in cases {
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn what_is_no_settings_file_is_refused() {
+fn a_document_that_is_not_a_settings_file_is_rejected() {
     let cases = [
         ("", "settings: missing field `node`"),
         (
--- a/crates/tier/settings/tests/settings.rs
+++ b/crates/tier/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files that are read, and those that are refused by the name of the field at fault.
+//! Valid settings files, and invalid ones, whose errors name the field.
 
 use quickcheck::quickcheck;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 "#;
 
 #[test]
-fn a_disk_has_at_least_a_million_bytes_for_each_megabyte() {
+fn disk_space_is_converted_with_the_smaller_megabyte() {
     let text = EDGE.replace("disk_mb: 0", "disk_mb: 300");
     let limits = NodeSettings::parse(&text).unwrap().limits;
     assert_eq!(limits.disk_bytes(), 300_000_000);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_complete_file_is_read_and_unknown_fields_are_ignored() {
+fn a_complete_file_is_parsed_and_unknown_fields_are_ignored() {
     let settings = NodeSettings::parse(EDGE).unwrap();
     assert_eq!(settings.node, "edge-1");
     assert_eq!(
@@ -80,12 +80,15 @@
         settings.seed_internal_addresses()[1],
         "127.0.0.2:7380".parse().unwrap()
     );
-    assert_eq!(settings.bounds.touch, Duration::from_millis(3500));
+    assert_eq!(
+        settings.bounds.fault_free_period,
+        Duration::from_millis(3500)
+    );
     assert_eq!(settings.bounds.catch_up, Duration::from_millis(4100));
     assert_eq!(
-        settings.bounds.config,
+        settings.bounds.config_activation,
         Duration::from_secs(2),
-        "absent bounds have their default"
+        "a missing bound has its default"
     );
     assert!(settings.listen.control.is_none());
     assert!(settings.data_dir.is_none());
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn the_error_names_a_missing_field() {
     for field in ["node", "ip", "zone", "seeds", "fault_tolerance"] {
         let text = EDGE.replace(&format!("\n{field}:"), &format!("\nrenamed_{field}:"));
         let message = NodeSettings::parse(&text).unwrap_err().to_string();
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn invalid_values_are_named() {
+fn the_error_names_the_field_of_an_invalid_value() {
     let cases = [
         ("node: \"edge-1\"", "node: \"\"", "node"),
         ("  - 7380\n  - 7395", "  - 7395\n  - 7380", "port_range"),
@@ -128,25 +131,25 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_names_a_missing_file() {
     let error = NodeSettings::load("/nonexistent/settings.yaml".as_ref()).unwrap_err();
     assert!(error.to_string().contains("/nonexistent/settings.yaml"));
 }
 
 quickcheck! {
-    fn any_text_is_read_or_rejected_without_a_panic(text: String) -> bool {
+    fn any_text_is_parsed_or_rejected_without_a_panic(text: String) -> bool {
         let _ = NodeSettings::parse(&text);
         true
     }
 
-    fn a_file_truncated_anywhere_is_read_or_rejected_without_a_panic(length: usize) -> bool {
+    fn a_truncated_file_is_parsed_or_rejected_without_a_panic(length: usize) -> bool {
         let _ = NodeSettings::parse(&EDGE[..length % EDGE.len()]);
         true
     }
 }
 
 #[test]
-fn a_group_tolerates_the_greatest_of_the_configured_losses() {
+fn a_group_tolerates_the_greatest_number_of_configured_failures() {
     let tolerance = |machines, zones, regions| FaultTolerance {
         machines,
         zones,
