--- a/crates/tier/control/src/command_line.rs
+++ b/crates/tier/control/src/command_line.rs
@@ -4,23 +4,23 @@
 
 use crate::logging::LogFormat;
 
-/// The role that a process plays.
+/// Role of the process, chosen by the subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The control plane.
+    /// Member of the chain that replicates the control state, and discovery for the data plane.
     Core,
-    /// Storage of conversations and of programs' budgets.
+    /// Storage of conversations and of the budgets of programs.
     Storage,
 }
 
-/// Arguments of the command line.
+/// Parsed command-line arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arguments {
-    /// The subcommand.
+    /// Role that the subcommand names.
     pub role: Role,
-    /// `--log-format`; text if it is not given.
+    /// Value of `--log-format`; text by default.
     pub log_format: LogFormat,
-    /// `--log-filter`, in the syntax of `tracing_subscriber`'s `EnvFilter`; `info` if it is not given.
+    /// Value of `--log-filter`, in the syntax of `tracing_subscriber`'s `EnvFilter`; `info` by default.
     pub log_filter: String,
 }
 
@@ -42,26 +42,29 @@
                 .value_parser(["text", "json"])
                 .default_value("text")
                 .global(true)
-                .help("Form of the log"),
+                .help("Log format"),
         )
         .arg(
             Arg::new("log-filter")
                 .long("log-filter")
                 .default_value("info")
                 .global(true)
-                .help("What is logged, as in `info,woadreach_control=debug`"),
+                .help("Log filter, for example `info,woadreach_control=debug`"),
         )
         .subcommand(
-            Command::new("core")
-                .about("Keep the configuration and the lists of replicas and machines"),
+            Command::new("core").about(
+                "Replicate the configuration and maintain the lists of replicas and machines",
+            ),
+        )
+        .subcommand(
+            Command::new("storage").about("Store conversations and the budgets of programs"),
         )
-        .subcommand(Command::new("storage").about("Keep conversations and programs' budgets"))
 }
 
-/// Parses the arguments, of which the first is the name of the program.
+/// Parses the arguments. The first one is the name of the program.
 ///
 /// # Errors
-/// [`clap::Error`] for arguments that can't be parsed, and for `--help` and `--version`.
+/// [`clap::Error`] for invalid arguments, and for `--help` and `--version`, whose output it contains.
 pub fn parse<I, T>(arguments: I) -> Result<Arguments, clap::Error>
 where
     I: IntoIterator<Item = T>,
--- a/crates/tier/control/src/committed.rs
+++ b/crates/tier/control/src/committed.rs
@@ -1,5 +1,5 @@
-//! Committed state of the core, as discovery sends it to the data plane: the last step of a configuration
-//! change in this process.
+//! Gives discovery access to the committed state of the core, which discovery sends to the data plane. This is
+//! the last step of a configuration change in this process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 
 use crate::member_driver::MemberDriver;
 
-/// The committed state that this machine's member has published, for discovery.
+/// Source of committed state for discovery: reads what the member of this machine has published.
 pub struct MemberCommittedState {
     driver: Arc<MemberDriver>,
 }
 
 impl MemberCommittedState {
-    /// Reads the state of the member that `driver` runs.
+    /// Creates the source that reads from the member run by `driver`.
     pub fn new(driver: Arc<MemberDriver>) -> MemberCommittedState {
         MemberCommittedState { driver }
     }
--- a/crates/tier/control/src/core_role/departure.rs
+++ b/crates/tier/control/src/core_role/departure.rs
@@ -8,12 +8,12 @@
 use crate::DEPARTURE_POLL_INTERVAL;
 use crate::member_driver::MemberDriver;
 
-/// Part of the grace period that is reserved for answering requests in flight after the departure.
+/// Part of the grace period reserved for answering requests in flight after the departure from the chain.
 const STOP_MARGIN: Duration = Duration::from_millis(2500);
-/// Limit on the time for the departure when no member stays that could take over.
+/// Time limit for the departure when no other member remains to take over.
 const LAST_MEMBER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Logs whether the member has left, or why it is stopped before that.
+/// Logs whether the member has left the chain. If it has not, the log line contains the reason.
 fn log_end(departure: ExitReadiness) {
     if departure == ExitReadiness::Free {
         tracing::info!("left the chain");
@@ -25,8 +25,8 @@
     }
 }
 
-/// Asks to be removed from the chain, and waits until no data depends on this machine's disk, which may never
-/// come back, or until the grace period is over but for [`STOP_MARGIN`].
+/// Requests removal from the chain, and waits until no data depends on the disk of this machine, because the
+/// machine may never restart. The wait ends at the latest [`STOP_MARGIN`] before the end of the grace period.
 pub(super) async fn leave(driver: &MemberDriver, grace_period: Duration) {
     tracing::info!("departure from the chain requested");
     driver.handle(Input::Leave);
--- a/crates/tier/control/src/core_role/metrics.rs
+++ b/crates/tier/control/src/core_role/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page of a core machine: its view, its contact with the others, what is committed, and its journal.
+//! Metrics page of a core machine: view, quorum, committed state, journal, and registry of replicas.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::member_driver::MemberDriver;
 
-/// Makes the page of this process.
+/// Creates the source that renders the metrics page on each scrape.
 pub(super) fn page_source(driver: Arc<MemberDriver>, discovery: Arc<CoreDiscovery>) -> PageSource {
     Arc::new(move || {
         let mut page = Page::default();
--- a/crates/tier/control/src/core_role/mod.rs
+++ b/crates/tier/control/src/core_role/mod.rs
@@ -1,4 +1,4 @@
-//! The `core` role: starts the services of a core machine, and stops them on SIGTERM.
+//! The `core` role: starts the services of a core machine and stops them on SIGTERM.
 
 mod departure;
 mod metrics;
@@ -30,13 +30,14 @@
 use recovery::recover_or_initialize;
 use signals::run_until_sigterm;
 
-/// Limit on the time for answering requests in flight when the process is stopped.
+/// Time limit for answering requests in flight when the process stops.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1500);
-/// File descriptors that HTTP connections may not use.
+/// Number of file descriptors reserved for uses other than HTTP connections.
 const RESERVED_DESCRIPTORS: u64 = 2200;
-/// HTTP connections that are accepted even if descriptors are few.
+/// Lower bound on the limit of HTTP connections, used when few descriptors are available.
 const MIN_CONNECTIONS: u64 = 256;
-/// Limit on HTTP connections. Each may have a head of 32 KiB and a heartbeat of 64 KiB in memory.
+/// Upper bound on the limit of HTTP connections. Each connection may use memory for a request head of 32 KiB and
+/// a heartbeat of 64 KiB.
 const MAX_CONNECTIONS: u64 = 1200;
 
 /// Runs the role until SIGTERM.
@@ -75,13 +76,13 @@
     run_until_sigterm(&driver, &services.sampler, &mut terminate, &mut hangup).await;
     leave(&driver, settings.bounds.grace_period).await;
     stop.send_replace(true);
-    // A server task that has panicked has no requests in flight.
+    // If the server task has panicked, no requests are in flight.
     let _ = server.await;
     tracing::info!(node = settings.node, "core machine stopped");
     Ok(())
 }
 
-/// What runs beside the member.
+/// Services that run alongside the member.
 struct Services {
     orders: Arc<OrderService>,
     discovery: Arc<CoreDiscovery>,
@@ -96,7 +97,8 @@
     listener: TcpListener,
 ) -> Services {
     let tolerated_losses = settings.fault_tolerance.tolerated_losses();
-    // An order may be as long as a configuration; heartbeats between members must not queue behind it.
+    // Separate connections: an order may be as large as a configuration, and heartbeats between members must not
+    // queue behind it.
     let order_rpc = Client::new(ClientOptions::default());
     let orders = Arc::new(OrderService::new(
         Arc::clone(driver),
@@ -133,7 +135,7 @@
     free.clamp(MIN_CONNECTIONS, MAX_CONNECTIONS) as usize
 }
 
-/// Handlers of messages between members and of forwarded orders.
+/// Registers the handlers of messages between members and of forwarded orders.
 fn internal_handlers(driver: &Arc<MemberDriver>, orders: &Arc<OrderService>) -> Router {
     let chain = Arc::clone(driver);
     let orders = Arc::clone(orders);
--- a/crates/tier/control/src/core_role/recovery.rs
+++ b/crates/tier/control/src/core_role/recovery.rs
@@ -1,4 +1,5 @@
-//! The state of a core machine at its start: recovered from the journal, or a new identity on an empty disk.
+//! State of a core machine at its start: recovered from the journal, or initialized with a new identity if the
+//! disk is empty.
 
 use std::path::Path;
 
@@ -12,13 +13,13 @@
 use crate::member_driver::new_durable;
 use crate::random::random_number;
 
-/// Percentage of the disk that the journal may use.
+/// Maximum percentage of the disk that the journal uses.
 const MAX_DISK_PERCENT: u64 = 80;
-/// Limit in bytes on the records that wait for the disk.
+/// Maximum total size in bytes of the records queued for the disk.
 const MAX_QUEUED_BYTES: usize = 64 << 20;
 
-/// Opens the journal and recovers the state of the member. On an empty disk, a new identity is created and
-/// synced.
+/// Opens the journal and recovers the state of the member. On an empty disk, creates a new identity and syncs
+/// it.
 pub(super) async fn recover_or_initialize(
     settings: &NodeSettings,
     options: &MemberOptions,
@@ -55,12 +56,12 @@
 struct OpenedJournal {
     journal: Journal,
     found: Recovered,
-    /// Whether the disk's content was undamaged. After damage, a machine must not bootstrap a core: the one
-    /// that it was a member of may still run.
+    /// Whether the journal was undamaged when it was opened. After damage, the machine must not bootstrap a new
+    /// core, because the core that it was a member of may still be running.
     is_intact: bool,
 }
 
-/// Opens the journal. A corrupted one is emptied, so that the machine starts as a new member.
+/// Opens the journal. Discards a corrupted journal, so that the machine starts as a new member.
 fn open_journal(path: &Path, disk_bytes: u64) -> Result<OpenedJournal, RoleError> {
     let max_bytes = disk_bytes / 100 * MAX_DISK_PERCENT;
     let options = JournalOptions {
--- a/crates/tier/control/src/core_role/signals.rs
+++ b/crates/tier/control/src/core_role/signals.rs
@@ -1,4 +1,4 @@
-//! What a core machine does until SIGTERM: reloads its seeds on SIGHUP and while it is out of quorum.
+//! Signal handling of a core machine: reloads the seeds on SIGHUP and while out of quorum, until SIGTERM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::error::RoleError;
 use crate::member_driver::MemberDriver;
 
-/// Interval at which the seeds are reloaded while this machine is out of quorum.
+/// Interval between reloads of the seeds while this machine is out of quorum.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Returns on SIGTERM. Reloads the seeds on SIGHUP, and at intervals while this machine is out of quorum. The
-/// sampler is told at the same intervals whether it is.
+/// Returns on SIGTERM. Reloads the seeds on SIGHUP, and every [`RELOAD_INTERVAL`] while this machine is out of
+/// quorum. At the same interval, updates the sampler on whether this machine is out of quorum.
 pub(super) async fn run_until_sigterm(
     driver: &MemberDriver,
     sampler: &Sampler,
@@ -38,7 +38,8 @@
     }
 }
 
-/// Gives the member the seeds of the settings, and the core machines that other processes have named.
+/// Sets the seeds of the member to those in the settings file and the core machines that the sampler has learned
+/// of from other processes.
 fn reload_seeds(driver: &MemberDriver, sampler: &Sampler) {
     let options = NodeSettings::load_from_environment()
         .map_err(|source| RoleError::Settings { source })
--- a/crates/tier/control/src/durable_log.rs
+++ b/crates/tier/control/src/durable_log.rs
@@ -1,36 +1,38 @@
-//! A member's durable state in the journal: numbered records after a snapshot. In a configuration change a
-//! write is a record here before any member passes it on.
+//! Encoding of a member's durable state in the journal: a snapshot followed by numbered records. In a
+//! configuration change, a member writes a record here before it forwards the write.
 //!
-//! Records carry consecutive numbers. Where one is missing (its append failed, and later ones did not),
-//! recovery skips the records after the gap: the driver has reported none of them as synced. The incarnation
-//! that starts from there appends the missing number anew, behind the skipped records, and a later recovery
-//! continues with it.
+//! Records have consecutive numbers. A number is missing if its append failed while later appends succeeded.
+//! Recovery then skips the records after the gap, none of which the driver has reported as synced. The next
+//! incarnation appends a new record with the missing number after the skipped records, and a later recovery
+//! continues from that record.
 
 use woadreach_chain::{Durable, Record, RecordError};
 
-/// Bytes of a record's number.
+/// Size in bytes of an encoded record number.
 const NUMBER_BYTES: usize = 8;
 
-/// State of a member as its journal has it.
+/// State of a member recovered from its journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredMember {
-    /// The state, with every record up to `number` applied.
+    /// Durable state with every record up to `number` applied.
     pub durable: Durable,
-    /// Number of the last record that is applied; 0 before the first.
+    /// Number of the last applied record; 0 if none has been applied.
     pub number: u64,
 }
 
-/// Encodes a record for [`woadreach_journal::Journal::append`]. Its number must be one more than the last.
+/// Encodes a record for [`woadreach_journal::Journal::append`]. `number` must be one more than that of the
+/// previous record.
 pub fn encode_record(number: u64, record: &Record) -> Vec<u8> {
     with_number(number, record.encode())
 }
 
-/// Encodes a snapshot for [`woadreach_journal::Journal::replace`]. `number` is that of the last record in it.
+/// Encodes a snapshot for [`woadreach_journal::Journal::replace`]. `number` is that of the last record that the
+/// snapshot includes.
 pub fn encode_snapshot(number: u64, durable: &Durable) -> Vec<u8> {
     with_number(number, durable.encode())
 }
 
-/// Rebuilds the state from a snapshot and the records after it.
+/// Rebuilds the state from a snapshot and the records in the log after it.
 ///
 /// # Errors
 /// [`RecordError`] if the snapshot or a record can't be decoded.
@@ -50,9 +52,9 @@
     Ok(recovered)
 }
 
-/// A snapshot or a record as it is in the journal.
+/// A snapshot or a record, split into its number and its content.
 struct Numbered<'a> {
-    /// Number of the record, or of the last record in the snapshot.
+    /// Number of the record, or of the last record that the snapshot includes.
     number: u64,
     /// The encoded snapshot or record.
     body: &'a [u8],
--- a/crates/tier/control/src/error.rs
+++ b/crates/tier/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures that end a role.
+//! Errors that terminate a role.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,82 +11,82 @@
 
 use crate::storage_role::StorageRoleError;
 
-/// Why a role could not start or continue.
+/// Reason why a role failed to start or to continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RoleError {
     /// The settings file is missing, malformed, or lacks a field.
     #[snafu(display("settings: {source}"))]
     Settings {
-        /// What is wrong with the file.
+        /// Error from loading the settings.
         source: SettingsError,
     },
-    /// A field that the role needs is not set.
+    /// A settings field required by the role is missing.
     #[snafu(display("settings: `{field}` is missing; the role `{role}` needs {expected}"))]
     MissingField {
-        /// Name of the field.
+        /// Name of the settings field.
         field: &'static str,
-        /// Role that needs it.
+        /// Role that requires the field.
         role: &'static str,
-        /// What the field should say.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A field has a value that the role can't use.
+    /// A settings field has a value that the role does not support.
     #[snafu(display("settings: `{field}` is {found}; expected {expected}"))]
     UnusableField {
-        /// Name of the field.
+        /// Name of the settings field.
         field: &'static str,
         /// Value of the field.
         found: String,
-        /// What the field should say.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// An address can't be listened on.
+    /// Binding a listening socket failed.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address to listen on.
+        /// Address of the socket.
         address: SocketAddr,
-        /// The operating system's failure.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The journal can't be opened.
+    /// Opening, discarding or initializing the journal failed.
     #[snafu(display("journal in {}: {source}", path.display()))]
     Journal {
         /// Folder of the journal.
         path: PathBuf,
-        /// The journal's failure.
+        /// Error from the journal.
         source: JournalError,
     },
-    /// The journal has a record or snapshot that this program can't decode.
+    /// The journal contains a record or snapshot that cannot be decoded.
     #[snafu(display("journal in {}: {source}", path.display()))]
     Unreadable {
         /// Folder of the journal.
         path: PathBuf,
-        /// What can't be decoded.
+        /// Error from decoding the record or snapshot.
         source: RecordError,
     },
-    /// Signals can't be received.
-    #[snafu(display("signals: {source}"))]
+    /// Installing a signal handler failed.
+    #[snafu(display("cannot install a signal handler: {source}"))]
     Signal {
-        /// The operating system's failure.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The asynchronous runtime can't be started.
-    #[snafu(display("runtime: {source}"))]
+    /// Starting the asynchronous runtime failed.
+    #[snafu(display("cannot start the asynchronous runtime: {source}"))]
     Runtime {
-        /// The operating system's failure.
+        /// Error from the operating system.
         source: io::Error,
     },
     /// The storage role failed.
     #[snafu(display("storage: {source}"))]
     Storage {
-        /// The storage role's failure.
+        /// Error from the storage role.
         source: StorageRoleError,
     },
 }
 
 impl RoleError {
-    /// Exit code of the process: 2 for settings, 1 for everything else.
+    /// Exit code of the process: 2 for invalid settings, 1 for all other errors.
     pub fn exit_code(&self) -> u8 {
         match self {
             RoleError::Settings { .. }
--- a/crates/tier/control/src/http_server.rs
+++ b/crates/tier/control/src/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that is bounded in connections, in the size of heads and in the time that they take.
+//! HTTP/1.1 server with limits on connections, on the size of request heads, and on request time.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tower::ServiceExt;
 
-/// Limit in bytes on a request's head, and on the buffer of a connection.
+/// Maximum size in bytes of a request head and of the buffer of a connection.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Limit on the time for a head to arrive, and so on the time that a connection is idle.
+/// Time limit for receiving a request head. It also limits the idle time of a connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(12);
-/// Limit on the time from a request's head to its response.
+/// Time limit from the receipt of a request head to the response. After it, the response has status 503.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval between a failed `accept`, as when descriptors have run out, and the next attempt.
+/// Delay before the next `accept` after one has failed, for example because no descriptors are available.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Serves `router` on at most `max_connections` connections until `stop` holds `true`. Then no connection is
-/// accepted, and requests in flight have `drain_timeout` to be answered.
+/// Serves `router` on at most `max_connections` concurrent connections until the value of `stop` is `true` or its
+/// sender is dropped. Then stops accepting connections, and waits up to `drain_timeout` for requests in flight.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -54,13 +54,13 @@
         }
     }
     drop(listener);
-    // Connections that are still open after this time are closed.
+    // Connections that are still open after the time-out are closed.
     let _ = tokio::time::timeout(drain_timeout, graceful.shutdown()).await;
 }
 
-/// Returns once `stop` holds `true` or its sender is dropped.
+/// Waits until the value of `stop` is `true` or its sender is dropped.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // A dropped sender means the same.
+    // The error case is a dropped sender, which also stops the server.
     let _ = stop.wait_for(|stopped| *stopped).await;
 }
 
--- a/crates/tier/control/src/instances.rs
+++ b/crates/tier/control/src/instances.rs
@@ -1,5 +1,5 @@
-//! HTTP interface of the replicas' heartbeats: `PUT` and `DELETE /instances/{id}`. They are no changes of the
-//! configuration: discovery passes them between core machines without the chain.
+//! HTTP API for the heartbeats of replicas: `PUT` and `DELETE /instances/{id}`. Heartbeats do not change the
+//! configuration: discovery replicates them between core machines without the chain.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
     AcknowledgeError, CoreDiscovery, Heartbeat, HeartbeatError, ModelRecord, ReplicaState,
 };
 
-/// Limit in bytes on the body of a heartbeat.
+/// Maximum size in bytes of the body of a heartbeat.
 pub const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// Why a heartbeat's body can't be read.
+/// Reason why the body of a heartbeat could not be parsed.
 #[derive(Debug, Snafu)]
 pub enum HeartbeatBodyError {
-    /// A field is missing, has another type or an unknown value, or the body is not JSON.
+    /// The body is not JSON, or a field is missing, has the wrong type or has an unknown value.
     #[snafu(display("the heartbeat cannot be read: {source}"))]
     Unreadable {
-        /// The field at fault and its position.
+        /// Error from the JSON parser, with the position in the body.
         source: serde_json::Error,
     },
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// [`HeartbeatBodyError`] if a field is missing or malformed. Unknown fields are ignored.
-pub fn read_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatBodyError> {
+pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatBodyError> {
     let wire: WireHeartbeat =
         serde_json::from_slice(body).map_err(|source| HeartbeatBodyError::Unreadable { source })?;
     Ok(Heartbeat {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The routes of replicas' heartbeats.
+/// Creates the routes for the heartbeats of replicas.
 pub fn router(discovery: Arc<CoreDiscovery>) -> Router {
     Router::new()
         .route("/instances/{id}", put(put_instance).delete(delete_instance))
@@ -112,7 +112,7 @@
     Path(id): Path<String>,
     body: Bytes,
 ) -> Response {
-    match read_heartbeat(&body) {
+    match parse_heartbeat(&body) {
         Ok(heartbeat) => respond(discovery.heartbeat(&id, heartbeat).await),
         Err(error) => {
             discovery.count_undecodable_heartbeat();
@@ -151,7 +151,8 @@
 
 fn reject(status: StatusCode, name: &'static str, message: &str) -> Response {
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        // Every heartbeat gets this while the machine is out of quorum, which is logged once elsewhere.
+        // Debug level, because every heartbeat is rejected while this machine is out of quorum. The member driver
+        // logs the change of quorum once.
         tracing::debug!(error = name, "heartbeat received but not acknowledged");
     } else {
         tracing::info!(%status, error = name, message, "heartbeat rejected");
--- a/crates/tier/control/src/logging.rs
+++ b/crates/tier/control/src/logging.rs
@@ -2,19 +2,19 @@
 
 use tracing_subscriber::EnvFilter;
 
-/// Format of the log.
+/// Format of the log output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines without colors.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts logging. `filter` is in the syntax of [`EnvFilter`]; one that can't be parsed counts as `info`.
+/// Starts logging. `filter` is in the syntax of [`EnvFilter`]; if it is invalid, `info` is used.
 ///
 /// # Panics
-/// If logging has been started before.
+/// If a global `tracing` subscriber is already set.
 pub fn start(format: LogFormat, filter: &str) {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
--- a/crates/tier/control/src/member_driver/mod.rs
+++ b/crates/tier/control/src/member_driver/mod.rs
@@ -1,10 +1,10 @@
-//! Runs a [`Member`] on the real clock, disk and network: where each step of a configuration change that the
-//! member decides becomes a write to the disk, a message or a reply.
+//! Runs a [`Member`] on the real clock, disk and network. The driver executes the outputs of the member as writes
+//! to the disk, messages and replies; each step of a configuration change is such an output.
 //!
-//! [`MemberDriver::handle`] gives the member an event and executes its outputs. They are executed under the
-//! lock under which they were decided, so that records reach the journal in the order of their numbers. Three
-//! tasks run beside the callers: one awaits syncs of records, one awaits snapshots (both in `persistence`),
-//! and one wakes the member when its next time-out is due.
+//! [`MemberDriver::handle`] passes an input to the member and executes the outputs while it still has the lock on
+//! the member, so that records are appended to the journal in the order of their numbers. Three background tasks
+//! run alongside the callers: one awaits syncs of records, one awaits snapshots (both in `persistence`), and one
+//! wakes the member when its next time-out is due.
 
 mod persistence;
 
@@ -28,63 +28,63 @@
 
 use persistence::{PendingSync, SyncFuture};
 
-/// A disk that has not synced for this long is unhealthy.
+/// Time after which a disk with an unfinished operation counts as unhealthy.
 const DISK_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A member and everything that it needs of its process.
+/// A member with its journal, connections and timer.
 pub struct MemberDriver {
-    /// Origin of the member's clock.
+    /// Zero of the member's clock.
     started: Instant,
-    /// Connections for short messages.
+    /// Connections for short messages to other members.
     rpc: Client,
-    /// Connections for bulk messages, so that short messages don't queue behind them.
+    /// Connections for bulk messages, separate so that short messages do not queue behind them.
     bulk_rpc: Client,
     journal: Journal,
     state: Mutex<DriverState>,
-    /// Syncs of records, in the order of their numbers, for the task that awaits them.
+    /// Queue of pending syncs of records in the order of their numbers, read by `await_syncs`.
     syncs: mpsc::UnboundedSender<PendingSync>,
-    /// Snapshots that replace the log, for the task that awaits them.
+    /// Queue of pending snapshots that replace the log, read by `await_snapshots`.
     snapshots: mpsc::UnboundedSender<SyncFuture>,
-    /// Wakes the timer's task before `DriverState::timer_deadline`.
+    /// Wakes the timer task before `DriverState::timer_deadline`.
     timer: Notify,
-    /// Count of the changes that [`MemberDriver::changes`] reports.
+    /// Counter of the changes that [`MemberDriver::changes`] reports.
     changes: watch::Sender<u64>,
 }
 
 struct DriverState {
     member: Member,
-    /// Number of the last record of earlier incarnations. The member counts its records from 1; their numbers
-    /// in the journal go on from here.
+    /// Number of the last record of earlier incarnations. The member numbers its records from 1; adding this
+    /// number gives their numbers in the journal.
     recovered_number: u64,
-    /// Number of the last record that the member has made. Must not be less than `recovered_number`.
+    /// Journal number of the last record that the member has created. Never less than `recovered_number`.
     last_number: u64,
     journal_health: JournalHealth,
-    /// What the member was last notified of.
+    /// Disk health that the member was last notified of.
     is_disk_healthy: bool,
-    /// Records that were synced since the process started.
+    /// Number of syncs reported to the member since the process started.
     synced_records: u64,
-    /// Requests that the member has not answered.
+    /// Reply channels of the requests that the member has not answered.
     replies: HashMap<RequestId, oneshot::Sender<Reply>>,
-    /// Number of the next request; rises by one with each.
+    /// Identifier of the next request.
     next_request: u64,
-    /// When the timer's task wakes by itself.
+    /// Time at which the timer task wakes without a notification.
     timer_deadline: Instant,
 }
 
-/// The state of a journal at one moment.
+/// Snapshot of the journal's state, for metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalReport {
-    /// Length of the log since the last snapshot.
+    /// Length in bytes of the log since the last snapshot.
     pub log_bytes: u64,
-    /// For how long the disk has not finished an operation; zero if none is pending.
+    /// Time for which the disk has not finished an operation; zero if none is pending.
     pub stalled_for: Duration,
-    /// Whether the disk takes records and syncs in time.
+    /// Whether the last append or repair succeeded and no disk operation exceeds its time limit.
     pub is_healthy: bool,
-    /// Records that were synced since the process started.
+    /// Number of syncs reported to the member since the process started.
     pub synced_records: u64,
 }
 
-/// Cancels a request when its caller stops waiting for the reply.
+/// Cancels a request if its caller drops the future before the reply.
 struct RequestGuard<'a> {
     driver: &'a MemberDriver,
     id: RequestId,
@@ -100,8 +100,8 @@
 }
 
 impl MemberDriver {
-    /// Starts the member with the state `recovered`, all of which must be synced to `journal`'s disk. Must be
-    /// called within a `tokio` runtime.
+    /// Starts the member with the state `recovered`, which must be completely synced to the disk of `journal`.
+    /// Must be called within a `tokio` runtime.
     pub fn start(
         options: MemberOptions,
         recovered: RecoveredMember,
@@ -140,10 +140,10 @@
         driver
     }
 
-    /// Receives a message of another member.
+    /// Decodes and handles a message from another member.
     ///
     /// # Errors
-    /// [`DecodeError`] if the message can't be read or is unsound. The member's state is then unchanged.
+    /// [`DecodeError`] if the message cannot be decoded or is invalid. The state of the member is then unchanged.
     pub fn receive(&self, body: &[u8]) -> Result<(), DecodeError> {
         let envelope = Envelope::decode(body)?;
         envelope.check()?;
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Gives the member an input and executes its outputs.
+    /// Passes an input to the member and executes its outputs.
     pub fn handle(&self, input: Input) {
         let mut state = self.state.lock();
         let outputs = state.member.handle(self.started.elapsed(), input);
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Sends the member a request and waits for its reply, however long the chain takes. A member that isn't
-    /// the head replies [`Reply::Unavailable`].
+    /// Sends the member a request and waits for its reply without a time limit. A member that is not the head
+    /// replies [`Reply::Unavailable`].
     pub async fn request(&self, request: Request) -> Reply {
         let (sender, receiver) = oneshot::channel();
         let id = {
@@ -186,34 +186,35 @@
         reply
     }
 
-    /// What the member knows of the core at this time.
+    /// Returns the current view of the core as known to this member.
     pub fn status(&self) -> Status {
         let now = self.started.elapsed();
         self.state.lock().member.status(now)
     }
 
-    /// Whether the process of a member that is leaving may stop.
+    /// Returns whether the process of a departing member may stop.
     pub fn exit_readiness(&self) -> ExitReadiness {
         let now = self.started.elapsed();
         self.state.lock().member.exit_readiness(now)
     }
 
-    /// The newest committed state that this member knows.
+    /// Returns the newest committed state known to this member.
     pub fn published(&self) -> Arc<ControlState> {
         Arc::clone(self.state.lock().member.published())
     }
 
-    /// The storage view with every change that this head has appended, committed or not.
+    /// Returns the latest storage view, including changes that this head has appended but not committed; `None`
+    /// before the first.
     pub fn latest_storage_view(&self) -> Option<StoredStorageView> {
         self.state.lock().member.latest().storage_view.clone()
     }
 
-    /// The storage view in the newest committed state that this member knows.
+    /// Returns the storage view in the newest committed state known to this member; `None` before the first.
     pub fn published_storage_view(&self) -> Option<StoredStorageView> {
         self.published().storage_view.clone()
     }
 
-    /// The state of the journal.
+    /// Returns the current state of the journal.
     pub fn journal_report(&self) -> JournalReport {
         let state = self.state.lock();
         JournalReport {
@@ -224,13 +225,13 @@
         }
     }
 
-    /// A counter that rises with each change of the committed state, of the view, and of whether this machine
-    /// is in quorum.
+    /// Returns a counter that is incremented on each change of the committed state, of the view, and of whether
+    /// this machine is in quorum.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Executes outputs of the member. Returns whether the committed state or the view has changed.
+    /// Executes the outputs of the member. Returns whether the committed state or the view has changed.
     fn execute(&self, state: &mut DriverState, outputs: Vec<Output>) -> bool {
         let mut is_changed = false;
         for output in outputs {
@@ -239,7 +240,7 @@
                 Output::Send { to, envelope } => self.send(to, &envelope),
                 Output::Reply { id, reply } => {
                     if let Some(sender) = state.replies.remove(&id) {
-                        // The caller may have stopped waiting.
+                        // The send fails if the caller has stopped waiting.
                         let _ = sender.send(reply);
                     }
                 }
@@ -269,7 +270,7 @@
         client.notify(SocketAddr::V4(to), ServiceId::CHAIN, envelope.encode());
     }
 
-    /// Wakes the member whenever its next time-out is due, and reports changes of the disk's health and of
+    /// Timer task: wakes the member when its next time-out is due, and reports changes of disk health and of
     /// quorum.
     async fn run_timer(self: Arc<Self>) {
         let mut was_in_quorum = false;
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Notifies the member when the disk becomes unhealthy or healthy.
+    /// Notifies the member if the health of the disk has changed.
     fn check_disk(&self) {
         let is_healthy = {
             let mut state = self.state.lock();
@@ -315,7 +316,7 @@
     }
 }
 
-/// Logs the voters that are suspected since the last call, and those that are no longer.
+/// Logs the voters that became suspected or stopped being suspected since the last call, and updates `suspected`.
 fn log_suspicions(suspected: &mut Vec<SocketAddrV4>, now_suspected: Vec<SocketAddrV4>) {
     for voter in &now_suspected {
         if !suspected.contains(voter) {
@@ -340,8 +341,8 @@
     );
 }
 
-/// The initial state of a machine whose disk is empty. A bootstrapping machine starts with a view of the
-/// seeds, any other with no view until a running core machine sends it one.
+/// Returns the initial state of a machine with an empty disk. A bootstrapping machine starts with a view of the
+/// seeds. Any other machine starts without a view, until a running core machine sends it one.
 pub fn new_durable(bootstrap: bool, options: &MemberOptions, identity: u64) -> Durable {
     let view = if bootstrap {
         View::bootstrap(&options.seeds)
--- a/crates/tier/control/src/member_driver/persistence.rs
+++ b/crates/tier/control/src/member_driver/persistence.rs
@@ -1,5 +1,5 @@
-//! Records and snapshots of the member: appended, synced, compacted, and repaired after a failed append. The
-//! member passes on what depends on a record once it is reported as synced from here.
+//! Persistence of the member's records and snapshots: append, sync, compaction, and repair after a failed append.
+//! The member sends what depends on a record only after this module has reported the record as synced.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,27 +13,27 @@
 use super::{DriverState, MemberDriver};
 use crate::durable_log::{encode_record, encode_snapshot};
 
-/// Interval between two attempts to repair a failed journal.
+/// Interval between attempts to repair the journal after a failed append.
 const REPAIR_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Ends once a record or a snapshot is synced.
+/// Completes when a record or a snapshot is synced, or when its write fails.
 pub(super) type SyncFuture = Pin<Box<dyn Future<Output = Result<Synced, JournalError>> + Send>>;
 
-/// A record that is queued in the journal and not known to be synced.
+/// A record or repair snapshot that is queued in the journal and not known to be synced.
 pub(super) struct PendingSync {
-    /// Number of the record in the journal.
+    /// Journal number of the record, or of the last record in the snapshot.
     number: u64,
     synced: SyncFuture,
 }
 
 impl MemberDriver {
-    /// Appends a record. `member_number` is its number in this incarnation, from 1.
+    /// Appends a record. `member_number` is the number of the record in this incarnation, starting at 1.
     pub(super) fn persist(&self, state: &mut DriverState, member_number: u64, record: &Record) {
         let number = state.recovered_number + member_number;
         state.last_number = number;
         if !state.journal_health.accepts_records() {
-            // The member's state has the record, so the snapshot of the next repair contains it. Until then
-            // nothing reports it as synced.
+            // The state of the member includes the record, so the snapshot of the next repair contains it. The
+            // record is not reported as synced before that snapshot is.
             return;
         }
         let synced = self.journal.append(encode_record(number, record));
@@ -41,12 +41,13 @@
             number,
             synced: Box::pin(synced),
         };
-        // The receiving task lives as long as this driver.
+        // The receiving task runs as long as this driver exists, so the send succeeds.
         let _ = self.syncs.send(pending);
     }
 
-    /// Replaces the log by a snapshot if it is long, while records are appended. Must be called when every
-    /// record that the member has made is appended: one appended later would be in the snapshot already.
+    /// Queues a snapshot to replace the log if compaction is due; records are appended meanwhile. Must be called
+    /// only when every record that the member has created is appended: the snapshot includes all of them, and a
+    /// record appended later would duplicate its content.
     pub(super) fn compact_if_due(&self, state: &mut DriverState) {
         let now = self.started.elapsed();
         if !state
@@ -57,13 +58,13 @@
         }
         let snapshot = encode_snapshot(state.last_number, state.member.durable());
         state.journal_health.begin_compaction(snapshot.len() as u64);
-        // The receiving task lives as long as this driver.
+        // The receiving task runs as long as this driver exists, so the send succeeds.
         let _ = self
             .snapshots
             .send(Box::pin(self.journal.replace(snapshot)));
     }
 
-    /// Awaits the snapshots that replace the log. One that is superseded by a repair's snapshot has not
+    /// Awaits the snapshots that replace the log. A snapshot superseded by that of a repair does not count as
     /// failed.
     pub(super) async fn await_snapshots(
         self: Arc<Self>,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Awaits the syncs of records, and repairs the journal after one that fails.
+    /// Awaits the syncs of records, and repairs the journal if an append fails.
     pub(super) async fn await_syncs(
         self: Arc<Self>,
         mut pending: mpsc::UnboundedReceiver<PendingSync>,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Notifies the member that all records up to `number` are synced, of which `_receipt` is the proof.
+    /// Notifies the member that all records up to `number` are synced. `_receipt` proves that the sync took place.
     fn report_synced(&self, number: u64, _receipt: Synced) {
         let recovered_number = {
             let mut state = self.state.lock();
@@ -108,7 +109,7 @@
         self.handle(Input::Synced(number - recovered_number));
     }
 
-    /// Replaces the journal by a snapshot, again and again until that succeeds. The snapshot has every record
+    /// Replaces the journal by a snapshot, and retries until that succeeds. The snapshot includes every record
     /// that was queued behind the failed one.
     async fn repair(&self, pending: &mut mpsc::UnboundedReceiver<PendingSync>) {
         loop {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Queues a snapshot of all records so far. Later records are appended behind it, and their syncs count
-    /// only once the snapshot is synced: until then they may follow a gap.
+    /// Queues a snapshot of all records so far. Later records are appended behind it, and their syncs are reported
+    /// only after the snapshot is synced, because they may follow a gap until then.
     fn begin_repair(&self, pending: &mut mpsc::UnboundedReceiver<PendingSync>) -> PendingSync {
         let mut state = self.state.lock();
         while pending.try_recv().is_ok() {}
--- a/crates/tier/control/src/operator.rs
+++ b/crates/tier/control/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's API: `PUT` and `GET /config`, `POST` and `GET /retire/NODE`. A configuration change
-//! begins here and ends with the response.
+//! HTTP API of the operator: `PUT` and `GET /config`, `POST` and `GET /retire/NODE`. A configuration change
+//! starts with a request to this API and ends with its response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,31 +20,33 @@
 use woadreach_config::{Configuration, ConfigurationError};
 
 use crate::order::message::{Answer, Order};
-use crate::order::service::{ORDER_TIMEOUT, OrderService, Unanswered};
+use crate::order::service::{ExecutionError, ORDER_TIMEOUT, OrderService};
 
-/// Limit in bytes on the body of a configuration.
+/// Maximum size in bytes of the body of a configuration.
 pub const MAX_CONFIGURATION_BYTES: usize = 6 << 20;
-/// Limit on the time for a body to arrive.
+/// Time limit for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Limit on the configurations that are read and validated at once.
+/// Maximum number of configurations that are read and validated concurrently.
 const MAX_CONCURRENT_CONFIGURATIONS: usize = 10;
 
-/// Why an order is rejected before it reaches the chain.
+/// Reason why a configuration order is rejected before it is sent to the chain.
 #[derive(Debug, Snafu)]
 enum OrderError {
-    /// The order doesn't say which generation it replaces.
-    #[snafu(display("the header `If-Match` is missing or is no generation"))]
+    /// The request has no valid `If-Match` header, which names the generation that the order replaces.
+    #[snafu(display("the header `If-Match` is missing or is not a generation number"))]
     NoIfMatch,
     /// The body exceeds [`MAX_CONFIGURATION_BYTES`].
     #[snafu(display("the body is longer than {MAX_CONFIGURATION_BYTES} bytes"))]
     TooLong,
     /// The connection failed, or the body took longer than [`BODY_TIMEOUT`].
-    #[snafu(display("the body did not arrive"))]
+    #[snafu(display("the body was not completely received within {BODY_TIMEOUT:?}"))]
     Incomplete,
-    /// [`MAX_CONCURRENT_CONFIGURATIONS`] are being read.
-    #[snafu(display("too many orders at once"))]
+    /// [`MAX_CONCURRENT_CONFIGURATIONS`] are already being read.
+    #[snafu(display(
+        "too many configuration orders at once; the limit is {MAX_CONCURRENT_CONFIGURATIONS}"
+    ))]
     TooMany,
-    /// The body is no valid configuration.
+    /// The body is not a valid configuration.
     #[snafu(display("{source}"))]
     Invalid { source: ConfigurationError },
 }
@@ -52,11 +54,11 @@
 /// State shared by the handlers.
 struct OperatorApi {
     orders: Arc<OrderService>,
-    /// Permits to read a configuration, [`MAX_CONCURRENT_CONFIGURATIONS`] in all.
+    /// Permits to read and validate a configuration, [`MAX_CONCURRENT_CONFIGURATIONS`] in total.
     configuration_permits: Semaphore,
 }
 
-/// The operator's routes.
+/// Creates the routes of the operator's API.
 pub fn router(orders: Arc<OrderService>) -> Router {
     let api = Arc::new(OperatorApi {
         orders,
@@ -84,7 +86,7 @@
     }
 }
 
-/// Reads and validates an order. The chain compares its base with the current generation.
+/// Reads and validates a configuration order. The chain later compares its base with the current generation.
 async fn read_configuration(
     api: &OperatorApi,
     headers: &HeaderMap,
@@ -144,13 +146,13 @@
     respond(execute(&api, Order::RetireState { node }).await)
 }
 
-async fn execute(api: &OperatorApi, order: Order) -> Result<Answer, Unanswered> {
+async fn execute(api: &OperatorApi, order: Order) -> Result<Answer, ExecutionError> {
     api.orders
         .execute(order, Instant::now() + ORDER_TIMEOUT)
         .await
 }
 
-fn respond(answer: Result<Answer, Unanswered>) -> Response {
+fn respond(answer: Result<Answer, ExecutionError>) -> Response {
     match answer {
         Ok(Answer::Done) => json_response(StatusCode::OK, &json!({})),
         Ok(Answer::Rejected(rejection)) => respond_rejected(rejection),
@@ -178,9 +180,9 @@
         }
         Ok(Answer::UnreadableStorageView) => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
-            "the storage view can't be read by the head",
+            "the head cannot decode the stored storage view",
         ),
-        Err(unanswered) => error_response(StatusCode::SERVICE_UNAVAILABLE, &unanswered.to_string()),
+        Err(error) => error_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
     }
 }
 
--- a/crates/tier/control/src/order/execution.rs
+++ b/crates/tier/control/src/order/execution.rs
@@ -1,8 +1,8 @@
-//! Execution of an order at the head of the chain: the order becomes requests to the member, and the member's
-//! replies become the answer.
+//! Execution of an order at the head of the chain: translates the order into requests to the member, and the
+//! replies of the member into the answer.
 //!
-//! Each function returns `None` where the order has no answer: this machine isn't the head any more, or
-//! another change came first. The caller then tries again.
+//! Each function returns `None` if the order has no answer, because this machine is no longer the head or because
+//! another change was applied first. The caller then retries.
 
 use woadreach_chain::{
     Blob, Command, PutConfiguration, PutStorageView, Reply, Request, StoredStorageView,
@@ -13,7 +13,7 @@
 use super::retire::{RetireDecision, decide_retire, retire_state};
 use crate::member_driver::MemberDriver;
 
-/// Executes an order. `tolerated_losses` is how many storage machines may be lost at once.
+/// Executes an order. `tolerated_losses` is the number of storage machines that may fail at the same time.
 pub(crate) async fn execute_at_head(
     driver: &MemberDriver,
     tolerated_losses: usize,
@@ -64,8 +64,8 @@
     if driver.request(Request::Confirm).await != Reply::Confirmed {
         return None;
     }
-    // The view that was decided on may have been lost when this head lost an earlier view. The committed view
-    // must lead to the same answer.
+    // The decision is based on the latest view. That view may include uncommitted changes, which may have been lost
+    // in a change of the head. The committed view must therefore lead to the same answer.
     let confirmed = decide(driver.published_storage_view());
     (confirmed == RetireDecision::Answer(answer.clone())).then_some(answer)
 }
@@ -77,8 +77,8 @@
     Some(retire_state(driver.published_storage_view().as_ref(), node))
 }
 
-/// Replaces the storage view of `expected_epoch` by `view`. Returns whether `view` is committed; `false` also
-/// where this machine isn't the head.
+/// Replaces the storage view with epoch `expected_epoch` by `view`. Returns whether `view` is committed; returns
+/// `false` also if this machine is not the head.
 pub async fn submit_storage_view(
     driver: &MemberDriver,
     expected_epoch: u64,
--- a/crates/tier/control/src/order/message.rs
+++ b/crates/tier/control/src/order/message.rs
@@ -1,8 +1,7 @@
-//! Orders and answers, and their encoding between core machines: what the operator's API makes of a request,
-//! and what the head returns.
+//! Orders of the operator's API, answers of the head, and their encoding between core machines.
 //!
-//! A message is a version byte and the value in `speedy`'s little-endian encoding. An order is preceded by
-//! the milliseconds that its caller still waits. An empty response says that the receiver has no answer.
+//! A message is a version byte followed by the value in `speedy`'s little-endian encoding. An order is preceded by
+//! the remaining time-out of its caller in milliseconds. An empty response means that the receiver has no answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,37 +20,37 @@
     PutConfiguration(PutConfiguration),
     /// Read the newest committed configuration.
     ReadConfiguration,
-    /// Move everything off a storage machine, so that it can be removed.
+    /// Move all data off a storage machine, so that it can be removed.
     Retire {
         /// Name of the storage machine.
         node: String,
     },
-    /// Ask whether a storage machine may be removed.
+    /// Read whether a storage machine that is being retired may be removed.
     RetireState {
         /// Name of the storage machine.
         node: String,
     },
 }
 
-/// Answer to an order. [`Answer::Undecided`] and [`Answer::UnreadableStorageView`] leave open whether the
-/// order takes effect, and [`Answer::RetireState`] is its progress; all others are final.
+/// Answer to an order. After [`Answer::Undecided`] and [`Answer::UnreadableStorageView`], the order may or may not
+/// take effect. [`Answer::RetireState`] reports the progress of an order. All other answers are final.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Answer {
-    /// The order is committed, now or by an earlier copy of it.
+    /// The order is committed, by this copy or an earlier one.
     Done,
-    /// The order was rejected and never takes effect.
+    /// The order is rejected and never takes effect.
     Rejected(Rejection),
     /// The newest committed configuration.
     Configuration {
         /// Generation of the configuration.
         generation: u64,
-        /// The configuration as the operator sent it.
+        /// Body of the configuration, byte for byte as the operator sent it.
         body: Blob,
     },
     /// No configuration has been committed yet.
     NoConfiguration,
-    /// The view has no storage machine of this name. To [`Order::RetireState`]: no order to retire it was
-    /// given.
+    /// The storage view has no machine with this name. As an answer to [`Order::RetireState`]: no order to retire
+    /// the machine is stored.
     UnknownNode,
     /// Fewer storage machines would remain than the fault tolerance requires.
     TooFewNodes,
@@ -60,43 +59,42 @@
         /// Whether the storage machine may be removed.
         is_finished: bool,
     },
-    /// It is undecided whether the order takes effect, now or when it is sent again.
+    /// It is undecided whether the order takes effect, now or on a retry.
     Undecided(Undecided),
     /// The head does not know the format of the stored storage view.
     UnreadableStorageView,
 }
 
-/// An order or an answer of another core machine that can't be read.
+/// Reason why an order or an answer from another core machine could not be decoded.
 #[derive(Debug, Snafu)]
 pub enum OrderDecodeError {
     /// The message has no bytes.
     #[snafu(display("the order is empty"))]
     Empty,
-    /// The message is of another version of the format.
+    /// The message has an unsupported format version.
     #[snafu(display("order version {found}, expected {ORDER_VERSION}"))]
     Version {
-        /// Version that the message begins with.
+        /// Format version in the first byte of the message.
         found: u8,
     },
-    /// The bytes after the version are no value of the expected type.
+    /// The bytes after the version are not a valid encoding of the expected type.
     #[snafu(display("malformed order"))]
     Malformed {
-        /// Failure of the decoder.
+        /// Error from the decoder.
         source: speedy::Error,
     },
 }
 
-/// An order as one core machine forwards it to another. The order of the fields is that of the bytes.
+/// An order that one core machine forwards to another. The fields are encoded in the order of declaration.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub(crate) struct ForwardedOrder {
-    /// Milliseconds for which the sender waits for the answer.
+    /// Time in milliseconds for which the sender waits for the answer.
     timeout_ms: u32,
-    /// The order.
     pub(crate) order: Order,
 }
 
 impl ForwardedOrder {
-    /// An order whose sender waits for `timeout`, counted in complete milliseconds.
+    /// Creates an order whose sender waits for `timeout`, rounded down to milliseconds.
     pub(crate) fn new(order: Order, timeout: Duration) -> ForwardedOrder {
         ForwardedOrder {
             timeout_ms: u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX),
@@ -104,17 +102,17 @@
         }
     }
 
-    /// How long the sender waits for the answer.
+    /// Returns the time for which the sender waits for the answer.
     pub(crate) fn timeout(&self) -> Duration {
         Duration::from_millis(u64::from(self.timeout_ms))
     }
 
-    /// The order as bytes, with a leading version byte.
+    /// Encodes the order with a leading version byte.
     pub(crate) fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads a forwarded order.
+    /// Decodes an order with a leading version byte.
     pub(crate) fn decode(bytes: &[u8]) -> Result<ForwardedOrder, OrderDecodeError> {
         decode(bytes)
     }
@@ -124,7 +122,7 @@
     encode(answer)
 }
 
-/// Reads the answer of `head`; `None` if the head has none, or if it can't be read, which is logged.
+/// Decodes the answer of `head`. Returns `None` if the head has no answer, or if decoding fails, which is logged.
 pub(crate) fn decode_answer(head: SocketAddr, bytes: &[u8]) -> Option<Answer> {
     if bytes.is_empty() {
         return None;
@@ -136,7 +134,7 @@
 
 fn encode<T: Writable<Endianness>>(value: &T) -> Vec<u8> {
     let mut bytes = vec![ORDER_VERSION];
-    // Writing to a vector fails only when a length exceeds 32 bits, far above every bound on our values.
+    // Writing to a vector fails only if a length exceeds 32 bits, which is far above the size limits of all values.
     value
         .write_to_stream_with_ctx(Endianness::LittleEndian, &mut bytes)
         .expect("lengths within 32 bits");
--- a/crates/tier/control/src/order/mod.rs
+++ b/crates/tier/control/src/order/mod.rs
@@ -1,9 +1,9 @@
-//! Orders of the operator: executed by the head of the chain, forwarded to it by every other core machine.
+//! Orders of the operator. The head of the chain executes them; every other core machine forwards them to the head.
 //!
-//! [`message`] has the orders, their answers and how both go between core machines; [`route`] decides,
-//! without I/O, which machine an order goes to next; [`service`] follows those decisions until there is an
-//! answer. At the head, [`execution`] runs an order on the chain, and [`retire`] decides, without I/O, what
-//! an order to retire a storage machine changes.
+//! [`message`] defines orders, answers and their encoding between core machines. [`route`] decides, without I/O,
+//! to which machine an order is sent next, and [`service`] executes those decisions until the order is answered.
+//! At the head, [`execution`] executes an order on the chain, and [`retire`] decides, without I/O, what an order to
+//! retire a storage machine changes.
 
 pub mod execution;
 pub mod message;
--- a/crates/tier/control/src/order/retire.rs
+++ b/crates/tier/control/src/order/retire.rs
@@ -1,12 +1,12 @@
-//! Orders to retire a storage machine, decided without I/O on a stored view of the storage machines. The head
-//! decides one when it executes it (`execution`).
+//! Decisions on orders to retire a storage machine, made without I/O from a stored storage view. `execution` calls
+//! this module at the head.
 //!
-//! | the machine is | `POST /retire/NODE` | `GET /retire/NODE` |
+//! | state of the machine | `POST /retire/NODE` | `GET /retire/NODE` |
 //! | --- | --- | --- |
-//! | retired, also if it was removed since | done | `succeeded` |
+//! | retired, even if removed since | done | `succeeded` |
 //! | being retired | done | `running` |
-//! | in the view, and enough others stay | a view with the order in it replaces this one | unknown |
-//! | in the view, and too few others would stay | too few | unknown |
+//! | in the view, and enough others remain | a view that contains the order replaces this one | unknown |
+//! | in the view, and too few others would remain | too few | unknown |
 //! | not in the view | unknown | unknown |
 
 use woadreach_chain::StoredStorageView;
@@ -16,22 +16,22 @@
 
 use super::message::Answer;
 
-/// What an order to retire a machine requires.
+/// Decision on an order to retire a storage machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetireDecision {
-    /// The order is done once `view` has replaced the view of `expected_epoch` and is committed.
+    /// `view` must replace the view with epoch `expected_epoch`. The order is done when `view` is committed.
     ReplaceView {
         /// Epoch of the stored view; 0 if there is none.
         expected_epoch: u64,
-        /// The view with the order in it.
+        /// Storage view that contains the order.
         view: StorageView,
     },
-    /// The answer, valid once the stored view is confirmed to be committed and the newest.
+    /// Answer to the order. It is valid only if the stored view is confirmed to be the newest committed one.
     Answer(Answer),
 }
 
-/// Decides an order to retire `node` on the stored view. `tolerated_losses` is how many storage machines
-/// may be lost at once.
+/// Decides on an order to retire `node`, from the stored view. `tolerated_losses` is the number of storage machines
+/// that may fail at the same time.
 #[must_use]
 pub fn decide_retire(
     stored: Option<&StoredStorageView>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Progress of the order to retire `node`, according to the stored view.
+/// Returns the progress of the order to retire `node`, from the stored view.
 #[must_use]
 pub fn retire_state(stored: Option<&StoredStorageView>, node: &str) -> Answer {
     let Some(view) = decode_or_log(stored) else {
@@ -67,10 +67,10 @@
     }
 }
 
-/// Decodes the stored view; the empty view before the first is stored.
+/// Decodes the stored view. Returns an empty view if none is stored.
 ///
 /// # Errors
-/// [`MessageError`] if the view is of a format that this program doesn't know.
+/// [`MessageError`] if the stored view cannot be decoded, for example because of an unknown format.
 pub fn decode_view(stored: Option<&StoredStorageView>) -> Result<StorageView, MessageError> {
     stored.map_or_else(
         || Ok(StorageView::default()),
--- a/crates/tier/control/src/order/route.rs
+++ b/crates/tier/control/src/order/route.rs
@@ -1,29 +1,31 @@
-//! Where an order goes next, decided without I/O from what this machine knows of the core. Asked by `service`
-//! before each attempt.
+//! Routing of orders, decided without I/O from the status of the core as known to this machine. `service` calls
+//! this module before each attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use woadreach_chain::{MemberId, Status};
 
-/// How long an order waits at a machine that is out of quorum, before its caller is sent to another one.
+/// Time that an order waits at a machine that is out of quorum, before it fails so that the caller tries another
+/// machine.
 pub const OUT_OF_QUORUM_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Next step of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// This machine is the head and executes the order.
+    /// Execute the order here: this machine is the head.
     Execute,
-    /// The order is forwarded to the head at this address.
+    /// Forward the order to the head at this address.
     Forward(SocketAddr),
-    /// No head is known that could answer; the order waits for another view.
+    /// Wait for another view: no head is known that could execute the order.
     Wait,
-    /// This machine is partitioned from the core's majority, and so from any head that could answer.
+    /// Fail the order: this machine is partitioned from the majority of the core, and so from any head that could
+    /// execute the order.
     GiveUp,
 }
 
-/// Next step of an order at the machine with the address `own_address`, which has been out of quorum for
-/// `out_of_quorum_for` (zero if it is in quorum now).
+/// Returns the next step of an order at the machine with the address `own_address`. `out_of_quorum_for` is the time
+/// for which this machine has been out of quorum, zero if it is in quorum.
 pub fn next_step(status: &Status, own_address: SocketAddr, out_of_quorum_for: Duration) -> Step {
     if !status.in_quorum && out_of_quorum_for >= OUT_OF_QUORUM_TIMEOUT {
         return Step::GiveUp;
@@ -35,8 +37,8 @@
     }
 }
 
-/// Whether an order that was sent to `recipient` is to be sent anew, without waiting for an answer, because
-/// another member is the head now.
+/// Returns whether an order that was sent to `recipient` must be sent again without waiting for the answer, because
+/// the head is now another member.
 pub fn is_superseded(recipient: Option<MemberId>, status: &Status) -> bool {
     status.head != recipient
 }
--- a/crates/tier/control/src/order/service.rs
+++ b/crates/tier/control/src/order/service.rs
@@ -1,5 +1,5 @@
-//! Sends an order to the head of the chain, wherever it is, until there is an answer or time is up: the
-//! step of a configuration change between the operator's API and the member of the head.
+//! Executes an order at the current head of the chain, and retries until the order is answered or its deadline has
+//! passed. In a configuration change, this is the step between the operator's API and the member of the head.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,39 +19,39 @@
 use super::route::{OUT_OF_QUORUM_TIMEOUT, Step, is_superseded, next_step};
 use crate::member_driver::MemberDriver;
 
-/// Limit on the time for an order, below the second after which callers move on to another machine. After it
-/// the order gets [`Unanswered::Late`], or [`Unanswered::NoHead`] if it never reached a head.
+/// Time limit of an order. It is below 1 s, after which callers try another machine. When it has passed, the order
+/// fails with [`ExecutionError::Late`], or with [`ExecutionError::NoHead`] if no head can have received it.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(780);
-/// Longest wait for another view before the head is tried again.
+/// Maximum wait for a change in the core before the next attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
-/// Part of the caller's time-out that the head leaves for its answer to travel back.
+/// Part of the caller's time-out that the head reserves for the transmission of its answer.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 
-/// Why an order has no answer. The order may take effect yet.
+/// Reason why an order has no answer. The order may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Unanswered {
-    /// This machine knows of no head that answers.
+pub enum ExecutionError {
+    /// The deadline passed, and no head can have received the order.
     #[snafu(display("no head of the chain answers"))]
     NoHead,
-    /// This machine is partitioned from the core's majority.
-    #[snafu(display("this machine is cut off from the core's majority"))]
+    /// This machine is partitioned from the majority of the core.
+    #[snafu(display("this machine is partitioned from the core's majority"))]
     OutOfQuorum,
-    /// The chain did not finish in time.
+    /// The deadline passed after a head may have received the order.
     #[snafu(display("the chain did not finish in time"))]
     Late,
 }
 
-/// Progress of one order at this machine.
+/// Progress of an order at this machine.
 #[derive(Default)]
 struct Progress {
     /// Whether a head may have received the order.
     has_reached_head: bool,
-    /// Since when this machine has been out of quorum, as far as this order has seen.
+    /// Time at which this order first found this machine out of quorum; `None` while it is in quorum.
     out_of_quorum_since: Option<Instant>,
 }
 
 impl Progress {
-    /// Records whether the machine is in quorum.
+    /// Records whether this machine is in quorum.
     fn record_status(&mut self, now: Instant, status: &Status) {
         if status.in_quorum {
             self.out_of_quorum_since = None;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// When an attempt that begins `now` is to end, so that the status is read again.
+    /// Returns the deadline of an attempt that begins at `now`. After it, the status is read again.
     fn attempt_deadline(&self, now: Instant) -> Instant {
         self.out_of_quorum_since
             .map_or(now + ORDER_TIMEOUT, |since| since + OUT_OF_QUORUM_TIMEOUT)
@@ -72,30 +72,30 @@
             .unwrap_or_default()
     }
 
-    /// The error of an order whose deadline has passed.
-    fn late_error(&self) -> Unanswered {
+    /// Returns the error of an order whose deadline has passed.
+    fn deadline_error(&self) -> ExecutionError {
         if self.has_reached_head {
-            Unanswered::Late
+            ExecutionError::Late
         } else {
-            Unanswered::NoHead
+            ExecutionError::NoHead
         }
     }
 }
 
-/// Executes orders here if this machine is the head, and forwards them to the head otherwise.
+/// Executes orders locally if this machine is the head, and otherwise forwards them to the head.
 pub struct OrderService {
     driver: Arc<MemberDriver>,
-    /// Connections for forwarded orders, which may be as long as a configuration.
+    /// Connections for forwarded orders, which may be as large as a configuration.
     rpc: Client,
     /// Internal address of this machine.
     own_address: SocketAddr,
-    /// How many storage machines may be lost at once.
+    /// Number of storage machines that may fail at the same time.
     tolerated_losses: usize,
 }
 
 impl OrderService {
-    /// Creates the service of the machine with the internal address `own_address`. `tolerated_losses` is
-    /// how many storage machines may be lost at once.
+    /// Creates the service of the machine with the internal address `own_address`. `tolerated_losses` is the number
+    /// of storage machines that may fail at the same time. `rpc` should not share connections with heartbeats.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
@@ -110,12 +110,13 @@
         }
     }
 
-    /// Executes an order, here or at the head, and waits for the answer until `deadline`. A new head is tried
-    /// at once, without waiting for the former one, so an order may be executed twice.
+    /// Executes an order locally or at the head, and waits for the answer until `deadline`. When the head changes,
+    /// the order is sent to the new head at once, without waiting for the former head, so an order may be executed
+    /// twice.
     ///
     /// # Errors
-    /// See [`Unanswered`].
-    pub async fn execute(&self, order: Order, deadline: Instant) -> Result<Answer, Unanswered> {
+    /// See [`ExecutionError`].
+    pub async fn execute(&self, order: Order, deadline: Instant) -> Result<Answer, ExecutionError> {
         let mut changes = self.driver.changes();
         let mut progress = Progress::default();
         loop {
@@ -130,14 +131,14 @@
                     Some(answer) => return Ok(answer),
                     None => {
                         let retry = (Instant::now() + RETRY_INTERVAL).min(deadline);
-                        // After this time the order is tried again without a change too.
+                        // The order is retried after a change or, without one, after the time-out.
                         let _ = timeout_at(retry, changes.changed()).await;
                     }
                 },
                 () = superseded => {}
             }
             if Instant::now() >= deadline {
-                return Err(progress.late_error());
+                return Err(progress.deadline_error());
             }
         }
     }
@@ -148,7 +149,7 @@
         status: &Status,
         until: Instant,
         progress: &mut Progress,
-    ) -> Result<Option<Answer>, Unanswered> {
+    ) -> Result<Option<Answer>, ExecutionError> {
         match next_step(status, self.own_address, progress.out_of_quorum_for()) {
             Step::GiveUp => OutOfQuorumSnafu.fail(),
             Step::Wait => Ok(None),
@@ -177,17 +178,17 @@
         let timeout = deadline.saturating_duration_since(Instant::now());
         let rpc = self.rpc.clone();
         let body = ForwardedOrder::new(order.clone(), timeout).encode();
-        // In a task of its own, the call is completed even if this future is dropped.
+        // The call runs in a separate task, so that it completes even if this future is dropped.
         let call =
             tokio::spawn(async move { rpc.call(head, ServiceId::FORWARD, body, timeout).await });
         call.await.unwrap_or(Err(CallError::Broken))
     }
 
-    /// Executes an order that another core machine has forwarded. Returns the encoded answer; empty if there
-    /// is none.
+    /// Executes an order forwarded by another core machine. Returns the encoded answer, or no bytes if there is no
+    /// answer.
     ///
     /// # Errors
-    /// [`OrderDecodeError`] if the order can't be read.
+    /// [`OrderDecodeError`] if the order cannot be decoded.
     pub async fn execute_forwarded(&self, body: Bytes) -> Result<Vec<u8>, OrderDecodeError> {
         let forwarded = ForwardedOrder::decode(&body)?;
         let timeout = forwarded
@@ -203,7 +204,7 @@
     }
 }
 
-/// Returns once `head` is not the head any more, as this machine knows it.
+/// Waits until this machine learns that `head` is no longer the head.
 async fn head_changed(
     driver: &MemberDriver,
     mut changes: watch::Receiver<u64>,
--- a/crates/tier/control/src/storage_announcer.rs
+++ b/crates/tier/control/src/storage_announcer.rs
@@ -1,4 +1,4 @@
-//! Announcements of a storage machine to the core machines.
+//! Sends the announcements of a storage machine to the core machines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,23 +12,25 @@
 use woadreach_storage::message::encode;
 use woadreach_storage::server::Server;
 
-/// Without an answer of a core machine in quorum for this long, this machine counts as partitioned.
+/// Time without an answer from a core machine in quorum after which this machine counts as partitioned.
 const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Limit on the time for the answer to an announcement.
+/// Time limit for the answer to an announcement.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Announces this machine to the core, at intervals and at once when a pull has ended.
+/// Announces this machine to the core at intervals, and immediately when a pull is complete or a shutdown begins.
 ///
-/// Each announcement goes to every core machine, and one of them is to answer whether it is in quorum. After
-/// a time without such answers this machine was partitioned and may have missed records.
+/// Each announcement is sent to every core machine. One of them, the responder, must answer whether it is in quorum.
+/// If no responder in quorum has answered for [`PARTITION_TIMEOUT`], this machine was partitioned and may have
+/// missed records.
 pub(crate) struct StorageAnnouncer<'a> {
     server: &'a Server,
     rpc: &'a Client,
-    /// Core machines to announce to before any are known.
+    /// Core machines that receive announcements while `control` contains none.
     seeds: watch::Receiver<Vec<SocketAddr>>,
     control: watch::Receiver<Arc<ControlSnapshot>>,
-    /// Counts up to the core machine that is to answer next.
+    /// Index of the next responder, modulo the number of core machines. Incremented after each missing answer.
     next_responder: usize,
+    /// Time of the last answer from a core machine in quorum; at first, the start of the announcer.
     last_answer: Instant,
 }
 
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Announces until the future is dropped.
+    /// Sends announcements until the future is dropped.
     pub(crate) async fn run(mut self) {
         let mut announcement_changed = self.server.announcement_changed();
         loop {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Sends one announcement. Returns whether a core machine in quorum has answered it.
+    /// Sends one announcement. Returns whether the responder has answered that it is in quorum.
     async fn announce(&self) -> bool {
         let core = self.core_machines();
         let announcement = encode(&self.server.announcement());
@@ -94,8 +96,8 @@
         }
     }
 
-    /// After an answer, checks for a partition before it; without one, another core machine is to answer
-    /// next.
+    /// After an answer, requests a pull if this machine was partitioned before it. Without an answer, selects
+    /// another responder.
     fn record_outcome(&mut self, is_answered: bool) {
         if !is_answered {
             self.next_responder = self.next_responder.wrapping_add(1);
--- a/crates/tier/control/src/storage_metrics.rs
+++ b/crates/tier/control/src/storage_metrics.rs
@@ -1,11 +1,11 @@
-//! The metrics page of a storage machine: its view, its records, and its journal.
+//! Metrics page of a storage machine: view, records and journal.
 
 use std::sync::Arc;
 
 use woadreach_metrics::{Page, PageSource, Samples};
 use woadreach_storage::server::{Server, ServerReport};
 
-/// Makes the page of this process.
+/// Creates the source that renders the metrics page on each scrape.
 pub(crate) fn page_source(server: Server) -> PageSource {
     Arc::new(move || {
         let report = server.report();
--- a/crates/tier/control/src/storage_planner.rs
+++ b/crates/tier/control/src/storage_planner.rs
@@ -1,5 +1,5 @@
-//! Changes of the storage view: planned by the head of the chain from what the storage machines announce, and
-//! committed like a configuration from the request to the member on.
+//! Plans changes of the storage view at the head of the chain, from the announcements of the storage machines.
+//! Each change is submitted to the member and committed in the same way as a configuration.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
@@ -17,15 +17,16 @@
 use crate::order::execution::submit_storage_view;
 use crate::order::retire::decode_view;
 
-/// Interval between two plans.
+/// Interval between plans while this machine is the head.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval at which a machine that isn't the head checks whether it has become the head.
+/// Interval between checks of a machine that is not the head whether it has become the head.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Limit on the time for a change to be committed; the next plan starts from whatever became of it.
+/// Time limit for the commit of a change. The next plan starts from the latest view, with or without the change.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether `peer`, which has sent the announcement of the storage machine at `announcing`, is a core machine that has
-/// forwarded it. A storage machine that runs on a core machine's host has the same address as that.
+/// Returns whether the announcement of the storage machine at `announcing`, received from `peer`, was forwarded by a
+/// core machine. A storage machine on the host of a core machine has the same IP address as that core machine, so an
+/// announcement from the storage machine's own IP address does not count as forwarded.
 #[must_use]
 pub fn is_forwarded(
     peer: SocketAddr,
@@ -44,15 +45,16 @@
     rpc: Client,
     announcements: Arc<Mutex<Announcements>>,
     seeds: Vec<SocketAddr>,
-    /// How many storage machines may be lost at once.
+    /// Number of storage machines that may fail at the same time.
     tolerated_losses: usize,
-    /// Epoch of the last storage view that could not be read.
+    /// Epoch of the last storage view that could not be decoded; 0 before the first.
     unreadable_epoch: AtomicU64,
 }
 
 impl StoragePlanner {
-    /// Creates the planner of this core machine. `seeds` are the core machines that storage machines announce
-    /// themselves to; `tolerated_losses` is how many storage machines may be lost at once.
+    /// Creates the planner of this core machine. `seeds` are the core machines to which storage machines send their
+    /// announcements while they know no others. `tolerated_losses` is the number of storage machines that may fail at
+    /// the same time.
     pub fn new(
         driver: Arc<MemberDriver>,
         rpc: Client,
@@ -71,7 +73,7 @@
         })
     }
 
-    /// Adds the handler of the storage machines' announcements.
+    /// Registers the handler of announcements from storage machines.
     pub fn handlers(self: &Arc<Self>, router: Router) -> Router {
         let planner = Arc::clone(self);
         let driver = Arc::clone(&self.driver);
@@ -84,8 +86,8 @@
         })
     }
 
-    /// Forwards an announcement to the head if the head is no seed, since storage machines may know the seeds
-    /// only. One that another core machine has forwarded is not forwarded again.
+    /// Forwards an announcement to the head if the head is not a seed, because storage machines may know only the
+    /// seeds. Does not forward an announcement that another core machine has already forwarded.
     fn forward_to_head(&self, peer: SocketAddr, body: &Bytes) {
         let status = self.driver.status();
         let Some(head) = status.head.map(|head| SocketAddr::V4(head.address)) else {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Plans until the future is dropped.
+    /// Plans changes of the storage view until the future is dropped.
     pub async fn run(self: Arc<Self>) {
         loop {
             let is_head = self.driver.status().is_head;
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Logs, once an epoch, that no plan is made on a view that can't be decoded.
+    /// Logs, once per epoch, that planning is skipped because the stored view cannot be decoded.
     fn log_unreadable(&self, storage_epoch: u64, error: MessageError) {
         if self.unreadable_epoch.swap(storage_epoch, Ordering::Relaxed) != storage_epoch {
             tracing::error!(
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Plans the next view from the latest one and the announcements, and submits it.
+    /// Plans the next storage view from the latest view and the announcements, and submits it if there is a change.
     async fn advance(&self) {
         let stored = self.driver.latest_storage_view();
         let expected_epoch = stored.as_ref().map_or(0, |stored| stored.epoch);
--- a/crates/tier/control/src/storage_role.rs
+++ b/crates/tier/control/src/storage_role.rs
@@ -21,36 +21,38 @@
 use crate::storage_announcer::StorageAnnouncer;
 use crate::storage_metrics;
 
-/// Part of the grace period that is reserved for stopping after the departure.
+/// Part of the grace period reserved for stopping the process after the departure from the storage view.
 const STOP_MARGIN: Duration = Duration::from_millis(2_000);
 
-/// Why the role cannot run.
+/// Reason why the storage role failed to start.
 #[derive(Debug, Snafu)]
 pub enum StorageRoleError {
-    /// The settings name no folder for data.
-    #[snafu(display("the settings of {node} have no data_dir: a storage machine needs a disk"))]
+    /// The settings field `data_dir` is missing.
+    #[snafu(display(
+        "settings of {node}: `data_dir` is missing; the role `storage` needs a folder on the machine's disk"
+    ))]
     NoDataDir {
         /// Name of the machine.
         node: String,
     },
-    /// The storage server can't start on the disk.
+    /// Opening the storage server on the disk failed.
     #[snafu(display("{source}"))]
     Storage {
-        /// The storage server's failure.
+        /// Error from the storage server.
         source: ServerError,
     },
-    /// The address cannot be listened on.
+    /// Binding a listening socket failed.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address for the tier's own traffic.
+        /// Internal address of the machine.
         address: SocketAddr,
-        /// The operating system's failure.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// A signal cannot be waited for.
-    #[snafu(display("cannot wait for signals: {source}"))]
+    /// Installing a signal handler failed.
+    #[snafu(display("cannot install a signal handler: {source}"))]
     Signal {
-        /// The operating system's failure.
+        /// Error from the operating system.
         source: std::io::Error,
     },
 }
@@ -94,7 +96,7 @@
             server.run_pulls(),
             Arc::clone(&sampler).run(),
             reload_on_hangup(&sampler, hangup),
-            follow_views(&server, control.clone()),
+            apply_storage_views(&server, control.clone()),
             StorageAnnouncer::new(&server, &rpc, sampler.seeds(), control).run(),
         )
     };
@@ -106,8 +108,8 @@
     Ok(())
 }
 
-/// Waits for SIGTERM, and then until no data depends on this machine's disk, which may never come back, or
-/// until the grace period is over but for [`STOP_MARGIN`].
+/// Waits for SIGTERM, and then until no data depends on the disk of this machine, because the machine may never
+/// restart. The wait ends at the latest [`STOP_MARGIN`] before the end of the grace period.
 async fn leave_on_sigterm(server: &Server, terminate: &mut Signal, grace_period: Duration) {
     terminate.recv().await;
     tracing::info!("departure from the storage view requested");
@@ -122,7 +124,7 @@
     }
 }
 
-/// Reloads the seeds on each SIGHUP; other settings apply at the next start.
+/// Reloads the seeds on each SIGHUP. Changes of other settings take effect at the next start.
 async fn reload_on_hangup(sampler: &Sampler, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match sampler.reload_seeds() {
@@ -132,8 +134,8 @@
     }
 }
 
-/// Gives the server each new view of the storage machines.
-async fn follow_views(server: &Server, mut control: watch::Receiver<Arc<ControlSnapshot>>) {
+/// Passes each new storage view to the server.
+async fn apply_storage_views(server: &Server, mut control: watch::Receiver<Arc<ControlSnapshot>>) {
     while control.changed().await.is_ok() {
         let snapshot = control.borrow_and_update().clone();
         if let Some(view) = &snapshot.storage_view {
--- a/crates/tier/control/tests/instances.rs
+++ b/crates/tier/control/tests/instances.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
-use woadreach_control::instances::read_heartbeat;
+use woadreach_control::instances::parse_heartbeat;
 use woadreach_discovery::ReplicaState;
 
 fn body() -> Value {
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_complete_body_is_parsed_and_unknown_fields_are_ignored() {
-    let heartbeat = read_heartbeat(body().to_string().as_bytes()).unwrap();
+    let heartbeat = parse_heartbeat(body().to_string().as_bytes()).unwrap();
     assert_eq!(heartbeat.address, "10.128.0.9:8080".parse().unwrap());
     assert_eq!(heartbeat.state, ReplicaState::Draining);
     assert_eq!((heartbeat.capacity, heartbeat.sequence), (32, 4));
@@ -28,7 +28,7 @@
     let fields = body.as_object_mut().unwrap();
     fields.remove("stage");
     fields.remove("models");
-    let heartbeat = read_heartbeat(body.to_string().as_bytes()).unwrap();
+    let heartbeat = parse_heartbeat(body.to_string().as_bytes()).unwrap();
     assert!(heartbeat.stage.is_none() && heartbeat.models.is_empty());
 }
 
@@ -47,7 +47,7 @@
     for field in required {
         let mut body = body();
         body.as_object_mut().unwrap().remove(field);
-        let error = read_heartbeat(body.to_string().as_bytes())
+        let error = parse_heartbeat(body.to_string().as_bytes())
             .unwrap_err()
             .to_string();
         assert!(error.contains(field), "{field}: {error}");
@@ -67,7 +67,7 @@
         let mut body = body();
         body[field] = value;
         assert!(
-            read_heartbeat(body.to_string().as_bytes()).is_err(),
+            parse_heartbeat(body.to_string().as_bytes()).is_err(),
             "{field}"
         );
     }
@@ -75,11 +75,11 @@
 
 quickcheck! {
     fn bytes_that_are_no_heartbeat_are_an_error(bytes: Vec<u8>) -> bool {
-        read_heartbeat(&bytes).is_err()
+        parse_heartbeat(&bytes).is_err()
     }
 
     fn a_truncated_body_is_an_error(length: usize) -> bool {
         let complete = body().to_string();
-        read_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
+        parse_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
     }
 }
--- a/crates/tier/control/tests/operator_api.rs
+++ b/crates/tier/control/tests/operator_api.rs
@@ -20,7 +20,7 @@
 use woadreach_control::operator;
 use woadreach_control::order::execution::submit_storage_view;
 use woadreach_control::order::message::Order;
-use woadreach_control::order::service::{ORDER_TIMEOUT, Unanswered};
+use woadreach_control::order::service::{ExecutionError, ORDER_TIMEOUT};
 use woadreach_storage::{StorageMember, StorageView};
 
 /// The API of a core of one machine, once it is the head.
@@ -473,7 +473,7 @@
         let answer = orders.execute(order, Instant::now() + ORDER_TIMEOUT).await;
         assert_eq!(
             answer,
-            Err(Unanswered::OutOfQuorum),
+            Err(ExecutionError::OutOfQuorum),
             "before the time for an order is over"
         );
     }
