--- a/crates/tier/control/tests/bad_input.rs
+++ b/crates/tier/control/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Messages, views and orders that are malformed: each is rejected with its own error and changes nothing.
+//! Malformed messages, views and orders: each is rejected with a specific error and does not change the state.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use woadreach_control::operator;
 use woadreach_control::order::message::OrderDecodeError;
 
-fn stranger(number: u8) -> MemberId {
+fn foreign_member(number: u8) -> MemberId {
     MemberId {
         address: SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, number), 2),
         identity: u64::from(number),
@@ -21,14 +21,14 @@
 
 fn envelope(epoch: u64, body: Body) -> Envelope {
     Envelope {
-        from: stranger(9),
+        from: foreign_member(9),
         epoch,
         body,
     }
 }
 
 fn view(epoch: u64, voters: &[u8], chain: &[u8]) -> View {
-    let members = |numbers: &[u8]| numbers.iter().copied().map(stranger).collect();
+    let members = |numbers: &[u8]| numbers.iter().copied().map(foreign_member).collect();
     View {
         epoch,
         voters: members(voters),
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn messages_of_other_versions_or_truncated_change_nothing() {
+async fn messages_that_are_truncated_or_of_another_version_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, _orders) = start_core(folder.path()).await;
     let before = driver.status();
@@ -72,11 +72,11 @@
 }
 
 #[tokio::test]
-async fn views_that_no_proposer_makes_or_that_do_not_follow_are_rejected() {
+async fn invalid_views_and_views_that_do_not_follow_the_epoch_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, _orders) = start_core(folder.path()).await;
     let epoch = driver.status().epoch;
-    let unsound = [
+    let invalid_views = [
         (
             view(epoch + 1, &[], &[]),
             ViewError::NoVoters { epoch: epoch + 1 },
@@ -93,7 +93,7 @@
             view(epoch + 1, &[1, 2], &[3]),
             ViewError::ChainMemberWithoutVote {
                 epoch: epoch + 1,
-                member: stranger(3),
+                member: foreign_member(3),
             },
         ),
         (
@@ -109,9 +109,9 @@
     ];
     let ballot = Ballot {
         round: 1,
-        proposer: stranger(9),
+        proposer: foreign_member(9),
     };
-    for (view, expected) in unsound {
+    for (view, expected) in invalid_views {
         let vote = Body::Accept(Accepted {
             ballot,
             view: view.clone(),
@@ -119,7 +119,7 @@
         for body in [Body::Decided(view), vote] {
             let error = driver
                 .receive(&envelope(epoch, body).encode())
-                .expect_err("unsound");
+                .expect_err("an invalid view");
             assert!(
                 matches!(error, DecodeError::InvalidView { source } if source == expected),
                 "{error}"
@@ -139,15 +139,15 @@
             "{found}: {error}"
         );
     }
-    // An older view is sound, and comes late: it is ignored as such.
+    // A view of the current epoch is valid but outdated: it is ignored without an error.
     driver
         .receive(&envelope(epoch, Body::Decided(view(epoch, &[9], &[9]))).encode())
-        .expect("a sound message");
+        .expect("a valid message");
     assert!(driver.status().is_head && driver.status().epoch == epoch);
 }
 
 #[tokio::test]
-async fn orders_of_other_versions_or_truncated_are_errors() {
+async fn orders_that_are_truncated_or_of_another_version_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (_driver, orders) = start_core(folder.path()).await;
     let error = orders
@@ -184,7 +184,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_without_a_number_is_rejected() {
+async fn a_configuration_without_a_valid_base_or_generation_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let (driver, orders) = start_core(folder.path()).await;
     let api = operator::router(orders);
--- a/crates/tier/control/tests/command_line.rs
+++ b/crates/tier/control/tests/command_line.rs
@@ -1,10 +1,10 @@
-//! Arguments of `woadreach-control`.
+//! Command-line arguments of `woadreach-control`.
 
 use woadreach_control::command_line::{Role, parse};
 use woadreach_control::logging::LogFormat;
 
 #[test]
-fn roles_and_log_options_are_read() {
+fn roles_and_log_options_are_parsed() {
     let arguments = parse(["woadreach-control", "core"]).expect("arguments");
     assert_eq!(
         (arguments.role, arguments.log_format),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_missing_or_unknown_role_is_an_error() {
+fn missing_and_unknown_values_are_errors() {
     assert!(parse(["woadreach-control"]).is_err());
     assert!(parse(["woadreach-control", "edge"]).is_err());
     assert!(parse(["woadreach-control", "core", "--log-format", "xml"]).is_err());
--- a/crates/tier/control/tests/durable_log.rs
+++ b/crates/tier/control/tests/durable_log.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn records_that_the_snapshot_holds_are_skipped() {
+fn records_included_in_the_snapshot_are_skipped() {
     let mut durable = empty();
     durable.apply(&write(1));
     durable.apply(&write(2));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn nothing_after_a_gap_is_used() {
+fn records_after_a_gap_are_skipped() {
     let records = [1, 2, 4, 5].map(|number| encode_record(number, &write(number)));
     let recovered = recover(&encode_snapshot(0, &empty()), &records).expect("own records");
     assert_eq!(
@@ -57,10 +57,10 @@
     );
 }
 
-/// One incarnation appends 1 and 2, fails at 3, and has 4 and 5 on the disk. The next one appends 3 and 4
-/// anew and reports both as synced.
+/// Guards against the loss of synced records after a gap. One incarnation appends records 1, 2, 4 and 5, and the
+/// append of record 3 fails. The next incarnation appends new records 3 and 4, and reports both as synced.
 #[test]
-fn records_of_the_next_incarnation_are_used_after_a_gap_of_the_last() {
+fn records_of_the_next_incarnation_after_a_gap_are_applied() {
     let mut records = [1, 2, 4, 5]
         .map(|number| encode_record(number, &write(number)))
         .to_vec();
@@ -73,7 +73,7 @@
 }
 
 quickcheck! {
-    fn foreign_bytes_are_an_error_or_a_prefix(snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> bool {
+    fn arbitrary_bytes_do_not_panic(snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> bool {
         recover(&snapshot, &records).is_err() || recover(&encode_snapshot(0, &empty()), &[]).is_ok()
     }
 }
--- a/crates/tier/control/tests/http_server.rs
+++ b/crates/tier/control/tests/http_server.rs
@@ -1,4 +1,4 @@
-//! The bounded HTTP server over loopback.
+//! HTTP server with limits, over loopback connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,8 +32,8 @@
     }
 }
 
-async fn answer_to(stream: &mut TcpStream, request: &[u8]) -> String {
-    // The server may close before everything is written.
+async fn response_to(stream: &mut TcpStream, request: &[u8]) -> String {
+    // The write fails if the server closes the connection before the whole request is written.
     let _ = stream.write_all(request).await;
     let mut buffer = vec![0; 4096];
     let length = stream.read(&mut buffer).await.unwrap_or(0);
@@ -41,29 +41,32 @@
 }
 
 #[tokio::test]
-async fn an_answer_comes_and_the_server_stops_with_idle_clients() {
+async fn a_request_is_answered_and_the_server_stops_despite_an_idle_client() {
     let server = start().await;
     let mut stream = TcpStream::connect(server.address)
         .await
         .expect("a connection");
-    let answer = answer_to(&mut stream, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").await;
+    let answer = response_to(&mut stream, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let _idle = TcpStream::connect(server.address)
         .await
         .expect("a connection");
     server.stop.send_replace(true);
-    server.task.await.expect("the server ends");
+    server
+        .task
+        .await
+        .expect("the server task ends without a panic");
 }
 
 #[tokio::test]
-async fn an_endless_head_is_rejected() {
+async fn a_head_above_the_size_limit_is_rejected() {
     let server = start().await;
     let mut stream = TcpStream::connect(server.address)
         .await
         .expect("a connection");
     let mut request = b"GET / HTTP/1.1\r\nHost: a\r\nFiller: ".to_vec();
     request.resize(request.len() + (256 << 10), b'f');
-    let answer = answer_to(&mut stream, &request).await;
+    let answer = response_to(&mut stream, &request).await;
     assert!(
         answer.is_empty() || answer.starts_with("HTTP/1.1 431"),
         "{answer}"
--- a/crates/tier/control/tests/instances.rs
+++ b/crates/tier/control/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Bodies of heartbeats: which are parsed, and which are rejected with the name of the field at fault.
+//! Parsing of heartbeat bodies: valid bodies, and errors that name the invalid field.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn plain_services_name_no_stage_and_no_models() {
+fn stage_and_models_are_optional() {
     let mut body = body();
     let fields = body.as_object_mut().unwrap();
     fields.remove("stage");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_missing_field_is_rejected_by_its_name() {
+fn a_missing_required_field_is_rejected_with_its_name() {
     let required = [
         "service",
         "address",
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unknown_state_and_other_values_of_the_wrong_kind_are_rejected() {
+fn unknown_states_and_values_of_the_wrong_type_are_rejected() {
     let wrong = [
         ("state", json!("asleep")),
         ("address", json!("nowhere")),
@@ -74,11 +74,11 @@
 }
 
 quickcheck! {
-    fn bytes_that_are_no_heartbeat_are_an_error(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_are_rejected(bytes: Vec<u8>) -> bool {
         parse_heartbeat(&bytes).is_err()
     }
 
-    fn a_truncated_body_is_an_error(length: usize) -> bool {
+    fn a_truncated_body_is_rejected(length: usize) -> bool {
         let complete = body().to_string();
         parse_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
     }
--- a/crates/tier/control/tests/journal_upkeep.rs
+++ b/crates/tier/control/tests/journal_upkeep.rs
@@ -1,4 +1,4 @@
-//! The log's replacement by a snapshot, and the repair of a journal, while writes go on.
+//! Compaction and repair of the journal while writes continue.
 
 mod support;
 
@@ -8,7 +8,8 @@
 
 use parking_lot::{Condvar, Mutex};
 use support::{
-    ADDRESS, IDENTITY, member_options, recover_found, recover_or_initialize, until, until_head,
+    ADDRESS, IDENTITY, member_options, recover_found, recover_or_initialize, wait_until,
+    wait_until_head,
 };
 use tokio::task::JoinHandle;
 use woadreach_chain::{Blob, Command, PutStorageView, Reply, Request};
@@ -16,18 +17,20 @@
 use woadreach_journal::{Disk, Journal, JournalOptions, SimulatedDisk, Slot};
 use woadreach_rpc::{Client, ClientOptions};
 
-/// Where a snapshot begins in a slot.
+/// Offset in bytes of the snapshot in a slot.
 const SNAPSHOT_OFFSET: u64 = 33;
 const VIEW_BYTES: usize = 1 << 20;
 
 #[derive(Default)]
 struct Gate {
     blocks_snapshots: bool,
+    /// Whether the write of a snapshot is blocked now.
     is_blocking: bool,
+    /// Number of snapshots whose write has begun.
     snapshots: usize,
 }
 
-/// A disk that counts the snapshots that are begun, and can block them at their first byte.
+/// Simulated disk that counts snapshots, and can block the write of a snapshot at its first byte.
 #[derive(Clone, Default)]
 struct GateDisk {
     disk: SimulatedDisk,
@@ -52,7 +55,7 @@
         self.gate.0.lock().snapshots
     }
 
-    fn pass(&self) {
+    fn begin_snapshot(&self) {
         let mut gate = self.gate.0.lock();
         gate.snapshots += 1;
         while gate.blocks_snapshots {
@@ -70,7 +73,7 @@
 
     fn write(&mut self, slot: Slot, offset: u64, bytes: &[u8]) -> io::Result<()> {
         if offset == SNAPSHOT_OFFSET {
-            self.pass();
+            self.begin_snapshot();
         }
         self.disk.write(slot, offset, bytes)
     }
@@ -84,7 +87,7 @@
     }
 }
 
-/// A core of one machine, once it is the head.
+/// Starts a core of one machine, and waits until it is the head.
 async fn start(disk: &GateDisk) -> Arc<MemberDriver> {
     let (journal, found) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("an empty disk");
@@ -96,7 +99,7 @@
         journal,
         Client::new(ClientOptions::default()),
     );
-    until_head(&driver).await;
+    wait_until_head(&driver).await;
     driver
 }
 
@@ -109,11 +112,11 @@
     }))
 }
 
-/// Submits the storage view of `epoch`; returns when the head has accepted it, with the reply to come.
+/// Submits the storage view of `epoch`. Returns when the head has accepted it, with the task that awaits the reply.
 async fn submit(driver: &Arc<MemberDriver>, epoch: u64) -> JoinHandle<Reply> {
     let head = Arc::clone(driver);
     let order = tokio::spawn(async move { head.request(view(epoch)).await });
-    until(|| {
+    wait_until(|| {
         driver
             .latest_storage_view()
             .is_some_and(|latest| latest.epoch >= epoch)
@@ -122,14 +125,14 @@
     order
 }
 
-async fn within<T>(future: impl Future<Output = T>) -> T {
+async fn with_time_limit<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(std::time::Duration::from_secs(20), future)
         .await
-        .expect("an end in time")
+        .expect("completion within the time limit")
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn writes_go_on_while_the_log_is_replaced_by_one_snapshot() {
+async fn writes_continue_while_one_snapshot_replaces_the_log() {
     let disk = GateDisk::default();
     let driver = start(&disk).await;
     let before = disk.snapshots();
@@ -139,7 +142,7 @@
     while !disk.is_blocking() {
         epoch += 1;
         let order = submit(&driver, epoch).await;
-        until(|| order.is_finished() || disk.is_blocking()).await;
+        wait_until(|| order.is_finished() || disk.is_blocking()).await;
         orders.push(order);
     }
     for _ in 0..4 {
@@ -148,26 +151,32 @@
     }
     disk.release();
     for order in orders {
-        assert_eq!(within(order).await.expect("no panic"), Reply::Committed);
+        assert_eq!(
+            with_time_limit(order).await.expect("no panic"),
+            Reply::Committed
+        );
     }
     assert_eq!(disk.snapshots() - before, 1);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn one_snapshot_repairs_the_journal_while_writes_go_on() {
+async fn one_snapshot_repairs_the_journal_while_writes_continue() {
     let disk = GateDisk::default();
     let driver = start(&disk).await;
     let before = disk.snapshots();
     disk.block_snapshots();
     disk.disk.fail_change(disk.disk.changes());
     let mut orders = vec![submit(&driver, 1).await];
-    within(until(|| disk.is_blocking())).await;
+    with_time_limit(wait_until(|| disk.is_blocking())).await;
     for epoch in 2..=5 {
         orders.push(submit(&driver, epoch).await);
     }
     disk.release();
     for order in orders {
-        assert_eq!(within(order).await.expect("no panic"), Reply::Committed);
+        assert_eq!(
+            with_time_limit(order).await.expect("no panic"),
+            Reply::Committed
+        );
     }
     assert_eq!(disk.snapshots() - before, 1);
     drop(driver);
@@ -177,17 +186,17 @@
     assert_eq!(recovered.durable.state.storage_epoch(), 5);
 }
 
-/// The disk stalls although no append is queued.
+/// Guards against a stall going unreported because no append is queued: only a snapshot is being written.
 #[tokio::test(flavor = "current_thread")]
-async fn a_disk_that_stalls_in_a_snapshot_is_noticed() {
+async fn a_disk_stall_during_a_snapshot_is_reported() {
     let disk = GateDisk::default();
     let (journal, _) = Journal::with_disk(Box::new(disk.clone()), JournalOptions::default())
         .expect("an empty disk");
     disk.block_snapshots();
     let snapshot = journal.replace(vec![1; 9]);
-    within(until(|| disk.is_blocking())).await;
+    with_time_limit(wait_until(|| disk.is_blocking())).await;
     assert!(!journal.stalled_for().is_zero());
     disk.release();
-    let _receipt = within(snapshot).await.expect("a sync");
-    within(until(|| journal.stalled_for().is_zero())).await;
+    let _receipt = with_time_limit(snapshot).await.expect("a sync");
+    with_time_limit(wait_until(|| journal.stalled_for().is_zero())).await;
 }
--- a/crates/tier/control/tests/metrics.rs
+++ b/crates/tier/control/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics pages of a core and a storage machine, read from the built programs.
+//! Metrics pages of a core and a storage machine, read from processes of the built binary.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,10 +8,10 @@
 
 use tempfile::TempDir;
 
-/// How long a machine may take to be what the test expects.
+/// Time limit for a machine to report the expected samples.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that is killed at the end of its test.
+/// Process that is killed when it is dropped.
 struct Process {
     child: Child,
     metrics: SocketAddr,
@@ -25,8 +25,8 @@
     }
 }
 
-/// The first of two ports in a row that are free now.
-fn free_ports() -> u16 {
+/// Returns the first of two consecutive ports that are currently free.
+fn find_free_ports() -> u16 {
     loop {
         let first = TcpListener::bind("127.0.0.1:0").unwrap();
         let port = first.local_addr().unwrap().port();
@@ -67,7 +67,7 @@
     let folder = TempDir::new().unwrap();
     let data = folder.path().join("data");
     std::fs::create_dir(&data).unwrap();
-    let (control, internal) = (free_ports(), free_ports());
+    let (control, internal) = (find_free_ports(), find_free_ports());
     let path = folder.path().join("settings.yaml");
     std::fs::write(&path, settings(&data, role, control, internal)).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_woadreach-control"))
@@ -85,9 +85,9 @@
     let mut lines = BufReader::new(log).lines();
     assert!(
         lines.any(|line| line.unwrap().contains(ready)),
-        "{role} does not start"
+        "the log of role {role} ended without the event `{ready}`"
     );
-    // The log is read on, so that the process never waits for its reader.
+    // Keep reading the log, so that the process does not block on a full pipe.
     std::thread::spawn(move || lines.count());
     process
 }
@@ -103,21 +103,25 @@
     text
 }
 
-/// Reads the page until it has all of these samples, for a while: the log says nothing of the last steps of a start.
+/// Reads the page until it contains all of these samples. Fails after [`START_TIMEOUT`]. Retries are needed because
+/// the last steps of a start are not logged.
 fn wait_for_samples(process: &Process, samples: &[&str]) {
     let started = Instant::now();
     loop {
         let text = page(process);
-        let is_there = |sample: &&&str| text.lines().any(|line| line.starts_with(**sample));
-        let Some(missing) = samples.iter().find(|sample| !is_there(sample)) else {
+        let is_present = |sample: &&&str| text.lines().any(|line| line.starts_with(**sample));
+        let Some(missing) = samples.iter().find(|sample| !is_present(sample)) else {
             return;
         };
-        assert!(started.elapsed() < START_TIMEOUT, "{missing} in:\n{text}");
+        assert!(
+            started.elapsed() < START_TIMEOUT,
+            "{missing} missing in:\n{text}"
+        );
     }
 }
 
 #[test]
-fn a_core_machine_tells_its_view_its_journal_and_its_replicas() {
+fn a_core_machine_exposes_metrics_of_its_view_its_journal_and_its_replicas() {
     let process = start("core", "core machine started");
     wait_for_samples(
         &process,
@@ -137,7 +141,7 @@
 }
 
 #[test]
-fn a_storage_machine_tells_its_view_and_its_records() {
+fn a_storage_machine_exposes_metrics_of_its_view_and_its_records() {
     let process = start("storage", "storage machine started");
     wait_for_samples(
         &process,
--- a/crates/tier/control/tests/operator_api.rs
+++ b/crates/tier/control/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operator's API on one core machine with a real journal in a temporary folder.
+//! HTTP API of the operator on one core machine with a real journal in a temporary folder.
 
 mod support;
 
@@ -23,18 +23,18 @@
 use woadreach_control::order::service::{ExecutionError, ORDER_TIMEOUT};
 use woadreach_storage::{StorageMember, StorageView};
 
-/// The API of a core of one machine, once it is the head.
+/// Starts a core of one machine, waits until it is the head, and returns its API.
 async fn start(folder: &Path) -> Router {
     start_core(folder).await.0
 }
 
-/// The API of a core of one machine, with its member, once it is the head.
+/// Starts a core of one machine, waits until it is the head, and returns its API and its member.
 async fn start_core(folder: &Path) -> (Router, Arc<MemberDriver>) {
     let (driver, orders) = support::start_core(folder).await;
     (operator::router(orders), driver)
 }
 
-/// A view, without a change under way, of the storage machines `store-0` to `store-(count - 1)`.
+/// Returns a view of the storage machines `store-0` to `store-(count - 1)`, without a pending change.
 fn storage_view(count: u8) -> StorageView {
     let member = |number: u8| StorageMember {
         node: format!("store-{number}"),
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn of_two_changes_on_one_version_one_wins() {
+async fn one_of_two_concurrent_changes_on_one_generation_is_accepted() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let (one, other) = (configuration(5, 1000), configuration(5, 2000));
@@ -166,10 +166,10 @@
 
     let mut unknown_service = configuration(7, 1000);
     unknown_service["routes"][0]["service"] = json!("t");
-    let mut same_place = configuration(7, 1000);
-    let mut second_route = same_place["routes"][0].clone();
+    let mut duplicate_path = configuration(7, 1000);
+    let mut second_route = duplicate_path["routes"][0].clone();
     second_route["name"] = json!("r2");
-    same_place["routes"]
+    duplicate_path["routes"]
         .as_array_mut()
         .expect("routes")
         .push(second_route);
@@ -183,7 +183,7 @@
     let complete = configuration(7, 1000).to_string();
     let truncated = &complete[..complete.len() / 2];
 
-    for invalid in [&unknown_service, &same_place, &no_weight, &no_timeout] {
+    for invalid in [&unknown_service, &duplicate_path, &no_weight, &no_timeout] {
         assert_eq!(
             put_value(&api, 5, invalid).await,
             StatusCode::BAD_REQUEST,
@@ -197,12 +197,12 @@
     assert_eq!(
         put_value(&api, 5, &configuration(4, 1000)).await,
         StatusCode::BAD_REQUEST,
-        "old version"
+        "older generation"
     );
     assert_eq!(
         put_value(&api, 5, &configuration(5, 2000)).await,
         StatusCode::BAD_REQUEST,
-        "same version"
+        "same generation"
     );
     assert_eq!(
         put_value(&api, 3, &configuration(9, 1000)).await,
@@ -212,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn orders_without_base_or_too_long_are_rejected() {
+async fn orders_without_a_base_or_above_the_size_limit_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let request = Request::put("/config").body(Body::from(configuration(5, 1).to_string()));
@@ -251,12 +251,12 @@
 }
 
 #[tokio::test]
-async fn the_same_configuration_in_other_bytes_is_another_change() {
+async fn the_same_configuration_with_different_bytes_is_a_different_change() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let first = configuration(5, 1000);
     assert_eq!(put(&api, 0, first.to_string()).await, StatusCode::OK);
-    // With other white space, or another order of the fields, it isn't a copy and is decided anew.
+    // With other white space or another order of the fields, the order is not a copy and is evaluated as a new change.
     let spaced = serde_json::to_string_pretty(&first).expect("JSON");
     assert_eq!(
         put(&api, 0, spaced.clone()).await,
@@ -274,9 +274,9 @@
     assert_eq!(
         get(&api, "/config").await.1,
         first.to_string().into_bytes(),
-        "what was sent first"
+        "the bytes of the first order"
     );
-    // The very same bytes are acknowledged whatever base they name.
+    // The same bytes are acknowledged with any base.
     for base in [0, 3, 5, 9] {
         assert_eq!(
             put(&api, base, first.to_string()).await,
@@ -296,24 +296,24 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     assert_eq!(put_value(&api, 0, &first).await, StatusCode::OK);
-    // A late copy of the second is accepted: its rejection was never acknowledged.
+    // A retry of the second change is accepted, because its earlier answer was not final.
     assert_eq!(put_value(&api, 5, &second).await, StatusCode::OK);
     assert_eq!(
         put_value(&api, 12, &configuration(11, 1000)).await,
         StatusCode::BAD_REQUEST,
-        "invalid for good"
+        "the generation is below the base, so the change can never be valid"
     );
 }
 
 #[tokio::test]
-async fn eight_orders_at_once_on_one_version_have_one_winner() {
+async fn one_of_eight_concurrent_changes_on_one_generation_is_accepted() {
     let folder = tempfile::tempdir().expect("a folder");
     let api = start(folder.path()).await;
     let changes: Vec<Value> = (1..=8)
         .map(|number| configuration(7, 1000 + number))
         .collect();
     let mut calls = JoinSet::new();
-    // Two copies of each are sent at once, as after a lost answer.
+    // Two copies of each change are sent concurrently, as in a retry after a lost answer.
     for change in [changes.clone(), changes].concat() {
         let api = api.clone();
         calls.spawn(async move { (put_value(&api, 0, &change).await, change.to_string()) });
@@ -325,7 +325,7 @@
     assert_eq!(
         (accepted.len(), rejected.len()),
         (2, 14),
-        "both copies of the winner"
+        "only the two copies of one change are accepted"
     );
     assert_eq!(accepted[0].1, accepted[1].1);
     assert!(
@@ -337,7 +337,7 @@
 }
 
 #[tokio::test]
-async fn retire_orders_are_acknowledged_again_from_the_stored_view() {
+async fn retried_retire_orders_are_acknowledged_from_the_stored_view() {
     let folder = tempfile::tempdir().expect("a folder");
     {
         let (api, driver) = start_core(folder.path()).await;
@@ -355,10 +355,10 @@
         assert_eq!(
             retire_state(&api, "store-1").await.0,
             StatusCode::NOT_FOUND,
-            "no order"
+            "no order to retire this machine"
         );
     }
-    // After a restart, and after the machine was retired and removed from the view.
+    // The same answers are given after a restart, and after the machine was retired and removed from the view.
     let (api, driver) = start_core(folder.path()).await;
     assert_eq!(post_retire(&api, "store-0").await, StatusCode::OK);
     let StoredStorageView { epoch, bytes } = driver.latest_storage_view().expect("a view");
@@ -373,7 +373,7 @@
         retire_state(&api, "store-0").await,
         (StatusCode::OK, json!("succeeded"))
     );
-    // A change planned on an older view comes too late and undoes nothing.
+    // A change planned on an older view is rejected and does not revert the newer view.
     let mut late = storage_view(4);
     late.epoch = 2;
     assert!(!submit_storage_view(&driver, 1, &late).await);
@@ -384,7 +384,7 @@
 }
 
 #[tokio::test]
-async fn eight_retire_orders_at_once_retire_as_many_machines_as_allowed() {
+async fn concurrent_retire_orders_retire_no_more_machines_than_allowed() {
     let folder = tempfile::tempdir().expect("a folder");
     let (api, driver) = start_core(folder.path()).await;
     assert!(submit_storage_view(&driver, 0, &storage_view(4)).await);
@@ -407,7 +407,7 @@
     assert_eq!(
         (accepted.len(), rejected),
         (6, 2),
-        "one machine stays: {answers:?}"
+        "one machine must remain: {answers:?}"
     );
     for number in 0..4 {
         let expected = if accepted.contains(&number) {
@@ -424,7 +424,7 @@
 }
 
 #[tokio::test]
-async fn a_storage_view_of_another_format_gets_no_final_answer() {
+async fn retire_orders_get_no_final_answer_while_the_storage_view_has_an_unknown_format() {
     let folder = tempfile::tempdir().expect("a folder");
     let (api, driver) = start_core(folder.path()).await;
     let bytes = Blob::from(vec![0xff, 1, 2, 3]);
@@ -450,12 +450,12 @@
     assert_eq!(
         put_value(&api, 0, &configuration(5, 1000)).await,
         StatusCode::OK,
-        "other orders go on"
+        "configuration orders are still executed"
     );
 }
 
 #[tokio::test]
-async fn a_machine_that_is_partitioned_from_the_others_sends_callers_elsewhere() {
+async fn a_partitioned_machine_fails_orders_as_out_of_quorum() {
     let folder = tempfile::tempdir().expect("a folder");
     let others = [2, 3].map(|port| SocketAddrV4::new(Ipv4Addr::LOCALHOST, port));
     let driver = start_member(folder.path(), vec![ADDRESS, others[0], others[1]]).await;
@@ -474,7 +474,7 @@
         assert_eq!(
             answer,
             Err(ExecutionError::OutOfQuorum),
-            "before the time for an order is over"
+            "must fail as out of quorum before the time limit of an order"
         );
     }
     let api = operator::router(Arc::new(orders));
@@ -485,6 +485,6 @@
     assert_eq!(
         put(&api, 0, "{}").await,
         StatusCode::BAD_REQUEST,
-        "invalid whatever is in force"
+        "invalid regardless of the committed configuration"
     );
 }
--- a/crates/tier/control/tests/order_races.rs
+++ b/crates/tier/control/tests/order_races.rs
@@ -1,6 +1,7 @@
-//! Three core machines with real drivers, journals and connections on loopback: orders that race at several
-//! machines at once, two copies of each at different machines, and a head that stops with orders in flight.
-//! As a negative control, the same races on three machines that are a core each must be found to be wrong.
+//! Concurrent orders on three core machines with real drivers, journals and loopback connections. Two copies of each
+//! order are sent to different machines, and in some rounds the head stops with orders in flight. Guards against two
+//! committed changes on one base, and against contradicting answers to copies of one order. As a negative control,
+//! the check must fail for three machines that are independent cores of one machine each.
 
 mod support;
 
@@ -29,14 +30,14 @@
 use woadreach_rpc::{Client, ClientOptions, Router, ServiceId, serve};
 
 const MACHINES: usize = 3;
-/// Rounds in which orders race; the head is stopped in every third.
+/// Number of rounds of concurrent orders. The head is stopped in every third round.
 const ROUNDS: u64 = 9;
-/// Changes that race in a round, each at two machines.
+/// Number of concurrent changes in a round, each sent to two machines.
 const CHANGES: u64 = 4;
-/// Limit on the time of an order or a start.
+/// Time limit for an order or a start.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process of a core machine: one thread with a runtime, with which everything in it ends.
+/// Simulated process of a core machine: a thread with a runtime. When the runtime is dropped, all its tasks end.
 struct Machine {
     thread: JoinHandle<()>,
     stop: oneshot::Sender<()>,
@@ -45,23 +46,23 @@
     driver: Arc<MemberDriver>,
 }
 
-/// The machines of a core, each with its folder and address.
+/// Machines of the test, each with a folder and an address.
 struct Core {
     folder: PathBuf,
     addresses: Vec<SocketAddrV4>,
-    /// Whether each machine is a core of its own.
-    is_split: bool,
+    /// Whether each machine is an independent core of one machine.
+    has_independent_cores: bool,
     machines: Vec<Option<Machine>>,
 }
 
 impl Core {
-    fn start(folder: &Path, is_split: bool) -> Core {
+    fn start(folder: &Path, has_independent_cores: bool) -> Core {
         let addresses = free_addresses();
         let machines = (0..MACHINES).map(|_| None).collect();
         let mut core = Core {
             folder: folder.to_owned(),
             addresses,
-            is_split,
+            has_independent_cores,
             machines,
         };
         for index in 0..MACHINES {
@@ -74,13 +75,13 @@
         let folder = self.folder.join(index.to_string());
         let options = MemberOptions {
             address: self.addresses[index],
-            seeds: if self.is_split {
+            seeds: if self.has_independent_cores {
                 vec![self.addresses[index]]
             } else {
                 self.addresses.clone()
             },
             tolerance: Tolerance {
-                machines: usize::from(!self.is_split),
+                machines: usize::from(!self.has_independent_cores),
                 ..Tolerance::default()
             },
             failure_domain: FailureDomain::default(),
@@ -93,12 +94,12 @@
                 let (api, driver) = start_process(&folder, options).await;
                 started
                     .send((Handle::current(), api, driver))
-                    .expect("the test waits");
-                // Either the test stops the machine, or it has ended itself.
+                    .expect("the test thread waits for the start");
+                // Completes when the test sends a stop or drops the sender.
                 let _ = stopped.await;
             });
         });
-        let (handle, api, driver) = process.recv().expect("a process that started");
+        let (handle, api, driver) = process.recv().expect("the machine starts");
         self.machines[index] = Some(Machine {
             thread,
             stop,
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Stops a machine's process with everything that it has in flight.
+    /// Stops the process of a machine, including all orders in flight.
     fn stop_machine(&mut self, index: usize) {
         if let Some(machine) = self.machines[index].take() {
             drop((machine.stop, machine.api, machine.driver));
@@ -127,7 +128,7 @@
             .map(|(index, _)| index)
     }
 
-    /// Waits until every running machine is in the chain and one of them is the head.
+    /// Waits until every running machine is in the chain and knows a head.
     fn wait_until_complete(&self, operators: &Runtime) {
         for (_, machine) in self.running() {
             let driver = Arc::clone(&machine.driver);
@@ -170,7 +171,7 @@
         .collect()
 }
 
-/// Starts a member on the folder's disk and serves the other members.
+/// Starts a member with the journal in `folder`, and serves requests of the other members.
 async fn start_process(folder: &Path, options: MemberOptions) -> (Api, Arc<MemberDriver>) {
     let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a journal");
     let identity = options.random_seed + IDENTITY;
@@ -208,7 +209,7 @@
     .to_string()
 }
 
-/// Sends an order to one machine; `None` if the machine stops before it answers.
+/// Sends an order to one machine. Returns `None` if the machine stops before it answers.
 async fn put(machine: (Handle, Api), base: u64, body: String) -> Option<StatusCode> {
     let request = Request::put("/config")
         .header("If-Match", base.to_string())
@@ -226,7 +227,7 @@
         .map(|machine| (machine.handle.clone(), machine.api.clone()))
 }
 
-/// Sends an order to one running machine after the other, until the answer is final.
+/// Sends an order to each running machine in turn, until an answer is final.
 async fn retry_until_final(core: &Core, base: u64, body: &str) -> StatusCode {
     let answer = async {
         loop {
@@ -246,16 +247,16 @@
         .expect("a final answer")
 }
 
-/// The answer to one copy of a change.
+/// Answer to one copy of a change.
 #[derive(Debug)]
 struct ChangeAnswer {
-    /// Number of the change in its round.
+    /// Index of the change in its round.
     change: u64,
-    /// `None` if the machine stopped before it answered.
+    /// Status code of the answer; `None` if the machine stopped before it answered.
     status: Option<StatusCode>,
 }
 
-fn race(
+fn send_concurrent_orders(
     core: &Core,
     operators: &Runtime,
     round: u64,
@@ -266,7 +267,7 @@
     for change in 0..CHANGES {
         for copy in 0..2 {
             let index = (round + change + copy) as usize % MACHINES;
-            let machine = target(core, index).expect("it runs");
+            let machine = target(core, index).expect("the machine is running");
             let body = configuration(generation, change);
             let call = async move {
                 let status = put(machine, base, body).await;
@@ -278,24 +279,26 @@
     answers
 }
 
-/// Why a round is wrong.
+/// Violation found in a round.
 #[derive(Debug, Snafu)]
 enum RaceError {
-    /// Not exactly one change of the round has won.
-    #[snafu(display("round {round}: {answers:?}"))]
+    /// The number of accepted changes in the round is not one.
+    #[snafu(display("round {round}: expected exactly one accepted change, got {answers:?}"))]
     WinnerCount {
         round: u64,
         answers: Vec<ChangeAnswer>,
     },
-    /// Copies of one change were answered differently, or with an unexpected status.
-    #[snafu(display("round {round}, change {change}: {statuses:?}"))]
+    /// Copies of one change got different answers, or an unexpected status.
+    #[snafu(display(
+        "round {round}, change {change}: contradicting or unexpected answers {statuses:?}"
+    ))]
     Contradiction {
         round: u64,
         change: u64,
         statuses: Vec<StatusCode>,
     },
-    /// A change that had won was rejected when it was sent again.
-    #[snafu(display("round {round}: {status} for {body}, sent again"))]
+    /// An accepted change was rejected when it was sent again.
+    #[snafu(display("round {round}: {status} for a retry of the accepted change {body}"))]
     WinnerRejected {
         round: u64,
         status: StatusCode,
@@ -303,29 +306,31 @@
     },
 }
 
-/// Runs all rounds. Each must have exactly one winner, and all copies of a change the same answer.
-fn run_rounds(is_split: bool) -> Result<(), RaceError> {
+/// Runs all rounds. In each round, exactly one change must be accepted, and all copies of a change must get the same
+/// answer.
+fn run_rounds(has_independent_cores: bool) -> Result<(), RaceError> {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut core = Core::start(folder.path(), is_split);
+    let mut core = Core::start(folder.path(), has_independent_cores);
     let operators = runtime();
     core.wait_until_complete(&operators);
-    // Base and body of each winner.
+    // Base and body of the accepted change of each round.
     let mut winners: Vec<(u64, String)> = Vec::new();
     for round in 1..=ROUNDS {
         let (base, generation) = (3 * (round - 1), 3 * round);
-        let mut racing = race(&core, &operators, round, base, generation);
+        let mut pending_answers =
+            send_concurrent_orders(&core, &operators, round, base, generation);
         let mut answers: Vec<ChangeAnswer> = Vec::new();
         let stopped = (round % 3 == 0).then(|| core.head()).flatten();
         if let Some(head) = stopped {
-            // At least one order is answered, and others are in flight.
+            // Stop the head after the first answer, while other orders may be in flight.
             answers.extend(
                 operators
-                    .block_on(racing.join_next())
+                    .block_on(pending_answers.join_next())
                     .map(|answer| answer.expect("no panic")),
             );
             core.stop_machine(head);
         }
-        answers.extend(operators.block_on(racing.join_all()));
+        answers.extend(operators.block_on(pending_answers.join_all()));
         for change in 0..CHANGES {
             let body = configuration(generation, change);
             let status = operators.block_on(retry_until_final(&core, base, &body));
@@ -355,7 +360,7 @@
     Ok(())
 }
 
-/// The one change that every machine acknowledges; every machine must reject each other one.
+/// Returns the one change that every machine accepts. Every machine must reject all other changes.
 fn find_winner(round: u64, answers: Vec<ChangeAnswer>) -> Result<u64, RaceError> {
     let mut winners: Vec<u64> = Vec::new();
     for change in 0..CHANGES {
@@ -386,12 +391,12 @@
 }
 
 #[test]
-fn of_racing_orders_one_wins_at_all_machines_and_through_the_loss_of_a_head() {
-    run_rounds(false).expect("one winner a round");
+fn one_of_the_concurrent_orders_is_accepted_on_all_machines_even_if_the_head_stops() {
+    run_rounds(false).expect("one accepted change per round");
 }
 
 #[test]
-fn machines_that_are_cores_of_their_own_are_found() {
-    let found = run_rounds(true).expect_err("several winners");
+fn the_check_detects_machines_that_are_independent_cores() {
+    let found = run_rounds(true).expect_err("several accepted changes in a round");
     println!("{found}");
 }
--- a/crates/tier/control/tests/order_route.rs
+++ b/crates/tier/control/tests/order_route.rs
@@ -1,5 +1,5 @@
-//! Where an order goes: to the head as known here, to a new one at once, and nowhere from a partitioned
-//! machine.
+//! Routing of orders: to the head known to this machine, at once to a new head, and to no machine if this machine is
+//! partitioned.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -32,11 +32,11 @@
     }
 }
 
-fn step(head: Option<u8>, is_head: bool, in_quorum: bool, out_for: Duration) -> Step {
+fn step(head: Option<u8>, is_head: bool, in_quorum: bool, out_of_quorum_for: Duration) -> Step {
     next_step(
         &status(head, is_head, in_quorum),
         SocketAddr::V4(address(1)),
-        out_for,
+        out_of_quorum_for,
     )
 }
 
@@ -50,13 +50,13 @@
     assert_eq!(
         step(Some(1), false, true, Duration::ZERO),
         Step::Wait,
-        "sealed, or not active yet"
+        "this machine is the head, but sealed or not active yet"
     );
     assert_eq!(step(None, false, true, Duration::ZERO), Step::Wait);
 }
 
 #[test]
-fn out_of_quorum_an_order_waits_a_little_and_is_abandoned_also_at_a_former_head() {
+fn out_of_quorum_an_order_fails_after_the_time_out_even_at_a_former_head() {
     let short = OUT_OF_QUORUM_TIMEOUT - Duration::from_millis(1);
     assert_eq!(step(Some(1), true, false, short), Step::Execute);
     assert_eq!(
--- a/crates/tier/control/tests/recorded_bytes.rs
+++ b/crates/tier/control/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Encoding of a member's records in its journal, and of orders between core machines: decoded and encoded as
-//! recorded.
+//! Encoding of a member's records in its journal, and of orders and answers between core machines, compared with
+//! recorded bytes. Guards against accidental changes of a format that other versions of the program read.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -24,7 +24,7 @@
 use woadreach_storage::{StorageMember, StorageView};
 
 const BODY: &[u8] = br#"{"generation":7,"routes":[],"services":[]}"#;
-/// Time-out of a forwarded order in milliseconds.
+/// Time-out in milliseconds of the recorded forwarded orders.
 const TIMEOUT_MS: u32 = 10_000;
 
 fn put(base: u64, generation: u64) -> PutConfiguration {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn numbered_records_and_snapshots_are_read_and_written_as_recorded() {
+fn numbered_records_and_snapshots_are_decoded_and_encoded_as_recorded() {
     let recorded = RecordedBytes::open("durable_log");
     let mut durable = empty();
     durable.apply(&write(1));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn bytes_that_are_not_a_numbered_record_are_an_error_with_the_reason() {
+fn bytes_that_are_not_a_numbered_record_are_rejected_with_the_reason() {
     let (snapshot, record) = (encode_snapshot(0, &empty()), encode_record(1, &write(1)));
     let truncated = outcomes_when_cut(&record, |bytes| recover(&snapshot, &[bytes.to_vec()]));
     let expected = [(0, "the record is empty"), (9, "malformed record")];
@@ -97,7 +97,7 @@
         outcome(recover(&snapshot, &[other.clone()])),
         "format version 2, expected 1"
     );
-    // Records behind a gap are not decoded.
+    // Records after a gap are not decoded.
     other[0] = 2;
     assert_eq!(
         recover(&snapshot, &[other])
@@ -119,7 +119,8 @@
     T::read_from_buffer_with_ctx(Endianness::LittleEndian, body).map_err(|error| error.to_string())
 }
 
-/// Every kind of order, with its time-out. A kind that is added needs an entry here.
+/// Returns orders of every kind with the names and time-outs of their records. A new kind of order needs an entry
+/// here.
 fn orders() -> Vec<(&'static str, (u32, Order))> {
     let name = |order: &Order| match order {
         Order::PutConfiguration(put) if put.base == 0 => "put the first configuration",
@@ -142,7 +143,7 @@
         .collect()
 }
 
-/// Every kind of answer. A kind that is added needs an entry here.
+/// Returns answers of every kind with the names of their records. A new kind of answer needs an entry here.
 fn answers() -> Vec<(&'static str, Answer)> {
     let name = |answer: &Answer| match answer {
         Answer::Done => "done",
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn every_kind_of_order_is_read_and_written_as_recorded() {
+fn every_kind_of_order_is_decoded_and_encoded_as_recorded() {
     let recorded = RecordedBytes::open("orders");
     for (name, order) in orders() {
         recorded.check(name, &order, encode, |bytes| decode(bytes));
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn every_kind_of_answer_is_read_and_written_as_recorded() {
+fn every_kind_of_answer_is_decoded_and_encoded_as_recorded() {
     let recorded = RecordedBytes::open("answers");
     for (name, answer) in answers() {
         recorded.check(name, &answer, encode, |bytes| decode(bytes));
@@ -203,8 +204,8 @@
     recorded.finish();
 }
 
-/// Sends the head the order recorded as `order`, again while it has no answer: the orders may be executed
-/// twice.
+/// Sends the recorded order with the name `order` to the head, and retries while the response is empty. Retries are
+/// safe because all recorded orders may be executed twice.
 async fn answer_of(orders: &OrderService, order: &str) -> Vec<u8> {
     let body = Bytes::from(RecordedBytes::open("orders").bytes(order));
     for _ in 0..10 {
@@ -216,7 +217,7 @@
             return answer;
         }
     }
-    panic!("the head has no answer to {order}");
+    panic!("no answer from the head to the order `{order}` after all attempts");
 }
 
 async fn expect_answers(orders: &OrderService, expected: &[(&str, &str)]) {
@@ -225,7 +226,7 @@
         assert_eq!(
             answer_of(orders, order).await,
             recorded,
-            "{order}: not {answer}"
+            "order `{order}`: expected the recorded answer `{answer}`"
         );
     }
 }
@@ -327,7 +328,7 @@
     );
 }
 
-/// A retried configuration is recognized by its digest, also by a program of another version.
+/// Guards against a change of the digest: a program of another version must recognize a retried configuration by it.
 #[tokio::test]
 async fn the_digest_of_a_configuration_is_as_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/tier/control/tests/retire_orders.rs
+++ b/crates/tier/control/tests/retire_orders.rs
@@ -1,10 +1,10 @@
-//! Orders to retire storage machines, interleaved with the planner's changes of the view, losses of
-//! uncommitted changes, and copies of earlier orders. The decisions are those of the program; the chain is a
-//! model.
+//! Orders to retire storage machines, interleaved with changes of the view by the planner, losses of uncommitted
+//! changes, and copies of earlier orders. The test calls the decision functions of the program; the chain is a model.
+//! Guards against an acknowledged order that is later rejected or forgotten.
 //!
-//! A script of numbers says what happens next. Two defences can be switched off, and the loss must be found:
-//! the planner's view replaces any view, whatever epoch it was planned on, or an answer isn't confirmed after
-//! the barrier.
+//! A script of numbers determines the sequence of events. Two mutations remove a safeguard, and the test must detect
+//! each of them: the planner's view replaces any stored view, regardless of the epoch from which it was planned, or
+//! an answer is not confirmed after the barrier.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -19,39 +19,39 @@
 use woadreach_storage::view::plan;
 use woadreach_storage::{StorageMember, StorageView};
 
-/// Machines that may exist; one more name never announces itself.
+/// Number of machines that can exist. One further name is used in orders and never announced.
 const MACHINES: u8 = 8;
-/// Machines that announce themselves from the start.
+/// Number of machines that send announcements from the start.
 const INITIAL_MACHINES: u8 = 4;
-/// Storage machines that may be lost at once.
+/// Number of storage machines that may fail at the same time.
 const TOLERATED_LOSSES: usize = 1;
-/// Limit on the orders in flight at once.
+/// Maximum number of orders in flight.
 const MAX_ORDERS: usize = 8;
 const TICK: Duration = Duration::from_millis(100);
-/// Numbers of a script.
+/// Length of a script in events.
 const SCRIPT_LENGTH: usize = 600;
-/// Scripts that a test runs.
+/// Number of scripts that each test runs, one per seed.
 const SCRIPTS: u64 = 400;
 
-/// A defence that is switched off.
+/// Injected bug that removes a safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
-    /// The planner's view replaces whichever view is stored.
+    /// The planner's view replaces the stored view regardless of its epoch.
     PlannerOverwrites,
-    /// An answer isn't decided again on the committed view after the barrier.
+    /// An answer is not decided again on the committed view after the barrier.
     AnswersUnconfirmed,
 }
 
-/// A slot for an order in flight.
+/// Slot for an order in flight.
 #[derive(Clone, Debug)]
 enum OrderSlot {
     Free,
-    /// Decided; its view is to be submitted, or its answer to be confirmed.
+    /// The order is decided. Next, its view is submitted or its answer is confirmed.
     Decided {
         node: String,
         decision: RetireDecision,
     },
-    /// Waits for the commit of the write at `position`.
+    /// The view is submitted. The order is acknowledged when the write at `position` is committed.
     Submitted {
         node: String,
         position: WritePosition,
@@ -65,7 +65,7 @@
     Planned(PutStorageView),
 }
 
-/// The head of a core, the storage machines that announce themselves, and the operator.
+/// Model of the head of a core, the storage machines and the operator.
 struct RetireModel {
     mutation: Option<Mutation>,
     now: Instant,
@@ -74,13 +74,13 @@
     latest: ControlState,
     announcements: Announcements,
     disks: BTreeMap<u8, u64>,
-    /// Machines that don't announce themselves.
+    /// Machines that send no announcements.
     unresponsive: BTreeSet<u8>,
     orders: Vec<OrderSlot>,
     planner: Planner,
-    /// Machines whose order was acknowledged.
+    /// Names of the machines whose order to retire was acknowledged.
     acknowledged: BTreeSet<String>,
-    /// Machines whose state was reported as `succeeded`.
+    /// Names of the machines whose state was reported as `succeeded`.
     succeeded: BTreeSet<String>,
     violations: Vec<String>,
 }
@@ -119,7 +119,7 @@
             violations: Vec::new(),
         };
         for _ in 0..20 {
-            model.pass_time();
+            model.advance_time();
             model.advance_planner();
             model.advance_planner();
             model.commit();
@@ -127,11 +127,11 @@
         model
     }
 
-    /// Applies one event; the number says which, and to which machine or order.
+    /// Applies one event. The number selects the event, and the machine or order that it applies to.
     fn apply_event(&mut self, number: u16) {
         let choice = usize::from(number / 16);
         match number % 16 {
-            0..=2 => self.pass_time(),
+            0..=2 => self.advance_time(),
             3..=5 => self.advance_planner(),
             6..=8 => self.advance_order(choice),
             9 | 10 => self.begin_order(choice),
@@ -142,8 +142,9 @@
         }
     }
 
-    /// The responsive machines announce that they have pulled the data of the committed view.
-    fn pass_time(&mut self) {
+    /// Advances the time by [`TICK`]. The responsive machines announce that they have pulled the data of the committed
+    /// view.
+    fn advance_time(&mut self) {
         self.now += TICK;
         let pulled_epoch = self.committed.storage_epoch();
         for (&number, &disk) in self
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Submits a view. Returns the position of the write if it is accepted.
+    /// Submits a view. Returns the position of the write, or `None` if the view is rejected.
     fn submit(&mut self, put: PutStorageView) -> Option<WritePosition> {
         let command = Command::PutStorageView(put);
         match self.latest.evaluate(&command) {
@@ -218,7 +219,7 @@
         self.orders[slot] = OrderSlot::Decided { node, decision };
     }
 
-    /// Takes an order one step on, as `order::execution` does.
+    /// Executes the next step of an order in the same way as `order::execution`.
     fn advance_order(&mut self, choice: usize) {
         let slot = choice % MAX_ORDERS;
         self.orders[slot] = match self.orders[slot].clone() {
@@ -244,7 +245,7 @@
                     })
             }
             OrderSlot::Decided { node, decision } => {
-                // The barrier: the state that was decided on is committed first.
+                // Barrier: the state on which the decision is based is committed first.
                 self.commit();
                 let committed = self.committed.storage_view.as_ref();
                 let is_confirmed = decide_retire(committed, &node, TOLERATED_LOSSES) == decision
@@ -268,14 +269,15 @@
                 self.acknowledged.insert(node.to_owned());
             }
             Answer::UnknownNode | Answer::TooFewNodes if self.acknowledged.contains(node) => {
-                self.violations
-                    .push(format!("{node}: {answer:?} though it was applied"));
+                self.violations.push(format!(
+                    "{node}: {answer:?} after the order was acknowledged"
+                ));
             }
             _ => {}
         }
     }
 
-    /// Reads the state of a machine, as the operator does, and checks it against earlier answers.
+    /// Reads the retire state of a machine as the operator does, and checks it against earlier answers.
     fn check_state(&mut self, choice: usize) {
         let node = format!("store-{}", choice % usize::from(MACHINES + 1));
         let is_acknowledged = self.acknowledged.contains(&node);
@@ -283,17 +285,19 @@
             Answer::RetireState { is_finished: true } => {
                 let view = decode(self.committed.storage_view.as_ref());
                 if view.members().iter().any(|member| member.node == node) {
-                    self.violations
-                        .push(format!("{node}: succeeded, yet in the view"));
+                    self.violations.push(format!(
+                        "{node}: state is succeeded, but the machine is still in the view"
+                    ));
                 }
                 self.succeeded.insert(node);
             }
             Answer::RetireState { is_finished: false } if self.succeeded.contains(&node) => {
-                self.violations.push(format!("{node}: running again"));
+                self.violations
+                    .push(format!("{node}: state is running after it was succeeded"));
             }
             Answer::UnknownNode if is_acknowledged => {
                 self.violations
-                    .push(format!("{node}: the order is forgotten"));
+                    .push(format!("{node}: the acknowledged order is not stored"));
             }
             _ => {}
         }
@@ -303,7 +307,7 @@
         self.committed = self.latest.clone();
     }
 
-    /// Another head takes over, with or without the uncommitted changes; orders at the old one are abandoned.
+    /// Another head takes over, with or without the uncommitted changes. Orders in flight at the old head are dropped.
     fn lose_uncommitted(&mut self, choice: usize) {
         if choice.is_multiple_of(2) {
             self.latest = self.committed.clone();
@@ -313,8 +317,8 @@
         self.orders = vec![OrderSlot::Free; MAX_ORDERS];
     }
 
-    /// A machine joins, becomes unresponsive, comes back, or comes back with an empty disk, also one that was
-    /// removed.
+    /// A machine, possibly a removed one, joins, becomes unresponsive, becomes responsive again, or restarts with an
+    /// empty disk.
     fn change_machine(&mut self, choice: usize) {
         let number = (choice % usize::from(MACHINES)) as u8;
         if !self.unresponsive.remove(&number) {
@@ -335,8 +339,8 @@
     model
 }
 
-/// Whether the scripts of all seeds run without a violation.
-fn is_sound(mutation: Option<Mutation>) -> bool {
+/// Returns whether the scripts of all seeds run without a violation.
+fn has_no_violations(mutation: Option<Mutation>) -> bool {
     (1..=SCRIPTS).all(|seed| {
         let violations = run(&script(seed), mutation).violations;
         if !violations.is_empty() {
@@ -355,21 +359,21 @@
 
 #[test]
 fn an_acknowledged_order_is_never_rejected_or_forgotten() {
-    assert!(is_sound(None));
+    assert!(has_no_violations(None));
 }
 
 #[test]
-fn a_planner_that_overwrites_is_found() {
-    assert!(!is_sound(Some(Mutation::PlannerOverwrites)));
+fn the_check_detects_a_planner_that_overwrites_the_view() {
+    assert!(!has_no_violations(Some(Mutation::PlannerOverwrites)));
 }
 
 #[test]
-fn an_answer_that_is_not_confirmed_after_the_barrier_is_found() {
-    assert!(!is_sound(Some(Mutation::AnswersUnconfirmed)));
+fn the_check_detects_answers_that_are_not_confirmed_after_the_barrier() {
+    assert!(!has_no_violations(Some(Mutation::AnswersUnconfirmed)));
 }
 
 #[test]
-fn machines_are_retired_in_these_runs() {
+fn the_scripts_retire_machines() {
     let retired = |seed| run(&script(seed), None).succeeded.len();
     let retired: usize = (1..=SCRIPTS).map(retired).sum();
     assert!(retired > 100, "{retired}");
--- a/crates/tier/control/tests/signals.rs
+++ b/crates/tier/control/tests/signals.rs
@@ -1,4 +1,4 @@
-//! SIGHUP and SIGTERM: each role, as a process, survives the first and stops on the second.
+//! Signals to the process of each role: SIGHUP does not stop it, SIGTERM does.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -69,15 +69,15 @@
     );
 }
 
-/// Starts a role, waits for the log event `ready`, and sends both signals; of two that are pending, SIGHUP is
-/// delivered first.
+/// Starts a role, waits for the log event `ready`, sends SIGHUP and SIGTERM, and returns the exit status. If both
+/// signals are pending, SIGHUP is delivered first.
 fn exit_status_after_both_signals(role: &str, ready: &str) -> ExitStatus {
     let folder = TempDir::new().unwrap();
     let mut process = start(&folder, role);
     let mut log = BufReader::new(process.stderr.take().unwrap()).lines();
     assert!(
         log.any(|line| line.unwrap().contains(ready)),
-        "{role} does not start"
+        "the log of role {role} ended without the event `{ready}`"
     );
     send_signal(&process, "-HUP");
     send_signal(&process, "-TERM");
@@ -93,7 +93,7 @@
     );
 }
 
-/// Starts a role on a folder, and returns its log up to the event `ready`.
+/// Starts a role with the settings file in `folder`, and returns its log up to the event `ready`.
 fn log_of_start(folder: &TempDir, role: &str, ready: &str) -> Vec<String> {
     let path = folder.path().join("settings.yaml");
     let mut process = start_with(&path, role);
--- a/crates/tier/control/tests/support/mod.rs
+++ b/crates/tier/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One core machine with a real driver and journal.
+//! Helpers that start one core machine with a real driver and journal.
 
 #![allow(dead_code)]
 
@@ -14,27 +14,27 @@
 use woadreach_rpc::{Client, ClientOptions};
 
 pub(crate) const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
-/// Identity of a new disk.
+/// Identity of the member on a new disk.
 pub(crate) const IDENTITY: u64 = 7;
 
-/// A core of one machine, once it is the head.
+/// Starts a core of one machine, and waits until it is the head.
 pub(crate) async fn start_core(folder: &Path) -> (Arc<MemberDriver>, Arc<OrderService>) {
     let driver = start_member(folder, vec![ADDRESS]).await;
-    until_head(&driver).await;
+    wait_until_head(&driver).await;
     let orders = Arc::new(order_service(Arc::clone(&driver)));
     (driver, orders)
 }
 
 /// Waits until the member is the head.
-pub(crate) async fn until_head(driver: &MemberDriver) {
+pub(crate) async fn wait_until_head(driver: &MemberDriver) {
     let mut changes = driver.changes();
     while !driver.status().is_head {
         changes.changed().await.expect("the driver runs");
     }
 }
 
-/// Lets other tasks run until the condition holds.
-pub(crate) async fn until(condition: impl Fn() -> bool) {
+/// Yields to other tasks until `condition` is true.
+pub(crate) async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::task::yield_now().await;
     }
@@ -49,7 +49,7 @@
     )
 }
 
-/// A core machine with these seeds.
+/// Starts a core machine with these seeds.
 pub(crate) async fn start_member(folder: &Path, seeds: Vec<SocketAddrV4>) -> Arc<MemberDriver> {
     let options = member_options(seeds);
     let (journal, found) = Journal::open(folder, JournalOptions::default()).expect("a journal");
@@ -62,7 +62,7 @@
     )
 }
 
-/// Options of a core machine that tolerates no loss.
+/// Options of a core machine that tolerates no failures.
 pub(crate) fn member_options(seeds: Vec<SocketAddrV4>) -> MemberOptions {
     MemberOptions {
         address: ADDRESS,
@@ -73,7 +73,7 @@
     }
 }
 
-/// The state that was found in the journal. An empty journal gets a new member's snapshot.
+/// Recovers the state from the journal. Initializes an empty journal with the snapshot of a new member.
 pub(crate) async fn recover_or_initialize(
     journal: &Journal,
     found: Recovered,
@@ -91,7 +91,7 @@
     RecoveredMember { durable, number: 0 }
 }
 
-/// The state that was found in a journal with a snapshot.
+/// Recovers the state from a journal that contains a snapshot.
 pub(crate) fn recover_found(found: Recovered) -> RecoveredMember {
     recover(&found.snapshot.expect("a snapshot"), &found.records).expect("own records")
 }
--- a/crates/tier/control/tests/upgrade.rs
+++ b/crates/tier/control/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Disks of core machines as an earlier program left them: the committed state is recovered, and the machines
-//! continue from it.
+//! Recorded disks of core machines, written by an earlier version of the program. The current version must recover
+//! the committed state and continue from it.
 
 #[path = "../../../../tests/recorded/incarnation.rs"]
 mod incarnation;
@@ -28,7 +28,7 @@
 use woadreach_journal::{Journal, JournalOptions, Recovered};
 use woadreach_storage::{StorageMember, StorageView};
 
-const LONG: Duration = Duration::from_secs(20);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn body(generation: u64) -> Vec<u8> {
     format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes()
@@ -67,7 +67,7 @@
     }
 }
 
-/// The view in which storage-4 replaces storage-3, with the order to retire storage-3.
+/// Returns the joint view in which storage-4 replaces storage-3, including the order to retire storage-3.
 fn joint_storage_view() -> StorageView {
     StorageView {
         epoch: 2,
@@ -79,7 +79,7 @@
 
 async fn execute(orders: &OrderService, order: Order) -> Answer {
     orders
-        .execute(order, Instant::now() + LONG)
+        .execute(order, Instant::now() + ORDER_TIMEOUT)
         .await
         .expect("the only core machine answers")
 }
@@ -92,7 +92,7 @@
     assert_eq!(execute(orders, Order::ReadConfiguration).await, expected);
 }
 
-/// Runs one incarnation, which commits a configuration and the storage view after that of `expected_epoch`.
+/// Runs one incarnation, which commits a configuration and replaces the storage view of `expected_epoch` by `view`.
 fn commit_changes(folder: &Path, put: PutConfiguration, expected_epoch: u64, view: &StorageView) {
     run_incarnation(async {
         let (driver, orders) = start_core(folder).await;
@@ -102,8 +102,8 @@
     });
 }
 
-/// Makes the disk of a core of one machine, after two incarnations.
-fn make_disk_of_one(folder: &Path) {
+/// Writes the disk of a core of one machine after two incarnations.
+fn write_disk_of_one(folder: &Path) {
     commit_changes(folder, put(0, 3), 0, &first_storage_view());
     commit_changes(folder, put(3, 7), 1, &joint_storage_view());
 }
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn the_disk_of_a_core_of_one_machine_has_the_committed_state() {
-    let folder = recorded_copy("core-of-one", make_disk_of_one);
+fn the_committed_state_is_recovered_from_the_disk_of_a_core_of_one_machine() {
+    let folder = recorded_copy("core-of-one", write_disk_of_one);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!((durable.identity, durable.bootstrap), (IDENTITY, true));
     let own = MemberId {
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_core_of_one_machine_continues_from_an_earlier_disk() {
-    let folder = recorded_copy("core-of-one", make_disk_of_one);
+    let folder = recorded_copy("core-of-one", write_disk_of_one);
     let epoch_before = recover_disk(folder.path()).durable.view.epoch;
     run_incarnation(async {
         let (driver, orders) = start_core(folder.path()).await;
@@ -168,7 +168,7 @@
         assert_eq!(
             execute(&orders, Order::PutConfiguration(put(0, 3))).await,
             Answer::Done,
-            "applied before"
+            "this change was applied before"
         );
         let other = PutConfiguration {
             digest: [0; 16],
@@ -231,7 +231,8 @@
     })
 }
 
-/// Records of the second member of three, from the first epoch to the seventh; it was idle in epoch 5.
+/// Records of the second of three members, from the first epoch to the vote for the seventh. The member was idle in
+/// epoch 5.
 fn records_of_three() -> Vec<Record> {
     let ballot = |round, proposer| Ballot {
         round,
@@ -281,7 +282,7 @@
     ]
 }
 
-/// Number of records in the snapshot; the others are in the log behind it.
+/// Number of records included in the snapshot. The log after the snapshot contains the others.
 const SNAPSHOT_RECORDS: usize = 7;
 
 fn new_disk_of_three() -> Durable {
@@ -289,8 +290,8 @@
     Durable::new(member(2).identity, true, View::bootstrap(&seeds))
 }
 
-/// Makes the journal of a member whose first records are in a snapshot.
-fn make_disk_of_three(folder: &Path) {
+/// Writes the journal of a member whose first records are included in a snapshot.
+fn write_disk_of_three(folder: &Path) {
     let records = records_of_three();
     let mut durable = new_disk_of_three();
     records[..SNAPSHOT_RECORDS]
@@ -310,8 +311,8 @@
 }
 
 #[test]
-fn the_disk_of_one_of_three_core_machines_has_every_kind_of_record() {
-    let folder = recorded_copy("core-of-three", make_disk_of_three);
+fn every_kind_of_record_is_recovered_from_the_disk_of_one_of_three_core_machines() {
+    let folder = recorded_copy("core-of-three", write_disk_of_three);
     let found = read_disk(folder.path());
     let records = records_of_three();
     let expected: Vec<Vec<u8>> = records
@@ -322,7 +323,7 @@
         .collect();
     assert_eq!(
         found.records, expected,
-        "today's records are those on the disk"
+        "the current encoding of the records must equal the recorded bytes"
     );
     let RecoveredMember { durable, number } = recover_disk(folder.path());
     assert_eq!(number, records.len() as u64);
@@ -333,7 +334,7 @@
 
 #[test]
 fn one_of_three_core_machines_recovers_its_view_its_promise_and_its_vote() {
-    let folder = recorded_copy("core-of-three", make_disk_of_three);
+    let folder = recorded_copy("core-of-three", write_disk_of_three);
     let durable = recover_disk(folder.path()).durable;
     assert_eq!(
         (durable.identity, durable.bootstrap),
