--- a/crates/tier/control/tests/instances.rs
+++ b/crates/tier/control/tests/instances.rs
@@ -1,8 +1,8 @@
-//! Bodies of heartbeats: which are parsed, and which are rejected with the name of the field at fault.
+//! Parsing of heartbeat bodies: valid bodies, and errors that name the invalid field.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
-use woadreach_control::instances::read_heartbeat;
+use woadreach_control::instances::parse_heartbeat;
 use woadreach_discovery::ReplicaState;
 
 fn body() -> Value {
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_complete_body_is_parsed_and_unknown_fields_are_ignored() {
-    let heartbeat = read_heartbeat(body().to_string().as_bytes()).unwrap();
+    let heartbeat = parse_heartbeat(body().to_string().as_bytes()).unwrap();
     assert_eq!(heartbeat.address, "10.128.0.9:8080".parse().unwrap());
     assert_eq!(heartbeat.state, ReplicaState::Draining);
     assert_eq!((heartbeat.capacity, heartbeat.sequence), (32, 4));
@@ -23,17 +23,17 @@
 }
 
 #[test]
-fn plain_services_name_no_stage_and_no_models() {
+fn stage_and_models_are_optional() {
     let mut body = body();
     let fields = body.as_object_mut().unwrap();
     fields.remove("stage");
     fields.remove("models");
-    let heartbeat = read_heartbeat(body.to_string().as_bytes()).unwrap();
+    let heartbeat = parse_heartbeat(body.to_string().as_bytes()).unwrap();
     assert!(heartbeat.stage.is_none() && heartbeat.models.is_empty());
 }
 
 #[test]
-fn a_missing_field_is_rejected_by_its_name() {
+fn a_missing_required_field_is_rejected_with_its_name() {
     let required = [
         "service",
         "address",
@@ -47,7 +47,7 @@
     for field in required {
         let mut body = body();
         body.as_object_mut().unwrap().remove(field);
-        let error = read_heartbeat(body.to_string().as_bytes())
+        let error = parse_heartbeat(body.to_string().as_bytes())
             .unwrap_err()
             .to_string();
         assert!(error.contains(field), "{field}: {error}");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unknown_state_and_other_values_of_the_wrong_kind_are_rejected() {
+fn unknown_states_and_values_of_the_wrong_type_are_rejected() {
     let wrong = [
         ("state", json!("asleep")),
         ("address", json!("nowhere")),
@@ -67,19 +67,19 @@
         let mut body = body();
         body[field] = value;
         assert!(
-            read_heartbeat(body.to_string().as_bytes()).is_err(),
+            parse_heartbeat(body.to_string().as_bytes()).is_err(),
             "{field}"
         );
     }
 }
 
 quickcheck! {
-    fn bytes_that_are_no_heartbeat_are_an_error(bytes: Vec<u8>) -> bool {
-        read_heartbeat(&bytes).is_err()
+    fn arbitrary_bytes_are_rejected(bytes: Vec<u8>) -> bool {
+        parse_heartbeat(&bytes).is_err()
     }
 
-    fn a_truncated_body_is_an_error(length: usize) -> bool {
+    fn a_truncated_body_is_rejected(length: usize) -> bool {
         let complete = body().to_string();
-        read_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
+        parse_heartbeat(&complete.as_bytes()[..length % complete.len()]).is_err()
     }
 }
