--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -50,7 +50,7 @@
     /// An answer with results.
     Answered {
         /// Whether it claims to be complete.
-        whole: bool,
+        complete: bool,
         /// When.
         after: f64,
     },
@@ -62,27 +62,27 @@
         after: f64,
     },
     /// An error.
-    Errored {
+    Failed {
         /// When.
         after: f64,
     },
     /// The request was not sent: no connection could be opened.
-    Unreached,
+    NotConnected,
     /// The connection broke, or the client's timeout passed.
     Unanswered,
     /// The client disconnected.
-    Left,
+    ClientDisconnected,
 }
 
 /// When a client retries.
 #[derive(Clone, Copy, Debug)]
 pub struct Retry {
     /// Most retries.
-    pub times: usize,
+    pub max_retries: usize,
     /// Seconds between attempts.
-    pub pause: f64,
+    pub delay_s: f64,
     /// Whether the client waits as long as `Retry-After` says, if that is longer.
-    pub heeds: bool,
+    pub honors_retry_after: bool,
 }
 
 struct Connection<S> {
@@ -153,19 +153,19 @@
             let outcome = self.call(&request, true).await;
             outcomes.push(outcome.clone());
             let pause = match outcome {
-                CallOutcome::Answered { .. } | CallOutcome::Left => return outcomes,
+                CallOutcome::Answered { .. } | CallOutcome::ClientDisconnected => return outcomes,
                 // A part of it may have run.
-                CallOutcome::Errored { .. } | CallOutcome::Unanswered if !idempotent => {
+                CallOutcome::Failed { .. } | CallOutcome::Unanswered if !idempotent => {
                     return outcomes;
                 }
                 CallOutcome::Shed {
                     retry_after: Some(advice),
                     ..
-                } if retry.heeds => retry.pause.max(advice),
-                _ => retry.pause,
+                } if retry.honors_retry_after => retry.delay_s.max(advice),
+                _ => retry.delay_s,
             };
             let remaining = deadline - self.0.net.now() - pause;
-            if outcomes.len() > retry.times || remaining < MIN_ATTEMPT_TIME {
+            if outcomes.len() > retry.max_retries || remaining < MIN_ATTEMPT_TIME {
                 return outcomes;
             }
             self.0.net.sleep(pause).await;
@@ -184,18 +184,18 @@
             Some(connection) => connection,
             None => match self.connect(request.timeout).await {
                 Some(connection) => connection,
-                None => return CallOutcome::Unreached,
+                None => return CallOutcome::NotConnected,
             },
         };
         let requested_at = inner.net.now();
         if !self.send(&mut connection, request, requested_at).await {
             inner
                 .recorder
-                .tell(EventKind::ClientDisconnected { search });
+                .record(EventKind::ClientDisconnected { search });
             if reused {
                 return Box::pin(self.call(request, false)).await;
             }
-            return CallOutcome::Unreached;
+            return CallOutcome::NotConnected;
         }
         let until = match request.disconnect_after {
             Some(after) => requested_at + after.min(request.timeout),
@@ -216,7 +216,7 @@
             Received::Closed if crossed => {
                 inner
                     .recorder
-                    .tell(EventKind::ClientDisconnected { search });
+                    .record(EventKind::ClientDisconnected { search });
                 Box::pin(self.call(request, false)).await
             }
             failure => self.record_failure(request, failure),
@@ -242,7 +242,7 @@
         let parts = request.parts.iter();
         let parts = parts.map(|&(shard, weight)| ShardWeight { shard, weight });
         // Recorded first, so that the record has it before the co-ordinator can act on it.
-        self.0.recorder.tell(EventKind::Requested {
+        self.0.recorder.record(EventKind::Requested {
             node: self.0.node,
             search: request.search.clone(),
             query_type: request.query_type,
@@ -256,7 +256,7 @@
         let node = self.0.node;
         self.0
             .recorder
-            .tell(EventKind::CoordinatorUnsound { node, why });
+            .record(EventKind::CoordinatorUnsound { node, why });
     }
 
     fn record_response(&self, search: Arc<str>, response: &Response, after: f64) -> CallOutcome {
@@ -267,32 +267,29 @@
                     let complete = answer.complete;
                     let rows = answer.rows.into_iter();
                     let rows = rows.map(|(shard, value)| ShardValue { shard, value });
-                    recorder.tell(EventKind::Answered {
+                    recorder.record(EventKind::Answered {
                         search,
                         complete,
                         rows: rows.collect(),
                     });
-                    CallOutcome::Answered {
-                        whole: complete,
-                        after,
-                    }
+                    CallOutcome::Answered { complete, after }
                 }
                 Err(error) => {
                     self.record_leak(format!("an answer that cannot be read: {error}"));
-                    recorder.tell(EventKind::Failed { search });
-                    CallOutcome::Errored { after }
+                    recorder.record(EventKind::Failed { search });
+                    CallOutcome::Failed { after }
                 }
             },
             429 | 503 => {
-                recorder.tell(EventKind::Shed { search });
+                recorder.record(EventKind::Shed { search });
                 CallOutcome::Shed {
                     retry_after: response.retry_after,
                     after,
                 }
             }
             _ => {
-                recorder.tell(EventKind::Failed { search });
-                CallOutcome::Errored { after }
+                recorder.record(EventKind::Failed { search });
+                CallOutcome::Failed { after }
             }
         }
     }
@@ -301,17 +298,17 @@
         let (recorder, search) = (&self.0.recorder, request.search.clone());
         match failure {
             Received::Closed => {
-                recorder.tell(EventKind::ConnectionClosed { search });
+                recorder.record(EventKind::ConnectionClosed { search });
                 return CallOutcome::Unanswered;
             }
             Received::Malformed(why) => self.record_leak(why),
             Received::TimedOut if request.disconnect_after.is_some() => {
-                recorder.tell(EventKind::ClientDisconnected { search });
-                return CallOutcome::Left;
+                recorder.record(EventKind::ClientDisconnected { search });
+                return CallOutcome::ClientDisconnected;
             }
             Received::TimedOut | Received::Response(_) => {}
         }
-        recorder.tell(EventKind::ClientDisconnected { search });
+        recorder.record(EventKind::ClientDisconnected { search });
         CallOutcome::Unanswered
     }
 
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -98,7 +98,7 @@
 ///
 /// # Errors
 /// The address is in use.
-pub fn discovery<N: Net>(
+pub fn start_discovery_agent<N: Net>(
     net: &N,
     node: CoordinatorId,
     address: SocketAddr,
@@ -164,7 +164,7 @@
     }
 
     /// The latest generation that was written to the co-ordinator.
-    pub fn told(&self) -> u64 {
+    pub fn last_written_generation(&self) -> u64 {
         self.0.written.get()
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The JSON of the list, for a co-ordinator's configuration.
-    pub fn known(&self) -> String {
+    pub fn full_list_json(&self) -> String {
         self.list(0, true).json
     }
 
@@ -205,7 +205,7 @@
 
     fn record(&self, entries: &[ListEntry]) {
         for entry in entries {
-            self.0.recorder.tell(EventKind::ReplicaListed {
+            self.0.recorder.record(EventKind::ReplicaListed {
                 node: self.0.node,
                 replica: entry.id.as_str().into(),
                 ready: entry.lifecycle == "ready",
@@ -271,7 +271,7 @@
 
 async fn serve_list<S: Stream>(agent: &Agent, mut stream: S, mut bytes: Vec<u8>) {
     let generation = agent.generation();
-    let list = agent.known();
+    let list = agent.full_list_json();
     let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
         list.len()
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -14,6 +14,6 @@
 mod wire;
 
 pub use client::{CallOutcome, Caller, Retry, SearchRequest};
-pub use discovery::{Agent, CallsWhileUnresponsive, ListEntry, discovery};
+pub use discovery::{Agent, CallsWhileUnresponsive, ListEntry, start_discovery_agent};
 pub use recorder::Recorder;
-pub use replica::{Behaviour, Replica, WarmUp, replica};
+pub use replica::{Behaviour, Replica, WarmUp, start_replica};
--- a/crates/testing/fakes/src/recorder.rs
+++ b/crates/testing/fakes/src/recorder.rs
@@ -14,7 +14,7 @@
     }
 
     /// Records an event that happens now.
-    pub fn tell(&self, event: EventKind) {
+    pub fn record(&self, event: EventKind) {
         (self.0)(event);
     }
 }
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -155,7 +155,7 @@
 ///
 /// # Errors
 /// An address is in use.
-pub fn replica<N: Net>(
+pub fn start_replica<N: Net>(
     net: &N,
     name: &str,
     behaviour: Behaviour,
@@ -163,7 +163,7 @@
     seed: u64,
     recorder: &Recorder,
 ) -> std::io::Result<Replica<N>> {
-    recorder.tell(EventKind::ReplicaStarted {
+    recorder.record(EventKind::ReplicaStarted {
         replica: name.into(),
         cores: behaviour.cores as f64,
     });
@@ -312,7 +312,7 @@
 
     /// Records that a co-ordinator broke the protocol, and closes the connection.
     fn refuse(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
-        self.recorder.tell(EventKind::CoordinatorUnsound {
+        self.recorder.record(EventKind::CoordinatorUnsound {
             node,
             why: format!("a frame that {} cannot read: {why}", self.name),
         });
@@ -327,7 +327,7 @@
         received: ReceiveTimes,
         outlet: &Rc<Outlet>,
     ) {
-        self.recorder.tell(EventKind::PartReceived {
+        self.recorder.record(EventKind::PartReceived {
             node,
             replica: self.name.clone(),
             part: name_of(&part),
@@ -342,7 +342,7 @@
             return;
         }
         if behaviour.rejects_all || self.queue.borrow().len() >= behaviour.queue_capacity {
-            self.recorder.tell(EventKind::PartRejected {
+            self.recorder.record(EventKind::PartRejected {
                 node,
                 replica: self.name.clone(),
                 part: name_of(&part),
@@ -374,7 +374,7 @@
             shard,
             second_step,
         };
-        self.recorder.tell(EventKind::PartCancelled {
+        self.recorder.record(EventKind::PartCancelled {
             node,
             replica: self.name.clone(),
             part: part.clone(),
@@ -440,7 +440,7 @@
             part: name_of(part),
             value: value.clone(),
         };
-        self.recorder.tell(completed);
+        self.recorder.record(completed);
         if happens(behaviour.break_share) {
             return outlet.close();
         }
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -78,7 +78,7 @@
 
     /// Takes the next event, which must not be earlier than the one before. Returns the breaches that it
     /// proves, and those of answers that are overdue by its time.
-    pub fn take(&mut self, event: &Event) -> Vec<Breach> {
+    pub fn check(&mut self, event: &Event) -> Vec<Breach> {
         self.advance(event.at);
         if let Some(name) = event.kind.search()
             && let Some(search) = self.searches.get_mut(name)
@@ -90,7 +90,7 @@
     }
 
     /// Returns the breaches of answers that are overdue at `now`.
-    pub fn tick(&mut self, now: Seconds) -> Vec<Breach> {
+    pub fn check_overdue(&mut self, now: Seconds) -> Vec<Breach> {
         self.advance(now);
         std::mem::take(&mut self.breaches)
     }
--- a/crates/testing/invariants/tests/rules/disconnected_clients.rs
+++ b/crates/testing/invariants/tests/rules/disconnected_clients.rs
@@ -17,16 +17,16 @@
         slow_start: None,
         ..terms()
     });
-    let mut all = checker.take(&Event {
+    let mut all = checker.check(&Event {
         at: 0.0,
         kind: requested(0),
     });
-    all.extend(checker.take(&Event {
+    all.extend(checker.check(&Event {
         at: 0.2,
         kind: EventKind::ClientDisconnected { search: "s".into() },
     }));
     for at in at {
-        all.extend(checker.take(&Event {
+        all.extend(checker.check(&Event {
             at: *at,
             kind: sent_at(0, "a", *at),
         }));
--- a/crates/testing/invariants/tests/rules/proof.rs
+++ b/crates/testing/invariants/tests/rules/proof.rs
@@ -8,10 +8,10 @@
 fn breaches_come_with_their_events() {
     let mut checker = Checker::new(terms());
     for (at, kind) in [(0.0, requested(0)), (0.1, sent_at(0, "a", 0.1))] {
-        assert!(checker.take(&Event { at, kind }).is_empty());
+        assert!(checker.check(&Event { at, kind }).is_empty());
     }
     assert_eq!(checker.open_searches(), 1);
-    let found = checker.take(&Event {
+    let found = checker.check(&Event {
         at: 0.2,
         kind: answered(true, &COMPLETE),
     });
--- a/crates/testing/invariants/tests/rules/slow_start.rs
+++ b/crates/testing/invariants/tests/rules/slow_start.rs
@@ -9,7 +9,7 @@
 
 /// Starts replica `a`, of one core, at 0 s. Returns what it breaks.
 fn start_replica(checker: &mut Checker) -> Vec<Breach> {
-    checker.take(&Event {
+    checker.check(&Event {
         at: 0.0,
         kind: EventKind::ReplicaStarted {
             replica: "a".into(),
@@ -39,7 +39,7 @@
     let received = received(node, part, "a", at);
     [requested, received]
         .into_iter()
-        .flat_map(|kind| checker.take(&Event { at, kind }))
+        .flat_map(|kind| checker.check(&Event { at, kind }))
         .collect()
 }
 
@@ -86,7 +86,7 @@
             replica: "a".into(),
             ready: true,
         };
-        all.extend(checker.take(&Event { at: 0.05, kind }));
+        all.extend(checker.check(&Event { at: 0.05, kind }));
     }
     for n in 0..20 {
         let (at, node) = (0.1 + n as f64 * 0.001, CoordinatorId(n % 2));
--- a/crates/testing/invariants/tests/rules/support.rs
+++ b/crates/testing/invariants/tests/rules/support.rs
@@ -114,9 +114,9 @@
     let mut checker = Checker::new(terms());
     let mut breaches: Vec<Breach> = events
         .into_iter()
-        .flat_map(|(at, kind)| checker.take(&Event { at, kind }))
+        .flat_map(|(at, kind)| checker.check(&Event { at, kind }))
         .collect();
-    breaches.extend(checker.tick(until));
+    breaches.extend(checker.check_overdue(until));
     let mut rules = rules_of(&breaches);
     rules.dedup();
     rules
--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -86,7 +86,8 @@
         let client_listen = self.addresses.client_listen(node);
         let discovery = self.addresses.discovery(node);
         let id = CoordinatorId(node);
-        let agent = woadreach_fakes::discovery(&self.net, id, discovery, None, &self.recorder)?;
+        let agent =
+            woadreach_fakes::start_discovery_agent(&self.net, id, discovery, None, &self.recorder)?;
         let mut peers = Vec::new();
         for peer in 0..self.config.co_ordinators {
             let link = PeerLink {
@@ -139,7 +140,7 @@
             peer_listen: self.config.has_peers.then_some(co_ordinator.peer_listen),
             peers: co_ordinator.peers.clone(),
         };
-        let known = co_ordinator.agent.known();
+        let known = co_ordinator.agent.full_list_json();
         let text = configuration(&self.script, node, &addresses, seed, &known);
         let mut configuration: Value =
             serde_json::from_str(&text).context(InvalidConfigurationSnafu)?;
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -7,19 +7,19 @@
 
 impl Cluster {
     pub(super) fn record_process_start(&self, node: usize) {
-        self.recorder.tell(EventKind::CoordinatorStarted {
+        self.recorder.record(EventKind::CoordinatorStarted {
             node: CoordinatorId(node),
         });
     }
 
     pub(super) fn record_process_kill(&self, node: usize) {
-        self.recorder.tell(EventKind::CoordinatorKilled {
+        self.recorder.record(EventKind::CoordinatorKilled {
             node: CoordinatorId(node),
         });
     }
 
     pub(super) fn record_process_end(&self, node: usize) {
-        self.recorder.tell(EventKind::CoordinatorEnded {
+        self.recorder.record(EventKind::CoordinatorEnded {
             node: CoordinatorId(node),
         });
     }
@@ -27,12 +27,12 @@
     /// What a paused process owes is late and excused.
     pub(super) fn record_process_pause(&self, node: usize, seconds: f64) {
         let node = CoordinatorId(node);
-        self.recorder.tell(EventKind::Stalled { node, seconds });
+        self.recorder.record(EventKind::Stalled { node, seconds });
     }
 
     /// What a partitioned link holds back arrives late and is excused.
     pub(super) fn record_link_change(&self, replica: usize, is_partitioned: bool) {
-        self.recorder.tell(EventKind::LinkBlocked {
+        self.recorder.record(EventKind::LinkBlocked {
             replica: self.replicas[replica].name.as_str().into(),
             blocked: is_partitioned,
         });
@@ -42,7 +42,7 @@
     pub(super) fn record_overdue(&self, node: usize, why: String) {
         let node = CoordinatorId(node);
         self.recorder
-            .tell(EventKind::CoordinatorUnsound { node, why });
+            .record(EventKind::CoordinatorUnsound { node, why });
     }
 
     /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
@@ -61,7 +61,7 @@
                     .record_received_part(net.now(), is_near);
             }
             if is_warming_up || !matches!(event, EventKind::ReplicaStarted { .. }) {
-                recorder.tell(event);
+                recorder.record(event);
             }
         })
     }
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -76,9 +76,9 @@
         let query_type = &self.script.query_types[search.query_type];
         let is_idempotent = query_type.repeats == Repeats::Idempotent;
         let retry = Retry {
-            times: self.script.load.retries,
-            pause: self.script.load.retry_delay_s,
-            heeds: self.script.load.honors_retry_after,
+            max_retries: self.script.load.retries,
+            delay_s: self.script.load.retry_delay_s,
+            honors_retry_after: self.script.load.honors_retry_after,
         };
         let client = self.client.clone();
         let search_count = self.search_count.clone();
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -72,7 +72,7 @@
         let now = self.net.now();
         let slot = &mut self.replicas[replica];
         slot.host = Killable::new(self.net);
-        slot.handle = Some(woadreach_fakes::replica(
+        slot.handle = Some(woadreach_fakes::start_replica(
             &slot.host,
             &slot.name,
             behaviour,
--- a/crates/testing/process-tests/src/cluster/watch.rs
+++ b/crates/testing/process-tests/src/cluster/watch.rs
@@ -65,7 +65,7 @@
         self.list_reads = later;
         for read in due {
             let co_ordinator = &self.co_ordinators[read.node];
-            let was_read = co_ordinator.agent.told() >= read.generation;
+            let was_read = co_ordinator.agent.last_written_generation() >= read.generation;
             if !was_read && co_ordinator.process.is_some() {
                 let why = format!(
                     "version {} of the list has not been asked for in {LIST_READ_TIMEOUT} s",
--- a/crates/testing/simulation/src/record.rs
+++ b/crates/testing/simulation/src/record.rs
@@ -80,7 +80,7 @@
 
     /// Records breaches of what is overdue at `now`, in Unix seconds.
     pub fn tick(&mut self, now: f64) {
-        let breaches = self.checker.tick(now);
+        let breaches = self.checker.check_overdue(now);
         self.add_breaches(breaches);
     }
 
@@ -111,7 +111,7 @@
         self.line.push(b'\n');
         self.hash.update(&self.line);
         self.count(&event);
-        let breaches = self.checker.take(&event);
+        let breaches = self.checker.check(&event);
         self.add_breaches(breaches);
         if let Some(trace) = &mut self.trace {
             trace.push(event);
--- a/crates/testing/simulation/src/sockets.rs
+++ b/crates/testing/simulation/src/sockets.rs
@@ -114,7 +114,7 @@
         ..Behaviour::default()
     };
     let seed = seed_of(script.seed, &name);
-    woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, recorder)?;
+    woadreach_fakes::start_replica(&net, &name, behaviour, &addresses, seed, recorder)?;
     Ok(RunningReplica { addresses })
 }
 
@@ -128,7 +128,8 @@
     recorder: &Recorder,
 ) -> io::Result<Agent> {
     let f = &script.fleet;
-    let agent = woadreach_fakes::discovery(&net, CoordinatorId(node), address, None, recorder)?;
+    let agent =
+        woadreach_fakes::start_discovery_agent(&net, CoordinatorId(node), address, None, recorder)?;
     let entries: Vec<ListEntry> = replicas
         .iter()
         .enumerate()
@@ -166,7 +167,7 @@
     };
     let source = ConfigSource {
         path: format!("n{node}"),
-        text: configuration(script, node, &addresses, seed, &agent.known()),
+        text: configuration(script, node, &addresses, seed, &agent.full_list_json()),
         listen: None,
         discovery: None,
     };
@@ -186,13 +187,13 @@
         on_verdict: Box::new(|_: &_| {}),
     };
     let node = CoordinatorId(node);
-    recorder.tell(EventKind::CoordinatorStarted { node });
+    recorder.record(EventKind::CoordinatorStarted { node });
     let events = recorder.clone();
     drop(net.spawn(async move {
         let _signals = (sighup_sender, sigterm_sender);
         if let Err(error) = woadreachd::serve(net, config, environment).await {
             let why = error.to_string();
-            events.tell(EventKind::Panicked { node, why });
+            events.record(EventKind::Panicked { node, why });
         }
     }));
     Ok(Caller::new(&net, node, listen, recorder))
@@ -210,9 +211,9 @@
     let name = move || -> Arc<str> { format!("q{}", names.replace(names.get() + 1)).into() };
     let mut rng = Pcg64Mcg::seed_from_u64(seed_of(script.seed, &format!("load {node}")));
     let retry = Retry {
-        times: script.load.retries,
-        pause: script.load.retry_delay_s,
-        heeds: script.load.honors_retry_after,
+        max_retries: script.load.retries,
+        delay_s: script.load.retry_delay_s,
+        honors_retry_after: script.load.honors_retry_after,
     };
     while net.now() < end {
         net.sleep(draw_gap(script.load.rate, &mut rng)).await;
--- a/crates/testing/simulation/src/world/clients.rs
+++ b/crates/testing/simulation/src/world/clients.rs
@@ -50,9 +50,9 @@
         };
         let load = &self.script.load;
         let retry = Retry {
-            times: load.retries,
-            pause: load.retry_delay_s,
-            heeds: load.honors_retry_after,
+            max_retries: load.retries,
+            delay_s: load.retry_delay_s,
+            honors_retry_after: load.honors_retry_after,
         };
         let idempotent = self.script.query_types[request.query_type].repeats == Repeats::Idempotent;
         let caller = coordinator.clients.clone();
--- a/crates/testing/simulation/src/world/coordinators.rs
+++ b/crates/testing/simulation/src/world/coordinators.rs
@@ -31,7 +31,7 @@
         let net = self.coordinator_machine(index, start);
         coordinator.process.set(Some(net.process()));
         let node = CoordinatorId(index);
-        self.recorder.tell(EventKind::CoordinatorStarted { node });
+        self.recorder.record(EventKind::CoordinatorStarted { node });
         coordinator.agent.process_started();
         let seed = seed_of(self.script.seed, &format!("node {index} {start}"));
         let environment = self.environment(index, seed);
@@ -107,7 +107,7 @@
     /// The configuration names the replicas that are alive, so that a new process knows them at once.
     fn report_known_replicas(&self, index: usize) {
         for slot in self.replicas.iter().filter(|slot| slot.alive.get()) {
-            self.recorder.tell(EventKind::ReplicaListed {
+            self.recorder.record(EventKind::ReplicaListed {
                 node: CoordinatorId(index),
                 replica: slot.name.borrow().as_str().into(),
                 ready: true,
@@ -134,8 +134,8 @@
         };
         let node = CoordinatorId(index);
         match ended {
-            Ok(()) => self.recorder.tell(EventKind::CoordinatorEnded { node }),
-            Err(why) => self.recorder.tell(EventKind::Panicked { node, why }),
+            Ok(()) => self.recorder.record(EventKind::CoordinatorEnded { node }),
+            Err(why) => self.recorder.record(EventKind::Panicked { node, why }),
         }
         let process = net.process();
         let world = self.clone();
@@ -162,7 +162,7 @@
                 .map(|_| peer_address(coordinator)),
             peers: self.coordinators.iter().map(peer_address).collect(),
         };
-        let known = coordinator.agent.known();
+        let known = coordinator.agent.full_list_json();
         ConfigSource {
             path: format!("n{index}"),
             text: configuration(&self.script, index, &addresses, seed, &known),
@@ -177,7 +177,7 @@
             return;
         };
         let node = CoordinatorId(index);
-        self.recorder.tell(EventKind::CoordinatorKilled { node });
+        self.recorder.record(EventKind::CoordinatorKilled { node });
         self.network.kill(process);
         let world = self.clone();
         let noticed_at = self.clock.now() + 1000 * MILLISECOND;
@@ -248,8 +248,13 @@
         let net = self.network.add_machine(zone, 0.0);
         let place = address(net.process(), DISCOVERY_PORT);
         let agent = Some(&coordinator.agent);
-        let moved =
-            woadreach_fakes::discovery(&net, CoordinatorId(index), place, agent, &self.recorder);
+        let moved = woadreach_fakes::start_discovery_agent(
+            &net,
+            CoordinatorId(index),
+            place,
+            agent,
+            &self.recorder,
+        );
         moved.unwrap_or_else(|e| panic!("a new machine's address is taken: {e}"));
         let old = coordinator.agent_process.replace(net.process());
         let network = self.network.clone();
--- a/crates/testing/simulation/src/world/faults.rs
+++ b/crates/testing/simulation/src/world/faults.rs
@@ -262,7 +262,7 @@
         for index in co_ordinators {
             if let Some(process) = self.coordinators[*index].process.get() {
                 let node = CoordinatorId(*index);
-                self.recorder.tell(EventKind::Stalled { node, seconds });
+                self.recorder.record(EventKind::Stalled { node, seconds });
                 self.clock.stall(process);
             }
         }
--- a/crates/testing/simulation/src/world/leaks.rs
+++ b/crates/testing/simulation/src/world/leaks.rs
@@ -18,7 +18,7 @@
             };
             // The record names a co-ordinator with every panic. That of another process is booked on the first one, and
             // `why` says whose it was; a run with any panic has failed.
-            self.recorder.tell(EventKind::Panicked {
+            self.recorder.record(EventKind::Panicked {
                 node: CoordinatorId(node.unwrap_or(0)),
                 why,
             });
@@ -55,6 +55,6 @@
     pub(super) fn report_leak(&self, node: usize, why: String) {
         let node = CoordinatorId(node);
         self.recorder
-            .tell(EventKind::CoordinatorUnsound { node, why });
+            .record(EventKind::CoordinatorUnsound { node, why });
     }
 }
--- a/crates/testing/simulation/src/world/replicas.rs
+++ b/crates/testing/simulation/src/world/replicas.rs
@@ -53,11 +53,12 @@
         // The start of a replica that was there before the run isn't part of it.
         let recorder = Recorder::new(move |event| {
             if warming_up || !matches!(event, EventKind::ReplicaStarted { .. }) {
-                recorder.tell(event);
+                recorder.record(event);
             }
         });
         let addresses = slot.addresses.borrow();
-        let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &recorder);
+        let handle =
+            woadreach_fakes::start_replica(&net, &name, behaviour, &addresses, seed, &recorder);
         *slot.handle.borrow_mut() =
             handle.unwrap_or_else(|e| panic!("the address of a dead process: {e}"));
     }
@@ -150,7 +151,7 @@
     /// Records that what a replica is sent may be delayed from now on, or no longer is.
     pub(super) fn report_link(&self, index: usize, is_blocked: bool) {
         let replica = self.replicas[index].name.borrow().as_str().into();
-        self.recorder.tell(EventKind::LinkBlocked {
+        self.recorder.record(EventKind::LinkBlocked {
             replica,
             blocked: is_blocked,
         });
--- a/crates/testing/simulation/src/world/setup.rs
+++ b/crates/testing/simulation/src/world/setup.rs
@@ -43,7 +43,8 @@
 /// Starts the discovery agent of a co-ordinator on its own machine.
 fn start_agent(script: &Script, index: usize, net: &SimNet, recorder: &Recorder) -> Agent {
     let place = address(net.process(), DISCOVERY_PORT);
-    let agent = woadreach_fakes::discovery(net, CoordinatorId(index), place, None, recorder);
+    let agent =
+        woadreach_fakes::start_discovery_agent(net, CoordinatorId(index), place, None, recorder);
     // Nobody listens on a new machine yet.
     let agent = agent.unwrap_or_else(|e| panic!("an agent's address is taken: {e}"));
     agent.set_calls_while_unresponsive(script.fleet.calls_while_unresponsive.into());
@@ -96,7 +97,8 @@
     };
     let seed = seed_of(script.seed, &name);
     let unrecorded = Recorder::new(|_| {});
-    let handle = woadreach_fakes::replica(&net, &name, behaviour, &addresses, seed, &unrecorded);
+    let handle =
+        woadreach_fakes::start_replica(&net, &name, behaviour, &addresses, seed, &unrecorded);
     ReplicaSlot {
         name: RefCell::new(name),
         zone,
--- a/crates/testing/simulation/tests/recorded.rs
+++ b/crates/testing/simulation/tests/recorded.rs
@@ -362,12 +362,12 @@
     let record = Rc::new(RefCell::new(Record::new(terms(), vec![0.5], true)));
     let recorder = Record::recorder(&record, || 10.0);
     let (first_byte_at, last_byte_at, work) = (10.0, 10.0, 0.1);
-    recorder.tell(EventKind::CoordinatorStarted { node });
+    recorder.record(EventKind::CoordinatorStarted { node });
     let parts = std::sync::Arc::from([ShardWeight {
         shard: 0,
         weight: 1.0,
     }]);
-    recorder.tell(EventKind::Requested {
+    recorder.record(EventKind::Requested {
         node,
         search: search.clone(),
         query_type: 0,
@@ -376,7 +376,7 @@
     });
     let (first_step_shards, first_step_complete) = (Vec::new(), None);
     let (to, of) = (replica.clone(), part.clone());
-    recorder.tell(EventKind::PartReceived {
+    recorder.record(EventKind::PartReceived {
         node,
         replica: to,
         part: of,
@@ -386,13 +386,13 @@
         first_step_shards,
         first_step_complete,
     });
-    recorder.tell(EventKind::PartCompleted {
+    recorder.record(EventKind::PartCompleted {
         node,
         replica,
         part,
         value,
     });
-    recorder.tell(EventKind::Answered {
+    recorder.record(EventKind::Answered {
         search,
         complete: true,
         rows: vec![ShardValue {
