--- a/crates/testing/invariants/src/breach.rs
+++ b/crates/testing/invariants/src/breach.rs
@@ -1,4 +1,4 @@
-//! The rules by name, and the report of a broken one.
+//! Names of the rules, and the report of a violation.
 
 use crate::event::Event;
 use crate::units::Seconds;
@@ -6,26 +6,26 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A guarantee of the router. The names in the record are older than some of the variants'.
+/// A guarantee of the router. Some variants have another name in the record, which must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each search gets exactly one final answer by its deadline, and nothing is sent for it afterwards.
+    /// Each search gets exactly one final answer by its deadline, and no part is sent after that answer.
     NoSearchLost,
     /// A part that isn't idempotent runs at most once.
     NoEffectTwice,
-    /// A draining replica gets nothing new after the grace period.
+    /// A draining or departed replica is sent no new part after the grace period.
     #[serde(rename = "drains_kept")]
     DrainRespected,
-    /// A replica that warms up isn't overloaded.
+    /// A replica is not overloaded while it warms up.
     #[serde(rename = "cold_not_pushed_over")]
     NoSlowStartOverload,
-    /// An answer holds only values that replicas computed, and says correctly whether it is complete.
+    /// An answer contains only values that replicas computed, and is marked complete only if it is.
     HonestAnswers,
     /// Retries and hedges stay within the retry budget.
     Budget,
-    /// No task panics, nothing leaks, and nothing is sent for a client that has disconnected. Not one of the six
-    /// rules, but expected by every user.
+    /// No task panics, no resource leaks, and nothing is sent for a client that has disconnected. Checked in
+    /// addition to the six guarantees.
     Sound,
 }
 
@@ -43,18 +43,18 @@
     }
 }
 
-/// A rule that a history breaks.
+/// A violation of a rule by a history.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// The broken rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When it was found, by the run's clock.
+    /// Time by the run's clock at which the checker found the violation.
     pub at: Seconds,
-    /// The search that shows it; none where the breach concerns a co-ordinator as a whole.
+    /// Identifier of the affected search; `None` if the breach concerns a co-ordinator as a whole.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub search: Option<Arc<str>>,
-    /// What happened, for a person to read.
+    /// Description of the violation, for people.
     pub why: String,
-    /// The events of that search so far, oldest first.
+    /// The first events of the search up to the violation, oldest first, limited in number. Empty without a search.
     pub proof: Vec<Event>,
 }
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -1,4 +1,4 @@
-//! Takes the events in their order and hands each to the rules that it concerns.
+//! Dispatches each event, in the order of their times, to the rules that it concerns.
 
 use crate::breach::{Breach, Rule};
 use crate::event::{CoordinatorId, Event, EventKind, ReplicaName};
@@ -8,45 +8,45 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How long after its end a search is remembered: longer than any of its frames is in flight.
+/// Time for which an ended search is retained. Must exceed the time for which any of its frames is in flight.
 const SEARCH_RETENTION: Seconds = 20.0;
 
-/// When a search's answer is overdue. Ordered by time.
+/// Time after which a search's answer is overdue. Ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerDue {
     microseconds: u64,
     search: Arc<str>,
 }
 
-/// A search that has ended, and when.
+/// A search that has ended, with the time of its end.
 struct EndedSearch {
     at: Seconds,
     search: Arc<str>,
 }
 
-/// Judges a history event by event. It remembers searches until well after their end, and what it knows of
-/// replicas and co-ordinators.
+/// Checks a history event by event. Retains open and recently ended searches, and the state of replicas and
+/// co-ordinators.
 pub struct Checker {
     pub(crate) terms: Terms,
     pub(crate) now: Seconds,
     pub(crate) searches: BTreeMap<Arc<str>, Search>,
     due: BTreeSet<AnswerDue>,
-    /// Searches that have ended, in the order of their ends.
+    /// Ended searches that are still retained, in the order in which they ended.
     ended: VecDeque<EndedSearch>,
     pub(crate) replicas: BTreeMap<ReplicaName, Replica>,
     pub(crate) coordinators: BTreeMap<CoordinatorId, Coordinator>,
     breaches: Vec<Breach>,
-    /// Attempts that began too long after their client had disconnected.
+    /// Number of attempts that began too long after their client had disconnected.
     pub(crate) late_attempts: usize,
 }
 
-/// A time in whole microseconds, for ordering.
+/// Converts a time to whole microseconds, which are totally ordered.
 fn microseconds(seconds: Seconds) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
 
 impl Checker {
-    /// A checker of an empty history.
+    /// Returns a checker without any events.
     pub fn new(terms: Terms) -> Self {
         Checker {
             terms,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How many searches still await their final answer.
+    /// Number of searches that still await their final answer.
     pub fn open_searches(&self) -> usize {
         self.searches
             .values()
@@ -69,27 +69,27 @@
             .count()
     }
 
-    /// Whether this replica has been overloaded since it started.
+    /// Whether the replica has been overloaded during its warm-up since it last started.
     pub fn is_overloaded(&self, replica: &str) -> bool {
         self.replicas
             .get(replica)
             .is_some_and(|replica| replica.overloaded)
     }
 
-    /// Takes the next event, which must not be earlier than the one before. Returns the breaches that it
-    /// proves, and those of answers that are overdue by its time.
+    /// Checks the next event, which must not be earlier than the one before. Returns the breaches that it proves,
+    /// and those of answers that have become overdue by its time.
     pub fn check(&mut self, event: &Event) -> Vec<Breach> {
         self.advance(event.at);
         if let Some(name) = event.kind.search()
             && let Some(search) = self.searches.get_mut(name)
         {
-            search.remember(event);
+            search.add_to_proof(event);
         }
         self.apply(event);
         std::mem::take(&mut self.breaches)
     }
 
-    /// Returns the breaches of answers that are overdue at `now`.
+    /// Advances the time to `now` and returns the breaches of answers that have become overdue.
     pub fn check_overdue(&mut self, now: Seconds) -> Vec<Breach> {
         self.advance(now);
         std::mem::take(&mut self.breaches)
@@ -134,7 +134,11 @@
             }
             EventKind::Stalled { node, seconds } => self.coordinator_stalled(at, *node, *seconds),
             EventKind::Panicked { node, why } => {
-                self.report_coordinator(Rule::Sound, *node, format!("a panic: {why}"));
+                self.report_coordinator(
+                    Rule::Sound,
+                    *node,
+                    format!("panic or process error: {why}"),
+                );
             }
             EventKind::CoordinatorUnsound { node, why } => {
                 self.report_coordinator(Rule::Sound, *node, why.clone());
@@ -167,18 +171,18 @@
 
     fn coordinator_started(&mut self, at: Seconds, node: CoordinatorId) {
         let coordinator = Coordinator {
-            started: at,
+            started_at: at,
             ..Coordinator::default()
         };
         self.coordinators.insert(node, coordinator);
         for replica in self.replicas.values_mut() {
-            replica.leaving.remove(&node);
+            replica.not_ready_since.remove(&node);
             replica.notified.remove(&node);
         }
     }
 
     fn coordinator_stalled(&mut self, at: Seconds, node: CoordinatorId, seconds: Seconds) {
-        self.coordinators.entry(node).or_default().stalled = Some(Period {
+        self.coordinators.entry(node).or_default().stall_period = Some(Period {
             since: at,
             until: at + seconds,
         });
@@ -193,11 +197,11 @@
     ) {
         let replica = self.replicas.entry(name.clone()).or_default();
         if ready {
-            replica.leaving.remove(&node);
+            replica.not_ready_since.remove(&node);
             replica.notified.insert(node);
         } else {
-            // The grace period runs from the first listing.
-            replica.leaving.entry(node).or_insert(at);
+            // The grace period starts when the replica is first listed as draining or departed.
+            replica.not_ready_since.entry(node).or_insert(at);
         }
     }
 
@@ -213,35 +217,35 @@
         let slack = self.terms.slack;
         let replica = self.replicas.entry(name.clone()).or_default();
         let since = replica
-            .delayed
+            .delay_period
             .filter(|period| period.until.is_infinite() || period.until + slack > at)
             .map_or(at, |period| period.since);
-        replica.delays = if blocked {
-            replica.delays + 1
+        replica.active_delays = if blocked {
+            replica.active_delays + 1
         } else {
-            replica.delays.saturating_sub(1)
+            replica.active_delays.saturating_sub(1)
         };
-        let until = if replica.delays > 0 {
+        let until = if replica.active_delays > 0 {
             f64::INFINITY
         } else {
             at + slack
         };
-        replica.delayed = Some(Period { since, until });
+        replica.delay_period = Some(Period { since, until });
     }
 
-    /// Whether the co-ordinator is excused for what it did or left undone between these times.
+    /// Whether a stall of the co-ordinator excuses violations between these times.
     pub(crate) fn is_excused(&self, node: CoordinatorId, from: Seconds, to: Seconds) -> bool {
         self.coordinators
             .get(&node)
             .is_some_and(|coordinator| coordinator.is_excused(from, to))
     }
 
-    /// The latest time at which an answer to a search with this deadline counts.
+    /// Latest time at which the client may read the answer to a search with this deadline.
     pub(crate) fn latest_answer(&self, deadline: Seconds) -> Seconds {
         deadline + self.terms.answer_grace + self.terms.slack
     }
 
-    /// Adds a search whose final answer is owed from now on.
+    /// Adds a search that awaits its final answer.
     pub(crate) fn open_search(&mut self, name: &Arc<str>, search: Search) {
         self.due.insert(AnswerDue {
             microseconds: microseconds(self.latest_answer(search.deadline)),
@@ -250,7 +254,7 @@
         self.searches.insert(name.clone(), search);
     }
 
-    /// Marks that no answer is owed any more. What still arrives for the search is judged for a while.
+    /// Marks that the search no longer awaits an answer. Its later events are checked for [`SEARCH_RETENTION`].
     pub(crate) fn end_search(&mut self, name: &Arc<str>) {
         let Some(search) = self.searches.get_mut(name) else {
             return;
@@ -267,7 +271,7 @@
         });
     }
 
-    /// Reports a breach that a search shows.
+    /// Reports a breach by a search, with the search's events as proof.
     pub(crate) fn report(&mut self, rule: Rule, search: &Arc<str>, why: String) {
         let proof = self
             .searches
@@ -282,7 +286,7 @@
         });
     }
 
-    /// Reports a breach of a co-ordinator as a whole.
+    /// Reports a breach by a co-ordinator as a whole.
     pub(crate) fn report_coordinator(&mut self, rule: Rule, node: CoordinatorId, why: String) {
         self.breaches.push(Breach {
             rule,
--- a/crates/testing/invariants/src/event.rs
+++ b/crates/testing/invariants/src/event.rs
@@ -1,17 +1,17 @@
-//! The events of a recorded history, each reported by the side that saw it.
+//! The events of a recorded history, each reported by the component that observed it.
 
 use crate::units::{CoreSeconds, Seconds, Share};
 use serde::{Serialize, Serializer};
 use std::sync::Arc;
 
-/// A co-ordinator by its number, which it keeps over restarts.
+/// Number of a co-ordinator, which is the same after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct CoordinatorId(
     /// Counted from 0.
     pub usize,
 );
 
-/// A replica by its name in the endpoint list.
+/// Name of a replica in the endpoint list.
 pub type ReplicaName = Arc<str>;
 
 /// A part of a search.
@@ -26,12 +26,12 @@
     pub second_step: bool,
 }
 
-/// A queried shard and how much it counts; `[shard, weight]` in the record.
+/// A queried shard with its weight; `[shard, weight]` in the record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardWeight {
     /// The shard.
     pub shard: u64,
-    /// Its share of the whole weight.
+    /// Share of the search's total weight.
     pub weight: Share,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// A shard and the value that an answer has for it; `[shard, value]` in the record.
+/// A shard with its value in an answer; `[shard, value]` in the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardValue {
     /// The shard.
     pub shard: u64,
-    /// The value.
+    /// The value in the answer.
     pub value: String,
 }
 
@@ -56,34 +56,34 @@
     }
 }
 
-/// Something that happened, and when.
+/// An event of the history, with its time.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// When, by the run's one clock.
+    /// Time of the event. All events of a run have one clock.
     pub at: Seconds,
-    /// What happened.
+    /// The kind of event with its details.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// What happened. The names in the record are older than those of the variants and fields; `docs/faults.md` has them
-/// side by side.
+/// The kind of an event with its details. Many variants and fields have another name in the record, which must not
+/// change; `docs/faults.md` lists both.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EventKind {
-    /// A co-ordinator's process starts, without any search.
+    /// A co-ordinator's process has started; it has no searches yet.
     #[serde(rename = "node_started")]
     CoordinatorStarted {
         /// The co-ordinator.
         node: CoordinatorId,
     },
-    /// A co-ordinator was killed, so its searches are excused.
+    /// A co-ordinator was killed. Its open searches need no answer.
     #[serde(rename = "node_killed")]
     CoordinatorKilled {
         /// The co-ordinator.
         node: CoordinatorId,
     },
-    /// A co-ordinator has ended by itself, for example after a graceful shutdown.
+    /// A co-ordinator's process has exited without being killed, for example after a graceful shutdown.
     #[serde(rename = "node_ended")]
     CoordinatorEnded {
         /// The co-ordinator.
@@ -101,7 +101,7 @@
         query_type: usize,
         /// The queried shards.
         parts: Arc<[ShardWeight]>,
-        /// When the client stops waiting, by the run's clock.
+        /// Time by the run's clock at which the client times out.
         #[serde(rename = "ends")]
         deadline: Seconds,
     },
@@ -112,10 +112,10 @@
         /// Whether the answer claims to be complete.
         #[serde(rename = "whole")]
         complete: bool,
-        /// What the answer has for each shard.
+        /// The shards in the answer with their values.
         rows: Vec<ShardValue>,
     },
-    /// The client has read the last byte of an answer that says the search was shed.
+    /// The client has read the last byte of a response with status 429 or 503: the search was shed.
     Shed {
         /// The search.
         search: Arc<str>,
@@ -132,15 +132,15 @@
         /// The search.
         search: Arc<str>,
     },
-    /// The co-ordinator has closed the connection without a complete response. If no part of the search was
-    /// sent, that is a failure and not a loss: the client can tell.
+    /// The co-ordinator has closed the connection without a complete response. This violates a rule only if a part
+    /// of the search was sent; otherwise the client can recognize the failure.
     #[serde(rename = "dropped")]
     ConnectionClosed {
         /// The search.
         search: Arc<str>,
     },
 
-    /// A replica has read a part's frame.
+    /// A replica has read the frame of a part.
     #[serde(rename = "sent")]
     PartReceived {
         /// The co-ordinator that sent it.
@@ -149,22 +149,22 @@
         replica: ReplicaName,
         /// The part.
         part: PartName,
-        /// When the frame's first byte arrived at the replica's machine.
+        /// Time at which the first byte of the frame arrived at the replica's machine.
         #[serde(rename = "begun")]
         first_byte_at: Seconds,
-        /// When its last byte arrived there. The replica may have read it later.
+        /// Time at which the last byte arrived there. The replica may have read it later.
         #[serde(rename = "came")]
         last_byte_at: Seconds,
-        /// What the part costs.
+        /// Amount of work of the part.
         work: CoreSeconds,
-        /// For a part of the second step: the shards that the first step's result is said to be from.
+        /// Shards of the first step's result, as stated in a part of the second step; empty otherwise.
         #[serde(rename = "from", skip_serializing_if = "Vec::is_empty")]
         first_step_shards: Vec<u64>,
-        /// For a part of the second step: whether the first step's result is said to be complete.
+        /// Whether the first step's result is complete, as stated in a part of the second step; `None` otherwise.
         #[serde(rename = "first_whole", skip_serializing_if = "Option::is_none")]
         first_step_complete: Option<bool>,
     },
-    /// The replica has rejected the part without running it, and said so.
+    /// The replica has rejected the part without running it.
     #[serde(rename = "turned_away")]
     PartRejected {
         /// The co-ordinator that sent it.
@@ -174,7 +174,7 @@
         /// The part.
         part: PartName,
     },
-    /// The replica has run the part.
+    /// The replica has computed the value of the part.
     #[serde(rename = "made")]
     PartCompleted {
         /// The co-ordinator that sent it.
@@ -186,7 +186,7 @@
         /// The value that the replica computed.
         value: Arc<str>,
     },
-    /// The replica has read the part's cancellation.
+    /// The replica has read the cancellation of the part.
     #[serde(rename = "given_up")]
     PartCancelled {
         /// The co-ordinator that sent it.
@@ -197,62 +197,62 @@
         part: PartName,
     },
 
-    /// The co-ordinator's discovery agent lists the replica as ready, or as draining or departed. It counts
-    /// from when the agent is responsive and has it, whether or not a watch is open.
+    /// The co-ordinator's discovery agent lists the replica as ready, or as draining or departed. Recorded when the
+    /// agent has the entry and is responsive, whether or not a watch is open.
     #[serde(rename = "told")]
     ReplicaListed {
-        /// The co-ordinator whose agent it is.
+        /// The co-ordinator that the agent serves.
         node: CoordinatorId,
         /// The replica.
         replica: ReplicaName,
-        /// Ready; otherwise draining or departed.
+        /// `true` if ready; `false` if draining or departed.
         ready: bool,
     },
-    /// A replica's process has started and warms up.
+    /// A replica's process has started; its warm-up begins.
     #[serde(rename = "born")]
     ReplicaStarted {
         /// The replica.
         replica: ReplicaName,
-        /// Number of its cores.
+        /// Number of the replica's cores.
         cores: f64,
     },
-    /// One cause that delays what is sent to a replica has begun or ended.
+    /// A fault that delays frames to a replica has begun or ended. Several can overlap.
     #[serde(rename = "way")]
     LinkBlocked {
         /// The replica.
         replica: ReplicaName,
-        /// Begun; otherwise ended.
+        /// `true` if the fault has begun; `false` if it has ended.
         #[serde(rename = "held")]
         blocked: bool,
     },
 
-    /// The co-ordinator's process is suspended from now on, and can't answer meanwhile.
+    /// The co-ordinator's process is suspended, starting now, and cannot answer meanwhile.
     Stalled {
         /// The co-ordinator.
         node: CoordinatorId,
-        /// For how long.
+        /// Duration of the suspension.
         seconds: Seconds,
     },
-    /// A task of the co-ordinator has panicked, or its process has ended with an error.
+    /// A task of the co-ordinator has panicked, or its process has exited with an error.
     Panicked {
         /// The co-ordinator.
         node: CoordinatorId,
-        /// The message of the panic or of the error.
+        /// Message of the panic or of the error.
         why: String,
     },
-    /// Something of the co-ordinator is left that should have ended (memory, a search, its process), or it wrote what
-    /// nobody can read.
+    /// The co-ordinator has leaked a resource (memory, a search, its process), or has written bytes that cannot be
+    /// parsed.
     #[serde(rename = "kept")]
     CoordinatorUnsound {
         /// The co-ordinator.
         node: CoordinatorId,
-        /// What is left, or cannot be read.
+        /// Description of the leak or of the malformed bytes.
         why: String,
     },
 }
 
 impl EventKind {
-    /// The search that the event is evidence of.
+    /// The search that the event belongs to; `None` for an event of a co-ordinator or replica.
     pub(crate) fn search(&self) -> Option<&Arc<str>> {
         match self {
             EventKind::Requested { search, .. }
--- a/crates/testing/invariants/src/lib.rs
+++ b/crates/testing/invariants/src/lib.rs
@@ -1,12 +1,12 @@
-//! Checks a recorded history of a run against the six guarantees of the router, for the simulation, the
-//! process tests and every other test.
+//! Checks the recorded history of a run against the six guarantees of the router. Used by the simulation and the
+//! process tests.
 //!
-//! A [`Checker`] is fed with [`Event`]s: who wrote or read what, when, seen from outside a co-ordinator. After
-//! each event it reports the [`Breach`]es that the event proves, with the events of that search as evidence.
-//! It knows the guarantees as the protocol words them ([`Terms`] holds their numbers), and nothing of how a
-//! co-ordinator works. It does no I/O and reads no clock.
+//! A test passes [`Event`]s to a [`Checker`]: what was written or read, when and by whom, as observed from outside
+//! a co-ordinator. For each event the checker returns the [`Breach`]es that the event proves, with the events of
+//! the search as evidence. The checker implements the guarantees as the protocol defines them, with the limits in
+//! [`Terms`], and does not depend on how a co-ordinator works. It does no I/O and reads no clock.
 //!
-//! Start with `event`, then `checker`, which routes each event, then one file of `rules` for each guarantee.
+//! Start with `event`, then `checker`, which dispatches each event, then `rules`, with one file for each guarantee.
 
 mod breach;
 mod checker;
--- a/crates/testing/invariants/src/rules/answers.rs
+++ b/crates/testing/invariants/src/rules/answers.rs
@@ -1,5 +1,5 @@
-//! Answers are honest: they hold only values that replicas computed, at least the floor of the weight, and
-//! say correctly whether they are complete.
+//! Checks [`Rule::HonestAnswers`]: an answer contains only values that replicas computed, has at least the minimum
+//! weight, and is marked complete only if it is.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -10,26 +10,26 @@
 use crate::units::Seconds;
 use std::sync::Arc;
 
-/// What is wrong with the rows themselves.
+/// Returns faults of individual rows: duplicates, and values that no replica computed.
 fn row_faults(search: &Search, second_step: bool, rows: &[ShardValue]) -> Vec<String> {
     let mut faults = Vec::new();
     let mut seen = Vec::new();
     for row in rows {
         let shard = row.shard;
         if seen.contains(&shard) {
-            faults.push(format!("shard {shard} stands in it twice"));
+            faults.push(format!("answer contains shard {shard} twice"));
         }
         seen.push(shard);
         let key = PartKey { shard, second_step };
         let mut values = search.values.get(&key).into_iter().flatten();
         if !values.any(|value| **value == *row.value) {
-            faults.push(format!("no replica made the value of shard {shard} for it"));
+            faults.push(format!("no replica computed the value of shard {shard}"));
         }
     }
     faults
 }
 
-/// What is wrong with the share of the weight that an answer of a single step has.
+/// Returns faults of the weight of an answer to a search of a single step.
 fn weight_faults(
     search: &Search,
     terms: &QueryTerms,
@@ -40,17 +40,20 @@
     let weight = search.weight(|shard| rows.iter().any(|row| row.shard == shard));
     if weight < terms.minimum_weight - WEIGHT_TOLERANCE {
         faults.push(format!(
-            "{weight:.3} of the weight is in, {} is the least",
+            "answer has a weight of {weight:.3}, expected at least {}",
             terms.minimum_weight
         ));
     }
     if complete && weight < terms.complete_weight - WEIGHT_TOLERANCE {
-        faults.push(format!("marked whole with {weight:.3} of the weight"));
+        faults.push(format!(
+            "answer is marked complete with a weight of {weight:.3}, expected at least {}",
+            terms.complete_weight
+        ));
     }
     faults
 }
 
-/// What is wrong with an answer of two steps.
+/// Returns faults of the completeness of an answer to a search of two steps.
 fn second_step_faults(
     search: &Search,
     terms: &QueryTerms,
@@ -58,23 +61,24 @@
     rows: usize,
 ) -> Vec<String> {
     let Some(first) = &search.first_step else {
-        return vec!["answered before its second step".into()];
+        return vec!["answered before any part of its second step was received".into()];
     };
     let mut faults = Vec::new();
     let wanted = terms.second_step_parts.min(first.shards.len()).max(1);
     let share = rows as f64 / wanted as f64;
     if complete && (!first.complete || share < 1.0 - WEIGHT_TOLERANCE) {
-        faults.push("marked whole, though its first or second step is not".into());
+        faults.push("answer is marked complete, but its first or second step is incomplete".into());
     }
     if share < terms.minimum_weight - WEIGHT_TOLERANCE {
         faults.push(format!(
-            "{rows} of {wanted} parts of the second step are in"
+            "answer has {rows} of {wanted} parts of the second step, expected at least a share of {}",
+            terms.minimum_weight
         ));
     }
     faults
 }
 
-/// What is wrong with what a second step's part says of the first step.
+/// Returns faults of the first step's result as stated in a part of the second step.
 fn first_step_faults(
     search: &Search,
     terms: &QueryTerms,
@@ -95,12 +99,12 @@
         .collect();
     if !missing.is_empty() {
         faults.push(format!(
-            "its first step names shards {missing:?}, which have not answered"
+            "first step names shards {missing:?}, for which no replica has computed a value"
         ));
     }
     if !first.shards.contains(&part.shard) {
         faults.push(format!(
-            "fetches from shard {}, which is not in",
+            "second step queries shard {}, which is not in the first step's result",
             part.shard
         ));
     }
@@ -108,14 +112,16 @@
         || (complete && weight < terms.complete_weight - WEIGHT_TOLERANCE)
     {
         faults.push(format!(
-            "its first step ended with {weight:.3} of the weight, whole: {complete}"
+            "first step ended with a weight of {weight:.3}, marked complete: {complete}; \
+             expected at least {} (complete: {})",
+            terms.minimum_weight, terms.complete_weight
         ));
     }
     faults
 }
 
 impl Checker {
-    /// The client has read an answer with results.
+    /// Handles [`EventKind::Answered`](crate::EventKind::Answered).
     pub(crate) fn search_answered(
         &mut self,
         at: Seconds,
@@ -147,7 +153,7 @@
         }
     }
 
-    /// Judges what a second step's part says of the first step, and remembers it.
+    /// Checks the first step's result as stated in a part of the second step, and records it.
     pub(crate) fn check_second_step(
         &mut self,
         part: &PartName,
--- a/crates/testing/invariants/src/rules/disconnected_clients.rs
+++ b/crates/testing/invariants/src/rules/disconnected_clients.rs
@@ -1,4 +1,4 @@
-//! Nothing is sent for a client that has disconnected.
+//! Checks an aspect of [`Rule::Sound`]: nothing is sent for a client that has disconnected.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -6,10 +6,10 @@
 use crate::units::Seconds;
 use std::sync::Arc;
 
-/// How long after a client's disconnection attempts may still begin: the co-ordinator has to notice it.
+/// Time after a client's disconnection in which attempts may still begin: the co-ordinator must first detect it.
 const DISCONNECT_GRACE: Seconds = 0.1;
-/// Cases of a run from which on late attempts are a breach: the delay until a co-ordinator reads its sockets
-/// varies.
+/// Number of late attempts in a run from which each one is a breach. Fewer are tolerated, because the delay until a
+/// co-ordinator reads its sockets varies.
 const MIN_LATE_ATTEMPTS: usize = 3;
 
 impl Checker {
@@ -19,7 +19,7 @@
             .get_mut(name)
             .filter(|search| search.is_open())
         {
-            search.disconnected = Some(at);
+            search.disconnected_at = Some(at);
         }
         self.end_search(name);
     }
@@ -29,7 +29,7 @@
         let Some(disconnected) = self
             .searches
             .get(name)
-            .and_then(|search| search.disconnected)
+            .and_then(|search| search.disconnected_at)
         else {
             return;
         };
@@ -43,7 +43,7 @@
         self.late_attempts += 1;
         if self.late_attempts >= MIN_LATE_ATTEMPTS {
             let why = format!(
-                "shard {} was sent on {:.3} s after its client had gone, case {} of the run",
+                "part for shard {} sent {:.3} s after the client disconnected, late attempt {} of the run",
                 received.part.shard,
                 sent_at - disconnected,
                 self.late_attempts
--- a/crates/testing/invariants/src/rules/lost_searches.rs
+++ b/crates/testing/invariants/src/rules/lost_searches.rs
@@ -1,4 +1,4 @@
-//! No search is lost: each gets one final answer by its deadline, and no part is sent after it.
+//! Checks [`Rule::NoSearchLost`]: each search gets one final answer by its deadline, and no part is sent afterwards.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -9,9 +9,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long before a deadline a stall may have ended and still excuse a late answer.
+/// A stall excuses a late answer if the process had recovered from it at most this long before the deadline.
 const STALL_BEFORE_DEADLINE: Seconds = 1.0;
-/// Latency of a link up to which an attempt that arrives after the answer was sent after it.
+/// Part of the link latency that is not tolerated: an attempt sent before the answer may arrive after it by at most
+/// the remaining latency.
 const SHORT_LATENCY: Seconds = 0.001;
 
 impl Checker {
@@ -32,9 +33,9 @@
             query_type: *query_type,
             parts: parts.clone(),
             deadline: *deadline,
-            answered: None,
+            answered_at: None,
             ended: false,
-            disconnected: None,
+            disconnected_at: None,
             attempts: BTreeMap::new(),
             values: BTreeMap::new(),
             second_step_possible: false,
@@ -44,36 +45,40 @@
         self.open_search(name, state);
     }
 
-    /// The latest time for a search's answer, `due`, has passed.
+    /// Ends a search whose latest time for an answer, `due`, has passed, and reports it if it is still open.
     pub(crate) fn answer_overdue(&mut self, name: &Arc<str>, due: Seconds) {
         let Some(search) = self.searches.get(name).filter(|search| search.is_open()) else {
             return;
         };
         if !self.is_excused(search.node, search.deadline - STALL_BEFORE_DEADLINE, due) {
-            let why = "no final answer by the end of its time".into();
+            let why = "no final answer within the deadline and the grace period".into();
             self.report(Rule::NoSearchLost, name, why);
         }
         self.end_search(name);
     }
 
-    /// Whether this is the search's one answer; reports a second one and a late one.
+    /// Records a final answer; reports a second or late one. Returns whether the search was awaiting it.
     pub(crate) fn accept_final_answer(&mut self, at: Seconds, name: &Arc<str>) -> bool {
         let Some(search) = self.searches.get_mut(name) else {
             return false;
         };
-        if search.answered.is_some() {
-            self.report(Rule::NoSearchLost, name, "a second final answer".into());
+        if search.answered_at.is_some() {
+            self.report(
+                Rule::NoSearchLost,
+                name,
+                "client received a second final answer".into(),
+            );
             return false;
         }
         if search.ended {
             return false;
         }
-        search.answered = Some(at);
+        search.answered_at = Some(at);
         let (deadline, node) = (search.deadline, search.node);
         if at > self.latest_answer(deadline)
             && !self.is_excused(node, deadline - STALL_BEFORE_DEADLINE, at)
         {
-            let why = "its final answer came after its time".into();
+            let why = format!("final answer {:.3} s after the deadline", at - deadline);
             self.report(Rule::NoSearchLost, name, why);
         }
         self.end_search(name);
@@ -85,7 +90,7 @@
             return;
         };
         if !search.attempts.is_empty() {
-            let why = "its connection ended without an answer".into();
+            let why = "connection closed without an answer after a part was sent".into();
             self.report(Rule::NoSearchLost, name, why);
         }
         self.end_search(name);
@@ -100,8 +105,8 @@
     pub(crate) fn coordinator_ended(&mut self, node: CoordinatorId) {
         let searches = self.searches_of(node);
         for name in &searches {
-            if self.searches[name].answered.is_none() {
-                let why = "its co-ordinator has ended by itself".into();
+            if self.searches[name].answered_at.is_none() {
+                let why = "co-ordinator exited before it answered".into();
                 self.report(Rule::NoSearchLost, name, why);
             }
         }
@@ -118,18 +123,19 @@
             .collect()
     }
 
-    /// Whether the part was sent for a search that awaits its answer; reports it if not.
+    /// Reports a part of an unknown search, and one that was sent after the final answer. Returns whether the part was
+    /// allowed.
     pub(crate) fn check_search_awaits_part(&mut self, received: &ReceivedPart<'_>) -> bool {
         let name = &received.part.search;
         let Some(search) = self.searches.get(name) else {
-            let why = format!("a part at {} that no client asked for", received.replica);
+            let why = format!("{} received a part of an unknown search", received.replica);
             self.report(Rule::NoSearchLost, name, why);
             return false;
         };
-        // What was sent before the answer may arrive after it, by the latency of a link.
+        // A part that was sent before the answer may arrive after it, by up to the latency of a link.
         let in_flight_for = (self.terms.max_link_latency - SHORT_LATENCY).max(0.0);
         let Some(answered) = search
-            .answered
+            .answered_at
             .filter(|answered| received.at > *answered + in_flight_for)
         else {
             return true;
@@ -138,7 +144,8 @@
             return true;
         }
         let why = format!(
-            "shard {} was sent on {:.6} s after its final answer",
+            "{} received a part for shard {} {:.6} s after the final answer",
+            received.replica,
             received.part.shard,
             received.at - answered
         );
@@ -154,7 +161,9 @@
             .get(name)
             .is_some_and(|search| search.parts.iter().any(|part| part.shard == shard));
         if !requested {
-            let why = format!("shard {shard} was not asked for");
+            let why = format!(
+                "replica received a part for shard {shard}, which the search does not query"
+            );
             self.report(Rule::NoSearchLost, name, why);
         }
     }
--- a/crates/testing/invariants/src/rules/mod.rs
+++ b/crates/testing/invariants/src/rules/mod.rs
@@ -1,9 +1,10 @@
-//! One file for each guarantee, and `parts`, which hands each part to them, and `disconnected_clients`, which judges
-//! [`Rule::Sound`](crate::Rule::Sound). Every file adds the methods of [`Checker`](crate::Checker) that do so.
+//! One file for each guarantee. In addition, `parts` applies the rules to each part that a replica receives, and
+//! `disconnected_clients` checks an aspect of [`Rule::Sound`](crate::Rule::Sound). Each file adds methods to
+//! [`Checker`](crate::Checker).
 
 use crate::units::Share;
 
-/// Least difference of shares of weight that counts: settings write weights with few digits.
+/// Tolerance when shares of weight are compared: weights in settings are rounded to few digits.
 pub(crate) const WEIGHT_TOLERANCE: Share = 1e-4;
 
 mod answers;
--- a/crates/testing/invariants/src/rules/parts.rs
+++ b/crates/testing/invariants/src/rules/parts.rs
@@ -1,4 +1,4 @@
-//! What happens to a part at a replica, handed to the rules that judge it.
+//! Handles the events of parts at replicas, and applies the rules that concern them.
 
 use crate::checker::Checker;
 use crate::event::{CoordinatorId, Event, EventKind, PartName, ReplicaName};
@@ -6,11 +6,11 @@
 use crate::units::Seconds;
 use std::sync::Arc;
 
-/// A part that arrived at a replica.
+/// A part that a replica received.
 pub(crate) struct ReceivedPart<'a> {
-    /// When its last byte arrived.
+    /// Time at which its last byte arrived at the replica's machine.
     pub(crate) at: Seconds,
-    /// When its first byte arrived.
+    /// Time at which its first byte arrived there.
     pub(crate) first_byte_at: Seconds,
     pub(crate) node: CoordinatorId,
     pub(crate) replica: &'a ReplicaName,
@@ -74,7 +74,7 @@
         self.count_second_step(at, part);
     }
 
-    /// Whether the part may have been written before `since` and delayed on its link.
+    /// Whether a fault may have delayed the part on its link, so that it may have been written before `since`.
     pub(crate) fn was_delayed(&self, received: &ReceivedPart<'_>, since: Seconds) -> bool {
         self.replicas
             .get(received.replica)
--- a/crates/testing/invariants/src/rules/repeats.rs
+++ b/crates/testing/invariants/src/rules/repeats.rs
@@ -1,4 +1,4 @@
-//! No effect happens twice: a part runs again only where its query type allows it.
+//! Checks [`Rule::NoEffectTwice`]: a part runs again only if its query type allows it.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 impl Checker {
-    /// The client has read that its search was shed.
+    /// Handles [`EventKind::Shed`](crate::EventKind::Shed).
     pub(crate) fn search_shed(&mut self, at: Seconds, name: &Arc<str>) {
         if self.accept_final_answer(at, name) {
             self.check_shed(name);
         }
     }
 
-    /// Reports a search that was shed although a part of it may have run and must not run again.
+    /// Reports a shed search if a non-idempotent part of it may have run: a client retries a search that was shed.
     fn check_shed(&mut self, name: &Arc<str>) {
         let Some(search) = self.searches.get(name) else {
             return;
@@ -33,12 +33,13 @@
                 .flatten()
                 .any(|attempt| !attempt.rejected)
         {
-            let why = "shed, though a part of it may have run".into();
+            let why = "shed, but a non-idempotent part of it may have run".into();
             self.report(Rule::NoEffectTwice, name, why);
         }
     }
 
-    /// Records the attempt; reports it if an earlier one may have run and the part must not run again.
+    /// Records an attempt. Reports it if an earlier attempt may have run and the part must not run again, and counts
+    /// a retry in the retry budget.
     pub(crate) fn check_repeat(&mut self, received: &ReceivedPart<'_>) {
         let (name, part) = (&received.part.search, received.part);
         let Some(search) = self.searches.get(name) else {
@@ -52,7 +53,7 @@
         let attempts = search.attempts.get(&PartKey::from(part));
         let first = attempts.and_then(|all| all.first());
         let is_retry = first.is_some();
-        // When a delayed attempt was written is unknown here.
+        // The time at which a delayed attempt was written is unknown.
         let delayed = first.is_some_and(|attempt| self.was_delayed(received, attempt.at));
         let may_have_run = attempts
             .into_iter()
@@ -63,7 +64,7 @@
         self.record_attempt(received);
         if let Some(why) = forbidden {
             let (shard, replica) = (part.shard, received.replica);
-            let why = format!("shard {shard} was sent again, to {replica}: {why}");
+            let why = format!("part for shard {shard} was sent again, to {replica}: {why}");
             self.report(Rule::NoEffectTwice, name, why);
         }
         self.check_shard_requested(received);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Why the part must not run again after `earlier`, which may have run; none if it may.
+    /// Reason why the part must not run again after `earlier`, which may have run; `None` if it may run again.
     fn why_forbidden(
         &self,
         repeats: Repeats,
@@ -103,13 +104,13 @@
                 if received.at > earlier.at + window + self.terms.slack && !delayed =>
             {
                 Some(format!(
-                    "{elapsed:.3} s after {} may have run it",
+                    "{elapsed:.3} s after {} may have run it; its token is valid for {window} s",
                     earlier.replica
                 ))
             }
             Repeats::Tokened { any_holder, .. } => (!any_holder
                 && earlier.replica != *received.replica)
-                .then(|| format!("only {} knows its token", earlier.replica)),
+                .then(|| format!("only {} recognizes its token", earlier.replica)),
         }
     }
 }
--- a/crates/testing/invariants/src/rules/retry_budget.rs
+++ b/crates/testing/invariants/src/rules/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges stay within the retry budget.
+//! Checks [`Rule::Budget`]: retries and hedges stay within the retry budget.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -7,11 +7,11 @@
 use crate::state::{AcceptedRequests, Coordinator, PartKey};
 use crate::units::Seconds;
 
-/// Tolerance for rounding in the sum of the allowed attempts.
+/// Tolerance for rounding errors in the number of allowed attempts.
 const ROUNDING: f64 = 1e-9;
 
-/// Forgets requests that were accepted before the window.
-fn forget_accepted(coordinator: &mut Coordinator, window: Seconds, at: Seconds) {
+/// Removes requests that were accepted before the window.
+fn remove_expired(coordinator: &mut Coordinator, window: Seconds, at: Seconds) {
     while coordinator
         .accepted
         .front()
@@ -22,7 +22,7 @@
 }
 
 impl Checker {
-    /// Counts the requests of a search that a co-ordinator has accepted.
+    /// Adds the requests of an accepted search to the co-ordinator's window.
     pub(crate) fn count_accepted(&mut self, at: Seconds, node: CoordinatorId, count: usize) {
         let Some(budget) = &self.terms.retry_budget else {
             return;
@@ -32,10 +32,10 @@
         coordinator
             .accepted
             .push_back(AcceptedRequests { at, count });
-        forget_accepted(coordinator, window, at);
+        remove_expired(coordinator, window, at);
     }
 
-    /// Counts the requests of a second step, from the earliest time at which it can begin.
+    /// Adds the requests of a second step as soon as enough parts of the first step are completed for it to begin.
     pub(crate) fn count_second_step(&mut self, at: Seconds, part: &PartName) {
         let Some(search) = self
             .searches
@@ -67,27 +67,28 @@
         }
     }
 
-    /// Counts a retry or hedge that arrived `at`, and reports the first one over the budget.
+    /// Counts a retry or hedge that arrived at time `at`. Reports a breach when the budget becomes exceeded.
     ///
-    /// An attempt may arrive later than the co-ordinator counted it, by up to the latency of a link: the
-    /// window is shorter by that much for attempts, and longer for accepted requests.
+    /// An attempt may arrive later than the co-ordinator counted it, by up to the latency of a link. The window is
+    /// therefore shorter by the latency for attempts, and longer by it for accepted requests.
     pub(crate) fn check_retry_budget(&mut self, at: Seconds, node: CoordinatorId) {
         let Some(budget) = self.terms.retry_budget.clone() else {
             return;
         };
         let (latency, slack, now) = (self.terms.max_link_latency, self.terms.slack, self.now);
         let coordinator = self.coordinators.entry(node).or_default();
-        // A suspended replica may read it after its co-ordinator was restarted.
-        if at < coordinator.started {
+        // A suspended replica may read an attempt after the co-ordinator that sent it was restarted.
+        if at < coordinator.started_at {
             return;
         }
         coordinator.retries.push_back(at);
-        forget_accepted(coordinator, budget.window + latency, at);
-        // A replica that was suspended reads late, so arrivals aren't in order.
+        remove_expired(coordinator, budget.window + latency, at);
+        // A suspended replica reads attempts late, so their arrival times are not in order.
         coordinator
             .retries
             .retain(|at| at + budget.window - latency > now);
-        // One that was read so late is judged with the next: of its own window too little is known by now.
+        // An attempt that was read this late is only counted; the next attempt is checked with it. The state of its
+        // own window is no longer complete.
         if now > at + slack {
             return;
         }
@@ -103,7 +104,7 @@
         if exceeds_budget && !exceeded_before {
             let window = budget.window;
             let why =
-                format!("{sent} further sub-requests in {window} s, {allowed:.1} are allowed");
+                format!("{sent} retries and hedges in {window} s, expected at most {allowed:.1}");
             self.report_coordinator(Rule::Budget, node, why);
         }
     }
--- a/crates/testing/invariants/src/rules/slow_start.rs
+++ b/crates/testing/invariants/src/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! A replica that warms up is not overloaded by what all co-ordinators send it.
+//! Checks [`Rule::NoSlowStartOverload`]: the co-ordinators together do not overload a replica that warms up.
 
 use crate::breach::Rule;
 use crate::checker::Checker;
@@ -7,14 +7,14 @@
 use crate::terms::SlowStart;
 use crate::units::{CoreSeconds, Seconds};
 
-/// The capacity that a replica has at this time, in cores.
+/// Capacity of a replica at time `at`, in cores.
 fn capacity(terms: &SlowStart, start: ReplicaStart, at: Seconds) -> f64 {
     let warmed_up = ((at - start.at) / terms.duration).min(1.0);
     start.cores * (terms.initial_capacity + (1.0 - terms.initial_capacity) * warmed_up)
 }
 
 impl Replica {
-    /// Requests of mean work that it received in the window.
+    /// Work received in the window that `counts` accepts, as a number of requests of mean work.
     fn requests(&self, terms: &SlowStart, counts: impl Fn(&ReceivedWork) -> bool) -> f64 {
         let work = self
             .work
@@ -64,13 +64,13 @@
         }
         replica.overloaded = true;
         let notified = replica.requests(&terms, |work| work.sender_notified);
-        // Over two thirds of it must have come from senders that knew of the start.
+        // More than two thirds of the work must be from senders whose agents had listed the start.
         if !terms.counts_unlisted_senders && notified * 3.0 <= received * 2.0 {
             return;
         }
         let why = format!(
-            "{name}, {:.2} s old, was sent {received:.1} requests of mean work in {} s: {budget:.1} are \
-             its budget, {allowed:.1} the most that chance brings",
+            "{name} received, {:.2} s after its start, {received:.1} requests of mean work in {} s: the budget is \
+             {budget:.1}, with the tolerance for random variation {allowed:.1}",
             at - start.at,
             terms.overload_window
         );
--- a/crates/testing/invariants/src/state.rs
+++ b/crates/testing/invariants/src/state.rs
@@ -1,26 +1,26 @@
-//! What a checker remembers of each search, replica and co-ordinator.
+//! State of each search, replica and co-ordinator in a checker.
 
 use crate::event::{CoordinatorId, Event, PartName, ReplicaName, ShardWeight};
 use crate::units::{CoreSeconds, Seconds, Share};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How long after a stall a process may still work off what waited for it.
+/// Time after a stall in which the process may still be handling events that were queued during the stall.
 const STALL_RECOVERY: Seconds = 0.5;
-/// How long after the end of a delay the delayed frames may still arrive.
+/// Time after the end of a link fault in which delayed frames may still arrive.
 const RETRANSMIT_TIMEOUT: Seconds = 0.1;
-/// Most events of one search that are kept as proof.
+/// Maximum number of events of one search in a proof.
 const MAX_PROOF_EVENTS: usize = 64;
 
-/// One send of a part.
+/// One attempt to run a part at a replica.
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaName,
-    /// When it arrived there.
+    /// Time at which its last byte arrived at the replica's machine.
     pub(crate) at: Seconds,
     pub(crate) rejected: bool,
 }
 
-/// A part within its search.
+/// Identifies a part within its search.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PartKey {
     pub(crate) shard: u64,
@@ -36,47 +36,47 @@
     }
 }
 
-/// What the second step's parts say of the first step's result.
+/// The first step's result, as stated in the latest part of the second step.
 pub(crate) struct FirstStep {
     pub(crate) shards: Vec<u64>,
     pub(crate) complete: bool,
 }
 
-/// A search, until well after it has ended.
+/// A search that is open or ended recently.
 pub(crate) struct Search {
     pub(crate) node: CoordinatorId,
     pub(crate) query_type: usize,
     pub(crate) parts: Arc<[ShardWeight]>,
     pub(crate) deadline: Seconds,
-    /// When its one final answer was read.
-    pub(crate) answered: Option<Seconds>,
-    /// No answer is owed any more.
+    /// Time at which the client read the first final answer.
+    pub(crate) answered_at: Option<Seconds>,
+    /// Whether the search no longer awaits an answer.
     pub(crate) ended: bool,
-    /// When its client disconnected before it had its answer.
-    pub(crate) disconnected: Option<Seconds>,
+    /// Time at which the client disconnected before the final answer.
+    pub(crate) disconnected_at: Option<Seconds>,
     pub(crate) attempts: BTreeMap<PartKey, Vec<Attempt>>,
-    /// The values that replicas computed.
+    /// Values that replicas computed, by part.
     pub(crate) values: BTreeMap<PartKey, Vec<Arc<str>>>,
-    /// The first step's answers suffice for a second step.
+    /// Whether enough parts of the first step are completed for the second step to begin.
     pub(crate) second_step_possible: bool,
     pub(crate) first_step: Option<FirstStep>,
     pub(crate) events: Vec<Event>,
 }
 
 impl Search {
-    /// Whether its final answer is still owed.
+    /// Whether the search still awaits its final answer.
     pub(crate) fn is_open(&self) -> bool {
-        self.answered.is_none() && !self.ended
+        self.answered_at.is_none() && !self.ended
     }
 
-    /// Keeps the event as proof, up to a limit.
-    pub(crate) fn remember(&mut self, event: &Event) {
+    /// Adds the event to the proof, up to [`MAX_PROOF_EVENTS`].
+    pub(crate) fn add_to_proof(&mut self, event: &Event) {
         if self.events.len() < MAX_PROOF_EVENTS {
             self.events.push(event.clone());
         }
     }
 
-    /// The share of the weight that the given shards have.
+    /// Sum of the weights of the shards that `included` accepts.
     pub(crate) fn weight(&self, included: impl Fn(u64) -> bool) -> Share {
         self.parts
             .iter()
@@ -86,77 +86,75 @@
     }
 }
 
-/// Work that a warming replica received.
+/// Work of one part that a replica received during its warm-up.
 pub(crate) struct ReceivedWork {
     pub(crate) at: Seconds,
     pub(crate) work: CoreSeconds,
-    /// Its sender's agent had listed the replica.
+    /// Whether the sender's agent had listed the replica as ready since its start.
     pub(crate) sender_notified: bool,
 }
 
-/// When a replica's process started, and with how many cores.
+/// Start of a replica's process, and its number of cores.
 #[derive(Clone, Copy)]
 pub(crate) struct ReplicaStart {
     pub(crate) at: Seconds,
     pub(crate) cores: f64,
 }
 
-/// A time in which something was delayed or suspended.
+/// Period of a link fault or of a suspension.
 #[derive(Clone, Copy)]
 pub(crate) struct Period {
     pub(crate) since: Seconds,
     pub(crate) until: Seconds,
 }
 
-/// A replica by its name.
 #[derive(Default)]
 pub(crate) struct Replica {
-    /// Whose agents list it as draining or departed, and since when.
-    pub(crate) leaving: BTreeMap<CoordinatorId, Seconds>,
+    /// Co-ordinators whose agents list the replica as draining or departed, with the time of the first such listing.
+    pub(crate) not_ready_since: BTreeMap<CoordinatorId, Seconds>,
     pub(crate) start: Option<ReplicaStart>,
-    /// What it received in the last window while warming up.
+    /// Work that it received in the last overload window during its warm-up.
     pub(crate) work: VecDeque<ReceivedWork>,
-    /// Whose agents have listed its start.
+    /// Co-ordinators whose agents have listed the replica as ready since its start.
     pub(crate) notified: BTreeSet<CoordinatorId>,
     pub(crate) overloaded: bool,
-    /// How many causes delay what is sent to it now.
-    pub(crate) delays: usize,
-    /// The last time in which what was sent to it was delayed.
-    pub(crate) delayed: Option<Period>,
+    /// Number of faults that currently delay frames to the replica.
+    pub(crate) active_delays: usize,
+    /// Latest period in which frames to the replica were delayed; infinite end while it lasts.
+    pub(crate) delay_period: Option<Period>,
 }
 
 impl Replica {
-    /// Whether a frame that arrived `at` may have been written before `since` and delayed.
+    /// Whether a frame that arrived at time `at` may have been delayed by a fault, and written before `since`.
     pub(crate) fn was_delayed(&self, since: Seconds, at: Seconds) -> bool {
-        self.delayed.is_some_and(|period| {
+        self.delay_period.is_some_and(|period| {
             period.until >= since && period.since <= at && at <= period.until + RETRANSMIT_TIMEOUT
         })
     }
 }
 
-/// Requests that a co-ordinator accepted, for the retry budget.
+/// Requests that a co-ordinator accepted at one time, for the retry budget.
 pub(crate) struct AcceptedRequests {
     pub(crate) at: Seconds,
     pub(crate) count: usize,
 }
 
-/// A co-ordinator.
 #[derive(Default)]
 pub(crate) struct Coordinator {
-    /// What arrived before was sent by the previous process, and counts in no budget.
-    pub(crate) started: Seconds,
+    /// Start of the current process. Attempts that arrived before are not counted in its retry budget.
+    pub(crate) started_at: Seconds,
     pub(crate) accepted: VecDeque<AcceptedRequests>,
     pub(crate) retries: VecDeque<Seconds>,
-    /// Whether its retries exceeded the budget when the last one arrived.
+    /// Whether the retry budget was exceeded at the latest check.
     pub(crate) exceeds_budget: bool,
-    /// The last time in which it was suspended.
-    pub(crate) stalled: Option<Period>,
+    /// Latest period in which the process was suspended.
+    pub(crate) stall_period: Option<Period>,
 }
 
 impl Coordinator {
-    /// Whether the process was suspended at some time between these, or recovered from it.
+    /// Whether the process was suspended, or recovering from a suspension, at some time from `from` to `to`.
     pub(crate) fn is_excused(&self, from: Seconds, to: Seconds) -> bool {
-        self.stalled
+        self.stall_period
             .is_some_and(|stall| stall.since <= to && stall.until + STALL_RECOVERY >= from)
     }
 }
--- a/crates/testing/invariants/tests/recorded.rs
+++ b/crates/testing/invariants/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Events and breaches as lines of a record, held still: each is written as it was.
+//! Guards the JSON format of events and breaches: each must be serialized as in the recorded file.
 
 #[path = "../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -35,7 +35,7 @@
     }
 }
 
-fn sent(first_step_shards: Vec<u64>, first_step_complete: Option<bool>) -> EventKind {
+fn part_received(first_step_shards: Vec<u64>, first_step_complete: Option<bool>) -> EventKind {
     let (replica, part) = (replica(), part(!first_step_shards.is_empty()));
     EventKind::PartReceived {
         node: NODE,
@@ -49,14 +49,14 @@
     }
 }
 
-/// An event of each kind.
+/// One event of each kind.
 fn events() -> Vec<EventKind> {
     let (search, replica, part) = (search(), replica(), part(false));
     let rows = [(0, "value"), (7, "")].map(|(shard, value)| ShardValue {
         shard,
         value: value.into(),
     });
-    let made = EventKind::PartCompleted {
+    let completed = EventKind::PartCompleted {
         node: NODE,
         replica: replica.clone(),
         part: part.clone(),
@@ -89,13 +89,13 @@
             search: search.clone(),
         },
         EventKind::ConnectionClosed { search },
-        sent(Vec::new(), None),
+        part_received(Vec::new(), None),
         EventKind::PartRejected {
             node: NODE,
             replica: replica.clone(),
             part: part.clone(),
         },
-        made,
+        completed,
         EventKind::PartCancelled {
             node: NODE,
             replica: replica.clone(),
@@ -129,7 +129,7 @@
     ]
 }
 
-/// The kind as the record names it; a further kind needs a record.
+/// Name of the kind in the record. A new kind also needs a recorded line.
 fn name(kind: &EventKind) -> &'static str {
     match kind {
         EventKind::CoordinatorStarted { .. } => "node_started",
@@ -155,16 +155,16 @@
 }
 
 fn line(kind: EventKind) -> String {
-    serde_json::to_string(&Event { at: 1000.125, kind }).expect("it is JSON")
+    serde_json::to_string(&Event { at: 1000.125, kind }).expect("JSON")
 }
 
 #[test]
-fn events_are_written_as_they_were() {
+fn events_match_the_recorded_json() {
     for kind in events() {
         let name = name(&kind);
         let today = line(kind);
         assert_eq!(records("events.txt").text(name, &today), today, "{name}");
-        let read: Value = serde_json::from_str(&today).expect("it is JSON");
+        let read: Value = serde_json::from_str(&today).expect("JSON");
         assert_eq!(
             (&read["what"], &read["at"]),
             (&Value::from(name), &Value::from(1000.125))
@@ -173,8 +173,8 @@
 }
 
 #[test]
-fn a_part_of_a_second_step_says_what_it_had_of_the_first() {
-    let today = line(sent(vec![0, 7], Some(false)));
+fn second_step_part_states_the_first_steps_result() {
+    let today = line(part_received(vec![0, 7], Some(false)));
     assert_eq!(
         records("events.txt").text("sent-second-step", &today),
         today
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn nothing_is_recorded_that_is_not_written() {
+fn recorded_events_are_exactly_the_serialized_kinds() {
     let mut names: Vec<&str> = events()
         .iter()
         .map(name)
@@ -214,11 +214,11 @@
         why: "why".into(),
         proof,
     };
-    serde_json::to_string(&breach).expect("it is JSON")
+    serde_json::to_string(&breach).expect("JSON")
 }
 
 #[test]
-fn breaches_are_written_as_they_were() {
+fn breaches_match_the_recorded_json() {
     for rule in RULES {
         let (name, today) = (rule.to_string(), breach(rule, Some(search())));
         assert_eq!(records("breaches.txt").text(&name, &today), today, "{name}");
--- a/crates/testing/invariants/tests/rules/disconnected_clients.rs
+++ b/crates/testing/invariants/tests/rules/disconnected_clients.rs
@@ -4,14 +4,14 @@
 use rstest::rstest;
 use woadreach_invariants::{Checker, Event, EventKind, Rule, Terms};
 
-/// A client has gone at 0.2 s: attempts that begin up to 0.1 s later, and the slack of the record, are on
-/// their way; later ones are a break from the third on.
+/// A client disconnects at 0.2 s. Attempts that begin up to 0.1 s plus the slack of the terms later are
+/// allowed. Of later ones, each from the third on is a breach.
 #[rstest]
-#[case::on_their_way(&[0.21, 0.3, 0.34, 0.34], 0)]
-#[case::two_are_none(&[0.36, 0.5], 0)]
-#[case::three(&[0.36, 0.5, 0.6], 1)]
-#[case::four(&[0.36, 0.5, 0.6, 0.7], 2)]
-fn attempts_for_a_disconnected_client(#[case] at: &[f64], #[case] breaks: usize) {
+#[case::within_grace(&[0.21, 0.3, 0.34, 0.34], 0)]
+#[case::two_late_attempts(&[0.36, 0.5], 0)]
+#[case::three_late_attempts(&[0.36, 0.5, 0.6], 1)]
+#[case::four_late_attempts(&[0.36, 0.5, 0.6, 0.7], 2)]
+fn attempts_for_a_disconnected_client(#[case] at: &[f64], #[case] breaches: usize) {
     let mut checker = Checker::new(Terms {
         retry_budget: None,
         slow_start: None,
@@ -31,5 +31,5 @@
             kind: sent_at(0, "a", *at),
         }));
     }
-    assert_eq!(rules_of(&all), vec![Rule::Sound; breaks]);
+    assert_eq!(rules_of(&all), vec![Rule::Sound; breaches]);
 }
--- a/crates/testing/invariants/tests/rules/drains.rs
+++ b/crates/testing/invariants/tests/rules/drains.rs
@@ -1,4 +1,4 @@
-//! A draining replica gets nothing new after the grace period.
+//! A draining or departed replica is sent no new part after the grace period.
 
 use crate::support::{NODE, broken_rules, requested, sent_at};
 use rstest::rstest;
@@ -15,13 +15,13 @@
 #[rstest]
 #[case::within_grace(vec![(0.0, listed(false)), (0.5, sent_at(0, "a", 0.5))], &[])]
 #[case::after_grace(vec![(0.0, listed(false)), (0.6, sent_at(0, "a", 0.6))], &[Rule::DrainRespected])]
-#[case::the_first_word_counts(
+#[case::grace_starts_at_first_listing(
     vec![(0.0, listed(false)), (0.4, listed(false)), (0.6, sent_at(0, "a", 0.6))],
     &[Rule::DrainRespected]
 )]
 #[case::ready_again(vec![(0.0, listed(false)), (0.4, listed(true)), (0.6, sent_at(0, "a", 0.6))], &[])]
-#[case::another(vec![(0.0, listed(false)), (0.6, sent_at(0, "b", 0.6))], &[])]
-#[case::started_anew(
+#[case::other_replica(vec![(0.0, listed(false)), (0.6, sent_at(0, "b", 0.6))], &[])]
+#[case::coordinator_restarted(
     vec![(0.0, listed(false)), (0.1, EventKind::CoordinatorStarted { node: NODE }), (0.6, sent_at(0, "a", 0.6))],
     &[]
 )]
--- a/crates/testing/invariants/tests/rules/main.rs
+++ b/crates/testing/invariants/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Events for each rule, kept and broken, by the module that judges it.
+//! For each rule, histories that satisfy it and histories that violate it.
 
 mod answers;
 mod disconnected_clients;
--- a/crates/testing/invariants/tests/rules/proof.rs
+++ b/crates/testing/invariants/tests/rules/proof.rs
@@ -1,11 +1,11 @@
-//! What a breach shows as its proof.
+//! The proof of a breach.
 
 use crate::support::{COMPLETE, answered, requested, sent_at, terms};
 use woadreach_invariants::{Checker, Event};
 
-/// The proof of a breach is what was seen of its search, and of no other.
+/// The proof consists of the events of the search up to the breach.
 #[test]
-fn breaches_come_with_their_events() {
+fn proof_contains_events_of_the_search() {
     let mut checker = Checker::new(terms());
     for (at, kind) in [(0.0, requested(0)), (0.1, sent_at(0, "a", 0.1))] {
         assert!(checker.check(&Event { at, kind }).is_empty());
@@ -22,7 +22,7 @@
     assert!(
         found[0]
             .why
-            .contains("no replica made the value of shard 0"),
+            .contains("no replica computed the value of shard 0"),
         "{}",
         found[0].why
     );
--- a/crates/testing/invariants/tests/rules/retry_budget.rs
+++ b/crates/testing/invariants/tests/rules/retry_budget.rs
@@ -5,8 +5,8 @@
 use woadreach_invariants::{EventKind, Rule};
 
 #[rstest]
-#[case::one_is_free(&[0.1, 0.2], &[])]
-#[case::two_are_not(&[0.1, 0.2, 0.3], &[Rule::Budget])]
+#[case::one_retry(&[0.1, 0.2], &[])]
+#[case::two_retries(&[0.1, 0.2, 0.3], &[Rule::Budget])]
 fn budget(#[case] at: &[f64], #[case] expected: &[Rule]) {
     let sent = at.iter().map(|at| (*at, sent_at(0, "a", *at)));
     assert_eq!(
@@ -15,11 +15,12 @@
     );
 }
 
-/// What an ended process had sent, and a replica that stood still reads only now, is not of the new one's
-/// budget.
+/// A suspended replica may read attempts of the previous process only after the co-ordinator has restarted. They are
+/// not counted in the retry budget of the new process.
 #[test]
-fn budget_of_a_process_begins_with_it() {
-    let late = [(0, 0.1), (0, 0.2), (0, 0.3)].map(|(shard, came)| (0.6, sent_at(shard, "a", came)));
+fn attempts_of_the_previous_process_are_not_counted() {
+    let late = [(0, 0.1), (0, 0.2), (0, 0.3)]
+        .map(|(shard, received)| (0.6, sent_at(shard, "a", received)));
     let started = (0.5, EventKind::CoordinatorStarted { node: NODE });
     let now = (0.7, sent_at(0, "a", 0.7));
     let events = [(0.0, requested(0)), started]
--- a/crates/testing/invariants/tests/rules/slow_start.rs
+++ b/crates/testing/invariants/tests/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! A replica that warms up is not overloaded.
+//! A replica is not overloaded while it warms up.
 
 use crate::support::{NODE, received, rules_of, terms};
 use rstest::rstest;
@@ -7,7 +7,7 @@
     Breach, Checker, CoordinatorId, Event, EventKind, PartName, Rule, ShardWeight, SlowStart, Terms,
 };
 
-/// Starts replica `a`, of one core, at 0 s. Returns what it breaks.
+/// Starts replica `a`, with one core, at 0 s. Returns the breaches.
 fn start_replica(checker: &mut Checker) -> Vec<Breach> {
     checker.check(&Event {
         at: 0.0,
@@ -18,7 +18,7 @@
     })
 }
 
-/// A search of one part, requested and received by replica `a` at once. Returns what it breaks.
+/// Requests a search of one part, which replica `a` receives at the same time. Returns the breaches.
 fn play_search(checker: &mut Checker, node: CoordinatorId, number: u64, at: f64) -> Vec<Breach> {
     let search: Arc<str> = format!("s{number}").into();
     let part = PartName {
@@ -43,28 +43,28 @@
         .collect()
 }
 
-/// One core, half of it at the start: twice that in any second are ten parts, and 2 x root of 10 + 2 more are
-/// chance.
+/// The replica starts with half of its one core. Twice that capacity for one second is a budget of ten parts;
+/// 2 √10 + 2 more are tolerated as random variation.
 #[rstest]
-#[case::within(18, 0.001, &[])]
-#[case::over(19, 0.001, &[Rule::NoSlowStartOverload])]
-#[case::spread(19, 0.2, &[])]
-fn slow_start(#[case] parts: u64, #[case] apart: f64, #[case] expected: &[Rule]) {
+#[case::within_limit(18, 0.001, &[])]
+#[case::over_limit(19, 0.001, &[Rule::NoSlowStartOverload])]
+#[case::over_several_windows(19, 0.2, &[])]
+fn slow_start(#[case] parts: u64, #[case] interval: f64, #[case] expected: &[Rule]) {
     let mut checker = Checker::new(Terms {
         retry_budget: None,
         ..terms()
     });
     let mut all = start_replica(&mut checker);
     for n in 0..parts {
-        let at = 0.1 + n as f64 * apart;
+        let at = 0.1 + n as f64 * interval;
         all.extend(play_search(&mut checker, NODE, n, at));
     }
     assert_eq!(rules_of(&all), expected);
     assert_eq!(checker.is_overloaded("a"), !expected.is_empty());
 }
 
-/// Where only senders whose agents listed the start count, an overload breaks the rule if over two thirds of
-/// the work were theirs.
+/// With `counts_unlisted_senders` off, an overload violates the rule only if more than two thirds of the work is from
+/// senders whose agents had listed the replica.
 #[rstest]
 #[case::all_listed(2, &[Rule::NoSlowStartOverload])]
 #[case::half_listed(1, &[])]
--- a/crates/testing/invariants/tests/rules/support.rs
+++ b/crates/testing/invariants/tests/rules/support.rs
@@ -1,4 +1,4 @@
-//! Terms, events and a checker for all tests of the rules.
+//! Terms and events for the tests of the rules, and the rules that a history violates.
 
 use std::sync::Arc;
 use woadreach_invariants::{
@@ -8,10 +8,10 @@
 
 pub(crate) const NODE: CoordinatorId = CoordinatorId(0);
 
-/// What the replicas of both shards compute in the first step.
+/// Values that the replicas of both shards compute in the first step.
 pub(crate) const COMPLETE: [(u64, &str); 2] = [(0, "v0false"), (1, "v1false")];
 
-/// Query types 0 to 3: idempotent; to run once only; with a token that only the first replica knows; idempotent
+/// Query types 0 to 3: idempotent; non-idempotent; with a token that only the first replica recognizes; idempotent
 /// with a second step.
 pub(crate) fn terms() -> Terms {
     let query_type = |repeats, minimum_weight, second_step_parts| QueryTerms {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A search of two halves, at shards 0 and 1, requested at 0 s for 1 s.
+/// A search of shards 0 and 1, of equal weight, with its deadline at 1 s.
 pub(crate) fn requested(query_type: usize) -> EventKind {
     let parts = [(0, 0.5), (1, 0.5)].map(|(shard, weight)| ShardWeight { shard, weight });
     EventKind::Requested {
@@ -109,7 +109,7 @@
     EventKind::Shed { search: "s".into() }
 }
 
-/// The rules that these events, each with its time, break in succession.
+/// The rules that the events violate, in order, without adjacent duplicates. Checks for overdue answers at `until`.
 pub(crate) fn broken_rules(events: Vec<(f64, EventKind)>, until: f64) -> Vec<Rule> {
     let mut checker = Checker::new(terms());
     let mut breaches: Vec<Breach> = events
