--- a/crates/testing/fakes/src/client.rs
+++ b/crates/testing/fakes/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a co-ordinator: each sends a search, waits until its timeout, and may retry. Connections are
-//! kept and used again, as browsers do, with one request at a time.
+//! Clients of a co-ordinator: each sends a search, waits for the answer until its timeout, and may retry. As in
+//! browsers, connections are reused, with one request at a time.
 
 use crate::recorder::Recorder;
 use crate::wire::{Response, encode_request, parse_response};
@@ -11,83 +11,83 @@
 use woadreach_invariants::{CoordinatorId, EventKind, ShardValue, ShardWeight};
 use woadreach_runtime::{Net, Stream};
 
-/// Seconds in which a close can have crossed a request on a used connection: the request is sent again on a
-/// new one.
+/// Seconds after a request on a reused connection in which a close by the co-ordinator may have crossed it. Such a
+/// request is sent again on a new connection.
 const CROSSING_TIME: f64 = 0.02;
-/// Seconds that a client waits after its timeout, to see late answers.
+/// Seconds for which a client reads on after its timeout, to record late answers.
 const LATE_ANSWER_TIME: f64 = 0.3;
-/// Idle connections that are kept.
+/// Maximum number of idle connections for reuse.
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// Seconds that must be left for another attempt.
+/// Least time before the deadline, in seconds, with which a retry is sent.
 const MIN_ATTEMPT_TIME: f64 = 0.05;
 
-/// A search, as a client sends it.
+/// A search request of a client.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
-    /// Its identifier, new with every request.
+    /// Identifier of the search, unique to the request.
     pub search: Arc<str>,
-    /// Index of its query type.
+    /// Index of the query type in the settings.
     pub query_type: usize,
-    /// Path of its URL: the query type's name.
+    /// Path of the URL, without the leading slash: the name of the query type.
     pub path: Rc<str>,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: Rc<str>,
-    /// Each queried shard with its share of the whole weight.
+    /// Queried shards, each with its share of the total weight.
     pub parts: Arc<[(u64, f64)]>,
-    /// What each part carries; its first word is the work, in seconds of one core.
+    /// Text that is sent with each part. Its first word is the amount of work, in seconds of one core.
     pub text: String,
-    /// Seconds until the client gives up.
+    /// Seconds until the client times out.
     pub timeout: f64,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// Seconds after which the client disconnects, if it does before its timeout.
+    /// Seconds after which the client disconnects without waiting for its timeout; `None` if it waits.
     pub disconnect_after: Option<f64>,
 }
 
-/// How a search ended for its client. `after`: when, in seconds from the call.
+/// Outcome of an attempt for its client. `after` is the time from the start of the attempt, in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// An answer with results.
+    /// The client received an answer with results.
     Answered {
-        /// Whether it claims to be complete.
+        /// Whether the answer is marked complete.
         complete: bool,
-        /// When.
+        /// Seconds from the start of the attempt.
         after: f64,
     },
-    /// Rejected because of overload.
+    /// The search was shed (status 429 or 503).
     Shed {
-        /// Seconds after which the client may retry.
+        /// Seconds in the `Retry-After` header; `None` without the header.
         retry_after: Option<f64>,
-        /// When.
+        /// Seconds from the start of the attempt.
         after: f64,
     },
-    /// An error.
+    /// The client received a response with an error, or an answer that cannot be parsed.
     Failed {
-        /// When.
+        /// Seconds from the start of the attempt.
         after: f64,
     },
-    /// The request was not sent: no connection could be opened.
+    /// No connection could be opened, or the request could not be written.
     NotConnected,
-    /// The connection broke, or the client's timeout passed.
+    /// The connection closed, the response was malformed, or the client timed out.
     Unanswered,
-    /// The client disconnected.
+    /// The client disconnected before its timeout, as configured.
     ClientDisconnected,
 }
 
-/// When a client retries.
+/// Retry policy of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Retry {
-    /// Most retries.
+    /// Maximum number of retries.
     pub max_retries: usize,
-    /// Seconds between attempts.
+    /// Delay before each retry, in seconds.
     pub delay_s: f64,
-    /// Whether the client waits as long as `Retry-After` says, if that is longer.
+    /// Whether the client waits for the time in `Retry-After` if it is longer than `delay_s`.
     pub honors_retry_after: bool,
 }
 
 struct Connection<S> {
     stream: S,
-    /// Received and not yet parsed.
+    /// Bytes that were received and not yet parsed.
     bytes: Vec<u8>,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// What a client gets after its request.
+/// What a client receives after a request.
 enum Received {
     Response(Response),
     Closed,
@@ -117,7 +117,7 @@
 }
 
 impl<N: Net> Caller<N> {
-    /// Clients of the co-ordinator at this address.
+    /// Returns clients of the co-ordinator at `address`.
     pub fn new(net: &N, node: CoordinatorId, address: SocketAddr, recorder: &Recorder) -> Self {
         Caller(Rc::new(Inner {
             net: net.clone(),
@@ -128,7 +128,7 @@
         }))
     }
 
-    /// The network of the clients' machine.
+    /// Network of the clients' machine.
     pub fn net(&self) -> &N {
         &self.0.net
     }
@@ -138,8 +138,9 @@
         self.0.idle.borrow_mut().clear();
     }
 
-    /// Sends a search, and retries under new names for as long as it is not answered and `retry` allows.
-    /// Returns how each attempt ended. `next_name` gives the names of the retries.
+    /// Sends a search, and retries it until it is answered or `retry` or the timeout allows no further attempt.
+    /// A search that is not `idempotent` is not retried after an attempt that may have run. Each retry is a new search
+    /// with an identifier from `next_name`. Returns the outcome of each attempt.
     pub async fn call_with_retries(
         &self,
         mut request: SearchRequest,
@@ -154,7 +155,7 @@
             outcomes.push(outcome.clone());
             let pause = match outcome {
                 CallOutcome::Answered { .. } | CallOutcome::ClientDisconnected => return outcomes,
-                // A part of it may have run.
+                // A part of the search may have run.
                 CallOutcome::Failed { .. } | CallOutcome::Unanswered if !idempotent => {
                     return outcomes;
                 }
@@ -231,7 +232,7 @@
         Some(Connection { stream, bytes })
     }
 
-    /// Sends the request. Returns whether all of it was written.
+    /// Sends the request. Returns whether it was written completely.
     async fn send(
         &self,
         connection: &mut Connection<N::Stream>,
@@ -241,7 +242,7 @@
         let bytes = encode_request(request);
         let parts = request.parts.iter();
         let parts = parts.map(|&(shard, weight)| ShardWeight { shard, weight });
-        // Recorded first, so that the record has it before the co-ordinator can act on it.
+        // Recorded before the write, so that it precedes all events that the request causes.
         self.0.recorder.record(EventKind::Requested {
             node: self.0.node,
             search: request.search.clone(),
@@ -252,7 +253,7 @@
         connection.stream.write_all(&bytes).await.is_ok()
     }
 
-    fn record_leak(&self, why: String) {
+    fn record_malformed_response(&self, why: String) {
         let node = self.0.node;
         self.0
             .recorder
@@ -275,7 +276,7 @@
                     CallOutcome::Answered { complete, after }
                 }
                 Err(error) => {
-                    self.record_leak(format!("an answer that cannot be read: {error}"));
+                    self.record_malformed_response(format!("malformed answer: {error}"));
                     recorder.record(EventKind::Failed { search });
                     CallOutcome::Failed { after }
                 }
@@ -301,7 +302,7 @@
                 recorder.record(EventKind::ConnectionClosed { search });
                 return CallOutcome::Unanswered;
             }
-            Received::Malformed(why) => self.record_leak(why),
+            Received::Malformed(why) => self.record_malformed_response(why),
             Received::TimedOut if request.disconnect_after.is_some() => {
                 recorder.record(EventKind::ClientDisconnected { search });
                 return CallOutcome::ClientDisconnected;
@@ -312,7 +313,7 @@
         CallOutcome::Unanswered
     }
 
-    /// An idle connection that the co-ordinator has not closed.
+    /// Removes and returns an idle connection that the co-ordinator has not closed; closes the others that it finds.
     fn take_idle(&self) -> Option<Connection<N::Stream>> {
         loop {
             let mut connection = self.0.idle.borrow_mut().pop()?;
@@ -326,8 +327,8 @@
     async fn receive(&self, connection: &mut Connection<N::Stream>, until: f64) -> Received {
         loop {
             match parse_response(&connection.bytes) {
-                Ok(Some((response, taken))) => {
-                    connection.bytes.drain(..taken);
+                Ok(Some((response, consumed))) => {
+                    connection.bytes.drain(..consumed);
                     return Received::Response(response);
                 }
                 Ok(None) => {}
--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: an agent for each co-ordinator, with an endpoint list of its own and the watches on it.
+//! Discovery agents. Each co-ordinator has its own agent, which serves an endpoint list and watches on the list.
 
 use crate::recorder::Recorder;
 use std::cell::{Cell, RefCell};
@@ -9,28 +9,28 @@
 use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::{Listener, Net, Stream};
 
-/// PROTOCOL: seconds between two heartbeats, which are empty lines.
+/// Seconds between two heartbeats on a watch, as the protocol defines it. A heartbeat is an empty line.
 const HEARTBEAT_INTERVAL: f64 = 2.0;
 
 /// A replica in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// The replica's name.
+    /// Name of the replica.
     pub id: String,
-    /// Where the agent's co-ordinator reaches it.
+    /// Address at which the agent's co-ordinator connects to the replica.
     pub address: SocketAddr,
-    /// The zone's name.
+    /// Name of the zone.
     pub zone: String,
-    /// The shard group.
+    /// Number of the shard group.
     pub cell: u64,
     /// `ready`, `draining` or `gone`.
     pub lifecycle: &'static str,
-    /// Unix seconds of its last start; 0 for long ago.
+    /// Time of the replica's last start in Unix seconds; 0 if it started long ago.
     pub started_at: f64,
 }
 
 impl ListEntry {
-    /// The entry in the JSON of a list.
+    /// Returns the entry as JSON.
     fn json(&self) -> String {
         format!(
             concat!(
@@ -47,27 +47,27 @@
     }
 }
 
-/// What becomes of calls that are made while discovery is unresponsive. The protocol leaves it open, so a
-/// co-ordinator has to work with each of these.
+/// Handling of calls that arrive while the agent is unresponsive. The protocol does not define it, so a co-ordinator
+/// must tolerate each variant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallsWhileUnresponsive {
-    /// All are answered when it responds again.
+    /// All calls are answered once the agent is responsive again.
     #[default]
     Delayed,
-    /// Watches are answered then, calls for the whole list never.
+    /// Watches are answered once the agent is responsive again; calls for the full list are never answered.
     ListsLost,
-    /// None is ever answered.
+    /// No call is ever answered.
     Lost,
 }
 
-/// An entry with the generation of its last change.
+/// An entry with the generation in which it last changed.
 struct VersionedEntry {
     generation: u64,
     entry: ListEntry,
 }
 
-/// A list as it is written to the co-ordinator.
-struct WrittenList {
+/// A list of entries, with its JSON for the co-ordinator.
+struct EncodedList {
     json: String,
     entries: Vec<ListEntry>,
 }
@@ -75,29 +75,28 @@
 struct Inner {
     node: CoordinatorId,
     recorder: Recorder,
-    /// Ascends with each change of the list.
+    /// Generation of the list; increases with each change.
     generation: Cell<u64>,
-    /// By the replicas' names.
+    /// Entries by name of the replica.
     entries: RefCell<BTreeMap<String, VersionedEntry>>,
-    /// The latest generation that was written to the co-ordinator.
+    /// Latest generation that was written to the co-ordinator.
     written: Cell<u64>,
-    /// Whether it is unresponsive.
     unresponsive: Cell<bool>,
     calls_while_unresponsive: Cell<CallsWhileUnresponsive>,
-    /// The generation up to which the record has the list.
+    /// Generation up to which changes of the list were recorded.
     recorded: Cell<u64>,
-    /// Notified when the list changes, or the agent becomes unresponsive or responsive.
+    /// Notified when the list changes and when the agent becomes unresponsive or responsive.
     changed: Notify,
 }
 
-/// The discovery agent of one co-ordinator. All clones are one agent.
+/// Handle of the discovery agent of one co-ordinator. All clones refer to the same agent.
 #[derive(Clone)]
 pub struct Agent(Rc<Inner>);
 
-/// Starts an agent at an address, or lets an existing one listen there too.
+/// Starts an agent that listens at `address`. With `agent`, that agent listens there in addition.
 ///
 /// # Errors
-/// The address is in use.
+/// Returns an error if the agent cannot listen at the address.
 pub fn start_discovery_agent<N: Net>(
     net: &N,
     node: CoordinatorId,
@@ -124,7 +123,7 @@
 }
 
 impl Agent {
-    /// Changes these entries of the list, which gets a new generation.
+    /// Adds or replaces entries of the list, which gets a new generation.
     pub fn change(&self, entries: &[ListEntry]) {
         let generation = self.0.generation.get() + 1;
         self.0.generation.set(generation);
@@ -138,7 +137,7 @@
         self.0.changed.notify_waiters();
     }
 
-    /// Records what the list has, unless the agent is unresponsive.
+    /// Records the changes that are not recorded yet, unless the agent is unresponsive.
     fn record_changes(&self) {
         if !self.0.unresponsive.get() {
             let (after, generation) = (self.0.recorded.get(), self.0.generation.get());
@@ -147,41 +146,41 @@
         }
     }
 
-    /// A new process of its co-ordinator has started, which has no list yet: the record has all entries anew.
+    /// Handles a restart of the co-ordinator: records all entries again, because the new process has no list yet.
     pub fn process_started(&self) {
         self.0.recorded.set(0);
         self.record_changes();
     }
 
-    /// Sets what becomes of calls while it is unresponsive.
+    /// Sets how calls are handled that arrive while the agent is unresponsive.
     pub fn set_calls_while_unresponsive(&self, calls: CallsWhileUnresponsive) {
         self.0.calls_while_unresponsive.set(calls);
     }
 
-    /// The generation of its list.
+    /// Current generation of the list.
     pub fn generation(&self) -> u64 {
         self.0.generation.get()
     }
 
-    /// The latest generation that was written to the co-ordinator.
+    /// Latest generation that was written to the co-ordinator; 0 if none was.
     pub fn last_written_generation(&self) -> u64 {
         self.0.written.get()
     }
 
-    /// Makes it unresponsive, or responsive again.
+    /// Makes the agent unresponsive, or responsive again.
     pub fn set_unresponsive(&self, unresponsive: bool) {
         self.0.unresponsive.set(unresponsive);
         self.record_changes();
         self.0.changed.notify_waiters();
     }
 
-    /// The JSON of the list, for a co-ordinator's configuration.
+    /// Full list as JSON, also for a co-ordinator's configuration.
     pub fn full_list_json(&self) -> String {
         self.list(0, true).json
     }
 
-    /// The entries that changed after a generation. A full list is without departed replicas.
-    fn list(&self, after: u64, full: bool) -> WrittenList {
+    /// Returns the entries that changed after a generation. A `full` list omits departed replicas.
+    fn list(&self, after: u64, full: bool) -> EncodedList {
         let all = self.0.entries.borrow();
         let entries: Vec<ListEntry> = all
             .values()
@@ -196,7 +195,7 @@
             r#"{{"generation":{generation},"reset":{full},"instances":[{}]}}"#,
             instances.join(",")
         );
-        WrittenList { json, entries }
+        EncodedList { json, entries }
     }
 
     fn record_written(&self, generation: u64) {
@@ -220,7 +219,7 @@
     }
 }
 
-/// Reads a request's head; `None` if the connection closes before.
+/// Reads the head of a request; `None` if the connection closes first.
 async fn read_head<S: Stream>(stream: &mut S, bytes: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -233,7 +232,7 @@
     }
 }
 
-/// The generation after which a request asks for changes; `None` if it asks for the complete list.
+/// Parses the generation after which a watch requests changes; `None` if the request is for the full list.
 fn requested_index(head: &str) -> Option<u64> {
     let value = head.split("index=").nth(1)?;
     value.split([' ', '&']).next()?.parse().ok()
@@ -245,12 +244,12 @@
         return;
     };
     let index = requested_index(&head);
-    let lost = match agent.0.calls_while_unresponsive.get() {
+    let is_dropped = match agent.0.calls_while_unresponsive.get() {
         CallsWhileUnresponsive::Delayed => false,
         CallsWhileUnresponsive::ListsLost => index.is_none(),
         CallsWhileUnresponsive::Lost => true,
     };
-    if lost && agent.0.unresponsive.get() {
+    if is_dropped && agent.0.unresponsive.get() {
         while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
         return;
     }
@@ -280,7 +279,7 @@
         agent.record_written(generation);
     }
     let _ = stream.shutdown().await;
-    // Reads to the end, so that the connection isn't reset.
+    // Unread bytes would reset the connection when it is closed.
     while matches!(stream.read(&mut bytes).await, Ok(1..)) {}
 }
 
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -1,11 +1,12 @@
-//! Scripted replicas, clients and discovery agents, over any network, for the simulation and the process tests.
+//! Fake replicas, clients and discovery agents for the simulation and the process tests. They run on any network that
+//! implements `woadreach_runtime::Net`.
 //!
-//! Each follows its script and reports what it observes to a [`Recorder`]; the test changes the script during
-//! the run. They implement the protocol independently of the co-ordinator's code, so that they don't share its
-//! mistakes. They judge nothing: that is `woadreach-invariants`.
+//! Each fake behaves as the test configures it, also during the run, and reports the events that it observes to a
+//! [`Recorder`]. The fakes implement the protocol independently of the co-ordinator's code, so that they do not share
+//! its faults. They check no rules; `woadreach-invariants` does.
 //!
 //! - [`Caller`]: the clients of one co-ordinator. [`Replica`]: a replica. [`Agent`]: a discovery agent.
-//! - `wire`: the protocol as they speak it.
+//! - `wire`: encoding and parsing of the protocol's messages.
 
 mod client;
 mod discovery;
--- a/crates/testing/fakes/src/recorder.rs
+++ b/crates/testing/fakes/src/recorder.rs
@@ -1,19 +1,19 @@
-//! How the fakes report what they observe.
+//! Reports events from the fakes to the test.
 
 use std::rc::Rc;
 use woadreach_invariants::EventKind;
 
-/// Reports events to one record, which adds the time. All clones share it.
+/// Reports events to a record, which adds the time. All clones report to the same record.
 #[derive(Clone)]
 pub struct Recorder(Rc<dyn Fn(EventKind)>);
 
 impl Recorder {
-    /// A recorder that hands each event to this function.
+    /// Returns a recorder that calls `record` with each event.
     pub fn new(record: impl Fn(EventKind) + 'static) -> Self {
         Recorder(Rc::new(record))
     }
 
-    /// Records an event that happens now.
+    /// Records an event with the current time.
     pub fn record(&self, event: EventKind) {
         (self.0)(event);
     }
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: cores with a queue, which warms up after its start and fails as its script says.
+//! A fake replica: cores with a queue, a warm-up after the start, and configurable faults.
 
 use crate::recorder::Recorder;
 use crate::wire::{Part, PartEnd, encode_answer, parse_frame, parse_parts};
@@ -13,56 +13,57 @@
 use woadreach_invariants::{CoordinatorId, EventKind, PartName, ReplicaName};
 use woadreach_runtime::{Listener, Net, Read, Stream, Write};
 
-/// Slowest speed, as a multiple of what the parts say: a part must end some day.
+/// Lower bound of the speed, as a multiple of the normal speed, so that the duration of a part is finite.
 const MIN_SPEED: f64 = 1e-6;
 
-/// How a replica warms up.
+/// Warm-up of a replica. The capacity increases linearly.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// Share of its capacity that it has when it starts.
+    /// Share of its capacity that the replica has when it starts.
     pub initial_share: f64,
-    /// Seconds until it has all of it.
+    /// Seconds from the start until the replica has its full capacity.
     pub duration: f64,
 }
 
 impl WarmUp {
-    /// The share of its capacity that a replica has `age_s` seconds after its start.
+    /// Share of its capacity that a replica has `age_s` seconds after its start.
     fn capacity_at(&self, age_s: f64) -> f64 {
         let progress = (age_s / self.duration).clamp(0.0, 1.0);
         self.initial_share + (1.0 - self.initial_share) * progress
     }
 }
 
-/// What a replica does with what it is sent; may change at any time. Shares are of the parts.
+/// Capacity and faults of a replica, which may change at any time. A share is the probability for each part, from 0
+/// to 1.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Its cores.
+    /// Number of cores. Each runs one part at a time.
     pub cores: usize,
-    /// Parts that wait while all cores are busy; further ones are rejected.
+    /// Maximum number of queued parts. Further parts are rejected.
     pub queue_capacity: usize,
-    /// Its speed, as a multiple of what the parts say.
+    /// Speed as a multiple of the normal speed, at which a part takes as long as its work states.
     pub speed: f64,
-    /// How it warms up; none if it has all of its capacity at once.
+    /// Warm-up; `None` if the replica has its full capacity from the start.
     pub warm_up: Option<WarmUp>,
-    /// Accepts parts and never runs them.
+    /// Reads parts, and neither runs nor answers them.
     pub hangs: bool,
     /// Rejects every part.
     pub rejects_all: bool,
-    /// Share that is run and never answered.
+    /// Share of parts that occupy a core and are never answered.
     pub drop_share: f64,
-    /// Share that is answered with an error.
+    /// Share of parts that are answered with an error.
     pub error_share: f64,
-    /// Share that is answered with bytes that can't be parsed.
+    /// Share of parts that are run and answered with a malformed frame.
     pub corrupt_share: f64,
-    /// Share that is answered twice.
+    /// Share of parts that are run and answered twice.
     pub duplicate_share: f64,
-    /// Share that is run, and whose answer is lost with the connection.
+    /// Share of parts that are run, and after which the connection is closed instead of an answer.
     pub break_share: f64,
-    /// Runs and answers cancelled parts.
+    /// Ignores cancellations: cancelled parts are run and answered.
     pub ignores_cancels: bool,
-    /// Seconds until it accepts a connection.
+    /// Delay in seconds before each accepted connection is served; later connections wait for it too.
     pub accept_delay: f64,
-    /// Seconds until it parses what it has read.
+    /// Delay in seconds between reading bytes and parsing them.
     pub read_delay: f64,
 }
 
@@ -87,25 +88,25 @@
     }
 }
 
-/// A part that waits for a core or runs on one.
+/// A part that is queued or running.
 struct Job {
-    /// The co-ordinator that has sent it.
+    /// The co-ordinator that sent the part.
     node: CoordinatorId,
     part: Part,
-    /// Where its answer goes.
+    /// Connection for the answer.
     outlet: Rc<Outlet>,
 }
 
-/// What waits to be written on a connection, and which of its parts were cancelled.
+/// Outgoing frames of a connection, and the cancelled parts among those that were received on it.
 #[derive(Default)]
 struct Outlet {
-    /// Frames in the order in which they leave.
+    /// Queued frames, in the order in which they are written.
     frames: RefCell<VecDeque<Vec<u8>>>,
-    /// Parts that were cancelled after they had left the queue: they are not answered.
+    /// Parts that were cancelled when they were no longer queued. They are not answered.
     cancelled: RefCell<BTreeSet<PartName>>,
-    /// Notified when a frame is added or the connection is to close.
+    /// Notified when a frame is queued and when `closed` is set.
     changed: Notify,
-    /// Whether the connection closes once its frames are written.
+    /// Whether the connection is to be closed once the queued frames are written.
     closed: Cell<bool>,
 }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// When the kernel had a frame, in Unix seconds.
+/// Times at which the kernel received the first and the last byte of a frame, in Unix seconds.
 #[derive(Clone, Copy)]
 struct ReceiveTimes {
     first_byte_at: f64,
@@ -133,15 +134,15 @@
     name: ReplicaName,
     behaviour: RefCell<Behaviour>,
     recorder: Recorder,
-    /// In Unix seconds.
+    /// Unix seconds.
     started_at: f64,
     rng: RefCell<Pcg64Mcg>,
-    /// Parts that wait for a core.
+    /// Parts that are queued for a core.
     queue: RefCell<VecDeque<Job>>,
     busy_cores: Cell<usize>,
 }
 
-/// A handle on a running replica. All clones are one replica.
+/// Handle of a running replica. All clones refer to the same replica.
 pub struct Replica<N: Net>(Rc<Inner<N>>);
 
 impl<N: Net> Clone for Replica<N> {
@@ -150,11 +151,11 @@
     }
 }
 
-/// Starts a replica. For each co-ordinator it listens at an address of its own, so that it can record which one
-/// has sent a part.
+/// Starts a replica. It listens at a separate address for each co-ordinator, so that it can record which co-ordinator
+/// sent a part. `seed` determines which parts are affected by faults.
 ///
 /// # Errors
-/// An address is in use.
+/// Returns an error if the replica cannot listen at an address.
 pub fn start_replica<N: Net>(
     net: &N,
     name: &str,
@@ -185,7 +186,7 @@
 }
 
 impl<N: Net> Replica<N> {
-    /// Changes what it does from now on.
+    /// Changes the replica's behaviour, starting now.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.0.behaviour.borrow_mut());
     }
@@ -209,7 +210,7 @@
         () = inner.read(node, reader, &outlet) => {}
         () = write(writer, &outlet) => {}
     }
-    // The answers of parts that still run are dropped.
+    // The connection has ended: answers of parts that are still running are dropped.
     outlet.closed.set(true);
 }
 
@@ -245,7 +246,7 @@
     )
 }
 
-/// What a part costs, in seconds of one core: the first word of its text.
+/// Amount of work of a part, in seconds of one core: the first word of its text, or 0 if it is not a number.
 fn work_of(part: &Part) -> f64 {
     part.text
         .split(' ')
@@ -254,7 +255,7 @@
         .unwrap_or(0.0)
 }
 
-/// A score that depends on the part alone, and is the same at every replica.
+/// Returns a score that depends only on the part, so that all replicas compute the same.
 fn score_of(part: &Part) -> u64 {
     let mix = |mixed: u64, byte: u8| (mixed ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     part.search
@@ -265,7 +266,7 @@
 }
 
 impl<N: Net> Inner<N> {
-    /// Reads frames until the connection ends.
+    /// Reads frames until the connection closes or a frame is malformed.
     async fn read(
         self: &Rc<Self>,
         node: CoordinatorId,
@@ -282,9 +283,9 @@
             if delay > 0.0 {
                 self.net.sleep(delay).await;
             }
-            while let Some((frame, taken)) = parse_frame(&bytes) {
+            while let Some((frame, consumed)) = parse_frame(&bytes) {
                 let first_byte_at = self.net.now() - reader.receive_delay_of(bytes.len() - 1);
-                bytes.drain(..taken);
+                bytes.drain(..consumed);
                 let last_byte_at = self.net.now() - reader.receive_delay_of(bytes.len());
                 let received = ReceiveTimes {
                     first_byte_at,
@@ -298,28 +299,28 @@
                             }
                         }
                         Err(error) => {
-                            self.refuse(node, &error.to_string(), outlet);
+                            self.close_on_malformed_frame(node, &error.to_string(), outlet);
                             return;
                         }
                     },
                     b'K' => self.cancel(node, &frame.body, outlet),
                     b'I' | b'U' => {}
-                    _ => return self.refuse(node, "an unknown letter", outlet),
+                    _ => return self.close_on_malformed_frame(node, "unknown frame kind", outlet),
                 }
             }
         }
     }
 
-    /// Records that a co-ordinator broke the protocol, and closes the connection.
-    fn refuse(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
+    /// Records that a co-ordinator violated the protocol, and closes the connection.
+    fn close_on_malformed_frame(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
         self.recorder.record(EventKind::CoordinatorUnsound {
             node,
-            why: format!("a frame that {} cannot read: {why}", self.name),
+            why: format!("replica {} received a malformed frame: {why}", self.name),
         });
         outlet.close();
     }
 
-    /// Records a part and rejects or queues it.
+    /// Records a received part, and queues or rejects it. A replica that hangs only records it.
     fn receive_part(
         self: &Rc<Self>,
         node: CoordinatorId,
@@ -334,8 +335,8 @@
             first_byte_at: received.first_byte_at,
             last_byte_at: received.last_byte_at,
             work: work_of(&part),
-            first_step_shards: part.from.clone(),
-            first_step_complete: part.first_complete,
+            first_step_shards: part.first_step_shards.clone(),
+            first_step_complete: part.first_step_complete,
         });
         let behaviour = self.behaviour.borrow().clone();
         if behaviour.hangs {
@@ -357,7 +358,8 @@
         self.start_queued();
     }
 
-    /// Removes the part with this id on the wire from the queue, or has it not answered.
+    /// Handles the cancellation of the part with the identifier `id` on the wire: removes the part from the queue, or
+    /// suppresses its answer if it is no longer queued.
     fn cancel(&self, node: CoordinatorId, id: &[u8], outlet: &Rc<Outlet>) {
         let id = String::from_utf8_lossy(id).to_string();
         let (rest, second_step) = id
@@ -417,20 +419,20 @@
         }
     }
 
-    /// Answers a part that has run, unless the script says otherwise.
+    /// Answers a part after its work, or fails to as configured.
     fn finish(&self, job: &Job) {
         let (part, outlet) = (&job.part, &job.outlet);
         let behaviour = self.behaviour.borrow().clone();
-        let happens = |share: f64| share > 0.0 && self.rng.borrow_mut().random_bool(share.min(1.0));
+        let occurs = |share: f64| share > 0.0 && self.rng.borrow_mut().random_bool(share.min(1.0));
         let is_cancelled = outlet.cancelled.borrow_mut().remove(&name_of(part));
         if behaviour.hangs
-            || happens(behaviour.drop_share)
+            || occurs(behaviour.drop_share)
             || (is_cancelled && !behaviour.ignores_cancels)
         {
             return;
         }
         let id = id_of(part);
-        if happens(behaviour.error_share) {
+        if occurs(behaviour.error_share) {
             return outlet.send(encode_answer(&id, PartEnd::Failed, None, ""));
         }
         let value: Arc<str> = format!("{id}@{}", self.name).into();
@@ -441,10 +443,10 @@
             value: value.clone(),
         };
         self.recorder.record(completed);
-        if happens(behaviour.break_share) {
+        if occurs(behaviour.break_share) {
             return outlet.close();
         }
-        if happens(behaviour.corrupt_share) {
+        if occurs(behaviour.corrupt_share) {
             let noise: [&[u8]; 4] = [
                 b"\xff\xff\xff\x7fO",
                 b"\x05\0\0\0Qabcd",
@@ -455,7 +457,7 @@
             return outlet.send(noise[which].to_vec());
         }
         let answer = encode_answer(&id, PartEnd::Completed, Some(score_of(part)), &value);
-        if happens(behaviour.duplicate_share) {
+        if occurs(behaviour.duplicate_share) {
             outlet.send(answer.clone());
         }
         outlet.send(answer);
--- a/crates/testing/fakes/src/wire/frame.rs
+++ b/crates/testing/fakes/src/wire/frame.rs
@@ -1,34 +1,33 @@
-//! The frames between co-ordinators and replicas: a length of four bytes, little endian, a byte for the frame's
-//! kind, which is an ASCII capital, and a body.
+//! Frames between co-ordinators and replicas. A frame consists of a length of four bytes in little endian, which counts
+//! the bytes after it, one byte for the kind, which is an ASCII capital letter, and a body.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use std::str::Utf8Error;
 
-/// Bytes of a frame's length field.
+/// Size of the length field of a frame in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame.
 pub(crate) struct Frame {
     /// `D` for a call, `K` for a cancellation, `I` or `U` for probes.
     pub(crate) kind: u8,
     pub(crate) body: Vec<u8>,
 }
 
-/// One part of a call.
+/// One part of a search, as received in a call.
 pub(crate) struct Part {
-    /// The client's trace id, which names the search.
+    /// Trace id of the client's request, which identifies the search.
     pub(crate) search: String,
     pub(crate) shard: u64,
-    /// Whether it belongs to the second step.
+    /// Whether the part belongs to the second step.
     pub(crate) second_step: bool,
-    /// For the second step: the shards that the first step's result is from.
-    pub(crate) from: Vec<u64>,
-    /// For the second step: whether the first step's result is complete.
-    pub(crate) first_complete: Option<bool>,
+    /// Shards of the first step's result; empty in the first step.
+    pub(crate) first_step_shards: Vec<u64>,
+    /// Whether the first step's result is complete; `None` in the first step.
+    pub(crate) first_step_complete: Option<bool>,
     pub(crate) text: String,
 }
 
-/// How a part ended.
+/// Outcome of a part, which determines the status of its answer.
 #[derive(Clone, Copy)]
 pub(crate) enum PartEnd {
     Completed,
@@ -36,30 +35,30 @@
     Rejected,
 }
 
-/// What is wrong with the parts of a call.
+/// Why the parts of a call are malformed.
 #[derive(Debug, Snafu)]
 pub(crate) enum PartsError {
-    #[snafu(display("a part without a line"))]
+    #[snafu(display("part has no line feed after its header line"))]
     MissingLine,
     #[snafu(display("{source}"))]
     Encoding { source: Utf8Error },
-    #[snafu(display("not four words: {line}"))]
+    #[snafu(display("expected four words in a part's header line, got: {line}"))]
     FieldCount { line: String },
-    #[snafu(display("not a number: {text} in {line}"))]
+    #[snafu(display("expected a number, got {text} in: {line}"))]
     NotANumber { text: String, line: String },
-    #[snafu(display("a text that is cut short"))]
+    #[snafu(display("text of a part is truncated"))]
     TruncatedText,
-    #[snafu(display("an id without a shard: {id}"))]
+    #[snafu(display("identifier of a part has no shard: {id}"))]
     MissingShard { id: String },
-    #[snafu(display("an id of another shard: {line}"))]
+    #[snafu(display("shard in the identifier differs from the shard of the part: {line}"))]
     OtherShard { line: String },
-    #[snafu(display("an unknown entry: {line}"))]
+    #[snafu(display("unknown entry in: {line}"))]
     UnknownEntry { line: String },
-    #[snafu(display("no d"))]
+    #[snafu(display("header line of a part has no entry d"))]
     MissingWait,
 }
 
-/// The first frame in `bytes`, and how many of them it takes.
+/// Parses the first frame in `bytes`. Returns it with its length in bytes; `None` if it is incomplete or empty.
 pub(crate) fn parse_frame(bytes: &[u8]) -> Option<(Frame, usize)> {
     let length = u32::from_le_bytes(bytes.get(..LENGTH_BYTES)?.try_into().ok()?) as usize;
     let end = LENGTH_BYTES + length;
@@ -71,13 +70,13 @@
     Some((frame, end))
 }
 
-/// The parts of a call.
+/// Parses the parts in the body of a call.
 pub(crate) fn parse_parts(mut body: &[u8]) -> Result<Vec<Part>, PartsError> {
     let mut parts = Vec::new();
     while !body.is_empty() {
-        let (part, taken) = parse_part(body)?;
+        let (part, consumed) = parse_part(body)?;
         parts.push(part);
-        body = &body[taken..];
+        body = &body[consumed..];
     }
     Ok(parts)
 }
@@ -86,7 +85,7 @@
     text.parse().ok().context(NotANumberSnafu { text, line })
 }
 
-/// The first part in `bytes`, and how many of them it takes.
+/// Parses the first part in `bytes`. Returns it with its length in bytes.
 fn parse_part(bytes: &[u8]) -> Result<(Part, usize), PartsError> {
     let line_end = bytes
         .iter()
@@ -115,43 +114,43 @@
         search: search.to_string(),
         shard,
         second_step,
-        from: entries.from,
-        first_complete: entries.first_complete,
+        first_step_shards: entries.first_step_shards,
+        first_step_complete: entries.first_step_complete,
         text: text.to_string(),
     };
     Ok((part, end))
 }
 
-/// The optional values of a part, see [`Part`].
+/// Optional entries in the header line of a part; see [`Part`].
 struct Entries {
-    from: Vec<u64>,
-    first_complete: Option<bool>,
+    first_step_shards: Vec<u64>,
+    first_step_complete: Option<bool>,
 }
 
 fn parse_entries(entries: &str, line: &str) -> Result<Entries, PartsError> {
     let mut wait_ms = None;
-    let mut from = Vec::new();
-    let mut first_complete = None;
+    let mut first_step_shards = Vec::new();
+    let mut first_step_complete = None;
     for entry in entries.split(',') {
         match entry.split_once('=') {
             Some(("d", ms)) => wait_ms = Some(parse_number(ms, line)?),
             Some(("from", shards)) => {
                 for shard in shards.split('+').filter(|s| !s.is_empty()) {
-                    from.push(parse_number(shard, line)?);
+                    first_step_shards.push(parse_number(shard, line)?);
                 }
             }
-            Some(("whole", flag)) => first_complete = Some(flag == "1"),
+            Some(("whole", flag)) => first_step_complete = Some(flag == "1"),
             _ => return UnknownEntrySnafu { line }.fail(),
         }
     }
     ensure!(wait_ms.is_some(), MissingWaitSnafu);
     Ok(Entries {
-        from,
-        first_complete,
+        first_step_shards,
+        first_step_complete,
     })
 }
 
-/// A replica's answer to a part: its end, its score if it has one, and its value.
+/// Encodes the answer to a part as a frame, with its outcome, its score if it has one, and its value.
 pub(crate) fn encode_answer(id: &str, end: PartEnd, score: Option<u64>, value: &str) -> Vec<u8> {
     let status = match end {
         PartEnd::Completed => "200",
--- a/crates/testing/fakes/src/wire/http.rs
+++ b/crates/testing/fakes/src/wire/http.rs
@@ -1,4 +1,4 @@
-//! The requests of clients and the responses to them.
+//! HTTP requests of clients and the responses to them.
 
 use crate::client::SearchRequest;
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -7,43 +7,43 @@
 /// A response to a client.
 pub(crate) struct Response {
     pub(crate) status: u16,
-    /// Seconds.
+    /// Value of the `Retry-After` header in seconds; `None` if it is absent or not a number.
     pub(crate) retry_after: Option<f64>,
-    /// The connection closes after it.
+    /// Whether the co-ordinator closes the connection after the response.
     pub(crate) closes: bool,
     body: Vec<u8>,
 }
 
 /// The results in a response.
 pub(crate) struct Rows {
-    /// Whether the response claims to be complete.
+    /// Whether the response is marked complete.
     pub(crate) complete: bool,
-    /// Each shard with its value, in the order of the response.
+    /// Shards with their values, in the order of the response.
     pub(crate) rows: Vec<(u64, String)>,
 }
 
-/// What is wrong with a response.
+/// Why a response is malformed.
 #[derive(Debug, Snafu)]
 pub(crate) enum ResponseError {
     #[snafu(display("{source}"))]
     Encoding { source: Utf8Error },
-    #[snafu(display("not an answer: {line}"))]
+    #[snafu(display("expected a status line of HTTP, got: {line}"))]
     NotAResponse { line: String },
-    #[snafu(display("not a header: {line}"))]
+    #[snafu(display("expected a header line, got: {line}"))]
     NotAHeader { line: String },
-    #[snafu(display("an answer without its length"))]
+    #[snafu(display("response has no valid Content-Length"))]
     MissingLength,
-    #[snafu(display("no exact"))]
+    #[snafu(display("body does not start with the field \"exact\""))]
     MissingExact,
-    #[snafu(display("neither true nor false"))]
+    #[snafu(display("value of \"exact\" is neither true nor false"))]
     NotABoolean,
-    #[snafu(display("no rows"))]
+    #[snafu(display("body has no list \"rows\" after \"exact\""))]
     MissingRows,
-    #[snafu(display("not a row: {row}"))]
+    #[snafu(display("expected a row with \"id\" and \"data\", got: {row}"))]
     NotARow { row: String },
 }
 
-/// A client's request.
+/// Encodes the HTTP request of a client.
 pub(crate) fn encode_request(request: &SearchRequest) -> Vec<u8> {
     let SearchRequest {
         search,
@@ -73,7 +73,7 @@
     .into_bytes()
 }
 
-/// The first response in `bytes`, and how many of them it takes; none if it isn't complete yet.
+/// Parses the first response in `bytes`. Returns it with its length in bytes; `None` if it is incomplete.
 pub(crate) fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, ResponseError> {
     let Some(head_end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
         return Ok(None);
@@ -116,7 +116,7 @@
 }
 
 impl Response {
-    /// The results, if it has any.
+    /// Parses the results in the body.
     pub(crate) fn rows(&self) -> Result<Rows, ResponseError> {
         let text = std::str::from_utf8(&self.body).context(EncodingSnafu)?;
         let rest = text
--- a/crates/testing/fakes/src/wire/mod.rs
+++ b/crates/testing/fakes/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol as replicas and clients see it: frames, requests and responses. Pure functions over bytes.
+//! The protocol of replicas and clients: encoding and parsing of frames, requests and responses, without I/O.
 
 mod frame;
 mod http;
--- a/crates/testing/sim-support/src/cpu_quota.rs
+++ b/crates/testing/sim-support/src/cpu_quota.rs
@@ -1,26 +1,33 @@
-//! Processes whose share of a core is a quota.
+//! Stalls of processes with a CPU quota.
 //!
-//! The kernel's scheduler gives such a process the whole core until its quota is spent, and then nothing until the next
-//! period begins (CFS bandwidth control, `cpu.max` of cgroup v2). A simulation delivers the events of a stalled process
-//! at the end of the stall.
+//! The kernel's scheduler runs such a process at full speed until its quota is used up, and then suspends it until the
+//! next period begins (CFS bandwidth control, `cpu.max` of cgroup v2). A simulation delivers the events of a stalled
+//! process at the end of the stall.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// When the processes of a simulation are stalled by their quotas. The same for two simulations of one seed.
+/// Determines when the processes of a simulation are stalled by their quotas. Depends only on the arguments of
+/// [`new`](Self::new).
 #[derive(Clone, Debug)]
 pub struct CpuQuota {
     seed: u64,
     period: Duration,
-    /// The shortest and the longest stall, which ends with its period.
+    /// Shortest and longest stall. A stall ends at the end of its period.
     stall: RangeInclusive<Duration>,
 }
 
 impl CpuQuota {
-    /// Stalls of a length from `stall` at the end of each `period`, drawn for each process and period from `seed`. No
-    /// stall may be longer than the period.
+    /// Each process is stalled at the end of each `period`. The length of each stall is drawn from the range `stall` by
+    /// `seed`, process and period.
+    ///
+    /// # Panics
+    /// If the longest stall is longer than the period.
     pub fn new(seed: u64, period: Duration, stall: RangeInclusive<Duration>) -> Self {
-        assert!(*stall.end() <= period, "a stall is within its period");
+        assert!(
+            *stall.end() <= period,
+            "a stall must not be longer than its period"
+        );
         CpuQuota {
             seed,
             period,
@@ -28,9 +35,9 @@
         }
     }
 
-    /// When the process runs again that is stalled at `now`; `None` if it runs.
+    /// End of the stall if the process is stalled at `now`; `None` if it runs.
     pub fn stalled_until(&self, process: u64, now: Duration) -> Option<Duration> {
-        // Periods of different processes do not begin together.
+        // The periods of different processes begin at different times.
         let phase = self.period.mul_f64(self.draw(process, u64::MAX));
         let since_start = now + phase;
         let number = (since_start.as_nanos() / self.period.as_nanos()) as u64;
@@ -40,7 +47,7 @@
         (now >= ends_at.saturating_sub(length) && now < ends_at).then_some(ends_at)
     }
 
-    /// A share from 0 to 1, by process and number (SplitMix64).
+    /// Returns a pseudo-random number from 0 to 1 for the process and `number` (SplitMix64).
     fn draw(&self, process: u64, number: u64) -> f64 {
         let mut mixed = self
             .seed
--- a/crates/testing/sim-support/src/event_queue.rs
+++ b/crates/testing/sim-support/src/event_queue.rs
@@ -1,20 +1,20 @@
-//! The queue of scheduled events.
+//! A queue of scheduled events.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event taken from an [`EventQueue`].
+/// An event that was removed from an [`EventQueue`].
 #[derive(Debug)]
 pub struct Scheduled<Time, Event> {
-    /// When the event is due.
+    /// Time at which the event is due.
     pub at: Time,
-    /// What happens.
+    /// The scheduled event.
     pub event: Event,
     order: u64,
 }
 
-/// Events in the order of their times. Events that are due at one time come in the order in which they were
-/// scheduled, so that a run depends on nothing but its seed.
+/// A queue of events, ordered by time. Events with equal times are ordered as they were scheduled, so that a run
+/// depends only on its seed.
 #[derive(Debug)]
 pub struct EventQueue<Time, Event> {
     events: BinaryHeap<Reverse<Scheduled<Time, Event>>>,
@@ -22,7 +22,7 @@
 }
 
 impl<Time: Ord, Event> EventQueue<Time, Event> {
-    /// A queue without events.
+    /// Returns an empty queue.
     pub fn new() -> Self {
         Self {
             events: BinaryHeap::new(),
@@ -30,30 +30,30 @@
         }
     }
 
-    /// Adds an event that is due at `at`, after all that are already scheduled for that time.
+    /// Adds an event that is due at time `at`, after the events that are already scheduled for that time.
     pub fn schedule(&mut self, at: Time, event: Event) {
         let order = self.next_order;
         self.next_order += 1;
         self.events.push(Reverse(Scheduled { at, event, order }));
     }
 
-    /// Puts an event back for a later time. Among the events of that time it keeps the place that it got when it
-    /// was first scheduled.
+    /// Adds a removed event again for a later time. It is ordered among the events of that time by when it was first
+    /// scheduled.
     pub fn postpone(&mut self, scheduled: Scheduled<Time, Event>, at: Time) {
         self.events.push(Reverse(Scheduled { at, ..scheduled }));
     }
 
-    /// When the next event is due, or `None` if there is none.
+    /// Time of the next event; `None` if the queue is empty.
     pub fn next_time(&self) -> Option<&Time> {
         self.events.peek().map(|Reverse(next)| &next.at)
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<Scheduled<Time, Event>> {
         self.events.pop().map(|Reverse(next)| next)
     }
 
-    /// Takes the next event if it is due at `until` or before.
+    /// Removes and returns the next event if it is due at `until` or before.
     pub fn pop_due(&mut self, until: &Time) -> Option<Scheduled<Time, Event>> {
         if self.next_time()? <= until {
             self.pop()
--- a/crates/testing/sim-support/src/lib.rs
+++ b/crates/testing/sim-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! What several simulations from seeds share.
+//! Building blocks of deterministic simulations.
 //!
-//! [`EventQueue`] orders events by simulated time, [`PartitionedLinks`] says which links between simulated nodes
-//! deliver nothing, and [`CpuQuota`] when a process does not run. None keeps a clock or draws from a generator: a
-//! simulation owns both, so that one seed determines its whole run.
+//! [`EventQueue`] orders events by simulated time, [`PartitionedLinks`] is the set of partitioned links between
+//! simulated nodes, and [`CpuQuota`] determines when a process is stalled. None of them has a clock or a random number
+//! generator: the simulation owns both, so that its seed determines the whole run.
 
 mod cpu_quota;
 mod event_queue;
--- a/crates/testing/sim-support/src/partitioned_links.rs
+++ b/crates/testing/sim-support/src/partitioned_links.rs
@@ -1,15 +1,15 @@
-//! Partitions of a simulated network.
+//! Network partitions in a simulation.
 
 use std::collections::BTreeSet;
 
-/// Directed links, as pairs of sender and receiver, over which nothing is delivered.
+/// Set of partitioned links. A link is directed, a pair of sender and receiver; a partitioned link delivers nothing.
 #[derive(Clone, Debug)]
 pub struct PartitionedLinks<Node> {
     links: BTreeSet<(Node, Node)>,
 }
 
 impl<Node: Copy + Ord> PartitionedLinks<Node> {
-    /// Partitions one direction, from the first node to the second. A link that is partitioned stays so.
+    /// Partitions one direction, from the first node to the second. Has no effect if it is already partitioned.
     pub fn insert(&mut self, link: (Node, Node)) {
         self.links.insert(link);
     }
@@ -19,7 +19,7 @@
         self.links.extend([(one, other), (other, one)]);
     }
 
-    /// Whether nothing is delivered from the first node to the second.
+    /// Whether the link from the first node to the second is partitioned.
     pub fn contains(&self, link: &(Node, Node)) -> bool {
         self.links.contains(link)
     }
--- a/crates/testing/sim-support/tests/cpu_quota.rs
+++ b/crates/testing/sim-support/tests/cpu_quota.rs
@@ -1,4 +1,4 @@
-//! Stalls of processes with a quota: their length, and that each process has its own.
+//! Stalls of processes with a CPU quota: their number and lengths, and their dependence on process and seed.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
                 assert_eq!(
                     quota.stalled_until(process, until),
                     None,
-                    "it runs at the end"
+                    "the process runs at the end of the stall"
                 );
                 now = until;
             }
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn there_is_one_stall_in_each_period_within_its_bounds() {
+fn each_period_has_one_stall_within_the_bounds() {
     let quota = CpuQuota::new(1, PERIOD, SHORTEST..=LONGEST);
     for process in 0..8 {
         let lengths = stalls(&quota, process);
         assert!((99..=101).contains(&lengths.len()), "{}", lengths.len());
         assert!(lengths.iter().all(|length| *length <= LONGEST));
-        // The first may have begun before the look; the others are found up to a step late.
+        // The first stall may have begun before the first sample. The others are sampled up to one step late.
         let lengths = &lengths[1..];
         assert!(lengths.iter().all(|length| *length + STEP >= SHORTEST));
         assert!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn processes_differ_and_a_seed_repeats_itself() {
+fn stalls_depend_only_on_process_and_seed() {
     let quota = CpuQuota::new(1, PERIOD, SHORTEST..=LONGEST);
     assert_ne!(stalls(&quota, 1), stalls(&quota, 2));
     let same = CpuQuota::new(1, PERIOD, SHORTEST..=LONGEST);
--- a/crates/testing/sim-support/tests/event_queue.rs
+++ b/crates/testing/sim-support/tests/event_queue.rs
@@ -1,4 +1,4 @@
-//! The order of events.
+//! The order of events in the queue.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn events_come_in_the_order_of_their_times() {
+fn events_are_ordered_by_time() {
     let mut queue = EventQueue::new();
     for at in [3, 1, 2] {
         queue.schedule(Duration::from_secs(at), at);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn events_of_one_time_come_in_the_order_of_scheduling() {
+fn events_with_equal_times_are_ordered_as_scheduled() {
     let mut queue = EventQueue::new();
     let events: Vec<u64> = (0..1_000).collect();
     for &event in &events {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_event_scheduled_while_its_time_runs_comes_after_the_others_of_that_time() {
+fn an_event_scheduled_for_the_current_time_follows_the_others_of_that_time() {
     let mut queue = EventQueue::new();
     queue.schedule(1, "first");
     queue.schedule(1, "second");
@@ -45,14 +45,14 @@
     queue.schedule(5, "event");
     assert_eq!(queue.next_time(), Some(&5));
     assert!(queue.pop_due(&4).is_none());
-    let due = queue.pop_due(&5).expect("it is due");
+    let due = queue.pop_due(&5).expect("the event is due");
     assert_eq!((due.at, due.event), (5, "event"));
     assert_eq!(queue.next_time(), None);
     assert!(queue.pop_due(&9).is_none());
 }
 
 #[test]
-fn a_postponed_event_keeps_its_place_among_those_of_its_new_time() {
+fn a_postponed_event_is_ordered_by_its_first_scheduling() {
     let mut queue = EventQueue::new();
     queue.schedule(1, "postponed");
     queue.schedule(2, "other");
--- a/crates/testing/sim-support/tests/partitioned_links.rs
+++ b/crates/testing/sim-support/tests/partitioned_links.rs
@@ -1,14 +1,14 @@
-//! Partitions in one direction and in both.
+//! Partitions in one direction and in both directions.
 
 use woadreach_sim_support::PartitionedLinks;
 
 #[test]
-fn no_link_is_partitioned_at_first() {
+fn no_link_is_partitioned_by_default() {
     assert!(!PartitionedLinks::default().contains(&(1, 2)));
 }
 
 #[test]
-fn a_partition_of_one_direction_leaves_the_other() {
+fn a_partition_of_one_direction_does_not_affect_the_other() {
     let mut links = PartitionedLinks::default();
     links.insert((1, 2));
     assert!(links.contains(&(1, 2)));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_partition_of_both_directions_leaves_links_to_others() {
+fn a_partition_between_two_nodes_does_not_affect_links_to_others() {
     let mut links = PartitionedLinks::default();
     links.insert_both_ways(1, 2);
     assert!(links.contains(&(1, 2)) && links.contains(&(2, 1)));
