--- a/crates/testing/fakes/src/discovery.rs
+++ b/crates/testing/fakes/src/discovery.rs
@@ -9,7 +9,7 @@
 use woadreach_invariants::{CoordinatorId, EventKind};
 use woadreach_runtime::{Listener, Net, Stream};
 
-/// Seconds between two heartbeats on a watch, as the protocol defines it. A heartbeat is an empty line.
+/// PROTOCOL: seconds between two heartbeats on a watch. A heartbeat is an empty line.
 const HEARTBEAT_INTERVAL: f64 = 2.0;
 
 /// A replica in an endpoint list.
--- a/crates/testing/fakes/src/replica.rs
+++ b/crates/testing/fakes/src/replica.rs
@@ -94,12 +94,12 @@
     node: CoordinatorId,
     part: Part,
     /// Connection for the answer.
-    outlet: Rc<Outlet>,
+    outgoing: Rc<Outgoing>,
 }
 
 /// Outgoing frames of a connection, and the cancelled parts among those that were received on it.
 #[derive(Default)]
-struct Outlet {
+struct Outgoing {
     /// Queued frames, in the order in which they are written.
     frames: RefCell<VecDeque<Vec<u8>>>,
     /// Parts that were cancelled when they were no longer queued. They are not answered.
@@ -110,7 +110,7 @@
     closed: Cell<bool>,
 }
 
-impl Outlet {
+impl Outgoing {
     fn send(&self, frame: Vec<u8>) {
         self.frames.borrow_mut().push_back(frame);
         self.changed.notify_one();
@@ -203,28 +203,28 @@
 }
 
 async fn connection<N: Net>(inner: Rc<Inner<N>>, node: CoordinatorId, mut stream: N::Stream) {
-    let outlet: Rc<Outlet> = Rc::default();
+    let outgoing: Rc<Outgoing> = Rc::default();
     let (reader, writer) = stream.split();
     tokio::select! {
         biased;
-        () = inner.read(node, reader, &outlet) => {}
-        () = write(writer, &outlet) => {}
+        () = inner.read(node, reader, &outgoing) => {}
+        () = write(writer, &outgoing) => {}
     }
     // The connection has ended: answers of parts that are still running are dropped.
-    outlet.closed.set(true);
+    outgoing.closed.set(true);
 }
 
-async fn write(mut writer: impl Write, outlet: &Outlet) {
+async fn write(mut writer: impl Write, outgoing: &Outgoing) {
     loop {
-        let next = outlet.frames.borrow_mut().pop_front();
+        let next = outgoing.frames.borrow_mut().pop_front();
         match next {
             Some(frame) => {
                 if writer.write_all(&frame).await.is_err() {
                     return;
                 }
             }
-            None if outlet.closed.get() => return,
-            None => outlet.changed.notified().await,
+            None if outgoing.closed.get() => return,
+            None => outgoing.changed.notified().await,
         }
     }
 }
@@ -271,7 +271,7 @@
         self: &Rc<Self>,
         node: CoordinatorId,
         mut reader: impl Read,
-        outlet: &Rc<Outlet>,
+        outgoing: &Rc<Outgoing>,
     ) {
         let mut bytes = Vec::new();
         loop {
@@ -295,29 +295,31 @@
                     b'D' => match parse_parts(&frame.body) {
                         Ok(parts) => {
                             for part in parts {
-                                self.receive_part(node, part, received, outlet);
+                                self.receive_part(node, part, received, outgoing);
                             }
                         }
                         Err(error) => {
-                            self.close_on_malformed_frame(node, &error.to_string(), outlet);
+                            self.close_on_malformed_frame(node, &error.to_string(), outgoing);
                             return;
                         }
                     },
-                    b'K' => self.cancel(node, &frame.body, outlet),
+                    b'K' => self.cancel(node, &frame.body, outgoing),
                     b'I' | b'U' => {}
-                    _ => return self.close_on_malformed_frame(node, "unknown frame kind", outlet),
+                    _ => {
+                        return self.close_on_malformed_frame(node, "unknown frame kind", outgoing);
+                    }
                 }
             }
         }
     }
 
     /// Records that a co-ordinator violated the protocol, and closes the connection.
-    fn close_on_malformed_frame(&self, node: CoordinatorId, why: &str, outlet: &Outlet) {
+    fn close_on_malformed_frame(&self, node: CoordinatorId, why: &str, outgoing: &Outgoing) {
         self.recorder.record(EventKind::CoordinatorUnsound {
             node,
             why: format!("replica {} received a malformed frame: {why}", self.name),
         });
-        outlet.close();
+        outgoing.close();
     }
 
     /// Records a received part, and queues or rejects it. A replica that hangs only records it.
@@ -326,7 +328,7 @@
         node: CoordinatorId,
         part: Part,
         received: ReceiveTimes,
-        outlet: &Rc<Outlet>,
+        outgoing: &Rc<Outgoing>,
     ) {
         self.recorder.record(EventKind::PartReceived {
             node,
@@ -348,19 +350,19 @@
                 replica: self.name.clone(),
                 part: name_of(&part),
             });
-            return outlet.send(encode_answer(&id_of(&part), PartEnd::Rejected, None, ""));
+            return outgoing.send(encode_answer(&id_of(&part), PartEnd::Rejected, None, ""));
         }
         self.queue.borrow_mut().push_back(Job {
             node,
             part,
-            outlet: outlet.clone(),
+            outgoing: outgoing.clone(),
         });
         self.start_queued();
     }
 
     /// Handles the cancellation of the part with the identifier `id` on the wire: removes the part from the queue, or
     /// suppresses its answer if it is no longer queued.
-    fn cancel(&self, node: CoordinatorId, id: &[u8], outlet: &Rc<Outlet>) {
+    fn cancel(&self, node: CoordinatorId, id: &[u8], outgoing: &Rc<Outgoing>) {
         let id = String::from_utf8_lossy(id).to_string();
         let (rest, second_step) = id
             .strip_suffix(".fetch")
@@ -384,14 +386,14 @@
         if self.behaviour.borrow().ignores_cancels {
             return;
         }
-        let same =
+        let is_cancelled_part =
             |p: &Part| p.search == search && p.shard == shard && p.second_step == second_step;
         let before = self.queue.borrow().len();
         self.queue
             .borrow_mut()
-            .retain(|job| !(Rc::ptr_eq(&job.outlet, outlet) && same(&job.part)));
+            .retain(|job| !(Rc::ptr_eq(&job.outgoing, outgoing) && is_cancelled_part(&job.part)));
         if self.queue.borrow().len() == before {
-            outlet.cancelled.borrow_mut().insert(part);
+            outgoing.cancelled.borrow_mut().insert(part);
         }
     }
 
@@ -421,10 +423,10 @@
 
     /// Answers a part after its work, or fails to as configured.
     fn finish(&self, job: &Job) {
-        let (part, outlet) = (&job.part, &job.outlet);
+        let (part, outgoing) = (&job.part, &job.outgoing);
         let behaviour = self.behaviour.borrow().clone();
         let occurs = |share: f64| share > 0.0 && self.rng.borrow_mut().random_bool(share.min(1.0));
-        let is_cancelled = outlet.cancelled.borrow_mut().remove(&name_of(part));
+        let is_cancelled = outgoing.cancelled.borrow_mut().remove(&name_of(part));
         if behaviour.hangs
             || occurs(behaviour.drop_share)
             || (is_cancelled && !behaviour.ignores_cancels)
@@ -433,7 +435,7 @@
         }
         let id = id_of(part);
         if occurs(behaviour.error_share) {
-            return outlet.send(encode_answer(&id, PartEnd::Failed, None, ""));
+            return outgoing.send(encode_answer(&id, PartEnd::Failed, None, ""));
         }
         let value: Arc<str> = format!("{id}@{}", self.name).into();
         let completed = EventKind::PartCompleted {
@@ -444,7 +446,7 @@
         };
         self.recorder.record(completed);
         if occurs(behaviour.break_share) {
-            return outlet.close();
+            return outgoing.close();
         }
         if occurs(behaviour.corrupt_share) {
             let noise: [&[u8]; 4] = [
@@ -454,12 +456,12 @@
                 b"\x0c\0\0\0Oa 299 1 -\nv",
             ];
             let which = self.rng.borrow_mut().random_range(0..noise.len());
-            return outlet.send(noise[which].to_vec());
+            return outgoing.send(noise[which].to_vec());
         }
         let answer = encode_answer(&id, PartEnd::Completed, Some(score_of(part)), &value);
         if occurs(behaviour.duplicate_share) {
-            outlet.send(answer.clone());
+            outgoing.send(answer.clone());
         }
-        outlet.send(answer);
+        outgoing.send(answer);
     }
 }
