--- a/crates/testing/process-tests/src/addresses.rs
+++ b/crates/testing/process-tests/src/addresses.rs
@@ -1,26 +1,27 @@
-//! Addresses on loopback: 127.N.Z.H, where N differs between clusters that run side by side, Z is the zone and H the
-//! host.
+//! Loopback addresses of a cluster: 127.N.Z.H, where N is the cluster, Z the zone and H the host. Clusters that run
+//! at the same time have different N.
 
 use crate::config::PlayConfig;
 use std::net::SocketAddr;
 use woadreach_simulation::seed_of;
 
-/// The first port of replicas. All ports are below the range from which the kernel assigns ports, so that no other
-/// program gets one of them between two starts of a process.
+/// First port of the replicas. All ports here are below the kernel's ephemeral range, so that no other program is
+/// assigned one of them while a process restarts.
 const REPLICA_PORT: usize = 20_000;
-/// Ports of a replica, one for each co-ordinator.
+/// Ports reserved for each replica: it listens on one for each co-ordinator.
 const PORTS_PER_REPLICA: usize = 16;
-/// The port at which the first co-ordinator accepts clients; the next ones have the ports after it.
+/// Client port of the first co-ordinator. Each further co-ordinator uses the next port; the same applies to
+/// [`DISCOVERY_PORT`] and [`PEER_PORT`].
 const CLIENT_PORT: usize = 18_000;
-/// The port of the first co-ordinator's discovery agent.
+/// Port of the first co-ordinator's discovery agent.
 const DISCOVERY_PORT: usize = 18_100;
-/// The port at which the first co-ordinator receives datagrams of its peers.
+/// Port on which the first co-ordinator receives datagrams from its peers.
 const PEER_PORT: usize = 18_200;
-/// The host of all replicas of a zone.
+/// Host number of all replicas of a zone.
 const REPLICA_HOST: u8 = 100;
-/// The relay's host in each zone.
+/// Host number of the relay in each zone.
 const RELAY_HOST: u8 = 250;
-/// The host of a zone's first co-ordinator.
+/// Host number of a zone's first co-ordinator.
 const FIRST_CO_ORDINATOR_HOST: u8 = 10;
 
 /// Assigns the addresses of a cluster.
@@ -49,28 +50,28 @@
         self.at(node % self.zones, host, first_port + node)
     }
 
-    /// Where a co-ordinator listens for clients.
+    /// Address on which a co-ordinator listens for clients.
     pub(crate) fn client_listen(self, node: usize) -> SocketAddr {
         self.of_co_ordinator(node, CLIENT_PORT)
     }
 
-    /// Where a co-ordinator's discovery agent listens.
+    /// Address on which a co-ordinator's discovery agent listens.
     pub(crate) fn discovery(self, node: usize) -> SocketAddr {
         self.of_co_ordinator(node, DISCOVERY_PORT)
     }
 
-    /// Where a co-ordinator listens for its peers' datagrams.
+    /// Address on which a co-ordinator receives datagrams from its peers.
     pub(crate) fn peer_listen(self, node: usize) -> SocketAddr {
         self.of_co_ordinator(node, PEER_PORT)
     }
 
-    /// Where a replica listens for one co-ordinator.
+    /// Address on which a replica listens for the co-ordinator `node`.
     pub(crate) fn replica(self, zone: usize, replica: usize, node: usize) -> SocketAddr {
         let port = REPLICA_PORT + replica * PORTS_PER_REPLICA + node;
         self.at(zone, REPLICA_HOST, port)
     }
 
-    /// The relay in a zone, at any free port.
+    /// Address of the relay in a zone, with port 0: the kernel assigns a free port.
     pub(crate) fn relay(self, zone: usize) -> SocketAddr {
         self.at(zone, RELAY_HOST, 0)
     }
--- a/crates/testing/process-tests/src/cluster/actions.rs
+++ b/crates/testing/process-tests/src/cluster/actions.rs
@@ -1,4 +1,4 @@
-//! The actions of a schedule: faults are injected and ended.
+//! Performs the actions of a schedule, which inject and end faults.
 
 use super::{Cluster, LIST_READ_TIMEOUT, Lifecycle, ListChange, ListRead};
 use crate::error::{PlayError, StartReplicaSnafu};
@@ -7,13 +7,14 @@
 use woadreach_fakes::Behaviour;
 use woadreach_runtime::Net;
 
-/// Seconds from a replica's death until the endpoint list says so.
+/// Seconds from the kill of a replica until the endpoint list shows it as departed.
 const DEPARTURE_LISTED_AFTER: f64 = 1.0;
-/// Seconds from a replica's start until the endpoint list has it.
+/// Seconds from the start of a replica until the endpoint list shows it as ready.
 const START_LISTED_AFTER: f64 = 0.2;
-/// Seconds from SIGTERM to SIGKILL: the longest client time-out, 1.5 s, and 0.7 s more.
-const SIGKILL_AFTER: f64 = 2.2;
-/// The least number of zones of which two are a minority.
+/// Seconds after SIGTERM within which a process must exit, as a supervisor that sends SIGKILL then would require: the
+/// longest client time-out, 1.5 s, and 0.7 s more.
+const EXIT_TIMEOUT: f64 = 2.2;
+/// Minimum number of zones of which two are a minority.
 const MIN_ZONES_FOR_MINORITY_OF_TWO: usize = 5;
 
 impl Cluster {
@@ -45,7 +46,7 @@
             Action::Start(nodes) => self.start(nodes)?,
             Action::Pause { nodes, seconds } => self.pause(nodes, *seconds),
             Action::Resume(nodes) => self.resume(nodes),
-            Action::LeaseHolder(fault) => self.disturb_lease_holder(*fault)?,
+            Action::LeaseHolder(fault) => self.apply_holder_fault(*fault)?,
         }
         Ok(())
     }
@@ -75,7 +76,7 @@
         });
     }
 
-    /// Changes how the running replicas of a zone behave.
+    /// Applies `change` to the behaviour of the running replicas of a zone.
     fn change_replicas(&self, zone: usize, change: impl Fn(&mut Behaviour)) {
         for replica in self.replicas_of_zone(zone) {
             if let Some(handle) = &self.replicas[replica].handle {
@@ -127,14 +128,14 @@
             if let Some(process) = &self.co_ordinators[*node].process {
                 process.signal(libc::SIGTERM);
                 self.terminating
-                    .insert(*node, self.net.now() + SIGKILL_AFTER);
+                    .insert(*node, self.net.now() + EXIT_TIMEOUT);
             }
         }
     }
 
     fn kill(&mut self, nodes: &[usize]) {
         for node in nodes {
-            self.takes_clients[*node].set(false);
+            self.accepts_clients[*node].set(false);
             self.record_process_kill(*node);
             self.drop_process(*node);
         }
@@ -146,14 +147,14 @@
             .try_for_each(|node| self.start_co_ordinator(*node))
     }
 
-    /// Clients send nothing to a process that is paused.
+    /// Pauses the processes and stops clients from sending searches to them.
     fn pause(&self, nodes: &[usize], seconds: f64) {
         for node in nodes {
             self.record_process_pause(*node, seconds);
             if let Some(process) = &self.co_ordinators[*node].process {
                 process.signal(libc::SIGSTOP);
             }
-            self.takes_clients[*node].set(false);
+            self.accepts_clients[*node].set(false);
         }
     }
 
@@ -162,16 +163,17 @@
             if let Some(process) = &self.co_ordinators[*node].process {
                 process.signal(libc::SIGCONT);
             }
-            self.takes_clients[*node].set(true);
+            self.accepts_clients[*node].set(true);
         }
     }
 
-    /// Injects a fault into the present lease holder, or ends that of the holder it was injected into last.
-    fn disturb_lease_holder(&mut self, fault: HolderFault) -> Result<(), PlayError> {
+    /// Injects a fault into the current lease holder, or ends the fault that was injected last. Does nothing if no
+    /// running lease holder was known at the injection.
+    fn apply_holder_fault(&mut self, fault: HolderFault) -> Result<(), PlayError> {
         if fault.is_injected() {
             self.choose_lease_holder(fault);
         }
-        let Some(node) = self.disturbed_holder else {
+        let Some(node) = self.faulted_holder else {
             return Ok(());
         };
         match fault {
@@ -188,8 +190,8 @@
 
     fn choose_lease_holder(&mut self, fault: HolderFault) {
         let holder = self.measurements.borrow().lease_holder();
-        self.disturbed_holder = holder.filter(|node| self.co_ordinators[*node].process.is_some());
-        if let Some(node) = self.disturbed_holder {
+        self.faulted_holder = holder.filter(|node| self.co_ordinators[*node].process.is_some());
+        if let Some(node) = self.faulted_holder {
             let isolated = self.isolated_zones(fault, node);
             self.measurements
                 .borrow_mut()
@@ -197,7 +199,7 @@
         }
     }
 
-    /// The zones that a fault of this lease holder partitions from the others.
+    /// Zones that `fault` partitions from the others if `holder` is the lease holder.
     fn isolated_zones(&self, fault: HolderFault, holder: usize) -> Vec<usize> {
         let zone = self.zone_of_co_ordinator(holder);
         let has_neighbour = self.config.zones >= MIN_ZONES_FOR_MINORITY_OF_TWO;
--- a/crates/testing/process-tests/src/cluster/co_ordinators.rs
+++ b/crates/testing/process-tests/src/cluster/co_ordinators.rs
@@ -1,4 +1,4 @@
-//! The processes under test: their addresses, configuration files and starts.
+//! Sets up the processes under test: assigns addresses, writes configuration files and starts the processes.
 
 use super::{Cluster, CoOrdinator};
 use crate::error::{
@@ -19,10 +19,10 @@
 
 /// Seconds between attempts to connect to a process that is starting.
 const CONNECT_INTERVAL: f64 = 0.05;
-/// Seconds from the first connection until clients send searches.
+/// Seconds from the first accepted connection of a process until clients may send searches to it.
 const ADMISSION_DELAY: f64 = 0.2;
 
-/// Whose datagrams one of the relay's sockets passes on, and to whom.
+/// The sender and the receiver of the datagrams that one of the relay's sockets forwards.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PeerLink {
     sender: usize,
@@ -38,11 +38,11 @@
     }
 }
 
-/// The relay's sockets, for co-ordinators in different zones. Each is in the sender's zone.
+/// The relay's sockets for pairs of co-ordinators in different zones. Each is bound to an address in the sender's zone.
 type RelaySockets = BTreeMap<PeerLink, Rc<UdpSocket>>;
 
 impl Cluster {
-    pub(super) async fn place_co_ordinators(&mut self) -> io::Result<()> {
+    pub(super) async fn set_up_co_ordinators(&mut self) -> io::Result<()> {
         let sockets = self.bind_relay_sockets().await?;
         self.relay_peer_datagrams(&sockets);
         for node in 0..self.config.co_ordinators {
@@ -68,7 +68,7 @@
 
     fn relay_peer_datagrams(&self, sockets: &RelaySockets) {
         for (link, socket) in sockets {
-            // The receiver sees the address by which it reaches the sender.
+            // The source address of a forwarded datagram is the one through which the receiver reaches the sender.
             let Some(reverse) = sockets.get(&link.reversed()) else {
                 continue;
             };
@@ -110,7 +110,7 @@
         })
     }
 
-    /// Starts a co-ordinator's process. Clients send searches once it accepts connections.
+    /// Starts the process of a co-ordinator. Clients send searches to it once it accepts connections.
     pub(super) fn start_co_ordinator(&mut self, node: usize) -> Result<(), PlayError> {
         let configuration = self.configuration(node)?;
         self.co_ordinators[node].start_count += 1;
@@ -125,7 +125,7 @@
         let process = Process::start(binary, &path, node, clock, self.log.clone())
             .context(StartProcessSnafu { binary })?;
         self.co_ordinators[node].process = Some(process);
-        self.take_clients_once_accepting(node);
+        self.admit_clients_once_accepting(node);
         Ok(())
     }
 
@@ -160,7 +160,8 @@
             .collect()
     }
 
-    /// One process in three runs one per cent fast, one slow; they are seconds apart.
+    /// Clock of a process; `None` for the system clock. Of three successive processes one has a clock that is one per
+    /// cent fast and one a clock that is one per cent slow. The clocks differ by seconds.
     fn clock_skew(&self, node: usize) -> Option<ClockSkew> {
         const RATES: [f64; 3] = [1.0 + 0.01, 1.0 - 0.01, 1.0];
         self.config.scenario.has_clock_skew().then(|| ClockSkew {
@@ -169,20 +170,20 @@
         })
     }
 
-    fn take_clients_once_accepting(&self, node: usize) {
+    fn admit_clients_once_accepting(&self, node: usize) {
         let net = self.net;
-        let takes_clients = self.takes_clients.clone();
+        let accepts_clients = self.accepts_clients.clone();
         let listen = self.co_ordinators[node].client_listen;
         drop(net.spawn(async move {
             while net.connect(listen).await.is_err() {
                 net.sleep(CONNECT_INTERVAL).await;
             }
             net.sleep(ADMISSION_DELAY).await;
-            takes_clients[node].set(true);
+            accepts_clients[node].set(true);
         }));
     }
 
-    /// Forgets a process that has ended or is to be killed: to drop it kills it.
+    /// Drops a process that has exited or is to be killed; dropping a running process kills it.
     pub(super) fn drop_process(&mut self, node: usize) {
         self.co_ordinators[node].process = None;
         self.co_ordinators[node].client.close_idle();
--- a/crates/testing/process-tests/src/cluster/history.rs
+++ b/crates/testing/process-tests/src/cluster/history.rs
@@ -1,4 +1,4 @@
-//! What the cluster does to the processes, for the history that invariants are checked on.
+//! Records starts, ends and faults in the event history on which invariants are checked.
 
 use super::Cluster;
 use woadreach_fakes::Recorder;
@@ -24,13 +24,13 @@
         });
     }
 
-    /// What a paused process owes is late and excused.
+    /// Records a pause, so that invariants allow its late answers.
     pub(super) fn record_process_pause(&self, node: usize, seconds: f64) {
         let node = CoordinatorId(node);
         self.recorder.tell(EventKind::Stalled { node, seconds });
     }
 
-    /// What a partitioned link holds back arrives late and is excused.
+    /// Records that a link of a replica was partitioned or repaired, so that invariants allow for delayed bytes.
     pub(super) fn record_link_change(&self, replica: usize, is_partitioned: bool) {
         self.recorder.tell(EventKind::LinkBlocked {
             replica: self.replicas[replica].name.as_str().into(),
@@ -38,15 +38,15 @@
         });
     }
 
-    /// A co-ordinator that is still running, or has still not read the endpoint list, breaks an invariant.
+    /// Records that a co-ordinator missed a deadline to exit or to read the endpoint list, which breaks an invariant.
     pub(super) fn record_overdue(&self, node: usize, why: String) {
         let node = CoordinatorId(node);
         self.recorder
             .tell(EventKind::CoordinatorUnsound { node, why });
     }
 
-    /// The recorder of a replica. Parts that it receives are measured as well. The start of a replica that is
-    /// there from the beginning isn't recorded: it has warmed up long before.
+    /// Creates the recorder of a replica, which also measures received parts. The start of a replica that does not warm
+    /// up isn't recorded, since the replica counts as warmed up long before the run.
     pub(super) fn recorder_of_replica(&self, replica: usize, is_warming_up: bool) -> Recorder {
         let recorder = self.recorder.clone();
         let measurements = self.measurements.clone();
--- a/crates/testing/process-tests/src/cluster/load.rs
+++ b/crates/testing/process-tests/src/cluster/load.rs
@@ -1,4 +1,5 @@
-//! The clients. They send searches to each co-ordinator at random intervals, whether or not earlier ones are answered.
+//! The clients: an open-loop load. They send searches to each co-ordinator at random intervals, whether or not earlier
+//! ones have been answered.
 
 use super::Cluster;
 use rand::{RngExt, SeedableRng};
@@ -10,9 +11,9 @@
 use woadreach_runtime::{Net, Tokio};
 use woadreach_simulation::{Repeats, Script, draw_gap, draw_request, seed_of};
 
-/// How many times more searches clients send while they abandon them.
+/// Factor by which the rate of searches is higher while clients abandon them.
 const ABANDONING_FACTOR: f64 = 3.0;
-/// Seconds after which a client abandons a search at the latest.
+/// Maximum delay in seconds after which a client abandons a search.
 const MAX_ABANDON_DELAY: f64 = 0.2;
 
 /// The clients of one co-ordinator.
@@ -21,15 +22,15 @@
     script: Script,
     node: usize,
     client: Caller<Tokio>,
-    /// Counts the searches of all clients, for their names.
+    /// Number of searches of all clients, retries included; used to name them.
     search_count: Rc<Cell<u64>>,
-    takes_clients: Rc<Vec<Cell<bool>>>,
+    accepts_clients: Rc<Vec<Cell<bool>>>,
     abandon: Rc<Cell<bool>>,
     random: Pcg64Mcg,
 }
 
 impl Cluster {
-    /// Has clients send searches to all co-ordinators until this time.
+    /// Starts clients that send searches to all co-ordinators until the time `until`, in Unix seconds.
     pub(super) fn start_load(&self, until: f64) {
         let search_count = Rc::new(Cell::new(0));
         for (node, co_ordinator) in self.co_ordinators.iter().enumerate() {
@@ -40,7 +41,7 @@
                 node,
                 client: co_ordinator.client.clone(),
                 search_count: search_count.clone(),
-                takes_clients: self.takes_clients.clone(),
+                accepts_clients: self.accepts_clients.clone(),
                 abandon: self.clients_abandon.clone(),
                 random: Pcg64Mcg::seed_from_u64(seed),
             };
@@ -70,7 +71,7 @@
         if self.abandon.get() {
             search.disconnect_after = Some(MAX_ABANDON_DELAY * self.random.random::<f64>());
         }
-        if !self.takes_clients[self.node].get() {
+        if !self.accepts_clients[self.node].get() {
             return;
         }
         let query_type = &self.script.query_types[search.query_type];
--- a/crates/testing/process-tests/src/cluster/mod.rs
+++ b/crates/testing/process-tests/src/cluster/mod.rs
@@ -1,6 +1,5 @@
-//! A cluster on loopback: the processes under test, fake replicas, discovery agents and clients, and the relay
-//! between zones. All of it but the processes runs on one thread. Nothing here decides anything for a
-//! co-ordinator.
+//! A cluster on loopback: the processes under test, fake replicas, discovery agents and clients, and the relay between
+//! zones. Everything except the processes runs on one thread. No decision of a co-ordinator is made here.
 
 mod actions;
 mod co_ordinators;
@@ -12,7 +11,7 @@
 
 use crate::addresses::Addresses;
 use crate::config::PlayConfig;
-use crate::killable::Killable;
+use crate::killable::KillableRuntime;
 use crate::measurements::Measurements;
 use crate::process::{LogLine, Process};
 use crate::relay::Relay;
@@ -28,41 +27,43 @@
 use woadreach_runtime::{Net, Tokio};
 use woadreach_simulation::{Record, Script, terms};
 
-/// Seconds after the endpoint list changed, or after discovery answers again, within which every co-ordinator
-/// has to have read it.
+/// Seconds after a change of the endpoint list, or after discovery answers again, within which every co-ordinator must
+/// have read the list.
 const LIST_READ_TIMEOUT: f64 = 6.0;
 
-/// A co-ordinator with what is there for it alone.
+/// A co-ordinator with its addresses, discovery agent and client.
 struct CoOrdinator {
     client_listen: SocketAddr,
     discovery: SocketAddr,
     peer_listen: SocketAddr,
-    /// Where it sends datagrams for each co-ordinator: that one's address, or the relay's for it.
+    /// Address to which this co-ordinator sends datagrams for each co-ordinator: the peer's own, or that of the relay
+    /// if the peer is in another zone.
     peers: Vec<SocketAddr>,
     agent: Agent,
     client: Caller<Tokio>,
-    /// None while it isn't running.
+    /// `None` while the process is not running.
     process: Option<Process>,
     start_count: usize,
 }
 
-/// A fake replica, which can be killed and started again.
+/// A fake replica, which can be killed and restarted.
 struct ReplicaSlot {
     name: String,
     zone: usize,
     shard_group: u64,
-    /// Where it listens for each co-ordinator.
+    /// Address on which the replica listens for each co-ordinator.
     listens: Vec<(CoordinatorId, SocketAddr)>,
-    /// The address that each co-ordinator's endpoint list has: the same, or the relay's for it.
+    /// Address of the replica in each co-ordinator's endpoint list: its own, or that of the relay if the co-ordinator
+    /// is in another zone.
     listed: Vec<SocketAddr>,
-    host: Killable,
-    /// None while it is killed.
-    handle: Option<Replica<Killable>>,
-    /// When its process started, in Unix seconds; 0 if it was there from the beginning.
+    host: KillableRuntime,
+    /// `None` before the first start and while the replica is killed.
+    handle: Option<Replica<KillableRuntime>>,
+    /// Start time in the endpoint list, in Unix seconds; 0 if the replica is not warming up since that start.
     started_at: f64,
 }
 
-/// The state of a replica in the endpoint list.
+/// Lifecycle state of a replica in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Ready,
@@ -71,7 +72,7 @@
 }
 
 impl Lifecycle {
-    /// The name that discovery has for it.
+    /// Name of the state in the discovery protocol.
     fn name(self) -> &'static str {
         match self {
             Lifecycle::Ready => "ready",
@@ -81,54 +82,54 @@
     }
 }
 
-/// A change that the endpoint list is to show from a time on.
+/// A pending change of the endpoint list.
 struct ListChange {
-    /// In Unix seconds.
+    /// Time of publication, in Unix seconds.
     due: f64,
     replica: usize,
     lifecycle: Lifecycle,
 }
 
-/// A co-ordinator that has to have read a generation of the endpoint list by a time.
+/// A deadline by which a co-ordinator must have read a generation of the endpoint list.
 struct ListRead {
-    /// In Unix seconds.
+    /// Deadline in Unix seconds.
     due: f64,
     node: usize,
     generation: u64,
 }
 
-/// The cluster and what is known of its state. Times are those of `net`, in Unix seconds.
+/// The cluster and its state. Times are those of `net`, in Unix seconds.
 pub(crate) struct Cluster {
     config: PlayConfig,
     script: Script,
     net: Tokio,
     addresses: Addresses,
     relay: Relay,
-    /// The history that invariants are checked on.
+    /// Event history on which invariants are checked.
     record: Rc<RefCell<Record>>,
     recorder: Recorder,
     measurements: Rc<RefCell<Measurements>>,
     co_ordinators: Vec<CoOrdinator>,
     replicas: Vec<ReplicaSlot>,
-    /// Whether clients send searches to a co-ordinator.
-    takes_clients: Rc<Vec<Cell<bool>>>,
-    /// Holds the configuration files.
+    /// Whether clients may send searches to each co-ordinator.
+    accepts_clients: Rc<Vec<Cell<bool>>>,
+    /// Temporary directory of the configuration files.
     folder: tempfile::TempDir,
     log: mpsc::UnboundedSender<LogLine>,
     list_changes: Vec<ListChange>,
     list_reads: Vec<ListRead>,
-    /// Co-ordinators that have got SIGTERM, and when SIGKILL would follow, in Unix seconds.
+    /// Co-ordinators that were sent SIGTERM, with the deadline in Unix seconds by which they must have exited.
     terminating: BTreeMap<usize, f64>,
-    /// The lease holder that the last fault was injected into.
-    disturbed_holder: Option<usize>,
-    /// Processes that ended without having been asked to, or with a failure.
+    /// Lease holder into which the last fault was injected; `None` if there was no running holder.
+    faulted_holder: Option<usize>,
+    /// Number of processes that ended without a request, ended with a failure, or did not end at shutdown.
     crashes: usize,
     /// Whether clients abandon their searches.
     clients_abandon: Rc<Cell<bool>>,
 }
 
 impl Cluster {
-    /// Sets everything up but the processes, whose log lines will be sent to `log`.
+    /// Sets up everything except the processes. Their log lines will be sent to `log`.
     pub(crate) async fn new(
         config: &PlayConfig,
         script: Script,
@@ -139,7 +140,7 @@
         let query_types = script.query_types.iter();
         let targets = query_types.map(|t| t.latency_target_s).collect();
         let record = Rc::new(RefCell::new(Record::new(terms(&script), targets, false)));
-        let takes_clients = (0..config.co_ordinators).map(|_| Cell::new(false));
+        let accepts_clients = (0..config.co_ordinators).map(|_| Cell::new(false));
         let mut cluster = Cluster {
             config: config.clone(),
             script,
@@ -151,18 +152,18 @@
             measurements: Rc::new(RefCell::new(Measurements::new(config.zones, faults))),
             co_ordinators: Vec::new(),
             replicas: Vec::new(),
-            takes_clients: Rc::new(takes_clients.collect()),
+            accepts_clients: Rc::new(accepts_clients.collect()),
             folder: tempfile::tempdir()?,
             log,
             list_changes: Vec::new(),
             list_reads: Vec::new(),
             terminating: BTreeMap::new(),
-            disturbed_holder: None,
+            faulted_holder: None,
             crashes: 0,
             clients_abandon: Rc::default(),
         };
-        cluster.place_replicas().await?;
-        cluster.place_co_ordinators().await?;
+        cluster.set_up_replicas().await?;
+        cluster.set_up_co_ordinators().await?;
         let all_replicas: Vec<usize> = (0..cluster.replicas.len()).collect();
         cluster.list_replicas(&all_replicas, Lifecycle::Ready);
         Ok(cluster)
--- a/crates/testing/process-tests/src/cluster/replicas.rs
+++ b/crates/testing/process-tests/src/cluster/replicas.rs
@@ -1,7 +1,7 @@
-//! Fake replicas and what the endpoint list says of them.
+//! Fake replicas and their entries in the endpoint list.
 
 use super::{Cluster, Lifecycle, ReplicaSlot};
-use crate::killable::Killable;
+use crate::killable::KillableRuntime;
 use crate::relay::ZonePair;
 use std::io;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 use woadreach_simulation::seed_of;
 
 impl Cluster {
-    pub(super) async fn place_replicas(&mut self) -> io::Result<()> {
+    pub(super) async fn set_up_replicas(&mut self) -> io::Result<()> {
         for replica in 0..self.script.replicas() {
-            let of_group = self.script.fleet.replicas;
-            let zone = replica % of_group % self.config.zones;
+            let replicas_per_group = self.script.fleet.replicas;
+            let zone = replica % replicas_per_group % self.config.zones;
             let mut listens = Vec::new();
             let mut listed = Vec::new();
             for node in 0..self.config.co_ordinators {
                 let address = self.addresses.replica(zone, replica, node);
                 listens.push((CoordinatorId(node), address));
-                listed.push(self.address_from(node, zone, address).await?);
+                listed.push(self.address_as_seen_from(node, zone, address).await?);
             }
             self.replicas.push(ReplicaSlot {
                 name: format!("r{replica}"),
                 zone,
-                shard_group: (replica / of_group) as u64,
+                shard_group: (replica / replicas_per_group) as u64,
                 listens,
                 listed,
-                host: Killable::new(self.net),
+                host: KillableRuntime::new(self.net),
                 handle: None,
                 started_at: 0.0,
             });
@@ -37,8 +37,9 @@
         Ok(())
     }
 
-    /// The address by which a co-ordinator reaches `address`, which is in `zone`.
-    async fn address_from(
+    /// Address through which the co-ordinator `node` reaches `address` in `zone`: a new one of the relay if the
+    /// co-ordinator is in another zone.
+    async fn address_as_seen_from(
         &self,
         node: usize,
         zone: usize,
@@ -71,7 +72,7 @@
         let recorder = self.recorder_of_replica(replica, is_warming_up);
         let now = self.net.now();
         let slot = &mut self.replicas[replica];
-        slot.host = Killable::new(self.net);
+        slot.host = KillableRuntime::new(self.net);
         slot.handle = Some(woadreach_fakes::replica(
             &slot.host,
             &slot.name,
@@ -84,7 +85,7 @@
         Ok(())
     }
 
-    /// Has all discovery agents list these replicas with this state.
+    /// Makes all discovery agents list these replicas with the state `lifecycle`.
     pub(super) fn list_replicas(&self, replicas: &[usize], lifecycle: Lifecycle) {
         for (node, co_ordinator) in self.co_ordinators.iter().enumerate() {
             let entries: Vec<ListEntry> = replicas
--- a/crates/testing/process-tests/src/cluster/run.rs
+++ b/crates/testing/process-tests/src/cluster/run.rs
@@ -1,4 +1,4 @@
-//! The course of a play: processes are started, put under load, disturbed by the schedule's actions, and ended.
+//! The main loop of a run: starts the processes and the load, performs the schedule's actions, and shuts down.
 
 use super::Cluster;
 use crate::error::{NotAcceptingSnafu, PlayError};
@@ -13,17 +13,17 @@
 
 /// Seconds between two checks of the cluster.
 const WATCH_INTERVAL: f64 = 0.02;
-/// Seconds within which a process has to accept connections after its start.
+/// Seconds after the first start within which all processes must accept connections.
 const START_TIMEOUT: f64 = 15.0;
-/// Seconds within which a process has to end after SIGTERM at the end of a play.
+/// Seconds after SIGTERM within which a process must exit at the end of a run.
 const SHUTDOWN_TIMEOUT: f64 = 8.0;
-/// Seconds after the longest client time-out until the play ends.
+/// Seconds from the last possible client time-out until the run ends.
 const FINAL_GRACE: f64 = 0.5;
-/// How many broken invariants an outcome describes.
+/// Maximum number of broken invariants that an outcome describes.
 const MAX_DESCRIBED_BREACHES: usize = 5;
 
 impl Cluster {
-    /// Plays the actions, which are in order of their times.
+    /// Runs the cluster under load and performs `actions`, which are in order of time.
     pub(crate) async fn run(
         &mut self,
         actions: Vec<TimedAction>,
@@ -53,7 +53,7 @@
             self.start_co_ordinator(node)?;
         }
         let deadline = self.net.now() + START_TIMEOUT;
-        while !self.takes_clients.iter().all(Cell::get) {
+        while !self.accepts_clients.iter().all(Cell::get) {
             ensure!(self.net.now() <= deadline, NotAcceptingSnafu);
             self.net.sleep(WATCH_INTERVAL).await;
         }
@@ -65,7 +65,7 @@
         query_types.map(|t| t.client_timeout_s).fold(0.0, f64::max)
     }
 
-    /// Sends SIGTERM to all processes; each has to end with success.
+    /// Sends SIGTERM to all processes. A process that fails or does not exit in time counts as a crash.
     async fn shut_down(&mut self, log_lines: &mut UnboundedReceiver<LogLine>) {
         for co_ordinator in &self.co_ordinators {
             co_ordinator.client.close_idle();
@@ -117,7 +117,7 @@
             near_share_even: 1.0 / self.config.zones as f64,
             searches: completed.len(),
             served_share: in_time as f64 / completed.len().max(1) as f64,
-            // The rest is measured.
+            // `Measurements::complete` fills in the other fields.
             ..Outcome::default()
         };
         let measurements = self.measurements.borrow();
--- a/crates/testing/process-tests/src/cluster/watch.rs
+++ b/crates/testing/process-tests/src/cluster/watch.rs
@@ -1,5 +1,5 @@
-//! The checks that are repeated while a scenario is played: logs, invariants, processes that have ended, and endpoint
-//! lists that are due to be read.
+//! The checks that are repeated during a run: logs, invariants, exited processes, and deadlines for reading the
+//! endpoint list.
 
 use super::{Cluster, LIST_READ_TIMEOUT};
 use crate::process::{LogLine, Process, ProcessExit};
@@ -16,7 +16,7 @@
         self.check_list_reads();
     }
 
-    /// Reads what the processes have logged and checks the invariants up to now.
+    /// Processes the pending log lines and checks the invariants up to the current time.
     pub(super) fn read_logs(&mut self, log_lines: &mut UnboundedReceiver<LogLine>) {
         let now = self.net.now();
         while let Ok(line) = log_lines.try_recv() {
@@ -37,15 +37,15 @@
     }
 
     fn watch_process(&mut self, node: usize) {
-        let sigkill_at = self.terminating.get(&node).copied();
+        let exit_deadline = self.terminating.get(&node).copied();
         if let Some(exit) = self.exit_of(node) {
-            // A process must not end without having been asked to.
-            self.crashes += usize::from(sigkill_at.is_none() || exit == ProcessExit::Failure);
-            self.takes_clients[node].set(false);
+            // An exit without a preceding SIGTERM is a crash.
+            self.crashes += usize::from(exit_deadline.is_none() || exit == ProcessExit::Failure);
+            self.accepts_clients[node].set(false);
             self.terminating.remove(&node);
             self.record_process_end(node);
             self.drop_process(node);
-        } else if sigkill_at.is_some_and(|time| self.net.now() > time) {
+        } else if exit_deadline.is_some_and(|time| self.net.now() > time) {
             let why = "it has not ended by the time that SIGKILL comes".to_string();
             self.record_overdue(node, why);
             self.terminating.remove(&node);
--- a/crates/testing/process-tests/src/config.rs
+++ b/crates/testing/process-tests/src/config.rs
@@ -1,4 +1,4 @@
-//! What is to be played.
+//! Configuration of one run of a scenario.
 
 use crate::error::{ClusterSizeSnafu, PlayError, RegionCountSnafu};
 use crate::scenario::Scenario;
@@ -6,33 +6,33 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// Numbers of processes that fit the addresses of a cluster.
+/// Supported numbers of co-ordinators; the upper bound is the number of ports reserved for each replica.
 const CO_ORDINATORS: RangeInclusive<usize> = 2..=16;
-/// Numbers of zones that can be played.
+/// Supported numbers of zones.
 const ZONES: RangeInclusive<usize> = 2..=8;
 
-/// What is to be played.
+/// Configuration of one run of a scenario.
 #[derive(Clone, Debug)]
 pub struct PlayConfig {
     /// The faults to inject.
     pub scenario: Scenario,
-    /// Number of processes, 2 to 16; they are dealt out among the zones.
+    /// Number of co-ordinator processes, 2 to 16, assigned to the zones in rotation.
     pub co_ordinators: usize,
     /// Number of zones, 2 to 8.
     pub zones: usize,
-    /// Number of regions, 1 to the number of zones; each is a run of zones.
+    /// Number of regions, 1 to the number of zones. Each region consists of consecutive zones.
     pub regions: usize,
-    /// Seeds all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The program under test.
+    /// Path of the `woadreachd` binary under test.
     pub binary: PathBuf,
-    /// Whether co-ordinators exchange messages. If not, each decides alone.
+    /// Whether co-ordinators exchange datagrams with their peers. If false, each decides alone.
     pub has_peers: bool,
-    /// Whether traffic stays in its zone while that is safe.
+    /// Whether a co-ordinator prefers replicas of its own zone while that is safe.
     pub prefers_near: bool,
-    /// Whether singleton roles are held under leases. If not, each co-ordinator does them for itself.
+    /// Whether singleton roles require a lease. If false, each co-ordinator performs them for itself.
     pub has_roles: bool,
-    /// Searches that clients send to each co-ordinator in a second.
+    /// Searches per second that clients send to each co-ordinator.
     pub searches_per_second: f64,
 }
 
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// The region of each zone.
+    /// Index of the region of each zone.
     pub(crate) fn region_of_zones(&self) -> Vec<usize> {
         (0..self.zones)
             .map(|zone| zone * self.regions / self.zones)
--- a/crates/testing/process-tests/src/error.rs
+++ b/crates/testing/process-tests/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a scenario can't be played.
+//! Errors that prevent a scenario from being run.
 
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
 use woadreach_simulation::ScriptError;
 
-/// A name that no scenario has.
+/// No scenario has the given name.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no such scenario; there are {known}"))]
 pub struct UnknownScenario {
-    /// The names of all scenarios.
+    /// Names of all scenarios, separated by commas.
     pub known: String,
 }
 
-/// A configuration that can't be played, or a failure of the test program itself. A broken invariant or a
-/// crash of the program under test is no error, but part of the [`Outcome`](crate::Outcome).
+/// An invalid configuration, or a failure of the test program itself. Broken invariants and crashes of the program
+/// under test are not errors: they are reported in the [`Outcome`](crate::Outcome).
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -22,58 +22,58 @@
     /// Too few or too many co-ordinators or zones.
     #[snafu(display("expected 2 to 16 co-ordinators in 2 to 8 zones"))]
     ClusterSize,
-    /// No region, or more regions than zones.
+    /// The number of regions is 0 or exceeds the number of zones.
     #[snafu(display("expected 1 region at least, and no more than zones"))]
     RegionCount,
-    /// The asynchronous runtime can't be started.
-    #[snafu(display("runtime: {source}"))]
+    /// The asynchronous runtime cannot be started.
+    #[snafu(display("cannot start the asynchronous runtime: {source}"))]
     StartRuntime {
         /// What the system reported.
         source: io::Error,
     },
-    /// The description of the fleet and its load is rejected by the simulation's parser.
-    #[snafu(display("{source}"))]
+    /// The simulation's parser rejects the generated script.
+    #[snafu(display("generated script is invalid: {source}"))]
     InvalidScript {
-        /// The parser's error, with its position.
+        /// Error of the parser, with its position in the script.
         source: ScriptError,
     },
-    /// Sockets or folders can't be set up.
-    #[snafu(display("{source}"))]
+    /// A socket or the temporary directory cannot be created.
+    #[snafu(display("cannot set up the cluster: {source}"))]
     SetUp {
         /// What the system reported.
         source: io::Error,
     },
-    /// A fake replica can't be started again.
-    #[snafu(display("r{replica}: {source}"))]
+    /// A fake replica cannot be restarted.
+    #[snafu(display("cannot restart replica r{replica}: {source}"))]
     StartReplica {
-        /// The replica's index.
+        /// Index of the replica.
         replica: usize,
         /// What the system reported.
         source: io::Error,
     },
-    /// The configuration of a co-ordinator isn't JSON.
-    #[snafu(display("{source}"))]
+    /// The generated configuration of a co-ordinator is not valid JSON.
+    #[snafu(display("generated configuration is not valid JSON: {source}"))]
     InvalidConfiguration {
-        /// What the parser reported.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The configuration file of a co-ordinator can't be written.
-    #[snafu(display("{}: {source}", path.display()))]
+    /// The configuration file of a co-ordinator cannot be written.
+    #[snafu(display("cannot write configuration file {}: {source}", path.display()))]
     WriteConfiguration {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
         /// What the system reported.
         source: io::Error,
     },
-    /// The program under test can't be started.
-    #[snafu(display("{}: {source}", binary.display()))]
+    /// The program under test cannot be started.
+    #[snafu(display("cannot start {}: {source}", binary.display()))]
     StartProcess {
-        /// The program.
+        /// Path of the program.
         binary: PathBuf,
         /// What the system reported.
         source: io::Error,
     },
-    /// A co-ordinator didn't accept connections in time after its start.
+    /// A co-ordinator did not accept connections before the start time-out.
     #[snafu(display("a co-ordinator does not accept connections"))]
     NotAccepting,
 }
--- a/crates/testing/process-tests/src/killable.rs
+++ b/crates/testing/process-tests/src/killable.rs
@@ -1,4 +1,4 @@
-//! A runtime whose tasks can all be ended at once, as those of a process are when it is killed.
+//! A runtime whose tasks can all be cancelled at once, which models a killed process.
 
 use std::future::Future;
 use std::io;
@@ -6,28 +6,28 @@
 use tokio::sync::watch;
 use woadreach_runtime::{Net, TaskHandle, Tokio, TokioDatagrams, TokioListener, TokioStream};
 
-/// The runtime of one fake replica.
+/// Runtime of one fake replica.
 #[derive(Clone)]
-pub(crate) struct Killable {
+pub(crate) struct KillableRuntime {
     net: Tokio,
     is_killed: watch::Sender<bool>,
 }
 
-impl Killable {
-    pub(crate) fn new(net: Tokio) -> Killable {
-        Killable {
+impl KillableRuntime {
+    pub(crate) fn new(net: Tokio) -> KillableRuntime {
+        KillableRuntime {
             net,
             is_killed: watch::channel(false).0,
         }
     }
 
-    /// Ends all tasks that were spawned on it.
+    /// Cancels all tasks that were spawned on this runtime or its clones.
     pub(crate) fn kill(&self) {
         let _ = self.is_killed.send_replace(true);
     }
 }
 
-impl Net for Killable {
+impl Net for KillableRuntime {
     type Stream = TokioStream;
     type Listener = TokioListener;
     type Datagrams = TokioDatagrams;
--- a/crates/testing/process-tests/src/lib.rs
+++ b/crates/testing/process-tests/src/lib.rs
@@ -1,17 +1,17 @@
-//! Tests of co-ordinators as they run: many real processes of `woadreachd` on loopback, zone by zone, with fake
-//! replicas, discovery agents and clients, and a relay through which every datagram and connection between
-//! zones passes.
+//! Fault-injection tests with real processes: several `woadreachd` processes on loopback, distributed among zones,
+//! with fake replicas, discovery agents and clients. A relay forwards every datagram and connection between zones.
 //!
-//! [`play`] starts what a [`PlayConfig`] describes, injects the faults of its [`Scenario`] and returns an
-//! [`Outcome`]: the invariants that were broken, the crashes, and figures from the processes' logs (JSON lines
-//! on standard error). The figures depend on the machine; broken invariants and crashes should not.
+//! [`play`] starts the cluster that a [`PlayConfig`] describes, injects the faults of its [`Scenario`] and returns an
+//! [`Outcome`]: the broken invariants, the crashes, and measurements from the processes' logs (JSON lines on standard
+//! error). The measurements depend on the machine; broken invariants and crashes should not.
 //!
 //! Where to start reading:
 //!
-//! - `schedule.rs`: what each scenario does and when;
-//! - `cluster/run.rs`: the course of a play;
+//! - `schedule.rs`: the actions of each scenario and their times;
+//! - `cluster/run.rs`: the main loop of a run;
 //! - `cluster/actions.rs`: how faults are injected;
-//! - `log_events.rs` and `measurements.rs`: what is read from the logs, and the figures taken from it.
+//! - `log_events.rs` and `measurements.rs`: the log events that are parsed, and the
+//!   measurements derived from them.
 
 mod addresses;
 mod cluster;
--- a/crates/testing/process-tests/src/log_events.rs
+++ b/crates/testing/process-tests/src/log_events.rs
@@ -1,16 +1,16 @@
-//! The events of `woadreachd`'s JSON log that measurements are taken from: their message texts, the names of
-//! their fields, and what was read. They are written by the module `peers` of the crate `woadreachd`.
+//! Parser for the events of `woadreachd`'s JSON log from which measurements are derived. The message texts and field
+//! names must match those that the module `peers` of the crate `woadreachd` writes.
 
 use serde_json::Value;
 
-/// Fields of every event.
+/// Names of the fields that every event has.
 const MESSAGE: &str = "message";
 const TIMESTAMP: &str = "timestamp";
 
-/// The field that numbers the verdicts on a zone, or the leases of a role.
+/// Name of the field with the epoch of a zone verdict or of a role's lease.
 const EPOCH: &str = "epoch";
 
-/// An event of the log.
+/// A log event that is measured.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LogEvent {
     ZoneVerdict(ZoneVerdict),
@@ -20,7 +20,7 @@
 }
 
 impl LogEvent {
-    /// The event that a line of the log holds; none if nothing is measured by it.
+    /// Parses the fields of a log line. Returns `None` for events that are not measured.
     pub(crate) fn parse(fields: &Value) -> Option<LogEvent> {
         let message = text(fields, MESSAGE)?;
         if ZoneVerdict::MESSAGES.contains(&message) {
@@ -40,9 +40,9 @@
 /// A co-ordinator has adopted a verdict on a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ZoneVerdict {
-    /// The zone's index; none if its name isn't one of the test's zones.
+    /// Index of the zone; `None` if its name is missing or is not `z` and a number.
     pub(crate) zone: Option<usize>,
-    /// Odd while the zone is out of service.
+    /// Epoch of the verdict; odd if the zone is ejected.
     pub(crate) epoch: u64,
 }
 
@@ -59,14 +59,14 @@
     }
 }
 
-/// A co-ordinator has performed an action of a singleton role that it holds the lease of.
+/// A co-ordinator has performed an action of a singleton role as its lease holder.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RoleAction {
-    /// The role, as its debug output names it.
+    /// `Debug` output of the role.
     pub(crate) role: String,
-    /// The lease's epoch.
+    /// Epoch of the lease.
     pub(crate) epoch: u64,
-    /// When it was logged, in Unix seconds.
+    /// Time stamp of the log line, in Unix seconds; `None` if it is missing or malformed.
     pub(crate) logged_at: Option<f64>,
 }
 
@@ -83,10 +83,10 @@
     }
 }
 
-/// What a process has counted of singleton roles since its start.
+/// Counters of a process for singleton roles, since its start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RolesReport {
-    /// Actions of others that it rejected, since it knew of a later epoch.
+    /// Actions of other co-ordinators that it rejected because it knew a later epoch.
     pub(crate) stale: u64,
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// What a process has sent to its peers since its start.
+/// Counters of the datagrams that a process has sent to its peers since its start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MembershipReport {
     pub(crate) datagrams_sent: u64,
@@ -125,13 +125,13 @@
     fields.get(name).and_then(Value::as_str)
 }
 
-/// A count; one that is missing is 0.
+/// Returns the unsigned integer of a field, or 0 if it is missing.
 fn number(fields: &Value, name: &str) -> u64 {
     fields.get(name).and_then(Value::as_u64).unwrap_or(0)
 }
 
-/// The Unix time of a time stamp such as `2026-03-01T00:00:01.5Z`. All processes and the test program share
-/// the system's clock.
+/// Converts a time stamp to Unix seconds, such as `2026-03-01T00:00:01.5Z`. All processes and the test
+/// program run on the same machine and use its clock.
 fn unix_seconds(timestamp: &str) -> Option<f64> {
     const SECONDS_OF_DAY: f64 = 86_400.0;
     let (date, time) = timestamp.trim_end_matches('Z').split_once('T')?;
@@ -145,9 +145,9 @@
 /// Days from 1970-01-01 to a date of the Gregorian calendar, after Howard Hinnant, "chrono-Compatible
 /// Low-Level Date Algorithms", `days_from_civil`.
 fn days_since_epoch(year: i64, month: i64, day: i64) -> i64 {
-    /// From 0000-03-01, from which the algorithm counts, to 1970-01-01.
+    /// Days from 0000-03-01, the algorithm's origin, to 1970-01-01.
     const DAYS_BEFORE_EPOCH: i64 = 719_468;
-    // Years begin in March, so that a leap day is a year's last day.
+    // Years start in March here, so that a leap day is the last day of its year.
     let (year, month) = if month > 2 {
         (year, month - 3)
     } else {
--- a/crates/testing/process-tests/src/measurements.rs
+++ b/crates/testing/process-tests/src/measurements.rs
@@ -1,5 +1,5 @@
-//! Figures taken from the logs of the processes and from what fake replicas received. Invariants are checked
-//! elsewhere, by `woadreach-invariants`.
+//! Measurements derived from the logs of the processes and from the parts that fake replicas received. Invariants are
+//! checked separately, by `woadreach-invariants`.
 
 use crate::log_events::{LogEvent, MembershipReport, RoleAction};
 use crate::outcome::{Outcome, RoleOutcome};
@@ -7,37 +7,38 @@
 use crate::schedule::{HOLDER_FAULT_SECONDS, ZoneFault};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds after a zone's fault in which a verdict against it is still right: its end has to be noticed first.
+/// Seconds after the end of a zone's fault during which an ejection still counts as correct, since co-ordinators have
+/// to detect the end first.
 const FAULT_NOTICE_SECONDS: f64 = 3.0;
-/// Seconds after a zone's fault in which traffic isn't measured, since it is still settling.
+/// Seconds after the end of a zone's fault during which traffic is not measured, since it has not settled.
 const FAULT_SETTLING_SECONDS: f64 = 8.0;
-/// Seconds after the start of the load in which traffic isn't measured.
+/// Seconds after the start of the load during which traffic is not measured.
 const START_SETTLING_SECONDS: f64 = 3.0;
-/// The role whose lease holder faults are injected into, as the log names it.
+/// Name in the log of the role into whose lease holder faults are injected.
 const ROLE_UNDER_TEST: &str = "QuotaAllocator(0)";
 
-/// One run of a co-ordinator's process.
+/// One process of a co-ordinator, from its start to its end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ProcessRun {
     node: usize,
-    /// How many times the co-ordinator has been started, this run included.
+    /// Number of starts of the co-ordinator up to and including this one.
     start_count: usize,
 }
 
 /// A verdict on a zone that a co-ordinator has adopted.
 #[derive(Clone, Copy)]
 struct AdoptedVerdict {
-    /// When its log line was read, in seconds from the start of the load.
+    /// Time at which the log line was read, in seconds from the start of the load.
     at_s: f64,
     node: usize,
-    /// None if the log names a zone that isn't one of the test's.
+    /// Index of the zone; `None` if its name in the log cannot be parsed.
     zone: Option<usize>,
-    /// Odd while the zone is out of service.
+    /// Epoch of the verdict; odd if the zone is ejected.
     epoch: u64,
 }
 
 impl AdoptedVerdict {
-    /// Whether it takes the zone out of service.
+    /// Whether the verdict ejects the zone.
     fn is_ejection(&self) -> bool {
         self.epoch % 2 == 1
     }
@@ -46,31 +47,31 @@
 /// An action of a singleton role.
 #[derive(Clone)]
 struct PerformedAction {
-    /// When it was logged, in seconds from the start of the load.
+    /// Time at which the action was logged, in seconds from the start of the load.
     at_s: f64,
     node: usize,
     role: String,
-    /// The epoch of the lease that it was done under.
+    /// Epoch of the lease under which the action was performed.
     epoch: u64,
 }
 
 /// A fault that was injected into a lease holder.
 #[derive(Clone, Copy)]
 struct InjectedHolderFault {
-    /// In seconds from the start of the load.
+    /// Time of the injection, in seconds from the start of the load.
     at_s: f64,
-    /// The lease holder.
+    /// Lease holder into which the fault was injected.
     node: usize,
 }
 
-/// A failover: the ejection of a zone under one epoch. Each co-ordinator adopts it for itself.
+/// The ejection of a zone under one epoch. Each co-ordinator adopts it independently.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Failover {
     zone: Option<usize>,
     epoch: u64,
 }
 
-/// Who acted in a role, and under which epoch of its lease.
+/// The co-ordinator that performed an action of a role, and the epoch of its lease.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LeaseHolder {
     epoch: u64,
@@ -81,26 +82,27 @@
 #[derive(Default)]
 struct ReceivedParts {
     total: usize,
-    /// Those from a co-ordinator of the replica's zone.
+    /// Parts from a co-ordinator in the same zone as the replica.
     near: usize,
 }
 
-/// Collects what is measured. Times are given in Unix seconds and kept as seconds from the start of the load.
+/// Collects the measurements of a run. Methods accept times in Unix seconds; stored times are in seconds from the
+/// start of the load.
 #[derive(Default)]
 pub(crate) struct Measurements {
-    /// In Unix seconds; 0 before the load has started.
+    /// Start of the load in Unix seconds; 0 before it.
     load_started_at: f64,
     faults: Vec<ZoneFault>,
     /// Number of zones.
     zones: usize,
     verdicts: Vec<AdoptedVerdict>,
-    /// The last report of each run, which counts from the run's start.
+    /// Latest report of each process run. The counters start at 0 in each run.
     traffic: BTreeMap<ProcessRun, MembershipReport>,
     stale_actions: BTreeMap<ProcessRun, u64>,
-    /// How many times each co-ordinator has been started.
+    /// Number of starts of each co-ordinator.
     starts: BTreeMap<usize, usize>,
     parts: ReceivedParts,
-    /// In the order in which they were read.
+    /// Actions of all roles, in the order in which they were read.
     actions: Vec<PerformedAction>,
     holder_faults: Vec<InjectedHolderFault>,
 }
@@ -122,7 +124,7 @@
         *self.starts.entry(node).or_default() += 1;
     }
 
-    /// Records a line of a log that was read at this time.
+    /// Records a log line that was read at `read_at`.
     pub(crate) fn record_log_line(&mut self, read_at: f64, line: &LogLine) {
         let at_s = read_at - self.load_started_at;
         let node = line.node;
@@ -148,7 +150,7 @@
 
     /// Records an action whose log line was read at `read_at_s`, in seconds from the start of the load.
     fn record_action(&mut self, read_at_s: f64, node: usize, action: RoleAction) {
-        // Lines are read some moments after they were written.
+        // Lines are read some time after they were written, so the logged time is more exact.
         let logged_at_s = action.logged_at.map(|time| time - self.load_started_at);
         self.actions.push(PerformedAction {
             at_s: logged_at_s.unwrap_or(read_at_s),
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Who was last seen to act as the lease holder of the role under test.
+    /// The co-ordinator with the last recorded action of the role under test.
     pub(crate) fn lease_holder(&self) -> Option<usize> {
         let mut latest_first = self.actions.iter().rev();
         latest_first
@@ -173,8 +175,8 @@
             .map(|action| action.node)
     }
 
-    /// Records a fault that is injected into a lease holder. A verdict against one of the zones that it
-    /// partitions from the others is right.
+    /// Records a fault that is injected into a lease holder. The zones in `partitioned`, which it separates from the
+    /// others, count as faulty while it lasts, so that ejecting them is correct.
     pub(crate) fn record_holder_fault(&mut self, at: f64, node: usize, partitioned: &[usize]) {
         let at_s = at - self.load_started_at;
         self.holder_faults.push(InjectedHolderFault { at_s, node });
@@ -185,20 +187,20 @@
         }));
     }
 
-    /// Records that a replica received a part, from a co-ordinator of its own zone if `is_near`.
+    /// Records that a replica received a part. `is_near` means that the sender is in the zone of the replica.
     pub(crate) fn record_received_part(&mut self, at: f64, is_near: bool) {
         let at_s = at - self.load_started_at;
         let is_settling = |fault: &ZoneFault| {
             at_s >= fault.from_s && at_s < fault.until_s + FAULT_SETTLING_SECONDS
         };
-        let is_loaded = self.load_started_at > 0.0 && at_s > START_SETTLING_SECONDS;
-        if is_loaded && !self.faults.iter().any(is_settling) {
+        let is_load_settled = self.load_started_at > 0.0 && at_s > START_SETTLING_SECONDS;
+        if is_load_settled && !self.faults.iter().any(is_settling) {
             self.parts.total += 1;
             self.parts.near += usize::from(is_near);
         }
     }
 
-    /// Writes all that is measured here into the outcome of a play with this number of co-ordinators.
+    /// Fills in the measured fields of the outcome of a run with `nodes` co-ordinators.
     pub(crate) fn complete(&self, nodes: usize, outcome: &mut Outcome) {
         self.complete_failovers(outcome);
         self.complete_agreement(nodes, outcome);
@@ -229,8 +231,8 @@
         }
     }
 
-    /// All failovers, each with the time at which the first co-ordinator adopted it, in seconds from the start of the
-    /// load.
+    /// All failovers, each with the time in seconds from the start of the load at which the first co-ordinator adopted
+    /// it.
     fn failovers(&self) -> BTreeMap<Failover, f64> {
         let mut failovers = BTreeMap::new();
         for verdict in self.ejections() {
@@ -295,8 +297,8 @@
     }
 }
 
-/// Actions, in order of time, that are older by epoch than one before them, or share its epoch with another
-/// holder.
+/// Counts the actions whose epoch is lower than that of an earlier action of the same role, or equal to it with a
+/// different holder. `actions` are in order of time.
 fn count_second_holders(actions: &[PerformedAction]) -> usize {
     let mut latest: BTreeMap<&str, LeaseHolder> = BTreeMap::new();
     let mut count = 0;
@@ -316,7 +318,7 @@
     count
 }
 
-/// Seconds from a holder's fault until another co-ordinator acts in the role under test.
+/// Seconds from a fault of a lease holder to the first action of the role under test by another co-ordinator.
 fn handover_seconds(actions: &[PerformedAction], fault: InjectedHolderFault) -> Option<f64> {
     let is_next = |action: &&PerformedAction| {
         action.role == ROLE_UNDER_TEST && action.at_s > fault.at_s && action.node != fault.node
@@ -327,8 +329,8 @@
         .map(|action| action.at_s - fault.at_s)
 }
 
-/// The smallest value that at least this share of the values doesn't exceed. Of fewer than a hundred values the 0.99
-/// quantile is the largest. None without values.
+/// The smallest value that is not exceeded by at least `share` of the values; `None` if there are no values. The 0.99
+/// quantile of fewer than a hundred values is the largest value.
 fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
     let rank = ((share * sorted.len() as f64).ceil() as usize).max(1);
     sorted.get(rank - 1).copied()
--- a/crates/testing/process-tests/src/outcome.rs
+++ b/crates/testing/process-tests/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What playing a scenario gave. Its fields are printed as JSON by `woadreach cluster play --format json`;
-//! names in that output stay, whatever the fields are called here.
+//! Result of running a scenario. `woadreach cluster play --format json` prints it as JSON. The keys of that output are
+//! stable: a renamed field keeps its key through `#[serde(rename)]`.
 
 use serde::Serialize;
 
-/// The result of one play.
+/// Result of one run of a scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// The seed of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Number of co-ordinator processes.
     pub coordinators: usize,
@@ -16,66 +16,68 @@
     pub zones: usize,
     /// Number of regions.
     pub regions: usize,
-    /// Seconds under load.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// How often an invariant was broken.
+    /// Number of times that an invariant was broken.
     #[serde(rename = "rules_broken")]
     pub broken_invariants: usize,
-    /// The first of the broken invariants, in words.
+    /// Descriptions of the first broken invariants, at most five.
     pub breaches: Vec<String>,
-    /// Processes that ended without having been asked to, or with a failure.
+    /// Number of processes that ended without a request, ended with a failure, or did not end at shutdown.
     pub crashes: usize,
-    /// Median of the seconds from a zone's first fault until a co-ordinator outside the zones at fault adopts
-    /// the verdict.
+    /// Median of the seconds from the first fault of a zone until a co-ordinator outside the faulty zones adopts its
+    /// ejection; `None` if there was none.
     pub agree_s_p50: Option<f64>,
-    /// 0.99 quantile of the same.
+    /// 0.99 quantile of the same delays.
     pub agree_s_p99: Option<f64>,
-    /// How many verdicts were due: one for each zone at fault and co-ordinator outside the zones at fault.
+    /// Number of expected adoptions: one for each pair of a faulty zone and a co-ordinator outside the faulty zones.
     pub expected: usize,
-    /// How many of these were adopted.
+    /// Number of expected adoptions that were observed.
     pub agreed: usize,
-    /// Verdicts against a zone that was not at fault, counted by zone and epoch.
+    /// Number of ejections of a zone that had no fault, counted once for each zone and epoch.
     #[serde(rename = "false_shifts")]
     pub false_failovers: usize,
-    /// Verdicts against a zone beyond one for each of its faults.
+    /// Number of ejections of a zone in excess of the number of its faults, summed over all zones.
     pub flaps: usize,
-    /// Share of the parts that were sent within their co-ordinator's zone while no zone was at fault.
+    /// Share of parts that were sent within the zone of the co-ordinator while no zone was faulty; `None` if no part
+    /// was counted.
     pub near_share_safe: Option<f64>,
-    /// What that share would be if parts were spread evenly.
+    /// Expected value of that share if parts were spread evenly over the zones.
     pub near_share_even: f64,
-    /// Datagrams that a co-ordinator sends to its peers in a second, on average.
+    /// Datagrams per second that a co-ordinator sends to its peers, on average.
     pub datagrams_per_s_per_member: f64,
-    /// Bytes that a co-ordinator sends to its peers in a second, on average.
+    /// Bytes per second that a co-ordinator sends to its peers, on average.
     pub bytes_per_s_per_member: f64,
-    /// Figures of singleton roles and their leases.
+    /// Measurements of singleton roles and their leases.
     #[serde(flatten)]
     pub roles: RoleOutcome,
-    /// Searches that were answered or failed, without those that clients abandoned.
+    /// Number of searches that were answered or failed, excluding those that clients abandoned.
     pub searches: usize,
-    /// Share of these that was answered within the latency target.
+    /// Share of these searches that were answered within the latency target.
     #[serde(rename = "served")]
     pub served_share: f64,
 }
 
-/// Figures of singleton roles and their leases.
+/// Measurements of singleton roles and their leases.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RoleOutcome {
-    /// Actions of a role under an epoch older than one under which another co-ordinator had acted before, by
-    /// the times in the logs.
+    /// Number of actions that show two holders of a lease: by the times in the logs, their epoch is lower than that of
+    /// an earlier action of the role, or equal to it with another co-ordinator.
     pub two_holders: usize,
-    /// Actions of all roles.
+    /// Number of actions of all roles.
     #[serde(rename = "acts")]
     pub actions: usize,
-    /// Actions that their receivers rejected since they knew of a later epoch.
+    /// Number of actions that receivers rejected because they knew a later epoch.
     #[serde(rename = "stale_acts_refused")]
     pub stale_actions_rejected: u64,
-    /// Median of the seconds from a lease holder's fault until another co-ordinator acts.
+    /// Median of the seconds from a fault of the lease holder until another co-ordinator acts in the role; `None` if
+    /// there was no handover.
     pub handover_s_p50: Option<f64>,
-    /// 0.99 quantile of the same.
+    /// 0.99 quantile of the same delays.
     pub handover_s_p99: Option<f64>,
-    /// How many faults of lease holders were followed by another holder's action.
+    /// Number of lease holder faults that were followed by an action of another co-ordinator.
     pub handovers: usize,
-    /// Faults that were injected into lease holders.
+    /// Number of faults that were injected into lease holders.
     #[serde(rename = "gripped")]
     pub holder_faults: usize,
     /// Duration of a lease in seconds.
--- a/crates/testing/process-tests/src/play.rs
+++ b/crates/testing/process-tests/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario in real time, on one thread.
+//! Runs a scenario in real time, on one thread.
 
 use crate::cluster::Cluster;
 use crate::config::PlayConfig;
@@ -9,12 +9,12 @@
 use snafu::ResultExt;
 use tokio::sync::mpsc;
 
-/// Starts the processes that `config` asks for, injects its scenario's faults and measures.
+/// Starts the cluster that `config` describes, injects the faults of its scenario and returns the measurements.
 ///
 /// # Errors
 ///
-/// Fails if the configuration can't be played, or if the cluster can't be set up. What the program under test
-/// does wrong is in the outcome.
+/// Fails if the configuration is invalid, or if the cluster or one of its processes cannot be started. Misbehaviour of
+/// the program under test is reported in the outcome.
 pub fn play(config: &PlayConfig) -> Result<Outcome, PlayError> {
     config.check()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -31,7 +31,7 @@
         &config.region_of_zones(),
         config.seed,
     );
-    let script = script::of(config)?;
+    let script = script::generate(config)?;
     let (log, mut log_lines) = mpsc::unbounded_channel();
     let mut cluster = Cluster::new(config, script, schedule.faults, log)
         .await
--- a/crates/testing/process-tests/src/process.rs
+++ b/crates/testing/process-tests/src/process.rs
@@ -1,5 +1,5 @@
-//! One process of the program under test. It is started, signalled and ended by its process id, and its log is
-//! read line by line as it is written.
+//! One process of the program under test: starting it, signalling it by its process id, and reading its log line by
+//! line.
 
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, Read};
@@ -9,38 +9,38 @@
 
 /// A line of a process's log.
 pub(crate) struct LogLine {
-    /// The co-ordinator that wrote it.
+    /// Index of the co-ordinator that wrote the line.
     pub(crate) node: usize,
-    /// The line's JSON object.
+    /// JSON value of the line.
     pub(crate) fields: Value,
 }
 
-/// A clock that differs from the system's, for the environment variable `WOADREACH_CLOCK`.
+/// Deviation of a process's clock from the system clock, passed in the environment variable `WOADREACH_CLOCK`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockSkew {
-    /// How fast it runs; 1 is the system clock's rate.
+    /// Rate of the clock; 1 is the system clock's rate.
     pub(crate) rate: f64,
-    /// Seconds that it is ahead at the start.
+    /// Seconds by which the clock is ahead of the system clock at the start.
     pub(crate) ahead_s: f64,
 }
 
-/// How a process has ended.
+/// Exit status of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessExit {
-    /// With exit code 0.
+    /// The process exited with code 0.
     Success,
-    /// With another exit code, or by a signal.
+    /// The process exited with another code, or was ended by a signal.
     Failure,
 }
 
-/// A running process. It is killed when this is dropped.
+/// A child process. Dropping the value kills it.
 pub(crate) struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts `binary` with a configuration file. Lines of its standard error that are JSON are sent to `log`,
-    /// others are dropped.
+    /// Starts `binary` with a configuration file. Lines of its standard error that are valid JSON are sent to `log`;
+    /// other lines are discarded.
     pub(crate) fn start(
         binary: &Path,
         configuration: &Path,
@@ -62,7 +62,7 @@
             .stderr(Stdio::piped())
             .spawn()?;
         if let Some(stderr) = child.stderr.take() {
-            // Ends with the process.
+            // The thread ends when the process closes its standard error.
             std::thread::spawn(move || forward_log(stderr, node, &log));
         }
         Ok(Process { child })
@@ -71,13 +71,13 @@
     /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: libc::c_int) {
         if let Ok(id) = libc::pid_t::try_from(self.child.id()) {
-            // SAFETY: sends a signal to a child that has not been waited for, so that its id is still its
-            // own.
+            // SAFETY: sends a signal to a child that has not been reaped, so that its process id has not been
+            // reused.
             unsafe { libc::kill(id, signal) };
         }
     }
 
-    /// How it has ended; none while it is running.
+    /// Exit status of the process; `None` while it is running.
     pub(crate) fn exit(&mut self) -> Option<ProcessExit> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(if status.success() {
@@ -90,7 +90,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended is only waited for.
+        // `kill` has no effect on a process that has exited; `wait` reaps it.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/testing/process-tests/src/relay.rs
+++ b/crates/testing/process-tests/src/relay.rs
@@ -1,10 +1,9 @@
-//! The network between zones. All datagrams and connections between zones pass through the relay, which has a
-//! link for each direction between two zones and doesn't interpret the bytes.
+//! The network between zones. The relay forwards all datagrams and connections between zones without interpreting
+//! their bytes. It has one link for each direction between two zones.
 //!
-//! A partitioned link holds back what connections carry, as a network does whose packets are lost, and passes
-//! it on when it is repaired; its datagrams are lost. A connection that is opened meanwhile is accepted by the
-//! relay and then silent, since its SYN can't be held back from here. Connections can also be reset, at both
-//! ends.
+//! A partitioned link drops datagrams. It delays the bytes of connections until it is repaired, as TCP does when
+//! packets are lost. The relay accepts a connection that is opened during the partition but forwards nothing, since a
+//! user-space program cannot hold back the SYN. Connections can also be reset, at both ends.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,26 +16,26 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Bytes of a connection that are read at once.
+/// Maximum number of bytes of a connection that are read at once.
 const STREAM_BUFFER_BYTES: usize = 16 * 1024;
-/// Longer datagrams are truncated.
+/// Maximum length of a datagram in bytes; longer ones are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The condition of a link: one direction between two zones.
+/// Condition of a link, which is one direction between two zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Nothing passes.
+    /// Whether the link drops datagrams and delays the bytes of connections.
     pub is_partitioned: bool,
-    /// Share of the datagrams that are lost.
+    /// Share of datagrams that are lost, 0 to 1.
     pub loss: f64,
 }
 
 /// The two zones of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZonePair {
-    /// The zone of the senders, or of those who open connections.
+    /// Zone of the senders, or of the clients that open connections.
     pub from: usize,
-    /// The zone of the receivers.
+    /// Zone of the receivers, or of the servers.
     pub to: usize,
 }
 
@@ -55,7 +54,7 @@
     reset: Notify,
 }
 
-/// Passes on what is sent between zones, under the condition of each link. Clones share the links.
+/// Forwards datagrams and connections between zones, subject to the condition of each link. Clones share the links.
 #[derive(Clone)]
 pub struct Relay(Rc<Inner>);
 
@@ -66,7 +65,8 @@
 }
 
 impl Relay {
-    /// A relay between this number of zones, all of whose links are sound.
+    /// Creates a relay between `zones` zones, without partitions and losses. `seed` determines which datagrams lossy
+    /// links drop.
     pub fn new(zones: usize, seed: u64) -> Relay {
         let link = |_| Link {
             condition: Cell::default(),
@@ -93,7 +93,7 @@
         self.link(zones).condition.get()
     }
 
-    /// Changes the condition of the link from one zone to another.
+    /// Applies `change` to the condition of the link from one zone to another.
     pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkCondition)) {
         let link = self.link(ZonePair { from, to });
         let mut condition = link.condition.get();
@@ -102,13 +102,13 @@
         link.changed.notify_waiters();
     }
 
-    /// Resets the open connections that were made from one zone to another.
+    /// Resets the open connections that clients in `from` have opened to servers in `to`.
     pub fn reset(&self, from: usize, to: usize) {
         self.link(ZonePair { from, to }).reset.notify_waiters();
     }
 
-    /// Passes on connections that are made to `listen` in one zone, to `to` in another. Returns the address
-    /// that it listens at.
+    /// Forwards connections that clients open to `listen` in the zone `zones.from` to the address `to` in the zone
+    /// `zones.to`. Returns the bound address, whose port is assigned by the kernel if that of `listen` is 0.
     pub async fn relay_connections(
         &self,
         listen: SocketAddr,
@@ -128,7 +128,7 @@
 
     async fn relay_connection(self, mut client: TcpStream, to: SocketAddr, zones: ZonePair) {
         self.wait_until_repaired(zones).await;
-        // If the server refuses, the client sees its connection closed.
+        // If the server refuses the connection, the client's connection is closed.
         let Ok(mut server) = TcpStream::connect(to).await else {
             return;
         };
@@ -136,14 +136,15 @@
         let reset = self.link(zones).reset.notified();
         let (client_read, client_write) = client.split();
         let (server_read, server_write) = server.split();
-        // The end of one side ends both, as a reset does; an orderly end has been passed on by then.
+        // When one direction ends, both connections are closed, as on a reset. An orderly end of stream has been
+        // forwarded by then.
         let is_reset = tokio::select! {
             () = reset => true,
             () = self.forward(client_read, server_write, zones) => false,
             () = self.forward(server_read, client_write, zones.reversed()) => false,
         };
         if is_reset {
-            // Where the option can't be set the connection is closed without a reset.
+            // If the option cannot be set, the connection is closed without a reset.
             let _ = (client.set_zero_linger(), server.set_zero_linger());
         }
     }
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Passes on datagrams that come to `from`; they are sent by `sender`, whose address the receiver sees,
-    /// to `to`.
+    /// Forwards datagrams received on `from` to the address `to`. They are sent through `sender`, whose address the
+    /// receiver sees as the source.
     pub fn relay_datagrams(
         &self,
         from: Rc<UdpSocket>,
@@ -195,7 +196,7 @@
         spawn_local(async move {
             let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
             loop {
-                // An unreachable receiver of the last datagram shows as an error here.
+                // A failed delivery of an earlier datagram may be reported as an error here; it is ignored.
                 if let Ok((length, _)) = from.recv_from(&mut buffer).await {
                     relay.relay_datagram(&buffer[..length], &sender, to, zones);
                 }
@@ -205,13 +206,13 @@
 
     fn relay_datagram(&self, bytes: &[u8], sender: &UdpSocket, to: SocketAddr, zones: ZonePair) {
         let condition = self.condition(zones);
-        if !condition.is_partitioned && !self.happens(condition.loss) {
-            // One that can't be sent at once is lost, as in a network.
+        if !condition.is_partitioned && !self.is_lost(condition.loss) {
+            // A datagram that cannot be sent at once is lost, as in a real network.
             let _ = sender.try_send_to(bytes, to);
         }
     }
 
-    fn happens(&self, share: f64) -> bool {
+    fn is_lost(&self, share: f64) -> bool {
         share > 0.0 && self.0.random.borrow_mut().random_bool(share.min(1.0))
     }
 }
--- a/crates/testing/process-tests/src/scenario.rs
+++ b/crates/testing/process-tests/src/scenario.rs
@@ -1,56 +1,56 @@
-//! The scenarios that can be played; each is named as on the command line. What each of them does and when
-//! is in `schedule.rs`.
+//! The scenarios and their names on the command line. Their actions and times are in `schedule.rs`.
 
 use crate::error::UnknownScenario;
 use std::fmt;
 use std::str::FromStr;
 
-/// Which faults are injected into a cluster of processes.
+/// The set of faults to inject into a cluster of processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing goes wrong.
+    /// No faults.
     Calm,
-    /// A zone's replicas and co-ordinators are killed and started again; the replicas warm up.
+    /// A zone's replicas and co-ordinators are killed and restarted; the restarted replicas warm up.
     ZoneLoss,
     /// A zone is partitioned from the others in both directions.
     ZoneCut,
     /// A zone's replicas are three hundred times slower, which exceeds any latency target.
     ZoneSlow,
-    /// Everything that leaves a zone is lost; what is sent to it arrives.
+    /// A zone's outgoing links are partitioned; its incoming links are not.
     OneWay,
     /// A zone is partitioned for two seconds in every four.
     Flap,
     /// All zones of a region are killed, as in `ZoneLoss`.
     RegionLoss,
-    /// 30 % of datagrams are lost, and nothing else is wrong.
+    /// 30 % of datagrams are lost; there is no other fault.
     Loss30,
-    /// Seven in ten co-ordinators are killed at once and started again.
+    /// Seven in ten co-ordinators are killed at once and restarted.
     MassKill,
-    /// A zone's co-ordinators are paused for some seconds while its replicas serve.
+    /// A zone's co-ordinators are paused for some seconds while its replicas keep serving.
     ZoneStall,
-    /// The lease holder of the first quota allocator's role is paused for longer than a lease and resumed.
+    /// The lease holder of the first quota allocator's role is paused for longer than a lease, then resumed.
     HolderStall,
     /// The lease holder's zone is partitioned from the others in both directions.
     HolderCut,
-    /// The lease holder is killed and started again.
+    /// The lease holder is killed and restarted.
     HolderKill,
-    /// The lease holder's zone is partitioned from the others, of five or more zones together with another one, so
-    /// that the holder is on the minority's side.
+    /// The lease holder's zone is partitioned from the others. If there are five or more zones, another zone is on its
+    /// side, which is the minority.
     SplitBrain,
-    /// Clocks run one per cent fast and slow and are seconds apart; the lease holder is killed.
+    /// Clocks run one per cent fast or slow and differ by seconds; the lease holder is killed.
     Skew,
     /// 30 % of datagrams are lost, and the lease holder is killed.
     LeaseLossy,
-    /// One co-ordinator after another gets SIGTERM while a zone's replicas hang, and is started again.
+    /// A rolling restart while a zone's replicas hang: one co-ordinator after another receives SIGTERM and is
+    /// restarted.
     RollHang,
-    /// Discovery doesn't answer for some seconds; afterwards a zone's replicas are draining.
+    /// Discovery does not answer for some seconds; afterwards a zone's replicas are listed as draining.
     DiscoveryDown,
     /// While all replicas are slow, clients send three times as many searches and abandon them.
     LeaveBurst,
 }
 
 impl Scenario {
-    /// All scenarios, in the order in which they are listed.
+    /// All scenarios, in the order in which the command line lists them.
     pub const ALL: [Scenario; 19] = [
         Scenario::Calm,
         Scenario::ZoneLoss,
@@ -73,7 +73,7 @@
         Scenario::LeaveBurst,
     ];
 
-    /// The scenario's name on the command line and in an outcome.
+    /// Name of the scenario on the command line and in an outcome.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Calm => "calm",
@@ -117,7 +117,7 @@
 }
 
 impl Scenario {
-    /// Whether the faults are injected into a lease holder; the figures of interest are those of leases.
+    /// Whether the faults are injected into a lease holder, so that the lease measurements are the relevant ones.
     pub fn targets_lease_holder(self) -> bool {
         matches!(
             self,
@@ -130,12 +130,12 @@
         )
     }
 
-    /// Whether the clocks of the processes differ.
+    /// Whether the processes' clocks deviate from the system clock.
     pub fn has_clock_skew(self) -> bool {
         self == Scenario::Skew
     }
 
-    /// Seconds under load.
+    /// Duration of the load in seconds.
     pub fn seconds(self) -> f64 {
         match self {
             Scenario::Flap => 34.0,
--- a/crates/testing/process-tests/src/schedule.rs
+++ b/crates/testing/process-tests/src/schedule.rs
@@ -1,15 +1,15 @@
-//! What each scenario does and when: a pure function of the cluster's size and a seed.
+//! The actions of each scenario and their times: a pure function of the scenario, the cluster's size and a seed.
 
 use crate::scenario::Scenario;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One thing that is done to the cluster.
+/// A change that is applied to the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
     /// Kills a zone's replicas.
     KillReplicas(usize),
-    /// Starts a zone's replicas again; they warm up.
+    /// Restarts a zone's replicas; they warm up.
     StartReplicas(usize),
     /// Divides the speed of a zone's replicas by `factor`.
     SlowReplicas {
@@ -18,7 +18,7 @@
         /// 1 restores the full speed.
         factor: f64,
     },
-    /// Partitions one direction between two zones, or repairs it.
+    /// Partitions or repairs the link in one direction between two zones.
     Partition {
         /// The zone of the senders.
         from: usize,
@@ -27,16 +27,16 @@
         /// False repairs the link.
         is_partitioned: bool,
     },
-    /// Loses this share of the datagrams on all links.
+    /// Sets the share of datagrams that are lost on all links.
     LoseDatagrams(f64),
-    /// Has a zone's replicas accept parts without answering any, or answer again.
+    /// Makes a zone's replicas accept parts without answering them, or answer again.
     HangReplicas {
         /// The replicas' zone.
         zone: usize,
-        /// False has them answer again.
+        /// False makes them answer again.
         is_hanging: bool,
     },
-    /// Lists a zone's replicas as draining, or as ready again.
+    /// Lists a zone's replicas as draining or as ready in the endpoint list.
     DrainReplicas {
         /// The replicas' zone.
         zone: usize,
@@ -45,7 +45,7 @@
     },
     /// Makes all discovery agents unresponsive (true), or responsive again.
     SuspendDiscovery(bool),
-    /// Has clients send three times as many searches and abandon them (true), or behave as before.
+    /// Makes clients send three times as many searches and abandon them (true), or behave normally (false).
     AbandonSearches(bool),
     /// Sends SIGKILL to these co-ordinators.
     Kill(Vec<usize>),
@@ -62,32 +62,32 @@
     },
     /// Sends SIGCONT to these co-ordinators.
     Resume(Vec<usize>),
-    /// Injects a fault into whoever holds the lease then, or ends the fault of the holder that the last one
-    /// was injected into.
+    /// Injects a fault into the current lease holder, or ends the fault of the co-ordinator into which the last one was
+    /// injected.
     LeaseHolder(HolderFault),
 }
 
-/// A fault of a lease holder, or its end.
+/// A fault of a lease holder, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HolderFault {
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     Pause,
-    /// SIGCONT.
+    /// Sends SIGCONT.
     Resume,
-    /// SIGKILL.
+    /// Sends SIGKILL.
     Kill,
-    /// Starts it after it was killed.
+    /// Restarts the killed co-ordinator.
     Start,
-    /// Partitions its zone from the others.
+    /// Partitions the holder's zone from the others.
     Partition,
-    /// Partitions its zone from the others, of five or more zones together with another one.
+    /// Partitions the holder's zone from the others. If there are five or more zones, another zone is on its side.
     PartitionMinority,
     /// Repairs all links.
     Repair,
 }
 
 impl HolderFault {
-    /// Whether this injects a fault, rather than ending one.
+    /// Whether this injects a fault rather than ending one.
     pub(crate) fn is_injected(self) -> bool {
         matches!(
             self,
@@ -99,73 +99,76 @@
     }
 }
 
-/// An action and when it is done.
+/// An action and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TimedAction {
-    /// When, in seconds from the start of the load.
+    /// Time of the action, in seconds from the start of the load.
     pub(crate) at_s: f64,
-    /// What is done.
     pub(crate) action: Action,
 }
 
-/// A time in which a zone is at fault, so that taking it out of service is right.
+/// A period in which a zone is faulty, so that ejecting it is correct.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ZoneFault {
-    /// The zone at fault.
+    /// Index of the faulty zone.
     pub(crate) zone: usize,
-    /// When the fault begins, in seconds from the start of the load.
+    /// Start of the fault, in seconds from the start of the load.
     pub(crate) from_s: f64,
-    /// When it ends, in seconds from the start of the load.
+    /// End of the fault, in seconds from the start of the load.
     pub(crate) until_s: f64,
 }
 
-/// What a scenario does.
+/// The actions of a scenario and the zone faults that they cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Schedule {
-    /// In order of their times.
+    /// Actions in order of time.
     pub(crate) actions: Vec<TimedAction>,
-    /// The zones at fault and when they are; a scenario whose faults aren't those of a zone has none.
+    /// Periods in which zones are faulty; empty for scenarios whose faults do not affect a whole zone.
     pub(crate) faults: Vec<ZoneFault>,
 }
 
-/// Seconds from the start of the load to the first fault: members know each other and latency samples are in.
+/// Seconds from the start of the load to the first fault. By then the members know each other and latency
+/// samples have been collected.
 const FAULT_START: f64 = 6.0;
-/// Seconds from the start of the load to the end of that fault.
+/// Seconds from the start of the load to the end of the first fault.
 const FAULT_END: f64 = FAULT_START + 5.0;
-/// Seconds from the start of the load by which somebody holds the lease: a lease's time-out and a proposal.
+/// Seconds from the start of the load to the first fault of a lease holder. By then a co-ordinator has acquired the
+/// lease, which takes a lease's time-out and a proposal.
 const HOLDER_FAULT_START: f64 = 8.0;
-/// Seconds between the two faults of lease holders, so that one run measures two hand-overs.
+/// Seconds between the two faults of lease holders, so that one run measures two handovers.
 const HOLDER_FAULT_INTERVAL: f64 = 10.0;
-/// Seconds from SIGTERM until the next start: the process has ended by then, or has been killed.
+/// Seconds from SIGTERM until the process is restarted. By then the process has exited, or its late exit has been
+/// recorded; a process that still runs is killed by the restart.
 const RESTART_DELAY: f64 = 3.0;
-/// How many seconds the fault of a lease holder lasts: longer than a lease and a proposal.
+/// Duration of a fault of a lease holder in seconds: longer than a lease and a proposal.
 pub(crate) const HOLDER_FAULT_SECONDS: f64 = 6.0;
-/// How often a flapping zone is partitioned.
+/// Number of times that a flapping zone is partitioned.
 const FLAP_COUNT: u32 = 6;
 /// Seconds from the start of one partition of a flapping zone to the start of the next.
 const FLAP_INTERVAL: f64 = 4.0;
-/// How many seconds each of them lasts.
+/// Duration of each partition of a flapping zone in seconds.
 const FLAP_SECONDS: f64 = 2.0;
-/// How many times slower the replicas of a slow zone are: beyond any latency target.
+/// Factor by which the replicas of a slow zone are slower; their latency exceeds any latency target.
 const SLOW_FACTOR: f64 = 300.0;
-/// How many times slower all replicas are while clients abandon their searches.
+/// Factor by which all replicas are slower while clients abandon their searches.
 const ABANDON_SLOW_FACTOR: f64 = 30.0;
-/// Seconds by which replicas are slow before clients abandon their searches.
+/// Seconds from the slowdown of the replicas until clients start to abandon their searches.
 const ABANDON_LEAD: f64 = 0.5;
-/// Seconds by which replicas hang before the first co-ordinator is restarted.
+/// Seconds from the start of the replicas' hang until the first co-ordinator is terminated.
 const HANG_LEAD: f64 = 0.2;
-/// Seconds between the restarts of two co-ordinators.
+/// Seconds between the SIGTERMs of successive co-ordinators.
 const RESTART_INTERVAL: f64 = 2.0;
-/// Seconds from discovery's return until a zone's replicas are listed as draining, and as ready again.
+/// Seconds from the recovery of discovery until a zone's replicas are listed as draining.
 const DRAIN_DELAY: f64 = 0.3;
+/// Seconds from the recovery of discovery until these replicas are listed as ready again.
 const READY_DELAY: f64 = 8.0;
-/// Seconds from the kill of many co-ordinators until they are started again.
+/// Seconds from a mass kill of co-ordinators until they are restarted.
 const MASS_KILL_SECONDS: f64 = 3.0;
-/// Share of the datagrams that lossy links lose.
+/// Share of datagrams that lossy links drop.
 const LOSS: f64 = 0.3;
 
 impl Schedule {
-    /// What `scenario` does to a cluster of this size. `regions` gives the region of each zone.
+    /// Creates the schedule of `scenario` for a cluster of this size. `regions` maps each zone to its region.
     pub(crate) fn new(
         scenario: Scenario,
         co_ordinators: usize,
@@ -191,7 +194,7 @@
 struct Planner<'a> {
     co_ordinators: usize,
     regions: &'a [usize],
-    /// The zone at fault, in scenarios that have one.
+    /// The faulty zone, in scenarios that have one.
     zone: usize,
     random: Pcg64Mcg,
     schedule: Schedule,
@@ -209,17 +212,21 @@
             Scenario::OneWay => self.partition_outgoing(),
             Scenario::Flap => self.flap(),
             Scenario::ZoneStall => self.pause_zone(),
-            Scenario::HolderStall => self.disturb_holder(HolderFault::Pause, HolderFault::Resume),
-            Scenario::HolderCut => self.disturb_holder(HolderFault::Partition, HolderFault::Repair),
+            Scenario::HolderStall => {
+                self.inject_holder_faults(HolderFault::Pause, HolderFault::Resume)
+            }
+            Scenario::HolderCut => {
+                self.inject_holder_faults(HolderFault::Partition, HolderFault::Repair)
+            }
             Scenario::SplitBrain => {
-                self.disturb_holder(HolderFault::PartitionMinority, HolderFault::Repair);
+                self.inject_holder_faults(HolderFault::PartitionMinority, HolderFault::Repair);
             }
             Scenario::HolderKill | Scenario::Skew => {
-                self.disturb_holder(HolderFault::Kill, HolderFault::Start);
+                self.inject_holder_faults(HolderFault::Kill, HolderFault::Start);
             }
             Scenario::LeaseLossy => {
                 self.add(0.0, Action::LoseDatagrams(LOSS));
-                self.disturb_holder(HolderFault::Kill, HolderFault::Start);
+                self.inject_holder_faults(HolderFault::Kill, HolderFault::Start);
             }
             Scenario::RollHang => self.restart_while_replicas_hang(),
             Scenario::DiscoveryDown => self.suspend_discovery(),
@@ -250,14 +257,14 @@
             .collect()
     }
 
-    /// All zones but the one at fault.
+    /// All zones except the faulty one.
     fn other_zones(&self) -> Vec<usize> {
         (0..self.zones())
             .filter(|zone| *zone != self.zone)
             .collect()
     }
 
-    /// The zones of the region of the zone at fault.
+    /// All zones in the region of the faulty zone.
     fn zones_of_region(&self) -> Vec<usize> {
         (0..self.zones())
             .filter(|zone| self.regions[*zone] == self.regions[self.zone])
@@ -328,7 +335,7 @@
         self.add(FAULT_END, Action::Resume(nodes));
     }
 
-    fn disturb_holder(&mut self, fault: HolderFault, end: HolderFault) {
+    fn inject_holder_faults(&mut self, fault: HolderFault, end: HolderFault) {
         for at in [
             HOLDER_FAULT_START,
             HOLDER_FAULT_START + HOLDER_FAULT_INTERVAL,
--- a/crates/testing/process-tests/src/script.rs
+++ b/crates/testing/process-tests/src/script.rs
@@ -1,21 +1,21 @@
-//! The fleet, its settings and its load, in the form that `woadreach-simulation` reads.
+//! Generates the script with the fleet, its settings and its load, in the format of `woadreach-simulation`.
 
 use crate::config::PlayConfig;
 use crate::error::{InvalidScriptSnafu, PlayError};
 use snafu::ResultExt;
 use woadreach_simulation::Script;
 
-/// Replicas of each of two shard groups in each zone.
+/// Number of replicas of each of the two shard groups in each zone.
 const REPLICAS_PER_ZONE: usize = 3;
 
-/// A query type of the load; the script has the other figures, which are the same for all.
+/// A query type of the load. The settings that are the same for all query types are in `query_type_text`.
 struct QueryType {
     name: &'static str,
     /// Share of all searches, relative to the other query types.
     share: f64,
-    /// Whether its parts may run again, as scripts name it.
+    /// Whether parts of a search may be executed more than once: the value of the script key `repeats`.
     repeats: &'static str,
-    /// Least share of the weight that an answer may have.
+    /// Minimum share of the weight that an answer must have.
     floor: f64,
 }
 
@@ -36,8 +36,8 @@
 
 const PEERS: &str = "[peers]\nlost = 0.0\ndoubled = 0.0\nlate = 0.0\n";
 
-/// The script of a play.
-pub(crate) fn of(config: &PlayConfig) -> Result<Script, PlayError> {
+/// Generates the script of a run.
+pub(crate) fn generate(config: &PlayConfig) -> Result<Script, PlayError> {
     Script::read("cluster", &text(config)).context(InvalidScriptSnafu)
 }
 
--- a/crates/testing/process-tests/tests/recorded.rs
+++ b/crates/testing/process-tests/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! The names of scenarios on the command line, which stay as they are.
+//! Guards the names of scenarios on the command line, which are stable.
 
 use woadreach_process_tests::Scenario;
 
@@ -18,7 +18,9 @@
 
 #[test]
 fn unknown_scenario_error_lists_all_names() {
-    let error = "Calm".parse::<Scenario>().expect_err("it is no scenario");
+    let error = "Calm"
+        .parse::<Scenario>()
+        .expect_err("names of scenarios are case-sensitive");
     assert_eq!(
         error.to_string(),
         format!("no such scenario; there are {NAMES}")
--- a/crates/testing/process-tests/tests/unit/measurements.rs
+++ b/crates/testing/process-tests/tests/unit/measurements.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use recorded::Records;
 
-/// Lines as processes log them.
+/// Log lines in the format of `woadreachd`.
 const LOGGED: [&str; 6] = [
     r#"{"timestamp":"2026-03-01T00:00:01.500000Z","level":"INFO","message":"role action performed","role":"QuotaAllocator(0)","epoch":3}"#,
     r#"{"timestamp":"2026-03-01T00:00:02.000000Z","level":"INFO","message":"role action performed","role":"QuotaAllocator(0)","epoch":4}"#,
@@ -17,10 +17,10 @@
     r#"{"level":"INFO","message":"membership reported","live":3,"roster":3,"partitioned":false,"datagrams_sent":40,"bytes_sent":2000,"datagrams_received":40}"#,
 ];
 
-/// 2026-03-01T00:00:00Z.
+/// 2026-03-01T00:00:00Z in Unix seconds.
 const LOAD_STARTED_AT: f64 = 1_772_323_200.0;
 
-/// An outcome in which nothing of the log has been measured yet.
+/// An outcome before any measurement is filled in.
 fn outcome() -> Outcome {
     Outcome {
         scenario: Scenario::ZoneCut.name(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The outcome of the logged lines, with a zone at fault and a fault injected into a lease holder.
+/// The outcome measured from `LOGGED`, with a faulty zone and a fault injected into a lease holder.
 fn measured() -> Outcome {
     let mut measurements = Measurements::new(
         2,
@@ -51,7 +51,7 @@
     measurements.record_load_start(LOAD_STARTED_AT);
     measurements.record_process_start(0);
     for (node, line) in [0, 1, 0, 0, 0, 0].into_iter().zip(LOGGED) {
-        let fields = serde_json::from_str(line).expect("it is JSON");
+        let fields = serde_json::from_str(line).expect("the log line is valid JSON");
         measurements.record_log_line(LOAD_STARTED_AT + 4.5, &LogLine { node, fields });
     }
     assert_eq!(measurements.lease_holder(), Some(1));
@@ -98,7 +98,7 @@
         "/tests/recorded/outcome.txt"
     ));
     for (name, outcome) in [("nothing told", outcome()), ("told", measured())] {
-        let today = serde_json::to_string(&outcome).expect("it is JSON");
+        let today = serde_json::to_string(&outcome).expect("an outcome can be serialized");
         assert_eq!(outcomes.text(name, &today), today, "{name}");
     }
 }
