--- a/crates/cli/src/cluster.rs
+++ b/crates/cli/src/cluster.rs
@@ -1,4 +1,4 @@
-//! `woadreach cluster`: real processes of the program on loopback, under faults between them.
+//! `woadreach cluster`: runs co-ordinator processes on loopback and injects faults between them.
 
 use crate::Finding;
 use crate::error::{CommandError, JsonSnafu, OwnPathSnafu, PlayScenarioSnafu};
@@ -8,24 +8,24 @@
 use std::path::PathBuf;
 use woadreach_process_tests::{Outcome, PlayConfig, RoleOutcome, Scenario, play};
 
-/// What to do with processes.
+/// Subcommands of `woadreach cluster`.
 #[derive(Subcommand)]
 pub(crate) enum Action {
-    /// Starts co-ordinators in their zones, puts a scenario's faults between them, and says how they fared
+    /// Starts co-ordinators in zones, injects the faults of a scenario, and reports the outcome
     #[command(
         after_help = "Example: woadreach cluster play zone-loss --coordinators 6 --zones 3 --seed 1\n\
                             Exit code 1 if a rule broke, a process crashed or a singleton role was held twice."
     )]
     Play(Play),
-    /// Names the scenarios
+    /// Lists the scenarios
     Scenarios,
 }
 
 #[derive(Args)]
 pub(crate) struct Play {
-    /// What goes wrong: see `woadreach cluster scenarios`
+    /// Faults to inject; `woadreach cluster scenarios` lists the names
     scenario: Scenario,
-    /// Processes of the program under test, dealt out among the zones
+    /// Number of co-ordinator processes, distributed among the zones
     #[arg(long, default_value_t = 6)]
     coordinators: usize,
     #[arg(long, default_value_t = 3)]
@@ -34,19 +34,19 @@
     regions: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Searches a second at each co-ordinator
+    /// Searches per second at each co-ordinator
     #[arg(long, default_value_t = 120.0)]
     rate: f64,
-    /// Keeps them from exchanging messages, so that each decides alone
+    /// Disables messages between co-ordinators, so that each decides alone
     #[arg(long)]
     alone: bool,
-    /// Leaves ties between replicas to chance, as without the setting `failover.near`
+    /// Breaks ties between replicas at random, as without the setting `failover.near`
     #[arg(long)]
     spread: bool,
-    /// Has each do every singleton role for itself
+    /// Disables leases: each co-ordinator performs every singleton role for itself
     #[arg(long)]
     no_duties: bool,
-    /// The program under test; `woadreachd` beside this one if not given
+    /// Program under test [default: `woadreachd` in the folder of this program]
     #[arg(long, value_name = "FILE")]
     binary: Option<PathBuf>,
     #[arg(long, value_enum, default_value_t = Format::Text)]
@@ -61,12 +61,12 @@
             Scenario::ALL
                 .iter()
                 .for_each(|scenario| println!("{scenario}"));
-            Ok(Finding::Nothing)
+            Ok(Finding::NoProblem)
         }
     }
 }
 
-/// The program that is under test if none is named: `woadreachd`, built beside this one.
+/// Path of the default program under test: `woadreachd` in the folder of this executable.
 fn default_binary() -> Result<PathBuf, CommandError> {
     let own = std::env::current_exe().context(OwnPathSnafu)?;
     let path = own.with_file_name("woadreachd");
@@ -99,9 +99,9 @@
     let has_failed =
         outcome.broken_invariants > 0 || outcome.crashes > 0 || outcome.roles.two_holders > 0;
     Ok(if has_failed {
-        Finding::Something
+        Finding::Problem
     } else {
-        Finding::Nothing
+        Finding::NoProblem
     })
 }
 
@@ -118,13 +118,13 @@
         outcome.broken_invariants, outcome.crashes
     );
     println!(
-        "served in time {:.3} of {} searches",
+        "answered in time: {:.3} of {} searches",
         outcome.served_share, outcome.searches
     );
     print_failovers(outcome);
     print_roles(&outcome.roles);
     println!(
-        "a second a member: {:.1} datagrams, {:.0} bytes",
+        "per co-ordinator and second: {:.1} datagrams, {:.0} bytes",
         outcome.datagrams_per_s_per_member, outcome.bytes_per_s_per_member
     );
 }
@@ -133,7 +133,7 @@
     if outcome.expected > 0 {
         let seconds = |s: Option<f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
         println!(
-            "verdict held by {} of {} outside, after {} (half), {} (0.99)",
+            "verdicts adopted outside the zones at fault: {} of {}, after {} (median), {} (p99)",
             outcome.agreed,
             outcome.expected,
             seconds(outcome.agree_s_p50),
@@ -141,12 +141,12 @@
         );
     }
     println!(
-        "false shifts {}, flaps {}",
+        "false failovers {}, flaps {}",
         outcome.false_failovers, outcome.flaps
     );
     if let Some(near) = outcome.near_share_safe {
         println!(
-            "near while safe {near:.3}, by an even spread {:.3}",
+            "share sent within the zone while no zone was at fault {near:.3}, {:.3} if spread evenly",
             outcome.near_share_even
         );
     }
@@ -154,12 +154,12 @@
 
 fn print_roles(roles: &RoleOutcome) {
     println!(
-        "acts under a lease {}, of two holders {}, refused as stale {}",
+        "actions under a lease {}, by two holders {}, rejected as stale {}",
         roles.actions, roles.two_holders, roles.stale_actions_rejected
     );
-    if let (Some(median), Some(highest)) = (roles.handover_s_p50, roles.handover_s_p99) {
+    if let (Some(median), Some(p99)) = (roles.handover_s_p50, roles.handover_s_p99) {
         println!(
-            "handed on {} of {} times, after {median:.2} s (half), {highest:.2} s (0.99), with leases of {} s",
+            "handovers {} of {} holder faults, after {median:.2} s (median), {p99:.2} s (p99), with leases of {} s",
             roles.handovers, roles.holder_faults, roles.lease_s
         );
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,67 +1,68 @@
-//! What can go wrong with a command; each ends the program with exit code 2.
+//! Errors of commands. Each ends the program with exit code 2.
 
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
 
-/// Bad use, or an input that can't be used.
+/// Invalid usage or input, or a failure of the environment.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CommandError {
-    /// An option has a value that can't be used, or doesn't go with another.
+    /// The value of an option is out of range, or the option conflicts with another.
     #[snafu(display("{option}: {expected}"))]
     Usage {
         option: &'static str,
+        /// What was expected; shown after the name of the option.
         expected: &'static str,
     },
-    /// Neither a seed nor a file that can be read.
-    #[snafu(display("{path}: {source}; expected a seed or a script"))]
+    /// The argument is neither a seed nor the path of a readable file.
+    #[snafu(display("cannot read {path}: {source}; expected a seed or a script"))]
     ReadScript { path: String, source: io::Error },
-    /// A file or folder can't be written.
-    #[snafu(display("{}: {source}", path.display()))]
+    /// A file or folder cannot be written.
+    #[snafu(display("cannot write {}: {source}", path.display()))]
     Write { path: PathBuf, source: io::Error },
-    /// A thread that plays has panicked.
-    #[snafu(display("a thread has died"))]
+    /// A worker thread panicked during a run.
+    #[snafu(display("a worker thread panicked"))]
     ThreadPanicked,
-    /// A mutation that doesn't exist.
+    /// No mutation has this name.
     #[cfg(feature = "mutations")]
     #[snafu(display("no such mutation: {name}"))]
     UnknownMutation { name: String },
-    /// A build without the feature.
+    /// The program was built without the feature `mutations`.
     #[cfg(not(feature = "mutations"))]
     #[snafu(display("this build has no mutations: build it with --features mutations"))]
     NoMutations,
-    /// The path of the running program isn't known.
-    #[snafu(display("this program's place: {source}"))]
+    /// The path of this executable cannot be determined.
+    #[snafu(display("cannot determine the path of this executable: {source}"))]
     OwnPath { source: io::Error },
-    /// The program under test isn't there.
+    /// There is no program under test at this path.
     #[snafu(display(
         "no program at {}; build it (cargo build --release) or name it with --binary",
         path.display()
     ))]
     NoProgram { path: PathBuf },
-    /// The file of `woadreach status` can't be used.
+    /// The machine list of `woadreach status` cannot be read or is invalid.
     #[snafu(display("{source}"))]
     StatusFile {
         source: crate::status::machines::MachineListError,
     },
-    /// The asynchronous runtime can't be started.
-    #[snafu(display("runtime: {source}"))]
+    /// The asynchronous runtime cannot be started.
+    #[snafu(display("cannot start the asynchronous runtime: {source}"))]
     Runtime { source: io::Error },
-    /// A result can't be printed as JSON.
+    /// A result cannot be serialized to JSON.
     #[snafu(display("{source}"))]
     Json { source: serde_json::Error },
-    /// A scenario can't be played with real processes.
+    /// A scenario cannot be played with real processes.
     #[snafu(display("{source}"))]
     PlayScenario {
         source: woadreach_process_tests::PlayError,
     },
-    /// The text of a script is invalid; the source names its file and the place.
+    /// The text of a script is invalid; the source names the file and the position.
     #[snafu(display("{source}"))]
     InvalidScript {
         source: woadreach_simulation::ScriptError,
     },
-    /// A script can't be played on loopback sockets.
+    /// A script cannot be played on loopback sockets.
     #[snafu(display("{source}"))]
     PlayOnSockets {
         source: woadreach_simulation::SocketsError,
--- a/crates/cli/src/faults/compare.rs
+++ b/crates/cli/src/faults/compare.rs
@@ -1,27 +1,27 @@
 //! `woadreach faults compare`: plays a script without its faults on loopback sockets and on the virtual clock.
 
-use super::script::script;
+use super::script::load_script;
 use crate::Finding;
 use crate::error::{CommandError, PlayOnSocketsSnafu};
-use crate::output::{Format, json};
+use crate::output::{Format, to_json};
 use clap::Args;
 use serde::Serialize;
 use snafu::ResultExt;
 use woadreach_simulation::{Options, Outcome, Script, on_sockets, play};
 
-/// Largest difference of the shares answered in time: on the virtual clock the service must not look better than on
-/// sockets.
+/// Maximum difference between the shares of searches answered in time. The simulation must not make the service look
+/// better than it is on real sockets.
 const MAX_DIFFERENCE: f64 = 0.02;
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// A seed, or the file of a script
+    /// A seed, or the path of a script
     script: String,
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
 
-/// A figure of both runs; in JSON an array with that of the sockets first.
+/// A figure of both runs. Serialized as an array: sockets first, virtual clock second.
 #[derive(Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "[T; 2]")]
 struct BothRuns<T: Copy + Serialize> {
@@ -35,12 +35,12 @@
     }
 }
 
-/// Both runs side by side.
+/// Figures of both runs.
 #[derive(Serialize)]
 struct Comparison {
-    /// Share of the searches answered in time.
+    /// Share of the searches answered in time on sockets, 0 to 1.
     sockets: f64,
-    /// Share of the searches answered in time.
+    /// Share of the searches answered in time on the virtual clock, 0 to 1.
     virtual_clock: f64,
     searches: BothRuns<u64>,
     #[serde(rename = "sub_requests")]
@@ -48,11 +48,11 @@
     breaches: BothRuns<usize>,
 }
 
-/// Plays both and prints them side by side.
+/// Plays the script on sockets and on the virtual clock, and prints the figures of both runs.
 pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
     let script = Script {
         faults: Vec::new(),
-        ..script(&arguments.script, false)?
+        ..load_script(&arguments.script, false)?
     };
     let outcomes = Outcomes {
         sockets: on_sockets(&script).context(PlayOnSocketsSnafu)?,
@@ -60,20 +60,20 @@
     };
     let comparison = outcomes.compare();
     match arguments.format {
-        Format::Json => println!("{}", json(&comparison)),
+        Format::Json => println!("{}", to_json(&comparison)),
         Format::Text => {
             print("sockets", &outcomes.sockets);
             print("virtual clock", &outcomes.virtual_clock);
         }
     }
-    Ok(if comparison.is_good() {
-        Finding::Nothing
+    Ok(if comparison.is_acceptable() {
+        Finding::NoProblem
     } else {
-        Finding::Something
+        Finding::Problem
     })
 }
 
-/// What both runs have shown.
+/// Outcomes of both runs.
 struct Outcomes {
     sockets: Outcome,
     virtual_clock: Outcome,
@@ -90,17 +90,17 @@
         }
     }
 
-    fn figure<T: Copy + Serialize>(&self, of: impl Fn(&Outcome) -> T) -> BothRuns<T> {
+    fn figure<T: Copy + Serialize>(&self, select: impl Fn(&Outcome) -> T) -> BothRuns<T> {
         BothRuns {
-            sockets: of(&self.sockets),
-            virtual_clock: of(&self.virtual_clock),
+            sockets: select(&self.sockets),
+            virtual_clock: select(&self.virtual_clock),
         }
     }
 }
 
 impl Comparison {
-    /// Whether no rule broke and the shares answered in time are close to each other.
-    fn is_good(&self) -> bool {
+    /// Whether no rule broke and the shares answered in time differ by at most `MAX_DIFFERENCE`.
+    fn is_acceptable(&self) -> bool {
         let difference = (self.sockets - self.virtual_clock).abs();
         let has_breaches = self.breaches.sockets > 0 || self.breaches.virtual_clock > 0;
         difference <= MAX_DIFFERENCE && !has_breaches
--- a/crates/cli/src/faults/mod.rs
+++ b/crates/cli/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! `woadreach faults`: plays seeds on the virtual clock, replays one, shrinks a failing script.
+//! `woadreach faults`: plays simulated runs with seeded faults on a virtual clock, and shrinks failing scripts.
 
 mod compare;
 mod draw;
@@ -14,26 +14,25 @@
 use crate::error::CommandError;
 use clap::Subcommand;
 
-/// What to do with seeds and scripts.
+/// Subcommands of `woadreach faults`.
 #[derive(Subcommand)]
 pub(crate) enum Action {
-    /// Plays seeds, and says which break a rule
+    /// Plays a range of seeds, and reports which break a rule
     #[command(after_help = "Example: woadreach faults run --seeds 0..10000 --jobs 4")]
     Run(run::Arguments),
-    /// Plays one seed or script again, byte for byte
+    /// Plays one seed or script again; the events are the same byte for byte
     #[command(after_help = "Example: woadreach faults replay 4711 --trace trace.jsonl")]
     Replay(replay::Arguments),
-    /// Cuts a script down to the smallest that still breaks the same rule
+    /// Reduces a script to the smallest that still breaks the same rule
     #[command(after_help = "Example: woadreach faults shrink 4711 --out small.toml")]
     Shrink(shrink::Arguments),
     /// Prints the script of a seed
     Draw(draw::Arguments),
     /// Plays a script without its faults on loopback sockets and on the virtual clock, side by side
-    #[command(
-        after_help = "Example: woadreach faults compare calm.toml; exit code 1 if more than 0.02 apart"
-    )]
+    #[command(after_help = "Example: woadreach faults compare calm.toml\n\
+                            Exit code 1 if a rule broke or the shares answered in time are more than 0.02 apart.")]
     Compare(compare::Arguments),
-    /// Switches known defences off, one at a time, and says after how many seeds each is missed
+    /// Disables known defences, one at a time, and reports how many seeds it takes until a rule breaks
     #[command(after_help = "Needs a build with --features mutations")]
     Mutations(mutations::Arguments),
 }
--- a/crates/cli/src/faults/mutations.rs
+++ b/crates/cli/src/faults/mutations.rs
@@ -1,6 +1,7 @@
-//! `woadreach faults mutations`: switches known defences off, and says after how many seeds each is missed.
+//! `woadreach faults mutations`: disables known defences one at a time, and reports how many seeds it
+//! takes until a rule breaks.
 
-use super::script::seeds;
+use super::script::parse_seeds;
 use crate::output::Format;
 use clap::Args;
 use std::ops::Range;
@@ -8,53 +9,53 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// From the first to before the last
-    #[arg(long, value_parser = seeds, value_name = "A..B", default_value = "0..10000")]
+    /// Range of seeds; B is excluded
+    #[arg(long, value_parser = parse_seeds, value_name = "A..B", default_value = "0..10000")]
     seeds: Range<u64>,
-    /// These only
+    /// Tests only these mutations
     #[arg(long, value_delimiter = ',', value_name = "MUTATION,..")]
     only: Vec<String>,
-    /// Threads; the cores of this machine if not given
+    /// Number of threads [default: one for each core]
     #[arg(long)]
     jobs: Option<usize>,
-    /// Writes the smallest script that shows each to this folder
+    /// Writes the smallest script that exposes each mutation to this folder
     #[arg(long, value_name = "FOLDER")]
     scripts: Option<PathBuf>,
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
 
-#[cfg(feature = "mutations")]
-pub(super) use hunting::execute;
 #[cfg(not(feature = "mutations"))]
-pub(super) use without_mutations::execute;
+pub(super) use disabled::execute;
+#[cfg(feature = "mutations")]
+pub(super) use enabled::execute;
 
 #[cfg(not(feature = "mutations"))]
-mod without_mutations {
+mod disabled {
     use super::Arguments;
     use crate::Finding;
     use crate::error::CommandError;
 
-    /// Fails, since this build has no mutations.
+    /// Returns an error: this build does not have the feature `mutations`.
     pub(crate) fn execute(_: &Arguments) -> Result<Finding, CommandError> {
         Err(CommandError::NoMutations)
     }
 }
 
 #[cfg(feature = "mutations")]
-mod hunting {
+mod enabled {
     use super::super::parallel::play_all;
-    use super::super::script::write;
+    use super::super::script::write_file;
     use super::Arguments;
     use crate::Finding;
     use crate::error::{CommandError, UnknownMutationSnafu, WriteSnafu};
-    use crate::output::{Format, json};
+    use crate::output::{Format, to_json};
     use snafu::{ResultExt, ensure};
     use std::collections::BTreeMap;
     use std::path::Path;
     use woadreach_simulation::mutations::{Hunted, hunt, names};
 
-    /// Hunts each mutation and prints which seed has found it.
+    /// Plays seeds under each mutation and prints the first seed that breaks a rule.
     pub(crate) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
         let names = chosen_names(&arguments.only)?;
         let found = play_all(0..names.len() as u64, arguments.jobs, |index| {
@@ -69,13 +70,13 @@
             write_scripts(folder, &found)?;
         }
         match arguments.format {
-            Format::Json => println!("{}", json(&found.values().collect::<Vec<_>>())),
+            Format::Json => println!("{}", to_json(&found.values().collect::<Vec<_>>())),
             Format::Text => found.values().for_each(print),
         }
         Ok(if found.values().all(|hunted| hunted.seed.is_some()) {
-            Finding::Nothing
+            Finding::NoProblem
         } else {
-            Finding::Something
+            Finding::Problem
         })
     }
 
@@ -97,7 +98,7 @@
         std::fs::create_dir_all(folder).context(WriteSnafu { path: folder })?;
         for (name, hunted) in found {
             if let Some(small) = &hunted.small {
-                write(&folder.join(format!("{name}.toml")), &small.script.text())?;
+                write_file(&folder.join(format!("{name}.toml")), &small.script.text())?;
             }
         }
         Ok(())
--- a/crates/cli/src/faults/parallel.rs
+++ b/crates/cli/src/faults/parallel.rs
@@ -1,4 +1,4 @@
-//! Plays many runs on several threads.
+//! Distributes runs over threads.
 
 use crate::error::CommandError;
 use std::collections::BTreeMap;
@@ -6,8 +6,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Calls `play` with each number of a range, on `jobs` threads or one for each core. The results come by number,
-/// without those for which `play` returned nothing.
+/// Calls `play` with each number of the range on `jobs` threads, by default one per core. Returns the results by
+/// number, without the numbers for which `play` returned `None`.
 pub(super) fn play_all<T: Send>(
     numbers: Range<u64>,
     jobs: Option<usize>,
--- a/crates/cli/src/faults/replay.rs
+++ b/crates/cli/src/faults/replay.rs
@@ -1,9 +1,9 @@
 //! `woadreach faults replay`: plays one seed or script again.
 
-use super::script::{ScriptArguments, write};
+use super::script::{ScriptArguments, write_file};
 use crate::Finding;
 use crate::error::CommandError;
-use crate::output::{Format, json, print_proof};
+use crate::output::{Format, print_breach, to_json};
 use clap::Args;
 use std::path::PathBuf;
 use woadreach_simulation::{Options, Outcome, play};
@@ -12,10 +12,10 @@
 pub(crate) struct Arguments {
     #[command(flatten)]
     script: ScriptArguments,
-    /// Writes every event there, one JSON object a line
+    /// Writes every event to this file, one JSON object per line
     #[arg(long, value_name = "FILE")]
     trace: Option<PathBuf>,
-    /// Writes what the co-ordinators log to standard error, in their order
+    /// Writes the logs of the co-ordinators to standard error, in the order of the run
     #[arg(long)]
     log: bool,
     #[arg(long, value_enum, default_value_t = Format::Text)]
@@ -24,7 +24,7 @@
 
 /// Plays the script and prints its outcome.
 pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
-    let script = arguments.script.script()?;
+    let script = arguments.script.load()?;
     if arguments.log {
         log_to_standard_error();
     }
@@ -34,17 +34,17 @@
     };
     let outcome = play(&script, options);
     if let Some(path) = &arguments.trace {
-        let lines: Vec<String> = outcome.trace.iter().map(json).collect();
-        write(path, &(lines.join("\n") + "\n"))?;
+        let lines: Vec<String> = outcome.trace.iter().map(to_json).collect();
+        write_file(path, &(lines.join("\n") + "\n"))?;
     }
     match arguments.format {
-        Format::Json => println!("{}", json(&outcome)),
+        Format::Json => println!("{}", to_json(&outcome)),
         Format::Text => print(&outcome),
     }
     Ok(if outcome.breaches.is_empty() {
-        Finding::Nothing
+        Finding::NoProblem
     } else {
-        Finding::Something
+        Finding::Problem
     })
 }
 
@@ -68,11 +68,13 @@
         outcome.steps
     );
     for recovery in &outcome.recoveries {
-        let back = recovery.back_after_s.map_or("not back".into(), |seconds| {
-            format!("back after {seconds:.2} s")
-        });
+        let recovery_time = recovery
+            .back_after_s
+            .map_or("not recovered".into(), |seconds| {
+                format!("recovered after {seconds:.2} s")
+            });
         println!(
-            "{:>7.2} s {} for {} s: {:.3} before, {:.3} meanwhile, {back}, {:.1} lost",
+            "{:>7.2} s {} for {} s: {:.3} before, {:.3} during, {recovery_time}, {:.1} searches missed",
             recovery.started_at_s,
             recovery.kind,
             recovery.duration_s,
@@ -81,5 +83,5 @@
             recovery.missed_searches
         );
     }
-    outcome.breaches.iter().for_each(print_proof);
+    outcome.breaches.iter().for_each(print_breach);
 }
--- a/crates/cli/src/faults/run.rs
+++ b/crates/cli/src/faults/run.rs
@@ -1,11 +1,11 @@
-//! `woadreach faults run`: plays seeds, and says which break a rule.
+//! `woadreach faults run`: plays a range of seeds, and reports which break a rule.
 
 use super::parallel::play_all;
-use super::script::{drawn, kind, seeds};
+use super::script::{draw_script, parse_fault_kind, parse_seeds};
 use super::summary::Summary;
 use crate::Finding;
 use crate::error::CommandError;
-use crate::output::{Format, describe, json};
+use crate::output::{Format, format_breach, to_json};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
@@ -13,24 +13,24 @@
 use std::time::Instant;
 use woadreach_simulation::{Options, Outcome, play};
 
-/// The lengths of a run that `--until` accepts, in seconds.
+/// Durations of a run that `--until` accepts.
 const UNTIL_SECONDS: RangeInclusive<f64> = 1.0..=600.0;
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// From the first to before the last
-    #[arg(long, value_parser = seeds, value_name = "A..B")]
+    /// Range of seeds; B is excluded
+    #[arg(long, value_parser = parse_seeds, value_name = "A..B")]
     seeds: Range<u64>,
-    /// Threads; the cores of this machine if not given
+    /// Number of threads [default: one for each core]
     #[arg(long)]
     jobs: Option<usize>,
-    /// Draws these kinds of faults only
-    #[arg(long, value_delimiter = ',', value_parser = kind, value_name = "KIND,..")]
+    /// Draws only faults of these kinds
+    #[arg(long, value_delimiter = ',', value_parser = parse_fault_kind, value_name = "KIND,..")]
     only: Vec<String>,
-    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
+    /// Draws whole-tier scripts: 20 and 30 co-ordinators, and replicas that start together
     #[arg(long)]
     tier: bool,
-    /// Seconds under load, for every seed
+    /// Duration of load in each run
     #[arg(long, value_name = "SECONDS")]
     until: Option<f64>,
     #[arg(long, value_enum, default_value_t = Format::Text)]
@@ -38,7 +38,7 @@
 }
 
 impl Arguments {
-    fn check(&self) -> Result<(), CommandError> {
+    fn check_ranges_and_conflicts(&self) -> Result<(), CommandError> {
         if self
             .until
             .is_some_and(|seconds| !UNTIL_SECONDS.contains(&seconds))
@@ -51,7 +51,7 @@
         if self.tier && (self.until.is_some() || !self.only.is_empty()) {
             return Err(CommandError::Usage {
                 option: "--tier",
-                expected: "its days have lengths and faults of their own, without --until and --only",
+                expected: "conflicts with --until and --only; whole-tier scripts set their own length and faults",
             });
         }
         Ok(())
@@ -60,7 +60,7 @@
 
 /// Plays the seeds and prints a summary.
 pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
-    arguments.check()?;
+    arguments.check_ranges_and_conflicts()?;
     let progress = progress_bar(arguments.seeds.end - arguments.seeds.start);
     let started = Instant::now();
     let outcomes = play_all(arguments.seeds.clone(), arguments.jobs, |seed| {
@@ -69,13 +69,13 @@
     progress.finish_and_clear();
     let summary = Summary::new(&outcomes?, started.elapsed().as_secs_f64());
     match arguments.format {
-        Format::Json => println!("{}", json(&summary)),
+        Format::Json => println!("{}", to_json(&summary)),
         Format::Text => summary.print(),
     }
     Ok(if summary.broken.is_empty() {
-        Finding::Nothing
+        Finding::NoProblem
     } else {
-        Finding::Something
+        Finding::Problem
     })
 }
 
@@ -91,10 +91,10 @@
 }
 
 fn play_seed(arguments: &Arguments, seed: u64, progress: &ProgressBar) -> Outcome {
-    let script = drawn(seed, arguments.tier, &arguments.only, arguments.until);
+    let script = draw_script(seed, arguments.tier, &arguments.only, arguments.until);
     let outcome = play(&script, Options::default());
     if let Some(first) = outcome.breaches.first() {
-        progress.println(format!("seed {seed}: {}", describe(first)));
+        progress.println(format!("seed {seed}: {}", format_breach(first)));
     }
     progress.inc(1);
     outcome
--- a/crates/cli/src/faults/script.rs
+++ b/crates/cli/src/faults/script.rs
@@ -1,4 +1,4 @@
-//! The arguments that name seeds, scripts and kinds of faults, and the scripts that they stand for.
+//! Parses arguments that name seeds, scripts and kinds of faults, and loads the scripts.
 
 use crate::error::{CommandError, InvalidScriptSnafu, ReadScriptSnafu, WriteSnafu};
 use clap::Args;
@@ -7,28 +7,28 @@
 use std::path::Path;
 use woadreach_simulation::{FaultKind, Script};
 
-// Without a doc comment: clap would print it as the description of the subcommand.
+// No doc comment here: clap would print it as the description of the subcommand.
 #[derive(Args)]
 pub(super) struct ScriptArguments {
-    /// A seed, or the file of a script
+    /// A seed, or the path of a script
     script: String,
-    /// Days of a whole tier: 20 and 30 co-ordinators, and replicas that start together
+    /// Draws whole-tier scripts: 20 and 30 co-ordinators, and replicas that start together
     #[arg(long)]
     tier: bool,
 }
 
 impl ScriptArguments {
-    /// The script of the seed, or the one in the file.
-    pub(super) fn script(&self) -> Result<Script, CommandError> {
-        script(&self.script, self.tier)
+    /// Draws the script of the seed, or reads it from the file.
+    pub(super) fn load(&self) -> Result<Script, CommandError> {
+        load_script(&self.script, self.tier)
     }
 }
 
-/// Reads a range of seeds, `A..B`.
-pub(super) fn seeds(text: &str) -> Result<Range<u64>, InvalidArgument> {
+/// Parses a range of seeds, `A..B`, without B.
+pub(super) fn parse_seeds(text: &str) -> Result<Range<u64>, InvalidArgument> {
     let expected = || {
         InvalidArgument(format!(
-            "expected A..B with A before B, as in 0..1000, and not {text}"
+            "expected A..B with A less than B, for example 0..1000; got {text}"
         ))
     };
     let (from, to) = text.split_once("..").ok_or_else(expected)?;
@@ -38,17 +38,19 @@
     }
 }
 
-/// Reads the name of a kind of fault.
-pub(super) fn kind(text: &str) -> Result<String, InvalidArgument> {
+/// Checks the name of a kind of fault.
+pub(super) fn parse_fault_kind(text: &str) -> Result<String, InvalidArgument> {
     if FaultKind::NAMES.contains(&text) {
         Ok(text.to_string())
     } else {
         let names = FaultKind::NAMES.join(", ");
-        Err(InvalidArgument(format!("no such kind; there are {names}")))
+        Err(InvalidArgument(format!(
+            "unknown kind of fault; expected one of {names}"
+        )))
     }
 }
 
-/// Why an argument can't be read.
+/// Error for an argument that cannot be parsed: what was expected.
 #[derive(Clone, Debug)]
 pub(super) struct InvalidArgument(String);
 
@@ -60,8 +62,9 @@
 
 impl std::error::Error for InvalidArgument {}
 
-/// A seed's script: of its ordinary day, or of its day of a whole tier.
-pub(super) fn drawn(seed: u64, tier: bool, only: &[String], seconds: Option<f64>) -> Script {
+/// Draws the script of a seed: a whole-tier script if `tier`, else one with faults of the kinds in `only` (of all kinds
+/// if empty) and with `seconds` under load.
+pub(super) fn draw_script(seed: u64, tier: bool, only: &[String], seconds: Option<f64>) -> Script {
     if tier {
         Script::draw_tier(seed)
     } else {
@@ -69,17 +72,17 @@
     }
 }
 
-/// The script of a seed, or the one in a file.
-pub(super) fn script(seed_or_file: &str, tier: bool) -> Result<Script, CommandError> {
+/// Draws the script if the argument is a seed, else reads it from the file at this path.
+pub(super) fn load_script(seed_or_file: &str, tier: bool) -> Result<Script, CommandError> {
     if let Ok(seed) = seed_or_file.parse() {
-        return Ok(drawn(seed, tier, &[], None));
+        return Ok(draw_script(seed, tier, &[], None));
     }
     let text =
         std::fs::read_to_string(seed_or_file).context(ReadScriptSnafu { path: seed_or_file })?;
     Script::read(seed_or_file, &text).context(InvalidScriptSnafu)
 }
 
-/// Writes a file, in place of one that is there.
-pub(super) fn write(path: &Path, text: &str) -> Result<(), CommandError> {
+/// Writes a file, and replaces an existing one.
+pub(super) fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
     std::fs::write(path, text).context(WriteSnafu { path })
 }
--- a/crates/cli/src/faults/shrink.rs
+++ b/crates/cli/src/faults/shrink.rs
@@ -1,9 +1,9 @@
-//! `woadreach faults shrink`: cuts a script down to the smallest that still breaks the same rule.
+//! `woadreach faults shrink`: reduces a script to the smallest that still breaks the same rule.
 
-use super::script::{ScriptArguments, write};
+use super::script::{ScriptArguments, write_file};
 use crate::Finding;
 use crate::error::CommandError;
-use crate::output::{Format, json, print_proof};
+use crate::output::{Format, print_breach, to_json};
 use clap::Args;
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -13,28 +13,28 @@
 pub(crate) struct Arguments {
     #[command(flatten)]
     script: ScriptArguments,
-    /// Where the small script goes
+    /// File to write the reduced script to
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
 
-/// Shrinks the script and writes what is left of it.
+/// Shrinks the script and writes the result. Writes no file if the script breaks no rule.
 pub(super) fn execute(arguments: &Arguments) -> Result<Finding, CommandError> {
-    let script = arguments.script.script()?;
+    let script = arguments.script.load()?;
     let progress = |tried: usize, kept: usize| {
         if std::io::stderr().is_terminal() {
             eprint!("\r{tried} tried, {kept} kept ");
         }
     };
     let Some(small) = shrink(&script, progress) else {
-        println!("it breaks no rule");
-        return Ok(Finding::Nothing);
+        println!("the script breaks no rule");
+        return Ok(Finding::NoProblem);
     };
-    write(&arguments.out, &small.script.text())?;
+    write_file(&arguments.out, &small.script.text())?;
     match arguments.format {
-        Format::Json => println!("{}", json(&small)),
+        Format::Json => println!("{}", to_json(&small)),
         Format::Text => {
             println!(
                 "{}: {} of {} faults, {:.1} of {:.1} s, after {} tries",
@@ -45,8 +45,8 @@
                 script.seconds,
                 small.tried
             );
-            print_proof(&small.breach);
+            print_breach(&small.breach);
         }
     }
-    Ok(Finding::Something)
+    Ok(Finding::Problem)
 }
--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -1,13 +1,13 @@
-//! The summary of many seeds: totals, recovery by kind of fault, and the seeds that break a rule.
+//! Summary of a run of many seeds: totals, recovery by kind of fault, and the seeds that break a rule.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use woadreach_simulation::{Outcome, Recovery};
 
-/// Most seeds that break a rule of which a line is printed.
+/// Maximum number of rule-breaking seeds to print.
 const MAX_PRINTED: usize = 20;
-/// The longest recovery that a histogram holds, in milliseconds: an hour.
+/// Longest recovery that a histogram records: one hour. Longer ones are recorded as this.
 const MAX_RECOVERY_MS: u64 = 3_600_000;
 
 /// A seed that breaks a rule, with its first breach.
@@ -15,20 +15,19 @@
 pub(super) struct BrokenSeed {
     seed: u64,
     rule: String,
-    /// When, in seconds from the run's beginning.
+    /// Time of the breach, in seconds from the start of the run.
     #[serde(rename = "at")]
     at_s: f64,
     why: String,
-    /// Number of its breaches, 20 at most.
+    /// Number of recorded breaches, 20 at most.
     breaches: usize,
 }
 
-/// Times until service was back, in seconds; in JSON an array in the order of the fields.
+/// Times from a fault until service recovered. Serialized as an array in the order of the fields.
 #[derive(Clone, Copy, Serialize)]
 #[serde(into = "[f64; 3]")]
 struct RecoveryTimes {
     median_s: f64,
-    /// The 0.9 quantile.
     p90_s: f64,
     longest_s: f64,
 }
@@ -39,29 +38,29 @@
     }
 }
 
-/// Recovery from all faults of one kind.
+/// Aggregate recovery from all faults of one kind.
 #[derive(Serialize)]
 struct KindRecovery {
     faults: u64,
-    /// Of the faults after which service was back in the run.
+    /// Only over faults after which service recovered before the end of the run.
     back_after: RecoveryTimes,
-    /// Faults after which service was not back in the run.
+    /// Number of faults after which service did not recover before the end of the run.
     never: u64,
-    /// Searches that missed their latency target through a fault, as a mean.
+    /// Mean number of searches per fault that missed their latency target because of it.
     #[serde(rename = "lost")]
     missed_searches: f64,
-    /// Attempts per search from the fault until service was back, as a mean.
+    /// Mean number of attempts per search from a fault until service recovered.
     #[serde(rename = "sub_requests")]
     attempts_per_search: f64,
 }
 
-/// All seeds together.
+/// Totals over all seeds.
 #[derive(Serialize)]
 pub(super) struct Summary {
     seeds: u64,
     /// Simulated seconds.
     seconds: f64,
-    /// How long the seeds took to play, in seconds.
+    /// Wall time of the run, in seconds.
     #[serde(rename = "wall")]
     wall_s: f64,
     steps: u64,
@@ -71,10 +70,10 @@
     answered_in_time: u64,
     #[serde(rename = "sub_requests")]
     attempts: u64,
-    /// Digest of the digests of all seeds, in their order.
+    /// Digest of the concatenated digests of all seeds, in the order of the seeds.
     digest: String,
     kinds: BTreeMap<&'static str, KindRecovery>,
-    /// Seeds that break a rule.
+    /// Seeds that break a rule, in their order.
     pub(super) broken: Vec<BrokenSeed>,
 }
 
@@ -95,7 +94,7 @@
             })
         };
         let count = recoveries.len() as f64;
-        let is_never = |recovery: &&&Recovery| recovery.back_after_s.is_none();
+        let has_not_recovered = |recovery: &&&Recovery| recovery.back_after_s.is_none();
         let missed_searches: f64 = recoveries
             .iter()
             .map(|recovery| recovery.missed_searches)
@@ -111,7 +110,7 @@
                 p90_s: quantile(0.9),
                 longest_s: quantile(1.0),
             },
-            never: recoveries.iter().filter(is_never).count() as u64,
+            never: recoveries.iter().filter(has_not_recovered).count() as u64,
             missed_searches: missed_searches / count,
             attempts_per_search: attempts_per_search / count,
         }
@@ -119,7 +118,7 @@
 }
 
 impl Summary {
-    /// Sums up the outcomes of seeds that took `wall_s` seconds to play.
+    /// Aggregates the outcomes by seed. `wall_s` is the wall time of the run, in seconds.
     pub(super) fn new(outcomes: &BTreeMap<u64, Outcome>, wall_s: f64) -> Summary {
         let sum = |count: &dyn Fn(&Outcome) -> u64| outcomes.values().map(count).sum();
         let mut recoveries: BTreeMap<&'static str, Vec<&Recovery>> = BTreeMap::new();
@@ -159,7 +158,7 @@
         );
         let rate = |count: u64| count as f64 / self.wall_s.max(1e-9);
         println!(
-            "{:.0} seeds a second, {:.0} searches a second, {:.0} steps a second",
+            "{:.0} seeds/s, {:.0} searches/s, {:.0} steps/s",
             rate(self.seeds),
             rate(self.searches),
             rate(self.steps)
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `woadreach`: one command for operators and contributors, with a subcommand for each thing that it can do.
+//! `woadreach`: the command line tool for operators and contributors.
 //!
-//! Results go to standard output, all else to standard error. Exit codes: 0 if all is well, 1 if something wrong
-//! was found, 2 for bad use or input. The libraries decide; this program reads arguments and prints.
+//! Results go to standard output, errors, progress and logs to standard error. Exit codes: 0 if no problem was found, 1
+//! if one was found, 2 for invalid usage or input. The libraries play the runs and check the rules.
 
 mod cluster;
 mod error;
@@ -22,47 +22,47 @@
 )]
 struct Command {
     #[command(subcommand)]
-    topic: Topic,
+    command: TopLevelCommand,
 }
 
 #[derive(Subcommand)]
-enum Topic {
-    /// Seeded faults on a virtual clock: hunt, replay, shrink
+enum TopLevelCommand {
+    /// Plays seeded faults on a virtual clock: search, replay, shrink
     Faults {
         #[command(subcommand)]
         action: faults::Action,
     },
-    /// Many processes on loopback, under faults between their zones
+    /// Runs co-ordinator processes on loopback, with faults between their zones
     Cluster {
         #[command(subcommand)]
         action: cluster::Action,
     },
-    /// The state of a tier's machines, from their metrics pages
+    /// Prints the state of a tier's machines, from their metrics pages
     Status(status::StatusArguments),
 }
 
-/// What a command has found.
+/// Result of a command that ran; it determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Finding {
-    /// Nothing wrong.
-    Nothing,
-    /// Something wrong, which is printed.
-    Something,
+    /// Exit code 0.
+    NoProblem,
+    /// Exit code 1; the command has printed the problem.
+    Problem,
 }
 
 fn main() -> ExitCode {
-    let result = match Command::parse().topic {
-        Topic::Faults { action } => faults::execute(action),
-        Topic::Cluster { action } => cluster::execute(action),
-        Topic::Status(arguments) => status::execute(arguments),
+    let result = match Command::parse().command {
+        TopLevelCommand::Faults { action } => faults::execute(action),
+        TopLevelCommand::Cluster { action } => cluster::execute(action),
+        TopLevelCommand::Status(arguments) => status::execute(arguments),
     };
     exit_code(result)
 }
 
 fn exit_code(result: Result<Finding, CommandError>) -> ExitCode {
     match result {
-        Ok(Finding::Nothing) => ExitCode::SUCCESS,
-        Ok(Finding::Something) => ExitCode::from(1),
+        Ok(Finding::NoProblem) => ExitCode::SUCCESS,
+        Ok(Finding::Problem) => ExitCode::from(1),
         Err(error) => {
             eprintln!("woadreach: {error}");
             ExitCode::from(2)
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,23 +1,23 @@
-//! How results are printed.
+//! Output formats, and the printing of breaches.
 
 use clap::ValueEnum;
 use serde::Serialize;
 use woadreach_invariants::Breach;
 
-/// The form of a result on standard output.
+/// Format of a command's result on standard output.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
 pub(crate) enum Format {
     Text,
     Json,
 }
 
-/// A value as one line of JSON.
-pub(crate) fn json(value: &impl Serialize) -> String {
+/// Serializes a value to one line of JSON; empty if it cannot be serialized.
+pub(crate) fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// One line about a broken rule.
-pub(crate) fn describe(breach: &Breach) -> String {
+/// Formats a breach as one line: the rule, seconds from the start of the run, the search if known, and the reason.
+pub(crate) fn format_breach(breach: &Breach) -> String {
     let search = breach
         .search
         .as_ref()
@@ -26,11 +26,11 @@
     format!("{}, at {at:.3} s: {search}{}", breach.rule, breach.why)
 }
 
-/// Prints a broken rule with what each party recorded of its search.
-pub(crate) fn print_proof(breach: &Breach) {
-    println!("\nbroken: {}", describe(breach));
+/// Prints a breach and the recorded events that prove it, with their times in seconds from the start of the run.
+pub(crate) fn print_breach(breach: &Breach) {
+    println!("\nbroken: {}", format_breach(breach));
     for event in &breach.proof {
         let at = event.at - woadreach_simulation::BEGIN;
-        println!("  {at:>11.6} {}", json(&event.kind));
+        println!("  {at:>11.6} {}", to_json(&event.kind));
     }
 }
--- a/crates/cli/src/status/fetch.rs
+++ b/crates/cli/src/status/fetch.rs
@@ -1,4 +1,4 @@
-//! Reads the metrics pages of many machines at once.
+//! Reads the metrics pages of many machines concurrently.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use super::machines::{Machine, MachineList};
 use super::parsed_page::ParsedPage;
 
-/// Pages that are read at once.
+/// Maximum number of pages that are read concurrently.
 const MAX_CONCURRENT_READS: usize = 64;
-/// Upper bound of a page, in bytes.
+/// Maximum size of a page.
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
 /// Why the page of a machine could not be read.
 #[derive(Debug, Snafu)]
 pub(crate) enum FetchError {
-    /// The machine is unreachable, or does not answer in time.
+    /// The machine is unreachable, or does not answer within the time-out.
     #[snafu(display("{}", reason(source)))]
     Unreachable { source: reqwest::Error },
-    /// The machine answers with another status than 200.
+    /// The status code of the response is not 200.
     #[snafu(display("status {status}: is there a metrics page at this address?"))]
     Status { status: u16 },
-    /// The page is longer than this program reads.
+    /// The page is longer than `MAX_PAGE_BYTES`.
     #[snafu(display("the page has more than {MAX_PAGE_BYTES} bytes"))]
     TooLong,
-    /// What the machine answers is no metrics page.
-    #[snafu(display("the answer is no metrics page"))]
+    /// The response body is not a metrics page, or has no sample of this project.
+    #[snafu(display("the response is not a woadreach metrics page"))]
     NotMetrics,
-    /// The task that read it has panicked.
-    #[snafu(display("the reader has failed"))]
-    ReaderFailed,
+    /// The task that read the page panicked.
+    #[snafu(display("the task that read this page panicked"))]
+    ReaderPanicked,
 }
 
-/// The innermost cause of a failed call, which names what the operating system said.
+/// Text for a failed request: its innermost cause, such as the error of the operating system, or a time-out.
 fn reason(error: &reqwest::Error) -> String {
     if error.is_timeout() {
         return "no answer in time".to_owned();
@@ -47,7 +47,7 @@
     innermost.to_string()
 }
 
-/// The figures of all machines of the list, in its order.
+/// Reads the pages of all machines of the list. The results are in the order of the list.
 pub(crate) async fn fetch_all(list: &MachineList) -> Vec<Result<ParsedPage, FetchError>> {
     let client = reqwest::Client::new();
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_READS));
@@ -63,7 +63,7 @@
     let mut pages: Vec<Result<ParsedPage, FetchError>> = list
         .machines
         .iter()
-        .map(|_| ReaderFailedSnafu.fail())
+        .map(|_| ReaderPanickedSnafu.fail())
         .collect();
     while let Some(read) = reads.join_next().await {
         if let Ok((index, page)) = read {
--- a/crates/cli/src/status/machines.rs
+++ b/crates/cli/src/status/machines.rs
@@ -1,4 +1,4 @@
-//! The file that names the machines of a tier.
+//! The machine list: a TOML file with the names and metrics addresses of a tier's machines.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -9,30 +9,30 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Time for one page, unless the file says otherwise.
+/// Time-out for reading one page, if the file sets none.
 const DEFAULT_TIMEOUT_MS: u64 = 1000;
-/// Longest time for one page that the file may say.
+/// Maximum time-out that the file may set.
 const MAX_TIMEOUT_MS: u64 = 60_000;
-/// Upper bound of the machines in a file.
+/// Maximum number of machines in a file.
 const MAX_MACHINES: usize = 20_000;
 
-/// Why a file cannot be used.
+/// Why a machine list cannot be used.
 #[derive(Debug, Snafu)]
 pub(crate) enum MachineListError {
     /// The file is missing or cannot be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable { path: PathBuf, source: io::Error },
-    /// The file is no TOML, lacks a field, or has an unknown one; the source names the line.
+    /// The file is not valid TOML, lacks a field, or has an unknown one; the source names the line.
     #[snafu(display("{}: {source}", path.display()))]
     Malformed {
         path: PathBuf,
         source: Box<toml::de::Error>,
     },
-    /// The file names no machine.
-    #[snafu(display("{}: no [[machine]]", path.display()))]
+    /// The file has no `[[machine]]` entry.
+    #[snafu(display("{}: no [[machine]] entry", path.display()))]
     Empty { path: PathBuf },
-    /// The file names more machines than this program reads.
-    #[snafu(display("{}: {found} machines; at most {MAX_MACHINES}", path.display()))]
+    /// The file has more than `MAX_MACHINES` entries.
+    #[snafu(display("{}: {found} machines; expected at most {MAX_MACHINES}", path.display()))]
     TooMany { path: PathBuf, found: usize },
     /// Two machines have the same name.
     #[snafu(display("{}: two machines are named `{name}`", path.display()))]
@@ -40,12 +40,12 @@
     /// A machine has an empty name.
     #[snafu(display("{}: machine {number} has an empty name", path.display()))]
     NoName { path: PathBuf, number: usize },
-    /// The time-out is 0 or too long.
+    /// The time-out is 0 or above `MAX_TIMEOUT_MS`.
     #[snafu(display("{}: timeout_ms is {found}; expected 1 to {MAX_TIMEOUT_MS}", path.display()))]
     InvalidTimeout { path: PathBuf, found: u64 },
 }
 
-/// A machine of the tier.
+/// An entry of the machine list. Names are unique in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Machine {
@@ -62,7 +62,7 @@
     machine: Vec<Machine>,
 }
 
-/// The machines to read, and how long to wait for each.
+/// A checked machine list. `timeout` applies to each page.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct MachineList {
     pub(crate) timeout: Duration,
--- a/crates/cli/src/status/mod.rs
+++ b/crates/cli/src/status/mod.rs
@@ -1,15 +1,15 @@
-//! `woadreach status`: reads the metrics pages of all machines that a file names, and prints what they say.
+//! `woadreach status`: reads the metrics pages of all machines in a list, and prints their state.
 //!
-//! - `machines.rs`: the file and its checks.
-//! - `fetch.rs`: reads the pages over HTTP, many at once.
+//! - `machines.rs`: the machine list and its checks.
+//! - `fetch.rs`: reads the pages over HTTP, concurrently.
 //! - `parsed_page.rs`: the samples of a page.
-//! - `judgement.rs`: what in the figures of one machine, or beside those of the others, needs attention.
+//! - `remarks.rs`: conditions that need attention, from the metrics of one machine or compared with the other machines.
 //! - `table.rs`: the printed table.
 
 mod fetch;
-mod judgement;
 pub(crate) mod machines;
 mod parsed_page;
+mod remarks;
 mod table;
 
 use std::path::PathBuf;
@@ -21,11 +21,11 @@
 use crate::Finding;
 use crate::error::{CommandError, JsonSnafu, RuntimeSnafu, StatusFileSnafu};
 use crate::output::Format;
-use judgement::{Role, judge};
 use machines::MachineList;
 use parsed_page::ParsedPage;
+use remarks::{Role, set_remarks};
 
-/// Reads the state of a tier's machines from their metrics pages
+/// Prints the state of a tier's machines, from their metrics pages
 #[derive(Args)]
 #[command(
     after_help = "The file (TOML):\n  timeout_ms = 1000\n  [[machine]]\n  name = \"core-1\"\n  \
@@ -40,18 +40,19 @@
     format: Format,
 }
 
-/// What was read of one machine.
+/// State of one machine, from its metrics page.
 #[derive(Debug, Serialize)]
 struct MachineStatus {
     name: String,
+    /// Address of the metrics page.
     metrics: String,
-    /// What the machine is, by its figures.
+    /// `None` if the page was not read or has no metric that is specific to a role.
     role: Option<Role>,
-    /// Why its page could not be read.
+    /// Why the page could not be read; `None` if it was read.
     error: Option<String>,
-    /// What needs attention.
+    /// Conditions that need attention.
     remarks: Vec<String>,
-    /// Every sample of the page by its name and labels.
+    /// All samples of the page by name and labels; empty if it was not read.
     #[serde(rename = "figures")]
     page: ParsedPage,
 }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Reads all machines and prints what they say.
+/// Reads the pages of all machines in the list and prints their state.
 pub(crate) fn execute(arguments: StatusArguments) -> Result<Finding, CommandError> {
     let list = MachineList::load(&arguments.machines).context(StatusFileSnafu)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -89,7 +90,7 @@
             }
         })
         .collect();
-    judge(&mut statuses);
+    set_remarks(&mut statuses);
     match arguments.format {
         Format::Text => print!("{}", table::render(&statuses)),
         Format::Json => {
@@ -98,8 +99,8 @@
         }
     }
     Ok(if statuses.iter().any(MachineStatus::needs_attention) {
-        Finding::Something
+        Finding::Problem
     } else {
-        Finding::Nothing
+        Finding::NoProblem
     })
 }
--- a/crates/cli/src/status/parsed_page.rs
+++ b/crates/cli/src/status/parsed_page.rs
@@ -5,10 +5,11 @@
 use prometheus_parse::{Scrape, Value};
 use serde::Serialize;
 
-/// Beginning of the names of this project's figures.
+/// Prefix of the names of this project's metrics.
 const PREFIX: &str = "woadreach_";
 
-/// The samples of a page, by their names with labels, as in `woadreach_calls{state="queued"}`.
+/// Samples of a page by metric name and sorted labels, for example
+/// `woadreach_calls{state="queued"}`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(transparent)]
 pub(crate) struct ParsedPage {
@@ -16,7 +17,8 @@
 }
 
 impl ParsedPage {
-    /// The figures of a page in the text format; `None` if it has none of this project.
+    /// Parses a page in the Prometheus text format. Skips histograms, summaries and metrics of other programs.
+    /// `None` if the page is invalid or no sample is left.
     pub(crate) fn parse(page: &[u8]) -> Option<ParsedPage> {
         let text = std::str::from_utf8(page).ok()?;
         let lines = text.lines().map(|line| Ok(line.to_owned()));
@@ -46,17 +48,17 @@
         (!samples.is_empty()).then_some(ParsedPage { samples })
     }
 
-    /// The figure of this name without the project's prefix.
+    /// Value of a metric; `name` has the labels but not the project's prefix.
     pub(crate) fn get(&self, name: &str) -> Option<f64> {
         self.samples.get(&format!("{PREFIX}{name}")).copied()
     }
 
-    /// Whether the figure of this name is there and 0.
+    /// Whether the metric is present and 0.
     pub(crate) fn is_zero(&self, name: &str) -> bool {
         self.get(name) == Some(0.0)
     }
 
-    /// Whether the figure of this name is there and above 0.
+    /// Whether the metric is present and above 0.
     pub(crate) fn is_positive(&self, name: &str) -> bool {
         self.get(name).is_some_and(|value| value > 0.0)
     }
--- a/crates/cli/src/status/judgement.rs
+++ b/crates/cli/src/status/remarks.rs
@@ -1,4 +1,4 @@
-//! What in the page of a machine, or beside those of the others, needs an operator's attention.
+//! Derives the role of a machine from its metrics, and the remarks that need an operator's attention.
 
 use std::fmt;
 
@@ -7,25 +7,26 @@
 use super::MachineStatus;
 use super::parsed_page::ParsedPage;
 
-/// An edge that has heard no core machine for longer than this many seconds is cut off: polls are answered every second.
+/// Maximum time since an edge last received an answer from a core machine. Polls are answered every second, so an edge
+/// over this limit is partitioned from the core machines.
 const MAX_CORE_SILENCE_S: f64 = 3.0;
-/// A disk that has not finished an operation for this many seconds has stalled.
+/// Maximum time for which a disk operation may be unfinished before the disk counts as stalled.
 const MAX_DISK_STALL_S: f64 = 1.0;
 
-/// What a machine is.
+/// Role of a machine in the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Role {
-    /// It serves clients.
+    /// Serves clients.
     Edge,
-    /// It is a member of the control plane.
+    /// Is a member of the control plane.
     Core,
-    /// It keeps conversations.
+    /// Stores conversations.
     Storage,
 }
 
 impl Role {
-    /// The role of a machine with this page; `None` for a page without figures of a role.
+    /// Derives the role from the metrics of a page; `None` if the page has no metric that is specific to a role.
     pub(crate) fn of(page: &ParsedPage) -> Option<Role> {
         let has = |name| page.get(name).is_some();
         if has("core_epoch") {
@@ -50,8 +51,9 @@
     }
 }
 
-/// Adds what needs attention to each machine that was read.
-pub(crate) fn judge(statuses: &mut [MachineStatus]) {
+/// Replaces the remarks of each machine: conditions in its own metrics, and a configuration or storage view older than
+/// the newest among all machines.
+pub(crate) fn set_remarks(statuses: &mut [MachineStatus]) {
     let newest = |name: &str| {
         let values = statuses.iter().filter_map(|status| status.page.get(name));
         values.fold(0.0, f64::max)
@@ -75,7 +77,7 @@
     page.get(name).is_some_and(|value| value < newest)
 }
 
-/// What needs attention whatever the others say.
+/// Remarks that follow from the metrics of one machine alone.
 fn own_remarks(page: &ParsedPage) -> Vec<String> {
     let mut remarks = Vec::new();
     let mut remark_if = |applies: bool, text: &str| {
@@ -117,5 +119,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/judgement.rs"]
+#[path = "../../tests/unit/remarks.rs"]
 mod tests;
--- a/crates/cli/src/status/table.rs
+++ b/crates/cli/src/status/table.rs
@@ -1,4 +1,4 @@
-//! The table of `woadreach status`.
+//! The text table of `woadreach status`.
 
 use super::MachineStatus;
 
@@ -11,7 +11,7 @@
     "ATTENTION",
 ];
 
-/// The table, a line for each machine.
+/// Renders a header and a line for each machine, in columns padded to equal width. `-` stands for an absent value.
 pub(crate) fn render(statuses: &[MachineStatus]) -> String {
     let mut rows = vec![HEADER.map(str::to_owned)];
     rows.extend(statuses.iter().map(row));
@@ -32,7 +32,7 @@
 }
 
 fn row(status: &MachineStatus) -> [String; 6] {
-    let figure = |name: &str| {
+    let metric = |name: &str| {
         let value = status.page.get(name);
         value.map_or_else(|| "-".to_owned(), |value| value.to_string())
     };
@@ -49,8 +49,8 @@
         status
             .role
             .map_or_else(|| "-".to_owned(), |role| role.to_string()),
-        figure("configuration_generation"),
-        figure("storage_epoch"),
+        metric("configuration_generation"),
+        metric("storage_epoch"),
         replicas.map_or_else(|| "-".to_owned(), |value| value.to_string()),
         attention,
     ]
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The command from outside: exit codes, what goes to which stream, and that runs are the same again.
+//! Runs the program `woadreach faults`: exit codes, output streams, and determinism of runs.
 
 use rstest::rstest;
 use std::process::{Command, Output};
@@ -10,11 +10,11 @@
         .unwrap()
 }
 
-fn out(of: &Output) -> String {
-    String::from_utf8(of.stdout.clone()).unwrap()
+fn stdout_text(output: &Output) -> String {
+    String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("woadreach-cli-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path.to_string_lossy().into_owned()
@@ -22,44 +22,45 @@
 
 #[rstest]
 #[case::no_subcommand(&["faults"], "Usage")]
-#[case::seeds_backwards(&["faults", "run", "--seeds", "9..3"], "expected A..B")]
-#[case::no_seeds(&["faults", "run", "--seeds", "many"], "expected A..B")]
-#[case::no_such_kind(&["faults", "run", "--seeds", "0..1", "--only", "hail"], "there are die, vanish")]
-#[case::too_long(&["faults", "run", "--seeds", "0..1", "--until", "9999"], "1 to 600 seconds")]
-#[case::no_such_file(&["faults", "replay", "/no/such.toml"], "expected a seed or a script")]
+#[case::reversed_seed_range(&["faults", "run", "--seeds", "9..3"], "expected A..B")]
+#[case::invalid_seed_range(&["faults", "run", "--seeds", "many"], "expected A..B")]
+#[case::unknown_fault_kind(&["faults", "run", "--seeds", "0..1", "--only", "hail"], "expected one of die, vanish")]
+#[case::duration_out_of_range(&["faults", "run", "--seeds", "0..1", "--until", "9999"], "1 to 600 seconds")]
+#[case::missing_file(&["faults", "replay", "/no/such.toml"], "expected a seed or a script")]
 #[cfg_attr(not(feature = "mutations"), case::no_mutations(&["faults", "mutations"], "--features mutations"))]
 fn invalid_usage_is_reported(#[case] arguments: &[&str], #[case] why: &str) {
-    let ended = woadreach(arguments);
-    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert_eq!((ended.status.code(), ended.stdout.len()), (Some(2), 0));
+    let output = woadreach(arguments);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
     assert!(stderr.contains(why), "{stderr}");
 }
 
-/// A script that cannot be used: where, and what was expected; nothing is played.
+/// The error for an invalid script has the path of the file and what is wrong.
 #[rstest]
 #[case::not_a_number("seconds = ", "seconds = \"x\" #", ":2:11: invalid type")]
 #[case::over_the_limits("co_ordinators = ", "co_ordinators = 999 #", "expected 1 to 400")]
 fn invalid_scripts_are_reported(#[case] from: &str, #[case] to: &str, #[case] why: &str) {
-    let drawn = out(&woadreach(&["faults", "draw", "3"]));
-    let path = file(&format!("bad-{}", to.len()), &drawn.replacen(from, to, 1));
-    let ended = woadreach(&["faults", "replay", &path]);
-    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert_eq!(ended.status.code(), Some(2));
+    let drawn = stdout_text(&woadreach(&["faults", "draw", "3"]));
+    let path = write_temp_file(&format!("bad-{}", to.len()), &drawn.replacen(from, to, 1));
+    let output = woadreach(&["faults", "replay", &path]);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2));
     assert!(stderr.contains(&path) && stderr.contains(why), "{stderr}");
 }
 
-/// A seed, its script from a file, and a run of it with others beside are the same to the digest.
+/// Guards against nondeterministic runs. A seed and its script from a file have the same digest, and so have runs of
+/// the same seeds on 1 and on 3 threads.
 #[test]
-fn a_run_is_the_same_again() {
-    let digest = |ended: &Output| {
-        assert_eq!(ended.status.code(), Some(0), "{}", out(ended));
-        out(ended)
+fn runs_are_deterministic() {
+    let digest = |output: &Output| {
+        assert_eq!(output.status.code(), Some(0), "{}", stdout_text(output));
+        stdout_text(output)
             .lines()
             .find_map(|l| l.strip_prefix("digest ").map(String::from))
             .unwrap()
     };
-    let path = file("same", &out(&woadreach(&["faults", "draw", "2"])));
-    let trace = file("trace", "");
+    let path = write_temp_file("same", &stdout_text(&woadreach(&["faults", "draw", "2"])));
+    let trace = write_temp_file("trace", "");
     let (seed, script) = (
         woadreach(&["faults", "replay", "2", "--trace", &trace]),
         woadreach(&["faults", "replay", &path]),
@@ -84,11 +85,11 @@
 }
 
 #[test]
-fn results_as_json() {
-    let ended = woadreach(&[
+fn the_summary_is_printed_as_json() {
+    let output = woadreach(&[
         "faults", "run", "--seeds", "0..2", "--until", "6", "--format", "json",
     ]);
-    let summary: serde_json::Value = serde_json::from_slice(&ended.stdout).unwrap();
+    let summary: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(
         (
             summary["seeds"].as_u64(),
@@ -99,16 +100,20 @@
     assert!(summary["searches"].as_u64() > Some(0) && summary["kinds"].is_object());
 }
 
-/// Nothing to cut: it is said, and no file is written.
+/// `shrink` reports a script that breaks no rule, and writes no file.
 #[test]
-fn a_sound_script_is_not_shrunk() {
-    let drawn = out(&woadreach(&["faults", "draw", "2"]));
+fn a_script_that_breaks_no_rule_is_not_shrunk() {
+    let drawn = stdout_text(&woadreach(&["faults", "draw", "2"]));
     let seconds = drawn.lines().find(|l| l.starts_with("seconds")).unwrap();
-    let path = file("sound", &drawn.replacen(seconds, "seconds = 40.0", 1));
+    let path = write_temp_file("sound", &drawn.replacen(seconds, "seconds = 40.0", 1));
     let to = std::env::temp_dir().join("woadreach-cli-not-written.toml");
-    let ended = woadreach(&["faults", "shrink", &path, "--out", &to.to_string_lossy()]);
+    let output = woadreach(&["faults", "shrink", &path, "--out", &to.to_string_lossy()]);
     assert_eq!(
-        (ended.status.code(), out(&ended).trim(), to.exists()),
-        (Some(0), "it breaks no rule", false)
+        (
+            output.status.code(),
+            stdout_text(&output).trim(),
+            to.exists()
+        ),
+        (Some(0), "the script breaks no rule", false)
     );
 }
--- a/crates/cli/tests/status.rs
+++ b/crates/cli/tests/status.rs
@@ -1,4 +1,4 @@
-//! `woadreach status` as a program: its table, its JSON, its errors and its exit codes.
+//! Runs the program `woadreach status`: table, JSON, errors and exit codes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -9,7 +9,7 @@
                     woadreach_configuration_generation 7.0\nwoadreach_storage_epoch 2.0\n\
                     woadreach_replicas{state=\"ready\"} 12.0\n# EOF\n";
 
-/// Answers every request with this status line and body.
+/// Starts a server that answers every request with this status line and body.
 fn serve(status: &'static str, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -28,14 +28,14 @@
     address
 }
 
-/// A machine that accepts connections and never answers.
-fn silent() -> (TcpListener, SocketAddr) {
+/// Binds a listener whose connections are never answered. The caller must keep it alive.
+fn unresponsive_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn a_sound_tier_is_a_table_and_exit_code_0() {
+fn a_healthy_tier_is_printed_as_a_table_with_exit_code_0() {
     let list = machine("edge-1", serve("200 OK", EDGE)) + &machine("edge-2", serve("200 OK", EDGE));
-    let output = status(&file("status-sound.toml", &list), "text");
+    let output = status(&write_file("status-sound.toml", &list), "text");
     let table = String::from_utf8(output.stdout).unwrap();
     assert_eq!(output.status.code(), Some(0), "{table}");
     let lines: Vec<&str> = table.lines().collect();
@@ -71,19 +71,19 @@
 }
 
 #[test]
-fn machines_that_cannot_be_read_are_named_with_the_reason() {
-    let (_listener, no_answer) = silent();
-    let gone = TcpListener::bind("127.0.0.1:0")
+fn unreadable_machines_are_reported_with_the_reason() {
+    let (_listener, unresponsive) = unresponsive_listener();
+    let refused = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let list = "timeout_ms = 300\n".to_owned()
         + &machine("edge-1", serve("200 OK", EDGE))
-        + &machine("gone", gone)
-        + &machine("silent", no_answer)
+        + &machine("refused", refused)
+        + &machine("unresponsive", unresponsive)
         + &machine("other", serve("404 Not Found", "nothing here"))
         + &machine("page", serve("200 OK", "<html>hello</html>"));
-    let output = status(&file("status-unreadable.toml", &list), "json");
+    let output = status(&write_file("status-unreadable.toml", &list), "json");
     assert_eq!(output.status.code(), Some(1));
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     let error = |index: usize| json[index]["error"].as_str().unwrap_or("none").to_owned();
@@ -96,12 +96,12 @@
         error(3),
         "status 404: is there a metrics page at this address?"
     );
-    assert_eq!(error(4), "the answer is no metrics page");
+    assert_eq!(error(4), "the response is not a woadreach metrics page");
 }
 
 #[test]
-fn an_unusable_file_is_an_error_on_standard_error_and_exit_code_2() {
-    let output = status(&file("status-empty.toml", ""), "text");
+fn an_invalid_file_is_reported_on_standard_error_with_exit_code_2() {
+    let output = status(&write_file("status-empty.toml", ""), "text");
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(
--- a/crates/cli/tests/unit/parsed_page.rs
+++ b/crates/cli/tests/unit/parsed_page.rs
@@ -1,4 +1,4 @@
-//! Pages that are read, and bytes that are no page.
+//! Valid metrics pages, and input that is not one.
 
 use super::*;
 use quickcheck::quickcheck;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_has_no_figure_of_this_project_is_no_page() {
+fn a_page_without_samples_of_this_project_is_rejected() {
     for page in [
         "",
         "<html>hello</html>",
@@ -38,14 +38,14 @@
 }
 
 quickcheck! {
-    /// Any bytes are read or refused.
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    /// Guards against panics of the parser on arbitrary bytes.
+    fn any_bytes_are_parsed_or_rejected(bytes: Vec<u8>) -> bool {
         let _ = ParsedPage::parse(&bytes);
         true
     }
 
-    /// A page that is cut anywhere is read as far as it goes, or refused.
-    fn a_page_cut_anywhere_is_read_or_refused(length: usize) -> bool {
+    /// Guards against panics of the parser on a truncated page.
+    fn a_truncated_page_is_parsed_or_rejected(length: usize) -> bool {
         let length = length % PAGE.len();
         let _ = ParsedPage::parse(&PAGE.as_bytes()[..length]);
         true
--- a/crates/cli/tests/unit/judgement.rs
+++ b/crates/cli/tests/unit/remarks.rs
@@ -1,10 +1,10 @@
-//! What needs attention, by the figures of a machine and beside those of the others.
+//! Roles and remarks, from the metrics of one machine and compared with the other machines.
 
 use super::*;
 use rstest::rstest;
 
 fn status(name: &str, text: &str) -> MachineStatus {
-    let page = ParsedPage::parse(text.as_bytes()).expect("a page");
+    let page = ParsedPage::parse(text.as_bytes()).expect("text is a valid metrics page");
     MachineStatus {
         name: name.to_owned(),
         metrics: "127.0.0.1:1".to_owned(),
@@ -35,12 +35,12 @@
                        woadreach_journal_healthy 1\n";
 
 fn remarks(mut statuses: Vec<MachineStatus>) -> Vec<Vec<String>> {
-    judge(&mut statuses);
+    set_remarks(&mut statuses);
     statuses.into_iter().map(|status| status.remarks).collect()
 }
 
 #[test]
-fn roles_follow_from_the_figures_and_sound_machines_need_nothing() {
+fn roles_follow_from_the_metrics_and_healthy_machines_have_no_remarks() {
     let statuses = vec![status("e", EDGE), status("c", CORE), status("s", STORAGE)];
     let roles: Vec<_> = statuses.iter().map(|status| status.role).collect();
     assert_eq!(
@@ -63,19 +63,19 @@
 #[case(CORE, "stall_seconds 0", "stall_seconds 1.5", "disk stalled")]
 #[case(STORAGE, "current 1", "current 0", "not in the storage view")]
 #[case(STORAGE, "down 0", "down 1", "leaving")]
-fn a_figure_out_of_its_bounds_is_remarked(
+fn a_metric_out_of_bounds_adds_a_remark(
     #[case] page: &str,
-    #[case] sound: &str,
+    #[case] healthy: &str,
     #[case] changed: &str,
     #[case] expected: &str,
 ) {
-    let changed = page.replace(sound, changed);
+    let changed = page.replace(healthy, changed);
     assert_ne!(changed, page);
     assert_eq!(remarks(vec![status("m", &changed)]), [[expected]]);
 }
 
 #[test]
-fn a_machine_behind_the_newest_is_remarked() {
+fn a_machine_behind_the_newest_configuration_has_a_remark() {
     let old = EDGE.replace("generation 7", "generation 5");
     let none: Vec<String> = Vec::new();
     assert_eq!(
