--- a/crates/testing/local-tier/src/client.rs
+++ b/crates/testing/local-tier/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the tier: plain requests and turns of programs.
+//! HTTP client of the tier. Sends plain requests and turns of a program (a conversation).
 
 use crate::error::{RequestSnafu, TierError};
 use reqwest::{Method, RequestBuilder};
@@ -6,62 +6,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a client waits for a complete answer.
+/// Time-out of a request, from sending it to the end of the response body.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One turn of a program.
+/// Request for one turn of a program.
 #[derive(Clone, Debug)]
 pub struct TurnRequest {
-    /// The host of its route.
+    /// `Host` header, which selects the route together with `path`.
     pub host: String,
-    /// The path of its route.
+    /// Request path.
     pub path: String,
-    /// The turn's id.
+    /// Id of the turn, sent as `Request-Id`.
     pub request_id: String,
-    /// The program's id.
+    /// Id of the program, sent as `Program` and as `Session`.
     pub program: String,
-    /// The id of the turn that it continues.
+    /// Id of the turn that this turn continues; `None` for the first turn of a program.
     pub previous: Option<String>,
-    /// Tokens that all turns of the program may generate together.
+    /// Token budget of the whole program; `None` sends no `Budget` header.
     pub budget: Option<u64>,
-    /// Tokens that this turn generates at most.
+    /// Maximum number of tokens that this turn generates.
     pub max_tokens: u64,
-    /// The input that is new in this turn.
+    /// Input that this turn adds to the conversation; sent as the request body.
     pub input: String,
 }
 
-/// The answer to a request.
+/// Response to a request.
 #[derive(Clone, Debug)]
 pub struct TurnAnswer {
-    /// The status.
+    /// HTTP status code of the response.
     pub status: u16,
-    /// The header `Response-Signature`, by which a replica signs its answers; none in answers of the edge's own.
+    /// `Response-Signature` header, set by the replica; `None` in responses that the edge generates itself.
     pub signature: Option<String>,
-    /// The body; none if it is incomplete.
+    /// Complete response body; `None` if reading it failed.
     pub body: Option<String>,
 }
 
-/// A client of one edge.
+/// Client that sends all its requests to one edge.
 pub struct Client {
-    front: SocketAddr,
+    edge: SocketAddr,
     client: reqwest::Client,
 }
 
 impl Client {
-    /// A client that connects to `front`.
-    pub fn new(front: SocketAddr) -> Self {
+    /// Creates a client of the edge at this address.
+    pub fn new(edge: SocketAddr) -> Self {
         Client {
-            front,
+            edge,
             client: reqwest::Client::new(),
         }
     }
 
-    /// Sends a turn and reads the complete answer.
+    /// Sends a turn and reads the response to its end.
     pub async fn turn(&self, turn: &TurnRequest) -> Result<TurnAnswer, TierError> {
         let tokens = format!("{},{}", turn.input.len(), turn.max_tokens);
         let mut call = self
             .client
-            .post(format!("http://{}{}", self.front, turn.path))
+            .post(format!("http://{}{}", self.edge, turn.path))
             .header("host", &turn.host)
             .header("request-id", &turn.request_id)
             .header("program", &turn.program)
@@ -76,20 +76,20 @@
         if let Some(budget) = turn.budget {
             call = call.header("budget", budget.to_string());
         }
-        answer(call.body(turn.input.clone())).await
+        send_and_read(call.body(turn.input.clone())).await
     }
 
-    /// Sends a plain request and reads the complete answer.
+    /// Sends a `GET` request and reads the response to its end.
     pub async fn get(
         &self,
         host: &str,
         path: &str,
         request_id: &str,
     ) -> Result<TurnAnswer, TierError> {
-        answer(self.request(Method::GET, host, path, request_id, "2000")).await
+        send_and_read(self.request(Method::GET, host, path, request_id, "2000")).await
     }
 
-    /// Sends a request that may not be repeated and reads the complete answer.
+    /// Sends a `POST` request, whose body is the request id, and reads the response to its end.
     pub async fn post(
         &self,
         host: &str,
@@ -97,7 +97,7 @@
         request_id: &str,
     ) -> Result<TurnAnswer, TierError> {
         let call = self.request(Method::POST, host, path, request_id, "3000");
-        answer(call.body(request_id.to_owned())).await
+        send_and_read(call.body(request_id.to_owned())).await
     }
 
     fn request(
@@ -109,21 +109,20 @@
         timeout_ms: &str,
     ) -> RequestBuilder {
         self.client
-            .request(method, format!("http://{}{path}", self.front))
+            .request(method, format!("http://{}{path}", self.edge))
             .header("host", host)
             .header("request-id", request_id)
             .header("timeout-ms", timeout_ms)
     }
 }
 
-/// Sends a request and reads its answer.
-async fn answer(call: RequestBuilder) -> Result<TurnAnswer, TierError> {
+async fn send_and_read(call: RequestBuilder) -> Result<TurnAnswer, TierError> {
     let response = call
         .timeout(ANSWER_TIMEOUT)
         .send()
         .await
         .context(RequestSnafu {
-            what: "a request to the tier",
+            what: "request to the tier",
         })?;
     let status = response.status().as_u16();
     let signature = response
--- a/crates/testing/local-tier/src/error.rs
+++ b/crates/testing/local-tier/src/error.rs
@@ -1,48 +1,48 @@
-//! Errors of a tier on loopback.
+//! Errors of starting and controlling a tier on loopback.
 
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// A tier that could not be started or did not do what was asked in time.
+/// Failure to start, configure or query a tier.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TierError {
-    /// A program has not been built.
-    #[snafu(display("{} is missing; build it first: cargo build --release", path.display()))]
+    /// An executable was not found in the folder of built programs.
+    #[snafu(display("executable {} not found; build it first: cargo build --release", path.display()))]
     NotBuilt {
-        /// Where it was looked for.
+        /// Path at which the executable was expected.
         path: PathBuf,
     },
-    /// A file could not be written, or a process not started or signalled.
+    /// An operation on a file, a socket or a process failed.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was attempted.
+        /// Operation or resource that failed, for example `settings of edge-1`.
         what: String,
-        /// What the system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A condition was not met in time.
-    #[snafu(display("{what} did not come about within {seconds} s"))]
+    #[snafu(display("{what}: timed out after {seconds} s"))]
     TimedOut {
-        /// What was waited for.
+        /// Awaited condition.
         what: String,
-        /// How long, in seconds.
+        /// Time-out in seconds.
         seconds: u64,
     },
-    /// A request failed.
+    /// A request was not sent, or its response not received.
     #[snafu(display("{what}: {source}"))]
     Request {
-        /// The request.
+        /// Description of the request.
         what: String,
-        /// How it failed.
+        /// Error of the HTTP client.
         source: reqwest::Error,
     },
-    /// A request was answered with an error.
-    #[snafu(display("{what}: answered {status}"))]
+    /// A response had a status other than 2xx.
+    #[snafu(display("{what}: got status {status}, expected 2xx"))]
     ErrorStatus {
-        /// The request.
+        /// Description of the request.
         what: String,
-        /// The status of the answer.
+        /// Status code of the response.
         status: u16,
     },
 }
--- a/crates/testing/local-tier/src/example.rs
+++ b/crates/testing/local-tier/src/example.rs
@@ -1,4 +1,4 @@
-//! A small deployment: a model service with a conversation whose turns are stored, and a plain service.
+//! Example deployment: a model service, whose turns are stored, and a plain service without stored state.
 
 use crate::client::{Client, TurnAnswer, TurnRequest};
 use crate::error::TierError;
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Host of the example's routes.
+/// Domain of the example's routes.
 pub const HOST: &str = "shop.example";
-/// How long the tier may take to accept a configuration or to become ready.
+/// Time-out for accepting a configuration, and for all edges to become ready.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Events in an answer of the example's model replicas.
+/// Number of events in a response of the example's model replicas.
 pub const EVENTS: usize = 5;
 
-/// The example's configuration under this generation.
+/// Returns the example's configuration as JSON, with the given generation.
 pub fn configuration(generation: u64) -> String {
     serde_json::json!({
         "generation": generation,
@@ -37,7 +37,7 @@
     .to_string()
 }
 
-/// The replicas of both services.
+/// Starts two replicas of the model service and one of the plain service. They send heartbeats to `control`.
 pub async fn replicas(control: &[SocketAddr]) -> Result<Vec<FakeReplica>, TierError> {
     let model = ReplicaKind::Model {
         events: EVENTS,
@@ -54,7 +54,7 @@
     Ok(replicas)
 }
 
-/// Sends the first configuration and waits until the edges are ready.
+/// Starts the replicas, applies generation 1 of the configuration and waits until all edges are ready.
 pub async fn bring_up(tier: &Tier) -> Result<Vec<FakeReplica>, TierError> {
     let replicas = replicas(&tier.control()).await?;
     Operator::new(tier.control())
@@ -64,7 +64,7 @@
     Ok(replicas)
 }
 
-/// A turn of the example's conversation.
+/// Builds the request of turn `number` of a program, which continues turn `previous`.
 pub fn turn(program: &str, number: usize, previous: Option<usize>) -> TurnRequest {
     TurnRequest {
         host: HOST.to_owned(),
@@ -82,25 +82,26 @@
     format!("{program}-turn-{number}")
 }
 
-/// The body that a replica has to receive for a turn that continues `earlier` turns, oldest first.
+/// Returns the body that a replica must receive for turn `number`: inputs and outputs of the `earlier` turns,
+/// oldest first, then the input of the turn.
 pub fn expected_body(earlier: &[usize], number: usize) -> String {
-    let answered: String = (1..=EVENTS)
+    let output: String = (1..=EVENTS)
         .map(|event| format!("word-{event}\n"))
         .collect();
-    let chain: String = earlier
+    let history: String = earlier
         .iter()
-        .map(|turn| format!("input {turn}\n{answered}"))
+        .map(|turn| format!("input {turn}\n{output}"))
         .collect();
-    format!("{chain}input {number}\n")
+    format!("{history}input {number}\n")
 }
 
-/// Plays a conversation of several turns, through the given edges by turns.
-pub async fn converse(
-    fronts: &[SocketAddr],
+/// Runs a conversation of `turns` turns and returns the responses. Turns are sent to the edges in rotation.
+pub async fn run_conversation(
+    edges: &[SocketAddr],
     program: &str,
     turns: usize,
 ) -> Result<Vec<TurnAnswer>, TierError> {
-    let clients: Vec<Client> = fronts.iter().map(|front| Client::new(*front)).collect();
+    let clients: Vec<Client> = edges.iter().map(|edge| Client::new(*edge)).collect();
     let mut answers = Vec::new();
     for number in 0..turns {
         let request = turn(program, number, number.checked_sub(1));
--- a/crates/testing/local-tier/src/lib.rs
+++ b/crates/testing/local-tier/src/lib.rs
@@ -1,14 +1,14 @@
 //! A complete serving tier on loopback, with fake replicas, an operator and clients.
 //!
-//! Every process of the tier is the built program with a settings file of its own and a loopback address of
-//! its own (127.77.x.y), so that ports are the same on all machines, as in production. Used by tests and by
-//! the command `woadreach-local-tier`, which shows a tier serving.
+//! Each process runs a built executable with a separate settings file and a separate loopback address
+//! (127.77.x.y), so that port numbers are the same on all machines, as in production. Used by tests and by
+//! the command `woadreach-local-tier`, which runs an example conversation.
 //!
 //! Where to start reading:
 //!
-//! - `tier.rs`: the processes of a tier, and how they are started, killed and restarted;
-//! - `example.rs`: the deployment that is served, and a conversation with it;
-//! - `replica.rs`, `operator.rs`, `client.rs`: who talks to the tier from outside.
+//! - `tier.rs`: starts, kills and restarts the processes of a tier;
+//! - `example.rs`: the example deployment and a conversation with it;
+//! - `replica.rs`, `operator.rs`, `client.rs`: the external peers of the tier.
 
 #![warn(missing_docs)]
 
@@ -27,6 +27,6 @@
 pub use operator::Operator;
 pub use process::NodeProcess;
 pub use programs::built_programs;
-pub use replica::{FakeReplica, ReceivedRequest, ReplicaKind, ReplicaSocket, chunks_of};
+pub use replica::{FakeReplica, ReceivedRequest, ReplicaKind, ReplicaSocket, expected_chunks};
 pub use settings::{MachineClass, NodeSpec};
 pub use tier::{Tier, TierSize};
--- a/crates/testing/local-tier/src/main.rs
+++ b/crates/testing/local-tier/src/main.rs
@@ -1,11 +1,11 @@
-//! Starts a serving tier on loopback, plays a conversation through it and says what came back.
+//! Starts a serving tier on loopback, runs a conversation through it and prints the responses.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use woadreach_local_tier::{Client, Tier, TierError, TierSize, built_programs, example};
 
-/// Network number of the command's tier, apart from those of the tests.
+/// Third byte of the tier's loopback addresses; differs from those of the tests.
 const NETWORK: u8 = 200;
 
 fn command() -> Command {
@@ -18,7 +18,7 @@
     };
     Command::new("woadreach-local-tier")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Starts a serving tier on loopback, plays a conversation through it and says what came back")
+        .about("Starts a serving tier on loopback, runs a conversation through it and prints the responses")
         .after_help("Example: woadreach-local-tier --edges 3 --turns 5")
         .arg(count("edges", "2", "Edge machines"))
         .arg(count("core", "3", "Core machines"))
@@ -60,10 +60,15 @@
     let _replicas = example::bring_up(&tier).await?;
     println!(
         "ready: edges at {:?}, control at {:?}",
-        tier.fronts(),
+        tier.edge_addresses(),
         tier.control()
     );
-    let answers = example::converse(&tier.fronts(), "example", usize::from(count("turns"))).await?;
+    let answers = example::run_conversation(
+        &tier.edge_addresses(),
+        "example",
+        usize::from(count("turns")),
+    )
+    .await?;
     for (number, answer) in answers.iter().enumerate() {
         let bytes = answer.body.as_ref().map_or(0, String::len);
         println!(
@@ -71,7 +76,7 @@
             answer.status, answer.signature
         );
     }
-    let stock = Client::new(tier.fronts()[0])
+    let stock = Client::new(tier.edge_addresses()[0])
         .get(example::HOST, "/stock/2f", "example-stock")
         .await?;
     println!("stock: status {}, body {:?}", stock.status, stock.body);
--- a/crates/testing/local-tier/src/operator.rs
+++ b/crates/testing/local-tier/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends a configuration until it is accepted or rejected, and reads the one in force.
+//! Operator of the tier: sends configurations to the core machines and reads the active one.
 
 use crate::error::{ErrorStatusSnafu, RequestSnafu, TierError, TimedOutSnafu};
 use reqwest::StatusCode;
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long one call may take.
+/// Time-out of one request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next attempt, which goes to the next machine.
+/// Delay between two attempts. Each attempt uses the next core machine.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An operator that knows the control addresses of the core machines.
+/// Client of the core machines' control interface.
 pub struct Operator {
     control: Vec<SocketAddr>,
     client: reqwest::Client,
 }
 
 impl Operator {
-    /// An operator of these core machines.
+    /// Creates an operator that uses the core machines at these control addresses.
     pub fn new(control: Vec<SocketAddr>) -> Self {
         Operator {
             control,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Sends a configuration built on version `base` until it gets a final answer, or for as long as `timeout`.
+    /// Sends a configuration based on version `base` and returns the status. Retries on the next core machine
+    /// until it is accepted or finally rejected, or fails after `timeout`.
     pub async fn put(
         &self,
         base: u64,
@@ -54,13 +55,13 @@
             sleep(RETRY_DELAY).await;
         }
         TimedOutSnafu {
-            what: "an answer to a configuration",
+            what: "final response to PUT /config",
             seconds: timeout.as_secs(),
         }
         .fail()
     }
 
-    /// The configuration in force, as the core machine at this address reports it.
+    /// Reads the active configuration from the core machine at this address.
     pub async fn get(&self, control: SocketAddr) -> Result<String, TierError> {
         let what = || format!("GET /config of {control}");
         let call = self
@@ -86,7 +87,7 @@
     }
 }
 
-/// Whether a rejection is final: another attempt would get the same answer.
+/// Whether a retry would get the same rejection.
 fn is_final(status: StatusCode) -> bool {
     matches!(status.as_u16(), 400 | 409 | 412 | 413 | 422)
 }
--- a/crates/testing/local-tier/src/process.rs
+++ b/crates/testing/local-tier/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the tier: the built program, its settings file and its log.
+//! One process of the tier, with its settings file and its log file.
 
 use crate::error::{NotBuiltSnafu, SystemSnafu, TierError};
 use crate::settings::{MachineClass, NodeSpec};
@@ -9,9 +9,9 @@
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 
-/// A machine of the tier and its process, which is killed when this is dropped.
+/// Process of one machine of the tier. Dropping this value kills the process.
 pub struct NodeProcess {
-    /// The machine.
+    /// Settings of the machine.
     pub spec: NodeSpec,
     program: PathBuf,
     settings_file: PathBuf,
@@ -20,7 +20,7 @@
 }
 
 impl NodeProcess {
-    /// Writes the settings and starts the program.
+    /// Writes the settings file to `folder` and starts the executable, which is looked up in `programs`.
     pub fn start(
         spec: NodeSpec,
         programs: &Path,
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Sends SIGKILL to the process, and waits until it has ended.
+    /// Sends SIGKILL to the process and waits for it to exit. Does nothing if it is not running.
     pub async fn kill(&mut self) -> Result<(), TierError> {
         if let Some(mut child) = self.child.take() {
             child.kill().await.context(SystemSnafu {
@@ -90,12 +90,12 @@
         Ok(())
     }
 
-    /// Suspends the process by SIGSTOP; its sockets stay open.
+    /// Suspends the process with SIGSTOP; its sockets stay open.
     pub fn suspend(&self) -> Result<(), TierError> {
         self.signal("-STOP")
     }
 
-    /// Resumes a suspended process by SIGCONT.
+    /// Resumes a suspended process with SIGCONT.
     pub fn resume(&self) -> Result<(), TierError> {
         self.signal("-CONT")
     }
@@ -113,7 +113,7 @@
         .map(drop)
     }
 
-    /// Starts the process again after [`Self::kill`], with the disk as it is.
+    /// Starts the process again after [`Self::kill`], with `bootstrap` off and the contents of its disk unchanged.
     pub fn restart(&mut self, network: u8, seeds: &[SocketAddr]) -> Result<(), TierError> {
         self.spec.bootstrap = false;
         std::fs::write(&self.settings_file, self.spec.settings(network, seeds)).context(
@@ -124,7 +124,7 @@
         self.spawn()
     }
 
-    /// Removes everything from the disk of a process that does not run.
+    /// Empties the machine's data folder. The process must not be running.
     pub fn wipe_disk(&self) -> Result<(), TierError> {
         let Some(folder) = &self.spec.data_dir else {
             return Ok(());
@@ -135,12 +135,12 @@
         })
     }
 
-    /// Id of the running process.
+    /// Id of the process; `None` if it is not running.
     pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// What the process has logged.
+    /// Contents of the log file, over all restarts; empty if the file cannot be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log_file).unwrap_or_default()
     }
--- a/crates/testing/local-tier/src/replica.rs
+++ b/crates/testing/local-tier/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica as the tier sees it: it sends heartbeats to the core and answers requests by a script, so that a test
-//! knows what the answer to each request has to be.
+//! Fake replica: sends heartbeats to the core and responds deterministically, so that a test can compute the
+//! expected response to each request.
 
 use crate::error::{SystemSnafu, TierError};
 use crate::settings::HEARTBEAT_MS;
@@ -21,36 +21,36 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The longest request body that a fake replica accepts, in bytes.
+/// Maximum size of a request body that a fake replica accepts, in bytes.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
-/// How long a heartbeat waits for its acknowledgement.
+/// Time-out of one heartbeat request.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Header of an answer to a request that has not run.
+/// Response header that marks a request as rejected before execution.
 const NOT_EXECUTED: &str = "not-executed";
 
-/// What a replica answers with.
+/// Kind of response that a fake replica sends.
 #[derive(Clone, Copy, Debug)]
 pub enum ReplicaKind {
-    /// A stream of events.
+    /// Stream of server-sent events.
     Model {
         /// Number of events.
         events: usize,
         /// Pause before each event, in ms.
         pause_ms: u64,
     },
-    /// One short body.
+    /// The body `done`.
     Plain,
-    /// A body of chunks, each of which names the request.
+    /// Body of chunks, each of which contains the request id.
     Chunks {
         /// Number of chunks.
         chunks: usize,
-        /// Pause before the head and before each chunk, in ms.
+        /// Pause before the response head and before each chunk, in ms.
         pause_ms: u64,
     },
 }
 
-/// The body of [`ReplicaKind::Chunks`] for a request.
-pub fn chunks_of(request_id: &str, chunks: usize) -> String {
+/// Returns the complete response body of [`ReplicaKind::Chunks`] for a request.
+pub fn expected_chunks(request_id: &str, chunks: usize) -> String {
     (1..=chunks)
         .map(|number| chunk(request_id, number))
         .collect()
@@ -60,30 +60,30 @@
     format!("{request_id} {number}\n")
 }
 
-/// The socket of a fake replica, and where others reach it.
+/// Listening socket of a fake replica, and the address that it announces.
 pub struct ReplicaSocket {
-    /// Accepts the connections.
+    /// Socket on which the replica accepts connections.
     pub listener: TcpListener,
-    /// The address in its heartbeats: that of `listener`, or of a relay in front of it.
+    /// Address in the replica's heartbeats: that of `listener`, or of a relay that forwards to it.
     pub announced: SocketAddr,
 }
 
-/// A request that a fake replica has run.
+/// Request that a fake replica has executed.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Method and path with query.
+    /// Method, path and query, for example `POST /chat/2f`.
     pub line: String,
-    /// Its `Request-Id`.
+    /// `Request-Id` header of the request.
     pub request_id: String,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A replica on loopback, which ends with this value.
+/// Replica on loopback. Dropping this value stops it.
 pub struct FakeReplica {
-    /// Its id.
+    /// Instance id of the replica.
     pub id: String,
-    /// Where others reach it.
+    /// Address in the replica's heartbeats.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     tasks: Vec<JoinHandle<()>>,
@@ -100,7 +100,8 @@
 }
 
 impl FakeReplica {
-    /// Starts to serve and to send heartbeats to the first of `control` that acknowledges them.
+    /// Starts a replica on a free port. Each heartbeat is sent to the addresses in `control` in order, until one
+    /// acknowledges it.
     pub async fn start(
         id: &str,
         service: &str,
@@ -121,7 +122,7 @@
         Ok(Self::start_at(id, service, kind, control, socket))
     }
 
-    /// Like [`Self::start`], on a socket of the caller's.
+    /// Like [`Self::start`], but on a socket that the caller provides.
     pub fn start_at(
         id: &str,
         service: &str,
@@ -139,7 +140,9 @@
             sequence: AtomicU64::new(1),
             received: Mutex::default(),
         });
-        let app = Router::new().fallback(answer).with_state(shared.clone());
+        let app = Router::new()
+            .fallback(handle_request)
+            .with_state(shared.clone());
         let serving = tokio::spawn(async move {
             let _ = axum::serve(socket.listener, app).await;
         });
@@ -152,7 +155,7 @@
         }
     }
 
-    /// The requests that have run here, in the order in which they came.
+    /// Requests that this replica has executed, in order of receipt.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.shared.received.lock().clone()
     }
@@ -190,7 +193,7 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
@@ -202,17 +205,17 @@
     response.body(Body::empty()).unwrap_or_default()
 }
 
-async fn answer(State(shared): State<Arc<Shared>>, request: Request) -> Response {
+async fn handle_request(State(shared): State<Arc<Shared>>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/healthz" {
         let response = Response::builder().header("instance-id", &shared.id);
         return response.body(Body::empty()).unwrap_or_default();
     }
-    let expected = text(&head.headers, "expect-instance");
+    let expected = header_text(&head.headers, "expect-instance");
     if !expected.is_empty() && expected != shared.id {
         return not_executed(StatusCode::MISDIRECTED_REQUEST);
     }
-    let request_id = text(&head.headers, "request-id").to_owned();
+    let request_id = header_text(&head.headers, "request-id").to_owned();
     let Ok(body) = to_bytes(body, MAX_REQUEST_BYTES).await else {
         return not_executed(StatusCode::BAD_REQUEST);
     };
@@ -220,7 +223,9 @@
         return not_executed(StatusCode::BAD_REQUEST);
     }
     let signature = format!("{}.{request_id}", shared.id);
-    let first_event = text(&head.headers, "last-event-id").parse().unwrap_or(0);
+    let first_event = header_text(&head.headers, "last-event-id")
+        .parse()
+        .unwrap_or(0);
     let line = format!("{} {}", head.method, head.uri);
     shared.received.lock().push(ReceivedRequest {
         line,
@@ -259,7 +264,7 @@
     })
 }
 
-/// A body of the texts of these numbers, with a pause before each.
+/// Streams `text(number)` for each of these numbers, with a pause before each.
 fn paused_body(
     numbers: RangeInclusive<usize>,
     pause: Duration,
--- a/crates/testing/local-tier/src/settings.rs
+++ b/crates/testing/local-tier/src/settings.rs
@@ -1,32 +1,32 @@
-//! The settings files of the processes: their ports, addresses and limits.
+//! Settings files of the processes: ports, addresses and limits.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Port at which an edge accepts clients.
-pub(crate) const FRONT_PORT: u16 = 18149;
-/// Port at which an edge reports whether it is ready.
+/// Port on which an edge accepts client connections.
+pub(crate) const CLIENT_PORT: u16 = 18149;
+/// Port on which an edge serves its readiness check.
 pub(crate) const READY_PORT: u16 = 18141;
 /// Port of the control interface of a core machine.
 pub(crate) const CONTROL_PORT: u16 = 18144;
-/// First port for traffic between processes.
+/// First port of the range for traffic between processes.
 const FIRST_INTERNAL_PORT: u16 = 17380;
 /// Interval between two heartbeats of a replica, in ms.
 pub(crate) const HEARTBEAT_MS: u64 = 300;
 
-/// What a machine is for.
+/// Class of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineClass {
-    /// Carries the traffic.
+    /// Proxies client traffic to the replicas.
     Edge,
-    /// Serves control.
+    /// Serves the control interface.
     Core,
-    /// Keeps turns and budgets.
+    /// Stores turns and budgets.
     Storage,
 }
 
 impl MachineClass {
-    /// The class's name in settings.
+    /// Name of the class in settings files.
     pub fn name(self) -> &'static str {
         match self {
             MachineClass::Edge => "edge",
@@ -35,7 +35,7 @@
         }
     }
 
-    fn number(self) -> u8 {
+    fn address_block(self) -> u8 {
         match self {
             MachineClass::Edge => 1,
             MachineClass::Core => 2,
@@ -44,14 +44,14 @@
     }
 }
 
-/// One machine of a tier on loopback.
+/// Settings of one machine of a tier on loopback.
 #[derive(Clone, Debug)]
 pub struct NodeSpec {
-    /// What it is for.
+    /// Class of the machine.
     pub class: MachineClass,
-    /// Its number within its class, from 1.
+    /// Number of the machine within its class, from 1.
     pub index: u8,
-    /// Folder for durable state, if it has a disk.
+    /// Folder for durable state; `None` if the machine has no disk.
     pub data_dir: Option<PathBuf>,
     /// Whether this is the first start of the whole tier.
     pub bootstrap: bool,
@@ -60,22 +60,27 @@
 }
 
 impl NodeSpec {
-    /// The machine's name.
+    /// Name of the machine, for example `core-1`.
     pub fn name(&self) -> String {
         format!("{}-{}", self.class.name(), self.index)
     }
 
-    /// The machine's address; `network` keeps tiers on one machine apart.
+    /// Address of the machine. Each tier that runs on the same host needs a different `network`, the third byte.
     pub fn ip(&self, network: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, 77, network, self.class.number() * 32 + self.index)
+        Ipv4Addr::new(
+            127,
+            77,
+            network,
+            self.class.address_block() * 32 + self.index,
+        )
     }
 
-    /// Where it serves a port.
-    pub fn at(&self, network: u8, port: u16) -> SocketAddr {
+    /// Socket address of a port of the machine.
+    pub fn socket_address(&self, network: u8, port: u16) -> SocketAddr {
         SocketAddr::from((self.ip(network), port))
     }
 
-    /// The text of its settings file.
+    /// Contents of the machine's settings file, in YAML.
     pub fn settings(&self, network: u8, seeds: &[SocketAddr]) -> String {
         let seeds: String = seeds
             .iter()
@@ -88,11 +93,14 @@
         let listen = match self.class {
             MachineClass::Edge => format!(
                 "listen:\n  front: \"{}\"\n  ready: \"{}\"",
-                self.at(network, FRONT_PORT),
-                self.at(network, READY_PORT)
+                self.socket_address(network, CLIENT_PORT),
+                self.socket_address(network, READY_PORT)
             ),
             MachineClass::Core => {
-                format!("listen:\n  control: \"{}\"", self.at(network, CONTROL_PORT))
+                format!(
+                    "listen:\n  control: \"{}\"",
+                    self.socket_address(network, CONTROL_PORT)
+                )
             }
             MachineClass::Storage => "listen: {}".to_owned(),
         };
--- a/crates/testing/local-tier/src/tier.rs
+++ b/crates/testing/local-tier/src/tier.rs
@@ -1,8 +1,10 @@
-//! A tier of processes, started together as on a first start.
+//! Starts and controls all processes of a tier.
 
 use crate::error::{SystemSnafu, TierError, TimedOutSnafu};
 use crate::process::NodeProcess;
-use crate::settings::{CONTROL_PORT, FRONT_PORT, HEARTBEAT_MS, MachineClass, NodeSpec, READY_PORT};
+use crate::settings::{
+    CLIENT_PORT, CONTROL_PORT, HEARTBEAT_MS, MachineClass, NodeSpec, READY_PORT,
+};
 use snafu::ResultExt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,20 +15,20 @@
 /// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many machines of each class.
+/// Number of machines of each class.
 #[derive(Clone, Copy, Debug)]
 pub struct TierSize {
-    /// Machines that carry the traffic.
+    /// Number of edge machines.
     pub edges: u8,
-    /// Machines that serve control.
+    /// Number of core machines.
     pub core: u8,
-    /// Machines that keep turns and budgets.
+    /// Number of storage machines.
     pub storage: u8,
 }
 
-/// A running tier. Its processes are killed and its files removed when this is dropped.
+/// Running tier. Dropping this value kills its processes and removes its files.
 pub struct Tier {
-    /// The machines, edges first.
+    /// Processes of all machines: edge, then storage, then core.
     pub nodes: Vec<NodeProcess>,
     network: u8,
     seeds: Vec<SocketAddr>,
@@ -34,10 +36,10 @@
 }
 
 impl Tier {
-    /// Starts all processes, the edges first: before the machines that they depend on.
+    /// Starts all processes in bootstrap mode. Edges start first, before the machines that they depend on.
     pub fn start(programs: &Path, network: u8, size: TierSize) -> Result<Self, TierError> {
         let folder = tempfile::tempdir().context(SystemSnafu {
-            what: "a folder for the tier",
+            what: "creation of the tier's temporary folder",
         })?;
         let classes = [
             (MachineClass::Edge, size.edges),
@@ -46,18 +48,20 @@
         ];
         let specs: Vec<NodeSpec> = classes
             .iter()
-            .flat_map(|(class, count)| (1..=*count).map(|index| spec(*class, index, folder.path())))
+            .flat_map(|(class, count)| {
+                (1..=*count).map(|index| node_spec(*class, index, folder.path()))
+            })
             .collect();
         let core = specs.iter().filter(|spec| spec.class == MachineClass::Core);
         let seeds: Vec<SocketAddr> = core
-            .map(|spec| spec.at(network, CONTROL_PORT))
+            .map(|spec| spec.socket_address(network, CONTROL_PORT))
             .take(3)
             .collect();
         let mut nodes = Vec::new();
         for spec in specs {
             if let Some(data_dir) = &spec.data_dir {
                 std::fs::create_dir_all(data_dir).context(SystemSnafu {
-                    what: "a data folder",
+                    what: "creation of a data folder",
                 })?;
             }
             nodes.push(NodeProcess::start(
@@ -81,19 +85,19 @@
         self.addresses(MachineClass::Core, CONTROL_PORT)
     }
 
-    /// Addresses on which the edges take clients.
-    pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.addresses(MachineClass::Edge, FRONT_PORT)
+    /// Addresses on which the edges accept client connections.
+    pub fn edge_addresses(&self) -> Vec<SocketAddr> {
+        self.addresses(MachineClass::Edge, CLIENT_PORT)
     }
 
     fn addresses(&self, class: MachineClass, port: u16) -> Vec<SocketAddr> {
-        let of_class = self.nodes.iter().filter(|node| node.spec.class == class);
-        of_class
-            .map(|node| node.spec.at(self.network, port))
+        let nodes = self.nodes.iter().filter(|node| node.spec.class == class);
+        nodes
+            .map(|node| node.spec.socket_address(self.network, port))
             .collect()
     }
 
-    /// Waits until every edge reports that it is ready.
+    /// Waits until every edge has answered its readiness check with a 2xx status; fails after `timeout`.
     pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), TierError> {
         let client = reqwest::Client::new();
         let end = Instant::now() + timeout;
@@ -110,7 +114,7 @@
                     break;
                 }
                 if Instant::now() > end {
-                    let what = format!("readiness of {ready}");
+                    let what = format!("readiness check of the edge at {ready}");
                     return TimedOutSnafu {
                         what,
                         seconds: timeout.as_secs(),
@@ -123,14 +127,15 @@
         Ok(())
     }
 
-    /// The process of a class and number.
+    /// Process of the machine with this class and index; `None` if the tier has no such machine.
     pub fn node(&mut self, class: MachineClass, index: u8) -> Option<&mut NodeProcess> {
         self.nodes
             .iter_mut()
             .find(|node| node.spec.class == class && node.spec.index == index)
     }
 
-    /// Kills a process and starts it again; with `wipe` its disk comes back empty.
+    /// Kills a process and starts it again; with `wipe`, its disk is emptied in between. Does nothing if the tier
+    /// has no such machine.
     pub async fn restart(
         &mut self,
         class: MachineClass,
@@ -148,13 +153,13 @@
         node.restart(network, &seeds)
     }
 
-    /// The folder that holds settings, disks and logs.
+    /// Folder of the settings files, data folders and logs.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 }
 
-fn spec(class: MachineClass, index: u8, folder: &Path) -> NodeSpec {
+fn node_spec(class: MachineClass, index: u8, folder: &Path) -> NodeSpec {
     let name = format!("{}-{index}", class.name());
     let data_dir: Option<PathBuf> =
         (class != MachineClass::Edge).then(|| folder.join(format!("{name}.disk")));
--- a/crates/testing/local-tier/tests/replica_path.rs
+++ b/crates/testing/local-tier/tests/replica_path.rs
@@ -1,5 +1,6 @@
-//! The links between the edges and replicas are partitioned and reset in the middle of answers to requests that may
-//! not be repeated: none runs twice, and no answer reaches the caller of another request.
+//! Partitions and resets the links between edges and replicas while responses to `unsafe` requests (which must not be
+//! repeated) are in flight. Guards against executing a request twice and against sending a response, or a part of
+//! it, to the caller of another request.
 
 mod support;
 
@@ -11,20 +12,20 @@
 use tokio::task::{JoinHandle, LocalSet};
 use woadreach_local_tier::{
     Client, FakeReplica, Operator, ReplicaKind, ReplicaSocket, Tier, TierError, TurnAnswer,
-    chunks_of, example,
+    example, expected_chunks,
 };
 use woadreach_process_tests::{Relay, ZonePair};
 
-/// Zone of the edges. The relay is between it and the zone of the replicas.
+/// Relay zone of the edges. The relay forwards between this zone and that of the replicas.
 const EDGES: usize = 0;
-/// Zone of the replicas.
+/// Relay zone of the replicas.
 const REPLICAS: usize = 1;
-/// The link that requests take.
+/// Direction from edges to replicas, which carries requests.
 const REQUESTS: ZonePair = ZonePair {
     from: EDGES,
     to: REPLICAS,
 };
-/// The link that answers take.
+/// Direction from replicas to edges, which carries responses.
 const ANSWERS: ZonePair = ZonePair {
     from: REPLICAS,
     to: EDGES,
@@ -34,21 +35,21 @@
     chunks: CHUNKS,
     pause_ms: 60,
 };
-/// Requests that are sent before the link fails, and as many after.
-const AT_ONCE: usize = 20;
-/// Number of them that have begun to run when the link fails.
-const BEGUN: usize = 10;
+/// Number of requests sent before the link fails, and again after it has failed.
+const REQUESTS_PER_BATCH: usize = 20;
+/// Minimum number of requests of the first batch that replicas have begun to execute when the link fails.
+const MIN_STARTED: usize = 10;
 
-/// The fault of the link while answers are in flight.
+/// Link failure that is injected while responses are in flight.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
-    /// Answers stop, and come once all requests have been given up.
+    /// Responses are held back until all requests have finished, then delivered.
     AnswersStall,
-    /// Requests stop, and come once all have been given up; answers go on.
+    /// Requests are held back until all have finished, then delivered. Responses are not delayed.
     RequestsStall,
     /// All connections are reset at both ends.
     Reset,
-    /// Answers stop, and the connections on which they wait are reset.
+    /// Responses are held back, and their connections are reset instead of delivering them.
     StallThenReset,
 }
 
@@ -78,46 +79,46 @@
     });
 }
 
-/// A request in flight.
+/// Request in flight.
 struct Call {
     request_id: String,
     answer: JoinHandle<Result<TurnAnswer, TierError>>,
 }
 
-/// A request that has been answered or has failed.
-struct EndedCall {
+/// Request that was answered or has failed.
+struct FinishedCall {
     request_id: String,
     answer: Result<TurnAnswer, TierError>,
 }
 
-/// Sends requests that may not be repeated, each under an id of its own, to all edges in turn.
-fn send(fronts: &[SocketAddr], round: usize, part: &str) -> Vec<Call> {
-    let send_one = |number: usize| {
+/// Sends a batch of `unsafe` requests with distinct ids to the edges in rotation.
+fn send(edges: &[SocketAddr], round: usize, part: &str) -> Vec<Call> {
+    let send_request = |number: usize| {
         let request_id = format!("order-{round}-{part}-{number}");
-        let front = fronts[number % fronts.len()];
+        let edge = edges[number % edges.len()];
         let id = request_id.clone();
-        let answer = tokio::spawn(async move {
-            Client::new(front)
-                .post(example::HOST, "/order/x", &id)
-                .await
-        });
+        let answer =
+            tokio::spawn(
+                async move { Client::new(edge).post(example::HOST, "/order/x", &id).await },
+            );
         Call { request_id, answer }
     };
-    (0..AT_ONCE).map(send_one).collect()
+    (0..REQUESTS_PER_BATCH).map(send_request).collect()
 }
 
-/// How often each request has run, over all replicas.
-fn runs(replicas: &[FakeReplica]) -> BTreeMap<String, usize> {
-    let mut runs = BTreeMap::new();
+/// Number of executions of each request id, over all replicas.
+fn count_executions(replicas: &[FakeReplica]) -> BTreeMap<String, usize> {
+    let mut executions = BTreeMap::new();
     for request in replicas.iter().flat_map(FakeReplica::received) {
-        *runs.entry(request.request_id).or_default() += 1;
+        *executions.entry(request.request_id).or_default() += 1;
     }
-    runs
+    executions
 }
 
-/// A caller may get its own answer and nothing of another's, and a rejection only if its request has not run.
-fn check(id: &str, answer: &TurnAnswer, runs: usize) {
-    let complete = chunks_of(id, CHUNKS);
+/// Checks that a response contains no part of another request's response, and that a rejected request was not
+/// executed.
+fn check_response(id: &str, answer: &TurnAnswer, executions: usize) {
+    let complete = expected_chunks(id, CHUNKS);
     let body = answer.body.as_deref();
     if answer.status == 200 {
         assert!(
@@ -128,14 +129,22 @@
         );
         assert!(body.is_none_or(|body| body == complete), "{id}: {body:?}");
     } else {
-        assert_eq!(answer.signature, None, "{id}: a status of the edge's own");
+        assert_eq!(
+            answer.signature, None,
+            "{id}: signature in a response with error status {}",
+            answer.status
+        );
         assert!(
             !body.unwrap_or_default().contains("order-"),
             "{id}: {body:?}"
         );
     }
     if [408, 421, 429, 503].contains(&answer.status) {
-        assert_eq!(runs, 0, "{id} was rejected and has run");
+        assert_eq!(
+            executions, 0,
+            "{id} was rejected with status {} but executed",
+            answer.status
+        );
     }
 }
 
@@ -151,14 +160,17 @@
     configuration.to_string()
 }
 
-/// Replicas that can be reached through the relay alone.
-async fn replicas_behind(relay: &Relay, tier: &Tier) -> Vec<FakeReplica> {
+/// Starts replicas whose announced addresses are those of the relay, so that edges reach them only through it.
+async fn start_replicas_behind(relay: &Relay, tier: &Tier) -> Vec<FakeReplica> {
     let mut replicas = Vec::new();
     for index in 0..2 {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let own = listener.local_addr().unwrap();
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let announced = relay.relay_connections(any, own, REQUESTS).await.unwrap();
+        let address = listener.local_addr().unwrap();
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let announced = relay
+            .relay_connections(any_port, address, REQUESTS)
+            .await
+            .unwrap();
         let id = format!("i-orders-{index}");
         replicas.push(FakeReplica::start_at(
             &id,
@@ -174,23 +186,21 @@
     replicas
 }
 
-/// Waits until every edge serves the route again.
+/// Waits until every edge returns a complete response on the `order` route.
 async fn wait_until_served(tier: &Tier, round: usize) {
     let end = tokio::time::Instant::now() + TIMEOUT;
-    for (number, front) in tier.fronts().into_iter().enumerate() {
+    for (number, edge) in tier.edge_addresses().into_iter().enumerate() {
         for attempt in 0.. {
             let id = format!("order-ready-{round}-{number}-{attempt}");
-            let answer = Client::new(front)
-                .post(example::HOST, "/order/x", &id)
-                .await;
+            let answer = Client::new(edge).post(example::HOST, "/order/x", &id).await;
             if answer.is_ok_and(|answer| {
-                answer.status == 200 && answer.body == Some(chunks_of(&id, CHUNKS))
+                answer.status == 200 && answer.body == Some(expected_chunks(&id, CHUNKS))
             }) {
                 break;
             }
             assert!(
                 tokio::time::Instant::now() < end,
-                "{front} does not serve orders\n{}",
+                "edge {edge} did not serve the route `order` within {TIMEOUT:?}\n{}",
                 logs(tier)
             );
         }
@@ -198,15 +208,15 @@
 }
 
 #[tokio::test]
-async fn a_path_that_fails_within_answers_repeats_nothing_and_crosses_nothing() {
-    LocalSet::new().run_until(play()).await;
+async fn link_failure_during_responses_neither_repeats_requests_nor_mixes_up_responses() {
+    LocalSet::new().run_until(run_scenario()).await;
 }
 
-async fn play() {
+async fn run_scenario() {
     let tier = start(24);
     let _replicas = bring_up(&tier).await;
     let relay = Relay::new(2, 1);
-    let replicas = replicas_behind(&relay, &tier).await;
+    let replicas = start_replicas_behind(&relay, &tier).await;
     let status = Operator::new(tier.control())
         .put(1, &configuration(), TIMEOUT)
         .await;
@@ -227,47 +237,48 @@
     let mut all_calls = Vec::new();
     for (round, failure) in failures.into_iter().enumerate() {
         wait_until_served(&tier, round).await;
-        let before = runs(&replicas).len();
-        let mut calls = send(&tier.fronts(), round, "before");
-        wait_for(&tier, "requests that run", || {
-            (runs(&replicas).len() >= before + BEGUN).then_some(())
+        let earlier = count_executions(&replicas).len();
+        let mut calls = send(&tier.edge_addresses(), round, "before");
+        wait_for(&tier, "executed requests", || {
+            (count_executions(&replicas).len() >= earlier + MIN_STARTED).then_some(())
         })
         .await;
         failure.begin(&relay);
-        calls.extend(send(&tier.fronts(), round, "after"));
-        let mut ended = Vec::new();
+        calls.extend(send(&tier.edge_addresses(), round, "after"));
+        let mut finished = Vec::new();
         for Call { request_id, answer } in calls {
-            ended.push(EndedCall {
+            finished.push(FinishedCall {
                 request_id,
                 answer: answer.await.unwrap(),
             });
         }
         failure.end(&relay);
-        // What the links held back arrives now, on connections that later requests may use.
+        // Held-back data is delivered now, on connections that later requests may reuse.
         wait_until_served(&tier, round + failures.len()).await;
-        let broken = check_all(&ended, &runs(&replicas));
+        let incomplete = check_responses(&finished, &count_executions(&replicas));
         println!(
-            "{failure:?}: {broken} of {} had run and got no complete answer",
-            2 * AT_ONCE
+            "{failure:?}: {incomplete} of {} requests were executed without a complete response",
+            2 * REQUESTS_PER_BATCH
         );
-        assert!(broken > 0, "{failure:?} broke no answer off");
-        all_calls.extend(ended);
+        assert!(incomplete > 0, "{failure:?} interrupted no response");
+        all_calls.extend(finished);
     }
-    check_all(&all_calls, &runs(&replicas));
+    check_responses(&all_calls, &count_executions(&replicas));
 }
 
-/// Checks all answers. Returns how many requests have run without a complete answer to their caller.
-fn check_all(calls: &[EndedCall], runs: &BTreeMap<String, usize>) -> usize {
-    let twice: Vec<_> = runs.iter().filter(|(_, runs)| **runs > 1).collect();
-    assert!(twice.is_empty(), "ran more than once: {twice:?}");
-    let is_incomplete = |call: &&EndedCall| {
+/// Checks all responses. Returns the number of requests that were executed without a complete response to their
+/// caller.
+fn check_responses(calls: &[FinishedCall], executions: &BTreeMap<String, usize>) -> usize {
+    let repeated: Vec<_> = executions.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(repeated.is_empty(), "executed more than once: {repeated:?}");
+    let is_incomplete = |call: &&FinishedCall| {
         let id = &call.request_id;
-        let ran = runs.get(id).copied().unwrap_or(0);
+        let executed = executions.get(id).copied().unwrap_or(0);
         let Ok(answer) = &call.answer else {
-            return ran > 0;
+            return executed > 0;
         };
-        check(id, answer, ran);
-        ran > 0 && answer.body != Some(chunks_of(id, CHUNKS))
+        check_response(id, answer, executed);
+        executed > 0 && answer.body != Some(expected_chunks(id, CHUNKS))
     };
     calls.iter().filter(is_incomplete).count()
 }
--- a/crates/testing/local-tier/tests/support/mod.rs
+++ b/crates/testing/local-tier/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a tier of real processes, conditions that are read from logs, and
+//! Shared helpers of the tests: start a tier of real processes, wait for conditions in its logs, and build
 //! configurations that differ in their routes.
 
 #![allow(dead_code)]
@@ -10,18 +10,19 @@
     Client, FakeReplica, MachineClass, Tier, TierSize, built_programs, example,
 };
 
-/// Time-out of what a test waits for after it has lost a machine or a link; long enough that no result depends on the machine's speed.
+/// Time-out of each wait after a machine or link has failed; long enough that no result depends on the speed of the
+/// host.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(40);
 /// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-const SMALL: TierSize = TierSize {
+const TIER_SIZE: TierSize = TierSize {
     edges: 2,
     core: 3,
     storage: 3,
 };
 
 pub(crate) fn start(network: u8) -> Tier {
-    Tier::start(&built_programs(), network, SMALL).unwrap()
+    Tier::start(&built_programs(), network, TIER_SIZE).unwrap()
 }
 
 /// Sends the example's first configuration and waits until the edges are ready. Returns the example's replicas.
@@ -31,7 +32,7 @@
         .unwrap_or_else(|error| panic!("{error}\n{}", logs(tier)))
 }
 
-/// The logs of all processes, shown where a test fails.
+/// Logs of all processes, for the message of a failed assertion.
 pub(crate) fn logs(tier: &Tier) -> String {
     tier.nodes
         .iter()
@@ -47,7 +48,7 @@
     node.map(|node| node.log()).unwrap_or_default()
 }
 
-/// Waits until `condition` returns something.
+/// Polls `condition` until it returns a value; panics with `what` and the logs after [`TIMEOUT`].
 pub(crate) async fn wait_for<T>(
     tier: &Tier,
     what: &str,
@@ -60,14 +61,14 @@
         }
         assert!(
             Instant::now() < end,
-            "{what} did not come about\n{}",
+            "{what}: timed out after {TIMEOUT:?}\n{}",
             logs(tier)
         );
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The example's configuration with one more route, whose path holds the generation.
+/// Returns the example's configuration with an additional route, whose path contains the generation.
 pub(crate) fn configuration(generation: u64) -> String {
     let mut configuration: Value =
         serde_json::from_str(&example::configuration(generation)).unwrap();
@@ -80,26 +81,26 @@
     configuration.to_string()
 }
 
-/// A path that this generation alone has a route for.
+/// Path prefix that is routed only in this generation.
 pub(crate) fn newest_path(generation: u64) -> String {
     format!("/generation-{generation}/")
 }
 
 /// Waits until every edge serves the route that only this generation has.
-pub(crate) async fn wait_until_in_force(tier: &Tier, generation: u64) {
+pub(crate) async fn wait_until_generation_served(tier: &Tier, generation: u64) {
     let end = Instant::now() + TIMEOUT;
-    for front in tier.fronts() {
-        let client = Client::new(front);
+    for edge in tier.edge_addresses() {
+        let client = Client::new(edge);
         while client
             .get(example::HOST, &newest_path(generation), "g")
             .await
-            .map(|a| a.status)
+            .map(|answer| answer.status)
             .ok()
             != Some(200)
         {
             assert!(
                 Instant::now() < end,
-                "{front} does not serve generation {generation}\n{}",
+                "edge {edge} did not serve generation {generation} within {TIMEOUT:?}\n{}",
                 logs(tier)
             );
             sleep(POLL_INTERVAL).await;
@@ -107,14 +108,14 @@
     }
 }
 
-/// A view of the core, as a machine logs that it has installed it.
+/// View of the core, parsed from the `view installed` log line of a machine.
 pub(crate) struct View {
     pub(crate) epoch: u64,
-    /// The last bytes of the members' addresses, head first.
+    /// Last byte of each member's address, head first.
     pub(crate) chain: Vec<u8>,
 }
 
-/// The last view in a log.
+/// Returns the view that was installed last according to a log.
 pub(crate) fn last_view(log: &str) -> Option<View> {
     let line = log
         .lines()
@@ -139,7 +140,7 @@
         .map(|chain| View { epoch, chain })
 }
 
-/// The number that follows the last `key` in a text.
+/// Returns the number that follows the last occurrence of `key` in a text.
 pub(crate) fn number_after(text: &str, key: &str) -> Option<u64> {
     let (_, rest) = text.rsplit_once(key)?;
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
--- a/crates/testing/local-tier/tests/tier.rs
+++ b/crates/testing/local-tier/tests/tier.rs
@@ -1,4 +1,4 @@
-//! The complete path over loopback: real processes, fake replicas, an operator and clients.
+//! End-to-end tests over loopback: real processes, fake replicas, an operator and clients.
 
 mod support;
 
@@ -6,18 +6,20 @@
 use support::{bring_up, logs, start};
 use woadreach_local_tier::{Client, MachineClass, Operator, example};
 
-/// How long the tier may take to become ready or to answer an order.
+/// Time-out for the tier to become ready, and for an answer to a configuration.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn a_conversation_is_served_through_changing_edges() {
+async fn conversation_continues_across_edges() {
     let tier = start(1);
     let replicas = bring_up(&tier).await;
-    let answers = example::converse(&tier.fronts(), "p1", 4).await.unwrap();
+    let answers = example::run_conversation(&tier.edge_addresses(), "p1", 4)
+        .await
+        .unwrap();
     for answer in &answers {
         assert_eq!(answer.status, 200, "{}", logs(&tier));
         assert!(answer.signature.is_some());
-        let body = answer.body.as_ref().expect("a complete body");
+        let body = answer.body.as_ref().expect("incomplete response body");
         assert_eq!(body.matches("data: word-").count(), example::EVENTS);
     }
     let received: Vec<_> = replicas
@@ -28,7 +30,7 @@
         let turn = received
             .iter()
             .find(|request| request.request_id == id)
-            .expect("each turn has run");
+            .expect("no replica has executed the turn");
         let earlier: Vec<usize> = (0..number).collect();
         assert_eq!(
             turn.body,
@@ -36,12 +38,12 @@
         );
         assert_eq!(turn.line, "POST /chat/2f");
     }
-    let stock = Client::new(tier.fronts()[0])
+    let stock = Client::new(tier.edge_addresses()[0])
         .get(example::HOST, "/stock/2f?a=1", "s1")
         .await
         .unwrap();
     assert_eq!((stock.status, stock.body.as_deref()), (200, Some("done")));
-    let unknown = Client::new(tier.fronts()[0])
+    let unknown = Client::new(tier.edge_addresses()[0])
         .get(example::HOST, "/none/2f", "s2")
         .await
         .unwrap();
@@ -49,10 +51,10 @@
 }
 
 #[tokio::test]
-async fn a_spent_budget_and_an_unknown_turn_are_refused_without_a_run() {
+async fn exhausted_budget_and_unknown_turn_are_rejected_without_execution() {
     let tier = start(2);
     let replicas = bring_up(&tier).await;
-    let client = Client::new(tier.fronts()[0]);
+    let client = Client::new(tier.edge_addresses()[0]);
     let mut first = example::turn("p2", 0, None);
     first.budget = Some(first.max_tokens + 1);
     assert_eq!(client.turn(&first).await.unwrap().status, 200);
@@ -75,21 +77,21 @@
         .iter()
         .map(|replica| replica.received().len())
         .sum();
-    assert_eq!(received, 1, "only the first turn has run");
+    assert_eq!(received, 1, "replicas must execute the first turn only");
 }
 
 #[tokio::test]
-async fn what_was_acknowledged_survives_a_lost_disk_of_each_class() {
+async fn acknowledged_data_survives_a_disk_loss_in_each_class() {
     let mut tier = start(3);
     let _replicas = bring_up(&tier).await;
-    let fronts = tier.fronts();
-    example::converse(&fronts, "p3", 2).await.unwrap();
+    let edges = tier.edge_addresses();
+    example::run_conversation(&edges, "p3", 2).await.unwrap();
     tier.restart(MachineClass::Core, 1, true).await.unwrap();
     tier.restart(MachineClass::Storage, 1, true).await.unwrap();
     let operator = Operator::new(tier.control());
     let status = operator.put(1, &example::configuration(5), TIMEOUT).await;
     assert_eq!(
-        status.map(|s| s.as_u16()).ok(),
+        status.map(|status| status.as_u16()).ok(),
         Some(200),
         "{}",
         logs(&tier)
@@ -101,7 +103,7 @@
     assert_eq!(
         again.as_u16(),
         200,
-        "the same order again is acknowledged again"
+        "a repeated configuration must be acknowledged again"
     );
     let other = operator
         .put(1, &example::configuration(6), TIMEOUT)
@@ -110,22 +112,22 @@
     assert_eq!(
         other.as_u16(),
         412,
-        "another change on an old version is refused"
+        "a different configuration on an old version must be rejected"
     );
     let read = operator.get(tier.control()[1]).await.unwrap();
     assert_eq!(read, example::configuration(5));
-    let client = Client::new(fronts[1]);
+    let client = Client::new(edges[1]);
     let request = example::turn("p3", 2, Some(1));
     let answer = client.turn(&request).await.unwrap();
     assert_eq!(answer.status, 200, "{}", logs(&tier));
 }
 
 #[tokio::test]
-async fn every_machine_killed_at_once_comes_back_with_what_was_acknowledged() {
+async fn acknowledged_data_survives_a_simultaneous_kill_of_all_machines() {
     let mut tier = start(4);
     let _replicas = bring_up(&tier).await;
-    let fronts = tier.fronts();
-    example::converse(&fronts, "p4", 2).await.unwrap();
+    let edges = tier.edge_addresses();
+    example::run_conversation(&edges, "p4", 2).await.unwrap();
     for node in &mut tier.nodes {
         node.kill().await.unwrap();
     }
@@ -146,7 +148,7 @@
         .await
         .unwrap();
     assert_eq!(read, example::configuration(1));
-    let answer = Client::new(fronts[0])
+    let answer = Client::new(edges[0])
         .turn(&example::turn("p4", 2, Some(1)))
         .await
         .unwrap();
