--- a/crates/router/runtime/src/lib.rs
+++ b/crates/router/runtime/src/lib.rs
@@ -1,9 +1,8 @@
-//! What a co-ordinator asks of its environment: time, tasks, and connections that can be made, accepted, read
-//! and written. All of it goes through [`Net`], so that the code which serves on sockets also runs on the
-//! virtual clock of the simulation. [`Tokio`] is the implementation on sockets.
+//! Interface of a co-ordinator to time, tasks and sockets. All access goes through [`Net`], so that the same code
+//! runs on real sockets and on the virtual clock of the simulation. [`Tokio`] is the implementation on sockets.
 //!
-//! Everything runs on one thread: futures need not be `Send`, and an implementation may stop a process
-//! between any two waits, but never within one step. Times are Unix seconds.
+//! Each process runs on one thread, so futures need not be `Send`. An implementation may stop a process at an
+//! await point, but never while a task is being polled. Times are in Unix seconds.
 
 mod tokio_net;
 
@@ -16,168 +15,171 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// A wait is over before its future has finished.
+/// The deadline of [`Net::timeout_at`] or [`Net::timeout`] passed before the future finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Why a task has not ended well.
+/// A task panicked or was cancelled.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct TaskError {
-    /// The text of its panic, or why it was cancelled.
+    /// Panic message, or cause of the cancellation.
     pub reason: String,
 }
 
-/// Time, tasks and connections of one process.
+/// Clock, tasks and sockets of one process.
 pub trait Net: Clone + 'static {
-    /// A connection.
+    /// Stream connection to a peer.
     type Stream: Stream;
-    /// An address on which connections are accepted.
+    /// Listening socket for stream connections.
     type Listener: Listener<Stream = Self::Stream>;
-    /// A socket for datagrams.
+    /// Datagram socket.
     type Datagrams: Datagrams;
-    /// Finishes when the task does. Dropping it lets the task go on by itself.
+    /// Future that resolves when the task finishes. Dropping it detaches the task, which continues to run.
     type TaskHandle: Future<Output = Result<(), TaskError>> + Unpin;
 
-    /// Unix seconds by this machine's clock, which never goes back.
+    /// Current time in Unix seconds by this machine's clock, which is monotonic.
     fn now(&self) -> f64;
 
-    /// Finishes at this time by the same clock, at once if it has passed.
+    /// Sleeps until `time` on the clock of [`Net::now`]; returns immediately if it has passed.
     fn sleep_until(&self, time: f64) -> impl Future<Output = ()>;
 
-    /// Starts a task.
+    /// Starts `task` on the thread of this process.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::TaskHandle;
 
-    /// Yields once to all tasks and sockets that are ready.
+    /// Yields once, so that other ready tasks and sockets are polled.
     fn yield_now(&self) -> impl Future<Output = ()>;
 
-    /// The address of a host and port by name.
+    /// Resolves `name`, in the form `host:port`, to a socket address.
     fn lookup(&self, name: &str) -> impl Future<Output = io::Result<SocketAddr>>;
 
-    /// Opens a connection on which small messages leave at once.
+    /// Opens a connection that sends small messages without delay.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Listens on an address, also where a process that has just died had it, with as long a backlog as the
-    /// system allows.
-    fn listen(&self, at: SocketAddr) -> io::Result<Self::Listener>;
+    /// Listens on `address`, even if a process that has just exited was using it. The accept backlog is as long as
+    /// the implementation and the system allow.
+    fn listen(&self, address: SocketAddr) -> io::Result<Self::Listener>;
 
-    /// Opens a socket for datagrams at this address.
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Self::Datagrams>;
+    /// Opens a datagram socket bound to `address`.
+    fn datagrams(&self, address: SocketAddr) -> io::Result<Self::Datagrams>;
 
-    /// Finishes after this time.
+    /// Sleeps for `seconds`.
     fn sleep(&self, seconds: f64) -> impl Future<Output = ()> {
         self.sleep_until(self.now() + seconds)
     }
 
-    /// Waits for a future until a time. One that finishes at that very time has finished within it.
+    /// Runs `future` until the time `deadline`. A future that finishes exactly at the deadline has not timed out.
     fn timeout_at<F: Future>(
         &self,
-        until: f64,
-        what: F,
+        deadline: f64,
+        future: F,
     ) -> impl Future<Output = Result<F::Output, Elapsed>> {
         async move {
-            let (mut what, mut over) = (pin!(what), pin!(self.sleep_until(until)));
+            let (mut future, mut timer) = (pin!(future), pin!(self.sleep_until(deadline)));
             std::future::poll_fn(|cx| {
-                if let Poll::Ready(done) = what.as_mut().poll(cx) {
-                    return Poll::Ready(Ok(done));
+                if let Poll::Ready(output) = future.as_mut().poll(cx) {
+                    return Poll::Ready(Ok(output));
                 }
-                over.as_mut().poll(cx).map(|()| Err(Elapsed))
+                timer.as_mut().poll(cx).map(|()| Err(Elapsed))
             })
             .await
         }
     }
 
-    /// Waits for a future for this time.
+    /// Runs `future` for at most `seconds`.
     fn timeout<F: Future>(
         &self,
         seconds: f64,
-        what: F,
+        future: F,
     ) -> impl Future<Output = Result<F::Output, Elapsed>> {
-        self.timeout_at(self.now() + seconds, what)
+        self.timeout_at(self.now() + seconds, future)
     }
 }
 
-/// An address on which connections are accepted.
+/// Listening socket for stream connections.
 pub trait Listener: 'static {
-    /// A connection.
+    /// Accepted connection.
     type Stream: Stream;
 
-    /// Waits for the next connection.
+    /// Accepts the next connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// The address, with the port that the system has chosen where none was asked for.
+    /// Bound address. Its port is the one that the system assigned if none was requested.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// A socket for datagrams, each of which is received completely or not at all.
+/// Datagram socket. A datagram is delivered as a whole or not at all.
 pub trait Datagrams: 'static {
-    /// Waits for the next datagram, cut to the length of `into`: its length and sender.
-    fn receive(&self, into: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
+    /// Receives the next datagram, truncated to the length of `buffer`; returns its length and sender.
+    fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 
-    /// Sends a datagram. It never waits: one that cannot leave now is lost.
+    /// Sends a datagram without waiting. A datagram that cannot be sent immediately is dropped.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 }
 
-/// A connection, which its drop closes: what has been written is still delivered, unless it is to reset.
+/// Stream connection. Dropping it closes the connection; bytes already written are still delivered, unless
+/// [`Stream::reset_on_drop`] was called.
 pub trait Stream: 'static {
-    /// The reading half.
+    /// Reading half.
     type Reader<'a>: Read
     where
         Self: 'a;
-    /// The writing half.
+    /// Writing half.
     type Writer<'a>: Write
     where
         Self: 'a;
 
-    /// Both halves, to be used at the same time.
+    /// Splits the connection into a reading and a writing half, which can be used concurrently.
     fn split(&mut self) -> (Self::Reader<'_>, Self::Writer<'_>);
 
-    /// Waits until there is something to read.
+    /// Waits until the connection is readable.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Appends what has been received, or fails with `WouldBlock`; 0 at the end of what the other side sends.
-    fn try_read(&self, into: &mut Vec<u8>) -> io::Result<usize>;
+    /// Appends received bytes to `buffer` without waiting and returns their number, which is 0 at end of stream.
+    /// Fails with `WouldBlock` if no bytes are available.
+    fn try_read(&self, buffer: &mut Vec<u8>) -> io::Result<usize>;
 
-    /// Appends what is received next; 0 at the end of what the other side sends.
-    fn read(&mut self, into: &mut Vec<u8>) -> impl Future<Output = io::Result<usize>>;
+    /// Appends the next received bytes to `buffer` and returns their number, which is 0 at end of stream.
+    fn read(&mut self, buffer: &mut Vec<u8>) -> impl Future<Output = io::Result<usize>>;
 
     /// Writes all of `bytes`.
     fn write_all(&mut self, bytes: &[u8]) -> impl Future<Output = io::Result<()>>;
 
-    /// Ends what is sent from here.
+    /// Shuts down the sending direction.
     fn shutdown(&mut self) -> impl Future<Output = io::Result<()>>;
 
-    /// Seconds since the kernel received the last bytes; 0 where it does not report that.
+    /// Seconds since the kernel last received bytes on this connection; 0 if it does not report this.
     fn receive_delay(&self) -> f64;
 
-    /// From now on its drop resets the connection, and discards what has not left this machine.
+    /// Makes dropping the connection reset it and discard bytes that have not been sent from this machine.
     fn reset_on_drop(&self);
 }
 
-/// The reading half of a connection.
+/// Reading half of a connection.
 pub trait Read {
-    /// Appends to `into`; 0 at the end of what the other side sends.
-    fn read(&mut self, into: &mut Vec<u8>) -> impl Future<Output = io::Result<usize>>;
+    /// Appends the next received bytes to `buffer` and returns their number, which is 0 at end of stream.
+    fn read(&mut self, buffer: &mut Vec<u8>) -> impl Future<Output = io::Result<usize>>;
 
-    /// As [`Stream::receive_delay`].
+    /// See [`Stream::receive_delay`].
     fn receive_delay(&self) -> f64;
 
-    /// The same of the byte `behind` bytes before the last one read, where the system reports it separately.
+    /// Like [`Read::receive_delay`], for the byte `behind` bytes before the last one read. The default returns the
+    /// delay of the connection, for systems that do not report it per byte.
     fn receive_delay_of(&self, behind: usize) -> f64 {
         let _ = behind;
         self.receive_delay()
     }
 }
 
-/// The writing half of a connection.
+/// Writing half of a connection.
 pub trait Write {
-    /// Waits until something can be written.
+    /// Waits until the connection is writable.
     fn writable(&self) -> impl Future<Output = io::Result<()>>;
 
     /// Writes all of `bytes`.
     fn write_all(&mut self, bytes: &[u8]) -> impl Future<Output = io::Result<()>>;
 
-    /// Bytes that were written and have not left, since the other side takes none; 0 where the system does not
-    /// report that.
+    /// Number of written bytes that have not been sent, for example because the peer does not read; 0 if the
+    /// system does not report this.
     fn unsent(&self) -> usize;
 }
--- a/crates/router/runtime/src/tokio_net.rs
+++ b/crates/router/runtime/src/tokio_net.rs
@@ -1,4 +1,4 @@
-//! [`Net`] on tokio's sockets, timers and tasks of one thread.
+//! [`Net`] on tokio's sockets, timers and single-threaded tasks.
 
 use crate::{Datagrams, Listener, Net, Read, Stream, TaskError, Write};
 use std::future::Future;
@@ -13,21 +13,21 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::task::JoinHandle;
 
-/// Most connections that wait to be accepted; the kernel may allow fewer.
+/// Maximum number of connections in the accept queue; the kernel may allow fewer.
 const MAX_BACKLOG: u32 = 4096;
 
-/// Sockets of the system, and a clock that starts at the system's time and never goes back.
+/// Sockets of the operating system, and a monotonic clock that starts at the system time.
 #[derive(Clone, Copy)]
 pub struct Tokio {
-    /// In Unix seconds.
+    /// Time on this clock at `started`, in Unix seconds.
     start: f64,
-    since: Instant,
-    /// Seconds by this clock in a second of the system's: 1 but in tests.
+    started: Instant,
+    /// Seconds on this clock per second on the system's monotonic clock; 1 except in tests.
     rate: f64,
 }
 
 impl Tokio {
-    /// The system's clock.
+    /// Creates a clock that starts at the current system time and runs at the system's rate.
     pub fn new() -> Self {
         let start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -35,13 +35,13 @@
             .as_secs_f64();
         Tokio {
             start,
-            since: Instant::now(),
+            started: Instant::now(),
             rate: 1.0,
         }
     }
 
-    /// A clock that runs `rate` times as fast as the system's, and is `ahead` seconds ahead of it: for tests of
-    /// machines whose clocks differ.
+    /// Creates a clock that starts `ahead` seconds ahead of the system time and runs `rate` times as fast. Used by
+    /// tests of machines whose clocks differ.
     pub fn skewed(rate: f64, ahead: f64) -> Self {
         let system = Self::new();
         Tokio {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The end of a task; dropped, it lets the task go on.
+/// Handle to await the end of a task. Dropping it detaches the task, which continues to run.
 pub struct TaskHandle(JoinHandle<()>);
 
 impl Future for TaskHandle {
@@ -78,12 +78,12 @@
     type TaskHandle = TaskHandle;
 
     fn now(&self) -> f64 {
-        self.start + self.since.elapsed().as_secs_f64() * self.rate
+        self.start + self.started.elapsed().as_secs_f64() * self.rate
     }
 
     fn sleep_until(&self, time: f64) -> impl Future<Output = ()> {
         let wait = Duration::try_from_secs_f64((time - self.start) / self.rate).unwrap_or_default();
-        tokio::time::sleep_until((self.since + wait).into())
+        tokio::time::sleep_until((self.started + wait).into())
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> TaskHandle {
@@ -95,46 +95,47 @@
     }
 
     async fn lookup(&self, name: &str) -> io::Result<SocketAddr> {
-        // An address needs no lookup.
+        // A literal address needs no DNS lookup.
         if let Ok(address) = name.parse() {
             return Ok(address);
         }
-        let unknown = || io::Error::new(io::ErrorKind::NotFound, format!("no address for {name}"));
+        let not_found =
+            || io::Error::new(io::ErrorKind::NotFound, format!("no address for {name}"));
         tokio::net::lookup_host(name)
             .await?
             .next()
-            .ok_or_else(unknown)
+            .ok_or_else(not_found)
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<TokioStream> {
         TcpStream::connect(to).await.map(TokioStream::new)
     }
 
-    fn listen(&self, at: SocketAddr) -> io::Result<TokioListener> {
-        let socket = if at.is_ipv4() {
+    fn listen(&self, address: SocketAddr) -> io::Result<TokioListener> {
+        let socket = if address.is_ipv4() {
             TcpSocket::new_v4()?
         } else {
             TcpSocket::new_v6()?
         };
-        // A restart gets the address of a process that has just died.
+        // Allows a restarted process to bind the address of a process that has just exited.
         socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
+        socket.bind(address)?;
         socket.listen(MAX_BACKLOG).map(TokioListener)
     }
 
-    fn datagrams(&self, at: SocketAddr) -> io::Result<TokioDatagrams> {
-        let socket = std::net::UdpSocket::bind(at)?;
+    fn datagrams(&self, address: SocketAddr) -> io::Result<TokioDatagrams> {
+        let socket = std::net::UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         UdpSocket::from_std(socket).map(TokioDatagrams)
     }
 }
 
-/// A socket for datagrams.
+/// UDP socket.
 pub struct TokioDatagrams(UdpSocket);
 
 impl Datagrams for TokioDatagrams {
-    async fn receive(&self, into: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        self.0.recv_from(into).await
+    async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
+        self.0.recv_from(buffer).await
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
@@ -142,7 +143,7 @@
     }
 }
 
-/// A listener for connections.
+/// Listening TCP socket.
 pub struct TokioListener(TcpListener);
 
 impl Listener for TokioListener {
@@ -160,12 +161,12 @@
     }
 }
 
-/// A connection.
+/// TCP connection, with Nagle's algorithm disabled where the system permits it.
 pub struct TokioStream(TcpStream);
 
 impl TokioStream {
     fn new(stream: TcpStream) -> Self {
-        // A socket on which this fails is only slower.
+        // Failure is ignored: it only makes the connection slower.
         let _ = stream.set_nodelay(true);
         TokioStream(stream)
     }
@@ -184,12 +185,12 @@
         self.0.readable().await
     }
 
-    fn try_read(&self, into: &mut Vec<u8>) -> io::Result<usize> {
-        self.0.try_read_buf(into)
+    fn try_read(&self, buffer: &mut Vec<u8>) -> io::Result<usize> {
+        self.0.try_read_buf(buffer)
     }
 
-    async fn read(&mut self, into: &mut Vec<u8>) -> io::Result<usize> {
-        self.0.read_buf(into).await
+    async fn read(&mut self, buffer: &mut Vec<u8>) -> io::Result<usize> {
+        self.0.read_buf(buffer).await
     }
 
     async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -205,17 +206,17 @@
     }
 
     fn reset_on_drop(&self) {
-        // A socket on which this fails closes without a reset.
+        // Failure is ignored: the connection is then closed without a reset.
         let _ = self.0.set_zero_linger();
     }
 }
 
-/// The reading half of a connection.
+/// Reading half of a TCP connection.
 pub struct TokioReader<'a>(ReadHalf<'a>);
 
 impl Read for TokioReader<'_> {
-    async fn read(&mut self, into: &mut Vec<u8>) -> io::Result<usize> {
-        self.0.read_buf(into).await
+    async fn read(&mut self, buffer: &mut Vec<u8>) -> io::Result<usize> {
+        self.0.read_buf(buffer).await
     }
 
     fn receive_delay(&self) -> f64 {
@@ -223,7 +224,7 @@
     }
 }
 
-/// The writing half of a connection.
+/// Writing half of a TCP connection.
 pub struct TokioWriter<'a>(WriteHalf<'a>);
 
 impl Write for TokioWriter<'_> {
@@ -238,7 +239,7 @@
     fn unsent(&self) -> usize {
         let mut bytes: libc::c_int = 0;
         let fd = self.0.as_ref().as_raw_fd();
-        // SAFETY: the call writes one number to the address that is given, and nothing else.
+        // SAFETY: `SIOCOUTQNSD` writes one `c_int` to the given address, which is that of `bytes`, and nothing else.
         let result = unsafe { libc::ioctl(fd, SIOCOUTQNSD, &raw mut bytes) };
         if result == 0 {
             usize::try_from(bytes).unwrap_or(0)
@@ -248,22 +249,22 @@
     }
 }
 
-/// Linux: the request for the number of bytes in the send queue that have not been sent (`linux/sockios.h`).
+/// Linux `ioctl` request for the number of unsent bytes in the send queue (`linux/sockios.h`).
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
 
-/// Seconds since the kernel received the last bytes of a connection; 0 where it does not report that.
+/// Seconds since the kernel last received bytes on a connection; 0 if it does not report this.
 fn receive_delay(socket: &impl AsRawFd) -> f64 {
-    // SAFETY: a plain struct of numbers, for which all zeros are a value; the call writes at most `length`
-    // bytes to it.
+    // SAFETY: `tcp_info` has only integer fields, so all zeros is a valid value. `getsockopt` writes at most
+    // `length` bytes to it.
     let (mut info, mut length) = (unsafe { std::mem::zeroed::<libc::tcp_info>() }, 0);
     length += size_of::<libc::tcp_info>() as libc::socklen_t;
-    let to = (&raw mut info).cast();
+    let info_ptr = (&raw mut info).cast();
     let result = unsafe {
         libc::getsockopt(
             socket.as_raw_fd(),
             libc::IPPROTO_TCP,
             libc::TCP_INFO,
-            to,
+            info_ptr,
             &mut length,
         )
     };
