--- a/crates/tier/storage/src/announce.rs
+++ b/crates/tier/storage/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of the storage machines to the core: that they run, with which disk, and how far they have pulled.
+//! Announcements of the storage machines to the core: liveness, identity of the disk, and the latest completed pull.
 //! A storage machine sends [`Server::announcement`](crate::server::Server::announcement); a core machine collects them
 //! in [`Announcements`], from which it plans the next [view](crate::view).
 
@@ -17,23 +17,23 @@
 
 /// Interval between two announcements of a machine.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Without any announcement for longer than this, the core machine that listens was stalled or partitioned itself.
+/// A core machine that receives no announcement for longer than this was itself stalled or partitioned.
 const MAX_ANNOUNCEMENT_GAP: Duration = Duration::from_secs(1);
-/// Upper bound of the machines that a core machine remembers.
+/// Maximum number of machines whose announcements a core machine records.
 const MAX_MACHINES: usize = 4_096;
 
-/// What a storage machine announces.
+/// Announcement of a storage machine to the core.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Announcement {
     /// The machine and its disk.
     pub member: StorageMember,
     /// Joint epoch for which everything has been pulled; 0 if none.
     pub pulled_epoch: u64,
-    /// Whether the process is shutting down; its disk may not come back.
+    /// Whether the process is shutting down; its disk may not be available again.
     pub shutting_down: bool,
 }
 
-/// What one core machine has observed of a storage machine.
+/// Latest announcement of a storage machine, as received by one core machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineObservation {
     /// The machine and its disk.
@@ -42,40 +42,40 @@
     pub pulled_epoch: u64,
     /// Whether the process is shutting down.
     pub shutting_down: bool,
-    /// When its first announcement arrived.
+    /// Time at which the machine's first announcement was received.
     pub first_heard: Instant,
-    /// When its latest announcement arrived.
+    /// Time at which the machine's latest announcement was received.
     pub last_heard: Instant,
 }
 
 /// Announcements that one core machine has received.
 #[derive(Debug)]
 pub struct Announcements {
-    /// By name of the machine; at most [`MAX_MACHINES`].
+    /// Observations by name of the machine; at most [`MAX_MACHINES`].
     observations: BTreeMap<String, MachineObservation>,
-    /// Since when this core machine has received announcements without a gap.
-    listening_since: Instant,
-    /// When the last announcement of any machine arrived, or when this core machine started.
-    last_heard_any: Instant,
+    /// Start of the current period in which announcements were received without a gap.
+    receiving_since: Instant,
+    /// Time of the latest announcement of any machine, or of this core machine's start.
+    last_received: Instant,
 }
 
 impl Announcements {
-    /// The announcements of a core machine that starts to listen at `now`.
+    /// An empty record of announcements, for a core machine that starts at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Announcements {
         Announcements {
             observations: BTreeMap::new(),
-            listening_since: now,
-            last_heard_any: now,
+            receiving_since: now,
+            last_received: now,
         }
     }
 
-    /// Records an announcement that arrived at `now`.
+    /// Records an announcement that was received at `now`.
     pub fn record(&mut self, now: Instant, announcement: Announcement) {
-        if now.saturating_duration_since(self.last_heard_any) > MAX_ANNOUNCEMENT_GAP {
-            self.listening_since = now;
+        if now.saturating_duration_since(self.last_received) > MAX_ANNOUNCEMENT_GAP {
+            self.receiving_since = now;
         }
-        self.last_heard_any = now;
+        self.last_received = now;
         let node = announcement.member.node.clone();
         let known = self.observations.get(&node).map(|seen| seen.first_heard);
         if known.is_none() && self.observations.len() >= MAX_MACHINES {
@@ -91,33 +91,33 @@
         self.observations.insert(node, observation);
     }
 
-    /// What was observed of a machine; `None` if it has never announced itself.
+    /// Latest announcement of a machine; `None` if none was recorded.
     #[must_use]
     pub fn observation(&self, node: &str) -> Option<&MachineObservation> {
         self.observations.get(node)
     }
 
-    /// All machines that have ever announced themselves.
+    /// Latest announcement of every recorded machine.
     pub fn observations(&self) -> impl Iterator<Item = &MachineObservation> {
         self.observations.values()
     }
 
-    /// How long a machine has not announced itself while this core machine was listening. It is zero if
-    /// the core machine has just started, was stalled or is partitioned: then it knows of no unresponsive machine.
+    /// Time without an announcement of a machine while this core machine received others. Zero if the core machine has
+    /// just started, was stalled or is partitioned: then it cannot tell whether a machine is unresponsive.
     #[must_use]
     pub fn unresponsive_for(&self, now: Instant, node: &str) -> Duration {
-        if now.saturating_duration_since(self.last_heard_any) > MAX_ANNOUNCEMENT_GAP {
+        if now.saturating_duration_since(self.last_received) > MAX_ANNOUNCEMENT_GAP {
             return Duration::ZERO;
         }
         let last = self
             .observations
             .get(node)
-            .map_or(self.listening_since, |seen| seen.last_heard);
-        now.saturating_duration_since(last.max(self.listening_since))
+            .map_or(self.receiving_since, |seen| seen.last_heard);
+        now.saturating_duration_since(last.max(self.receiving_since))
     }
 }
 
-/// Handler of announcements for a core machine's router. The answer says whether that machine is in quorum now:
+/// Handler of announcements for a core machine's router. The answer states whether the core machine is in quorum:
 /// a storage machine that reaches only core machines out of quorum is partitioned itself.
 pub fn handler(
     announcements: Arc<Mutex<Announcements>>,
--- a/crates/tier/storage/src/budget.rs
+++ b/crates/tier/storage/src/budget.rs
@@ -1,21 +1,22 @@
-//! A program's budget: a set of reservations that only grows, at each storage machine and in a client's
-//! [`Write`](crate::write::Write).
+//! A program's budget: a set of reservations that only grows, kept by each storage machine and by a
+//! client's [`Write`](crate::write::Write).
 //!
-//! A reservation is made for the tokens that a turn may generate at most, and settled once at the tokens delivered.
+//! A reservation covers the maximum number of tokens that a turn may generate, and is settled once, at the number
+//! delivered.
 //! Both are joins of a semilattice (`open < settled`), so replicas can be merged in any order.
 
 use std::collections::BTreeMap;
 
 use speedy::{Readable, Writable};
 
-/// Tokens that one turn counts for in its program's budget.
+/// Tokens that one turn consumes of its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct Reservation {
-    /// Random number drawn by the process that reserved.
+    /// Random number drawn by the process that made the reservation.
     pub id: u64,
-    /// Upper bound of the tokens that the turn generates while open; the tokens delivered once settled.
+    /// Open: upper bound of the tokens that the turn generates. Settled: number of tokens delivered.
     pub tokens: u64,
-    /// Whether the number of tokens delivered is known.
+    /// Whether the reservation is settled, so that `tokens` is final.
     pub settled: bool,
 }
 
@@ -49,7 +50,7 @@
         others.fold(0, |sum, entry| sum.saturating_add(entry.tokens))
     }
 
-    /// All reservations in the order of their numbers.
+    /// All reservations, ordered by [`Reservation::id`].
     pub fn iter(&self) -> impl Iterator<Item = &Reservation> {
         self.reservations.values()
     }
--- a/crates/tier/storage/src/cache.rs
+++ b/crates/tier/storage/src/cache.rs
@@ -1,5 +1,5 @@
-//! Cache of the durable turns that an edge has seen, so that its [`StorageClient`](crate::StorageClient) seldom reads
-//! from the storage machines.
+//! Cache of durable turns in an edge's [`StorageClient`](crate::StorageClient), which avoids most reads from the
+//! storage machines.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::turn::{Turn, TurnKey, ancestry};
 
-/// Key of a cached turn, and when the turn expires.
+/// Key and expiry of a cached turn.
 #[derive(Debug)]
 struct CachedKey {
-    /// Time since the client's start.
+    /// Expiry, as the time since the client's start.
     expires: Duration,
     key: TurnKey,
 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds a durable turn; one that is cached already keeps its place in the order.
+    /// Adds a durable turn; a turn that is already cached keeps its position in the eviction order.
     pub fn insert(&mut self, now: Duration, turn: Arc<Turn>) {
         self.expire(now);
         let key = turn.key();
--- a/crates/tier/storage/src/client/chain.rs
+++ b/crates/tier/storage/src/client/chain.rs
@@ -15,18 +15,18 @@
 use crate::turn::{Turn, TurnKey, TurnRecord};
 use crate::view::{StorageMember, StorageView};
 
-/// How long reading a chain may take.
+/// Timeout for reading a chain.
 const CHAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long one attempt waits for a machine's answer.
+/// Timeout of one request to one machine.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time without an answer after which a hedged request goes to the next machine.
+/// Time without an answer after which a hedged request is sent to the next machine.
 const HEDGE_DELAY: Duration = Duration::from_millis(50);
 /// Interval between two searches of all machines.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Result of a search.
 enum Search {
-    /// A machine has the turn: its chain as far as it has been sent, newest first.
+    /// A machine has the turn: the segment of its chain in the answer, newest first.
     Found(Vec<TurnRecord>),
     /// No machine that answered has the turn.
     NotFound {
@@ -53,7 +53,7 @@
     }
 
     /// Reads a segment of the chain from the machines, newest first. Only the newest turn can be reported as not found:
-    /// a missing ancestor is unavailable.
+    /// a missing ancestor is reported as unavailable.
     async fn fetch_segment(
         &self,
         key: &TurnKey,
@@ -96,8 +96,8 @@
         turns
     }
 
-    /// Reads from the machines of the program's groups, those of the own zone first, with hedged requests to the next
-    /// ones.
+    /// Reads from the machines of the program's groups, those of the client's own zone first, with hedged
+    /// requests to the others.
     async fn search_group(&self, view: &StorageView, key: &TurnKey, deadline: Instant) -> Search {
         let mut members = self.group_members(view, &key.program);
         members.sort_by_key(|member| member.zone != self.shared.zone);
--- a/crates/tier/storage/src/client/delivery.rs
+++ b/crates/tier/storage/src/client/delivery.rs
@@ -1,12 +1,13 @@
 //! Writes in flight to each storage machine, with their retries.
 //!
-//! A machine that fails to answer gets one request at a time until it answers again. The writes that it misses
-//! meanwhile wait in a bounded queue, so that a slow or dead machine costs little and a returning one catches up.
+//! A machine that fails to answer is sent one request at a time until it answers again. Writes that it misses in the
+//! meantime are held in a bounded queue. This limits the cost of a slow or failed machine, and a machine that recovers
+//! receives the writes that it missed.
 //!
 //! ```text
 //! responsive   -> unresponsive  an attempt fails; the write is queued and a probe starts
 //! unresponsive -> unresponsive  the probe succeeds; the queued writes are sent
-//! unresponsive -> responsive    every queued write has been answered, has expired or was dropped at the queue's bound
+//! unresponsive -> responsive    every queued write was answered, has expired or was dropped from the full queue
 //! ```
 
 use std::collections::{HashMap, VecDeque};
@@ -21,26 +22,26 @@
 use crate::message::Answer;
 use crate::view::StorageMember;
 
-/// How long one attempt waits for a machine's answer: several slow syncs.
+/// Timeout of one attempt; long enough for several slow syncs.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Backoff before the first retry at an unresponsive machine; it doubles with each further one.
+/// Backoff before the first retry at an unresponsive machine; doubled for each further retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
-/// Upper bound of the backoff.
+/// Upper bound of the backoff between retries.
 const MAX_BACKOFF: Duration = Duration::from_millis(480);
-/// How long a missed write is retried.
+/// Time after which a missed write is no longer retried.
 const MISSED_WRITE_RETENTION: Duration = Duration::from_secs(10);
-/// Upper bound of the missed writes of one machine, in bytes.
+/// Upper bound of the queue of missed writes of one machine, in bytes.
 const MAX_MISSED_BYTES: usize = 2 << 20;
-/// Missed writes that are sent concurrently once a machine answers again.
+/// Number of missed writes that are sent concurrently once a machine answers again.
 const MAX_CONCURRENT_RETRIES: usize = 64;
 
-/// An answer of one machine to a write.
+/// Answer of one machine to a write.
 pub(super) struct MachineAnswer {
     /// Epoch under which the write was sent.
     pub(super) epoch: u64,
     /// Disk of the machine.
     pub(super) disk: u64,
-    /// What it has answered.
+    /// Answer of the machine.
     pub(super) answer: Answer,
 }
 
@@ -49,11 +50,11 @@
 
 /// One write for one machine.
 pub(super) struct Delivery {
-    /// Epoch under which it is sent.
+    /// Epoch under which the write is sent.
     epoch: u64,
     request: EncodedRequest,
     answers: AnswerSender,
-    /// When the delivery began.
+    /// Time at which the delivery began.
     since: Instant,
 }
 
@@ -102,7 +103,7 @@
     }
 }
 
-/// Missed writes of the machines that do not answer at present, by disk.
+/// Missed writes of the unresponsive machines, by disk.
 #[derive(Default)]
 pub(super) struct MissedWritesByDisk {
     by_disk: HashMap<u64, MissedWrites>,
@@ -112,7 +113,7 @@
 enum AttemptOutcome {
     /// The machine has stored the write, or refused it in a way that no retry changes.
     Completed,
-    /// The attempt failed; the write is to be retried.
+    /// The attempt failed; the write must be retried.
     Retry(Delivery),
 }
 
@@ -142,7 +143,7 @@
         {
             Ok(Answer::Failed | Answer::Behind) | Err(_) => AttemptOutcome::Retry(delivery),
             Ok(answer) => {
-                // Nobody waits for it any more once the write is durable or has failed.
+                // The receiver is dropped once the write is durable or has failed.
                 let _ = delivery.answers.send(MachineAnswer {
                     epoch: delivery.epoch,
                     disk: member.disk,
@@ -204,7 +205,7 @@
         all_answered
     }
 
-    /// Takes the oldest missed writes; without any the machine counts as responsive again.
+    /// Removes the oldest missed writes from the queue; if there are none, marks the machine as responsive.
     fn take_oldest_missed(&self, disk: u64, limit: usize) -> Vec<Delivery> {
         let mut missed_writes = self.shared.missed_writes.lock();
         let Some(missed) = missed_writes.by_disk.get_mut(&disk) else {
--- a/crates/tier/storage/src/client/exchange.rs
+++ b/crates/tier/storage/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one storage machine, on which reads and writes of the client are built.
+//! Request and answer between the client and one storage machine; the basis of the client's reads and writes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::message::{Answer, FencingToken, Operation, Request, Response, decode, encode};
 use crate::view::StorageMember;
 
-/// Offset of the disk's identity in an encoded request: after the version and the epoch.
+/// Offset in bytes of the disk's identity in an encoded request: after the version and the epoch.
 const DISK_OFFSET: usize = 9;
 
-/// A request that was encoded once for all machines of a group.
+/// A request, encoded once for all machines of a group.
 #[derive(Clone)]
 pub(super) struct EncodedRequest {
     bytes: Arc<Vec<u8>>,
@@ -42,7 +42,7 @@
 }
 
 impl StorageClient {
-    /// Sends a request and reads the answer. Whichever side has the older view gets the newer one.
+    /// Sends a request and reads the answer. If one side has an older view, it receives the newer one.
     pub(super) async fn exchange(
         &self,
         member: &StorageMember,
@@ -63,7 +63,7 @@
         Ok(response.answer)
     }
 
-    /// Sends the newer view to a machine that knows an older one.
+    /// Sends the client's view to a machine that has an older one.
     fn send_newer_view(&self, member: &StorageMember, known_epoch: u64) {
         let view = self.view();
         if known_epoch < view.epoch {
--- a/crates/tier/storage/src/client/mod.rs
+++ b/crates/tier/storage/src/client/mod.rs
@@ -25,33 +25,33 @@
 use self::delivery::MissedWritesByDisk;
 pub use self::reservation::ReservationGuard;
 
-/// Upper bound of the cache of turns.
+/// Upper bound of the turn cache, in bytes.
 const CACHE_BYTES: usize = 16 << 20;
-/// How long a reservation may take.
+/// Timeout of a reservation.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a turn may take to become durable.
+/// Timeout for a turn to become durable.
 const PUT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a refusal waits for the withdrawal of its reservation.
+/// Time for which a refusal is delayed to let the withdrawal of its reservation finish.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A request to reserve the tokens of a turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReserveRequest {
-    /// Program that takes the turn.
+    /// Program to which the turn belongs.
     pub program: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
-    /// Tokens that the program's turns may generate together.
+    /// Total number of tokens that the program's turns may generate.
     pub budget: u64,
-    /// Upper bound of the tokens that this turn generates.
+    /// Upper bound of the number of tokens that this turn generates.
     pub max_tokens: u64,
 }
 
-/// Why nothing was reserved.
+/// Reason why no tokens were reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ReserveError {
-    /// The turn does not fit into the remaining budget. Nothing stays reserved for it.
+    /// The turn exceeds the remaining budget. No tokens remain reserved for it.
     #[snafu(display("the budget is spent"))]
     Spent,
     /// No quorum of storage machines has answered in time.
@@ -64,19 +64,19 @@
 #[snafu(display("no quorum of storage machines in reach"))]
 pub struct Unavailable;
 
-/// Why a chain cannot be read.
+/// Reason why a chain cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ChainError {
-    /// Every machine that could hold the turn has answered that it does not.
+    /// Every machine has answered that it does not store the turn.
     #[snafu(display("no such turn"))]
     NotFound,
-    /// Not all machines that could hold it were in reach.
+    /// Not all machines that may store the turn were reachable.
     #[snafu(display("not all machines that may hold the turn are in reach"))]
     Unavailable,
 }
 
-/// Reads and writes turns and budgets at the storage machines. Clones share everything.
+/// Reads and writes turns and budgets on the storage machines. Clones share all state.
 #[derive(Clone)]
 pub struct StorageClient {
     shared: Arc<Shared>,
@@ -86,21 +86,21 @@
     rpc: Client,
     /// Zone of this process, whose machines are read from first.
     zone: String,
-    /// Number of machines that may be lost at once.
+    /// Number of machines whose simultaneous failure is tolerated.
     tolerated_losses: usize,
-    /// Origin of the times of the cache.
+    /// Reference point of the times in the cache.
     started: Instant,
-    /// The newest view known; its epoch never decreases.
+    /// The newest view that this client has received; its epoch never decreases.
     view: watch::Sender<Arc<StorageView>>,
     cache: Mutex<TurnCache>,
-    /// Source of the reservations' numbers.
+    /// Generator of the reservations' identifiers.
     random: Mutex<Rand64>,
     missed_writes: Mutex<MissedWritesByDisk>,
 }
 
 impl StorageClient {
-    /// A client that knows no view yet. It reads from machines of `own_zone` first; `tolerated_losses` machines
-    /// may be lost at once.
+    /// A client without a view. It reads from machines of `own_zone` first; up to `tolerated_losses` machines may fail
+    /// at once.
     #[must_use]
     pub fn new(rpc: Client, own_zone: String, tolerated_losses: usize) -> StorageClient {
         let (view, _) = watch::channel(Arc::new(StorageView::default()));
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Sets the view unless a newer one is known.
+    /// Sets the view unless the client has a newer one.
     pub fn set_view(&self, view: Arc<StorageView>) {
         self.shared.view.send_if_modified(|known| {
             let newer = view.epoch > known.epoch;
@@ -131,7 +131,7 @@
         });
     }
 
-    /// The newest view that this client knows.
+    /// The newest view that this client has received.
     #[must_use]
     pub fn view(&self) -> Arc<StorageView> {
         self.shared.view.borrow().clone()
@@ -173,15 +173,15 @@
     /// Stores a turn and settles its reservation. When this returns, the turn is durable.
     ///
     /// # Errors
-    /// [`Unavailable`]. The client must then not get a complete answer; the reservation is settled when its guard is
-    /// dropped.
+    /// [`Unavailable`]. The caller must then not complete the answer to its client; the reservation is settled when its
+    /// guard is dropped.
     pub async fn put_turn(
         &self,
         turn: Turn,
         reservation: Option<&mut ReservationGuard>,
     ) -> Result<(), Unavailable> {
         let program = turn.program.clone();
-        let mut records = self.adopted_ancestors(&turn).await?;
+        let mut records = self.ancestors_of_other_program(&turn).await?;
         records.push(turn.to_record(&program));
         let settlement = reservation.as_ref().map(|guard| guard.settlement());
         let operation = Operation::PutTurns {
@@ -214,7 +214,10 @@
     }
 
     /// Ancestors of `turn` from another program, to be stored in its own program's group.
-    async fn adopted_ancestors(&self, turn: &Turn) -> Result<Vec<TurnRecord>, Unavailable> {
+    async fn ancestors_of_other_program(
+        &self,
+        turn: &Turn,
+    ) -> Result<Vec<TurnRecord>, Unavailable> {
         let Some(previous) = &turn.previous else {
             return Ok(Vec::new());
         };
--- a/crates/tier/storage/src/client/reservation.rs
+++ b/crates/tier/storage/src/client/reservation.rs
@@ -1,5 +1,5 @@
-//! A turn's reservation in its program's budget, for as long as the turn runs: the client hands it to the edge, which
-//! counts the tokens delivered.
+//! A turn's reservation in its program's budget, for the duration of the turn: the client returns it to the edge,
+//! which records the number of tokens delivered.
 
 use std::fmt::{Debug, Formatter};
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use super::{StorageClient, settle_operation};
 use crate::message::Settlement;
 
-/// How long one attempt to settle a reservation takes at most.
+/// Timeout of one attempt to settle a reservation.
 const SETTLE_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
-/// Attempts before the reservation is left open, at its upper bound: longer than a partition or a restart of the
-/// storage machines lasts.
+/// Attempts before the reservation is left open, at its upper bound. Together they last longer than a partition or a
+/// restart of the storage machines.
 const MAX_SETTLE_ATTEMPTS: usize = 8;
 
 /// Tokens of a program's budget that are reserved for a turn.
 ///
-/// Dropping the guard settles the reservation in the background at the tokens delivered until then. So no end of a turn
-/// (an error, a client that disconnects, a cancelled future) leaves its upper bound reserved.
+/// Dropping the guard settles the reservation in the background at the number of tokens delivered so far. So an
+/// error, a client that disconnects or a cancelled future does not leave the turn's upper bound reserved.
 #[must_use = "dropping a reservation settles it"]
 pub struct ReservationGuard {
     client: StorageClient,
@@ -26,7 +26,7 @@
     /// [`Reservation::id`](crate::budget::Reservation::id).
     id: u64,
     delivered_tokens: u64,
-    /// Whether a quorum has the settlement.
+    /// Whether a quorum has stored the settlement.
     settled: bool,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sets the tokens that were delivered to the client so far.
+    /// Sets the number of tokens delivered to the client so far.
     pub fn set_delivered_tokens(&mut self, delivered_tokens: u64) {
         self.delivered_tokens = delivered_tokens;
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Marks the reservation as settled at a quorum.
+    /// Marks the reservation as settled by a quorum.
     pub(super) fn set_settled(&mut self) {
         self.settled = true;
     }
@@ -90,7 +90,7 @@
 }
 
 impl StorageClient {
-    /// Retries the settlement until a quorum has it.
+    /// Retries the settlement until a quorum has stored it or the attempts are exhausted.
     async fn settle(&self, program: &str, settlement: Settlement) {
         for _ in 0..MAX_SETTLE_ATTEMPTS {
             let operation = settle_operation(program.to_owned(), settlement);
--- a/crates/tier/storage/src/client/write.rs
+++ b/crates/tier/storage/src/client/write.rs
@@ -1,4 +1,4 @@
-//! Writes to quorums of a program's groups: drives one [`Write`] until it is durable.
+//! Writes to quorums of a program's groups: runs one [`Write`] until it is durable.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use crate::write::Write;
 
 impl StorageClient {
-    /// Sends a write to all machines of the groups at once and waits for a quorum. The others are retried in the
-    /// background.
+    /// Sends a write to all machines of the groups concurrently and waits for a quorum. Machines that have not stored
+    /// it by then are retried in the background.
     pub(super) async fn write(
         &self,
         program: &str,
--- a/crates/tier/storage/src/codec.rs
+++ b/crates/tier/storage/src/codec.rs
@@ -1,5 +1,5 @@
-//! Byte format of messages, views and journal records: one byte of version, then the value as `speedy` writes it.
-//! [`message`](crate::message) has it for other crates.
+//! Byte format of messages, views and journal records: a version byte, then the value in `speedy`'s
+//! encoding. [`message`](crate::message) re-exports it for other crates.
 
 use snafu::{OptionExt, Snafu, ensure};
 use speedy::{LittleEndian, Readable, Writable};
@@ -24,10 +24,10 @@
     bytes
 }
 
-/// Why bytes are not a message.
+/// Reason why bytes cannot be decoded as a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum MessageError {
-    /// There are no bytes at all.
+    /// The input has no bytes.
     #[snafu(display("the message is empty"))]
     Empty,
     /// The message was written by another version of the format.
--- a/crates/tier/storage/src/lib.rs
+++ b/crates/tier/storage/src/lib.rs
@@ -1,21 +1,22 @@
-//! Durable turns and programs' budgets, on the disks of the storage machines.
+//! Durable storage of turns and of the programs' token budgets on the disks of the storage machines.
 //!
-//! A program's turns and its budget live at its *group*: the first `2f + 1` storage machines by rendezvous
-//! hashing over the agreed [`StorageView`]. Turns never change and budgets only grow, so no machine decides
-//! alone: a write is durable once a quorum of the group has synced it. When the membership changes, a joint
-//! epoch demands quorums of the present and of the next group until every next member has pulled its part.
+//! A program's turns and its budget are stored by its *group*: the first `2f + 1` storage machines by rendezvous
+//! hashing over the agreed [`StorageView`]. Turns are immutable and budgets only grow, so a group needs no leader:
+//! a write is durable once a quorum of the group has synced it. When the membership changes, writes need quorums of
+//! both the current and the next group (a joint epoch) until every next member has pulled its records.
 //!
-//! Start with [`client`], which edges use, and with [`node`], which decides what a storage machine answers.
+//! Start with [`client`], which edges use, and with [`node`], which computes a storage machine's answers.
 //!
-//! Decisions, without I/O or clock:
+//! Protocol logic, without I/O or clock:
 //!
-//! - [`placement`] and [`quorum`]: which machines hold a program, and how many of them must answer;
-//! - [`view`]: the agreed membership, and the next one to propose;
+//! - [`placement`] and [`quorum`]: which machines store a program, and how many of them must answer;
+//! - [`view`]: the agreed membership, and the planning of the next one;
 //! - [`node`]: one storage machine, with its [`store`] and the [`budget`] of each program;
-//! - [`mod@write`]: one write of a client; [`pull`]: copying from other machines, in a joint epoch or after records may
-//!   have been missed.
+//! - [`mod@write`]: one write of a client; [`pull`]: copying records from other machines, in a joint epoch or after
+//!   records may have been missed.
 //!
-//! Drivers: [`client`] for edges, [`server`] for storage machines, [`announce`] for both ends of the membership.
+//! Drivers: [`client`] for edges, [`server`] for storage machines, [`announce`] for the sender and the
+//! receiver of membership announcements.
 //! Formats: [`message`] on the wire, [`record`] on disk, both in the byte format of [`message::encode`].
 //! `docs/storage.md` describes the protocol and its measurements.
 
--- a/crates/tier/storage/src/message.rs
+++ b/crates/tier/storage/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages from edges to storage machines, and between storage machines. Those to the core are in
+//! Messages from edges to storage machines, and between storage machines. Messages to the core are in
 //! [`announce`](crate::announce).
 
 use speedy::{Readable, Writable};
@@ -10,55 +10,55 @@
 
 /// View under which a request was sent, and the disk it addresses.
 ///
-/// A machine that knows a newer view, or runs on another disk, refuses the request: an old sender cannot write past
-/// a change of the membership, and a wiped machine does not pass for its predecessor.
+/// A machine that has a newer view, or runs on another disk, refuses the request. So a sender with an old view cannot
+/// write after a change of the membership, and a machine whose disk was wiped is not mistaken for the earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct FencingToken {
     /// Epoch of the sender's view.
     pub epoch: u64,
-    /// Identity of the disk that the sender believes to address.
+    /// Identity of the disk that the sender expects at the address.
     pub disk: u64,
 }
 
-/// The final count of a turn in its program's budget.
+/// Final number of tokens that a turn consumes of its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Readable, Writable)]
 pub struct Settlement {
-    /// Reservation that was made for the turn.
+    /// [`Reservation::id`] of the turn's reservation.
     pub reservation: u64,
     /// Tokens that were delivered to the client.
     pub delivered_tokens: u64,
 }
 
-/// What a request asks of a storage machine.
+/// Operation requested from a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Operation {
-    /// Reserve tokens; the answer has all reservations of the program.
+    /// Reserve tokens; the answer lists all reservations of the program.
     Reserve {
         /// Program whose budget it is.
         program: String,
-        /// Random number of this reservation.
+        /// [`Reservation::id`] of the new reservation.
         reservation: u64,
-        /// Upper bound of the tokens that the turn generates.
+        /// Upper bound of the number of tokens that the turn generates.
         max_tokens: u64,
     },
     /// Settle a reservation.
     Settle {
         /// Program whose budget it is.
         program: String,
-        /// Final count of the turn.
+        /// Reservation to settle, and its final number of tokens.
         settlement: Settlement,
     },
     /// Store turns of one program, and settle the newest one's reservation.
     PutTurns {
         /// Program in whose group they are stored.
         program: String,
-        /// Turns, oldest first: one, or several when a chain is adopted from another program.
+        /// Turns, oldest first: one, or several when a chain is copied from another program.
         turns: Vec<TurnRecord>,
-        /// Settlement of the newest turn's reservation.
+        /// Settlement of the newest turn's reservation; `None` leaves all reservations unchanged.
         settlement: Option<Settlement>,
     },
-    /// Read a turn and its ancestors, newest first, as far as they are stored.
+    /// Read a turn and its ancestors, newest first, up to the first that is not stored.
     ReadChain {
         /// Program in whose group the turn is.
         program: String,
@@ -70,7 +70,7 @@
         /// `Request-Id` of the turn.
         request_id: String,
     },
-    /// Read digests of the programs that `node` should hold, in order of their names.
+    /// Read digests of the programs that `node` should store, ordered by name.
     Digests {
         /// Name of the machine that pulls.
         node: String,
@@ -82,9 +82,9 @@
         /// Names of the programs.
         programs: Vec<String>,
     },
-    /// Learn a committed view that is newer than the receiver's.
+    /// Adopt a committed view that is newer than the receiver's.
     NewView {
-        /// The view.
+        /// The committed view.
         view: StorageView,
     },
 }
@@ -92,9 +92,9 @@
 /// A request to a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Request {
-    /// View and disk it is meant for.
+    /// Epoch of the sender's view and identity of the addressed disk.
     pub fencing_token: FencingToken,
-    /// What is requested.
+    /// Requested operation.
     pub operation: Operation,
 }
 
@@ -112,11 +112,11 @@
 pub struct ProgramRecords {
     /// Name of the program.
     pub program: String,
-    /// Its reservations.
+    /// Reservations of the program.
     pub reservations: Vec<Reservation>,
-    /// Its turns.
+    /// Turns of the program.
     pub turns: Vec<TurnRecord>,
-    /// Remaining retention of the turns.
+    /// Remaining retention of the turns, in milliseconds.
     pub remaining_ms: u64,
 }
 
@@ -133,24 +133,24 @@
     Stored,
     /// Turns of the chain, newest first; empty if the newest is not stored.
     Chain {
-        /// The turn and its ancestors, up to a bound of bytes or the first that is not stored.
+        /// The turn and its ancestors, up to a limit in bytes or the first that is not stored.
         turns: Vec<TurnRecord>,
     },
-    /// Programs that have a turn of the requested `Request-Id`.
+    /// Programs that have a turn with the requested `Request-Id`.
     Found {
         /// Names of the programs.
         programs: Vec<String>,
     },
     /// A page of digests.
     DigestPage {
-        /// Digests in order of the programs' names.
+        /// Digests, ordered by the programs' names.
         digests: Vec<ProgramDigest>,
-        /// Whether more follow.
+        /// Whether further pages follow.
         more: bool,
     },
-    /// Records of the first of the requested programs, as many as fit a message.
+    /// Records of the first of the requested programs, up to the size limit of an answer.
     Records {
-        /// One entry for each program, without records where it has expired.
+        /// One entry for each program; an expired program has no records.
         programs: Vec<ProgramRecords>,
     },
     /// The sender's view is older than this machine's.
@@ -158,21 +158,21 @@
         /// The newer view.
         view: StorageView,
     },
-    /// This machine's view is older than the request needs.
+    /// This machine has not yet synced the view that the request needs.
     Behind,
-    /// The machine at this address runs on another disk than the one addressed.
+    /// The machine's disk is not the one that the request addresses.
     WrongDisk,
-    /// The disk did not accept the record. It is in memory, but not durable; the sender repeats the request.
+    /// The write to disk failed. The record is in memory, but not durable; the sender retries the request.
     Failed,
-    /// The request could not be read.
+    /// The request could not be decoded or is inconsistent.
     Malformed,
 }
 
-/// An answer and the epoch that the machine knows, so that the sender can send it a newer view.
+/// An answer with the epoch of the machine's view, so that the sender can send a newer view.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct Response {
     /// Epoch of the machine's view.
     pub epoch: u64,
-    /// The answer.
+    /// Answer to the request.
     pub answer: Answer,
 }
--- a/crates/tier/storage/src/node.rs
+++ b/crates/tier/storage/src/node.rs
@@ -1,5 +1,5 @@
-//! One storage machine, without I/O or clock: what it answers to requests and writes to its journal.
-//! [`Server`](crate::server::Server) drives it.
+//! State machine of one storage machine, without I/O or clock: computes the answers to requests and the records for
+//! the journal. [`Server`](crate::server::Server) executes its steps.
 //!
 //! A request is either answered at once or leads to a record that must be synced first; the answer to the latter is
 //! built from the receipt of that sync.
@@ -18,14 +18,14 @@
 use crate::turn::TurnRecord;
 use crate::view::{StorageMember, StorageView};
 
-/// Upper bound of the bytes of turns in one answer; one turn may exceed it.
+/// Upper bound of the bytes of turns in one answer; a single turn may exceed it.
 const MAX_ANSWER_BYTES: usize = 512 << 10;
 /// Upper bound of the digests in one answer.
 const MAX_DIGESTS: usize = 4_000;
-/// Bytes of a reservation in a message: 8 of its id, 8 of its tokens, 1 of whether it is settled.
+/// Bytes of a reservation in a message: 8 for the id, 8 for the tokens, 1 for the settled flag.
 const RESERVATION_BYTES: usize = 17;
 
-/// What the driver does with a request.
+/// Action that the driver takes for a request.
 #[derive(Debug)]
 #[must_use]
 pub enum Step {
@@ -35,7 +35,7 @@
     Persist {
         /// Record to append.
         record: Vec<u8>,
-        /// The answer that waits for the sync.
+        /// Answer to send after the sync.
         pending: Pending,
     },
     /// Replace the journal's snapshot, which makes every record in memory durable, then build the answer from the
@@ -43,21 +43,21 @@
     PersistSnapshot {
         /// Snapshot of the whole state.
         snapshot: Vec<u8>,
-        /// The answer that waits for the sync.
+        /// Answer to send after the sync.
         pending: Pending,
     },
 }
 
-/// An answer that waits for a sync.
+/// Answer to be sent once its record is synced.
 #[derive(Debug)]
 pub enum Pending {
-    /// All reservations of this program.
+    /// Answers with all reservations of this program.
     Reservations(String),
-    /// That the record is stored.
+    /// Confirms that the record is stored.
     Stored,
-    /// That requests of epochs before this one are refused even after a restart.
+    /// Seals this epoch: requests of earlier ones are refused even after a restart.
     Sealed(u64),
-    /// That the pull for this joint epoch is complete.
+    /// Marks the pull for this joint epoch as complete.
     Pulled(u64),
 }
 
@@ -68,16 +68,15 @@
     name: String,
     /// Identity of its disk.
     disk: u64,
-    /// Number of machines that may be lost at once.
+    /// Number of machines whose simultaneous failure is tolerated.
     tolerated_losses: usize,
-    /// The newest view that this machine knows; its epoch is 0 before the first.
+    /// The newest view that this machine has received; its epoch is 0 before the first.
     view: StorageView,
-    /// Requests of epochs before this one are refused even after a restart.
-    /// At most the epoch of `view`.
+    /// Requests of epochs before this one are refused even after a restart. At most the epoch of `view`.
     sealed_epoch: u64,
-    /// Joint epoch for which everything has been pulled and synced; 0 if none.
+    /// Latest joint epoch whose pull is complete and synced; 0 if none.
     pulled_epoch: u64,
-    /// Whether the disk has refused records that are in memory.
+    /// Whether records in memory are missing from the journal because a write failed.
     has_unsynced_records: bool,
     store: Store,
 }
@@ -99,7 +98,7 @@
         (node, encode(&Record::Identity { disk }))
     }
 
-    /// Recovers the state from the journal; `None` if the journal does not begin with the disk's identity or holds
+    /// Recovers the state from the journal; `None` if the journal does not begin with the disk's identity or contains
     /// a record that cannot be decoded.
     #[must_use]
     pub fn recover(
@@ -162,26 +161,26 @@
         &self.name
     }
 
-    /// The newest view that this machine knows.
+    /// The newest view that this machine has received.
     #[must_use]
     pub fn view(&self) -> &StorageView {
         &self.view
     }
 
-    /// Number of machines that may be lost at once.
+    /// Number of machines whose simultaneous failure is tolerated.
     #[must_use]
     pub fn tolerated_losses(&self) -> usize {
         self.tolerated_losses
     }
 
-    /// Joint epoch for which everything has been pulled.
+    /// Latest joint epoch whose pull is complete; 0 if none.
     #[must_use]
     pub fn pulled_epoch(&self) -> u64 {
         self.pulled_epoch
     }
 
-    /// Whether a process that is shutting down may exit although its disk may not come back: the view no longer needs
-    /// this disk, or too few other machines are there to replace it.
+    /// Whether a process that is shutting down may exit, even if its disk is never available again: the view no longer
+    /// includes this disk, or too few other machines exist to replace it.
     #[must_use]
     pub fn may_shut_down(&self) -> bool {
         let is_here = |member: &StorageMember| member.disk == self.disk;
@@ -198,8 +197,8 @@
         !is_being_replaced && others <= 2 * self.tolerated_losses
     }
 
-    /// Ends the pull for `epoch`, of which everything is in memory. Earlier records may still wait for a sync, so the
-    /// step appends one more record behind them, or a snapshot if the disk has refused any.
+    /// Ends the pull for `epoch`, whose records are all in memory. Earlier records may not be synced yet, so the step
+    /// appends one more record after them, or writes a snapshot if appending any of them failed.
     pub fn finish_pull(&mut self, now: Duration, epoch: u64) -> Step {
         let pending = Pending::Pulled(epoch);
         if self.has_unsynced_records {
@@ -226,7 +225,7 @@
         self.store.expire(now);
     }
 
-    /// Handles a request that arrived at `now`.
+    /// Handles a request that was received at `now`.
     pub fn handle(&mut self, now: Duration, request: Request) -> Step {
         if let Operation::NewView { view } = request.operation {
             return self
@@ -290,17 +289,17 @@
         }
     }
 
-    /// Answer to a request whose record the disk refused.
+    /// Answer to a request whose record could not be written to disk.
     #[must_use]
     pub fn persist_failed(&mut self) -> Response {
         self.has_unsynced_records = true;
         self.response(Answer::Failed)
     }
 
-    /// Learns a newer view: requests of older ones are refused from now on, and pulls are served once it is synced.
+    /// Adopts a newer view: requests of older epochs are refused at once, and pulls are served once it is synced.
     /// `None` if the view is not newer.
     pub fn learn_view(&mut self, view: StorageView) -> Option<Step> {
-        // A view that is known and not sealed is written again: the disk may have refused it.
+        // A known view that is not sealed is written again: the earlier write may have failed.
         if view.epoch < self.view.epoch || view.epoch <= self.sealed_epoch {
             return None;
         }
--- a/crates/tier/storage/src/placement.rs
+++ b/crates/tier/storage/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of programs on machines, and the sizes of quorums.
 //!
 //! Every machine is ranked by rendezvous hashing (Thaler & Ravishankar, 1998) of its name and the program's. Machines
-//! of zones that are not represented yet come first.
+//! of zones that are not yet represented in the group are preferred.
 
 use std::cmp::Reverse;
 
@@ -9,8 +9,8 @@
 
 use crate::view::StorageMember;
 
-/// The machines that hold `program`: the first `2f + 1` of `members` by rank, for `f` tolerated losses, of different
-/// zones as far as there are any. The rank comes from the name, so a machine keeps it with a new disk.
+/// The machines that store `program`: the first `2f + 1` of `members` by rank, for `f` tolerated losses, spread
+/// over as many zones as possible. The rank depends on the name alone, so a new disk does not change it.
 #[must_use]
 pub fn group<'a>(
     members: &'a [StorageMember],
@@ -24,7 +24,7 @@
         .collect();
     ranked.sort_by_key(|&(rank, member)| (Reverse(rank), member.node.as_str()));
     let mut chosen: Vec<&StorageMember> = Vec::with_capacity(size);
-    // Each pass takes the first machine of every zone that has any left.
+    // Each pass selects the highest-ranked remaining machine of every zone.
     while chosen.len() < size {
         let mut zones: Vec<&str> = Vec::new();
         ranked.retain(|(_, member)| {
--- a/crates/tier/storage/src/pull.rs
+++ b/crates/tier/storage/src/pull.rs
@@ -1,5 +1,5 @@
-//! Copying the records that a machine should hold from other members: what to request, and when it is complete.
-//! [`Server`](crate::server::Server) drives it.
+//! Copying of the records that a machine should store from other members: which requests to send, and when the copy
+//! is complete. [`Server`](crate::server::Server) sends the requests.
 //!
 //! A machine of `next`, or a current one that may have missed records, pulls from the members of `current`, page by
 //! page: digests first, then the records of the programs whose digests differ. A source that serves a page has sealed
@@ -20,11 +20,11 @@
 pub struct Pull {
     /// Epoch of the view under which the pull runs.
     epoch: u64,
-    /// Members that hold everything acknowledged, this machine included if it is one of them.
+    /// Members of `current`, which together store every acknowledged write; includes this machine if it is a member.
     sources: Vec<StorageMember>,
-    /// Disks of the sources of which everything is synced here, each once.
+    /// Disks of the sources whose records are all synced on this machine, each once.
     finished: Vec<u64>,
-    /// The pull is complete if no more sources than these are unfinished; with distinct zones, if no more zones are.
+    /// Maximum number of unfinished sources of a complete pull; with distinct zones, of zones with unfinished sources.
     max_missing: usize,
     /// Whether a group has at most one machine of each zone.
     has_distinct_zones: bool,
@@ -64,7 +64,7 @@
         self.epoch
     }
 
-    /// Records that everything of one source is synced.
+    /// Marks a source as finished: all its records are synced on this machine.
     pub fn record_finished(&mut self, disk: u64) {
         let is_source = self.sources.iter().any(|source| source.disk == disk);
         if is_source && !self.finished.contains(&disk) {
@@ -72,14 +72,14 @@
         }
     }
 
-    /// Whether everything of a source is synced.
+    /// Whether all records of a source are synced on this machine.
     #[must_use]
     pub fn has_finished(&self, disk: u64) -> bool {
         self.finished.contains(&disk)
     }
 
     /// Whether every acknowledged write is included: no group has more unfinished sources than a read quorum may
-    /// leave out.
+    /// omit.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let missing = self
@@ -106,7 +106,7 @@
 }
 
 impl Pages {
-    /// The next request; `None` once everything was requested.
+    /// The next request; `None` once all pages and records were received.
     #[must_use]
     pub fn next_request(&self, node: &str) -> Option<Operation> {
         if !self.to_fetch.is_empty() {
@@ -124,8 +124,8 @@
         })
     }
 
-    /// Takes the answer to [`Pages::next_request`] and returns the records to merge; `None` if the answer does not fit
-    /// the request.
+    /// Processes the answer to [`Pages::next_request`] and returns the records to merge; `None` if the answer is not of
+    /// a kind that the request allows.
     pub fn accept_answer(&mut self, store: &Store, answer: Answer) -> Option<Vec<ProgramRecords>> {
         match answer {
             Answer::DigestPage { digests, more } => {
--- a/crates/tier/storage/src/quorum.rs
+++ b/crates/tier/storage/src/quorum.rs
@@ -5,24 +5,24 @@
 use crate::placement::{group, read_quorum, write_quorum};
 use crate::view::{StorageMember, StorageView};
 
-/// How many answers an operation waits for.
+/// Number of answers that an operation needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuorumKind {
     /// Enough that the write survives the tolerated losses and intersects every later read.
     Write,
     /// Enough to intersect every earlier write. Only the client of the storage simulation uses it;
-    /// [`StorageClient`](crate::StorageClient) reads from the first machine that has the turn, and takes it as not
-    /// found only once all machines have answered.
+    /// [`StorageClient`](crate::StorageClient) reads from the first machine that has the turn, and reports it as
+    /// not found only once all machines have answered.
     Read,
 }
 
-/// One group and the disks of it that have answered.
+/// Disks of one group, and those of them that have answered.
 #[derive(Debug, Clone)]
 struct GroupQuorum {
     disks: Vec<u64>,
     /// Those of `disks` that have answered, each once.
     answered: Vec<u64>,
-    /// Number of answers that reach the quorum.
+    /// Number of answers required for the quorum.
     needed: usize,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Answers of the program's present group and, in a joint epoch, of its next one.
+/// Answers of the program's current group and, in a joint epoch, of its next one.
 #[derive(Debug, Clone)]
 pub struct Quorum {
     /// One group, or two in a joint epoch.
@@ -101,7 +101,7 @@
         &self.members
     }
 
-    /// Records an answer of the machine with `disk`; a repeated one counts once.
+    /// Records an answer of the machine with `disk`; repeated answers of a disk count once.
     pub fn record_answer(&mut self, disk: u64) {
         for group_quorum in &mut self.groups {
             group_quorum.record_answer(disk);
--- a/crates/tier/storage/src/random.rs
+++ b/crates/tier/storage/src/random.rs
@@ -3,7 +3,8 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A random number that no other process draws, from the standard library's randomness, the clock and `salt`.
+/// A random number, practically unique among processes: a hash of `salt`, the clock and the process id, with
+/// the standard library's random keys.
 pub(crate) fn random_number(salt: &str) -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write(salt.as_bytes());
--- a/crates/tier/storage/src/record.rs
+++ b/crates/tier/storage/src/record.rs
@@ -15,20 +15,20 @@
         /// Number drawn at random when the disk was first used.
         disk: u64,
     },
-    /// The newest committed view that the machine knows; requests of older ones are refused from now on.
+    /// The newest committed view that the machine has; requests of older epochs are refused from then on.
     View(StorageView),
     /// Records of a program, to be merged with those stored.
     Program(ProgramRecords),
 }
 
-/// Builds a snapshot: records one after another, each with its length (4 bytes, little endian) before it.
+/// Builds a snapshot: concatenated records, each prefixed by its length (4 bytes, little endian).
 #[derive(Debug)]
 pub struct SnapshotWriter {
     bytes: Vec<u8>,
 }
 
 impl SnapshotWriter {
-    /// An empty snapshot of about `expected` bytes.
+    /// An empty snapshot with a capacity of `expected` bytes.
     #[must_use]
     pub fn new(expected: usize) -> SnapshotWriter {
         SnapshotWriter {
--- a/crates/tier/storage/src/server/mod.rs
+++ b/crates/tier/storage/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Driver of one storage machine: carries out what its [`StorageNode`] decides, on the network and in the journal.
+//! Driver of one storage machine: executes the steps of its [`StorageNode`] on the network and the journal.
 
 mod pulling;
 mod recovery;
@@ -23,16 +23,16 @@
 use crate::node::{Pending, Step, StorageNode};
 use crate::view::{StorageMember, StorageView};
 
-/// Why a storage machine cannot start.
+/// Reason why a storage machine cannot start.
 #[derive(Debug, Snafu)]
 pub enum ServerError {
-    /// The disk does not work.
+    /// The journal reported an error of the disk.
     #[snafu(display("storage cannot use its disk: {source}"))]
     Disk {
         /// Error of the journal.
         source: JournalError,
     },
-    /// The disk is intact and holds the state of another version of this program. It is not changed.
+    /// The disk is intact and contains the state of another version of this program. It is left unchanged.
     #[snafu(display("{} holds the state of another version of this program", path.display()))]
     Unreadable {
         /// Folder of the journal.
@@ -49,20 +49,20 @@
     pub address: SocketAddr,
     /// Zone of the machine.
     pub zone: String,
-    /// Number of machines that may be lost at once.
+    /// Number of machines whose simultaneous failure is tolerated.
     pub tolerated_losses: usize,
     /// Space for data files, in bytes.
     pub disk_bytes: u64,
 }
 
-/// One storage machine. Clones share everything.
+/// One storage machine. Clones share all state.
 #[derive(Clone)]
 pub struct Server {
     shared: Arc<Shared>,
 }
 
 struct Shared {
-    /// Origin of the times that are passed to the node.
+    /// Reference point of the times that are passed to the node.
     started: Instant,
     node: Mutex<StorageNode>,
     journal: Journal,
@@ -72,56 +72,56 @@
     address: SocketAddr,
     /// Zone of this machine.
     zone: String,
-    /// Why a pull is due; changes with the view's epoch, and when records may have been missed.
+    /// Reason for the next pull; changes with the view's epoch, and when records may have been missed.
     pull_due: watch::Sender<PullDue>,
-    /// Joint epoch for which everything has been pulled, 0 before the first. See [`Server::announcement_changed`].
+    /// Latest joint epoch whose pull is complete; 0 before the first. See [`Server::announcement_changed`].
     pulled_epoch: watch::Sender<u64>,
     upkeep: Mutex<Upkeep>,
     /// Whether the process is shutting down.
     shutting_down: AtomicBool,
-    /// Whether the disk refused the last record; only the first refusal is logged.
-    disk_refuses: AtomicBool,
+    /// Whether the last write to the journal failed; only the first of consecutive failures is logged.
+    last_write_failed: AtomicBool,
 }
 
 /// The state of a storage machine at one moment.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerReport {
-    /// Epoch of the view that it knows; 0 before the first.
+    /// Epoch of the machine's view; 0 before the first.
     pub epoch: u64,
-    /// Joint epoch for which everything has been pulled; 0 before the first.
+    /// Latest joint epoch whose pull is complete; 0 before the first.
     pub pulled_epoch: u64,
-    /// Whether its disk is one of the view's current machines.
+    /// Whether the machine's disk belongs to a current member of the view.
     pub is_current: bool,
-    /// Whether it is shutting down.
+    /// Whether the process is shutting down.
     pub is_shutting_down: bool,
-    /// Current machines of the view.
+    /// Number of current members of the view.
     pub current_machines: usize,
-    /// Machines that are to take over; 0 without a joint epoch.
+    /// Number of members of the next membership; 0 outside a joint epoch.
     pub next_machines: usize,
-    /// Programs of which it stores records.
+    /// Number of programs with stored records.
     pub programs: usize,
-    /// Bytes of these records.
+    /// Approximate size of the stored turns, in bytes.
     pub record_bytes: usize,
-    /// Length of the journal's log since the last snapshot.
+    /// Length of the journal's log since the last snapshot, in bytes.
     pub log_bytes: u64,
-    /// For how long the disk has not finished an operation; zero if none is pending.
+    /// Time for which the pending disk operation has not finished; zero if none is pending.
     pub stalled_for: Duration,
-    /// Whether the disk has taken the last record.
+    /// Whether the last write to the journal succeeded; true before the first.
     pub is_disk_healthy: bool,
 }
 
-/// Why a pull is due.
+/// Reason for a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PullDue {
-    /// Epoch of the view that this machine knows.
+    /// Epoch of the machine's view.
     epoch: u64,
-    /// Rises whenever records may have been missed: after a start, a stall or a partition.
+    /// Incremented whenever records may have been missed: after a start, a stall or a partition.
     missed: u64,
 }
 
 impl Server {
     /// Opens the journal in `folder`. A disk that is empty or corrupt gets a new identity and is filled from the other
-    /// machines. Blocks on the disk.
+    /// machines. Blocks on disk I/O.
     ///
     /// # Errors
     /// See [`ServerError`].
@@ -144,7 +144,7 @@
             pulled_epoch: watch::Sender::new(0),
             upkeep: Mutex::new(Upkeep::new(started, &options.node)),
             shutting_down: AtomicBool::new(false),
-            disk_refuses: AtomicBool::new(false),
+            last_write_failed: AtomicBool::new(false),
         };
         Ok(Server {
             shared: Arc::new(shared),
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Begins a graceful shutdown: it is announced to the core at once and with each later announcement.
+    /// Begins a graceful shutdown, which is announced to the core at once and with each later announcement.
     pub fn begin_shutdown(&self) {
         self.shared.shutting_down.store(true, Ordering::Relaxed);
         self.shared.pulled_epoch.send_modify(|_| {});
@@ -189,15 +189,15 @@
         self.shared.node.lock().may_shut_down()
     }
 
-    /// Notified whenever the announcement should be sent at once: when a pull is complete, and when a shutdown begins.
-    /// The value is the joint epoch for which everything has been pulled, 0 before the first; a shutdown notifies
-    /// without changing it.
+    /// Notifies whenever an announcement should be sent without delay: when a pull is complete or a shutdown begins.
+    /// The value is the latest joint epoch whose pull is complete, 0 before the first; a shutdown notifies without
+    /// changing it.
     #[must_use]
     pub fn announcement_changed(&self) -> watch::Receiver<u64> {
         self.shared.pulled_epoch.subscribe()
     }
 
-    /// Learns a committed view.
+    /// Adopts a committed view if it is newer.
     pub async fn learn_view(&self, view: StorageView) {
         let step = self.shared.node.lock().learn_view(view);
         if let Some(step) = step {
@@ -221,7 +221,7 @@
             record_bytes: node.store().bytes(),
             log_bytes: self.shared.journal.log_bytes(),
             stalled_for: self.shared.journal.stalled_for(),
-            is_disk_healthy: !self.shared.disk_refuses.load(Ordering::Relaxed),
+            is_disk_healthy: !self.shared.last_write_failed.load(Ordering::Relaxed),
         }
     }
 
@@ -237,8 +237,8 @@
         Ok(encode(&self.execute_step(step).await))
     }
 
-    /// Executes a step and returns its answer. Appends are queued in the order of the steps, since one thread makes
-    /// both without yielding in between.
+    /// Executes a step and returns its answer. Appends are queued in the order of the steps, since a single
+    /// thread computes a step and queues its append without yielding in between.
     async fn execute_step(&self, step: Step) -> Response {
         match step {
             Step::Reply(response) => response,
@@ -257,11 +257,13 @@
         let mut node = self.shared.node.lock();
         let response = match &synced {
             Ok(receipt) => {
-                self.shared.disk_refuses.store(false, Ordering::Relaxed);
+                self.shared
+                    .last_write_failed
+                    .store(false, Ordering::Relaxed);
                 node.complete(pending, receipt)
             }
             Err(error) => {
-                if !self.shared.disk_refuses.swap(true, Ordering::Relaxed) {
+                if !self.shared.last_write_failed.swap(true, Ordering::Relaxed) {
                     tracing::warn!(%error, "journal append failed");
                 }
                 node.persist_failed()
--- a/crates/tier/storage/src/server/pulling.rs
+++ b/crates/tier/storage/src/server/pulling.rs
@@ -1,4 +1,4 @@
-//! Pulls: in joint epochs, and after this machine may have missed records. Drives [`Pull`], and [`Pages`] for each
+//! Pulls: in joint epochs, and after this machine may have missed records. Runs [`Pull`], with [`Pages`] for each
 //! source.
 
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::pull::{Pages, Pull};
 use crate::view::{StorageMember, StorageView};
 
-/// How long one request of a pull may take.
+/// Timeout of one request of a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Interval between two attempts at a source.
+/// Delay between two attempts to pull from a source.
 const PULL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Server {
-    /// Runs pulls whenever they are due, for as long as the future is polled. A pull is abandoned when one is due for
-    /// another reason.
+    /// Runs pulls whenever they are due, for as long as the future is polled. A pull is cancelled when the reason for
+    /// pulling changes.
     pub async fn run_pulls(&self) {
         let mut due = self.shared.pull_due.subscribe();
         due.mark_changed();
@@ -30,12 +30,12 @@
             let known = *due.borrow_and_update();
             tokio::select! {
                 () = self.pull_for(known) => {}
-                () = next_due(&mut due, known) => due.mark_changed(),
+                () = wait_for_other_reason(&mut due, known) => due.mark_changed(),
             }
         }
     }
 
-    /// Pulls the records that this machine should hold under the current view.
+    /// Pulls the records that this machine should store under the current view.
     async fn pull_for(&self, due: PullDue) {
         let (view, disk) = {
             let node = self.shared.node.lock();
@@ -63,11 +63,11 @@
         if joins {
             self.finish_pull(view.epoch).await;
         }
-        // The other sources are not needed for a quorum, but may hold records that few others have.
+        // The other sources are not needed for a quorum, but may store records that few machines have.
         while sources.join_next().await.is_some() {}
     }
 
-    /// Syncs that the pull for `epoch` is complete, until the disk accepts it, and has it announced.
+    /// Syncs the completion of the pull for `epoch`, retrying until the disk accepts it, and triggers an announcement.
     async fn finish_pull(&self, epoch: u64) {
         loop {
             let step = self.shared.node.lock().finish_pull(self.now(), epoch);
@@ -80,7 +80,7 @@
         self.shared.pulled_epoch.send_replace(epoch);
     }
 
-    /// Calls a source under `epoch`; `None` without an answer that can be decoded.
+    /// Sends a request to a source under `epoch`; `None` if no answer is received or it cannot be decoded.
     async fn call_source(
         &self,
         source: &StorageMember,
@@ -104,7 +104,7 @@
         Some(response.answer)
     }
 
-    /// Merges and syncs the records of one program, until the disk accepts them.
+    /// Merges and syncs the records of one program, retrying until the disk accepts them.
     async fn store_pulled(&self, records: ProgramRecords) {
         loop {
             let step = self.shared.node.lock().merge(self.now(), records.clone());
@@ -117,12 +117,12 @@
     }
 }
 
-/// Waits until a pull is due for another reason than the known one.
-async fn next_due(due: &mut watch::Receiver<PullDue>, known: PullDue) {
+/// Waits until the reason for pulling differs from the known one.
+async fn wait_for_other_reason(due: &mut watch::Receiver<PullDue>, known: PullDue) {
     let _ = due.wait_for(|due| *due != known).await;
 }
 
-/// Copies all records that this machine should hold from one source, and returns the source's disk.
+/// Copies all records that this machine should store from one source, and returns the source's disk.
 async fn pull_from(server: Server, view: StorageView, source: StorageMember) -> u64 {
     let node = server.shared.node.lock().name().to_owned();
     let mut pages = Pages::default();
--- a/crates/tier/storage/src/server/recovery.rs
+++ b/crates/tier/storage/src/server/recovery.rs
@@ -10,13 +10,13 @@
 use crate::node::StorageNode;
 use crate::random::random_number;
 
-/// Upper bound of the bytes that wait for the disk; further requests are refused.
+/// Upper bound of the bytes queued for the disk; further requests are refused.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 /// Recovers the machine from its disk, or creates a new one on a disk that is empty or corrupt.
 ///
 /// The state of another version of the program is an error instead: replacing it would destroy acknowledged records, on
-/// every machine in turn while a version is rolled back.
+/// one machine after the other during a rollback to an earlier version.
 pub(super) async fn recover_or_create(
     folder: &Path,
     options: &ServerOptions,
@@ -41,7 +41,7 @@
                 tracing::info!(disk, storage_epoch = epoch, "state recovered");
                 return Ok((journal, node));
             }
-            // A new disk whose identity was not synced yet has neither.
+            // A new disk whose identity is not synced yet has neither snapshot nor records.
             let is_new = found.snapshot.is_none() && found.records.is_empty();
             ensure!(is_new, UnreadableSnafu { path: folder });
         }
@@ -50,13 +50,13 @@
         }
         Err(source) => return Err(ServerError::Disk { source }),
     }
-    create_anew(folder, bounds, options)
+    create_on_empty_disk(folder, bounds, options)
         .await
         .context(DiskSnafu)
 }
 
 /// Empties the disk and gives it a new identity.
-async fn create_anew(
+async fn create_on_empty_disk(
     folder: &Path,
     bounds: JournalOptions,
     options: &ServerOptions,
--- a/crates/tier/storage/src/server/upkeep.rs
+++ b/crates/tier/storage/src/server/upkeep.rs
@@ -6,9 +6,9 @@
 
 use super::Server;
 
-/// A longer gap between two calls of [`Server::upkeep`] means that the process was stalled.
+/// Maximum gap between two calls of [`Server::upkeep`]; after a longer gap the process counts as stalled.
 const PROCESS_STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
-/// Shorter logs are never compacted.
+/// Minimum length of a log that is compacted, in bytes.
 const MIN_LOG_BYTES: u64 = 8 << 20;
 
 /// State between two calls of [`Server::upkeep`].
@@ -17,8 +17,8 @@
     last_run: Instant,
     /// Whether a snapshot is being written.
     compacting: bool,
-    /// Length of the log, as a percentage of the live bytes, beyond which it is compacted. It differs between the
-    /// machines, so that they do not compact at the same time.
+    /// Length of the log, as a percentage of the live bytes, above which it is compacted. The percentage differs
+    /// between machines, so that they do not compact at the same time.
     log_percent: u64,
 }
 
@@ -47,10 +47,10 @@
     }
 
     fn compact_if_due(&self) {
-        let alive = self.shared.node.lock().store().bytes() as u64;
+        let live_bytes = self.shared.node.lock().store().bytes() as u64;
         let mut upkeep = self.shared.upkeep.lock();
-        let allowed = MIN_LOG_BYTES.max(alive) * upkeep.log_percent / 100;
-        if upkeep.compacting || self.shared.journal.log_bytes() <= allowed {
+        let max_log_bytes = MIN_LOG_BYTES.max(live_bytes) * upkeep.log_percent / 100;
+        if upkeep.compacting || self.shared.journal.log_bytes() <= max_log_bytes {
             return;
         }
         upkeep.compacting = true;
--- a/crates/tier/storage/src/store.rs
+++ b/crates/tier/storage/src/store.rs
@@ -1,8 +1,8 @@
 //! State of one storage machine in memory: turns and budgets by program. [`StorageNode`](crate::node::StorageNode)
-//! owns it and decides what is written to it.
+//! owns it and controls all writes.
 //!
-//! A program's turns are kept together until the retention of its newest turn has passed, so that no chain loses its
-//! ancestors; its budget is kept for longer, as the program may take further turns.
+//! A program's turns are kept together until the retention of its newest turn has passed, so that no turn loses its
+//! ancestors. The budget is kept for longer, since the program may start further turns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -15,9 +15,9 @@
 use crate::message::{ProgramDigest, ProgramRecords};
 use crate::turn::{TurnRecord, ancestry};
 
-/// Added to the retention, for the latency to the client and back.
+/// Added to the retention to allow for the network latency to the client and back.
 const RETENTION_MARGIN: Duration = Duration::from_secs(5);
-/// How long the budget of a program is kept after its last use.
+/// Retention of a program's budget after its last use.
 const BUDGET_RETENTION: Duration = Duration::from_secs(300);
 
 /// Records of one program.
@@ -26,23 +26,23 @@
     budget: Budget,
     /// Turns by `Request-Id`.
     turns: BTreeMap<String, Arc<TurnRecord>>,
-    /// When the turns expire, all together; never decreases.
-    turns_until: Duration,
-    /// When the budget expires if no turns are left; never decreases.
-    budget_until: Duration,
+    /// Common expiry of all turns of the program; never decreases.
+    turns_expire_at: Duration,
+    /// Expiry of the budget if no turns are left; never decreases.
+    budget_expires_at: Duration,
 }
 
 impl Program {
-    /// When its turns or, without any, its budget expires.
+    /// Expiry of the turns or, if there are none, of the budget.
     fn next_expiry(&self) -> Duration {
         if self.turns.is_empty() {
-            self.budget_until
+            self.budget_expires_at
         } else {
-            self.turns_until
+            self.turns_expire_at
         }
     }
 
-    /// Hash over the turns' `Request-Id`s and the reservations, in any order.
+    /// Hash over the turns' `Request-Id`s and the reservations, independent of their order.
     fn digest(&self) -> u64 {
         let turns = self
             .turns
@@ -56,7 +56,7 @@
     }
 }
 
-/// When something of a program expires; ordered by that time.
+/// Next expiry of a program's turns or budget; ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Duration,
@@ -72,7 +72,7 @@
     pub more: bool,
 }
 
-/// Turns and budgets. Times are those of the process's monotonic clock, since its start.
+/// Turns and budgets. Times are read from the monotonic clock, relative to the process's start.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     programs: BTreeMap<String, Program>,
@@ -112,8 +112,8 @@
             changed = true;
         }
         let retained_for = Duration::from_millis(records.remaining_ms);
-        program.turns_until = program.turns_until.max(now + retained_for);
-        program.budget_until = program.budget_until.max(now + BUDGET_RETENTION);
+        program.turns_expire_at = program.turns_expire_at.max(now + retained_for);
+        program.budget_expires_at = program.budget_expires_at.max(now + BUDGET_RETENTION);
         let after = Expiry {
             at: program.next_expiry(),
             program: name,
@@ -125,8 +125,8 @@
         changed
     }
 
-    /// Records that store `turns` and `reservations` of a program, kept for the longest of the turns'
-    /// retentions.
+    /// Builds the records of a program with `turns` and `reservations`, retained for the longest retention of the
+    /// turns.
     #[must_use]
     pub fn records(
         program: String,
@@ -153,8 +153,8 @@
             .unwrap_or_default()
     }
 
-    /// A turn and its ancestors, newest first, up to the first that is not stored or to `max_bytes`; at least one turn
-    /// if the newest is stored.
+    /// A turn and its ancestors, newest first, up to the first that is not stored or to `max_bytes`; if the newest is
+    /// stored, at least that one.
     #[must_use]
     pub fn chain(&self, program: &str, request_id: &str, max_bytes: usize) -> Vec<Arc<TurnRecord>> {
         let mut chain: Vec<Arc<TurnRecord>> = Vec::new();
@@ -222,7 +222,7 @@
     #[must_use]
     pub fn program(&self, now: Duration, name: &str) -> Option<ProgramRecords> {
         let program = self.programs.get(name)?;
-        let remaining = program.turns_until.saturating_sub(now);
+        let remaining = program.turns_expire_at.saturating_sub(now);
         Some(ProgramRecords {
             program: name.to_owned(),
             reservations: program.budget.iter().copied().collect(),
@@ -240,7 +240,7 @@
         self.programs.keys().map(String::as_str)
     }
 
-    /// Removes what has expired by `now`.
+    /// Removes turns and budgets that have expired by `now`.
     pub fn expire(&mut self, now: Duration) {
         while let Some(expiry) = self.expiries.first().cloned() {
             if expiry.at > now {
@@ -255,7 +255,7 @@
         let Some(program) = self.programs.get_mut(&name) else {
             return;
         };
-        if program.turns_until <= now {
+        if program.turns_expire_at <= now {
             for (request_id, turn) in std::mem::take(&mut program.turns) {
                 self.bytes -= turn.size();
                 if let Some(names) = self.programs_of.get_mut(&request_id) {
@@ -266,7 +266,7 @@
                 }
             }
         }
-        if program.turns.is_empty() && program.budget_until <= now {
+        if program.turns.is_empty() && program.budget_expires_at <= now {
             self.programs.remove(&name);
         } else {
             self.expiries.insert(Expiry {
--- a/crates/tier/storage/src/turn.rs
+++ b/crates/tier/storage/src/turn.rs
@@ -10,14 +10,14 @@
 /// Key of a turn.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct TurnKey {
-    /// Program that took the turn.
+    /// Program to which the turn belongs.
     pub program: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
 }
 
 impl TurnKey {
-    /// Key of the turn that `program` took with this `Request-Id`.
+    /// Key of the turn of `program` with this `Request-Id`.
     #[must_use]
     pub fn new(program: &str, request_id: &str) -> TurnKey {
         TurnKey {
@@ -30,19 +30,19 @@
 /// A turn with its complete answer. Turns are immutable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Turn {
-    /// Program that took the turn.
+    /// Program to which the turn belongs.
     pub program: String,
     /// Session of the turn within the program.
     pub session: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
-    /// Turn that this one continues.
+    /// Turn that this one continues; `None` for the first of a chain.
     pub previous: Option<TurnKey>,
     /// The client's new input.
     pub input: Bytes,
     /// Data of each event of the answer.
     pub events: Vec<Bytes>,
-    /// How long the turn and its chain are kept after the end of the answer.
+    /// Retention of the turn and its chain, from the end of the answer.
     pub retention: Duration,
 }
 
@@ -65,7 +65,7 @@
     }
 
     /// The turn as it is sent and stored under `program`. A turn that another program continues is copied into that
-    /// program's group, so that a chain always lies in one group.
+    /// program's group, so that a whole chain is stored by one group.
     #[must_use]
     pub fn to_record(&self, program: &str) -> TurnRecord {
         TurnRecord {
@@ -82,17 +82,17 @@
 /// A turn as it is sent and stored. Its content is opaque to the storage machines.
 #[derive(Debug, Clone, PartialEq, Eq, Readable, Writable)]
 pub struct TurnRecord {
-    /// Program in whose group it is stored.
+    /// Program in whose group the turn is stored.
     pub program: String,
     /// Session of the turn within the program.
     pub session: String,
     /// `Request-Id` of the turn.
     pub request_id: String,
-    /// Turn of the same program that this one continues.
+    /// `Request-Id` of the turn of the same program that this one continues; `None` for the first of a chain.
     pub previous: Option<String>,
-    /// How long it is retained after the end of the answer.
+    /// Retention from the end of the answer, in milliseconds.
     pub retention_ms: u64,
-    /// Input and events, each with its length (4 bytes, little endian) before it.
+    /// Input and events, each prefixed by its length (4 bytes, little endian).
     pub content: Vec<u8>,
 }
 
@@ -129,9 +129,10 @@
     }
 }
 
-/// The turn `newest` and its ancestors, newest first, as far as `previous` finds them among the `known` turns.
+/// The turn `newest` and its ancestors, newest first, up to the first that `previous` does not find among the
+/// `known` turns.
 ///
-/// Turns of a faulty sender may continue each other in a circle, so no more than one turn beyond `known` follow.
+/// Turns of a faulty sender may form a cycle, so at most `known + 1` turns are returned.
 pub(crate) fn ancestry<'a, T>(
     newest: Option<&'a Arc<T>>,
     known: usize,
@@ -140,7 +141,7 @@
     std::iter::successors(newest, move |turn| previous(turn)).take(known + 1)
 }
 
-/// Encodes the input and the events, each with its length (4 bytes, little endian) before it.
+/// Encodes the input and the events, each prefixed by its length (4 bytes, little endian).
 fn encode_content(input: &Bytes, events: &[Bytes]) -> Vec<u8> {
     let length: usize = events.iter().map(|event| 4 + event.len()).sum();
     let mut content = BytesMut::with_capacity(4 + input.len() + length);
@@ -151,7 +152,7 @@
     content.into()
 }
 
-/// Decodes what [`encode_content`] has encoded; `None` if it is truncated or empty.
+/// Decodes the output of [`encode_content`]; `None` if it is truncated or empty.
 fn decode_content(mut content: Bytes) -> Option<(Bytes, Vec<Bytes>)> {
     let mut parts = Vec::new();
     while !content.is_empty() {
--- a/crates/tier/storage/src/view/member.rs
+++ b/crates/tier/storage/src/view/member.rs
@@ -9,7 +9,7 @@
 pub struct StorageMember {
     /// Name of the machine.
     pub node: String,
-    /// Identity of its disk; a disk that replaces a lost one has another identity.
+    /// Identity of its disk; a replacement disk has a new identity.
     pub disk: u64,
     /// Address for the tier's own traffic (IPv4).
     pub address: SocketAddr,
@@ -17,7 +17,7 @@
     pub zone: String,
 }
 
-/// A member as it is encoded.
+/// Encoding of a [`StorageMember`].
 #[derive(Readable, Writable)]
 struct MemberMessage {
     node: String,
--- a/crates/tier/storage/src/view/mod.rs
+++ b/crates/tier/storage/src/view/mod.rs
@@ -1,5 +1,5 @@
-//! The agreed membership of the storage machines. The core commits each [`StorageView`], as [`plan`] and [`retire`]
-//! propose it; storage machines and clients use the newest that they know.
+//! The agreed membership of the storage machines. The core commits each [`StorageView`], as proposed by
+//! [`plan`] and [`retire`]; storage machines and clients use the newest that they have received.
 
 mod member;
 mod plan;
@@ -14,28 +14,29 @@
 
 use crate::codec::{self, MessageError};
 
-/// Membership at one epoch. While there is a `next` the epoch is a *joint* one: writes need quorums of both.
+/// Membership at one epoch. If `next` is present, the epoch is *joint*: writes need quorums of both `current` and
+/// `next`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Readable, Writable)]
 pub struct StorageView {
-    /// Number of the view; it rises by one with each change.
+    /// Number of the view; incremented by one with each change.
     pub epoch: u64,
-    /// Machines that hold everything that was ever acknowledged; empty before the first view.
+    /// Machines that together store every acknowledged write; empty before the first view.
     pub current: Vec<StorageMember>,
-    /// Machines that are to take over, once each has pulled what it should hold.
+    /// Machines that replace `current` once each has pulled its records; `None` outside a joint epoch.
     pub next: Option<Vec<StorageMember>>,
-    /// Names of machines that are being emptied.
+    /// Names of machines that are being drained.
     pub retiring: BTreeSet<String>,
-    /// Names of machines that were emptied and may be removed.
+    /// Names of machines that are drained and may be removed.
     pub retired: BTreeSet<String>,
 }
 
-/// Why a machine cannot be emptied.
+/// Reason why a machine cannot be drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RetireError {
     /// The view has no such machine.
     #[snafu(display("no storage machine of this name"))]
     Unknown,
-    /// Fewer machines than the tolerated losses and one would remain.
+    /// Fewer than `tolerated_losses + 1` machines would remain.
     #[snafu(display("too few storage machines would remain"))]
     TooFew,
 }
@@ -50,7 +51,7 @@
     /// Decodes the view from the control state's bytes.
     ///
     /// # Errors
-    /// [`MessageError`] if the bytes are no view.
+    /// [`MessageError`] if the bytes cannot be decoded as a view.
     pub fn decode(bytes: &[u8]) -> Result<StorageView, MessageError> {
         codec::decode(bytes)
     }
@@ -67,7 +68,7 @@
         self.next.as_deref().unwrap_or(&self.current)
     }
 
-    /// The memberships of which an operation needs a quorum each: `current` and, in a joint epoch, `next`.
+    /// The memberships in each of which an operation needs a quorum: `current` and, in a joint epoch, `next`.
     pub fn memberships(&self) -> impl Iterator<Item = &[StorageMember]> {
         std::iter::once(&self.current)
             .chain(&self.next)
@@ -87,7 +88,7 @@
     }
 }
 
-/// The view in which `node` is being emptied. A repeated order changes nothing.
+/// The view in which `node` is being drained. Repeating the request has no effect.
 ///
 /// # Errors
 /// [`RetireError::Unknown`] if no view names the machine, [`RetireError::TooFew`] if fewer than
--- a/crates/tier/storage/src/view/plan.rs
+++ b/crates/tier/storage/src/view/plan.rs
@@ -1,15 +1,15 @@
-//! Decides changes of the membership from what the machines announce. The core's head asks for a plan periodically and
-//! commits it on condition that the epoch is still the same.
+//! Plans changes of the membership from the machines' announcements. The core's head requests a plan periodically and
+//! commits it only if the epoch has not changed since.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | no view | enough machines have announced themselves | first view |
 //! | no joint epoch | the wanted membership differs from `current` | joint epoch |
 //! | joint epoch | the wanted membership differs from `next` | joint epoch with another `next` |
-//! | joint epoch | every machine of `next` has pulled its part | no joint epoch, `next` is `current` |
-//! | joint epoch | `next` is `current` again and no order to empty a machine is open | no joint epoch, without pulls |
+//! | joint epoch | every machine of `next` has pulled its records | no joint epoch, `next` is `current` |
+//! | joint epoch | `next` is `current` again and no machine is being drained | no joint epoch, without pulls |
 //!
-//! The first row that applies counts, in the order of the table.
+//! Rows are evaluated from top to bottom; the first that matches applies.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -17,9 +17,9 @@
 use crate::announce::{Announcements, MachineObservation};
 use crate::view::{StorageMember, StorageView};
 
-/// How long the first view waits for more machines than it needs.
+/// Minimum wait before the first view with a full group, so that further machines can join it.
 const FIRST_VIEW_WAIT: Duration = Duration::from_secs(1);
-/// How long the first view waits while there are fewer machines than a full group.
+/// Minimum wait before a first view with fewer machines than a full group.
 const SMALL_FIRST_VIEW_WAIT: Duration = Duration::from_secs(5);
 /// Time without announcements after which a machine is replaced by one that joins.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -31,7 +31,8 @@
 /// A machine joins only if its latest announcement is not older than this.
 const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_millis(1_200);
 
-/// The view that should follow `view`; `None` if it should stay. `tolerated_losses` machines may be lost at once.
+/// The view that should follow `view`; `None` if it should stay. Up to `tolerated_losses` machines may
+/// fail at once.
 #[must_use]
 pub fn plan(
     now: Instant,
@@ -48,7 +49,7 @@
     planner.next_view()
 }
 
-/// What a plan is made from.
+/// Inputs of a plan.
 struct Planner<'a> {
     now: Instant,
     view: &'a StorageView,
@@ -99,7 +100,7 @@
         })
     }
 
-    /// The membership as it should be: the latest one, with machines replaced, added, removed and emptied.
+    /// The target membership: the latest one, after replacing, adding, removing and draining machines.
     fn wanted_members(&self) -> Vec<StorageMember> {
         let departing = self.departing();
         let staying = self.view.latest().iter();
@@ -112,11 +113,11 @@
         wanted
     }
 
-    /// Names of the machines that are emptied, or that shut down and are not needed.
+    /// Names of the machines that are being drained or are drained, or that shut down and are not needed.
     fn departing(&self) -> BTreeSet<String> {
         let mut departing = self.unneeded_in_shutdown();
         departing.extend(self.view.retired.iter().cloned());
-        // An order to empty a machine waits while too few others are there to take over.
+        // Draining is postponed while too few other machines are responsive.
         if self.responsive_and_staying() > self.tolerated_losses {
             departing.extend(self.view.retiring.iter().cloned());
         }
@@ -137,7 +138,7 @@
         joining.map(|seen| seen.member.clone()).collect()
     }
 
-    /// Number of responsive machines that are not being emptied.
+    /// Number of responsive machines that are neither being drained nor drained.
     fn responsive_and_staying(&self) -> usize {
         let is_responsive = |member: &&StorageMember| {
             self.announcements.unresponsive_for(self.now, &member.node) < REPLACEMENT_TIMEOUT
@@ -150,14 +151,14 @@
     }
 
     /// Machines that are shutting down and are not needed, since the others are a full group. Without a full group a
-    /// stopped machine stays a member, since it may come back with its disk.
+    /// stopped machine stays a member, since it may restart with its disk.
     fn unneeded_in_shutdown(&self) -> BTreeSet<String> {
         let view = self.view;
         let observations = self.announcements.observations();
         let (shutting_down, others): (Vec<_>, Vec<_>) = observations
             .filter(|seen| self.is_fresh(seen))
             .partition(|seen| seen.shutting_down);
-        // A machine that is being emptied is still one of the group.
+        // A machine that is being drained still counts as part of the group.
         let nodes = others.iter().map(|seen| &seen.member.node);
         let present: Vec<&String> = nodes.filter(|node| !view.retired.contains(*node)).collect();
         let remaining = present
--- a/crates/tier/storage/src/write.rs
+++ b/crates/tier/storage/src/write.rs
@@ -1,5 +1,5 @@
-//! One write of a client to the quorums of a program's groups, and whether a reservation fits the budget. The
-//! [`client`](crate::client) sends what it decides.
+//! One write of a client to the quorums of a program's groups, and the check of a reservation against the
+//! budget. The [`client`](crate::client) sends the requests.
 
 use crate::budget::Budget;
 use crate::message::{Answer, Operation};
@@ -18,12 +18,12 @@
 pub struct Write {
     program: String,
     operation: Operation,
-    /// Number of machines that may be lost at once.
+    /// Number of machines whose simultaneous failure is tolerated.
     tolerated_losses: usize,
-    /// Epoch of the view that `quorum` is of.
+    /// Epoch of the view from which `quorum` was built.
     epoch: u64,
     quorum: Quorum,
-    /// Answers under `epoch` that have counted for the quorum.
+    /// Answers under `epoch` that count towards the quorum.
     answers: Vec<Answer>,
 }
 
@@ -88,14 +88,14 @@
         }
     }
 
-    /// Whether a quorum of each group has the write on disk.
+    /// Whether a quorum of each group has synced the write.
     #[must_use]
     pub fn is_durable(&self) -> bool {
         self.quorum.is_reached()
     }
 
-    /// Whether a durable reservation of `max_tokens` fits into `budget`. Of two reservations that do not fit together
-    /// at least one sees the other, since their quorums intersect.
+    /// Whether a durable reservation of `max_tokens` fits into `budget`. If two concurrent reservations exceed it
+    /// together, at least one sees the other, since their quorums intersect.
     #[must_use]
     pub fn is_within_budget(&self, reservation: u64, max_tokens: u64, budget: u64) -> bool {
         let mut known = Budget::default();
