--- a/crates/tier/storage/tests/announce.rs
+++ b/crates/tier/storage/tests/announce.rs
@@ -1,4 +1,4 @@
-//! What a core machine answers to a storage machine's announcement.
+//! A core machine's answer to a storage machine's announcement.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use woadreach_storage::message::encode;
 
 #[tokio::test]
-async fn the_answer_says_whether_the_core_machine_is_in_quorum() {
+async fn the_answer_reports_whether_the_core_machine_is_in_quorum() {
     let is_in_quorum = Arc::new(AtomicBool::new(true));
-    let known = Arc::clone(&is_in_quorum);
+    let quorum_state = Arc::clone(&is_in_quorum);
     let announcements = Arc::new(Mutex::new(Announcements::new(Instant::now())));
-    let handle = handler(announcements, move || known.load(Ordering::Relaxed));
+    let handle = handler(announcements, move || quorum_state.load(Ordering::Relaxed));
     let peer = SocketAddr::from(([10, 0, 0, 1], 7000));
     let member = StorageMember {
         node: "store-1".to_owned(),
@@ -38,6 +38,6 @@
     }
     assert!(
         !is_from_quorum(&[]),
-        "an answer that says nothing proves nothing"
+        "an empty answer does not prove that the core machine is in quorum"
     );
 }
--- a/crates/tier/storage/tests/bad_input.rs
+++ b/crates/tier/storage/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Disks, requests and announcements that cannot be read: an error of their own kind, nothing of them taken,
-//! and nothing destroyed.
+//! Unreadable disks, requests, announcements and views are rejected with a specific error and change no state.
+//! A disk of another format or record version is not modified; a corrupt disk gets a new identity.
 
 use bytes::Bytes;
 use parking_lot::Mutex;
@@ -17,7 +17,7 @@
 use woadreach_storage::server::{Server, ServerError, ServerOptions};
 use woadreach_storage::{StorageMember, StorageView};
 
-const LONG: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn options() -> ServerOptions {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// The file that holds the journal's slot in use.
+/// Path of the journal's slot file that is in use: the first that is not empty.
 fn used_slot(folder: &Path) -> std::path::PathBuf {
     let used = files(folder)
         .into_iter()
@@ -69,7 +69,10 @@
     content[29..33].copy_from_slice(&checksum.to_le_bytes());
     std::fs::write(&slot, &content).unwrap();
     let before = files(folder.path());
-    let error = open(folder.path()).await.err().expect("another format");
+    let error = open(folder.path())
+        .await
+        .err()
+        .expect("a disk of another format is rejected");
     let is_version = matches!(
         &error,
         ServerError::Disk {
@@ -89,7 +92,10 @@
     let _receipt = journal.append(record).await.unwrap();
     drop(journal);
     let before = files(folder.path());
-    let error = open(folder.path()).await.err().expect("another version");
+    let error = open(folder.path())
+        .await
+        .err()
+        .expect("a record of another version is rejected");
     assert!(
         matches!(&error, ServerError::Unreadable { path } if path == folder.path()),
         "{error}"
@@ -97,7 +103,7 @@
     assert_eq!(files(folder.path()), before);
 }
 
-/// A corrupt disk gets a new identity, and the machine pulls from the others.
+/// A machine with a corrupt disk starts under a new disk identity and pulls from the other machines.
 #[tokio::test]
 async fn a_corrupt_disk_gets_a_new_identity() {
     let folder = tempfile::tempdir().unwrap();
@@ -124,7 +130,7 @@
     let invalid: [&[u8]; 5] = [&[], &[0, 1, 2], &[2, 1, 2], &[1], &[1, 0, 0, 0]];
     for body in invalid {
         let answer = rpc()
-            .call(address, ServiceId::STORAGE, body.to_vec(), LONG)
+            .call(address, ServiceId::STORAGE, body.to_vec(), CALL_TIMEOUT)
             .await;
         assert_eq!(answer, Err(CallError::Refused), "{body:?}");
     }
--- a/crates/tier/storage/tests/codecs.rs
+++ b/crates/tier/storage/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! Codecs: every encoded value is decoded to itself, and nothing else is decoded.
+//! Codecs of messages, journal records, snapshots and turns: round trips, and input that is truncated, too long
+//! or corrupt.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -12,7 +13,7 @@
 use woadreach_storage::turn::TurnRecord;
 use woadreach_storage::{StorageMember, StorageView, Turn, TurnKey};
 
-/// A random value of each type that is sent or stored.
+/// Wrapper that implements `Arbitrary` for the types that are sent or stored.
 #[derive(Debug, Clone, PartialEq)]
 struct Any<T>(T);
 
@@ -175,15 +176,15 @@
 }
 
 quickcheck! {
-    fn requests_are_read_back(request: Any<Request>) -> bool {
+    fn requests_round_trip(request: Any<Request>) -> bool {
         decode(&encode(&request.0)) == Ok(request.0)
     }
 
-    fn responses_are_read_back(response: Any<Response>) -> bool {
+    fn responses_round_trip(response: Any<Response>) -> bool {
         decode(&encode(&response.0)) == Ok(response.0)
     }
 
-    fn records_are_read_back(record: Any<Record>) -> bool {
+    fn records_round_trip(record: Any<Record>) -> bool {
         decode(&encode(&record.0)) == Ok(record.0)
     }
 
@@ -192,13 +193,13 @@
         decode::<Request>(&bytes[..cut % bytes.len()]).is_err()
     }
 
-    fn a_longer_message_is_not_read(request: Any<Request>, rest: Vec<u8>) -> bool {
+    fn a_message_with_trailing_bytes_is_not_decoded(request: Any<Request>, rest: Vec<u8>) -> bool {
         let mut bytes = encode(&request.0);
         bytes.extend_from_slice(&rest);
         rest.is_empty() || decode::<Request>(&bytes).is_err()
     }
 
-    fn any_bytes_are_read_without_panic(bytes: Vec<u8>) -> bool {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes: Vec<u8>) -> bool {
         let versioned = [vec![1], bytes.clone()].concat();
         let _ = (decode::<Request>(&bytes), decode::<Request>(&versioned));
         let _ = (decode::<Response>(&versioned), decode::<Record>(&versioned));
@@ -206,7 +207,7 @@
         true
     }
 
-    fn a_flipped_bit_gives_no_panic(response: Any<Response>, at: usize) -> bool {
+    fn decoding_after_a_bit_flip_does_not_panic(response: Any<Response>, at: usize) -> bool {
         let mut bytes = encode(&response.0);
         let bit = at % (bytes.len() * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
@@ -214,7 +215,7 @@
         true
     }
 
-    fn snapshots_are_read_back(records: Vec<Any<Record>>) -> bool {
+    fn snapshots_round_trip(records: Vec<Any<Record>>) -> bool {
         let mut snapshot = SnapshotWriter::new(0);
         for record in &records {
             snapshot.push(&record.0);
@@ -225,7 +226,7 @@
         found == records.into_iter().map(|record| Ok(record.0)).collect::<Vec<_>>()
     }
 
-    fn turns_are_read_back(input: Vec<u8>, events: Vec<Vec<u8>>, previous: Option<String>) -> bool {
+    fn turns_round_trip(input: Vec<u8>, events: Vec<Vec<u8>>, previous: Option<String>) -> bool {
         let turn = Turn {
             program: "program".to_owned(),
             session: "session".to_owned(),
@@ -238,7 +239,7 @@
         turn.to_record("program").into_turn() == Some(turn)
     }
 
-    fn turns_with_damaged_content_give_no_panic(content: Vec<u8>) -> bool {
+    fn decoding_corrupt_turn_content_does_not_panic(content: Vec<u8>) -> bool {
         let record = TurnRecord {
             program: String::new(),
             session: String::new(),
--- a/crates/tier/storage/tests/fence.rs
+++ b/crates/tier/storage/tests/fence.rs
@@ -1,4 +1,4 @@
-//! A client that is refused since its view is older than the machine's: it asks again under the newer one only.
+//! A client whose request is refused because its view is older than the machine's retries under the newer view only.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 const NEW_EPOCH: u64 = 9;
 const MACHINES: u64 = 3;
 
-/// What a machine was asked: the epoch of each request, in the order of arrival.
+/// Epochs of the requests that all machines received, in the order of receipt.
 type Epochs = Arc<Mutex<Vec<u64>>>;
 
-/// Three machines that refuse requests of older epochs and have no turn.
+/// Three machines that store no turns and refuse requests of epochs older than `NEW_EPOCH`.
 struct Machines {
     members: Vec<StorageMember>,
     epochs: Epochs,
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_is_refused_for_an_older_view_asks_no_more_under_it() {
+async fn a_client_refused_for_an_older_view_sends_no_further_requests_under_it() {
     let machines = Machines::start().await;
     let rpc = Client::new(ClientOptions::default());
     let client = StorageClient::new(rpc, "zone-1".into(), 1);
@@ -94,7 +94,7 @@
     assert_eq!(client.view().epoch, NEW_EPOCH);
     let first = std::mem::take(&mut *machines.epochs.lock());
     let old = first.iter().filter(|epoch| **epoch == OLD_EPOCH).count() as u64;
-    // Requests that were on their way when the first refusal came: one for each machine and kind of question.
+    // Requests in flight when the first refusal was received: at most one per machine and kind of operation.
     assert!((1..=2 * MACHINES).contains(&old), "{first:?}");
     for number in 0..10 {
         let turn = format!("b{number}");
@@ -103,7 +103,7 @@
     let later = machines.epochs.lock().clone();
     assert!(!later.is_empty());
     assert!(later.iter().all(|epoch| *epoch == NEW_EPOCH), "{later:?}");
-    // An older view that comes late does not bring the old epoch back.
+    // An older view that is received late does not replace the newer one.
     client.set_view(Arc::new(machines.view(OLD_EPOCH)));
     assert_eq!(client.view().epoch, NEW_EPOCH);
 }
--- a/crates/tier/storage/tests/loopback.rs
+++ b/crates/tier/storage/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Client and servers over loopback, with real files.
+//! Storage client and servers over loopback TCP, with journals in real files.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 
 const TOLERATED_LOSSES: usize = 1;
 
-/// A machine on a thread and runtime of its own, so that stopping it ends all its connections.
+/// Storage machine with a separate thread and runtime, so that stopping it closes all its connections.
 struct Machine {
     node: String,
     address: SocketAddr,
@@ -86,7 +86,7 @@
     }
 }
 
-/// What remains of a machine that has been stopped.
+/// Name, address and disk of a stopped machine.
 struct StoppedMachine {
     node: String,
     address: SocketAddr,
@@ -94,12 +94,12 @@
 }
 
 impl StoppedMachine {
-    /// Starts it again with its disk.
+    /// Restarts the machine with the same disk.
     fn restart(self) -> Machine {
         start(&self.node, self.folder, Some(self.address))
     }
 
-    /// Starts it again with an empty disk.
+    /// Restarts the machine with an empty disk.
     fn restart_wiped(self) -> Machine {
         start(&self.node, tempfile::tempdir().unwrap(), Some(self.address))
     }
@@ -218,7 +218,7 @@
     let _third = one.reserve(&request("p", "e", 100, 10)).await.unwrap();
 }
 
-/// Waits until a reservation is granted, which it is once others of its program are settled.
+/// Retries a reservation until it is granted, that is, until other reservations of the program are settled.
 async fn wait_until_granted(client: &StorageClient, request: &ReserveRequest) -> ReservationGuard {
     let granted = async {
         loop {
@@ -230,7 +230,7 @@
     };
     tokio::time::timeout(Duration::from_secs(20), granted)
         .await
-        .expect("it fits once the others are settled")
+        .expect("the reservation fits the budget once the others are settled")
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -255,20 +255,20 @@
 async fn a_reservation_whose_future_is_cancelled_is_withdrawn() {
     let (_machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
-    let never_polled_again = async {
+    let cancelled_reserve = async {
         let reserve_request = request("p", "a", 100, 60);
         let mut reserve = std::pin::pin!(one.reserve(&reserve_request));
         let polled =
             std::future::poll_fn(|context| Poll::Ready(reserve.as_mut().poll(context))).await;
         assert!(polled.is_pending(), "no machine has answered");
     };
-    never_polled_again.await;
+    cancelled_reserve.await;
     let _next = wait_until_granted(&two, &request("p", "b", 100, 100)).await;
 }
 
-/// The machines are away for longer than one attempt to settle.
+/// The machines are down for longer than the timeout of one attempt to settle.
 #[tokio::test(flavor = "current_thread")]
-async fn a_turn_that_could_not_be_stored_is_settled_once_the_machines_are_back() {
+async fn a_turn_that_could_not_be_stored_is_settled_after_the_machines_restart() {
     let (machines, view) = machines(3);
     let (one, two) = (client(&view), client(&view));
     let mut reservation = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
@@ -281,7 +281,7 @@
         Err(Unavailable)
     );
     drop(reservation);
-    // The first attempt to settle begins, and has failed long before they are back.
+    // The first attempt to settle starts and times out before the machines restart.
     tokio::time::advance(Duration::from_millis(1)).await;
     tokio::time::advance(Duration::from_secs(20)).await;
     tokio::time::resume();
@@ -290,7 +290,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn one_machine_may_be_down_and_come_back_with_its_disk() {
+async fn turns_stay_readable_while_one_machine_is_down_and_after_it_restarts() {
     let (mut machines, view) = machines(3);
     let writer = client(&view);
     writer.put_turn(turn("p", "a", None), None).await.unwrap();
@@ -299,23 +299,23 @@
         .put_turn(turn("p", "b", Some(("p", "a"))), None)
         .await
         .unwrap();
-    let back = stopped.restart();
-    assert_eq!(back.member(), view.current[0]);
+    let restarted = stopped.restart();
+    assert_eq!(restarted.member(), view.current[0]);
     machines.remove(0).stop();
     let reader = client(&view);
     assert_eq!(reader.chain("p", "b").await.unwrap().len(), 2);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn budgets_survive_a_stop_of_all_machines() {
+async fn budgets_survive_a_restart_of_all_machines() {
     let (machines, view) = machines(3);
     let one = client(&view);
-    let mut ended = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
-    ended.set_delivered_tokens(30);
-    one.put_turn(turn("p", "a", None), Some(&mut ended))
+    let mut settled = one.reserve(&request("p", "a", 100, 60)).await.unwrap();
+    settled.set_delivered_tokens(30);
+    one.put_turn(turn("p", "a", None), Some(&mut settled))
         .await
         .unwrap();
-    let _open = one.reserve(&request("p", "b", 100, 60)).await.unwrap();
+    let _unsettled = one.reserve(&request("p", "b", 100, 60)).await.unwrap();
     let stopped: Vec<_> = machines.into_iter().map(Machine::stop).collect();
     let _machines: Vec<Machine> = stopped.into_iter().map(StoppedMachine::restart).collect();
     let two = client(&view);
@@ -328,7 +328,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn no_turn_is_denied_while_a_machine_is_away_or_has_another_disk() {
+async fn no_turn_is_reported_missing_while_a_machine_is_down_or_wiped() {
     let (mut machines, view) = machines(3);
     let reader = client(&view);
     assert_eq!(reader.chain("p", "never").await, Err(ChainError::NotFound));
@@ -345,7 +345,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_wiped_machine_pulls_before_it_counts() {
+async fn a_wiped_machine_pulls_before_it_joins_quorums() {
     let (mut machines, view) = machines(3);
     let writer = client(&view);
     for number in 0..50 {
--- a/crates/tier/storage/tests/placement.rs
+++ b/crates/tier/storage/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Groups and quorums.
+//! Placement of programs on groups of machines, and quorum sizes.
 
 use quickcheck::quickcheck;
 use woadreach_storage::StorageMember;
@@ -14,7 +14,7 @@
     (0..count).map(member).collect()
 }
 
-fn names(members: &[StorageMember], program: &str, tolerated_losses: usize) -> Vec<String> {
+fn group_nodes(members: &[StorageMember], program: &str, tolerated_losses: usize) -> Vec<String> {
     group(members, program, tolerated_losses)
         .iter()
         .map(|member| member.node.clone())
@@ -29,32 +29,32 @@
         let mut zones_of: Vec<&str> = chosen.iter().map(|member| member.zone.as_str()).collect();
         zones_of.sort_unstable();
         zones_of.dedup();
-        let mut nodes = names(&members, &program, 1);
+        let mut nodes = group_nodes(&members, &program, 1);
         nodes.sort();
         nodes.dedup();
-        let zones_there = zones.min(count) as usize;
-        nodes.len() == group_size(count as usize, 1) && zones_of.len() == zones_there.min(nodes.len())
+        let available_zones = zones.min(count) as usize;
+        nodes.len() == group_size(count as usize, 1) && zones_of.len() == available_zones.min(nodes.len())
     }
 
-    fn the_loss_of_a_zone_leaves_a_write_quorum(program: String, count: u8, zones: u8, lost: u8) -> bool {
+    fn a_write_quorum_survives_the_failure_of_a_zone(program: String, count: u8, zones: u8, failed: u8) -> bool {
         let zones = u64::from(zones % 3) + 3;
         let members = machines(u64::from(count % 10) + zones, zones);
-        let lost = format!("zone-{}", u64::from(lost) % zones);
+        let failed = format!("zone-{}", u64::from(failed) % zones);
         let chosen = group(&members, &program, 1);
-        chosen.iter().filter(|member| member.zone != lost).count() >= write_quorum(chosen.len(), 1)
+        chosen.iter().filter(|member| member.zone != failed).count() >= write_quorum(chosen.len(), 1)
     }
 
-    fn a_new_disk_keeps_its_place(program: String, count: u8) -> bool {
+    fn replacing_a_disk_does_not_change_the_placement(program: String, count: u8) -> bool {
         let members = machines(u64::from(count % 8) + 2, 3);
         let mut wiped = members.clone();
         wiped[0].disk = 99;
-        names(&members, &program, 1) == names(&wiped, &program, 1)
+        group_nodes(&members, &program, 1) == group_nodes(&wiped, &program, 1)
     }
 
-    fn the_order_of_the_view_does_not_matter(program: String, count: u8) -> bool {
+    fn the_order_of_members_does_not_change_the_placement(program: String, count: u8) -> bool {
         let members = machines(u64::from(count % 8) + 2, 3);
         let reversed: Vec<StorageMember> = members.iter().rev().cloned().collect();
-        names(&members, &program, 1) == names(&reversed, &program, 1)
+        group_nodes(&members, &program, 1) == group_nodes(&reversed, &program, 1)
     }
 }
 
@@ -69,10 +69,10 @@
             );
             assert!(write > tolerated_losses && write <= group);
             assert!(write + read > group);
-            assert!(write * 2 > group, "two writes meet");
+            assert!(write * 2 > group, "two write quorums intersect");
             assert!(
                 members <= 2 * tolerated_losses || group - tolerated_losses >= write,
-                "losses leave a write quorum"
+                "a write quorum remains after the tolerated losses"
             );
         }
     }
--- a/crates/tier/storage/tests/plan.rs
+++ b/crates/tier/storage/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership, case by case.
+//! Membership changes that the core plans: joining, removal, disk replacement, retirement and shutdown.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -18,12 +18,12 @@
     }
 }
 
-/// A core that commits what it plans, and machines that announce themselves every 500 ms.
+/// Core that commits each planned view at once, and machines that announce themselves once per `STEP`.
 struct Tier {
     now: Instant,
     view: StorageView,
     announcements: Announcements,
-    /// Machines that announce themselves, and whether they pull.
+    /// Running machines; the flag is false for a machine that does not finish its pulls.
     machines: Vec<(StorageMember, bool)>,
     /// Machines whose processes are shutting down.
     shutting_down: BTreeSet<String>,
@@ -45,15 +45,15 @@
             shutting_down: BTreeSet::new(),
             tolerated_losses,
         };
-        tier.pass(Duration::from_millis(1_500));
+        tier.advance(Duration::from_millis(1_500));
         tier
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            for (member, pulls) in &self.machines {
-                let pulled_epoch = if *pulls { self.view.epoch } else { 0 };
+            for (member, finishes_pulls) in &self.machines {
+                let pulled_epoch = if *finishes_pulls { self.view.epoch } else { 0 };
                 let announcement = Announcement {
                     member: member.clone(),
                     pulled_epoch,
@@ -89,24 +89,24 @@
         disks
     }
 
-    fn settled(&self) -> bool {
+    fn is_settled(&self) -> bool {
         self.view.next.is_none()
     }
 }
 
 #[test]
-fn the_first_view_takes_all_that_announce_themselves() {
+fn the_first_view_contains_all_announced_machines() {
     let tier = Tier::new(4, 1);
     assert_eq!((tier.view.epoch, tier.current()), (1, vec![1, 2, 3, 4]));
 }
 
 #[test]
-fn the_first_view_needs_more_machines_than_may_be_lost() {
+fn the_first_view_needs_more_machines_than_tolerated_losses() {
     let mut tier = Tier::new(1, 1);
-    tier.pass(Duration::from_secs(20));
+    tier.advance(Duration::from_secs(20));
     assert_eq!(tier.view.epoch, 0);
     tier.start(1, 2);
-    tier.pass(Duration::from_secs(6));
+    tier.advance(Duration::from_secs(6));
     assert_eq!(tier.current(), [1, 2]);
 }
 
@@ -114,19 +114,19 @@
 fn a_short_absence_changes_nothing() {
     let mut tier = Tier::new(4, 1);
     tier.stop(0);
-    tier.pass(Duration::from_secs(5));
+    tier.advance(Duration::from_secs(5));
     tier.start(0, 1);
-    tier.pass(Duration::from_secs(5));
+    tier.advance(Duration::from_secs(5));
     assert_eq!(tier.view.epoch, 1);
 }
 
 #[test]
-fn a_machine_that_stays_away_is_removed_if_a_full_group_remains() {
+fn an_unresponsive_machine_is_removed_if_a_full_group_remains() {
     for (count, left) in [(4, vec![2, 3, 4]), (3, vec![1, 2, 3])] {
         let mut tier = Tier::new(count, 1);
         tier.stop(0);
-        tier.pass(Duration::from_secs(10));
-        assert!(tier.settled());
+        tier.advance(Duration::from_secs(10));
+        assert!(tier.is_settled());
         assert_eq!(tier.current(), left);
     }
 }
@@ -136,24 +136,24 @@
     let mut tier = Tier::new(3, 1);
     tier.stop(1);
     tier.start(1, 12);
-    tier.pass(STEP);
+    tier.advance(STEP);
     assert_eq!(tier.view.epoch, 2);
-    assert!(!tier.settled());
-    tier.pass(STEP * 3);
-    assert!(tier.settled());
+    assert!(!tier.is_settled());
+    tier.advance(STEP * 3);
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [1, 3, 12]);
 }
 
 #[test]
-fn the_joint_epoch_lasts_until_everyone_has_pulled() {
+fn the_joint_epoch_lasts_until_every_machine_has_pulled() {
     let mut tier = Tier::new(3, 1);
     tier.machines[0].1 = false;
     tier.start(3, 4);
-    tier.pass(Duration::from_secs(5));
-    assert!(!tier.settled());
+    tier.advance(Duration::from_secs(5));
+    assert!(!tier.is_settled());
     tier.machines[0].1 = true;
-    tier.pass(STEP * 2);
-    assert!(tier.settled());
+    tier.advance(STEP * 2);
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [1, 2, 3, 4]);
 }
 
@@ -161,10 +161,10 @@
 fn a_joining_machine_soon_replaces_an_unresponsive_one() {
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     tier.start(3, 4);
-    tier.pass(Duration::from_millis(1_000));
-    assert!(tier.settled());
+    tier.advance(Duration::from_millis(1_000));
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [2, 3, 4]);
 }
 
@@ -173,12 +173,12 @@
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
     tier.start(3, 4);
-    tier.pass(STEP);
-    assert!(!tier.settled());
+    tier.advance(STEP);
+    assert!(!tier.is_settled());
     tier.stop(3);
     tier.start(0, 1);
-    tier.pass(Duration::from_secs(3));
-    assert!(tier.settled());
+    tier.advance(Duration::from_secs(3));
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [1, 2, 3]);
 }
 
@@ -187,9 +187,9 @@
     let mut tier = Tier::new(4, 1);
     tier.now += Duration::from_secs(30);
     tier.stop(0);
-    tier.pass(Duration::from_millis(1_400));
+    tier.advance(Duration::from_millis(1_400));
     assert_eq!(tier.view.epoch, 1);
-    // Nor does one that receives no announcement at all.
+    // A core machine that receives no announcements at all removes no machine either.
     assert_eq!(
         plan(
             tier.now + Duration::from_secs(30),
@@ -202,56 +202,56 @@
 }
 
 #[test]
-fn a_machine_is_emptied_by_a_joint_epoch() {
+fn a_machine_is_retired_through_a_joint_epoch() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-2", 1).unwrap();
     tier.machines[0].1 = false;
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     assert!(
         tier.view.retiring.contains("store-2"),
-        "not before everyone has pulled"
+        "the joint epoch lasts until every machine has pulled"
     );
     assert_eq!(
         retire(&tier.view, "store-2", 1),
         Ok(tier.view.clone()),
-        "a repeated order changes nothing"
+        "a repeated order does not change the view"
     );
     tier.machines[0].1 = true;
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     assert!(tier.view.retired.contains("store-2") && tier.view.retiring.is_empty());
     assert_eq!(tier.current(), [1, 2, 4]);
-    tier.pass(Duration::from_secs(3));
+    tier.advance(Duration::from_secs(3));
     assert_eq!(
         tier.current(),
         [1, 2, 4],
-        "an emptied machine that still announces itself stays out"
+        "a retired machine that still announces itself does not rejoin"
     );
 }
 
 #[test]
-fn an_order_for_a_machine_that_crashes_succeeds_too() {
+fn retiring_a_machine_that_crashes_succeeds() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-2", 1).unwrap();
     tier.stop(2);
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     assert!(tier.view.retired.contains("store-2"));
 }
 
 #[test]
-fn an_order_waits_while_too_few_others_are_responsive() {
+fn retirement_waits_while_too_few_other_machines_are_responsive() {
     let mut tier = Tier::new(3, 1);
     tier.stop(0);
-    tier.pass(Duration::from_secs(2));
+    tier.advance(Duration::from_secs(2));
     tier.view = retire(&tier.view, "store-2", 1).unwrap();
-    tier.pass(Duration::from_secs(10));
+    tier.advance(Duration::from_secs(10));
     assert!(tier.view.retiring.contains("store-2"));
     tier.start(0, 1);
-    tier.pass(Duration::from_secs(2));
+    tier.advance(Duration::from_secs(2));
     assert!(tier.view.retired.contains("store-2"));
 }
 
 #[test]
-fn orders_that_leave_too_few_are_refused() {
+fn retirements_that_leave_too_few_machines_are_refused() {
     let tier = Tier::new(3, 1);
     assert_eq!(retire(&tier.view, "store-9", 1), Err(RetireError::Unknown));
     let one = retire(&tier.view, "store-0", 1).unwrap();
@@ -262,10 +262,10 @@
 }
 
 #[test]
-fn two_orders_at_once_both_succeed() {
+fn two_concurrent_retirements_both_succeed() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&retire(&tier.view, "store-0", 1).unwrap(), "store-1", 1).unwrap();
-    tier.pass(Duration::from_secs(2));
+    tier.advance(Duration::from_secs(2));
     assert_eq!(tier.current(), [3, 4]);
     assert_eq!(tier.view.retired.len(), 2);
 }
@@ -275,22 +275,29 @@
     let mut tier = Tier::new(4, 1);
     tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
-    tier.pass(Duration::from_secs(1));
-    assert!(!tier.settled(), "not before everyone has pulled");
+    tier.advance(Duration::from_secs(1));
+    assert!(
+        !tier.is_settled(),
+        "the joint epoch lasts until every machine has pulled"
+    );
     tier.machines[0].1 = true;
-    tier.pass(Duration::from_secs(1));
-    assert!(tier.settled());
+    tier.advance(Duration::from_secs(1));
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [1, 2, 4]);
     tier.shutting_down.clear();
-    tier.pass(Duration::from_secs(1));
-    assert_eq!(tier.current(), [1, 2, 3, 4], "it comes back");
+    tier.advance(Duration::from_secs(1));
+    assert_eq!(
+        tier.current(),
+        [1, 2, 3, 4],
+        "the machine rejoins after its shutdown flag is cleared"
+    );
 }
 
 #[test]
 fn a_machine_in_shutdown_stays_a_member_if_fewer_remain() {
     let mut tier = Tier::new(3, 1);
     tier.shutting_down.insert("store-2".to_owned());
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     assert_eq!((tier.view.epoch, tier.current()), (1, vec![1, 2, 3]));
 }
 
@@ -298,7 +305,7 @@
 fn a_shutdown_of_all_machines_at_once_changes_nothing() {
     let mut tier = Tier::new(5, 1);
     tier.shutting_down = (0..5).map(|number| format!("store-{number}")).collect();
-    tier.pass(Duration::from_secs(2));
+    tier.advance(Duration::from_secs(2));
     assert_eq!((tier.view.epoch, tier.current().len()), (1, 5));
 }
 
@@ -307,9 +314,9 @@
     let mut tier = Tier::new(4, 1);
     tier.shutting_down.insert("store-2".to_owned());
     tier.machines[0].1 = false;
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     tier.view = retire(&tier.view, "store-1", 1).unwrap();
-    tier.pass(Duration::from_secs(1));
+    tier.advance(Duration::from_secs(1));
     assert!(
         tier.view
             .latest()
@@ -317,17 +324,17 @@
             .all(|member| member.node != "store-2")
     );
     tier.machines[0].1 = true;
-    tier.pass(Duration::from_secs(1));
-    assert!(tier.settled());
+    tier.advance(Duration::from_secs(1));
+    assert!(tier.is_settled());
     assert_eq!(tier.current(), [1, 4]);
 }
 
 #[test]
-fn a_machine_in_shutdown_is_removed_with_one_that_is_emptied() {
+fn a_machine_in_shutdown_is_removed_together_with_a_retiring_one() {
     let mut tier = Tier::new(4, 1);
     tier.view = retire(&tier.view, "store-3", 1).unwrap();
     tier.shutting_down.insert("store-2".to_owned());
-    tier.pass(Duration::from_secs(1));
-    assert!(tier.settled() && tier.view.retired.contains("store-3"));
+    tier.advance(Duration::from_secs(1));
+    assert!(tier.is_settled() && tier.view.retired.contains("store-3"));
     assert_eq!(tier.current(), [1, 2]);
 }
--- a/crates/tier/storage/tests/recorded_bytes/main.rs
+++ b/crates/tier/storage/tests/recorded_bytes/main.rs
@@ -1,4 +1,4 @@
-//! Messages and records of the storage machines are decoded and encoded as they were recorded.
+//! Compatibility of messages and records with recorded bytes: both decoding and encoding must match.
 
 #[path = "../../../../../tests/recorded/mod.rs"]
 mod recorded;
@@ -41,7 +41,7 @@
     let written = writer.finish();
     recorded.check_bytes("every kind of record", &written);
     recorded.finish();
-    let found = snapshot_records(&written).expect("a whole snapshot");
+    let found = snapshot_records(&written).expect("the snapshot is readable");
     let found: Vec<Record> = found
         .into_iter()
         .map(|record| decode(record).expect("a record"))
@@ -82,9 +82,9 @@
     recorded.finish();
 }
 
-/// The core's answer to an announcement is one byte without a version.
+/// The core's answer to an announcement is a single byte without a version.
 #[test]
-fn the_answer_to_an_announcement_says_whether_the_core_is_in_quorum() {
+fn the_answer_to_an_announcement_reports_whether_the_core_is_in_quorum() {
     let peer = SocketAddr::from(([127, 0, 0, 1], 9));
     for (in_quorum, expected) in [(true, vec![1]), (false, vec![0])] {
         let announcements_received = Arc::new(Mutex::new(Announcements::new(Instant::now())));
@@ -96,7 +96,7 @@
             .lock()
             .observation("storage-1")
             .cloned()
-            .expect("it is heard");
+            .expect("the announcement is recorded");
         assert_eq!(
             (observation.member, observation.pulled_epoch),
             (member(1), 0)
@@ -107,7 +107,7 @@
     }
 }
 
-/// The view stands in the core's control state in these bytes.
+/// The core's control state contains the view in this encoding.
 #[test]
 fn views_are_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("views");
@@ -127,7 +127,7 @@
     recorded.finish();
 }
 
-/// The content of a turn: the input, then the events, each with its length before it.
+/// The content of a turn is its input followed by its events, each with a length prefix.
 #[test]
 fn the_content_of_a_turn_is_read_and_written_as_recorded() {
     let recorded = RecordedBytes::open("turns");
@@ -155,10 +155,10 @@
     assert_eq!(runs, [(0, "no turn".to_owned())]);
 }
 
-/// Decodes bytes and returns the outcome.
+/// Decoder of one message type that discards the decoded value.
 type Reader = fn(&[u8]) -> Result<(), MessageError>;
 
-/// Every encoded message and record, and how it is read.
+/// Name, encoding and decoder of every sample message and record.
 fn all_bytes() -> Vec<(&'static str, Vec<u8>, Reader)> {
     fn reader<T: for<'a> Readable<'a, LittleEndian>>(bytes: &[u8]) -> Result<(), MessageError> {
         decode::<T>(bytes).map(|_| ())
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_message_followed_by_a_byte_is_malformed() {
+fn a_message_with_a_trailing_byte_is_malformed() {
     for (name, bytes, read) in all_bytes() {
         assert_eq!(outcome(read(&bytes)), "read", "{name}");
         assert_eq!(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn other_versions_and_foreign_bytes_name_the_version_found() {
+fn errors_for_other_versions_contain_the_version_found() {
     for (name, bytes, read) in all_bytes() {
         assert_other_versions_are_named(name, &bytes, read, |version| {
             format!("message version {version}, expected 1")
@@ -244,7 +244,7 @@
     );
 }
 
-/// A truncated snapshot is rejected, whatever of it could be decoded.
+/// A snapshot truncated within a record is rejected as a whole, even if its first records are readable.
 #[test]
 fn a_truncated_snapshot_is_none_unless_it_ends_with_a_record() {
     let bytes = RecordedBytes::open("snapshot").bytes("every kind of record");
@@ -272,8 +272,8 @@
     let recover = |records: &[Vec<u8>]| {
         StorageNode::recover(Duration::ZERO, "storage-1".into(), 1, None, records)
     };
-    let recovered =
-        recover(&log(&["identity", "view", "joint view", "program"])).expect("own records");
+    let recovered = recover(&log(&["identity", "view", "joint view", "program"]))
+        .expect("the records are readable");
     assert_eq!(
         (recovered.disk(), recovered.view()),
         (member(1).disk, &joint_view())
--- a/crates/tier/storage/tests/recorded_bytes/samples.rs
+++ b/crates/tier/storage/tests/recorded_bytes/samples.rs
@@ -1,4 +1,4 @@
-//! One value of every kind that is sent or stored.
+//! Sample values of every kind of message and record.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Every kind of record. A kind that is added needs an entry here.
+/// Named samples of every kind of record; a new kind needs an entry here.
 pub(super) fn records() -> Vec<(&'static str, Record)> {
     let name = |record: &Record| match record {
         Record::Identity { .. } => "identity",
@@ -114,7 +114,7 @@
         .collect()
 }
 
-/// Every kind of request. A kind that is added needs an entry here.
+/// Named samples of every kind of request; a new kind needs an entry here.
 pub(super) fn requests() -> Vec<(&'static str, Request)> {
     let name = |operation: &Operation| match operation {
         Operation::Reserve { .. } => "reserve",
@@ -194,7 +194,7 @@
         .collect()
 }
 
-/// Every kind of answer. A kind that is added needs an entry here.
+/// Named samples of every kind of answer; a new kind needs an entry here.
 pub(super) fn responses() -> Vec<(&'static str, Response)> {
     let name = |answer: &Answer| match answer {
         Answer::Reserved { .. } => "reserved",
@@ -242,7 +242,7 @@
 }
 
 pub(super) fn announcements() -> Vec<(&'static str, Announcement)> {
-    let calm = Announcement {
+    let running = Announcement {
         member: member(1),
         pulled_epoch: 0,
         shutting_down: false,
@@ -253,7 +253,7 @@
         shutting_down: true,
     };
     vec![
-        ("announcement", calm),
+        ("announcement", running),
         ("announcement of one that leaves", shutting_down),
     ]
 }
--- a/crates/tier/storage/tests/retention.rs
+++ b/crates/tier/storage/tests/retention.rs
@@ -1,4 +1,4 @@
-//! What a stopped program finds when it continues within its turns' retention, also after a restart.
+//! Turns and budget of a program that continues within the retention of its turns, also after a machine restarts.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Handles a request and returns the record that its answer waits for.
-fn record(node: &mut StorageNode, now: Duration, operation: Operation) -> Vec<u8> {
+/// Handles a request and returns the record that must be synced before the request is answered.
+fn record_of(node: &mut StorageNode, now: Duration, operation: Operation) -> Vec<u8> {
     let request = Request {
         fencing_token: FencingToken {
             epoch: 0,
@@ -33,7 +33,7 @@
     };
     match node.handle(now, request) {
         Step::Persist { record, .. } => record,
-        other => panic!("nothing to sync: {other:?}"),
+        other => panic!("expected a record to persist, got {other:?}"),
     }
 }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// A machine with one turn that delivered three tokens and one that never ended, and its journal.
-fn stopped_program(retention: Duration) -> (StorageNode, Vec<Vec<u8>>) {
+/// Returns a machine and its journal: one turn delivered three tokens, another turn's reservation is not settled.
+fn machine_with_paused_program(retention: Duration) -> (StorageNode, Vec<Vec<u8>>) {
     let (mut node, identity) = StorageNode::create("store".to_owned(), DISK, 1);
     let settlement = Settlement {
         reservation: 1,
@@ -63,9 +63,9 @@
     };
     let journal = vec![
         identity,
-        record(&mut node, Duration::ZERO, reserve(1)),
-        record(&mut node, Duration::ZERO, put("a", retention, settlement)),
-        record(&mut node, Duration::ZERO, reserve(2)),
+        record_of(&mut node, Duration::ZERO, reserve(1)),
+        record_of(&mut node, Duration::ZERO, put("a", retention, settlement)),
+        record_of(&mut node, Duration::ZERO, reserve(2)),
     ];
     (node, journal)
 }
@@ -74,7 +74,7 @@
     node.store().reservations("program")
 }
 
-fn expected() -> [Reservation; 2] {
+fn expected_reservations() -> [Reservation; 2] {
     [
         Reservation {
             id: 1,
@@ -96,41 +96,46 @@
 #[test]
 fn turns_and_budget_are_stored_until_the_retention_has_passed() {
     for seconds in [60, 600, 3_600] {
-        let (mut node, _) = stopped_program(SECOND * seconds);
+        let (mut node, _) = machine_with_paused_program(SECOND * seconds);
         node.expire(SECOND * seconds);
         assert!(has_turn(&node), "{seconds} s");
-        assert_eq!(reservations(&node), expected(), "{seconds} s");
+        assert_eq!(reservations(&node), expected_reservations(), "{seconds} s");
         node.expire(SECOND * (seconds + 1_000));
         assert!(node.store().is_empty(), "{seconds} s");
     }
 }
 
 #[test]
-fn a_restart_shortens_neither_the_retention_nor_what_is_counted() {
+fn a_restart_preserves_the_retention_and_the_reservations() {
     for seconds in [60, 600] {
-        let (_, journal) = stopped_program(SECOND * seconds);
-        let back = StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, None, &journal);
-        let mut back = back.expect("a journal that can be read");
-        back.expire(SECOND * seconds);
-        assert!(has_turn(&back), "{seconds} s");
-        assert_eq!(reservations(&back), expected(), "{seconds} s");
+        let (_, journal) = machine_with_paused_program(SECOND * seconds);
+        let recovered = StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, None, &journal);
+        let mut recovered = recovered.expect("the journal is readable");
+        recovered.expire(SECOND * seconds);
+        assert!(has_turn(&recovered), "{seconds} s");
+        assert_eq!(
+            reservations(&recovered),
+            expected_reservations(),
+            "{seconds} s"
+        );
     }
 }
 
 #[test]
 fn a_snapshot_preserves_the_remaining_retention() {
-    let (node, _) = stopped_program(SECOND * 60);
+    let (node, _) = machine_with_paused_program(SECOND * 60);
     let snapshot = node.snapshot(SECOND * 40);
-    let back = StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, Some(&snapshot), &[]);
-    let mut back = back.expect("a snapshot that can be read");
-    back.expire(SECOND * 20);
-    assert!(has_turn(&back));
-    assert_eq!(reservations(&back), expected());
-    back.expire(SECOND * 26);
-    assert!(!has_turn(&back));
+    let recovered =
+        StorageNode::recover(Duration::ZERO, "store".to_owned(), 1, Some(&snapshot), &[]);
+    let mut recovered = recovered.expect("the snapshot is readable");
+    recovered.expire(SECOND * 20);
+    assert!(has_turn(&recovered));
+    assert_eq!(reservations(&recovered), expected_reservations());
+    recovered.expire(SECOND * 26);
+    assert!(!has_turn(&recovered));
     assert_eq!(
-        reservations(&back),
-        expected(),
-        "the budget is kept for longer"
+        reservations(&recovered),
+        expected_reservations(),
+        "the budget is retained longer than the turns"
     );
 }
--- a/crates/tier/storage/tests/simulation/core.rs
+++ b/crates/tier/storage/tests/simulation/core.rs
@@ -1,4 +1,4 @@
-//! The core as storage sees it: receives announcements, plans, and commits one view after the other.
+//! Simulated core, reduced to what the storage tier uses: records announcements, plans views and commits them in order.
 
 use std::time::{Duration, Instant};
 
@@ -30,7 +30,7 @@
         self.announcements.record(self.base + now, announcement);
     }
 
-    /// The next view, if there is one.
+    /// Plans the view after the committed one; `None` if no change is due.
     pub(crate) fn plan(
         &mut self,
         now: Duration,
@@ -55,7 +55,7 @@
         )
     }
 
-    /// The view that an order to empty a machine leads to; `None` if the order is refused or repeated.
+    /// Plans the view that retires a machine; `None` if the order is refused or was already applied.
     pub(crate) fn retire(&mut self, node: &str, tolerated_losses: usize) -> Option<StorageView> {
         retire(&self.committed, node, tolerated_losses)
             .ok()
--- a/crates/tier/storage/tests/simulation/event.rs
+++ b/crates/tier/storage/tests/simulation/event.rs
@@ -1,4 +1,4 @@
-//! Events of a run.
+//! Events of a simulation run and the endpoints that exchange messages.
 
 use woadreach_storage::StorageView;
 use woadreach_storage::announce::Announcement;
@@ -14,7 +14,7 @@
     Proxy(usize),
 }
 
-/// An event of the run's queue.
+/// Event in the queue of a simulation run.
 pub(crate) enum Event {
     Request {
         to: usize,
--- a/crates/tier/storage/tests/simulation/faults.rs
+++ b/crates/tier/storage/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults within the tolerated number, and planned changes of the machines.
+//! Faults within the tolerated number of losses, and planned changes of the membership.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use super::stops::Stop;
 use super::world::World;
 
-/// After its return a machine still counts as lost for this long.
+/// Time for which a machine still counts as lost after it has recovered.
 pub(crate) const CATCH_UP: Duration = Duration::from_millis(4_100);
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fault {
-    /// Draw one and the time of the next.
+    /// Draw a fault and the time of the next draw.
     Draw,
     Kill(usize),
     PowerLoss(usize),
@@ -23,15 +23,15 @@
     HealPartition(usize),
     HealDisk(usize),
     AddMachine,
-    /// Begin planned work, if it may begin, and draw the time of the next.
+    /// Start planned work if no loss is counted, and draw the time of the next attempt.
     DrawPlanned,
-    /// The process is asked to stop; then the machine is removed or restarted.
+    /// Request a graceful shutdown, after which the machine is removed or restarted.
     Stop(usize, Stop),
     /// Check whether a process that is shutting down may exit.
     CheckStop(usize, u64),
     ThawCore,
     StartAll,
-    /// All lose power, some their disks.
+    /// All machines lose power, and some disks are wiped.
     Final,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The machine that counts as lost from now on, if one more may be.
+    /// Chooses a loss slot and a machine for a fault; `None` if all tolerated losses are used up or no machine is up.
     pub(crate) fn choose_loss(&mut self) -> Option<(usize, usize)> {
         let chosen = self.draw_loss();
         self.trace(|| format!("chosen for a loss: {chosen:?}"));
@@ -107,7 +107,7 @@
         let up: Vec<usize> = (0..self.machines.len())
             .filter(|index| self.machines[*index].is_up())
             .collect();
-        // Machines that were removed do not count; all others must be up but for the losses.
+        // Removed machines are not up. Of the others, only those that are counted as lost may be down.
         let index = up
             .get(self.random.rand_range(0..up.len().max(1) as u64) as usize)
             .copied()?;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Injects a fault after `delay`; the machine returns after a random time.
+    /// Injects a fault after `delay`; the machine restarts after a random time.
     fn lose(&mut self, slot: usize, index: usize, fault: Fault, delay: Duration) {
         let down = self.millis(100, 3_000);
         self.losses[slot] = self.now + delay + down + CATCH_UP;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Injects a fault right after an acknowledgement, as often as the run draws.
+    /// Injects a fault after one in `acknowledgements_per_fault` acknowledgements on average; never if that is 0.
     pub(crate) fn maybe_fault_after_acknowledgement(&mut self) {
         if self.acknowledgements_per_fault == 0 || !self.chance(self.acknowledgements_per_fault) {
             return;
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Removes one machine for good; an empty one joins at another address.
+    /// Removes one machine permanently; an empty one joins at another address.
     fn replace(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
             let pause = self.millis(500, 2_500);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Removes machines that were emptied, at once; another machine may lose its disk right after.
+    /// Removes retired machines at once; the disk of another machine may be wiped right afterwards.
     pub(crate) fn remove_retired_machines(&mut self) {
         for index in 0..self.machines.len() {
             let retired = self
@@ -242,7 +242,7 @@
             self.after(time, Event::Fault(Fault::ThawCore));
             return;
         }
-        // All machines lose power at once, and keep their disks.
+        // All machines lose power at once; no disk is wiped.
         for index in 0..self.machines.len() {
             self.kill_machine(index, true);
         }
--- a/crates/tier/storage/tests/simulation/final_fault.rs
+++ b/crates/tier/storage/tests/simulation/final_fault.rs
@@ -1,31 +1,31 @@
-//! The worst fault that is tolerated: all machines lose power at once, and as many as may be lost lose their disks.
+//! The worst tolerated fault: all machines lose power at once, and the tolerated number of disks is wiped.
 
 use super::event::Event;
 use super::faults::{CATCH_UP, Fault};
 use super::world::World;
 
-/// The fault follows an acknowledgement with a probability of one in this number.
+/// An acknowledgement triggers the final fault with a probability of one in this number.
 const ACKNOWLEDGEMENTS_PER_FAULT: u64 = 30;
 
-/// Whether and when a run has a final fault.
+/// State of a run's final fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FinalFault {
-    /// The run has none.
+    /// The run has no final fault.
     Never,
-    /// It is injected after an acknowledgement.
+    /// The fault will be injected after an acknowledgement.
     Pending,
-    /// It was injected.
+    /// The fault was injected.
     Injected,
 }
 
 impl World {
-    /// A run that has a final fault beside the ordinary ones.
+    /// Adds a final fault to the run's ordinary faults.
     pub(crate) fn with_final_fault(mut self) -> World {
         self.final_fault = FinalFault::Pending;
         self
     }
 
-    /// After some acknowledgements of a turn or a reservation, injects the fault within a few milliseconds.
+    /// On a random acknowledgement of a turn or a reservation, schedules the final fault within 4 ms.
     pub(crate) fn maybe_final_fault_after_acknowledgement(&mut self) {
         if self.final_fault == FinalFault::Pending && self.chance(ACKNOWLEDGEMENTS_PER_FAULT) {
             self.final_fault = FinalFault::Injected;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Stops all machines and wipes as many disks as may still be lost beside the machines that are lost already.
+    /// Kills all machines and wipes disks until the tolerated number of losses is used up; earlier losses count.
     pub(crate) fn inject_final_fault(&mut self) {
         let lost = self
             .losses
--- a/crates/tier/storage/tests/simulation/machine.rs
+++ b/crates/tier/storage/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! One simulated storage machine: its decisions, its journal on a simulated disk, and group commit.
+//! One simulated storage machine: the real `StorageNode`, its journal on a simulated disk, and group commit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 pub(crate) enum Caller {
     /// A call over the network.
     Call(u64),
-    /// The machine itself: a record that was pulled from this disk.
+    /// The machine itself, for a record that was pulled from the disk with this identity.
     PulledFrom(u64),
-    /// The machine itself.
+    /// No receiver: the record is the machine's own.
     Nobody,
 }
 
-/// A record that waits for a sync, and the answer that depends on it.
-pub(crate) struct Waiting {
+/// Record to be synced, and the answer that depends on the sync.
+pub(crate) struct QueuedRecord {
     record: Record,
     pending: Pending,
     caller: Caller,
@@ -56,7 +56,7 @@
 }
 
 impl Pulling {
-    /// The source whose disk this is.
+    /// Source with this disk identity.
     pub(crate) fn source_mut(&mut self, disk: u64) -> Option<&mut Source> {
         self.sources
             .iter_mut()
@@ -68,8 +68,8 @@
 pub(crate) struct Process {
     pub node: StorageNode,
     engine: Engine,
-    queue: VecDeque<Waiting>,
-    batch: Vec<Waiting>,
+    queue: VecDeque<QueuedRecord>,
+    batch: Vec<QueuedRecord>,
     pub pulling: Option<Pulling>,
 }
 
@@ -79,22 +79,22 @@
     pub address: std::net::SocketAddr,
     pub disk: SimulatedDisk,
     pub identity: u64,
-    /// Rises with each start, so that events of an earlier process are dropped.
+    /// Incremented at each start, so that events of an earlier process are dropped.
     pub incarnation: u64,
     pub process: Option<Process>,
     pub frozen: bool,
-    /// Requests and announcements of this machine are lost.
+    /// Whether requests and announcements from this machine are dropped.
     pub outbound_partitioned: bool,
-    /// Requests and views for this machine are lost.
+    /// Whether requests and views to this machine are dropped.
     pub inbound_partitioned: bool,
     pub stalled: bool,
     pub removed: bool,
-    /// How the process is being stopped, and since when.
+    /// Graceful shutdown in progress and the time at which it was requested; `None` without one.
     pub stop: Option<(Stop, Duration)>,
 }
 
 impl Machine {
-    /// The pull that the process makes, if it runs and makes one.
+    /// Pull in progress; `None` if the process is down or does not pull.
     pub(crate) fn pulling_mut(&mut self) -> Option<&mut Pulling> {
         self.process.as_mut()?.pulling.as_mut()
     }
@@ -122,7 +122,7 @@
         self.process.is_some() && !self.frozen
     }
 
-    /// Starts the process on what the disk holds.
+    /// Starts the process and recovers its state from the disk.
     pub(crate) fn start(
         &mut self,
         now: Duration,
@@ -172,14 +172,14 @@
         });
     }
 
-    /// Ends the process; with `power`, what is not synced may be lost.
+    /// Kills the process; with `power`, the disk may lose data that is not synced.
     pub(crate) fn kill(&mut self, random: &mut Rand64, power: bool) {
         if let Some(mut process) = self.process.take() {
             self.disk.set_fault(DiskFault::FailingSync);
             let records = process
                 .batch
                 .iter()
-                .filter_map(|waiting| match &waiting.record {
+                .filter_map(|queued| match &queued.record {
                     Record::Append(record) => Some(record.clone()),
                     Record::Replace(_) => None,
                 });
@@ -193,7 +193,7 @@
         self.stop = None;
     }
 
-    /// Takes a request; an answer that can be given at once is returned.
+    /// Handles a request; returns the answer unless it depends on a sync.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
@@ -217,7 +217,7 @@
         self.take(step, Caller::Call(call))
     }
 
-    /// Queues what must be synced.
+    /// Queues the step's record for a sync, or returns the answer of a step without one.
     pub(crate) fn take(&mut self, step: Step, caller: Caller) -> Option<Response> {
         let process = self.process.as_mut()?;
         let (record, pending) = match step {
@@ -225,7 +225,7 @@
             Step::Persist { record, pending } => (Record::Append(record), pending),
             Step::PersistSnapshot { snapshot, pending } => (Record::Replace(snapshot), pending),
         };
-        process.queue.push_back(Waiting {
+        process.queue.push_back(QueuedRecord {
             record,
             pending,
             caller,
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Whether a sync should begin now.
+    /// Moves queued records into a batch; returns whether a sync starts.
     pub(crate) fn begin_sync(&mut self) -> bool {
         let stalled = self.stalled;
         let Some(process) = self.process.as_mut() else {
@@ -256,7 +256,7 @@
         let appends = process
             .queue
             .iter()
-            .take_while(|waiting| matches!(waiting.record, Record::Append(_)));
+            .take_while(|queued| matches!(queued.record, Record::Append(_)));
         let count = if first_is_replacement {
             1
         } else {
@@ -266,7 +266,7 @@
         true
     }
 
-    /// Ends the sync: answers for all callers.
+    /// Completes the sync of the batch and returns the answers to all callers.
     pub(crate) fn end_sync(&mut self) -> Vec<(Caller, Response)> {
         let Some(process) = self.process.as_mut() else {
             return Vec::new();
@@ -275,25 +275,25 @@
         let outcome = match &batch[0].record {
             Record::Replace(snapshot) => process.engine.replace(snapshot),
             Record::Append(_) => {
-                let records = batch.iter().filter_map(|waiting| match &waiting.record {
+                let records = batch.iter().filter_map(|queued| match &queued.record {
                     Record::Append(record) => Some(record.clone()),
                     Record::Replace(_) => None,
                 });
                 process.engine.append_batch(&records.collect::<Vec<_>>())
             }
         };
-        let answers = batch.into_iter().map(|waiting| {
+        let answers = batch.into_iter().map(|queued| {
             let response = match &outcome {
-                Ok(synced) => process.node.complete(waiting.pending, synced),
+                Ok(synced) => process.node.complete(queued.pending, synced),
                 Err(_) => process.node.persist_failed(),
             };
-            (waiting.caller, response)
+            (queued.caller, response)
         });
         answers.collect()
     }
 }
 
-/// A receipt for a sync of another disk.
+/// Receipt for a sync of an unrelated disk, used to acknowledge a record that was not synced.
 fn receipt_of_another_disk() -> Synced {
     let (mut engine, _) = Engine::open(Box::new(SimulatedDisk::default()), MAX_BYTES).unwrap();
     engine.append_batch(&[Vec::new()]).unwrap()
--- a/crates/tier/storage/tests/simulation/main.rs
+++ b/crates/tier/storage/tests/simulation/main.rs
@@ -1,10 +1,9 @@
-//! The complete storage tier on simulated time, with a simulated disk at every sync, against an oracle.
+//! Simulation of the complete storage tier on simulated time and disks, checked against an oracle.
 //!
-//! One run draws a deployment, programs that take turns through several proxies, and faults within the
-//! tolerated number: kills, losses of power, wiped disks, freezes, partitions, replaced, added and retired
-//! machines.
-//! The oracle knows what was acknowledged: no such turn may be missing or differ, no budget may be overspent,
-//! and no turn that fits may be refused.
+//! Each seed draws a deployment, programs that run turns through several proxies, and faults within the tolerated
+//! number: kills, power losses, wiped disks, freezes, partitions, and replaced, added and retired machines.
+//! The oracle records acknowledgements: no acknowledged turn may be missing or changed, no budget may be overspent,
+//! and no turn that fits its budget may be refused.
 
 mod core;
 mod event;
@@ -24,7 +23,7 @@
 use self::mutation::Mutation;
 use self::world::{FoundViolation, World};
 
-/// Seeds of an ordinary test run; `STORAGE_SEEDS` plays more.
+/// Number of seeds of a test run; `STORAGE_SEEDS` overrides it.
 const SEEDS: u64 = 300;
 /// Seeds within which each injected bug must be found.
 const MUTATION_SEEDS: u64 = 600;
@@ -43,7 +42,7 @@
     World::new(seed, mutation).with_final_fault().run()
 }
 
-/// Plays seeds from `first` on several threads until one finds a violation.
+/// Runs `count` seeds from `first` on several threads until one finds a violation.
 fn first_violation(
     first: u64,
     count: u64,
@@ -69,15 +68,15 @@
     found.into_inner()
 }
 
-/// A number from an environment variable.
-fn number(variable: &str) -> Option<u64> {
+/// Reads a number from an environment variable; `None` if it is unset or not a number.
+fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
 
-/// Plays the seeds that `STORAGE_FIRST_SEED` and `STORAGE_SEEDS` ask for; panics at the first violation.
+/// Runs the seeds selected by `STORAGE_FIRST_SEED` and `STORAGE_SEEDS`; panics at the first violation.
 fn assert_none_violates(violation: impl Fn(u64) -> Option<FoundViolation> + Sync) {
-    let count = number("STORAGE_SEEDS").unwrap_or(SEEDS);
-    let first = number("STORAGE_FIRST_SEED").unwrap_or(0);
+    let count = env_number("STORAGE_SEEDS").unwrap_or(SEEDS);
+    let first = env_number("STORAGE_FIRST_SEED").unwrap_or(0);
     if let Some(FailedSeed { seed, violation }) = first_violation(first, count, violation) {
         panic!("seed {seed}: {violation}");
     }
@@ -88,7 +87,7 @@
     assert_none_violates(|seed| violation(seed, Mutation::None));
 }
 
-/// All machines lose power right after an acknowledgement, and as many as may be lost lose their disks.
+/// All machines lose power right after an acknowledgement, and the tolerated number of disks is wiped.
 #[test]
 fn a_final_fault_loses_no_turn_and_no_reservation() {
     assert_none_violates(|seed| violation_with_final_fault(seed, Mutation::None));
--- a/crates/tier/storage/tests/simulation/mutation.rs
+++ b/crates/tier/storage/tests/simulation/mutation.rs
@@ -1,13 +1,13 @@
 //! Injected bugs, each of which the simulation must find.
 
-/// A bug that is put into the tier under test.
+/// Bug injected into the storage tier under test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mutation {
     /// The unchanged code.
     None,
-    /// Disks report a sync that they have not made.
+    /// Disks acknowledge a sync that they did not perform.
     EndBeforeSync,
-    /// Quorums are those of one tolerated loss fewer.
+    /// Quorum sizes are computed for one tolerated loss fewer than configured.
     OneReplicaTooFew,
     /// A reservation is acknowledged before it is synced.
     ReservationInMemory,
@@ -15,8 +15,8 @@
     JointEpochEndsEarly,
     /// A machine whose disk was wiped keeps its disk identity.
     WipedMachineCounts,
-    /// A machine takes requests of older epochs.
+    /// A machine accepts requests of older epochs.
     Unfenced,
-    /// A process that is asked to stop exits without waiting until the others do without its disk.
+    /// A process that is asked to stop exits without waiting until its disk is no longer needed by the others.
     ExitsAtOnce,
 }
--- a/crates/tier/storage/tests/simulation/oracle.rs
+++ b/crates/tier/storage/tests/simulation/oracle.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged, and what must follow from it.
+//! Oracle: records acknowledgements and checks later answers against them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,19 +11,19 @@
     WrongRefusalSnafu,
 };
 
-/// State of one attempt to reserve.
+/// State of one reservation attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Attempt {
     /// Sent, or abandoned without a durable withdrawal: counts at its upper bound.
     Open { max_tokens: u64 },
-    /// Granted; the turn may run.
+    /// Granted: the turn may run.
     Granted { max_tokens: u64 },
-    /// The proxy knows the tokens delivered; the machines may not.
+    /// The turn ended: the proxy knows the delivered tokens, the machines may not.
     Ended {
         max_tokens: u64,
         delivered_tokens: u64,
     },
-    /// A quorum has known the tokens delivered since `at`.
+    /// Settled: a quorum stores the delivered tokens since `at`.
     Settled {
         max_tokens: u64,
         delivered_tokens: u64,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Tokens that it may count for, at most, in an answer to a request sent at `sent`.
+    /// Upper bound of the tokens counted for this attempt in an answer to a request sent at `sent`.
     fn max_counted_tokens(self, sent: Duration) -> u64 {
         match self {
             Attempt::Settled {
@@ -76,7 +76,7 @@
             .insert(id, state);
     }
 
-    /// Checks a granted reservation: tokens that were and may still be delivered must fit into the budget.
+    /// Checks a granted reservation: the sum of delivered and still deliverable tokens must fit the budget.
     pub(crate) fn granted(
         &mut self,
         program: &str,
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Checks a refused reservation: with all open ones at their upper bound it must not fit.
+    /// Checks a refused reservation: with all other attempts at their upper bounds, it must not fit the budget.
     pub(crate) fn refused(
         &self,
         program: &str,
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Checks a chain that was read: it must be the acknowledged turn and all its ancestors.
+    /// Checks a chain that was read: it must consist of the acknowledged turn `newest` and all its ancestors.
     pub(crate) fn read(&self, newest: &TurnKey, chain: &[TurnRecord]) -> Result<(), Violation> {
         let mut next = Some(newest.clone());
         for turn in chain {
--- a/crates/tier/storage/tests/simulation/proxy.rs
+++ b/crates/tier/storage/tests/simulation/proxy.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: writes and reads with the pure parts of the client.
+//! One simulated proxy: writes and reads with the parts of the client that do no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use woadreach_storage::write::Write;
 use woadreach_storage::{StorageMember, StorageView, TurnKey};
 
-/// Number of a job of a proxy.
+/// Identifier of a job of a proxy.
 pub(crate) type JobId = u64;
 
 /// Epoch and round under which a request was sent, which distinguishes late answers from current ones.
@@ -20,7 +20,7 @@
     pub round: u64,
 }
 
-/// What a job is for.
+/// Purpose of a job, with the data that its outcome is recorded under.
 #[derive(Debug, Clone)]
 pub(crate) enum Purpose {
     Reserve {
@@ -55,9 +55,10 @@
     pub chain: Vec<TurnRecord>,
     pub next: TurnKey,
     pub phase: ReadPhase,
-    /// Rises with each round of requests, so that late answers of an earlier one are dropped.
+    /// Incremented with each round of requests, so that late answers of an earlier round are dropped.
     round: u64,
-    waiting: BTreeSet<u64>,
+    /// Disks that have not answered in this round.
+    unanswered: BTreeSet<u64>,
     all_answered: bool,
     pub outcome: Option<Result<(), ReadFailure>>,
 }
@@ -81,13 +82,13 @@
             next: key,
             phase: ReadPhase::Group,
             round: 0,
-            waiting: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
             all_answered: true,
             outcome: None,
         }
     }
 
-    /// Requests of the present phase.
+    /// Starts a round and returns the requests of the current phase.
     fn requests(
         &mut self,
         view: &StorageView,
@@ -117,7 +118,7 @@
         };
         self.round += 1;
         self.all_answered = !members.is_empty();
-        self.waiting = members.iter().map(|member| member.disk).collect();
+        self.unanswered = members.iter().map(|member| member.disk).collect();
         let request = |member: StorageMember| {
             let fencing_token = FencingToken {
                 epoch: view.epoch,
@@ -134,9 +135,9 @@
         members.into_iter().map(request).collect()
     }
 
-    /// Records an answer, or `None` for a time-out. Returns whether the next phase begins.
+    /// Records an answer, or `None` for a time-out. Returns whether the round is finished.
     fn record_answer(&mut self, round: u64, disk: u64, answer: Option<Answer>) -> bool {
-        if round != self.round || !self.waiting.remove(&disk) {
+        if round != self.round || !self.unanswered.remove(&disk) {
             return false;
         }
         match answer {
@@ -158,7 +159,7 @@
             Some(Answer::Chain { .. } | Answer::Found { .. }) => {}
             _ => self.all_answered = false,
         }
-        if !self.waiting.is_empty() {
+        if !self.unanswered.is_empty() {
             return false;
         }
         match (self.phase, self.all_answered) {
@@ -176,18 +177,18 @@
     pub work: Work,
     pub deadline: Duration,
     pub answered: BTreeSet<u64>,
-    /// The outcome was reported; the write is only retried for machines that missed it.
+    /// Whether the outcome was reported; from then on a write is only retried for machines that have not answered.
     pub reported: bool,
 }
 
-/// A proxy with the view that it knows and its jobs in flight.
+/// Proxy with its latest view and its jobs in flight.
 pub(crate) struct Proxy {
     pub view: Arc<StorageView>,
     pub jobs: BTreeMap<JobId, Job>,
 }
 
 impl Proxy {
-    /// Requests to be sent now for a job: to all that have not answered.
+    /// Requests to send for a job: a write's to all members that have not answered, a read's for a new round.
     pub(crate) fn requests(
         &mut self,
         job: JobId,
@@ -203,7 +204,7 @@
                     write.restart(&view);
                     job.answered.clear();
                 }
-                let waiting = write
+                let unanswered = write
                     .members()
                     .iter()
                     .filter(|member| !job.answered.contains(&member.disk));
@@ -220,13 +221,13 @@
                         },
                     )
                 };
-                waiting.map(request).collect()
+                unanswered.map(request).collect()
             }
             Work::Read(read) => read.requests(&view, tolerated_losses),
         }
     }
 
-    /// Round of a job's requests.
+    /// Current round of a read; 0 for a write or an unknown job.
     pub(crate) fn round(&self, job: JobId) -> u64 {
         match self.jobs.get(&job).map(|job| &job.work) {
             Some(Work::Read(read)) => read.round,
--- a/crates/tier/storage/tests/simulation/stops.rs
+++ b/crates/tier/storage/tests/simulation/stops.rs
@@ -9,24 +9,24 @@
 
 /// Time between the order to stop and the kill.
 const GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// How long a process waits at most for the others to do without its disk.
+/// Longest time that a process waits until its disk is no longer needed by the others.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// Interval between two checks of whether a process may exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between the exit of a process and its next start.
 const RESTART_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What becomes of a machine whose process is stopped.
+/// Action on a machine after its process has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stop {
-    /// It comes back with its disk; the slot counts it as lost until then.
+    /// The machine restarts with its disk; it occupies this slot of the tolerated losses until it has caught up.
     Roll(usize),
-    /// It is removed together with its disk.
+    /// The machine is removed together with its disk.
     Remove,
 }
 
 impl World {
-    /// Begins planned work as soon as no loss counts.
+    /// Starts planned work if no loss is counted at present, and schedules the next attempt.
     pub(crate) fn draw_planned_work(&mut self) {
         if self.now > self.end_of_faults {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Adds a machine and gives it time to pull; then an old one is stopped and removed. The old one does not
-    /// count as a loss: one more disk may be lost at that moment.
+    /// Adds a machine, and after [`CATCH_UP`] stops and removes an old one. The removal does not count as a loss:
+    /// another disk may be wiped at the same moment.
     fn replace_as_planned(&mut self) {
         if self.machines.len() >= 9 {
             return;
@@ -60,7 +60,7 @@
         self.after(CATCH_UP, Event::Fault(Fault::Stop(index, Stop::Remove)));
     }
 
-    /// A process is stopped and comes back.
+    /// Stops a process gracefully and restarts it.
     fn roll_one(&mut self) {
         if let Some((slot, index)) = self.choose_loss() {
             self.losses[slot] = self.now + GRACE_PERIOD + RESTART_DELAY + CATCH_UP;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Asks a process to stop.
+    /// Requests a graceful shutdown of a process.
     pub(crate) fn stop(&mut self, index: usize, stop: Stop) {
         let machine = &self.machines[index];
         if !machine.is_up() || machine.stop.is_some() {
@@ -87,7 +87,7 @@
         );
     }
 
-    /// Whether a full group of others is there: an order to empty a machine may have used the successor up.
+    /// Whether a full group remains without this machine. A retirement in the meantime may have reduced the members.
     fn has_successor(&self, index: usize) -> bool {
         let view = &self.core.committed;
         let stays =
@@ -100,7 +100,7 @@
         others > 2 * self.tolerated_losses
     }
 
-    /// Ends a process that may exit, or that has waited as long as it may.
+    /// Ends a process that may exit or whose time limit has passed; otherwise schedules the next check.
     pub(crate) fn check_stop(&mut self, index: usize, incarnation: u64) {
         let machine = &self.machines[index];
         if machine.incarnation != incarnation || machine.process.is_none() {
--- a/crates/tier/storage/tests/simulation/violation.rs
+++ b/crates/tier/storage/tests/simulation/violation.rs
@@ -1,10 +1,10 @@
-//! Broken guarantees, one variant for each.
+//! Violations of the storage tier's guarantees.
 
 use snafu::Snafu;
 use woadreach_storage::TurnKey;
 use woadreach_storage::turn::TurnRecord;
 
-/// A guarantee of the storage tier that a run has broken.
+/// Violation of a guarantee of the storage tier, found in a simulation run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Violation {
--- a/crates/tier/storage/tests/simulation/world/final_reads.rs
+++ b/crates/tier/storage/tests/simulation/world/final_reads.rs
@@ -1,4 +1,4 @@
-//! Checks at the end of a run, when no fault is left: every acknowledged turn is readable and replicated.
+//! Checks at the end of a run, after all faults have healed: every acknowledged turn is readable and replicated.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::World;
 
 impl World {
-    /// Requires every acknowledged turn to be readable and on enough machines, now that no fault is left.
+    /// Starts a read of each acknowledged turn and checks its replica count. A joint epoch must have ended by now.
     pub(super) fn on_final_reads(&mut self) {
         for proxy in &mut self.proxies {
             proxy.view = Arc::new(self.core.committed.clone());
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Machines in one line, for the message of a violation.
+    /// State of all machines in one line, for the message of a violation.
     fn describe(&self) -> String {
         let line = |machine: &Machine| {
             let process = machine.process.as_ref();
--- a/crates/tier/storage/tests/simulation/world/jobs.rs
+++ b/crates/tier/storage/tests/simulation/world/jobs.rs
@@ -14,11 +14,11 @@
 use super::World;
 use super::network::CallFor;
 
-/// How long a reservation may take.
+/// Deadline of a reservation.
 pub(super) const RESERVE_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a turn may take to become durable.
+/// Deadline for storing a turn durably.
 const PUT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long reading a chain may take.
+/// Deadline of reading a chain.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How long a write is retried in the background after its deadline.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(8);
@@ -108,7 +108,7 @@
         self.check_job(proxy, id);
     }
 
-    /// Reports the outcome of a job once there is one.
+    /// Reports the outcome of a job, once, when it is known.
     fn check_job(&mut self, proxy: usize, id: JobId) {
         let Some(job) = self.proxies[proxy].jobs.get_mut(&id) else {
             return;
--- a/crates/tier/storage/tests/simulation/world/machines.rs
+++ b/crates/tier/storage/tests/simulation/world/machines.rs
@@ -1,4 +1,4 @@
-//! Starts, ends and syncs of the simulated machines.
+//! Start, kill, thaw and disk syncs of the simulated machines.
 
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
         self.disk_work(index);
     }
 
-    /// Begins a sync if one is due.
+    /// Starts a sync if records are queued and no sync is in flight.
     pub(super) fn disk_work(&mut self, index: usize) {
         if self.machines[index].begin_sync() {
             let incarnation = self.machines[index].incarnation;
@@ -108,7 +108,7 @@
         let process = self.machines[index]
             .process
             .as_ref()
-            .expect("it was there above");
+            .expect("the process was running above");
         let epoch = process.node.view().epoch;
         let pulled_now = process.node.pulled_epoch() > pulled_before;
         if epoch_before != Some(epoch) {
--- a/crates/tier/storage/tests/simulation/world/mod.rs
+++ b/crates/tier/storage/tests/simulation/world/mod.rs
@@ -1,4 +1,4 @@
-//! One run: its state, its queue of events, and which part of the world handles each event.
+//! One simulation run: its state, its event queue, and the dispatch of events.
 
 mod final_reads;
 mod jobs;
@@ -28,9 +28,9 @@
 use super::proxy::Proxy;
 use super::violation::Violation;
 
-/// When the first turn is taken.
+/// Simulated time at which the first turn starts.
 const START_OF_TRAFFIC: Duration = Duration::from_secs(3);
-/// Time after the end of the faults by which the proxies' background retries have ended too.
+/// Time from the end of the faults to the final reads; the proxies' background retries end within it.
 const QUIET_PERIOD: Duration = Duration::from_secs(12);
 
 /// A violation and the simulated time at which it was found.
@@ -56,14 +56,14 @@
     pub core: Core,
     pub proxies: Vec<Proxy>,
     pub oracle: Oracle,
-    /// Until when each of the tolerated losses is used up.
+    /// Time until which each of the tolerated losses is in use.
     pub losses: Vec<Duration>,
     pub end_of_faults: Duration,
     pub acknowledgements_per_fault: u64,
     pub final_fault: FinalFault,
-    /// The run is about changes of the membership.
+    /// Whether the run's drawn faults are membership changes only.
     pub is_membership_run: bool,
-    /// Proxies learn new views late.
+    /// Whether proxies receive all new views late.
     has_late_views: bool,
     events: EventQueue<Duration, Event>,
     deferred: BTreeMap<usize, Vec<Event>>,
@@ -136,7 +136,7 @@
         world
     }
 
-    /// Plays the run to its end; returns the first violation and when it was found.
+    /// Runs to the end or to the first violation, which is returned with its simulated time.
     pub(crate) fn run(mut self) -> Option<FoundViolation> {
         let end = self.end_of_faults + QUIET_PERIOD + jobs::READ_TIMEOUT * 2;
         while self.violation.is_none()
@@ -230,7 +230,7 @@
     }
 }
 
-/// A third of the runs have planned work, half of these nothing else.
+/// One run in three has planned work; half of these have no other drawn faults.
 fn has_planned_work(seed: u64) -> bool {
     seed % 3 == 2
 }
--- a/crates/tier/storage/tests/simulation/world/network.rs
+++ b/crates/tier/storage/tests/simulation/world/network.rs
@@ -9,10 +9,10 @@
 use super::super::proxy::{JobId, SentUnder};
 use super::World;
 
-/// How long a caller waits for a response.
+/// Time after which a caller treats a call as timed out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a call is part of.
+/// Operation that a call belongs to.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CallFor {
     Job {
@@ -26,7 +26,7 @@
     },
 }
 
-/// A request whose response is awaited.
+/// Request in flight.
 pub(super) struct Call {
     purpose: CallFor,
     epoch: u64,
@@ -65,7 +65,7 @@
             .machines
             .iter()
             .position(|machine| machine.address == *address);
-        let to = to.expect("every address is a machine's");
+        let to = to.expect("every address belongs to a machine");
         self.after(CALL_TIMEOUT, Event::CallTimeout { call });
         if self.reaches(from, to) {
             let delay = self.latency();
@@ -107,7 +107,7 @@
         self.disk_work(to);
     }
 
-    /// A response arrived, or none within [`CALL_TIMEOUT`]. Only the first of both counts.
+    /// Handles a response, or `None` for a time-out after [`CALL_TIMEOUT`]; only the first of both has an effect.
     pub(super) fn on_call_completed(&mut self, call: u64, response: Option<Response>) {
         let Some(Call {
             purpose,
--- a/crates/tier/storage/tests/simulation/world/pulls.rs
+++ b/crates/tier/storage/tests/simulation/world/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls of joint epochs, as the driver of a storage machine makes them.
+//! Pulls in joint epochs, as the driver of a storage machine runs them.
 
 use woadreach_storage::StorageMember;
 use woadreach_storage::message::{Answer, FencingToken, Operation, Request, Response};
@@ -41,7 +41,7 @@
         self.check_pull(index);
     }
 
-    /// Asks a source for its next page, or notes that it is done.
+    /// Requests the next page from a source, or records that the source is finished.
     pub(super) fn pull_next(&mut self, index: usize, disk: u64) {
         let machine = &mut self.machines[index];
         let (node, incarnation) = (machine.node.clone(), machine.incarnation);
@@ -154,7 +154,7 @@
             return;
         };
         if response.answer != Answer::Stored {
-            // The driver retries; here the pull begins anew.
+            // The driver retries the record; the simulation restarts the pull.
             return self.start_pull(index);
         }
         let Some(source) = pulling.source_mut(disk) else {
@@ -164,7 +164,7 @@
         self.pull_next(index, disk);
     }
 
-    /// The machine's own record was synced or not; the end of a pull is retried.
+    /// Handles the sync result of a record without a caller; retries the end of a pull if the sync failed.
     pub(super) fn on_own_record(&mut self, index: usize, response: &Response) {
         if response.answer != Answer::Failed {
             return;
--- a/crates/tier/storage/tests/simulation/world/turns.rs
+++ b/crates/tier/storage/tests/simulation/world/turns.rs
@@ -1,4 +1,4 @@
-//! Workload: programs that reserve, take and settle turns.
+//! Workload: programs that reserve tokens, run turns and settle them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 
 /// Upper bound of the tokens that one turn generates.
 const MAX_TOKENS: u64 = 30;
-/// How long a crashed proxy takes to come back and learn the view.
+/// Time from a proxy's crash until it has restarted and received the view.
 const PROXY_RESTART: Duration = Duration::from_millis(200);
 
-/// A program and its last durable turn.
+/// Program with its budget and its last durable turn.
 pub(super) struct Program {
     name: String,
     budget: u64,
@@ -29,7 +29,7 @@
 }
 
 impl Program {
-    /// A program with a random budget.
+    /// Creates a program with a random budget.
     pub(super) fn draw(number: u64, random: &mut Rand64) -> Program {
         let budget = random.rand_range(60..1_500);
         Program {
@@ -139,7 +139,7 @@
         let name = self.programs[program].name.clone();
         let delivered_tokens = self.random.rand_range(0..MAX_TOKENS + 1);
         match self.random.rand_range(0..20) {
-            // The proxy crashes: the reservation stays at its upper bound, and its jobs end.
+            // The proxy crashes: the reservation stays counted at its upper bound, and the proxy's jobs are dropped.
             0 => {
                 self.oracle.attempt(
                     &name,
--- a/crates/tier/storage/tests/simulation/world/views.rs
+++ b/crates/tier/storage/tests/simulation/world/views.rs
@@ -1,4 +1,4 @@
-//! Announcements, and views on their way from the core to machines and proxies.
+//! Announcements, planning and commit of views, and their distribution to machines and proxies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The client sends a machine the newer view.
+    /// Sends the proxy's view to a machine that answered under an older epoch.
     pub(super) fn send_newer_view(&mut self, proxy: usize, disk: u64, known_epoch: u64) {
         let view = Arc::clone(&self.proxies[proxy].view);
         if known_epoch < view.epoch
--- a/crates/tier/storage/tests/state.rs
+++ b/crates/tier/storage/tests/state.rs
@@ -1,4 +1,4 @@
-//! Budgets, the store and one machine.
+//! Budgets, the store, the turn cache and the state of one machine.
 
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Everything stored is recovered after a restart, from a snapshot as well as from the log.
+    /// A restarted machine recovers its state from its snapshot and from the log records after it.
     fn a_machine_recovers_what_it_stored(turns: Vec<u8>, tokens: Vec<u8>, compact_at: usize) -> bool {
         let (mut node, first) = StorageNode::create("store".to_owned(), 7, 1);
         let mut records = vec![first];
@@ -79,21 +79,21 @@
             }
         }
         let name = "store".to_owned();
-        let found = StorageNode::recover(Duration::ZERO, name, 1, snapshot.as_deref(), &records);
-        found.is_some_and(|found| {
-            found.disk() == 7
-                && found.store().digest("program") == node.store().digest("program")
-                && found.store().reservations("program") == node.store().reservations("program")
+        let recovered = StorageNode::recover(Duration::ZERO, name, 1, snapshot.as_deref(), &records);
+        recovered.is_some_and(|recovered| {
+            recovered.disk() == 7
+                && recovered.store().digest("program") == node.store().digest("program")
+                && recovered.store().reservations("program") == node.store().reservations("program")
         })
     }
 
-    fn a_damaged_journal_gives_no_machine_and_no_panic(snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> bool {
+    fn recovery_from_a_corrupt_journal_fails_without_a_panic(snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> bool {
         let name = "store".to_owned();
         StorageNode::recover(Duration::ZERO, name, 1, Some(&snapshot), &records).is_none()
     }
 }
 
-fn fenced(epoch: u64, operation: Operation) -> Request {
+fn request_under(epoch: u64, operation: Operation) -> Request {
     Request {
         fencing_token: FencingToken { epoch, disk: 7 },
         operation,
@@ -106,7 +106,7 @@
         delivered_tokens: 3,
     });
     let turns = vec![turn(request_id, None)];
-    fenced(
+    request_under(
         9,
         Operation::PutTurns {
             program: "program".to_owned(),
@@ -117,7 +117,7 @@
 }
 
 fn reserve(reservation: u64) -> Request {
-    fenced(
+    request_under(
         9,
         Operation::Reserve {
             program: "program".to_owned(),
@@ -130,7 +130,7 @@
 fn answer(step: Step) -> Answer {
     match step {
         Step::Reply(response) => response.answer,
-        other => panic!("not answered at once: {other:?}"),
+        other => panic!("expected an immediate reply, got {other:?}"),
     }
 }
 
@@ -153,13 +153,13 @@
 fn requests_under_an_older_view_or_for_another_disk_are_refused() {
     let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
     let Some(Step::Persist { pending, .. }) = node.learn_view(view(10, 7)) else {
-        panic!("no record")
+        panic!("expected a record to persist")
     };
     assert_eq!(
         answer(node.handle(Duration::ZERO, reserve(1))),
         Answer::Stale { view: view(10, 7) }
     );
-    let pull = fenced(
+    let pull = request_under(
         10,
         Operation::Digests {
             node: "store".to_owned(),
@@ -169,7 +169,7 @@
     assert_eq!(
         answer(node.handle(Duration::ZERO, pull.clone())),
         Answer::Behind,
-        "not sealed on disk yet"
+        "the view is not yet synced to disk"
     );
     assert_eq!(node.complete(pending, &synced()).answer, Answer::Stored);
     assert!(matches!(
@@ -185,19 +185,19 @@
 }
 
 #[test]
-fn a_view_that_the_disk_refused_is_sealed_when_it_is_learned_again() {
+fn a_view_whose_write_failed_is_persisted_when_it_is_learned_again() {
     let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
     assert!(node.learn_view(view(10, 7)).is_some());
     let _ = node.persist_failed();
     let Some(Step::Persist { pending, .. }) = node.learn_view(view(10, 7)) else {
-        panic!("no record")
+        panic!("expected a record to persist")
     };
     let _ = node.complete(pending, &synced());
     assert!(node.learn_view(view(10, 7)).is_none());
 }
 
 #[test]
-fn a_pull_after_a_refused_record_finishes_with_a_snapshot() {
+fn a_pull_after_a_failed_write_finishes_with_a_snapshot() {
     let (mut node, _) = StorageNode::create("store".to_owned(), 7, 1);
     assert!(matches!(
         node.handle(Duration::ZERO, reserve(1)),
@@ -205,7 +205,7 @@
     ));
     let _ = node.persist_failed();
     let Step::PersistSnapshot { pending, .. } = node.finish_pull(Duration::ZERO, 10) else {
-        panic!("no snapshot")
+        panic!("expected a snapshot to persist")
     };
     assert_eq!(node.pulled_epoch(), 0);
     let _ = node.complete(pending, &synced());
@@ -226,7 +226,11 @@
     assert!(store.chain("program", "b", usize::MAX).is_empty());
     assert!(store.programs_of("a").is_empty());
     assert_eq!(store.bytes(), 0);
-    assert_eq!(store.len(), 1, "the budget is kept for longer");
+    assert_eq!(
+        store.len(),
+        1,
+        "the budget is retained longer than the turns"
+    );
     store.expire(second * 1_000);
     assert!(store.is_empty());
 }
--- a/crates/tier/storage/tests/upgrade.rs
+++ b/crates/tier/storage/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! The disk of a storage machine as an earlier version left it: its turns and budgets are read and continued.
+//! Recovery from a storage machine's disk that an earlier version wrote: turns and budgets are read and extended.
 
 #[path = "../../../../tests/recorded/incarnation.rs"]
 mod incarnation;
@@ -28,7 +28,7 @@
 const NODE: &str = "storage-1";
 const DISK: u64 = 0xd15c_0001;
 const RETENTION: Duration = Duration::from_secs(3600);
-/// Tokens that the turns of the program may generate together.
+/// Token budget of the program, shared by all its turns.
 const BUDGET: u64 = 100;
 
 fn machine(number: u8) -> StorageMember {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A machine on the disk in `folder`, and a client that knows no other.
+/// Starts a machine on the disk in `folder`, and a client whose view has that machine only.
 async fn start(folder: &Path, epoch: u64) -> (Server, StorageClient) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -111,7 +111,7 @@
     let rpc = Client::new(ClientOptions::default());
     let server = Server::open(folder, rpc.clone(), options)
         .await
-        .expect("a whole disk");
+        .expect("the disk is readable");
     tokio::spawn(serve(listener, server.handlers(Router::new())));
     let client = StorageClient::new(rpc, "a".into(), 0);
     let current = vec![server.announcement().member];
@@ -123,27 +123,30 @@
     (server, client)
 }
 
-/// Takes a turn that delivers `delivered_tokens` tokens.
-async fn take_turn(client: &StorageClient, turn: Turn, delivered_tokens: u64) {
+/// Reserves, settles and stores a turn that delivers `delivered_tokens` tokens.
+async fn run_turn(client: &StorageClient, turn: Turn, delivered_tokens: u64) {
     let max_tokens = delivered_tokens + 10;
     let reserve_request = request(&turn.program, &turn.request_id, max_tokens);
-    let mut reservation = client.reserve(&reserve_request).await.expect("it fits");
+    let mut reservation = client
+        .reserve(&reserve_request)
+        .await
+        .expect("the reservation fits the budget");
     reservation.set_delivered_tokens(delivered_tokens);
     client
         .put_turn(turn, Some(&mut reservation))
         .await
-        .expect("the machine is there");
+        .expect("the turn is stored");
 }
 
 fn recover(folder: &Path) -> (Journal, StorageNode) {
     let (journal, found) =
-        Journal::open(folder, JournalOptions::default()).expect("a whole journal");
+        Journal::open(folder, JournalOptions::default()).expect("the journal is readable");
     let snapshot = found.snapshot.as_deref();
     let node = StorageNode::recover(Duration::ZERO, NODE.into(), 0, snapshot, &found.records);
-    (journal, node.expect("own records"))
+    (journal, node.expect("the records are readable"))
 }
 
-/// A disk with a snapshot of one incarnation, the log of another, and the views of three epochs.
+/// Writes a disk with a snapshot by one incarnation, a log by another, and the views of three epochs.
 fn make_disk(folder: &Path) {
     run_incarnation(async {
         let (journal, _) =
@@ -151,20 +154,20 @@
         let _receipt = journal
             .append(encode(&Record::Identity { disk: DISK }))
             .await
-            .expect("a sync");
+            .expect("the record is synced");
     });
     run_incarnation(async {
         let (server, client) = start(folder, 1).await;
         server.learn_view(first_view()).await;
-        take_turn(&client, turn("program", "a", None), 30).await;
-        take_turn(&client, turn("program", "b", Some(("program", "a"))), 20).await;
+        run_turn(&client, turn("program", "a", None), 30).await;
+        run_turn(&client, turn("program", "b", Some(("program", "a"))), 20).await;
     });
     run_incarnation(async {
         let (journal, node) = recover(folder);
         let _receipt = journal
             .replace(node.snapshot(Duration::ZERO))
             .await
-            .expect("a sync");
+            .expect("the record is synced");
     });
     run_incarnation(async {
         let (server, client) = start(folder, 3).await;
@@ -173,7 +176,7 @@
         client
             .put_turn(turn("program", "c", Some(("program", "b"))), None)
             .await
-            .expect("it is stored");
+            .expect("the turn is stored");
         client
             .chain("other", "a")
             .await
@@ -181,13 +184,13 @@
         client
             .put_turn(turn("other", "d", Some(("program", "a"))), None)
             .await
-            .expect("it is stored");
-        // The process ends before the turn does.
+            .expect("the turn is stored");
+        // Leaves the reservation unsettled, as a process that exits during the turn does.
         std::mem::forget(
             client
                 .reserve(&request("program", "open", 25))
                 .await
-                .expect("it fits"),
+                .expect("the reservation fits the budget"),
         );
     });
 }
@@ -202,7 +205,7 @@
 fn an_earlier_disk_has_a_snapshot_and_a_log() {
     let folder = copied_disk();
     let (_, found) =
-        Journal::open(folder.path(), JournalOptions::default()).expect("a whole journal");
+        Journal::open(folder.path(), JournalOptions::default()).expect("the journal is readable");
     assert!(found.snapshot.is_some_and(|snapshot| !snapshot.is_empty()));
     assert!(
         found.records.len() >= 5,
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn an_earlier_disk_has_its_identity_its_view_and_its_fencing() {
+fn identity_view_and_fencing_are_recovered_from_an_earlier_disk() {
     let folder = copied_disk();
     let (_journal, mut node) = recover(folder.path());
     assert_eq!((node.disk(), node.view()), (DISK, &last_view()));
@@ -224,7 +227,7 @@
             operation: find.clone(),
         };
         let Step::Reply(response) = node.handle(Duration::ZERO, request) else {
-            panic!("nothing to sync")
+            panic!("expected an immediate reply")
         };
         assert_eq!(response.epoch, 3);
         response.answer
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn an_earlier_disk_has_its_budgets() {
+fn budgets_are_recovered_from_an_earlier_disk() {
     let folder = copied_disk();
     let (_journal, node) = recover(folder.path());
     let mut counted: Vec<(u64, bool)> = node
@@ -254,7 +257,7 @@
     assert_eq!(node.store().reservations("other"), []);
 }
 
-/// The turns of a conversation that ends with `request_id`, oldest first.
+/// Reads the turns of the conversation that ends with `request_id`, oldest first.
 async fn conversation(client: &StorageClient, program: &str, request_id: &str) -> Vec<Turn> {
     let chain = client.chain(program, request_id).await;
     let chain = chain.expect("the conversation");
@@ -290,8 +293,12 @@
             .reserve(&request("program", "e", 26))
             .await
             .map(|_| ());
-        assert_eq!(refused, Err(ReserveError::Spent), "75 of 100 are counted");
-        take_turn(&client, turn("program", "e", Some(("program", "c"))), 15).await;
+        assert_eq!(
+            refused,
+            Err(ReserveError::Spent),
+            "75 of 100 tokens are reserved or spent"
+        );
+        run_turn(&client, turn("program", "e", Some(("program", "c"))), 15).await;
     });
     run_incarnation(async {
         let (_server, client) = start(folder.path(), 3).await;
@@ -300,10 +307,14 @@
             .reserve(&request("program", "f", 11))
             .await
             .map(|_| ());
-        assert_eq!(refused, Err(ReserveError::Spent), "90 of 100 are counted");
+        assert_eq!(
+            refused,
+            Err(ReserveError::Spent),
+            "90 of 100 tokens are reserved or spent"
+        );
         let _fits = client
             .reserve(&request("program", "g", 10))
             .await
-            .expect("10 are left");
+            .expect("10 of 100 tokens are left");
     });
 }
--- a/crates/tier/storage/tests/view_model/machine.rs
+++ b/crates/tier/storage/tests/view_model/machine.rs
@@ -1,4 +1,4 @@
-//! One storage machine of the searched tier: the real member, its journal, and its pull.
+//! One storage machine of the model: the real `StorageNode`, its journal records, and its pull.
 
 use std::cell::RefCell;
 use std::collections::hash_map::DefaultHasher;
@@ -12,20 +12,20 @@
 use woadreach_storage::pull::Pull;
 use woadreach_storage::{StorageMember, StorageView};
 
-/// The only moment of the search.
+/// Time of all operations: the model has no clock.
 const NOW: Duration = Duration::ZERO;
 const MAX_BYTES: u64 = 1 << 20;
 
-/// A machine in one life of its process. Its syncs are done at once.
+/// Machine with its current process. Syncs complete immediately.
 #[derive(Clone)]
 pub(crate) struct Machine {
     index: u8,
     pub node: StorageNode,
     /// Records on the disk, oldest first.
     records: Vec<Vec<u8>>,
-    /// Progress of the pull for the view that the member knows.
+    /// Progress of the pull for the machine's latest view; `None` before the first view and after a restart.
     pub pull: Option<Pull>,
-    /// Hash of what requests can tell, once it is needed.
+    /// Hash of the machine's state, for comparing model states; `None` after a change until it is computed again.
     digest: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
         .0
 }
 
-/// The receipt of a sync, which only a journal gives.
+/// Receipt of a sync, which only a journal can create.
 fn receipt() -> Synced {
     JOURNAL.with_borrow_mut(|journal| {
         journal.append_batch(&[vec![0]]).unwrap_or_else(|_| {
@@ -70,11 +70,11 @@
         }
     }
 
-    /// The process starts again with what its disk has.
+    /// Restarts the process from the records on its disk.
     pub(crate) fn restart(&mut self, tolerated_losses: usize) {
         let node = self.node.name().to_owned();
         self.node = StorageNode::recover(NOW, node, tolerated_losses, None, &self.records)
-            .expect("its own records");
+            .expect("the machine's own records are readable");
         self.pull = None;
         self.digest = None;
     }
@@ -98,11 +98,11 @@
                 self.records.push(record);
                 self.node.complete(pending, &receipt())
             }
-            Step::PersistSnapshot { .. } => unreachable!("no disk fails here"),
+            Step::PersistSnapshot { .. } => unreachable!("no disk fails in the model"),
         }
     }
 
-    /// The answer to a request that was sent under `epoch` to `disk`.
+    /// Handles a request sent under `epoch` to `disk` and returns the answer.
     pub(crate) fn request(&mut self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
             fencing_token: FencingToken { epoch, disk },
@@ -114,7 +114,7 @@
         answer
     }
 
-    /// The answer to a request that changes nothing.
+    /// Answer to a read-only request; the machine's state is unchanged.
     pub(crate) fn read(&self, epoch: u64, disk: u64, operation: Operation) -> Answer {
         let request = Request {
             fencing_token: FencingToken { epoch, disk },
@@ -147,7 +147,7 @@
         self.digest = None;
     }
 
-    /// Records that everything of one source is stored; finishes the pull if that was the last one needed.
+    /// Records that all records of one source are stored; finishes the pull if no further source is needed.
     pub(crate) fn finished_source(&mut self, disk: u64) {
         let Some(pull) = &mut self.pull else { return };
         pull.record_finished(disk);
--- a/crates/tier/storage/tests/view_model/main.rs
+++ b/crates/tier/storage/tests/view_model/main.rs
@@ -1,7 +1,7 @@
-//! Every run of small worlds of the storage view: the real machines, pulls, writes and plan of the
-//! membership.
+//! Model check of the storage view: explores every run of small deployments with the real machines, pulls, writes
+//! and membership plan.
 //!
-//! `STORAGE_MODEL_DEPTH=3` searches three actions deeper than usual.
+//! `STORAGE_MODEL_DEPTH=3` adds three actions to the depth of each search.
 
 mod machine;
 mod tier;
@@ -12,7 +12,7 @@
 
 use self::tier::{Counts, Mutation, World};
 
-const NOTHING: Counts = Counts {
+const NO_ACTIONS: Counts = Counts {
     views: 0,
     wipes: 0,
     restarts: 0,
@@ -40,7 +40,7 @@
         .unwrap_or(0)
 }
 
-/// Searches every run of at most `actions` actions; returns the violation that was found.
+/// Explores every run of at most `actions` actions and returns the violation found, if any.
 fn search(name: &str, world: World, actions: usize) -> Option<&'static str> {
     let started = Instant::now();
     let actions = actions + additional_depth();
@@ -68,14 +68,14 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn a_lost_disk_and_a_write() {
+fn a_disk_is_wiped_during_a_write() {
     let max_counts = Counts {
         views: 2,
         wipes: 1,
         writes: 1,
-        ..NOTHING
+        ..NO_ACTIONS
     };
     let world = World {
         is_coarse: false,
@@ -87,14 +87,14 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn a_second_disk_is_lost_after_the_repair() {
+fn a_second_disk_is_wiped_after_the_repair() {
     let max_counts = Counts {
         views: 4,
         wipes: 2,
         writes: 1,
-        ..NOTHING
+        ..NO_ACTIONS
     };
     assert_eq!(search("two lost disks", world(max_counts), 40), None);
 }
@@ -102,15 +102,15 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn a_machine_is_emptied_and_another_loses_its_disk() {
+fn a_machine_is_retired_and_the_disk_of_another_is_wiped() {
     let max_counts = Counts {
         views: 2,
         wipes: 1,
         retirements: 1,
         writes: 1,
-        ..NOTHING
+        ..NO_ACTIONS
     };
     let world = World {
         current: 4,
@@ -123,7 +123,7 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn a_machine_replaces_an_unresponsive_one() {
     let max_counts = Counts {
@@ -131,7 +131,7 @@
         timeouts: 1,
         writes: 1,
         wipes: 1,
-        ..NOTHING
+        ..NO_ACTIONS
     };
     let world = World {
         machines: 4,
@@ -143,7 +143,7 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn machines_restart_in_a_joint_epoch() {
     let max_counts = Counts {
@@ -151,12 +151,12 @@
         restarts: 2,
         wipes: 1,
         writes: 1,
-        ..NOTHING
+        ..NO_ACTIONS
     };
     assert_eq!(search("restarts", world(max_counts), 12), None);
 }
 
-/// A machine joins while a turn is written.
+/// Searches with four machines, three of them in the first view, and returns whether the injected bug is found.
 fn is_found(mutation: Mutation, max_counts: Counts, actions: usize) -> bool {
     let world = World {
         mutation,
@@ -166,16 +166,17 @@
     search(&format!("mutation: {mutation:?}"), world, actions).is_some()
 }
 
+/// Limits for a machine that joins while a turn is written.
 const JOIN: Counts = Counts {
     views: 2,
     writes: 1,
-    ..NOTHING
+    ..NO_ACTIONS
 };
 
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn pages_before_the_seal_are_found() {
     assert!(is_found(Mutation::Seal, JOIN, 17));
@@ -184,9 +185,9 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
-fn a_lost_disk_under_the_old_identity_is_found() {
+fn a_wiped_disk_under_the_old_identity_is_found() {
     assert!(is_found(
         Mutation::Identity,
         Counts { wipes: 1, ..JOIN },
@@ -197,7 +198,7 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn an_incomplete_pull_is_found() {
     assert!(is_found(Mutation::Pull, Counts { wipes: 1, ..JOIN }, 17));
@@ -206,7 +207,7 @@
 #[test]
 #[cfg_attr(
     debug_assertions,
-    ignore = "minutes where it is not optimised; .ci/run plays it in release"
+    ignore = "takes minutes without optimisation; .ci/run runs it in release"
 )]
 fn a_write_without_the_next_quorum_is_found() {
     assert!(is_found(Mutation::NextQuorum, JOIN, 20));
--- a/crates/tier/storage/tests/view_model/tier.rs
+++ b/crates/tier/storage/tests/view_model/tier.rs
@@ -1,4 +1,4 @@
-//! A state of the tier: the machines, what the core knows of them, and a proxy that writes.
+//! State of the model: the machines, their announcements to the core, the committed views, and a proxy that writes.
 
 mod model;
 
@@ -19,40 +19,40 @@
 
 const PROGRAM: &str = "program";
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without announcements after which the core drops a machine whatever else happens.
+/// Time without announcements after which the core treats a machine as unresponsive in every case.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A bug that is put into the tier, by what it leaves out.
+/// Bug injected into the tier, named after the safeguard that it omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutation {
     /// The unchanged code.
     None,
-    /// A source serves pages before it refuses writes under the view before.
+    /// A source serves pages before it refuses writes under the previous view.
     Seal,
-    /// A machine that lost its disk keeps its identity.
+    /// A machine whose disk was wiped keeps its disk identity.
     Identity,
-    /// A machine says that it has pulled before it has.
+    /// A machine announces a pull as finished before it is.
     Pull,
-    /// A write in a joint epoch needs no quorum of the next machines.
+    /// A write in a joint epoch does not require a quorum of the next members.
     NextQuorum,
 }
 
-/// One tier to search.
+/// Deployment to explore, with the limits of the search.
 #[derive(Clone)]
 pub(crate) struct World {
-    /// Number of machines of the first view; those beyond it wait to join.
+    /// Number of machines in the first view; the others join later.
     pub current: u8,
     pub machines: u8,
     pub tolerated_losses: usize,
     pub mutation: Mutation,
-    /// Whether the core hears each announcement at once, and a machine pulls from all sources that answer at
-    /// once.
+    /// Whether the core receives announcements immediately, and a machine pulls from all available sources in one
+    /// action. This reduces the number of states.
     pub is_coarse: bool,
     pub max_counts: Counts,
     pub started: Instant,
 }
 
-/// How often each thing has happened.
+/// Number of actions of each kind in a run, or the limits of these numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Counts {
     pub views: u8,
@@ -63,23 +63,23 @@
     pub writes: u8,
 }
 
-/// A write that the proxy has begun and that is not acknowledged yet.
+/// Write of the proxy that is not acknowledged yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingWrite {
     request_id: String,
-    /// Disks that have answered it under the epoch that the proxy knows, in ascending order.
+    /// Disks that have stored the write under the proxy's epoch, in ascending order.
     answered: Vec<u64>,
 }
 
-/// A state of the tier.
+/// State of the tier in the model.
 #[derive(Clone)]
 pub(crate) struct Tier {
     machines: Vec<Arc<Machine>>,
-    /// The last announcement that the core has of each machine; `None` for an unresponsive one.
+    /// Last announcement that the core received from each machine; `None` for an unresponsive machine.
     last_announcements: Vec<Option<Announcement>>,
     /// Views that the core has committed, newest last.
     views: Vec<StorageView>,
-    /// View that the proxy knows, as a position in `views`.
+    /// Index in `views` of the proxy's view.
     proxy: usize,
     /// The proxy's write in flight.
     write: Option<PendingWrite>,
@@ -91,14 +91,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
     Announce(u8),
-    /// The core receives nothing more of a machine until it announces itself again.
+    /// The core receives no further announcements from a machine until the machine announces itself again.
     StopResponding(u8),
     Plan,
     Retire(u8),
     Learn(u8),
     ProxyLearns,
     Write,
-    /// The proxy's write reaches a machine, and the answer the proxy.
+    /// A machine receives the proxy's write, and the proxy receives the answer.
     Put(u8),
     Pull {
         to: u8,
@@ -177,7 +177,7 @@
         Arc::make_mut(&mut self.machines[usize::from(index)])
     }
 
-    fn holder(&self, member: &StorageMember) -> Option<&Machine> {
+    fn machine_of(&self, member: &StorageMember) -> Option<&Machine> {
         let machine = self
             .machines
             .iter()
@@ -186,8 +186,8 @@
     }
 
     fn has_turn(&self, member: &StorageMember, request_id: &str) -> bool {
-        let holder = self.holder(member);
-        holder.is_some_and(|machine| {
+        let machine = self.machine_of(member);
+        machine.is_some_and(|machine| {
             !machine
                 .node
                 .store()
@@ -199,11 +199,11 @@
     fn lost(&self, members: &[&StorageMember]) -> usize {
         members
             .iter()
-            .filter(|member| self.holder(member).is_none())
+            .filter(|member| self.machine_of(member).is_none())
             .count()
     }
 
-    /// What the core knows, if every responsive machine has announced itself at each interval.
+    /// The core's announcements at a time when each responsive machine has announced itself at every interval.
     fn announcements(&self, world: &World) -> (Instant, Announcements) {
         let end = world.started + UNRESPONSIVE_TIMEOUT;
         let mut now = world.started;
@@ -217,11 +217,11 @@
         (end, announcements)
     }
 
-    /// Every machine that is responsive announces itself.
-    fn hear_all(&mut self) {
-        for (heard, machine) in self.last_announcements.iter_mut().zip(&self.machines) {
-            if heard.is_some() {
-                *heard = Some(machine.announcement());
+    /// The core receives the announcement of every responsive machine.
+    fn announce_all(&mut self) {
+        for (last, machine) in self.last_announcements.iter_mut().zip(&self.machines) {
+            if last.is_some() {
+                *last = Some(machine.announcement());
             }
         }
     }
@@ -231,7 +231,7 @@
         plan(now, self.view(), &announcements, world.tolerated_losses)
     }
 
-    /// The write under the view that the proxy knows, with the answers so far.
+    /// Rebuilds the proxy's write under its view, with the answers received so far.
     fn write_in_flight(&self, world: &World) -> Option<Write> {
         let PendingWrite {
             request_id,
@@ -249,7 +249,7 @@
         Some(write)
     }
 
-    /// Computes the digests by which the state is compared with others.
+    /// Computes the missing machine digests, by which states are compared.
     fn compute_digests(&mut self) {
         for machine in self
             .machines
@@ -325,16 +325,16 @@
                 .is_some_and(|pull| !pull.has_finished(disk))
     }
 
-    /// Disks may be lost while all that are in the view's present members are there.
+    /// Whether a disk of the view may be wiped without exceeding the tolerated losses in current or all members.
     fn may_lose(&self, world: &World, index: u8) -> bool {
         let current: Vec<&StorageMember> = self.view().current.iter().collect();
         let identity = self.machines[usize::from(index)].identity();
-        let is_there = self
+        let is_member = self
             .view()
             .members()
             .iter()
             .any(|member| **member == identity);
-        is_there
+        is_member
             && self.lost(&current) < world.tolerated_losses
             && self.lost(&self.view().members()) < world.tolerated_losses
     }
@@ -344,11 +344,11 @@
         let current = group(&view.current, PROGRAM, world.tolerated_losses);
         let lost = self.lost(&current);
         for request_id in &self.acknowledged {
-            let holders = current
+            let replicas = current
                 .iter()
                 .filter(|member| self.has_turn(member, request_id))
                 .count();
-            if holders + lost <= world.tolerated_losses {
+            if replicas + lost <= world.tolerated_losses {
                 self.violation = Some("an acknowledged turn is on too few disks");
                 return;
             }
@@ -359,14 +359,14 @@
         }
     }
 
-    /// Whether a reader that knows `view` gets the answer of every machine that there is no such turn.
+    /// Whether every member of `view` answers a reader that it does not store the turn.
     fn denies(&self, view: &StorageView, request_id: &str) -> bool {
         view.members().iter().all(|member| {
             let operation = Operation::Find {
                 request_id: request_id.to_owned(),
             };
             let answer = self
-                .holder(member)
+                .machine_of(member)
                 .map(|machine| machine.read(view.epoch, member.disk, operation));
             matches!(answer, Some(Answer::Found { programs }) if programs.is_empty())
         })
--- a/crates/tier/storage/tests/view_model/tier/model.rs
+++ b/crates/tier/storage/tests/view_model/tier/model.rs
@@ -1,4 +1,4 @@
-//! What may happen next in a state of the tier, and what must hold in each.
+//! Initial state, actions and properties of the model.
 
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
             Arc::new(machine)
         };
         let machines: Vec<Arc<Machine>> = (0..self.machines).map(machine).collect();
-        // Those that wait have not announced themselves yet.
+        // Machines that are not in the first view have not announced themselves yet.
         let last_announcements = machines.iter().enumerate().map(|(index, machine)| {
             (index < usize::from(self.current)).then(|| machine.announcement())
         });
@@ -64,11 +64,11 @@
         let newest = tier.view().epoch;
         for index in 0..self.machines {
             let machine = &tier.machines[usize::from(index)];
-            let heard = &tier.last_announcements[usize::from(index)];
-            if heard.as_ref() != Some(&machine.announcement()) {
+            let last_announcement = &tier.last_announcements[usize::from(index)];
+            if last_announcement.as_ref() != Some(&machine.announcement()) {
                 actions.push(Action::Announce(index));
             }
-            if heard.is_some() && tier.counts.timeouts < self.max_counts.timeouts {
+            if last_announcement.is_some() && tier.counts.timeouts < self.max_counts.timeouts {
                 actions.push(Action::StopResponding(index));
             }
             if machine.node.view().epoch < newest {
@@ -168,7 +168,7 @@
             }
         }
         if self.is_coarse {
-            next.hear_all();
+            next.announce_all();
         }
         next.compute_digests();
         next.check(self);
