--- a/crates/cli/src/faults/summary.rs
+++ b/crates/cli/src/faults/summary.rs
@@ -42,7 +42,7 @@
 #[derive(Serialize)]
 struct KindRecovery {
     faults: u64,
-    /// Only over faults after which service recovered before the end of the run.
+    /// Recovery times, only over faults after which service recovered before the end of the run.
     back_after: RecoveryTimes,
     /// Number of faults after which service did not recover before the end of the run.
     never: u64,
@@ -73,7 +73,7 @@
     /// Digest of the concatenated digests of all seeds, in the order of the seeds.
     digest: String,
     kinds: BTreeMap<&'static str, KindRecovery>,
-    /// Seeds that break a rule, in their order.
+    /// Seeds that break a rule, in ascending order.
     pub(super) broken: Vec<BrokenSeed>,
 }
 
@@ -118,7 +118,8 @@
 }
 
 impl Summary {
-    /// Aggregates the outcomes by seed. `wall_s` is the wall time of the run, in seconds.
+    /// Aggregates the outcomes of all seeds; the key of `outcomes` is the seed. `wall_s` is the wall time of the run,
+    /// in seconds.
     pub(super) fn new(outcomes: &BTreeMap<u64, Outcome>, wall_s: f64) -> Summary {
         let sum = |count: &dyn Fn(&Outcome) -> u64| outcomes.values().map(count).sum();
         let mut recoveries: BTreeMap<&'static str, Vec<&Recovery>> = BTreeMap::new();
--- a/crates/router/lease/src/leases/mod.rs
+++ b/crates/router/lease/src/leases/mod.rs
@@ -35,7 +35,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use woadreach_membership::MemberId;
 
-/// Maximum advance of the clock between two calls, as a fraction of the lease duration. A larger one counts as a jump.
+/// Maximum advance of the clock between two calls, as a fraction of the lease duration. A larger advance counts as a
+/// jump if the acceptor has grants.
 const MAX_CLOCK_STEP: f64 = 0.75;
 
 /// The leases of one member, both as an acceptor and as a candidate or holder.
@@ -179,7 +180,7 @@
             .map(Candidacy::next_due_s)
             .fold(f64::INFINITY, f64::min);
         if self.acceptor.has_grants() {
-            // Jumps of the clock are detected only if calls are more frequent than the maximum step.
+            // Calls must be more frequent than the maximum step: a longer interval between two calls counts as a jump.
             first.min(self.last_call_s + self.config.lease_duration_s / 4.0)
         } else {
             first
--- a/crates/router/zone-failover/src/evidence.rs
+++ b/crates/router/zone-failover/src/evidence.rs
@@ -74,7 +74,7 @@
         evidence
     }
 
-    /// Whether reports of more than half of the reporters outside the zone are valid.
+    /// Whether there are at least two reporters outside the zone, and more than half of them have a valid report.
     pub(crate) fn has_quorum(&self) -> bool {
         self.outside_reports * 2 > self.outside_reporters && self.outside_reporters >= 2
     }
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -76,7 +76,7 @@
     pub(crate) zone_failover: Option<ZoneFailoverState>,
     /// Latest outcomes of each zone, oldest first.
     pub(crate) zone_outcomes: BTreeMap<ZoneId, VecDeque<ZoneOutcome>>,
-    /// Parts that are queued for their replicas.
+    /// Parts whose replica is under backpressure, or has parts with earlier deadlines queued.
     pub(crate) queue: DeadlineQueue<ReplicaId, QueuedPart>,
     pub(crate) unloaded: UnloadedLatency<ReplicaId>,
     pub(crate) budget: PartBudget,
--- a/crates/routing/src/decide/placement.rs
+++ b/crates/routing/src/decide/placement.rs
@@ -129,8 +129,8 @@
         let load = calls(&chosen, 0);
         let is_too_late =
             PartBudget::cannot_finish_in_time(until - now, self.tail(now, search, chosen.0));
-        // A hedge is sent only to a replica with none of this co-ordinator's calls in flight: it must not lengthen a
-        // queue.
+        // A hedge is sent only to a replica with none of this co-ordinator's calls in flight or planned: it must not
+        // lengthen a queue.
         if is_too_late || (part.is_in_flight() && load > 0) {
             return Pick::Never;
         }
@@ -193,7 +193,8 @@
         )
     }
 
-    /// Carries out the decision on a part: sends or queues it.
+    /// Removes a part from its queue, and carries out the decision on it: sends or queues the part. A retry or hedge is
+    /// sent only if the retry budget allows it.
     pub(super) fn execute(
         &mut self,
         now: Seconds,
--- a/crates/routing/src/decide/slow_start.rs
+++ b/crates/routing/src/decide/slow_start.rs
@@ -17,9 +17,9 @@
 
 /// Number of answers of a replica that raise its limit of attempts in flight by one.
 const ANSWERS_PER_ATTEMPT: usize = 4;
-/// Divisor of the shortest latency target for the execution time of a part before any sample.
+/// Before the first sample, the execution time of a part is assumed to be the shortest latency target divided by this.
 const INITIAL_WORK_DIVISOR: f64 = 5.0;
-/// Divisor of the even share of a warming replica for the least rate of a co-ordinator, before any quota.
+/// A co-ordinator's rate to a warming replica is at least its even share divided by this, before the quota applies.
 const MIN_EVEN_SHARE_DIVISOR: f64 = 2.0;
 
 /// Warm-up state of a replica, as far as this co-ordinator knows it.
@@ -32,7 +32,8 @@
     pub(crate) quota_share: Option<f64>,
     /// Times of the attempts sent within the overload window, oldest first.
     pub(crate) sends: VecDeque<Seconds>,
-    /// Number of times that slow start has prevented sending a part to the replica.
+    /// Number of times that this co-ordinator's share has prevented sending a part to the replica. Parts prevented by
+    /// the limit of attempts in flight are not counted.
     pub(crate) suppressed: Cell<u64>,
     /// Whether a connection to the replica broke since its last answer.
     reset: bool,
@@ -132,7 +133,8 @@
         }
     }
 
-    /// Whether another part would exceed this co-ordinator's share of a warming replica. The replica is overloaded if
+    /// Whether another part would exceed this co-ordinator's share of a warming replica, or the limit of attempts in
+    /// flight that rises with the replica's answers ([`ANSWERS_PER_ATTEMPT`]). The replica is overloaded if
     /// all co-ordinators together send it more than a multiple of its capacity within an overload window. Fractions
     /// of a part are granted in time slots, each one overload window long. `planned`: number of parts of the present
     /// plan for it.
--- a/crates/testing/invariants/src/checker.rs
+++ b/crates/testing/invariants/src/checker.rs
@@ -1,4 +1,4 @@
-//! Dispatches each event, in the order of their times, to the rules that it concerns.
+//! Dispatches the events in the order of their times, each to the rules that it concerns.
 
 use crate::breach::{Breach, Rule};
 use crate::event::{CoordinatorId, Event, EventKind, ReplicaName};
--- a/crates/testing/local-tier/src/tier.rs
+++ b/crates/testing/local-tier/src/tier.rs
@@ -18,11 +18,11 @@
 /// Number of machines of each class.
 #[derive(Clone, Copy, Debug)]
 pub struct TierSize {
-    /// Number of edge machines.
+    /// Number of edge machines, which carry the traffic.
     pub edges: u8,
-    /// Number of core machines.
+    /// Number of core machines, which serve control.
     pub core: u8,
-    /// Number of storage machines.
+    /// Number of storage machines, which store turns and budgets.
     pub storage: u8,
 }
 
--- a/crates/tier/chain/tests/catch_up.rs
+++ b/crates/tier/chain/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catch-up of a member that has missed changes, while writes continue and links and disks have limited rates.
+//! Catch-up of a member that has missed changes, under continuous writes and with limited rates of links and disks.
 //!
 //! The tests run on simulated time. Each case writes continuously, kills one member, restarts it after a number
 //! of changes, and waits until it is active in the chain. Then one head after the other is killed, so that an
@@ -37,7 +37,7 @@
     next_at: Duration,
     /// Changes that are known to be committed, oldest first.
     acknowledged: Vec<AppliedConfiguration>,
-    /// The change in flight, and the time at which it was last sent; zero before it is sent.
+    /// The change in flight, and the time at which it was last sent. That time is zero before the first sending.
     sent: Option<(PutConfiguration, Duration)>,
 }
 
@@ -198,10 +198,10 @@
 /// Measurements of one case.
 #[derive(Debug, Default)]
 struct CatchUp {
-    /// Time from the member's restart until it has the state that was the newest at its restart, or after the
-    /// fault if there is one.
+    /// Time from the start of the measurement until the member has the state that was the newest at that start. The
+    /// measurement starts at the member's restart or, in a case with a fault, once the fault has been injected.
     to_state: Duration,
-    /// Time from the member's restart until it is active in the chain.
+    /// Time from the same start until the member is active in the chain.
     to_active: Duration,
     /// Largest number of bytes that were queued at one machine.
     max_backlog_bytes: u64,
--- a/crates/tier/chain/tests/member_model/oracle.rs
+++ b/crates/tier/chain/tests/member_model/oracle.rs
@@ -17,7 +17,6 @@
     is_answered: bool,
 }
 
-/// A request with its number.
 #[derive(Clone, Debug)]
 pub(crate) struct NumberedRequest {
     pub id: RequestId,
--- a/crates/tier/chain/tests/simulation/stops.rs
+++ b/crates/tier/chain/tests/simulation/stops.rs
@@ -24,11 +24,11 @@
 /// What happens to a machine after its process was stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stop {
-    /// It restarts with its disk.
+    /// The machine restarts with its disk.
     Restart,
-    /// It is permanently removed together with its disk.
+    /// The machine is permanently removed together with its disk.
     Remove,
-    /// It is permanently removed together with its disk, and another machine is wiped shortly after.
+    /// The machine is permanently removed together with its disk, and another machine is wiped shortly after.
     RemoveThenWipe,
 }
 
--- a/crates/tier/discovery/src/watcher.rs
+++ b/crates/tier/discovery/src/watcher.rs
@@ -2,7 +2,7 @@
 //! their answers. Driven by [`ControlWatch`](crate::ControlWatch).
 //!
 //! [`TARGET_POLLED_MACHINES`](crate::selection::TARGET_POLLED_MACHINES) healthy machines are polled concurrently.
-//! A machine that does not answer, or is out of quorum, is polled further (with backoff if it does not answer), and the
+//! A machine that does not answer, or is out of quorum, is still polled (with backoff if it does not answer), and the
 //! next machine by rank is polled in addition. Ranks depend on the name of the process, which distributes the processes
 //! over the core machines. A process that has received no answer from a machine in quorum for
 //! [`QUORUM_CONTACT_TIMEOUT`] chooses from all addresses that it knows: the core view, the seeds, and the core machines
@@ -56,8 +56,8 @@
     },
 }
 
-/// Whether a configuration fetch is in flight. `attempts` counts the failed fetches since the last that returned a
-/// newer configuration.
+/// Whether a configuration fetch is in flight. `attempts` counts the failed fetches since the last fetch that
+/// returned a newer configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchState {
     /// No fetch is in flight. The next may start at `next_at` if a newer configuration has been reported.
@@ -87,7 +87,8 @@
 pub struct Watcher {
     /// Name of the process, which determines the ranks of the core machines.
     name: String,
-    /// Internal addresses of the core machines in the settings.
+    /// Internal addresses of the core machines in the settings. They are polled while no core view is known or the
+    /// process is disconnected.
     seeds: Vec<SocketAddr>,
     /// Internal addresses of the core machines found by peer sampling.
     sampled_machines: Vec<SocketAddr>,
@@ -327,9 +328,9 @@
         newer.is_some()
     }
 
-    /// Records a configuration generation reported by a machine. A generation newer than all reported before is fetched
-    /// at once, because the backoff applied to an older configuration. The time-out of the fetch is not reset: on a
-    /// slow link, the newer configuration takes no less time than the older one.
+    /// Records a configuration generation reported by a machine. If no fetch is in flight, a generation newer than all
+    /// reported before is fetched at once, because the backoff applied to an older configuration. The time-out of the
+    /// fetch is not reset: on a slow link, the newer configuration takes no less time than the older one.
     fn record_reported_generation(&mut self, now: Duration, generation: u64) {
         if generation <= self.newest_reported_generation {
             return;
--- a/crates/tier/rpc/src/client.rs
+++ b/crates/tier/rpc/src/client.rs
@@ -251,7 +251,7 @@
     }
 
     /// Completes the call that a response or refusal belongs to. Frames of other kinds or with the request id of no
-    /// pending call are ignored.
+    /// pending call are only counted as received.
     fn complete_call(&self, frame: Frame) {
         self.received.fetch_add(1, Ordering::Relaxed);
         let result = match frame.kind {
--- a/crates/tier/scheduler/src/placement.rs
+++ b/crates/tier/scheduler/src/placement.rs
@@ -121,8 +121,9 @@
         }
     }
 
-    /// The home of the call's program or object; `None` if it has neither, or no replica is healthy. The home of a
-    /// program is in the local zone, where most of its calls arrive, unless the zone has too few replicas.
+    /// The home of the call's program (or else its session) or object; `None` if the call has none of these, or if no
+    /// replica is healthy, which here means neither ejected nor unresponsive. The home of a program is in the local
+    /// zone, where most of its calls arrive, unless the zone has too few replicas.
     pub(crate) fn home(&self, call: &ActiveCall) -> Option<ReplicaKey> {
         if !is_on(Mechanism::Homes) {
             return None;
@@ -229,8 +230,8 @@
     /// Excludes replicas that are ejected, unresponsive, have failed recently, are full or are warming up, as long as
     /// others remain.
     fn prefer_healthy(&self, call: &ActiveCall, candidates: &mut Candidates<ReplicaKey>) {
-        // If most replicas are ejected for being slow, overload is the cause. Excluding them would increase the load
-        // on the others.
+        // If most replicas are ejected, overload is the likely cause for those whose last failure was lateness.
+        // Excluding these would increase the load on the others.
         let is_overload_likely = self.is_majority_ejected(call);
         candidates.prefer(|key| {
             let is_tolerated =
