--- a/crates/testing/local-tier/src/replica.rs
+++ b/crates/testing/local-tier/src/replica.rs
@@ -211,11 +211,11 @@
         let response = Response::builder().header("instance-id", &shared.id);
         return response.body(Body::empty()).unwrap_or_default();
     }
-    let expected = header_text(&head.headers, "expect-instance");
+    let expected = header(&head.headers, "expect-instance");
     if !expected.is_empty() && expected != shared.id {
         return not_executed(StatusCode::MISDIRECTED_REQUEST);
     }
-    let request_id = header_text(&head.headers, "request-id").to_owned();
+    let request_id = header(&head.headers, "request-id").to_owned();
     let Ok(body) = to_bytes(body, MAX_REQUEST_BYTES).await else {
         return not_executed(StatusCode::BAD_REQUEST);
     };
@@ -223,9 +223,7 @@
         return not_executed(StatusCode::BAD_REQUEST);
     }
     let signature = format!("{}.{request_id}", shared.id);
-    let first_event = header_text(&head.headers, "last-event-id")
-        .parse()
-        .unwrap_or(0);
+    let first_event = header(&head.headers, "last-event-id").parse().unwrap_or(0);
     let line = format!("{} {}", head.method, head.uri);
     shared.received.lock().push(ReceivedRequest {
         line,
