--- a/crates/testing/local-tier/src/replica.rs
+++ b/crates/testing/local-tier/src/replica.rs
@@ -193,7 +193,7 @@
     }
 }
 
-fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
